--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -88,7 +88,7 @@
 
 // changed follows a change of who may be used, before which there were so many.
 func (b *Balancer) changed(now time.Duration, was int) {
-	b.fill()
+	b.fill(now)
 	if was > 0 && b.ready > 0 { // few that are left must not get the calls of many
 		b.room *= float64(b.ready) / float64(was)
 	}
@@ -126,11 +126,11 @@
 
 // count follows the rate of requests and, with it, how many endpoints the table is to have.
 func (b *Balancer) count(now time.Duration) {
-	b.calls, b.callsAt = b.calls*math.Exp(-(now-b.callsAt).Seconds()/memory.Seconds())+1, now
+	b.asked.add(now)
 	want := b.rate(now) * tableGap.Seconds()
 	if want > 1.5*b.size || want < 0.5*b.size { // else it would change with each call
 		b.size = want
-		b.fill()
+		b.fill(now)
 	}
 }
 
@@ -138,7 +138,8 @@
 // callers that meet each endpoint too seldom to know it, and open a connection for nearly every call. Tables
 // are even steps through the list, sorted by kind and begun at the caller's own place: all endpoints get as
 // many callers, all callers the same mix of kinds.
-func (b *Balancer) fill() {
+func (b *Balancer) fill(now time.Duration) {
+	defer b.paceCold(now)
 	b.recent, b.sampled, b.leastFor = b.recent[:0], b.sampled[:0], 0
 	b.table = slices.DeleteFunc(slices.Clone(b.endpoints), func(e *endpoint) bool { return !e.usable() })
 	n, callers := float64(len(b.table)), float64(max(b.s.Balancers, 1))
@@ -162,13 +163,47 @@
 	e.active = first && b.warmth(now, e) == 1
 	e.backoff = b.firstBackoff(now)
 	e.trialAt = now + seconds(b.rng.Float64()*b.turnGap(now).Seconds())
-	e.sum, e.samples, e.deficit, e.dropped = 0, 0, b.rng.Float64(), false
+	e.sum, e.samples, e.deficit = 0, 0, b.rng.Float64()
+	e.dropped, e.paced = false, false
+}
+
+// paceCold follows a change of the table. A cold endpoint that comes into it gets its first call at a random
+// moment of the gap between two calls: when the list changes or callers restart, many tables take it in at
+// once, and their first calls alone would overload it. Waits in progress are scaled with the length of a
+// turn, which a restarted caller learns only from its first requests. Without an active endpoint nothing is
+// put off.
+func (b *Balancer) paceCold(now time.Duration) {
+	turn := b.coldTurn(now)
+	for _, e := range b.endpoints {
+		if wait := (e.coldAt - now).Seconds(); wait > 0 && b.pacedTurn > 0 {
+			e.coldAt = now + seconds(wait*turn/b.pacedTurn)
+		}
+	}
+	b.pacedTurn = turn
+	active, _, _ := b.actives()
+	for _, e := range b.table {
+		if active > 0 && !e.paced && b.warmth(now, e) < 1 {
+			e.coldAt = max(e.coldAt, now+seconds(b.rng.Float64()*b.coldGap(now, e).Seconds()))
+		}
+	}
+	for _, e := range b.endpoints {
+		e.paced = false
+	}
+	for _, e := range b.table {
+		e.paced = true
+	}
 }
 
 // coldGap is the time between two sends to a cold endpoint, trials included, little more than a warm share of
 // the caller's own traffic. It guards against all callers together pushing it over.
 func (b *Balancer) coldGap(now time.Duration, e *endpoint) time.Duration {
-	return seconds(b.turnGap(now).Seconds() / (b.warmth(now, e) * coldShare))
+	return seconds(b.coldTurn(now) / (b.warmth(now, e) * coldShare))
+}
+
+// coldTurn is the turn, in seconds, by which cold endpoints are paced: that of the requests admitted. What is
+// refused for want of room reaches no endpoint, and its clients ask again and again.
+func (b *Balancer) coldTurn(now time.Duration) float64 {
+	return float64(len(b.table)) / max(b.admitted.perSecond(now, b.started), rateLeast)
 }
 
 // firstBackoff guards against quiet callers that crowd a dropped endpoint with nothing but trials.
@@ -491,6 +526,9 @@
 		}
 	}
 	b.used(e)
+	if len(q.attempts) == 0 {
+		b.admitted.add(now)
+	}
 	a := attempt{e: e, returns: e.returns, sent: now, waits: now, out: true, flows: q.Flow > 0}
 	a.trial = !e.active
 	a.overdueAt = b.overdueFrom(now, q, e)
@@ -563,6 +601,9 @@
 
 // end gives the final answer: refused if that is true, else failed.
 func (b *Balancer) end(now time.Duration, q *request) {
+	if q.held && len(q.attempts) == 0 && float64(b.out) < b.room { // for want of an endpoint
+		b.admitted.add(now)
+	}
 	if q.mayRefuse() {
 		b.host.Refuse(q.ID, min(b.jitter(retryAdvice), b.s.MaxRetryAfter))
 	} else {
--- a/balance/state.go
+++ b/balance/state.go
@@ -29,6 +29,7 @@
 	flows        int           // attempts out whose bodies flow, up or down
 	errors       float64       // share of recent outcomes that are errors
 	coldAt       time.Duration // next send, while cold
+	paced        bool          // was in the table at its latest change
 	held         float64       // load that the latest probe reported
 	heldAt       time.Duration
 }
@@ -114,14 +115,15 @@
 	stretch   float64 // of recent answers
 	cutAt     time.Duration
 	resizedAt time.Duration
+	pacedTurn float64 // seconds of a turn, as of the latest change of the table
 	budget    float64 // resends saved up
 	errors    float64 // share of recent outcomes that are errors
 	held      float64 // mean load that probes report
 	started   time.Duration
-	calls     float64 // requests, faded, as of callsAt
-	callsAt   time.Duration
-	quota     float64 // of all tenants, for this caller alone
-	size      float64 // wanted size of the table
+	asked     rateCounter // requests
+	admitted  rateCounter // of them, those sent, and those that lacked an endpoint rather than room
+	quota     float64     // of all tenants, for this caller alone
+	size      float64     // wanted size of the table
 	logged    map[string]time.Duration
 	barred    map[string]bool // ids that are out by hand, listed or not
 }
@@ -130,7 +132,7 @@
 
 // New returns a Balancer that starts at now with no knowledge but its settings.
 func New(now time.Duration, s Settings, h Host) *Balancer {
-	b := &Balancer{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), started: now, callsAt: now, budget: resendMost / 2, stretch: 1,
+	b := &Balancer{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), started: now, asked: rateCounter{at: now}, admitted: rateCounter{at: now}, budget: resendMost / 2, stretch: 1,
 		classes: map[string]*class{}, tenants: map[string]*tenant{}, kinds: map[string]*kind{},
 		byName: map[string]*endpoint{}, requests: map[string]*request{}, logged: map[string]time.Duration{}, barred: map[string]bool{}}
 	for _, c := range s.Classes {
@@ -277,7 +279,7 @@
 		t.tokens = (t.tokens + t.Quota/was*(now-t.at).Seconds()) * min(was/is, 1)
 		t.at = now
 	}
-	b.fill()
+	b.fill(now)
 }
 
 // share is how many endpoints there are for this caller alone. Behind the first tier callers are many and each has
@@ -495,8 +497,23 @@
 	return seconds(float64(len(b.table)) / max(b.rate(now), rateLeast))
 }
 
-// rate is how many requests a second come, of late. There was none before the start: that must not count.
-func (b *Balancer) rate(now time.Duration) float64 {
-	faded := func(d time.Duration) float64 { return math.Exp(-d.Seconds() / memory.Seconds()) }
-	return b.calls * faded(now-b.callsAt) / ((1 - faded(now-b.started+time.Second)) * memory.Seconds())
+// rate is how many requests a second come, of late.
+func (b *Balancer) rate(now time.Duration) float64 { return b.asked.perSecond(now, b.started) }
+
+// rateCounter counts events that fade with memory.
+type rateCounter struct {
+	count float64 // as of at
+	at    time.Duration
+}
+
+func (r *rateCounter) add(now time.Duration) {
+	r.count, r.at = r.count*faded(now-r.at)+1, now
 }
+
+// perSecond is the rate of late. There were no events before the start: that must not count.
+func (r *rateCounter) perSecond(now, started time.Duration) float64 {
+	return r.count * faded(now-r.at) / ((1 - faded(now-started+time.Second)) * memory.Seconds())
+}
+
+// faded is what is left of a count after a time.
+func faded(d time.Duration) float64 { return math.Exp(-d.Seconds() / memory.Seconds()) }
--- a/internal/lab/fleet/day.go
+++ b/internal/lab/fleet/day.go
@@ -18,8 +18,20 @@
 	Trouble  string        // one of Troubles
 	Length   time.Duration // requests are asked for so long
 	Use      float64       // of what the fleet can do, by the work that is asked for on the mean
+	Cold     Cold          // how endpoints start; the zero value: as the shire's do
 }
 
+// Cold says how endpoints warm up, and what overloads one that is cold.
+type Cold struct {
+	From         float64       // share of its capacity with which an endpoint starts
+	For          time.Duration // after which it has all of it
+	FallMultiple float64       // of its present capacity, sent for FallAfter
+	FallAfter    time.Duration
+}
+
+// shireCold is how the shire's endpoints start.
+var shireCold = Cold{From: 0.31, For: 9 * time.Second, FallMultiple: 4, FallAfter: 3 * time.Second}
+
 // Troubles are what may happen, in the order in which they are told.
 func Troubles() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
@@ -40,6 +52,8 @@
 		return fmt.Errorf("length: over 0, and %v at most", mostLength)
 	case d.Use <= 0 || d.Use > 2:
 		return errors.New("use: over 0, and 2 at most")
+	case d.Cold != Cold{} && (d.Cold.From <= 0 || d.Cold.From > 1 || d.Cold.For <= 0 || d.Cold.FallMultiple <= 0 || d.Cold.FallAfter <= 0):
+		return errors.New("cold: all of it over 0, and from at most 1")
 	}
 	return nil
 }
@@ -67,17 +81,13 @@
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
 const (
-	keyWindow    = 10 * time.Second
-	maxAttempts  = 4
-	coldFrom     = 0.31
-	coldFor      = 9 * time.Second
-	fallMultiple = 4
-	fallAfter    = 3 * time.Second
-	fallSlack    = 0.25 // for chance, as in rehearsals
-	drainGrace   = 500 * time.Millisecond
-	slack        = 50 * time.Millisecond
-	cellSize     = 4
-	zones        = 3
+	keyWindow   = 10 * time.Second
+	maxAttempts = 4
+	fallSlack   = 0.25 // for chance, as in rehearsals
+	drainGrace  = 500 * time.Millisecond
+	slack       = 50 * time.Millisecond
+	cellSize    = 4
+	zones       = 3
 
 	cores        = 2
 	slots        = 24                     // requests that an endpoint holds in work
--- a/internal/lab/fleet/endpoint.go
+++ b/internal/lab/fleet/endpoint.go
@@ -50,7 +50,7 @@
 func (e *endpoint) noteStart() {
 	n := referee.Event{Kind: referee.Started, Node: e.id, Capacity: cores * e.speed, ColdFrom: 1}
 	if e.startedAt > 0 {
-		n.ColdFrom, n.ColdFor = coldFrom, coldFor
+		n.ColdFrom, n.ColdFor = e.w.day.Cold.From, e.w.day.Cold.For
 	}
 	e.w.note(n)
 }
@@ -71,10 +71,10 @@
 }
 
 func (e *endpoint) warmth() float64 {
-	if e.startedAt == 0 || e.w.now-e.startedAt >= coldFor {
+	if e.startedAt == 0 || e.w.now-e.startedAt >= e.w.day.Cold.For {
 		return 1
 	}
-	return coldFrom + (1-coldFrom)*float64(e.w.now-e.startedAt)/float64(coldFor)
+	return e.w.day.Cold.From + (1-e.w.day.Cold.From)*float64(e.w.now-e.startedAt)/float64(e.w.day.Cold.For)
 }
 
 // die ends the process: what it has is gone, its connections are reset.
@@ -206,14 +206,14 @@
 		return
 	}
 	e.pressure = append(e.pressure, pressed{e.w.now, work})
-	for len(e.pressure) > 0 && e.pressure[0].at <= e.w.now-fallAfter {
+	for len(e.pressure) > 0 && e.pressure[0].at <= e.w.now-e.w.day.Cold.FallAfter {
 		e.pressure = e.pressure[1:]
 	}
 	sum := 0.0
 	for _, p := range e.pressure {
 		sum += p.work
 	}
-	limit := fallMultiple * e.warmth() * cores * e.speed * fallAfter.Seconds()
+	limit := e.w.day.Cold.FallMultiple * e.warmth() * cores * e.speed * e.w.day.Cold.FallAfter.Seconds()
 	e.w.result.ColdMost = max(e.w.result.ColdMost, sum/limit)
 	if sum > limit*(1+fallSlack) && !e.fell {
 		e.fell = true
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"fmt"
 	"reflect"
 	"strings"
 	"testing"
@@ -175,7 +176,7 @@
 func TestDaysAreChecked(t *testing.T) {
 	good := small("calm")
 	for field, spoil := range map[string]func(*Day){
-		"trouble": func(d *Day) { d.Trouble = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Use = -1 },
+		"trouble": func(d *Day) { d.Trouble = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Use = -1 }, "cold": func(d *Day) { d.Cold.From = 0.5 },
 	} {
 		d := good
 		spoil(&d)
@@ -184,3 +185,20 @@
 		}
 	}
 }
+
+// Endpoints of another site start at a seventh of their capacity, take 24 s to warm up and fall over within a second. While they are
+// replaced and callers restart, under more requests than the tier can take, the sum of all callers does not overload one.
+func TestColdEndpointsOfAnotherSiteAreNotOverloaded(t *testing.T) {
+	for _, trouble := range []string{"roll", "join"} {
+		for seed := range uint64(3) {
+			t.Run(fmt.Sprint(trouble, seed), func(t *testing.T) {
+				d := small(trouble)
+				d.Seed, d.Use, d.Cold = 5+seed, 1, Cold{From: 0.14, For: 24 * time.Second, FallMultiple: 3, FallAfter: time.Second}
+				r := play(t, core.Module, d)
+				if rule := r.Rules.Rules[3]; rule.Verdict != referee.Held {
+					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.Broken, r.ColdMost)
+				}
+			})
+		}
+	}
+}
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -57,6 +57,9 @@
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
+	if d.Cold == (Cold{}) {
+		d.Cold = shireCold
+	}
 	w := &world{day: d, decide: decide, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, seen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Trouble, Sidecars: d.Sidecars}}
 	w.build()
 	for _, t := range w.tiers {
@@ -67,12 +70,12 @@
 	w.run(epoch + d.Length)
 	w.closing = true
 	w.run(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
-	w.result.Rules = referee.Judge(rules(), w.timeline)
+	w.result.Rules = referee.Judge(rules(d.Cold), w.timeline)
 	return w.result, nil
 }
 
-func rules() referee.Rules {
-	r := referee.Rules{MaxAttempts: maxAttempts, Slack: slack, DrainGrace: drainGrace, FallMultiple: fallMultiple, FallAfter: fallAfter, FallSlack: fallSlack}
+func rules(cold Cold) referee.Rules {
+	r := referee.Rules{MaxAttempts: maxAttempts, Slack: slack, DrainGrace: drainGrace, FallMultiple: cold.FallMultiple, FallAfter: cold.FallAfter, FallSlack: fallSlack}
 	for _, c := range classes {
 		effect := referee.Safe
 		if c.keyed {
--- a/internal/lab/fleet/sidecar.go
+++ b/internal/lab/fleet/sidecar.go
@@ -60,7 +60,7 @@
 	s.up, s.calls, s.idle, s.view = true, map[string]*call{}, map[string][]time.Duration{}, map[string]*endpoint{}
 	w.note(referee.Event{Kind: referee.Up, Sidecar: s.name})
 	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callers(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
-		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, Resolution: time.Millisecond, ColdFrom: coldFrom, ColdFor: coldFor}
+		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, Resolution: time.Millisecond, ColdFrom: w.day.Cold.From, ColdFor: w.day.Cold.For}
 	for _, c := range classes {
 		m := balance.Class{Name: c.name, Aim: c.aim}
 		if c.keyed {
