--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"runtime/debug"
 
 	"tuliprock/balance"
-	"tuliprock/internal/wire"
+	"tuliprock/internal/simwire"
 )
 
 func main() {
--- a/cmd/tuliprock/agreed_test.go
+++ b/cmd/tuliprock/agreed_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/faultnet"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/faultnet"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // councilDaemons are daemons on links that break, some of them voters, before two nodes that count who comes.
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -10,8 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/config"
-	"tuliprock/internal/peers/link"
 	"tuliprock/internal/route"
 )
 
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 
 	"tuliprock/deploy/rehearsals"
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/plain"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/baseline"
 )
 
 // commands is the command line.
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/sidecar"
 )
 
--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -57,7 +57,7 @@
 	// the settings' form.
 	want := []string{"cmd/tuliprock"}
 	for _, folder := range daemonImports(t, root) {
-		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/wire" {
+		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/simwire" {
 			want = append(want, folder)
 		}
 	}
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/fleet"
-	"tuliprock/internal/lab/plain"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/baseline"
+	"tuliprock/internal/testkit/fleetsim"
 )
 
 type fleetCommand struct {
--- a/cmd/tuliprock/handover_test.go
+++ b/cmd/tuliprock/handover_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // stage stands in for what starts the daemon on a day on which its process is replaced: it holds the listening socket
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"tuliprock/internal/lab/loadgen"
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/loadgen"
+	"tuliprock/internal/testkit/schedule"
 )
 
 type loadCommand struct {
--- a/cmd/tuliprock/long_test.go
+++ b/cmd/tuliprock/long_test.go
@@ -21,9 +21,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"tuliprock/internal/lab/loadgen"
-	"tuliprock/internal/lab/schedule"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/loadgen"
+	"tuliprock/internal/testkit/schedule"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // bulk is a node that says what hash an upload has, or takes it unseen, and gives as many bytes as it is asked for.
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 	"time"
 
-	"tuliprock/internal/lab/council"
-	"tuliprock/internal/lab/swarm"
-	"tuliprock/internal/peers/report"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/testkit/raftsim"
+	"tuliprock/internal/testkit/swimsim"
 )
 
 type peersCommand struct{ daemonAt }
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/report"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // fleetDaemon is a process of the daemon in a fleet.
--- a/cmd/tuliprock/proxy_test.go
+++ b/cmd/tuliprock/proxy_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // peerEnv makes the test binary a peer of the measurement below: "node" or "proxy", with addresses behind.
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -18,8 +18,8 @@
 	"golang.org/x/term"
 
 	"tuliprock/deploy/rehearsals"
-	"tuliprock/internal/lab/plain"
-	"tuliprock/internal/lab/rehearse"
+	"tuliprock/internal/testkit/baseline"
+	"tuliprock/internal/testkit/rehearse"
 )
 
 type rehearseCommand struct {
--- a/cmd/tuliprock/schedules_test.go
+++ b/cmd/tuliprock/schedules_test.go
@@ -20,11 +20,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"tuliprock/internal/lab/faultnet"
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/lab/witness"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/report"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/clusterinvariant"
+	"tuliprock/internal/testkit/faultnet"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // drawnPlay is one play of drawn troubles on real processes, with load on all and puts all the time, and what was seen of it.
--- a/cmd/tuliprock/serve_test.go
+++ b/cmd/tuliprock/serve_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // spoken is what a program writes while it runs.
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -14,8 +14,8 @@
 
 	"github.com/aymanbagabas/go-udiff"
 
+	"tuliprock/internal/cluster/status"
 	"tuliprock/internal/config"
-	"tuliprock/internal/peers/report"
 )
 
 type settingsCommand struct {
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/report"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // markHeader is set by the settings that are agreed on, so that each request says by which it was decided.
--- a/cmd/tuliprock/standin.go
+++ b/cmd/tuliprock/standin.go
@@ -10,7 +10,7 @@
 	"os/signal"
 	"syscall"
 
-	"tuliprock/internal/lab/standin"
+	"tuliprock/internal/testkit/fake"
 )
 
 type standInCommand struct {
--- a/internal/peers/seat/seat.go
+++ b/internal/cluster/ordinal/seat.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 // Hold is how long a member must be failed before the others share its part: longer than a restart takes, and than a link
--- a/internal/peers/seat/seat_test.go
+++ b/internal/cluster/ordinal/seat_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 func view(s swim.Standing, states map[string]swim.State) *swim.View {
--- a/internal/peers/chamber/chamber.go
+++ b/internal/cluster/raftnode/chamber.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/link"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/peers/chamber/chamber_test.go
+++ b/internal/cluster/raftnode/chamber_test.go
@@ -13,11 +13,11 @@
 
 	"go.uber.org/goleak"
 
-	"tuliprock/internal/lab/simdisk"
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/simdisk"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/peers/chamber/found.go
+++ b/internal/cluster/raftnode/found.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/link"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/peers/chamber/keep.go
+++ b/internal/cluster/raftnode/keep.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/peers/chamber/keep_test.go
+++ b/internal/cluster/raftnode/keep_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/simdisk"
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/link"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/simdisk"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // What a daemon acted on is there after a restart, or nothing is: a file cut or changed at any byte says nothing.
--- a/internal/peers/chamber/seat.go
+++ b/internal/cluster/raftnode/seat.go
@@ -17,8 +17,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/link"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/peers/chamber/seat_test.go
+++ b/internal/cluster/raftnode/seat_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"tuliprock/internal/lab/simdisk"
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/testkit/simdisk"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func (h *house) seat(by int, name string, out bool) error {
--- a/internal/peers/report/agreed.go
+++ b/internal/cluster/status/agreed.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
 )
 
 // Change is an entry of the history of what was agreed on.
--- a/internal/peers/report/report.go
+++ b/internal/cluster/status/report.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 // Fleet is what one daemon holds of its fleet. Its form in JSON is documented.
--- a/internal/peers/report/report_test.go
+++ b/internal/cluster/status/report_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
 )
 
 func TestSettingsAreRead(t *testing.T) {
--- a/internal/peers/link/link.go
+++ b/internal/cluster/transport/link.go
@@ -23,7 +23,7 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 const (
--- a/internal/peers/link/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -16,8 +16,8 @@
 
 	"go.uber.org/goleak"
 
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/peers/link/message.go
+++ b/internal/cluster/transport/message.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 // Fields of a message and of an update, in protocol buffers' wire format. What is unknown is skipped, so that a later
--- a/internal/peers/link/seal.go
+++ b/internal/cluster/transport/seal.go
@@ -13,7 +13,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 // What a sealed message looks like: two letters, the version, four bytes that tell which key, its HMAC-SHA256 of all else
--- a/internal/config/agreed.go
+++ b/internal/config/agreed.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
 	"tuliprock/internal/tomlfile"
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,8 +9,8 @@
 	"strconv"
 
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/handover"
-	"tuliprock/internal/wire"
+	"tuliprock/internal/hotrestart"
+	"tuliprock/internal/simwire"
 )
 
 // What holds where the configuration gives no limits, and the least that a sidecar can work with.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
 	"tuliprock/internal/tomlfile"
 )
 
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -9,7 +9,7 @@
 	"tuliprock/balance"
 	"tuliprock/internal/body"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
 	"tuliprock/internal/route"
 )
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 type followed struct {
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
 )
 
 const (
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -11,7 +11,7 @@
 	"os"
 	"time"
 
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
 )
 
 const (
--- a/internal/discovery/polled.go
+++ b/internal/discovery/polled.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
 )
 
 // Source tells who is there. Run delivers until ctx ends: members are ready, draining or gone, and an ask that failed is
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -16,7 +16,7 @@
 
 	"pgregory.net/rapid"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // scripted is an agent in virtual time, whose calls are answered by a function on a goroutine each.
--- a/internal/discovery/sources_test.go
+++ b/internal/discovery/sources_test.go
@@ -18,9 +18,9 @@
 	"golang.org/x/net/dns/dnsmessage"
 
 	"tuliprock/balance"
-	"tuliprock/internal/lab/standin"
-	"tuliprock/internal/lab/testpeer"
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
+	"tuliprock/internal/testkit/fake"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/front/age_test.go
+++ b/internal/frontend/age_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // Seen on the rehearsed day of stalls: a sidecar that was stopped for 20 s sent on what had lain in its sockets, 16 s after
--- a/internal/front/callers_test.go
+++ b/internal/frontend/callers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // accepted gives both ends of a caller's connection that net/http holds for idle.
--- a/internal/front/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -21,11 +21,11 @@
 
 	"tuliprock/balance"
 	"tuliprock/internal/body"
-	"tuliprock/internal/core"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
 	"tuliprock/internal/route"
+	"tuliprock/internal/testkit/testpeer"
 	"tuliprock/internal/upstream"
 )
 
--- a/internal/front/request.go
+++ b/internal/frontend/request.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/route"
 	"tuliprock/internal/upstream"
 )
--- a/internal/front/server.go
+++ b/internal/frontend/server.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tuliprock/internal/body"
-	"tuliprock/internal/core"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
 )
 
--- a/internal/front/service.go
+++ b/internal/frontend/service.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
 	"tuliprock/internal/route"
 )
--- a/internal/sidecar/agreed.go
+++ b/internal/sidecar/agreed.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/swim"
 	"tuliprock/internal/config"
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/report"
-	"tuliprock/internal/peers/swim"
 )
 
 // actsOn is the version of what is agreed on by which a configuration serves.
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // What the platform tells of cold endpoints in these tests, and how callers ask.
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // A list that says who drains does not stand behind the events that wait: what is decided after it was told goes elsewhere.
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -13,14 +13,14 @@
 	"sync/atomic"
 	"time"
 
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/ordinal"
+	"tuliprock/internal/cluster/raftnode"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/config"
 	"tuliprock/internal/metrics"
-	"tuliprock/internal/peers/agree"
-	"tuliprock/internal/peers/chamber"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/report"
-	"tuliprock/internal/peers/seat"
-	"tuliprock/internal/peers/swim"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // goroutines are the stacks of all.
@@ -15,7 +15,7 @@
 	return string(b[:runtime.Stack(b, true)])
 }
 
-const peersCode = "tuliprock/internal/peers/"
+const peersCode = "tuliprock/internal/cluster/"
 
 // On the platform sidecars can't talk to one another: no socket is opened for that and no goroutine started. Where an
 // operators' file has a fleet both are there, so that this test could fail; and pools are told among how many they share, those
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // p99 asks one pool at a steady pace on connections of its own, and gives its latency from when each was due.
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -10,7 +10,7 @@
 
 	"tuliprock/internal/body"
 	"tuliprock/internal/config"
-	"tuliprock/internal/front"
+	"tuliprock/internal/frontend"
 	"tuliprock/internal/metrics"
 )
 
--- a/internal/sidecar/longend_test.go
+++ b/internal/sidecar/longend_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 const pays = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
--- a/internal/sidecar/matrix_test.go
+++ b/internal/sidecar/matrix_test.go
@@ -22,7 +22,7 @@
 	"golang.org/x/sys/unix"
 
 	"tuliprock/internal/body"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // The fault matrix: whoever fails, whenever and however, each request gets the one answer that the operators' page
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"tuliprock/internal/admin"
+	"tuliprock/internal/cluster/consensus"
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
-	"tuliprock/internal/handover"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/hotrestart"
 	"tuliprock/internal/metrics"
-	"tuliprock/internal/peers/agree"
 )
 
 const (
--- a/internal/sidecar/operators_test.go
+++ b/internal/sidecar/operators_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // withAdmin gives the service an operators' address.
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // All forms in which the platform's callers frame a request are served, and reach the endpoint as one request.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -12,9 +12,9 @@
 
 	"tuliprock/internal/body"
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/membership"
+	"tuliprock/internal/endpointset"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
 	"tuliprock/internal/upstream"
 )
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -2,7 +2,7 @@
 
 import (
 	"tuliprock/internal/config"
-	"tuliprock/internal/front"
+	"tuliprock/internal/frontend"
 	"tuliprock/internal/metrics"
 )
 
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -21,11 +21,11 @@
 
 	"tuliprock/balance"
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/lab/standin"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/metrics"
+	"tuliprock/internal/testkit/fake"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // service reads an operators' file. Its classes are the same in all tests.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,11 +16,11 @@
 
 	"tuliprock/internal/admin"
 	"tuliprock/internal/body"
+	"tuliprock/internal/cluster/consensus"
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
-	"tuliprock/internal/front"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/frontend"
 	"tuliprock/internal/metrics"
-	"tuliprock/internal/peers/agree"
 )
 
 const (
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/front"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/frontend"
+	"tuliprock/internal/testkit/testpeer"
 	"tuliprock/internal/upstream"
 )
 
--- a/internal/sidecar/smuggle_test.go
+++ b/internal/sidecar/smuggle_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // Requests that two readers could end in different places: none may let a second one through that hides in the first.
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/handover"
+	"tuliprock/internal/hotrestart"
 )
 
 // socket is a listening socket that several servers may accept from, one after another: whoever waits in its queue must
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // Servers that take one another's place on a socket lose no caller, and the one that closes is not kept waiting.
--- a/internal/sidecar/storm_test.go
+++ b/internal/sidecar/storm_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 // stormNode is an endpoint that knows when the daemon was told that it drains or is gone.
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
-	"tuliprock/internal/handover"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/hotrestart"
 )
 
 // catchUpTime bounds how long the pools may take to have what another process was called.
--- a/internal/lab/plain/plain.go
+++ b/internal/testkit/baseline/plain.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
+	"tuliprock/internal/eventloop"
 )
 
 // pick chooses among endpoints that may be called; there is one at least.
--- a/internal/lab/standin/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Member is an entry of the list as it goes to sidecars.
--- a/internal/lab/standin/caller.go
+++ b/internal/testkit/fake/caller.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Try is one request of a caller's.
--- a/internal/lab/standin/node.go
+++ b/internal/testkit/fake/node.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // NodeSpec is what a node is. Its work is modelled: it takes time on a core that exists only as a count.
--- a/internal/lab/standin/standin.go
+++ b/internal/testkit/fake/standin.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Recorder keeps the timeline of a day. It is safe for concurrent use.
--- a/internal/lab/standin/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -17,8 +17,8 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 const (
--- a/internal/lab/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/goleak"
 
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/fleet/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // endpoint is a model of a server: cores, slots and a queue, cold after a start.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // small is a day that takes a second or two under the race detector.
--- a/internal/lab/fleet/play.go
+++ b/internal/testkit/fleetsim/play.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Result is what became of a day.
--- a/internal/lab/fleet/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // sidecar is one balancer and what carries its decisions out, in virtual time.
--- a/internal/lab/fleet/world.go
+++ b/internal/testkit/fleetsim/world.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/agenda"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/eventqueue"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // epoch is the instant at which a day begins: well above zero, so that starts before it have instants too.
--- a/internal/lab/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // Format is the version of the JSON form.
--- a/internal/lab/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // Result is what a run showed.
--- a/internal/lab/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // Sender makes one request. It is called from many goroutines at once.
--- a/internal/lab/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // memory is a network in memory, so that time can be virtual.
--- a/internal/lab/council/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
 )
 
 // Checker looks at what voters commit and daemons act on. Its zero value has seen nothing.
--- a/internal/lab/council/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -14,9 +14,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"tuliprock/internal/lab/agenda"
-	"tuliprock/internal/lab/simdisk"
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/testkit/eventqueue"
+	"tuliprock/internal/testkit/simdisk"
 	"tuliprock/internal/wal"
 )
 
--- a/internal/lab/council/council_test.go
+++ b/internal/testkit/raftsim/council_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
 )
 
 var terms = agree.Terms{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
--- a/internal/lab/council/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"tuliprock/internal/peers/agree"
+	"tuliprock/internal/cluster/consensus"
 )
 
 // Figures are what a quiet council showed, and one whose leader is killed.
--- a/internal/lab/rehearse/bad_test.go
+++ b/internal/testkit/rehearse/bad_test.go
@@ -17,10 +17,10 @@
 
 	"tuliprock/balance"
 	"tuliprock/internal/config"
-	"tuliprock/internal/core"
-	"tuliprock/internal/lab/plain"
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/eventloop"
 	"tuliprock/internal/sidecar"
+	"tuliprock/internal/testkit/baseline"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // The test binary is its own sidecar: good, or bad in a way that the referee must catch.
--- a/internal/lab/rehearse/fleet.go
+++ b/internal/testkit/rehearse/fleet.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/faultnet"
-	"tuliprock/internal/lab/witness"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/report"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/clusterinvariant"
+	"tuliprock/internal/testkit/faultnet"
 	"tuliprock/internal/tomlfile"
 )
 
--- a/internal/lab/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Of a sidecar's descriptors, what the platform's daemon keeps for other things than connections.
--- a/internal/lab/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"time"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/schedule"
-	"tuliprock/internal/lab/standin"
+	"tuliprock/internal/testkit/fake"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
 	"tuliprock/internal/tomlfile"
 )
 
--- a/internal/lab/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/schedule"
-	"tuliprock/internal/lab/standin"
-	"tuliprock/internal/lab/witness"
+	"tuliprock/internal/testkit/clusterinvariant"
+	"tuliprock/internal/testkit/fake"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // Options say how a plan is played.
--- a/internal/lab/rehearse/process.go
+++ b/internal/testkit/rehearse/process.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/standin"
+	"tuliprock/internal/testkit/fake"
+	"tuliprock/internal/testkit/invariant"
 )
 
 const (
--- a/internal/lab/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -18,8 +18,8 @@
 	"pgregory.net/rapid"
 
 	"tuliprock/deploy/rehearsals"
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
 )
 
 func TestTheSameSeedGivesTheSamePlan(t *testing.T) {
--- a/internal/lab/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -8,7 +8,7 @@
 	"strings"
 	"sync"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 //go:embed report.html
--- a/internal/lab/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // Result is what a day showed. Shares are of worth: answered in time over asked for.
--- a/internal/lab/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // settings is the object that a sidecar finds in its configuration, as far as it reads it: the names and units are the
--- a/internal/lab/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/lab/standin"
-	"tuliprock/internal/lab/witness"
+	"tuliprock/internal/testkit/clusterinvariant"
+	"tuliprock/internal/testkit/fake"
 )
 
 // strike plays one trouble. When ctx ends, what would come later is left out.
--- a/internal/lab/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -8,7 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // Module is the name of this program's own balancer in results.
--- a/internal/lab/rehearse/tell_test.go
+++ b/internal/testkit/rehearse/tell_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/referee"
+	"tuliprock/internal/testkit/invariant"
 )
 
 // told is a result with a broken rule, a crash, and names that need care.
--- a/internal/lab/rehearse/watch.go
+++ b/internal/testkit/rehearse/watch.go
@@ -4,8 +4,8 @@
 	"syscall"
 	"time"
 
-	"tuliprock/internal/lab/referee"
-	"tuliprock/internal/lab/schedule"
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
 )
 
 // watch looks at a day while it is played: what is in hand at each node, and whether the rehearsal itself gets to run.
--- a/internal/lab/swarm/swarm.go
+++ b/internal/testkit/swimsim/swarm.go
@@ -7,9 +7,9 @@
 	"net/netip"
 	"time"
 
-	"tuliprock/internal/lab/agenda"
-	"tuliprock/internal/peers/link"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/eventqueue"
 )
 
 // Options of a World.
--- a/internal/lab/swarm/swarm_test.go
+++ b/internal/testkit/swimsim/swarm_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab/witness"
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/testkit/clusterinvariant"
 )
 
 // play is a world whose views are held against what is done to it.
--- a/internal/lab/swarm/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"tuliprock/internal/peers/swim"
+	"tuliprock/internal/cluster/swim"
 )
 
 // Case is a fleet to be measured.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"tuliprock/balance"
-	"tuliprock/internal/lab/testpeer"
+	"tuliprock/internal/testkit/testpeer"
 )
 
 func testUpstream(t *testing.T, addrs ...string) *Client {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"tuliprock/internal/lab/simdisk"
+	"tuliprock/internal/testkit/simdisk"
 	"tuliprock/internal/wal"
 )
 
