--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,14 +22,14 @@
 
 // run plays the batches of in until it ends.
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
+	r := simwire.NewReader(in)
 	return r.Run(&hosts{out: out, reader: r, running: map[int]*balance.Balancer{}})
 }
 
 type hosts struct {
 	out     io.Writer
-	reader  *wire.Reader
-	reply   wire.Reply
+	reader  *simwire.Reader
+	reply   simwire.Reply
 	running map[int]*balance.Balancer
 }
 
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	if f.Fleet != nil && f.Fleet.KeyFile != "" {
-		if _, err := link.ReadKeys(f.Fleet.KeyFile); err != nil {
+		if _, err := transport.ReadKeys(f.Fleet.KeyFile); err != nil {
 			return fmt.Errorf("%s: fleet.key_file: %w", c.File, err)
 		}
 	}
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -75,7 +75,7 @@
 
 // Run implements kong's command.
 func (c *plainCommand) Run() error {
-	decide, err := plain.New(c.Name)
+	decide, err := baseline.New(c.Name)
 	if err != nil {
 		return err
 	}
@@ -88,5 +88,5 @@
 
 // Run implements kong's command.
 func (c *serveCommand) Run() error {
-	return serve(core.Module, file(c.Config), fileGC, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	return serve(eventloop.Module, file(c.Config), fileGC, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -58,17 +58,17 @@
 }
 
 // daemon serves as the platform says.
-func daemon() error { return platformDaemon(core.Module) }
+func daemon() error { return platformDaemon(eventloop.Module) }
 
 // platformDaemon is daemon with another decider in the module's place.
-func platformDaemon(decide core.Decider) error {
+func platformDaemon(decide eventloop.Decider) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	return serve(decide, platform(log), platformGC, log)
 }
 
 // serve serves until SIGTERM or SIGINT has come and all that was taken has been answered. SIGHUP reads the configuration
 // again; a bad one changes nothing.
-func serve(decide core.Decider, read told, gcPercent int, log *slog.Logger) error {
+func serve(decide eventloop.Decider, read told, gcPercent int, log *slog.Logger) error {
 	hup := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the program
 	signal.Notify(hup, syscall.SIGHUP)
 	c, err := read()
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -28,15 +28,15 @@
 
 // Run implements kong's command.
 func (c *fleetCommand) Run() error {
-	decide := core.Module
+	decide := eventloop.Module
 	if c.Against != "" {
 		var err error
-		if decide, err = plain.New(c.Against); err != nil {
+		if decide, err = baseline.New(c.Against); err != nil {
 			return err
 		}
 	}
 	if len(c.Troubles) == 0 {
-		c.Troubles = fleet.Troubles()
+		c.Troubles = fleetsim.Troubles()
 	}
 	results, err := c.play(decide)
 	if err != nil {
@@ -62,24 +62,24 @@
 }
 
 // play plays the days side by side: each is one goroutine's, and knows nothing of the others.
-func (c *fleetCommand) play(decide core.Decider) ([]*fleet.Result, error) {
-	results, errs := make([]*fleet.Result, len(c.Troubles)), make([]error, len(c.Troubles))
+func (c *fleetCommand) play(decide eventloop.Decider) ([]*fleetsim.Result, error) {
+	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
 	var days sync.WaitGroup
 	for i, trouble := range c.Troubles {
 		days.Go(func() {
-			results[i], errs[i] = fleet.PlayWith(decide, fleet.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use})
+			results[i], errs[i] = fleetsim.PlayWith(decide, fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use})
 		})
 	}
 	days.Wait()
 	return results, errors.Join(errs...)
 }
 
-func (c *fleetCommand) write(results []*fleet.Result) error {
+func (c *fleetCommand) write(results []*fleetsim.Result) error {
 	if c.JSON == "" {
 		return nil
 	}
 	return writeJSON(c.JSON, struct {
-		Format int             `json:"format"`
-		Days   []*fleet.Result `json:"days"`
+		Format int                `json:"format"`
+		Days   []*fleetsim.Result `json:"days"`
 	}{1, results})
 }
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -32,7 +32,7 @@
 
 // Run implements kong's command.
 func (c *peersCommand) Run() error {
-	f, err := report.Ask(c.At, peersTime)
+	f, err := status.Ask(c.At, peersTime)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 }
 
 // Run implements kong's command.
-func (c *councilCommand) Run() error { return council.Tables(os.Stdout, c.Daemons, c.Seed) }
+func (c *councilCommand) Run() error { return raftsim.Tables(os.Stdout, c.Daemons, c.Seed) }
 
 type detectorCommand struct {
 	Nodes []int  `sep:"," default:"10,100,1000" help:"Sizes of the fleets."`
@@ -53,9 +53,9 @@
 }
 
 // Run implements kong's command.
-func (c *detectorCommand) Run() error { return swarm.Tables(os.Stdout, c.Nodes, c.Seed) }
+func (c *detectorCommand) Run() error { return swimsim.Tables(os.Stdout, c.Nodes, c.Seed) }
 
-func printPeers(w io.Writer, f *report.Fleet) error {
+func printPeers(w io.Writer, f *status.Fleet) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s is %s (view %d), one of %d\n", f.Self, f.Standing, f.View, f.Daemons)
 	if f.Elder != "" {
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -71,11 +71,11 @@
 }
 
 // holds waits until a daemon's report is as it should be.
-func (d *fleetDaemon) holds(t *testing.T, what string, ok func(f *report.Fleet) bool) {
+func (d *fleetDaemon) holds(t *testing.T, what string, ok func(f *status.Fleet) bool) {
 	t.Helper()
-	var last *report.Fleet
+	var last *status.Fleet
 	testpeer.Until(t, what, func() bool {
-		f, err := report.Ask(d.admin, peersTime)
+		f, err := status.Ask(d.admin, peersTime)
 		if err == nil {
 			last = f
 		}
@@ -85,7 +85,7 @@
 }
 
 // peer is what a report says of a member.
-func peerOf(f *report.Fleet, name string) (p report.Peer) {
+func peerOf(f *status.Fleet, name string) (p status.Peer) {
 	for _, p := range f.Peers {
 		if p.Name == name {
 			return p
@@ -136,11 +136,11 @@
 	a := inFleet(t, "a", "c", own(t, 1), key)
 	b := inFleet(t, "b", "c", own(t, 2), key, a.listen)
 	elder := inFleet(t, "x", "c", own(t, 3), key, a.listen)
-	a.holds(t, "three are there", func(f *report.Fleet) bool { return f.Daemons == 3 && f.Index == 0 && f.Standing == "whole" })
+	a.holds(t, "three are there", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Index == 0 && f.Standing == "whole" })
 	younger := inFleet(t, "x", "c", own(t, 4), key, b.listen)
 	stranger := inFleet(t, "s", "other", own(t, 5), key, a.listen)
 	forger := inFleet(t, "f", "c", own(t, 6), keyFile(t, 2), a.listen)
-	younger.holds(t, "the younger stays out", func(f *report.Fleet) bool { return f.Elder == elder.listen && f.Standing == "cut-off" })
+	younger.holds(t, "the younger stays out", func(f *status.Fleet) bool { return f.Elder == elder.listen && f.Standing == "cut-off" })
 	younger.await(t, "an elder daemon of this name is in the fleet")
 	elder.await(t, "a younger daemon of this name is about")
 	for name, d := range map[string]*fleetDaemon{"a": a, "b": b, "elder": elder, "younger": younger, "stranger": stranger, "forger": forger} {
@@ -151,19 +151,19 @@
 		resp.Body.Close()
 	}
 	for _, d := range []*fleetDaemon{a, b, elder} {
-		d.holds(t, "the three hold one another", func(f *report.Fleet) bool {
+		d.holds(t, "the three hold one another", func(f *status.Fleet) bool {
 			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.listen && f.Standing == "whole"
 		})
 	}
 	elder.signal(t, syscall.SIGKILL)
-	a.holds(t, "the younger has the name", func(f *report.Fleet) bool {
+	a.holds(t, "the younger has the name", func(f *status.Fleet) bool {
 		return peerOf(f, "x").Address == younger.listen && peerOf(f, "x").State == "alive"
 	})
 	b.signal(t, syscall.SIGTERM)
 	if err := b.ended(); err != nil {
 		t.Errorf("b ended with %v: %s", err, b)
 	}
-	a.holds(t, "b has left", func(f *report.Fleet) bool { return peerOf(f, "b").State == "left" && f.Daemons == 2 })
+	a.holds(t, "b has left", func(f *status.Fleet) bool { return peerOf(f, "b").State == "left" && f.Daemons == 2 })
 
 	// The key file gets a second key, and what can't change without a restart is said.
 	if err := os.WriteFile(key, fmt.Appendf(nil, "%x\n%x\n", bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)), 0o600); err != nil {
@@ -172,15 +172,15 @@
 	a.write(t, strings.Replace(a.text, `cluster = "c"`, `cluster = "d"`, 1))
 	a.signal(t, syscall.SIGHUP)
 	a.await(t, "change with a restart only")
-	a.holds(t, "it still is in its fleet", func(f *report.Fleet) bool { return peerOf(f, "x").State == "alive" })
+	a.holds(t, "it still is in its fleet", func(f *status.Fleet) bool { return peerOf(f, "x").State == "alive" })
 	a.write(t, strings.Replace(a.text, key, "/nowhere", 1))
 	a.signal(t, syscall.SIGHUP)
 	a.await(t, "fleet.key_file")
-	younger.holds(t, "they still hear one another", func(f *report.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
+	younger.holds(t, "they still hear one another", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
 	if code, out, _ := run(t, program("peers", "--at", a.admin)); code != exitHeld || !strings.Contains(out, "a is ") {
 		t.Errorf("peers: %d %s", code, out)
 	}
-	forger.holds(t, "with both keys the forger is heard", func(f *report.Fleet) bool { return peerOf(f, "a").State == "" || peerOf(f, "a").State == "alive" })
+	forger.holds(t, "with both keys the forger is heard", func(f *status.Fleet) bool { return peerOf(f, "a").State == "" || peerOf(f, "a").State == "alive" })
 }
 
 // A daemon of which nobody has told that there is a fleet says so, and the command ends with 2.
@@ -212,7 +212,7 @@
 	for i := range 6 {
 		inFleet(t, fmt.Sprint("m", i+1), "c", own(t, 21+i), key, in.listen)
 	}
-	in.holds(t, "seven are there", func(f *report.Fleet) bool { return f.Daemons == 7 })
+	in.holds(t, "seven are there", func(f *status.Fleet) bool { return f.Daemons == 7 })
 	alone := inFleet(t, "alone", "other", own(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
@@ -241,20 +241,20 @@
 	measure := func(what string) {
 		before := cpu(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
-		f, err := report.Ask(d.admin, peersTime)
+		f, err := status.Ask(d.admin, peersTime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons", what, memory(d.cmd.Process.Pid, "VmRSS"), (cpu(d.cmd.Process.Pid)-before).Seconds()/30, f.Standing, f.Daemons)
 	}
 	measure("alone")
-	keys, err := link.ReadKeys(key)
+	keys, err := transport.ReadKeys(key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	join := netip.MustParseAddrPort(d.listen)
 	for i := range n {
-		l, err := link.Start(link.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
+		l, err := transport.Start(transport.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
 			Join: []netip.AddrPort{join}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
@@ -262,7 +262,7 @@
 		defer l.Kill()
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := report.Ask(d.admin, peersTime); err == nil && f.Daemons == n+1 {
+		if f, err := status.Ask(d.admin, peersTime); err == nil && f.Daemons == n+1 {
 			break
 		}
 	}
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -77,7 +77,7 @@
 	}
 	balancers := append([]string{rehearse.Module}, c.Against...)
 	for _, b := range c.Against {
-		if _, err := plain.New(b); err != nil {
+		if _, err := baseline.New(b); err != nil {
 			return fmt.Errorf("--against: %w", err)
 		}
 	}
--- a/cmd/tuliprock/schedules_test.go
+++ b/cmd/tuliprock/schedules_test.go
@@ -87,7 +87,7 @@
 		s.up[i] = true
 	}
 	// In builds with the race detector clocks differ by what is allowed; all daemons of one start have one rate.
-	t.Setenv(link.ClockRate, "0.99")
+	t.Setenv(transport.ClockRate, "0.99")
 	s.councilDaemons = newCouncil(t, councilOf{daemons: daemons, voters: 3, remember: true, shared: `shared = { unsure = "refuse" }`, saw: s.arrives})
 	return s
 }
@@ -156,7 +156,7 @@
 const putTime = 4 * time.Second
 
 // putText puts settings of a mark and a size by a daemon.
-func (s *drawnPlay) putText(d int, mark string, pad int) (*report.Answer, error) {
+func (s *drawnPlay) putText(d int, mark string, pad int) (*status.Answer, error) {
 	text := s.settingsText(mark, "refuse", pad)
 	s.mu.Lock()
 	s.marks[sha256.Sum256(text)] = mark
@@ -205,7 +205,7 @@
 
 func (s *drawnPlay) readFlag(d int) {
 	began := s.now()
-	a, err := report.Call(s.ds[d].admin, []string{"show", flagName}, nil, putTime)
+	a, err := status.Call(s.ds[d].admin, []string{"show", flagName}, nil, putTime)
 	value := ""
 	if err == nil {
 		value = string(a.Body)
@@ -294,7 +294,7 @@
 
 // start starts a daemon again, by a clock that differs by what is allowed, and does not wait for it.
 func (s *drawnPlay) start(d int) {
-	s.t.Setenv(link.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
+	s.t.Setenv(transport.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lives[d]++
@@ -321,7 +321,7 @@
 		t.Logf("%v: %s is over", s.now().Round(time.Millisecond), what)
 		time.Sleep(rest)
 	}
-	var last *report.Answer
+	var last *status.Answer
 	testpeer.Until(t, "a last put is agreed on", func() bool {
 		var err error
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
@@ -336,13 +336,13 @@
 // judge holds what was seen against what is promised.
 func (s *drawnPlay) judge(version uint64) {
 	t := s.t
-	history, err := report.Call(s.ds[0].admin, []string{"history"}, nil, putTime)
+	history, err := status.Call(s.ds[0].admin, []string{"history"}, nil, putTime)
 	if err != nil {
 		t.Fatal(err)
 	}
 	versions := s.versions(history)
 	acts := s.acts(versions)
-	v := witness.JudgeVersions(acts, conflictWithin)
+	v := clusterinvariant.JudgeVersions(acts, conflictWithin)
 	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
@@ -380,7 +380,7 @@
 }
 
 // versions are those in which settings were put, by mark. What a put was told must be in the history.
-func (s *drawnPlay) versions(history *report.Answer) map[string]uint64 {
+func (s *drawnPlay) versions(history *status.Answer) map[string]uint64 {
 	versions, known := map[string]uint64{}, map[uint64]string{}
 	for _, c := range history.History {
 		if _, twice := known[c.Version]; twice {
@@ -403,7 +403,7 @@
 
 // acts are the requests that came to nodes, as acts of the daemons. One that was sent to a daemon while that was stopped was
 // decided after it woke.
-func (s *drawnPlay) acts(versions map[string]uint64) (acts []witness.Act) {
+func (s *drawnPlay) acts(versions map[string]uint64) (acts []clusterinvariant.Act) {
 	for id, a := range s.arrived {
 		from := s.sent[id]
 		if a.mark == "" { // by a daemon's own file, before anything was agreed on
@@ -417,9 +417,9 @@
 		if versions[a.mark] == 0 {
 			s.t.Errorf("%s was decided by %q, which was never agreed on", id, a.mark)
 		}
-		acts = append(acts, witness.Act{Asked: from.at, Said: a.at, By: fmt.Sprint("s", from.daemon), Life: from.life, Version: versions[a.mark], Digest: a.mark})
+		acts = append(acts, clusterinvariant.Act{Asked: from.at, Said: a.at, By: fmt.Sprint("s", from.daemon), Life: from.life, Version: versions[a.mark], Digest: a.mark})
 	}
-	slices.SortFunc(acts, func(a, b witness.Act) int { return cmp.Compare(a.Said, b.Said) })
+	slices.SortFunc(acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
 	return acts
 }
 
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -32,8 +32,8 @@
 // settingsTime is how long a call may take that a majority of the voters must answer: an election takes one or two seconds.
 const settingsTime = 10 * time.Second
 
-func (d *daemonAt) call(body []byte, words ...string) (*report.Answer, error) {
-	return report.Call(d.At, words, body, settingsTime)
+func (d *daemonAt) call(body []byte, words ...string) (*status.Answer, error) {
+	return status.Call(d.At, words, body, settingsTime)
 }
 
 type settingsShow struct {
@@ -54,14 +54,14 @@
 			return err
 		})
 	}
-	s, err := report.AskSettings(c.At, peersTime)
+	s, err := status.AskSettings(c.At, peersTime)
 	if err != nil {
 		return err
 	}
 	return c.tell(s, func(w io.Writer) error { return printSettings(w, s) })
 }
 
-func (d *daemonAt) document(name string, version uint64) (*report.Answer, error) {
+func (d *daemonAt) document(name string, version uint64) (*status.Answer, error) {
 	words := []string{"show", name}
 	if version > 0 {
 		words = append(words, strconv.FormatUint(version, 10))
@@ -69,7 +69,7 @@
 	return d.call(nil, words...)
 }
 
-func printSettings(w io.Writer, s *report.Settings) error {
+func printSettings(w io.Writer, s *status.Settings) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
 	if !s.Acting {
@@ -108,7 +108,7 @@
 	Version uint64       `json:"version"`
 	Same    bool         `json:"same,omitempty"` // there was nothing to change
 	AllAct  bool         `json:"all_act"`        // no daemon acts on an earlier version any more
-	Lags    []report.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
+	Lags    []status.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
 }
 
 // make has a change agreed on, and waits until all act on it. It says both as they come.
@@ -121,7 +121,7 @@
 		expect = c.Expect
 	}
 	a, err := c.call(body, append([]string{word, c.ID, expect, name}, more...)...)
-	if unsure := (report.Unsure{}); errors.As(err, &unsure) {
+	if unsure := (status.Unsure{}); errors.As(err, &unsure) {
 		return verdict{fmt.Errorf("%w; ask again with --id %s", err, c.ID)}
 	}
 	if err != nil {
@@ -161,9 +161,9 @@
 
 // until asks a daemon what it acts on, again and again, until the answer is as wanted. It is false, with what came of the last
 // ask, if that takes longer than wait.
-func (d *daemonAt) until(wait time.Duration, wanted func(*report.Settings) bool) (s *report.Settings, ok bool, err error) {
+func (d *daemonAt) until(wait time.Duration, wanted func(*status.Settings) bool) (s *status.Settings, ok bool, err error) {
 	for began := time.Now(); ; time.Sleep(lookEvery) {
-		s, err = report.AskVersions(d.At, peersTime)
+		s, err = status.AskVersions(d.At, peersTime)
 		if err == nil && wanted(s) {
 			return s, true, nil
 		}
@@ -175,7 +175,7 @@
 
 // allAct waits until all daemons act on a version.
 func (c *awaited) allAct(r *changed) error {
-	_, ok, _ := c.until(c.Wait, func(s *report.Settings) bool {
+	_, ok, _ := c.until(c.Wait, func(s *status.Settings) bool {
 		r.AllAct, r.Lags = s.All >= r.Version, s.Lags
 		return r.AllAct
 	})
@@ -262,7 +262,7 @@
 			return err
 		}
 	}
-	s, ok, err := c.until(c.Wait, func(s *report.Settings) bool { return c.Change == "" || c.done(s) })
+	s, ok, err := c.until(c.Wait, func(s *status.Settings) bool { return c.Change == "" || c.done(s) })
 	if !ok {
 		return errors.Join(verdict{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.aim(), s.Voters)}, err)
 	}
@@ -277,11 +277,11 @@
 }
 
 // done tells whether a daemon holds that the change is made. Who is asked may list more than those who vote.
-func (c *settingsVoters) done(s *report.Settings) bool {
+func (c *settingsVoters) done(s *status.Settings) bool {
 	return slices.Contains(strings.Split(s.Sitting, ","), c.Name) == (c.Change == "add")
 }
 
-func (c *settingsVoters) say(s *report.Settings) error {
+func (c *settingsVoters) say(s *status.Settings) error {
 	return c.tell(s, func(w io.Writer) error {
 		_, err := fmt.Fprintln(w, strings.ReplaceAll(s.Sitting, ",", " "))
 		return err
@@ -302,7 +302,7 @@
 	return c.tell(a, func(w io.Writer) error { return c.print(w, a.History) })
 }
 
-func (c *settingsHistory) print(w io.Writer, history []report.Change) error {
+func (c *settingsHistory) print(w io.Writer, history []status.Change) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
@@ -341,7 +341,7 @@
 			to, _, err = config.SharedPart(c.File, to)
 		}
 	} else {
-		var a *report.Answer
+		var a *status.Answer
 		if a, err = c.document(c.Name, c.To); err == nil {
 			to, other = a.Body, fmt.Sprintf("%s, version %d", c.Name, a.Put)
 		}
--- a/cmd/tuliprock/standin.go
+++ b/cmd/tuliprock/standin.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return fmt.Errorf("stand-in: %w", err)
 		}
-		s := standin.EchoServer(l.Addr().String())
+		s := fake.EchoServer(l.Addr().String())
 		servers = append(servers, s)
 		fmt.Fprintln(os.Stderr, "stand-in node at", l.Addr())
 		go func() {
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -1,4 +1,4 @@
-// Package agree is how daemons agree on settings and lists with versions: a log of commands on which the voters agree by raft
+// Package consensus is how daemons agree on settings and lists with versions: a log of commands on which the voters agree by raft
 // (go.etcd.io/raft/v3), the state that the commands make, and leases, so that no two daemons act on versions that
 // contradict each other for longer than a stated time.
 //
@@ -10,7 +10,7 @@
 // each daemon that may hold a lease has its documents and holds short leases only, or has certainly none; a new leader waits
 // for as long as the leases of its predecessors may last. So from the moment at which some daemon acts on a version, no
 // daemon acts on an earlier one for longer than a short lease, by the slowest clock allowed (Terms.Overlap).
-package agree
+package consensus
 
 import (
 	"crypto/sha256"
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"bytes"
--- a/internal/cluster/ordinal/seat.go
+++ b/internal/cluster/ordinal/seat.go
@@ -1,9 +1,9 @@
-// Package seat says among how many a daemon shares what is divided, and at which place it stands, by a view that may flap.
+// Package ordinal says among how many a daemon shares what is divided, and at which place it stands, by a view that may flap.
 // It is pure: views and instants come in.
 //
 // What it gives is an opinion, as the view is: while daemons come, go or are cut off, the parts that they take of a whole
 // may for a while sum to more than it.
-package seat
+package ordinal
 
 import (
 	"slices"
--- a/internal/cluster/ordinal/seat_test.go
+++ b/internal/cluster/ordinal/seat_test.go
@@ -1,4 +1,4 @@
-package seat
+package ordinal
 
 import (
 	"testing"
--- a/internal/cluster/raftnode/chamber.go
+++ b/internal/cluster/raftnode/chamber.go
@@ -1,9 +1,9 @@
-// Package chamber carries agreement out (agree): it owns a daemon's voter, its durable log and its leases, and sends what they
+// Package raftnode carries agreement out (agree): it owns a daemon's voter, its durable log and its leases, and sends what they
 // want sent over a link. One goroutine owns them all; what a request needs is read from an atomic pointer.
 //
 // Bounds: one goroutine; as many waiting puts as mostPuts; parcels as the link bounds them. A voter whose disk fails steps
 // down for the rest of its process's life, and says so; its daemon goes on under leases.
-package chamber
+package raftnode
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 // Carrier is what carries parcels: a link.Link.
 type Carrier interface {
 	Send(name string, kind byte, body []byte) error
-	Parcels() <-chan link.Parcel
+	Parcels() <-chan transport.Parcel
 }
 
 // Options of a Chamber.
@@ -55,19 +55,19 @@
 	Name    string
 	Voters  []string // the first ones, of all daemons alike, in any order
 	Disk    wal.FS   // for what this daemon acts on, over restarts, and a voter's log; nil: it remembers nothing, and can't vote
-	Terms   agree.Terms
+	Terms   consensus.Terms
 	Carrier Carrier
 	Now     func() time.Duration // this daemon's clock; it never runs backwards
 	Log     *slog.Logger
 
 	// Check tells whether this daemon can act on documents; nil: on all. It runs on a goroutine of its own, one at a time.
-	Check func(docs map[string]agree.Document) error
+	Check func(docs map[string]consensus.Document) error
 	// Installs: the daemon says by Installed which version it has taken up. Else a version is taken up as it comes.
 	Installs bool
 }
 
 // Acting is what a daemon acts on, while its lease lasts.
-type Acting = agree.Acting
+type Acting = consensus.Acting
 
 // Chamber is a daemon's part in what is agreed.
 type Chamber struct {
@@ -83,7 +83,7 @@
 
 	// The owner's:
 	seat       *seat // nil: this daemon does not vote
-	holder     *agree.Holder
+	holder     *consensus.Holder
 	askAt      time.Duration
 	voters     []string // who may be asked, in order: those that were told, and those that vote as far as is known
 	sitting    []string // who votes, as the leader said last
@@ -91,17 +91,17 @@
 	heard      bool
 	first      bool // a grant has come
 	puts       map[string]*waiting
-	checks     uint64           // version that is being checked; 0: none
-	kept       uint64           // version that is kept,
-	keptVoters []string         // and who voted
-	founding   *agree.Founding  // while this daemon is a first voter that has yet to begin
-	foundAt    time.Duration    // next round of that
-	began      time.Duration    // this process
-	word       *agree.FirstWord // what it says to those that have yet to begin; nil: it never began
-	left       bool             // this daemon's part in the voting has ended
-	marked     string           // the mark of a disk that has no voter; empty: there is none
-	lost       bool             // it was said that the log of its seat is gone
-	awaited    bool             // it was said which first voters are not there
+	checks     uint64               // version that is being checked; 0: none
+	kept       uint64               // version that is kept,
+	keptVoters []string             // and who voted
+	founding   *consensus.Founding  // while this daemon is a first voter that has yet to begin
+	foundAt    time.Duration        // next round of that
+	began      time.Duration        // this process
+	word       *consensus.FirstWord // what it says to those that have yet to begin; nil: it never began
+	left       bool                 // this daemon's part in the voting has ended
+	marked     string               // the mark of a disk that has no voter; empty: there is none
+	lost       bool                 // it was said that the log of its seat is gone
+	awaited    bool                 // it was said which first voters are not there
 }
 
 // waiting is a command that has not been answered: by whom it was asked here, or from which daemon it came. One whose asker has gone
@@ -119,7 +119,7 @@
 // Result is what became of a command.
 type Result struct {
 	ID string
-	agree.Answer
+	consensus.Answer
 	Err string // empty: it was committed
 }
 
@@ -133,9 +133,9 @@
 	Term      uint64
 	Committed uint64 // the latest version that a voter here has applied; 0 where this daemon does not vote
 	Coming    uint64
-	All       uint64      // no daemon acts on an earlier version; 0: not known
-	Lagging   []agree.Lag // whom the leader waits for
-	Declined  uint64      // the version that this daemon can't act on; 0: none
+	All       uint64          // no daemon acts on an earlier version; 0: not known
+	Lagging   []consensus.Lag // whom the leader waits for
+	Declined  uint64          // the version that this daemon can't act on; 0: none
 	Why       string
 }
 
@@ -151,7 +151,7 @@
 		}
 	}
 	version, docs := c.remembered()
-	c.holder = agree.NewHolder(o.Name, o.Terms, version, docs)
+	c.holder = consensus.NewHolder(o.Name, o.Terms, version, docs)
 	c.acting.Store(&Acting{Version: version, Docs: docs})
 	c.status.Store(&Status{})
 	c.ctx, c.stop = context.WithCancel(context.Background())
@@ -201,27 +201,27 @@
 }
 
 // Put has a command agreed on, and gives the version that it made once that is committed. A command without an ID gets one.
-func (c *Chamber) Put(ctx context.Context, cmd agree.Command) (uint64, error) {
+func (c *Chamber) Put(ctx context.Context, cmd consensus.Command) (uint64, error) {
 	a, err := c.Do(ctx, cmd)
 	return a.Version, err
 }
 
 // Do is Put for commands of all kinds, and gives all that became of one.
-func (c *Chamber) Do(ctx context.Context, cmd agree.Command) (agree.Answer, error) {
+func (c *Chamber) Do(ctx context.Context, cmd consensus.Command) (consensus.Answer, error) {
 	if cmd.ID == "" {
 		cmd.ID = rand.Text()
 	}
 	body, err := cmd.Encode()
 	if err != nil {
-		return agree.Answer{}, err
+		return consensus.Answer{}, err
 	}
 	answer := make(chan Result, 1)
 	room := make(chan bool, 1)
 	if !c.call(ctx, func() { room <- c.wantAnswer(cmd.ID, body, answer) }) {
-		return agree.Answer{}, agree.ErrUnsure
+		return consensus.Answer{}, consensus.ErrUnsure
 	}
 	if !<-room {
-		return agree.Answer{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", mostPuts, mostPutBytes)
+		return consensus.Answer{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", mostPuts, mostPutBytes)
 	}
 	select {
 	case r := <-answer:
@@ -237,7 +237,7 @@
 			p.answer, p.ends = nil, c.o.Now()+keepPut
 		}
 	})
-	return agree.Answer{}, agree.ErrUnsure
+	return consensus.Answer{}, consensus.ErrUnsure
 }
 
 // wantAnswer has a command's answer sent when it comes; it is there already if it was asked for before. False: there is no room.
@@ -323,18 +323,18 @@
 }
 
 // take takes a parcel. What can't be read is dropped: it was signed by a daemon of the fleet, of another version then.
-func (c *Chamber) take(p link.Parcel) {
+func (c *Chamber) take(p transport.Parcel) {
 	now := c.o.Now()
 	switch p.Kind {
 	case kindRaft:
 		c.hearRaft(now, p)
 	case kindAsk:
-		var r agree.Request
+		var r consensus.Request
 		if json.Unmarshal(p.Body, &r) == nil && r.Daemon == p.From && (c.seat == nil || c.seat.voter.Ask(r) != nil) {
 			c.tellVoters(p.From)
 		}
 	case kindGrant:
-		var g agree.Grant
+		var g consensus.Grant
 		if slices.Contains(c.voters, p.From) && json.Unmarshal(p.Body, &g) == nil {
 			c.granted(now, p.From, g)
 		}
@@ -375,7 +375,7 @@
 }
 
 // mostAsked bounds the names of those who may be asked: beyond it names from others are not taken.
-const mostAsked = 4 * agree.MostSeats
+const mostAsked = 4 * consensus.MostSeats
 
 // learnVoters takes up names of voters: from a leader those that vote, beside those that were told; from others what they know.
 func (c *Chamber) learnVoters(names []string, leads bool) {
@@ -409,7 +409,7 @@
 	}
 }
 
-func (c *Chamber) granted(now time.Duration, by string, g agree.Grant) {
+func (c *Chamber) granted(now time.Duration, by string, g consensus.Grant) {
 	c.heard, c.leader = true, by
 	if len(g.Voters) > 0 {
 		c.learnVoters(g.Voters, true)
--- a/internal/cluster/raftnode/chamber_test.go
+++ b/internal/cluster/raftnode/chamber_test.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"context"
@@ -22,12 +22,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var terms = agree.Terms{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
+var terms = consensus.Terms{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
 
 // house is daemons over real links in one process, three of them voters.
 type house struct {
 	t     *testing.T
-	links []*link.Link
+	links []*transport.Link
 	rooms []*Chamber
 	disks []*simdisk.Disk
 }
@@ -35,12 +35,12 @@
 func newHouse(t *testing.T, n int) *house {
 	h := &house{t: t}
 	for i := range n {
-		o := link.Options{Cluster: "c", Name: fmt.Sprint("s", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler),
+		o := transport.Options{Cluster: "c", Name: fmt.Sprint("s", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler),
 			Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond}}
 		if i > 0 {
 			o.Join = []netip.AddrPort{h.links[0].Addr()}
 		}
-		l, err := link.Start(o)
+		l, err := transport.Start(o)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	d.SetBytes("IDENTITY.new", []byte("a o"))
 	d.SetBytes("IDENTITY", []byte("a of a b c\n"))
 	start := func(name string, then func(c *Chamber), voters ...string) error {
-		l, err := link.Start(link.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler)})
+		l, err := transport.Start(transport.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +118,7 @@
 	h.t.Helper()
 	ctx, cancel := context.WithTimeout(h.t.Context(), testpeer.Patience)
 	defer cancel()
-	v, err := h.rooms[by].Put(ctx, agree.Command{ID: id, By: "test", Put: &agree.PutDoc{Name: name, Body: []byte(body)}})
+	v, err := h.rooms[by].Put(ctx, consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: name, Body: []byte(body)}})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	second := h.put(4, "b", "doc", "two") // by one that does not vote
 	h.all(second, "doc", "two")
 	expect := first
-	if _, err := h.rooms[3].Put(t.Context(), agree.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, agree.ErrUnsure) {
+	if _, err := h.rooms[3].Put(t.Context(), consensus.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, consensus.ErrUnsure) {
 		t.Errorf("another version was expected: %v", err)
 	}
 
@@ -177,7 +177,7 @@
 	testpeer.Until(t, "leases run out", func() bool { _, ok := h.rooms[3].May(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := h.rooms[3].Put(ctx, agree.Command{Put: &agree.PutDoc{Name: "doc"}}); !errors.Is(err, agree.ErrUnsure) {
+	if _, err := h.rooms[3].Put(ctx, consensus.Command{Put: &consensus.PutDoc{Name: "doc"}}); !errors.Is(err, consensus.ErrUnsure) {
 		t.Errorf("without a majority: %v", err)
 	}
 }
--- a/internal/cluster/raftnode/found.go
+++ b/internal/cluster/raftnode/found.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"crypto/rand"
@@ -22,9 +22,9 @@
 
 // foundParcel is a word between first voters: one that has yet to begin asks, all answer.
 type foundParcel struct {
-	Round uint64          `json:"round"`
-	Asks  bool            `json:"asks"`
-	Word  agree.FirstWord `json:"word"`
+	Round uint64              `json:"round"`
+	Asks  bool                `json:"asks"`
+	Word  consensus.FirstWord `json:"word"`
 }
 
 // mark is that of this daemon's disk.
@@ -60,7 +60,7 @@
 }
 
 // hearFound takes another's word, and answers one that asks. Who never began, and is not about to, says nothing.
-func (c *Chamber) hearFound(now time.Duration, parcel link.Parcel) {
+func (c *Chamber) hearFound(now time.Duration, parcel transport.Parcel) {
 	var p foundParcel
 	if json.Unmarshal(parcel.Body, &p) != nil || !slices.Contains(c.o.Voters, parcel.From) {
 		return
@@ -86,7 +86,7 @@
 	case marks != nil:
 		first := slices.Sorted(slices.Values(c.o.Voters))
 		is := &identity{name: c.o.Name, first: first, id: uint64(slices.Index(first, c.o.Name) + 1), founded: foundedBy(first), marks: marks}
-		c.founding, c.word = nil, &agree.FirstWord{Begun: true, Marks: marks}
+		c.founding, c.word = nil, &consensus.FirstWord{Begun: true, Marks: marks}
 		var err error
 		if c.seat, err = c.begin(now, is); err != nil {
 			c.left = true
--- a/internal/cluster/raftnode/keep.go
+++ b/internal/cluster/raftnode/keep.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"crypto/sha256"
@@ -15,9 +15,9 @@
 const keptName = "ACTED"
 
 type kept struct {
-	Version uint64                    `json:"version"`
-	Docs    map[string]agree.Document `json:"docs"`
-	Voters  []string                  `json:"voters"`
+	Version uint64                        `json:"version"`
+	Docs    map[string]consensus.Document `json:"docs"`
+	Voters  []string                      `json:"voters"`
 }
 
 // keep keeps what this daemon acts on. A disk that fails costs no more than that.
@@ -35,7 +35,7 @@
 }
 
 // remembered is what was kept; nothing where there is none, or it is damaged, or this daemon can't act on it any more.
-func (c *Chamber) remembered() (uint64, map[string]agree.Document) {
+func (c *Chamber) remembered() (uint64, map[string]consensus.Document) {
 	if c.o.Disk == nil {
 		return 0, nil
 	}
@@ -69,7 +69,7 @@
 
 const (
 	sumSize  = 2*sha256.Size + 1
-	mostKept = 2 * agree.MostBodies // bytes: base64, and the names
+	mostKept = 2 * consensus.MostBodies // bytes: base64, and the names
 )
 
 // read reads a file whole; nil: it is not there. One that is longer than most is cut.
--- a/internal/cluster/raftnode/keep_test.go
+++ b/internal/cluster/raftnode/keep_test.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"errors"
@@ -20,12 +20,12 @@
 func TestWhatIsKeptIsWholeOrNothing(t *testing.T) {
 	d := simdisk.New()
 	c := &Chamber{o: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
-	c.keep(Acting{Version: 7, Docs: map[string]agree.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
+	c.keep(Acting{Version: 7, Docs: map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
 	whole, err := read(d, keptName, mostKept)
 	if err != nil || len(whole) == 0 {
 		t.Fatal(err)
 	}
-	remembered := func(text []byte) (uint64, map[string]agree.Document) {
+	remembered := func(text []byte) (uint64, map[string]consensus.Document) {
 		d.SetBytes(keptName, text)
 		return (&Chamber{o: c.o}).remembered()
 	}
@@ -42,7 +42,7 @@
 		}
 	}
 	cant := c.o
-	cant.Check = func(map[string]agree.Document) error { return errors.New("no") }
+	cant.Check = func(map[string]consensus.Document) error { return errors.New("no") }
 	d.SetBytes(keptName, whole)
 	if v, _ := (&Chamber{o: cant}).remembered(); v != 0 {
 		t.Error("a daemon goes on with what it can't act on")
@@ -91,8 +91,8 @@
 
 // A daemon that can't act on a version says so to who put it, and goes on without a lease where that is forced.
 func TestChecks(t *testing.T) {
-	o := func(name string, check func(map[string]agree.Document) error, join ...netip.AddrPort) (*Chamber, *link.Link) {
-		l, err := link.Start(link.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Log: slog.New(slog.DiscardHandler)})
+	o := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Chamber, *transport.Link) {
+		l, err := transport.Start(transport.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,14 +108,14 @@
 		return c, l
 	}
 	voter, l := o("v", nil)
-	other, _ := o("o", func(docs map[string]agree.Document) error {
+	other, _ := o("o", func(docs map[string]consensus.Document) error {
 		if strings.Contains(string(docs["a"].Body), "bad") {
 			return errors.New("it is bad")
 		}
 		return nil
 	}, l.Addr())
 	put := func(body string) uint64 {
-		v, err := other.Put(t.Context(), agree.Command{Put: &agree.PutDoc{Name: "a", Body: []byte(body)}})
+		v, err := other.Put(t.Context(), consensus.Command{Put: &consensus.PutDoc{Name: "a", Body: []byte(body)}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 		is, here := voter.Status(), other.Status()
 		return len(is.Lagging) == 1 && is.Lagging[0].Daemon == "o" && strings.Contains(is.Lagging[0].Why, "it is bad") && here.Declined == bad && here.Why == "it is bad"
 	})
-	if _, err := other.Do(t.Context(), agree.Command{Force: bad}); err != nil {
+	if _, err := other.Do(t.Context(), consensus.Command{Force: bad}); err != nil {
 		t.Fatal(err)
 	}
 	acts(voter, bad)
--- a/internal/cluster/raftnode/seat.go
+++ b/internal/cluster/raftnode/seat.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"crypto/rand"
@@ -25,7 +25,7 @@
 // seat is a daemon's part in the voting.
 type seat struct {
 	identity
-	voter *agree.Voter
+	voter *consensus.Voter
 	log   *wal.Log
 	names map[uint64]string // of voters, as messages have told, until the log does
 }
@@ -104,14 +104,14 @@
 		if err != nil {
 			return nil, err
 		}
-		c.word = &agree.FirstWord{Begun: true, Marks: is.marks}
+		c.word = &consensus.FirstWord{Begun: true, Marks: is.marks}
 		return c.open(now, is)
 	}
 	first := slices.Sorted(slices.Values(c.o.Voters))
 	if c.marked, err = c.mark(); err != nil || !slices.Contains(first, c.o.Name) {
 		return nil, err
 	}
-	c.founding = agree.NewFounding(c.o.Name, c.marked, first)
+	c.founding = consensus.NewFounding(c.o.Name, c.marked, first)
 	return nil, nil
 }
 
@@ -135,7 +135,7 @@
 }
 
 func (c *Chamber) open(now time.Duration, is *identity) (*seat, error) {
-	disk, err := agree.NewDisk(is.first)
+	disk, err := consensus.NewDisk(is.first)
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 	}
 	var seed [8]byte
 	_, _ = rand.Read(seed[:]) // it never fails
-	voter, err := agree.NewVoter(now, agree.Config{ID: is.id, Beat: beat, Seed: binary.LittleEndian.Uint64(seed[:]), Terms: c.o.Terms}, disk)
+	voter, err := consensus.NewVoter(now, consensus.Config{ID: is.id, Beat: beat, Seed: binary.LittleEndian.Uint64(seed[:]), Terms: c.o.Terms}, disk)
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
@@ -174,7 +174,7 @@
 }
 
 // hearRaft takes a message of another voter.
-func (c *Chamber) hearRaft(now time.Duration, p link.Parcel) {
+func (c *Chamber) hearRaft(now time.Duration, p transport.Parcel) {
 	m := &raftpb.Message{}
 	if len(p.Body) < foundedSize || proto.Unmarshal(p.Body[foundedSize:], m) != nil {
 		return
@@ -196,20 +196,20 @@
 var errLost = errors.New("the log of its seat is not here; have it taken out of the voters, and then put in again")
 
 // told takes up what a leader, confirmed by a majority, says of this daemon's seat.
-func (c *Chamber) told(now time.Duration, g *agree.Grant) {
+func (c *Chamber) told(now time.Duration, g *consensus.Grant) {
 	seat := uint64(0)
 	if c.seat != nil {
 		seat = c.seat.id
 	}
 	switch g.Move(c.o.Name, seat) {
-	case agree.Rise:
+	case consensus.Rise:
 		c.o.Log.Warn("this daemon does not vote any more: its seat was taken out; empty its data_dir before it is to vote again", "seat", c.seat.id)
 		c.getUp()
-	case agree.Sit:
+	case consensus.Sit:
 		if !c.left {
 			c.join(now, &identity{name: c.o.Name, id: g.Seat, founded: foundedBy(g.First)})
 		}
-	case agree.Lost:
+	case consensus.Lost:
 		if !c.lost && !c.left {
 			c.lost = true
 			c.o.Log.Error("this daemon does not vote", "seat", g.Seat, "err", errLost)
@@ -272,7 +272,7 @@
 }
 
 // save makes sure of a voter's records, and of its snapshot.
-func (s *seat) save(out *agree.Out) error {
+func (s *seat) save(out *consensus.Out) error {
 	for _, r := range out.Records {
 		if _, err := s.log.Append(r.Type, r.Payload); err != nil {
 			return err
--- a/internal/cluster/raftnode/seat_test.go
+++ b/internal/cluster/raftnode/seat_test.go
@@ -1,4 +1,4 @@
-package chamber
+package raftnode
 
 import (
 	"slices"
@@ -11,7 +11,7 @@
 )
 
 func (h *house) seat(by int, name string, out bool) error {
-	_, err := h.rooms[by].Do(h.t.Context(), agree.Command{Seat: &agree.SeatChange{Name: name, Out: out}})
+	_, err := h.rooms[by].Do(h.t.Context(), consensus.Command{Seat: &consensus.SeatChange{Name: name, Out: out}})
 	return err
 }
 
--- a/internal/cluster/status/agreed.go
+++ b/internal/cluster/status/agreed.go
@@ -1,4 +1,4 @@
-package report
+package status
 
 import (
 	"encoding/base64"
@@ -39,7 +39,7 @@
 const bodyLine = 6000
 
 // WriteAnswer writes a line for what became of a call, and what was asked for.
-func WriteAnswer(w io.Writer, a agree.Answer) error {
+func WriteAnswer(w io.Writer, a consensus.Answer) error {
 	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", a.Version, a.Same); err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 		if err == nil {
 			return a, nil
 		}
-		if !strings.Contains(err.Error(), agree.ErrUnsure.Error()) {
+		if !strings.Contains(err.Error(), consensus.ErrUnsure.Error()) {
 			return nil, err
 		}
 		if time.Until(ends) < callRest {
--- a/internal/cluster/status/report.go
+++ b/internal/cluster/status/report.go
@@ -1,6 +1,6 @@
-// Package report is what a daemon says of its fleet on the operators' address: the lines, who writes them, and who reads
+// Package status is what a daemon says of its fleet on the operators' address: the lines, who writes them, and who reads
 // them.
-package report
+package status
 
 import (
 	"bufio"
--- a/internal/cluster/status/report_test.go
+++ b/internal/cluster/status/report_test.go
@@ -1,4 +1,4 @@
-package report
+package status
 
 import (
 	"bytes"
@@ -48,8 +48,8 @@
 
 func TestAnswersAreRead(t *testing.T) {
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyLine/10)
-	a := agree.Answer{Version: 9, Doc: &agree.Document{Name: "shared", Version: 7, Body: body},
-		History: []agree.Change{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
+	a := consensus.Answer{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
+		History: []consensus.Change{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
 	var text strings.Builder
 	if err := WriteAnswer(&text, a); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -1,4 +1,4 @@
-package report
+package status
 
 import (
 	"fmt"
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -1,11 +1,11 @@
-// Package link carries messages between the daemons of a fleet and gives what follows from them: a view. Datagrams and
+// Package transport carries messages between the daemons of a fleet and gives what follows from them: a view. Datagrams and
 // streams go over one port, UDP and TCP; each message is signed where there is a key. One goroutine owns the detector
 // (swim.Node); nothing of this runs on a request's way, and no request waits for it.
 //
 // Bounds: one owner, one reader, one acceptor, and mostStreams goroutines for streams each way, each for streamTime at
 // most; inboxSize messages wait for the owner, what is beyond is dropped as a network would; a source is heard
 // mostFromOne times a second.
-package link
+package transport
 
 import (
 	"context"
--- a/internal/cluster/transport/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
--- a/internal/config/agreed.go
+++ b/internal/config/agreed.go
@@ -166,7 +166,7 @@
 }
 
 // fromList undoes List.
-func fromList(list []membership.Member) (out []Member) {
+func fromList(list []endpointset.Member) (out []Member) {
 	for _, m := range list {
 		state := "ready"
 		if m.Draining {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,7 +40,7 @@
 	Descriptor int    // of the listening socket, which the platform holds and other processes may have too; 0: none
 	Shared     string // directory that all processes of the sidecar have; empty: none
 
-	Settings wire.Settings
+	Settings simwire.Settings
 }
 
 // Load reads the file that ROUTER_CONFIG names. Variables fill what it lacks. An error names the field at
@@ -84,7 +84,7 @@
 	}
 	c.Shared = getenv("TMPDIR")
 	var err error
-	if c.Descriptor, err = handover.Descriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
+	if c.Descriptor, err = hotrestart.Descriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
 		return c, err
 	}
 	if c.Admin != "" {
@@ -98,7 +98,7 @@
 	if len(file.Settings) == 0 {
 		return c, errors.New("settings: missing")
 	}
-	if c.Settings, err = wire.ParseSettings(file.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(file.Settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	if c.Settings.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -36,7 +36,7 @@
 // AgreedSpec says how a daemon takes part in what is agreed.
 type AgreedSpec struct {
 	DataDir string // empty: it does not vote, and remembers nothing over a restart
-	Terms   agree.Terms
+	Terms   consensus.Terms
 }
 
 // FleetSpec is a Fleet as it is built.
@@ -143,7 +143,7 @@
 		spec.Advertise = netip.MustParseAddrPort(t.Advertise)
 	}
 	if t.Agreed {
-		spec.Agreed = &AgreedSpec{DataDir: t.DataDir, Terms: agree.Terms{Lease: t.Lease, Drift: t.ClockDrift,
+		spec.Agreed = &AgreedSpec{DataDir: t.DataDir, Terms: consensus.Terms{Lease: t.Lease, Drift: t.ClockDrift,
 			Short: time.Duration(float64(t.ConflictWithin) * (1 - t.ClockDrift))}}
 	}
 	for _, a := range t.Join {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -250,9 +250,9 @@
 }
 
 // List is a fixed list of members as a source takes it.
-func List(members []Member) (out []membership.Member) {
+func List(members []Member) (out []endpointset.Member) {
 	for _, m := range members {
-		out = append(out, membership.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
+		out = append(out, endpointset.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
 	}
 	return out
 }
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -94,7 +94,7 @@
 	return answer{members: members, next: min(max(d.ttl, d.o.TTLLeast), d.o.TTLMost)}, nil
 }
 
-func (d *dns) look(ctx context.Context) ([]membership.Member, error) {
+func (d *dns) look(ctx context.Context) ([]endpointset.Member, error) {
 	if !d.o.Service {
 		return d.addresses(ctx, d.o.Name, d.o.Port)
 	}
@@ -111,10 +111,10 @@
 
 // targets looks up the hosts that records name. One that can't be looked up fails the ask, since a part of the list must
 // not pass for the whole; one that does not exist just isn't there.
-func (d *dns) targets(ctx context.Context, records []*net.SRV) ([]membership.Member, error) {
+func (d *dns) targets(ctx context.Context, records []*net.SRV) ([]endpointset.Member, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	found := make([][]membership.Member, len(records))
+	found := make([][]endpointset.Member, len(records))
 	var busy sync.WaitGroup
 	slots := make(chan struct{}, dnsAtOnce)
 	for i, r := range records {
@@ -136,22 +136,22 @@
 }
 
 // addresses are those of a name, A and AAAA, in order.
-func (d *dns) addresses(ctx context.Context, name string, port int) ([]membership.Member, error) {
+func (d *dns) addresses(ctx context.Context, name string, port int) ([]endpointset.Member, error) {
 	list, err := d.resolver.LookupNetIP(ctx, "ip", absolute(name))
 	if err != nil {
 		return nil, err
 	}
-	members := make([]membership.Member, 0, len(list))
+	members := make([]endpointset.Member, 0, len(list))
 	for _, ip := range list {
 		addr := netip.AddrPortFrom(ip.Unmap(), uint16(port)).String()
-		members = append(members, membership.Member{ID: addr, Addr: addr})
+		members = append(members, endpointset.Member{ID: addr, Addr: addr})
 	}
 	return unique(members), nil
 }
 
 // unique sorts members and drops those listed twice: two names for one address are one member.
-func unique(m []membership.Member) []membership.Member {
-	slices.SortFunc(m, func(a, b membership.Member) int { return cmp.Compare(a.ID, b.ID) })
+func unique(m []endpointset.Member) []endpointset.Member {
+	slices.SortFunc(m, func(a, b endpointset.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return slices.Compact(m)
 }
 
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -83,7 +83,7 @@
 //
 // An id left out is the address, a state left out is ready; the other is draining. The form is JSON since a file cut
 // anywhere is not a whole one. One bad entry spoils the file.
-func ParseMemberFile(text []byte) ([]membership.Member, error) {
+func ParseMemberFile(text []byte) ([]endpointset.Member, error) {
 	var file struct {
 		Format  int `json:"format"`
 		Members []struct {
@@ -105,7 +105,7 @@
 	if len(file.Members) > MostMembers {
 		return nil, fmt.Errorf("members: over %d", MostMembers)
 	}
-	members, ids := make([]membership.Member, 0, len(file.Members)), make(map[string]bool, len(file.Members))
+	members, ids := make([]endpointset.Member, 0, len(file.Members)), make(map[string]bool, len(file.Members))
 	for i, m := range file.Members {
 		if err := CheckAddress("address", m.Address); err != nil {
 			return nil, fmt.Errorf("members[%d].%w", i, err)
@@ -120,7 +120,7 @@
 			return nil, fmt.Errorf("members[%d].state: %.80q is neither ready nor draining", i, m.State)
 		}
 		ids[m.ID] = true
-		members = append(members, membership.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
+		members = append(members, endpointset.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
 	}
 	return members, nil
 }
--- a/internal/discovery/polled.go
+++ b/internal/discovery/polled.go
@@ -23,7 +23,7 @@
 
 // answer is what an ask brought.
 type answer struct {
-	members []membership.Member
+	members []endpointset.Member
 	same    bool          // nothing has changed since the ask before
 	next    time.Duration // when to ask again; 0: never
 }
@@ -32,7 +32,7 @@
 type Polled struct {
 	what    string // for the log
 	ask     func(context.Context) (answer, error)
-	keeper  *membership.Keeper
+	keeper  *endpointset.Keeper
 	deliver func(Members)
 	failed  func()
 	log     *slog.Logger
@@ -45,18 +45,18 @@
 
 // Keeper is what a pool remembers of its members beyond the life of one source.
 type Keeper struct {
-	keeper *membership.Keeper
+	keeper *endpointset.Keeper
 	began  time.Time
 }
 
 // NewKeeper makes a Keeper.
-func NewKeeper(o membership.Options) *Keeper {
+func NewKeeper(o endpointset.Options) *Keeper {
 	// The clock starts above zero, for a member that came at 0 counts as one that was there before.
-	return &Keeper{membership.New(o), time.Now().Add(-time.Second)}
+	return &Keeper{endpointset.New(o), time.Now().Add(-time.Second)}
 }
 
 // Set changes the options for what is heard from now on. No source with this Keeper may run.
-func (k *Keeper) Set(o membership.Options) { k.keeper.Set(o) }
+func (k *Keeper) Set(o endpointset.Options) { k.keeper.Set(o) }
 
 // newPolled makes a Polled. deliver takes each list that differs from the one before, whole; failed takes failed asks.
 // Of all that share a Keeper one at most may run.
@@ -66,7 +66,7 @@
 }
 
 // Fixed is a source that knows its members.
-func Fixed(members []membership.Member, k *Keeper, deliver func(Members), failed func(), log *slog.Logger) *Polled {
+func Fixed(members []endpointset.Member, k *Keeper, deliver func(Members), failed func(), log *slog.Logger) *Polled {
 	return newPolled("members", k, func(context.Context) (answer, error) { return answer{members: members}, nil }, deliver, failed, log)
 }
 
--- a/internal/discovery/sources_test.go
+++ b/internal/discovery/sources_test.go
@@ -35,7 +35,7 @@
 func (h *heard) deliver(m Members) { h.lists <- m }
 func (h *heard) fail()             { h.failed <- true }
 
-func listen(t *testing.T, o membership.Options, make_ func(*Keeper, func(Members), func(), *slog.Logger) *Polled) *heard {
+func listen(t *testing.T, o endpointset.Options, make_ func(*Keeper, func(Members), func(), *slog.Logger) *Polled) *heard {
 	t.Helper()
 	h := &heard{lists: make(chan Members, 1000), failed: make(chan bool, 1000)}
 	h.source = make_(NewKeeper(o), h.deliver, h.fail, slog.New(slog.DiscardHandler))
@@ -90,7 +90,7 @@
 	}
 }
 
-var holding = membership.Options{Hold: time.Hour, Damp: time.Millisecond}
+var holding = endpointset.Options{Hold: time.Hour, Damp: time.Millisecond}
 
 // replace puts a file in another's place at once.
 func replace(t *testing.T, path, text string) {
@@ -192,9 +192,9 @@
 	}
 }
 
-func newDNS(t *testing.T) *standin.DNS {
+func newDNS(t *testing.T) *fake.DNS {
 	t.Helper()
-	d, err := standin.NewDNS()
+	d, err := fake.NewDNS()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,12 +202,12 @@
 	return d
 }
 
-func a(ip string, ttl uint32) standin.DNSRecord {
-	return standin.DNSRecord{Address: netip.MustParseAddr(ip), TTL: ttl}
+func a(ip string, ttl uint32) fake.DNSRecord {
+	return fake.DNSRecord{Address: netip.MustParseAddr(ip), TTL: ttl}
 }
 
 // quick are options whose asks follow one another fast.
-func quick(d *standin.DNS) DNSOptions {
+func quick(d *fake.DNS) DNSOptions {
 	return DNSOptions{Name: "web.example", Port: 80, Server: d.Addr, TTLLeast: 10 * time.Millisecond, TTLMost: 20 * time.Millisecond}
 }
 
@@ -219,7 +219,7 @@
 func TestAddressesAreFollowed(t *testing.T) {
 	d := newDNS(t)
 	d.Set("web.example", a("127.0.0.1", 0), a("127.0.0.2", 60), a("::1", 60))
-	d.Go(standin.DNSWell, 100*time.Millisecond) // slow
+	d.Go(fake.DNSWell, 100*time.Millisecond) // slow
 	h := askDNS(t, quick(d))
 	h.expect(t, "127.0.0.1:80", "127.0.0.2:80", "[::1]:80")
 	d.Set("web.example", a("127.0.0.2", 60))
@@ -229,9 +229,9 @@
 func TestServicesAreFollowed(t *testing.T) {
 	d := newDNS(t)
 	d.Set("one.example", a("127.0.0.1", 60))
-	d.Set("alias.example", standin.DNSRecord{Alias: "one.example", TTL: 60})
-	srv := func(host string, port, priority uint16) standin.DNSRecord {
-		return standin.DNSRecord{Service: host, Port: port, Priority: priority, TTL: 60}
+	d.Set("alias.example", fake.DNSRecord{Alias: "one.example", TTL: 60})
+	srv := func(host string, port, priority uint16) fake.DNSRecord {
+		return fake.DNSRecord{Service: host, Port: port, Priority: priority, TTL: 60}
 	}
 	d.Set("_http._tcp.example", srv("one.example", 81, 1), srv("alias.example", 81, 1), srv("one.example", 82, 1), srv("none.example", 83, 1), srv("one.example", 99, 2))
 	o := quick(d)
@@ -242,11 +242,11 @@
 
 func TestAThousandAddressesComeOverTCP(t *testing.T) {
 	d := newDNS(t)
-	var records []standin.DNSRecord
+	var records []fake.DNSRecord
 	var want []string
 	for i := range 1000 {
 		ip := netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)})
-		records, want = append(records, standin.DNSRecord{Address: ip, TTL: 60}), append(want, ip.String()+":80")
+		records, want = append(records, fake.DNSRecord{Address: ip, TTL: 60}), append(want, ip.String()+":80")
 	}
 	slices.Sort(want)
 	d.Set("web.example", records...)
@@ -259,8 +259,8 @@
 
 // Whatever goes wrong, the list stands, and is followed again once the server is well.
 func TestAFaultyServerLeavesTheListStanding(t *testing.T) {
-	for name, fault := range map[string]standin.DNSFault{"servfail": standin.DNSServfail, "garbage": standin.DNSGarbage,
-		"cut": standin.DNSCut, "truncated": standin.DNSTruncated, "empty": standin.DNSEmpty} {
+	for name, fault := range map[string]fake.DNSFault{"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage,
+		"cut": fake.DNSCut, "truncated": fake.DNSTruncated, "empty": fake.DNSEmpty} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDNS(t)
@@ -268,7 +268,7 @@
 			h := askDNS(t, quick(d))
 			h.expect(t, "127.0.0.1:80")
 			d.Go(fault, 0)
-			if fault == standin.DNSEmpty { // an answer, and no failure
+			if fault == fake.DNSEmpty { // an answer, and no failure
 				was := d.Asked.Load()
 				testpeer.Until(t, "it is asked again", func() bool { return d.Asked.Load() > was+4 })
 			} else {
@@ -276,7 +276,7 @@
 			}
 			h.expectNothing(t)
 			d.Set("web.example", a("127.0.0.2", 0))
-			d.Go(standin.DNSWell, 0)
+			d.Go(fake.DNSWell, 0)
 			h.source.Subscribe()
 			h.expect(t, "127.0.0.2:80")
 		})
@@ -286,8 +286,8 @@
 // Names that lead in a circle, or nowhere, end.
 func TestAliasesInACircleEnd(t *testing.T) {
 	d := newDNS(t)
-	d.Set("web.example", standin.DNSRecord{Alias: "b.example"})
-	d.Set("b.example", standin.DNSRecord{Alias: "web.example"})
+	d.Set("web.example", fake.DNSRecord{Alias: "b.example"})
+	d.Set("b.example", fake.DNSRecord{Alias: "web.example"})
 	s := DNSSource(quick(d), NewKeeper(holding), func(m Members) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
 	if next := s.Once(t.Context()); next <= 0 {
 		t.Error("it would not be asked again")
@@ -297,7 +297,7 @@
 // A server that says nothing is given up, and a source that is left does not wait for it.
 func TestASilentServerIsNotWaitedForAtTheEnd(t *testing.T) {
 	d := newDNS(t)
-	d.Go(standin.DNSSilent, 0)
+	d.Go(fake.DNSSilent, 0)
 	s := DNSSource(quick(d), NewKeeper(holding), func(m Members) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
--- a/internal/endpointset/membership.go
+++ b/internal/endpointset/membership.go
@@ -1,9 +1,9 @@
-// Package membership decides which members of a pool are in force, from what a source says of them. It is pure: answers
+// Package endpointset decides which members of a pool are in force, from what a source says of them. It is pure: answers
 // and instants in, a list out, no I/O, clock or goroutine.
 //
 // A member that an answer does not list any more leaves at once. What is slow is the other way: an empty or failed
 // answer is not believed for a while, and a member that comes and goes must be listed steadily before it counts again.
-package membership
+package endpointset
 
 import (
 	"slices"
--- a/internal/endpointset/membership_test.go
+++ b/internal/endpointset/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpointset
 
 import (
 	"fmt"
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package core owns a decision module: one goroutine feeds it what happens and carries out what it decides.
-package core
+// Package eventloop owns a decision module: one goroutine feeds it what happens and carries out what it decides.
+package eventloop
 
 import (
 	"context"
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -1,4 +1,4 @@
-package core
+package eventloop
 
 import (
 	"context"
--- a/internal/frontend/here.go
+++ b/internal/frontend/here.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"errors"
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -32,7 +32,7 @@
 // crossing is the callers' side, a loop with the real module and the endpoints' side, whose dials wait at a gate.
 type crossing struct {
 	addr     string
-	loop     *core.Loop
+	loop     *eventloop.Loop
 	upstream *upstream.Client
 	dials    chan string // dials report their addresses here, as far as there is room
 }
@@ -58,7 +58,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}})
 	log := slog.New(slog.DiscardHandler)
-	x.loop = core.New(core.Module, balance.Settings{Seed: 7, MayCancel: mayCancel, MaxAttempts: 4, Classes: crossingClasses}, u, func() {}, log)
+	x.loop = eventloop.New(eventloop.Module, balance.Settings{Seed: 7, MayCancel: mayCancel, MaxAttempts: 4, Classes: crossingClasses}, u, func() {}, log)
 	x.upstream = u
 	x.loop.List(x.loop.Now(), listOf(t, "Ready", addrs))
 	figures := &metrics.Figures{}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"crypto/rand"
@@ -87,7 +87,7 @@
 
 // asked is a request that is fit to be handed to its pool.
 type asked struct {
-	call   *core.Call
+	call   *eventloop.Call
 	target *Target
 	left   time.Duration // how long the caller waits
 }
@@ -125,10 +125,10 @@
 	if tenant == "" {
 		tenant = t.Tenant
 	}
-	return &asked{&core.Call{
+	return &asked{&eventloop.Call{
 		Request: balance.Request{ID: id, Class: c.Name, Tenant: tenant, Repeat: c.RetryHeader != "" && r.Header.Get(c.RetryHeader) == "1"},
 		Message: &upstream.Message{Method: r.Method, Target: target, Host: r.Host, Header: header, DeadlineName: c.DeadlineHeader},
-		Replies: make(chan core.Reply, 1),
+		Replies: make(chan eventloop.Reply, 1),
 		Guard:   service.Guard,
 		Unsure:  service.Unsure,
 	}, t, left}, nil
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,5 +1,5 @@
-// Package front is the callers' side: their connections, requests and answers.
-package front
+// Package frontend is the callers' side: their connections, requests and answers.
+package frontend
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	statusDuplicate = http.StatusConflict
 )
 
-var statusOf = map[core.Verdict]int{core.Refused: statusRefused, core.Failed: statusFailed, core.Duplicate: statusDuplicate}
+var statusOf = map[eventloop.Verdict]int{eventloop.Refused: statusRefused, eventloop.Failed: statusFailed, eventloop.Duplicate: statusDuplicate}
 
 const (
 	healthPath = "/_health"
@@ -181,7 +181,7 @@
 	c.Here = func() bool { return isHere(r) }
 	pool.Post(func(now time.Duration) { pool.Start(now, c) })
 	reply, answered := s.await(r, q)
-	if answered && reply.Verdict != core.Left {
+	if answered && reply.Verdict != eventloop.Left {
 		how = s.write(w, r, q, reply)
 		return
 	}
@@ -195,12 +195,12 @@
 	case gone: // it may still read, and must not get the empty answer that net/http would make up
 		panic(http.ErrAbortHandler)
 	default:
-		s.write(w, r, q, core.Reply{Verdict: core.Failed})
+		s.write(w, r, q, eventloop.Reply{Verdict: eventloop.Failed})
 	}
 }
 
 // await waits for the final answer. It is false if there is none: the caller has left, its body does not come, or this process ends.
-func (s *Server) await(r *http.Request, q *asked) (reply core.Reply, answered bool) {
+func (s *Server) await(r *http.Request, q *asked) (reply eventloop.Reply, answered bool) {
 	var failed, cut <-chan struct{}
 	last := s.last
 	if u := q.call.Message.Upload; u != nil {
@@ -219,7 +219,7 @@
 }
 
 // leave says that nobody waits for a request any more. If it was answered before, there is the answer.
-func leave(q *asked) (reply core.Reply, answered bool) {
+func leave(q *asked) (reply eventloop.Reply, answered bool) {
 	left := make(chan bool, 1)
 	q.target.Pool.Post(func(now time.Duration) { left <- q.target.Pool.Leave(now, q.call) })
 	select {
@@ -255,10 +255,10 @@
 // Unwrap lets http.ResponseController find the writer beneath.
 func (w *closing) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-var endOf = map[core.Verdict]metrics.End{core.Served: metrics.OK, core.Refused: metrics.Shed, core.Failed: metrics.Failed, core.Duplicate: metrics.Failed}
+var endOf = map[eventloop.Verdict]metrics.End{eventloop.Served: metrics.OK, eventloop.Refused: metrics.Shed, eventloop.Failed: metrics.Failed, eventloop.Duplicate: metrics.Failed}
 
 // write sends the final answer, and tells how the request ended.
-func (s *Server) write(w *closing, r *http.Request, q *asked, reply core.Reply) metrics.End {
+func (s *Server) write(w *closing, r *http.Request, q *asked, reply eventloop.Reply) metrics.End {
 	if reply.Answer.Stream != nil {
 		s.pass(w, r, q, reply.Answer) // it panics where that breaks
 		return metrics.OK
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"sync"
@@ -29,7 +29,7 @@
 
 // Target is where a rule leads.
 type Target struct {
-	Pool            *core.Loop
+	Pool            *eventloop.Loop
 	Class           *Class
 	Tenant          string // of requests that name none
 	Prefix, Replace string // of the path; an empty Replace: left alone
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -1,7 +1,7 @@
-// Package handover lets one process replace another under load: the listening socket that both have, who takes callers, and
+// Package hotrestart lets one process replace another under load: the listening socket that both have, who takes callers, and
 // what both must know. What follows from what a process sees is decided by State and Share, which have no I/O and no clock;
 // Dir carries it out.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/sidecar/agreed.go
+++ b/internal/sidecar/agreed.go
@@ -27,8 +27,8 @@
 const unsureRetry = time.Second
 
 // settingsOf are the documents that settings are made of; those of endpoints that are out by hand are heeded by themselves.
-func settingsOf(docs map[string]agree.Document) map[string]agree.Document {
-	out := make(map[string]agree.Document, len(docs))
+func settingsOf(docs map[string]consensus.Document) map[string]consensus.Document {
+	out := make(map[string]consensus.Document, len(docs))
 	for name, d := range docs {
 		if !strings.HasPrefix(name, config.OutPrefix) {
 			out[name] = d
@@ -37,7 +37,7 @@
 	return out
 }
 
-func bodies(docs map[string]agree.Document) map[string][]byte {
+func bodies(docs map[string]consensus.Document) map[string][]byte {
 	out := make(map[string][]byte, len(docs))
 	for name, d := range docs {
 		out[name] = d.Body
@@ -50,9 +50,9 @@
 
 // compose is what a daemon was told with what is agreed on, as it is to act on it, and of which version; without a fleet that
 // agrees it is as it was.
-func (t *fleet) compose(told config.Service) (config.Service, *agree.Acting, error) {
+func (t *fleet) compose(told config.Service) (config.Service, *consensus.Acting, error) {
 	if !t.agrees() {
-		return told, &agree.Acting{}, nil
+		return told, &consensus.Acting{}, nil
 	}
 	a, _ := t.chamber.May()
 	with, err := told.File.With(bodies(settingsOf(a.Docs)))
@@ -85,7 +85,7 @@
 		return errEnding
 	}
 	a, _ := s.fleet.chamber.May()
-	if agree.DigestOf(settingsOf(a.Docs)) != s.acts.digest {
+	if consensus.DigestOf(settingsOf(a.Docs)) != s.acts.digest {
 		return s.reload(s.told)
 	}
 	s.acts.version.Store(a.Version)
@@ -132,12 +132,12 @@
 	if c.Read == nil {
 		t.log.Info("operators' call", "settings", words[0], "words", strings.Join(words[1:], " "), "version", a.Version)
 	}
-	return report.WriteAnswer(w, a)
+	return status.WriteAnswer(w, a)
 }
 
 // command reads the words of a call.
-func (t *fleet) command(words []string, body []byte) (*agree.Command, error) {
-	c := &agree.Command{By: t.spec.Name, At: time.Now().UnixMilli()}
+func (t *fleet) command(words []string, body []byte) (*consensus.Command, error) {
+	c := &consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli()}
 	args := words[1:]
 	wants := map[string][2]int{"put": {4, 4}, "remove": {3, 3}, "back": {4, 4}, "force": {2, 2}, "voters-add": {2, 2}, "voters-remove": {2, 2}, "history": {0, 0}, "show": {1, 2}}
 	n, known := wants[words[0]]
@@ -150,10 +150,10 @@
 	var err error
 	switch words[0] {
 	case "history":
-		c.Read = &agree.As{}
+		c.Read = &consensus.As{}
 		return c, nil
 	case "show":
-		c.Read = &agree.As{Name: args[0]}
+		c.Read = &consensus.As{Name: args[0]}
 		if len(args) == 2 {
 			c.Read.Version, err = strconv.ParseUint(args[1], 10, 64)
 		}
@@ -168,7 +168,7 @@
 		if !swim.IsName(args[1]) {
 			return nil, fmt.Errorf("%.40q is no name of a daemon", args[1])
 		}
-		c.Seat = &agree.SeatChange{Name: args[1], Out: words[0] == "voters-remove"}
+		c.Seat = &consensus.SeatChange{Name: args[1], Out: words[0] == "voters-remove"}
 		return c, nil
 	}
 	if args[1] != "-" {
@@ -183,18 +183,18 @@
 	case !config.IsDocName(name):
 		return nil, fmt.Errorf("%.40q is no name of a document", name)
 	case words[0] == "put":
-		c.Put = &agree.PutDoc{Name: name, Body: body}
+		c.Put = &consensus.PutDoc{Name: name, Body: body}
 	case words[0] == "remove":
 		c.Remove = name
 	default:
-		c.Back = &agree.As{Name: name}
+		c.Back = &consensus.As{Name: name}
 		c.Back.Version, err = strconv.ParseUint(args[3], 10, 64)
 	}
 	return c, err
 }
 
 // checkPut wants a document to be one that this daemon can act on, beside the others that are there.
-func (t *fleet) checkPut(put *agree.PutDoc) error {
+func (t *fleet) checkPut(put *consensus.PutDoc) error {
 	a, _ := t.chamber.May()
 	docs := bodies(settingsOf(a.Docs))
 	docs[put.Name] = put.Body
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -21,7 +21,7 @@
 func TestAListDoesNotWaitBehindRequests(t *testing.T) {
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(core.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
+		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
 		defer p.end()
 		jam := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-jam })
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -27,13 +27,13 @@
 // fleet is this daemon's part among the others that an operators' file names; nil: it knows of none, listens for none and
 // runs nothing for them.
 type fleet struct {
-	link *link.Link
+	link *transport.Link
 	log  *slog.Logger
 	spec config.FleetSpec // as it was started
 	stop func()
 	done sync.WaitGroup
 
-	chamber *chamber.Chamber            // nil: nothing is agreed on
+	chamber *raftnode.Chamber           // nil: nothing is agreed on
 	own     atomic.Pointer[config.File] // this daemon's own file, as it was read last
 	refused atomic.Uint64               // requests, since it was not sure which version others act on
 
@@ -47,12 +47,12 @@
 
 var errFleetStarts = errors.New("fleet: whether there is one changes with a restart")
 
-func linkOptions(f *config.FleetSpec, log *slog.Logger) (link.Options, error) {
-	o := link.Options{Cluster: f.Cluster, Name: f.Name, Listen: f.Listen, Advertise: f.Advertise, Join: f.Join, Voters: f.Voters, Times: f.Times, Log: log}
+func linkOptions(f *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
+	o := transport.Options{Cluster: f.Cluster, Name: f.Name, Listen: f.Listen, Advertise: f.Advertise, Join: f.Join, Voters: f.Voters, Times: f.Times, Log: log}
 	if f.KeyFile == "" {
 		return o, nil
 	}
-	keys, err := link.ReadKeys(f.KeyFile)
+	keys, err := transport.ReadKeys(f.KeyFile)
 	if err != nil {
 		return o, fmt.Errorf("fleet.key_file: %w", err)
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := link.Start(o)
+	l, err := transport.Start(o)
 	if err != nil {
 		return nil, err
 	}
@@ -87,10 +87,10 @@
 	return t, nil
 }
 
-func (t *fleet) openChamber() (*chamber.Chamber, error) {
+func (t *fleet) openChamber() (*raftnode.Chamber, error) {
 	f := t.spec
-	o := chamber.Options{Name: f.Name, Voters: f.Voters, Terms: f.Agreed.Terms, Carrier: t.link, Now: t.link.Now, Log: t.log, Installs: true,
-		Check: func(docs map[string]agree.Document) error { return t.own.Load().CanAct(bodies(docs)) }}
+	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Terms: f.Agreed.Terms, Carrier: t.link, Now: t.link.Now, Log: t.log, Installs: true,
+		Check: func(docs map[string]consensus.Document) error { return t.own.Load().CanAct(bodies(docs)) }}
 	if f.Agreed.DataDir != "" {
 		disk, err := wal.Dir(f.Agreed.DataDir)
 		if err != nil {
@@ -98,7 +98,7 @@
 		}
 		o.Disk = disk
 	}
-	return chamber.Start(o)
+	return raftnode.Start(o)
 }
 
 // firstGrant is how long a daemon that starts waits to hear what is agreed before it takes callers: two elections.
@@ -158,9 +158,9 @@
 	if !t.agrees() {
 		return ""
 	}
-	c := agree.Command{By: t.spec.Name, At: time.Now().UnixMilli(), Remove: config.OutPrefix + id}
+	c := consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli(), Remove: config.OutPrefix + id}
 	if out {
-		c.Remove, c.Put = "", &agree.PutDoc{Name: config.OutPrefix + id}
+		c.Remove, c.Put = "", &consensus.PutDoc{Name: config.OutPrefix + id}
 	}
 	version, err := t.chamber.Put(ctx, c)
 	if err != nil {
@@ -177,7 +177,7 @@
 	s, a := t.standing()
 	for _, name := range slices.Sorted(maps.Keys(a.Docs)) {
 		d := a.Docs[name]
-		s.Documents = append(s.Documents, report.Document{Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest)})
+		s.Documents = append(s.Documents, status.Document{Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest)})
 	}
 	return s.Write(w)
 }
@@ -191,13 +191,13 @@
 	return s.Write(w)
 }
 
-func (t *fleet) standing() (*report.Settings, *agree.Acting) {
+func (t *fleet) standing() (*status.Settings, *consensus.Acting) {
 	a, _ := t.chamber.May()
 	is := t.chamber.Status()
-	s := &report.Settings{Version: a.Version, Acting: t.chamber.Covers(a.Version), LeaseMs: t.chamber.Left().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
+	s := &status.Settings{Version: a.Version, Acting: t.chamber.Covers(a.Version), LeaseMs: t.chamber.Left().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
 		Term: is.Term, Committed: is.Committed, Coming: is.Coming, All: is.All, Declined: is.Declined, Why: is.Why, Refused: t.refused.Load(), Voters: strings.Join(is.Voters, ","), Sitting: strings.Join(is.Sitting, ",")}
 	for _, l := range is.Lagging {
-		s.Lags = append(s.Lags, report.Lag{Daemon: l.Daemon, Why: l.Why})
+		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
 	}
 	return s, a
 }
@@ -229,7 +229,7 @@
 
 // follow tells the pools among how many they share, as views change.
 func (t *fleet) follow(ctx context.Context) {
-	var seats seat.Seats
+	var seats ordinal.Seats
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -314,7 +314,7 @@
 	t.mu.Lock()
 	daemons, index := t.daemons, t.index
 	t.mu.Unlock()
-	return report.Of(t.link.View(), t.link.Now(), daemons, index).Write(w)
+	return status.Of(t.link.View(), t.link.Now(), daemons, index).Write(w)
 }
 
 // gauges are the figures of the fleet; none where there is none.
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -28,7 +28,7 @@
 	}
 	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + one
 	s := serve(t, service(t, file))
-	if !strings.Contains(goroutines(), peersCode+"link") {
+	if !strings.Contains(goroutines(), peersCode+"transport") {
 		t.Fatal("a file with a fleet has none: the check above says nothing")
 	}
 	other := serve(t, service(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.fleet.link.Addr().String()+"\"]", 1)))
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -28,9 +28,9 @@
 	spec    config.Listener
 	via     string
 	socket  *hold
-	limited *front.Limited
-	conns   *front.Listener
-	callers *front.Server
+	limited *frontend.Limited
+	conns   *frontend.Listener
+	callers *frontend.Server
 	server  *http.Server
 	served  chan struct{} // closed when it accepts no more
 	leaving atomic.Bool   // its end is meant
@@ -45,13 +45,13 @@
 }
 
 // newListener puts a server behind a socket; accept starts it.
-func newListener(spec config.Listener, via string, socket *hold, current *front.Current, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *listener {
+func newListener(spec config.Listener, via string, socket *hold, current *frontend.Current, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *listener {
 	// Beyond the budget callers wait in the kernel's queue, which costs no descriptor and loses nothing.
-	limited := front.Limit(socket, spec.Connections+config.SpareCallers)
+	limited := frontend.Limit(socket, spec.Connections+config.SpareCallers)
 	l := &listener{spec: spec, via: via, socket: socket, served: make(chan struct{}), limited: limited,
-		conns: front.NewListener(limited, spec.Connections, spec.HeadTimeout)}
-	l.callers = front.New(front.Options{Head: spec.HeadBytes, Body: spec.BodyBytes, HeadTimeout: spec.HeadTimeout, BodyTimeout: spec.BodyTimeout,
-		IdleTimeout: spec.IdleTimeout, WriteTimeout: spec.WriteTimeout, Forwarded: front.Forwarded(spec.Forwarded), Pseudonym: via, Fractions: spec.RetryAfter == "fraction", Raw: spec.Raw,
+		conns: frontend.NewListener(limited, spec.Connections, spec.HeadTimeout)}
+	l.callers = frontend.New(frontend.Options{Head: spec.HeadBytes, Body: spec.BodyBytes, HeadTimeout: spec.HeadTimeout, BodyTimeout: spec.BodyTimeout,
+		IdleTimeout: spec.IdleTimeout, WriteTimeout: spec.WriteTimeout, Forwarded: frontend.Forwarded(spec.Forwarded), Pseudonym: via, Fractions: spec.RetryAfter == "fraction", Raw: spec.Raw,
 		Pool: bodies, Figures: figures, Pace: body.Pace{Idle: spec.FlowIdle, Rate: spec.FlowRate}},
 		current, log)
 	l.server = l.callers.HTTP(l.conns.Track)
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -25,9 +25,9 @@
 
 // hands is what operators have taken out by hand, for all pools that run. It outlives pools, lists and reloads.
 type hands struct {
-	turn  chan struct{} // held by the call that is carried out
-	dir   *handover.Dir // what other processes know; nil: there are none
-	backs []string      // ids given back shortly before this process began; fixed before the first pool
+	turn  chan struct{}   // held by the call that is carried out
+	dir   *hotrestart.Dir // what other processes know; nil: there are none
+	backs []string        // ids given back shortly before this process began; fixed before the first pool
 
 	mu     sync.Mutex
 	barred map[string]bool
@@ -87,10 +87,10 @@
 }
 
 // each has all pools handle an event, one after another.
-func each(ctx context.Context, pools []*pool, event func(l *core.Loop, now time.Duration)) error {
+func each(ctx context.Context, pools []*pool, event func(l *eventloop.Loop, now time.Duration)) error {
 	for _, p := range pools {
 		err := p.loop.Do(ctx, func(now time.Duration) { event(p.loop, now) })
-		if err != nil && !errors.Is(err, core.ErrEnded) {
+		if err != nil && !errors.Is(err, eventloop.ErrEnded) {
 			return err
 		}
 	}
@@ -112,21 +112,21 @@
 		return "", errUnconfirmed
 	}
 	if h.dir != nil {
-		h.follow(handover.LookOnly)
+		h.follow(hotrestart.LookOnly)
 	}
 	pools, was, n := h.running(id)
 	known := was
-	err := each(ctx, pools, func(l *core.Loop, _ time.Duration) { known = known || l.Knows(id) })
+	err := each(ctx, pools, func(l *eventloop.Loop, _ time.Duration) { known = known || l.Knows(id) })
 	switch {
 	case err != nil:
 		return "", errUnconfirmed
 	case !known:
 		return "", fmt.Errorf("%.260q: %w", id, errUnknown)
-	case out && !was && n >= handover.MostBars:
+	case out && !was && n >= hotrestart.MostBars:
 		return "", fmt.Errorf("%d endpoints are out already: no more can be", n)
 	}
 	h.note(id, out) // before the pools: one that joins meanwhile must have it
-	if err := each(ctx, pools, func(l *core.Loop, now time.Duration) { l.Bar(now, id, out) }); err != nil {
+	if err := each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, id, out) }); err != nil {
 		return "", errUnconfirmed
 	}
 	if h.dir != nil { // whatever was: the others may know otherwise
@@ -148,11 +148,11 @@
 	for _, all := range []map[string]bool{was, is} {
 		for id := range all {
 			pools, barred, n := h.running(id)
-			if was[id] == is[id] || barred == is[id] || is[id] && n >= handover.MostBars {
+			if was[id] == is[id] || barred == is[id] || is[id] && n >= hotrestart.MostBars {
 				continue
 			}
 			h.note(id, is[id])
-			_ = each(ctx, pools, func(l *core.Loop, now time.Duration) { l.Bar(now, id, is[id]) }) // ctx ends with the daemon
+			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, id, is[id]) }) // ctx ends with the daemon
 		}
 	}
 	return is
@@ -227,7 +227,7 @@
 	}
 	d := admin.Daemon{Ready: s.ready.Load, Vars: s.vars, Bar: s.bar, Peers: s.fleet.peers, Settings: s.fleet.call, Versions: s.fleet.versions}
 	if s.fleet.agrees() {
-		d.MostBody = agree.MostBody
+		d.MostBody = consensus.MostBody
 	}
 	a := admin.New(l, c.Operators, d, s.log)
 	go a.Serve()
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -23,7 +23,7 @@
 // another.
 type pool struct {
 	spec     config.PoolSpec
-	loop     *core.Loop
+	loop     *eventloop.Loop
 	upstream *upstream.Client
 	keeper   *discovery.Keeper
 	log      *slog.Logger
@@ -40,8 +40,8 @@
 }
 
 // newPool starts a pool. The module hears its first list before anything else.
-func newPool(decide core.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *pool {
-	p := &pool{spec: spec, log: log, keeper: discovery.NewKeeper(membership.Options{})}
+func newPool(decide eventloop.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *pool {
+	p := &pool{spec: spec, log: log, keeper: discovery.NewKeeper(endpointset.Options{})}
 	settings := spec.Settings
 	if settings.Seed == 0 {
 		settings.Seed = drawSeed()
@@ -52,7 +52,7 @@
 	}
 	p.upstream = upstream.New(upstream.Options{Idle: spec.Idle, Dial: spec.Dial, Most: spec.Connections, Spread: spec.Spread, OnlyOK: spec.OnlyOK,
 		Begins: begins, Pool: bodies, Pace: spec.Flow, Whole: spec.Whole, Answer: spec.AnswerBytes, Sent: func() { figures.Tries.Add(1) }})
-	p.loop = core.New(decide, settings, p.upstream, p.subscribe, log)
+	p.loop = eventloop.New(decide, settings, p.upstream, p.subscribe, log)
 	known := spec.Source.Known
 	known.Full = true // the list as it was last had, and the first that the module hears
 	p.loop.List(p.loop.Now(), known)
@@ -92,7 +92,7 @@
 	if p.leave != nil {
 		p.leave()
 	}
-	p.keeper.Set(membership.Options{Hold: s.Hold, Damp: s.Damp})
+	p.keeper.Set(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
 	source := p.newSource(s)
 	if p.spec.Settings.MustSubscribe { // the module asked at its start, when there was nobody to ask
 		source.Subscribe()
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -7,15 +7,15 @@
 )
 
 // routes puts a configuration's routes into the callers' side's terms.
-func routes(c config.Service, pools map[string]*pool, figures *metrics.Figures) *front.Service {
-	classes := map[*config.Class]*front.Class{}
-	out := &front.Service{Table: c.Table}
+func routes(c config.Service, pools map[string]*pool, figures *metrics.Figures) *frontend.Service {
+	classes := map[*config.Class]*frontend.Class{}
+	out := &frontend.Service{Table: c.Table}
 	for _, t := range c.Targets {
 		if classes[t.Class] == nil {
 			classes[t.Class] = class(t.Class)
 			classes[t.Class].Figures = figures.Class(t.Class.Name)
 		}
-		target := front.Target{Pool: pools[t.Pool].loop, Class: classes[t.Class], Tenant: t.Tenant, Prefix: t.Prefix, Replace: t.Replace, Remove: t.Remove}
+		target := frontend.Target{Pool: pools[t.Pool].loop, Class: classes[t.Class], Tenant: t.Tenant, Prefix: t.Prefix, Replace: t.Replace, Remove: t.Remove}
 		for _, h := range t.Set {
 			target.Set = append(target.Set, [2]string{h.Name, h.Value})
 		}
@@ -24,8 +24,8 @@
 	return out
 }
 
-func class(c *config.Class) *front.Class {
-	return &front.Class{Name: c.Name, Effect: config.Effects[c.Effect], IDHeader: c.IDHeader, KeyHeader: c.KeyHeader, TenantHeader: c.TenantHeader,
+func class(c *config.Class) *frontend.Class {
+	return &frontend.Class{Name: c.Name, Effect: config.Effects[c.Effect], IDHeader: c.IDHeader, KeyHeader: c.KeyHeader, TenantHeader: c.TenantHeader,
 		DeadlineHeader: c.DeadlineHeader, RetryHeader: c.RetryHeader, MustHaveID: c.MustHaveID(), MustHaveDeadline: c.MustHaveDeadline(), Deadline: c.Deadline,
 		DeadlineMost: c.DeadlineMost, Methods: c.Methods, NoBody: c.NoBody, FlowMost: c.FlowMost, DeadlineAll: c.DeadlineAll()}
 }
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -464,7 +464,7 @@
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 		repeats := make(chan bool, 1)
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &watching{Events: core.Module(now, s, h), repeats: repeats}
+			return &watching{Events: eventloop.Module(now, s, h), repeats: repeats}
 		}
 		c := service(t, listen1+poolOf("a", e.Addr)+one)
 		c.Targets[0].Class.RetryHeader = header
@@ -540,7 +540,7 @@
 // Members by DNS and by file, from the daemon's side: the list that changes is served by, and what fails leaves it standing.
 func TestMembersComeFromDNSAndFiles(t *testing.T) {
 	a, b := echo(t, "A"), echo(t, "B")
-	names, err := standin.NewDNS()
+	names, err := fake.NewDNS()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -557,8 +557,8 @@
 	point := func(addr string) {
 		_, port, _ := net.SplitHostPort(addr)
 		n, _ := strconv.Atoi(port)
-		names.Set("host.example", standin.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
-		names.Set("_web._tcp.example", standin.DNSRecord{Service: "host.example", Port: uint16(n)})
+		names.Set("host.example", fake.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
+		names.Set("_web._tcp.example", fake.DNSRecord{Service: "host.example", Port: uint16(n)})
 	}
 	write(a)
 	point(a)
@@ -589,7 +589,7 @@
 			t.Errorf("%s is not served by A", path)
 		}
 	}
-	names.Go(standin.DNSServfail, 0)
+	names.Go(fake.DNSServfail, 0)
 	if err := os.Remove(list); err != nil {
 		t.Fatal(err)
 	}
@@ -600,7 +600,7 @@
 			t.Errorf("%s is not served by A any more", path)
 		}
 	}
-	names.Go(standin.DNSWell, 0)
+	names.Go(fake.DNSWell, 0)
 	write(b)
 	point(b)
 	for _, path := range []string{"/file", "/dns"} {
@@ -617,7 +617,7 @@
 				list = append(list, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
 			}
 			spec := config.PoolSpec{Name: "p", Connections: 10, Source: config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}}
-			p := newPool(core.Module, spec, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
+			p := newPool(eventloop.Module, spec, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
 			defer p.end()
 			done := make(chan bool)
 			for i := 0; b.Loop(); i++ {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -35,9 +35,9 @@
 
 // Sidecar is a daemon that listens: its listeners, its pools, and what routes requests from the ones to the others.
 type Sidecar struct {
-	decide  core.Decider
+	decide  eventloop.Decider
 	log     *slog.Logger
-	current front.Current
+	current frontend.Current
 	failed  chan error     // a listener that can't go on
 	bodies  *body.Pool     // nil: bodies are held whole; fixed at the start
 	drains  time.Duration  // from the end's beginning until bodies that flow are cut off; fixed at the start
@@ -65,18 +65,18 @@
 
 // installed is a configuration that is, or was, in force.
 type installed struct {
-	routes *front.Service
+	routes *frontend.Service
 	pools  map[string]*pool // by name
 }
 
 // Start opens the listeners and starts the pools; Serve does so until the end.
 func Start(c config.Service, log *slog.Logger) (*Sidecar, error) {
-	return StartWith(core.Module, c, log)
+	return StartWith(eventloop.Module, c, log)
 }
 
 // StartWith is Start with another decider in the module's place, behind the same sockets: what the module gains shows
 // only beside others.
-func StartWith(decide core.Decider, c config.Service, log *slog.Logger) (*Sidecar, error) {
+func StartWith(decide eventloop.Decider, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{decide: decide, log: log, failed: make(chan error, 1), listeners: map[string]*listener{}, leaving: map[*listener]bool{},
 		running: map[*pool]bool{}, drains: c.Drain, grace: c.Grace, figures: &metrics.Figures{}, hands: newHands()}
 	if c.BodyMemory > 0 {
@@ -150,7 +150,7 @@
 	retune()
 	s.adoptAdmin(c, operators)
 	next := s.install(c)
-	acts := actsOn{agree.DigestOf(settingsOf(acting.Docs)), &atomic.Uint64{}}
+	acts := actsOn{consensus.DigestOf(settingsOf(acting.Docs)), &atomic.Uint64{}}
 	acts.version.Store(acting.Version)
 	next.routes.Guard, next.routes.Unsure = s.fleet.guard(c.Refuses, acts.version), unsureRetry
 	s.current.Swap(next.routes)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -34,9 +34,9 @@
 	*Sidecar
 	told     config.Config
 	addr     string
-	conns    *front.Listener
-	callers  *front.Server
-	loop     *core.Loop
+	conns    *frontend.Listener
+	callers  *frontend.Server
+	loop     *eventloop.Loop
 	upstream *upstream.Client
 	pool     *pool
 	term     context.CancelFunc
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -19,14 +19,14 @@
 // takeover is this process's part beside others of the same sidecar. A nil one has no others.
 type takeover struct {
 	s    *Sidecar
-	dir  *handover.Dir
+	dir  *hotrestart.Dir
 	log  *slog.Logger
 	c    config.Service
 	heap int64 // the limit on it while there are no others
 
 	looks   sync.Mutex // one at a time
 	began   time.Time
-	part    *handover.Part
+	part    *hotrestart.Part
 	share   int  // descriptors that this process may use, as last set
 	ending  bool // this process's part does not change any more
 	looking bool // run was started
@@ -41,12 +41,12 @@
 	if c.Shared == "" {
 		return nil
 	}
-	dir, err := handover.Join(c.Shared, c.Name, log)
+	dir, err := hotrestart.Join(c.Shared, c.Name, log)
 	if err != nil {
 		log.Error("what operators call is kept in memory alone, and no other process can take over", "err", err)
 		return nil
 	}
-	t := &takeover{s: s, dir: dir, log: log, c: c, began: time.Now(), part: handover.NewPart(0), share: c.Limits.Sockets, heap: debug.SetMemoryLimit(-1),
+	t := &takeover{s: s, dir: dir, log: log, c: c, began: time.Now(), part: hotrestart.NewPart(0), share: c.Limits.Sockets, heap: debug.SetMemoryLimit(-1),
 		stopped: make(chan struct{}), done: make(chan struct{}), gone: make(chan struct{})}
 	state, view, others := dir.Look(0)
 	for _, b := range state.Bars {
@@ -66,7 +66,7 @@
 // run looks until stop.
 func (t *takeover) run() {
 	defer close(t.done)
-	tick := time.NewTicker(handover.LookEvery)
+	tick := time.NewTicker(hotrestart.LookEvery)
 	defer tick.Stop()
 	for {
 		t.look()
@@ -89,26 +89,26 @@
 		return
 	}
 	switch t.part.Phase() {
-	case handover.Serving:
+	case hotrestart.Serving:
 		t.s.takeCallers(true)
 		if err := t.dir.Ready(true); err != nil {
 			t.log.Error("the others can't be told that this process takes callers", "err", err)
 		}
 		t.s.ready.Store(true)
 		t.log.Info("taking callers", "number", t.dir.Number(), "others", view.Others)
-	case handover.Leaving:
+	case hotrestart.Leaving:
 		t.s.ready.Store(false)
 		t.s.takeCallers(false)
 		t.log.Info("another process takes callers", "number", t.dir.Number(), "others", view.Others)
 		debug.FreeOSMemory()
-	case handover.Gone:
+	case hotrestart.Gone:
 		close(t.gone)
 	}
 }
 
 // limit keeps to this process's share of what is common to all.
-func (t *takeover) limit(v handover.View, others int) {
-	share := handover.Share(t.c.Limits.Sockets, v, others)
+func (t *takeover) limit(v hotrestart.View, others int) {
+	share := hotrestart.Share(t.c.Limits.Sockets, v, others)
 	if share == t.share {
 		return
 	}
@@ -129,7 +129,7 @@
 	t.looks.Lock()
 	defer t.looks.Unlock()
 	t.ending = true
-	if p := t.part.Phase(); p == handover.Leaving || p == handover.Gone {
+	if p := t.part.Phase(); p == hotrestart.Leaving || p == hotrestart.Gone {
 		return process
 	}
 	if err := t.dir.Ready(false); err != nil {
@@ -197,7 +197,7 @@
 
 // catchUp has the pools keep to what other processes were called, and tells what follows besides. A call that is being
 // carried out goes first.
-func (h *hands) catchUp(used int) (handover.View, int) {
+func (h *hands) catchUp(used int) (hotrestart.View, int) {
 	select {
 	case h.turn <- struct{}{}:
 		defer func() { <-h.turn }()
@@ -209,7 +209,7 @@
 }
 
 // follow is catchUp's with the turn held.
-func (h *hands) follow(used int) (handover.View, int) {
+func (h *hands) follow(used int) (hotrestart.View, int) {
 	state, view, others := h.dir.Look(used)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTime)
 	defer cancel()
@@ -218,7 +218,7 @@
 		told[b.ID] = true
 		if pools, was, _ := h.running(b.ID); was != b.Out {
 			h.note(b.ID, b.Out)
-			_ = each(ctx, pools, func(l *core.Loop, now time.Duration) { l.Bar(now, b.ID, b.Out) })
+			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, b.ID, b.Out) })
 		}
 	}
 	for _, id := range h.out() { // what was lost with a damaged file
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's line protocol: batches of events in, one reply a batch
+// Package simwire reads and writes the simulator's line protocol: batches of events in, one reply a batch
 // out. It translates and checks; it decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/testkit/baseline/plain.go
+++ b/internal/testkit/baseline/plain.go
@@ -1,6 +1,6 @@
-// Package plain has textbook pickers that run behind the daemon's own sockets, to set beside the decision module. They
+// Package baseline has textbook pickers that run behind the daemon's own sockets, to set beside the decision module. They
 // keep the rule on effects, and know nothing of load, cold starts or room.
-package plain
+package baseline
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 func Names() []string { return []string{"random", "round-robin", "least-outstanding"} }
 
 // New gives the Decider of a name.
-func New(name string) (core.Decider, error) {
+func New(name string) (eventloop.Decider, error) {
 	p, ok := picks[name]
 	if !ok {
 		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Names(), ", "))
--- a/internal/testkit/baseline/plain_test.go
+++ b/internal/testkit/baseline/plain_test.go
@@ -1,4 +1,4 @@
-package plain
+package baseline
 
 import (
 	"fmt"
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -1,4 +1,4 @@
-package witness
+package clusterinvariant
 
 import (
 	"fmt"
--- a/internal/testkit/clusterinvariant/witness.go
+++ b/internal/testkit/clusterinvariant/witness.go
@@ -1,5 +1,5 @@
-// Package witness holds what daemons of a fleet say of one another against what was done to them. It is pure.
-package witness
+// Package clusterinvariant holds what daemons of a fleet say of one another against what was done to them. It is pure.
+package clusterinvariant
 
 import (
 	"fmt"
--- a/internal/testkit/eventqueue/agenda.go
+++ b/internal/testkit/eventqueue/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda is what is to happen in virtual time: earliest first, and of what is due at one instant what was put first.
-package agenda
+// Package eventqueue is what is to happen in virtual time: earliest first, and of what is due at one instant what was put first.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -38,7 +38,7 @@
 	StateGone     = "Gone"
 )
 
-var stateOf = map[string]referee.State{StateReady: referee.Ready, StateDraining: referee.Draining, StateGone: referee.Gone}
+var stateOf = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining, StateGone: invariant.Gone}
 
 // heartbeat is how often an empty line comes on a watch.
 const heartbeat = 2 * time.Second
@@ -310,8 +310,8 @@
 }
 
 // Told is the event that a sidecar has been told of a member.
-func Told(sidecar string, m Member, rec *Recorder) referee.Event {
-	e := referee.Event{Kind: referee.Told, Sidecar: sidecar, Node: m.ID, State: stateOf[m.State]}
+func Told(sidecar string, m Member, rec *Recorder) invariant.Event {
+	e := invariant.Event{Kind: invariant.Told, Sidecar: sidecar, Node: m.ID, State: stateOf[m.State]}
 	if m.StartedMs > 0 {
 		e.Since = time.UnixMilli(m.StartedMs).Sub(rec.start.Round(0)) // wall against wall
 	}
--- a/internal/testkit/fake/caller.go
+++ b/internal/testkit/fake/caller.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -151,12 +151,12 @@
 // once is false where a connection that had served before ended before anything came: a sidecar may close one between
 // requests, and the request is sent once more on a new one.
 func (c *Caller) once(l *line, t Try, due time.Duration, fresh bool, out *Outcome) bool {
-	asked := referee.Event{Kind: referee.Asked, Request: t.ID, Sidecar: l.sidecar, Class: t.Class, Until: due}
+	asked := invariant.Event{Kind: invariant.Asked, Request: t.ID, Sidecar: l.sidecar, Class: t.Class, Until: due}
 	c.rec.Add(asked) // before the write: what comes of it comes later
 	if _, err := io.WriteString(l, c.text(t, due)); err != nil {
 		l.Close()
 		if fresh {
-			c.rec.Add(referee.Event{Kind: referee.NotTaken, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.NotTaken, Request: t.ID})
 			return true
 		}
 		return false
@@ -172,13 +172,13 @@
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
 			out.Left = true
-			c.rec.Add(referee.Event{Kind: referee.Left, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.Left, Request: t.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.rec.Add(referee.Event{Kind: referee.Unanswered, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.Unanswered, Request: t.ID})
 		case !fresh:
 			return false
 		default:
-			c.rec.Add(referee.Event{Kind: referee.Lost, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
 		}
 		return true
 	}
@@ -200,7 +200,7 @@
 	}
 	if err != nil {
 		l.Close()
-		c.rec.Add(referee.Event{Kind: referee.Lost, Request: t.ID})
+		c.rec.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
 		return
 	}
 	out.Status = resp.StatusCode
@@ -208,7 +208,7 @@
 		out.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	genuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), t.ID+" ")
-	c.rec.Add(referee.Event{Kind: referee.Answered, Request: t.ID, Status: resp.StatusCode, Genuine: genuine})
+	c.rec.Add(invariant.Event{Kind: invariant.Answered, Request: t.ID, Status: resp.StatusCode, Genuine: genuine})
 	if l.in.Buffered() == 0 && !resp.Close {
 		_ = l.SetReadDeadline(time.Now().Add(tailLook))
 		if _, err := l.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -217,7 +217,7 @@
 		}
 	}
 	if l.in.Buffered() > 0 {
-		c.rec.Add(referee.Event{Kind: referee.Extra, Request: t.ID})
+		c.rec.Add(invariant.Event{Kind: invariant.Extra, Request: t.ID})
 	}
 	l.Close()
 }
@@ -226,7 +226,7 @@
 func (c *Caller) text(t Try, due time.Duration) string {
 	class := c.classes[t.Class]
 	method := http.MethodGet
-	if class.Effect != referee.Safe {
+	if class.Effect != invariant.Safe {
 		method = http.MethodPost
 	}
 	var b strings.Builder
@@ -241,7 +241,7 @@
 	if t.Retry {
 		b.WriteString("Req-Retry: 1\r\n")
 	}
-	if class.Effect == referee.Keyed {
+	if class.Effect == invariant.Keyed {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Key)
 	}
 	if method == http.MethodPost {
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/binary"
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -163,7 +163,7 @@
 	l := &life{began: time.Now(), at: n.rec.Now(), cold: cold, done: make(chan struct{}), listener: listener,
 		slots: &fifo{free: n.Slots, most: n.Room}, cores: &fifo{free: n.Cores, most: math.MaxInt}, conns: map[net.Conn]bool{}}
 	n.life = l
-	e := referee.Event{Kind: referee.Started, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
+	e := invariant.Event{Kind: invariant.Started, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
 		e.ColdFrom, e.ColdFor = n.ColdFrom, n.ColdFor
 	}
@@ -187,7 +187,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n.rec.Add(referee.Event{Kind: referee.Stopped, Node: n.ID})
+	n.rec.Add(invariant.Event{Kind: invariant.Stopped, Node: n.ID})
 	close(l.done)
 	l.listener.Close()
 	for nc := range l.conns {
@@ -275,7 +275,7 @@
 	for fresh := true; ; fresh = false {
 		if _, err := in.Peek(1); err != nil {
 			if answered != nil && len(answered) == 0 && !closed(l.done) {
-				n.rec.Add(referee.Event{Kind: referee.Dropped, Node: n.ID, Request: id})
+				n.rec.Add(invariant.Event{Kind: invariant.Dropped, Node: n.ID, Request: id})
 			}
 			return
 		}
@@ -330,7 +330,7 @@
 
 // arrived notes that a request has come whole, unless the node has stopped: what a process had not read when it died never
 // came, and would stay out for good in the timeline.
-func (n *Node) arrived(l *life, e referee.Event) bool {
+func (n *Node) arrived(l *life, e invariant.Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if closed(l.done) {
@@ -345,12 +345,12 @@
 func (n *Node) take(l *life, nc net.Conn, r *http.Request, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
 	t, ok := n.desk.get(id)
 	if !ok {
-		if n.arrived(l, referee.Event{Kind: referee.Sent, Node: n.ID, Request: id, First: first}) {
+		if n.arrived(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first}) {
 			answer(nc, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
-	if !n.arrived(l, referee.Event{Kind: referee.Sent, Node: n.ID, Request: id, First: first, Work: t.job.Work.Seconds(), Cell: n.Cell}) {
+	if !n.arrived(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first, Work: t.job.Work.Seconds(), Cell: n.Cell}) {
 		return false
 	}
 	n.press(l, t.job.Work.Seconds())
@@ -377,7 +377,7 @@
 			if closed(l.done) {
 				return
 			}
-			n.rec.Add(referee.Event{Kind: referee.Declined, Node: n.ID, Request: id})
+			n.rec.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: id})
 			answer(nc, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 			return
 		}
@@ -396,8 +396,8 @@
 // run does a request's work and answers it. Nothing stops it but the node's death: a caller that leaves does not.
 func (n *Node) run(l *life, nc net.Conn, id string, t ticket, fresh bool) {
 	work := t.job.Work
-	repeat := t.key != "" && n.classes[t.class].Effect == referee.Keyed && n.cell.repeat(t.key, time.Now())
-	n.rec.Add(referee.Event{Kind: referee.Began, Node: n.ID, Request: id, Repeat: repeat})
+	repeat := t.key != "" && n.classes[t.class].Effect == invariant.Keyed && n.cell.repeat(t.key, time.Now())
+	n.rec.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: id, Repeat: repeat})
 	calls := t.job.Calls
 	if repeat {
 		work, calls = work/repeatShare, nil
@@ -424,11 +424,11 @@
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		n.rec.Add(referee.Event{Kind: referee.Done, Node: n.ID, Request: id})
+		n.rec.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id})
 		nc.Close()
 		return
 	}
-	n.rec.Add(referee.Event{Kind: referee.Done, Node: n.ID, Request: id}) // before the write: what comes of it comes later
+	n.rec.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id}) // before the write: what comes of it comes later
 	if served {
 		answer(nc, http.StatusOK, "", id+" "+n.ID+"\n")
 	} else {
@@ -502,7 +502,7 @@
 	n.fallen = true
 	n.mu.Unlock()
 	if first {
-		n.rec.Add(referee.Event{Kind: referee.Fell, Node: n.ID})
+		n.rec.Add(invariant.Event{Kind: invariant.Fell, Node: n.ID})
 		go n.Stop()
 	}
 }
--- a/internal/testkit/fake/standin.go
+++ b/internal/testkit/fake/standin.go
@@ -1,7 +1,7 @@
-// Package standin has servers of our own that stand in for a platform on loopback: nodes, the discovery agent of each
+// Package fake has servers of our own that stand in for a platform on loopback: nodes, the discovery agent of each
 // sidecar, the front layer and callers. They speak the protocol's published form, have faults that can be switched on,
 // and write down what they see. The daemon never imports it.
-package standin
+package fake
 
 import (
 	"sync"
@@ -16,7 +16,7 @@
 	most  int
 
 	mu     sync.Mutex
-	events []referee.Event
+	events []invariant.Event
 	lost   int
 }
 
@@ -27,7 +27,7 @@
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
 // Add notes an event, at this instant unless it names another.
-func (r *Recorder) Add(e referee.Event) {
+func (r *Recorder) Add(e invariant.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e.At == 0 { // under the lock: the order of events is that of their instants
@@ -41,14 +41,14 @@
 }
 
 // Events is the timeline so far, and how many events had no room. The slice must not be written to.
-func (r *Recorder) Events() (events []referee.Event, lost int) {
+func (r *Recorder) Events() (events []invariant.Event, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events[:len(r.events):len(r.events)], r.lost
 }
 
 // Take is Events for good: the timeline is the caller's, and nothing is noted any more.
-func (r *Recorder) Take() (events []referee.Event, lost int) {
+func (r *Recorder) Take() (events []invariant.Event, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	events, lost = r.events, r.lost
@@ -96,7 +96,7 @@
 // Class is a class of requests as callers and nodes use it.
 type Class struct {
 	Name     string
-	Effect   referee.Effect
+	Effect   invariant.Effect
 	Window   time.Duration // for keyed ones
 	Deadline time.Duration
 }
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -26,7 +26,7 @@
 	book
 )
 
-var classes = []Class{{"look", referee.Safe, 0, 3 * time.Second}, {"book", referee.Keyed, 200 * time.Millisecond, 3 * time.Second}}
+var classes = []Class{{"look", invariant.Safe, 0, 3 * time.Second}, {"book", invariant.Keyed, 200 * time.Millisecond, 3 * time.Second}}
 
 // Whatever a stand-in starts must end with it.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -89,7 +89,7 @@
 }
 
 // count is how many events of a kind there are for a request; an empty id is any.
-func (b *bench) count(kind referee.Kind, id string) (n int) {
+func (b *bench) count(kind invariant.Kind, id string) (n int) {
 	events, _ := b.rec.Events()
 	for _, e := range events {
 		if e.Kind == kind && (id == "" || e.Request == id) {
@@ -107,7 +107,7 @@
 		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
 			t.Errorf("%d %q", status, body)
 		}
-		if b.count(referee.Sent, id) != 1 || b.count(referee.Began, id) != 1 || b.count(referee.Done, id) != 1 || b.count(referee.Dropped, id) != 0 {
+		if b.count(invariant.Sent, id) != 1 || b.count(invariant.Began, id) != 1 || b.count(invariant.Done, id) != 1 || b.count(invariant.Dropped, id) != 0 {
 			t.Error("the timeline lacks something")
 		}
 	}
@@ -115,7 +115,7 @@
 		t.Errorf("%d connections", b.Opened())
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
-	if status, _, _ := read(t, nc); status != 400 || b.count(referee.Sent, "ghost") != 1 {
+	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.Sent, "ghost") != 1 {
 		t.Errorf("an id that nobody asked with: %d", status)
 	}
 }
@@ -126,9 +126,9 @@
 	for range 2 {
 		nc := b.dial(t)
 		lines = append(lines, nc)
-		n := b.count(referee.Sent, "")
+		n := b.count(invariant.Sent, "")
 		b.write(t, nc, look, "", 300*time.Millisecond)
-		testpeer.Until(t, "taken", func() bool { return b.count(referee.Sent, "") > n })
+		testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, "") > n })
 		testpeer.Until(t, "in hand", func() bool { return b.InHand() > n })
 	}
 	third := b.dial(t)
@@ -140,7 +140,7 @@
 		return len(b.life.slots.queue) == 1
 	})
 	id := b.write(t, third, look, "", time.Millisecond)
-	if status, declined, _ := read(t, third); status != 503 || !declined || b.count(referee.Declined, id) != 1 || b.count(referee.Began, id) != 0 {
+	if status, declined, _ := read(t, third); status != 503 || !declined || b.count(invariant.Declined, id) != 1 || b.count(invariant.Began, id) != 0 {
 		t.Errorf("%d, declined %v", status, declined)
 	}
 	for _, nc := range lines {
@@ -154,7 +154,7 @@
 	b := newBench(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := b.dial(t), b.dial(t)
 	id := b.write(t, first, look, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(referee.Began, id) == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
 	b.Drain()
 	b.write(t, second, look, "", time.Millisecond)
 	if status, declined, _ := read(t, second); status != 503 || !declined {
@@ -190,7 +190,7 @@
 	if _, err := nc.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("idle: %v", err)
 	}
-	if b.count(referee.Dropped, "") != 0 {
+	if b.count(invariant.Dropped, "") != 0 {
 		t.Error("the other side is blamed for it")
 	}
 }
@@ -201,9 +201,9 @@
 	began := func(id string) (effects, repeats int) {
 		events, _ := b.rec.Events()
 		for _, e := range events {
-			if e.Kind == referee.Began && e.Request == id && e.Repeat {
+			if e.Kind == invariant.Began && e.Request == id && e.Repeat {
 				repeats++
-			} else if e.Kind == referee.Began && e.Request == id {
+			} else if e.Kind == invariant.Began && e.Request == id {
 				effects++
 			}
 		}
@@ -245,10 +245,10 @@
 	b := newBench(t, nil)
 	nc := b.dial(t)
 	id := b.write(t, nc, look, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(referee.Began, id) == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
 	nc.Close()
-	testpeer.Until(t, "seen", func() bool { return b.count(referee.Dropped, id) == 1 })
-	testpeer.Until(t, "done all the same", func() bool { return b.count(referee.Done, id) == 1 })
+	testpeer.Until(t, "seen", func() bool { return b.count(invariant.Dropped, id) == 1 })
+	testpeer.Until(t, "done all the same", func() bool { return b.count(invariant.Done, id) == 1 })
 }
 
 func TestFaults(t *testing.T) {
@@ -256,18 +256,18 @@
 	b.Hang(1)
 	nc := b.dial(t)
 	id := b.write(t, nc, look, "", time.Millisecond)
-	testpeer.Until(t, "taken", func() bool { return b.count(referee.Sent, id) == 1 })
+	testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(referee.Began, id) != 0 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 0 {
 		t.Errorf("a node that hangs: %v", err)
 	}
 	nc.Close()
-	testpeer.Until(t, "dropped", func() bool { return b.count(referee.Dropped, id) == 1 })
+	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.Dropped, id) == 1 })
 	b.Hang(0)
 	b.Reset(1)
 	nc = b.dial(t)
 	id = b.write(t, nc, look, "", time.Millisecond)
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(referee.Began, id) != 1 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 1 {
 		t.Errorf("a node that resets: %v", err)
 	}
 	b.Reset(0)
@@ -284,7 +284,7 @@
 	b := newBench(t, nil)
 	nc := b.dial(t)
 	b.write(t, nc, look, "", time.Minute)
-	testpeer.Until(t, "begun", func() bool { return b.count(referee.Began, "") == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, "") == 1 })
 	addr := b.Addr
 	b.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
@@ -313,7 +313,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.take(life, nc, r, "r1", 0, true, false, make(chan bool, 1)) || b.count(referee.Sent, "") != 0 {
+	if b.take(life, nc, r, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
 		t.Error("it came")
 	}
 }
@@ -341,7 +341,7 @@
 
 // What the node falls under must be what the referee calls too much.
 func TestANodeFallsWhereTheRefereeSaysSo(t *testing.T) {
-	rules := referee.Rules{Classes: []referee.Class{{Name: "look"}}, FallMultiple: 4, FallAfter: 3 * time.Second, FallSlack: FallSlack}
+	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, FallMultiple: 4, FallAfter: 3 * time.Second, FallSlack: FallSlack}
 	for _, n := range []int{10, 60} {
 		b := newBench(t, func(s *NodeSpec) {
 			s.Slots, s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallAfter = 100, 0.3, time.Minute, 4, 3*time.Second
@@ -350,7 +350,7 @@
 		if _, err := b.Start(true); err != nil {
 			t.Fatal(err)
 		}
-		b.rec.Add(referee.Event{Kind: referee.Up, Sidecar: "s"})
+		b.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
 		b.rec.Add(Told("s", m, b.rec))
 		for range n { // 0.1 s of work each: at 0.3 of one core about 4 s can be borne
@@ -360,9 +360,9 @@
 			}
 			defer nc.Close()
 			id := fmt.Sprint("r", b.n+1)
-			b.rec.Add(referee.Event{Kind: referee.Asked, Request: id, Sidecar: "s"})
+			b.rec.Add(invariant.Event{Kind: invariant.Asked, Request: id, Sidecar: "s"})
 			b.write(t, nc, look, "", 100*time.Millisecond)
-			testpeer.Until(t, "taken", func() bool { return b.count(referee.Sent, id) == 1 })
+			testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, id) == 1 })
 		}
 		fell := n == 60
 		if fell {
@@ -372,8 +372,8 @@
 			}
 		}
 		events, _ := b.rec.Events()
-		r := referee.Judge(rules, events)
-		if got := r.Rules[3].Verdict == referee.Broken; got != fell || b.Up() == fell || (r.Falls > 0) != fell {
+		r := invariant.Judge(rules, events)
+		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || b.Up() == fell || (r.Falls > 0) != fell {
 			t.Errorf("%d requests: up %v, rule %s, %d falls", n, b.Up(), r.Rules[3].Verdict, r.Falls)
 		}
 	}
@@ -392,7 +392,7 @@
 		t.Errorf("pace %v", got)
 	}
 	testpeer.Until(t, "as before", func() bool { return b.pace(b.life) == 1 })
-	if b.count(referee.Done, "") != 20 {
+	if b.count(invariant.Done, "") != 20 {
 		t.Error("it got well before it had rested")
 	}
 }
@@ -519,7 +519,7 @@
 	testpeer.Until(t, "told that a is gone", func() bool {
 		events, _ := rec.Events()
 		for _, e := range events {
-			if e.Kind == referee.Told && e.Node == "a" && e.State == referee.Gone && e.Sidecar == "s1" {
+			if e.Kind == invariant.Told && e.Node == "a" && e.State == invariant.Gone && e.Sidecar == "s1" {
 				return true
 			}
 		}
@@ -542,7 +542,7 @@
 	}
 	events, _ := rec.Events()
 	for _, e := range events {
-		if e.Kind == referee.Told && e.State == referee.Draining {
+		if e.Kind == invariant.Told && e.State == invariant.Draining {
 			t.Error("noted as told while down")
 		}
 	}
@@ -565,7 +565,7 @@
 		}
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		if events, _ := rec.Events(); len(events) != 1 || events[0].Kind != referee.Told {
+		if events, _ := rec.Events(); len(events) != 1 || events[0].Kind != invariant.Told {
 			t.Errorf("%+v", events)
 		}
 	})
@@ -591,16 +591,16 @@
 		name   string
 		says   string
 		status int
-		kinds  []referee.Kind
+		kinds  []invariant.Kind
 		hangUp time.Duration
 	}{
-		{"served", ok, 200, []referee.Kind{referee.Asked, referee.Answered}, 0},
-		{"refused", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503, []referee.Kind{referee.Asked, referee.Answered}, 0},
-		{"answered twice", ok + ok, 200, []referee.Kind{referee.Asked, referee.Answered, referee.Extra}, 0},
-		{"cut", ok[:len(ok)-3] + "CLOSE", 0, []referee.Kind{referee.Asked, referee.Lost}, 0},
-		{"closed", "CLOSE", 0, []referee.Kind{referee.Asked, referee.Lost}, 0},
-		{"silence", "", 0, []referee.Kind{referee.Asked, referee.Unanswered}, 0},
-		{"hung up", "", 0, []referee.Kind{referee.Asked, referee.Left}, 20 * time.Millisecond},
+		{"served", ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered}, 0},
+		{"refused", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503, []invariant.Kind{invariant.Asked, invariant.Answered}, 0},
+		{"answered twice", ok + ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered, invariant.Extra}, 0},
+		{"cut", ok[:len(ok)-3] + "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
+		{"closed", "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
+		{"silence", "", 0, []invariant.Kind{invariant.Asked, invariant.Unanswered}, 0},
+		{"hung up", "", 0, []invariant.Kind{invariant.Asked, invariant.Left}, 20 * time.Millisecond},
 	} {
 		connect, _ := sidecarThat(t, c.says)
 		rec := NewRecorder(time.Now(), 100)
@@ -608,7 +608,7 @@
 		out := caller.Try(Try{ID: "ab", Class: look, Job: &Job{}, Wait: 200 * time.Millisecond, HangUp: c.hangUp, Connect: connect})
 		caller.Close()
 		events, _ := rec.Events()
-		var kinds []referee.Kind
+		var kinds []invariant.Kind
 		for _, e := range events {
 			kinds = append(kinds, e.Kind)
 		}
@@ -681,7 +681,7 @@
 func TestATimelineHasABound(t *testing.T) {
 	rec := NewRecorder(time.Now(), 2)
 	for range 5 {
-		rec.Add(referee.Event{})
+		rec.Add(invariant.Event{})
 	}
 	if events, lost := rec.Events(); len(events) != 2 || lost != 3 {
 		t.Errorf("%d kept, %d lost", len(events), lost)
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -1,7 +1,7 @@
-// Package fleet plays a fleet of hundreds of sidecars in virtual time: the decision module itself, one balancer for each
+// Package fleetsim plays a fleet of hundreds of sidecars in virtual time: the decision module itself, one balancer for each
 // sidecar, before models of endpoints, in one process and with no clock but its own. What does no harm in one sidecar and
 // does in three hundred shows here in seconds, and the same each time.
-package fleet
+package fleetsim
 
 import (
 	"errors"
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -48,7 +48,7 @@
 }
 
 func (e *endpoint) noteStart() {
-	n := referee.Event{Kind: referee.Started, Node: e.id, Capacity: cores * e.speed, ColdFrom: 1}
+	n := invariant.Event{Kind: invariant.Started, Node: e.id, Capacity: cores * e.speed, ColdFrom: 1}
 	if e.startedAt > 0 {
 		n.ColdFrom, n.ColdFor = e.w.day.Cold.From, e.w.day.Cold.For
 	}
@@ -85,7 +85,7 @@
 	e.up = false
 	e.life++
 	e.held, e.busy, e.open, e.ready, e.pressure = 0, 0, 0, nil, nil
-	e.w.note(referee.Event{Kind: referee.Stopped, Node: e.id})
+	e.w.note(invariant.Event{Kind: invariant.Stopped, Node: e.id})
 	if e.below != nil {
 		e.below.kill()
 	}
@@ -106,17 +106,17 @@
 // came takes an attempt whose last byte has come. end is told the result, unless the process dies before.
 func (e *endpoint) came(a *attempt, work float64, key string, end func(balance.Result)) {
 	w, life := e.w, e.life
-	w.note(referee.Event{Kind: referee.Sent, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+	w.note(invariant.Event{Kind: invariant.Sent, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
 	w.result.Attempts[e.tier]++
 	e.press(work)
-	answer := func(r balance.Result, kind referee.Kind) {
+	answer := func(r balance.Result, kind invariant.Kind) {
 		if e.life == life && e.up {
-			w.note(referee.Event{Kind: kind, Request: a.call.id, Node: e.id})
+			w.note(invariant.Event{Kind: kind, Request: a.call.id, Node: e.id})
 			end(r)
 		}
 	}
 	if e.fell || e.held >= slots+queue {
-		answer(balance.Full, referee.Declined)
+		answer(balance.Full, invariant.Declined)
 		return
 	}
 	e.held++
@@ -124,11 +124,11 @@
 	finish := func(r balance.Result) {
 		if e.life == life {
 			e.held--
-			answer(r, referee.Done)
+			answer(r, invariant.Done)
 		}
 	}
 	e.core(func(done func()) {
-		w.note(referee.Event{Kind: referee.Began, Request: a.call.id, Node: e.id, Repeat: repeat})
+		w.note(invariant.Event{Kind: invariant.Began, Request: a.call.id, Node: e.id, Repeat: repeat})
 		if repeat {
 			work = 0
 		}
@@ -217,6 +217,6 @@
 	e.w.result.ColdMost = max(e.w.result.ColdMost, sum/limit)
 	if sum > limit*(1+fallSlack) && !e.fell {
 		e.fell = true
-		e.w.note(referee.Event{Kind: referee.Fell, Node: e.id})
+		e.w.note(invariant.Event{Kind: invariant.Fell, Node: e.id})
 	}
 }
--- a/internal/testkit/fleetsim/play.go
+++ b/internal/testkit/fleetsim/play.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"cmp"
@@ -17,24 +17,24 @@
 
 // Result is what became of a day.
 type Result struct {
-	Format      int             `json:"format"` // 1
-	Day         string          `json:"day"`
-	Sidecars    int             `json:"sidecars"`
-	Endpoints   int             `json:"endpoints"`
-	Asked       int             `json:"asked"`   // requests from outside
-	Tries       int             `json:"tries"`   // with what clients sent again
-	InTime      int             `json:"in_time"` // answered within their aim
-	Late        int             `json:"late"`    // served, after it
-	Refused     int             `json:"refused"`
-	Failed      int             `json:"failed"`
-	Lost        int             `json:"lost"`        // went under with a sidecar, the last try too
-	Worth       float64         `json:"worth"`       // asked for
-	Served      float64         `json:"served"`      // of it, within its aim
-	Attempts    [3]int          `json:"attempts"`    // that came to endpoints, by tier
-	Connections int             `json:"connections"` // opened, in all tiers
-	Lists       int             `json:"lists"`       // messages of discovery
-	ColdMost    float64         `json:"cold_most"`   // most work on a cold endpoint within the window, in what pushes it over
-	Rules       *referee.Report `json:"rules"`
+	Format      int               `json:"format"` // 1
+	Day         string            `json:"day"`
+	Sidecars    int               `json:"sidecars"`
+	Endpoints   int               `json:"endpoints"`
+	Asked       int               `json:"asked"`   // requests from outside
+	Tries       int               `json:"tries"`   // with what clients sent again
+	InTime      int               `json:"in_time"` // answered within their aim
+	Late        int               `json:"late"`    // served, after it
+	Refused     int               `json:"refused"`
+	Failed      int               `json:"failed"`
+	Lost        int               `json:"lost"`        // went under with a sidecar, the last try too
+	Worth       float64           `json:"worth"`       // asked for
+	Served      float64           `json:"served"`      // of it, within its aim
+	Attempts    [3]int            `json:"attempts"`    // that came to endpoints, by tier
+	Connections int               `json:"connections"` // opened, in all tiers
+	Lists       int               `json:"lists"`       // messages of discovery
+	ColdMost    float64           `json:"cold_most"`   // most work on a cold endpoint within the window, in what pushes it over
+	Rules       *invariant.Report `json:"rules"`
 }
 
 // Share is the part of the worth that was served in time.
@@ -50,10 +50,10 @@
 }
 
 // Play plays a day with the decision module. The same Day gives the same Result, to the last figure.
-func Play(d Day) (*Result, error) { return PlayWith(core.Module, d) }
+func Play(d Day) (*Result, error) { return PlayWith(eventloop.Module, d) }
 
 // PlayWith is Play with another decider in the module's place.
-func PlayWith(decide core.Decider, d Day) (*Result, error) {
+func PlayWith(decide eventloop.Decider, d Day) (*Result, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
@@ -70,18 +70,18 @@
 	w.run(epoch + d.Length)
 	w.closing = true
 	w.run(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
-	w.result.Rules = referee.Judge(rules(d.Cold), w.timeline)
+	w.result.Rules = invariant.Judge(rules(d.Cold), w.timeline)
 	return w.result, nil
 }
 
-func rules(cold Cold) referee.Rules {
-	r := referee.Rules{MaxAttempts: maxAttempts, Slack: slack, DrainGrace: drainGrace, FallMultiple: cold.FallMultiple, FallAfter: cold.FallAfter, FallSlack: fallSlack}
+func rules(cold Cold) invariant.Rules {
+	r := invariant.Rules{MaxAttempts: maxAttempts, Slack: slack, DrainGrace: drainGrace, FallMultiple: cold.FallMultiple, FallAfter: cold.FallAfter, FallSlack: fallSlack}
 	for _, c := range classes {
-		effect := referee.Safe
+		effect := invariant.Safe
 		if c.keyed {
-			effect = referee.Keyed
+			effect = invariant.Keyed
 		}
-		r.Classes = append(r.Classes, referee.Class{Name: c.name, Effect: effect, Window: keyWindow})
+		r.Classes = append(r.Classes, invariant.Class{Name: c.name, Effect: effect, Window: keyWindow})
 	}
 	return r
 }
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -58,7 +58,7 @@
 func (s *sidecar) start(known balance.List) {
 	w := s.w
 	s.up, s.calls, s.idle, s.view = true, map[string]*call{}, map[string][]time.Duration{}, map[string]*endpoint{}
-	w.note(referee.Event{Kind: referee.Up, Sidecar: s.name})
+	w.note(invariant.Event{Kind: invariant.Up, Sidecar: s.name})
 	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callers(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
 		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, Resolution: time.Millisecond, ColdFrom: w.day.Cold.From, ColdFor: w.day.Cold.For}
 	for _, c := range classes {
@@ -99,7 +99,7 @@
 				s.view[in.ID] = e
 			}
 		}
-		n := referee.Event{Kind: referee.Told, Sidecar: s.name, Node: in.ID, State: referee.State(in.State), Since: in.Started - epoch}
+		n := invariant.Event{Kind: invariant.Told, Sidecar: s.name, Node: in.ID, State: invariant.State(in.State), Since: in.Started - epoch}
 		s.w.note(n)
 	}
 	if l.Complete {
@@ -127,11 +127,11 @@
 	}
 	s.up = false
 	s.life++
-	s.w.note(referee.Event{Kind: referee.Killed, Sidecar: s.name})
+	s.w.note(invariant.Event{Kind: invariant.Killed, Sidecar: s.name})
 	for _, c := range s.inOrder() {
 		if !c.over {
 			c.over = true
-			s.w.note(referee.Event{Kind: referee.Lost, Request: c.id})
+			s.w.note(invariant.Event{Kind: invariant.Lost, Request: c.id})
 			s.w.in(wire, func() { c.end(0) })
 		}
 	}
@@ -139,7 +139,7 @@
 		e.open -= len(s.idle[e.id])
 	}
 	s.calls, s.idle = map[string]*call{}, map[string][]time.Duration{}
-	s.w.note(referee.Event{Kind: referee.Exited, Sidecar: s.name})
+	s.w.note(invariant.Event{Kind: invariant.Exited, Sidecar: s.name})
 }
 
 // inOrder are the calls in a fixed order.
@@ -164,13 +164,13 @@
 		w.in(wire, func() { end(0) })
 		return
 	}
-	w.note(referee.Event{Kind: referee.Asked, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	w.note(invariant.Event{Kind: invariant.Asked, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
 	s.calls[c.id] = c
 	life := s.life
 	w.in(max(deadline-w.now, 0)+patienceOver, func() {
 		if !c.over && s.life == life {
 			c.over = true
-			w.note(referee.Event{Kind: referee.Unanswered, Request: c.id})
+			w.note(invariant.Event{Kind: invariant.Unanswered, Request: c.id})
 			end(502)
 		}
 	})
@@ -184,7 +184,7 @@
 		return
 	}
 	c.over = true
-	s.w.note(referee.Event{Kind: referee.Answered, Request: c.id, Status: status, Genuine: status == 200})
+	s.w.note(invariant.Event{Kind: invariant.Answered, Request: c.id, Status: status, Genuine: status == 200})
 	s.w.in(wire, func() { c.end(status) })
 }
 
@@ -276,7 +276,7 @@
 	w.in(timeout, func() {
 		if a.out && a.life == s.life && s.up {
 			if a.came {
-				w.note(referee.Event{Kind: referee.Dropped, Request: c.id, Node: e.id})
+				w.note(invariant.Event{Kind: invariant.Dropped, Request: c.id, Node: e.id})
 			}
 			s.over(a, balance.TimedOut, reused)
 		}
--- a/internal/testkit/fleetsim/world.go
+++ b/internal/testkit/fleetsim/world.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -17,17 +17,17 @@
 // world is a day that is played.
 type world struct {
 	day      Day
-	decide   core.Decider
+	decide   eventloop.Decider
 	rng      *rand.Rand
 	now      time.Duration
-	agenda   agenda.Agenda[func()]
+	agenda   eventqueue.Agenda[func()]
 	tiers    [][]*endpoint // those that were ever listed, by tier
 	front    []*sidecar
 	sidecars []*sidecar
 	seen     map[string]time.Duration // keys by cell, and when they were first sent there
 	names    int
 	calls    int
-	timeline []referee.Event
+	timeline []invariant.Event
 	result   *Result
 	closing  bool // nothing new is asked for
 }
@@ -47,7 +47,7 @@
 }
 
 // note writes into the timeline.
-func (w *world) note(e referee.Event) {
+func (w *world) note(e invariant.Event) {
 	e.At = w.now - epoch
 	w.timeline = append(w.timeline, e)
 }
--- a/internal/testkit/invariant/referee.go
+++ b/internal/testkit/invariant/referee.go
@@ -1,6 +1,6 @@
-// Package referee holds the four rules against a timeline of what happened. It is pure: it is fed what stand-ins saw,
+// Package invariant holds the four rules against a timeline of what happened. It is pure: it is fed what stand-ins saw,
 // never what a sidecar says of itself, and states for each rule whether it was held, broken, or not put to the test.
-package referee
+package invariant
 
 import (
 	"cmp"
--- a/internal/testkit/invariant/referee_test.go
+++ b/internal/testkit/invariant/referee_test.go
@@ -1,4 +1,4 @@
-package referee
+package invariant
 
 import (
 	"fmt"
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -1,4 +1,4 @@
-package council
+package raftsim
 
 import (
 	"fmt"
@@ -54,7 +54,7 @@
 }
 
 // committed takes up that a voter has applied a command.
-func (c *Checker) committed(now time.Duration, n *Node, r agree.Result) {
+func (c *Checker) committed(now time.Duration, n *Node, r consensus.Result) {
 	if r.ID == "" || r.Err != nil {
 		return
 	}
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -1,7 +1,7 @@
-// Package council plays voters, their disks and the daemons that act under leases on one heap of events in virtual time: cuts,
+// Package raftsim plays voters, their disks and the daemons that act under leases on one heap of events in virtual time: cuts,
 // losses, stops, crashes in the middle of a write, clocks that differ. A checker looks at every act. The same seed gives the
 // same play.
-package council
+package raftsim
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 type Options struct {
 	Voters, Followers int
 	Seed              uint64
-	Terms             agree.Terms
+	Terms             consensus.Terms
 	Drift             float64       // by which clocks really differ; 0: as Terms allow
 	Forgets           bool          // disks lie about syncs
 	Puts              time.Duration // one comes so often
@@ -57,7 +57,7 @@
 
 	o      Options
 	rng    *rand.Rand
-	agenda agenda.Agenda[event]
+	agenda eventqueue.Agenda[event]
 	cut    map[[2]int]bool
 	loss   float64
 	slow   time.Duration // that messages take on top, at most
@@ -67,7 +67,7 @@
 }
 
 type put struct {
-	c    *agree.Command
+	c    *consensus.Command
 	done bool
 }
 
@@ -87,10 +87,10 @@
 	kept   []int  // whom it knew to vote, over restarts
 	disk   *simdisk.Disk
 	log    *wal.Log
-	voter  *agree.Voter
+	voter  *consensus.Voter
 	busy   bool     // the disk syncs
 	later  []func() // what came meanwhile
-	holder *agree.Holder
+	holder *consensus.Holder
 	leader int // whom it asks
 	heard  bool
 
@@ -190,7 +190,7 @@
 func (w *World) begin(n *Node) {
 	n.life++
 	n.down, n.busy, n.later, n.paused, n.installed = false, false, nil, 0, 0
-	n.holder = agree.NewHolder(fmt.Sprint("d", n.place), w.o.Terms, 0, nil)
+	n.holder = consensus.NewHolder(fmt.Sprint("d", n.place), w.o.Terms, 0, nil)
 	n.names, n.asks = map[uint64]int{}, slices.Clone(n.kept)
 	for i := range w.o.Voters {
 		n.asks = append(n.asks, i)
@@ -219,7 +219,7 @@
 			names = append(names, fmt.Sprint("d", i))
 		}
 	}
-	d, err := agree.NewDisk(names)
+	d, err := consensus.NewDisk(names)
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	n.voter, err = agree.NewVoter(n.local(w.Now), agree.Config{ID: n.id, Beat: beat, Seed: w.rng.Uint64(), Terms: w.o.Terms}, d)
+	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, Beat: beat, Seed: w.rng.Uint64(), Terms: w.o.Terms}, d)
 	return err
 }
 
@@ -267,7 +267,7 @@
 			in = append(in, n)
 		}
 	}
-	c := &agree.SeatChange{Out: true}
+	c := &consensus.SeatChange{Out: true}
 	switch {
 	case len(lost) > 0:
 		c.Name = fmt.Sprint("d", lost[0].place)
@@ -280,7 +280,7 @@
 	case len(in) > 0:
 		c.Name = fmt.Sprint("d", in[w.rng.IntN(len(in))].place)
 	}
-	w.at(by, w.Now, func() { w.use(by, func() { _ = by.voter.Propose(&agree.Command{Seat: c}) }) })
+	w.at(by, w.Now, func() { w.use(by, func() { _ = by.voter.Propose(&consensus.Command{Seat: c}) }) })
 }
 
 // lose takes a voter's disk away, where all the others are there and have theirs.
@@ -356,7 +356,7 @@
 		return
 	}
 	if out == nil {
-		out = &agree.Out{}
+		out = &consensus.Out{}
 	}
 	for _, r := range out.Records {
 		if _, err := n.log.Append(r.Type, r.Payload); err != nil {
@@ -408,7 +408,7 @@
 }
 
 // learnVoters takes up whom a daemon may ask, and whether it votes.
-func (w *World) learnVoters(n *Node, g agree.Grant) {
+func (w *World) learnVoters(n *Node, g consensus.Grant) {
 	n.asks = nil
 	for _, name := range g.Voters {
 		n.asks = append(n.asks, w.named(name).place)
@@ -419,9 +419,9 @@
 		seat = n.id
 	}
 	switch g.Move(fmt.Sprint("d", n.place), seat) {
-	case agree.Rise:
+	case consensus.Rise:
 		w.leave(n)
-	case agree.Sit:
+	case consensus.Sit:
 		if n.left {
 			return
 		}
@@ -438,7 +438,7 @@
 var errOld = errors.New("this program knows no such setting")
 
 // canAct tells whether a daemon can act on documents: every second one is of a program that can't read some.
-func (n *Node) canAct(docs map[string]agree.Document) error {
+func (n *Node) canAct(docs map[string]consensus.Document) error {
 	if n.place%2 == 1 && strings.HasSuffix(string(docs[hardDoc].Body), hardEnd) {
 		return errOld
 	}
@@ -479,7 +479,7 @@
 	})
 }
 
-func (w *World) sendGrant(n *Node, t agree.To) {
+func (w *World) sendGrant(n *Node, t consensus.To) {
 	var to int
 	fmt.Sscanf(t.Daemon, "d%d", &to)
 	w.send(n.place, to, func(d *Node) {
@@ -552,7 +552,7 @@
 	a := n.holder.Acting()
 	w.at(n, w.Now+time.Duration(w.rng.Int64N(int64(installMost))), func() {
 		if a.Version > n.installed {
-			n.installed, n.digest = a.Version, agree.DigestOf(a.Docs)
+			n.installed, n.digest = a.Version, consensus.DigestOf(a.Docs)
 			n.holder.Installed(a.Version)
 		}
 	})
@@ -563,14 +563,14 @@
 	if !w.calm {
 		w.next++
 		id := fmt.Sprint("put-", w.next)
-		c := &agree.Command{ID: id, By: "test", Put: &agree.PutDoc{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
+		c := &consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
 		switch w.next % hardEvery {
 		case 0:
-			c.Put = &agree.PutDoc{Name: hardDoc, Body: []byte(id + hardEnd)}
+			c.Put = &consensus.PutDoc{Name: hardDoc, Body: []byte(id + hardEnd)}
 		case hardEvery / 4:
-			c.Put = &agree.PutDoc{Name: hardDoc, Body: []byte(id)}
+			c.Put = &consensus.PutDoc{Name: hardDoc, Body: []byte(id)}
 		case hardEvery / 2:
-			c.Put, c.Back = nil, &agree.As{Name: "doc-0", Version: w.Checker.latest / 2}
+			c.Put, c.Back = nil, &consensus.As{Name: "doc-0", Version: w.Checker.latest / 2}
 		}
 		w.puts[id] = &put{c: c}
 		if w.next%(2*hardEvery) == 0 { // every second time somebody insists
@@ -596,7 +596,7 @@
 	w.at(to, w.Now, func() {
 		w.use(to, func() {
 			if st := to.voter.State(); st.Coming > st.Active {
-				_ = to.voter.Propose(&agree.Command{Force: st.Coming})
+				_ = to.voter.Propose(&consensus.Command{Force: st.Coming})
 			}
 		})
 	})
@@ -684,7 +684,7 @@
 	w.Run(w.Now + within/2)
 	w.next++ // the last one mends what some can't act on
 	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &agree.Command{ID: id, By: "test", Put: &agree.PutDoc{Name: hardDoc, Body: []byte(id)}}}
+	w.puts[id] = &put{c: &consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: hardDoc, Body: []byte(id)}}}
 	w.Run(w.Now + within/2)
 	w.Checker.settled(w)
 }
--- a/internal/testkit/rehearse/bad_test.go
+++ b/internal/testkit/rehearse/bad_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	decide := core.Module
+	decide := eventloop.Module
 	switch kind {
 	case "good":
 	case "answers twice":
@@ -382,9 +382,9 @@
 			r := played(t, testPlan(t), Options{Command: testSidecar(kind)})
 			for _, u := range r.Referee.Rules {
 				switch {
-				case u.Number == rule && u.Verdict != referee.Broken:
+				case u.Number == rule && u.Verdict != invariant.Broken:
 					t.Errorf("rule %d is %s: %v", rule, u.Verdict, u.Occasions)
-				case rule == 0 && u.Verdict != referee.Held:
+				case rule == 0 && u.Verdict != invariant.Held:
 					t.Errorf("rule %d is %s: %v, %+v", u.Number, u.Verdict, u.Occasions, u.Breaches)
 				}
 			}
@@ -400,12 +400,12 @@
 
 // The plain pickers keep the rule on effects; what else they break is theirs to show.
 func TestPlainPickersServe(t *testing.T) {
-	for _, name := range plain.Names() {
-		if _, err := plain.New(name); err != nil {
+	for _, name := range baseline.Names() {
+		if _, err := baseline.New(name); err != nil {
 			t.Error(err)
 		}
 	}
-	if _, err := plain.New("best"); err == nil || !strings.Contains(err.Error(), "random") {
+	if _, err := baseline.New("best"); err == nil || !strings.Contains(err.Error(), "random") {
 		t.Errorf("an unknown one: %v", err)
 	}
 }
@@ -431,7 +431,7 @@
 share = 0.25
 down = "300ms"
 `, "count = 2", "count = 1")
-	for kind, want := range map[string]referee.Verdict{"good": referee.Held, "keeps sending to what drains": referee.Broken} {
+	for kind, want := range map[string]invariant.Verdict{"good": invariant.Held, "keeps sending to what drains": invariant.Broken} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			r := played(t, testPlan(t, day...), Options{Command: testSidecar(kind)})
--- a/internal/testkit/rehearse/fleet.go
+++ b/internal/testkit/rehearse/fleet.go
@@ -182,8 +182,8 @@
 	looks  sync.WaitGroup
 
 	mu       sync.Mutex
-	events   []witness.Event
-	acts     []witness.Act
+	events   []clusterinvariant.Event
+	acts     []clusterinvariant.Act
 	troubles int
 }
 
@@ -232,7 +232,7 @@
 		}
 		place := &fleetPlace{file: text, admin: admin}
 		if day.Clock.Hi > 0 {
-			place.clock = fmt.Sprintf("%s=%v", link.ClockRate, day.Clock.At(w.share("clock", sidecarName(i))))
+			place.clock = fmt.Sprintf("%s=%v", transport.ClockRate, day.Clock.At(w.share("clock", sidecarName(i))))
 		}
 		f.places[sidecarName(i)] = place
 	}
@@ -250,20 +250,20 @@
 }
 
 // fact notes what was done to a sidecar.
-func (f *fleetWorld) fact(k witness.Kind, of string) {
+func (f *fleetWorld) fact(k clusterinvariant.Kind, of string) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if k == witness.Up {
+	if k == clusterinvariant.Up {
 		f.places[of].lives++
 	}
-	f.note(witness.Event{Kind: k, Of: of})
+	f.note(clusterinvariant.Event{Kind: k, Of: of})
 }
 
 // note notes an event. f.mu is held.
-func (f *fleetWorld) note(e witness.Event) {
+func (f *fleetWorld) note(e clusterinvariant.Event) {
 	e.At = f.w.rec.Now()
 	if len(f.events) < eventsMost/10 {
 		f.events = append(f.events, e)
@@ -284,9 +284,9 @@
 	f.troubles += by
 	switch {
 	case was == 0:
-		f.note(witness.Event{Kind: witness.Trouble})
+		f.note(clusterinvariant.Event{Kind: clusterinvariant.Trouble})
 	case f.troubles == 0:
-		f.note(witness.Event{Kind: witness.Calm})
+		f.note(clusterinvariant.Event{Kind: clusterinvariant.Calm})
 	}
 }
 
@@ -349,11 +349,11 @@
 		life := place.lives
 		f.mu.Unlock()
 		asked := f.w.rec.Now()
-		s, err := report.AskSettings(place.admin, peersWait)
+		s, err := status.AskSettings(place.admin, peersWait)
 		if err != nil || !s.Acting {
 			continue
 		}
-		act := witness.Act{Asked: asked, Said: f.w.rec.Now(), By: name, Life: life, Version: s.Version, Digest: fmt.Sprint(s.Documents)}
+		act := clusterinvariant.Act{Asked: asked, Said: f.w.rec.Now(), By: name, Life: life, Version: s.Version, Digest: fmt.Sprint(s.Documents)}
 		f.mu.Lock()
 		if life == place.lives && len(f.acts) < eventsMost/10 {
 			f.acts = append(f.acts, act)
@@ -391,9 +391,9 @@
 }
 
 func (f *fleetWorld) watch(name string, place *fleetPlace, done <-chan struct{}) {
-	held := map[string]report.Peer{}
+	held := map[string]status.Peer{}
 	for f.pause(done, peersLook) {
-		r, err := report.Ask(place.admin, peersWait)
+		r, err := status.Ask(place.admin, peersWait)
 		if err != nil {
 			if _, refused := err.(*net.OpError); refused {
 				clear(held) // a process that is started again holds nothing of its former life
@@ -405,7 +405,7 @@
 }
 
 // saw notes what is new in a report.
-func (f *fleetWorld) saw(name string, r *report.Fleet, held map[string]report.Peer) {
+func (f *fleetWorld) saw(name string, r *status.Fleet, held map[string]status.Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range r.Peers {
@@ -413,7 +413,7 @@
 			continue
 		}
 		held[p.Name] = p
-		f.note(witness.Event{Kind: witness.Saw, By: name, Of: p.Name, State: p.State, Incarnation: p.Incarnation})
+		f.note(clusterinvariant.Event{Kind: clusterinvariant.Saw, By: name, Of: p.Name, State: p.State, Incarnation: p.Incarnation})
 	}
 }
 
@@ -440,10 +440,10 @@
 
 // PeersRule is the finding on one rule of a fleet.
 type PeersRule struct {
-	Name     string           `json:"name"`
-	Verdict  string           `json:"verdict"` // held, broken or not put to the test
-	Tests    int              `json:"tests"`
-	Breaches []witness.Breach `json:"breaches"`
+	Name     string                    `json:"name"`
+	Verdict  string                    `json:"verdict"` // held, broken or not put to the test
+	Tests    int                       `json:"tests"`
+	Breaches []clusterinvariant.Breach `json:"breaches"`
 }
 
 // judge holds the day's timeline against the rules of a fleet.
@@ -455,22 +455,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	day := f.w.plan.Day.Fleet
-	v := witness.Judge(f.events, witness.Limits{Detect: day.Detect, Settle: day.Settle, End: end})
+	v := clusterinvariant.Judge(f.events, clusterinvariant.Limits{Detect: day.Detect, Settle: day.Settle, End: end})
 	p := &Peers{Held: len(v.Breaches) == 0, Detect: v.Detect.Seconds(), Settle: v.Settle.Seconds(), Events: len(f.events)}
-	rules := witness.Rules
+	rules := clusterinvariant.Rules
 	if day.Agreed {
-		slices.SortStableFunc(f.acts, func(a, b witness.Act) int { return cmp.Compare(a.Said, b.Said) })
-		versions := witness.JudgeVersions(f.acts, agreedConflict)
+		slices.SortStableFunc(f.acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
+		versions := clusterinvariant.JudgeVersions(f.acts, agreedConflict)
 		p.Acts, p.Versions, p.Contradiction = versions.Acts, versions.Versions, versions.Longest.Seconds()
 		v.Breaches = append(v.Breaches, versions.Breaches...)
 		p.Held = len(v.Breaches) == 0
-		rules = append(slices.Clone(rules), witness.VersionRules...)
-		for _, rule := range witness.VersionRules {
+		rules = append(slices.Clone(rules), clusterinvariant.VersionRules...)
+		for _, rule := range clusterinvariant.VersionRules {
 			v.Tested[rule] = max(versions.Versions-1, 0)
 		}
 	}
 	for _, rule := range rules {
-		r := PeersRule{Name: string(rule), Verdict: "held", Tests: v.Tested[rule], Breaches: []witness.Breach{}}
+		r := PeersRule{Name: string(rule), Verdict: "held", Tests: v.Tested[rule], Breaches: []clusterinvariant.Breach{}}
 		for _, b := range v.Breaches {
 			if b.Rule == rule && len(r.Breaches) < breachesTold {
 				b.At -= dayStart
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -26,7 +26,7 @@
 	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n", listen, each)
 	for i, c := range day.Class {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\nid_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.Aim, c.Deadline)
-		if p.Classes[i].Effect == referee.Keyed {
+		if p.Classes[i].Effect == invariant.Keyed {
 			fmt.Fprintf(&b, "window = %q\ngroup = \"cell\"\n", c.Window)
 		}
 	}
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -23,7 +23,7 @@
 	Rate     float64 // first tries a second that are asked for, without surges
 	Nodes    []NodePlan
 	Sidecars int
-	Classes  []standin.Class
+	Classes  []fake.Class
 	Quotas   []float64 // requests a second within each tenant's share
 	Requests []Request
 	Strikes  []Strike
@@ -33,14 +33,14 @@
 
 // NodePlan is a node that the day has from its start.
 type NodePlan struct {
-	Spec standin.NodeSpec
+	Spec fake.NodeSpec
 	Seed uint64
 }
 
 // Request is a first try that is due, and how its client will behave.
 type Request struct {
 	schedule.Arrival
-	Job     *standin.Job
+	Job     *fake.Job
 	Key     string
 	Over    bool    // beyond its tenant's share
 	Worth   float64 // of an answer within the aim
@@ -86,7 +86,7 @@
 	p := &Plan{Day: d, Seed: seed, Demand: demand}
 	rng := draw(seed, drawFleet)
 	for _, c := range d.Class {
-		p.Classes = append(p.Classes, standin.Class{Name: c.Name, Effect: effects[c.Effect], Window: c.Window, Deadline: c.Deadline})
+		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effects[c.Effect], Window: c.Window, Deadline: c.Deadline})
 	}
 	works := p.drawWorks(rng)
 	p.drawNodes(rng)
@@ -102,7 +102,7 @@
 	return p, nil
 }
 
-var effects = map[string]referee.Effect{"safe": referee.Safe, "keyed": referee.Keyed, "unsafe": referee.Unsafe}
+var effects = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.Keyed, "unsafe": invariant.Unsafe}
 
 // whole draws a whole number from a range.
 func whole(r tomlfile.Range, rng *rand.Rand) float64 {
@@ -134,9 +134,9 @@
 		for _, k := range t.Kind {
 			shares = append(shares, k.Share)
 		}
-		var choke *standin.Choke
+		var choke *fake.Choke
 		if c := t.Choke; c != nil {
-			choke = &standin.Choke{At: c.At.At(rng.Float64()), Over: c.Over.At(rng.Float64()), Slower: c.Slower.At(rng.Float64()),
+			choke = &fake.Choke{At: c.At.At(rng.Float64()), Over: c.Over.At(rng.Float64()), Slower: c.Slower.At(rng.Float64()),
 				Rest: c.Rest.At(rng.Float64()), Below: c.Below.At(rng.Float64()), Most: c.Most.At(rng.Float64())}
 		}
 		hand, idle, errors := t.Handshake.At(rng.Float64()), t.Idle.At(rng.Float64()), t.Errors.At(rng.Float64())
@@ -144,7 +144,7 @@
 		dealt := deal(shares, n)
 		for j := range n {
 			k := t.Kind[dealt[j]]
-			p.Nodes = append(p.Nodes, NodePlan{Seed: rng.Uint64(), Spec: standin.NodeSpec{
+			p.Nodes = append(p.Nodes, NodePlan{Seed: rng.Uint64(), Spec: fake.NodeSpec{
 				ID: fmt.Sprintf("%s-%d", t.Name, j+1), Zone: "here", Kind: k.Name, Tier: i, Cell: j / cell,
 				Cores: k.Cores, Speed: k.Speed.At(rng.Float64()),
 				Slots: max(int(k.Slots.At(rng.Float64())*float64(k.Cores)), 1), Room: int(k.Room.At(rng.Float64()) * float64(k.Cores)),
@@ -308,9 +308,9 @@
 const workMost = 10
 
 // drawJob draws a request's work in a tier and in those behind it.
-func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *standin.Job {
+func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
 	t := p.Day.Tier[tier]
-	j := &standin.Job{Work: time.Duration(float64(mean.work) * t.Work * lognormal(rng, p.Day.Class[class].Vary)),
+	j := &fake.Job{Work: time.Duration(float64(mean.work) * t.Work * lognormal(rng, p.Day.Class[class].Vary)),
 		Wait: time.Duration(float64(mean.wait) * t.Work)}
 	if tier+1 < len(p.Day.Tier) {
 		calls := p.calls[tier+1]
@@ -340,11 +340,11 @@
 }
 
 // Rules are the figures that the referee holds a plan's day to.
-func (p *Plan) Rules() referee.Rules {
-	r := referee.Rules{MaxAttempts: p.Day.Rules.Attempts, Slack: p.Day.Rules.Slack, DrainGrace: p.Day.Rules.DrainGrace,
-		FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter, FallSlack: standin.FallSlack, TermGrace: termGrace}
+func (p *Plan) Rules() invariant.Rules {
+	r := invariant.Rules{MaxAttempts: p.Day.Rules.Attempts, Slack: p.Day.Rules.Slack, DrainGrace: p.Day.Rules.DrainGrace,
+		FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter, FallSlack: fake.FallSlack, TermGrace: termGrace}
 	for _, c := range p.Classes {
-		r.Classes = append(r.Classes, referee.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
+		r.Classes = append(r.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
 	}
 	return r
 }
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -48,14 +48,14 @@
 	plan    *Plan
 	opt     Options
 	ctx     context.Context
-	rec     *standin.Recorder
-	desk    *standin.Desk
-	front   *standin.Front
-	clients *standin.Caller
+	rec     *fake.Recorder
+	desk    *fake.Desk
+	front   *fake.Front
+	clients *fake.Caller
 	dir     string
 	seq     atomic.Uint64
 	cancel  context.CancelFunc
-	notices map[*standin.Agent]chan notification // on their way; not written to after build
+	notices map[*fake.Agent]chan notification // on their way; not written to after build
 	carry   sync.WaitGroup
 
 	tiers    [][]*site // by tier
@@ -78,15 +78,15 @@
 // site is a place for a node: a machine with its own sidecar, and whatever node runs there now.
 type site struct {
 	plan    NodePlan
-	cell    *standin.Cell
+	cell    *fake.Cell
 	sidecar *process // nil in the last tier
-	caller  *standin.Caller
+	caller  *fake.Caller
 
 	mu     sync.Mutex
-	node   *standin.Node
-	member standin.Member
+	node   *fake.Node
+	member fake.Member
 	names  int
-	all    []*standin.Node // that have run here
+	all    []*fake.Node // that have run here
 }
 
 // outcome is what became of a first try and its retries.
@@ -112,11 +112,11 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	w := &world{plan: plan, opt: opt, ctx: ctx, cancel: cancel, dir: dir, desk: &standin.Desk{}, front: &standin.Front{},
-		notices: map[*standin.Agent]chan notification{}, outs: make([]outcome, len(plan.Requests)), own: schedule.NewLatency()}
+	w := &world{plan: plan, opt: opt, ctx: ctx, cancel: cancel, dir: dir, desk: &fake.Desk{}, front: &fake.Front{},
+		notices: map[*fake.Agent]chan notification{}, outs: make([]outcome, len(plan.Requests)), own: schedule.NewLatency()}
 	began := usage()
-	w.rec = standin.NewRecorder(time.Now(), eventsMost)
-	w.clients = standin.NewCaller(plan.Classes, w.desk, w.rec, plan.Day.Rules.Slack, clientsIdle)
+	w.rec = fake.NewRecorder(time.Now(), eventsMost)
+	w.clients = fake.NewCaller(plan.Classes, w.desk, w.rec, plan.Day.Rules.Slack, clientsIdle)
 	if keep := plan.Day.Clients.Keep; keep.Hi > 0 {
 		w.clients.Lasts(func() time.Duration { return keep.At(w.share("keep", fmt.Sprint(w.seq.Add(1)))) })
 	}
@@ -152,7 +152,7 @@
 
 // build makes nodes, agents and sidecars. The nodes run when it returns.
 func (w *world) build() error {
-	cells := map[[2]int]*standin.Cell{}
+	cells := map[[2]int]*fake.Cell{}
 	window := time.Duration(0)
 	for _, c := range w.plan.Classes {
 		window = max(window, c.Window)
@@ -161,14 +161,14 @@
 	for _, p := range w.plan.Nodes {
 		key := [2]int{p.Spec.Tier, p.Spec.Cell}
 		if cells[key] == nil {
-			cells[key] = standin.NewCell(window)
+			cells[key] = fake.NewCell(window)
 		}
 		s := &site{plan: p, cell: cells[key]}
 		s.make(w, p.Spec.ID, "")
 		if _, err := s.node.Start(false); err != nil {
 			return err
 		}
-		s.member = member(s.node, standin.StateReady, time.Time{})
+		s.member = member(s.node, fake.StateReady, time.Time{})
 		w.tiers[p.Spec.Tier] = append(w.tiers[p.Spec.Tier], s)
 	}
 	if err := w.buildFleet(); err != nil {
@@ -189,7 +189,7 @@
 			}
 			s.mu.Lock()
 			s.sidecar = p
-			s.caller = standin.NewCaller(w.plan.Classes, w.desk, w.rec, w.plan.Day.Rules.Slack, callersIdle)
+			s.caller = fake.NewCaller(w.plan.Classes, w.desk, w.rec, w.plan.Day.Rules.Slack, callersIdle)
 			s.mu.Unlock()
 		}
 	}
@@ -200,7 +200,7 @@
 func (s *site) make(w *world, id, addr string) {
 	spec := s.plan.Spec
 	spec.ID = id
-	n := standin.NewNode(spec, w.plan.Classes, s.cell, w.desk, w.rec, s.plan.Seed)
+	n := fake.NewNode(spec, w.plan.Classes, s.cell, w.desk, w.rec, s.plan.Seed)
 	n.Addr = addr
 	if spec.Tier+1 < len(w.plan.Day.Tier) {
 		n.Next = &next{w, s}
@@ -209,8 +209,8 @@
 	s.all = append(s.all, n)
 }
 
-func member(n *standin.Node, state string, started time.Time) standin.Member {
-	m := standin.Member{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state, Weight: 1}
+func member(n *fake.Node, state string, started time.Time) fake.Member {
+	m := fake.Member{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state, Weight: 1}
 	if !started.IsZero() {
 		m.StartedMs = started.UnixMilli()
 	}
@@ -225,11 +225,11 @@
 }
 
 // Call implements standin.Next.
-func (n *next) Call(class int, key string, job *standin.Job) bool {
+func (n *next) Call(class int, key string, job *fake.Job) bool {
 	n.s.mu.Lock()
 	p, caller := n.s.sidecar, n.s.caller
 	n.s.mu.Unlock()
-	out := caller.Try(standin.Try{ID: n.w.id("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.seq.Add(1)), Job: job,
+	out := caller.Try(fake.Try{ID: n.w.id("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.seq.Add(1)), Job: job,
 		Wait:    n.w.plan.Classes[class].Deadline,
 		Connect: func() (string, string, bool) { return p.name, p.addr, true }})
 	return out.Status == 200
@@ -238,11 +238,11 @@
 func (w *world) id(what string) string { return fmt.Sprintf("%s-%016x", what, w.seq.Add(1)) }
 
 func (w *world) newProcess(name string, tier, me, n int) (*process, error) {
-	var list []standin.Member
+	var list []fake.Member
 	for _, s := range w.tiers[tier] {
 		list = append(list, s.member)
 	}
-	agent, err := standin.NewAgent(name, list, w.rec)
+	agent, err := fake.NewAgent(name, list, w.rec)
 	if err != nil {
 		return nil, err
 	}
@@ -306,7 +306,7 @@
 	}
 	for _, p := range w.first {
 		w.front.In(p.name, p.addr)
-		w.fleet.fact(witness.Up, p.name)
+		w.fleet.fact(clusterinvariant.Up, p.name)
 	}
 	return first
 }
@@ -427,7 +427,7 @@
 		if wait < time.Millisecond {
 			return
 		}
-		try := standin.Try{ID: w.id("try"), Class: q.Class, Tenant: w.plan.Day.Tenant[q.Tenant].Name, Key: q.Key, Retry: o.tries > 0,
+		try := fake.Try{ID: w.id("try"), Class: q.Class, Tenant: w.plan.Day.Tenant[q.Tenant].Name, Key: q.Key, Retry: o.tries > 0,
 			Job: q.Job, Wait: wait, Connect: w.front.Connect}
 		if w.plan.Day.Load.Hints {
 			try.Hint = roughly(q)
@@ -443,7 +443,7 @@
 			return
 		}
 		refused := out.Status == 503 || out.Status == 429
-		if out.Left || o.tries > q.Retries || class.Effect != referee.Safe && out.Reached && !refused {
+		if out.Left || o.tries > q.Retries || class.Effect != invariant.Safe && out.Reached && !refused {
 			return
 		}
 		pause := q.Backoff
--- a/internal/testkit/rehearse/process.go
+++ b/internal/testkit/rehearse/process.go
@@ -30,8 +30,8 @@
 type process struct {
 	name     string
 	addr     string
-	agent    *standin.Agent
-	rec      *standin.Recorder
+	agent    *fake.Agent
+	rec      *fake.Recorder
 	dir      string
 	command  func() *exec.Cmd
 	settings json.RawMessage
@@ -64,7 +64,7 @@
 }
 
 // configText is what the platform would put where ROUTER_CONFIG points.
-func (p *process) configText(known standin.List) ([]byte, error) {
+func (p *process) configText(known fake.List) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.seeds()),
 		"limits":   map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB, "sockets": p.day.Sidecars.Sockets},
@@ -74,7 +74,7 @@
 }
 
 // told is the command of a life, and what that is told.
-func (p *process) told(known standin.List) (*exec.Cmd, error) {
+func (p *process) told(known fake.List) (*exec.Cmd, error) {
 	cmd := p.command()
 	cmd.Env = append(cmd.Environ(), p.env...)
 	if p.file != nil {
@@ -110,9 +110,9 @@
 	defer log.Close()
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is ours to pass on
-	p.rec.Add(referee.Event{Kind: referee.Up, Sidecar: p.name})
+	p.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
 	for _, m := range known.Servers {
-		p.rec.Add(standin.Told(p.name, m, p.rec))
+		p.rec.Add(fake.Told(p.name, m, p.rec))
 	}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -129,7 +129,7 @@
 	crash := !p.wanted
 	p.cmd = nil
 	p.mu.Unlock()
-	p.rec.Add(referee.Event{Kind: referee.Exited, Sidecar: p.name, Crash: crash})
+	p.rec.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: crash})
 	close(ended)
 	if crash {
 		p.crashed(p)
@@ -137,7 +137,7 @@
 }
 
 // signal sends one to the present life, and gives what closes at its end; nil if there is none.
-func (p *process) signal(s syscall.Signal, kind referee.Kind) <-chan struct{} {
+func (p *process) signal(s syscall.Signal, kind invariant.Kind) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -145,7 +145,7 @@
 	}
 	p.wanted = true
 	p.peak = max(p.peak, peakMB(p.cmd.Process.Pid))
-	p.rec.Add(referee.Event{Kind: kind, Sidecar: p.name})
+	p.rec.Add(invariant.Event{Kind: kind, Sidecar: p.name})
 	_ = p.cmd.Process.Signal(s)
 	return p.ended
 }
@@ -174,11 +174,11 @@
 	}
 	it, ended := p.cmd.Process, p.ended
 	_ = it.Signal(syscall.SIGSTOP)
-	p.rec.Add(referee.Event{Kind: referee.Paused, Sidecar: p.name}) // what comes of it comes later
+	p.rec.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name}) // what comes of it comes later
 	p.mu.Unlock()
 	began := time.Now()
 	sleepCtx(ctx, d)
-	p.rec.Add(referee.Event{Kind: referee.Resumed, Sidecar: p.name, For: time.Since(began)})
+	p.rec.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(began)})
 	select {
 	case <-ended: // it was killed meanwhile
 	default:
@@ -188,14 +188,14 @@
 
 // kill ends the process outright and waits for its end.
 func (p *process) kill() {
-	if ended := p.signal(syscall.SIGKILL, referee.Killed); ended != nil {
+	if ended := p.signal(syscall.SIGKILL, invariant.Killed); ended != nil {
 		<-ended
 	}
 }
 
 // term ends it as a planned restart does: SIGTERM, and SIGKILL once the longest deadline and a little more are over.
 func (p *process) term(patience time.Duration) {
-	ended := p.signal(syscall.SIGTERM, referee.Term)
+	ended := p.signal(syscall.SIGTERM, invariant.Term)
 	if ended == nil {
 		return
 	}
--- a/internal/testkit/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -243,30 +243,30 @@
 // A rehearsal that did not get to run must blame itself.
 func TestABusyMachineIsNotASidecarsFault(t *testing.T) {
 	w := &world{plan: testPlan(t), own: schedule.NewLatency()}
-	judge := func(o Own, events ...referee.Event) []string {
-		r := &Result{Own: o, Referee: &referee.Report{}}
-		r.Referee.Rules[2].Breaches = []referee.Breach{{Rule: 3, At: 5 * time.Second}}
+	judge := func(o Own, events ...invariant.Event) []string {
+		r := &Result{Own: o, Referee: &invariant.Report{}}
+		r.Referee.Rules[2].Breaches = []invariant.Breach{{Rule: 3, At: 5 * time.Second}}
 		w.judgeOwn(r, events, time.Minute)
 		if r.Valid != (len(r.Invalid) == 0) {
 			t.Errorf("valid %v, %v", r.Valid, r.Invalid)
 		}
 		return r.Invalid
 	}
-	stall := func(at time.Duration) referee.Event {
-		return referee.Event{Kind: referee.Stall, At: time.Minute + at, For: 60 * time.Millisecond}
+	stall := func(at time.Duration) invariant.Event {
+		return invariant.Event{Kind: invariant.Stall, At: time.Minute + at, For: 60 * time.Millisecond}
 	}
 	for _, c := range []struct {
 		name   string
 		own    Own
-		events []referee.Event
+		events []invariant.Event
 		want   string
 	}{
 		{"a quiet machine", Own{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
 		{"late sends", Own{LateP99: 0.026}, nil, "late"},
 		{"a long pause", Own{WorstStall: 0.51}, nil, "stood still"},
 		{"no room", Own{EventsNoRoom: 1}, nil, "no room"},
-		{"a pause next to a breach", Own{}, []referee.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
-		{"a pause elsewhere", Own{}, []referee.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
+		{"a pause next to a breach", Own{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
+		{"a pause elsewhere", Own{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
 	} {
 		got := judge(c.own, c.events...)
 		if (c.want == "") != (len(got) == 0) || c.want != "" && !strings.Contains(got[0], c.want) {
--- a/internal/testkit/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -28,7 +28,7 @@
 		"one": func(v float64) string { return fmt.Sprintf("%.1f", v) }, "ms": func(v float64) string { return fmt.Sprintf("%.1f ms", 1000*v) },
 		"percent": func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
 		"bar":     func(v float64) template.CSS { return template.CSS(fmt.Sprintf("width:%.1f%%", 100*min(max(v, 0), 1))) },
-		"class":   func(v referee.Verdict) string { return strings.ReplaceAll(string(v), " ", "-") },
+		"class":   func(v invariant.Verdict) string { return strings.ReplaceAll(string(v), " ", "-") },
 		"series":  func(i int) string { return fmt.Sprintf("series%d", i%5) },
 	}
 }
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -38,10 +38,10 @@
 	ClientsOwn float64            `json:"tries_per_request"`       // of clients
 	Latency    map[string]Latency `json:"latency"`                 // of what was served, from the instant due, by class; "all" is all
 
-	Referee  *referee.Report `json:"referee"`
-	Troubles []Strike        `json:"troubles"`
-	Nodes    []string        `json:"nodes"`
-	InHand   [][]int         `json:"in_hand"` // by quarter of a second, by node
+	Referee  *invariant.Report `json:"referee"`
+	Troubles []Strike          `json:"troubles"`
+	Nodes    []string          `json:"nodes"`
+	InHand   [][]int           `json:"in_hand"` // by quarter of a second, by node
 
 	Fleet    Fleet     `json:"fleet"`
 	Peers    *Peers    `json:"peers,omitempty"` // what the sidecars of a fleet held of one another
@@ -137,14 +137,14 @@
 
 func (w *world) result(h *watch, dayStart, end time.Duration, began resources) *Result {
 	events, lost := w.rec.Take()
-	events = slices.DeleteFunc(events, func(e referee.Event) bool { return e.At > end })
+	events = slices.DeleteFunc(events, func(e invariant.Event) bool { return e.At > end })
 	r := &Result{Format: 1, Day: w.plan.Day.Name, Seed: w.plan.Seed, Demand: w.plan.Demand, ByClass: map[string]Share{}, ByTenant: map[string]Share{},
 		Latency: map[string]Latency{}, Troubles: w.plan.Strikes, InHand: h.inHand,
 		Fleet: Fleet{Nodes: len(w.plan.Nodes), Sidecars: len(w.all), Capacity: w.plan.Capacity, Rate: w.plan.Rate}}
 	for _, n := range w.plan.Nodes {
 		r.Nodes = append(r.Nodes, n.Spec.ID)
 	}
-	r.Referee = referee.Judge(w.plan.Rules(), events)
+	r.Referee = invariant.Judge(w.plan.Rules(), events)
 	for i := range r.Referee.Rules {
 		for k := range r.Referee.Rules[i].Breaches {
 			r.Referee.Rules[i].Breaches[k].At -= dayStart
@@ -247,7 +247,7 @@
 }
 
 // nodesSaw counts what nodes saw, and takes the prices off.
-func (w *world) nodesSaw(r *Result, events []referee.Event, dayStart time.Duration) {
+func (w *world) nodesSaw(r *Result, events []invariant.Event, dayStart time.Duration) {
 	tierOf := map[string]int{}
 	conns, choked := 0, 0
 	for _, sites := range w.tiers {
@@ -270,17 +270,17 @@
 	r.Refusals = make([]float64, len(r.BySecond))
 	for _, e := range events {
 		switch e.Kind {
-		case referee.Sent:
+		case invariant.Sent:
 			all++
 			if tierOf[e.Node] == 0 {
 				first++
 			}
 			work[e.Request] = e.Work
-		case referee.Began:
+		case invariant.Began:
 			if !e.Repeat {
 				ran += work[e.Request]
 			}
-		case referee.Answered:
+		case invariant.Answered:
 			if s := int((e.At - dayStart).Seconds()); (e.Status == 503 || e.Status == 429) && s >= 0 && s < len(r.Refusals) {
 				r.Refusals[s]++
 			}
@@ -320,7 +320,7 @@
 )
 
 // judgeOwn says whether the day is valid.
-func (w *world) judgeOwn(r *Result, events []referee.Event, dayStart time.Duration) {
+func (w *world) judgeOwn(r *Result, events []invariant.Event, dayStart time.Duration) {
 	rules := w.plan.Day.Rules
 	if limit := lateShare * rules.Slack.Seconds(); r.Own.LateP99 > limit {
 		r.Invalid = append(r.Invalid, fmt.Sprintf("1 send of 100 was %.0f ms late or more, %.0f ms are allowed: this machine is too busy, or the day too large for it", 1000*r.Own.LateP99, 1000*limit))
@@ -331,9 +331,9 @@
 	if r.Own.EventsNoRoom > 0 {
 		r.Invalid = append(r.Invalid, fmt.Sprintf("%d events had no room in the timeline: the day is too long", r.Own.EventsNoRoom))
 	}
-	var stalls []referee.Event
+	var stalls []invariant.Event
 	for _, e := range events {
-		if e.Kind == referee.Stall {
+		if e.Kind == invariant.Stall {
 			stalls = append(stalls, e)
 		}
 	}
@@ -341,7 +341,7 @@
 	near := 0
 	for _, rule := range r.Referee.Rules {
 		for _, b := range rule.Breaches {
-			if slices.ContainsFunc(stalls, func(e referee.Event) bool {
+			if slices.ContainsFunc(stalls, func(e invariant.Event) bool {
 				return e.At-e.For-nearStall <= b.At+dayStart && b.At+dayStart <= e.At+nearStall
 			}) {
 				near++
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -41,7 +41,7 @@
 	QuotaPerS float64
 }
 
-var semantics = map[referee.Effect]string{referee.Safe: "read_like", referee.Keyed: "idempotency_key", referee.Unsafe: "non_idempotent"}
+var semantics = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.Keyed: "idempotency_key", invariant.Unsafe: "non_idempotent"}
 
 // resolution is how late a sidecar's events and timers may come here: a timer's own lateness on a busy machine.
 const resolution = 5 * time.Millisecond
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -20,11 +20,11 @@
 	}
 	switch s.Kind {
 	case "slow":
-		w.faulty(ctx, s, (*standin.Node).Slow, 1)
+		w.faulty(ctx, s, (*fake.Node).Slow, 1)
 	case "hang":
-		w.faulty(ctx, s, (*standin.Node).Hang, 0)
+		w.faulty(ctx, s, (*fake.Node).Hang, 0)
 	case "reset":
-		w.faulty(ctx, s, (*standin.Node).Reset, 0)
+		w.faulty(ctx, s, (*fake.Node).Reset, 0)
 	case "crash":
 		w.each(s, func(p *site) { w.crash(ctx, p, s) })
 	case "drain":
@@ -65,7 +65,7 @@
 	all.Wait()
 }
 
-func (w *world) faulty(ctx context.Context, s Strike, set func(*standin.Node, float64), well float64) {
+func (w *world) faulty(ctx context.Context, s Strike, set func(*fake.Node, float64), well float64) {
 	each := func(size float64) {
 		for _, p := range w.sites(s) {
 			p.mu.Lock()
@@ -91,7 +91,7 @@
 func (w *world) drain(ctx context.Context, p *site, s Strike) {
 	p.mu.Lock()
 	p.node.Drain()
-	p.member.State = standin.StateDraining
+	p.member.State = fake.StateDraining
 	m := p.member
 	p.mu.Unlock()
 	w.tell(p, m, false)
@@ -110,7 +110,7 @@
 	p.mu.Lock()
 	p.node.Stop()
 	side, caller := p.sidecar, p.caller
-	p.member.State = standin.StateGone
+	p.member.State = fake.StateGone
 	m := p.member
 	p.mu.Unlock()
 	if side != nil {
@@ -140,11 +140,11 @@
 		p.make(w, p.plan.Spec.ID+strings.Repeat("'", p.names), p.node.Addr)
 	}
 	began, err := p.node.Start(true)
-	p.member = member(p.node, standin.StateReady, began)
+	p.member = member(p.node, fake.StateReady, began)
 	m := p.member
 	p.mu.Unlock()
 	if err != nil {
-		if !errors.Is(err, standin.ErrFallen) { // its port is taken: the day is not the one that was drawn
+		if !errors.Is(err, fake.ErrFallen) { // its port is taken: the day is not the one that was drawn
 			w.fail(err)
 		}
 		return
@@ -153,7 +153,7 @@
 }
 
 // tell sends a change to the agents of all sidecars that send to the node's tier, each in its own time, in order.
-func (w *world) tell(p *site, m standin.Member, added bool) {
+func (w *world) tell(p *site, m fake.Member, added bool) {
 	span := w.plan.Day.Roster.Notice
 	if added {
 		span = w.plan.Day.Roster.Add
@@ -171,14 +171,14 @@
 // notification is a change on its way to an agent.
 type notification struct {
 	at     time.Time
-	member standin.Member
+	member fake.Member
 }
 
 // noticesMost is how many changes may be on their way to one agent.
 const noticesMost = 1024
 
 // bring hands an agent its changes in the order in which they happened, each no sooner than it is due.
-func (w *world) bring(a *standin.Agent, notices <-chan notification) {
+func (w *world) bring(a *fake.Agent, notices <-chan notification) {
 	for {
 		select {
 		case <-w.ctx.Done():
@@ -193,8 +193,8 @@
 }
 
 // agents are those of the sidecars that send to a tier.
-func (w *world) agents(tier int) []*standin.Agent {
-	var out []*standin.Agent
+func (w *world) agents(tier int) []*fake.Agent {
+	var out []*fake.Agent
 	if tier == 0 {
 		for _, p := range w.first {
 			out = append(out, p.agent)
@@ -255,17 +255,17 @@
 		}
 	})
 	if s.How == "planned" {
-		w.fleet.fact(witness.Leaving, p.name)
+		w.fleet.fact(clusterinvariant.Leaving, p.name)
 		p.term(min(w.plan.longestDeadline(), termMost) + termGrace)
-		w.fleet.fact(witness.Leaves, p.name)
+		w.fleet.fact(clusterinvariant.Leaves, p.name)
 	} else {
 		p.kill()
-		w.fleet.fact(witness.Down, p.name)
+		w.fleet.fact(clusterinvariant.Down, p.name)
 	}
 	if !sleepCtx(ctx, s.Down) {
 		return
 	}
-	w.fleet.fact(witness.Up, p.name) // before: what it says of others from now on is of this life
+	w.fleet.fact(clusterinvariant.Up, p.name) // before: what it says of others from now on is of this life
 	if err := p.start(); err != nil {
 		w.fail(err)
 		return
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -79,14 +79,14 @@
 	}
 }
 
-func verdictText(u referee.Rule) string {
-	if u.Verdict == referee.Broken {
+func verdictText(u invariant.Rule) string {
+	if u.Verdict == invariant.Broken {
 		return fmt.Sprintf("BROKEN %d times", u.Broken)
 	}
 	return string(u.Verdict)
 }
 
-func occasions(u referee.Rule) string {
+func occasions(u invariant.Rule) string {
 	var out []string
 	for name, n := range u.Occasions {
 		out = append(out, fmt.Sprintf("%s %d", name, n))
@@ -95,7 +95,7 @@
 	return strings.Join(out, ", ")
 }
 
-func describe(x referee.Breach) string {
+func describe(x invariant.Breach) string {
 	out := x.What
 	for _, part := range []struct{ name, value string }{{"request", x.Request}, {"sidecar", x.Sidecar}, {"node", x.Node}} {
 		if part.value != "" {
@@ -129,7 +129,7 @@
 func ruleWord(r *Result) string {
 	var broken []string
 	for _, u := range r.Referee.Rules {
-		if u.Verdict == referee.Broken {
+		if u.Verdict == invariant.Broken {
 			broken = append(broken, fmt.Sprint(u.Number))
 		}
 	}
--- a/internal/testkit/rehearse/tell_test.go
+++ b/internal/testkit/rehearse/tell_test.go
@@ -17,13 +17,13 @@
 		Latency: map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}}, BySecond: make([]Second, 20), Refusals: make([]float64, 20),
 		Nodes: []string{"front-1", "front-2"}, InHand: [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
 		Troubles: []Strike{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Size: 4}},
-		Referee:  &referee.Report{}}
-	names := []referee.Verdict{referee.Held, referee.Broken, referee.Untested, referee.Held}
+		Referee:  &invariant.Report{}}
+	names := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
 	for i := range r.Referee.Rules {
-		r.Referee.Rules[i] = referee.Rule{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
+		r.Referee.Rules[i] = invariant.Rule{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
 	}
 	r.Referee.Rules[1].Broken = 7
-	r.Referee.Rules[1].Breaches = []referee.Breach{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
+	r.Referee.Rules[1].Breaches = []invariant.Breach{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
 	return r
 }
 
--- a/internal/testkit/swimsim/swarm.go
+++ b/internal/testkit/swimsim/swarm.go
@@ -1,6 +1,6 @@
-// Package swarm plays hundreds and thousands of swim nodes on one heap of events in virtual time: links that lose, daemons
+// Package swimsim plays hundreds and thousands of swim nodes on one heap of events in virtual time: links that lose, daemons
 // that are slow, stopped or killed, cuts that heal. The same seed gives the same play.
-package swarm
+package swimsim
 
 import (
 	"math/rand/v2"
@@ -36,7 +36,7 @@
 
 	o      Options
 	rng    *rand.Rand
-	agenda agenda.Agenda[event]
+	agenda eventqueue.Agenda[event]
 	at     map[netip.AddrPort]*Node
 
 	Messages, Bytes uint64 // sent
@@ -149,7 +149,7 @@
 	return false
 }
 
-func (w *World) step(e agenda.Entry[event]) (changed bool) {
+func (w *World) step(e eventqueue.Entry[event]) (changed bool) {
 	n, m := e.What.node, e.What.m
 	if n.Node == nil {
 		w.Begin(n, nil)
@@ -196,10 +196,10 @@
 
 // carry sends what a node wants to send.
 func (w *World) carry(n *Node) {
-	var room [link.MostDatagram]byte
+	var room [transport.MostDatagram]byte
 	for _, e := range n.Out() {
 		w.Messages++
-		w.Bytes += uint64(len(link.Marshal(room[:0], e.Message))) + link.Overhead
+		w.Bytes += uint64(len(transport.Marshal(room[:0], e.Message))) + transport.Overhead
 		to := w.at[e.To]
 		if to == nil || to.Dead || w.Cut != nil && w.Cut(n.Place, to.Place) {
 			continue
--- a/internal/testkit/swimsim/swarm_test.go
+++ b/internal/testkit/swimsim/swarm_test.go
@@ -1,4 +1,4 @@
-package swarm
+package swimsim
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 type play struct {
 	*World
 	t      *testing.T
-	events []witness.Event
+	events []clusterinvariant.Event
 }
 
 const (
@@ -26,7 +26,7 @@
 func newPlay(t *testing.T, o Options) *play {
 	p := &play{World: New(o), t: t}
 	for _, n := range p.Nodes {
-		p.fact(witness.Up, n)
+		p.fact(clusterinvariant.Up, n)
 		if o.Settled {
 			for _, other := range p.Nodes {
 				p.saw(n, other.Peer.Name, swim.Alive, 1)
@@ -38,11 +38,11 @@
 }
 
 func (p *play) saw(by *Node, of string, s swim.State, incarnation uint64) {
-	p.events = append(p.events, witness.Event{At: p.Now, Kind: witness.Saw, By: by.Peer.Name, Of: of, State: s.String(), Incarnation: incarnation})
+	p.events = append(p.events, clusterinvariant.Event{At: p.Now, Kind: clusterinvariant.Saw, By: by.Peer.Name, Of: of, State: s.String(), Incarnation: incarnation})
 }
 
-func (p *play) fact(k witness.Kind, n *Node) {
-	e := witness.Event{At: p.Now, Kind: k}
+func (p *play) fact(k clusterinvariant.Kind, n *Node) {
+	e := clusterinvariant.Event{At: p.Now, Kind: k}
 	if n != nil {
 		e.Of = n.Peer.Name
 	}
@@ -51,11 +51,11 @@
 
 // during plays a trouble, and the time to settle after it.
 func (p *play) during(d time.Duration, begin, end func()) {
-	p.fact(witness.Trouble, nil)
+	p.fact(clusterinvariant.Trouble, nil)
 	begin()
 	p.Run(p.Now+d, nil)
 	end()
-	p.fact(witness.Calm, nil)
+	p.fact(clusterinvariant.Calm, nil)
 	p.Run(p.Now+settle+time.Second, nil)
 }
 
@@ -70,12 +70,12 @@
 	}
 	n.Peer = as
 	p.Begin(n, nil)
-	p.fact(witness.Up, n)
+	p.fact(clusterinvariant.Up, n)
 	p.saw(n, as.Name, swim.Alive, 1)
 }
 
-func (p *play) verdict() witness.Verdict {
-	return witness.Judge(p.events, witness.Limits{Detect: detect, Settle: settle, End: p.Now})
+func (p *play) verdict() clusterinvariant.Verdict {
+	return clusterinvariant.Judge(p.events, clusterinvariant.Limits{Detect: detect, Settle: settle, End: p.Now})
 }
 
 // seeds are from how many each hard case is drawn; HARD=20 is what docs/design/026 was measured with.
@@ -137,24 +137,24 @@
 	"stale": func(p *play) {
 		p.kill(5, 6)
 		stale := p.Nodes[2]
-		p.fact(witness.Trouble, nil)
+		p.fact(clusterinvariant.Trouble, nil)
 		stale.Paused = p.Now + 30*time.Minute
 		p.Run(p.Now+15*time.Minute, nil)
 		as := life(p.Nodes[1], 1)
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
 		p.Run(stale.Paused+detect, nil) // who it has not heard the end of it finds out about like anybody
-		p.fact(witness.Calm, nil)
+		p.fact(clusterinvariant.Calm, nil)
 		p.Run(p.Now+settle+time.Second, nil)
 	},
 	"left": func(p *play) {
 		n := p.Nodes[1]
-		p.fact(witness.Leaving, n)
+		p.fact(clusterinvariant.Leaving, n)
 		n.Leave(n.local(p.Now))
 		p.carry(n)
 		p.Run(p.Now+300*time.Millisecond, nil)
 		p.Kill(n)
-		p.fact(witness.Leaves, n)
+		p.fact(clusterinvariant.Leaves, n)
 		p.Run(p.Now+2*settle, nil)
 		p.restart(n, life(n, 1))
 		p.Run(p.Now+2*settle, nil)
@@ -170,7 +170,7 @@
 func (p *play) kill(places ...int) {
 	for _, i := range places {
 		p.Kill(p.Nodes[i])
-		p.fact(witness.Down, p.Nodes[i])
+		p.fact(clusterinvariant.Down, p.Nodes[i])
 	}
 }
 
@@ -193,7 +193,7 @@
 				for _, b := range v.Breaches[:min(len(v.Breaches), 3)] {
 					t.Errorf("seed %d at %v: %s: %s", seed+1, b.At, b.Rule, b.Text)
 				}
-				if v.Tested[witness.AgreeInTime] == 0 {
+				if v.Tested[clusterinvariant.AgreeInTime] == 0 {
 					t.Fatalf("seed %d: agreement was not put to the test", seed+1)
 				}
 			}
@@ -203,7 +203,7 @@
 
 // A bad detector is caught, by the right rule; a good one on the same day is not.
 func TestABadDetectorIsCaught(t *testing.T) {
-	day := func(p *play) witness.Verdict {
+	day := func(p *play) clusterinvariant.Verdict {
 		p.Run(5*time.Second, nil)
 		p.cut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
 		hard["left"](p)
@@ -232,14 +232,14 @@
 	}
 	for _, bad := range []struct {
 		name   string
-		rule   witness.Rule // empty: none
+		rule   clusterinvariant.Rule // empty: none
 		swim   swim.Options
 		tamper func(*Node, swim.Message) swim.Message
 	}{
 		{name: "good"},
-		{"never refutes", witness.NoFalse, swim.Options{}, deaf},
-		{"believes the first suspicion", witness.NoFalse, swim.Options{Suspicion: 1, NoShrink: true}, nil},
-		{"forgets who left", witness.LeftIsLeft, swim.Options{}, rude},
+		{"never refutes", clusterinvariant.NoFalse, swim.Options{}, deaf},
+		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{Suspicion: 1, NoShrink: true}, nil},
+		{"forgets who left", clusterinvariant.LeftIsLeft, swim.Options{}, rude},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
 			p := newPlay(t, Options{Nodes: 7, Seed: 1, Settled: true, Loss: 0.05, Swim: bad.swim})
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -1,4 +1,4 @@
-package swarm
+package swimsim
 
 import (
 	"fmt"
