--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -41,7 +41,7 @@
 		if c.Listen != first.Listen || c.Limits != first.Limits {
 			log.Warn("listen and limits change with a restart only")
 		}
-		*first = first.Moved(c)
+		*first = first.WithReloadable(c)
 		return first.Service()
 	}
 }
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -32,7 +32,7 @@
 
 // Run implements kong's command.
 func (c *peersCommand) Run() error {
-	f, err := status.Ask(c.At, peersTime)
+	f, err := status.FetchFleet(c.At, peersTime)
 	if err != nil {
 		return err
 	}
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	var last *status.Fleet
 	testpeer.Until(t, what, func() bool {
-		f, err := status.Ask(d.admin, peersTime)
+		f, err := status.FetchFleet(d.admin, peersTime)
 		if err == nil {
 			last = f
 		}
@@ -241,7 +241,7 @@
 	measure := func(what string) {
 		before := cpu(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
-		f, err := status.Ask(d.admin, peersTime)
+		f, err := status.FetchFleet(d.admin, peersTime)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -259,10 +259,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Kill()
+		defer l.Abort()
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.Ask(d.admin, peersTime); err == nil && f.Daemons == n+1 {
+		if f, err := status.FetchFleet(d.admin, peersTime); err == nil && f.Daemons == n+1 {
 			break
 		}
 	}
--- a/cmd/tuliprock/schedules_test.go
+++ b/cmd/tuliprock/schedules_test.go
@@ -156,7 +156,7 @@
 const putTime = 4 * time.Second
 
 // putText puts settings of a mark and a size by a daemon.
-func (s *drawnPlay) putText(d int, mark string, pad int) (*status.Answer, error) {
+func (s *drawnPlay) putText(d int, mark string, pad int) (*status.CommandResult, error) {
 	text := s.settingsText(mark, "refuse", pad)
 	s.mu.Lock()
 	s.marks[sha256.Sum256(text)] = mark
@@ -321,7 +321,7 @@
 		t.Logf("%v: %s is over", s.now().Round(time.Millisecond), what)
 		time.Sleep(rest)
 	}
-	var last *status.Answer
+	var last *status.CommandResult
 	testpeer.Until(t, "a last put is agreed on", func() bool {
 		var err error
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
@@ -380,7 +380,7 @@
 }
 
 // versions are those in which settings were put, by mark. What a put was told must be in the history.
-func (s *drawnPlay) versions(history *status.Answer) map[string]uint64 {
+func (s *drawnPlay) versions(history *status.CommandResult) map[string]uint64 {
 	versions, known := map[string]uint64{}, map[uint64]string{}
 	for _, c := range history.History {
 		if _, twice := known[c.Version]; twice {
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -32,7 +32,7 @@
 // settingsTime is how long a call may take that a majority of the voters must answer: an election takes one or two seconds.
 const settingsTime = 10 * time.Second
 
-func (d *daemonAt) call(body []byte, words ...string) (*status.Answer, error) {
+func (d *daemonAt) call(body []byte, words ...string) (*status.CommandResult, error) {
 	return status.Call(d.At, words, body, settingsTime)
 }
 
@@ -54,14 +54,14 @@
 			return err
 		})
 	}
-	s, err := status.AskSettings(c.At, peersTime)
+	s, err := status.FetchSettings(c.At, peersTime)
 	if err != nil {
 		return err
 	}
 	return c.tell(s, func(w io.Writer) error { return printSettings(w, s) })
 }
 
-func (d *daemonAt) document(name string, version uint64) (*status.Answer, error) {
+func (d *daemonAt) document(name string, version uint64) (*status.CommandResult, error) {
 	words := []string{"show", name}
 	if version > 0 {
 		words = append(words, strconv.FormatUint(version, 10))
@@ -121,7 +121,7 @@
 		expect = c.Expect
 	}
 	a, err := c.call(body, append([]string{word, c.ID, expect, name}, more...)...)
-	if unsure := (status.Unsure{}); errors.As(err, &unsure) {
+	if unsure := (status.IndeterminateError{}); errors.As(err, &unsure) {
 		return verdict{fmt.Errorf("%w; ask again with --id %s", err, c.ID)}
 	}
 	if err != nil {
@@ -163,7 +163,7 @@
 // ask, if that takes longer than wait.
 func (d *daemonAt) until(wait time.Duration, wanted func(*status.Settings) bool) (s *status.Settings, ok bool, err error) {
 	for began := time.Now(); ; time.Sleep(lookEvery) {
-		s, err = status.AskVersions(d.At, peersTime)
+		s, err = status.FetchVersions(d.At, peersTime)
 		if err == nil && wanted(s) {
 			return s, true, nil
 		}
@@ -202,7 +202,7 @@
 	if name == "" {
 		var left []string
 		name = config.SharedDoc
-		if body, left, err = config.SharedPart(c.File, body); err != nil {
+		if body, left, err = config.ExtractShared(c.File, body); err != nil {
 			return err
 		}
 		if len(left) > 0 {
@@ -302,14 +302,14 @@
 	return c.tell(a, func(w io.Writer) error { return c.print(w, a.History) })
 }
 
-func (c *settingsHistory) print(w io.Writer, history []status.Change) error {
+func (c *settingsHistory) print(w io.Writer, history []status.HistoryEntry) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
 			continue
 		}
 		what := fmt.Sprintf("%d bytes, %.12s", h.Bytes, h.SHA256)
-		if h.Out() {
+		if h.IsRemoval() {
 			what = "taken out"
 		}
 		if h.Back > 0 {
@@ -338,10 +338,10 @@
 	other := c.File
 	if c.File != "" {
 		if to, err = os.ReadFile(c.File); err == nil && c.Name == config.SharedDoc {
-			to, _, err = config.SharedPart(c.File, to)
+			to, _, err = config.ExtractShared(c.File, to)
 		}
 	} else {
-		var a *status.Answer
+		var a *status.CommandResult
 		if a, err = c.document(c.Name, c.To); err == nil {
 			to, other = a.Body, fmt.Sprintf("%s, version %d", c.Name, a.Put)
 		}
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -32,7 +32,7 @@
 }
 
 // put has a document agreed on by a daemon.
-func (d *fleetDaemon) put(id, name string, body []byte, within time.Duration) (*status.Answer, error) {
+func (d *fleetDaemon) put(id, name string, body []byte, within time.Duration) (*status.CommandResult, error) {
 	return status.Call(d.admin, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, within)
 }
 
@@ -60,7 +60,7 @@
 	began := time.Now()
 	for _, d := range ds {
 		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
-			s, err := status.AskVersions(d.admin, peersTime)
+			s, err := status.FetchVersions(d.admin, peersTime)
 			return err == nil && s.Acting && s.Version >= version
 		})
 	}
--- a/internal/cluster/consensus/explore_test.go
+++ b/internal/cluster/consensus/explore_test.go
@@ -13,16 +13,16 @@
 // and grants by a former leader only to who asked before its successor was elected.
 type explored struct {
 	st      *State
-	steward *Steward
+	steward *LeaseManager
 	now     time.Duration // true time; the leader's clock is right
-	holders [2]*Holder
-	flying  [2]*Grant
+	holders [2]*LeaseHolder
+	flying  [2]*LeaseGrant
 	first   [3]time.Duration // when a version was acted on first; 0: not yet
 	elected bool
 	put     bool
 }
 
-var exploredTerms = Terms{Lease: 4 * time.Second, Short: time.Second, Drift: 0.1}
+var exploredTerms = LeaseConfig{Lease: 4 * time.Second, Short: time.Second, Drift: 0.1}
 
 func (x *explored) local(d int) time.Duration {
 	return time.Duration(float64(x.now) * []float64{1 - exploredTerms.Drift, 1 + exploredTerms.Drift}[d])
@@ -30,11 +30,11 @@
 
 func start(t testing.TB) *explored {
 	x := &explored{st: NewState(), now: time.Minute}
-	x.apply(t, Command{ID: "a", Put: &PutDoc{"x", nil}})
+	x.apply(t, Command{ID: "a", Put: &DocumentPut{"x", nil}})
 	x.apply(t, Command{Activate: 1})
-	x.steward = NewSteward(x.now-time.Minute, exploredTerms)
+	x.steward = NewLeaseManager(x.now-time.Minute, exploredTerms)
 	for d := range x.holders {
-		x.holders[d] = NewHolder(fmt.Sprint(d), exploredTerms, 0, nil)
+		x.holders[d] = NewLeaseHolder(fmt.Sprint(d), exploredTerms, 0, nil)
 		for range 2 { // the documents, and then a lease
 			x.step(t, d)
 			x.step(t, 2+d)
@@ -44,10 +44,10 @@
 }
 
 // takeUp checks what was offered, and takes up what is acted on.
-func takeUp(h *Holder) {
-	version, _ := h.Offered()
-	h.Checked(version, nil)
-	h.Installed(h.Acting().Version)
+func takeUp(h *LeaseHolder) {
+	version, _ := h.PendingCheck()
+	h.CompleteCheck(version, nil)
+	h.MarkInstalled(h.Leased().Version)
 }
 
 func (x *explored) apply(t testing.TB, c Command) {
@@ -66,7 +66,7 @@
 func (x *explored) step(t testing.TB, which int) bool {
 	switch {
 	case which < 2: // a daemon asks, and is answered; the answer is on its way
-		r, _ := x.holders[which].Ask(x.local(which))
+		r, _ := x.holders[which].NextRequest(x.local(which))
 		g := x.steward.Grant(x.now, r, x.st)
 		x.flying[which] = &g
 	case which < 4: // the answer comes
@@ -76,22 +76,22 @@
 		}
 		x.flying[which-2] = nil
 		h := x.holders[which-2]
-		h.Granted(x.local(which-2), *g)
+		h.HandleGrant(x.local(which-2), *g)
 		takeUp(h)
 	case which == 4: // somebody puts
 		if x.put {
 			return false
 		}
 		x.put = true
-		x.apply(t, Command{ID: "b", Put: &PutDoc{"x", []byte("2")}})
+		x.apply(t, Command{ID: "b", Put: &DocumentPut{"x", []byte("2")}})
 	case which == 5: // another leader
 		if x.elected {
 			return false
 		}
 		x.elected = true
-		x.steward = NewSteward(x.now, exploredTerms)
+		x.steward = NewLeaseManager(x.now, exploredTerms)
 	case which == 6: // the leader activates what it may
-		v := x.steward.Activate(x.now, x.st)
+		v := x.steward.VersionToActivate(x.now, x.st)
 		if v == 0 {
 			return false
 		}
@@ -108,7 +108,7 @@
 func (x *explored) acts() (over time.Duration) {
 	var on [2]uint64
 	for d, h := range x.holders {
-		if v, _, ok := h.May(x.local(d)); ok {
+		if v, _, ok := h.Valid(x.local(d)); ok {
 			on[d] = v
 			if x.first[v] == 0 {
 				x.first[v] = x.now
--- a/internal/cluster/consensus/founding.go
+++ b/internal/cluster/consensus/founding.go
@@ -5,57 +5,57 @@
 	"slices"
 )
 
-// Founding decides whether a first voter whose disk has no log may begin one. One that lost its disk must not: it would vote anew
+// Bootstrap decides whether a first voter whose disk has no log may begin one. One that lost its disk must not: it would vote anew
 // where it has voted, and two majorities could be. Each first voter keeps a mark on its disk, drawn at its first start, and begins when it
 // has heard of all others that they have not begun, or of one that it began with this very mark. So a fleet begins when all its
 // first voters have been up at once; one that comes back without its disk has another mark, and is told so by any that has begun. Words are
 // forgotten after a round, since they may have begun meanwhile: that a disk is lost and its daemon back within one is ruled out.
-type Founding struct {
+type Bootstrap struct {
 	round uint64
 	name  string
 	mark  string
-	heard map[string]FirstWord // of the other first voters; an entry without a mark: nothing yet
+	heard map[string]BootstrapVote // of the other first voters; an entry without a mark: nothing yet
 }
 
-// FirstWord is what a first voter says of its beginning.
-type FirstWord struct {
+// BootstrapVote is what a first voter says of its beginning.
+type BootstrapVote struct {
 	Begun bool              `json:"begun"`
 	Mark  string            `json:"mark"`  // its own
 	Marks map[string]string `json:"marks"` // of all, itself included, with which it began
 }
 
-// NewFounding makes one for a voter with its mark, among the first ones.
-func NewFounding(name, mark string, first []string) *Founding {
-	f := &Founding{name: name, mark: mark, heard: map[string]FirstWord{}}
+// NewBootstrap makes one for a voter with its mark, among the first ones.
+func NewBootstrap(name, mark string, first []string) *Bootstrap {
+	f := &Bootstrap{name: name, mark: mark, heard: map[string]BootstrapVote{}}
 	for _, other := range first {
 		if other != name {
-			f.heard[other] = FirstWord{}
+			f.heard[other] = BootstrapVote{}
 		}
 	}
 	return f
 }
 
-// Round begins a round: all others are to be asked, and their answers to be heard with its number.
-func (f *Founding) Round() uint64 {
+// StartRound begins a round: all others are to be asked, and their answers to be heard with its number.
+func (f *Bootstrap) StartRound() uint64 {
 	f.round++
 	for name := range f.heard {
-		f.heard[name] = FirstWord{}
+		f.heard[name] = BootstrapVote{}
 	}
 	return f.round
 }
 
-// Word is what this voter says.
-func (f *Founding) Word() FirstWord { return FirstWord{Mark: f.mark} }
+// Vote is what this voter says.
+func (f *Bootstrap) Vote() BootstrapVote { return BootstrapVote{Mark: f.mark} }
 
-// Hear takes another's answer to a round.
-func (f *Founding) Hear(from string, round uint64, w FirstWord) {
+// ReceiveVote takes another's answer to a round.
+func (f *Bootstrap) ReceiveVote(from string, round uint64, w BootstrapVote) {
 	if _, first := f.heard[from]; first && round == f.round && (w.Begun || w.Mark != "") {
 		f.heard[from] = w
 	}
 }
 
-// Silent are those that have said nothing yet.
-func (f *Founding) Silent() (names []string) {
+// MissingVotes are those that have said nothing yet.
+func (f *Bootstrap) MissingVotes() (names []string) {
 	for name, w := range f.heard {
 		if !w.Begun && w.Mark == "" {
 			names = append(names, name)
@@ -65,9 +65,9 @@
 	return names
 }
 
-// Verdict says with which marks this voter is to begin; nil: not yet. Lost: it never is, for others began with one of its name whose
+// Decision says with which marks this voter is to begin; nil: not yet. Lost: it never is, for others began with one of its name whose
 // disk this is not.
-func (f *Founding) Verdict() (marks map[string]string, lost bool) {
+func (f *Bootstrap) Decision() (marks map[string]string, lost bool) {
 	all := map[string]string{f.name: f.mark}
 	for name, w := range f.heard {
 		switch {
@@ -81,7 +81,7 @@
 	switch {
 	case marks != nil:
 		return maps.Clone(marks), false
-	case len(f.Silent()) > 0:
+	case len(f.MissingVotes()) > 0:
 		return nil, false
 	}
 	return all, false
--- a/internal/cluster/consensus/founding_test.go
+++ b/internal/cluster/consensus/founding_test.go
@@ -14,9 +14,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type disk struct {
 			mark string
-			word FirstWord
+			word BootstrapVote
 		}
-		disks, lives := map[string]*disk{}, map[string]*Founding{}
+		disks, lives := map[string]*disk{}, map[string]*Bootstrap{}
 		lost, n := map[string]bool{}, 0 // since a majority had begun
 		founded := func() bool {
 			with := map[string]int{}
@@ -33,7 +33,7 @@
 		fresh := func(name string) {
 			n++
 			disks[name] = &disk{mark: fmt.Sprint("m", n)}
-			lives[name] = NewFounding(name, disks[name].mark, names)
+			lives[name] = NewBootstrap(name, disks[name].mark, names)
 		}
 		for _, name := range names {
 			fresh(name)
@@ -51,11 +51,11 @@
 				}
 				fresh(name)
 				for _, f := range lives { // that takes longer than a round
-					f.Round()
+					f.StartRound()
 				}
 				continue
 			case 1: // it starts again
-				lives[name] = NewFounding(name, d.mark, names)
+				lives[name] = NewBootstrap(name, d.mark, names)
 			}
 			other := rapid.SampledFrom(names).Draw(t, "of whom")
 			if d.word.Begun || other == name {
@@ -63,10 +63,10 @@
 			}
 			w := disks[other].word
 			if w.Mark = disks[other].mark; !w.Begun {
-				w = lives[other].Word()
+				w = lives[other].Vote()
 			}
-			lives[name].Hear(other, lives[name].round, w)
-			with, isLost := lives[name].Verdict()
+			lives[name].ReceiveVote(other, lives[name].round, w)
+			with, isLost := lives[name].Decision()
 			if with == nil || isLost {
 				continue
 			}
@@ -76,22 +76,22 @@
 			if with[name] != d.mark || len(with) != len(names) {
 				t.Fatalf("%s, whose mark is %s, begins with %v", name, d.mark, with)
 			}
-			d.word = FirstWord{Begun: true, Mark: d.mark, Marks: with}
+			d.word = BootstrapVote{Begun: true, Mark: d.mark, Marks: with}
 			was = was || founded()
 		}
 	})
-	f := NewFounding("a", "1", names)
-	f.Hear("b", 0, FirstWord{Mark: "2"})
-	f.Hear("x", 0, FirstWord{Begun: true})
-	if marks, lost := f.Verdict(); marks != nil || lost || fmt.Sprint(f.Silent()) != "[c]" {
-		t.Errorf("%v %v %v", marks, lost, f.Silent())
+	f := NewBootstrap("a", "1", names)
+	f.ReceiveVote("b", 0, BootstrapVote{Mark: "2"})
+	f.ReceiveVote("x", 0, BootstrapVote{Begun: true})
+	if marks, lost := f.Decision(); marks != nil || lost || fmt.Sprint(f.MissingVotes()) != "[c]" {
+		t.Errorf("%v %v %v", marks, lost, f.MissingVotes())
 	}
-	if f.Hear("c", 0, FirstWord{Begun: true, Marks: map[string]string{"a": "0"}}); !f.lost() {
+	if f.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}}); !f.lost() {
 		t.Error("another disk of its name was there")
 	}
 }
 
-func (f *Founding) lost() bool {
-	_, lost := f.Verdict()
+func (f *Bootstrap) lost() bool {
+	_, lost := f.Decision()
 	return lost
 }
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Terms are the times of leases, the same for all daemons of a fleet. Clocks run at a rate from 1-Drift to 1+Drift.
-type Terms struct {
+// LeaseConfig are the times of leases, the same for all daemons of a fleet. Clocks run at a rate from 1-Drift to 1+Drift.
+type LeaseConfig struct {
 	Lease time.Duration // that a daemon may act without asking again, by its own clock
 	Short time.Duration // the same while another version is to come
 	Drift float64
@@ -20,15 +20,15 @@
 }
 
 // waited is how long to wait by this clock until a lease that another counts has certainly run out.
-func (t Terms) waited(lease time.Duration) time.Duration {
+func (t LeaseConfig) waited(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + t.Drift) / (1 - t.Drift))
 }
 
 // Overlap is the longest, in true time, that some daemon may act on a version after another has begun to act on a later one.
-func (t Terms) Overlap() time.Duration { return time.Duration(float64(t.Short) / (1 - t.Drift)) }
+func (t LeaseConfig) Overlap() time.Duration { return time.Duration(float64(t.Short) / (1 - t.Drift)) }
 
-// Request asks for a lease.
-type Request struct {
+// LeaseRequest asks for a lease.
+type LeaseRequest struct {
 	Daemon   string
 	Seq      uint64
 	Has      uint64 // the latest version whose documents the daemon holds and can act on
@@ -39,8 +39,8 @@
 	Mark     string `json:",omitempty"` // of the disk of a daemon that could vote, and does not
 }
 
-// Grant answers a Request.
-type Grant struct {
+// LeaseGrant answers a Request.
+type LeaseGrant struct {
 	Seq     uint64
 	Version uint64              // that the daemon is to act on
 	Docs    map[string]Document // of it, where the daemon lacks them; nil: it has them
@@ -70,8 +70,8 @@
 	mostWhy  = 300 // bytes
 )
 
-// Acting is what a daemon may act on: its version until an instant, and what it acted on before, until it has changed over.
-type Acting struct {
+// LeasedVersion is what a daemon may act on: its version until an instant, and what it acted on before, until it has changed over.
+type LeasedVersion struct {
 	Version uint64
 	Docs    map[string]Document // never changed
 	Until   time.Duration
@@ -79,21 +79,21 @@
 	Over    time.Duration // until when it may act on that
 }
 
-// May tells whether a version may be acted on at an instant.
-func (a *Acting) May(version uint64, now time.Duration) bool {
+// CoversVersion tells whether a version may be acted on at an instant.
+func (a *LeasedVersion) CoversVersion(version uint64, now time.Duration) bool {
 	return version == a.Version && now < a.Until || version == a.Before && now < a.Over
 }
 
-// Holder is a daemon's side of its leases. It acts on versions alone that were checked. It is not safe for concurrent use.
-type Holder struct {
-	t     Terms
+// LeaseHolder is a daemon's side of its leases. It acts on versions alone that were checked. It is not safe for concurrent use.
+type LeaseHolder struct {
+	t     LeaseConfig
 	name  string
 	seq   uint64
 	sent  time.Duration // of the latest request
 	every time.Duration
 	took  uint64
 
-	acting    Acting
+	acting    LeasedVersion
 	installed uint64 // the version that the daemon's other parts have taken up
 	next      uint64 // the latest that was checked, and may be acted on when it is active
 	coming    map[string]Document
@@ -106,24 +106,24 @@
 	lags []Lag
 }
 
-// NewHolder makes a Holder without a lease, which holds the documents of a version from before a restart; 0: none.
-func NewHolder(name string, t Terms, version uint64, docs map[string]Document) *Holder {
-	return &Holder{t: t, name: name, every: min(t.Lease, t.Short) / 4, acting: Acting{Version: version, Docs: docs}, next: version, coming: docs}
+// NewLeaseHolder makes a Holder without a lease, which holds the documents of a version from before a restart; 0: none.
+func NewLeaseHolder(name string, t LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
+	return &LeaseHolder{t: t, name: name, every: min(t.Lease, t.Short) / 4, acting: LeasedVersion{Version: version, Docs: docs}, next: version, coming: docs}
 }
 
-// Ask is a request that is to be sent now, and when the next is due.
-func (h *Holder) Ask(now time.Duration) (r Request, again time.Duration) {
+// NextRequest is a request that is to be sent now, and when the next is due.
+func (h *LeaseHolder) NextRequest(now time.Duration) (r LeaseRequest, again time.Duration) {
 	h.seq++
 	h.sent = now
 	again = now + h.every
 	if h.next > h.acting.Version || len(h.lags) > 0 { // sooner, while others wait
 		again = now + h.every/4
 	}
-	return Request{Daemon: h.name, Seq: h.seq, Has: h.next, Acts: min(h.installed, h.acting.Version), Took: h.took, Declines: h.declined, Why: h.why}, again
+	return LeaseRequest{Daemon: h.name, Seq: h.seq, Has: h.next, Acts: min(h.installed, h.acting.Version), Took: h.took, Declines: h.declined, Why: h.why}, again
 }
 
-// Granted takes an answer. Only that to the latest request counts: of earlier ones it is not known when they were sent.
-func (h *Holder) Granted(now time.Duration, g Grant) {
+// HandleGrant takes an answer. Only that to the latest request counts: of earlier ones it is not known when they were sent.
+func (h *LeaseHolder) HandleGrant(now time.Duration, g LeaseGrant) {
 	if g.Seq != h.seq || g.Version < h.acting.Version {
 		return
 	}
@@ -136,7 +136,7 @@
 	switch {
 	case g.Version == h.acting.Version:
 	case g.Version == h.next:
-		h.acting = Acting{Version: h.next, Docs: h.coming, Before: h.acting.Version, Over: h.acting.Until}
+		h.acting = LeasedVersion{Version: h.next, Docs: h.coming, Before: h.acting.Version, Over: h.acting.Until}
 	default:
 		return // it is to act on what it has not, or not checked
 	}
@@ -148,17 +148,19 @@
 }
 
 // offers takes documents that are to be checked.
-func (h *Holder) offers(version uint64, docs map[string]Document) {
+func (h *LeaseHolder) offers(version uint64, docs map[string]Document) {
 	if docs != nil && version > h.next && version != h.declined && version != h.offered {
 		h.offered, h.offer = version, docs
 	}
 }
 
-// Offered is a version that is to be checked, for Checked; 0: none.
-func (h *Holder) Offered() (version uint64, docs map[string]Document) { return h.offered, h.offer }
+// PendingCheck is a version that is to be checked, for Checked; 0: none.
+func (h *LeaseHolder) PendingCheck() (version uint64, docs map[string]Document) {
+	return h.offered, h.offer
+}
 
-// Checked says whether this daemon can act on the version that was Offered; an error says why it can't.
-func (h *Holder) Checked(version uint64, err error) {
+// CompleteCheck says whether this daemon can act on the version that was Offered; an error says why it can't.
+func (h *LeaseHolder) CompleteCheck(version uint64, err error) {
 	if version == 0 || version != h.offered {
 		return // another came meanwhile
 	}
@@ -174,29 +176,29 @@
 }
 
 // Recheck has what was declined looked at again when it is offered anew.
-func (h *Holder) Recheck() { h.declined, h.why = 0, "" }
+func (h *LeaseHolder) Recheck() { h.declined, h.why = 0, "" }
 
-// Declined is the version that this daemon can't act on, and why; 0: none.
-func (h *Holder) Declined() (uint64, string) { return h.declined, h.why }
+// Rejected is the version that this daemon can't act on, and why; 0: none.
+func (h *LeaseHolder) Rejected() (uint64, string) { return h.declined, h.why }
 
-// Installed says which version the daemon's other parts have taken up: until then they act on the one before.
-func (h *Holder) Installed(version uint64) { h.installed = version }
+// MarkInstalled says which version the daemon's other parts have taken up: until then they act on the one before.
+func (h *LeaseHolder) MarkInstalled(version uint64) { h.installed = version }
 
-// Acting is what this daemon may act on.
-func (h *Holder) Acting() Acting { return h.acting }
+// Leased is what this daemon may act on.
+func (h *LeaseHolder) Leased() LeasedVersion { return h.acting }
 
-// May tells which version the daemon may act on at an instant; false: none, for its lease has run out.
-func (h *Holder) May(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
+// Valid tells which version the daemon may act on at an instant; false: none, for its lease has run out.
+func (h *LeaseHolder) Valid(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
 	a := &h.acting
 	return a.Version, a.Docs, a.Version > 0 && (now < a.Until || h.t.NoLook)
 }
 
-// Whole is the version before which no daemon acts any more, and the daemons that are waited for, as the leader said last.
-func (h *Holder) Whole() (all uint64, lags []Lag) { return h.all, h.lags }
+// FullyActive is the version before which no daemon acts any more, and the daemons that are waited for, as the leader said last.
+func (h *LeaseHolder) FullyActive() (all uint64, lags []Lag) { return h.all, h.lags }
 
-// Steward is the leader's side of leases, in one term. It is made anew with each.
-type Steward struct {
-	t     Terms
+// LeaseManager is the leader's side of leases, in one term. It is made anew with each.
+type LeaseManager struct {
+	t     LeaseConfig
 	since time.Duration // it has led
 	known map[string]*known
 
@@ -206,7 +208,7 @@
 
 // known is what the steward knows of a daemon.
 type known struct {
-	r      Request       // its latest
+	r      LeaseRequest  // its latest
 	grants []outstanding // that it may act under, by Seq; mostGrants at most
 }
 
@@ -218,19 +220,19 @@
 // mostGrants bounds what is remembered of one daemon: beyond it the two latest are taken for one, of the later Seq and the later end.
 const mostGrants = 32
 
-// NewSteward begins a term. Leases that earlier leaders have granted may run on.
-func NewSteward(now time.Duration, t Terms) *Steward {
-	return &Steward{t: t, since: now, known: map[string]*known{}}
+// NewLeaseManager begins a term. Leases that earlier leaders have granted may run on.
+func NewLeaseManager(now time.Duration, t LeaseConfig) *LeaseManager {
+	return &LeaseManager{t: t, since: now, known: map[string]*known{}}
 }
 
 // Grant answers a request, after it was confirmed that this node still led when the request had come.
-func (s *Steward) Grant(now time.Duration, r Request, st *State) Grant {
+func (s *LeaseManager) Grant(now time.Duration, r LeaseRequest, st *State) LeaseGrant {
 	k := s.known[r.Daemon]
 	if k == nil {
 		k = &known{}
 		s.known[r.Daemon] = k
 	}
-	g := Grant{Seq: r.Seq, Version: st.Active, Next: st.Coming, Lease: s.t.Lease, Voters: st.Voters(), Sitting: st.sitting()}
+	g := LeaseGrant{Seq: r.Seq, Version: st.Active, Next: st.Coming, Lease: s.t.Lease, Voters: st.Voters(), Sitting: st.sitting()}
 	if st.Coming > st.Active {
 		g.Lease = s.t.Short
 	}
@@ -255,20 +257,20 @@
 	return g
 }
 
-// Look takes stock of all daemons, for the grants that follow: once a beat, since it goes through all of them. What it finds of
+// Refresh takes stock of all daemons, for the grants that follow: once a beat, since it goes through all of them. What it finds of
 // versions that nobody acts on any more stays so.
-func (s *Steward) Look(now time.Duration, st *State) {
+func (s *LeaseManager) Refresh(now time.Duration, st *State) {
 	s.lags = s.Lagging(now, st)
 	s.whole = s.all(now, st)
 }
 
 // forced tells whether a daemon goes without a lease, since a version comes on which it can't act.
-func forced(st *State, r *Request) bool {
+func forced(st *State, r *LeaseRequest) bool {
 	return st.Coming > st.Active && st.Forced >= st.Coming && declines(st, r)
 }
 
 // declines tells whether a daemon has said that it can't act on what comes.
-func declines(st *State, r *Request) bool { return r.Has < st.Coming && r.Declines == st.Coming }
+func declines(st *State, r *LeaseRequest) bool { return r.Has < st.Coming && r.Declines == st.Coming }
 
 // end is when the last lease that a daemon may hold has run out.
 func (k *known) end() (end time.Duration) {
@@ -279,11 +281,11 @@
 }
 
 // settled tells whether all that predecessors granted has run out.
-func (s *Steward) settled(now time.Duration) bool { return now >= s.since+s.t.waited(s.t.Lease) }
+func (s *LeaseManager) settled(now time.Duration) bool { return now >= s.since+s.t.waited(s.t.Lease) }
 
-// Activate tells which version is to be activated now; 0: none. Each daemon that may hold a lease must have what comes, and
+// VersionToActivate tells which version is to be activated now; 0: none. Each daemon that may hold a lease must have what comes, and
 // hold short leases only; one that does not is waited for until its lease has certainly run out.
-func (s *Steward) Activate(now time.Duration, st *State) uint64 {
+func (s *LeaseManager) VersionToActivate(now time.Duration, st *State) uint64 {
 	switch {
 	case st.Coming == st.Active:
 		return 0
@@ -300,9 +302,9 @@
 	return st.Coming
 }
 
-// Skip tells which version is to give way to a later one; 0: none. It is one that some daemon can't act on, that nobody has
+// VersionToSkip tells which version is to give way to a later one; 0: none. It is one that some daemon can't act on, that nobody has
 // forced, and after which something else was put: no daemon ever acts on it.
-func (s *Steward) Skip(now time.Duration, st *State) uint64 {
+func (s *LeaseManager) VersionToSkip(now time.Duration, st *State) uint64 {
 	if st.Coming == st.Active || st.Version == st.Coming || st.Forced >= st.Coming {
 		return 0
 	}
@@ -315,7 +317,7 @@
 }
 
 // waits says why a version that comes waits for a daemon; empty: it does not.
-func (s *Steward) waits(now time.Duration, st *State, k *known) string {
+func (s *LeaseManager) waits(now time.Duration, st *State, k *known) string {
 	end := k.end()
 	switch {
 	case now >= end:
@@ -333,7 +335,7 @@
 }
 
 // all is the version before which no daemon acts; 0: not known, since a predecessor's leases may last.
-func (s *Steward) all(now time.Duration, st *State) uint64 {
+func (s *LeaseManager) all(now time.Duration, st *State) uint64 {
 	if !s.settled(now) {
 		return 0
 	}
@@ -348,7 +350,7 @@
 
 // Lagging are the daemons that are waited for, by name: before a version is activated, and until they act on the one that was.
 // Who has certainly no lease is forgotten.
-func (s *Steward) Lagging(now time.Duration, st *State) (lags []Lag) {
+func (s *LeaseManager) Lagging(now time.Duration, st *State) (lags []Lag) {
 	for name, k := range s.known {
 		why := ""
 		switch {
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
+var terms = LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
 
 // agreed is a state with a version that is active and one that is to come.
 func agreed(t testing.TB) *State {
 	t.Helper()
 	st := NewState()
-	for i, c := range []Command{{ID: "a", Put: &PutDoc{"x", []byte("1")}}, {Activate: 1}, {ID: "b", Put: &PutDoc{"x", []byte("2")}}} {
+	for i, c := range []Command{{ID: "a", Put: &DocumentPut{"x", []byte("1")}}, {Activate: 1}, {ID: "b", Put: &DocumentPut{"x", []byte("2")}}} {
 		b, err := c.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -36,22 +36,22 @@
 		terms := terms
 		terms.FromAnswer = fromAnswer
 		st, start := agreed(t), 100*time.Second
-		s := NewSteward(start-time.Minute, terms)
-		h := NewHolder("d", terms, 0, nil)
-		ask := func(now time.Duration) Grant {
-			r, _ := h.Ask(now)
+		s := NewLeaseManager(start-time.Minute, terms)
+		h := NewLeaseHolder("d", terms, 0, nil)
+		ask := func(now time.Duration) LeaseGrant {
+			r, _ := h.NextRequest(now)
 			return s.Grant(now, r, st)
 		}
 		for range 3 { // what others act on, a lease, and what comes: it says so
-			h.Granted(start, ask(start))
+			h.HandleGrant(start, ask(start))
 			takeUp(h)
 		}
 		late := ask(start)
-		if got := s.Activate(start, st); got != 2 {
+		if got := s.VersionToActivate(start, st); got != 2 {
 			t.Fatalf("activated: %d, lagging %v", got, s.Lagging(start, st))
 		}
-		h.Granted(start+terms.Short/5, late)
-		version, _, acts := h.May(start + terms.Overlap() + 1)
+		h.HandleGrant(start+terms.Short/5, late)
+		version, _, acts := h.Valid(start + terms.Overlap() + 1)
 		if acts != fromAnswer || version != 1 {
 			t.Errorf("from the answer: %v; it acts on version %d: %v", fromAnswer, version, acts)
 		}
@@ -61,28 +61,28 @@
 // Whoever may hold a lease is waited for, unless it has what comes and holds short leases only.
 func TestAnActivationWaits(t *testing.T) {
 	st, start := agreed(t), 100*time.Second
-	s := NewSteward(start, terms)
-	if s.Activate(start+terms.Lease, st) != 0 {
+	s := NewLeaseManager(start, terms)
+	if s.VersionToActivate(start+terms.Lease, st) != 0 {
 		t.Error("a new leader does not wait for what its predecessors granted")
 	}
 	now := start + time.Minute
-	s.Grant(now, Request{Daemon: "slow", Seq: 1, Has: 1}, st)
-	s.Grant(now, Request{Daemon: "ready", Seq: 1, Has: 2}, st)
-	if got := s.Lagging(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.Activate(now+time.Second, st) != 0 {
+	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, Has: 1}, st)
+	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, Has: 2}, st)
+	if got := s.Lagging(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Errorf("lagging: %v", got)
 	}
-	if s.Activate(now+terms.waited(terms.Short), st) != 2 {
+	if s.VersionToActivate(now+terms.waited(terms.Short), st) != 2 {
 		t.Error("one whose lease has run out is waited for")
 	}
 	quiet := *st
 	quiet.Coming = quiet.Active // nothing is to come, and leases are long
-	s.Grant(now, Request{Daemon: "long", Seq: 1, Has: 2}, &quiet)
-	s.Grant(now, Request{Daemon: "long", Seq: 2, Has: 2}, st)
-	if s.Activate(now+2*time.Second, st) != 0 {
+	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, Has: 2}, &quiet)
+	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, Has: 2}, st)
+	if s.VersionToActivate(now+2*time.Second, st) != 0 {
 		t.Error("the answer that made its lease short may be lost")
 	}
-	s.Grant(now+2*time.Second, Request{Daemon: "long", Seq: 3, Has: 2, Took: 2}, st)
-	if s.Activate(now+2*time.Second, st) != 2 {
+	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, Has: 2, Took: 2}, st)
+	if s.VersionToActivate(now+2*time.Second, st) != 2 {
 		t.Errorf("it said that it took it: %v", s.Lagging(now+2*time.Second, st))
 	}
 }
@@ -105,7 +105,7 @@
 				c.Expect = &expect
 				fallthrough
 			default:
-				c.Put = &PutDoc{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), []byte(c.ID)}
+				c.Put = &DocumentPut{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), []byte(c.ID)}
 			}
 			entry, err := c.Encode()
 			if err != nil {
@@ -133,10 +133,10 @@
 
 // What is asked on each request: no lock, and far under 50 ns.
 func BenchmarkMay(b *testing.B) {
-	h := NewHolder("d", terms, 1, nil)
+	h := NewLeaseHolder("d", terms, 1, nil)
 	h.acting.Until = time.Hour
 	for b.Loop() {
-		if _, _, ok := h.May(time.Minute); !ok {
+		if _, _, ok := h.Valid(time.Minute); !ok {
 			b.Fatal("no lease")
 		}
 	}
@@ -146,18 +146,18 @@
 // waited for.
 func TestAGrantAmongTooManyIsWaitedFor(t *testing.T) {
 	st, now := agreed(t), 100*time.Second
-	s := NewSteward(now-time.Minute, terms)
+	s := NewLeaseManager(now-time.Minute, terms)
 	quiet := *st
 	quiet.Coming = quiet.Active // nothing is to come, and leases are long
 	const last = mostGrants + 8
 	for seq := range uint64(last) {
-		s.Grant(now, Request{Daemon: "d", Seq: seq + 1, Has: 2, Acts: 1}, &quiet)
+		s.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, Has: 2, Acts: 1}, &quiet)
 	}
-	s.Grant(now, Request{Daemon: "d", Seq: last + 1, Has: 2, Acts: 1, Took: last}, st) // its answer, which would make the lease short, is lost
-	if s.Activate(now+time.Second, st) != 0 {
+	s.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, Has: 2, Acts: 1, Took: last}, st) // its answer, which would make the lease short, is lost
+	if s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Error("the long lease that it took is not waited for")
 	}
-	if s.Activate(now+terms.waited(terms.Lease), st) != 2 {
+	if s.VersionToActivate(now+terms.waited(terms.Lease), st) != 2 {
 		t.Error("it is waited for though its lease has run out")
 	}
 }
@@ -166,14 +166,14 @@
 func BenchmarkGrant(b *testing.B) {
 	for _, n := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			st, s, now := agreed(b), NewSteward(0, terms), time.Minute
+			st, s, now := agreed(b), NewLeaseManager(0, terms), time.Minute
 			const beat = 100 // requests: 300 daemons ask a thousand times a second
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
 				if i%beat == 0 {
-					s.Look(now, st)
+					s.Refresh(now, st)
 				}
-				s.Grant(now, Request{Daemon: fmt.Sprint("d", i%n), Seq: i / n, Has: 1, Took: i / n}, st)
+				s.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%n), Seq: i / n, Has: 1, Took: i / n}, st)
 			}
 		})
 	}
--- a/internal/cluster/consensus/seats.go
+++ b/internal/cluster/consensus/seats.go
@@ -22,23 +22,23 @@
 // begins when a leader, confirmed by a majority, has told it so. One whose disk is lost has another mark, and stays away: what raft
 // counts on of it may be gone.
 
-// SeatMark is the mark of the disk with which a seat is taken.
-type SeatMark struct {
+// VoterMark is the mark of the disk with which a seat is taken.
+type VoterMark struct {
 	Seat uint64 `json:"seat"`
 	Mark string `json:"mark"`
 }
 
-// MostSeats is how many may vote.
-const MostSeats = 7
+// MaxVoters is how many may vote.
+const MaxVoters = 7
 
-// SeatChange has a daemon vote, or no longer.
-type SeatChange struct {
+// VoterChange has a daemon vote, or no longer.
+type VoterChange struct {
 	Name string `json:"name"`
 	Out  bool   `json:"out,omitempty"`
 }
 
-// ErrSeats is why the voters stay as they are.
-var ErrSeats = errors.New("the voters stay as they are")
+// ErrMembershipUnchanged is why the voters stay as they are.
+var ErrMembershipUnchanged = errors.New("the voters stay as they are")
 
 // found gives the first voters their seats.
 func (s *State) found(names []string) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// SeatOf is the id of a voter that is, or is to be; 0: there is none of this name.
-func (s *State) SeatOf(name string) uint64 {
+// VoterID is the id of a voter that is, or is to be; 0: there is none of this name.
+func (s *State) VoterID(name string) uint64 {
 	for id, n := range s.Seats {
 		if n == name {
 			return id
@@ -59,8 +59,8 @@
 	return 0
 }
 
-// NameOf is the name of a voter, one that is about to leave included; empty: there is none of this id.
-func (s *State) NameOf(id uint64) string { return cmp.Or(s.Seats[id], s.Leaving[id]) }
+// VoterName is the name of a voter, one that is about to leave included; empty: there is none of this id.
+func (s *State) VoterName(id uint64) string { return cmp.Or(s.Seats[id], s.Leaving[id]) }
 
 // Voters are the names of those who are to vote, in order.
 func (s *State) Voters() []string { return slices.Sorted(maps.Values(s.Seats)) }
@@ -68,24 +68,24 @@
 // sitting are the names of those who vote.
 func (s *State) sitting() (names []string) {
 	for id := range s.Sitting {
-		names = append(names, s.NameOf(id))
+		names = append(names, s.VoterName(id))
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (s *State) seat(c *SeatChange) (Answer, error) {
-	id := s.SeatOf(c.Name)
+func (s *State) seat(c *VoterChange) (CommandResult, error) {
+	id := s.VoterID(c.Name)
 	switch {
 	case (id == 0) == c.Out:
-		return Answer{Version: s.Version, Same: true}, nil
+		return CommandResult{Version: s.Version, Same: true}, nil
 	case c.Out && !s.Sitting[id]: // it never came
 	case s.under() != "":
-		return Answer{}, fmt.Errorf("%w: %s", ErrSeats, s.under())
+		return CommandResult{}, fmt.Errorf("%w: %s", ErrMembershipUnchanged, s.under())
 	case c.Out && len(s.Seats) == 1:
-		return Answer{}, fmt.Errorf("%w: %s is the last", ErrSeats, c.Name)
-	case !c.Out && len(s.Seats) >= MostSeats:
-		return Answer{}, fmt.Errorf("%w: there are %d already", ErrSeats, MostSeats)
+		return CommandResult{}, fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
+	case !c.Out && len(s.Seats) >= MaxVoters:
+		return CommandResult{}, fmt.Errorf("%w: there are %d already", ErrMembershipUnchanged, MaxVoters)
 	}
 	s.Seats = maps.Clone(s.Seats)
 	if c.Out {
@@ -100,11 +100,11 @@
 		s.LastSeat++
 		s.Seats[s.LastSeat] = c.Name
 	}
-	return Answer{Version: s.Version}, nil
+	return CommandResult{Version: s.Version}, nil
 }
 
 // mark sets the mark of a seat that nobody has taken; the first one stays.
-func (s *State) mark(m *SeatMark) Answer {
+func (s *State) mark(m *VoterMark) CommandResult {
 	same := s.Seats[m.Seat] == "" || s.Sitting[m.Seat] || s.Marks[m.Seat] != ""
 	if !same {
 		s.Marks = maps.Clone(s.Marks)
@@ -113,19 +113,19 @@
 		}
 		s.Marks[m.Seat] = m.Mark
 	}
-	return Answer{Version: s.Version, Same: same}
+	return CommandResult{Version: s.Version, Same: same}
 }
 
 // usher tells a daemon of its seat, and whether it may take that now.
-func (v *Voter) usher(r *Request, g *Grant) {
-	g.Seat = v.state.SeatOf(r.Daemon)
+func (v *Voter) usher(r *LeaseRequest, g *LeaseGrant) {
+	g.Seat = v.state.VoterID(r.Daemon)
 	if g.Seat == 0 || v.state.Sitting[g.Seat] || r.Mark == "" {
 		g.Lost = g.Seat != 0 && r.Mark != ""
 		return
 	}
 	switch v.state.Marks[g.Seat] {
 	case "":
-		_ = v.Propose(&Command{Mark: &SeatMark{g.Seat, r.Mark}}) // it asks again
+		_ = v.Propose(&Command{Mark: &VoterMark{g.Seat, r.Mark}}) // it asks again
 	case r.Mark:
 		g.Begins, g.First = true, v.state.First
 	default:
@@ -133,29 +133,29 @@
 	}
 }
 
-// Move is what a daemon does about its seat.
-type Move int
+// VoterAction is what a daemon does about its seat.
+type VoterAction int
 
 // The moves.
 const (
-	Stay Move = iota
-	Rise      // its seat was taken out
-	Sit       // it takes Grant.Seat
-	Lost      // its seat was taken with another disk than it has
+	KeepVoterRole VoterAction = iota
+	StopVoter                 // its seat was taken out
+	StartVoter                // it takes Grant.Seat
+	VoterDiskLost             // its seat was taken with another disk than it has
 )
 
-// Move tells what a daemon does that has this seat, 0 for none, when it is told so by a leader that a majority has confirmed. One
+// VoterAction tells what a daemon does that has this seat, 0 for none, when it is told so by a leader that a majority has confirmed. One
 // that is to leave votes until raft's configuration says otherwise: a majority may need it.
-func (g *Grant) Move(name string, seat uint64) Move {
+func (g *LeaseGrant) VoterAction(name string, seat uint64) VoterAction {
 	switch {
 	case seat != 0 && g.Seat != seat && !slices.Contains(g.Sitting, name):
-		return Rise
+		return StopVoter
 	case seat == 0 && g.Begins:
-		return Sit
+		return StartVoter
 	case seat == 0 && g.Lost:
-		return Lost
+		return VoterDiskLost
 	}
-	return Stay
+	return KeepVoterRole
 }
 
 // under says which change of voters is under way; empty: none.
@@ -242,8 +242,8 @@
 	_ = v.raft.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id}) // dropped, it is proposed again
 }
 
-// Learns tells whether this voter does not vote yet.
-func (v *Voter) Learns() bool { return !v.state.Sitting[v.c.ID] }
+// IsLearner tells whether this voter does not vote yet.
+func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.c.ID] }
 
 // firstState is what the first snapshot holds.
 func firstState(names []string) []byte {
--- a/internal/cluster/consensus/seats_test.go
+++ b/internal/cluster/consensus/seats_test.go
@@ -9,11 +9,11 @@
 // alone is a voter that is the only one, and leads.
 func alone(t *testing.T) (v *Voter, now time.Duration) {
 	t.Helper()
-	d, err := NewDisk([]string{"v"})
+	d, err := NewRecoveredState([]string{"v"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err = NewVoter(0, Config{ID: 1, Beat: 10 * time.Millisecond, Seed: 1, Terms: terms}, d); err != nil {
+	if v, err = NewVoter(0, Config{ID: 1, Beat: 10 * time.Millisecond, Seed: 1, Lease: terms}, d); err != nil {
 		t.Fatal(err)
 	}
 	for now = 0; v.steward == nil && now < time.Minute; now += 10 * time.Millisecond {
@@ -21,17 +21,17 @@
 		for v.Output(now) != nil {
 		}
 	}
-	if !v.Leads() || v.Learns() {
+	if !v.IsLeader() || v.IsLearner() {
 		t.Fatal("it does not lead")
 	}
 	return v, now
 }
 
 // grant is the answer to a request.
-func grant(t *testing.T, v *Voter, now time.Duration, r Request) Grant {
+func grant(t *testing.T, v *Voter, now time.Duration, r LeaseRequest) LeaseGrant {
 	t.Helper()
 	v.Grants = nil
-	if err := v.Ask(r); err != nil {
+	if err := v.RequestLease(r); err != nil {
 		t.Fatal(err)
 	}
 	for v.Output(now) != nil {
@@ -45,7 +45,7 @@
 // A seat is taken with the disk whose mark the log has, and with no other; raft hears of nobody before.
 func TestASeatIsTakenWithOneDisk(t *testing.T) {
 	v, now := alone(t)
-	seat := func(c SeatChange) error {
+	seat := func(c VoterChange) error {
 		v.Results = nil
 		if err := v.Propose(&Command{ID: "s", Seat: &c}); err != nil {
 			t.Fatal(err)
@@ -54,11 +54,11 @@
 		}
 		return v.Results[0].Err
 	}
-	ask := func(mark string) Grant { return grant(t, v, now, Request{Daemon: "x", Seq: 1, Mark: mark}) }
+	ask := func(mark string) LeaseGrant { return grant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, Mark: mark}) }
 	if g := ask("m1"); g.Seat != 0 || g.Begins || g.Lost {
 		t.Errorf("who has no seat: %+v", g)
 	}
-	if err := errors.Join(seat(SeatChange{Name: "x"}), seat(SeatChange{Name: "x"})); err != nil {
+	if err := errors.Join(seat(VoterChange{Name: "x"}), seat(VoterChange{Name: "x"})); err != nil {
 		t.Fatal(err)
 	}
 	v.reconcile()
@@ -85,16 +85,16 @@
 	if len(v.conf.GetLearners()) != 1 || v.conf.GetLearners()[0] != 2 || v.State().under() == "" {
 		t.Errorf("%v", v.conf)
 	}
-	if err := seat(SeatChange{Name: "y"}); !errors.Is(err, ErrSeats) {
+	if err := seat(VoterChange{Name: "y"}); !errors.Is(err, ErrMembershipUnchanged) {
 		t.Errorf("a second change: %v", err)
 	}
-	if err := seat(SeatChange{Name: "x", Out: true}); err != nil {
+	if err := seat(VoterChange{Name: "x", Out: true}); err != nil {
 		t.Errorf("who never voted is taken back: %v", err)
 	}
-	if err := seat(SeatChange{Name: "v", Out: true}); !errors.Is(err, ErrSeats) {
+	if err := seat(VoterChange{Name: "v", Out: true}); !errors.Is(err, ErrMembershipUnchanged) {
 		t.Errorf("the last one: %v", err)
 	}
-	if err := seat(SeatChange{Name: "x"}); err != nil {
+	if err := seat(VoterChange{Name: "x"}); err != nil {
 		t.Fatal(err)
 	}
 	if g := ask("m2"); g.Seat != 3 || g.Begins || g.Lost {
@@ -104,12 +104,12 @@
 
 // However long the commands are, the log that is held is bounded, by their number and by their bytes.
 func TestTheLogIsBounded(t *testing.T) {
-	for _, size := range []int{10, MostBody / 4} {
+	for _, size := range []int{10, MaxDocumentBytes / 4} {
 		v, now := alone(t)
 		body := make([]byte, size)
 		most, snaps, puts := 0, 0, min(2*snapAfter+1, 14<<20/size)
 		for range puts {
-			if err := v.Propose(&Command{Put: &PutDoc{"a", body}}); err != nil {
+			if err := v.Propose(&Command{Put: &DocumentPut{"a", body}}); err != nil {
 				t.Fatal(err)
 			}
 			for out := v.Output(now); out != nil; out = v.Output(now) {
@@ -132,7 +132,7 @@
 				t.Fatalf("%d entries are held", len(entries))
 			}
 		}
-		if most > snapBytes+keepBytes+2*MostBody || snaps == 0 {
+		if most > snapBytes+keepBytes+2*MaxDocumentBytes || snaps == 0 {
 			t.Errorf("commands of %d bytes: up to %d bytes are held, %d snapshots", size, most, snaps)
 		}
 		t.Logf("commands of %d bytes: up to %d bytes are held, %d snapshots of %d puts", size, most, snaps, puts)
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -24,12 +24,12 @@
 // Bounds of what is agreed. A snapshot holds the documents three times at most (Docs, Next, Acted) and what is kept of earlier
 // ones: in JSON under 7 MiB, which passes a parcel.
 const (
-	MostBody    = 1 << 20          // bytes of a document
-	MostBodies  = MostBody * 5 / 4 // of all documents together
-	MostDocs    = 1000
-	mostKept    = 1 << 20 // bytes of earlier documents, to go back to
-	mostHistory = 1000    // changes that are remembered
-	mostIDs     = 1024    // puts whose repeats are known
+	MaxDocumentBytes = 1 << 20                  // bytes of a document
+	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // of all documents together
+	MaxDocuments     = 1000
+	mostKept         = 1 << 20 // bytes of earlier documents, to go back to
+	mostHistory      = 1000    // changes that are remembered
+	mostIDs          = 1024    // puts whose repeats are known
 )
 
 // Document is a text with a name, as of the version in which it was put.
@@ -41,8 +41,8 @@
 	Body    []byte   `json:"body,omitempty"`
 }
 
-// Change is an entry of the history.
-type Change struct {
+// HistoryEntry is an entry of the history.
+type HistoryEntry struct {
 	Version uint64   `json:"version"`
 	Name    string   `json:"name"`
 	Digest  [32]byte `json:"digest"` // of the body; zeros: it was taken out
@@ -61,7 +61,7 @@
 	Docs    map[string]Document `json:"docs"`    // as of Version; a map that was given away never changes
 	Next    map[string]Document `json:"next"`    // as of Coming
 	Acted   map[string]Document `json:"acted"`   // as of Active
-	History []Change            `json:"history"`
+	History []HistoryEntry      `json:"history"`
 	Kept    []Document          `json:"kept"` // that were replaced or removed, to go back to; the oldest in front
 	IDs     []done              `json:"ids"`  // the latest puts; the oldest in front
 
@@ -75,60 +75,60 @@
 
 type done struct {
 	ID string `json:"id"`
-	Answer
+	CommandResult
 }
 
 // Command changes the State, or reads it. Exactly one of Put, Remove, Back, Force, Skip, Seat, Mark, Read and
 // Activate is set.
 type Command struct {
-	Format   int         `json:"format"`       // commandFormat, at which Encode sets it
-	ID       string      `json:"id,omitempty"` // of a put, drawn by who asks: one that comes twice is done once
-	Expect   *uint64     `json:"expect,omitempty"`
-	By       string      `json:"by,omitempty"`
-	At       int64       `json:"at,omitempty"`
-	Put      *PutDoc     `json:"put,omitempty"`
-	Remove   string      `json:"remove,omitempty"`
-	Back     *As         `json:"back,omitempty"`  // a document is to be as it was
-	Force    uint64      `json:"force,omitempty"` // this version is to be activated though some can't act on it
-	Skip     uint64      `json:"skip,omitempty"`  // this one, which was to come, gives way to what was put since
-	Seat     *SeatChange `json:"seat,omitempty"`
-	Mark     *SeatMark   `json:"mark,omitempty"` // the disk of who has yet to vote
-	Read     *As         `json:"read,omitempty"` // tells what is agreed when it is its turn in the log; no name: the history
-	Activate uint64      `json:"activate,omitempty"`
+	Format   int              `json:"format"`       // commandFormat, at which Encode sets it
+	ID       string           `json:"id,omitempty"` // of a put, drawn by who asks: one that comes twice is done once
+	Expect   *uint64          `json:"expect,omitempty"`
+	By       string           `json:"by,omitempty"`
+	At       int64            `json:"at,omitempty"`
+	Put      *DocumentPut     `json:"put,omitempty"`
+	Remove   string           `json:"remove,omitempty"`
+	Back     *DocumentVersion `json:"back,omitempty"`  // a document is to be as it was
+	Force    uint64           `json:"force,omitempty"` // this version is to be activated though some can't act on it
+	Skip     uint64           `json:"skip,omitempty"`  // this one, which was to come, gives way to what was put since
+	Seat     *VoterChange     `json:"seat,omitempty"`
+	Mark     *VoterMark       `json:"mark,omitempty"` // the disk of who has yet to vote
+	Read     *DocumentVersion `json:"read,omitempty"` // tells what is agreed when it is its turn in the log; no name: the history
+	Activate uint64           `json:"activate,omitempty"`
 }
 
-// PutDoc is a document that is to be.
-type PutDoc struct {
+// DocumentPut is a document that is to be.
+type DocumentPut struct {
 	Name string `json:"name"`
 	Body []byte `json:"body"`
 }
 
-// As is a document as of a version; 0: the latest.
-type As struct {
+// DocumentVersion is a document as of a version; 0: the latest.
+type DocumentVersion struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-// Answer is what a command brought.
-type Answer struct {
-	Version uint64    `json:"version"`           // that it made, or made when it came first; of a read: the latest
-	Same    bool      `json:"same,omitempty"`    // nothing had to be changed for it, and no version was made
-	Doc     *Document `json:"doc,omitempty"`     // what was read
-	History []Change  `json:"history,omitempty"` // the same
+// CommandResult is what a command brought.
+type CommandResult struct {
+	Version uint64         `json:"version"`           // that it made, or made when it came first; of a read: the latest
+	Same    bool           `json:"same,omitempty"`    // nothing had to be changed for it, and no version was made
+	Doc     *Document      `json:"doc,omitempty"`     // what was read
+	History []HistoryEntry `json:"history,omitempty"` // the same
 }
 
 // Why a command changed nothing.
 var (
-	ErrExpect    = errors.New("another version is there than was expected")
-	ErrBounds    = errors.New("over the bounds of what is agreed")
-	ErrNoDoc     = errors.New("there is no such document")
-	ErrTooOld    = errors.New("what it was is not kept any more")
-	ErrNotComing = errors.New("this version is not to come")
+	ErrVersionMismatch   = errors.New("another version is there than was expected")
+	ErrLimitExceeded     = errors.New("over the bounds of what is agreed")
+	ErrDocumentNotFound  = errors.New("there is no such document")
+	ErrCompacted         = errors.New("what it was is not kept any more")
+	ErrVersionNotPending = errors.New("this version is not to come")
 )
 
-// ErrUnsure is why a command was given up by who asked for it: it may have been agreed on, or may be yet. With the same ID it is
+// ErrIndeterminate is why a command was given up by who asked for it: it may have been agreed on, or may be yet. With the same ID it is
 // done once.
-var ErrUnsure = errors.New("no majority of the voters has answered in time; it may come to pass yet")
+var ErrIndeterminate = errors.New("no majority of the voters has answered in time; it may come to pass yet")
 
 // NewState is a state in which nothing was agreed.
 func NewState() *State {
@@ -139,8 +139,8 @@
 // of two programs would make two states of one log. ErrLater is why a voter stops at a command that a later program made.
 const commandFormat = 2
 
-// ErrLater is a command of a later program than this.
-var ErrLater = errors.New("a command of a later program, which this one can't apply")
+// ErrUnknownCommand is a command of a later program than this.
+var ErrUnknownCommand = errors.New("a command of a later program, which this one can't apply")
 
 // Encode gives a command as the log has it.
 func (c *Command) Encode() ([]byte, error) {
@@ -149,42 +149,42 @@
 }
 
 // Apply takes a command of the log.
-func (s *State) Apply(entry []byte) (Answer, error) {
+func (s *State) Apply(entry []byte) (CommandResult, error) {
 	_, a, err := s.apply(entry)
 	return a, err
 }
 
 // apply is Apply, and gives the command's ID: a long command is read once.
-func (s *State) apply(entry []byte) (id string, _ Answer, _ error) {
+func (s *State) apply(entry []byte) (id string, _ CommandResult, _ error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
-		return "", Answer{}, fmt.Errorf("a command that can't be read: %w", err)
+		return "", CommandResult{}, fmt.Errorf("a command that can't be read: %w", err)
 	}
 	a, err := s.do(&c)
 	return c.ID, a, err
 }
 
-func (s *State) do(c *Command) (Answer, error) {
+func (s *State) do(c *Command) (CommandResult, error) {
 	switch {
 	case c.Format > commandFormat:
-		return Answer{}, ErrLater
+		return CommandResult{}, ErrUnknownCommand
 	case c.Activate > 0:
 		if c.Activate == s.Coming && s.Active < s.Coming { // one that comes twice does nothing
 			s.Active, s.Acted = s.Coming, s.Next
 			s.come()
 		}
-		return Answer{Version: s.Active}, nil
+		return CommandResult{Version: s.Active}, nil
 	case c.Skip > 0:
 		if c.Skip == s.Coming && s.Active < s.Coming && s.Forced < s.Coming {
 			s.come()
 		}
-		return Answer{Version: s.Coming}, nil
+		return CommandResult{Version: s.Coming}, nil
 	case c.Force > 0:
 		if c.Force != s.Coming || s.Active == s.Coming {
-			return Answer{}, fmt.Errorf("%w: %d", ErrNotComing, c.Force)
+			return CommandResult{}, fmt.Errorf("%w: %d", ErrVersionNotPending, c.Force)
 		}
 		s.Forced = c.Force
-		return Answer{Version: c.Force}, nil
+		return CommandResult{Version: c.Force}, nil
 	case c.Seat != nil:
 		return s.seat(c.Seat)
 	case c.Mark != nil:
@@ -198,22 +198,22 @@
 // come has the latest version come next.
 func (s *State) come() { s.Coming, s.Next = s.Version, s.Docs }
 
-func (s *State) change(c *Command) (Answer, error) {
+func (s *State) change(c *Command) (CommandResult, error) {
 	if i := slices.IndexFunc(s.IDs, func(d done) bool { return d.ID == c.ID }); c.ID != "" && i >= 0 {
-		return s.IDs[i].Answer, nil
+		return s.IDs[i].CommandResult, nil
 	}
 	if c.Expect != nil && *c.Expect != s.Version {
-		return Answer{}, fmt.Errorf("%w: %d, not %d", ErrExpect, s.Version, *c.Expect)
+		return CommandResult{}, fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, s.Version, *c.Expect)
 	}
 	name, put := c.Remove, c.Put
-	change := Change{Version: s.Version + 1, By: c.By, At: c.At}
+	change := HistoryEntry{Version: s.Version + 1, By: c.By, At: c.At}
 	if c.Back != nil {
 		doc, err := s.as(c.Back)
-		if err != nil && !errors.Is(err, ErrNoDoc) {
-			return Answer{}, err
+		if err != nil && !errors.Is(err, ErrDocumentNotFound) {
+			return CommandResult{}, err
 		}
 		if name, change.Back = c.Back.Name, c.Back.Version; doc != nil {
-			put = &PutDoc{doc.Name, doc.Body}
+			put = &DocumentPut{doc.Name, doc.Body}
 		}
 	}
 	if put != nil {
@@ -224,13 +224,13 @@
 	change.Name = name
 	switch {
 	case put != nil:
-		if len(put.Body) > MostBody || !known && len(docs) >= MostDocs || size(docs)-len(was.Body)+len(put.Body) > MostBodies {
-			return Answer{}, ErrBounds
+		if len(put.Body) > MaxDocumentBytes || !known && len(docs) >= MaxDocuments || size(docs)-len(was.Body)+len(put.Body) > MaxTotalBytes {
+			return CommandResult{}, ErrLimitExceeded
 		}
 		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
 		docs[name] = Document{name, change.Version, change.Digest, c.By, put.Body}
 	case !known: // it is as it should be
-		return s.did(c.ID, Answer{Version: s.Version, Same: true}), nil
+		return s.did(c.ID, CommandResult{Version: s.Version, Same: true}), nil
 	default:
 		delete(docs, name)
 	}
@@ -243,11 +243,11 @@
 		s.keep(was)
 	}
 	s.History = tail(append(s.History, change), mostHistory)
-	return s.did(c.ID, Answer{Version: s.Version}), nil
+	return s.did(c.ID, CommandResult{Version: s.Version}), nil
 }
 
 // did remembers what a command brought.
-func (s *State) did(id string, a Answer) Answer {
+func (s *State) did(id string, a CommandResult) CommandResult {
 	if id != "" {
 		s.IDs = tail(append(s.IDs, done{id, a}), mostIDs)
 	}
@@ -275,37 +275,37 @@
 }
 
 // as is a document as of a version. ErrNoDoc: there was none.
-func (s *State) as(a *As) (*Document, error) {
+func (s *State) as(a *DocumentVersion) (*Document, error) {
 	if d, ok := s.Docs[a.Name]; ok && (a.Version == 0 || d.Version <= a.Version) {
 		return &d, nil
 	}
 	if a.Version == 0 {
-		return nil, fmt.Errorf("%.200q: %w", a.Name, ErrNoDoc)
+		return nil, fmt.Errorf("%.200q: %w", a.Name, ErrDocumentNotFound)
 	}
 	for _, c := range slices.Backward(s.History) {
 		if c.Name != a.Name || c.Version > a.Version {
 			continue
 		}
 		if c.Digest == [32]byte{} {
-			return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrNoDoc)
+			return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrDocumentNotFound)
 		}
 		if i := slices.IndexFunc(s.Kept, func(d Document) bool { return d.Name == c.Name && d.Version == c.Version }); i >= 0 {
 			return &s.Kept[i], nil
 		}
-		return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrTooOld)
+		return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrCompacted)
 	}
 	if len(s.History) > 0 && s.History[0].Version > 1 && s.History[0].Version > a.Version {
-		return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrTooOld)
+		return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrCompacted)
 	}
-	return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrNoDoc)
+	return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrDocumentNotFound)
 }
 
-func (s *State) read(a *As) (Answer, error) {
+func (s *State) read(a *DocumentVersion) (CommandResult, error) {
 	if a.Name == "" {
-		return Answer{Version: s.Version, History: s.History}, nil
+		return CommandResult{Version: s.Version, History: s.History}, nil
 	}
 	d, err := s.as(a)
-	return Answer{Version: s.Version, Doc: d}, err
+	return CommandResult{Version: s.Version, Doc: d}, err
 }
 
 // stored is a State as a snapshot has it: each body once, by its digest.
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func do(t testing.TB, s *State, c Command) (Answer, error) {
+func do(t testing.TB, s *State, c Command) (CommandResult, error) {
 	t.Helper()
 	b, err := c.Encode()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return s.Apply(b)
 }
 
-func put(name, body string) Command { return Command{Put: &PutDoc{name, []byte(body)}} }
+func put(name, body string) Command { return Command{Put: &DocumentPut{name, []byte(body)}} }
 
 // A document can be had, and had back, as it was at any version that is kept; what is not there any more is told apart from what
 // never was.
@@ -31,42 +31,42 @@
 		}
 	}
 	for version, want := range map[uint64]string{1: "1", 2: "1", 3: "2", 5: "3", 0: "3", 9: "3"} {
-		a, err := do(t, s, Command{Read: &As{"a", version}})
+		a, err := do(t, s, Command{Read: &DocumentVersion{"a", version}})
 		if err != nil || string(a.Doc.Body) != want || a.Version != 5 {
 			t.Errorf("a at %d: %+v, %v; want %s", version, a.Doc, err, want)
 		}
 	}
-	for _, as := range []As{{"a", 4}, {"b", 1}, {"c", 0}, {"c", 2}} {
-		if _, err := do(t, s, Command{Read: &as}); !errors.Is(err, ErrNoDoc) {
+	for _, as := range []DocumentVersion{{"a", 4}, {"b", 1}, {"c", 0}, {"c", 2}} {
+		if _, err := do(t, s, Command{Read: &as}); !errors.Is(err, ErrDocumentNotFound) {
 			t.Errorf("%v: %v", as, err)
 		}
 	}
-	if a, err := do(t, s, Command{ID: "i", Back: &As{"a", 2}}); err != nil || a.Version != 6 || string(s.Docs["a"].Body) != "1" || s.History[5].Back != 2 {
+	if a, err := do(t, s, Command{ID: "i", Back: &DocumentVersion{"a", 2}}); err != nil || a.Version != 6 || string(s.Docs["a"].Body) != "1" || s.History[5].Back != 2 {
 		t.Errorf("%+v, %v: %+v", a, err, s.History)
 	}
-	if a, err := do(t, s, Command{Back: &As{"a", 4}}); err != nil || a.Version != 7 || len(s.Docs) != 1 {
+	if a, err := do(t, s, Command{Back: &DocumentVersion{"a", 4}}); err != nil || a.Version != 7 || len(s.Docs) != 1 {
 		t.Errorf("back to where it was not there: %+v, %v", a, err)
 	}
 	if a, err := do(t, s, Command{Remove: "a"}); err != nil || !a.Same || s.Version != 7 {
 		t.Errorf("what is not there is taken out: %+v, %v", a, err)
 	}
-	big := bytes.Repeat([]byte("x"), MostBody/2)
+	big := bytes.Repeat([]byte("x"), MaxDocumentBytes/2)
 	for i := range 4 {
 		big[0] = byte(i)
-		if _, err := do(t, s, Command{Put: &PutDoc{"big", big}}); err != nil {
+		if _, err := do(t, s, Command{Put: &DocumentPut{"big", big}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := do(t, s, Command{Read: &As{"big", 8}}); !errors.Is(err, ErrTooOld) {
+	if _, err := do(t, s, Command{Read: &DocumentVersion{"big", 8}}); !errors.Is(err, ErrCompacted) {
 		t.Errorf("what is not kept any more: %v", err)
 	}
-	if _, err := do(t, s, Command{Read: &As{"big", 10}}); err != nil {
+	if _, err := do(t, s, Command{Read: &DocumentVersion{"big", 10}}); err != nil {
 		t.Errorf("what is kept: %v", err)
 	}
-	if _, err := do(t, s, Command{Put: &PutDoc{"more", bytes.Repeat([]byte("y"), MostBody)}}); !errors.Is(err, ErrBounds) {
+	if _, err := do(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes)}}); !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("more than all documents may have: %v", err)
 	}
-	if _, err := do(t, s, Command{Put: &PutDoc{"more", bytes.Repeat([]byte("y"), MostBody+1)}}); !errors.Is(err, ErrBounds) {
+	if _, err := do(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes+1)}}); !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("more than one may have: %v", err)
 	}
 }
@@ -77,7 +77,7 @@
 	for range 3 {
 		_, _ = do(t, s, put("a", fmt.Sprint(s.Version)))
 	}
-	if _, err := do(t, s, Command{Force: 3}); !errors.Is(err, ErrNotComing) {
+	if _, err := do(t, s, Command{Force: 3}); !errors.Is(err, ErrVersionNotPending) {
 		t.Errorf("%v", err)
 	}
 	if _, _ = do(t, s, Command{Skip: 1}); s.Coming != 3 || s.Active != 0 {
@@ -94,7 +94,7 @@
 		t.Errorf("%+v", s)
 	}
 	later := []byte(fmt.Sprintf(`{"format":%d,"put":{"name":"x"}}`, commandFormat+1))
-	if _, err := s.Apply(later); !errors.Is(err, ErrLater) || s.Version != 4 {
+	if _, err := s.Apply(later); !errors.Is(err, ErrUnknownCommand) || s.Version != 4 {
 		t.Errorf("a command of a later program: %v", err)
 	}
 }
@@ -105,14 +105,14 @@
 		s := NewState()
 		for i := range rapid.IntRange(0, 30).Draw(t, "commands") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
-			c := Command{ID: fmt.Sprint(i), By: "d", At: int64(i), Put: &PutDoc{name, []byte(rapid.SampledFrom([]string{"", "1", "22"}).Draw(t, "body"))}}
+			c := Command{ID: fmt.Sprint(i), By: "d", At: int64(i), Put: &DocumentPut{name, []byte(rapid.SampledFrom([]string{"", "1", "22"}).Draw(t, "body"))}}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				c = Command{Remove: name}
 			case 1:
 				c = Command{Activate: s.Coming}
 			case 2:
-				c = Command{Back: &As{name, s.Version / 2}}
+				c = Command{Back: &DocumentVersion{name, s.Version / 2}}
 			}
 			b, _ := c.Encode()
 			_, _ = s.Apply(b)
@@ -135,10 +135,10 @@
 			}
 		}
 	})
-	s, body := NewState(), bytes.Repeat([]byte("x"), MostBody)
-	_, _ = do(t, s, Command{Put: &PutDoc{"a", body}})
+	s, body := NewState(), bytes.Repeat([]byte("x"), MaxDocumentBytes)
+	_, _ = do(t, s, Command{Put: &DocumentPut{"a", body}})
 	_, _ = do(t, s, Command{Activate: 1})
-	if b, err := s.Encode(); err != nil || len(b) > 3*MostBody/2 {
+	if b, err := s.Encode(); err != nil || len(b) > 3*MaxDocumentBytes/2 {
 		t.Errorf("%d bytes for a body that stands in three places, %v", len(b), err)
 	}
 }
@@ -147,33 +147,33 @@
 // without it.
 func TestADaemonThatCantAct(t *testing.T) {
 	st, now := agreed(t), terms.Lease*10
-	s := NewSteward(0, terms)
-	d, old := NewHolder("d", terms, 0, nil), NewHolder("old", terms, 0, nil)
+	s := NewLeaseManager(0, terms)
+	d, old := NewLeaseHolder("d", terms, 0, nil), NewLeaseHolder("old", terms, 0, nil)
 	round := func() {
-		s.Look(now, st)
-		for _, h := range []*Holder{d, old} {
-			r, _ := h.Ask(now)
-			h.Granted(now, s.Grant(now, r, st))
-			version, _ := h.Offered()
+		s.Refresh(now, st)
+		for _, h := range []*LeaseHolder{d, old} {
+			r, _ := h.NextRequest(now)
+			h.HandleGrant(now, s.Grant(now, r, st))
+			version, _ := h.PendingCheck()
 			err := error(nil)
 			if h == old && version >= 2 && version <= 3 {
 				err = errors.New("no such field")
 			}
-			h.Checked(version, err)
-			h.Installed(h.Acting().Version)
+			h.CompleteCheck(version, err)
+			h.MarkInstalled(h.Leased().Version)
 		}
 	}
 	for range 4 {
 		round()
 	}
-	if got := s.Lagging(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.Activate(now, st) != 0 || s.Skip(now, st) != 0 {
+	if got := s.Lagging(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.VersionToActivate(now, st) != 0 || s.VersionToSkip(now, st) != 0 {
 		t.Fatalf("%v", got)
 	}
-	if v, _, ok := old.May(now); v != 1 || !ok {
+	if v, _, ok := old.Valid(now); v != 1 || !ok {
 		t.Errorf("who can't act on what comes acts on %d, %v", v, ok)
 	}
 	_, _ = do(t, st, put("x", "3"))
-	if s.Skip(now, st) != 2 {
+	if s.VersionToSkip(now, st) != 2 {
 		t.Error("it does not give way to what was put since")
 	}
 	_, _ = do(t, st, Command{Skip: 2})
@@ -183,37 +183,37 @@
 		t.Fatal(err)
 	}
 	round()
-	if _, _, ok := old.May(now); ok {
+	if _, _, ok := old.Valid(now); ok {
 		t.Error("who can't act on what is forced has a lease")
 	}
 	round() // it says that it took that
-	if s.Activate(now, st) != 3 {
+	if s.VersionToActivate(now, st) != 3 {
 		t.Errorf("waited for: %v", s.Lagging(now, st))
 	}
 	_, _ = do(t, st, Command{Activate: 3})
 	round()
-	if v, _, ok := d.May(now); v != 3 || !ok {
+	if v, _, ok := d.Valid(now); v != 3 || !ok {
 		t.Errorf("the others act on %d, %v", v, ok)
 	}
-	a := d.Acting()
-	if !a.May(1, now) || a.May(1, now+terms.Overlap()) || !a.May(3, now) || a.May(2, now) {
+	a := d.Leased()
+	if !a.CoversVersion(1, now) || a.CoversVersion(1, now+terms.Overlap()) || !a.CoversVersion(3, now) || a.CoversVersion(2, now) {
 		t.Errorf("while it changes over: %+v", a)
 	}
-	if _, _, ok := old.May(now); ok {
+	if _, _, ok := old.Valid(now); ok {
 		t.Error("who can't act on what others do has a lease")
 	}
 	_, _ = do(t, st, put("x", "4"))
 	for range 3 {
 		round()
 	}
-	_, _ = do(t, st, Command{Activate: s.Activate(now, st)})
+	_, _ = do(t, st, Command{Activate: s.VersionToActivate(now, st)})
 	for range 3 {
 		round()
 	}
-	if v, _, ok := old.May(now); v != 4 || !ok {
+	if v, _, ok := old.Valid(now); v != 4 || !ok {
 		t.Errorf("when it can again it acts on %d, %v; %v", v, ok, s.Lagging(now, st))
 	}
-	if all, lags := d.Whole(); all != 4 || len(lags) > 0 {
+	if all, lags := d.FullyActive(); all != 4 || len(lags) > 0 {
 		t.Errorf("all act on %d; %v", all, lags)
 	}
 }
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -26,7 +26,7 @@
 	ID    uint64 // of this voter; 0 is none
 	Beat  time.Duration
 	Seed  uint64
-	Terms Terms
+	Lease LeaseConfig
 }
 
 const (
@@ -52,7 +52,7 @@
 
 	leads      bool
 	term       uint64
-	steward    *Steward // while it leads, and has applied what its predecessors left
+	steward    *LeaseManager // while it leads, and has applied what its predecessors left
 	beatAt     time.Duration
 	heardAt    time.Duration // from a leader
 	campaignAt time.Duration
@@ -62,36 +62,36 @@
 
 	round    uint64 // of confirmations
 	asked    []waiting
-	ready    []waiting // confirmed at an index that is not yet applied
-	proposed uint64    // version whose activation, or giving way, is in the log, in this term
-	Results  []Result  // of commands that were applied since they were taken last, in order
-	Grants   []To      // answers that are to go
-	Stopped  error     // why this voter must not go on; nothing that it gives is to be used then
+	ready    []waiting        // confirmed at an index that is not yet applied
+	proposed uint64           // version whose activation, or giving way, is in the log, in this term
+	Results  []Result         // of commands that were applied since they were taken last, in order
+	Grants   []AddressedGrant // answers that are to go
+	Stopped  error            // why this voter must not go on; nothing that it gives is to be used then
 }
 
 // Result is what became of a command.
 type Result struct {
 	ID string
-	Answer
+	CommandResult
 	Err error
 }
 
-// To is a Grant, and to whom it goes.
-type To struct {
+// AddressedGrant is a Grant, and to whom it goes.
+type AddressedGrant struct {
 	Daemon string
-	Grant  Grant
+	Grant  LeaseGrant
 }
 
 type waiting struct {
 	round uint64
 	index uint64
-	r     Request
+	r     LeaseRequest
 }
 
-// Out is what a voter wants done: records to be made sure of first, in order, and then messages to be sent.
-type Out struct {
+// VoterOutput is what a voter wants done: records to be made sure of first, in order, and then messages to be sent.
+type VoterOutput struct {
 	Records  []Record
-	Snapshot *Snap // to be made sure of after the records
+	Snapshot *Snapshot // to be made sure of after the records
 	Messages []*raftpb.Message
 }
 
@@ -101,16 +101,16 @@
 	Payload []byte
 }
 
-// Snap stands for all records so far.
-type Snap struct{ Body []byte }
+// Snapshot stands for all records so far.
+type Snapshot struct{ Body []byte }
 
-// Disk is what a durable log gave when it was opened: Restore and Replay take it up, before NewVoter.
-type Disk struct{ store *raft.MemoryStorage }
+// RecoveredState is what a durable log gave when it was opened: Restore and Replay take it up, before NewVoter.
+type RecoveredState struct{ store *raft.MemoryStorage }
 
-// NewDisk is an empty one, of a fleet whose first voters are these; none: of a voter that joins one, and knows nothing yet. The
+// NewRecoveredState is an empty one, of a fleet whose first voters are these; none: of a voter that joins one, and knows nothing yet. The
 // first voters' ids are their places in order, from 1.
-func NewDisk(names []string) (*Disk, error) {
-	d := &Disk{store: raft.NewMemoryStorage()}
+func NewRecoveredState(names []string) (*RecoveredState, error) {
+	d := &RecoveredState{store: raft.NewMemoryStorage()}
 	if len(names) == 0 {
 		return d, nil
 	}
@@ -118,7 +118,7 @@
 }
 
 // Restore takes a snapshot's body.
-func (d *Disk) Restore(_ uint64, r io.Reader) error {
+func (d *RecoveredState) Restore(_ uint64, r io.Reader) error {
 	body, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 }
 
 // Replay takes a record.
-func (d *Disk) Replay(kind byte, payload []byte) error {
+func (d *RecoveredState) Replay(kind byte, payload []byte) error {
 	switch kind {
 	case recordState:
 		hard := &raftpb.HardState{}
@@ -161,7 +161,7 @@
 	return fmt.Errorf("a record of type %q", kind)
 }
 
-func (d *Disk) entry(b []byte) error {
+func (d *RecoveredState) entry(b []byte) error {
 	e := &raftpb.Entry{}
 	if err := proto.Unmarshal(b, e); err != nil {
 		return err
@@ -222,7 +222,7 @@
 }
 
 // NewVoter makes a voter of what its disk gave.
-func NewVoter(now time.Duration, c Config, d *Disk) (_ *Voter, err error) {
+func NewVoter(now time.Duration, c Config, d *RecoveredState) (_ *Voter, err error) {
 	v := &Voter{c: c, store: d.store, state: NewState(), rng: rand.New(rand.NewPCG(c.Seed, c.ID)), heardAt: now, beatAt: now}
 	defer func() { err = errors.Join(err, v.Stopped) }()
 	defer v.guard()
@@ -277,14 +277,14 @@
 // State is what this voter has applied. It must not be changed.
 func (v *Voter) State() *State { return v.state }
 
-// Leads tells whether this voter thinks that it leads.
-func (v *Voter) Leads() bool { return v.leads }
+// IsLeader tells whether this voter thinks that it leads.
+func (v *Voter) IsLeader() bool { return v.leads }
 
 // Applied is the index of the last command that was applied.
 func (v *Voter) Applied() uint64 { return v.applied }
 
-// Next is the instant at which Tick is wanted.
-func (v *Voter) Next() time.Duration {
+// NextTick is the instant at which Tick is wanted.
+func (v *Voter) NextTick() time.Duration {
 	if v.leads {
 		return v.beatAt
 	}
@@ -345,8 +345,8 @@
 // ErrNotLeader is why a request for a lease is not taken.
 var ErrNotLeader = errors.New("this voter does not lead")
 
-// Ask takes a request for a lease. It is answered (Grants) when a majority has confirmed that this voter leads.
-func (v *Voter) Ask(r Request) error {
+// RequestLease takes a request for a lease. It is answered (Grants) when a majority has confirmed that this voter leads.
+func (v *Voter) RequestLease(r LeaseRequest) error {
 	defer v.guard()
 	if !v.leads || v.steward == nil || len(v.asked)+len(v.ready) >= mostWaiting {
 		return ErrNotLeader
@@ -374,12 +374,12 @@
 	if v.steward == nil {
 		return
 	}
-	v.steward.Look(now, v.state)
-	if version := v.steward.Activate(now, v.state); version > v.proposed {
+	v.steward.Refresh(now, v.state)
+	if version := v.steward.VersionToActivate(now, v.state); version > v.proposed {
 		if v.Propose(&Command{Activate: version}) == nil {
 			v.proposed = version
 		}
-	} else if version := v.steward.Skip(now, v.state); version > v.proposed {
+	} else if version := v.steward.VersionToSkip(now, v.state); version > v.proposed {
 		if v.Propose(&Command{Skip: version}) == nil {
 			v.proposed = version
 		}
@@ -387,13 +387,13 @@
 }
 
 // Output is what is to be done now; nil: nothing. It must be done before anything else is.
-func (v *Voter) Output(now time.Duration) *Out {
+func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.guard()
 	if v.Stopped != nil || !v.raft.HasReady() {
 		return nil
 	}
 	rd := v.raft.Ready()
-	out := &Out{Messages: rd.Messages}
+	out := &VoterOutput{Messages: rd.Messages}
 	if rd.SoftState != nil {
 		v.follow(now, rd.SoftState.RaftState == raft.StateLeader)
 	}
@@ -422,7 +422,7 @@
 		}
 	}
 	if v.leads && v.steward == nil && v.caughtUp() {
-		v.steward = NewSteward(now, v.c.Terms)
+		v.steward = NewLeaseManager(now, v.c.Lease)
 	}
 	v.grant(now)
 	if !raft.IsEmptySnap(rd.Snapshot) {
@@ -484,7 +484,7 @@
 		if v.steward != nil && w.index <= v.applied {
 			g := v.steward.Grant(now, w.r, v.state)
 			v.usher(&w.r, &g)
-			v.Grants = append(v.Grants, To{w.r.Daemon, g})
+			v.Grants = append(v.Grants, AddressedGrant{w.r.Daemon, g})
 		} else {
 			rest = append(rest, w)
 		}
@@ -503,7 +503,7 @@
 		return
 	}
 	id, answer, err := v.state.apply(e.GetData())
-	if errors.Is(err, ErrLater) {
+	if errors.Is(err, ErrUnknownCommand) {
 		v.Stopped = fmt.Errorf("at %d: %w", v.applied, err)
 		return
 	}
@@ -511,7 +511,7 @@
 }
 
 // snap makes a snapshot of what is applied, with what the log has beyond it.
-func (v *Voter) snap() *Snap {
+func (v *Voter) snap() *Snapshot {
 	data, err := v.state.Encode()
 	if err != nil {
 		panic(err)
@@ -537,7 +537,7 @@
 			parts = append(parts, must(e))
 		}
 	}
-	return &Snap{Body: join(parts...)}
+	return &Snapshot{Body: join(parts...)}
 }
 
 // keepFrom is the entry up to which the log may go, now that a snapshot stands for all that is applied; 0: none may.
@@ -559,8 +559,8 @@
 	return 0
 }
 
-// Sent says whether a snapshot has gone out to another voter.
-func (v *Voter) Sent(to uint64, ok bool) {
+// ReportSnapshot says whether a snapshot has gone out to another voter.
+func (v *Voter) ReportSnapshot(to uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
--- a/internal/cluster/ordinal/seat.go
+++ b/internal/cluster/ordinal/seat.go
@@ -12,21 +12,21 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Hold is how long a member must be failed before the others share its part: longer than a restart takes, and than a link
+// FailureHold is how long a member must be failed before the others share its part: longer than a restart takes, and than a link
 // that comes and goes every two seconds leaves it missing.
-const Hold = 10 * time.Second
+const FailureHold = 10 * time.Second
 
-// Seats counts members. The zero value has counted none.
-type Seats struct {
+// Tracker counts members. The zero value has counted none.
+type Tracker struct {
 	missing map[string]time.Duration // all that count: instant since which each is failed; present: it is here
 }
 
 const present = time.Duration(-1)
 
-// Take takes up a view, and gives how many count, the place of the view's owner among them, and the instant at which Take
+// Update takes up a view, and gives how many count, the place of the view's owner among them, and the instant at which Take
 // is wanted again though no other view has come; 0: none. A member counts at once, and as long as it is not known to
 // have left or was failed for Hold. A daemon that is cut off takes nobody's part: it can't tell who has failed.
-func (s *Seats) Take(now time.Duration, v *swim.View) (daemons, index int, again time.Duration) {
+func (s *Tracker) Update(now time.Duration, v *swim.View) (daemons, index int, again time.Duration) {
 	if s.missing == nil {
 		s.missing = map[string]time.Duration{}
 	}
@@ -34,7 +34,7 @@
 	for _, m := range v.Members {
 		known[m.Name] = true
 		switch {
-		case m.State.Here() || m.Name == v.Self:
+		case m.State.IsPresent() || m.Name == v.Self:
 			s.missing[m.Name] = present
 		case m.State == swim.Left:
 			delete(s.missing, m.Name)
@@ -49,12 +49,12 @@
 			since = s.missing[name]
 		}
 		switch {
-		case since == present || v.Standing == swim.CutOff:
-		case now-since >= Hold:
+		case since == present || v.Connectivity == swim.CutOff:
+		case now-since >= FailureHold:
 			delete(s.missing, name)
 			continue
-		case again == 0 || since+Hold < again:
-			again = since + Hold
+		case again == 0 || since+FailureHold < again:
+			again = since + FailureHold
 		}
 		names = append(names, name)
 	}
@@ -63,7 +63,7 @@
 }
 
 // miss notes since when a member that counts is failed.
-func (s *Seats) miss(now time.Duration, name string) {
+func (s *Tracker) miss(now time.Duration, name string) {
 	if since, counts := s.missing[name]; counts && since == present {
 		s.missing[name] = now
 	}
--- a/internal/cluster/raftnode/chamber.go
+++ b/internal/cluster/raftnode/chamber.go
@@ -44,21 +44,21 @@
 	idle         = time.Hour
 )
 
-// Carrier is what carries parcels: a link.Link.
-type Carrier interface {
+// Transport is what carries parcels: a link.Link.
+type Transport interface {
 	Send(name string, kind byte, body []byte) error
-	Parcels() <-chan transport.Parcel
+	Messages() <-chan transport.Message
 }
 
 // Options of a Chamber.
 type Options struct {
-	Name    string
-	Voters  []string // the first ones, of all daemons alike, in any order
-	Disk    wal.FS   // for what this daemon acts on, over restarts, and a voter's log; nil: it remembers nothing, and can't vote
-	Terms   consensus.Terms
-	Carrier Carrier
-	Now     func() time.Duration // this daemon's clock; it never runs backwards
-	Log     *slog.Logger
+	Name      string
+	Voters    []string // the first ones, of all daemons alike, in any order
+	Disk      wal.FS   // for what this daemon acts on, over restarts, and a voter's log; nil: it remembers nothing, and can't vote
+	Lease     consensus.LeaseConfig
+	Transport Transport
+	Now       func() time.Duration // this daemon's clock; it never runs backwards
+	Log       *slog.Logger
 
 	// Check tells whether this daemon can act on documents; nil: on all. It runs on a goroutine of its own, one at a time.
 	Check func(docs map[string]consensus.Document) error
@@ -66,13 +66,13 @@
 	Installs bool
 }
 
-// Acting is what a daemon acts on, while its lease lasts.
-type Acting = consensus.Acting
+// LeasedVersion is what a daemon acts on, while its lease lasts.
+type LeasedVersion = consensus.LeasedVersion
 
-// Chamber is a daemon's part in what is agreed.
-type Chamber struct {
+// Node is a daemon's part in what is agreed.
+type Node struct {
 	o       Options
-	acting  atomic.Pointer[Acting]
+	acting  atomic.Pointer[LeasedVersion]
 	status  atomic.Pointer[Status]
 	granter chan struct{} // closed at the first grant
 	changed chan struct{} // has a value when Acting has another version
@@ -83,7 +83,7 @@
 
 	// The owner's:
 	seat       *seat // nil: this daemon does not vote
-	holder     *consensus.Holder
+	holder     *consensus.LeaseHolder
 	askAt      time.Duration
 	voters     []string // who may be asked, in order: those that were told, and those that vote as far as is known
 	sitting    []string // who votes, as the leader said last
@@ -91,35 +91,35 @@
 	heard      bool
 	first      bool // a grant has come
 	puts       map[string]*waiting
-	checks     uint64               // version that is being checked; 0: none
-	kept       uint64               // version that is kept,
-	keptVoters []string             // and who voted
-	founding   *consensus.Founding  // while this daemon is a first voter that has yet to begin
-	foundAt    time.Duration        // next round of that
-	began      time.Duration        // this process
-	word       *consensus.FirstWord // what it says to those that have yet to begin; nil: it never began
-	left       bool                 // this daemon's part in the voting has ended
-	marked     string               // the mark of a disk that has no voter; empty: there is none
-	lost       bool                 // it was said that the log of its seat is gone
-	awaited    bool                 // it was said which first voters are not there
+	checks     uint64                   // version that is being checked; 0: none
+	kept       uint64                   // version that is kept,
+	keptVoters []string                 // and who voted
+	founding   *consensus.Bootstrap     // while this daemon is a first voter that has yet to begin
+	foundAt    time.Duration            // next round of that
+	began      time.Duration            // this process
+	word       *consensus.BootstrapVote // what it says to those that have yet to begin; nil: it never began
+	left       bool                     // this daemon's part in the voting has ended
+	marked     string                   // the mark of a disk that has no voter; empty: there is none
+	lost       bool                     // it was said that the log of its seat is gone
+	awaited    bool                     // it was said which first voters are not there
 }
 
 // waiting is a command that has not been answered: by whom it was asked here, or from which daemon it came. One whose asker has gone
 // is kept for a while: asked again it is not proposed anew.
 type waiting struct {
 	body   []byte
-	answer chan Result   // nil: nobody here waits for it
-	from   string        // the daemon that it came from; empty: none
-	next   time.Duration // instant of the next try,
-	rest   time.Duration // and how long after it another comes
+	answer chan CommandOutcome // nil: nobody here waits for it
+	from   string              // the daemon that it came from; empty: none
+	next   time.Duration       // instant of the next try,
+	rest   time.Duration       // and how long after it another comes
 	ends   time.Duration
-	result *Result // what became of it, for who asks again
+	result *CommandOutcome // what became of it, for who asks again
 }
 
-// Result is what became of a command.
-type Result struct {
+// CommandOutcome is what became of a command.
+type CommandOutcome struct {
 	ID string
-	consensus.Answer
+	consensus.CommandResult
 	Err string // empty: it was committed
 }
 
@@ -140,8 +140,8 @@
 }
 
 // Start opens the log and begins. An error names the directory or what is wrong with it.
-func Start(o Options) (*Chamber, error) {
-	c := &Chamber{o: o, voters: slices.Sorted(slices.Values(o.Voters)), leader: o.Voters[0], changed: make(chan struct{}, 1), granter: make(chan struct{}), calls: make(chan func()), puts: map[string]*waiting{}}
+func Start(o Options) (*Node, error) {
+	c := &Node{o: o, voters: slices.Sorted(slices.Values(o.Voters)), leader: o.Voters[0], changed: make(chan struct{}, 1), granter: make(chan struct{}), calls: make(chan func()), puts: map[string]*waiting{}}
 	now := o.Now()
 	c.began = now
 	if o.Disk != nil {
@@ -151,47 +151,49 @@
 		}
 	}
 	version, docs := c.remembered()
-	c.holder = consensus.NewHolder(o.Name, o.Terms, version, docs)
-	c.acting.Store(&Acting{Version: version, Docs: docs})
+	c.holder = consensus.NewLeaseHolder(o.Name, o.Lease, version, docs)
+	c.acting.Store(&LeasedVersion{Version: version, Docs: docs})
 	c.status.Store(&Status{})
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	c.done.Go(c.own)
 	return c, nil
 }
 
-// May tells what this daemon may act on now; false: its lease has run out, or it never had one. The look and the act lie as far
+// Valid tells what this daemon may act on now; false: its lease has run out, or it never had one. The look and the act lie as far
 // apart as the caller lets them; no lock is taken.
-func (c *Chamber) May() (*Acting, bool) {
+func (c *Node) Valid() (*LeasedVersion, bool) {
 	a := c.acting.Load()
 	return a, a.Version > 0 && c.o.Now() < a.Until
 }
 
-// Covers tells whether a version may be acted on now: the one that this daemon is to act on, or the one before while it
+// CoversVersion tells whether a version may be acted on now: the one that this daemon is to act on, or the one before while it
 // changes over. No lock is taken.
-func (c *Chamber) Covers(version uint64) bool { return c.acting.Load().May(version, c.o.Now()) }
+func (c *Node) CoversVersion(version uint64) bool {
+	return c.acting.Load().CoversVersion(version, c.o.Now())
+}
 
-// Left is how long the lease lasts yet.
-func (c *Chamber) Left() time.Duration { return max(c.acting.Load().Until-c.o.Now(), 0) }
+// LeaseRemaining is how long the lease lasts yet.
+func (c *Node) LeaseRemaining() time.Duration { return max(c.acting.Load().Until-c.o.Now(), 0) }
 
-// Installed says that this daemon has taken a version up, where it Installs.
-func (c *Chamber) Installed(version uint64) {
-	c.call(c.ctx, func() { c.holder.Installed(version) })
+// MarkInstalled says that this daemon has taken a version up, where it Installs.
+func (c *Node) MarkInstalled(version uint64) {
+	c.call(c.ctx, func() { c.holder.MarkInstalled(version) })
 }
 
 // Recheck has a version that this daemon could not act on looked at again: something here has changed.
-func (c *Chamber) Recheck() { c.call(c.ctx, c.holder.Recheck) }
+func (c *Node) Recheck() { c.call(c.ctx, c.holder.Recheck) }
 
-// First is closed when the first grant since the start has come: then May tells what is agreed, if anything is.
-func (c *Chamber) First() <-chan struct{} { return c.granter }
+// FirstGrant is closed when the first grant since the start has come: then May tells what is agreed, if anything is.
+func (c *Node) FirstGrant() <-chan struct{} { return c.granter }
 
 // Changed has a value when May tells of another version.
-func (c *Chamber) Changed() <-chan struct{} { return c.changed }
+func (c *Node) Changed() <-chan struct{} { return c.changed }
 
 // Status is how agreement stands.
-func (c *Chamber) Status() Status { return *c.status.Load() }
+func (c *Node) Status() Status { return *c.status.Load() }
 
 // Close ends the chamber, and returns when nothing of it runs any more.
-func (c *Chamber) Close() error {
+func (c *Node) Close() error {
 	c.stop()
 	c.done.Wait()
 	if c.seat != nil {
@@ -200,35 +202,35 @@
 	return nil
 }
 
-// Put has a command agreed on, and gives the version that it made once that is committed. A command without an ID gets one.
-func (c *Chamber) Put(ctx context.Context, cmd consensus.Command) (uint64, error) {
-	a, err := c.Do(ctx, cmd)
+// ProposeVersion has a command agreed on, and gives the version that it made once that is committed. A command without an ID gets one.
+func (c *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
+	a, err := c.Propose(ctx, cmd)
 	return a.Version, err
 }
 
-// Do is Put for commands of all kinds, and gives all that became of one.
-func (c *Chamber) Do(ctx context.Context, cmd consensus.Command) (consensus.Answer, error) {
+// Propose is Put for commands of all kinds, and gives all that became of one.
+func (c *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
 	if cmd.ID == "" {
 		cmd.ID = rand.Text()
 	}
 	body, err := cmd.Encode()
 	if err != nil {
-		return consensus.Answer{}, err
+		return consensus.CommandResult{}, err
 	}
-	answer := make(chan Result, 1)
+	answer := make(chan CommandOutcome, 1)
 	room := make(chan bool, 1)
 	if !c.call(ctx, func() { room <- c.wantAnswer(cmd.ID, body, answer) }) {
-		return consensus.Answer{}, consensus.ErrUnsure
+		return consensus.CommandResult{}, consensus.ErrIndeterminate
 	}
 	if !<-room {
-		return consensus.Answer{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", mostPuts, mostPutBytes)
+		return consensus.CommandResult{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", mostPuts, mostPutBytes)
 	}
 	select {
 	case r := <-answer:
 		if r.Err != "" {
-			return r.Answer, errors.New(r.Err)
+			return r.CommandResult, errors.New(r.Err)
 		}
-		return r.Answer, nil
+		return r.CommandResult, nil
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
@@ -237,11 +239,11 @@
 			p.answer, p.ends = nil, c.o.Now()+keepPut
 		}
 	})
-	return consensus.Answer{}, consensus.ErrUnsure
+	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
 // wantAnswer has a command's answer sent when it comes; it is there already if it was asked for before. False: there is no room.
-func (c *Chamber) wantAnswer(id string, body []byte, answer chan Result) bool {
+func (c *Node) wantAnswer(id string, body []byte, answer chan CommandOutcome) bool {
 	p := c.puts[id]
 	switch {
 	case p == nil && !c.room(len(body)):
@@ -258,7 +260,7 @@
 }
 
 // room tells whether one more command may wait.
-func (c *Chamber) room(bytes int) bool {
+func (c *Node) room(bytes int) bool {
 	for _, p := range c.puts {
 		bytes += len(p.body)
 	}
@@ -266,7 +268,7 @@
 }
 
 // call has the owner do something; false: not before ctx or the chamber ended.
-func (c *Chamber) call(ctx context.Context, do func()) bool {
+func (c *Node) call(ctx context.Context, do func()) bool {
 	select {
 	case c.calls <- do:
 		return true
@@ -277,21 +279,21 @@
 }
 
 // own does what comes and what is due, until the chamber ends.
-func (c *Chamber) own() {
+func (c *Node) own() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case p := <-c.o.Carrier.Parcels():
+		case p := <-c.o.Transport.Messages():
 			c.take(p)
 		case do := <-c.calls:
 			do()
 		case <-timer.C:
 		}
 		now := c.o.Now()
-		if c.seat != nil && now >= c.seat.voter.Next() {
+		if c.seat != nil && now >= c.seat.voter.NextTick() {
 			c.seat.voter.Tick(now)
 		}
 		if c.founding != nil && now >= c.foundAt {
@@ -308,13 +310,13 @@
 }
 
 // wait is how long nothing is due.
-func (c *Chamber) wait(now time.Duration) time.Duration {
+func (c *Node) wait(now time.Duration) time.Duration {
 	next := c.askAt
 	if c.founding != nil {
 		next = min(next, c.foundAt)
 	}
 	if c.seat != nil {
-		next = min(next, c.seat.voter.Next())
+		next = min(next, c.seat.voter.NextTick())
 	}
 	for _, p := range c.puts {
 		next = min(next, p.next, p.ends)
@@ -323,18 +325,18 @@
 }
 
 // take takes a parcel. What can't be read is dropped: it was signed by a daemon of the fleet, of another version then.
-func (c *Chamber) take(p transport.Parcel) {
+func (c *Node) take(p transport.Message) {
 	now := c.o.Now()
 	switch p.Kind {
 	case kindRaft:
 		c.hearRaft(now, p)
 	case kindAsk:
-		var r consensus.Request
-		if json.Unmarshal(p.Body, &r) == nil && r.Daemon == p.From && (c.seat == nil || c.seat.voter.Ask(r) != nil) {
+		var r consensus.LeaseRequest
+		if json.Unmarshal(p.Body, &r) == nil && r.Daemon == p.From && (c.seat == nil || c.seat.voter.RequestLease(r) != nil) {
 			c.tellVoters(p.From)
 		}
 	case kindGrant:
-		var g consensus.Grant
+		var g consensus.LeaseGrant
 		if slices.Contains(c.voters, p.From) && json.Unmarshal(p.Body, &g) == nil {
 			c.granted(now, p.From, g)
 		}
@@ -360,7 +362,7 @@
 	case kindFound:
 		c.hearFound(now, p)
 	case kindResult:
-		var r Result
+		var r CommandOutcome
 		if json.Unmarshal(p.Body, &r) == nil && slices.Contains(c.voters, p.From) {
 			c.answer(r)
 		}
@@ -368,17 +370,17 @@
 }
 
 // tellVoters says to a daemon that asked one which does not lead whom it may ask: its own list may be of long ago.
-func (c *Chamber) tellVoters(name string) {
+func (c *Node) tellVoters(name string) {
 	if body, err := json.Marshal(c.voters); err == nil {
-		_ = c.o.Carrier.Send(name, kindVoters, body)
+		_ = c.o.Transport.Send(name, kindVoters, body)
 	}
 }
 
 // mostAsked bounds the names of those who may be asked: beyond it names from others are not taken.
-const mostAsked = 4 * consensus.MostSeats
+const mostAsked = 4 * consensus.MaxVoters
 
 // learnVoters takes up names of voters: from a leader those that vote, beside those that were told; from others what they know.
-func (c *Chamber) learnVoters(names []string, leads bool) {
+func (c *Node) learnVoters(names []string, leads bool) {
 	all := slices.Concat(names, c.o.Voters)
 	if !leads {
 		all = slices.Concat(names, c.voters)
@@ -389,27 +391,27 @@
 }
 
 // ask asks for a lease: whoever granted the last one, or the next voter.
-func (c *Chamber) ask(now time.Duration) {
+func (c *Node) ask(now time.Duration) {
 	if !c.heard {
 		i, _ := slices.BinarySearch(c.voters, c.leader+"\x00")
 		c.leader = c.voters[i%len(c.voters)]
 	}
 	c.heard = false
-	r, next := c.holder.Ask(now)
+	r, next := c.holder.NextRequest(now)
 	if c.seat == nil && !c.left {
 		r.Mark = c.marked
 	}
 	c.askAt = next
-	if c.seat != nil && c.seat.voter.Leads() {
-		_ = c.seat.voter.Ask(r)
+	if c.seat != nil && c.seat.voter.IsLeader() {
+		_ = c.seat.voter.RequestLease(r)
 		return
 	}
 	if body, err := json.Marshal(r); err == nil {
-		_ = c.o.Carrier.Send(c.leader, kindAsk, body) // who is not there does not answer
+		_ = c.o.Transport.Send(c.leader, kindAsk, body) // who is not there does not answer
 	}
 }
 
-func (c *Chamber) granted(now time.Duration, by string, g consensus.Grant) {
+func (c *Node) granted(now time.Duration, by string, g consensus.LeaseGrant) {
 	c.heard, c.leader = true, by
 	if len(g.Voters) > 0 {
 		c.learnVoters(g.Voters, true)
@@ -418,15 +420,15 @@
 			c.told(now, &g)
 		}
 	}
-	c.holder.Granted(now, g)
+	c.holder.HandleGrant(now, g)
 	if !c.o.Installs {
-		c.holder.Installed(c.holder.Acting().Version)
+		c.holder.MarkInstalled(c.holder.Leased().Version)
 	}
 	c.check()
-	if a := c.holder.Acting(); a.Version == g.Version && (a.Version != c.kept || !slices.Equal(g.Voters, c.keptVoters)) {
+	if a := c.holder.Leased(); a.Version == g.Version && (a.Version != c.kept || !slices.Equal(g.Voters, c.keptVoters)) {
 		c.keep(a, g.Voters)
 	}
-	if !c.first && c.holder.Acting().Version == g.Version {
+	if !c.first && c.holder.Leased().Version == g.Version {
 		c.first = true
 		c.publish()
 		close(c.granter)
@@ -434,8 +436,8 @@
 }
 
 // check has what was offered looked at, one version at a time. It asks for a lease as soon as that is done.
-func (c *Chamber) check() {
-	version, docs := c.holder.Offered()
+func (c *Node) check() {
+	version, docs := c.holder.PendingCheck()
 	if version == 0 || c.checks != 0 {
 		return
 	}
@@ -450,7 +452,7 @@
 			if err != nil {
 				c.o.Log.Warn("this daemon can't act on a version", "version", version, "err", err)
 			}
-			c.holder.Checked(version, err)
+			c.holder.CompleteCheck(version, err)
 			c.askAt = 0
 			c.check() // another may have been offered meanwhile
 		})
@@ -458,7 +460,7 @@
 }
 
 // tryPuts proposes what has not been answered.
-func (c *Chamber) tryPuts(now time.Duration) {
+func (c *Node) tryPuts(now time.Duration) {
 	for id, p := range c.puts {
 		switch {
 		case now >= p.ends:
@@ -471,7 +473,7 @@
 			}
 			p.tried(now)
 		default:
-			_ = c.o.Carrier.Send(c.leader, kindPut, p.body)
+			_ = c.o.Transport.Send(c.leader, kindPut, p.body)
 			p.tried(now)
 		}
 	}
@@ -484,13 +486,13 @@
 }
 
 // tell sends a command's result to the daemon that it came from.
-func (c *Chamber) tell(name string, r Result) {
+func (c *Node) tell(name string, r CommandOutcome) {
 	if body, err := json.Marshal(r); err == nil {
-		_ = c.o.Carrier.Send(name, kindResult, body)
+		_ = c.o.Transport.Send(name, kindResult, body)
 	}
 }
 
-func (c *Chamber) answer(r Result) {
+func (c *Node) answer(r CommandOutcome) {
 	p := c.puts[r.ID]
 	if p == nil || p.result != nil {
 		return
@@ -510,8 +512,8 @@
 }
 
 // publish makes known what this daemon may act on, and how agreement stands.
-func (c *Chamber) publish() {
-	a := c.holder.Acting()
+func (c *Node) publish() {
+	a := c.holder.Leased()
 	if was := c.acting.Load(); a.Version != was.Version || a.Until != was.Until {
 		c.acting.Store(&a)
 		if a.Version != was.Version {
@@ -521,12 +523,12 @@
 			}
 		}
 	}
-	s := Status{Votes: c.seat != nil && !c.seat.voter.Learns(), Leader: c.leader, Voters: c.voters, Sitting: c.sitting}
-	s.All, s.Lagging = c.holder.Whole()
-	s.Declined, s.Why = c.holder.Declined()
+	s := Status{Votes: c.seat != nil && !c.seat.voter.IsLearner(), Leader: c.leader, Voters: c.voters, Sitting: c.sitting}
+	s.All, s.Lagging = c.holder.FullyActive()
+	s.Declined, s.Why = c.holder.Rejected()
 	if c.seat != nil {
 		st := c.seat.voter.State()
-		s.Leads, s.Committed, s.Coming, s.Term = c.seat.voter.Leads(), st.Version, st.Coming, c.seat.voter.Term()
+		s.Leads, s.Committed, s.Coming, s.Term = c.seat.voter.IsLeader(), st.Version, st.Coming, c.seat.voter.Term()
 		if s.Leads {
 			s.Lagging = c.seat.voter.Lagging()
 		}
--- a/internal/cluster/raftnode/chamber_test.go
+++ b/internal/cluster/raftnode/chamber_test.go
@@ -22,13 +22,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var terms = consensus.Terms{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
+var terms = consensus.LeaseConfig{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
 
 // house is daemons over real links in one process, three of them voters.
 type house struct {
 	t     *testing.T
-	links []*transport.Link
-	rooms []*Chamber
+	links []*transport.Transport
+	rooms []*Node
 	disks []*simdisk.Disk
 }
 
@@ -52,7 +52,7 @@
 			if h.rooms[i] != nil {
 				h.rooms[i].Close()
 			}
-			l.Kill()
+			l.Abort()
 		})
 	}
 	return h
@@ -60,7 +60,7 @@
 
 func (h *house) begin(i int) {
 	h.t.Helper()
-	o := Options{Name: fmt.Sprint("s", i), Voters: []string{"s2", "s0", "s1"}, Terms: terms, Carrier: h.links[i], Now: h.links[i].Now, Log: slog.New(slog.NewTextHandler(h.t.Output(), nil))}
+	o := Options{Name: fmt.Sprint("s", i), Voters: []string{"s2", "s0", "s1"}, Lease: terms, Transport: h.links[i], Now: h.links[i].Now, Log: slog.New(slog.NewTextHandler(h.t.Output(), nil))}
 	o.Disk = h.disks[i]
 	room, err := Start(o)
 	if err != nil {
@@ -74,20 +74,20 @@
 	d := simdisk.New()
 	d.SetBytes("IDENTITY.new", []byte("a o"))
 	d.SetBytes("IDENTITY", []byte("a of a b c\n"))
-	start := func(name string, then func(c *Chamber), voters ...string) error {
+	start := func(name string, then func(c *Node), voters ...string) error {
 		l, err := transport.Start(transport.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Kill()
-		c, err := Start(Options{Name: name, Voters: voters, Disk: d, Terms: terms, Carrier: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
+		defer l.Abort()
+		c, err := Start(Options{Name: name, Voters: voters, Disk: d, Lease: terms, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
 		if err == nil {
 			then(c)
 			err = c.Close()
 		}
 		return err
 	}
-	votes := func(c *Chamber) {
+	votes := func(c *Node) {
 		testpeer.Until(t, "it votes", func() bool { return c.Status().Votes })
 	}
 	for _, voters := range [][]string{{"b", "a", "c"}, {"a", "b", "d"}} { // of others that are told of since its disk knows
@@ -103,7 +103,7 @@
 	if err := d.Remove("IDENTITY"); err != nil {
 		t.Fatal(err)
 	}
-	if err := start("a", func(c *Chamber) {
+	if err := start("a", func(c *Node) {
 		testpeer.Until(t, "it gives up", func() bool {
 			gave := make(chan bool, 1)
 			c.call(t.Context(), func() { gave <- c.left && c.seat == nil })
@@ -118,7 +118,7 @@
 	h.t.Helper()
 	ctx, cancel := context.WithTimeout(h.t.Context(), testpeer.Patience)
 	defer cancel()
-	v, err := h.rooms[by].Put(ctx, consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: name, Body: []byte(body)}})
+	v, err := h.rooms[by].ProposeVersion(ctx, consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: name, Body: []byte(body)}})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -131,11 +131,11 @@
 }
 
 // act waits until some daemons act on a version.
-func (h *house) act(rooms []*Chamber, version uint64, name, body string) {
+func (h *house) act(rooms []*Node, version uint64, name, body string) {
 	h.t.Helper()
 	testpeer.Until(h.t, fmt.Sprint("all act on version ", version), func() bool {
 		for _, r := range rooms {
-			if a, ok := r.May(); !ok || a.Version < version || string(a.Docs[name].Body) != body {
+			if a, ok := r.Valid(); !ok || a.Version < version || string(a.Docs[name].Body) != body {
 				return false
 			}
 		}
@@ -155,7 +155,7 @@
 	second := h.put(4, "b", "doc", "two") // by one that does not vote
 	h.all(second, "doc", "two")
 	expect := first
-	if _, err := h.rooms[3].Put(t.Context(), consensus.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, consensus.ErrUnsure) {
+	if _, err := h.rooms[3].ProposeVersion(t.Context(), consensus.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("another version was expected: %v", err)
 	}
 
@@ -173,11 +173,11 @@
 	h.all(fourth, "doc", "four")
 	testpeer.Until(t, "the voter whose disk failed steps down", func() bool { return !h.rooms[1].Status().Votes })
 
-	h.links[2].Kill() // one voter of three is left
-	testpeer.Until(t, "leases run out", func() bool { _, ok := h.rooms[3].May(); return !ok })
+	h.links[2].Abort() // one voter of three is left
+	testpeer.Until(t, "leases run out", func() bool { _, ok := h.rooms[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := h.rooms[3].Put(ctx, consensus.Command{Put: &consensus.PutDoc{Name: "doc"}}); !errors.Is(err, consensus.ErrUnsure) {
+	if _, err := h.rooms[3].ProposeVersion(ctx, consensus.Command{Put: &consensus.DocumentPut{Name: "doc"}}); !errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("without a majority: %v", err)
 	}
 }
--- a/internal/cluster/raftnode/found.go
+++ b/internal/cluster/raftnode/found.go
@@ -22,13 +22,13 @@
 
 // foundParcel is a word between first voters: one that has yet to begin asks, all answer.
 type foundParcel struct {
-	Round uint64              `json:"round"`
-	Asks  bool                `json:"asks"`
-	Word  consensus.FirstWord `json:"word"`
+	Round uint64                  `json:"round"`
+	Asks  bool                    `json:"asks"`
+	Word  consensus.BootstrapVote `json:"word"`
 }
 
 // mark is that of this daemon's disk.
-func (c *Chamber) mark() (string, error) {
+func (c *Node) mark() (string, error) {
 	text, err := read(c.o.Disk, markName, mostIdentity)
 	if err != nil || len(text) > 0 {
 		return strings.TrimSpace(string(text)), err
@@ -38,13 +38,13 @@
 }
 
 // found asks the other first voters whether they have begun.
-func (c *Chamber) found(now time.Duration) {
+func (c *Node) found(now time.Duration) {
 	c.foundAt = now + foundEvery
-	if silent := c.founding.Silent(); now > c.began+foundSaid && !c.awaited && len(silent) > 0 {
+	if silent := c.founding.MissingVotes(); now > c.began+foundSaid && !c.awaited && len(silent) > 0 {
 		c.awaited = true
 		c.o.Log.Warn("this daemon votes when all first voters have been up at once", "silent", strings.Join(silent, " "))
 	}
-	p := foundParcel{Round: c.founding.Round(), Asks: true, Word: c.founding.Word()}
+	p := foundParcel{Round: c.founding.StartRound(), Asks: true, Word: c.founding.Vote()}
 	for _, name := range c.o.Voters {
 		if name != c.o.Name {
 			c.sendFound(name, p)
@@ -53,14 +53,14 @@
 	c.decideFound(now)
 }
 
-func (c *Chamber) sendFound(to string, p foundParcel) {
+func (c *Node) sendFound(to string, p foundParcel) {
 	if body, err := json.Marshal(p); err == nil {
-		_ = c.o.Carrier.Send(to, kindFound, body)
+		_ = c.o.Transport.Send(to, kindFound, body)
 	}
 }
 
 // hearFound takes another's word, and answers one that asks. Who never began, and is not about to, says nothing.
-func (c *Chamber) hearFound(now time.Duration, parcel transport.Parcel) {
+func (c *Node) hearFound(now time.Duration, parcel transport.Message) {
 	var p foundParcel
 	if json.Unmarshal(parcel.Body, &p) != nil || !slices.Contains(c.o.Voters, parcel.From) {
 		return
@@ -69,16 +69,16 @@
 	case p.Asks && c.word != nil:
 		c.sendFound(parcel.From, foundParcel{Round: p.Round, Word: *c.word})
 	case p.Asks && c.founding != nil:
-		c.sendFound(parcel.From, foundParcel{Round: p.Round, Word: c.founding.Word()})
+		c.sendFound(parcel.From, foundParcel{Round: p.Round, Word: c.founding.Vote()})
 	case !p.Asks && c.founding != nil:
-		c.founding.Hear(parcel.From, p.Round, p.Word)
+		c.founding.ReceiveVote(parcel.From, p.Round, p.Word)
 		c.decideFound(now)
 	}
 }
 
 // decideFound begins as a first voter, or never will.
-func (c *Chamber) decideFound(now time.Duration) {
-	marks, lost := c.founding.Verdict()
+func (c *Node) decideFound(now time.Duration) {
+	marks, lost := c.founding.Decision()
 	switch {
 	case lost:
 		c.o.Log.Error("this daemon does not vote", "err", errLost)
@@ -86,7 +86,7 @@
 	case marks != nil:
 		first := slices.Sorted(slices.Values(c.o.Voters))
 		is := &identity{name: c.o.Name, first: first, id: uint64(slices.Index(first, c.o.Name) + 1), founded: foundedBy(first), marks: marks}
-		c.founding, c.word = nil, &consensus.FirstWord{Begun: true, Marks: marks}
+		c.founding, c.word = nil, &consensus.BootstrapVote{Begun: true, Marks: marks}
 		var err error
 		if c.seat, err = c.begin(now, is); err != nil {
 			c.left = true
--- a/internal/cluster/raftnode/keep.go
+++ b/internal/cluster/raftnode/keep.go
@@ -21,7 +21,7 @@
 }
 
 // keep keeps what this daemon acts on. A disk that fails costs no more than that.
-func (c *Chamber) keep(a Acting, voters []string) {
+func (c *Node) keep(a LeasedVersion, voters []string) {
 	if c.kept, c.keptVoters = a.Version, voters; c.o.Disk == nil {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // remembered is what was kept; nothing where there is none, or it is damaged, or this daemon can't act on it any more.
-func (c *Chamber) remembered() (uint64, map[string]consensus.Document) {
+func (c *Node) remembered() (uint64, map[string]consensus.Document) {
 	if c.o.Disk == nil {
 		return 0, nil
 	}
@@ -69,7 +69,7 @@
 
 const (
 	sumSize  = 2*sha256.Size + 1
-	mostKept = 2 * consensus.MostBodies // bytes: base64, and the names
+	mostKept = 2 * consensus.MaxTotalBytes // bytes: base64, and the names
 )
 
 // read reads a file whole; nil: it is not there. One that is longer than most is cut.
--- a/internal/cluster/raftnode/keep_test.go
+++ b/internal/cluster/raftnode/keep_test.go
@@ -19,15 +19,15 @@
 // What a daemon acted on is there after a restart, or nothing is: a file cut or changed at any byte says nothing.
 func TestWhatIsKeptIsWholeOrNothing(t *testing.T) {
 	d := simdisk.New()
-	c := &Chamber{o: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
-	c.keep(Acting{Version: 7, Docs: map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
+	c := &Node{o: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
+	c.keep(LeasedVersion{Version: 7, Docs: map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
 	whole, err := read(d, keptName, mostKept)
 	if err != nil || len(whole) == 0 {
 		t.Fatal(err)
 	}
 	remembered := func(text []byte) (uint64, map[string]consensus.Document) {
 		d.SetBytes(keptName, text)
-		return (&Chamber{o: c.o}).remembered()
+		return (&Node{o: c.o}).remembered()
 	}
 	if v, docs := remembered(whole); v != 7 || string(docs["a"].Body) != "text" {
 		t.Errorf("%d, %v", v, docs)
@@ -44,12 +44,12 @@
 	cant := c.o
 	cant.Check = func(map[string]consensus.Document) error { return errors.New("no") }
 	d.SetBytes(keptName, whole)
-	if v, _ := (&Chamber{o: cant}).remembered(); v != 0 {
+	if v, _ := (&Node{o: cant}).remembered(); v != 0 {
 		t.Error("a daemon goes on with what it can't act on")
 	}
 	d.Fail(0)
-	c.keep(Acting{Version: 8}, nil) // and goes on
-	if v, _ := (&Chamber{o: c.o}).remembered(); v == 8 {
+	c.keep(LeasedVersion{Version: 8}, nil) // and goes on
+	if v, _ := (&Node{o: c.o}).remembered(); v == 8 {
 		t.Error("the disk has failed")
 	}
 }
@@ -91,12 +91,12 @@
 
 // A daemon that can't act on a version says so to who put it, and goes on without a lease where that is forced.
 func TestChecks(t *testing.T) {
-	o := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Chamber, *transport.Link) {
+	o := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		l, err := transport.Start(transport.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		options := Options{Name: name, Voters: []string{"v"}, Terms: terms, Carrier: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
+		options := Options{Name: name, Voters: []string{"v"}, Lease: terms, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
 		if name == "v" {
 			options.Disk = simdisk.New()
 		}
@@ -104,7 +104,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close(); l.Kill() })
+		t.Cleanup(func() { c.Close(); l.Abort() })
 		return c, l
 	}
 	voter, l := o("v", nil)
@@ -115,15 +115,15 @@
 		return nil
 	}, l.Addr())
 	put := func(body string) uint64 {
-		v, err := other.Put(t.Context(), consensus.Command{Put: &consensus.PutDoc{Name: "a", Body: []byte(body)}})
+		v, err := other.ProposeVersion(t.Context(), consensus.Command{Put: &consensus.DocumentPut{Name: "a", Body: []byte(body)}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return v
 	}
-	acts := func(c *Chamber, version uint64) {
+	acts := func(c *Node, version uint64) {
 		t.Helper()
-		testpeer.Until(t, fmt.Sprint("version ", version), func() bool { a, ok := c.May(); return ok && a.Version == version })
+		testpeer.Until(t, fmt.Sprint("version ", version), func() bool { a, ok := c.Valid(); return ok && a.Version == version })
 	}
 	acts(other, put("good"))
 	bad := put("bad")
@@ -131,11 +131,11 @@
 		is, here := voter.Status(), other.Status()
 		return len(is.Lagging) == 1 && is.Lagging[0].Daemon == "o" && strings.Contains(is.Lagging[0].Why, "it is bad") && here.Declined == bad && here.Why == "it is bad"
 	})
-	if _, err := other.Do(t.Context(), consensus.Command{Force: bad}); err != nil {
+	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
 		t.Fatal(err)
 	}
 	acts(voter, bad)
-	testpeer.Until(t, "no lease", func() bool { _, ok := other.May(); return !ok })
+	testpeer.Until(t, "no lease", func() bool { _, ok := other.Valid(); return !ok })
 	good := put("better")
 	acts(other, good)
 	testpeer.Until(t, "all act", func() bool { return other.Status().All == good && voter.Status().All == good })
@@ -144,11 +144,11 @@
 // What each request costs that is to be refused where it is not sure: 56 ns, nearly all of it the clock, and no lock.
 func BenchmarkCovers(b *testing.B) {
 	began := time.Now()
-	c := &Chamber{o: Options{Now: func() time.Duration { return time.Since(began) }}}
-	c.acting.Store(&Acting{Version: 3, Until: time.Hour})
+	c := &Node{o: Options{Now: func() time.Duration { return time.Since(began) }}}
+	c.acting.Store(&LeasedVersion{Version: 3, Until: time.Hour})
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if !c.Covers(3) {
+			if !c.CoversVersion(3) {
 				b.Error("no lease")
 			}
 		}
--- a/internal/cluster/raftnode/seat.go
+++ b/internal/cluster/raftnode/seat.go
@@ -91,7 +91,7 @@
 }
 
 // sitDown opens what this daemon's disk has of a voter. Nil: it has nothing of one, and this daemon is none of the first.
-func (c *Chamber) sitDown(now time.Duration) (*seat, error) {
+func (c *Node) sitDown(now time.Duration) (*seat, error) {
 	text, err := read(c.o.Disk, identityName, mostIdentity)
 	if err != nil {
 		return nil, err
@@ -104,19 +104,19 @@
 		if err != nil {
 			return nil, err
 		}
-		c.word = &consensus.FirstWord{Begun: true, Marks: is.marks}
+		c.word = &consensus.BootstrapVote{Begun: true, Marks: is.marks}
 		return c.open(now, is)
 	}
 	first := slices.Sorted(slices.Values(c.o.Voters))
 	if c.marked, err = c.mark(); err != nil || !slices.Contains(first, c.o.Name) {
 		return nil, err
 	}
-	c.founding = consensus.NewFounding(c.o.Name, c.marked, first)
+	c.founding = consensus.NewBootstrap(c.o.Name, c.marked, first)
 	return nil, nil
 }
 
 // begin makes an empty directory a voter's.
-func (c *Chamber) begin(now time.Duration, is *identity) (*seat, error) {
+func (c *Node) begin(now time.Duration, is *identity) (*seat, error) {
 	names, err := c.o.Disk.List()
 	if err != nil {
 		return nil, err
@@ -134,8 +134,8 @@
 	return c.open(now, is)
 }
 
-func (c *Chamber) open(now time.Duration, is *identity) (*seat, error) {
-	disk, err := consensus.NewDisk(is.first)
+func (c *Node) open(now time.Duration, is *identity) (*seat, error) {
+	disk, err := consensus.NewRecoveredState(is.first)
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 	}
 	var seed [8]byte
 	_, _ = rand.Read(seed[:]) // it never fails
-	voter, err := consensus.NewVoter(now, consensus.Config{ID: is.id, Beat: beat, Seed: binary.LittleEndian.Uint64(seed[:]), Terms: c.o.Terms}, disk)
+	voter, err := consensus.NewVoter(now, consensus.Config{ID: is.id, Beat: beat, Seed: binary.LittleEndian.Uint64(seed[:]), Lease: c.o.Lease}, disk)
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
@@ -154,7 +154,7 @@
 }
 
 // getUp ends this daemon's part in the voting, for the rest of its process's life.
-func (c *Chamber) getUp() {
+func (c *Node) getUp() {
 	if err := c.seat.log.Close(); err != nil {
 		c.o.Log.Warn("the durable log", "err", err)
 	}
@@ -167,14 +167,14 @@
 
 // nameOf is a voter's name; empty: none is known.
 func (s *seat) nameOf(id uint64) string {
-	if name := s.voter.State().NameOf(id); name != "" {
+	if name := s.voter.State().VoterName(id); name != "" {
 		return name
 	}
 	return s.names[id]
 }
 
 // hearRaft takes a message of another voter.
-func (c *Chamber) hearRaft(now time.Duration, p transport.Parcel) {
+func (c *Node) hearRaft(now time.Duration, p transport.Message) {
 	m := &raftpb.Message{}
 	if len(p.Body) < foundedSize || proto.Unmarshal(p.Body[foundedSize:], m) != nil {
 		return
@@ -196,20 +196,20 @@
 var errLost = errors.New("the log of its seat is not here; have it taken out of the voters, and then put in again")
 
 // told takes up what a leader, confirmed by a majority, says of this daemon's seat.
-func (c *Chamber) told(now time.Duration, g *consensus.Grant) {
+func (c *Node) told(now time.Duration, g *consensus.LeaseGrant) {
 	seat := uint64(0)
 	if c.seat != nil {
 		seat = c.seat.id
 	}
-	switch g.Move(c.o.Name, seat) {
-	case consensus.Rise:
+	switch g.VoterAction(c.o.Name, seat) {
+	case consensus.StopVoter:
 		c.o.Log.Warn("this daemon does not vote any more: its seat was taken out; empty its data_dir before it is to vote again", "seat", c.seat.id)
 		c.getUp()
-	case consensus.Sit:
+	case consensus.StartVoter:
 		if !c.left {
 			c.join(now, &identity{name: c.o.Name, id: g.Seat, founded: foundedBy(g.First)})
 		}
-	case consensus.Lost:
+	case consensus.VoterDiskLost:
 		if !c.lost && !c.left {
 			c.lost = true
 			c.o.Log.Error("this daemon does not vote", "seat", g.Seat, "err", errLost)
@@ -218,7 +218,7 @@
 }
 
 // join begins as a new voter.
-func (c *Chamber) join(now time.Duration, is *identity) {
+func (c *Node) join(now time.Duration, is *identity) {
 	s, err := c.begin(now, is)
 	if err != nil {
 		c.left = true // else it would be tried with each grant
@@ -230,7 +230,7 @@
 }
 
 // carry does what the voter wants: what must be sure first, then what is to be sent.
-func (c *Chamber) carry() {
+func (c *Node) carry() {
 	for c.seat != nil {
 		v := c.seat.voter
 		out := v.Output(c.o.Now())
@@ -255,11 +255,11 @@
 			if g.Daemon == c.o.Name {
 				c.granted(c.o.Now(), c.o.Name, g.Grant)
 			} else if body, err := json.Marshal(g.Grant); err == nil {
-				_ = c.o.Carrier.Send(g.Daemon, kindGrant, body)
+				_ = c.o.Transport.Send(g.Daemon, kindGrant, body)
 			}
 		}
 		for _, r := range results {
-			said := Result{ID: r.ID, Answer: r.Answer}
+			said := CommandOutcome{ID: r.ID, CommandResult: r.CommandResult}
 			if r.Err != nil {
 				said.Err = r.Err.Error()
 			}
@@ -272,7 +272,7 @@
 }
 
 // save makes sure of a voter's records, and of its snapshot.
-func (s *seat) save(out *consensus.Out) error {
+func (s *seat) save(out *consensus.VoterOutput) error {
 	for _, r := range out.Records {
 		if _, err := s.log.Append(r.Type, r.Payload); err != nil {
 			return err
@@ -287,16 +287,16 @@
 	return nil
 }
 
-func (c *Chamber) send(m *raftpb.Message) {
+func (c *Node) send(m *raftpb.Message) {
 	name := c.seat.nameOf(m.GetTo())
 	if name == "" {
 		return
 	}
 	body, err := proto.Marshal(m)
 	if err == nil {
-		err = c.o.Carrier.Send(name, kindRaft, append(c.seat.founded[:], body...))
+		err = c.o.Transport.Send(name, kindRaft, append(c.seat.founded[:], body...))
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		c.seat.voter.Sent(m.GetTo(), err == nil)
+		c.seat.voter.ReportSnapshot(m.GetTo(), err == nil)
 	}
 }
--- a/internal/cluster/raftnode/seat_test.go
+++ b/internal/cluster/raftnode/seat_test.go
@@ -11,7 +11,7 @@
 )
 
 func (h *house) seat(by int, name string, out bool) error {
-	_, err := h.rooms[by].Do(h.t.Context(), consensus.Command{Seat: &consensus.SeatChange{Name: name, Out: out}})
+	_, err := h.rooms[by].Propose(h.t.Context(), consensus.Command{Seat: &consensus.VoterChange{Name: name, Out: out}})
 	return err
 }
 
@@ -53,7 +53,7 @@
 	h.sits(5, true)
 	h.all(h.put(5, "d", "doc", "four"), "doc", "four")
 	testpeer.Until(t, "all know who votes", func() bool {
-		return !slices.ContainsFunc(h.rooms, func(c *Chamber) bool { return strings.Join(c.Status().Sitting, " ") != "s3 s4 s5" })
+		return !slices.ContainsFunc(h.rooms, func(c *Node) bool { return strings.Join(c.Status().Sitting, " ") != "s3 s4 s5" })
 	})
 }
 
--- a/internal/cluster/status/agreed.go
+++ b/internal/cluster/status/agreed.go
@@ -10,8 +10,8 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// Change is an entry of the history of what was agreed on.
-type Change struct {
+// HistoryEntry is an entry of the history of what was agreed on.
+type HistoryEntry struct {
 	Version uint64 `json:"version"`
 	Name    string `json:"name"`
 	Bytes   int    `json:"bytes"`
@@ -21,25 +21,25 @@
 	Back    uint64 `json:"back,omitempty"` // the version that it goes back to
 }
 
-// Out tells whether the document was taken out.
-func (c *Change) Out() bool { return strings.Trim(c.SHA256, "0") == "" }
+// IsRemoval tells whether the document was taken out.
+func (c *HistoryEntry) IsRemoval() bool { return strings.Trim(c.SHA256, "0") == "" }
 
-// Answer is what became of a call about what is agreed on. Its form in JSON is documented.
-type Answer struct {
-	Format  int      `json:"format"`         // 1
-	Version uint64   `json:"version"`        // that a put made, or that is agreed on
-	Same    bool     `json:"same,omitempty"` // there was nothing to change
-	Name    string   `json:"name,omitempty"` // of a document that was asked for,
-	Put     uint64   `json:"put,omitempty"`  // and the version in which it was put
-	Body    []byte   `json:"body,omitempty"`
-	History []Change `json:"history,omitempty"`
+// CommandResult is what became of a call about what is agreed on. Its form in JSON is documented.
+type CommandResult struct {
+	Format  int            `json:"format"`         // 1
+	Version uint64         `json:"version"`        // that a put made, or that is agreed on
+	Same    bool           `json:"same,omitempty"` // there was nothing to change
+	Name    string         `json:"name,omitempty"` // of a document that was asked for,
+	Put     uint64         `json:"put,omitempty"`  // and the version in which it was put
+	Body    []byte         `json:"body,omitempty"`
+	History []HistoryEntry `json:"history,omitempty"`
 }
 
 // bodyLine is how many bytes of a body are on a line, in base64.
 const bodyLine = 6000
 
-// WriteAnswer writes a line for what became of a call, and what was asked for.
-func WriteAnswer(w io.Writer, a consensus.Answer) error {
+// WriteResult writes a line for what became of a call, and what was asked for.
+func WriteResult(w io.Writer, a consensus.CommandResult) error {
 	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", a.Version, a.Same); err != nil {
 		return err
 	}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-func (a *Answer) take(line string) error {
-	var c Change
+func (a *CommandResult) take(line string) error {
+	var c HistoryEntry
 	var part string
 	err := words(line, map[string]map[string]any{
 		"answer":   {"version": &a.Version, "same": &a.Same},
@@ -86,29 +86,29 @@
 
 // Call makes a call about what is agreed on: the words that follow settings, and the body of a put. It is made again, with the
 // same words, while no majority of the voters answers and until within has passed. An error of that sort is an Unsure.
-func Call(at string, words []string, body []byte, within time.Duration) (*Answer, error) {
+func Call(at string, words []string, body []byte, within time.Duration) (*CommandResult, error) {
 	ends := time.Now().Add(within)
 	for {
-		a := &Answer{Format: 1}
+		a := &CommandResult{Format: 1}
 		err := ask(at, "settings "+strings.Join(words, " "), body, callTime, a.take)
 		if err == nil {
 			return a, nil
 		}
-		if !strings.Contains(err.Error(), consensus.ErrUnsure.Error()) {
+		if !strings.Contains(err.Error(), consensus.ErrIndeterminate.Error()) {
 			return nil, err
 		}
 		if time.Until(ends) < callRest {
-			return nil, Unsure{err}
+			return nil, IndeterminateError{err}
 		}
 		time.Sleep(callRest)
 	}
 }
 
-// Unsure is an error of a call that may have been carried out, or may be yet.
-type Unsure struct{ error }
+// IndeterminateError is an error of a call that may have been carried out, or may be yet.
+type IndeterminateError struct{ error }
 
 // Unwrap gives what was said.
-func (u Unsure) Unwrap() error { return u.error }
+func (u IndeterminateError) Unwrap() error { return u.error }
 
 const (
 	callTime = 2 * time.Second        // a daemon owes an answer within one
--- a/internal/cluster/status/report.go
+++ b/internal/cluster/status/report.go
@@ -37,9 +37,9 @@
 	SinceMs     int64  `json:"since_ms"`
 }
 
-// Of makes a report of a view, as it is at an instant.
-func Of(v *swim.View, now time.Duration, daemons, index int) *Fleet {
-	f := &Fleet{Format: 1, Self: v.Self, Standing: v.Standing.String(), Elder: v.Rival, View: v.Number, Daemons: daemons, Index: index}
+// FleetFromView makes a report of a view, as it is at an instant.
+func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
+	f := &Fleet{Format: 1, Self: v.Self, Standing: v.Connectivity.String(), Elder: v.Rival, View: v.Number, Daemons: daemons, Index: index}
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{m.Name, m.Addr.String(), m.State.String(), m.Incarnation, max(now-m.Since, 0).Milliseconds()})
 	}
@@ -66,10 +66,10 @@
 	return nil
 }
 
-const mostLines = swim.MostMembers + 2
+const mostLines = swim.MaxMembers + 2
 
-// Ask calls a daemon's operators' address. All of it takes no longer than within.
-func Ask(at string, within time.Duration) (*Fleet, error) {
+// FetchFleet calls a daemon's operators' address. All of it takes no longer than within.
+func FetchFleet(at string, within time.Duration) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, ask(at, "peers", nil, within, f.take)
 }
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Read reads an answer to its end. Names that it does not know are left out, so that later versions may say more.
-func Read(r io.Reader) (*Fleet, error) {
+// ReadFleet reads an answer to its end. Names that it does not know are left out, so that later versions may say more.
+func ReadFleet(r io.Reader) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, lines(r, f.take)
 }
--- a/internal/cluster/status/report_test.go
+++ b/internal/cluster/status/report_test.go
@@ -27,20 +27,20 @@
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
-	v := &swim.View{Number: 7, Self: "s1", Standing: swim.Partial, Rival: "127.0.0.9:1", Members: []swim.Member{
+	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, Rival: "127.0.0.9:1", Members: []swim.Member{
 		{Update: swim.Update{Peer: swim.Peer{Name: "s1", Addr: netip.MustParseAddrPort("[::1]:7")}, Incarnation: 3}, Since: time.Second},
 		{Update: swim.Update{Peer: swim.Peer{Name: "s2", Addr: netip.MustParseAddrPort("127.0.0.1:8")}, State: swim.Failed, Incarnation: 9}, Since: 2 * time.Second}}}
-	want := Of(v, 3*time.Second, 2, 1)
+	want := FleetFromView(v, 3*time.Second, 2, 1)
 	var text strings.Builder
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + end + "\n"
-	if got, err := Read(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
+	if got, err := ReadFleet(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 	for bad, why := range map[string]string{text.String(): "no end", "FAILURE this daemon is in no fleet\n": "no fleet", "fleet view=x\n" + end: "view=x"} {
-		if _, err := Read(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), why) {
+		if _, err := ReadFleet(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -48,20 +48,20 @@
 
 func TestAnswersAreRead(t *testing.T) {
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyLine/10)
-	a := consensus.Answer{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
-		History: []consensus.Change{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
+	a := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
+		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
 	var text strings.Builder
-	if err := WriteAnswer(&text, a); err != nil {
+	if err := WriteResult(&text, a); err != nil {
 		t.Fatal(err)
 	}
-	got := &Answer{}
+	got := &CommandResult{}
 	if err := lines(strings.NewReader(text.String()+end+"\n"), got.take); err != nil {
 		t.Fatal(err)
 	}
-	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) || len(got.History) != 2 || got.History[0].Out() || !got.History[1].Out() || got.History[0].Back != 3 {
+	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) || len(got.History) != 2 || got.History[0].IsRemoval() || !got.History[1].IsRemoval() || got.History[0].Back != 3 {
 		t.Errorf("%+v", got)
 	}
-	if err := (&Answer{}).take("body text=!!"); err == nil {
+	if err := (&CommandResult{}).take("body text=!!"); err == nil {
 		t.Error("half a body is read")
 	}
 }
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -44,13 +44,13 @@
 	SHA256  string `json:"sha256"`
 }
 
-// AskSettings calls a daemon's operators' address. All of it takes no longer than within.
-func AskSettings(at string, within time.Duration) (*Settings, error) {
+// FetchSettings calls a daemon's operators' address. All of it takes no longer than within.
+func FetchSettings(at string, within time.Duration) (*Settings, error) {
 	return askSettings(at, "settings", within)
 }
 
-// AskVersions is AskSettings without the documents.
-func AskVersions(at string, within time.Duration) (*Settings, error) {
+// FetchVersions is AskSettings without the documents.
+func FetchVersions(at string, within time.Duration) (*Settings, error) {
 	return askSettings(at, "versions", within)
 }
 
--- a/internal/cluster/swim/news.go
+++ b/internal/cluster/swim/news.go
@@ -39,7 +39,7 @@
 		room -= out[i].bytes()
 	}
 	var again []*item
-	for w.low < len(w.levels) && len(out) < MostPiggyback {
+	for w.low < len(w.levels) && len(out) < MaxPiggyback {
 		level := w.levels[w.low]
 		if len(level) == 0 {
 			w.low++
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -68,9 +68,9 @@
 	heard                                         bool          // somebody else has been heard since the start
 	rival                                         *rival
 
-	standing Standing
+	standing Connectivity
 	better   time.Duration // instant since which a better standing has lasted; negative: none
-	betterIs Standing
+	betterIs Connectivity
 	number   uint64
 	changes  []Change
 	out      []Envelope
@@ -115,8 +115,8 @@
 	o.ProbeTimeout = min(o.ProbeTimeout, o.ProbeEvery/2)
 }
 
-// Retune takes up other times, addresses to join and voters. The node's name and address stay.
-func (n *Node) Retune(now time.Duration, o Options) {
+// Reconfigure takes up other times, addresses to join and voters. The node's name and address stay.
+func (n *Node) Reconfigure(now time.Duration, o Options) {
 	o.Self, o.Seed = n.o.Self, n.o.Seed
 	o.fill()
 	n.o = o
@@ -124,8 +124,8 @@
 	n.stand(now)
 }
 
-// Next is the instant at which Tick is wanted.
-func (n *Node) Next() time.Duration {
+// NextTick is the instant at which Tick is wanted.
+func (n *Node) NextTick() time.Duration {
 	next := min(n.nextProbe, n.nextReturn, n.nextForget, n.nextSuspect)
 	if n.news.any() && !n.silent() {
 		next = min(next, n.nextGossip)
@@ -149,26 +149,26 @@
 	return next
 }
 
-// Out gives the messages that are to go, and forgets them.
-func (n *Node) Out() []Envelope {
+// TakeMessages gives the messages that are to go, and forgets them.
+func (n *Node) TakeMessages() []Envelope {
 	out := n.out
 	n.out = nil
 	return out
 }
 
-// Changes gives the changes of state since the last call, for the log; where there were very many, the first of them.
-func (n *Node) Changes() []Change {
+// TakeChanges gives the changes of state since the last call, for the log; where there were very many, the first of them.
+func (n *Node) TakeChanges() []Change {
 	c := n.changes
 	n.changes = nil
 	return c
 }
 
-// Number is the View's.
-func (n *Node) Number() uint64 { return n.number }
+// ViewNumber is the View's.
+func (n *Node) ViewNumber() uint64 { return n.number }
 
 // View is what the node holds now.
 func (n *Node) View() View {
-	v := View{Number: n.number, Self: n.self.Name, Standing: n.standing, Members: make([]Member, 0, len(n.members)+1)}
+	v := View{Number: n.number, Self: n.self.Name, Connectivity: n.standing, Members: make([]Member, 0, len(n.members)+1)}
 	if n.rival != nil && n.rival.yield {
 		v.Rival = n.rival.Addr.String()
 	}
@@ -180,8 +180,8 @@
 	return v
 }
 
-// Health is how slow the node holds itself for, from 0 (well) up.
-func (n *Node) Health() int { return n.health }
+// HealthScore is how slow the node holds itself for, from 0 (well) up.
+func (n *Node) HealthScore() int { return n.health }
 
 // Tick does what is due.
 func (n *Node) Tick(now time.Duration) {
@@ -215,7 +215,7 @@
 // awake notices that the process did not run when it should have: what did not come meanwhile says nothing of others.
 func (n *Node) awake(now time.Duration) {
 	late := now - n.due
-	if late <= n.o.ProbeTimeout || n.o.NoHealth {
+	if late <= n.o.ProbeTimeout || n.o.DisableLocalHealth {
 		return
 	}
 	n.due = now
@@ -234,7 +234,7 @@
 
 // unwell counts what shows that this node is slow, or not (below 0).
 func (n *Node) unwell(by int) {
-	if !n.o.NoHealth {
+	if !n.o.DisableLocalHealth {
 		n.health = max(0, min(n.health+by, healthMost))
 	}
 }
@@ -299,7 +299,7 @@
 func (n *Node) askOthers(seq uint64, p *probe) {
 	p.relayed = true
 	helpers := n.some(indirect, p.target)
-	if via := p.target.via; via != nil && via.State.Here() && via != p.target && len(helpers) > 0 && !slices.Contains(helpers, via) {
+	if via := p.target.via; via != nil && via.State.IsPresent() && via != p.target && len(helpers) > 0 && !slices.Contains(helpers, via) {
 		helpers[0] = via
 	}
 	for _, m := range helpers {
@@ -315,7 +315,7 @@
 	} else {
 		n.unwell(1)
 	}
-	if n.members[p.target.Name] != p.target || !p.target.State.Here() {
+	if n.members[p.target.Name] != p.target || !p.target.State.IsPresent() {
 		return
 	}
 	u := p.target.Update
@@ -345,7 +345,7 @@
 
 // about is what the one who gets a message must hear of itself: that it is suspected, or called failed.
 func (n *Node) about(m *Message, to netip.AddrPort) []Update {
-	if n.o.NoBuddy || m.Target.Name == "" || m.Kind != Ping {
+	if n.o.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
 		return nil
 	}
 	if held := n.members[m.Target.Name]; held != nil && held.State != Alive && held.Addr == to {
@@ -354,8 +354,8 @@
 	return nil
 }
 
-// Heard tells whether anybody else of the fleet has been heard since the start.
-func (n *Node) Heard() bool { return n.heard }
+// HasContact tells whether anybody else of the fleet has been heard since the start.
+func (n *Node) HasContact() bool { return n.heard }
 
 // sends is how often an update goes out from one node.
 func (n *Node) sends() int { return sendsFactor * bits.Len(uint(len(n.round)+1)) / 2 }
@@ -401,7 +401,7 @@
 // forget drops members that have been gone for long.
 func (n *Node) forget(now time.Duration) {
 	for name, m := range n.members {
-		if m.State.Here() || now-m.since < forgetAfter {
+		if m.State.IsPresent() || now-m.since < forgetAfter {
 			continue
 		}
 		if m.State == Failed {
@@ -412,12 +412,12 @@
 	}
 }
 
-// Others is how many others are here, suspects among them; Suspects how many these are; Digest a number that is the same
+// PresentCount is how many others are here, suspects among them; Suspects how many these are; Digest a number that is the same
 // for all who hold the same members for here, in the same lives and incarnations.
-func (n *Node) Others() int { return len(n.round) }
+func (n *Node) PresentCount() int { return len(n.round) }
 
-// Suspects is told beside Others.
-func (n *Node) Suspects() int { return len(n.suspects) }
+// SuspectCount is told beside Others.
+func (n *Node) SuspectCount() int { return len(n.suspects) }
 
 // Digest is told beside Others.
 func (n *Node) Digest() uint64 { return n.digest }
--- a/internal/cluster/swim/receive.go
+++ b/internal/cluster/swim/receive.go
@@ -21,7 +21,7 @@
 	}
 	n.heard = true
 	held := n.members[m.From.Name]
-	apart := held == nil || !held.State.Here()
+	apart := held == nil || !held.State.IsPresent()
 	n.learn(now, m.From, false)
 	exchange := m.Kind == Sync || m.Kind == SyncReply
 	for _, u := range m.Updates {
@@ -55,11 +55,11 @@
 			return false
 		}
 	}
-	return m.Target.Name == "" || len(m.Target.Name) <= MostName
+	return m.Target.Name == "" || len(m.Target.Name) <= MaxNameBytes
 }
 
 func (u *Update) valid() bool {
-	return u.State.Valid() && len(u.Name) <= MostName && len(u.By) <= MostName && u.Addr.IsValid() && u.Incarnation > 0 && u.Incarnation < 1<<62
+	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.By) <= MaxNameBytes && u.Addr.IsValid() && u.Incarnation > 0 && u.Incarnation < 1<<62
 }
 
 // receivePing answers, unless another is meant who had this address before.
@@ -141,7 +141,7 @@
 	}
 	m := n.members[u.Name]
 	if m == nil {
-		if u.State.Here() && len(n.members) < MostMembers-1 {
+		if u.State.IsPresent() && len(n.members) < MaxMembers-1 {
 			n.add(now, u)
 		}
 		return
@@ -153,7 +153,7 @@
 		}
 		return
 	}
-	if exchange && u.State == Failed && m.State.Here() {
+	if exchange && u.State == Failed && m.State.IsPresent() {
 		u.State, u.By = Suspect, n.self.Name
 	}
 	if !u.overrides(&m.Update) {
@@ -185,20 +185,20 @@
 // suspect begins a suspicion of a member that is here.
 func (n *Node) suspect(now time.Duration, u Update) {
 	m := n.members[u.Name]
-	if !m.State.Here() || m.State == Suspect && m.Incarnation == u.Incarnation {
+	if !m.State.IsPresent() || m.State == Suspect && m.Incarnation == u.Incarnation {
 		return
 	}
 	n.become(now, m, u)
 	least := time.Duration(float64(n.o.Suspicion) * n.logSize())
 	s := &suspicion{began: now, least: least, most: suspicionMost * least, expected: min(confirmations, max(len(n.round)-2, 0)), by: []string{u.By}}
-	if n.o.NoShrink {
+	if n.o.DisableSuspicionShrink {
 		s.most = least
 	}
 	m.suspicion = s
 	n.suspects[m.Name] = m
 	// Some look for themselves, at once: else a member of a large fleet is probed by about one other in a ProbeEvery, and
 	// agreement takes as many of these as there must be who agree.
-	if !n.o.NoShrink && u.By != n.self.Name && len(n.urgent) < healthMost && n.rng.Float64()*float64(len(n.round)) < verifiers {
+	if !n.o.DisableSuspicionShrink && u.By != n.self.Name && len(n.urgent) < healthMost && n.rng.Float64()*float64(len(n.round)) < verifiers {
 		n.urgent = append(n.urgent, m)
 		n.nextProbe = now
 	}
@@ -210,14 +210,14 @@
 	was := m.Update
 	m.suspicion = nil
 	delete(n.suspects, m.Name)
-	if was.State.Here() {
+	if was.State.IsPresent() {
 		n.uncount(m)
 	}
 	if u.State != was.State || u.Run != was.Run {
 		m.since = now
 	}
 	m.Update = u
-	if u.State.Here() {
+	if u.State.IsPresent() {
 		n.count(m)
 	}
 	n.place(m, was.State)
@@ -231,15 +231,15 @@
 // place moves a member between the lists, where its state wants it.
 func (n *Node) place(m *member, was State) {
 	switch {
-	case was.Here() == m.State.Here() && was.Here():
+	case was.IsPresent() == m.State.IsPresent() && was.IsPresent():
 		return
-	case was.Here():
+	case was.IsPresent():
 		n.exit(m)
 	case was == Failed:
 		n.away = takeOut(n.away, m)
 	}
 	switch {
-	case m.State.Here():
+	case m.State.IsPresent():
 		n.enter(m)
 	case m.State == Failed:
 		m.place = len(n.away)
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -72,7 +72,7 @@
 		return
 	}
 	switch {
-	case u.Run == n.self.Run || u.Addr == n.self.Addr || !u.State.Here(): // of this life, or of one that has ended
+	case u.Run == n.self.Run || u.Addr == n.self.Addr || !u.State.IsPresent(): // of this life, or of one that has ended
 		same := u.Run == n.self.Run && u.State == n.self.State && u.Incarnation == n.self.Incarnation
 		if u.Incarnation < n.self.Incarnation || same || n.gone || n.silent() {
 			return
@@ -134,8 +134,8 @@
 	n.stand(now)
 }
 
-// Rival tells of another process that answers under this node's name, and whether this node gives way to it.
-func (n *Node) Rival() (other Peer, answers, yields bool) {
+// NameConflict tells of another process that answers under this node's name, and whether this node gives way to it.
+func (n *Node) NameConflict() (other Peer, answers, yields bool) {
 	if n.rival == nil {
 		return Peer{}, false, false
 	}
@@ -164,15 +164,15 @@
 	}
 }
 
-func (n *Node) standingNow() Standing {
+func (n *Node) standingNow() Connectivity {
 	answer, of := n.voters()
 	switch {
 	case n.silent() || n.gone || 2*answer < of:
 		return CutOff
 	case answer == of && len(n.away) == 0:
-		return Whole
+		return FullyConnected
 	}
-	return Partial
+	return PartlyConnected
 }
 
 // voters is how many of those that count answer. Without voters all known ones count, but those that left.
@@ -182,7 +182,7 @@
 	}
 	for _, name := range n.o.Voters {
 		of++
-		if m := n.members[name]; name == n.self.Name || m != nil && m.State.Here() {
+		if m := n.members[name]; name == n.self.Name || m != nil && m.State.IsPresent() {
 			answer++
 		}
 	}
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -38,8 +38,8 @@
 
 // after takes what a node sends, and holds what it believes against what must always be so.
 func (m *mesh) after(t failer, n *Node) {
-	for _, e := range n.Out() {
-		if len(e.Message.Updates) > MostPiggyback+1 && !e.Stream {
+	for _, e := range n.TakeMessages() {
+		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
 			t.Fatalf("%d updates on the back of a message", len(e.Message.Updates))
 		}
 		m.way = append(m.way, e)
@@ -71,7 +71,7 @@
 			t.Fatalf("%s is %v, and its suspicion is not", name, m.State)
 		}
 		switch {
-		case m.State.Here():
+		case m.State.IsPresent():
 			here++
 			digest ^= hash(&m.Update)
 			if n.round[m.place] != m {
@@ -115,7 +115,7 @@
 				m.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 				n := rapid.SampledFrom(m.nodes).Draw(t, "node")
 				n.Tick(m.now)
-				n.Next()
+				n.NextTick()
 				m.after(t, n)
 			},
 			"deliver": func(t *rapid.T) {
@@ -156,7 +156,7 @@
 func (m *mesh) until(t failer, d time.Duration, done func() bool) bool {
 	for end := m.now + d; m.now < end; m.now += 10 * time.Millisecond {
 		for _, n := range m.nodes {
-			if m.now >= n.Next() {
+			if m.now >= n.NextTick() {
 				n.Tick(m.now)
 				m.after(t, n)
 			}
@@ -209,7 +209,7 @@
 	i := choice % 3
 	if choice/3 == 0 {
 		m.nodes[i].Tick(m.now)
-		m.nodes[i].Next()
+		m.nodes[i].NextTick()
 		m.after(t, m.nodes[i])
 		return
 	}
@@ -233,15 +233,15 @@
 	younger.Addr, younger.Run = peer(9).Addr, 1000
 	m.nodes = append(m.nodes, New(m.now, Options{Self: younger, Join: []netip.AddrPort{peer(0).Addr}}))
 	m.run(t, 10*time.Second)
-	if _, answers, yields := m.nodes[3].Rival(); !answers || !yields || m.nodes[3].View().Rival == "" || m.nodes[3].View().Standing != CutOff {
+	if _, answers, yields := m.nodes[3].NameConflict(); !answers || !yields || m.nodes[3].View().Rival == "" || m.nodes[3].View().Connectivity != CutOff {
 		t.Fatalf("the younger: answers %v, yields %v", answers, yields)
 	}
-	if _, answers, yields := m.nodes[1].Rival(); yields {
+	if _, answers, yields := m.nodes[1].NameConflict(); yields {
 		t.Fatalf("the elder: answers %v, yields %v", answers, yields)
 	}
 	m.nodes[3].nextGossip = m.now // it has news, and keeps it to itself
 	m.nodes[3].Tick(m.now)
-	for _, e := range m.nodes[3].Out() {
+	for _, e := range m.nodes[3].TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
 			t.Errorf("the younger says %+v", e.Message)
 		}
--- a/internal/cluster/swim/types.go
+++ b/internal/cluster/swim/types.go
@@ -40,23 +40,23 @@
 	return stateNames[s]
 }
 
-// Here tells whether a member in this state is still counted on.
-func (s State) Here() bool { return s <= Suspect }
+// IsPresent tells whether a member in this state is still counted on.
+func (s State) IsPresent() bool { return s <= Suspect }
 
-// Standing is a node's opinion on how much of the fleet it can reach.
-type Standing uint8
+// Connectivity is a node's opinion on how much of the fleet it can reach.
+type Connectivity uint8
 
 // The standings.
 const (
-	CutOff  Standing = iota // fewer than half of the voters answer, this node included where it is one
-	Partial                 // more than half do, but not all
-	Whole                   // all voters answer and no member is failed
+	CutOff          Connectivity = iota // fewer than half of the voters answer, this node included where it is one
+	PartlyConnected                     // more than half do, but not all
+	FullyConnected                      // all voters answer and no member is failed
 )
 
-var standingNames = [...]string{CutOff: "cut-off", Partial: "partial", Whole: "whole"}
+var standingNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
 
 // String gives the name that reports use.
-func (s Standing) String() string { return standingNames[s] }
+func (s Connectivity) String() string { return standingNames[s] }
 
 // Peer is one life of a daemon: a process that was started again under the same name has another Run.
 type Peer struct {
@@ -129,11 +129,11 @@
 
 // View is what a node held at an instant. It is an opinion: see the package's doc.
 type View struct {
-	Number   uint64 // of the changes that led to it; it never goes back in one process's life
-	Self     string
-	Standing Standing
-	Rival    string   // address of an elder daemon of this name, to which this one gives way; empty: none
-	Members  []Member // by name, this node included
+	Number       uint64 // of the changes that led to it; it never goes back in one process's life
+	Self         string
+	Connectivity Connectivity
+	Rival        string   // address of an elder daemon of this name, to which this one gives way; empty: none
+	Members      []Member // by name, this node included
 }
 
 // Change is a member's step from one state to another, for the log.
@@ -147,13 +147,13 @@
 
 // Bounds of what a node holds and sends.
 const (
-	MostMembers   = 10_000
-	MostName      = 63   // bytes of a name
-	MostPiggyback = 24   // updates on the back of one message
-	piggyBytes    = 800  // of these updates, so that a message stays within a datagram of 1,200 bytes
-	mostRelays    = 256  // indirect probes that are carried on for others at once
-	mostChanges   = 1024 // that wait to be taken by Changes
-	updateBytes   = 60   // of an update, besides its names: numbers, address and their tags
+	MaxMembers   = 10_000
+	MaxNameBytes = 63   // bytes of a name
+	MaxPiggyback = 24   // updates on the back of one message
+	piggyBytes   = 800  // of these updates, so that a message stays within a datagram of 1,200 bytes
+	mostRelays   = 256  // indirect probes that are carried on for others at once
+	mostChanges  = 1024 // that wait to be taken by Changes
+	updateBytes  = 60   // of an update, besides its names: numbers, address and their tags
 )
 
 // Options are fixed for a Node's life, but for what Retune takes. Times of 0 get their defaults.
@@ -169,9 +169,9 @@
 	Suspicion    time.Duration // that a suspect has at least, in a fleet of up to ten; it grows with the logarithm
 
 	// Parts that a measurement can leave out. All are on in the daemon.
-	NoHealth bool // a node's own slowness does not lengthen its time-outs
-	NoShrink bool // suspicion does not wait for others to agree
-	NoBuddy  bool // a suspect is not told first of all
+	DisableLocalHealth     bool // a node's own slowness does not lengthen its time-outs
+	DisableSuspicionShrink bool // suspicion does not wait for others to agree
+	DisableBuddySystem     bool // a suspect is not told first of all
 }
 
 // Defaults of the times, and what is derived from them. docs/design/026-peers.md has the measurements.
@@ -194,12 +194,12 @@
 	standingHold  = 2 // times ProbeEvery that a better standing must last to count
 )
 
-// IsName tells whether a text can be the name of a daemon or a cluster: letters, digits, dots, dashes and underscores.
-func IsName(s string) bool {
+// IsValidName tells whether a text can be the name of a daemon or a cluster: letters, digits, dots, dashes and underscores.
+func IsValidName(s string) bool {
 	for _, c := range s {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '.' && c != '_' {
 			return false
 		}
 	}
-	return s != "" && len(s) <= MostName
+	return s != "" && len(s) <= MaxNameBytes
 }
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -64,8 +64,8 @@
 	Damaged, Foreign, Forged, Replayed, Flooded, Full atomic.Uint64
 }
 
-// Link is a daemon's part in a fleet.
-type Link struct {
+// Transport is a daemon's part in a fleet.
+type Transport struct {
 	o        atomic.Pointer[Options]
 	dropped  Dropped
 	received atomic.Uint64
@@ -78,7 +78,7 @@
 	began   time.Time
 	count   atomic.Uint64 // of messages sealed
 	inbox   chan *swim.Message
-	parcels chan Parcel
+	parcels chan Message
 	calls   chan func(now time.Duration, n *swim.Node)
 	view    atomic.Pointer[swim.View]
 	changed chan struct{}
@@ -92,7 +92,7 @@
 }
 
 // Start opens the sockets and joins the fleet. An error names the field.
-func Start(o Options) (*Link, error) {
+func Start(o Options) (*Transport, error) {
 	if len(o.Keys) == 0 && !o.Listen.Addr().IsLoopback() {
 		return nil, fmt.Errorf("fleet.listen: %v is no loopback address, and there is no key_file", o.Listen)
 	}
@@ -111,7 +111,7 @@
 	if !o.Advertise.IsValid() {
 		o.Advertise = at
 	}
-	l := &Link{udp: udp, tcp: tcp, run: newRun(), began: time.Now(), inbox: make(chan *swim.Message, inboxSize), parcels: make(chan Parcel, parcelsSize), calls: make(chan func(time.Duration, *swim.Node)),
+	l := &Transport{udp: udp, tcp: tcp, run: newRun(), began: time.Now(), inbox: make(chan *swim.Message, inboxSize), parcels: make(chan Message, parcelsSize), calls: make(chan func(time.Duration, *swim.Node)),
 		changed: make(chan struct{}, 1), streams: make(chan struct{}, mostStreams)}
 	l.o.Store(&o)
 	l.ctx, l.stop = context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 	return uint64(time.Now().UnixMilli())<<16 | uint64(binary.LittleEndian.Uint16(b[:]))
 }
 
-func (l *Link) node(o *Options) swim.Options {
+func (l *Transport) node(o *Options) swim.Options {
 	n := o.Times
 	n.Self = swim.Peer{Name: o.Name, Addr: o.Advertise, Run: l.run}
 	n.Join, n.Voters, n.Seed = o.Join, o.Voters, l.run
@@ -138,40 +138,40 @@
 }
 
 // now is an instant of the detector's clock.
-func (l *Link) now() time.Duration { return clockStart + rated(time.Since(l.began)) }
+func (l *Transport) now() time.Duration { return clockStart + rated(time.Since(l.began)) }
 
 // Addr is where others are heard.
-func (l *Link) Addr() netip.AddrPort { return l.o.Load().Listen }
+func (l *Transport) Addr() netip.AddrPort { return l.o.Load().Listen }
 
 // View is the latest one; it must not be changed.
-func (l *Link) View() *swim.View { return l.view.Load() }
+func (l *Transport) View() *swim.View { return l.view.Load() }
 
 // Now is an instant to compare Since in a View with.
-func (l *Link) Now() time.Duration { return l.now() }
+func (l *Transport) Now() time.Duration { return l.now() }
 
 // Changed has a value when the view is another than before.
-func (l *Link) Changed() <-chan struct{} { return l.changed }
+func (l *Transport) Changed() <-chan struct{} { return l.changed }
 
-// Figures are counts since the start.
-type Figures struct{ Received, Sent, Bytes, Damaged, Foreign, Forged, Replayed, Flooded, Full uint64 }
+// Metrics are counts since the start.
+type Metrics struct{ Received, Sent, Bytes, Damaged, Foreign, Forged, Replayed, Flooded, Full uint64 }
 
-// Figures gives the counts.
-func (l *Link) Figures() Figures {
+// Metrics gives the counts.
+func (l *Transport) Metrics() Metrics {
 	d := &l.dropped
-	return Figures{l.received.Load(), l.sent.Load(), l.bytes.Load(), d.Damaged.Load(), d.Foreign.Load(), d.Forged.Load(), d.Replayed.Load(),
+	return Metrics{l.received.Load(), l.sent.Load(), l.bytes.Load(), d.Damaged.Load(), d.Foreign.Load(), d.Forged.Load(), d.Replayed.Load(),
 		d.Flooded.Load(), d.Full.Load()}
 }
 
-// Retune takes up other keys, times, voters and addresses to join. The rest must be as before.
-func (l *Link) Retune(o Options) {
+// Reconfigure takes up other keys, times, voters and addresses to join. The rest must be as before.
+func (l *Transport) Reconfigure(o Options) {
 	was := *l.o.Load()
 	was.Keys, was.Join, was.Voters, was.Times = o.Keys, o.Join, o.Voters, o.Times
 	l.o.Store(&was)
-	l.call(func(now time.Duration, n *swim.Node) { n.Retune(now, l.node(&was)) })
+	l.call(func(now time.Duration, n *swim.Node) { n.Reconfigure(now, l.node(&was)) })
 }
 
 // call has the owner do something, and returns when it is done or the link has ended.
-func (l *Link) call(do func(now time.Duration, n *swim.Node)) {
+func (l *Transport) call(do func(now time.Duration, n *swim.Node)) {
 	done := make(chan struct{})
 	select {
 	case l.calls <- func(now time.Duration, n *swim.Node) { do(now, n); close(done) }:
@@ -181,17 +181,17 @@
 }
 
 // Close says goodbye to the fleet, ends the link and returns when nothing of it runs any more.
-func (l *Link) Close() error {
+func (l *Transport) Close() error {
 	l.call(func(now time.Duration, n *swim.Node) { n.Leave(now) })
 	select {
 	case <-time.After(goodbye):
 	case <-l.ctx.Done():
 	}
-	return l.Kill()
+	return l.Abort()
 }
 
-// Kill ends the link without a word.
-func (l *Link) Kill() error {
+// Abort ends the link without a word.
+func (l *Transport) Abort() error {
 	l.stop()
 	err := errors.Join(l.udp.Close(), l.tcp.Close())
 	l.parts.Wait()
@@ -200,7 +200,7 @@
 
 // owner is what the goroutine that owns the detector keeps.
 type owner struct {
-	l         *Link
+	l         *Transport
 	n         *swim.Node
 	published time.Duration // instant of the last view that was given
 	lines     int           // in the log, since
@@ -211,8 +211,8 @@
 }
 
 // own feeds the detector what comes and what is due, until the link ends.
-func (l *Link) own(n *swim.Node) {
-	o := &owner{l: l, n: n, room: make([]byte, 0, MostDatagram)}
+func (l *Transport) own(n *swim.Node) {
+	o := &owner{l: l, n: n, room: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -224,7 +224,7 @@
 		case do := <-l.calls:
 			do(l.now(), n)
 		case <-timer.C:
-			if now := l.now(); now >= n.Next() {
+			if now := l.now(); now >= n.NextTick() {
 				n.Tick(now)
 			}
 		}
@@ -235,8 +235,8 @@
 
 // wait is how long the owner may sleep.
 func (o *owner) wait(now time.Duration) time.Duration {
-	next := o.n.Next()
-	if o.n.Number() != o.l.view.Load().Number {
+	next := o.n.NextTick()
+	if o.n.ViewNumber() != o.l.view.Load().Number {
 		next = min(next, o.published+spread)
 	}
 	return min(max(next-now, 0), keepAsleep)
@@ -244,24 +244,24 @@
 
 // after carries out what the detector wants, and tells what has changed.
 func (o *owner) after(now time.Duration) {
-	for _, e := range o.n.Out() {
+	for _, e := range o.n.TakeMessages() {
 		o.send(&e)
 	}
-	for _, c := range o.n.Changes() {
+	for _, c := range o.n.TakeChanges() {
 		o.tell(now, c)
 	}
-	if view := o.l.view.Load(); o.n.Number() != view.Number && (now-o.published >= spread || len(view.Members) < fewMembers) {
+	if view := o.l.view.Load(); o.n.ViewNumber() != view.Number && (now-o.published >= spread || len(view.Members) < fewMembers) {
 		o.published = now
 		o.l.publish(o.n)
 	}
 	o.tellOfNames()
-	if options := o.l.o.Load(); !o.alone && !o.n.Heard() && len(options.Join) > 0 && now-clockStart >= aloneAfter {
+	if options := o.l.o.Load(); !o.alone && !o.n.HasContact() && len(options.Join) > 0 && now-clockStart >= aloneAfter {
 		o.alone = true
 		options.Log.Warn("nobody of the fleet answers", "join", options.Join)
 	}
 }
 
-func (l *Link) publish(n *swim.Node) {
+func (l *Transport) publish(n *swim.Node) {
 	view := n.View()
 	l.view.Store(&view)
 	select {
@@ -290,7 +290,7 @@
 
 // tellOfNames says that another process has this one's name, once for each.
 func (o *owner) tellOfNames() {
-	other, answers, yields := o.n.Rival()
+	other, answers, yields := o.n.NameConflict()
 	if !answers || other == o.rival {
 		return
 	}
@@ -306,9 +306,9 @@
 // send seals a message and sends it: in a datagram where it fits.
 func (o *owner) send(e *swim.Envelope) {
 	l, options := o.l, o.l.o.Load()
-	if !e.Stream || len(e.Message.Updates) <= swim.MostPiggyback {
+	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
 		o.room = seal(o.room[:0], options.Keys, options.Cluster, l.count.Add(1), e.Message)
-		if len(o.room) <= MostDatagram {
+		if len(o.room) <= MaxDatagramBytes {
 			_, err := l.udp.WriteToUDPAddrPort(o.room, e.To)
 			l.counted(len(o.room), err)
 			return
@@ -318,7 +318,7 @@
 }
 
 // counted counts a message that was sent. One that was not is for the detector to miss.
-func (l *Link) counted(n int, err error) {
+func (l *Transport) counted(n int, err error) {
 	if err == nil {
 		l.sent.Add(1)
 		l.bytes.Add(uint64(n))
@@ -326,7 +326,7 @@
 }
 
 // stream sends one message on a connection of its own: its length in four bytes, and the message.
-func (l *Link) stream(o *Options, to netip.AddrPort, b []byte) (int, error) {
+func (l *Transport) stream(o *Options, to netip.AddrPort, b []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(l.ctx, streamTime)
 	defer cancel()
 	dialer := net.Dialer{}
@@ -343,8 +343,8 @@
 }
 
 // readDatagrams takes what comes by UDP.
-func (l *Link) readDatagrams() {
-	b := make([]byte, MostDatagram+1)
+func (l *Transport) readDatagrams() {
+	b := make([]byte, MaxDatagramBytes+1)
 	flood := flood{from: map[netip.Addr]int{}}
 	for {
 		n, from, err := l.udp.ReadFromUDPAddrPort(b)
@@ -355,16 +355,16 @@
 			continue
 		case flood.over(time.Now(), from.Addr()):
 			l.dropped.Flooded.Add(1)
-		case n > MostDatagram:
+		case n > MaxDatagramBytes:
 			l.dropped.Damaged.Add(1)
 		default:
-			l.take(b[:n], swim.MostPiggyback+1)
+			l.take(b[:n], swim.MaxPiggyback+1)
 		}
 	}
 }
 
 // take opens a message and hands it to the owner.
-func (l *Link) take(b []byte, most int) {
+func (l *Transport) take(b []byte, most int) {
 	o := l.o.Load()
 	c, err := open(b, o.Keys, o.Cluster, most)
 	if err == nil {
@@ -403,22 +403,22 @@
 	}
 }
 
-// Parcels are what other parts of other daemons have sent; parcelsSize wait at most, what is beyond is dropped. They come from
+// Messages are what other parts of other daemons have sent; parcelsSize wait at most, what is beyond is dropped. They come from
 // the process alone that this daemon's view has under its name: a second one of that name is not heard.
-func (l *Link) Parcels() <-chan Parcel { return l.parcels }
+func (l *Transport) Messages() <-chan Message { return l.parcels }
 
 // Send sends a parcel to a daemon that is here, by its name; an error says that it did not go out. That it arrives is not
 // said: whoever needs to know must be answered. It does not wait for the other.
-func (l *Link) Send(name string, kind byte, body []byte) error {
+func (l *Transport) Send(name string, kind byte, body []byte) error {
 	o := l.o.Load()
 	m, ok := l.member(name)
 	if !ok {
-		return fmt.Errorf("%s: %w", name, ErrUnknown)
+		return fmt.Errorf("%s: %w", name, ErrUnknownMember)
 	}
 	to := m.Addr
-	p := Parcel{From: o.Name, Run: l.run, Kind: kind, Body: body}
-	b := sealed(make([]byte, 4, MostDatagram), o.Keys, o.Cluster, l.count.Add(1), sealParcel, p.marshal())
-	if len(b)-4 <= MostDatagram {
+	p := Message{From: o.Name, Run: l.run, Kind: kind, Body: body}
+	b := sealed(make([]byte, 4, MaxDatagramBytes), o.Keys, o.Cluster, l.count.Add(1), sealParcel, p.marshal())
+	if len(b)-4 <= MaxDatagramBytes {
 		_, err := l.udp.WriteToUDPAddrPort(b[4:], to)
 		l.counted(len(b)-4, err)
 		return err
@@ -430,7 +430,7 @@
 }
 
 // member is what the latest view has of a name.
-func (l *Link) member(name string) (swim.Member, bool) {
+func (l *Transport) member(name string) (swim.Member, bool) {
 	members := l.View().Members
 	i, ok := slices.BinarySearchFunc(members, name, func(m swim.Member, name string) int { return strings.Compare(m.Name, name) })
 	if !ok {
@@ -439,14 +439,14 @@
 	return members[i], true
 }
 
-// ErrUnknown is why a parcel does not go out: no daemon of that name has been heard of.
-var ErrUnknown = errors.New("no daemon of this name is known")
+// ErrUnknownMember is why a parcel does not go out: no daemon of that name has been heard of.
+var ErrUnknownMember = errors.New("no daemon of this name is known")
 
 // errBusy is why one does not: as many streams as there may be are under way.
 var errBusy = errors.New("too many streams are under way")
 
 // streamOut sends sealed bytes, behind four for their length, on a connection of its own, on a goroutine of its own.
-func (l *Link) streamOut(o *Options, to netip.AddrPort, b []byte) error {
+func (l *Transport) streamOut(o *Options, to netip.AddrPort, b []byte) error {
 	select {
 	case l.streams <- struct{}{}:
 	default:
@@ -476,7 +476,7 @@
 }
 
 // acceptStreams takes what comes by TCP, mostStreams at a time; others wait in the system's queue.
-func (l *Link) acceptStreams() {
+func (l *Transport) acceptStreams() {
 	room := make(chan struct{}, mostStreams)
 	for {
 		select {
@@ -499,7 +499,7 @@
 			defer context.AfterFunc(l.ctx, func() { nc.Close() })()
 			_ = nc.SetDeadline(time.Now().Add(streamTime))
 			if b, err := readStream(nc); err == nil {
-				l.take(b, swim.MostMembers)
+				l.take(b, swim.MaxMembers)
 			} else {
 				l.dropped.Damaged.Add(1)
 			}
--- a/internal/cluster/transport/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -29,18 +29,18 @@
 		Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 200 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
 }
 
-func begin(t *testing.T, o Options) *Link {
+func begin(t *testing.T, o Options) *Transport {
 	t.Helper()
 	l, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Kill() })
+	t.Cleanup(func() { l.Abort() })
 	return l
 }
 
 // state is what a link holds of a member.
-func state(l *Link, name string) string {
+func state(l *Transport, name string) string {
 	for _, m := range l.View().Members {
 		if m.Name == name {
 			return m.State.String()
@@ -54,13 +54,13 @@
 	b := begin(t, options("b", a.Addr()))
 	c := begin(t, options("c", a.Addr()))
 	testpeer.Until(t, "all know all", func() bool {
-		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 && b.View().Standing == swim.Whole
+		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 && b.View().Connectivity == swim.FullyConnected
 	})
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 	testpeer.Until(t, "c has left", func() bool { return state(a, "c") == "left" && state(b, "c") == "left" })
-	b.Kill()
+	b.Abort()
 	testpeer.Until(t, "b has failed", func() bool { return state(a, "b") == "failed" })
 }
 
@@ -74,25 +74,25 @@
 		if err := a.Send("b", 'x', body); err != nil {
 			t.Fatal(err)
 		}
-		if p := <-b.Parcels(); p.From != "a" || p.Kind != 'x' || !bytes.Equal(p.Body, body) {
+		if p := <-b.Messages(); p.From != "a" || p.Kind != 'x' || !bytes.Equal(p.Body, body) {
 			t.Errorf("%d bytes: %s %c %d", size, p.From, p.Kind, len(p.Body))
 		}
 	}
 	// Another process of the same name says something, too: it is not heard.
-	foreign := b.Figures().Foreign
+	foreign := b.Metrics().Foreign
 	nc, err := net.Dial("udp", b.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.Write(sealed(nil, Keys{newKey(secret)}, "c", 1, sealParcel, (&Parcel{From: "a", Run: 5, Kind: 'x'}).marshal()))
-	testpeer.Until(t, "it is counted", func() bool { return b.Figures().Foreign == foreign+1 })
+	nc.Write(sealed(nil, Keys{newKey(secret)}, "c", 1, sealParcel, (&Message{From: "a", Run: 5, Kind: 'x'}).marshal()))
+	testpeer.Until(t, "it is counted", func() bool { return b.Metrics().Foreign == foreign+1 })
 	select {
-	case p := <-b.Parcels():
+	case p := <-b.Messages():
 		t.Errorf("it is heard: %+v", p)
 	default:
 	}
-	if err := a.Send("nobody", 'x', nil); !errors.Is(err, ErrUnknown) {
+	if err := a.Send("nobody", 'x', nil); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("to nobody: %v", err)
 	}
 	if err := a.Send("b", 'x', make([]byte, mostStream+1)); err == nil {
@@ -106,14 +106,14 @@
 	a := begin(t, options("a"))
 	b := begin(t, options("b", a.Addr()))
 	for _, step := range []struct{ a, b Keys }{{Keys{old, next}, Keys{old}}, {Keys{old, next}, Keys{next, old}}, {Keys{next}, Keys{next, old}}, {Keys{next}, Keys{next}}} {
-		for l, k := range map[*Link]Keys{a: step.a, b: step.b} {
+		for l, k := range map[*Transport]Keys{a: step.a, b: step.b} {
 			o := *l.o.Load()
 			o.Keys = k
-			l.Retune(o)
+			l.Reconfigure(o)
 		}
-		was := a.Figures().Received
+		was := a.Metrics().Received
 		testpeer.Until(t, "they still hear one another", func() bool {
-			return a.Figures().Received > was+3 && state(a, "b") == "alive" && state(b, "a") == "alive"
+			return a.Metrics().Received > was+3 && state(a, "b") == "alive" && state(b, "a") == "alive"
 		})
 	}
 }
@@ -139,20 +139,20 @@
 	send := func(what []byte) { nc.Write(what) }
 	for name, c := range map[string]struct {
 		datagram []byte
-		count    func(Figures) uint64
+		count    func(Metrics) uint64
 	}{
-		"nothing":         {nil, func(f Figures) uint64 { return f.Damaged }},
-		"cut off":         {good[:20], func(f Figures) uint64 { return f.Forged }},
-		"a bit flipped":   {flip, func(f Figures) uint64 { return f.Forged }},
-		"huge":            {make([]byte, 9000), func(f Figures) uint64 { return f.Damaged }},
-		"another version": {later, func(f Figures) uint64 { return f.Foreign }},
-		"another cluster": {seal(nil, keys, "d", 1, m), func(f Figures) uint64 { return f.Foreign }},
-		"another key":     {seal(nil, Keys{newKey(secret[:20])}, "c", 1, m), func(f Figures) uint64 { return f.Forged }},
-		"no key":          {seal(nil, nil, "c", 1, m), func(f Figures) uint64 { return f.Forged }},
+		"nothing":         {nil, func(f Metrics) uint64 { return f.Damaged }},
+		"cut off":         {good[:20], func(f Metrics) uint64 { return f.Forged }},
+		"a bit flipped":   {flip, func(f Metrics) uint64 { return f.Forged }},
+		"huge":            {make([]byte, 9000), func(f Metrics) uint64 { return f.Damaged }},
+		"another version": {later, func(f Metrics) uint64 { return f.Foreign }},
+		"another cluster": {seal(nil, keys, "d", 1, m), func(f Metrics) uint64 { return f.Foreign }},
+		"another key":     {seal(nil, Keys{newKey(secret[:20])}, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
+		"no key":          {seal(nil, nil, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
 	} {
-		was := c.count(a.Figures())
+		was := c.count(a.Metrics())
 		send(c.datagram)
-		testpeer.Until(t, name+" is counted", func() bool { return c.count(a.Figures()) == was+1 })
+		testpeer.Until(t, name+" is counted", func() bool { return c.count(a.Metrics()) == was+1 })
 	}
 	if state(a, "x") != "unknown" {
 		t.Error("something had an effect")
@@ -160,23 +160,23 @@
 	send(good)
 	testpeer.Until(t, "the good one has", func() bool { return state(a, "x") != "unknown" })
 	send(good)
-	testpeer.Until(t, "a replay is counted", func() bool { return a.Figures().Replayed == 1 })
+	testpeer.Until(t, "a replay is counted", func() bool { return a.Metrics().Replayed == 1 })
 	testpeer.Until(t, "a flood is seen", func() bool {
 		for range 500 {
 			send(flip)
 		}
-		return a.Figures().Flooded > 1000
+		return a.Metrics().Flooded > 1000
 	})
-	was := a.Figures().Received
-	testpeer.Until(t, "b is heard meanwhile", func() bool { send(flip); return a.Figures().Received > was+5 && state(a, "b") == "alive" })
+	was := a.Metrics().Received
+	testpeer.Until(t, "b is heard meanwhile", func() bool { send(flip); return a.Metrics().Received > was+5 && state(a, "b") == "alive" })
 	stream, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stream.Close()
-	damaged := a.Figures().Damaged
+	damaged := a.Metrics().Damaged
 	stream.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	testpeer.Until(t, "a stream that is too long is counted", func() bool { return a.Figures().Damaged > damaged })
+	testpeer.Until(t, "a stream that is too long is counted", func() bool { return a.Metrics().Damaged > damaged })
 }
 
 func TestStartIsRefused(t *testing.T) {
@@ -213,7 +213,7 @@
 
 // The longest message that a detector makes for a datagram fits in one.
 func TestTheLongestMessageFits(t *testing.T) {
-	long := strings.Repeat("n", swim.MostName)
+	long := strings.Repeat("n", swim.MaxNameBytes)
 	addr := netip.MustParseAddrPort("[2001:db8:1:2:3:4:5:6]:65535")
 	worst := swim.Update{Peer: swim.Peer{Name: long, Addr: addr, Run: 1<<64 - 1}, State: swim.Suspect, Incarnation: 1<<62 - 1, By: long}
 	n := swim.New(0, swim.Options{Self: worst.Peer, Seed: 1})
@@ -229,14 +229,14 @@
 	longest := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
 		n.Tick(now)
-		n.Next()
-		for _, e := range n.Out() {
+		n.NextTick()
+		for _, e := range n.TakeMessages() {
 			if size := len(seal(nil, Keys{newKey(secret)}, long, 1<<63, e.Message)); !e.Stream {
 				longest = max(longest, size)
 			}
 		}
 	}
-	if longest > MostDatagram || longest < MostDatagram/2 {
+	if longest > MaxDatagramBytes || longest < MaxDatagramBytes/2 {
 		t.Errorf("the longest has %d bytes", longest)
 	}
 }
@@ -269,10 +269,10 @@
 		Target: swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Run: 6}, Digest: 9, Quiet: true,
 		Updates: []swim.Update{{Peer: swim.Peer{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Run: 7}, State: swim.Suspect, Incarnation: 4, By: "a"}}}
 	f.Add(seal(nil, nil, "c", 1, m)[headSize:])
-	f.Add(sealed(nil, nil, "c", 2, sealParcel, (&Parcel{From: "a", Run: 5, Kind: 'r', Body: []byte("body")}).marshal())[headSize:])
+	f.Add(sealed(nil, nil, "c", 2, sealParcel, (&Message{From: "a", Run: 5, Kind: 'r', Body: []byte("body")}).marshal())[headSize:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		got, err := open(append([]byte{'T', 'R', version, 0, 0, 0, 0}, body...), nil, "c", swim.MostPiggyback)
+		got, err := open(append([]byte{'T', 'R', version, 0, 0, 0, 0}, body...), nil, "c", swim.MaxPiggyback)
 		if err != nil {
 			return
 		}
@@ -283,7 +283,7 @@
 			}
 			return
 		}
-		again, err := open(seal(nil, keys, "c", got.count, got.message), keys, "c", swim.MostPiggyback)
+		again, err := open(seal(nil, keys, "c", got.count, got.message), keys, "c", swim.MaxPiggyback)
 		if err != nil || again.count != got.count || fmt.Sprintf("%+v", got.message) != fmt.Sprintf("%+v", again.message) {
 			t.Errorf("%+v was read, and then %+v: %v", got.message, again.message, err)
 		}
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -167,7 +167,7 @@
 		ok := true
 		switch f.is {
 		case updName:
-			u.Name, ok = string(f.bytes), swim.IsName(string(f.bytes))
+			u.Name, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
 		case updIP:
 			ip, ok = netip.AddrFromSlice(f.bytes)
 		case updPort:
@@ -180,7 +180,7 @@
 		case updIncarnation:
 			u.Incarnation = f.number
 		case updBy:
-			u.By, ok = string(f.bytes), swim.IsName(string(f.bytes))
+			u.By, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
 		}
 		if !ok {
 			return fmt.Errorf("%w: field %d", errDamaged, f.is)
--- a/internal/cluster/transport/seal.go
+++ b/internal/cluster/transport/seal.go
@@ -95,8 +95,8 @@
 	errReplay  = errors.New("it came before, or is too old to tell")
 )
 
-// Parcel is what another part of a daemon says to its like in another: a letter that tells which part, and its bytes.
-type Parcel struct {
+// Message is what another part of a daemon says to its like in another: a letter that tells which part, and its bytes.
+type Message struct {
 	From string // the name of who sent it
 	Run  uint64 // its process
 	Kind byte
@@ -111,15 +111,15 @@
 	parcelBody
 )
 
-func (p *Parcel) marshal() []byte {
+func (p *Message) marshal() []byte {
 	b := text(make([]byte, 0, len(p.Body)+len(p.From)+32), parcelFrom, p.From)
 	b = protowire.AppendFixed64(protowire.AppendTag(b, parcelRun, protowire.Fixed64Type), p.Run)
 	b = number(b, parcelKind, uint64(p.Kind))
 	return text(b, parcelBody, p.Body)
 }
 
-func unmarshalParcel(b []byte) (*Parcel, error) {
-	p := &Parcel{}
+func unmarshalParcel(b []byte) (*Message, error) {
+	p := &Message{}
 	err := fields(b, func(f field) error {
 		switch f.is {
 		case parcelFrom:
@@ -133,7 +133,7 @@
 		}
 		return nil
 	})
-	if err == nil && !swim.IsName(p.From) {
+	if err == nil && !swim.IsValidName(p.From) {
 		err = errDamaged
 	}
 	return p, err
@@ -171,7 +171,7 @@
 // content is what was sealed: a message of the detector's, or a parcel.
 type content struct {
 	message *swim.Message
-	parcel  *Parcel
+	parcel  *Message
 	run     uint64
 	count   uint64 // its number in its sender's run
 }
@@ -272,7 +272,7 @@
 // runs are the windows of those who were heard, in two generations so that they stay bounded.
 type runs struct{ now, before map[uint64]*window }
 
-const mostRuns = 2 * swim.MostMembers
+const mostRuns = 2 * swim.MaxMembers
 
 // take tells whether a message of a run comes for the first time, as far back as can be told.
 func (r *runs) take(run, count uint64) bool {
@@ -289,9 +289,9 @@
 	return w.take(count)
 }
 
-// MostDatagram is how long a datagram may be, so that it passes where a network's packets are 1,280 bytes or more (RFC
+// MaxDatagramBytes is how long a datagram may be, so that it passes where a network's packets are 1,280 bytes or more (RFC
 // 8200, section 5). Overhead is what sealing a message adds at most.
 const (
-	MostDatagram = 1200
-	Overhead     = headSize + tagSize + 2 + swim.MostName + 9 + 3
+	MaxDatagramBytes = 1200
+	Overhead         = headSize + tagSize + 2 + swim.MaxNameBytes + 9 + 3
 )
--- a/internal/config/agreed.go
+++ b/internal/config/agreed.go
@@ -21,8 +21,8 @@
 	FlagPrefix    = "flag/"    // and a name: a value of a line, for whoever asks
 )
 
-// MostName is how many bytes a document's name may have.
-const MostName = 300
+// MaxDocumentNameBytes is how many bytes a document's name may have.
+const MaxDocumentNameBytes = 300
 
 // ownParts are the parts of an operators' file that are each daemon's own.
 var ownParts = []string{"daemon", "fleet", "listener"}
@@ -38,9 +38,9 @@
 	unsureRefuse = "refuse"
 )
 
-// SharedPart cuts an operators' file, or a text that holds that part alone, to what is shared, and names what was left out. The
+// ExtractShared cuts an operators' file, or a text that holds that part alone, to what is shared, and names what was left out. The
 // part is checked whole.
-func SharedPart(name string, text []byte) (shared []byte, left []string, _ error) {
+func ExtractShared(name string, text []byte) (shared []byte, left []string, _ error) {
 	if err := whole(name, text); err != nil {
 		return nil, nil, err
 	}
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// With is the file as it is with documents that were agreed on, by name: what is shared is theirs, where they say something of
+// WithDocuments is the file as it is with documents that were agreed on, by name: what is shared is theirs, where they say something of
 // it. An error says, in one line, why this daemon can't act on them.
-func (f *File) With(docs map[string][]byte) (*File, error) {
+func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	out := *f
 	if text, ok := docs[SharedDoc]; ok {
 		s, err := readShared(SharedDoc, text)
@@ -134,10 +134,10 @@
 	return &out, nil
 }
 
-// CanAct tells why this daemon can't act on documents; nil: it can. Besides what With finds, it looks for the files of members
+// CheckDocuments tells why this daemon can't act on documents; nil: it can. Besides what With finds, it looks for the files of members
 // that pools are to read.
-func (f *File) CanAct(docs map[string][]byte) error {
-	with, err := f.With(docs)
+func (f *File) CheckDocuments(docs map[string][]byte) error {
+	with, err := f.WithDocuments(docs)
 	if err != nil || docs[SharedDoc] == nil {
 		return err
 	}
@@ -177,9 +177,9 @@
 	return out
 }
 
-// IsDocName tells whether a document may be of this name: printable and without spaces.
-func IsDocName(name string) bool {
-	return name != "" && len(name) <= MostName && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd })
+// IsDocumentName tells whether a document may be of this name: printable and without spaces.
+func IsDocumentName(name string) bool {
+	return name != "" && len(name) <= MaxDocumentNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd })
 }
 
 // checkDoc wants a document to be of a sort that this program knows.
--- a/internal/config/agreed_test.go
+++ b/internal/config/agreed_test.go
@@ -34,7 +34,7 @@
 
 // The shared part of a file, put over another daemon's own, is what that daemon serves; lists are as they are agreed on.
 func TestSharedPartOverAnothersOwn(t *testing.T) {
-	shared, left, err := SharedPart("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
+	shared, left, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
 	if err != nil || string(shared) != "format = 1\n"+sharedPart || strings.Join(left, " ") != "daemon listener fleet" {
 		t.Fatalf("%s %v %v", shared, left, err)
 	}
@@ -45,7 +45,7 @@
 	if s := own.Service(); !s.Refuses || len(s.Pools[0].Source.Members) != 1 {
 		t.Errorf("by itself: %+v", s)
 	}
-	with, err := own.With(map[string][]byte{SharedDoc: shared, MembersPrefix + "p": []byte(`{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`), "flag/x": []byte("1"), "out/e": nil})
+	with, err := own.WithDocuments(map[string][]byte{SharedDoc: shared, MembersPrefix + "p": []byte(`{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`), "flag/x": []byte("1"), "out/e": nil})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +53,10 @@
 	if s.Listeners[0].Address != "127.0.0.1:22" || s.Admin != "127.0.0.1:1" || s.Fleet == nil || len(s.Pools[0].Source.Members) != 1 || s.Pools[0].Source.Members[0].State != "draining" || s.Pools[0].Source.Hold != 0 {
 		t.Errorf("%+v", s)
 	}
-	if none, err := own.With(map[string][]byte{SharedDoc: shared}); err != nil || len(none.Service().Pools[0].Source.Members) != 0 {
+	if none, err := own.WithDocuments(map[string][]byte{SharedDoc: shared}); err != nil || len(none.Service().Pools[0].Source.Members) != 0 {
 		t.Errorf("no list is agreed on: %v", err)
 	}
-	if again, err := own.With(nil); err != nil || len(again.Service().Pools[0].Source.Members) != 1 {
+	if again, err := own.WithDocuments(nil); err != nil || len(again.Service().Pools[0].Source.Members) != 1 {
 		t.Errorf("nothing is agreed on: %v", err)
 	}
 }
@@ -79,18 +79,18 @@
 		"format = 1\n" + byFile:                                                     "no such file",
 		"format = 1\n[":                                                             "shared:2",
 	} {
-		if err := own.CanAct(map[string][]byte{SharedDoc: []byte(text)}); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte(text)}); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s\n%v; want %s", text, err, want)
 		}
 	}
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := own.CanAct(map[string][]byte{SharedDoc: []byte("format = 1\n" + byFile)}); err != nil {
+	if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte("format = 1\n" + byFile)}); err != nil {
 		t.Errorf("the file is there: %v", err)
 	}
 	for name, body := range map[string]string{"": "", "other": "", "shared/x": "", "members/": "{}", "members/p": `{"format":1,"members":[]}`, "members/q": "{", "out/e": "x", "out/": "", "flag/x": "a\nb"} {
-		if err := own.CanAct(map[string][]byte{name: []byte(body)}); err == nil {
+		if err := own.CheckDocuments(map[string][]byte{name: []byte(body)}); err == nil {
 			t.Errorf("%q with %q", name, body)
 		}
 	}
@@ -100,8 +100,8 @@
 			t.Errorf("without a fleet that agrees: %v", err)
 		}
 	}
-	for _, name := range []string{"a b", "", "a\n", strings.Repeat("x", MostName+1)} {
-		if IsDocName(name) {
+	for _, name := range []string{"a b", "", "a\n", strings.Repeat("x", MaxDocumentNameBytes+1)} {
+		if IsDocumentName(name) {
 			t.Errorf("%q", name)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	Discovery string
 	Admin     string // where operators call; empty: nowhere
 	Limits    Limits
-	Known     discovery.Members
+	Known     discovery.ListUpdate
 
 	Descriptor int    // of the listening socket, which the platform holds and other processes may have too; 0: none
 	Shared     string // directory that all processes of the sidecar have; empty: none
@@ -84,7 +84,7 @@
 	}
 	c.Shared = getenv("TMPDIR")
 	var err error
-	if c.Descriptor, err = hotrestart.Descriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
+	if c.Descriptor, err = hotrestart.InheritedDescriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
 		return c, err
 	}
 	if c.Admin != "" {
@@ -105,7 +105,7 @@
 		return c, fmt.Errorf("seed: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = discovery.ParseMembers(file.Known); err != nil {
+		if c.Known, err = discovery.ParseListUpdate(file.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -480,7 +480,7 @@
 			tomlfile.Need("idle_timeout", p.IdleTimeout > 0, "over 0"),
 			tomlfile.Need("tier", p.Tier >= 0 && p.Tier <= 100, "from 0 to 100"),
 			tomlfile.Need("tiers_below", p.TiersBelow >= 0 && p.TiersBelow <= 100, "from 0 to 100"),
-			tomlfile.Need("member", len(p.Member) <= discovery.MostMembers, fmt.Sprintf("%d of them at most", discovery.MostMembers)),
+			tomlfile.Need("member", len(p.Member) <= discovery.MaxMembers, fmt.Sprintf("%d of them at most", discovery.MaxMembers)),
 			tomlfile.Need("agent", p.Agent == "" || isAddress(p.Agent), "host:port"),
 		}); err != nil {
 			return err
@@ -521,7 +521,7 @@
 		return nil
 	}
 	return at.Check(here+".dns", []tomlfile.Must{
-		tomlfile.Need("name", discovery.IsName(d.Name), "a name in DNS"),
+		tomlfile.Need("name", discovery.IsDNSName(d.Name), "a name in DNS"),
 		tomlfile.Need("type", d.Type == "address" || d.Type == "srv", `"address" or "srv"`),
 		tomlfile.Need("port", (d.Type == "srv") == (d.Port == 0) && d.Port >= 0 && d.Port < 1<<16, `from 1 to 65535 for "address", and left out for "srv"`),
 		tomlfile.Need("server", d.Server == "" || isAddress(d.Server), "host:port"),
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -33,10 +33,10 @@
 	ClockDrift     float64       `toml:"clock_drift"`     // by which clocks may run fast or slow, as a share
 }
 
-// AgreedSpec says how a daemon takes part in what is agreed.
-type AgreedSpec struct {
+// AgreementSpec says how a daemon takes part in what is agreed.
+type AgreementSpec struct {
 	DataDir string // empty: it does not vote, and remembers nothing over a restart
-	Terms   consensus.Terms
+	Terms   consensus.LeaseConfig
 }
 
 // FleetSpec is a Fleet as it is built.
@@ -46,9 +46,9 @@
 	Join              []netip.AddrPort
 	KeyFile           string
 	Voters            []string
-	Times             swim.Options // ProbeEvery, ProbeTimeout and Suspicion are set
-	Agreed            *AgreedSpec  // nil: nothing is agreed on
-	Divide            bool         // how many daemons share the pools, and this one's place, follow from who is there
+	Times             swim.Options   // ProbeEvery, ProbeTimeout and Suspicion are set
+	Agreed            *AgreementSpec // nil: nothing is agreed on
+	Divide            bool           // how many daemons share the pools, and this one's place, follow from who is there
 }
 
 // Bounds of the fleet's settings. Two streams of probes a millisecond apart would be a load test.
@@ -103,15 +103,15 @@
 	advertise, adErr := netip.ParseAddrPort(t.Advertise)
 	voters := namesSeen{}
 	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("name", swim.IsName(t.Name), fleetName),
-		tomlfile.Need("cluster", swim.IsName(t.Cluster), fleetName),
+		tomlfile.Need("name", swim.IsValidName(t.Name), fleetName),
+		tomlfile.Need("cluster", swim.IsValidName(t.Cluster), fleetName),
 		tomlfile.Need("listen", err == nil, "an IP address and a port"),
 		tomlfile.Need("listen", listen.Addr().IsLoopback() || t.KeyFile != "", "a loopback address where key_file is not given"),
 		tomlfile.Need("advertise", t.Advertise == "" || adErr == nil && advertise.Port() > 0 && !advertise.Addr().IsUnspecified(), "an IP address and a port that others can send to"),
 		tomlfile.Need("advertise", t.Advertise != "" || !listen.Addr().IsUnspecified(), "given where listen is for all addresses"),
 		tomlfile.Need("join", len(t.Join) <= mostJoin && allOf(t.Join, isAddrPort), fmt.Sprintf("%d IP addresses with ports at most", mostJoin)),
 		tomlfile.Need("voters", len(t.Voters) <= mostVoters && (len(t.Voters) == 0 || len(t.Voters)%2 == 1), fmt.Sprintf("an odd number of names, %d at most, or none", mostVoters)),
-		tomlfile.Need("voters", allOf(t.Voters, func(s string) bool { return swim.IsName(s) && voters.take(s) }), "names, each once"),
+		tomlfile.Need("voters", allOf(t.Voters, func(s string) bool { return swim.IsValidName(s) && voters.take(s) }), "names, each once"),
 		tomlfile.Need("probe_every", t.ProbeEvery >= leastProbe && t.ProbeEvery <= mostProbe, fmt.Sprintf("from %v to %v", leastProbe, mostProbe)),
 		tomlfile.Need("probe_timeout", t.ProbeTimeout >= leastProbeWait && t.ProbeTimeout <= t.ProbeEvery/2, fmt.Sprintf("from %v to half of probe_every", leastProbeWait)),
 		tomlfile.Need("agreed", !t.Agreed || len(t.Voters) > 0, "false where no voters are named"),
@@ -143,7 +143,7 @@
 		spec.Advertise = netip.MustParseAddrPort(t.Advertise)
 	}
 	if t.Agreed {
-		spec.Agreed = &AgreedSpec{DataDir: t.DataDir, Terms: consensus.Terms{Lease: t.Lease, Drift: t.ClockDrift,
+		spec.Agreed = &AgreementSpec{DataDir: t.DataDir, Terms: consensus.LeaseConfig{Lease: t.Lease, Drift: t.ClockDrift,
 			Short: time.Duration(float64(t.ConflictWithin) * (1 - t.ClockDrift))}}
 	}
 	for _, a := range t.Join {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -52,8 +52,8 @@
 // SourceSpec says where a pool's members come from: one of Agent, Members, File and DNS is set at most.
 type SourceSpec struct {
 	Agent   string
-	Anew    bool              // the whole list is asked for, though one is known
-	Known   discovery.Members // what the agent said last
+	Anew    bool                 // the whole list is asked for, though one is known
+	Known   discovery.ListUpdate // what the agent said last
 	Members []Member
 	File    string
 	DNS     *DNS
@@ -189,9 +189,9 @@
 	return otherDescriptors + s.Operators
 }
 
-// Moved is the configuration with what a running sidecar may take from a later one on the platform: where discovery
+// WithReloadable is the configuration with what a running sidecar may take from a later one on the platform: where discovery
 // is. The list and all that has been learned stay; all else changes with a restart.
-func (c Config) Moved(later Config) Config {
+func (c Config) WithReloadable(later Config) Config {
 	c.Discovery = later.Discovery
 	return c
 }
@@ -249,8 +249,8 @@
 		Source: source}
 }
 
-// List is a fixed list of members as a source takes it.
-func List(members []Member) (out []endpointset.Member) {
+// StaticMembers is a fixed list of members as a source takes it.
+func StaticMembers(members []Member) (out []endpointset.Member) {
 	for _, m := range members {
 		out = append(out, endpointset.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
 	}
