--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,8 +42,8 @@
 	State     balance.State `json:"-"`
 }
 
-// Members is a message from discovery: the whole list, or what has changed.
-type Members struct {
+// ListUpdate is a message from discovery: the whole list, or what has changed.
+type ListUpdate struct {
 	Version *int64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
@@ -51,32 +51,32 @@
 
 var stateNames = map[string]balance.State{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone}
 
-// ParseMembers reads and checks a message from discovery. One bad entry spoils the message.
-func ParseMembers(text []byte) (Members, error) {
-	var m Members
+// ParseListUpdate reads and checks a message from discovery. One bad entry spoils the message.
+func ParseListUpdate(text []byte) (ListUpdate, error) {
+	var m ListUpdate
 	if err := json.Unmarshal(text, &m); err != nil {
-		return Members{}, err
+		return ListUpdate{}, err
 	}
 	if m.Version == nil {
-		return Members{}, errors.New("version: missing")
+		return ListUpdate{}, errors.New("version: missing")
 	}
 	if m.Servers == nil { // must not pass for a list on which nobody is left
-		return Members{}, errors.New("servers: missing")
+		return ListUpdate{}, errors.New("servers: missing")
 	}
 	for i := range m.Servers {
 		s := &m.Servers[i]
 		var ok bool
 		if s.State, ok = stateNames[s.StateName]; !ok {
-			return Members{}, fmt.Errorf("state: %q of %q is unknown", s.StateName, s.ID)
+			return ListUpdate{}, fmt.Errorf("state: %q of %q is unknown", s.StateName, s.ID)
 		}
 		if s.ID == "" {
-			return Members{}, errors.New("id: missing")
+			return ListUpdate{}, errors.New("id: missing")
 		}
 		if s.State == balance.Gone {
 			continue
 		}
 		if err := CheckAddress("addr", s.Addr); err != nil {
-			return Members{}, err
+			return ListUpdate{}, err
 		}
 	}
 	return m, nil
@@ -97,15 +97,15 @@
 	return nil
 }
 
-// Client follows the list of endpoints.
-type Client struct {
+// AgentClient follows the list of endpoints.
+type AgentClient struct {
 	addr    string
-	onAsk   bool          // only a Subscribe starts a watch, and its end is reported
-	asked   chan struct{} // a Subscribe waits here
-	moves   chan string   // the latest address to move to waits here
-	version *int64        // of the latest message; nil: the whole list is wanted
-	Deliver func(Members) // takes each message, in order
-	Failed  func()        // takes the end of a watch, where discovery is asked
+	onAsk   bool             // only a Subscribe starts a watch, and its end is reported
+	asked   chan struct{}    // a Subscribe waits here
+	moves   chan string      // the latest address to move to waits here
+	version *int64           // of the latest message; nil: the whole list is wanted
+	Deliver func(ListUpdate) // takes each message, in order
+	Failed  func()           // takes the end of a watch, where discovery is asked
 	log     *slog.Logger
 	client  *http.Client
 	silence time.Duration // after which a watch is given up
@@ -113,10 +113,10 @@
 	spokeAt time.Time
 }
 
-// New makes a Client of the discovery at addr. version is that of the list already known; nil: the whole list is wanted.
+// NewAgentClient makes a Client of the discovery at addr. version is that of the list already known; nil: the whole list is wanted.
 // Where onAsk is true discovery tells nothing unless asked. Deliver and Failed must be set before Run.
-func New(addr string, version *int64, onAsk bool, log *slog.Logger) *Client {
-	d := &Client{addr: addr, version: version, onAsk: onAsk, log: log, silence: watchSilence, patient: askPushed,
+func NewAgentClient(addr string, version *int64, onAsk bool, log *slog.Logger) *AgentClient {
+	d := &AgentClient{addr: addr, version: version, onAsk: onAsk, log: log, silence: watchSilence, patient: askPushed,
 		asked: make(chan struct{}, 1), moves: make(chan string, 1),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	if onAsk {
@@ -125,9 +125,9 @@
 	return d
 }
 
-// Move leaves the present address for another. It does not block; a move that waits gives way to this one. It must
+// SwitchAgent leaves the present address for another. It does not block; a move that waits gives way to this one. It must
 // not be called by two at once.
-func (d *Client) Move(addr string) {
+func (d *AgentClient) SwitchAgent(addr string) {
 	select {
 	case <-d.moves:
 	default:
@@ -136,7 +136,7 @@
 }
 
 // Subscribe asks for a watch. It does not block.
-func (d *Client) Subscribe() {
+func (d *AgentClient) Subscribe() {
 	select {
 	case d.asked <- struct{}{}:
 	default:
@@ -145,7 +145,7 @@
 
 // Run follows discovery until ctx ends. A move ends the watch at once and asks for the whole list at the new
 // address: what was missed meanwhile can't be known there. The old list stands until it comes.
-func (d *Client) Run(ctx context.Context) {
+func (d *AgentClient) Run(ctx context.Context) {
 	due := !d.onAsk // a watch is wanted, without a further Subscribe
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
@@ -167,7 +167,7 @@
 
 // stay keeps a watch at the present address until ctx ends, and tells whether one was wanted then. A watch that
 // breaks leaves the old list standing; the next one asks for what has changed since.
-func (d *Client) stay(ctx context.Context, due bool) bool {
+func (d *AgentClient) stay(ctx context.Context, due bool) bool {
 	gap := retryLeast
 	for {
 		if !due {
@@ -207,7 +207,7 @@
 var errMalformed = errors.New("malformed message")
 
 // complain logs, but not more often than of use.
-func (d *Client) complain(err error) {
+func (d *AgentClient) complain(err error) {
 	if time.Since(d.spokeAt) > complainGap {
 		d.spokeAt = time.Now()
 		d.log.Warn("discovery: watch ended", "err", err)
@@ -217,7 +217,7 @@
 // follow keeps one watch, after a whole list if one is wanted, and tells whether it brought anything. A watch begins with what
 // has changed, or says within a breath that nothing has: one that opens and says nothing is not waited for as long as one that
 // has spoken, unless the whole list has just come.
-func (d *Client) follow(ctx context.Context) (heard bool, err error) {
+func (d *AgentClient) follow(ctx context.Context) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watchdog := time.AfterFunc(d.patient, cancel)
@@ -261,7 +261,7 @@
 }
 
 // list gets the whole list once.
-func (d *Client) list(ctx context.Context, watchdog *time.Timer) error {
+func (d *AgentClient) list(ctx context.Context, watchdog *time.Timer) error {
 	body, err := d.get(ctx, "")
 	if err != nil {
 		return err
@@ -274,7 +274,7 @@
 	return d.take(text)
 }
 
-func (d *Client) get(ctx context.Context, query string) (io.ReadCloser, error) {
+func (d *AgentClient) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr+membersPath+query, nil)
 	if err != nil {
 		return nil, err
@@ -292,8 +292,8 @@
 
 // take passes on one message. After one that can't be read, or changes to a list older than ours, something may
 // have been missed: the whole list is asked for anew.
-func (d *Client) take(text []byte) error {
-	m, err := ParseMembers(text)
+func (d *AgentClient) take(text []byte) error {
+	m, err := ParseListUpdate(text)
 	if err == nil && !m.Full && (d.version == nil || *m.Version < *d.version) {
 		err = fmt.Errorf("version: %d does not follow", *m.Version)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,21 +13,21 @@
 )
 
 type followed struct {
-	*Client
-	got      chan Members
+	*AgentClient
+	got      chan ListUpdate
 	failures chan bool
 	calls    chan string
 }
 
-func follow(t *testing.T, version int64, change func(*Client), steps ...string) *followed {
+func follow(t *testing.T, version int64, change func(*AgentClient), steps ...string) *followed {
 	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
 	addr := serveDiscovery(t, s)
-	f := &followed{got: make(chan Members, 100), failures: make(chan bool, 100), calls: s.Calls}
-	f.Client = New(addr, &version, false, slog.New(slog.DiscardHandler))
-	f.Deliver, f.Failed = func(m Members) { f.got <- m }, func() { f.failures <- true }
+	f := &followed{got: make(chan ListUpdate, 100), failures: make(chan bool, 100), calls: s.Calls}
+	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
+	f.Deliver, f.Failed = func(m ListUpdate) { f.got <- m }, func() { f.failures <- true }
 	f.silence, f.patient = testpeer.Patience, testpeer.Patience
 	if change != nil {
-		change(f.Client)
+		change(f.AgentClient)
 	}
 	ctx := t.Context()
 	go f.Run(ctx)
@@ -71,7 +71,7 @@
 }
 
 func TestASilentWatchIsGivenUp(t *testing.T) {
-	f := follow(t, 7, func(d *Client) { d.silence = 200 * time.Millisecond },
+	f := follow(t, 7, func(d *AgentClient) { d.silence = 200 * time.Millisecond },
 		"\nSILENT", testpeer.Members(8, false)+"\nSILENT")
 	f.expectCalls(t, "watch=1&after=7", "watch=1&after=7")
 	f.expectVersions(t, 8)
@@ -98,7 +98,7 @@
 }
 
 func TestWhereDiscoveryIsAskedItsEndIsReported(t *testing.T) {
-	f := follow(t, 41, func(d *Client) { d.onAsk = true }, testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
+	f := follow(t, 41, func(d *AgentClient) { d.onAsk = true }, testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
 	f.Subscribe()
 	f.expectVersions(t, 42)
 	<-f.failures
@@ -108,7 +108,7 @@
 }
 
 func TestEntriesAreRead(t *testing.T) {
-	m, err := ParseMembers([]byte(testpeer.Members(3, true, testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
+	m, err := ParseListUpdate([]byte(testpeer.Members(3, true, testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,10 +138,10 @@
 func TestAMoveAsksForTheWholeListElsewhere(t *testing.T) {
 	for name, onAsk := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
-			f := follow(t, 41, func(d *Client) { d.onAsk = onAsk; d.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
+			f := follow(t, 41, func(d *AgentClient) { d.onAsk = onAsk; d.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
 			f.expectVersions(t, 42)
 			addr, calls := another(t, testpeer.Members(7, true), testpeer.Members(8, false)+"\nSILENT")
-			f.Move(addr)
+			f.SwitchAgent(addr)
 			f.expectVersions(t, 7, 8)
 			f.calls = calls
 			f.expectCalls(t, "", "watch=1&after=7")
@@ -157,7 +157,7 @@
 	f := follow(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
 	mute, heard := another(t)
-	f.Move(mute)
+	f.SwitchAgent(mute)
 	<-heard
 	watched := make(chan bool, 100)
 	addr := serveDiscovery(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -169,20 +169,20 @@
 		<-r.Context().Done()
 	}))
 	for range 3 {
-		f.Move(mute)
-		f.Move(addr)
+		f.SwitchAgent(mute)
+		f.SwitchAgent(addr)
 	}
 	f.expectVersions(t, 7)
 	<-watched
-	f.Move(addr)
+	f.SwitchAgent(addr)
 	<-watched
 }
 
 // All has to be told again within 4 s of a move, though the first call meets silence.
 func TestACallThatMeetsSilenceIsMadeAgain(t *testing.T) {
-	f := follow(t, 41, func(d *Client) { d.patient = 200 * time.Millisecond }, "SILENT")
+	f := follow(t, 41, func(d *AgentClient) { d.patient = 200 * time.Millisecond }, "SILENT")
 	mute, calls := another(t)
-	f.Move(mute)
+	f.SwitchAgent(mute)
 	<-calls
 	<-calls
 	if 2*askPushed+retryLeast > 3*time.Second {
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -28,15 +28,15 @@
 
 // DNSOptions say what is asked, and of whom.
 type DNSOptions struct {
-	Name              string
-	Service           bool   // SRV, which names hosts and ports; else A and AAAA, with Port
-	Port              int    //
-	Server            string // host:port; empty: the system's
-	TTLLeast, TTLMost time.Duration
+	Name           string
+	Service        bool   // SRV, which names hosts and ports; else A and AAAA, with Port
+	Port           int    //
+	Server         string // host:port; empty: the system's
+	MinTTL, MaxTTL time.Duration
 }
 
-// IsName tells whether a text can be asked for in DNS: labels of letters, digits, dashes and underscores (RFC 1035, 2.3.4).
-func IsName(s string) bool {
+// IsDNSName tells whether a text can be asked for in DNS: labels of letters, digits, dashes and underscores (RFC 1035, 2.3.4).
+func IsDNSName(s string) bool {
 	s = strings.TrimSuffix(s, ".")
 	if s == "" || len(s) > 253 {
 		return false
@@ -53,7 +53,7 @@
 
 // DNSSource is a source that asks DNS through the standard resolver, which looks after truncated, lost and malformed
 // answers, and again when the shortest time to live of the answer is over. Members are known by their addresses.
-func DNSSource(o DNSOptions, k *Keeper, deliver func(Members), failed func(), log *slog.Logger) *Polled {
+func DNSSource(o DNSOptions, k *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
 	d := &dns{o: o, retry: dnsRetryLeast}
 	return newPolled("dns "+o.Name, k, d.ask, deliver, failed, log)
 }
@@ -80,18 +80,18 @@
 	if notFound := (*net.DNSError)(nil); errors.As(err, &notFound) && notFound.IsNotFound {
 		members, err = nil, nil // an answer, and it lists nobody
 	}
-	if err == nil && len(members) > MostMembers {
-		err = fmt.Errorf("over %d members", MostMembers)
+	if err == nil && len(members) > MaxMembers {
+		err = fmt.Errorf("over %d members", MaxMembers)
 	}
 	if err != nil || len(members) == 0 {
 		next := d.retry
-		d.retry = min(2*d.retry, max(d.o.TTLMost, dnsRetryLeast))
+		d.retry = min(2*d.retry, max(d.o.MaxTTL, dnsRetryLeast))
 		return answer{next: next}, err
 	}
 	d.retry = dnsRetryLeast
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return answer{members: members, next: min(max(d.ttl, d.o.TTLLeast), d.o.TTLMost)}, nil
+	return answer{members: members, next: min(max(d.ttl, d.o.MinTTL), d.o.MaxTTL)}, nil
 }
 
 func (d *dns) look(ctx context.Context) ([]endpointset.Member, error) {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	filePoll    = 200 * time.Millisecond // with the reading well within the 500 ms for news of a member that drains
-	fileMost    = 16 << 20               // bytes; 100,000 members of 100 bytes and some room
-	MostMembers = 100_000                // of one source
+	filePoll   = 200 * time.Millisecond // with the reading well within the 500 ms for news of a member that drains
+	fileMost   = 16 << 20               // bytes; 100,000 members of 100 bytes and some room
+	MaxMembers = 100_000                // of one source
 	// A file changed again within the clock tick of its time stamp looks unchanged: while the stamp is this young, it is
 	// read again.
 	freshStamp = time.Second
@@ -26,7 +26,7 @@
 var errNobody = errors.New("nobody is listed")
 
 // FileSource is a source that reads a file of members, and again whenever it changes or is replaced. ParseMemberFile gives its form.
-func FileSource(path string, k *Keeper, deliver func(Members), failed func(), log *slog.Logger) *Polled {
+func FileSource(path string, k *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
 	w := watched{path: path}
 	return newPolled("members file "+path, k, w.ask, deliver, failed, log)
 }
@@ -102,8 +102,8 @@
 	if file.Format != 1 {
 		return nil, fmt.Errorf("format: %d is not 1", file.Format)
 	}
-	if len(file.Members) > MostMembers {
-		return nil, fmt.Errorf("members: over %d", MostMembers)
+	if len(file.Members) > MaxMembers {
+		return nil, fmt.Errorf("members: over %d", MaxMembers)
 	}
 	members, ids := make([]endpointset.Member, 0, len(file.Members)), make(map[string]bool, len(file.Members))
 	for i, m := range file.Members {
--- a/internal/discovery/pieces.go
+++ b/internal/discovery/pieces.go
@@ -12,7 +12,7 @@
 // no further.
 type pieces struct {
 	io.Reader
-	d        *Client
+	d        *AgentClient
 	watchdog *time.Timer
 	spoke    bool      // something has come
 	halfway  bool      // a message has begun and not ended
--- a/internal/discovery/polled.go
+++ b/internal/discovery/polled.go
@@ -17,8 +17,8 @@
 }
 
 var (
-	_ Source = (*Client)(nil)
-	_ Source = (*Polled)(nil)
+	_ Source = (*AgentClient)(nil)
+	_ Source = (*PollingSource)(nil)
 )
 
 // answer is what an ask brought.
@@ -28,12 +28,12 @@
 	next    time.Duration // when to ask again; 0: never
 }
 
-// Polled is a source that is asked again and again: a fixed list, a file, DNS. What it hears goes through a Keeper.
-type Polled struct {
+// PollingSource is a source that is asked again and again: a fixed list, a file, DNS. What it hears goes through a Keeper.
+type PollingSource struct {
 	what    string // for the log
 	ask     func(context.Context) (answer, error)
-	keeper  *endpointset.Keeper
-	deliver func(Members)
+	keeper  *endpointset.Set
+	deliver func(ListUpdate)
 	failed  func()
 	log     *slog.Logger
 
@@ -43,35 +43,35 @@
 	mended  bool // the failure that was logged is over
 }
 
-// Keeper is what a pool remembers of its members beyond the life of one source.
-type Keeper struct {
-	keeper *endpointset.Keeper
+// MemberCache is what a pool remembers of its members beyond the life of one source.
+type MemberCache struct {
+	keeper *endpointset.Set
 	began  time.Time
 }
 
-// NewKeeper makes a Keeper.
-func NewKeeper(o endpointset.Options) *Keeper {
+// NewMemberCache makes a Keeper.
+func NewMemberCache(o endpointset.Options) *MemberCache {
 	// The clock starts above zero, for a member that came at 0 counts as one that was there before.
-	return &Keeper{endpointset.New(o), time.Now().Add(-time.Second)}
+	return &MemberCache{endpointset.New(o), time.Now().Add(-time.Second)}
 }
 
-// Set changes the options for what is heard from now on. No source with this Keeper may run.
-func (k *Keeper) Set(o endpointset.Options) { k.keeper.Set(o) }
+// SetOptions changes the options for what is heard from now on. No source with this Keeper may run.
+func (k *MemberCache) SetOptions(o endpointset.Options) { k.keeper.SetOptions(o) }
 
 // newPolled makes a Polled. deliver takes each list that differs from the one before, whole; failed takes failed asks.
 // Of all that share a Keeper one at most may run.
-func newPolled(what string, k *Keeper, ask func(context.Context) (answer, error), deliver func(Members), failed func(), log *slog.Logger) *Polled {
-	return &Polled{what: what, ask: ask, keeper: k.keeper, began: k.began, deliver: deliver, failed: failed, log: log,
+func newPolled(what string, k *MemberCache, ask func(context.Context) (answer, error), deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+	return &PollingSource{what: what, ask: ask, keeper: k.keeper, began: k.began, deliver: deliver, failed: failed, log: log,
 		asked: make(chan struct{}, 1), mended: true}
 }
 
-// Fixed is a source that knows its members.
-func Fixed(members []endpointset.Member, k *Keeper, deliver func(Members), failed func(), log *slog.Logger) *Polled {
+// StaticSource is a source that knows its members.
+func StaticSource(members []endpointset.Member, k *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
 	return newPolled("members", k, func(context.Context) (answer, error) { return answer{members: members}, nil }, deliver, failed, log)
 }
 
 // Subscribe implements Source.
-func (p *Polled) Subscribe() {
+func (p *PollingSource) Subscribe() {
 	select {
 	case p.asked <- struct{}{}:
 	default:
@@ -79,11 +79,11 @@
 }
 
 // Run implements Source.
-func (p *Polled) Run(ctx context.Context) {
+func (p *PollingSource) Run(ctx context.Context) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	var askAt time.Time // zero: never again, unless asked
-	next := p.Once(ctx)
+	next := p.PollOnce(ctx)
 	for ctx.Err() == nil {
 		if askAt = (time.Time{}); next > 0 {
 			askAt = time.Now().Add(next)
@@ -91,19 +91,19 @@
 		if !p.wait(ctx, alarm, askAt) {
 			return
 		}
-		next = p.Once(ctx)
+		next = p.PollOnce(ctx)
 	}
 }
 
 // wait passes the time until the next ask; it is false if ctx ends before.
-func (p *Polled) wait(ctx context.Context, alarm *time.Timer, askAt time.Time) bool {
+func (p *PollingSource) wait(ctx context.Context, alarm *time.Timer, askAt time.Time) bool {
 	const idle = time.Hour // nothing is due
 	for {
 		left := idle
 		if !askAt.IsZero() {
 			left = time.Until(askAt)
 		}
-		if due, ok := p.keeper.Due(); ok {
+		if due, ok := p.keeper.NextChange(); ok {
 			left = min(left, due-time.Since(p.began))
 		}
 		alarm.Reset(max(left, 0))
@@ -117,15 +117,15 @@
 		if !askAt.IsZero() && !time.Now().Before(askAt) {
 			return true
 		}
-		if due, ok := p.keeper.Due(); ok && time.Since(p.began) >= due && p.keeper.Tick(time.Since(p.began)) {
+		if due, ok := p.keeper.NextChange(); ok && time.Since(p.began) >= due && p.keeper.Tick(time.Since(p.began)) {
 			p.tell()
 		}
 	}
 }
 
-// Once asks one time, tells what has changed, and gives the time until the next ask (0: never). Run does it from its
+// PollOnce asks one time, tells what has changed, and gives the time until the next ask (0: never). Run does it from its
 // start on; before, it may be called to have the first list at once.
-func (p *Polled) Once(ctx context.Context) (next time.Duration) {
+func (p *PollingSource) PollOnce(ctx context.Context) (next time.Duration) {
 	a, err := p.ask(ctx)
 	now := time.Since(p.began)
 	switch {
@@ -136,7 +136,7 @@
 	case err != nil:
 		p.complain(err)
 		p.failed()
-		if p.keeper.Failed(now) {
+		if p.keeper.HandleFailure(now) {
 			p.tell()
 		}
 		return a.next
@@ -147,14 +147,14 @@
 		p.mended, p.spokeAt = true, time.Time{}
 		p.log.Info(p.what+" answers again", "members", len(a.members))
 	}
-	if p.keeper.Heard(now, a.members) {
+	if p.keeper.HandleList(now, a.members) {
 		p.tell()
 	}
 	return a.next
 }
 
 // complain logs, but not more often than of use.
-func (p *Polled) complain(err error) {
+func (p *PollingSource) complain(err error) {
 	p.mended = false
 	if time.Since(p.spokeAt) > complainGap {
 		p.spokeAt = time.Now()
@@ -163,9 +163,9 @@
 }
 
 // tell delivers the whole list in force.
-func (p *Polled) tell() {
-	list := p.keeper.List()
-	m := Members{Full: true, Servers: make([]Member, 0, len(list))}
+func (p *PollingSource) tell() {
+	list := p.keeper.Endpoints()
+	m := ListUpdate{Full: true, Servers: make([]Member, 0, len(list))}
 	for _, l := range list {
 		s := Member{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: balance.Ready}
 		if l.Draining {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -34,13 +34,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		version := int64(7)
 		s = &scripted{serve: serve, began: time.Now()}
-		client := New("agent:1", &version, false, slog.New(slog.DiscardHandler))
+		client := NewAgentClient("agent:1", &version, false, slog.New(slog.DiscardHandler))
 		client.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go s.conn(there)
 			return here, nil
 		}}}
-		client.Deliver = func(m Members) { s.heard, s.at = append(s.heard, *m.Version), append(s.at, time.Since(s.began)) }
+		client.Deliver = func(m ListUpdate) { s.heard, s.at = append(s.heard, *m.Version), append(s.at, time.Since(s.began)) }
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); client.Run(ctx) }()
--- a/internal/discovery/sources_test.go
+++ b/internal/discovery/sources_test.go
@@ -27,18 +27,18 @@
 
 // heard is a source that runs, and what it says.
 type heard struct {
-	lists  chan Members
+	lists  chan ListUpdate
 	failed chan bool
-	source *Polled
+	source *PollingSource
 }
 
-func (h *heard) deliver(m Members) { h.lists <- m }
-func (h *heard) fail()             { h.failed <- true }
+func (h *heard) deliver(m ListUpdate) { h.lists <- m }
+func (h *heard) fail()                { h.failed <- true }
 
-func listen(t *testing.T, o endpointset.Options, make_ func(*Keeper, func(Members), func(), *slog.Logger) *Polled) *heard {
+func listen(t *testing.T, o endpointset.Options, make_ func(*MemberCache, func(ListUpdate), func(), *slog.Logger) *PollingSource) *heard {
 	t.Helper()
-	h := &heard{lists: make(chan Members, 1000), failed: make(chan bool, 1000)}
-	h.source = make_(NewKeeper(o), h.deliver, h.fail, slog.New(slog.DiscardHandler))
+	h := &heard{lists: make(chan ListUpdate, 1000), failed: make(chan bool, 1000)}
+	h.source = make_(NewMemberCache(o), h.deliver, h.fail, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
 	go func() { h.source.Run(ctx); close(ended) }()
@@ -105,7 +105,7 @@
 
 func TestAMembersFileIsFollowed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
-	h := listen(t, holding, func(k *Keeper, d func(Members), f func(), l *slog.Logger) *Polled {
+	h := listen(t, holding, func(k *MemberCache, d func(ListUpdate), f func(), l *slog.Logger) *PollingSource {
 		return FileSource(path, k, d, f, l)
 	})
 	h.expectFailure(t) // there is none yet
@@ -208,12 +208,14 @@
 
 // quick are options whose asks follow one another fast.
 func quick(d *fake.DNS) DNSOptions {
-	return DNSOptions{Name: "web.example", Port: 80, Server: d.Addr, TTLLeast: 10 * time.Millisecond, TTLMost: 20 * time.Millisecond}
+	return DNSOptions{Name: "web.example", Port: 80, Server: d.Addr, MinTTL: 10 * time.Millisecond, MaxTTL: 20 * time.Millisecond}
 }
 
 func askDNS(t *testing.T, o DNSOptions) *heard {
 	t.Helper()
-	return listen(t, holding, func(k *Keeper, d func(Members), f func(), l *slog.Logger) *Polled { return DNSSource(o, k, d, f, l) })
+	return listen(t, holding, func(k *MemberCache, d func(ListUpdate), f func(), l *slog.Logger) *PollingSource {
+		return DNSSource(o, k, d, f, l)
+	})
 }
 
 func TestAddressesAreFollowed(t *testing.T) {
@@ -288,8 +290,8 @@
 	d := newDNS(t)
 	d.Set("web.example", fake.DNSRecord{Alias: "b.example"})
 	d.Set("b.example", fake.DNSRecord{Alias: "web.example"})
-	s := DNSSource(quick(d), NewKeeper(holding), func(m Members) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
-	if next := s.Once(t.Context()); next <= 0 {
+	s := DNSSource(quick(d), NewMemberCache(holding), func(m ListUpdate) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
+	if next := s.PollOnce(t.Context()); next <= 0 {
 		t.Error("it would not be asked again")
 	}
 }
@@ -298,7 +300,7 @@
 func TestASilentServerIsNotWaitedForAtTheEnd(t *testing.T) {
 	d := newDNS(t)
 	d.Go(fake.DNSSilent, 0)
-	s := DNSSource(quick(d), NewKeeper(holding), func(m Members) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
+	s := DNSSource(quick(d), NewMemberCache(holding), func(m ListUpdate) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { s.Run(ctx); close(ended) }()
@@ -367,7 +369,7 @@
 func TestNames(t *testing.T) {
 	for name, want := range map[string]bool{"a": true, "_http._tcp.a-b.example.": true, "": false, ".": false, "a..b": false, "a b": false,
 		strings.Repeat("x", 64): false, strings.Repeat("x.", 130): false, "caf\u00e9": false} {
-		if IsName(name) != want {
+		if IsDNSName(name) != want {
 			t.Errorf("%q: %v", name, !want)
 		}
 	}
@@ -411,7 +413,7 @@
 				server.WriteTo(out, from)
 			}
 		}()
-		o := DNSOptions{Name: "a.example", Port: 1, Server: server.LocalAddr().String(), Service: step%2 == 0, TTLLeast: time.Second, TTLMost: time.Minute}
+		o := DNSOptions{Name: "a.example", Port: 1, Server: server.LocalAddr().String(), Service: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute}
 		d := &dns{o: o, retry: time.Second}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
--- a/internal/endpointset/membership.go
+++ b/internal/endpointset/membership.go
@@ -17,8 +17,8 @@
 	Draining             bool
 }
 
-// Listed is a member in force.
-type Listed struct {
+// Endpoint is a member in force.
+type Endpoint struct {
 	Member
 	Since time.Duration // instant at which it came, or moved to its address; 0: it was there when the first answer came
 }
@@ -35,12 +35,12 @@
 	mostFlaps  = 10_000           // members remembered for their flaps, beside as many as are in force
 )
 
-// Keeper holds the list in force. It is not safe for concurrent use. New makes one.
-type Keeper struct {
+// Set holds the list in force. It is not safe for concurrent use. New makes one.
+type Set struct {
 	o        Options
 	began    bool              // a good answer has come
 	heard    map[string]Member // by the last answer that was believed
-	inForce  map[string]Listed
+	inForce  map[string]Endpoint
 	flaps    map[string]*flap
 	goodAt   time.Duration // last good answer
 	doubted  bool          // an empty or failed answer waits to be believed
@@ -56,17 +56,17 @@
 }
 
 // New makes a Keeper that knows of nobody.
-func New(o Options) *Keeper {
-	return &Keeper{o: o, heard: map[string]Member{}, inForce: map[string]Listed{}, flaps: map[string]*flap{}}
+func New(o Options) *Set {
+	return &Set{o: o, heard: map[string]Member{}, inForce: map[string]Endpoint{}, flaps: map[string]*flap{}}
 }
 
-// Set changes the options.
-func (k *Keeper) Set(o Options) { k.o = o }
+// SetOptions changes the options.
+func (k *Set) SetOptions(o Options) { k.o = o }
 
-// Heard takes a whole answer and tells whether the list in force has changed. Of members with the same id the first counts.
-func (k *Keeper) Heard(now time.Duration, members []Member) (changed bool) {
+// HandleList takes a whole answer and tells whether the list in force has changed. Of members with the same id the first counts.
+func (k *Set) HandleList(now time.Duration, members []Member) (changed bool) {
 	if len(members) == 0 {
-		return k.Failed(now)
+		return k.HandleFailure(now)
 	}
 	heard := make(map[string]Member, len(members))
 	for _, m := range members {
@@ -86,9 +86,9 @@
 	return changed
 }
 
-// Failed takes an empty or failed answer and tells whether the list in force has changed: it has where the time for
+// HandleFailure takes an empty or failed answer and tells whether the list in force has changed: it has where the time for
 // which such an answer is doubted is over.
-func (k *Keeper) Failed(now time.Duration) (changed bool) {
+func (k *Set) HandleFailure(now time.Duration) (changed bool) {
 	k.doubted = true
 	if now < k.goodAt+k.o.Hold || len(k.inForce) == 0 {
 		return false
@@ -97,8 +97,8 @@
 	return k.settle(now)
 }
 
-// Due is the next instant at which time alone may change the list; ok is false if there is none.
-func (k *Keeper) Due() (at time.Duration, ok bool) {
+// NextChange is the next instant at which time alone may change the list; ok is false if there is none.
+func (k *Set) NextChange() (at time.Duration, ok bool) {
 	if k.steadyAt > 0 {
 		at, ok = k.steadyAt, true
 	}
@@ -109,20 +109,20 @@
 }
 
 // Tick takes note of the time and tells whether the list in force has changed.
-func (k *Keeper) Tick(now time.Duration) (changed bool) {
-	if k.doubted && k.Failed(now) {
+func (k *Set) Tick(now time.Duration) (changed bool) {
+	if k.doubted && k.HandleFailure(now) {
 		return true
 	}
 	return k.settle(now)
 }
 
-// List is the list in force, in order of ids.
-func (k *Keeper) List() []Listed {
-	out := make([]Listed, 0, len(k.inForce))
+// Endpoints is the list in force, in order of ids.
+func (k *Set) Endpoints() []Endpoint {
+	out := make([]Endpoint, 0, len(k.inForce))
 	for _, l := range k.inForce {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b Listed) int {
+	slices.SortFunc(out, func(a, b Endpoint) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -132,7 +132,7 @@
 }
 
 // went notes that a member is not listed any more.
-func (k *Keeper) went(now time.Duration, id string) {
+func (k *Set) went(now time.Duration, id string) {
 	f := k.flaps[id]
 	if f == nil || now-f.goneAt > forgetFlap {
 		k.forget(now)
@@ -144,7 +144,7 @@
 }
 
 // forget keeps the memory of flaps bounded: old ones go, and all where too many are young.
-func (k *Keeper) forget(now time.Duration) {
+func (k *Set) forget(now time.Duration) {
 	if len(k.flaps) < mostFlaps+len(k.inForce) {
 		return
 	}
@@ -160,7 +160,7 @@
 
 // steady is the instant from which a member that is listed counts. One that went once comes back at once: an ordinary
 // restart is no flapping.
-func (k *Keeper) steady(now time.Duration, id string) time.Duration {
+func (k *Set) steady(now time.Duration, id string) time.Duration {
 	f := k.flaps[id]
 	if f == nil || f.times < 2 || now-f.goneAt > forgetFlap {
 		return now
@@ -177,7 +177,7 @@
 
 // settle brings the list in force to what was heard, less those withheld, and tells whether that changed it. Those
 // withheld count all the same where nobody else would be left to serve.
-func (k *Keeper) settle(now time.Duration) (changed bool) {
+func (k *Set) settle(now time.Duration) (changed bool) {
 	for id := range k.inForce {
 		if _, listed := k.heard[id]; !listed {
 			delete(k.inForce, id)
@@ -203,7 +203,7 @@
 	}
 	if !serving && len(withheld) > 0 {
 		for _, m := range withheld {
-			k.admit(now, Listed{}, false, m)
+			k.admit(now, Endpoint{}, false, m)
 		}
 		k.steadyAt, changed = 0, true
 	}
@@ -211,11 +211,11 @@
 }
 
 // admit puts a member in force as it is listed now. One at a new address is another machine, or one started anew.
-func (k *Keeper) admit(now time.Duration, was Listed, there bool, m Member) (changed bool) {
+func (k *Set) admit(now time.Duration, was Endpoint, there bool, m Member) (changed bool) {
 	if there && was.Member == m {
 		return false
 	}
-	l := Listed{Member: m, Since: was.Since}
+	l := Endpoint{Member: m, Since: was.Since}
 	if k.began && (!there || was.Addr != m.Addr) {
 		l.Since = now
 	}
--- a/internal/endpointset/membership_test.go
+++ b/internal/endpointset/membership_test.go
@@ -18,14 +18,14 @@
 	return out
 }
 
-func ids(k *Keeper) (out []string) {
-	for _, l := range k.List() {
+func ids(k *Set) (out []string) {
+	for _, l := range k.Endpoints() {
 		out = append(out, l.ID)
 	}
 	return out
 }
 
-func expect(t *testing.T, k *Keeper, want ...string) {
+func expect(t *testing.T, k *Set, want ...string) {
 	t.Helper()
 	if got := ids(k); !slices.Equal(got, want) {
 		t.Errorf("in force: %v, want %v", got, want)
@@ -36,34 +36,34 @@
 
 func TestAnEmptyAnswerIsDoubtedForAWhile(t *testing.T) {
 	k := New(ordinary)
-	if _, ok := k.Due(); k.Failed(0) || ok {
+	if _, ok := k.NextChange(); k.HandleFailure(0) || ok {
 		t.Error("a pool that had nobody has nothing to hold")
 	}
-	k.Heard(time.Second, of("a", "b"))
-	if k.Heard(2*time.Second, nil) || k.Failed(60*time.Second) {
+	k.HandleList(time.Second, of("a", "b"))
+	if k.HandleList(2*time.Second, nil) || k.HandleFailure(60*time.Second) {
 		t.Error("emptied early")
 	}
 	expect(t, k, "a", "b")
-	if at, ok := k.Due(); !ok || at != 61*time.Second {
+	if at, ok := k.NextChange(); !ok || at != 61*time.Second {
 		t.Errorf("due at %v, %v", at, ok)
 	}
 	if !k.Tick(61 * time.Second) {
 		t.Error("not emptied when its time was over")
 	}
 	expect(t, k)
-	if _, ok := k.Due(); ok {
+	if _, ok := k.NextChange(); ok {
 		t.Error("something is due for nobody")
 	}
-	k.Heard(62*time.Second, of("a"))
+	k.HandleList(62*time.Second, of("a"))
 	expect(t, k, "a")
 }
 
 func TestAGoodAnswerEndsTheDoubt(t *testing.T) {
 	k := New(ordinary)
-	k.Heard(0, of("a"))
-	k.Failed(50 * time.Second)
-	k.Heard(55*time.Second, of("a"))
-	if _, ok := k.Due(); ok || k.Tick(10*time.Minute) {
+	k.HandleList(0, of("a"))
+	k.HandleFailure(50 * time.Second)
+	k.HandleList(55*time.Second, of("a"))
+	if _, ok := k.NextChange(); ok || k.Tick(10*time.Minute) {
 		t.Error("still in doubt")
 	}
 	expect(t, k, "a")
@@ -75,23 +75,23 @@
 	now := time.Duration(0)
 	flap := func() {
 		now += 10 * time.Second
-		k.Heard(now, of("a"))
+		k.HandleList(now, of("a"))
 		now += time.Millisecond
-		k.Heard(now, of("a", "b"))
+		k.HandleList(now, of("a", "b"))
 	}
-	k.Heard(now, of("a", "b"))
+	k.HandleList(now, of("a", "b"))
 	flap()
 	expect(t, k, "a", "b")
 	for _, wait := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		flap()
 		expect(t, k, "a")
-		if at, ok := k.Due(); !ok || at != now+wait {
+		if at, ok := k.NextChange(); !ok || at != now+wait {
 			t.Errorf("due at %v, want %v", at, now+wait)
 		}
 		if k.Tick(now + wait - 1) {
 			t.Error("counted early")
 		}
-		k.Heard(now+wait/2, of("a", "b")) // listed again meanwhile: the wait is not begun anew
+		k.HandleList(now+wait/2, of("a", "b")) // listed again meanwhile: the wait is not begun anew
 		if !k.Tick(now + wait) {
 			t.Error("never counted")
 		}
@@ -100,11 +100,11 @@
 	for range 20 {
 		flap()
 	}
-	if at, _ := k.Due(); at != now+dampMost*time.Second {
+	if at, _ := k.NextChange(); at != now+dampMost*time.Second {
 		t.Errorf("the longest wait is %v", at-now)
 	}
 	now += forgetFlap + time.Second
-	k.Heard(now, of("a", "b"))
+	k.HandleList(now, of("a", "b"))
 	flap()
 	expect(t, k, "a", "b")
 }
@@ -112,31 +112,31 @@
 func TestDampingLeavesNobodyUnserved(t *testing.T) {
 	k := New(ordinary)
 	for i := range 6 {
-		k.Heard(time.Duration(2*i)*time.Millisecond, of("a"))
-		k.Heard(time.Duration(2*i+1)*time.Millisecond, of("b"))
+		k.HandleList(time.Duration(2*i)*time.Millisecond, of("a"))
+		k.HandleList(time.Duration(2*i+1)*time.Millisecond, of("b"))
 		if got := ids(k); len(got) != 1 {
 			t.Fatalf("in force: %v", got)
 		}
 	}
 	draining := member("b")
 	draining.Draining = true
-	k.Heard(time.Second, []Member{draining, member("a")})
+	k.HandleList(time.Second, []Member{draining, member("a")})
 	expect(t, k, "a", "b")
 }
 
 // What is new since the first answer may be cold, and so may what has moved.
 func TestNewcomersHaveAnInstant(t *testing.T) {
 	k := New(ordinary)
-	k.Heard(5, of("a"))
+	k.HandleList(5, of("a"))
 	moved := Member{ID: "a", Addr: "elsewhere:1"}
-	k.Heard(7, []Member{moved, member("b")})
-	if l := k.List(); l[0].Since != 7 || l[1].Since != 7 {
+	k.HandleList(7, []Member{moved, member("b")})
+	if l := k.Endpoints(); l[0].Since != 7 || l[1].Since != 7 {
 		t.Errorf("%+v", l)
 	}
 	zoned := moved
 	zoned.Zone = "z"
-	k.Heard(9, []Member{zoned, member("b")})
-	if l := k.List(); l[0].Since != 7 || l[0].Zone != "z" {
+	k.HandleList(9, []Member{zoned, member("b")})
+	if l := k.Endpoints(); l[0].Since != 7 || l[0].Zone != "z" {
 		t.Errorf("a new zone made it a newcomer: %+v", l[0])
 	}
 }
@@ -144,7 +144,7 @@
 func TestFlapsAreForgottenBeforeTheyFillTheMemory(t *testing.T) {
 	k := New(ordinary)
 	for i := range 3 * mostFlaps {
-		k.Heard(time.Duration(i), of(fmt.Sprint("m", i)))
+		k.HandleList(time.Duration(i), of(fmt.Sprint("m", i)))
 	}
 	if n := len(k.flaps); n > mostFlaps+1 {
 		t.Errorf("%d members are remembered", n)
@@ -160,23 +160,23 @@
 		var last []Member
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "later"))
-			before := k.List()
+			before := k.Endpoints()
 			changed := false
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				changed = k.Failed(now)
+				changed = k.HandleFailure(now)
 			case 1:
 				changed = k.Tick(now)
 			default:
 				answer := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
 					return Member{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), Draining: rapid.Bool().Draw(t, "draining")}
 				}), 0, 4).Draw(t, "answer")
-				changed = k.Heard(now, answer)
+				changed = k.HandleList(now, answer)
 				if len(answer) > 0 {
 					last, good = answer, now
 				}
 			}
-			after := k.List()
+			after := k.Endpoints()
 			if changed == slices.Equal(before, after) {
 				t.Fatalf("changed is %v: %v, then %v", changed, before, after)
 			}
@@ -199,7 +199,7 @@
 			for _, m := range firsts {
 				someone = someone || ready(m)
 			}
-			if someone && len(after) > 0 && !slices.ContainsFunc(after, func(l Listed) bool { return ready(l.Member) }) {
+			if someone && len(after) > 0 && !slices.ContainsFunc(after, func(l Endpoint) bool { return ready(l.Member) }) {
 				t.Fatalf("nobody ready of %v is in force: %v", last, after)
 			}
 		}
@@ -208,9 +208,9 @@
 
 func TestOptionsMayChange(t *testing.T) {
 	k := New(Options{Hold: time.Hour})
-	k.Heard(0, of("a"))
-	k.Set(Options{Hold: time.Second})
-	if !k.Failed(time.Second) {
+	k.HandleList(0, of("a"))
+	k.SetOptions(Options{Hold: time.Second})
+	if !k.HandleFailure(time.Second) {
 		t.Error("the old time holds")
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -49,8 +49,8 @@
 // Reply is the final answer to a caller.
 type Reply struct {
 	Verdict    Verdict
-	RetryAfter time.Duration   // 0: no advice
-	Answer     upstream.Answer // if served; an endpoint's own error, where the last attempt brought one
+	RetryAfter time.Duration     // 0: no advice
+	Answer     upstream.Response // if served; an endpoint's own error, where the last attempt brought one
 }
 
 // Call is a request that was taken.
@@ -72,9 +72,9 @@
 	Here func() bool
 
 	// The loop's own:
-	over    atomic.Bool     // answered, or the caller has left; the loop alone sets it, attempts that have written nothing yet look at it
-	ranAt   time.Duration   // when the first attempt that may have run was sent; 0: none may have
-	last    upstream.Answer // of the latest attempt that ended, if it brought one
+	over    atomic.Bool       // answered, or the caller has left; the loop alone sets it, attempts that have written nothing yet look at it
+	ranAt   time.Duration     // when the first attempt that may have run was sent; 0: none may have
+	last    upstream.Response // of the latest attempt that ended, if it brought one
 	cancels []context.CancelFunc
 	out     int // attempts out
 }
@@ -101,11 +101,11 @@
 type Upstream interface {
 	// Attempt sends a request once and tells how that ended; reused: on a connection that had served before. It may be called by many
 	// at once, and writes nothing once ctx has ended, or Watch.Wanted has said no.
-	Attempt(ctx context.Context, id string, m *upstream.Message, w upstream.Watch) (r balance.Result, reused bool, a upstream.Answer)
+	Attempt(ctx context.Context, id string, m *upstream.Message, w upstream.AttemptHooks) (r balance.Result, reused bool, a upstream.Response)
 	SetMember(id, addr string, takes bool)
 	RemoveMember(id string)
-	Bar(id string, out bool)
-	Idle(id string) bool
+	SetEjected(id string, out bool)
+	HasIdle(id string) bool
 }
 
 var _ Upstream = (*upstream.Client)(nil)
@@ -145,8 +145,8 @@
 	l.balancer.EndpointList(now, balance.List{Failed: true})
 }
 
-// Held tells how much the Loop holds of each sort. Like Start, Leave and List it is called from an event.
-func (l *Loop) Held() (calls, members, events, timers int) {
+// ResourceCounts tells how much the Loop holds of each sort. Like Start, Leave and List it is called from an event.
+func (l *Loop) ResourceCounts() (calls, members, events, timers int) {
 	return len(l.calls), len(l.members), len(l.later), len(l.timers)
 }
 
@@ -167,7 +167,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.done:
-		return ErrEnded
+		return ErrClosed
 	}
 	select {
 	case <-handled:
@@ -175,27 +175,29 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.done:
-		return ErrEnded
+		return ErrClosed
 	}
 }
 
-// Bar takes an endpoint out by hand, or gives it back. It is called from an event.
-func (l *Loop) Bar(now time.Duration, id string, out bool) {
-	l.upstream.Bar(id, out) // first: the module may send at once
+// SetEjected takes an endpoint out by hand, or gives it back. It is called from an event.
+func (l *Loop) SetEjected(now time.Duration, id string, out bool) {
+	l.upstream.SetEjected(id, out) // first: the module may send at once
 	l.balancer.Bar(now, id, out)
 }
 
-// Knows tells whether an endpoint is listed, or out by hand. It is called from an event.
-func (l *Loop) Knows(id string) bool { return l.balancer.Knows(id) }
+// IsKnown tells whether an endpoint is listed, or out by hand. It is called from an event.
+func (l *Loop) IsKnown(id string) bool { return l.balancer.Knows(id) }
 
-// Share reports among how many daemons the endpoints are shared, and this one's place. It is called from an event.
-func (l *Loop) Share(now time.Duration, daemons, index int) { l.balancer.Share(now, daemons, index) }
+// SetBalancerCount reports among how many daemons the endpoints are shared, and this one's place. It is called from an event.
+func (l *Loop) SetBalancerCount(now time.Duration, daemons, index int) {
+	l.balancer.Share(now, daemons, index)
+}
 
-// Census tells how many endpoints are listed, and how many of them are avoided. It is called from an event.
-func (l *Loop) Census() (listed, avoided int) { return l.balancer.Census() }
+// EndpointCounts tells how many endpoints are listed, and how many of them are avoided. It is called from an event.
+func (l *Loop) EndpointCounts() (listed, avoided int) { return l.balancer.Census() }
 
-// ErrEnded is why an event was not handled: the loop has ended.
-var ErrEnded = errors.New("the pool has ended")
+// ErrClosed is why an event was not handled: the loop has ended.
+var ErrClosed = errors.New("the pool has ended")
 
 // Run handles events until ctx ends. Attempts that are still out then are called off.
 func (l *Loop) Run(ctx context.Context) {
@@ -245,8 +247,8 @@
 	}
 }
 
-// Start takes a request. One whose id is still in use is turned away, so that it can't disturb the first.
-func (l *Loop) Start(now time.Duration, c *Call) {
+// Submit takes a request. One whose id is still in use is turned away, so that it can't disturb the first.
+func (l *Loop) Submit(now time.Duration, c *Call) {
 	if l.calls[c.ID] != nil {
 		c.Replies <- Reply{Verdict: Duplicate}
 		return
@@ -259,8 +261,8 @@
 	l.balancer.Request(now, c.Request)
 }
 
-// Leave reports that the caller of a request has gone. It is false if the request had its final answer before.
-func (l *Loop) Leave(now time.Duration, c *Call) bool {
+// ClientDisconnected reports that the caller of a request has gone. It is false if the request had its final answer before.
+func (l *Loop) ClientDisconnected(now time.Duration, c *Call) bool {
 	if l.calls[c.ID] != c || c.over.Load() {
 		return false
 	}
@@ -288,16 +290,16 @@
 }
 
 // ended reports the end of an attempt. A whole answer is passed on at once; one that comes too late is dropped.
-func (l *Loop) ended(now time.Duration, c *Call, o balance.Outcome, sent time.Duration, a upstream.Answer) {
+func (l *Loop) ended(now time.Duration, c *Call, o balance.Outcome, sent time.Duration, a upstream.Response) {
 	c.out--
 	c.last = a
 	if u := c.Message.Upload; u != nil {
 		o.Spent = u.Spent()
 		if u.Err() != nil { // the caller's fault, and its end
-			l.Leave(now, c)
+			l.ClientDisconnected(now, c)
 		}
 	}
-	if o.Result == balance.NotSent && !c.here() && l.Leave(now, c) {
+	if o.Result == balance.NotSent && !c.here() && l.ClientDisconnected(now, c) {
 		c.Replies <- Reply{Verdict: Left} // whoever waits for the answer may not have seen it
 	}
 	if c.ranAt == 0 && o.Result.MayHaveRun() {
@@ -336,7 +338,7 @@
 
 // begun gives an answer that has begun to flow to the caller, and tells whether that one still waits for it. From then on
 // it is the caller's, whatever becomes of it.
-func (l *Loop) begun(now time.Duration, c *Call, n int, a upstream.Answer) bool {
+func (l *Loop) begun(now time.Duration, c *Call, n int, a upstream.Response) bool {
 	if c.over.Load() {
 		return false
 	}
@@ -347,11 +349,11 @@
 }
 
 // watch makes what happens during an attempt events.
-func (l *Loop) watch(c *Call, n int) upstream.Watch {
-	return upstream.Watch{
+func (l *Loop) watch(c *Call, n int) upstream.AttemptHooks {
+	return upstream.AttemptHooks{
 		Wanted: l.wanted(c),
 		Sent:   func() { l.Post(func(now time.Duration) { l.bodySent(now, c, n) }) },
-		Begun: func(a upstream.Answer) bool {
+		Begun: func(a upstream.Response) bool {
 			taken := make(chan bool, 1)
 			l.Post(func(now time.Duration) { taken <- l.begun(now, c, n, a) })
 			select {
@@ -364,8 +366,8 @@
 	}
 }
 
-// List reports what discovery says.
-func (l *Loop) List(now time.Duration, m discovery.Members) {
+// UpdateEndpoints reports what discovery says.
+func (l *Loop) UpdateEndpoints(now time.Duration, m discovery.ListUpdate) {
 	out := balance.List{Complete: m.Full}
 	listed := map[string]bool{}
 	for _, s := range m.Servers {
@@ -413,12 +415,12 @@
 	c.out++
 	if c.over.Load() {
 		o.Result = balance.NotSent
-		h.later = append(h.later, func(now time.Duration) { h.ended(now, c, o, sent, upstream.Answer{}) })
+		h.later = append(h.later, func(now time.Duration) { h.ended(now, c, o, sent, upstream.Response{}) })
 		return
 	}
 	watch := h.watch(c, o.Attempt)
 	go func() {
-		var a upstream.Answer
+		var a upstream.Response
 		o.Result, o.Reused, a = h.upstream.Attempt(ctx, endpoint, c.Message, watch)
 		cancel()
 		h.Post(func(now time.Duration) { h.ended(now, c, o, sent, a) })
@@ -457,7 +459,7 @@
 }
 
 // Idle implements balance.Host.
-func (h host) Idle(endpoint string) bool { return h.upstream.Idle(endpoint) }
+func (h host) Idle(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
 
 // Subscribe implements balance.Host.
 func (h host) Subscribe() { h.ask() }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -69,12 +69,12 @@
 		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return sure }, Unsure: time.Second}
 	}
 	first := c()
-	l.Start(clockStart, first)
+	l.Submit(clockStart, first)
 	if r := <-first.Replies; r.Verdict != Refused || r.RetryAfter != time.Second || len(module.ids) > 0 {
 		t.Errorf("%+v, and the module heard of %v", r, module.ids)
 	}
 	sure = true
-	l.Start(clockStart, c())
+	l.Submit(clockStart, c())
 	if len(module.ids) != 1 {
 		t.Errorf("the module heard of %v", module.ids)
 	}
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -48,7 +48,7 @@
 	leftAt   time.Time // zero: the client is here
 }
 
-func (e *endpoints) Attempt(ctx context.Context, id string, _ *upstream.Message, w upstream.Watch) (balance.Result, bool, upstream.Answer) {
+func (e *endpoints) Attempt(ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks) (balance.Result, bool, upstream.Response) {
 	a := &tried{endpoint: id, goOn: make(chan struct{}), ends: make(chan balance.Result, 1)}
 	e.mu.Lock()
 	if n := len(e.attempts); n > 0 && !e.leftAt.IsZero() && e.attempts[n-1].result == balance.NotSent && !e.attempts[n-1].endedAt.Before(e.leftAt) {
@@ -64,14 +64,14 @@
 	defer e.mu.Unlock()
 	e.out--
 	a.result, a.endedAt = r, time.Now()
-	answer := upstream.Answer{}
+	answer := upstream.Response{}
 	if r == balance.OK {
 		answer.Status = 200
 	}
 	return r, false, answer
 }
 
-func (e *endpoints) carry(ctx context.Context, a *tried, w upstream.Watch) balance.Result {
+func (e *endpoints) carry(ctx context.Context, a *tried, w upstream.AttemptHooks) balance.Result {
 	select {
 	case <-a.goOn:
 	case <-ctx.Done():
@@ -118,8 +118,8 @@
 
 func (e *endpoints) SetMember(id, _ string, takes bool) { e.set(id, takes) }
 func (e *endpoints) RemoveMember(id string)             { e.set(id, false) }
-func (e *endpoints) Bar(id string, out bool)            { e.set(id, !out) }
-func (e *endpoints) Idle(string) bool                   { return false }
+func (e *endpoints) SetEjected(id string, out bool)     { e.set(id, !out) }
+func (e *endpoints) HasIdle(string) bool                { return false }
 
 func (e *endpoints) set(id string, takes bool) {
 	e.mu.Lock()
@@ -163,7 +163,7 @@
 		Classes: []balance.Class{{Name: "c", Effect: effect, Group: balance.GroupCell, Window: orderWindow, Aim: orderDeadline / 2}}}, e, func() {}, slog.New(slog.DiscardHandler))
 	list := func(without string) func(time.Duration) {
 		return func(now time.Duration) {
-			m := discovery.Members{Full: true}
+			m := discovery.ListUpdate{Full: true}
 			for id, cell := range cellOf {
 				s := discovery.Member{ID: id, Addr: "h:1", Cell: cell}
 				if id == without {
@@ -171,7 +171,7 @@
 				}
 				m.Servers = append(m.Servers, s)
 			}
-			l.List(now, m)
+			l.UpdateEndpoints(now, m)
 		}
 	}
 	list("")(l.Now())
@@ -179,7 +179,7 @@
 	go l.Run(ctx)
 	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Message{}, Replies: make(chan Reply, 4)}
 	c.Here = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.leftAt.IsZero() }
-	l.Post(func(now time.Duration) { c.Deadline = now + orderDeadline; l.Start(now, c) })
+	l.Post(func(now time.Duration) { c.Deadline = now + orderDeadline; l.Submit(now, c) })
 	heard := func() {
 		synctest.Wait()
 		e.mu.Lock()
@@ -211,7 +211,7 @@
 			}
 		case tells:
 			if !c.Here() {
-				l.Post(func(now time.Duration) { l.Leave(now, c) })
+				l.Post(func(now time.Duration) { l.ClientDisconnected(now, c) })
 			}
 		case drains:
 			if a := e.latest(); a != nil {
@@ -235,7 +235,7 @@
 	ended := ctx.Err() != nil
 	if !ended {
 		l.Post(func(time.Duration) {
-			if calls, _, later, timers := l.Held(); calls+later > 0 || timers > 1 {
+			if calls, _, later, timers := l.ResourceCounts(); calls+later > 0 || timers > 1 {
 				e.wrong = append(e.wrong, fmt.Sprintf("the loop still holds %d calls, %d events, %d timers", calls, later, timers))
 			}
 		})
--- a/internal/frontend/callers.go
+++ b/internal/frontend/callers.go
@@ -63,8 +63,8 @@
 	closed  bool
 }
 
-// SetMost changes the number. Connections that are beyond it stay.
-func (l *Limited) SetMost(most int) {
+// SetMaxConnections changes the number. Connections that are beyond it stay.
+func (l *Limited) SetMaxConnections(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.most = most
@@ -148,8 +148,8 @@
 	return &Listener{Listener: l, most: most, headTimeout: headTimeout}
 }
 
-// SetMost changes how many connections are kept where it can.
-func (l *Listener) SetMost(most int) {
+// SetMaxConnections changes how many connections are kept where it can.
+func (l *Listener) SetMaxConnections(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.most = most
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -60,8 +60,8 @@
 	log := slog.New(slog.DiscardHandler)
 	x.loop = eventloop.New(eventloop.Module, balance.Settings{Seed: 7, MayCancel: mayCancel, MaxAttempts: 4, Classes: crossingClasses}, u, func() {}, log)
 	x.upstream = u
-	x.loop.List(x.loop.Now(), listOf(t, "Ready", addrs))
-	figures := &metrics.Figures{}
+	x.loop.UpdateEndpoints(x.loop.Now(), listOf(t, "Ready", addrs))
+	figures := &metrics.Registry{}
 	service := &Service{}
 	var rules []route.Rule
 	for _, c := range crossingClasses {
@@ -94,13 +94,13 @@
 	return x
 }
 
-func listOf(t *testing.T, state string, addrs []string) discovery.Members {
+func listOf(t *testing.T, state string, addrs []string) discovery.ListUpdate {
 	t.Helper()
 	var entries []string
 	for i, addr := range addrs {
 		entries = append(entries, testpeer.Member(string(rune('a'+i)), addr, state))
 	}
-	m, err := discovery.ParseMembers([]byte(testpeer.Members(1, true, entries...)))
+	m, err := discovery.ParseListUpdate([]byte(testpeer.Members(1, true, entries...)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,10 @@
 // held is how many calls and timers the loop holds.
 func (x *crossing) held() (calls, timers int) {
 	held := make(chan [2]int, 1)
-	x.loop.Post(func(time.Duration) { calls, _, later, timers := x.loop.Held(); held <- [2]int{calls + later, timers} })
+	x.loop.Post(func(time.Duration) {
+		calls, _, later, timers := x.loop.ResourceCounts()
+		held <- [2]int{calls + later, timers}
+	})
 	h := <-held
 	return h[0], h[1]
 }
@@ -290,7 +293,7 @@
 			io.WriteString(nc, text("pay", "r1", ""))
 			x.dialed(t)
 			told := make(chan bool)
-			x.loop.Post(func(now time.Duration) { x.loop.List(now, listOf(t, state, []string{e.Addr})); close(told) })
+			x.loop.Post(func(now time.Duration) { x.loop.UpdateEndpoints(now, listOf(t, state, []string{e.Addr})); close(told) })
 			<-told
 			close(open)
 			if got := answered(nc); got != http.StatusServiceUnavailable {
@@ -426,7 +429,7 @@
 	x.settled(t)
 	testpeer.Until(t, "no timer is left but the module's next", func() bool { _, timers := x.held(); return timers <= 1 })
 	testpeer.Until(t, "descriptors are back, but for idle connections to endpoints, which have both ends here", func() bool {
-		_, idle := x.upstream.Held()
+		_, idle := x.upstream.ResourceCounts()
 		return testpeer.Descriptors() <= files+2*idle
 	})
 	c.mu.Lock()
--- a/internal/frontend/long.go
+++ b/internal/frontend/long.go
@@ -176,8 +176,8 @@
 
 // pass passes an answer on as it comes. One that breaks is broken for the caller, too: its connection ends short of the
 // length, or without the last chunk (RFC 9112, 8).
-func (s *Server) pass(w *closing, r *http.Request, q *asked, a upstream.Answer) {
-	err := upstream.ErrLeft
+func (s *Server) pass(w *closing, r *http.Request, q *asked, a upstream.Response) {
+	err := upstream.ErrClientGone
 	defer func() { a.Stream.Close(err) }()
 	for _, ctx := range []context.Context{r.Context(), s.flowing} {
 		defer context.AfterFunc(ctx, a.Stream.Abort)()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -45,7 +45,7 @@
 	Fractions                                           bool       // Retry-After has them; else whole seconds (RFC 9110, 10.2.3)
 	Pool                                                *body.Pool // memory for bodies; nil: bodies have lengths, and are held whole
 	Pace                                                body.Pace  // of callers, where bodies flow
-	Figures                                             *metrics.Figures
+	Figures                                             *metrics.Registry
 	Raw                                                 bool // targets are matched and go on as they came, and answers' headers don't
 }
 
@@ -72,12 +72,12 @@
 	return s
 }
 
-// CutOff ends all bodies that flow, so that their callers can tell.
-func (s *Server) CutOff() { s.cutOff() }
+// AbortStreams ends all bodies that flow, so that their callers can tell.
+func (s *Server) AbortStreams() { s.cutOff() }
 
-// EndBy makes all that is taken from now on be answered by the instant given. What was taken before and is held whole has failed
+// SetShutdownDeadline makes all that is taken from now on be answered by the instant given. What was taken before and is held whole has failed
 // by then: its caller would wait for longer than this process is there. It counts once.
-func (s *Server) EndBy(at time.Time) {
+func (s *Server) SetShutdownDeadline(at time.Time) {
 	s.once.Do(func() {
 		s.ends.Store(&at)
 		time.AfterFunc(time.Until(at)+lastWords, func() { close(s.last) })
@@ -87,11 +87,11 @@
 // lastWords is what the module's own answers have, at the end, before this package gives them: ten times the 5 ms that it may be late.
 const lastWords = 50 * time.Millisecond
 
-// Ends tells whether EndBy was called.
-func (s *Server) Ends() bool { return s.ends.Load() != nil }
+// IsShuttingDown tells whether EndBy was called.
+func (s *Server) IsShuttingDown() bool { return s.ends.Load() != nil }
 
-// CloseAll makes every answer from now on close its connection, or no longer.
-func (s *Server) CloseAll(is bool) { s.ending.Store(is) }
+// SetCloseConnections makes every answer from now on close its connection, or no longer.
+func (s *Server) SetCloseConnections(is bool) { s.ending.Store(is) }
 
 // HTTP is the server to run on a Listener, whose Track it must be given.
 func (s *Server) HTTP(track func(net.Conn, http.ConnState)) *http.Server {
@@ -179,7 +179,7 @@
 	defer func() { q.target.Class.Figures.End(how) }()
 	pool, c := q.target.Pool, q.call
 	c.Here = func() bool { return isHere(r) }
-	pool.Post(func(now time.Duration) { pool.Start(now, c) })
+	pool.Post(func(now time.Duration) { pool.Submit(now, c) })
 	reply, answered := s.await(r, q)
 	if answered && reply.Verdict != eventloop.Left {
 		how = s.write(w, r, q, reply)
@@ -221,7 +221,7 @@
 // leave says that nobody waits for a request any more. If it was answered before, there is the answer.
 func leave(q *asked) (reply eventloop.Reply, answered bool) {
 	left := make(chan bool, 1)
-	q.target.Pool.Post(func(now time.Duration) { left <- q.target.Pool.Leave(now, q.call) })
+	q.target.Pool.Post(func(now time.Duration) { left <- q.target.Pool.ClientDisconnected(now, q.call) })
 	select {
 	case <-left:
 	case <-q.target.Pool.Done():
@@ -255,10 +255,10 @@
 // Unwrap lets http.ResponseController find the writer beneath.
 func (w *closing) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-var endOf = map[eventloop.Verdict]metrics.End{eventloop.Served: metrics.OK, eventloop.Refused: metrics.Shed, eventloop.Failed: metrics.Failed, eventloop.Duplicate: metrics.Failed}
+var endOf = map[eventloop.Verdict]metrics.Outcome{eventloop.Served: metrics.OK, eventloop.Refused: metrics.Shed, eventloop.Failed: metrics.Failed, eventloop.Duplicate: metrics.Failed}
 
 // write sends the final answer, and tells how the request ended.
-func (s *Server) write(w *closing, r *http.Request, q *asked, reply eventloop.Reply) metrics.End {
+func (s *Server) write(w *closing, r *http.Request, q *asked, reply eventloop.Reply) metrics.Outcome {
 	if reply.Answer.Stream != nil {
 		s.pass(w, r, q, reply.Answer) // it panics where that breaks
 		return metrics.OK
--- a/internal/hotrestart/dir.go
+++ b/internal/hotrestart/dir.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// LookEvery is how often a process looks for what the others have written. What operators call binds 1 s after.
-	LookEvery = 100 * time.Millisecond
-	// LookOnly is for Look.
-	LookOnly = -1
+	// PollInterval is how often a process looks for what the others have written. What operators call binds 1 s after.
+	PollInterval = 100 * time.Millisecond
+	// ReadOnly is for Look.
+	ReadOnly = -1
 
 	lockTime = 500 * time.Millisecond // the file is locked for a read and a write; who holds it longer has stopped
 	lockLook = 2 * time.Millisecond
 	complain = 10 * time.Second // between two log lines about the same trouble
 )
 
-// Dir is one process's part in the directory that all processes of a sidecar share. Its methods may be called by many at once.
-type Dir struct {
+// Directory is one process's part in the directory that all processes of a sidecar share. Its methods may be called by many at once.
+type Directory struct {
 	base   string // of the files' names
 	name   string
 	log    *slog.Logger
@@ -45,8 +45,8 @@
 
 // Join enters a directory as the newest process of a sidecar, and gives what the others know. What is damaged there is
 // logged, set aside, and no reason not to start; an error means that the directory can't be used at all.
-func Join(dir, name string, log *slog.Logger) (*Dir, error) {
-	d := &Dir{base: filepath.Join(dir, "tuliprock-"+plain(name)), name: name, log: log}
+func Join(dir, name string, log *slog.Logger) (*Directory, error) {
+	d := &Directory{base: filepath.Join(dir, "tuliprock-"+plain(name)), name: name, log: log}
 	err := d.change(func(s *State) error {
 		d.number = s.join(d.alive)
 		life, err := os.OpenFile(d.lifeOf(d.number), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -85,10 +85,10 @@
 	return fmt.Sprintf("%.64s-%x", out, sum.Sum64())
 }
 
-func (d *Dir) lifeOf(number int) string { return fmt.Sprintf("%s.%d.live", d.base, number) }
+func (d *Directory) lifeOf(number int) string { return fmt.Sprintf("%s.%d.live", d.base, number) }
 
 // alive tells whether a process lives: nobody else can lock its file. The file of one that is dead is removed.
-func (d *Dir) alive(number int) bool {
+func (d *Directory) alive(number int) bool {
 	f, err := os.Open(d.lifeOf(number))
 	if err != nil {
 		return false
@@ -102,7 +102,7 @@
 }
 
 // change changes what all know, under the lock, and writes it whole.
-func (d *Dir) change(how func(*State) error) error {
+func (d *Directory) change(how func(*State) error) error {
 	lock, err := os.OpenFile(d.base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 }
 
 // read reads what all know; what can't be read is set aside. The lock is held.
-func (d *Dir) read() (State, error) {
+func (d *Directory) read() (State, error) {
 	fresh := State{Format: format, Name: d.name}
 	text, err := readAll(d.base + ".state")
 	switch {
@@ -167,32 +167,32 @@
 }
 
 // Number is this process's.
-func (d *Dir) Number() int { return d.number }
+func (d *Directory) Number() int { return d.number }
 
-// Ready says whether this process takes callers.
-func (d *Dir) Ready(is bool) error {
+// SetReady says whether this process takes callers.
+func (d *Directory) SetReady(is bool) error {
 	return d.change(func(s *State) error {
 		s.ready(d.number, is)
 		return nil
 	})
 }
 
-// ErrFull is why an endpoint can't be taken out.
-var ErrFull = fmt.Errorf("%d endpoints are out already: no more can be", MostBars)
+// ErrTooManyEjections is why an endpoint can't be taken out.
+var ErrTooManyEjections = fmt.Errorf("%d endpoints are out already: no more can be", MaxEjections)
 
-// Bar tells the others of a call. When it returns nil they can see it.
-func (d *Dir) Bar(id string, out bool, at time.Time) error {
+// RecordEjection tells the others of a call. When it returns nil they can see it.
+func (d *Directory) RecordEjection(id string, out bool, at time.Time) error {
 	return d.change(func(s *State) error {
-		if !s.bar(Bar{id, out, at.UnixMilli()}) {
-			return ErrFull
+		if !s.bar(Ejection{id, out, at.UnixMilli()}) {
+			return ErrTooManyEjections
 		}
 		return nil
 	})
 }
 
-// Look tells what all know, what follows from it, and how many descriptors the others use. used is how many this process does;
+// Poll tells what all know, what follows from it, and how many descriptors the others use. used is how many this process does;
 // LookOnly leaves what it said last.
-func (d *Dir) Look(used int) (s State, v View, others int) {
+func (d *Directory) Poll(used int) (s State, v View, others int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.say(used)
@@ -217,7 +217,7 @@
 }
 
 // say writes how many descriptors this process uses. d.mu is held.
-func (d *Dir) say(used int) {
+func (d *Directory) say(used int) {
 	if used == d.used || used < 0 {
 		return
 	}
@@ -227,7 +227,7 @@
 }
 
 // usedBy is how many descriptors another process says that it uses; what can't be read counts as none.
-func (d *Dir) usedBy(number int) int {
+func (d *Directory) usedBy(number int) int {
 	text, err := readAll(d.lifeOf(number))
 	if err != nil {
 		return 0
@@ -240,6 +240,6 @@
 }
 
 // Close leaves: from now on this process counts as dead.
-func (d *Dir) Close() error {
+func (d *Directory) Close() error {
 	return errors.Join(os.Remove(d.life.Name()), d.life.Close())
 }
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -20,7 +20,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func join(t *testing.T, dir string) *Dir {
+func join(t *testing.T, dir string) *Directory {
 	t.Helper()
 	d, err := Join(dir, "n1", quiet)
 	if err != nil {
@@ -31,18 +31,18 @@
 }
 
 // kill ends a process as SIGKILL does: its files stay, its lock does not.
-func (d *Dir) kill() { d.life.Close() }
+func (d *Directory) kill() { d.life.Close() }
 
-func (d *Dir) ready(t *testing.T) {
+func (d *Directory) ready(t *testing.T) {
 	t.Helper()
-	if err := d.Ready(true); err != nil {
+	if err := d.SetReady(true); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (d *Dir) expect(t *testing.T, superseded bool, others ...int) {
+func (d *Directory) expect(t *testing.T, superseded bool, others ...int) {
 	t.Helper()
-	if _, v, _ := d.Look(LookOnly); v.Superseded != superseded || !slices.Equal(v.Others, others) {
+	if _, v, _ := d.Poll(ReadOnly); v.Superseded != superseded || !slices.Equal(v.Others, others) {
 		t.Errorf("process %d sees %+v, want superseded %v, others %v", d.Number(), v, superseded, others)
 	}
 }
@@ -81,7 +81,7 @@
 	a, b := join(t, dir), join(t, dir)
 	b.ready(t)
 	a.expect(t, true, 2)
-	if err := b.Ready(false); err != nil {
+	if err := b.SetReady(false); err != nil {
 		t.Fatal(err)
 	}
 	a.expect(t, false, 2)
@@ -93,27 +93,27 @@
 	a, b := join(t, dir), join(t, dir)
 	at := time.Now()
 	for _, call := range []struct {
-		by  *Dir
+		by  *Directory
 		id  string
 		out bool
 	}{{a, "s-1", true}, {b, "s-2", true}, {b, "s-1", true}, {a, "s-2", false}} {
-		if err := call.by.Bar(call.id, call.out, at); err != nil {
+		if err := call.by.RecordEjection(call.id, call.out, at); err != nil {
 			t.Fatal(err)
 		}
 	}
 	a.kill()
 	b.kill()
-	for _, d := range []*Dir{b, join(t, dir)} {
-		s, _, _ := d.Look(LookOnly)
-		if want := []Bar{{"s-1", true, at.UnixMilli()}, {"s-2", false, at.UnixMilli()}}; !slices.Equal(s.Bars, want) {
-			t.Errorf("process %d: %v", d.Number(), s.Bars)
+	for _, d := range []*Directory{b, join(t, dir)} {
+		s, _, _ := d.Poll(ReadOnly)
+		if want := []Ejection{{"s-1", true, at.UnixMilli()}, {"s-2", false, at.UnixMilli()}}; !slices.Equal(s.Ejections, want) {
+			t.Errorf("process %d: %v", d.Number(), s.Ejections)
 		}
 	}
-	if err := b.Bar("s-3", false, at.Add(2*backFor)); err != nil { // what was given back long ago is forgotten, what is out is not
+	if err := b.RecordEjection("s-3", false, at.Add(2*backFor)); err != nil { // what was given back long ago is forgotten, what is out is not
 		t.Fatal(err)
 	}
-	if s, _, _ := b.Look(LookOnly); len(s.Bars) != 2 || s.Bars[0].ID != "s-1" {
-		t.Errorf("%v", s.Bars)
+	if s, _, _ := b.Poll(ReadOnly); len(s.Ejections) != 2 || s.Ejections[0].ID != "s-1" {
+		t.Errorf("%v", s.Ejections)
 	}
 }
 
@@ -126,7 +126,7 @@
 		for k := range 2 {
 			all.Go(func() {
 				for i := range 10 {
-					if err := d.Bar(fmt.Sprint(p, "-", k, "-", i), true, time.Now()); err != nil {
+					if err := d.RecordEjection(fmt.Sprint(p, "-", k, "-", i), true, time.Now()); err != nil {
 						t.Error(err)
 					}
 				}
@@ -134,14 +134,14 @@
 		}
 	}
 	all.Wait()
-	if s, _, _ := join(t, dir).Look(LookOnly); len(s.Bars) != 80 {
-		t.Errorf("%d of 80 calls are known", len(s.Bars))
+	if s, _, _ := join(t, dir).Poll(ReadOnly); len(s.Ejections) != 80 {
+		t.Errorf("%d of 80 calls are known", len(s.Ejections))
 	}
 }
 
 // What is damaged, or another's, is set aside with a word in the log, and is never a reason not to start.
 func TestDamageIsSetAside(t *testing.T) {
-	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{Number: 3}}, Bars: []Bar{{"s-1", true, 5}}}.text()
+	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{Number: 3}}, Ejections: []Ejection{{"s-1", true, 5}}}.text()
 	for name, text := range map[string]string{
 		"empty": "", "cut": string(whole[:len(whole)/2]), "noise": "\x00\xff\x10", "another format": strings.Replace(string(whole), `"format": 1`, `"format": 2`, 1),
 		"another sidecar": strings.Replace(string(whole), `"n1"`, `"n2"`, 1), "no id": strings.Replace(string(whole), `"s-1"`, `""`, 1),
@@ -158,16 +158,16 @@
 				t.Fatal(err)
 			}
 			defer d.Close()
-			s, _, _ := d.Look(LookOnly)
-			if len(s.Bars) != 0 || !strings.Contains(said.String(), "set aside") {
-				t.Errorf("%v; the log: %s", s.Bars, &said)
+			s, _, _ := d.Poll(ReadOnly)
+			if len(s.Ejections) != 0 || !strings.Contains(said.String(), "set aside") {
+				t.Errorf("%v; the log: %s", s.Ejections, &said)
 			}
 			if aside, err := os.ReadFile(filepath.Join(dir, "tuliprock-n1.state.bad")); err != nil || string(aside) != text {
 				t.Errorf("set aside: %q, %v", aside, err)
 			}
 		})
 	}
-	if s, err := Parse(whole, "n1"); err != nil || len(s.Bars) != 1 {
+	if s, err := Parse(whole, "n1"); err != nil || len(s.Ejections) != 1 {
 		t.Errorf("the whole one: %v, %v", s, err)
 	}
 }
@@ -176,19 +176,19 @@
 func TestDamageWhileItRuns(t *testing.T) {
 	dir := t.TempDir()
 	d := join(t, dir)
-	_ = d.Bar("s-1", true, time.Now())
-	d.Look(LookOnly)
+	_ = d.RecordEjection("s-1", true, time.Now())
+	d.Poll(ReadOnly)
 	if err := os.WriteFile(filepath.Join(dir, "tuliprock-n1.state"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, _ := d.Look(LookOnly); len(s.Bars) != 1 {
-		t.Errorf("%v", s.Bars)
+	if s, _, _ := d.Poll(ReadOnly); len(s.Ejections) != 1 {
+		t.Errorf("%v", s.Ejections)
 	}
-	if err := d.Bar("s-2", true, time.Now()); err != nil {
+	if err := d.RecordEjection("s-2", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, _ := d.Look(LookOnly); len(s.Bars) != 1 || s.Bars[0].ID != "s-2" {
-		t.Errorf("%v", s.Bars)
+	if s, _, _ := d.Poll(ReadOnly); len(s.Ejections) != 1 || s.Ejections[0].ID != "s-2" {
+		t.Errorf("%v", s.Ejections)
 	}
 }
 
@@ -217,7 +217,7 @@
 		age  time.Duration
 		want bool
 	}{{false, 0, true}, {false, backFor / 2, true}, {false, 2 * backFor, false}, {false, -2 * backFor, false}, {true, 0, false}} {
-		if b := (Bar{"s-1", row.out, now.Add(-row.age).UnixMilli()}); b.Lately(now) != row.want {
+		if b := (Ejection{"s-1", row.out, now.Add(-row.age).UnixMilli()}); b.IsRecentReturn(now) != row.want {
 			t.Errorf("out %v, %v old: %v", row.out, row.age, !row.want)
 		}
 	}
@@ -225,17 +225,17 @@
 
 func TestBarsAreBounded(t *testing.T) {
 	var s State
-	for i := range 3 * MostBars {
+	for i := range 3 * MaxEjections {
 		at := int64(i)
-		if ok := s.bar(Bar{fmt.Sprint("o", i), true, at}); ok != (i < MostBars) {
+		if ok := s.bar(Ejection{fmt.Sprint("o", i), true, at}); ok != (i < MaxEjections) {
 			t.Fatalf("call %d: %v", i, ok)
 		}
-		s.bar(Bar{fmt.Sprint("b", i), false, at})
+		s.bar(Ejection{fmt.Sprint("b", i), false, at})
 	}
-	if n := len(s.Bars); n > MostBars+mostBacks {
+	if n := len(s.Ejections); n > MaxEjections+mostBacks {
 		t.Errorf("%d are kept", n)
 	}
-	text, err := State{Format: format, Name: "n", Bars: s.Bars}.text()
+	text, err := State{Format: format, Name: "n", Ejections: s.Ejections}.text()
 	if _, bad := Parse(text, "n"); err != nil || bad != nil || len(text) > mostBytes {
 		t.Errorf("%v, %v, %d bytes", err, bad, len(text))
 	}
@@ -247,19 +247,19 @@
 		limit := rapid.IntRange(256, 4096).Draw(t, "limit")
 		older := View{Others: []int{2}, Superseded: rapid.Bool().Draw(t, "ready")}
 		usedByOlder := rapid.IntRange(20, limit-newcomer-reserve).Draw(t, "used by the older")
-		share := Share(limit, View{Others: []int{1}}, usedByOlder)
+		share := DescriptorLimit(limit, View{Others: []int{1}}, usedByOlder)
 		if share+usedByOlder > limit {
 			t.Fatalf("the newer one may use %d beside %d of %d", share, usedByOlder, limit)
 		}
 		usedByNewer := rapid.IntRange(0, max(share, 0)).Draw(t, "used by the newer")
-		if older := Share(limit, older, usedByNewer); older+usedByNewer > limit {
+		if older := DescriptorLimit(limit, older, usedByNewer); older+usedByNewer > limit {
 			t.Fatalf("the older one may use %d beside %d of %d", older, usedByNewer, limit)
 		}
-		if Share(limit, View{}, 0) != limit {
+		if DescriptorLimit(limit, View{}, 0) != limit {
 			t.Fatal("one that is alone has less than all")
 		}
 	})
-	if got := Share(1024, View{Others: []int{2}, Superseded: true}, 500); got != 256 {
+	if got := DescriptorLimit(1024, View{Others: []int{2}, Superseded: true}, 500); got != 256 {
 		t.Errorf("where the newer one needs half, the older one keeps %d", got)
 	}
 }
@@ -276,17 +276,17 @@
 	const s = time.Second
 	for name, looks := range map[string][]look{
 		"alone":            {{0, alone, false, 0, Serving}, {s, alone, true, 5, Serving}},
-		"a newcomer":       {{0, beside, true, 0, Coming}, {noticed, beside, true, 0, Serving}, {s, beside, true, 9, Serving}},
-		"a silent list":    {{s, beside, false, 0, Coming}, {listTime, beside, false, 0, Serving}},
-		"the others die":   {{0, beside, false, 0, Coming}, {1, alone, false, 0, Serving}},
-		"it is taken over": {{0, alone, true, 5, Serving}, {s, over, true, 5, Leaving}, {9 * s, over, true, 1, Leaving}, {10 * s, over, true, 0, Gone}},
-		"no haste":         {{0, alone, true, 0, Serving}, {s, over, true, 0, Leaving}, {s + settle - 1, over, true, 0, Leaving}, {s + settle, over, true, 0, Gone}},
-		"the heir dies":    {{0, alone, true, 5, Serving}, {s, over, true, 5, Leaving}, {2 * s, alone, true, 0, Serving}, {3 * s, over, true, 0, Leaving}},
+		"a newcomer":       {{0, beside, true, 0, Starting}, {noticed, beside, true, 0, Serving}, {s, beside, true, 9, Serving}},
+		"a silent list":    {{s, beside, false, 0, Starting}, {listTime, beside, false, 0, Serving}},
+		"the others die":   {{0, beside, false, 0, Starting}, {1, alone, false, 0, Serving}},
+		"it is taken over": {{0, alone, true, 5, Serving}, {s, over, true, 5, Draining}, {9 * s, over, true, 1, Draining}, {10 * s, over, true, 0, Finished}},
+		"no haste":         {{0, alone, true, 0, Serving}, {s, over, true, 0, Draining}, {s + settle - 1, over, true, 0, Draining}, {s + settle, over, true, 0, Finished}},
+		"the heir dies":    {{0, alone, true, 5, Serving}, {s, over, true, 5, Draining}, {2 * s, alone, true, 0, Serving}, {3 * s, over, true, 0, Draining}},
 	} {
-		p := NewPart(0)
+		p := NewLifecycle(0)
 		for i, l := range looks {
 			was := p.Phase()
-			if changed := p.Look(l.at, l.v, l.listed, l.callers); p.Phase() != l.want || changed != (was != l.want) {
+			if changed := p.Update(l.at, l.v, l.listed, l.callers); p.Phase() != l.want || changed != (was != l.want) {
 				t.Errorf("%s, look %d: phase %d, changed %v, want %d", name, i, p.Phase(), changed, l.want)
 			}
 		}
@@ -295,12 +295,12 @@
 
 func TestDescriptor(t *testing.T) {
 	for value, want := range map[string]int{"": 0, "5": 5, "3": 3} {
-		if fd, err := Descriptor("ROUTER_LISTEN_FD", value); err != nil || fd != want {
+		if fd, err := InheritedDescriptor("ROUTER_LISTEN_FD", value); err != nil || fd != want {
 			t.Errorf("%q: %d, %v", value, fd, err)
 		}
 	}
 	for _, value := range []string{"five", "-1", "0", "2", "5x"} {
-		if _, err := Descriptor("ROUTER_LISTEN_FD", value); err == nil || !strings.Contains(err.Error(), "ROUTER_LISTEN_FD") {
+		if _, err := InheritedDescriptor("ROUTER_LISTEN_FD", value); err == nil || !strings.Contains(err.Error(), "ROUTER_LISTEN_FD") {
 			t.Errorf("%q: %v", value, err)
 		}
 	}
@@ -353,7 +353,7 @@
 		want    string
 	}{{fd, here, ""}, {fd, "0.0.0.0:" + here[strings.LastIndex(here, ":")+1:], ""}, {fd, "127.0.0.1:1", "not at 127.0.0.1:1"}, {fd, "127.0.0.2" + here[strings.LastIndex(here, ":"):], "not at"},
 		{udp, here, "no TCP socket"}, {bound, here, "does not listen"}, {int(file.Fd()), here, "no socket"}, {9999, here, "no socket"}} {
-		got, err := Listener(row.fd, row.address)
+		got, err := InheritedListener(row.fd, row.address)
 		if row.want == "" {
 			if err != nil {
 				t.Errorf("%s: %v", row.address, err)
@@ -373,7 +373,7 @@
 		t.Fatal(err)
 	}
 	fd, here := inherited(t, l.(*net.TCPListener)), l.Addr().String()
-	first, err := Listener(fd, here)
+	first, err := InheritedListener(fd, here)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -384,7 +384,7 @@
 	}
 	defer nc.Close()
 	first.Close()
-	second, err := Listener(fd, here)
+	second, err := InheritedListener(fd, here)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,7 +406,7 @@
 	}
 	defer l.Close()
 	fd := inherited(t, l.(*net.TCPListener))
-	own, err := Listener(fd, l.Addr().String())
+	own, err := InheritedListener(fd, l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -435,7 +435,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{1, true}}, Bars: []Bar{{"s-1", true, 5}}}.text()
+	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{1, true}}, Ejections: []Ejection{{"s-1", true, 5}}}.text()
 	f.Add(whole)
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -444,7 +444,7 @@
 			return
 		}
 		s.join(func(int) bool { return true })
-		s.bar(Bar{"x", true, 1})
+		s.bar(Ejection{"x", true, 1})
 		again, err := s.text()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -16,8 +16,8 @@
 // leastDescriptor is the first that is not one of the standard ones.
 const leastDescriptor = 3
 
-// Descriptor reads the number of an inherited descriptor; 0: none was told. The error names the variable.
-func Descriptor(variable, value string) (int, error) {
+// InheritedDescriptor reads the number of an inherited descriptor; 0: none was told. The error names the variable.
+func InheritedDescriptor(variable, value string) (int, error) {
 	if value == "" {
 		return 0, nil
 	}
@@ -28,14 +28,14 @@
 	return fd, nil
 }
 
-// Listener makes a listener of an inherited socket, which must listen at the address given. The socket itself stays open,
+// InheritedListener makes a listener of an inherited socket, which must listen at the address given. The socket itself stays open,
 // and is never shut down: other processes accept from it too.
 //
 // The descriptor is made non-blocking. That is a property of the socket, and whoever starts a process with it may take it
 // back for a moment, as os/exec does: an accept that begins then, and loses its caller to another process, would
 // hang until the next one comes, and with it the end of this process. So an accept that blocks ends after blockMost (of
 // plain TCP; a socket of multipath TCP heeds no such limit, and is taken all the same).
-func Listener(fd int, address string) (*net.TCPListener, error) {
+func InheritedListener(fd int, address string) (*net.TCPListener, error) {
 	if err := check(fd, address); err != nil {
 		return nil, err
 	}
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -13,8 +13,8 @@
 
 const (
 	format = 1
-	// MostBars is how many endpoints may be out by hand at once: far more than a list has, and some 100 kB.
-	MostBars = 1024
+	// MaxEjections is how many endpoints may be out by hand at once: far more than a list has, and some 100 kB.
+	MaxEjections = 1024
 	// backFor is for how long a call back is remembered: longer than an endpoint is cold, or a process takes to start.
 	backFor      = time.Minute
 	mostBacks    = 1024
@@ -29,19 +29,19 @@
 	Ready  bool `json:"ready"`  // it takes callers
 }
 
-// Bar is a call of operators'.
-type Bar struct {
-	ID   string `json:"id"`
-	Out  bool   `json:"out"`   // else it was given back
-	AtMs int64  `json:"at_ms"` // Unix time
+// Ejection is a call of operators'.
+type Ejection struct {
+	ID      string `json:"id"`
+	Ejected bool   `json:"out"`   // else it was given back
+	AtMs    int64  `json:"at_ms"` // Unix time
 }
 
 // State is what all processes of one sidecar know.
 type State struct {
-	Format    int       `json:"format"`
-	Name      string    `json:"name"` // the sidecar's
-	Processes []Process `json:"processes"`
-	Bars      []Bar     `json:"bars"`
+	Format    int        `json:"format"`
+	Name      string     `json:"name"` // the sidecar's
+	Processes []Process  `json:"processes"`
+	Ejections []Ejection `json:"bars"`
 }
 
 // Parse reads a State and checks it whole. An error means that the text is damaged, or not this sidecar's.
@@ -55,11 +55,11 @@
 		return State{}, fmt.Errorf("format: %d is not %d", s.Format, format)
 	case s.Name != name:
 		return State{}, fmt.Errorf("name: %.80q is another sidecar", s.Name)
-	case len(s.Bars) > MostBars+mostBacks || len(s.Processes) > mostNumbered:
+	case len(s.Ejections) > MaxEjections+mostBacks || len(s.Processes) > mostNumbered:
 		return State{}, errors.New("more entries than are ever written")
 	}
 	seen := map[string]bool{}
-	for _, b := range s.Bars {
+	for _, b := range s.Ejections {
 		if b.ID == "" || len(b.ID) > mostIDs || seen[b.ID] {
 			return State{}, fmt.Errorf("bars: %.80q is no id, or stands there twice", b.ID)
 		}
@@ -101,32 +101,32 @@
 
 // bar notes a call, in place of earlier ones for the same id, and forgets what was given back long ago. False: there is
 // no room for one more that is out.
-func (s *State) bar(b Bar) bool {
+func (s *State) bar(b Ejection) bool {
 	outs := 0
-	s.Bars = slices.DeleteFunc(s.Bars, func(old Bar) bool {
+	s.Ejections = slices.DeleteFunc(s.Ejections, func(old Ejection) bool {
 		age := time.Duration(b.AtMs-old.AtMs) * time.Millisecond
-		gone := old.ID == b.ID || !old.Out && (age > backFor || age < -backFor)
-		if !gone && old.Out {
+		gone := old.ID == b.ID || !old.Ejected && (age > backFor || age < -backFor)
+		if !gone && old.Ejected {
 			outs++
 		}
 		return gone
 	})
-	if b.Out && outs >= MostBars {
+	if b.Ejected && outs >= MaxEjections {
 		return false
 	}
-	if backs := len(s.Bars) - outs; !b.Out && backs >= mostBacks {
-		oldest := slices.IndexFunc(s.Bars, func(old Bar) bool { return !old.Out })
-		s.Bars = slices.Delete(s.Bars, oldest, oldest+1)
+	if backs := len(s.Ejections) - outs; !b.Ejected && backs >= mostBacks {
+		oldest := slices.IndexFunc(s.Ejections, func(old Ejection) bool { return !old.Ejected })
+		s.Ejections = slices.Delete(s.Ejections, oldest, oldest+1)
 	}
-	s.Bars = append(s.Bars, b)
+	s.Ejections = append(s.Ejections, b)
 	return true
 }
 
-// Lately tells whether a call back is so young that its endpoint may still be cold: older ones stay in the file until the
+// IsRecentReturn tells whether a call back is so young that its endpoint may still be cold: older ones stay in the file until the
 // next call.
-func (b Bar) Lately(now time.Time) bool {
+func (b Ejection) IsRecentReturn(now time.Time) bool {
 	age := now.Sub(time.UnixMilli(b.AtMs))
-	return !b.Out && age < backFor && age > -backFor
+	return !b.Ejected && age < backFor && age > -backFor
 }
 
 // View is what follows for one process.
@@ -153,9 +153,9 @@
 	drainShare = 4  // one that was taken over from may keep one in so many of the limit, whatever the newer ones need
 )
 
-// Share is how many descriptors a process may use of the limit common to all. others is what they use together, by their own
+// DescriptorLimit is how many descriptors a process may use of the limit common to all. others is what they use together, by their own
 // word; 0: there are none.
-func Share(limit int, v View, others int) int {
+func DescriptorLimit(limit int, v View, others int) int {
 	switch {
 	case len(v.Others) == 0:
 		return limit
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,14 +11,14 @@
 	"sync/atomic"
 )
 
-// End is how a request that was taken ended.
-type End int
+// Outcome is how a request that was taken ended.
+type Outcome int
 
 // The ends. What ends after its caller has left counts as failed.
 const (
-	OK     End = iota // served
-	Shed              // refused
-	Failed            // neither
+	OK     Outcome = iota // served
+	Shed                  // refused
+	Failed                // neither
 	ends
 )
 
@@ -34,8 +34,8 @@
 	rest        = "other"
 )
 
-// Figures are a process's. The zero value is ready, and safe for concurrent use.
-type Figures struct {
+// Registry are a process's. The zero value is ready, and safe for concurrent use.
+type Registry struct {
 	Tries atomic.Uint64 // attempts whose last byte was written to an endpoint
 	Bad   atomic.Uint64 // what callers sent that was turned away before it was a request; it is no error of a class
 
@@ -46,13 +46,13 @@
 
 // Class counts the requests of one class.
 type Class struct {
-	all  *Figures
+	all  *Registry
 	name string
 	n    [ends]atomic.Uint64
 }
 
 // Class gives the class of a name, the same one each time.
-func (f *Figures) Class(name string) *Class {
+func (f *Registry) Class(name string) *Class {
 	name = plain(name)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,13 +84,13 @@
 func (c *Class) Begin() { c.all.active.Add(1) }
 
 // End says how a request ended.
-func (c *Class) End(how End) {
+func (c *Class) End(how Outcome) {
 	c.n[how].Add(1)
 	c.all.active.Add(-1)
 }
 
 // Count says how a request ended that never began: it was refused before its body had come.
-func (c *Class) Count(how End) { c.n[how].Add(1) }
+func (c *Class) Count(how Outcome) { c.n[how].Add(1) }
 
 // Gauge is a figure that is read when it is written.
 type Gauge struct {
@@ -101,7 +101,7 @@
 
 // Write writes all figures, each on a line of its own as statsd has them, and the gauges given. The counts of one request
 // may be seen by halves, as it ends meanwhile.
-func (f *Figures) Write(w io.Writer, gauges ...Gauge) error {
+func (f *Registry) Write(w io.Writer, gauges ...Gauge) error {
 	f.mu.Lock()
 	classes := make([]*Class, 0, len(f.classes))
 	for _, c := range f.classes {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func text(t *testing.T, f *Figures, gauges ...Gauge) string {
+func text(t *testing.T, f *Registry, gauges ...Gauge) string {
 	t.Helper()
 	var b strings.Builder
 	if err := f.Write(&b, gauges...); err != nil {
@@ -17,7 +17,7 @@
 }
 
 func TestFiguresAreWrittenInTheirForm(t *testing.T) {
-	var f Figures
+	var f Registry
 	a := f.Class("b")
 	f.Class("a").Begin()
 	a.Begin()
@@ -34,7 +34,7 @@
 
 // A name can't end its line, nor make another figure, and names are bounded.
 func TestNamesOfClasses(t *testing.T) {
-	var f Figures
+	var f Registry
 	if f.Class("a b:c|d\nedge_router.active") != f.Class("a_b_c_d_edge_router.active") {
 		t.Error("a name with separators is another class")
 	}
@@ -50,14 +50,14 @@
 }
 
 func TestManyCountAtOnce(t *testing.T) {
-	var f Figures
+	var f Registry
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
 			for i := range 1000 {
 				c := f.Class([]string{"a", "b"}[i%2])
 				c.Begin()
-				c.End(End(i / 2 % int(ends)))
+				c.End(Outcome(i / 2 % int(ends)))
 				if i%100 == 0 {
 					_ = f.Write(&strings.Builder{})
 				}
--- a/internal/sidecar/agreed.go
+++ b/internal/sidecar/agreed.go
@@ -50,12 +50,12 @@
 
 // compose is what a daemon was told with what is agreed on, as it is to act on it, and of which version; without a fleet that
 // agrees it is as it was.
-func (t *fleet) compose(told config.Service) (config.Service, *consensus.Acting, error) {
+func (t *fleet) compose(told config.Service) (config.Service, *consensus.LeasedVersion, error) {
 	if !t.agrees() {
-		return told, &consensus.Acting{}, nil
+		return told, &consensus.LeasedVersion{}, nil
 	}
-	a, _ := t.chamber.May()
-	with, err := told.File.With(bodies(settingsOf(a.Docs)))
+	a, _ := t.chamber.Valid()
+	with, err := told.File.WithDocuments(bodies(settingsOf(a.Docs)))
 	if err != nil {
 		return told, a, fmt.Errorf("with version %d of what is agreed on: %w", a.Version, err)
 	}
@@ -69,7 +69,7 @@
 		return nil
 	}
 	return func() bool {
-		sure := t.chamber.Covers(version.Load())
+		sure := t.chamber.CoversVersion(version.Load())
 		if !sure {
 			t.refused.Add(1)
 		}
@@ -84,12 +84,12 @@
 	if s.ending {
 		return errEnding
 	}
-	a, _ := s.fleet.chamber.May()
+	a, _ := s.fleet.chamber.Valid()
 	if consensus.DigestOf(settingsOf(a.Docs)) != s.acts.digest {
 		return s.reload(s.told)
 	}
 	s.acts.version.Store(a.Version)
-	s.fleet.chamber.Installed(a.Version)
+	s.fleet.chamber.MarkInstalled(a.Version)
 	return nil
 }
 
@@ -125,14 +125,14 @@
 			return err
 		}
 	}
-	a, err := t.chamber.Do(ctx, *c)
+	a, err := t.chamber.Propose(ctx, *c)
 	if err != nil {
 		return err
 	}
 	if c.Read == nil {
 		t.log.Info("operators' call", "settings", words[0], "words", strings.Join(words[1:], " "), "version", a.Version)
 	}
-	return status.WriteAnswer(w, a)
+	return status.WriteResult(w, a)
 }
 
 // command reads the words of a call.
@@ -150,10 +150,10 @@
 	var err error
 	switch words[0] {
 	case "history":
-		c.Read = &consensus.As{}
+		c.Read = &consensus.DocumentVersion{}
 		return c, nil
 	case "show":
-		c.Read = &consensus.As{Name: args[0]}
+		c.Read = &consensus.DocumentVersion{Name: args[0]}
 		if len(args) == 2 {
 			c.Read.Version, err = strconv.ParseUint(args[1], 10, 64)
 		}
@@ -165,10 +165,10 @@
 		return c, err
 	}
 	if words[0] == "voters-add" || words[0] == "voters-remove" {
-		if !swim.IsName(args[1]) {
+		if !swim.IsValidName(args[1]) {
 			return nil, fmt.Errorf("%.40q is no name of a daemon", args[1])
 		}
-		c.Seat = &consensus.SeatChange{Name: args[1], Out: words[0] == "voters-remove"}
+		c.Seat = &consensus.VoterChange{Name: args[1], Out: words[0] == "voters-remove"}
 		return c, nil
 	}
 	if args[1] != "-" {
@@ -180,23 +180,23 @@
 	}
 	name := args[2]
 	switch {
-	case !config.IsDocName(name):
+	case !config.IsDocumentName(name):
 		return nil, fmt.Errorf("%.40q is no name of a document", name)
 	case words[0] == "put":
-		c.Put = &consensus.PutDoc{Name: name, Body: body}
+		c.Put = &consensus.DocumentPut{Name: name, Body: body}
 	case words[0] == "remove":
 		c.Remove = name
 	default:
-		c.Back = &consensus.As{Name: name}
+		c.Back = &consensus.DocumentVersion{Name: name}
 		c.Back.Version, err = strconv.ParseUint(args[3], 10, 64)
 	}
 	return c, err
 }
 
 // checkPut wants a document to be one that this daemon can act on, beside the others that are there.
-func (t *fleet) checkPut(put *consensus.PutDoc) error {
-	a, _ := t.chamber.May()
+func (t *fleet) checkPut(put *consensus.DocumentPut) error {
+	a, _ := t.chamber.Valid()
 	docs := bodies(settingsOf(a.Docs))
 	docs[put.Name] = put.Body
-	return t.own.Load().CanAct(docs)
+	return t.own.Load().CheckDocuments(docs)
 }
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -21,20 +21,20 @@
 func TestAListDoesNotWaitBehindRequests(t *testing.T) {
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
+		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 		defer p.end()
 		jam := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-jam })
 		passed, heardAfter := 0, -1
 		for range behind {
 			p.loop.Post(func(time.Duration) {
-				if _, members, _, _ := p.loop.Held(); members > 0 && heardAfter < 0 {
+				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && heardAfter < 0 {
 					heardAfter = passed
 				}
 				passed++
 			})
 		}
-		go p.deliver(discovery.Members{Full: true, Servers: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
+		go p.deliver(discovery.ListUpdate{Full: true, Servers: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
 		synctest.Wait()
 		close(jam)
 		synctest.Wait()
@@ -67,7 +67,7 @@
 	before, after := []*bufio.Reader{hung("1", "look"), hung("2", "pay")}, []*bufio.Reader(nil)
 	began := time.Now()
 	s.term()
-	testpeer.Until(t, "the end is near", func() bool { return s.callers.Ends() })
+	testpeer.Until(t, "the end is near", func() bool { return s.callers.IsShuttingDown() })
 	after = append(after, hung("3", "look"), hung("4", "pay"))
 	for i, in := range append(before, after...) {
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -27,13 +27,13 @@
 // fleet is this daemon's part among the others that an operators' file names; nil: it knows of none, listens for none and
 // runs nothing for them.
 type fleet struct {
-	link *transport.Link
+	link *transport.Transport
 	log  *slog.Logger
 	spec config.FleetSpec // as it was started
 	stop func()
 	done sync.WaitGroup
 
-	chamber *raftnode.Chamber           // nil: nothing is agreed on
+	chamber *raftnode.Node              // nil: nothing is agreed on
 	own     atomic.Pointer[config.File] // this daemon's own file, as it was read last
 	refused atomic.Uint64               // requests, since it was not sure which version others act on
 
@@ -78,7 +78,7 @@
 	t.own.Store(c.File)
 	if f.Agreed != nil {
 		if t.chamber, err = t.openChamber(); err != nil {
-			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), l.Kill())
+			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), l.Abort())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -87,10 +87,10 @@
 	return t, nil
 }
 
-func (t *fleet) openChamber() (*raftnode.Chamber, error) {
+func (t *fleet) openChamber() (*raftnode.Node, error) {
 	f := t.spec
-	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Terms: f.Agreed.Terms, Carrier: t.link, Now: t.link.Now, Log: t.log, Installs: true,
-		Check: func(docs map[string]consensus.Document) error { return t.own.Load().CanAct(bodies(docs)) }}
+	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Lease: f.Agreed.Terms, Transport: t.link, Now: t.link.Now, Log: t.log, Installs: true,
+		Check: func(docs map[string]consensus.Document) error { return t.own.Load().CheckDocuments(bodies(docs)) }}
 	if f.Agreed.DataDir != "" {
 		disk, err := wal.Dir(f.Agreed.DataDir)
 		if err != nil {
@@ -110,9 +110,9 @@
 		return
 	}
 	select {
-	case <-t.chamber.First():
+	case <-t.chamber.FirstGrant():
 	case <-time.After(firstGrant):
-		a, _ := t.chamber.May()
+		a, _ := t.chamber.Valid()
 		t.log.Warn("no voter has said what is agreed; what is known from before holds", "after", firstGrant, "version", a.Version)
 	}
 	t.isOut = h.agreed(context.Background(), nil, t.out())
@@ -144,7 +144,7 @@
 // out are the endpoints that are agreed to be out. Where the lease has run out the last word stands: it only forbids.
 func (t *fleet) out() map[string]bool {
 	out := map[string]bool{}
-	a, _ := t.chamber.May()
+	a, _ := t.chamber.Valid()
 	for name := range a.Docs {
 		if id, ok := strings.CutPrefix(name, config.OutPrefix); ok {
 			out[id] = true
@@ -160,9 +160,9 @@
 	}
 	c := consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli(), Remove: config.OutPrefix + id}
 	if out {
-		c.Remove, c.Put = "", &consensus.PutDoc{Name: config.OutPrefix + id}
+		c.Remove, c.Put = "", &consensus.DocumentPut{Name: config.OutPrefix + id}
 	}
-	version, err := t.chamber.Put(ctx, c)
+	version, err := t.chamber.ProposeVersion(ctx, c)
 	if err != nil {
 		return fmt.Sprintf(" here; for the others: %v", err)
 	}
@@ -191,10 +191,10 @@
 	return s.Write(w)
 }
 
-func (t *fleet) standing() (*status.Settings, *consensus.Acting) {
-	a, _ := t.chamber.May()
+func (t *fleet) standing() (*status.Settings, *consensus.LeasedVersion) {
+	a, _ := t.chamber.Valid()
 	is := t.chamber.Status()
-	s := &status.Settings{Version: a.Version, Acting: t.chamber.Covers(a.Version), LeaseMs: t.chamber.Left().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
+	s := &status.Settings{Version: a.Version, Acting: t.chamber.CoversVersion(a.Version), LeaseMs: t.chamber.LeaseRemaining().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
 		Term: is.Term, Committed: is.Committed, Coming: is.Coming, All: is.All, Declined: is.Declined, Why: is.Why, Refused: t.refused.Load(), Voters: strings.Join(is.Voters, ","), Sitting: strings.Join(is.Sitting, ",")}
 	for _, l := range is.Lagging {
 		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
@@ -223,13 +223,13 @@
 			t.log.Warn("fleet: voters stay as they are where settings are agreed on")
 			o.Voters = was.Voters
 		}
-		t.link.Retune(o) // always: the key file may hold others than before under the same name
+		t.link.Reconfigure(o) // always: the key file may hold others than before under the same name
 	}, nil
 }
 
 // follow tells the pools among how many they share, as views change.
 func (t *fleet) follow(ctx context.Context) {
-	var seats ordinal.Seats
+	var seats ordinal.Tracker
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -240,7 +240,7 @@
 		case <-timer.C:
 		}
 		now := t.link.Now()
-		daemons, index, again := seats.Take(now, t.link.View())
+		daemons, index, again := seats.Update(now, t.link.View())
 		if again > 0 {
 			timer.Reset(again - now)
 		}
@@ -263,7 +263,7 @@
 	}
 	t.log.Info("the pools are shared among the fleet", "daemons", daemons, "index", index)
 	for _, p := range pools { // on this goroutine alone: a pool that is busy delays nobody but the other pools' news
-		p.loop.Post(func(now time.Duration) { p.loop.Share(now, daemons, index) })
+		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
@@ -277,7 +277,7 @@
 	daemons, index := t.daemons, t.index
 	t.mu.Unlock()
 	if t.divides && daemons > 0 {
-		p.loop.Post(func(now time.Duration) { p.loop.Share(now, daemons, index) })
+		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
@@ -314,7 +314,7 @@
 	t.mu.Lock()
 	daemons, index := t.daemons, t.index
 	t.mu.Unlock()
-	return status.Of(t.link.View(), t.link.Now(), daemons, index).Write(w)
+	return status.FleetFromView(t.link.View(), t.link.Now(), daemons, index).Write(w)
 }
 
 // gauges are the figures of the fleet; none where there is none.
@@ -336,8 +336,8 @@
 	for s := swim.Alive; s.Valid(); s++ {
 		out = append(out, metrics.Gauge{Name: "peers_" + s.String(), Value: n[s]})
 	}
-	f := t.link.Figures()
-	out = append(out, metrics.Gauge{Name: "peers_standing", Value: int64(v.Standing)})
+	f := t.link.Metrics()
+	out = append(out, metrics.Gauge{Name: "peers_standing", Value: int64(v.Connectivity)})
 	for _, c := range []struct {
 		name  string
 		value uint64
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -45,7 +45,7 @@
 }
 
 // newListener puts a server behind a socket; accept starts it.
-func newListener(spec config.Listener, via string, socket *hold, current *frontend.Current, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *listener {
+func newListener(spec config.Listener, via string, socket *hold, current *frontend.Current, bodies *body.Pool, figures *metrics.Registry, log *slog.Logger) *listener {
 	// Beyond the budget callers wait in the kernel's queue, which costs no descriptor and loses nothing.
 	limited := frontend.Limit(socket, spec.Connections+config.SpareCallers)
 	l := &listener{spec: spec, via: via, socket: socket, served: make(chan struct{}), limited: limited,
@@ -60,8 +60,8 @@
 
 // limit changes how many connections are kept.
 func (l *listener) limit(most int) {
-	l.limited.SetMost(most + config.SpareCallers)
-	l.conns.SetMost(most)
+	l.limited.SetMaxConnections(most + config.SpareCallers)
+	l.conns.SetMaxConnections(most)
 }
 
 // accept takes callers until the listener is closed.
@@ -85,12 +85,12 @@
 func (l *listener) drain(by heir, serve time.Duration) error {
 	began := time.Now()
 	if by == process {
-		l.callers.CloseAll(true)
+		l.callers.SetCloseConnections(true)
 	}
 	for d := time.Duration(0); by != server && (by == nobody && d < acceptAfterTerm || d < serve && l.conns.Count() > 0); d = time.Since(began) {
 		time.Sleep(lookAround)
 	}
-	l.callers.CloseAll(true)
+	l.callers.SetCloseConnections(true)
 	err := l.conns.Finish()
 	<-l.served
 	return errors.Join(err, l.server.Close())
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -25,9 +25,9 @@
 
 // hands is what operators have taken out by hand, for all pools that run. It outlives pools, lists and reloads.
 type hands struct {
-	turn  chan struct{}   // held by the call that is carried out
-	dir   *hotrestart.Dir // what other processes know; nil: there are none
-	backs []string        // ids given back shortly before this process began; fixed before the first pool
+	turn  chan struct{}         // held by the call that is carried out
+	dir   *hotrestart.Directory // what other processes know; nil: there are none
+	backs []string              // ids given back shortly before this process began; fixed before the first pool
 
 	mu     sync.Mutex
 	barred map[string]bool
@@ -46,11 +46,11 @@
 	out := slices.Collect(maps.Keys(h.barred))
 	p.loop.Post(func(now time.Duration) {
 		for _, id := range out {
-			p.loop.Bar(now, id, true)
+			p.loop.SetEjected(now, id, true)
 		}
 		for _, id := range h.backs { // so that they count as cold here, too
-			p.loop.Bar(now, id, true)
-			p.loop.Bar(now, id, false)
+			p.loop.SetEjected(now, id, true)
+			p.loop.SetEjected(now, id, false)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 func each(ctx context.Context, pools []*pool, event func(l *eventloop.Loop, now time.Duration)) error {
 	for _, p := range pools {
 		err := p.loop.Do(ctx, func(now time.Duration) { event(p.loop, now) })
-		if err != nil && !errors.Is(err, eventloop.ErrEnded) {
+		if err != nil && !errors.Is(err, eventloop.ErrClosed) {
 			return err
 		}
 	}
@@ -112,25 +112,25 @@
 		return "", errUnconfirmed
 	}
 	if h.dir != nil {
-		h.follow(hotrestart.LookOnly)
+		h.follow(hotrestart.ReadOnly)
 	}
 	pools, was, n := h.running(id)
 	known := was
-	err := each(ctx, pools, func(l *eventloop.Loop, _ time.Duration) { known = known || l.Knows(id) })
+	err := each(ctx, pools, func(l *eventloop.Loop, _ time.Duration) { known = known || l.IsKnown(id) })
 	switch {
 	case err != nil:
 		return "", errUnconfirmed
 	case !known:
 		return "", fmt.Errorf("%.260q: %w", id, errUnknown)
-	case out && !was && n >= hotrestart.MostBars:
+	case out && !was && n >= hotrestart.MaxEjections:
 		return "", fmt.Errorf("%d endpoints are out already: no more can be", n)
 	}
 	h.note(id, out) // before the pools: one that joins meanwhile must have it
-	if err := each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, id, out) }); err != nil {
+	if err := each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, out) }); err != nil {
 		return "", errUnconfirmed
 	}
 	if h.dir != nil { // whatever was: the others may know otherwise
-		if err := h.dir.Bar(id, out, time.Now()); err != nil {
+		if err := h.dir.RecordEjection(id, out, time.Now()); err != nil {
 			return "", fmt.Errorf("%s, but here alone, for other processes can't be told: %w", barred(id, was, out), err)
 		}
 	}
@@ -148,11 +148,11 @@
 	for _, all := range []map[string]bool{was, is} {
 		for id := range all {
 			pools, barred, n := h.running(id)
-			if was[id] == is[id] || barred == is[id] || is[id] && n >= hotrestart.MostBars {
+			if was[id] == is[id] || barred == is[id] || is[id] && n >= hotrestart.MaxEjections {
 				continue
 			}
 			h.note(id, is[id])
-			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, id, is[id]) }) // ctx ends with the daemon
+			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, is[id]) }) // ctx ends with the daemon
 		}
 	}
 	return is
@@ -179,7 +179,7 @@
 	for _, p := range pools {
 		asked.Go(func() {
 			_ = p.loop.Do(ctx, func(time.Duration) {
-				l, a := p.loop.Census()
+				l, a := p.loop.EndpointCounts()
 				p.listed.Store(int64(l))
 				p.avoided.Store(int64(a))
 			})
@@ -227,7 +227,7 @@
 	}
 	d := admin.Daemon{Ready: s.ready.Load, Vars: s.vars, Bar: s.bar, Peers: s.fleet.peers, Settings: s.fleet.call, Versions: s.fleet.versions}
 	if s.fleet.agrees() {
-		d.MostBody = consensus.MostBody
+		d.MostBody = consensus.MaxDocumentBytes
 	}
 	a := admin.New(l, c.Operators, d, s.log)
 	go a.Serve()
--- a/internal/sidecar/operators_test.go
+++ b/internal/sidecar/operators_test.go
@@ -271,7 +271,7 @@
 func TestNothingIsWrittenOnAConnectionThatComesUpTooLate(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
-	s.upstream.Bar("a", true) // the module does not know yet
+	s.upstream.SetEjected("a", true) // the module does not know yet
 	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want a refusal: it never ran", status)
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -25,7 +25,7 @@
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	keeper   *discovery.Keeper
+	keeper   *discovery.MemberCache
 	log      *slog.Logger
 
 	heard           atomic.Bool  // discovery has said something
@@ -40,8 +40,8 @@
 }
 
 // newPool starts a pool. The module hears its first list before anything else.
-func newPool(decide eventloop.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Figures, log *slog.Logger) *pool {
-	p := &pool{spec: spec, log: log, keeper: discovery.NewKeeper(endpointset.Options{})}
+func newPool(decide eventloop.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Registry, log *slog.Logger) *pool {
+	p := &pool{spec: spec, log: log, keeper: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
 	if settings.Seed == 0 {
 		settings.Seed = drawSeed()
@@ -55,7 +55,7 @@
 	p.loop = eventloop.New(decide, settings, p.upstream, p.subscribe, log)
 	known := spec.Source.Known
 	known.Full = true // the list as it was last had, and the first that the module hears
-	p.loop.List(p.loop.Now(), known)
+	p.loop.UpdateEndpoints(p.loop.Now(), known)
 	work, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	p.parts.Go(func() { p.loop.Run(work) })
@@ -80,8 +80,8 @@
 }
 
 // deliver hands on a list past the events that wait: who drains must not get more of what stands before it.
-func (p *pool) deliver(m discovery.Members) {
-	_ = p.loop.Do(context.Background(), func(now time.Duration) { p.loop.List(now, m); p.heard.Store(true) }) // else the loop has ended
+func (p *pool) deliver(m discovery.ListUpdate) {
+	_ = p.loop.Do(context.Background(), func(now time.Duration) { p.loop.UpdateEndpoints(now, m); p.heard.Store(true) }) // else the loop has ended
 }
 
 func (p *pool) failed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
@@ -92,13 +92,13 @@
 	if p.leave != nil {
 		p.leave()
 	}
-	p.keeper.Set(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
+	p.keeper.SetOptions(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
 	source := p.newSource(s)
 	if p.spec.Settings.MustSubscribe { // the module asked at its start, when there was nobody to ask
 		source.Subscribe()
 	}
-	if polled, ok := source.(*discovery.Polled); ok && s.DNS == nil { // what lies on this machine is known at once
-		polled.Once(context.Background())
+	if polled, ok := source.(*discovery.PollingSource); ok && s.DNS == nil { // what lies on this machine is known at once
+		polled.PollOnce(context.Background())
 	}
 	here, leave := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -119,16 +119,16 @@
 		if s.Anew {
 			version = nil
 		}
-		d := discovery.New(s.Agent, version, p.spec.Settings.MustSubscribe, p.log)
+		d := discovery.NewAgentClient(s.Agent, version, p.spec.Settings.MustSubscribe, p.log)
 		d.Deliver, d.Failed = p.deliver, p.failed
 		return d
 	case s.File != "":
 		return discovery.FileSource(s.File, p.keeper, p.deliver, p.failed, p.log)
 	case s.DNS != nil:
 		return discovery.DNSSource(discovery.DNSOptions{Name: s.DNS.Name, Service: s.DNS.Type == "srv", Port: s.DNS.Port, Server: s.DNS.Server,
-			TTLLeast: s.DNS.TTLLeast, TTLMost: s.DNS.TTLMost}, p.keeper, p.deliver, p.failed, p.log)
+			MinTTL: s.DNS.TTLLeast, MaxTTL: s.DNS.TTLMost}, p.keeper, p.deliver, p.failed, p.log)
 	}
-	return discovery.Fixed(config.List(s.Members), p.keeper, p.deliver, p.failed, p.log)
+	return discovery.StaticSource(config.StaticMembers(s.Members), p.keeper, p.deliver, p.failed, p.log)
 }
 
 // goesOnAs tells whether a pool as told now can go on as the one that there is: then only its members may differ.
@@ -142,12 +142,12 @@
 func (p *pool) update(s config.SourceSpec) {
 	was := p.spec.Source
 	p.spec.Source = s
-	s.Known, was.Known = discovery.Members{}, discovery.Members{}
+	s.Known, was.Known = discovery.ListUpdate{}, discovery.ListUpdate{}
 	if reflect.DeepEqual(was, s) {
 		return
 	}
-	if agent, ok := p.source.(*discovery.Client); ok && s.Agent != "" {
-		agent.Move(s.Agent)
+	if agent, ok := p.source.(*discovery.AgentClient); ok && s.Agent != "" {
+		agent.SwitchAgent(s.Agent)
 		return
 	}
 	p.follow(s)
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -7,7 +7,7 @@
 )
 
 // routes puts a configuration's routes into the callers' side's terms.
-func routes(c config.Service, pools map[string]*pool, figures *metrics.Figures) *frontend.Service {
+func routes(c config.Service, pools map[string]*pool, figures *metrics.Registry) *frontend.Service {
 	classes := map[*config.Class]*frontend.Class{}
 	out := &frontend.Service{Table: c.Table}
 	for _, t := range c.Targets {
--- a/internal/sidecar/serve_test.go
+++ b/internal/sidecar/serve_test.go
@@ -617,11 +617,11 @@
 				list = append(list, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
 			}
 			spec := config.PoolSpec{Name: "p", Connections: 10, Source: config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}}
-			p := newPool(eventloop.Module, spec, nil, &metrics.Figures{}, slog.New(slog.DiscardHandler))
+			p := newPool(eventloop.Module, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 			defer p.end()
 			done := make(chan bool)
 			for i := 0; b.Loop(); i++ {
-				p.deliver(discovery.Members{Full: true, Servers: list[:n+i%2]})
+				p.deliver(discovery.ListUpdate{Full: true, Servers: list[:n+i%2]})
 				p.loop.Post(func(time.Duration) { done <- true })
 				<-done
 			}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -43,7 +43,7 @@
 	drains  time.Duration  // from the end's beginning until bodies that flow are cut off; fixed at the start
 	grace   time.Duration  // from then until the process is killed at the earliest; fixed at the start
 	retired sync.WaitGroup // what a reload took out and has not ended yet
-	figures *metrics.Figures
+	figures *metrics.Registry
 	hands   *hands
 	fleet   *fleet      // nil: this daemon knows of no other; fixed at the start
 	beside  *takeover   // nil: no other process can take over
@@ -78,7 +78,7 @@
 // only beside others.
 func StartWith(decide eventloop.Decider, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{decide: decide, log: log, failed: make(chan error, 1), listeners: map[string]*listener{}, leaving: map[*listener]bool{},
-		running: map[*pool]bool{}, drains: c.Drain, grace: c.Grace, figures: &metrics.Figures{}, hands: newHands()}
+		running: map[*pool]bool{}, drains: c.Drain, grace: c.Grace, figures: &metrics.Registry{}, hands: newHands()}
 	if c.BodyMemory > 0 {
 		s.bodies = body.NewPool(c.BodyMemory)
 	}
@@ -155,7 +155,7 @@
 	next.routes.Guard, next.routes.Unsure = s.fleet.guard(c.Refuses, acts.version), unsureRetry
 	s.current.Swap(next.routes)
 	if s.told, s.acts = told, acts; s.fleet.agrees() {
-		s.fleet.chamber.Installed(acting.Version)
+		s.fleet.chamber.MarkInstalled(acting.Version)
 		s.log.Info("settings as agreed on", "version", acting.Version)
 	}
 	s.adopt(opened)
@@ -184,7 +184,7 @@
 			p = newPool(s.decide, spec, s.bodies, s.figures, s.log.With("pool", spec.Name))
 			s.running[p] = true
 			if s.each > 0 {
-				p.upstream.SetMost(s.each)
+				p.upstream.SetMaxConnections(s.each)
 			}
 			s.hands.join(p)
 			s.fleet.join(p)
@@ -348,8 +348,8 @@
 	ending := slices.AppendSeq(slices.Collect(maps.Keys(s.leaving)), maps.Values(open))
 	for _, l := range ending {
 		l.leaving.Store(true)
-		l.callers.EndBy(time.Now().Add(s.grace - answerLeft))
-		defer time.AfterFunc(s.drains, l.callers.CutOff).Stop()
+		l.callers.SetShutdownDeadline(time.Now().Add(s.grace - answerLeft))
+		defer time.AfterFunc(s.drains, l.callers.AbortStreams).Stop()
 	}
 	s.mu.Unlock()
 	errs := make(chan error, len(open))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -306,7 +306,7 @@
 // A list goes through the loop, as discovery's do: what comes after it finds it in force.
 func (s *running) tell(t *testing.T, text string) {
 	t.Helper()
-	m, err := discovery.ParseMembers([]byte(text))
+	m, err := discovery.ParseListUpdate([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -558,7 +558,7 @@
 	s := run(t, e.Addr)
 	nc, in, _ := keep(t, s.request(t, http.MethodGet, "/look", "first", 60000))
 	s.term()
-	testpeer.Until(t, "the end is near", func() bool { return s.callers.Ends() })
+	testpeer.Until(t, "the end is near", func() bool { return s.callers.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
@@ -590,13 +590,13 @@
 	testpeer.Until(t, "callers' connections end", func() bool { return s.conns.Count() == 0 })
 	left := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
-		calls, members, events, timers := s.loop.Held()
+		calls, members, events, timers := s.loop.ResourceCounts()
 		left <- [4]int{calls, members, events, timers}
 	})
 	if n := <-left; n[0] != 0 || n[1] != 1 || n[2] != 0 || n[3] > 600 {
 		t.Errorf("calls, members, events, timers: %v", n)
 	}
-	if endpoints, connections := s.upstream.Held(); endpoints != 1 || connections > 1 {
+	if endpoints, connections := s.upstream.ResourceCounts(); endpoints != 1 || connections > 1 {
 		t.Errorf("%d pools, %d connections to endpoints", endpoints, connections)
 	}
 }
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -43,7 +43,7 @@
 
 // inherit is listen for a socket that the platform holds.
 func inherit(fd int, address string) (*hold, error) {
-	l, err := hotrestart.Listener(fd, address)
+	l, err := hotrestart.InheritedListener(fd, address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/sidecar/takeover.go
+++ b/internal/sidecar/takeover.go
@@ -19,14 +19,14 @@
 // takeover is this process's part beside others of the same sidecar. A nil one has no others.
 type takeover struct {
 	s    *Sidecar
-	dir  *hotrestart.Dir
+	dir  *hotrestart.Directory
 	log  *slog.Logger
 	c    config.Service
 	heap int64 // the limit on it while there are no others
 
 	looks   sync.Mutex // one at a time
 	began   time.Time
-	part    *hotrestart.Part
+	part    *hotrestart.Lifecycle
 	share   int  // descriptors that this process may use, as last set
 	ending  bool // this process's part does not change any more
 	looking bool // run was started
@@ -46,12 +46,12 @@
 		log.Error("what operators call is kept in memory alone, and no other process can take over", "err", err)
 		return nil
 	}
-	t := &takeover{s: s, dir: dir, log: log, c: c, began: time.Now(), part: hotrestart.NewPart(0), share: c.Limits.Sockets, heap: debug.SetMemoryLimit(-1),
+	t := &takeover{s: s, dir: dir, log: log, c: c, began: time.Now(), part: hotrestart.NewLifecycle(0), share: c.Limits.Sockets, heap: debug.SetMemoryLimit(-1),
 		stopped: make(chan struct{}), done: make(chan struct{}), gone: make(chan struct{})}
-	state, view, others := dir.Look(0)
-	for _, b := range state.Bars {
-		s.hands.note(b.ID, b.Out)
-		if b.Lately(time.Now()) {
+	state, view, others := dir.Poll(0)
+	for _, b := range state.Ejections {
+		s.hands.note(b.ID, b.Ejected)
+		if b.IsRecentReturn(time.Now()) {
 			s.hands.backs = append(s.hands.backs, b.ID)
 		}
 	}
@@ -66,7 +66,7 @@
 // run looks until stop.
 func (t *takeover) run() {
 	defer close(t.done)
-	tick := time.NewTicker(hotrestart.LookEvery)
+	tick := time.NewTicker(hotrestart.PollInterval)
 	defer tick.Stop()
 	for {
 		t.look()
@@ -85,30 +85,30 @@
 	used, callers, listed := t.s.usage()
 	view, others := t.s.hands.catchUp(used)
 	t.limit(view, others)
-	if t.ending || !t.part.Look(time.Since(t.began), view, listed, callers) {
+	if t.ending || !t.part.Update(time.Since(t.began), view, listed, callers) {
 		return
 	}
 	switch t.part.Phase() {
 	case hotrestart.Serving:
 		t.s.takeCallers(true)
-		if err := t.dir.Ready(true); err != nil {
+		if err := t.dir.SetReady(true); err != nil {
 			t.log.Error("the others can't be told that this process takes callers", "err", err)
 		}
 		t.s.ready.Store(true)
 		t.log.Info("taking callers", "number", t.dir.Number(), "others", view.Others)
-	case hotrestart.Leaving:
+	case hotrestart.Draining:
 		t.s.ready.Store(false)
 		t.s.takeCallers(false)
 		t.log.Info("another process takes callers", "number", t.dir.Number(), "others", view.Others)
 		debug.FreeOSMemory()
-	case hotrestart.Gone:
+	case hotrestart.Finished:
 		close(t.gone)
 	}
 }
 
 // limit keeps to this process's share of what is common to all.
 func (t *takeover) limit(v hotrestart.View, others int) {
-	share := hotrestart.Share(t.c.Limits.Sockets, v, others)
+	share := hotrestart.DescriptorLimit(t.c.Limits.Sockets, v, others)
 	if share == t.share {
 		return
 	}
@@ -129,10 +129,10 @@
 	t.looks.Lock()
 	defer t.looks.Unlock()
 	t.ending = true
-	if p := t.part.Phase(); p == hotrestart.Leaving || p == hotrestart.Gone {
+	if p := t.part.Phase(); p == hotrestart.Draining || p == hotrestart.Finished {
 		return process
 	}
-	if err := t.dir.Ready(false); err != nil {
+	if err := t.dir.SetReady(false); err != nil {
 		t.log.Error("the others can't be told that this process ends", "err", err)
 	}
 	return nobody
@@ -165,7 +165,7 @@
 		callers += l.conns.Count()
 	}
 	for p := range s.running {
-		_, n := p.upstream.Held()
+		_, n := p.upstream.ResourceCounts()
 		used += n
 		listed = listed && p.heard.Load()
 	}
@@ -181,7 +181,7 @@
 		l.limit(each)
 	}
 	for p := range s.running {
-		p.upstream.SetMost(each)
+		p.upstream.SetMaxConnections(each)
 	}
 }
 
@@ -190,7 +190,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
-		l.callers.CloseAll(!is)
+		l.callers.SetCloseConnections(!is)
 		l.socket.Pause(!is)
 	}
 }
@@ -203,27 +203,27 @@
 		defer func() { <-h.turn }()
 		return h.follow(used)
 	default:
-		_, view, others := h.dir.Look(used)
+		_, view, others := h.dir.Poll(used)
 		return view, others
 	}
 }
 
 // follow is catchUp's with the turn held.
 func (h *hands) follow(used int) (hotrestart.View, int) {
-	state, view, others := h.dir.Look(used)
+	state, view, others := h.dir.Poll(used)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTime)
 	defer cancel()
-	told := make(map[string]bool, len(state.Bars))
-	for _, b := range state.Bars {
+	told := make(map[string]bool, len(state.Ejections))
+	for _, b := range state.Ejections {
 		told[b.ID] = true
-		if pools, was, _ := h.running(b.ID); was != b.Out {
-			h.note(b.ID, b.Out)
-			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.Bar(now, b.ID, b.Out) })
+		if pools, was, _ := h.running(b.ID); was != b.Ejected {
+			h.note(b.ID, b.Ejected)
+			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, b.ID, b.Ejected) })
 		}
 	}
 	for _, id := range h.out() { // what was lost with a damaged file
 		if !told[id] {
-			_ = h.dir.Bar(id, true, time.Now())
+			_ = h.dir.RecordEjection(id, true, time.Now())
 		}
 	}
 	return view, others
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -79,7 +79,7 @@
 func (c *Checker) settled(w *World) {
 	var leader *Node
 	for _, n := range w.voters() {
-		if n.voter.Leads() && (leader == nil || n.voter.Term() > leader.voter.Term()) {
+		if n.voter.IsLeader() && (leader == nil || n.voter.Term() > leader.voter.Term()) {
 			leader = n
 		}
 	}
@@ -92,7 +92,7 @@
 			c.broken("%v: daemon %d is down", w.Now, n.place)
 			continue
 		}
-		if version, _, ok := n.holder.May(n.local(w.Now)); !ok || version != c.latest {
+		if version, _, ok := n.holder.Valid(n.local(w.Now)); !ok || version != c.latest {
 			c.broken("%v: daemon %d acts on version %d (%v), %d is the latest", w.Now, n.place, version, ok, c.latest)
 		}
 		if n.voter != nil && leader.voter.State().Sitting[n.id] && n.voter.State().Version != c.latest {
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -24,7 +24,7 @@
 type Options struct {
 	Voters, Followers int
 	Seed              uint64
-	Terms             consensus.Terms
+	Terms             consensus.LeaseConfig
 	Drift             float64       // by which clocks really differ; 0: as Terms allow
 	Forgets           bool          // disks lie about syncs
 	Puts              time.Duration // one comes so often
@@ -90,7 +90,7 @@
 	voter  *consensus.Voter
 	busy   bool     // the disk syncs
 	later  []func() // what came meanwhile
-	holder *consensus.Holder
+	holder *consensus.LeaseHolder
 	leader int // whom it asks
 	heard  bool
 
@@ -190,7 +190,7 @@
 func (w *World) begin(n *Node) {
 	n.life++
 	n.down, n.busy, n.later, n.paused, n.installed = false, false, nil, 0, 0
-	n.holder = consensus.NewHolder(fmt.Sprint("d", n.place), w.o.Terms, 0, nil)
+	n.holder = consensus.NewLeaseHolder(fmt.Sprint("d", n.place), w.o.Terms, 0, nil)
 	n.names, n.asks = map[uint64]int{}, slices.Clone(n.kept)
 	for i := range w.o.Voters {
 		n.asks = append(n.asks, i)
@@ -219,7 +219,7 @@
 			names = append(names, fmt.Sprint("d", i))
 		}
 	}
-	d, err := consensus.NewDisk(names)
+	d, err := consensus.NewRecoveredState(names)
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, Beat: beat, Seed: w.rng.Uint64(), Terms: w.o.Terms}, d)
+	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, Beat: beat, Seed: w.rng.Uint64(), Lease: w.o.Terms}, d)
 	return err
 }
 
@@ -258,7 +258,7 @@
 	seats := by.voter.State().Seats
 	var lost, in, out []*Node
 	for _, n := range w.Nodes {
-		switch id := by.voter.State().SeatOf(fmt.Sprint("d", n.place)); {
+		switch id := by.voter.State().VoterID(fmt.Sprint("d", n.place)); {
 		case id == 0:
 			out = append(out, n)
 		case n.id != id:
@@ -267,7 +267,7 @@
 			in = append(in, n)
 		}
 	}
-	c := &consensus.SeatChange{Out: true}
+	c := &consensus.VoterChange{Out: true}
 	switch {
 	case len(lost) > 0:
 		c.Name = fmt.Sprint("d", lost[0].place)
@@ -356,7 +356,7 @@
 		return
 	}
 	if out == nil {
-		out = &consensus.Out{}
+		out = &consensus.VoterOutput{}
 	}
 	for _, r := range out.Records {
 		if _, err := n.log.Append(r.Type, r.Payload); err != nil {
@@ -408,7 +408,7 @@
 }
 
 // learnVoters takes up whom a daemon may ask, and whether it votes.
-func (w *World) learnVoters(n *Node, g consensus.Grant) {
+func (w *World) learnVoters(n *Node, g consensus.LeaseGrant) {
 	n.asks = nil
 	for _, name := range g.Voters {
 		n.asks = append(n.asks, w.named(name).place)
@@ -418,10 +418,10 @@
 	if n.voter != nil {
 		seat = n.id
 	}
-	switch g.Move(fmt.Sprint("d", n.place), seat) {
-	case consensus.Rise:
+	switch g.VoterAction(fmt.Sprint("d", n.place), seat) {
+	case consensus.StopVoter:
 		w.leave(n)
-	case consensus.Sit:
+	case consensus.StartVoter:
 		if n.left {
 			return
 		}
@@ -456,14 +456,14 @@
 
 func (w *World) sendRaft(n *Node, m *raftpb.Message) {
 	to, known := n.names[m.GetTo()]
-	if name := n.voter.State().NameOf(m.GetTo()); name != "" {
+	if name := n.voter.State().VoterName(m.GetTo()); name != "" {
 		to, known = w.named(name).place, true
 	}
 	if !known {
 		return
 	}
 	if m.GetType() == raftpb.MsgSnap { // over a stream: whether it arrives is known
-		w.at(n, w.Now+2*moreDelay, func() { w.use(n, func() { n.voter.Sent(m.GetTo(), !w.cut[[2]int{n.place, to}]) }) })
+		w.at(n, w.Now+2*moreDelay, func() { w.use(n, func() { n.voter.ReportSnapshot(m.GetTo(), !w.cut[[2]int{n.place, to}]) }) })
 	}
 	w.send(n.place, to, func(other *Node) { w.hear(other, n.place, m) })
 }
@@ -479,18 +479,18 @@
 	})
 }
 
-func (w *World) sendGrant(n *Node, t consensus.To) {
+func (w *World) sendGrant(n *Node, t consensus.AddressedGrant) {
 	var to int
 	fmt.Sscanf(t.Daemon, "d%d", &to)
 	w.send(n.place, to, func(d *Node) {
 		d.heard, d.leader = true, n.place
 		w.learnVoters(d, t.Grant)
-		d.holder.Granted(d.local(w.Now), t.Grant)
+		d.holder.HandleGrant(d.local(w.Now), t.Grant)
 		w.install(d)
-		if version, docs := d.holder.Offered(); version > 0 { // looked at for a while, beside all else
+		if version, docs := d.holder.PendingCheck(); version > 0 { // looked at for a while, beside all else
 			w.at(d, w.Now+checkTime, func() {
-				if now, _ := d.holder.Offered(); now == version {
-					d.holder.Checked(version, d.canAct(docs))
+				if now, _ := d.holder.PendingCheck(); now == version {
+					d.holder.CompleteCheck(version, d.canAct(docs))
 				}
 			})
 		}
@@ -500,7 +500,7 @@
 func (w *World) tick(n *Node) {
 	w.use(n, func() { n.voter.Tick(n.local(w.Now)) })
 	if !n.down && n.voter != nil {
-		w.at(n, max(n.world(n.voter.Next()), w.Now+time.Millisecond), func() { w.tick(n) })
+		w.at(n, max(n.world(n.voter.NextTick()), w.Now+time.Millisecond), func() { w.tick(n) })
 	}
 }
 
@@ -510,7 +510,7 @@
 		n.leader = n.asks[(slices.Index(n.asks, n.leader)+1)%len(n.asks)]
 	}
 	n.heard = false
-	r, again := n.holder.Ask(n.local(w.Now))
+	r, again := n.holder.NextRequest(n.local(w.Now))
 	if n.voter == nil && !n.left {
 		r.Mark = n.mark
 	}
@@ -527,7 +527,7 @@
 			return
 		}
 		w.use(v, func() {
-			if v.voter.Ask(r) != nil {
+			if v.voter.RequestLease(r) != nil {
 				hint()
 			}
 		})
@@ -538,8 +538,8 @@
 // act is a request that a daemon decides by the version that it has.
 func (w *World) act(n *Node) {
 	w.Acts++
-	a := n.holder.Acting()
-	if n.installed > 0 && (a.May(n.installed, n.local(w.Now)) || w.o.Terms.NoLook) {
+	a := n.holder.Leased()
+	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.Terms.NoLook) {
 		w.Checker.acts(w.Now, n, n.installed, n.digest)
 	} else {
 		w.Refused++
@@ -549,11 +549,11 @@
 
 // install has a daemon's other parts change over to what it is to act on, which takes them a while.
 func (w *World) install(n *Node) {
-	a := n.holder.Acting()
+	a := n.holder.Leased()
 	w.at(n, w.Now+time.Duration(w.rng.Int64N(int64(installMost))), func() {
 		if a.Version > n.installed {
 			n.installed, n.digest = a.Version, consensus.DigestOf(a.Docs)
-			n.holder.Installed(a.Version)
+			n.holder.MarkInstalled(a.Version)
 		}
 	})
 }
@@ -563,14 +563,14 @@
 	if !w.calm {
 		w.next++
 		id := fmt.Sprint("put-", w.next)
-		c := &consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
+		c := &consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
 		switch w.next % hardEvery {
 		case 0:
-			c.Put = &consensus.PutDoc{Name: hardDoc, Body: []byte(id + hardEnd)}
+			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id + hardEnd)}
 		case hardEvery / 4:
-			c.Put = &consensus.PutDoc{Name: hardDoc, Body: []byte(id)}
+			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}
 		case hardEvery / 2:
-			c.Put, c.Back = nil, &consensus.As{Name: "doc-0", Version: w.Checker.latest / 2}
+			c.Put, c.Back = nil, &consensus.DocumentVersion{Name: "doc-0", Version: w.Checker.latest / 2}
 		}
 		w.puts[id] = &put{c: c}
 		if w.next%(2*hardEvery) == 0 { // every second time somebody insists
@@ -636,7 +636,7 @@
 			w.at(nil, w.Now+length, func() { w.slow = 0 })
 		case 7: // the leader, whatever it is doing
 			for _, l := range w.voters() {
-				if l.voter.Leads() {
+				if l.voter.IsLeader() {
 					l.paused = w.Now + length
 				}
 			}
@@ -684,7 +684,7 @@
 	w.Run(w.Now + within/2)
 	w.next++ // the last one mends what some can't act on
 	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &consensus.Command{ID: id, By: "test", Put: &consensus.PutDoc{Name: hardDoc, Body: []byte(id)}}}
+	w.puts[id] = &put{c: &consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}}}
 	w.Run(w.Now + within/2)
 	w.Checker.settled(w)
 }
--- a/internal/testkit/raftsim/council_test.go
+++ b/internal/testkit/raftsim/council_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-var terms = consensus.Terms{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
+var terms = consensus.LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
 
 // play is one drawn schedule of faults.
 func play(o Options) *World {
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -25,7 +25,7 @@
 )
 
 // Measure plays a council of three voters and so many daemons in all.
-func Measure(daemons int, seed uint64, terms consensus.Terms) Figures {
+func Measure(daemons int, seed uint64, terms consensus.LeaseConfig) Figures {
 	var f Figures
 	w := New(Options{Voters: 3, Followers: daemons - 3, Seed: seed, Terms: terms, Puts: 10 * time.Millisecond})
 	w.calm = true
@@ -38,7 +38,7 @@
 	f.Overlap = w.Checker.Overlap
 	for range deaths {
 		for _, n := range w.Nodes[:3] {
-			if !n.down && n.voter.Leads() {
+			if !n.down && n.voter.IsLeader() {
 				w.Crash(n)
 				committed, _ := w.measurePut()
 				f.Leaderless = append(f.Leaderless, committed)
@@ -59,7 +59,7 @@
 	began, was := w.Now, w.Checker.latest
 	w.next++
 	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &consensus.Command{ID: id, Put: &consensus.PutDoc{Name: "doc", Body: []byte(id)}}}
+	w.puts[id] = &put{c: &consensus.Command{ID: id, Put: &consensus.DocumentPut{Name: "doc", Body: []byte(id)}}}
 	for w.Now < began+time.Minute {
 		w.Run(w.Now + lookEvery)
 		if committed == 0 && w.Checker.latest > was {
@@ -77,14 +77,14 @@
 		if n.down {
 			return false
 		}
-		v, _, ok := n.holder.May(n.local(w.Now))
+		v, _, ok := n.holder.Valid(n.local(w.Now))
 		return !ok || v < version
 	})
 }
 
 // Tables measures councils of several sizes, with leases as they are by default.
 func Tables(out io.Writer, sizes []int, seed uint64) error {
-	terms := consensus.Terms{Lease: 15 * time.Second, Short: time.Duration(4.95 * float64(time.Second)), Drift: 0.01}
+	terms := consensus.LeaseConfig{Lease: 15 * time.Second, Short: time.Duration(4.95 * float64(time.Second)), Drift: 0.01}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
--- a/internal/testkit/rehearse/fleet.go
+++ b/internal/testkit/rehearse/fleet.go
@@ -349,7 +349,7 @@
 		life := place.lives
 		f.mu.Unlock()
 		asked := f.w.rec.Now()
-		s, err := status.AskSettings(place.admin, peersWait)
+		s, err := status.FetchSettings(place.admin, peersWait)
 		if err != nil || !s.Acting {
 			continue
 		}
@@ -393,7 +393,7 @@
 func (f *fleetWorld) watch(name string, place *fleetPlace, done <-chan struct{}) {
 	held := map[string]status.Peer{}
 	for f.pause(done, peersLook) {
-		r, err := status.Ask(place.admin, peersWait)
+		r, err := status.FetchFleet(place.admin, peersWait)
 		if err != nil {
 			if _, refused := err.(*net.OpError); refused {
 				clear(held) // a process that is started again holds nothing of its former life
--- a/internal/testkit/swimsim/swarm.go
+++ b/internal/testkit/swimsim/swarm.go
@@ -134,7 +134,7 @@
 
 // wake asks for the next tick of a node; one that was asked for before is void.
 func (w *World) wake(n *Node) {
-	n.woken = w.agenda.Put(max(n.world(n.Next()), w.Now), event{node: n})
+	n.woken = w.agenda.Put(max(n.world(n.NextTick()), w.Now), event{node: n})
 }
 
 // Run plays until an instant, or until done says so: it is asked after each event in which a view changed.
@@ -162,7 +162,7 @@
 		w.agenda.Later(n.Paused, e)
 		return false
 	}
-	was := n.Number()
+	was := n.ViewNumber()
 	if m == nil {
 		n.Tick(n.local(w.Now))
 	} else {
@@ -173,13 +173,13 @@
 		n.Receive(n.local(w.Now), &heard)
 	}
 	w.carry(n)
-	for _, c := range n.Changes() {
+	for _, c := range n.TakeChanges() {
 		if w.OnChange != nil {
 			w.OnChange(n, c)
 		}
 	}
 	w.wake(n)
-	return n.Number() != was
+	return n.ViewNumber() != was
 }
 
 // blocked tells whether a node does not run now.
@@ -196,8 +196,8 @@
 
 // carry sends what a node wants to send.
 func (w *World) carry(n *Node) {
-	var room [transport.MostDatagram]byte
-	for _, e := range n.Out() {
+	var room [transport.MaxDatagramBytes]byte
+	for _, e := range n.TakeMessages() {
 		w.Messages++
 		w.Bytes += uint64(len(transport.Marshal(room[:0], e.Message))) + transport.Overhead
 		to := w.at[e.To]
@@ -228,7 +228,7 @@
 // Agree tells whether all of these hold exactly one another for here, and nobody for suspect.
 func Agree(nodes []*Node) bool {
 	for _, n := range nodes {
-		if n.Others() != len(nodes)-1 || n.Digest() != nodes[0].Digest() || n.Suspects() > 0 {
+		if n.PresentCount() != len(nodes)-1 || n.Digest() != nodes[0].Digest() || n.SuspectCount() > 0 {
 			return false
 		}
 	}
--- a/internal/testkit/swimsim/swarm_test.go
+++ b/internal/testkit/swimsim/swarm_test.go
@@ -238,7 +238,7 @@
 	}{
 		{name: "good"},
 		{"never refutes", clusterinvariant.NoFalse, swim.Options{}, deaf},
-		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{Suspicion: 1, NoShrink: true}, nil},
+		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{Suspicion: 1, DisableSuspicionShrink: true}, nil},
 		{"forgets who left", clusterinvariant.LeftIsLeft, swim.Options{}, rude},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -40,7 +40,7 @@
 func (c Case) options() Options {
 	o := Options{Nodes: c.Nodes, Seed: c.Seed, Settled: true, Loss: c.Loss, Slow: c.Slow, Swim: c.Swim}
 	if c.Plain {
-		o.Swim.NoHealth, o.Swim.NoShrink, o.Swim.NoBuddy = true, true, true
+		o.Swim.DisableLocalHealth, o.Swim.DisableSuspicionShrink, o.Swim.DisableBuddySystem = true, true, true
 	}
 	return o
 }
@@ -91,7 +91,7 @@
 				m.First = append(m.First, w.Now-at)
 			}
 			know[by.Place] = true
-		case ch.Is.Here():
+		case ch.Is.IsPresent():
 			delete(know, by.Place)
 		}
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -52,7 +52,7 @@
 	u := New(Options{Pool: body.NewPool(8 * body.Window), Pace: body.Pace{Idle: time.Minute}})
 	passed := make(chan []byte, 1)
 	x := &exchange{u: u, c: c, m: &Message{Method: method, Header: http.Header{}}, stop: func() bool { return true }}
-	x.watch.Begun = func(a Answer) bool {
+	x.watch.Begun = func(a Response) bool {
 		status = a.Status
 		go func() {
 			var all []byte
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -63,10 +63,10 @@
 }
 
 // upload sends a request whose body flows, while it waits for the answer: that may come first.
-func (x *exchange) upload(ctx context.Context, head []byte) (r balance.Result, a Answer, reusable bool) {
+func (x *exchange) upload(ctx context.Context, head []byte) (r balance.Result, a Response, reusable bool) {
 	flow, ok := x.m.Upload.Begin()
 	if !ok {
-		return balance.NotSent, Answer{}, false
+		return balance.NotSent, Response{}, false
 	}
 	p := &pump{x: x, flow: flow, meter: body.NewMeter(x.u.o.Pace), goOn: make(chan struct{}), done: make(chan struct{})}
 	go p.run(head)
@@ -78,9 +78,9 @@
 	p.end(err != nil)
 	switch {
 	case err != nil && !p.sent:
-		return p.unsent(ctx), Answer{}, false
+		return p.unsent(ctx), Response{}, false
 	case err != nil:
-		return x.c.broken(ctx, err), Answer{}, false
+		return x.c.broken(ctx, err), Response{}, false
 	}
 	r, a, reusable = x.answer(ctx, resp)
 	return r, a, reusable && p.sent
@@ -256,10 +256,10 @@
 
 // long reads an answer that flows. For a moment it is held back, up to a window: if it breaks meanwhile another attempt
 // may follow, and if it ends it is a short one.
-func (x *exchange) long(ctx context.Context, resp *http.Response) (r balance.Result, a Answer, reusable bool) {
+func (x *exchange) long(ctx context.Context, resp *http.Response) (r balance.Result, a Response, reusable bool) {
 	window, giveBack, err := x.window(ctx)
 	if err != nil {
-		return balance.Canceled, Answer{}, false // it says nothing of the endpoint
+		return balance.Canceled, Response{}, false // it says nothing of the endpoint
 	}
 	defer giveBack()
 	x.c.limit.N = math.MaxInt64 // and the body is not closed: that would read on for a part that was spliced past it
@@ -268,7 +268,7 @@
 	taken := make(chan bool, 1)
 	bind := func() {
 		if s.claimed.CompareAndSwap(false, true) {
-			x.bound.Store(x.stop() && x.watch.Begun(Answer{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
+			x.bound.Store(x.stop() && x.watch.Begun(Response{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
 			taken <- x.bound.Load()
 		}
 	}
@@ -278,25 +278,25 @@
 		s.fill()
 		if s.ended() && s.claimed.CompareAndSwap(false, true) {
 			if err := x.c.SetReadDeadline(time.Time{}); s.err != io.EOF || err != nil {
-				return x.c.broken(ctx, s.err), Answer{}, false
+				return x.c.broken(ctx, s.err), Response{}, false
 			}
 			return x.told(resp, bytes.Clone(s.window[:s.held]))
 		}
 	}
 	bind()
 	if !<-taken {
-		return balance.Canceled, Answer{}, false
+		return balance.Canceled, Response{}, false
 	}
 	switch err := <-s.closed; {
 	case err == nil:
 		err = x.c.SetReadDeadline(time.Time{})
-		return balance.OK, Answer{}, err == nil && !resp.Close && x.c.read.Buffered() == 0
+		return balance.OK, Response{}, err == nil && !resp.Close && x.c.read.Buffered() == 0
 	case errors.Is(err, body.ErrSlow):
-		return balance.TimedOut, Answer{}, false
-	case errors.Is(err, ErrLeft):
-		return balance.Canceled, Answer{}, false
+		return balance.TimedOut, Response{}, false
+	case errors.Is(err, ErrClientGone):
+		return balance.Canceled, Response{}, false
 	}
-	return balance.Reset, Answer{}, false
+	return balance.Reset, Response{}, false
 }
 
 // window is the buffer of an answer: the upload's own where that needs it no more, so that those who hold one do not wait
@@ -436,8 +436,8 @@
 // Trailer is what came after the body.
 func (s *Stream) Trailer() http.Header { return Trailers(s.resp.Trailer) }
 
-// ErrLeft is why a Stream is closed whose caller has left.
-var ErrLeft = errors.New("the caller has left")
+// ErrClientGone is why a Stream is closed whose caller has left.
+var ErrClientGone = errors.New("the caller has left")
 
 // Close says that the body was passed on whole (nil), or why not. It must be called once, by whoever reads.
 func (s *Stream) Close(err error) { s.closed <- err }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -51,20 +51,20 @@
 	Patience time.Duration // how long this sidecar waits once Upload has gone out; 0: as long as the attempt lasts
 }
 
-// Answer is an endpoint's whole answer.
-type Answer struct {
+// Response is an endpoint's whole answer.
+type Response struct {
 	Status int
 	Header http.Header // as it came
 	Body   []byte
 	Stream *Stream // in place of Body, where it flows
 }
 
-// Watch is told what happens during an attempt whose bodies flow. The zero value is for those that are held whole.
-type Watch struct {
+// AttemptHooks is told what happens during an attempt whose bodies flow. The zero value is for those that are held whole.
+type AttemptHooks struct {
 	// Wanted is asked last, before the first byte goes out, and from the attempt's goroutine: false, and nothing does. nil: it is.
 	Wanted func() bool
-	Sent   func()            // the last byte of the request has gone out
-	Begun  func(Answer) bool // an answer that is not held whole has begun; true: it is the caller's, who will close its Stream
+	Sent   func()              // the last byte of the request has gone out
+	Begun  func(Response) bool // an answer that is not held whole has begun; true: it is the caller's, who will close its Stream
 }
 
 // Options of a Client.
@@ -138,8 +138,8 @@
 		pools: map[string]*pool{}, barred: map[string]bool{}}
 }
 
-// SetMost changes how many connections may be open at once. Idle ones beyond it are closed.
-func (u *Client) SetMost(most int) {
+// SetMaxConnections changes how many connections may be open at once. Idle ones beyond it are closed.
+func (u *Client) SetMaxConnections(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for u.o.Most = most; u.open > most && u.evict(); {
@@ -162,9 +162,9 @@
 	p.addr, p.wanted, p.keep = addr, keep, keep && !u.barred[id]
 }
 
-// Bar keeps everything new from an endpoint, whatever SetMember says, or no longer does. An attempt that has written
+// SetEjected keeps everything new from an endpoint, whatever SetMember says, or no longer does. An attempt that has written
 // nothing yet ends as not sent; those that have go on. Idle connections are closed.
-func (u *Client) Bar(id string, out bool) {
+func (u *Client) SetEjected(id string, out bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if delete(u.barred, id); out {
@@ -264,9 +264,9 @@
 // usable tells whether an idle connection may carry the next attempt.
 func (u *Client) usable(c *conn) bool { return time.Since(c.idleAt) < u.idleFor && c.quiet() }
 
-// Idle tells whether an idle connection to the endpoint is usable, by a look at it: most that are closed while idle
+// HasIdle tells whether an idle connection to the endpoint is usable, by a look at it: most that are closed while idle
 // are closed between two sweeps. Those found dead on the way go.
-func (u *Client) Idle(id string) bool {
+func (u *Client) HasIdle(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	p := u.pools[id]
@@ -406,7 +406,7 @@
 // Attempt sends a request once and tells by evidence how that ended. When ctx ends, the connection is closed before
 // Attempt returns: no second attempt can be out beside this one. It tells whether the connection had served before.
 // Once Watch.Begun has taken an answer, ctx rules no more, and Attempt returns when the answer's Stream is closed.
-func (u *Client) Attempt(ctx context.Context, id string, m *Message, w Watch) (r balance.Result, reused bool, a Answer) {
+func (u *Client) Attempt(ctx context.Context, id string, m *Message, w AttemptHooks) (r balance.Result, reused bool, a Response) {
 	c, text, err := u.take(ctx, id, m)
 	switch {
 	case err != nil:
@@ -421,7 +421,7 @@
 		err = errUnwanted
 	}
 	if err != nil {
-		return unlessCanceled(ctx, notConnected(err)), false, Answer{}
+		return unlessCanceled(ctx, notConnected(err)), false, Response{}
 	}
 	reused = !c.idleAt.IsZero()
 	x := &exchange{u: u, c: c, m: m, watch: w, stop: context.AfterFunc(ctx, func() { c.Close() })}
@@ -489,13 +489,13 @@
 	u     *Client
 	c     *conn
 	m     *Message
-	watch Watch
+	watch AttemptHooks
 	stop  func() bool // lifts the attempt's limit of time; false if it is over
 	bound atomic.Bool // the answer is the caller's
 }
 
 // run writes the request and reads the answer.
-func (x *exchange) run(ctx context.Context, text []byte) (r balance.Result, a Answer, reusable bool) {
+func (x *exchange) run(ctx context.Context, text []byte) (r balance.Result, a Response, reusable bool) {
 	if x.m.Upload != nil {
 		return x.upload(ctx, text)
 	}
@@ -503,14 +503,14 @@
 	// first.
 	if n, _ := x.c.Write(text); n < len(text) {
 		if n > 0 && x.u.o.Begins == WithHead {
-			return unlessCanceled(ctx, balance.Errored), Answer{}, false
+			return unlessCanceled(ctx, balance.Errored), Response{}, false
 		}
-		return unlessCanceled(ctx, balance.ConnectFailed), Answer{}, false
+		return unlessCanceled(ctx, balance.ConnectFailed), Response{}, false
 	}
 	x.sent()
 	resp, err := x.head(nil)
 	if err != nil {
-		return x.c.broken(ctx, err), Answer{}, false
+		return x.c.broken(ctx, err), Response{}, false
 	}
 	return x.answer(ctx, resp)
 }
@@ -523,7 +523,7 @@
 }
 
 // answer reads the rest of an answer, and tells what it is.
-func (x *exchange) answer(ctx context.Context, resp *http.Response) (r balance.Result, a Answer, reusable bool) {
+func (x *exchange) answer(ctx context.Context, resp *http.Response) (r balance.Result, a Response, reusable bool) {
 	if x.isLong(resp) {
 		return x.long(ctx, resp)
 	}
@@ -532,23 +532,23 @@
 		err = x.c.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return x.c.broken(ctx, err), Answer{}, false
+		return x.c.broken(ctx, err), Response{}, false
 	}
 	return x.told(resp, text)
 }
 
 // told is what a whole answer tells.
-func (x *exchange) told(resp *http.Response, text []byte) (r balance.Result, a Answer, reusable bool) {
+func (x *exchange) told(resp *http.Response, text []byte) (r balance.Result, a Response, reusable bool) {
 	onlyOK := x.u.o.OnlyOK
 	reusable = !resp.Close && x.c.read.Buffered() == 0
-	a = Answer{Status: resp.StatusCode, Header: resp.Header, Body: text}
+	a = Response{Status: resp.StatusCode, Header: resp.Header, Body: text}
 	switch {
 	case x.u.isAnswer(resp.StatusCode):
 		return balance.OK, a, reusable
 	case isUnavailable(resp.StatusCode) && resp.Header.Get(declined) == "1":
-		return balance.Full, Answer{}, reusable
+		return balance.Full, Response{}, reusable
 	case onlyOK || isPromise(resp.StatusCode):
-		return balance.Errored, Answer{}, reusable
+		return balance.Errored, Response{}, reusable
 	}
 	return balance.Errored, a, reusable
 }
@@ -728,8 +728,8 @@
 	return time.Until(at), ok
 }
 
-// Held tells how many endpoints are known and how many connections to them are open.
-func (u *Client) Held() (endpoints, connections int) {
+// ResourceCounts tells how many endpoints are known and how many connections to them are open.
+func (u *Client) ResourceCounts() (endpoints, connections int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.pools), u.open
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -73,7 +73,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := testpeer.NewEndpoint(t, testpeer.Says(row.says, row.stay))
-			result, _, a := testUpstream(t, e.Addr).Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{})
+			result, _, a := testUpstream(t, e.Addr).Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{})
 			if result != row.want {
 				t.Errorf("outcome %v, want %v", result, row.want)
 			}
@@ -91,19 +91,19 @@
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	u := testUpstream(t, e.Addr)
 	u.dialTimeout = time.Nanosecond
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.ConnectFailed {
+	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("never up: %v", r)
 	}
 	e.Listener.Close()
 	u.dialTimeout = testpeer.Patience
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.ConnectFailed {
+	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "unlisted", get("/c"), Watch{}); r != balance.NotSent {
+	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "unlisted", get("/c"), AttemptHooks{}); r != balance.NotSent {
 		t.Errorf("no address: %v", r)
 	}
 	u.o.Most = 0 // a shortage here must not count against the endpoint
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.NotSent {
+	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.NotSent {
 		t.Errorf("no descriptors: %v", r)
 	}
 	if u.open != 0 {
@@ -127,7 +127,7 @@
 	}()
 	m := get("/c")
 	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _, _ := testUpstream(t, l.Addr().String()).Attempt(ctxFor(t, testpeer.Patience), "a", m, Watch{}); r != balance.ConnectFailed {
+	if r, _, _ := testUpstream(t, l.Addr().String()).Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
@@ -149,7 +149,7 @@
 		} else {
 			go func() { <-came; cancel() }()
 		}
-		r, _, _ := u.Attempt(ctx, "a", get("/c"), Watch{})
+		r, _, _ := u.Attempt(ctx, "a", get("/c"), AttemptHooks{})
 		cancel()
 		if r != want {
 			t.Errorf("outcome %v, want %v", r, want)
@@ -177,10 +177,10 @@
 		m := get("/c")
 		m.Method = method
 		m.Header.Set("Idempotency-Key", "k")
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK {
 			t.Fatalf("first: %v", r)
 		}
-		if r, reused, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, Watch{}); r != balance.Reset || !reused {
+		if r, reused, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.Reset || !reused {
 			t.Errorf("%s on a connection that broke: %v, reused %v", method, r, reused)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
@@ -202,12 +202,12 @@
 			return n > 1
 		})
 		u := testUpstream(t, e.Addr)
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		answered <- true
 		testpeer.Until(t, name, func() bool { idle := u.pools["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Errorf("%s: second: %v", name, r)
 		}
 		if c := e.Connections.Load(); c != 2 {
@@ -222,7 +222,7 @@
 	u := testUpstream(t, e.Addr)
 	try := func(want int32) {
 		t.Helper()
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("outcome %v", r)
 		}
 		if c := e.Connections.Load(); c != want {
@@ -249,7 +249,7 @@
 	u := testUpstream(t, e.Addr, f.Addr)
 	u.o.Most = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), id, get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), id, get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Errorf("%s: %v", id, r)
 		}
 		if u.open != 1 {
@@ -276,7 +276,7 @@
 	for _, id := range []string{"r1", "r2"} {
 		m := get("/c")
 		m.Header.Set("Req-Id", id)
-		if r, _, a := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, Watch{}); r != balance.OK || string(a.Body) != id {
+		if r, _, a := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK || string(a.Body) != id {
 			t.Errorf("request %s: %v, answer %q", id, r, a.Body)
 		}
 		if id == "r1" {
@@ -302,7 +302,7 @@
 	})
 	u := testUpstream(t, e.Addr)
 	for range 2 {
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatal(r)
 		}
 	}
@@ -329,7 +329,7 @@
 	}
 	m := get("/c")
 	m.DeadlineName = "Req-Deadline-Ms"
-	if r, _, _ := u.Attempt(ctxFor(t, limit), "a", m, Watch{}); r != balance.OK {
+	if r, _, _ := u.Attempt(ctxFor(t, limit), "a", m, AttemptHooks{}); r != balance.OK {
 		t.Fatal(r)
 	}
 	if ms, err := strconv.Atoi(<-told); err != nil || time.Duration(ms)*time.Millisecond > limit-dial+time.Millisecond {
@@ -345,7 +345,7 @@
 	u.idleFor = 200 * time.Millisecond
 	attempt := func(wanted bool, want balance.Result) {
 		t.Helper()
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{Wanted: func() bool { return wanted }}); r != want {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{Wanted: func() bool { return wanted }}); r != want {
 			t.Fatalf("%v, want %v", r, want)
 		}
 	}
@@ -368,17 +368,17 @@
 		return false
 	})
 	u := testUpstream(t, e.Addr)
-	if u.Idle("a") || u.Idle("unknown") {
+	if u.HasIdle("a") || u.HasIdle("unknown") {
 		t.Error("idle before the first attempt")
 	}
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/look"), Watch{}); r != balance.OK {
+	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/look"), AttemptHooks{}); r != balance.OK {
 		t.Fatal(r)
 	}
-	if !u.Idle("a") {
+	if !u.HasIdle("a") {
 		t.Error("not idle after an answer")
 	}
 	close(release)
-	testpeer.Until(t, "the close is seen", func() bool { return !u.Idle("a") })
+	testpeer.Until(t, "the close is seen", func() bool { return !u.HasIdle("a") })
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.open != 0 {
@@ -394,7 +394,7 @@
 		u.settle = 30 * time.Millisecond
 		u.SetMember("a", e.Addr, true)
 		for range 2 {
-			if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/x"), Watch{}); r != balance.OK {
+			if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/x"), AttemptHooks{}); r != balance.OK {
 				t.Errorf("result %v", r)
 			}
 		}
@@ -418,10 +418,10 @@
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	u := testUpstream(t, e.Addr)
 	for _, connection := range []string{"new", "rested"} {
-		if r, _, _ := u.Attempt(woken{context.Background()}, "a", get("/late"), Watch{}); r != map[string]balance.Result{"new": balance.ConnectFailed, "rested": balance.NotSent}[connection] {
+		if r, _, _ := u.Attempt(woken{context.Background()}, "a", get("/late"), AttemptHooks{}); r != map[string]balance.Result{"new": balance.ConnectFailed, "rested": balance.NotSent}[connection] {
 			t.Errorf("on a %s connection: %v", connection, r)
 		}
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), Watch{}); r != balance.OK {
+		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("%v", r)
 		}
 	}
