--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -25,7 +25,7 @@
 	f := &followed{got: make(chan ListUpdate, 100), failures: make(chan bool, 100), calls: s.Calls}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
 	f.Deliver, f.Failed = func(m ListUpdate) { f.got <- m }, func() { f.failures <- true }
-	f.silence, f.patient = testpeer.Patience, testpeer.Patience
+	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
 	if change != nil {
 		change(f.AgentClient)
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestALostWatchIsResumed(t *testing.T) {
+func TestLostWatchResumesAfterLastVersion(t *testing.T) {
 	f := follow(t, 41, nil,
 		"\n"+testpeer.Members(43, false, testpeer.Member("a", "127.0.0.1:1", "Terminating"))+"\n\n"+testpeer.Members(44, false)+"\n",
 		testpeer.Members(50, true, testpeer.Member("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
@@ -70,15 +70,15 @@
 	f.expectCalls(t, "watch=1&after=41", "watch=1&after=44")
 }
 
-func TestASilentWatchIsGivenUp(t *testing.T) {
-	f := follow(t, 7, func(d *AgentClient) { d.silence = 200 * time.Millisecond },
+func TestSilentWatchIsReopened(t *testing.T) {
+	f := follow(t, 7, func(d *AgentClient) { d.idleTimeout = 200 * time.Millisecond },
 		"\nSILENT", testpeer.Members(8, false)+"\nSILENT")
 	f.expectCalls(t, "watch=1&after=7", "watch=1&after=7")
 	f.expectVersions(t, 8)
 }
 
 // After what can't be read something may be missing: the whole list is asked for, and the old one stands.
-func TestAMalformedLineStartsAnew(t *testing.T) {
+func TestMalformedMessageRefetchesList(t *testing.T) {
 	for name, line := range map[string]string{
 		"no JSON":          "{nonsense",
 		"no entries":       `{"version":42,"full":true}`,
@@ -97,8 +97,8 @@
 	}
 }
 
-func TestWhereDiscoveryIsAskedItsEndIsReported(t *testing.T) {
-	f := follow(t, 41, func(d *AgentClient) { d.onAsk = true }, testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
+func TestWatchEndIsReportedWhenSubscriptionRequired(t *testing.T) {
+	f := follow(t, 41, func(d *AgentClient) { d.mustSubscribe = true }, testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
 	f.Subscribe()
 	f.expectVersions(t, 42)
 	<-f.failures
@@ -107,7 +107,7 @@
 	f.expectCalls(t, "watch=1&after=41", "watch=1&after=42")
 }
 
-func TestEntriesAreRead(t *testing.T) {
+func TestParseListUpdateReadsAllFields(t *testing.T) {
 	m, err := ParseListUpdate([]byte(testpeer.Members(3, true, testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
 	if err != nil {
 		t.Fatal(err)
@@ -135,10 +135,10 @@
 }
 
 // The old watch must end at once, and the new address be asked for all: its versions say nothing of what was missed.
-func TestAMoveAsksForTheWholeListElsewhere(t *testing.T) {
+func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
 	for name, onAsk := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
-			f := follow(t, 41, func(d *AgentClient) { d.onAsk = onAsk; d.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
+			f := follow(t, 41, func(d *AgentClient) { d.mustSubscribe = onAsk; d.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
 			f.expectVersions(t, 42)
 			addr, calls := another(t, testpeer.Members(7, true), testpeer.Members(8, false)+"\nSILENT")
 			f.SwitchAgent(addr)
@@ -153,7 +153,7 @@
 }
 
 // Moves may come before the last one is done, to an address that says nothing, or to the same.
-func TestTheLastOfManyMovesCounts(t *testing.T) {
+func TestLastOfManySwitchesWins(t *testing.T) {
 	f := follow(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
 	mute, heard := another(t)
@@ -179,13 +179,13 @@
 }
 
 // All has to be told again within 4 s of a move, though the first call meets silence.
-func TestACallThatMeetsSilenceIsMadeAgain(t *testing.T) {
-	f := follow(t, 41, func(d *AgentClient) { d.patient = 200 * time.Millisecond }, "SILENT")
+func TestUnansweredRequestIsRetried(t *testing.T) {
+	f := follow(t, 41, func(d *AgentClient) { d.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
 	mute, calls := another(t)
 	f.SwitchAgent(mute)
 	<-calls
 	<-calls
-	if 2*askPushed+retryLeast > 3*time.Second {
-		t.Errorf("two calls in vain take %v each", askPushed)
+	if 2*pushedFirstByteTimeout+minBackoff > 3*time.Second {
+		t.Errorf("two calls in vain take %v each", pushedFirstByteTimeout)
 	}
 }
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestAMembersFileIsFollowed(t *testing.T) {
+func TestFileSourceFollowsReplacedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
 	h := listen(t, holding, func(k *MemberCache, d func(ListUpdate), f func(), l *slog.Logger) *PollingSource {
 		return FileSource(path, k, d, f, l)
@@ -126,7 +126,7 @@
 }
 
 // A file that is written over in place, twice within one tick of its time stamp and to the same length.
-func TestAFileWrittenTwiceAtOnceIsReadAgain(t *testing.T) {
+func TestFileRewrittenWithinMtimeGranularityIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
 	at := time.Now()
 	write := func(n int) {
@@ -137,24 +137,24 @@
 			t.Fatal(err)
 		}
 	}
-	w := watched{path: path}
+	w := filePoller{path: path}
 	write(1)
-	if a, err := w.ask(t.Context()); err != nil || a.members[0].Addr != "10.0.0.1:80" {
+	if a, err := w.poll(t.Context()); err != nil || a.members[0].Addr != "10.0.0.1:80" {
 		t.Fatal(a, err)
 	}
 	write(2)
-	if a, err := w.ask(t.Context()); err != nil || a.same || a.members[0].Addr != "10.0.0.2:80" {
+	if a, err := w.poll(t.Context()); err != nil || a.isUnchanged || a.members[0].Addr != "10.0.0.2:80" {
 		t.Errorf("the second writing went unseen: %+v, %v", a, err)
 	}
 	at = at.Add(-time.Minute)
 	write(3)
-	w.ask(t.Context())
-	if a, err := w.ask(t.Context()); err != nil || !a.same {
+	w.poll(t.Context())
+	if a, err := w.poll(t.Context()); err != nil || !a.isUnchanged {
 		t.Errorf("a file that stands is read again and again: %+v, %v", a, err)
 	}
 }
 
-func TestMemberFiles(t *testing.T) {
+func TestParseMemberFileRejectsBadFiles(t *testing.T) {
 	entry := func(i int) string { return fmt.Sprintf(`{"address":"10.%d.%d.%d:80"}`, i>>16, i>>8&255, i&255) }
 	var many []string
 	for i := range 100_000 {
@@ -187,7 +187,7 @@
 	if err := os.WriteFile(path, make([]byte, 50<<20), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := (&watched{path: path}).ask(t.Context()); err == nil || !strings.Contains(err.Error(), "longer than") {
+	if _, err := (&filePoller{path: path}).poll(t.Context()); err == nil || !strings.Contains(err.Error(), "longer than") {
 		t.Errorf("50 MB: %v", err)
 	}
 }
@@ -218,7 +218,7 @@
 	})
 }
 
-func TestAddressesAreFollowed(t *testing.T) {
+func TestDNSSourceFollowsAddressRecords(t *testing.T) {
 	d := newDNS(t)
 	d.Set("web.example", a("127.0.0.1", 0), a("127.0.0.2", 60), a("::1", 60))
 	d.Go(fake.DNSWell, 100*time.Millisecond) // slow
@@ -228,7 +228,7 @@
 	h.expect(t, "127.0.0.2:80")
 }
 
-func TestServicesAreFollowed(t *testing.T) {
+func TestDNSSourceFollowsSRVRecords(t *testing.T) {
 	d := newDNS(t)
 	d.Set("one.example", a("127.0.0.1", 60))
 	d.Set("alias.example", fake.DNSRecord{Alias: "one.example", TTL: 60})
@@ -242,7 +242,7 @@
 	h.expect(t, "127.0.0.1:81", "127.0.0.1:82")
 }
 
-func TestAThousandAddressesComeOverTCP(t *testing.T) {
+func TestThousandAddressesAreReadOverTCP(t *testing.T) {
 	d := newDNS(t)
 	var records []fake.DNSRecord
 	var want []string
@@ -260,7 +260,7 @@
 }
 
 // Whatever goes wrong, the list stands, and is followed again once the server is well.
-func TestAFaultyServerLeavesTheListStanding(t *testing.T) {
+func TestDNSFaultKeepsLastList(t *testing.T) {
 	for name, fault := range map[string]fake.DNSFault{"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage,
 		"cut": fake.DNSCut, "truncated": fake.DNSTruncated, "empty": fake.DNSEmpty} {
 		t.Run(name, func(t *testing.T) {
@@ -286,7 +286,7 @@
 }
 
 // Names that lead in a circle, or nowhere, end.
-func TestAliasesInACircleEnd(t *testing.T) {
+func TestAliasLoopEnds(t *testing.T) {
 	d := newDNS(t)
 	d.Set("web.example", fake.DNSRecord{Alias: "b.example"})
 	d.Set("b.example", fake.DNSRecord{Alias: "web.example"})
@@ -297,7 +297,7 @@
 }
 
 // A server that says nothing is given up, and a source that is left does not wait for it.
-func TestASilentServerIsNotWaitedForAtTheEnd(t *testing.T) {
+func TestRunEndsWhileDNSServerIsSilent(t *testing.T) {
 	d := newDNS(t)
 	d.Go(fake.DNSSilent, 0)
 	s := DNSSource(quick(d), NewMemberCache(holding), func(m ListUpdate) { t.Errorf("heard %+v", m) }, func() {}, slog.New(slog.DiscardHandler))
@@ -314,7 +314,7 @@
 	testpeer.Until(t, "the resolver's own goroutines end", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
 }
 
-func TestTheShortestTimeToLiveCounts(t *testing.T) {
+func TestShortestTTLOfResponseCounts(t *testing.T) {
 	message := func(ttls ...uint32) []byte {
 		m := dnsmessage.Message{Header: dnsmessage.Header{Response: true}}
 		for _, ttl := range ttls {
@@ -344,7 +344,7 @@
 		}
 	}
 	// Over TCP the message comes in pieces behind its length.
-	d := &dns{ttl: -1}
+	d := &dnsPoller{shortestTTL: -1}
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	framed := append(binary.BigEndian.AppendUint16(nil, uint16(len(message(60, 7)))), message(60, 7)...)
@@ -354,19 +354,19 @@
 		}
 		theirs.Close()
 	}()
-	tap := &tcpTap{Conn: ours, d: d}
+	tap := &tcpTTLConn{Conn: ours, poller: d}
 	b := make([]byte, 100)
 	for {
 		if _, err := tap.Read(b); err != nil {
 			break
 		}
 	}
-	if d.ttl != 7*time.Second {
-		t.Errorf("over TCP: %v", d.ttl)
+	if d.shortestTTL != 7*time.Second {
+		t.Errorf("over TCP: %v", d.shortestTTL)
 	}
 }
 
-func TestNames(t *testing.T) {
+func TestIsDNSName(t *testing.T) {
 	for name, want := range map[string]bool{"a": true, "_http._tcp.a-b.example.": true, "": false, ".": false, "a..b": false, "a b": false,
 		strings.Repeat("x", 64): false, strings.Repeat("x.", 130): false, "caf\u00e9": false} {
 		if IsDNSName(name) != want {
@@ -388,8 +388,8 @@
 	})
 }
 
-// FuzzDNSAnswers has the standard resolver read whatever a server may say, through the tap.
-func FuzzDNSAnswers(f *testing.F) {
+// FuzzDNSResponses has the standard resolver read whatever a server may say, through the tap.
+func FuzzDNSResponses(f *testing.F) {
 	f.Add([]byte("\x81\x80\x00\x01\x00\x01\x00\x00\x00\x00"), uint8(3))
 	f.Fuzz(func(t *testing.T, tail []byte, step uint8) {
 		server, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -414,11 +414,11 @@
 			}
 		}()
 		o := DNSOptions{Name: "a.example", Port: 1, Server: server.LocalAddr().String(), Service: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute}
-		d := &dns{o: o, retry: time.Second}
+		d := &dnsPoller{options: o, retryDelay: time.Second}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		if a, err := d.ask(ctx); err == nil && (a.next < time.Second || a.next > time.Minute) {
-			t.Errorf("asks again after %v", a.next)
+		if a, err := d.poll(ctx); err == nil && (a.nextPollIn < time.Second || a.nextPollIn > time.Minute) {
+			t.Errorf("asks again after %v", a.nextPollIn)
 		}
 	})
 }
--- /dev/null
+++ b/internal/discovery/dnsttl.go
@@ -0,0 +1,78 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"errors"
+	"net"
+	"time"
+
+	"golang.org/x/net/dns/dnsmessage"
+)
+
+// maxTCPFrameBytes is the size of the longest DNS message over TCP, with the two bytes of its length (RFC 1035, 4.2.2).
+const maxTCPFrameBytes = 2 + 65535
+
+// udpTTLConn records the times to live of the messages read from it. It embeds the concrete type since the resolver frames messages
+// by whether the connection is a net.PacketConn.
+type udpTTLConn struct {
+	*net.UDPConn
+	poller *dnsPoller
+}
+
+// Read implements net.Conn.
+func (c *udpTTLConn) Read(b []byte) (int, error) {
+	n, err := c.UDPConn.Read(b)
+	if err == nil {
+		c.poller.recordTTL(b[:n])
+	}
+	return n, err
+}
+
+// tcpTTLConn records the time to live of the message read from it. The resolver reads one message per connection.
+type tcpTTLConn struct {
+	net.Conn
+	poller  *dnsPoller
+	partial []byte // of the message that is being read, with its length
+}
+
+// Read implements net.Conn.
+func (c *tcpTTLConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if len(c.partial)+n <= maxTCPFrameBytes {
+		c.partial = append(c.partial, b[:n]...)
+	}
+	if len(c.partial) >= 2 {
+		if end := 2 + int(binary.BigEndian.Uint16(c.partial)); len(c.partial) >= end {
+			c.poller.recordTTL(c.partial[2:end])
+			c.partial = c.partial[end:]
+		}
+	}
+	return n, err
+}
+
+// shortestTTL returns the shortest time to live of the records in a message's answer section (RFC 1035, 4.1.3). ok is false if the
+// section is empty or the message is malformed.
+func shortestTTL(message []byte) (ttl time.Duration, ok bool) {
+	var parser dnsmessage.Parser
+	header, err := parser.Start(message)
+	if err != nil || !header.Response || parser.SkipAllQuestions() != nil {
+		return 0, false
+	}
+	for {
+		record, err := parser.AnswerHeader()
+		if err != nil {
+			return ttl, ok && errors.Is(err, dnsmessage.ErrSectionDone)
+		}
+		// A value with the highest bit set counts as zero (RFC 2181, 8).
+		seconds := record.TTL
+		if seconds > 1<<31-1 {
+			seconds = 0
+		}
+		if d := time.Duration(seconds) * time.Second; !ok || d < ttl {
+			ttl, ok = d, true
+		}
+		if parser.SkipAnswer() != nil {
+			return 0, false
+		}
+	}
+}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	filePoll   = 200 * time.Millisecond // with the reading well within the 500 ms for news of a member that drains
-	fileMost   = 16 << 20               // bytes; 100,000 members of 100 bytes and some room
-	MaxMembers = 100_000                // of one source
-	// A file changed again within the clock tick of its time stamp looks unchanged: while the stamp is this young, it is
-	// read again.
-	freshStamp = time.Second
+	// filePollInterval and the time to read the file together stay well within the 500 ms in which a draining member must be noticed.
+	filePollInterval = 200 * time.Millisecond
+	// maxFileBytes holds MaxMembers entries of about 100 bytes, and more.
+	maxFileBytes = 16 << 20
+	// mtimeGranularity bounds the clock tick of modification times: a file that changes twice within one tick looks unchanged, so
+	// while its modification time is this young it is read again.
+	mtimeGranularity = time.Second
 )
 
-var errNobody = errors.New("nobody is listed")
-
-// FileSource is a source that reads a file of members, and again whenever it changes or is replaced. ParseMemberFile gives its form.
-func FileSource(path string, k *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-	w := watched{path: path}
-	return newPolled("members file "+path, k, w.ask, deliver, failed, log)
+// FileSource makes a source that reads a members file, and reads it again whenever it changes or is replaced. ParseMemberFile
+// documents its format. deliver and failed are called by Run and PollOnce.
+func FileSource(path string, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+	p := filePoller{path: path}
+	return newPollingSource("members file "+path, cache, p.poll, deliver, failed, log)
 }
 
-// watched remembers what a file looked like when it was read.
-type watched struct {
-	path   string
-	read   os.FileInfo // nil: it could not be read
-	readAt time.Time
-	known  bool
+// filePoller remembers what a file looked like when it was read last.
+type filePoller struct {
+	path       string
+	hasStat    bool // lastInfo is set
+	lastInfo   os.FileInfo
+	lastReadAt time.Time
 }
 
-func (w *watched) ask(context.Context) (answer, error) {
-	a := answer{next: filePoll}
-	info, err := os.Stat(w.path)
+func (p *filePoller) poll(context.Context) (pollResult, error) {
+	result := pollResult{nextPollIn: filePollInterval}
+	info, err := os.Stat(p.path)
 	if err != nil {
-		w.read, w.known = nil, false
-		return a, err
+		p.lastInfo, p.hasStat = nil, false
+		return result, err
 	}
-	if w.known && w.unchanged(info) {
-		a.same = true
-		return a, nil
+	if p.hasStat && p.isUnchanged(info) {
+		result.isUnchanged = true
+		return result, nil
 	}
-	w.read, w.readAt, w.known = info, time.Now(), true
-	text, err := readBounded(w.path)
+	p.lastInfo, p.lastReadAt, p.hasStat = info, time.Now(), true
+	text, err := readBounded(p.path)
 	if err != nil {
-		return a, err
+		return result, err
 	}
-	a.members, err = ParseMemberFile(text)
-	return a, err
+	result.members, err = ParseMemberFile(text)
+	return result, err
 }
 
-func (w *watched) unchanged(info os.FileInfo) bool {
-	return os.SameFile(info, w.read) && info.Size() == w.read.Size() && info.ModTime().Equal(w.read.ModTime()) &&
-		w.readAt.Sub(info.ModTime()) > freshStamp
+func (p *filePoller) isUnchanged(info os.FileInfo) bool {
+	return os.SameFile(info, p.lastInfo) && info.Size() == p.lastInfo.Size() && info.ModTime().Equal(p.lastInfo.ModTime()) &&
+		p.lastReadAt.Sub(info.ModTime()) > mtimeGranularity
 }
 
 func readBounded(path string) ([]byte, error) {
@@ -69,34 +69,68 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, fileMost+1))
-	if err == nil && len(text) > fileMost {
-		err = fmt.Errorf("longer than %d bytes", fileMost)
+	defer func() { _ = f.Close() }() // it was only read
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
+		err = fmt.Errorf("longer than %d bytes", maxFileBytes)
 	}
 	return text, err
 }
 
-// ParseMemberFile reads a file of members:
+// memberEntry is a member in a members file.
+type memberEntry struct {
+	ID      string `json:"id"`
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+	Kind    string `json:"kind"`
+	State   string `json:"state"`
+	Cell    int    `json:"cell"`
+}
+
+// ParseMemberFile decodes and checks a members file:
 //
 //	{"format": 1, "members": [{"id": "a", "address": "host:port", "zone": "", "kind": "", "cell": 0, "state": "ready"}]}
 //
-// An id left out is the address, a state left out is ready; the other is draining. The form is JSON since a file cut
-// anywhere is not a whole one. One bad entry spoils the file.
+// A missing id is the address, and a missing state is ready; the other state is draining. The format is JSON since a JSON object that
+// is cut off anywhere does not parse. One bad entry rejects the file: the error names the entry and its field.
 func ParseMemberFile(text []byte) ([]endpointset.Member, error) {
+	entries, err := decodeMemberFile(text)
+	if err != nil {
+		return nil, err
+	}
+	members, ids := make([]endpointset.Member, 0, len(entries)), make(map[string]bool, len(entries))
+	for i, e := range entries {
+		if err := CheckAddress("address", e.Address); err != nil {
+			return nil, fmt.Errorf("members[%d].%w", i, err)
+		}
+		if e.ID == "" {
+			e.ID = e.Address
+		}
+		switch {
+		case ids[e.ID]:
+			return nil, fmt.Errorf("members[%d].id: %.80q is listed twice", i, e.ID)
+		case e.State != "" && e.State != "ready" && e.State != "draining":
+			return nil, fmt.Errorf("members[%d].state: %.80q is neither ready nor draining", i, e.State)
+		}
+		ids[e.ID] = true
+		members = append(members, endpointset.Member{
+			ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Draining: e.State == "draining",
+		})
+	}
+	return members, nil
+}
+
+func decodeMemberFile(text []byte) ([]memberEntry, error) {
 	var file struct {
-		Format  int `json:"format"`
-		Members []struct {
-			ID, Address, Zone, Kind, State string
-			Cell                           int
-		} `json:"members"`
+		Format  int           `json:"format"`
+		Members []memberEntry `json:"members"`
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&file); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
 		return nil, err
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("something stands behind the list")
 	}
 	if file.Format != 1 {
@@ -105,22 +139,5 @@
 	if len(file.Members) > MaxMembers {
 		return nil, fmt.Errorf("members: over %d", MaxMembers)
 	}
-	members, ids := make([]endpointset.Member, 0, len(file.Members)), make(map[string]bool, len(file.Members))
-	for i, m := range file.Members {
-		if err := CheckAddress("address", m.Address); err != nil {
-			return nil, fmt.Errorf("members[%d].%w", i, err)
-		}
-		if m.ID == "" {
-			m.ID = m.Address
-		}
-		switch {
-		case ids[m.ID]:
-			return nil, fmt.Errorf("members[%d].id: %.80q is listed twice", i, m.ID)
-		case m.State != "" && m.State != "ready" && m.State != "draining":
-			return nil, fmt.Errorf("members[%d].state: %.80q is neither ready nor draining", i, m.State)
-		}
-		ids[m.ID] = true
-		members = append(members, endpointset.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Draining: m.State == "draining"})
-	}
-	return members, nil
+	return file.Members, nil
 }
--- a/internal/discovery/messagereader.go
+++ b/internal/discovery/messagereader.go
@@ -7,58 +7,62 @@
 	"time"
 )
 
-// pieces is what comes from discovery, on its way to who reads its messages. It keeps the watchdog: a message that has begun must go
-// on as soon as a first word has to come, and end as soon as a watch has to breathe. Empty lines between messages are breaths, and go
-// no further.
-type pieces struct {
+// maxMessageBytes bounds a message of the agent: a complete list, or one update of a watch.
+const maxMessageBytes = 4 << 20
+
+var errMessageTooLong = fmt.Errorf("%w: it is too long", errMalformed)
+
+// messageReader reads a response of the agent for the decoder of its messages, and resets the watchdog that cancels the request. A
+// message that has begun must make progress within the first byte timeout and end within the idle timeout. Empty lines between
+// messages are heartbeats, and are not passed to the decoder.
+type messageReader struct {
 	io.Reader
-	d        *AgentClient
-	watchdog *time.Timer
-	spoke    bool      // something has come
-	halfway  bool      // a message has begun and not ended
-	began    time.Time // the present message
-	size     int       // bytes of it
+	client           *AgentClient
+	watchdog         *time.Timer
+	hasReceived      bool // a byte, be it of a heartbeat
+	isMidMessage     bool
+	messageStartedAt time.Time
+	messageBytes     int // of the present message, so far
 }
 
-var errTooLong = fmt.Errorf("%w: it is too long", errMalformed)
-
 // Read implements io.Reader.
-func (p *pieces) Read(b []byte) (int, error) {
+func (r *messageReader) Read(b []byte) (int, error) {
 	for {
-		n, err := p.Reader.Read(b)
-		p.spoke = p.spoke || n > 0
+		n, err := r.Reader.Read(b)
+		r.hasReceived = r.hasReceived || n > 0
 		switch {
-		case p.halfway || len(bytes.TrimSpace(b[:n])) > 0:
-			if long := p.goesOn(n); long != nil {
-				return n, long
+		case r.isMidMessage || len(bytes.TrimSpace(b[:n])) > 0:
+			if err := r.extendMessage(n); err != nil {
+				return n, err
 			}
 			return n, err
 		case err != nil:
 			return 0, err
 		}
-		p.watchdog.Reset(p.d.silence)
+		r.watchdog.Reset(r.client.idleTimeout)
 	}
 }
 
-// goesOn takes note of so many bytes more of a message.
-func (p *pieces) goesOn(n int) error {
-	if !p.halfway {
-		p.halfway, p.began, p.size = true, time.Now(), 0
+// extendMessage counts n further bytes of the present message, or the first ones of the next.
+func (r *messageReader) extendMessage(n int) error {
+	if !r.isMidMessage {
+		r.isMidMessage, r.messageStartedAt, r.messageBytes = true, time.Now(), 0
 	}
-	if p.size += n; p.size > maxList {
-		return errTooLong
+	if r.messageBytes += n; r.messageBytes > maxMessageBytes {
+		return errMessageTooLong
 	}
 	if n > 0 {
-		p.watchdog.Reset(min(p.d.patient, p.d.silence-time.Since(p.began)))
+		r.watchdog.Reset(min(r.client.firstByteTimeout, r.client.idleTimeout-time.Since(r.messageStartedAt)))
 	}
 	return nil
 }
 
-// ended takes note of a message's end, and of what came behind it.
-func (p *pieces) ended(behind io.Reader) {
-	p.halfway = false
-	p.watchdog.Reset(p.d.silence)
-	if rest, _ := io.ReadAll(behind); len(bytes.TrimSpace(rest)) > 0 { // a buffer's reader has no other error
-		_ = p.goesOn(len(rest)) // it has been read, so it is bounded
+// endMessage notes the end of a message. buffered is what the decoder has read beyond it: it may begin the next message.
+func (r *messageReader) endMessage(buffered io.Reader) {
+	r.isMidMessage = false
+	r.watchdog.Reset(r.client.idleTimeout)
+	rest, _ := io.ReadAll(buffered) // reading from the decoder's buffer cannot fail
+	if len(bytes.TrimSpace(rest)) > 0 {
+		_ = r.extendMessage(len(rest)) // cannot exceed the bound: the buffer's bytes were counted when they were read
 	}
 }
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"time"
 
@@ -9,172 +10,154 @@
 	"tuliprock/internal/endpointset"
 )
 
-// Source tells who is there. Run delivers until ctx ends: members are ready, draining or gone, and an ask that failed is
-// told as such. Subscribe asks at once, for sources that tell nothing otherwise; it does not block.
-type Source interface {
-	Run(ctx context.Context)
-	Subscribe()
-}
-
-var (
-	_ Source = (*AgentClient)(nil)
-	_ Source = (*PollingSource)(nil)
-)
-
-// answer is what an ask brought.
-type answer struct {
-	members []endpointset.Member
-	same    bool          // nothing has changed since the ask before
-	next    time.Duration // when to ask again; 0: never
-}
-
-// PollingSource is a source that is asked again and again: a fixed list, a file, DNS. What it hears goes through a Keeper.
+// PollingSource is a Source that is polled: a fixed list, a file, or DNS. What a poll returns goes through an endpointset.Set, and
+// each update is the complete list of endpoints in force. Only Subscribe may be called while Run runs.
 type PollingSource struct {
-	what    string // for the log
-	ask     func(context.Context) (answer, error)
-	keeper  *endpointset.Set
-	deliver func(ListUpdate)
-	failed  func()
-	log     *slog.Logger
-
-	began   time.Time // of the keeper's clock
-	asked   chan struct{}
-	spokeAt time.Time
-	mended  bool // the failure that was logged is over
+	name      string // for the log
+	poll      func(context.Context) (pollResult, error)
+	endpoints *endpointset.Set
+	epoch     time.Time // zero of the instants in endpoints
+	deliver   func(ListUpdate)
+	onFailure func()
+	log       *slog.Logger
+
+	pollRequests chan struct{} // capacity 1: a Subscribe not yet served
+	lastLoggedAt time.Time
+	isHealthy    bool // the last poll listed members, or no failure was logged since one did
 }
 
-// MemberCache is what a pool remembers of its members beyond the life of one source.
-type MemberCache struct {
-	keeper *endpointset.Set
-	began  time.Time
+// pollResult is what one poll returned.
+type pollResult struct {
+	members     []endpointset.Member
+	isUnchanged bool          // since the poll before; members is not set then
+	nextPollIn  time.Duration // 0: no further poll is due
 }
 
-// NewMemberCache makes a Keeper.
-func NewMemberCache(o endpointset.Options) *MemberCache {
-	// The clock starts above zero, for a member that came at 0 counts as one that was there before.
-	return &MemberCache{endpointset.New(o), time.Now().Add(-time.Second)}
-}
+// errNoMembers is logged where a poll succeeds and lists no members.
+var errNoMembers = errors.New("nobody is listed")
 
-// SetOptions changes the options for what is heard from now on. No source with this Keeper may run.
-func (k *MemberCache) SetOptions(o endpointset.Options) { k.keeper.SetOptions(o) }
-
-// newPolled makes a Polled. deliver takes each list that differs from the one before, whole; failed takes failed asks.
-// Of all that share a Keeper one at most may run.
-func newPolled(what string, k *MemberCache, ask func(context.Context) (answer, error), deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-	return &PollingSource{what: what, ask: ask, keeper: k.keeper, began: k.began, deliver: deliver, failed: failed, log: log,
-		asked: make(chan struct{}, 1), mended: true}
+// newPollingSource makes a PollingSource. deliver takes each complete list that differs from the one before; onFailure takes each
+// failed poll. At most one of the sources that share a MemberCache may run.
+func newPollingSource(name string, cache *MemberCache, poll func(context.Context) (pollResult, error), deliver func(ListUpdate),
+	onFailure func(), log *slog.Logger) *PollingSource {
+	return &PollingSource{
+		name: name, poll: poll, endpoints: cache.endpoints, epoch: cache.epoch, deliver: deliver, onFailure: onFailure, log: log,
+		pollRequests: make(chan struct{}, 1), isHealthy: true,
+	}
 }
 
-// StaticSource is a source that knows its members.
-func StaticSource(members []endpointset.Member, k *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-	return newPolled("members", k, func(context.Context) (answer, error) { return answer{members: members}, nil }, deliver, failed, log)
+// StaticSource makes a source of a fixed list of members. deliver and failed are called by Run and PollOnce.
+func StaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+	poll := func(context.Context) (pollResult, error) { return pollResult{members: members}, nil }
+	return newPollingSource("members", cache, poll, deliver, failed, log)
 }
 
-// Subscribe implements Source.
-func (p *PollingSource) Subscribe() {
+// Subscribe implements Source: it requests a poll. It does not block.
+func (s *PollingSource) Subscribe() {
 	select {
-	case p.asked <- struct{}{}:
+	case s.pollRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run implements Source.
-func (p *PollingSource) Run(ctx context.Context) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	var askAt time.Time // zero: never again, unless asked
-	next := p.PollOnce(ctx)
+// Run implements Source. It polls at once, then whenever a poll is due or requested.
+func (s *PollingSource) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	nextPollIn := s.PollOnce(ctx)
 	for ctx.Err() == nil {
-		if askAt = (time.Time{}); next > 0 {
-			askAt = time.Now().Add(next)
+		var nextPollAt time.Time // zero: only a request brings a further poll
+		if nextPollIn > 0 {
+			nextPollAt = time.Now().Add(nextPollIn)
 		}
-		if !p.wait(ctx, alarm, askAt) {
+		if !s.waitForNextPoll(ctx, timer, nextPollAt) {
 			return
 		}
-		next = p.PollOnce(ctx)
+		nextPollIn = s.PollOnce(ctx)
 	}
 }
 
-// wait passes the time until the next ask; it is false if ctx ends before.
-func (p *PollingSource) wait(ctx context.Context, alarm *time.Timer, askAt time.Time) bool {
-	const idle = time.Hour // nothing is due
+// waitForNextPoll waits until a poll is due or requested, and delivers the lists that change meanwhile by time alone. It returns
+// false if ctx ends before.
+func (s *PollingSource) waitForNextPoll(ctx context.Context, timer *time.Timer, nextPollAt time.Time) bool {
+	const idleWait = time.Hour // nothing is due
 	for {
-		left := idle
-		if !askAt.IsZero() {
-			left = time.Until(askAt)
+		wait := idleWait
+		if !nextPollAt.IsZero() {
+			wait = time.Until(nextPollAt)
 		}
-		if due, ok := p.keeper.NextChange(); ok {
-			left = min(left, due-time.Since(p.began))
+		if due, ok := s.endpoints.NextChange(); ok {
+			wait = min(wait, due-time.Since(s.epoch))
 		}
-		alarm.Reset(max(left, 0))
+		timer.Reset(max(wait, 0))
 		select {
 		case <-ctx.Done():
 			return false
-		case <-p.asked:
+		case <-s.pollRequests:
 			return true
-		case <-alarm.C:
+		case <-timer.C:
 		}
-		if !askAt.IsZero() && !time.Now().Before(askAt) {
+		if !nextPollAt.IsZero() && !time.Now().Before(nextPollAt) {
 			return true
 		}
-		if due, ok := p.keeper.NextChange(); ok && time.Since(p.began) >= due && p.keeper.Tick(time.Since(p.began)) {
-			p.tell()
+		if due, ok := s.endpoints.NextChange(); ok && time.Since(s.epoch) >= due && s.endpoints.Tick(time.Since(s.epoch)) {
+			s.deliverEndpoints()
 		}
 	}
 }
 
-// PollOnce asks one time, tells what has changed, and gives the time until the next ask (0: never). Run does it from its
-// start on; before, it may be called to have the first list at once.
-func (p *PollingSource) PollOnce(ctx context.Context) (next time.Duration) {
-	a, err := p.ask(ctx)
-	now := time.Since(p.began)
+// PollOnce polls one time, delivers the list if it has changed, and returns the time until the next poll (0: none is due). Run calls
+// it from its start on; before, the owner may call it to have the first list at once.
+func (s *PollingSource) PollOnce(ctx context.Context) (nextPollIn time.Duration) {
+	result, err := s.poll(ctx)
+	now := time.Since(s.epoch)
 	switch {
 	case ctx.Err() != nil:
 		return 0
-	case a.same:
-		return a.next
+	case result.isUnchanged:
+		return result.nextPollIn
 	case err != nil:
-		p.complain(err)
-		p.failed()
-		if p.keeper.HandleFailure(now) {
-			p.tell()
+		s.logFailure(err)
+		s.onFailure()
+		if s.endpoints.HandleFailure(now) {
+			s.deliverEndpoints()
 		}
-		return a.next
+		return result.nextPollIn
 	}
-	if len(a.members) == 0 {
-		p.complain(errNobody)
-	} else if !p.mended {
-		p.mended, p.spokeAt = true, time.Time{}
-		p.log.Info(p.what+" answers again", "members", len(a.members))
+	if len(result.members) == 0 {
+		s.logFailure(errNoMembers)
+	} else if !s.isHealthy {
+		s.isHealthy, s.lastLoggedAt = true, time.Time{}
+		s.log.Info("discovery source recovered", "source", s.name, "members", len(result.members))
 	}
-	if p.keeper.HandleList(now, a.members) {
-		p.tell()
+	if s.endpoints.HandleList(now, result.members) {
+		s.deliverEndpoints()
 	}
-	return a.next
+	return result.nextPollIn
 }
 
-// complain logs, but not more often than of use.
-func (p *PollingSource) complain(err error) {
-	p.mended = false
-	if time.Since(p.spokeAt) > complainGap {
-		p.spokeAt = time.Now()
-		p.log.Warn(p.what+": the list stands as it was", "err", err)
+// logFailure logs a poll that failed or listed no members, at most once in logInterval.
+func (s *PollingSource) logFailure(err error) {
+	s.isHealthy = false
+	if time.Since(s.lastLoggedAt) > logInterval {
+		s.lastLoggedAt = time.Now()
+		s.log.Warn("discovery poll failed", "source", s.name, "error", err)
 	}
 }
 
-// tell delivers the whole list in force.
-func (p *PollingSource) tell() {
-	list := p.keeper.Endpoints()
-	m := ListUpdate{Full: true, Servers: make([]Member, 0, len(list))}
-	for _, l := range list {
-		s := Member{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: balance.Ready}
-		if l.Draining {
-			s.State = balance.Draining
+// deliverEndpoints delivers the complete list in force.
+func (s *PollingSource) deliverEndpoints() {
+	endpoints := s.endpoints.Endpoints()
+	update := ListUpdate{Full: true, Servers: make([]Member, 0, len(endpoints))}
+	for _, e := range endpoints {
+		m := Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: balance.Ready}
+		if e.Draining {
+			m.State = balance.Draining
 		}
-		if l.Since > 0 {
-			s.StartedMs = p.began.Add(l.Since).UnixMilli()
+		if e.Since > 0 {
+			m.StartedMs = s.epoch.Add(e.Since).UnixMilli()
 		}
-		m.Servers = append(m.Servers, s)
+		update.Servers = append(update.Servers, m)
 	}
-	p.deliver(m)
+	s.deliver(update)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -89,7 +89,7 @@
 
 // What a watch misses that has fallen silent is heard within the 6 s after which it counts as told, though the next two calls meet
 // silence, too: whether they are accepted and say nothing, or open a watch that says nothing.
-func TestWhatASilentWatchMissesIsHeardInTime(t *testing.T) {
+func TestUpdateMissedBySilentWatchArrivesInTime(t *testing.T) {
 	const silentFrom = 10 * time.Second
 	for name, mute := range map[string]func(io.Writer){"calls that meet silence": func(io.Writer) {}, "watches that open and say nothing": open} {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 
 // An agent that is silent for long answers the calls that wait when it returns, and what it tells then counts at once: one always
 // waits, but for a short gap.
-func TestDiscoverysReturnIsHeardAtOnce(t *testing.T) {
+func TestUpdateArrivesAtOnceWhenAgentReturns(t *testing.T) {
 	const down = 5 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		up := down + time.Duration(rapid.IntRange(int(5*time.Second), int(60*time.Second)).Draw(rt, "down for"))
@@ -130,14 +130,14 @@
 			open(w)
 			say(w, testpeer.Members(8, false)+"\n")
 		})
-		if len(s.at) == 0 || s.at[0] < up || s.at[0]-up > 2*retryLeast {
+		if len(s.at) == 0 || s.at[0] < up || s.at[0]-up > 2*minBackoff {
 			rt.Fatalf("down until %v, heard after %v", up, s.at)
 		}
 	})
 }
 
 // A watch that says nothing while nothing has changed, but breathes, is kept: after one list it is taken for what it is.
-func TestAWatchThatOnlyBreathesIsKept(t *testing.T) {
+func TestWatchWithOnlyHeartbeatsIsKept(t *testing.T) {
 	s := play(t, 50*time.Second, func(s *scripted, w io.Writer, query string, n int) {
 		if query == "" {
 			whole(w, testpeer.Members(8, true))
@@ -154,12 +154,12 @@
 
 // A message that begins and does not end is spoilt, whether it stops or goes on for ever: the whole list is asked for at once, and
 // not when the watch falls silent.
-func TestAMessageThatDoesNotEndStartsAnew(t *testing.T) {
+func TestUnfinishedMessageRefetchesList(t *testing.T) {
 	const part = 64 << 10
 	for name, c := range map[string]struct {
 		more  int
 		heard time.Duration // within it: who was told off there would get no more
-	}{"it stops": {0, 500 * time.Millisecond}, "it goes on for ever": {2 * maxList / part, askPushed - 1}} {
+	}{"it stops": {0, 500 * time.Millisecond}, "it goes on for ever": {2 * maxMessageBytes / part, pushedFirstByteTimeout - 1}} {
 		t.Run(name, func(t *testing.T) {
 			s := play(t, c.heard, func(s *scripted, w io.Writer, query string, n int) {
 				if query == "" {
@@ -188,7 +188,7 @@
 
 // Lists may come indented, and in pieces: a watch cut at every byte says the same, as does one of single bytes, and no list has to be
 // asked for.
-func TestAWatchCutAtEveryByte(t *testing.T) {
+func TestWatchSplitAtEveryByteReadsTheSame(t *testing.T) {
 	stream := "\n" + indented + "\n\n" + testpeer.Members(9, false, testpeer.Member("b", "127.0.0.1:2", "Terminating")) + "\r\n" + indented + testpeer.Members(10, false) + "\n\n"
 	for cut := range len(stream) {
 		parts := []string{stream[:cut], stream[cut:]}
@@ -208,7 +208,7 @@
 }
 
 // The same over a socket: an indented list, and a change.
-func TestAnIndentedListIsTakenFromAWatch(t *testing.T) {
+func TestWatchReadsIndentedList(t *testing.T) {
 	f := follow(t, 7, nil, indented+testpeer.Members(9, false)+"\nSILENT")
 	f.expectVersions(t, 8, 9)
 	f.expectCalls(t, "watch=1&after=7")
