--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -8,23 +8,25 @@
 	"testing"
 	"time"
 
-	"tuliprock/balance"
 	"tuliprock/internal/testkit/testpeer"
 )
 
-type followed struct {
+// clientFixture is an AgentClient that runs against a scripted agent until the test ends.
+type clientFixture struct {
 	*AgentClient
-	got      chan ListUpdate
+	updates  chan ListUpdate
 	failures chan bool
-	calls    chan string
+	queries  chan string // that the agent received
 }
 
-func follow(t *testing.T, version int64, change func(*AgentClient), steps ...string) *followed {
-	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
-	addr := serveDiscovery(t, s)
-	f := &followed{got: make(chan ListUpdate, 100), failures: make(chan bool, 100), calls: s.Calls}
+// startClient runs a client that knows the list at version. change, unless nil, is called before Run. The agent responds to each
+// request with the next step.
+func startClient(t *testing.T, version int64, change func(*AgentClient), steps ...string) *clientFixture {
+	t.Helper()
+	addr, queries := serveScript(t, steps...)
+	f := &clientFixture{updates: make(chan ListUpdate, 100), failures: make(chan bool, 100), queries: queries}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
-	f.Deliver, f.Failed = func(m ListUpdate) { f.got <- m }, func() { f.failures <- true }
+	f.Deliver, f.Failed = func(m ListUpdate) { f.updates <- m }, func() { f.failures <- true }
 	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
 	if change != nil {
 		change(f.AgentClient)
@@ -34,50 +36,67 @@
 	return f
 }
 
-func (f *followed) expectCalls(t *testing.T, queries ...string) {
+// serveScript runs an agent that responds to each request with the next step, and sends nothing once there is none.
+func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
+	t.Helper()
+	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	return serveHandler(t, s), s.Calls
+}
+
+func serveHandler(t *testing.T, h http.Handler) (addr string) {
+	t.Helper()
+	server := httptest.NewServer(h)
+	t.Cleanup(func() {
+		server.CloseClientConnections() // a watch may still be open
+		server.Close()
+	})
+	return server.Listener.Addr().String()
+}
+
+func (f *clientFixture) expectQueries(t *testing.T, queries ...string) {
 	t.Helper()
 	for _, want := range queries {
 		select {
-		case got := <-f.calls:
+		case got := <-f.queries:
 			if got != want {
-				t.Errorf("asked %q, want %q", got, want)
+				t.Errorf("query %q, want %q", got, want)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatalf("never asked %q", want)
+			t.Fatalf("query %q was not received", want)
 		}
 	}
 }
 
-func (f *followed) expectVersions(t *testing.T, versions ...int64) {
+func (f *clientFixture) expectVersions(t *testing.T, versions ...int64) {
 	t.Helper()
 	for _, want := range versions {
 		select {
-		case m := <-f.got:
-			if *m.Version != want {
-				t.Errorf("version %d, want %d", *m.Version, want)
+		case update := <-f.updates:
+			if *update.Version != want {
+				t.Errorf("version %d, want %d", *update.Version, want)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatalf("version %d never came", want)
+			t.Fatalf("version %d was not delivered", want)
 		}
 	}
 }
 
 func TestLostWatchResumesAfterLastVersion(t *testing.T) {
-	f := follow(t, 41, nil,
+	f := startClient(t, 41, nil,
 		"\n"+testpeer.Members(43, false, testpeer.Member("a", "127.0.0.1:1", "Terminating"))+"\n\n"+testpeer.Members(44, false)+"\n",
 		testpeer.Members(50, true, testpeer.Member("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
 	f.expectVersions(t, 43, 44, 50)
-	f.expectCalls(t, "watch=1&after=41", "watch=1&after=44")
+	f.expectQueries(t, "watch=1&after=41", "watch=1&after=44")
 }
 
 func TestSilentWatchIsReopened(t *testing.T) {
-	f := follow(t, 7, func(d *AgentClient) { d.idleTimeout = 200 * time.Millisecond },
+	f := startClient(t, 7, func(c *AgentClient) { c.idleTimeout = 200 * time.Millisecond },
 		"\nSILENT", testpeer.Members(8, false)+"\nSILENT")
-	f.expectCalls(t, "watch=1&after=7", "watch=1&after=7")
+	f.expectQueries(t, "watch=1&after=7", "watch=1&after=7")
 	f.expectVersions(t, 8)
 }
 
-// After what can't be read something may be missing: the whole list is asked for, and the old one stands.
+// After a malformed message an update may have been missed: the complete list is fetched, and the old one remains in force.
 func TestMalformedMessageRefetchesList(t *testing.T) {
 	for name, line := range map[string]string{
 		"no JSON":          "{nonsense",
@@ -90,77 +109,51 @@
 		"an older version": testpeer.Members(40, false),
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := follow(t, 41, nil, line+"\n", testpeer.Members(60, true), testpeer.Members(61, false)+"\nSILENT")
+			f := startClient(t, 41, nil, line+"\n", testpeer.Members(60, true), testpeer.Members(61, false)+"\nSILENT")
 			f.expectVersions(t, 60, 61)
-			f.expectCalls(t, "watch=1&after=41", "", "watch=1&after=60")
+			f.expectQueries(t, "watch=1&after=41", "", "watch=1&after=60")
 		})
 	}
 }
 
-func TestWatchEndIsReportedWhenSubscriptionRequired(t *testing.T) {
-	f := follow(t, 41, func(d *AgentClient) { d.mustSubscribe = true }, testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
+func TestWatchEndIsReportedWhenSubscriptionIsRequired(t *testing.T) {
+	f := startClient(t, 41, func(c *AgentClient) { c.mustSubscribe = true },
+		testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
 	f.Subscribe()
 	f.expectVersions(t, 42)
 	<-f.failures
 	f.Subscribe()
 	f.expectVersions(t, 43)
-	f.expectCalls(t, "watch=1&after=41", "watch=1&after=42")
-}
-
-func TestParseListUpdateReadsAllFields(t *testing.T) {
-	m, err := ParseListUpdate([]byte(testpeer.Members(3, true, testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := m.Servers[0]
-	if *m.Version != 3 || !m.Full || a.ID != "a" || a.Addr != "127.0.0.1:1" || a.Zone != "z" || a.Kind != "k" || a.Cell != 3 ||
-		a.State != balance.Ready || m.Servers[1].State != balance.Gone {
-		t.Errorf("%+v", m)
-	}
-}
-
-// another is a further discovery to move to.
-func another(t *testing.T, steps ...string) (addr string, calls chan string) {
-	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
-	return serveDiscovery(t, s), s.Calls
-}
-
-func serveDiscovery(t *testing.T, h http.Handler) (addr string) {
-	server := httptest.NewServer(h)
-	t.Cleanup(func() {
-		server.CloseClientConnections() // a watch may still be open
-		server.Close()
-	})
-	return server.Listener.Addr().String()
+	f.expectQueries(t, "watch=1&after=41", "watch=1&after=42")
 }
 
-// The old watch must end at once, and the new address be asked for all: its versions say nothing of what was missed.
+// The old watch ends at once, and the complete list is fetched from the new agent, whose versions do not tell what was missed.
 func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
-	for name, onAsk := range map[string]bool{"pushed": false, "asked": true} {
+	for name, mustSubscribe := range map[string]bool{"pushed": false, "subscribed": true} {
 		t.Run(name, func(t *testing.T) {
-			f := follow(t, 41, func(d *AgentClient) { d.mustSubscribe = onAsk; d.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
+			f := startClient(t, 41, func(c *AgentClient) { c.mustSubscribe = mustSubscribe; c.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
 			f.expectVersions(t, 42)
-			addr, calls := another(t, testpeer.Members(7, true), testpeer.Members(8, false)+"\nSILENT")
+			addr, queries := serveScript(t, testpeer.Members(7, true), testpeer.Members(8, false)+"\nSILENT")
 			f.SwitchAgent(addr)
 			f.expectVersions(t, 7, 8)
-			f.calls = calls
-			f.expectCalls(t, "", "watch=1&after=7")
+			f.queries = queries
+			f.expectQueries(t, "", "watch=1&after=7")
 			if len(f.failures) > 0 {
-				t.Error("a move passed for a failure")
+				t.Error("the switch was reported as a failure")
 			}
 		})
 	}
 }
 
-// Moves may come before the last one is done, to an address that says nothing, or to the same.
+// A switch may come before the previous one is made, lead to an agent that sends nothing, or to the present one.
 func TestLastOfManySwitchesWins(t *testing.T) {
-	f := follow(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
+	f := startClient(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
-	mute, heard := another(t)
-	f.SwitchAgent(mute)
-	<-heard
+	silent, silentQueries := serveScript(t)
+	f.SwitchAgent(silent)
+	<-silentQueries
 	watched := make(chan bool, 100)
-	addr := serveDiscovery(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	addr := serveHandler(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, testpeer.Members(7, true))
 			return
@@ -169,7 +162,7 @@
 		<-r.Context().Done()
 	}))
 	for range 3 {
-		f.SwitchAgent(mute)
+		f.SwitchAgent(silent)
 		f.SwitchAgent(addr)
 	}
 	f.expectVersions(t, 7)
@@ -178,14 +171,14 @@
 	<-watched
 }
 
-// All has to be told again within 4 s of a move, though the first call meets silence.
+// The complete list must arrive within 4 s of a switch, though the first request gets no response.
 func TestUnansweredRequestIsRetried(t *testing.T) {
-	f := follow(t, 41, func(d *AgentClient) { d.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
-	mute, calls := another(t)
-	f.SwitchAgent(mute)
-	<-calls
-	<-calls
+	f := startClient(t, 41, func(c *AgentClient) { c.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
+	silent, queries := serveScript(t)
+	f.SwitchAgent(silent)
+	<-queries
+	<-queries
 	if 2*pushedFirstByteTimeout+minBackoff > 3*time.Second {
-		t.Errorf("two calls in vain take %v each", pushedFirstByteTimeout)
+		t.Errorf("two requests without a response take %v each", pushedFirstByteTimeout)
 	}
 }
--- /dev/null
+++ b/internal/discovery/file_test.go
@@ -0,0 +1,128 @@
+package discovery
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// replaceFile replaces the file at path atomically.
+func replaceFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestFileSourceFollowsReplacedFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "members.json")
+	f := startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+		return FileSource(path, cache, deliver, failed, log)
+	})
+	f.expectFailure(t) // there is no file yet
+	replaceFile(t, path, `{"format":1,"members":[{"address":"10.0.0.1:80"},{"id":"b","address":"10.0.0.2:80","zone":"z","cell":2}]}`)
+	f.expectList(t, "10.0.0.1:80", "10.0.0.2:80")
+	replaceFile(t, path, `{"format":1,"members":[{"address":"10.0.0.1:80","state":"draining"},{"id":"b","address":"10.0.0.2:80"}]}`)
+	f.expectList(t, "10.0.0.1:80 draining", "10.0.0.2:80")
+	for _, bad := range []string{`{"format":1,"members":[{"address":"10.0.0.`, `{"format":1,"members":[]}`, ""} {
+		replaceFile(t, path, bad)
+		if bad != "" && strings.HasSuffix(bad, "[]}") {
+			continue // a valid file that lists no members is no failure
+		}
+		f.expectFailure(t)
+	}
+	f.expectNoUpdate(t)
+	replaceFile(t, path, `{"format":1,"members":[{"id":"b","address":"10.0.0.3:80"}]}`) // the same id at a new address
+	f.expectList(t, "10.0.0.3:80")
+}
+
+// The file is overwritten in place, twice within the granularity of its modification time and to the same length.
+func TestFileRewrittenWithinMtimeGranularityIsReadAgain(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "members.json")
+	mtime := time.Now()
+	write := func(n int) {
+		t.Helper()
+		if err := os.WriteFile(path, fmt.Appendf(nil, `{"format":1,"members":[{"address":"10.0.0.%d:80"}]}`, n), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Chtimes(path, mtime, mtime); err != nil {
+			t.Fatal(err)
+		}
+	}
+	p := filePoller{path: path}
+	write(1)
+	if result, err := p.poll(t.Context()); err != nil || result.members[0].Addr != "10.0.0.1:80" {
+		t.Fatal(result, err)
+	}
+	write(2)
+	if result, err := p.poll(t.Context()); err != nil || result.isUnchanged || result.members[0].Addr != "10.0.0.2:80" {
+		t.Errorf("the second version of the file was not read: %+v, %v", result, err)
+	}
+	mtime = mtime.Add(-time.Minute)
+	write(3)
+	if _, err := p.poll(t.Context()); err != nil {
+		t.Error(err)
+	}
+	if result, err := p.poll(t.Context()); err != nil || !result.isUnchanged {
+		t.Errorf("an unchanged file was read again: %+v, %v", result, err)
+	}
+}
+
+func TestParseMemberFileRejectsBadFiles(t *testing.T) {
+	entry := func(i int) string { return fmt.Sprintf(`{"address":"10.%d.%d.%d:80"}`, i>>16, i>>8&255, i&255) }
+	var most []string
+	for i := range 100_000 {
+		most = append(most, entry(i))
+	}
+	fileOf := func(entries ...string) string { return `{"format":1,"members":[` + strings.Join(entries, ",") + `]}` }
+	if members, err := ParseMemberFile([]byte(fileOf(most...))); err != nil || len(members) != 100_000 {
+		t.Errorf("100,000 members: %d, %v", len(members), err)
+	}
+	good := fileOf(entry(1), entry(2))
+	for cut := range len(good) {
+		if _, err := ParseMemberFile([]byte(good[:cut])); err == nil {
+			t.Fatalf("a file cut off at %d is accepted: %s", cut, good[:cut])
+		}
+	}
+	for text, want := range map[string]string{
+		fileOf(append(most, entry(100_000))...): "members: over 100000",
+		fileOf(entry(1), entry(1)):              `members[1].id: "10.0.0.1:80" is listed twice`,
+		fileOf(`{"address":"here"}`):            "members[0].address",
+		fileOf(`{"address":"h:1","state":"x"}`): `members[0].state: "x"`,
+		fileOf(`{"addr":"h:1"}`):                "unknown field",
+		good + "{}":                             "behind the list",
+		`{"members":[]}`:                        "format: 0 is not 1",
+	} {
+		if _, err := ParseMemberFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%.60s: %v, want %s", text, err, want)
+		}
+	}
+	path := filepath.Join(t.TempDir(), "huge.json")
+	if err := os.WriteFile(path, make([]byte, 50<<20), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := (&filePoller{path: path}).poll(t.Context()); err == nil || !strings.Contains(err.Error(), "longer than") {
+		t.Errorf("50 MB: %v", err)
+	}
+}
+
+func FuzzMemberFile(f *testing.F) {
+	f.Add([]byte(`{"format":1,"members":[{"id":"a","address":"h:1","zone":"","kind":"","cell":0,"state":"ready"}]}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		members, err := ParseMemberFile(text)
+		ids := map[string]bool{}
+		for _, m := range members {
+			if err != nil || m.ID == "" || ids[m.ID] || CheckAddress("", m.Addr) != nil {
+				t.Errorf("member %+v, error %v", m, err)
+			}
+			ids[m.ID] = true
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/update_test.go
@@ -0,0 +1,21 @@
+package discovery
+
+import (
+	"testing"
+
+	"tuliprock/balance"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+func TestParseListUpdateReadsAllFields(t *testing.T) {
+	update, err := ParseListUpdate([]byte(testpeer.Members(3, true,
+		testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := update.Servers[0]
+	if *update.Version != 3 || !update.Full || a.ID != "a" || a.Addr != "127.0.0.1:1" || a.Zone != "z" || a.Kind != "k" || a.Cell != 3 ||
+		a.State != balance.Ready || update.Servers[1].State != balance.Gone {
+		t.Errorf("%+v", update)
+	}
+}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,28 +19,35 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// scripted is an agent in virtual time, whose calls are answered by a function on a goroutine each.
-type scripted struct {
-	serve func(s *scripted, w io.Writer, query string, n int)
-	mu    sync.Mutex
-	calls []string // guarded by mu, until all wait
-	heard []int64
-	at    []time.Duration // of heard, since began
-	began time.Time
+// serveFunc writes the response to the agent's nth request, counted from 1.
+type serveFunc func(agent *scriptedAgent, w io.Writer, query string, n int)
+
+// scriptedAgent is an agent in virtual time. serve is called on a goroutine of its own for each request.
+type scriptedAgent struct {
+	serve      serveFunc
+	startedAt  time.Time
+	mu         sync.Mutex
+	queries    []string        // guarded by mu until the client has ended
+	versions   []int64         // that the client delivered
+	receivedAt []time.Duration // the instant of each version, since startedAt
 }
 
-// play follows a scripted agent for so long, and gives it as it is then.
-func play(t *testing.T, d time.Duration, serve func(s *scripted, w io.Writer, query string, n int)) (s *scripted) {
+// runScript runs a client, which knows the list at version 7, against a scripted agent for d, and returns the agent as it is then.
+func runScript(t *testing.T, d time.Duration, serve serveFunc) (agent *scriptedAgent) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		version := int64(7)
-		s = &scripted{serve: serve, began: time.Now()}
+		agent = &scriptedAgent{serve: serve, startedAt: time.Now()}
 		client := NewAgentClient("agent:1", &version, false, slog.New(slog.DiscardHandler))
-		client.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-			here, there := net.Pipe()
-			go s.conn(there)
-			return here, nil
-		}}}
-		client.Deliver = func(m ListUpdate) { s.heard, s.at = append(s.heard, *m.Version), append(s.at, time.Since(s.began)) }
+		dial := func(context.Context, string, string) (net.Conn, error) {
+			clientConn, agentConn := net.Pipe()
+			go agent.serveConn(agentConn)
+			return clientConn, nil
+		}
+		client.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
+		client.Deliver = func(update ListUpdate) {
+			agent.versions, agent.receivedAt = append(agent.versions, *update.Version), append(agent.receivedAt, agent.elapsed())
+		}
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); client.Run(ctx) }()
@@ -50,166 +57,177 @@
 		<-ended
 		time.Sleep(2 * time.Minute) // virtual: the agent's goroutines end
 	})
-	return s
+	return agent
 }
 
-func (s *scripted) conn(nc net.Conn) {
-	defer nc.Close()
-	in := bufio.NewReader(nc)
-	r, err := http.ReadRequest(in)
+func (a *scriptedAgent) serveConn(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return
 	}
-	s.mu.Lock()
-	s.calls = append(s.calls, r.URL.RawQuery)
-	n := len(s.calls)
-	s.mu.Unlock()
-	s.serve(s, nc, r.URL.RawQuery, n)
-	_, _ = in.ReadByte() // the caller's end
+	a.mu.Lock()
+	a.queries = append(a.queries, r.URL.RawQuery)
+	n := len(a.queries)
+	a.mu.Unlock()
+	a.serve(a, conn, r.URL.RawQuery, n)
+	_, _ = reader.ReadByte() // blocks until the client closes the connection
 }
 
-// open begins an answer that stays open; say writes a part of it.
-func open(w io.Writer) { io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") }
+func (a *scriptedAgent) elapsed() time.Duration { return time.Since(a.startedAt) }
 
-func say(w io.Writer, text string) { fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
+// sendHeartbeats keeps a watch alive. The last heartbeat is sent at the instant until.
+func (a *scriptedAgent) sendHeartbeats(w io.Writer, until time.Duration) {
+	for a.elapsed() <= until {
+		writeChunk(w, "\n")
+		time.Sleep(min(2*time.Second, until-a.elapsed()+1)) // virtual
+	}
+}
 
-func whole(w io.Writer, text string) {
-	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+// openStream writes the header of a chunked response, writeChunk a part of its body, and writeResponse a complete response. Their
+// errors are ignored, since the client closes a connection whenever it gives up a response.
+func openStream(w io.Writer) {
+	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-func (s *scripted) sinceBegan() time.Duration { return time.Since(s.began) }
+func writeChunk(w io.Writer, text string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
 
-// breathe keeps a watch alive; its last breath is at the instant given.
-func (s *scripted) breathe(w io.Writer, until time.Duration) {
-	for s.sinceBegan() <= until {
-		say(w, "\n")
-		time.Sleep(min(2*time.Second, until-s.sinceBegan()+1)) // virtual
-	}
+func writeResponse(w io.Writer, text string) {
+	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// What a watch misses that has fallen silent is heard within the 6 s after which it counts as told, though the next two calls meet
-// silence, too: whether they are accepted and say nothing, or open a watch that says nothing.
+// An update that a silent watch misses arrives within the 6 s after which it counts as received, though the next two requests meet
+// silence, too: whether they are accepted and get no response, or open a watch that sends nothing.
 func TestUpdateMissedBySilentWatchArrivesInTime(t *testing.T) {
 	const silentFrom = 10 * time.Second
-	for name, mute := range map[string]func(io.Writer){"calls that meet silence": func(io.Writer) {}, "watches that open and say nothing": open} {
+	for name, serveSilently := range map[string]func(io.Writer){
+		"requests without a response":        func(io.Writer) {},
+		"watches that open and send nothing": openStream,
+	} {
 		t.Run(name, func(t *testing.T) {
-			s := play(t, silentFrom+6*time.Second, func(s *scripted, w io.Writer, query string, n int) {
+			agent := runScript(t, silentFrom+6*time.Second, func(agent *scriptedAgent, w io.Writer, query string, n int) {
 				switch {
 				case n == 1:
-					open(w)
-					s.breathe(w, silentFrom)
+					openStream(w)
+					agent.sendHeartbeats(w, silentFrom)
 				case n < 4:
-					mute(w)
+					serveSilently(w)
 				case query == "":
-					whole(w, testpeer.Members(8, true))
+					writeResponse(w, testpeer.Members(8, true))
 				default:
-					open(w)
-					say(w, testpeer.Members(8, false)+"\n")
+					openStream(w)
+					writeChunk(w, testpeer.Members(8, false)+"\n")
 				}
 			})
-			if len(s.heard) == 0 {
-				t.Errorf("nothing was heard 6 s after the silence began, calls %q", s.calls)
+			if len(agent.versions) == 0 {
+				t.Errorf("no update 6 s after the silence began, queries %q", agent.queries)
 			}
 		})
 	}
 }
 
-// An agent that is silent for long answers the calls that wait when it returns, and what it tells then counts at once: one always
-// waits, but for a short gap.
+// An agent that is silent for long answers the requests that wait when it returns, and its updates then count as received at once:
+// except for a short backoff, one request always waits.
 func TestUpdateArrivesAtOnceWhenAgentReturns(t *testing.T) {
-	const down = 5 * time.Second
+	const downAt = 5 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
-		up := down + time.Duration(rapid.IntRange(int(5*time.Second), int(60*time.Second)).Draw(rt, "down for"))
-		s := play(t, up+2*time.Second, func(s *scripted, w io.Writer, _ string, n int) {
+		upAt := downAt + time.Duration(rapid.IntRange(int(5*time.Second), int(60*time.Second)).Draw(rt, "down for"))
+		agent := runScript(t, upAt+2*time.Second, func(agent *scriptedAgent, w io.Writer, _ string, n int) {
 			if n == 1 {
-				open(w)
-				s.breathe(w, down)
+				openStream(w)
+				agent.sendHeartbeats(w, downAt)
 				return
 			}
-			time.Sleep(max(up-s.sinceBegan(), 0)) // virtual
-			open(w)
-			say(w, testpeer.Members(8, false)+"\n")
+			time.Sleep(max(upAt-agent.elapsed(), 0)) // virtual
+			openStream(w)
+			writeChunk(w, testpeer.Members(8, false)+"\n")
 		})
-		if len(s.at) == 0 || s.at[0] < up || s.at[0]-up > 2*minBackoff {
-			rt.Fatalf("down until %v, heard after %v", up, s.at)
+		if len(agent.receivedAt) == 0 || agent.receivedAt[0] < upAt || agent.receivedAt[0]-upAt > 2*minBackoff {
+			rt.Fatalf("down until %v, updates received after %v", upAt, agent.receivedAt)
 		}
 	})
 }
 
-// A watch that says nothing while nothing has changed, but breathes, is kept: after one list it is taken for what it is.
+// A watch that sends only heartbeats while nothing changes is kept, after the complete list was fetched once.
 func TestWatchWithOnlyHeartbeatsIsKept(t *testing.T) {
-	s := play(t, 50*time.Second, func(s *scripted, w io.Writer, query string, n int) {
+	agent := runScript(t, 50*time.Second, func(agent *scriptedAgent, w io.Writer, query string, _ int) {
 		if query == "" {
-			whole(w, testpeer.Members(8, true))
+			writeResponse(w, testpeer.Members(8, true))
 			return
 		}
-		open(w)
+		openStream(w)
 		time.Sleep(2 * time.Second) // virtual
-		s.breathe(w, time.Minute)
+		agent.sendHeartbeats(w, time.Minute)
 	})
-	if want := []string{"watch=1&after=7", "", "watch=1&after=8"}; fmt.Sprint(s.calls) != fmt.Sprint(want) {
-		t.Errorf("calls %q, want %q", s.calls, want)
+	if want := []string{"watch=1&after=7", "", "watch=1&after=8"}; fmt.Sprint(agent.queries) != fmt.Sprint(want) {
+		t.Errorf("queries %q, want %q", agent.queries, want)
 	}
 }
 
-// A message that begins and does not end is spoilt, whether it stops or goes on for ever: the whole list is asked for at once, and
-// not when the watch falls silent.
+// A message that begins and does not end is malformed, whether it stops or never ends: the complete list is fetched at once, and not
+// when the watch has been silent.
 func TestUnfinishedMessageRefetchesList(t *testing.T) {
-	const part = 64 << 10
+	const chunkBytes = 64 << 10
 	for name, c := range map[string]struct {
-		more  int
-		heard time.Duration // within it: who was told off there would get no more
-	}{"it stops": {0, 500 * time.Millisecond}, "it goes on for ever": {2 * maxMessageBytes / part, pushedFirstByteTimeout - 1}} {
+		furtherChunks int
+		within        time.Duration // for an update delivered later would come after the draining member was used
+	}{
+		"it stops":        {0, 500 * time.Millisecond},
+		"it is unbounded": {2 * maxMessageBytes / chunkBytes, pushedFirstByteTimeout - 1},
+	} {
 		t.Run(name, func(t *testing.T) {
-			s := play(t, c.heard, func(s *scripted, w io.Writer, query string, n int) {
+			agent := runScript(t, c.within, func(agent *scriptedAgent, w io.Writer, query string, n int) {
 				if query == "" {
-					whole(w, testpeer.Members(9, true))
+					writeResponse(w, testpeer.Members(9, true))
 					return
 				}
-				open(w)
+				openStream(w)
 				if n > 1 {
-					s.breathe(w, time.Minute)
+					agent.sendHeartbeats(w, time.Minute)
 					return
 				}
-				say(w, "\n")
-				say(w, `{"version":8,"full":false,"servers":[`+"\n")
-				for range c.more {
-					say(w, strings.Repeat(" ", part))
+				writeChunk(w, "\n")
+				writeChunk(w, `{"version":8,"full":false,"servers":[`+"\n")
+				for range c.furtherChunks {
+					writeChunk(w, strings.Repeat(" ", chunkBytes))
 				}
 			})
-			if len(s.heard) != 1 || s.heard[0] != 9 {
-				t.Errorf("heard %v, calls %q", s.heard, s.calls)
+			if len(agent.versions) != 1 || agent.versions[0] != 9 {
+				t.Errorf("versions %v, queries %q", agent.versions, agent.queries)
 			}
 		})
 	}
 }
 
-const indented = "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a } \\\" {\",\n      \"addr\": \"127.0.0.1:1\",\n      \"state\": \"Ready\"\n    }\n  ]\n}\n"
-
-// Lists may come indented, and in pieces: a watch cut at every byte says the same, as does one of single bytes, and no list has to be
-// asked for.
-func TestWatchSplitAtEveryByteReadsTheSame(t *testing.T) {
-	stream := "\n" + indented + "\n\n" + testpeer.Members(9, false, testpeer.Member("b", "127.0.0.1:2", "Terminating")) + "\r\n" + indented + testpeer.Members(10, false) + "\n\n"
-	for cut := range len(stream) {
-		parts := []string{stream[:cut], stream[cut:]}
-		if cut == 0 {
+const indentedList = "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a } \\\" {\",\n" +
+	"      \"addr\": \"127.0.0.1:1\",\n      \"state\": \"Ready\"\n    }\n  ]\n}\n"
+
+// Lists may be indented and arrive in parts: a watch split at any byte, or into single bytes, delivers the same updates, and the
+// complete list need not be fetched.
+func TestWatchSplitAtEveryByteDeliversTheSameUpdates(t *testing.T) {
+	stream := "\n" + indentedList + "\n\n" + testpeer.Members(9, false, testpeer.Member("b", "127.0.0.1:2", "Terminating")) + "\r\n" +
+		indentedList + testpeer.Members(10, false) + "\n\n"
+	for splitAt := range len(stream) {
+		parts := []string{stream[:splitAt], stream[splitAt:]}
+		if splitAt == 0 {
 			parts = strings.Split(stream, "")
 		}
-		s := play(t, time.Second, func(s *scripted, w io.Writer, _ string, _ int) {
-			open(w)
+		agent := runScript(t, time.Second, func(_ *scriptedAgent, w io.Writer, _ string, _ int) {
+			openStream(w)
 			for _, part := range parts {
-				say(w, part)
+				writeChunk(w, part)
 			}
 		})
-		if fmt.Sprint(s.heard) != "[8 9 8 10]" || len(s.calls) != 1 {
-			t.Errorf("cut at %d: heard %v, calls %q", cut, s.heard, s.calls)
+		if fmt.Sprint(agent.versions) != "[8 9 8 10]" || len(agent.queries) != 1 {
+			t.Errorf("split at %d: versions %v, queries %q", splitAt, agent.versions, agent.queries)
 		}
 	}
 }
 
 // The same over a socket: an indented list, and a change.
 func TestWatchReadsIndentedList(t *testing.T) {
-	f := follow(t, 7, nil, indented+testpeer.Members(9, false)+"\nSILENT")
+	f := startClient(t, 7, nil, indentedList+testpeer.Members(9, false)+"\nSILENT")
 	f.expectVersions(t, 8, 9)
-	f.expectCalls(t, "watch=1&after=7")
+	f.expectQueries(t, "watch=1&after=7")
 }
