--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -1,11 +1,13 @@
-// Package endpointset decides which members of a pool are in force, from what a source says of them. It is pure: answers
-// and instants in, a list out, no I/O, clock or goroutine.
+// Package endpointset keeps the set of a pool's endpoints in force, from the lists that a discovery source returns. It is pure: lists
+// and instants go in, the endpoints in force come out, and there is no I/O, clock or goroutine. A Set is owned by its caller.
 //
-// A member that an answer does not list any more leaves at once. What is slow is the other way: an empty or failed
-// answer is not believed for a while, and a member that comes and goes must be listed steadily before it counts again.
+// A member that a list no longer has leaves at once. The other direction is slow: an empty or failed response takes effect only after
+// Options.Hold (the set is held meanwhile), and a member that flaps must be listed steadily before it is admitted again (flap
+// damping, see Options.Damp). While a member is listed as ready, one that is ready is in force.
 package endpointset
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
@@ -20,205 +22,147 @@
 // Endpoint is a member in force.
 type Endpoint struct {
 	Member
-	Since time.Duration // instant at which it came, or moved to its address; 0: it was there when the first answer came
+	// Since is the instant at which the member came, or moved to its address; 0: it was in the first list.
+	Since time.Duration
 }
 
-// Options of a Keeper. Zero values are legal: then answers are believed as they come.
+// Options of a Set. With zero values every response takes effect at once.
 type Options struct {
-	Hold time.Duration // for which an empty or failed answer is not believed, since the last good one
-	Damp time.Duration // how long a member that came back for the second time must be listed; doubled each time
+	Hold time.Duration // after the last list with members, an empty or failed response is not believed for this long
+	Damp time.Duration // a member that returns for the second time must be listed for this long; doubled each further time
 }
 
-const (
-	dampMost   = 64               // longest wait, in Damps
-	forgetFlap = 10 * time.Minute // of steadiness, after which a member's flaps are forgotten
-	mostFlaps  = 10_000           // members remembered for their flaps, beside as many as are in force
-)
-
-// Set holds the list in force. It is not safe for concurrent use. New makes one.
+// Set holds the endpoints in force. It is not safe for concurrent use. Instants are durations since an epoch of the caller's choice,
+// and must not decrease from call to call.
 type Set struct {
-	o        Options
-	began    bool              // a good answer has come
-	heard    map[string]Member // by the last answer that was believed
-	inForce  map[string]Endpoint
-	flaps    map[string]*flap
-	goodAt   time.Duration // last good answer
-	doubted  bool          // an empty or failed answer waits to be believed
-	steadyAt time.Duration // the next member withheld counts; 0: none is withheld
+	options         Options
+	hasList         bool                // a list with members has been handled
+	listed          map[string]Member   // by id, in the last list that was believed
+	inForce         map[string]Endpoint // by id
+	flaps           map[string]*flapHistory
+	lastGoodListAt  time.Duration // of the last list with members
+	isHolding       bool          // an empty or failed response came since
+	nextAdmissionAt time.Duration // of a member that is withheld; 0: none is
 }
 
-// flap is what is remembered of a member that went.
-type flap struct {
-	times  int
-	goneAt time.Duration
-	backAt time.Duration // listed again since, if withheld
-	back   bool
-}
-
-// New makes a Keeper that knows of nobody.
+// New makes an empty Set.
 func New(o Options) *Set {
-	return &Set{o: o, heard: map[string]Member{}, inForce: map[string]Endpoint{}, flaps: map[string]*flap{}}
+	return &Set{options: o, listed: map[string]Member{}, inForce: map[string]Endpoint{}, flaps: map[string]*flapHistory{}}
 }
 
-// SetOptions changes the options.
-func (k *Set) SetOptions(o Options) { k.o = o }
+// SetOptions changes the options for the calls that follow.
+func (s *Set) SetOptions(o Options) { s.options = o }
 
-// HandleList takes a whole answer and tells whether the list in force has changed. Of members with the same id the first counts.
-func (k *Set) HandleList(now time.Duration, members []Member) (changed bool) {
+// HandleList takes a complete list, and reports whether the endpoints in force have changed. Of members with the same id the first
+// counts. An empty list is handled as a failure.
+func (s *Set) HandleList(now time.Duration, members []Member) (changed bool) {
 	if len(members) == 0 {
-		return k.HandleFailure(now)
+		return s.HandleFailure(now)
 	}
-	heard := make(map[string]Member, len(members))
+	listed := make(map[string]Member, len(members))
 	for _, m := range members {
-		if _, twice := heard[m.ID]; !twice {
-			heard[m.ID] = m
+		if _, isDuplicate := listed[m.ID]; !isDuplicate {
+			listed[m.ID] = m
 		}
 	}
-	k.goodAt, k.doubted = now, false
-	for id := range k.heard {
-		if _, stays := heard[id]; !stays {
-			k.went(now, id)
+	s.lastGoodListAt, s.isHolding = now, false
+	for id := range s.listed {
+		if _, isListed := listed[id]; !isListed {
+			s.recordDeparture(now, id)
 		}
 	}
-	k.heard = heard
-	changed = k.settle(now)
-	k.began = true
+	s.listed = listed
+	changed = s.refresh(now)
+	s.hasList = true
 	return changed
 }
 
-// HandleFailure takes an empty or failed answer and tells whether the list in force has changed: it has where the time for
-// which such an answer is doubted is over.
-func (k *Set) HandleFailure(now time.Duration) (changed bool) {
-	k.doubted = true
-	if now < k.goodAt+k.o.Hold || len(k.inForce) == 0 {
+// HandleFailure takes an empty or failed response, and reports whether the endpoints in force have changed: once Options.Hold is over
+// none is left.
+func (s *Set) HandleFailure(now time.Duration) (changed bool) {
+	s.isHolding = true
+	if now < s.lastGoodListAt+s.options.Hold || len(s.inForce) == 0 {
 		return false
 	}
-	clear(k.heard)
-	return k.settle(now)
+	clear(s.listed)
+	return s.refresh(now)
 }
 
-// NextChange is the next instant at which time alone may change the list; ok is false if there is none.
-func (k *Set) NextChange() (at time.Duration, ok bool) {
-	if k.steadyAt > 0 {
-		at, ok = k.steadyAt, true
+// NextChange returns the next instant at which time alone may change the endpoints in force; ok is false if there is none. The caller
+// then calls Tick.
+func (s *Set) NextChange() (at time.Duration, ok bool) {
+	if s.nextAdmissionAt > 0 {
+		at, ok = s.nextAdmissionAt, true
 	}
-	if end := k.goodAt + k.o.Hold; k.doubted && len(k.inForce) > 0 && (!ok || end < at) {
-		at, ok = end, true
+	if holdEnd := s.lastGoodListAt + s.options.Hold; s.isHolding && len(s.inForce) > 0 && (!ok || holdEnd < at) {
+		at, ok = holdEnd, true
 	}
 	return at, ok
 }
 
-// Tick takes note of the time and tells whether the list in force has changed.
-func (k *Set) Tick(now time.Duration) (changed bool) {
-	if k.doubted && k.HandleFailure(now) {
+// Tick applies what is due at now, and reports whether the endpoints in force have changed.
+func (s *Set) Tick(now time.Duration) (changed bool) {
+	if s.isHolding && s.HandleFailure(now) {
 		return true
 	}
-	return k.settle(now)
-}
-
-// Endpoints is the list in force, in order of ids.
-func (k *Set) Endpoints() []Endpoint {
-	out := make([]Endpoint, 0, len(k.inForce))
-	for _, l := range k.inForce {
-		out = append(out, l)
-	}
-	slices.SortFunc(out, func(a, b Endpoint) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
-	return out
+	return s.refresh(now)
 }
 
-// went notes that a member is not listed any more.
-func (k *Set) went(now time.Duration, id string) {
-	f := k.flaps[id]
-	if f == nil || now-f.goneAt > forgetFlap {
-		k.forget(now)
-		f = &flap{}
-		k.flaps[id] = f
-	}
-	f.times++
-	f.goneAt, f.back = now, false
-}
-
-// forget keeps the memory of flaps bounded: old ones go, and all where too many are young.
-func (k *Set) forget(now time.Duration) {
-	if len(k.flaps) < mostFlaps+len(k.inForce) {
-		return
-	}
-	for id, f := range k.flaps {
-		if now-f.goneAt > forgetFlap {
-			delete(k.flaps, id)
-		}
-	}
-	if len(k.flaps) >= mostFlaps+len(k.inForce) {
-		clear(k.flaps)
-	}
-}
-
-// steady is the instant from which a member that is listed counts. One that went once comes back at once: an ordinary
-// restart is no flapping.
-func (k *Set) steady(now time.Duration, id string) time.Duration {
-	f := k.flaps[id]
-	if f == nil || f.times < 2 || now-f.goneAt > forgetFlap {
-		return now
-	}
-	if !f.back {
-		f.back, f.backAt = true, now
-	}
-	wait := dampMost * k.o.Damp
-	if n := f.times - 2; n < 6 { // 2^6 is dampMost
-		wait = k.o.Damp << n
+// Endpoints returns a copy of the endpoints in force, in order of their ids.
+func (s *Set) Endpoints() []Endpoint {
+	endpoints := make([]Endpoint, 0, len(s.inForce))
+	for _, e := range s.inForce {
+		endpoints = append(endpoints, e)
 	}
-	return f.backAt + wait
+	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	return endpoints
 }
 
-// settle brings the list in force to what was heard, less those withheld, and tells whether that changed it. Those
-// withheld count all the same where nobody else would be left to serve.
-func (k *Set) settle(now time.Duration) (changed bool) {
-	for id := range k.inForce {
-		if _, listed := k.heard[id]; !listed {
-			delete(k.inForce, id)
+// refresh brings the endpoints in force to the members listed, without those withheld, and reports whether that changed them. The
+// members withheld are admitted all the same where no ready member would be left.
+func (s *Set) refresh(now time.Duration) (changed bool) {
+	for id := range s.inForce {
+		if _, isListed := s.listed[id]; !isListed {
+			delete(s.inForce, id)
 			changed = true
 		}
 	}
-	k.steadyAt = 0
+	s.nextAdmissionAt = 0
 	var withheld []Member
-	serving := false
-	for id, m := range k.heard {
-		was, there := k.inForce[id]
-		if !there {
-			if at := k.steady(now, id); at > now {
+	hasReady := false
+	for id, m := range s.listed {
+		if _, isInForce := s.inForce[id]; !isInForce {
+			if at := s.admissionAt(now, id); at > now {
 				withheld = append(withheld, m)
-				if k.steadyAt == 0 || at < k.steadyAt {
-					k.steadyAt = at
+				if s.nextAdmissionAt == 0 || at < s.nextAdmissionAt {
+					s.nextAdmissionAt = at
 				}
 				continue
 			}
 		}
-		serving = serving || !m.Draining
-		changed = k.admit(now, was, there, m) || changed
+		hasReady = hasReady || !m.Draining
+		changed = s.admit(now, m) || changed
 	}
-	if !serving && len(withheld) > 0 {
+	if !hasReady && len(withheld) > 0 {
 		for _, m := range withheld {
-			k.admit(now, Endpoint{}, false, m)
+			s.admit(now, m)
 		}
-		k.steadyAt, changed = 0, true
+		s.nextAdmissionAt, changed = 0, true
 	}
 	return changed
 }
 
-// admit puts a member in force as it is listed now. One at a new address is another machine, or one started anew.
-func (k *Set) admit(now time.Duration, was Endpoint, there bool, m Member) (changed bool) {
-	if there && was.Member == m {
+// admit puts a member in force as it is listed now, and reports whether that is a change. A member at a new address is another
+// machine, or a process that was started anew: its Since begins again.
+func (s *Set) admit(now time.Duration, m Member) (changed bool) {
+	before, wasInForce := s.inForce[m.ID]
+	if wasInForce && before.Member == m {
 		return false
 	}
-	l := Endpoint{Member: m, Since: was.Since}
-	if k.began && (!there || was.Addr != m.Addr) {
-		l.Since = now
+	e := Endpoint{Member: m, Since: before.Since}
+	if s.hasList && (!wasInForce || before.Addr != m.Addr) {
+		e.Since = now
 	}
-	k.inForce[m.ID] = l
+	s.inForce[m.ID] = e
 	return true
 }
