--- a/internal/endpointset/damping.go
+++ b/internal/endpointset/damping.go
@@ -3,10 +3,8 @@
 import "time"
 
 const (
-	// A member's delay doubles with each departure, maxDampDoublings times at most.
+	// maxDampDoublings bounds the delay of a member that flaps: 64 times Options.Damp at most.
 	maxDampDoublings = 6
-	// maxDampFactor bounds the delay of a member that flaps, in Options.Damp.
-	maxDampFactor = 1 << maxDampDoublings
 	// flapMemory is how long after its last departure the flaps of a member are forgotten.
 	flapMemory = 10 * time.Minute
 	// maxRememberedFlaps bounds the members remembered for their flaps, in addition to as many as are in force.
--- a/internal/endpointset/damping_test.go
+++ b/internal/endpointset/damping_test.go
@@ -37,7 +37,7 @@
 	for range 20 {
 		flap()
 	}
-	if at, _ := set.NextChange(); at != now+maxDampFactor*time.Second {
+	if at, _ := set.NextChange(); at != now+64*time.Second {
 		t.Errorf("the longest delay is %v", at-now)
 	}
 	now += flapMemory + time.Second
