--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -74,15 +74,15 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return dir(path), nil
+	return osDir(path), nil
 }
 
-type dir string
+type osDir string
 
-func (d dir) path(name string) string { return filepath.Join(string(d), name) }
+func (d osDir) path(name string) string { return filepath.Join(string(d), name) }
 
 // List implements FS.
-func (d dir) List() ([]string, error) {
+func (d osDir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
@@ -96,10 +96,10 @@
 	return out, nil
 }
 
-type file struct{ *os.File }
+type osFile struct{ *os.File }
 
 // Size implements File.
-func (f file) Size() (int64, error) {
+func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
 		return 0, err
@@ -108,29 +108,29 @@
 }
 
 // Open implements FS.
-func (d dir) Open(name string) (File, error) { return d.open(name, os.O_RDWR|os.O_APPEND) }
+func (d osDir) Open(name string) (File, error) { return d.open(name, os.O_RDWR|os.O_APPEND) }
 
 // Create implements FS.
-func (d dir) Create(name string) (File, error) {
+func (d osDir) Create(name string) (File, error) {
 	return d.open(name, os.O_RDWR|os.O_APPEND|os.O_CREATE|os.O_TRUNC)
 }
 
-func (d dir) open(name string, how int) (File, error) {
+func (d osDir) open(name string, how int) (File, error) {
 	f, err := os.OpenFile(d.path(name), how, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return file{f}, nil
+	return osFile{f}, nil
 }
 
 // Rename implements FS.
-func (d dir) Rename(old, new string) error { return os.Rename(d.path(old), d.path(new)) }
+func (d osDir) Rename(old, new string) error { return os.Rename(d.path(old), d.path(new)) }
 
 // Remove implements FS.
-func (d dir) Remove(name string) error { return os.Remove(d.path(name)) }
+func (d osDir) Remove(name string) error { return os.Remove(d.path(name)) }
 
 // SyncDir implements FS.
-func (d dir) SyncDir() error {
+func (d osDir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 }
 
 // Lock implements FS. The system lets go of it when the process ends, however it does.
-func (d dir) Lock() (io.Closer, error) {
+func (d osDir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -206,7 +206,7 @@
 				l, h, err := open(d)
 				if err != nil {
 					refused++
-					if damaged := (*wal.DamagedError)(nil); !errors.As(err, &damaged) || strings.Contains(err.Error(), "\n") || damaged.File == "" {
+					if damaged := (*wal.CorruptionError)(nil); !errors.As(err, &damaged) || strings.Contains(err.Error(), "\n") || damaged.File == "" {
 						t.Fatalf("%s %s at %d: %v", name, what, at, err)
 					}
 					continue
@@ -282,7 +282,7 @@
 	if err := m.holds(h, l.Next()); err != nil {
 		t.Error(err)
 	}
-	if _, err := l.Append('t', make([]byte, wal.MostRecord+1)); err == nil {
+	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
 		t.Error("a record over the bound is taken")
 	}
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// MostSnapshot bounds a snapshot: it is held in memory while it is written and read.
-const MostSnapshot = 256 << 20
+// MaxSnapshotBytes bounds a snapshot: it is held in memory while it is written and read.
+const MaxSnapshotBytes = 256 << 20
 
 // Snap writes a snapshot that stands for all records up to an index, which must be synced, and takes out what it stands
 // for. When it returns nil the snapshot is sure to be there; when it does not, the one before is, or this one.
@@ -18,45 +18,45 @@
 		return l.failed
 	case index > l.synced || index <= l.snapshot:
 		return fmt.Errorf("a snapshot at %d: records are synced up to %d, and there is one at %d", index, l.synced, l.snapshot)
-	case len(body) > MostSnapshot:
-		return fmt.Errorf("a snapshot of %d bytes, %d are the most", len(body), MostSnapshot)
+	case len(body) > MaxSnapshotBytes:
+		return fmt.Errorf("a snapshot of %d bytes, %d are the most", len(body), MaxSnapshotBytes)
 	}
 	if err := l.writeSnapshot(index, body); err != nil {
 		return l.fail(err)
 	}
 	l.snapshot = index
-	if err := l.clean(); err != nil {
+	if err := l.removeObsolete(); err != nil {
 		return l.fail(err)
 	}
 	return nil
 }
 
 func (l *Log) writeSnapshot(index uint64, body []byte) error {
-	var trailer [trailerSize]byte
+	var trailer [snapshotTrailerBytes]byte
 	binary.LittleEndian.PutUint64(trailer[:], uint64(len(body)))
-	binary.LittleEndian.PutUint32(trailer[8:], sum(body))
-	binary.LittleEndian.PutUint32(trailer[12:], sum(trailer[:12]))
-	return Replace(l.fs, snapshotName(index), header(snapshotMagic, index), body, trailer[:])
+	binary.LittleEndian.PutUint32(trailer[8:], checksum(body))
+	binary.LittleEndian.PutUint32(trailer[12:], checksum(trailer[:12]))
+	return Replace(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
 }
 
 func (l *Log) readSnapshot(restore func(uint64, io.Reader) error) error {
 	name := snapshotName(l.snapshot)
-	f, b, err := l.readAll(name)
+	f, b, err := l.openAndRead(name)
 	if err != nil {
 		return err
 	}
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if bad := checkHeader(b, snapshotMagic, l.snapshot); bad != "" {
-		return &DamagedError{name, 0, bad}
+	if bad := checkFileHeader(b, snapshotMagic, l.snapshot); bad != "" {
+		return &CorruptionError{name, 0, bad}
 	}
-	if len(b) < headerSize+trailerSize {
-		return &DamagedError{name, int64(len(b)), "it is cut off"}
+	if len(b) < fileHeaderBytes+snapshotTrailerBytes {
+		return &CorruptionError{name, int64(len(b)), "it is cut off"}
 	}
-	body, trailer := b[headerSize:len(b)-trailerSize], b[len(b)-trailerSize:]
-	if sum(trailer[:12]) != binary.LittleEndian.Uint32(trailer[12:]) || binary.LittleEndian.Uint64(trailer) != uint64(len(body)) || sum(body) != binary.LittleEndian.Uint32(trailer[8:]) {
-		return &DamagedError{name, headerSize, "its checksum is wrong"}
+	body, trailer := b[fileHeaderBytes:len(b)-snapshotTrailerBytes], b[len(b)-snapshotTrailerBytes:]
+	if checksum(trailer[:12]) != binary.LittleEndian.Uint32(trailer[12:]) || binary.LittleEndian.Uint64(trailer) != uint64(len(body)) || checksum(body) != binary.LittleEndian.Uint32(trailer[8:]) {
+		return &CorruptionError{name, fileHeaderBytes, "its checksum is wrong"}
 	}
 	if err := restore(l.snapshot, bytes.NewReader(body)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// clean takes out snapshots that another followed, and segments that it stands for whole. The active segment stays.
-func (l *Log) clean() error {
+// removeObsolete takes out snapshots that another followed, and segments that it stands for whole. The active segment stays.
+func (l *Log) removeObsolete() error {
 	if l.snapshot == 0 {
 		return nil
 	}
@@ -80,8 +80,8 @@
 		}
 	}
 	for _, name := range names {
-		n, isSegment := numbered(name, segmentSuffix)
-		m, isSnapshot := numbered(name, snapshotSuffix)
+		n, isSegment := parseFileName(name, segmentSuffix)
+		m, isSnapshot := parseFileName(name, snapshotSuffix)
 		if isSegment && n < keep || isSnapshot && m < l.snapshot {
 			if err := l.fs.Remove(name); err != nil {
 				return err
