--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -3,15 +3,24 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 )
 
-// MaxSnapshotBytes bounds a snapshot: it is held in memory while it is written and read.
+// MaxSnapshotBytes bounds a snapshot, which is held in memory while it is written and read.
 const MaxSnapshotBytes = 256 << 20
 
-// Snap writes a snapshot that stands for all records up to an index, which must be synced, and takes out what it stands
-// for. When it returns nil the snapshot is sure to be there; when it does not, the one before is, or this one.
+// The trailer of a snapshot, as offsets in bytes (docs/wal-format.md). Numbers are little-endian.
+const (
+	trailerLengthAt       = 0  // of the body
+	trailerBodyChecksumAt = 8  // of the body
+	trailerChecksumAt     = 12 // of the trailer's fields that precede it
+	snapshotTrailerBytes  = 16
+)
+
+// Snap writes a snapshot of at most MaxSnapshotBytes that stands for all records up to index, which must be synced, and removes the
+// files that it stands for. When it returns nil the snapshot is durable; otherwise the one before is, or this one.
 func (l *Log) Snap(index uint64, body []byte) error {
 	switch {
 	case l.failed != nil:
@@ -33,12 +42,13 @@
 
 func (l *Log) writeSnapshot(index uint64, body []byte) error {
 	var trailer [snapshotTrailerBytes]byte
-	binary.LittleEndian.PutUint64(trailer[:], uint64(len(body)))
-	binary.LittleEndian.PutUint32(trailer[8:], checksum(body))
-	binary.LittleEndian.PutUint32(trailer[12:], checksum(trailer[:12]))
+	binary.LittleEndian.PutUint64(trailer[trailerLengthAt:], uint64(len(body)))
+	binary.LittleEndian.PutUint32(trailer[trailerBodyChecksumAt:], checksum(body))
+	binary.LittleEndian.PutUint32(trailer[trailerChecksumAt:], checksum(trailer[:trailerChecksumAt]))
 	return Replace(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
 }
 
+// readSnapshot passes the body of the snapshot at l.snapshot to restore.
 func (l *Log) readSnapshot(restore func(uint64, io.Reader) error) error {
 	name := snapshotName(l.snapshot)
 	f, b, err := l.openAndRead(name)
@@ -48,15 +58,17 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if bad := checkFileHeader(b, snapshotMagic, l.snapshot); bad != "" {
-		return &CorruptionError{name, 0, bad}
+	if err := checkFileHeader(b, snapshotMagic, l.snapshot); err != nil {
+		return &CorruptionError{name, 0, err}
 	}
 	if len(b) < fileHeaderBytes+snapshotTrailerBytes {
-		return &CorruptionError{name, int64(len(b)), "it is cut off"}
+		return &CorruptionError{name, int64(len(b)), errors.New("it is cut off")}
 	}
 	body, trailer := b[fileHeaderBytes:len(b)-snapshotTrailerBytes], b[len(b)-snapshotTrailerBytes:]
-	if checksum(trailer[:12]) != binary.LittleEndian.Uint32(trailer[12:]) || binary.LittleEndian.Uint64(trailer) != uint64(len(body)) || checksum(body) != binary.LittleEndian.Uint32(trailer[8:]) {
-		return &CorruptionError{name, fileHeaderBytes, "its checksum is wrong"}
+	if checksum(trailer[:trailerChecksumAt]) != binary.LittleEndian.Uint32(trailer[trailerChecksumAt:]) ||
+		binary.LittleEndian.Uint64(trailer[trailerLengthAt:]) != uint64(len(body)) ||
+		checksum(body) != binary.LittleEndian.Uint32(trailer[trailerBodyChecksumAt:]) {
+		return &CorruptionError{name, fileHeaderBytes, errors.New("its checksum is wrong")}
 	}
 	if err := restore(l.snapshot, bytes.NewReader(body)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -64,7 +76,7 @@
 	return nil
 }
 
-// removeObsolete takes out snapshots that another followed, and segments that it stands for whole. The active segment stays.
+// removeObsolete removes older snapshots, and the segments whose records the snapshot stands for. The active segment stays.
 func (l *Log) removeObsolete() error {
 	if l.snapshot == 0 {
 		return nil
@@ -73,22 +85,22 @@
 	if err != nil {
 		return err
 	}
-	keep := uint64(0) // the segment in which the first record after the snapshot is
+	firstKept := uint64(0) // the segment of the first record after the snapshot
 	for _, first := range l.segments {
 		if first <= l.snapshot+1 {
-			keep = first
+			firstKept = first
 		}
 	}
 	for _, name := range names {
-		n, isSegment := parseFileName(name, segmentSuffix)
-		m, isSnapshot := parseFileName(name, snapshotSuffix)
-		if isSegment && n < keep || isSnapshot && m < l.snapshot {
+		first, isSegment := parseFileName(name, segmentSuffix)
+		index, isSnapshot := parseFileName(name, snapshotSuffix)
+		if isSegment && first < firstKept || isSnapshot && index < l.snapshot {
 			if err := l.fs.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
-	for len(l.segments) > 0 && l.segments[0] < keep {
+	for len(l.segments) > 0 && l.segments[0] < firstKept {
 		l.segments = l.segments[1:]
 	}
 	return nil
