--- /dev/null
+++ b/internal/wal/dir_test.go
@@ -0,0 +1,50 @@
+package wal_test
+
+import (
+	"errors"
+	"math/rand/v2"
+	"path/filepath"
+	"testing"
+
+	"tuliprock/internal/wal"
+)
+
+// On the operating system's disk synced records are there, a second opener is rejected, and old segments are removed.
+func TestLogOnRealDisk(t *testing.T) {
+	fs, err := wal.Dir(filepath.Join(t.TempDir(), "log"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	l, _, err := openLog(fs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := openLog(fs); !errors.Is(err, wal.ErrLocked) {
+		t.Errorf("opened twice: %v", err)
+	}
+	m := &model{}
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 300 {
+		if err := m.step(l, rng); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := errors.Join(l.Sync(), l.Snap(l.Synced(), []byte(snapshotBody(l.Synced()))), l.Close()); err != nil {
+		t.Fatal(err)
+	}
+	m.synced, m.snapshot = uint64(len(m.payloads)), uint64(len(m.payloads))
+	if names, _ := fs.List(); len(names) > 2 {
+		t.Errorf("files %q", names)
+	}
+	l, got, err := openLog(fs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	if err := m.check(got, l.Next()); err != nil {
+		t.Error(err)
+	}
+	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
+		t.Error("a record over the bound is accepted")
+	}
+}
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -22,7 +22,7 @@
 			hex.EncodeToString([]byte("state")) + "0500000000000000" + "df68db66" + "bb5a05eb", // length, checksums
 	}
 	disk := simdisk.New()
-	l, _, err := open(disk)
+	l, _, err := openLog(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
