--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something stands behind the list")
+		return nil, errors.New("unexpected data after the list")
 	}
 	if file.Format != 1 {
 		return nil, fmt.Errorf("format: %d is not 1", file.Format)
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -97,7 +97,7 @@
 		fileOf(`{"address":"here"}`):            "members[0].address",
 		fileOf(`{"address":"h:1","state":"x"}`): `members[0].state: "x"`,
 		fileOf(`{"addr":"h:1"}`):                "unknown field",
-		good + "{}":                             "behind the list",
+		good + "{}":                             "unexpected data after the list",
 		`{"members":[]}`:                        "format: 0 is not 1",
 	} {
 		if _, err := ParseMemberFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -34,7 +34,7 @@
 }
 
 // errNoMembers is logged where a poll succeeds and lists no members.
-var errNoMembers = errors.New("nobody is listed")
+var errNoMembers = errors.New("no members are listed")
 
 // newPollingSource makes a PollingSource. deliver takes each complete list that differs from the one before; onFailure takes each
 // failed poll. At most one of the sources that share a MemberCache may run.
@@ -47,7 +47,8 @@
 }
 
 // StaticSource makes a source of a fixed list of members. deliver and failed are called by Run and PollOnce.
-func StaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+func StaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(),
+	log *slog.Logger) *PollingSource {
 	poll := func(context.Context) (pollResult, error) { return pollResult{members: members}, nil }
 	return newPollingSource("members", cache, poll, deliver, failed, log)
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -103,7 +103,7 @@
 
 // fail makes err the result of every later call, and returns it.
 func (l *Log) fail(err error) error {
-	l.failed = fmt.Errorf("the log does nothing any more: %w", err)
+	l.failed = fmt.Errorf("the log has failed: %w", err)
 	return l.failed
 }
 
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -54,9 +54,9 @@
 
 // Why a record cannot be decoded.
 var (
-	errRecordHeaderTruncated = errors.New("a record's head is cut off")
-	errRecordTooLong         = errors.New("a record is longer than any")
-	errRecordTruncated       = errors.New("a record is cut off")
+	errRecordHeaderTruncated = errors.New("a record's header is truncated")
+	errRecordTooLong         = errors.New("a record's length is over the bound")
+	errRecordTruncated       = errors.New("a record is truncated")
 	errRecordChecksum        = errors.New("a record's checksum is wrong")
 )
 
@@ -77,7 +77,7 @@
 		return decodedRecord{}, errRecordChecksum
 	}
 	if got := binary.LittleEndian.Uint64(b[recordIndexAt:]); got != index {
-		return decodedRecord{}, fmt.Errorf("record %d stands where %d is due", got, index)
+		return decodedRecord{}, fmt.Errorf("record %d found, record %d expected", got, index)
 	}
 	return decodedRecord{
 		Record: Record{Index: index, Type: b[recordTypeAt], Payload: b[recordHeaderBytes:size:size]},
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -140,7 +140,7 @@
 	if end == int64(len(s.bytes)) {
 		return nil
 	}
-	r.options.Said(fmt.Sprintf("%s: cut off at byte %d of %d, behind the last whole record", s.name, end, len(s.bytes)))
+	r.options.Said(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.name, end, len(s.bytes)))
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
@@ -149,7 +149,7 @@
 	last := len(r.segments) - 1
 	name := segmentName(r.segments[last])
 	r.segments = r.segments[:last]
-	r.options.Said(fmt.Sprintf("%s: was not begun whole, and is taken out", name))
+	r.options.Said(fmt.Sprintf("%s: its header is incomplete, removed", name))
 	if err := errors.Join(f.Close(), r.fs.Remove(name)); err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 				return 0, &CorruptionError{s.name, end, err}
 			}
 			if hasRecordAfterSync(s.bytes[end:], index) {
-				return 0, &CorruptionError{s.name, end, fmt.Errorf("%w, and records behind it were promised after it", err)}
+				return 0, &CorruptionError{s.name, end, fmt.Errorf("%w, and later records were written after it was synced", err)}
 			}
 			break
 		}
@@ -209,7 +209,7 @@
 		index++
 	}
 	if !s.isLast && index < r.next {
-		return 0, &CorruptionError{s.name, end, errors.New("it ends early")}
+		return 0, &CorruptionError{s.name, end, errors.New("the segment ends early")}
 	}
 	return end, nil
 }
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -55,18 +55,18 @@
 // checkFileHeader returns an error unless b begins with the header of magic and index.
 func checkFileHeader(b []byte, magic string, index uint64) error {
 	if len(b) < fileHeaderBytes {
-		return errors.New("the header is cut off")
+		return errors.New("the header is truncated")
 	}
 	version := binary.LittleEndian.Uint32(b[fileVersionAt:])
 	switch {
 	case checksum(b[:fileChecksumAt]) != binary.LittleEndian.Uint32(b[fileChecksumAt:]) || binary.LittleEndian.Uint32(b[fileReservedAt:]) != 0:
 		return errors.New("the header is damaged")
 	case string(b[:len(magic)]) != magic:
-		return errors.New("the file is none of a log's")
+		return errors.New("the file is not a log's")
 	case version != formatVersion:
-		return fmt.Errorf("version %d is not known here", version)
+		return fmt.Errorf("format version %d is unknown", version)
 	case binary.LittleEndian.Uint64(b[fileIndexAt:]) != index:
-		return errors.New("the header names another number than the file's name")
+		return errors.New("the header has another index than the file's name")
 	}
 	return nil
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -62,13 +62,13 @@
 		return &CorruptionError{name, 0, err}
 	}
 	if len(b) < fileHeaderBytes+snapshotTrailerBytes {
-		return &CorruptionError{name, int64(len(b)), errors.New("it is cut off")}
+		return &CorruptionError{name, int64(len(b)), errors.New("the snapshot is truncated")}
 	}
 	body, trailer := b[fileHeaderBytes:len(b)-snapshotTrailerBytes], b[len(b)-snapshotTrailerBytes:]
 	if checksum(trailer[:trailerChecksumAt]) != binary.LittleEndian.Uint32(trailer[trailerChecksumAt:]) ||
 		binary.LittleEndian.Uint64(trailer[trailerLengthAt:]) != uint64(len(body)) ||
 		checksum(body) != binary.LittleEndian.Uint32(trailer[trailerBodyChecksumAt:]) {
-		return &CorruptionError{name, fileHeaderBytes, errors.New("its checksum is wrong")}
+		return &CorruptionError{name, fileHeaderBytes, errors.New("the snapshot's checksum is wrong")}
 	}
 	if err := restore(l.snapshot, bytes.NewReader(body)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
