--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -37,7 +37,7 @@
 }
 
 // NewAgentClient makes a client of the discovery agent at addr. version is that of the list already known; nil: the complete list is
-// fetched first. Where mustSubscribe is true a watch is opened only after Subscribe. Deliver and Failed must be set before Run.
+// fetched first. Where mustSubscribe is true a watch is opened only after Subscribe. The caller sets the callbacks before Run.
 func NewAgentClient(addr string, version *int64, mustSubscribe bool, log *slog.Logger) *AgentClient {
 	c := &AgentClient{
 		addr:              addr,
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -23,7 +23,7 @@
 // ListUpdate is a message from discovery: the complete endpoint list, or the members that have changed.
 type ListUpdate struct {
 	Version *int64   `json:"version"` // of the list after this update; nil in updates of a PollingSource
-	Full    bool     `json:"full"`    // Servers is the complete list, and members that it lacks are gone
+	Full    bool     `json:"full"`    // the update is the complete list: a member that it lacks is gone
 	Servers []Member `json:"servers"`
 }
 
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -16,7 +16,7 @@
 	recordLengthAt    = 4 // of the payload
 	recordTypeAt      = 8
 	recordIndexAt     = 9
-	recordSyncedAt    = 17 // Log.Synced when the record was appended
+	recordSyncedAt    = 17 // index of the last record that was durable when this one was appended
 	recordHeaderBytes = 25
 )
 
