--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package link
+package transport
 
 import (
 	"os"
