--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -20,14 +20,14 @@
 // (32 bytes; left out where the key's four bytes are zero), and the sealed part: cluster, number of the message in its
 // sender's run, message.
 const (
-	version  = 1
-	headSize = 7
-	tagSize  = sha256.Size
+	packetVersion = 1
+	headerBytes   = 7
+	macBytes      = sha256.Size
 
-	sealCluster protowire.Number = 1
-	sealCount   protowire.Number = 2
-	sealMessage protowire.Number = 3
-	sealParcel  protowire.Number = 4
+	packetFieldCluster     protowire.Number = 1
+	packetFieldSequence    protowire.Number = 2
+	packetFieldSwimMessage protowire.Number = 3
+	packetFieldMessage     protowire.Number = 4
 )
 
 // Keys are the operators': the first signs, all are believed.
@@ -40,10 +40,10 @@
 }
 
 const (
-	mostKeys  = 2
-	leastKey  = 16 // bytes: half of what HMAC-SHA256 can use, and far beyond guessing
-	mostKey   = 64
-	keyFormat = "must hold one or two lines of 32 to 128 hexadecimal digits"
+	maxKeys       = 2
+	minKeyBytes   = 16 // bytes: half of what HMAC-SHA256 can use, and far beyond guessing
+	maxKeyBytes   = 64
+	keyFileFormat = "must hold one or two lines of 32 to 128 hexadecimal digits"
 )
 
 // ReadKeys reads a key file: one key a line in hexadecimal digits, two at most; lines that begin with # are left out. A
@@ -68,13 +68,13 @@
 			continue
 		}
 		secret, err := hex.DecodeString(line)
-		if err != nil || len(secret) < leastKey || len(secret) > mostKey || len(keys) == mostKeys {
-			return nil, fmt.Errorf("%s:%d: %s", path, n, keyFormat)
+		if err != nil || len(secret) < minKeyBytes || len(secret) > maxKeyBytes || len(keys) == maxKeys {
+			return nil, fmt.Errorf("%s:%d: %s", path, n, keyFileFormat)
 		}
 		keys = append(keys, newKey(secret))
 	}
 	if err := lines.Err(); err != nil || len(keys) == 0 {
-		return nil, fmt.Errorf("%s: %s", path, keyFormat)
+		return nil, fmt.Errorf("%s: %s", path, keyFileFormat)
 	}
 	return keys, nil
 }
@@ -90,9 +90,9 @@
 
 // Why a message is dropped.
 var (
-	errForeign = errors.New("of another version or cluster")
-	errForged  = errors.New("its key is not known here, or it was changed on the way")
-	errReplay  = errors.New("it came before, or is too old to tell")
+	errForeign         = errors.New("of another version or cluster")
+	errUnauthenticated = errors.New("its key is not known here, or it was changed on the way")
+	errReplayed        = errors.New("it came before, or is too old to tell")
 )
 
 // Message is what another part of a daemon says to its like in another: a letter that tells which part, and its bytes.
@@ -105,104 +105,104 @@
 
 // Fields of a parcel.
 const (
-	parcelFrom protowire.Number = iota + 1
-	parcelRun
-	parcelKind
-	parcelBody
+	messageFieldFrom protowire.Number = iota + 1
+	messageFieldRunID
+	messageFieldKind
+	messageFieldBody
 )
 
 func (p *Message) marshal() []byte {
-	b := text(make([]byte, 0, len(p.Body)+len(p.From)+32), parcelFrom, p.From)
-	b = protowire.AppendFixed64(protowire.AppendTag(b, parcelRun, protowire.Fixed64Type), p.Run)
-	b = number(b, parcelKind, uint64(p.Kind))
-	return text(b, parcelBody, p.Body)
+	b := appendBytes(make([]byte, 0, len(p.Body)+len(p.From)+32), messageFieldFrom, p.From)
+	b = protowire.AppendFixed64(protowire.AppendTag(b, messageFieldRunID, protowire.Fixed64Type), p.Run)
+	b = appendVarint(b, messageFieldKind, uint64(p.Kind))
+	return appendBytes(b, messageFieldBody, p.Body)
 }
 
-func unmarshalParcel(b []byte) (*Message, error) {
+func parseMessage(b []byte) (*Message, error) {
 	p := &Message{}
-	err := fields(b, func(f field) error {
-		switch f.is {
-		case parcelFrom:
+	err := forEachField(b, func(f field) error {
+		switch f.id {
+		case messageFieldFrom:
 			p.From = string(f.bytes)
-		case parcelRun:
+		case messageFieldRunID:
 			p.Run = f.number
-		case parcelKind:
+		case messageFieldKind:
 			p.Kind = byte(f.number)
-		case parcelBody:
+		case messageFieldBody:
 			p.Body = append([]byte(nil), f.bytes...)
 		}
 		return nil
 	})
 	if err == nil && !swim.IsValidName(p.From) {
-		err = errDamaged
+		err = errMalformed
 	}
 	return p, err
 }
 
-// seal appends a message, fit to be sent.
-func seal(b []byte, keys Keys, cluster string, count uint64, m *swim.Message) []byte {
-	return sealed(b, keys, cluster, count, sealMessage, Marshal(nil, m))
+// appendSwimPacket appends a message, fit to be sent.
+func appendSwimPacket(b []byte, keys Keys, cluster string, count uint64, m *swim.Message) []byte {
+	return appendPacket(b, keys, cluster, count, packetFieldSwimMessage, Marshal(nil, m))
 }
 
-func sealed(b []byte, keys Keys, cluster string, count uint64, is protowire.Number, in []byte) []byte {
+func appendPacket(b []byte, keys Keys, cluster string, count uint64, is protowire.Number, in []byte) []byte {
 	start := len(b)
-	b = append(b, 'T', 'R', version, 0, 0, 0, 0)
+	b = append(b, 'T', 'R', packetVersion, 0, 0, 0, 0)
 	if len(keys) > 0 {
 		copy(b[start+3:], keys[0].id[:])
-		b = append(b, make([]byte, tagSize)...)
+		b = append(b, make([]byte, macBytes)...)
 	}
 	body := len(b)
-	b = text(b, sealCluster, cluster)
-	b = protowire.AppendFixed64(protowire.AppendTag(b, sealCount, protowire.Fixed64Type), count)
-	b = text(b, is, in)
+	b = appendBytes(b, packetFieldCluster, cluster)
+	b = protowire.AppendFixed64(protowire.AppendTag(b, packetFieldSequence, protowire.Fixed64Type), count)
+	b = appendBytes(b, is, in)
 	if len(keys) > 0 {
-		copy(b[start+headSize:], keys[0].tag(b[start:start+headSize], b[body:]))
+		copy(b[start+headerBytes:], keys[0].mac(b[start:start+headerBytes], b[body:]))
 	}
 	return b
 }
 
-func (k *Key) tag(head, body []byte) []byte {
+func (k *Key) mac(head, body []byte) []byte {
 	h := hmac.New(sha256.New, k.secret)
 	h.Write(head)
 	h.Write(body)
 	return h.Sum(nil)
 }
 
-// content is what was sealed: a message of the detector's, or a parcel.
-type content struct {
-	message *swim.Message
-	parcel  *Message
-	run     uint64
-	count   uint64 // its number in its sender's run
+// packet is what was sealed: a message of the detector's, or a parcel.
+type packet struct {
+	swimMessage *swim.Message
+	message     *Message
+	runID       uint64
+	sequence    uint64 // its number in its sender's run
 }
 
-// open reads what seal and sealed made.
-func open(b []byte, keys Keys, cluster string, most int) (c content, err error) {
-	if len(b) < headSize || b[0] != 'T' || b[1] != 'R' {
-		return c, errDamaged
+// openPacket reads what seal and sealed made.
+func openPacket(b []byte, keys Keys, cluster string, most int) (c packet, err error) {
+	if len(b) < headerBytes || b[0] != 'T' || b[1] != 'R' {
+		return c, errMalformed
 	}
-	if b[2] != version {
+	if b[2] != packetVersion {
 		return c, errForeign
 	}
-	body := b[headSize:]
+	body := b[headerBytes:]
 	if len(keys) > 0 {
-		if body, err = believe(b, keys); err != nil {
+		if body, err = verify(b, keys); err != nil {
 			return c, err
 		}
-	} else if [4]byte(b[3:headSize]) != [4]byte{} {
-		return c, errForged
+	} else if [4]byte(b[3:headerBytes]) != [4]byte{} {
+		return c, errUnauthenticated
 	}
 	var in, parcel []byte
 	of := ""
-	if err := fields(body, func(f field) error {
-		switch f.is {
-		case sealCluster:
+	if err := forEachField(body, func(f field) error {
+		switch f.id {
+		case packetFieldCluster:
 			of = string(f.bytes)
-		case sealCount:
-			c.count = f.number
-		case sealMessage:
+		case packetFieldSequence:
+			c.sequence = f.number
+		case packetFieldSwimMessage:
 			in = f.bytes
-		case sealParcel:
+		case packetFieldMessage:
 			parcel = f.bytes
 		}
 		return nil
@@ -213,85 +213,85 @@
 		return c, errForeign
 	}
 	if parcel != nil {
-		if c.parcel, err = unmarshalParcel(parcel); err == nil {
-			c.run = c.parcel.Run
+		if c.message, err = parseMessage(parcel); err == nil {
+			c.runID = c.message.Run
 		}
 		return c, err
 	}
-	if c.message, err = Unmarshal(in, most); err == nil {
-		c.run = c.message.From.Run
+	if c.swimMessage, err = parseSwimMessage(in, most); err == nil {
+		c.runID = c.swimMessage.From.Run
 	}
 	return c, err
 }
 
-// believe gives the sealed part of a message that one of the keys has signed.
-func believe(b []byte, keys Keys) ([]byte, error) {
-	if len(b) < headSize+tagSize {
-		return nil, errForged
+// verify gives the sealed part of a message that one of the keys has signed.
+func verify(b []byte, keys Keys) ([]byte, error) {
+	if len(b) < headerBytes+macBytes {
+		return nil, errUnauthenticated
 	}
 	for i := range keys {
 		k := &keys[i]
-		if k.id == [4]byte(b[3:headSize]) && hmac.Equal(b[headSize:headSize+tagSize], k.tag(b[:headSize], b[headSize+tagSize:])) {
-			return b[headSize+tagSize:], nil
+		if k.id == [4]byte(b[3:headerBytes]) && hmac.Equal(b[headerBytes:headerBytes+macBytes], k.mac(b[:headerBytes], b[headerBytes+macBytes:])) {
+			return b[headerBytes+macBytes:], nil
 		}
 	}
-	return nil, errForged
+	return nil, errUnauthenticated
 }
 
-// window knows which of the latest messages of a run have come.
-type window struct {
-	top  uint64 // the highest number
-	seen [windowWords]uint64
+// replayWindow knows which of the latest messages of a run have come.
+type replayWindow struct {
+	highest uint64 // the highest number
+	seen    [replayWindowWords]uint64
 }
 
 // A stream's message may come after datagrams that were sent after it: some seconds of them.
 const (
-	windowWords = 16
-	windowBits  = 64 * windowWords
+	replayWindowWords = 16
+	replayWindowBits  = 64 * replayWindowWords
 )
 
-// take tells whether a number comes for the first time.
-func (w *window) take(n uint64) bool {
-	if n+windowBits <= w.top {
+// accept tells whether a number comes for the first time.
+func (w *replayWindow) accept(n uint64) bool {
+	if n+replayWindowBits <= w.highest {
 		return false
 	}
-	for ; w.top < n && n-w.top <= windowBits; w.top++ { // forget what was at the places to come
-		w.clear(w.top + 1)
+	for ; w.highest < n && n-w.highest <= replayWindowBits; w.highest++ { // forget what was at the places to come
+		w.clear(w.highest + 1)
 	}
-	if w.top < n {
-		*w = window{top: n}
+	if w.highest < n {
+		*w = replayWindow{highest: n}
 	}
-	word, bit := &w.seen[n/64%windowWords], uint64(1)<<(n%64)
+	word, bit := &w.seen[n/64%replayWindowWords], uint64(1)<<(n%64)
 	fresh := *word&bit == 0
 	*word |= bit
 	return fresh
 }
 
-func (w *window) clear(n uint64) { w.seen[n/64%windowWords] &^= 1 << (n % 64) }
+func (w *replayWindow) clear(n uint64) { w.seen[n/64%replayWindowWords] &^= 1 << (n % 64) }
 
-// runs are the windows of those who were heard, in two generations so that they stay bounded.
-type runs struct{ now, before map[uint64]*window }
+// replayFilter are the windows of those who were heard, in two generations so that they stay bounded.
+type replayFilter struct{ current, previous map[uint64]*replayWindow }
 
-const mostRuns = 2 * swim.MaxMembers
+const maxTrackedRuns = 2 * swim.MaxMembers
 
-// take tells whether a message of a run comes for the first time, as far back as can be told.
-func (r *runs) take(run, count uint64) bool {
-	w := r.now[run]
+// accept tells whether a message of a run comes for the first time, as far back as can be told.
+func (r *replayFilter) accept(run, count uint64) bool {
+	w := r.current[run]
 	if w == nil {
-		if w = r.before[run]; w == nil {
-			w = &window{}
+		if w = r.previous[run]; w == nil {
+			w = &replayWindow{}
 		}
-		if len(r.now) >= mostRuns || r.now == nil {
-			r.now, r.before = map[uint64]*window{}, r.now
+		if len(r.current) >= maxTrackedRuns || r.current == nil {
+			r.current, r.previous = map[uint64]*replayWindow{}, r.current
 		}
-		r.now[run] = w
+		r.current[run] = w
 	}
-	return w.take(count)
+	return w.accept(count)
 }
 
 // MaxDatagramBytes is how long a datagram may be, so that it passes where a network's packets are 1,280 bytes or more (RFC
 // 8200, section 5). Overhead is what sealing a message adds at most.
 const (
 	MaxDatagramBytes = 1200
-	Overhead         = headSize + tagSize + 2 + swim.MaxNameBytes + 9 + 3
+	Overhead         = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
 )
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -19,5 +19,5 @@
 	return 1
 }()
 
-// rated is the time that has passed by this process's clock.
-func rated(d time.Duration) time.Duration { return time.Duration(float64(d) * clockRate) }
+// scaledByClockRate is the time that has passed by this process's clock.
+func scaledByClockRate(d time.Duration) time.Duration { return time.Duration(float64(d) * clockRate) }
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -27,23 +27,23 @@
 )
 
 const (
-	inboxSize    = 512              // messages: a tick's worth in a fleet that changes as a whole
-	parcelsSize  = 256              // that wait for the part that they are for
-	mostStreams  = 8                // each way
-	streamTime   = 2 * time.Second  // for a stream, from the dial to the last byte
-	mostStream   = 8 << 20          // bytes: a snapshot of what is agreed has 7 MiB at most, swim.MostMembers updates 1.9 MB
-	mostFromOne  = 1000             // datagrams a second from one address; a member sends some tens
-	mostSources  = 4096             // addresses that are counted apart; what is beyond counts together
-	spread       = time.Second / 10 // between two views, in a fleet of fewMembers and more: each is a copy of all members
-	fewMembers   = 100
-	goodbye      = 300 * time.Millisecond // after Leave, for the word to go round
-	aloneAfter   = 10 * time.Second       // without an answer, before that is said in the log
-	logEvery     = time.Second
-	logMost      = 20 // lines a logEvery
-	acceptRest   = 5 * time.Millisecond
-	clockStart   = 24 * time.Hour // instants lie well above zero
-	keepAsleep   = time.Hour
-	receiveBytes = 1 << 20 // of the socket's buffer: what comes while the process is stopped for a moment
+	inboxCapacity         = 512              // messages: a tick's worth in a fleet that changes as a whole
+	messageQueueCapacity  = 256              // that wait for the part that they are for
+	maxStreams            = 8                // each way
+	streamTimeout         = 2 * time.Second  // for a stream, from the dial to the last byte
+	maxStreamBytes        = 8 << 20          // bytes: a snapshot of what is agreed has 7 MiB at most, swim.MostMembers updates 1.9 MB
+	maxDatagramsPerSource = 1000             // datagrams a second from one address; a member sends some tens
+	maxTrackedSources     = 4096             // addresses that are counted apart; what is beyond counts together
+	minViewInterval       = time.Second / 10 // between two views, in a fleet of fewMembers and more: each is a copy of all members
+	smallFleetMembers     = 100
+	leaveSpreadTime       = 300 * time.Millisecond // after Leave, for the word to go round
+	noContactWarningDelay = 10 * time.Second       // without an answer, before that is said in the log
+	changeLogInterval     = time.Second
+	maxChangeLogLines     = 20 // lines a logEvery
+	acceptRetryDelay      = 5 * time.Millisecond
+	clockOrigin           = 24 * time.Hour // instants lie well above zero
+	maxOwnerSleep         = time.Hour
+	receiveBufferBytes    = 1 << 20 // of the socket's buffer: what comes while the process is stopped for a moment
 )
 
 // Options of a Link. Cluster, Name and Listen must be given.
@@ -59,36 +59,36 @@
 	Log       *slog.Logger
 }
 
-// Dropped counts messages that were not taken, by why.
-type Dropped struct {
-	Damaged, Foreign, Forged, Replayed, Flooded, Full atomic.Uint64
+// dropCounters counts messages that were not taken, by why.
+type dropCounters struct {
+	malformed, foreign, unauthenticated, replayed, rateLimited, queueFull atomic.Uint64
 }
 
 // Transport is a daemon's part in a fleet.
 type Transport struct {
-	o        atomic.Pointer[Options]
-	dropped  Dropped
-	received atomic.Uint64
-	sent     atomic.Uint64
-	bytes    atomic.Uint64 // sent
-
-	udp     *net.UDPConn
-	tcp     net.Listener
-	run     uint64
-	began   time.Time
-	count   atomic.Uint64 // of messages sealed
-	inbox   chan *swim.Message
-	parcels chan Message
-	calls   chan func(now time.Duration, n *swim.Node)
-	view    atomic.Pointer[swim.View]
-	changed chan struct{}
-
-	ctx     context.Context
-	stop    context.CancelFunc
-	parts   sync.WaitGroup
-	streams chan struct{} // room for streams out
-	mu      sync.Mutex    // of who
-	who     runs
+	options   atomic.Pointer[Options]
+	dropped   dropCounters
+	received  atomic.Uint64
+	sent      atomic.Uint64
+	bytesSent atomic.Uint64 // sent
+
+	udpConn     *net.UDPConn
+	tcpListener net.Listener
+	runID       uint64
+	startedAt   time.Time
+	sequence    atomic.Uint64 // of messages sealed
+	inbox       chan *swim.Message
+	messages    chan Message
+	calls       chan func(now time.Duration, n *swim.Node)
+	view        atomic.Pointer[swim.View]
+	changed     chan struct{}
+
+	ctx             context.Context
+	stop            context.CancelFunc
+	goroutines      sync.WaitGroup
+	outboundStreams chan struct{} // room for streams out
+	replaysMu       sync.Mutex    // of who
+	replays         replayFilter
 }
 
 // Start opens the sockets and joins the fleet. An error names the field.
@@ -106,42 +106,44 @@
 		tcp.Close()
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	_ = udp.SetReadBuffer(receiveBytes) // as much as the system grants
+	_ = udp.SetReadBuffer(receiveBufferBytes) // as much as the system grants
 	o.Listen = at
 	if !o.Advertise.IsValid() {
 		o.Advertise = at
 	}
-	l := &Transport{udp: udp, tcp: tcp, run: newRun(), began: time.Now(), inbox: make(chan *swim.Message, inboxSize), parcels: make(chan Message, parcelsSize), calls: make(chan func(time.Duration, *swim.Node)),
-		changed: make(chan struct{}, 1), streams: make(chan struct{}, mostStreams)}
-	l.o.Store(&o)
+	l := &Transport{udpConn: udp, tcpListener: tcp, runID: newRunID(), startedAt: time.Now(), inbox: make(chan *swim.Message, inboxCapacity), messages: make(chan Message, messageQueueCapacity), calls: make(chan func(time.Duration, *swim.Node)),
+		changed: make(chan struct{}, 1), outboundStreams: make(chan struct{}, maxStreams)}
+	l.options.Store(&o)
 	l.ctx, l.stop = context.WithCancel(context.Background())
-	node := swim.New(l.now(), l.node(&o))
+	node := swim.New(l.now(), l.swimOptions(&o))
 	l.publish(node)
-	l.parts.Go(l.readDatagrams)
-	l.parts.Go(l.acceptStreams)
-	l.parts.Go(func() { l.own(node) })
+	l.goroutines.Go(l.readDatagrams)
+	l.goroutines.Go(l.acceptStreams)
+	l.goroutines.Go(func() { l.runOwner(node) })
 	return l, nil
 }
 
-// newRun is greater in a process that was started later, as far as the clocks of machines agree.
-func newRun() uint64 {
+// newRunID is greater in a process that was started later, as far as the clocks of machines agree.
+func newRunID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return uint64(time.Now().UnixMilli())<<16 | uint64(binary.LittleEndian.Uint16(b[:]))
 }
 
-func (l *Transport) node(o *Options) swim.Options {
+func (l *Transport) swimOptions(o *Options) swim.Options {
 	n := o.Times
-	n.Self = swim.Peer{Name: o.Name, Addr: o.Advertise, Run: l.run}
-	n.Join, n.Voters, n.Seed = o.Join, o.Voters, l.run
+	n.Self = swim.Peer{Name: o.Name, Addr: o.Advertise, Run: l.runID}
+	n.Join, n.Voters, n.Seed = o.Join, o.Voters, l.runID
 	return n
 }
 
 // now is an instant of the detector's clock.
-func (l *Transport) now() time.Duration { return clockStart + rated(time.Since(l.began)) }
+func (l *Transport) now() time.Duration {
+	return clockOrigin + scaledByClockRate(time.Since(l.startedAt))
+}
 
 // Addr is where others are heard.
-func (l *Transport) Addr() netip.AddrPort { return l.o.Load().Listen }
+func (l *Transport) Addr() netip.AddrPort { return l.options.Load().Listen }
 
 // View is the latest one; it must not be changed.
 func (l *Transport) View() *swim.View { return l.view.Load() }
@@ -158,20 +160,20 @@
 // Metrics gives the counts.
 func (l *Transport) Metrics() Metrics {
 	d := &l.dropped
-	return Metrics{l.received.Load(), l.sent.Load(), l.bytes.Load(), d.Damaged.Load(), d.Foreign.Load(), d.Forged.Load(), d.Replayed.Load(),
-		d.Flooded.Load(), d.Full.Load()}
+	return Metrics{l.received.Load(), l.sent.Load(), l.bytesSent.Load(), d.malformed.Load(), d.foreign.Load(), d.unauthenticated.Load(), d.replayed.Load(),
+		d.rateLimited.Load(), d.queueFull.Load()}
 }
 
 // Reconfigure takes up other keys, times, voters and addresses to join. The rest must be as before.
 func (l *Transport) Reconfigure(o Options) {
-	was := *l.o.Load()
+	was := *l.options.Load()
 	was.Keys, was.Join, was.Voters, was.Times = o.Keys, o.Join, o.Voters, o.Times
-	l.o.Store(&was)
-	l.call(func(now time.Duration, n *swim.Node) { n.Reconfigure(now, l.node(&was)) })
+	l.options.Store(&was)
+	l.callOwner(func(now time.Duration, n *swim.Node) { n.Reconfigure(now, l.swimOptions(&was)) })
 }
 
-// call has the owner do something, and returns when it is done or the link has ended.
-func (l *Transport) call(do func(now time.Duration, n *swim.Node)) {
+// callOwner has the owner do something, and returns when it is done or the link has ended.
+func (l *Transport) callOwner(do func(now time.Duration, n *swim.Node)) {
 	done := make(chan struct{})
 	select {
 	case l.calls <- func(now time.Duration, n *swim.Node) { do(now, n); close(done) }:
@@ -182,9 +184,9 @@
 
 // Close says goodbye to the fleet, ends the link and returns when nothing of it runs any more.
 func (l *Transport) Close() error {
-	l.call(func(now time.Duration, n *swim.Node) { n.Leave(now) })
+	l.callOwner(func(now time.Duration, n *swim.Node) { n.Leave(now) })
 	select {
-	case <-time.After(goodbye):
+	case <-time.After(leaveSpreadTime):
 	case <-l.ctx.Done():
 	}
 	return l.Abort()
@@ -193,26 +195,26 @@
 // Abort ends the link without a word.
 func (l *Transport) Abort() error {
 	l.stop()
-	err := errors.Join(l.udp.Close(), l.tcp.Close())
-	l.parts.Wait()
+	err := errors.Join(l.udpConn.Close(), l.tcpListener.Close())
+	l.goroutines.Wait()
 	return err
 }
 
 // owner is what the goroutine that owns the detector keeps.
 type owner struct {
-	l         *Transport
-	n         *swim.Node
-	published time.Duration // instant of the last view that was given
-	lines     int           // in the log, since
-	since     time.Duration
-	alone     bool // that nobody answers was said
-	rival     swim.Peer
-	room      []byte
-}
-
-// own feeds the detector what comes and what is due, until the link ends.
-func (l *Transport) own(n *swim.Node) {
-	o := &owner{l: l, n: n, room: make([]byte, 0, MaxDatagramBytes)}
+	transport          *Transport
+	node               *swim.Node
+	publishedAt        time.Duration // instant of the last view that was given
+	loggedChanges      int           // in the log, since
+	logWindowStart     time.Duration
+	hasWarnedNoContact bool // that nobody answers was said
+	reportedConflict   swim.Peer
+	packetBuffer       []byte
+}
+
+// runOwner feeds the detector what comes and what is due, until the link ends.
+func (l *Transport) runOwner(n *swim.Node) {
+	o := &owner{transport: l, node: n, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -228,35 +230,35 @@
 				n.Tick(now)
 			}
 		}
-		o.after(l.now())
-		timer.Reset(o.wait(l.now()))
+		o.applyEffects(l.now())
+		timer.Reset(o.sleepTime(l.now()))
 	}
 }
 
-// wait is how long the owner may sleep.
-func (o *owner) wait(now time.Duration) time.Duration {
-	next := o.n.NextTick()
-	if o.n.ViewNumber() != o.l.view.Load().Number {
-		next = min(next, o.published+spread)
+// sleepTime is how long the owner may sleep.
+func (o *owner) sleepTime(now time.Duration) time.Duration {
+	next := o.node.NextTick()
+	if o.node.ViewNumber() != o.transport.view.Load().Number {
+		next = min(next, o.publishedAt+minViewInterval)
 	}
-	return min(max(next-now, 0), keepAsleep)
+	return min(max(next-now, 0), maxOwnerSleep)
 }
 
-// after carries out what the detector wants, and tells what has changed.
-func (o *owner) after(now time.Duration) {
-	for _, e := range o.n.TakeMessages() {
+// applyEffects carries out what the detector wants, and tells what has changed.
+func (o *owner) applyEffects(now time.Duration) {
+	for _, e := range o.node.TakeMessages() {
 		o.send(&e)
 	}
-	for _, c := range o.n.TakeChanges() {
-		o.tell(now, c)
+	for _, c := range o.node.TakeChanges() {
+		o.logChange(now, c)
 	}
-	if view := o.l.view.Load(); o.n.ViewNumber() != view.Number && (now-o.published >= spread || len(view.Members) < fewMembers) {
-		o.published = now
-		o.l.publish(o.n)
+	if view := o.transport.view.Load(); o.node.ViewNumber() != view.Number && (now-o.publishedAt >= minViewInterval || len(view.Members) < smallFleetMembers) {
+		o.publishedAt = now
+		o.transport.publish(o.node)
 	}
-	o.tellOfNames()
-	if options := o.l.o.Load(); !o.alone && !o.n.HasContact() && len(options.Join) > 0 && now-clockStart >= aloneAfter {
-		o.alone = true
+	o.logNameConflict()
+	if options := o.transport.options.Load(); !o.hasWarnedNoContact && !o.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
+		o.hasWarnedNoContact = true
 		options.Log.Warn("nobody of the fleet answers", "join", options.Join)
 	}
 }
@@ -270,32 +272,32 @@
 	}
 }
 
-// tell writes a line for a change, within bounds.
-func (o *owner) tell(now time.Duration, c swim.Change) {
-	if now-o.since >= logEvery {
-		if o.lines > logMost {
-			o.l.o.Load().Log.Warn("more members changed than are written down", "left_out", o.lines-logMost)
+// logChange writes a line for a change, within bounds.
+func (o *owner) logChange(now time.Duration, c swim.Change) {
+	if now-o.logWindowStart >= changeLogInterval {
+		if o.loggedChanges > maxChangeLogLines {
+			o.transport.options.Load().Log.Warn("more members changed than are written down", "left_out", o.loggedChanges-maxChangeLogLines)
 		}
-		o.since, o.lines = now, 0
+		o.logWindowStart, o.loggedChanges = now, 0
 	}
-	if o.lines++; o.lines > logMost {
+	if o.loggedChanges++; o.loggedChanges > maxChangeLogLines {
 		return
 	}
 	was := c.Was.String()
 	if c.New {
 		was = "unknown"
 	}
-	o.l.o.Load().Log.Info("member", "peer", c.Name, "address", c.Addr, "was", was, "is", c.Is.String(), "incarnation", c.Incarnation)
+	o.transport.options.Load().Log.Info("member", "peer", c.Name, "address", c.Addr, "was", was, "is", c.Is.String(), "incarnation", c.Incarnation)
 }
 
-// tellOfNames says that another process has this one's name, once for each.
-func (o *owner) tellOfNames() {
-	other, answers, yields := o.n.NameConflict()
-	if !answers || other == o.rival {
+// logNameConflict says that another process has this one's name, once for each.
+func (o *owner) logNameConflict() {
+	other, answers, yields := o.node.NameConflict()
+	if !answers || other == o.reportedConflict {
 		return
 	}
-	o.rival = other
-	log := o.l.o.Load().Log.With("address", other.Addr)
+	o.reportedConflict = other
+	log := o.transport.options.Load().Log.With("address", other.Addr)
 	if yields {
 		log.Error("an elder daemon of this name is in the fleet: this one stays out of it until that one has gone")
 	} else {
@@ -305,29 +307,29 @@
 
 // send seals a message and sends it: in a datagram where it fits.
 func (o *owner) send(e *swim.Envelope) {
-	l, options := o.l, o.l.o.Load()
+	l, options := o.transport, o.transport.options.Load()
 	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
-		o.room = seal(o.room[:0], options.Keys, options.Cluster, l.count.Add(1), e.Message)
-		if len(o.room) <= MaxDatagramBytes {
-			_, err := l.udp.WriteToUDPAddrPort(o.room, e.To)
-			l.counted(len(o.room), err)
+		o.packetBuffer = appendSwimPacket(o.packetBuffer[:0], options.Keys, options.Cluster, l.sequence.Add(1), e.Message)
+		if len(o.packetBuffer) <= MaxDatagramBytes {
+			_, err := l.udpConn.WriteToUDPAddrPort(o.packetBuffer, e.To)
+			l.countSent(len(o.packetBuffer), err)
 			return
 		}
 	}
-	_ = l.streamOut(options, e.To, seal(make([]byte, 4, 4096), options.Keys, options.Cluster, l.count.Add(1), e.Message))
+	_ = l.startStream(options, e.To, appendSwimPacket(make([]byte, 4, 4096), options.Keys, options.Cluster, l.sequence.Add(1), e.Message))
 }
 
-// counted counts a message that was sent. One that was not is for the detector to miss.
-func (l *Transport) counted(n int, err error) {
+// countSent counts a message that was sent. One that was not is for the detector to miss.
+func (l *Transport) countSent(n int, err error) {
 	if err == nil {
 		l.sent.Add(1)
-		l.bytes.Add(uint64(n))
+		l.bytesSent.Add(uint64(n))
 	}
 }
 
-// stream sends one message on a connection of its own: its length in four bytes, and the message.
-func (l *Transport) stream(o *Options, to netip.AddrPort, b []byte) (int, error) {
-	ctx, cancel := context.WithTimeout(l.ctx, streamTime)
+// writeStream sends one message on a connection of its own: its length in four bytes, and the message.
+func (l *Transport) writeStream(o *Options, to netip.AddrPort, b []byte) (int, error) {
+	ctx, cancel := context.WithTimeout(l.ctx, streamTimeout)
 	defer cancel()
 	dialer := net.Dialer{}
 	if ip := o.Listen.Addr(); !ip.IsUnspecified() { // so that the other can tell who calls
@@ -345,53 +347,53 @@
 // readDatagrams takes what comes by UDP.
 func (l *Transport) readDatagrams() {
 	b := make([]byte, MaxDatagramBytes+1)
-	flood := flood{from: map[netip.Addr]int{}}
+	flood := sourceLimiter{counts: map[netip.Addr]int{}}
 	for {
-		n, from, err := l.udp.ReadFromUDPAddrPort(b)
+		n, from, err := l.udpConn.ReadFromUDPAddrPort(b)
 		switch {
 		case l.ctx.Err() != nil:
 			return
 		case err != nil: // an ICMP error of a datagram that was sent; a truncated one is no error here
 			continue
-		case flood.over(time.Now(), from.Addr()):
-			l.dropped.Flooded.Add(1)
+		case flood.isExceeded(time.Now(), from.Addr()):
+			l.dropped.rateLimited.Add(1)
 		case n > MaxDatagramBytes:
-			l.dropped.Damaged.Add(1)
+			l.dropped.malformed.Add(1)
 		default:
-			l.take(b[:n], swim.MaxPiggyback+1)
+			l.receive(b[:n], swim.MaxPiggyback+1)
 		}
 	}
 }
 
-// take opens a message and hands it to the owner.
-func (l *Transport) take(b []byte, most int) {
-	o := l.o.Load()
-	c, err := open(b, o.Keys, o.Cluster, most)
+// receive opens a message and hands it to the owner.
+func (l *Transport) receive(b []byte, most int) {
+	o := l.options.Load()
+	c, err := openPacket(b, o.Keys, o.Cluster, most)
 	if err == nil {
-		l.mu.Lock()
-		if !l.who.take(c.run, c.count) {
-			err = errReplay
+		l.replaysMu.Lock()
+		if !l.replays.accept(c.runID, c.sequence) {
+			err = errReplayed
 		}
-		l.mu.Unlock()
+		l.replaysMu.Unlock()
 	}
 	if err != nil {
 		l.dropped.count(err)
 		return
 	}
 	taken := false
-	if c.parcel != nil {
-		if m, ok := l.member(c.parcel.From); !ok || m.Run != c.parcel.Run {
-			l.dropped.Foreign.Add(1)
+	if c.message != nil {
+		if m, ok := l.member(c.message.From); !ok || m.Run != c.message.Run {
+			l.dropped.foreign.Add(1)
 			return
 		}
 		select {
-		case l.parcels <- *c.parcel:
+		case l.messages <- *c.message:
 			taken = true
 		default:
 		}
 	} else {
 		select {
-		case l.inbox <- c.message:
+		case l.inbox <- c.swimMessage:
 			taken = true
 		default:
 		}
@@ -399,34 +401,34 @@
 	if taken {
 		l.received.Add(1)
 	} else {
-		l.dropped.Full.Add(1)
+		l.dropped.queueFull.Add(1)
 	}
 }
 
 // Messages are what other parts of other daemons have sent; parcelsSize wait at most, what is beyond is dropped. They come from
 // the process alone that this daemon's view has under its name: a second one of that name is not heard.
-func (l *Transport) Messages() <-chan Message { return l.parcels }
+func (l *Transport) Messages() <-chan Message { return l.messages }
 
 // Send sends a parcel to a daemon that is here, by its name; an error says that it did not go out. That it arrives is not
 // said: whoever needs to know must be answered. It does not wait for the other.
 func (l *Transport) Send(name string, kind byte, body []byte) error {
-	o := l.o.Load()
+	o := l.options.Load()
 	m, ok := l.member(name)
 	if !ok {
 		return fmt.Errorf("%s: %w", name, ErrUnknownMember)
 	}
 	to := m.Addr
-	p := Message{From: o.Name, Run: l.run, Kind: kind, Body: body}
-	b := sealed(make([]byte, 4, MaxDatagramBytes), o.Keys, o.Cluster, l.count.Add(1), sealParcel, p.marshal())
+	p := Message{From: o.Name, Run: l.runID, Kind: kind, Body: body}
+	b := appendPacket(make([]byte, 4, MaxDatagramBytes), o.Keys, o.Cluster, l.sequence.Add(1), packetFieldMessage, p.marshal())
 	if len(b)-4 <= MaxDatagramBytes {
-		_, err := l.udp.WriteToUDPAddrPort(b[4:], to)
-		l.counted(len(b)-4, err)
+		_, err := l.udpConn.WriteToUDPAddrPort(b[4:], to)
+		l.countSent(len(b)-4, err)
 		return err
 	}
-	if len(b)-4 > mostStream {
-		return fmt.Errorf("a parcel of %d bytes, %d are the most", len(body), mostStream)
+	if len(b)-4 > maxStreamBytes {
+		return fmt.Errorf("a parcel of %d bytes, %d are the most", len(body), maxStreamBytes)
 	}
-	return l.streamOut(o, to, b)
+	return l.startStream(o, to, b)
 }
 
 // member is what the latest view has of a name.
@@ -442,66 +444,66 @@
 // ErrUnknownMember is why a parcel does not go out: no daemon of that name has been heard of.
 var ErrUnknownMember = errors.New("no daemon of this name is known")
 
-// errBusy is why one does not: as many streams as there may be are under way.
-var errBusy = errors.New("too many streams are under way")
+// errTooManyStreams is why one does not: as many streams as there may be are under way.
+var errTooManyStreams = errors.New("too many streams are under way")
 
-// streamOut sends sealed bytes, behind four for their length, on a connection of its own, on a goroutine of its own.
-func (l *Transport) streamOut(o *Options, to netip.AddrPort, b []byte) error {
+// startStream sends sealed bytes, behind four for their length, on a connection of its own, on a goroutine of its own.
+func (l *Transport) startStream(o *Options, to netip.AddrPort, b []byte) error {
 	select {
-	case l.streams <- struct{}{}:
+	case l.outboundStreams <- struct{}{}:
 	default:
-		l.dropped.Full.Add(1)
-		return errBusy
+		l.dropped.queueFull.Add(1)
+		return errTooManyStreams
 	}
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
-	l.parts.Go(func() {
-		defer func() { <-l.streams }()
-		n, err := l.stream(o, to, b)
-		l.counted(n, err)
+	l.goroutines.Go(func() {
+		defer func() { <-l.outboundStreams }()
+		n, err := l.writeStream(o, to, b)
+		l.countSent(n, err)
 	})
 	return nil
 }
 
-func (d *Dropped) count(err error) {
+func (d *dropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errForeign):
-		d.Foreign.Add(1)
-	case errors.Is(err, errForged):
-		d.Forged.Add(1)
-	case errors.Is(err, errReplay):
-		d.Replayed.Add(1)
+		d.foreign.Add(1)
+	case errors.Is(err, errUnauthenticated):
+		d.unauthenticated.Add(1)
+	case errors.Is(err, errReplayed):
+		d.replayed.Add(1)
 	default:
-		d.Damaged.Add(1)
+		d.malformed.Add(1)
 	}
 }
 
 // acceptStreams takes what comes by TCP, mostStreams at a time; others wait in the system's queue.
 func (l *Transport) acceptStreams() {
-	room := make(chan struct{}, mostStreams)
+	room := make(chan struct{}, maxStreams)
 	for {
 		select {
 		case room <- struct{}{}:
 		case <-l.ctx.Done():
 			return
 		}
-		nc, err := l.tcp.Accept()
+		nc, err := l.tcpListener.Accept()
 		if err != nil {
 			<-room
 			if l.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptRest) // out of descriptors
+			time.Sleep(acceptRetryDelay) // out of descriptors
 			continue
 		}
-		l.parts.Go(func() {
+		l.goroutines.Go(func() {
 			defer func() { <-room }()
 			defer nc.Close()
 			defer context.AfterFunc(l.ctx, func() { nc.Close() })()
-			_ = nc.SetDeadline(time.Now().Add(streamTime))
+			_ = nc.SetDeadline(time.Now().Add(streamTimeout))
 			if b, err := readStream(nc); err == nil {
-				l.take(b, swim.MaxMembers)
+				l.receive(b, swim.MaxMembers)
 			} else {
-				l.dropped.Damaged.Add(1)
+				l.dropped.malformed.Add(1)
 			}
 		})
 	}
@@ -514,8 +516,8 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > mostStream {
-		return nil, errDamaged
+	if size > maxStreamBytes {
+		return nil, errMalformed
 	}
 	b, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err == nil && uint32(len(b)) < size {
@@ -524,21 +526,21 @@
 	return b, err
 }
 
-// flood counts datagrams by source, in the second that runs.
-type flood struct {
-	began time.Time
-	from  map[netip.Addr]int
+// sourceLimiter counts datagrams by source, in the second that runs.
+type sourceLimiter struct {
+	windowStart time.Time
+	counts      map[netip.Addr]int
 }
 
-// over tells whether a source has sent more than it may.
-func (f *flood) over(now time.Time, from netip.Addr) bool {
-	if now.Sub(f.began) >= time.Second {
-		f.began = now
-		clear(f.from)
+// isExceeded tells whether a source has sent more than it may.
+func (f *sourceLimiter) isExceeded(now time.Time, from netip.Addr) bool {
+	if now.Sub(f.windowStart) >= time.Second {
+		f.windowStart = now
+		clear(f.counts)
 	}
-	if _, known := f.from[from]; !known && len(f.from) >= mostSources {
+	if _, known := f.counts[from]; !known && len(f.counts) >= maxTrackedSources {
 		from = netip.Addr{}
 	}
-	f.from[from]++
-	return f.from[from] > mostFromOne
+	f.counts[from]++
+	return f.counts[from] > maxDatagramsPerSource
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.Write(sealed(nil, Keys{newKey(secret)}, "c", 1, sealParcel, (&Message{From: "a", Run: 5, Kind: 'x'}).marshal()))
+	nc.Write(appendPacket(nil, Keys{newKey(secret)}, "c", 1, packetFieldMessage, (&Message{From: "a", Run: 5, Kind: 'x'}).marshal()))
 	testpeer.Until(t, "it is counted", func() bool { return b.Metrics().Foreign == foreign+1 })
 	select {
 	case p := <-b.Messages():
@@ -95,7 +95,7 @@
 	if err := a.Send("nobody", 'x', nil); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("to nobody: %v", err)
 	}
-	if err := a.Send("b", 'x', make([]byte, mostStream+1)); err == nil {
+	if err := a.Send("b", 'x', make([]byte, maxStreamBytes+1)); err == nil {
 		t.Error("one over the bound goes out")
 	}
 }
@@ -107,7 +107,7 @@
 	b := begin(t, options("b", a.Addr()))
 	for _, step := range []struct{ a, b Keys }{{Keys{old, next}, Keys{old}}, {Keys{old, next}, Keys{next, old}}, {Keys{next}, Keys{next, old}}, {Keys{next}, Keys{next}}} {
 		for l, k := range map[*Transport]Keys{a: step.a, b: step.b} {
-			o := *l.o.Load()
+			o := *l.options.Load()
 			o.Keys = k
 			l.Reconfigure(o)
 		}
@@ -131,7 +131,7 @@
 	defer nc.Close()
 	m := &swim.Message{Kind: swim.Gossip, From: swim.Update{Peer: swim.Peer{Name: "x", Addr: b.Addr(), Run: 5}, Incarnation: 1}}
 	keys := Keys{newKey(secret)}
-	good := seal(nil, keys, "c", 1, m)
+	good := appendSwimPacket(nil, keys, "c", 1, m)
 	flip := slices.Clone(good)
 	flip[len(flip)-1] ^= 1
 	later := slices.Clone(good)
@@ -146,9 +146,9 @@
 		"a bit flipped":   {flip, func(f Metrics) uint64 { return f.Forged }},
 		"huge":            {make([]byte, 9000), func(f Metrics) uint64 { return f.Damaged }},
 		"another version": {later, func(f Metrics) uint64 { return f.Foreign }},
-		"another cluster": {seal(nil, keys, "d", 1, m), func(f Metrics) uint64 { return f.Foreign }},
-		"another key":     {seal(nil, Keys{newKey(secret[:20])}, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
-		"no key":          {seal(nil, nil, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
+		"another cluster": {appendSwimPacket(nil, keys, "d", 1, m), func(f Metrics) uint64 { return f.Foreign }},
+		"another key":     {appendSwimPacket(nil, Keys{newKey(secret[:20])}, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
+		"no key":          {appendSwimPacket(nil, nil, "c", 1, m), func(f Metrics) uint64 { return f.Forged }},
 	} {
 		was := c.count(a.Metrics())
 		send(c.datagram)
@@ -231,7 +231,7 @@
 		n.Tick(now)
 		n.NextTick()
 		for _, e := range n.TakeMessages() {
-			if size := len(seal(nil, Keys{newKey(secret)}, long, 1<<63, e.Message)); !e.Stream {
+			if size := len(appendSwimPacket(nil, Keys{newKey(secret)}, long, 1<<63, e.Message)); !e.Stream {
 				longest = max(longest, size)
 			}
 		}
@@ -242,23 +242,23 @@
 }
 
 func TestAReplayIsKnownFarBack(t *testing.T) {
-	var r runs
+	var r replayFilter
 	for n := uint64(1); n <= 5000; n += 2 {
-		if !r.take(1, n) || r.take(1, n) {
+		if !r.accept(1, n) || r.accept(1, n) {
 			t.Fatalf("%d: first, or again", n)
 		}
-		if n > windowBits+2 && r.take(1, n-windowBits-2) {
-			t.Fatalf("one as old as %d is taken", n-windowBits-2)
+		if n > replayWindowBits+2 && r.accept(1, n-replayWindowBits-2) {
+			t.Fatalf("one as old as %d is taken", n-replayWindowBits-2)
 		}
 	}
-	if !r.take(1, 4999-501) || r.take(1, 4999-501) {
+	if !r.accept(1, 4999-501) || r.accept(1, 4999-501) {
 		t.Error("one that was overtaken")
 	}
-	for run := uint64(2); run < 3*mostRuns; run++ {
-		r.take(run, 1)
+	for run := uint64(2); run < 3*maxTrackedRuns; run++ {
+		r.accept(run, 1)
 	}
-	if len(r.now)+len(r.before) > 2*mostRuns {
-		t.Errorf("%d runs are kept", len(r.now)+len(r.before))
+	if len(r.current)+len(r.previous) > 2*maxTrackedRuns {
+		t.Errorf("%d runs are kept", len(r.current)+len(r.previous))
 	}
 }
 
@@ -268,25 +268,25 @@
 	m := &swim.Message{Kind: swim.Ping, From: swim.Update{Peer: swim.Peer{Name: "a", Addr: netip.MustParseAddrPort("127.0.0.1:7"), Run: 5}, Incarnation: 1}, Seq: 3,
 		Target: swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Run: 6}, Digest: 9, Quiet: true,
 		Updates: []swim.Update{{Peer: swim.Peer{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Run: 7}, State: swim.Suspect, Incarnation: 4, By: "a"}}}
-	f.Add(seal(nil, nil, "c", 1, m)[headSize:])
-	f.Add(sealed(nil, nil, "c", 2, sealParcel, (&Message{From: "a", Run: 5, Kind: 'r', Body: []byte("body")}).marshal())[headSize:])
+	f.Add(appendSwimPacket(nil, nil, "c", 1, m)[headerBytes:])
+	f.Add(appendPacket(nil, nil, "c", 2, packetFieldMessage, (&Message{From: "a", Run: 5, Kind: 'r', Body: []byte("body")}).marshal())[headerBytes:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		got, err := open(append([]byte{'T', 'R', version, 0, 0, 0, 0}, body...), nil, "c", swim.MaxPiggyback)
+		got, err := openPacket(append([]byte{'T', 'R', packetVersion, 0, 0, 0, 0}, body...), nil, "c", swim.MaxPiggyback)
 		if err != nil {
 			return
 		}
-		if got.parcel != nil {
-			again, err := open(sealed(nil, keys, "c", got.count, sealParcel, got.parcel.marshal()), keys, "c", 0)
-			if err != nil || again.count != got.count || fmt.Sprintf("%+v", *got.parcel) != fmt.Sprintf("%+v", *again.parcel) {
-				t.Errorf("%+v was read, and then %+v: %v", got.parcel, again.parcel, err)
+		if got.message != nil {
+			again, err := openPacket(appendPacket(nil, keys, "c", got.sequence, packetFieldMessage, got.message.marshal()), keys, "c", 0)
+			if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", *got.message) != fmt.Sprintf("%+v", *again.message) {
+				t.Errorf("%+v was read, and then %+v: %v", got.message, again.message, err)
 			}
 			return
 		}
-		again, err := open(seal(nil, keys, "c", got.count, got.message), keys, "c", swim.MaxPiggyback)
-		if err != nil || again.count != got.count || fmt.Sprintf("%+v", got.message) != fmt.Sprintf("%+v", again.message) {
-			t.Errorf("%+v was read, and then %+v: %v", got.message, again.message, err)
+		again, err := openPacket(appendSwimPacket(nil, keys, "c", got.sequence, got.swimMessage), keys, "c", swim.MaxPiggyback)
+		if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", again.swimMessage) {
+			t.Errorf("%+v was read, and then %+v: %v", got.swimMessage, again.swimMessage, err)
 		}
-		swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Run: 1}}).Receive(time.Second, got.message)
+		swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Run: 1}}).Receive(time.Second, got.swimMessage)
 	})
 }
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -26,12 +26,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.life.Close() })
+	t.Cleanup(func() { d.liveFile.Close() })
 	return d
 }
 
 // kill ends a process as SIGKILL does: its files stay, its lock does not.
-func (d *Directory) kill() { d.life.Close() }
+func (d *Directory) kill() { d.liveFile.Close() }
 
 func (d *Directory) ready(t *testing.T) {
 	t.Helper()
@@ -109,7 +109,7 @@
 			t.Errorf("process %d: %v", d.Number(), s.Ejections)
 		}
 	}
-	if err := b.RecordEjection("s-3", false, at.Add(2*backFor)); err != nil { // what was given back long ago is forgotten, what is out is not
+	if err := b.RecordEjection("s-3", false, at.Add(2*returnRetention)); err != nil { // what was given back long ago is forgotten, what is out is not
 		t.Fatal(err)
 	}
 	if s, _, _ := b.Poll(ReadOnly); len(s.Ejections) != 2 || s.Ejections[0].ID != "s-1" {
@@ -141,7 +141,7 @@
 
 // What is damaged, or another's, is set aside with a word in the log, and is never a reason not to start.
 func TestDamageIsSetAside(t *testing.T) {
-	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{Number: 3}}, Ejections: []Ejection{{"s-1", true, 5}}}.text()
+	whole, _ := State{Format: stateFormat, Name: "n1", Processes: []Process{{Number: 3}}, Ejections: []Ejection{{"s-1", true, 5}}}.encode()
 	for name, text := range map[string]string{
 		"empty": "", "cut": string(whole[:len(whole)/2]), "noise": "\x00\xff\x10", "another format": strings.Replace(string(whole), `"format": 1`, `"format": 2`, 1),
 		"another sidecar": strings.Replace(string(whole), `"n1"`, `"n2"`, 1), "no id": strings.Replace(string(whole), `"s-1"`, `""`, 1),
@@ -201,7 +201,7 @@
 func TestNamesOfFilesDiffer(t *testing.T) {
 	seen := map[string]string{}
 	for _, name := range []string{"n1", "n/1", "n_1", "n:1", "", "..", strings.Repeat("x", 300), strings.Repeat("x", 301)} {
-		file := plain(name)
+		file := fileNameOf(name)
 		if other, ok := seen[file]; ok || strings.ContainsAny(file, "/.") || len(file) > 100 {
 			t.Errorf("%.20q and %.20q: %q", name, other, file)
 		}
@@ -216,7 +216,7 @@
 		out  bool
 		age  time.Duration
 		want bool
-	}{{false, 0, true}, {false, backFor / 2, true}, {false, 2 * backFor, false}, {false, -2 * backFor, false}, {true, 0, false}} {
+	}{{false, 0, true}, {false, returnRetention / 2, true}, {false, 2 * returnRetention, false}, {false, -2 * returnRetention, false}, {true, 0, false}} {
 		if b := (Ejection{"s-1", row.out, now.Add(-row.age).UnixMilli()}); b.IsRecentReturn(now) != row.want {
 			t.Errorf("out %v, %v old: %v", row.out, row.age, !row.want)
 		}
@@ -227,16 +227,16 @@
 	var s State
 	for i := range 3 * MaxEjections {
 		at := int64(i)
-		if ok := s.bar(Ejection{fmt.Sprint("o", i), true, at}); ok != (i < MaxEjections) {
+		if ok := s.recordEjection(Ejection{fmt.Sprint("o", i), true, at}); ok != (i < MaxEjections) {
 			t.Fatalf("call %d: %v", i, ok)
 		}
-		s.bar(Ejection{fmt.Sprint("b", i), false, at})
+		s.recordEjection(Ejection{fmt.Sprint("b", i), false, at})
 	}
-	if n := len(s.Ejections); n > MaxEjections+mostBacks {
+	if n := len(s.Ejections); n > MaxEjections+maxReturns {
 		t.Errorf("%d are kept", n)
 	}
-	text, err := State{Format: format, Name: "n", Ejections: s.Ejections}.text()
-	if _, bad := Parse(text, "n"); err != nil || bad != nil || len(text) > mostBytes {
+	text, err := State{Format: stateFormat, Name: "n", Ejections: s.Ejections}.encode()
+	if _, bad := Parse(text, "n"); err != nil || bad != nil || len(text) > maxStateBytes {
 		t.Errorf("%v, %v, %d bytes", err, bad, len(text))
 	}
 }
@@ -246,7 +246,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(256, 4096).Draw(t, "limit")
 		older := View{Others: []int{2}, Superseded: rapid.Bool().Draw(t, "ready")}
-		usedByOlder := rapid.IntRange(20, limit-newcomer-reserve).Draw(t, "used by the older")
+		usedByOlder := rapid.IntRange(20, limit-startupDescriptors-reservedDescriptors).Draw(t, "used by the older")
 		share := DescriptorLimit(limit, View{Others: []int{1}}, usedByOlder)
 		if share+usedByOlder > limit {
 			t.Fatalf("the newer one may use %d beside %d of %d", share, usedByOlder, limit)
@@ -276,11 +276,11 @@
 	const s = time.Second
 	for name, looks := range map[string][]look{
 		"alone":            {{0, alone, false, 0, Serving}, {s, alone, true, 5, Serving}},
-		"a newcomer":       {{0, beside, true, 0, Starting}, {noticed, beside, true, 0, Serving}, {s, beside, true, 9, Serving}},
-		"a silent list":    {{s, beside, false, 0, Starting}, {listTime, beside, false, 0, Serving}},
+		"a newcomer":       {{0, beside, true, 0, Starting}, {successorNoticeTime, beside, true, 0, Serving}, {s, beside, true, 9, Serving}},
+		"a silent list":    {{s, beside, false, 0, Starting}, {endpointListTimeout, beside, false, 0, Serving}},
 		"the others die":   {{0, beside, false, 0, Starting}, {1, alone, false, 0, Serving}},
 		"it is taken over": {{0, alone, true, 5, Serving}, {s, over, true, 5, Draining}, {9 * s, over, true, 1, Draining}, {10 * s, over, true, 0, Finished}},
-		"no haste":         {{0, alone, true, 0, Serving}, {s, over, true, 0, Draining}, {s + settle - 1, over, true, 0, Draining}, {s + settle, over, true, 0, Finished}},
+		"no haste":         {{0, alone, true, 0, Serving}, {s, over, true, 0, Draining}, {s + minDrainTime - 1, over, true, 0, Draining}, {s + minDrainTime, over, true, 0, Finished}},
 		"the heir dies":    {{0, alone, true, 5, Serving}, {s, over, true, 5, Draining}, {2 * s, alone, true, 0, Serving}, {3 * s, over, true, 0, Draining}},
 	} {
 		p := NewLifecycle(0)
@@ -435,7 +435,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	whole, _ := State{Format: format, Name: "n1", Processes: []Process{{1, true}}, Ejections: []Ejection{{"s-1", true, 5}}}.text()
+	whole, _ := State{Format: stateFormat, Name: "n1", Processes: []Process{{1, true}}, Ejections: []Ejection{{"s-1", true, 5}}}.encode()
 	f.Add(whole)
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -443,9 +443,9 @@
 		if err != nil {
 			return
 		}
-		s.join(func(int) bool { return true })
-		s.bar(Ejection{"x", true, 1})
-		again, err := s.text()
+		s.addProcess(func(int) bool { return true })
+		s.recordEjection(Ejection{"x", true, 1})
+		again, err := s.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// listTime is how long a newcomer waits for the whole list. Discovery on this machine answers at once or is silent.
-	listTime = 2 * time.Second
-	// noticed is by when those who serve have seen a newcomer, and left it its descriptors.
-	noticed = 3 * PollInterval / 2
-	// settle is for how long one that was taken over from stays at least, to take over again if the newer one dies young.
-	settle = time.Second
+	// endpointListTimeout is how long a newcomer waits for the whole list. Discovery on this machine answers at once or is silent.
+	endpointListTimeout = 2 * time.Second
+	// successorNoticeTime is by when those who serve have seen a newcomer, and left it its descriptors.
+	successorNoticeTime = 3 * PollInterval / 2
+	// minDrainTime is for how long one that was taken over from stays at least, to take over again if the newer one dies young.
+	minDrainTime = time.Second
 )
 
 // Phase is what a process does with callers.
@@ -24,12 +24,12 @@
 
 // Lifecycle is a process's part in a hand-over, from its start on. Instants are readings of any clock that never runs backwards.
 type Lifecycle struct {
-	phase Phase
-	since time.Duration
+	phase      Phase
+	phaseSince time.Duration
 }
 
 // NewLifecycle begins as Coming.
-func NewLifecycle(now time.Duration) *Lifecycle { return &Lifecycle{since: now} }
+func NewLifecycle(now time.Duration) *Lifecycle { return &Lifecycle{phaseSince: now} }
 
 // Phase is what the process does now.
 func (p *Lifecycle) Phase() Phase { return p.phase }
@@ -37,10 +37,10 @@
 // Update takes what was seen: of the others, whether the whole list has come, and how many callers are connected. It tells
 // whether the phase has changed.
 func (p *Lifecycle) Update(now time.Duration, v View, listed bool, callers int) bool {
-	was, stays := p.phase, now-p.since
+	was, stays := p.phase, now-p.phaseSince
 	switch p.phase {
 	case Starting:
-		if len(v.Others) == 0 || stays >= noticed && listed || stays >= listTime {
+		if len(v.Others) == 0 || stays >= successorNoticeTime && listed || stays >= endpointListTimeout {
 			p.phase = Serving
 		}
 	case Serving:
@@ -51,12 +51,12 @@
 		switch {
 		case !v.Superseded:
 			p.phase = Serving
-		case callers == 0 && stays >= settle:
+		case callers == 0 && stays >= minDrainTime:
 			p.phase = Finished
 		}
 	}
 	if p.phase != was {
-		p.since = now
+		p.phaseSince = now
 	}
 	return p.phase != was
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// blockMost is well within the time by which a process has to have heard that another takes its callers (LookEvery).
-const blockMost = 50 * time.Millisecond
+// maxAcceptBlock is well within the time by which a process has to have heard that another takes its callers (LookEvery).
+const maxAcceptBlock = 50 * time.Millisecond
 
-// leastDescriptor is the first that is not one of the standard ones.
-const leastDescriptor = 3
+// minInheritedDescriptor is the first that is not one of the standard ones.
+const minInheritedDescriptor = 3
 
 // InheritedDescriptor reads the number of an inherited descriptor; 0: none was told. The error names the variable.
 func InheritedDescriptor(variable, value string) (int, error) {
@@ -22,7 +22,7 @@
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(value)
-	if err != nil || fd < leastDescriptor {
+	if err != nil || fd < minInheritedDescriptor {
 		return 0, fmt.Errorf("%s: %.40q is no descriptor", variable, value)
 	}
 	return fd, nil
@@ -36,13 +36,13 @@
 // hang until the next one comes, and with it the end of this process. So an accept that blocks ends after blockMost (of
 // plain TCP; a socket of multipath TCP heeds no such limit, and is taken all the same).
 func InheritedListener(fd int, address string) (*net.TCPListener, error) {
-	if err := check(fd, address); err != nil {
+	if err := checkListeningSocket(fd, address); err != nil {
 		return nil, err
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, err
 	}
-	wait := unix.NsecToTimeval(blockMost.Nanoseconds())
+	wait := unix.NsecToTimeval(maxAcceptBlock.Nanoseconds())
 	if err := unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &wait); err != nil {
 		return nil, err
 	}
@@ -64,8 +64,8 @@
 	return tcp, nil
 }
 
-// check tells why a descriptor is not a TCP socket that listens at an address.
-func check(fd int, address string) error {
+// checkListeningSocket tells why a descriptor is not a TCP socket that listens at an address.
+func checkListeningSocket(fd int, address string) error {
 	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
 		return fmt.Errorf("descriptor %d is no socket: %w", fd, err)
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	format = 1
+	stateFormat = 1
 	// MaxEjections is how many endpoints may be out by hand at once: far more than a list has, and some 100 kB.
 	MaxEjections = 1024
-	// backFor is for how long a call back is remembered: longer than an endpoint is cold, or a process takes to start.
-	backFor      = time.Minute
-	mostBacks    = 1024
-	mostIDs      = 512 // bytes of an id
-	mostBytes    = 4 << 20
-	mostNumbered = 64 // processes that are remembered; those that are dead are forgotten first
+	// returnRetention is for how long a call back is remembered: longer than an endpoint is cold, or a process takes to start.
+	returnRetention = time.Minute
+	maxReturns      = 1024
+	maxIDBytes      = 512 // bytes of an id
+	maxStateBytes   = 4 << 20
+	maxProcesses    = 64 // processes that are remembered; those that are dead are forgotten first
 )
 
 // Process is one that serves, or served.
@@ -51,16 +51,16 @@
 		return State{}, fmt.Errorf("not read: %w", err)
 	}
 	switch {
-	case s.Format != format:
-		return State{}, fmt.Errorf("format: %d is not %d", s.Format, format)
+	case s.Format != stateFormat:
+		return State{}, fmt.Errorf("format: %d is not %d", s.Format, stateFormat)
 	case s.Name != name:
 		return State{}, fmt.Errorf("name: %.80q is another sidecar", s.Name)
-	case len(s.Ejections) > MaxEjections+mostBacks || len(s.Processes) > mostNumbered:
+	case len(s.Ejections) > MaxEjections+maxReturns || len(s.Processes) > maxProcesses:
 		return State{}, errors.New("more entries than are ever written")
 	}
 	seen := map[string]bool{}
 	for _, b := range s.Ejections {
-		if b.ID == "" || len(b.ID) > mostIDs || seen[b.ID] {
+		if b.ID == "" || len(b.ID) > maxIDBytes || seen[b.ID] {
 			return State{}, fmt.Errorf("bars: %.80q is no id, or stands there twice", b.ID)
 		}
 		seen[b.ID] = true
@@ -73,25 +73,25 @@
 	return s, nil
 }
 
-// text is the State as it is written.
-func (s State) text() ([]byte, error) { return json.MarshalIndent(s, "", " ") }
+// encode is the State as it is written.
+func (s State) encode() ([]byte, error) { return json.MarshalIndent(s, "", " ") }
 
-// join adds a process, and forgets those that are dead. Numbers are never used again while one of the old ones lives.
-func (s *State) join(alive func(number int) bool) (number int) {
+// addProcess adds a process, and forgets those that are dead. Numbers are never used again while one of the old ones lives.
+func (s *State) addProcess(alive func(number int) bool) (number int) {
 	for _, p := range s.Processes {
 		number = max(number, p.Number)
 	}
 	number++
 	s.Processes = slices.DeleteFunc(s.Processes, func(p Process) bool { return !alive(p.Number) })
-	if over := len(s.Processes) + 1 - mostNumbered; over > 0 {
+	if over := len(s.Processes) + 1 - maxProcesses; over > 0 {
 		s.Processes = slices.Delete(s.Processes, 0, over)
 	}
 	s.Processes = append(s.Processes, Process{Number: number})
 	return number
 }
 
-// ready says whether a process takes callers.
-func (s *State) ready(number int, is bool) {
+// setReady says whether a process takes callers.
+func (s *State) setReady(number int, is bool) {
 	for i := range s.Processes {
 		if s.Processes[i].Number == number {
 			s.Processes[i].Ready = is
@@ -99,13 +99,13 @@
 	}
 }
 
-// bar notes a call, in place of earlier ones for the same id, and forgets what was given back long ago. False: there is
+// recordEjection notes a call, in place of earlier ones for the same id, and forgets what was given back long ago. False: there is
 // no room for one more that is out.
-func (s *State) bar(b Ejection) bool {
+func (s *State) recordEjection(b Ejection) bool {
 	outs := 0
 	s.Ejections = slices.DeleteFunc(s.Ejections, func(old Ejection) bool {
 		age := time.Duration(b.AtMs-old.AtMs) * time.Millisecond
-		gone := old.ID == b.ID || !old.Ejected && (age > backFor || age < -backFor)
+		gone := old.ID == b.ID || !old.Ejected && (age > returnRetention || age < -returnRetention)
 		if !gone && old.Ejected {
 			outs++
 		}
@@ -114,7 +114,7 @@
 	if b.Ejected && outs >= MaxEjections {
 		return false
 	}
-	if backs := len(s.Ejections) - outs; !b.Ejected && backs >= mostBacks {
+	if backs := len(s.Ejections) - outs; !b.Ejected && backs >= maxReturns {
 		oldest := slices.IndexFunc(s.Ejections, func(old Ejection) bool { return !old.Ejected })
 		s.Ejections = slices.Delete(s.Ejections, oldest, oldest+1)
 	}
@@ -126,7 +126,7 @@
 // next call.
 func (b Ejection) IsRecentReturn(now time.Time) bool {
 	age := now.Sub(time.UnixMilli(b.AtMs))
-	return !b.Ejected && age < backFor && age > -backFor
+	return !b.Ejected && age < returnRetention && age > -returnRetention
 }
 
 // View is what follows for one process.
@@ -148,9 +148,9 @@
 }
 
 const (
-	reserve    = 16 // descriptors that stay free of the common limit: what others open between two looks
-	newcomer   = 48 // that a process which has yet to begin will need
-	drainShare = 4  // one that was taken over from may keep one in so many of the limit, whatever the newer ones need
+	reservedDescriptors  = 16 // descriptors that stay free of the common limit: what others open between two looks
+	startupDescriptors   = 48 // that a process which has yet to begin will need
+	drainingLimitDivisor = 4  // one that was taken over from may keep one in so many of the limit, whatever the newer ones need
 )
 
 // DescriptorLimit is how many descriptors a process may use of the limit common to all. others is what they use together, by their own
@@ -160,7 +160,7 @@
 	case len(v.Others) == 0:
 		return limit
 	case v.Superseded: // the more the newer ones need, the less idle callers are kept
-		return min(limit-others-reserve, max(limit/drainShare, limit-2*(others+reserve)))
+		return min(limit-others-reservedDescriptors, max(limit/drainingLimitDivisor, limit-2*(others+reservedDescriptors)))
 	}
-	return limit - max(others, newcomer) - reserve
+	return limit - max(others, startupDescriptors) - reservedDescriptors
 }
