--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -1,11 +1,16 @@
-//go:build !race
-
 package transport
 
 import "time"
 
-// ClockRate names a variable of the environment that has no effect here: see clock_race.go.
+// ClockRate names the environment variable that sets how fast the failure detector's clock runs, as a factor of real time.
+// Only test builds, which are those with the race detector, read it; in all others it has no effect.
 const ClockRate = "TULIPROCK_TEST_CLOCK_RATE"
 
-// scaledByClockRate is the time that has passed by this process's clock.
-func scaledByClockRate(d time.Duration) time.Duration { return d }
+// clockOrigin is the reading of the failure detector's clock at the start, well above zero so that the detector may
+// subtract any of its intervals from an instant.
+const clockOrigin = 24 * time.Hour
+
+// Now returns the reading of the failure detector's clock, with which Since of a member in a View compares.
+func (t *Transport) Now() time.Duration {
+	return clockOrigin + scaledByClockRate(time.Since(t.startedAt))
+}
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -8,10 +8,7 @@
 	"time"
 )
 
-// ClockRate names the environment's variable that says how fast the detector's clock runs, in builds for tests alone: those
-// with the race detector.
-const ClockRate = "TULIPROCK_TEST_CLOCK_RATE"
-
+// clockRate is read once, so that the clock never jumps.
 var clockRate = func() float64 {
 	if rate, err := strconv.ParseFloat(os.Getenv(ClockRate), 64); err == nil && rate > 0 {
 		return rate
@@ -19,5 +16,7 @@
 	return 1
 }()
 
-// scaledByClockRate is the time that has passed by this process's clock.
-func scaledByClockRate(d time.Duration) time.Duration { return time.Duration(float64(d) * clockRate) }
+// scaledByClockRate returns how much time the failure detector's clock counts for d of real time.
+func scaledByClockRate(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * clockRate)
+}
--- /dev/null
+++ b/internal/cluster/transport/keys.go
@@ -0,0 +1,82 @@
+package transport
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"strings"
+)
+
+// Keys authenticate packets: the first one signs, and packets signed with any of them are accepted, so that operators can
+// replace a key in steps.
+type Keys []Key
+
+// Key is a secret with which packets are signed (HMAC-SHA256).
+type Key struct {
+	id     [keyIDBytes]byte // tells the receiver which key was used; never zero, which stands for no key
+	secret []byte
+}
+
+const (
+	keyIDBytes = 4
+	maxKeys    = 2
+	// minKeyBytes is half of what HMAC-SHA256 can use, and far beyond guessing.
+	minKeyBytes   = 16
+	maxKeyBytes   = 64
+	keyFileFormat = "must hold one or two lines of 32 to 128 hexadecimal digits"
+)
+
+// ReadKeys reads a key file: one key a line in hexadecimal digits, two at most; empty lines and lines that begin with #
+// are skipped. A file that others than its owner may access is rejected. An error names the file and, for a malformed
+// key, the line, and never quotes its content.
+func ReadKeys(path string) (Keys, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Mode().Perm()&0o077 != 0 {
+		return nil, fmt.Errorf("%s: may be read by others than its owner (mode %v)", path, info.Mode().Perm())
+	}
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var keys Keys
+	lines := bufio.NewScanner(bytes.NewReader(content))
+	for number := 1; lines.Scan(); number++ {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		secret, err := hex.DecodeString(line)
+		if err != nil || len(secret) < minKeyBytes || len(secret) > maxKeyBytes || len(keys) == maxKeys {
+			return nil, fmt.Errorf("%s:%d: %s", path, number, keyFileFormat)
+		}
+		keys = append(keys, newKey(secret))
+	}
+	if err := lines.Err(); err != nil || len(keys) == 0 {
+		return nil, fmt.Errorf("%s: %s", path, keyFileFormat)
+	}
+	return keys, nil
+}
+
+func newKey(secret []byte) Key {
+	sum := sha256.Sum256(append([]byte("tuliprock key id\x00"), secret...))
+	k := Key{id: [keyIDBytes]byte(sum[:]), secret: secret}
+	if k.id == [keyIDBytes]byte{} {
+		k.id[0] = 1
+	}
+	return k
+}
+
+// mac returns the authentication code of a packet's header and body.
+func (k *Key) mac(header, body []byte) []byte {
+	h := hmac.New(sha256.New, k.secret)
+	h.Write(header)
+	h.Write(body)
+	return h.Sum(nil)
+}
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 
@@ -10,8 +9,8 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Fields of a message and of an update, in protocol buffers' wire format. What is unknown is skipped, so that a later
-// version may say more.
+// The fields of messages, in protocol buffers' wire format. Fields that are not known are skipped, so that a later version
+// may add some.
 const (
 	swimFieldKind protowire.Number = iota + 1
 	swimFieldFrom
@@ -22,6 +21,7 @@
 	swimFieldUpdate
 )
 
+// The fields of an update.
 const (
 	updateFieldName protowire.Number = iota + 1
 	updateFieldIP
@@ -32,9 +32,55 @@
 	updateFieldSuspectedBy
 )
 
-var errMalformed = errors.New("damaged message")
+// The fields of a Message.
+const (
+	messageFieldFrom protowire.Number = iota + 1
+	messageFieldRunID
+	messageFieldKind
+	messageFieldBody
+)
+
+// Message is what a part of a daemon sends to the same part of another daemon. Kind tells which part that is.
+type Message struct {
+	From string // the sender's name
+	Run  uint64 // identifies the sender's process
+	Kind byte
+	Body []byte
+}
+
+func (m *Message) marshal() []byte {
+	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
+	b = appendFixed64(b, messageFieldRunID, m.Run)
+	b = appendVarint(b, messageFieldKind, uint64(m.Kind))
+	return appendBytes(b, messageFieldBody, m.Body)
+}
+
+// parseMessage parses what marshal made. The result refers to nothing in b.
+func parseMessage(b []byte) (*Message, error) {
+	m := &Message{}
+	err := forEachField(b, func(f field) error {
+		switch f.id {
+		case messageFieldFrom:
+			m.From = string(f.bytes)
+		case messageFieldRunID:
+			m.Run = f.number
+		case messageFieldKind:
+			m.Kind = byte(f.number)
+		case messageFieldBody:
+			m.Body = append([]byte(nil), f.bytes...)
+		}
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	if !swim.IsValidName(m.From) {
+		return nil, fmt.Errorf("%w: sender's name", errMalformed)
+	}
+	return m, nil
+}
 
-// Marshal appends a message to b.
+// Marshal appends the encoding of a message of the failure detector to b.
 func Marshal(b []byte, m *swim.Message) []byte {
 	b = appendVarint(b, swimFieldKind, uint64(m.Kind))
 	b = appendUpdate(b, swimFieldFrom, &m.From)
@@ -42,8 +88,7 @@
 	if m.Target.Name != "" {
 		b = appendUpdate(b, swimFieldTarget, &swim.Update{Peer: m.Target})
 	}
-	b = protowire.AppendTag(b, swimFieldDigest, protowire.Fixed64Type)
-	b = protowire.AppendFixed64(b, m.Digest)
+	b = appendFixed64(b, swimFieldDigest, m.Digest)
 	if m.Quiet {
 		b = appendVarint(b, swimFieldQuiet, 1)
 	}
@@ -53,75 +98,30 @@
 	return b
 }
 
-func appendVarint(b []byte, n protowire.Number, v uint64) []byte {
-	return protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
-}
-
-func appendBytes[T string | []byte](b []byte, n protowire.Number, v T) []byte {
-	b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.BytesType), uint64(len(v)))
-	return append(b, v...)
-}
-
-func appendUpdate(b []byte, n protowire.Number, u *swim.Update) []byte {
-	var room [160]byte
+func appendUpdate(b []byte, id protowire.Number, u *swim.Update) []byte {
+	var buffer [160]byte // holds nearly every update; append grows it for the longest ones
 	ip := u.Addr.Addr().As16()
-	in := appendBytes(room[:0], updateFieldName, u.Name)
+	update := appendBytes(buffer[:0], updateFieldName, u.Name)
 	if u.Addr.Addr().Is4() {
-		in = appendBytes(in, updateFieldIP, ip[12:])
+		update = appendBytes(update, updateFieldIP, ip[12:])
 	} else {
-		in = appendBytes(in, updateFieldIP, ip[:])
+		update = appendBytes(update, updateFieldIP, ip[:])
 	}
-	in = appendVarint(in, updateFieldPort, uint64(u.Addr.Port()))
-	in = protowire.AppendFixed64(protowire.AppendTag(in, updateFieldRunID, protowire.Fixed64Type), u.Run)
+	update = appendVarint(update, updateFieldPort, uint64(u.Addr.Port()))
+	update = appendFixed64(update, updateFieldRunID, u.Run)
 	if u.State != swim.Alive {
-		in = appendVarint(in, updateFieldState, uint64(u.State))
+		update = appendVarint(update, updateFieldState, uint64(u.State))
 	}
-	in = appendVarint(in, updateFieldIncarnation, u.Incarnation)
+	update = appendVarint(update, updateFieldIncarnation, u.Incarnation)
 	if u.By != "" {
-		in = appendBytes(in, updateFieldSuspectedBy, u.By)
-	}
-	return appendBytes(b, n, in)
-}
-
-// field is one that was read: a number, or bytes that lie in what it was read from.
-type field struct {
-	id     protowire.Number
-	number uint64
-	bytes  []byte
-}
-
-// forEachField calls each with all fields of b, in turn.
-func forEachField(b []byte, each func(f field) error) error {
-	for len(b) > 0 {
-		is, kind, n := protowire.ConsumeTag(b)
-		if n < 0 {
-			return errMalformed
-		}
-		b = b[n:]
-		f := field{id: is}
-		switch kind {
-		case protowire.VarintType:
-			f.number, n = protowire.ConsumeVarint(b)
-		case protowire.Fixed64Type:
-			f.number, n = protowire.ConsumeFixed64(b)
-		case protowire.BytesType:
-			f.bytes, n = protowire.ConsumeBytes(b)
-		default:
-			return errMalformed // nothing of the kind is sent, now or later
-		}
-		if n < 0 {
-			return errMalformed
-		}
-		b = b[n:]
-		if err := each(f); err != nil {
-			return err
-		}
+		update = appendBytes(update, updateFieldSuspectedBy, u.By)
 	}
-	return nil
+	return appendBytes(b, id, update)
 }
 
-// parseSwimMessage reads a message that holds at most so many updates. It keeps nothing of b.
-func parseSwimMessage(b []byte, most int) (*swim.Message, error) {
+// parseSwimMessage parses what Marshal made, of which it accepts maxUpdates updates at most. The result refers to nothing
+// in b.
+func parseSwimMessage(b []byte, maxUpdates int) (*swim.Message, error) {
 	m := &swim.Message{}
 	err := forEachField(b, func(f field) (err error) {
 		switch f.id {
@@ -142,8 +142,8 @@
 		case swimFieldQuiet:
 			m.Quiet = f.number != 0
 		case swimFieldUpdate:
-			if len(m.Updates) >= most {
-				return fmt.Errorf("%w: over %d updates", errMalformed, most)
+			if len(m.Updates) >= maxUpdates {
+				return fmt.Errorf("%w: over %d updates", errMalformed, maxUpdates)
 			}
 			var u swim.Update
 			u, err = parseUpdate(f.bytes)
@@ -155,15 +155,16 @@
 		return nil, err
 	}
 	if m.Kind == 0 || m.From.Name == "" {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: no kind or no sender", errMalformed)
 	}
 	return m, nil
 }
 
-func parseUpdate(b []byte) (u swim.Update, err error) {
+func parseUpdate(b []byte) (swim.Update, error) {
+	var u swim.Update
 	var ip netip.Addr
 	var port uint64
-	err = forEachField(b, func(f field) error {
+	err := forEachField(b, func(f field) error {
 		ok := true
 		switch f.id {
 		case updateFieldName:
@@ -183,13 +184,16 @@
 			u.By, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
 		}
 		if !ok {
-			return fmt.Errorf("%w: field %d", errMalformed, f.id)
+			return fmt.Errorf("%w: update's field %d", errMalformed, f.id)
 		}
 		return nil
 	})
-	if err == nil && (u.Name == "" || !ip.IsValid()) {
-		err = errMalformed
+	if err != nil {
+		return swim.Update{}, err
+	}
+	if u.Name == "" || !ip.IsValid() {
+		return swim.Update{}, fmt.Errorf("%w: update without name or address", errMalformed)
 	}
 	u.Addr = netip.AddrPortFrom(ip.Unmap(), uint16(port))
-	return u, err
+	return u, nil
 }
--- /dev/null
+++ b/internal/cluster/transport/streams.go
@@ -0,0 +1,116 @@
+package transport
+
+import (
+	"context"
+	"encoding/binary"
+	"io"
+	"net"
+	"net/netip"
+	"time"
+
+	"tuliprock/internal/cluster/swim"
+)
+
+const (
+	// maxStreams is how many streams may be open in each direction.
+	maxStreams = 8
+	// streamTimeout is from the dial or the accept to the last byte.
+	streamTimeout = 2 * time.Second
+	// maxStreamBytes bounds a stream's packet. A snapshot of the replicated state has 7 MiB at most, swim.MaxMembers
+	// updates have 1.9 MB.
+	maxStreamBytes = 8 << 20
+	// streamHeaderBytes is the length, as a big-endian number, that precedes the packet.
+	streamHeaderBytes = 4
+	// acceptRetryDelay is between attempts to accept while the process is out of descriptors.
+	acceptRetryDelay = 5 * time.Millisecond
+)
+
+// startStream sends a packet on a connection and a goroutine of its own. b begins with streamHeaderBytes that are free
+// for the length. An error means that maxStreams are open; that a started stream failed is not reported.
+func (t *Transport) startStream(options *Options, to netip.AddrPort, b []byte) error {
+	select {
+	case t.outboundStreams <- struct{}{}:
+	default:
+		t.dropped.count(errTooManyStreams)
+		return errTooManyStreams
+	}
+	binary.BigEndian.PutUint32(b, uint32(len(b)-streamHeaderBytes))
+	t.goroutines.Go(func() {
+		defer func() { <-t.outboundStreams }()
+		n, err := t.writeStream(options, to, b)
+		t.countSent(n, err)
+	})
+	return nil
+}
+
+// writeStream dials and writes b, within streamTimeout and until the transport ends.
+func (t *Transport) writeStream(options *Options, to netip.AddrPort, b []byte) (int, error) {
+	ctx, cancel := context.WithTimeout(t.ctx, streamTimeout)
+	defer cancel()
+	dialer := net.Dialer{}
+	if ip := options.Listen.Addr(); !ip.IsUnspecified() { // the receiver sees the address that this member listens at
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
+	}
+	conn, err := dialer.DialContext(ctx, "tcp", to.String())
+	if err != nil {
+		return 0, err
+	}
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })()
+	return conn.Write(b)
+}
+
+// acceptStreams receives streams, maxStreams at a time, until the transport ends. Others wait in the system's queue.
+func (t *Transport) acceptStreams() {
+	inboundStreams := make(chan struct{}, maxStreams)
+	for {
+		select {
+		case inboundStreams <- struct{}{}:
+		case <-t.ctx.Done():
+			return
+		}
+		conn, err := t.tcpListener.Accept()
+		if err != nil {
+			<-inboundStreams
+			if t.ctx.Err() != nil {
+				return
+			}
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		t.goroutines.Go(func() {
+			defer func() { <-inboundStreams }()
+			t.receiveStream(conn)
+		})
+	}
+}
+
+// receiveStream receives the packet of one connection and closes it.
+func (t *Transport) receiveStream(conn net.Conn) {
+	defer conn.Close()
+	defer context.AfterFunc(t.ctx, func() { conn.Close() })()
+	_ = conn.SetDeadline(time.Now().Add(streamTimeout))
+	b, err := readStream(conn)
+	if err != nil {
+		t.dropped.count(err)
+		return
+	}
+	t.receive(b, swim.MaxMembers)
+}
+
+// readStream reads one packet. Memory grows with the bytes that arrive, not with the length that the sender announces.
+func readStream(r io.Reader) ([]byte, error) {
+	var header [streamHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxStreamBytes {
+		return nil, errMalformed
+	}
+	b, err := io.ReadAll(io.LimitReader(r, int64(size)))
+	if err == nil && uint32(len(b)) < size {
+		err = io.ErrUnexpectedEOF
+	}
+	return b, err
+}
