--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -10,13 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxAcceptBlock is well within the time by which a process has to have heard that another takes its callers (LookEvery).
-const maxAcceptBlock = 50 * time.Millisecond
-
-// minInheritedDescriptor is the first that is not one of the standard ones.
-const minInheritedDescriptor = 3
+const (
+	// maxAcceptBlock bounds an accept on a socket that another process has set blocking. It is well within PollInterval, by
+	// which a process notices that it is superseded.
+	maxAcceptBlock = 50 * time.Millisecond
+	// minInheritedDescriptor is the first one that is not a standard stream.
+	minInheritedDescriptor = 3
+)
 
-// InheritedDescriptor reads the number of an inherited descriptor; 0: none was told. The error names the variable.
+// InheritedDescriptor parses the number of an inherited descriptor, the value of an environment variable. An empty value
+// results in 0. An error names the variable.
 func InheritedDescriptor(variable, value string) (int, error) {
 	if value == "" {
 		return 0, nil
@@ -28,76 +31,87 @@
 	return fd, nil
 }
 
-// InheritedListener makes a listener of an inherited socket, which must listen at the address given. The socket itself stays open,
-// and is never shut down: other processes accept from it too.
+// InheritedListener returns a listener on an inherited socket, which must be a TCP socket that listens at address. The
+// listener has a descriptor of its own: fd stays open, and closing the listener does not shut the socket down, from which
+// other processes accept too.
 //
-// The descriptor is made non-blocking. That is a property of the socket, and whoever starts a process with it may take it
-// back for a moment, as os/exec does: an accept that begins then, and loses its caller to another process, would
-// hang until the next one comes, and with it the end of this process. So an accept that blocks ends after blockMost (of
-// plain TCP; a socket of multipath TCP heeds no such limit, and is taken all the same).
+// The socket is made non-blocking. All its descriptors share that property, and whoever starts a process with one of them
+// may reset it for a moment, as os/exec does. An accept that begins then, and loses its connection to another process,
+// would block until the next one arrives, and with it the end of this process. So an accept that does block is ended by
+// the system after maxAcceptBlock, for plain TCP. Multipath TCP ignores that limit, and its sockets are accepted all the
+// same.
 func InheritedListener(fd int, address string) (*net.TCPListener, error) {
 	if err := checkListeningSocket(fd, address); err != nil {
 		return nil, err
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("descriptor %d: set non-blocking: %w", fd, err)
 	}
-	wait := unix.NsecToTimeval(maxAcceptBlock.Nanoseconds())
-	if err := unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &wait); err != nil {
-		return nil, err
+	timeout := unix.NsecToTimeval(maxAcceptBlock.Nanoseconds())
+	if err := unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
+		return nil, fmt.Errorf("descriptor %d: set accept timeout: %w", fd, err)
 	}
-	own, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+	duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("descriptor %d: duplicate: %w", fd, err)
 	}
-	f := os.NewFile(uintptr(own), "listener")
-	defer f.Close() // net makes another descriptor
+	f := os.NewFile(uintptr(duplicate), "listener")
+	defer func() { _ = f.Close() }() // net.FileListener has duplicated it again
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcpListener, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", fd)
+		return nil, errNotTCP(fd)
 	}
-	return tcp, nil
+	return tcpListener, nil
 }
 
-// checkListeningSocket tells why a descriptor is not a TCP socket that listens at an address.
+// checkListeningSocket returns an error that says why a descriptor is not a TCP socket that listens at address.
 func checkListeningSocket(fd int, address string) error {
-	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
+	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
 		return fmt.Errorf("descriptor %d is no socket: %w", fd, err)
 	}
 	protocol, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_PROTOCOL)
-	tcp := protocol == unix.IPPROTO_TCP || protocol == unix.IPPROTO_MPTCP // as Go's own listeners are
-	if err != nil || kind != unix.SOCK_STREAM || !tcp {
-		return fmt.Errorf("descriptor %d is no TCP socket", fd)
+	isTCP := protocol == unix.IPPROTO_TCP || protocol == unix.IPPROTO_MPTCP // Go's own listeners use the latter
+	if err != nil || socketType != unix.SOCK_STREAM || !isTCP {
+		return errNotTCP(fd)
 	}
 	if listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listens == 0 {
 		return fmt.Errorf("descriptor %d does not listen", fd)
 	}
-	name, err := unix.Getsockname(fd)
+	actual, err := boundAddr(fd)
 	if err != nil {
-		return fmt.Errorf("descriptor %d: %w", fd, err)
-	}
-	var at net.TCPAddr
-	switch a := name.(type) {
-	case *unix.SockaddrInet4:
-		at = net.TCPAddr{IP: a.Addr[:], Port: a.Port}
-	case *unix.SockaddrInet6:
-		at = net.TCPAddr{IP: a.Addr[:], Port: a.Port}
-	default:
-		return fmt.Errorf("descriptor %d is no TCP socket", fd)
+		return err
 	}
-	want, err := net.ResolveTCPAddr("tcp", address)
+	expected, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return err
 	}
-	anywhere := want.IP == nil || want.IP.IsUnspecified()
-	if at.Port != want.Port || !at.IP.IsUnspecified() && !anywhere && !at.IP.Equal(want.IP) {
-		return fmt.Errorf("descriptor %d listens at %s, not at %s", fd, &at, address)
+	isAnyExpected := expected.IP == nil || expected.IP.IsUnspecified()
+	isSameIP := actual.IP.IsUnspecified() || isAnyExpected || actual.IP.Equal(expected.IP)
+	if actual.Port != expected.Port || !isSameIP {
+		return fmt.Errorf("descriptor %d listens at %s, not at %s", fd, actual, address)
 	}
 	return nil
 }
+
+// boundAddr returns the address that a TCP socket is bound to.
+func boundAddr(fd int) (*net.TCPAddr, error) {
+	name, err := unix.Getsockname(fd)
+	if err != nil {
+		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
+	}
+	switch a := name.(type) {
+	case *unix.SockaddrInet4:
+		return &net.TCPAddr{IP: a.Addr[:], Port: a.Port}, nil
+	case *unix.SockaddrInet6:
+		return &net.TCPAddr{IP: a.Addr[:], Port: a.Port}, nil
+	}
+	return nil, errNotTCP(fd)
+}
+
+func errNotTCP(fd int) error { return fmt.Errorf("descriptor %d is no TCP socket", fd) }
--- /dev/null
+++ b/internal/hotrestart/state_test.go
@@ -0,0 +1,68 @@
+package hotrestart
+
+import "testing"
+
+// Processes of other builds read and write the same state: the bytes are fixed.
+func TestStateEncodingIsFixed(t *testing.T) {
+	const want = `{
+ "format": 1,
+ "name": "n1",
+ "processes": [
+  {
+   "number": 1,
+   "ready": true
+  },
+  {
+   "number": 2,
+   "ready": false
+  }
+ ],
+ "bars": [
+  {
+   "id": "s-1",
+   "out": true,
+   "at_ms": 5
+  },
+  {
+   "id": "s-2",
+   "out": false,
+   "at_ms": 6
+  }
+ ]
+}`
+	got, err := State{
+		Format:    stateFormat,
+		Name:      "n1",
+		Processes: []Process{{Number: 1, Ready: true}, {Number: 2}},
+		Ejections: []Ejection{{ID: "s-1", Ejected: true, AtMs: 5}, {ID: "s-2", AtMs: 6}},
+	}.encode()
+	if err != nil || string(got) != want {
+		t.Errorf("%s, %v, want %s", got, err, want)
+	}
+}
+
+// Any text is parsed or rejected, and what was parsed can be changed, written and parsed again.
+func FuzzParse(f *testing.F) {
+	state := State{Format: stateFormat, Name: "n1", Processes: []Process{{1, true}}, Ejections: []Ejection{{"s-1", true, 5}}}
+	intact, err := state.encode()
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(intact)
+	f.Add([]byte("{}"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		s, err := Parse(text, "n1")
+		if err != nil {
+			return
+		}
+		s.addProcess(func(int) bool { return true })
+		_ = s.recordEjection(Ejection{"x", true, 1}) // the state may be full
+		again, err := s.encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Parse(again, "n1"); err != nil {
+			t.Errorf("%s becomes %s: %v", text, again, err)
+		}
+	})
+}
