--- /dev/null
+++ b/internal/cluster/raftnode/messages_test.go
@@ -0,0 +1,48 @@
+package raftnode
+
+import (
+	"encoding/json"
+	"testing"
+
+	"tuliprock/internal/cluster/consensus"
+)
+
+// Daemons of different versions talk to each other, so that the bytes of a message's body never change.
+func TestMessageBodiesKeepTheirEncoding(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		body any
+		want string
+	}{
+		{
+			name: "result of a committed command",
+			body: CommandOutcome{ID: "a", CommandResult: consensus.CommandResult{Version: 7, Same: true}},
+			want: `{"ID":"a","version":7,"same":true,"Err":""}`,
+		},
+		{
+			name: "result of a rejected command",
+			body: CommandOutcome{ID: "b", Err: "no"},
+			want: `{"ID":"b","version":0,"Err":"no"}`,
+		},
+		{
+			name: "bootstrap vote of a voter that has yet to begin",
+			body: foundParcel{Round: 3, Asks: true, Word: consensus.BootstrapVote{Mark: "m"}},
+			want: `{"round":3,"asks":true,"word":{"begun":false,"mark":"m","marks":null}}`,
+		},
+		{
+			name: "bootstrap vote of a voter that has begun",
+			body: foundParcel{Round: 4, Word: consensus.BootstrapVote{Begun: true, Marks: map[string]string{"a": "m"}}},
+			want: `{"round":4,"asks":false,"word":{"begun":true,"mark":"","marks":{"a":"m"}}}`,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := json.Marshal(c.body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(got) != c.want {
+				t.Errorf("encoded as %s, want %s", got, c.want)
+			}
+		})
+	}
+}
