--- a/internal/cluster/raftnode/chamber.go
+++ b/internal/cluster/raftnode/chamber.go
@@ -118,9 +118,9 @@
 
 // CommandOutcome is what became of a command.
 type CommandOutcome struct {
-	ID string
+	ID string `json:"ID"`
 	consensus.CommandResult
-	Err string // empty: it was committed
+	Err string `json:"Err"` // empty: it was committed
 }
 
 // Status is how agreement stands, as this daemon sees it.
