--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -12,85 +12,85 @@
 	"tuliprock/internal/wal"
 )
 
-// markName is a file that holds the mark of a disk, drawn at its first start (agree.Founding, agree.SeatMark).
-const markName = "MARK"
+// markFile is a file that holds the mark of a disk, drawn at its first start (agree.Founding, agree.SeatMark).
+const markFile = "MARK"
 
 const (
-	foundEvery = 300 * time.Millisecond // between two rounds of asking the other first voters
-	foundSaid  = 10 * time.Second       // after which it is said who does not answer
+	bootstrapRoundInterval = 300 * time.Millisecond // between two rounds of asking the other first voters
+	bootstrapWarnAfter     = 10 * time.Second       // after which it is said who does not answer
 )
 
-// foundParcel is a word between first voters: one that has yet to begin asks, all answer.
-type foundParcel struct {
-	Round uint64                  `json:"round"`
-	Asks  bool                    `json:"asks"`
-	Word  consensus.BootstrapVote `json:"word"`
+// bootstrapMessage is a word between first voters: one that has yet to begin asks, all answer.
+type bootstrapMessage struct {
+	Round     uint64                  `json:"round"`
+	IsRequest bool                    `json:"asks"`
+	Vote      consensus.BootstrapVote `json:"word"`
 }
 
-// mark is that of this daemon's disk.
-func (c *Node) mark() (string, error) {
-	text, err := read(c.o.Disk, markName, mostIdentity)
+// loadDiskMark is that of this daemon's disk.
+func (n *Node) loadDiskMark() (string, error) {
+	text, err := readFile(n.options.Disk, markFile, maxIdentityBytes)
 	if err != nil || len(text) > 0 {
 		return strings.TrimSpace(string(text)), err
 	}
 	mark := rand.Text()
-	return mark, wal.Replace(c.o.Disk, markName, []byte(mark+"\n"))
+	return mark, wal.Replace(n.options.Disk, markFile, []byte(mark+"\n"))
 }
 
-// found asks the other first voters whether they have begun.
-func (c *Node) found(now time.Duration) {
-	c.foundAt = now + foundEvery
-	if silent := c.founding.MissingVotes(); now > c.began+foundSaid && !c.awaited && len(silent) > 0 {
-		c.awaited = true
-		c.o.Log.Warn("this daemon votes when all first voters have been up at once", "silent", strings.Join(silent, " "))
+// runBootstrapRound asks the other first voters whether they have begun.
+func (n *Node) runBootstrapRound(now time.Duration) {
+	n.nextBootstrapRound = now + bootstrapRoundInterval
+	if silent := n.bootstrap.MissingVotes(); now > n.startedAt+bootstrapWarnAfter && !n.isBootstrapWaitLogged && len(silent) > 0 {
+		n.isBootstrapWaitLogged = true
+		n.options.Log.Warn("this daemon votes when all first voters have been up at once", "silent", strings.Join(silent, " "))
 	}
-	p := foundParcel{Round: c.founding.StartRound(), Asks: true, Word: c.founding.Vote()}
-	for _, name := range c.o.Voters {
-		if name != c.o.Name {
-			c.sendFound(name, p)
+	p := bootstrapMessage{Round: n.bootstrap.StartRound(), IsRequest: true, Vote: n.bootstrap.Vote()}
+	for _, name := range n.options.Voters {
+		if name != n.options.Name {
+			n.sendBootstrap(name, p)
 		}
 	}
-	c.decideFound(now)
+	n.decideBootstrap(now)
 }
 
-func (c *Node) sendFound(to string, p foundParcel) {
+func (n *Node) sendBootstrap(to string, p bootstrapMessage) {
 	if body, err := json.Marshal(p); err == nil {
-		_ = c.o.Transport.Send(to, kindFound, body)
+		_ = n.options.Transport.Send(to, kindBootstrap, body)
 	}
 }
 
-// hearFound takes another's word, and answers one that asks. Who never began, and is not about to, says nothing.
-func (c *Node) hearFound(now time.Duration, parcel transport.Message) {
-	var p foundParcel
-	if json.Unmarshal(parcel.Body, &p) != nil || !slices.Contains(c.o.Voters, parcel.From) {
+// handleBootstrap takes another's word, and answers one that asks. Who never began, and is not about to, says nothing.
+func (n *Node) handleBootstrap(now time.Duration, parcel transport.Message) {
+	var p bootstrapMessage
+	if json.Unmarshal(parcel.Body, &p) != nil || !slices.Contains(n.options.Voters, parcel.From) {
 		return
 	}
 	switch {
-	case p.Asks && c.word != nil:
-		c.sendFound(parcel.From, foundParcel{Round: p.Round, Word: *c.word})
-	case p.Asks && c.founding != nil:
-		c.sendFound(parcel.From, foundParcel{Round: p.Round, Word: c.founding.Vote()})
-	case !p.Asks && c.founding != nil:
-		c.founding.ReceiveVote(parcel.From, p.Round, p.Word)
-		c.decideFound(now)
+	case p.IsRequest && n.bootstrapVote != nil:
+		n.sendBootstrap(parcel.From, bootstrapMessage{Round: p.Round, Vote: *n.bootstrapVote})
+	case p.IsRequest && n.bootstrap != nil:
+		n.sendBootstrap(parcel.From, bootstrapMessage{Round: p.Round, Vote: n.bootstrap.Vote()})
+	case !p.IsRequest && n.bootstrap != nil:
+		n.bootstrap.ReceiveVote(parcel.From, p.Round, p.Vote)
+		n.decideBootstrap(now)
 	}
 }
 
-// decideFound begins as a first voter, or never will.
-func (c *Node) decideFound(now time.Duration) {
-	marks, lost := c.founding.Decision()
+// decideBootstrap begins as a first voter, or never will.
+func (n *Node) decideBootstrap(now time.Duration) {
+	marks, lost := n.bootstrap.Decision()
 	switch {
 	case lost:
-		c.o.Log.Error("this daemon does not vote", "err", errLost)
-		c.founding, c.lost = nil, true
+		n.options.Log.Error("this daemon does not vote", "err", errVoterDiskLost)
+		n.bootstrap, n.isDiskLossLogged = nil, true
 	case marks != nil:
-		first := slices.Sorted(slices.Values(c.o.Voters))
-		is := &identity{name: c.o.Name, first: first, id: uint64(slices.Index(first, c.o.Name) + 1), founded: foundedBy(first), marks: marks}
-		c.founding, c.word = nil, &consensus.BootstrapVote{Begun: true, Marks: marks}
+		first := slices.Sorted(slices.Values(n.options.Voters))
+		is := &identity{name: n.options.Name, firstVoters: first, id: uint64(slices.Index(first, n.options.Name) + 1), fleetID: newFleetID(first), marks: marks}
+		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{Begun: true, Marks: marks}
 		var err error
-		if c.seat, err = c.begin(now, is); err != nil {
-			c.left = true
-			c.o.Log.Error("this daemon can't vote", "err", err)
+		if n.slot, err = n.createVoter(now, is); err != nil {
+			n.hasStoppedVoting = true
+			n.options.Log.Error("this daemon can't vote", "err", err)
 		}
 	}
 }
--- a/internal/cluster/raftnode/messages_test.go
+++ b/internal/cluster/raftnode/messages_test.go
@@ -16,22 +16,22 @@
 	}{
 		{
 			name: "result of a committed command",
-			body: CommandOutcome{ID: "a", CommandResult: consensus.CommandResult{Version: 7, Same: true}},
+			body: proposalResult{ID: "a", CommandResult: consensus.CommandResult{Version: 7, Same: true}},
 			want: `{"ID":"a","version":7,"same":true,"Err":""}`,
 		},
 		{
 			name: "result of a rejected command",
-			body: CommandOutcome{ID: "b", Err: "no"},
+			body: proposalResult{ID: "b", Error: "no"},
 			want: `{"ID":"b","version":0,"Err":"no"}`,
 		},
 		{
 			name: "bootstrap vote of a voter that has yet to begin",
-			body: foundParcel{Round: 3, Asks: true, Word: consensus.BootstrapVote{Mark: "m"}},
+			body: bootstrapMessage{Round: 3, IsRequest: true, Vote: consensus.BootstrapVote{Mark: "m"}},
 			want: `{"round":3,"asks":true,"word":{"begun":false,"mark":"m","marks":null}}`,
 		},
 		{
 			name: "bootstrap vote of a voter that has begun",
-			body: foundParcel{Round: 4, Word: consensus.BootstrapVote{Begun: true, Marks: map[string]string{"a": "m"}}},
+			body: bootstrapMessage{Round: 4, Vote: consensus.BootstrapVote{Begun: true, Marks: map[string]string{"a": "m"}}},
 			want: `{"round":4,"asks":false,"word":{"begun":true,"mark":"","marks":{"a":"m"}}}`,
 		},
 	} {
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -26,22 +26,22 @@
 
 // Kinds of parcels.
 const (
-	kindRaft   = 'r'
-	kindAsk    = 'q'
-	kindGrant  = 'g'
-	kindPut    = 'p'
-	kindResult = 's'
-	kindVoters = 'v'
-	kindFound  = 'f'
+	kindRaft           = 'r'
+	kindLeaseRequest   = 'q'
+	kindLeaseGrant     = 'g'
+	kindProposal       = 'p'
+	kindProposalResult = 's'
+	kindVoterNames     = 'v'
+	kindBootstrap      = 'f'
 )
 
 const (
-	beat         = 100 * time.Millisecond // of the voters; an election takes five to ten without a word
-	mostPuts     = 64
-	mostPutBytes = 8 << 20         // of them together, as raft has it of what is not yet agreed on
-	again        = time.Second     // between the first two tries of a command that nobody has answered; it doubles with each
-	keepPut      = 8 * time.Second // that one is kept whose asker has gone
-	idle         = time.Hour
+	heartbeatInterval       = 100 * time.Millisecond // of the voters; an election takes five to ten without a word
+	maxPendingProposals     = 64
+	maxPendingProposalBytes = 8 << 20         // of them together, as raft has it of what is not yet agreed on
+	initialRetryBackoff     = time.Second     // between the first two tries of a command that nobody has answered; it doubles with each
+	orphanRetention         = 8 * time.Second // that one is kept whose asker has gone
+	maxIdleWait             = time.Hour
 )
 
 // Transport is what carries parcels: a link.Link.
@@ -71,56 +71,56 @@
 
 // Node is a daemon's part in what is agreed.
 type Node struct {
-	o       Options
-	acting  atomic.Pointer[LeasedVersion]
-	status  atomic.Pointer[Status]
-	granter chan struct{} // closed at the first grant
-	changed chan struct{} // has a value when Acting has another version
-	calls   chan func()
-	ctx     context.Context
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	options    Options
+	leased     atomic.Pointer[LeasedVersion]
+	status     atomic.Pointer[Status]
+	firstGrant chan struct{} // closed at the first grant
+	changed    chan struct{} // has a value when Acting has another version
+	calls      chan func()
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	// The owner's:
-	seat       *seat // nil: this daemon does not vote
-	holder     *consensus.LeaseHolder
-	askAt      time.Duration
-	voters     []string // who may be asked, in order: those that were told, and those that vote as far as is known
-	sitting    []string // who votes, as the leader said last
-	leader     string   // the voter that answered last, or was asked last
-	heard      bool
-	first      bool // a grant has come
-	puts       map[string]*waiting
-	checks     uint64                   // version that is being checked; 0: none
-	kept       uint64                   // version that is kept,
-	keptVoters []string                 // and who voted
-	founding   *consensus.Bootstrap     // while this daemon is a first voter that has yet to begin
-	foundAt    time.Duration            // next round of that
-	began      time.Duration            // this process
-	word       *consensus.BootstrapVote // what it says to those that have yet to begin; nil: it never began
-	left       bool                     // this daemon's part in the voting has ended
-	marked     string                   // the mark of a disk that has no voter; empty: there is none
-	lost       bool                     // it was said that the log of its seat is gone
-	awaited    bool                     // it was said which first voters are not there
+	slot                  *voterSlot // nil: this daemon does not vote
+	lease                 *consensus.LeaseHolder
+	nextLeaseRequest      time.Duration
+	knownVoters           []string // who may be asked, in order: those that were told, and those that vote as far as is known
+	activeVoters          []string // who votes, as the leader said last
+	leader                string   // the voter that answered last, or was asked last
+	leaderAnswered        bool
+	hasFirstGrant         bool // a grant has come
+	proposals             map[string]*proposal
+	checkingVersion       uint64                   // version that is being checked; 0: none
+	cachedVersion         uint64                   // version that is kept,
+	cachedVoters          []string                 // and who voted
+	bootstrap             *consensus.Bootstrap     // while this daemon is a first voter that has yet to begin
+	nextBootstrapRound    time.Duration            // next round of that
+	startedAt             time.Duration            // this process
+	bootstrapVote         *consensus.BootstrapVote // what it says to those that have yet to begin; nil: it never began
+	hasStoppedVoting      bool                     // this daemon's part in the voting has ended
+	diskMark              string                   // the mark of a disk that has no voter; empty: there is none
+	isDiskLossLogged      bool                     // it was said that the log of its seat is gone
+	isBootstrapWaitLogged bool                     // it was said which first voters are not there
 }
 
-// waiting is a command that has not been answered: by whom it was asked here, or from which daemon it came. One whose asker has gone
+// proposal is a command that has not been answered: by whom it was asked here, or from which daemon it came. One whose asker has gone
 // is kept for a while: asked again it is not proposed anew.
-type waiting struct {
-	body   []byte
-	answer chan CommandOutcome // nil: nobody here waits for it
-	from   string              // the daemon that it came from; empty: none
-	next   time.Duration       // instant of the next try,
-	rest   time.Duration       // and how long after it another comes
-	ends   time.Duration
-	result *CommandOutcome // what became of it, for who asks again
+type proposal struct {
+	body        []byte
+	waiter      chan proposalResult // nil: nobody here waits for it
+	proposer    string              // the daemon that it came from; empty: none
+	nextAttempt time.Duration       // instant of the next try,
+	backoff     time.Duration       // and how long after it another comes
+	expiresAt   time.Duration
+	result      *proposalResult // what became of it, for who asks again
 }
 
-// CommandOutcome is what became of a command.
-type CommandOutcome struct {
+// proposalResult is what became of a command.
+type proposalResult struct {
 	ID string `json:"ID"`
 	consensus.CommandResult
-	Err string `json:"Err"` // empty: it was committed
+	Error string `json:"Err"` // empty: it was committed
 }
 
 // Status is how agreement stands, as this daemon sees it.
@@ -141,75 +141,75 @@
 
 // Start opens the log and begins. An error names the directory or what is wrong with it.
 func Start(o Options) (*Node, error) {
-	c := &Node{o: o, voters: slices.Sorted(slices.Values(o.Voters)), leader: o.Voters[0], changed: make(chan struct{}, 1), granter: make(chan struct{}), calls: make(chan func()), puts: map[string]*waiting{}}
+	c := &Node{options: o, knownVoters: slices.Sorted(slices.Values(o.Voters)), leader: o.Voters[0], changed: make(chan struct{}, 1), firstGrant: make(chan struct{}), calls: make(chan func()), proposals: map[string]*proposal{}}
 	now := o.Now()
-	c.began = now
+	c.startedAt = now
 	if o.Disk != nil {
 		var err error
-		if c.seat, err = c.sitDown(now); err != nil {
+		if c.slot, err = c.startVoter(now); err != nil {
 			return nil, err
 		}
 	}
-	version, docs := c.remembered()
-	c.holder = consensus.NewLeaseHolder(o.Name, o.Lease, version, docs)
-	c.acting.Store(&LeasedVersion{Version: version, Docs: docs})
+	version, docs := c.loadCachedVersion()
+	c.lease = consensus.NewLeaseHolder(o.Name, o.Lease, version, docs)
+	c.leased.Store(&LeasedVersion{Version: version, Docs: docs})
 	c.status.Store(&Status{})
-	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.done.Go(c.own)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.goroutines.Go(c.run)
 	return c, nil
 }
 
 // Valid tells what this daemon may act on now; false: its lease has run out, or it never had one. The look and the act lie as far
 // apart as the caller lets them; no lock is taken.
-func (c *Node) Valid() (*LeasedVersion, bool) {
-	a := c.acting.Load()
-	return a, a.Version > 0 && c.o.Now() < a.Until
+func (n *Node) Valid() (*LeasedVersion, bool) {
+	a := n.leased.Load()
+	return a, a.Version > 0 && n.options.Now() < a.Until
 }
 
 // CoversVersion tells whether a version may be acted on now: the one that this daemon is to act on, or the one before while it
 // changes over. No lock is taken.
-func (c *Node) CoversVersion(version uint64) bool {
-	return c.acting.Load().CoversVersion(version, c.o.Now())
+func (n *Node) CoversVersion(version uint64) bool {
+	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
 
 // LeaseRemaining is how long the lease lasts yet.
-func (c *Node) LeaseRemaining() time.Duration { return max(c.acting.Load().Until-c.o.Now(), 0) }
+func (n *Node) LeaseRemaining() time.Duration { return max(n.leased.Load().Until-n.options.Now(), 0) }
 
 // MarkInstalled says that this daemon has taken a version up, where it Installs.
-func (c *Node) MarkInstalled(version uint64) {
-	c.call(c.ctx, func() { c.holder.MarkInstalled(version) })
+func (n *Node) MarkInstalled(version uint64) {
+	n.submit(n.ctx, func() { n.lease.MarkInstalled(version) })
 }
 
 // Recheck has a version that this daemon could not act on looked at again: something here has changed.
-func (c *Node) Recheck() { c.call(c.ctx, c.holder.Recheck) }
+func (n *Node) Recheck() { n.submit(n.ctx, n.lease.Recheck) }
 
 // FirstGrant is closed when the first grant since the start has come: then May tells what is agreed, if anything is.
-func (c *Node) FirstGrant() <-chan struct{} { return c.granter }
+func (n *Node) FirstGrant() <-chan struct{} { return n.firstGrant }
 
 // Changed has a value when May tells of another version.
-func (c *Node) Changed() <-chan struct{} { return c.changed }
+func (n *Node) Changed() <-chan struct{} { return n.changed }
 
 // Status is how agreement stands.
-func (c *Node) Status() Status { return *c.status.Load() }
+func (n *Node) Status() Status { return *n.status.Load() }
 
 // Close ends the chamber, and returns when nothing of it runs any more.
-func (c *Node) Close() error {
-	c.stop()
-	c.done.Wait()
-	if c.seat != nil {
-		return c.seat.log.Close()
+func (n *Node) Close() error {
+	n.cancel()
+	n.goroutines.Wait()
+	if n.slot != nil {
+		return n.slot.log.Close()
 	}
 	return nil
 }
 
 // ProposeVersion has a command agreed on, and gives the version that it made once that is committed. A command without an ID gets one.
-func (c *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
-	a, err := c.Propose(ctx, cmd)
+func (n *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
+	a, err := n.Propose(ctx, cmd)
 	return a.Version, err
 }
 
 // Propose is Put for commands of all kinds, and gives all that became of one.
-func (c *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
+func (n *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
 	if cmd.ID == "" {
 		cmd.ID = rand.Text()
 	}
@@ -217,323 +217,323 @@
 	if err != nil {
 		return consensus.CommandResult{}, err
 	}
-	answer := make(chan CommandOutcome, 1)
+	answer := make(chan proposalResult, 1)
 	room := make(chan bool, 1)
-	if !c.call(ctx, func() { room <- c.wantAnswer(cmd.ID, body, answer) }) {
+	if !n.submit(ctx, func() { room <- n.addProposal(cmd.ID, body, answer) }) {
 		return consensus.CommandResult{}, consensus.ErrIndeterminate
 	}
 	if !<-room {
-		return consensus.CommandResult{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", mostPuts, mostPutBytes)
+		return consensus.CommandResult{}, fmt.Errorf("as much is under way already as may be: %d commands, or %d bytes", maxPendingProposals, maxPendingProposalBytes)
 	}
 	select {
 	case r := <-answer:
-		if r.Err != "" {
-			return r.CommandResult, errors.New(r.Err)
+		if r.Error != "" {
+			return r.CommandResult, errors.New(r.Error)
 		}
 		return r.CommandResult, nil
 	case <-ctx.Done():
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 	}
-	c.call(c.ctx, func() {
-		if p := c.puts[cmd.ID]; p != nil && p.answer == answer {
-			p.answer, p.ends = nil, c.o.Now()+keepPut
+	n.submit(n.ctx, func() {
+		if p := n.proposals[cmd.ID]; p != nil && p.waiter == answer {
+			p.waiter, p.expiresAt = nil, n.options.Now()+orphanRetention
 		}
 	})
 	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
-// wantAnswer has a command's answer sent when it comes; it is there already if it was asked for before. False: there is no room.
-func (c *Node) wantAnswer(id string, body []byte, answer chan CommandOutcome) bool {
-	p := c.puts[id]
+// addProposal has a command's answer sent when it comes; it is there already if it was asked for before. False: there is no room.
+func (n *Node) addProposal(id string, body []byte, answer chan proposalResult) bool {
+	p := n.proposals[id]
 	switch {
-	case p == nil && !c.room(len(body)):
+	case p == nil && !n.hasCapacity(len(body)):
 		return false
 	case p == nil:
-		c.puts[id] = &waiting{body: body, answer: answer, rest: again, ends: math.MaxInt64}
+		n.proposals[id] = &proposal{body: body, waiter: answer, backoff: initialRetryBackoff, expiresAt: math.MaxInt64}
 	case p.result != nil:
 		answer <- *p.result
-		delete(c.puts, id)
+		delete(n.proposals, id)
 	default:
-		p.answer, p.ends = answer, math.MaxInt64
+		p.waiter, p.expiresAt = answer, math.MaxInt64
 	}
 	return true
 }
 
-// room tells whether one more command may wait.
-func (c *Node) room(bytes int) bool {
-	for _, p := range c.puts {
+// hasCapacity tells whether one more command may wait.
+func (n *Node) hasCapacity(bytes int) bool {
+	for _, p := range n.proposals {
 		bytes += len(p.body)
 	}
-	return len(c.puts) < mostPuts && bytes <= mostPutBytes
+	return len(n.proposals) < maxPendingProposals && bytes <= maxPendingProposalBytes
 }
 
-// call has the owner do something; false: not before ctx or the chamber ended.
-func (c *Node) call(ctx context.Context, do func()) bool {
+// submit has the owner do something; false: not before ctx or the chamber ended.
+func (n *Node) submit(ctx context.Context, do func()) bool {
 	select {
-	case c.calls <- do:
+	case n.calls <- do:
 		return true
 	case <-ctx.Done():
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 	}
 	return false
 }
 
-// own does what comes and what is due, until the chamber ends.
-func (c *Node) own() {
+// run does what comes and what is due, until the chamber ends.
+func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return
-		case p := <-c.o.Transport.Messages():
-			c.take(p)
-		case do := <-c.calls:
+		case p := <-n.options.Transport.Messages():
+			n.handleMessage(p)
+		case do := <-n.calls:
 			do()
 		case <-timer.C:
 		}
-		now := c.o.Now()
-		if c.seat != nil && now >= c.seat.voter.NextTick() {
-			c.seat.voter.Tick(now)
+		now := n.options.Now()
+		if n.slot != nil && now >= n.slot.voter.NextTick() {
+			n.slot.voter.Tick(now)
 		}
-		if c.founding != nil && now >= c.foundAt {
-			c.found(now)
+		if n.bootstrap != nil && now >= n.nextBootstrapRound {
+			n.runBootstrapRound(now)
 		}
-		if now >= c.askAt {
-			c.ask(now)
+		if now >= n.nextLeaseRequest {
+			n.requestLease(now)
 		}
-		c.tryPuts(now)
-		c.carry()
-		c.publish()
-		timer.Reset(c.wait(c.o.Now()))
+		n.attemptProposals(now)
+		n.processVoterOutput()
+		n.publish()
+		timer.Reset(n.untilNextDeadline(n.options.Now()))
 	}
 }
 
-// wait is how long nothing is due.
-func (c *Node) wait(now time.Duration) time.Duration {
-	next := c.askAt
-	if c.founding != nil {
-		next = min(next, c.foundAt)
+// untilNextDeadline is how long nothing is due.
+func (n *Node) untilNextDeadline(now time.Duration) time.Duration {
+	next := n.nextLeaseRequest
+	if n.bootstrap != nil {
+		next = min(next, n.nextBootstrapRound)
 	}
-	if c.seat != nil {
-		next = min(next, c.seat.voter.NextTick())
+	if n.slot != nil {
+		next = min(next, n.slot.voter.NextTick())
 	}
-	for _, p := range c.puts {
-		next = min(next, p.next, p.ends)
+	for _, p := range n.proposals {
+		next = min(next, p.nextAttempt, p.expiresAt)
 	}
-	return min(max(next-now, 0), idle)
+	return min(max(next-now, 0), maxIdleWait)
 }
 
-// take takes a parcel. What can't be read is dropped: it was signed by a daemon of the fleet, of another version then.
-func (c *Node) take(p transport.Message) {
-	now := c.o.Now()
+// handleMessage takes a parcel. What can't be read is dropped: it was signed by a daemon of the fleet, of another version then.
+func (n *Node) handleMessage(p transport.Message) {
+	now := n.options.Now()
 	switch p.Kind {
 	case kindRaft:
-		c.hearRaft(now, p)
-	case kindAsk:
+		n.handleRaft(now, p)
+	case kindLeaseRequest:
 		var r consensus.LeaseRequest
-		if json.Unmarshal(p.Body, &r) == nil && r.Daemon == p.From && (c.seat == nil || c.seat.voter.RequestLease(r) != nil) {
-			c.tellVoters(p.From)
+		if json.Unmarshal(p.Body, &r) == nil && r.Daemon == p.From && (n.slot == nil || n.slot.voter.RequestLease(r) != nil) {
+			n.sendKnownVoters(p.From)
 		}
-	case kindGrant:
+	case kindLeaseGrant:
 		var g consensus.LeaseGrant
-		if slices.Contains(c.voters, p.From) && json.Unmarshal(p.Body, &g) == nil {
-			c.granted(now, p.From, g)
+		if slices.Contains(n.knownVoters, p.From) && json.Unmarshal(p.Body, &g) == nil {
+			n.handleGrant(now, p.From, g)
 		}
-	case kindPut:
+	case kindProposal:
 		var cmd struct {
 			ID string `json:"id"`
 		}
-		if c.seat == nil || json.Unmarshal(p.Body, &cmd) != nil || cmd.ID == "" {
+		if n.slot == nil || json.Unmarshal(p.Body, &cmd) != nil || cmd.ID == "" {
 			return
 		}
-		if was := c.puts[cmd.ID]; was != nil {
-			if was.from = p.From; was.result != nil {
-				c.tell(p.From, *was.result)
+		if was := n.proposals[cmd.ID]; was != nil {
+			if was.proposer = p.From; was.result != nil {
+				n.sendResult(p.From, *was.result)
 			}
-		} else if c.room(len(p.Body)) {
-			c.puts[cmd.ID] = &waiting{body: p.Body, from: p.From, rest: again, ends: now + keepPut} // the other asks again, if it must
+		} else if n.hasCapacity(len(p.Body)) {
+			n.proposals[cmd.ID] = &proposal{body: p.Body, proposer: p.From, backoff: initialRetryBackoff, expiresAt: now + orphanRetention} // the other asks again, if it must
 		}
-	case kindVoters:
+	case kindVoterNames:
 		var names []string
-		if json.Unmarshal(p.Body, &names) == nil && !c.heard {
-			c.learnVoters(names, false)
+		if json.Unmarshal(p.Body, &names) == nil && !n.leaderAnswered {
+			n.updateKnownVoters(names, false)
 		}
-	case kindFound:
-		c.hearFound(now, p)
-	case kindResult:
-		var r CommandOutcome
-		if json.Unmarshal(p.Body, &r) == nil && slices.Contains(c.voters, p.From) {
-			c.answer(r)
+	case kindBootstrap:
+		n.handleBootstrap(now, p)
+	case kindProposalResult:
+		var r proposalResult
+		if json.Unmarshal(p.Body, &r) == nil && slices.Contains(n.knownVoters, p.From) {
+			n.handleResult(r)
 		}
 	}
 }
 
-// tellVoters says to a daemon that asked one which does not lead whom it may ask: its own list may be of long ago.
-func (c *Node) tellVoters(name string) {
-	if body, err := json.Marshal(c.voters); err == nil {
-		_ = c.o.Transport.Send(name, kindVoters, body)
+// sendKnownVoters says to a daemon that asked one which does not lead whom it may ask: its own list may be of long ago.
+func (n *Node) sendKnownVoters(name string) {
+	if body, err := json.Marshal(n.knownVoters); err == nil {
+		_ = n.options.Transport.Send(name, kindVoterNames, body)
 	}
 }
 
-// mostAsked bounds the names of those who may be asked: beyond it names from others are not taken.
-const mostAsked = 4 * consensus.MaxVoters
+// maxKnownVoters bounds the names of those who may be asked: beyond it names from others are not taken.
+const maxKnownVoters = 4 * consensus.MaxVoters
 
-// learnVoters takes up names of voters: from a leader those that vote, beside those that were told; from others what they know.
-func (c *Node) learnVoters(names []string, leads bool) {
-	all := slices.Concat(names, c.o.Voters)
+// updateKnownVoters takes up names of voters: from a leader those that vote, beside those that were told; from others what they know.
+func (n *Node) updateKnownVoters(names []string, leads bool) {
+	all := slices.Concat(names, n.options.Voters)
 	if !leads {
-		all = slices.Concat(names, c.voters)
+		all = slices.Concat(names, n.knownVoters)
 	}
-	if all = slices.Compact(slices.Sorted(slices.Values(all))); leads || len(all) <= mostAsked {
-		c.voters = all
+	if all = slices.Compact(slices.Sorted(slices.Values(all))); leads || len(all) <= maxKnownVoters {
+		n.knownVoters = all
 	}
 }
 
-// ask asks for a lease: whoever granted the last one, or the next voter.
-func (c *Node) ask(now time.Duration) {
-	if !c.heard {
-		i, _ := slices.BinarySearch(c.voters, c.leader+"\x00")
-		c.leader = c.voters[i%len(c.voters)]
+// requestLease asks for a lease: whoever granted the last one, or the next voter.
+func (n *Node) requestLease(now time.Duration) {
+	if !n.leaderAnswered {
+		i, _ := slices.BinarySearch(n.knownVoters, n.leader+"\x00")
+		n.leader = n.knownVoters[i%len(n.knownVoters)]
 	}
-	c.heard = false
-	r, next := c.holder.NextRequest(now)
-	if c.seat == nil && !c.left {
-		r.Mark = c.marked
+	n.leaderAnswered = false
+	r, next := n.lease.NextRequest(now)
+	if n.slot == nil && !n.hasStoppedVoting {
+		r.Mark = n.diskMark
 	}
-	c.askAt = next
-	if c.seat != nil && c.seat.voter.IsLeader() {
-		_ = c.seat.voter.RequestLease(r)
+	n.nextLeaseRequest = next
+	if n.slot != nil && n.slot.voter.IsLeader() {
+		_ = n.slot.voter.RequestLease(r)
 		return
 	}
 	if body, err := json.Marshal(r); err == nil {
-		_ = c.o.Transport.Send(c.leader, kindAsk, body) // who is not there does not answer
+		_ = n.options.Transport.Send(n.leader, kindLeaseRequest, body) // who is not there does not answer
 	}
 }
 
-func (c *Node) granted(now time.Duration, by string, g consensus.LeaseGrant) {
-	c.heard, c.leader = true, by
+func (n *Node) handleGrant(now time.Duration, by string, g consensus.LeaseGrant) {
+	n.leaderAnswered, n.leader = true, by
 	if len(g.Voters) > 0 {
-		c.learnVoters(g.Voters, true)
-		c.sitting = g.Sitting
-		if by != c.o.Name {
-			c.told(now, &g)
+		n.updateKnownVoters(g.Voters, true)
+		n.activeVoters = g.Sitting
+		if by != n.options.Name {
+			n.applyVoterAction(now, &g)
 		}
 	}
-	c.holder.HandleGrant(now, g)
-	if !c.o.Installs {
-		c.holder.MarkInstalled(c.holder.Leased().Version)
+	n.lease.HandleGrant(now, g)
+	if !n.options.Installs {
+		n.lease.MarkInstalled(n.lease.Leased().Version)
 	}
-	c.check()
-	if a := c.holder.Leased(); a.Version == g.Version && (a.Version != c.kept || !slices.Equal(g.Voters, c.keptVoters)) {
-		c.keep(a, g.Voters)
+	n.startCheck()
+	if a := n.lease.Leased(); a.Version == g.Version && (a.Version != n.cachedVersion || !slices.Equal(g.Voters, n.cachedVoters)) {
+		n.cacheVersion(a, g.Voters)
 	}
-	if !c.first && c.holder.Leased().Version == g.Version {
-		c.first = true
-		c.publish()
-		close(c.granter)
+	if !n.hasFirstGrant && n.lease.Leased().Version == g.Version {
+		n.hasFirstGrant = true
+		n.publish()
+		close(n.firstGrant)
 	}
 }
 
-// check has what was offered looked at, one version at a time. It asks for a lease as soon as that is done.
-func (c *Node) check() {
-	version, docs := c.holder.PendingCheck()
-	if version == 0 || c.checks != 0 {
+// startCheck has what was offered looked at, one version at a time. It asks for a lease as soon as that is done.
+func (n *Node) startCheck() {
+	version, docs := n.lease.PendingCheck()
+	if version == 0 || n.checkingVersion != 0 {
 		return
 	}
-	c.checks = version
-	c.done.Go(func() {
+	n.checkingVersion = version
+	n.goroutines.Go(func() {
 		var err error
-		if c.o.Check != nil {
-			err = c.o.Check(docs)
+		if n.options.Check != nil {
+			err = n.options.Check(docs)
 		}
-		c.call(c.ctx, func() {
-			c.checks = 0
+		n.submit(n.ctx, func() {
+			n.checkingVersion = 0
 			if err != nil {
-				c.o.Log.Warn("this daemon can't act on a version", "version", version, "err", err)
+				n.options.Log.Warn("this daemon can't act on a version", "version", version, "err", err)
 			}
-			c.holder.CompleteCheck(version, err)
-			c.askAt = 0
-			c.check() // another may have been offered meanwhile
+			n.lease.CompleteCheck(version, err)
+			n.nextLeaseRequest = 0
+			n.startCheck() // another may have been offered meanwhile
 		})
 	})
 }
 
-// tryPuts proposes what has not been answered.
-func (c *Node) tryPuts(now time.Duration) {
-	for id, p := range c.puts {
+// attemptProposals proposes what has not been answered.
+func (n *Node) attemptProposals(now time.Duration) {
+	for id, p := range n.proposals {
 		switch {
-		case now >= p.ends:
-			delete(c.puts, id)
-		case now < p.next || p.result != nil:
-		case c.seat != nil:
-			if c.seat.voter.ProposeEncoded(p.body) != nil {
-				p.next = now + beat // there is no leader: nothing was done
+		case now >= p.expiresAt:
+			delete(n.proposals, id)
+		case now < p.nextAttempt || p.result != nil:
+		case n.slot != nil:
+			if n.slot.voter.ProposeEncoded(p.body) != nil {
+				p.nextAttempt = now + heartbeatInterval // there is no leader: nothing was done
 				continue
 			}
-			p.tried(now)
+			p.scheduleRetry(now)
 		default:
-			_ = c.o.Transport.Send(c.leader, kindPut, p.body)
-			p.tried(now)
+			_ = n.options.Transport.Send(n.leader, kindProposal, p.body)
+			p.scheduleRetry(now)
 		}
 	}
 }
 
-// tried puts the next try off: each may have another copy of a long command written by all voters.
-func (p *waiting) tried(now time.Duration) {
-	p.next = now + p.rest
-	p.rest = min(2*p.rest, keepPut)
+// scheduleRetry puts the next try off: each may have another copy of a long command written by all voters.
+func (p *proposal) scheduleRetry(now time.Duration) {
+	p.nextAttempt = now + p.backoff
+	p.backoff = min(2*p.backoff, orphanRetention)
 }
 
-// tell sends a command's result to the daemon that it came from.
-func (c *Node) tell(name string, r CommandOutcome) {
+// sendResult sends a command's result to the daemon that it came from.
+func (n *Node) sendResult(name string, r proposalResult) {
 	if body, err := json.Marshal(r); err == nil {
-		_ = c.o.Transport.Send(name, kindResult, body)
+		_ = n.options.Transport.Send(name, kindProposalResult, body)
 	}
 }
 
-func (c *Node) answer(r CommandOutcome) {
-	p := c.puts[r.ID]
+func (n *Node) handleResult(r proposalResult) {
+	p := n.proposals[r.ID]
 	if p == nil || p.result != nil {
 		return
 	}
-	if p.from != "" {
-		c.tell(p.from, r)
+	if p.proposer != "" {
+		n.sendResult(p.proposer, r)
 	}
 	switch {
-	case p.answer != nil:
-		p.answer <- r
-		delete(c.puts, r.ID)
-	case p.from != "":
-		delete(c.puts, r.ID)
+	case p.waiter != nil:
+		p.waiter <- r
+		delete(n.proposals, r.ID)
+	case p.proposer != "":
+		delete(n.proposals, r.ID)
 	default: // for who asks again
-		p.result, p.body, p.next = &r, nil, p.ends
+		p.result, p.body, p.nextAttempt = &r, nil, p.expiresAt
 	}
 }
 
 // publish makes known what this daemon may act on, and how agreement stands.
-func (c *Node) publish() {
-	a := c.holder.Leased()
-	if was := c.acting.Load(); a.Version != was.Version || a.Until != was.Until {
-		c.acting.Store(&a)
+func (n *Node) publish() {
+	a := n.lease.Leased()
+	if was := n.leased.Load(); a.Version != was.Version || a.Until != was.Until {
+		n.leased.Store(&a)
 		if a.Version != was.Version {
 			select {
-			case c.changed <- struct{}{}:
+			case n.changed <- struct{}{}:
 			default:
 			}
 		}
 	}
-	s := Status{Votes: c.seat != nil && !c.seat.voter.IsLearner(), Leader: c.leader, Voters: c.voters, Sitting: c.sitting}
-	s.All, s.Lagging = c.holder.FullyActive()
-	s.Declined, s.Why = c.holder.Rejected()
-	if c.seat != nil {
-		st := c.seat.voter.State()
-		s.Leads, s.Committed, s.Coming, s.Term = c.seat.voter.IsLeader(), st.Version, st.Coming, c.seat.voter.Term()
+	s := Status{Votes: n.slot != nil && !n.slot.voter.IsLearner(), Leader: n.leader, Voters: n.knownVoters, Sitting: n.activeVoters}
+	s.All, s.Lagging = n.lease.FullyActive()
+	s.Declined, s.Why = n.lease.Rejected()
+	if n.slot != nil {
+		st := n.slot.voter.State()
+		s.Leads, s.Committed, s.Coming, s.Term = n.slot.voter.IsLeader(), st.Version, st.Coming, n.slot.voter.Term()
 		if s.Leads {
-			s.Lagging = c.seat.voter.Lagging()
+			s.Lagging = n.slot.voter.Lagging()
 		}
 	}
-	if was := c.status.Load(); !reflect.DeepEqual(s, *was) {
-		c.status.Store(&s)
+	if was := n.status.Load(); !reflect.DeepEqual(s, *was) {
+		n.status.Store(&s)
 	}
 }
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -22,35 +22,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var terms = consensus.LeaseConfig{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
-
-// house is daemons over real links in one process, three of them voters.
-type house struct {
-	t     *testing.T
-	links []*transport.Transport
-	rooms []*Node
-	disks []*simdisk.Disk
+var testLeaseConfig = consensus.LeaseConfig{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
+
+// testCluster is daemons over real links in one process, three of them voters.
+type testCluster struct {
+	t          *testing.T
+	transports []*transport.Transport
+	nodes      []*Node
+	disks      []*simdisk.Disk
 }
 
-func newHouse(t *testing.T, n int) *house {
-	h := &house{t: t}
+func newTestCluster(t *testing.T, n int) *testCluster {
+	h := &testCluster{t: t}
 	for i := range n {
 		o := transport.Options{Cluster: "c", Name: fmt.Sprint("s", i), Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler),
 			Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond}}
 		if i > 0 {
-			o.Join = []netip.AddrPort{h.links[0].Addr()}
+			o.Join = []netip.AddrPort{h.transports[0].Addr()}
 		}
 		l, err := transport.Start(o)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.links = append(h.links, l)
+		h.transports = append(h.transports, l)
 		h.disks = append(h.disks, simdisk.New())
-		h.rooms = append(h.rooms, nil)
-		h.begin(i)
+		h.nodes = append(h.nodes, nil)
+		h.start(i)
 		t.Cleanup(func() {
-			if h.rooms[i] != nil {
-				h.rooms[i].Close()
+			if h.nodes[i] != nil {
+				h.nodes[i].Close()
 			}
 			l.Abort()
 		})
@@ -58,19 +58,19 @@
 	return h
 }
 
-func (h *house) begin(i int) {
-	h.t.Helper()
-	o := Options{Name: fmt.Sprint("s", i), Voters: []string{"s2", "s0", "s1"}, Lease: terms, Transport: h.links[i], Now: h.links[i].Now, Log: slog.New(slog.NewTextHandler(h.t.Output(), nil))}
-	o.Disk = h.disks[i]
+func (c *testCluster) start(i int) {
+	c.t.Helper()
+	o := Options{Name: fmt.Sprint("s", i), Voters: []string{"s2", "s0", "s1"}, Lease: testLeaseConfig, Transport: c.transports[i], Now: c.transports[i].Now, Log: slog.New(slog.NewTextHandler(c.t.Output(), nil))}
+	o.Disk = c.disks[i]
 	room, err := Start(o)
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	h.rooms[i] = room
+	c.nodes[i] = room
 }
 
 // A voter's disk is its own; a log of which nobody knows whose it is is nobody's.
-func TestADiskIsItsVoters(t *testing.T) {
+func TestDiskOfAnotherVoterIsRejected(t *testing.T) {
 	d := simdisk.New()
 	d.SetBytes("IDENTITY.new", []byte("a o"))
 	d.SetBytes("IDENTITY", []byte("a of a b c\n"))
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		defer l.Abort()
-		c, err := Start(Options{Name: name, Voters: voters, Disk: d, Lease: terms, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
+		c, err := Start(Options{Name: name, Voters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
 		if err == nil {
 			then(c)
 			err = c.Close()
@@ -106,7 +106,7 @@
 	if err := start("a", func(c *Node) {
 		testpeer.Until(t, "it gives up", func() bool {
 			gave := make(chan bool, 1)
-			c.call(t.Context(), func() { gave <- c.left && c.seat == nil })
+			c.submit(t.Context(), func() { gave <- c.hasStoppedVoting && c.slot == nil })
 			return <-gave
 		})
 	}, "a"); err != nil {
@@ -114,26 +114,26 @@
 	}
 }
 
-func (h *house) put(by int, id, name, body string) uint64 {
-	h.t.Helper()
-	ctx, cancel := context.WithTimeout(h.t.Context(), testpeer.Patience)
+func (c *testCluster) put(by int, id, name, body string) uint64 {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Patience)
 	defer cancel()
-	v, err := h.rooms[by].ProposeVersion(ctx, consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: name, Body: []byte(body)}})
+	v, err := c.nodes[by].ProposeVersion(ctx, consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: name, Body: []byte(body)}})
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return v
 }
 
-func (h *house) all(version uint64, name, body string) {
-	h.t.Helper()
-	h.act(h.rooms, version, name, body)
+func (c *testCluster) waitAllActing(version uint64, name, body string) {
+	c.t.Helper()
+	c.waitActing(c.nodes, version, name, body)
 }
 
-// act waits until some daemons act on a version.
-func (h *house) act(rooms []*Node, version uint64, name, body string) {
-	h.t.Helper()
-	testpeer.Until(h.t, fmt.Sprint("all act on version ", version), func() bool {
+// waitActing waits until some daemons act on a version.
+func (c *testCluster) waitActing(rooms []*Node, version uint64, name, body string) {
+	c.t.Helper()
+	testpeer.Until(c.t, fmt.Sprint("all act on version ", version), func() bool {
 		for _, r := range rooms {
 			if a, ok := r.Valid(); !ok || a.Version < version || string(a.Docs[name].Body) != body {
 				return false
@@ -145,39 +145,39 @@
 
 // Puts by any daemon are agreed on and acted on by all; a voter whose power fails comes back with what it had; one whose disk
 // fails steps down, and the others go on; without a majority nothing is agreed on, and leases run out.
-func TestAgreement(t *testing.T) {
-	h := newHouse(t, 5)
+func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
+	h := newTestCluster(t, 5)
 	first := h.put(0, "a", "doc", "one")
-	h.all(first, "doc", "one")
+	h.waitAllActing(first, "doc", "one")
 	if again := h.put(4, "a", "doc", "one"); again != first {
 		t.Errorf("put twice: version %d and %d", first, again)
 	}
 	second := h.put(4, "b", "doc", "two") // by one that does not vote
-	h.all(second, "doc", "two")
+	h.waitAllActing(second, "doc", "two")
 	expect := first
-	if _, err := h.rooms[3].ProposeVersion(t.Context(), consensus.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
+	if _, err := h.nodes[3].ProposeVersion(t.Context(), consensus.Command{Expect: &expect, Remove: "doc"}); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("another version was expected: %v", err)
 	}
 
-	h.rooms[0].Close()
+	h.nodes[0].Close()
 	h.disks[0].Crash(rand.New(rand.NewPCG(1, 1)))
-	h.begin(0)
+	h.start(0)
 	third := h.put(0, "c", "doc", "three")
-	h.all(third, "doc", "three")
+	h.waitAllActing(third, "doc", "three")
 	if third != second+1 {
 		t.Errorf("version %d after %d", third, second)
 	}
 
 	h.disks[1].Fail(0)
 	fourth := h.put(2, "d", "doc", "four")
-	h.all(fourth, "doc", "four")
-	testpeer.Until(t, "the voter whose disk failed steps down", func() bool { return !h.rooms[1].Status().Votes })
+	h.waitAllActing(fourth, "doc", "four")
+	testpeer.Until(t, "the voter whose disk failed steps down", func() bool { return !h.nodes[1].Status().Votes })
 
-	h.links[2].Abort() // one voter of three is left
-	testpeer.Until(t, "leases run out", func() bool { _, ok := h.rooms[3].Valid(); return !ok })
+	h.transports[2].Abort() // one voter of three is left
+	testpeer.Until(t, "leases run out", func() bool { _, ok := h.nodes[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := h.rooms[3].ProposeVersion(ctx, consensus.Command{Put: &consensus.DocumentPut{Name: "doc"}}); !errors.Is(err, consensus.ErrIndeterminate) {
+	if _, err := h.nodes[3].ProposeVersion(ctx, consensus.Command{Put: &consensus.DocumentPut{Name: "doc"}}); !errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("without a majority: %v", err)
 	}
 }
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -17,17 +17,17 @@
 )
 
 // What a daemon acted on is there after a restart, or nothing is: a file cut or changed at any byte says nothing.
-func TestWhatIsKeptIsWholeOrNothing(t *testing.T) {
+func TestCachedVersionIsLoadedCompleteOrNotAtAll(t *testing.T) {
 	d := simdisk.New()
-	c := &Node{o: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
-	c.keep(LeasedVersion{Version: 7, Docs: map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
-	whole, err := read(d, keptName, mostKept)
+	c := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
+	c.cacheVersion(LeasedVersion{Version: 7, Docs: map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}}, []string{"v"})
+	whole, err := readFile(d, cacheFile, maxCacheBytes)
 	if err != nil || len(whole) == 0 {
 		t.Fatal(err)
 	}
 	remembered := func(text []byte) (uint64, map[string]consensus.Document) {
-		d.SetBytes(keptName, text)
-		return (&Node{o: c.o}).remembered()
+		d.SetBytes(cacheFile, text)
+		return (&Node{options: c.options}).loadCachedVersion()
 	}
 	if v, docs := remembered(whole); v != 7 || string(docs["a"].Body) != "text" {
 		t.Errorf("%d, %v", v, docs)
@@ -41,41 +41,41 @@
 			}
 		}
 	}
-	cant := c.o
+	cant := c.options
 	cant.Check = func(map[string]consensus.Document) error { return errors.New("no") }
-	d.SetBytes(keptName, whole)
-	if v, _ := (&Node{o: cant}).remembered(); v != 0 {
+	d.SetBytes(cacheFile, whole)
+	if v, _ := (&Node{options: cant}).loadCachedVersion(); v != 0 {
 		t.Error("a daemon goes on with what it can't act on")
 	}
 	d.Fail(0)
-	c.keep(LeasedVersion{Version: 8}, nil) // and goes on
-	if v, _ := (&Node{o: c.o}).remembered(); v == 8 {
+	c.cacheVersion(LeasedVersion{Version: 8}, nil) // and goes on
+	if v, _ := (&Node{options: c.options}).loadCachedVersion(); v == 8 {
 		t.Error("the disk has failed")
 	}
 }
 
 // A voter that is handed the disk of an earlier day steps down, where it can be told, and its daemon goes on.
-func TestADiskOfAnEarlierDay(t *testing.T) {
-	h := newHouse(t, 4)
-	h.all(h.put(0, "a", "doc", "one"), "doc", "one")
-	h.rooms[1].Close()
+func TestVoterWithAnOlderDiskDoesNotStopTheCluster(t *testing.T) {
+	h := newTestCluster(t, 4)
+	h.waitAllActing(h.put(0, "a", "doc", "one"), "doc", "one")
+	h.nodes[1].Close()
 	earlier := map[string][]byte{}
 	names, err := h.disks[1].List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if earlier[name], err = read(h.disks[1], name, 1<<20); err != nil {
+		if earlier[name], err = readFile(h.disks[1], name, 1<<20); err != nil {
 			t.Fatal(err)
 		}
 	}
-	h.begin(1)
+	h.start(1)
 	var last uint64
 	for i := range 5 {
 		last = h.put(1, fmt.Sprint("b", i), "doc", fmt.Sprint(i))
 	}
-	h.all(last, "doc", "4")
-	h.rooms[1].Close()
+	h.waitAllActing(last, "doc", "4")
+	h.nodes[1].Close()
 	now, _ := h.disks[1].List()
 	for _, name := range now {
 		if earlier[name] == nil {
@@ -85,18 +85,18 @@
 	for name, text := range earlier {
 		h.disks[1].SetBytes(name, text)
 	}
-	h.begin(1)
-	h.all(h.put(2, "c", "doc", "five"), "doc", "five") // with it or without it, and none of the daemons ends
+	h.start(1)
+	h.waitAllActing(h.put(2, "c", "doc", "five"), "doc", "five") // with it or without it, and none of the daemons ends
 }
 
 // A daemon that can't act on a version says so to who put it, and goes on without a lease where that is forced.
-func TestChecks(t *testing.T) {
+func TestRejectedVersionIsReportedAndForceEndsTheLease(t *testing.T) {
 	o := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		l, err := transport.Start(transport.Options{Cluster: "c", Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		options := Options{Name: name, Voters: []string{"v"}, Lease: terms, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
+		options := Options{Name: name, Voters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
 		if name == "v" {
 			options.Disk = simdisk.New()
 		}
@@ -142,10 +142,10 @@
 }
 
 // What each request costs that is to be refused where it is not sure: 56 ns, nearly all of it the clock, and no lock.
-func BenchmarkCovers(b *testing.B) {
+func BenchmarkCoversVersion(b *testing.B) {
 	began := time.Now()
-	c := &Node{o: Options{Now: func() time.Duration { return time.Since(began) }}}
-	c.acting.Store(&LeasedVersion{Version: 3, Until: time.Hour})
+	c := &Node{options: Options{Now: func() time.Duration { return time.Since(began) }}}
+	c.leased.Store(&LeasedVersion{Version: 3, Until: time.Hour})
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if !c.CoversVersion(3) {
