--- /dev/null
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -0,0 +1,141 @@
+package raftnode
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"testing"
+	"time"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/simdisk"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+var testLeaseConfig = consensus.LeaseConfig{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
+
+// startTestTransport starts a transport on loopback that is aborted with the test.
+func startTestTransport(t *testing.T, o transport.Options) *transport.Transport {
+	t.Helper()
+	o.Cluster, o.Listen, o.Log = "c", netip.MustParseAddrPort("127.0.0.1:0"), slog.New(slog.DiscardHandler)
+	l, err := transport.Start(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { abort(t, l) })
+	return l
+}
+
+// abort stops a transport without notice to the others, as if its process were killed.
+func abort(t *testing.T, l *transport.Transport) {
+	t.Helper()
+	if err := l.Abort(); err != nil {
+		t.Logf("abort: %v", err)
+	}
+}
+
+// testCluster is nodes s0, s1 and so on over real transports in one process; s0, s1 and s2 are the first voters.
+type testCluster struct {
+	t          *testing.T
+	transports []*transport.Transport
+	nodes      []*Node
+	disks      []*simdisk.Disk
+}
+
+// testDocument is the name of the one document that the tests of a testCluster change.
+const testDocument = "doc"
+
+func newTestCluster(t *testing.T, size int) *testCluster {
+	t.Helper()
+	c := &testCluster{t: t}
+	for i := range size {
+		o := transport.Options{
+			Name:  fmt.Sprint("s", i),
+			Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond},
+		}
+		if i > 0 {
+			o.Join = []netip.AddrPort{c.transports[0].Addr()}
+		}
+		c.transports = append(c.transports, startTestTransport(t, o))
+		c.disks = append(c.disks, simdisk.New())
+		c.nodes = append(c.nodes, nil)
+		c.start(i)
+		t.Cleanup(func() {
+			if c.nodes[i] != nil {
+				c.nodes[i].Close()
+			}
+		})
+	}
+	return c
+}
+
+// start starts a node with the disk that it has now.
+func (c *testCluster) start(i int) {
+	c.t.Helper()
+	node, err := Start(Options{
+		Name:      fmt.Sprint("s", i),
+		Voters:    []string{"s2", "s0", "s1"},
+		Disk:      c.disks[i],
+		Lease:     testLeaseConfig,
+		Transport: c.transports[i],
+		Now:       c.transports[i].Now,
+		Log:       slog.New(slog.NewTextHandler(c.t.Output(), nil)),
+	})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.nodes[i] = node
+}
+
+// put proposes the document's body at a node, and returns the version that this made.
+func (c *testCluster) put(i int, id, body string) uint64 {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Patience)
+	defer cancel()
+	put := &consensus.DocumentPut{Name: testDocument, Body: []byte(body)}
+	version, err := c.nodes[i].ProposeVersion(ctx, consensus.Command{ID: id, By: "test", Put: put})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return version
+}
+
+// waitAllActing waits until all nodes act on a version, or a later one, with this body of the document.
+func (c *testCluster) waitAllActing(version uint64, body string) {
+	c.t.Helper()
+	c.waitActing(c.nodes, version, body)
+}
+
+// waitActing is waitAllActing for some of the nodes.
+func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
+	c.t.Helper()
+	testpeer.Until(c.t, fmt.Sprint("all act on version ", version), func() bool {
+		for _, n := range nodes {
+			if leased, ok := n.Valid(); !ok || leased.Version < version || string(leased.Docs[testDocument].Body) != body {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// changeVoters proposes at a node that a daemon is added to the voters, or removed.
+func (c *testCluster) changeVoters(i int, name string, isRemoval bool) error {
+	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{Seat: &consensus.VoterChange{Name: name, Out: isRemoval}})
+	return err
+}
+
+// changeVotersWhenFree repeats changeVoters until the change before it is done.
+func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
+	c.t.Helper()
+	testpeer.Until(c.t, "voters change", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
+}
+
+// waitVotes waits until a node votes, or does not.
+func (c *testCluster) waitVotes(i int, votes bool) {
+	c.t.Helper()
+	testpeer.Until(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().Votes == votes })
+}
--- /dev/null
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -0,0 +1,67 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/simdisk"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// A daemon that can't act on a version reports why to all, and loses its lease where the version is forced.
+func TestRejectedVersionIsReportedAndForceEndsTheLease(t *testing.T) {
+	start := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
+		t.Helper()
+		l := startTestTransport(t, transport.Options{Name: name, Join: join})
+		o := Options{Name: name, Voters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
+		if name == "v" {
+			o.Disk = simdisk.New()
+		}
+		n, err := Start(o)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { n.Close() })
+		return n, l
+	}
+	voter, l := start("v", nil)
+	other, _ := start("o", func(docs map[string]consensus.Document) error {
+		if strings.Contains(string(docs["a"].Body), "bad") {
+			return errors.New("it is bad")
+		}
+		return nil
+	}, l.Addr())
+	put := func(body string) uint64 {
+		t.Helper()
+		v, err := other.ProposeVersion(t.Context(), consensus.Command{Put: &consensus.DocumentPut{Name: "a", Body: []byte(body)}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return v
+	}
+	waitActing := func(n *Node, version uint64) {
+		t.Helper()
+		testpeer.Until(t, fmt.Sprint("version ", version), func() bool { leased, ok := n.Valid(); return ok && leased.Version == version })
+	}
+	waitActing(other, put("good"))
+	bad := put("bad")
+	testpeer.Until(t, "both know why", func() bool {
+		there, here := voter.Status(), other.Status()
+		return len(there.Lagging) == 1 && there.Lagging[0].Daemon == "o" && strings.Contains(there.Lagging[0].Why, "it is bad") &&
+			here.Declined == bad && here.Why == "it is bad"
+	})
+	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
+		t.Fatal(err)
+	}
+	waitActing(voter, bad)
+	testpeer.Until(t, "no lease", func() bool { _, ok := other.Valid(); return !ok })
+	good := put("better")
+	waitActing(other, good)
+	testpeer.Until(t, "all act", func() bool { return other.Status().All == good && voter.Status().All == good })
+}
--- /dev/null
+++ b/internal/cluster/raftnode/proposals.go
@@ -0,0 +1,196 @@
+package raftnode
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
+)
+
+const (
+	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds; the bytes are those that raft allows
+	// to be uncommitted.
+	maxPendingProposals     = 64
+	maxPendingProposalBytes = 8 << 20
+
+	// initialRetryBackoff lies between the first two attempts of a command. It doubles with each attempt up to maxRetryBackoff,
+	// since every attempt may have all voters write another copy of a long command.
+	initialRetryBackoff = time.Second
+	maxRetryBackoff     = orphanRetention
+
+	// orphanRetention is how long a proposal is held for which no caller here waits: proposed again within it, it is not
+	// proposed to raft a second time.
+	orphanRetention = 8 * time.Second
+)
+
+// proposal is a command that was proposed here, or that another daemon forwarded to this voter.
+type proposal struct {
+	body        []byte              // the encoded command; nil after result is set
+	waiter      chan proposalResult // of the caller that waits here; nil: none
+	proposer    string              // the daemon that forwarded it; empty: none
+	nextAttempt time.Duration
+	backoff     time.Duration
+	expiresAt   time.Duration
+	result      *proposalResult // held for a caller that proposes it again; nil: not known yet
+}
+
+// proposalResult is the result of a command. Its JSON is the body of a message: the tags never change.
+type proposalResult struct {
+	ID string `json:"ID"`
+	consensus.CommandResult
+	Error string `json:"Err"` // why it was rejected; empty: it was committed
+}
+
+// pendingProposals holds proposals by the ID of their command.
+type pendingProposals map[string]*proposal
+
+// hasCapacity reports whether one more command of so many bytes may be held.
+func (p pendingProposals) hasCapacity(size int) bool {
+	for _, other := range p {
+		size += len(other.body)
+	}
+	return len(p) < maxPendingProposals && size <= maxPendingProposalBytes
+}
+
+// ProposeVersion is Propose for callers that need only the version that the command made.
+func (n *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
+	r, err := n.Propose(ctx, cmd)
+	return r.Version, err
+}
+
+// Propose proposes a command and waits until it is committed or rejected. A command without an ID gets a random one; with the
+// same ID a command is applied once. The error is consensus.ErrIndeterminate if ctx or the node ended before the result was
+// known: the command may have been committed, or may be later.
+func (n *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
+	if cmd.ID == "" {
+		cmd.ID = rand.Text()
+	}
+	body, err := cmd.Encode()
+	if err != nil {
+		return consensus.CommandResult{}, err
+	}
+	result := make(chan proposalResult, 1)
+	isAdded := make(chan bool, 1)
+	if !n.submit(ctx, func() { isAdded <- n.addProposal(cmd.ID, body, result) }) {
+		return consensus.CommandResult{}, consensus.ErrIndeterminate
+	}
+	if !<-isAdded {
+		return consensus.CommandResult{}, fmt.Errorf("too many pending proposals: at most %d commands, or %d bytes of them",
+			maxPendingProposals, maxPendingProposalBytes)
+	}
+	select {
+	case r := <-result:
+		if r.Error != "" {
+			return r.CommandResult, errors.New(r.Error) // only the text crosses the wire
+		}
+		return r.CommandResult, nil
+	case <-ctx.Done():
+	case <-n.ctx.Done():
+	}
+	n.submit(n.ctx, func() {
+		if p := n.proposals[cmd.ID]; p != nil && p.waiter == result {
+			p.waiter, p.expiresAt = nil, n.options.Now()+orphanRetention
+		}
+	})
+	return consensus.CommandResult{}, consensus.ErrIndeterminate
+}
+
+// addProposal has a command's result sent to waiter: at once if it is known, otherwise when it comes. It returns false if the
+// command is new and there is no capacity for it.
+func (n *Node) addProposal(id string, body []byte, waiter chan proposalResult) bool {
+	p := n.proposals[id]
+	switch {
+	case p == nil && !n.proposals.hasCapacity(len(body)):
+		return false
+	case p == nil:
+		n.proposals[id] = &proposal{body: body, waiter: waiter, backoff: initialRetryBackoff, expiresAt: math.MaxInt64}
+	case p.result != nil:
+		waiter <- *p.result
+		delete(n.proposals, id)
+	default:
+		p.waiter, p.expiresAt = waiter, math.MaxInt64
+	}
+	return true
+}
+
+// handleProposal takes a command that another daemon forwarded to this voter. Without capacity it is dropped: the other retries.
+func (n *Node) handleProposal(now time.Duration, m transport.Message) {
+	var cmd struct {
+		ID string `json:"id"`
+	}
+	if n.slot == nil || json.Unmarshal(m.Body, &cmd) != nil || cmd.ID == "" {
+		return
+	}
+	if known := n.proposals[cmd.ID]; known != nil {
+		known.proposer = m.From
+		if known.result != nil {
+			n.sendJSON(m.From, kindProposalResult, *known.result)
+		}
+		return
+	}
+	if n.proposals.hasCapacity(len(m.Body)) {
+		n.proposals[cmd.ID] = &proposal{body: m.Body, proposer: m.From, backoff: initialRetryBackoff, expiresAt: now + orphanRetention}
+	}
+}
+
+// attemptProposals drops expired proposals and attempts those that are due: a voter proposes to raft, any other daemon forwards
+// to the leader that it knows.
+func (n *Node) attemptProposals(now time.Duration) {
+	for id, p := range n.proposals {
+		switch {
+		case now >= p.expiresAt:
+			delete(n.proposals, id)
+		case now < p.nextAttempt || p.result != nil:
+		case n.slot != nil:
+			if n.slot.voter.ProposeEncoded(p.body) != nil {
+				p.nextAttempt = now + heartbeatInterval // there is no leader, and nothing was proposed
+				continue
+			}
+			p.scheduleRetry(now)
+		default:
+			n.send(n.client.leader, kindProposal, p.body)
+			p.scheduleRetry(now)
+		}
+	}
+}
+
+// scheduleRetry sets the next attempt, with exponential backoff.
+func (p *proposal) scheduleRetry(now time.Duration) {
+	p.nextAttempt = now + p.backoff
+	p.backoff = min(2*p.backoff, maxRetryBackoff)
+}
+
+// handleProposalResult takes the result of a command from a voter to which it was forwarded.
+func (n *Node) handleProposalResult(m transport.Message) {
+	var r proposalResult
+	if json.Unmarshal(m.Body, &r) == nil && slices.Contains(n.client.knownVoters, m.From) {
+		n.completeProposal(r)
+	}
+}
+
+// completeProposal hands a result to whoever waits for it. If nobody does it is held until the proposal expires.
+func (n *Node) completeProposal(r proposalResult) {
+	p := n.proposals[r.ID]
+	if p == nil || p.result != nil {
+		return
+	}
+	if p.proposer != "" {
+		n.sendJSON(p.proposer, kindProposalResult, r)
+	}
+	switch {
+	case p.waiter != nil:
+		p.waiter <- r
+		delete(n.proposals, r.ID)
+	case p.proposer != "":
+		delete(n.proposals, r.ID)
+	default:
+		p.result, p.body, p.nextAttempt = &r, nil, p.expiresAt
+	}
+}
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -4,92 +4,79 @@
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
-	"slices"
 
 	"tuliprock/internal/cluster/consensus"
 	"tuliprock/internal/wal"
 )
 
-// cacheFile is the file in which a daemon keeps what it acted on last: a line with the SHA-256 of the rest, and the rest as JSON.
-// It is replaced whole. What it says is no lease: it is what a daemon goes on with that starts and hears of no voter.
-const cacheFile = "ACTED"
+const (
+	// cacheFile holds the version that a daemon acted on last: a line with the SHA-256 of the rest, and the rest as the JSON of a
+	// cacheEntry. It is replaced atomically. It grants no lease: a daemon that starts and reaches no voter goes on with it as with
+	// a lease that has expired.
+	cacheFile = "ACTED"
+
+	checksumSize  = 2*sha256.Size + 1           // bytes: hexadecimal digits, and the end of the line
+	maxCacheBytes = 2 * consensus.MaxTotalBytes // bodies in base64, and the names
+)
 
-type cachedVersion struct {
+// cacheEntry is what the cache file holds.
+type cacheEntry struct {
 	Version uint64                        `json:"version"`
 	Docs    map[string]consensus.Document `json:"docs"`
 	Voters  []string                      `json:"voters"`
 }
 
-// cacheVersion keeps what this daemon acts on. A disk that fails costs no more than that.
-func (n *Node) cacheVersion(a LeasedVersion, voters []string) {
-	if n.cachedVersion, n.cachedVoters = a.Version, voters; n.options.Disk == nil {
+// cacheVersion writes the version that this daemon acts on, and the voters' names. If the disk fails the daemon goes on: all it
+// loses is what it would start with. The write is not repeated then.
+func (n *Node) cacheVersion(leased consensus.LeasedVersion, voters []string) {
+	n.cached = cacheEntry{Version: leased.Version, Voters: voters}
+	if n.options.Disk == nil {
 		return
 	}
-	body, err := json.Marshal(cachedVersion{a.Version, a.Docs, voters})
+	body, err := json.Marshal(cacheEntry{Version: leased.Version, Docs: leased.Docs, Voters: voters})
 	if err == nil {
 		err = wal.Replace(n.options.Disk, cacheFile, fmt.Appendf(nil, "%x\n%s", sha256.Sum256(body), body))
 	}
 	if err != nil {
-		n.options.Log.Warn("what is acted on can't be kept for the next start", "version", a.Version, "err", err)
+		n.options.Log.Warn("version cache not written", "version", leased.Version, "error", err)
 	}
 }
 
-// loadCachedVersion is what was kept; nothing where there is none, or it is damaged, or this daemon can't act on it any more.
+// loadCachedVersion returns the cached version and takes up its voters. It returns nothing if there is none, or if it is damaged
+// or rejected by Options.Check.
 func (n *Node) loadCachedVersion() (uint64, map[string]consensus.Document) {
 	if n.options.Disk == nil {
 		return 0, nil
 	}
-	k, err := readCachedVersion(n.options.Disk)
-	if err == nil && k != nil && n.options.Check != nil {
-		err = n.options.Check(k.Docs)
+	entry, err := readCacheEntry(n.options.Disk)
+	if err == nil && entry != nil && n.options.Check != nil {
+		err = n.options.Check(entry.Docs)
 	}
 	if err != nil {
-		n.options.Log.Warn("what was acted on before the start can't be used", "err", err)
+		n.options.Log.Warn("cached version not used", "error", err)
+		return 0, nil
 	}
-	if k == nil || err != nil {
+	if entry == nil {
 		return 0, nil
 	}
-	n.cachedVersion, n.cachedVoters = k.Version, k.Voters
-	n.updateKnownVoters(k.Voters, true)
-	return k.Version, k.Docs
+	n.cached = cacheEntry{Version: entry.Version, Voters: entry.Voters}
+	n.client.setVoters(entry.Voters, n.options.Voters)
+	return entry.Version, entry.Docs
 }
 
-func readCachedVersion(fs wal.FS) (*cachedVersion, error) {
+// readCacheEntry reads the cache file; nil: there is none.
+func readCacheEntry(fs wal.FS) (*cacheEntry, error) {
 	text, err := readFile(fs, cacheFile, maxCacheBytes)
 	if text == nil || err != nil {
 		return nil, err
 	}
-	sum := fmt.Sprintf("%x\n", sha256.Sum256(text[min(len(text), checksumSize):]))
-	if len(text) < checksumSize || string(text[:checksumSize]) != sum {
-		return nil, fmt.Errorf("%s is damaged", cacheFile)
+	checksum := fmt.Sprintf("%x\n", sha256.Sum256(text[min(len(text), checksumSize):]))
+	if len(text) < checksumSize || string(text[:checksumSize]) != checksum {
+		return nil, fmt.Errorf("%s: the checksum is not that of its contents", cacheFile)
 	}
-	k := &cachedVersion{}
-	return k, json.Unmarshal(text[checksumSize:], k)
-}
-
-const (
-	checksumSize  = 2*sha256.Size + 1
-	maxCacheBytes = 2 * consensus.MaxTotalBytes // bytes: base64, and the names
-)
-
-// readFile reads a file whole; nil: it is not there. One that is longer than most is cut.
-func readFile(fs wal.FS, name string, most int64) ([]byte, error) {
-	names, err := fs.List()
-	if err != nil || !slices.Contains(names, name) {
-		return nil, err
-	}
-	f, err := fs.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	size, err := f.Size()
-	if err != nil {
-		return nil, err
-	}
-	b := make([]byte, min(size, most))
-	if n, err := f.ReadAt(b, 0); n < len(b) {
-		return nil, err
+	entry := &cacheEntry{}
+	if err := json.Unmarshal(text[checksumSize:], entry); err != nil {
+		return nil, fmt.Errorf("%s: %w", cacheFile, err)
 	}
-	return b, nil
+	return entry, nil
 }
--- a/internal/cluster/raftnode/voterslot_test.go
+++ b/internal/cluster/raftnode/voterslot_test.go
@@ -1,103 +1,183 @@
 package raftnode
 
 import (
+	"fmt"
+	"log/slog"
 	"slices"
 	"strings"
 	"testing"
 
-	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/testkit/simdisk"
 	"tuliprock/internal/testkit/testpeer"
 )
 
-func (c *testCluster) changeVoters(by int, name string, out bool) error {
-	_, err := c.nodes[by].Propose(c.t.Context(), consensus.Command{Seat: &consensus.VoterChange{Name: name, Out: out}})
-	return err
-}
-
-// waitVotes waits until a daemon votes, or does not.
-func (c *testCluster) waitVotes(i int, votes bool) {
-	c.t.Helper()
-	testpeer.Until(c.t, "who votes has changed", func() bool { return c.nodes[i].Status().Votes == votes })
+// A voter's disk is its own, and a log without an identity is nobody's. The cases run in order, on one disk.
+func TestDiskOfAnotherVoterIsRejected(t *testing.T) {
+	d := simdisk.New()
+	d.SetBytes("IDENTITY.new", []byte("a o"))
+	d.SetBytes("IDENTITY", []byte("a of a b c\n"))
+	startOn := func(t *testing.T, name string, voters []string) (*Node, error) {
+		t.Helper()
+		l := startTestTransport(t, transport.Options{Name: name})
+		return Start(Options{Name: name, Voters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
+	}
+	for _, c := range []struct {
+		name       string
+		daemon     string
+		voters     []string
+		isRejected bool
+	}{
+		{"its own voter", "a", []string{"b", "a", "c"}, false},
+		{"its own voter, with other first voters in its options than on its disk", "a", []string{"a", "b", "d"}, false},
+		{"another first voter", "b", []string{"a", "b", "c"}, true},
+		{"a daemon that is no first voter", "x", []string{"a", "b", "c"}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n, err := startOn(t, c.daemon, c.voters)
+			if c.isRejected {
+				if err == nil {
+					n.Close()
+				}
+				if err == nil || strings.Contains(err.Error(), "\n") {
+					t.Errorf("%s starts: %v", c.daemon, err)
+				}
+				return
+			}
+			if err != nil {
+				t.Fatal(err)
+			}
+			testpeer.Until(t, "it votes", func() bool { return n.Status().Votes })
+			if err := n.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	t.Run("a log without an identity", func(t *testing.T) {
+		if err := d.Remove("IDENTITY"); err != nil {
+			t.Fatal(err)
+		}
+		n, err := startOn(t, "a", []string{"a"})
+		if err != nil {
+			t.Fatal(err)
+		}
+		testpeer.Until(t, "it gives up", func() bool {
+			hasGivenUp := make(chan bool, 1)
+			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.slot == nil })
+			return <-hasGivenUp
+		})
+		if err := n.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 }
 
-// changeVotersWhenFree has a change of voters made as soon as the one before it is done.
-func (c *testCluster) changeVotersWhenFree(by int, name string, out bool) {
-	c.t.Helper()
-	testpeer.Until(c.t, "voters change", func() bool { return c.changeVoters(by, name, out) == nil })
+// A voter that is given an older copy of its disk stops, where that can be known, and its daemon goes on.
+func TestVoterWithAnOlderDiskDoesNotStopTheCluster(t *testing.T) {
+	c := newTestCluster(t, 4)
+	c.waitAllActing(c.put(0, "a", "one"), "one")
+	c.nodes[1].Close()
+	older := map[string][]byte{}
+	names, err := c.disks[1].List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if older[name], err = readFile(c.disks[1], name, 1<<20); err != nil {
+			t.Fatal(err)
+		}
+	}
+	c.start(1)
+	var last uint64
+	for i := range 5 {
+		last = c.put(1, fmt.Sprint("b", i), fmt.Sprint(i))
+	}
+	c.waitAllActing(last, "4")
+	c.nodes[1].Close()
+	now, _ := c.disks[1].List()
+	for _, name := range now {
+		if older[name] == nil {
+			_ = c.disks[1].Remove(name)
+		}
+	}
+	for name, text := range older {
+		c.disks[1].SetBytes(name, text)
+	}
+	c.start(1)
+	c.waitAllActing(c.put(2, "c", "five"), "five") // with its vote or without it, and none of the daemons ends
 }
 
-// One voter after another is replaced, the leader too; one that lost its disk comes back as another; who joined is there after a
-// restart; and what was agreed on by those of before is kept by those of after.
+// One voter after another is replaced, the leader too; one that lost its disk returns as another; one that joined votes after a
+// restart; and what the voters before have committed is kept by those after.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
-	h := newTestCluster(t, 6)
-	h.waitAllActing(h.put(0, "a", "doc", "one"), "doc", "one")
+	c := newTestCluster(t, 6)
+	c.waitAllActing(c.put(0, "a", "one"), "one")
 	for i := range 3 { // s3, s4, s5 in place of s0, s1, s2
-		in, out := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
-		h.changeVotersWhenFree(5, in, false)
-		h.waitVotes(3+i, true)
-		h.changeVotersWhenFree(4, out, true)
-		h.waitVotes(i, false)
+		added, removed := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
+		c.changeVotersWhenFree(5, added, false)
+		c.waitVotes(3+i, true)
+		c.changeVotersWhenFree(4, removed, true)
+		c.waitVotes(i, false)
 	}
-	h.waitAllActing(h.put(0, "b", "doc", "two"), "doc", "two")
-	h.nodes[4].Close()
-	h.start(4)
-	h.waitVotes(4, true)
-	h.nodes[5].Close()
-	h.waitActing(h.nodes[:5], h.put(3, "c", "doc", "three"), "doc", "three")
+	c.waitAllActing(c.put(0, "b", "two"), "two")
+	c.nodes[4].Close()
+	c.start(4)
+	c.waitVotes(4, true)
+	c.nodes[5].Close()
+	c.waitActing(c.nodes[:5], c.put(3, "c", "three"), "three")
 
-	h.changeVotersWhenFree(3, "s5", true) // its disk is lost
-	h.disks[5] = simdisk.New()
-	h.start(5)
-	h.changeVotersWhenFree(3, "s5", false)
-	h.waitVotes(5, true)
-	h.waitAllActing(h.put(5, "d", "doc", "four"), "doc", "four")
+	c.changeVotersWhenFree(3, "s5", true) // its disk is lost
+	c.disks[5] = simdisk.New()
+	c.start(5)
+	c.changeVotersWhenFree(3, "s5", false)
+	c.waitVotes(5, true)
+	c.waitAllActing(c.put(5, "d", "four"), "four")
 	testpeer.Until(t, "all know who votes", func() bool {
-		return !slices.ContainsFunc(h.nodes, func(c *Node) bool { return strings.Join(c.Status().Sitting, " ") != "s3 s4 s5" })
+		return !slices.ContainsFunc(c.nodes, func(n *Node) bool { return strings.Join(n.Status().Sitting, " ") != "s3 s4 s5" })
 	})
 }
 
-// A first voter that lost its disk is told so by the others, and does not vote, though all files name it; taken out and put in
+// A first voter that lost its disk learns so from the others, and does not vote, though all options name it; removed and added
 // again it does.
 func TestFirstVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
-	h := newTestCluster(t, 4)
-	h.waitAllActing(h.put(0, "a", "doc", "one"), "doc", "one")
-	h.nodes[1].Close()
-	h.disks[1] = simdisk.New()
-	h.start(1)
-	testpeer.Until(t, "it is told", func() bool {
-		lost := make(chan bool, 1)
-		h.nodes[1].submit(t.Context(), func() { lost <- h.nodes[1].isDiskLossLogged && h.nodes[1].bootstrap == nil })
-		return <-lost
+	c := newTestCluster(t, 4)
+	c.waitAllActing(c.put(0, "a", "one"), "one")
+	c.nodes[1].Close()
+	c.disks[1] = simdisk.New()
+	c.start(1)
+	testpeer.Until(t, "it learns that its disk is lost", func() bool {
+		isLost := make(chan bool, 1)
+		c.nodes[1].submit(t.Context(), func() { isLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
+		return <-isLost
 	})
-	h.waitAllActing(h.put(1, "b", "doc", "two"), "doc", "two")
-	if h.nodes[1].Status().Votes {
+	c.waitAllActing(c.put(1, "b", "two"), "two")
+	if c.nodes[1].Status().Votes {
 		t.Error("it votes")
 	}
-	h.changeVotersWhenFree(1, "s1", true)
-	h.changeVotersWhenFree(1, "s1", false)
-	h.waitVotes(1, true)
-	h.nodes[1].Close()
-	h.start(1)
-	h.waitVotes(1, true)
-	h.nodes[2].Close() // without it there is no majority
-	h.waitActing(append(h.nodes[:2:2], h.nodes[3]), h.put(3, "c", "doc", "three"), "doc", "three")
+	c.changeVotersWhenFree(1, "s1", true)
+	c.changeVotersWhenFree(1, "s1", false)
+	c.waitVotes(1, true)
+	c.nodes[1].Close()
+	c.start(1)
+	c.waitVotes(1, true)
+	c.nodes[2].Close() // without s1 there is no majority
+	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
-// What can't be: one that is under way already, the last one's, more than there may be.
+// A change is rejected while another is under way; a voter that never came can be removed.
 func TestInvalidVoterChangesAreRejected(t *testing.T) {
-	h := newTestCluster(t, 4)
-	h.put(0, "a", "doc", "one")
-	if err := h.changeVoters(1, "nobody", false); err != nil { // who never comes
+	c := newTestCluster(t, 4)
+	c.put(0, "a", "one")
+	if err := c.changeVoters(1, "nobody", false); err != nil { // who never comes
 		t.Fatal(err)
 	}
-	if err := h.changeVoters(1, "s3", false); err == nil || !strings.Contains(err.Error(), "nobody has yet to learn") {
+	if err := c.changeVoters(1, "s3", false); err == nil || !strings.Contains(err.Error(), "nobody has yet to learn") {
 		t.Errorf("a second change: %v", err)
 	}
-	if err := h.changeVoters(2, "nobody", true); err != nil {
-		t.Errorf("who never came can't be taken back: %v", err)
+	if err := c.changeVoters(2, "nobody", true); err != nil {
+		t.Errorf("a voter that never came can't be removed: %v", err)
 	}
-	h.changeVotersWhenFree(2, "s3", false)
-	h.waitVotes(3, true)
-	h.waitAllActing(h.put(3, "b", "doc", "two"), "doc", "two")
+	c.changeVotersWhenFree(2, "s3", false)
+	c.waitVotes(3, true)
+	c.waitAllActing(c.put(3, "b", "two"), "two")
 }
