--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -15,8 +15,8 @@
 	bootstrapWarnAfter     = 10 * time.Second       // after Start: from then on the log names those that do not answer
 )
 
-// bootstrap is the state of a first voter that has yet to begin: it may once it knows that none of its name began before with
-// another disk (consensus.Bootstrap).
+// bootstrap is the state of a first voter that has yet to begin: it may once it knows that none of its name began
+// before with another disk (consensus.Bootstrap).
 type bootstrap struct {
 	*consensus.Bootstrap
 	startedAt    time.Duration
@@ -24,8 +24,8 @@
 	isWaitLogged bool
 }
 
-// bootstrapMessage carries a vote between first voters. The ones that have yet to begin request votes, all of them answer. On the
-// wire IsRequest is "asks", and Vote is "word".
+// bootstrapMessage carries a vote between first voters. The ones that have yet to begin request votes, all of them
+// answer. On the wire IsRequest is "asks", and Vote is "word".
 type bootstrapMessage struct {
 	Round     uint64                  `json:"round"`
 	IsRequest bool                    `json:"asks"`
@@ -50,8 +50,8 @@
 	n.decideBootstrap(now)
 }
 
-// handleBootstrap answers a request and counts an answer. A daemon that never began as a voter, and is not about to, does not
-// answer.
+// handleBootstrap answers a request and counts an answer. A daemon that never began as a voter, and is not about to,
+// does not answer.
 func (n *Node) handleBootstrap(now time.Duration, m transport.Message) {
 	var received bootstrapMessage
 	if json.Unmarshal(m.Body, &received) != nil || !slices.Contains(n.options.Voters, m.From) {
@@ -78,8 +78,9 @@
 	case marks != nil:
 		firstVoters := slices.Sorted(slices.Values(n.options.Voters))
 		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{Begun: true, Marks: marks}
+		own := newFirstVoterIdentity(n.options.Name, firstVoters, marks)
 		var err error
-		if n.slot, err = n.createVoter(now, newFirstVoterIdentity(n.options.Name, firstVoters, marks)); err != nil {
+		if n.slot, err = n.createVoter(now, own); err != nil {
 			n.hasStoppedVoting = true
 			n.options.Log.Error("voter not started after the bootstrap", "error", err)
 		}
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -53,8 +53,12 @@
 	c := &testCluster{t: t}
 	for i := range size {
 		o := transport.Options{
-			Name:  fmt.Sprint("s", i),
-			Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond},
+			Name: fmt.Sprint("s", i),
+			Times: swim.Options{
+				ProbeEvery:   100 * time.Millisecond,
+				ProbeTimeout: 50 * time.Millisecond,
+				Suspicion:    300 * time.Millisecond,
+			},
 		}
 		if i > 0 {
 			o.Join = []netip.AddrPort{c.transports[0].Addr()}
@@ -114,7 +118,8 @@
 	c.t.Helper()
 	testpeer.Until(c.t, fmt.Sprint("all act on version ", version), func() bool {
 		for _, n := range nodes {
-			if leased, ok := n.Valid(); !ok || leased.Version < version || string(leased.Docs[testDocument].Body) != body {
+			leased, ok := n.Valid()
+			if !ok || leased.Version < version || string(leased.Docs[testDocument].Body) != body {
 				return false
 			}
 		}
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -55,8 +55,8 @@
 	return min(max(next-now, 0), maxIdleWait)
 }
 
-// handleMessage dispatches a message by its kind. One that can't be decoded is dropped: it was authenticated as that of a daemon
-// of the cluster, so that daemon runs another version.
+// handleMessage dispatches a message by its kind. One that can't be decoded is dropped: it was authenticated as that of
+// a daemon of the cluster, so that daemon runs another version.
 func (n *Node) handleMessage(m transport.Message) {
 	now := n.options.Now()
 	switch m.Kind {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -15,9 +15,9 @@
 	maxIdentityBytes = 4096 // seven names take 500
 )
 
-// identity says whose a voter's directory is, and in which fleet. It is a file beside the durable log that never changes. That of
-// a first voter has the names of all first voters, from which their ids follow; that of a voter which joined later has the id that
-// it was assigned, and the fleet's.
+// identity says whose a voter's directory is, and in which fleet. It is a file beside the durable log that never
+// changes. That of a first voter has the names of all first voters, from which their ids follow; that of a voter which
+// joined later has the id that it was assigned, and the fleet's.
 type identity struct {
 	name        string
 	firstVoters []string // sorted; none: this voter joined later
@@ -36,7 +36,8 @@
 	return fleetID(sum[:fleetIDSize])
 }
 
-// newFirstVoterIdentity is the identity of one of the first voters, whose names are sorted. Its id is 0 if it is none of them.
+// newFirstVoterIdentity is the identity of one of the first voters, whose names are sorted. Its id is 0 if it is none
+// of them.
 func newFirstVoterIdentity(name string, firstVoters []string, marks map[string]string) *identity {
 	return &identity{
 		name:        name,
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -24,7 +24,8 @@
 		{
 			name: "first voter with the marks of all",
 			text: "c of a b c\na MA\nb MB\nc MC",
-			want: identity{name: "c", firstVoters: []string{"a", "b", "c"}, id: 3, marks: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
+			want: identity{name: "c", firstVoters: []string{"a", "b", "c"}, id: 3,
+				marks: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
 		},
 		{
 			name: "voter that joined later",
@@ -37,7 +38,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.name != c.want.name || got.id != c.want.id || !slices.Equal(got.firstVoters, c.want.firstVoters) || !maps.Equal(got.marks, c.want.marks) {
+			if got.name != c.want.name || got.id != c.want.id ||
+				!slices.Equal(got.firstVoters, c.want.firstVoters) || !maps.Equal(got.marks, c.want.marks) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
 			if fleet := hex.EncodeToString(got.fleetID[:]); fleet != fleetOfABC {
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -21,7 +21,8 @@
 	checkingVersion uint64        // version whose check is running; 0: none
 }
 
-// requestLease requests a lease from the voter that granted the last one, or from the next one by name if it did not answer.
+// requestLease requests a lease from the voter that granted the last one, or from the next one by name if it did not
+// answer.
 func (n *Node) requestLease(now time.Duration) {
 	c := &n.client
 	if !c.hasAnswered {
@@ -41,8 +42,8 @@
 	n.sendJSON(c.leader, kindLeaseRequest, r)
 }
 
-// handleLeaseRequest hands a request to this daemon's voter. If that is not the leader, the other gets the names of those that it
-// may ask instead: its own may be out of date.
+// handleLeaseRequest hands a request to this daemon's voter. If that is not the leader, the other gets the names of
+// those that it may ask instead: its own may be out of date.
 func (n *Node) handleLeaseRequest(m transport.Message) {
 	var r consensus.LeaseRequest
 	if json.Unmarshal(m.Body, &r) != nil || r.Daemon != m.From {
@@ -91,8 +92,8 @@
 	}
 }
 
-// startCheck starts Options.Check of the version that was offered, one at a time. The lease is requested as soon as it ends, since
-// the leader may wait for the result.
+// startCheck starts Options.Check of the version that was offered, one at a time. The lease is requested as soon as it
+// ends, since the leader may wait for the result.
 func (n *Node) startCheck() {
 	c := &n.client
 	version, docs := c.holder.PendingCheck()
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -19,7 +19,8 @@
 	start := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		t.Helper()
 		l := startTestTransport(t, transport.Options{Name: name, Join: join})
-		o := Options{Name: name, Voters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler), Check: check}
+		o := Options{Name: name, Voters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now,
+			Log: slog.New(slog.DiscardHandler), Check: check}
 		if name == "v" {
 			o.Disk = simdisk.New()
 		}
@@ -47,13 +48,17 @@
 	}
 	waitActing := func(n *Node, version uint64) {
 		t.Helper()
-		testpeer.Until(t, fmt.Sprint("version ", version), func() bool { leased, ok := n.Valid(); return ok && leased.Version == version })
+		testpeer.Until(t, fmt.Sprint("version ", version), func() bool {
+			leased, ok := n.Valid()
+			return ok && leased.Version == version
+		})
 	}
 	waitActing(other, put("good"))
 	bad := put("bad")
 	testpeer.Until(t, "both know why", func() bool {
 		there, here := voter.Status(), other.Status()
-		return len(there.Lagging) == 1 && there.Lagging[0].Daemon == "o" && strings.Contains(there.Lagging[0].Why, "it is bad") &&
+		return len(there.Lagging) == 1 && there.Lagging[0].Daemon == "o" &&
+			strings.Contains(there.Lagging[0].Why, "it is bad") &&
 			here.Declined == bad && here.Why == "it is bad"
 	})
 	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
--- a/internal/cluster/raftnode/messages.go
+++ b/internal/cluster/raftnode/messages.go
@@ -13,8 +13,8 @@
 	kindBootstrap      = 'f' // bootstrapMessage
 )
 
-// send sends a message without knowing whether it goes out: one that does not is lost as if the network had dropped it, and
-// whoever needs an answer sends again.
+// send sends a message without knowing whether it goes out: one that does not is lost as if the network had dropped it,
+// and whoever needs an answer sends again.
 func (n *Node) send(to string, kind byte, body []byte) {
 	_ = n.options.Transport.Send(to, kind, body)
 }
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -1,21 +1,21 @@
-// Package raftnode runs a daemon's part in the cluster's agreement: it owns the daemon's voter (package consensus), the voter's
-// durable log (package wal) and the daemon's lease, and carries their messages over a transport.
+// Package raftnode runs a daemon's part in the cluster's agreement: it owns the daemon's voter (package consensus), the
+// voter's durable log (package wal) and the daemon's lease, and carries their messages over a transport.
 //
 // # State and goroutines
 //
-// Start starts one goroutine, the event loop, which alone owns the voter, the log, the lease and the pending proposals. While a
-// version is checked (Options.Check) there is one more, which hands its result back to the event loop. Close ends both and waits
-// for them. Requests read what the daemon may act on from an atomic pointer (Valid, CoversVersion) and never wait for the event
-// loop.
+// Start starts one goroutine, the event loop, which alone owns the voter, the log, the lease and the pending proposals.
+// While a version is checked (Options.Check) there is one more, which hands its result back to the event loop. Close
+// ends both and waits for them. Requests read what the daemon may act on from an atomic pointer (Valid, CoversVersion)
+// and never wait for the event loop.
 //
 // # What a caller may rely on
 //
-// All methods of Node are safe for concurrent use. A version is acted on only under a lease that a majority of the voters stands
-// behind. A proposal is answered when it is committed or rejected; while that can't be known it fails with
-// consensus.ErrIndeterminate, and the same command with the same ID is applied once however often it is proposed.
+// All methods of Node are safe for concurrent use. A version is acted on only under a lease that a majority of the
+// voters stands behind. A proposal is answered when it is committed or rejected; while that can't be known it fails
+// with consensus.ErrIndeterminate, and the same command with the same ID is applied once however often it is proposed.
 //
-// A voter whose disk fails stops for the rest of the process and says so in the log; its daemon goes on under the leases of
-// the other voters. At most maxPendingProposals commands are pending; messages are bounded by the transport.
+// A voter whose disk fails stops for the rest of the process and says so in the log; its daemon goes on under the
+// leases of the other voters. At most maxPendingProposals commands are pending; messages are bounded by the transport.
 package raftnode
 
 import (
@@ -33,8 +33,8 @@
 
 // Transport carries messages between the daemons; *transport.Transport is one.
 type Transport interface {
-	// Send sends a message to a daemon by its name and does not wait for it. An error says that the message did not go out; nil
-	// does not say that it arrives.
+	// Send sends a message to a daemon by its name and does not wait for it. An error says that the message did not go
+	// out; nil does not say that it arrives.
 	Send(name string, kind byte, body []byte) error
 	// Messages has what other daemons sent to this one.
 	Messages() <-chan transport.Message
@@ -44,10 +44,11 @@
 type Options struct {
 	// Name is this daemon's, unique in the cluster.
 	Name string
-	// Voters are the names of the first voters, in any order. All daemons of a cluster have the same, also after voters changed.
+	// Voters are the names of the first voters, in any order. All daemons of a cluster have the same, also after voters
+	// changed.
 	Voters []string
-	// Disk holds a voter's durable log and the version that was acted on last. Nil: nothing outlasts a restart, and this daemon
-	// can't vote.
+	// Disk holds a voter's durable log and the version that was acted on last. Nil: nothing outlasts a restart, and
+	// this daemon can't vote.
 	Disk wal.FS
 	// Lease has the lease times, the same for all daemons of a cluster.
 	Lease consensus.LeaseConfig
@@ -57,11 +58,11 @@
 	Now func() time.Duration
 	// Log gets what operators need to see.
 	Log *slog.Logger
-	// Check returns an error if this daemon can't act on documents; nil: it can act on all. Start calls it for the cached version;
-	// after that it runs on a goroutine of its own, one call at a time.
+	// Check returns an error if this daemon can't act on documents; nil: it can act on all. Start calls it for the
+	// cached version; after that it runs on a goroutine of its own, one call at a time.
 	Check func(docs map[string]consensus.Document) error
-	// Installs is set where the daemon reports by MarkInstalled which version it has installed. Otherwise a version counts as
-	// installed as soon as it is leased.
+	// The daemon reports by MarkInstalled which version it has installed. Otherwise a version counts as installed as
+	// soon as it is leased.
 	Installs bool
 }
 
@@ -115,7 +116,8 @@
 	return n, nil
 }
 
-// Close stops the node and returns when none of its goroutines runs any more. An error is that of closing the durable log.
+// Close stops the node and returns when none of its goroutines runs any more. An error is that of closing the durable
+// log.
 func (n *Node) Close() error {
 	n.cancel()
 	n.goroutines.Wait()
@@ -125,15 +127,16 @@
 	return nil
 }
 
-// Valid returns what this daemon acts on, which must not be changed, and whether its lease is valid now. It is false after the
-// lease has expired and before the first one. The caller bounds the time between this check and the act. No lock is taken.
+// Valid returns what this daemon acts on, which must not be changed, and whether its lease is valid now. It is false
+// after the lease has expired and before the first one. The caller bounds the time between this check and the act. No
+// lock is taken.
 func (n *Node) Valid() (*consensus.LeasedVersion, bool) {
 	leased := n.leased.Load()
 	return leased, leased.Version > 0 && n.options.Now() < leased.Until
 }
 
-// CoversVersion reports whether a version may be acted on now: the leased one, or the one before it until that one's lease has
-// expired. No lock is taken.
+// CoversVersion reports whether a version may be acted on now: the leased one, or the one before it until that one's
+// lease has expired. No lock is taken.
 func (n *Node) CoversVersion(version uint64) bool {
 	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
@@ -141,24 +144,26 @@
 // LeaseRemaining is the time until the lease expires; 0: it has expired.
 func (n *Node) LeaseRemaining() time.Duration { return max(n.leased.Load().Until-n.options.Now(), 0) }
 
-// MarkInstalled reports that this daemon has installed a version. It has an effect where Options.Installs is set.
+// MarkInstalled reports that this daemon has installed a version. It is to be
+// called if the options say so, and only then.
 func (n *Node) MarkInstalled(version uint64) {
 	n.submit(n.ctx, func() { n.client.holder.MarkInstalled(version) })
 }
 
-// Recheck has a version that this daemon rejected checked again when it is offered next. It is to be called when something
-// changed on which Options.Check depends.
+// Recheck has a version that this daemon rejected checked again when it is offered next. It is to be called when
+// something changed on which Options.Check depends.
 func (n *Node) Recheck() { n.submit(n.ctx, func() { n.client.holder.Recheck() }) }
 
-// FirstGrant is closed when the first grant since Start that this daemon can act on has come. Valid returns what is agreed from
-// then on.
+// FirstGrant is closed when the first grant since Start that this daemon can act on has come. Valid returns what is
+// agreed from then on, if anything is.
 func (n *Node) FirstGrant() <-chan struct{} { return n.firstGrant }
 
-// Changed has a value when Valid returns another version than before. Changes that were not received in time are merged into one.
+// Changed has a value when Valid returns another version than before. Changes that were not received in time are merged
+// into one.
 func (n *Node) Changed() <-chan struct{} { return n.changed }
 
-// submit hands a function to the event loop and does not wait for its end. It returns false if ctx or the node ended first: the
-// function is not run then.
+// submit hands a function to the event loop and does not wait for its end. It returns false if ctx or the node ended
+// first: the function is not run then.
 func (n *Node) submit(ctx context.Context, call func()) bool {
 	select {
 	case n.calls <- call:
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Proposals at any daemon are committed and acted on by all; a voter that lost power returns with what it had; one whose disk fails
-// stops, and the others go on; without a majority nothing is committed, and leases expire.
+// Proposals at any daemon are committed and acted on by all; a voter that lost power returns with what it had; one
+// whose disk fails stops, and the others go on; without a majority nothing is committed, and leases expire.
 func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
 	c := newTestCluster(t, 5)
 	first := c.put(0, "a", "one")
@@ -27,7 +27,8 @@
 	second := c.put(4, "b", "two") // by a daemon that does not vote
 	c.waitAllActing(second, "two")
 	expect := first
-	if _, err := c.nodes[3].ProposeVersion(t.Context(), consensus.Command{Expect: &expect, Remove: testDocument}); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
+	unexpected := consensus.Command{Expect: &expect, Remove: testDocument}
+	if _, err := c.nodes[3].ProposeVersion(t.Context(), unexpected); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("another version was expected: %v", err)
 	}
 
@@ -49,13 +50,14 @@
 	testpeer.Until(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.nodes[3].ProposeVersion(ctx, consensus.Command{Put: &consensus.DocumentPut{Name: testDocument}}); !errors.Is(err, consensus.ErrIndeterminate) {
+	put := consensus.Command{Put: &consensus.DocumentPut{Name: testDocument}}
+	if _, err := c.nodes[3].ProposeVersion(ctx, put); !errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("without a majority: %v", err)
 	}
 }
 
-// CoversVersion is on the way of each request that is rejected while no lease is valid: 56 ns, nearly all of it the clock, and no
-// lock.
+// CoversVersion is on the way of each request that is rejected while no lease is valid: 56 ns, nearly all of it the
+// clock, and no lock.
 func BenchmarkCoversVersion(b *testing.B) {
 	began := time.Now()
 	n := &Node{options: Options{Now: func() time.Duration { return time.Since(began) }}}
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds; the bytes are those that raft allows
-	// to be uncommitted.
+	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds; the bytes are those that
+	// raft allows to be uncommitted.
 	maxPendingProposals     = 64
 	maxPendingProposalBytes = 8 << 20
 
-	// initialRetryBackoff lies between the first two attempts of a command. It doubles with each attempt up to maxRetryBackoff,
-	// since every attempt may have all voters write another copy of a long command.
+	// initialRetryBackoff lies between the first two attempts of a command. It doubles with each attempt up to
+	// maxRetryBackoff, since every attempt may have all voters write another copy of a long command.
 	initialRetryBackoff = time.Second
 	maxRetryBackoff     = orphanRetention
 
@@ -65,9 +65,9 @@
 	return r.Version, err
 }
 
-// Propose proposes a command and waits until it is committed or rejected. A command without an ID gets a random one; with the
-// same ID a command is applied once. The error is consensus.ErrIndeterminate if ctx or the node ended before the result was
-// known: the command may have been committed, or may be later.
+// Propose proposes a command and waits until it is committed or rejected. A command without an ID gets a random one;
+// with the same ID a command is applied once. The error is consensus.ErrIndeterminate if ctx or the node ended before
+// the result was known: the command may have been committed, or may be later.
 func (n *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
 	if cmd.ID == "" {
 		cmd.ID = rand.Text()
@@ -102,8 +102,8 @@
 	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
-// addProposal has a command's result sent to waiter: at once if it is known, otherwise when it comes. It returns false if the
-// command is new and there is no capacity for it.
+// addProposal has a command's result sent to waiter: at once if it is known, otherwise when it comes. It returns false
+// if the command is new and there is no capacity for it.
 func (n *Node) addProposal(id string, body []byte, waiter chan proposalResult) bool {
 	p := n.proposals[id]
 	switch {
@@ -120,7 +120,8 @@
 	return true
 }
 
-// handleProposal takes a command that another daemon forwarded to this voter. Without capacity it is dropped: the other retries.
+// handleProposal takes a command that another daemon forwarded to this voter. Without capacity it is dropped: the other
+// retries.
 func (n *Node) handleProposal(now time.Duration, m transport.Message) {
 	var cmd struct {
 		ID string `json:"id"`
@@ -136,12 +137,17 @@
 		return
 	}
 	if n.proposals.hasCapacity(len(m.Body)) {
-		n.proposals[cmd.ID] = &proposal{body: m.Body, proposer: m.From, backoff: initialRetryBackoff, expiresAt: now + orphanRetention}
+		n.proposals[cmd.ID] = &proposal{
+			body:      m.Body,
+			proposer:  m.From,
+			backoff:   initialRetryBackoff,
+			expiresAt: now + orphanRetention,
+		}
 	}
 }
 
-// attemptProposals drops expired proposals and attempts those that are due: a voter proposes to raft, any other daemon forwards
-// to the leader that it knows.
+// attemptProposals drops expired proposals and attempts those that are due: a voter proposes to raft, any other daemon
+// forwards to the leader that it knows.
 func (n *Node) attemptProposals(now time.Duration) {
 	for id, p := range n.proposals {
 		switch {
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// cacheFile holds the version that a daemon acted on last: a line with the SHA-256 of the rest, and the rest as the JSON of a
-	// cacheEntry. It is replaced atomically. It grants no lease: a daemon that starts and reaches no voter goes on with it as with
-	// a lease that has expired.
+	// cacheFile holds the version that a daemon acted on last: a line with the SHA-256 of the rest, and the rest as the
+	// JSON of a cacheEntry. It is replaced atomically. It grants no lease: a daemon that starts and reaches no voter
+	// goes on with it as with a lease that has expired.
 	cacheFile = "ACTED"
 
 	checksumSize  = 2*sha256.Size + 1           // bytes: hexadecimal digits, and the end of the line
@@ -26,8 +26,8 @@
 	Voters  []string                      `json:"voters"`
 }
 
-// cacheVersion writes the version that this daemon acts on, and the voters' names. If the disk fails the daemon goes on: all it
-// loses is what it would start with. The write is not repeated then.
+// cacheVersion writes the version that this daemon acts on, and the voters' names. If the disk fails the daemon goes
+// on: all it loses is what it would start with. The write is not repeated then.
 func (n *Node) cacheVersion(leased consensus.LeasedVersion, voters []string) {
 	n.cached = cacheEntry{Version: leased.Version, Voters: voters}
 	if n.options.Disk == nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// loadCachedVersion returns the cached version and takes up its voters. It returns nothing if there is none, or if it is damaged
-// or rejected by Options.Check.
+// loadCachedVersion returns the cached version and takes up its voters. It returns nothing if there is none, or if it
+// is damaged or rejected by Options.Check.
 func (n *Node) loadCachedVersion() (uint64, map[string]consensus.Document) {
 	if n.options.Disk == nil {
 		return 0, nil
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -12,7 +12,8 @@
 	"tuliprock/internal/testkit/simdisk"
 )
 
-// The version that a daemon acted on is there after a restart, or none is: a file that is cut or changed at any byte gives none.
+// The version that a daemon acted on is there after a restart, or none is: a file that is cut or changed at any byte
+// gives none.
 func TestCachedVersionIsLoadedCompleteOrNotAtAll(t *testing.T) {
 	d := simdisk.New()
 	n := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxPeerNames bounds the names that are learned from messages. Ids are never assigned twice, and a voter that is so far behind
-// the log gets it from any of those that it knows.
+// maxPeerNames bounds the names that are learned from messages. Ids are never assigned twice, and a voter that is so
+// far behind the log gets it from any of those that it knows.
 const maxPeerNames = 64
 
 // peerName returns a voter's name by its id; empty: it is not known.
@@ -42,7 +42,8 @@
 	s.voter.Receive(now, message)
 }
 
-// processVoterOutput persists what the voter has to promise and then sends what rests on it, until there is nothing more to do.
+// processVoterOutput persists what the voter has to promise and then sends what rests on it, until there is nothing
+// more to do.
 func (n *Node) processVoterOutput() {
 	for n.slot != nil {
 		voter := n.slot.voter
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// sendRaft sends a raft message to the voter that it is for. Raft needs to know whether a snapshot went out, and resends anything
-// else without.
+// sendRaft sends a raft message to the voter that it is for. Raft needs to know whether a snapshot went out, and
+// resends anything else without.
 func (n *Node) sendRaft(message *raftpb.Message) {
 	name := n.slot.peerName(message.GetTo())
 	if name == "" {
--- a/internal/cluster/raftnode/voterslot.go
+++ b/internal/cluster/raftnode/voterslot.go
@@ -24,12 +24,12 @@
 	peerNames map[uint64]string // names of voters by id, as their messages have them, until the log does
 }
 
-// errVoterDiskLost is why a daemon with a voter's slot does not vote: what its voter promised was on a disk that is gone, and a
-// voter without it could break the promise.
+// errVoterDiskLost is why a daemon with a voter's slot does not vote: what its voter promised was on a disk that is
+// gone, and a voter without it could break the promise.
 var errVoterDiskLost = errors.New("the log of its seat is not here; have it taken out of the voters, and then put in again")
 
-// startVoter starts the voter that this daemon's disk has. A first voter whose disk has none starts the bootstrap instead; nil
-// without an error: this daemon does not vote, or not yet.
+// startVoter starts the voter that this daemon's disk has. A first voter whose disk has none starts the bootstrap
+// instead; nil without an error: this daemon does not vote, or not yet.
 func (n *Node) startVoter(now time.Duration) (*voterSlot, error) {
 	text, err := readFile(n.options.Disk, identityFile, maxIdentityBytes)
 	if err != nil {
--- a/internal/cluster/raftnode/voterslot_test.go
+++ b/internal/cluster/raftnode/voterslot_test.go
@@ -20,11 +20,12 @@
 	startOn := func(t *testing.T, name string, voters []string) (*Node, error) {
 		t.Helper()
 		l := startTestTransport(t, transport.Options{Name: name})
-		return Start(Options{Name: name, Voters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now, Log: slog.New(slog.DiscardHandler)})
+		return Start(Options{Name: name, Voters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now,
+			Log: slog.New(slog.DiscardHandler)})
 	}
 	for _, c := range []struct {
 		name       string
-		daemon     string
+		daemon     string // that starts on the disk
 		voters     []string
 		isRejected bool
 	}{
@@ -107,8 +108,8 @@
 	c.waitAllActing(c.put(2, "c", "five"), "five") // with its vote or without it, and none of the daemons ends
 }
 
-// One voter after another is replaced, the leader too; one that lost its disk returns as another; one that joined votes after a
-// restart; and what the voters before have committed is kept by those after.
+// One voter after another is replaced, the leader too; one that lost its disk returns as another; one that joined votes
+// after a restart; and what the voters before have committed is kept by those after.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
 	c := newTestCluster(t, 6)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
@@ -133,12 +134,14 @@
 	c.waitVotes(5, true)
 	c.waitAllActing(c.put(5, "d", "four"), "four")
 	testpeer.Until(t, "all know who votes", func() bool {
-		return !slices.ContainsFunc(c.nodes, func(n *Node) bool { return strings.Join(n.Status().Sitting, " ") != "s3 s4 s5" })
+		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
+			return strings.Join(n.Status().Sitting, " ") != "s3 s4 s5"
+		})
 	})
 }
 
-// A first voter that lost its disk learns so from the others, and does not vote, though all options name it; removed and added
-// again it does.
+// A first voter that lost its disk learns so from the others, and does not vote, though all options name it; removed
+// and added again it does.
 func TestFirstVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
