--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -83,9 +83,9 @@
 	slot             *voterSlot // nil: this daemon does not vote
 	hasStoppedVoting bool       // until the process ends: no voter is started any more
 	isDiskLossLogged bool
-	diskMark         string                   // of a disk without a voter; empty: there is no disk, or it has a voter
-	bootstrap        *bootstrap               // nil: this daemon is no first voter that has yet to begin
-	bootstrapVote    *consensus.BootstrapVote // for first voters that have yet to begin; nil: this daemon never began as a voter
+	diskMark         string                   // of a disk that had no voter at Start; empty: it had one, or there is no disk
+	bootstrap        *bootstrap               // while this daemon is a first voter that has yet to begin; else nil
+	bootstrapVote    *consensus.BootstrapVote // answer to first voters that have yet to begin; nil: it never began
 	client           leaseClient
 	proposals        pendingProposals
 	cached           cacheEntry // what the cache file holds, without the documents
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -34,7 +34,8 @@
 		return
 	}
 	switch known := s.peerName(message.GetFrom()); {
-	case known == "" && len(s.peerNames) < maxPeerNames: // a voter that was added while this one was away may be the leader now
+	case known == "" && len(s.peerNames) < maxPeerNames:
+		// A voter that was added while this one was away may be the leader now.
 		s.peerNames[message.GetFrom()] = m.From
 	case known != m.From:
 		return
