--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -21,36 +21,36 @@
 	FlagPrefix    = "flag/"    // and a name: a value of a line, for whoever asks
 )
 
-// MaxDocumentNameBytes is how many bytes a document's name may have.
-const MaxDocumentNameBytes = 300
+// maxDocumentNameBytes is how many bytes a document's name may have.
+const maxDocumentNameBytes = 300
 
-// ownParts are the parts of an operators' file that are each daemon's own.
-var ownParts = []string{"daemon", "fleet", "listener"}
+// ownSections are the parts of an operators' file that are each daemon's own.
+var ownSections = []string{"daemon", "fleet", "listener"}
 
 // Shared is what of an operators' file concerns all daemons alike.
 type Shared struct {
-	Unsure string `toml:"unsure"` // what a daemon does whose lease has run out: "keep" or "refuse"
+	OnIndeterminate string `toml:"unsure"` // what a daemon does whose lease has run out: "keep" or "refuse"
 }
 
 // What a daemon does that does not know what others act on.
 const (
-	unsureKeep   = "keep"
-	unsureRefuse = "refuse"
+	keepServing    = "keep"
+	rejectRequests = "refuse"
 )
 
 // ExtractShared cuts an operators' file, or a text that holds that part alone, to what is shared, and names what was left out. The
 // part is checked whole.
 func ExtractShared(name string, text []byte) (shared []byte, left []string, _ error) {
-	if err := whole(name, text); err != nil {
+	if err := checkOwnSections(name, text); err != nil {
 		return nil, nil, err
 	}
-	shared, left = tomlfile.Without(text, ownParts...)
-	_, err := readShared(name, shared)
+	shared, left = tomlfile.RemoveTopLevel(text, ownSections...)
+	_, err := parseShared(name, shared)
 	return shared, left, err
 }
 
-// whole checks a text with its own parts, where it has any, so that errors have its own lines.
-func whole(name string, text []byte) error {
+// checkOwnSections checks a text with its own parts, where it has any, so that errors have its own lines.
+func checkOwnSections(name string, text []byte) error {
 	f := &File{}
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
 		return err
@@ -62,20 +62,20 @@
 	return err
 }
 
-// readShared reads the shared part.
-func readShared(name string, text []byte) (*File, error) {
+// parseShared reads the shared part.
+func parseShared(name string, text []byte) (*File, error) {
 	f := &File{}
 	at, err := tomlfile.Decode(name, text, f)
 	if err != nil {
 		return nil, err
 	}
-	if _, own := tomlfile.Without(text, ownParts...); len(own) > 0 {
+	if _, own := tomlfile.RemoveTopLevel(text, ownSections...); len(own) > 0 {
 		return nil, at.Errorf(own[0], "must be left out: it is each daemon's own")
 	}
 	if f.Format != 1 {
 		return nil, at.Errorf("format", "must be 1")
 	}
-	f.fill(at)
+	f.applyDefaults(at)
 	for _, check := range []func(*tomlfile.File) error{f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes} {
 		if err := check(at); err != nil {
 			return nil, err
@@ -86,16 +86,16 @@
 
 func (f *File) checkShared(at *tomlfile.File) error {
 	return at.Check("shared", []tomlfile.Must{
-		tomlfile.Need("unsure", f.Shared.Unsure == unsureKeep || f.Shared.Unsure == unsureRefuse, `"keep" or "refuse"`),
+		tomlfile.Need("unsure", f.Shared.OnIndeterminate == keepServing || f.Shared.OnIndeterminate == rejectRequests, `"keep" or "refuse"`),
 	})
 }
 
-// checkAgreed wants nothing of a file for which a fleet that agrees would be needed, where there is none.
-func (f *File) checkAgreed(at *tomlfile.File) error {
-	if f.Fleet != nil && f.Fleet.Agreed {
+// checkNeedsConsensus wants nothing of a file for which a fleet that agrees would be needed, where there is none.
+func (f *File) checkNeedsConsensus(at *tomlfile.File) error {
+	if f.Fleet != nil && f.Fleet.ConsensusEnabled {
 		return nil
 	}
-	if f.Shared.Unsure == unsureRefuse {
+	if f.Shared.OnIndeterminate == rejectRequests {
 		return at.Errorf("shared.unsure", `must be "keep" where nothing is agreed on`)
 	}
 	for i, p := range f.Pool {
@@ -111,24 +111,24 @@
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	out := *f
 	if text, ok := docs[SharedDoc]; ok {
-		s, err := readShared(SharedDoc, text)
+		s, err := parseShared(SharedDoc, text)
 		if err != nil {
 			return nil, err
 		}
-		s.Daemon, s.Fleet, s.Listener, s.divide = f.Daemon, f.Fleet, f.Listener, f.divide
+		s.Daemon, s.Fleet, s.Listener, s.dividesByMembership = f.Daemon, f.Fleet, f.Listener, f.dividesByMembership
 		out = *s
 	}
-	out.agreed = map[string][]Member{}
+	out.agreedMembers = map[string][]Member{}
 	for name, body := range docs {
-		if err := checkDoc(name, body); err != nil {
+		if err := checkDocument(name, body); err != nil {
 			return nil, err
 		}
 		if pool, ok := strings.CutPrefix(name, MembersPrefix); ok {
-			members, err := agreedMembers(body)
+			members, err := parseAgreedMembers(body)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
-			out.agreed[pool] = members
+			out.agreedMembers[pool] = members
 		}
 	}
 	return &out, nil
@@ -154,7 +154,7 @@
 
 var errNoMembers = errors.New("members: one at least is wanted; take endpoints out by hand")
 
-func agreedMembers(body []byte) ([]Member, error) {
+func parseAgreedMembers(body []byte) ([]Member, error) {
 	list, err := discovery.ParseMemberFile(body)
 	if err != nil {
 		return nil, err
@@ -162,11 +162,11 @@
 	if len(list) == 0 {
 		return nil, errNoMembers
 	}
-	return fromList(list), nil
+	return membersFromEndpoints(list), nil
 }
 
-// fromList undoes List.
-func fromList(list []endpointset.Member) (out []Member) {
+// membersFromEndpoints undoes List.
+func membersFromEndpoints(list []endpointset.Member) (out []Member) {
 	for _, m := range list {
 		state := "ready"
 		if m.Draining {
@@ -179,11 +179,11 @@
 
 // IsDocumentName tells whether a document may be of this name: printable and without spaces.
 func IsDocumentName(name string) bool {
-	return name != "" && len(name) <= MaxDocumentNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd })
+	return name != "" && len(name) <= maxDocumentNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd })
 }
 
-// checkDoc wants a document to be of a sort that this program knows.
-func checkDoc(name string, body []byte) error {
+// checkDocument wants a document to be of a sort that this program knows.
+func checkDocument(name string, body []byte) error {
 	pool, isList := strings.CutPrefix(name, MembersPrefix)
 	id, isOut := strings.CutPrefix(name, OutPrefix)
 	flag, isFlag := strings.CutPrefix(name, FlagPrefix)
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -100,7 +100,7 @@
 			t.Errorf("without a fleet that agrees: %v", err)
 		}
 	}
-	for _, name := range []string{"a b", "", "a\n", strings.Repeat("x", MaxDocumentNameBytes+1)} {
+	for _, name := range []string{"a b", "", "a\n", strings.Repeat("x", maxDocumentNameBytes+1)} {
 		if IsDocumentName(name) {
 			t.Errorf("%q", name)
 		}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -18,7 +18,7 @@
 type File struct {
 	Format   int        `toml:"format"` // 1
 	Daemon   Daemon     `toml:"daemon"`
-	Fleet    *Fleet     `toml:"fleet"` // nil: this daemon knows of no other
+	Fleet    *Cluster   `toml:"fleet"` // nil: this daemon knows of no other
 	Listener []Listener `toml:"listener"`
 	Class    []Class    `toml:"class"`
 	Tenant   []Tenant   `toml:"tenant"`
@@ -26,15 +26,15 @@
 	Route    []Route    `toml:"route"`
 	Shared   Shared     `toml:"shared"`
 
-	table  *route.Table
-	divide bool                // daemons and index are the fleet's matter
-	agreed map[string][]Member // lists that are agreed on, by pool
+	table               *route.Table
+	dividesByMembership bool                // daemons and index are the fleet's matter
+	agreedMembers       map[string][]Member // lists that are agreed on, by pool
 }
 
 // Daemon is what concerns the process as a whole.
 type Daemon struct {
 	Name     string  `toml:"name"`
-	Daemons  int     `toml:"daemons"` // that share the pools, this one included
+	Count    int     `toml:"daemons"` // that share the pools, this one included
 	Index    int     `toml:"index"`   // of this one among them, from 0
 	Seed     uint64  `toml:"seed"`    // 0: drawn at the start
 	Cores    float64 `toml:"cores"`   // 0: as many as the system gives
@@ -69,17 +69,17 @@
 
 // Class is a class of requests: what repeating one may do, and where its particulars are found.
 type Class struct {
-	Name           string        `toml:"name"`
-	Effect         string        `toml:"effect"`
-	Window         time.Duration `toml:"window"`
-	Group          string        `toml:"group"`
-	Aim            time.Duration `toml:"aim"`
-	Deadline       time.Duration `toml:"deadline"`
-	DeadlineMost   time.Duration `toml:"deadline_most"`
-	IDHeader       string        `toml:"id_header"`
-	KeyHeader      string        `toml:"key_header"`
-	TenantHeader   string        `toml:"tenant_header"`
-	DeadlineHeader string        `toml:"deadline_header"`
+	Name              string        `toml:"name"`
+	Effect            string        `toml:"effect"`
+	IdempotencyWindow time.Duration `toml:"window"`
+	Group             string        `toml:"group"`
+	Aim               time.Duration `toml:"aim"`
+	Deadline          time.Duration `toml:"deadline"`
+	DeadlineMost      time.Duration `toml:"deadline_most"`
+	IDHeader          string        `toml:"id_header"`
+	KeyHeader         string        `toml:"key_header"`
+	TenantHeader      string        `toml:"tenant_header"`
+	DeadlineHeader    string        `toml:"deadline_header"`
 
 	RetryHeader     string   `toml:"retry_header"` // "1" there: the caller has asked before; empty: nobody's word is taken for that
 	IDMissing       string   `toml:"id_missing"`
@@ -87,24 +87,24 @@
 	Methods         []string `toml:"methods"` // that are served; none: all
 
 	FlowMost      time.Duration `toml:"flow_most"`      // that a body may flow, each way
-	DeadlineRules string        `toml:"deadline_rules"` // "waits" or "all"
+	DeadlineScope string        `toml:"deadline_rules"` // "waits" or "all"
 
 	NoBody bool // requests bring none: the platform's way, which a file can't ask for
 }
 
 // What becomes of a request that lacks an id or a deadline.
 const (
-	makeID = "make"
-	fillIn = "fill"
-	refuse = "refuse"
+	missingMake   = "make"
+	missingFill   = "fill"
+	missingReject = "refuse"
 )
 
 // What a class's deadline rules, and with what of a request a member may begin.
 const (
-	rulesWaits   = "waits"
-	rulesAll     = "all"
-	withHead     = "head"
-	withLastByte = "last_byte"
+	deadlineCoversWaits = "waits"
+	deadlineCoversAll   = "all"
+	startAtHead         = "head"
+	startAtLastByte     = "last_byte"
 )
 
 // membersAgreed says that a pool's list is agreed on.
@@ -113,18 +113,18 @@
 // Defaults where bodies flow. The wait is that of a connection whose peer has to send lost segments several times (RFC
 // 6298 doubles 1 s); the rate is below that of the slowest links in service (GPRS, some 20 kbit/s).
 const (
-	defaultFlowIdle = 10 * time.Second
-	defaultFlowRate = 1 << 10
+	defaultStreamIdleTimeout = 10 * time.Second
+	defaultMinStreamRate     = 1 << 10
 )
 
 // MustHaveID tells whether a request that lacks one is turned away; else one is made.
-func (c *Class) MustHaveID() bool { return c.IDMissing == refuse }
+func (c *Class) MustHaveID() bool { return c.IDMissing == missingReject }
 
 // MustHaveDeadline tells whether a request that lacks one is turned away; else the class's own holds.
-func (c *Class) MustHaveDeadline() bool { return c.DeadlineMissing == refuse }
+func (c *Class) MustHaveDeadline() bool { return c.DeadlineMissing == missingReject }
 
 // DeadlineAll tells whether the deadline rules bodies that flow, too.
-func (c *Class) DeadlineAll() bool { return c.DeadlineRules == rulesAll }
+func (c *Class) DeadlineAll() bool { return c.DeadlineScope == deadlineCoversAll }
 
 // Tenant is one of the parties that share the pools.
 type Tenant struct {
@@ -134,30 +134,30 @@
 
 // Pool is a set of members that serve the same, with a decision module of its own.
 type Pool struct {
-	Name        string        `toml:"name"`
-	Attempts    int           `toml:"attempts"`
-	ColdFrom    float64       `toml:"cold_from"`
-	ColdFor     time.Duration `toml:"cold_for"`
-	Connections int           `toml:"connections"`
-	DialTimeout time.Duration `toml:"dial_timeout"`
-	IdleTimeout time.Duration `toml:"idle_timeout"`
-
-	Tier           int           `toml:"tier"`        // how many tiers of callers stand before
-	TiersBelow     int           `toml:"tiers_below"` // how many tiers the members depend on
-	RetryAfterMost time.Duration `toml:"retry_after_most"`
-
-	Begins      string        `toml:"begins"`       // with what of a request a member may begin: "head" or "last_byte"
-	AnswerBytes int64         `toml:"answer_bytes"` // 0: any number
-	FlowIdle    time.Duration `toml:"flow_idle"`
-	FlowRate    int64         `toml:"flow_rate"`
-
-	Member  []Member      `toml:"member"`  // one of these five
-	Agent   string        `toml:"agent"`   //
-	File    string        `toml:"file"`    //
-	DNS     *DNS          `toml:"dns"`     //
-	Members string        `toml:"members"` // "agreed"
-	Hold    time.Duration `toml:"hold"`
-	Damp    time.Duration `toml:"damp"`
+	Name               string        `toml:"name"`
+	Attempts           int           `toml:"attempts"`
+	SlowStartMinWeight float64       `toml:"cold_from"`
+	SlowStartWindow    time.Duration `toml:"cold_for"`
+	Connections        int           `toml:"connections"`
+	DialTimeout        time.Duration `toml:"dial_timeout"`
+	IdleTimeout        time.Duration `toml:"idle_timeout"`
+
+	Tier          int           `toml:"tier"`        // how many tiers of callers stand before
+	TiersBelow    int           `toml:"tiers_below"` // how many tiers the members depend on
+	MaxRetryAfter time.Duration `toml:"retry_after_most"`
+
+	StartAt           string        `toml:"begins"`       // with what of a request a member may begin: "head" or "last_byte"
+	MaxResponseBytes  int64         `toml:"answer_bytes"` // 0: any number
+	StreamIdleTimeout time.Duration `toml:"flow_idle"`
+	MinStreamRate     int64         `toml:"flow_rate"`
+
+	Member       []Member      `toml:"member"`  // one of these five
+	Agent        string        `toml:"agent"`   //
+	File         string        `toml:"file"`    //
+	DNS          *DNS          `toml:"dns"`     //
+	Members      string        `toml:"members"` // "agreed"
+	HoldLastGood time.Duration `toml:"hold"`
+	FlapDamping  time.Duration `toml:"damp"`
 }
 
 // DNS says which name stands for a pool's members.
@@ -216,21 +216,21 @@
 
 // Defaults of an operators' file. Times and sizes are those that the platform's daemon was measured with.
 const (
-	defaultConnections = 500
-	defaultHead        = 16 << 10
-	defaultBody        = 64 << 10
-	mostBody           = 1 << 40
-	mostBodyMemoryMB   = 1 << 20
-	defaultAttempts    = 4
-	SpareCallers       = 16 // connections of callers beyond a listener's own number, until an idle one is closed for them
-	defaultColdFrom    = 0.3
-	defaultColdFor     = 10 * time.Second
-	mostDeadline       = time.Hour
-	mostFlow           = 24 * time.Hour
-	defaultHold        = 10 * time.Minute // a resolver's or a script's outage is noticed by people within it
-	defaultDamp        = time.Second
-	leastTTL           = 100 * time.Millisecond
-	mostRules          = 100_000
+	defaultConnections        = 500
+	defaultHeadBytes          = 16 << 10
+	defaultBodyBytes          = 64 << 10
+	maxBodyBytes              = 1 << 40
+	maxBodyMemoryMB           = 1 << 20
+	defaultAttempts           = 4
+	SpareCallers              = 16 // connections of callers beyond a listener's own number, until an idle one is closed for them
+	defaultSlowStartMinWeight = 0.3
+	defaultSlowStartWindow    = 10 * time.Second
+	maxDeadline               = time.Hour
+	maxStreamDuration         = 24 * time.Hour
+	defaultHoldLastGood       = 10 * time.Minute // a resolver's or a script's outage is noticed by people within it
+	defaultFlapDamping        = time.Second
+	minTTL                    = 100 * time.Millisecond
+	maxRoutes                 = 100_000
 )
 
 // Read reads and checks an operators' file. An error names file, line and field, in one line; a file that can't be read
@@ -245,7 +245,7 @@
 
 // ParseFile is Read on a text already read.
 func ParseFile(name string, text []byte) (*File, error) {
-	return parse(name, text, (*File).checkAgreed)
+	return parse(name, text, (*File).checkNeedsConsensus)
 }
 
 // parse reads and checks a whole file; agreed is how it looks for what a fleet would be needed for that agrees.
@@ -255,9 +255,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f.fill(at)
-	f.fillFleet(at)
-	for _, check := range []func(*tomlfile.File) error{f.checkListeners, f.checkFleet, f.checkShared, func(at *tomlfile.File) error { return agreed(f, at) }, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes} {
+	f.applyDefaults(at)
+	f.applyClusterDefaults(at)
+	for _, check := range []func(*tomlfile.File) error{f.checkListeners, f.checkCluster, f.checkShared, func(at *tomlfile.File) error { return agreed(f, at) }, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes} {
 		if err := check(at); err != nil {
 			return nil, err
 		}
@@ -268,26 +268,26 @@
 // Table is the file's routes, compiled; its rules have the places of Route.
 func (f *File) Table() *route.Table { return f.table }
 
-func or(v *string, otherwise string) { *v = cmp.Or(*v, otherwise) }
+func setDefault(v *string, otherwise string) { *v = cmp.Or(*v, otherwise) }
 
 // defaultListener has the times and sizes that the platform's daemon was measured with.
 func defaultListener() Listener {
-	return Listener{Connections: defaultConnections, HeadBytes: defaultHead, BodyBytes: defaultBody, HeadTimeout: 1500 * time.Millisecond,
+	return Listener{Connections: defaultConnections, HeadBytes: defaultHeadBytes, BodyBytes: defaultBodyBytes, HeadTimeout: 1500 * time.Millisecond,
 		BodyTimeout: time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, Forwarded: "set", RetryAfter: "seconds"}
 }
 
-// fill puts defaults where the file says nothing. A zero that it does say stays, and is checked.
-func (f *File) fill(at *tomlfile.File) {
+// applyDefaults puts defaults where the file says nothing. A zero that it does say stays, and is checked.
+func (f *File) applyDefaults(at *tomlfile.File) {
 	set := func(field string, fill func()) {
 		if !at.Has(field) {
 			fill()
 		}
 	}
-	or(&f.Daemon.Name, "tuliprock")
-	or(&f.Shared.Unsure, unsureKeep)
+	setDefault(&f.Daemon.Name, "tuliprock")
+	setDefault(&f.Shared.OnIndeterminate, keepServing)
 	set("daemon.body_memory_mb", func() { f.Daemon.BodyMemoryMB = 16 })
 	set("daemon.drain_timeout", func() { f.Daemon.DrainTimeout = 30 * time.Second })
-	set("daemon.daemons", func() { f.Daemon.Daemons = 1 })
+	set("daemon.daemons", func() { f.Daemon.Count = 1 })
 	for i := range f.Listener {
 		l, here, otherwise := &f.Listener[i], fmt.Sprintf("listener[%d].", i), defaultListener()
 		set(here+"connections", func() { l.Connections = otherwise.Connections })
@@ -297,56 +297,56 @@
 		set(here+"body_timeout", func() { l.BodyTimeout = otherwise.BodyTimeout })
 		set(here+"idle_timeout", func() { l.IdleTimeout = otherwise.IdleTimeout })
 		set(here+"write_timeout", func() { l.WriteTimeout = otherwise.WriteTimeout })
-		set(here+"flow_idle", func() { l.FlowIdle = defaultFlowIdle })
-		set(here+"flow_rate", func() { l.FlowRate = defaultFlowRate })
-		or(&l.Forwarded, otherwise.Forwarded)
-		or(&l.RetryAfter, otherwise.RetryAfter)
+		set(here+"flow_idle", func() { l.FlowIdle = defaultStreamIdleTimeout })
+		set(here+"flow_rate", func() { l.FlowRate = defaultMinStreamRate })
+		setDefault(&l.Forwarded, otherwise.Forwarded)
+		setDefault(&l.RetryAfter, otherwise.RetryAfter)
 	}
 	for i := range f.Class {
 		c, here := &f.Class[i], fmt.Sprintf("class[%d].", i)
 		set(here+"deadline", func() { c.Deadline = 5 * time.Second })
 		set(here+"deadline_most", func() { c.DeadlineMost = max(c.Deadline, time.Minute) })
 		set(here+"aim", func() { c.Aim = c.Deadline / 2 })
-		or(&c.Group, "all")
-		or(&c.IDHeader, "Req-Id")
-		or(&c.KeyHeader, "Idempotency-Key")
-		or(&c.TenantHeader, "Req-Owner")
-		or(&c.DeadlineHeader, "Req-Deadline-Ms")
-		or(&c.IDMissing, makeID)
-		or(&c.DeadlineMissing, fillIn)
+		setDefault(&c.Group, "all")
+		setDefault(&c.IDHeader, "Req-Id")
+		setDefault(&c.KeyHeader, "Idempotency-Key")
+		setDefault(&c.TenantHeader, "Req-Owner")
+		setDefault(&c.DeadlineHeader, "Req-Deadline-Ms")
+		setDefault(&c.IDMissing, missingMake)
+		setDefault(&c.DeadlineMissing, missingFill)
 		set(here+"flow_most", func() { c.FlowMost = time.Hour })
-		or(&c.DeadlineRules, rulesWaits)
+		setDefault(&c.DeadlineScope, deadlineCoversWaits)
 	}
 	for i := range f.Pool {
 		p, here := &f.Pool[i], fmt.Sprintf("pool[%d].", i)
 		set(here+"attempts", func() { p.Attempts = defaultAttempts })
-		set(here+"cold_from", func() { p.ColdFrom = defaultColdFrom })
-		set(here+"cold_for", func() { p.ColdFor = defaultColdFor })
+		set(here+"cold_from", func() { p.SlowStartMinWeight = defaultSlowStartMinWeight })
+		set(here+"cold_for", func() { p.SlowStartWindow = defaultSlowStartWindow })
 		set(here+"connections", func() { p.Connections = defaultConnections })
 		set(here+"dial_timeout", func() { p.DialTimeout = 250 * time.Millisecond })
 		set(here+"idle_timeout", func() { p.IdleTimeout = 15 * time.Second })
-		set(here+"retry_after_most", func() { p.RetryAfterMost = 2 * time.Second })
-		or(&p.Begins, withHead)
-		set(here+"flow_idle", func() { p.FlowIdle = defaultFlowIdle })
-		set(here+"flow_rate", func() { p.FlowRate = defaultFlowRate })
-		set(here+"hold", func() { p.Hold = defaultHold })
-		set(here+"damp", func() { p.Damp = defaultDamp })
+		set(here+"retry_after_most", func() { p.MaxRetryAfter = 2 * time.Second })
+		setDefault(&p.StartAt, startAtHead)
+		set(here+"flow_idle", func() { p.StreamIdleTimeout = defaultStreamIdleTimeout })
+		set(here+"flow_rate", func() { p.MinStreamRate = defaultMinStreamRate })
+		set(here+"hold", func() { p.HoldLastGood = defaultHoldLastGood })
+		set(here+"damp", func() { p.FlapDamping = defaultFlapDamping })
 		for k := range p.Member {
-			or(&p.Member[k].ID, p.Member[k].Address)
-			or(&p.Member[k].State, "ready")
+			setDefault(&p.Member[k].ID, p.Member[k].Address)
+			setDefault(&p.Member[k].State, "ready")
 		}
 		if d := p.DNS; d != nil {
-			or(&d.Type, "address")
+			setDefault(&d.Type, "address")
 			set(here+"dns.ttl_least", func() { d.TTLLeast = time.Second })
 			set(here+"dns.ttl_most", func() { d.TTLMost = max(time.Minute, d.TTLLeast) })
 		}
 	}
 }
 
-// namesSeen holds names to be given, and each once.
-type namesSeen map[string]bool
+// uniqueNames holds names to be given, and each once.
+type uniqueNames map[string]bool
 
-func (n namesSeen) take(name string) bool {
+func (n uniqueNames) add(name string) bool {
 	ok := name != "" && !n[name]
 	n[name] = true
 	return ok
@@ -358,29 +358,29 @@
 	}
 	d := f.Daemon
 	if err := at.Check("daemon", []tomlfile.Must{
-		tomlfile.Need("name", isField(d.Name), "letters, digits and dashes"),
-		tomlfile.Need("daemons", d.Daemons >= 1 && d.Daemons <= 100_000, "from 1 to 100000"),
-		tomlfile.Need("index", d.Index >= 0 && d.Index < d.Daemons, "from 0, and under daemons"),
+		tomlfile.Need("name", isHeaderName(d.Name), "letters, digits and dashes"),
+		tomlfile.Need("daemons", d.Count >= 1 && d.Count <= 100_000, "from 1 to 100000"),
+		tomlfile.Need("index", d.Index >= 0 && d.Index < d.Count, "from 0, and under daemons"),
 		tomlfile.Need("cores", d.Cores >= 0, "0 or more"),
-		tomlfile.Need("body_memory_mb", d.BodyMemoryMB >= 1 && d.BodyMemoryMB <= mostBodyMemoryMB, fmt.Sprintf("from 1 to %d", mostBodyMemoryMB)),
-		tomlfile.Need("drain_timeout", d.DrainTimeout >= 0 && d.DrainTimeout <= mostDeadline, "from 0s to 1h"),
+		tomlfile.Need("body_memory_mb", d.BodyMemoryMB >= 1 && d.BodyMemoryMB <= maxBodyMemoryMB, fmt.Sprintf("from 1 to %d", maxBodyMemoryMB)),
+		tomlfile.Need("drain_timeout", d.DrainTimeout >= 0 && d.DrainTimeout <= maxDeadline, "from 0s to 1h"),
 		tomlfile.Need("admin_addr", d.AdminAddr == "" || isAddress(d.AdminAddr), "host:port"),
-		tomlfile.Need("memory_mb", d.MemoryMB == 0 || d.MemoryMB >= leastMemoryMB, fmt.Sprintf("0 (no limit) or %d at least", leastMemoryMB)),
+		tomlfile.Need("memory_mb", d.MemoryMB == 0 || d.MemoryMB >= minMemoryMB, fmt.Sprintf("0 (no limit) or %d at least", minMemoryMB)),
 	}); err != nil {
 		return err
 	}
 	if len(f.Listener) == 0 {
 		return at.Errorf("listener", "must be given")
 	}
-	seen, addresses := namesSeen{}, namesSeen{}
+	seen, addresses := uniqueNames{}, uniqueNames{}
 	for i, l := range f.Listener {
 		if err := at.Check(fmt.Sprintf("listener[%d]", i), []tomlfile.Must{
-			tomlfile.Need("name", seen.take(l.Name), "a name of its own"),
+			tomlfile.Need("name", seen.add(l.Name), "a name of its own"),
 			tomlfile.Need("address", isAddress(l.Address), "host:port"),
-			tomlfile.Need("address", strings.HasSuffix(l.Address, ":0") || addresses.take(l.Address), "an address of its own"),
+			tomlfile.Need("address", strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address), "an address of its own"),
 			tomlfile.Need("connections", l.Connections >= 1 && l.Connections <= 1_000_000, "from 1 to 1000000"),
 			tomlfile.Need("head_bytes", l.HeadBytes >= 1<<10 && l.HeadBytes <= 1<<20, "from 1024 to 1048576"),
-			tomlfile.Need("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= mostBody, fmt.Sprintf("from 0 to %d", mostBody)),
+			tomlfile.Need("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
 			tomlfile.Need("head_timeout", l.HeadTimeout > 0, "over 0"),
 			tomlfile.Need("body_timeout", l.BodyTimeout > 0, "over 0"),
 			tomlfile.Need("idle_timeout", l.IdleTimeout > 0, "over 0"),
@@ -398,8 +398,8 @@
 
 func isAddress(s string) bool { return discovery.CheckAddress("", s) == nil }
 
-// isField tells whether a name can be that of a header (RFC 9110, 5.6.2).
-func isField(s string) bool {
+// isHeaderName tells whether a name can be that of a header (RFC 9110, 5.6.2).
+func isHeaderName(s string) bool {
 	for _, c := range s {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && !strings.ContainsRune("!#$%&'*+-.^_`|~", c) {
 			return false
@@ -408,42 +408,42 @@
 	return s != ""
 }
 
-// isFieldValue tells whether a text can be that of a header (RFC 9110, 5.5), without looking at what is beyond ASCII.
-func isFieldValue(s string) bool {
+// isHeaderValue tells whether a text can be that of a header (RFC 9110, 5.5), without looking at what is beyond ASCII.
+func isHeaderValue(s string) bool {
 	return strings.TrimSpace(s) == s && !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f })
 }
 
 // Effects and Groups are the module's, by their names in the file.
 var (
 	Effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	Groups  = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
+	groups  = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
 )
 
 func (f *File) checkClasses(at *tomlfile.File) error {
 	if len(f.Class) == 0 {
 		return at.Errorf("class", "must be given")
 	}
-	seen := namesSeen{}
+	seen := uniqueNames{}
 	for i, c := range f.Class {
 		_, effect := Effects[c.Effect]
-		_, group := Groups[c.Group]
+		_, group := groups[c.Group]
 		if err := at.Check(fmt.Sprintf("class[%d]", i), []tomlfile.Must{
-			tomlfile.Need("name", seen.take(c.Name), "a name of its own"),
+			tomlfile.Need("name", seen.add(c.Name), "a name of its own"),
 			tomlfile.Need("effect", effect, "safe, keyed or unsafe"),
-			tomlfile.Need("window", (c.Window > 0) == (c.Effect == "keyed"), "over 0 for a keyed class, and only there"),
+			tomlfile.Need("window", (c.IdempotencyWindow > 0) == (c.Effect == "keyed"), "over 0 for a keyed class, and only there"),
 			tomlfile.Need("group", group, "all, zone or cell"),
 			tomlfile.Need("deadline", c.Deadline > 0, "over 0"),
-			tomlfile.Need("deadline_most", c.DeadlineMost >= c.Deadline && c.DeadlineMost <= mostDeadline, "the deadline at least, and 1h at most"),
-			tomlfile.Need("flow_most", c.FlowMost > 0 && c.FlowMost <= mostFlow, "over 0, and 24h at most"),
-			tomlfile.Need("deadline_rules", c.DeadlineRules == rulesWaits || c.DeadlineRules == rulesAll, `"waits" or "all"`),
+			tomlfile.Need("deadline_most", c.DeadlineMost >= c.Deadline && c.DeadlineMost <= maxDeadline, "the deadline at least, and 1h at most"),
+			tomlfile.Need("flow_most", c.FlowMost > 0 && c.FlowMost <= maxStreamDuration, "over 0, and 24h at most"),
+			tomlfile.Need("deadline_rules", c.DeadlineScope == deadlineCoversWaits || c.DeadlineScope == deadlineCoversAll, `"waits" or "all"`),
 			tomlfile.Need("aim", c.Aim > 0 && c.Aim <= c.DeadlineMost, "over 0, and deadline_most at most"),
-			tomlfile.Need("id_header", isField(c.IDHeader), "the name of a header"),
-			tomlfile.Need("key_header", isField(c.KeyHeader), "the name of a header"),
-			tomlfile.Need("tenant_header", isField(c.TenantHeader), "the name of a header"),
-			tomlfile.Need("deadline_header", isField(c.DeadlineHeader), "the name of a header"),
-			tomlfile.Need("retry_header", c.RetryHeader == "" || isField(c.RetryHeader), "the name of a header"),
-			tomlfile.Need("id_missing", c.IDMissing == makeID || c.IDMissing == refuse, `"make" or "refuse"`),
-			tomlfile.Need("deadline_missing", c.DeadlineMissing == fillIn || c.DeadlineMissing == refuse, `"fill" or "refuse"`),
+			tomlfile.Need("id_header", isHeaderName(c.IDHeader), "the name of a header"),
+			tomlfile.Need("key_header", isHeaderName(c.KeyHeader), "the name of a header"),
+			tomlfile.Need("tenant_header", isHeaderName(c.TenantHeader), "the name of a header"),
+			tomlfile.Need("deadline_header", isHeaderName(c.DeadlineHeader), "the name of a header"),
+			tomlfile.Need("retry_header", c.RetryHeader == "" || isHeaderName(c.RetryHeader), "the name of a header"),
+			tomlfile.Need("id_missing", c.IDMissing == missingMake || c.IDMissing == missingReject, `"make" or "refuse"`),
+			tomlfile.Need("deadline_missing", c.DeadlineMissing == missingFill || c.DeadlineMissing == missingReject, `"fill" or "refuse"`),
 		}); err != nil {
 			return err
 		}
@@ -452,10 +452,10 @@
 }
 
 func (f *File) checkTenants(at *tomlfile.File) error {
-	seen := namesSeen{}
+	seen := uniqueNames{}
 	for i, t := range f.Tenant {
 		if err := at.Check(fmt.Sprintf("tenant[%d]", i), []tomlfile.Must{
-			tomlfile.Need("name", seen.take(t.Name), "a name of its own"),
+			tomlfile.Need("name", seen.add(t.Name), "a name of its own"),
 			tomlfile.Need("quota", t.Quota > 0, "over 0"),
 		}); err != nil {
 			return err
@@ -468,13 +468,13 @@
 	if len(f.Pool) == 0 {
 		return at.Errorf("pool", "must be given")
 	}
-	seen := namesSeen{}
+	seen := uniqueNames{}
 	for i, p := range f.Pool {
 		here := fmt.Sprintf("pool[%d]", i)
 		if err := at.Check(here, []tomlfile.Must{
-			tomlfile.Need("name", seen.take(p.Name), "a name of its own"),
+			tomlfile.Need("name", seen.add(p.Name), "a name of its own"),
 			tomlfile.Need("attempts", p.Attempts >= 1 && p.Attempts <= 100, "from 1 to 100"),
-			tomlfile.Need("cold_from", p.ColdFrom > 0 && p.ColdFrom <= 1, "over 0, and 1 at most"),
+			tomlfile.Need("cold_from", p.SlowStartMinWeight > 0 && p.SlowStartMinWeight <= 1, "over 0, and 1 at most"),
 			tomlfile.Need("connections", p.Connections >= 1 && p.Connections <= 1_000_000, "from 1 to 1000000"),
 			tomlfile.Need("dial_timeout", p.DialTimeout > 0, "over 0"),
 			tomlfile.Need("idle_timeout", p.IdleTimeout > 0, "over 0"),
@@ -488,11 +488,11 @@
 		if err := p.checkSource(at, here); err != nil {
 			return err
 		}
-		ids := namesSeen{}
+		ids := uniqueNames{}
 		for k, m := range p.Member {
 			if err := at.Check(fmt.Sprintf("%s.member[%d]", here, k), []tomlfile.Must{
 				tomlfile.Need("address", isAddress(m.Address) && !strings.HasSuffix(m.Address, ":0"), "host:port"),
-				tomlfile.Need("id", ids.take(m.ID), "an id of its own in the pool (left out, it is the address)"),
+				tomlfile.Need("id", ids.add(m.ID), "an id of its own in the pool (left out, it is the address)"),
 				tomlfile.Need("state", m.State == "ready" || m.State == "draining", `"ready" or "draining"`),
 			}); err != nil {
 				return err
@@ -525,16 +525,16 @@
 		tomlfile.Need("type", d.Type == "address" || d.Type == "srv", `"address" or "srv"`),
 		tomlfile.Need("port", (d.Type == "srv") == (d.Port == 0) && d.Port >= 0 && d.Port < 1<<16, `from 1 to 65535 for "address", and left out for "srv"`),
 		tomlfile.Need("server", d.Server == "" || isAddress(d.Server), "host:port"),
-		tomlfile.Need("ttl_least", d.TTLLeast >= leastTTL, fmt.Sprintf("%v at least", leastTTL)),
+		tomlfile.Need("ttl_least", d.TTLLeast >= minTTL, fmt.Sprintf("%v at least", minTTL)),
 		tomlfile.Need("ttl_most", d.TTLMost >= d.TTLLeast, "ttl_least at least"),
 	})
 }
 
 func (f *File) checkRoutes(at *tomlfile.File) error {
-	if n := len(f.Route); n == 0 || n > mostRules {
-		return at.Errorf("route", "must be from 1 to %d of them", mostRules)
+	if n := len(f.Route); n == 0 || n > maxRoutes {
+		return at.Errorf("route", "must be from 1 to %d of them", maxRoutes)
 	}
-	pools, classes, tenants := namesSeen{}, namesSeen{}, namesSeen{"": true}
+	pools, classes, tenants := uniqueNames{}, uniqueNames{}, uniqueNames{"": true}
 	for _, p := range f.Pool {
 		pools[p.Name] = true
 	}
@@ -561,13 +561,13 @@
 		}
 		for k, h := range r.SetHeader {
 			if err := at.Check(fmt.Sprintf("%s.set_header[%d]", here, k), []tomlfile.Must{
-				tomlfile.Need("name", mayRewrite(h.Name), "a header that is not the daemon's own"),
-				tomlfile.Need("value", isFieldValue(h.Value), "a header's value"),
+				tomlfile.Need("name", isRewritableHeader(h.Name), "a header that is not the daemon's own"),
+				tomlfile.Need("value", isHeaderValue(h.Value), "a header's value"),
 			}); err != nil {
 				return err
 			}
 		}
-		if !allOf(r.RemoveHeaders, mayRewrite) {
+		if !allMatch(r.RemoveHeaders, isRewritableHeader) {
 			return at.Errorf(here+".remove_headers", "must be headers that are not the daemon's own")
 		}
 		if _, err := route.New([]route.Rule{rule}); err != nil { // alone, so that its line is known
@@ -581,7 +581,7 @@
 	return err
 }
 
-func allOf(list []string, ok func(string) bool) bool {
+func allMatch(list []string, ok func(string) bool) bool {
 	return !slices.ContainsFunc(list, func(s string) bool { return !ok(s) })
 }
 
@@ -605,14 +605,14 @@
 		return rule, at.Errorf(here+".path", "%q is not in its normal form, and would never match", r.Path)
 	}
 	var err error
-	if rule.Headers, err = conditions(at, here+".header", r.Header); err != nil {
+	if rule.Headers, err = routeConditions(at, here+".header", r.Header); err != nil {
 		return rule, err
 	}
-	rule.Query, err = conditions(at, here+".query", r.Query)
+	rule.Query, err = routeConditions(at, here+".query", r.Query)
 	return rule, err
 }
 
-func conditions(at *tomlfile.File, here string, list []Condition) (out []route.Condition, err error) {
+func routeConditions(at *tomlfile.File, here string, list []Condition) (out []route.Condition, err error) {
 	for i, c := range list {
 		this := fmt.Sprintf("%s[%d]", here, i)
 		if c.Name == "" {
@@ -621,13 +621,13 @@
 		given := 0
 		n := route.Condition{Name: c.Name}
 		for _, o := range []struct {
-			op    route.Op
+			op    route.Operator
 			on    bool
 			value string
 		}{{route.Equal, at.Has(this + ".equal"), c.Equal}, {route.HasPrefix, c.Prefix != "", c.Prefix}, {route.Absent, c.Absent, ""}} {
 			if o.on {
 				given++
-				n.Op, n.Value = o.op, o.value
+				n.Operator, n.Value = o.op, o.value
 			}
 		}
 		if given > 1 {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -70,7 +70,7 @@
 	if c := f.Class[0]; c.Deadline != 3*time.Second || c.Aim != 1500*time.Millisecond || c.DeadlineMost != time.Minute || c.IDHeader != "Req-Id" || c.Group != "all" {
 		t.Errorf("defaults of a class: %+v", c)
 	}
-	if p := f.Pool[0]; p.Attempts != 4 || p.ColdFrom != 0.3 || p.Member[0].ID != "127.0.0.1:9001" || p.Member[1].ID != "two" {
+	if p := f.Pool[0]; p.Attempts != 4 || p.SlowStartMinWeight != 0.3 || p.Member[0].ID != "127.0.0.1:9001" || p.Member[1].ID != "two" {
 		t.Errorf("defaults of a pool: %+v", p)
 	}
 	if l := f.Listener[0]; l.Connections != 500 || l.BodyBytes != 64<<10 || l.Forwarded != "set" {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,8 +17,8 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 16
-	leastSockets    = 64
+	minMemoryMB     = 16
+	minSockets      = 64
 )
 
 // Limits is what the platform grants a sidecar.
@@ -30,15 +30,15 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // where operators call; empty: nowhere
-	Limits    Limits
-	Known     discovery.ListUpdate
+	Name         string
+	Listen       string
+	Discovery    string
+	AdminAddress string // where operators call; empty: nowhere
+	Limits       Limits
+	LastUpdate   discovery.ListUpdate
 
-	Descriptor int    // of the listening socket, which the platform holds and other processes may have too; 0: none
-	Shared     string // directory that all processes of the sidecar have; empty: none
+	ListenDescriptor int    // of the listening socket, which the platform holds and other processes may have too; 0: none
+	SharedDir        string // directory that all processes of the sidecar have; empty: none
 
 	Settings simwire.Settings
 }
@@ -75,24 +75,24 @@
 		return value
 	}
 	c := Config{Name: fill(file.Name, "ROUTER_NAME"), Listen: fill(file.Listen, "ROUTER_LISTEN"),
-		Discovery: fill(file.Discovery, "ROUTER_DISCOVERY"), Admin: fill(file.Admin, "ROUTER_ADMIN_ADDR"), Limits: file.Limits}
+		Discovery: fill(file.Discovery, "ROUTER_DISCOVERY"), AdminAddress: fill(file.Admin, "ROUTER_ADMIN_ADDR"), Limits: file.Limits}
 	if err := discovery.CheckAddress("listen", c.Listen); err != nil {
 		return c, err
 	}
 	if err := discovery.CheckAddress("discovery", c.Discovery); err != nil {
 		return c, err
 	}
-	c.Shared = getenv("TMPDIR")
+	c.SharedDir = getenv("TMPDIR")
 	var err error
-	if c.Descriptor, err = hotrestart.InheritedDescriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
+	if c.ListenDescriptor, err = hotrestart.InheritedDescriptor("ROUTER_LISTEN_FD", getenv("ROUTER_LISTEN_FD")); err != nil {
 		return c, err
 	}
-	if c.Admin != "" {
-		if err := discovery.CheckAddress("admin_addr", c.Admin); err != nil {
+	if c.AdminAddress != "" {
+		if err := discovery.CheckAddress("admin_addr", c.AdminAddress); err != nil {
 			return c, err
 		}
 	}
-	if err := c.Limits.check(); err != nil {
+	if err := c.Limits.applyDefaultsAndCheck(); err != nil {
 		return c, err
 	}
 	if len(file.Settings) == 0 {
@@ -105,22 +105,22 @@
 		return c, fmt.Errorf("seed: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = discovery.ParseListUpdate(file.Known); err != nil {
+		if c.LastUpdate, err = discovery.ParseListUpdate(file.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
 	return c, nil
 }
 
-// check fills what is absent and refuses what nothing can run with.
-func (l *Limits) check() error {
+// applyDefaultsAndCheck fills what is absent and refuses what nothing can run with.
+func (l *Limits) applyDefaultsAndCheck() error {
 	switch {
 	case l.Cores < 0:
 		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
-	case l.MemoryMB != 0 && l.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, leastMemoryMB)
-	case l.Sockets != 0 && l.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, leastSockets)
+	case l.MemoryMB != 0 && l.MemoryMB < minMemoryMB:
+		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets != 0 && l.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
 	}
 	if l.Cores == 0 {
 		l.Cores = 1
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -82,12 +82,12 @@
 	Remove          []string
 }
 
-// rawRules are the platform's routes: classes by the first segment of the path, as it came.
-func rawRules(classes []balance.Class) (rules []route.Rule, targets []Target) {
+// platformRoutes are the platform's routes: classes by the first segment of the path, as it came.
+func platformRoutes(classes []balance.Class) (rules []route.Rule, targets []Target) {
 	for _, c := range classes {
 		class := &Class{Name: c.Name, Effect: effectName(c.Effect), IDHeader: "Req-Id", KeyHeader: "Idempotency-Key", TenantHeader: "Req-Owner",
-			DeadlineHeader: "Req-Deadline-Ms", RetryHeader: "Req-Retry", IDMissing: refuse, DeadlineMissing: refuse, DeadlineMost: mostDeadline, Methods: []string{"POST"},
-			FlowMost: platformFlow}
+			DeadlineHeader: "Req-Deadline-Ms", RetryHeader: "Req-Retry", IDMissing: missingReject, DeadlineMissing: missingReject, DeadlineMost: maxDeadline, Methods: []string{"POST"},
+			FlowMost: platformStreamDuration}
 		if c.Effect == balance.Safe {
 			class.Methods, class.NoBody = []string{"GET"}, true
 		}
@@ -112,38 +112,38 @@
 // How bodies flow on the platform: up to 32 MB each way, from callers that may take 2 s for a head and keep up 64 kB a
 // second. Bad callers are owed an error or a close within 3 s of connecting.
 const (
-	platformBody     = 32 << 20
-	platformHead     = 2500 * time.Millisecond
-	platformShort    = 2500 * time.Millisecond // for a body that is held whole: 1 s at that rate, in pieces
-	platformRate     = 48 << 10                // three quarters of it: what is measured here is late and early by turns
-	platformIdle     = 5 * time.Second         // for which a peer may say nothing, or be behind
-	platformFlow     = 10 * time.Minute        // 32 MB at 64 kB a second take 8.5
-	platformBodyPart = 8                       // one of so many bytes of the memory is for bodies: two processes share the limit
+	platformBodyBytes          = 32 << 20
+	platformHeadTimeout        = 2500 * time.Millisecond
+	platformBodyTimeout        = 2500 * time.Millisecond // for a body that is held whole: 1 s at that rate, in pieces
+	platformMinStreamRate      = 48 << 10                // three quarters of it: what is measured here is late and early by turns
+	platformStreamIdleTimeout  = 5 * time.Second         // for which a peer may say nothing, or be behind
+	platformStreamDuration     = 10 * time.Minute        // 32 MB at 64 kB a second take 8.5
+	platformBodyMemoryFraction = 8                       // one of so many bytes of the memory is for bodies: two processes share the limit
 )
 
 // SIGKILL comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s more after SIGTERM. What is cut off by then has
 // to be told to callers before.
 const (
-	killDeadline = 3 * time.Second
-	killMore     = 700 * time.Millisecond
-	killCutOff   = 300 * time.Millisecond
+	graceDeadlineCap   = 3 * time.Second
+	graceAfterDeadline = 700 * time.Millisecond
+	cutOffNotice       = 300 * time.Millisecond
 )
 
-// grace is how long the platform leaves a process after SIGTERM. longest is the longest deadline; 0: not told.
-func grace(longest time.Duration) time.Duration {
+// terminationGrace is how long the platform leaves a process after SIGTERM. longest is the longest deadline; 0: not told.
+func terminationGrace(longest time.Duration) time.Duration {
 	if longest <= 0 {
-		longest = killDeadline
+		longest = graceDeadlineCap
 	}
-	return min(longest, killDeadline) + killMore
+	return min(longest, graceDeadlineCap) + graceAfterDeadline
 }
 
 // What descriptors are kept for, of the platform's limit, besides connections of callers and to endpoints.
 const (
-	otherDescriptors = 24
-	leastConnections = 8
-	operatorsPart    = 16 // one of so many is kept for operators,
-	leastOperators   = 8  // and so many at least
-	fileOperators    = 32 // where no limit on descriptors is told
+	internalDescriptors     = 24
+	minConnections          = 8
+	operatorSocketFraction  = 16 // one of so many is kept for operators,
+	minOperatorConnections  = 8  // and so many at least
+	fileOperatorConnections = 32 // where no limit on descriptors is told
 )
 
 // Service is the platform's configuration in the daemon's own terms.
@@ -151,25 +151,25 @@
 	settings := c.Settings.Settings
 	settings.MayProbe = false // probing endpoints is ruled out
 	operators := 0
-	if c.Admin != "" {
-		operators = max(c.Limits.Sockets/operatorsPart, leastOperators)
+	if c.AdminAddress != "" {
+		operators = max(c.Limits.Sockets/operatorSocketFraction, minOperatorConnections)
 	}
-	s := Service{Name: c.Name, Admin: c.Admin, Operators: operators, Limits: c.Limits}
+	s := Service{Name: c.Name, Admin: c.AdminAddress, Operators: operators, Limits: c.Limits}
 	each := s.Connections(c.Limits.Sockets)
-	rules, targets := rawRules(settings.Classes)
+	rules, targets := platformRoutes(settings.Classes)
 	table, err := route.New(rules)
 	if err != nil {
 		return Service{}, fmt.Errorf("settings: %w", err)
 	}
 	l := defaultListener()
 	l.Name, l.Address, l.Connections, l.Forwarded, l.RetryAfter, l.Raw = platformPool, c.Listen, each, "leave", "fraction", true
-	l.HeadTimeout, l.BodyTimeout, l.BodyBytes, l.FlowIdle, l.FlowRate = platformHead, platformShort, platformBody, platformIdle, platformRate
+	l.HeadTimeout, l.BodyTimeout, l.BodyBytes, l.FlowIdle, l.FlowRate = platformHeadTimeout, platformBodyTimeout, platformBodyBytes, platformStreamIdleTimeout, platformMinStreamRate
 	pool := PoolSpec{Name: platformPool, Settings: settings, Connections: each, Dial: c.Settings.DialTimeout, Idle: c.Settings.ConnIdle, LastByte: true, OnlyOK: true,
-		AnswerBytes: platformBody, Flow: body.Pace{Idle: platformIdle}, Source: SourceSpec{Agent: c.Discovery, Known: c.Known}}
-	s.Grace = grace(c.Settings.Longest)
-	s.BodyMemory, s.Drain = c.Limits.MemoryMB<<20/platformBodyPart, s.Grace-killCutOff
-	if c.Descriptor > 0 { // others may have the same socket
-		l.Descriptor, pool.Source.Anew, s.Shared = c.Descriptor, true, c.Shared
+		AnswerBytes: platformBodyBytes, Flow: body.Pace{Idle: platformStreamIdleTimeout}, Source: SourceSpec{Agent: c.Discovery, Known: c.LastUpdate}}
+	s.Grace = terminationGrace(c.Settings.Longest)
+	s.BodyMemory, s.Drain = c.Limits.MemoryMB<<20/platformBodyMemoryFraction, s.Grace-cutOffNotice
+	if c.ListenDescriptor > 0 { // others may have the same socket
+		l.Descriptor, pool.Source.Anew, s.Shared = c.ListenDescriptor, true, c.SharedDir
 	}
 	s.Listeners, s.Pools, s.Table, s.Targets = []Listener{l}, []PoolSpec{pool}, table, targets
 	return s, nil
@@ -178,15 +178,15 @@
 // Connections is how many connections callers, and how many endpoints, may have where the daemon may use so many
 // descriptors.
 func (s *Service) Connections(descriptors int) int {
-	return max((descriptors-s.Fixed()-SpareCallers)/2, leastConnections)
+	return max((descriptors-s.Fixed()-SpareCallers)/2, minConnections)
 }
 
 // Fixed is how many descriptors are kept for all else.
 func (s *Service) Fixed() int {
 	if s.Fleet != nil {
-		return otherDescriptors + s.Operators + fleetDescriptors
+		return internalDescriptors + s.Operators + clusterDescriptors
 	}
-	return otherDescriptors + s.Operators
+	return internalDescriptors + s.Operators
 }
 
 // WithReloadable is the configuration with what a running sidecar may take from a later one on the platform: where discovery
@@ -198,7 +198,7 @@
 
 // Service is the file in the daemon's own terms.
 func (f *File) Service() Service {
-	s := Service{File: f, Grace: grace(0), Refuses: f.Shared.Unsure == unsureRefuse, Admin: f.Daemon.AdminAddr, Fleet: f.fleet(), Operators: f.operators(), BodyMemory: f.Daemon.BodyMemoryMB << 20, Drain: f.Daemon.DrainTimeout, Name: f.Daemon.Name, Limits: Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB}, Listeners: f.Listener, Table: f.table}
+	s := Service{File: f, Grace: terminationGrace(0), Refuses: f.Shared.OnIndeterminate == rejectRequests, Admin: f.Daemon.AdminAddr, Fleet: f.clusterSpec(), Operators: f.operatorConnections(), BodyMemory: f.Daemon.BodyMemoryMB << 20, Drain: f.Daemon.DrainTimeout, Name: f.Daemon.Name, Limits: Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB}, Listeners: f.Listener, Table: f.table}
 	classes := map[string]*Class{}
 	for i := range f.Class {
 		classes[f.Class[i].Name] = &f.Class[i]
@@ -212,40 +212,40 @@
 		}
 	}
 	for i := range f.Pool {
-		s.Pools = append(s.Pools, f.pool(&f.Pool[i], used[f.Pool[i].Name]))
+		s.Pools = append(s.Pools, f.poolSpec(&f.Pool[i], used[f.Pool[i].Name]))
 	}
 	return s
 }
 
-// operators is how many connections of theirs a file leaves room for.
-func (f *File) operators() int {
+// operatorConnections is how many connections of theirs a file leaves room for.
+func (f *File) operatorConnections() int {
 	if f.Daemon.AdminAddr == "" {
 		return 0
 	}
-	return fileOperators
+	return fileOperatorConnections
 }
 
-// resolution is how late events and timers may come on an ordinary machine: a timer's own lateness on a busy one.
-const resolution = 5 * time.Millisecond
+// timerResolution is how late events and timers may come on an ordinary machine: a timer's own lateness on a busy one.
+const timerResolution = 5 * time.Millisecond
 
-func (f *File) pool(p *Pool, classes []string) PoolSpec {
+func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
 	d := f.Daemon
-	settings := balance.Settings{Seed: d.Seed, Balancers: d.Daemons, Index: d.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
-		MaxAttempts: p.Attempts, MayCancel: true, MaxRetryAfter: p.RetryAfterMost, Resolution: resolution, ColdFrom: p.ColdFrom, ColdFor: p.ColdFor}
+	settings := balance.Settings{Seed: d.Seed, Balancers: d.Count, Index: d.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
+		MaxAttempts: p.Attempts, MayCancel: true, MaxRetryAfter: p.MaxRetryAfter, Resolution: timerResolution, ColdFrom: p.SlowStartMinWeight, ColdFor: p.SlowStartWindow}
 	for _, c := range f.Class {
 		if slices.Contains(classes, c.Name) {
-			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Effect: Effects[c.Effect], Group: Groups[c.Group], Window: c.Window, Aim: c.Aim})
+			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Effect: Effects[c.Effect], Group: groups[c.Group], Window: c.IdempotencyWindow, Aim: c.Aim})
 		}
 	}
 	for _, t := range f.Tenant {
 		settings.Tenants = append(settings.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	source := SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, Hold: p.Hold, Damp: p.Damp}
+	source := SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, Hold: p.HoldLastGood, Damp: p.FlapDamping}
 	if p.Members == membersAgreed { // believed as it is, and at once
-		source = SourceSpec{Members: f.agreed[p.Name]}
+		source = SourceSpec{Members: f.agreedMembers[p.Name]}
 	}
 	return PoolSpec{Name: p.Name, Settings: settings, Connections: p.Connections, Dial: p.DialTimeout, Idle: p.IdleTimeout, Spread: true,
-		LastByte: p.Begins == withLastByte, AnswerBytes: p.AnswerBytes, Flow: body.Pace{Idle: p.FlowIdle, Rate: p.FlowRate}, Whole: p.FlowIdle,
+		LastByte: p.StartAt == startAtLastByte, AnswerBytes: p.MaxResponseBytes, Flow: body.Pace{Idle: p.StreamIdleTimeout, Rate: p.MinStreamRate}, Whole: p.StreamIdleTimeout,
 		Source: source}
 }
 
@@ -257,10 +257,10 @@
 	return out
 }
 
-// reserved are headers that a route may not set or remove: they frame a message, or are the daemon's own word.
-var reserved = []string{"Connection", "Content-Length", "Expect", "Forwarded", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
+// protectedHeaders are headers that a route may not set or remove: they frame a message, or are the daemon's own word.
+var protectedHeaders = []string{"Connection", "Content-Length", "Expect", "Forwarded", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
 
-func mayRewrite(name string) bool {
-	return isField(name) && !slices.ContainsFunc(reserved, func(r string) bool { return strings.EqualFold(r, name) })
+func isRewritableHeader(name string) bool {
+	return isHeaderName(name) && !slices.ContainsFunc(protectedHeaders, func(r string) bool { return strings.EqualFold(r, name) })
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -18,12 +18,12 @@
 		return fmt.Sprintf("method %s is none of %s", r.Method, strings.Join(c.Methods, ", "))
 	}
 	for i := range c.Headers {
-		if !c.Headers[i].inHeader(r.Header) {
+		if !c.Headers[i].matchesHeader(r.Header) {
 			return "header " + c.Headers[i].String()
 		}
 	}
 	for i := range c.Query {
-		if !c.Query[i].inQuery(r.RawQuery) {
+		if !c.Query[i].matchesQuery(r.RawQuery) {
 			return "query value " + c.Query[i].String()
 		}
 	}
@@ -32,7 +32,7 @@
 
 // String says what the condition wants, as what is missing.
 func (c *Condition) String() string {
-	switch c.Op {
+	switch c.Operator {
 	case Absent:
 		return fmt.Sprintf("%s is there, and must not be", c.Name)
 	case Equal:
@@ -50,7 +50,7 @@
 	return pattern == host
 }
 
-func (c *compiled) pathMatches(path string) bool {
+func (c *compiledRule) pathMatches(path string) bool {
 	switch c.Kind {
 	case Exact:
 		return path == c.Path
@@ -64,18 +64,18 @@
 	return true
 }
 
-func (c *compiled) segmentsMatch(path string) bool {
+func (c *compiledRule) segmentsMatch(path string) bool {
 	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
-	if c.rest {
-		if len(c.parts) == 0 {
+	if c.endsWithRest {
+		if len(c.segments) == 0 {
 			return true
 		}
-		if len(parts) < len(c.parts) {
+		if len(parts) < len(c.segments) {
 			return false
 		}
-		parts = parts[:len(c.parts)]
+		parts = parts[:len(c.segments)]
 	}
-	return slices.EqualFunc(c.parts, parts, func(want, got string) bool { return want == "*" && got != "" || want == got && want != "*" })
+	return slices.EqualFunc(c.segments, parts, func(want, got string) bool { return want == "*" && got != "" || want == got && want != "*" })
 }
 
 // Shadow is a rule that takes nothing: By, an earlier one, takes all that it would.
@@ -97,36 +97,36 @@
 }
 
 // covers tells whether a rule takes all that another would.
-func (c *compiled) covers(o *compiled) bool {
+func (c *compiledRule) covers(o *compiledRule) bool {
 	return c.coversPath(o) &&
-		(len(c.Hosts) == 0 || len(o.Hosts) > 0 && all(o.Hosts, func(h string) bool {
+		(len(c.Hosts) == 0 || len(o.Hosts) > 0 && allMatch(o.Hosts, func(h string) bool {
 			return slices.ContainsFunc(c.Hosts, func(p string) bool { return p == h || hostMatches(p, strings.TrimPrefix(h, "*")) })
 		})) &&
-		(len(c.Methods) == 0 || len(o.Methods) > 0 && all(o.Methods, func(m string) bool { return slices.Contains(c.Methods, m) })) &&
-		all(c.Headers, func(x Condition) bool { return slices.ContainsFunc(o.Headers, x.impliedBy) }) &&
-		all(c.Query, func(x Condition) bool { return slices.ContainsFunc(o.Query, x.impliedBy) })
+		(len(c.Methods) == 0 || len(o.Methods) > 0 && allMatch(o.Methods, func(m string) bool { return slices.Contains(c.Methods, m) })) &&
+		allMatch(c.Headers, func(x Condition) bool { return slices.ContainsFunc(o.Headers, x.isImpliedBy) }) &&
+		allMatch(c.Query, func(x Condition) bool { return slices.ContainsFunc(o.Query, x.isImpliedBy) })
 }
 
-func all[T any](list []T, ok func(T) bool) bool {
+func allMatch[T any](list []T, ok func(T) bool) bool {
 	return !slices.ContainsFunc(list, func(v T) bool { return !ok(v) })
 }
 
-// impliedBy tells whether a condition holds wherever another does.
-func (c Condition) impliedBy(o Condition) bool {
+// isImpliedBy tells whether a condition holds wherever another does.
+func (c Condition) isImpliedBy(o Condition) bool {
 	switch {
 	case c == o:
 		return true
-	case c.Name != o.Name || c.Op == Absent || o.Op == Absent:
+	case c.Name != o.Name || c.Operator == Absent || o.Operator == Absent:
 		return false
-	case c.Op == Present:
+	case c.Operator == Present:
 		return true
 	}
-	return c.Op == HasPrefix && o.Op != Present && strings.HasPrefix(o.Value, c.Value)
+	return c.Operator == HasPrefix && o.Operator != Present && strings.HasPrefix(o.Value, c.Value)
 }
 
-func (c *compiled) coversPath(o *compiled) bool {
+func (c *compiledRule) coversPath(o *compiledRule) bool {
 	switch {
-	case c.Kind == AnyPath, c.Kind == Prefix && c.Path == "/", c.Kind == Segments && c.rest && len(c.parts) == 0:
+	case c.Kind == AnyPath, c.Kind == Prefix && c.Path == "/", c.Kind == Segments && c.endsWithRest && len(c.segments) == 0:
 		return true
 	case o.Kind == Exact:
 		return c.pathMatches(o.Path)
@@ -134,8 +134,8 @@
 		return strings.HasPrefix(o.Path, c.Path)
 	case c.Kind == o.Kind && c.Path == o.Path:
 		return true
-	case c.Kind == Segments && o.Kind == Segments && c.rest:
-		return len(o.parts) >= len(c.parts) && slices.EqualFunc(c.parts, o.parts[:len(c.parts)], func(x, y string) bool { return x == y || x == "*" && y != "" })
+	case c.Kind == Segments && o.Kind == Segments && c.endsWithRest:
+		return len(o.segments) >= len(c.segments) && slices.EqualFunc(c.segments, o.segments[:len(c.segments)], func(x, y string) bool { return x == y || x == "*" && y != "" })
 	}
 	return false
 }
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -9,11 +9,11 @@
 // Errors of Normalize. Each is a reason to turn a request away with 400: what could be read in two ways must not be
 // routed in one and served in the other.
 var (
-	ErrNotPath   = errors.New("the target is no absolute path")
-	ErrCharacter = errors.New("the target has a character that must be encoded")
-	ErrEscape    = errors.New("the path has a malformed or ambiguous percent-encoding")
-	ErrSegment   = errors.New("the path has an empty segment, or a parameter")
-	ErrAbove     = errors.New("the path leads above its root")
+	ErrNotAbsolutePath = errors.New("the target is no absolute path")
+	ErrCharacter       = errors.New("the target has a character that must be encoded")
+	ErrEscape          = errors.New("the path has a malformed or ambiguous percent-encoding")
+	ErrSegment         = errors.New("the path has an empty segment, or a parameter")
+	ErrAboveRoot       = errors.New("the path leads above its root")
 )
 
 // Normalize brings a request's target into the one form that is matched and passed on: percent-encoded unreserved
@@ -25,21 +25,21 @@
 func Normalize(target string) (path, query string, err error) {
 	path, query, _ = strings.Cut(target, "?")
 	if path == "" || path[0] != '/' {
-		return "", "", ErrNotPath
+		return "", "", ErrNotAbsolutePath
 	}
 	for i := range len(query) {
 		if c := query[i]; c <= ' ' || c > '~' || c == '#' {
 			return "", "", ErrCharacter
 		}
 	}
-	plain, err := check(path)
+	plain, err := isNormal(path)
 	if err != nil || plain {
 		return path, query, err
 	}
-	if path, err = decode(path); err != nil {
+	if path, err = decodePath(path); err != nil {
 		return "", "", err
 	}
-	path, err = removeDots(path)
+	path, err = removeDotSegments(path)
 	return path, query, err
 }
 
@@ -51,8 +51,8 @@
 	return strings.ToLower(strings.TrimSuffix(strings.Trim(header, "[]"), "."))
 }
 
-// check tells whether a path is in normal form already.
-func check(path string) (plain bool, err error) {
+// isNormal tells whether a path is in normal form already.
+func isNormal(path string) (plain bool, err error) {
 	plain = true
 	for i := range len(path) {
 		switch c := path[i]; {
@@ -80,7 +80,7 @@
 
 const hexDigits = "0123456789ABCDEF"
 
-func decode(path string) (string, error) {
+func decodePath(path string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(path))
 	for i := 0; i < len(path); i++ {
@@ -91,7 +91,7 @@
 		if i+2 >= len(path) {
 			return "", ErrEscape
 		}
-		hi, lo := unhex(path[i+1]), unhex(path[i+2])
+		hi, lo := hexValue(path[i+1]), hexValue(path[i+2])
 		if hi < 0 || lo < 0 {
 			return "", ErrEscape
 		}
@@ -110,7 +110,7 @@
 	return b.String(), nil
 }
 
-func unhex(c byte) int {
+func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -122,8 +122,8 @@
 	return -1
 }
 
-// removeDots is RFC 3986, 5.2.4; a step above the root is an error, since servers differ in what they make of it.
-func removeDots(path string) (string, error) {
+// removeDotSegments is RFC 3986, 5.2.4; a step above the root is an error, since servers differ in what they make of it.
+func removeDotSegments(path string) (string, error) {
 	var kept []string
 	parts := strings.Split(path[1:], "/")
 	for i, part := range parts {
@@ -132,7 +132,7 @@
 		case ".":
 		case "..":
 			if len(kept) == 0 {
-				return "", ErrAbove
+				return "", ErrAboveRoot
 			}
 			kept = kept[:len(kept)-1]
 		default:
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -23,12 +23,12 @@
 	Pattern           // a regular expression (RE2) that must match the whole path
 )
 
-// Op says how a header's or a query's value is compared.
-type Op uint8
+// Operator says how a header's or a query's value is compared.
+type Operator uint8
 
 // The comparisons. A value that comes several times matches if any of them does.
 const (
-	Present Op = iota
+	Present Operator = iota
 	Absent
 	Equal
 	HasPrefix
@@ -36,9 +36,9 @@
 
 // Condition is on a header or a query value. Header names are compared without regard to case.
 type Condition struct {
-	Name  string
-	Op    Op
-	Value string
+	Name     string
+	Operator Operator
+	Value    string
 }
 
 // Rule is a route as it is written. The first rule of a table whose every part matches takes a request; a part that is
@@ -61,62 +61,62 @@
 
 // Bounds of what a table takes.
 const (
-	mostSegments = 64
-	mostPattern  = 1024
+	maxSegments     = 64
+	maxPatternBytes = 1024
 )
 
 // Table is a list of rules, compiled. Lookups on it allocate nothing unless a rule asks for a query value that is
 // percent-encoded, or for a pattern.
 type Table struct {
-	rules    []compiled
-	exact    map[string]*paths // by host
-	below    map[string]*paths // by the host that a wildcard's "*." stands before
-	anywhere *paths
+	rules         []compiledRule
+	exactHosts    map[string]*pathIndex // by host
+	wildcardHosts map[string]*pathIndex // by the host that a wildcard's "*." stands before
+	anyHost       *pathIndex
 }
 
-type compiled struct {
+type compiledRule struct {
 	Rule
-	pattern *regexp.Regexp
-	literal string   // that any match of the pattern begins with
-	parts   []string // of Segments
-	rest    bool     // it ends with "**"
+	pattern       *regexp.Regexp
+	literalPrefix string   // that any match of the pattern begins with
+	segments      []string // of Segments
+	endsWithRest  bool     // it ends with "**"
 }
 
-// paths is an index of the rules of one host, by path. All lists are in the rules' order.
-type paths struct {
+// pathIndex is an index of the rules of one host, by path. All lists are in the rules' order.
+type pathIndex struct {
 	any      []int
 	exact    map[string][]int
-	prefix   byPrefix
-	segments *node
-	patterns byPrefix // by what is literal at their beginning
+	prefix   prefixIndex
+	segments *segmentNode
+	patterns prefixIndex // by what is literal at their beginning
 }
 
-// byPrefix has lists by what a path must begin with.
-type byPrefix struct {
-	lists   map[string][]int
-	lengths []int // of the prefixes, rising
+// prefixIndex has lists by what a path must begin with.
+type prefixIndex struct {
+	rulesByPrefix map[string][]int
+	lengths       []int // of the prefixes, rising
 }
 
-func (b *byPrefix) add(prefix string, i int) {
-	if b.lists[prefix] == nil {
+func (b *prefixIndex) add(prefix string, i int) {
+	if b.rulesByPrefix[prefix] == nil {
 		if at, found := slices.BinarySearch(b.lengths, len(prefix)); !found {
 			b.lengths = slices.Insert(b.lengths, at, len(prefix))
 		}
 	}
-	b.lists[prefix] = append(b.lists[prefix], i)
+	b.rulesByPrefix[prefix] = append(b.rulesByPrefix[prefix], i)
 }
 
-// node is a place in the tree of segments.
-type node struct {
-	next map[string]*node
-	star *node
-	ends []int // rules that end here
-	rest []int // rules that end here with "**"
+// segmentNode is a place in the tree of segments.
+type segmentNode struct {
+	children  map[string]*segmentNode
+	wildcard  *segmentNode
+	rules     []int // rules that end here
+	restRules []int // rules that end here with "**"
 }
 
 // New compiles rules. An error names the rule and what is wrong with it.
 func New(rules []Rule) (*Table, error) {
-	t := &Table{exact: map[string]*paths{}, below: map[string]*paths{}, anywhere: newPaths()}
+	t := &Table{exactHosts: map[string]*pathIndex{}, wildcardHosts: map[string]*pathIndex{}, anyHost: newPathIndex()}
 	for i, r := range rules {
 		c, err := compile(r)
 		if err != nil {
@@ -124,15 +124,15 @@
 		}
 		t.rules = append(t.rules, c)
 		if len(r.Hosts) == 0 {
-			t.anywhere.add(i, &c)
+			t.anyHost.add(i, &c)
 		}
 		for _, h := range r.Hosts {
-			into, name := t.exact, h
+			into, name := t.exactHosts, h
 			if rest, ok := strings.CutPrefix(h, "*."); ok {
-				into, name = t.below, rest
+				into, name = t.wildcardHosts, rest
 			}
 			if into[name] == nil {
-				into[name] = newPaths()
+				into[name] = newPathIndex()
 			}
 			into[name].add(i, &c)
 		}
@@ -146,7 +146,7 @@
 // Rule is the i-th rule.
 func (t *Table) Rule(i int) Rule { return t.rules[i].Rule }
 
-func compile(r Rule) (c compiled, err error) {
+func compile(r Rule) (c compiledRule, err error) {
 	c.Rule = r
 	for _, h := range r.Hosts {
 		if name := strings.TrimPrefix(h, "*."); name == "" || strings.ContainsAny(name, "*/: ") || name != strings.ToLower(name) {
@@ -162,25 +162,25 @@
 		if !strings.HasPrefix(r.Path, "/") {
 			return c, fmt.Errorf("path %q does not begin with a slash", r.Path)
 		}
-		c.parts = strings.Split(r.Path[1:], "/")
-		if c.rest = c.parts[len(c.parts)-1] == "**"; c.rest {
-			c.parts = c.parts[:len(c.parts)-1]
+		c.segments = strings.Split(r.Path[1:], "/")
+		if c.endsWithRest = c.segments[len(c.segments)-1] == "**"; c.endsWithRest {
+			c.segments = c.segments[:len(c.segments)-1]
 		}
-		if len(c.parts) > mostSegments {
-			return c, fmt.Errorf("path has over %d segments", mostSegments)
+		if len(c.segments) > maxSegments {
+			return c, fmt.Errorf("path has over %d segments", maxSegments)
 		}
-		if slices.Contains(c.parts, "**") {
+		if slices.Contains(c.segments, "**") {
 			return c, errors.New(`"**" may stand at the end of a path only`)
 		}
 	case Pattern:
-		if len(r.Path) > mostPattern {
-			return c, fmt.Errorf("pattern is longer than %d bytes", mostPattern)
+		if len(r.Path) > maxPatternBytes {
+			return c, fmt.Errorf("pattern is longer than %d bytes", maxPatternBytes)
 		}
 		if c.pattern, err = regexp.Compile(`\A(?:` + r.Path + `)\z`); err != nil {
 			return c, fmt.Errorf("pattern: %w", err)
 		}
 		if free, err := regexp.Compile(r.Path); err == nil { // without the anchors, which hide it
-			c.literal, _ = free.LiteralPrefix()
+			c.literalPrefix, _ = free.LiteralPrefix()
 		}
 	}
 	c.Headers = slices.Clone(r.Headers)
@@ -190,11 +190,11 @@
 	return c, nil
 }
 
-func newPaths() *paths {
-	return &paths{exact: map[string][]int{}, prefix: byPrefix{lists: map[string][]int{}}, patterns: byPrefix{lists: map[string][]int{}}, segments: &node{}}
+func newPathIndex() *pathIndex {
+	return &pathIndex{exact: map[string][]int{}, prefix: prefixIndex{rulesByPrefix: map[string][]int{}}, patterns: prefixIndex{rulesByPrefix: map[string][]int{}}, segments: &segmentNode{}}
 }
 
-func (p *paths) add(i int, c *compiled) {
+func (p *pathIndex) add(i int, c *compiledRule) {
 	switch c.Kind {
 	case AnyPath:
 		p.any = append(p.any, i)
@@ -204,33 +204,33 @@
 		p.prefix.add(c.Path, i)
 	case Segments:
 		n := p.segments
-		for _, part := range c.parts {
+		for _, part := range c.segments {
 			n = n.child(part)
 		}
-		if c.rest {
-			n.rest = append(n.rest, i)
+		if c.endsWithRest {
+			n.restRules = append(n.restRules, i)
 		} else {
-			n.ends = append(n.ends, i)
+			n.rules = append(n.rules, i)
 		}
 	case Pattern:
-		p.patterns.add(c.literal, i)
+		p.patterns.add(c.literalPrefix, i)
 	}
 }
 
-func (n *node) child(part string) *node {
+func (n *segmentNode) child(part string) *segmentNode {
 	if part == "*" {
-		if n.star == nil {
-			n.star = &node{}
+		if n.wildcard == nil {
+			n.wildcard = &segmentNode{}
 		}
-		return n.star
+		return n.wildcard
 	}
-	if n.next == nil {
-		n.next = map[string]*node{}
+	if n.children == nil {
+		n.children = map[string]*segmentNode{}
 	}
-	if n.next[part] == nil {
-		n.next[part] = &node{}
+	if n.children[part] == nil {
+		n.children[part] = &segmentNode{}
 	}
-	return n.next[part]
+	return n.children[part]
 }
 
 // none is a place behind all rules.
@@ -239,41 +239,41 @@
 // Match gives the index of the first rule that takes a request; ok is false where none does.
 func (t *Table) Match(r *Request) (i int, ok bool) {
 	best := none
-	if p := t.exact[r.Host]; p != nil {
+	if p := t.exactHosts[r.Host]; p != nil {
 		best = t.among(p, r, best)
 	}
-	for rest := r.Host; len(t.below) > 0; {
+	for rest := r.Host; len(t.wildcardHosts) > 0; {
 		dot := strings.IndexByte(rest, '.')
 		if dot < 0 {
 			break
 		}
 		rest = rest[dot+1:]
-		if p := t.below[rest]; p != nil && dot > 0 {
+		if p := t.wildcardHosts[rest]; p != nil && dot > 0 {
 			best = t.among(p, r, best)
 		}
 	}
-	best = t.among(t.anywhere, r, best)
+	best = t.among(t.anyHost, r, best)
 	return best, best != none
 }
 
 // among finds the first rule of one host's that takes the request, if it stands before best.
-func (t *Table) among(p *paths, r *Request, best int) int {
+func (t *Table) among(p *pathIndex, r *Request, best int) int {
 	best = t.first(p.any, r, best)
 	best = t.first(p.exact[r.Path], r, best)
 	for _, n := range p.prefix.lengths {
 		if n > len(r.Path) {
 			break
 		}
-		best = t.first(p.prefix.lists[r.Path[:n]], r, best)
+		best = t.first(p.prefix.rulesByPrefix[r.Path[:n]], r, best)
 	}
-	if p.segments.next != nil || p.segments.star != nil || p.segments.rest != nil {
+	if p.segments.children != nil || p.segments.wildcard != nil || p.segments.restRules != nil {
 		best = t.walk(p.segments, r.Path, r, best)
 	}
 	for _, n := range p.patterns.lengths {
 		if n > len(r.Path) {
 			break
 		}
-		best = t.firstPattern(p.patterns.lists[r.Path[:n]], r, best)
+		best = t.firstPattern(p.patterns.rulesByPrefix[r.Path[:n]], r, best)
 	}
 	return best
 }
@@ -284,7 +284,7 @@
 		if i >= best {
 			return best
 		}
-		if t.rules[i].holds(r) && t.rules[i].pattern.MatchString(r.Path) {
+		if t.rules[i].matchesRest(r) && t.rules[i].pattern.MatchString(r.Path) {
 			return i
 		}
 	}
@@ -294,20 +294,20 @@
 // walk goes down the tree of segments. left begins with the slash before the next segment, or is empty at the end. Each
 // node is visited once at most for each of its ancestors' ways, and there is one way to a node: the work is bounded by the
 // tree, whatever the path.
-func (t *Table) walk(n *node, left string, r *Request, best int) int {
-	best = t.first(n.rest, r, best)
+func (t *Table) walk(n *segmentNode, left string, r *Request, best int) int {
+	best = t.first(n.restRules, r, best)
 	if left == "" {
-		return t.first(n.ends, r, best)
+		return t.first(n.rules, r, best)
 	}
 	part, after := left[1:], ""
 	if i := strings.IndexByte(part, '/'); i >= 0 {
 		part, after = part[:i], part[i:]
 	}
-	if next := n.next[part]; next != nil {
+	if next := n.children[part]; next != nil {
 		best = t.walk(next, after, r, best)
 	}
-	if n.star != nil && part != "" {
-		best = t.walk(n.star, after, r, best)
+	if n.wildcard != nil && part != "" {
+		best = t.walk(n.wildcard, after, r, best)
 	}
 	return best
 }
@@ -318,41 +318,41 @@
 		if i >= best {
 			return best
 		}
-		if t.rules[i].holds(r) {
+		if t.rules[i].matchesRest(r) {
 			return i
 		}
 	}
 	return best
 }
 
-// holds tells whether what is not host and path matches.
-func (c *compiled) holds(r *Request) bool {
+// matchesRest tells whether what is not host and path matches.
+func (c *compiledRule) matchesRest(r *Request) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) {
 		return false
 	}
 	for i := range c.Headers {
-		if !c.Headers[i].inHeader(r.Header) {
+		if !c.Headers[i].matchesHeader(r.Header) {
 			return false
 		}
 	}
 	for i := range c.Query {
-		if !c.Query[i].inQuery(r.RawQuery) {
+		if !c.Query[i].matchesQuery(r.RawQuery) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Condition) inHeader(h http.Header) bool {
+func (c *Condition) matchesHeader(h http.Header) bool {
 	values := h[c.Name]
-	if c.Op == Absent {
+	if c.Operator == Absent {
 		return len(values) == 0
 	}
-	return slices.ContainsFunc(values, c.value)
+	return slices.ContainsFunc(values, c.matchesValue)
 }
 
-func (c *Condition) value(v string) bool {
-	switch c.Op {
+func (c *Condition) matchesValue(v string) bool {
+	switch c.Operator {
 	case Equal:
 		return v == c.Value
 	case HasPrefix:
@@ -361,21 +361,21 @@
 	return true
 }
 
-// inQuery looks through a raw query without making a map of it.
-func (c *Condition) inQuery(raw string) bool {
+// matchesQuery looks through a raw query without making a map of it.
+func (c *Condition) matchesQuery(raw string) bool {
 	for raw != "" {
 		var pair string
 		pair, raw, _ = strings.Cut(raw, "&")
 		name, value, _ := strings.Cut(pair, "=")
-		if unescape(name) == c.Name && (c.Op == Absent || c.value(unescape(value))) {
-			return c.Op != Absent
+		if unescapeQuery(name) == c.Name && (c.Operator == Absent || c.matchesValue(unescapeQuery(value))) {
+			return c.Operator != Absent
 		}
 	}
-	return c.Op == Absent
+	return c.Operator == Absent
 }
 
-// unescape decodes a part of a query as forms do; what is malformed stays as it is, and so matches no decent name.
-func unescape(s string) string {
+// unescapeQuery decodes a part of a query as forms do; what is malformed stays as it is, and so matches no decent name.
+func unescapeQuery(s string) string {
 	if !strings.ContainsAny(s, "%+") {
 		return s
 	}
@@ -384,8 +384,8 @@
 		switch {
 		case s[i] == '+':
 			b.WriteByte(' ')
-		case s[i] == '%' && i+2 < len(s) && unhex(s[i+1]) >= 0 && unhex(s[i+2]) >= 0:
-			b.WriteByte(byte(unhex(s[i+1])<<4 | unhex(s[i+2])))
+		case s[i] == '%' && i+2 < len(s) && hexValue(s[i+1]) >= 0 && hexValue(s[i+2]) >= 0:
+			b.WriteByte(byte(hexValue(s[i+1])<<4 | hexValue(s[i+2])))
 			i += 2
 		case s[i] == '%':
 			return s
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -33,7 +33,7 @@
 }
 
 func condition(t *rapid.T) Condition {
-	return Condition{Name: part("X-A", "x-b").Draw(t, "name"), Op: Op(rapid.IntRange(0, 3).Draw(t, "op")), Value: part("1", "12", "").Draw(t, "value")}
+	return Condition{Name: part("X-A", "x-b").Draw(t, "name"), Operator: Operator(rapid.IntRange(0, 3).Draw(t, "op")), Value: part("1", "12", "").Draw(t, "value")}
 }
 
 func rule(t *rapid.T) Rule {
@@ -126,9 +126,9 @@
 		}
 	}
 	for target, want := range map[string]error{
-		"": ErrNotPath, "a": ErrNotPath, "*": ErrNotPath, "http://a.example/x": ErrNotPath, "?x": ErrNotPath, "//a": ErrSegment, "/a//b": ErrSegment,
+		"": ErrNotAbsolutePath, "a": ErrNotAbsolutePath, "*": ErrNotAbsolutePath, "http://a.example/x": ErrNotAbsolutePath, "?x": ErrNotAbsolutePath, "//a": ErrSegment, "/a//b": ErrSegment,
 		"/a;x=1": ErrSegment, "/a%2fb": ErrEscape, "/a%5Cb": ErrEscape, "/%00": ErrEscape, "/a%3bx": ErrEscape, "/a%252e": ErrEscape, "/a%zz": ErrEscape,
-		"/a%2": ErrEscape, "/..": ErrAbove, "/a/../../b": ErrAbove, "/%2e%2e/": ErrAbove, `/a\b`: ErrCharacter, "/a b": ErrCharacter, "/a\x7f": ErrCharacter,
+		"/a%2": ErrEscape, "/..": ErrAboveRoot, "/a/../../b": ErrAboveRoot, "/%2e%2e/": ErrAboveRoot, `/a\b`: ErrCharacter, "/a b": ErrCharacter, "/a\x7f": ErrCharacter,
 		"/é": ErrCharacter, "/a#b": ErrCharacter,
 	} {
 		if got, _, err := Normalize(target); err != want {
@@ -163,7 +163,7 @@
 	f.Add("/a/*/c/**", "/a/b/c", "x=1", `/a.*`)
 	f.Fuzz(func(t *testing.T, segments, target, query, pattern string) {
 		table, err := New([]Rule{{Kind: Segments, Path: segments}, {Kind: Prefix, Path: segments}, {Kind: Pattern, Path: pattern}, {Kind: Exact, Path: target},
-			{Query: []Condition{{Name: "x", Op: Equal, Value: "1"}}}})
+			{Query: []Condition{{Name: "x", Operator: Equal, Value: "1"}}}})
 		if err != nil {
 			return
 		}
@@ -198,7 +198,7 @@
 
 func TestARefusalSaysWhy(t *testing.T) {
 	table, err := New([]Rule{{Hosts: []string{"a.example"}}, {Kind: Exact, Path: "/x"}, {Methods: []string{"PUT"}},
-		{Headers: []Condition{{Name: "x-a", Op: Equal, Value: "1"}}}, {Query: []Condition{{Name: "q"}}}, {}})
+		{Headers: []Condition{{Name: "x-a", Operator: Equal, Value: "1"}}}, {Query: []Condition{{Name: "q"}}}, {}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -339,14 +339,14 @@
 		{"%61=%31", Condition{"a", Equal, "1"}, true}, {"a=x+y", Condition{"a", Equal, "x y"}, true}, {"a=%zz", Condition{"a", Equal, "%zz"}, true},
 		{"&&a=1&", Condition{"a", Equal, "1"}, true},
 	} {
-		if got := c.want.inQuery(c.query); got != c.holds {
+		if got := c.want.matchesQuery(c.query); got != c.holds {
 			t.Errorf("%q, %+v: %v", c.query, c.want, got)
 		}
 	}
 	h := http.Header{"A": {"1", "23"}}
 	for want, holds := range map[Condition]bool{{"A", Present, ""}: true, {"B", Present, ""}: false, {"A", Absent, ""}: false, {"B", Absent, ""}: true,
 		{"A", Equal, "23"}: true, {"A", Equal, "2"}: false, {"A", HasPrefix, "2"}: true} {
-		if got := want.inHeader(h); got != holds {
+		if got := want.matchesHeader(h); got != holds {
 			t.Errorf("%+v: %v", want, got)
 		}
 	}
--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -7,9 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Without gives a text without what stands below some of its top-level names, and which of them it had. The rest stays as it
+// RemoveTopLevel gives a text without what stands below some of its top-level names, and which of them it had. The rest stays as it
 // was written; comment lines go with what follows them. The text must be sound.
-func Without(text []byte, names ...string) (rest []byte, had []string) {
+func RemoveTopLevel(text []byte, names ...string) (rest []byte, had []string) {
 	var p unstable.Parser
 	p.Reset(text)
 	var drop, inTable bool
@@ -29,7 +29,7 @@
 		key := e.Key()
 		key.Next()
 		top := string(key.Node().Data)
-		keep(begins(text, int(key.Node().Raw.Offset)))
+		keep(blockStart(text, int(key.Node().Raw.Offset)))
 		if drop = slices.Contains(names, top); drop && !slices.Contains(had, top) {
 			had = append(had, top)
 		}
@@ -38,8 +38,8 @@
 	return rest, had
 }
 
-// begins is where the line round an offset begins, and the comment lines before it.
-func begins(text []byte, offset int) int {
+// blockStart is where the line round an offset begins, and the comment lines before it.
+func blockStart(text []byte, offset int) int {
 	at := bytes.LastIndexByte(text[:offset], '\n') + 1
 	for at > 0 {
 		before := bytes.LastIndexByte(text[:at-1], '\n') + 1
--- a/internal/tomlfile/remove_test.go
+++ b/internal/tomlfile/remove_test.go
@@ -48,11 +48,11 @@
 address = "a:1"
 [[route]]
 pool = "p"`
-	rest, had := Without([]byte(text), "daemon", "listener", "fleet", "nothing")
+	rest, had := RemoveTopLevel([]byte(text), "daemon", "listener", "fleet", "nothing")
 	if string(rest) != want || !slices.Equal(had, []string{"daemon", "listener", "fleet"}) {
 		t.Errorf("%v:\n%s", had, rest)
 	}
-	if again, had := Without(rest, "daemon", "listener", "fleet"); string(again) != want || had != nil {
+	if again, had := RemoveTopLevel(rest, "daemon", "listener", "fleet"); string(again) != want || had != nil {
 		t.Errorf("again %v:\n%s", had, again)
 	}
 }
@@ -66,7 +66,7 @@
 		if toml.Unmarshal(text, &tree) != nil {
 			return
 		}
-		rest, _ := Without(text, "a")
+		rest, _ := RemoveTopLevel(text, "a")
 		if err := toml.Unmarshal(rest, &left); err != nil {
 			t.Fatalf("%q of %q: %v", rest, text, err)
 		}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -71,9 +71,9 @@
 
 // Must is one thing that has to hold of a field. Need makes one.
 type Must struct {
-	field string
-	ok    bool
-	be    string
+	field    string
+	isMet    bool
+	expected string
 }
 
 // Need wants a field to be as described, and is told whether it is.
@@ -82,8 +82,8 @@
 // Check gives an Error for the first that does not hold. Fields are below under, which may be empty.
 func (f *File) Check(under string, list []Must) error {
 	for _, m := range list {
-		if !m.ok {
-			return f.Errorf(join(under, m.field), "must be %s", m.be)
+		if !m.isMet {
+			return f.Errorf(join(under, m.field), "must be %s", m.expected)
 		}
 	}
 	return nil
@@ -105,7 +105,7 @@
 		}
 		return f, &Error{File: name, Problem: err.Error()}
 	}
-	f.index(text)
+	f.indexLines(text)
 	d := decoder{file: f}
 	d.table("", tree, reflect.ValueOf(into).Elem())
 	if len(d.errs) == 0 {
@@ -115,8 +115,8 @@
 	return f, d.errs[0]
 }
 
-// index notes the line of each key and table. The text has been parsed before.
-func (f *File) index(text []byte) {
+// indexLines notes the line of each key and table. The text has been parsed before.
+func (f *File) indexLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
 	prefix, count := "", map[string]int{}
@@ -124,12 +124,12 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table:
-			prefix = f.note(&p, "", e.Key(), count)
+			prefix = f.recordLine(&p, "", e.Key(), count)
 		case unstable.ArrayTable:
 			count[f.path("", e.Key(), count, true)]++
-			prefix = f.note(&p, "", e.Key(), count)
+			prefix = f.recordLine(&p, "", e.Key(), count)
 		case unstable.KeyValue:
-			f.noteValue(&p, prefix, e)
+			f.recordValueLines(&p, prefix, e)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	return prefix
 }
 
-func (f *File) note(p *unstable.Parser, prefix string, key unstable.Iterator, count map[string]int) string {
+func (f *File) recordLine(p *unstable.Parser, prefix string, key unstable.Iterator, count map[string]int) string {
 	line := 0
 	for key := key; key.Next(); {
 		line = p.Shape(key.Node().Raw).Start.Line
@@ -162,11 +162,11 @@
 	return path
 }
 
-func (f *File) noteValue(p *unstable.Parser, prefix string, e *unstable.Node) {
-	path := f.note(p, prefix, e.Key(), nil)
+func (f *File) recordValueLines(p *unstable.Parser, prefix string, e *unstable.Node) {
+	path := f.recordLine(p, prefix, e.Key(), nil)
 	if e.Value().Kind == unstable.InlineTable {
 		for it := e.Value().Children(); it.Next(); {
-			f.noteValue(p, path, it.Node())
+			f.recordValueLines(p, path, it.Node())
 		}
 	}
 }
@@ -206,7 +206,7 @@
 func (d *decoder) value(path string, value any, into reflect.Value) {
 	switch into.Type() {
 	case rangeType:
-		lo, hi, ok := pair(value, number)
+		lo, hi, ok := lowAndHigh(value, number)
 		if !ok || lo > hi {
 			d.fail(path, "%v is neither a number nor two in order", value)
 			return
@@ -214,7 +214,7 @@
 		into.Set(reflect.ValueOf(Range{lo, hi}))
 		return
 	case spanType:
-		lo, hi, ok := pair(value, duration)
+		lo, hi, ok := lowAndHigh(value, duration)
 		if !ok || lo > hi {
 			d.fail(path, `%v is neither a duration ("1.5s") nor two in order`, value)
 			return
@@ -252,11 +252,11 @@
 			d.value(fmt.Sprintf("%s[%d]", path, i), v, into.Index(i))
 		}
 	default:
-		d.plain(path, value, into)
+		d.scalar(path, value, into)
 	}
 }
 
-func (d *decoder) plain(path string, value any, into reflect.Value) {
+func (d *decoder) scalar(path string, value any, into reflect.Value) {
 	switch into.Kind() {
 	case reflect.String:
 		if v, ok := value.(string); ok {
@@ -293,8 +293,8 @@
 	}
 }
 
-// pair reads one value or a list of two.
-func pair[T any](value any, read func(any) (T, bool)) (lo, hi T, ok bool) {
+// lowAndHigh reads one value or a list of two.
+func lowAndHigh[T any](value any, read func(any) (T, bool)) (lo, hi T, ok bool) {
 	if list, isList := value.([]any); isList {
 		if len(list) != 2 {
 			return lo, hi, false
