--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -4,168 +4,137 @@
 	"fmt"
 	"net/netip"
 	"slices"
-	"strings"
 	"time"
 
-	"tuliprock/internal/cluster/consensus"
 	"tuliprock/internal/cluster/swim"
 	"tuliprock/internal/tomlfile"
 )
 
-// Cluster says how this daemon and others know one another.
+// Cluster is the section [fleet]: how this daemon and others find each other and, with consensus, agree on settings.
 type Cluster struct {
-	Name        string   `toml:"name"`      // of this daemon among the others; left out: daemon.name
-	ClusterName string   `toml:"cluster"`   // of all of them
-	Listen      string   `toml:"listen"`    // UDP and TCP
-	Advertise   string   `toml:"advertise"` // what others send to; left out: listen
-	Join        []string `toml:"join"`      // addresses at which others may be
-	KeyFile     string   `toml:"key_file"`  // left out: loopback only
-	Voters      []string `toml:"voters"`    // names whose answers tell how this daemon stands; an odd number, or none
+	Name        string   `toml:"name"`      // of this daemon in the cluster; left out: daemon.name
+	ClusterName string   `toml:"cluster"`   // the same on all of its daemons
+	Listen      string   `toml:"listen"`    // an IP address and a port, for UDP and TCP
+	Advertise   string   `toml:"advertise"` // the address that other daemons send to; left out: Listen
+	Join        []string `toml:"join"`      // addresses at which other daemons may be found
+	KeyFile     string   `toml:"key_file"`  // of the shared key that messages are authenticated with; left out: loopback only
+	Voters      []string `toml:"voters"`    // names of the daemons that vote; an odd number, or none
 
 	ProbeInterval    time.Duration `toml:"probe_every"`
 	ProbeTimeout     time.Duration `toml:"probe_timeout"`
 	SuspicionTimeout time.Duration `toml:"suspicion"`
 
-	ConsensusEnabled bool          `toml:"agreed"`          // settings, lists and what operators take out by hand hold on all daemons
-	DataDir          string        `toml:"data_dir"`        // of a voter's log, and of what any daemon acted on last
-	MaxConflict      time.Duration `toml:"conflict_within"` // no two daemons contradict one another for longer
-	LeaseDuration    time.Duration `toml:"lease"`           // for which a daemon goes on that reaches no voter, while nothing changes
-	MaxClockDrift    float64       `toml:"clock_drift"`     // by which clocks may run fast or slow, as a share
+	// agreed in the file: settings, lists of members and manual ejections apply on all daemons, by consensus.
+	ConsensusEnabled bool          `toml:"agreed"`
+	DataDir          string        `toml:"data_dir"`        // of a voter's log, and of the last version that a daemon acted on
+	MaxConflict      time.Duration `toml:"conflict_within"` // how long two daemons may act on contradicting versions
+	LeaseDuration    time.Duration `toml:"lease"`           // how long a daemon acts on its version without reaching a voter
+	MaxClockDrift    float64       `toml:"clock_drift"`     // relative error of a clock's rate, either way
 }
 
-// ConsensusSpec says how a daemon takes part in what is agreed.
-type ConsensusSpec struct {
-	DataDir string // empty: it does not vote, and remembers nothing over a restart
-	Terms   consensus.LeaseConfig
-}
-
-// FleetSpec is a Fleet as it is built.
-type FleetSpec struct {
-	Name, Cluster     string
-	Listen, Advertise netip.AddrPort // a zero Advertise: where it listens
-	Join              []netip.AddrPort
-	KeyFile           string
-	Voters            []string
-	Times             swim.Options   // ProbeEvery, ProbeTimeout and Suspicion are set
-	Agreed            *ConsensusSpec // nil: nothing is agreed on
-	Divide            bool           // how many daemons share the pools, and this one's place, follow from who is there
-}
-
-// Bounds of the fleet's settings. Two streams of probes a millisecond apart would be a load test.
+// Bounds and defaults of the cluster's section.
 const (
+	defaultClusterName   = "tuliprock"
+	defaultMaxConflict   = 5 * time.Second
+	defaultLeaseDuration = 15 * time.Second
+	defaultMaxClockDrift = 0.01
+
 	maxJoinAddresses    = 64
 	maxVoters           = 7
-	minProbeInterval    = 50 * time.Millisecond
-	minProbeTimeout     = 10 * time.Millisecond
+	minProbeInterval    = 50 * time.Millisecond // two daemons that probe every millisecond would be a load test
 	maxProbeInterval    = time.Minute
+	minProbeTimeout     = 10 * time.Millisecond
 	maxSuspicionTimeout = 10 * time.Minute
+	minMaxConflict      = 500 * time.Millisecond // a lease is renewed four times in its duration
+	maxLeaseDuration    = 10 * time.Minute
+	maxClockDriftLimit  = 0.2
 
-	clusterDescriptors = 2 + 2*8 + 4 // two sockets, streams each way, and a log's files
-
-	defaultMaxConflict   = 5 * time.Second
-	defaultLeaseDuration = 15 * time.Second
-	defaultMaxClockDrift = 0.01
-	minMaxConflict       = 500 * time.Millisecond // a lease is asked for four times in its length
-	maxLeaseDuration     = 10 * time.Minute
-	maxClockDriftLimit   = 0.2
+	clusterNameForm = "letters, digits, dots, dashes and underscores, 63 at most"
 )
 
 func (f *File) applyClusterDefaults(at *tomlfile.File) {
-	t := f.Fleet
-	if t == nil {
+	c := f.Fleet
+	if c == nil {
 		return
 	}
 	f.dividesByMembership = !at.Has("daemon.daemons") && !at.Has("daemon.index")
-	setDefault(&t.Name, f.Daemon.Name)
-	setDefault(&t.ClusterName, "tuliprock")
-	for _, d := range []struct {
-		field     string
-		is        *time.Duration
-		otherwise time.Duration
-	}{{"probe_every", &t.ProbeInterval, swim.DefaultProbeEvery}, {"probe_timeout", &t.ProbeTimeout, swim.DefaultProbeTimeout},
-		{"suspicion", &t.SuspicionTimeout, swim.DefaultSuspicion},
-		{"conflict_within", &t.MaxConflict, defaultMaxConflict}, {"lease", &t.LeaseDuration, max(defaultLeaseDuration, t.MaxConflict)}} {
-		if !at.Has("fleet." + d.field) {
-			*d.is = d.otherwise
-		}
-	}
-	if !at.Has("fleet.clock_drift") {
-		t.MaxClockDrift = defaultMaxClockDrift
-	}
+	setIfEmpty(&c.Name, f.Daemon.Name)
+	setIfEmpty(&c.ClusterName, defaultClusterName)
+	setDefault(at, "fleet.probe_every", &c.ProbeInterval, swim.DefaultProbeEvery)
+	setDefault(at, "fleet.probe_timeout", &c.ProbeTimeout, swim.DefaultProbeTimeout)
+	setDefault(at, "fleet.suspicion", &c.SuspicionTimeout, swim.DefaultSuspicion)
+	setDefault(at, "fleet.conflict_within", &c.MaxConflict, defaultMaxConflict)
+	setDefault(at, "fleet.lease", &c.LeaseDuration, max(defaultLeaseDuration, c.MaxConflict))
+	setDefault(at, "fleet.clock_drift", &c.MaxClockDrift, defaultMaxClockDrift)
 }
 
 func (f *File) checkCluster(at *tomlfile.File) error {
-	t := f.Fleet
-	if t == nil {
+	c := f.Fleet
+	if c == nil {
 		return nil
 	}
-	listen, err := netip.ParseAddrPort(t.Listen)
-	advertise, adErr := netip.ParseAddrPort(t.Advertise)
-	voters := uniqueNames{}
+	return runChecks(at, c.checkAddresses, c.checkVoters, c.checkProbes, c.checkConsensus, c.checkSuspicion)
+}
+
+func (c *Cluster) checkAddresses(at *tomlfile.File) error {
+	listen, listenErr := netip.ParseAddrPort(c.Listen)
+	advertise, advertiseErr := netip.ParseAddrPort(c.Advertise)
+	isReachable := advertiseErr == nil && advertise.Port() > 0 && !advertise.Addr().IsUnspecified()
 	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("name", swim.IsValidName(t.Name), clusterNameForm),
-		tomlfile.Need("cluster", swim.IsValidName(t.ClusterName), clusterNameForm),
-		tomlfile.Need("listen", err == nil, "an IP address and a port"),
-		tomlfile.Need("listen", listen.Addr().IsLoopback() || t.KeyFile != "", "a loopback address where key_file is not given"),
-		tomlfile.Need("advertise", t.Advertise == "" || adErr == nil && advertise.Port() > 0 && !advertise.Addr().IsUnspecified(), "an IP address and a port that others can send to"),
-		tomlfile.Need("advertise", t.Advertise != "" || !listen.Addr().IsUnspecified(), "given where listen is for all addresses"),
-		tomlfile.Need("join", len(t.Join) <= maxJoinAddresses && allMatch(t.Join, isAddrPort), fmt.Sprintf("%d IP addresses with ports at most", maxJoinAddresses)),
-		tomlfile.Need("voters", len(t.Voters) <= maxVoters && (len(t.Voters) == 0 || len(t.Voters)%2 == 1), fmt.Sprintf("an odd number of names, %d at most, or none", maxVoters)),
-		tomlfile.Need("voters", allMatch(t.Voters, func(s string) bool { return swim.IsValidName(s) && voters.add(s) }), "names, each once"),
-		tomlfile.Need("probe_every", t.ProbeInterval >= minProbeInterval && t.ProbeInterval <= maxProbeInterval, fmt.Sprintf("from %v to %v", minProbeInterval, maxProbeInterval)),
-		tomlfile.Need("probe_timeout", t.ProbeTimeout >= minProbeTimeout && t.ProbeTimeout <= t.ProbeInterval/2, fmt.Sprintf("from %v to half of probe_every", minProbeTimeout)),
-		tomlfile.Need("agreed", !t.ConsensusEnabled || len(t.Voters) > 0, "false where no voters are named"),
-		tomlfile.Need("data_dir", t.DataDir == "" || t.ConsensusEnabled, "left out where nothing is agreed on"),
-		tomlfile.Need("data_dir", t.DataDir != "" || !t.ConsensusEnabled || !slices.Contains(t.Voters, t.Name), "given for a voter where settings are agreed on"),
-		tomlfile.Need("conflict_within", t.MaxConflict >= minMaxConflict && t.MaxConflict <= maxLeaseDuration, fmt.Sprintf("from %v to %v", minMaxConflict, maxLeaseDuration)),
-		tomlfile.Need("lease", t.LeaseDuration >= t.MaxConflict && t.LeaseDuration <= maxLeaseDuration, fmt.Sprintf("from conflict_within to %v", maxLeaseDuration)),
-		tomlfile.Need("clock_drift", t.MaxClockDrift >= 0 && t.MaxClockDrift <= maxClockDriftLimit, fmt.Sprintf("from 0 to %v", maxClockDriftLimit)),
-		tomlfile.Need("suspicion", t.SuspicionTimeout >= t.ProbeInterval && t.SuspicionTimeout <= maxSuspicionTimeout, fmt.Sprintf("from probe_every to %v", maxSuspicionTimeout)),
+		tomlfile.Need("name", swim.IsValidName(c.Name), clusterNameForm),
+		tomlfile.Need("cluster", swim.IsValidName(c.ClusterName), clusterNameForm),
+		tomlfile.Need("listen", listenErr == nil, "an IP address and a port"),
+		tomlfile.Need("listen", listen.Addr().IsLoopback() || c.KeyFile != "", "a loopback address where key_file is not given"),
+		tomlfile.Need("advertise", c.Advertise == "" || isReachable, "an IP address and a port that others can send to"),
+		tomlfile.Need("advertise", c.Advertise != "" || !listen.Addr().IsUnspecified(), "given where listen is for all addresses"),
+		tomlfile.Need("join", len(c.Join) <= maxJoinAddresses && allMatch(c.Join, isAddrPort),
+			fmt.Sprintf("%d IP addresses with ports at most", maxJoinAddresses)),
 	})
 }
 
-const clusterNameForm = "letters, digits, dots, dashes and underscores, 63 at most"
+func (c *Cluster) checkVoters(at *tomlfile.File) error {
+	names := uniqueNames{}
+	isOddOrNone := len(c.Voters) == 0 || len(c.Voters)%2 == 1
+	isNewName := func(name string) bool { return swim.IsValidName(name) && names.add(name) }
+	return at.Check("fleet", []tomlfile.Must{
+		tomlfile.Need("voters", len(c.Voters) <= maxVoters && isOddOrNone,
+			fmt.Sprintf("an odd number of names, %d at most, or none", maxVoters)),
+		tomlfile.Need("voters", allMatch(c.Voters, isNewName), "names, each once"),
+	})
+}
 
-func isAddrPort(s string) bool {
-	a, err := netip.ParseAddrPort(s)
-	return err == nil && a.Port() > 0
+func (c *Cluster) checkProbes(at *tomlfile.File) error {
+	return at.Check("fleet", []tomlfile.Must{
+		tomlfile.Need("probe_every", c.ProbeInterval >= minProbeInterval && c.ProbeInterval <= maxProbeInterval,
+			fmt.Sprintf("from %v to %v", minProbeInterval, maxProbeInterval)),
+		tomlfile.Need("probe_timeout", c.ProbeTimeout >= minProbeTimeout && c.ProbeTimeout <= c.ProbeInterval/2,
+			fmt.Sprintf("from %v to half of probe_every", minProbeTimeout)),
+	})
 }
 
-// clusterSpec is what the file says, in the parts' terms. It was checked.
-func (f *File) clusterSpec() *FleetSpec {
-	t := f.Fleet
-	if t == nil {
-		return nil
-	}
-	spec := &FleetSpec{Name: t.Name, Cluster: t.ClusterName, Listen: netip.MustParseAddrPort(t.Listen), KeyFile: t.KeyFile, Voters: slices.Clone(t.Voters),
-		Times: swim.Options{ProbeEvery: t.ProbeInterval, ProbeTimeout: t.ProbeTimeout, Suspicion: t.SuspicionTimeout}, Divide: f.dividesByMembership}
-	if t.Advertise != "" {
-		spec.Advertise = netip.MustParseAddrPort(t.Advertise)
-	}
-	if t.ConsensusEnabled {
-		spec.Agreed = &ConsensusSpec{DataDir: t.DataDir, Terms: consensus.LeaseConfig{Lease: t.LeaseDuration, Drift: t.MaxClockDrift,
-			Short: time.Duration(float64(t.MaxConflict) * (1 - t.MaxClockDrift))}}
-	}
-	for _, a := range t.Join {
-		spec.Join = append(spec.Join, netip.MustParseAddrPort(a))
-	}
-	return spec
+func (c *Cluster) checkConsensus(at *tomlfile.File) error {
+	isVoter := slices.Contains(c.Voters, c.Name)
+	return at.Check("fleet", []tomlfile.Must{
+		tomlfile.Need("agreed", !c.ConsensusEnabled || len(c.Voters) > 0, "false where no voters are named"),
+		tomlfile.Need("data_dir", c.DataDir == "" || c.ConsensusEnabled, "left out where nothing is agreed on"),
+		tomlfile.Need("data_dir", c.DataDir != "" || !c.ConsensusEnabled || !isVoter, "given for a voter where settings are agreed on"),
+		tomlfile.Need("conflict_within", c.MaxConflict >= minMaxConflict && c.MaxConflict <= maxLeaseDuration,
+			fmt.Sprintf("from %v to %v", minMaxConflict, maxLeaseDuration)),
+		tomlfile.Need("lease", c.LeaseDuration >= c.MaxConflict && c.LeaseDuration <= maxLeaseDuration,
+			fmt.Sprintf("from conflict_within to %v", maxLeaseDuration)),
+		tomlfile.Need("clock_drift", c.MaxClockDrift >= 0 && c.MaxClockDrift <= maxClockDriftLimit,
+			fmt.Sprintf("from 0 to %v", maxClockDriftLimit)),
+	})
 }
 
-// String says what was understood, in one line.
-func (f *FleetSpec) String() string {
-	said := []string{fmt.Sprintf("%s in %s", f.Name, f.Cluster), fmt.Sprintf("%d addresses to join by", len(f.Join))}
-	if len(f.Voters) > 0 {
-		said = append(said, "voters "+strings.Join(f.Voters, " "))
-	}
-	if f.Divide {
-		said = append(said, "daemons and index by who is there")
-	}
-	if a := f.Agreed; a != nil {
-		said = append(said, fmt.Sprintf("settings agreed on, contradicting for %v at most", a.Terms.Overlap()))
-	}
-	if f.KeyFile == "" {
-		said = append(said, "no key")
-	}
-	return strings.Join(said, ", ")
+func (c *Cluster) checkSuspicion(at *tomlfile.File) error {
+	return at.Check("fleet", []tomlfile.Must{
+		tomlfile.Need("suspicion", c.SuspicionTimeout >= c.ProbeInterval && c.SuspicionTimeout <= maxSuspicionTimeout,
+			fmt.Sprintf("from probe_every to %v", maxSuspicionTimeout)),
+	})
+}
+
+func isAddrPort(s string) bool {
+	a, err := netip.ParseAddrPort(s)
+	return err == nil && a.Port() > 0
 }
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -9,47 +9,52 @@
 	"strings"
 
 	"tuliprock/internal/discovery"
-	"tuliprock/internal/endpointset"
 	"tuliprock/internal/tomlfile"
 )
 
-// Names of documents that daemons agree on.
+// Names of the documents that daemons agree on through consensus.
 const (
-	SharedDoc     = "shared"   // the part of an operators' file that is all daemons' alike, as TOML
-	MembersPrefix = "members/" // and a pool's name: the list of a pool with members = "agreed", in the form of a members file
-	OutPrefix     = "out/"     // and an endpoint's id: it is out by hand; the body is empty
-	FlagPrefix    = "flag/"    // and a name: a value of a line, for whoever asks
+	// SharedDoc is the name of the part of an operators' file that is the same on all daemons, as TOML.
+	SharedDoc = "shared"
+	// MembersPrefix precedes a pool's name: the list of a pool with members = "agreed", in the form of a members file.
+	MembersPrefix = "members/"
+	// OutPrefix precedes an endpoint's ID: the endpoint is manually ejected. The body is empty.
+	OutPrefix = "out/"
+	// FlagPrefix precedes a name: a value of one line, without a meaning to the daemon.
+	FlagPrefix = "flag/"
 )
 
-// maxDocumentNameBytes is how many bytes a document's name may have.
+// maxDocumentNameBytes bounds a document's name.
 const maxDocumentNameBytes = 300
 
-// ownSections are the parts of an operators' file that are each daemon's own.
+// ownSections are the sections of an operators' file that are each daemon's own; the rest is shared.
 var ownSections = []string{"daemon", "fleet", "listener"}
 
-// Shared is what of an operators' file concerns all daemons alike.
+// Shared is the section [shared]: what concerns all daemons of a cluster alike.
 type Shared struct {
-	OnIndeterminate string `toml:"unsure"` // what a daemon does whose lease has run out: "keep" or "refuse"
+	OnIndeterminate string `toml:"unsure"` // what a daemon does after its lease has expired: "keep" or "refuse"
 }
 
-// What a daemon does that does not know what others act on.
+// Values of unsure.
 const (
-	keepServing    = "keep"
-	rejectRequests = "refuse"
+	keepServing    = "keep"   // go on with the version that it has
+	rejectRequests = "refuse" // reject all requests: others may act on another version
 )
 
-// ExtractShared cuts an operators' file, or a text that holds that part alone, to what is shared, and names what was left out. The
-// part is checked whole.
-func ExtractShared(name string, text []byte) (shared []byte, left []string, _ error) {
+// ExtractShared removes the daemon's own sections from an operators' file and returns what is shared, with the names of
+// the sections that were removed. A text without such sections is accepted, too. The shared part has been checked as a
+// whole; an error has the line in the text as it was given.
+func ExtractShared(name string, text []byte) (shared []byte, removed []string, err error) {
 	if err := checkOwnSections(name, text); err != nil {
 		return nil, nil, err
 	}
-	shared, left = tomlfile.RemoveTopLevel(text, ownSections...)
-	_, err := parseShared(name, shared)
-	return shared, left, err
+	shared, removed = tomlfile.RemoveTopLevel(text, ownSections...)
+	_, err = parseShared(name, shared)
+	return shared, removed, err
 }
 
-// checkOwnSections checks a text with its own parts, where it has any, so that errors have its own lines.
+// checkOwnSections checks a text complete with the daemon's own sections where it has any. Without them the line numbers
+// of errors would be those of the shortened text.
 func checkOwnSections(name string, text []byte) error {
 	f := &File{}
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
@@ -58,11 +63,13 @@
 	if len(f.Listener) == 0 && f.Fleet == nil {
 		return nil
 	}
-	_, err := parse(name, text, func(*File, *tomlfile.File) error { return nil }) // it is for daemons that agree
+	// The text is for daemons with consensus, even if the daemon whose sections these are has none.
+	withConsensus := func(*File, *tomlfile.File) error { return nil }
+	_, err := parse(name, text, withConsensus)
 	return err
 }
 
-// parseShared reads the shared part.
+// parseShared reads and checks the shared part alone. The File that it returns has no daemon, cluster or listeners.
 func parseShared(name string, text []byte) (*File, error) {
 	f := &File{}
 	at, err := tomlfile.Decode(name, text, f)
@@ -72,25 +79,24 @@
 	if _, own := tomlfile.RemoveTopLevel(text, ownSections...); len(own) > 0 {
 		return nil, at.Errorf(own[0], "must be left out: it is each daemon's own")
 	}
-	if f.Format != 1 {
-		return nil, at.Errorf("format", "must be 1")
+	if err := f.checkFormat(at); err != nil {
+		return nil, err
 	}
 	f.applyDefaults(at)
-	for _, check := range []func(*tomlfile.File) error{f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes} {
-		if err := check(at); err != nil {
-			return nil, err
-		}
+	if err := runChecks(at, f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
+		return nil, err
 	}
 	return f, nil
 }
 
 func (f *File) checkShared(at *tomlfile.File) error {
+	behavior := f.Shared.OnIndeterminate
 	return at.Check("shared", []tomlfile.Must{
-		tomlfile.Need("unsure", f.Shared.OnIndeterminate == keepServing || f.Shared.OnIndeterminate == rejectRequests, `"keep" or "refuse"`),
+		tomlfile.Need("unsure", behavior == keepServing || behavior == rejectRequests, `"keep" or "refuse"`),
 	})
 }
 
-// checkNeedsConsensus wants nothing of a file for which a fleet that agrees would be needed, where there is none.
+// checkNeedsConsensus rejects what only a cluster with consensus can do, where the file configures none.
 func (f *File) checkNeedsConsensus(at *tomlfile.File) error {
 	if f.Fleet != nil && f.Fleet.ConsensusEnabled {
 		return nil
@@ -106,17 +112,18 @@
 	return nil
 }
 
-// WithDocuments is the file as it is with documents that were agreed on, by name: what is shared is theirs, where they say something of
-// it. An error says, in one line, why this daemon can't act on them.
+// WithDocuments returns a copy of the file with agreed documents, by name, in place of its own shared part and lists of
+// members. Without a shared document the file's own shared part applies. An error says in one line why this daemon
+// can't act on the documents.
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	out := *f
 	if text, ok := docs[SharedDoc]; ok {
-		s, err := parseShared(SharedDoc, text)
+		shared, err := parseShared(SharedDoc, text)
 		if err != nil {
 			return nil, err
 		}
-		s.Daemon, s.Fleet, s.Listener, s.dividesByMembership = f.Daemon, f.Fleet, f.Listener, f.dividesByMembership
-		out = *s
+		out = *shared
+		out.Daemon, out.Fleet, out.Listener, out.dividesByMembership = f.Daemon, f.Fleet, f.Listener, f.dividesByMembership
 	}
 	out.agreedMembers = map[string][]Member{}
 	for name, body := range docs {
@@ -134,8 +141,8 @@
 	return &out, nil
 }
 
-// CheckDocuments tells why this daemon can't act on documents; nil: it can. Besides what With finds, it looks for the files of members
-// that pools are to read.
+// CheckDocuments returns nil if this daemon can act on documents, and otherwise why not. It checks what WithDocuments
+// does and, where there is a shared document, that the files of members which its pools read exist on this machine.
 func (f *File) CheckDocuments(docs map[string][]byte) error {
 	with, err := f.WithDocuments(docs)
 	if err != nil || docs[SharedDoc] == nil {
@@ -152,44 +159,43 @@
 	return nil
 }
 
-var errNoMembers = errors.New("members: one at least is wanted; take endpoints out by hand")
-
+// parseAgreedMembers reads a list of members. An empty one is rejected: it would take the pool out of service at once.
 func parseAgreedMembers(body []byte) ([]Member, error) {
-	list, err := discovery.ParseMemberFile(body)
+	endpoints, err := discovery.ParseMemberFile(body)
 	if err != nil {
 		return nil, err
 	}
-	if len(list) == 0 {
-		return nil, errNoMembers
-	}
-	return membersFromEndpoints(list), nil
-}
-
-// membersFromEndpoints undoes List.
-func membersFromEndpoints(list []endpointset.Member) (out []Member) {
-	for _, m := range list {
-		state := "ready"
-		if m.Draining {
-			state = "draining"
-		}
-		out = append(out, Member{ID: m.ID, Address: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: state})
+	if len(endpoints) == 0 {
+		return nil, errors.New("members: one at least is wanted; take endpoints out by hand")
 	}
-	return out
+	return membersFromEndpoints(endpoints), nil
 }
 
-// IsDocumentName tells whether a document may be of this name: printable and without spaces.
+// IsDocumentName reports whether a document may have this name: 300 bytes at most, valid UTF-8, without spaces and
+// ASCII control characters.
 func IsDocumentName(name string) bool {
-	return name != "" && len(name) <= maxDocumentNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd })
+	isForbidden := func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' }
+	return name != "" && len(name) <= maxDocumentNameBytes && !strings.ContainsFunc(name, isForbidden)
 }
 
-// checkDocument wants a document to be of a sort that this program knows.
+// checkDocument requires a document to be of a kind that this version of the program knows.
 func checkDocument(name string, body []byte) error {
-	pool, isList := strings.CutPrefix(name, MembersPrefix)
-	id, isOut := strings.CutPrefix(name, OutPrefix)
-	flag, isFlag := strings.CutPrefix(name, FlagPrefix)
-	switch {
-	case name == SharedDoc, isList && pool != "", isOut && id != "" && len(body) == 0, isFlag && flag != "" && !bytes.ContainsAny(body, "\r\n"):
+	if isKnownDocument(name, body) {
 		return nil
 	}
 	return fmt.Errorf("%.80q: this program knows no such document", cmp.Or(name, "a document without a name"))
 }
+
+func isKnownDocument(name string, body []byte) bool {
+	if name == SharedDoc {
+		return true
+	}
+	if pool, ok := strings.CutPrefix(name, MembersPrefix); ok {
+		return pool != ""
+	}
+	if endpoint, ok := strings.CutPrefix(name, OutPrefix); ok {
+		return endpoint != "" && len(body) == 0
+	}
+	flag, ok := strings.CutPrefix(name, FlagPrefix)
+	return ok && flag != "" && !bytes.ContainsAny(body, "\r\n")
+}
--- /dev/null
+++ b/internal/config/file_service.go
@@ -0,0 +1,85 @@
+package config
+
+import (
+	"slices"
+	"time"
+
+	"tuliprock/balance"
+	"tuliprock/internal/body"
+)
+
+// fileOperatorConnections is the number of operators' connections under an operators' file, which states no limit on
+// descriptors.
+const fileOperatorConnections = 32
+
+// timerResolution is how late events and timers may come: the lateness of a timer on an ordinary machine that is busy.
+const timerResolution = 5 * time.Millisecond
+
+// Service converts the file. The result refers to the file, and shares its slices and classes.
+func (f *File) Service() Service {
+	s := Service{
+		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Fleet: f.clusterSpec(),
+		Admin: f.Daemon.AdminAddr, Operators: f.operatorConnections(),
+		Limits:     Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB},
+		Refuses:    f.Shared.OnIndeterminate == rejectRequests,
+		BodyMemory: f.Daemon.BodyMemoryMB << 20, Drain: f.Daemon.DrainTimeout, Grace: terminationGrace(0),
+	}
+	classes := map[string]*Class{}
+	for i := range f.Class {
+		classes[f.Class[i].Name] = &f.Class[i]
+	}
+	classesByPool := map[string][]string{}
+	for _, r := range f.Route {
+		s.Targets = append(s.Targets, Target{Pool: r.Pool, Tenant: r.Tenant, Class: classes[r.Class], Prefix: r.PathPrefix,
+			Replace: r.ReplacePrefix, Set: r.SetHeader, Remove: r.RemoveHeaders})
+		if !slices.Contains(classesByPool[r.Pool], r.Class) {
+			classesByPool[r.Pool] = append(classesByPool[r.Pool], r.Class)
+		}
+	}
+	for i := range f.Pool {
+		s.Pools = append(s.Pools, f.poolSpec(&f.Pool[i], classesByPool[f.Pool[i].Name]))
+	}
+	return s
+}
+
+func (f *File) operatorConnections() int {
+	if f.Daemon.AdminAddr == "" {
+		return 0
+	}
+	return fileOperatorConnections
+}
+
+// poolSpec converts a pool. classes are the names of the classes that routes send to it.
+func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
+	return PoolSpec{
+		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
+		Connections: p.Connections, Dial: p.DialTimeout, Idle: p.IdleTimeout, Spread: true,
+		LastByte: p.StartAt == startAtLastByte, AnswerBytes: p.MaxResponseBytes,
+		Flow: body.Pace{Idle: p.StreamIdleTimeout, Rate: p.MinStreamRate}, Whole: p.StreamIdleTimeout,
+	}
+}
+
+func (f *File) balanceSettings(p *Pool, classes []string) balance.Settings {
+	settings := balance.Settings{
+		Seed: f.Daemon.Seed, Balancers: f.Daemon.Count, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
+		MaxAttempts: p.Attempts, MayCancel: true, MaxRetryAfter: p.MaxRetryAfter, Resolution: timerResolution,
+		ColdFrom: p.SlowStartMinWeight, ColdFor: p.SlowStartWindow,
+	}
+	for _, c := range f.Class {
+		if slices.Contains(classes, c.Name) {
+			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Effect: Effects[c.Effect],
+				Group: groups[c.Group], Window: c.IdempotencyWindow, Aim: c.Aim})
+		}
+	}
+	for _, t := range f.Tenant {
+		settings.Tenants = append(settings.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
+	}
+	return settings
+}
+
+func (f *File) sourceSpec(p *Pool) SourceSpec {
+	if p.Members == membersAgreed { // consensus has confirmed the list: it is neither held nor damped
+		return SourceSpec{Members: f.agreedMembers[p.Name]}
+	}
+	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, Hold: p.HoldLastGood, Damp: p.FlapDamping}
+}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -114,13 +114,25 @@
 	restRules []int // rules that end here with "**"
 }
 
-// New compiles rules. An error names the rule and what is wrong with it.
+// RuleError is what is wrong with a rule that New was given.
+type RuleError struct {
+	Index int    // of the rule in New's argument
+	Name  string // of the rule
+	Err   error
+}
+
+func (e *RuleError) Error() string { return fmt.Sprintf("route %d (%s): %v", e.Index, e.Name, e.Err) }
+
+// Unwrap returns what is wrong, without the rule's index and name.
+func (e *RuleError) Unwrap() error { return e.Err }
+
+// New compiles rules. An error is a RuleError.
 func New(rules []Rule) (*Table, error) {
 	t := &Table{exactHosts: map[string]*pathIndex{}, wildcardHosts: map[string]*pathIndex{}, anyHost: newPathIndex()}
 	for i, r := range rules {
 		c, err := compile(r)
 		if err != nil {
-			return nil, fmt.Errorf("route %d (%s): %w", i, r.Name, err)
+			return nil, &RuleError{Index: i, Name: r.Name, Err: err}
 		}
 		t.rules = append(t.rules, c)
 		if len(r.Hosts) == 0 {
