--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -32,77 +32,136 @@
 class = "look"
 `
 
-// The shared part of a file, put over another daemon's own, is what that daemon serves; lists are as they are agreed on.
-func TestSharedPartOverAnothersOwn(t *testing.T) {
-	shared, left, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
-	if err != nil || string(shared) != "format = 1\n"+sharedPart || strings.Join(left, " ") != "daemon listener fleet" {
-		t.Fatalf("%s %v %v", shared, left, err)
+const agreedList = `{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`
+
+func parseFile(t *testing.T, text string) *File {
+	t.Helper()
+	f, err := ParseFile("own.toml", []byte("format = 1\n"+text))
+	if err != nil {
+		t.Fatal(err)
 	}
-	own, err := ParseFile("own.toml", []byte("format = 1\n"+strings.Replace(ownPart, ":2", ":22", 1)+strings.Replace(sharedPart, `members = "agreed"`, `member = [{ address = "127.0.0.1:9" }]`, 1)))
+	return f
+}
+
+func TestExtractSharedRemovesOwnSections(t *testing.T) {
+	shared, removed, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
+	if err != nil || string(shared) != "format = 1\n"+sharedPart || strings.Join(removed, " ") != "daemon listener fleet" {
+		t.Fatalf("%s %v %v", shared, removed, err)
+	}
+}
+
+// Documents that were extracted from one daemon's file, and applied to another's with other sections of its own.
+func TestAgreedDocumentsReplaceSharedPartAndMembers(t *testing.T) {
+	shared, _, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
 	if err != nil {
 		t.Fatal(err)
 	}
+	fixedMembers := replaceOnce(t, sharedPart, `members = "agreed"`, `member = [{ address = "127.0.0.1:9" }]`)
+	own := parseFile(t, replaceOnce(t, ownPart, ":2", ":22")+fixedMembers)
 	if s := own.Service(); !s.Refuses || len(s.Pools[0].Source.Members) != 1 {
-		t.Errorf("by itself: %+v", s)
+		t.Errorf("the file by itself: %+v", s)
 	}
-	with, err := own.WithDocuments(map[string][]byte{SharedDoc: shared, MembersPrefix + "p": []byte(`{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`), "flag/x": []byte("1"), "out/e": nil})
+	with, err := own.WithDocuments(map[string][]byte{SharedDoc: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := with.Service()
-	if s.Listeners[0].Address != "127.0.0.1:22" || s.Admin != "127.0.0.1:1" || s.Fleet == nil || len(s.Pools[0].Source.Members) != 1 || s.Pools[0].Source.Members[0].State != "draining" || s.Pools[0].Source.Hold != 0 {
-		t.Errorf("%+v", s)
+	if s.Listeners[0].Address != "127.0.0.1:22" || s.Admin != "127.0.0.1:1" || s.Fleet == nil {
+		t.Errorf("the daemon's own sections: %+v", s)
+	}
+	if source := s.Pools[0].Source; len(source.Members) != 1 || source.Members[0].State != "draining" || source.Hold != 0 {
+		t.Errorf("the agreed list: %+v", source)
 	}
-	if none, err := own.WithDocuments(map[string][]byte{SharedDoc: shared}); err != nil || len(none.Service().Pools[0].Source.Members) != 0 {
-		t.Errorf("no list is agreed on: %v", err)
+	if without, err := own.WithDocuments(map[string][]byte{SharedDoc: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
+		t.Errorf("without an agreed list: %v", err)
 	}
-	if again, err := own.WithDocuments(nil); err != nil || len(again.Service().Pools[0].Source.Members) != 1 {
-		t.Errorf("nothing is agreed on: %v", err)
+	if unchanged, err := own.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
+		t.Errorf("without documents: %v", err)
 	}
 }
 
-// What a daemon can't act on is told in one line, with where it stands.
-func TestWhatADaemonCantActOn(t *testing.T) {
-	own, err := ParseFile("own.toml", []byte("format = 1\n"+ownPart+sharedPart))
-	if err != nil {
-		t.Fatal(err)
-	}
-	file := filepath.Join(t.TempDir(), "members.json")
-	byFile := strings.Replace(sharedPart, `members = "agreed"`, `file = "`+file+`"`, 1)
-	for text, want := range map[string]string{
-		"format = 1\n" + sharedPart + "more = 1\n":                                  "shared:13: route[0].more: unknown field",
-		"format = 1\n" + ownPart + sharedPart:                                       "shared:2: daemon: must be left out",
-		"format = 2\n" + sharedPart:                                                 "shared:1: format",
-		"format = 1\n" + strings.Replace(sharedPart, `"refuse"`, `"guess"`, 1):      "shared:3: shared.unsure",
-		"format = 1\n" + strings.Replace(sharedPart, `pool = "p"`, `pool = "q"`, 1): "shared:11: route[0].pool",
-		"format = 1\n" + strings.Replace(sharedPart, `"agreed"`, `"somewhere"`, 1):  "shared:9: pool[0].members",
-		"format = 1\n" + byFile:                                                     "no such file",
-		"format = 1\n[":                                                             "shared:2",
+func TestCheckDocumentsNamesLineOfSharedDocument(t *testing.T) {
+	own := parseFile(t, ownPart+sharedPart)
+	missingFile := filepath.Join(t.TempDir(), "members.json")
+	for name, c := range map[string]struct{ text, want string }{
+		"unknown field":           {"format = 1\n" + sharedPart + "more = 1\n", "shared:13: route[0].more: unknown field"},
+		"section of its own":      {"format = 1\n" + ownPart + sharedPart, "shared:2: daemon: must be left out"},
+		"other format":            {"format = 2\n" + sharedPart, "shared:1: format"},
+		"unknown unsure":          {"format = 1\n" + replaceOnce(t, sharedPart, `"refuse"`, `"guess"`), "shared:3: shared.unsure"},
+		"unknown pool":            {"format = 1\n" + replaceOnce(t, sharedPart, `pool = "p"`, `pool = "q"`), "shared:11: route[0].pool"},
+		"unknown members":         {"format = 1\n" + replaceOnce(t, sharedPart, `"agreed"`, `"somewhere"`), "shared:9: pool[0].members"},
+		"missing file of members": {"format = 1\n" + withMembersFile(t, missingFile), "no such file"},
+		"malformed TOML":          {"format = 1\n[", "shared:2"},
 	} {
-		if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte(text)}); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s\n%v; want %s", text, err, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte(c.text)})
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
 	}
-	if err := os.WriteFile(file, nil, 0o600); err != nil {
+}
+
+func withMembersFile(t *testing.T, path string) string {
+	t.Helper()
+	return replaceOnce(t, sharedPart, `members = "agreed"`, `file = "`+path+`"`)
+}
+
+func TestCheckDocumentsAcceptsMembersFileThatExists(t *testing.T) {
+	own := parseFile(t, ownPart+sharedPart)
+	path := filepath.Join(t.TempDir(), "members.json")
+	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte("format = 1\n" + byFile)}); err != nil {
-		t.Errorf("the file is there: %v", err)
+	if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte("format = 1\n" + withMembersFile(t, path))}); err != nil {
+		t.Error(err)
 	}
-	for name, body := range map[string]string{"": "", "other": "", "shared/x": "", "members/": "{}", "members/p": `{"format":1,"members":[]}`, "members/q": "{", "out/e": "x", "out/": "", "flag/x": "a\nb"} {
-		if err := own.CheckDocuments(map[string][]byte{name: []byte(body)}); err == nil {
-			t.Errorf("%q with %q", name, body)
-		}
+}
+
+func TestCheckDocumentsRejectsUnknownAndMalformed(t *testing.T) {
+	own := parseFile(t, ownPart+sharedPart)
+	for name, body := range map[string]string{
+		"":          "",
+		"other":     "",
+		"shared/x":  "",
+		"members/":  "{}",
+		"members/p": `{"format":1,"members":[]}`,
+		"members/q": "{",
+		"out/e":     "x",
+		"out/":      "",
+		"flag/x":    "a\nb",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := own.CheckDocuments(map[string][]byte{name: []byte(body)}); err == nil {
+				t.Errorf("accepted with %q", body)
+			}
+		})
 	}
-	for _, text := range []string{sharedPart, strings.Replace(sharedPart, `members = "agreed"`, `member = [{ address = "a:1" }]`, 1)} {
-		alone := "format = 1\n" + strings.Replace(ownPart, "agreed = true\n", "", 1) + text
-		if _, err := ParseFile("f", []byte(alone)); err == nil || !strings.Contains(err.Error(), "where nothing is agreed on") {
-			t.Errorf("without a fleet that agrees: %v", err)
-		}
+}
+
+func TestAgreedMembersAndRejectionNeedConsensus(t *testing.T) {
+	withoutConsensus := replaceOnce(t, ownPart, "agreed = true\n", "")
+	for name, shared := range map[string]string{
+		"unsure and members": sharedPart,
+		"unsure alone":       replaceOnce(t, sharedPart, `members = "agreed"`, `member = [{ address = "a:1" }]`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := ParseFile("f", []byte("format = 1\n"+withoutConsensus+shared))
+			if err == nil || !strings.Contains(err.Error(), "where nothing is agreed on") {
+				t.Error(err)
+			}
+		})
 	}
-	for _, name := range []string{"a b", "", "a\n", strings.Repeat("x", maxDocumentNameBytes+1)} {
-		if IsDocumentName(name) {
-			t.Errorf("%q", name)
-		}
+}
+
+func TestDocumentNameIsShortAndPrintable(t *testing.T) {
+	for name, document := range map[string]string{
+		"space": "a b", "empty": "", "line break": "a\n", "too long": strings.Repeat("x", maxDocumentNameBytes+1),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if IsDocumentName(document) {
+				t.Errorf("%q is accepted", document)
+			}
+		})
 	}
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -58,7 +58,7 @@
 tenant = "council"
 `
 
-func TestAnOperatorsFileIsRead(t *testing.T) {
+func TestReadAppliesDefaultsAndCompilesRoutes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	if err := os.WriteFile(path, []byte(goodFile), 0o600); err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 	}
 }
 
-func TestABadOperatorsFileNamesLineAndField(t *testing.T) {
-	for want, swap := range map[string][2]string{
+func TestParseFileErrorNamesFileLineAndField(t *testing.T) {
+	for want, change := range map[string]struct{ from, to string }{
 		":1: format: must be 1":                      {"format = 1", "format = 2"},
 		":5: listener[0].address: must be host:port": {"127.0.0.1:8080", "127.0.0.1"},
 		":4: listener[0].name":                       {`"counter"`, `""`},
@@ -105,7 +105,7 @@
 		"route[1]: must have one of path":            {"path_prefix", "path = \"/x\"\npath_prefix"},
 		"route[1]: host":                             {"*.shire.example", "*.*.example"},
 		"route[0].header[0]: must have one of equal": {`equal = ""`, "equal = \"\"\nabsent = true"},
-		":5: listener[0].adress: unknown field":      {"address", "adress"},
+		":5: listener[0].addr: unknown field":        {"address", "addr"},
 		":2: daemon.index: must be":                  {"format = 1\n", "format = 1\ndaemon = { daemons = 2, index = 2 }\n"},
 		"listener[0].retry_after":                    {"[[class]]", "retry_after = \"soon\"\n[[class]]"},
 		"class[0].id_missing":                        {`effect = "safe"`, "effect = \"safe\"\nid_missing = \"drop\""},
@@ -129,14 +129,12 @@
 		"fleet.suspicion":                            {"format = 1\n", "format = 1\nfleet = { listen = \"127.0.0.1:7\", suspicion = \"1ms\" }\n"},
 		"route[0].remove_headers":                    {"pool = \"desk\"\nclass = \"dispatch\"", "pool = \"desk\"\nclass = \"dispatch\"\nremove_headers = [\"Host\"]"},
 	} {
-		text := strings.Replace(goodFile, swap[0], swap[1], 1)
-		if text == goodFile {
-			t.Fatalf("%s: nothing replaced", want)
-		}
-		_, err := ParseFile("ops.toml", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "ops.toml:") {
-			t.Errorf("want %s, got %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := ParseFile("ops.toml", []byte(replaceOnce(t, goodFile, change.from, change.to)))
+			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "ops.toml:") {
+				t.Error(err)
+			}
+		})
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -13,10 +13,10 @@
 	"limits":{"cores":1.0,"memory_mb":128,"sockets":512},"known":{"version":41,"full":true,"servers":[]},
 	"settings":{"Permissions":{"ConnIdleUs":30000000,"DialTimeoutUs":200000}}}`
 
-func noEnv(string) string { return "" }
+func emptyEnvironment(string) string { return "" }
 
-func TestAConfigurationIsRead(t *testing.T) {
-	c, err := Parse([]byte(goodConfig), noEnv)
+func TestParseReadsPlatformFile(t *testing.T) {
+	c, err := Parse([]byte(goodConfig), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,13 +26,13 @@
 	}
 }
 
-func TestVariablesFillWhatTheFileLacks(t *testing.T) {
+func TestEnvironmentStandsInForMissingFields(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"seed":"1","settings":{},"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	env := map[string]string{"ROUTER_CONFIG": path, "ROUTER_NAME": "n1", "ROUTER_LISTEN": "127.0.0.1:2", "ROUTER_DISCOVERY": "127.0.0.1:3"}
-	c, err := Load(func(k string) string { return env[k] })
+	environment := map[string]string{"ROUTER_CONFIG": path, "ROUTER_NAME": "n1", "ROUTER_LISTEN": "127.0.0.1:2", "ROUTER_DISCOVERY": "127.0.0.1:3"}
+	c, err := Load(func(variable string) string { return environment[variable] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,16 +40,18 @@
 		t.Errorf("%+v", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
-		less := maps.Clone(env)
-		delete(less, variable)
-		if _, err := Load(func(k string) string { return less[k] }); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("without %s: %v", variable, err)
-		}
+		t.Run("without "+variable, func(t *testing.T) {
+			incomplete := maps.Clone(environment)
+			delete(incomplete, variable)
+			if _, err := Load(func(variable string) string { return incomplete[variable] }); err == nil || !strings.HasPrefix(err.Error(), want) {
+				t.Errorf("got %v, want %s", err, want)
+			}
+		})
 	}
 }
 
-func TestABadConfigurationNamesTheField(t *testing.T) {
-	for field, swap := range map[string][2]string{
+func TestParseErrorBeginsWithField(t *testing.T) {
+	for field, change := range map[string]struct{ from, to string }{
 		"config":           {`{"name"`, `{name`},
 		"listen":           {`"127.0.0.1:0"`, `"nowhere"`},
 		"discovery":        {`"127.0.0.1:8500"`, `"127.0.0.1:dns"`},
@@ -60,13 +62,21 @@
 		"known":            {`"version":41,`, ``},
 		"settings":         {`{"Permissions"`, `{"Lanes":[{"Name":"x","Semantics":"odd"}],"Permissions"`},
 	} {
-		text := strings.Replace(goodConfig, swap[0], swap[1], 1)
-		if text == goodConfig {
-			t.Fatalf("%s: nothing replaced", field)
-		}
-		_, err := Parse([]byte(text), noEnv)
-		if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			_, err := Parse([]byte(replaceOnce(t, goodConfig, change.from, change.to)), emptyEnvironment)
+			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
+				t.Error(err)
+			}
+		})
 	}
 }
+
+// replaceOnce replaces the first occurrence of a text, which must be there and differ.
+func replaceOnce(t *testing.T, text, from, to string) string {
+	t.Helper()
+	changed := strings.Replace(text, from, to, 1)
+	if changed == text {
+		t.Fatalf("%q replaces nothing", from)
+	}
+	return changed
+}
