--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -7,46 +7,47 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// RemoveTopLevel gives a text without what stands below some of its top-level names, and which of them it had. The rest stays as it
-// was written; comment lines go with what follows them. The text must be sound.
-func RemoveTopLevel(text []byte, names ...string) (rest []byte, had []string) {
+// RemoveTopLevel returns a text without the keys and tables whose names begin with one of the given top-level names, and
+// which of these names it had, in order of appearance. The rest stays byte for byte; comment lines belong to what
+// follows them. The text must be valid TOML.
+func RemoveTopLevel(text []byte, names ...string) (rest []byte, found []string) {
 	var p unstable.Parser
 	p.Reset(text)
-	var drop, inTable bool
-	from := 0
-	keep := func(until int) {
-		if !drop {
-			rest = append(rest, text[from:until]...)
+	var isRemoved, inTable bool // of the block that is being read; a block is a key with its value, or a table with its keys
+	blockBegin := 0
+	endBlock := func(end int) {
+		if !isRemoved {
+			rest = append(rest, text[blockBegin:end]...)
 		}
-		from = until
+		blockBegin = end
 	}
 	for p.NextExpression() {
 		e := p.Expression()
-		if e.Kind == unstable.KeyValue && inTable { // it goes as its table does
-			continue
+		if e.Kind == unstable.KeyValue && inTable {
+			continue // in the block of its table
 		}
 		inTable = e.Kind != unstable.KeyValue
 		key := e.Key()
 		key.Next()
-		top := string(key.Node().Data)
-		keep(blockStart(text, int(key.Node().Raw.Offset)))
-		if drop = slices.Contains(names, top); drop && !slices.Contains(had, top) {
-			had = append(had, top)
+		name := string(key.Node().Data)
+		endBlock(blockStart(text, int(key.Node().Raw.Offset)))
+		if isRemoved = slices.Contains(names, name); isRemoved && !slices.Contains(found, name) {
+			found = append(found, name)
 		}
 	}
-	keep(len(text))
-	return rest, had
+	endBlock(len(text))
+	return rest, found
 }
 
-// blockStart is where the line round an offset begins, and the comment lines before it.
+// blockStart is the beginning of the line that has an offset, and of the comment lines right before it.
 func blockStart(text []byte, offset int) int {
-	at := bytes.LastIndexByte(text[:offset], '\n') + 1
-	for at > 0 {
-		before := bytes.LastIndexByte(text[:at-1], '\n') + 1
-		if !bytes.HasPrefix(bytes.TrimSpace(text[before:at]), []byte("#")) {
+	start := bytes.LastIndexByte(text[:offset], '\n') + 1
+	for start > 0 {
+		previous := bytes.LastIndexByte(text[:start-1], '\n') + 1
+		if !bytes.HasPrefix(bytes.TrimSpace(text[previous:start]), []byte("#")) {
 			break
 		}
-		at = before
+		start = previous
 	}
-	return at
+	return start
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -57,7 +57,7 @@
 cores = 8
 `
 
-func TestAFileIsRead(t *testing.T) {
+func TestDecodeFillsStructAndFindsLines(t *testing.T) {
 	var s sample
 	f, err := Decode("day.toml", []byte(good), &s)
 	if err != nil {
@@ -74,14 +74,16 @@
 		"load.rate":             "day.toml:7: load.rate: too many",
 		"nowhere":               "day.toml: nowhere: too many",
 	} {
-		if got := f.Errorf(field, "too %s", "many").Error(); got != want {
-			t.Errorf("%s: %q", field, got)
-		}
+		t.Run(field, func(t *testing.T) {
+			if got := f.Errorf(field, "too %s", "many").Error(); got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
 	}
 }
 
-func TestABadFileNamesLineAndField(t *testing.T) {
-	for want, swap := range map[string][2]string{
+func TestDecodeErrorNamesFileLineAndField(t *testing.T) {
+	for want, change := range map[string]struct{ from, to string }{
 		"day.toml:1: nam: unknown field":             {`name = "x"`, `nam = "x"`},
 		"day.toml:2: seed:":                          {`seed = 7`, `seed = -7`},
 		"day.toml:3: late:":                          {`["1s", "2.5s"]`, `["2s", "1s"]`},
@@ -94,21 +96,23 @@
 		"day.toml:3:":                                {`late = `, `late = = `},
 		"day.toml:6: on:":                            {`on = true`, `on = "yes"`},
 	} {
-		text := strings.Replace(good, swap[0], swap[1], 1)
-		if text == good {
-			t.Fatalf("%s: nothing replaced", want)
-		}
-		var s sample
-		_, err := Decode("day.toml", []byte(text), &s)
-		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("want %s, got %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			text := strings.Replace(good, change.from, change.to, 1)
+			if text == good {
+				t.Fatal("nothing replaced")
+			}
+			var s sample
+			_, err := Decode("day.toml", []byte(text), &s)
+			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+				t.Error(err)
+			}
+		})
 	}
 }
 
-func TestTheFirstErrorCounts(t *testing.T) {
+func TestDecodeReturnsFirstErrorOfFile(t *testing.T) {
 	var s sample
-	for range 20 { // maps have no order
+	for range 20 { // the decoder ranges over maps, whose order is random
 		_, err := Decode("day.toml", []byte("a = 1\nb = 2\nc = 3\n"), &s)
 		if err == nil || err.Error() != "day.toml:1: a: unknown field" {
 			t.Fatal(err)
