--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Errors of Normalize. Each is a reason to turn a request away with 400: what could be read in two ways must not be
-// routed in one and served in the other.
+// Errors of Normalize. Each is a reason to reject a request with 400: a target that servers read in different ways must
+// not be routed by one reading and served by another.
 var (
 	ErrNotAbsolutePath = errors.New("the target is no absolute path")
 	ErrCharacter       = errors.New("the target has a character that must be encoded")
@@ -16,24 +16,25 @@
 	ErrAboveRoot       = errors.New("the path leads above its root")
 )
 
-// Normalize brings a request's target into the one form that is matched and passed on: percent-encoded unreserved
-// characters decoded and other encodings in capitals (RFC 3986, 6.2.2.1 and 6.2.2.2), dot segments removed (5.2.4). The
-// query, without its "?", is returned as it came, and must be of characters that may stand in a target. A target that servers read differently is an error: encoded slashes,
-// backslashes and NULs, empty segments within, and parameters (";"), which some strip and others don't.
+// Normalize returns the path of a request's target in its normal form, in which it is matched and forwarded, and the
+// query as it arrived, without its "?". In normal form unreserved characters are not percent-encoded, other encodings
+// are in capitals (RFC 3986, 6.2.2.1 and 6.2.2.2), and there are no dot segments (5.2.4).
 //
-// A path that is in normal form already is returned as it is, without allocation.
+// The query must consist of characters that may stand in a target. A path that servers read in different ways is an
+// error: encoded slashes, backslashes and NULs, empty segments but the last, and parameters (";"), which some servers
+// strip.
+//
+// A path in normal form is returned as it is, without allocation.
 func Normalize(target string) (path, query string, err error) {
 	path, query, _ = strings.Cut(target, "?")
 	if path == "" || path[0] != '/' {
 		return "", "", ErrNotAbsolutePath
 	}
-	for i := range len(query) {
-		if c := query[i]; c <= ' ' || c > '~' || c == '#' {
-			return "", "", ErrCharacter
-		}
+	if !isQuery(query) {
+		return "", "", ErrCharacter
 	}
-	plain, err := isNormal(path)
-	if err != nil || plain {
+	normal, err := isNormal(path)
+	if err != nil || normal {
 		return path, query, err
 	}
 	if path, err = decodePath(path); err != nil {
@@ -43,7 +44,8 @@
 	return path, query, err
 }
 
-// Host brings a Host header into the form that rules have it in: in small letters, without port and final dot.
+// Host returns the host of a Host header in the form that rules have it in: in small letters, without port, brackets and
+// final dot.
 func Host(header string) string {
 	if name, _, err := net.SplitHostPort(header); err == nil {
 		header = name
@@ -51,35 +53,47 @@
 	return strings.ToLower(strings.TrimSuffix(strings.Trim(header, "[]"), "."))
 }
 
-// isNormal tells whether a path is in normal form already.
-func isNormal(path string) (plain bool, err error) {
-	plain = true
+// isQuery reports whether a query consists of visible ASCII characters, less the one that begins a fragment.
+func isQuery(query string) bool {
+	for i := range len(query) {
+		if c := query[i]; c <= ' ' || c > '~' || c == '#' {
+			return false
+		}
+	}
+	return true
+}
+
+// isNormal reports whether an absolute path is certainly in normal form. An error means that it has none.
+func isNormal(path string) (normal bool, err error) {
+	normal = true
 	for i := range len(path) {
 		switch c := path[i]; {
 		case c == '%':
-			plain = false
+			normal = false
 		case c == '/' && i > 0 && path[i-1] == '/', c == ';':
 			return false, ErrSegment
-		case c == '.' && path[i-1] == '/':
-			plain = false // perhaps a dot segment; the first byte is a slash
+		case c == '.' && path[i-1] == '/': // the first byte is a slash
+			normal = false // the segment may be a dot segment
 		case !isPathByte(c):
 			return false, ErrCharacter
 		}
 	}
-	return plain, nil
+	return normal, nil
 }
 
-// isPathByte tells whether a byte may stand in a path as it is: pchar and slash (RFC 3986, 3.3), less the semicolon.
+// isPathByte reports whether a byte may stand in a path unencoded: pchar and slash (RFC 3986, 3.3), less the semicolon.
 func isPathByte(c byte) bool {
 	return isUnreserved(c) || strings.IndexByte("/!$&'()*+,=:@", c) >= 0
 }
 
+// isUnreserved reports whether a byte is an unreserved character (RFC 3986, 2.3).
 func isUnreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
 const hexDigits = "0123456789ABCDEF"
 
+// decodePath decodes unreserved characters and brings other encodings into capitals.
 func decodePath(path string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(path))
@@ -91,25 +105,26 @@
 		if i+2 >= len(path) {
 			return "", ErrEscape
 		}
-		hi, lo := hexValue(path[i+1]), hexValue(path[i+2])
-		if hi < 0 || lo < 0 {
+		high, low := hexValue(path[i+1]), hexValue(path[i+2])
+		if high < 0 || low < 0 {
 			return "", ErrEscape
 		}
-		switch c := byte(hi<<4 | lo); {
+		switch c := byte(high<<4 | low); {
 		case c == '/' || c == '\\' || c == 0 || c == ';' || c == '%':
-			return "", ErrEscape // decoded once more elsewhere, it would be another path
+			return "", ErrEscape // a server that decodes once more would read another path
 		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
 			b.WriteByte('%')
-			b.WriteByte(hexDigits[hi])
-			b.WriteByte(hexDigits[lo])
+			b.WriteByte(hexDigits[high])
+			b.WriteByte(hexDigits[low])
 		}
 		i += 2
 	}
 	return b.String(), nil
 }
 
+// hexValue returns the value of a hexadecimal digit, and -1 for another byte.
 func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
@@ -122,13 +137,14 @@
 	return -1
 }
 
-// removeDotSegments is RFC 3986, 5.2.4; a step above the root is an error, since servers differ in what they make of it.
+// removeDotSegments is the algorithm of RFC 3986, 5.2.4, except that a step above the root is an error: servers differ
+// in what they make of it.
 func removeDotSegments(path string) (string, error) {
 	var kept []string
-	parts := strings.Split(path[1:], "/")
-	for i, part := range parts {
-		last := i == len(parts)-1
-		switch part {
+	segments := strings.Split(path[1:], "/")
+	for i, segment := range segments {
+		isLast := i == len(segments)-1
+		switch segment {
 		case ".":
 		case "..":
 			if len(kept) == 0 {
@@ -136,11 +152,11 @@
 			}
 			kept = kept[:len(kept)-1]
 		default:
-			kept = append(kept, part)
+			kept = append(kept, segment)
 			continue
 		}
-		if last {
-			kept = append(kept, "") // a directory stays one
+		if isLast {
+			kept = append(kept, "") // the path keeps its final slash
 		}
 	}
 	return "/" + strings.Join(kept, "/"), nil
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"strings"
@@ -9,81 +10,80 @@
 	"pgregory.net/rapid"
 )
 
-// naive is the reference: each rule in turn, each part by itself.
-func naive(t *Table, r *Request) (int, bool) {
+// firstWithoutMismatch is the reference for Match: each rule in turn, each part by itself.
+func firstWithoutMismatch(t *Table, r *Request) (int, bool) {
 	for i := range t.rules {
 		if t.Refusal(i, r) == "" {
 			return i, true
 		}
 	}
-	return none, false
+	return noRule, false
 }
 
-func part(words ...string) *rapid.Generator[string] { return rapid.SampledFrom(words) }
+func oneOf(words ...string) *rapid.Generator[string] { return rapid.SampledFrom(words) }
 
 var (
-	hosts    = part("a.example", "b.example", "x.a.example", "y.x.a.example", "example", ".a.example", "")
-	patterns = part("a.example", "*.example", "*.a.example", "example", "b.example")
-	segment  = part("a", "b", "c", "*", "")
-	methods  = part("GET", "PUT", "MOVE")
+	hosts    = oneOf("a.example", "b.example", "x.a.example", "y.x.a.example", "example", ".a.example", "")
+	patterns = oneOf("a.example", "*.example", "*.a.example", "example", "b.example")
+	segment  = oneOf("a", "b", "c", "*", "")
+	methods  = oneOf("GET", "PUT", "MOVE")
 )
 
-func path(t *rapid.T, of *rapid.Generator[string]) string {
+func drawPath(t *rapid.T, of *rapid.Generator[string]) string {
 	return "/" + strings.Join(rapid.SliceOfN(of, 1, 4).Draw(t, "segments"), "/")
 }
 
-func condition(t *rapid.T) Condition {
-	return Condition{Name: part("X-A", "x-b").Draw(t, "name"), Operator: Operator(rapid.IntRange(0, 3).Draw(t, "op")), Value: part("1", "12", "").Draw(t, "value")}
+func drawCondition(t *rapid.T) Condition {
+	return Condition{Name: oneOf("X-A", "x-b").Draw(t, "name"), Operator: Operator(rapid.IntRange(0, 3).Draw(t, "op")), Value: oneOf("1", "12", "").Draw(t, "value")}
 }
 
-func rule(t *rapid.T) Rule {
+func drawRule(t *rapid.T) Rule {
 	r := Rule{Hosts: rapid.SliceOfN(patterns, 0, 2).Draw(t, "hosts"), Kind: PathKind(rapid.IntRange(0, 4).Draw(t, "kind")),
 		Methods: rapid.SliceOfN(methods, 0, 2).Draw(t, "methods")}
 	switch r.Kind {
 	case Exact:
-		r.Path = path(t, part("a", "b", "c"))
+		r.Path = drawPath(t, oneOf("a", "b", "c"))
 	case Prefix:
-		r.Path = path(t, part("a", "b", "ab"))
+		r.Path = drawPath(t, oneOf("a", "b", "ab"))
 	case Segments:
-		if r.Path = path(t, segment); rapid.Bool().Draw(t, "rest") {
+		if r.Path = drawPath(t, segment); rapid.Bool().Draw(t, "rest") {
 			r.Path += "/**"
 		}
 	case Pattern:
-		r.Path = part(`/a.*`, `/[ab]/c`, `.*`, `/(a|b|/)*`).Draw(t, "pattern")
+		r.Path = oneOf(`/a.*`, `/[ab]/c`, `.*`, `/(a|b|/)*`).Draw(t, "pattern")
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "conditions") {
 	case 0:
-		r.Headers = []Condition{condition(t)}
+		r.Headers = []Condition{drawCondition(t)}
 	case 1:
-		r.Query = []Condition{condition(t)}
+		r.Query = []Condition{drawCondition(t)}
 	case 2:
-		r.Headers, r.Query = []Condition{condition(t)}, []Condition{condition(t)}
+		r.Headers, r.Query = []Condition{drawCondition(t)}, []Condition{drawCondition(t)}
 	}
 	return r
 }
 
-func request(t *rapid.T) *Request {
+func drawRequest(t *rapid.T) *Request {
 	h := http.Header{}
 	for _, name := range []string{"X-A", "X-B"} {
-		if v := rapid.SliceOfN(part("1", "12", "2"), 0, 2).Draw(t, name); len(v) > 0 {
+		if v := rapid.SliceOfN(oneOf("1", "12", "2"), 0, 2).Draw(t, name); len(v) > 0 {
 			h[name] = v
 		}
 	}
-	return &Request{Host: hosts.Draw(t, "host"), Path: path(t, part("a", "b", "c", "ab", "")), Method: methods.Draw(t, "method"), Header: h,
-		RawQuery: part("", "X-A=1", "x-b=12&X-A=2", "x%2Db=1%32", "X-A", "&&=1").Draw(t, "query")}
+	return &Request{Host: hosts.Draw(t, "host"), Path: drawPath(t, oneOf("a", "b", "c", "ab", "")), Method: methods.Draw(t, "method"), Header: h,
+		RawQuery: oneOf("", "X-A=1", "x-b=12&X-A=2", "x%2Db=1%32", "X-A", "&&=1").Draw(t, "query")}
 }
 
-// The compiled table must answer as a matcher that looks at each rule in turn.
-func TestATableIsItsRulesInOrder(t *testing.T) {
+func TestMatchReturnsFirstRuleWithoutMismatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := New(rapid.SliceOfN(rapid.Custom(rule), 0, 12).Draw(t, "rules"))
+		table, err := New(rapid.SliceOfN(rapid.Custom(drawRule), 0, 12).Draw(t, "rules"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
-			r := request(t)
+			r := drawRequest(t)
 			got, ok := table.Match(r)
-			want, wantOK := naive(table, r)
+			want, wantOK := firstWithoutMismatch(table, r)
 			if got != want || ok != wantOK {
 				t.Fatalf("%+v: rule %d, want %d", r, got, want)
 			}
@@ -91,39 +91,40 @@
 	})
 }
 
-// What is said to be unreachable must never be reached.
-func TestAnUnreachableRuleTakesNothing(t *testing.T) {
+func TestUnreachableRuleIsNeverMatched(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := New(rapid.SliceOfN(rapid.Custom(rule), 2, 8).Draw(t, "rules"))
+		table, err := New(rapid.SliceOfN(rapid.Custom(drawRule), 2, 8).Draw(t, "rules"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		shadows := table.Unreachable()
 		found += len(shadows)
 		for range 20 {
-			got, _ := table.Match(request(t))
+			got, _ := table.Match(drawRequest(t))
 			for _, s := range shadows {
 				if got == s.Rule {
-					t.Fatalf("rule %d is reached, though %d is said to cover it: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
+					t.Fatalf("rule %d is matched, though %d shadows it: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
 				}
 			}
 		}
 	})
 	if found == 0 {
-		t.Error("none was ever found")
+		t.Error("no rule was ever found to be unreachable")
 	}
 }
 
-func TestNormalForms(t *testing.T) {
+func TestNormalizeReturnsNormalFormOrRejects(t *testing.T) {
 	for target, want := range map[string]string{
 		"/": "/", "/a/b": "/a/b", "/a%62c": "/abc", "/%7euser": "/~user", "/a%c3%a9": "/a%C3%A9", "/a/./b": "/a/b", "/a/../b": "/b", "/a/b/..": "/a/",
 		"/a/.": "/a/", "/a/%2e%2e/b": "/b", "/...": "/...", "/a.b": "/a.b", "/.hidden": "/.hidden", "/a?x=/../y;z": "/a", "/a%20b": "/a%20b",
 	} {
-		got, _, err := Normalize(target)
-		if err != nil || got != want {
-			t.Errorf("%q: %q, %v", target, got, err)
-		}
+		t.Run(target, func(t *testing.T) {
+			got, _, err := Normalize(target)
+			if err != nil || got != want {
+				t.Errorf("got %q, %v, want %q", got, err, want)
+			}
+		})
 	}
 	for target, want := range map[string]error{
 		"": ErrNotAbsolutePath, "a": ErrNotAbsolutePath, "*": ErrNotAbsolutePath, "http://a.example/x": ErrNotAbsolutePath, "?x": ErrNotAbsolutePath, "//a": ErrSegment, "/a//b": ErrSegment,
@@ -131,9 +132,11 @@
 		"/a%2": ErrEscape, "/..": ErrAboveRoot, "/a/../../b": ErrAboveRoot, "/%2e%2e/": ErrAboveRoot, `/a\b`: ErrCharacter, "/a b": ErrCharacter, "/a\x7f": ErrCharacter,
 		"/é": ErrCharacter, "/a#b": ErrCharacter,
 	} {
-		if got, _, err := Normalize(target); err != want {
-			t.Errorf("%q: %q, %v, want %v", target, got, err, want)
-		}
+		t.Run("rejected "+target, func(t *testing.T) {
+			if got, _, err := Normalize(target); !errors.Is(err, want) || err.Error() != want.Error() {
+				t.Errorf("got %q, %v, want %v", got, err, want)
+			}
+		})
 	}
 }
 
@@ -173,13 +176,13 @@
 		}
 		r := &Request{Path: path, RawQuery: query}
 		got, _ := table.Match(r)
-		if want, _ := naive(table, r); got != want {
+		if want, _ := firstWithoutMismatch(table, r); got != want {
 			t.Errorf("%+v: %d, want %d", r, got, want)
 		}
 	})
 }
 
-func TestABadRuleIsNamed(t *testing.T) {
+func TestNewErrorNamesRule(t *testing.T) {
 	for want, r := range map[string]Rule{
 		"host":               {Hosts: []string{"A.example"}},
 		"no name":            {Hosts: []string{"a.*"}},
@@ -189,14 +192,20 @@
 		"missing closing":    {Kind: Pattern, Path: "("},
 		"longer than":        {Kind: Pattern, Path: strings.Repeat("a", 1025)},
 	} {
-		_, err := New([]Rule{{}, {Name: "second", Kind: r.Kind, Path: r.Path, Hosts: r.Hosts}})
-		if err == nil || !strings.HasPrefix(err.Error(), "route 1 (second): ") || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q: %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := New([]Rule{{}, {Name: "second", Kind: r.Kind, Path: r.Path, Hosts: r.Hosts}})
+			if err == nil || !strings.HasPrefix(err.Error(), "route 1 (second): ") || !strings.Contains(err.Error(), want) {
+				t.Fatal(err)
+			}
+			ruleErr := (*RuleError)(nil)
+			if !errors.As(err, &ruleErr) || ruleErr.Index != 1 || ruleErr.Name != "second" || err.Error() != "route 1 (second): "+ruleErr.Err.Error() {
+				t.Errorf("%#v", err)
+			}
+		})
 	}
 }
 
-func TestARefusalSaysWhy(t *testing.T) {
+func TestMismatchNamesFirstPartThatDiffers(t *testing.T) {
 	table, err := New([]Rule{{Hosts: []string{"a.example"}}, {Kind: Exact, Path: "/x"}, {Methods: []string{"PUT"}},
 		{Headers: []Condition{{Name: "x-a", Operator: Equal, Value: "1"}}}, {Query: []Condition{{Name: "q"}}}, {}})
 	if err != nil {
@@ -204,14 +213,17 @@
 	}
 	r := &Request{Host: "b.example", Path: "/y", Method: "GET", Header: http.Header{}}
 	for i, want := range []string{`host "b.example" is none of a.example`, `path "/y" does not match "/x"`, "method GET is none of PUT", `header X-A is not "1"`, "query value q is missing", ""} {
-		if got := table.Refusal(i, r); got != want {
-			t.Errorf("rule %d: %q", i, got)
-		}
+		t.Run(fmt.Sprintf("rule %d", i), func(t *testing.T) {
+			if got := table.Refusal(i, r); got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
 	}
 }
 
-// A tree of segments with a wildcard beside a name at each level must not be walked over and over.
-func TestPatternsMadeToBeSlowAreNot(t *testing.T) {
+// A tree of segments with a wildcard beside a name at each level has 2^10 leaves that one path may lead to; and a
+// pattern that takes exponential time with backtracking.
+func TestLookupOfAdversarialRulesIsBounded(t *testing.T) {
 	var rules []Rule
 	for i := range 1 << 10 {
 		var b strings.Builder
@@ -237,7 +249,9 @@
 	}
 }
 
-func tableOf(n int) (*Table, *Request) {
+// newMixedTable has n rules of all cheap kinds, ten for each host, and a request that only one of the last rules matches.
+func newMixedTable(tb testing.TB, n int) (*Table, *Request) {
+	tb.Helper()
 	var rules []Rule
 	for i := range n {
 		r := Rule{Name: fmt.Sprint(i), Hosts: []string{fmt.Sprintf("h%d.example", i/10)}}
@@ -255,14 +269,14 @@
 	}
 	table, err := New(rules)
 	if err != nil {
-		panic(err)
+		tb.Fatal(err)
 	}
 	i := (n - 1) / 4 * 4
 	return table, &Request{Host: fmt.Sprintf("h%d.example", i/10), Path: fmt.Sprintf("/exact/%d", i), Method: "GET", Header: http.Header{}}
 }
 
-func TestAnOrdinaryLookupAllocatesNothing(t *testing.T) {
-	table, r := tableOf(1000)
+func TestLookupAndNormalizeAllocateNothing(t *testing.T) {
+	table, r := newMixedTable(t, 1000)
 	if n := testing.AllocsPerRun(100, func() { table.Match(r) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -273,7 +287,7 @@
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
-		table, r := tableOf(n)
+		table, r := newMixedTable(b, n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -285,7 +299,7 @@
 	}
 }
 
-// All rules without a host: the least that the index can do for a lookup, and patterns, which it can't help at all.
+// Without hosts the index narrows a lookup the least.
 func BenchmarkMatchWithoutHosts(b *testing.B) {
 	for _, kind := range []PathKind{Prefix, Segments, Pattern} {
 		for _, n := range []int{10, 1000, 10000} {
@@ -312,7 +326,7 @@
 
 func BenchmarkNew(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
-		table, _ := tableOf(n)
+		table, _ := newMixedTable(b, n)
 		var rules []Rule
 		for i := range n {
 			rules = append(rules, table.Rule(i))
@@ -327,7 +341,7 @@
 	}
 }
 
-func TestConditions(t *testing.T) {
+func TestConditionComparesEachValue(t *testing.T) {
 	for _, c := range []struct {
 		query string
 		want  Condition
@@ -339,32 +353,40 @@
 		{"%61=%31", Condition{"a", Equal, "1"}, true}, {"a=x+y", Condition{"a", Equal, "x y"}, true}, {"a=%zz", Condition{"a", Equal, "%zz"}, true},
 		{"&&a=1&", Condition{"a", Equal, "1"}, true},
 	} {
-		if got := c.want.matchesQuery(c.query); got != c.holds {
-			t.Errorf("%q, %+v: %v", c.query, c.want, got)
-		}
+		t.Run(fmt.Sprintf("query %q %s", c.query, &c.want), func(t *testing.T) {
+			if got := c.want.matchesQuery(c.query); got != c.holds {
+				t.Errorf("got %v, want %v", got, c.holds)
+			}
+		})
 	}
 	h := http.Header{"A": {"1", "23"}}
 	for want, holds := range map[Condition]bool{{"A", Present, ""}: true, {"B", Present, ""}: false, {"A", Absent, ""}: false, {"B", Absent, ""}: true,
 		{"A", Equal, "23"}: true, {"A", Equal, "2"}: false, {"A", HasPrefix, "2"}: true} {
-		if got := want.matchesHeader(h); got != holds {
-			t.Errorf("%+v: %v", want, got)
-		}
+		t.Run("header "+want.String(), func(t *testing.T) {
+			if got := want.matchesHeader(h); got != holds {
+				t.Errorf("got %v, want %v", got, holds)
+			}
+		})
 	}
 }
 
-func TestHostsAreBroughtIntoOneForm(t *testing.T) {
+func TestHostStripsPortBracketsAndFinalDot(t *testing.T) {
 	for header, want := range map[string]string{"A.Example:80": "a.example", "a.example.": "a.example", "a.example.:8": "a.example", "[::1]:80": "::1",
 		"[::1]": "::1", "": "", "10.0.0.1": "10.0.0.1"} {
-		if got := Host(header); got != want {
-			t.Errorf("%q: %q, want %q", header, got, want)
-		}
+		t.Run(header, func(t *testing.T) {
+			if got := Host(header); got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
 	}
 }
 
-func TestQueriesAreOfPlainCharacters(t *testing.T) {
-	for target, ok := range map[string]bool{"/a?b=%20&c=/?": true, "/a?b#c": false, "/a?\xff": false, "/a? ": false} {
-		if _, _, err := Normalize(target); (err == nil) != ok {
-			t.Errorf("%q: %v", target, err)
-		}
+func TestNormalizeRejectsQueryWithOtherCharacters(t *testing.T) {
+	for target, ok := range map[string]bool{"/a?b=%20&c=/?": true, "/a?b#c": false, "/a?\xff": false, "/a?\x20": false} {
+		t.Run(target, func(t *testing.T) {
+			if _, _, err := Normalize(target); (err == nil) != ok {
+				t.Errorf("got %v, want accepted %v", err, ok)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/route/shadow.go
@@ -0,0 +1,74 @@
+package route
+
+import (
+	"slices"
+	"strings"
+)
+
+// Shadow is a rule that takes no requests because an earlier one takes all that it would match. Both are indexes of the
+// table.
+type Shadow struct{ Rule, By int }
+
+// Unreachable returns the rules that one earlier rule shadows. Rules that only several others shadow together are not
+// found. The time that it takes grows with the square of the number of rules.
+func (t *Table) Unreachable() []Shadow {
+	var shadows []Shadow
+	for later := range t.rules {
+		for earlier := range later {
+			if t.rules[earlier].covers(&t.rules[later]) {
+				shadows = append(shadows, Shadow{Rule: later, By: earlier})
+				break
+			}
+		}
+	}
+	return shadows
+}
+
+// covers reports whether the rule matches all requests that another matches. It may return false for one that does.
+func (c *compiledRule) covers(other *compiledRule) bool {
+	isImplied := func(conditions []Condition) func(Condition) bool {
+		return func(own Condition) bool { return slices.ContainsFunc(conditions, own.isImpliedBy) }
+	}
+	return c.coversPath(other) && c.coversHosts(other) && c.coversMethods(other) &&
+		allMatch(c.Headers, isImplied(other.Headers)) && allMatch(c.Query, isImplied(other.Query))
+}
+
+func (c *compiledRule) coversHosts(other *compiledRule) bool {
+	return len(c.Hosts) == 0 || len(other.Hosts) > 0 && allMatch(other.Hosts, func(host string) bool {
+		return slices.ContainsFunc(c.Hosts, func(pattern string) bool {
+			return pattern == host || matchesHost(pattern, strings.TrimPrefix(host, "*"))
+		})
+	})
+}
+
+func (c *compiledRule) coversMethods(other *compiledRule) bool {
+	return len(c.Methods) == 0 || len(other.Methods) > 0 &&
+		allMatch(other.Methods, func(method string) bool { return slices.Contains(c.Methods, method) })
+}
+
+func (c *compiledRule) coversPath(other *compiledRule) bool {
+	switch {
+	case c.matchesAnyPath():
+		return true
+	case other.Kind == Exact:
+		return c.matchesPath(other.Path)
+	case c.Kind == Prefix && other.Kind == Prefix:
+		return strings.HasPrefix(other.Path, c.Path)
+	case c.Kind == other.Kind && c.Path == other.Path:
+		return true
+	case c.Kind == Segments && other.Kind == Segments && c.endsWithRest && len(other.segments) >= len(c.segments):
+		return slices.EqualFunc(c.segments, other.segments[:len(c.segments)], func(own, its string) bool {
+			return own == its || own == wildcardSegment && its != ""
+		})
+	}
+	return false
+}
+
+// matchesAnyPath reports whether the rule's path matches that of every request.
+func (c *compiledRule) matchesAnyPath() bool {
+	return c.Kind == AnyPath || c.Kind == Prefix && c.Path == "/" || c.Kind == Segments && c.endsWithRest && len(c.segments) == 0
+}
+
+func allMatch[T any](list []T, matches func(T) bool) bool {
+	return !slices.ContainsFunc(list, func(v T) bool { return !matches(v) })
+}
--- /dev/null
+++ b/internal/route/table.go
@@ -0,0 +1,164 @@
+package route
+
+import (
+	"slices"
+	"strings"
+)
+
+// Table is a compiled list of rules. A lookup allocates nothing unless it has to decode a query value or to match a
+// pattern.
+type Table struct {
+	rules         []compiledRule
+	exactHosts    map[string]*pathIndex
+	wildcardHosts map[string]*pathIndex // by the name after "*."
+	anyHost       *pathIndex
+}
+
+// New compiles rules. An error is a *RuleError.
+func New(rules []Rule) (*Table, error) {
+	t := &Table{exactHosts: map[string]*pathIndex{}, wildcardHosts: map[string]*pathIndex{}, anyHost: newPathIndex()}
+	for i, r := range rules {
+		c, err := compile(r)
+		if err != nil {
+			return nil, &RuleError{Index: i, Name: r.Name, Err: err}
+		}
+		t.rules = append(t.rules, c)
+		t.addToIndexes(i, &c)
+	}
+	return t, nil
+}
+
+func (t *Table) addToIndexes(rule int, c *compiledRule) {
+	if len(c.Hosts) == 0 {
+		t.anyHost.add(rule, c)
+	}
+	for _, host := range c.Hosts {
+		indexes, name := t.exactHosts, host
+		if parent, ok := strings.CutPrefix(host, "*."); ok {
+			indexes, name = t.wildcardHosts, parent
+		}
+		if indexes[name] == nil {
+			indexes[name] = newPathIndex()
+		}
+		indexes[name].add(rule, c)
+	}
+}
+
+// Len returns how many rules the table has.
+func (t *Table) Len() int { return len(t.rules) }
+
+// Rule returns the rule at an index of New's argument, with canonical names of headers.
+func (t *Table) Rule(index int) Rule { return t.rules[index].Rule }
+
+// noRule is an index beyond those of all rules.
+const noRule = int(^uint(0) >> 1)
+
+// Match returns the index of the first rule that takes a request, and whether there is one.
+func (t *Table) Match(r *Request) (index int, ok bool) {
+	best := noRule
+	if p := t.exactHosts[r.Host]; p != nil {
+		best = t.firstOfHost(p, r, best)
+	}
+	for parent := r.Host; len(t.wildcardHosts) > 0; {
+		dot := strings.IndexByte(parent, '.')
+		if dot < 0 {
+			break
+		}
+		parent = parent[dot+1:]
+		if p := t.wildcardHosts[parent]; p != nil && dot > 0 {
+			best = t.firstOfHost(p, r, best)
+		}
+	}
+	best = t.firstOfHost(t.anyHost, r, best)
+	return best, best != noRule
+}
+
+// firstOfHost returns the first rule of a host that takes the request if it comes before best, and best otherwise. Each
+// kind of path lowers best, so that fewer rules of the kinds that cost more are tried.
+func (t *Table) firstOfHost(p *pathIndex, r *Request, best int) int {
+	best = t.first(p.any, r, best)
+	best = t.first(p.exact[r.Path], r, best)
+	for _, length := range p.prefixes.lengths {
+		if length > len(r.Path) {
+			break
+		}
+		best = t.first(p.prefixes.rulesByPrefix[r.Path[:length]], r, best)
+	}
+	if !p.segments.isEmptyRoot() {
+		best = t.firstBySegments(p.segments, r.Path, r, best)
+	}
+	for _, length := range p.patterns.lengths {
+		if length > len(r.Path) {
+			break
+		}
+		best = t.firstPattern(p.patterns.rulesByPrefix[r.Path[:length]], r, best)
+	}
+	return best
+}
+
+// firstBySegments walks down the tree of segments. path begins with the slash before the next segment, or is empty at
+// the end. A node is reached on one way only, so that each is visited once at most: the work is bounded by the tree,
+// whatever the path is.
+func (t *Table) firstBySegments(n *segmentNode, path string, r *Request, best int) int {
+	best = t.first(n.restRules, r, best)
+	if path == "" {
+		return t.first(n.rules, r, best)
+	}
+	segment, rest := path[1:], ""
+	if i := strings.IndexByte(segment, '/'); i >= 0 {
+		segment, rest = segment[:i], segment[i:]
+	}
+	if child := n.children[segment]; child != nil {
+		best = t.firstBySegments(child, rest, r, best)
+	}
+	if n.wildcard != nil && segment != "" {
+		best = t.firstBySegments(n.wildcard, rest, r, best)
+	}
+	return best
+}
+
+// first returns the first rule of a list whose other parts match if it comes before best, and best otherwise. Host and
+// path of these rules have been matched.
+func (t *Table) first(rules []int, r *Request, best int) int {
+	for _, i := range rules {
+		if i >= best {
+			return best
+		}
+		if t.rules[i].matchesRest(r) {
+			return i
+		}
+	}
+	return best
+}
+
+// firstPattern does what first does for rules whose pattern has yet to be matched. That costs more than all else, and
+// so comes last.
+func (t *Table) firstPattern(rules []int, r *Request, best int) int {
+	for _, i := range rules {
+		if i >= best {
+			return best
+		}
+		if t.rules[i].matchesRest(r) && t.rules[i].pattern.MatchString(r.Path) {
+			return i
+		}
+	}
+	return best
+}
+
+// matchesRest reports whether everything but host and path matches.
+func (c *compiledRule) matchesRest(r *Request) bool {
+	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) {
+		return false
+	}
+	for i := range c.Headers {
+		if !c.Headers[i].matchesHeader(r.Header) {
+			return false
+		}
+	}
+	for i := range c.Query {
+		if !c.Query[i].matchesQuery(r.RawQuery) {
+			return false
+		}
+	}
+	return true
+}
