--- /dev/null
+++ b/internal/route/condition_test.go
@@ -0,0 +1,36 @@
+package route
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+)
+
+func TestConditionComparesEachValue(t *testing.T) {
+	for _, c := range []struct {
+		query string
+		want  Condition
+		holds bool
+	}{
+		{"a=1", Condition{"a", Present, ""}, true}, {"b=1", Condition{"a", Present, ""}, false}, {"a", Condition{"a", Present, ""}, true},
+		{"a=1", Condition{"a", Absent, ""}, false}, {"b=1", Condition{"a", Absent, ""}, true}, {"", Condition{"a", Absent, ""}, true},
+		{"a=1&a=2", Condition{"a", Equal, "2"}, true}, {"a=12", Condition{"a", Equal, "1"}, false}, {"a=12", Condition{"a", HasPrefix, "1"}, true},
+		{"%61=%31", Condition{"a", Equal, "1"}, true}, {"a=x+y", Condition{"a", Equal, "x y"}, true}, {"a=%zz", Condition{"a", Equal, "%zz"}, true},
+		{"&&a=1&", Condition{"a", Equal, "1"}, true},
+	} {
+		t.Run(fmt.Sprintf("query %q %s", c.query, &c.want), func(t *testing.T) {
+			if got := c.want.matchesQuery(c.query); got != c.holds {
+				t.Errorf("got %v, want %v", got, c.holds)
+			}
+		})
+	}
+	h := http.Header{"A": {"1", "23"}}
+	for want, holds := range map[Condition]bool{{"A", Present, ""}: true, {"B", Present, ""}: false, {"A", Absent, ""}: false, {"B", Absent, ""}: true,
+		{"A", Equal, "23"}: true, {"A", Equal, "2"}: false, {"A", HasPrefix, "2"}: true} {
+		t.Run("header "+want.String(), func(t *testing.T) {
+			if got := want.matchesHeader(h); got != holds {
+				t.Errorf("got %v, want %v", got, holds)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/route/normalize_test.go
@@ -0,0 +1,76 @@
+package route
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestNormalizeReturnsNormalFormOrRejects(t *testing.T) {
+	for target, want := range map[string]string{
+		"/": "/", "/a/b": "/a/b", "/a%62c": "/abc", "/%7euser": "/~user", "/a%c3%a9": "/a%C3%A9", "/a/./b": "/a/b", "/a/../b": "/b", "/a/b/..": "/a/",
+		"/a/.": "/a/", "/a/%2e%2e/b": "/b", "/...": "/...", "/a.b": "/a.b", "/.hidden": "/.hidden", "/a?x=/../y;z": "/a", "/a%20b": "/a%20b",
+	} {
+		t.Run(target, func(t *testing.T) {
+			got, _, err := Normalize(target)
+			if err != nil || got != want {
+				t.Errorf("got %q, %v, want %q", got, err, want)
+			}
+		})
+	}
+	for target, want := range map[string]error{
+		"": ErrNotAbsolutePath, "a": ErrNotAbsolutePath, "*": ErrNotAbsolutePath, "http://a.example/x": ErrNotAbsolutePath, "?x": ErrNotAbsolutePath, "//a": ErrSegment, "/a//b": ErrSegment,
+		"/a;x=1": ErrSegment, "/a%2fb": ErrEscape, "/a%5Cb": ErrEscape, "/%00": ErrEscape, "/a%3bx": ErrEscape, "/a%252e": ErrEscape, "/a%zz": ErrEscape,
+		"/a%2": ErrEscape, "/..": ErrAboveRoot, "/a/../../b": ErrAboveRoot, "/%2e%2e/": ErrAboveRoot, `/a\b`: ErrCharacter, "/a b": ErrCharacter, "/a\x7f": ErrCharacter,
+		"/é": ErrCharacter, "/a#b": ErrCharacter,
+	} {
+		t.Run("rejected "+target, func(t *testing.T) {
+			if got, _, err := Normalize(target); !errors.Is(err, want) || err.Error() != want.Error() {
+				t.Errorf("got %q, %v, want %v", got, err, want)
+			}
+		})
+	}
+}
+
+func FuzzNormalize(f *testing.F) {
+	for _, seed := range []string{"/", "/a/../b?x", "/%2e%2E/a", "/a%2fb", "//", "/.", "/a/.%2e/"} {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, target string) {
+		path, query, err := Normalize(target)
+		if err != nil {
+			return
+		}
+		again, _, err := Normalize(path)
+		if err != nil || again != path {
+			t.Errorf("%q is %q, which is %q, %v", target, path, again, err)
+		}
+		if strings.Contains(path, "//") || strings.Contains(path+"/", "/../") || strings.Contains(path+"/", "/./") || strings.ContainsAny(path, "?;\\# ") || path[0] != '/' {
+			t.Errorf("%q is %q", target, path)
+		}
+		if _, raw, _ := strings.Cut(target, "?"); raw != query {
+			t.Errorf("the query of %q is %q", target, query)
+		}
+	})
+}
+
+func TestHostStripsPortBracketsAndFinalDot(t *testing.T) {
+	for header, want := range map[string]string{"A.Example:80": "a.example", "a.example.": "a.example", "a.example.:8": "a.example", "[::1]:80": "::1",
+		"[::1]": "::1", "": "", "10.0.0.1": "10.0.0.1"} {
+		t.Run(header, func(t *testing.T) {
+			if got := Host(header); got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
+	}
+}
+
+func TestNormalizeRejectsQueryWithOtherCharacters(t *testing.T) {
+	for target, ok := range map[string]bool{"/a?b=%20&c=/?": true, "/a?b#c": false, "/a?\xff": false, "/a?\x20": false} {
+		t.Run(target, func(t *testing.T) {
+			if _, _, err := Normalize(target); (err == nil) != ok {
+				t.Errorf("got %v, want accepted %v", err, ok)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/route/shadow_test.go
@@ -0,0 +1,30 @@
+package route
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestUnreachableRuleIsNeverMatched(t *testing.T) {
+	found := 0
+	rapid.Check(t, func(t *rapid.T) {
+		table, err := New(rapid.SliceOfN(rapid.Custom(drawRule), 2, 8).Draw(t, "rules"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		shadows := table.Unreachable()
+		found += len(shadows)
+		for range 20 {
+			got, _ := table.Match(drawRequest(t))
+			for _, s := range shadows {
+				if got == s.Rule {
+					t.Fatalf("rule %d is matched, though %d shadows it: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
+				}
+			}
+		}
+	})
+	if found == 0 {
+		t.Error("no rule was ever found to be unreachable")
+	}
+}
--- /dev/null
+++ b/internal/route/table_test.go
@@ -0,0 +1,148 @@
+package route
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// firstWithoutMismatch is the reference for Match: each rule in turn, each part by itself.
+func firstWithoutMismatch(t *Table, r *Request) (int, bool) {
+	for i := range t.rules {
+		if t.Refusal(i, r) == "" {
+			return i, true
+		}
+	}
+	return noRule, false
+}
+
+func oneOf(words ...string) *rapid.Generator[string] { return rapid.SampledFrom(words) }
+
+var (
+	hosts    = oneOf("a.example", "b.example", "x.a.example", "y.x.a.example", "example", ".a.example", "")
+	patterns = oneOf("a.example", "*.example", "*.a.example", "example", "b.example")
+	segment  = oneOf("a", "b", "c", "*", "")
+	methods  = oneOf("GET", "PUT", "MOVE")
+)
+
+func drawPath(t *rapid.T, of *rapid.Generator[string]) string {
+	return "/" + strings.Join(rapid.SliceOfN(of, 1, 4).Draw(t, "segments"), "/")
+}
+
+func drawCondition(t *rapid.T) Condition {
+	return Condition{Name: oneOf("X-A", "x-b").Draw(t, "name"), Operator: Operator(rapid.IntRange(0, 3).Draw(t, "op")), Value: oneOf("1", "12", "").Draw(t, "value")}
+}
+
+func drawRule(t *rapid.T) Rule {
+	r := Rule{Hosts: rapid.SliceOfN(patterns, 0, 2).Draw(t, "hosts"), Kind: PathKind(rapid.IntRange(0, 4).Draw(t, "kind")),
+		Methods: rapid.SliceOfN(methods, 0, 2).Draw(t, "methods")}
+	switch r.Kind {
+	case Exact:
+		r.Path = drawPath(t, oneOf("a", "b", "c"))
+	case Prefix:
+		r.Path = drawPath(t, oneOf("a", "b", "ab"))
+	case Segments:
+		if r.Path = drawPath(t, segment); rapid.Bool().Draw(t, "rest") {
+			r.Path += "/**"
+		}
+	case Pattern:
+		r.Path = oneOf(`/a.*`, `/[ab]/c`, `.*`, `/(a|b|/)*`).Draw(t, "pattern")
+	}
+	switch rapid.IntRange(0, 5).Draw(t, "conditions") {
+	case 0:
+		r.Headers = []Condition{drawCondition(t)}
+	case 1:
+		r.Query = []Condition{drawCondition(t)}
+	case 2:
+		r.Headers, r.Query = []Condition{drawCondition(t)}, []Condition{drawCondition(t)}
+	}
+	return r
+}
+
+func drawRequest(t *rapid.T) *Request {
+	h := http.Header{}
+	for _, name := range []string{"X-A", "X-B"} {
+		if v := rapid.SliceOfN(oneOf("1", "12", "2"), 0, 2).Draw(t, name); len(v) > 0 {
+			h[name] = v
+		}
+	}
+	return &Request{Host: hosts.Draw(t, "host"), Path: drawPath(t, oneOf("a", "b", "c", "ab", "")), Method: methods.Draw(t, "method"), Header: h,
+		RawQuery: oneOf("", "X-A=1", "x-b=12&X-A=2", "x%2Db=1%32", "X-A", "&&=1").Draw(t, "query")}
+}
+
+func TestMatchReturnsFirstRuleWithoutMismatch(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		table, err := New(rapid.SliceOfN(rapid.Custom(drawRule), 0, 12).Draw(t, "rules"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for range 20 {
+			r := drawRequest(t)
+			got, ok := table.Match(r)
+			want, wantOK := firstWithoutMismatch(table, r)
+			if got != want || ok != wantOK {
+				t.Fatalf("%+v: rule %d, want %d", r, got, want)
+			}
+		}
+	})
+}
+
+func FuzzMatch(f *testing.F) {
+	f.Add("/a/*/c/**", "/a/b/c", "x=1", `/a.*`)
+	f.Fuzz(func(t *testing.T, segments, target, query, pattern string) {
+		table, err := New([]Rule{{Kind: Segments, Path: segments}, {Kind: Prefix, Path: segments}, {Kind: Pattern, Path: pattern}, {Kind: Exact, Path: target},
+			{Query: []Condition{{Name: "x", Operator: Equal, Value: "1"}}}})
+		if err != nil {
+			return
+		}
+		path, _, err := Normalize(target)
+		if err != nil {
+			return
+		}
+		r := &Request{Path: path, RawQuery: query}
+		got, _ := table.Match(r)
+		if want, _ := firstWithoutMismatch(table, r); got != want {
+			t.Errorf("%+v: %d, want %d", r, got, want)
+		}
+	})
+}
+
+// A tree of segments with a wildcard beside a name at each level has 2^10 leaves that one path may lead to; and a
+// pattern that takes exponential time with backtracking.
+func TestLookupOfAdversarialRulesIsBounded(t *testing.T) {
+	var rules []Rule
+	for i := range 1 << 10 {
+		var b strings.Builder
+		for bit := range 10 {
+			if i>>bit&1 == 0 {
+				b.WriteString("/a")
+			} else {
+				b.WriteString("/*")
+			}
+		}
+		rules = append(rules, Rule{Kind: Segments, Path: b.String() + "/end"})
+	}
+	rules = append(rules, Rule{Kind: Pattern, Path: `/(a*)*b`})
+	table, err := New(rules)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, ok := table.Match(&Request{Path: strings.Repeat("/a", 10) + "/no"}); ok {
+		t.Error("matched")
+	}
+	if _, ok := table.Match(&Request{Path: "/" + strings.Repeat("a", 8000)}); ok {
+		t.Error("matched")
+	}
+}
+
+func TestLookupAndNormalizeAllocateNothing(t *testing.T) {
+	table, r := newMixedTable(t, 1000)
+	if n := testing.AllocsPerRun(100, func() { table.Match(r) }); n != 0 {
+		t.Errorf("%v allocations", n)
+	}
+	if n := testing.AllocsPerRun(100, func() { _, _, _ = Normalize("/exact/996?x=1") }); n != 0 {
+		t.Errorf("%v allocations to normalize", n)
+	}
+}
