--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -12,7 +12,7 @@
 // balancer needs to know of it.
 type Class struct {
 	Name   string `toml:"name"`
-	Effect string `toml:"effect"` // a key of Effects
+	Effect string `toml:"effect"` // "safe", "keyed" or "unsafe"
 
 	IdempotencyWindow time.Duration `toml:"window"` // for which endpoints recognize a duplicate by its key; over 0 if keyed
 	Group             string        `toml:"group"`  // which endpoints recognize each other's keys: "all", "zone" or "cell"
@@ -68,7 +68,7 @@
 	maxStreamDuration = 24 * time.Hour
 )
 
-// Effects has the balancer's effects of a request by their names in a file.
+// Effects has the balancer's effects of a request by their names in a file. It must not be changed.
 var Effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 
 // groups has the balancer's groups of endpoints by their names in a file.
@@ -123,7 +123,8 @@
 	return at.Check(table, []tomlfile.Must{
 		tomlfile.Need("name", names.add(c.Name), "a name of its own"),
 		tomlfile.Need("effect", isEffect, "safe, keyed or unsafe"),
-		tomlfile.Need("window", (c.IdempotencyWindow > 0) == (c.Effect == effectKeyed), "over 0 for a keyed class, and only there"),
+		tomlfile.Need("window", (c.IdempotencyWindow > 0) == (c.Effect == effectKeyed),
+			"over 0 for a keyed class, and only there"),
 		tomlfile.Need("group", isGroup, "all, zone or cell"),
 		tomlfile.Need("deadline", c.Deadline > 0, "over 0"),
 		tomlfile.Need("deadline_most", c.DeadlineMost >= c.Deadline && c.DeadlineMost <= maxDeadline,
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -117,7 +117,8 @@
 	return at.Check("fleet", []tomlfile.Must{
 		tomlfile.Need("agreed", !c.ConsensusEnabled || len(c.Voters) > 0, "false where no voters are named"),
 		tomlfile.Need("data_dir", c.DataDir == "" || c.ConsensusEnabled, "left out where nothing is agreed on"),
-		tomlfile.Need("data_dir", c.DataDir != "" || !c.ConsensusEnabled || !isVoter, "given for a voter where settings are agreed on"),
+		tomlfile.Need("data_dir", c.DataDir != "" || !c.ConsensusEnabled || !isVoter,
+			"given for a voter where settings are agreed on"),
 		tomlfile.Need("conflict_within", c.MaxConflict >= minMaxConflict && c.MaxConflict <= maxLeaseDuration,
 			fmt.Sprintf("from %v to %v", minMaxConflict, maxLeaseDuration)),
 		tomlfile.Need("lease", c.LeaseDuration >= c.MaxConflict && c.LeaseDuration <= maxLeaseDuration,
--- a/internal/config/header.go
+++ b/internal/config/header.go
@@ -7,8 +7,10 @@
 
 // protectedHeaders are the headers that a route may not set or remove: they frame a message or belong to one connection
 // (RFC 9110, 7.6.1), or the daemon writes them on its own behalf.
-var protectedHeaders = []string{"Connection", "Content-Length", "Expect", "Forwarded", "Host", "Keep-Alive", "Proxy-Connection",
-	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
+var protectedHeaders = []string{
+	"Connection", "Content-Length", "Expect", "Forwarded", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
+	"Transfer-Encoding", "Upgrade", "Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto",
+}
 
 // isRewritableHeader reports whether a route may set or remove the header of this name.
 func isRewritableHeader(name string) bool {
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -67,7 +67,8 @@
 func defaultListener() Listener {
 	return Listener{
 		Connections: defaultConnections, HeadBytes: defaultHeadBytes, BodyBytes: defaultBodyBytes,
-		HeadTimeout: 1500 * time.Millisecond, BodyTimeout: time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
+		HeadTimeout: 1500 * time.Millisecond, BodyTimeout: time.Second,
+		IdleTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
 		Forwarded: forwardedSet, RetryAfter: retryAfterSeconds,
 	}
 }
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -43,7 +43,10 @@
 	if err != nil {
 		return Service{}, fmt.Errorf("settings: %w", err)
 	}
-	s := Service{Name: c.Name, Admin: c.AdminAddress, Operators: c.operatorConnections(), Limits: c.Limits, Table: table, Targets: targets}
+	s := Service{
+		Name: c.Name, Limits: c.Limits, Table: table, Targets: targets,
+		Admin: c.AdminAddress, Operators: c.operatorConnections(),
+	}
 	s.Grace = terminationGrace(c.Settings.Longest)
 	s.Drain = s.Grace - cutOffNotice
 	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryFraction
@@ -108,7 +111,7 @@
 	return class
 }
 
-// effectName is the inverse of Effects; "" for an unknown effect.
+// effectName returns the name that an effect has in a file; "" for an unknown one.
 func effectName(effect balance.Effect) string {
 	for name, e := range Effects {
 		if e == effect {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -40,8 +40,8 @@
 	AnswerBytes int64            // of a response that streams, at most; 0: unlimited
 	Flow        body.Pace        // minimum pace of endpoints while a body streams
 
-	// Whole is how long a buffered response may take from its first byte to its last; under 0.5 s it stands for that. On
-	// the platform, where it is 0, no response takes nearly as long (23 ms at most, measured).
+	// How long a buffered response may take from its first byte to its last; a value under 0.5 s stands for that. On the
+	// platform, where it is 0, no response takes nearly as long (23 ms at most, measured).
 	Whole time.Duration
 
 	Spread bool // connections are opened rather than waited for
@@ -53,7 +53,7 @@
 // the pool has no endpoints.
 type SourceSpec struct {
 	Agent   string               // address of the platform's discovery
-	Anew    bool                 // the agent is asked for its complete list, though Known is set
+	Anew    bool                 // the agent is asked for its complete list, though an update is known
 	Known   discovery.ListUpdate // the agent's last update before this process started
 	Members []Member
 	File    string // path of a file of members
@@ -62,7 +62,7 @@
 	Damp    time.Duration // for which an endpoint that flaps must be listed before it is used, at first
 }
 
-// Target is where a rule of the table sends requests.
+// Target says where a rule of the table sends requests, and what it changes in them.
 type Target struct {
 	Pool, Tenant    string // Tenant is that of requests that name none
 	Class           *Class
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -66,7 +66,15 @@
 
 // matchesAnyPath reports whether the rule's path matches that of every request.
 func (c *compiledRule) matchesAnyPath() bool {
-	return c.Kind == AnyPath || c.Kind == Prefix && c.Path == "/" || c.Kind == Segments && c.endsWithRest && len(c.segments) == 0
+	switch c.Kind {
+	case AnyPath:
+		return true
+	case Prefix:
+		return c.Path == "/"
+	case Segments:
+		return c.endsWithRest && len(c.segments) == 0
+	}
+	return false
 }
 
 func allMatch[T any](list []T, matches func(T) bool) bool {
