--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -18,40 +18,40 @@
 
 // Tracker counts members. The zero value has counted none.
 type Tracker struct {
-	missing map[string]time.Duration // all that count: instant since which each is failed; present: it is here
+	missingSince map[string]time.Duration // all that count: instant since which each is failed; present: it is here
 }
 
-const present = time.Duration(-1)
+const notMissing = time.Duration(-1)
 
 // Update takes up a view, and gives how many count, the place of the view's owner among them, and the instant at which Take
 // is wanted again though no other view has come; 0: none. A member counts at once, and as long as it is not known to
 // have left or was failed for Hold. A daemon that is cut off takes nobody's part: it can't tell who has failed.
 func (s *Tracker) Update(now time.Duration, v *swim.View) (daemons, index int, again time.Duration) {
-	if s.missing == nil {
-		s.missing = map[string]time.Duration{}
+	if s.missingSince == nil {
+		s.missingSince = map[string]time.Duration{}
 	}
 	known := make(map[string]bool, len(v.Members))
 	for _, m := range v.Members {
 		known[m.Name] = true
 		switch {
 		case m.State.IsPresent() || m.Name == v.Self:
-			s.missing[m.Name] = present
+			s.missingSince[m.Name] = notMissing
 		case m.State == swim.Left:
-			delete(s.missing, m.Name)
+			delete(s.missingSince, m.Name)
 		default:
-			s.miss(now, m.Name)
+			s.markMissing(now, m.Name)
 		}
 	}
-	names := make([]string, 0, len(s.missing))
-	for name, since := range s.missing {
+	names := make([]string, 0, len(s.missingSince))
+	for name, since := range s.missingSince {
 		if !known[name] {
-			s.miss(now, name)
-			since = s.missing[name]
+			s.markMissing(now, name)
+			since = s.missingSince[name]
 		}
 		switch {
-		case since == present || v.Connectivity == swim.CutOff:
+		case since == notMissing || v.Connectivity == swim.CutOff:
 		case now-since >= FailureHold:
-			delete(s.missing, name)
+			delete(s.missingSince, name)
 			continue
 		case again == 0 || since+FailureHold < again:
 			again = since + FailureHold
@@ -62,9 +62,9 @@
 	return len(names), max(slices.Index(names, v.Self), 0), again
 }
 
-// miss notes since when a member that counts is failed.
-func (s *Tracker) miss(now time.Duration, name string) {
-	if since, counts := s.missing[name]; counts && since == present {
-		s.missing[name] = now
+// markMissing notes since when a member that counts is failed.
+func (s *Tracker) markMissing(now time.Duration, name string) {
+	if since, counts := s.missingSince[name]; counts && since == notMissing {
+		s.missingSince[name] = now
 	}
 }
--- a/internal/cluster/ordinal/ordinal_test.go
+++ b/internal/cluster/ordinal/ordinal_test.go
@@ -17,7 +17,7 @@
 	return v
 }
 
-func TestSeats(t *testing.T) {
+func TestMemberKeepsItsOrdinalUntilItLeftOrFailedForFailureHold(t *testing.T) {
 	all := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Suspect}
 	lost := map[string]swim.State{"a": swim.Failed, "b": swim.Alive, "c": swim.Alive}
 	left := map[string]swim.State{"a": swim.Left, "b": swim.Alive, "c": swim.Alive}
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -35,8 +35,8 @@
 	History []HistoryEntry `json:"history,omitempty"`
 }
 
-// bodyLine is how many bytes of a body are on a line, in base64.
-const bodyLine = 6000
+// bodyBytesPerLine is how many bytes of a body are on a line, in base64.
+const bodyBytesPerLine = 6000
 
 // WriteResult writes a line for what became of a call, and what was asked for.
 func WriteResult(w io.Writer, a consensus.CommandResult) error {
@@ -55,7 +55,7 @@
 		return err
 	}
 	for rest := a.Doc.Body; len(rest) > 0; {
-		n := min(len(rest), bodyLine)
+		n := min(len(rest), bodyBytesPerLine)
 		if _, err := fmt.Fprintf(w, "body text=%s\n", base64.RawURLEncoding.EncodeToString(rest[:n])); err != nil {
 			return err
 		}
@@ -64,10 +64,10 @@
 	return nil
 }
 
-func (a *CommandResult) take(line string) error {
+func (a *CommandResult) parseLine(line string) error {
 	var c HistoryEntry
 	var part string
-	err := words(line, map[string]map[string]any{
+	err := parseLine(line, map[string]map[string]any{
 		"answer":   {"version": &a.Version, "same": &a.Same},
 		"change":   {"version": &c.Version, "name": &c.Name, "bytes": &c.Bytes, "sha256": &c.SHA256, "by": &c.By, "at_ms": &c.AtMs, "back": &c.Back},
 		"document": {"name": &a.Name, "version": &a.Put},
@@ -90,17 +90,17 @@
 	ends := time.Now().Add(within)
 	for {
 		a := &CommandResult{Format: 1}
-		err := ask(at, "settings "+strings.Join(words, " "), body, callTime, a.take)
+		err := query(at, "settings "+strings.Join(words, " "), body, callTimeout, a.parseLine)
 		if err == nil {
 			return a, nil
 		}
 		if !strings.Contains(err.Error(), consensus.ErrIndeterminate.Error()) {
 			return nil, err
 		}
-		if time.Until(ends) < callRest {
+		if time.Until(ends) < retryInterval {
 			return nil, IndeterminateError{err}
 		}
-		time.Sleep(callRest)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -111,6 +111,6 @@
 func (u IndeterminateError) Unwrap() error { return u.error }
 
 const (
-	callTime = 2 * time.Second        // a daemon owes an answer within one
-	callRest = 100 * time.Millisecond // between two tries
+	callTimeout   = 2 * time.Second        // a daemon owes an answer within one
+	retryInterval = 100 * time.Millisecond // between two tries
 )
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -46,8 +46,8 @@
 	return f
 }
 
-// end is the line after the last.
-const end = "EOT"
+// endOfResponse is the line after the last.
+const endOfResponse = "EOT"
 
 // Write writes a line for the daemon, and one for each member. The line that ends an answer is the server's.
 func (f *Fleet) Write(w io.Writer) error {
@@ -66,16 +66,16 @@
 	return nil
 }
 
-const mostLines = swim.MaxMembers + 2
+const maxResponseLines = swim.MaxMembers + 2
 
 // FetchFleet calls a daemon's operators' address. All of it takes no longer than within.
 func FetchFleet(at string, within time.Duration) (*Fleet, error) {
 	f := &Fleet{Format: 1}
-	return f, ask(at, "peers", nil, within, f.take)
+	return f, query(at, "peers", nil, within, f.parseLine)
 }
 
-// ask makes a call, with a body behind its line, and hands on the lines of its answer.
-func ask(at, call string, body []byte, within time.Duration, take func(line string) error) error {
+// query makes a call, with a body behind its line, and hands on the lines of its answer.
+func query(at, call string, body []byte, within time.Duration, take func(line string) error) error {
 	nc, err := net.DialTimeout("tcp", at, within)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	if _, err := nc.Write(append([]byte(call+"\n"), body...)); err != nil {
 		return err
 	}
-	if err := lines(nc, take); err != nil {
+	if err := readLines(nc, take); err != nil {
 		return fmt.Errorf("%s: %w", at, err)
 	}
 	return nil
@@ -94,14 +94,14 @@
 // ReadFleet reads an answer to its end. Names that it does not know are left out, so that later versions may say more.
 func ReadFleet(r io.Reader) (*Fleet, error) {
 	f := &Fleet{Format: 1}
-	return f, lines(r, f.take)
+	return f, readLines(r, f.parseLine)
 }
 
-func lines(r io.Reader, take func(line string) error) error {
+func readLines(r io.Reader, take func(line string) error) error {
 	in := bufio.NewScanner(r)
-	for n := 0; in.Scan() && n < mostLines; n++ {
+	for n := 0; in.Scan() && n < maxResponseLines; n++ {
 		line := in.Text()
-		if line == end {
+		if line == endOfResponse {
 			return nil
 		}
 		if why, ok := strings.CutPrefix(line, "FAILURE "); ok {
@@ -117,10 +117,10 @@
 	return errors.New("the answer has no end")
 }
 
-// take takes up a line.
-func (f *Fleet) take(line string) error {
+// parseLine takes up a line.
+func (f *Fleet) parseLine(line string) error {
 	var p Peer
-	err := words(line, map[string]map[string]any{
+	err := parseLine(line, map[string]map[string]any{
 		"fleet": {"self": &f.Self, "standing": &f.Standing, "elder": &f.Elder, "view": &f.View, "daemons": &f.Daemons, "index": &f.Index},
 		"peer":  {"name": &p.Name, "address": &p.Address, "state": &p.State, "incarnation": &p.Incarnation, "since_ms": &p.SinceMs},
 	})
@@ -130,22 +130,22 @@
 	return err
 }
 
-// words reads a line: what it is about, and its values by name, each put where it belongs.
-func words(line string, of map[string]map[string]any) error {
+// parseLine reads a line: what it is about, and its values by name, each put where it belongs.
+func parseLine(line string, of map[string]map[string]any) error {
 	what, rest, _ := strings.Cut(line, " ")
 	for _, word := range strings.Fields(rest) {
 		name, value, _ := strings.Cut(word, "=")
-		if err := put(of[what][name], value); err != nil {
+		if err := parseValue(of[what][name], value); err != nil {
 			return fmt.Errorf("%.200q: %w", line, err)
 		}
 	}
 	return nil
 }
 
-// escaped is a text of more than a word.
-type escaped string
+// escapedText is a text of more than a word.
+type escapedText string
 
-func put(to any, value string) (err error) {
+func parseValue(to any, value string) (err error) {
 	switch to := to.(type) {
 	case *string:
 		*to = value
@@ -155,10 +155,10 @@
 		*to, err = strconv.ParseInt(value, 10, 64)
 	case *bool:
 		*to, err = strconv.ParseBool(value)
-	case *escaped:
+	case *escapedText:
 		var text string
 		text, err = url.QueryUnescape(value)
-		*to = escaped(text)
+		*to = escapedText(text)
 	case *uint64:
 		*to, err = strconv.ParseUint(value, 10, 64)
 	}
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -46,27 +46,27 @@
 
 // FetchSettings calls a daemon's operators' address. All of it takes no longer than within.
 func FetchSettings(at string, within time.Duration) (*Settings, error) {
-	return askSettings(at, "settings", within)
+	return fetchSettings(at, "settings", within)
 }
 
 // FetchVersions is AskSettings without the documents.
 func FetchVersions(at string, within time.Duration) (*Settings, error) {
-	return askSettings(at, "versions", within)
+	return fetchSettings(at, "versions", within)
 }
 
-func askSettings(at, call string, within time.Duration) (*Settings, error) {
+func fetchSettings(at, call string, within time.Duration) (*Settings, error) {
 	s := &Settings{Format: 1, Lags: []Lag{}, Documents: []Document{}}
-	return s, ask(at, call, nil, within, s.take)
+	return s, query(at, call, nil, within, s.parseLine)
 }
 
 // Write writes a line for the daemon, one for each that is waited for, and one for each document.
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n", s.Version, s.Acting,
-		s.LeaseMs, s.Votes, s.Leads, s.Leader, s.Term, s.Committed, s.Coming, s.All, s.Declined, text(s.Why), s.Refused, s.Voters, s.Sitting); err != nil {
+		s.LeaseMs, s.Votes, s.Leads, s.Leader, s.Term, s.Committed, s.Coming, s.All, s.Declined, escapeText(s.Why), s.Refused, s.Voters, s.Sitting); err != nil {
 		return err
 	}
 	for _, l := range s.Lags {
-		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Daemon, text(l.Why)); err != nil {
+		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Daemon, escapeText(l.Why)); err != nil {
 			return err
 		}
 	}
@@ -78,16 +78,16 @@
 	return nil
 }
 
-// text is a text as one word.
-func text(s string) string { return url.QueryEscape(s) }
+// escapeText is a text as one word.
+func escapeText(s string) string { return url.QueryEscape(s) }
 
-func (s *Settings) take(line string) error {
+func (s *Settings) parseLine(line string) error {
 	var d Document
 	var l Lag
-	err := words(line, map[string]map[string]any{
+	err := parseLine(line, map[string]map[string]any{
 		"settings": {"version": &s.Version, "acting": &s.Acting, "lease_ms": &s.LeaseMs, "votes": &s.Votes, "leads": &s.Leads, "leader": &s.Leader, "term": &s.Term,
-			"committed": &s.Committed, "coming": &s.Coming, "all": &s.All, "declined": &s.Declined, "why": (*escaped)(&s.Why), "refused": &s.Refused, "voters": &s.Voters, "sitting": &s.Sitting},
-		"lag":      {"daemon": &l.Daemon, "why": (*escaped)(&l.Why)},
+			"committed": &s.Committed, "coming": &s.Coming, "all": &s.All, "declined": &s.Declined, "why": (*escapedText)(&s.Why), "refused": &s.Refused, "voters": &s.Voters, "sitting": &s.Sitting},
+		"lag":      {"daemon": &l.Daemon, "why": (*escapedText)(&l.Why)},
 		"document": {"name": &d.Name, "version": &d.Version, "by": &d.By, "bytes": &d.Bytes, "sha256": &d.SHA256},
 	})
 	if err == nil && d.Name != "" {
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -12,7 +12,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-func TestSettingsAreRead(t *testing.T) {
+func TestSettingsSurviveWriteAndRead(t *testing.T) {
 	want := &Settings{Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2, Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
 		Lags:      []Lag{{"a", "it can't act: 50 %"}, {"b", ""}},
 		Documents: []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}}}
@@ -21,12 +21,12 @@
 		t.Fatal(err)
 	}
 	got := &Settings{Format: 1}
-	if err := lines(strings.NewReader(text.String()+end+"\n"), got.take); err != nil || !reflect.DeepEqual(got, want) {
+	if err := readLines(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestFleetSurvivesWriteAndRead(t *testing.T) {
 	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, Rival: "127.0.0.9:1", Members: []swim.Member{
 		{Update: swim.Update{Peer: swim.Peer{Name: "s1", Addr: netip.MustParseAddrPort("[::1]:7")}, Incarnation: 3}, Since: time.Second},
 		{Update: swim.Update{Peer: swim.Peer{Name: "s2", Addr: netip.MustParseAddrPort("127.0.0.1:8")}, State: swim.Failed, Incarnation: 9}, Since: 2 * time.Second}}}
@@ -35,19 +35,19 @@
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + end + "\n"
+	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
 	if got, err := ReadFleet(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
-	for bad, why := range map[string]string{text.String(): "no end", "FAILURE this daemon is in no fleet\n": "no fleet", "fleet view=x\n" + end: "view=x"} {
+	for bad, why := range map[string]string{text.String(): "no end", "FAILURE this daemon is in no fleet\n": "no fleet", "fleet view=x\n" + endOfResponse: "view=x"} {
 		if _, err := ReadFleet(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-func TestAnswersAreRead(t *testing.T) {
-	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyLine/10)
+func TestCommandResultSurvivesWriteAndRead(t *testing.T) {
+	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
 	a := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
 		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
 	var text strings.Builder
@@ -55,13 +55,13 @@
 		t.Fatal(err)
 	}
 	got := &CommandResult{}
-	if err := lines(strings.NewReader(text.String()+end+"\n"), got.take); err != nil {
+	if err := readLines(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil {
 		t.Fatal(err)
 	}
 	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) || len(got.History) != 2 || got.History[0].IsRemoval() || !got.History[1].IsRemoval() || got.History[0].Back != 3 {
 		t.Errorf("%+v", got)
 	}
-	if err := (&CommandResult{}).take("body text=!!"); err == nil {
+	if err := (&CommandResult{}).parseLine("body text=!!"); err == nil {
 		t.Error("half a body is read")
 	}
 }
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -1,74 +1,74 @@
 package swim
 
-// news are updates to be sent on, each a bounded number of times, those first that went out least. There is one of a
+// broadcastQueue are updates to be sent on, each a bounded number of times, those first that went out least. There is one of a
 // member at most.
-type news struct {
-	of     map[string]*item
-	levels [][]*item // by how often they went out; an item that was replaced stays until it is come to
-	low    int       // no level below it has items
+type broadcastQueue struct {
+	byName      map[string]*broadcast
+	byTransmits [][]*broadcast // by how often they went out; an item that was replaced stays until it is come to
+	lowest      int            // no level below it has items
 }
 
-type item struct {
+type broadcast struct {
 	Update
-	sent int
+	transmits int
 }
 
-func (w *news) init() { *w = news{of: map[string]*item{}} }
+func (w *broadcastQueue) reset() { *w = broadcastQueue{byName: map[string]*broadcast{}} }
 
-func (w *news) any() bool { return len(w.of) > 0 }
+func (w *broadcastQueue) hasPending() bool { return len(w.byName) > 0 }
 
-// put makes an update the news of its member.
-func (w *news) put(u Update) {
-	i := &item{Update: u}
-	w.of[u.Name] = i
-	w.push(i)
+// enqueue makes an update the news of its member.
+func (w *broadcastQueue) enqueue(u Update) {
+	i := &broadcast{Update: u}
+	w.byName[u.Name] = i
+	w.insert(i)
 }
 
-func (w *news) push(i *item) {
-	for len(w.levels) <= i.sent {
-		w.levels = append(w.levels, nil)
+func (w *broadcastQueue) insert(i *broadcast) {
+	for len(w.byTransmits) <= i.transmits {
+		w.byTransmits = append(w.byTransmits, nil)
 	}
-	w.levels[i.sent] = append(w.levels[i.sent], i)
-	w.low = min(w.low, i.sent)
+	w.byTransmits[i.transmits] = append(w.byTransmits[i.transmits], i)
+	w.lowest = min(w.lowest, i.transmits)
 }
 
-// take gives the updates for one message, after those that must go; none goes out more than most times.
-func (w *news) take(most int, out []Update) []Update {
-	room := piggyBytes
+// collect gives the updates for one message, after those that must go; none goes out more than most times.
+func (w *broadcastQueue) collect(most int, out []Update) []Update {
+	room := maxPiggybackBytes
 	for i := range out {
-		room -= out[i].bytes()
+		room -= out[i].encodedBound()
 	}
-	var again []*item
-	for w.low < len(w.levels) && len(out) < MaxPiggyback {
-		level := w.levels[w.low]
+	var again []*broadcast
+	for w.lowest < len(w.byTransmits) && len(out) < MaxPiggyback {
+		level := w.byTransmits[w.lowest]
 		if len(level) == 0 {
-			w.low++
+			w.lowest++
 			continue
 		}
 		i := level[0]
-		if w.of[i.Name] == i {
-			if i.bytes() > room {
+		if w.byName[i.Name] == i {
+			if i.encodedBound() > room {
 				break
 			}
-			room -= i.bytes()
+			room -= i.encodedBound()
 			out = append(out, i.Update)
-			if i.sent++; i.sent < most {
+			if i.transmits++; i.transmits < most {
 				again = append(again, i) // after this message: none may stand in it twice
 			} else {
-				delete(w.of, i.Name)
+				delete(w.byName, i.Name)
 			}
 		}
 		level[0] = nil
-		w.levels[w.low] = level[1:]
+		w.byTransmits[w.lowest] = level[1:]
 	}
 	for _, i := range again {
-		w.push(i)
+		w.insert(i)
 	}
-	if len(w.of) == 0 {
-		w.levels, w.low = nil, 0
+	if len(w.byName) == 0 {
+		w.byTransmits, w.lowest = nil, 0
 	}
 	return out
 }
 
-// bytes is an upper bound of an update's length in a message.
-func (u *Update) bytes() int { return updateBytes + len(u.Name) + len(u.By) }
+// encodedBound is an upper bound of an update's length in a message.
+func (u *Update) encodedBound() int { return updateOverheadBytes + len(u.Name) + len(u.By) }
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -12,20 +12,20 @@
 
 // Receive takes a message. Whoever hands it in has made sure that it is of this fleet.
 func (n *Node) Receive(now time.Duration, m *Message) {
-	n.awake(now)
-	if !m.valid() {
+	n.detectPause(now)
+	if !m.isValid() {
 		return
 	}
 	if m.From.Name == n.self.Name && m.From.Run == n.self.Run {
 		return // an echo
 	}
-	n.heard = true
+	n.hasContact = true
 	held := n.members[m.From.Name]
 	apart := held == nil || !held.State.IsPresent()
-	n.learn(now, m.From, false)
+	n.applyUpdate(now, m.From, false)
 	exchange := m.Kind == Sync || m.Kind == SyncReply
 	for _, u := range m.Updates {
-		n.learn(now, u, exchange)
+		n.applyUpdate(now, u, exchange)
 	}
 	switch m.Kind {
 	case Ping:
@@ -34,31 +34,31 @@
 		n.receivePingReq(now, m)
 	case Ack:
 		n.receiveAck(now, m)
-		n.compare(now, m, apart)
+		n.syncIfViewsDiffer(now, m, apart)
 	case Nack:
 		if p := n.probes[m.Seq]; p != nil {
-			p.nacks = min(p.nacks+1, p.helpers)
+			p.nacks = min(p.nacks+1, p.expectedNacks)
 		}
 	case Sync:
-		n.stream(m.From, SyncReply)
+		n.sendFullState(m.From, SyncReply)
 	}
-	n.stand(now)
+	n.updateConnectivity(now)
 }
 
-// valid tells whether a message can be acted on.
-func (m *Message) valid() bool {
-	if !m.Kind.Valid() || !m.From.valid() || m.From.Name == "" {
+// isValid tells whether a message can be acted on.
+func (m *Message) isValid() bool {
+	if !m.Kind.Valid() || !m.From.isValid() || m.From.Name == "" {
 		return false
 	}
 	for i := range m.Updates {
-		if u := &m.Updates[i]; !u.valid() || u.Name == "" {
+		if u := &m.Updates[i]; !u.isValid() || u.Name == "" {
 			return false
 		}
 	}
 	return m.Target.Name == "" || len(m.Target.Name) <= MaxNameBytes
 }
 
-func (u *Update) valid() bool {
+func (u *Update) isValid() bool {
 	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.By) <= MaxNameBytes && u.Addr.IsValid() && u.Incarnation > 0 && u.Incarnation < 1<<62
 }
 
@@ -69,87 +69,87 @@
 		return
 	}
 	answer := &Message{Kind: Ack, Seq: m.Seq}
-	if held := n.members[m.From.Name]; held != nil && held.State != Alive && !n.silent() { // it must hear of that to refute
-		answer.Updates = n.news.take(n.sends(), []Update{held.Update})
+	if held := n.members[m.From.Name]; held != nil && held.State != Alive && !n.isYielding() { // it must hear of that to refute
+		answer.Updates = n.broadcasts.collect(n.retransmitLimit(), []Update{held.Update})
 	}
 	n.send(m.From.Addr, answer)
 }
 
 // receivePingReq probes for another, who hears soon that there is no answer yet: this node is well.
 func (n *Node) receivePingReq(now time.Duration, m *Message) {
-	if m.Target.Name == "" || !m.Target.Addr.IsValid() || len(n.relays) >= mostRelays {
+	if m.Target.Name == "" || !m.Target.Addr.IsValid() || len(n.indirectProbes) >= maxIndirectProbes {
 		return
 	}
 	n.seq++
-	n.relays[n.seq] = &relay{to: m.From.Addr, seq: m.Seq, name: m.Target.Name, nack: now + n.o.ProbeTimeout}
+	n.indirectProbes[n.seq] = &indirectProbe{requester: m.From.Addr, requesterSeq: m.Seq, target: m.Target.Name, nackAt: now + n.options.ProbeTimeout}
 	n.send(m.Target.Addr, &Message{Kind: Ping, Seq: n.seq, Target: m.Target})
 }
 
 func (n *Node) receiveAck(now time.Duration, m *Message) {
-	if r := n.rival; r != nil && m.Seq == r.seq && m.From.Run == r.Run {
-		n.rivalAnswers(now)
+	if r := n.conflict; r != nil && m.Seq == r.seq && m.From.Run == r.Run {
+		n.receiveConflictAck(now)
 		return
 	}
-	if r := n.relays[m.Seq]; r != nil && m.From.Name == r.name {
-		delete(n.relays, m.Seq)
-		n.send(r.to, &Message{Kind: Ack, Seq: r.seq, Target: m.From.Peer})
+	if r := n.indirectProbes[m.Seq]; r != nil && m.From.Name == r.target {
+		delete(n.indirectProbes, m.Seq)
+		n.send(r.requester, &Message{Kind: Ack, Seq: r.requesterSeq, Target: m.From.Peer})
 		return
 	}
 	if p := n.probes[m.Seq]; p != nil && (m.From.Name == p.target.Name || m.Target.Name == p.target.Name) {
 		delete(n.probes, m.Seq)
-		n.unwell(-1)
+		n.adjustLocalHealth(-1)
 		if m.From.Name != p.target.Name {
-			p.target.via = n.members[m.From.Name]
+			p.target.lastHelper = n.members[m.From.Name]
 		}
 	}
 }
 
-// compare begins a full exchange where two views that have settled differ, at most so often that what a node sends does
+// syncIfViewsDiffer begins a full exchange where two views that have settled differ, at most so often that what a node sends does
 // not grow with the fleet. apart: the other was not counted on before this message.
-func (n *Node) compare(now time.Duration, m *Message, apart bool) {
-	if m.Digest == n.digest || n.silent() || n.gone || !apart && (!m.Quiet || n.news.any()) {
+func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, apart bool) {
+	if m.Digest == n.digest || n.isYielding() || n.hasLeft || !apart && (!m.Quiet || n.broadcasts.hasPending()) {
 		return
 	}
-	every := n.o.ProbeEvery
-	if size := len(n.round) / syncSize; size > 0 {
+	every := n.options.ProbeEvery
+	if size := len(n.present) / membersPerSyncInterval; size > 0 {
 		every *= time.Duration(size)
 	}
-	if n.synced != 0 && now-n.synced < every {
+	if n.lastSync != 0 && now-n.lastSync < every {
 		return
 	}
-	n.synced = now
-	n.stream(m.From, Sync)
+	n.lastSync = now
+	n.sendFullState(m.From, Sync)
 }
 
-// stream sends all that the node holds.
-func (n *Node) stream(to Update, k Kind) {
+// sendFullState sends all that the node holds.
+func (n *Node) sendFullState(to Update, k Kind) {
 	all := make([]Update, 0, len(n.members)+1)
-	if !n.silent() {
+	if !n.isYielding() {
 		for _, name := range slices.Sorted(maps.Keys(n.members)) {
 			all = append(all, n.members[name].Update)
 		}
 	}
-	n.out = append(n.out, Envelope{To: to.Addr, Stream: true, Message: &Message{Kind: k, From: n.self, Digest: n.digest, Quiet: !n.news.any(), Updates: all}})
+	n.outbox = append(n.outbox, Envelope{To: to.Addr, Stream: true, Message: &Message{Kind: k, From: n.self, Digest: n.digest, Quiet: !n.broadcasts.hasPending(), Updates: all}})
 }
 
-// learn takes up what somebody says of a member. In an exchange of views that one has failed is old news, perhaps from
+// applyUpdate takes up what somebody says of a member. In an exchange of views that one has failed is old news, perhaps from
 // the other side of a cut: it is suspected, and can say otherwise.
-func (n *Node) learn(now time.Duration, u Update, exchange bool) {
+func (n *Node) applyUpdate(now time.Duration, u Update, exchange bool) {
 	if u.Name == n.self.Name {
-		n.ofSelf(now, u)
+		n.applyUpdateOfSelf(now, u)
 		return
 	}
 	m := n.members[u.Name]
 	if m == nil {
 		if u.State.IsPresent() && len(n.members) < MaxMembers-1 {
-			n.add(now, u)
+			n.addMember(now, u)
 		}
 		return
 	}
 	if u.State == Suspect && m.State == Suspect && u.Run == m.Run && u.Incarnation == m.Incarnation {
 		if m.suspicion.confirm(u.By) {
-			n.nextSuspect = min(n.nextSuspect, m.suspicion.ends())
-			n.tell(u)
+			n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
+			n.spread(u)
 		}
 		return
 	}
@@ -160,146 +160,146 @@
 		return
 	}
 	if u.State == Suspect {
-		n.suspect(now, u)
+		n.startSuspicion(now, u)
 		return
 	}
-	n.become(now, m, u)
+	n.changeState(now, m, u)
 }
 
-// add takes up a member that was not known.
-func (n *Node) add(now time.Duration, u Update) {
+// addMember takes up a member that was not known.
+func (n *Node) addMember(now time.Duration, u Update) {
 	was := u
 	was.State, was.By = Alive, ""
 	m := &member{Update: was, since: now}
 	n.members[u.Name] = m
-	n.count(m)
-	n.enter(m)
-	n.number++
-	n.note(Change{Name: u.Name, Addr: u.Addr, Is: Alive, New: true, Incarnation: u.Incarnation})
-	n.tell(was)
+	n.addToDigest(m)
+	n.insertPresent(m)
+	n.viewNumber++
+	n.recordChange(Change{Name: u.Name, Addr: u.Addr, Is: Alive, New: true, Incarnation: u.Incarnation})
+	n.spread(was)
 	if u.State == Suspect {
-		n.suspect(now, u)
+		n.startSuspicion(now, u)
 	}
 }
 
-// suspect begins a suspicion of a member that is here.
-func (n *Node) suspect(now time.Duration, u Update) {
+// startSuspicion begins a suspicion of a member that is here.
+func (n *Node) startSuspicion(now time.Duration, u Update) {
 	m := n.members[u.Name]
 	if !m.State.IsPresent() || m.State == Suspect && m.Incarnation == u.Incarnation {
 		return
 	}
-	n.become(now, m, u)
-	least := time.Duration(float64(n.o.Suspicion) * n.logSize())
-	s := &suspicion{began: now, least: least, most: suspicionMost * least, expected: min(confirmations, max(len(n.round)-2, 0)), by: []string{u.By}}
-	if n.o.DisableSuspicionShrink {
-		s.most = least
+	n.changeState(now, m, u)
+	least := time.Duration(float64(n.options.Suspicion) * n.suspicionScale())
+	s := &suspicion{start: now, minTimeout: least, maxTimeout: maxSuspicionMultiplier * least, expectedConfirmations: min(neededConfirmations, max(len(n.present)-2, 0)), suspectedBy: []string{u.By}}
+	if n.options.DisableSuspicionShrink {
+		s.maxTimeout = least
 	}
 	m.suspicion = s
 	n.suspects[m.Name] = m
 	// Some look for themselves, at once: else a member of a large fleet is probed by about one other in a ProbeEvery, and
 	// agreement takes as many of these as there must be who agree.
-	if !n.o.DisableSuspicionShrink && u.By != n.self.Name && len(n.urgent) < healthMost && n.rng.Float64()*float64(len(n.round)) < verifiers {
-		n.urgent = append(n.urgent, m)
+	if !n.options.DisableSuspicionShrink && u.By != n.self.Name && len(n.urgentTargets) < maxLocalHealth && n.rng.Float64()*float64(len(n.present)) < expectedVerifiers {
+		n.urgentTargets = append(n.urgentTargets, m)
 		n.nextProbe = now
 	}
-	n.nextSuspect = min(n.nextSuspect, s.ends())
+	n.nextSuspicionEnd = min(n.nextSuspicionEnd, s.deadline())
 }
 
-// become takes a member to a state that overrides the one it has.
-func (n *Node) become(now time.Duration, m *member, u Update) {
+// changeState takes a member to a state that overrides the one it has.
+func (n *Node) changeState(now time.Duration, m *member, u Update) {
 	was := m.Update
 	m.suspicion = nil
 	delete(n.suspects, m.Name)
 	if was.State.IsPresent() {
-		n.uncount(m)
+		n.removeFromDigest(m)
 	}
 	if u.State != was.State || u.Run != was.Run {
 		m.since = now
 	}
 	m.Update = u
 	if u.State.IsPresent() {
-		n.count(m)
+		n.addToDigest(m)
 	}
-	n.place(m, was.State)
+	n.moveBetweenLists(m, was.State)
 	if u.State != was.State {
-		n.note(Change{Name: u.Name, Addr: u.Addr, Was: was.State, Is: u.State, Incarnation: u.Incarnation})
+		n.recordChange(Change{Name: u.Name, Addr: u.Addr, Was: was.State, Is: u.State, Incarnation: u.Incarnation})
 	}
-	n.number++
-	n.tell(u)
+	n.viewNumber++
+	n.spread(u)
 }
 
-// place moves a member between the lists, where its state wants it.
-func (n *Node) place(m *member, was State) {
+// moveBetweenLists moves a member between the lists, where its state wants it.
+func (n *Node) moveBetweenLists(m *member, was State) {
 	switch {
 	case was.IsPresent() == m.State.IsPresent() && was.IsPresent():
 		return
 	case was.IsPresent():
-		n.exit(m)
+		n.removePresent(m)
 	case was == Failed:
-		n.away = takeOut(n.away, m)
+		n.failed = removeMember(n.failed, m)
 	}
 	switch {
 	case m.State.IsPresent():
-		n.enter(m)
+		n.insertPresent(m)
 	case m.State == Failed:
-		m.place = len(n.away)
-		n.away = append(n.away, m)
+		m.index = len(n.failed)
+		n.failed = append(n.failed, m)
 	}
 }
 
-// count takes a member that is here into what is known of all of them.
-func (n *Node) count(m *member) {
-	n.digest ^= hash(&m.Update)
-	n.addrs[m.Addr]++
+// addToDigest takes a member that is here into what is known of all of them.
+func (n *Node) addToDigest(m *member) {
+	n.digest ^= updateDigest(&m.Update)
+	n.presentAddrs[m.Addr]++
 }
 
-func (n *Node) uncount(m *member) {
-	n.digest ^= hash(&m.Update)
-	if n.addrs[m.Addr]--; n.addrs[m.Addr] == 0 {
-		delete(n.addrs, m.Addr)
+func (n *Node) removeFromDigest(m *member) {
+	n.digest ^= updateDigest(&m.Update)
+	if n.presentAddrs[m.Addr]--; n.presentAddrs[m.Addr] == 0 {
+		delete(n.presentAddrs, m.Addr)
 	}
 }
 
-// enter puts a member at a random place of what is left of the round.
-func (n *Node) enter(m *member) {
-	m.place = len(n.round)
-	n.round = append(n.round, m)
-	from := min(n.at, m.place)
-	swap(n.round, from+n.rng.IntN(len(n.round)-from), m.place)
+// insertPresent puts a member at a random place of what is left of the round.
+func (n *Node) insertPresent(m *member) {
+	m.index = len(n.present)
+	n.present = append(n.present, m)
+	from := min(n.probeIndex, m.index)
+	swapMembers(n.present, from+n.rng.IntN(len(n.present)-from), m.index)
 }
 
-// exit undoes enter. What was probed in this round stays in front.
-func (n *Node) exit(m *member) {
-	if m.place < n.at {
-		n.at--
-		swap(n.round, m.place, n.at)
+// removePresent undoes enter. What was probed in this round stays in front.
+func (n *Node) removePresent(m *member) {
+	if m.index < n.probeIndex {
+		n.probeIndex--
+		swapMembers(n.present, m.index, n.probeIndex)
 	}
-	n.round = takeOut(n.round, m)
+	n.present = removeMember(n.present, m)
 }
 
-// takeOut takes a member out of a list in which its place is m.place.
-func takeOut(list []*member, m *member) []*member {
+// removeMember takes a member out of a list in which its place is m.place.
+func removeMember(list []*member, m *member) []*member {
 	last := len(list) - 1
-	swap(list, m.place, last)
+	swapMembers(list, m.index, last)
 	list[last] = nil
 	return list[:last]
 }
 
-func swap(list []*member, i, j int) {
+func swapMembers(list []*member, i, j int) {
 	list[i], list[j] = list[j], list[i]
-	list[i].place, list[j].place = i, j
+	list[i].index, list[j].index = i, j
 }
 
-func (n *Node) tell(u Update) { n.news.put(u) }
+func (n *Node) spread(u Update) { n.broadcasts.enqueue(u) }
 
-func (n *Node) note(c Change) {
-	if len(n.changes) < mostChanges {
+func (n *Node) recordChange(c Change) {
+	if len(n.changes) < maxPendingChanges {
 		n.changes = append(n.changes, c)
 	}
 }
 
-// hash is a member's part in the digest of who is here. Suspicion is left out: it passes.
-func hash(u *Update) uint64 {
+// updateDigest is a member's part in the digest of who is here. Suspicion is left out: it passes.
+func updateDigest(u *Update) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], u.Run)
 	binary.LittleEndian.PutUint64(b[8:], u.Incarnation)
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -24,13 +24,13 @@
 	Suspect              // it did not answer; it has a while to say otherwise
 	Failed               // it did not say otherwise
 	Left                 // it said that it goes; that is no failure
-	states
+	stateCount
 )
 
-var stateNames = [states]string{"alive", "suspect", "failed", "left"}
+var stateNames = [stateCount]string{"alive", "suspect", "failed", "left"}
 
 // Valid tells whether s is one of the states.
-func (s State) Valid() bool { return s < states }
+func (s State) Valid() bool { return s < stateCount }
 
 // String gives the name that reports use.
 func (s State) String() string {
@@ -53,10 +53,10 @@
 	FullyConnected                      // all voters answer and no member is failed
 )
 
-var standingNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
+var connectivityNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
 
 // String gives the name that reports use.
-func (s Connectivity) String() string { return standingNames[s] }
+func (s Connectivity) String() string { return connectivityNames[s] }
 
 // Peer is one life of a daemon: a process that was started again under the same name has another Run.
 type Peer struct {
@@ -97,11 +97,11 @@
 	Gossip                    // updates, and nothing is wanted
 	Sync                      // all that the sender holds; a SyncReply is wanted
 	SyncReply                 // all that the sender holds
-	kinds
+	kindEnd
 )
 
 // Valid tells whether k is one of the kinds.
-func (k Kind) Valid() bool { return k >= Ping && k < kinds }
+func (k Kind) Valid() bool { return k >= Ping && k < kindEnd }
 
 // Message is what nodes say to one another.
 type Message struct {
@@ -147,13 +147,13 @@
 
 // Bounds of what a node holds and sends.
 const (
-	MaxMembers   = 10_000
-	MaxNameBytes = 63   // bytes of a name
-	MaxPiggyback = 24   // updates on the back of one message
-	piggyBytes   = 800  // of these updates, so that a message stays within a datagram of 1,200 bytes
-	mostRelays   = 256  // indirect probes that are carried on for others at once
-	mostChanges  = 1024 // that wait to be taken by Changes
-	updateBytes  = 60   // of an update, besides its names: numbers, address and their tags
+	MaxMembers          = 10_000
+	MaxNameBytes        = 63   // bytes of a name
+	MaxPiggyback        = 24   // updates on the back of one message
+	maxPiggybackBytes   = 800  // of these updates, so that a message stays within a datagram of 1,200 bytes
+	maxIndirectProbes   = 256  // indirect probes that are carried on for others at once
+	maxPendingChanges   = 1024 // that wait to be taken by Changes
+	updateOverheadBytes = 60   // of an update, besides its names: numbers, address and their tags
 )
 
 // Options are fixed for a Node's life, but for what Retune takes. Times of 0 get their defaults.
@@ -180,18 +180,18 @@
 	DefaultProbeTimeout = 200 * time.Millisecond
 	DefaultSuspicion    = 1500 * time.Millisecond
 
-	suspicionMost = 3  // times Suspicion that a suspect has where nobody else agrees
-	confirmations = 3  // by others that bring it down to Suspicion
-	verifiers     = 6  // members who probe a suspect of another's at once, on average over the fleet
-	indirect      = 3  // others who are asked to probe
-	fanOut        = 3  // members that are told news at a time
-	gossipPart    = 4  // times that news goes out in a ProbeEvery
-	sendsFactor   = 4  // times the logarithm of the fleet's size that an update is sent on
-	healthMost    = 4  // steps by which a node holds itself for slow; 8 gave no fewer false verdicts, and a last survivor that took 13 s
-	rivalTries    = 3  // questions that an elder life leaves unanswered before its name is taken
-	syncSize      = 32 // members up to which differing views are compared at every ProbeEvery
-	forgetAfter   = 10 * time.Minute
-	standingHold  = 2 // times ProbeEvery that a better standing must last to count
+	maxSuspicionMultiplier    = 3  // times Suspicion that a suspect has where nobody else agrees
+	neededConfirmations       = 3  // by others that bring it down to Suspicion
+	expectedVerifiers         = 6  // members who probe a suspect of another's at once, on average over the fleet
+	indirectProbers           = 3  // others who are asked to probe
+	gossipFanout              = 3  // members that are told news at a time
+	gossipsPerProbeInterval   = 4  // times that news goes out in a ProbeEvery
+	retransmitFactor          = 4  // times the logarithm of the fleet's size that an update is sent on
+	maxLocalHealth            = 4  // steps by which a node holds itself for slow; 8 gave no fewer false verdicts, and a last survivor that took 13 s
+	conflictProbeAttempts     = 3  // questions that an elder life leaves unanswered before its name is taken
+	membersPerSyncInterval    = 32 // members up to which differing views are compared at every ProbeEvery
+	reapAfter                 = 10 * time.Minute
+	connectivityHoldIntervals = 2 // times ProbeEvery that a better standing must last to count
 )
 
 // IsValidName tells whether a text can be the name of a daemon or a cluster: letters, digits, dots, dashes and underscores.
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -14,96 +14,96 @@
 // member is what a node holds of another.
 type member struct {
 	Update
-	since     time.Duration
-	place     int // in Node.round while it is here, in Node.away while it is failed
-	suspicion *suspicion
-	via       *member // who reached it last when this node could not; nil: nobody
+	since      time.Duration
+	index      int // in Node.round while it is here, in Node.away while it is failed
+	suspicion  *suspicion
+	lastHelper *member // who reached it last when this node could not; nil: nobody
 }
 
 // probe is a question that is out.
 type probe struct {
-	target  *member
-	asked   time.Duration // instant at which others are to be asked
-	ends    time.Duration
-	helpers int // that were asked and can say Nack
-	nacks   int
-	relayed bool
+	target        *member
+	indirectAt    time.Duration // instant at which others are to be asked
+	deadline      time.Duration
+	expectedNacks int // that were asked and can say Nack
+	nacks         int
+	indirectSent  bool
 }
 
-// relay is a question that is carried on for another.
-type relay struct {
-	to   netip.AddrPort
-	seq  uint64 // of the one who asked
-	name string // who is meant
-	nack time.Duration
+// indirectProbe is a question that is carried on for another.
+type indirectProbe struct {
+	requester    netip.AddrPort
+	requesterSeq uint64 // of the one who asked
+	target       string // who is meant
+	nackAt       time.Duration
 }
 
 // Node is one daemon's detector. Instants that are handed in never go back. It is not safe for concurrent use.
 type Node struct {
-	o   Options
-	rng *rand.Rand
-
-	self    Update
-	began   time.Duration // instant of New
-	gone    bool          // Leave was called
-	members map[string]*member
-	round   []*member              // who is probed, shuffled: others that are here
-	at      int                    // in round
-	urgent  []*member              // suspects of others that are to be probed next; healthMost at most
-	away    []*member              // others that are failed
-	addrs   map[netip.AddrPort]int // members that are here, by address
-	digest  uint64                 // of all that are here, this node included
-	news    news
-
-	seq      uint64
-	probes   map[uint64]*probe // by Seq; a member is asked again only when its answer is overdue for good, so that healthMost+1 are out at most
-	relays   map[uint64]*relay
-	suspects map[string]*member
-	health   int // 0: well; up to healthMost
-
-	nextProbe, nextGossip, nextReturn, nextForget time.Duration
-	nextSuspect                                   time.Duration // no suspicion ends before; never: there is none
-	synced                                        time.Duration // instant of the last full exchange that was begun; 0: none
-	due                                           time.Duration // when Tick was last wanted
-	heard                                         bool          // somebody else has been heard since the start
-	rival                                         *rival
-
-	standing Connectivity
-	better   time.Duration // instant since which a better standing has lasted; negative: none
-	betterIs Connectivity
-	number   uint64
-	changes  []Change
-	out      []Envelope
+	options Options
+	rng     *rand.Rand
+
+	self          Update
+	startedAt     time.Duration // instant of New
+	hasLeft       bool          // Leave was called
+	members       map[string]*member
+	present       []*member              // who is probed, shuffled: others that are here
+	probeIndex    int                    // in round
+	urgentTargets []*member              // suspects of others that are to be probed next; healthMost at most
+	failed        []*member              // others that are failed
+	presentAddrs  map[netip.AddrPort]int // members that are here, by address
+	digest        uint64                 // of all that are here, this node included
+	broadcasts    broadcastQueue
+
+	seq            uint64
+	probes         map[uint64]*probe // by Seq; a member is asked again only when its answer is overdue for good, so that healthMost+1 are out at most
+	indirectProbes map[uint64]*indirectProbe
+	suspects       map[string]*member
+	localHealth    int // 0: well; up to healthMost
+
+	nextProbe, nextGossip, nextRejoin, nextReap time.Duration
+	nextSuspicionEnd                            time.Duration // no suspicion ends before; never: there is none
+	lastSync                                    time.Duration // instant of the last full exchange that was begun; 0: none
+	expectedTick                                time.Duration // when Tick was last wanted
+	hasContact                                  bool          // somebody else has been heard since the start
+	conflict                                    *nameConflict
+
+	connectivity  Connectivity
+	improvedSince time.Duration // instant since which a better standing has lasted; negative: none
+	improvedTo    Connectivity
+	viewNumber    uint64
+	changes       []Change
+	outbox        []Envelope
 }
 
-const never = time.Duration(math.MaxInt64)
+const noDeadline = time.Duration(math.MaxInt64)
 
 // New makes a Node that begins at an instant. It goes to the addresses of Join with its first Tick.
 func New(now time.Duration, o Options) *Node {
-	o.fill()
-	n := &Node{o: o, began: now, rng: rand.New(rand.NewPCG(o.Seed, o.Self.Run)), self: Update{Peer: o.Self, Incarnation: 1}, members: map[string]*member{},
-		probes: map[uint64]*probe{}, relays: map[uint64]*relay{}, suspects: map[string]*member{}, addrs: map[netip.AddrPort]int{}, nextSuspect: never, better: -1, number: 1}
-	n.news.init()
-	n.digest = hash(&n.self)
+	o.setDefaults()
+	n := &Node{options: o, startedAt: now, rng: rand.New(rand.NewPCG(o.Seed, o.Self.Run)), self: Update{Peer: o.Self, Incarnation: 1}, members: map[string]*member{},
+		probes: map[uint64]*probe{}, indirectProbes: map[uint64]*indirectProbe{}, suspects: map[string]*member{}, presentAddrs: map[netip.AddrPort]int{}, nextSuspicionEnd: noDeadline, improvedSince: -1, viewNumber: 1}
+	n.broadcasts.reset()
+	n.digest = updateDigest(&n.self)
 	n.seq = n.rng.Uint64() >> 16 // an answer to an earlier life is none to this one
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeEvery)))
-	n.nextGossip, n.nextReturn, n.nextForget = now, now, now+forgetAfter
-	n.due = now
-	n.tell(n.self)
+	n.nextGossip, n.nextRejoin, n.nextReap = now, now, now+reapAfter
+	n.expectedTick = now
+	n.spread(n.self)
 	for _, u := range o.Known {
 		if n.members[u.Name] == nil && u.Name != n.self.Name {
-			n.add(now, u)
+			n.addMember(now, u)
 		}
 	}
 	if len(o.Known) > 0 { // that is no news, and the fleet has this node already
-		n.news.init()
-		n.changes, n.o.Known = nil, nil
+		n.broadcasts.reset()
+		n.changes, n.options.Known = nil, nil
 	}
-	n.stand(now)
+	n.updateConnectivity(now)
 	return n
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	for _, d := range []struct {
 		is        *time.Duration
 		otherwise time.Duration
@@ -117,42 +117,42 @@
 
 // Reconfigure takes up other times, addresses to join and voters. The node's name and address stay.
 func (n *Node) Reconfigure(now time.Duration, o Options) {
-	o.Self, o.Seed = n.o.Self, n.o.Seed
-	o.fill()
-	n.o = o
+	o.Self, o.Seed = n.options.Self, n.options.Seed
+	o.setDefaults()
+	n.options = o
 	n.nextProbe = min(n.nextProbe, now+o.ProbeEvery)
-	n.stand(now)
+	n.updateConnectivity(now)
 }
 
 // NextTick is the instant at which Tick is wanted.
 func (n *Node) NextTick() time.Duration {
-	next := min(n.nextProbe, n.nextReturn, n.nextForget, n.nextSuspect)
-	if n.news.any() && !n.silent() {
+	next := min(n.nextProbe, n.nextRejoin, n.nextReap, n.nextSuspicionEnd)
+	if n.broadcasts.hasPending() && !n.isYielding() {
 		next = min(next, n.nextGossip)
 	}
 	for _, p := range n.probes {
-		if !p.relayed {
-			next = min(next, p.asked)
+		if !p.indirectSent {
+			next = min(next, p.indirectAt)
 		}
-		next = min(next, p.ends)
+		next = min(next, p.deadline)
 	}
-	for _, r := range n.relays {
-		next = min(next, r.nack)
+	for _, r := range n.indirectProbes {
+		next = min(next, r.nackAt)
 	}
-	if n.rival != nil {
-		next = min(next, n.rival.next)
+	if n.conflict != nil {
+		next = min(next, n.conflict.nextProbe)
 	}
-	if n.better >= 0 {
-		next = min(next, n.better+standingHold*n.o.ProbeEvery)
+	if n.improvedSince >= 0 {
+		next = min(next, n.improvedSince+connectivityHoldIntervals*n.options.ProbeEvery)
 	}
-	n.due = next
+	n.expectedTick = next
 	return next
 }
 
 // TakeMessages gives the messages that are to go, and forgets them.
 func (n *Node) TakeMessages() []Envelope {
-	out := n.out
-	n.out = nil
+	out := n.outbox
+	n.outbox = nil
 	return out
 }
 
@@ -164,15 +164,15 @@
 }
 
 // ViewNumber is the View's.
-func (n *Node) ViewNumber() uint64 { return n.number }
+func (n *Node) ViewNumber() uint64 { return n.viewNumber }
 
 // View is what the node holds now.
 func (n *Node) View() View {
-	v := View{Number: n.number, Self: n.self.Name, Connectivity: n.standing, Members: make([]Member, 0, len(n.members)+1)}
-	if n.rival != nil && n.rival.yield {
-		v.Rival = n.rival.Addr.String()
+	v := View{Number: n.viewNumber, Self: n.self.Name, Connectivity: n.connectivity, Members: make([]Member, 0, len(n.members)+1)}
+	if n.conflict != nil && n.conflict.isYielding {
+		v.Rival = n.conflict.Addr.String()
 	}
-	v.Members = append(v.Members, Member{n.self, n.began})
+	v.Members = append(v.Members, Member{n.self, n.startedAt})
 	for _, m := range n.members {
 		v.Members = append(v.Members, Member{m.Update, m.since})
 	}
@@ -181,153 +181,155 @@
 }
 
 // HealthScore is how slow the node holds itself for, from 0 (well) up.
-func (n *Node) HealthScore() int { return n.health }
+func (n *Node) HealthScore() int { return n.localHealth }
 
 // Tick does what is due.
 func (n *Node) Tick(now time.Duration) {
-	n.awake(now)
-	for _, seq := range slices.Sorted(maps.Keys(n.relays)) {
-		if r := n.relays[seq]; now >= r.nack {
-			delete(n.relays, seq)
-			n.send(r.to, &Message{Kind: Nack, Seq: r.seq})
+	n.detectPause(now)
+	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) {
+		if r := n.indirectProbes[seq]; now >= r.nackAt {
+			delete(n.indirectProbes, seq)
+			n.send(r.requester, &Message{Kind: Nack, Seq: r.requesterSeq})
 		}
 	}
-	n.tickProbe(now)
-	n.tickSuspects(now)
-	n.tickRival(now)
-	if now >= n.nextGossip && n.news.any() && !n.silent() {
-		n.nextGossip = now + n.o.ProbeEvery/gossipPart
-		for _, m := range n.some(fanOut, nil) {
+	n.tickProbes(now)
+	n.expireSuspicions(now)
+	n.tickNameConflict(now)
+	if now >= n.nextGossip && n.broadcasts.hasPending() && !n.isYielding() {
+		n.nextGossip = now + n.options.ProbeEvery/gossipsPerProbeInterval
+		for _, m := range n.randomPresent(gossipFanout, nil) {
 			n.send(m.Addr, &Message{Kind: Gossip})
 		}
 	}
-	if now >= n.nextReturn {
-		n.nextReturn = now + n.o.ProbeEvery
-		n.goBack()
+	if now >= n.nextRejoin {
+		n.nextRejoin = now + n.options.ProbeEvery
+		n.rejoin()
 	}
-	if now >= n.nextForget {
-		n.nextForget = now + forgetAfter/10
-		n.forget(now)
+	if now >= n.nextReap {
+		n.nextReap = now + reapAfter/10
+		n.reap(now)
 	}
-	n.stand(now)
+	n.updateConnectivity(now)
 }
 
-// awake notices that the process did not run when it should have: what did not come meanwhile says nothing of others.
-func (n *Node) awake(now time.Duration) {
-	late := now - n.due
-	if late <= n.o.ProbeTimeout || n.o.DisableLocalHealth {
+// detectPause notices that the process did not run when it should have: what did not come meanwhile says nothing of others.
+func (n *Node) detectPause(now time.Duration) {
+	late := now - n.expectedTick
+	if late <= n.options.ProbeTimeout || n.options.DisableLocalHealth {
 		return
 	}
-	n.due = now
-	n.unwell(1)
+	n.expectedTick = now
+	n.adjustLocalHealth(1)
 	if len(n.probes) > 0 {
 		clear(n.probes)
 		n.nextProbe = now
 	}
 	for _, m := range n.suspects {
-		m.suspicion.began += late
+		m.suspicion.start += late
 	}
-	if n.nextSuspect != never {
-		n.nextSuspect += late
+	if n.nextSuspicionEnd != noDeadline {
+		n.nextSuspicionEnd += late
 	}
 }
 
-// unwell counts what shows that this node is slow, or not (below 0).
-func (n *Node) unwell(by int) {
-	if !n.o.DisableLocalHealth {
-		n.health = max(0, min(n.health+by, healthMost))
+// adjustLocalHealth counts what shows that this node is slow, or not (below 0).
+func (n *Node) adjustLocalHealth(by int) {
+	if !n.options.DisableLocalHealth {
+		n.localHealth = max(0, min(n.localHealth+by, maxLocalHealth))
 	}
 }
 
-// stretched is a time-out as the node's own health makes it.
-func (n *Node) stretched(d time.Duration) time.Duration { return d * time.Duration(n.health+1) }
+// scaleByLocalHealth is a time-out as the node's own health makes it.
+func (n *Node) scaleByLocalHealth(d time.Duration) time.Duration {
+	return d * time.Duration(n.localHealth+1)
+}
 
-// silent tells whether the node says nothing of its own: it gives way to an elder of its name.
-func (n *Node) silent() bool { return n.rival != nil && n.rival.yield }
+// isYielding tells whether the node says nothing of its own: it gives way to an elder of its name.
+func (n *Node) isYielding() bool { return n.conflict != nil && n.conflict.isYielding }
 
-func (n *Node) tickProbe(now time.Duration) {
+func (n *Node) tickProbes(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.probes)) { // in order, so that a seed gives the same play
 		p := n.probes[seq]
-		if now >= p.ends {
+		if now >= p.deadline {
 			delete(n.probes, seq)
-			n.unanswered(now, p)
-		} else if !p.relayed && now >= p.asked {
-			n.askOthers(seq, p)
+			n.probeFailed(now, p)
+		} else if !p.indirectSent && now >= p.indirectAt {
+			n.sendIndirectProbes(seq, p)
 		}
 	}
 	if now < n.nextProbe {
 		return
 	}
-	n.nextProbe = now + n.o.ProbeEvery // a slow node waits longer for answers, but asks as often
-	if n.silent() || n.gone || len(n.probes) > healthMost {
+	n.nextProbe = now + n.options.ProbeEvery // a slow node waits longer for answers, but asks as often
+	if n.isYielding() || n.hasLeft || len(n.probes) > maxLocalHealth {
 		return
 	}
-	m := n.nextTarget()
+	m := n.nextProbeTarget()
 	if m == nil {
 		return
 	}
 	n.seq++
-	n.probes[n.seq] = &probe{target: m, asked: now + n.stretched(n.o.ProbeTimeout), ends: now + n.stretched(n.o.ProbeEvery)}
+	n.probes[n.seq] = &probe{target: m, indirectAt: now + n.scaleByLocalHealth(n.options.ProbeTimeout), deadline: now + n.scaleByLocalHealth(n.options.ProbeEvery)}
 	n.send(m.Addr, &Message{Kind: Ping, Seq: n.seq, Target: m.Peer})
 }
 
-// nextTarget is the next member of the round, which is shuffled anew when it has been gone through.
-func (n *Node) nextTarget() *member {
-	for len(n.urgent) > 0 {
-		m := n.urgent[0]
-		n.urgent = n.urgent[1:]
+// nextProbeTarget is the next member of the round, which is shuffled anew when it has been gone through.
+func (n *Node) nextProbeTarget() *member {
+	for len(n.urgentTargets) > 0 {
+		m := n.urgentTargets[0]
+		n.urgentTargets = n.urgentTargets[1:]
 		if m.State == Suspect && n.members[m.Name] == m {
 			return m
 		}
 	}
-	if len(n.round) == 0 {
+	if len(n.present) == 0 {
 		return nil
 	}
-	if n.at >= len(n.round) {
-		n.at = 0
-		n.rng.Shuffle(len(n.round), func(i, j int) {
-			n.round[i], n.round[j] = n.round[j], n.round[i]
-			n.round[i].place, n.round[j].place = i, j
+	if n.probeIndex >= len(n.present) {
+		n.probeIndex = 0
+		n.rng.Shuffle(len(n.present), func(i, j int) {
+			n.present[i], n.present[j] = n.present[j], n.present[i]
+			n.present[i].index, n.present[j].index = i, j
 		})
 	}
-	m := n.round[n.at]
-	n.at++
+	m := n.present[n.probeIndex]
+	n.probeIndex++
 	return m
 }
 
-// askOthers has others probe a member that has not answered in time.
-func (n *Node) askOthers(seq uint64, p *probe) {
-	p.relayed = true
-	helpers := n.some(indirect, p.target)
-	if via := p.target.via; via != nil && via.State.IsPresent() && via != p.target && len(helpers) > 0 && !slices.Contains(helpers, via) {
+// sendIndirectProbes has others probe a member that has not answered in time.
+func (n *Node) sendIndirectProbes(seq uint64, p *probe) {
+	p.indirectSent = true
+	helpers := n.randomPresent(indirectProbers, p.target)
+	if via := p.target.lastHelper; via != nil && via.State.IsPresent() && via != p.target && len(helpers) > 0 && !slices.Contains(helpers, via) {
 		helpers[0] = via
 	}
 	for _, m := range helpers {
-		p.helpers++
+		p.expectedNacks++
 		n.send(m.Addr, &Message{Kind: PingReq, Seq: seq, Target: p.target.Peer})
 	}
 }
 
-// unanswered ends a probe without an answer. Helpers that said nothing speak against this node's own link.
-func (n *Node) unanswered(now time.Duration, p *probe) {
-	if p.helpers > 0 {
-		n.unwell(p.helpers - p.nacks)
+// probeFailed ends a probe without an answer. Helpers that said nothing speak against this node's own link.
+func (n *Node) probeFailed(now time.Duration, p *probe) {
+	if p.expectedNacks > 0 {
+		n.adjustLocalHealth(p.expectedNacks - p.nacks)
 	} else {
-		n.unwell(1)
+		n.adjustLocalHealth(1)
 	}
 	if n.members[p.target.Name] != p.target || !p.target.State.IsPresent() {
 		return
 	}
 	u := p.target.Update
 	u.State, u.By = Suspect, n.self.Name
-	n.learn(now, u, false) // where others suspect it already, this node agrees
+	n.applyUpdate(now, u, false) // where others suspect it already, this node agrees
 }
 
-// some gives up to k members that are here, at random, without one.
-func (n *Node) some(k int, but *member) []*member {
+// randomPresent gives up to k members that are here, at random, without one.
+func (n *Node) randomPresent(k int, but *member) []*member {
 	out := make([]*member, 0, k)
-	for tries := 0; len(out) < k && tries < 4*k && len(n.round) > 0; tries++ {
-		if m := n.round[n.rng.IntN(len(n.round))]; m != but && !slices.Contains(out, m) {
+	for tries := 0; len(out) < k && tries < 4*k && len(n.present) > 0; tries++ {
+		if m := n.present[n.rng.IntN(len(n.present))]; m != but && !slices.Contains(out, m) {
 			out = append(out, m)
 		}
 	}
@@ -336,16 +338,16 @@
 
 // send puts a message on its way, with news on its back.
 func (n *Node) send(to netip.AddrPort, m *Message) {
-	m.From, m.Digest, m.Quiet = n.self, n.digest, !n.news.any()
-	if m.Updates == nil && !n.silent() {
-		m.Updates = n.news.take(n.sends(), n.about(m, to))
+	m.From, m.Digest, m.Quiet = n.self, n.digest, !n.broadcasts.hasPending()
+	if m.Updates == nil && !n.isYielding() {
+		m.Updates = n.broadcasts.collect(n.retransmitLimit(), n.buddyUpdates(m, to))
 	}
-	n.out = append(n.out, Envelope{To: to, Message: m})
+	n.outbox = append(n.outbox, Envelope{To: to, Message: m})
 }
 
-// about is what the one who gets a message must hear of itself: that it is suspected, or called failed.
-func (n *Node) about(m *Message, to netip.AddrPort) []Update {
-	if n.o.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
+// buddyUpdates is what the one who gets a message must hear of itself: that it is suspected, or called failed.
+func (n *Node) buddyUpdates(m *Message, to netip.AddrPort) []Update {
+	if n.options.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
 		return nil
 	}
 	if held := n.members[m.Target.Name]; held != nil && held.State != Alive && held.Addr == to {
@@ -355,40 +357,40 @@
 }
 
 // HasContact tells whether anybody else of the fleet has been heard since the start.
-func (n *Node) HasContact() bool { return n.heard }
+func (n *Node) HasContact() bool { return n.hasContact }
 
-// sends is how often an update goes out from one node.
-func (n *Node) sends() int { return sendsFactor * bits.Len(uint(len(n.round)+1)) / 2 }
+// retransmitLimit is how often an update goes out from one node.
+func (n *Node) retransmitLimit() int { return retransmitFactor * bits.Len(uint(len(n.present)+1)) / 2 }
 
-// logSize stretches suspicion with the fleet's size: the decimal logarithm, 1 at least.
-func (n *Node) logSize() float64 { return max(1, math.Log10(float64(len(n.round)+1))) }
+// suspicionScale stretches suspicion with the fleet's size: the decimal logarithm, 1 at least.
+func (n *Node) suspicionScale() float64 { return max(1, math.Log10(float64(len(n.present)+1))) }
 
 // Leave says goodbye. What Out gives then should be sent; the node only answers from now on.
 func (n *Node) Leave(now time.Duration) {
-	n.gone = true
+	n.hasLeft = true
 	clear(n.probes)
 	n.self.State = Left
-	n.number++
-	if n.silent() {
+	n.viewNumber++
+	if n.isYielding() {
 		return
 	}
-	n.tell(n.self)
-	for _, m := range n.some(2*fanOut, nil) {
+	n.spread(n.self)
+	for _, m := range n.randomPresent(2*gossipFanout, nil) {
 		n.send(m.Addr, &Message{Kind: Gossip})
 	}
 }
 
-// goBack calls at an address at which somebody of the fleet has been or should be and nobody is known to be: so cuts heal.
-func (n *Node) goBack() {
-	if n.gone || n.silent() {
+// rejoin calls at an address at which somebody of the fleet has been or should be and nobody is known to be: so cuts heal.
+func (n *Node) rejoin() {
+	if n.hasLeft || n.isYielding() {
 		return
 	}
 	var at []netip.AddrPort
-	if len(n.away) > 0 {
-		at = append(at, n.away[n.rng.IntN(len(n.away))].Addr)
+	if len(n.failed) > 0 {
+		at = append(at, n.failed[n.rng.IntN(len(n.failed))].Addr)
 	}
-	for _, a := range n.o.Join {
-		if a != n.self.Addr && n.addrs[a] == 0 {
+	for _, a := range n.options.Join {
+		if a != n.self.Addr && n.presentAddrs[a] == 0 {
 			at = append(at, a)
 		}
 	}
@@ -398,23 +400,23 @@
 	}
 }
 
-// forget drops members that have been gone for long.
-func (n *Node) forget(now time.Duration) {
+// reap drops members that have been gone for long.
+func (n *Node) reap(now time.Duration) {
 	for name, m := range n.members {
-		if m.State.IsPresent() || now-m.since < forgetAfter {
+		if m.State.IsPresent() || now-m.since < reapAfter {
 			continue
 		}
 		if m.State == Failed {
-			n.away = takeOut(n.away, m)
+			n.failed = removeMember(n.failed, m)
 		}
 		delete(n.members, name)
-		n.number++
+		n.viewNumber++
 	}
 }
 
 // PresentCount is how many others are here, suspects among them; Suspects how many these are; Digest a number that is the same
 // for all who hold the same members for here, in the same lives and incarnations.
-func (n *Node) PresentCount() int { return len(n.round) }
+func (n *Node) PresentCount() int { return len(n.present) }
 
 // SuspectCount is told beside Others.
 func (n *Node) SuspectCount() int { return len(n.suspects) }
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -10,177 +10,177 @@
 // suspicion is how long a member has to say that it is there: long where one node alone misses it, shorter as others
 // agree (Lifeguard, section IV-B).
 type suspicion struct {
-	began       time.Duration
-	least, most time.Duration
-	expected    int      // others whose word brings it down to least
-	by          []string // who suspects; 1+expected at most
+	start                  time.Duration
+	minTimeout, maxTimeout time.Duration
+	expectedConfirmations  int      // others whose word brings it down to least
+	suspectedBy            []string // who suspects; 1+expected at most
 }
 
 // confirm counts another who suspects, and tells whether that is news.
 func (s *suspicion) confirm(by string) bool {
-	if len(s.by) > s.expected || slices.Contains(s.by, by) {
+	if len(s.suspectedBy) > s.expectedConfirmations || slices.Contains(s.suspectedBy, by) {
 		return false
 	}
-	s.by = append(s.by, by)
+	s.suspectedBy = append(s.suspectedBy, by)
 	return true
 }
 
-// ends is the instant at which the member is held for failed.
-func (s *suspicion) ends() time.Duration {
-	if s.expected == 0 {
-		return s.began + s.least
+// deadline is the instant at which the member is held for failed.
+func (s *suspicion) deadline() time.Duration {
+	if s.expectedConfirmations == 0 {
+		return s.start + s.minTimeout
 	}
-	share := math.Log(float64(len(s.by))) / math.Log(float64(s.expected+1))
-	return s.began + max(s.least, s.most-time.Duration(share*float64(s.most-s.least)))
+	share := math.Log(float64(len(s.suspectedBy))) / math.Log(float64(s.expectedConfirmations+1))
+	return s.start + max(s.minTimeout, s.maxTimeout-time.Duration(share*float64(s.maxTimeout-s.minTimeout)))
 }
 
-func (n *Node) tickSuspects(now time.Duration) {
-	if now < n.nextSuspect {
+func (n *Node) expireSuspicions(now time.Duration) {
+	if now < n.nextSuspicionEnd {
 		return
 	}
-	n.nextSuspect = never
+	n.nextSuspicionEnd = noDeadline
 	for _, name := range slices.Sorted(maps.Keys(n.suspects)) { // in order, so that a seed gives the same play
 		m := n.suspects[name]
-		if ends := m.suspicion.ends(); now < ends {
-			n.nextSuspect = min(n.nextSuspect, ends)
+		if ends := m.suspicion.deadline(); now < ends {
+			n.nextSuspicionEnd = min(n.nextSuspicionEnd, ends)
 			continue
 		}
 		u := m.Update
 		u.State, u.By = Failed, ""
-		n.become(now, m, u)
+		n.changeState(now, m, u)
 	}
 }
 
-// rival is another life of this node's name: dead, or an elder to give way to, or a younger that will.
-type rival struct {
+// nameConflict is another life of this node's name: dead, or an elder to give way to, or a younger that will.
+type nameConflict struct {
 	Peer
-	seq         uint64
-	tries       int
-	next        time.Duration // instant of the next question
-	incarnation uint64        // the highest that was heard
-	answered    bool
-	yield       bool // it is the elder, and answers: this node says nothing
+	seq              uint64
+	unansweredProbes int
+	nextProbe        time.Duration // instant of the next question
+	incarnation      uint64        // the highest that was heard
+	hasAnswered      bool
+	isYielding       bool // it is the elder, and answers: this node says nothing
 }
 
-// ofSelf takes up what others say of this node. It is the only one that may raise its incarnation.
-func (n *Node) ofSelf(now time.Duration, u Update) {
-	if n.silent() && u.Run == n.rival.Run {
-		n.rival.incarnation = max(n.rival.incarnation, u.Incarnation)
+// applyUpdateOfSelf takes up what others say of this node. It is the only one that may raise its incarnation.
+func (n *Node) applyUpdateOfSelf(now time.Duration, u Update) {
+	if n.isYielding() && u.Run == n.conflict.Run {
+		n.conflict.incarnation = max(n.conflict.incarnation, u.Incarnation)
 		if u.State == Left { // it said goodbye: the name is this one's
-			n.rival.tries, n.rival.next = rivalTries, now
+			n.conflict.unansweredProbes, n.conflict.nextProbe = conflictProbeAttempts, now
 		}
 		return
 	}
 	switch {
 	case u.Run == n.self.Run || u.Addr == n.self.Addr || !u.State.IsPresent(): // of this life, or of one that has ended
 		same := u.Run == n.self.Run && u.State == n.self.State && u.Incarnation == n.self.Incarnation
-		if u.Incarnation < n.self.Incarnation || same || n.gone || n.silent() {
+		if u.Incarnation < n.self.Incarnation || same || n.hasLeft || n.isYielding() {
 			return
 		}
 		if u.Run == n.self.Run && u.State == Suspect {
-			n.unwell(1)
+			n.adjustLocalHealth(1)
 		}
 		n.refute(u.Incarnation)
-	case n.rival == nil:
-		n.rival = &rival{Peer: u.Peer, next: now, incarnation: u.Incarnation}
-	case n.rival.Run == u.Run:
-		n.rival.incarnation = max(n.rival.incarnation, u.Incarnation)
+	case n.conflict == nil:
+		n.conflict = &nameConflict{Peer: u.Peer, nextProbe: now, incarnation: u.Incarnation}
+	case n.conflict.Run == u.Run:
+		n.conflict.incarnation = max(n.conflict.incarnation, u.Incarnation)
 	}
 }
 
 // refute takes the word about this node back, by an incarnation over the one that was heard.
 func (n *Node) refute(heard uint64) {
-	n.digest ^= hash(&n.self)
+	n.digest ^= updateDigest(&n.self)
 	n.self.Incarnation = max(n.self.Incarnation, heard) + 1
-	n.digest ^= hash(&n.self)
-	n.number++
-	n.tell(n.self)
+	n.digest ^= updateDigest(&n.self)
+	n.viewNumber++
+	n.spread(n.self)
 }
 
-// tickRival asks another life of this name whether it is there.
-func (n *Node) tickRival(now time.Duration) {
-	r := n.rival
-	if r == nil || now < r.next {
+// tickNameConflict asks another life of this name whether it is there.
+func (n *Node) tickNameConflict(now time.Duration) {
+	r := n.conflict
+	if r == nil || now < r.nextProbe {
 		return
 	}
-	r.next = now + n.o.ProbeEvery
-	if r.tries >= rivalTries { // it is gone: the name is this one's
-		n.rival = nil
-		n.number++
+	r.nextProbe = now + n.options.ProbeEvery
+	if r.unansweredProbes >= conflictProbeAttempts { // it is gone: the name is this one's
+		n.conflict = nil
+		n.viewNumber++
 		n.refute(r.incarnation)
 		return
 	}
-	r.tries++
+	r.unansweredProbes++
 	n.seq++
 	r.seq = n.seq
 	n.send(r.Addr, &Message{Kind: Ping, Seq: n.seq, Target: r.Peer})
 }
 
-// rivalAnswers: two processes have one name. The younger says nothing any more, for as long as the elder answers; the
+// receiveConflictAck: two processes have one name. The younger says nothing any more, for as long as the elder answers; the
 // elder's word must stand with the others.
-func (n *Node) rivalAnswers(now time.Duration) {
-	r := n.rival
-	r.tries = 0
-	if !r.answered {
-		r.answered = true
-		n.number++
-	}
-	if r.yield = n.self.Run > r.Run; r.yield {
+func (n *Node) receiveConflictAck(now time.Duration) {
+	r := n.conflict
+	r.unansweredProbes = 0
+	if !r.hasAnswered {
+		r.hasAnswered = true
+		n.viewNumber++
+	}
+	if r.isYielding = n.self.Run > r.Run; r.isYielding {
 		return
 	}
 	if r.incarnation >= n.self.Incarnation {
 		n.refute(r.incarnation)
 	}
-	n.stand(now)
+	n.updateConnectivity(now)
 }
 
 // NameConflict tells of another process that answers under this node's name, and whether this node gives way to it.
 func (n *Node) NameConflict() (other Peer, answers, yields bool) {
-	if n.rival == nil {
+	if n.conflict == nil {
 		return Peer{}, false, false
 	}
-	return n.rival.Peer, n.rival.answered, n.rival.yield
+	return n.conflict.Peer, n.conflict.hasAnswered, n.conflict.isYielding
 }
 
-// stand forms the opinion of how this node stands. Worse counts at once: what led to it has lasted as long as suspicion
+// updateConnectivity forms the opinion of how this node stands. Worse counts at once: what led to it has lasted as long as suspicion
 // does. Better must last.
-func (n *Node) stand(now time.Duration) {
-	is := n.standingNow()
+func (n *Node) updateConnectivity(now time.Duration) {
+	is := n.currentConnectivity()
 	switch {
-	case is == n.standing:
-		n.better = -1
+	case is == n.connectivity:
+		n.improvedSince = -1
 		return
-	case is < n.standing:
-		n.standing, n.better = is, -1
-		n.number++
+	case is < n.connectivity:
+		n.connectivity, n.improvedSince = is, -1
+		n.viewNumber++
 		return
-	case n.better < 0 || is < n.betterIs:
-		n.better, n.betterIs = now, is
+	case n.improvedSince < 0 || is < n.improvedTo:
+		n.improvedSince, n.improvedTo = now, is
 	}
-	n.betterIs = min(n.betterIs, is)
-	if now-n.better >= standingHold*n.o.ProbeEvery {
-		n.standing, n.better = n.betterIs, -1
-		n.number++
+	n.improvedTo = min(n.improvedTo, is)
+	if now-n.improvedSince >= connectivityHoldIntervals*n.options.ProbeEvery {
+		n.connectivity, n.improvedSince = n.improvedTo, -1
+		n.viewNumber++
 	}
 }
 
-func (n *Node) standingNow() Connectivity {
-	answer, of := n.voters()
+func (n *Node) currentConnectivity() Connectivity {
+	answer, of := n.countVoters()
 	switch {
-	case n.silent() || n.gone || 2*answer < of:
+	case n.isYielding() || n.hasLeft || 2*answer < of:
 		return CutOff
-	case answer == of && len(n.away) == 0:
+	case answer == of && len(n.failed) == 0:
 		return FullyConnected
 	}
 	return PartlyConnected
 }
 
-// voters is how many of those that count answer. Without voters all known ones count, but those that left.
-func (n *Node) voters() (answer, of int) {
-	if len(n.o.Voters) == 0 {
-		return len(n.round) + 1, len(n.round) + len(n.away) + 1
+// countVoters is how many of those that count answer. Without voters all known ones count, but those that left.
+func (n *Node) countVoters() (answer, of int) {
+	if len(n.options.Voters) == 0 {
+		return len(n.present) + 1, len(n.present) + len(n.failed) + 1
 	}
-	for _, name := range n.o.Voters {
+	for _, name := range n.options.Voters {
 		of++
 		if m := n.members[name]; name == n.self.Name || m != nil && m.State.IsPresent() {
 			answer++
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -13,17 +13,17 @@
 	return Peer{Name: fmt.Sprint("s", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7), Run: uint64(i + 1)}
 }
 
-// mesh is nodes, and messages between them that chance or a test carries.
-type mesh struct {
-	now   time.Duration
-	nodes []*Node
-	way   []Envelope
-	high  map[string]uint64 // by whose run, of whom: the highest incarnation held
-	left  map[string]uint64
+// testNetwork is nodes, and messages between them that chance or a test carries.
+type testNetwork struct {
+	now             time.Duration
+	nodes           []*Node
+	inTransit       []Envelope
+	maxIncarnation  map[string]uint64 // by whose run, of whom: the highest incarnation held
+	leftIncarnation map[string]uint64
 }
 
-func newMesh(n int) *mesh {
-	m := &mesh{now: time.Hour, high: map[string]uint64{}, left: map[string]uint64{}}
+func newTestNetwork(n int) *testNetwork {
+	m := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
 	var known []Update
 	for i := range n {
 		known = append(known, Update{Peer: peer(i), Incarnation: 1})
@@ -34,35 +34,35 @@
 	return m
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
-// after takes what a node sends, and holds what it believes against what must always be so.
-func (m *mesh) after(t failer, n *Node) {
+// collect takes what a node sends, and holds what it believes against what must always be so.
+func (m *testNetwork) collect(t fataler, n *Node) {
 	for _, e := range n.TakeMessages() {
 		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
 			t.Fatalf("%d updates on the back of a message", len(e.Message.Updates))
 		}
-		m.way = append(m.way, e)
+		m.inTransit = append(m.inTransit, e)
 	}
 	v := n.View()
 	for _, x := range v.Members {
 		key := fmt.Sprint(n.self.Run, " ", x.Name)
-		if x.Incarnation < m.high[key] {
-			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, m.high[key], x.Name, x.Incarnation)
+		if x.Incarnation < m.maxIncarnation[key] {
+			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, m.maxIncarnation[key], x.Name, x.Incarnation)
 		}
-		m.high[key] = x.Incarnation
+		m.maxIncarnation[key] = x.Incarnation
 		if x.State == Left {
-			m.left[key] = x.Incarnation
-		} else if was, ok := m.left[key]; ok && x.Incarnation <= was {
+			m.leftIncarnation[key] = x.Incarnation
+		} else if was, ok := m.leftIncarnation[key]; ok && x.Incarnation <= was {
 			t.Fatalf("%s holds %s for %v in the incarnation in which it left", n.self.Name, x.Name, x.State)
 		}
 	}
-	check(t, n)
+	checkInvariants(t, n)
 }
 
-// check holds a node's lists against one another.
-func check(t failer, n *Node) {
-	digest, here, away := hash(&n.self), 0, 0
+// checkInvariants holds a node's lists against one another.
+func checkInvariants(t fataler, n *Node) {
+	digest, here, away := updateDigest(&n.self), 0, 0
 	for name, m := range n.members {
 		if m.Name != name {
 			t.Fatalf("%s stands at %s", m.Name, name)
@@ -73,42 +73,42 @@
 		switch {
 		case m.State.IsPresent():
 			here++
-			digest ^= hash(&m.Update)
-			if n.round[m.place] != m {
+			digest ^= updateDigest(&m.Update)
+			if n.present[m.index] != m {
 				t.Fatalf("%s is not at its place", name)
 			}
 		case m.State == Failed:
 			away++
-			if n.away[m.place] != m {
+			if n.failed[m.index] != m {
 				t.Fatalf("%s is not among the failed", name)
 			}
 		}
 	}
 	sum := 0
-	for _, k := range n.addrs {
+	for _, k := range n.presentAddrs {
 		sum += k
 	}
-	if here != len(n.round) || away != len(n.away) || sum != here || digest != n.digest || n.at > len(n.round) {
-		t.Fatalf("%d here of %d, %d away of %d, %d addresses, digest %x of %x", here, len(n.round), away, len(n.away), sum, digest, n.digest)
+	if here != len(n.present) || away != len(n.failed) || sum != here || digest != n.digest || n.probeIndex > len(n.present) {
+		t.Fatalf("%d here of %d, %d away of %d, %d addresses, digest %x of %x", here, len(n.present), away, len(n.failed), sum, digest, n.digest)
 	}
 }
 
-func (m *mesh) deliver(t failer, i int) {
-	e := m.way[i]
-	m.way = append(m.way[:i], m.way[i+1:]...)
+func (m *testNetwork) deliver(t fataler, i int) {
+	e := m.inTransit[i]
+	m.inTransit = append(m.inTransit[:i], m.inTransit[i+1:]...)
 	for _, n := range m.nodes {
 		if n.self.Addr == e.To {
 			n.Receive(m.now, e.Message)
-			m.after(t, n)
+			m.collect(t, n)
 		}
 	}
 }
 
 // Whatever is lost, late, repeated or out of order, whoever leaves or starts again: incarnations never go back, what left
 // stays so, a node's lists agree, and when all is delivered at last all hold the same.
-func TestWhateverBecomesOfMessages(t *testing.T) {
+func TestNodesConvergeAfterLossReorderingAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMesh(rapid.IntRange(2, 5).Draw(t, "nodes"))
+		m := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
 		lives := uint64(100)
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
@@ -116,21 +116,21 @@
 				n := rapid.SampledFrom(m.nodes).Draw(t, "node")
 				n.Tick(m.now)
 				n.NextTick()
-				m.after(t, n)
+				m.collect(t, n)
 			},
 			"deliver": func(t *rapid.T) {
-				if len(m.way) > 0 {
-					m.deliver(t, rapid.IntRange(0, len(m.way)-1).Draw(t, "which"))
+				if len(m.inTransit) > 0 {
+					m.deliver(t, rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "which"))
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(m.way) > 0 {
-					m.way = m.way[1:]
+				if len(m.inTransit) > 0 {
+					m.inTransit = m.inTransit[1:]
 				}
 			},
 			"repeat": func(t *rapid.T) {
-				if len(m.way) > 0 && len(m.way) < 200 {
-					m.way = append(m.way, rapid.SampledFrom(m.way).Draw(t, "which"))
+				if len(m.inTransit) > 0 && len(m.inTransit) < 200 {
+					m.inTransit = append(m.inTransit, rapid.SampledFrom(m.inTransit).Draw(t, "which"))
 				}
 			},
 			"restart": func(t *rapid.T) {
@@ -146,22 +146,22 @@
 }
 
 // settle delivers everything in order, until all hold the same.
-func (m *mesh) settle(t failer) {
-	if !m.until(t, time.Minute, m.equal) {
+func (m *testNetwork) settle(t fataler) {
+	if !m.runUntil(t, time.Minute, m.isConverged) {
 		t.Fatalf("a minute after the last fault views differ: %+v and %+v", m.nodes[0].View(), m.nodes[1].View())
 	}
 }
 
-// until delivers everything in order and does what is due, for a while or until done.
-func (m *mesh) until(t failer, d time.Duration, done func() bool) bool {
+// runUntil delivers everything in order and does what is due, for a while or until done.
+func (m *testNetwork) runUntil(t fataler, d time.Duration, done func() bool) bool {
 	for end := m.now + d; m.now < end; m.now += 10 * time.Millisecond {
 		for _, n := range m.nodes {
 			if m.now >= n.NextTick() {
 				n.Tick(m.now)
-				m.after(t, n)
+				m.collect(t, n)
 			}
 		}
-		for len(m.way) > 0 {
+		for len(m.inTransit) > 0 {
 			m.deliver(t, 0)
 		}
 		if done() {
@@ -171,9 +171,9 @@
 	return false
 }
 
-func (m *mesh) equal() bool {
+func (m *testNetwork) isConverged() bool {
 	for _, n := range m.nodes {
-		if n.digest != m.nodes[0].digest || len(n.round) != len(m.nodes)-1 || len(n.suspects) > 0 {
+		if n.digest != m.nodes[0].digest || len(n.present) != len(m.nodes)-1 || len(n.suspects) > 0 {
 			return false
 		}
 	}
@@ -181,7 +181,7 @@
 }
 
 // All orders of a few events among three nodes, each tried: a tick of any, a delivery or a loss of the oldest message to any.
-func TestEveryOrderOfAFewEvents(t *testing.T) {
+func TestInvariantsHoldInEveryOrderOfFiveEvents(t *testing.T) {
 	const depth, choices = 5, 9
 	total := 1
 	for range depth {
@@ -189,7 +189,7 @@
 	}
 	tried := 0
 	for code := range total {
-		m := newMesh(3)
+		m := newTestNetwork(3)
 		m.now += 400 * time.Millisecond
 		rest := code
 		for range depth {
@@ -205,30 +205,30 @@
 	t.Logf("%d orders", tried)
 }
 
-func (m *mesh) step(t failer, choice int) {
+func (m *testNetwork) step(t fataler, choice int) {
 	i := choice % 3
 	if choice/3 == 0 {
 		m.nodes[i].Tick(m.now)
 		m.nodes[i].NextTick()
-		m.after(t, m.nodes[i])
+		m.collect(t, m.nodes[i])
 		return
 	}
-	for k, e := range m.way {
+	for k, e := range m.inTransit {
 		if e.To != peer(i).Addr {
 			continue
 		}
 		if choice/3 == 1 {
 			m.deliver(t, k)
 		} else {
-			m.way = append(m.way[:k], m.way[k+1:]...)
+			m.inTransit = append(m.inTransit[:k], m.inTransit[k+1:]...)
 		}
 		return
 	}
 }
 
 // Two processes of one name: the younger says nothing for as long as the elder answers, and takes the name when it has gone.
-func TestTheYoungerOfTwoGivesWay(t *testing.T) {
-	m := newMesh(3)
+func TestYoungerProcessOfOneNameYieldsUntilElderIsGone(t *testing.T) {
+	m := newTestNetwork(3)
 	younger := peer(1)
 	younger.Addr, younger.Run = peer(9).Addr, 1000
 	m.nodes = append(m.nodes, New(m.now, Options{Self: younger, Join: []netip.AddrPort{peer(0).Addr}}))
@@ -260,4 +260,4 @@
 	}
 }
 
-func (m *mesh) run(t failer, d time.Duration) { m.until(t, d, func() bool { return false }) }
+func (m *testNetwork) run(t fataler, d time.Duration) { m.runUntil(t, d, func() bool { return false }) }
