--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -1,74 +1,125 @@
 package swim
 
-// broadcastQueue are updates to be sent on, each a bounded number of times, those first that went out least. There is one of a
-// member at most.
+import (
+	"math/bits"
+	"net/netip"
+)
+
+const (
+	// gossipFanout is the number of members that each round of gossip goes to.
+	gossipFanout = 3
+
+	// gossipsPerProbeInterval is the number of rounds of gossip in a ProbeEvery.
+	gossipsPerProbeInterval = 4
+
+	// retransmitFactor, times half of the binary logarithm of the cluster's size, is how often an update is sent.
+	retransmitFactor = 4
+)
+
+// broadcastQueue holds the updates to be gossiped, one of a member at most. Each is sent a bounded number of times, and
+// those first that were sent least.
 type broadcastQueue struct {
 	byName      map[string]*broadcast
-	byTransmits [][]*broadcast // by how often they went out; an item that was replaced stays until it is come to
-	lowest      int            // no level below it has items
+	byTransmits [][]*broadcast // by how often they were sent; one that was replaced stays until collect reaches it
+	lowest      int            // no entry of byTransmits below it holds a broadcast
 }
 
+// broadcast is an update with the number of times that it was sent.
 type broadcast struct {
 	Update
 	transmits int
 }
 
-func (w *broadcastQueue) reset() { *w = broadcastQueue{byName: map[string]*broadcast{}} }
+// reset empties the queue.
+func (q *broadcastQueue) reset() { *q = broadcastQueue{byName: map[string]*broadcast{}} }
 
-func (w *broadcastQueue) hasPending() bool { return len(w.byName) > 0 }
+// hasPending reports whether updates are left to be sent.
+func (q *broadcastQueue) hasPending() bool { return len(q.byName) > 0 }
 
-// enqueue makes an update the news of its member.
-func (w *broadcastQueue) enqueue(u Update) {
-	i := &broadcast{Update: u}
-	w.byName[u.Name] = i
-	w.insert(i)
+// enqueue adds an update, in place of the one of the same member.
+func (q *broadcastQueue) enqueue(u Update) {
+	b := &broadcast{Update: u}
+	q.byName[u.Name] = b
+	q.insert(b)
 }
 
-func (w *broadcastQueue) insert(i *broadcast) {
-	for len(w.byTransmits) <= i.transmits {
-		w.byTransmits = append(w.byTransmits, nil)
+func (q *broadcastQueue) insert(b *broadcast) {
+	for len(q.byTransmits) <= b.transmits {
+		q.byTransmits = append(q.byTransmits, nil)
 	}
-	w.byTransmits[i.transmits] = append(w.byTransmits[i.transmits], i)
-	w.lowest = min(w.lowest, i.transmits)
+	q.byTransmits[b.transmits] = append(q.byTransmits[b.transmits], b)
+	q.lowest = min(q.lowest, b.transmits)
 }
 
-// collect gives the updates for one message, after those that must go; none goes out more than most times.
-func (w *broadcastQueue) collect(most int, out []Update) []Update {
-	room := maxPiggybackBytes
+// collect appends updates for one message to those that it must carry, within the bounds of a message. It drops an update
+// that has been sent limit times.
+func (q *broadcastQueue) collect(limit int, out []Update) []Update {
+	freeBytes := maxPiggybackBytes
 	for i := range out {
-		room -= out[i].encodedBound()
+		freeBytes -= out[i].maxEncodedBytes()
 	}
-	var again []*broadcast
-	for w.lowest < len(w.byTransmits) && len(out) < MaxPiggyback {
-		level := w.byTransmits[w.lowest]
+	var sentAgain []*broadcast
+	for q.lowest < len(q.byTransmits) && len(out) < MaxPiggyback {
+		level := q.byTransmits[q.lowest]
 		if len(level) == 0 {
-			w.lowest++
+			q.lowest++
 			continue
 		}
-		i := level[0]
-		if w.byName[i.Name] == i {
-			if i.encodedBound() > room {
+		b := level[0]
+		if q.byName[b.Name] == b {
+			if b.maxEncodedBytes() > freeBytes {
 				break
 			}
-			room -= i.encodedBound()
-			out = append(out, i.Update)
-			if i.transmits++; i.transmits < most {
-				again = append(again, i) // after this message: none may stand in it twice
+			freeBytes -= b.maxEncodedBytes()
+			out = append(out, b.Update)
+			if b.transmits++; b.transmits < limit {
+				sentAgain = append(sentAgain, b) // put back after the loop: a message carries an update once
 			} else {
-				delete(w.byName, i.Name)
+				delete(q.byName, b.Name)
 			}
 		}
 		level[0] = nil
-		w.byTransmits[w.lowest] = level[1:]
+		q.byTransmits[q.lowest] = level[1:]
 	}
-	for _, i := range again {
-		w.insert(i)
+	for _, b := range sentAgain {
+		q.insert(b)
 	}
-	if len(w.byName) == 0 {
-		w.byTransmits, w.lowest = nil, 0
+	if len(q.byName) == 0 {
+		q.byTransmits, q.lowest = nil, 0
 	}
 	return out
 }
 
-// encodedBound is an upper bound of an update's length in a message.
-func (u *Update) encodedBound() int { return updateOverheadBytes + len(u.Name) + len(u.By) }
+// canGossip reports whether there are updates to gossip and the node may gossip.
+func (n *Node) canGossip() bool { return n.broadcasts.hasPending() && !n.isYielding() }
+
+// gossip sends updates to a number of random members.
+func (n *Node) gossip(fanout int) {
+	for _, m := range n.randomPresent(fanout, nil) {
+		n.send(m.Addr, &Message{Kind: Gossip})
+	}
+}
+
+// send puts a message into the outbox, with updates piggybacked on it.
+func (n *Node) send(to netip.AddrPort, m *Message) {
+	m.From, m.Digest, m.Quiet = n.self, n.digest, !n.broadcasts.hasPending()
+	if m.Updates == nil && !n.isYielding() {
+		m.Updates = n.broadcasts.collect(n.retransmitLimit(), n.buddyUpdates(m, to))
+	}
+	n.outbox = append(n.outbox, Envelope{To: to, Message: m})
+}
+
+// buddyUpdates returns what the target of a Ping must receive about itself, that it is suspect or failed, so that it can
+// refute soon (Lifeguard's buddy system).
+func (n *Node) buddyUpdates(m *Message, to netip.AddrPort) []Update {
+	if n.options.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
+		return nil
+	}
+	if target := n.members[m.Target.Name]; target != nil && target.State != Alive && target.Addr == to {
+		return []Update{target.Update}
+	}
+	return nil
+}
+
+// retransmitLimit returns how often this node sends an update.
+func (n *Node) retransmitLimit() int { return retransmitFactor * bits.Len(uint(len(n.present)+1)) / 2 }
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -62,7 +62,7 @@
 
 // checkInvariants holds a node's lists against one another.
 func checkInvariants(t fataler, n *Node) {
-	digest, here, away := updateDigest(&n.self), 0, 0
+	digest, here, away := n.self.digest(), 0, 0
 	for name, m := range n.members {
 		if m.Name != name {
 			t.Fatalf("%s stands at %s", m.Name, name)
@@ -73,7 +73,7 @@
 		switch {
 		case m.State.IsPresent():
 			here++
-			digest ^= updateDigest(&m.Update)
+			digest ^= m.digest()
 			if n.present[m.index] != m {
 				t.Fatalf("%s is not at its place", name)
 			}
