--- /dev/null
+++ b/internal/cluster/status/wireformat_test.go
@@ -0,0 +1,92 @@
+package status
+
+import (
+	"encoding/json"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
+)
+
+// Operators and their scripts read these lines and keys: a change of one byte is a change of the interface.
+func TestWrittenLinesAndJSONKeepTheirBytes(t *testing.T) {
+	view := &swim.View{Number: 7, Self: "s1", Connectivity: swim.CutOff, Rival: "127.0.0.9:1", Members: []swim.Member{
+		{Update: swim.Update{Peer: swim.Peer{Name: "s1", Addr: netip.MustParseAddrPort("[::1]:7")}, Incarnation: 3}, Since: time.Second},
+		{Update: swim.Update{Peer: swim.Peer{Name: "s2", Addr: netip.MustParseAddrPort("127.0.0.1:8")}, State: swim.Left, Incarnation: 9}, Since: 9 * time.Second},
+	}}
+	fleet := FleetFromView(view, 3*time.Second, 2, 1)
+	settings := &Settings{
+		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leads: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2,
+		Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
+		Lags: []Lag{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
+	}
+	result := &CommandResult{
+		Format: 1, Version: 9, Same: true, Name: "shared", Put: 7, Body: []byte("\x00a"),
+		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", By: "s", AtMs: 12, Back: 3}},
+	}
+	sent := consensus.CommandResult{
+		Version: 9, Same: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
+		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}},
+	}
+	written := func(write func(*strings.Builder) error) string {
+		t.Helper()
+		var text strings.Builder
+		if err := write(&text); err != nil {
+			t.Fatal(err)
+		}
+		return text.String()
+	}
+	encoded := func(v any) string {
+		t.Helper()
+		text, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(text)
+	}
+	for _, test := range []struct{ name, got, want string }{
+		{"fleet lines", written(func(w *strings.Builder) error { return fleet.Write(w) }),
+			"fleet self=s1 standing=cut-off view=7 daemons=2 index=1 elder=127.0.0.9:1\n" +
+				"peer name=s1 address=[::1]:7 state=alive incarnation=3 since_ms=2000\n" +
+				"peer name=s2 address=127.0.0.1:8 state=left incarnation=9 since_ms=0\n"},
+		{"fleet lines without an elder", written(func(w *strings.Builder) error { return (&Fleet{Self: "a", Standing: "whole"}).Write(w) }),
+			"fleet self=a standing=whole view=0 daemons=0 index=0\n"},
+		{"fleet JSON", encoded(fleet),
+			`{"format":1,"self":"s1","standing":"cut-off","elder":"127.0.0.9:1","view":7,"daemons":2,"index":1,"peers":[` +
+				`{"name":"s1","address":"[::1]:7","state":"alive","incarnation":3,"since_ms":2000},` +
+				`{"name":"s2","address":"127.0.0.1:8","state":"left","incarnation":9,"since_ms":0}]}`},
+		{"settings lines", written(func(w *strings.Builder) error { return settings.Write(w) }),
+			"settings version=3 acting=true lease_ms=70 votes=true leads=true leader=s0 term=9 committed=5 coming=4 all=2 declined=4 " +
+				"why=no+such+field%3A+x refused=3 voters=a,b,c sitting=a,b\n" +
+				"lag daemon=a why=it+can%27t+act%3A+50+%25\n" +
+				"document name=out/x version=2 by=s1 bytes=5 sha256=e3\n"},
+		{"settings JSON", encoded(settings),
+			`{"format":1,"version":3,"acting":true,"lease_ms":70,"votes":true,"leads":true,"leader":"s0","committed":5,"coming":4,"term":9,` +
+				`"all":2,"declined":4,"why":"no such field: x","refused":3,"voters":"a,b,c","sitting":"a,b",` +
+				`"lags":[{"daemon":"a","why":"it can't act: 50 %"}],` +
+				`"documents":[{"name":"out/x","version":2,"by":"s1","bytes":5,"sha256":"e3"}]}`},
+		{"settings JSON without what may be omitted", encoded(&Settings{}),
+			`{"format":0,"version":0,"acting":false,"lease_ms":0,"votes":false,"leads":false,"leader":"","committed":0,"coming":0,"term":0,` +
+				`"all":0,"refused":0,"voters":"","sitting":"","lags":null,"documents":null}`},
+		{"command result lines", written(func(w *strings.Builder) error { return WriteResult(w, sent) }),
+			"answer version=9 same=true\n" +
+				"change version=1 name=a bytes=5 sha256=01" + strings.Repeat("0", 62) + " by=s at_ms=12 back=3\n" +
+				"document name=shared version=7\n" +
+				"body text=" + strings.Repeat("YWFh", 2000) + "\n" +
+				"body text=YQ\n"},
+		{"command result JSON", encoded(result),
+			`{"format":1,"version":9,"same":true,"name":"shared","put":7,"body":"AGE=","history":[` +
+				`{"version":1,"name":"a","bytes":5,"sha256":"01","by":"s","at_ms":12,"back":3}]}`},
+		{"command result JSON without what may be omitted", encoded(&CommandResult{History: []HistoryEntry{{}}}),
+			`{"format":0,"version":0,"history":[{"version":0,"name":"","bytes":0,"sha256":"","by":"","at_ms":0}]}`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if test.got != test.want {
+				t.Errorf("got  %s\nwant %s", test.got, test.want)
+			}
+		})
+	}
+}
