--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -10,51 +11,60 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// HistoryEntry is an entry of the history of what was agreed on.
+const (
+	// bodyBytesPerLine is how many bytes of a body are on one line, in base64.
+	bodyBytesPerLine = 6000
+
+	// callTimeout bounds one request of Call: a daemon has to respond within a second.
+	callTimeout = 2 * time.Second
+
+	// retryInterval is the pause between two requests of Call.
+	retryInterval = 100 * time.Millisecond
+)
+
+// HistoryEntry is an entry of the history of the agreed documents.
 type HistoryEntry struct {
 	Version uint64 `json:"version"`
 	Name    string `json:"name"`
 	Bytes   int    `json:"bytes"`
-	SHA256  string `json:"sha256"` // zeros: it was taken out
+	SHA256  string `json:"sha256"` // in hexadecimal; zeros: the document was removed
 	By      string `json:"by"`
 	AtMs    int64  `json:"at_ms"`          // Unix milliseconds, by the clock of the daemon that was called
-	Back    uint64 `json:"back,omitempty"` // the version that it goes back to
+	Back    uint64 `json:"back,omitempty"` // the version whose document was restored
 }
 
-// IsRemoval tells whether the document was taken out.
-func (c *HistoryEntry) IsRemoval() bool { return strings.Trim(c.SHA256, "0") == "" }
+// IsRemoval reports whether the document was removed.
+func (h *HistoryEntry) IsRemoval() bool { return strings.Trim(h.SHA256, "0") == "" }
 
-// CommandResult is what became of a call about what is agreed on. Its form in JSON is documented.
+// CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
 type CommandResult struct {
 	Format  int            `json:"format"`         // 1
-	Version uint64         `json:"version"`        // that a put made, or that is agreed on
+	Version uint64         `json:"version"`        // the version that a change made, or else the agreed one
 	Same    bool           `json:"same,omitempty"` // there was nothing to change
-	Name    string         `json:"name,omitempty"` // of a document that was asked for,
-	Put     uint64         `json:"put,omitempty"`  // and the version in which it was put
-	Body    []byte         `json:"body,omitempty"`
+	Name    string         `json:"name,omitempty"` // name of the requested document
+	Put     uint64         `json:"put,omitempty"`  // the version in which the requested document was put
+	Body    []byte         `json:"body,omitempty"` // of the requested document
 	History []HistoryEntry `json:"history,omitempty"`
 }
 
-// bodyBytesPerLine is how many bytes of a body are on a line, in base64.
-const bodyBytesPerLine = 6000
-
-// WriteResult writes a line for what became of a call, and what was asked for.
-func WriteResult(w io.Writer, a consensus.CommandResult) error {
-	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", a.Version, a.Same); err != nil {
+// WriteResult writes the lines of a command's result, but no end of the response.
+func WriteResult(w io.Writer, r consensus.CommandResult) error {
+	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", r.Version, r.Same); err != nil {
 		return err
 	}
-	for _, c := range a.History {
-		if _, err := fmt.Fprintf(w, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n", c.Version, c.Name, c.Bytes, c.Digest, c.By, c.At, c.Back); err != nil {
+	for _, h := range r.History {
+		if _, err := fmt.Fprintf(w, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
+			h.Version, h.Name, h.Bytes, h.Digest, h.By, h.At, h.Back); err != nil {
 			return err
 		}
 	}
-	if a.Doc == nil {
+	if r.Doc == nil {
 		return nil
 	}
-	if _, err := fmt.Fprintf(w, "document name=%s version=%d\n", a.Doc.Name, a.Doc.Version); err != nil {
+	if _, err := fmt.Fprintf(w, "document name=%s version=%d\n", r.Doc.Name, r.Doc.Version); err != nil {
 		return err
 	}
-	for rest := a.Doc.Body; len(rest) > 0; {
+	for rest := r.Doc.Body; len(rest) > 0; {
 		n := min(len(rest), bodyBytesPerLine)
 		if _, err := fmt.Fprintf(w, "body text=%s\n", base64.RawURLEncoding.EncodeToString(rest[:n])); err != nil {
 			return err
@@ -64,53 +74,53 @@
 	return nil
 }
 
-func (a *CommandResult) parseLine(line string) error {
-	var c HistoryEntry
-	var part string
-	err := parseLine(line, map[string]map[string]any{
-		"answer":   {"version": &a.Version, "same": &a.Same},
-		"change":   {"version": &c.Version, "name": &c.Name, "bytes": &c.Bytes, "sha256": &c.SHA256, "by": &c.By, "at_ms": &c.AtMs, "back": &c.Back},
-		"document": {"name": &a.Name, "version": &a.Put},
-		"body":     {"text": &part},
+func (r *CommandResult) parseLine(line string) error {
+	var h HistoryEntry
+	var encodedBody string
+	err := parseFields(line, lineFields{
+		"answer": {"version": &r.Version, "same": &r.Same},
+		"change": {
+			"version": &h.Version, "name": &h.Name, "bytes": &h.Bytes, "sha256": &h.SHA256, "by": &h.By,
+			"at_ms": &h.AtMs, "back": &h.Back,
+		},
+		"document": {"name": &r.Name, "version": &r.Put},
+		"body":     {"text": &encodedBody},
 	})
-	if err == nil && c.Version > 0 {
-		a.History = append(a.History, c)
+	if err == nil && h.Version > 0 {
+		r.History = append(r.History, h)
 	}
-	if err != nil || part == "" {
+	if err != nil || encodedBody == "" {
 		return err
 	}
-	body, err := base64.RawURLEncoding.DecodeString(part)
-	a.Body = append(a.Body, body...)
+	body, err := base64.RawURLEncoding.DecodeString(encodedBody)
+	r.Body = append(r.Body, body...)
 	return err
 }
 
-// Call makes a call about what is agreed on: the words that follow settings, and the body of a put. It is made again, with the
-// same words, while no majority of the voters answers and until within has passed. An error of that sort is an Unsure.
-func Call(at string, words []string, body []byte, within time.Duration) (*CommandResult, error) {
-	ends := time.Now().Add(within)
+// IndeterminateError is returned for a command that may have been carried out, or may be yet.
+type IndeterminateError struct{ error }
+
+// Unwrap returns the error of the last attempt.
+func (e IndeterminateError) Unwrap() error { return e.error }
+
+// Call sends a command on the agreed documents to the daemon whose operators' address is addr: the words that follow
+// "settings" on the request line, and the body of a put. While no majority of the voters responds it retries with the same
+// words, which must carry an ID where a command may not be carried out twice. It returns an IndeterminateError when
+// retryFor has passed without success, and any other error at once.
+func Call(addr string, words []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
+	deadline := time.Now().Add(retryFor)
 	for {
-		a := &CommandResult{Format: 1}
-		err := query(at, "settings "+strings.Join(words, " "), body, callTimeout, a.parseLine)
+		r := &CommandResult{Format: 1}
+		err := query(addr, "settings "+strings.Join(words, " "), body, callTimeout, r.parseLine)
 		if err == nil {
-			return a, nil
+			return r, nil
 		}
-		if !strings.Contains(err.Error(), consensus.ErrIndeterminate.Error()) {
+		if !errors.Is(err, consensus.ErrIndeterminate) {
 			return nil, err
 		}
-		if time.Until(ends) < retryInterval {
+		if time.Until(deadline) < retryInterval {
 			return nil, IndeterminateError{err}
 		}
 		time.Sleep(retryInterval)
 	}
 }
-
-// IndeterminateError is an error of a call that may have been carried out, or may be yet.
-type IndeterminateError struct{ error }
-
-// Unwrap gives what was said.
-func (u IndeterminateError) Unwrap() error { return u.error }
-
-const (
-	callTimeout   = 2 * time.Second        // a daemon owes an answer within one
-	retryInterval = 100 * time.Millisecond // between two tries
-)
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"io"
 	"net/netip"
 	"reflect"
 	"strings"
@@ -13,15 +14,18 @@
 )
 
 func TestSettingsSurviveWriteAndRead(t *testing.T) {
-	want := &Settings{Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2, Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
+	want := &Settings{
+		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2,
+		Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
 		Lags:      []Lag{{"a", "it can't act: 50 %"}, {"b", ""}},
-		Documents: []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}}}
+		Documents: []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}},
+	}
 	var text strings.Builder
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	got := &Settings{Format: 1}
-	if err := readLines(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil || !reflect.DeepEqual(got, want) {
+	if err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -35,33 +39,49 @@
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
 	}
+	// A later version may send more fields and more lines.
 	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
-	if got, err := ReadFleet(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
+	if got, err := readFleet(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
-	for bad, why := range map[string]string{text.String(): "no end", "FAILURE this daemon is in no fleet\n": "no fleet", "fleet view=x\n" + endOfResponse: "view=x"} {
-		if _, err := ReadFleet(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%q: %v", bad, err)
-		}
+	for _, test := range []struct{ name, response, wantError string }{
+		{"response without its end", text.String(), "no end"},
+		{"failure of the daemon", "FAILURE this daemon is in no fleet\n", "no fleet"},
+		{"value that is no number", "fleet view=x\n" + endOfResponse, "view=x"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := readFleet(strings.NewReader(test.response)); err == nil || !strings.Contains(err.Error(), test.wantError) {
+				t.Errorf("%q: %v", test.response, err)
+			}
+		})
 	}
 }
 
+// readFleet reads a response as FetchFleet does.
+func readFleet(r io.Reader) (*Fleet, error) {
+	f := &Fleet{Format: 1}
+	return f, readResponse(r, f.parseLine)
+}
+
 func TestCommandResultSurvivesWriteAndRead(t *testing.T) {
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
-	a := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
+	sent := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
 		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
 	var text strings.Builder
-	if err := WriteResult(&text, a); err != nil {
+	if err := WriteResult(&text, sent); err != nil {
 		t.Fatal(err)
 	}
 	got := &CommandResult{}
-	if err := readLines(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil {
+	if err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil {
 		t.Fatal(err)
 	}
-	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) || len(got.History) != 2 || got.History[0].IsRemoval() || !got.History[1].IsRemoval() || got.History[0].Back != 3 {
+	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) {
+		t.Errorf("%+v", got)
+	}
+	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].Back != 3 {
 		t.Errorf("%+v", got)
 	}
 	if err := (&CommandResult{}).parseLine("body text=!!"); err == nil {
-		t.Error("half a body is read")
+		t.Error("a body that is not base64 was accepted")
 	}
 }
