--- a/internal/cluster/ordinal/ordinal_test.go
+++ b/internal/cluster/ordinal/ordinal_test.go
@@ -7,8 +7,9 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-func view(s swim.Connectivity, states map[string]swim.State) *swim.View {
-	v := &swim.View{Self: "b", Connectivity: s}
+// viewOfB returns a view of member b that holds those of a, b and c that have a state.
+func viewOfB(connectivity swim.Connectivity, states map[string]swim.State) *swim.View {
+	v := &swim.View{Self: "b", Connectivity: connectivity}
 	for _, name := range []string{"a", "b", "c"} {
 		if state, ok := states[name]; ok {
 			v.Members = append(v.Members, swim.Member{Update: swim.Update{Peer: swim.Peer{Name: name}, State: state}})
@@ -17,31 +18,35 @@
 	return v
 }
 
+// The steps build on one another: each is another view for the same Tracker.
 func TestMemberKeepsItsOrdinalUntilItLeftOrFailedForFailureHold(t *testing.T) {
-	all := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Suspect}
-	lost := map[string]swim.State{"a": swim.Failed, "b": swim.Alive, "c": swim.Alive}
-	left := map[string]swim.State{"a": swim.Left, "b": swim.Alive, "c": swim.Alive}
-	var s Tracker
-	for i, step := range []struct {
+	allPresent := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Suspect}
+	aFailed := map[string]swim.State{"a": swim.Failed, "b": swim.Alive, "c": swim.Alive}
+	aLeft := map[string]swim.State{"a": swim.Left, "b": swim.Alive, "c": swim.Alive}
+	onlyB := map[string]swim.State{"b": swim.Alive}
+	var tracker Tracker
+	for _, step := range []struct {
+		name           string
 		now            time.Duration
-		v              *swim.View
-		daemons, index int
-		again          time.Duration
+		view           *swim.View
+		count, ordinal int
+		nextUpdate     time.Duration
 	}{
-		{0, view(swim.FullyConnected, all), 3, 1, 0},
-		{1, view(swim.PartlyConnected, lost), 3, 1, 1 + FailureHold}, // it may come back
-		{2, view(swim.FullyConnected, all), 3, 1, 0},
-		{3, view(swim.PartlyConnected, lost), 3, 1, 3 + FailureHold},
-		{3 + FailureHold, view(swim.CutOff, lost), 3, 1, 0},          // who is cut off takes nobody's part
-		{4 + FailureHold, view(swim.PartlyConnected, lost), 2, 0, 0}, // it was failed for long enough
-		{5 + FailureHold, view(swim.FullyConnected, all), 3, 1, 0},   // who comes counts at once
-		{6 + FailureHold, view(swim.FullyConnected, left), 2, 0, 0},  // who says goodbye does so for good
-		{7 + FailureHold, view(swim.FullyConnected, all), 3, 1, 0},
-		{8 + FailureHold, view(swim.FullyConnected, map[string]swim.State{"b": swim.Alive}), 3, 1, 8 + 2*FailureHold}, // forgotten before it was failed for long enough
-		{9 + 2*FailureHold, view(swim.FullyConnected, map[string]swim.State{"b": swim.Alive}), 1, 0, 0},
+		{"all present", 0, viewOfB(swim.FullyConnected, allPresent), 3, 1, 0},
+		{"a failed member still counts", 1, viewOfB(swim.PartlyConnected, aFailed), 3, 1, 1 + FailureHold},
+		{"it comes back", 2, viewOfB(swim.FullyConnected, allPresent), 3, 1, 0},
+		{"it fails again", 3, viewOfB(swim.PartlyConnected, aFailed), 3, 1, 3 + FailureHold},
+		{"a node that is cut off drops nobody", 3 + FailureHold, viewOfB(swim.CutOff, aFailed), 3, 1, 0},
+		{"failed for long enough", 4 + FailureHold, viewOfB(swim.PartlyConnected, aFailed), 2, 0, 0},
+		{"a member that comes counts at once", 5 + FailureHold, viewOfB(swim.FullyConnected, allPresent), 3, 1, 0},
+		{"a member that left does not count", 6 + FailureHold, viewOfB(swim.FullyConnected, aLeft), 2, 0, 0},
+		{"it joins again", 7 + FailureHold, viewOfB(swim.FullyConnected, allPresent), 3, 1, 0},
+		{"members unknown before they failed for long enough", 8 + FailureHold, viewOfB(swim.FullyConnected, onlyB), 3, 1, 8 + 2*FailureHold},
+		{"members unknown for long enough", 9 + 2*FailureHold, viewOfB(swim.FullyConnected, onlyB), 1, 0, 0},
 	} {
-		if daemons, index, again := s.Update(step.now, step.v); daemons != step.daemons || index != step.index || again != step.again {
-			t.Errorf("step %d: %d of %d, again at %v; want %d of %d, %v", i, index, daemons, again, step.index, step.daemons, step.again)
+		count, ordinal, nextUpdate := tracker.Update(step.now, step.view)
+		if count != step.count || ordinal != step.ordinal || nextUpdate != step.nextUpdate {
+			t.Errorf("%s: %d of %d, next update at %v; want %d of %d, %v", step.name, ordinal, count, nextUpdate, step.ordinal, step.count, step.nextUpdate)
 		}
 	}
 }
