--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -1,7 +1,6 @@
 package swim
 
 import (
-	"fmt"
 	"net/netip"
 	"testing"
 	"time"
@@ -9,255 +8,129 @@
 	"pgregory.net/rapid"
 )
 
-func peer(i int) Peer {
-	return Peer{Name: fmt.Sprint("s", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7), Run: uint64(i + 1)}
-}
-
-// testNetwork is nodes, and messages between them that chance or a test carries.
-type testNetwork struct {
-	now             time.Duration
-	nodes           []*Node
-	inTransit       []Envelope
-	maxIncarnation  map[string]uint64 // by whose run, of whom: the highest incarnation held
-	leftIncarnation map[string]uint64
-}
-
-func newTestNetwork(n int) *testNetwork {
-	m := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
-	var known []Update
-	for i := range n {
-		known = append(known, Update{Peer: peer(i), Incarnation: 1})
-	}
-	for i := range n {
-		m.nodes = append(m.nodes, New(m.now, Options{Self: peer(i), Known: known, Seed: uint64(i)}))
-	}
-	return m
-}
-
-type fataler interface{ Fatalf(string, ...any) }
-
-// collect takes what a node sends, and holds what it believes against what must always be so.
-func (m *testNetwork) collect(t fataler, n *Node) {
-	for _, e := range n.TakeMessages() {
-		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
-			t.Fatalf("%d updates on the back of a message", len(e.Message.Updates))
-		}
-		m.inTransit = append(m.inTransit, e)
-	}
-	v := n.View()
-	for _, x := range v.Members {
-		key := fmt.Sprint(n.self.Run, " ", x.Name)
-		if x.Incarnation < m.maxIncarnation[key] {
-			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, m.maxIncarnation[key], x.Name, x.Incarnation)
-		}
-		m.maxIncarnation[key] = x.Incarnation
-		if x.State == Left {
-			m.leftIncarnation[key] = x.Incarnation
-		} else if was, ok := m.leftIncarnation[key]; ok && x.Incarnation <= was {
-			t.Fatalf("%s holds %s for %v in the incarnation in which it left", n.self.Name, x.Name, x.State)
-		}
-	}
-	checkInvariants(t, n)
-}
-
-// checkInvariants holds a node's lists against one another.
-func checkInvariants(t fataler, n *Node) {
-	digest, here, away := n.self.digest(), 0, 0
-	for name, m := range n.members {
-		if m.Name != name {
-			t.Fatalf("%s stands at %s", m.Name, name)
-		}
-		if (m.State == Suspect) != (m.suspicion != nil) || (n.suspects[name] == m) != (m.State == Suspect) {
-			t.Fatalf("%s is %v, and its suspicion is not", name, m.State)
-		}
-		switch {
-		case m.State.IsPresent():
-			here++
-			digest ^= m.digest()
-			if n.present[m.index] != m {
-				t.Fatalf("%s is not at its place", name)
-			}
-		case m.State == Failed:
-			away++
-			if n.failed[m.index] != m {
-				t.Fatalf("%s is not among the failed", name)
-			}
-		}
-	}
-	sum := 0
-	for _, k := range n.presentAddrs {
-		sum += k
-	}
-	if here != len(n.present) || away != len(n.failed) || sum != here || digest != n.digest || n.probeIndex > len(n.present) {
-		t.Fatalf("%d here of %d, %d away of %d, %d addresses, digest %x of %x", here, len(n.present), away, len(n.failed), sum, digest, n.digest)
-	}
-}
-
-func (m *testNetwork) deliver(t fataler, i int) {
-	e := m.inTransit[i]
-	m.inTransit = append(m.inTransit[:i], m.inTransit[i+1:]...)
-	for _, n := range m.nodes {
-		if n.self.Addr == e.To {
-			n.Receive(m.now, e.Message)
-			m.collect(t, n)
-		}
-	}
-}
-
-// Whatever is lost, late, repeated or out of order, whoever leaves or starts again: incarnations never go back, what left
-// stays so, a node's lists agree, and when all is delivered at last all hold the same.
+// Whatever is lost, delayed, duplicated or reordered, and whoever restarts: incarnations never go back, a member that left
+// stays so, a node's lists agree, and once all messages are delivered all views become equal.
 func TestNodesConvergeAfterLossReorderingAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
-		lives := uint64(100)
+		w := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
+		lastRun := uint64(100)
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
-				m.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
-				n := rapid.SampledFrom(m.nodes).Draw(t, "node")
-				n.Tick(m.now)
-				n.NextTick()
-				m.collect(t, n)
+				w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
+				w.tick(t, rapid.SampledFrom(w.nodes).Draw(t, "node"))
 			},
 			"deliver": func(t *rapid.T) {
-				if len(m.inTransit) > 0 {
-					m.deliver(t, rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "which"))
+				if len(w.inTransit) > 0 {
+					w.deliver(t, rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "which"))
 				}
 			},
-			"lose": func(t *rapid.T) {
-				if len(m.inTransit) > 0 {
-					m.inTransit = m.inTransit[1:]
+			"lose": func(_ *rapid.T) {
+				if len(w.inTransit) > 0 {
+					w.inTransit = w.inTransit[1:]
 				}
 			},
-			"repeat": func(t *rapid.T) {
-				if len(m.inTransit) > 0 && len(m.inTransit) < 200 {
-					m.inTransit = append(m.inTransit, rapid.SampledFrom(m.inTransit).Draw(t, "which"))
+			"duplicate": func(t *rapid.T) {
+				if len(w.inTransit) > 0 && len(w.inTransit) < 200 {
+					w.inTransit = append(w.inTransit, rapid.SampledFrom(w.inTransit).Draw(t, "which"))
 				}
 			},
 			"restart": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")
-				lives++
-				p := peer(i)
-				p.Run = lives
-				m.nodes[i] = New(m.now, Options{Self: p, Join: []netip.AddrPort{peer((i + 1) % len(m.nodes)).Addr}, Seed: lives})
+				i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
+				lastRun++
+				self := testPeer(i)
+				self.Run = lastRun
+				join := []netip.AddrPort{testPeer((i + 1) % len(w.nodes)).Addr}
+				w.nodes[i] = New(w.now, Options{Self: self, Join: join, Seed: lastRun})
 			},
 		})
-		m.settle(t)
+		w.requireConvergence(t)
 	})
 }
 
-// settle delivers everything in order, until all hold the same.
-func (m *testNetwork) settle(t fataler) {
-	if !m.runUntil(t, time.Minute, m.isConverged) {
-		t.Fatalf("a minute after the last fault views differ: %+v and %+v", m.nodes[0].View(), m.nodes[1].View())
-	}
-}
-
-// runUntil delivers everything in order and does what is due, for a while or until done.
-func (m *testNetwork) runUntil(t fataler, d time.Duration, done func() bool) bool {
-	for end := m.now + d; m.now < end; m.now += 10 * time.Millisecond {
-		for _, n := range m.nodes {
-			if m.now >= n.NextTick() {
-				n.Tick(m.now)
-				m.collect(t, n)
-			}
-		}
-		for len(m.inTransit) > 0 {
-			m.deliver(t, 0)
-		}
-		if done() {
-			return true
-		}
-	}
-	return false
-}
-
-func (m *testNetwork) isConverged() bool {
-	for _, n := range m.nodes {
-		if n.digest != m.nodes[0].digest || len(n.present) != len(m.nodes)-1 || len(n.suspects) > 0 {
-			return false
-		}
-	}
-	return true
-}
-
-// All orders of a few events among three nodes, each tried: a tick of any, a delivery or a loss of the oldest message to any.
+// All orders of five events among three nodes are tried. An event is a tick of a node, or the delivery or loss of the oldest
+// message to it.
 func TestInvariantsHoldInEveryOrderOfFiveEvents(t *testing.T) {
 	const depth, choices = 5, 9
-	total := 1
+	orders := 1
 	for range depth {
-		total *= choices
+		orders *= choices
 	}
 	tried := 0
-	for code := range total {
-		m := newTestNetwork(3)
-		m.now += 400 * time.Millisecond
-		rest := code
+	for order := range orders {
+		w := newTestNetwork(3)
+		w.now += 400 * time.Millisecond
+		rest := order
 		for range depth {
-			m.now += 350 * time.Millisecond
-			m.step(t, rest%choices)
+			w.now += 350 * time.Millisecond
+			w.step(t, rest%choices)
 			rest /= choices
 		}
-		if code%97 == 0 { // settling each would take minutes
-			m.settle(t)
+		if order%97 == 0 { // convergence after every order would take minutes
+			w.requireConvergence(t)
 		}
 		tried++
 	}
 	t.Logf("%d orders", tried)
 }
 
-func (m *testNetwork) step(t fataler, choice int) {
-	i := choice % 3
-	if choice/3 == 0 {
-		m.nodes[i].Tick(m.now)
-		m.nodes[i].NextTick()
-		m.collect(t, m.nodes[i])
+// step carries out one of nine events: for each of three nodes a tick, or a delivery or loss of the oldest message to it.
+func (w *testNetwork) step(t tb, choice int) {
+	t.Helper()
+	const tick, deliver = 0, 1
+	node, event := choice%3, choice/3
+	if event == tick {
+		w.tick(t, w.nodes[node])
 		return
 	}
-	for k, e := range m.inTransit {
-		if e.To != peer(i).Addr {
+	for i, e := range w.inTransit {
+		if e.To != testPeer(node).Addr {
 			continue
 		}
-		if choice/3 == 1 {
-			m.deliver(t, k)
+		if event == deliver {
+			w.deliver(t, i)
 		} else {
-			m.inTransit = append(m.inTransit[:k], m.inTransit[k+1:]...)
+			w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 		}
 		return
 	}
 }
 
-// Two processes of one name: the younger says nothing for as long as the elder answers, and takes the name when it has gone.
+// Of two processes with one name the younger sends nothing of its own for as long as the elder responds, and takes the name
+// once the elder is gone.
 func TestYoungerProcessOfOneNameYieldsUntilElderIsGone(t *testing.T) {
-	m := newTestNetwork(3)
-	younger := peer(1)
-	younger.Addr, younger.Run = peer(9).Addr, 1000
-	m.nodes = append(m.nodes, New(m.now, Options{Self: younger, Join: []netip.AddrPort{peer(0).Addr}}))
-	m.run(t, 10*time.Second)
-	if _, answers, yields := m.nodes[3].NameConflict(); !answers || !yields || m.nodes[3].View().Rival == "" || m.nodes[3].View().Connectivity != CutOff {
-		t.Fatalf("the younger: answers %v, yields %v", answers, yields)
-	}
-	if _, answers, yields := m.nodes[1].NameConflict(); yields {
+	w := newTestNetwork(3)
+	elder := w.nodes[1]
+	youngerPeer := testPeer(1)
+	youngerPeer.Addr, youngerPeer.Run = testPeer(9).Addr, 1000
+	younger := New(w.now, Options{Self: youngerPeer, Join: []netip.AddrPort{testPeer(0).Addr}})
+	w.nodes = append(w.nodes, younger)
+	w.run(t, 10*time.Second)
+
+	view := younger.View()
+	if _, answers, yields := younger.NameConflict(); !answers || !yields || view.Rival == "" || view.Connectivity != CutOff {
+		t.Fatalf("the younger: answers %v, yields %v, view %+v", answers, yields, view)
+	}
+	if _, answers, yields := elder.NameConflict(); yields {
 		t.Fatalf("the elder: answers %v, yields %v", answers, yields)
 	}
-	m.nodes[3].nextGossip = m.now // it has news, and keeps it to itself
-	m.nodes[3].Tick(m.now)
-	for _, e := range m.nodes[3].TakeMessages() {
+	younger.nextGossip = w.now // it has updates to gossip, and must not
+	younger.Tick(w.now)
+	for _, e := range younger.TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
-			t.Errorf("the younger says %+v", e.Message)
+			t.Errorf("the younger sends %+v", e.Message)
 		}
 	}
-	for _, n := range m.nodes[:3] {
-		if n.self.Name != "s1" && n.members["s1"].Addr != peer(1).Addr {
+	for _, n := range w.nodes[:3] {
+		if n.self.Name != "s1" && n.members["s1"].Addr != testPeer(1).Addr {
 			t.Errorf("%s holds the younger", n.self.Name)
 		}
 	}
-	m.nodes = []*Node{m.nodes[0], m.nodes[2], m.nodes[3]} // the elder is gone
-	m.run(t, 10*time.Second)
-	for _, n := range m.nodes[:2] {
-		if x := n.members["s1"]; x.Addr != younger.Addr || x.State != Alive {
-			t.Errorf("%s holds %+v", n.self.Name, x.Update)
+
+	w.nodes = []*Node{w.nodes[0], w.nodes[2], younger}
+	w.run(t, 10*time.Second)
+	for _, n := range w.nodes[:2] {
+		if m := n.members["s1"]; m.Addr != youngerPeer.Addr || m.State != Alive {
+			t.Errorf("%s holds %+v", n.self.Name, m.Update)
 		}
 	}
 }
-
-func (m *testNetwork) run(t fataler, d time.Duration) { m.runUntil(t, d, func() bool { return false }) }
--- /dev/null
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -0,0 +1,169 @@
+package swim
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+)
+
+// tb is what testing.T and rapid.T have in common.
+type tb interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// testPeer returns the first process of the i-th daemon.
+func testPeer(i int) Peer {
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7)
+	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Run: uint64(i + 1)}
+}
+
+// testNetwork is nodes in virtual time and the messages in transit between them, which a test delivers, drops, duplicates
+// or reorders.
+type testNetwork struct {
+	now       time.Duration
+	nodes     []*Node
+	inTransit []Envelope
+
+	// What a node held of a member, by the node's Run and the member's name.
+	maxIncarnation  map[string]uint64
+	leftIncarnation map[string]uint64 // the incarnation in which the member left
+}
+
+// newTestNetwork returns a network of nodes that know one another.
+func newTestNetwork(size int) *testNetwork {
+	w := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
+	var known []Update
+	for i := range size {
+		known = append(known, Update{Peer: testPeer(i), Incarnation: 1})
+	}
+	for i := range size {
+		w.nodes = append(w.nodes, New(w.now, Options{Self: testPeer(i), Known: known, Seed: uint64(i)}))
+	}
+	return w
+}
+
+// tick calls a node's Tick, due or not.
+func (w *testNetwork) tick(t tb, n *Node) {
+	t.Helper()
+	n.Tick(w.now)
+	n.NextTick()
+	w.collect(t, n)
+}
+
+// deliver delivers the i-th message in transit.
+func (w *testNetwork) deliver(t tb, i int) {
+	t.Helper()
+	e := w.inTransit[i]
+	w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
+	for _, n := range w.nodes {
+		if n.self.Addr == e.To {
+			n.Receive(w.now, e.Message)
+			w.collect(t, n)
+		}
+	}
+}
+
+// collect puts what a node sends in transit, and checks the node's view and lists.
+func (w *testNetwork) collect(t tb, n *Node) {
+	t.Helper()
+	for _, e := range n.TakeMessages() {
+		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
+			t.Fatalf("%d updates piggybacked on a message", len(e.Message.Updates))
+		}
+		w.inTransit = append(w.inTransit, e)
+	}
+	for _, m := range n.View().Members {
+		key := fmt.Sprint(n.self.Run, " ", m.Name)
+		if m.Incarnation < w.maxIncarnation[key] {
+			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, w.maxIncarnation[key], m.Name, m.Incarnation)
+		}
+		w.maxIncarnation[key] = m.Incarnation
+		if m.State == Left {
+			w.leftIncarnation[key] = m.Incarnation
+		} else if left, ok := w.leftIncarnation[key]; ok && m.Incarnation <= left {
+			t.Fatalf("%s holds %s for %v in the incarnation in which it left", n.self.Name, m.Name, m.State)
+		}
+	}
+	checkMembershipTable(t, n)
+}
+
+// checkMembershipTable compares a node's lists with its members.
+func checkMembershipTable(t tb, n *Node) {
+	t.Helper()
+	digest, present, failed := n.self.digest(), 0, 0
+	for name, m := range n.members {
+		if m.Name != name {
+			t.Fatalf("%s is listed as %s", m.Name, name)
+		}
+		if (m.State == Suspect) != (m.suspicion != nil) || (n.suspects[name] == m) != (m.State == Suspect) {
+			t.Fatalf("%s is %v, which its suspicion contradicts", name, m.State)
+		}
+		switch {
+		case m.State.IsPresent():
+			present++
+			digest ^= m.digest()
+			if n.present[m.index] != m {
+				t.Fatalf("%s is not at its index of the present members", name)
+			}
+		case m.State == Failed:
+			failed++
+			if n.failed[m.index] != m {
+				t.Fatalf("%s is not at its index of the failed members", name)
+			}
+		}
+	}
+	addrs := 0
+	for _, count := range n.presentAddrs {
+		addrs += count
+	}
+	if present != len(n.present) || failed != len(n.failed) || addrs != present || digest != n.digest || n.probeIndex > len(n.present) {
+		t.Fatalf("%d present of %d, %d failed of %d, %d addresses, digest %x of %x, probe index %d",
+			present, len(n.present), failed, len(n.failed), addrs, digest, n.digest, n.probeIndex)
+	}
+}
+
+// runUntil calls the ticks that are due and delivers all messages in order, for a duration or until isDone. It returns
+// what isDone returned last.
+func (w *testNetwork) runUntil(t tb, d time.Duration, isDone func() bool) bool {
+	t.Helper()
+	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
+		for _, n := range w.nodes {
+			if w.now >= n.NextTick() {
+				n.Tick(w.now)
+				w.collect(t, n)
+			}
+		}
+		for len(w.inTransit) > 0 {
+			w.deliver(t, 0)
+		}
+		if isDone() {
+			return true
+		}
+	}
+	return false
+}
+
+// run is runUntil for the whole of a duration.
+func (w *testNetwork) run(t tb, d time.Duration) {
+	t.Helper()
+	w.runUntil(t, d, func() bool { return false })
+}
+
+// requireConvergence fails the test unless all views are equal and complete within a minute without further faults.
+func (w *testNetwork) requireConvergence(t tb) {
+	t.Helper()
+	if !w.runUntil(t, time.Minute, w.isConverged) {
+		t.Fatalf("a minute after the last fault views differ: %+v and %+v", w.nodes[0].View(), w.nodes[1].View())
+	}
+}
+
+// isConverged reports whether all nodes hold one another for alive, in the same incarnations.
+func (w *testNetwork) isConverged() bool {
+	for _, n := range w.nodes {
+		if n.digest != w.nodes[0].digest || len(n.present) != len(w.nodes)-1 || len(n.suspects) > 0 {
+			return false
+		}
+	}
+	return true
+}
