--- a/internal/cluster/ordinal/ordinal_test.go
+++ b/internal/cluster/ordinal/ordinal_test.go
@@ -46,7 +46,8 @@
 	} {
 		count, ordinal, nextUpdate := tracker.Update(step.now, step.view)
 		if count != step.count || ordinal != step.ordinal || nextUpdate != step.nextUpdate {
-			t.Errorf("%s: %d of %d, next update at %v; want %d of %d, %v", step.name, ordinal, count, nextUpdate, step.ordinal, step.count, step.nextUpdate)
+			t.Errorf("%s: %d of %d, next update at %v; want %d of %d, %v",
+				step.name, ordinal, count, nextUpdate, step.ordinal, step.count, step.nextUpdate)
 		}
 	}
 }
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -25,15 +25,17 @@
 		t.Fatal(err)
 	}
 	got := &Settings{Format: 1}
-	if err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil || !reflect.DeepEqual(got, want) {
+	err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine)
+	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 func TestFleetSurvivesWriteAndRead(t *testing.T) {
 	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, Rival: "127.0.0.9:1", Members: []swim.Member{
-		{Update: swim.Update{Peer: swim.Peer{Name: "s1", Addr: netip.MustParseAddrPort("[::1]:7")}, Incarnation: 3}, Since: time.Second},
-		{Update: swim.Update{Peer: swim.Peer{Name: "s2", Addr: netip.MustParseAddrPort("127.0.0.1:8")}, State: swim.Failed, Incarnation: 9}, Since: 2 * time.Second}}}
+		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
+		testMember("s2", "127.0.0.1:8", swim.Failed, 9, 2*time.Second),
+	}}
 	want := FleetFromView(v, 3*time.Second, 2, 1)
 	var text strings.Builder
 	if err := want.Write(&text); err != nil {
@@ -41,7 +43,8 @@
 	}
 	// A later version may send more fields and more lines.
 	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
-	if got, err := readFleet(strings.NewReader(later)); err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
+	got, err := readFleet(strings.NewReader(later))
+	if err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 	for _, test := range []struct{ name, response, wantError string }{
@@ -50,13 +53,23 @@
 		{"value that is no number", "fleet view=x\n" + endOfResponse, "view=x"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if _, err := readFleet(strings.NewReader(test.response)); err == nil || !strings.Contains(err.Error(), test.wantError) {
+			_, err := readFleet(strings.NewReader(test.response))
+			if err == nil || !strings.Contains(err.Error(), test.wantError) {
 				t.Errorf("%q: %v", test.response, err)
 			}
 		})
 	}
 }
 
+func testMember(name, addr string, state swim.State, incarnation uint64, since time.Duration) swim.Member {
+	return swim.Member{
+		Update: swim.Update{
+			Peer: swim.Peer{Name: name, Addr: netip.MustParseAddrPort(addr)}, State: state, Incarnation: incarnation,
+		},
+		Since: since,
+	}
+}
+
 // readFleet reads a response as FetchFleet does.
 func readFleet(r io.Reader) (*Fleet, error) {
 	f := &Fleet{Format: 1}
@@ -66,7 +79,10 @@
 func TestCommandResultSurvivesWriteAndRead(t *testing.T) {
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
 	sent := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
-		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}, {Version: 2, Name: "a"}}}
+		History: []consensus.HistoryEntry{
+			{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3},
+			{Version: 2, Name: "a"},
+		}}
 	var text strings.Builder
 	if err := WriteResult(&text, sent); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -14,13 +13,13 @@
 // Operators and their scripts read these lines and keys: a change of one byte is a change of the interface.
 func TestWrittenLinesAndJSONKeepTheirBytes(t *testing.T) {
 	view := &swim.View{Number: 7, Self: "s1", Connectivity: swim.CutOff, Rival: "127.0.0.9:1", Members: []swim.Member{
-		{Update: swim.Update{Peer: swim.Peer{Name: "s1", Addr: netip.MustParseAddrPort("[::1]:7")}, Incarnation: 3}, Since: time.Second},
-		{Update: swim.Update{Peer: swim.Peer{Name: "s2", Addr: netip.MustParseAddrPort("127.0.0.1:8")}, State: swim.Left, Incarnation: 9}, Since: 9 * time.Second},
+		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
+		testMember("s2", "127.0.0.1:8", swim.Left, 9, 9*time.Second),
 	}}
 	fleet := FleetFromView(view, 3*time.Second, 2, 1)
 	settings := &Settings{
-		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leads: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2,
-		Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
+		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leads: true, Leader: "s0", Committed: 5, Coming: 4,
+		Term: 9, All: 2, Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
 		Lags: []Lag{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
 	}
 	result := &CommandResult{
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -117,7 +117,8 @@
 	for _, count := range n.presentAddrs {
 		addrs += count
 	}
-	if present != len(n.present) || failed != len(n.failed) || addrs != present || digest != n.digest || n.probeIndex > len(n.present) {
+	if present != len(n.present) || failed != len(n.failed) || addrs != present || digest != n.digest ||
+		n.probeIndex > len(n.present) {
 		t.Fatalf("%d present of %d, %d failed of %d, %d addresses, digest %x of %x, probe index %d",
 			present, len(n.present), failed, len(n.failed), addrs, digest, n.digest, n.probeIndex)
 	}
