--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -29,40 +29,40 @@
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	Daemon   string
-	Seq      uint64
-	Has      uint64 // the latest version whose documents the daemon holds and can act on
-	Acts     uint64 // the version that it acts on
-	Took     uint64 // Seq of the grant under which it acts: it never goes back to one before
-	Declines uint64 `json:",omitempty"` // the latest version that it can't act on; 0: none
-	Why      string `json:",omitempty"`
-	Mark     string `json:",omitempty"` // of the disk of a daemon that could vote, and does not
+	Daemon   string `json:"Daemon"`
+	Seq      uint64 `json:"Seq"`
+	Has      uint64 `json:"Has"`                // the latest version whose documents the daemon holds and can act on
+	Acts     uint64 `json:"Acts"`               // the version that it acts on
+	Took     uint64 `json:"Took"`               // Seq of the grant under which it acts: it never goes back to one before
+	Declines uint64 `json:"Declines,omitempty"` // the latest version that it can't act on; 0: none
+	Why      string `json:"Why,omitempty"`
+	Mark     string `json:"Mark,omitempty"` // of the disk of a daemon that could vote, and does not
 }
 
 // LeaseGrant answers a Request.
 type LeaseGrant struct {
-	Seq     uint64
-	Version uint64              // that the daemon is to act on
-	Docs    map[string]Document // of it, where the daemon lacks them; nil: it has them
-	Next    uint64              // that is to come: the daemon gets ready for it
-	Coming  map[string]Document
-	Lease   time.Duration // 0: none, and what the daemon had is over
-
-	Voters  []string // who is to vote, and grants leases
-	Sitting []string // who does
-	Seat    uint64   // of this daemon; 0: none
-	Begins  bool     // it is to take that seat, with the disk whose mark it told,
-	First   []string // in the fleet of these first voters
-	Lost    bool     // it has a seat, which was taken with another disk
-
-	All  uint64 // no daemon acts on an earlier version; 0: that is not known yet
-	Lags []Lag  // who is waited for; mostLags at most
+	Seq     uint64              `json:"Seq"`
+	Version uint64              `json:"Version"` // that the daemon is to act on
+	Docs    map[string]Document `json:"Docs"`    // of it, where the daemon lacks them; nil: it has them
+	Next    uint64              `json:"Next"`    // that is to come: the daemon gets ready for it
+	Coming  map[string]Document `json:"Coming"`
+	Lease   time.Duration       `json:"Lease"` // 0: none, and what the daemon had is over
+
+	Voters  []string `json:"Voters"`  // who is to vote, and grants leases
+	Sitting []string `json:"Sitting"` // who does
+	Seat    uint64   `json:"Seat"`    // of this daemon; 0: none
+	Begins  bool     `json:"Begins"`  // it is to take that seat, with the disk whose mark it told,
+	First   []string `json:"First"`   // in the fleet of these first voters
+	Lost    bool     `json:"Lost"`    // it has a seat, which was taken with another disk
+
+	All  uint64 `json:"All"`  // no daemon acts on an earlier version; 0: that is not known yet
+	Lags []Lag  `json:"Lags"` // who is waited for; mostLags at most
 }
 
 // Lag is a daemon that is waited for.
 type Lag struct {
-	Daemon string
-	Why    string
+	Daemon string `json:"Daemon"`
+	Why    string `json:"Why"`
 }
 
 const (
--- /dev/null
+++ b/internal/cluster/consensus/wire_test.go
@@ -0,0 +1,72 @@
+package consensus
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+)
+
+// zeroDigest is how JSON has a digest of zeros.
+var zeroDigest = "[" + strings.Repeat("0,", 31) + "0]"
+
+// The names in messages between daemons and in stored data are fixed: daemons of earlier builds read them, and so do later builds read
+// what a disk holds. A Go field may be renamed, its name in JSON may not.
+func TestEncodedFieldNamesAreFixed(t *testing.T) {
+	expected := uint64(3)
+	document := Document{Name: "a", Version: 2, By: "op", Body: []byte("xy")}
+	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, By: "op", At: 9, Back: 1}
+	documentJSON := `{"name":"a","version":2,"digest":` + zeroDigest + `,"by":"op","body":"eHk="}`
+	entryJSON := `{"version":4,"name":"a","digest":` + zeroDigest + `,"bytes":2,"by":"op","at":9,"back":1}`
+	for _, c := range []struct {
+		name  string
+		value any
+		want  string
+	}{
+		{"lease request", LeaseRequest{Daemon: "d", Seq: 1, Has: 2, Acts: 3, Took: 4, Declines: 5, Why: "w", Mark: "m"},
+			`{"Daemon":"d","Seq":1,"Has":2,"Acts":3,"Took":4,"Declines":5,"Why":"w","Mark":"m"}`},
+		{"empty lease request", LeaseRequest{}, `{"Daemon":"","Seq":0,"Has":0,"Acts":0,"Took":0}`},
+		{"lease grant", LeaseGrant{Seq: 1, Version: 2, Docs: map[string]Document{"a": document}, Next: 3, Coming: map[string]Document{"a": document}, Lease: time.Second,
+			Voters: []string{"v"}, Sitting: []string{"s"}, Seat: 4, Begins: true, First: []string{"f"}, Lost: true, All: 5, Lags: []Lag{{"l", "y"}}},
+			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
+				`"Voters":["v"],"Sitting":["s"],"Seat":4,"Begins":true,"First":["f"],"Lost":true,"All":5,"Lags":[{"Daemon":"l","Why":"y"}]}`},
+		{"empty lease grant", LeaseGrant{}, `{"Seq":0,"Version":0,"Docs":null,"Next":0,"Coming":null,"Lease":0,"Voters":null,"Sitting":null,` +
+			`"Seat":0,"Begins":false,"First":null,"Lost":false,"All":0,"Lags":null}`},
+		{"command", Command{Format: 2, ID: "i", Expect: &expected, By: "op", At: 9, Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Back: &DocumentVersion{"a", 1},
+			Force: 1, Skip: 2, Seat: &VoterChange{"v", true}, Mark: &VoterMark{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5},
+			`{"format":2,"id":"i","expect":3,"by":"op","at":9,"put":{"name":"a","body":"eHk="},"remove":"r","back":{"name":"a","version":1},` +
+				`"force":1,"skip":2,"seat":{"name":"v","out":true},"mark":{"seat":7,"mark":"m"},"read":{"name":"a"},"activate":5}`},
+		{"empty command", Command{}, `{"format":0}`},
+		{"command result", CommandResult{Version: 1, Same: true, Doc: &document, History: []HistoryEntry{entry}},
+			`{"version":1,"same":true,"doc":` + documentJSON + `,"history":[` + entryJSON + `]}`},
+		{"bootstrap vote", BootstrapVote{Begun: true, Mark: "m", Marks: map[string]string{"v": "m"}}, `{"begun":true,"mark":"m","marks":{"v":"m"}}`},
+		{"state", State{Version: 1, Coming: 2, Active: 3, Forced: 4, Docs: map[string]Document{"a": document}, Next: map[string]Document{}, Acted: map[string]Document{},
+			History: []HistoryEntry{entry}, Kept: []Document{document}, IDs: []done{{"i", CommandResult{Version: 1}}},
+			Seats: map[uint64]string{1: "v"}, Sitting: map[uint64]bool{1: true}, Leaving: map[uint64]string{2: "w"}, Marks: map[uint64]string{3: "m"}, LastSeat: 3, First: []string{"v"}},
+			`{"version":1,"coming":2,"active":3,"forced":4,"docs":{"a":` + documentJSON + `},"next":{},"acted":{},"history":[` + entryJSON + `],"kept":[` + documentJSON + `],` +
+				`"ids":[{"id":"i","version":1}],"seats":{"1":"v"},"sitting":{"1":true},"leaving":{"2":"w"},"marks":{"3":"m"},"last_seat":3,"first":["v"]}`},
+		{"state in a snapshot", stored{State: State{}, Bodies: map[string][]byte{"00": []byte("xy")}},
+			`{"version":0,"coming":0,"active":0,"forced":0,"docs":null,"next":null,"acted":null,"history":null,"kept":null,"ids":null,` +
+				`"seats":null,"sitting":null,"leaving":null,"marks":null,"last_seat":0,"first":null,"bodies":{"00":"eHk="}}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := json.Marshal(c.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(got) != c.want {
+				t.Errorf("encoded as\n%s, want\n%s", got, c.want)
+			}
+		})
+	}
+}
+
+// The types of records in a log, and the form in which a snapshot has its parts, are fixed too.
+func TestStoredRecordFormIsFixed(t *testing.T) {
+	if got := string([]byte{recordState, recordEntry, recordMark}); got != "hem" {
+		t.Errorf("record types %q", got)
+	}
+	if got := string(join([]byte("ab"), nil, []byte("c"))); got != "\x02ab\x00\x01c" {
+		t.Errorf("parts are joined as %q", got)
+	}
+}
