--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -14,9 +14,9 @@
 	Drift float64
 
 	// What a test can spoil, to see that it is missed. All are off in the daemon.
-	FromAnswer bool // a lease counts from its answer
-	NoWait     bool // a version is activated though others may act on the one before for long
-	NoLook     bool // a daemon acts without a look at its lease
+	CountFromGrant bool // a lease counts from its answer
+	NoWait         bool // a version is activated though others may act on the one before for long
+	NoLook         bool // a daemon acts without a look at its lease
 }
 
 // waited is how long to wait by this clock until a lease that another counts has certainly run out.
@@ -29,34 +29,34 @@
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	Daemon   string `json:"Daemon"`
-	Seq      uint64 `json:"Seq"`
-	Has      uint64 `json:"Has"`                // the latest version whose documents the daemon holds and can act on
-	Acts     uint64 `json:"Acts"`               // the version that it acts on
-	Took     uint64 `json:"Took"`               // Seq of the grant under which it acts: it never goes back to one before
-	Declines uint64 `json:"Declines,omitempty"` // the latest version that it can't act on; 0: none
-	Why      string `json:"Why,omitempty"`
-	Mark     string `json:"Mark,omitempty"` // of the disk of a daemon that could vote, and does not
+	Daemon           string `json:"Daemon"`
+	Seq              uint64 `json:"Seq"`
+	ReadyVersion     uint64 `json:"Has"`                // the latest version whose documents the daemon holds and can act on
+	InstalledVersion uint64 `json:"Acts"`               // the version that it acts on
+	AcceptedSeq      uint64 `json:"Took"`               // Seq of the grant under which it acts: it never goes back to one before
+	Declines         uint64 `json:"Declines,omitempty"` // the latest version that it can't act on; 0: none
+	RejectReason     string `json:"Why,omitempty"`
+	Mark             string `json:"Mark,omitempty"` // of the disk of a daemon that could vote, and does not
 }
 
 // LeaseGrant answers a Request.
 type LeaseGrant struct {
-	Seq     uint64              `json:"Seq"`
-	Version uint64              `json:"Version"` // that the daemon is to act on
-	Docs    map[string]Document `json:"Docs"`    // of it, where the daemon lacks them; nil: it has them
-	Next    uint64              `json:"Next"`    // that is to come: the daemon gets ready for it
-	Coming  map[string]Document `json:"Coming"`
-	Lease   time.Duration       `json:"Lease"` // 0: none, and what the daemon had is over
-
-	Voters  []string `json:"Voters"`  // who is to vote, and grants leases
-	Sitting []string `json:"Sitting"` // who does
-	Seat    uint64   `json:"Seat"`    // of this daemon; 0: none
-	Begins  bool     `json:"Begins"`  // it is to take that seat, with the disk whose mark it told,
-	First   []string `json:"First"`   // in the fleet of these first voters
-	Lost    bool     `json:"Lost"`    // it has a seat, which was taken with another disk
-
-	All  uint64 `json:"All"`  // no daemon acts on an earlier version; 0: that is not known yet
-	Lags []Lag  `json:"Lags"` // who is waited for; mostLags at most
+	Seq            uint64              `json:"Seq"`
+	Version        uint64              `json:"Version"` // that the daemon is to act on
+	ActiveDocs     map[string]Document `json:"Docs"`    // of it, where the daemon lacks them; nil: it has them
+	PendingVersion uint64              `json:"Next"`    // that is to come: the daemon gets ready for it
+	PendingDocs    map[string]Document `json:"Coming"`
+	Lease          time.Duration       `json:"Lease"` // 0: none, and what the daemon had is over
+
+	Voters        []string `json:"Voters"`  // who is to vote, and grants leases
+	Sitting       []string `json:"Sitting"` // who does
+	Seat          uint64   `json:"Seat"`    // of this daemon; 0: none
+	MayStartVoter bool     `json:"Begins"`  // it is to take that seat, with the disk whose mark it told,
+	First         []string `json:"First"`   // in the fleet of these first voters
+	DiskLost      bool     `json:"Lost"`    // it has a seat, which was taken with another disk
+
+	FullyActive uint64 `json:"All"`  // no daemon acts on an earlier version; 0: that is not known yet
+	Lags        []Lag  `json:"Lags"` // who is waited for; mostLags at most
 }
 
 // Lag is a daemon that is waited for.
@@ -72,16 +72,16 @@
 
 // LeasedVersion is what a daemon may act on: its version until an instant, and what it acted on before, until it has changed over.
 type LeasedVersion struct {
-	Version uint64
-	Docs    map[string]Document // never changed
-	Until   time.Duration
-	Before  uint64        // the version that it acted on before this one
-	Over    time.Duration // until when it may act on that
+	Version           uint64
+	Docs              map[string]Document // never changed
+	Until             time.Duration
+	PreviousVersion   uint64        // the version that it acted on before this one
+	PreviousExpiresAt time.Duration // until when it may act on that
 }
 
 // CoversVersion tells whether a version may be acted on at an instant.
 func (a *LeasedVersion) CoversVersion(version uint64, now time.Duration) bool {
-	return version == a.Version && now < a.Until || version == a.Before && now < a.Over
+	return version == a.Version && now < a.Until || version == a.PreviousVersion && now < a.PreviousExpiresAt
 }
 
 // LeaseHolder is a daemon's side of its leases. It acts on versions alone that were checked. It is not safe for concurrent use.
@@ -119,7 +119,7 @@
 	if h.next > h.acting.Version || len(h.lags) > 0 { // sooner, while others wait
 		again = now + h.every/4
 	}
-	return LeaseRequest{Daemon: h.name, Seq: h.seq, Has: h.next, Acts: min(h.installed, h.acting.Version), Took: h.took, Declines: h.declined, Why: h.why}, again
+	return LeaseRequest{Daemon: h.name, Seq: h.seq, ReadyVersion: h.next, InstalledVersion: min(h.installed, h.acting.Version), AcceptedSeq: h.took, Declines: h.declined, RejectReason: h.why}, again
 }
 
 // HandleGrant takes an answer. Only that to the latest request counts: of earlier ones it is not known when they were sent.
@@ -127,21 +127,21 @@
 	if g.Seq != h.seq || g.Version < h.acting.Version {
 		return
 	}
-	h.all, h.lags = g.All, g.Lags
-	if g.Docs != nil { // what others act on comes before what is to come
-		h.offers(g.Version, g.Docs)
+	h.all, h.lags = g.FullyActive, g.Lags
+	if g.ActiveDocs != nil { // what others act on comes before what is to come
+		h.offers(g.Version, g.ActiveDocs)
 	} else {
-		h.offers(g.Next, g.Coming)
+		h.offers(g.PendingVersion, g.PendingDocs)
 	}
 	switch {
 	case g.Version == h.acting.Version:
 	case g.Version == h.next:
-		h.acting = LeasedVersion{Version: h.next, Docs: h.coming, Before: h.acting.Version, Over: h.acting.Until}
+		h.acting = LeasedVersion{Version: h.next, Docs: h.coming, PreviousVersion: h.acting.Version, PreviousExpiresAt: h.acting.Until}
 	default:
 		return // it is to act on what it has not, or not checked
 	}
 	from := h.sent
-	if h.t.FromAnswer {
+	if h.t.CountFromGrant {
 		from = now
 	}
 	h.acting.Until, h.took = from+g.Lease, g.Seq // perhaps sooner than before: a version is to come
@@ -232,28 +232,28 @@
 		k = &known{}
 		s.known[r.Daemon] = k
 	}
-	g := LeaseGrant{Seq: r.Seq, Version: st.Active, Next: st.Coming, Lease: s.t.Lease, Voters: st.Voters(), Sitting: st.sitting()}
+	g := LeaseGrant{Seq: r.Seq, Version: st.Active, PendingVersion: st.Coming, Lease: s.t.Lease, Voters: st.Voters(), Sitting: st.sitting()}
 	if st.Coming > st.Active {
 		g.Lease = s.t.Short
 	}
-	if r.Has < st.Active || forced(st, &r) { // it can't act on what others do, or will
+	if r.ReadyVersion < st.Active || forced(st, &r) { // it can't act on what others do, or will
 		g.Lease = 0
 	}
 	k.r = r
-	k.grants = slices.DeleteFunc(k.grants, func(o outstanding) bool { return o.seq < r.Took || now >= o.end })
+	k.grants = slices.DeleteFunc(k.grants, func(o outstanding) bool { return o.seq < r.AcceptedSeq || now >= o.end })
 	end := now + s.t.waited(g.Lease)
 	if n := len(k.grants); n >= mostGrants {
 		k.grants[n-1] = outstanding{r.Seq, max(k.grants[n-1].end, end)}
 	} else {
 		k.grants = append(k.grants, outstanding{r.Seq, end})
 	}
-	if r.Has < st.Active && r.Declines < st.Active {
-		g.Docs = st.Acted
+	if r.ReadyVersion < st.Active && r.Declines < st.Active {
+		g.ActiveDocs = st.ActiveDocs
 	}
-	if r.Has < st.Coming && r.Declines < st.Coming {
-		g.Coming = st.Next
+	if r.ReadyVersion < st.Coming && r.Declines < st.Coming {
+		g.PendingDocs = st.PendingDocs
 	}
-	g.All, g.Lags = s.whole, s.lags[:min(len(s.lags), mostLags)]
+	g.FullyActive, g.Lags = s.whole, s.lags[:min(len(s.lags), mostLags)]
 	return g
 }
 
@@ -270,7 +270,9 @@
 }
 
 // declines tells whether a daemon has said that it can't act on what comes.
-func declines(st *State, r *LeaseRequest) bool { return r.Has < st.Coming && r.Declines == st.Coming }
+func declines(st *State, r *LeaseRequest) bool {
+	return r.ReadyVersion < st.Coming && r.Declines == st.Coming
+}
 
 // end is when the last lease that a daemon may hold has run out.
 func (k *known) end() (end time.Duration) {
@@ -325,8 +327,8 @@
 	case forced(st, &k.r):
 		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", st.Coming)
 	case declines(st, &k.r):
-		return fmt.Sprintf("it can't act on version %d: %s", st.Coming, k.r.Why)
-	case k.r.Has < st.Coming:
+		return fmt.Sprintf("it can't act on version %d: %s", st.Coming, k.r.RejectReason)
+	case k.r.ReadyVersion < st.Coming:
 		return fmt.Sprintf("it has not got version %d", st.Coming)
 	case end > now+s.t.waited(s.t.Short):
 		return "it may have a long lease"
@@ -342,7 +344,7 @@
 	all := st.Active
 	for _, k := range s.known {
 		if now < k.end() {
-			all = min(all, k.r.Acts)
+			all = min(all, k.r.InstalledVersion)
 		}
 	}
 	return all
@@ -358,8 +360,8 @@
 			delete(s.known, name)
 		case st.Coming > st.Active:
 			why = s.waits(now, st, k)
-		case k.r.Acts < st.Active:
-			why = fmt.Sprintf("it acts on version %d yet", k.r.Acts)
+		case k.r.InstalledVersion < st.Active:
+			why = fmt.Sprintf("it acts on version %d yet", k.r.InstalledVersion)
 		}
 		if why != "" {
 			lags = append(lags, Lag{name, why})
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -34,7 +34,7 @@
 func TestALeaseCountsFromItsRequest(t *testing.T) {
 	for _, fromAnswer := range []bool{false, true} {
 		terms := terms
-		terms.FromAnswer = fromAnswer
+		terms.CountFromGrant = fromAnswer
 		st, start := agreed(t), 100*time.Second
 		s := NewLeaseManager(start-time.Minute, terms)
 		h := NewLeaseHolder("d", terms, 0, nil)
@@ -66,8 +66,8 @@
 		t.Error("a new leader does not wait for what its predecessors granted")
 	}
 	now := start + time.Minute
-	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, Has: 1}, st)
-	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, Has: 2}, st)
+	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, st)
+	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, st)
 	if got := s.Lagging(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Errorf("lagging: %v", got)
 	}
@@ -76,12 +76,12 @@
 	}
 	quiet := *st
 	quiet.Coming = quiet.Active // nothing is to come, and leases are long
-	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, Has: 2}, &quiet)
-	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, Has: 2}, st)
+	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, ReadyVersion: 2}, &quiet)
+	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, ReadyVersion: 2}, st)
 	if s.VersionToActivate(now+2*time.Second, st) != 0 {
 		t.Error("the answer that made its lease short may be lost")
 	}
-	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, Has: 2, Took: 2}, st)
+	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, st)
 	if s.VersionToActivate(now+2*time.Second, st) != 2 {
 		t.Errorf("it said that it took it: %v", s.Lagging(now+2*time.Second, st))
 	}
@@ -115,7 +115,7 @@
 			answer, err := a.Apply(entry)
 			again, _ := b.Apply(entry)
 			version := answer.Version
-			if version != again.Version || a.Version != b.Version || a.Active != b.Active || a.Coming != b.Coming || DigestOf(a.Docs) != DigestOf(b.Docs) || DigestOf(a.Acted) != DigestOf(b.Acted) {
+			if version != again.Version || a.Version != b.Version || a.Active != b.Active || a.Coming != b.Coming || DigestOf(a.Docs) != DigestOf(b.Docs) || DigestOf(a.ActiveDocs) != DigestOf(b.ActiveDocs) {
 				t.Fatalf("%s: two states differ", entry)
 			}
 			if a.Version < was.Version || a.Active < was.Active || a.Active > a.Coming || a.Coming > a.Version || err != nil && a.Version != was.Version {
@@ -151,9 +151,9 @@
 	quiet.Coming = quiet.Active // nothing is to come, and leases are long
 	const last = mostGrants + 8
 	for seq := range uint64(last) {
-		s.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, Has: 2, Acts: 1}, &quiet)
+		s.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, &quiet)
 	}
-	s.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, Has: 2, Acts: 1, Took: last}, st) // its answer, which would make the lease short, is lost
+	s.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, st) // its answer, which would make the lease short, is lost
 	if s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Error("the long lease that it took is not waited for")
 	}
@@ -173,7 +173,7 @@
 				if i%beat == 0 {
 					s.Refresh(now, st)
 				}
-				s.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%n), Seq: i / n, Has: 1, Took: i / n}, st)
+				s.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%n), Seq: i / n, ReadyVersion: 1, AcceptedSeq: i / n}, st)
 			}
 		})
 	}
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -22,8 +22,8 @@
 // begins when a leader, confirmed by a majority, has told it so. One whose disk is lost has another mark, and stays away: what raft
 // counts on of it may be gone.
 
-// VoterMark is the mark of the disk with which a seat is taken.
-type VoterMark struct {
+// SlotClaim is the mark of the disk with which a seat is taken.
+type SlotClaim struct {
 	Seat uint64 `json:"seat"`
 	Mark string `json:"mark"`
 }
@@ -42,7 +42,7 @@
 
 // found gives the first voters their seats.
 func (s *State) found(names []string) {
-	s.Seats, s.Sitting, s.LastSeat = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
+	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
 	s.First = slices.Sorted(slices.Values(names))
 	for i, name := range s.First {
 		s.Seats[uint64(i+1)], s.Sitting[uint64(i+1)] = name, true
@@ -97,14 +97,14 @@
 		s.Marks = maps.Clone(s.Marks)
 		delete(s.Marks, id)
 	} else {
-		s.LastSeat++
-		s.Seats[s.LastSeat] = c.Name
+		s.LastVoterID++
+		s.Seats[s.LastVoterID] = c.Name
 	}
 	return CommandResult{Version: s.Version}, nil
 }
 
 // mark sets the mark of a seat that nobody has taken; the first one stays.
-func (s *State) mark(m *VoterMark) CommandResult {
+func (s *State) mark(m *SlotClaim) CommandResult {
 	same := s.Seats[m.Seat] == "" || s.Sitting[m.Seat] || s.Marks[m.Seat] != ""
 	if !same {
 		s.Marks = maps.Clone(s.Marks)
@@ -120,16 +120,16 @@
 func (v *Voter) usher(r *LeaseRequest, g *LeaseGrant) {
 	g.Seat = v.state.VoterID(r.Daemon)
 	if g.Seat == 0 || v.state.Sitting[g.Seat] || r.Mark == "" {
-		g.Lost = g.Seat != 0 && r.Mark != ""
+		g.DiskLost = g.Seat != 0 && r.Mark != ""
 		return
 	}
 	switch v.state.Marks[g.Seat] {
 	case "":
-		_ = v.Propose(&Command{Mark: &VoterMark{g.Seat, r.Mark}}) // it asks again
+		_ = v.Propose(&Command{ClaimSlot: &SlotClaim{g.Seat, r.Mark}}) // it asks again
 	case r.Mark:
-		g.Begins, g.First = true, v.state.First
+		g.MayStartVoter, g.First = true, v.state.First
 	default:
-		g.Lost = true
+		g.DiskLost = true
 	}
 }
 
@@ -150,9 +150,9 @@
 	switch {
 	case seat != 0 && g.Seat != seat && !slices.Contains(g.Sitting, name):
 		return StopVoter
-	case seat == 0 && g.Begins:
+	case seat == 0 && g.MayStartVoter:
 		return StartVoter
-	case seat == 0 && g.Lost:
+	case seat == 0 && g.DiskLost:
 		return VoterDiskLost
 	}
 	return KeepVoterRole
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -55,7 +55,7 @@
 		return v.Results[0].Err
 	}
 	ask := func(mark string) LeaseGrant { return grant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, Mark: mark}) }
-	if g := ask("m1"); g.Seat != 0 || g.Begins || g.Lost {
+	if g := ask("m1"); g.Seat != 0 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("who has no seat: %+v", g)
 	}
 	if err := errors.Join(seat(VoterChange{Name: "x"}), seat(VoterChange{Name: "x"})); err != nil {
@@ -67,16 +67,16 @@
 	if len(v.conf.GetLearners()) > 0 {
 		t.Error("raft hears of one whose disk nobody knows")
 	}
-	if g := ask(""); g.Seat != 2 || g.Begins || g.Lost {
+	if g := ask(""); g.Seat != 2 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("who has no disk: %+v", g)
 	}
-	if g := ask("m1"); g.Begins {
+	if g := ask("m1"); g.MayStartVoter {
 		t.Errorf("before the log has its mark: %+v", g)
 	}
-	if g := ask("m1"); !g.Begins || g.Seat != 2 || len(g.First) != 1 {
+	if g := ask("m1"); !g.MayStartVoter || g.Seat != 2 || len(g.First) != 1 {
 		t.Errorf("%+v", g)
 	}
-	if g := ask("m2"); g.Begins || !g.Lost {
+	if g := ask("m2"); g.MayStartVoter || !g.DiskLost {
 		t.Errorf("another disk: %+v", g)
 	}
 	v.reconcile()
@@ -97,7 +97,7 @@
 	if err := seat(VoterChange{Name: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	if g := ask("m2"); g.Seat != 3 || g.Begins || g.Lost {
+	if g := ask("m2"); g.Seat != 3 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("another seat, of which nobody knows the disk yet: %+v", g)
 	}
 }
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -54,23 +54,23 @@
 
 // State is what the commands have made. All voters that have applied the same commands have the same State.
 type State struct {
-	Version uint64              `json:"version"` // of the latest change
-	Coming  uint64              `json:"coming"`  // that is to be active next; the same as Active: none. Puts that follow wait for it
-	Active  uint64              `json:"active"`  // that daemons act on
-	Forced  uint64              `json:"forced"`  // versions up to it are activated though some daemons can't act on them
-	Docs    map[string]Document `json:"docs"`    // as of Version; a map that was given away never changes
-	Next    map[string]Document `json:"next"`    // as of Coming
-	Acted   map[string]Document `json:"acted"`   // as of Active
-	History []HistoryEntry      `json:"history"`
-	Kept    []Document          `json:"kept"` // that were replaced or removed, to go back to; the oldest in front
-	IDs     []done              `json:"ids"`  // the latest puts; the oldest in front
-
-	Seats    map[uint64]string `json:"seats"`   // who is to vote, by raft's id; a map that was given away never changes
-	Sitting  map[uint64]bool   `json:"sitting"` // who does
-	Leaving  map[uint64]string `json:"leaving"` // who has no seat any more, and votes until raft's configuration says so
-	Marks    map[uint64]string `json:"marks"`   // of the disks of those who have yet to vote, set once
-	LastSeat uint64            `json:"last_seat"`
-	First    []string          `json:"first"` // the first voters
+	Version       uint64              `json:"version"` // of the latest change
+	Coming        uint64              `json:"coming"`  // that is to be active next; the same as Active: none. Puts that follow wait for it
+	Active        uint64              `json:"active"`  // that daemons act on
+	Forced        uint64              `json:"forced"`  // versions up to it are activated though some daemons can't act on them
+	Docs          map[string]Document `json:"docs"`    // as of Version; a map that was given away never changes
+	PendingDocs   map[string]Document `json:"next"`    // as of Coming
+	ActiveDocs    map[string]Document `json:"acted"`   // as of Active
+	History       []HistoryEntry      `json:"history"`
+	RetainedDocs  []Document          `json:"kept"` // that were replaced or removed, to go back to; the oldest in front
+	RecentResults []done              `json:"ids"`  // the latest puts; the oldest in front
+
+	Seats       map[uint64]string `json:"seats"`   // who is to vote, by raft's id; a map that was given away never changes
+	Sitting     map[uint64]bool   `json:"sitting"` // who does
+	Leaving     map[uint64]string `json:"leaving"` // who has no seat any more, and votes until raft's configuration says so
+	Marks       map[uint64]string `json:"marks"`   // of the disks of those who have yet to vote, set once
+	LastVoterID uint64            `json:"last_seat"`
+	First       []string          `json:"first"` // the first voters
 }
 
 type done struct {
@@ -81,20 +81,20 @@
 // Command changes the State, or reads it. Exactly one of Put, Remove, Back, Force, Skip, Seat, Mark, Read and
 // Activate is set.
 type Command struct {
-	Format   int              `json:"format"`       // commandFormat, at which Encode sets it
-	ID       string           `json:"id,omitempty"` // of a put, drawn by who asks: one that comes twice is done once
-	Expect   *uint64          `json:"expect,omitempty"`
-	By       string           `json:"by,omitempty"`
-	At       int64            `json:"at,omitempty"`
-	Put      *DocumentPut     `json:"put,omitempty"`
-	Remove   string           `json:"remove,omitempty"`
-	Back     *DocumentVersion `json:"back,omitempty"`  // a document is to be as it was
-	Force    uint64           `json:"force,omitempty"` // this version is to be activated though some can't act on it
-	Skip     uint64           `json:"skip,omitempty"`  // this one, which was to come, gives way to what was put since
-	Seat     *VoterChange     `json:"seat,omitempty"`
-	Mark     *VoterMark       `json:"mark,omitempty"` // the disk of who has yet to vote
-	Read     *DocumentVersion `json:"read,omitempty"` // tells what is agreed when it is its turn in the log; no name: the history
-	Activate uint64           `json:"activate,omitempty"`
+	Format    int              `json:"format"`       // commandFormat, at which Encode sets it
+	ID        string           `json:"id,omitempty"` // of a put, drawn by who asks: one that comes twice is done once
+	Expect    *uint64          `json:"expect,omitempty"`
+	By        string           `json:"by,omitempty"`
+	At        int64            `json:"at,omitempty"`
+	Put       *DocumentPut     `json:"put,omitempty"`
+	Remove    string           `json:"remove,omitempty"`
+	Back      *DocumentVersion `json:"back,omitempty"`  // a document is to be as it was
+	Force     uint64           `json:"force,omitempty"` // this version is to be activated though some can't act on it
+	Skip      uint64           `json:"skip,omitempty"`  // this one, which was to come, gives way to what was put since
+	Seat      *VoterChange     `json:"seat,omitempty"`
+	ClaimSlot *SlotClaim       `json:"mark,omitempty"` // the disk of who has yet to vote
+	Read      *DocumentVersion `json:"read,omitempty"` // tells what is agreed when it is its turn in the log; no name: the history
+	Activate  uint64           `json:"activate,omitempty"`
 }
 
 // DocumentPut is a document that is to be.
@@ -132,7 +132,7 @@
 
 // NewState is a state in which nothing was agreed.
 func NewState() *State {
-	return &State{Docs: map[string]Document{}, Next: map[string]Document{}, Acted: map[string]Document{}}
+	return &State{Docs: map[string]Document{}, PendingDocs: map[string]Document{}, ActiveDocs: map[string]Document{}}
 }
 
 // commandFormat is that of commands as this program makes them. What a command does must never change under one number: voters
@@ -170,7 +170,7 @@
 		return CommandResult{}, ErrUnknownCommand
 	case c.Activate > 0:
 		if c.Activate == s.Coming && s.Active < s.Coming { // one that comes twice does nothing
-			s.Active, s.Acted = s.Coming, s.Next
+			s.Active, s.ActiveDocs = s.Coming, s.PendingDocs
 			s.come()
 		}
 		return CommandResult{Version: s.Active}, nil
@@ -187,8 +187,8 @@
 		return CommandResult{Version: c.Force}, nil
 	case c.Seat != nil:
 		return s.seat(c.Seat)
-	case c.Mark != nil:
-		return s.mark(c.Mark), nil
+	case c.ClaimSlot != nil:
+		return s.mark(c.ClaimSlot), nil
 	case c.Read != nil:
 		return s.read(c.Read)
 	}
@@ -196,11 +196,11 @@
 }
 
 // come has the latest version come next.
-func (s *State) come() { s.Coming, s.Next = s.Version, s.Docs }
+func (s *State) come() { s.Coming, s.PendingDocs = s.Version, s.Docs }
 
 func (s *State) change(c *Command) (CommandResult, error) {
-	if i := slices.IndexFunc(s.IDs, func(d done) bool { return d.ID == c.ID }); c.ID != "" && i >= 0 {
-		return s.IDs[i].CommandResult, nil
+	if i := slices.IndexFunc(s.RecentResults, func(d done) bool { return d.ID == c.ID }); c.ID != "" && i >= 0 {
+		return s.RecentResults[i].CommandResult, nil
 	}
 	if c.Expect != nil && *c.Expect != s.Version {
 		return CommandResult{}, fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, s.Version, *c.Expect)
@@ -249,7 +249,7 @@
 // did remembers what a command brought.
 func (s *State) did(id string, a CommandResult) CommandResult {
 	if id != "" {
-		s.IDs = tail(append(s.IDs, done{id, a}), mostIDs)
+		s.RecentResults = tail(append(s.RecentResults, done{id, a}), mostIDs)
 	}
 	return a
 }
@@ -263,7 +263,7 @@
 
 // keep keeps a document that is no more, in place of the oldest that are kept.
 func (s *State) keep(d Document) {
-	kept := append(slices.Clone(s.Kept), d)
+	kept := append(slices.Clone(s.RetainedDocs), d)
 	n := 0
 	for i := len(kept) - 1; i >= 0; i-- {
 		if n += len(kept[i].Body); n > mostKept || len(kept)-i > mostHistory {
@@ -271,7 +271,7 @@
 			break
 		}
 	}
-	s.Kept = kept
+	s.RetainedDocs = kept
 }
 
 // as is a document as of a version. ErrNoDoc: there was none.
@@ -289,8 +289,8 @@
 		if c.Digest == [32]byte{} {
 			return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrDocumentNotFound)
 		}
-		if i := slices.IndexFunc(s.Kept, func(d Document) bool { return d.Name == c.Name && d.Version == c.Version }); i >= 0 {
-			return &s.Kept[i], nil
+		if i := slices.IndexFunc(s.RetainedDocs, func(d Document) bool { return d.Name == c.Name && d.Version == c.Version }); i >= 0 {
+			return &s.RetainedDocs[i], nil
 		}
 		return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrCompacted)
 	}
@@ -324,16 +324,16 @@
 		d.Body = nil
 		return d
 	}
-	for _, docs := range []*map[string]Document{&out.Docs, &out.Next, &out.Acted} {
+	for _, docs := range []*map[string]Document{&out.Docs, &out.PendingDocs, &out.ActiveDocs} {
 		bare := make(map[string]Document, len(*docs))
 		for name, d := range *docs {
 			bare[name] = strip(d)
 		}
 		*docs = bare
 	}
-	out.Kept = nil
-	for _, d := range s.Kept {
-		out.Kept = append(out.Kept, strip(d))
+	out.RetainedDocs = nil
+	for _, d := range s.RetainedDocs {
+		out.RetainedDocs = append(out.RetainedDocs, strip(d))
 	}
 	return json.Marshal(out)
 }
@@ -349,14 +349,14 @@
 			d.Body = body
 		}
 	}
-	for _, docs := range []map[string]Document{in.Docs, in.Next, in.Acted} {
+	for _, docs := range []map[string]Document{in.Docs, in.PendingDocs, in.ActiveDocs} {
 		for name, d := range docs {
 			fill(&d)
 			docs[name] = d
 		}
 	}
-	for i := range in.Kept {
-		fill(&in.Kept[i])
+	for i := range in.RetainedDocs {
+		fill(&in.RetainedDocs[i])
 	}
 	return &in.State, nil
 }
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -90,7 +90,7 @@
 	if _, _ = do(t, s, Command{Skip: 3}); s.Coming != 3 {
 		t.Error("what is forced gives way")
 	}
-	if _, _ = do(t, s, Command{Activate: 3}); s.Active != 3 || s.Coming != 4 || string(s.Acted["a"].Body) != "2" {
+	if _, _ = do(t, s, Command{Activate: 3}); s.Active != 3 || s.Coming != 4 || string(s.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("%+v", s)
 	}
 	later := []byte(fmt.Sprintf(`{"format":%d,"put":{"name":"x"}}`, commandFormat+1))
@@ -126,7 +126,7 @@
 			t.Fatal(err)
 		}
 		b2, _ := again.Encode()
-		if !bytes.Equal(b, b2) || DigestOf(s.Docs) != DigestOf(again.Docs) || !reflect.DeepEqual(s.History, again.History) || len(s.Kept) != len(again.Kept) {
+		if !bytes.Equal(b, b2) || DigestOf(s.Docs) != DigestOf(again.Docs) || !reflect.DeepEqual(s.History, again.History) || len(s.RetainedDocs) != len(again.RetainedDocs) {
 			t.Fatalf("%s\n%s", b, b2)
 		}
 		for name, d := range s.Docs {
