--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -9,7 +9,7 @@
 
 // Whatever is heard in whatever order, with disks that are lost at any moment: once a majority has begun with the same marks, who
 // loses its disk never begins. Where a majority has lost theirs nobody can know.
-func TestFounding(t *testing.T) {
+func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		type disk struct {
@@ -62,7 +62,7 @@
 				continue
 			}
 			w := disks[other].word
-			if w.Mark = disks[other].mark; !w.Begun {
+			if w.DiskID = disks[other].mark; !w.Begun {
 				w = lives[other].Vote()
 			}
 			lives[name].ReceiveVote(other, lives[name].round, w)
@@ -76,22 +76,22 @@
 			if with[name] != d.mark || len(with) != len(names) {
 				t.Fatalf("%s, whose mark is %s, begins with %v", name, d.mark, with)
 			}
-			d.word = BootstrapVote{Begun: true, Mark: d.mark, Marks: with}
+			d.word = BootstrapVote{Begun: true, DiskID: d.mark, Marks: with}
 			was = was || founded()
 		}
 	})
 	f := NewBootstrap("a", "1", names)
-	f.ReceiveVote("b", 0, BootstrapVote{Mark: "2"})
+	f.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
 	f.ReceiveVote("x", 0, BootstrapVote{Begun: true})
 	if marks, lost := f.Decision(); marks != nil || lost || fmt.Sprint(f.MissingVotes()) != "[c]" {
 		t.Errorf("%v %v %v", marks, lost, f.MissingVotes())
 	}
-	if f.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}}); !f.lost() {
+	if f.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}}); !f.isLost() {
 		t.Error("another disk of its name was there")
 	}
 }
 
-func (f *Bootstrap) lost() bool {
+func (f *Bootstrap) isLost() bool {
 	_, lost := f.Decision()
 	return lost
 }
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -19,8 +19,8 @@
 	NoLook         bool // a daemon acts without a look at its lease
 }
 
-// waited is how long to wait by this clock until a lease that another counts has certainly run out.
-func (t LeaseConfig) waited(lease time.Duration) time.Duration {
+// expiryWait is how long to wait by this clock until a lease that another counts has certainly run out.
+func (t LeaseConfig) expiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + t.Drift) / (1 - t.Drift))
 }
 
@@ -34,7 +34,7 @@
 	ReadyVersion     uint64 `json:"Has"`                // the latest version whose documents the daemon holds and can act on
 	InstalledVersion uint64 `json:"Acts"`               // the version that it acts on
 	AcceptedSeq      uint64 `json:"Took"`               // Seq of the grant under which it acts: it never goes back to one before
-	Declines         uint64 `json:"Declines,omitempty"` // the latest version that it can't act on; 0: none
+	RejectedVersion  uint64 `json:"Declines,omitempty"` // the latest version that it can't act on; 0: none
 	RejectReason     string `json:"Why,omitempty"`
 	Mark             string `json:"Mark,omitempty"` // of the disk of a daemon that could vote, and does not
 }
@@ -46,7 +46,7 @@
 	ActiveDocs     map[string]Document `json:"Docs"`    // of it, where the daemon lacks them; nil: it has them
 	PendingVersion uint64              `json:"Next"`    // that is to come: the daemon gets ready for it
 	PendingDocs    map[string]Document `json:"Coming"`
-	Lease          time.Duration       `json:"Lease"` // 0: none, and what the daemon had is over
+	Duration       time.Duration       `json:"Lease"` // 0: none, and what the daemon had is over
 
 	Voters        []string `json:"Voters"`  // who is to vote, and grants leases
 	Sitting       []string `json:"Sitting"` // who does
@@ -56,7 +56,7 @@
 	DiskLost      bool     `json:"Lost"`    // it has a seat, which was taken with another disk
 
 	FullyActive uint64 `json:"All"`  // no daemon acts on an earlier version; 0: that is not known yet
-	Lags        []Lag  `json:"Lags"` // who is waited for; mostLags at most
+	Lagging     []Lag  `json:"Lags"` // who is waited for; mostLags at most
 }
 
 // Lag is a daemon that is waited for.
@@ -66,8 +66,8 @@
 }
 
 const (
-	mostLags = 16
-	mostWhy  = 300 // bytes
+	maxLagging     = 16
+	maxReasonBytes = 300 // bytes
 )
 
 // LeasedVersion is what a daemon may act on: its version until an instant, and what it acted on before, until it has changed over.
@@ -86,204 +86,206 @@
 
 // LeaseHolder is a daemon's side of its leases. It acts on versions alone that were checked. It is not safe for concurrent use.
 type LeaseHolder struct {
-	t     LeaseConfig
-	name  string
-	seq   uint64
-	sent  time.Duration // of the latest request
-	every time.Duration
-	took  uint64
-
-	acting    LeasedVersion
-	installed uint64 // the version that the daemon's other parts have taken up
-	next      uint64 // the latest that was checked, and may be acted on when it is active
-	coming    map[string]Document
-	offered   uint64 // to be checked; 0: none
-	offer     map[string]Document
-	declined  uint64
-	why       string
-
-	all  uint64
-	lags []Lag
+	config          LeaseConfig
+	name            string
+	seq             uint64
+	requestedAt     time.Duration // of the latest request
+	requestInterval time.Duration
+	acceptedSeq     uint64
+
+	leased           LeasedVersion
+	installedVersion uint64 // the version that the daemon's other parts have taken up
+	readyVersion     uint64 // the latest that was checked, and may be acted on when it is active
+	readyDocs        map[string]Document
+	offeredVersion   uint64 // to be checked; 0: none
+	offeredDocs      map[string]Document
+	rejectedVersion  uint64
+	rejectReason     string
+
+	fullyActive uint64
+	lagging     []Lag
 }
 
 // NewLeaseHolder makes a Holder without a lease, which holds the documents of a version from before a restart; 0: none.
 func NewLeaseHolder(name string, t LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
-	return &LeaseHolder{t: t, name: name, every: min(t.Lease, t.Short) / 4, acting: LeasedVersion{Version: version, Docs: docs}, next: version, coming: docs}
+	return &LeaseHolder{config: t, name: name, requestInterval: min(t.Lease, t.Short) / 4, leased: LeasedVersion{Version: version, Docs: docs}, readyVersion: version, readyDocs: docs}
 }
 
 // NextRequest is a request that is to be sent now, and when the next is due.
 func (h *LeaseHolder) NextRequest(now time.Duration) (r LeaseRequest, again time.Duration) {
 	h.seq++
-	h.sent = now
-	again = now + h.every
-	if h.next > h.acting.Version || len(h.lags) > 0 { // sooner, while others wait
-		again = now + h.every/4
+	h.requestedAt = now
+	again = now + h.requestInterval
+	if h.readyVersion > h.leased.Version || len(h.lagging) > 0 { // sooner, while others wait
+		again = now + h.requestInterval/4
 	}
-	return LeaseRequest{Daemon: h.name, Seq: h.seq, ReadyVersion: h.next, InstalledVersion: min(h.installed, h.acting.Version), AcceptedSeq: h.took, Declines: h.declined, RejectReason: h.why}, again
+	return LeaseRequest{Daemon: h.name, Seq: h.seq, ReadyVersion: h.readyVersion, InstalledVersion: min(h.installedVersion, h.leased.Version), AcceptedSeq: h.acceptedSeq, RejectedVersion: h.rejectedVersion, RejectReason: h.rejectReason}, again
 }
 
 // HandleGrant takes an answer. Only that to the latest request counts: of earlier ones it is not known when they were sent.
 func (h *LeaseHolder) HandleGrant(now time.Duration, g LeaseGrant) {
-	if g.Seq != h.seq || g.Version < h.acting.Version {
+	if g.Seq != h.seq || g.Version < h.leased.Version {
 		return
 	}
-	h.all, h.lags = g.FullyActive, g.Lags
+	h.fullyActive, h.lagging = g.FullyActive, g.Lagging
 	if g.ActiveDocs != nil { // what others act on comes before what is to come
-		h.offers(g.Version, g.ActiveDocs)
+		h.acceptOffer(g.Version, g.ActiveDocs)
 	} else {
-		h.offers(g.PendingVersion, g.PendingDocs)
+		h.acceptOffer(g.PendingVersion, g.PendingDocs)
 	}
 	switch {
-	case g.Version == h.acting.Version:
-	case g.Version == h.next:
-		h.acting = LeasedVersion{Version: h.next, Docs: h.coming, PreviousVersion: h.acting.Version, PreviousExpiresAt: h.acting.Until}
+	case g.Version == h.leased.Version:
+	case g.Version == h.readyVersion:
+		h.leased = LeasedVersion{Version: h.readyVersion, Docs: h.readyDocs, PreviousVersion: h.leased.Version, PreviousExpiresAt: h.leased.Until}
 	default:
 		return // it is to act on what it has not, or not checked
 	}
-	from := h.sent
-	if h.t.CountFromGrant {
+	from := h.requestedAt
+	if h.config.CountFromGrant {
 		from = now
 	}
-	h.acting.Until, h.took = from+g.Lease, g.Seq // perhaps sooner than before: a version is to come
+	h.leased.Until, h.acceptedSeq = from+g.Duration, g.Seq // perhaps sooner than before: a version is to come
 }
 
-// offers takes documents that are to be checked.
-func (h *LeaseHolder) offers(version uint64, docs map[string]Document) {
-	if docs != nil && version > h.next && version != h.declined && version != h.offered {
-		h.offered, h.offer = version, docs
+// acceptOffer takes documents that are to be checked.
+func (h *LeaseHolder) acceptOffer(version uint64, docs map[string]Document) {
+	if docs != nil && version > h.readyVersion && version != h.rejectedVersion && version != h.offeredVersion {
+		h.offeredVersion, h.offeredDocs = version, docs
 	}
 }
 
 // PendingCheck is a version that is to be checked, for Checked; 0: none.
 func (h *LeaseHolder) PendingCheck() (version uint64, docs map[string]Document) {
-	return h.offered, h.offer
+	return h.offeredVersion, h.offeredDocs
 }
 
 // CompleteCheck says whether this daemon can act on the version that was Offered; an error says why it can't.
 func (h *LeaseHolder) CompleteCheck(version uint64, err error) {
-	if version == 0 || version != h.offered {
+	if version == 0 || version != h.offeredVersion {
 		return // another came meanwhile
 	}
 	if err != nil {
-		h.declined, h.why = version, fmt.Sprintf("%.*s", mostWhy, err.Error())
+		h.rejectedVersion, h.rejectReason = version, fmt.Sprintf("%.*s", maxReasonBytes, err.Error())
 	} else {
-		h.next, h.coming = version, h.offer
-		if h.declined <= version {
-			h.declined, h.why = 0, ""
+		h.readyVersion, h.readyDocs = version, h.offeredDocs
+		if h.rejectedVersion <= version {
+			h.rejectedVersion, h.rejectReason = 0, ""
 		}
 	}
-	h.offered, h.offer = 0, nil
+	h.offeredVersion, h.offeredDocs = 0, nil
 }
 
 // Recheck has what was declined looked at again when it is offered anew.
-func (h *LeaseHolder) Recheck() { h.declined, h.why = 0, "" }
+func (h *LeaseHolder) Recheck() { h.rejectedVersion, h.rejectReason = 0, "" }
 
 // Rejected is the version that this daemon can't act on, and why; 0: none.
-func (h *LeaseHolder) Rejected() (uint64, string) { return h.declined, h.why }
+func (h *LeaseHolder) Rejected() (uint64, string) { return h.rejectedVersion, h.rejectReason }
 
 // MarkInstalled says which version the daemon's other parts have taken up: until then they act on the one before.
-func (h *LeaseHolder) MarkInstalled(version uint64) { h.installed = version }
+func (h *LeaseHolder) MarkInstalled(version uint64) { h.installedVersion = version }
 
 // Leased is what this daemon may act on.
-func (h *LeaseHolder) Leased() LeasedVersion { return h.acting }
+func (h *LeaseHolder) Leased() LeasedVersion { return h.leased }
 
 // Valid tells which version the daemon may act on at an instant; false: none, for its lease has run out.
 func (h *LeaseHolder) Valid(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
-	a := &h.acting
-	return a.Version, a.Docs, a.Version > 0 && (now < a.Until || h.t.NoLook)
+	a := &h.leased
+	return a.Version, a.Docs, a.Version > 0 && (now < a.Until || h.config.NoLook)
 }
 
 // FullyActive is the version before which no daemon acts any more, and the daemons that are waited for, as the leader said last.
-func (h *LeaseHolder) FullyActive() (all uint64, lags []Lag) { return h.all, h.lags }
+func (h *LeaseHolder) FullyActive() (all uint64, lags []Lag) { return h.fullyActive, h.lagging }
 
 // LeaseManager is the leader's side of leases, in one term. It is made anew with each.
 type LeaseManager struct {
-	t     LeaseConfig
-	since time.Duration // it has led
-	known map[string]*known
+	config      LeaseConfig
+	leaderSince time.Duration // it has led
+	daemons     map[string]*daemonLeases
 
-	whole uint64 // what Look found
-	lags  []Lag
+	fullyActive uint64 // what Look found
+	lagging     []Lag
 }
 
-// known is what the steward knows of a daemon.
-type known struct {
-	r      LeaseRequest  // its latest
-	grants []outstanding // that it may act under, by Seq; mostGrants at most
+// daemonLeases is what the steward knows of a daemon.
+type daemonLeases struct {
+	request LeaseRequest       // its latest
+	grants  []outstandingGrant // that it may act under, by Seq; mostGrants at most
 }
 
-type outstanding struct {
-	seq uint64
-	end time.Duration // by this clock it has certainly run out
+type outstandingGrant struct {
+	seq       uint64
+	expiresAt time.Duration // by this clock it has certainly run out
 }
 
-// mostGrants bounds what is remembered of one daemon: beyond it the two latest are taken for one, of the later Seq and the later end.
-const mostGrants = 32
+// maxOutstandingGrants bounds what is remembered of one daemon: beyond it the two latest are taken for one, of the later Seq and the later end.
+const maxOutstandingGrants = 32
 
 // NewLeaseManager begins a term. Leases that earlier leaders have granted may run on.
 func NewLeaseManager(now time.Duration, t LeaseConfig) *LeaseManager {
-	return &LeaseManager{t: t, since: now, known: map[string]*known{}}
+	return &LeaseManager{config: t, leaderSince: now, daemons: map[string]*daemonLeases{}}
 }
 
 // Grant answers a request, after it was confirmed that this node still led when the request had come.
 func (s *LeaseManager) Grant(now time.Duration, r LeaseRequest, st *State) LeaseGrant {
-	k := s.known[r.Daemon]
+	k := s.daemons[r.Daemon]
 	if k == nil {
-		k = &known{}
-		s.known[r.Daemon] = k
+		k = &daemonLeases{}
+		s.daemons[r.Daemon] = k
 	}
-	g := LeaseGrant{Seq: r.Seq, Version: st.Active, PendingVersion: st.Coming, Lease: s.t.Lease, Voters: st.Voters(), Sitting: st.sitting()}
+	g := LeaseGrant{Seq: r.Seq, Version: st.Active, PendingVersion: st.Coming, Duration: s.config.Lease, Voters: st.Voters(), Sitting: st.activeVoterNames()}
 	if st.Coming > st.Active {
-		g.Lease = s.t.Short
+		g.Duration = s.config.Short
 	}
-	if r.ReadyVersion < st.Active || forced(st, &r) { // it can't act on what others do, or will
-		g.Lease = 0
+	if r.ReadyVersion < st.Active || isForcedOut(st, &r) { // it can't act on what others do, or will
+		g.Duration = 0
 	}
-	k.r = r
-	k.grants = slices.DeleteFunc(k.grants, func(o outstanding) bool { return o.seq < r.AcceptedSeq || now >= o.end })
-	end := now + s.t.waited(g.Lease)
-	if n := len(k.grants); n >= mostGrants {
-		k.grants[n-1] = outstanding{r.Seq, max(k.grants[n-1].end, end)}
+	k.request = r
+	k.grants = slices.DeleteFunc(k.grants, func(o outstandingGrant) bool { return o.seq < r.AcceptedSeq || now >= o.expiresAt })
+	end := now + s.config.expiryWait(g.Duration)
+	if n := len(k.grants); n >= maxOutstandingGrants {
+		k.grants[n-1] = outstandingGrant{r.Seq, max(k.grants[n-1].expiresAt, end)}
 	} else {
-		k.grants = append(k.grants, outstanding{r.Seq, end})
+		k.grants = append(k.grants, outstandingGrant{r.Seq, end})
 	}
-	if r.ReadyVersion < st.Active && r.Declines < st.Active {
+	if r.ReadyVersion < st.Active && r.RejectedVersion < st.Active {
 		g.ActiveDocs = st.ActiveDocs
 	}
-	if r.ReadyVersion < st.Coming && r.Declines < st.Coming {
+	if r.ReadyVersion < st.Coming && r.RejectedVersion < st.Coming {
 		g.PendingDocs = st.PendingDocs
 	}
-	g.FullyActive, g.Lags = s.whole, s.lags[:min(len(s.lags), mostLags)]
+	g.FullyActive, g.Lagging = s.fullyActive, s.lagging[:min(len(s.lagging), maxLagging)]
 	return g
 }
 
 // Refresh takes stock of all daemons, for the grants that follow: once a beat, since it goes through all of them. What it finds of
 // versions that nobody acts on any more stays so.
 func (s *LeaseManager) Refresh(now time.Duration, st *State) {
-	s.lags = s.Lagging(now, st)
-	s.whole = s.all(now, st)
+	s.lagging = s.LaggingDaemons(now, st)
+	s.fullyActive = s.oldestActive(now, st)
 }
 
-// forced tells whether a daemon goes without a lease, since a version comes on which it can't act.
-func forced(st *State, r *LeaseRequest) bool {
-	return st.Coming > st.Active && st.Forced >= st.Coming && declines(st, r)
+// isForcedOut tells whether a daemon goes without a lease, since a version comes on which it can't act.
+func isForcedOut(st *State, r *LeaseRequest) bool {
+	return st.Coming > st.Active && st.Forced >= st.Coming && rejectsPending(st, r)
 }
 
-// declines tells whether a daemon has said that it can't act on what comes.
-func declines(st *State, r *LeaseRequest) bool {
-	return r.ReadyVersion < st.Coming && r.Declines == st.Coming
+// rejectsPending tells whether a daemon has said that it can't act on what comes.
+func rejectsPending(st *State, r *LeaseRequest) bool {
+	return r.ReadyVersion < st.Coming && r.RejectedVersion == st.Coming
 }
 
-// end is when the last lease that a daemon may hold has run out.
-func (k *known) end() (end time.Duration) {
+// expiresAt is when the last lease that a daemon may hold has run out.
+func (k *daemonLeases) expiresAt() (end time.Duration) {
 	for _, o := range k.grants {
-		end = max(end, o.end)
+		end = max(end, o.expiresAt)
 	}
 	return end
 }
 
-// settled tells whether all that predecessors granted has run out.
-func (s *LeaseManager) settled(now time.Duration) bool { return now >= s.since+s.t.waited(s.t.Lease) }
+// predecessorsExpired tells whether all that predecessors granted has run out.
+func (s *LeaseManager) predecessorsExpired(now time.Duration) bool {
+	return now >= s.leaderSince+s.config.expiryWait(s.config.Lease)
+}
 
 // VersionToActivate tells which version is to be activated now; 0: none. Each daemon that may hold a lease must have what comes, and
 // hold short leases only; one that does not is waited for until its lease has certainly run out.
@@ -291,13 +293,13 @@
 	switch {
 	case st.Coming == st.Active:
 		return 0
-	case s.t.NoWait:
+	case s.config.NoWait:
 		return st.Coming
-	case !s.settled(now):
+	case !s.predecessorsExpired(now):
 		return 0
 	}
-	for _, k := range s.known {
-		if s.waits(now, st, k) != "" {
+	for _, k := range s.daemons {
+		if s.waitReason(now, st, k) != "" {
 			return 0
 		}
 	}
@@ -310,58 +312,58 @@
 	if st.Coming == st.Active || st.Version == st.Coming || st.Forced >= st.Coming {
 		return 0
 	}
-	for _, k := range s.known {
-		if declines(st, &k.r) && now < k.end() {
+	for _, k := range s.daemons {
+		if rejectsPending(st, &k.request) && now < k.expiresAt() {
 			return st.Coming
 		}
 	}
 	return 0
 }
 
-// waits says why a version that comes waits for a daemon; empty: it does not.
-func (s *LeaseManager) waits(now time.Duration, st *State, k *known) string {
-	end := k.end()
+// waitReason says why a version that comes waits for a daemon; empty: it does not.
+func (s *LeaseManager) waitReason(now time.Duration, st *State, k *daemonLeases) string {
+	end := k.expiresAt()
 	switch {
 	case now >= end:
 		return ""
-	case forced(st, &k.r):
+	case isForcedOut(st, &k.request):
 		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", st.Coming)
-	case declines(st, &k.r):
-		return fmt.Sprintf("it can't act on version %d: %s", st.Coming, k.r.RejectReason)
-	case k.r.ReadyVersion < st.Coming:
+	case rejectsPending(st, &k.request):
+		return fmt.Sprintf("it can't act on version %d: %s", st.Coming, k.request.RejectReason)
+	case k.request.ReadyVersion < st.Coming:
 		return fmt.Sprintf("it has not got version %d", st.Coming)
-	case end > now+s.t.waited(s.t.Short):
+	case end > now+s.config.expiryWait(s.config.Short):
 		return "it may have a long lease"
 	}
 	return ""
 }
 
-// all is the version before which no daemon acts; 0: not known, since a predecessor's leases may last.
-func (s *LeaseManager) all(now time.Duration, st *State) uint64 {
-	if !s.settled(now) {
+// oldestActive is the version before which no daemon acts; 0: not known, since a predecessor's leases may last.
+func (s *LeaseManager) oldestActive(now time.Duration, st *State) uint64 {
+	if !s.predecessorsExpired(now) {
 		return 0
 	}
 	all := st.Active
-	for _, k := range s.known {
-		if now < k.end() {
-			all = min(all, k.r.InstalledVersion)
+	for _, k := range s.daemons {
+		if now < k.expiresAt() {
+			all = min(all, k.request.InstalledVersion)
 		}
 	}
 	return all
 }
 
-// Lagging are the daemons that are waited for, by name: before a version is activated, and until they act on the one that was.
+// LaggingDaemons are the daemons that are waited for, by name: before a version is activated, and until they act on the one that was.
 // Who has certainly no lease is forgotten.
-func (s *LeaseManager) Lagging(now time.Duration, st *State) (lags []Lag) {
-	for name, k := range s.known {
+func (s *LeaseManager) LaggingDaemons(now time.Duration, st *State) (lags []Lag) {
+	for name, k := range s.daemons {
 		why := ""
 		switch {
-		case now >= k.end():
-			delete(s.known, name)
+		case now >= k.expiresAt():
+			delete(s.daemons, name)
 		case st.Coming > st.Active:
-			why = s.waits(now, st, k)
-		case k.r.InstalledVersion < st.Active:
-			why = fmt.Sprintf("it acts on version %d yet", k.r.InstalledVersion)
+			why = s.waitReason(now, st, k)
+		case k.request.InstalledVersion < st.Active:
+			why = fmt.Sprintf("it acts on version %d yet", k.request.InstalledVersion)
 		}
 		if why != "" {
 			lags = append(lags, Lag{name, why})
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-var terms = LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
+var testLeaseConfig = LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
 
-// agreed is a state with a version that is active and one that is to come.
-func agreed(t testing.TB) *State {
+// stateWithPendingVersion is a state with a version that is active and one that is to come.
+func stateWithPendingVersion(t testing.TB) *State {
 	t.Helper()
 	st := NewState()
 	for i, c := range []Command{{ID: "a", Put: &DocumentPut{"x", []byte("1")}}, {Activate: 1}, {ID: "b", Put: &DocumentPut{"x", []byte("2")}}} {
@@ -31,11 +31,11 @@
 
 // The last answer on the version before comes late, and then nothing: the lease counts from the request, else it would last
 // beyond what is promised.
-func TestALeaseCountsFromItsRequest(t *testing.T) {
+func TestLeaseCountsFromItsRequest(t *testing.T) {
 	for _, fromAnswer := range []bool{false, true} {
-		terms := terms
+		terms := testLeaseConfig
 		terms.CountFromGrant = fromAnswer
-		st, start := agreed(t), 100*time.Second
+		st, start := stateWithPendingVersion(t), 100*time.Second
 		s := NewLeaseManager(start-time.Minute, terms)
 		h := NewLeaseHolder("d", terms, 0, nil)
 		ask := func(now time.Duration) LeaseGrant {
@@ -44,11 +44,11 @@
 		}
 		for range 3 { // what others act on, a lease, and what comes: it says so
 			h.HandleGrant(start, ask(start))
-			takeUp(h)
+			completeCheckAndInstall(h)
 		}
 		late := ask(start)
 		if got := s.VersionToActivate(start, st); got != 2 {
-			t.Fatalf("activated: %d, lagging %v", got, s.Lagging(start, st))
+			t.Fatalf("activated: %d, lagging %v", got, s.LaggingDaemons(start, st))
 		}
 		h.HandleGrant(start+terms.Short/5, late)
 		version, _, acts := h.Valid(start + terms.Overlap() + 1)
@@ -59,19 +59,19 @@
 }
 
 // Whoever may hold a lease is waited for, unless it has what comes and holds short leases only.
-func TestAnActivationWaits(t *testing.T) {
-	st, start := agreed(t), 100*time.Second
-	s := NewLeaseManager(start, terms)
-	if s.VersionToActivate(start+terms.Lease, st) != 0 {
+func TestActivationWaitsForOutstandingLeases(t *testing.T) {
+	st, start := stateWithPendingVersion(t), 100*time.Second
+	s := NewLeaseManager(start, testLeaseConfig)
+	if s.VersionToActivate(start+testLeaseConfig.Lease, st) != 0 {
 		t.Error("a new leader does not wait for what its predecessors granted")
 	}
 	now := start + time.Minute
 	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, st)
 	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, st)
-	if got := s.Lagging(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
+	if got := s.LaggingDaemons(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Errorf("lagging: %v", got)
 	}
-	if s.VersionToActivate(now+terms.waited(terms.Short), st) != 2 {
+	if s.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Short), st) != 2 {
 		t.Error("one whose lease has run out is waited for")
 	}
 	quiet := *st
@@ -83,13 +83,13 @@
 	}
 	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, st)
 	if s.VersionToActivate(now+2*time.Second, st) != 2 {
-		t.Errorf("it said that it took it: %v", s.Lagging(now+2*time.Second, st))
+		t.Errorf("it said that it took it: %v", s.LaggingDaemons(now+2*time.Second, st))
 	}
 }
 
 // Whatever commands come, in whatever order and however often: versions only grow, a repeat is done once, who expects another
 // version changes nothing, and two states that applied the same are the same.
-func TestCommands(t *testing.T) {
+func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
 		made := map[string]uint64{}
@@ -132,9 +132,9 @@
 }
 
 // What is asked on each request: no lock, and far under 50 ns.
-func BenchmarkMay(b *testing.B) {
-	h := NewLeaseHolder("d", terms, 1, nil)
-	h.acting.Until = time.Hour
+func BenchmarkLeaseValid(b *testing.B) {
+	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
+	h.leased.Until = time.Hour
 	for b.Loop() {
 		if _, _, ok := h.Valid(time.Minute); !ok {
 			b.Fatal("no lease")
@@ -144,12 +144,12 @@
 
 // Answers get lost for so long that grants are taken for one another: the one that the daemon says it took at last is still
 // waited for.
-func TestAGrantAmongTooManyIsWaitedFor(t *testing.T) {
-	st, now := agreed(t), 100*time.Second
-	s := NewLeaseManager(now-time.Minute, terms)
+func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
+	st, now := stateWithPendingVersion(t), 100*time.Second
+	s := NewLeaseManager(now-time.Minute, testLeaseConfig)
 	quiet := *st
 	quiet.Coming = quiet.Active // nothing is to come, and leases are long
-	const last = mostGrants + 8
+	const last = maxOutstandingGrants + 8
 	for seq := range uint64(last) {
 		s.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, &quiet)
 	}
@@ -157,7 +157,7 @@
 	if s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Error("the long lease that it took is not waited for")
 	}
-	if s.VersionToActivate(now+terms.waited(terms.Lease), st) != 2 {
+	if s.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Lease), st) != 2 {
 		t.Error("it is waited for though its lease has run out")
 	}
 }
@@ -166,7 +166,7 @@
 func BenchmarkGrant(b *testing.B) {
 	for _, n := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			st, s, now := agreed(b), NewLeaseManager(0, terms), time.Minute
+			st, s, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
 			const beat = 100 // requests: 300 daemons ask a thousand times a second
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -24,8 +24,8 @@
 
 // SlotClaim is the mark of the disk with which a seat is taken.
 type SlotClaim struct {
-	Seat uint64 `json:"seat"`
-	Mark string `json:"mark"`
+	VoterID uint64 `json:"seat"`
+	DiskID  string `json:"mark"`
 }
 
 // MaxVoters is how many may vote.
@@ -40,11 +40,11 @@
 // ErrMembershipUnchanged is why the voters stay as they are.
 var ErrMembershipUnchanged = errors.New("the voters stay as they are")
 
-// found gives the first voters their seats.
-func (s *State) found(names []string) {
+// setInitialVoters gives the first voters their seats.
+func (s *State) setInitialVoters(names []string) {
 	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
-	s.First = slices.Sorted(slices.Values(names))
-	for i, name := range s.First {
+	s.InitialVoters = slices.Sorted(slices.Values(names))
+	for i, name := range s.InitialVoters {
 		s.Seats[uint64(i+1)], s.Sitting[uint64(i+1)] = name, true
 	}
 }
@@ -65,8 +65,8 @@
 // Voters are the names of those who are to vote, in order.
 func (s *State) Voters() []string { return slices.Sorted(maps.Values(s.Seats)) }
 
-// sitting are the names of those who vote.
-func (s *State) sitting() (names []string) {
+// activeVoterNames are the names of those who vote.
+func (s *State) activeVoterNames() (names []string) {
 	for id := range s.Sitting {
 		names = append(names, s.VoterName(id))
 	}
@@ -74,14 +74,14 @@
 	return names
 }
 
-func (s *State) seat(c *VoterChange) (CommandResult, error) {
+func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
 	switch {
 	case (id == 0) == c.Out:
 		return CommandResult{Version: s.Version, Same: true}, nil
 	case c.Out && !s.Sitting[id]: // it never came
-	case s.under() != "":
-		return CommandResult{}, fmt.Errorf("%w: %s", ErrMembershipUnchanged, s.under())
+	case s.membershipChangeInProgress() != "":
+		return CommandResult{}, fmt.Errorf("%w: %s", ErrMembershipUnchanged, s.membershipChangeInProgress())
 	case c.Out && len(s.Seats) == 1:
 		return CommandResult{}, fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
 	case !c.Out && len(s.Seats) >= MaxVoters:
@@ -94,8 +94,8 @@
 			s.Leaving[id] = c.Name
 		}
 		delete(s.Seats, id)
-		s.Marks = maps.Clone(s.Marks)
-		delete(s.Marks, id)
+		s.DiskIDs = maps.Clone(s.DiskIDs)
+		delete(s.DiskIDs, id)
 	} else {
 		s.LastVoterID++
 		s.Seats[s.LastVoterID] = c.Name
@@ -103,31 +103,31 @@
 	return CommandResult{Version: s.Version}, nil
 }
 
-// mark sets the mark of a seat that nobody has taken; the first one stays.
-func (s *State) mark(m *SlotClaim) CommandResult {
-	same := s.Seats[m.Seat] == "" || s.Sitting[m.Seat] || s.Marks[m.Seat] != ""
+// applySlotClaim sets the mark of a seat that nobody has taken; the first one stays.
+func (s *State) applySlotClaim(m *SlotClaim) CommandResult {
+	same := s.Seats[m.VoterID] == "" || s.Sitting[m.VoterID] || s.DiskIDs[m.VoterID] != ""
 	if !same {
-		s.Marks = maps.Clone(s.Marks)
-		if s.Marks == nil {
-			s.Marks = map[uint64]string{}
+		s.DiskIDs = maps.Clone(s.DiskIDs)
+		if s.DiskIDs == nil {
+			s.DiskIDs = map[uint64]string{}
 		}
-		s.Marks[m.Seat] = m.Mark
+		s.DiskIDs[m.VoterID] = m.DiskID
 	}
 	return CommandResult{Version: s.Version, Same: same}
 }
 
-// usher tells a daemon of its seat, and whether it may take that now.
-func (v *Voter) usher(r *LeaseRequest, g *LeaseGrant) {
+// addSlotStatus tells a daemon of its seat, and whether it may take that now.
+func (v *Voter) addSlotStatus(r *LeaseRequest, g *LeaseGrant) {
 	g.Seat = v.state.VoterID(r.Daemon)
 	if g.Seat == 0 || v.state.Sitting[g.Seat] || r.Mark == "" {
 		g.DiskLost = g.Seat != 0 && r.Mark != ""
 		return
 	}
-	switch v.state.Marks[g.Seat] {
+	switch v.state.DiskIDs[g.Seat] {
 	case "":
 		_ = v.Propose(&Command{ClaimSlot: &SlotClaim{g.Seat, r.Mark}}) // it asks again
 	case r.Mark:
-		g.MayStartVoter, g.First = true, v.state.First
+		g.MayStartVoter, g.First = true, v.state.InitialVoters
 	default:
 		g.DiskLost = true
 	}
@@ -158,8 +158,8 @@
 	return KeepVoterRole
 }
 
-// under says which change of voters is under way; empty: none.
-func (s *State) under() string {
+// membershipChangeInProgress says which change of voters is under way; empty: none.
+func (s *State) membershipChangeInProgress() string {
 	for id, name := range s.Seats {
 		if !s.Sitting[id] {
 			return name + " has yet to learn what is agreed on"
@@ -171,84 +171,84 @@
 	return ""
 }
 
-// reconfigure applies a change of raft's configuration.
-func (v *Voter) reconfigure(e *raftpb.Entry) {
+// applyConfChange applies a change of raft's configuration.
+func (v *Voter) applyConfChange(e *raftpb.Entry) {
 	cc := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 		panic(fmt.Sprintf("an entry of raft's own: %v", err)) // which was checked by its digest
 	}
-	v.conf = v.raft.ApplyConfChange(cc)
-	v.newcomer = v.newcomer || cc.GetType() == raftpb.ConfChangeType_ConfChangeAddLearnerNode
+	v.confState = v.rawNode.ApplyConfChange(cc)
+	v.needsLearnerSnapshot = v.needsLearnerSnapshot || cc.GetType() == raftpb.ConfChangeType_ConfChangeAddLearnerNode
 	sitting := map[uint64]bool{}
-	for _, id := range v.conf.GetVoters() {
+	for _, id := range v.confState.GetVoters() {
 		sitting[id] = true
 	}
 	v.state.Sitting, v.state.Leaving = sitting, maps.Clone(v.state.Leaving)
 	maps.DeleteFunc(v.state.Leaving, func(id uint64, _ string) bool { return !sitting[id] })
 }
 
-// reconcile brings raft's configuration a step nearer to the seats. raft itself drops a change while another is not yet applied.
-func (v *Voter) reconcile() {
-	if v.steward == nil {
+// reconcileVoters brings raft's configuration a step nearer to the seats. raft itself drops a change while another is not yet applied.
+func (v *Voter) reconcileVoters() {
+	if v.leaseManager == nil {
 		return
 	}
 	learners := map[uint64]bool{}
 	var ready uint64
-	last, _ := v.store.LastIndex()
-	v.raft.WithProgress(func(id uint64, kind raft.ProgressType, p tracker.Progress) {
+	last, _ := v.storage.LastIndex()
+	v.rawNode.WithProgress(func(id uint64, kind raft.ProgressType, p tracker.Progress) {
 		if kind == raft.ProgressTypeLearner {
-			if learners[id] = true; p.RecentActive && p.Match+nearlyThere >= last {
+			if learners[id] = true; p.RecentActive && p.Match+maxLearnerLag >= last {
 				ready = id
 			}
 		}
 	})
 	for id := range v.state.Seats {
-		if !v.state.Sitting[id] && !learners[id] && v.state.Marks[id] != "" {
-			v.propose(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
+		if !v.state.Sitting[id] && !learners[id] && v.state.DiskIDs[id] != "" {
+			v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
 			return
 		}
 	}
 	if v.state.Seats[ready] != "" {
-		v.propose(raftpb.ConfChangeType_ConfChangeAddNode, ready)
+		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, ready)
 		return
 	}
 	for _, ids := range []map[uint64]bool{learners, v.state.Sitting} {
 		for id := range ids {
 			if v.state.Seats[id] == "" {
-				v.removeSeat(id)
+				v.removeVoter(id)
 				return
 			}
 		}
 	}
 }
 
-// nearlyThere is by how many entries a learner may be behind that is to vote: it gets them with the next messages.
-const nearlyThere = 16
+// maxLearnerLag is by how many entries a learner may be behind that is to vote: it gets them with the next messages.
+const maxLearnerLag = 16
 
-func (v *Voter) removeSeat(id uint64) {
-	if id != v.c.ID {
-		v.propose(raftpb.ConfChangeType_ConfChangeRemoveNode, id)
+func (v *Voter) removeVoter(id uint64) {
+	if id != v.config.ID {
+		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeRemoveNode, id)
 		return
 	}
 	for other := range v.state.Seats {
 		if v.state.Sitting[other] {
-			v.raft.TransferLeader(other)
+			v.rawNode.TransferLeader(other)
 			return
 		}
 	}
 }
 
-func (v *Voter) propose(kind raftpb.ConfChangeType, id uint64) {
-	_ = v.raft.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id}) // dropped, it is proposed again
+func (v *Voter) proposeConfChange(kind raftpb.ConfChangeType, id uint64) {
+	_ = v.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id}) // dropped, it is proposed again
 }
 
 // IsLearner tells whether this voter does not vote yet.
-func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.c.ID] }
+func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.config.ID] }
 
-// firstState is what the first snapshot holds.
-func firstState(names []string) []byte {
+// encodeInitialState is what the first snapshot holds.
+func encodeInitialState(names []string) []byte {
 	s := NewState()
-	s.found(names)
+	s.setInitialVoters(names)
 	b, err := s.Encode()
 	if err != nil {
 		panic(err)
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// alone is a voter that is the only one, and leads.
-func alone(t *testing.T) (v *Voter, now time.Duration) {
+// newSingleVoter is a voter that is the only one, and leads.
+func newSingleVoter(t *testing.T) (v *Voter, now time.Duration) {
 	t.Helper()
 	d, err := NewRecoveredState([]string{"v"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err = NewVoter(0, Config{ID: 1, Beat: 10 * time.Millisecond, Seed: 1, Lease: terms}, d); err != nil {
+	if v, err = NewVoter(0, Config{ID: 1, Beat: 10 * time.Millisecond, Seed: 1, Lease: testLeaseConfig}, d); err != nil {
 		t.Fatal(err)
 	}
-	for now = 0; v.steward == nil && now < time.Minute; now += 10 * time.Millisecond {
+	for now = 0; v.leaseManager == nil && now < time.Minute; now += 10 * time.Millisecond {
 		v.Tick(now)
 		for v.Output(now) != nil {
 		}
@@ -27,8 +27,8 @@
 	return v, now
 }
 
-// grant is the answer to a request.
-func grant(t *testing.T, v *Voter, now time.Duration, r LeaseRequest) LeaseGrant {
+// requestGrant is the answer to a request.
+func requestGrant(t *testing.T, v *Voter, now time.Duration, r LeaseRequest) LeaseGrant {
 	t.Helper()
 	v.Grants = nil
 	if err := v.RequestLease(r); err != nil {
@@ -43,8 +43,8 @@
 }
 
 // A seat is taken with the disk whose mark the log has, and with no other; raft hears of nobody before.
-func TestASeatIsTakenWithOneDisk(t *testing.T) {
-	v, now := alone(t)
+func TestVoterSlotIsClaimedByOneDisk(t *testing.T) {
+	v, now := newSingleVoter(t)
 	seat := func(c VoterChange) error {
 		v.Results = nil
 		if err := v.Propose(&Command{ID: "s", Seat: &c}); err != nil {
@@ -54,17 +54,19 @@
 		}
 		return v.Results[0].Err
 	}
-	ask := func(mark string) LeaseGrant { return grant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, Mark: mark}) }
+	ask := func(mark string) LeaseGrant {
+		return requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, Mark: mark})
+	}
 	if g := ask("m1"); g.Seat != 0 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("who has no seat: %+v", g)
 	}
 	if err := errors.Join(seat(VoterChange{Name: "x"}), seat(VoterChange{Name: "x"})); err != nil {
 		t.Fatal(err)
 	}
-	v.reconcile()
+	v.reconcileVoters()
 	for v.Output(now) != nil {
 	}
-	if len(v.conf.GetLearners()) > 0 {
+	if len(v.confState.GetLearners()) > 0 {
 		t.Error("raft hears of one whose disk nobody knows")
 	}
 	if g := ask(""); g.Seat != 2 || g.MayStartVoter || g.DiskLost {
@@ -79,11 +81,11 @@
 	if g := ask("m2"); g.MayStartVoter || !g.DiskLost {
 		t.Errorf("another disk: %+v", g)
 	}
-	v.reconcile()
+	v.reconcileVoters()
 	for v.Output(now) != nil {
 	}
-	if len(v.conf.GetLearners()) != 1 || v.conf.GetLearners()[0] != 2 || v.State().under() == "" {
-		t.Errorf("%v", v.conf)
+	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().membershipChangeInProgress() == "" {
+		t.Errorf("%v", v.confState)
 	}
 	if err := seat(VoterChange{Name: "y"}); !errors.Is(err, ErrMembershipUnchanged) {
 		t.Errorf("a second change: %v", err)
@@ -103,11 +105,11 @@
 }
 
 // However long the commands are, the log that is held is bounded, by their number and by their bytes.
-func TestTheLogIsBounded(t *testing.T) {
+func TestRetainedLogIsBounded(t *testing.T) {
 	for _, size := range []int{10, MaxDocumentBytes / 4} {
-		v, now := alone(t)
+		v, now := newSingleVoter(t)
 		body := make([]byte, size)
-		most, snaps, puts := 0, 0, min(2*snapAfter+1, 14<<20/size)
+		most, snaps, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/size)
 		for range puts {
 			if err := v.Propose(&Command{Put: &DocumentPut{"a", body}}); err != nil {
 				t.Fatal(err)
@@ -117,9 +119,9 @@
 					snaps++
 				}
 			}
-			first, _ := v.store.FirstIndex()
-			last, _ := v.store.LastIndex()
-			entries, err := v.store.Entries(first, last+1, 1<<62)
+			first, _ := v.storage.FirstIndex()
+			last, _ := v.storage.LastIndex()
+			entries, err := v.storage.Entries(first, last+1, 1<<62)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -128,11 +130,11 @@
 				held += len(e.GetData())
 			}
 			most = max(most, held)
-			if len(entries) > 2*snapAfter {
+			if len(entries) > 2*snapshotEntries {
 				t.Fatalf("%d entries are held", len(entries))
 			}
 		}
-		if most > snapBytes+keepBytes+2*MaxDocumentBytes || snaps == 0 {
+		if most > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snaps == 0 {
 			t.Errorf("commands of %d bytes: up to %d bytes are held, %d snapshots", size, most, snaps)
 		}
 		t.Logf("commands of %d bytes: up to %d bytes are held, %d snapshots of %d puts", size, most, snaps, puts)
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -24,12 +24,12 @@
 // Bounds of what is agreed. A snapshot holds the documents three times at most (Docs, Next, Acted) and what is kept of earlier
 // ones: in JSON under 7 MiB, which passes a parcel.
 const (
-	MaxDocumentBytes = 1 << 20                  // bytes of a document
-	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // of all documents together
-	MaxDocuments     = 1000
-	mostKept         = 1 << 20 // bytes of earlier documents, to go back to
-	mostHistory      = 1000    // changes that are remembered
-	mostIDs          = 1024    // puts whose repeats are known
+	MaxDocumentBytes  = 1 << 20                  // bytes of a document
+	MaxTotalBytes     = MaxDocumentBytes * 5 / 4 // of all documents together
+	MaxDocuments      = 1000
+	maxRetainedBytes  = 1 << 20 // bytes of earlier documents, to go back to
+	maxHistoryEntries = 1000    // changes that are remembered
+	maxRecentResults  = 1024    // puts whose repeats are known
 )
 
 // Document is a text with a name, as of the version in which it was put.
@@ -63,17 +63,17 @@
 	ActiveDocs    map[string]Document `json:"acted"`   // as of Active
 	History       []HistoryEntry      `json:"history"`
 	RetainedDocs  []Document          `json:"kept"` // that were replaced or removed, to go back to; the oldest in front
-	RecentResults []done              `json:"ids"`  // the latest puts; the oldest in front
-
-	Seats       map[uint64]string `json:"seats"`   // who is to vote, by raft's id; a map that was given away never changes
-	Sitting     map[uint64]bool   `json:"sitting"` // who does
-	Leaving     map[uint64]string `json:"leaving"` // who has no seat any more, and votes until raft's configuration says so
-	Marks       map[uint64]string `json:"marks"`   // of the disks of those who have yet to vote, set once
-	LastVoterID uint64            `json:"last_seat"`
-	First       []string          `json:"first"` // the first voters
+	RecentResults []recentResult      `json:"ids"`  // the latest puts; the oldest in front
+
+	Seats         map[uint64]string `json:"seats"`   // who is to vote, by raft's id; a map that was given away never changes
+	Sitting       map[uint64]bool   `json:"sitting"` // who does
+	Leaving       map[uint64]string `json:"leaving"` // who has no seat any more, and votes until raft's configuration says so
+	DiskIDs       map[uint64]string `json:"marks"`   // of the disks of those who have yet to vote, set once
+	LastVoterID   uint64            `json:"last_seat"`
+	InitialVoters []string          `json:"first"` // the first voters
 }
 
-type done struct {
+type recentResult struct {
 	ID string `json:"id"`
 	CommandResult
 }
@@ -150,33 +150,33 @@
 
 // Apply takes a command of the log.
 func (s *State) Apply(entry []byte) (CommandResult, error) {
-	_, a, err := s.apply(entry)
+	_, a, err := s.applyEncoded(entry)
 	return a, err
 }
 
-// apply is Apply, and gives the command's ID: a long command is read once.
-func (s *State) apply(entry []byte) (id string, _ CommandResult, _ error) {
+// applyEncoded is Apply, and gives the command's ID: a long command is read once.
+func (s *State) applyEncoded(entry []byte) (id string, _ CommandResult, _ error) {
 	var c Command
 	if err := json.Unmarshal(entry, &c); err != nil {
 		return "", CommandResult{}, fmt.Errorf("a command that can't be read: %w", err)
 	}
-	a, err := s.do(&c)
+	a, err := s.applyCommand(&c)
 	return c.ID, a, err
 }
 
-func (s *State) do(c *Command) (CommandResult, error) {
+func (s *State) applyCommand(c *Command) (CommandResult, error) {
 	switch {
 	case c.Format > commandFormat:
 		return CommandResult{}, ErrUnknownCommand
 	case c.Activate > 0:
 		if c.Activate == s.Coming && s.Active < s.Coming { // one that comes twice does nothing
 			s.Active, s.ActiveDocs = s.Coming, s.PendingDocs
-			s.come()
+			s.setPending()
 		}
 		return CommandResult{Version: s.Active}, nil
 	case c.Skip > 0:
 		if c.Skip == s.Coming && s.Active < s.Coming && s.Forced < s.Coming {
-			s.come()
+			s.setPending()
 		}
 		return CommandResult{Version: s.Coming}, nil
 	case c.Force > 0:
@@ -186,20 +186,20 @@
 		s.Forced = c.Force
 		return CommandResult{Version: c.Force}, nil
 	case c.Seat != nil:
-		return s.seat(c.Seat)
+		return s.applyVoterChange(c.Seat)
 	case c.ClaimSlot != nil:
-		return s.mark(c.ClaimSlot), nil
+		return s.applySlotClaim(c.ClaimSlot), nil
 	case c.Read != nil:
-		return s.read(c.Read)
+		return s.readDocument(c.Read)
 	}
-	return s.change(c)
+	return s.applyDocumentChange(c)
 }
 
-// come has the latest version come next.
-func (s *State) come() { s.Coming, s.PendingDocs = s.Version, s.Docs }
+// setPending has the latest version come next.
+func (s *State) setPending() { s.Coming, s.PendingDocs = s.Version, s.Docs }
 
-func (s *State) change(c *Command) (CommandResult, error) {
-	if i := slices.IndexFunc(s.RecentResults, func(d done) bool { return d.ID == c.ID }); c.ID != "" && i >= 0 {
+func (s *State) applyDocumentChange(c *Command) (CommandResult, error) {
+	if i := slices.IndexFunc(s.RecentResults, func(d recentResult) bool { return d.ID == c.ID }); c.ID != "" && i >= 0 {
 		return s.RecentResults[i].CommandResult, nil
 	}
 	if c.Expect != nil && *c.Expect != s.Version {
@@ -208,7 +208,7 @@
 	name, put := c.Remove, c.Put
 	change := HistoryEntry{Version: s.Version + 1, By: c.By, At: c.At}
 	if c.Back != nil {
-		doc, err := s.as(c.Back)
+		doc, err := s.documentAt(c.Back)
 		if err != nil && !errors.Is(err, ErrDocumentNotFound) {
 			return CommandResult{}, err
 		}
@@ -224,49 +224,49 @@
 	change.Name = name
 	switch {
 	case put != nil:
-		if len(put.Body) > MaxDocumentBytes || !known && len(docs) >= MaxDocuments || size(docs)-len(was.Body)+len(put.Body) > MaxTotalBytes {
+		if len(put.Body) > MaxDocumentBytes || !known && len(docs) >= MaxDocuments || totalBytes(docs)-len(was.Body)+len(put.Body) > MaxTotalBytes {
 			return CommandResult{}, ErrLimitExceeded
 		}
 		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
 		docs[name] = Document{name, change.Version, change.Digest, c.By, put.Body}
 	case !known: // it is as it should be
-		return s.did(c.ID, CommandResult{Version: s.Version, Same: true}), nil
+		return s.rememberResult(c.ID, CommandResult{Version: s.Version, Same: true}), nil
 	default:
 		delete(docs, name)
 	}
 	s.Docs = docs
 	s.Version++
 	if s.Coming == s.Active {
-		s.come()
+		s.setPending()
 	}
 	if known {
-		s.keep(was)
+		s.retain(was)
 	}
-	s.History = tail(append(s.History, change), mostHistory)
-	return s.did(c.ID, CommandResult{Version: s.Version}), nil
+	s.History = lastN(append(s.History, change), maxHistoryEntries)
+	return s.rememberResult(c.ID, CommandResult{Version: s.Version}), nil
 }
 
-// did remembers what a command brought.
-func (s *State) did(id string, a CommandResult) CommandResult {
+// rememberResult remembers what a command brought.
+func (s *State) rememberResult(id string, a CommandResult) CommandResult {
 	if id != "" {
-		s.RecentResults = tail(append(s.RecentResults, done{id, a}), mostIDs)
+		s.RecentResults = lastN(append(s.RecentResults, recentResult{id, a}), maxRecentResults)
 	}
 	return a
 }
 
-func size(docs map[string]Document) (n int) {
+func totalBytes(docs map[string]Document) (n int) {
 	for _, d := range docs {
 		n += len(d.Body)
 	}
 	return n
 }
 
-// keep keeps a document that is no more, in place of the oldest that are kept.
-func (s *State) keep(d Document) {
+// retain keeps a document that is no more, in place of the oldest that are kept.
+func (s *State) retain(d Document) {
 	kept := append(slices.Clone(s.RetainedDocs), d)
 	n := 0
 	for i := len(kept) - 1; i >= 0; i-- {
-		if n += len(kept[i].Body); n > mostKept || len(kept)-i > mostHistory {
+		if n += len(kept[i].Body); n > maxRetainedBytes || len(kept)-i > maxHistoryEntries {
 			kept = kept[i+1:]
 			break
 		}
@@ -274,8 +274,8 @@
 	s.RetainedDocs = kept
 }
 
-// as is a document as of a version. ErrNoDoc: there was none.
-func (s *State) as(a *DocumentVersion) (*Document, error) {
+// documentAt is a document as of a version. ErrNoDoc: there was none.
+func (s *State) documentAt(a *DocumentVersion) (*Document, error) {
 	if d, ok := s.Docs[a.Name]; ok && (a.Version == 0 || d.Version <= a.Version) {
 		return &d, nil
 	}
@@ -300,23 +300,23 @@
 	return nil, fmt.Errorf("%.200q at version %d: %w", a.Name, a.Version, ErrDocumentNotFound)
 }
 
-func (s *State) read(a *DocumentVersion) (CommandResult, error) {
+func (s *State) readDocument(a *DocumentVersion) (CommandResult, error) {
 	if a.Name == "" {
 		return CommandResult{Version: s.Version, History: s.History}, nil
 	}
-	d, err := s.as(a)
+	d, err := s.documentAt(a)
 	return CommandResult{Version: s.Version, Doc: d}, err
 }
 
-// stored is a State as a snapshot has it: each body once, by its digest.
-type stored struct {
+// snapshotState is a State as a snapshot has it: each body once, by its digest.
+type snapshotState struct {
 	State
 	Bodies map[string][]byte `json:"bodies"`
 }
 
 // Encode gives the State for a snapshot.
 func (s *State) Encode() ([]byte, error) {
-	out := stored{State: *s, Bodies: map[string][]byte{}}
+	out := snapshotState{State: *s, Bodies: map[string][]byte{}}
 	strip := func(d Document) Document {
 		if len(d.Body) > 0 {
 			out.Bodies[fmt.Sprintf("%x", d.Digest)] = d.Body
@@ -340,7 +340,7 @@
 
 // DecodeState reads what Encode gave.
 func DecodeState(b []byte) (*State, error) {
-	in := stored{State: *NewState()}
+	in := snapshotState{State: *NewState()}
 	if err := json.Unmarshal(b, &in); err != nil {
 		return nil, err
 	}
@@ -361,7 +361,7 @@
 	return &in.State, nil
 }
 
-func tail[T any](list []T, most int) []T {
+func lastN[T any](list []T, most int) []T {
 	if len(list) > most {
 		return slices.Clone(list[len(list)-most:])
 	}
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func do(t testing.TB, s *State, c Command) (CommandResult, error) {
+func apply(t testing.TB, s *State, c Command) (CommandResult, error) {
 	t.Helper()
 	b, err := c.Encode()
 	if err != nil {
@@ -19,78 +19,78 @@
 	return s.Apply(b)
 }
 
-func put(name, body string) Command { return Command{Put: &DocumentPut{name, []byte(body)}} }
+func putCommand(name, body string) Command { return Command{Put: &DocumentPut{name, []byte(body)}} }
 
 // A document can be had, and had back, as it was at any version that is kept; what is not there any more is told apart from what
 // never was.
-func TestBack(t *testing.T) {
+func TestDocumentsAreReadAndRevertedByVersion(t *testing.T) {
 	s := NewState()
-	for _, c := range []Command{put("a", "1"), put("b", "x"), put("a", "2"), {Remove: "a"}, put("a", "3")} {
-		if _, err := do(t, s, c); err != nil {
+	for _, c := range []Command{putCommand("a", "1"), putCommand("b", "x"), putCommand("a", "2"), {Remove: "a"}, putCommand("a", "3")} {
+		if _, err := apply(t, s, c); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for version, want := range map[uint64]string{1: "1", 2: "1", 3: "2", 5: "3", 0: "3", 9: "3"} {
-		a, err := do(t, s, Command{Read: &DocumentVersion{"a", version}})
+		a, err := apply(t, s, Command{Read: &DocumentVersion{"a", version}})
 		if err != nil || string(a.Doc.Body) != want || a.Version != 5 {
 			t.Errorf("a at %d: %+v, %v; want %s", version, a.Doc, err, want)
 		}
 	}
 	for _, as := range []DocumentVersion{{"a", 4}, {"b", 1}, {"c", 0}, {"c", 2}} {
-		if _, err := do(t, s, Command{Read: &as}); !errors.Is(err, ErrDocumentNotFound) {
+		if _, err := apply(t, s, Command{Read: &as}); !errors.Is(err, ErrDocumentNotFound) {
 			t.Errorf("%v: %v", as, err)
 		}
 	}
-	if a, err := do(t, s, Command{ID: "i", Back: &DocumentVersion{"a", 2}}); err != nil || a.Version != 6 || string(s.Docs["a"].Body) != "1" || s.History[5].Back != 2 {
+	if a, err := apply(t, s, Command{ID: "i", Back: &DocumentVersion{"a", 2}}); err != nil || a.Version != 6 || string(s.Docs["a"].Body) != "1" || s.History[5].Back != 2 {
 		t.Errorf("%+v, %v: %+v", a, err, s.History)
 	}
-	if a, err := do(t, s, Command{Back: &DocumentVersion{"a", 4}}); err != nil || a.Version != 7 || len(s.Docs) != 1 {
+	if a, err := apply(t, s, Command{Back: &DocumentVersion{"a", 4}}); err != nil || a.Version != 7 || len(s.Docs) != 1 {
 		t.Errorf("back to where it was not there: %+v, %v", a, err)
 	}
-	if a, err := do(t, s, Command{Remove: "a"}); err != nil || !a.Same || s.Version != 7 {
+	if a, err := apply(t, s, Command{Remove: "a"}); err != nil || !a.Same || s.Version != 7 {
 		t.Errorf("what is not there is taken out: %+v, %v", a, err)
 	}
 	big := bytes.Repeat([]byte("x"), MaxDocumentBytes/2)
 	for i := range 4 {
 		big[0] = byte(i)
-		if _, err := do(t, s, Command{Put: &DocumentPut{"big", big}}); err != nil {
+		if _, err := apply(t, s, Command{Put: &DocumentPut{"big", big}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := do(t, s, Command{Read: &DocumentVersion{"big", 8}}); !errors.Is(err, ErrCompacted) {
+	if _, err := apply(t, s, Command{Read: &DocumentVersion{"big", 8}}); !errors.Is(err, ErrCompacted) {
 		t.Errorf("what is not kept any more: %v", err)
 	}
-	if _, err := do(t, s, Command{Read: &DocumentVersion{"big", 10}}); err != nil {
+	if _, err := apply(t, s, Command{Read: &DocumentVersion{"big", 10}}); err != nil {
 		t.Errorf("what is kept: %v", err)
 	}
-	if _, err := do(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes)}}); !errors.Is(err, ErrLimitExceeded) {
+	if _, err := apply(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes)}}); !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("more than all documents may have: %v", err)
 	}
-	if _, err := do(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes+1)}}); !errors.Is(err, ErrLimitExceeded) {
+	if _, err := apply(t, s, Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), MaxDocumentBytes+1)}}); !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("more than one may have: %v", err)
 	}
 }
 
 // A version that is forced is the one that comes; one that gives way is never active.
-func TestForceAndSkip(t *testing.T) {
+func TestForcedVersionIsNotSkipped(t *testing.T) {
 	s := NewState()
 	for range 3 {
-		_, _ = do(t, s, put("a", fmt.Sprint(s.Version)))
+		_, _ = apply(t, s, putCommand("a", fmt.Sprint(s.Version)))
 	}
-	if _, err := do(t, s, Command{Force: 3}); !errors.Is(err, ErrVersionNotPending) {
+	if _, err := apply(t, s, Command{Force: 3}); !errors.Is(err, ErrVersionNotPending) {
 		t.Errorf("%v", err)
 	}
-	if _, _ = do(t, s, Command{Skip: 1}); s.Coming != 3 || s.Active != 0 {
+	if _, _ = apply(t, s, Command{Skip: 1}); s.Coming != 3 || s.Active != 0 {
 		t.Errorf("coming %d", s.Coming)
 	}
-	if _, err := do(t, s, Command{Force: 3}); err != nil || s.Forced != 3 {
+	if _, err := apply(t, s, Command{Force: 3}); err != nil || s.Forced != 3 {
 		t.Errorf("%v", err)
 	}
-	_, _ = do(t, s, put("a", "4"))
-	if _, _ = do(t, s, Command{Skip: 3}); s.Coming != 3 {
+	_, _ = apply(t, s, putCommand("a", "4"))
+	if _, _ = apply(t, s, Command{Skip: 3}); s.Coming != 3 {
 		t.Error("what is forced gives way")
 	}
-	if _, _ = do(t, s, Command{Activate: 3}); s.Active != 3 || s.Coming != 4 || string(s.ActiveDocs["a"].Body) != "2" {
+	if _, _ = apply(t, s, Command{Activate: 3}); s.Active != 3 || s.Coming != 4 || string(s.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("%+v", s)
 	}
 	later := []byte(fmt.Sprintf(`{"format":%d,"put":{"name":"x"}}`, commandFormat+1))
@@ -100,7 +100,7 @@
 }
 
 // A state that went through a snapshot is the same, and each body stands in it once.
-func TestAStateInASnapshot(t *testing.T) {
+func TestStateSurvivesSnapshotEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		for i := range rapid.IntRange(0, 30).Draw(t, "commands") {
@@ -136,8 +136,8 @@
 		}
 	})
 	s, body := NewState(), bytes.Repeat([]byte("x"), MaxDocumentBytes)
-	_, _ = do(t, s, Command{Put: &DocumentPut{"a", body}})
-	_, _ = do(t, s, Command{Activate: 1})
+	_, _ = apply(t, s, Command{Put: &DocumentPut{"a", body}})
+	_, _ = apply(t, s, Command{Activate: 1})
 	if b, err := s.Encode(); err != nil || len(b) > 3*MaxDocumentBytes/2 {
 		t.Errorf("%d bytes for a body that stands in three places, %v", len(b), err)
 	}
@@ -145,10 +145,10 @@
 
 // A daemon that can't act on a version says why, and holds it up; what was put since comes in its place; who insists goes on
 // without it.
-func TestADaemonThatCantAct(t *testing.T) {
-	st, now := agreed(t), terms.Lease*10
-	s := NewLeaseManager(0, terms)
-	d, old := NewLeaseHolder("d", terms, 0, nil), NewLeaseHolder("old", terms, 0, nil)
+func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
+	st, now := stateWithPendingVersion(t), testLeaseConfig.Lease*10
+	s := NewLeaseManager(0, testLeaseConfig)
+	d, old := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
 	round := func() {
 		s.Refresh(now, st)
 		for _, h := range []*LeaseHolder{d, old} {
@@ -166,20 +166,20 @@
 	for range 4 {
 		round()
 	}
-	if got := s.Lagging(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.VersionToActivate(now, st) != 0 || s.VersionToSkip(now, st) != 0 {
+	if got := s.LaggingDaemons(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.VersionToActivate(now, st) != 0 || s.VersionToSkip(now, st) != 0 {
 		t.Fatalf("%v", got)
 	}
 	if v, _, ok := old.Valid(now); v != 1 || !ok {
 		t.Errorf("who can't act on what comes acts on %d, %v", v, ok)
 	}
-	_, _ = do(t, st, put("x", "3"))
+	_, _ = apply(t, st, putCommand("x", "3"))
 	if s.VersionToSkip(now, st) != 2 {
 		t.Error("it does not give way to what was put since")
 	}
-	_, _ = do(t, st, Command{Skip: 2})
+	_, _ = apply(t, st, Command{Skip: 2})
 	round()
 	round()
-	if _, err := do(t, st, Command{Force: 3}); err != nil {
+	if _, err := apply(t, st, Command{Force: 3}); err != nil {
 		t.Fatal(err)
 	}
 	round()
@@ -188,30 +188,30 @@
 	}
 	round() // it says that it took that
 	if s.VersionToActivate(now, st) != 3 {
-		t.Errorf("waited for: %v", s.Lagging(now, st))
+		t.Errorf("waited for: %v", s.LaggingDaemons(now, st))
 	}
-	_, _ = do(t, st, Command{Activate: 3})
+	_, _ = apply(t, st, Command{Activate: 3})
 	round()
 	if v, _, ok := d.Valid(now); v != 3 || !ok {
 		t.Errorf("the others act on %d, %v", v, ok)
 	}
 	a := d.Leased()
-	if !a.CoversVersion(1, now) || a.CoversVersion(1, now+terms.Overlap()) || !a.CoversVersion(3, now) || a.CoversVersion(2, now) {
+	if !a.CoversVersion(1, now) || a.CoversVersion(1, now+testLeaseConfig.Overlap()) || !a.CoversVersion(3, now) || a.CoversVersion(2, now) {
 		t.Errorf("while it changes over: %+v", a)
 	}
 	if _, _, ok := old.Valid(now); ok {
 		t.Error("who can't act on what others do has a lease")
 	}
-	_, _ = do(t, st, put("x", "4"))
+	_, _ = apply(t, st, putCommand("x", "4"))
 	for range 3 {
 		round()
 	}
-	_, _ = do(t, st, Command{Activate: s.VersionToActivate(now, st)})
+	_, _ = apply(t, st, Command{Activate: s.VersionToActivate(now, st)})
 	for range 3 {
 		round()
 	}
 	if v, _, ok := old.Valid(now); v != 4 || !ok {
-		t.Errorf("when it can again it acts on %d, %v; %v", v, ok, s.Lagging(now, st))
+		t.Errorf("when it can again it acts on %d, %v; %v", v, ok, s.LaggingDaemons(now, st))
 	}
 	if all, lags := d.FullyActive(); all != 4 || len(lags) > 0 {
 		t.Errorf("all act on %d; %v", all, lags)
