--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -5,59 +5,68 @@
 	"slices"
 )
 
-// Bootstrap decides whether a first voter whose disk has no log may begin one. One that lost its disk must not: it would vote anew
-// where it has voted, and two majorities could be. Each first voter keeps a mark on its disk, drawn at its first start, and begins when it
-// has heard of all others that they have not begun, or of one that it began with this very mark. So a fleet begins when all its
-// first voters have been up at once; one that comes back without its disk has another mark, and is told so by any that has begun. Words are
-// forgotten after a round, since they may have begun meanwhile: that a disk is lost and its daemon back within one is ruled out.
+// Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not: it
+// would vote again in terms in which it has voted, and two majorities could result.
+//
+// Each initial voter draws an id for its disk at its first start. It begins once all other initial voters have said, in the
+// same round, that they have not begun, or one of them that it began with this very disk. So a fleet begins when all its
+// initial voters have been up at once, and a voter that returns without its disk learns from any other that has begun that the
+// disk is another. Votes count for one round only, since their senders may begin at any time; it is assumed that no disk is
+// lost and its daemon back within one round.
+//
+// A Bootstrap is not safe for concurrent use.
 type Bootstrap struct {
 	round  uint64
 	name   string
 	diskID string
-	votes  map[string]BootstrapVote // of the other first voters; an entry without a mark: nothing yet
+	votes  map[string]BootstrapVote // of the other initial voters; without a disk id: not received in this round
 }
 
-// BootstrapVote is what a first voter says of its beginning.
+// BootstrapVote is what an initial voter says about its start. On the wire, "mark" is a disk's id.
 type BootstrapVote struct {
-	Begun  bool              `json:"begun"`
-	DiskID string            `json:"mark"`  // its own
-	Marks  map[string]string `json:"marks"` // of all, itself included, with which it began
+	Begun  bool              `json:"begun"` // it has created its log
+	DiskID string            `json:"mark"`  // of its own disk
+	Marks  map[string]string `json:"marks"` // if it has begun: the disk ids with which it did, of all initial voters by name
 }
 
-// NewBootstrap makes one for a voter with its mark, among the first ones.
-func NewBootstrap(name, mark string, first []string) *Bootstrap {
-	f := &Bootstrap{name: name, diskID: mark, votes: map[string]BootstrapVote{}}
-	for _, other := range first {
+// isReceived tells a vote from the zero value that stands for a missing one.
+func (v *BootstrapVote) isReceived() bool { return v.Begun || v.DiskID != "" }
+
+// NewBootstrap returns the bootstrap of one of the initial voters, whose disk has an id and no log.
+func NewBootstrap(name, diskID string, initialVoters []string) *Bootstrap {
+	b := &Bootstrap{name: name, diskID: diskID, votes: map[string]BootstrapVote{}}
+	for _, other := range initialVoters {
 		if other != name {
-			f.votes[other] = BootstrapVote{}
+			b.votes[other] = BootstrapVote{}
 		}
 	}
-	return f
+	return b
 }
 
-// StartRound begins a round: all others are to be asked, and their answers to be heard with its number.
-func (f *Bootstrap) StartRound() uint64 {
-	f.round++
-	for name := range f.votes {
-		f.votes[name] = BootstrapVote{}
+// StartRound begins a round and returns its number. All other initial voters are to be asked, and their responses to be passed
+// to ReceiveVote with this number.
+func (b *Bootstrap) StartRound() uint64 {
+	b.round++
+	for name := range b.votes {
+		b.votes[name] = BootstrapVote{}
 	}
-	return f.round
+	return b.round
 }
 
-// Vote is what this voter says.
-func (f *Bootstrap) Vote() BootstrapVote { return BootstrapVote{DiskID: f.diskID} }
+// Vote returns this voter's own vote.
+func (b *Bootstrap) Vote() BootstrapVote { return BootstrapVote{DiskID: b.diskID} }
 
-// ReceiveVote takes another's answer to a round.
-func (f *Bootstrap) ReceiveVote(from string, round uint64, w BootstrapVote) {
-	if _, first := f.votes[from]; first && round == f.round && (w.Begun || w.DiskID != "") {
-		f.votes[from] = w
+// ReceiveVote records the vote of another initial voter. Votes of earlier rounds and of others are dropped.
+func (b *Bootstrap) ReceiveVote(from string, round uint64, vote BootstrapVote) {
+	if _, isInitial := b.votes[from]; isInitial && round == b.round && vote.isReceived() {
+		b.votes[from] = vote
 	}
 }
 
-// MissingVotes are those that have said nothing yet.
-func (f *Bootstrap) MissingVotes() (names []string) {
-	for name, w := range f.votes {
-		if !w.Begun && w.DiskID == "" {
+// MissingVotes returns the names of the initial voters whose votes have not arrived in this round, sorted.
+func (b *Bootstrap) MissingVotes() (names []string) {
+	for name, vote := range b.votes {
+		if !vote.isReceived() {
 			names = append(names, name)
 		}
 	}
@@ -65,23 +74,23 @@
 	return names
 }
 
-// Decision says with which marks this voter is to begin; nil: not yet. Lost: it never is, for others began with one of its name whose
-// disk this is not.
-func (f *Bootstrap) Decision() (marks map[string]string, lost bool) {
-	all := map[string]string{f.name: f.diskID}
-	for name, w := range f.votes {
-		switch {
-		case w.Begun && w.Marks[f.name] != f.diskID:
-			return nil, true
-		case w.Begun:
-			marks = w.Marks
+// Decision returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means that
+// this voter must never begin: others began with another disk of its name.
+func (b *Bootstrap) Decision() (diskIDs map[string]string, isLost bool) {
+	all := map[string]string{b.name: b.diskID}
+	for name, vote := range b.votes {
+		if vote.Begun {
+			if vote.Marks[b.name] != b.diskID {
+				return nil, true
+			}
+			diskIDs = vote.Marks
 		}
-		all[name] = w.DiskID
+		all[name] = vote.DiskID
 	}
 	switch {
-	case marks != nil:
-		return maps.Clone(marks), false
-	case len(f.MissingVotes()) > 0:
+	case diskIDs != nil:
+		return maps.Clone(diskIDs), false
+	case len(b.MissingVotes()) > 0:
 		return nil, false
 	}
 	return all, false
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *Bootstrap) isLost() bool {
-	_, lost := f.Decision()
+func (b *Bootstrap) isLost() bool {
+	_, lost := b.Decision()
 	return lost
 }
--- /dev/null
+++ b/internal/cluster/consensus/document_change.go
@@ -0,0 +1,137 @@
+package consensus
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Bounds of what is retained of earlier versions.
+const (
+	maxRetainedBytes  = 1 << 20 // of bodies of replaced and removed documents
+	maxHistoryEntries = 1000    // changes, and retained documents
+)
+
+// applyDocumentChange puts, removes or reverts a document.
+func (s *State) applyDocumentChange(c *Command) (CommandResult, error) {
+	if result, isDuplicate := s.duplicateResult(c.ID); isDuplicate {
+		return result, nil
+	}
+	if c.Expect != nil && *c.Expect != s.Version {
+		return CommandResult{}, fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, s.Version, *c.Expect)
+	}
+	name, put, err := s.changedDocument(c)
+	if err != nil {
+		return CommandResult{}, err
+	}
+	change := HistoryEntry{Version: s.Version + 1, Name: name, By: c.By, At: c.At}
+	if c.Back != nil {
+		change.Back = c.Back.Version
+	}
+	replaced, exists := s.Docs[name]
+	docs := maps.Clone(s.Docs) // the map before was handed out
+	switch {
+	case put != nil:
+		if !s.admits(put) {
+			return CommandResult{}, ErrLimitExceeded
+		}
+		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
+		docs[name] = Document{name, change.Version, change.Digest, c.By, put.Body}
+	case !exists: // there is nothing to remove
+		return s.rememberResult(c.ID, CommandResult{Version: s.Version, Same: true}), nil
+	default:
+		delete(docs, name)
+	}
+	s.Docs = docs
+	s.Version++
+	if !s.hasPending() {
+		s.setPending()
+	}
+	if exists {
+		s.retain(replaced)
+	}
+	s.History = lastN(append(s.History, change), maxHistoryEntries)
+	return s.rememberResult(c.ID, CommandResult{Version: s.Version}), nil
+}
+
+// changedDocument returns the name of the document that a command changes, and what is to be put; nil: it is to be removed. A
+// revert to a version that did not have the document removes it.
+func (s *State) changedDocument(c *Command) (name string, put *DocumentPut, _ error) {
+	name, put = c.Remove, c.Put
+	if c.Back != nil {
+		document, err := s.documentAt(c.Back)
+		if err != nil && !errors.Is(err, ErrDocumentNotFound) {
+			return "", nil, err
+		}
+		if name = c.Back.Name; document != nil {
+			put = &DocumentPut{document.Name, document.Body}
+		}
+	}
+	if put != nil {
+		name = put.Name
+	}
+	return name, put, nil
+}
+
+// admits tells whether the documents stay within their bounds with this one put.
+func (s *State) admits(put *DocumentPut) bool {
+	replaced, exists := s.Docs[put.Name]
+	return len(put.Body) <= MaxDocumentBytes &&
+		(exists || len(s.Docs) < MaxDocuments) &&
+		totalBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
+}
+
+// retain keeps a document that was replaced or removed, and drops the oldest retained ones beyond the bounds.
+func (s *State) retain(document Document) {
+	retained := append(slices.Clone(s.RetainedDocs), document)
+	bytes := 0
+	for i, d := range slices.Backward(retained) {
+		if bytes += len(d.Body); bytes > maxRetainedBytes || len(retained)-i > maxHistoryEntries {
+			retained = retained[i+1:]
+			break
+		}
+	}
+	s.RetainedDocs = retained
+}
+
+// documentAt returns a document as of a version. The error is ErrDocumentNotFound if the version did not have it, and
+// ErrCompacted if what it was is not retained any more.
+func (s *State) documentAt(at *DocumentVersion) (*Document, error) {
+	if d, ok := s.Docs[at.Name]; ok && (at.Version == 0 || d.Version <= at.Version) {
+		return &d, nil
+	}
+	if at.Version == 0 {
+		return nil, fmt.Errorf("%.200q: %w", at.Name, ErrDocumentNotFound)
+	}
+	unavailable := func(cause error) error {
+		return fmt.Errorf("%.200q at version %d: %w", at.Name, at.Version, cause)
+	}
+	for _, change := range slices.Backward(s.History) {
+		if change.Name != at.Name || change.Version > at.Version {
+			continue
+		}
+		if change.Digest == [32]byte{} {
+			return nil, unavailable(ErrDocumentNotFound)
+		}
+		i := slices.IndexFunc(s.RetainedDocs, func(d Document) bool { return d.Name == change.Name && d.Version == change.Version })
+		if i < 0 {
+			return nil, unavailable(ErrCompacted)
+		}
+		return &s.RetainedDocs[i], nil
+	}
+	if len(s.History) > 0 && s.History[0].Version > 1 && s.History[0].Version > at.Version {
+		return nil, unavailable(ErrCompacted) // the history does not go back that far
+	}
+	return nil, unavailable(ErrDocumentNotFound)
+}
+
+// readDocument returns a document, or the history if no name is given.
+func (s *State) readDocument(at *DocumentVersion) (CommandResult, error) {
+	if at.Name == "" {
+		return CommandResult{Version: s.Version, History: s.History}, nil
+	}
+	document, err := s.documentAt(at)
+	return CommandResult{Version: s.Version, Doc: document}, err
+}
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -48,7 +48,7 @@
 		}
 		late := ask(start)
 		if got := s.VersionToActivate(start, st); got != 2 {
-			t.Fatalf("activated: %d, lagging %v", got, s.LaggingDaemons(start, st))
+			t.Fatalf("activated: %d, lagging %v", got, s.laggingDaemons(start, st))
 		}
 		h.HandleGrant(start+terms.Short/5, late)
 		version, _, acts := h.Valid(start + terms.Overlap() + 1)
@@ -68,7 +68,7 @@
 	now := start + time.Minute
 	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, st)
 	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, st)
-	if got := s.LaggingDaemons(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
+	if got := s.laggingDaemons(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
 		t.Errorf("lagging: %v", got)
 	}
 	if s.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Short), st) != 2 {
@@ -83,7 +83,7 @@
 	}
 	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, st)
 	if s.VersionToActivate(now+2*time.Second, st) != 2 {
-		t.Errorf("it said that it took it: %v", s.LaggingDaemons(now+2*time.Second, st))
+		t.Errorf("it said that it took it: %v", s.laggingDaemons(now+2*time.Second, st))
 	}
 }
 
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -2,70 +2,54 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
-
-	"go.etcd.io/raft/v3"
-	"go.etcd.io/raft/v3/raftpb"
-	"go.etcd.io/raft/v3/tracker"
-	"google.golang.org/protobuf/proto"
 )
 
-// A change of voters is two steps. A command says who is to vote (State.Seats); no two such commands are under way at once. Whoever
-// leads then brings raft's own configuration there, one change at a time: who is new learns the log first, and votes when it has
-// it; a leader whose own seat is gone hands the lead on first. Ids are never given twice: who comes back with an empty disk is
-// another voter, and what the one before has promised stays promised.
-
-// Who is new takes its seat with one disk alone: the log has that disk's mark before raft hears of the newcomer, and the newcomer
-// begins when a leader, confirmed by a majority, has told it so. One whose disk is lost has another mark, and stays away: what raft
-// counts on of it may be gone.
-
-// SlotClaim is the mark of the disk with which a seat is taken.
-type SlotClaim struct {
-	VoterID uint64 `json:"seat"`
-	DiskID  string `json:"mark"`
-}
+// The voters change in two steps. A command assigns or removes a voter slot; there is at most one such change in progress. The
+// leader then carries it over into raft's configuration (reconfiguration.go). The id of a slot is never assigned twice: a
+// daemon that returns with an empty disk becomes another voter, so that nothing that the one before has acknowledged is lost
+// unnoticed.
+//
+// A slot is bound to one disk. The log has the disk's id before raft's configuration names the new voter, and the new voter
+// starts only when a leader, confirmed by a majority, says so for this very disk. A daemon whose disk was lost has another id
+// and stays away: raft may count on what was on the lost disk.
 
-// MaxVoters is how many may vote.
+// MaxVoters is the greatest number of voter slots.
 const MaxVoters = 7
 
-// VoterChange has a daemon vote, or no longer.
+// VoterChange assigns a voter slot to a daemon, or removes it.
 type VoterChange struct {
-	Name string `json:"name"`
-	Out  bool   `json:"out,omitempty"`
+	Name string `json:"name"`          // of the daemon
+	Out  bool   `json:"out,omitempty"` // its slot is removed
 }
 
-// ErrMembershipUnchanged is why the voters stay as they are.
-var ErrMembershipUnchanged = errors.New("the voters stay as they are")
-
-// setInitialVoters gives the first voters their seats.
-func (s *State) setInitialVoters(names []string) {
-	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
-	s.InitialVoters = slices.Sorted(slices.Values(names))
-	for i, name := range s.InitialVoters {
-		s.Seats[uint64(i+1)], s.Sitting[uint64(i+1)] = name, true
-	}
+// SlotClaim binds a voter slot to the disk of its daemon. On the wire and in the log, "seat" is the slot's id and "mark" the
+// disk's.
+type SlotClaim struct {
+	VoterID uint64 `json:"seat"`
+	DiskID  string `json:"mark"`
 }
 
-// VoterID is the id of a voter that is, or is to be; 0: there is none of this name.
+// VoterID returns the raft id of the slot of a daemon, whether or not it votes yet; 0: it has no slot.
 func (s *State) VoterID(name string) uint64 {
-	for id, n := range s.Seats {
-		if n == name {
+	for id, holder := range s.Seats {
+		if holder == name {
 			return id
 		}
 	}
 	return 0
 }
 
-// VoterName is the name of a voter, one that is about to leave included; empty: there is none of this id.
+// VoterName returns the name of the daemon that has a raft id, including one that is about to leave; empty: the id is not in
+// use.
 func (s *State) VoterName(id uint64) string { return cmp.Or(s.Seats[id], s.Leaving[id]) }
 
-// Voters are the names of those who are to vote, in order.
+// Voters returns the names of all daemons with a voter slot, sorted.
 func (s *State) Voters() []string { return slices.Sorted(maps.Values(s.Seats)) }
 
-// activeVoterNames are the names of those who vote.
+// activeVoterNames returns the names of the daemons that vote in raft's configuration, sorted.
 func (s *State) activeVoterNames() (names []string) {
 	for id := range s.Sitting {
 		names = append(names, s.VoterName(id))
@@ -74,18 +58,28 @@
 	return names
 }
 
+// setInitialVoters assigns slots to the initial voters, which vote at once. Their ids are 1, 2, ... in the order of their
+// names.
+func (s *State) setInitialVoters(names []string) {
+	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
+	s.InitialVoters = slices.Sorted(slices.Values(names))
+	for i, name := range s.InitialVoters {
+		id := uint64(i + 1)
+		s.Seats[id], s.Sitting[id] = name, true
+	}
+}
+
 func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
-	switch {
-	case (id == 0) == c.Out:
+	hasSlot := id != 0
+	if hasSlot != c.Out {
 		return CommandResult{Version: s.Version, Same: true}, nil
-	case c.Out && !s.Sitting[id]: // it never came
-	case s.membershipChangeInProgress() != "":
-		return CommandResult{}, fmt.Errorf("%w: %s", ErrMembershipUnchanged, s.membershipChangeInProgress())
-	case c.Out && len(s.Seats) == 1:
-		return CommandResult{}, fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
-	case !c.Out && len(s.Seats) >= MaxVoters:
-		return CommandResult{}, fmt.Errorf("%w: there are %d already", ErrMembershipUnchanged, MaxVoters)
+	}
+	isUnstarted := c.Out && !s.Sitting[id] // its slot may be withdrawn at any time: raft counts on nothing of it
+	if !isUnstarted {
+		if err := s.checkVoterChange(c); err != nil {
+			return CommandResult{}, err
+		}
 	}
 	s.Seats = maps.Clone(s.Seats)
 	if c.Out {
@@ -103,63 +97,21 @@
 	return CommandResult{Version: s.Version}, nil
 }
 
-// applySlotClaim sets the mark of a seat that nobody has taken; the first one stays.
-func (s *State) applySlotClaim(m *SlotClaim) CommandResult {
-	same := s.Seats[m.VoterID] == "" || s.Sitting[m.VoterID] || s.DiskIDs[m.VoterID] != ""
-	if !same {
-		s.DiskIDs = maps.Clone(s.DiskIDs)
-		if s.DiskIDs == nil {
-			s.DiskIDs = map[uint64]string{}
-		}
-		s.DiskIDs[m.VoterID] = m.DiskID
-	}
-	return CommandResult{Version: s.Version, Same: same}
-}
-
-// addSlotStatus tells a daemon of its seat, and whether it may take that now.
-func (v *Voter) addSlotStatus(r *LeaseRequest, g *LeaseGrant) {
-	g.Seat = v.state.VoterID(r.Daemon)
-	if g.Seat == 0 || v.state.Sitting[g.Seat] || r.Mark == "" {
-		g.DiskLost = g.Seat != 0 && r.Mark != ""
-		return
-	}
-	switch v.state.DiskIDs[g.Seat] {
-	case "":
-		_ = v.Propose(&Command{ClaimSlot: &SlotClaim{g.Seat, r.Mark}}) // it asks again
-	case r.Mark:
-		g.MayStartVoter, g.First = true, v.state.InitialVoters
-	default:
-		g.DiskLost = true
-	}
-}
-
-// VoterAction is what a daemon does about its seat.
-type VoterAction int
-
-// The moves.
-const (
-	KeepVoterRole VoterAction = iota
-	StopVoter                 // its seat was taken out
-	StartVoter                // it takes Grant.Seat
-	VoterDiskLost             // its seat was taken with another disk than it has
-)
-
-// VoterAction tells what a daemon does that has this seat, 0 for none, when it is told so by a leader that a majority has confirmed. One
-// that is to leave votes until raft's configuration says otherwise: a majority may need it.
-func (g *LeaseGrant) VoterAction(name string, seat uint64) VoterAction {
-	switch {
-	case seat != 0 && g.Seat != seat && !slices.Contains(g.Sitting, name):
-		return StopVoter
-	case seat == 0 && g.MayStartVoter:
-		return StartVoter
-	case seat == 0 && g.DiskLost:
-		return VoterDiskLost
+// checkVoterChange returns why a change can't be made now.
+func (s *State) checkVoterChange(c *VoterChange) error {
+	switch reason := s.changeInProgress(); {
+	case reason != "":
+		return fmt.Errorf("%w: %s", ErrMembershipUnchanged, reason)
+	case c.Out && len(s.Seats) == 1:
+		return fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
+	case !c.Out && len(s.Seats) >= MaxVoters:
+		return fmt.Errorf("%w: there are %d already", ErrMembershipUnchanged, MaxVoters)
 	}
-	return KeepVoterRole
+	return nil
 }
 
-// membershipChangeInProgress says which change of voters is under way; empty: none.
-func (s *State) membershipChangeInProgress() string {
+// changeInProgress describes the change of voters that raft's configuration does not have yet; empty: there is none.
+func (s *State) changeInProgress() string {
 	for id, name := range s.Seats {
 		if !s.Sitting[id] {
 			return name + " has yet to learn what is agreed on"
@@ -171,87 +123,40 @@
 	return ""
 }
 
-// applyConfChange applies a change of raft's configuration.
-func (v *Voter) applyConfChange(e *raftpb.Entry) {
-	cc := &raftpb.ConfChange{}
-	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-		panic(fmt.Sprintf("an entry of raft's own: %v", err)) // which was checked by its digest
-	}
-	v.confState = v.rawNode.ApplyConfChange(cc)
-	v.needsLearnerSnapshot = v.needsLearnerSnapshot || cc.GetType() == raftpb.ConfChangeType_ConfChangeAddLearnerNode
-	sitting := map[uint64]bool{}
-	for _, id := range v.confState.GetVoters() {
-		sitting[id] = true
-	}
-	v.state.Sitting, v.state.Leaving = sitting, maps.Clone(v.state.Leaving)
-	maps.DeleteFunc(v.state.Leaving, func(id uint64, _ string) bool { return !sitting[id] })
-}
-
-// reconcileVoters brings raft's configuration a step nearer to the seats. raft itself drops a change while another is not yet applied.
-func (v *Voter) reconcileVoters() {
-	if v.leaseManager == nil {
-		return
-	}
-	learners := map[uint64]bool{}
-	var ready uint64
-	last, _ := v.storage.LastIndex()
-	v.rawNode.WithProgress(func(id uint64, kind raft.ProgressType, p tracker.Progress) {
-		if kind == raft.ProgressTypeLearner {
-			if learners[id] = true; p.RecentActive && p.Match+maxLearnerLag >= last {
-				ready = id
-			}
-		}
-	})
-	for id := range v.state.Seats {
-		if !v.state.Sitting[id] && !learners[id] && v.state.DiskIDs[id] != "" {
-			v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
-			return
-		}
-	}
-	if v.state.Seats[ready] != "" {
-		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, ready)
-		return
-	}
-	for _, ids := range []map[uint64]bool{learners, v.state.Sitting} {
-		for id := range ids {
-			if v.state.Seats[id] == "" {
-				v.removeVoter(id)
-				return
-			}
-		}
-	}
-}
-
-// maxLearnerLag is by how many entries a learner may be behind that is to vote: it gets them with the next messages.
-const maxLearnerLag = 16
-
-func (v *Voter) removeVoter(id uint64) {
-	if id != v.config.ID {
-		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeRemoveNode, id)
-		return
+// applySlotClaim binds a slot whose voter is not active to a disk. The first claim stands.
+func (s *State) applySlotClaim(c *SlotClaim) CommandResult {
+	if s.Seats[c.VoterID] == "" || s.Sitting[c.VoterID] || s.DiskIDs[c.VoterID] != "" {
+		return CommandResult{Version: s.Version, Same: true}
 	}
-	for other := range v.state.Seats {
-		if v.state.Sitting[other] {
-			v.rawNode.TransferLeader(other)
-			return
-		}
+	s.DiskIDs = maps.Clone(s.DiskIDs)
+	if s.DiskIDs == nil {
+		s.DiskIDs = map[uint64]string{}
 	}
+	s.DiskIDs[c.VoterID] = c.DiskID
+	return CommandResult{Version: s.Version}
 }
 
-func (v *Voter) proposeConfChange(kind raftpb.ConfChangeType, id uint64) {
-	_ = v.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id}) // dropped, it is proposed again
-}
+// VoterAction is what a daemon has to do about its voter after a grant.
+type VoterAction int
 
-// IsLearner tells whether this voter does not vote yet.
-func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.config.ID] }
+// The actions.
+const (
+	KeepVoterRole VoterAction = iota // nothing changes
+	StopVoter                        // the daemon's slot was removed: its voter ends
+	StartVoter                       // the daemon starts the voter whose id the grant has
+	VoterDiskLost                    // the daemon's slot is bound to another disk than it has: it must not vote
+)
 
-// encodeInitialState is what the first snapshot holds.
-func encodeInitialState(names []string) []byte {
-	s := NewState()
-	s.setInitialVoters(names)
-	b, err := s.Encode()
-	if err != nil {
-		panic(err)
+// VoterAction returns what the daemon that received the grant has to do. voterID is the id of the voter that it runs, 0 for
+// none. A voter whose slot was removed continues until raft's configuration drops it, since a majority may need its vote.
+func (g *LeaseGrant) VoterAction(name string, voterID uint64) VoterAction {
+	switch {
+	case voterID != 0 && g.Seat != voterID && !slices.Contains(g.Sitting, name):
+		return StopVoter
+	case voterID == 0 && g.MayStartVoter:
+		return StartVoter
+	case voterID == 0 && g.DiskLost:
+		return VoterDiskLost
 	}
-	return b
+	return KeepVoterRole
 }
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -84,7 +84,7 @@
 	v.reconcileVoters()
 	for v.Output(now) != nil {
 	}
-	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().membershipChangeInProgress() == "" {
+	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().changeInProgress() == "" {
 		t.Errorf("%v", v.confState)
 	}
 	if err := seat(VoterChange{Name: "y"}); !errors.Is(err, ErrMembershipUnchanged) {
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -166,7 +166,7 @@
 	for range 4 {
 		round()
 	}
-	if got := s.LaggingDaemons(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.VersionToActivate(now, st) != 0 || s.VersionToSkip(now, st) != 0 {
+	if got := s.laggingDaemons(now, st); len(got) != 1 || got[0] != (Lag{"old", "it can't act on version 2: no such field"}) || s.VersionToActivate(now, st) != 0 || s.VersionToSkip(now, st) != 0 {
 		t.Fatalf("%v", got)
 	}
 	if v, _, ok := old.Valid(now); v != 1 || !ok {
@@ -188,7 +188,7 @@
 	}
 	round() // it says that it took that
 	if s.VersionToActivate(now, st) != 3 {
-		t.Errorf("waited for: %v", s.LaggingDaemons(now, st))
+		t.Errorf("waited for: %v", s.laggingDaemons(now, st))
 	}
 	_, _ = apply(t, st, Command{Activate: 3})
 	round()
@@ -211,7 +211,7 @@
 		round()
 	}
 	if v, _, ok := old.Valid(now); v != 4 || !ok {
-		t.Errorf("when it can again it acts on %d, %v; %v", v, ok, s.LaggingDaemons(now, st))
+		t.Errorf("when it can again it acts on %d, %v; %v", v, ok, s.laggingDaemons(now, st))
 	}
 	if all, lags := d.FullyActive(); all != 4 || len(lags) > 0 {
 		t.Errorf("all act on %d; %v", all, lags)
