--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -7,91 +7,118 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is heard in whatever order, with disks that are lost at any moment: once a majority has begun with the same marks, who
-// loses its disk never begins. Where a majority has lost theirs nobody can know.
-func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
-	names := []string{"a", "b", "c"}
-	rapid.Check(t, func(t *rapid.T) {
-		type disk struct {
-			mark string
-			word BootstrapVote
-		}
-		disks, lives := map[string]*disk{}, map[string]*Bootstrap{}
-		lost, n := map[string]bool{}, 0 // since a majority had begun
-		founded := func() bool {
-			with := map[string]int{}
-			for _, d := range disks {
-				if d.word.Begun {
-					if with[fmt.Sprint(d.word.Marks)]++; with[fmt.Sprint(d.word.Marks)] > len(names)/2 {
-						return true
-					}
-				}
+var bootstrapNames = []string{"a", "b", "c"}
+
+// bootstrapDisk is the disk of an initial voter.
+type bootstrapDisk struct {
+	id   string
+	vote BootstrapVote // what it says once it has begun
+}
+
+// bootstrapRun is a fleet whose initial voters restart, lose disks and exchange votes in any order.
+type bootstrapRun struct {
+	disks     map[string]*bootstrapDisk
+	bootstrap map[string]*Bootstrap
+	lost      map[string]bool // voters that lost their disk after a majority had begun
+	drawn     int             // disk ids
+}
+
+func newBootstrapRun() *bootstrapRun {
+	r := &bootstrapRun{disks: map[string]*bootstrapDisk{}, bootstrap: map[string]*Bootstrap{}, lost: map[string]bool{}}
+	for _, name := range bootstrapNames {
+		r.replaceDisk(name)
+	}
+	return r
+}
+
+// replaceDisk starts a voter with an empty disk.
+func (r *bootstrapRun) replaceDisk(name string) {
+	r.drawn++
+	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawn)}
+	r.restart(name)
+}
+
+func (r *bootstrapRun) restart(name string) {
+	r.bootstrap[name] = NewBootstrap(name, r.disks[name].id, bootstrapNames)
+}
+
+// voteOf is what a voter says when it is asked.
+func (r *bootstrapRun) voteOf(name string) BootstrapVote {
+	vote := r.disks[name].vote
+	if vote.DiskID = r.disks[name].id; !vote.Begun {
+		vote = r.bootstrap[name].Vote()
+	}
+	return vote
+}
+
+// hasMajority tells whether a majority has begun with the same disks.
+func (r *bootstrapRun) hasMajority() bool {
+	counts := map[string]int{}
+	for _, disk := range r.disks {
+		if disk.vote.Begun {
+			key := fmt.Sprint(disk.vote.Marks)
+			if counts[key]++; counts[key] > len(bootstrapNames)/2 {
+				return true
 			}
-			return false
-		}
-		was := false
-		fresh := func(name string) {
-			n++
-			disks[name] = &disk{mark: fmt.Sprint("m", n)}
-			lives[name] = NewBootstrap(name, disks[name].mark, names)
-		}
-		for _, name := range names {
-			fresh(name)
 		}
+	}
+	return false
+}
+
+// In whatever order votes arrive and disks are lost: once a majority has begun with the same disks, a voter that loses its
+// disk never begins. If a majority has lost its disks, nobody can tell any more.
+func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		r, hadMajority := newBootstrapRun(), false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			name := rapid.SampledFrom(names).Draw(t, "who")
-			d := disks[name]
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0: // its disk is lost
-				if was {
-					lost[name] = true
+			name := rapid.SampledFrom(bootstrapNames).Draw(t, "voter")
+			switch rapid.IntRange(0, 9).Draw(t, "step") {
+			case 0:
+				if hadMajority {
+					r.lost[name] = true
 				}
-				if len(lost) > len(names)/2 {
+				if len(r.lost) > len(bootstrapNames)/2 {
 					return
 				}
-				fresh(name)
-				for _, f := range lives { // that takes longer than a round
-					f.StartRound()
+				r.replaceDisk(name)
+				for _, b := range r.bootstrap { // a disk is not replaced within one round
+					b.StartRound()
 				}
 				continue
-			case 1: // it starts again
-				lives[name] = NewBootstrap(name, d.mark, names)
+			case 1:
+				r.restart(name)
 			}
-			other := rapid.SampledFrom(names).Draw(t, "of whom")
-			if d.word.Begun || other == name {
+			other := rapid.SampledFrom(bootstrapNames).Draw(t, "other voter")
+			disk := r.disks[name]
+			if disk.vote.Begun || other == name {
 				continue
 			}
-			w := disks[other].word
-			if w.DiskID = disks[other].mark; !w.Begun {
-				w = lives[other].Vote()
-			}
-			lives[name].ReceiveVote(other, lives[name].round, w)
-			with, isLost := lives[name].Decision()
-			if with == nil || isLost {
+			r.bootstrap[name].ReceiveVote(other, r.bootstrap[name].round, r.voteOf(other))
+			diskIDs, isLost := r.bootstrap[name].Decision()
+			if diskIDs == nil || isLost {
 				continue
 			}
-			if lost[name] {
-				t.Fatalf("%s begins with %v, though its disk was lost after others had begun", name, with)
+			if r.lost[name] {
+				t.Fatalf("%s begins with %v, though its disk was lost after others had begun", name, diskIDs)
 			}
-			if with[name] != d.mark || len(with) != len(names) {
-				t.Fatalf("%s, whose mark is %s, begins with %v", name, d.mark, with)
+			if diskIDs[name] != disk.id || len(diskIDs) != len(bootstrapNames) {
+				t.Fatalf("%s, whose disk is %s, begins with %v", name, disk.id, diskIDs)
 			}
-			d.word = BootstrapVote{Begun: true, DiskID: d.mark, Marks: with}
-			was = was || founded()
+			disk.vote = BootstrapVote{Begun: true, DiskID: disk.id, Marks: diskIDs}
+			hadMajority = hadMajority || r.hasMajority()
 		}
 	})
-	f := NewBootstrap("a", "1", names)
-	f.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
-	f.ReceiveVote("x", 0, BootstrapVote{Begun: true})
-	if marks, lost := f.Decision(); marks != nil || lost || fmt.Sprint(f.MissingVotes()) != "[c]" {
-		t.Errorf("%v %v %v", marks, lost, f.MissingVotes())
-	}
-	if f.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}}); !f.isLost() {
-		t.Error("another disk of its name was there")
-	}
 }
 
-func (b *Bootstrap) isLost() bool {
-	_, lost := b.Decision()
-	return lost
+func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
+	b := NewBootstrap("a", "1", bootstrapNames)
+	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
+	b.ReceiveVote("x", 0, BootstrapVote{Begun: true}) // no initial voter
+	if diskIDs, isLost := b.Decision(); diskIDs != nil || isLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
+		t.Errorf("without the vote of c: disks %v, lost %v, missing votes %v", diskIDs, isLost, b.MissingVotes())
+	}
+	b.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}})
+	if _, isLost := b.Decision(); !isLost {
+		t.Error("c began with another disk of this voter, which is not taken for lost")
+	}
 }
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// zeroDigest is how JSON has a digest of zeros.
+// zeroDigest is a digest of zeros in JSON.
 var zeroDigest = "[" + strings.Repeat("0,", 31) + "0]"
 
-// The names in messages between daemons and in stored data are fixed: daemons of earlier builds read them, and so do later builds read
-// what a disk holds. A Go field may be renamed, its name in JSON may not.
+// Names in messages between daemons and in stored data are fixed: daemons of other builds read the messages, and later builds
+// read what a disk holds. A Go field may be renamed; its name in JSON may not.
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
 	expected := uint64(3)
 	document := Document{Name: "a", Version: 2, By: "op", Body: []byte("xy")}
@@ -61,12 +61,12 @@
 	}
 }
 
-// The types of records in a log, and the form in which a snapshot has its parts, are fixed too.
+// The types of records in a durable log and the form of a snapshot's body are fixed, too.
 func TestStoredRecordFormIsFixed(t *testing.T) {
 	if got := string([]byte{recordHardState, recordEntry, recordSnapshotMarker}); got != "hem" {
-		t.Errorf("record types %q", got)
+		t.Errorf("record types %q, want %q", got, "hem")
 	}
 	if got := string(joinParts([]byte("ab"), nil, []byte("c"))); got != "\x02ab\x00\x01c" {
-		t.Errorf("parts are joined as %q", got)
+		t.Errorf("joined parts %q", got)
 	}
 }
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -1,137 +1,188 @@
 package consensus
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 	"time"
-
-	"pgregory.net/rapid"
 )
 
 var testLeaseConfig = LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
 
-// stateWithPendingVersion is a state with a version that is active and one that is to come.
-func stateWithPendingVersion(t testing.TB) *State {
-	t.Helper()
-	st := NewState()
-	for i, c := range []Command{{ID: "a", Put: &DocumentPut{"x", []byte("1")}}, {Activate: 1}, {ID: "b", Put: &DocumentPut{"x", []byte("2")}}} {
-		b, err := c.Encode()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := st.Apply(b); err != nil {
-			t.Fatal(i, err)
+// stateWithPendingVersion returns a State whose version 1 is active and whose version 2 is pending.
+func stateWithPendingVersion(tb testing.TB) *State {
+	tb.Helper()
+	state := NewState()
+	for i, c := range []Command{
+		{ID: "a", Put: &DocumentPut{"x", []byte("1")}},
+		{Activate: 1},
+		{ID: "b", Put: &DocumentPut{"x", []byte("2")}},
+	} {
+		if _, err := apply(tb, state, c); err != nil {
+			tb.Fatal(i, err)
 		}
 	}
-	if st.Active != 1 || st.Coming != 2 {
-		t.Fatalf("%+v", st)
+	if state.Active != 1 || state.Coming != 2 {
+		tb.Fatalf("active %d, pending %d: %+v", state.Active, state.Coming, state)
 	}
-	return st
+	return state
 }
 
-// The last answer on the version before comes late, and then nothing: the lease counts from the request, else it would last
-// beyond what is promised.
+// withoutPendingVersion returns a copy of the State in which no version is pending, so that leases are long.
+func withoutPendingVersion(state *State) *State {
+	quiet := *state
+	quiet.Coming = quiet.Active
+	return &quiet
+}
+
+// The last grant for a version arrives late, and nothing after it. If the lease counted from the grant, the daemon would act
+// on the version for longer than is guaranteed.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
-	for _, fromAnswer := range []bool{false, true} {
-		terms := testLeaseConfig
-		terms.CountFromGrant = fromAnswer
-		st, start := stateWithPendingVersion(t), 100*time.Second
-		s := NewLeaseManager(start-time.Minute, terms)
-		h := NewLeaseHolder("d", terms, 0, nil)
-		ask := func(now time.Duration) LeaseGrant {
+	for _, countFromGrant := range []bool{false, true} {
+		config := testLeaseConfig
+		config.CountFromGrant = countFromGrant
+		state, start := stateWithPendingVersion(t), 100*time.Second
+		m := NewLeaseManager(start-time.Minute, config)
+		h := NewLeaseHolder("d", config, 0, nil)
+		request := func(now time.Duration) LeaseGrant {
 			r, _ := h.NextRequest(now)
-			return s.Grant(now, r, st)
+			return m.Grant(now, r, state)
 		}
-		for range 3 { // what others act on, a lease, and what comes: it says so
-			h.HandleGrant(start, ask(start))
+		for range 3 { // the active documents, then a lease and the pending documents, then the report that it has them
+			h.HandleGrant(start, request(start))
 			completeCheckAndInstall(h)
 		}
-		late := ask(start)
-		if got := s.VersionToActivate(start, st); got != 2 {
-			t.Fatalf("activated: %d, lagging %v", got, s.laggingDaemons(start, st))
+		late := request(start)
+		if got := m.VersionToActivate(start, state); got != 2 {
+			t.Fatalf("version to activate %d, want 2; lagging: %v", got, m.laggingDaemons(start, state))
 		}
-		h.HandleGrant(start+terms.Short/5, late)
-		version, _, acts := h.Valid(start + terms.Overlap() + 1)
-		if acts != fromAnswer || version != 1 {
-			t.Errorf("from the answer: %v; it acts on version %d: %v", fromAnswer, version, acts)
+		h.HandleGrant(start+config.Short/5, late)
+		version, _, ok := h.Valid(start + config.Overlap() + 1)
+		if ok != countFromGrant || version != 1 {
+			t.Errorf("lease counted from the grant: %v; after the greatest overlap it is valid: %v, for version %d", countFromGrant, ok, version)
 		}
 	}
 }
 
-// Whoever may hold a lease is waited for, unless it has what comes and holds short leases only.
+// The leader waits for each daemon that may hold a lease, unless it has the pending version and holds short leases only.
 func TestActivationWaitsForOutstandingLeases(t *testing.T) {
-	st, start := stateWithPendingVersion(t), 100*time.Second
-	s := NewLeaseManager(start, testLeaseConfig)
-	if s.VersionToActivate(start+testLeaseConfig.Lease, st) != 0 {
-		t.Error("a new leader does not wait for what its predecessors granted")
+	state, start := stateWithPendingVersion(t), 100*time.Second
+	m := NewLeaseManager(start, testLeaseConfig)
+	if m.VersionToActivate(start+testLeaseConfig.Lease, state) != 0 {
+		t.Error("a new leader does not wait for leases of its predecessors")
 	}
 	now := start + time.Minute
-	s.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, st)
-	s.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, st)
-	if got := s.laggingDaemons(now+time.Second, st); len(got) != 1 || got[0].Daemon != "slow" || s.VersionToActivate(now+time.Second, st) != 0 {
-		t.Errorf("lagging: %v", got)
+	m.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, state)
+	m.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, state)
+	later := now + time.Second
+	if got := m.laggingDaemons(later, state); len(got) != 1 || got[0].Daemon != "slow" || m.VersionToActivate(later, state) != 0 {
+		t.Errorf("lagging: %v, want slow alone", got)
 	}
-	if s.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Short), st) != 2 {
-		t.Error("one whose lease has run out is waited for")
+	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Short), state) != 2 {
+		t.Error("the leader waits for a daemon whose lease has expired")
 	}
-	quiet := *st
-	quiet.Coming = quiet.Active // nothing is to come, and leases are long
-	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, ReadyVersion: 2}, &quiet)
-	s.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, ReadyVersion: 2}, st)
-	if s.VersionToActivate(now+2*time.Second, st) != 0 {
-		t.Error("the answer that made its lease short may be lost")
+	m.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, ReadyVersion: 2}, withoutPendingVersion(state))
+	m.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, ReadyVersion: 2}, state)
+	later = now + 2*time.Second
+	if m.VersionToActivate(later, state) != 0 {
+		t.Error("the grant that shortened the lease may be lost, and the leader does not wait")
 	}
-	s.Grant(now+2*time.Second, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, st)
-	if s.VersionToActivate(now+2*time.Second, st) != 2 {
-		t.Errorf("it said that it took it: %v", s.laggingDaemons(now+2*time.Second, st))
+	m.Grant(later, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, state)
+	if m.VersionToActivate(later, state) != 2 {
+		t.Errorf("the daemon has accepted the short lease, and the leader waits: %v", m.laggingDaemons(later, state))
 	}
 }
 
-// Whatever commands come, in whatever order and however often: versions only grow, a repeat is done once, who expects another
-// version changes nothing, and two states that applied the same are the same.
-func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewState(), NewState()
-		made := map[string]uint64{}
-		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := Command{ID: fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "id"))}
-			switch rapid.IntRange(0, 3).Draw(t, "kind") {
-			case 0:
-				c = Command{Activate: uint64(rapid.IntRange(1, 20).Draw(t, "version"))}
-			case 1:
-				c.Remove = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")
-			case 2:
-				expect := uint64(rapid.IntRange(0, 20).Draw(t, "expect"))
-				c.Expect = &expect
-				fallthrough
-			default:
-				c.Put = &DocumentPut{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), []byte(c.ID)}
-			}
-			entry, err := c.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			was := *a
-			answer, err := a.Apply(entry)
-			again, _ := b.Apply(entry)
-			version := answer.Version
-			if version != again.Version || a.Version != b.Version || a.Active != b.Active || a.Coming != b.Coming || DigestOf(a.Docs) != DigestOf(b.Docs) || DigestOf(a.ActiveDocs) != DigestOf(b.ActiveDocs) {
-				t.Fatalf("%s: two states differ", entry)
-			}
-			if a.Version < was.Version || a.Active < was.Active || a.Active > a.Coming || a.Coming > a.Version || err != nil && a.Version != was.Version {
-				t.Fatalf("%s: %d, %d, %d after %d, %d, %d", entry, a.Version, a.Coming, a.Active, was.Version, was.Coming, was.Active)
-			}
-			if c.Activate == 0 && err == nil {
-				if before, ok := made[c.ID]; ok && before != version {
-					t.Fatalf("%s: made version %d, and %d before", entry, version, before)
+// Grants are lost for so long that those of one daemon are merged: the leader still waits for the one that the daemon accepted
+// last.
+func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
+	state, now := stateWithPendingVersion(t), 100*time.Second
+	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
+	const last = maxOutstandingGrants + 8
+	for seq := range uint64(last) {
+		m.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, withoutPendingVersion(state))
+	}
+	// The grant that answers this, and that would shorten the lease, is lost.
+	m.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, state)
+	if m.VersionToActivate(now+time.Second, state) != 0 {
+		t.Error("the leader does not wait for the long lease that the daemon accepted")
+	}
+	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Lease), state) != 2 {
+		t.Error("the leader waits for a daemon whose lease has expired")
+	}
+}
+
+// A daemon that can't act on a version reports why, and delays its activation. A version that was put since takes its place;
+// a version that is forced is activated without the daemon.
+func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
+	state, now := stateWithPendingVersion(t), testLeaseConfig.Lease*10
+	m := NewLeaseManager(0, testLeaseConfig)
+	errNoSuchField := errors.New("no such field")
+	able, unable := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
+	rounds := func(n int) {
+		for range n {
+			m.Refresh(now, state)
+			for _, h := range []*LeaseHolder{able, unable} {
+				r, _ := h.NextRequest(now)
+				h.HandleGrant(now, m.Grant(now, r, state))
+				version, _ := h.PendingCheck()
+				err := error(nil)
+				if h == unable && (version == 2 || version == 3) {
+					err = errNoSuchField
 				}
-				made[c.ID] = version
+				h.CompleteCheck(version, err)
+				h.MarkInstalled(h.Leased().Version)
 			}
 		}
-	})
+	}
+	rounds(4)
+	want := Lag{"old", "it can't act on version 2: no such field"}
+	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want || m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
+		t.Fatalf("lagging: %v, want %v alone", got, want)
+	}
+	if version, _, ok := unable.Valid(now); version != 1 || !ok {
+		t.Errorf("the daemon that rejects the pending version acts on %d, valid %v", version, ok)
+	}
+	mustApply(t, state, putCommand("x", "3"))
+	if m.VersionToSkip(now, state) != 2 {
+		t.Error("the rejected version is not skipped for the one that was put since")
+	}
+	mustApply(t, state, Command{Skip: 2})
+	rounds(2)
+	mustApply(t, state, Command{Force: 3})
+	rounds(1)
+	if _, _, ok := unable.Valid(now); ok {
+		t.Error("the daemon that rejects the forced version has a lease")
+	}
+	rounds(1) // it accepts the grant without a lease
+	if m.VersionToActivate(now, state) != 3 {
+		t.Errorf("the forced version waits for %v", m.laggingDaemons(now, state))
+	}
+	mustApply(t, state, Command{Activate: 3})
+	rounds(1)
+	if version, _, ok := able.Valid(now); version != 3 || !ok {
+		t.Errorf("the other daemon acts on %d, valid %v", version, ok)
+	}
+	leased := able.Leased()
+	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.Overlap()) || !leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
+		t.Errorf("while the daemon changes over: %+v", leased)
+	}
+	if _, _, ok := unable.Valid(now); ok {
+		t.Error("the daemon that rejects the active version has a lease")
+	}
+	mustApply(t, state, putCommand("x", "4"))
+	rounds(3)
+	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
+	rounds(3)
+	if version, _, ok := unable.Valid(now); version != 4 || !ok {
+		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; lagging: %v", version, ok, m.laggingDaemons(now, state))
+	}
+	if version, lagging := able.FullyActive(); version != 4 || len(lagging) > 0 {
+		t.Errorf("all daemons act on %d, lagging: %v", version, lagging)
+	}
 }
 
-// What is asked on each request: no lock, and far under 50 ns.
+// Each request of a client calls this: it takes no lock, and far less than 50 ns.
 func BenchmarkLeaseValid(b *testing.B) {
 	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
 	h.leased.Until = time.Hour
@@ -142,38 +193,19 @@
 	}
 }
 
-// Answers get lost for so long that grants are taken for one another: the one that the daemon says it took at last is still
-// waited for.
-func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
-	st, now := stateWithPendingVersion(t), 100*time.Second
-	s := NewLeaseManager(now-time.Minute, testLeaseConfig)
-	quiet := *st
-	quiet.Coming = quiet.Active // nothing is to come, and leases are long
-	const last = maxOutstandingGrants + 8
-	for seq := range uint64(last) {
-		s.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, &quiet)
-	}
-	s.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, st) // its answer, which would make the lease short, is lost
-	if s.VersionToActivate(now+time.Second, st) != 0 {
-		t.Error("the long lease that it took is not waited for")
-	}
-	if s.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Lease), st) != 2 {
-		t.Error("it is waited for though its lease has run out")
-	}
-}
-
-// What a leader does for each request while a version comes, with its part of what goes through all daemons once a beat.
+// What a leader does for each request while a version is pending, with its share of the work that visits all daemons once a
+// heartbeat.
 func BenchmarkGrant(b *testing.B) {
-	for _, n := range []uint64{50, 300, 1000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			st, s, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
-			const beat = 100 // requests: 300 daemons ask a thousand times a second
+	for _, daemons := range []uint64{50, 300, 1000} {
+		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
+			state, m, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
+			const requestsPerHeartbeat = 100 // 300 daemons make a thousand requests a second
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
-				if i%beat == 0 {
-					s.Refresh(now, st)
+				if i%requestsPerHeartbeat == 0 {
+					m.Refresh(now, state)
 				}
-				s.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%n), Seq: i / n, ReadyVersion: 1, AcceptedSeq: i / n}, st)
+				m.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%daemons), Seq: i / daemons, ReadyVersion: 1, AcceptedSeq: i / daemons}, state)
 			}
 		})
 	}
