--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not: it
-// would vote again in terms in which it has voted, and two majorities could result.
+// Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not:
+// it would vote again in terms in which it has voted, and two majorities could result.
 //
-// Each initial voter draws an id for its disk at its first start. It begins once all other initial voters have said, in the
-// same round, that they have not begun, or one of them that it began with this very disk. So a fleet begins when all its
-// initial voters have been up at once, and a voter that returns without its disk learns from any other that has begun that the
-// disk is another. Votes count for one round only, since their senders may begin at any time; it is assumed that no disk is
-// lost and its daemon back within one round.
+// Each initial voter draws an id for its disk at its first start. It begins once all other initial voters have said, in
+// the same round, that they have not begun, or one of them that it began with this very disk. So a fleet begins when
+// all its initial voters have been up at once, and a voter that returns without its disk learns from any other that has
+// begun that the disk is another. Votes count for one round only, since their senders may begin at any time; it is
+// assumed that no disk is lost and its daemon back within one round.
 //
 // A Bootstrap is not safe for concurrent use.
 type Bootstrap struct {
@@ -43,8 +43,8 @@
 	return b
 }
 
-// StartRound begins a round and returns its number. All other initial voters are to be asked, and their responses to be passed
-// to ReceiveVote with this number.
+// StartRound begins a round and returns its number. All other initial voters are to be asked, and their responses to be
+// passed to ReceiveVote with this number.
 func (b *Bootstrap) StartRound() uint64 {
 	b.round++
 	for name := range b.votes {
@@ -74,8 +74,8 @@
 	return names
 }
 
-// Decision returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means that
-// this voter must never begin: others began with another disk of its name.
+// Decision returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means
+// that this voter must never begin: others began with another disk of its name.
 func (b *Bootstrap) Decision() (diskIDs map[string]string, isLost bool) {
 	all := map[string]string{b.name: b.diskID}
 	for name, vote := range b.votes {
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -65,8 +65,8 @@
 	return false
 }
 
-// In whatever order votes arrive and disks are lost: once a majority has begun with the same disks, a voter that loses its
-// disk never begins. If a majority has lost its disks, nobody can tell any more.
+// In whatever order votes arrive and disks are lost: once a majority has begun with the same disks, a voter that loses
+// its disk never begins. If a majority has lost its disks, nobody can tell any more.
 func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapRun(), false
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -6,15 +6,15 @@
 )
 
 // commandFormat is the format of commands that this build encodes. The effect of a command must never change under one
-// number: voters of two builds would derive different States from the same log. A voter stops at a command with a higher
-// number (ErrUnknownCommand).
+// number: voters of two builds would derive different States from the same log. A voter stops at a command with a
+// higher number (ErrUnknownCommand).
 const commandFormat = 2
 
-// Command changes the State, or reads it at its position in the log. Exactly one of the fields for a document change (put,
-// removal, revert), for the activation of a version (Force, Skip, Activate), for the voters, or Read is set.
+// Command changes the State, or reads it at its position in the log. Exactly one of the fields for a document change
+// (put, removal, revert), for the activation of a version (Force, Skip, Activate), for the voters, or Read is set.
 type Command struct {
 	Format    int              `json:"format"`           // set by Encode
-	ID        string           `json:"id,omitempty"`     // of a document change, chosen by the requester: a duplicate is applied once
+	ID        string           `json:"id,omitempty"`     // of a document change: a duplicate is applied once
 	Expect    *uint64          `json:"expect,omitempty"` // the latest version that the requester has seen; nil: any
 	By        string           `json:"by,omitempty"`
 	At        int64            `json:"at,omitempty"` // Unix milliseconds by the requester's clock
@@ -37,7 +37,7 @@
 
 // CommandResult is the outcome of a command that was applied without an error.
 type CommandResult struct {
-	Version uint64         `json:"version"`           // that the command made, or made when first applied; of a read: the latest
+	Version uint64         `json:"version"`           // that the command made when first applied; of a read: the latest
 	Same    bool           `json:"same,omitempty"`    // nothing had to change, and no version was made
 	Doc     *Document      `json:"doc,omitempty"`     // the document that was read
 	History []HistoryEntry `json:"history,omitempty"` // the history that was read, oldest entry first
@@ -55,8 +55,8 @@
 // ErrMembershipUnchanged is returned for a change of the voters that can't be made, or not yet.
 var ErrMembershipUnchanged = errors.New("the voters stay as they are")
 
-// ErrIndeterminate means that the requester gave up waiting: the command may have been committed, or may be yet. A retry with
-// the same ID is applied once.
+// ErrIndeterminate means that the requester gave up waiting: the command may have been committed, or may be yet. A
+// retry with the same ID is applied once.
 var ErrIndeterminate = errors.New("no majority of the voters has answered in time; it may come to pass yet")
 
 // ErrUnknownCommand means that the log has a command of a later build than this, which this voter can't apply.
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active), and the
-// retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
+// Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active),
+// and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
 const (
 	MaxDocumentBytes = 1 << 20                  // of the body of one document
 	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // of the bodies of all documents of a version
@@ -47,8 +47,8 @@
 	Back    uint64   `json:"back,omitempty"` // the version to which the change reverts the document; 0: it is no revert
 }
 
-// DigestOf returns one digest of all documents, independent of the map's order, to compare what daemons act on. It covers
-// names and body digests only.
+// DigestOf returns one digest of all documents, independent of the map's order, to compare what daemons act on. It
+// covers names and body digests only.
 func DigestOf(docs map[string]Document) [32]byte {
 	var text []byte
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -56,8 +56,8 @@
 	return s.rememberResult(c.ID, CommandResult{Version: s.Version}), nil
 }
 
-// changedDocument returns the name of the document that a command changes, and what is to be put; nil: it is to be removed. A
-// revert to a version that did not have the document removes it.
+// changedDocument returns the name of the document that a command changes, and what is to be put; nil: it is to be
+// removed. A revert to a version that did not have the document removes it.
 func (s *State) changedDocument(c *Command) (name string, put *DocumentPut, _ error) {
 	name, put = c.Remove, c.Put
 	if c.Back != nil {
@@ -115,7 +115,9 @@
 		if change.Digest == [32]byte{} {
 			return nil, unavailable(ErrDocumentNotFound)
 		}
-		i := slices.IndexFunc(s.RetainedDocs, func(d Document) bool { return d.Name == change.Name && d.Version == change.Version })
+		i := slices.IndexFunc(s.RetainedDocs, func(d Document) bool {
+			return d.Name == change.Name && d.Version == change.Version
+		})
 		if i < 0 {
 			return nil, unavailable(ErrCompacted)
 		}
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -10,8 +10,8 @@
 // zeroDigest is a digest of zeros in JSON.
 var zeroDigest = "[" + strings.Repeat("0,", 31) + "0]"
 
-// Names in messages between daemons and in stored data are fixed: daemons of other builds read the messages, and later builds
-// read what a disk holds. A Go field may be renamed; its name in JSON may not.
+// Names in messages between daemons and in stored data are fixed: daemons of other builds read the messages, and later
+// builds read what a disk holds. A Go field may be renamed; its name in JSON may not.
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
 	expected := uint64(3)
 	document := Document{Name: "a", Version: 2, By: "op", Body: []byte("xy")}
@@ -23,31 +23,80 @@
 		value any
 		want  string
 	}{
-		{"lease request", LeaseRequest{Daemon: "d", Seq: 1, ReadyVersion: 2, InstalledVersion: 3, AcceptedSeq: 4, RejectedVersion: 5, RejectReason: "w", Mark: "m"},
-			`{"Daemon":"d","Seq":1,"Has":2,"Acts":3,"Took":4,"Declines":5,"Why":"w","Mark":"m"}`},
+		{
+			"lease request",
+			LeaseRequest{
+				Daemon: "d", Seq: 1, ReadyVersion: 2, InstalledVersion: 3, AcceptedSeq: 4,
+				RejectedVersion: 5, RejectReason: "w", Mark: "m",
+			},
+			`{"Daemon":"d","Seq":1,"Has":2,"Acts":3,"Took":4,"Declines":5,"Why":"w","Mark":"m"}`,
+		},
 		{"empty lease request", LeaseRequest{}, `{"Daemon":"","Seq":0,"Has":0,"Acts":0,"Took":0}`},
-		{"lease grant", LeaseGrant{Seq: 1, Version: 2, ActiveDocs: map[string]Document{"a": document}, PendingVersion: 3, PendingDocs: map[string]Document{"a": document}, Duration: time.Second,
-			Voters: []string{"v"}, Sitting: []string{"s"}, Seat: 4, MayStartVoter: true, First: []string{"f"}, DiskLost: true, FullyActive: 5, Lagging: []Lag{{"l", "y"}}},
-			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
-				`"Voters":["v"],"Sitting":["s"],"Seat":4,"Begins":true,"First":["f"],"Lost":true,"All":5,"Lags":[{"Daemon":"l","Why":"y"}]}`},
-		{"empty lease grant", LeaseGrant{}, `{"Seq":0,"Version":0,"Docs":null,"Next":0,"Coming":null,"Lease":0,"Voters":null,"Sitting":null,` +
-			`"Seat":0,"Begins":false,"First":null,"Lost":false,"All":0,"Lags":null}`},
-		{"command", Command{Format: 2, ID: "i", Expect: &expected, By: "op", At: 9, Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Back: &DocumentVersion{"a", 1},
-			Force: 1, Skip: 2, Seat: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5},
-			`{"format":2,"id":"i","expect":3,"by":"op","at":9,"put":{"name":"a","body":"eHk="},"remove":"r","back":{"name":"a","version":1},` +
-				`"force":1,"skip":2,"seat":{"name":"v","out":true},"mark":{"seat":7,"mark":"m"},"read":{"name":"a"},"activate":5}`},
+		{
+			"lease grant",
+			LeaseGrant{
+				Seq: 1, Version: 2, ActiveDocs: map[string]Document{"a": document},
+				PendingVersion: 3, PendingDocs: map[string]Document{"a": document}, Duration: time.Second,
+				Voters: []string{"v"}, Sitting: []string{"s"}, Seat: 4,
+				MayStartVoter: true, First: []string{"f"}, DiskLost: true,
+				FullyActive: 5, Lagging: []Lag{{"l", "y"}},
+			},
+			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},` +
+				`"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
+				`"Voters":["v"],"Sitting":["s"],"Seat":4,` +
+				`"Begins":true,"First":["f"],"Lost":true,` +
+				`"All":5,"Lags":[{"Daemon":"l","Why":"y"}]}`,
+		},
+		{
+			"empty lease grant",
+			LeaseGrant{},
+			`{"Seq":0,"Version":0,"Docs":null,"Next":0,"Coming":null,"Lease":0,"Voters":null,"Sitting":null,"Seat":0,` +
+				`"Begins":false,"First":null,"Lost":false,"All":0,"Lags":null}`,
+		},
+		{
+			"command",
+			Command{
+				Format: 2, ID: "i", Expect: &expected, By: "op", At: 9,
+				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Back: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
+				Seat: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
+			},
+			`{"format":2,"id":"i","expect":3,"by":"op","at":9,` +
+				`"put":{"name":"a","body":"eHk="},"remove":"r","back":{"name":"a","version":1},"force":1,"skip":2,` +
+				`"seat":{"name":"v","out":true},"mark":{"seat":7,"mark":"m"},"read":{"name":"a"},"activate":5}`,
+		},
 		{"empty command", Command{}, `{"format":0}`},
-		{"command result", CommandResult{Version: 1, Same: true, Doc: &document, History: []HistoryEntry{entry}},
-			`{"version":1,"same":true,"doc":` + documentJSON + `,"history":[` + entryJSON + `]}`},
-		{"bootstrap vote", BootstrapVote{Begun: true, DiskID: "m", Marks: map[string]string{"v": "m"}}, `{"begun":true,"mark":"m","marks":{"v":"m"}}`},
-		{"state", State{Version: 1, Coming: 2, Active: 3, Forced: 4, Docs: map[string]Document{"a": document}, PendingDocs: map[string]Document{}, ActiveDocs: map[string]Document{},
-			History: []HistoryEntry{entry}, RetainedDocs: []Document{document}, RecentResults: []recentResult{{"i", CommandResult{Version: 1}}},
-			Seats: map[uint64]string{1: "v"}, Sitting: map[uint64]bool{1: true}, Leaving: map[uint64]string{2: "w"}, DiskIDs: map[uint64]string{3: "m"}, LastVoterID: 3, InitialVoters: []string{"v"}},
-			`{"version":1,"coming":2,"active":3,"forced":4,"docs":{"a":` + documentJSON + `},"next":{},"acted":{},"history":[` + entryJSON + `],"kept":[` + documentJSON + `],` +
-				`"ids":[{"id":"i","version":1}],"seats":{"1":"v"},"sitting":{"1":true},"leaving":{"2":"w"},"marks":{"3":"m"},"last_seat":3,"first":["v"]}`},
-		{"state in a snapshot", snapshotState{State: State{}, Bodies: map[string][]byte{"00": []byte("xy")}},
-			`{"version":0,"coming":0,"active":0,"forced":0,"docs":null,"next":null,"acted":null,"history":null,"kept":null,"ids":null,` +
-				`"seats":null,"sitting":null,"leaving":null,"marks":null,"last_seat":0,"first":null,"bodies":{"00":"eHk="}}`},
+		{
+			"command result",
+			CommandResult{Version: 1, Same: true, Doc: &document, History: []HistoryEntry{entry}},
+			`{"version":1,"same":true,"doc":` + documentJSON + `,"history":[` + entryJSON + `]}`,
+		},
+		{
+			"bootstrap vote",
+			BootstrapVote{Begun: true, DiskID: "m", Marks: map[string]string{"v": "m"}},
+			`{"begun":true,"mark":"m","marks":{"v":"m"}}`,
+		},
+		{
+			"state",
+			State{
+				Version: 1, Coming: 2, Active: 3, Forced: 4,
+				Docs: map[string]Document{"a": document}, PendingDocs: map[string]Document{}, ActiveDocs: map[string]Document{},
+				History: []HistoryEntry{entry}, RetainedDocs: []Document{document},
+				RecentResults: []recentResult{{"i", CommandResult{Version: 1}}},
+				Seats:         map[uint64]string{1: "v"}, Sitting: map[uint64]bool{1: true}, Leaving: map[uint64]string{2: "w"},
+				DiskIDs: map[uint64]string{3: "m"}, LastVoterID: 3, InitialVoters: []string{"v"},
+			},
+			`{"version":1,"coming":2,"active":3,"forced":4,"docs":{"a":` + documentJSON + `},"next":{},"acted":{},` +
+				`"history":[` + entryJSON + `],"kept":[` + documentJSON + `],"ids":[{"id":"i","version":1}],` +
+				`"seats":{"1":"v"},"sitting":{"1":true},"leaving":{"2":"w"},` +
+				`"marks":{"3":"m"},"last_seat":3,"first":["v"]}`,
+		},
+		{
+			"state in a snapshot",
+			snapshotState{State: State{}, Bodies: map[string][]byte{"00": []byte("xy")}},
+			`{"version":0,"coming":0,"active":0,"forced":0,"docs":null,"next":null,"acted":null,` +
+				`"history":null,"kept":null,"ids":null,"seats":null,"sitting":null,"leaving":null,` +
+				`"marks":null,"last_seat":0,"first":null,"bodies":{"00":"eHk="}}`,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.value)
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// interleaving is a small case that is explored exhaustively: two daemons, two versions, one change of leader, and every order
-// of so many steps. Time advances by steps; one daemon's clock runs as slow and the other's as fast as is allowed. What raft
-// guarantees is assumed: one log, and grants of a former leader only for requests from before its successor was elected.
+// interleaving is a small case that is explored exhaustively: two daemons, two versions, one change of leader, and
+// every order of so many steps. Time advances by steps; one daemon's clock runs as slow and the other's as fast as is
+// allowed. What raft guarantees is assumed: one log, and grants of a former leader only for requests from before its
+// successor was elected.
 type interleaving struct {
 	state        *State
 	manager      *LeaseManager
@@ -115,7 +116,8 @@
 	return true
 }
 
-// longestOverlap has both daemons act, and returns for how long a daemon has acted on version 1 since one acted on version 2.
+// longestOverlap has both daemons act, and returns for how long a daemon has acted on version 1 since one acted on
+// version 2.
 func (x *interleaving) longestOverlap() (overlap time.Duration) {
 	var acting [2]uint64
 	for daemon, h := range x.holders {
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LeaseConfig has the durations of leases, which are the same for all daemons of a fleet. Clocks are taken to run at a rate
-// between 1-Drift and 1+Drift of true time.
+// LeaseConfig has the durations of leases, which are the same for all daemons of a fleet. Clocks are taken to run at a
+// rate between 1-Drift and 1+Drift of true time.
 type LeaseConfig struct {
 	Lease time.Duration // of a lease, by the holder's clock
 	Short time.Duration // of a lease while a version is pending
@@ -20,8 +20,8 @@
 	return time.Duration(float64(lease) * (1 + c.Drift) / (1 - c.Drift))
 }
 
-// Overlap returns the longest true time for which some daemon may still act on a version after another daemon has begun to act
-// on a later one.
+// Overlap returns the longest true time for which some daemon may still act on a version after another daemon has begun
+// to act on a later one.
 func (c LeaseConfig) Overlap() time.Duration { return time.Duration(float64(c.Short) / (1 - c.Drift)) }
 
 // LeaseRequest asks the leader for a lease. Its names on the wire are those of the tags.
@@ -30,7 +30,7 @@
 	Seq              uint64 `json:"Seq"`                // of the request; the grant repeats it
 	ReadyVersion     uint64 `json:"Has"`                // the latest version whose documents the daemon has and can act on
 	InstalledVersion uint64 `json:"Acts"`               // the version on which all parts of the daemon act
-	AcceptedSeq      uint64 `json:"Took"`               // Seq of the latest grant that the daemon uses: it no longer uses earlier ones
+	AcceptedSeq      uint64 `json:"Took"`               // Seq of the grant in use: earlier ones are out of use
 	RejectedVersion  uint64 `json:"Declines,omitempty"` // the latest version on which the daemon can't act; 0: none
 	RejectReason     string `json:"Why,omitempty"`      // why it can't; at most maxReasonRunes
 	Mark             string `json:"Mark,omitempty"`     // id of the disk of a daemon that could run a voter and runs none
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -10,8 +10,8 @@
 	requestIntervalFactor = 4 // by which requests come faster while a version is being activated
 )
 
-// LeasedVersion is what a daemon may act on: a version until its lease expires and, while the daemon changes over to it, the
-// previous one until the lease on that expires. It is a value that may be copied and read by other goroutines.
+// LeasedVersion is what a daemon may act on: a version until its lease expires and, while the daemon changes over to
+// it, the previous one until the lease on that expires. It is a value that may be copied and read by other goroutines.
 type LeasedVersion struct {
 	Version           uint64
 	Docs              map[string]Document // never modified
@@ -25,9 +25,9 @@
 	return version == l.Version && now < l.Until || version == l.PreviousVersion && now < l.PreviousExpiresAt
 }
 
-// LeaseHolder is a daemon's side of its leases: it makes requests, takes up grants and knows what the daemon may act on. It
-// moves on to a version only after the daemon has checked that version's documents (PendingCheck and CompleteCheck). It is not
-// safe for concurrent use.
+// LeaseHolder is a daemon's side of its leases: it makes requests, takes up grants and knows what the daemon may act
+// on. It moves on to a version only after the daemon has checked that version's documents (PendingCheck and
+// CompleteCheck). It is not safe for concurrent use.
 type LeaseHolder struct {
 	config          LeaseConfig
 	name            string
@@ -50,8 +50,8 @@
 	lagging     []Lag
 }
 
-// NewLeaseHolder returns a holder without a lease. version and docs are what the daemon persisted before a restart; version 0:
-// nothing.
+// NewLeaseHolder returns a holder without a lease. version and docs are what the daemon persisted before a restart;
+// version 0: nothing.
 func NewLeaseHolder(name string, config LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
 	return &LeaseHolder{
 		config:          config,
@@ -63,8 +63,8 @@
 	}
 }
 
-// NextRequest returns a request that is to be sent now, and the instant at which the next one is due. A grant counts only in
-// response to the latest request.
+// NextRequest returns a request that is to be sent now, and the instant at which the next one is due. A grant counts
+// only in response to the latest request.
 func (h *LeaseHolder) NextRequest(now time.Duration) (r LeaseRequest, nextAt time.Duration) {
 	h.seq++
 	h.requestedAt = now
@@ -83,8 +83,8 @@
 	}, nextAt
 }
 
-// HandleGrant takes up a grant. One that does not answer the latest request is dropped, since the instant of its request is
-// not known any more.
+// HandleGrant takes up a grant. One that does not answer the latest request is dropped, since the instant of its
+// request is not known any more.
 func (h *LeaseHolder) HandleGrant(now time.Duration, g LeaseGrant) {
 	if g.Seq != h.seq || g.Version < h.leased.Version {
 		return
@@ -126,8 +126,8 @@
 	return h.offeredVersion, h.offeredDocs
 }
 
-// CompleteCheck reports whether the daemon can act on a version that PendingCheck returned; a non-nil error says why not. The
-// outcome of a check that another one has replaced is dropped.
+// CompleteCheck reports whether the daemon can act on a version that PendingCheck returned; a non-nil error says why
+// not. The outcome of a check that another one has replaced is dropped.
 func (h *LeaseHolder) CompleteCheck(version uint64, err error) {
 	if version == 0 || version != h.offeredVersion {
 		return
@@ -151,8 +151,8 @@
 	return h.rejectedVersion, h.rejectReason
 }
 
-// MarkInstalled reports that all parts of the daemon act on a version. Until then the leader counts the daemon as acting on
-// the version before.
+// MarkInstalled reports that all parts of the daemon act on a version. Until then the leader counts the daemon as
+// acting on the version before.
 func (h *LeaseHolder) MarkInstalled(version uint64) { h.installedVersion = version }
 
 // Leased returns what the daemon may act on.
@@ -164,8 +164,8 @@
 	return l.Version, l.Docs, l.Version > 0 && (now < l.Until || h.config.NoLook)
 }
 
-// FullyActive returns, as of the latest grant, the version before which no daemon acts (0: not known) and the daemons for
-// which the leader waits.
+// FullyActive returns, as of the latest grant, the version before which no daemon acts (0: not known) and the daemons
+// for which the leader waits.
 func (h *LeaseHolder) FullyActive() (version uint64, lagging []Lag) {
 	return h.fullyActive, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxOutstandingGrants bounds the grants that are remembered of one daemon. Beyond it the latest two are merged into one with
-// the later Seq and the later expiry, which errs on the side of waiting.
+// maxOutstandingGrants bounds the grants that are remembered of one daemon. Beyond it the latest two are merged into
+// one with the later Seq and the later expiry, which errs on the side of waiting.
 const maxOutstandingGrants = 32
 
-// LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when a
-// pending version may be activated. Each term has a new one. It is not safe for concurrent use.
+// LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when
+// a pending version may be activated. Each term has a new one. It is not safe for concurrent use.
 type LeaseManager struct {
 	config      LeaseConfig
 	leaderSince time.Duration
@@ -48,8 +48,8 @@
 	return &LeaseManager{config: config, leaderSince: now, daemons: map[string]*daemonLeases{}}
 }
 
-// Grant answers a request. It may be called only after a majority has confirmed, later than the request arrived, that this
-// node leads.
+// Grant answers a request. It may be called only after a majority has confirmed, later than the request arrived, that
+// this node leads.
 func (m *LeaseManager) Grant(now time.Duration, r LeaseRequest, state *State) LeaseGrant {
 	grant := LeaseGrant{
 		Seq:            r.Seq,
@@ -71,8 +71,8 @@
 	return grant
 }
 
-// leaseDuration returns the duration of a lease, which is 0 for a daemon that can't act on the active version, or not on a
-// pending one that was forced.
+// leaseDuration returns the duration of a lease, which is 0 for a daemon that can't act on the active version, or not
+// on a pending one that was forced.
 func (m *LeaseManager) leaseDuration(r *LeaseRequest, state *State) time.Duration {
 	switch {
 	case r.ReadyVersion < state.Active || isForcedOut(state, r):
@@ -83,8 +83,8 @@
 	return m.config.Lease
 }
 
-// remember records a request and the grant that answers it. Grants before the one that the daemon has accepted are dropped: it
-// never returns to them.
+// remember records a request and the grant that answers it. Grants before the one that the daemon has accepted are
+// dropped: it never returns to them.
 func (m *LeaseManager) remember(now time.Duration, r LeaseRequest, lease time.Duration) {
 	d := m.daemons[r.Daemon]
 	if d == nil {
@@ -103,17 +103,17 @@
 	}
 }
 
-// Refresh updates what grants carry about the other daemons. It visits all of them, and is therefore called once a heartbeat
-// and not for each grant. That no daemon acts on versions before some version stays true until the next call.
+// Refresh updates what grants carry about the other daemons. It visits all of them, and is therefore called once a
+// heartbeat and not for each grant. That no daemon acts on versions before some version stays true until the next call.
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
 	m.fullyActive = m.oldestActive(now, state)
 }
 
-// VersionToActivate returns the pending version if it may be activated now, else 0. Each daemon that may hold a lease must
-// have the version's documents and hold short leases only; for others the leader waits until their leases have certainly
-// expired.
+// VersionToActivate returns the pending version if it may be activated now, else 0. Each daemon that may hold a lease
+// must have the version's documents and hold short leases only; for others the leader waits until their leases have
+// certainly expired.
 func (m *LeaseManager) VersionToActivate(now time.Duration, state *State) uint64 {
 	switch {
 	case !state.hasPending():
@@ -131,8 +131,8 @@
 	return state.Coming
 }
 
-// VersionToSkip returns the pending version if a later one is to take its place, else 0: some daemon rejects it, it was not
-// forced, and another version was made since. No daemon ever acts on a version that was skipped.
+// VersionToSkip returns the pending version if a later one is to take its place, else 0: some daemon rejects it, it was
+// not forced, and another version was made since. No daemon ever acts on a version that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
 	if !state.hasPending() || state.Version == state.Coming || state.Forced >= state.Coming {
 		return 0
@@ -150,8 +150,8 @@
 	return now >= m.leaderSince+m.config.expiryWait(m.config.Lease)
 }
 
-// laggingDaemons returns the daemons for which the leader waits, sorted: before a version is activated, and until they act on
-// the one that was. Daemons that have certainly no lease are not waited for.
+// laggingDaemons returns the daemons for which the leader waits, sorted: before a version is activated, and until they
+// act on the one that was. Daemons that have certainly no lease are not waited for.
 func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []Lag) {
 	for name, d := range m.daemons {
 		reason := ""
@@ -189,7 +189,8 @@
 	return ""
 }
 
-// oldestActive returns the version before which no daemon acts; 0: it is not known while leases of earlier leaders may run.
+// oldestActive returns the version before which no daemon acts; 0: it is not known while leases of earlier leaders may
+// run.
 func (m *LeaseManager) oldestActive(now time.Duration, state *State) uint64 {
 	if !m.predecessorsExpired(now) {
 		return 0
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -35,8 +35,8 @@
 	return &quiet
 }
 
-// The last grant for a version arrives late, and nothing after it. If the lease counted from the grant, the daemon would act
-// on the version for longer than is guaranteed.
+// The last grant for a version arrives late, and nothing after it. If the lease counted from the grant, the daemon
+// would act on the version for longer than is guaranteed.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
 	for _, countFromGrant := range []bool{false, true} {
 		config := testLeaseConfig
@@ -59,12 +59,14 @@
 		h.HandleGrant(start+config.Short/5, late)
 		version, _, ok := h.Valid(start + config.Overlap() + 1)
 		if ok != countFromGrant || version != 1 {
-			t.Errorf("lease counted from the grant: %v; after the greatest overlap it is valid: %v, for version %d", countFromGrant, ok, version)
+			t.Errorf("lease counted from the grant: %v; after the greatest overlap it is valid: %v, for version %d",
+				countFromGrant, ok, version)
 		}
 	}
 }
 
-// The leader waits for each daemon that may hold a lease, unless it has the pending version and holds short leases only.
+// The leader waits for each daemon that may hold a lease, unless it has the pending version and holds short leases
+// only.
 func TestActivationWaitsForOutstandingLeases(t *testing.T) {
 	state, start := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(start, testLeaseConfig)
@@ -93,8 +95,8 @@
 	}
 }
 
-// Grants are lost for so long that those of one daemon are merged: the leader still waits for the one that the daemon accepted
-// last.
+// Grants are lost for so long that those of one daemon are merged: the leader still waits for the one that the daemon
+// accepted last.
 func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
 	state, now := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
@@ -112,8 +114,8 @@
 	}
 }
 
-// A daemon that can't act on a version reports why, and delays its activation. A version that was put since takes its place;
-// a version that is forced is activated without the daemon.
+// A daemon that can't act on a version reports why, and delays its activation. A version that was put since takes its
+// place; a version that is forced is activated without the daemon.
 func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
 	state, now := stateWithPendingVersion(t), testLeaseConfig.Lease*10
 	m := NewLeaseManager(0, testLeaseConfig)
@@ -137,7 +139,8 @@
 	}
 	rounds(4)
 	want := Lag{"old", "it can't act on version 2: no such field"}
-	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want || m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
+	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want ||
+		m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
 		t.Fatalf("lagging: %v, want %v alone", got, want)
 	}
 	if version, _, ok := unable.Valid(now); version != 1 || !ok {
@@ -164,7 +167,8 @@
 		t.Errorf("the other daemon acts on %d, valid %v", version, ok)
 	}
 	leased := able.Leased()
-	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.Overlap()) || !leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
+	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.Overlap()) ||
+		!leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
 		t.Errorf("while the daemon changes over: %+v", leased)
 	}
 	if _, _, ok := unable.Valid(now); ok {
@@ -175,7 +179,8 @@
 	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
 	rounds(3)
 	if version, _, ok := unable.Valid(now); version != 4 || !ok {
-		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; lagging: %v", version, ok, m.laggingDaemons(now, state))
+		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; lagging: %v",
+			version, ok, m.laggingDaemons(now, state))
 	}
 	if version, lagging := able.FullyActive(); version != 4 || len(lagging) > 0 {
 		t.Errorf("all daemons act on %d, lagging: %v", version, lagging)
@@ -193,8 +198,8 @@
 	}
 }
 
-// What a leader does for each request while a version is pending, with its share of the work that visits all daemons once a
-// heartbeat.
+// What a leader does for each request while a version is pending, with its share of the work that visits all daemons
+// once a heartbeat.
 func BenchmarkGrant(b *testing.B) {
 	for _, daemons := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
@@ -205,7 +210,8 @@
 				if i%requestsPerHeartbeat == 0 {
 					m.Refresh(now, state)
 				}
-				m.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%daemons), Seq: i / daemons, ReadyVersion: 1, AcceptedSeq: i / daemons}, state)
+				seq := i / daemons
+				m.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%daemons), Seq: seq, ReadyVersion: 1, AcceptedSeq: seq}, state)
 			}
 		})
 	}
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// The voters change in two steps. A command assigns or removes a voter slot; there is at most one such change in progress. The
-// leader then carries it over into raft's configuration (reconfiguration.go). The id of a slot is never assigned twice: a
-// daemon that returns with an empty disk becomes another voter, so that nothing that the one before has acknowledged is lost
-// unnoticed.
+// The voters change in two steps. A command assigns or removes a voter slot; there is at most one such change in
+// progress. The leader then carries it over into raft's configuration (reconfiguration.go). The id of a slot is never
+// assigned twice: a daemon that returns with an empty disk becomes another voter, so that nothing that the one before
+// has acknowledged is lost unnoticed.
 //
-// A slot is bound to one disk. The log has the disk's id before raft's configuration names the new voter, and the new voter
-// starts only when a leader, confirmed by a majority, says so for this very disk. A daemon whose disk was lost has another id
-// and stays away: raft may count on what was on the lost disk.
+// A slot is bound to one disk. The log has the disk's id before raft's configuration names the new voter, and the new
+// voter starts only when a leader, confirmed by a majority, says so for this very disk. A daemon whose disk was lost
+// has another id and stays away: raft may count on what was on the lost disk.
 
 // MaxVoters is the greatest number of voter slots.
 const MaxVoters = 7
@@ -25,8 +25,8 @@
 	Out  bool   `json:"out,omitempty"` // its slot is removed
 }
 
-// SlotClaim binds a voter slot to the disk of its daemon. On the wire and in the log, "seat" is the slot's id and "mark" the
-// disk's.
+// SlotClaim binds a voter slot to the disk of its daemon. On the wire and in the log, "seat" is the slot's id and
+// "mark" the disk's.
 type SlotClaim struct {
 	VoterID uint64 `json:"seat"`
 	DiskID  string `json:"mark"`
@@ -42,8 +42,8 @@
 	return 0
 }
 
-// VoterName returns the name of the daemon that has a raft id, including one that is about to leave; empty: the id is not in
-// use.
+// VoterName returns the name of the daemon that has a raft id, including one that is about to leave; empty: the id is
+// not in use.
 func (s *State) VoterName(id uint64) string { return cmp.Or(s.Seats[id], s.Leaving[id]) }
 
 // Voters returns the names of all daemons with a voter slot, sorted.
@@ -58,8 +58,8 @@
 	return names
 }
 
-// setInitialVoters assigns slots to the initial voters, which vote at once. Their ids are 1, 2, ... in the order of their
-// names.
+// setInitialVoters assigns slots to the initial voters, which vote at once. Their ids are 1, 2, ... in the order of
+// their names.
 func (s *State) setInitialVoters(names []string) {
 	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
 	s.InitialVoters = slices.Sorted(slices.Values(names))
@@ -147,8 +147,9 @@
 	VoterDiskLost                    // the daemon's slot is bound to another disk than it has: it must not vote
 )
 
-// VoterAction returns what the daemon that received the grant has to do. voterID is the id of the voter that it runs, 0 for
-// none. A voter whose slot was removed continues until raft's configuration drops it, since a majority may need its vote.
+// VoterAction returns what the daemon that received the grant has to do. voterID is the id of the voter that it runs, 0
+// for none. A voter whose slot was removed continues until raft's configuration drops it, since a majority may need its
+// vote.
 func (g *LeaseGrant) VoterAction(name string, voterID uint64) VoterAction {
 	switch {
 	case voterID != 0 && g.Seat != voterID && !slices.Contains(g.Sitting, name):
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -51,8 +51,8 @@
 	return v.Grants[0].Grant
 }
 
-// A voter slot can be used with the disk whose id is in the log, and with no other. Before that, raft does not learn of the
-// new voter.
+// A voter slot can be used with the disk whose id is in the log, and with no other. Before that, raft does not learn of
+// the new voter.
 func TestVoterSlotIsClaimedByOneDisk(t *testing.T) {
 	v, now := newSingleVoter(t)
 	change := func(c VoterChange) error {
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// VoterOutput is what a voter wants done, in this order: the records are appended to the durable log and synced, the snapshot
-// is stored, and only then are the messages sent.
+// VoterOutput is what a voter wants done, in this order: the records are appended to the durable log and synced, the
+// snapshot is stored, and only then are the messages sent.
 type VoterOutput struct {
 	Records  []Record
 	Snapshot *Snapshot // nil: none
@@ -26,9 +26,9 @@
 	Err error // why the command changed nothing
 }
 
-// Output returns what is to be done now, or nil if there is nothing. It is called in a loop until it returns nil; what it
-// returned must be done before any other method is called. It also adds to Results and Grants, which may be sent only after
-// that. When Stopped is set, none of this may be used.
+// Output returns what is to be done now, or nil if there is nothing. It is called in a loop until it returns nil; what
+// it returned must be done before any other method is called. It also adds to Results and Grants, which may be sent
+// only after that. When Stopped is set, none of this may be used.
 func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.stopOnRaftPanic()
 	if v.Stopped != nil || !v.rawNode.HasReady() {
@@ -57,8 +57,8 @@
 	}
 	v.grantConfirmedLeases(now)
 	if hasSnapshot {
-		// The snapshot below includes the hard state and the entries that came with it. As records of their own they would
-		// become durable before it, and a loss of power in between would leave a log with a gap.
+		// The snapshot below includes the hard state and the entries that came with it. As records of their own they
+		// would become durable before it, and a loss of power in between would leave a log with a gap.
 		out.Records = []Record{{recordSnapshotMarker, nil}}
 	}
 	if hasSnapshot || v.needsSnapshot() {
@@ -76,7 +76,8 @@
 	}
 }
 
-// appendToLog appends raft's new entries and its hard state to the log in memory, and returns the records for the durable one.
+// appendToLog appends raft's new entries and its hard state to the log in memory, and returns the records for the
+// durable one.
 func (v *Voter) appendToLog(ready *raft.Ready) (records []Record) {
 	for _, entry := range ready.Entries {
 		records = append(records, Record{recordEntry, mustMarshal(entry)})
@@ -111,7 +112,8 @@
 	v.Results = append(v.Results, Result{id, result, err})
 }
 
-// hasAppliedOwnTerm tells whether this leader has applied an entry of its own term, and hence all that was committed before.
+// hasAppliedOwnTerm tells whether this leader has applied an entry of its own term, and hence all that was committed
+// before.
 func (v *Voter) hasAppliedOwnTerm() bool {
 	term, err := v.storage.Term(v.appliedIndex)
 	return err == nil && term == v.Term()
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// raftPanic is what raft panics with, through its logger, where its log contradicts what other voters say: the disk has lost
-// what this voter had acknowledged, or is a copy of an earlier day.
+// raftPanic is what raft panics with, through its logger, where its log contradicts what other voters say: the disk has
+// lost what this voter had acknowledged, or is a copy of an earlier day.
 type raftPanic string
 
-// stopOnRaftPanic is deferred around calls into raft. It ends this voter instead of the daemon, which can go on under leases;
-// other panics continue.
+// stopOnRaftPanic is deferred around calls into raft. It ends this voter instead of the daemon, which can go on under
+// leases; other panics continue.
 func (v *Voter) stopOnRaftPanic() {
 	switch cause := recover().(type) {
 	case nil:
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -26,8 +26,8 @@
 	request   LeaseRequest
 }
 
-// RequestLease accepts a request for a lease, or returns ErrNotLeader. The answer is added to Grants once a majority has
-// confirmed that this voter leads.
+// RequestLease accepts a request for a lease, or returns ErrNotLeader. The answer is added to Grants once a majority
+// has confirmed that this voter leads.
 func (v *Voter) RequestLease(r LeaseRequest) error {
 	defer v.stopOnRaftPanic()
 	if !v.isLeader || v.leaseManager == nil || len(v.unconfirmedLeases)+len(v.confirmedLeases) >= maxPendingLeaseRequests {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -10,15 +10,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is by how many entries a learner may be behind when it is promoted: it gets them with the next messages.
+// maxLearnerLag is by how many entries a learner may be behind when it is promoted: it gets them with the next
+// messages.
 const maxLearnerLag = 16
 
 // IsLearner tells whether this voter does not vote yet.
 func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.config.ID] }
 
-// reconcileVoters proposes the next change that brings raft's configuration nearer to the voter slots: a new voter becomes a
-// learner first and votes when it has the log; then voters without a slot are removed. raft drops a proposal while the change
-// before it is not applied.
+// reconcileVoters proposes the next change that brings raft's configuration nearer to the voter slots: a new voter
+// becomes a learner first and votes when it has the log; then voters without a slot are removed. raft drops a proposal
+// while the change before it is not applied.
 func (v *Voter) reconcileVoters() {
 	if v.leaseManager == nil {
 		return
@@ -98,8 +99,8 @@
 	maps.DeleteFunc(v.state.Leaving, func(id uint64, _ string) bool { return !active[id] })
 }
 
-// addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. A disk that is new to
-// a free slot is proposed for it; the daemon learns the outcome with a later grant.
+// addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. A disk that is
+// new to a free slot is proposed for it; the daemon learns the outcome with a later grant.
 func (v *Voter) addSlotStatus(request *LeaseRequest, grant *LeaseGrant) {
 	grant.Seat = v.state.VoterID(request.Daemon)
 	if grant.Seat == 0 || request.Mark == "" {
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -23,12 +23,12 @@
 	Payload []byte
 }
 
-// RecoveredState collects what a durable log holds when it is opened: first Restore is called with the latest snapshot, if
-// there is one, then Replay with each record after it. NewVoter takes it over.
+// RecoveredState collects what a durable log holds when it is opened: first Restore is called with the latest snapshot,
+// if there is one, then Replay with each record after it. NewVoter takes it over.
 type RecoveredState struct{ storage *raft.MemoryStorage }
 
-// NewRecoveredState returns the state of an empty disk. initialVoters are the fleet's initial voters, whose ids are their places
-// in sorted order, from 1; none: the voter joins a fleet that has begun, and gets the log from others.
+// NewRecoveredState returns the state of an empty disk. initialVoters are the fleet's initial voters, whose ids are
+// their places in sorted order, from 1; none: the voter joins a fleet that has begun, and gets the log from others.
 func NewRecoveredState(initialVoters []string) (*RecoveredState, error) {
 	d := &RecoveredState{storage: raft.NewMemoryStorage()}
 	if len(initialVoters) == 0 {
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// When a snapshot is taken, and how much of the log stays beside it for voters that are a little behind. They would otherwise
-// need the whole snapshot.
+// When a snapshot is taken, and how much of the log stays beside it for voters that are a little behind. They would
+// otherwise need the whole snapshot.
 const (
 	snapshotEntries  = 1000    // entries applied since the last snapshot, or
 	snapshotLogBytes = 8 << 20 // bytes of them: several of the longest commands
@@ -63,14 +63,16 @@
 	return nil
 }
 
-// needsSnapshot tells whether the log has grown so much that a snapshot is due, or a learner was added: it accepts only a
-// snapshot whose configuration names it.
+// needsSnapshot tells whether the log has grown so much that a snapshot is due, or a learner was added: it accepts only
+// a snapshot whose configuration names it.
 func (v *Voter) needsSnapshot() bool {
-	return v.appliedIndex >= v.snapshotIndex+snapshotEntries || v.bytesSinceSnapshot >= snapshotLogBytes || v.needsLearnerSnapshot
+	return v.needsLearnerSnapshot ||
+		v.appliedIndex >= v.snapshotIndex+snapshotEntries ||
+		v.bytesSinceSnapshot >= snapshotLogBytes
 }
 
-// takeSnapshot returns a snapshot of what is applied together with the entries of the log beyond that, and compacts the log in
-// memory.
+// takeSnapshot returns a snapshot of what is applied together with the entries of the log beyond that, and compacts the
+// log in memory.
 func (v *Voter) takeSnapshot() *Snapshot {
 	data, err := v.state.Encode()
 	if err != nil {
@@ -100,7 +102,8 @@
 	return &Snapshot{Body: joinParts(parts...)}
 }
 
-// compactionIndex returns the entry up to which the log may be dropped, now that a snapshot has all that is applied; 0: none.
+// compactionIndex returns the entry up to which the log may be dropped, now that a snapshot has all that is applied; 0:
+// none.
 func (v *Voter) compactionIndex() uint64 {
 	first, err := v.storage.FirstIndex()
 	if err != nil || first > v.appliedIndex {
@@ -119,7 +122,8 @@
 	return 0
 }
 
-// ReportSnapshot tells raft whether a snapshot was sent to another voter. It must be called for each message of type MsgSnap.
+// ReportSnapshot tells raft whether a snapshot was sent to another voter. It must be called for each message of type
+// MsgSnap.
 func (v *Voter) ReportSnapshot(to uint64, isSent bool) {
 	status := raft.SnapshotFailure
 	if isSent {
@@ -128,8 +132,8 @@
 	v.rawNode.ReportSnapshot(to, status)
 }
 
-// joinParts concatenates the parts of a snapshot's body, each behind its length as a varint. The form is stored and must not
-// change.
+// joinParts concatenates the parts of a snapshot's body, each behind its length as a varint. The form is stored and
+// must not change.
 func joinParts(parts ...[]byte) (body []byte) {
 	for _, part := range parts {
 		body = append(binary.AppendUvarint(body, uint64(len(part))), part...)
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -6,29 +6,29 @@
 	"slices"
 )
 
-// maxRecentResults bounds the commands whose duplicates are recognized. A requester retries within seconds, in which far fewer
-// commands are committed.
+// maxRecentResults bounds the commands whose duplicates are recognized. A requester retries within seconds, in which
+// far fewer commands are committed.
 const maxRecentResults = 1024
 
-// State is what the commands of the log have produced. It depends on nothing else: voters that have applied the same commands
-// have equal States. The names in JSON are those of stored snapshots.
+// State is what the commands of the log have produced. It depends on nothing else: voters that have applied the same
+// commands have equal States. The names in JSON are those of stored snapshots.
 type State struct {
 	Version       uint64              `json:"version"` // of the latest change
-	Coming        uint64              `json:"coming"`  // the pending version, to be activated next; equal to Active: none. Later changes wait for it
+	Coming        uint64              `json:"coming"`  // the pending version, to be activated next; equal to Active: none
 	Active        uint64              `json:"active"`  // on which daemons act
-	Forced        uint64              `json:"forced"`  // versions up to this one are activated although some daemons reject them
+	Forced        uint64              `json:"forced"`  // up to this one versions are activated although daemons reject them
 	Docs          map[string]Document `json:"docs"`    // as of Version; never modified once handed out
 	PendingDocs   map[string]Document `json:"next"`    // as of the pending version; never modified
 	ActiveDocs    map[string]Document `json:"acted"`   // as of Active; never modified
 	History       []HistoryEntry      `json:"history"` // oldest first, at most maxHistoryEntries
-	RetainedDocs  []Document          `json:"kept"`    // replaced or removed ones that can be read and reverted to; oldest first
+	RetainedDocs  []Document          `json:"kept"`    // replaced or removed ones, to read or revert to; oldest first
 	RecentResults []recentResult      `json:"ids"`     // of commands with an ID, oldest first, at most maxRecentResults
 
 	Seats         map[uint64]string `json:"seats"`     // voter slots: names by raft id; never modified once handed out
 	Sitting       map[uint64]bool   `json:"sitting"`   // the ids that vote in raft's configuration
-	Leaving       map[uint64]string `json:"leaving"`   // names of voters that have lost their slot and vote until raft's configuration drops them
+	Leaving       map[uint64]string `json:"leaving"`   // without a slot, voting until raft's configuration drops them
 	DiskIDs       map[uint64]string `json:"marks"`     // of slots whose voter is not active yet; set once
-	LastVoterID   uint64            `json:"last_seat"` // the highest id that was ever assigned: ids are not reused
+	LastVoterID   uint64            `json:"last_seat"` // the highest id assigned so far: ids are not reused
 	InitialVoters []string          `json:"first"`     // sorted
 }
 
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -34,8 +34,8 @@
 	return Command{Put: &DocumentPut{name, []byte(body)}}
 }
 
-// For any commands in any order and with any duplicates: versions only grow, a duplicate is applied once, a command that
-// expects another version changes nothing, and two States that applied the same commands are equal.
+// For any commands in any order and with any duplicates: versions only grow, a duplicate is applied once, a command
+// that expects another version changes nothing, and two States that applied the same commands are equal.
 func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
@@ -54,8 +54,10 @@
 				DigestOf(a.Docs) != DigestOf(b.Docs) || DigestOf(a.ActiveDocs) != DigestOf(b.ActiveDocs) {
 				t.Fatalf("%s: two States differ", entry)
 			}
-			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Coming || a.Coming > a.Version || err != nil && a.Version != before.Version {
-				t.Fatalf("%s: version %d, pending %d, active %d after %d, %d, %d", entry, a.Version, a.Coming, a.Active, before.Version, before.Coming, before.Active)
+			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Coming || a.Coming > a.Version ||
+				err != nil && a.Version != before.Version {
+				t.Fatalf("%s: version %d, pending %d, active %d after %d, %d, %d", entry,
+					a.Version, a.Coming, a.Active, before.Version, before.Coming, before.Active)
 			}
 			if c.Activate == 0 && err == nil {
 				if first, ok := made[c.ID]; ok && first != version {
@@ -85,11 +87,13 @@
 	return c
 }
 
-// A document can be read as of any version, and reverted to it, while that is retained. What is not retained any more is told
-// from what never existed.
+// A document can be read as of any version, and reverted to it, while that is retained. What is not retained any more
+// is told from what never existed.
 func TestDocumentsAreReadAndRevertedByVersion(t *testing.T) {
 	state := NewState()
-	for _, c := range []Command{putCommand("a", "1"), putCommand("b", "x"), putCommand("a", "2"), {Remove: "a"}, putCommand("a", "3")} {
+	for _, c := range []Command{
+		putCommand("a", "1"), putCommand("b", "x"), putCommand("a", "2"), {Remove: "a"}, putCommand("a", "3"),
+	} {
 		mustApply(t, state, c)
 	}
 	for version, want := range map[uint64]string{1: "1", 2: "1", 3: "2", 5: "3", 0: "3", 9: "3"} {
@@ -149,7 +153,8 @@
 	if mustApply(t, state, Command{Skip: 3}); state.Coming != 3 {
 		t.Error("a forced version is skipped")
 	}
-	if mustApply(t, state, Command{Activate: 3}); state.Active != 3 || state.Coming != 4 || string(state.ActiveDocs["a"].Body) != "2" {
+	mustApply(t, state, Command{Activate: 3})
+	if state.Active != 3 || state.Coming != 4 || string(state.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("after the activation of version 3: %+v", state)
 	}
 	later := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -9,7 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// electionHeartbeats is for how many heartbeat intervals a follower hears nothing of a leader, at least, before it campaigns.
+// electionHeartbeats is for how many heartbeat intervals a follower hears nothing of a leader, at least, before it
+// campaigns.
 const electionHeartbeats = 5
 
 // Bounds of raft's messages and of its uncommitted log.
@@ -27,11 +28,11 @@
 	Lease LeaseConfig
 }
 
-// Voter is one replica of the State: raft's node, the log in memory and, while it leads, the manager of leases. It is not safe
-// for concurrent use.
+// Voter is one replica of the State: raft's node, the log in memory and, while it leads, the manager of leases. It is
+// not safe for concurrent use.
 //
-// Its owner calls Tick at NextTick and passes messages of other voters to Receive. After each call of any method it calls
-// Output until that returns nil, and takes Results and Grants.
+// Its owner calls Tick at NextTick and passes messages of other voters to Receive. After each call of any method it
+// calls Output until that returns nil, and takes Results and Grants.
 type Voter struct {
 	config  Config
 	rng     *rand.Rand
@@ -61,11 +62,13 @@
 	Results []Result
 	// Grants that are to be sent. Their taker sets the field to nil.
 	Grants []AddressedGrant
-	// Stopped is why this voter must not continue; nil: it may. Its owner then uses none of its output and closes its log.
+	// Stopped is why this voter must not continue; nil: it may. Its owner then uses none of its output and closes its
+	// log.
 	Stopped error
 }
 
-// NewVoter returns the voter whose disk held d, which it takes over. The error is the cause if the log is not consistent.
+// NewVoter returns the voter whose disk held d, which it takes over. The error is the cause if the log is not
+// consistent.
 func NewVoter(now time.Duration, config Config, d *RecoveredState) (_ *Voter, err error) {
 	v := &Voter{
 		config:       config,
@@ -160,8 +163,8 @@
 	v.reconcileVoters()
 }
 
-// proposeActivation proposes that the pending version be activated, or be skipped, when it may be. Each version is proposed
-// once a term.
+// proposeActivation proposes that the pending version be activated, or be skipped, when it may be. Each version is
+// proposed once a term.
 func (v *Voter) proposeActivation(now time.Duration) {
 	if v.leaseManager == nil {
 		return
@@ -194,8 +197,8 @@
 	return v.leaderSeenAt + electionHeartbeats*v.config.Beat
 }
 
-// resetElectionTimer draws the instant at which this voter campaigns if it hears of no leader, so that few voters do at once.
-// raft's own draw takes no seed: followers are therefore not ticked, and campaign when this timer expires.
+// resetElectionTimer draws the instant at which this voter campaigns if it hears of no leader, so that few voters do at
+// once. raft's own draw takes no seed: followers are therefore not ticked, and campaign when this timer expires.
 func (v *Voter) resetElectionTimer(now time.Duration) {
 	timeout := electionHeartbeats * v.config.Beat
 	v.campaignAt = now + timeout + time.Duration(v.rng.Int64N(int64(timeout)))
@@ -214,8 +217,8 @@
 	_ = v.rawNode.Step(message)
 }
 
-// Propose proposes a command for the log. An error means that this voter can't, and that nothing was done. Without an error
-// the command may still be lost; if it is committed, its Result follows.
+// Propose proposes a command for the log. An error means that this voter can't, and that nothing was done. Without an
+// error the command may still be lost; if it is committed, its Result follows.
 func (v *Voter) Propose(c *Command) error {
 	encoded, err := c.Encode()
 	if err != nil {
