--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// LeaseConfig has the durations of leases, which are the same for all daemons of a fleet. Clocks are taken to run at a
-// rate between 1-Drift and 1+Drift of true time.
+// LeaseConfig has the durations of leases, which are the same for all daemons of a fleet. The rates of clocks are taken to
+// differ from that of true time by no more than the drift.
 type LeaseConfig struct {
 	Lease time.Duration // of a lease, by the holder's clock
 	Short time.Duration // of a lease while a version is pending
-	Drift float64       // the greatest relative error of a clock's rate
+	Drift float64       // the greatest relative error of a clock's rate, 0.01 for 1 %
 
 	// Faults that tests inject to verify that they are detected. All are off in the daemon.
 	CountFromGrant bool // a lease counts from the arrival of its grant instead of from the request
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -28,7 +28,7 @@
 
 // Output returns what is to be done now, or nil if there is nothing. It is called in a loop until it returns nil; what
 // it returned must be done before any other method is called. It also adds to Results and Grants, which may be sent
-// only after that. When Stopped is set, none of this may be used.
+// only after that. Once the voter has stopped, none of this may be used.
 func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.stopOnRaftPanic()
 	if v.Stopped != nil || !v.rawNode.HasReady() {
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -62,7 +62,7 @@
 	Results []Result
 	// Grants that are to be sent. Their taker sets the field to nil.
 	Grants []AddressedGrant
-	// Stopped is why this voter must not continue; nil: it may. Its owner then uses none of its output and closes its
+	// The cause for which this voter must not continue; nil: it may. Its owner then uses none of its output and closes its
 	// log.
 	Stopped error
 }
