--- a/internal/cluster/raftnode/messages_test.go
+++ b/internal/cluster/raftnode/messages_test.go
@@ -26,7 +26,7 @@
 		},
 		{
 			name: "bootstrap vote of a voter that has yet to begin",
-			body: bootstrapMessage{Round: 3, IsRequest: true, Vote: consensus.BootstrapVote{Mark: "m"}},
+			body: bootstrapMessage{Round: 3, IsRequest: true, Vote: consensus.BootstrapVote{DiskID: "m"}},
 			want: `{"round":3,"asks":true,"word":{"begun":false,"mark":"m","marks":null}}`,
 		},
 		{
