--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -182,8 +182,9 @@
 	return n, nil
 }
 
-func (s *script) source(size int64) Source {
-	return Source{Body: s, Deadline: func(at time.Time) error { s.deadline = at; return nil }, Size: size, Most: 1 << 20, Pace: Pace{Idle: time.Second, Rate: 1000}}
+// source is the body as one of which the size is not known.
+func (s *script) source() Source {
+	return Source{Body: s, Deadline: func(at time.Time) error { s.deadline = at; return nil }, Size: -1, Most: 1 << 20, Pace: Pace{Idle: time.Second, Rate: 1000}}
 }
 
 func upload(t *testing.T, pool *Pool, s Source) *Upload {
@@ -195,16 +196,27 @@
 	return u
 }
 
-func all(f *Flow) (out []byte, err error) {
-	for {
-		part, err := f.Next()
-		if err != nil {
-			return out, err
+// flowReader reads a flow. What Next fails with is passed on as it is.
+type flowReader struct {
+	f    *Flow
+	part []byte
+}
+
+func (r *flowReader) Read(to []byte) (int, error) {
+	if len(r.part) == 0 {
+		var err error
+		if r.part, err = r.f.Next(); err != nil {
+			return 0, err
 		}
-		out = append(out, part...)
 	}
+	n := copy(to, r.part)
+	r.part = r.part[n:]
+	return n, nil
 }
 
+// all is all of a flow. The error is nil where the flow ends with io.EOF itself, by which io.ReadAll and others know the end.
+func all(f *Flow) ([]byte, error) { return io.ReadAll(&flowReader{f: f}) }
+
 func TestABodyCanBeSentAgainWhileItIsHeld(t *testing.T) {
 	for _, row := range []struct {
 		length int
@@ -212,7 +224,7 @@
 	}{{10, true}, {Held - 1, true}, {Held, true}, {Held + 1, false}, {5 * Window, false}} {
 		text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
 		pool := NewPool(2 * Window)
-		u := upload(t, pool, (&script{parts: [][]byte{text[:row.length/2], text[row.length/2:]}, end: io.EOF}).source(-1))
+		u := upload(t, pool, (&script{parts: [][]byte{text[:row.length/2], text[row.length/2:]}, end: io.EOF}).source())
 		if whole, err := u.Fill(); err != nil || whole != (row.length < Held) {
 			t.Errorf("%d bytes: whole %v, %v", row.length, whole, err)
 		}
@@ -224,7 +236,7 @@
 			if !ok {
 				continue
 			}
-			if got, err := all(f); err != io.EOF || !bytes.Equal(got, text) {
+			if got, err := all(f); err != nil || !bytes.Equal(got, text) {
 				t.Errorf("%d bytes, try %d: %d bytes came, %v", row.length, try, len(got), err)
 			}
 			f.End()
@@ -247,7 +259,7 @@
 			if len(s.parts[0]) == 0 {
 				s.parts = s.parts[1:]
 			}
-			u := upload(t, NewPool(2*Window), s.source(-1))
+			u := upload(t, NewPool(2*Window), s.source())
 			for range (length - 100 + Held - 1) / Held {
 				s.gate <- struct{}{}
 			}
@@ -269,10 +281,10 @@
 			}()
 			synctest.Wait()
 			s.gate <- struct{}{}
-			if err := <-read; err != errEnded {
+			if err := <-read; !errors.Is(err, errEnded) {
 				t.Errorf("the first: %v", err)
 			}
-			if err := <-done; err != io.EOF || !bytes.Equal(got, text) {
+			if err := <-done; err != nil || !bytes.Equal(got, text) {
 				t.Errorf("the second: %d bytes of %d, %v", len(got), len(text), err)
 			}
 			u.Close(time.Second, 100)
@@ -295,11 +307,11 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if row.s.end == errNothing { // of this bubble's own
+				if errors.Is(row.s.end, errNothing) { // of this bubble's own
 					row.s.gate = make(chan struct{})
 				}
 				pool := NewPool(2 * Window)
-				u := upload(t, pool, row.s.source(-1))
+				u := upload(t, pool, row.s.source())
 				f, _ := u.Begin()
 				if _, err := all(f); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
 					t.Errorf("%v, %v, want %v", err, u.Err(), row.want)
@@ -325,7 +337,7 @@
 		for range 1000 {
 			s.parts = append(s.parts, []byte{1})
 		}
-		u := upload(t, NewPool(2*Window), s.source(-1))
+		u := upload(t, NewPool(2*Window), s.source())
 		go func() {
 			for {
 				select {
@@ -365,7 +377,7 @@
 			for range c.parts {
 				s.parts = append(s.parts, make([]byte, Held))
 			}
-			from := s.source(-1)
+			from := s.source()
 			from.Expects = c.expects
 			u := upload(t, NewPool(2*Window), from)
 			if err := u.Exhaust(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) || u.Whole() != (c.want == nil) || len(s.parts) != c.left {
@@ -380,7 +392,7 @@
 func TestCloseDrainsWithinItsBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{parts: [][]byte{make([]byte, 300<<10), {1}}, gate: make(chan struct{})}
-		u := upload(t, NewPool(2*Window), s.source(-1))
+		u := upload(t, NewPool(2*Window), s.source())
 		go func() {
 			for range 100 {
 				select {
@@ -390,7 +402,9 @@
 			}
 		}()
 		f, _ := u.Begin()
-		f.Next()
+		if _, err := f.Next(); err != nil {
+			t.Error(err)
+		}
 		f.End()
 		began := time.Now()
 		u.Close(500*time.Millisecond, 128<<10)
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -68,7 +68,7 @@
 // request whose beginning does not come reaches nobody.
 func (u *Upload) Fill() (whole bool, err error) {
 	for u.held < Held {
-		if _, err := u.read(nil); err == io.EOF {
+		if _, err := u.read(nil); errors.Is(err, io.EOF) {
 			return true, nil
 		} else if err != nil {
 			return false, err
@@ -117,7 +117,7 @@
 	}
 	u.mu.Unlock()
 	for {
-		if _, err := u.read(nil); err == io.EOF {
+		if _, err := u.read(nil); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
@@ -203,7 +203,7 @@
 	}
 	u.mu.Unlock()
 	for err == nil && n == 0 {
-		n, err = u.Body.Read(to)
+		n, err = Read(u.Body, to)
 	}
 	u.meter.Moved(n, time.Since(began))
 	u.mu.Lock()
@@ -231,7 +231,7 @@
 	switch {
 	case u.got > u.Most:
 		u.err = ErrTooLong
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		u.whole = true
 		_ = u.Deadline(time.Time{})
 		return
--- a/internal/frontend/callers.go
+++ b/internal/frontend/callers.go
@@ -382,7 +382,7 @@
 // Finish closes the listener, retires what is idle and returns when all connections have ended, each with its last
 // request answered.
 func (l *Listener) Finish() error {
-	err := l.Listener.Close()
+	err := l.Close()
 	for l.retireIdle() > 0 {
 		time.Sleep(lookAround)
 	}
--- a/internal/frontend/callers_test.go
+++ b/internal/frontend/callers_test.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -58,18 +59,21 @@
 	l, c, _ := accepted(t)
 	read := make(chan error)
 	go func() {
-		_, err := c.Read(make([]byte, 1))
+		rest, err := io.ReadAll(c) // no error: the read ended with io.EOF
+		if len(rest) > 0 {
+			err = fmt.Errorf("%q came, %w", rest, err)
+		}
 		read <- err
 	}()
 	l.retireIdle()
-	if err := <-read; err != io.EOF {
+	if err := <-read; err != nil {
 		t.Errorf("the read that waited: %v", err)
 	}
 	if err := c.SetReadDeadline(time.Now().Add(testpeer.Patience)); err != nil { // as net/http does after its hook
 		t.Fatal(err)
 	}
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the next read: %v", err)
+	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
+		t.Errorf("the next read: %q, %v", rest, err)
 	}
 }
 
@@ -86,8 +90,8 @@
 	c.stand(&l.silent)
 	c.since = time.Now().Add(-2 * silentLeast)
 	l.retireIdle()
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("silent for long: %v", err)
+	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
+		t.Errorf("silent for long: %q, %v", rest, err)
 	}
 }
 
@@ -100,8 +104,8 @@
 	l.mu.Lock()
 	l.makeRoom()
 	l.mu.Unlock()
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("half a head: %v", err)
+	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
+		t.Errorf("half a head: %q, %v", rest, err)
 	}
 	l, c, _ = accepted(t)
 	other := &callerConn{Conn: c.Conn, all: l, unread: true}
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -38,9 +38,9 @@
 }
 
 func (f *framing) step(c byte) {
-	switch {
-	case c == '\r':
-	case c == '\n':
+	switch c {
+	case '\r':
+	case '\n':
 		f.over = f.line == 0 && !f.first
 		f.first = f.first && f.line == 0
 		f.n, f.line = 0, 0
--- a/internal/frontend/long.go
+++ b/internal/frontend/long.go
@@ -204,7 +204,7 @@
 	}
 	for {
 		part, next := a.Stream.Next()
-		if next == io.EOF {
+		if errors.Is(next, io.EOF) {
 			break
 		}
 		if next != nil {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -15,7 +15,8 @@
 
 // Bytes ends the reply and returns it; the next action starts a new one.
 func (r *Reply) Bytes() []byte {
-	out := append(r.buf, "FINISHED\n"...)
+	r.buf = append(r.buf, "FINISHED\n"...)
+	out := r.buf
 	r.buf, r.any = out[:0], false
 	return out
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -55,7 +55,7 @@
 func ParseSettings(text []byte) (Settings, error) {
 	var c settings
 	if err := json.Unmarshal(text, &c); err != nil {
-		return Settings{}, fmt.Errorf("Config: %w", err)
+		return Settings{}, fmt.Errorf("parsing Config: %w", err)
 	}
 	s := Settings{ConnIdle: us(c.Permissions.ConnIdleUs), DialTimeout: us(c.Permissions.DialTimeoutUs)}
 	s.Settings = balance.Settings{
@@ -73,7 +73,7 @@
 	case "subscribe":
 		s.MustSubscribe = true
 	default:
-		return s, fmt.Errorf("Config: unknown Discovery %q", c.Discovery)
+		return s, fmt.Errorf("unknown Discovery %q in Config", c.Discovery)
 	}
 	told := true
 	for _, l := range c.Lanes {
@@ -87,7 +87,7 @@
 		case "non_idempotent":
 			k.Effect = balance.Unsafe
 		default:
-			return s, fmt.Errorf("Config: class %q has unknown Semantics %q", l.Name, l.Semantics)
+			return s, fmt.Errorf("class %q in Config has unknown Semantics %q", l.Name, l.Semantics)
 		}
 		switch l.Group {
 		case "all", "":
@@ -97,7 +97,7 @@
 		case "cell":
 			k.Group = balance.GroupCell
 		default:
-			return s, fmt.Errorf("Config: class %q has unknown Group %q", l.Name, l.Group)
+			return s, fmt.Errorf("class %q in Config has unknown Group %q", l.Name, l.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -57,7 +57,7 @@
 func (r *Reader) Run(h Handler) error {
 	for {
 		line, err := r.readLine()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			if r.open {
 				return fmt.Errorf("line %d: input ends within a batch", r.line)
 			}
@@ -197,7 +197,7 @@
 			to.EndpointList(r.now, l)
 		}
 	case "CALL":
-		q := balance.Request{ID: p.id("Rid"), Class: p.word("Band", true), Tenant: p.word("Team", false),
+		q := balance.Request{ID: p.requestID(), Class: p.word("Band", true), Tenant: p.word("Team", false),
 			Deadline: p.micros("ValidUntilUs", true)}
 		flags := p.integer("Attrs", false)
 		q.Repeat = flags&2 != 0
@@ -205,18 +205,18 @@
 			to.Request(r.now, q)
 		}
 	case "FLOWING":
-		id, n := p.id("Rid"), p.integer("N", true)
+		id, n := p.requestID(), p.integer("N", true)
 		if p.err == nil {
 			to.StreamStarted(r.now, id, n)
 		}
 	case "ATTEMPT_END":
-		o := balance.Outcome{ID: p.id("Rid"), Attempt: p.integer("N", true), Endpoint: p.word("Endpoint", true),
+		o := balance.Outcome{ID: p.requestID(), Attempt: p.integer("N", true), Endpoint: p.word("Endpoint", true),
 			Result: p.result(), Took: p.micros("SpentUs", true), Final: p.integer("DoneFlag", false) != 0}
 		if p.err == nil {
 			to.Outcome(r.now, o)
 		}
 	case "LEFT":
-		if id := p.id("Rid"); p.err == nil {
+		if id := p.requestID(); p.err == nil {
 			to.ClientLeft(r.now, id)
 		}
 	case "BELL":
@@ -383,7 +383,7 @@
 
 func (p *fields) text(key string, required bool) string { return string(p.bytes(key, required)) }
 
-func (p *fields) id(key string) string { return p.text(key, true) }
+func (p *fields) requestID() string { return p.text("Rid", true) }
 
 // word reads a value from a small vocabulary, such as a class or an endpoint, without a new string each time.
 func (p *fields) word(key string, required bool) string {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -59,7 +59,7 @@
 			for {
 				part, err := a.Stream.Next()
 				if err != nil {
-					if err == io.EOF {
+					if errors.Is(err, io.EOF) {
 						err = nil
 					}
 					passed <- all
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -145,7 +145,7 @@
 		case err == nil:
 			last = passed == size
 			err = p.write(last, p.framed(part)...)
-		case err == io.EOF && size < 0:
+		case errors.Is(err, io.EOF) && size < 0:
 			last = true
 			err = p.write(true, p.last())
 		default:
@@ -277,7 +277,7 @@
 		defer timer.Stop()
 		s.fill()
 		if s.ended() && s.claimed.CompareAndSwap(false, true) {
-			if err := x.c.SetReadDeadline(time.Time{}); s.err != io.EOF || err != nil {
+			if err := x.c.SetReadDeadline(time.Time{}); !errors.Is(s.err, io.EOF) || err != nil {
 				return x.c.broken(ctx, s.err), Response{}, false
 			}
 			return x.told(resp, bytes.Clone(s.window[:s.held]))
@@ -345,7 +345,7 @@
 	}
 	s.mu.Unlock()
 	began := time.Now()
-	n, err := s.resp.Body.Read(to)
+	n, err := body.Read(s.resp.Body, to)
 	waited := time.Since(began)
 	s.mu.Lock()
 	s.meter.Moved(n, waited)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -21,7 +21,9 @@
 )
 
 const (
-	MaxBody     = body.Window // of a request or an answer that is held whole
+	// MaxBody is how many bytes of a request or an answer are held whole.
+	MaxBody = body.Window
+	// MaxHead is how many bytes the head of an answer may have, with those ahead of the one that counts.
 	MaxHead     = 16 << 10
 	maxAnswered = 8 << 10                // of an answer's head
 	maxInterim  = 8                      // 1xx answers ahead of the one that counts
@@ -356,7 +358,7 @@
 	for i > 0 && time.Since(p.idle[i].idleAt) < u.settle {
 		i--
 	}
-	if i >= 0 && !(u.o.Spread && u.open < u.o.Most && time.Since(p.idle[i].idleAt) < u.settle) {
+	if i >= 0 && (!u.o.Spread || u.open >= u.o.Most || time.Since(p.idle[i].idleAt) >= u.settle) {
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		return p, p.addr, c, nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -121,7 +121,9 @@
 	go func() {
 		nc, err := l.Accept()
 		if err == nil {
-			io.ReadFull(nc, make([]byte, 10))
+			if _, err := io.ReadFull(nc, make([]byte, 10)); err != nil {
+				t.Error(err)
+			}
 			nc.Close() // with bytes unread: a reset
 		}
 	}()
