--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -88,7 +88,7 @@
 	}
 	a.told = a.list()
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headWait}
-	go a.server.Serve(listener)
+	go func() { _ = a.server.Serve(listener) }() // it ends by Close; before that, a sidecar that gets no answer shows it
 	return a, nil
 }
 
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -87,7 +87,7 @@
 // Close ends the server and all that it answers.
 func (d *DNS) Close() {
 	close(d.stop)
-	d.udp.Close()
+	_ = d.udp.Close() // a socket that is given up
 	d.tcp.Close()
 	d.busy.Wait()
 }
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -19,14 +19,15 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
+		// Who asked may have left before the answer: that shows at its end.
+		_, _ = fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
 		var names []string
 		for n := range r.Header {
 			names = append(names, n)
 		}
 		slices.Sort(names)
 		for _, n := range names {
-			fmt.Fprintf(w, "%s: %q\n", n, r.Header[n])
+			_, _ = fmt.Fprintf(w, "%s: %q\n", n, r.Header[n])
 		}
 	})
 }
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -301,7 +301,7 @@
 		id = r.Header.Get("Req-Id")
 		_ = nc.SetReadDeadline(time.Time{})
 		answered = make(chan bool, 1)
-		if !n.take(l, nc, r, id, first, fresh, over, answered) {
+		if !n.take(l, nc, id, first, fresh, over, answered) {
 			return
 		}
 	}
@@ -342,7 +342,7 @@
 
 // take receives one whole request and sees to its answer in a goroutine of its own, so that serve can watch the
 // connection meanwhile.
-func (n *Node) take(l *life, nc net.Conn, r *http.Request, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
+func (n *Node) take(l *life, nc net.Conn, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
 	t, ok := n.desk.get(id)
 	if !ok {
 		if n.arrived(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first}) {
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -8,6 +8,7 @@
 	"math"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -175,8 +176,8 @@
 	if status, declined, _ := read(t, second); status != 503 || !declined {
 		t.Errorf("%d, declined %v", status, declined)
 	}
-	if _, err := second.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("it stays: %v", err)
+	if rest, err := io.ReadAll(second); err != nil || len(rest) > 0 {
+		t.Errorf("it stays: %q, %v", rest, err)
 	}
 }
 
@@ -187,8 +188,8 @@
 	if status, _, _ := read(t, nc); status != 200 {
 		t.Errorf("%d", status)
 	}
-	if _, err := nc.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("idle: %v", err)
+	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
+		t.Errorf("idle: %q, %v", rest, err)
 	}
 	if b.count(invariant.Dropped, "") != 0 {
 		t.Error("the other side is blamed for it")
@@ -309,11 +310,7 @@
 	b.mu.Unlock()
 	b.desk.put("r1", ticket{job: &Job{Work: time.Millisecond}, class: look})
 	b.Stop()
-	r, err := http.NewRequest(http.MethodGet, "/look", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if b.take(life, nc, r, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
+	if b.take(life, nc, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
 		t.Error("it came")
 	}
 }
@@ -612,7 +609,7 @@
 		for _, e := range events {
 			kinds = append(kinds, e.Kind)
 		}
-		if out.Status != c.status || fmt.Sprint(kinds) != fmt.Sprint(c.kinds) || !out.Dialed || out.Left != (c.hangUp > 0) {
+		if out.Status != c.status || !slices.Equal(kinds, c.kinds) || !out.Dialed || out.Left != (c.hangUp > 0) {
 			t.Errorf("%s: %+v, %v", c.name, out, kinds)
 		}
 		if c.name == "refused" && out.RetryAfter != 250*time.Millisecond {
--- a/internal/testkit/invariant/referee.go
+++ b/internal/testkit/invariant/referee.go
@@ -387,11 +387,12 @@
 			j.breach(1, e, "the connection ended without a whole answer")
 		}
 	case Unanswered:
-		if j.excused(q) {
+		switch {
+		case j.excused(q):
 			j.count(1, "went under with a sidecar that was ended", false)
-		} else if q.heldUp() {
+		case q.heldUp():
 			j.count(1, "held up by a sidecar that was stopped", false)
-		} else {
+		default:
 			j.breach(1, e, "no answer %v after its time was up", (e.At - q.asked.Until).Round(time.Millisecond))
 		}
 	case Left:
--- a/internal/testkit/invariant/referee_test.go
+++ b/internal/testkit/invariant/referee_test.go
@@ -47,8 +47,9 @@
 	return append(l, Event{At: at, Kind: Answered, Request: id, Status: status, Genuine: true})
 }
 
-func (l line) told(at time.Duration, node string, state State) line {
-	return append(l, Event{At: at, Kind: Told, Sidecar: "s", Node: node, State: state})
+// told is what discovery says of the node a.
+func (l line) told(at time.Duration, state State) line {
+	return append(l, Event{At: at, Kind: Told, Sidecar: "s", Node: "a", State: state})
 }
 
 func begin() line { return line{}.up(1, "s") }
@@ -103,11 +104,11 @@
 	{"sent as its caller left", 2, "", begin().ask(s, "q", look).send(s+ms, "q", "a", 1).end(s+2*ms, Declined, "q", "a").send(s+3*ms, "q", "a", 1).end(s+4*ms, Done, "q", "a").answer(s+5*ms, "q", 200).ask(s, "r", look).end(2*s, Left, "r", "").send(2*s+51*ms, "r", "a", 1)},
 	{"asked by nobody", 2, "nobody had asked", begin().send(s, "ghost", "a", 1)},
 
-	{"sent to what drains", 3, "node drains", begin().told(s, "a", Draining).ask(2*s, "r", look).send(2*s, "r", "a", 1)},
-	{"sent to what is gone", 3, "node is gone", begin().told(s, "a", Gone).ask(2*s, "r", look).send(2*s, "r", "a", 1)},
-	{"told again of the same", 3, "node drains", begin().told(s, "a", Draining).told(s+400*ms, "a", Gone).ask(s, "r", look).send(s+552*ms, "r", "a", 1)},
-	{"within the grace, and then elsewhere", 3, "", begin().told(s, "a", Draining).ask(s, "r", look).send(s+551*ms, "r", "a", 1).end(s+560*ms, Done, "r", "a").ask(2*s, "q", look).send(2*s, "q", "b", 1)},
-	{"back again", 3, "", begin().told(s, "a", Draining).ask(2*s, "q", look).send(2*s, "q", "b", 1).told(3*s, "a", Ready).ask(4*s, "r", look).send(4*s, "r", "a", 1)},
+	{"sent to what drains", 3, "node drains", begin().told(s, Draining).ask(2*s, "r", look).send(2*s, "r", "a", 1)},
+	{"sent to what is gone", 3, "node is gone", begin().told(s, Gone).ask(2*s, "r", look).send(2*s, "r", "a", 1)},
+	{"told again of the same", 3, "node drains", begin().told(s, Draining).told(s+400*ms, Gone).ask(s, "r", look).send(s+552*ms, "r", "a", 1)},
+	{"within the grace, and then elsewhere", 3, "", begin().told(s, Draining).ask(s, "r", look).send(s+551*ms, "r", "a", 1).end(s+560*ms, Done, "r", "a").ask(2*s, "q", look).send(2*s, "q", "b", 1)},
+	{"back again", 3, "", begin().told(s, Draining).ask(2*s, "q", look).send(2*s, "q", "b", 1).told(3*s, Ready).ask(4*s, "r", look).send(4*s, "r", "a", 1)},
 
 	{"a burst on a cold node", 4, "started", cold(45)},
 	{"pushed over", 4, "pushed over", append(cold(10), Event{At: 2*s + 20*ms, Kind: Fell, Node: "a"})},
@@ -181,7 +182,7 @@
 		}
 	}
 	// A notice after which nothing was sent proves nothing.
-	r = Judge(rules, begin().told(s, "a", Draining).ask(s, "r", look).send(s+ms, "r", "b", 1).answer(2*s, "r", 200))
+	r = Judge(rules, begin().told(s, Draining).ask(s, "r", look).send(s+ms, "r", "b", 1).answer(2*s, "r", 200))
 	if r.Rules[2].Verdict != Untested || r.Rules[2].Occasions["drains told"] != 1 {
 		t.Errorf("%+v", r.Rules[2])
 	}
@@ -191,17 +192,17 @@
 }
 
 func TestARestartedSidecarIsToldAnew(t *testing.T) {
-	l := begin().told(s, "a", Draining).up(2*s, "s").ask(3*s, "r", look).send(3*s, "r", "a", 1).end(3*s+ms, Done, "r", "a").answer(3*s+2*ms, "r", 200)
+	l := begin().told(s, Draining).up(2*s, "s").ask(3*s, "r", look).send(3*s, "r", "a", 1).end(3*s+ms, Done, "r", "a").answer(3*s+2*ms, "r", 200)
 	if r := Judge(rules, l); r.Rules[2].Verdict == Broken {
 		t.Errorf("a fresh process is held to what the old one was told: %+v", r.Rules[2].Breaches)
 	}
-	if r := Judge(rules, append(l, line{}.told(2*s+ms, "a", Draining)...)); r.Rules[2].Verdict != Broken {
+	if r := Judge(rules, append(l, line{}.told(2*s+ms, Draining)...)); r.Rules[2].Verdict != Broken {
 		t.Errorf("told after its start: %s", r.Rules[2].Verdict)
 	}
 }
 
 func TestABreachNamesWhoAndWhen(t *testing.T) {
-	r := Judge(rules, begin().told(s, "a", Gone).ask(2*s, "r", look).send(2*s, "r", "a", 1))
+	r := Judge(rules, begin().told(s, Gone).ask(2*s, "r", look).send(2*s, "r", "a", 1))
 	b := r.Rules[2].Breaches[0]
 	if b.Rule != 3 || b.At != 2*s || b.Request != "r" || b.Sidecar != "s" || b.Node != "a" {
 		t.Errorf("%+v", b)
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -35,7 +35,7 @@
 
 // Simple gives requests that are all alike but for the number, which takes the place of "{n}" in the URL.
 func Simple(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
-	make_ := func(n int64) (*http.Request, error) {
+	makeRequest := func(n int64) (*http.Request, error) {
 		r, err := http.NewRequest(method, strings.ReplaceAll(url, "{n}", fmt.Sprint(n)), bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -46,11 +46,11 @@
 		}
 		return r, nil
 	}
-	if _, err := make_(0); err != nil { // numbers change nothing in what is legal
+	if _, err := makeRequest(0); err != nil { // numbers change nothing in what is legal
 		return nil, err
 	}
 	return func(n int64) *http.Request {
-		r, _ := make_(n)
+		r, _ := makeRequest(n)
 		return r
 	}, nil
 }
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -136,18 +136,18 @@
 		fmt.Fprintf(&b, "; %d runs together", r.Runs)
 	}
 	b.WriteString("\n\n")
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(t, "ms\tcount\t")
+	var rows strings.Builder
+	fmt.Fprint(&rows, "ms\tcount\t")
 	for _, p := range told {
-		fmt.Fprint(t, p.name, "\t")
+		fmt.Fprint(&rows, p.name, "\t")
 	}
-	fmt.Fprintln(t, "most\t")
+	fmt.Fprintln(&rows, "most\t")
 	row := func(name string, l *schedule.Latency) {
-		fmt.Fprintf(t, "%s\t%d\t", name, l.Count())
+		fmt.Fprintf(&rows, "%s\t%d\t", name, l.Count())
 		for _, p := range told {
-			fmt.Fprintf(t, "%.2f\t", ms(l.At(p.share)))
+			fmt.Fprintf(&rows, "%.2f\t", ms(l.At(p.share)))
 		}
-		fmt.Fprintf(t, "%.2f\t\n", ms(l.Most()))
+		fmt.Fprintf(&rows, "%.2f\t\n", ms(l.Most()))
 	}
 	row("latency, from when due", r.All)
 	row("service, from the write", r.Service)
@@ -155,7 +155,9 @@
 		row(name, r.Latency[name])
 	}
 	row("own lateness", r.Own)
-	t.Flush()
+	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
+	_, _ = io.WriteString(t, rows.String()) // a Builder takes all that is written to it
+	_ = t.Flush()
 	if r.Resent > 0 {
 		fmt.Fprintf(&b, "\n%d were sent a second time, since a kept connection had ended\n", r.Resent)
 	}
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -74,7 +75,7 @@
 // draw gives each request a number of its own from 0 to 1.
 func draw(n int64) float64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, n)
+	_, _ = fmt.Fprint(h, n) // a hash takes all that is written to it
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).Float64()
 }
 
@@ -85,11 +86,17 @@
 	start := time.Now()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var n int64
-		fmt.Sscan(q.URL.Path[1:], &n)
+		if _, err := fmt.Sscan(q.URL.Path[1:], &n); err != nil {
+			t.Error(err)
+		}
 		time.Sleep(d.at(time.Since(start), n))
 		io.WriteString(w, "done")
 	})}
-	go server.Serve(m)
+	go func() {
+		if err := server.Serve(m); !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}()
 	request, err := Simple(http.MethodGet, "http://server/{n}", nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -211,16 +218,16 @@
 			}
 		}, FailedTimeout},
 		"sends half an answer": {func(nc net.Conn) {
-			nc.Read(make([]byte, 4096))
+			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
 			io.WriteString(nc, head+"Content-Length: 100\r\n\r\nhalf")
 		}, FailedBroken},
 		"closes at once": {func(net.Conn) {}, FailedBroken},
 		"closes after each": {func(nc net.Conn) {
-			nc.Read(make([]byte, 4096))
+			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
 			io.WriteString(nc, head+"Content-Length: 2\r\nConnection: close\r\n\r\nhi")
 		}, "200"},
 		"sends more than asked": {func(nc net.Conn) {
-			nc.Read(make([]byte, 4096))
+			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
 			io.WriteString(nc, head+"Content-Length: 2\r\n\r\nhi"+head+"Content-Length: 1\r\n\r\nx")
 		}, "200"},
 	} {
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -313,10 +313,14 @@
 	})
 }
 
-func (w *World) named(name string) *Node {
-	var place int
-	fmt.Sscanf(name, "d%d", &place)
-	return w.Nodes[place]
+func (w *World) named(name string) *Node { return w.Nodes[placeOf(name)] }
+
+// placeOf is the place of the node of a name. All names here are "d" and a place: another one is this package's mistake.
+func placeOf(name string) (place int) {
+	if _, err := fmt.Sscanf(name, "d%d", &place); err != nil {
+		panic(fmt.Sprintf("raftsim: %q is no node's name: %v", name, err))
+	}
+	return place
 }
 
 // use has a voter's process do something, when its disk is done with what was before.
@@ -480,9 +484,7 @@
 }
 
 func (w *World) sendGrant(n *Node, t consensus.AddressedGrant) {
-	var to int
-	fmt.Sscanf(t.Daemon, "d%d", &to)
-	w.send(n.place, to, func(d *Node) {
+	w.send(n.place, placeOf(t.Daemon), func(d *Node) {
 		d.heard, d.leader = true, n.place
 		w.learnVoters(d, t.Grant)
 		d.holder.HandleGrant(d.local(w.Now), t.Grant)
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"slices"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -85,13 +86,17 @@
 // Tables measures councils of several sizes, with leases as they are by default.
 func Tables(out io.Writer, sizes []int, seed uint64) error {
 	terms := consensus.LeaseConfig{Lease: 15 * time.Second, Short: time.Duration(4.95 * float64(time.Second)), Drift: 0.01}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
 		f := Measure(n, seed, terms)
-		fmt.Fprintf(t, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, at(f.Committed, 0.5), at(f.Committed, 1), at(f.Acted, 0.5), at(f.Acted, 1), f.Overlap.Round(time.Millisecond),
+		fmt.Fprintf(&rows, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, at(f.Committed, 0.5), at(f.Committed, 1), at(f.Acted, 0.5), at(f.Acted, 1), f.Overlap.Round(time.Millisecond),
 			at(f.Leaderless, 0.5), at(f.Leaderless, 1))
 	}
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(t, rows.String()); err != nil {
+		return err
+	}
 	return t.Flush()
 }
 
--- a/internal/testkit/rehearse/bad_test.go
+++ b/internal/testkit/rehearse/bad_test.go
@@ -318,22 +318,22 @@
 down = "300ms"
 `
 
-func testPlan(t testing.TB, change ...string) *Plan {
-	t.Helper()
+func testPlan(tb testing.TB, change ...string) *Plan {
+	tb.Helper()
 	text := testDay
 	for i := 0; i+1 < len(change); i += 2 {
 		if !strings.Contains(text, change[i]) {
-			t.Fatalf("the test's day has no %q", change[i])
+			tb.Fatalf("the test's day has no %q", change[i])
 		}
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
 	d, err := Parse("test.toml", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p, err := NewPlan(d, d.Seed, 1)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return p
 }
@@ -412,7 +412,8 @@
 
 // hardDay replaces the troubles of the test's day.
 func hardDay(troubles string, change ...string) []string {
-	return append([]string{testDay[strings.Index(testDay, "[[trouble]]"):], troubles}, change...)
+	from := strings.Index(testDay, "[[trouble]]")
+	return append([]string{testDay[from:], troubles}, change...)
 }
 
 // A drain that is told while a sidecar restarts reaches it by the watch only, once it is back: its last list says Ready.
--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -30,7 +30,7 @@
 
 func newChart(height, length, most float64) *chart {
 	c := &chart{height: height, length: max(length, 1), most: most}
-	fmt.Fprintf(c, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
+	fmt.Fprintf(&c.Builder, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
 	return c
 }
 
@@ -46,7 +46,7 @@
 func (c *chart) axes(format string) {
 	for i := range 5 {
 		v := c.most * float64(i) / 4
-		fmt.Fprintf(c, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
+		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
 			chartLeft, chartWidth-chartRight, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, fmt.Sprintf(format, v))
 	}
 	c.time()
@@ -55,7 +55,7 @@
 func (c *chart) time() {
 	step := niceStep(c.length)
 	for s := 0.0; s <= c.length; s += step {
-		fmt.Fprintf(c, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%.0f s</text>`, c.x(s), c.height-6, s)
+		fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%.0f s</text>`, c.x(s), c.height-6, s)
 	}
 }
 
@@ -86,7 +86,7 @@
 // bands lays the troubles behind a plot, and marks broken rules.
 func (c *chart) bands(r *Result) {
 	for _, s := range r.Troubles {
-		fmt.Fprintf(c, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`, s.Kind, c.x(s.At.Seconds()),
+		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`, s.Kind, c.x(s.At.Seconds()),
 			max(c.x((s.At+s.For).Seconds())-c.x(s.At.Seconds()), 1), chartTop, c.height-chartTop-chartBottom)
 	}
 }
@@ -94,7 +94,7 @@
 func (c *chart) breaches(r *Result) {
 	for _, u := range r.Referee.Rules {
 		for _, b := range u.Breaches {
-			fmt.Fprintf(c, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`, c.x(b.At.Seconds()),
+			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`, c.x(b.At.Seconds()),
 				c.x(b.At.Seconds()), chartTop, c.height-chartBottom, u.Number, b.At.Seconds(), html.EscapeString(describe(b)))
 		}
 	}
@@ -106,14 +106,14 @@
 	for i, v := range values {
 		points = append(points, fmt.Sprintf("%.1f,%.1f", c.x(float64(i)+0.5), c.y(v)))
 	}
-	fmt.Fprintf(c, `<polyline class="%s" points="%s"/>`, class, strings.Join(points, " "))
+	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, class, strings.Join(points, " "))
 }
 
 // columns draws a column a second.
 func (c *chart) columns(class string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
-			fmt.Fprintf(c, `<rect class="%s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"><title>%d s: %.4g</title></rect>`, class, c.x(float64(i)),
+			fmt.Fprintf(&c.Builder, `<rect class="%s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"><title>%d s: %.4g</title></rect>`, class, c.x(float64(i)),
 				max(c.x(float64(i+1))-c.x(float64(i))-0.5, 0.5), c.y(v), c.y(0)-c.y(v), i, v)
 		}
 	}
@@ -185,7 +185,7 @@
 		if x > chartWidth*0.6 {
 			anchor, at = "end", x-4
 		}
-		fmt.Fprintf(c, `<rect class="trouble %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f" rx="3"/><text class="label" x="%.1f" y="%.1f" text-anchor="%s">%s</text>`,
+		fmt.Fprintf(&c.Builder, `<rect class="trouble %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f" rx="3"/><text class="label" x="%.1f" y="%.1f" text-anchor="%s">%s</text>`,
 			s.Kind, x, max(c.x((s.At+s.For).Seconds())-x, 3), y+2, row-4, at, y+row-6, anchor, html.EscapeString(label))
 	}
 	c.time()
@@ -207,7 +207,7 @@
 	for node, name := range r.Nodes {
 		y := chartTop + row*float64(node)
 		if node == 0 || tierName(name) != tierName(r.Nodes[node-1]) {
-			fmt.Fprintf(c, `<text class="tick" x="2" y="%.1f">%s</text>`, y+row-1, html.EscapeString(tierName(name)))
+			fmt.Fprintf(&c.Builder, `<text class="tick" x="2" y="%.1f">%s</text>`, y+row-1, html.EscapeString(tierName(name)))
 		}
 		for s := range seconds {
 			n := 0
@@ -215,7 +215,7 @@
 				n = max(n, sample[node])
 			}
 			if n > 0 {
-				fmt.Fprintf(c, `<rect class="hand" opacity="%.2f" x="%.1f" width="%.2f" y="%.1f" height="%.1f"><title>%s, %d s: %d in hand</title></rect>`,
+				fmt.Fprintf(&c.Builder, `<rect class="hand" opacity="%.2f" x="%.1f" width="%.2f" y="%.1f" height="%.1f"><title>%s, %d s: %d in hand</title></rect>`,
 					0.08+0.92*math.Sqrt(float64(n)/float64(top)), c.x(float64(s)), c.x(float64(s+1))-c.x(float64(s)), y, row-1, html.EscapeString(name), s, n)
 			}
 		}
@@ -250,7 +250,7 @@
 	c := newChart(220, 1, 1)
 	for i := range 5 {
 		v := float64(i) / 4
-		fmt.Fprintf(c, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%.2f</text>`,
+		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%.2f</text>`,
 			chartLeft, chartWidth-chartRight, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, v)
 	}
 	ticked := map[float64]bool{}
@@ -259,9 +259,9 @@
 		for _, p := range by[name] {
 			if !ticked[p.demand] {
 				ticked[p.demand] = true
-				fmt.Fprintf(c, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">×%v</text>`, at(p.demand), c.height-6, p.demand)
+				fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">×%v</text>`, at(p.demand), c.height-6, p.demand)
 			}
-			fmt.Fprintf(c, `<circle class="series%d" cx="%.1f" cy="%.1f" r="4"><title>%s, demand ×%v: worth %.3f</title></circle>`, i%5, at(p.demand), c.y(p.worth),
+			fmt.Fprintf(&c.Builder, `<circle class="series%d" cx="%.1f" cy="%.1f" r="4"><title>%s, demand ×%v: worth %.3f</title></circle>`, i%5, at(p.demand), c.y(p.worth),
 				html.EscapeString(name), p.demand, p.worth)
 		}
 	}
--- a/internal/testkit/rehearse/fleet.go
+++ b/internal/testkit/rehearse/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -395,8 +396,8 @@
 	for f.pause(done, peersLook) {
 		r, err := status.FetchFleet(place.admin, peersWait)
 		if err != nil {
-			if _, refused := err.(*net.OpError); refused {
-				clear(held) // a process that is started again holds nothing of its former life
+			if failed := (*net.OpError)(nil); errors.As(err, &failed) && failed.Op != "read" {
+				clear(held) // nobody takes the call, and a process that is started again holds nothing of its former life
 			}
 			continue
 		}
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -108,7 +108,7 @@
 		if dir, err = os.MkdirTemp("", "tuliprock-rehearse-"); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // logs that nobody asked for: what stays of them harms no result
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -276,7 +276,7 @@
 func (w *world) hash(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, n := range names {
-		fmt.Fprintf(h, "%s\x00", n)
+		_, _ = fmt.Fprintf(h, "%s\x00", n) // a hash takes all that is written to it
 	}
 	return rand.New(rand.NewPCG(w.plan.Seed, h.Sum64())).Uint64()
 }
@@ -320,7 +320,7 @@
 	for _, p := range w.all {
 		ends.Go(func() {
 			p.stop()
-			p.agent.Close()
+			_ = p.agent.Close() // its sidecar has ended, and nothing else asks it
 		})
 	}
 	ends.Wait()
--- a/internal/testkit/rehearse/process.go
+++ b/internal/testkit/rehearse/process.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // nothing was written by way of it: the process has a descriptor of its own
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is ours to pass on
 	p.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
--- a/internal/testkit/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -22,8 +22,8 @@
 func reportFuncs() template.FuncMap {
 	return template.FuncMap{
 		"worthChart": worthChart, "latencyChart": latencyChart, "refusalChart": refusalChart, "troubleChart": troubleChart, "handChart": handChart,
-		"occasions": occasions, "describe": describe, "verdict": verdictText, "names": func(m map[string]Share) []string { return names(m) },
-		"latencies": func(m map[string]Latency) []string { return names(m) }, "ruleWord": ruleWord,
+		"occasions": occasions, "describe": describe, "verdict": verdictText, "names": names[Share],
+		"latencies": names[Latency], "ruleWord": ruleWord,
 		"seconds": func(v float64) string { return fmt.Sprintf("%.3f s", v) }, "three": func(v float64) string { return fmt.Sprintf("%.3f", v) },
 		"one": func(v float64) string { return fmt.Sprintf("%.1f", v) }, "ms": func(v float64) string { return fmt.Sprintf("%.1f ms", 1000*v) },
 		"percent": func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -36,32 +36,39 @@
 	return err
 }
 
+// writeColumns aligns the tab-separated cells of rows.
+func writeColumns(b *strings.Builder, rows string) {
+	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
+	_, _ = io.WriteString(t, rows) // a Builder takes all that is written to it
+	_ = t.Flush()
+}
+
 func one(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
-	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.Whole, r.WorstWindow)
+	var rows strings.Builder
+	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.Whole, r.WorstWindow)
 	for _, by := range []map[string]Share{r.ByClass, r.ByTenant} {
 		for _, name := range names(by) {
-			fmt.Fprintf(t, "  %s\t%.3f\n", name, by[name].Share)
+			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
 		}
 	}
-	fmt.Fprintf(t, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n", r.Service,
+	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n", r.Service,
 		r.Prices.Connections, r.Prices.Waste, r.Prices.LateFails, r.Prices.Choked)
 	c := r.Requests
-	fmt.Fprintf(t, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n", c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.None)
-	fmt.Fprintf(t, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Conns)
+	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n", c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.None)
+	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Conns)
 	for _, name := range names(r.Latency) {
 		l := r.Latency[name]
-		fmt.Fprintf(t, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n", name, l.P50, l.P90, l.P99, l.P999, l.Most)
+		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n", name, l.P50, l.P90, l.P99, l.P999, l.Most)
 	}
-	t.Flush()
+	writeColumns(b, rows.String())
 	b.WriteString("\n")
-	t = tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
+	rows.Reset()
 	for _, u := range r.Referee.Rules {
-		fmt.Fprintf(t, "rule %d\t%s\t%s\t%s\n", u.Number, u.Name, verdictText(u), occasions(u))
+		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", u.Number, u.Name, verdictText(u), occasions(u))
 	}
-	t.Flush()
+	writeColumns(b, rows.String())
 	for _, u := range r.Referee.Rules {
 		for _, x := range u.Breaches[:min(len(u.Breaches), 3)] {
 			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", x.Rule, x.At.Seconds(), describe(x))
@@ -107,14 +114,14 @@
 
 // several sets results side by side.
 func several(b *strings.Builder, results []*Result) {
-	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99\trules")
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99\trules")
 	for _, r := range results {
 		c := r.Requests
-		fmt.Fprintf(t, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n", r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.Whole,
+		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n", r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.Whole,
 			r.WorstWindow, least(r.ByTenant), percent(c.Served, c.Asked), percent(c.Refused, c.Asked), percent(c.Failed+c.None, c.Asked), r.Latency["all"].P99, ruleWord(r))
 	}
-	t.Flush()
+	writeColumns(b, rows.String())
 	spread(b, results)
 	for _, r := range results {
 		for _, why := range r.Invalid {
@@ -162,12 +169,12 @@
 	if len(by) == len(results) {
 		return
 	}
-	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "\nservice\tdemand\tleast\tmedian\tmost\truns")
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "\nservice\tdemand\tleast\tmedian\tmost\truns")
 	for _, k := range order {
 		v := by[k]
 		sort.Float64s(v)
-		fmt.Fprintf(t, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], (v[(len(v)-1)/2]+v[len(v)/2])/2, v[len(v)-1], len(v))
+		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], (v[(len(v)-1)/2]+v[len(v)/2])/2, v[len(v)-1], len(v))
 	}
-	t.Flush()
+	writeColumns(b, rows.String())
 }
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-func drawn(t testing.TB, seed uint64, p Process, length time.Duration) (at []float64) {
-	t.Helper()
+func drawn(tb testing.TB, seed uint64, p Process, length time.Duration) (at []float64) {
+	tb.Helper()
 	s, err := NewStream(rand.New(rand.NewPCG(seed, 3)), p)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for {
 		a, ok := s.Next(length)
@@ -84,7 +84,8 @@
 			if x <= least {
 				return 0
 			}
-			return 1 - math.Pow(least/x, 3)
+			beyond := least / x
+			return 1 - beyond*beyond*beyond
 		}},
 		// Phases of 0.1 s in windows of 1 s: 1 + 2 r (off/on) tau (1 - tau (1 - e^(-1/tau))) with tau = on off / (on + off).
 		"on and off": {Process{Gaps: OnOff, On: 100 * time.Millisecond, Off: 100 * time.Millisecond}, 5 * math.Sqrt(40/expect),
--- a/internal/testkit/swimsim/swarm_test.go
+++ b/internal/testkit/swimsim/swarm_test.go
@@ -24,6 +24,7 @@
 )
 
 func newPlay(t *testing.T, o Options) *play {
+	t.Helper()
 	p := &play{World: New(o), t: t}
 	for _, n := range p.Nodes {
 		p.fact(clusterinvariant.Up, n)
@@ -105,7 +106,7 @@
 		for i, rate := range []float64{0.8, 1.25} {
 			p.kill(1 + i)
 			p.Nodes[1+i].Rate = rate
-			p.restart(p.Nodes[1+i], life(p.Nodes[1+i], 1))
+			p.restart(p.Nodes[1+i], nextLife(p.Nodes[1+i]))
 		}
 		p.Run(p.Now+30*time.Second, nil)
 		p.cut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
@@ -115,20 +116,20 @@
 		p.kill(1, 2, 3, 4, 5, 6)
 		p.Run(p.Now+detect+time.Second, nil)
 		for _, n := range p.Nodes[1:] {
-			p.restart(n, life(n, 1))
+			p.restart(n, nextLife(n))
 		}
 		p.Run(p.Now+settle+time.Second, nil)
 	},
-	"restarted at once": func(p *play) { p.restart(p.Nodes[1], life(p.Nodes[1], 1)); p.Run(p.Now+2*settle, nil) },
+	"restarted at once": func(p *play) { p.restart(p.Nodes[1], nextLife(p.Nodes[1])); p.Run(p.Now+2*settle, nil) },
 	"moved": func(p *play) {
-		as := life(p.Nodes[1], 1)
+		as := nextLife(p.Nodes[1])
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
 		p.Run(p.Now+2*settle, nil)
 	},
 	"another at the old address": func(p *play) {
 		p.kill(1)
-		as := life(p.Nodes[1], 1)
+		as := nextLife(p.Nodes[1])
 		as.Name = "new"
 		p.restart(p.Nodes[1], as)
 		p.Run(p.Now+detect+settle, nil)
@@ -140,7 +141,7 @@
 		p.fact(clusterinvariant.Trouble, nil)
 		stale.Paused = p.Now + 30*time.Minute
 		p.Run(p.Now+15*time.Minute, nil)
-		as := life(p.Nodes[1], 1)
+		as := nextLife(p.Nodes[1])
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
 		p.Run(stale.Paused+detect, nil) // who it has not heard the end of it finds out about like anybody
@@ -156,14 +157,15 @@
 		p.Kill(n)
 		p.fact(clusterinvariant.Leaves, n)
 		p.Run(p.Now+2*settle, nil)
-		p.restart(n, life(n, 1))
+		p.restart(n, nextLife(n))
 		p.Run(p.Now+2*settle, nil)
 	},
 }
 
-func life(n *Node, more uint64) swim.Peer {
+// nextLife is a node as it is when it is started again.
+func nextLife(n *Node) swim.Peer {
 	as := n.Peer
-	as.Run += 1000 * more
+	as.Run += 1000
 	return as
 }
 
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"slices"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -120,15 +121,15 @@
 // Tables measures the detector and writes what it showed: by size, by loss and slowness with and without Lifeguard's
 // parts, and by the times that can be set.
 func Tables(out io.Writer, sizes []int, seed uint64) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
 	row := func(c Case, heal bool) {
 		m := c.Measure(heal)
 		healed := "-"
 		if heal {
 			healed = m.Heal.Round(100 * time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%d\t%.0f %%\t%.0f %%\t%v\t%.0f\t%s\t%s\t%s\t%s\t%.1f\t%.0f\t%s\n", c.Nodes, 100*c.Loss, 100*c.Slow, !c.Plain, m.False,
+		fmt.Fprintf(&rows, "%d\t%.0f %%\t%.0f %%\t%v\t%.0f\t%s\t%s\t%s\t%s\t%.1f\t%.0f\t%s\n", c.Nodes, 100*c.Loss, 100*c.Slow, !c.Plain, m.False,
 			at(m.First, 0.5), at(m.First, 1), at(m.All, 0.5), at(m.All, 1), m.Messages, m.Bytes, healed)
 	}
 	for _, n := range sizes {
@@ -146,20 +147,30 @@
 			row(Case{Nodes: 100, Slow: slow, Plain: plain, Length: 4 * time.Minute, Seed: seed}, false)
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := writeColumns(out, rows.String()); err != nil {
 		return err
 	}
-	fmt.Fprintln(t, "\nprobe_every\tsuspicion\tloss\tslow\tfalse/h\tall know: middle\tmost\tmessages/s")
+	rows.Reset()
+	fmt.Fprintln(&rows, "\nprobe_every\tsuspicion\tloss\tslow\tfalse/h\tall know: middle\tmost\tmessages/s")
 	for _, every := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		for _, suspicion := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 			for _, hard := range []Case{{Loss: 0.2}, {Slow: 0.1}} {
 				hard.Nodes, hard.Length, hard.Seed = 100, 2*time.Minute, seed
 				hard.Swim = swim.Options{ProbeEvery: every, Suspicion: suspicion}
 				m := hard.Measure(false)
-				fmt.Fprintf(t, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", every, suspicion, 100*hard.Loss, 100*hard.Slow, m.False, at(m.All, 0.5), at(m.All, 1), m.Messages)
+				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", every, suspicion, 100*hard.Loss, 100*hard.Slow, m.False, at(m.All, 0.5), at(m.All, 1), m.Messages)
 			}
 		}
 	}
+	return writeColumns(out, rows.String())
+}
+
+// writeColumns aligns the tab-separated cells of rows.
+func writeColumns(out io.Writer, rows string) error {
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(t, rows); err != nil {
+		return err
+	}
 	return t.Flush()
 }
 
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -29,10 +29,10 @@
 }
 
 // NewEndpoint starts an Endpoint that ends with the test. serve is told how many requests have come so far.
-func NewEndpoint(t testing.TB, serve func(nc net.Conn, r *http.Request, n int) bool) *Endpoint {
-	t.Helper()
+func NewEndpoint(tb testing.TB, serve func(nc net.Conn, r *http.Request, n int) bool) *Endpoint {
+	tb.Helper()
 	e := &Endpoint{}
-	e.Listener = Accept(t, func(nc net.Conn) {
+	e.Listener = Accept(tb, func(nc net.Conn) {
 		e.Connections.Add(1)
 		e.run(nc, serve)
 	})
@@ -41,13 +41,13 @@
 }
 
 // Accept starts a listener that ends with the test, and hands over each connection on a goroutine of its own.
-func Accept(t testing.TB, serve func(net.Conn)) net.Listener {
-	t.Helper()
+func Accept(tb testing.TB, serve func(net.Conn)) net.Listener {
+	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	tb.Cleanup(func() { l.Close() })
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -80,28 +80,28 @@
 // Says answers every request with the same bytes, and keeps the connection or not.
 func Says(text string, stay bool) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(nc, text)
+		_, _ = io.WriteString(nc, text) // a client that has left fails, or not, by its own test
 		return stay
 	}
 }
 
 // FreePort is a loopback address at which nobody listens just now.
-func FreePort(t testing.TB) string {
-	t.Helper()
+func FreePort(tb testing.TB) string {
+	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer l.Close()
 	return l.Addr().String()
 }
 
 // Until waits for a condition.
-func Until(t testing.TB, what string, ok func() bool) {
-	t.Helper()
+func Until(tb testing.TB, what string, ok func() bool) {
+	tb.Helper()
 	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			tb.Fatalf("never: %s", what)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	step := s.Steps[0]
 	s.Steps = s.Steps[1:]
 	text, silent := strings.CutSuffix(step, "SILENT")
-	io.WriteString(w, text)
+	_, _ = io.WriteString(w, text) // a sidecar that has left polls again
 	w.(http.Flusher).Flush()
 	if silent {
 		<-r.Context().Done()
