--- a/cmd/tuliprock/agreed_test.go
+++ b/cmd/tuliprock/agreed_test.go
@@ -40,6 +40,7 @@
 }
 
 func newCouncil(t *testing.T, o councilOf) *councilDaemons {
+	t.Helper()
 	c := &councilDaemons{t: t, net: faultnet.New(1, func(text string) { t.Log(text) }), dir: t.TempDir(), saw: o.saw}
 	t.Cleanup(c.net.Close)
 	for i := range c.nodes {
@@ -94,9 +95,10 @@
 	return string(text)
 }
 
-// says calls until the answer is as it should be: while voters are elected nothing is agreed on.
-func (c *councilDaemons) says(d *fleetDaemon, line, want string) {
+// agrees calls until the answer is that all daemons act on it: while voters are elected nothing is agreed on.
+func (c *councilDaemons) agrees(d *fleetDaemon, line string) {
 	c.t.Helper()
+	const want = "on all daemons with version"
 	testpeer.Until(c.t, line+": "+want, func() bool { return strings.Contains(d.call(line), want) })
 }
 
@@ -143,7 +145,7 @@
 func TestWhatIsOutIsOutOnAll(t *testing.T) {
 	c := newCouncil(t, councilOf{daemons: 5, voters: 3})
 	first, second := c.nodes[0].Addr, c.nodes[1].Addr
-	c.says(c.ds[3], "set-down "+first, "on all daemons with version")
+	c.agrees(c.ds[3], "set-down "+first)
 	c.holds(c.ds, 0, true)
 	if n := c.asks(c.ds, 0); n > 0 {
 		t.Errorf("%d requests came to what is out", n)
@@ -156,7 +158,7 @@
 	away := c.ds[4]
 	c.net.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
 	testpeer.Until(t, "who is cut off has no lease", func() bool { return strings.Contains(away.call("settings"), "acting=false") })
-	c.says(c.ds[0], "set-up "+first, "on all daemons with version")
+	c.agrees(c.ds[0], "set-up "+first)
 	c.holds(c.ds[:4], 0, false)
 	if n := c.asks([]*fleetDaemon{away}, 0); n > 0 {
 		t.Errorf("%d requests by who was cut off came to what is out for it", n)
@@ -169,7 +171,7 @@
 	}
 	c.net.Heal()
 	c.holds(c.ds, 0, false)
-	c.says(away, "set-up "+second, "on all daemons with version")
+	c.agrees(away, "set-up "+second)
 
 	leads := c.leader()
 	if leads < 0 {
@@ -178,7 +180,7 @@
 	killed := c.ds[leads]
 	killed.signal(t, syscall.SIGKILL)
 	_ = killed.ended()
-	c.says(c.ds[3], "set-down "+second, "on all daemons with version")
+	c.agrees(c.ds[3], "set-down "+second)
 	var rest []*fleetDaemon
 	for _, d := range c.ds {
 		if d != killed {
@@ -197,10 +199,10 @@
 	stopped := c.ds[leads]
 	stopped.signal(t, syscall.SIGSTOP)
 	other := c.ds[(leads+1)%3]
-	c.says(other, "set-up "+second, "on all daemons with version")
+	c.agrees(other, "set-up "+second)
 	stopped.signal(t, syscall.SIGCONT)
 	c.holds(c.ds, 1, false)
-	c.says(stopped, "set-down "+first, "on all daemons with version")
+	c.agrees(stopped, "set-down "+first)
 	c.holds(c.ds, 0, true)
 
 	for _, d := range c.ds {
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -8,7 +8,6 @@
 	"net/url"
 	"os"
 	"strings"
-	"text/tabwriter"
 
 	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/config"
@@ -90,31 +89,33 @@
 // summary prints what was understood, and what looks like a mistake.
 func summary(w io.Writer, f *config.File) error {
 	var b strings.Builder
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
+	var rows strings.Builder
 	for _, l := range f.Listener {
-		fmt.Fprintf(t, "listener\t%s\t%s\tup to %d connections, bodies of %d bytes\n", l.Name, l.Address, l.Connections, l.BodyBytes)
+		fmt.Fprintf(&rows, "listener\t%s\t%s\tup to %d connections, bodies of %d bytes\n", l.Name, l.Address, l.Connections, l.BodyBytes)
 	}
 	if f.Daemon.AdminAddr != "" {
-		fmt.Fprintf(t, "operators\t\t%s\tcheck, vars, peers, settings, set-down ID, set-up ID\n", f.Daemon.AdminAddr)
+		fmt.Fprintf(&rows, "operators\t\t%s\tcheck, vars, peers, settings, set-down ID, set-up ID\n", f.Daemon.AdminAddr)
 	}
 	service := f.Service()
 	if service.Fleet != nil {
-		fmt.Fprintf(t, "fleet\t\t%v\t%v\n", service.Fleet.Listen, service.Fleet)
+		fmt.Fprintf(&rows, "fleet\t\t%v\t%v\n", service.Fleet.Listen, service.Fleet)
 	}
 	for _, c := range f.Class {
-		fmt.Fprintf(t, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Effect, c.Aim, c.Deadline)
+		fmt.Fprintf(&rows, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Effect, c.Aim, c.Deadline)
 	}
 	for _, n := range f.Tenant {
-		fmt.Fprintf(t, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
+		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
 	}
 	for _, p := range f.Pool {
-		fmt.Fprintf(t, "pool\t%s\t%s\t%d attempts at most\n", p.Name, membersFrom(&p), p.Attempts)
+		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, membersFrom(&p), p.Attempts)
 	}
 	for i, r := range f.Route {
-		fmt.Fprintf(t, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
+		fmt.Fprintf(&rows, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
+	}
+	fmt.Fprintf(&rows, "descriptors\t\tup to %d\t\n", service.Descriptors())
+	if err := writeColumns(&b, rows.String()); err != nil {
+		return err
 	}
-	fmt.Fprintf(t, "descriptors\t\tup to %d\t\n", service.Descriptors())
-	t.Flush()
 	for _, s := range f.Table().Unreachable() {
 		fmt.Fprintf(&b, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, s.Rule), routeName(f, s.By))
 	}
--- a/cmd/tuliprock/command_test.go
+++ b/cmd/tuliprock/command_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -81,7 +82,7 @@
 	var out, errs strings.Builder
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	err := cmd.Run()
-	if _, ok := err.(*exec.ExitError); err != nil && !ok {
+	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
 	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
--- a/cmd/tuliprock/long_test.go
+++ b/cmd/tuliprock/long_test.go
@@ -40,12 +40,12 @@
 	}
 	if query.Get("hash") == "" {
 		_, _ = io.CopyBuffer(struct{ io.Writer }{io.Discard}, r.Body, make([]byte, 256<<10))
-		fmt.Fprint(w, "ok")
+		_, _ = io.WriteString(w, "ok")
 		return
 	}
 	h := sha256.New()
 	_, _ = io.CopyBuffer(h, pace(r.Body), make([]byte, 256<<10))
-	fmt.Fprintf(w, "%x", h.Sum(nil))
+	_, _ = fmt.Fprintf(w, "%x", h.Sum(nil)) // who asked misses it
 }
 
 // slowly reads at a rate of bytes a second.
@@ -113,12 +113,12 @@
 		source = &slowly{source, rate, time.Now(), 0}
 	}
 	if way == "up" {
-		fmt.Fprintf(nc, "PUT /bulk?%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", query, n)
+		_, _ = fmt.Fprintf(nc, "PUT /bulk?%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", query, n)
 		if _, err := io.CopyBuffer(struct{ io.Writer }{nc}, source, make([]byte, 256<<10)); err != nil {
 			return "", err
 		}
 	} else {
-		fmt.Fprintf(nc, "GET /bulk?give=%d&%s HTTP/1.1\r\nHost: h\r\n\r\n", n, query)
+		_, _ = fmt.Fprintf(nc, "GET /bulk?give=%d&%s HTTP/1.1\r\nHost: h\r\n\r\n", n, query)
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -394,7 +394,7 @@
 				return
 			}
 			defer nc.Close()
-			fmt.Fprintf(nc, "PUT /bulk HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", 1<<30)
+			_, _ = fmt.Fprintf(nc, "PUT /bulk HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", 1<<30)
 			go func() { _, _ = io.Copy(nc, content(false, 1<<30)) }()
 			if resp, err := http.ReadResponse(bufio.NewReader(nc), nil); err == nil {
 				got = resp.Status
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"os"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -56,13 +57,22 @@
 func (c *detectorCommand) Run() error { return swimsim.Tables(os.Stdout, c.Nodes, c.Seed) }
 
 func printPeers(w io.Writer, f *status.Fleet) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%s is %s (view %d), one of %d\n", f.Self, f.Standing, f.View, f.Daemons)
+	var rows strings.Builder
+	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Standing, f.View, f.Daemons)
 	if f.Elder != "" {
-		fmt.Fprintf(t, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.Elder)
+		fmt.Fprintf(&rows, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.Elder)
 	}
 	for _, p := range f.Peers {
-		fmt.Fprintf(t, "%s\t%s\t%s\tfor %v\n", p.Name, p.Address, p.State, (time.Duration(p.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
+		fmt.Fprintf(&rows, "%s\t%s\t%s\tfor %v\n", p.Name, p.Address, p.State, (time.Duration(p.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
+	}
+	return writeColumns(w, rows.String())
+}
+
+// writeColumns aligns the tab-separated cells of rows.
+func writeColumns(w io.Writer, rows string) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(t, rows); err != nil {
+		return err
 	}
 	return t.Flush()
 }
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -259,7 +259,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Abort()
+		defer func() { _ = l.Abort() }() // what it says at its end is no part of the measurement
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		if f, err := status.FetchFleet(d.admin, peersTime); err == nil && f.Daemons == n+1 {
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -248,7 +248,7 @@
 func (o *outputs) discard() {
 	for _, f := range o.files {
 		if f.whole {
-			f.file.Close()
+			_ = f.file.Close()           // what is in it is removed
 			_ = os.Remove(f.file.Name()) // gone where it was renamed
 		}
 	}
--- a/cmd/tuliprock/schedules_test.go
+++ b/cmd/tuliprock/schedules_test.go
@@ -81,6 +81,7 @@
 func (s *drawnPlay) now() time.Duration { return time.Since(s.began) }
 
 func newSchedule(t *testing.T, seed uint64, daemons int) *drawnPlay {
+	t.Helper()
 	s := &drawnPlay{rng: rand.New(rand.NewPCG(seed, 4)), began: time.Now(), sent: map[string]sending{}, arrived: map[string]arrival{}, refused: map[string]bool{},
 		marks: map[[32]byte]string{}, made: map[uint64][32]byte{}, lives: make([]int, daemons), stops: make([][]stopped, daemons), up: make([]bool, daemons)}
 	for i := range s.up {
@@ -157,7 +158,7 @@
 
 // putText puts settings of a mark and a size by a daemon.
 func (s *drawnPlay) putText(d int, mark string, pad int) (*status.CommandResult, error) {
-	text := s.settingsText(mark, "refuse", pad)
+	text := s.settingsText(mark, pad)
 	s.mu.Lock()
 	s.marks[sha256.Sum256(text)] = mark
 	s.mu.Unlock()
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -9,7 +9,6 @@
 	"slices"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/aymanbagabas/go-udiff"
@@ -70,22 +69,22 @@
 }
 
 func printSettings(w io.Writer, s *status.Settings) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	var rows strings.Builder
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
 	if !s.Acting {
 		lease = "it has no lease"
 	}
-	fmt.Fprintf(t, "version %d; %s; granted by %s\n", s.Version, lease, s.Leader)
+	fmt.Fprintf(&rows, "version %d; %s; granted by %s\n", s.Version, lease, s.Leader)
 	if s.Declined > 0 {
-		fmt.Fprintf(t, "it can't act on version %d: %s\n", s.Declined, s.Why)
+		fmt.Fprintf(&rows, "it can't act on version %d: %s\n", s.Declined, s.Why)
 	}
 	for _, l := range s.Lags {
-		fmt.Fprintf(t, "waited for: %s: %s\n", l.Daemon, l.Why)
+		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Daemon, l.Why)
 	}
 	for _, d := range s.Documents {
-		fmt.Fprintf(t, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.By, d.Bytes)
+		fmt.Fprintf(&rows, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.By, d.Bytes)
 	}
-	return t.Flush()
+	return writeColumns(w, rows.String())
 }
 
 // awaited is a command that has a version come to be acted on.
@@ -303,7 +302,7 @@
 }
 
 func (c *settingsHistory) print(w io.Writer, history []status.HistoryEntry) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	var rows strings.Builder
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
 			continue
@@ -315,9 +314,9 @@
 		if h.Back > 0 {
 			what += fmt.Sprintf(", as at version %d", h.Back)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.By, time.UnixMilli(h.AtMs).UTC().Format(time.DateTime))
+		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.By, time.UnixMilli(h.AtMs).UTC().Format(time.DateTime))
 	}
-	return t.Flush()
+	return writeColumns(w, rows.String())
 }
 
 type settingsDiff struct {
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -20,15 +20,15 @@
 // markHeader is set by the settings that are agreed on, so that each request says by which it was decided.
 const markHeader = "X-Settings"
 
-// settingsText is a shared part that marks requests, of a size.
-func (c *councilDaemons) settingsText(mark string, unsure string, pad int) []byte {
+// settingsText is a shared part that marks requests, of a size. Who is not sure of it refuses requests.
+func (c *councilDaemons) settingsText(mark string, pad int) []byte {
 	return fmt.Appendf(nil, `format = 1
-shared = { unsure = %q }
+shared = { unsure = "refuse" }
 class = [{ name = "look", effect = "safe" }]
 pool = [{ name = "p", member = [{ address = %q }, { address = %q }] }]
 route = [{ pool = "p", class = "look", set_header = [{ name = %q, value = %q }] }]
 # %s
-`, unsure, c.nodes[0].Addr, c.nodes[1].Addr, markHeader, mark, strings.Repeat("x", pad))
+`, c.nodes[0].Addr, c.nodes[1].Addr, markHeader, mark, strings.Repeat("x", pad))
 }
 
 // put has a document agreed on by a daemon.
@@ -108,7 +108,7 @@
 	at := func(i int) string { return "--at=" + c.ds[i].admin }
 
 	// One put, by a daemon that does not vote, of a whole operators' file.
-	write(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", "refuse", 0)...))
+	write(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
 	out := cli(exitHeld, "left out, as it is each daemon's own: daemon, listener", "put", file, at(4))
 	if !strings.Contains(out, "version 1 is agreed on") || !strings.Contains(out, "all act on version 1") {
 		t.Errorf("%s", out)
@@ -117,9 +117,9 @@
 		marked(d, "one")
 	}
 	// A fault in the file is told with its line, and changes nothing; so does a version that is not there.
-	write([]byte(strings.Replace(string(c.settingsText("bad", "refuse", 0)), `effect = "safe"`, `effect = "odd"`, 1)))
+	write([]byte(strings.Replace(string(c.settingsText("bad", 0)), `effect = "safe"`, `effect = "odd"`, 1)))
 	cli(exitUsage, "new.toml:3: class[0].effect", "put", file, at(0))
-	write(c.settingsText("two", "refuse", 1<<18))
+	write(c.settingsText("two", 1<<18))
 	cli(exitUsage, "another version is there than was expected", "put", file, at(1), "--expect=7")
 	cli(exitHeld, "all act on version 2", "put", file, at(1), "--expect=1", "--id=mine")
 	cli(exitHeld, "version 2 is agreed on", "put", file, at(2), "--expect=1", "--id=mine") // its answer was lost, say
@@ -130,7 +130,7 @@
 	cli(exitHeld, "value = \"one\"", "show", "shared", "--version=1", at(4))
 
 	// Some can't act on what comes: a file of members that is not there on their machine. It waits, and gives way.
-	lacks := strings.Replace(string(c.settingsText("three", "refuse", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
+	lacks := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
 	c.ds[3].signal(t, syscall.SIGTERM)
 	if err := c.ds[3].ended(); err != nil {
 		t.Fatalf("%v: %s", err, c.ds[3])
@@ -160,7 +160,7 @@
 	cli(exitHeld, "as at version 2", "history", at(4))
 
 	// A list of members that is agreed on.
-	write([]byte(strings.Replace(string(c.settingsText("seven", "refuse", 0)), `name = "p", member = [{ address = "`+c.nodes[0].Addr+`" }, { address = "`+c.nodes[1].Addr+`" }]`, `name = "p", members = "agreed"`, 1)))
+	write([]byte(strings.Replace(string(c.settingsText("seven", 0)), `name = "p", member = [{ address = "`+c.nodes[0].Addr+`" }, { address = "`+c.nodes[1].Addr+`" }]`, `name = "p", members = "agreed"`, 1)))
 	cli(exitHeld, "all act on version 7", "put", file, at(0))
 	list := filepath.Join(elsewhere, "list.json")
 	if err := os.WriteFile(list, []byte(`{"format":1,"members":[{"address":"`+c.nodes[1].Addr+`"}]}`), 0o600); err != nil {
@@ -182,7 +182,7 @@
 	cli(exitHeld, "s0 s1 s2 s3", "voters", "add", "s3", at(4))
 	cli(exitHeld, "s1 s2 s3", "voters", "remove", "s0", at(3))
 	cli(exitUsage, "is no name of a daemon", "voters", "add", "s/3", at(4))
-	write(c.settingsText("ten", "refuse", 0))
+	write(c.settingsText("ten", 0))
 	cli(exitHeld, "all act on version 10", "put", file, at(4))
 	for _, d := range c.ds[1:] {
 		marked(d, "ten")
--- a/cmd/tuliprock/soak_test.go
+++ b/cmd/tuliprock/soak_test.go
@@ -18,7 +18,7 @@
 	began, look, puts, failed := time.Now(), time.Duration(0), 0, 0
 	for time.Since(began) < length {
 		puts++
-		if _, err := c.ds[puts%5].put(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), "refuse", 10_000), putTime); err != nil {
+		if _, err := c.ds[puts%5].put(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTime); err != nil {
 			failed++
 		}
 		if since := time.Since(began); since >= look {
--- a/cmd/tuliprock/standin.go
+++ b/cmd/tuliprock/standin.go
@@ -24,7 +24,7 @@
 	var servers []*http.Server
 	defer func() {
 		for _, s := range servers {
-			s.Close()
+			_ = s.Close() // the process ends, and its listeners with it
 		}
 	}()
 	failed := make(chan error, len(c.Addresses))
