--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,21 +14,21 @@
 )
 
 func TestParse(t *testing.T) {
-	for line, want := range map[string]Call{
-		"check": {Word: Check}, "vars": {Word: Vars}, "set-down s-1": {Word: SetDown, ID: "s-1"}, "set-up s-1": {Word: SetUp, ID: "s-1"},
-		"  set-down \t s-1 \r": {Word: SetDown, ID: "s-1"}, "check\r": {Word: Check}, "set-down ü": {Word: SetDown, ID: "ü"},
-		"settings": {Word: Settings}, "settings  history \t x": {Word: Settings, More: "history x"}, "settings put a - shared 7": {Word: Settings, More: "put a - shared 7", Body: 7},
+	for line, want := range map[string]Command{
+		"check": {Verb: VerbCheck}, "vars": {Verb: VerbVars}, "set-down s-1": {Verb: VerbSetDown, EndpointID: "s-1"}, "set-up s-1": {Verb: VerbSetUp, EndpointID: "s-1"},
+		"  set-down \t s-1 \r": {Verb: VerbSetDown, EndpointID: "s-1"}, "check\r": {Verb: VerbCheck}, "set-down ü": {Verb: VerbSetDown, EndpointID: "ü"},
+		"settings": {Verb: VerbSettings}, "settings  history \t x": {Verb: VerbSettings, Arguments: "history x"}, "settings put a - shared 7": {Verb: VerbSettings, Arguments: "put a - shared 7", BodyLength: 7},
 	} {
-		if got, err := Parse([]byte(line)); err != nil || got != want {
+		if got, err := ParseCommand([]byte(line)); err != nil || got != want {
 			t.Errorf("%q: %v, %v", line, got, err)
 		}
 	}
 	for line, want := range map[string]string{
 		"": "empty", "   ": "empty", "help": "none of", "CHECK": "none of", "check now": "more on the line", "vars s-1": "more on the line",
 		"set-down": "wants the id", "set-up ": "wants the id", "set-down a b": "more on the line", "check\x00": "no text", "\xff\xfe": "no text",
-		"settings put a - shared": "how many bytes", "settings put -1": "how many bytes", "versions x": "more on the line", "set-down a\rb": "no text", "set-down " + strings.Repeat("x", maxLine): "longer than",
+		"settings put a - shared": "how many bytes", "settings put -1": "how many bytes", "versions x": "more on the line", "set-down a\rb": "no text", "set-down " + strings.Repeat("x", maxLineBytes): "longer than",
 	} {
-		if got, err := Parse([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
+		if got, err := ParseCommand([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, %v", line, got, err)
 		}
 	}
@@ -38,33 +38,33 @@
 	f.Add([]byte("set-down s-12"))
 	f.Add([]byte("check"))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		c, err := Parse(line)
+		c, err := ParseCommand(line)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\r\n") {
 				t.Errorf("%q: more than a line: %q", line, err)
 			}
 			return
 		}
-		if wants, ok := takesID[c.Word]; !ok || wants != (c.ID != "") || !bytes.Contains(line, []byte(c.ID)) || c.Body < 0 || c.More != "" && c.Word != Settings {
+		if wants, ok := takesID[c.Verb]; !ok || wants != (c.EndpointID != "") || !bytes.Contains(line, []byte(c.EndpointID)) || c.BodyLength < 0 || c.Arguments != "" && c.Verb != VerbSettings {
 			t.Errorf("%q: %+v", line, c)
 		}
 	})
 }
 
 // daemon is what a server is tried with. It says what it was asked.
-func daemon(ready bool, barred chan<- string) Daemon {
-	return Daemon{
-		Ready: func() bool { return ready },
-		Vars: func(_ context.Context, w io.Writer) error {
+func daemon(ready bool, barred chan<- string) Handlers {
+	return Handlers{
+		IsReady: func() bool { return ready },
+		WriteMetrics: func(_ context.Context, w io.Writer) error {
 			_, err := io.WriteString(w, "edge_router.active:1|g\n")
 			return err
 		},
-		Settings: func(_ context.Context, more string, body []byte, w io.Writer) error {
+		HandleSettings: func(_ context.Context, more string, body []byte, w io.Writer) error {
 			_, err := fmt.Fprintf(w, "%s: %d bytes\n", more, len(body))
 			return err
 		},
-		MostBody: 100 << 10,
-		Bar: func(ctx context.Context, id string, out bool) (string, error) {
+		MaxBodyBytes: 100 << 10,
+		SetEjected: func(ctx context.Context, id string, out bool) (string, error) {
 			switch id {
 			case "nobody":
 				return "", errors.New("nobody: no endpoint of this id is listed")
@@ -78,7 +78,7 @@
 	}
 }
 
-func start(t *testing.T, most int, d Daemon) *Server {
+func start(t *testing.T, most int, d Handlers) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,7 +217,7 @@
 	if _, err := nc.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection is open still")
 	}
-	if s.open != 0 || s.idle.Len() != 0 {
-		t.Errorf("%d open, %d idle", s.open, s.idle.Len())
+	if s.openConnections != 0 || s.idle.Len() != 0 {
+		t.Errorf("%d open, %d idle", s.openConnections, s.idle.Len())
 	}
 }
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -24,30 +24,30 @@
 	"tuliprock/internal/wal"
 )
 
-// fleet is this daemon's part among the others that an operators' file names; nil: it knows of none, listens for none and
+// clusterNode is this daemon's part among the others that an operators' file names; nil: it knows of none, listens for none and
 // runs nothing for them.
-type fleet struct {
-	link *transport.Transport
-	log  *slog.Logger
-	spec config.FleetSpec // as it was started
-	stop func()
-	done sync.WaitGroup
+type clusterNode struct {
+	transport  *transport.Transport
+	log        *slog.Logger
+	spec       config.FleetSpec // as it was started
+	stop       func()
+	goroutines sync.WaitGroup
 
-	chamber *raftnode.Node              // nil: nothing is agreed on
-	own     atomic.Pointer[config.File] // this daemon's own file, as it was read last
-	refused atomic.Uint64               // requests, since it was not sure which version others act on
+	raft             *raftnode.Node              // nil: nothing is agreed on
+	ownFile          atomic.Pointer[config.File] // this daemon's own file, as it was read last
+	rejectedRequests atomic.Uint64               // requests, since it was not sure which version others act on
 
-	isOut map[string]bool // endpoints that are out by agreement, as heed saw them last
+	agreedEjections map[string]bool // endpoints that are out by agreement, as heed saw them last
 
 	mu             sync.Mutex
-	divides        bool
+	dividesPools   bool
 	daemons, index int // as pools are told; 0: nothing yet
 	pools          map[*pool]bool
 }
 
-var errFleetStarts = errors.New("fleet: whether there is one changes with a restart")
+var errClusterNeedsRestart = errors.New("fleet: whether there is one changes with a restart")
 
-func linkOptions(f *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
+func transportOptions(f *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
 	o := transport.Options{Cluster: f.Cluster, Name: f.Name, Listen: f.Listen, Advertise: f.Advertise, Join: f.Join, Voters: f.Voters, Times: f.Times, Log: log}
 	if f.KeyFile == "" {
 		return o, nil
@@ -60,12 +60,12 @@
 	return o, nil
 }
 
-func startFleet(c config.Service, log *slog.Logger) (*fleet, error) {
+func startCluster(c config.Service, log *slog.Logger) (*clusterNode, error) {
 	f := c.Fleet
 	if f == nil {
 		return nil, nil
 	}
-	o, err := linkOptions(f, log)
+	o, err := transportOptions(f, log)
 	if err != nil {
 		return nil, err
 	}
@@ -74,23 +74,25 @@
 		return nil, err
 	}
 	log.Info("in a fleet", "cluster", f.Cluster, "addr", l.Addr())
-	t := &fleet{link: l, log: log, spec: *f, divides: f.Divide, pools: map[*pool]bool{}}
-	t.own.Store(c.File)
+	t := &clusterNode{transport: l, log: log, spec: *f, dividesPools: f.Divide, pools: map[*pool]bool{}}
+	t.ownFile.Store(c.File)
 	if f.Agreed != nil {
-		if t.chamber, err = t.openChamber(); err != nil {
+		if t.raft, err = t.startRaft(); err != nil {
 			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), l.Abort())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
-	t.done.Go(func() { t.follow(ctx) })
+	t.goroutines.Go(func() { t.watchMembers(ctx) })
 	return t, nil
 }
 
-func (t *fleet) openChamber() (*raftnode.Node, error) {
+func (t *clusterNode) startRaft() (*raftnode.Node, error) {
 	f := t.spec
-	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Lease: f.Agreed.Terms, Transport: t.link, Now: t.link.Now, Log: t.log, Installs: true,
-		Check: func(docs map[string]consensus.Document) error { return t.own.Load().CheckDocuments(bodies(docs)) }}
+	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Lease: f.Agreed.Terms, Transport: t.transport, Now: t.transport.Now, Log: t.log, Installs: true,
+		Check: func(docs map[string]consensus.Document) error {
+			return t.ownFile.Load().CheckDocuments(documentBodies(docs))
+		}}
 	if f.Agreed.DataDir != "" {
 		disk, err := wal.Dir(f.Agreed.DataDir)
 		if err != nil {
@@ -101,39 +103,39 @@
 	return raftnode.Start(o)
 }
 
-// firstGrant is how long a daemon that starts waits to hear what is agreed before it takes callers: two elections.
-const firstGrant = 2 * time.Second
+// firstGrantTimeout is how long a daemon that starts waits to hear what is agreed before it takes callers: two elections.
+const firstGrantTimeout = 2 * time.Second
 
-// hear waits for what is agreed, and makes what is out by it be out here, before the first caller is taken.
-func (t *fleet) hear(h *hands) {
-	if !t.agrees() {
+// awaitFirstGrant waits for what is agreed, and makes what is out by it be out here, before the first caller is taken.
+func (t *clusterNode) awaitFirstGrant(h *overrides) {
+	if !t.hasConsensus() {
 		return
 	}
 	select {
-	case <-t.chamber.FirstGrant():
-	case <-time.After(firstGrant):
-		a, _ := t.chamber.Valid()
-		t.log.Warn("no voter has said what is agreed; what is known from before holds", "after", firstGrant, "version", a.Version)
+	case <-t.raft.FirstGrant():
+	case <-time.After(firstGrantTimeout):
+		a, _ := t.raft.Valid()
+		t.log.Warn("no voter has said what is agreed; what is known from before holds", "after", firstGrantTimeout, "version", a.Version)
 	}
-	t.isOut = h.agreed(context.Background(), nil, t.out())
+	t.agreedEjections = h.applyAgreed(context.Background(), nil, t.ejectedIDs())
 }
 
-// heed takes up what is agreed from then on.
-func (t *fleet) heed(s *Sidecar) {
-	if !t.agrees() {
+// watchAgreement takes up what is agreed from then on.
+func (t *clusterNode) watchAgreement(s *Sidecar) {
+	if !t.hasConsensus() {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	was := t.stop
 	t.stop = func() { stop(); was() }
-	t.done.Go(func() {
+	t.goroutines.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.chamber.Changed():
-				t.isOut = s.hands.agreed(ctx, t.isOut, t.out())
-				if err := s.renew(); err != nil && !errors.Is(err, errEnding) {
+			case <-t.raft.Changed():
+				t.agreedEjections = s.overrides.applyAgreed(ctx, t.agreedEjections, t.ejectedIDs())
+				if err := s.installAgreedSettings(); err != nil && !errors.Is(err, errShuttingDown) {
 					t.log.Error("what is agreed on is not taken up", "err", err)
 				}
 			}
@@ -141,10 +143,10 @@
 	})
 }
 
-// out are the endpoints that are agreed to be out. Where the lease has run out the last word stands: it only forbids.
-func (t *fleet) out() map[string]bool {
+// ejectedIDs are the endpoints that are agreed to be out. Where the lease has run out the last word stands: it only forbids.
+func (t *clusterNode) ejectedIDs() map[string]bool {
 	out := map[string]bool{}
-	a, _ := t.chamber.Valid()
+	a, _ := t.raft.Valid()
 	for name := range a.Docs {
 		if id, ok := strings.CutPrefix(name, config.OutPrefix); ok {
 			out[id] = true
@@ -153,28 +155,28 @@
 	return out
 }
 
-// agreeOn has what a call has done here done on all, and says what became of that.
-func (t *fleet) agreeOn(ctx context.Context, id string, out bool) string {
-	if !t.agrees() {
+// proposeEjection has what a call has done here done on all, and says what became of that.
+func (t *clusterNode) proposeEjection(ctx context.Context, id string, out bool) string {
+	if !t.hasConsensus() {
 		return ""
 	}
 	c := consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli(), Remove: config.OutPrefix + id}
 	if out {
 		c.Remove, c.Put = "", &consensus.DocumentPut{Name: config.OutPrefix + id}
 	}
-	version, err := t.chamber.ProposeVersion(ctx, c)
+	version, err := t.raft.ProposeVersion(ctx, c)
 	if err != nil {
 		return fmt.Sprintf(" here; for the others: %v", err)
 	}
 	return fmt.Sprintf(", on all daemons with version %d", version)
 }
 
-// settings writes what is agreed, as this daemon acts on it.
-func (t *fleet) settings(w io.Writer) error {
-	if !t.agrees() {
-		return errNothingAgreed
+// writeSettings writes what is agreed, as this daemon acts on it.
+func (t *clusterNode) writeSettings(w io.Writer) error {
+	if !t.hasConsensus() {
+		return errNoConsensus
 	}
-	s, a := t.standing()
+	s, a := t.settingsStatus()
 	for _, name := range slices.Sorted(maps.Keys(a.Docs)) {
 		d := a.Docs[name]
 		s.Documents = append(s.Documents, status.Document{Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest)})
@@ -182,35 +184,35 @@
 	return s.Write(w)
 }
 
-// versions is settings without the documents.
-func (t *fleet) versions(w io.Writer) error {
-	if !t.agrees() {
-		return errNothingAgreed
+// writeVersions is settings without the documents.
+func (t *clusterNode) writeVersions(w io.Writer) error {
+	if !t.hasConsensus() {
+		return errNoConsensus
 	}
-	s, _ := t.standing()
+	s, _ := t.settingsStatus()
 	return s.Write(w)
 }
 
-func (t *fleet) standing() (*status.Settings, *consensus.LeasedVersion) {
-	a, _ := t.chamber.Valid()
-	is := t.chamber.Status()
-	s := &status.Settings{Version: a.Version, Acting: t.chamber.CoversVersion(a.Version), LeaseMs: t.chamber.LeaseRemaining().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
-		Term: is.Term, Committed: is.Committed, Coming: is.Coming, All: is.All, Declined: is.Declined, Why: is.Why, Refused: t.refused.Load(), Voters: strings.Join(is.Voters, ","), Sitting: strings.Join(is.Sitting, ",")}
+func (t *clusterNode) settingsStatus() (*status.Settings, *consensus.LeasedVersion) {
+	a, _ := t.raft.Valid()
+	is := t.raft.Status()
+	s := &status.Settings{Version: a.Version, Acting: t.raft.CoversVersion(a.Version), LeaseMs: t.raft.LeaseRemaining().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
+		Term: is.Term, Committed: is.Committed, Coming: is.Coming, All: is.All, Declined: is.Declined, Why: is.Why, Refused: t.rejectedRequests.Load(), Voters: strings.Join(is.Voters, ","), Sitting: strings.Join(is.Sitting, ",")}
 	for _, l := range is.Lagging {
 		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
 	}
 	return s, a
 }
 
-// retune takes up what a reload may change. Keys are read before anything is changed.
-func (t *fleet) retune(f *config.FleetSpec) (commit func(), _ error) {
+// prepareReload takes up what a reload may change. Keys are read before anything is changed.
+func (t *clusterNode) prepareReload(f *config.FleetSpec) (commit func(), _ error) {
 	switch {
 	case t == nil && f == nil:
 		return func() {}, nil
 	case t == nil || f == nil:
-		return nil, errFleetStarts
+		return nil, errClusterNeedsRestart
 	}
-	o, err := linkOptions(f, t.log)
+	o, err := transportOptions(f, t.log)
 	if err != nil {
 		return nil, err
 	}
@@ -219,16 +221,16 @@
 		if was.Name != f.Name || was.Cluster != f.Cluster || was.Listen != f.Listen || was.Advertise != f.Advertise || was.Divide != f.Divide {
 			t.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, change with a restart only")
 		}
-		if t.chamber != nil && !slices.Equal(was.Voters, f.Voters) {
+		if t.raft != nil && !slices.Equal(was.Voters, f.Voters) {
 			t.log.Warn("fleet: voters stay as they are where settings are agreed on")
 			o.Voters = was.Voters
 		}
-		t.link.Reconfigure(o) // always: the key file may hold others than before under the same name
+		t.transport.Reconfigure(o) // always: the key file may hold others than before under the same name
 	}, nil
 }
 
-// follow tells the pools among how many they share, as views change.
-func (t *fleet) follow(ctx context.Context) {
+// watchMembers tells the pools among how many they share, as views change.
+func (t *clusterNode) watchMembers(ctx context.Context) {
 	var seats ordinal.Tracker
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -236,20 +238,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.link.Changed():
+		case <-t.transport.Changed():
 		case <-timer.C:
 		}
-		now := t.link.Now()
-		daemons, index, again := seats.Update(now, t.link.View())
+		now := t.transport.Now()
+		daemons, index, again := seats.Update(now, t.transport.View())
 		if again > 0 {
 			timer.Reset(again - now)
 		}
-		t.divide(daemons, index)
+		t.setBalancerCount(daemons, index)
 	}
 }
 
-// divide tells all pools, if that is news.
-func (t *fleet) divide(daemons, index int) {
+// setBalancerCount tells all pools, if that is news.
+func (t *clusterNode) setBalancerCount(daemons, index int) {
 	t.mu.Lock()
 	news := daemons != t.daemons || index != t.index
 	t.daemons, t.index = daemons, index
@@ -258,7 +260,7 @@
 		pools = append(pools, p)
 	}
 	t.mu.Unlock()
-	if !news || !t.divides {
+	if !news || !t.dividesPools {
 		return
 	}
 	t.log.Info("the pools are shared among the fleet", "daemons", daemons, "index", index)
@@ -267,8 +269,8 @@
 	}
 }
 
-// join has a new pool told like the others.
-func (t *fleet) join(p *pool) {
+// addPool has a new pool told like the others.
+func (t *clusterNode) addPool(p *pool) {
 	if t == nil {
 		return
 	}
@@ -276,12 +278,12 @@
 	t.pools[p] = true
 	daemons, index := t.daemons, t.index
 	t.mu.Unlock()
-	if t.divides && daemons > 0 {
+	if t.dividesPools && daemons > 0 {
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
-func (t *fleet) leave(p *pool) {
+func (t *clusterNode) removePool(p *pool) {
 	if t == nil {
 		return
 	}
@@ -290,45 +292,45 @@
 	delete(t.pools, p)
 }
 
-// end says goodbye to the others and returns when nothing runs any more.
-func (t *fleet) end() error {
+// close says goodbye to the others and returns when nothing runs any more.
+func (t *clusterNode) close() error {
 	if t == nil {
 		return nil
 	}
 	t.stop()
-	t.done.Wait()
+	t.goroutines.Wait()
 	var err error
-	if t.chamber != nil {
-		err = t.chamber.Close()
+	if t.raft != nil {
+		err = t.raft.Close()
 	}
-	return errors.Join(err, t.link.Close())
+	return errors.Join(err, t.transport.Close())
 }
 
-var errNoFleet = errors.New("this daemon is in no fleet")
+var errNoCluster = errors.New("this daemon is in no fleet")
 
-// peers writes what this daemon holds of the others: a line for itself and one for each, itself included.
-func (t *fleet) peers(w io.Writer) error {
+// writePeers writes what this daemon holds of the others: a line for itself and one for each, itself included.
+func (t *clusterNode) writePeers(w io.Writer) error {
 	if t == nil {
-		return errNoFleet
+		return errNoCluster
 	}
 	t.mu.Lock()
 	daemons, index := t.daemons, t.index
 	t.mu.Unlock()
-	return status.FleetFromView(t.link.View(), t.link.Now(), daemons, index).Write(w)
+	return status.FleetFromView(t.transport.View(), t.transport.Now(), daemons, index).Write(w)
 }
 
 // gauges are the figures of the fleet; none where there is none.
-func (t *fleet) gauges() (out []metrics.Gauge) {
+func (t *clusterNode) gauges() (out []metrics.Gauge) {
 	if t == nil {
 		return nil
 	}
-	if t.agrees() {
-		is, _ := t.standing()
+	if t.hasConsensus() {
+		is, _ := t.settingsStatus()
 		out = append(out, metrics.Gauge{Name: "settings_version", Value: int64(is.Version)}, metrics.Gauge{Name: "settings_all", Value: int64(is.All)},
-			metrics.Gauge{Name: "settings_lease_ms", Value: is.LeaseMs}, metrics.Gauge{Name: "settings_term", Value: int64(is.Term)}, metrics.Gauge{Name: "settings_leads", Value: asNumber(is.Leads)},
+			metrics.Gauge{Name: "settings_lease_ms", Value: is.LeaseMs}, metrics.Gauge{Name: "settings_term", Value: int64(is.Term)}, metrics.Gauge{Name: "settings_leads", Value: boolGauge(is.Leads)},
 			metrics.Gauge{Name: "settings_lagging", Value: int64(len(is.Lags))}, metrics.Gauge{Name: "settings_refused", Value: int64(is.Refused), Counts: true})
 	}
-	v := t.link.View()
+	v := t.transport.View()
 	n := [4]int64{}
 	for _, m := range v.Members {
 		n[m.State]++
@@ -336,7 +338,7 @@
 	for s := swim.Alive; s.Valid(); s++ {
 		out = append(out, metrics.Gauge{Name: "peers_" + s.String(), Value: n[s]})
 	}
-	f := t.link.Metrics()
+	f := t.transport.Metrics()
 	out = append(out, metrics.Gauge{Name: "peers_standing", Value: int64(v.Connectivity)})
 	for _, c := range []struct {
 		name  string
@@ -348,7 +350,7 @@
 	return out
 }
 
-func asNumber(is bool) int64 {
+func boolGauge(is bool) int64 {
 	if is {
 		return 1
 	}
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -23,7 +23,7 @@
 func TestOnlyAnOperatorsFileHasAFleet(t *testing.T) {
 	a := echo(t, "A")
 	p := run(t, a)
-	if p.fleet != nil || strings.Contains(goroutines(), peersCode) {
+	if p.cluster != nil || strings.Contains(goroutines(), peersCode) {
 		t.Error("the platform's sidecar has a part in a fleet")
 	}
 	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + one
@@ -31,11 +31,11 @@
 	if !strings.Contains(goroutines(), peersCode+"transport") {
 		t.Fatal("a file with a fleet has none: the check above says nothing")
 	}
-	other := serve(t, service(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.fleet.link.Addr().String()+"\"]", 1)))
+	other := serve(t, service(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.cluster.transport.Addr().String()+"\"]", 1)))
 	shared := func(d *serving) bool {
-		d.fleet.mu.Lock()
-		defer d.fleet.mu.Unlock()
-		return d.fleet.daemons == 2
+		d.cluster.mu.Lock()
+		defer d.cluster.mu.Unlock()
+		return d.cluster.daemons == 2
 	}
 	testpeer.Until(t, "two share", func() bool { return shared(s) && shared(other) })
 	if resp, _ := get(t, s.at("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
@@ -45,9 +45,9 @@
 		t.Error("a reload ends a fleet")
 	}
 	s.reload(t, strings.Replace(file, poolOf("a", a), poolOf("a", a)+poolOf("b", a), 1))
-	s.fleet.mu.Lock()
-	pools := len(s.fleet.pools)
-	s.fleet.mu.Unlock()
+	s.cluster.mu.Lock()
+	pools := len(s.cluster.pools)
+	s.cluster.mu.Unlock()
 	if pools != 2 {
 		t.Errorf("%d pools are told", pools)
 	}
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -590,7 +590,7 @@
 	}
 	t.Logf("%d cells, %d not as the page has them", len(cells), bad.Load())
 	testpeer.Until(t, "all memory for bodies is given back", func() bool {
-		held, waiting := s.bodies.Held()
+		held, waiting := s.bodyMemory.Held()
 		return held == 0 && waiting == 0
 	})
 	// Idle connections to nodes may stay: two a pool at most, with a goroutine at the node each.
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -20,74 +20,74 @@
 )
 
 const (
-	censusTime = 200 * time.Millisecond // a pool is given to tell its members; then what it told last stands
+	countTimeout = 200 * time.Millisecond // a pool is given to tell its members; then what it told last stands
 )
 
-// hands is what operators have taken out by hand, for all pools that run. It outlives pools, lists and reloads.
-type hands struct {
-	turn  chan struct{}         // held by the call that is carried out
-	dir   *hotrestart.Directory // what other processes know; nil: there are none
-	backs []string              // ids given back shortly before this process began; fixed before the first pool
+// overrides is what operators have taken out by hand, for all pools that run. It outlives pools, lists and reloads.
+type overrides struct {
+	commandSlot      chan struct{}         // held by the call that is carried out
+	directory        *hotrestart.Directory // what other processes know; nil: there are none
+	recentlyRestored []string              // ids given back shortly before this process began; fixed before the first pool
 
-	mu     sync.Mutex
-	barred map[string]bool
-	pools  map[*pool]bool
+	mu      sync.Mutex
+	ejected map[string]bool
+	pools   map[*pool]bool
 }
 
-func newHands() *hands {
-	return &hands{turn: make(chan struct{}, 1), barred: map[string]bool{}, pools: map[*pool]bool{}}
+func newOverrides() *overrides {
+	return &overrides{commandSlot: make(chan struct{}, 1), ejected: map[string]bool{}, pools: map[*pool]bool{}}
 }
 
-// join makes a pool, which has served nobody yet, keep what is out.
-func (h *hands) join(p *pool) {
+// addPool makes a pool, which has served nobody yet, keep what is out.
+func (h *overrides) addPool(p *pool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pools[p] = true
-	out := slices.Collect(maps.Keys(h.barred))
+	out := slices.Collect(maps.Keys(h.ejected))
 	p.loop.Post(func(now time.Duration) {
 		for _, id := range out {
 			p.loop.SetEjected(now, id, true)
 		}
-		for _, id := range h.backs { // so that they count as cold here, too
+		for _, id := range h.recentlyRestored { // so that they count as cold here, too
 			p.loop.SetEjected(now, id, true)
 			p.loop.SetEjected(now, id, false)
 		}
 	})
 }
 
-func (h *hands) leave(p *pool) {
+func (h *overrides) removePool(p *pool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.pools, p)
 }
 
-// running gives the pools that run, and whether an id is out.
-func (h *hands) running(id string) (pools []*pool, barred bool, n int) {
+// snapshot gives the pools that run, and whether an id is out.
+func (h *overrides) snapshot(id string) (pools []*pool, barred bool, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for p := range h.pools {
 		pools = append(pools, p)
 	}
-	return pools, h.barred[id], len(h.barred)
+	return pools, h.ejected[id], len(h.ejected)
 }
 
-func (h *hands) note(id string, out bool) {
+func (h *overrides) record(id string, out bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if delete(h.barred, id); out {
-		h.barred[id] = true
+	if delete(h.ejected, id); out {
+		h.ejected[id] = true
 	}
 }
 
-// out are the ids that are out.
-func (h *hands) out() []string {
+// ejectedIDs are the ids that are out.
+func (h *overrides) ejectedIDs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Collect(maps.Keys(h.barred))
+	return slices.Collect(maps.Keys(h.ejected))
 }
 
-// each has all pools handle an event, one after another.
-func each(ctx context.Context, pools []*pool, event func(l *eventloop.Loop, now time.Duration)) error {
+// doOnPools has all pools handle an event, one after another.
+func doOnPools(ctx context.Context, pools []*pool, event func(l *eventloop.Loop, now time.Duration)) error {
 	for _, p := range pools {
 		err := p.loop.Do(ctx, func(now time.Duration) { event(p.loop, now) })
 		if err != nil && !errors.Is(err, eventloop.ErrClosed) {
@@ -97,68 +97,68 @@
 	return nil
 }
 
-// errUnknown is why nothing was done.
-var errUnknown = errors.New("no endpoint of this id is listed")
+// errUnknownEndpoint is why nothing was done.
+var errUnknownEndpoint = errors.New("no endpoint of this id is listed")
 
 // errUnconfirmed is a call that may yet be carried out.
 var errUnconfirmed = errors.New("not confirmed in time; call again")
 
-// bar takes an endpoint out, or back, and returns once all modules have it.
-func (h *hands) bar(ctx context.Context, id string, out bool) (string, error) {
+// setEjected takes an endpoint out, or back, and returns once all modules have it.
+func (h *overrides) setEjected(ctx context.Context, id string, out bool) (string, error) {
 	select {
-	case h.turn <- struct{}{}:
-		defer func() { <-h.turn }()
+	case h.commandSlot <- struct{}{}:
+		defer func() { <-h.commandSlot }()
 	case <-ctx.Done():
 		return "", errUnconfirmed
 	}
-	if h.dir != nil {
-		h.follow(hotrestart.ReadOnly)
+	if h.directory != nil {
+		h.applyDirectory(hotrestart.ReadOnly)
 	}
-	pools, was, n := h.running(id)
+	pools, was, n := h.snapshot(id)
 	known := was
-	err := each(ctx, pools, func(l *eventloop.Loop, _ time.Duration) { known = known || l.IsKnown(id) })
+	err := doOnPools(ctx, pools, func(l *eventloop.Loop, _ time.Duration) { known = known || l.IsKnown(id) })
 	switch {
 	case err != nil:
 		return "", errUnconfirmed
 	case !known:
-		return "", fmt.Errorf("%.260q: %w", id, errUnknown)
+		return "", fmt.Errorf("%.260q: %w", id, errUnknownEndpoint)
 	case out && !was && n >= hotrestart.MaxEjections:
 		return "", fmt.Errorf("%d endpoints are out already: no more can be", n)
 	}
-	h.note(id, out) // before the pools: one that joins meanwhile must have it
-	if err := each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, out) }); err != nil {
+	h.record(id, out) // before the pools: one that joins meanwhile must have it
+	if err := doOnPools(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, out) }); err != nil {
 		return "", errUnconfirmed
 	}
-	if h.dir != nil { // whatever was: the others may know otherwise
-		if err := h.dir.RecordEjection(id, out, time.Now()); err != nil {
-			return "", fmt.Errorf("%s, but here alone, for other processes can't be told: %w", barred(id, was, out), err)
+	if h.directory != nil { // whatever was: the others may know otherwise
+		if err := h.directory.RecordEjection(id, out, time.Now()); err != nil {
+			return "", fmt.Errorf("%s, but here alone, for other processes can't be told: %w", describeOutcome(id, was, out), err)
 		}
 	}
-	return barred(id, was, out), nil
+	return describeOutcome(id, was, out), nil
 }
 
-// agreed takes endpoints out that are agreed to be, and gives back those that were and are no more. It gives what is out so.
-func (h *hands) agreed(ctx context.Context, was, is map[string]bool) map[string]bool {
+// applyAgreed takes endpoints out that are agreed to be, and gives back those that were and are no more. It gives what is out so.
+func (h *overrides) applyAgreed(ctx context.Context, was, is map[string]bool) map[string]bool {
 	select {
-	case h.turn <- struct{}{}:
-		defer func() { <-h.turn }()
+	case h.commandSlot <- struct{}{}:
+		defer func() { <-h.commandSlot }()
 	case <-ctx.Done():
 		return was
 	}
 	for _, all := range []map[string]bool{was, is} {
 		for id := range all {
-			pools, barred, n := h.running(id)
+			pools, barred, n := h.snapshot(id)
 			if was[id] == is[id] || barred == is[id] || is[id] && n >= hotrestart.MaxEjections {
 				continue
 			}
-			h.note(id, is[id])
-			_ = each(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, is[id]) }) // ctx ends with the daemon
+			h.record(id, is[id])
+			_ = doOnPools(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, is[id]) }) // ctx ends with the daemon
 		}
 	}
 	return is
 }
 
-func barred(id string, was, is bool) string {
+func describeOutcome(id string, was, is bool) string {
 	switch {
 	case was && is:
 		return id + " was out already"
@@ -170,37 +170,37 @@
 	return id + " was not out"
 }
 
-// census asks the pools for their members, all at once.
-func (h *hands) census(ctx context.Context) (listed, avoided int64) {
-	ctx, cancel := context.WithTimeout(ctx, censusTime)
+// countEndpoints asks the pools for their members, all at once.
+func (h *overrides) countEndpoints(ctx context.Context) (listed, avoided int64) {
+	ctx, cancel := context.WithTimeout(ctx, countTimeout)
 	defer cancel()
-	pools, _, _ := h.running("")
+	pools, _, _ := h.snapshot("")
 	var asked sync.WaitGroup
 	for _, p := range pools {
 		asked.Go(func() {
 			_ = p.loop.Do(ctx, func(time.Duration) {
 				l, a := p.loop.EndpointCounts()
-				p.listed.Store(int64(l))
-				p.avoided.Store(int64(a))
+				p.listedCount.Store(int64(l))
+				p.avoidedCount.Store(int64(a))
 			})
 		})
 	}
 	asked.Wait()
 	for _, p := range pools {
-		listed, avoided = listed+p.listed.Load(), avoided+p.avoided.Load()
+		listed, avoided = listed+p.listedCount.Load(), avoided+p.avoidedCount.Load()
 	}
 	return listed, avoided
 }
 
-// bar is hands.bar, with a line in the log. Operators call a few times a day; a line for each that changes nothing because
+// setEjected is hands.bar, with a line in the log. Operators call a few times a day; a line for each that changes nothing because
 // its id is unknown would be anybody's to fill the log with.
-func (s *Sidecar) bar(ctx context.Context, id string, out bool) (string, error) {
-	said, err := s.hands.bar(ctx, id, out)
+func (s *Sidecar) setEjected(ctx context.Context, id string, out bool) (string, error) {
+	said, err := s.overrides.setEjected(ctx, id, out)
 	if err == nil { // here first, and at once
-		said += s.fleet.agreeOn(ctx, id, out)
+		said += s.cluster.proposeEjection(ctx, id, out)
 	}
 	switch {
-	case errors.Is(err, errUnknown):
+	case errors.Is(err, errUnknownEndpoint):
 	case err != nil:
 		s.log.Warn("operators' call", "id", id, "out", out, "err", err)
 	default:
@@ -209,11 +209,11 @@
 	return said, err
 }
 
-// vars writes the figures.
-func (s *Sidecar) vars(ctx context.Context, w io.Writer) error {
-	listed, avoided := s.hands.census(ctx)
+// writeMetrics writes the figures.
+func (s *Sidecar) writeMetrics(ctx context.Context, w io.Writer) error {
+	listed, avoided := s.overrides.countEndpoints(ctx)
 	pools := []metrics.Gauge{{Name: "pool_size", Value: listed}, {Name: "pool_ejected", Value: avoided}}
-	return s.figures.Write(w, append(pools, s.fleet.gauges()...)...)
+	return s.metrics.Write(w, append(pools, s.cluster.gauges()...)...)
 }
 
 // openAdmin opens the operators' address of a configuration, if it is not the one that is open. s.mu is held.
@@ -225,9 +225,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin_addr: %w", err)
 	}
-	d := admin.Daemon{Ready: s.ready.Load, Vars: s.vars, Bar: s.bar, Peers: s.fleet.peers, Settings: s.fleet.call, Versions: s.fleet.versions}
-	if s.fleet.agrees() {
-		d.MostBody = consensus.MaxDocumentBytes
+	d := admin.Handlers{IsReady: s.isReady.Load, WriteMetrics: s.writeMetrics, SetEjected: s.setEjected, WritePeers: s.cluster.writePeers, HandleSettings: s.cluster.handleSettings, WriteVersions: s.cluster.writeVersions}
+	if s.cluster.hasConsensus() {
+		d.MaxBodyBytes = consensus.MaxDocumentBytes
 	}
 	a := admin.New(l, c.Operators, d, s.log)
 	go a.Serve()
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -176,7 +176,7 @@
 		})
 	}
 	work.Wait()
-	testpeer.Until(t, "nothing is held of them", func() bool { held, waiting := s.bodies.Held(); return held == 0 && waiting == 0 })
+	testpeer.Until(t, "nothing is held of them", func() bool { held, waiting := s.bodyMemory.Held(); return held == 0 && waiting == 0 })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 24<<20 {
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -25,23 +25,23 @@
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	keeper   *discovery.MemberCache
+	members  *discovery.MemberCache
 	log      *slog.Logger
 
-	heard           atomic.Bool  // discovery has said something
-	listed, avoided atomic.Int64 // members, as the module told them last
+	hasEndpointList           atomic.Bool  // discovery has said something
+	listedCount, avoidedCount atomic.Int64 // members, as the module told them last
 
-	mu     sync.Mutex
-	source discovery.Source
-	leave  func()         // ends the source and waits for it
-	stop   func()         // ends the rest
-	parts  sync.WaitGroup // the loop's and the connections' goroutines
-	users  int            // configurations in whose name requests may still come; guarded by Sidecar.mu
+	mu         sync.Mutex
+	source     discovery.Source
+	stopSource func()         // ends the source and waits for it
+	stop       func()         // ends the rest
+	goroutines sync.WaitGroup // the loop's and the connections' goroutines
+	references int            // configurations in whose name requests may still come; guarded by Sidecar.mu
 }
 
 // newPool starts a pool. The module hears its first list before anything else.
 func newPool(decide eventloop.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Registry, log *slog.Logger) *pool {
-	p := &pool{spec: spec, log: log, keeper: discovery.NewMemberCache(endpointset.Options{})}
+	p := &pool{spec: spec, log: log, members: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
 	if settings.Seed == 0 {
 		settings.Seed = drawSeed()
@@ -58,9 +58,9 @@
 	p.loop.UpdateEndpoints(p.loop.Now(), known)
 	work, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.parts.Go(func() { p.loop.Run(work) })
-	p.parts.Go(func() { p.upstream.Run(work) })
-	p.follow(spec.Source)
+	p.goroutines.Go(func() { p.loop.Run(work) })
+	p.goroutines.Go(func() { p.upstream.Run(work) })
+	p.startSource(spec.Source)
 	return p
 }
 
@@ -79,20 +79,20 @@
 	}
 }
 
-// deliver hands on a list past the events that wait: who drains must not get more of what stands before it.
-func (p *pool) deliver(m discovery.ListUpdate) {
-	_ = p.loop.Do(context.Background(), func(now time.Duration) { p.loop.UpdateEndpoints(now, m); p.heard.Store(true) }) // else the loop has ended
+// updateEndpoints hands on a list past the events that wait: who drains must not get more of what stands before it.
+func (p *pool) updateEndpoints(m discovery.ListUpdate) {
+	_ = p.loop.Do(context.Background(), func(now time.Duration) { p.loop.UpdateEndpoints(now, m); p.hasEndpointList.Store(true) }) // else the loop has ended
 }
 
-func (p *pool) failed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
+func (p *pool) discoveryFailed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
 
-// follow starts the source of members that the pool is told, in place of the one it has. The list stands until the new
+// startSource starts the source of members that the pool is told, in place of the one it has. The list stands until the new
 // one says otherwise.
-func (p *pool) follow(s config.SourceSpec) {
-	if p.leave != nil {
-		p.leave()
+func (p *pool) startSource(s config.SourceSpec) {
+	if p.stopSource != nil {
+		p.stopSource()
 	}
-	p.keeper.SetOptions(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
+	p.members.SetOptions(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
 	source := p.newSource(s)
 	if p.spec.Settings.MustSubscribe { // the module asked at its start, when there was nobody to ask
 		source.Subscribe()
@@ -106,7 +106,7 @@
 		defer close(ended)
 		source.Run(here)
 	}()
-	p.leave = func() { leave(); <-ended }
+	p.stopSource = func() { leave(); <-ended }
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.source = source
@@ -120,26 +120,26 @@
 			version = nil
 		}
 		d := discovery.NewAgentClient(s.Agent, version, p.spec.Settings.MustSubscribe, p.log)
-		d.Deliver, d.Failed = p.deliver, p.failed
+		d.Deliver, d.Failed = p.updateEndpoints, p.discoveryFailed
 		return d
 	case s.File != "":
-		return discovery.FileSource(s.File, p.keeper, p.deliver, p.failed, p.log)
+		return discovery.FileSource(s.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	case s.DNS != nil:
 		return discovery.DNSSource(discovery.DNSOptions{Name: s.DNS.Name, Service: s.DNS.Type == "srv", Port: s.DNS.Port, Server: s.DNS.Server,
-			MinTTL: s.DNS.TTLLeast, MaxTTL: s.DNS.TTLMost}, p.keeper, p.deliver, p.failed, p.log)
+			MinTTL: s.DNS.TTLLeast, MaxTTL: s.DNS.TTLMost}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	}
-	return discovery.StaticSource(config.StaticMembers(s.Members), p.keeper, p.deliver, p.failed, p.log)
+	return discovery.StaticSource(config.StaticMembers(s.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 }
 
-// goesOnAs tells whether a pool as told now can go on as the one that there is: then only its members may differ.
-func (p *pool) goesOnAs(spec config.PoolSpec) bool {
+// canServe tells whether a pool as told now can go on as the one that there is: then only its members may differ.
+func (p *pool) canServe(spec config.PoolSpec) bool {
 	was := p.spec
 	was.Source, spec.Source = config.SourceSpec{}, config.SourceSpec{}
 	return reflect.DeepEqual(was, spec)
 }
 
-// update takes up another source of members, or another list. An agent that moves is followed by the watch there is.
-func (p *pool) update(s config.SourceSpec) {
+// updateSource takes up another source of members, or another list. An agent that moves is followed by the watch there is.
+func (p *pool) updateSource(s config.SourceSpec) {
 	was := p.spec.Source
 	p.spec.Source = s
 	s.Known, was.Known = discovery.ListUpdate{}, discovery.ListUpdate{}
@@ -150,12 +150,12 @@
 		agent.SwitchAgent(s.Agent)
 		return
 	}
-	p.follow(s)
+	p.startSource(s)
 }
 
-// end stops the pool and returns when nothing of it runs any more but attempts that are being called off.
-func (p *pool) end() {
-	p.leave()
+// close stops the pool and returns when nothing of it runs any more but attempts that are being called off.
+func (p *pool) close() {
+	p.stopSource()
 	p.stop()
-	p.parts.Wait()
+	p.goroutines.Wait()
 }
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -198,7 +198,7 @@
 		testpeer.Until(t, "what was taken out has ended", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return len(s.leaving) == 0
+			return len(s.drainingListeners) == 0
 		})
 		for _, n := range nodes {
 			n.server.CloseClientConnections()
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -227,18 +227,18 @@
 func TestAReloadKeepsWhatDidNotChange(t *testing.T) {
 	a, b := echo(t, "A"), echo(t, "B")
 	s := serve(t, service(t, listen1+poolOf("a", a)+poolOf("b", b)+one))
-	was, listener := s.present.pools, s.listeners["one 127.0.0.1:0"]
+	was, listener := s.installed.pools, s.listeners["one 127.0.0.1:0"]
 	nc, in, resp := keepOn(t, s.at("one"))
 	if resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.Status)
 	}
 	s.reload(t, listen1+poolOf("a", a, b)+poolOf("b", b)+one)
-	if s.present.pools["a"] != was["a"] || s.present.pools["b"] != was["b"] || s.listeners["one 127.0.0.1:0"] != listener {
+	if s.installed.pools["a"] != was["a"] || s.installed.pools["b"] != was["b"] || s.listeners["one 127.0.0.1:0"] != listener {
 		t.Error("what did not change was built anew")
 	}
 	askOn(t, nc, in)
 	s.reload(t, listen1+strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)+poolOf("b", b)+one)
-	if s.present.pools["a"] == was["a"] || s.present.pools["b"] != was["b"] {
+	if s.installed.pools["a"] == was["a"] || s.installed.pools["b"] != was["b"] {
 		t.Error("a pool that changed was kept, or one that did not was not")
 	}
 	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
@@ -289,7 +289,7 @@
 		first <- text
 	}()
 	<-came
-	old := s.present.pools["a"]
+	old := s.installed.pools["a"]
 	s.reload(t, listen1+poolOf("b", b)+strings.ReplaceAll(one, `"a"`, `"b"`))
 	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("a new request: %q", text)
@@ -341,9 +341,9 @@
 	first := <-came
 	states := []string{"draining", "draining"}
 	states[first] = "ready"
-	old := s.present.pools["a"]
+	old := s.installed.pools["a"]
 	s.reload(t, file(4, states...))
-	if s.present.pools["a"] == old {
+	if s.installed.pools["a"] == old {
 		t.Fatal("the pool was not taken over from")
 	}
 	close(release)
@@ -361,13 +361,13 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	was, listeners := s.present, fmt.Sprint(s.Addrs())
+	was, listeners := s.installed, fmt.Sprint(s.Addrs())
 	free := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
 	err = s.Reload(service(t, free+fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())+poolOf("b", a)+strings.ReplaceAll(one, `"a"`, `"b"`)))
 	if err == nil || !strings.Contains(err.Error(), "listener late") {
 		t.Errorf("error %v", err)
 	}
-	if s.present != was || fmt.Sprint(s.Addrs()) != listeners {
+	if s.installed != was || fmt.Sprint(s.Addrs()) != listeners {
 		t.Error("something changed")
 	}
 	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
@@ -406,7 +406,7 @@
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "nothing is leaving", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.leaving) == 0 })
+	testpeer.Until(t, "nothing is leaving", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drainingListeners) == 0 })
 }
 
 func TestReloadsAtOnceAndDuringTheEnd(t *testing.T) {
@@ -429,7 +429,7 @@
 	busy.Wait()
 	s.term()
 	testpeer.Until(t, "the end begins", func() bool {
-		return errors.Is(s.Reload(service(t, listen1+poolOf("a", a)+one)), errEnding)
+		return errors.Is(s.Reload(service(t, listen1+poolOf("a", a)+one)), errShuttingDown)
 	})
 	if err := <-s.ended; err != nil {
 		t.Error(err)
@@ -478,7 +478,7 @@
 		if got := <-repeats; got != want {
 			t.Errorf("with %q believed: %v", header, got)
 		}
-		if err := s.drain(nobody); err != nil {
+		if err := s.shutDown(noSuccessor); err != nil {
 			t.Error(err)
 		}
 	}
@@ -618,10 +618,10 @@
 			}
 			spec := config.PoolSpec{Name: "p", Connections: 10, Source: config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}}
 			p := newPool(eventloop.Module, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
-			defer p.end()
+			defer p.close()
 			done := make(chan bool)
 			for i := 0; b.Loop(); i++ {
-				p.deliver(discovery.ListUpdate{Full: true, Servers: list[:n+i%2]})
+				p.updateEndpoints(discovery.ListUpdate{Full: true, Servers: list[:n+i%2]})
 				p.loop.Post(func(time.Duration) { done <- true })
 				<-done
 			}
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -16,18 +16,18 @@
 	"tuliprock/internal/config"
 )
 
-// actsOn is the version of what is agreed on by which a configuration serves.
-type actsOn struct {
+// activeSettings is the version of what is agreed on by which a configuration serves.
+type activeSettings struct {
 	digest  [32]byte       // of the documents that it was made of
 	version *atomic.Uint64 // read by each of its requests
 }
 
-// unsureRetry is when a caller may ask again that is refused since this daemon has no lease: one that reaches a voter asks for
+// indeterminateRetryAfter is when a caller may ask again that is refused since this daemon has no lease: one that reaches a voter asks for
 // one every conflict_within/4, 1.25 s by default, and at once where its lease has run out while it was stopped.
-const unsureRetry = time.Second
+const indeterminateRetryAfter = time.Second
 
-// settingsOf are the documents that settings are made of; those of endpoints that are out by hand are heeded by themselves.
-func settingsOf(docs map[string]consensus.Document) map[string]consensus.Document {
+// settingsDocuments are the documents that settings are made of; those of endpoints that are out by hand are heeded by themselves.
+func settingsDocuments(docs map[string]consensus.Document) map[string]consensus.Document {
 	out := make(map[string]consensus.Document, len(docs))
 	for name, d := range docs {
 		if !strings.HasPrefix(name, config.OutPrefix) {
@@ -37,7 +37,7 @@
 	return out
 }
 
-func bodies(docs map[string]consensus.Document) map[string][]byte {
+func documentBodies(docs map[string]consensus.Document) map[string][]byte {
 	out := make(map[string][]byte, len(docs))
 	for name, d := range docs {
 		out[name] = d.Body
@@ -45,58 +45,58 @@
 	return out
 }
 
-// agrees tells whether anything is agreed on here.
-func (t *fleet) agrees() bool { return t != nil && t.chamber != nil }
+// hasConsensus tells whether anything is agreed on here.
+func (t *clusterNode) hasConsensus() bool { return t != nil && t.raft != nil }
 
-// compose is what a daemon was told with what is agreed on, as it is to act on it, and of which version; without a fleet that
+// composeConfig is what a daemon was told with what is agreed on, as it is to act on it, and of which version; without a fleet that
 // agrees it is as it was.
-func (t *fleet) compose(told config.Service) (config.Service, *consensus.LeasedVersion, error) {
-	if !t.agrees() {
+func (t *clusterNode) composeConfig(told config.Service) (config.Service, *consensus.LeasedVersion, error) {
+	if !t.hasConsensus() {
 		return told, &consensus.LeasedVersion{}, nil
 	}
-	a, _ := t.chamber.Valid()
-	with, err := told.File.WithDocuments(bodies(settingsOf(a.Docs)))
+	a, _ := t.raft.Valid()
+	with, err := told.File.WithDocuments(documentBodies(settingsDocuments(a.Docs)))
 	if err != nil {
 		return told, a, fmt.Errorf("with version %d of what is agreed on: %w", a.Version, err)
 	}
 	return with.Service(), a, nil
 }
 
-// guard is what the requests of a configuration that acts on a version have to pass, where it refuses those that it is not sure
+// requestGuard is what the requests of a configuration that acts on a version have to pass, where it refuses those that it is not sure
 // of: nobody acts on a later version for longer than is promised. Nil: they pass.
-func (t *fleet) guard(refuses bool, version *atomic.Uint64) func() bool {
-	if !t.agrees() || !refuses {
+func (t *clusterNode) requestGuard(refuses bool, version *atomic.Uint64) func() bool {
+	if !t.hasConsensus() || !refuses {
 		return nil
 	}
 	return func() bool {
-		sure := t.chamber.CoversVersion(version.Load())
+		sure := t.raft.CoversVersion(version.Load())
 		if !sure {
-			t.refused.Add(1)
+			t.rejectedRequests.Add(1)
 		}
 		return sure
 	}
 }
 
-// renew takes up what is agreed on, where that differs from what is served by.
-func (s *Sidecar) renew() error {
+// installAgreedSettings takes up what is agreed on, where that differs from what is served by.
+func (s *Sidecar) installAgreedSettings() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ending {
-		return errEnding
+	if s.isShuttingDown {
+		return errShuttingDown
 	}
-	a, _ := s.fleet.chamber.Valid()
-	if consensus.DigestOf(settingsOf(a.Docs)) != s.acts.digest {
-		return s.reload(s.told)
+	a, _ := s.cluster.raft.Valid()
+	if consensus.DigestOf(settingsDocuments(a.Docs)) != s.activeSettings.digest {
+		return s.reload(s.ownConfig)
 	}
-	s.acts.version.Store(a.Version)
-	s.fleet.chamber.MarkInstalled(a.Version)
+	s.activeSettings.version.Store(a.Version)
+	s.cluster.raft.MarkInstalled(a.Version)
 	return nil
 }
 
-// errNothingAgreed is why a call about what is agreed on is not carried out.
-var errNothingAgreed = errors.New("nothing is agreed on here")
+// errNoConsensus is why a call about what is agreed on is not carried out.
+var errNoConsensus = errors.New("nothing is agreed on here")
 
-// call carries out what follows settings on a line:
+// handleSettings carries out what follows settings on a line:
 //
 //	put ID EXPECT NAME BYTES      a document; EXPECT: the version that must be the latest, or -
 //	remove ID EXPECT NAME         no document of this name any more
@@ -108,15 +108,15 @@
 //	show NAME [VERSION]           a document as it is agreed on, or was
 //
 // Repeated with the same ID nothing is done twice.
-func (t *fleet) call(ctx context.Context, more string, body []byte, w io.Writer) error {
-	if !t.agrees() {
-		return errNothingAgreed
+func (t *clusterNode) handleSettings(ctx context.Context, more string, body []byte, w io.Writer) error {
+	if !t.hasConsensus() {
+		return errNoConsensus
 	}
 	words := strings.Fields(more)
 	if len(words) == 0 {
-		return t.settings(w)
+		return t.writeSettings(w)
 	}
-	c, err := t.command(words, body)
+	c, err := t.parseSettingsCommand(words, body)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 			return err
 		}
 	}
-	a, err := t.chamber.Propose(ctx, *c)
+	a, err := t.raft.Propose(ctx, *c)
 	if err != nil {
 		return err
 	}
@@ -135,8 +135,8 @@
 	return status.WriteResult(w, a)
 }
 
-// command reads the words of a call.
-func (t *fleet) command(words []string, body []byte) (*consensus.Command, error) {
+// parseSettingsCommand reads the words of a call.
+func (t *clusterNode) parseSettingsCommand(words []string, body []byte) (*consensus.Command, error) {
 	c := &consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli()}
 	args := words[1:]
 	wants := map[string][2]int{"put": {4, 4}, "remove": {3, 3}, "back": {4, 4}, "force": {2, 2}, "voters-add": {2, 2}, "voters-remove": {2, 2}, "history": {0, 0}, "show": {1, 2}}
@@ -194,9 +194,9 @@
 }
 
 // checkPut wants a document to be one that this daemon can act on, beside the others that are there.
-func (t *fleet) checkPut(put *consensus.DocumentPut) error {
-	a, _ := t.chamber.Valid()
-	docs := bodies(settingsOf(a.Docs))
+func (t *clusterNode) checkPut(put *consensus.DocumentPut) error {
+	a, _ := t.raft.Valid()
+	docs := documentBodies(settingsDocuments(a.Docs))
 	docs[put.Name] = put.Body
-	return t.own.Load().CheckDocuments(docs)
+	return t.ownFile.Load().CheckDocuments(docs)
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -22,7 +22,7 @@
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
-		defer p.end()
+		defer p.close()
 		jam := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-jam })
 		passed, heardAfter := 0, -1
@@ -34,7 +34,7 @@
 				passed++
 			})
 		}
-		go p.deliver(discovery.ListUpdate{Full: true, Servers: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
+		go p.updateEndpoints(discovery.ListUpdate{Full: true, Servers: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
 		synctest.Wait()
 		close(jam)
 		synctest.Wait()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -73,9 +73,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, p := s.listeners[place(service.Listeners[0])], s.present.pools[service.Pools[0].Name]
+	l, p := s.listeners[listenerKey(service.Listeners[0])], s.installed.pools[service.Pools[0].Name]
 	ctx, term := context.WithCancel(context.Background())
-	r := &running{Sidecar: s, told: c, addr: l.conns.Addr().String(), conns: l.conns, callers: l.callers, loop: p.loop, upstream: p.upstream, pool: p,
+	r := &running{Sidecar: s, told: c, addr: l.connections.Addr().String(), conns: l.connections, callers: l.frontend, loop: p.loop, upstream: p.upstream, pool: p,
 		term: term, ended: make(chan error, 1)}
 	go func() { r.ended <- s.Serve(ctx); close(r.ended) }()
 	t.Cleanup(func() {
@@ -310,7 +310,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool.deliver(m)
+	s.pool.updateEndpoints(m)
 }
 
 func TestNothingNewGoesToWhatDrainsOrIsGone(t *testing.T) {
@@ -516,7 +516,7 @@
 	}
 	s.term()
 	c.Discovery, _ = another(t)
-	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errEnding) })
+	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
 		t.Errorf("in flight: %d", status)
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -18,7 +18,7 @@
 	addr := h.Addr().String()
 	const callers = 300
 	accepted := make(chan bool, callers)
-	serve := func(h *hold) chan error {
+	serve := func(h *socketHandle) chan error {
 		ended := make(chan error, 1)
 		go func() {
 			for {
@@ -45,7 +45,7 @@
 		}
 	}()
 	for range 20 {
-		next, ok := h.share()
+		next, ok := h.newHandle()
 		if !ok {
 			t.Fatal("an open socket can't be shared")
 		}
@@ -71,7 +71,7 @@
 		}
 	}
 	h.Close()
-	if _, ok := h.share(); ok {
+	if _, ok := h.newHandle(); ok {
 		t.Error("a closed socket can be shared")
 	}
 	if err := h.Close(); err != nil {
@@ -86,9 +86,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds, ended := []*hold{first}, make(chan error, 16)
+	holds, ended := []*socketHandle{first}, make(chan error, 16)
 	for range 15 {
-		h, ok := first.share()
+		h, ok := first.newHandle()
 		if !ok {
 			t.Fatal("an open socket can't be shared")
 		}
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	if held, waiting := s.bodies.Held(); held != 0 || waiting != 0 {
+	if held, waiting := s.bodyMemory.Held(); held != 0 || waiting != 0 {
 		t.Errorf("%d bytes of the memory for bodies are still held, %d wait", held, waiting)
 	}
 }
