--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-func TestParse(t *testing.T) {
+func TestParseCommand(t *testing.T) {
 	for line, want := range map[string]Command{
 		"check": {Verb: VerbCheck}, "vars": {Verb: VerbVars}, "set-down s-1": {Verb: VerbSetDown, EndpointID: "s-1"}, "set-up s-1": {Verb: VerbSetUp, EndpointID: "s-1"},
 		"  set-down \t s-1 \r": {Verb: VerbSetDown, EndpointID: "s-1"}, "check\r": {Verb: VerbCheck}, "set-down ü": {Verb: VerbSetDown, EndpointID: "ü"},
@@ -34,7 +34,7 @@
 	}
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseCommand(f *testing.F) {
 	f.Add([]byte("set-down s-12"))
 	f.Add([]byte("check"))
 	f.Fuzz(func(t *testing.T, line []byte) {
@@ -119,7 +119,7 @@
 	return string(answer)
 }
 
-func TestOneLineOneAnswerClose(t *testing.T) {
+func TestOneCommandOneResponsePerConnection(t *testing.T) {
 	barred := make(chan string, 9)
 	s := start(t, 4, daemon(true, barred))
 	for _, row := range []struct{ send, want string }{
@@ -154,7 +154,7 @@
 }
 
 // A cut id could be another endpoint's.
-func TestHalfALineIsNotActedOn(t *testing.T) {
+func TestIncompleteLineIsNotExecuted(t *testing.T) {
 	barred := make(chan string, 1)
 	s := start(t, 4, daemon(true, barred))
 	nc := dial(t, s)
@@ -171,7 +171,7 @@
 }
 
 // Callers that sit there keep nobody out, nor does one whose call takes long.
-func TestSittersKeepNobodyOut(t *testing.T) {
+func TestIdleConnectionsDoNotBlockCommands(t *testing.T) {
 	const most = 4
 	s := start(t, most, daemon(true, make(chan string, 1)))
 	var sitters []net.Conn
@@ -209,7 +209,7 @@
 }
 
 // Close ends whoever sits there, and Serve.
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseEndsServeAndIdleConnections(t *testing.T) {
 	s := start(t, 4, daemon(true, nil))
 	nc := dial(t, s)
 	call(t, s, "check\n")
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -15,33 +15,33 @@
 	return string(b[:runtime.Stack(b, true)])
 }
 
-const peersCode = "tuliprock/internal/cluster/"
+const clusterPackages = "tuliprock/internal/cluster/"
 
 // On the platform sidecars can't talk to one another: no socket is opened for that and no goroutine started. Where an
 // operators' file has a fleet both are there, so that this test could fail; and pools are told among how many they share, those
 // that a reload brings too.
-func TestOnlyAnOperatorsFileHasAFleet(t *testing.T) {
-	a := echo(t, "A")
-	p := run(t, a)
-	if p.cluster != nil || strings.Contains(goroutines(), peersCode) {
+func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
+	a := echoEndpoint(t, "A")
+	p := startPlatform(t, a)
+	if p.cluster != nil || strings.Contains(goroutines(), clusterPackages) {
 		t.Error("the platform's sidecar has a part in a fleet")
 	}
-	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + one
-	s := serve(t, service(t, file))
-	if !strings.Contains(goroutines(), peersCode+"transport") {
+	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + lookRoute
+	s := startFromFile(t, parseService(t, file))
+	if !strings.Contains(goroutines(), clusterPackages+"transport") {
 		t.Fatal("a file with a fleet has none: the check above says nothing")
 	}
-	other := serve(t, service(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.cluster.transport.Addr().String()+"\"]", 1)))
-	shared := func(d *serving) bool {
+	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.cluster.transport.Addr().String()+"\"]", 1)))
+	shared := func(d *fileSidecar) bool {
 		d.cluster.mu.Lock()
 		defer d.cluster.mu.Unlock()
 		return d.cluster.daemons == 2
 	}
 	testpeer.Until(t, "two share", func() bool { return shared(s) && shared(other) })
-	if resp, _ := get(t, s.at("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
+	if resp, _ := get(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
 		t.Errorf("%s", resp.Status)
 	}
-	if err := s.Reload(service(t, listen1+poolOf("a", a)+one)); err == nil {
+	if err := s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)); err == nil {
 		t.Error("a reload ends a fleet")
 	}
 	s.reload(t, strings.Replace(file, poolOf("a", a), poolOf("a", a)+poolOf("b", a), 1))
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -477,14 +477,14 @@
 
 func (e *expectation) covers(c *cell) bool {
 	for i, is := range []string{c.way, c.who, c.when, c.how, c.class} {
-		if e.of[i] != "*" && !listed(e.of[i], is) {
+		if e.of[i] != "*" && !listContains(e.of[i], is) {
 			return false
 		}
 	}
 	return true
 }
 
-func listed(list, what string) bool {
+func listContains(list, what string) bool {
 	for one := range strings.SplitSeq(list, ",") {
 		if strings.TrimSpace(one) == what {
 			return true
@@ -501,7 +501,7 @@
 		}
 		e.met.Add(1)
 		switch {
-		case !listed(strings.Join(e.answers, ","), answer):
+		case !listContains(strings.Join(e.answers, ","), answer):
 			return fmt.Errorf("answered %q, want %v (row %d)", answer, e.answers, e.line)
 		case c.runs > e.runs:
 			return fmt.Errorf("ran %d times, %d allowed (row %d)", c.runs, e.runs, e.line)
@@ -551,9 +551,9 @@
 			}
 		}
 	}
-	s := serve(t, serviceOf(t, file.String()))
+	s := startFromFile(t, parseFile(t, file.String()))
 	for _, c := range cells { // each pool has its goroutines before they are counted
-		if probe(s.at("one"), c, "first") != "first" {
+		if probe(s.addressOf("one"), c, "first") != "first" {
 			t.Fatalf("%s does not serve", c.name)
 		}
 	}
@@ -565,11 +565,11 @@
 		busy.Go(func() {
 			room <- true
 			defer func() { <-room }()
-			answer := c.caller(t, s.at("one"))
+			answer := c.caller(t, s.addressOf("one"))
 			// Whoever comes next gets an answer of its own, or none.
 			for i := range 2 {
 				want := fmt.Sprintf("%s-%d", c.name[1:], i)
-				if got := probe(s.at("one"), c, want); got != want && got != "refused" && got != "failed" {
+				if got := probe(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
 					t.Errorf("%s: the next request got %q", c, got)
 				}
 			}
@@ -633,7 +633,7 @@
 }
 
 // The judge of the matrix must find what is wrong.
-func TestTheMatrixFindsWhatIsWrong(t *testing.T) {
+func TestFaultMatrixDetectsViolations(t *testing.T) {
 	rows := []*expectation{{of: [5]string{"up", "caller, both", "*", "close", "unsafe"}, answers: []string{"gone"}, runs: 1}}
 	as := func(change func(*cell)) *cell {
 		c := &cell{way: "up", who: "both", when: "head", how: "close", class: "unsafe", runs: 1, mostOpen: 1}
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -15,22 +15,22 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// p99 asks one pool at a steady pace on connections of its own, and gives its latency from when each was due.
-func p99(t testing.TB, addr string, callers int, each time.Duration, total time.Duration) time.Duration {
+// measureP99 asks one pool at a steady pace on connections of its own, and gives its latency from when each was due.
+func measureP99(t testing.TB, addr string, callers int, each time.Duration, total time.Duration) time.Duration {
 	var mu sync.Mutex
 	var took []time.Duration
 	var busy sync.WaitGroup
 	began := time.Now()
 	for i := range callers {
 		busy.Go(func() {
-			nc, in, _ := keepOn(t, addr)
+			nc, in, _ := openConnection(t, addr)
 			for n := 0; ; n++ {
 				due := began.Add(each*time.Duration(n) + each*time.Duration(i)/time.Duration(callers))
 				if due.Sub(began) > total {
 					return
 				}
 				time.Sleep(time.Until(due))
-				if resp := askOn(t, nc, in); resp.StatusCode != http.StatusOK {
+				if resp := sendOn(t, nc, in); resp.StatusCode != http.StatusOK {
 					t.Errorf("the other pool: %s", resp.Status)
 					return
 				}
@@ -45,8 +45,8 @@
 	return took[len(took)*99/100]
 }
 
-// storm asks a pool whose nodes hang, until stop is closed, from callers that don't wait for one another.
-func storm(addr string, callers int, stop chan bool) *sync.WaitGroup {
+// startLoad asks a pool whose nodes hang, until stop is closed, from callers that don't wait for one another.
+func startLoad(addr string, callers int, stop chan bool) *sync.WaitGroup {
 	var busy sync.WaitGroup
 	for range callers {
 		busy.Go(func() {
@@ -69,9 +69,9 @@
 	return &busy
 }
 
-// isolated is a daemon with a pool that is well and one whose nodes hang, on a listener each or on one together.
-func isolated(t testing.TB, apart bool) (well, hang string) {
-	a := echo(t, "A")
+// startIsolated is a daemon with a pool that is well and one whose nodes hang, on a listener each or on one together.
+func startIsolated(t testing.TB, apart bool) (well, hang string) {
+	a := echoEndpoint(t, "A")
 	var hung []string
 	for range 4 {
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -88,21 +88,21 @@
 	if apart {
 		text += listen2
 	}
-	s := serve(t, service(t, text+poolOf("a", a)+poolOf("hang", hung...)+"[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n"+one))
+	s := startFromFile(t, parseService(t, text+poolOf("a", a)+poolOf("hang", hung...)+"[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n"+lookRoute))
 	if apart {
-		return s.at("one"), s.at("two")
+		return s.addressOf("one"), s.addressOf("two")
 	}
-	return s.at("one"), s.at("one")
+	return s.addressOf("one"), s.addressOf("one")
 }
 
 // A pool whose nodes hang must not keep another's requests waiting, on the same listener neither.
-func TestAHungPoolLeavesTheOthersAlone(t *testing.T) {
+func TestHungPoolDoesNotDelayOtherPools(t *testing.T) {
 	for _, apart := range []bool{false, true} {
-		well, hang := isolated(t, apart)
+		well, hang := startIsolated(t, apart)
 		stop := make(chan bool)
-		busy := storm(hang, 16, stop) // with 64 the storm itself took the cores of a busy machine
+		busy := startLoad(hang, 16, stop) // with 64 the storm itself took the cores of a busy machine
 		// No figure is asked of a busy machine here: a request that waited for the jam would wait for its deadline.
-		if slow := p99(t, well, 4, 20*time.Millisecond, 2*time.Second); slow > 700*time.Millisecond {
+		if slow := measureP99(t, well, 4, 20*time.Millisecond, 2*time.Second); slow > 700*time.Millisecond {
 			t.Errorf("apart %v: p99 is %v while the other pool hangs", apart, slow)
 		}
 		close(stop)
@@ -111,12 +111,12 @@
 }
 
 // The measurement: quiet and beside a hung pool, in turns. ISOLATION=pairs runs it; see docs/design/011.
-func TestIsolationMeasured(t *testing.T) {
+func TestPoolIsolationMeasurement(t *testing.T) {
 	pairs, _ := strconv.Atoi(os.Getenv("ISOLATION"))
 	if pairs == 0 {
 		t.Skip("ISOLATION is not set: a measurement, for a quiet machine")
 	}
-	well, hang := isolated(t, os.Getenv("APART") != "")
+	well, hang := startIsolated(t, os.Getenv("APART") != "")
 	callers, _ := strconv.Atoi(os.Getenv("CALLERS"))
 	var quiet, beside, ratio []float64
 	for i := range pairs {
@@ -126,9 +126,9 @@
 			if hung {
 				n = callers
 			}
-			busy := storm(hang, n, stop)
+			busy := startLoad(hang, n, stop)
 			time.Sleep(300 * time.Millisecond)
-			took := p99(t, well, 8, 10*time.Millisecond, 4*time.Second)
+			took := measureP99(t, well, 8, 10*time.Millisecond, 4*time.Second)
 			close(stop)
 			busy.Wait()
 			return float64(took.Microseconds())
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -20,13 +20,13 @@
 // withAdmin gives the service an operators' address.
 func withAdmin(c *config.Service) { c.Admin, c.Operators = "127.0.0.1:0", 8 }
 
-// operate makes one call and gives its answer.
-func (s *running) operate(t *testing.T, line string) string {
+// adminCommand makes one call and gives its answer.
+func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
 	t.Helper()
-	return operate(t, s.admin.Addr().String(), line)
+	return adminCommand(t, s.admin.Addr().String(), line)
 }
 
-func operate(t *testing.T, addr, line string) string {
+func adminCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return string(answer)
 }
 
-// figures are the values that vars tells, by name.
-func figures(t *testing.T, text string) map[string]int64 {
+// parseMetrics are the values that vars tells, by name.
+func parseMetrics(t *testing.T, text string) map[string]int64 {
 	t.Helper()
 	out := map[string]int64{}
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
@@ -88,13 +88,13 @@
 }
 
 // Every request that was taken is counted once, as its caller saw it end, and every attempt as its endpoint saw it come.
-func TestFiguresAreWhatPeersCounted(t *testing.T) {
+func TestMetricsMatchWhatClientsAndEndpointsCounted(t *testing.T) {
 	var wrote atomic.Int64
 	var addrs []string
 	for range 3 {
 		addrs = append(addrs, testpeer.NewEndpoint(t, byID(&wrote)).Addr)
 	}
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, addrs...)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
 	var mu sync.Mutex
 	seen := map[string]int64{}
 	see := func(what string) {
@@ -154,7 +154,7 @@
 	work.Wait()
 	var got map[string]int64
 	testpeer.Until(t, "it is quiet", func() bool {
-		got = figures(t, s.operate(t, "vars"))
+		got = parseMetrics(t, s.adminCommand(t, "vars"))
 		return got["active"] == 0
 	})
 	testpeer.Until(t, "all attempts have come", func() bool { return wrote.Load() >= got["tries"] })
@@ -180,34 +180,34 @@
 	}
 }
 
-func TestActiveAreThoseThatWait(t *testing.T) {
+func TestActiveMetricCountsRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		<-release
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	var work sync.WaitGroup
 	for i := range 5 {
-		work.Go(func() { ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
+		work.Go(func() { send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
 	}
-	testpeer.Until(t, "five are active", func() bool { return figures(t, s.operate(t, "vars"))["active"] == 5 })
+	testpeer.Until(t, "five are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
 	close(release)
 	work.Wait()
-	testpeer.Until(t, "none is active", func() bool { return figures(t, s.operate(t, "vars"))["active"] == 0 })
+	testpeer.Until(t, "none is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
 }
 
 // An endpoint that is taken out gets nothing new, by either door, until it is given back.
-func TestAnEndpointIsTakenOutByHand(t *testing.T) {
+func TestManuallyEjectedEndpointGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
 	served := func(want int) {
 		t.Helper()
 		n++
-		if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != want {
+		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != want {
 			t.Fatalf("request %d: %d, want %d", n, status, want)
 		}
 	}
@@ -218,7 +218,7 @@
 		{"set-down nobody", "FAILURE"}, {"set-up nobody", "FAILURE"}, {"set-down a", "SUCCESS a is out\n"}, {"set-down a", "SUCCESS a was out already\n"},
 		{"check", "SUCCESS"},
 	} {
-		if got := s.operate(t, row.call); !strings.HasPrefix(got, row.want) {
+		if got := s.adminCommand(t, row.call); !strings.HasPrefix(got, row.want) {
 			t.Errorf("%s: %q, want %q", row.call, got, row.want)
 		}
 	}
@@ -229,12 +229,12 @@
 	if a.Requests.Load() != was {
 		t.Errorf("%d requests came to the one that is out", a.Requests.Load()-was)
 	}
-	if got := figures(t, s.operate(t, "vars")); got["pool_size"] != 2 || got["pool_ejected"] != 1 {
+	if got := parseMetrics(t, s.adminCommand(t, "vars")); got["pool_size"] != 2 || got["pool_ejected"] != 1 {
 		t.Errorf("pool_size %d, pool_ejected %d", got["pool_size"], got["pool_ejected"])
 	}
-	s.operate(t, "set-down b")
+	s.adminCommand(t, "set-down b")
 	served(http.StatusServiceUnavailable)
-	s.operate(t, "set-up a")
+	s.adminCommand(t, "set-up a")
 	began := time.Now()
 	for a.Requests.Load() == was {
 		served(http.StatusOK)
@@ -245,11 +245,11 @@
 }
 
 // A pool that a reload makes keeps out what operators have taken out before.
-func TestABarOutlivesAReload(t *testing.T) {
+func TestManualEjectionOutlivesReload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
-	s.operate(t, "set-down a")
-	next, err := s.told.Service()
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s.adminCommand(t, "set-down a")
+	next, err := s.platformConfig.Service()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,21 +258,21 @@
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "1", 8000)); status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "1", 8000)); status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
 		t.Errorf("status %d, %d requests came", status, e.Requests.Load())
 	}
-	s.operate(t, "set-up a")
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
+	s.adminCommand(t, "set-up a")
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
 		t.Errorf("given back: %d", status)
 	}
 }
 
 // A connection that comes up after its endpoint was taken out carries nothing: the request goes elsewhere.
-func TestNothingIsWrittenOnAConnectionThatComesUpTooLate(t *testing.T) {
+func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	s.upstream.SetEjected("a", true) // the module does not know yet
-	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
+	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want a refusal: it never ran", status)
 	}
 	if n := e.Requests.Load(); n > 0 {
@@ -281,9 +281,9 @@
 }
 
 // The answer to a call does not stand in the queue of a pool's events, and where the loop stands still it has a bound.
-func TestCallsAreAnsweredBesideAJam(t *testing.T) {
+func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	jam, jammed := make(chan struct{}), make(chan struct{})
 	s.loop.Post(func(time.Duration) { close(jammed); <-jam })
 	<-jammed
@@ -292,7 +292,7 @@
 	}
 	for call, want := range map[string]string{"check": "SUCCESS", "vars": "edge_router", "set-down a": "FAILURE"} {
 		began := time.Now()
-		if got := s.operate(t, call); !strings.HasPrefix(got, want) {
+		if got := s.adminCommand(t, call); !strings.HasPrefix(got, want) {
 			t.Errorf("%s: %q", call, got)
 		}
 		if took := time.Since(began); took > time.Second+100*time.Millisecond {
@@ -300,21 +300,21 @@
 		}
 	}
 	close(jam)
-	if got := s.operate(t, "set-down a"); !strings.HasPrefix(got, "SUCCESS") {
+	if got := s.adminCommand(t, "set-down a"); !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("behind 100 events: %q", got)
 	}
 }
 
 // An operators' address that can't be had is told before anything is taken up.
-func TestAnOperatorsAddressInUse(t *testing.T) {
+func TestAdminAddressInUseFailsStartAndReload(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := run(t, e.Addr)
-	next, err := s.told.Service()
+	s := startPlatform(t, e.Addr)
+	next, err := s.platformConfig.Service()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,7 +326,7 @@
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.operate(t, "check"); !strings.HasPrefix(got, "SUCCESS") {
+	if got := s.adminCommand(t, "check"); !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("%q", got)
 	}
 	was := s.admin.Addr().String()
@@ -344,16 +344,16 @@
 }
 
 // What is given back while it drains, or is listed no more, gets nothing until discovery says otherwise.
-func TestAnEndpointIsGivenBackThatIsNotReady(t *testing.T) {
+func TestRestoredEndpointThatIsNotReadyGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
 	burst := func(what string) {
 		t.Helper()
 		for range 20 {
 			n++
-			if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != http.StatusOK {
+			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != http.StatusOK {
 				t.Fatalf("%s: %d", what, status)
 			}
 		}
@@ -361,19 +361,19 @@
 			t.Errorf("%s: %d requests came", what, got)
 		}
 	}
-	s.operate(t, "set-down a")
+	s.adminCommand(t, "set-down a")
 	s.tell(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
-	if got := s.operate(t, "set-up a"); got != "SUCCESS a is back\n" {
+	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("while it drains: %q", got)
 	}
 	burst("given back while it drains")
-	s.operate(t, "set-down a")
+	s.adminCommand(t, "set-down a")
 	s.tell(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
-	if got := s.operate(t, "set-up a"); got != "SUCCESS a is back\n" {
+	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("while it is listed no more: %q", got)
 	}
 	burst("given back while it is listed no more")
-	if got := s.operate(t, "set-up a"); !strings.HasPrefix(got, "FAILURE") {
+	if got := s.adminCommand(t, "set-up a"); !strings.HasPrefix(got, "FAILURE") {
 		t.Errorf("once it is neither listed nor out: %q", got)
 	}
 }
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -20,7 +20,7 @@
 )
 
 // All forms in which the platform's callers frame a request are served, and reach the endpoint as one request.
-func TestFormsOfRequestsOnThePlatform(t *testing.T) {
+func TestPlatformRequestForms(t *testing.T) {
 	type got struct {
 		uri, host, body string
 	}
@@ -31,7 +31,7 @@
 		_, _ = io.WriteString(w, "hi")
 	}))
 	t.Cleanup(e.Close)
-	s := run(t, e.Listener.Addr().String())
+	s := startPlatform(t, e.Listener.Addr().String())
 	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 8000\r\n"
 	big := strings.Repeat("0123456789abcdef", 10<<10)
 	for i, row := range []struct {
@@ -103,7 +103,7 @@
 }
 
 // An answer may end with its connection, if it says so (RFC 9112, 6.3); one that does not could have been cut.
-func TestAnswersThatEndWithTheirConnection(t *testing.T) {
+func TestResponsesDelimitedByConnectionClose(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
 		text   string
@@ -118,8 +118,8 @@
 		"it says another word": {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
 	} {
 		e := testpeer.NewEndpoint(t, testpeer.Says(row.text, false))
-		s := run(t, e.Addr)
-		status, body, _ := ask(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
+		s := startPlatform(t, e.Addr)
+		status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
 		if status != row.status || status == 200 && body != row.body {
 			t.Errorf("%s: %d, %d bytes", name, status, len(body))
 		}
@@ -130,7 +130,7 @@
 }
 
 // Long bodies both ways at once come whole, and the memory for them has a bound.
-func TestLongBodiesOnThePlatform(t *testing.T) {
+func TestPlatformStreamingBodies(t *testing.T) {
 	const size, callers = 4 << 20, 24
 	text := make([]byte, size)
 	for i := range text {
@@ -148,7 +148,7 @@
 		_, _ = w.Write(text)
 	}))
 	t.Cleanup(e.Close)
-	s := runWithin(t, `{"memory_mb":96,"sockets":512}`, nil, e.Listener.Addr().String())
+	s := startPlatformWith(t, `{"memory_mb":96,"sockets":512}`, nil, e.Listener.Addr().String())
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -186,7 +186,7 @@
 
 // Seen on a day of long answers that come in pieces: the limit of time for short ones stood while the beginning was held
 // back, and 28 answers were cut off that their endpoints were still giving.
-func TestALongAnswerMayComeSlowly(t *testing.T) {
+func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
 		"a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", len(big)), "chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)), "a close": "Connection: close\r\n\r\n",
@@ -204,8 +204,8 @@
 				}
 				return name != "a close"
 			})
-			s := run(t, e.Addr)
-			if status, body, _ := ask(t, s.request(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
+			s := startPlatform(t, e.Addr)
+			if status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
 				t.Errorf("%d, %d bytes", status, len(body))
 			}
 		})
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -186,14 +186,14 @@
 )
 
 // Two hundred reloads under load lose nothing, send nothing late, and leave nothing behind.
-func TestTheReloadStorm(t *testing.T) {
+func TestReloadStorm(t *testing.T) {
 	var seen sync.Map
 	var nodes []*stormNode
 	for range 5 {
 		nodes = append(nodes, newStormNode(t, &seen))
 	}
 	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
-	s := serve(t, service(t, stormFile(0, places, nodes)))
+	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
 	quiet := func() used {
 		testpeer.Until(t, "what was taken out has ended", func() bool {
 			s.mu.Lock()
@@ -269,7 +269,7 @@
 }
 
 // The storm's own checks must see what they are there for.
-func TestTheStormSeesWhatGoesWrong(t *testing.T) {
+func TestReloadStormDetectsViolations(t *testing.T) {
 	var seen sync.Map
 	n := newStormNode(t, &seen)
 	n.list(false)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -28,15 +28,15 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// service reads an operators' file. Its classes are the same in all tests.
-func service(t testing.TB, text string) config.Service {
+// parseService reads an operators' file. Its classes are the same in all tests.
+func parseService(t testing.TB, text string) config.Service {
 	t.Helper()
-	return serviceOf(t, `format = 1
+	return parseFile(t, `format = 1
 		class = [{ name = "look", effect = "safe", deadline = "20s" }, { name = "pay", effect = "unsafe", deadline = "20s" }]
 		`+text)
 }
 
-func serviceOf(t testing.TB, text string) config.Service {
+func parseFile(t testing.TB, text string) config.Service {
 	t.Helper()
 	f, err := config.ParseFile("test.toml", []byte(text))
 	if err != nil {
@@ -45,31 +45,31 @@
 	return f.Service()
 }
 
-// serving is a daemon on an operators' file.
-type serving struct {
+// fileSidecar is a daemon on an operators' file.
+type fileSidecar struct {
 	*Sidecar
-	term  context.CancelFunc
-	ended chan error
+	terminate   context.CancelFunc
+	serveResult chan error
 }
 
-func serve(t testing.TB, c config.Service) *serving {
+func startFromFile(t testing.TB, c config.Service) *fileSidecar {
 	t.Helper()
 	s, err := Start(c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, term := context.WithCancel(context.Background())
-	r := &serving{Sidecar: s, term: term, ended: make(chan error, 1)}
-	go func() { r.ended <- s.Serve(ctx); close(r.ended) }()
-	t.Cleanup(func() { term(); <-r.ended })
+	r := &fileSidecar{Sidecar: s, terminate: term, serveResult: make(chan error, 1)}
+	go func() { r.serveResult <- s.Serve(ctx); close(r.serveResult) }()
+	t.Cleanup(func() { term(); <-r.serveResult })
 	return r
 }
 
-func (s *serving) at(name string) string { return s.Addrs()[name].String() }
+func (s *fileSidecar) addressOf(name string) string { return s.Addrs()[name].String() }
 
-func (s *serving) reload(t testing.TB, text string) {
+func (s *fileSidecar) reload(t testing.TB, text string) {
 	t.Helper()
-	if err := s.Reload(service(t, text)); err != nil {
+	if err := s.Reload(parseService(t, text)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -82,10 +82,10 @@
 		t.Fatal(err)
 	}
 	r.Host = host
-	return do(t, r)
+	return roundTrip(t, r)
 }
 
-func do(t testing.TB, r *http.Request) (*http.Response, string) {
+func roundTrip(t testing.TB, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(r)
@@ -101,8 +101,8 @@
 	return resp, string(text)
 }
 
-// echo is an endpoint that gives its name and the request's line and headers back.
-func echo(t testing.TB, name string) string {
+// echoEndpoint is an endpoint that gives its name and the request's line and headers back.
+func echoEndpoint(t testing.TB, name string) string {
 	t.Helper()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%s %s %s\n", name, r.Method, r.RequestURI)
@@ -122,9 +122,9 @@
 
 const listen1, listen2 = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\n", "[[listener]]\nname = \"two\"\naddress = \"127.0.0.1:0\"\n"
 
-func TestRoutesLeadToPools(t *testing.T) {
-	a, b := echo(t, "A"), echo(t, "B")
-	s := serve(t, service(t, listen1+listen2+poolOf("a", a)+poolOf("b", a, b)+`
+func TestRoutesSelectPools(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	s := startFromFile(t, parseService(t, listen1+listen2+poolOf("a", a)+poolOf("b", a, b)+`
 		[[route]]
 		hosts = ["b.example", "*.b.example"]
 		path_prefix = "/old/"
@@ -138,25 +138,25 @@
 		pool = "a"
 		class = "look"
 	`))
-	if _, text := get(t, s.at("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
+	if _, text := get(t, s.addressOf("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
 		t.Errorf("a.example: %q", text)
 	}
-	r, _ := http.NewRequest(http.MethodGet, "http://"+s.at("two")+"/old/thing?", nil)
+	r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("two")+"/old/thing?", nil)
 	r.Host = "x.B.example."
 	r.Header.Set("X-Secret", "s")
 	r.Header.Set("X-Pool", "mine")
-	if _, text := do(t, r); !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
+	if _, text := roundTrip(t, r); !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
 		t.Errorf("x.b.example: %q", text)
 	}
 	for target, want := range map[string]int{"/": 404, "/a//b": 400, "/a%2fb": 400, "/../x": 400, "/a;b": 400} {
-		if resp, _ := get(t, s.at("one"), "c.example", target); resp.StatusCode != want {
+		if resp, _ := get(t, s.addressOf("one"), "c.example", target); resp.StatusCode != want {
 			t.Errorf("%s: %d, want %d", target, resp.StatusCode, want)
 		}
 	}
 }
 
-func TestWhatIsSaidOfCallers(t *testing.T) {
-	a := echo(t, "A")
+func TestForwardedHeadersDescribeTheClient(t *testing.T) {
+	a := echoEndpoint(t, "A")
 	const route = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
 	for way, want := range map[string][]string{
 		"set":    {"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n", "X-Forwarded-Proto: http\r\n", "Forwarded: for=127.0.0.1;host=\"h\";proto=http\r\n"},
@@ -164,14 +164,14 @@
 		"drop":   {"Via: 1.0 x\r\nVia: 1.1 tuliprock"},
 		"leave":  {"Via: 1.0 x\r\n", "X-Forwarded-For: 6.6.6.6\r\n", "Forwarded: for=6.6.6.6\r\n", "X_forwarded_for: 7.7.7.7\r\n"},
 	} {
-		s := serve(t, service(t, listen1+"forwarded = \""+way+"\"\n"+poolOf("a", a)+route))
-		r, _ := http.NewRequest(http.MethodGet, "http://"+s.at("one")+"/", nil)
+		s := startFromFile(t, parseService(t, listen1+"forwarded = \""+way+"\"\n"+poolOf("a", a)+route))
+		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
 		r.Host = "h"
 		for name, value := range map[string]string{"X-Forwarded-For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Forwarded_For": "7.7.7.7",
 			"Via": "1.0 x", "Connection": "X-Forwarded-Proto, X-Hop", "X-Hop": "h", "Req-Deadline-Ms": "9000"} {
 			r.Header.Set(name, value)
 		}
-		_, text := do(t, r)
+		_, text := roundTrip(t, r)
 		for _, line := range want {
 			if !strings.Contains(text, line) {
 				t.Errorf("%s: %q lacks %q", way, text, line)
@@ -185,7 +185,7 @@
 }
 
 // An endpoint's answers go on as they are; only what a caller would take for a promise does not.
-func TestAnswersGoOn(t *testing.T) {
+func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Own", "1")
 		w.Header().Set("Connection", "X-Hop")
@@ -198,15 +198,15 @@
 		}
 	}))
 	defer e.Close()
-	s := serve(t, service(t, listen1+poolOf("a", e.Listener.Addr().String())+"[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n[[route]]\npool = \"a\"\nclass = \"look\"\n"))
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Listener.Addr().String())+"[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n[[route]]\npool = \"a\"\nclass = \"look\"\n"))
 	for _, c := range []struct {
 		method string
 		status int
 		want   int
 	}{{"GET", 200, 200}, {"GET", 204, 204}, {"GET", 302, 302}, {"GET", 304, 304}, {"GET", 404, 404}, {"HEAD", 200, 200}, {"GET", 500, 500}, {"POST", 201, 201}, {"POST", 409, 409},
 		{"POST", 500, 500}, {"POST", 502, 502}, {"POST", 503, 502}, {"POST", 429, 502}} {
-		r, _ := http.NewRequest(c.method, fmt.Sprintf("http://%s/%d", s.at("one"), c.status), nil)
-		resp, text := do(t, r)
+		r, _ := http.NewRequest(c.method, fmt.Sprintf("http://%s/%d", s.addressOf("one"), c.status), nil)
+		resp, text := roundTrip(t, r)
 		if resp.StatusCode != c.want {
 			t.Errorf("%s %d: %d", c.method, c.status, resp.StatusCode)
 		}
@@ -222,33 +222,33 @@
 	}
 }
 
-const one = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
+const lookRoute = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
 
-func TestAReloadKeepsWhatDidNotChange(t *testing.T) {
-	a, b := echo(t, "A"), echo(t, "B")
-	s := serve(t, service(t, listen1+poolOf("a", a)+poolOf("b", b)+one))
+func TestReloadKeepsUnchangedListenersAndPools(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+poolOf("b", b)+lookRoute))
 	was, listener := s.installed.pools, s.listeners["one 127.0.0.1:0"]
-	nc, in, resp := keepOn(t, s.at("one"))
+	nc, in, resp := openConnection(t, s.addressOf("one"))
 	if resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.Status)
 	}
-	s.reload(t, listen1+poolOf("a", a, b)+poolOf("b", b)+one)
+	s.reload(t, listen1+poolOf("a", a, b)+poolOf("b", b)+lookRoute)
 	if s.installed.pools["a"] != was["a"] || s.installed.pools["b"] != was["b"] || s.listeners["one 127.0.0.1:0"] != listener {
 		t.Error("what did not change was built anew")
 	}
-	askOn(t, nc, in)
-	s.reload(t, listen1+strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)+poolOf("b", b)+one)
+	sendOn(t, nc, in)
+	s.reload(t, listen1+strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)+poolOf("b", b)+lookRoute)
 	if s.installed.pools["a"] == was["a"] || s.installed.pools["b"] != was["b"] {
 		t.Error("a pool that changed was kept, or one that did not was not")
 	}
-	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
+	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("after the change: %q", text)
 	}
-	askOn(t, nc, in) // the caller's connection has lasted through all of it
+	sendOn(t, nc, in) // the caller's connection has lasted through all of it
 }
 
-// keepOn asks on a connection that stays open.
-func keepOn(t testing.TB, addr string) (net.Conn, *bufio.Reader, *http.Response) {
+// openConnection asks on a connection that stays open.
+func openConnection(t testing.TB, addr string) (net.Conn, *bufio.Reader, *http.Response) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -256,10 +256,10 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	in := bufio.NewReader(nc)
-	return nc, in, askOn(t, nc, in)
+	return nc, in, sendOn(t, nc, in)
 }
 
-func askOn(t testing.TB, nc net.Conn, in *bufio.Reader) *http.Response {
+func sendOn(t testing.TB, nc net.Conn, in *bufio.Reader) *http.Response {
 	t.Helper()
 	nc.SetDeadline(time.Now().Add(testpeer.Patience))
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -273,7 +273,7 @@
 }
 
 // A pool that is taken out answers what it has, by the configuration that took it, and then nothing of it is left.
-func TestAPoolTakenOutAnswersWhatItHas(t *testing.T) {
+func TestRemovedPoolFinishesItsRequests(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	slow := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
@@ -281,17 +281,17 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	b := echo(t, "B")
-	s := serve(t, service(t, listen1+poolOf("a", slow.Addr)+one))
+	b := echoEndpoint(t, "B")
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", slow.Addr)+lookRoute))
 	first := make(chan string)
 	go func() {
-		_, text := get(t, s.at("one"), "h", "/")
+		_, text := get(t, s.addressOf("one"), "h", "/")
 		first <- text
 	}()
 	<-came
 	old := s.installed.pools["a"]
-	s.reload(t, listen1+poolOf("b", b)+strings.ReplaceAll(one, `"a"`, `"b"`))
-	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
+	s.reload(t, listen1+poolOf("b", b)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`))
+	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("a new request: %q", text)
 	}
 	select {
@@ -311,7 +311,7 @@
 }
 
 // A pool that another takes over from hears who drains, too: a request that it still has must not go there.
-func TestAPoolTakenOverHearsWhoDrains(t *testing.T) {
+func TestReplacedPoolStillReceivesEndpointUpdates(t *testing.T) {
 	const declines = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 	came, release := make(chan int, 10), make(chan bool)
 	var nodes [2]*testpeer.Endpoint
@@ -328,14 +328,14 @@
 		for i, state := range states {
 			text += fmt.Sprintf("[[pool.member]]\naddress = %q\nstate = %q\n", nodes[i].Addr, state)
 		}
-		return listen1 + text + one
+		return listen1 + text + lookRoute
 	}
-	s := serve(t, service(t, file(3, "ready", "ready")))
+	s := startFromFile(t, parseService(t, file(3, "ready", "ready")))
 	ended := make(chan bool)
 	go func() {
-		r, _ := http.NewRequest(http.MethodGet, "http://"+s.at("one")+"/", nil)
+		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
 		r.Header.Set("Req-Deadline-Ms", "1500")
-		do(t, r)
+		roundTrip(t, r)
 		close(ended)
 	}()
 	first := <-came
@@ -353,9 +353,9 @@
 	}
 }
 
-func TestABadReloadChangesNothing(t *testing.T) {
-	a := echo(t, "A")
-	s := serve(t, service(t, listen1+poolOf("a", a)+one))
+func TestFailedReloadChangesNothing(t *testing.T) {
+	a := echoEndpoint(t, "A")
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+lookRoute))
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -363,35 +363,35 @@
 	defer taken.Close()
 	was, listeners := s.installed, fmt.Sprint(s.Addrs())
 	free := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
-	err = s.Reload(service(t, free+fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())+poolOf("b", a)+strings.ReplaceAll(one, `"a"`, `"b"`)))
+	err = s.Reload(parseService(t, free+fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())+poolOf("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
 	if err == nil || !strings.Contains(err.Error(), "listener late") {
 		t.Errorf("error %v", err)
 	}
 	if s.installed != was || fmt.Sprint(s.Addrs()) != listeners {
 		t.Error("something changed")
 	}
-	if _, text := get(t, s.at("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
+	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
 		t.Errorf("afterwards: %q", text)
 	}
 }
 
 // A listener that moves serves at its old place for a while: connections there go on, and callers that don't know yet.
 // Back and forth again, and with other limits at the same place, it loses nobody.
-func TestAListenerMoves(t *testing.T) {
-	a := echo(t, "A")
+func TestReloadMovesListener(t *testing.T) {
+	a := echoEndpoint(t, "A")
 	here, there := testpeer.FreePort(t), testpeer.FreePort(t)
 	at := func(addr string, more string) string {
-		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, more) + poolOf("a", a) + one
+		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, more) + poolOf("a", a) + lookRoute
 	}
-	s := serve(t, service(t, at(here, "")))
-	nc, in, _ := keepOn(t, here)
+	s := startFromFile(t, parseService(t, at(here, "")))
+	nc, in, _ := openConnection(t, here)
 	s.reload(t, at(there, ""))
 	for _, addr := range []string{here, there} {
 		if resp, _ := get(t, addr, "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("at %s: %s", addr, resp.Status)
 		}
 	}
-	askOn(t, nc, in)
+	sendOn(t, nc, in)
 	s.reload(t, at(here, ""))                        // while the first one still drains
 	s.reload(t, at(here, "idle_timeout = \"1s\"\n")) // another server behind the same socket
 	for range 50 {
@@ -409,64 +409,64 @@
 	testpeer.Until(t, "nothing is leaving", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drainingListeners) == 0 })
 }
 
-func TestReloadsAtOnceAndDuringTheEnd(t *testing.T) {
-	a, b := echo(t, "A"), echo(t, "B")
-	s := serve(t, service(t, listen1+poolOf("a", a)+one))
+func TestConcurrentReloadsAndReloadDuringShutdown(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+lookRoute))
 	var busy sync.WaitGroup
 	for i := range 20 {
 		busy.Go(func() {
-			if err := s.Reload(service(t, listen1+poolOf("a", []string{a, b}[i%2])+one)); err != nil {
+			if err := s.Reload(parseService(t, listen1+poolOf("a", []string{a, b}[i%2])+lookRoute)); err != nil {
 				t.Error(err)
 			}
 		})
 		busy.Go(func() {
 			// Refused is an answer too: the one member of each list is new there, and taken to be cold.
-			if resp, _ := get(t, s.at("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
+			if resp, _ := get(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Error(resp.Status)
 			}
 		})
 	}
 	busy.Wait()
-	s.term()
+	s.terminate()
 	testpeer.Until(t, "the end begins", func() bool {
-		return errors.Is(s.Reload(service(t, listen1+poolOf("a", a)+one)), errShuttingDown)
+		return errors.Is(s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)), errShuttingDown)
 	})
-	if err := <-s.ended; err != nil {
+	if err := <-s.serveResult; err != nil {
 		t.Error(err)
 	}
 }
 
 // The same address in two pools, and a member that keeps its id at another address.
-func TestMembersOfTwoPoolsAndMembersThatMove(t *testing.T) {
-	a, b := echo(t, "A"), echo(t, "B")
+func TestEndpointsSharedByPoolsAndMigratingBetweenThem(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
 	member := func(addr string) string {
 		return fmt.Sprintf("[[pool]]\nname = \"a\"\n[[pool.member]]\nid = \"m\"\naddress = %q\n", addr)
 	}
-	routes := "[[route]]\nhosts = [\"b\"]\npool = \"b\"\nclass = \"look\"\n" + one
-	s := serve(t, service(t, listen1+member(a)+poolOf("b", a)+routes))
+	routes := "[[route]]\nhosts = [\"b\"]\npool = \"b\"\nclass = \"look\"\n" + lookRoute
+	s := startFromFile(t, parseService(t, listen1+member(a)+poolOf("b", a)+routes))
 	for _, host := range []string{"a", "b"} {
-		if _, text := get(t, s.at("one"), host, "/"); !strings.HasPrefix(text, "A ") {
+		if _, text := get(t, s.addressOf("one"), host, "/"); !strings.HasPrefix(text, "A ") {
 			t.Errorf("%s: %q", host, text)
 		}
 	}
 	s.reload(t, listen1+member(b)+poolOf("b", a)+routes)
-	if _, text := get(t, s.at("one"), "a", "/"); !strings.HasPrefix(text, "B ") {
+	if _, text := get(t, s.addressOf("one"), "a", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("moved: %q", text)
 	}
-	if _, text := get(t, s.at("one"), "b", "/"); !strings.HasPrefix(text, "A ") {
+	if _, text := get(t, s.addressOf("one"), "b", "/"); !strings.HasPrefix(text, "A ") {
 		t.Errorf("the other pool: %q", text)
 	}
 }
 
 // A caller's word that it has asked before spares its tenant's quota: it is taken only where the class says so.
-func TestRepeatsAreBelievedOnlyWhereTold(t *testing.T) {
+func TestRetryHeaderIsTrustedOnlyWhereConfigured(t *testing.T) {
 	for header, want := range map[string]bool{"": false, "Req-Retry": true} {
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 		repeats := make(chan bool, 1)
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &watching{Events: eventloop.Module(now, s, h), repeats: repeats}
+			return &recordingEvents{Events: eventloop.Module(now, s, h), repeats: repeats}
 		}
-		c := service(t, listen1+poolOf("a", e.Addr)+one)
+		c := parseService(t, listen1+poolOf("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
 		s, err := StartWith(decide, c, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -474,7 +474,7 @@
 		}
 		r, _ := http.NewRequest(http.MethodGet, "http://"+s.Addrs()["one"].String()+"/", nil)
 		r.Header.Set("Req-Retry", "1")
-		do(t, r)
+		roundTrip(t, r)
 		if got := <-repeats; got != want {
 			t.Errorf("with %q believed: %v", header, got)
 		}
@@ -484,21 +484,21 @@
 	}
 }
 
-// watching is the module, and what it is told of repeats.
-type watching struct {
+// recordingEvents is the module, and what it is told of repeats.
+type recordingEvents struct {
 	balance.Events
 	repeats chan bool
 }
 
-func (w *watching) Request(now time.Duration, r balance.Request) {
+func (w *recordingEvents) Request(now time.Duration, r balance.Request) {
 	w.repeats <- r.Repeat
 	w.Events.Request(now, r)
 }
 
 // What could be routed one way and served another is turned away before any route is looked at.
-func TestTargetsThatReadTwoWaysAreTurnedAway(t *testing.T) {
+func TestAmbiguousTargetsAreRejected(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := serve(t, service(t, listen1+poolOf("a", e.Addr)+one))
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Addr)+lookRoute))
 	for name, text := range map[string]string{
 		"two hosts":          "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
 		"no host":            "GET / HTTP/1.1\r\n\r\n",
@@ -517,7 +517,7 @@
 		"an endless wait":    "GET / HTTP/1.1\r\nHost: a\r\nReq-Deadline-Ms: 99999999\r\n\r\n",
 		"a deadline of none": "GET / HTTP/1.1\r\nHost: a\r\nReq-Deadline-Ms:\r\n\r\n",
 	} {
-		nc, err := net.Dial("tcp", s.at("one"))
+		nc, err := net.Dial("tcp", s.addressOf("one"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -532,14 +532,14 @@
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d of them reached the endpoint", n)
 	}
-	if resp, _ := get(t, s.at("one"), "a", "/?x=/../;//"); resp.StatusCode != http.StatusOK {
+	if resp, _ := get(t, s.addressOf("one"), "a", "/?x=/../;//"); resp.StatusCode != http.StatusOK {
 		t.Errorf("a good request afterwards: %s", resp.Status)
 	}
 }
 
 // Members by DNS and by file, from the daemon's side: the list that changes is served by, and what fails leaves it standing.
-func TestMembersComeFromDNSAndFiles(t *testing.T) {
-	a, b := echo(t, "A"), echo(t, "B")
+func TestPoolMembersFromDNSAndFiles(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
 	names, err := fake.NewDNS()
 	if err != nil {
 		t.Fatal(err)
@@ -562,7 +562,7 @@
 	}
 	write(a)
 	point(a)
-	s := serve(t, service(t, listen1+fmt.Sprintf(`
+	s := startFromFile(t, parseService(t, listen1+fmt.Sprintf(`
 		[[pool]]
 		name = "file"
 		file = %q
@@ -581,7 +581,7 @@
 		class = "look"
 		`, list, names.Addr)))
 	served := func(path, name string) bool {
-		_, text := get(t, s.at("one"), "h", path)
+		_, text := get(t, s.addressOf("one"), "h", path)
 		return strings.HasPrefix(text, name+" ")
 	}
 	for _, path := range []string{"/file", "/dns"} {
@@ -632,10 +632,10 @@
 // One request after another on one connection: the whole way there and back.
 func BenchmarkServe(b *testing.B) {
 	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
-	s := serve(b, service(b, listen1+poolOf("a", e.Addr)+one))
-	nc, in, _ := keepOn(b, s.at("one"))
+	s := startFromFile(b, parseService(b, listen1+poolOf("a", e.Addr)+lookRoute))
+	nc, in, _ := openConnection(b, s.addressOf("one"))
 	b.ReportAllocs()
 	for b.Loop() {
-		askOn(b, nc, in)
+		sendOn(b, nc, in)
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -18,7 +18,7 @@
 )
 
 // A list that says who drains does not stand behind the events that wait: what is decided after it was told goes elsewhere.
-func TestAListDoesNotWaitBehindRequests(t *testing.T) {
+func TestEndpointUpdateOvertakesQueuedRequests(t *testing.T) {
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
@@ -46,11 +46,11 @@
 
 // At SIGTERM the platform leaves the longest deadline and a little more: what is taken, then or before, has its answer by then, though
 // its own time is longer and its endpoint hangs.
-func TestEverythingIsAnsweredBeforeTheKill(t *testing.T) {
+func TestShutdownAnswersEveryRequestBeforeTheKill(t *testing.T) {
 	const grace = 1200 * time.Millisecond
 	came := make(chan bool, 10)
 	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { came <- true; return true })
-	s := runWithin(t, "{}", []func(*config.Service){func(c *config.Service) { c.Grace = grace }}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.Grace = grace }}, e.Addr)
 	hung := func(id, class string) *bufio.Reader {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -66,8 +66,8 @@
 	}
 	before, after := []*bufio.Reader{hung("1", "look"), hung("2", "pay")}, []*bufio.Reader(nil)
 	began := time.Now()
-	s.term()
-	testpeer.Until(t, "the end is near", func() bool { return s.callers.IsShuttingDown() })
+	s.terminate()
+	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
 	after = append(after, hung("3", "look"), hung("4", "pay"))
 	for i, in := range append(before, after...) {
 		resp, err := http.ReadResponse(in, nil)
@@ -80,7 +80,7 @@
 	}
 	took := time.Since(began)
 	t.Logf("all answered after %v of %v", took, grace)
-	if err := <-s.ended; err != nil {
+	if err := <-s.serveResult; err != nil {
 		t.Error(err)
 	}
 	if took < grace/2 {
@@ -89,7 +89,7 @@
 }
 
 // The grace follows from the deadlines that the settings name, and is never longer than the platform's.
-func TestTheGraceFollowsFromTheSettings(t *testing.T) {
+func TestGracePeriodFollowsFromSettings(t *testing.T) {
 	for limits, want := range map[[2]int]time.Duration{{500, 800}: 1500 * time.Millisecond, {500, 6000}: 3700 * time.Millisecond, {0, 500}: 3700 * time.Millisecond} {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7","settings":{"Lanes":[
 			{"Name":"x","Semantics":"read_like","HardLimitUs":%d},{"Name":"y","Semantics":"non_idempotent","HardLimitUs":%d}]}}`, 1000*limits[0], 1000*limits[1])
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -29,27 +29,27 @@
 	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
 	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":2000000,"DialTimeoutUs":5000000}}`
 
-// running is a whole sidecar on loopback sockets.
-type running struct {
+// platformSidecar is a whole sidecar on loopback sockets.
+type platformSidecar struct {
 	*Sidecar
-	told     config.Config
-	addr     string
-	conns    *frontend.Listener
-	callers  *frontend.Server
-	loop     *eventloop.Loop
-	upstream *upstream.Client
-	pool     *pool
-	term     context.CancelFunc
-	ended    chan error
+	platformConfig config.Config
+	addr           string
+	connections    *frontend.Listener
+	frontend       *frontend.Server
+	loop           *eventloop.Loop
+	upstream       *upstream.Client
+	pool           *pool
+	terminate      context.CancelFunc
+	serveResult    chan error
 }
 
-// run starts a sidecar before the endpoints given, named a, b, ... Its discovery never says anything.
-func run(t *testing.T, addrs ...string) *running {
+// startPlatform starts a sidecar before the endpoints given, named a, b, ... Its discovery never says anything.
+func startPlatform(t *testing.T, addrs ...string) *platformSidecar {
 	t.Helper()
-	return runWithin(t, "{}", nil, addrs...)
+	return startPlatformWith(t, "{}", nil, addrs...)
 }
 
-func runWithin(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *running {
+func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
 	silent := httptest.NewServer(&testpeer.Discovery{Calls: make(chan string, 100)})
 	var list []string
@@ -75,19 +75,19 @@
 	}
 	l, p := s.listeners[listenerKey(service.Listeners[0])], s.installed.pools[service.Pools[0].Name]
 	ctx, term := context.WithCancel(context.Background())
-	r := &running{Sidecar: s, told: c, addr: l.connections.Addr().String(), conns: l.connections, callers: l.frontend, loop: p.loop, upstream: p.upstream, pool: p,
-		term: term, ended: make(chan error, 1)}
-	go func() { r.ended <- s.Serve(ctx); close(r.ended) }()
+	r := &platformSidecar{Sidecar: s, platformConfig: c, addr: l.connections.Addr().String(), connections: l.connections, frontend: l.frontend, loop: p.loop, upstream: p.upstream, pool: p,
+		terminate: term, serveResult: make(chan error, 1)}
+	go func() { r.serveResult <- s.Serve(ctx); close(r.serveResult) }()
 	t.Cleanup(func() {
 		term()
-		<-r.ended
+		<-r.serveResult
 		silent.Close()
 	})
 	return r
 }
 
 // request is one as clients send it.
-func (s *running) request(t *testing.T, method, path, id string, ms int) *http.Request {
+func (s *platformSidecar) request(t *testing.T, method, path, id string, ms int) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return r
 }
 
-// ask sends a request on a connection of its own.
-func ask(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
+// send sends a request on a connection of its own.
+func send(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
@@ -118,8 +118,8 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// keep sends a request on a new connection and leaves that open.
-func keep(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
+// sendKeepingOpen sends a request on a new connection and leaves that open.
+func sendKeepingOpen(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
 	t.Helper()
 	nc, err := net.Dial("tcp", r.URL.Host)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return nc, in, &http.Response{}
 }
 
-func TestARequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	body := make(chan string, 1)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,10 +151,10 @@
 		io.WriteString(w, "done")
 	}))
 	defer e.Close()
-	s := run(t, e.Listener.Addr().String())
+	s := startPlatform(t, e.Listener.Addr().String())
 	r := s.request(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
-	if status, text, _ := ask(t, r); status != http.StatusOK || text != "done" {
+	if status, text, _ := send(t, r); status != http.StatusOK || text != "done" {
 		t.Errorf("%d %q", status, text)
 	}
 	in := <-got
@@ -169,10 +169,10 @@
 }
 
 // What can't have run may be refused; what may have run is failed, and sent only once.
-func TestUnsafeWorkIsNotResentAndNotRefused(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says("", false))
-	s := run(t, e.Addr, e.Addr, e.Addr)
-	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
+	s := startPlatform(t, e.Addr, e.Addr, e.Addr)
+	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
 		t.Errorf("may have run: %d", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
@@ -180,25 +180,25 @@
 	}
 	closed := testpeer.NewEndpoint(t, testpeer.Says("", false))
 	closed.Listener.Close()
-	s = run(t, closed.Addr)
-	status, _, h := ask(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
+	s = startPlatform(t, closed.Addr)
+	status, _, h := send(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("never ran: %d %v", status, h)
 	}
 }
 
-func TestASilentEndpointStillGetsAnAnswerOut(t *testing.T) {
+func TestSilentEndpointStillYieldsAResponse(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		nc.Read(make([]byte, 1))
 		return false
 	})
-	s := run(t, e.Addr)
-	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
+	s := startPlatform(t, e.Addr)
+	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
 		t.Errorf("status %d", status)
 	}
 }
 
-func TestACallerThatLeavesEndsTheAttempt(t *testing.T) {
+func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	came, left := make(chan bool), make(chan bool)
 	e := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		came <- true
@@ -206,7 +206,7 @@
 		left <- true
 	}))
 	defer e.Close()
-	s := run(t, e.Listener.Addr().String())
+	s := startPlatform(t, e.Listener.Addr().String())
 	ctx, leave := context.WithCancel(context.Background())
 	go func() { <-came; leave() }()
 	if _, err := http.DefaultClient.Do(s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)); !errors.Is(err, context.Canceled) {
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestADuplicateLiveIDDoesNotDisturbTheFirst(t *testing.T) {
+func TestDuplicateRequestIDLeavesTheFirstInFlight(t *testing.T) {
 	came, release := make(chan bool, 2), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
@@ -227,14 +227,14 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := run(t, e.Addr)
+	s := startPlatform(t, e.Addr)
 	first := make(chan int)
 	go func() {
-		status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "same", 60000))
+		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000))
 		first <- status
 	}()
 	<-came
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
 		t.Errorf("second: %d", status)
 	}
 	close(release)
@@ -246,9 +246,9 @@
 	}
 }
 
-func TestBadInputReachesNoEndpoint(t *testing.T) {
+func TestInvalidRequestReachesNoEndpoint(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := run(t, e.Addr)
+	s := startPlatform(t, e.Addr)
 	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
 		"noise":                     "\x01\x02 \x03\r\n\r\n",
@@ -298,13 +298,13 @@
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d requests reached the endpoint", n)
 	}
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
 		t.Errorf("a good request afterwards: %d", status)
 	}
 }
 
 // A list goes through the loop, as discovery's do: what comes after it finds it in force.
-func (s *running) tell(t *testing.T, text string) {
+func (s *platformSidecar) tell(t *testing.T, text string) {
 	t.Helper()
 	m, err := discovery.ParseListUpdate([]byte(text))
 	if err != nil {
@@ -313,14 +313,14 @@
 	s.pool.updateEndpoints(m)
 }
 
-func TestNothingNewGoesToWhatDrainsOrIsGone(t *testing.T) {
+func TestDrainingOrRemovedEndpointGetsNoNewRequests(t *testing.T) {
 	a, b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true)), testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := run(t, a.Addr, b.Addr)
+	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
 	calls := func() (int32, int32) {
 		for range 8 {
 			n++
-			if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
+			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		}
@@ -340,7 +340,7 @@
 }
 
 // After SIGTERM callers go on coming for a while; all that was taken is answered before the end.
-func TestTheEndLosesNothing(t *testing.T) {
+func TestShutdownLosesNoRequest(t *testing.T) {
 	came, release := make(chan bool, 100), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "slow") {
@@ -350,24 +350,24 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := run(t, e.Addr)
+	s := startPlatform(t, e.Addr)
 	var slow sync.WaitGroup
 	for i := range 3 {
 		slow.Go(func() {
-			_, _, resp := keep(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
+			_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
 			if resp.StatusCode != http.StatusOK || !resp.Close {
 				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
 			}
 		})
 		<-came
 	}
-	_, in, resp := keep(t, s.request(t, http.MethodGet, "/look", "kept", 60000))
+	_, in, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "kept", 60000))
 	if resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("before the signal: %d, close %v", resp.StatusCode, resp.Close)
 	}
 
-	s.term()
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
+	s.terminate()
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
 		t.Errorf("right after the signal: %d", status)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -381,14 +381,14 @@
 		return err != nil
 	})
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveResult:
 		t.Fatalf("ended with requests in flight: %v", err)
 	default:
 	}
 	close(release)
 	slow.Wait()
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveResult:
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
@@ -398,11 +398,11 @@
 }
 
 // Idle callers must give way when connections run short, and none may be lost.
-func TestIdleCallersGiveWay(t *testing.T) {
+func TestIdleConnectionsYieldToNewClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, `{"sockets":64}`, nil, e.Addr)
+	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 100 { // far over the limit
-		_, _, resp := keep(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("caller %d: status %d", i, resp.StatusCode)
 		}
@@ -410,9 +410,9 @@
 }
 
 // A body that never ends must not hold its connection, whatever else is wrong with the request.
-func TestAnUnfinishedBodyIsGivenUp(t *testing.T) {
+func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, "{}", []func(*config.Service){func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }}, e.Addr)
 	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -433,9 +433,9 @@
 
 // Seen on a day of bad callers: net/http drops Content-Length beside Transfer-Encoding, and what stood in the body
 // behind the last chunk went on to endpoints as a request of its own.
-func TestARequestHiddenInABodyGoesNowhere(t *testing.T) {
+func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := run(t, e.Addr)
+	s := startPlatform(t, e.Addr)
 	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 60000\r\n"
 	hidden := "0\r\n\r\nPOST /pay" + fields + "Req-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	for name, framing := range map[string]string{
@@ -476,7 +476,7 @@
 
 // Seen on a day of new configurations: SIGHUP ended the program. Endpoints learned from the new discovery serve, the
 // request in flight is answered, and further reloads, also during the end, do no harm.
-func TestAReloadMovesDiscoveryAndDisturbsNothing(t *testing.T) {
+func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	old := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
@@ -484,15 +484,15 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := run(t, old.Addr)
+	s := startPlatform(t, old.Addr)
 	first := make(chan int)
 	go func() {
-		status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "r1", 60000))
+		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000))
 		first <- status
 	}()
 	<-came
 	fresh := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	c := s.told
+	c := s.platformConfig
 	var calls chan string
 	c.Discovery, calls = another(t, testpeer.Members(1, true, testpeer.Member("new", fresh.Addr, "Ready")), "SILENT")
 	reload := func() error {
@@ -508,28 +508,28 @@
 	}
 	<-calls
 	<-calls // the watch: the list is in force
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "r2", 60000)); status != http.StatusOK || fresh.Requests.Load() != 1 {
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000)); status != http.StatusOK || fresh.Requests.Load() != 1 {
 		t.Errorf("after the move: %d, %d requests at the new endpoint", status, fresh.Requests.Load())
 	}
 	if err := reload(); err != nil {
 		t.Error(err)
 	}
-	s.term()
+	s.terminate()
 	c.Discovery, _ = another(t)
 	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
 		t.Errorf("in flight: %d", status)
 	}
-	if err := <-s.ended; err != nil {
+	if err := <-s.serveResult; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
 // Callers that connect by hundreds and say nothing must not hold up those that ask.
-func TestSilentConnectionsDoNotKeepCallersOut(t *testing.T) {
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := runWithin(t, `{"sockets":64}`, nil, e.Addr)
+	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 200 {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -538,27 +538,27 @@
 		t.Cleanup(func() { nc.Close() })
 		io.WriteString(nc, "GET /lo"[:i%2*7]) // some of a head, or nothing
 	}
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := s.conns.Count(); n > 64 {
+	if n := s.connections.Count(); n > 64 {
 		t.Errorf("%d connections are held", n)
 	}
 }
 
 // While the process is there it serves: after SIGTERM a caller goes on using its connection, with answers in time for
 // the end.
-func TestCallersAreServedOnAfterTheSignal(t *testing.T) {
+func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("Req-Id") != "long" {
 			io.WriteString(nc, testpeer.Served)
 		}
 		return true
 	})
-	s := run(t, e.Addr)
-	nc, in, _ := keep(t, s.request(t, http.MethodGet, "/look", "first", 60000))
-	s.term()
-	testpeer.Until(t, "the end is near", func() bool { return s.callers.IsShuttingDown() })
+	s := startPlatform(t, e.Addr)
+	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
+	s.terminate()
+	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
@@ -578,16 +578,16 @@
 }
 
 // A long day brings ever new endpoints at old addresses, ids and connections; nothing of those that have gone may stay.
-func TestNothingGrowsWithEverNewNames(t *testing.T) {
+func TestMemoryStaysBoundedForDistinctNames(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := run(t, e.Addr)
+	s := startPlatform(t, e.Addr)
 	for i := range 500 {
 		s.tell(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
-		if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
+		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
-	testpeer.Until(t, "callers' connections end", func() bool { return s.conns.Count() == 0 })
+	testpeer.Until(t, "callers' connections end", func() bool { return s.connections.Count() == 0 })
 	left := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
@@ -602,7 +602,7 @@
 }
 
 // Endpoints that close what stands idle, here as soon as another is called, must not cost a connection for every call.
-func TestConnectionsThatDoNotLastAreUsedWhileTheyStand(t *testing.T) {
+func TestShortLivedConnectionsAreReusedWhileOpen(t *testing.T) {
 	var mu sync.Mutex
 	idle := map[net.Conn]bool{}
 	var all []*testpeer.Endpoint
@@ -624,10 +624,10 @@
 		})
 		all, addrs = append(all, e), append(addrs, e.Addr)
 	}
-	s := run(t, addrs...)
+	s := startPlatform(t, addrs...)
 	const calls = 60
 	for n := range calls {
-		if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
+		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
 			t.Fatalf("call %d: %d", n, status)
 		}
 	}
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -16,7 +16,7 @@
 // Requests that two readers could end in different places: none may let a second one through that hides in the first.
 // What reached the endpoint is counted by the host that each shape has to itself, and judged when the daemon has ended: a
 // request that comes late counts for its own shape.
-func TestNothingHidesInABody(t *testing.T) {
+func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
 	var mu sync.Mutex
 	outer, hidden := map[string]int{}, map[string]int{}
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
@@ -30,7 +30,7 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := serve(t, service(t, long+poolOf("a", e.Addr)+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
 	const unfinished = "a chunk of 16 digits" // its body never comes whole
 	const secret = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	post := func(headers, body string) string { return "POST /x HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + body }
@@ -70,7 +70,7 @@
 	host := func(i int) string { return "abcdefghijklmnopqrstuvwxyz0123456789"[i : i+1] }
 	for i, shape := range shapes {
 		t.Run(shape.name, func(t *testing.T) {
-			nc, err := net.Dial("tcp", s.at("one"))
+			nc, err := net.Dial("tcp", s.addressOf("one"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -98,8 +98,8 @@
 			}
 		})
 	}
-	s.term()
-	if err := <-s.ended; err != nil {
+	s.terminate()
+	if err := <-s.serveResult; err != nil {
 		t.Fatal(err)
 	}
 	for i, shape := range shapes {
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -10,7 +10,7 @@
 )
 
 // Servers that take one another's place on a socket lose no caller, and the one that closes is not kept waiting.
-func TestASocketIsHandedOnWithoutLoss(t *testing.T) {
+func TestSharedSocketIsHandedOverWithoutLoss(t *testing.T) {
 	h, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 
 // Seen on two busy cores: of two that accepted from one socket the one that stayed lifted the deadline by which the other
 // was to end, again and again before that had seen it, for 20 s.
-func TestHoldsThatAcceptAtOnceEndOneByOne(t *testing.T) {
+func TestConcurrentHandlesCloseIndependently(t *testing.T) {
 	first, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -15,7 +15,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-const pays = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
+const payRoute = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
 
 // slowUpload sends a part of an upload, and gives what the answer comes to and the means to send on.
 func slowUpload(t *testing.T, addr string, size int) (nc net.Conn, answer chan string) {
@@ -36,7 +36,7 @@
 }
 
 // After SIGTERM what flows may end; what does not end in time is cut off, so that callers can tell, and the daemon ends.
-func TestTheEndCutsOffWhatStillFlows(t *testing.T) {
+func TestShutdownAbortsStreamsAfterDrainTimeout(t *testing.T) {
 	began := make(chan bool, 10)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -54,8 +54,8 @@
 		}
 	}))
 	defer e.Close()
-	s := serve(t, service(t, "[daemon]\ndrain_timeout = \"1s\"\n"+long+poolOf("a", e.Listener.Addr().String())+pays))
-	addr := s.at("one")
+	s := startFromFile(t, parseService(t, "[daemon]\ndrain_timeout = \"1s\"\n"+streamingListener+poolOf("a", e.Listener.Addr().String())+payRoute))
+	addr := s.addressOf("one")
 	quick, quickAnswer := slowUpload(t, addr, 1<<20)
 	quick.Write(text(64 << 10))
 	stuck, stuckAnswer := slowUpload(t, addr, 1<<20)
@@ -73,7 +73,7 @@
 	for range 3 {
 		<-began
 	}
-	s.term()
+	s.terminate()
 	quick.Write(text(1 << 20)[64<<10:])
 	if got := <-quickAnswer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("an upload that ends in time: %q", got)
@@ -87,13 +87,13 @@
 	if err := <-down; !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a download: %v", err)
 	}
-	if err := <-s.ended; err != nil {
+	if err := <-s.serveResult; err != nil {
 		t.Error(err)
 	}
 }
 
 // A reload leaves what flows to flow: the request is served by the configuration that took it.
-func TestAReloadLeavesWhatFlows(t *testing.T) {
+func TestReloadKeepsStreamingUpload(t *testing.T) {
 	began := make(chan bool, 1)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.CopyN(io.Discard, r.Body, 1<<10)
@@ -102,9 +102,9 @@
 		fmt.Fprint(w, n+1<<10)
 	}))
 	defer e.Close()
-	file := long + poolOf("a", e.Listener.Addr().String()) + pays
-	s := serve(t, service(t, file))
-	nc, answer := slowUpload(t, s.at("one"), 1<<20)
+	file := streamingListener + poolOf("a", e.Listener.Addr().String()) + payRoute
+	s := startFromFile(t, parseService(t, file))
+	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
 	nc.Write(text(64 << 10))
 	<-began
 	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1)) // another server takes over the socket
@@ -116,7 +116,7 @@
 }
 
 // A member that is told to drain halfway finishes what it has, and gets nothing new.
-func TestADrainHalfwayLeavesTheUpload(t *testing.T) {
+func TestEndpointDrainKeepsStreamingUpload(t *testing.T) {
 	began := make(chan bool, 1)
 	var others atomic.Int32
 	a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -130,15 +130,15 @@
 		fmt.Fprint(w, n+1<<10)
 	}))
 	defer a.Close()
-	b := echo(t, "B")
+	b := echoEndpoint(t, "B")
 	one := "[[pool]]\nname = \"a\"\n[[pool.member]]\naddress = \"" + a.Listener.Addr().String() + "\"\n"
-	s := serve(t, service(t, long+one+pays))
-	nc, answer := slowUpload(t, s.at("one"), 1<<20)
+	s := startFromFile(t, parseService(t, streamingListener+one+payRoute))
+	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
 	nc.Write(text(64 << 10))
 	<-began
-	s.reload(t, long+one+"state = \"draining\"\n[[pool.member]]\naddress = \""+b+"\"\n"+pays)
+	s.reload(t, streamingListener+one+"state = \"draining\"\n[[pool.member]]\naddress = \""+b+"\"\n"+payRoute)
 	for range 20 {
-		get(t, s.at("one"), "h", "/")
+		get(t, s.addressOf("one"), "h", "/")
 	}
 	nc.Write(text(1 << 20)[64<<10:])
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") {
@@ -150,14 +150,14 @@
 }
 
 // A member that answers before the body's end is heard at once, and the rest of the body is nobody's.
-func TestAnEarlyAnswerGoesOnAtOnce(t *testing.T) {
+func TestEarlyResponseIsForwardedAtOnce(t *testing.T) {
 	for _, status := range []int{200, 403, 413} {
 		l := testpeer.Accept(t, func(nc net.Conn) {
 			nc.Read(make([]byte, 1<<10))
 			fmt.Fprintf(nc, "HTTP/1.1 %d Early\r\nContent-Length: 5\r\n\r\nearly", status)
 		})
-		s := serve(t, service(t, long+poolOf("a", l.Addr().String())+pays))
-		nc, answer := slowUpload(t, s.at("one"), 1<<30)
+		s := startFromFile(t, parseService(t, streamingListener+poolOf("a", l.Addr().String())+payRoute))
+		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
 		nc.Write(text(64 << 10))
 		got := <-answer // the body never ends, and the connection does
 		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") || !strings.Contains(got, "Connection: close") {
@@ -167,7 +167,7 @@
 }
 
 // Two hundred callers that trickle reach nobody, and leave the others alone.
-func TestCallersThatTrickleReachNobody(t *testing.T) {
+func TestSlowUploadsAreRejectedBeforeAnEndpoint(t *testing.T) {
 	var reached atomic.Int32
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Method == http.MethodPost {
@@ -176,10 +176,10 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := serve(t, service(t, long+"flow_idle = \"1s\"\n"+poolOf("a", e.Addr)+pays))
+	s := startFromFile(t, parseService(t, streamingListener+"flow_idle = \"1s\"\n"+poolOf("a", e.Addr)+payRoute))
 	var answers []chan string
 	for range 200 {
-		nc, answer := slowUpload(t, s.at("one"), 1<<30)
+		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
 		answers = append(answers, answer)
 		go func() {
 			for {
@@ -191,7 +191,7 @@
 		}()
 	}
 	for range 50 {
-		if resp, _ := get(t, s.at("one"), "h", "/"); resp.StatusCode != http.StatusOK {
+		if resp, _ := get(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("another caller meanwhile: %s", resp.Status)
 		}
 	}
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -13,11 +13,11 @@
 	"testing"
 )
 
-// long is an operators' file whose listener takes long bodies.
-const long = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\nbody_bytes = 1073741824\n"
+// streamingListener is an operators' file whose listener takes long bodies.
+const streamingListener = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\nbody_bytes = 1073741824\n"
 
-// noise is n bytes that are the same for the same seed, and hold nothing.
-func noise(seed uint64, n int64) io.Reader {
+// pseudoRandomBytes is n bytes that are the same for the same seed, and hold nothing.
+func pseudoRandomBytes(seed uint64, n int64) io.Reader {
 	return io.LimitReader(rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)}), n)
 }
 
@@ -27,14 +27,14 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// bulk is a node that says what hash an upload has, and gives as many bytes as it is asked for.
-func bulk(t testing.TB) string {
+// bulkEndpoint is a node that says what hash an upload has, and gives as many bytes as it is asked for.
+func bulkEndpoint(t testing.TB) string {
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n, err := strconv.ParseInt(r.URL.Query().Get("give"), 10, 64); err == nil {
 			if r.URL.Query().Get("chunked") == "" {
 				w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 			}
-			_, _ = io.Copy(w, noise(1, n))
+			_, _ = io.Copy(w, pseudoRandomBytes(1, n))
 			w.Header().Set(http.TrailerPrefix+"X-After", "there")
 			w.Header().Set(http.TrailerPrefix+"Set-Cookie", "no")
 			return
@@ -46,12 +46,12 @@
 	return e.Listener.Addr().String()
 }
 
-func TestLongBodiesGoThroughWhole(t *testing.T) {
-	s := serve(t, service(t, long+poolOf("a", bulk(t), bulk(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+func TestStreamingBodiesAreForwardedComplete(t *testing.T) {
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t), bulkEndpoint(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 200_000, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
 			size, after := n, ""
-			r, _ := http.NewRequest(http.MethodPost, "http://"+s.at("one")+"/up", io.NopCloser(noise(1, n)))
+			r, _ := http.NewRequest(http.MethodPost, "http://"+s.addressOf("one")+"/up", io.NopCloser(pseudoRandomBytes(1, n)))
 			r.ContentLength = n
 			if chunked {
 				r.ContentLength, size = -1, -1
@@ -59,8 +59,8 @@
 					size = n
 				}
 			}
-			resp, got := do(t, r)
-			if want := fmt.Sprintf("%s %d %s", hashOf(noise(1, n)), size, after); got != want {
+			resp, got := roundTrip(t, r)
+			if want := fmt.Sprintf("%s %d %s", hashOf(pseudoRandomBytes(1, n)), size, after); got != want {
 				t.Errorf("%d bytes up, chunked %v: %s %q, want %q", n, chunked, resp.Status, got, want)
 			}
 			if chunked && !resp.Close {
@@ -70,11 +70,11 @@
 			if chunked {
 				query += "&chunked=1"
 			}
-			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(mustGet("http://" + s.at("one") + "/down" + query))
+			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(mustGet("http://" + s.addressOf("one") + "/down" + query))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := hashOf(down.Body); got != hashOf(noise(1, n)) {
+			if got := hashOf(down.Body); got != hashOf(pseudoRandomBytes(1, n)) {
 				t.Errorf("%d bytes down, chunked %v: other bytes", n, chunked)
 			}
 			if n > 65536 && chunked && (down.Trailer.Get("X-After") != "there" || down.Trailer.Get("Set-Cookie") != "") {
@@ -95,9 +95,9 @@
 	return r
 }
 
-func TestTrailersGoUpButThoseThatFrame(t *testing.T) {
-	s := serve(t, service(t, long+poolOf("a", bulk(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
-	nc, in, _ := keepOn(t, s.at("one"))
+func TestRequestTrailersAreForwardedExceptFramingFields(t *testing.T) {
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	nc, in, _ := openConnection(t, s.addressOf("one"))
 	io.WriteString(nc, "POST /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-After\r\n\r\n3;ext=1\r\nabc\r\n0\r\nX-After: yes\r\nContent-Length: 7\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -110,7 +110,7 @@
 }
 
 // A caller that asks first whether its body is wanted hears it from the endpoint.
-func TestExpectationsAreTheEndpointsToMeet(t *testing.T) {
+func TestExpectContinueIsAnsweredByTheEndpoint(t *testing.T) {
 	var read int64
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/no" {
@@ -120,9 +120,9 @@
 		read, _ = io.Copy(io.Discard, r.Body)
 	}))
 	t.Cleanup(e.Close)
-	s := serve(t, service(t, long+poolOf("a", e.Listener.Addr().String())+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Listener.Addr().String())+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
 	for path, want := range map[string]string{"/no": "HTTP/1.1 417 ", "/yes": "HTTP/1.1 100 "} {
-		nc, in, _ := keepOn(t, s.at("one"))
+		nc, in, _ := openConnection(t, s.addressOf("one"))
 		io.WriteString(nc, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n")
 		line, err := in.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, want) {
