--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -51,20 +51,20 @@
 	})
 }
 
-// daemon is what a server is tried with. It says what it was asked.
-func daemon(ready bool, barred chan<- string) Handlers {
+// testHandlers report the ejections that they are called for. They know no endpoint "nobody", and one "slow" never confirms.
+func testHandlers(isReady bool, ejections chan<- string) Handlers {
 	return Handlers{
-		IsReady: func() bool { return ready },
+		IsReady: func() bool { return isReady },
 		WriteMetrics: func(_ context.Context, w io.Writer) error {
 			_, err := io.WriteString(w, "edge_router.active:1|g\n")
 			return err
 		},
-		HandleSettings: func(_ context.Context, more string, body []byte, w io.Writer) error {
-			_, err := fmt.Fprintf(w, "%s: %d bytes\n", more, len(body))
+		HandleSettings: func(_ context.Context, arguments string, body []byte, w io.Writer) error {
+			_, err := fmt.Fprintf(w, "%s: %d bytes\n", arguments, len(body))
 			return err
 		},
 		MaxBodyBytes: 100 << 10,
-		SetEjected: func(ctx context.Context, id string, out bool) (string, error) {
+		SetEjected: func(ctx context.Context, id string, isEjected bool) (string, error) {
 			switch id {
 			case "nobody":
 				return "", errors.New("nobody: no endpoint of this id is listed")
@@ -72,19 +72,23 @@
 				<-ctx.Done()
 				return "", errors.New("not confirmed in time")
 			}
-			barred <- fmt.Sprint(id, " ", out)
+			ejections <- fmt.Sprint(id, " ", isEjected)
 			return id + " is done", nil
 		},
 	}
 }
 
-func start(t *testing.T, most int, d Handlers) *Server {
+// testConnections is the limit of the servers under test.
+const testConnections = 4
+
+// start serves commands until the test ends.
+func start(t *testing.T, handlers Handlers) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(l, most, d, slog.New(slog.DiscardHandler))
+	s := New(l, testConnections, handlers, slog.New(slog.DiscardHandler))
 	served := make(chan struct{})
 	go func() { defer close(served); s.Serve() }()
 	t.Cleanup(func() {
@@ -105,23 +109,23 @@
 	return nc
 }
 
-// call sends text and reads all that comes, to the end.
-func call(t *testing.T, s *Server, text string) string {
+// exchange sends text and reads all that comes until the connection ends.
+func exchange(t *testing.T, s *Server, text string) string {
 	t.Helper()
 	nc := dial(t, s)
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(nc)
+	response, err := io.ReadAll(nc)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	return string(answer)
+	return string(response)
 }
 
 func TestOneCommandOneResponsePerConnection(t *testing.T) {
-	barred := make(chan string, 9)
-	s := start(t, 4, daemon(true, barred))
+	ejections := make(chan string, 9)
+	s := start(t, testHandlers(true, ejections))
 	for _, row := range []struct{ send, want string }{
 		{"check\n", "SUCCESS this process takes clients\n"},
 		{"check\r\nvars\n", "SUCCESS this process takes clients\n"}, // the rest is not read
@@ -139,80 +143,78 @@
 		{"\x01\x02\n", "FAILURE the line is no text\n"},
 		{strings.Repeat("x", 70<<10) + "\n", "FAILURE the line is longer than 512 bytes\n"},
 	} {
-		if got := call(t, s, row.send); got != row.want {
+		if got := exchange(t, s, row.send); got != row.want {
 			t.Errorf("%.60q: %q, want %q", row.send, got, row.want)
 		}
 	}
 	for _, want := range []string{"s-1 true", "s-1 false"} {
-		if got := <-barred; got != want {
+		if got := <-ejections; got != want {
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
-	if got := call(t, start(t, 4, daemon(false, nil)), "check\n"); !strings.HasPrefix(got, "FAILURE ") {
+	if got := exchange(t, start(t, testHandlers(false, nil)), "check\n"); !strings.HasPrefix(got, "FAILURE ") {
 		t.Errorf("not ready: %q", got)
 	}
 }
 
-// A cut id could be another endpoint's.
+// An ID that was cut could be another endpoint's.
 func TestIncompleteLineIsNotExecuted(t *testing.T) {
-	barred := make(chan string, 1)
-	s := start(t, 4, daemon(true, barred))
+	ejections := make(chan string, 1)
+	s := start(t, testHandlers(true, ejections))
 	nc := dial(t, s)
 	_, _ = io.WriteString(nc, "set-down s-12")
 	_ = nc.(*net.TCPConn).CloseWrite()
-	if answer, err := io.ReadAll(nc); err != nil || len(answer) > 0 {
-		t.Errorf("%q, %v", answer, err)
+	if response, err := io.ReadAll(nc); err != nil || len(response) > 0 {
+		t.Errorf("%q, %v", response, err)
 	}
 	select {
-	case did := <-barred:
-		t.Error(did)
+	case ejection := <-ejections:
+		t.Error(ejection)
 	default:
 	}
 }
 
-// Callers that sit there keep nobody out, nor does one whose call takes long.
+// Connections that send no complete command block nobody, nor does a command that takes long.
 func TestIdleConnectionsDoNotBlockCommands(t *testing.T) {
-	const most = 4
-	s := start(t, most, daemon(true, make(chan string, 1)))
-	var sitters []net.Conn
-	for i := range 20 * most {
+	s := start(t, testHandlers(true, make(chan string, 1)))
+	var idle []net.Conn
+	for i := range 20 * testConnections {
 		nc := dial(t, s)
 		_, _ = io.WriteString(nc, []string{"", "che", "\n\n", "set-down s-1"}[i%4])
-		sitters = append(sitters, nc)
+		idle = append(idle, nc)
 	}
 	busy := dial(t, s)
 	_, _ = io.WriteString(busy, "set-down slow\n")
 	for range 5 {
-		began := time.Now()
-		if got := call(t, s, "check\n"); !strings.HasPrefix(got, "SUCCESS") {
+		startedAt := time.Now()
+		if got := exchange(t, s, "check\n"); !strings.HasPrefix(got, "SUCCESS") {
 			t.Errorf("%q", got)
 		}
-		if took := time.Since(began); took > time.Second {
+		if took := time.Since(startedAt); took > time.Second {
 			t.Errorf("answered after %v", took)
 		}
 	}
-	if answer, err := io.ReadAll(busy); err != nil || !strings.HasPrefix(string(answer), "FAILURE") {
-		t.Errorf("the busy one: %q, %v", answer, err)
+	if response, err := io.ReadAll(busy); err != nil || !strings.HasPrefix(string(response), "FAILURE") {
+		t.Errorf("the busy one: %q, %v", response, err)
 	}
-	gone := 0
-	for _, nc := range sitters {
+	closed := 0
+	for _, nc := range idle {
 		_ = nc.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := nc.Read(make([]byte, 1)); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 			if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
-				gone++
+				closed++
 			}
 		}
 	}
-	if gone < 19*most {
-		t.Errorf("only %d of %d that sat there were let go for others", gone, len(sitters))
+	if closed < 19*testConnections {
+		t.Errorf("only %d of %d idle connections were closed for others", closed, len(idle))
 	}
 }
 
-// Close ends whoever sits there, and Serve.
 func TestCloseEndsServeAndIdleConnections(t *testing.T) {
-	s := start(t, 4, daemon(true, nil))
+	s := start(t, testHandlers(true, nil))
 	nc := dial(t, s)
-	call(t, s, "check\n")
+	exchange(t, s, "check\n")
 	s.Close()
 	if _, err := nc.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection is open still")
--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -1,5 +1,3 @@
-// Package admin is the operators' address: one call on a line, one answer, close. It asks the parts below and decides
-// nothing.
 package admin
 
 import (
@@ -10,45 +8,55 @@
 	"unicode/utf8"
 )
 
-// Verb is what is called for.
+// Verb is the first word of a command. Operators' scripts send it: its text never changes.
 type Verb string
 
-// The words.
+// The verbs of the protocol.
 const (
-	VerbCheck   Verb = "check"    // does this process take clients?
-	VerbVars    Verb = "vars"     // the figures
-	VerbSetDown Verb = "set-down" // nothing more to an endpoint
-	VerbSetUp   Verb = "set-up"   // use it again
-	VerbPeers   Verb = "peers"    // who of the fleet is there
-
-	VerbSettings Verb = "settings" // what is agreed on; more words say what is to be done with it
-	VerbVersions Verb = "versions" // the first line of that
+	VerbCheck    Verb = "check"    // whether this process takes clients
+	VerbVars     Verb = "vars"     // all metrics
+	VerbSetDown  Verb = "set-down" // ejects an endpoint manually
+	VerbSetUp    Verb = "set-up"   // ends an endpoint's manual ejection
+	VerbPeers    Verb = "peers"    // the members of the cluster
+	VerbSettings Verb = "settings" // the agreed settings; arguments read or change them
+	VerbVersions Verb = "versions" // the first line of settings: which version is in force
 )
 
-// takesID tells of each word whether an endpoint's id follows.
-var takesID = map[Verb]bool{VerbCheck: false, VerbVars: false, VerbSetDown: true, VerbSetUp: true, VerbPeers: false, VerbSettings: false, VerbVersions: false}
+// verbPut is the argument of settings that announces a body.
+const verbPut = "put"
+
+// takesID tells of each verb whether an endpoint's ID follows. A verb that is not a key is not known.
+var takesID = map[Verb]bool{
+	VerbCheck:    false,
+	VerbVars:     false,
+	VerbSetDown:  true,
+	VerbSetUp:    true,
+	VerbPeers:    false,
+	VerbSettings: false,
+	VerbVersions: false,
+}
 
-// maxLineBytes is how many bytes a line may have, its end included. Ids of endpoints are some tens long.
+// maxLineBytes is how many bytes a line may have, its end included. IDs of endpoints are some tens of bytes long.
 const maxLineBytes = 512
 
 var errLineTooLong = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
 
-// Command is a line that was understood.
+// Command is a parsed line.
 type Command struct {
 	Verb       Verb
-	EndpointID string // of an endpoint, where the word takes one
-	Arguments  string // what follows settings, each word behind one space
-	BodyLength int    // bytes that follow the line, as its last word says: settings put ID EXPECT NAME BYTES
+	EndpointID string // where the verb takes one
+	Arguments  string // what follows settings, with one space between words
+	BodyLength int    // bytes that follow the line, as the last word of "settings put ID EXPECT NAME BYTES" says
 }
 
-// ParseCommand reads a line without its end. Words are parted by spaces or tabs. An error says what is wrong, in text that is
-// fit to be shown.
+// ParseCommand reads a line without its line feed. Words are separated by spaces or tabs, and a carriage return at the
+// end is ignored. The text of an error is one line that may be shown to the operator.
 func ParseCommand(line []byte) (Command, error) {
 	if len(line) >= maxLineBytes {
 		return Command{}, errLineTooLong
 	}
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	if !utf8.Valid(line) || bytes.ContainsFunc(line, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
+	if !utf8.Valid(line) || bytes.ContainsFunc(line, isControl) {
 		return Command{}, errors.New("the line is no text")
 	}
 	words := bytes.Fields(line)
@@ -56,9 +64,9 @@
 		return Command{}, errors.New("the line is empty")
 	}
 	c := Command{Verb: Verb(words[0])}
-	wantsID, known := takesID[c.Verb]
+	wantsID, isKnown := takesID[c.Verb]
 	switch {
-	case !known:
+	case !isKnown:
 		return Command{}, fmt.Errorf("%.40q is none of check, vars, peers, settings, versions, set-down ID, set-up ID", words[0])
 	case c.Verb == VerbSettings && len(words) > 1:
 		return c.parseSettings(words[1:])
@@ -72,18 +80,19 @@
 	return c, nil
 }
 
-const verbPut = "put" // the word behind settings that a body follows
+// isControl tells whether a character may not stand in a line.
+func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// parseSettings reads what follows that word. What it asks for is for the daemon to find out.
+// parseSettings reads the words behind settings. Only the length of a body matters here; the handler reads the rest.
 func (c Command) parseSettings(words [][]byte) (Command, error) {
 	c.Arguments = string(bytes.Join(words, []byte(" ")))
 	if string(words[0]) != verbPut {
 		return c, nil
 	}
-	var err error
-	c.BodyLength, err = strconv.Atoi(string(words[len(words)-1]))
-	if err != nil || c.BodyLength < 0 {
-		return Command{}, fmt.Errorf("settings put: the last word must be how many bytes follow the line")
+	length, err := strconv.Atoi(string(words[len(words)-1]))
+	if err != nil || length < 0 {
+		return Command{}, errors.New("settings put: the last word must be how many bytes follow the line")
 	}
+	c.BodyLength = length
 	return c, nil
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,10 +1,15 @@
+// Package admin serves the operators' address: a TCP connection carries one command on one line, gets one response and
+// is closed. The package parses commands and limits connections; what a command does is the business of the Handlers.
+//
+// A Server owns its listener and its connections. Serve runs on the caller's goroutine, and each connection on one of
+// its own; all have ended when Close returns. A command is executed only if its line, and the body that it announces,
+// came complete. A response follows within about two seconds, or the connection is closed.
 package admin
 
 import (
 	"bufio"
 	"bytes"
 	"container/list"
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -15,27 +20,23 @@
 )
 
 const (
-	responseTimeout   = 900 * time.Millisecond // an answer is owed within 1 s
-	lineTimeout       = 10 * time.Second       // a caller may take for its line, where there is room
-	lingerTimeout     = 200 * time.Millisecond // a caller has to read its answer and close: a close on bytes that nobody read would take the answer with it
-	maxLingerBytes    = 64 << 10               // bytes read of it meanwhile
-	acceptRetryDelay  = 5 * time.Millisecond   // after an accept that failed
-	acceptLogInterval = 10 * time.Second       // between two log lines about that
+	// lineTimeout is how long a client may take to send its command, as long as no other one needs the connection.
+	lineTimeout = 10 * time.Second
+	// acceptRetryDelay follows an accept that failed, for example for want of descriptors.
+	acceptRetryDelay = 5 * time.Millisecond
+	// acceptLogInterval is the time between two log lines about failed accepts.
+	acceptLogInterval = 10 * time.Second
 )
 
-// Handlers is what the calls are passed on to. Each must return when ctx ends; they are called by many goroutines at once.
-type Handlers struct {
-	IsReady        func() bool                                                            // clients are taken
-	WriteMetrics   func(ctx context.Context, w io.Writer) error                           // writes the figures
-	WritePeers     func(w io.Writer) error                                                // writes who of the fleet is there
-	WriteVersions  func(w io.Writer) error                                                // writes which version of what is agreed on is acted on
-	HandleSettings func(ctx context.Context, more string, body []byte, w io.Writer) error // carries out what follows settings, and writes what came of it
-	MaxBodyBytes   int                                                                    // bytes that may follow a line; 0: none
-	SetEjected     func(ctx context.Context, id string, out bool) (string, error)         // takes an endpoint out, or back; says what became of it
-}
+// A client has lingerTimeout to read its response and close, and may send maxLingerBytes meanwhile: a close on bytes that
+// nobody has read makes the kernel send a reset, which can destroy the response.
+const (
+	lingerTimeout  = 200 * time.Millisecond
+	maxLingerBytes = 64 << 10
+)
 
-// Server answers calls. No more than a stated number of connections are open at once: where there is no room, the oldest
-// that has sent no whole call goes.
+// Server executes commands. The number of open connections is limited: at the limit, a new connection replaces the
+// oldest one that has not sent a complete command.
 type Server struct {
 	listener       net.Listener
 	handlers       Handlers
@@ -44,47 +45,55 @@
 
 	mu              sync.Mutex
 	openConnections int
-	changed         sync.Cond // of a place that is free, or can be had
-	idle            list.List // of net.Conn: no whole call has come, or it was answered; the oldest in front
+	changed         sync.Cond // a connection has ended, or become idle
+	idle            list.List // of net.Conn that may be closed for another's sake, the first in front
 	isClosed        bool
 }
 
-// New makes a Server of a listener, which it will close. most is how many connections may be open at once.
-func New(l net.Listener, most int, d Handlers, log *slog.Logger) *Server {
-	s := &Server{listener: l, handlers: d, maxConnections: max(most, 1), log: log}
+// connection is a client's, with its entry in the list of idle ones, which may have been removed.
+type connection struct {
+	net.Conn
+	entry *list.Element
+}
+
+// New makes a Server on a listener, which it closes in Close. At most maxConnections connections, or one, are open at
+// once. Serve must be called for the Server to do anything.
+func New(l net.Listener, maxConnections int, handlers Handlers, log *slog.Logger) *Server {
+	s := &Server{listener: l, handlers: handlers, maxConnections: max(maxConnections, 1), log: log}
 	s.changed.L = &s.mu
 	return s
 }
 
-// Addr is where operators call.
+// Addr returns the address on which commands are taken.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers calls until Close.
+// Serve accepts connections and returns after Close.
 func (s *Server) Serve() {
-	var spoke time.Time
+	var lastLogged time.Time
 	for {
 		nc, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			if time.Since(spoke) > acceptLogInterval {
-				spoke = time.Now()
-				s.log.Warn("operators' address", "err", err)
+			if time.Since(lastLogged) > acceptLogInterval {
+				lastLogged = time.Now()
+				s.log.Warn("admin accept failed", "error", err)
 			}
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		spot, ok := s.admit(nc)
+		c, ok := s.admit(nc)
 		if !ok {
 			nc.Close()
 			return
 		}
-		go s.serveConnection(nc, spot)
+		go s.serveConnection(c)
 	}
 }
 
-// Close ends the server, and the connections on which no call is being answered. It returns when all have ended.
+// Close stops accepting, closes the connections on which no command is being executed, and returns when all
+// connections have ended. The error is that of closing the listener.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.mu.Lock()
@@ -99,14 +108,14 @@
 	return err
 }
 
-// admit makes room for a connection and gives its place among the idle ones. Calls that are being answered are waited
-// for: that takes answerTime at most.
-func (s *Server) admit(nc net.Conn) (*list.Element, bool) {
+// admit waits until a connection may be open and counts it as an idle one. Where there is no idle one to close it waits
+// for a command that is being executed: that takes responseTimeout at most. It returns false after Close.
+func (s *Server) admit(nc net.Conn) (*connection, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.openConnections >= s.maxConnections && !s.isClosed {
 		if oldest := s.idle.Front(); oldest != nil {
-			s.idle.Remove(oldest).(net.Conn).Close() // its goroutine hears of it, and leaves
+			s.idle.Remove(oldest).(net.Conn).Close() // its goroutine's read fails, and releases it
 		}
 		s.changed.Wait()
 	}
@@ -114,131 +123,93 @@
 		return nil, false
 	}
 	s.openConnections++
-	return s.idle.PushBack(nc), true
+	return &connection{Conn: nc, entry: s.idle.PushBack(nc)}, true
 }
 
-// release gives a connection's place free.
-func (s *Server) release(nc net.Conn, spot *list.Element) {
+// release closes a connection and lets another one take its place.
+func (s *Server) release(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle.Remove(spot)
-	nc.Close()
+	s.idle.Remove(c.entry)
+	c.Close()
 	s.openConnections--
 	s.changed.Broadcast()
 }
 
-// claim takes a connection out of the idle ones: its call has come. False: it has just been let go.
-func (s *Server) claim(nc net.Conn, spot *list.Element) bool {
+// claim takes a connection out of the idle ones, since its command has come. It returns false if the connection has just
+// been closed for another's sake.
+func (s *Server) claim(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.idle.Len()
-	s.idle.Remove(spot)
+	s.idle.Remove(c.entry)
 	return s.idle.Len() < before
 }
 
-// serveConnection reads one line and answers it. Half a line is never acted on: a cut id could be another endpoint's.
-func (s *Server) serveConnection(nc net.Conn, spot *list.Element) {
-	defer func() { s.release(nc, spot) }()
-	_ = nc.SetReadDeadline(time.Now().Add(lineTimeout))
-	read := bufio.NewReaderSize(nc, maxLineBytes)
-	line, err := read.ReadSlice('\n')
-	for err == nil && len(bytes.TrimSpace(line)) == 0 { // the time for it goes on
-		line, err = read.ReadSlice('\n')
-	}
-	var c Command
-	var body []byte
-	switch {
-	case errors.Is(err, bufio.ErrBufferFull):
-		err = errLineTooLong
-	case err != nil:
+// serveConnection reads one command and responds to it.
+func (s *Server) serveConnection(c *connection) {
+	defer s.release(c)
+	c.SetReadDeadline(time.Now().Add(lineTimeout))
+	command, body, err := s.readCommand(bufio.NewReaderSize(c, maxLineBytes))
+	if errors.Is(err, errIncompleteLine) || !s.claim(c) {
 		return
-	default:
-		c, body, err = s.readCommand(line[:len(line)-1], read)
 	}
-	if !s.claim(nc, spot) {
-		return
-	}
-	answer := failure(err)
+	response := failure(err)
 	if err == nil {
-		answer = s.execute(c, body)
+		response = s.execute(command, body)
 	}
-	_ = nc.SetWriteDeadline(time.Now().Add(responseTimeout))
-	if _, err := nc.Write(answer); err != nil {
+	c.SetWriteDeadline(time.Now().Add(responseTimeout))
+	if _, err := c.Write(response); err != nil {
 		return
 	}
-	s.linger(nc, &spot)
+	s.linger(c)
 }
 
-// linger lets the caller read its answer. Whoever needs the place meanwhile gets it.
-func (s *Server) linger(nc net.Conn, spot **list.Element) {
-	half, ok := nc.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
-		return
+// errIncompleteLine is why a connection gets no response: its client has closed it, or was too slow.
+var errIncompleteLine = errors.New("the line is not complete")
+
+// readCommand reads the first line that is not empty, and the body that it announces. An incomplete line is never
+// parsed: an ID that was cut could be another endpoint's. All of it must come before the connection's read deadline.
+func (s *Server) readCommand(in *bufio.Reader) (Command, []byte, error) {
+	line, err := in.ReadSlice('\n')
+	for err == nil && len(bytes.TrimSpace(line)) == 0 {
+		line, err = in.ReadSlice('\n')
 	}
-	s.mu.Lock()
-	*spot = s.idle.PushFront(nc)
-	ended := s.isClosed
-	s.changed.Broadcast()
-	s.mu.Unlock()
-	if ended {
-		return
+	switch {
+	case errors.Is(err, bufio.ErrBufferFull):
+		return Command{}, nil, errLineTooLong
+	case err != nil:
+		return Command{}, nil, errIncompleteLine
 	}
-	_ = nc.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.Copy(io.Discard, io.LimitReader(nc, maxLingerBytes))
-}
-
-// readCommand reads a call, with what follows its line. The time for the line is that for all of it; half of it is never acted on.
-func (s *Server) readCommand(line []byte, from io.Reader) (Command, []byte, error) {
-	c, err := ParseCommand(line)
+	c, err := ParseCommand(line[:len(line)-1])
 	switch {
 	case err != nil:
 		return c, nil, err
 	case c.BodyLength > s.handlers.MaxBodyBytes:
 		return c, nil, fmt.Errorf("%d bytes may follow a line at most", s.handlers.MaxBodyBytes)
 	}
-	body, err := io.ReadAll(io.LimitReader(from, int64(c.BodyLength)))
+	body, err := io.ReadAll(io.LimitReader(in, int64(c.BodyLength)))
 	if err != nil || len(body) < c.BodyLength {
 		return c, nil, fmt.Errorf("%d of %d bytes have come", len(body), c.BodyLength)
 	}
 	return c, body, nil
 }
 
-// execute carries a call out.
-func (s *Server) execute(c Command, body []byte) []byte {
-	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
-	defer cancel()
-	switch c.Verb {
-	case VerbCheck:
-		if !s.handlers.IsReady() {
-			return failure(errors.New("this process does not take clients"))
-		}
-		return success("this process takes clients")
-	case VerbVars:
-		return multiLine(func(w io.Writer) error { return s.handlers.WriteMetrics(ctx, w) })
-	case VerbPeers:
-		return multiLine(s.handlers.WritePeers)
-	case VerbSettings:
-		return multiLine(func(w io.Writer) error { return s.handlers.HandleSettings(ctx, c.Arguments, body, w) })
-	case VerbVersions:
-		return multiLine(s.handlers.WriteVersions)
-	}
-	said, err := s.handlers.SetEjected(ctx, c.EndpointID, c.Verb == VerbSetDown)
-	if err != nil {
-		return failure(err)
+// linger lets the client read its response. The connection counts as idle meanwhile, and is the first to be closed for
+// another's sake.
+func (s *Server) linger(c *connection) {
+	half, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || half.CloseWrite() != nil {
+		return
 	}
-	return success(said)
-}
-
-// multiLine is an answer of lines, which ends with one that says so.
-func multiLine(write func(w io.Writer) error) []byte {
-	var text bytes.Buffer
-	if err := write(&text); err != nil {
-		return failure(err)
+	s.mu.Lock()
+	c.entry = s.idle.PushFront(c.Conn)
+	isClosed := s.isClosed
+	s.changed.Broadcast()
+	s.mu.Unlock()
+	if isClosed {
+		return
 	}
-	text.WriteString("EOT\n")
-	return text.Bytes()
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // the command is done, whatever the client does now
 }
-
-func success(text string) []byte { return fmt.Appendf(nil, "SUCCESS %s\n", text) }
-
-func failure(err error) []byte { return fmt.Appendf(nil, "FAILURE %v\n", err) }
