--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -67,7 +67,8 @@
 	wantsID, isKnown := takesID[c.Verb]
 	switch {
 	case !isKnown:
-		return Command{}, fmt.Errorf("%.40q is none of check, vars, peers, settings, versions, set-down ID, set-up ID", words[0])
+		return Command{}, fmt.Errorf(
+			"%.40q is none of check, vars, peers, settings, versions, set-down ID, set-up ID", words[0])
 	case c.Verb == VerbSettings && len(words) > 1:
 		return c.parseSettings(words[1:])
 	case wantsID && len(words) == 1:
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -6,9 +6,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"maps"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,42 +15,56 @@
 	"tuliprock/internal/cluster/ordinal"
 	"tuliprock/internal/cluster/raftnode"
 	"tuliprock/internal/cluster/status"
-	"tuliprock/internal/cluster/swim"
 	"tuliprock/internal/cluster/transport"
 	"tuliprock/internal/config"
-	"tuliprock/internal/metrics"
 	"tuliprock/internal/wal"
 )
 
-// clusterNode is this daemon's part among the others that an operators' file names; nil: it knows of none, listens for none and
-// runs nothing for them.
+// clusterNode is this daemon's part in a cluster, which an operators' file configures as [fleet]. Without one the
+// Sidecar has a nil clusterNode, which opens no socket and runs no goroutine; all methods that the Sidecar calls take
+// that.
 type clusterNode struct {
-	transport  *transport.Transport
-	log        *slog.Logger
-	spec       config.FleetSpec // as it was started
-	stop       func()
-	goroutines sync.WaitGroup
+	transport    *transport.Transport
+	log          *slog.Logger
+	spec         config.FleetSpec // as it was started
+	dividesPools bool             // the pools are told how many members share them
+	stop         func()           // ends the goroutines
+	goroutines   sync.WaitGroup
 
 	raft             *raftnode.Node              // nil: nothing is agreed on
 	ownFile          atomic.Pointer[config.File] // this daemon's own file, as it was read last
-	rejectedRequests atomic.Uint64               // requests, since it was not sure which version others act on
-
-	agreedEjections map[string]bool // endpoints that are out by agreement, as heed saw them last
+	rejectedRequests atomic.Uint64               // since this daemon had no valid lease
+	// agreedEjections are the endpoints ejected by agreement, as applied last. watchAgreement's goroutine owns them.
+	agreedEjections map[string]bool
 
 	mu             sync.Mutex
-	dividesPools   bool
-	daemons, index int // as pools are told; 0: nothing yet
-	pools          map[*pool]bool
+	daemons, index int            // how many members share the pools, and which one this is; 0: not known yet
+	pools          map[*pool]bool // those that run
 }
 
-var errClusterNeedsRestart = errors.New("fleet: whether there is one changes with a restart")
+var (
+	// errNoCluster is why a command about the cluster is not carried out.
+	errNoCluster = errors.New("this daemon is in no fleet")
+	// errClusterNeedsRestart is why a reload that adds or removes the cluster fails.
+	errClusterNeedsRestart = errors.New("fleet: whether there is one changes with a restart")
+)
 
-func transportOptions(f *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
-	o := transport.Options{Cluster: f.Cluster, Name: f.Name, Listen: f.Listen, Advertise: f.Advertise, Join: f.Join, Voters: f.Voters, Times: f.Times, Log: log}
-	if f.KeyFile == "" {
+// transportOptions reads the key file.
+func transportOptions(spec *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
+	o := transport.Options{
+		Cluster:   spec.Cluster,
+		Name:      spec.Name,
+		Listen:    spec.Listen,
+		Advertise: spec.Advertise,
+		Join:      spec.Join,
+		Voters:    spec.Voters,
+		Times:     spec.Times,
+		Log:       log,
+	}
+	if spec.KeyFile == "" {
 		return o, nil
 	}
-	keys, err := transport.ReadKeys(f.KeyFile)
+	keys, err := transport.ReadKeys(spec.KeyFile)
 	if err != nil {
 		return o, fmt.Errorf("fleet.key_file: %w", err)
 	}
@@ -60,41 +72,49 @@
 	return o, nil
 }
 
+// startCluster joins the cluster that a configuration names; it returns nil if it names none.
 func startCluster(c config.Service, log *slog.Logger) (*clusterNode, error) {
-	f := c.Fleet
-	if f == nil {
+	if c.Fleet == nil {
 		return nil, nil
 	}
-	o, err := transportOptions(f, log)
+	options, err := transportOptions(c.Fleet, log)
 	if err != nil {
 		return nil, err
 	}
-	l, err := transport.Start(o)
+	link, err := transport.Start(options)
 	if err != nil {
 		return nil, err
 	}
-	log.Info("in a fleet", "cluster", f.Cluster, "addr", l.Addr())
-	t := &clusterNode{transport: l, log: log, spec: *f, dividesPools: f.Divide, pools: map[*pool]bool{}}
-	t.ownFile.Store(c.File)
-	if f.Agreed != nil {
-		if t.raft, err = t.startRaft(); err != nil {
-			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), l.Abort())
+	log.Info("cluster transport started", "cluster", c.Fleet.Cluster, "addr", link.Addr())
+	n := &clusterNode{transport: link, log: log, spec: *c.Fleet, dividesPools: c.Fleet.Divide, pools: map[*pool]bool{}}
+	n.ownFile.Store(c.File)
+	if c.Fleet.Agreed != nil {
+		if n.raft, err = n.startRaft(); err != nil {
+			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), link.Abort())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	t.stop = stop
-	t.goroutines.Go(func() { t.watchMembers(ctx) })
-	return t, nil
-}
-
-func (t *clusterNode) startRaft() (*raftnode.Node, error) {
-	f := t.spec
-	o := raftnode.Options{Name: f.Name, Voters: f.Voters, Lease: f.Agreed.Terms, Transport: t.transport, Now: t.transport.Now, Log: t.log, Installs: true,
+	n.stop = stop
+	n.goroutines.Go(func() { n.watchMembers(ctx) })
+	return n, nil
+}
+
+// startRaft starts this daemon's part in the consensus; without a data directory it never votes.
+func (n *clusterNode) startRaft() (*raftnode.Node, error) {
+	o := raftnode.Options{
+		Name:      n.spec.Name,
+		Voters:    n.spec.Voters,
+		Lease:     n.spec.Agreed.Terms,
+		Transport: n.transport,
+		Now:       n.transport.Now,
+		Log:       n.log,
+		Installs:  true,
 		Check: func(docs map[string]consensus.Document) error {
-			return t.ownFile.Load().CheckDocuments(documentBodies(docs))
-		}}
-	if f.Agreed.DataDir != "" {
-		disk, err := wal.Dir(f.Agreed.DataDir)
+			return n.ownFile.Load().CheckDocuments(documentBodies(docs))
+		},
+	}
+	if n.spec.Agreed.DataDir != "" {
+		disk, err := wal.Dir(n.spec.Agreed.DataDir)
 		if err != nil {
 			return nil, err
 		}
@@ -103,256 +123,118 @@
 	return raftnode.Start(o)
 }
 
-// firstGrantTimeout is how long a daemon that starts waits to hear what is agreed before it takes callers: two elections.
-const firstGrantTimeout = 2 * time.Second
-
-// awaitFirstGrant waits for what is agreed, and makes what is out by it be out here, before the first caller is taken.
-func (t *clusterNode) awaitFirstGrant(h *overrides) {
-	if !t.hasConsensus() {
-		return
-	}
-	select {
-	case <-t.raft.FirstGrant():
-	case <-time.After(firstGrantTimeout):
-		a, _ := t.raft.Valid()
-		t.log.Warn("no voter has said what is agreed; what is known from before holds", "after", firstGrantTimeout, "version", a.Version)
-	}
-	t.agreedEjections = h.applyAgreed(context.Background(), nil, t.ejectedIDs())
-}
-
-// watchAgreement takes up what is agreed from then on.
-func (t *clusterNode) watchAgreement(s *Sidecar) {
-	if !t.hasConsensus() {
-		return
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	was := t.stop
-	t.stop = func() { stop(); was() }
-	t.goroutines.Go(func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-t.raft.Changed():
-				t.agreedEjections = s.overrides.applyAgreed(ctx, t.agreedEjections, t.ejectedIDs())
-				if err := s.installAgreedSettings(); err != nil && !errors.Is(err, errShuttingDown) {
-					t.log.Error("what is agreed on is not taken up", "err", err)
-				}
-			}
-		}
-	})
-}
-
-// ejectedIDs are the endpoints that are agreed to be out. Where the lease has run out the last word stands: it only forbids.
-func (t *clusterNode) ejectedIDs() map[string]bool {
-	out := map[string]bool{}
-	a, _ := t.raft.Valid()
-	for name := range a.Docs {
-		if id, ok := strings.CutPrefix(name, config.OutPrefix); ok {
-			out[id] = true
-		}
-	}
-	return out
-}
-
-// proposeEjection has what a call has done here done on all, and says what became of that.
-func (t *clusterNode) proposeEjection(ctx context.Context, id string, out bool) string {
-	if !t.hasConsensus() {
-		return ""
-	}
-	c := consensus.Command{By: t.spec.Name, At: time.Now().UnixMilli(), Remove: config.OutPrefix + id}
-	if out {
-		c.Remove, c.Put = "", &consensus.DocumentPut{Name: config.OutPrefix + id}
-	}
-	version, err := t.raft.ProposeVersion(ctx, c)
-	if err != nil {
-		return fmt.Sprintf(" here; for the others: %v", err)
-	}
-	return fmt.Sprintf(", on all daemons with version %d", version)
-}
-
-// writeSettings writes what is agreed, as this daemon acts on it.
-func (t *clusterNode) writeSettings(w io.Writer) error {
-	if !t.hasConsensus() {
-		return errNoConsensus
-	}
-	s, a := t.settingsStatus()
-	for _, name := range slices.Sorted(maps.Keys(a.Docs)) {
-		d := a.Docs[name]
-		s.Documents = append(s.Documents, status.Document{Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest)})
-	}
-	return s.Write(w)
-}
-
-// writeVersions is settings without the documents.
-func (t *clusterNode) writeVersions(w io.Writer) error {
-	if !t.hasConsensus() {
-		return errNoConsensus
-	}
-	s, _ := t.settingsStatus()
-	return s.Write(w)
-}
-
-func (t *clusterNode) settingsStatus() (*status.Settings, *consensus.LeasedVersion) {
-	a, _ := t.raft.Valid()
-	is := t.raft.Status()
-	s := &status.Settings{Version: a.Version, Acting: t.raft.CoversVersion(a.Version), LeaseMs: t.raft.LeaseRemaining().Milliseconds(), Votes: is.Votes, Leads: is.Leads, Leader: is.Leader,
-		Term: is.Term, Committed: is.Committed, Coming: is.Coming, All: is.All, Declined: is.Declined, Why: is.Why, Refused: t.rejectedRequests.Load(), Voters: strings.Join(is.Voters, ","), Sitting: strings.Join(is.Sitting, ",")}
-	for _, l := range is.Lagging {
-		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
-	}
-	return s, a
-}
-
-// prepareReload takes up what a reload may change. Keys are read before anything is changed.
-func (t *clusterNode) prepareReload(f *config.FleetSpec) (commit func(), _ error) {
+// prepareReconfigure reads what a reload may change of the cluster's configuration, the keys among it; commit applies it
+// and can't fail.
+func (n *clusterNode) prepareReconfigure(spec *config.FleetSpec) (commit func(), _ error) {
 	switch {
-	case t == nil && f == nil:
+	case n == nil && spec == nil:
 		return func() {}, nil
-	case t == nil || f == nil:
+	case n == nil || spec == nil:
 		return nil, errClusterNeedsRestart
 	}
-	o, err := transportOptions(f, t.log)
+	options, err := transportOptions(spec, n.log)
 	if err != nil {
 		return nil, err
 	}
 	return func() {
-		was := t.spec
-		if was.Name != f.Name || was.Cluster != f.Cluster || was.Listen != f.Listen || was.Advertise != f.Advertise || was.Divide != f.Divide {
-			t.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, change with a restart only")
+		started := n.spec
+		if started.Name != spec.Name || started.Cluster != spec.Cluster || started.Listen != spec.Listen ||
+			started.Advertise != spec.Advertise || started.Divide != spec.Divide {
+			n.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, " +
+				"change with a restart only")
 		}
-		if t.raft != nil && !slices.Equal(was.Voters, f.Voters) {
-			t.log.Warn("fleet: voters stay as they are where settings are agreed on")
-			o.Voters = was.Voters
+		if n.raft != nil && !slices.Equal(started.Voters, spec.Voters) {
+			n.log.Warn("fleet: voters stay as they are where settings are agreed on")
+			options.Voters = started.Voters
 		}
-		t.transport.Reconfigure(o) // always: the key file may hold others than before under the same name
+		n.transport.Reconfigure(options) // even if all is equal: the key file may have other content under the same name
 	}, nil
 }
 
-// watchMembers tells the pools among how many they share, as views change.
-func (t *clusterNode) watchMembers(ctx context.Context) {
-	var seats ordinal.Tracker
+// watchMembers tells the pools how many members share them, as the view of the cluster changes.
+func (n *clusterNode) watchMembers(ctx context.Context) {
+	var tracker ordinal.Tracker
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.transport.Changed():
+		case <-n.transport.Changed():
 		case <-timer.C:
 		}
-		now := t.transport.Now()
-		daemons, index, again := seats.Update(now, t.transport.View())
-		if again > 0 {
-			timer.Reset(again - now)
+		now := n.transport.Now()
+		daemons, index, updateAt := tracker.Update(now, n.transport.View())
+		if updateAt > 0 {
+			timer.Reset(updateAt - now)
 		}
-		t.setBalancerCount(daemons, index)
+		n.setBalancerCount(daemons, index)
 	}
 }
 
-// setBalancerCount tells all pools, if that is news.
-func (t *clusterNode) setBalancerCount(daemons, index int) {
-	t.mu.Lock()
-	news := daemons != t.daemons || index != t.index
-	t.daemons, t.index = daemons, index
+// setBalancerCount passes the number of members to all pools, if it has changed.
+func (n *clusterNode) setBalancerCount(daemons, index int) {
+	n.mu.Lock()
+	isChanged := daemons != n.daemons || index != n.index
+	n.daemons, n.index = daemons, index
 	var pools []*pool
-	for p := range t.pools {
+	for p := range n.pools {
 		pools = append(pools, p)
 	}
-	t.mu.Unlock()
-	if !news || !t.dividesPools {
+	n.mu.Unlock()
+	if !isChanged || !n.dividesPools {
 		return
 	}
-	t.log.Info("the pools are shared among the fleet", "daemons", daemons, "index", index)
-	for _, p := range pools { // on this goroutine alone: a pool that is busy delays nobody but the other pools' news
+	n.log.Info("cluster size changed", "daemons", daemons, "index", index)
+	for _, p := range pools { // on this goroutine alone: a pool that is busy delays only the other pools' events
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
-// addPool has a new pool told like the others.
-func (t *clusterNode) addPool(p *pool) {
-	if t == nil {
+// addPool lets a new pool know the number of members, now and when it changes.
+func (n *clusterNode) addPool(p *pool) {
+	if n == nil {
 		return
 	}
-	t.mu.Lock()
-	t.pools[p] = true
-	daemons, index := t.daemons, t.index
-	t.mu.Unlock()
-	if t.dividesPools && daemons > 0 {
+	n.mu.Lock()
+	n.pools[p] = true
+	daemons, index := n.daemons, n.index
+	n.mu.Unlock()
+	if n.dividesPools && daemons > 0 {
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
-func (t *clusterNode) removePool(p *pool) {
-	if t == nil {
+func (n *clusterNode) removePool(p *pool) {
+	if n == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.pools, p)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.pools, p)
 }
 
-// close says goodbye to the others and returns when nothing runs any more.
-func (t *clusterNode) close() error {
-	if t == nil {
+// close leaves the cluster, so that the other members see it at once, and returns when nothing runs any more.
+func (n *clusterNode) close() error {
+	if n == nil {
 		return nil
 	}
-	t.stop()
-	t.goroutines.Wait()
+	n.stop()
+	n.goroutines.Wait()
 	var err error
-	if t.raft != nil {
-		err = t.raft.Close()
+	if n.raft != nil {
+		err = n.raft.Close()
 	}
-	return errors.Join(err, t.transport.Close())
+	return errors.Join(err, n.transport.Close())
 }
 
-var errNoCluster = errors.New("this daemon is in no fleet")
-
-// writePeers writes what this daemon holds of the others: a line for itself and one for each, itself included.
-func (t *clusterNode) writePeers(w io.Writer) error {
-	if t == nil {
+// writePeers writes this daemon's view of the cluster: a line for itself, and one for each member, itself included.
+func (n *clusterNode) writePeers(w io.Writer) error {
+	if n == nil {
 		return errNoCluster
 	}
-	t.mu.Lock()
-	daemons, index := t.daemons, t.index
-	t.mu.Unlock()
-	return status.FleetFromView(t.transport.View(), t.transport.Now(), daemons, index).Write(w)
-}
-
-// gauges are the figures of the fleet; none where there is none.
-func (t *clusterNode) gauges() (out []metrics.Gauge) {
-	if t == nil {
-		return nil
-	}
-	if t.hasConsensus() {
-		is, _ := t.settingsStatus()
-		out = append(out, metrics.Gauge{Name: "settings_version", Value: int64(is.Version)}, metrics.Gauge{Name: "settings_all", Value: int64(is.All)},
-			metrics.Gauge{Name: "settings_lease_ms", Value: is.LeaseMs}, metrics.Gauge{Name: "settings_term", Value: int64(is.Term)}, metrics.Gauge{Name: "settings_leads", Value: boolGauge(is.Leads)},
-			metrics.Gauge{Name: "settings_lagging", Value: int64(len(is.Lags))}, metrics.Gauge{Name: "settings_refused", Value: int64(is.Refused), Counts: true})
-	}
-	v := t.transport.View()
-	n := [4]int64{}
-	for _, m := range v.Members {
-		n[m.State]++
-	}
-	for s := swim.Alive; s.Valid(); s++ {
-		out = append(out, metrics.Gauge{Name: "peers_" + s.String(), Value: n[s]})
-	}
-	f := t.transport.Metrics()
-	out = append(out, metrics.Gauge{Name: "peers_standing", Value: int64(v.Connectivity)})
-	for _, c := range []struct {
-		name  string
-		value uint64
-	}{{"received", f.Received}, {"sent", f.Sent}, {"bytes", f.Bytes}, {"damaged", f.Damaged}, {"foreign", f.Foreign}, {"forged", f.Forged},
-		{"replayed", f.Replayed}, {"flooded", f.Flooded}, {"full", f.Full}} {
-		out = append(out, metrics.Gauge{Name: "peers_" + c.name, Value: int64(c.value), Counts: true})
-	}
-	return out
-}
-
-func boolGauge(is bool) int64 {
-	if is {
-		return 1
-	}
-	return 0
+	n.mu.Lock()
+	daemons, index := n.daemons, n.index
+	n.mu.Unlock()
+	return status.FleetFromView(n.transport.View(), n.transport.Now(), daemons, index).Write(w)
 }
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"context"
 	"log/slog"
 	"math"
 	"runtime/debug"
@@ -9,222 +8,203 @@
 	"time"
 
 	"tuliprock/internal/config"
-	"tuliprock/internal/eventloop"
 	"tuliprock/internal/hotrestart"
 )
 
-// catchUpTimeout bounds how long the pools may take to have what another process was called.
-const catchUpTimeout = 500 * time.Millisecond
-
-// hotRestart is this process's part beside others of the same sidecar. A nil one has no others.
+// hotRestart is this process's part among several processes of the same sidecar, which share a directory: the newest one
+// takes clients, the others drain. All methods of a nil one that the shutdown needs do nothing.
 type hotRestart struct {
-	sidecar     *Sidecar
-	directory   *hotrestart.Directory
-	log         *slog.Logger
-	config      config.Service
-	memoryLimit int64 // the limit on it while there are no others
-
-	pollMu          sync.Mutex // one at a time
+	sidecar      *Sidecar
+	directory    *hotrestart.Directory
+	log          *slog.Logger
+	config       config.Service
+	memoryLimit  int64         // of this process's heap while it is alone
+	stopPolling  chan struct{} // closed by close
+	pollingEnded chan struct{} // closed when run has returned
+	finished     chan struct{} // closed when another process takes clients and this one has answered all
+
+	mu              sync.Mutex // held by one poll at a time
 	startedAt       time.Time
 	lifecycle       *hotrestart.Lifecycle
 	descriptorLimit int  // descriptors that this process may use, as last set
-	isShuttingDown  bool // this process's part does not change any more
+	isShuttingDown  bool // the lifecycle does not change any more
 	isPolling       bool // run was started
-	stop            chan struct{}
-	pollingEnded    chan struct{} // closed when nothing looks any more
-	finished        chan struct{} // closed when another has taken over, and all is answered
 }
 
-// joinHotRestart enters the directory that the processes share. Where that can't be done this process is alone, as it is with
-// no such directory: what operators call is kept in memory.
+// joinHotRestart enters the directory that the processes share. It returns nil if none is configured, or if that one
+// can't be used: then this process has no successor, and manual ejections are kept in memory.
 func joinHotRestart(s *Sidecar, c config.Service, log *slog.Logger) *hotRestart {
 	if c.Shared == "" {
 		return nil
 	}
-	dir, err := hotrestart.Join(c.Shared, c.Name, log)
+	directory, err := hotrestart.Join(c.Shared, c.Name, log)
 	if err != nil {
-		log.Error("what operators call is kept in memory alone, and no other process can take over", "err", err)
+		log.Error("hot restart is not available, and manual ejections are kept in memory", "error", err)
 		return nil
 	}
-	t := &hotRestart{sidecar: s, directory: dir, log: log, config: c, startedAt: time.Now(), lifecycle: hotrestart.NewLifecycle(0), descriptorLimit: c.Limits.Sockets, memoryLimit: debug.SetMemoryLimit(-1),
-		stop: make(chan struct{}), pollingEnded: make(chan struct{}), finished: make(chan struct{})}
-	state, view, others := dir.Poll(0)
-	for _, b := range state.Ejections {
-		s.overrides.record(b.ID, b.Ejected)
-		if b.IsRecentReturn(time.Now()) {
-			s.overrides.recentlyRestored = append(s.overrides.recentlyRestored, b.ID)
-		}
-	}
-	s.overrides.directory = dir
-	t.applyLimits(view, others)
+	r := &hotRestart{
+		sidecar:         s,
+		directory:       directory,
+		log:             log,
+		config:          c,
+		memoryLimit:     debug.SetMemoryLimit(-1),
+		stopPolling:     make(chan struct{}),
+		pollingEnded:    make(chan struct{}),
+		finished:        make(chan struct{}),
+		startedAt:       time.Now(),
+		lifecycle:       hotrestart.NewLifecycle(0),
+		descriptorLimit: c.Limits.Sockets,
+	}
+	state, view, others := directory.Poll(0)
+	s.overrides.attach(directory, state.Ejections)
+	r.applyLimits(view, others)
 	if len(view.Others) > 0 {
-		log.Info("another process serves: taking over", "number", dir.Number(), "others", view.Others)
+		log.Info("hot restart begins", "number", directory.Number(), "others", view.Others)
 	}
-	return t
+	return r
 }
 
-// run looks until stop.
-func (t *hotRestart) run() {
-	defer close(t.pollingEnded)
+// start polls once, so that a process which is alone takes clients at once, and then in the background until close.
+func (r *hotRestart) start() {
+	r.poll()
+	r.isPolling = true
+	go r.run()
+}
+
+// run polls until close.
+func (r *hotRestart) run() {
+	defer close(r.pollingEnded)
 	tick := time.NewTicker(hotrestart.PollInterval)
 	defer tick.Stop()
 	for {
-		t.poll()
+		r.poll()
 		select {
 		case <-tick.C:
-		case <-t.stop:
+		case <-r.stopPolling:
 			return
 		}
 	}
 }
 
-// poll sees what the others have written, and does what follows.
-func (t *hotRestart) poll() {
-	t.pollMu.Lock()
-	defer t.pollMu.Unlock()
-	used, callers, listed := t.sidecar.usage()
-	view, others := t.sidecar.overrides.syncDirectory(used)
-	t.applyLimits(view, others)
-	if t.isShuttingDown || !t.lifecycle.Update(time.Since(t.startedAt), view, listed, callers) {
+// poll reads what the other processes have written, and acts on it.
+func (r *hotRestart) poll() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	usage := r.sidecar.usage()
+	view, others := r.sidecar.overrides.syncDirectory(usage.descriptors)
+	r.applyLimits(view, others)
+	if r.isShuttingDown || !r.lifecycle.Update(time.Since(r.startedAt), view, usage.hasEndpointLists, usage.clients) {
 		return
 	}
-	switch t.lifecycle.Phase() {
+	switch r.lifecycle.Phase() {
 	case hotrestart.Serving:
-		t.sidecar.setAccepting(true)
-		if err := t.directory.SetReady(true); err != nil {
-			t.log.Error("the others can't be told that this process takes callers", "err", err)
+		r.sidecar.setAccepting(true)
+		if err := r.directory.SetReady(true); err != nil {
+			r.log.Error("readiness is not recorded", "error", err)
 		}
-		t.sidecar.isReady.Store(true)
-		t.log.Info("taking callers", "number", t.directory.Number(), "others", view.Others)
+		r.sidecar.isReady.Store(true)
+		r.log.Info("this process takes clients", "number", r.directory.Number(), "others", view.Others)
 	case hotrestart.Draining:
-		t.sidecar.isReady.Store(false)
-		t.sidecar.setAccepting(false)
-		t.log.Info("another process takes callers", "number", t.directory.Number(), "others", view.Others)
+		r.sidecar.isReady.Store(false)
+		r.sidecar.setAccepting(false)
+		r.log.Info("another process takes clients", "number", r.directory.Number(), "others", view.Others)
 		debug.FreeOSMemory()
 	case hotrestart.Finished:
-		close(t.finished)
+		close(r.finished)
 	}
 }
 
-// applyLimits keeps to this process's share of what is common to all.
-func (t *hotRestart) applyLimits(v hotrestart.View, others int) {
-	share := hotrestart.DescriptorLimit(t.config.Limits.Sockets, v, others)
-	if share == t.descriptorLimit {
+// applyLimits sets this process's part of the descriptors and of the memory that all processes share.
+func (r *hotRestart) applyLimits(view hotrestart.View, others int) {
+	limit := hotrestart.DescriptorLimit(r.config.Limits.Sockets, view, others)
+	if limit == r.descriptorLimit {
 		return
 	}
-	t.descriptorLimit = share
-	if t.memoryLimit != math.MaxInt64 {
-		debug.SetMemoryLimit(t.memoryLimit / int64(1+len(v.Others)))
+	r.descriptorLimit = limit
+	if r.memoryLimit != math.MaxInt64 {
+		debug.SetMemoryLimit(r.memoryLimit / int64(1+len(view.Others)))
 	}
-	t.sidecar.setConnectionLimit(t.config.Connections(share))
+	r.sidecar.setConnectionLimit(r.config.Connections(limit))
 }
 
-// beginShutdown tells whether another process takes callers, as of now. From now on this one's part does not change: if it took
-// callers until now, older ones that live may do so again.
-func (t *hotRestart) beginShutdown() successor {
-	if t == nil {
+// beginShutdown tells whether another process takes clients now. From now on this process's lifecycle does not change: if
+// it took clients until now, older processes that still run may take them again.
+func (r *hotRestart) beginShutdown() successor {
+	if r == nil {
 		return noSuccessor
 	}
-	t.poll()
-	t.pollMu.Lock()
-	defer t.pollMu.Unlock()
-	t.isShuttingDown = true
-	if p := t.lifecycle.Phase(); p == hotrestart.Draining || p == hotrestart.Finished {
+	r.poll()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.isShuttingDown = true
+	if phase := r.lifecycle.Phase(); phase == hotrestart.Draining || phase == hotrestart.Finished {
 		return otherProcess
 	}
-	if err := t.directory.SetReady(false); err != nil {
-		t.log.Error("the others can't be told that this process ends", "err", err)
+	if err := r.directory.SetReady(false); err != nil {
+		r.log.Error("shutdown is not recorded", "error", err)
 	}
 	return noSuccessor
 }
 
-// close ends the looking and leaves the directory, as the last thing.
-func (t *hotRestart) close() {
-	if t == nil {
+// close ends the polling and leaves the directory. It is the last thing that a Sidecar does.
+func (r *hotRestart) close() {
+	if r == nil {
 		return
 	}
-	if t.isPolling {
-		close(t.stop)
-		<-t.pollingEnded
+	if r.isPolling {
+		close(r.stopPolling)
+		<-r.pollingEnded
 	}
-	if err := t.directory.Close(); err != nil {
-		t.log.Warn("leaving what the processes share", "err", err)
+	if err := r.directory.Close(); err != nil {
+		r.log.Warn("hot restart directory closed with an error", "error", err)
 	}
 }
 
-// usage tells how many descriptors are in use, how many callers are connected, and whether all pools have heard from
-// discovery.
-func (s *Sidecar) usage() (used, callers int, listed bool) {
+// resourceUsage is what a process uses of the resources that all processes of a sidecar share.
+type resourceUsage struct {
+	descriptors      int
+	clients          int  // connections
+	hasEndpointLists bool // every pool has a list from discovery
+}
+
+func (s *Sidecar) usage() resourceUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	used, listed = s.fixedDescriptors, true
+	u := resourceUsage{descriptors: s.fixedDescriptors, hasEndpointLists: true}
 	for _, l := range s.listeners {
-		callers += l.connections.Count()
+		u.clients += l.connections.Count()
 	}
 	for l := range s.drainingListeners {
-		callers += l.connections.Count()
+		u.clients += l.connections.Count()
 	}
 	for p := range s.runningPools {
 		_, n := p.upstream.ResourceCounts()
-		used += n
-		listed = listed && p.hasEndpointList.Load()
+		u.descriptors += n
+		u.hasEndpointLists = u.hasEndpointLists && p.hasEndpointList.Load()
 	}
-	return used + callers, callers, listed
+	u.descriptors += u.clients
+	return u
 }
 
-// setConnectionLimit sets how many connections callers and endpoints may have.
-func (s *Sidecar) setConnectionLimit(each int) {
+// setConnectionLimit sets how many connections each listener may have from clients, and each pool to endpoints.
+func (s *Sidecar) setConnectionLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.connectionLimit = each
+	s.connectionLimit = limit
 	for _, l := range s.listeners {
-		l.setMaxConnections(each)
+		l.setMaxConnections(limit)
 	}
 	for p := range s.runningPools {
-		p.upstream.SetMaxConnections(each)
+		p.upstream.SetMaxConnections(limit)
 	}
 }
 
-// setAccepting lets the listeners take callers, or keeps them from it and lets each connection end with its next answer.
-func (s *Sidecar) setAccepting(is bool) {
+// setAccepting makes the listeners accept clients, or stop that and close each connection with its next response.
+func (s *Sidecar) setAccepting(isAccepting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
-		l.frontend.SetCloseConnections(!is)
-		l.socket.SetPaused(!is)
-	}
-}
-
-// syncDirectory has the pools keep to what other processes were called, and tells what follows besides. A call that is being
-// carried out goes first.
-func (h *overrides) syncDirectory(used int) (hotrestart.View, int) {
-	select {
-	case h.commandSlot <- struct{}{}:
-		defer func() { <-h.commandSlot }()
-		return h.applyDirectory(used)
-	default:
-		_, view, others := h.directory.Poll(used)
-		return view, others
-	}
-}
-
-// applyDirectory is catchUp's with the turn held.
-func (h *overrides) applyDirectory(used int) (hotrestart.View, int) {
-	state, view, others := h.directory.Poll(used)
-	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
-	defer cancel()
-	told := make(map[string]bool, len(state.Ejections))
-	for _, b := range state.Ejections {
-		told[b.ID] = true
-		if pools, was, _ := h.snapshot(b.ID); was != b.Ejected {
-			h.record(b.ID, b.Ejected)
-			_ = doOnPools(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, b.ID, b.Ejected) })
-		}
-	}
-	for _, id := range h.ejectedIDs() { // what was lost with a damaged file
-		if !told[id] {
-			_ = h.directory.RecordEjection(id, true, time.Now())
-		}
+		l.frontend.SetCloseConnections(!isAccepting)
+		l.socket.SetPaused(!isAccepting)
 	}
-	return view, others
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -19,8 +19,8 @@
 	"tuliprock/internal/upstream"
 )
 
-// pool is a set of members with a decision module, a loop and connections of its own, so that a jam in one can't delay
-// another.
+// pool is a set of endpoints with a decision module, an event loop and connections of its own, so that overload in one
+// pool can't delay another.
 type pool struct {
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
@@ -28,49 +28,64 @@
 	members  *discovery.MemberCache
 	log      *slog.Logger
 
-	hasEndpointList           atomic.Bool  // discovery has said something
-	listedCount, avoidedCount atomic.Int64 // members, as the module told them last
+	hasEndpointList           atomic.Bool  // discovery has delivered a list
+	listedCount, avoidedCount atomic.Int64 // endpoints, as the module counted them last
 
 	mu         sync.Mutex
 	source     discovery.Source
 	stopSource func()         // ends the source and waits for it
-	stop       func()         // ends the rest
-	goroutines sync.WaitGroup // the loop's and the connections' goroutines
+	stop       func()         // ends the loop and the connections
+	goroutines sync.WaitGroup // the loop's and the connections'
 	references int            // configurations in whose name requests may still come; guarded by Sidecar.mu
 }
 
-// newPool starts a pool. The module hears its first list before anything else.
-func newPool(decide eventloop.Decider, spec config.PoolSpec, bodies *body.Pool, figures *metrics.Registry, log *slog.Logger) *pool {
+// newPool starts a pool. The module gets the list that the configuration knows before any other event.
+func newPool(
+	decider eventloop.Decider, spec config.PoolSpec, bodyMemory *body.Pool, registry *metrics.Registry, log *slog.Logger,
+) *pool {
 	p := &pool{spec: spec, log: log, members: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
 	if settings.Seed == 0 {
-		settings.Seed = drawSeed()
+		settings.Seed = randomSeed()
 	}
 	begins := upstream.WithHead
 	if spec.LastByte {
 		begins = upstream.WithLastByte
 	}
-	p.upstream = upstream.New(upstream.Options{Idle: spec.Idle, Dial: spec.Dial, Most: spec.Connections, Spread: spec.Spread, OnlyOK: spec.OnlyOK,
-		Begins: begins, Pool: bodies, Pace: spec.Flow, Whole: spec.Whole, Answer: spec.AnswerBytes, Sent: func() { figures.Tries.Add(1) }})
-	p.loop = eventloop.New(decide, settings, p.upstream, p.subscribe, log)
+	p.upstream = upstream.New(upstream.Options{
+		Idle:   spec.Idle,
+		Dial:   spec.Dial,
+		Most:   spec.Connections,
+		Spread: spec.Spread,
+		OnlyOK: spec.OnlyOK,
+		Begins: begins,
+		Pool:   bodyMemory,
+		Pace:   spec.Flow,
+		Whole:  spec.Whole,
+		Answer: spec.AnswerBytes,
+		Sent:   func() { registry.Tries.Add(1) },
+	})
+	p.loop = eventloop.New(decider, settings, p.upstream, p.subscribe, log)
 	known := spec.Source.Known
-	known.Full = true // the list as it was last had, and the first that the module hears
+	known.Full = true // a cached list is complete, and so is the first one that the module gets
 	p.loop.UpdateEndpoints(p.loop.Now(), known)
-	work, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.goroutines.Go(func() { p.loop.Run(work) })
-	p.goroutines.Go(func() { p.upstream.Run(work) })
+	p.goroutines.Go(func() { p.loop.Run(ctx) })
+	p.goroutines.Go(func() { p.upstream.Run(ctx) })
 	p.startSource(spec.Source)
 	return p
 }
 
-func drawSeed() uint64 {
+// randomSeed returns a seed that is not zero.
+func randomSeed() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // it never returns an error
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// subscribe asks the source. The module's first ask comes before there is one; follow sees to it.
+// subscribe requests watch events from the source. The module's first request comes before there is a source;
+// startSource repeats it.
 func (p *pool) subscribe() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,81 +94,93 @@
 	}
 }
 
-// updateEndpoints hands on a list past the events that wait: who drains must not get more of what stands before it.
-func (p *pool) updateEndpoints(m discovery.ListUpdate) {
-	_ = p.loop.Do(context.Background(), func(now time.Duration) { p.loop.UpdateEndpoints(now, m); p.hasEndpointList.Store(true) }) // else the loop has ended
+// updateEndpoints passes a list to the module ahead of the queued events: a draining endpoint must not get the requests
+// that are queued before the list. Once the loop has ended there is nobody to pass it to.
+func (p *pool) updateEndpoints(list discovery.ListUpdate) {
+	_ = p.loop.Do(context.Background(), func(now time.Duration) {
+		p.loop.UpdateEndpoints(now, list)
+		p.hasEndpointList.Store(true)
+	})
 }
 
+// discoveryFailed tells the module that the source can't be reached. Once the loop has ended there is nobody to tell.
 func (p *pool) discoveryFailed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
 
-// startSource starts the source of members that the pool is told, in place of the one it has. The list stands until the new
-// one says otherwise.
-func (p *pool) startSource(s config.SourceSpec) {
+// startSource starts a source of endpoints in place of the one that runs. The present list holds until the new source
+// delivers one.
+func (p *pool) startSource(spec config.SourceSpec) {
 	if p.stopSource != nil {
 		p.stopSource()
 	}
-	p.members.SetOptions(endpointset.Options{Hold: s.Hold, Damp: s.Damp})
-	source := p.newSource(s)
-	if p.spec.Settings.MustSubscribe { // the module asked at its start, when there was nobody to ask
+	p.members.SetOptions(endpointset.Options{Hold: spec.Hold, Damp: spec.Damp})
+	source := p.newSource(spec)
+	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source
 		source.Subscribe()
 	}
-	if polled, ok := source.(*discovery.PollingSource); ok && s.DNS == nil { // what lies on this machine is known at once
+	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil { // a list on this machine is there at once
 		polled.PollOnce(context.Background())
 	}
-	here, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		source.Run(here)
+		source.Run(ctx)
 	}()
-	p.stopSource = func() { leave(); <-ended }
+	p.stopSource = func() { cancel(); <-ended }
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.source = source
 }
 
-func (p *pool) newSource(s config.SourceSpec) discovery.Source {
+func (p *pool) newSource(spec config.SourceSpec) discovery.Source {
 	switch {
-	case s.Agent != "":
-		version := s.Known.Version
-		if s.Anew {
+	case spec.Agent != "":
+		version := spec.Known.Version
+		if spec.Anew {
 			version = nil
 		}
-		d := discovery.NewAgentClient(s.Agent, version, p.spec.Settings.MustSubscribe, p.log)
-		d.Deliver, d.Failed = p.updateEndpoints, p.discoveryFailed
-		return d
-	case s.File != "":
-		return discovery.FileSource(s.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
-	case s.DNS != nil:
-		return discovery.DNSSource(discovery.DNSOptions{Name: s.DNS.Name, Service: s.DNS.Type == "srv", Port: s.DNS.Port, Server: s.DNS.Server,
-			MinTTL: s.DNS.TTLLeast, MaxTTL: s.DNS.TTLMost}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+		agent := discovery.NewAgentClient(spec.Agent, version, p.spec.Settings.MustSubscribe, p.log)
+		agent.Deliver, agent.Failed = p.updateEndpoints, p.discoveryFailed
+		return agent
+	case spec.File != "":
+		return discovery.FileSource(spec.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+	case spec.DNS != nil:
+		return discovery.DNSSource(discovery.DNSOptions{
+			Name:    spec.DNS.Name,
+			Service: spec.DNS.Type == "srv",
+			Port:    spec.DNS.Port,
+			Server:  spec.DNS.Server,
+			MinTTL:  spec.DNS.TTLLeast,
+			MaxTTL:  spec.DNS.TTLMost,
+		}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	}
-	return discovery.StaticSource(config.StaticMembers(s.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+	return discovery.StaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 }
 
-// canServe tells whether a pool as told now can go on as the one that there is: then only its members may differ.
+// canServe tells whether the pool can go on under another configuration: only its source may differ.
 func (p *pool) canServe(spec config.PoolSpec) bool {
-	was := p.spec
-	was.Source, spec.Source = config.SourceSpec{}, config.SourceSpec{}
-	return reflect.DeepEqual(was, spec)
+	current := p.spec
+	current.Source, spec.Source = config.SourceSpec{}, config.SourceSpec{}
+	return reflect.DeepEqual(current, spec)
 }
 
-// updateSource takes up another source of members, or another list. An agent that moves is followed by the watch there is.
-func (p *pool) updateSource(s config.SourceSpec) {
-	was := p.spec.Source
-	p.spec.Source = s
-	s.Known, was.Known = discovery.ListUpdate{}, discovery.ListUpdate{}
-	if reflect.DeepEqual(was, s) {
+// updateSource changes where the pool's endpoints come from. If only an agent's address changes, the watch that runs
+// migrates to it.
+func (p *pool) updateSource(spec config.SourceSpec) {
+	current := p.spec.Source
+	p.spec.Source = spec
+	spec.Known, current.Known = discovery.ListUpdate{}, discovery.ListUpdate{}
+	if reflect.DeepEqual(current, spec) {
 		return
 	}
-	if agent, ok := p.source.(*discovery.AgentClient); ok && s.Agent != "" {
-		agent.SwitchAgent(s.Agent)
+	if agent, ok := p.source.(*discovery.AgentClient); ok && spec.Agent != "" {
+		agent.SwitchAgent(spec.Agent)
 		return
 	}
-	p.startSource(s)
+	p.startSource(spec)
 }
 
-// close stops the pool and returns when nothing of it runs any more but attempts that are being called off.
+// close stops the pool and returns when nothing of it runs but attempts that are being cancelled.
 func (p *pool) close() {
 	p.stopSource()
 	p.stop()
--- /dev/null
+++ b/internal/sidecar/reload.go
@@ -0,0 +1,261 @@
+package sidecar
+
+import (
+	"errors"
+	"fmt"
+	"sync/atomic"
+
+	"tuliprock/internal/admin"
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/config"
+	"tuliprock/internal/frontend"
+)
+
+// installedConfig is a configuration that is in force, or was and still has requests.
+type installedConfig struct {
+	service *frontend.Service
+	pools   map[string]*pool // by name
+}
+
+// preparedReload is what a reload has opened before it changes anything: all that can fail comes first.
+type preparedReload struct {
+	effective          effectiveConfig
+	reconfigureCluster func()
+	admin              *admin.Server        // nil: the address stays as it is, or there is none
+	listeners          map[string]*listener // by listenerKey: those that stay, and new ones that don't accept yet
+}
+
+// Reload installs another configuration; an error says why it has changed nothing. What is the same in both goes on:
+// listeners keep their connections, and pools all that their module has learned. A request is served to its end by the
+// configuration that accepted it; listeners and pools that are removed end when their last request is answered. Reloads
+// may come at any time and at once; after the shutdown has begun they fail.
+//
+// In a cluster with agreed settings these hold in place of what the configuration says of the same.
+func (s *Sidecar) Reload(c config.Service) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isShuttingDown {
+		return errShuttingDown
+	}
+	if err := s.reload(c); err != nil {
+		return err
+	}
+	if s.cluster.hasConsensus() {
+		s.cluster.ownFile.Store(c.File)
+		s.cluster.raft.Recheck()
+	}
+	return nil
+}
+
+// reload installs this daemon's own configuration with the agreed settings. s.mu is held.
+func (s *Sidecar) reload(own config.Service) error {
+	p, err := s.prepareReload(own)
+	if err != nil {
+		return err
+	}
+	c, agreed := p.effective.service, p.effective.agreed
+	p.reconfigureCluster()
+	s.adoptAdmin(c, p.admin)
+	next := s.buildConfig(c)
+	active := activeSettings{consensus.DigestOf(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
+	active.version.Store(agreed.Version)
+	next.service.Guard = s.cluster.requestGuard(c.Refuses, active.version)
+	next.service.Unsure = indeterminateRetryAfter
+	s.currentService.Swap(next.service)
+	s.ownConfig, s.activeSettings = own, active
+	if s.cluster.hasConsensus() {
+		s.cluster.raft.MarkInstalled(agreed.Version)
+		s.log.Info("agreed settings installed", "version", agreed.Version)
+	}
+	s.adoptListeners(p.listeners)
+	if s.installed != nil {
+		s.retireConfig(s.installed)
+	}
+	s.installed = next
+	return nil
+}
+
+// prepareReload opens what a configuration needs. s.mu is held.
+func (s *Sidecar) prepareReload(own config.Service) (*preparedReload, error) {
+	effective, err := s.cluster.composeConfig(own)
+	if err != nil {
+		return nil, err
+	}
+	p := &preparedReload{effective: effective}
+	if p.reconfigureCluster, err = s.cluster.prepareReconfigure(effective.service.Fleet); err != nil {
+		return nil, err
+	}
+	if p.admin, err = s.openAdmin(effective.service); err != nil {
+		return nil, err
+	}
+	if p.listeners, err = s.openListeners(effective.service); err != nil {
+		if p.admin != nil {
+			err = errors.Join(err, p.admin.Close())
+		}
+		return nil, err
+	}
+	return p, nil
+}
+
+// buildConfig makes a configuration's routes and pools, with the pools that can go on. A pool that is replaced still has
+// requests, so that it too gets the new source of endpoints: it must learn which ones drain or are gone. s.mu is held.
+func (s *Sidecar) buildConfig(c config.Service) *installedConfig {
+	next := &installedConfig{pools: make(map[string]*pool, len(c.Pools))}
+	for _, spec := range c.Pools {
+		var p *pool
+		if s.installed != nil {
+			p = s.installed.pools[spec.Name]
+		}
+		for running := range s.runningPools {
+			if running.spec.Name == spec.Name {
+				running.updateSource(spec.Source)
+			}
+		}
+		if p == nil || !p.canServe(spec) {
+			p = s.startPool(spec)
+		}
+		p.references++
+		next.pools[spec.Name] = p
+	}
+	next.service = newService(c, next.pools, s.metrics)
+	return next
+}
+
+// startPool starts a pool with the ejections and limits that hold now. s.mu is held.
+func (s *Sidecar) startPool(spec config.PoolSpec) *pool {
+	p := newPool(s.decider, spec, s.bodyMemory, s.metrics, s.log.With("pool", spec.Name))
+	s.runningPools[p] = true
+	if s.connectionLimit > 0 {
+		p.upstream.SetMaxConnections(s.connectionLimit)
+	}
+	s.overrides.addPool(p)
+	s.cluster.addPool(p)
+	return p
+}
+
+// retireConfig releases a configuration's pools once its last request is answered, and closes those that no other
+// configuration uses. s.mu is held.
+func (s *Sidecar) retireConfig(old *installedConfig) {
+	s.retiring.Go(func() {
+		old.service.Wait()
+		s.mu.Lock()
+		var unused []*pool
+		for _, p := range old.pools {
+			if p.references--; p.references == 0 {
+				unused = append(unused, p)
+				delete(s.runningPools, p)
+			}
+		}
+		s.mu.Unlock()
+		for _, p := range unused {
+			s.overrides.removePool(p)
+			s.cluster.removePool(p)
+			p.close()
+		}
+	})
+}
+
+// openListeners returns a configuration's listeners by listenerKey: those that can go on, and new ones that don't accept
+// yet. After an error the new ones are closed. s.mu is held.
+func (s *Sidecar) openListeners(c config.Service) (map[string]*listener, error) {
+	next := make(map[string]*listener, len(c.Listeners))
+	for _, spec := range c.Listeners {
+		key := listenerKey(spec)
+		if current := s.listeners[key]; current != nil && current.canServe(spec, c.Name) {
+			next[key] = current
+			continue
+		}
+		socket, err := s.openSocket(spec)
+		if err != nil {
+			err = fmt.Errorf("listener %s: %w", spec.Name, err)
+			for key, l := range next {
+				if s.listeners[key] != l {
+					err = errors.Join(err, l.socket.Close())
+				}
+			}
+			return nil, err
+		}
+		l := newListener(spec, listenerOptions{
+			pseudonym:  c.Name,
+			socket:     socket,
+			current:    &s.currentService,
+			bodyMemory: s.bodyMemory,
+			metrics:    s.metrics,
+			log:        s.log,
+		})
+		if s.connectionLimit > 0 {
+			l.setMaxConnections(s.connectionLimit)
+		}
+		next[key] = l
+	}
+	return next, nil
+}
+
+// openSocket opens a listener's socket. Where another listener at the same address runs or drains it shares that one's:
+// connections that wait in its queue must not be lost. s.mu is held.
+func (s *Sidecar) openSocket(spec config.Listener) (*socketHandle, error) {
+	key := listenerKey(spec)
+	if current := s.listeners[key]; current != nil {
+		if h, ok := current.socket.newHandle(); ok {
+			return h, nil
+		}
+	}
+	for l := range s.drainingListeners {
+		if listenerKey(l.spec) == key {
+			if h, ok := l.socket.newHandle(); ok {
+				return h, nil
+			}
+		}
+	}
+	if spec.Descriptor == 0 {
+		return listen(spec.Address)
+	}
+	h, err := listenInherited(spec.Descriptor, spec.Address)
+	if err == nil && s.hotRestart != nil { // its first poll decides whether this process takes clients
+		h.SetPaused(true)
+	}
+	return h, err
+}
+
+// adoptListeners starts the new ones of a configuration's listeners, and drains those that it does not have. s.mu is
+// held.
+func (s *Sidecar) adoptListeners(next map[string]*listener) {
+	for key, l := range next {
+		if s.listeners[key] == l {
+			continue
+		}
+		s.log.Info("listening", "addr", l.connections.Addr().String(), "listener", l.spec.Name)
+		go func() {
+			if err := l.serve(); !l.isDraining.Load() {
+				select {
+				case s.listenerFailed <- fmt.Errorf("listener %s: %w", l.spec.Name, err):
+				default: // another one has failed before, and Serve returns that error
+				}
+			}
+		}()
+	}
+	for key, l := range s.listeners {
+		if next[key] != l {
+			by := noSuccessor
+			if next[key] != nil {
+				by = sameProcess
+			}
+			s.retireListener(l, by)
+		}
+	}
+	s.listeners = next
+}
+
+// retireListener drains a listener that is no longer configured. s.mu is held.
+func (s *Sidecar) retireListener(l *listener, by successor) {
+	s.drainingListeners[l] = true
+	l.isDraining.Store(true)
+	s.retiring.Go(func() {
+		if err := l.drain(by, s.gracePeriod-closeConnectionsMargin); err != nil {
+			s.log.Warn("listener closed with an error", "listener", l.spec.Name, "error", err)
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.drainingListeners, l)
+	})
+}
--- /dev/null
+++ b/internal/sidecar/settings_command.go
@@ -0,0 +1,196 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/status"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/config"
+)
+
+// errNoConsensus is why a command about agreed settings is not carried out.
+var errNoConsensus = errors.New("nothing is agreed on here")
+
+// argumentCount is how many arguments a settings command takes.
+type argumentCount struct{ least, most int }
+
+// settingsCommands are the words that may follow settings on an admin line.
+var settingsCommands = map[string]argumentCount{
+	"put":           {4, 4},
+	"remove":        {3, 3},
+	"back":          {4, 4},
+	"force":         {2, 2},
+	"voters-add":    {2, 2},
+	"voters-remove": {2, 2},
+	"history":       {0, 0},
+	"show":          {1, 2},
+}
+
+// handleSettings carries out what follows settings on an admin line, and writes the result:
+//
+//	put ID EXPECT NAME BYTES      stores a document; EXPECT: the version that must be the latest, or -
+//	remove ID EXPECT NAME         removes a document
+//	back ID EXPECT NAME VERSION   restores a document as it was at a version
+//	force ID VERSION              activates the next version though some daemons can't install it
+//	voters-add ID NAME            makes a daemon with a data_dir a voter
+//	voters-remove ID NAME         ends that
+//	history                       lists all changes that are remembered
+//	show NAME [VERSION]           shows a document as it is agreed on, or was
+//
+// Without arguments it writes the settings in force. A command that is repeated with the same ID is done once.
+func (n *clusterNode) handleSettings(ctx context.Context, arguments string, body []byte, w io.Writer) error {
+	if !n.hasConsensus() {
+		return errNoConsensus
+	}
+	words := strings.Fields(arguments)
+	if len(words) == 0 {
+		return n.writeSettings(w)
+	}
+	c, err := n.parseSettingsCommand(words[0], words[1:], body)
+	if err != nil {
+		return err
+	}
+	if c.Put != nil {
+		if err := n.checkPut(c.Put); err != nil {
+			return err
+		}
+	}
+	result, err := n.raft.Propose(ctx, *c)
+	if err != nil {
+		return err
+	}
+	if c.Read == nil {
+		n.log.Info("settings command applied",
+			"command", words[0], "arguments", strings.Join(words[1:], " "), "version", result.Version)
+	}
+	return status.WriteResult(w, result)
+}
+
+// parseSettingsCommand reads a command and its arguments. The texts of its errors go to the operator.
+func (n *clusterNode) parseSettingsCommand(name string, args []string, body []byte) (*consensus.Command, error) {
+	count, isKnown := settingsCommands[name]
+	if !isKnown {
+		return nil, fmt.Errorf(
+			"settings %.40q is none of put, remove, back, force, voters-add, voters-remove, history, show", name)
+	}
+	if len(args) < count.least || len(args) > count.most {
+		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.least)
+	}
+	c := &consensus.Command{By: n.spec.Name, At: time.Now().UnixMilli()}
+	var err error
+	switch name {
+	case "history":
+		c.Read = &consensus.DocumentVersion{}
+	case "show":
+		c.Read = &consensus.DocumentVersion{Name: args[0]}
+		if len(args) == 2 {
+			c.Read.Version, err = strconv.ParseUint(args[1], 10, 64)
+		}
+	case "force":
+		c.ID = args[0]
+		c.Force, err = strconv.ParseUint(args[1], 10, 64)
+	case "voters-add", "voters-remove":
+		c.ID = args[0]
+		if !swim.IsValidName(args[1]) {
+			return nil, fmt.Errorf("%.40q is no name of a daemon", args[1])
+		}
+		c.Seat = &consensus.VoterChange{Name: args[1], Out: name == "voters-remove"}
+	default:
+		c.ID = args[0]
+		err = parseDocumentChange(c, name, args, body)
+	}
+	return c, err
+}
+
+// parseDocumentChange reads the arguments of put, remove and back.
+func parseDocumentChange(c *consensus.Command, name string, args []string, body []byte) error {
+	if args[1] != "-" {
+		expect, err := strconv.ParseUint(args[1], 10, 64)
+		if err != nil {
+			return err
+		}
+		c.Expect = &expect
+	}
+	document := args[2]
+	if !config.IsDocumentName(document) {
+		return fmt.Errorf("%.40q is no name of a document", document)
+	}
+	var err error
+	switch name {
+	case "put":
+		c.Put = &consensus.DocumentPut{Name: document, Body: body}
+	case "remove":
+		c.Remove = document
+	default:
+		c.Back = &consensus.DocumentVersion{Name: document}
+		c.Back.Version, err = strconv.ParseUint(args[3], 10, 64)
+	}
+	return err
+}
+
+// checkPut returns why this daemon could not install a document beside the others that are agreed on.
+func (n *clusterNode) checkPut(put *consensus.DocumentPut) error {
+	agreed, _ := n.raft.Valid()
+	docs := documentBodies(settingsDocuments(agreed.Docs))
+	docs[put.Name] = put.Body
+	return n.ownFile.Load().CheckDocuments(docs)
+}
+
+// writeSettings writes the agreed settings that are in force here, with a line for each document.
+func (n *clusterNode) writeSettings(w io.Writer) error {
+	if !n.hasConsensus() {
+		return errNoConsensus
+	}
+	s, agreed := n.settingsStatus()
+	for _, name := range slices.Sorted(maps.Keys(agreed.Docs)) {
+		d := agreed.Docs[name]
+		s.Documents = append(s.Documents, status.Document{
+			Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest),
+		})
+	}
+	return s.Write(w)
+}
+
+// writeVersions is writeSettings without the documents.
+func (n *clusterNode) writeVersions(w io.Writer) error {
+	if !n.hasConsensus() {
+		return errNoConsensus
+	}
+	s, _ := n.settingsStatus()
+	return s.Write(w)
+}
+
+func (n *clusterNode) settingsStatus() (*status.Settings, *consensus.LeasedVersion) {
+	agreed, _ := n.raft.Valid()
+	node := n.raft.Status()
+	s := &status.Settings{
+		Version:   agreed.Version,
+		Acting:    n.raft.CoversVersion(agreed.Version),
+		LeaseMs:   n.raft.LeaseRemaining().Milliseconds(),
+		Votes:     node.Votes,
+		Leads:     node.Leads,
+		Leader:    node.Leader,
+		Term:      node.Term,
+		Committed: node.Committed,
+		Coming:    node.Coming,
+		All:       node.All,
+		Declined:  node.Declined,
+		Why:       node.Why,
+		Refused:   n.rejectedRequests.Load(),
+		Voters:    strings.Join(node.Voters, ","),
+		Sitting:   strings.Join(node.Sitting, ","),
+	}
+	for _, l := range node.Lagging {
+		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
+	}
+	return s, agreed
+}
