--- /dev/null
+++ b/internal/sidecar/admin_test.go
@@ -0,0 +1,262 @@
+package sidecar
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"tuliprock/internal/config"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// withAdmin gives the service an operators' address.
+func withAdmin(c *config.Service) { c.Admin, c.Operators = "127.0.0.1:0", 8 }
+
+// adminCommand makes one call and gives its answer.
+func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
+	t.Helper()
+	return adminCommand(t, s.admin.Addr().String(), line)
+}
+
+func adminCommand(t *testing.T, addr, line string) string {
+	t.Helper()
+	nc, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	if _, err := io.WriteString(nc, line+"\n"); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(nc)
+	if err != nil {
+		t.Fatalf("%s: %v", line, err)
+	}
+	return string(answer)
+}
+
+// parseMetrics are the values that vars tells, by name.
+func parseMetrics(t *testing.T, text string) map[string]int64 {
+	t.Helper()
+	out := map[string]int64{}
+	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
+	if len(lines) == 0 || lines[len(lines)-1] != "EOT" {
+		t.Fatalf("no EOT: %q", text)
+	}
+	for _, line := range lines[:len(lines)-1] {
+		name, rest, _ := strings.Cut(line, ":")
+		value, kind, _ := strings.Cut(rest, "|")
+		n, err := strconv.ParseInt(value, 10, 64)
+		if err != nil || kind != "c" && kind != "g" || !strings.HasPrefix(name, "edge_router.") {
+			t.Fatalf("%q is no figure", line)
+		}
+		out[strings.TrimPrefix(name, "edge_router.")] = n
+	}
+	return out
+}
+
+// byID answers as the first part of a request's id says.
+func byID(wrote *atomic.Int64) func(net.Conn, *http.Request, int) bool {
+	return func(nc net.Conn, r *http.Request, _ int) bool {
+		wrote.Add(1)
+		kind, _, _ := strings.Cut(r.Header.Get("Req-Id"), "-")
+		switch kind {
+		case "error":
+			io.WriteString(nc, "HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno")
+		case "full":
+			io.WriteString(nc, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+		case "breaks":
+			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf")
+			return false
+		case "slow":
+			time.Sleep(50 * time.Millisecond)
+			io.WriteString(nc, testpeer.Served)
+		default:
+			io.WriteString(nc, testpeer.Served)
+		}
+		return true
+	}
+}
+
+// Every request that was taken is counted once, as its caller saw it end, and every attempt as its endpoint saw it come.
+func TestMetricsMatchWhatClientsAndEndpointsCounted(t *testing.T) {
+	var wrote atomic.Int64
+	var addrs []string
+	for range 3 {
+		addrs = append(addrs, testpeer.NewEndpoint(t, byID(&wrote)).Addr)
+	}
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
+	var mu sync.Mutex
+	seen := map[string]int64{}
+	see := func(what string) {
+		mu.Lock()
+		defer mu.Unlock()
+		seen[what]++
+	}
+	const workers, each = 12, 150
+	var work sync.WaitGroup
+	for w := range workers {
+		work.Go(func() {
+			client := http.Client{Transport: &http.Transport{}}
+			defer client.CloseIdleConnections()
+			for i := range each {
+				kind := []string{"good", "error", "full", "breaks", "slow", "good", "bad", "gone"}[i%8]
+				class := []string{"look", "pay", "book"}[i%3]
+				method := http.MethodPost
+				if class == "look" {
+					method = http.MethodGet
+				}
+				r := s.request(t, method, "/"+class, fmt.Sprint(kind, "-", w, "-", i), 8000)
+				switch kind {
+				case "bad":
+					r.Header.Set("Req-Deadline-Ms", "soon")
+				case "gone": // while its answer is awaited, or just after
+					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Millisecond)
+					defer cancel()
+					r = r.WithContext(ctx)
+					r.Header.Set("Req-Id", fmt.Sprint("slow-", w, "-", i))
+				}
+				resp, err := client.Do(r)
+				switch {
+				case err != nil && kind == "gone":
+					see("gone " + class)
+					continue
+				case err != nil:
+					t.Error(kind, class, err)
+					continue
+				}
+				_, err = io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				switch {
+				case err != nil:
+					t.Error(kind, class, err)
+				case resp.StatusCode == http.StatusOK:
+					see("ok." + class)
+				case resp.StatusCode == http.StatusServiceUnavailable:
+					see("shed." + class)
+				case resp.StatusCode == http.StatusBadRequest:
+					see("bad")
+				default:
+					see("errors." + class)
+				}
+			}
+		})
+	}
+	work.Wait()
+	var got map[string]int64
+	testpeer.Until(t, "it is quiet", func() bool {
+		got = parseMetrics(t, s.adminCommand(t, "vars"))
+		return got["active"] == 0
+	})
+	testpeer.Until(t, "all attempts have come", func() bool { return wrote.Load() >= got["tries"] })
+	for _, class := range []string{"look", "pay", "book"} {
+		sum, want := int64(0), seen["gone "+class]
+		for _, how := range []string{"ok.", "shed.", "errors."} {
+			n, told := got[how+class], seen[how+class]
+			if sum, want = sum+n, want+told; n < told || n > told+seen["gone "+class] {
+				t.Errorf("%s%s: %d, callers saw %d and %d had left", how, class, n, told, seen["gone "+class])
+			}
+		}
+		if short := want - sum; short < 0 || short > seen["gone "+class] { // one that left may never have been a request
+			t.Errorf("%s: %d ended, callers know of %d", class, sum, want)
+		}
+	}
+	if got["bad"] != seen["bad"] || got["tries"] != wrote.Load() || got["pool_size"] != 3 {
+		t.Errorf("bad %d of %d, tries %d of %d, pool_size %d", got["bad"], seen["bad"], got["tries"], wrote.Load(), got["pool_size"])
+	}
+	for _, what := range []string{"ok.look", "errors.pay", "shed.look", "bad"} {
+		if seen[what] == 0 {
+			t.Errorf("nothing ended as %s: the test shows too little", what)
+		}
+	}
+}
+
+func TestActiveMetricCountsRequestsInFlight(t *testing.T) {
+	release := make(chan struct{})
+	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+		<-release
+		io.WriteString(nc, testpeer.Served)
+		return true
+	})
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	var work sync.WaitGroup
+	for i := range 5 {
+		work.Go(func() { send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
+	}
+	testpeer.Until(t, "five are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
+	close(release)
+	work.Wait()
+	testpeer.Until(t, "none is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
+}
+
+// The answer to a call does not stand in the queue of a pool's events, and where the loop stands still it has a bound.
+func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	jam, jammed := make(chan struct{}), make(chan struct{})
+	s.loop.Post(func(time.Duration) { close(jammed); <-jam })
+	<-jammed
+	for range 100 {
+		go s.loop.Post(func(time.Duration) { time.Sleep(5 * time.Millisecond) })
+	}
+	for call, want := range map[string]string{"check": "SUCCESS", "vars": "edge_router", "set-down a": "FAILURE"} {
+		began := time.Now()
+		if got := s.adminCommand(t, call); !strings.HasPrefix(got, want) {
+			t.Errorf("%s: %q", call, got)
+		}
+		if took := time.Since(began); took > time.Second+100*time.Millisecond {
+			t.Errorf("%s: answered after %v", call, took)
+		}
+	}
+	close(jam)
+	if got := s.adminCommand(t, "set-down a"); !strings.HasPrefix(got, "SUCCESS") {
+		t.Errorf("behind 100 events: %q", got)
+	}
+}
+
+// An operators' address that can't be had is told before anything is taken up.
+func TestAdminAddressInUseFailsStartAndReload(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatform(t, e.Addr)
+	next, err := s.platformConfig.Service()
+	if err != nil {
+		t.Fatal(err)
+	}
+	next.Admin, next.Operators = l.Addr().String(), 8
+	if err := s.Reload(next); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+		t.Errorf("%v", err)
+	}
+	next.Admin = "127.0.0.1:0"
+	if err := s.Reload(next); err != nil {
+		t.Fatal(err)
+	}
+	if got := s.adminCommand(t, "check"); !strings.HasPrefix(got, "SUCCESS") {
+		t.Errorf("%q", got)
+	}
+	was := s.admin.Addr().String()
+	next.Admin = ""
+	if err := s.Reload(next); err != nil {
+		t.Fatal(err)
+	}
+	testpeer.Until(t, "the address is closed", func() bool {
+		nc, err := net.Dial("tcp", was)
+		if err == nil {
+			nc.Close()
+		}
+		return err != nil
+	})
+}
--- /dev/null
+++ b/internal/sidecar/benchmark_test.go
@@ -0,0 +1,46 @@
+package sidecar
+
+import (
+	"fmt"
+	"log/slog"
+	"testing"
+	"time"
+
+	"tuliprock/internal/config"
+	"tuliprock/internal/discovery"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/metrics"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// What a pool of real parts does with a list that changes by one member.
+func BenchmarkPoolUpdate(b *testing.B) {
+	for _, n := range []int{10, 1000, 10000} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			var list []discovery.Member
+			for i := range n + 1 {
+				list = append(list, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
+			}
+			spec := config.PoolSpec{Name: "p", Connections: 10, Source: config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}}
+			p := newPool(eventloop.Module, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
+			defer p.close()
+			done := make(chan bool)
+			for i := 0; b.Loop(); i++ {
+				p.updateEndpoints(discovery.ListUpdate{Full: true, Servers: list[:n+i%2]})
+				p.loop.Post(func(time.Duration) { done <- true })
+				<-done
+			}
+		})
+	}
+}
+
+// One request after another on one connection: the whole way there and back.
+func BenchmarkServe(b *testing.B) {
+	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
+	s := startFromFile(b, parseService(b, listen1+poolOf("a", e.Addr)+lookRoute))
+	nc, in, _ := openConnection(b, s.addressOf("one"))
+	b.ReportAllocs()
+	for b.Loop() {
+		sendOn(b, nc, in)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/connections_test.go
@@ -0,0 +1,108 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// Idle callers must give way when connections run short, and none may be lost.
+func TestIdleConnectionsYieldToNewClients(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
+	for i := range 100 { // far over the limit
+		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		if resp.StatusCode != http.StatusOK {
+			t.Fatalf("caller %d: status %d", i, resp.StatusCode)
+		}
+	}
+}
+
+// Callers that connect by hundreds and say nothing must not hold up those that ask.
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
+	for i := range 200 {
+		nc, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { nc.Close() })
+		io.WriteString(nc, "GET /lo"[:i%2*7]) // some of a head, or nothing
+	}
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
+		t.Errorf("status %d", status)
+	}
+	if n := s.connections.Count(); n > 64 {
+		t.Errorf("%d connections are held", n)
+	}
+}
+
+// A long day brings ever new endpoints at old addresses, ids and connections; nothing of those that have gone may stay.
+func TestMemoryStaysBoundedForDistinctNames(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatform(t, e.Addr)
+	for i := range 500 {
+		s.tell(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
+		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
+			t.Fatalf("request %d: status %d", i, status)
+		}
+	}
+	testpeer.Until(t, "callers' connections end", func() bool { return s.connections.Count() == 0 })
+	left := make(chan [4]int)
+	s.loop.Post(func(time.Duration) {
+		calls, members, events, timers := s.loop.ResourceCounts()
+		left <- [4]int{calls, members, events, timers}
+	})
+	if n := <-left; n[0] != 0 || n[1] != 1 || n[2] != 0 || n[3] > 600 {
+		t.Errorf("calls, members, events, timers: %v", n)
+	}
+	if endpoints, connections := s.upstream.ResourceCounts(); endpoints != 1 || connections > 1 {
+		t.Errorf("%d pools, %d connections to endpoints", endpoints, connections)
+	}
+}
+
+// Endpoints that close what stands idle, here as soon as another is called, must not cost a connection for every call.
+func TestShortLivedConnectionsAreReusedWhileOpen(t *testing.T) {
+	var mu sync.Mutex
+	idle := map[net.Conn]bool{}
+	var all []*testpeer.Endpoint
+	var addrs []string
+	for range 4 {
+		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+			mu.Lock()
+			defer mu.Unlock()
+			for other := range idle {
+				if other != nc {
+					other.Close()
+					delete(idle, other)
+				}
+			}
+			idle[nc] = true
+			time.Sleep(4 * time.Millisecond) // its work, so that all take about the same
+			io.WriteString(nc, testpeer.Served)
+			return true
+		})
+		all, addrs = append(all, e), append(addrs, e.Addr)
+	}
+	s := startPlatform(t, addrs...)
+	const calls = 60
+	for n := range calls {
+		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
+			t.Fatalf("call %d: %d", n, status)
+		}
+	}
+	opened := int32(0)
+	for _, e := range all {
+		opened += e.Connections.Load()
+	}
+	if opened > calls*2/3 {
+		t.Errorf("%d connections for %d calls one after another", opened, calls)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -0,0 +1,239 @@
+package sidecar
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"tuliprock/internal/body"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// caller plays the caller's side and tells what it was answered.
+func (c *cell) caller(t *testing.T, addr string) string {
+	defer close(c.done)
+	nc, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Error(err)
+		return ""
+	}
+	defer nc.Close()
+	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
+	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
+	chunked := c.way == "up" && c.fails("caller") && c.how == "garbage"
+	method, framing, sends := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), text(c.size)
+	switch {
+	case chunked:
+		framing = "Transfer-Encoding: chunked"
+	case c.way == "down":
+		framing, sends = "Content-Length: 2", []byte("hi")
+	}
+	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n\r\n", method, c.name, c.name[1:], framing)
+	if c.fails("caller") && c.when == "head" {
+		io.WriteString(nc, head[:20])
+		return c.misbehave(nc, func() { io.WriteString(nc, "x") })
+	}
+	io.WriteString(nc, head)
+	send := func(part []byte) {
+		if chunked && len(part) > 0 {
+			fmt.Fprintf(nc, "%x\r\n%s\r\n", len(part), part)
+			return
+		}
+		_, _ = nc.Write(part)
+	}
+	if c.way == "down" {
+		send(sends)
+		return c.receive(nc)
+	}
+	if c.fails("caller") {
+		send(sends[:c.offset()])
+		if chunked && c.when == "after" {
+			io.WriteString(nc, "0\r\n\r\n")
+		}
+		left := sends[c.offset():]
+		return c.misbehave(nc, func() {
+			if len(left) > 0 {
+				send(left[:1])
+				left = left[1:]
+			}
+		})
+	}
+	go func() { // the beginning, and the rest once the node has failed: it must not be there to be swallowed by buffers
+		first := len(sends)
+		if c.when == "head" || c.when == "first byte" {
+			first = body.Held
+		}
+		send(sends[:first])
+		goOn := c.again
+		if c.how == "silence" || c.how == "slow" {
+			goOn = c.failed
+		}
+		select {
+		case <-goOn:
+		case <-c.done:
+		}
+		send(sends[first:])
+	}()
+	return outcome(bufio.NewReader(nc), []byte("done"), nil)
+}
+
+// misbehave fails while a request is sent.
+func (c *cell) misbehave(nc net.Conn, slowly func()) string {
+	want := []byte("done")
+	if c.way == "down" {
+		want = text(c.size)
+	}
+	switch c.how {
+	case "close":
+		return "gone"
+	case "reset":
+		reset(nc)
+		return "gone"
+	case "garbage":
+		io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
+	case "slow":
+		over := make(chan bool)
+		defer close(over)
+		go func() {
+			for range 200 {
+				select {
+				case <-over:
+					return
+				case <-time.After(100 * time.Millisecond):
+					slowly()
+				}
+			}
+		}()
+	}
+	return outcome(bufio.NewReader(nc), want, nil)
+}
+
+// receive reads a long answer, and fails on the way if the cell says so.
+func (c *cell) receive(nc net.Conn) string {
+	in := bufio.NewReader(nc)
+	if !c.fails("caller") {
+		return outcome(in, text(c.size), nil)
+	}
+	return outcome(in, text(c.size), func(got io.Reader) (so int, gone bool, broken error) {
+		so, err := asWanted(io.LimitReader(got, int64(c.offset())), text(c.offset()))
+		if err == nil && so < c.offset() {
+			err = io.ErrUnexpectedEOF
+		}
+		if err != nil {
+			return so, false, err
+		}
+		switch c.how {
+		case "close":
+			nc.Close()
+			return so, true, nil
+		case "reset":
+			reset(nc)
+			return so, true, nil
+		case "garbage":
+			io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
+		case "silence":
+			for end := time.Now().Add(6 * time.Second); c.when != "last byte" && c.when != "after" && time.Now().Before(end) && established([]*net.TCPConn{nc.(*net.TCPConn)}) > 0; {
+				time.Sleep(5 * time.Millisecond)
+			}
+		case "slow":
+			for b := make([]byte, 1); ; {
+				select {
+				case <-c.ended:
+					return so, false, nil
+				case <-time.After(100 * time.Millisecond):
+				}
+				n, err := got.Read(b)
+				if n > 0 && b[0] != text(so + 1)[so] {
+					return so, false, errOther
+				}
+				if so += n; err == io.EOF {
+					return so, false, nil
+				} else if err != nil {
+					return so, false, err
+				}
+			}
+		}
+		return so, false, nil
+	})
+}
+
+// errOther is an answer that is not the one wanted.
+var errOther = errors.New("another answer")
+
+// asWanted reads to the end and tells how much of what is wanted came. It holds no more than a part: to set 48 MB aside took a reader up
+// to 1.47 s under the race detector, four copies at a time on two cores, and who does not read for 1.5 s is cut off.
+func asWanted(got io.Reader, want []byte) (n int, err error) {
+	for part := make([]byte, 64<<10); err == nil; {
+		var k int
+		if k, err = got.Read(part); !bytes.HasPrefix(want[n:], part[:k]) {
+			return n, errOther
+		}
+		n += k
+	}
+	if err == io.EOF {
+		err = nil
+	}
+	return n, err
+}
+
+// outcome reads an answer and says what it is. midway tells how much of it has come as wanted.
+func outcome(in *bufio.Reader, want []byte, midway func(io.Reader) (int, bool, error)) string {
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		return "no answer"
+	}
+	defer resp.Body.Close()
+	got := 0
+	if midway != nil && resp.StatusCode == http.StatusOK {
+		var gone bool
+		if got, gone, err = midway(resp.Body); gone {
+			return "gone"
+		}
+	}
+	if err == nil && resp.StatusCode == http.StatusOK {
+		var n int
+		n, err = asWanted(resp.Body, want[got:])
+		got += n
+	}
+	switch {
+	case resp.StatusCode == http.StatusBadGateway:
+		return "failed"
+	case resp.StatusCode == http.StatusServiceUnavailable:
+		return "refused"
+	case resp.StatusCode != http.StatusOK:
+		return strconv.Itoa(resp.StatusCode)
+	case err != nil && !errors.Is(err, errOther):
+		return "cut"
+	case err == nil && got == len(want):
+		return "served"
+	}
+	return "wrong"
+}
+
+func probe(addr string, c *cell, text string) string {
+	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.name+"?probe="+text, nil)
+	r.Header.Set("Idempotency-Key", text)
+	tr := &http.Transport{DisableKeepAlives: true}
+	resp, err := tr.RoundTrip(r)
+	if err != nil {
+		return err.Error()
+	}
+	defer resp.Body.Close()
+	got, _ := io.ReadAll(resp.Body)
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return string(got)
+	case http.StatusServiceUnavailable:
+		return "refused"
+	case http.StatusBadGateway:
+		return "failed"
+	}
+	return resp.Status
+}
--- /dev/null
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -0,0 +1,175 @@
+package sidecar
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"tuliprock/internal/testkit/testpeer"
+)
+
+// matrixNode serves all cells, by path.
+type matrixNode struct {
+	cells map[string]*cell
+	end   chan struct{}
+}
+
+func (n *matrixNode) start(t *testing.T) string {
+	return testpeer.Accept(t, func(nc net.Conn) {
+		_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10) // so that most of what is not read does not go out
+		n.serve(nc)
+	}).Addr().String()
+}
+
+func (n *matrixNode) serve(nc net.Conn) {
+	defer nc.Close()
+	in := bufio.NewReader(nc)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		if probe := r.URL.Query().Get("probe"); probe != "" {
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(probe), probe)
+			continue
+		}
+		if c := n.cells[r.URL.Path]; c == nil || !n.play(c, nc, r) {
+			return
+		}
+	}
+}
+
+// play is one attempt; false: the connection is to be closed.
+func (n *matrixNode) play(c *cell, nc net.Conn, r *http.Request) bool {
+	c.mu.Lock()
+	c.tries++
+	first := c.tries == 1
+	if c.tries == 2 {
+		close(c.again)
+	}
+	c.open = append(c.open, nc.(*net.TCPConn))
+	c.mostOpen = max(c.mostOpen, established(c.open))
+	c.mu.Unlock()
+	defer func() {
+		c.mu.Lock()
+		c.open = slices.DeleteFunc(c.open, func(o *net.TCPConn) bool { return o == nc })
+		c.mu.Unlock()
+		c.ender.Do(func() { close(c.ended) })
+	}()
+	bad := first && c.fails("node")
+	if bad && c.way == "up" && c.when != "after" {
+		if _, err := io.CopyN(io.Discard, r.Body, int64(c.offset())); err != nil {
+			return false
+		}
+		return n.misbehave(c, nc, func() { r.Body.Read(make([]byte, 1)) })
+	}
+	if !same(r.Body, c) {
+		return false
+	}
+	c.mu.Lock()
+	c.runs++
+	c.mu.Unlock()
+	head, answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), text(c.size)
+	chunked := bad && c.way == "down" && c.how == "garbage"
+	switch {
+	case c.way == "up":
+		answer = []byte("done")
+		head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+	case chunked:
+		head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	}
+	if !bad {
+		_, err := (&net.Buffers{[]byte(head), answer}).WriteTo(nc)
+		return err == nil
+	}
+	dribble := []byte(head)
+	switch {
+	case c.way == "up": // it has all, and nothing is said yet
+	case c.when == "head":
+		if c.how != "garbage" {
+			io.WriteString(nc, head[:20])
+			dribble = dribble[20:]
+		}
+	case chunked:
+		part := answer[:c.offset()]
+		fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(part), part)
+		if c.when == "after" {
+			io.WriteString(nc, "0\r\n\r\n")
+		}
+	default:
+		_, _ = (&net.Buffers{[]byte(head), answer[:c.offset()]}).WriteTo(nc)
+		dribble = answer[c.offset():]
+	}
+	if c.way == "down" && c.when == "after" { // a reset would take what is still under way with it
+		select {
+		case <-c.done:
+		case <-n.end:
+		}
+	}
+	return n.misbehave(c, nc, func() {
+		if len(dribble) > 0 {
+			_, _ = nc.Write(dribble[:1])
+			dribble = dribble[1:]
+		}
+	})
+}
+
+// same tells whether a request's body is the one that was sent.
+func same(in io.Reader, c *cell) bool {
+	want := []byte("hi")
+	if c.way == "up" {
+		want = text(c.size)
+	}
+	n, err := asWanted(in, want)
+	return err == nil && n == len(want)
+}
+
+// established counts the connections that their peer has not closed: a node that does not read can't tell otherwise.
+func established(list []*net.TCPConn) (n int) {
+	for _, nc := range list {
+		raw, err := nc.SyscallConn()
+		if err != nil {
+			continue
+		}
+		_ = raw.Control(func(fd uintptr) {
+			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.State == unix.BPF_TCP_ESTABLISHED {
+				n++
+			}
+		})
+	}
+	return n
+}
+
+// misbehave fails as the cell says. slowly is a step of one that is too slow.
+func (n *matrixNode) misbehave(c *cell, nc net.Conn, slowly func()) bool {
+	defer c.fail()
+	switch c.how {
+	case "close":
+		return false
+	case "reset":
+		reset(nc)
+		return false
+	case "garbage":
+		io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
+	case "slow":
+		c.fail()
+		for range 200 {
+			select {
+			case <-n.end:
+				return false
+			case <-time.After(100 * time.Millisecond):
+				slowly()
+			}
+		}
+	}
+	c.fail()
+	<-n.end
+	return false
+}
--- /dev/null
+++ b/internal/sidecar/routes_test.go
@@ -0,0 +1,197 @@
+package sidecar
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"tuliprock/balance"
+	"tuliprock/internal/eventloop"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+func TestRoutesSelectPools(t *testing.T) {
+	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	s := startFromFile(t, parseService(t, listen1+listen2+poolOf("a", a)+poolOf("b", a, b)+`
+		[[route]]
+		hosts = ["b.example", "*.b.example"]
+		path_prefix = "/old/"
+		replace_prefix = "/new/"
+		remove_headers = ["X-Secret"]
+		set_header = [{ name = "X-Pool", value = "b" }]
+		pool = "a"
+		class = "look"
+		[[route]]
+		hosts = ["a.example"]
+		pool = "a"
+		class = "look"
+	`))
+	if _, text := get(t, s.addressOf("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
+		t.Errorf("a.example: %q", text)
+	}
+	r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("two")+"/old/thing?", nil)
+	r.Host = "x.B.example."
+	r.Header.Set("X-Secret", "s")
+	r.Header.Set("X-Pool", "mine")
+	if _, text := roundTrip(t, r); !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
+		t.Errorf("x.b.example: %q", text)
+	}
+	for target, want := range map[string]int{"/": 404, "/a//b": 400, "/a%2fb": 400, "/../x": 400, "/a;b": 400} {
+		if resp, _ := get(t, s.addressOf("one"), "c.example", target); resp.StatusCode != want {
+			t.Errorf("%s: %d, want %d", target, resp.StatusCode, want)
+		}
+	}
+}
+
+func TestForwardedHeadersDescribeTheClient(t *testing.T) {
+	a := echoEndpoint(t, "A")
+	const route = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
+	for way, want := range map[string][]string{
+		"set":    {"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n", "X-Forwarded-Proto: http\r\n", "Forwarded: for=127.0.0.1;host=\"h\";proto=http\r\n"},
+		"append": {"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 6.6.6.6, 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n", "Forwarded: for=6.6.6.6, for=127.0.0.1;host=\"h\";proto=http\r\n"},
+		"drop":   {"Via: 1.0 x\r\nVia: 1.1 tuliprock"},
+		"leave":  {"Via: 1.0 x\r\n", "X-Forwarded-For: 6.6.6.6\r\n", "Forwarded: for=6.6.6.6\r\n", "X_forwarded_for: 7.7.7.7\r\n"},
+	} {
+		s := startFromFile(t, parseService(t, listen1+"forwarded = \""+way+"\"\n"+poolOf("a", a)+route))
+		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
+		r.Host = "h"
+		for name, value := range map[string]string{"X-Forwarded-For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Forwarded_For": "7.7.7.7",
+			"Via": "1.0 x", "Connection": "X-Forwarded-Proto, X-Hop", "X-Hop": "h", "Req-Deadline-Ms": "9000"} {
+			r.Header.Set(name, value)
+		}
+		_, text := roundTrip(t, r)
+		for _, line := range want {
+			if !strings.Contains(text, line) {
+				t.Errorf("%s: %q lacks %q", way, text, line)
+			}
+		}
+		if strings.Contains(text, "X-Hop") || way != "leave" && strings.Contains(text, "7.7.7.7") || way == "drop" && strings.Contains(text, "orwarded") ||
+			strings.Contains(text, "Req-Deadline-Ms: 9000") || !strings.Contains(text, "Req-Id: ") {
+			t.Errorf("%s: %q", way, text)
+		}
+	}
+}
+
+// An endpoint's answers go on as they are; only what a caller would take for a promise does not.
+func TestResponsesAreForwardedUnchanged(t *testing.T) {
+	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-Own", "1")
+		w.Header().Set("Connection", "X-Hop")
+		w.Header().Set("X-Hop", "1")
+		var status int
+		fmt.Sscan(r.URL.Path[1:], &status)
+		w.WriteHeader(status)
+		if status != 204 && status != 304 {
+			io.WriteString(w, "body")
+		}
+	}))
+	defer e.Close()
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Listener.Addr().String())+"[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n[[route]]\npool = \"a\"\nclass = \"look\"\n"))
+	for _, c := range []struct {
+		method string
+		status int
+		want   int
+	}{{"GET", 200, 200}, {"GET", 204, 204}, {"GET", 302, 302}, {"GET", 304, 304}, {"GET", 404, 404}, {"HEAD", 200, 200}, {"GET", 500, 500}, {"POST", 201, 201}, {"POST", 409, 409},
+		{"POST", 500, 500}, {"POST", 502, 502}, {"POST", 503, 502}, {"POST", 429, 502}} {
+		r, _ := http.NewRequest(c.method, fmt.Sprintf("http://%s/%d", s.addressOf("one"), c.status), nil)
+		resp, text := roundTrip(t, r)
+		if resp.StatusCode != c.want {
+			t.Errorf("%s %d: %d", c.method, c.status, resp.StatusCode)
+		}
+		if own := c.status == c.want; own != (resp.Header.Get("X-Own") == "1") || resp.Header.Get("X-Hop") != "" {
+			t.Errorf("%s %d: %v", c.method, c.status, resp.Header)
+		}
+		if body := c.status == c.want && c.method != "HEAD" && c.status != 204 && c.status != 304; body != (text == "body") {
+			t.Errorf("%s %d: body %q", c.method, c.status, text)
+		}
+		if c.method == "HEAD" && resp.ContentLength != 4 {
+			t.Errorf("HEAD tells a length of %d", resp.ContentLength)
+		}
+	}
+}
+
+// A caller's word that it has asked before spares its tenant's quota: it is taken only where the class says so.
+func TestRetryHeaderIsTrustedOnlyWhereConfigured(t *testing.T) {
+	for header, want := range map[string]bool{"": false, "Req-Retry": true} {
+		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+		repeats := make(chan bool, 1)
+		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+			return &recordingEvents{Events: eventloop.Module(now, s, h), repeats: repeats}
+		}
+		c := parseService(t, listen1+poolOf("a", e.Addr)+lookRoute)
+		c.Targets[0].Class.RetryHeader = header
+		s, err := StartWith(decide, c, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, _ := http.NewRequest(http.MethodGet, "http://"+s.Addrs()["one"].String()+"/", nil)
+		r.Header.Set("Req-Retry", "1")
+		roundTrip(t, r)
+		if got := <-repeats; got != want {
+			t.Errorf("with %q believed: %v", header, got)
+		}
+		if err := s.shutDown(noSuccessor); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// recordingEvents is the module, and what it is told of repeats.
+type recordingEvents struct {
+	balance.Events
+	repeats chan bool
+}
+
+func (w *recordingEvents) Request(now time.Duration, r balance.Request) {
+	w.repeats <- r.Repeat
+	w.Events.Request(now, r)
+}
+
+// What could be routed one way and served another is turned away before any route is looked at.
+func TestAmbiguousTargetsAreRejected(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Addr)+lookRoute))
+	for name, text := range map[string]string{
+		"two hosts":          "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
+		"no host":            "GET / HTTP/1.1\r\n\r\n",
+		"a whole URL":        "GET http://a/ HTTP/1.1\r\nHost: b\r\n\r\n",
+		"an authority":       "CONNECT a:80 HTTP/1.1\r\nHost: a:80\r\n\r\n",
+		"an asterisk":        "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n",
+		"an empty segment":   "GET /a//b HTTP/1.1\r\nHost: a\r\n\r\n",
+		"an encoded slash":   "GET /a%2Fb HTTP/1.1\r\nHost: a\r\n\r\n",
+		"encoded twice":      "GET /a%252fb HTTP/1.1\r\nHost: a\r\n\r\n",
+		"above the root":     "GET /a/%2e%2e/../b HTTP/1.1\r\nHost: a\r\n\r\n",
+		"a parameter":        "GET /a;x HTTP/1.1\r\nHost: a\r\n\r\n",
+		"a backslash":        "GET /a\\b HTTP/1.1\r\nHost: a\r\n\r\n",
+		"a fragment":         "GET /a?b#c HTTP/1.1\r\nHost: a\r\n\r\n",
+		"chunks of no size":  "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n\r\n",
+		"an over-long id":    "GET / HTTP/1.1\r\nHost: a\r\nReq-Id: " + strings.Repeat("x", 300) + "\r\n\r\n",
+		"an endless wait":    "GET / HTTP/1.1\r\nHost: a\r\nReq-Deadline-Ms: 99999999\r\n\r\n",
+		"a deadline of none": "GET / HTTP/1.1\r\nHost: a\r\nReq-Deadline-Ms:\r\n\r\n",
+	} {
+		nc, err := net.Dial("tcp", s.addressOf("one"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		io.WriteString(nc, text)
+		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+		if err != nil || resp.StatusCode < 400 || resp.StatusCode > 499 || resp.StatusCode == http.StatusTooManyRequests {
+			t.Errorf("%s: %+v, %v", name, resp, err)
+		}
+		nc.Close()
+	}
+	if n := e.Requests.Load(); n != 0 {
+		t.Errorf("%d of them reached the endpoint", n)
+	}
+	if resp, _ := get(t, s.addressOf("one"), "a", "/?x=/../;//"); resp.StatusCode != http.StatusOK {
+		t.Errorf("a good request afterwards: %s", resp.Status)
+	}
+}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -3,9 +3,12 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"net/http"
+	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -103,3 +106,92 @@
 		}
 	}
 }
+
+// After SIGTERM callers go on coming for a while; all that was taken is answered before the end.
+func TestShutdownLosesNoRequest(t *testing.T) {
+	came, release := make(chan bool, 100), make(chan bool)
+	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+		if strings.HasPrefix(r.Header.Get("Req-Id"), "slow") {
+			came <- true
+			<-release
+		}
+		io.WriteString(nc, testpeer.Served)
+		return true
+	})
+	s := startPlatform(t, e.Addr)
+	var slow sync.WaitGroup
+	for i := range 3 {
+		slow.Go(func() {
+			_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
+			if resp.StatusCode != http.StatusOK || !resp.Close {
+				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
+			}
+		})
+		<-came
+	}
+	_, in, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "kept", 60000))
+	if resp.StatusCode != http.StatusOK || resp.Close {
+		t.Errorf("before the signal: %d, close %v", resp.StatusCode, resp.Close)
+	}
+
+	s.terminate()
+	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
+		t.Errorf("right after the signal: %d", status)
+	}
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Errorf("an idle connection: %v", err)
+	}
+	testpeer.Until(t, "the listener closes", func() bool {
+		nc, err := net.Dial("tcp", s.addr)
+		if err == nil {
+			nc.Close()
+		}
+		return err != nil
+	})
+	select {
+	case err := <-s.serveResult:
+		t.Fatalf("ended with requests in flight: %v", err)
+	default:
+	}
+	close(release)
+	slow.Wait()
+	select {
+	case err := <-s.serveResult:
+		if err != nil {
+			t.Errorf("ended with %v", err)
+		}
+	case <-time.After(testpeer.Patience):
+		t.Error("never ended")
+	}
+}
+
+// While the process is there it serves: after SIGTERM a caller goes on using its connection, with answers in time for
+// the end.
+func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
+	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+		if r.Header.Get("Req-Id") != "long" {
+			io.WriteString(nc, testpeer.Served)
+		}
+		return true
+	})
+	s := startPlatform(t, e.Addr)
+	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
+	s.terminate()
+	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
+	for _, row := range []struct {
+		id   string
+		want int
+	}{{"second", http.StatusOK}, {"long", http.StatusServiceUnavailable}} {
+		if err := s.request(t, http.MethodGet, "/look", row.id, 3600000).Write(nc); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatalf("%s: %v", row.id, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != row.want {
+			t.Errorf("%s: status %d", row.id, resp.StatusCode)
+		}
+	}
+}
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -109,3 +110,46 @@
 		}
 	}
 }
+
+// Seen on a day of bad callers: net/http drops Content-Length beside Transfer-Encoding, and what stood in the body
+// behind the last chunk went on to endpoints as a request of its own.
+func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
+	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	s := startPlatform(t, e.Addr)
+	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 60000\r\n"
+	hidden := "0\r\n\r\nPOST /pay" + fields + "Req-Id: hidden\r\nContent-Length: 0\r\n\r\n"
+	for name, framing := range map[string]string{
+		"both":             "Content-Length: %d\r\nTransfer-Encoding: chunked\r\n",
+		"the other order":  "Transfer-Encoding: chunked\r\nContent-Length: %d\r\n",
+		"in other letters": "Content-Length: %d\r\ntransfer-encoding:\tChunked\r\n",
+		"folded":           "Content-Length: %d\r\nTransfer-Encoding:\r\n chunked\r\n",
+		"of no known kind": "Content-Length: %d\r\nTransfer-Encoding: xchunked\r\n",
+		"twice":            "Content-Length: %d\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+		"two lengths":      "Content-Length: %d\r\nContent-Length: 0\r\n",
+		"too long":         "X-Length: %d\r\nContent-Length: 99999999\r\n",
+	} {
+		nc, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		fmt.Fprintf(nc, "POST /pay"+fields+"Req-Id: outer\r\n"+framing+"\r\n%s", len(hidden), hidden)
+		in := bufio.NewReader(nc)
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else {
+			io.Copy(io.Discard, resp.Body)
+			if resp.StatusCode < 400 {
+				t.Errorf("%s: status %d", name, resp.StatusCode)
+			}
+			if b, err := in.ReadByte(); err == nil {
+				t.Errorf("%s: the connection goes on with %q", name, b)
+			}
+		}
+		nc.Close()
+	}
+	if n := e.Requests.Load(); n != 0 {
+		t.Errorf("%d requests reached the endpoint", n)
+	}
+}
