--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// byID answers as the first part of a request's id says.
-func byID(wrote *atomic.Int64) func(net.Conn, *http.Request, int) bool {
+// respondByID answers as the first part of a request's id says.
+func respondByID(wrote *atomic.Int64) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, r *http.Request, _ int) bool {
 		wrote.Add(1)
 		kind, _, _ := strings.Cut(r.Header.Get("Req-Id"), "-")
@@ -92,7 +92,7 @@
 	var wrote atomic.Int64
 	var addrs []string
 	for range 3 {
-		addrs = append(addrs, testpeer.NewEndpoint(t, byID(&wrote)).Addr)
+		addrs = append(addrs, testpeer.NewEndpoint(t, respondByID(&wrote)).Addr)
 	}
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
 	var mu sync.Mutex
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// goroutines are the stacks of all.
-func goroutines() string {
+// allStacks are the stacks of all.
+func allStacks() string {
 	b := make([]byte, 1<<20)
 	return string(b[:runtime.Stack(b, true)])
 }
@@ -23,12 +23,12 @@
 func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
 	a := echoEndpoint(t, "A")
 	p := startPlatform(t, a)
-	if p.cluster != nil || strings.Contains(goroutines(), clusterPackages) {
+	if p.cluster != nil || strings.Contains(allStacks(), clusterPackages) {
 		t.Error("the platform's sidecar has a part in a fleet")
 	}
 	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + lookRoute
 	s := startFromFile(t, parseService(t, file))
-	if !strings.Contains(goroutines(), clusterPackages+"transport") {
+	if !strings.Contains(allStacks(), clusterPackages+"transport") {
 		t.Fatal("a file with a fleet has none: the check above says nothing")
 	}
 	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.cluster.transport.Addr().String()+"\"]", 1)))
@@ -38,7 +38,7 @@
 		return d.cluster.daemons == 2
 	}
 	testpeer.Until(t, "two share", func() bool { return shared(s) && shared(other) })
-	if resp, _ := get(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
+	if resp, _ := sendGet(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
 		t.Errorf("%s", resp.Status)
 	}
 	if err := s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)); err == nil {
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -49,7 +49,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
-		s.tell(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
+		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
 		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, status)
 		}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -33,11 +33,11 @@
 	if x, y := calls(); x == 0 || y == 0 {
 		t.Errorf("at first %d and %d", x, y)
 	}
-	s.tell(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
+	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
 	if x, y := calls(); x != 0 || y != 8 {
 		t.Errorf("with a draining, %d and %d", x, y)
 	}
-	s.tell(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready"))) // a gone, b moved
+	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready"))) // a gone, b moved
 	if x, y := calls(); x != 8 || y != 0 {
 		t.Errorf("with b moved, %d to its new address and %d to the old", x, y)
 	}
@@ -63,7 +63,7 @@
 	fresh := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	c := s.platformConfig
 	var calls chan string
-	c.Discovery, calls = another(t, testpeer.Members(1, true, testpeer.Member("new", fresh.Addr, "Ready")), "SILENT")
+	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", fresh.Addr, "Ready")), "SILENT")
 	reload := func() error {
 		t.Helper()
 		service, err := c.Service()
@@ -84,7 +84,7 @@
 		t.Error(err)
 	}
 	s.terminate()
-	c.Discovery, _ = another(t)
+	c.Discovery, _ = startDiscovery(t)
 	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
@@ -104,15 +104,15 @@
 	routes := "[[route]]\nhosts = [\"b\"]\npool = \"b\"\nclass = \"look\"\n" + lookRoute
 	s := startFromFile(t, parseService(t, listen1+member(a)+poolOf("b", a)+routes))
 	for _, host := range []string{"a", "b"} {
-		if _, text := get(t, s.addressOf("one"), host, "/"); !strings.HasPrefix(text, "A ") {
+		if _, text := sendGet(t, s.addressOf("one"), host, "/"); !strings.HasPrefix(text, "A ") {
 			t.Errorf("%s: %q", host, text)
 		}
 	}
 	s.reload(t, listen1+member(b)+poolOf("b", a)+routes)
-	if _, text := get(t, s.addressOf("one"), "a", "/"); !strings.HasPrefix(text, "B ") {
+	if _, text := sendGet(t, s.addressOf("one"), "a", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("moved: %q", text)
 	}
-	if _, text := get(t, s.addressOf("one"), "b", "/"); !strings.HasPrefix(text, "A ") {
+	if _, text := sendGet(t, s.addressOf("one"), "b", "/"); !strings.HasPrefix(text, "A ") {
 		t.Errorf("the other pool: %q", text)
 	}
 }
@@ -161,7 +161,7 @@
 		class = "look"
 		`, list, names.Addr)))
 	served := func(path, name string) bool {
-		_, text := get(t, s.addressOf("one"), "h", path)
+		_, text := sendGet(t, s.addressOf("one"), "h", path)
 		return strings.HasPrefix(text, name+" ")
 	}
 	for _, path := range []string{"/file", "/dns"} {
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -16,9 +16,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// caller plays the caller's side and tells what it was answered.
-func (c *cell) caller(t *testing.T, addr string) string {
-	defer close(c.done)
+// playClient plays the caller's side and tells what it was answered.
+func (c *cell) playClient(t *testing.T, addr string) string {
+	defer close(c.clientEnded)
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Error(err)
@@ -27,16 +27,16 @@
 	defer nc.Close()
 	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
 	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
-	chunked := c.way == "up" && c.fails("caller") && c.how == "garbage"
-	method, framing, sends := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), text(c.size)
+	chunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
+	method, framing, sends := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), textOf(c.size)
 	switch {
 	case chunked:
 		framing = "Transfer-Encoding: chunked"
-	case c.way == "down":
+	case c.direction == "down":
 		framing, sends = "Content-Length: 2", []byte("hi")
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n\r\n", method, c.name, c.name[1:], framing)
-	if c.fails("caller") && c.when == "head" {
+	if c.fails("caller") && c.moment == "head" {
 		io.WriteString(nc, head[:20])
 		return c.misbehave(nc, func() { io.WriteString(nc, "x") })
 	}
@@ -48,13 +48,13 @@
 		}
 		_, _ = nc.Write(part)
 	}
-	if c.way == "down" {
+	if c.direction == "down" {
 		send(sends)
 		return c.receive(nc)
 	}
 	if c.fails("caller") {
 		send(sends[:c.offset()])
-		if chunked && c.when == "after" {
+		if chunked && c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
 		left := sends[c.offset():]
@@ -67,17 +67,17 @@
 	}
 	go func() { // the beginning, and the rest once the node has failed: it must not be there to be swallowed by buffers
 		first := len(sends)
-		if c.when == "head" || c.when == "first byte" {
+		if c.moment == "head" || c.moment == "first byte" {
 			first = body.Held
 		}
 		send(sends[:first])
-		goOn := c.again
-		if c.how == "silence" || c.how == "slow" {
+		goOn := c.retried
+		if c.fault == "silence" || c.fault == "slow" {
 			goOn = c.failed
 		}
 		select {
 		case <-goOn:
-		case <-c.done:
+		case <-c.clientEnded:
 		}
 		send(sends[first:])
 	}()
@@ -87,10 +87,10 @@
 // misbehave fails while a request is sent.
 func (c *cell) misbehave(nc net.Conn, slowly func()) string {
 	want := []byte("done")
-	if c.way == "down" {
-		want = text(c.size)
+	if c.direction == "down" {
+		want = textOf(c.size)
 	}
-	switch c.how {
+	switch c.fault {
 	case "close":
 		return "gone"
 	case "reset":
@@ -119,17 +119,17 @@
 func (c *cell) receive(nc net.Conn) string {
 	in := bufio.NewReader(nc)
 	if !c.fails("caller") {
-		return outcome(in, text(c.size), nil)
+		return outcome(in, textOf(c.size), nil)
 	}
-	return outcome(in, text(c.size), func(got io.Reader) (so int, gone bool, broken error) {
-		so, err := asWanted(io.LimitReader(got, int64(c.offset())), text(c.offset()))
+	return outcome(in, textOf(c.size), func(got io.Reader) (so int, gone bool, broken error) {
+		so, err := readExpected(io.LimitReader(got, int64(c.offset())), textOf(c.offset()))
 		if err == nil && so < c.offset() {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
 			return so, false, err
 		}
-		switch c.how {
+		switch c.fault {
 		case "close":
 			nc.Close()
 			return so, true, nil
@@ -139,19 +139,19 @@
 		case "garbage":
 			io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 		case "silence":
-			for end := time.Now().Add(6 * time.Second); c.when != "last byte" && c.when != "after" && time.Now().Before(end) && established([]*net.TCPConn{nc.(*net.TCPConn)}) > 0; {
+			for end := time.Now().Add(6 * time.Second); c.moment != "last byte" && c.moment != "after" && time.Now().Before(end) && countEstablished([]*net.TCPConn{nc.(*net.TCPConn)}) > 0; {
 				time.Sleep(5 * time.Millisecond)
 			}
 		case "slow":
 			for b := make([]byte, 1); ; {
 				select {
-				case <-c.ended:
+				case <-c.exchangeEnded:
 					return so, false, nil
 				case <-time.After(100 * time.Millisecond):
 				}
 				n, err := got.Read(b)
-				if n > 0 && b[0] != text(so + 1)[so] {
-					return so, false, errOther
+				if n > 0 && b[0] != textOf(so + 1)[so] {
+					return so, false, errOtherBytes
 				}
 				if so += n; err == io.EOF {
 					return so, false, nil
@@ -164,16 +164,16 @@
 	})
 }
 
-// errOther is an answer that is not the one wanted.
-var errOther = errors.New("another answer")
+// errOtherBytes is an answer that is not the one wanted.
+var errOtherBytes = errors.New("another answer")
 
-// asWanted reads to the end and tells how much of what is wanted came. It holds no more than a part: to set 48 MB aside took a reader up
+// readExpected reads to the end and tells how much of what is wanted came. It holds no more than a part: to set 48 MB aside took a reader up
 // to 1.47 s under the race detector, four copies at a time on two cores, and who does not read for 1.5 s is cut off.
-func asWanted(got io.Reader, want []byte) (n int, err error) {
+func readExpected(got io.Reader, want []byte) (n int, err error) {
 	for part := make([]byte, 64<<10); err == nil; {
 		var k int
 		if k, err = got.Read(part); !bytes.HasPrefix(want[n:], part[:k]) {
-			return n, errOther
+			return n, errOtherBytes
 		}
 		n += k
 	}
@@ -199,7 +199,7 @@
 	}
 	if err == nil && resp.StatusCode == http.StatusOK {
 		var n int
-		n, err = asWanted(resp.Body, want[got:])
+		n, err = readExpected(resp.Body, want[got:])
 		got += n
 	}
 	switch {
@@ -209,7 +209,7 @@
 		return "refused"
 	case resp.StatusCode != http.StatusOK:
 		return strconv.Itoa(resp.StatusCode)
-	case err != nil && !errors.Is(err, errOther):
+	case err != nil && !errors.Is(err, errOtherBytes):
 		return "cut"
 	case err == nil && got == len(want):
 		return "served"
@@ -217,7 +217,7 @@
 	return "wrong"
 }
 
-func probe(addr string, c *cell, text string) string {
+func sendProbe(addr string, c *cell, text string) string {
 	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.name+"?probe="+text, nil)
 	r.Header.Set("Idempotency-Key", text)
 	tr := &http.Transport{DisableKeepAlives: true}
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -18,7 +18,7 @@
 // matrixNode serves all cells, by path.
 type matrixNode struct {
 	cells map[string]*cell
-	end   chan struct{}
+	testEnded   chan struct{}
 }
 
 func (n *matrixNode) start(t *testing.T) string {
@@ -49,37 +49,37 @@
 // play is one attempt; false: the connection is to be closed.
 func (n *matrixNode) play(c *cell, nc net.Conn, r *http.Request) bool {
 	c.mu.Lock()
-	c.tries++
-	first := c.tries == 1
-	if c.tries == 2 {
-		close(c.again)
+	c.attempts++
+	first := c.attempts == 1
+	if c.attempts == 2 {
+		close(c.retried)
 	}
-	c.open = append(c.open, nc.(*net.TCPConn))
-	c.mostOpen = max(c.mostOpen, established(c.open))
+	c.connections = append(c.connections, nc.(*net.TCPConn))
+	c.mostConnections = max(c.mostConnections, countEstablished(c.connections))
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		c.open = slices.DeleteFunc(c.open, func(o *net.TCPConn) bool { return o == nc })
+		c.connections = slices.DeleteFunc(c.connections, func(o *net.TCPConn) bool { return o == nc })
 		c.mu.Unlock()
-		c.ender.Do(func() { close(c.ended) })
+		c.endOnce.Do(func() { close(c.exchangeEnded) })
 	}()
 	bad := first && c.fails("node")
-	if bad && c.way == "up" && c.when != "after" {
+	if bad && c.direction == "up" && c.moment != "after" {
 		if _, err := io.CopyN(io.Discard, r.Body, int64(c.offset())); err != nil {
 			return false
 		}
 		return n.misbehave(c, nc, func() { r.Body.Read(make([]byte, 1)) })
 	}
-	if !same(r.Body, c) {
+	if !isSentBody(r.Body, c) {
 		return false
 	}
 	c.mu.Lock()
 	c.runs++
 	c.mu.Unlock()
-	head, answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), text(c.size)
-	chunked := bad && c.way == "down" && c.how == "garbage"
+	head, answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), textOf(c.size)
+	chunked := bad && c.direction == "down" && c.fault == "garbage"
 	switch {
-	case c.way == "up":
+	case c.direction == "up":
 		answer = []byte("done")
 		head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	case chunked:
@@ -91,26 +91,26 @@
 	}
 	dribble := []byte(head)
 	switch {
-	case c.way == "up": // it has all, and nothing is said yet
-	case c.when == "head":
-		if c.how != "garbage" {
+	case c.direction == "up": // it has all, and nothing is said yet
+	case c.moment == "head":
+		if c.fault != "garbage" {
 			io.WriteString(nc, head[:20])
 			dribble = dribble[20:]
 		}
 	case chunked:
 		part := answer[:c.offset()]
 		fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(part), part)
-		if c.when == "after" {
+		if c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
 	default:
 		_, _ = (&net.Buffers{[]byte(head), answer[:c.offset()]}).WriteTo(nc)
 		dribble = answer[c.offset():]
 	}
-	if c.way == "down" && c.when == "after" { // a reset would take what is still under way with it
+	if c.direction == "down" && c.moment == "after" { // a reset would take what is still under way with it
 		select {
-		case <-c.done:
-		case <-n.end:
+		case <-c.clientEnded:
+		case <-n.testEnded:
 		}
 	}
 	return n.misbehave(c, nc, func() {
@@ -121,18 +121,18 @@
 	})
 }
 
-// same tells whether a request's body is the one that was sent.
-func same(in io.Reader, c *cell) bool {
+// isSentBody tells whether a request's body is the one that was sent.
+func isSentBody(in io.Reader, c *cell) bool {
 	want := []byte("hi")
-	if c.way == "up" {
-		want = text(c.size)
+	if c.direction == "up" {
+		want = textOf(c.size)
 	}
-	n, err := asWanted(in, want)
+	n, err := readExpected(in, want)
 	return err == nil && n == len(want)
 }
 
-// established counts the connections that their peer has not closed: a node that does not read can't tell otherwise.
-func established(list []*net.TCPConn) (n int) {
+// countEstablished counts the connections that their peer has not closed: a node that does not read can't tell otherwise.
+func countEstablished(list []*net.TCPConn) (n int) {
 	for _, nc := range list {
 		raw, err := nc.SyscallConn()
 		if err != nil {
@@ -150,7 +150,7 @@
 // misbehave fails as the cell says. slowly is a step of one that is too slow.
 func (n *matrixNode) misbehave(c *cell, nc net.Conn, slowly func()) bool {
 	defer c.fail()
-	switch c.how {
+	switch c.fault {
 	case "close":
 		return false
 	case "reset":
@@ -162,7 +162,7 @@
 		c.fail()
 		for range 200 {
 			select {
-			case <-n.end:
+			case <-n.testEnded:
 				return false
 			case <-time.After(100 * time.Millisecond):
 				slowly()
@@ -170,6 +170,6 @@
 		}
 	}
 	c.fail()
-	<-n.end
+	<-n.testEnded
 	return false
 }
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -23,43 +23,43 @@
 // promises (docs/operators/long-bodies.md, which this test reads), and runs no more often than it says there.
 
 var (
-	ways     = []string{"up", "down"}
-	whos     = []string{"caller", "node", "both"}
-	whens    = []string{"head", "first byte", "middle", "last byte", "after"}
-	hows     = []string{"close", "reset", "silence", "garbage", "slow"}
-	classes3 = []string{"safe", "keyed", "unsafe"}
+	matrixDirections     = []string{"up", "down"}
+	matrixFailingSides     = []string{"caller", "node", "both"}
+	matrixMoments    = []string{"head", "first byte", "middle", "last byte", "after"}
+	matrixFaults     = []string{"close", "reset", "silence", "garbage", "slow"}
+	matrixClasses = []string{"safe", "keyed", "unsafe"}
 )
 
 // cell is one cell of the matrix: how it is played, and what came of it.
 type cell struct {
-	way, who, when, how, class string
+	direction, failingSide, moment, fault, class string
 	name                       string
 	size                       int           // of the long body
 	failed                     chan struct{} // closed when the node has done its worst
-	ended                      chan struct{} // closed when the first exchange at a node is over
-	done                       chan struct{} // closed when the caller is
+	exchangeEnded                      chan struct{} // closed when the first exchange at a node is over
+	clientEnded                       chan struct{} // closed when the caller is
 
 	mu              sync.Mutex
-	tries, runs     int
-	open            []*net.TCPConn // of attempts
-	mostOpen        int
-	again           chan struct{} // closed when a second attempt has begun
-	failOnce, ender sync.Once
+	attempts, runs     int
+	connections            []*net.TCPConn // of attempts
+	mostConnections        int
+	retried           chan struct{} // closed when a second attempt has begun
+	failOnce, endOnce sync.Once
 }
 
-func (c *cell) fails(who string) bool { return c.who == who || c.who == "both" }
+func (c *cell) fails(who string) bool { return c.failingSide == who || c.failingSide == "both" }
 
 // offset is how much of a body has gone when the failure comes.
 func (c *cell) offset() int {
-	return map[string]int{"head": 0, "first byte": 1, "middle": 1 << 20, "last byte": c.size - 1, "after": c.size}[c.when]
+	return map[string]int{"head": 0, "first byte": 1, "middle": 1 << 20, "last byte": c.size - 1, "after": c.size}[c.moment]
 }
 
 func (c *cell) fail() { c.failOnce.Do(func() { close(c.failed) }) }
 
-// longest is one text for all: cells that are busy with their own would starve one another.
-var longest = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
+// longText is one text for all: cells that are busy with their own would starve one another.
+var longText = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
 
-func text(size int) []byte { return longest[:size] }
+func textOf(size int) []byte { return longText[:size] }
 
 // reset ends a connection so that the peer sees a reset.
 func reset(nc net.Conn) {
@@ -70,13 +70,13 @@
 // expectation is a row of the page's table. "*" stands for all, and lists are divided by commas.
 type expectation struct {
 	of      [5]string // way, who, when, how, class
-	answers []string
+	outcomes []string
 	runs    int
 	line    int
-	met     atomic.Int32
+	matches     atomic.Int32
 }
 
-func expectations(t *testing.T) (rows []*expectation) {
+func readExpectations(t *testing.T) (rows []*expectation) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", "long-bodies.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 		}
 		copy(e.of[:], cols)
 		for a := range strings.SplitSeq(cols[5], ",") {
-			e.answers = append(e.answers, strings.TrimSpace(a))
+			e.outcomes = append(e.outcomes, strings.TrimSpace(a))
 		}
 		if e.runs, err = strconv.Atoi(cols[6]); err != nil {
 			t.Fatalf("row %d: %v", i, err)
@@ -110,7 +110,7 @@
 }
 
 func (e *expectation) covers(c *cell) bool {
-	for i, is := range []string{c.way, c.who, c.when, c.how, c.class} {
+	for i, is := range []string{c.direction, c.failingSide, c.moment, c.fault, c.class} {
 		if e.of[i] != "*" && !listContains(e.of[i], is) {
 			return false
 		}
@@ -133,14 +133,14 @@
 		if !e.covers(c) {
 			continue
 		}
-		e.met.Add(1)
+		e.matches.Add(1)
 		switch {
-		case !listContains(strings.Join(e.answers, ","), answer):
-			return fmt.Errorf("answered %q, want %v (row %d)", answer, e.answers, e.line)
+		case !listContains(strings.Join(e.outcomes, ","), answer):
+			return fmt.Errorf("answered %q, want %v (row %d)", answer, e.outcomes, e.line)
 		case c.runs > e.runs:
 			return fmt.Errorf("ran %d times, %d allowed (row %d)", c.runs, e.runs, e.line)
-		case c.mostOpen > 1:
-			return fmt.Errorf("%d attempts out at once", c.mostOpen)
+		case c.mostConnections > 1:
+			return fmt.Errorf("%d attempts out at once", c.mostConnections)
 		}
 		return nil
 	}
@@ -148,8 +148,8 @@
 }
 
 func TestFaultMatrix(t *testing.T) {
-	rows := expectations(t)
-	n := &matrixNode{cells: map[string]*cell{}, end: make(chan struct{})}
+	rows := readExpectations(t)
+	n := &matrixNode{cells: map[string]*cell{}, testEnded: make(chan struct{})}
 	var cells []*cell
 	a, b := n.start(t), n.start(t)
 	file := strings.Builder{}
@@ -165,13 +165,13 @@
 		flow_idle = "1500ms"
 		flow_rate = 20000
 		`)
-	for _, way := range ways {
-		for _, who := range whos {
-			for _, when := range whens {
-				for _, how := range hows {
-					for _, class := range classes3 {
-						c := &cell{way: way, who: who, when: when, how: how, class: class, name: fmt.Sprintf("/c%d", len(cells)),
-							failed: make(chan struct{}), ended: make(chan struct{}), done: make(chan struct{}), again: make(chan struct{}), size: 2 << 20}
+	for _, way := range matrixDirections {
+		for _, who := range matrixFailingSides {
+			for _, when := range matrixMoments {
+				for _, how := range matrixFaults {
+					for _, class := range matrixClasses {
+						c := &cell{direction: way, failingSide: who, moment: when, fault: how, class: class, name: fmt.Sprintf("/c%d", len(cells)),
+							failed: make(chan struct{}), exchangeEnded: make(chan struct{}), clientEnded: make(chan struct{}), retried: make(chan struct{}), size: 2 << 20}
 						// Where somebody does not read, more than the system's buffers take.
 						if way == "up" && c.fails("node") && (when == "middle" || c.offset() < 2 && (how == "silence" || how == "slow")) || way == "down" && c.fails("caller") && (how == "silence" || how == "slow") {
 							c.size = 48 << 20
@@ -187,11 +187,11 @@
 	}
 	s := startFromFile(t, parseFile(t, file.String()))
 	for _, c := range cells { // each pool has its goroutines before they are counted
-		if probe(s.addressOf("one"), c, "first") != "first" {
+		if sendProbe(s.addressOf("one"), c, "first") != "first" {
 			t.Fatalf("%s does not serve", c.name)
 		}
 	}
-	before, files := settled(), use().descriptors
+	before, files := settledGoroutines(), measureResources().descriptors
 	var busy sync.WaitGroup
 	var bad atomic.Int32
 	room := make(chan bool, 16)
@@ -199,11 +199,11 @@
 		busy.Go(func() {
 			room <- true
 			defer func() { <-room }()
-			answer := c.caller(t, s.addressOf("one"))
+			answer := c.playClient(t, s.addressOf("one"))
 			// Whoever comes next gets an answer of its own, or none.
 			for i := range 2 {
 				want := fmt.Sprintf("%s-%d", c.name[1:], i)
-				if got := probe(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
+				if got := sendProbe(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
 					t.Errorf("%s: the next request got %q", c, got)
 				}
 			}
@@ -216,9 +216,9 @@
 		})
 	}
 	busy.Wait()
-	close(n.end)
+	close(n.testEnded)
 	for _, e := range rows {
-		if e.met.Load() == 0 {
+		if e.matches.Load() == 0 {
 			t.Errorf("row %d of the page covers nothing", e.line)
 		}
 	}
@@ -229,14 +229,14 @@
 	})
 	// Idle connections to nodes may stay: two a pool at most, with a goroutine at the node each.
 	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= before+2*len(cells) })
-	testpeer.Until(t, "descriptors are closed", func() bool { return use().descriptors <= files+4*len(cells) })
+	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= files+4*len(cells) })
 }
 
 func (c *cell) String() string {
-	return strings.Join([]string{c.way, c.who, c.when, c.how, c.class}, ", ")
+	return strings.Join([]string{c.direction, c.failingSide, c.moment, c.fault, c.class}, ", ")
 }
 
-func settled() int {
+func settledGoroutines() int {
 	n := runtime.NumGoroutine()
 	for range 20 {
 		time.Sleep(5 * time.Millisecond)
@@ -247,9 +247,9 @@
 
 // The judge of the matrix must find what is wrong.
 func TestFaultMatrixDetectsViolations(t *testing.T) {
-	rows := []*expectation{{of: [5]string{"up", "caller, both", "*", "close", "unsafe"}, answers: []string{"gone"}, runs: 1}}
+	rows := []*expectation{{of: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, runs: 1}}
 	as := func(change func(*cell)) *cell {
-		c := &cell{way: "up", who: "both", when: "head", how: "close", class: "unsafe", runs: 1, mostOpen: 1}
+		c := &cell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, mostConnections: 1}
 		change(c)
 		return c
 	}
@@ -262,8 +262,8 @@
 	}{
 		"another answer": {as(func(*cell) {}), "served"},
 		"two runs":       {as(func(c *cell) { c.runs = 2 }), "gone"},
-		"two at once":    {as(func(c *cell) { c.mostOpen = 2 }), "gone"},
-		"no row":         {as(func(c *cell) { c.who = "node" }), "gone"},
+		"two at once":    {as(func(c *cell) { c.mostConnections = 2 }), "gone"},
+		"no row":         {as(func(c *cell) { c.failingSide = "node" }), "gone"},
 		"no such answer": {as(func(*cell) {}), "wrong"},
 	} {
 		if judge(row.c, row.answer, rows) == nil {
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// get asks on a connection of its own, for a host.
-func get(t testing.TB, addr, host, target string) (*http.Response, string) {
+// sendGet asks on a connection of its own, for a host.
+func sendGet(t testing.TB, addr, host, target string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+target, nil)
 	if err != nil {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -140,7 +140,7 @@
 }
 
 // A list goes through the loop, as discovery's do: what comes after it finds it in force.
-func (s *platformSidecar) tell(t *testing.T, text string) {
+func (s *platformSidecar) updateList(t *testing.T, text string) {
 	t.Helper()
 	m, err := discovery.ParseListUpdate([]byte(text))
 	if err != nil {
@@ -149,8 +149,8 @@
 	s.pool.updateEndpoints(m)
 }
 
-// another starts a discovery that plays the steps and reports the calls to it.
-func another(t *testing.T, steps ...string) (addr string, calls chan string) {
+// startDiscovery starts a discovery that plays the steps and reports the calls to it.
+func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
 	d := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
 	server := httptest.NewServer(d)
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -141,10 +141,10 @@
 		}
 		quiet, beside, ratio = append(quiet, q), append(beside, b), append(ratio, b/q)
 	}
-	t.Logf("p99 from due, µs: quiet %v, beside %v, ratio %v", spread(quiet), spread(beside), spread(ratio))
+	t.Logf("p99 from due, µs: quiet %v, beside %v, ratio %v", formatSpread(quiet), formatSpread(beside), formatSpread(ratio))
 }
 
-func spread(v []float64) string {
+func formatSpread(v []float64) string {
 	v = slices.Sorted(slices.Values(v))
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", v[len(v)/2], v[0], v[len(v)-1])
 }
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -112,13 +112,13 @@
 		}
 	}
 	s.adminCommand(t, "set-down a")
-	s.tell(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
+	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("while it drains: %q", got)
 	}
 	burst("given back while it drains")
 	s.adminCommand(t, "set-down a")
-	s.tell(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
+	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("while it is listed no more: %q", got)
 	}
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -24,7 +24,7 @@
 	seen   *sync.Map // ids that have come to any node
 
 	mu   sync.Mutex
-	left time.Time // zero: it is listed as ready
+	drainingSince time.Time // zero: it is listed as ready
 	late []time.Duration
 }
 
@@ -42,8 +42,8 @@
 // ServeHTTP implements http.Handler.
 func (n *stormNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
-	if !n.left.IsZero() {
-		if after := time.Since(n.left); after > lateAfter {
+	if !n.drainingSince.IsZero() {
+		if after := time.Since(n.drainingSince); after > lateAfter {
 			n.late = append(n.late, after)
 		}
 	}
@@ -53,39 +53,39 @@
 	io.WriteString(w, id)
 }
 
-// list says whether the node is listed as ready in the reload that comes next.
-func (n *stormNode) list(ready bool) {
+// setReady says whether the node is listed as ready in the reload that comes next.
+func (n *stormNode) setReady(ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case ready:
-		n.left = time.Time{}
-	case n.left.IsZero():
-		n.left = time.Now()
+		n.drainingSince = time.Time{}
+	case n.drainingSince.IsZero():
+		n.drainingSince = time.Now()
 	}
 }
 
-// stormCaller asks on a connection that it keeps as long as it may, and holds the daemon to one answer for each request.
-type stormCaller struct {
+// stormClient asks on a connection that it keeps as long as it may, and holds the daemon to one answer for each request.
+type stormClient struct {
 	seen  *sync.Map
 	nc    net.Conn
 	in    *bufio.Reader
-	fresh bool // nothing has been answered on the connection
+	isNew bool // nothing has been answered on the connection
 
-	served, refused, crossed int
+	served, shed, resent int
 	lost                     []string
 }
 
-func (c *stormCaller) drop() {
+func (c *stormClient) drop() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
 	}
 }
 
-// ask sends one request. One that the end of an idle connection crossed on its way is sent again, unless any of it was
+// send sends one request. One that the end of an idle connection crossed on its way is sent again, unless any of it was
 // taken: then it is lost.
-func (c *stormCaller) ask(addr, id string) {
+func (c *stormClient) send(addr, id string) {
 	for try := 0; ; try++ {
 		this := fmt.Sprint(id, "-", try)
 		if c.nc == nil {
@@ -94,7 +94,7 @@
 				c.lost = append(c.lost, err.Error())
 				return
 			}
-			c.nc, c.in, c.fresh = nc, bufio.NewReader(nc), true
+			c.nc, c.in, c.isNew = nc, bufio.NewReader(nc), true
 		}
 		c.nc.SetDeadline(time.Now().Add(testpeer.Patience))
 		_, err := io.WriteString(c.nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+this+"\r\n\r\n")
@@ -104,22 +104,22 @@
 		}
 		if err != nil {
 			_, taken := c.seen.Load(this)
-			crossed := !c.fresh && !taken
+			crossed := !c.isNew && !taken
 			c.drop()
 			if !crossed || try > 5 {
 				c.lost = append(c.lost, fmt.Sprintf("%s: %v (taken: %v)", this, err, taken))
 				return
 			}
-			c.crossed++
+			c.resent++
 			continue
 		}
-		c.took(resp, this)
+		c.record(resp, this)
 		return
 	}
 }
 
-func (c *stormCaller) took(resp *http.Response, id string) {
-	c.fresh = false
+func (c *stormClient) record(resp *http.Response, id string) {
+	c.isNew = false
 	text, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
@@ -127,7 +127,7 @@
 	case resp.StatusCode == http.StatusOK && string(text) == id:
 		c.served++
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		c.refused++
+		c.shed++
 		if _, ran := c.seen.Load(id); ran && resp.Header.Get("Retry-After") == "" {
 			c.lost = append(c.lost, id+": refused without advice")
 		}
@@ -148,12 +148,12 @@
 	for i, n := range nodes {
 		switch phase := (round/45 + i) % len(nodes); phase {
 		case 0: // gone
-			n.list(false)
+			n.setReady(false)
 		case 1:
-			n.list(false)
+			n.setReady(false)
 			fmt.Fprintf(&b, "[[pool.member]]\naddress = %q\nstate = \"draining\"\n", n.addr)
 		default:
-			n.list(true)
+			n.setReady(true)
 			fmt.Fprintf(&b, "[[pool.member]]\naddress = %q\n", n.addr)
 		}
 	}
@@ -165,22 +165,22 @@
 	return b.String()
 }
 
-// used is what the process holds.
-type used struct {
+// resourceLevels is what the process holds.
+type resourceLevels struct {
 	goroutines, descriptors int
 	heap                    uint64
 }
 
-func use() (u used) {
+func measureResources() (u resourceLevels) {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return used{runtime.NumGoroutine(), testpeer.Descriptors(), m.HeapAlloc}
+	return resourceLevels{runtime.NumGoroutine(), testpeer.Descriptors(), m.HeapAlloc}
 }
 
 const (
 	stormReloads = 200
-	stormCallers = 8
+	stormClients = 8
 	stormGap     = 25 * time.Millisecond // between reloads: each phase of a member lasts over a second
 	stormHeap    = 4 << 20               // bytes that the heap may differ by between two quiet moments
 )
@@ -194,7 +194,7 @@
 	}
 	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
 	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
-	quiet := func() used {
+	quiet := func() resourceLevels {
 		testpeer.Until(t, "what was taken out has ended", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -203,7 +203,7 @@
 		for _, n := range nodes {
 			n.server.CloseClientConnections()
 		}
-		return use()
+		return measureResources()
 	}
 	for round := range 4 { // what is made once
 		s.reload(t, stormFile(round, places, nodes))
@@ -214,10 +214,10 @@
 	var place atomic.Value
 	place.Store(places[0])
 	stop := make(chan bool)
-	callers := make([]*stormCaller, stormCallers)
+	callers := make([]*stormClient, stormClients)
 	var busy sync.WaitGroup
 	for i := range callers {
-		c := &stormCaller{seen: &seen}
+		c := &stormClient{seen: &seen}
 		callers[i] = c
 		busy.Go(func() {
 			defer c.drop()
@@ -226,7 +226,7 @@
 				case <-stop:
 					return
 				default:
-					c.ask(place.Load().(string), fmt.Sprint(i, "-", n))
+					c.send(place.Load().(string), fmt.Sprint(i, "-", n))
 				}
 			}
 		})
@@ -238,9 +238,9 @@
 	}
 	close(stop)
 	busy.Wait()
-	var total stormCaller
+	var total stormClient
 	for _, c := range callers {
-		total.served, total.refused, total.crossed = total.served+c.served, total.refused+c.refused, total.crossed+c.crossed
+		total.served, total.shed, total.resent = total.served+c.served, total.shed+c.shed, total.resent+c.resent
 		total.lost = append(total.lost, c.lost...)
 	}
 	for _, n := range nodes {
@@ -256,7 +256,7 @@
 	}
 	s.reload(t, stormFile(0, places, nodes))
 	seen.Clear()
-	var after used
+	var after resourceLevels
 	testpeer.Until(t, "goroutines and descriptors are as before", func() bool {
 		after = quiet()
 		return after.goroutines <= before.goroutines && after.descriptors <= before.descriptors
@@ -265,23 +265,23 @@
 		t.Errorf("the heap grew from %d to %d bytes", before.heap, after.heap)
 	}
 	t.Logf("served %d, refused %d, sent again since a connection ended as they came %d; goroutines %d and %d, descriptors %d and %d, heap %d and %d KiB",
-		total.served, total.refused, total.crossed, before.goroutines, after.goroutines, before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
+		total.served, total.shed, total.resent, before.goroutines, after.goroutines, before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
 }
 
 // The storm's own checks must see what they are there for.
 func TestReloadStormDetectsViolations(t *testing.T) {
 	var seen sync.Map
 	n := newStormNode(t, &seen)
-	n.list(false)
-	n.left = n.left.Add(-2 * lateAfter)
-	c := &stormCaller{seen: &seen}
-	c.ask(n.addr, "late")
+	n.setReady(false)
+	n.drainingSince = n.drainingSince.Add(-2 * lateAfter)
+	c := &stormClient{seen: &seen}
+	c.send(n.addr, "late")
 	if len(n.late) != 1 || c.served != 1 {
 		t.Errorf("a late request: %v, served %d", n.late, c.served)
 	}
-	n.list(true)
-	n.list(false)
-	c.ask(n.addr, "in time")
+	n.setReady(true)
+	n.setReady(false)
+	c.send(n.addr, "in time")
 	if len(n.late) != 1 {
 		t.Errorf("a request in time: %v", n.late)
 	}
@@ -291,8 +291,8 @@
 		"another's answer":  testpeer.Says(testpeer.Served, true),
 		"an error":          testpeer.Says("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
 	} {
-		c := &stormCaller{seen: &seen}
-		c.ask(testpeer.NewEndpoint(t, serve).Addr, "x")
+		c := &stormClient{seen: &seen}
+		c.send(testpeer.NewEndpoint(t, serve).Addr, "x")
 		if len(c.lost) != 1 {
 			t.Errorf("%s: lost %v", name, c.lost)
 		}
@@ -300,7 +300,7 @@
 	}
 	// Dropped where an earlier request on the connection was answered: lost only if it was taken.
 	for taken := range 2 {
-		c := &stormCaller{seen: &seen}
+		c := &stormClient{seen: &seen}
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, count int) bool {
 			if count == 2 {
 				if taken == 1 {
@@ -312,10 +312,10 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 			return true
 		})
-		c.ask(e.Addr, "one")
-		c.ask(e.Addr, "two")
-		if len(c.lost) != taken || c.crossed != 1-taken {
-			t.Errorf("taken %d: lost %v, crossed %d", taken, c.lost, c.crossed)
+		c.send(e.Addr, "one")
+		c.send(e.Addr, "two")
+		if len(c.lost) != taken || c.resent != 1-taken {
+			t.Errorf("taken %d: lost %v, crossed %d", taken, c.lost, c.resent)
 		}
 		c.drop()
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -31,7 +31,7 @@
 	if s.installed.pools["a"] == was["a"] || s.installed.pools["b"] != was["b"] {
 		t.Error("a pool that changed was kept, or one that did not was not")
 	}
-	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
+	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("after the change: %q", text)
 	}
 	sendOn(t, nc, in) // the caller's connection has lasted through all of it
@@ -50,13 +50,13 @@
 	s := startFromFile(t, parseService(t, listen1+poolOf("a", slow.Addr)+lookRoute))
 	first := make(chan string)
 	go func() {
-		_, text := get(t, s.addressOf("one"), "h", "/")
+		_, text := sendGet(t, s.addressOf("one"), "h", "/")
 		first <- text
 	}()
 	<-came
 	old := s.installed.pools["a"]
 	s.reload(t, listen1+poolOf("b", b)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`))
-	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
+	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("a new request: %q", text)
 	}
 	select {
@@ -135,7 +135,7 @@
 	if s.installed != was || fmt.Sprint(s.Addrs()) != listeners {
 		t.Error("something changed")
 	}
-	if _, text := get(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
+	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
 		t.Errorf("afterwards: %q", text)
 	}
 }
@@ -152,7 +152,7 @@
 	nc, in, _ := openConnection(t, here)
 	s.reload(t, at(there, ""))
 	for _, addr := range []string{here, there} {
-		if resp, _ := get(t, addr, "h", "/"); resp.StatusCode != http.StatusOK {
+		if resp, _ := sendGet(t, addr, "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("at %s: %s", addr, resp.Status)
 		}
 	}
@@ -160,7 +160,7 @@
 	s.reload(t, at(here, ""))                        // while the first one still drains
 	s.reload(t, at(here, "idle_timeout = \"1s\"\n")) // another server behind the same socket
 	for range 50 {
-		if resp, _ := get(t, here, "h", "/"); resp.StatusCode != http.StatusOK {
+		if resp, _ := sendGet(t, here, "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("back at %s: %s", here, resp.Status)
 		}
 	}
@@ -186,7 +186,7 @@
 		})
 		busy.Go(func() {
 			// Refused is an answer too: the one member of each list is new there, and taken to be cold.
-			if resp, _ := get(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
+			if resp, _ := sendGet(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Error(resp.Status)
 			}
 		})
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -33,7 +33,7 @@
 		pool = "a"
 		class = "look"
 	`))
-	if _, text := get(t, s.addressOf("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
+	if _, text := sendGet(t, s.addressOf("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
 		t.Errorf("a.example: %q", text)
 	}
 	r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("two")+"/old/thing?", nil)
@@ -44,7 +44,7 @@
 		t.Errorf("x.b.example: %q", text)
 	}
 	for target, want := range map[string]int{"/": 404, "/a//b": 400, "/a%2fb": 400, "/../x": 400, "/a;b": 400} {
-		if resp, _ := get(t, s.addressOf("one"), "c.example", target); resp.StatusCode != want {
+		if resp, _ := sendGet(t, s.addressOf("one"), "c.example", target); resp.StatusCode != want {
 			t.Errorf("%s: %d, want %d", target, resp.StatusCode, want)
 		}
 	}
@@ -123,7 +123,7 @@
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 		repeats := make(chan bool, 1)
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &recordingEvents{Events: eventloop.Module(now, s, h), repeats: repeats}
+			return &recordingEvents{Events: eventloop.Module(now, s, h), isRetry: repeats}
 		}
 		c := parseService(t, listen1+poolOf("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
@@ -146,11 +146,11 @@
 // recordingEvents is the module, and what it is told of repeats.
 type recordingEvents struct {
 	balance.Events
-	repeats chan bool
+	isRetry chan bool
 }
 
 func (w *recordingEvents) Request(now time.Duration, r balance.Request) {
-	w.repeats <- r.Repeat
+	w.isRetry <- r.Repeat
 	w.Events.Request(now, r)
 }
 
@@ -191,7 +191,7 @@
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d of them reached the endpoint", n)
 	}
-	if resp, _ := get(t, s.addressOf("one"), "a", "/?x=/../;//"); resp.StatusCode != http.StatusOK {
+	if resp, _ := sendGet(t, s.addressOf("one"), "a", "/?x=/../;//"); resp.StatusCode != http.StatusOK {
 		t.Errorf("a good request afterwards: %s", resp.Status)
 	}
 }
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -41,7 +41,7 @@
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.Header().Set("Content-Length", "10000000")
-			w.Write(text(1 << 20))
+			w.Write(textOf(1 << 20))
 			w.(http.Flusher).Flush()
 			began <- true
 			<-r.Context().Done()
@@ -57,14 +57,14 @@
 	s := startFromFile(t, parseService(t, "[daemon]\ndrain_timeout = \"1s\"\n"+streamingListener+poolOf("a", e.Listener.Addr().String())+payRoute))
 	addr := s.addressOf("one")
 	quick, quickAnswer := slowUpload(t, addr, 1<<20)
-	quick.Write(text(64 << 10))
+	quick.Write(textOf(64 << 10))
 	stuck, stuckAnswer := slowUpload(t, addr, 1<<20)
-	stuck.Write(text(64 << 10))
+	stuck.Write(textOf(64 << 10))
 	early, earlyAnswer := slowUpload(t, addr, 1<<20) // of which nobody has heard
-	early.Write(text(100))
+	early.Write(textOf(100))
 	down := make(chan error, 1)
 	go func() {
-		resp, err := (&http.Transport{}).RoundTrip(mustGet("http://" + addr + "/down"))
+		resp, err := (&http.Transport{}).RoundTrip(newGetRequest("http://" + addr + "/down"))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
 		}
@@ -74,7 +74,7 @@
 		<-began
 	}
 	s.terminate()
-	quick.Write(text(1 << 20)[64<<10:])
+	quick.Write(textOf(1 << 20)[64<<10:])
 	if got := <-quickAnswer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("an upload that ends in time: %q", got)
 	}
@@ -105,10 +105,10 @@
 	file := streamingListener + poolOf("a", e.Listener.Addr().String()) + payRoute
 	s := startFromFile(t, parseService(t, file))
 	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
-	nc.Write(text(64 << 10))
+	nc.Write(textOf(64 << 10))
 	<-began
 	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1)) // another server takes over the socket
-	nc.Write(text(1 << 20)[64<<10:])
+	nc.Write(textOf(1 << 20)[64<<10:])
 	// It is there once the connection has ended, whether the old server had begun to say so by then or not.
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "1048576") {
 		t.Errorf("%q", got)
@@ -134,13 +134,13 @@
 	one := "[[pool]]\nname = \"a\"\n[[pool.member]]\naddress = \"" + a.Listener.Addr().String() + "\"\n"
 	s := startFromFile(t, parseService(t, streamingListener+one+payRoute))
 	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
-	nc.Write(text(64 << 10))
+	nc.Write(textOf(64 << 10))
 	<-began
 	s.reload(t, streamingListener+one+"state = \"draining\"\n[[pool.member]]\naddress = \""+b+"\"\n"+payRoute)
 	for range 20 {
-		get(t, s.addressOf("one"), "h", "/")
+		sendGet(t, s.addressOf("one"), "h", "/")
 	}
-	nc.Write(text(1 << 20)[64<<10:])
+	nc.Write(textOf(1 << 20)[64<<10:])
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") {
 		t.Errorf("%q", got)
 	}
@@ -158,7 +158,7 @@
 		})
 		s := startFromFile(t, parseService(t, streamingListener+poolOf("a", l.Addr().String())+payRoute))
 		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
-		nc.Write(text(64 << 10))
+		nc.Write(textOf(64 << 10))
 		got := <-answer // the body never ends, and the connection does
 		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") || !strings.Contains(got, "Connection: close") {
 			t.Errorf("%d: %q", status, got)
@@ -191,7 +191,7 @@
 		}()
 	}
 	for range 50 {
-		if resp, _ := get(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK {
+		if resp, _ := sendGet(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("another caller meanwhile: %s", resp.Status)
 		}
 	}
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -70,7 +70,7 @@
 			if chunked {
 				query += "&chunked=1"
 			}
-			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(mustGet("http://" + s.addressOf("one") + "/down" + query))
+			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newGetRequest("http://" + s.addressOf("one") + "/down" + query))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -87,7 +87,7 @@
 	}
 }
 
-func mustGet(url string) *http.Request {
+func newGetRequest(url string) *http.Request {
 	r, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		panic(err)
