--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -20,7 +20,7 @@
 // withAdmin gives the service an operators' address.
 func withAdmin(c *config.Service) { c.Admin, c.Operators = "127.0.0.1:0", 8 }
 
-// adminCommand makes one call and gives its answer.
+// adminCommand sends one command and returns its response.
 func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
 	t.Helper()
 	return adminCommand(t, s.admin.Addr().String(), line)
@@ -44,7 +44,7 @@
 	return string(answer)
 }
 
-// parseMetrics are the values that vars tells, by name.
+// parseMetrics reads the response to vars: values by name.
 func parseMetrics(t *testing.T, text string) map[string]int64 {
 	t.Helper()
 	out := map[string]int64{}
@@ -57,14 +57,14 @@
 		value, kind, _ := strings.Cut(rest, "|")
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || kind != "c" && kind != "g" || !strings.HasPrefix(name, "edge_router.") {
-			t.Fatalf("%q is no figure", line)
+			t.Fatalf("%q is no metric", line)
 		}
 		out[strings.TrimPrefix(name, "edge_router.")] = n
 	}
 	return out
 }
 
-// respondByID answers as the first part of a request's id says.
+// respondByID responds as the first part of a request's ID says.
 func respondByID(wrote *atomic.Int64) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, r *http.Request, _ int) bool {
 		wrote.Add(1)
@@ -87,7 +87,7 @@
 	}
 }
 
-// Every request that was taken is counted once, as its caller saw it end, and every attempt as its endpoint saw it come.
+// Every accepted request is counted once, with the outcome that its client saw, and every attempt that an endpoint saw.
 func TestMetricsMatchWhatClientsAndEndpointsCounted(t *testing.T) {
 	var wrote atomic.Int64
 	var addrs []string
@@ -119,7 +119,7 @@
 				switch kind {
 				case "bad":
 					r.Header.Set("Req-Deadline-Ms", "soon")
-				case "gone": // while its answer is awaited, or just after
+				case "gone": // while its response is awaited, or just after
 					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Millisecond)
 					defer cancel()
 					r = r.WithContext(ctx)
@@ -166,7 +166,7 @@
 				t.Errorf("%s%s: %d, callers saw %d and %d had left", how, class, n, told, seen["gone "+class])
 			}
 		}
-		if short := want - sum; short < 0 || short > seen["gone "+class] { // one that left may never have been a request
+		if short := want - sum; short < 0 || short > seen["gone "+class] { // a client that disconnected may never have been counted
 			t.Errorf("%s: %d ended, callers know of %d", class, sum, want)
 		}
 	}
@@ -198,7 +198,7 @@
 	testpeer.Until(t, "none is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
 }
 
-// The answer to a call does not stand in the queue of a pool's events, and where the loop stands still it has a bound.
+// The response to a command does not wait in the queue of a pool's events, and is bounded in time where the loop hangs.
 func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
@@ -223,8 +223,8 @@
 	}
 }
 
-// An operators' address that can't be had is told before anything is taken up.
-func TestAdminAddressInUseFailsStartAndReload(t *testing.T) {
+// An operators' address that is in use is an error before anything is changed.
+func TestAdminAddressInUseFailsReload(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -13,7 +13,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// What a pool of real parts does with a list that changes by one member.
+// A pool with its real parts gets a list that changes by one member.
 func BenchmarkPoolUpdate(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// One request after another on one connection: the whole way there and back.
+// One request after another on one connection, through the daemon and an endpoint.
 func BenchmarkServe(b *testing.B) {
 	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
 	s := startFromFile(b, parseService(b, listen1+poolOf("a", e.Addr)+lookRoute))
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -12,19 +12,19 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Idle callers must give way when connections run short, and none may be lost.
+// Idle connections are closed for new clients when connections run short, and no request is lost.
 func TestIdleConnectionsYieldToNewClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 100 { // far over the limit
 		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("caller %d: status %d", i, resp.StatusCode)
+			t.Fatalf("client %d: status %d", i, resp.StatusCode)
 		}
 	}
 }
 
-// Callers that connect by hundreds and say nothing must not hold up those that ask.
+// Connections that send nothing, by hundreds, must not block clients that send requests.
 func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
@@ -40,12 +40,12 @@
 		t.Errorf("status %d", status)
 	}
 	if n := s.connections.Count(); n > 64 {
-		t.Errorf("%d connections are held", n)
+		t.Errorf("%d connections are open", n)
 	}
 }
 
-// A long day brings ever new endpoints at old addresses, ids and connections; nothing of those that have gone may stay.
-func TestMemoryStaysBoundedForDistinctNames(t *testing.T) {
+// A long day brings ever new endpoint IDs at old addresses, request IDs and connections; the state of old ones must go.
+func TestStateOfDepartedEndpointsIsReleased(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
@@ -54,7 +54,7 @@
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
-	testpeer.Until(t, "callers' connections end", func() bool { return s.connections.Count() == 0 })
+	testpeer.Until(t, "clients' connections end", func() bool { return s.connections.Count() == 0 })
 	left := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
@@ -68,7 +68,7 @@
 	}
 }
 
-// Endpoints that close what stands idle, here as soon as another is called, must not cost a connection for every call.
+// Endpoints that close idle connections, here as soon as another one is used, must not cost a connection a request.
 func TestShortLivedConnectionsAreReusedWhileOpen(t *testing.T) {
 	var mu sync.Mutex
 	idle := map[net.Conn]bool{}
@@ -85,7 +85,7 @@
 				}
 			}
 			idle[nc] = true
-			time.Sleep(4 * time.Millisecond) // its work, so that all take about the same
+			time.Sleep(4 * time.Millisecond) // so that all requests take about the same time
 			io.WriteString(nc, testpeer.Served)
 			return true
 		})
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Seen on a day of new configurations: SIGHUP ended the program. Endpoints learned from the new discovery serve, the
-// request in flight is answered, and further reloads, also during the end, do no harm.
+// A regression test: SIGHUP ended the program. Endpoints from the new discovery serve, the request in flight is answered,
+// and further reloads, also during the shutdown, do no harm.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	old := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	<-calls
-	<-calls // the watch: the list is in force
+	<-calls // the second call is the watch: the list is in force
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000)); status != http.StatusOK || fresh.Requests.Load() != 1 {
 		t.Errorf("after the move: %d, %d requests at the new endpoint", status, fresh.Requests.Load())
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// The same address in two pools, and a member that keeps its id at another address.
-func TestEndpointsSharedByPoolsAndMigratingBetweenThem(t *testing.T) {
+// The same address in two pools, and a member that keeps its ID at another address.
+func TestSameAddressInTwoPoolsAndMemberWithNewAddress(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
 	member := func(addr string) string {
 		return fmt.Sprintf("[[pool]]\nname = \"a\"\n[[pool.member]]\nid = \"m\"\naddress = %q\n", addr)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Members by DNS and by file, from the daemon's side: the list that changes is served by, and what fails leaves it standing.
+// Members from DNS and from a file: a changed list is used, and a source that fails leaves the last list in force.
 func TestPoolMembersFromDNSAndFiles(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
 	names, err := fake.NewDNS()
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -16,7 +16,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// playClient plays the caller's side and tells what it was answered.
+// playClient plays the client's side and returns the outcome that it saw.
 func (c *cell) playClient(t *testing.T, addr string) string {
 	t.Helper()
 	defer close(c.clientEnded)
@@ -66,7 +66,7 @@
 			}
 		})
 	}
-	go func() { // the beginning, and the rest once the node has failed: it must not be there to be swallowed by buffers
+	go func() { // the beginning, and the rest once the node has failed: else kernel buffers would swallow it
 		first := len(sends)
 		if c.moment == "head" || c.moment == "first byte" {
 			first = body.Held
@@ -85,7 +85,7 @@
 	return outcome(bufio.NewReader(nc), []byte("done"), nil)
 }
 
-// misbehave fails while a request is sent.
+// misbehave fails while a request is sent, and returns the outcome.
 func (c *cell) misbehave(nc net.Conn, slowly func()) string {
 	want := []byte("done")
 	if c.direction == "down" {
@@ -116,7 +116,7 @@
 	return outcome(bufio.NewReader(nc), want, nil)
 }
 
-// receive reads a long answer, and fails on the way if the cell says so.
+// receive reads a long response, and fails halfway if the cell says so.
 func (c *cell) receive(nc net.Conn) string {
 	in := bufio.NewReader(nc)
 	if !c.fails("caller") {
@@ -165,11 +165,12 @@
 	})
 }
 
-// errOtherBytes is an answer that is not the one wanted.
+// errOtherBytes is a body that is not the expected one.
 var errOtherBytes = errors.New("another answer")
 
-// readExpected reads to the end and tells how much of what is wanted came. It holds no more than a part: to set 48 MB aside took a reader up
-// to 1.47 s under the race detector, four copies at a time on two cores, and who does not read for 1.5 s is cut off.
+// readExpected reads to the end and returns how many of the expected bytes came. It buffers only a part: allocating 48 MB
+// took a reader up to 1.47 s under the race detector, four at a time on two cores, and a client that does not read for
+// 1.5 s is cut off.
 func readExpected(got io.Reader, want []byte) (n int, err error) {
 	for part := make([]byte, 64<<10); err == nil; {
 		var k int
@@ -184,7 +185,8 @@
 	return n, err
 }
 
-// outcome reads an answer and says what it is. midway tells how much of it has come as wanted.
+// outcome reads a response and classifies it. midway, if any, reads its first part and returns how many bytes came as
+// expected, and whether the client has closed the connection itself.
 func outcome(in *bufio.Reader, want []byte, midway func(io.Reader) (int, bool, error)) string {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// An endpoint that is taken out gets nothing new, by either door, until it is given back.
+// A manually ejected endpoint gets no new request until the ejection ends.
 func TestManuallyEjectedEndpointGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
@@ -40,7 +40,7 @@
 		served(http.StatusOK)
 	}
 	if a.Requests.Load() != was {
-		t.Errorf("%d requests came to the one that is out", a.Requests.Load()-was)
+		t.Errorf("%d requests came to the ejected endpoint", a.Requests.Load()-was)
 	}
 	if got := parseMetrics(t, s.adminCommand(t, "vars")); got["pool_size"] != 2 || got["pool_ejected"] != 1 {
 		t.Errorf("pool_size %d, pool_ejected %d", got["pool_size"], got["pool_ejected"])
@@ -57,7 +57,7 @@
 	}
 }
 
-// A pool that a reload makes keeps out what operators have taken out before.
+// A pool that a reload makes has the ejections of before.
 func TestManualEjectionOutlivesReload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
@@ -76,24 +76,24 @@
 	}
 	s.adminCommand(t, "set-up a")
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
-		t.Errorf("given back: %d", status)
+		t.Errorf("after the ejection: %d", status)
 	}
 }
 
-// A connection that comes up after its endpoint was taken out carries nothing: the request goes elsewhere.
+// A connection that is established after its endpoint was ejected carries nothing; the request is retried elsewhere.
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	s.upstream.SetEjected("a", true) // the module does not know yet
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d, want a refusal: it never ran", status)
+		t.Errorf("status %d, want 503: it never ran", status)
 	}
 	if n := e.Requests.Load(); n > 0 {
 		t.Errorf("%d requests came", n)
 	}
 }
 
-// What is given back while it drains, or is listed no more, gets nothing until discovery says otherwise.
+// An endpoint whose ejection ends while it drains, or after it was removed, gets nothing until discovery lists it as ready.
 func TestRestoredEndpointThatIsNotReadyGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -19,7 +19,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// All forms in which the platform's callers frame a request are served, and reach the endpoint as one request.
+// All forms in which the platform's clients frame a request are served, and reach the endpoint as one request.
 func TestPlatformRequestForms(t *testing.T) {
 	type got struct {
 		uri, host, body string
@@ -80,7 +80,7 @@
 		}
 		nc.Close()
 	}
-	// Expect: the body is sent only once it is asked for.
+	// Expect: the body is sent only after the 100 response.
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	}
 }
 
-// An answer may end with its connection, if it says so (RFC 9112, 6.3); one that does not could have been cut.
+// A response may end with its connection if it says so (RFC 9112, 6.3); one that does not could have been truncated.
 func TestResponsesDelimitedByConnectionClose(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Long bodies both ways at once come whole, and the memory for them has a bound.
+// Streaming bodies both ways at once arrive complete, and the memory for them is bounded.
 func TestPlatformStreamingBodies(t *testing.T) {
 	const size, callers = 4 << 20, 24
 	text := make([]byte, size)
@@ -169,14 +169,14 @@
 			defer resp.Body.Close()
 			h := sha256.New()
 			n, err := io.Copy(h, resp.Body)
-			refused := resp.StatusCode == http.StatusServiceUnavailable // there is room for 12 calls at the start
+			refused := resp.StatusCode == http.StatusServiceUnavailable // there is memory for 12 requests at the start
 			if !refused && (err != nil || resp.StatusCode != http.StatusOK || n != size || !bytes.Equal(h.Sum(nil), sum[:])) {
 				t.Errorf("%d: %d, %d bytes, %v", i, resp.StatusCode, n, err)
 			}
 		})
 	}
 	work.Wait()
-	testpeer.Until(t, "nothing is held of them", func() bool { held, waiting := s.bodyMemory.Held(); return held == 0 && waiting == 0 })
+	testpeer.Until(t, "no memory is reserved", func() bool { held, waiting := s.bodyMemory.Held(); return held == 0 && waiting == 0 })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 24<<20 {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Seen on a day of long answers that come in pieces: the limit of time for short ones stood while the beginning was held
-// back, and 28 answers were cut off that their endpoints were still giving.
+// A regression test: the time limit of short responses applied while the beginning was buffered, and 28 long responses
+// that arrived in pieces were cut off.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
@@ -195,7 +195,7 @@
 			t.Parallel()
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n"+head)
-				for part := 0; part < len(big); part += 10 << 10 { // the first window alone takes longer than short answers may
+				for part := 0; part < len(big); part += 10 << 10 { // the first window alone takes longer than short responses may
 					time.Sleep(100 * time.Millisecond)
 					_, _ = io.WriteString(nc, big[part:part+10<<10])
 				}
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -17,18 +17,18 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// stormNode is an endpoint that knows when the daemon was told that it drains or is gone.
+// stormNode is an endpoint that knows since when a list has it as draining or removed.
 type stormNode struct {
 	server *httptest.Server
 	addr   string
-	seen   *sync.Map // ids that have come to any node
+	seen   *sync.Map // request IDs that have come to any node
 
 	mu            sync.Mutex
 	drainingSince time.Time // zero: it is listed as ready
 	late          []time.Duration
 }
 
-// lateAfter is how long after it was told that a member drains the daemon may still send there.
+// lateAfter is how long after a reload with a draining member the daemon may still send there.
 const lateAfter = 500 * time.Millisecond
 
 func newStormNode(t *testing.T, seen *sync.Map) *stormNode {
@@ -54,7 +54,7 @@
 	io.WriteString(w, id)
 }
 
-// setReady says whether the node is listed as ready in the reload that comes next.
+// setReady notes whether the node is listed as ready in the next reload.
 func (n *stormNode) setReady(ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// stormClient asks on a connection that it keeps as long as it may, and holds the daemon to one answer for each request.
+// stormClient sends requests on a connection that it keeps as long as it may, and expects one response to each.
 type stormClient struct {
 	seen  *sync.Map
 	nc    net.Conn
@@ -141,7 +141,7 @@
 }
 
 // stormFile is the operators' file of a round: members come, drain and go, the listener moves, a second pool comes and
-// goes, settings change.
+// goes, and settings change.
 func stormFile(round int, places [2]string, nodes []*stormNode) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", places[round/30%2], []string{"5s", "6s"}[round/10%2])
@@ -186,7 +186,7 @@
 	stormHeap    = 4 << 20               // bytes that the heap may differ by between two quiet moments
 )
 
-// Two hundred reloads under load lose nothing, send nothing late, and leave nothing behind.
+// Two hundred reloads under load lose no request, send none late, and leak nothing.
 func TestReloadStorm(t *testing.T) {
 	var seen sync.Map
 	var nodes []*stormNode
@@ -196,7 +196,7 @@
 	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
 	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
 	quiet := func() resourceLevels {
-		testpeer.Until(t, "what was taken out has ended", func() bool {
+		testpeer.Until(t, "removed listeners have ended", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return len(s.drainingListeners) == 0
@@ -206,7 +206,7 @@
 		}
 		return measureResources()
 	}
-	for round := range 4 { // what is made once
+	for round := range 4 { // so that what is made once exists
 		s.reload(t, stormFile(round, places, nodes))
 	}
 	s.reload(t, stormFile(0, places, nodes))
@@ -269,7 +269,7 @@
 		total.served, total.shed, total.resent, before.goroutines, after.goroutines, before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
 }
 
-// The storm's own checks must see what they are there for.
+// The storm's own checks must detect the faults that they are for.
 func TestReloadStormDetectsViolations(t *testing.T) {
 	var seen sync.Map
 	n := newStormNode(t, &seen)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -34,10 +34,10 @@
 	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
 		t.Errorf("after the change: %q", text)
 	}
-	sendOn(t, nc, in) // the caller's connection has lasted through all of it
+	sendOn(t, nc, in) // the client's connection has lasted through all reloads
 }
 
-// A pool that is taken out answers what it has, by the configuration that took it, and then nothing of it is left.
+// A removed pool answers the requests that it has, by the configuration that accepted them, and then ends.
 func TestRemovedPoolFinishesItsRequests(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	slow := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -61,12 +61,12 @@
 	}
 	select {
 	case <-old.loop.Done():
-		t.Error("the pool ended with a request in hand")
+		t.Error("the pool ended with a request in flight")
 	default:
 	}
 	close(release)
 	if text := <-first; text != "hi" {
-		t.Errorf("the request in hand: %q", text)
+		t.Errorf("the request in flight: %q", text)
 	}
 	select {
 	case <-old.loop.Done():
@@ -75,7 +75,7 @@
 	}
 }
 
-// A pool that another takes over from hears who drains, too: a request that it still has must not go there.
+// A replaced pool still learns which endpoints drain: a request that it still has must not be retried there.
 func TestReplacedPoolStillReceivesEndpointUpdates(t *testing.T) {
 	const declines = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 	came, release := make(chan int, 10), make(chan bool)
@@ -109,7 +109,7 @@
 	old := s.installed.pools["a"]
 	s.reload(t, file(4, states...))
 	if s.installed.pools["a"] == old {
-		t.Fatal("the pool was not taken over from")
+		t.Fatal("the pool was not replaced")
 	}
 	close(release)
 	<-ended
@@ -140,8 +140,8 @@
 	}
 }
 
-// A listener that moves serves at its old place for a while: connections there go on, and callers that don't know yet.
-// Back and forth again, and with other limits at the same place, it loses nobody.
+// A listener that changes its address serves at the old one for a while: for the connections there, and for clients that
+// don't know yet. Back again, and with other limits at the same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
 	a := echoEndpoint(t, "A")
 	here, there := testpeer.FreePort(t), testpeer.FreePort(t)
@@ -164,14 +164,14 @@
 			t.Errorf("back at %s: %s", here, resp.Status)
 		}
 	}
-	testpeer.Until(t, "the place left is closed", func() bool {
+	testpeer.Until(t, "the old address is closed", func() bool {
 		nc, err := net.Dial("tcp", there)
 		if err == nil {
 			nc.Close()
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "nothing is leaving", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drainingListeners) == 0 })
+	testpeer.Until(t, "no listener is draining", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drainingListeners) == 0 })
 }
 
 func TestConcurrentReloadsAndReloadDuringShutdown(t *testing.T) {
@@ -185,7 +185,7 @@
 			}
 		})
 		busy.Go(func() {
-			// Refused is an answer too: the one member of each list is new there, and taken to be cold.
+			// 503 is allowed: the one member of each list is new there, and warming up.
 			if resp, _ := sendGet(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Error(resp.Status)
 			}
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// An endpoint's answers go on as they are; only what a caller would take for a promise does not.
+// An endpoint's responses are forwarded unchanged, except statuses by which the daemon itself promises something.
 func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Own", "1")
@@ -114,12 +114,12 @@
 			t.Errorf("%s %d: body %q", c.method, c.status, text)
 		}
 		if c.method == "HEAD" && resp.ContentLength != 4 {
-			t.Errorf("HEAD tells a length of %d", resp.ContentLength)
+			t.Errorf("HEAD has a length of %d", resp.ContentLength)
 		}
 	}
 }
 
-// A caller's word that it has asked before spares its tenant's quota: it is taken only where the class says so.
+// A request that its client declares a retry spares its tenant's quota: that is believed only where the class says so.
 func TestRetryHeaderIsTrustedOnlyWhereConfigured(t *testing.T) {
 	for header, want := range map[string]bool{"": false, "Req-Retry": true} {
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
@@ -145,7 +145,7 @@
 	}
 }
 
-// recordingEvents is the module, and what it is told of repeats.
+// recordingEvents is the module, and reports whether each request is taken for a retry.
 type recordingEvents struct {
 	balance.Events
 	isRetry chan bool
@@ -156,7 +156,7 @@
 	w.Events.Request(now, r)
 }
 
-// What could be routed one way and served another is turned away before any route is looked at.
+// A target that two readers could understand differently is rejected before routing.
 func TestAmbiguousTargetsAreRejected(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Addr)+lookRoute))
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -20,7 +20,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A list that says who drains does not stand behind the events that wait: what is decided after it was told goes elsewhere.
+// A list with a draining endpoint overtakes the queued events: what is decided after it has come avoids that endpoint.
 func TestEndpointUpdateOvertakesQueuedRequests(t *testing.T) {
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
@@ -28,11 +28,11 @@
 		defer p.close()
 		jam := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-jam })
-		passed, heardAfter := 0, -1
+		passed, updatedAfter := 0, -1
 		for range behind {
 			p.loop.Post(func(time.Duration) {
-				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && heardAfter < 0 {
-					heardAfter = passed
+				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && updatedAfter < 0 {
+					updatedAfter = passed
 				}
 				passed++
 			})
@@ -41,14 +41,14 @@
 		synctest.Wait()
 		close(jam)
 		synctest.Wait()
-		if heardAfter < 0 || heardAfter > soon {
-			t.Errorf("the list was heard after %d of %d events that waited (-1: after all)", heardAfter, passed)
+		if updatedAfter < 0 || updatedAfter > soon {
+			t.Errorf("the list was applied after %d of %d queued events (-1: after all)", updatedAfter, passed)
 		}
 	})
 }
 
-// At SIGTERM the platform leaves the longest deadline and a little more: what is taken, then or before, has its answer by then, though
-// its own time is longer and its endpoint hangs.
+// After SIGTERM the platform waits for the longest deadline and a little more: every request that was accepted, before or
+// after, is answered by then, though its own deadline is later and its endpoint hangs.
 func TestShutdownAnswersEveryRequestBeforeTheKill(t *testing.T) {
 	const grace = 1200 * time.Millisecond
 	came := make(chan bool, 10)
@@ -87,11 +87,11 @@
 		t.Error(err)
 	}
 	if took < grace/2 {
-		t.Errorf("given up after %v: there was more time", took)
+		t.Errorf("answered after %v: there was more time", took)
 	}
 }
 
-// The grace follows from the deadlines that the settings name, and is never longer than the platform's.
+// The grace period follows from the deadlines in the settings, and is never longer than the platform's.
 func TestGracePeriodFollowsFromSettings(t *testing.T) {
 	for limits, want := range map[[2]int]time.Duration{{500, 800}: 1500 * time.Millisecond, {500, 6000}: 3700 * time.Millisecond, {0, 500}: 3700 * time.Millisecond} {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7","settings":{"Lanes":[
@@ -107,7 +107,7 @@
 	}
 }
 
-// After SIGTERM callers go on coming for a while; all that was taken is answered before the end.
+// After SIGTERM clients still connect for a while; every accepted request is answered before the end.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	came, release := make(chan bool, 100), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
@@ -165,8 +165,7 @@
 	}
 }
 
-// While the process is there it serves: after SIGTERM a caller goes on using its connection, with answers in time for
-// the end.
+// After SIGTERM a client may go on using its connection, and is answered in time for the end.
 func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("Req-Id") != "long" {
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -14,7 +14,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Requests that two readers could end in different places: none may let a second one through that hides in the first.
+// Requests that two readers could end in different places: none may smuggle a second one to the endpoint.
 // What reached the endpoint is counted by the host that each shape has to itself, and judged when the daemon has ended: a
 // request that comes late counts for its own shape.
 func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
@@ -32,12 +32,12 @@
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
-	const unfinished = "a chunk of 16 digits" // its body never comes whole
+	const unfinished = "a chunk of 16 digits" // its body is never complete
 	const secret = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	post := func(headers, body string) string { return "POST /x HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + body }
 	shapes := []struct {
 		name, text string
-		passes     bool // one request, the outer one, goes on
+		passes     bool // one request, the outer one, is forwarded
 	}{
 		{"CL.TE", post("Content-Length: 39\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+secret), true},
 		{"TE.CL", post("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", "21\r\n"+secret+"\r\n0\r\n\r\n"), true},
@@ -78,7 +78,7 @@
 			defer nc.Close()
 			nc.SetDeadline(time.Now().Add(testpeer.Patience))
 			io.WriteString(nc, strings.ReplaceAll(shape.text, "Host: h\r", "Host: "+host(i)+"\r"))
-			// A caller that ends its sending looks like one that has left: until it has its answer, only a body that
+			// A client that closes its side looks like one that has disconnected: before the response, only a body that
 			// waits for more is ended so.
 			if shape.name == unfinished {
 				_ = nc.(*net.TCPConn).CloseWrite()
@@ -111,8 +111,8 @@
 	}
 }
 
-// Seen on a day of bad callers: net/http drops Content-Length beside Transfer-Encoding, and what stood in the body
-// behind the last chunk went on to endpoints as a request of its own.
+// A regression test: net/http drops Content-Length beside Transfer-Encoding, and the bytes of the body behind the last
+// chunk were forwarded to endpoints as a request of their own.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, e.Addr)
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Servers that take one another's place on a socket lose no caller, and the one that closes is not kept waiting.
+// Servers that replace one another on a socket lose no connection, and the one that closes returns soon.
 func TestSharedSocketIsHandedOverWithoutLoss(t *testing.T) {
 	h, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -56,10 +56,10 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, net.ErrClosed) {
-				t.Errorf("a closed hold ended with %v", err)
+				t.Errorf("a closed handle ended with %v", err)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatal("a closed hold still accepts")
+			t.Fatal("a closed handle still accepts")
 		}
 		h, ended = next, nextEnded
 	}
@@ -67,7 +67,7 @@
 		select {
 		case <-accepted:
 		case <-time.After(testpeer.Patience):
-			t.Fatal("a caller was lost")
+			t.Fatal("a connection was lost")
 		}
 	}
 	h.Close()
@@ -79,35 +79,35 @@
 	}
 }
 
-// Seen on two busy cores: of two that accepted from one socket the one that stayed lifted the deadline by which the other
-// was to end, again and again before that had seen it, for 20 s.
+// A regression test: of two handles that accepted from one socket the one that stayed cleared the deadline by which the
+// other was to end, again and again before that had seen it, for 20 s on two busy cores.
 func TestConcurrentHandlesCloseIndependently(t *testing.T) {
 	first, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds, ended := []*socketHandle{first}, make(chan error, 16)
+	handles, ended := []*socketHandle{first}, make(chan error, 16)
 	for range 15 {
 		h, ok := first.newHandle()
 		if !ok {
 			t.Fatal("an open socket can't be shared")
 		}
-		holds = append(holds, h)
+		handles = append(handles, h)
 	}
-	for _, h := range holds {
+	for _, h := range handles {
 		go func() { _, err := h.Accept(); ended <- err }()
 	}
-	for _, h := range holds {
+	for _, h := range handles {
 		testpeer.Until(t, "it accepts", func() bool { return h.accepting.Load() > 0 })
 	}
-	for i, h := range holds {
+	for i, h := range handles {
 		if i%4 == 3 { // two at once
 			go h.Close()
 		} else if err := h.Close(); err != nil {
 			t.Error(err)
 		}
 	}
-	for range holds {
+	for range handles {
 		select {
 		case err := <-ended:
 			if !errors.Is(err, net.ErrClosed) {
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -17,7 +17,7 @@
 
 const payRoute = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
 
-// slowUpload sends a part of an upload, and gives what the answer comes to and the means to send on.
+// slowUpload begins an upload and returns its connection, to send on, and the response.
 func slowUpload(t *testing.T, addr string, size int) (nc net.Conn, answer chan string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -35,7 +35,7 @@
 	return nc, answer
 }
 
-// After SIGTERM what flows may end; what does not end in time is cut off, so that callers can tell, and the daemon ends.
+// After SIGTERM streaming bodies may end; one that does not end in time is aborted so that its client notices.
 func TestShutdownAbortsStreamsAfterDrainTimeout(t *testing.T) {
 	began := make(chan bool, 10)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,7 +60,7 @@
 	quick.Write(textOf(64 << 10))
 	stuck, stuckAnswer := slowUpload(t, addr, 1<<20)
 	stuck.Write(textOf(64 << 10))
-	early, earlyAnswer := slowUpload(t, addr, 1<<20) // of which nobody has heard
+	early, earlyAnswer := slowUpload(t, addr, 1<<20) // of which the endpoint has got nothing yet
 	early.Write(textOf(100))
 	down := make(chan error, 1)
 	go func() {
@@ -82,7 +82,7 @@
 		t.Errorf("an upload that does not: %q", got)
 	}
 	if got := <-earlyAnswer; !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "Retry-After") {
-		t.Errorf("an upload of which nobody has heard: %q", got)
+		t.Errorf("an upload that has not reached the endpoint: %q", got)
 	}
 	if err := <-down; !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a download: %v", err)
@@ -92,7 +92,7 @@
 	}
 }
 
-// A reload leaves what flows to flow: the request is served by the configuration that took it.
+// A streaming upload goes on after a reload: it is served by the configuration that accepted it.
 func TestReloadKeepsStreamingUpload(t *testing.T) {
 	began := make(chan bool, 1)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -109,13 +109,13 @@
 	<-began
 	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1)) // another server takes over the socket
 	nc.Write(textOf(1 << 20)[64<<10:])
-	// It is there once the connection has ended, whether the old server had begun to say so by then or not.
+	// The response is complete when the connection ends, whether the old server closes it early or not.
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "1048576") {
 		t.Errorf("%q", got)
 	}
 }
 
-// A member that is told to drain halfway finishes what it has, and gets nothing new.
+// An endpoint that begins to drain halfway finishes what it has, and gets nothing new.
 func TestEndpointDrainKeepsStreamingUpload(t *testing.T) {
 	began := make(chan bool, 1)
 	var others atomic.Int32
@@ -149,7 +149,7 @@
 	}
 }
 
-// A member that answers before the body's end is heard at once, and the rest of the body is nobody's.
+// A response that comes before the body's end is forwarded at once, and the rest of the body is discarded.
 func TestEarlyResponseIsForwardedAtOnce(t *testing.T) {
 	for _, status := range []int{200, 403, 413} {
 		l := testpeer.Accept(t, func(nc net.Conn) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Two hundred callers that trickle reach nobody, and leave the others alone.
+// Two hundred uploads that are too slow reach no endpoint, and do not disturb other clients.
 func TestSlowUploadsAreRejectedBeforeAnEndpoint(t *testing.T) {
 	var reached atomic.Int32
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
@@ -192,7 +192,7 @@
 	}
 	for range 50 {
 		if resp, _ := sendGet(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK {
-			t.Errorf("another caller meanwhile: %s", resp.Status)
+			t.Errorf("another client meanwhile: %s", resp.Status)
 		}
 	}
 	for _, answer := range answers {
@@ -204,6 +204,6 @@
 		t.Errorf("%d reached the endpoint", n)
 	}
 	if held, _ := s.bodyMemory.Held(); held != 0 {
-		t.Errorf("%d bytes are still held", held)
+		t.Errorf("%d bytes are still reserved", held)
 	}
 }
