--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -21,7 +21,8 @@
 			for i := range n + 1 {
 				list = append(list, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
 			}
-			spec := config.PoolSpec{Name: "p", Connections: 10, Source: config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}}
+			source := config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}
+			spec := config.PoolSpec{Name: "p", Connections: 10, Source: source}
 			p := newPool(eventloop.Module, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 			defer p.close()
 			done := make(chan bool)
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -31,7 +31,8 @@
 	if !strings.Contains(allStacks(), clusterPackages+"transport") {
 		t.Fatal("a file with a fleet starts no cluster: the check above proves nothing")
 	}
-	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", "name = \"r\"\njoin = [\""+s.cluster.transport.Addr().String()+"\"]", 1)))
+	join := "name = \"r\"\njoin = [\"" + s.cluster.transport.Addr().String() + "\"]"
+	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", join, 1)))
 	shared := func(d *fileSidecar) bool {
 		d.cluster.mu.Lock()
 		defer d.cluster.mu.Unlock()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -18,7 +18,8 @@
 )
 
 func TestDrainingOrRemovedEndpointGetsNoNewRequests(t *testing.T) {
-	a, b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true)), testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
 	calls := func() (int32, int32) {
@@ -77,7 +78,8 @@
 	}
 	<-calls
 	<-calls // the second call is the watch: the list is in force
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000)); status != http.StatusOK || fresh.Requests.Load() != 1 {
+	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000))
+	if status != http.StatusOK || fresh.Requests.Load() != 1 {
 		t.Errorf("after the move: %d, %d requests at the new endpoint", status, fresh.Requests.Load())
 	}
 	if err := reload(); err != nil {
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -36,7 +36,8 @@
 	case c.direction == "down":
 		framing, sends = "Content-Length: 2", []byte("hi")
 	}
-	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n\r\n", method, c.name, c.name[1:], framing)
+	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n\r\n",
+		method, c.name, c.name[1:], framing)
 	if c.fails("caller") && c.moment == "head" {
 		io.WriteString(nc, head[:20])
 		return c.misbehave(nc, func() { io.WriteString(nc, "x") })
@@ -140,8 +141,8 @@
 		case "garbage":
 			io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 		case "silence":
-			for end := time.Now().Add(6 * time.Second); c.moment != "last byte" && c.moment != "after" && time.Now().Before(end) && countEstablished([]*net.TCPConn{nc.(*net.TCPConn)}) > 0; {
-				time.Sleep(5 * time.Millisecond)
+			if c.moment != "last byte" && c.moment != "after" {
+				awaitPeerClose(nc.(*net.TCPConn), 6*time.Second)
 			}
 		case "slow":
 			for b := make([]byte, 1); ; {
@@ -165,6 +166,13 @@
 	})
 }
 
+// awaitPeerClose returns when the peer has closed the connection, or after a while.
+func awaitPeerClose(nc *net.TCPConn, within time.Duration) {
+	for end := time.Now().Add(within); time.Now().Before(end) && countEstablished([]*net.TCPConn{nc}) > 0; {
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
 // errOtherBytes is a body that is not the expected one.
 var errOtherBytes = errors.New("another answer")
 
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// play is one attempt; false: the connection is to be closed.
+// play serves one attempt. It returns false if the connection is to be closed.
 func (n *matrixNode) play(c *cell, nc net.Conn, r *http.Request) bool {
 	c.mu.Lock()
 	c.attempts++
@@ -93,7 +93,7 @@
 	}
 	dribble := []byte(head)
 	switch {
-	case c.direction == "up": // it has all, and nothing is said yet
+	case c.direction == "up": // the node has the complete request, and has sent nothing yet
 	case c.moment == "head":
 		if c.fault != "garbage" {
 			io.WriteString(nc, head[:20])
@@ -109,7 +109,7 @@
 		_, _ = (&net.Buffers{[]byte(head), answer[:c.offset()]}).WriteTo(nc)
 		dribble = answer[c.offset():]
 	}
-	if c.direction == "down" && c.moment == "after" { // a reset would take what is still under way with it
+	if c.direction == "down" && c.moment == "after" { // a reset would destroy what is still on its way
 		select {
 		case <-c.clientEnded:
 		case <-n.testEnded:
@@ -123,7 +123,7 @@
 	})
 }
 
-// isSentBody tells whether a request's body is the one that was sent.
+// isSentBody tells whether a request's body is the one that the client sent.
 func isSentBody(in io.Reader, c *cell) bool {
 	want := []byte("hi")
 	if c.direction == "up" {
@@ -141,7 +141,8 @@
 			continue
 		}
 		_ = raw.Control(func(fd uintptr) {
-			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.State == unix.BPF_TCP_ESTABLISHED {
+			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+			if err == nil && info.State == unix.BPF_TCP_ESTABLISHED {
 				n++
 			}
 		})
@@ -149,7 +150,7 @@
 	return n
 }
 
-// misbehave fails as the cell says. slowly is a step of one that is too slow.
+// misbehave fails as the cell says; a node that is too slow calls slowly again and again. It returns false, as play does.
 func (n *matrixNode) misbehave(c *cell, nc net.Conn, slowly func()) bool {
 	defer c.fail()
 	switch c.fault {
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -19,9 +19,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// The fault matrix: whoever fails, whenever and however, each request gets the one answer that the operators' page
-// promises (docs/operators/long-bodies.md, which this test reads), and runs no more often than it says there.
-
+// The fault matrix: whoever fails, whenever and however, each request gets the one response that the operators' page
+// promises (docs/operators/long-bodies.md, which this test reads), and runs no more often than it says there. The values
+// are those of the page's table.
 var (
 	matrixDirections   = []string{"up", "down"}
 	matrixFailingSides = []string{"caller", "node", "both"}
@@ -30,33 +30,78 @@
 	matrixClasses      = []string{"safe", "keyed", "unsafe"}
 )
 
-// cell is one cell of the matrix: how it is played, and what came of it.
+// cell is one cell of the matrix: how it is played, and what was seen.
 type cell struct {
 	direction, failingSide, moment, fault, class string
-	name                                         string
-	size                                         int           // of the long body
-	failed                                       chan struct{} // closed when the node has done its worst
-	exchangeEnded                                chan struct{} // closed when the first exchange at a node is over
-	clientEnded                                  chan struct{} // closed when the caller is
 
-	mu                sync.Mutex
-	attempts, runs    int
-	connections       []*net.TCPConn // of attempts
-	mostConnections   int
-	retried           chan struct{} // closed when a second attempt has begun
+	name          string        // and path
+	size          int           // of the long body
+	failed        chan struct{} // closed when the node has failed
+	exchangeEnded chan struct{} // closed when the first exchange at a node is over
+	clientEnded   chan struct{} // closed when the client has its outcome
+	retried       chan struct{} // closed when a second attempt has begun
+
+	mu              sync.Mutex
+	attempts, runs  int
+	connections     []*net.TCPConn // of attempts
+	mostConnections int            // at once
+
 	failOnce, endOnce sync.Once
 }
 
-func (c *cell) fails(who string) bool { return c.failingSide == who || c.failingSide == "both" }
+// newCell makes the cell that is played under a path.
+func newCell(name, direction, failingSide, moment, fault, class string) *cell {
+	c := &cell{
+		direction:     direction,
+		failingSide:   failingSide,
+		moment:        moment,
+		fault:         fault,
+		class:         class,
+		name:          name,
+		size:          2 << 20,
+		failed:        make(chan struct{}),
+		exchangeEnded: make(chan struct{}),
+		clientEnded:   make(chan struct{}),
+		retried:       make(chan struct{}),
+	}
+	isUnread := fault == "silence" || fault == "slow"
+	nodeStopsEarly := direction == "up" && c.fails("node") && (moment == "middle" || c.offset() < 2 && isUnread)
+	clientStopsReading := direction == "down" && c.fails("caller") && isUnread
+	if nodeStopsEarly || clientStopsReading { // more than the system's buffers take
+		c.size = 48 << 20
+	}
+	return c
+}
 
-// offset is how much of a body has gone when the failure comes.
+// newCells makes all cells of the matrix.
+func newCells() []*cell {
+	var cells []*cell
+	for _, direction := range matrixDirections {
+		for _, failingSide := range matrixFailingSides {
+			for _, moment := range matrixMoments {
+				for _, fault := range matrixFaults {
+					for _, class := range matrixClasses {
+						name := fmt.Sprintf("/c%d", len(cells))
+						cells = append(cells, newCell(name, direction, failingSide, moment, fault, class))
+					}
+				}
+			}
+		}
+	}
+	return cells
+}
+
+// fails tells whether a side, "caller" or "node", is to fail.
+func (c *cell) fails(side string) bool { return c.failingSide == side || c.failingSide == "both" }
+
+// offset is how many bytes of a body have been sent when the fault comes.
 func (c *cell) offset() int {
 	return map[string]int{"head": 0, "first byte": 1, "middle": 1 << 20, "last byte": c.size - 1, "after": c.size}[c.moment]
 }
 
 func (c *cell) fail() { c.failOnce.Do(func() { close(c.failed) }) }
 
-// longText is one text for all: cells that are busy with their own would starve one another.
+// longText is shared by all cells: making one for each would take them too much time.
 var longText = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
 
 func textOf(size int) []byte { return longText[:size] }
@@ -67,9 +112,9 @@
 	nc.Close()
 }
 
-// expectation is a row of the page's table. "*" stands for all, and lists are divided by commas.
+// expectation is a row of the page's table. "*" stands for all values, and lists are separated by commas.
 type expectation struct {
-	of       [5]string // way, who, when, how, class
+	of       [5]string // direction, failing side, moment, fault, class
 	outcomes []string
 	runs     int
 	line     int
@@ -128,7 +173,7 @@
 	return false
 }
 
-// judge says what is wrong with a cell; nothing: it is as the page has it.
+// judge returns an error if a cell is not as the page has it.
 func judge(c *cell, answer string, rows []*expectation) error {
 	for _, e := range rows {
 		if !e.covers(c) {
@@ -141,21 +186,22 @@
 		case c.runs > e.runs:
 			return fmt.Errorf("ran %d times, %d allowed (row %d)", c.runs, e.runs, e.line)
 		case c.mostConnections > 1:
-			return fmt.Errorf("%d attempts out at once", c.mostConnections)
+			return fmt.Errorf("%d attempts in flight at once", c.mostConnections)
 		}
 		return nil
 	}
 	return errors.New("no row of the page covers it")
 }
 
-func TestFaultMatrix(t *testing.T) {
-	rows := readExpectations(t)
-	n := &matrixNode{cells: map[string]*cell{}, testEnded: make(chan struct{})}
-	var cells []*cell
-	a, b := n.start(t), n.start(t)
+// matrixFile is an operators' file with a pool and a route for each cell. All pools have the same two members.
+func matrixFile(cells []*cell, a, b string) string {
 	file := strings.Builder{}
 	file.WriteString(`format = 1
-		class = [{ name = "safe", effect = "safe", deadline = "4s" }, { name = "keyed", effect = "keyed", window = "1m", deadline = "4s" }, { name = "unsafe", effect = "unsafe", deadline = "4s" }]
+		class = [
+			{ name = "safe", effect = "safe", deadline = "4s" },
+			{ name = "keyed", effect = "keyed", window = "1m", deadline = "4s" },
+			{ name = "unsafe", effect = "unsafe", deadline = "4s" },
+		]
 		[daemon]
 		body_memory_mb = 64
 		[[listener]]
@@ -166,28 +212,36 @@
 		flow_idle = "1500ms"
 		flow_rate = 20000
 		`)
-	for _, way := range matrixDirections {
-		for _, who := range matrixFailingSides {
-			for _, when := range matrixMoments {
-				for _, how := range matrixFaults {
-					for _, class := range matrixClasses {
-						c := &cell{direction: way, failingSide: who, moment: when, fault: how, class: class, name: fmt.Sprintf("/c%d", len(cells)),
-							failed: make(chan struct{}), exchangeEnded: make(chan struct{}), clientEnded: make(chan struct{}), retried: make(chan struct{}), size: 2 << 20}
-						// Where somebody does not read, more than the system's buffers take.
-						if way == "up" && c.fails("node") && (when == "middle" || c.offset() < 2 && (how == "silence" || how == "slow")) || way == "down" && c.fails("caller") && (how == "silence" || how == "slow") {
-							c.size = 48 << 20
-						}
-						cells = append(cells, c)
-						n.cells[c.name] = c
-						fmt.Fprintf(&file, "[[pool]]\nname = %q\nbegins = \"last_byte\"\nflow_idle = \"1500ms\"\nflow_rate = 20000\ncold_for = \"0s\"\n[[pool.member]]\naddress = %q\n[[pool.member]]\naddress = %q\n[[route]]\npath = %q\npool = %q\nclass = %q\n",
-							c.name, a, b, c.name, c.name, class)
-					}
-				}
-			}
-		}
+	for _, c := range cells {
+		fmt.Fprintf(&file, `
+			[[pool]]
+			name = %q
+			begins = "last_byte"
+			flow_idle = "1500ms"
+			flow_rate = 20000
+			cold_for = "0s"
+			[[pool.member]]
+			address = %q
+			[[pool.member]]
+			address = %q
+			[[route]]
+			path = %q
+			pool = %q
+			class = %q
+			`, c.name, a, b, c.name, c.name, c.class)
+	}
+	return file.String()
+}
+
+func TestFaultMatrix(t *testing.T) {
+	rows := readExpectations(t)
+	n := &matrixNode{cells: map[string]*cell{}, testEnded: make(chan struct{})}
+	cells := newCells()
+	for _, c := range cells {
+		n.cells[c.name] = c
 	}
-	s := startFromFile(t, parseFile(t, file.String()))
-	for _, c := range cells { // each pool has its goroutines before they are counted
+	s := startFromFile(t, parseFile(t, matrixFile(cells, n.start(t), n.start(t))))
+	for _, c := range cells { // so that each pool has its goroutines before they are counted
 		if sendProbe(s.addressOf("one"), c, "first") != "first" {
 			t.Fatalf("%s does not serve", c.name)
 		}
@@ -201,7 +255,7 @@
 			room <- true
 			defer func() { <-room }()
 			answer := c.playClient(t, s.addressOf("one"))
-			// Whoever comes next gets an answer of its own, or none.
+			// The next request gets a response of its own, or none.
 			for i := range 2 {
 				want := fmt.Sprintf("%s-%d", c.name[1:], i)
 				if got := sendProbe(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
@@ -224,11 +278,11 @@
 		}
 	}
 	t.Logf("%d cells, %d not as the page has them", len(cells), bad.Load())
-	testpeer.Until(t, "all memory for bodies is given back", func() bool {
+	testpeer.Until(t, "all body memory is released", func() bool {
 		held, waiting := s.bodyMemory.Held()
 		return held == 0 && waiting == 0
 	})
-	// Idle connections to nodes may stay: two a pool at most, with a goroutine at the node each.
+	// Idle connections to nodes may stay open: two a pool at most, with a goroutine at the node each.
 	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= before+2*len(cells) })
 	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= files+4*len(cells) })
 }
@@ -237,6 +291,7 @@
 	return strings.Join([]string{c.direction, c.failingSide, c.moment, c.fault, c.class}, ", ")
 }
 
+// settledGoroutines is the least number of goroutines in 100 ms.
 func settledGoroutines() int {
 	n := runtime.NumGoroutine()
 	for range 20 {
@@ -246,7 +301,7 @@
 	return n
 }
 
-// The judge of the matrix must find what is wrong.
+// The judge of the matrix must detect each violation.
 func TestFaultMatrixDetectsViolations(t *testing.T) {
 	rows := []*expectation{{of: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, runs: 1}}
 	as := func(change func(*cell)) *cell {
@@ -272,9 +327,15 @@
 		}
 	}
 	for text, want := range map[string]string{
-		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone": "served", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo": "cut", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone": "wrong",
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\ndo": "wrong", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n": "cut", "HTTP/1.1 503 No\r\n\r\n": "refused", "": "no answer",
-		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": "wrong", "HTTP/1.1 408 No\r\n\r\n": "408",
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone":                   "served",
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo":                     "cut",
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone":                   "wrong",
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\ndo":                     "wrong",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n": "cut",
+		"HTTP/1.1 503 No\r\n\r\n":                                            "refused",
+		"":                                                                   "no answer",
+		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                       "wrong",
+		"HTTP/1.1 408 No\r\n\r\n":                                            "408",
 	} {
 		if got := outcome(bufio.NewReader(strings.NewReader(text)), []byte("done"), nil); got != want {
 			t.Errorf("%q is %q, want %q", text, got, want)
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -112,6 +112,7 @@
 	listen1   = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\n"
 	listen2   = "[[listener]]\nname = \"two\"\naddress = \"127.0.0.1:0\"\n"
 	lookRoute = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
+	payRoute  = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
 )
 
 // openConnection sends a request on a connection that stays open.
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -91,7 +91,8 @@
 	if apart {
 		text += listen2
 	}
-	s := startFromFile(tb, parseService(tb, text+poolOf("a", a)+poolOf("hang", hung...)+"[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n"+lookRoute))
+	text += poolOf("a", a) + poolOf("hang", hung...) + "[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n" + lookRoute
+	s := startFromFile(tb, parseService(tb, text))
 	if apart {
 		return s.addressOf("one"), s.addressOf("two")
 	}
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -28,7 +28,10 @@
 		served(http.StatusOK)
 	}
 	for _, row := range []struct{ call, want string }{
-		{"set-down nobody", "FAILURE"}, {"set-up nobody", "FAILURE"}, {"set-down a", "SUCCESS a is out\n"}, {"set-down a", "SUCCESS a was out already\n"},
+		{"set-down nobody", "FAILURE"},
+		{"set-up nobody", "FAILURE"},
+		{"set-down a", "SUCCESS a is out\n"},
+		{"set-down a", "SUCCESS a was out already\n"},
 		{"check", "SUCCESS"},
 	} {
 		if got := s.adminCommand(t, row.call); !strings.HasPrefix(got, row.want) {
@@ -71,7 +74,8 @@
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "1", 8000)); status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
+	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "1", 8000))
+	if status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
 		t.Errorf("status %d, %d requests came", status, e.Requests.Load())
 	}
 	s.adminCommand(t, "set-up a")
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -176,7 +176,10 @@
 		})
 	}
 	work.Wait()
-	testpeer.Until(t, "no memory is reserved", func() bool { held, waiting := s.bodyMemory.Held(); return held == 0 && waiting == 0 })
+	testpeer.Until(t, "no memory is reserved", func() bool {
+		held, waiting := s.bodyMemory.Held()
+		return held == 0 && waiting == 0
+	})
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 24<<20 {
@@ -189,7 +192,9 @@
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
-		"a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", len(big)), "chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)), "a close": "Connection: close\r\n\r\n",
+		"a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", len(big)),
+		"chunks":   fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)),
+		"a close":  "Connection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -144,7 +144,8 @@
 // goes, and settings change.
 func stormFile(round int, places [2]string, nodes []*stormNode) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", places[round/30%2], []string{"5s", "6s"}[round/10%2])
+	idleTimeout := []string{"5s", "6s"}[round/10%2]
+	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", places[round/30%2], idleTimeout)
 	fmt.Fprintf(&b, "[[pool]]\nname = \"a\"\nattempts = %d\n", 3+round/50%2)
 	for i, n := range nodes {
 		switch phase := (round/45 + i) % len(nodes); phase {
@@ -246,7 +247,8 @@
 	}
 	for _, n := range nodes {
 		if len(n.late) > 0 {
-			t.Errorf("%d requests came to a member later than %v after it was told to drain: %v", len(n.late), lateAfter, n.late[:min(len(n.late), 5)])
+			t.Errorf("%d requests came to a member later than %v after it began to drain: %v",
+				len(n.late), lateAfter, n.late[:min(len(n.late), 5)])
 		}
 	}
 	if len(total.lost) > 0 {
@@ -265,8 +267,9 @@
 	if after.heap > before.heap+stormHeap {
 		t.Errorf("the heap grew from %d to %d bytes", before.heap, after.heap)
 	}
-	t.Logf("served %d, refused %d, sent again since a connection ended as they came %d; goroutines %d and %d, descriptors %d and %d, heap %d and %d KiB",
-		total.served, total.shed, total.resent, before.goroutines, after.goroutines, before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
+	t.Logf("served %d, refused %d, sent again since a connection ended as they came %d", total.served, total.shed, total.resent)
+	t.Logf("goroutines %d and %d, descriptors %d and %d, heap %d and %d KiB", before.goroutines, after.goroutines,
+		before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
 }
 
 // The storm's own checks must detect the faults that they are for.
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -27,7 +27,8 @@
 		t.Error("what did not change was built anew")
 	}
 	sendOn(t, nc, in)
-	s.reload(t, listen1+strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)+poolOf("b", b)+lookRoute)
+	changed := strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)
+	s.reload(t, listen1+changed+poolOf("b", b)+lookRoute)
 	if s.installed.pools["a"] == was["a"] || s.installed.pools["b"] != was["b"] {
 		t.Error("a pool that changed was kept, or one that did not was not")
 	}
@@ -128,7 +129,8 @@
 	defer taken.Close()
 	was, listeners := s.installed, fmt.Sprint(s.Addrs())
 	free := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
-	err = s.Reload(parseService(t, free+fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())+poolOf("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
+	inUse := fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())
+	err = s.Reload(parseService(t, free+inUse+poolOf("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
 	if err == nil || !strings.Contains(err.Error(), "listener late") {
 		t.Errorf("error %v", err)
 	}
@@ -171,7 +173,11 @@
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "no listener is draining", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drainingListeners) == 0 })
+	testpeer.Until(t, "no listener is draining", func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return len(s.drainingListeners) == 0
+	})
 }
 
 func TestConcurrentReloadsAndReloadDuringShutdown(t *testing.T) {
@@ -186,7 +192,8 @@
 		})
 		busy.Go(func() {
 			// 503 is allowed: the one member of each list is new there, and warming up.
-			if resp, _ := sendGet(t, s.addressOf("one"), "h", "/"); resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
+			resp, _ := sendGet(t, s.addressOf("one"), "h", "/")
+			if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Error(resp.Status)
 			}
 		})
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -85,7 +85,8 @@
 	s := startPlatform(t, e.Listener.Addr().String())
 	ctx, leave := context.WithCancel(context.Background())
 	go func() { <-came; leave() }()
-	if _, err := http.DefaultClient.Do(s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)); !errors.Is(err, context.Canceled) {
+	r := s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
+	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
 	select {
@@ -182,7 +183,8 @@
 // A body that never ends must not hold its connection, whatever else is wrong with the request.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }}, e.Addr)
+	shortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
+	s := startPlatformWith(t, "{}", []func(*config.Service){shortTimeout}, e.Addr)
 	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -40,7 +40,8 @@
 	r.Host = "x.B.example."
 	r.Header.Set("X-Secret", "s")
 	r.Header.Set("X-Pool", "mine")
-	if _, text := roundTrip(t, r); !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
+	_, text := roundTrip(t, r)
+	if !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
 		t.Errorf("x.b.example: %q", text)
 	}
 	for target, want := range map[string]int{"/": 404, "/a//b": 400, "/a%2fb": 400, "/../x": 400, "/a;b": 400} {
@@ -54,16 +55,29 @@
 	a := echoEndpoint(t, "A")
 	const route = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
 	for way, want := range map[string][]string{
-		"set":    {"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n", "X-Forwarded-Proto: http\r\n", "Forwarded: for=127.0.0.1;host=\"h\";proto=http\r\n"},
-		"append": {"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 6.6.6.6, 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n", "Forwarded: for=6.6.6.6, for=127.0.0.1;host=\"h\";proto=http\r\n"},
-		"drop":   {"Via: 1.0 x\r\nVia: 1.1 tuliprock"},
-		"leave":  {"Via: 1.0 x\r\n", "X-Forwarded-For: 6.6.6.6\r\n", "Forwarded: for=6.6.6.6\r\n", "X_forwarded_for: 7.7.7.7\r\n"},
+		"set": {
+			"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n",
+			"X-Forwarded-Proto: http\r\n", "Forwarded: for=127.0.0.1;host=\"h\";proto=http\r\n",
+		},
+		"append": {
+			"Via: 1.0 x\r\nVia: 1.1 tuliprock", "X-Forwarded-For: 6.6.6.6, 127.0.0.1\r\n", "X-Forwarded-Host: h\r\n",
+			"Forwarded: for=6.6.6.6, for=127.0.0.1;host=\"h\";proto=http\r\n",
+		},
+		"drop":  {"Via: 1.0 x\r\nVia: 1.1 tuliprock"},
+		"leave": {"Via: 1.0 x\r\n", "X-Forwarded-For: 6.6.6.6\r\n", "Forwarded: for=6.6.6.6\r\n", "X_forwarded_for: 7.7.7.7\r\n"},
 	} {
 		s := startFromFile(t, parseService(t, listen1+"forwarded = \""+way+"\"\n"+poolOf("a", a)+route))
 		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
 		r.Host = "h"
-		for name, value := range map[string]string{"X-Forwarded-For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Forwarded_For": "7.7.7.7",
-			"Via": "1.0 x", "Connection": "X-Forwarded-Proto, X-Hop", "X-Hop": "h", "Req-Deadline-Ms": "9000"} {
+		for name, value := range map[string]string{
+			"X-Forwarded-For": "6.6.6.6",
+			"Forwarded":       "for=6.6.6.6",
+			"X_Forwarded_For": "7.7.7.7",
+			"Via":             "1.0 x",
+			"Connection":      "X-Forwarded-Proto, X-Hop",
+			"X-Hop":           "h",
+			"Req-Deadline-Ms": "9000",
+		} {
 			r.Header.Set(name, value)
 		}
 		_, text := roundTrip(t, r)
@@ -72,7 +86,9 @@
 				t.Errorf("%s: %q lacks %q", way, text, line)
 			}
 		}
-		if strings.Contains(text, "X-Hop") || way != "leave" && strings.Contains(text, "7.7.7.7") || way == "drop" && strings.Contains(text, "orwarded") ||
+		if strings.Contains(text, "X-Hop") ||
+			way != "leave" && strings.Contains(text, "7.7.7.7") ||
+			way == "drop" && strings.Contains(text, "orwarded") ||
 			strings.Contains(text, "Req-Deadline-Ms: 9000") || !strings.Contains(text, "Req-Id: ") {
 			t.Errorf("%s: %q", way, text)
 		}
@@ -95,13 +111,17 @@
 		}
 	}))
 	defer e.Close()
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Listener.Addr().String())+"[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n[[route]]\npool = \"a\"\nclass = \"look\"\n"))
+	const postRoute = "[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n"
+	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Listener.Addr().String())+postRoute+lookRoute))
 	for _, c := range []struct {
 		method string
 		status int
 		want   int
-	}{{"GET", 200, 200}, {"GET", 204, 204}, {"GET", 302, 302}, {"GET", 304, 304}, {"GET", 404, 404}, {"HEAD", 200, 200}, {"GET", 500, 500}, {"POST", 201, 201}, {"POST", 409, 409},
-		{"POST", 500, 500}, {"POST", 502, 502}, {"POST", 503, 502}, {"POST", 429, 502}} {
+	}{
+		{"GET", 200, 200}, {"GET", 204, 204}, {"GET", 302, 302}, {"GET", 304, 304}, {"GET", 404, 404}, {"GET", 500, 500},
+		{"HEAD", 200, 200},
+		{"POST", 201, 201}, {"POST", 409, 409}, {"POST", 500, 500}, {"POST", 502, 502}, {"POST", 503, 502}, {"POST", 429, 502},
+	} {
 		r, _ := http.NewRequest(c.method, fmt.Sprintf("http://%s/%d", s.addressOf("one"), c.status), nil)
 		resp, text := roundTrip(t, r)
 		if resp.StatusCode != c.want {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -93,9 +93,14 @@
 
 // The grace period follows from the deadlines in the settings, and is never longer than the platform's.
 func TestGracePeriodFollowsFromSettings(t *testing.T) {
-	for limits, want := range map[[2]int]time.Duration{{500, 800}: 1500 * time.Millisecond, {500, 6000}: 3700 * time.Millisecond, {0, 500}: 3700 * time.Millisecond} {
+	for limits, want := range map[[2]int]time.Duration{ // of the two classes, in ms; 0: none
+		{500, 800}:  1500 * time.Millisecond,
+		{500, 6000}: 3700 * time.Millisecond,
+		{0, 500}:    3700 * time.Millisecond,
+	} {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7","settings":{"Lanes":[
-			{"Name":"x","Semantics":"read_like","HardLimitUs":%d},{"Name":"y","Semantics":"non_idempotent","HardLimitUs":%d}]}}`, 1000*limits[0], 1000*limits[1])
+			{"Name":"x","Semantics":"read_like","HardLimitUs":%d},{"Name":"y","Semantics":"non_idempotent","HardLimitUs":%d}]}}`,
+			1000*limits[0], 1000*limits[1])
 		c, err := config.Parse([]byte(text), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -31,7 +31,7 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+payRoute))
 	const unfinished = "a chunk of 16 digits" // its body is never complete
 	const secret = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	post := func(headers, body string) string { return "POST /x HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + body }
@@ -94,7 +94,8 @@
 				t.Errorf("a second answer: %q", rest)
 			}
 			passed := answer.StatusCode == http.StatusOK
-			if refused := answer.StatusCode == http.StatusBadRequest || answer.StatusCode == http.StatusNotImplemented; /* RFC 9112, 6.1 */ passed != shape.passes || !passed && !refused {
+			rejected := answer.StatusCode == http.StatusBadRequest || answer.StatusCode == http.StatusNotImplemented // RFC 9112, 6.1
+			if passed != shape.passes || !passed && !rejected {
 				t.Errorf("answered %d %q", answer.StatusCode, body)
 			}
 		})
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -15,8 +15,6 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-const payRoute = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
-
 // slowUpload begins an upload and returns its connection, to send on, and the response.
 func slowUpload(t *testing.T, addr string, size int) (nc net.Conn, answer chan string) {
 	t.Helper()
@@ -54,7 +52,8 @@
 		}
 	}))
 	defer e.Close()
-	s := startFromFile(t, parseService(t, "[daemon]\ndrain_timeout = \"1s\"\n"+streamingListener+poolOf("a", e.Listener.Addr().String())+payRoute))
+	file := "[daemon]\ndrain_timeout = \"1s\"\n" + streamingListener + poolOf("a", e.Listener.Addr().String()) + payRoute
+	s := startFromFile(t, parseService(t, file))
 	addr := s.addressOf("one")
 	quick, quickAnswer := slowUpload(t, addr, 1<<20)
 	quick.Write(textOf(64 << 10))
@@ -160,7 +159,8 @@
 		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
 		nc.Write(textOf(64 << 10))
 		got := <-answer // the body never ends, and the connection does
-		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") || !strings.Contains(got, "Connection: close") {
+		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") ||
+			!strings.Contains(got, "Connection: close") {
 			t.Errorf("%d: %q", status, got)
 		}
 	}
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestStreamingBodiesAreForwardedComplete(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t), bulkEndpoint(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t), bulkEndpoint(t))+payRoute))
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 200_000, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
 			size, after := n, ""
@@ -71,7 +71,8 @@
 			if chunked {
 				query += "&chunked=1"
 			}
-			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newGetRequest("http://" + s.addressOf("one") + "/down" + query))
+			get := newGetRequest("http://" + s.addressOf("one") + "/down" + query)
+			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(get)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,9 +98,10 @@
 }
 
 func TestRequestTrailersAreForwardedExceptFramingFields(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t))+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t))+payRoute))
 	nc, in, _ := openConnection(t, s.addressOf("one"))
-	io.WriteString(nc, "POST /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-After\r\n\r\n3;ext=1\r\nabc\r\n0\r\nX-After: yes\r\nContent-Length: 7\r\n\r\n")
+	io.WriteString(nc, "POST /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-After\r\n\r\n"+
+		"3;ext=1\r\nabc\r\n0\r\nX-After: yes\r\nContent-Length: 7\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +123,7 @@
 		read, _ = io.Copy(io.Discard, r.Body)
 	}))
 	t.Cleanup(e.Close)
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Listener.Addr().String())+"[[route]]\npool = \"a\"\nclass = \"pay\"\n"))
+	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Listener.Addr().String())+payRoute))
 	for path, want := range map[string]string{"/no": "HTTP/1.1 417 ", "/yes": "HTTP/1.1 100 "} {
 		nc, in, _ := openConnection(t, s.addressOf("one"))
 		io.WriteString(nc, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n")
