--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -13,7 +13,7 @@
 const responseTimeout = 900 * time.Millisecond
 
 // Handlers carry the commands out. They are called by many goroutines at once. Each that takes a context must return
-// when that ends, and none may keep the body.
+// when that ends. The body is the handler's own.
 type Handlers struct {
 	// IsReady tells whether this process takes clients.
 	IsReady func() bool
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -161,13 +161,13 @@
 	for _, class := range []string{"look", "pay", "book"} {
 		sum, want := int64(0), seen["gone "+class]
 		for _, how := range []string{"ok.", "shed.", "errors."} {
-			n, told := got[how+class], seen[how+class]
-			if sum, want = sum+n, want+told; n < told || n > told+seen["gone "+class] {
-				t.Errorf("%s%s: %d, callers saw %d and %d had left", how, class, n, told, seen["gone "+class])
+			n, counted := got[how+class], seen[how+class]
+			if sum, want = sum+n, want+counted; n < counted || n > counted+seen["gone "+class] {
+				t.Errorf("%s%s: %d, clients saw %d and %d had disconnected", how, class, n, counted, seen["gone "+class])
 			}
 		}
 		if short := want - sum; short < 0 || short > seen["gone "+class] { // a client that disconnected may never have been counted
-			t.Errorf("%s: %d ended, callers know of %d", class, sum, want)
+			t.Errorf("%s: %d ended, clients know of %d", class, sum, want)
 		}
 	}
 	if got["bad"] != seen["bad"] || got["tries"] != wrote.Load() || got["pool_size"] != 3 {
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -27,7 +27,7 @@
 	transport    *transport.Transport
 	log          *slog.Logger
 	spec         config.FleetSpec // as it was started
-	dividesPools bool             // the pools are told how many members share them
+	dividesPools bool             // the pools get the number of members that share them
 	stop         func()           // ends the goroutines
 	goroutines   sync.WaitGroup
 
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -174,15 +174,15 @@
 }
 
 // judge returns an error if a cell is not as the page has it.
-func judge(c *cell, answer string, rows []*expectation) error {
+func judge(c *cell, outcome string, rows []*expectation) error {
 	for _, e := range rows {
 		if !e.covers(c) {
 			continue
 		}
 		e.matches.Add(1)
 		switch {
-		case !listContains(strings.Join(e.outcomes, ","), answer):
-			return fmt.Errorf("answered %q, want %v (row %d)", answer, e.outcomes, e.line)
+		case !listContains(strings.Join(e.outcomes, ","), outcome):
+			return fmt.Errorf("answered %q, want %v (row %d)", outcome, e.outcomes, e.line)
 		case c.runs > e.runs:
 			return fmt.Errorf("ran %d times, %d allowed (row %d)", c.runs, e.runs, e.line)
 		case c.mostConnections > 1:
@@ -249,11 +249,11 @@
 	before, files := settledGoroutines(), measureResources().descriptors
 	var busy sync.WaitGroup
 	var bad atomic.Int32
-	room := make(chan bool, 16)
+	slots := make(chan bool, 16)
 	for _, c := range cells {
 		busy.Go(func() {
-			room <- true
-			defer func() { <-room }()
+			slots <- true
+			defer func() { <-slots }()
 			answer := c.playClient(t, s.addressOf("one"))
 			// The next request gets a response of its own, or none.
 			for i := range 2 {
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -17,18 +17,18 @@
 
 // measureP99 sends to one pool at a steady rate on connections of its own, and returns the 99th percentile of the latency
 // from when each request was due.
-func measureP99(tb testing.TB, addr string, callers int, each time.Duration, total time.Duration) time.Duration {
+func measureP99(tb testing.TB, addr string, clients int, each time.Duration, total time.Duration) time.Duration {
 	tb.Helper()
 	var mu sync.Mutex
 	var took []time.Duration
 	var busy sync.WaitGroup
-	began := time.Now()
-	for i := range callers {
+	startedAt := time.Now()
+	for i := range clients {
 		busy.Go(func() {
 			nc, in, _ := openConnection(tb, addr)
 			for n := 0; ; n++ {
-				due := began.Add(each*time.Duration(n) + each*time.Duration(i)/time.Duration(callers))
-				if due.Sub(began) > total {
+				due := startedAt.Add(each*time.Duration(n) + each*time.Duration(i)/time.Duration(clients))
+				if due.Sub(startedAt) > total {
 					return
 				}
 				time.Sleep(time.Until(due))
@@ -48,9 +48,9 @@
 }
 
 // startLoad sends to a pool whose endpoints hang, until stop is closed, from clients that don't wait for one another.
-func startLoad(addr string, callers int, stop chan bool) *sync.WaitGroup {
+func startLoad(addr string, clients int, stop chan bool) *sync.WaitGroup {
 	var busy sync.WaitGroup
-	for range callers {
+	for range clients {
 		busy.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for {
@@ -121,14 +121,14 @@
 		t.Skip("ISOLATION is not set: a measurement, for a quiet machine")
 	}
 	well, hang := startIsolated(t, os.Getenv("APART") != "")
-	callers, _ := strconv.Atoi(os.Getenv("CALLERS"))
+	clients, _ := strconv.Atoi(os.Getenv("CALLERS"))
 	var quiet, beside, ratio []float64
 	for i := range pairs {
 		measure := func(hung bool) float64 {
 			stop := make(chan bool)
 			n := 0
 			if hung {
-				n = callers
+				n = clients
 			}
 			busy := startLoad(hang, n, stop)
 			time.Sleep(300 * time.Millisecond)
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -120,14 +120,14 @@
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("while it drains: %q", got)
 	}
-	burst("given back while it drains")
+	burst("restored while it drains")
 	s.adminCommand(t, "set-down a")
 	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
-		t.Errorf("while it is listed no more: %q", got)
+		t.Errorf("after it was removed: %q", got)
 	}
-	burst("given back while it is listed no more")
+	burst("restored after it was removed")
 	if got := s.adminCommand(t, "set-up a"); !strings.HasPrefix(got, "FAILURE") {
-		t.Errorf("once it is neither listed nor out: %q", got)
+		t.Errorf("once it is neither listed nor ejected: %q", got)
 	}
 }
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -131,7 +131,7 @@
 
 // Streaming bodies both ways at once arrive complete, and the memory for them is bounded.
 func TestPlatformStreamingBodies(t *testing.T) {
-	const size, callers = 4 << 20, 24
+	const size, clients = 4 << 20, 24
 	text := make([]byte, size)
 	for i := range text {
 		text[i] = byte(rand.Uint32())
@@ -153,7 +153,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var work sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		work.Go(func() {
 			r := s.request(t, http.MethodPost, "/pay", fmt.Sprint(i), 20000)
 			r.Body = io.NopCloser(bytes.NewReader(text))
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -216,11 +216,11 @@
 	var place atomic.Value
 	place.Store(places[0])
 	stop := make(chan bool)
-	callers := make([]*stormClient, stormClients)
+	clients := make([]*stormClient, stormClients)
 	var busy sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		c := &stormClient{seen: &seen}
-		callers[i] = c
+		clients[i] = c
 		busy.Go(func() {
 			defer c.drop()
 			for n := 0; ; n++ {
@@ -241,7 +241,7 @@
 	close(stop)
 	busy.Wait()
 	var total stormClient
-	for _, c := range callers {
+	for _, c := range clients {
 		total.served, total.shed, total.resent = total.served+c.served, total.shed+c.shed, total.resent+c.resent
 		total.lost = append(total.lost, c.lost...)
 	}
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -40,7 +40,7 @@
 	}
 	var left int
 	if _, err := fmt.Sscan(in.Header.Get("Req-Deadline-Ms"), &left); err != nil || left < 1 || left >= 4000 {
-		t.Errorf("the endpoint was told to have %d ms: %v", left, err)
+		t.Errorf("the endpoint got a deadline of %d ms: %v", left, err)
 	}
 }
 
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -16,8 +16,8 @@
 		t.Fatal(err)
 	}
 	addr := h.Addr().String()
-	const callers = 300
-	accepted := make(chan bool, callers)
+	const clients = 300
+	accepted := make(chan bool, clients)
 	serve := func(h *socketHandle) chan error {
 		ended := make(chan error, 1)
 		go func() {
@@ -35,7 +35,7 @@
 	}
 	ended := serve(h)
 	go func() {
-		for range callers {
+		for range clients {
 			nc, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Error(err)
@@ -63,7 +63,7 @@
 		}
 		h, ended = next, nextEnded
 	}
-	for range callers {
+	for range clients {
 		select {
 		case <-accepted:
 		case <-time.After(testpeer.Patience):
