--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -87,6 +87,46 @@
 	}
 }
 
+// sendOfKind sends a request of a kind that respondByID knows, or one that is "bad", or whose client is "gone" while its
+// response is awaited, or just after. It returns the outcome as the metrics name it.
+func (s *platformSidecar) sendOfKind(t *testing.T, client *http.Client, kind, class, id string) (string, error) {
+	t.Helper()
+	method := http.MethodPost
+	if class == "look" {
+		method = http.MethodGet
+	}
+	r := s.request(t, method, "/"+class, kind+"-"+id, 8000)
+	switch kind {
+	case "bad":
+		r.Header.Set("Req-Deadline-Ms", "soon")
+	case "gone":
+		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Millisecond)
+		defer cancel()
+		r = r.WithContext(ctx)
+		r.Header.Set("Req-Id", "slow-"+id)
+	}
+	resp, err := client.Do(r)
+	if err != nil {
+		if kind == "gone" {
+			return "gone " + class, nil
+		}
+		return "", err
+	}
+	defer resp.Body.Close()
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		return "", err
+	}
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return "ok." + class, nil
+	case http.StatusServiceUnavailable:
+		return "shed." + class, nil
+	case http.StatusBadRequest:
+		return "bad", nil
+	}
+	return "errors." + class, nil
+}
+
 // Every accepted request is counted once, with the outcome that its client saw, and every attempt that an endpoint saw.
 func TestMetricsMatchWhatClientsAndEndpointsCounted(t *testing.T) {
 	var wrote atomic.Int64
@@ -97,11 +137,6 @@
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
 	var mu sync.Mutex
 	seen := map[string]int64{}
-	see := func(what string) {
-		mu.Lock()
-		defer mu.Unlock()
-		seen[what]++
-	}
 	const workers, each = 12, 150
 	var work sync.WaitGroup
 	for w := range workers {
@@ -111,43 +146,14 @@
 			for i := range each {
 				kind := []string{"good", "error", "full", "breaks", "slow", "good", "bad", "gone"}[i%8]
 				class := []string{"look", "pay", "book"}[i%3]
-				method := http.MethodPost
-				if class == "look" {
-					method = http.MethodGet
-				}
-				r := s.request(t, method, "/"+class, fmt.Sprint(kind, "-", w, "-", i), 8000)
-				switch kind {
-				case "bad":
-					r.Header.Set("Req-Deadline-Ms", "soon")
-				case "gone": // while its response is awaited, or just after
-					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Millisecond)
-					defer cancel()
-					r = r.WithContext(ctx)
-					r.Header.Set("Req-Id", fmt.Sprint("slow-", w, "-", i))
-				}
-				resp, err := client.Do(r)
-				switch {
-				case err != nil && kind == "gone":
-					see("gone " + class)
-					continue
-				case err != nil:
+				outcome, err := s.sendOfKind(t, &client, kind, class, fmt.Sprint(w, "-", i))
+				if err != nil {
 					t.Error(kind, class, err)
 					continue
 				}
-				_, err = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				switch {
-				case err != nil:
-					t.Error(kind, class, err)
-				case resp.StatusCode == http.StatusOK:
-					see("ok." + class)
-				case resp.StatusCode == http.StatusServiceUnavailable:
-					see("shed." + class)
-				case resp.StatusCode == http.StatusBadRequest:
-					see("bad")
-				default:
-					see("errors." + class)
-				}
+				mu.Lock()
+				seen[outcome]++
+				mu.Unlock()
 			}
 		})
 	}
@@ -166,7 +172,8 @@
 				t.Errorf("%s%s: %d, clients saw %d and %d had disconnected", how, class, n, counted, seen["gone "+class])
 			}
 		}
-		if short := want - sum; short < 0 || short > seen["gone "+class] { // a client that disconnected may never have been counted
+		// A client that disconnected may never have been counted.
+		if short := want - sum; short < 0 || short > seen["gone "+class] {
 			t.Errorf("%s: %d ended, clients know of %d", class, sum, want)
 		}
 	}
