--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -25,9 +25,9 @@
 
 func (c clock) at(t time.Time) time.Duration { return clockStart + t.Sub(c.started) }
 
-// instant converts wall time. The offset is fixed: the same start must always give the same instant, or an old one
+// fromUnixMillis converts wall time. The offset is fixed: the same start must always give the same instant, or an old one
 // would pass for a restart.
-func (c clock) instant(unixMs int64) time.Duration {
+func (c clock) fromUnixMillis(unixMs int64) time.Duration {
 	if unixMs <= 0 {
 		return 0
 	}
@@ -72,29 +72,29 @@
 	Here func() bool
 
 	// The loop's own:
-	over    atomic.Bool       // answered, or the caller has left; the loop alone sets it, attempts that have written nothing yet look at it
-	ranAt   time.Duration     // when the first attempt that may have run was sent; 0: none may have
-	last    upstream.Response // of the latest attempt that ended, if it brought one
-	cancels []context.CancelFunc
-	out     int // attempts out
+	isOver           atomic.Bool       // answered, or the caller has left; the loop alone sets it, attempts that have written nothing yet look at it
+	mayHaveRunAt     time.Duration     // when the first attempt that may have run was sent; 0: none may have
+	lastResponse     upstream.Response // of the latest attempt that ended, if it brought one
+	cancelAttempts   []context.CancelFunc
+	attemptsInFlight int // attempts out
 }
 
 // Loop owns the Balancer. All that happens is posted to it and handled in turn by its one goroutine.
 type Loop struct {
-	clock    clock
-	balancer balance.Events
-	events   chan func(now time.Duration)
-	urgent   chan func(now time.Duration) // what must not wait behind a queue of events
-	done     chan struct{}
-	upstream Upstream
-	ask      func() // asks discovery for a watch
-	log      *slog.Logger
-
-	windows map[string]time.Duration // of keyed classes: for which their repeats are dropped
-	calls   map[string]*Call
-	members map[string]bool
-	timers  []time.Duration           // sorted
-	later   []func(now time.Duration) // events that arose within a Host method
+	clock        clock
+	balancer     balance.Events
+	events       chan func(now time.Duration)
+	urgent       chan func(now time.Duration) // what must not wait behind a queue of events
+	done         chan struct{}
+	upstream     Upstream
+	requestWatch func() // asks discovery for a watch
+	log          *slog.Logger
+
+	idempotencyWindows map[string]time.Duration // of keyed classes: for which their repeats are dropped
+	calls              map[string]*Call
+	endpoints          map[string]bool
+	timers             []time.Duration           // sorted
+	deferred           []func(now time.Duration) // events that arose within a Host method
 }
 
 // Upstream makes the attempts; *upstream.Client does.
@@ -121,10 +121,10 @@
 // New makes a Loop. ask asks discovery for a watch and must not block.
 func New(decide Decider, s balance.Settings, u Upstream, ask func(), log *slog.Logger) *Loop {
 	l := &Loop{clock: clock{time.Now()}, events: make(chan func(time.Duration), 256), urgent: make(chan func(time.Duration)), done: make(chan struct{}),
-		upstream: u, ask: ask, log: log, windows: map[string]time.Duration{}, calls: map[string]*Call{}, members: map[string]bool{}}
+		upstream: u, requestWatch: ask, log: log, idempotencyWindows: map[string]time.Duration{}, calls: map[string]*Call{}, endpoints: map[string]bool{}}
 	for _, c := range s.Classes {
 		if c.Effect == balance.Keyed {
-			l.windows[c.Name] = c.Window
+			l.idempotencyWindows[c.Name] = c.Window
 		}
 	}
 	l.balancer = decide(l.clock.now(), s, host{l})
@@ -147,7 +147,7 @@
 
 // ResourceCounts tells how much the Loop holds of each sort. Like Start, Leave and List it is called from an event.
 func (l *Loop) ResourceCounts() (calls, members, events, timers int) {
-	return len(l.calls), len(l.members), len(l.later), len(l.timers)
+	return len(l.calls), len(l.endpoints), len(l.deferred), len(l.timers)
 }
 
 // Post hands an event to the loop. It must not be called from within the loop.
@@ -204,7 +204,7 @@
 	defer close(l.done)
 	defer func() {
 		for _, c := range l.calls {
-			for _, cancel := range c.cancels {
+			for _, cancel := range c.cancelAttempts {
 				cancel()
 			}
 		}
@@ -223,23 +223,23 @@
 		case event := <-l.events:
 			l.handle(event)
 		case <-alarm.C:
-			l.handle(l.ring)
+			l.handle(l.fireTimers)
 		}
 	}
 }
 
 func (l *Loop) handle(event func(now time.Duration)) {
 	event(l.clock.now())
-	for len(l.later) > 0 {
-		next := l.later[0]
-		l.later = l.later[1:]
+	for len(l.deferred) > 0 {
+		next := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		next(l.clock.now())
 	}
 }
 
-// ring reports the timers that are due. One asked for meanwhile waits for the next turn, so that timers can't keep
+// fireTimers reports the timers that are due. One asked for meanwhile waits for the next turn, so that timers can't keep
 // other events out.
-func (l *Loop) ring(now time.Duration) {
+func (l *Loop) fireTimers(now time.Duration) {
 	due, _ := slices.BinarySearch(l.timers, now+1)
 	l.timers = slices.Delete(l.timers, 0, due)
 	for range due {
@@ -263,99 +263,99 @@
 
 // ClientDisconnected reports that the caller of a request has gone. It is false if the request had its final answer before.
 func (l *Loop) ClientDisconnected(now time.Duration, c *Call) bool {
-	if l.calls[c.ID] != c || c.over.Load() {
+	if l.calls[c.ID] != c || c.isOver.Load() {
 		return false
 	}
-	c.over.Store(true)
+	c.isOver.Store(true)
 	l.balancer.ClientLeft(now, c.ID)
-	l.forget(c)
+	l.releaseIfEnded(c)
 	return true
 }
 
-// finish gives the final answer, once.
-func (l *Loop) finish(c *Call, r Reply) {
-	if c == nil || c.over.Load() {
+// reply gives the final answer, once.
+func (l *Loop) reply(c *Call, r Reply) {
+	if c == nil || c.isOver.Load() {
 		return
 	}
-	c.over.Store(true)
+	c.isOver.Store(true)
 	c.Replies <- r
-	l.forget(c)
+	l.releaseIfEnded(c)
 }
 
-// forget drops a call of which nothing is to come any more.
-func (l *Loop) forget(c *Call) {
-	if c.over.Load() && c.out == 0 && l.calls[c.ID] == c {
+// releaseIfEnded drops a call of which nothing is to come any more.
+func (l *Loop) releaseIfEnded(c *Call) {
+	if c.isOver.Load() && c.attemptsInFlight == 0 && l.calls[c.ID] == c {
 		delete(l.calls, c.ID)
 	}
 }
 
-// ended reports the end of an attempt. A whole answer is passed on at once; one that comes too late is dropped.
-func (l *Loop) ended(now time.Duration, c *Call, o balance.Outcome, sent time.Duration, a upstream.Response) {
-	c.out--
-	c.last = a
+// attemptEnded reports the end of an attempt. A whole answer is passed on at once; one that comes too late is dropped.
+func (l *Loop) attemptEnded(now time.Duration, c *Call, o balance.Outcome, sent time.Duration, a upstream.Response) {
+	c.attemptsInFlight--
+	c.lastResponse = a
 	if u := c.Message.Upload; u != nil {
 		o.Spent = u.Spent()
 		if u.Err() != nil { // the caller's fault, and its end
 			l.ClientDisconnected(now, c)
 		}
 	}
-	if o.Result == balance.NotSent && !c.here() && l.ClientDisconnected(now, c) {
+	if o.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
 		c.Replies <- Reply{Verdict: Left} // whoever waits for the answer may not have seen it
 	}
-	if c.ranAt == 0 && o.Result.MayHaveRun() {
-		c.ranAt = sent
+	if c.mayHaveRunAt == 0 && o.Result.MayHaveRun() {
+		c.mayHaveRunAt = sent
 	}
-	o.Took, o.Final = now-sent, c.over.Load()
-	if o.Result == balance.OK && !c.over.Load() {
+	o.Took, o.Final = now-sent, c.isOver.Load()
+	if o.Result == balance.OK && !c.isOver.Load() {
 		o.Final = true
-		l.finish(c, Reply{Verdict: Served, Answer: a})
+		l.reply(c, Reply{Verdict: Served, Answer: a})
 	}
 	l.balancer.Outcome(now, o)
-	l.forget(c)
+	l.releaseIfEnded(c)
 }
 
-// here tells whether the caller still waits, as far as it can be told.
-func (c *Call) here() bool { return c.Here == nil || c.Here() }
+// isClientConnected tells whether the caller still waits, as far as it can be told.
+func (c *Call) isClientConnected() bool { return c.Here == nil || c.Here() }
 
-// wanted makes the question that an attempt asks last, before its first byte goes out: is the request still to be sent? It is
+// wantedFunc makes the question that an attempt asks last, before its first byte goes out: is the request still to be sent? It is
 // not once it has its answer or its caller has left, nor, if it may have run before, once nobody drops its repeats any more. The
 // module decided before the connection came up. What the loop knows comes last: it may learn of an end while the kernel is asked.
-func (l *Loop) wanted(c *Call) func() bool {
+func (l *Loop) wantedFunc(c *Call) func() bool {
 	last := time.Duration(math.MaxInt64)
-	if window, keyed := l.windows[c.Class]; keyed && c.ranAt > 0 {
-		last = c.ranAt + window
+	if window, keyed := l.idempotencyWindows[c.Class]; keyed && c.mayHaveRunAt > 0 {
+		last = c.mayHaveRunAt + window
 	}
-	return func() bool { return c.here() && !c.over.Load() && l.clock.now() < last }
+	return func() bool { return c.isClientConnected() && !c.isOver.Load() && l.clock.now() < last }
 }
 
 // bodySent reports that the last byte of an attempt whose body flows has gone out.
 func (l *Loop) bodySent(now time.Duration, c *Call, n int) {
-	if !c.over.Load() && c.Patience > 0 {
+	if !c.isOver.Load() && c.Patience > 0 {
 		c.Deadline = min(now+c.Patience, c.Flow)
 	}
 	l.balancer.BodySent(now, c.ID, n, c.Deadline)
 }
 
-// begun gives an answer that has begun to flow to the caller, and tells whether that one still waits for it. From then on
+// streamStarted gives an answer that has begun to flow to the caller, and tells whether that one still waits for it. From then on
 // it is the caller's, whatever becomes of it.
-func (l *Loop) begun(now time.Duration, c *Call, n int, a upstream.Response) bool {
-	if c.over.Load() {
+func (l *Loop) streamStarted(now time.Duration, c *Call, n int, a upstream.Response) bool {
+	if c.isOver.Load() {
 		return false
 	}
-	c.over.Store(true)
+	c.isOver.Store(true)
 	c.Replies <- Reply{Verdict: Served, Answer: a}
 	l.balancer.StreamStarted(now, c.ID, n)
 	return true
 }
 
-// watch makes what happens during an attempt events.
-func (l *Loop) watch(c *Call, n int) upstream.AttemptHooks {
+// attemptHooks makes what happens during an attempt events.
+func (l *Loop) attemptHooks(c *Call, n int) upstream.AttemptHooks {
 	return upstream.AttemptHooks{
-		Wanted: l.wanted(c),
+		Wanted: l.wantedFunc(c),
 		Sent:   func() { l.Post(func(now time.Duration) { l.bodySent(now, c, n) }) },
 		Begun: func(a upstream.Response) bool {
 			taken := make(chan bool, 1)
-			l.Post(func(now time.Duration) { taken <- l.begun(now, c, n, a) })
+			l.Post(func(now time.Duration) { taken <- l.streamStarted(now, c, n, a) })
 			select {
 			case ok := <-taken:
 				return ok
@@ -372,27 +372,27 @@
 	listed := map[string]bool{}
 	for _, s := range m.Servers {
 		out.Entries = append(out.Entries, balance.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
-			Cell: s.Cell, Started: l.clock.instant(s.StartedMs)})
+			Cell: s.Cell, Started: l.clock.fromUnixMillis(s.StartedMs)})
 		listed[s.ID] = true
 		if s.State == balance.Gone {
-			l.remove(s.ID)
+			l.removeEndpoint(s.ID)
 			continue
 		}
-		l.members[s.ID] = true
+		l.endpoints[s.ID] = true
 		l.upstream.SetMember(s.ID, s.Addr, s.State == balance.Ready)
 	}
 	if m.Full {
-		for id := range l.members {
+		for id := range l.endpoints {
 			if !listed[id] {
-				l.remove(id)
+				l.removeEndpoint(id)
 			}
 		}
 	}
 	l.balancer.EndpointList(now, out)
 }
 
-func (l *Loop) remove(id string) {
-	delete(l.members, id)
+func (l *Loop) removeEndpoint(id string) {
+	delete(l.endpoints, id)
 	l.upstream.RemoveMember(id)
 }
 
@@ -408,52 +408,52 @@
 	if c == nil {
 		return // not a request of ours: nothing to report either
 	}
-	o := balance.Outcome{ID: id, Attempt: len(c.cancels), Endpoint: endpoint}
+	o := balance.Outcome{ID: id, Attempt: len(c.cancelAttempts), Endpoint: endpoint}
 	sent := h.clock.now()
 	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.Flow)-sent))
-	c.cancels = append(c.cancels, cancel)
-	c.out++
-	if c.over.Load() {
+	c.cancelAttempts = append(c.cancelAttempts, cancel)
+	c.attemptsInFlight++
+	if c.isOver.Load() {
 		o.Result = balance.NotSent
-		h.later = append(h.later, func(now time.Duration) { h.ended(now, c, o, sent, upstream.Response{}) })
+		h.deferred = append(h.deferred, func(now time.Duration) { h.attemptEnded(now, c, o, sent, upstream.Response{}) })
 		return
 	}
-	watch := h.watch(c, o.Attempt)
+	watch := h.attemptHooks(c, o.Attempt)
 	go func() {
 		var a upstream.Response
 		o.Result, o.Reused, a = h.upstream.Attempt(ctx, endpoint, c.Message, watch)
 		cancel()
-		h.Post(func(now time.Duration) { h.ended(now, c, o, sent, a) })
+		h.Post(func(now time.Duration) { h.attemptEnded(now, c, o, sent, a) })
 	}()
 }
 
 // Cancel implements balance.Host.
 func (h host) Cancel(id string, n int) {
-	if c := h.calls[id]; c != nil && n >= 0 && n < len(c.cancels) {
-		c.cancels[n]()
+	if c := h.calls[id]; c != nil && n >= 0 && n < len(c.cancelAttempts) {
+		c.cancelAttempts[n]()
 	}
 }
 
 // Refuse implements balance.Host.
 func (h host) Refuse(id string, retryAfter time.Duration) {
 	c := h.calls[id]
-	if c != nil && c.last.Status != 0 { // an endpoint's own error says more to the caller, and promises less
+	if c != nil && c.lastResponse.Status != 0 { // an endpoint's own error says more to the caller, and promises less
 		h.Fail(id)
 		return
 	}
-	h.finish(c, Reply{Verdict: Refused, RetryAfter: retryAfter})
+	h.reply(c, Reply{Verdict: Refused, RetryAfter: retryAfter})
 }
 
 // Fail implements balance.Host.
 func (h host) Fail(id string) {
 	if c := h.calls[id]; c != nil {
-		h.finish(c, Reply{Verdict: Failed, Answer: c.last})
+		h.reply(c, Reply{Verdict: Failed, Answer: c.lastResponse})
 	}
 }
 
 // Probe implements balance.Host. Probing endpoints is ruled out; the settings given to the module never allow it.
 func (h host) Probe(endpoint string) {
-	h.later = append(h.later, func(now time.Duration) {
+	h.deferred = append(h.deferred, func(now time.Duration) {
 		h.balancer.Probed(now, balance.ProbeResult{Endpoint: endpoint, Result: balance.NotSent})
 	})
 }
@@ -462,7 +462,7 @@
 func (h host) Idle(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
 
 // Subscribe implements balance.Host.
-func (h host) Subscribe() { h.ask() }
+func (h host) Subscribe() { h.requestWatch() }
 
 // Timer implements balance.Host.
 func (h host) Timer(at time.Duration) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,13 +12,13 @@
 func TestStartsOfEndpointsBecomeInstants(t *testing.T) {
 	c := clock{time.Now()}
 	at := c.started.UnixMilli()
-	if c.instant(0) != 0 {
-		t.Errorf("long ago: %v", c.instant(0))
+	if c.fromUnixMillis(0) != 0 {
+		t.Errorf("long ago: %v", c.fromUnixMillis(0))
 	}
-	if got := c.instant(at - 2000); got != clockStart-2*time.Second {
+	if got := c.fromUnixMillis(at - 2000); got != clockStart-2*time.Second {
 		t.Errorf("two seconds before the start: %v", got)
 	}
-	if got := c.instant(1); got != 0 {
+	if got := c.fromUnixMillis(1); got != 0 {
 		t.Errorf("years ago: %v", got)
 	}
 	if now := c.now(); now < clockStart {
@@ -26,14 +26,14 @@
 	}
 }
 
-// rearming asks for a timer that is due at once, each time one rings.
-type rearming struct {
+// rearmingModule asks for a timer that is due at once, each time one rings.
+type rearmingModule struct {
 	balance.Events
 	host  balance.Host
 	rings int
 }
 
-func (r *rearming) Timer(now time.Duration) {
+func (r *rearmingModule) Timer(now time.Duration) {
 	r.rings++
 	r.host.Timer(now)
 }
@@ -41,28 +41,28 @@
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
 func TestATimerDueAtOnceDoesNotHoldTheLoop(t *testing.T) {
 	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
-	r := &rearming{host: host{l}}
+	r := &rearmingModule{host: host{l}}
 	l.balancer = r
 	r.host.Timer(clockStart)
 	r.host.Timer(clockStart + 1)
-	l.handle(l.ring)
+	l.handle(l.fireTimers)
 	if r.rings != 2 || len(l.timers) != 2 {
 		t.Errorf("%d rings, %d timers wait", r.rings, len(l.timers))
 	}
 }
 
-// asked notes which requests a module hears of.
-type asked struct {
+// requestRecorder notes which requests a module hears of.
+type requestRecorder struct {
 	balance.Events
 	ids []string
 }
 
-func (a *asked) Request(_ time.Duration, r balance.Request) { a.ids = append(a.ids, r.ID) }
+func (a *requestRecorder) Request(_ time.Duration, r balance.Request) { a.ids = append(a.ids, r.ID) }
 
 // A request whose guard says no is refused at once, and the module never hears of it; its id is free.
 func TestAGuardIsLookedAtBeforeAnythingIsDecided(t *testing.T) {
 	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
-	module := &asked{}
+	module := &requestRecorder{}
 	l.balancer = module
 	sure := false
 	c := func() *Call {
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -21,8 +21,8 @@
 	orderDeadline = time.Second
 )
 
-// tried is an attempt at a scripted endpoint: it waits for a connection until goOn, and then for its end.
-type tried struct {
+// scriptedAttempt is an attempt at a scripted endpoint: it waits for a connection until goOn, and then for its end.
+type scriptedAttempt struct {
 	endpoint string
 	goOn     chan struct{}
 	ends     chan balance.Result
@@ -31,25 +31,25 @@
 	result balance.Result
 }
 
-func (a *tried) ran() bool {
+func (a *scriptedAttempt) ran() bool {
 	return !a.writtenAt.IsZero() && a.result != balance.Full
 }
 
-// endpoints is a scripted Upstream, with the guards that the real one has: it heeds ctx, Wanted and who takes nothing new.
-type endpoints struct {
+// scriptedUpstream is a scripted Upstream, with the guards that the real one has: it heeds ctx, Wanted and who takes nothing new.
+type scriptedUpstream struct {
 	effect balance.Effect
 
 	mu       sync.Mutex
 	takes    map[string]bool
-	attempts []*tried
+	attempts []*scriptedAttempt
 	out      int
 	wrong    []string
 	replies  []Reply
 	leftAt   time.Time // zero: the client is here
 }
 
-func (e *endpoints) Attempt(ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks) (balance.Result, bool, upstream.Response) {
-	a := &tried{endpoint: id, goOn: make(chan struct{}), ends: make(chan balance.Result, 1)}
+func (e *scriptedUpstream) Attempt(ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks) (balance.Result, bool, upstream.Response) {
+	a := &scriptedAttempt{endpoint: id, goOn: make(chan struct{}), ends: make(chan balance.Result, 1)}
 	e.mu.Lock()
 	if n := len(e.attempts); n > 0 && !e.leftAt.IsZero() && e.attempts[n-1].result == balance.NotSent && !e.attempts[n-1].endedAt.Before(e.leftAt) {
 		e.wrong = append(e.wrong, "tried again for a client that was seen to have left")
@@ -71,7 +71,7 @@
 	return r, false, answer
 }
 
-func (e *endpoints) carry(ctx context.Context, a *tried, w upstream.AttemptHooks) balance.Result {
+func (e *scriptedUpstream) carry(ctx context.Context, a *scriptedAttempt, w upstream.AttemptHooks) balance.Result {
 	select {
 	case <-a.goOn:
 	case <-ctx.Done():
@@ -96,7 +96,7 @@
 }
 
 // check holds what is about to be written against the rules. e.mu is held.
-func (e *endpoints) check(a *tried) {
+func (e *scriptedUpstream) check(a *scriptedAttempt) {
 	if !e.leftAt.IsZero() {
 		e.wrong = append(e.wrong, "written after the client had left")
 	}
@@ -116,18 +116,18 @@
 	}
 }
 
-func (e *endpoints) SetMember(id, _ string, takes bool) { e.set(id, takes) }
-func (e *endpoints) RemoveMember(id string)             { e.set(id, false) }
-func (e *endpoints) SetEjected(id string, out bool)     { e.set(id, !out) }
-func (e *endpoints) HasIdle(string) bool                { return false }
+func (e *scriptedUpstream) SetMember(id, _ string, takes bool) { e.set(id, takes) }
+func (e *scriptedUpstream) RemoveMember(id string)             { e.set(id, false) }
+func (e *scriptedUpstream) SetEjected(id string, out bool)     { e.set(id, !out) }
+func (e *scriptedUpstream) HasIdle(string) bool                { return false }
 
-func (e *endpoints) set(id string, takes bool) {
+func (e *scriptedUpstream) set(id string, takes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.takes[id] = takes
 }
 
-func (e *endpoints) latest() *tried {
+func (e *scriptedUpstream) latest() *scriptedAttempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.attempts) == 0 {
@@ -158,7 +158,7 @@
 
 // order plays one request through the steps and returns what was wrong.
 func order(effect balance.Effect, mayCancel bool, script []int) (wrong []string) {
-	e := &endpoints{effect: effect, takes: map[string]bool{}}
+	e := &scriptedUpstream{effect: effect, takes: map[string]bool{}}
 	l := New(Module, balance.Settings{Seed: 3, MayCancel: mayCancel, MaxAttempts: 4, Resolution: 5 * time.Millisecond,
 		Classes: []balance.Class{{Name: "c", Effect: effect, Group: balance.GroupCell, Window: orderWindow, Aim: orderDeadline / 2}}}, e, func() {}, slog.New(slog.DiscardHandler))
 	list := func(without string) func(time.Duration) {
