--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -7,7 +7,8 @@
 	"tuliprock/internal/discovery"
 )
 
-// UpdateEndpoints reports an update of the endpoint list by discovery, to the upstream and to the module. It is called from an event.
+// UpdateEndpoints reports an update of the endpoint list by discovery, to the upstream and to the module. It is called from
+// an event.
 func (l *Loop) UpdateEndpoints(now time.Duration, m discovery.ListUpdate) {
 	out := balance.List{Complete: m.Full}
 	listed := map[string]bool{}
@@ -51,7 +52,8 @@
 // IsKnown reports whether an endpoint is listed, or manually ejected. It is called from an event.
 func (l *Loop) IsKnown(id string) bool { return l.balancer.Knows(id) }
 
-// SetBalancerCount reports among how many daemons the endpoints are shared, and this one's place among them. It is called from an event.
+// SetBalancerCount reports among how many daemons the endpoints are shared, and this one's place among them. It is called
+// from an event.
 func (l *Loop) SetBalancerCount(now time.Duration, daemons, index int) {
 	l.balancer.Share(now, daemons, index)
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,7 +9,7 @@
 )
 
 // The same start must always be the same instant, or an old one would pass for a restart.
-func TestStartsOfEndpointsBecomeInstants(t *testing.T) {
+func TestSameStartOfAnEndpointIsTheSameInstant(t *testing.T) {
 	c := clock{time.Now()}
 	at := c.started.UnixMilli()
 	if c.fromUnixMillis(0) != 0 {
@@ -39,7 +39,7 @@
 }
 
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
-func TestATimerDueAtOnceDoesNotHoldTheLoop(t *testing.T) {
+func TestTimerDueAtOnceDoesNotStarveOtherEvents(t *testing.T) {
 	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	r := &rearmingModule{host: host{l}}
 	l.balancer = r
@@ -51,7 +51,7 @@
 	}
 }
 
-// requestRecorder notes which requests a module hears of.
+// requestRecorder notes which requests a module is asked to decide on.
 type requestRecorder struct {
 	balance.Events
 	ids []string
@@ -59,8 +59,8 @@
 
 func (a *requestRecorder) Request(_ time.Duration, r balance.Request) { a.ids = append(a.ids, r.ID) }
 
-// A request whose guard says no is refused at once, and the module never hears of it; its id is free.
-func TestAGuardIsLookedAtBeforeAnythingIsDecided(t *testing.T) {
+// A request whose guard returns false is refused at once, and never reaches the module; its id is free.
+func TestGuardIsCalledBeforeTheModuleDecides(t *testing.T) {
 	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	module := &requestRecorder{}
 	l.balancer = module
@@ -71,11 +71,11 @@
 	first := c()
 	l.Submit(clockStart, first)
 	if r := <-first.Replies; r.Verdict != Refused || r.RetryAfter != time.Second || len(module.ids) > 0 {
-		t.Errorf("%+v, and the module heard of %v", r, module.ids)
+		t.Errorf("%+v, and the module was given %v", r, module.ids)
 	}
 	sure = true
 	l.Submit(clockStart, c())
 	if len(module.ids) != 1 {
-		t.Errorf("the module heard of %v", module.ids)
+		t.Errorf("the module was given %v", module.ids)
 	}
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -21,48 +21,53 @@
 	orderDeadline = time.Second
 )
 
-// scriptedAttempt is an attempt at a scripted endpoint: it waits for a connection until goOn, and then for its end.
+// scriptedAttempt is an attempt at a scripted endpoint: it waits until it is connected, and then for its result.
 type scriptedAttempt struct {
-	endpoint string
-	goOn     chan struct{}
-	ends     chan balance.Result
+	endpoint  string
+	connected chan struct{}
+	results   chan balance.Result
 	writtenAt,
 	endedAt time.Time
 	result balance.Result
 }
 
-func (a *scriptedAttempt) ran() bool {
+func (a *scriptedAttempt) mayHaveRun() bool {
 	return !a.writtenAt.IsZero() && a.result != balance.Full
 }
 
-// scriptedUpstream is a scripted Upstream, with the guards that the real one has: it heeds ctx, Wanted and who takes nothing new.
+// scriptedUpstream is an Upstream with the guards that the real one has: it writes nothing once ctx has ended, Wanted returns
+// false or the endpoint takes nothing new.
 type scriptedUpstream struct {
 	effect balance.Effect
 
-	mu       sync.Mutex
-	takes    map[string]bool
-	attempts []*scriptedAttempt
-	out      int
-	wrong    []string
-	replies  []Reply
-	leftAt   time.Time // zero: the client is here
+	mu             sync.Mutex
+	accepting      map[string]bool
+	attempts       []*scriptedAttempt
+	inFlight       int
+	violations     []string
+	replies        []Reply
+	disconnectedAt time.Time // zero: the client is here
 }
 
-func (e *scriptedUpstream) Attempt(ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks) (balance.Result, bool, upstream.Response) {
-	a := &scriptedAttempt{endpoint: id, goOn: make(chan struct{}), ends: make(chan balance.Result, 1)}
+func (e *scriptedUpstream) Attempt(
+	ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks,
+) (balance.Result, bool, upstream.Response) {
+	a := &scriptedAttempt{endpoint: id, connected: make(chan struct{}), results: make(chan balance.Result, 1)}
 	e.mu.Lock()
-	if n := len(e.attempts); n > 0 && !e.leftAt.IsZero() && e.attempts[n-1].result == balance.NotSent && !e.attempts[n-1].endedAt.Before(e.leftAt) {
-		e.wrong = append(e.wrong, "tried again for a client that was seen to have left")
+	if n := len(e.attempts); n > 0 && !e.disconnectedAt.IsZero() {
+		if last := e.attempts[n-1]; last.result == balance.NotSent && !last.endedAt.Before(e.disconnectedAt) {
+			e.violations = append(e.violations, "another attempt for a client that was seen to have gone")
+		}
 	}
 	e.attempts = append(e.attempts, a)
-	if e.out++; e.out > 1 {
-		e.wrong = append(e.wrong, "two attempts are out")
+	if e.inFlight++; e.inFlight > 1 {
+		e.violations = append(e.violations, "two attempts are in flight")
 	}
 	e.mu.Unlock()
-	r := e.carry(ctx, a, w)
+	r := e.exchange(ctx, a, w)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.out--
+	e.inFlight--
 	a.result, a.endedAt = r, time.Now()
 	answer := upstream.Response{}
 	if r == balance.OK {
@@ -71,15 +76,15 @@
 	return r, false, answer
 }
 
-func (e *scriptedUpstream) carry(ctx context.Context, a *scriptedAttempt, w upstream.AttemptHooks) balance.Result {
+func (e *scriptedUpstream) exchange(ctx context.Context, a *scriptedAttempt, w upstream.AttemptHooks) balance.Result {
 	select {
-	case <-a.goOn:
+	case <-a.connected:
 	case <-ctx.Done():
 		return balance.ConnectFailed
 	}
 	wanted := w.Wanted()
 	e.mu.Lock()
-	if !e.takes[a.endpoint] || ctx.Err() != nil || !wanted {
+	if !e.accepting[a.endpoint] || ctx.Err() != nil || !wanted {
 		e.mu.Unlock()
 		return balance.NotSent
 	}
@@ -88,7 +93,7 @@
 	a.result = balance.TimedOut // until it has ended: it may run
 	e.mu.Unlock()
 	select {
-	case r := <-a.ends:
+	case r := <-a.results:
 		return r
 	case <-ctx.Done():
 		return balance.TimedOut
@@ -97,21 +102,21 @@
 
 // check holds what is about to be written against the rules. e.mu is held.
 func (e *scriptedUpstream) check(a *scriptedAttempt) {
-	if !e.leftAt.IsZero() {
-		e.wrong = append(e.wrong, "written after the client had left")
+	if !e.disconnectedAt.IsZero() {
+		e.violations = append(e.violations, "written after the client had disconnected")
 	}
 	if len(e.replies) > 0 {
-		e.wrong = append(e.wrong, "written after the final answer")
+		e.violations = append(e.violations, "written after the final answer")
 	}
 	for _, was := range e.attempts {
 		switch {
-		case was == a || !was.ran() || e.effect == balance.Safe:
+		case was == a || !was.mayHaveRun() || e.effect == balance.Safe:
 		case e.effect == balance.Unsafe:
-			e.wrong = append(e.wrong, "unsafe work is written again")
+			e.violations = append(e.violations, "unsafe work is written again")
 		case cellOf[was.endpoint] != cellOf[a.endpoint]:
-			e.wrong = append(e.wrong, "keyed work leaves its cell")
+			e.violations = append(e.violations, "keyed work leaves its cell")
 		case time.Since(was.writtenAt) > orderWindow:
-			e.wrong = append(e.wrong, "keyed work is written after its window")
+			e.violations = append(e.violations, "keyed work is written after its window")
 		}
 	}
 }
@@ -124,7 +129,7 @@
 func (e *scriptedUpstream) set(id string, takes bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.takes[id] = takes
+	e.accepting[id] = takes
 }
 
 func (e *scriptedUpstream) latest() *scriptedAttempt {
@@ -145,22 +150,23 @@
 	errs
 	declines
 	resets
-	leaves     // the client goes
-	tells      // and the loop hears of it
-	drains     // an endpoint, with a list
-	returns    // of all endpoints, with a list
-	waitsShort // time passes
+	disconnects  // the client
+	notifiesLoop // of the disconnect
+	drains       // an endpoint, with a list
+	returns      // of all endpoints, with a list
+	waitsShort   // time passes
 	waitsLong
 	waitsToEnd // until the module has given up, and the attempt's own time is not over yet
 	ends       // the process
 	steps
 )
 
-// order plays one request through the steps and returns what was wrong.
-func order(effect balance.Effect, mayCancel bool, script []int) (wrong []string) {
-	e := &scriptedUpstream{effect: effect, takes: map[string]bool{}}
-	l := New(Module, balance.Settings{Seed: 3, MayCancel: mayCancel, MaxAttempts: 4, Resolution: 5 * time.Millisecond,
-		Classes: []balance.Class{{Name: "c", Effect: effect, Group: balance.GroupCell, Window: orderWindow, Aim: orderDeadline / 2}}}, e, func() {}, slog.New(slog.DiscardHandler))
+// playOrder plays one request through the steps and returns what was wrong.
+func playOrder(effect balance.Effect, mayCancel bool, script []int) (wrong []string) {
+	e := &scriptedUpstream{effect: effect, accepting: map[string]bool{}}
+	settings := balance.Settings{Seed: 3, MayCancel: mayCancel, MaxAttempts: 4, Resolution: 5 * time.Millisecond,
+		Classes: []balance.Class{{Name: "c", Effect: effect, Group: balance.GroupCell, Window: orderWindow, Aim: orderDeadline / 2}}}
+	l := New(Module, settings, e, func() {}, slog.New(slog.DiscardHandler))
 	list := func(without string) func(time.Duration) {
 		return func(now time.Duration) {
 			m := discovery.ListUpdate{Full: true}
@@ -178,9 +184,9 @@
 	ctx, end := context.WithCancel(context.Background())
 	go l.Run(ctx)
 	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Message{}, Replies: make(chan Reply, 4)}
-	c.Here = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.leftAt.IsZero() }
+	c.Here = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.disconnectedAt.IsZero() }
 	l.Post(func(now time.Duration) { c.Deadline = now + orderDeadline; l.Submit(now, c) })
-	heard := func() {
+	collectReplies := func() {
 		synctest.Wait()
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -189,27 +195,27 @@
 		}
 	}
 	finish := func(r balance.Result) {
-		if a := e.latest(); a != nil && !a.writtenAt.IsZero() && len(a.ends) == 0 {
-			a.ends <- r
+		if a := e.latest(); a != nil && !a.writtenAt.IsZero() && len(a.results) == 0 {
+			a.results <- r
 		}
 	}
 	began := time.Now()
-	heard()
+	collectReplies()
 	for _, step := range script {
 		switch step {
 		case connects:
 			if a := e.latest(); a != nil && a.writtenAt.IsZero() && a.endedAt.IsZero() {
-				close(a.goOn)
+				close(a.connected)
 			}
 		case answers, errs, declines, resets:
 			finish([]balance.Result{balance.OK, balance.Errored, balance.Full, balance.Reset}[step-answers])
-		case leaves:
+		case disconnects:
 			if c.Here() {
 				e.mu.Lock()
-				e.leftAt = time.Now()
+				e.disconnectedAt = time.Now()
 				e.mu.Unlock()
 			}
-		case tells:
+		case notifiesLoop:
 			if !c.Here() {
 				l.Post(func(now time.Duration) { l.ClientDisconnected(now, c) })
 			}
@@ -228,15 +234,15 @@
 		case ends:
 			end()
 		}
-		heard()
+		collectReplies()
 	}
 	time.Sleep(2 * orderDeadline) // virtual
-	heard()
+	collectReplies()
 	ended := ctx.Err() != nil
 	if !ended {
 		l.Post(func(time.Duration) {
 			if calls, _, later, timers := l.ResourceCounts(); calls+later > 0 || timers > 1 {
-				e.wrong = append(e.wrong, fmt.Sprintf("the loop still holds %d calls, %d events, %d timers", calls, later, timers))
+				e.violations = append(e.violations, fmt.Sprintf("the loop still holds %d calls, %d events, %d timers", calls, later, timers))
 			}
 		})
 		synctest.Wait()
@@ -245,16 +251,16 @@
 	synctest.Wait()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	wrong = e.wrong
-	if e.out > 0 {
+	wrong = e.violations
+	if e.inFlight > 0 {
 		wrong = append(wrong, "an attempt outlives the loop")
 	}
-	if n := len(e.replies); n > 1 || n == 0 && e.leftAt.IsZero() && !ended {
-		wrong = append(wrong, fmt.Sprintf("%d final answers, left at %v, ended %v", n, e.leftAt, ended))
+	if n := len(e.replies); n > 1 || n == 0 && e.disconnectedAt.IsZero() && !ended {
+		wrong = append(wrong, fmt.Sprintf("%d final answers, left at %v, ended %v", n, e.disconnectedAt, ended))
 	}
 	for _, r := range e.replies {
 		for _, a := range e.attempts {
-			if r.Verdict == Refused && effect != balance.Safe && a.ran() {
+			if r.Verdict == Refused && effect != balance.Safe && a.mayHaveRun() {
 				wrong = append(wrong, "refused, and it may have run")
 			}
 		}
@@ -264,12 +270,12 @@
 
 // crossings are the orders in which something is owed at the instant at which something ends; the drawn ones rarely meet them.
 var crossings = [][]int{
-	{leaves, connects},
-	{leaves, tells, connects},
-	{connects, leaves, tells, answers},
-	{connects, leaves, resets, connects},
-	{connects, errs, leaves, connects, tells},
-	{connects, declines, leaves, connects},
+	{disconnects, connects},
+	{disconnects, notifiesLoop, connects},
+	{connects, disconnects, notifiesLoop, answers},
+	{connects, disconnects, resets, connects},
+	{connects, errs, disconnects, connects, notifiesLoop},
+	{connects, declines, disconnects, connects},
 	{connects, errs, waitsLong, waitsShort, connects},
 	{connects, errs, waitsShort, connects, resets, waitsLong, connects},
 	{connects, resets, connects, answers},
@@ -282,15 +288,15 @@
 	{connects, errs, drains, connects},
 	{ends, connects},
 	{connects, ends, answers},
-	{connects, leaves, ends, answers},
+	{connects, disconnects, ends, answers},
 }
 
-func TestCrossings(t *testing.T) {
+func TestEndsThatCrossKeepTheRulesOfOneRequest(t *testing.T) {
 	for _, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe} {
 		for _, mayCancel := range []bool{false, true} {
 			for _, script := range crossings {
 				synctest.Test(t, func(t *testing.T) {
-					if wrong := order(effect, mayCancel, script); len(wrong) > 0 {
+					if wrong := playOrder(effect, mayCancel, script); len(wrong) > 0 {
 						t.Errorf("effect %v, may cancel %v, steps %v: %q", effect, mayCancel, script, wrong)
 					}
 				})
@@ -300,15 +306,15 @@
 }
 
 // One request in virtual time, with all that may happen to it in all orders that are drawn: one final answer at most, and exactly
-// one to a client that stays; never two attempts out; nothing written after the leaving, after the answer, to whom was told off, nor
-// against the class's rule on repeats; nothing left over.
-func TestOneRequestInAllOrders(t *testing.T) {
+// one to a client that stays; never two attempts in flight; nothing written after the disconnect, after the answer, to an
+// endpoint that takes nothing new, nor against the class's rule on retries; nothing left over.
+func TestOneRequestGetsOneReplyInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		effect := rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe}).Draw(rt, "effect")
 		mayCancel := rapid.Bool().Draw(rt, "may cancel")
 		script := rapid.SliceOfN(rapid.IntRange(0, steps-1), 1, 14).Draw(rt, "steps")
 		var wrong []string
-		synctest.Test(t, func(*testing.T) { wrong = order(effect, mayCancel, script) })
+		synctest.Test(t, func(*testing.T) { wrong = playOrder(effect, mayCancel, script) })
 		if len(wrong) > 0 {
 			rt.Fatalf("%q", wrong)
 		}
