--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -121,7 +121,7 @@
 
 func (c *chart) end() template.HTML {
 	c.WriteString("</svg>")
-	return template.HTML(c.String()) //nolint:gosec // all text in it is escaped above
+	return template.HTML(c.String()) // all text in it is escaped above
 }
 
 func pickSeconds(r *Result, of func(Second) float64) (out []float64) {
