--- a/balance/deploy_test.go
+++ b/balance/deploy_test.go
@@ -2,46 +2,107 @@
 
 import (
 	"os"
+	"path"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"unicode/utf8"
 )
 
-// TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its size.
-func TestModuleFitsItsLimits(t *testing.T) {
-	const mostLines, mostColumns, tab = 800, 110, 4
+// The limits of the decision module: of all files of the deploy file's policy together, and of each of their lines.
+const (
+	minPolicyLines   = 100
+	maxPolicyLines   = 800
+	maxPolicyColumns = 110
+	tabColumns       = 4
+)
+
+// filesOutsidePolicy hold the interface and the bookkeeping, and no decision.
+var filesOutsidePolicy = []string{"api.go", "state.go"}
+
+// readDeployFile returns the text of the deploy file.
+func readDeployFile(t *testing.T) string {
+	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range []string{"build", "sim"} {
-		if !regexp.MustCompile(`(?m)^` + key + ` = "[^"]+"$`).Match(text) {
-			t.Errorf("deploy file has no %q command", key)
-		}
+	return string(text)
+}
+
+// policyFiles returns the names that the deploy file lists as policy, without their folder.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	match := regexp.MustCompile(`(?m)^policy = \[("[^"]+"(?:, "[^"]+")*)\]$`).FindStringSubmatch(readDeployFile(t))
+	if match == nil {
+		t.Fatal("the deploy file has no policy list")
 	}
-	policy := regexp.MustCompile(`(?m)^policy = \["([^"]+)"\]$`).FindSubmatch(text)
-	if policy == nil || string(policy[1]) != "balance/balancer.go" {
-		t.Fatalf("policy is not balance/balancer.go alone: %q", policy)
+	var names []string
+	for _, quoted := range strings.Split(match[1], ", ") {
+		file := strings.Trim(quoted, `"`)
+		if path.Dir(file) != "balance" {
+			t.Fatalf("policy lists %q, which is not directly in balance/", file)
+		}
+		names = append(names, path.Base(file))
 	}
-	module, err := os.ReadFile(filepath.Join("..", string(policy[1])))
+	return names
+}
+
+// readModuleFile returns a file of this package.
+func readModuleFile(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := 0
-	for i, line := range strings.Split(string(module), "\n") {
-		if strings.TrimSpace(line) != "" {
-			lines++
+	return string(text)
+}
+
+// TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its size.
+func TestModuleFitsItsLimits(t *testing.T) {
+	for _, key := range []string{"build", "sim"} {
+		if !regexp.MustCompile(`(?m)^` + key + ` = "[^"]+"$`).MatchString(readDeployFile(t)) {
+			t.Errorf("deploy file has no %q command", key)
 		}
-		if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tab))); n > mostColumns {
-			t.Errorf("balancer.go:%d has %d columns", i+1, n)
+	}
+	lines := 0
+	for _, name := range policyFiles(t) {
+		for i, line := range strings.Split(readModuleFile(t, name), "\n") {
+			if strings.TrimSpace(line) != "" {
+				lines++
+			}
+			columns := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tabColumns)))
+			if columns > maxPolicyColumns {
+				t.Errorf("%s:%d has %d columns", name, i+1, columns)
+			}
 		}
 	}
-	if lines < 100 || lines > mostLines {
-		t.Errorf("the module has %d lines, at most %d are allowed", lines, mostLines)
+	if lines < minPolicyLines || lines > maxPolicyLines {
+		t.Errorf("the module has %d lines, %d to %d are allowed", lines, minPolicyLines, maxPolicyLines)
 	}
-	if head := strings.Join(strings.Split(string(module), "\n")[:6], "\n"); !strings.Contains(head, "api.go") {
+	if head := strings.Join(strings.Split(readModuleFile(t, "balancer.go"), "\n")[:6], "\n"); !strings.Contains(head, "api.go") {
 		t.Error("the first lines of the module do not name api.go")
 	}
 }
+
+// TestPolicyListsEveryFileThatDecides keeps decisions from moving into a file that the policy list does not count.
+func TestPolicyListsEveryFileThatDecides(t *testing.T) {
+	listed := policyFiles(t)
+	if listed[0] != "balancer.go" {
+		t.Errorf("policy begins with %q, not with balancer.go", listed[0])
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := slices.DeleteFunc(files, func(name string) bool {
+		return strings.HasSuffix(name, "_test.go") || slices.Contains(filesOutsidePolicy, name)
+	})
+	slices.Sort(want)
+	slices.Sort(listed)
+	if !slices.Equal(listed, want) {
+		t.Errorf("policy lists %v, the files that decide are %v", listed, want)
+	}
+}
--- a/balance/state.go
+++ b/balance/state.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+const logEvery = 10 * time.Second // between two log lines of one kind
+
 // endpoint is all that is known of one endpoint.
 type endpoint struct {
 	Endpoint
@@ -37,11 +39,6 @@
 // kind pools what the endpoints of one kind show.
 type kind struct{ w, samples float64 }
 
-func (k *kind) learn(stretch float64) {
-	k.samples++
-	k.w += (stretch - k.w) * max(1/(k.samples+2), kindGain)
-}
-
 // class is what calls of one class usually take.
 type class struct {
 	Class
