--- a/balance/admission.go
+++ b/balance/admission.go
@@ -5,68 +5,86 @@
 	"time"
 )
 
+// Admission control: tenant quotas, load shedding and the final answer to what is not served.
 const (
-	quotaBurst  = 1.0                    // seconds of a tenant's quota that may come at once
-	overRoom    = 0.6                    // share of the room up to which over-share requests are let in
-	allShares   = 1.3                    // or while requests come at this multiple of all quotas together
-	wary        = 1.2                    // stretch from which room in use is pressure
-	holdShare   = 0.05                   // share of the mean aim that a request waits here at most
-	hopeless    = 0.6                    // share of the expected time that must be left, when room is short
-	retryAdvice = 300 * time.Millisecond // how long a refused client is asked to stay away
+	quotaBurstSeconds     = 1.0  // seconds of a tenant's quota that may arrive at once
+	pressureUtilization   = 0.6  // fraction of the concurrency limit in flight above which capacity is short
+	pressureStretch       = 1.2  // stretch of recent responses below which capacity is never short
+	quotaPressureMultiple = 1.3  // request rate, in sums of all quotas, above which capacity is short
+	queueTimeFraction     = 0.05 // longest time in the queue, in mean latency objectives of the classes
+	shedTimeFraction      = 0.6  // of the expected latency: must remain to the deadline while others queue
+
+	retryAfterAdvice = 300 * time.Millisecond // mean Retry-After of rejected requests, before jitter
 )
 
-// overShare charges a request to its tenant's quota and tells whether it is beyond. Only the first tier can
-// tell: further down one request becomes several calls.
-func (b *Balancer) overShare(now time.Duration, q *request) bool {
-	t := b.tenants[q.Tenant]
-	if t == nil || t.Quota <= 0 || b.s.Tier > 0 {
+// shouldShed decides admission. A request is shed if it cannot be answered in time, if operators have ejected
+// all endpoints, or if it exceeds its tenant's quota while capacity is short. Capacity is also taken to be
+// short where responses stretch while the request rate exceeds the sum of all quotas: a balancer with little
+// traffic sees that before endpoints are saturated. The rate alone may only mean an uneven share of traffic.
+func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
+	exceedsQuota := b.chargeQuota(now, req)
+	isStretched := b.recentStretch > pressureStretch
+	isShort := len(b.queue) > 0 ||
+		float64(b.inFlight) > pressureUtilization*b.concurrencyLimit && isStretched ||
+		isStretched && b.requestRate(now) > quotaPressureMultiple*b.totalQuota
+	return now >= req.giveUpAt || b.allManuallyEjected() || isShort && exceedsQuota ||
+		len(b.queue) > 0 && !b.canMeetDeadline(now, req, shedTimeFraction)
+}
+
+// chargeQuota charges a request to the token bucket of its tenant and reports whether it exceeds the quota.
+// Quotas apply in the first tier alone, because further down one client request causes several.
+func (b *Balancer) chargeQuota(now time.Duration, req *request) bool {
+	t := b.tenants[req.Tenant]
+	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
 		return false
 	}
-	rate := t.Quota / float64(max(b.s.Balancers, 1))
-	t.tokens = min(t.tokens+rate*(now-t.at).Seconds(), max(rate*quotaBurst, 1))
-	t.at = now
+	rate := t.Quota / float64(max(b.settings.Balancers, 1))
+	t.tokens = min(t.tokens+rate*(now-t.refilledAt).Seconds(), max(rate*quotaBurstSeconds, 1))
+	t.refilledAt = now
 	if t.tokens < 1 {
 		return true
 	}
-	if !q.Repeat { // the first try has paid
+	if !req.Repeat { // a client's retry was charged with its first request
 		t.tokens--
 	}
 	return false
 }
 
-// holdEnd ends the wait for room, alike for all classes: else those with the shortest aim starve in overload.
-func (b *Balancer) holdEnd(q *request) time.Duration {
+// queueDeadline is when a queued request leaves the queue. The wait is alike for all classes: those with a
+// short latency objective would else starve in overload.
+func (b *Balancer) queueDeadline(req *request) time.Duration {
 	switch {
-	case len(q.attempts) > 0:
-		return q.giveUp
-	case b.ready == 0: // whoever comes first may still answer in time
-		return q.giveUp - seconds(b.expected(q))
+	case len(req.attempts) > 0:
+		return req.giveUpAt
+	case b.availableCount == 0: // an endpoint that becomes available may still respond in time
+		return req.giveUpAt - seconds(b.expectedSeconds(req))
 	}
-	return min(q.giveUp, q.arrived+seconds(holdShare*b.aim))
+	return min(req.giveUpAt, req.arrivedAt+seconds(queueTimeFraction*b.meanLatencyObjective))
 }
 
-// inTime tells whether an attempt sent now can still bring an answer that counts.
-func (b *Balancer) inTime(now time.Duration, q *request, share float64) bool {
-	return now+seconds(b.expected(q)*b.smallest()*share) <= q.giveUp
+// canMeetDeadline reports whether the given fraction of the latency expected at the best endpoint still fits
+// before the request is given up.
+func (b *Balancer) canMeetDeadline(now time.Duration, req *request, fraction float64) bool {
+	return now+seconds(b.expectedSeconds(req)*b.smallestActiveWeight()*fraction) <= req.giveUpAt
 }
 
-// end gives the final answer: refused if that is true, else failed.
-func (b *Balancer) end(now time.Duration, q *request) {
-	if q.held && len(q.attempts) == 0 && float64(b.out) < b.room { // for want of an endpoint
-		b.admitted.add(now)
+// rejectOrFail gives the final answer: a rejection where a retry by the client is harmless, else a failure.
+func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
+	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
+		b.admittedCounter.add(now) // it lacked an endpoint, and was not held back by the limit
 	}
-	if q.mayRefuse() {
-		b.host.Refuse(q.ID, min(b.jitter(retryAdvice), b.s.MaxRetryAfter))
+	if req.canReject() {
+		b.host.Refuse(req.ID, min(b.jitter(retryAfterAdvice), b.settings.MaxRetryAfter))
 	} else {
-		b.host.Fail(q.ID)
+		b.host.Fail(req.ID)
 	}
-	b.close(q)
+	b.removeRequest(req)
 }
 
-// mayRefuse tells whether "trying again is harmless" is true. Of a request whose body flows nothing is left
-// to doubt: there it is true only if no attempt can have run.
-func (q *request) mayRefuse() bool {
-	harmless := q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll
-	return harmless && q.Flow == 0 ||
-		!slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.out || a.mayRun })
+// canReject reports whether a retry by the client is harmless. For a request with a streaming body that holds
+// only if no attempt can have run.
+func (r *request) canReject() bool {
+	isIdempotent := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+	return isIdempotent && r.Flow == 0 ||
+		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,8 +1,10 @@
 package balance
 
-// The decisions. The interface is in api.go, the state in state.go. The design is the round-robin rule of
-// Cicconetti et al., "A Decentralized Framework for Serverless Edge Computing in the Internet of Things".
-// A weight w is a stretch: latency over what calls like it take here when all is calm.
+// The events of a Balancer and the path of a request. The interface is in api.go, the state in state.go; each
+// mechanism has its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and Passarella,
+// "A Decentralized Framework for Serverless Edge Computing in the Internet of Things": a latency smoothed per
+// endpoint (its weight), endpoints within twice the best kept active, and the lowest deficit picked. Here a
+// weight is a stretch: latency over the baseline latency of the request's class, so 1 without load.
 
 import (
 	"fmt"
@@ -10,222 +12,206 @@
 	"time"
 )
 
-// EndpointList is membership. Nothing new goes to an endpoint from the event on that says it drains.
+// EndpointList implements Events. From this event on an endpoint that is draining or gone gets no attempt.
 func (b *Balancer) EndpointList(now time.Duration, l List) {
-	if l.Failed { // ask anew, each caller at its own moment, and in time to count as asking
-		if b.s.MustSubscribe {
-			b.askGap = min(max(2*b.askGap, backoffMin), max(b.s.AskWithin/2, backoffMin))
-			b.askAt = now + b.jitter(b.askGap)
-			b.wakeAt(b.askAt)
+	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and within AskWithin
+		if b.settings.MustSubscribe {
+			longest := max(b.settings.AskWithin/2, minBackoff)
+			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
+			b.resubscribeAt = now + b.jitter(b.resubscribeBackoff)
+			b.wakeAt(b.resubscribeAt)
 		}
 		return
 	}
-	b.askGap, b.askAt = 0, 0
-	first, was := len(b.endpoints) == 0, b.ready
-	for _, e := range b.merge(l) {
-		b.renew(now, e, first)
+	b.resubscribeBackoff, b.resubscribeAt = 0, 0
+	isFirst, availableBefore := len(b.endpoints) == 0, b.availableCount
+	for _, ep := range b.mergeList(l) {
+		b.startInactive(now, ep, isFirst)
 	}
-	if first {
-		b.room, was = roomStart*b.share(), 0
+	if isFirst {
+		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointShare(), 0
 	}
-	b.changed(now, was)
+	b.availabilityChanged(now, availableBefore)
 }
 
-// changed follows a change of who may be used, before which there were so many.
-func (b *Balancer) changed(now time.Duration, was int) {
-	b.fill(now)
-	if was > 0 && b.ready > 0 { // few that are left must not get the calls of many
-		b.room *= float64(b.ready) / float64(was)
-	}
-	b.release(now)
-	if b.shut() { // nobody else can free them in time: operators alone decide when
-		for _, q := range slices.Clone(b.waiting) {
-			b.end(now, q)
+// availabilityChanged adapts subset, concurrency limit and queue to a change of the available endpoints.
+func (b *Balancer) availabilityChanged(now time.Duration, availableBefore int) {
+	b.rebuildSubset(now)
+	if availableBefore > 0 && b.availableCount > 0 { // the load of many must not go to the few that remain
+		b.concurrencyLimit *= float64(b.availableCount) / float64(availableBefore)
+	}
+	b.sendQueued(now)
+	if b.allManuallyEjected() { // only operators can change this, and that takes longer than requests wait
+		for _, req := range slices.Clone(b.queue) {
+			b.rejectOrFail(now, req)
 		}
-		b.waiting = b.waiting[:0]
+		b.queue = b.queue[:0]
 	}
 }
 
-// Bar takes an endpoint out by hand, or back. What it holds goes on to its end.
+// Bar implements Events. Attempts in flight at an endpoint that is ejected run to their end.
 func (b *Balancer) Bar(now time.Duration, id string, out bool) {
-	if b.barred[id] == out {
+	if b.manuallyEjected[id] == out {
 		return
 	}
 	if out {
-		b.barred[id] = true
+		b.manuallyEjected[id] = true
 	} else {
-		delete(b.barred, id)
+		delete(b.manuallyEjected, id)
 	}
-	e, was := b.byName[id], b.ready
-	if e == nil {
+	ep, availableBefore := b.endpointByID[id], b.availableCount
+	if ep == nil {
 		return
 	}
-	if e.barred = out; !out {
-		e.returns++
-		e.back, e.Started, e.trial, e.errors, e.held, e.heldAt = now, now, false, 0, 0, 0
-		b.renew(now, e, false)
+	if ep.manuallyEjected = out; !out {
+		ep.incarnation++
+		ep.restoredAt, ep.Started, ep.trialInFlight = now, now, false
+		ep.errorRate, ep.reportedLoad, ep.reportedLoadAt = 0, 0, 0
+		b.startInactive(now, ep, false)
 	}
-	b.countReady()
-	b.changed(now, was)
+	b.countAvailable()
+	b.availabilityChanged(now, availableBefore)
 }
 
-// Request is admission: refuse at once what cannot be in time, or is over its tenant's share while room
-// is short or, with answers that stretch, more is asked than all shares together (quiet callers see that
-// before endpoints are full; by itself it may mean that the front gives this caller more than others); else
-// send it, or hold it until there is room.
+// Request implements Events: it rejects the request, sends it, or queues it until an endpoint has capacity.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classes[r.Class]
-	if c == nil { // a class that nobody listed: never repeated, nor kept, for ever new ones may come
+	if c == nil { // not in the settings: never retried, and not stored, because such names have no bound
 		c = &class{Class: Class{Effect: Unsafe, Aim: max(r.Deadline-now, 0)}}
 	}
-	b.count(now)
-	q := &request{Request: r, class: c, arrived: now, spot: len(b.live)}
-	b.due(q, r.Deadline)
-	b.requests[r.ID], b.live = q, append(b.live, q)
-	b.budget = min(b.budget+resendShare, resendMost)
-	over := b.overShare(now, q)
-	used := float64(b.out) > overRoom*b.room && b.stretch > wary
-	pressed := len(b.waiting) > 0 || used || b.stretch > wary && b.rate(now) > allShares*b.quota
-	if now >= q.giveUp || b.shut() || pressed && over || len(b.waiting) > 0 && !b.inTime(now, q, hopeless) {
-		b.end(now, q)
+	b.countRequest(now)
+	req := &request{Request: r, class: c, arrivedAt: now, liveIndex: len(b.live)}
+	b.setDeadline(req, r.Deadline)
+	b.requests[r.ID], b.live = req, append(b.live, req)
+	b.retryBudget = min(b.retryBudget+retryBudgetRatio, maxRetryBudget)
+	if b.shouldShed(now, req) {
+		b.rejectOrFail(now, req)
 		return
 	}
-	if !b.s.MayProbe || !b.probe(now, q) {
-		b.dispatch(now, q)
+	if !b.settings.MayProbe || !b.probeCandidates(now, req) {
+		b.dispatch(now, req)
 	}
-	b.wakeAt(b.lookAt(q))
+	b.wakeAt(b.nextCheckAt(req))
 }
 
-// dispatch sends a request to the endpoint picked, or holds it. Resends are not held back for room.
-func (b *Balancer) dispatch(now time.Duration, q *request) {
-	if len(q.attempts) > 0 || len(b.waiting) == 0 || q.held {
-		var e *endpoint
-		if len(q.attempts) > 0 || float64(b.out) < b.room {
-			e = b.pickAmong(now, q)
+// dispatch sends a request to the endpoint picked, or queues it. Retries may exceed the concurrency limit.
+func (b *Balancer) dispatch(now time.Duration, req *request) {
+	isRetry := len(req.attempts) > 0
+	if isRetry || len(b.queue) == 0 || req.isQueued {
+		var ep *endpoint
+		if isRetry || float64(b.inFlight) < b.concurrencyLimit {
+			ep = b.pickFromSubset(now, req)
 		} else {
-			e = b.pickIdle(now, q)
+			ep = b.pickBelowFairUsage(now, req)
 		}
-		if e == nil && len(q.attempts) > 0 { // a repeat may be bound to endpoints outside the table
-			e = b.pick(now, q, b.endpoints)
+		if ep == nil && isRetry { // the endpoints that know its idempotency key may be outside the subset
+			ep = b.pick(now, req, b.endpoints)
 		}
-		if e != nil {
-			b.send(now, q, e)
+		if ep != nil {
+			b.send(now, req, ep)
 			return
 		}
 	}
-	if !q.held {
-		q.held, b.waiting = true, append(b.waiting, q)
+	if !req.isQueued {
+		req.isQueued, b.queue = true, append(b.queue, req)
 	}
-	b.wakeAt(b.lookAt(q))
-	for _, e := range b.endpoints {
-		if e.coldAt > now {
-			b.wakeAt(e.coldAt)
+	b.wakeAt(b.nextCheckAt(req))
+	for _, ep := range b.endpoints {
+		if ep.slowStartNextAt > now {
+			b.wakeAt(ep.slowStartNextAt)
 		}
 	}
 }
 
-// release sends held requests while there is room, oldest first.
-func (b *Balancer) release(now time.Duration) {
-	full := false
-	for _, q := range b.waiting {
-		if q.held && (!full || len(q.attempts) > 0) {
-			b.dispatch(now, q)
-			full = full || q.held && len(q.attempts) == 0
+// sendQueued dispatches queued requests, oldest first, until one that is no retry finds no capacity.
+func (b *Balancer) sendQueued(now time.Duration) {
+	isFull := false
+	for _, req := range b.queue {
+		if req.isQueued && (!isFull || len(req.attempts) > 0) {
+			b.dispatch(now, req)
+			isFull = isFull || req.isQueued && len(req.attempts) == 0
 		}
 	}
-	b.waiting = slices.DeleteFunc(b.waiting, func(q *request) bool { return !q.held })
+	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.isQueued })
 }
 
-// send charges the endpoint for its turn.
-func (b *Balancer) send(now time.Duration, q *request, e *endpoint) {
-	took, w := b.expected(q), e.w()
-	if b.warmth(now, e) < 1 {
-		e.coldAt = now + b.coldGap(now, e)
-	}
-	if e.active {
-		turn := b.turn(e)
-		charge := w
-		if b.s.TiersBelow > 0 { // slow machines must not pass for fast ones by the time that tiers below take
-			charge -= common * min(b.smallest(), w)
-		}
-		e.deficit += charge * took / b.typical()
-		for _, o := range b.passed() { // one passed over for its crowd must not get all of it back at once,
-			o.deficit = max(o.deficit, turn-lagMost*w)
-			if o != e && o.probed(now) { // nor be next in turn, and probed, again and again
-				o.deficit = max(o.deficit, turn+passedOver*w*o.held)
-			}
-		}
-	}
-	b.used(e)
-	if len(q.attempts) == 0 {
-		b.admitted.add(now)
-	}
-	a := attempt{e: e, returns: e.returns, sent: now, waits: now, out: true, flows: q.Flow > 0}
-	a.trial = !e.active
-	a.overdueAt = b.overdueFrom(now, q, e)
-	e.trial = a.trial
-	b.tally(&a, 1)
-	q.attempts, q.held, q.probing = append(q.attempts, a), false, nil
-	b.wakeAt(a.overdueAt)
-	b.host.Send(q.ID, e.ID, max(q.Deadline-now, q.Flow-now, time.Microsecond))
+// send charges the endpoint and hands the attempt to the host.
+func (b *Balancer) send(now time.Duration, req *request, ep *endpoint) {
+	if b.capacityShare(now, ep) < 1 {
+		ep.slowStartNextAt = now + b.slowStartInterval(now, ep)
+	}
+	if ep.active {
+		b.chargeDeficit(now, req, ep)
+	}
+	b.noteUse(ep)
+	if len(req.attempts) == 0 {
+		b.admittedCounter.add(now)
+	}
+	att := attempt{endpoint: ep, incarnation: ep.incarnation, sentAt: now, waitingSince: now, inFlight: true,
+		isTrial: !ep.active, hasStreamingBody: req.Flow > 0, overdueAt: b.overdueInstant(now, req, ep)}
+	ep.trialInFlight = att.isTrial
+	b.countInFlight(&att, 1)
+	req.attempts, req.isQueued, req.pendingProbes = append(req.attempts, att), false, nil
+	b.wakeAt(att.overdueAt)
+	b.host.Send(req.ID, ep.ID, max(req.Deadline-now, req.Flow-now, time.Microsecond))
 }
 
-// Outcome takes the sample of an attempt's end and decides whether the request goes out again.
+// Outcome implements Events: it learns from the end of an attempt and decides whether to retry.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
-	q := b.requests[o.ID]
-	a := q.attempt(o.Attempt)
-	if a == nil {
+	req := b.requests[o.ID]
+	att := req.inFlightAttempt(o.Attempt)
+	if att == nil {
 		return
 	}
-	a.out, a.mayRun = false, o.Result.MayHaveRun()
-	b.tally(a, -1)
-	q.spent = q.spent || o.Spent
-	if !a.streams {
-		if q.Flow > 0 { // what the body took to come is the client's
-			o.Took = now - a.waits
+	att.inFlight, att.mayHaveRun = false, o.Result.MayHaveRun()
+	b.countInFlight(att, -1)
+	req.bodyConsumed = req.bodyConsumed || o.Spent
+	if !att.isStreaming {
+		if req.Flow > 0 { // the client determines how long a streaming body takes, not the endpoint
+			o.Took = now - att.waitingSince
 		}
-		b.judge(now, q, a, told(o), o.Took)
+		b.recordResult(now, req, att, attributedResult(o), o.Took)
 	}
 	switch {
-	case q.done || o.Final || o.Result == OK:
-		b.close(q)
-	case q.held:
-	case b.mayTry(now, q) && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-		return e.usable() && b.mayResend(now, q, e)
+	case req.isAnswered || o.Final || o.Result == OK:
+		b.removeRequest(req)
+	case req.isQueued:
+	case b.canRetry(now, req) && slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool {
+		return ep.isAvailable() && b.isSafeToSend(now, req, ep)
 	}):
-		if o.Result != ConnectFailed { // costs the endpoints nothing
-			b.budget--
+		if o.Result != ConnectFailed { // which cost the endpoints nothing
+			b.retryBudget--
 		}
-		b.dispatch(now, q)
+		b.dispatch(now, req)
 	default:
-		b.end(now, q)
+		b.rejectOrFail(now, req)
 	}
-	b.release(now)
+	b.sendQueued(now)
 }
 
-// tick looks after what time alone changes.
-func (b *Balancer) tick(now time.Duration) {
-	if b.askAt > 0 && now >= b.askAt {
-		b.askAt = 0
+// processDue does what has fallen due by time alone: subscription, deadlines, lost probes, overdue attempts.
+func (b *Balancer) processDue(now time.Duration) {
+	if b.resubscribeAt > 0 && now >= b.resubscribeAt {
+		b.resubscribeAt = 0
 		b.host.Subscribe()
 	}
-	for _, q := range slices.Clone(b.live) {
-		if now >= q.ends() || q.held && now >= b.holdEnd(q) {
-			if len(q.attempts) == 0 {
-				b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.waiting)))
+	for _, req := range slices.Clone(b.live) {
+		if now >= req.giveUpInstant() || req.isQueued && now >= b.queueDeadline(req) {
+			if len(req.attempts) == 0 {
+				b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.queue)))
 			}
-			b.end(now, q)
+			b.rejectOrFail(now, req)
 			continue
 		}
-		if len(q.probing) > 0 && now >= q.probeEnd {
-			q.probing = nil
-			b.dispatch(now, q)
+		if len(req.pendingProbes) > 0 && now >= req.probeDeadline {
+			req.pendingProbes = nil
+			b.dispatch(now, req)
 		}
-		for i := range q.attempts {
-			if q.attempts[i].out && now >= q.attempts[i].overdueAt {
-				b.overdue(now, q, i)
+		for i := range req.attempts {
+			if req.attempts[i].inFlight && now >= req.attempts[i].overdueAt {
+				b.handleOverdue(now, req, i)
 			}
 		}
 	}
-	b.release(now)
+	b.sendQueued(now)
 }
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -5,34 +5,38 @@
 	"time"
 )
 
+// The adaptive concurrency limit: attempts in flight, streaming bodies apart, over all endpoints.
 const (
-	roomStart   = 6.0             // calls out for each endpoint before anything is known
-	roomCut     = 0.5             // the room shrinks to this share at most, every half answer time
-	roomMemory  = 2 * time.Second // a stretch this old counts 1/e there
-	crowded     = 1.6             // stretch of recent answers from which it shrinks
-	roomGrowth  = 0.2             // it grows by this with each answer while it is used up,
-	roomy       = 1.5             // times what the stretch is short of this
-	frontGrowth = 2.0             // and so many times at the front, where callers are spread unevenly,
-	calmly      = 1.3             // while the stretch is under this
-	roomSample  = 3.0             // stretch that one answer can show here
+	initialLimitPerEndpoint = 6.0             // attempts in flight per endpoint, before any response
+	stretchTimeConstant     = 2 * time.Second // after which a response counts 1/e of the recent stretch
+	maxLimitStretch         = 3.0             // one response contributes no more: it may be an outlier
+	congestionStretch       = 1.6             // recent stretch above which the limit is reduced,
+	maxLimitReduction       = 0.5             // to no less than this fraction, every half response time
+	limitGrowthStretch      = 1.5             // recent stretch below which a limit that is reached grows,
+	limitGrowthGain         = 0.2             // per response, by this times the distance below that stretch
+	firstTierGrowthStretch  = 1.3             // below which the first tier, where clients are spread
+	firstTierGrowthMultiple = 2.0             // unevenly, has it grow this many times as fast
 )
 
-// resize moves the room for calls out: down while it is used and recent answers stretch, up while it is used
-// up and they hardly do. It guards against endpoints tipped into a slow state and late answers. Quiet callers
-// have few answers to go by, and seldom a call out: the latest count most, and the one that came in as well.
-func (b *Balancer) resize(now time.Duration, stretch float64) {
-	gain := 1 - math.Exp(-(now-b.resizedAt).Seconds()/roomMemory.Seconds())
-	b.resizedAt = now
-	b.stretch += (min(stretch, roomSample) - b.stretch) * max(gain, meanGain)
+// updateConcurrencyLimit reduces the limit while it is used and responses stretch, lest endpoints are driven
+// into a slow state, and raises it while it is reached and they hardly do. A balancer with little traffic has
+// few responses to go by: the latest weighs most, and the attempt that it ended counts as in flight.
+func (b *Balancer) updateConcurrencyLimit(now time.Duration, stretch float64) {
+	gain := 1 - math.Exp(-(now-b.limitUpdatedAt).Seconds()/stretchTimeConstant.Seconds())
+	b.limitUpdatedAt = now
+	b.recentStretch += (min(stretch, maxLimitStretch) - b.recentStretch) * max(gain, recentMeanGain)
+	isUsed := float64(b.inFlight+1) > pressureUtilization*b.concurrencyLimit
 	switch {
-	case b.stretch > crowded && float64(b.out+1) > overRoom*b.room && now >= b.cutAt:
-		b.room = max(min(b.room, float64(b.out+1))*max(roomCut, crowded/b.stretch), b.share())
-		b.cutAt = now + seconds(b.stretch*b.typical()/2)
-	case float64(b.out+2) > b.room:
-		growth := roomGrowth
-		if b.s.Tier == 0 && b.stretch < calmly {
-			growth *= frontGrowth
+	case b.recentStretch > congestionStretch && isUsed && now >= b.nextReductionAt:
+		inUse := min(b.concurrencyLimit, float64(b.inFlight+1))
+		reduction := max(maxLimitReduction, congestionStretch/b.recentStretch)
+		b.concurrencyLimit = max(inUse*reduction, b.endpointShare())
+		b.nextReductionAt = now + seconds(b.recentStretch*b.typicalSeconds()/2)
+	case float64(b.inFlight+2) > b.concurrencyLimit:
+		growth := limitGrowthGain
+		if b.settings.Tier == 0 && b.recentStretch < firstTierGrowthStretch {
+			growth *= firstTierGrowthMultiple
 		}
-		b.room += growth * max(roomy-b.stretch, 0)
+		b.concurrencyLimit += growth * max(limitGrowthStretch-b.recentStretch, 0)
 	}
 }
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -2,132 +2,138 @@
 
 import "time"
 
+// Outlier ejection. An endpoint whose weight leaves activeFactor, or that does not respond, is ejected. After
+// a backoff it gets a single trial request, and becomes active again or backs off for twice as long.
 const (
-	factor      = 2.0                    // active while w is within this multiple of the smallest active w
-	backoffMin  = 500 * time.Millisecond // until the first trial of a dropped endpoint, at least
-	backoffMost = 8                      // longest backoff, in first backoffs
-	blame       = 1.5                    // error share, over that of all, that makes errors an endpoint's own
-	late        = 3.0                    // an attempt out for this multiple of its expected time is overdue
+	activeFactor       = 2.0                    // of the smallest active weight: the paper's active list
+	minBackoff         = 500 * time.Millisecond // the paper's b_min, before the first trial
+	maxBackoffMultiple = 8                      // longest backoff, in initial ones: recovery must show
+	ownErrorMultiple   = 1.5                    // error rate, over that of all, of an endpoint at fault
+	overdueMultiple    = 3.0                    // expected latencies after which an attempt is overdue
 )
 
-// renew puts a new or restarted endpoint outside the active set, its trial at a random moment of the caller's
-// turn: all callers hear of it at once. What was warm before this balancer began is no newcomer.
-func (b *Balancer) renew(now time.Duration, e *endpoint, first bool) {
-	e.active = first && b.warmth(now, e) == 1
-	e.backoff = b.firstBackoff(now)
-	e.trialAt = now + seconds(b.rng.Float64()*b.turnGap(now).Seconds())
-	e.sum, e.samples, e.deficit = 0, 0, b.rng.Float64()
-	e.dropped, e.paced = false, false
+// startInactive resets a new or restarted endpoint, which becomes active by a trial: at a random moment of a
+// turn, since all balancers learn of it at once. On the first list, what is not warming up is active at once.
+func (b *Balancer) startInactive(now time.Duration, ep *endpoint, isFirstList bool) {
+	ep.active = isFirstList && b.capacityShare(now, ep) == 1
+	ep.backoff = b.initialBackoff(now)
+	ep.nextTrialAt = now + seconds(b.rng.Float64()*b.turnInterval(now).Seconds())
+	ep.sampleSum, ep.sampleCount, ep.deficit = 0, 0, b.rng.Float64()
+	ep.ejected, ep.wasInSubset = false, false
 }
 
-// judge turns an outcome into a sample.
-func (b *Balancer) judge(now time.Duration, q *request, a *attempt, r Result, took time.Duration) {
-	e, stretch, failed := a.e, min(took.Seconds()/b.expected(q), penaltyMost), r != OK
-	if a.returns != e.returns { // the one that it tells of is no more
+// recordResult learns from the result of an attempt and ends it if it is a trial.
+func (b *Balancer) recordResult(now time.Duration, req *request, att *attempt, r Result, took time.Duration) {
+	ep, hasFailed := att.endpoint, r != OK
+	stretch := min(took.Seconds()/b.expectedSeconds(req), maxSampleStretch)
+	if att.incarnation != ep.incarnation { // it was sent before the endpoint's restart
 		return
 	}
-	b.errors -= b.errors * meanGain
-	e.errors -= e.errors * meanGain
+	b.errorRate -= b.errorRate * recentMeanGain
+	ep.errorRate -= ep.errorRate * recentMeanGain
 	switch r {
 	case OK:
-		e.answeredAt = now
-		q.class.learn(now, q, took.Seconds())
-		b.resize(now, stretch)
-		e.kind.learn(stretch)
+		ep.respondedAt = now
+		req.class.observe(now, took.Seconds())
+		b.updateConcurrencyLimit(now, stretch)
+		ep.kind.observe(stretch)
 	case Errored:
-		b.errors += meanGain
-		e.errors += meanGain
-		if failed = b.s.TiersBelow == 0 || e.errors > blame*b.errors; !failed {
-			r = NotSent // the tier below fails for all alike: says nothing of this endpoint, good or bad
+		b.errorRate += recentMeanGain
+		ep.errorRate += recentMeanGain
+		if hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > ownErrorMultiple*b.errorRate; !hasFailed {
+			r = NotSent // the tier below fails for all endpoints alike: no information about this one
 		}
-	case Reset: // it went down: cold when it answers again
-		e.Started = max(e.Started, now)
+	case Reset: // it restarts, and warms up when it responds again
+		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // no sample, but a trial called off because it was overdue has failed
-		if a.trial {
-			e.trial = false
-			b.backOff(now, e, a.overdue)
+	if r == Canceled || r == NotSent { // no sample; but a trial cancelled after it was overdue has failed
+		if att.isTrial {
+			ep.trialInFlight = false
+			b.scheduleTrial(now, ep, att.wasOverdue)
 		}
 		return
 	}
-	if failed {
-		stretch = min(max(stretch, (q.Deadline-a.waits).Seconds()/b.expected(q)), penaltyMost)
+	if hasFailed {
+		timeout := (req.Deadline - att.waitingSince).Seconds()
+		stretch = min(max(stretch, timeout/b.expectedSeconds(req)), maxSampleStretch)
 	}
-	if a.trial {
-		b.tryOver(now, e, stretch, failed)
+	if att.isTrial {
+		b.finishTrial(now, ep, stretch, hasFailed)
 	} else {
-		b.sample(now, e, stretch)
+		b.addSample(now, ep, stretch)
 	}
 }
 
-// told is what an outcome tells of the endpoint: nothing, if a connection broke that had served before. An
-// endpoint may close what stands idle just as it is used again; if it went down, new connections fail.
-func told(o Outcome) Result {
+// attributedResult is the result as far as the endpoint caused it. A reset on a reused connection counts as
+// not sent: the endpoint may close it just as it is used, and if it is down, new connections fail.
+func attributedResult(o Outcome) Result {
 	if o.Result == Reset && o.Reused {
 		return NotSent
 	}
 	return o.Result
 }
 
-// overdueFrom is when an attempt that waits for its endpoint from now on has been out for too long.
-func (b *Balancer) overdueFrom(now time.Duration, q *request, e *endpoint) time.Duration {
-	return now + max(seconds(late*max(e.w(), 1)*b.expected(q)), 3*b.s.Resolution)
+// overdueInstant is when an attempt that waits for the endpoint from now on is overdue.
+func (b *Balancer) overdueInstant(now time.Duration, req *request, ep *endpoint) time.Duration {
+	wait := seconds(overdueMultiple * max(ep.weight(), 1) * b.expectedSeconds(req))
+	return now + max(wait, 3*b.settings.Resolution)
 }
 
-// overdue takes an attempt that is out too long as a sample of at least its age. An endpoint that has
-// answered nothing since is dropped: a hang shows after a few answer times, not a time-out.
-func (b *Balancer) overdue(now time.Duration, q *request, i int) {
-	a := &q.attempts[i]
-	e, silent := a.e, a.e.answeredAt < a.waits
-	a.overdue, a.overdueAt = true, now+(now-a.waits)
-	if a.flows { // its time says nothing, and a trial would keep others out for as long as it lasts
-		if a.trial {
-			a.trial, e.trial = false, false
-			b.backOff(now, e, false)
+// handleOverdue takes the age of an overdue attempt as a sample. An endpoint without any response since the
+// attempt began is ejected, so that a hang is noticed after a few response times and not after a timeout.
+func (b *Balancer) handleOverdue(now time.Duration, req *request, i int) {
+	att := &req.attempts[i]
+	ep, isSilent := att.endpoint, att.endpoint.respondedAt < att.waitingSince
+	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
+	if att.hasStreamingBody { // its duration is no sample, and must not delay the next trial
+		if att.isTrial {
+			att.isTrial, ep.trialInFlight = false, false
+			b.scheduleTrial(now, ep, false)
 		}
 		return
 	}
-	if a.returns != e.returns {
+	if att.incarnation != ep.incarnation {
 		return
 	}
-	if e.active {
-		b.sample(now, e, min((now-a.waits).Seconds()/b.expected(q), penaltyMost))
-		if e.active && silent {
-			b.log(now, "silent", e.ID+" answers nothing and gets trials only")
-			b.drop(now, e)
+	if ep.active {
+		b.addSample(now, ep, min((now-att.waitingSince).Seconds()/b.expectedSeconds(req), maxSampleStretch))
+		if ep.active && isSilent {
+			b.log(now, "silent", ep.ID+" answers nothing and gets trials only")
+			b.eject(now, ep)
 		}
 	}
 }
 
-func (b *Balancer) drop(now time.Duration, e *endpoint) {
-	e.active, e.dropped, e.backoff = false, true, b.firstBackoff(now)
-	b.backOff(now, e, false)
+// eject takes an endpoint out of the active ones and schedules its first trial.
+func (b *Balancer) eject(now time.Duration, ep *endpoint) {
+	ep.active, ep.ejected, ep.backoff = false, true, b.initialBackoff(now)
+	b.scheduleTrial(now, ep, false)
 }
 
-// backOff sets the next trial, after twice the wait if the last one failed.
-func (b *Balancer) backOff(now time.Duration, e *endpoint, failed bool) {
-	if failed {
-		e.dropped = true
-		e.backoff = min(2*e.backoff, backoffMost*b.firstBackoff(now))
+// scheduleTrial sets the next trial, after twice the backoff if the last trial failed.
+func (b *Balancer) scheduleTrial(now time.Duration, ep *endpoint, hasFailed bool) {
+	if hasFailed {
+		ep.ejected = true
+		ep.backoff = min(2*ep.backoff, maxBackoffMultiple*b.initialBackoff(now))
 	}
-	e.trialAt = now + b.jitter(e.backoff)
+	ep.nextTrialAt = now + b.jitter(ep.backoff)
 }
 
-// tryOver ends a trial: back among the active, or out for twice as long.
-func (b *Balancer) tryOver(now time.Duration, e *endpoint, stretch float64, failed bool) {
-	e.trial, e.sum, e.samples, e.sampledAt = false, stretch/e.kind.w, 1, now
-	n, w, least := b.actives()
-	if failed || n > 0 && e.w() > factor*w {
-		b.backOff(now, e, true)
+// finishTrial makes the endpoint active again, with its deficit at its weight as in the paper, or backs off.
+func (b *Balancer) finishTrial(now time.Duration, ep *endpoint, stretch float64, hasFailed bool) {
+	ep.trialInFlight, ep.sampleSum, ep.sampleCount, ep.sampledAt = false, stretch/ep.kind.weight, 1, now
+	active := b.summarizeActive()
+	if hasFailed || active.count > 0 && ep.weight() > activeFactor*active.smallestWeight {
+		b.scheduleTrial(now, ep, true)
 		return
 	}
-	for _, o := range b.table {
-		o.deficit -= least
+	for _, other := range b.subset {
+		other.deficit -= active.lowestDeficit
 	}
-	e.active, e.dropped, e.deficit = true, false, e.w()
+	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
 
-// firstBackoff guards against quiet callers that crowd a dropped endpoint with nothing but trials.
-func (b *Balancer) firstBackoff(now time.Duration) time.Duration {
-	return max(backoffMin, b.turnGap(now))
+// initialBackoff is at least a turn: trials must not exceed an even share of the requests of this balancer.
+func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
+	return max(minBackoff, b.turnInterval(now))
 }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -5,63 +5,67 @@
 	"time"
 )
 
+// Latency estimates: the baseline of each class, and the weights of endpoints and of their kinds.
 const (
-	alpha       = 0.95             // share of the old weight that a sample leaves, once there are many
-	memory      = 10 * time.Second // a sample this old counts 1/e: time counts, not only samples
-	prior       = 3.0              // samples that its kind's weight is worth beside an endpoint's own
-	kindGain    = 0.03             // gain of a kind's weight per answer
-	meanGain    = 0.05             // gain of recent means per answer
-	penaltyMost = 20.0             // largest stretch that one sample can show
-	calmFall    = 0.02             // gain of the calm latency per answer while the mean is below it
-	calmRise    = 60 * time.Second // over which it gives in to a higher mean
-	calmFirst   = 1.5              // seconds until calm is known: the first answers are the quick ones
+	ewmaAlpha        = 0.95             // the paper's α: the most that a sample leaves of the old weight
+	ewmaTimeConstant = 10 * time.Second // after which a sample counts 1/e, also where samples are rare
+	kindPriorSamples = 3.0              // samples that its kind's weight counts for in an endpoint's weight
+	kindWeightGain   = 0.03             // least gain of a kind's weight per response
+	recentMeanGain   = 0.05             // least gain of other recent means per response
+	maxSampleStretch = 20.0             // one sample contributes no more to a weight
+
+	baselineLearningSeconds = 1.5              // during which it is the mean: fast responses come first
+	baselineFallGain        = 0.02             // gain of the baseline per response while the mean is below it
+	baselineRiseTime        = 60 * time.Second // in which it rises to the mean: overload is not normal
 )
 
-// w is the endpoint's weight: what its kind usually takes, moved by what it took itself. Alone, a quiet
-// caller's few samples cannot tell a slow machine from a heavy call.
-func (e *endpoint) w() float64 { return e.kind.w * (prior + e.sum) / (prior + e.samples) }
+// weight is the endpoint's expected stretch, the paper's w: that of its kind, corrected by its own samples.
+// The few samples of a balancer with little traffic cannot tell a slow machine from an expensive request.
+func (e *endpoint) weight() float64 {
+	return e.kind.weight * (kindPriorSamples + e.sampleSum) / (kindPriorSamples + e.sampleCount)
+}
 
-// sample smooths the weight and drops the endpoint if it left the factor.
-func (b *Balancer) sample(now time.Duration, e *endpoint, stretch float64) {
-	old := min(math.Exp(-(now-e.sampledAt).Seconds()/memory.Seconds()), 1-1/(1/(1-alpha)-prior))
-	e.sum, e.samples, e.sampledAt = e.sum*old+stretch/e.kind.w, e.samples*old+1, now
-	if e.active && e.w() > factor*b.smallest() {
-		b.drop(now, e)
+// addSample adds a stretch to the endpoint's weight and ejects the endpoint if it is no longer within
+// activeFactor of the best.
+func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
+	decay := math.Exp(-(now - ep.sampledAt).Seconds() / ewmaTimeConstant.Seconds())
+	kept := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples))
+	ep.sampleSum = ep.sampleSum*kept + stretch/ep.kind.weight
+	ep.sampleCount, ep.sampledAt = ep.sampleCount*kept+1, now
+	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
+		b.eject(now, ep)
 	}
 }
 
-// expected is what a request takes at a calm endpoint, in seconds: like is compared with like, by the class.
-func (b *Balancer) expected(q *request) float64 {
-	c := q.class
-	if c.samples == 0 || c.calm <= 0 {
+// expectedSeconds is the latency of the request without load, in seconds: the baseline of its class, or a
+// quarter of the latency objective before the first response.
+func (b *Balancer) expectedSeconds(req *request) float64 {
+	c := req.class
+	if c.sampleCount == 0 || c.baselineLatency <= 0 {
 		return max(c.Aim.Seconds()/4, 0.001)
 	}
-	return c.calm
+	return c.baselineLatency
 }
 
-// learn updates what calls of the class take. Calm rises by time alone: an overload must not pass for calm.
-func (c *class) learn(now time.Duration, q *request, took float64) {
-	if c.samples++; c.samples == 1 {
-		c.since = now
+// observe adds a response to the latencies of the class. The baseline rises with time and not with the number
+// of responses.
+func (c *class) observe(now time.Duration, latency float64) {
+	if c.sampleCount++; c.sampleCount == 1 {
+		c.firstResponseAt = now
 	}
-	gap := now - c.at
-	c.at = now
-	if c.mean > 0 {
-		took = min(took, penaltyMost*c.mean)
+	gap := now - c.lastResponseAt
+	c.lastResponseAt = now
+	if c.meanLatency > 0 {
+		latency = min(latency, maxSampleStretch*c.meanLatency)
 	}
-	c.mean += (took - c.mean) * max(1/c.samples, meanGain)
+	c.meanLatency += (latency - c.meanLatency) * max(1/c.sampleCount, recentMeanGain)
 	switch {
-	case c.samples < 10 || (now-c.since).Seconds() < calmFirst:
-		c.calm = c.mean
-	case c.mean < c.calm:
-		c.calm += (c.mean - c.calm) * calmFall
+	case c.sampleCount < 10 || (now-c.firstResponseAt).Seconds() < baselineLearningSeconds:
+		c.baselineLatency = c.meanLatency
+	case c.meanLatency < c.baselineLatency:
+		c.baselineLatency += (c.meanLatency - c.baselineLatency) * baselineFallGain
 	default:
-		c.calm += (c.mean - c.calm) * min(gap.Seconds()/calmRise.Seconds(), 1)
+		gain := min(gap.Seconds()/baselineRiseTime.Seconds(), 1)
+		c.baselineLatency += (c.meanLatency - c.baselineLatency) * gain
 	}
 }
-
-// learn moves the weight of the kind by one answer.
-func (k *kind) learn(stretch float64) {
-	k.samples++
-	k.w += (stretch - k.w) * max(1/(k.samples+2), kindGain)
-}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -6,148 +6,168 @@
 	"time"
 )
 
+// The pick: deficit round robin over the active endpoints, and what is added to the paper's deficit.
 const (
-	crowdCharge = 1.0                   // charge for each call still out, in weights, beside the deficit
-	common      = 0.7                   // share of the smallest weight that is not the endpoints' own doing
-	reuse       = 2.0                   // weights that an idle connection is worth: 4 made 1% late
-	passedOver  = 0.5                   // turns that a probed endpoint loses for each call it holds
-	lagMost     = 2.0                   // weights that an endpoint passed over for its crowd may fall behind
-	clogged     = 1.4                   // parts of the room that one endpoint's calls can use up
-	tableWhole  = 256                   // a table longer than this is picked from by samples
-	sampleWidth = 16                    // endpoints in a sample, beside those used last: 8, 64 as even
-	sampleKept  = 8                     // used last, that stay in samples for their idle connections
-	probeWidth  = 3                     // endpoints probed for a request, where probing is allowed
-	probeWait   = 5 * time.Millisecond  // how long a request waits for its probes
-	probeFresh  = 10 * time.Millisecond // how long a load report is believed
+	inFlightCharge         = 1.0 // weights added per attempt in flight: a hang or a crowd shows at once
+	idleConnectionDiscount = 2.0 // weights taken off where a connection is idle; 4 made 1% of responses late
+	reportedLoadCharge     = 0.5 // weights charged per request that a load report shows, to probe others next
+	maxDeficitLag          = 2.0 // weights that a deficit may lag behind, or a burst would follow a crowd
+	sharedLatencyFraction  = 0.7 // of the smallest weight: latency of the tiers below, alike for all
+	endpointUsageMultiple  = 1.4 // of its part of the concurrency limit: the most an endpoint counts for
+
+	fullScanLimit       = 256 // endpoints; a larger subset is sampled, to bound the cost of a pick
+	pickSampleSize      = 16  // endpoints drawn for a sample: 8 and 64 spread requests as evenly
+	recentEndpointCount = 8   // endpoints used last that every sample contains, for their idle connections
+
+	probesPerRequest   = 3                     // endpoints probed before a request, where probes are allowed
+	probeTimeout       = 5 * time.Millisecond  // after which a request goes out without the results
+	loadReportLifetime = 10 * time.Millisecond // in which a load report is used: it ages as requests arrive
 )
 
-// pickAmong picks from the table, or where that is long from a sample of it, so that a pick does not cost
-// more the more endpoints there are. Each endpoint is sampled many times for each of its turns, so turns stay
-// even. The whole table is gone through only where nothing in the sample is due.
-func (b *Balancer) pickAmong(now time.Duration, q *request) *endpoint {
-	among := b.among()
-	if e := b.pick(now, q, among); len(among) == len(b.table) || e != nil && (e.active || now >= e.trialAt) {
-		return e
+// pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
+// grow with the number of endpoints. Each endpoint is sampled many times in a turn, so turns stay even. The
+// whole subset is scanned only if nothing in the sample is due.
+func (b *Balancer) pickFromSubset(now time.Duration, req *request) *endpoint {
+	candidates := b.pickCandidates()
+	ep := b.pick(now, req, candidates)
+	if len(candidates) == len(b.subset) || ep != nil && (ep.active || now >= ep.nextTrialAt) {
+		return ep
 	}
-	return b.pick(now, q, b.table)
+	return b.pick(now, req, b.subset)
 }
 
-// pick chooses: a due trial, else the lowest deficit, with none active the trial due soonest. Calls still
-// out, here or as probed, are charged on top, so that a crowd or a hang is seen before its answers are.
-func (b *Balancer) pick(now time.Duration, q *request, among []*endpoint) *endpoint {
-	var trial, turn, soonest *endpoint
-	lowest, active := math.Inf(1), false
-	for _, e := range among {
-		active = active || e.active
+// pick returns the endpoint with the earliest trial due, else the active one with the lowest deficit, load
+// included; with none active, the one with the next trial. It returns nil if the request has to wait.
+func (b *Balancer) pick(now time.Duration, req *request, candidates []*endpoint) *endpoint {
+	var dueTrial, lowest, nextTrial *endpoint
+	lowestDeficit, hasActive := math.Inf(1), false
+	for _, ep := range candidates {
+		hasActive = hasActive || ep.active
 		switch {
-		case !b.allowed(now, q, e):
-		case e.active:
-			key := b.turn(e) + crowdCharge*e.w()*b.holds(now, e)
-			if q.tried(e) {
-				key += penaltyMost
+		case !b.canSend(now, req, ep):
+		case ep.active:
+			deficit := b.effectiveDeficit(ep) + inFlightCharge*ep.weight()*b.load(now, ep)
+			if req.wasSentTo(ep) { // a retry goes elsewhere if it can
+				deficit += maxSampleStretch
 			}
-			if key < lowest {
-				turn, lowest = e, key
+			if deficit < lowestDeficit {
+				lowest, lowestDeficit = ep, deficit
 			}
-		case !e.trial:
-			if soonest == nil || e.trialAt < soonest.trialAt {
-				soonest = e
+		case !ep.trialInFlight:
+			if nextTrial == nil || ep.nextTrialAt < nextTrial.nextTrialAt {
+				nextTrial = ep
 			}
-			if now >= e.trialAt && !q.tried(e) && (trial == nil || e.trialAt < trial.trialAt) {
-				trial = e
+			isDue := now >= ep.nextTrialAt && !req.wasSentTo(ep)
+			if isDue && (dueTrial == nil || ep.nextTrialAt < dueTrial.nextTrialAt) {
+				dueTrial = ep
 			}
 		}
 	}
 	switch {
-	case trial != nil:
-		return trial
-	case active:
-		return turn
+	case dueTrial != nil:
+		return dueTrial
+	case hasActive:
+		return lowest
 	}
-	return soonest
+	return nextTrial
 }
 
-// pickIdle chooses where few endpoints use up the room, from those that hold less than their part of it. It
-// guards against one that is slow or has stopped: its calls would take all the room, and new ones and those
-// that are well would stand idle until it answers. Where all have much in hand there is none to choose.
-func (b *Balancer) pickIdle(now time.Duration, q *request) *endpoint {
-	part, used := b.room/float64(max(len(b.table), 1)), 0.0
-	for _, e := range b.table {
-		used += min(float64(e.inFlight), max(clogged*part, 1))
+// pickBelowFairUsage picks while the concurrency limit is reached: where few endpoints use it up, from those
+// with less than their even part of it in flight, else none. One that hangs must not leave the others idle.
+func (b *Balancer) pickBelowFairUsage(now time.Duration, req *request) *endpoint {
+	part, used := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
+	for _, ep := range b.subset {
+		used += min(float64(ep.inFlight), max(endpointUsageMultiple*part, 1))
 	}
-	if used >= b.room {
+	if used >= b.concurrencyLimit {
 		return nil
 	}
-	return b.pick(now, q, slices.DeleteFunc(slices.Clone(b.table), func(e *endpoint) bool {
-		return float64(e.inFlight) >= part || !e.active && now < e.trialAt
+	return b.pick(now, req, slices.DeleteFunc(slices.Clone(b.subset), func(ep *endpoint) bool {
+		return float64(ep.inFlight) >= part || !ep.active && now < ep.nextTrialAt
 	}))
 }
 
-// allowed tells whether an endpoint may get this request: ready, within a cold one's share, no second effect.
-func (b *Balancer) allowed(now time.Duration, q *request, e *endpoint) bool {
-	return e.usable() &&
-		(now >= e.coldAt || b.warmth(now, e) == 1) && b.mayResend(now, q, e)
+// canSend reports whether the endpoint may get the request now, its pace in slow start included.
+func (b *Balancer) canSend(now time.Duration, req *request, ep *endpoint) bool {
+	return ep.isAvailable() &&
+		(now >= ep.slowStartNextAt || b.capacityShare(now, ep) == 1) && b.isSafeToSend(now, req, ep)
 }
 
-// turn is the deficit that counts for a pick: less where a connection stands idle, so that a few turns follow
-// one another there. It guards against connections that don't last to the endpoint's next turn, whoever
-// ends them (the endpoint, its idle limit, something between that forgets them), and against opening one more
-// where several are called at once. All keep their turns in the long run. It could do harm where turns in
-// a row crowd an endpoint: the charge for calls out is on top.
-func (b *Balancer) turn(e *endpoint) float64 {
-	if b.host.Idle(e.ID) {
-		return e.deficit - reuse*e.w()
+// effectiveDeficit is the deficit less the discount for an idle connection, by which a few turns follow one
+// another before the connection is closed. Endpoints keep their number of turns, and inFlightCharge prevents
+// crowds.
+func (b *Balancer) effectiveDeficit(ep *endpoint) float64 {
+	if b.host.Idle(ep.ID) {
+		return ep.deficit - idleConnectionDiscount*ep.weight()
 	}
-	return e.deficit
+	return ep.deficit
 }
 
-// holds is what an endpoint is taken to have in hand: what its probe said, else what is out from here or, if
-// more, what probes say on the whole. An endpoint that was not asked must not pass for an idle one.
-func (b *Balancer) holds(now time.Duration, e *endpoint) float64 {
-	if e.probed(now) {
-		return e.held
+// load is how many requests the endpoint is taken to work on: its fresh load report, else what is in flight
+// from here or, if more, the mean of all load reports. An endpoint not probed must not appear idle.
+func (b *Balancer) load(now time.Duration, ep *endpoint) float64 {
+	if ep.hasFreshLoadReport(now) {
+		return ep.reportedLoad
+	}
+	return max(float64(ep.inFlight), b.meanReportedLoad) + float64(ep.streamsInFlight)
+}
+
+// chargeDeficit charges an active endpoint its weight, as in the paper, times the cost of the class.
+// With tiers below, only what the endpoint adds is charged, or a slow machine would pass for a fast one.
+func (b *Balancer) chargeDeficit(now time.Duration, req *request, ep *endpoint) {
+	expected, weight := b.expectedSeconds(req), ep.weight()
+	picked, charge := b.effectiveDeficit(ep), weight
+	if b.settings.TiersBelow > 0 {
+		charge -= sharedLatencyFraction * min(b.smallestActiveWeight(), weight)
+	}
+	ep.deficit += charge * expected / b.typicalSeconds()
+	for _, other := range b.lastCandidates() { // one passed over for its load does not catch up at once,
+		other.deficit = max(other.deficit, picked-maxDeficitLag*weight)
+		if other != ep && other.hasFreshLoadReport(now) { // nor is it next, and probed, again and again
+			other.deficit = max(other.deficit, picked+reportedLoadCharge*weight*other.reportedLoad)
+		}
 	}
-	return max(float64(e.inFlight), b.held) + float64(e.flows)
 }
 
-// probe asks the endpoints that are next in turn for their load, and holds the request for the answers.
-func (b *Balancer) probe(now time.Duration, q *request) bool {
-	var next [probeWidth + 1]*endpoint // in order of deficit; the last place is for what falls out
-	for _, e := range b.table {
-		if b.allowed(now, q, e) && (e.active || !e.trial && now >= e.trialAt) {
-			i := probeWidth
-			for ; i > 0 && (next[i-1] == nil || e.deficit < next[i-1].deficit); i-- {
+// probeCandidates probes the endpoints with the lowest deficits and reports whether there are any.
+func (b *Balancer) probeCandidates(now time.Duration, req *request) bool {
+	var next [probesPerRequest + 1]*endpoint // by deficit; an insertion pushes out the last
+	for _, ep := range b.subset {
+		if b.canSend(now, req, ep) && (ep.active || !ep.trialInFlight && now >= ep.nextTrialAt) {
+			i := probesPerRequest
+			for ; i > 0 && (next[i-1] == nil || ep.deficit < next[i-1].deficit); i-- {
 				next[i] = next[i-1]
 			}
-			next[i] = e
+			next[i] = ep
 		}
 	}
-	for _, e := range next[:probeWidth] {
-		if e != nil {
-			b.host.Probe(e.ID)
-			q.probing = append(q.probing, e)
+	for _, ep := range next[:probesPerRequest] {
+		if ep != nil {
+			b.host.Probe(ep.ID)
+			req.pendingProbes = append(req.pendingProbes, ep)
 		}
 	}
-	q.probeEnd = now + probeWait
-	return len(q.probing) > 0
+	req.probeDeadline = now + probeTimeout
+	return len(req.pendingProbes) > 0
 }
 
-// Probed takes an endpoint's load and lets the requests go that waited for it.
+// Probed implements Events: it stores the load report and dispatches the requests that have all of theirs. An
+// active endpoint whose probe failed is ejected.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
-	e := b.byName[p.Endpoint]
-	if e == nil {
+	ep := b.endpointByID[p.Endpoint]
+	if ep == nil {
 		return
 	}
-	if p.Result != OK && e.active {
-		b.drop(now, e)
+	if p.Result != OK && ep.active {
+		b.eject(now, ep)
 	} else if p.Load.Known {
-		e.held, e.heldAt = p.Load.Held, now
-		b.held += (p.Load.Held - b.held) * meanGain
+		ep.reportedLoad, ep.reportedLoadAt = p.Load.Held, now
+		b.meanReportedLoad += (p.Load.Held - b.meanReportedLoad) * recentMeanGain
 	}
-	for _, q := range slices.Clone(b.live) {
-		if i := slices.Index(q.probing, e); i >= 0 {
-			if q.probing = slices.Delete(q.probing, i, i+1); len(q.probing) == 0 {
-				b.dispatch(now, q)
+	for _, req := range slices.Clone(b.live) {
+		if i := slices.Index(req.pendingProbes, ep); i >= 0 {
+			if req.pendingProbes = slices.Delete(req.pendingProbes, i, i+1); len(req.pendingProbes) == 0 {
+				b.dispatch(now, req)
 			}
 		}
 	}
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -2,29 +2,32 @@
 
 import "time"
 
+// The retry budget, which keeps retries of several tiers from multiplying.
 const (
-	resendShare = 0.1  // resends earned by each request
-	resendMost  = 10.0 // resends saved up at most
+	retryBudgetRatio = 0.1  // retries earned per request
+	maxRetryBudget   = 10.0 // retries saved up at most
 )
 
-// mayTry tells whether limit, time and budget allow one more attempt. Resends must not multiply over tiers.
-func (b *Balancer) mayTry(now time.Duration, q *request) bool {
-	return !q.spent && (b.s.MaxAttempts <= 0 || len(q.attempts) < b.s.MaxAttempts) &&
-		b.budget >= 1 && b.inTime(now, q, 1)
+// canRetry reports whether body, attempt limit, retry budget and deadline permit another attempt.
+func (b *Balancer) canRetry(now time.Duration, req *request) bool {
+	return !req.bodyConsumed && (b.settings.MaxAttempts <= 0 || len(req.attempts) < b.settings.MaxAttempts) &&
+		b.retryBudget >= 1 && b.canMeetDeadline(now, req, 1)
 }
 
-// mayResend is the rule against double effects.
-func (b *Balancer) mayResend(now time.Duration, q *request, e *endpoint) bool {
-	for i := range q.attempts {
-		a, c := &q.attempts[i], q.class
-		if a.out {
+// isSafeToSend reports whether the request cannot take effect twice if the endpoint gets it now: no attempt
+// is in flight, and any that may have run is harmless to repeat or will be dropped there as a duplicate.
+func (b *Balancer) isSafeToSend(now time.Duration, req *request, ep *endpoint) bool {
+	for i := range req.attempts {
+		att, c := &req.attempts[i], req.class
+		if att.inFlight {
 			return false
 		}
-		if !a.mayRun || c.Effect == Safe {
+		if !att.mayHaveRun || c.Effect == Safe {
 			continue
 		}
-		if c.Effect == Unsafe || now+2*b.s.Resolution >= a.sent+c.Window ||
-			c.Group == GroupZone && a.e.Zone != e.Zone || c.Group == GroupCell && a.e.Cell != e.Cell {
+		if c.Effect == Unsafe || now+2*b.settings.Resolution >= att.sentAt+c.Window ||
+			c.Group == GroupZone && att.endpoint.Zone != ep.Zone ||
+			c.Group == GroupCell && att.endpoint.Cell != ep.Cell {
 			return false
 		}
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,45 +2,44 @@
 
 import "time"
 
-const (
-	coldShare = 1.5 // calls to a cold endpoint, in shares of its warmth
-)
+// slowStartLoadMultiple is the load of an endpoint that is warming up, in even shares scaled to its capacity.
+// Above 1 it gets measured soon enough; all balancers together must not overload it.
+const slowStartLoadMultiple = 1.5
 
-// paceCold follows a change of the table. A cold endpoint that comes into it gets its first call at a random
-// moment of the gap between two calls: when the list changes or callers restart, many tables take it in at
-// once, and their first calls alone would overload it. Waits in progress are scaled with the length of a
-// turn, which a restarted caller learns only from its first requests. Without an active endpoint nothing is
-// put off.
-func (b *Balancer) paceCold(now time.Duration) {
-	turn := b.coldTurn(now)
-	for _, e := range b.endpoints {
-		if wait := (e.coldAt - now).Seconds(); wait > 0 && b.pacedTurn > 0 {
-			e.coldAt = now + seconds(wait*turn/b.pacedTurn)
+// paceSlowStart follows a change of the subset. An endpoint that is warming up gets its first request at a
+// random moment of its interval: when lists change or balancers restart, many subsets take it in at once, and
+// their first requests alone would overload it. Waits in progress are scaled with the length of a turn, which
+// a restarted balancer learns from its first requests. Without an active endpoint nothing is delayed.
+func (b *Balancer) paceSlowStart(now time.Duration) {
+	turn := b.slowStartTurn(now)
+	for _, ep := range b.endpoints {
+		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.slowStartTurnSeconds > 0 {
+			ep.slowStartNextAt = now + seconds(wait*turn/b.slowStartTurnSeconds)
 		}
 	}
-	b.pacedTurn = turn
-	active, _, _ := b.actives()
-	for _, e := range b.table {
-		if active > 0 && !e.paced && b.warmth(now, e) < 1 {
-			e.coldAt = max(e.coldAt, now+seconds(b.rng.Float64()*b.coldGap(now, e).Seconds()))
+	b.slowStartTurnSeconds = turn
+	hasActive := b.summarizeActive().count > 0
+	for _, ep := range b.subset {
+		if hasActive && !ep.wasInSubset && b.capacityShare(now, ep) < 1 {
+			wait := seconds(b.rng.Float64() * b.slowStartInterval(now, ep).Seconds())
+			ep.slowStartNextAt = max(ep.slowStartNextAt, now+wait)
 		}
 	}
-	for _, e := range b.endpoints {
-		e.paced = false
+	for _, ep := range b.endpoints {
+		ep.wasInSubset = false
 	}
-	for _, e := range b.table {
-		e.paced = true
+	for _, ep := range b.subset {
+		ep.wasInSubset = true
 	}
 }
 
-// coldGap is the time between two sends to a cold endpoint, trials included, little more than a warm share of
-// the caller's own traffic. It guards against all callers together pushing it over.
-func (b *Balancer) coldGap(now time.Duration, e *endpoint) time.Duration {
-	return seconds(b.coldTurn(now) / (b.warmth(now, e) * coldShare))
+// slowStartInterval is the time between two attempts, trials included, at an endpoint that is warming up.
+func (b *Balancer) slowStartInterval(now time.Duration, ep *endpoint) time.Duration {
+	return seconds(b.slowStartTurn(now) / (b.capacityShare(now, ep) * slowStartLoadMultiple))
 }
 
-// coldTurn is the turn, in seconds, by which cold endpoints are paced: that of the requests admitted. What is
-// refused for want of room reaches no endpoint, and its clients ask again and again.
-func (b *Balancer) coldTurn(now time.Duration) float64 {
-	return float64(len(b.table)) / max(b.admitted.perSecond(now, b.started), rateLeast)
+// slowStartTurn is the length of a turn in seconds, by admitted requests only: what is rejected reaches no
+// endpoint, and clients repeat it.
+func (b *Balancer) slowStartTurn(now time.Duration) float64 {
+	return float64(len(b.subset)) / max(b.admittedCounter.perSecond(now, b.startedAt), minRequestRate)
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-// What a Balancer remembers, the measures read off it, and bookkeeping. No decision is made in this file.
+// What a Balancer remembers, the measures derived from it, and bookkeeping. No decision is made in this file.
 
 import (
 	"math"
@@ -9,136 +9,165 @@
 	"time"
 )
 
-const logEvery = 10 * time.Second // between two log lines of one kind
+// logInterval is the least time between two log lines of one kind, so that overload does not flood the log.
+const logInterval = 10 * time.Second
 
-// endpoint is all that is known of one endpoint.
+// endpoint is what is known of one endpoint.
 type endpoint struct {
 	Endpoint
-	kind         *kind
-	active       bool
-	deficit      float64       // charged turns
-	sum, samples float64       // smoothed samples over the kind's weight, and how many they are worth
-	sampledAt    time.Duration // latest sample
-	answeredAt   time.Duration // latest answer
-	backoff      time.Duration // wait between trials
-	barred       bool          // out by hand
-	back         time.Duration // instant at which it was given back; 0: it was not out
-	returns      int           // how often that happened
-	dropped      bool          // not active by what it showed: it was dropped, or failed a trial
-	trialAt      time.Duration // next trial, while not active
-	trial        bool          // the single trial is out
-	inFlight     int           // attempts out that wait for it
-	flows        int           // attempts out whose bodies flow, up or down
-	errors       float64       // share of recent outcomes that are errors
-	coldAt       time.Duration // next send, while cold
-	paced        bool          // was in the table at its latest change
-	held         float64       // load that the latest probe reported
-	heldAt       time.Duration
-}
-
-// kind pools what the endpoints of one kind show.
-type kind struct{ w, samples float64 }
-
-// class is what calls of one class usually take.
+	kind *kind
+
+	active      bool          // in the paper's active list
+	deficit     float64       // the paper's Δ: what its turns have been charged
+	sampleSum   float64       // smoothed sum of its samples, each over the kind's weight
+	sampleCount float64       // samples that sampleSum is worth
+	errorRate   float64       // fraction of recent results that are errors
+	sampledAt   time.Duration // of the latest sample
+	respondedAt time.Duration // of the latest response
+
+	ejected       bool          // not active because of its latency, silence or a failed trial
+	backoff       time.Duration // wait between trials
+	nextTrialAt   time.Duration // while not active
+	trialInFlight bool          // the single trial request is in flight
+
+	manuallyEjected bool          // by operators
+	restoredAt      time.Duration // when operators restored it; 0: never
+	incarnation     int           // how often operators restored it
+
+	inFlight        int // attempts that wait for its response
+	streamsInFlight int // attempts with a streaming body, in either direction
+
+	slowStartNextAt time.Duration // earliest next attempt, while it is warming up
+	wasInSubset     bool          // at the latest change of the subset
+
+	reportedLoad   float64       // of the latest load report
+	reportedLoadAt time.Duration // of the latest load report; 0: none
+}
+
+// kind pools the samples of the endpoints of one kind.
+type kind struct{ weight, sampleCount float64 }
+
+// observe adds the stretch of a response to the weight of the kind.
+func (k *kind) observe(stretch float64) {
+	k.sampleCount++
+	k.weight += (stretch - k.weight) * max(1/(k.sampleCount+2), kindWeightGain)
+}
+
+// class is the latency of the requests of one class.
 type class struct {
 	Class
-	since      time.Duration // first answer
-	samples    float64
-	calm, mean float64 // seconds for a call: when all is calm, and lately
-	at         time.Duration
+	sampleCount     float64
+	baselineLatency float64 // seconds, without load
+	meanLatency     float64 // seconds, recent
+	firstResponseAt time.Duration
+	lastResponseAt  time.Duration
 }
 
-// tenant is what a tenant may still send within its share.
+// tenant is the token bucket of a tenant's quota.
 type tenant struct {
 	Tenant
-	tokens float64
-	at     time.Duration
+	tokens     float64 // as of refilledAt
+	refilledAt time.Duration
 }
 
-// attempt is one Send.
+// attempt is one Host.Send.
 type attempt struct {
-	e               *endpoint
-	returns         int // the endpoint's, when it was sent: what was sent before tells nothing of it
-	sent, overdueAt time.Duration
-	waits           time.Duration // for the endpoint, since then
-	out             bool          // no outcome yet
-	mayRun          bool          // ended, and may have run
-	trial           bool
-	overdue         bool // out for longer than expected
-	streams         bool // belongs to the client
-	flows           bool // its body flows, up or down
-}
-
-// request is all that is known of one request.
+	endpoint         *endpoint
+	incarnation      int // of the endpoint, when the attempt was sent
+	sentAt           time.Duration
+	waitingSince     time.Duration // when it began to wait for the endpoint, the streaming body sent
+	overdueAt        time.Duration // when it is overdue next
+	inFlight         bool          // has no Outcome yet
+	mayHaveRun       bool          // has ended, and may have taken effect
+	isTrial          bool          // of an endpoint that is not active
+	wasOverdue       bool
+	isStreaming      bool // its response streams to the client
+	hasStreamingBody bool // its body streams, in either direction
+}
+
+// request is what is known of one request.
 type request struct {
 	Request
-	class    *class
-	arrived  time.Duration
-	giveUp   time.Duration // end of its use, or of the time for an answer
-	attempts []attempt
-	done     bool        // has its final answer
-	held     bool        // waits for room
-	probing  []*endpoint // probes awaited
-	probeEnd time.Duration
-	spot     int  // in Balancer.live
-	spent    bool // can't be sent again
-}
-
-// Balancer decides for one caller. New makes one.
+	class         *class
+	arrivedAt     time.Duration
+	giveUpAt      time.Duration // last instant at which an answer still reaches the client
+	attempts      []attempt
+	isAnswered    bool          // has its final answer, or its client has left
+	isQueued      bool          // waits in Balancer.queue
+	pendingProbes []*endpoint   // endpoints whose load report is awaited
+	probeDeadline time.Duration // when it stops waiting for load reports
+	liveIndex     int           // its index in Balancer.live
+	bodyConsumed  bool          // it cannot be sent again
+}
+
+// Balancer implements Events. New makes one. Its owner calls it from one goroutine at a time.
 type Balancer struct {
-	s         Settings
-	host      Host
-	rng       *rand.Rand
-	classes   map[string]*class
-	tenants   map[string]*tenant
-	kinds     map[string]*kind
-	byName    map[string]*endpoint
-	endpoints []*endpoint // in order of first mention
-	table     []*endpoint // of them, those that this caller spreads its calls over
-	sampled   []*endpoint // of a long table, those that the latest pick chose among
-	recent    []*endpoint // of a long table, those used last
-	least     float64     // smallest active weight of a long table, lately
-	leastFor  int         // times that least may still be used
-	ready     int         // of them, neither draining nor gone
-	requests  map[string]*request
-	live      []*request // without a final answer
-	waiting   []*request // held, in order of arrival
-	wake      time.Duration
-	askAt     time.Duration // next ask of discovery; 0: none due
-	askGap    time.Duration
-	aim       float64 // mean aim of the classes, in seconds
-	out       int     // attempts out that wait for an endpoint
-	room      float64 // how many may be
-	stretch   float64 // of recent answers
-	cutAt     time.Duration
-	resizedAt time.Duration
-	pacedTurn float64 // seconds of a turn, as of the latest change of the table
-	budget    float64 // resends saved up
-	errors    float64 // share of recent outcomes that are errors
-	held      float64 // mean load that probes report
-	started   time.Duration
-	asked     rateCounter // requests
-	admitted  rateCounter // of them, those sent, and those that lacked an endpoint rather than room
-	quota     float64     // of all tenants, for this caller alone
-	size      float64     // wanted size of the table
-	logged    map[string]time.Duration
-	barred    map[string]bool // ids that are out by hand, listed or not
+	settings Settings
+	host     Host
+	rng      *rand.Rand
+
+	startedAt       time.Duration
+	wakeupAt        time.Duration // earliest timer asked for; 0: none
+	classes         map[string]*class
+	tenants         map[string]*tenant
+	kinds           map[string]*kind
+	endpointByID    map[string]*endpoint
+	endpoints       []*endpoint     // in the order in which they were first listed
+	availableCount  int             // endpoints that may be used
+	manuallyEjected map[string]bool // IDs, listed or not
+
+	subset               []*endpoint // the endpoints that this balancer uses
+	wantedSubsetSize     float64     // by the rate of requests
+	pickSample           []*endpoint // of a large subset: the candidates of the latest pick
+	recentlyUsed         []*endpoint // of a large subset: the endpoints used last
+	cachedSmallestWeight float64     // of a large subset: the smallest active weight
+	cachedWeightUses     int         // how often cachedSmallestWeight may still be used
+
+	requests map[string]*request // without a final answer, or with an attempt in flight
+	live     []*request          // without a final answer
+	queue    []*request          // in order of arrival
+
+	resubscribeAt      time.Duration // 0: not due
+	resubscribeBackoff time.Duration
+
+	inFlight         int     // attempts that wait for an endpoint
+	concurrencyLimit float64 // bound of inFlight
+	recentStretch    float64 // smoothed stretch of responses
+	limitUpdatedAt   time.Duration
+	nextReductionAt  time.Duration // of the concurrency limit, at the earliest
+
+	slowStartTurnSeconds float64 // at the latest change of the subset
+	retryBudget          float64 // retries saved up
+	errorRate            float64 // fraction of recent results that are errors
+	meanReportedLoad     float64 // over recent load reports
+	meanLatencyObjective float64 // over the classes, in seconds
+	totalQuota           float64 // of all tenants, requests per second of this balancer
+
+	requestCounter  fadingCounter // requests
+	admittedCounter fadingCounter // of them, those sent and those that no endpoint was available for
+	lastLoggedAt    map[string]time.Duration
 }
 
 var _ Events = (*Balancer)(nil)
 
-// New returns a Balancer that starts at now with no knowledge but its settings.
+// New returns a Balancer that knows nothing but its settings. If they say MustSubscribe, it calls h.Subscribe.
 func New(now time.Duration, s Settings, h Host) *Balancer {
-	b := &Balancer{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), started: now, asked: rateCounter{at: now}, admitted: rateCounter{at: now}, budget: resendMost / 2, stretch: 1,
+	b := &Balancer{
+		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)),
+		startedAt: now, requestCounter: fadingCounter{at: now}, admittedCounter: fadingCounter{at: now},
+		retryBudget: maxRetryBudget / 2, recentStretch: 1,
 		classes: map[string]*class{}, tenants: map[string]*tenant{}, kinds: map[string]*kind{},
-		byName: map[string]*endpoint{}, requests: map[string]*request{}, logged: map[string]time.Duration{}, barred: map[string]bool{}}
+		endpointByID: map[string]*endpoint{}, requests: map[string]*request{},
+		lastLoggedAt: map[string]time.Duration{}, manuallyEjected: map[string]bool{},
+	}
 	for _, c := range s.Classes {
 		b.classes[c.Name] = &class{Class: c}
-		b.aim += c.Aim.Seconds() / float64(len(s.Classes))
+		b.meanLatencyObjective += c.Aim.Seconds() / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
-		b.quota += t.Quota / float64(max(s.Balancers, 1))
-		b.tenants[t.Name] = &tenant{Tenant: t, tokens: t.Quota / float64(max(s.Balancers, 1)), at: now}
+		quota := t.Quota / float64(max(s.Balancers, 1))
+		b.totalQuota += quota
+		b.tenants[t.Name] = &tenant{Tenant: t, tokens: quota, refilledAt: now}
 	}
 	if s.MustSubscribe {
 		h.Subscribe()
@@ -146,371 +175,375 @@
 	return b
 }
 
-// Timer implements Events. Timers cannot be withdrawn: one that is not the next wake is stale.
+// Timer implements Events. Timers cannot be cancelled: one before the next wake-up is stale and ignored.
 func (b *Balancer) Timer(now time.Duration) {
-	if b.wake != 0 && now >= b.wake {
-		b.wake = 0
-		b.tick(now)
-		if b.askAt > 0 {
-			b.wakeAt(b.askAt)
+	if b.wakeupAt != 0 && now >= b.wakeupAt {
+		b.wakeupAt = 0
+		b.processDue(now)
+		if b.resubscribeAt > 0 {
+			b.wakeAt(b.resubscribeAt)
 		}
-		for _, q := range b.live {
-			b.wakeAt(b.lookAt(q))
+		for _, req := range b.live {
+			b.wakeAt(b.nextCheckAt(req))
 		}
 	}
 }
 
-// lookAt is when tick has to look at a request again.
-func (b *Balancer) lookAt(q *request) time.Duration {
-	at := q.ends()
-	if q.held {
-		at = b.holdEnd(q)
+// nextCheckAt is when processDue has to check the request next.
+func (b *Balancer) nextCheckAt(req *request) time.Duration {
+	at := req.giveUpInstant()
+	if req.isQueued {
+		at = b.queueDeadline(req)
 	}
-	if len(q.probing) > 0 {
-		at = min(at, q.probeEnd)
+	if len(req.pendingProbes) > 0 {
+		at = min(at, req.probeDeadline)
 	}
-	for i := range q.attempts {
-		if q.attempts[i].out {
-			at = min(at, q.attempts[i].overdueAt)
+	for i := range req.attempts {
+		if req.attempts[i].inFlight {
+			at = min(at, req.attempts[i].overdueAt)
 		}
 	}
 	return at
 }
 
-// merge applies what discovery says to the endpoints and returns those that are new or have restarted.
-func (b *Balancer) merge(l List) []*endpoint {
+// mergeList applies a list to the endpoints and returns those that are new or have restarted.
+func (b *Balancer) mergeList(l List) []*endpoint {
 	var started []*endpoint
 	if l.Complete {
-		for _, e := range b.endpoints {
-			e.State = Gone
+		for _, ep := range b.endpoints {
+			ep.State = Gone
 		}
 	}
-	for _, in := range l.Entries {
-		e := b.byName[in.ID]
-		if e == nil {
-			e = &endpoint{barred: b.barred[in.ID]}
-			b.byName[in.ID], b.endpoints = e, append(b.endpoints, e)
+	for _, entry := range l.Entries {
+		ep := b.endpointByID[entry.ID]
+		if ep == nil {
+			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
+			b.endpointByID[entry.ID], b.endpoints = ep, append(b.endpoints, ep)
 		}
-		in.Started = max(in.Started, e.back) // of a restart by hand the list may hear late
-		if e.kind == nil || in.Started > e.Started {
-			started = append(started, e)
+		entry.Started = max(entry.Started, ep.restoredAt) // the list may learn late of a restart by operators
+		if ep.kind == nil || entry.Started > ep.Started {
+			started = append(started, ep)
 		}
-		e.Endpoint = in
-		if e.kind = b.kinds[in.Kind]; e.kind == nil {
-			e.kind = &kind{w: 1}
-			b.kinds[in.Kind] = e.kind
+		ep.Endpoint = entry
+		if ep.kind = b.kinds[entry.Kind]; ep.kind == nil {
+			ep.kind = &kind{weight: 1}
+			b.kinds[entry.Kind] = ep.kind
 		}
 	}
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
-		if e.State == Gone {
-			delete(b.byName, e.ID)
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(ep *endpoint) bool {
+		if ep.State == Gone {
+			delete(b.endpointByID, ep.ID)
 		}
-		return e.State == Gone
+		return ep.State == Gone
 	})
-	b.countReady()
+	b.countAvailable()
 	return started
 }
 
-// countReady counts the endpoints that may be used.
-func (b *Balancer) countReady() {
-	b.ready = 0
-	for _, e := range b.endpoints {
-		if e.usable() {
-			b.ready++
+// countAvailable updates the number of available endpoints.
+func (b *Balancer) countAvailable() {
+	b.availableCount = 0
+	for _, ep := range b.endpoints {
+		if ep.isAvailable() {
+			b.availableCount++
 		}
 	}
 }
 
-// usable tells whether anything new may go to an endpoint at all.
-func (e *endpoint) usable() bool { return e.State == Ready && !e.barred }
+// isAvailable reports whether the endpoint may get new attempts.
+func (e *endpoint) isAvailable() bool { return e.State == Ready && !e.manuallyEjected }
 
-// shut tells whether all endpoints that could be used are out by hand.
-func (b *Balancer) shut() bool {
-	return b.ready == 0 && len(b.barred) > 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool { return e.State == Ready })
+// allManuallyEjected reports whether there are ready endpoints and operators have ejected all of them.
+func (b *Balancer) allManuallyEjected() bool {
+	return b.availableCount == 0 && len(b.manuallyEjected) > 0 &&
+		slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool { return ep.State == Ready })
 }
 
 // Knows implements Events.
-func (b *Balancer) Knows(id string) bool { return b.barred[id] || b.byName[id] != nil }
+func (b *Balancer) Knows(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
 
 // Census implements Events.
 func (b *Balancer) Census() (listed, avoided int) {
-	for _, e := range b.endpoints {
-		if e.barred || e.dropped && !e.active {
+	for _, ep := range b.endpoints {
+		if ep.manuallyEjected || ep.ejected && !ep.active {
 			avoided++
 		}
 	}
 	return len(b.endpoints), avoided
 }
 
-// actives counts the active endpoints and gives their smallest weight, 1 if there are none, and their lowest
-// deficit.
-func (b *Balancer) actives() (n int, w, deficit float64) {
-	for _, e := range b.table {
-		if !e.active || !e.usable() {
+// activeSummary describes the active endpoints of the subset.
+type activeSummary struct {
+	count          int
+	smallestWeight float64 // 1 if there are none
+	lowestDeficit  float64 // 0 if there are none
+}
+
+// summarizeActive scans the subset for its active endpoints.
+func (b *Balancer) summarizeActive() activeSummary {
+	var s activeSummary
+	for _, ep := range b.subset {
+		if !ep.active || !ep.isAvailable() {
 			continue
 		}
-		if n == 0 || e.w() < w {
-			w = e.w()
+		if s.count == 0 || ep.weight() < s.smallestWeight {
+			s.smallestWeight = ep.weight()
 		}
-		if n == 0 || e.deficit < deficit {
-			deficit = e.deficit
+		if s.count == 0 || ep.deficit < s.lowestDeficit {
+			s.lowestDeficit = ep.deficit
 		}
-		n++
+		s.count++
 	}
-	if n == 0 {
-		w = 1
+	if s.count == 0 {
+		s.smallestWeight = 1
 	}
-	return n, w, deficit
+	return s
 }
 
-// Share implements Events. Nobody gains at once by a change: what a tenant has saved shrinks with its part, and grows at the
-// new rate.
+// Share implements Events. A change grants no tenant a burst: saved tokens shrink with this balancer's part of the
+// quota, and grow only at the new rate.
 func (b *Balancer) Share(now time.Duration, balancers, index int) {
-	was, is := float64(max(b.s.Balancers, 1)), float64(max(balancers, 1))
-	if was == is && b.s.Index == index {
+	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
+	if before == after && b.settings.Index == index {
 		return
 	}
-	b.s.Balancers, b.s.Index = balancers, index
-	b.quota *= was / is
+	b.settings.Balancers, b.settings.Index = balancers, index
+	b.totalQuota *= before / after
 	for _, t := range b.tenants {
-		t.tokens = (t.tokens + t.Quota/was*(now-t.at).Seconds()) * min(was/is, 1)
-		t.at = now
+		t.tokens = (t.tokens + t.Quota/before*(now-t.refilledAt).Seconds()) * min(before/after, 1)
+		t.refilledAt = now
 	}
-	b.fill(now)
+	b.rebuildSubset(now)
 }
 
-// share is how many endpoints there are for this caller alone. Behind the first tier callers are many and each has
-// little to send: there it is all of them.
-func (b *Balancer) share() float64 {
+// endpointShare is how many endpoints there are per balancer. Behind the first tier it is all of them: balancers are
+// many there, and each has little traffic.
+func (b *Balancer) endpointShare() float64 {
 	n := float64(len(b.endpoints))
-	if b.s.Tier == 0 {
-		n /= float64(max(b.s.Balancers, 1))
+	if b.settings.Tier == 0 {
+		n /= float64(max(b.settings.Balancers, 1))
 	}
 	return max(n, 1)
 }
 
-// smallest is the smallest active weight. That of a long table is looked up only now and then, so that it costs no more
-// than a pick: in between an endpoint has a sample or two.
-func (b *Balancer) smallest() float64 {
-	if len(b.table) <= tableWhole {
-		_, w, _ := b.actives()
-		return w
+// smallestActiveWeight is the smallest weight of an active endpoint. That of a large subset is cached for as many uses
+// that the scans cost no more than the picks; an endpoint gets a sample or two in between.
+func (b *Balancer) smallestActiveWeight() float64 {
+	if len(b.subset) <= fullScanLimit {
+		return b.summarizeActive().smallestWeight
 	}
-	if b.leastFor <= 0 {
-		_, b.least, _ = b.actives()
-		b.leastFor = len(b.table) / sampleWidth
+	if b.cachedWeightUses <= 0 {
+		b.cachedSmallestWeight = b.summarizeActive().smallestWeight
+		b.cachedWeightUses = len(b.subset) / pickSampleSize
 	}
-	b.leastFor--
-	return b.least
+	b.cachedWeightUses--
+	return b.cachedSmallestWeight
 }
 
-// among is what a pick chooses from: the table, or a new sample of a long one.
-func (b *Balancer) among() []*endpoint {
-	if len(b.table) <= tableWhole {
-		return b.table
+// pickCandidates returns what the next pick chooses from: the subset, or a new sample of a large one.
+func (b *Balancer) pickCandidates() []*endpoint {
+	if len(b.subset) <= fullScanLimit {
+		return b.subset
 	}
-	b.sampled = append(b.sampled[:0], b.recent...)
-	for range sampleWidth {
-		b.sampled = append(b.sampled, b.table[b.rng.IntN(len(b.table))])
+	b.pickSample = append(b.pickSample[:0], b.recentlyUsed...)
+	for range pickSampleSize {
+		b.pickSample = append(b.pickSample, b.subset[b.rng.IntN(len(b.subset))])
 	}
-	return b.sampled
+	return b.pickSample
 }
 
-// passed is what the latest pick chose among.
-func (b *Balancer) passed() []*endpoint {
-	if len(b.table) <= tableWhole {
-		return b.table
+// lastCandidates returns what the latest pick chose from.
+func (b *Balancer) lastCandidates() []*endpoint {
+	if len(b.subset) <= fullScanLimit {
+		return b.subset
 	}
-	return b.sampled
+	return b.pickSample
 }
 
-// used notes a send to an endpoint of a long table.
-func (b *Balancer) used(e *endpoint) {
-	if len(b.table) <= tableWhole || slices.Contains(b.recent, e) {
+// noteUse adds an endpoint of a large subset to those used last.
+func (b *Balancer) noteUse(ep *endpoint) {
+	if len(b.subset) <= fullScanLimit || slices.Contains(b.recentlyUsed, ep) {
 		return
 	}
-	if len(b.recent) == sampleKept {
-		b.recent = slices.Delete(b.recent, 0, 1)
+	if len(b.recentlyUsed) == recentEndpointCount {
+		b.recentlyUsed = slices.Delete(b.recentlyUsed, 0, 1)
 	}
-	b.recent = append(b.recent, e)
+	b.recentlyUsed = append(b.recentlyUsed, ep)
 }
 
-// typical is what a call takes when all is calm, in seconds, over the classes seen; 1 before any was.
-func (b *Balancer) typical() float64 {
-	sum, n := 0.0, 0.0
-	for i := range b.s.Classes {
-		c := b.classes[b.s.Classes[i].Name]
-		sum, n = sum+c.calm*c.samples, n+c.samples
+// typicalSeconds is the mean baseline latency over the requests of all classes, in seconds; 1 before any response.
+func (b *Balancer) typicalSeconds() float64 {
+	sum, count := 0.0, 0.0
+	for i := range b.settings.Classes {
+		c := b.classes[b.settings.Classes[i].Name]
+		sum, count = sum+c.baselineLatency*c.sampleCount, count+c.sampleCount
 	}
 	if sum <= 0 {
 		return 1
 	}
-	return sum / n
+	return sum / count
 }
 
-// attempt returns attempt n if it is out, else nil.
-func (q *request) attempt(n int) *attempt {
-	if q == nil || n < 0 || n >= len(q.attempts) || !q.attempts[n].out {
+// inFlightAttempt returns attempt n if it is in flight, else nil. The request may be nil.
+func (r *request) inFlightAttempt(n int) *attempt {
+	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
 		return nil
 	}
-	return &q.attempts[n]
+	return &r.attempts[n]
 }
 
-// BodySent implements Events: from now on the attempt is like any other that waits for its endpoint.
+// BodySent implements Events: the attempt becomes one that waits for its endpoint.
 func (b *Balancer) BodySent(now time.Duration, id string, n int, deadline time.Duration) {
-	q := b.requests[id]
-	if a := q.attempt(n); a != nil && a.flows && !a.streams {
-		b.tally(a, -1)
-		a.flows, a.waits = false, now
-		b.tally(a, 1)
-		b.due(q, deadline)
-		a.overdueAt = b.overdueFrom(now, q, a.e)
-		b.wakeAt(b.lookAt(q))
+	req := b.requests[id]
+	if att := req.inFlightAttempt(n); att != nil && att.hasStreamingBody && !att.isStreaming {
+		b.countInFlight(att, -1)
+		att.hasStreamingBody, att.waitingSince = false, now
+		b.countInFlight(att, 1)
+		b.setDeadline(req, deadline)
+		att.overdueAt = b.overdueInstant(now, req, att.endpoint)
+		b.wakeAt(b.nextCheckAt(req))
 	}
 }
 
-// StreamStarted implements Events: the attempt is the client's, and no limit of time runs any more.
+// StreamStarted implements Events: the request is answered, and its response has no time limit any more.
 func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
-	if q := b.requests[id]; q != nil {
-		if a := q.attempt(n); a != nil {
-			b.judge(now, q, a, OK, now-a.waits)
-			b.tally(a, -1)
-			a.streams, a.flows = true, true
-			b.tally(a, 1)
-			b.close(q)
-			b.release(now)
-		}
-	}
-}
-
-// tally takes an attempt into the counts, or out of them. Bodies that flow use none of the room: that is for calls
-// that are over in an answer's time, and would stay used up for as long as a few transfers last.
-func (b *Balancer) tally(a *attempt, by int) {
-	if a.flows {
-		a.e.flows += by
+	req := b.requests[id]
+	if att := req.inFlightAttempt(n); att != nil {
+		b.recordResult(now, req, att, OK, now-att.waitingSince)
+		b.countInFlight(att, -1)
+		att.isStreaming, att.hasStreamingBody = true, true
+		b.countInFlight(att, 1)
+		b.removeRequest(req)
+		b.sendQueued(now)
+	}
+}
+
+// countInFlight adds by to the count that the attempt belongs to. Streaming bodies do not count against the concurrency
+// limit, which is for attempts that last about a response time: a few transfers would use it up for as long as they last.
+func (b *Balancer) countInFlight(att *attempt, by int) {
+	if att.hasStreamingBody {
+		att.endpoint.streamsInFlight += by
 		return
 	}
-	a.e.inFlight += by
-	b.out += by
+	att.endpoint.inFlight += by
+	b.inFlight += by
 }
 
-// due sets when a request's client stops waiting.
-func (b *Balancer) due(q *request, deadline time.Duration) {
-	q.Deadline, q.giveUp = deadline, deadline-max(b.s.Resolution, time.Millisecond)
+// setDeadline sets when the request's client stops waiting.
+func (b *Balancer) setDeadline(req *request, deadline time.Duration) {
+	req.Deadline, req.giveUpAt = deadline, deadline-max(b.settings.Resolution, time.Millisecond)
 }
 
-// ends is when a request that is out is given up: not by its deadline while its body still flows in.
-func (q *request) ends() time.Duration {
-	for i := range q.attempts {
-		if a := &q.attempts[i]; a.out && a.flows && !a.streams {
-			return max(q.Flow, q.giveUp)
+// giveUpInstant is when the request is given up: the deadline does not apply while its body still streams in.
+func (r *request) giveUpInstant() time.Duration {
+	for i := range r.attempts {
+		if att := &r.attempts[i]; att.inFlight && att.hasStreamingBody && !att.isStreaming {
+			return max(r.Flow, r.giveUpAt)
 		}
 	}
-	return q.giveUp
+	return r.giveUpAt
 }
 
 // ClientLeft implements Events.
 func (b *Balancer) ClientLeft(now time.Duration, id string) {
-	if q := b.requests[id]; q != nil && !q.done {
-		b.close(q)
-		b.release(now)
+	if req := b.requests[id]; req != nil && !req.isAnswered {
+		b.removeRequest(req)
+		b.sendQueued(now)
 	}
 }
 
-// close takes a request that is answered off the books and calls off what is still out for it.
-func (b *Balancer) close(q *request) {
-	if !q.done {
-		q.done, q.held, q.probing = true, false, nil
+// removeRequest marks a request as answered, cancels its attempts in flight and forgets it after the last of them.
+func (b *Balancer) removeRequest(req *request) {
+	if !req.isAnswered {
+		req.isAnswered, req.isQueued, req.pendingProbes = true, false, nil
 		last := len(b.live) - 1
-		b.live[q.spot] = b.live[last]
-		b.live[q.spot].spot = q.spot
+		b.live[req.liveIndex] = b.live[last]
+		b.live[req.liveIndex].liveIndex = req.liveIndex
 		b.live[last] = nil
 		b.live = b.live[:last]
-		for i := range q.attempts {
-			if a := &q.attempts[i]; a.out && !a.streams && b.s.MayCancel {
-				b.host.Cancel(q.ID, i)
+		for i := range req.attempts {
+			if att := &req.attempts[i]; att.inFlight && !att.isStreaming && b.settings.MayCancel {
+				b.host.Cancel(req.ID, i)
 			}
 		}
 	}
-	if q.outs() == 0 {
-		delete(b.requests, q.ID)
+	if !req.hasAttemptInFlight() {
+		delete(b.requests, req.ID)
 	}
 }
 
-// probed tells whether a load report is fresh.
-func (e *endpoint) probed(now time.Duration) bool { return e.heldAt > 0 && now-e.heldAt <= probeFresh }
+// hasAttemptInFlight reports whether an Outcome is still to come.
+func (r *request) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
+}
 
-// outs counts the attempts that are out.
-func (q *request) outs() int {
-	n := 0
-	for i := range q.attempts {
-		if q.attempts[i].out {
-			n++
-		}
-	}
-	return n
+// wasSentTo reports whether an attempt went to the endpoint.
+func (r *request) wasSentTo(ep *endpoint) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == ep })
 }
 
-// tried tells whether an attempt went to the endpoint.
-func (q *request) tried(e *endpoint) bool {
-	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.e == e })
+// hasFreshLoadReport reports whether the latest load report may still be used.
+func (e *endpoint) hasFreshLoadReport(now time.Duration) bool {
+	return e.reportedLoadAt > 0 && now-e.reportedLoadAt <= loadReportLifetime
 }
 
-// wakeAt makes sure that tick runs at the instant given.
+// wakeAt makes sure that processDue runs at the instant given.
 func (b *Balancer) wakeAt(at time.Duration) {
-	if b.wake == 0 || at < b.wake {
-		b.wake = at
+	if b.wakeupAt == 0 || at < b.wakeupAt {
+		b.wakeupAt = at
 		b.host.Timer(at)
 	}
 }
 
-// jitter keeps balancers that see the same from acting at the same moment.
+// jitter varies a duration by a quarter at most, so that balancers that see the same do not act at the same moment.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
 
-// log writes at most one line of a kind every logEvery.
+// log writes a line, at most one of a kind per logInterval.
 func (b *Balancer) log(now time.Duration, kind, text string) {
-	if at, ok := b.logged[kind]; !ok || now-at >= logEvery {
-		b.logged[kind] = now
+	if at, ok := b.lastLoggedAt[kind]; !ok || now-at >= logInterval {
+		b.lastLoggedAt[kind] = now
 		b.host.Log(kind + ": " + text)
 	}
 }
 
-// seconds turns a number of seconds into a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// warmth is the least share of its capacity that an endpoint has by now.
-func (b *Balancer) warmth(now time.Duration, e *endpoint) float64 {
-	if e.Started <= 0 || now-e.Started >= b.s.ColdFor {
+// capacityShare is the least fraction of its full capacity that the endpoint has by now; 1 unless it is warming up.
+func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
+	if ep.Started <= 0 || now-ep.Started >= b.settings.ColdFor {
 		return 1
 	}
-	age := float64(max(now-e.Started, 0)) / float64(b.s.ColdFor)
-	return max(b.s.ColdFrom+(1-b.s.ColdFrom)*age, 0.05)
+	age := float64(max(now-ep.Started, 0)) / float64(b.settings.ColdFor)
+	return max(b.settings.ColdFrom+(1-b.settings.ColdFrom)*age, 0.05)
 }
 
-// turnGap is the time between two calls of this balancer to one endpoint when all get the same.
-func (b *Balancer) turnGap(now time.Duration) time.Duration {
-	return seconds(float64(len(b.table)) / max(b.rate(now), rateLeast))
+// turnInterval is the time between two attempts of this balancer at one endpoint if all get the same.
+func (b *Balancer) turnInterval(now time.Duration) time.Duration {
+	return seconds(float64(len(b.subset)) / max(b.requestRate(now), minRequestRate))
 }
 
-// rate is how many requests a second come, of late.
-func (b *Balancer) rate(now time.Duration) float64 { return b.asked.perSecond(now, b.started) }
+// requestRate is the recent rate of requests per second.
+func (b *Balancer) requestRate(now time.Duration) float64 {
+	return b.requestCounter.perSecond(now, b.startedAt)
+}
 
-// rateCounter counts events that fade with memory.
-type rateCounter struct {
+// fadingCounter counts events with weights that decay with ewmaTimeConstant.
+type fadingCounter struct {
 	count float64 // as of at
 	at    time.Duration
 }
 
-func (r *rateCounter) add(now time.Duration) {
-	r.count, r.at = r.count*faded(now-r.at)+1, now
+func (c *fadingCounter) add(now time.Duration) {
+	c.count, c.at = c.count*ewmaDecay(now-c.at)+1, now
 }
 
-// perSecond is the rate of late. There were no events before the start: that must not count.
-func (r *rateCounter) perSecond(now, started time.Duration) float64 {
-	return r.count * faded(now-r.at) / ((1 - faded(now-started+time.Second)) * memory.Seconds())
+// perSecond is the recent rate of events. It is corrected for the time before startedAt, which had no events.
+func (c *fadingCounter) perSecond(now, startedAt time.Duration) float64 {
+	return c.count * ewmaDecay(now-c.at) / ((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
 }
 
-// faded is what is left of a count after a time.
-func faded(d time.Duration) float64 { return math.Exp(-d.Seconds() / memory.Seconds()) }
+// ewmaDecay is the fraction that a time leaves of a weight.
+func ewmaDecay(d time.Duration) float64 { return math.Exp(-d.Seconds() / ewmaTimeConstant.Seconds()) }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -7,42 +7,44 @@
 	"time"
 )
 
+// The size of the subset: the largest of three bounds.
 const (
-	tableGap   = time.Second // a table is so large that each endpoint in it is called this often,
-	tableShare = 12.0        // that each endpoint is in the tables of this many callers,
-	tableLeast = 4.0         // and no smaller than this
-	rateLeast  = 0.2         // sends a second: a caller is never taken to be quieter
+	subsetCallInterval = time.Second // each endpoint gets a request this often: its weight stays known
+	callersPerEndpoint = 12.0        // subsets that each endpoint is in: one more matters little
+	minSubsetSize      = 4.0         // endpoints, so that a retry finds another one
+	minRequestRate     = 0.2         // requests per second that a balancer is taken to have at least
 )
 
-// count follows the rate of requests and, with it, how many endpoints the table is to have.
-func (b *Balancer) count(now time.Duration) {
-	b.asked.add(now)
-	want := b.rate(now) * tableGap.Seconds()
-	if want > 1.5*b.size || want < 0.5*b.size { // else it would change with each call
-		b.size = want
-		b.fill(now)
+// countRequest counts a request, and rebuilds the subset where the rate has changed the wanted size by half.
+func (b *Balancer) countRequest(now time.Duration) {
+	b.requestCounter.add(now)
+	wanted := b.requestRate(now) * subsetCallInterval.Seconds()
+	if wanted > 1.5*b.wantedSubsetSize || wanted < 0.5*b.wantedSubsetSize {
+		b.wantedSubsetSize = wanted
+		b.rebuildSubset(now)
 	}
 }
 
-// fill chooses the caller's table, the endpoints that it spreads its calls over. It guards against many quiet
-// callers that meet each endpoint too seldom to know it, and open a connection for nearly every call. Tables
-// are even steps through the list, sorted by kind and begun at the caller's own place: all endpoints get as
-// many callers, all callers the same mix of kinds.
-func (b *Balancer) fill(now time.Duration) {
-	defer b.paceCold(now)
-	b.recent, b.sampled, b.leastFor = b.recent[:0], b.sampled[:0], 0
-	b.table = slices.DeleteFunc(slices.Clone(b.endpoints), func(e *endpoint) bool { return !e.usable() })
-	n, callers := float64(len(b.table)), float64(max(b.s.Balancers, 1))
-	size := math.Floor(max(b.size, tableLeast, tableShare*n/callers))
+// rebuildSubset chooses the endpoints that this balancer uses. With little traffic over all of them it would
+// not know their latency, and open a connection for nearly every request. A subset takes even steps through
+// the endpoints sorted by kind, from a start by the balancer's index: all endpoints get as many balancers,
+// all balancers the same mix of kinds.
+func (b *Balancer) rebuildSubset(now time.Duration) {
+	defer b.paceSlowStart(now)
+	b.recentlyUsed, b.pickSample, b.cachedWeightUses = b.recentlyUsed[:0], b.pickSample[:0], 0
+	isUnavailable := func(ep *endpoint) bool { return !ep.isAvailable() }
+	b.subset = slices.DeleteFunc(slices.Clone(b.endpoints), isUnavailable)
+	n, balancers := float64(len(b.subset)), float64(max(b.settings.Balancers, 1))
+	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, callersPerEndpoint*n/balancers))
 	if 2*size >= n {
 		return
 	}
-	slices.SortFunc(b.table, func(x, y *endpoint) int {
+	slices.SortFunc(b.subset, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
 	})
-	place := min(float64(max(b.s.Index, 0))/callers, 1-1/callers)
+	start := min(float64(max(b.settings.Index, 0))/balancers, 1-1/balancers)
 	for i := range int(size) {
-		b.table[i] = b.table[int((float64(i)+place)/size*n)]
+		b.subset[i] = b.subset[int((float64(i)+start)/size*n)]
 	}
-	b.table = b.table[:int(size)]
+	b.subset = b.subset[:int(size)]
 }
