--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -33,7 +33,7 @@
 	ep.errorRate -= ep.errorRate * recentMeanGain
 	switch r {
 	case OK:
-		ep.respondedAt = now
+		ep.lastResponseAt = now
 		req.class.observe(now, took.Seconds())
 		b.updateConcurrencyLimit(now, stretch)
 		ep.kind.observe(stretch)
@@ -83,7 +83,7 @@
 // attempt began is ejected, so that a hang is noticed after a few response times and not after a timeout.
 func (b *Balancer) handleOverdue(now time.Duration, req *request, i int) {
 	att := &req.attempts[i]
-	ep, isSilent := att.endpoint, att.endpoint.respondedAt < att.waitingSince
+	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
 	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
 	if att.hasStreamingBody { // its duration is no sample, and must not delay the next trial
 		if att.isTrial {
@@ -121,7 +121,7 @@
 
 // finishTrial makes the endpoint active again, with its deficit at its weight as in the paper, or backs off.
 func (b *Balancer) finishTrial(now time.Duration, ep *endpoint, stretch float64, hasFailed bool) {
-	ep.trialInFlight, ep.sampleSum, ep.sampleCount, ep.sampledAt = false, stretch/ep.kind.weight, 1, now
+	ep.trialInFlight, ep.sampleSum, ep.sampleCount, ep.lastSampleAt = false, stretch/ep.kind.weight, 1, now
 	active := b.summarizeActive()
 	if hasFailed || active.count > 0 && ep.weight() > activeFactor*active.smallestWeight {
 		b.scheduleTrial(now, ep, true)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -28,10 +28,10 @@
 // addSample adds a stretch to the endpoint's weight and ejects the endpoint if it is no longer within
 // activeFactor of the best.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
-	decay := math.Exp(-(now - ep.sampledAt).Seconds() / ewmaTimeConstant.Seconds())
+	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
 	kept := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples))
 	ep.sampleSum = ep.sampleSum*kept + stretch/ep.kind.weight
-	ep.sampleCount, ep.sampledAt = ep.sampleCount*kept+1, now
+	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*kept+1, now
 	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
 		b.eject(now, ep)
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -17,13 +17,13 @@
 	Endpoint
 	kind *kind
 
-	active      bool          // in the paper's active list
-	deficit     float64       // the paper's Δ: what its turns have been charged
-	sampleSum   float64       // smoothed sum of its samples, each over the kind's weight
-	sampleCount float64       // samples that sampleSum is worth
-	errorRate   float64       // fraction of recent results that are errors
-	sampledAt   time.Duration // of the latest sample
-	respondedAt time.Duration // of the latest response
+	active         bool          // in the paper's active list
+	deficit        float64       // the paper's Δ: what its turns have been charged
+	sampleSum      float64       // smoothed sum of its samples, each over the kind's weight
+	sampleCount    float64       // samples that sampleSum is worth
+	errorRate      float64       // fraction of recent results that are errors
+	lastSampleAt   time.Duration // of the latest sample
+	lastResponseAt time.Duration // of the latest response
 
 	ejected       bool          // not active because of its latency, silence or a failed trial
 	backoff       time.Duration // wait between trials
