--- a/balance/api.go
+++ b/balance/api.go
@@ -1,91 +1,94 @@
-// Package balance makes a load balancer's decisions for a service that calls other services: which
-// endpoint gets a request, when to try again, when to hold back and when to refuse.
+// Package balance makes the decisions of a client-side load balancer, for a service that calls other services: which
+// endpoint gets a request, whether an attempt is retried, when a request is queued and when load is shed.
 //
-// The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns all
-// of these: it creates a Balancer with New, reports what happens through the methods of Events and
-// carries out what the Balancer asks for through Host, in the order asked. Host methods are called from
-// within the event methods and must not call back into the Balancer. A Balancer is not safe for
-// concurrent use.
+// The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns all of these: it
+// creates a Balancer with New, reports what happens through the methods of Events, and carries out what the Balancer
+// calls for through Host, in the order of the calls. The Balancer calls the host only from within New and the event
+// methods; the host must not call back into the Balancer from there.
 //
-// Instants are readings of any clock that never runs backwards, given as a time.Duration since an
-// arbitrary zero. The same settings and the same events at the same instants give the same actions.
+// A Balancer owns its state alone and is not safe for concurrent use: one goroutine at a time may call it.
+//
+// Instants are readings of any clock that never runs backwards, as a time.Duration since an arbitrary zero. The same
+// settings, and the same events at the same instants, give the same calls of the host.
+//
+// api.go is the interface, state.go the state and its bookkeeping. All other files hold decisions; the deploy file
+// lists them as policy.
 package balance
 
 import "time"
 
-// Events is what a host reports. *Balancer implements it. Events must be reported in the order in which
-// they happened.
+// Events is what a host reports. *Balancer implements it. A host reports events in the order in which they happen.
 type Events interface {
-	// EndpointList reports what service discovery says. The first one follows New directly.
+	// EndpointList reports an update by service discovery. The first one directly follows New.
 	EndpointList(now time.Duration, l List)
-	// Request reports a request that wants exactly one final answer: the success of an attempt, or the
-	// Host's Refuse or Fail.
+	// Request reports a request. It gets exactly one final answer: the success of an attempt, or a rejection or
+	// failure by the Host.
 	Request(now time.Duration, r Request)
-	// BodySent reports, for a request with Flow, that the last byte of attempt n has gone out: from now on it waits for
-	// the endpoint, and the client until the deadline.
+	// BodySent reports, for a request with a streaming body, that attempt n has sent the last byte of it. From now on the
+	// attempt waits for the endpoint, and the client waits until the deadline.
 	BodySent(now time.Duration, id string, n int, deadline time.Duration)
-	// StreamStarted reports that attempt n of a request has begun to stream its answer to the client.
+	// StreamStarted reports that attempt n of a request has begun to stream its response to the client.
 	StreamStarted(now time.Duration, id string, n int)
-	// Outcome reports the end of an attempt; every Send gets exactly one.
+	// Outcome reports the end of an attempt. Every attempt sent gets exactly one; others are ignored.
 	Outcome(now time.Duration, o Outcome)
-	// ClientLeft reports that the client no longer waits: no answer is owed any more.
+	// ClientLeft reports that the client has disconnected, so that the request needs no answer any more.
 	ClientLeft(now time.Duration, id string)
-	// Timer reports that an instant asked for with Host.Timer has come.
+	// Timer reports that an instant asked for by a timer has come.
 	Timer(now time.Duration)
-	// Probed reports the result of a Host.Probe.
+	// Probed reports the result of a probe.
 	Probed(now time.Duration, p ProbeResult)
-	// Bar reports that operators take an endpoint out, or give it back. What is out gets nothing new, whatever lists
-	// say, until it is given back: then it is new, and cold, for it was restarted meanwhile. The id need not be listed;
-	// the host bounds how many are out.
+	// Bar reports that operators eject an endpoint (out) or restore it. An ejected endpoint gets no new attempt, whatever
+	// the endpoint list says, until it is restored. It then counts as restarted, and warms up. The ID need not be listed;
+	// the host bounds how many are ejected.
 	Bar(now time.Duration, id string, out bool)
 
-	// Share reports how many balancers send to these endpoints from now on, this one included, and this one's place among
-	// them, from 0. What was learned of endpoints stays.
+	// Share reports how many balancers send to these endpoints from now on, this one included, and the index of this one
+	// among them, from 0. What was learned of the endpoints stays.
 	Share(now time.Duration, balancers, index int)
 
-	// Knows tells whether an endpoint is listed or out. It reports nothing.
+	// Knows reports whether an endpoint is listed or ejected by operators. It is a query and changes nothing.
 	Knows(id string) bool
-	// Census tells how many endpoints are listed, and how many of them are avoided now: out by hand, or dropped. It
-	// reports nothing.
+	// Census returns how many endpoints are listed, and how many of them are ejected, by operators or as outliers. It is a
+	// query and changes nothing.
 	Census() (listed, avoided int)
 }
 
-// Host carries out a Balancer's decisions.
+// Host carries out a Balancer's decisions. The Balancer waits for each call to return.
 type Host interface {
-	// Send starts the next attempt of a request; attempts are numbered from 0. The attempt ends as
-	// TimedOut after timeout, or at the request's deadline if that comes first.
+	// Send starts the next attempt of a request; attempts are numbered from 0. The attempt ends as TimedOut after the
+	// timeout, or at the request's deadline if that comes first.
 	Send(id, endpoint string, timeout time.Duration)
-	// Cancel stops waiting for attempt n. It still gets its Outcome.
+	// Cancel gives up attempt n. It still gets its Outcome.
 	Cancel(id string, n int)
-	// Refuse answers a request for good and tells the client that trying again is harmless, best not
-	// before retryAfter has passed (0: no advice).
+	// Refuse rejects a request. The answer is final, and says that a retry by the client is harmless, best not before
+	// retryAfter has passed (0: no advice).
 	Refuse(id string, retryAfter time.Duration)
-	// Fail answers a request for good and promises nothing about its effect.
+	// Fail fails a request. The answer is final, and says nothing about the effect of the request.
 	Fail(id string)
-	// Probe asks an endpoint for its load without sending it a request.
+	// Probe asks an endpoint for its load, without a request.
 	Probe(endpoint string)
-	// Idle tells whether a connection to the endpoint stands open and unused, so that a Send would open none;
-	// false where the host can't tell.
+	// Idle reports whether a connection to the endpoint is idle, so that an attempt would open none; false where the host
+	// cannot tell.
 	Idle(endpoint string) bool
-	// Subscribe asks discovery for all changes from now on; an EndpointList answers.
+	// Subscribe asks discovery for all changes from now on; an endpoint list is the response.
 	Subscribe()
-	// Timer asks for a Timer event at the given instant or soon after. Timers are not withdrawn.
+	// Timer asks for a Timer event at the given instant or soon after. Timers cannot be cancelled.
 	Timer(at time.Duration)
-	// Log records a line for the people on call.
+	// Log writes a line for the engineers on call.
 	Log(line string)
 }
 
-// Effect says what repeating a request of a class may do.
+// Effect says what a repetition of a request of a class may do.
 type Effect int
 
 // The effects, from harmless to harmful.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of endpoints, for a while
-	Unsafe               // must never run twice
+	Safe   Effect = iota // idempotent: may run any number of times
+	Keyed                // has an idempotency key: a group of endpoints drops duplicates, for a while
+	Unsafe               // not idempotent: must never run twice
 )
 
-// Group says which endpoints together drop repeats of a keyed request.
+// Group says which endpoints together drop duplicates of a request with an idempotency key.
 type Group int
 
 // The groups, from wide to narrow.
@@ -99,41 +102,42 @@
 type Class struct {
 	Name   string
 	Effect Effect
-	Group  Group         // for Keyed
-	Window time.Duration // for Keyed: how long a repeat is recognised, from the first send
-	Aim    time.Duration // an answer is wanted within this time
+	Group  Group         // with an idempotency key
+	Window time.Duration // with an idempotency key: how long duplicates are dropped, from the first attempt
+	Aim    time.Duration // the latency objective: a response is wanted within this time
 }
 
 // Tenant is one of the parties that share the endpoints.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its share, over all balancers of the tier
+	Quota float64 // requests per second, over all balancers of the tier
 }
 
-// Settings are fixed for the life of a Balancer, but for what Share reports. Zero values are legal everywhere.
+// Settings are fixed for the life of a Balancer, but for the count and index of balancers, which an event may change.
+// The zero value of every field is valid.
 type Settings struct {
-	Seed       uint64 // for spreading choices that would otherwise be alike in every balancer
+	Seed       uint64 // of the random choices, which should differ between balancers
 	Balancers  int    // balancers that send to these endpoints, this one included
-	Index      int    // of this one among them, from 0
-	Tier       int    // how many tiers of callers stand before this balancer
-	TiersBelow int    // how many tiers the endpoints themselves depend on
+	Index      int    // of this balancer among them, from 0
+	Tier       int    // how many tiers of balancers are between clients and this one
+	TiersBelow int    // how many tiers the endpoints depend on themselves
 	Classes    []Class
 	Tenants    []Tenant
 
-	MustSubscribe bool          // discovery tells nothing unless asked
-	AskWithin     time.Duration // without a subscription: ask at least this often
+	MustSubscribe bool          // discovery sends nothing without a subscription
+	AskWithin     time.Duration // without a subscription, discovery must be asked at least this often
 
-	MaxAttempts   int           // attempts allowed for a request; 0: no limit
-	MayCancel     bool          // Cancel is allowed
-	MayProbe      bool          // Probe is allowed and results carry a load
-	MaxRetryAfter time.Duration // the longest advice that clients heed; 0: advice does not reach them
+	MaxAttempts   int           // attempts allowed per request; 0: no limit
+	MayCancel     bool          // the host may cancel attempts
+	MayProbe      bool          // the host may probe endpoints, and results carry a load
+	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: advice does not reach them
 
 	Resolution time.Duration // how late events and timers may come
-	ColdFrom   float64       // share of its capacity that an endpoint starts with at least
-	ColdFor    time.Duration // it is warm after this time at the latest
+	ColdFrom   float64       // slow start: fraction of its capacity that an endpoint starts with at least
+	ColdFor    time.Duration // slow start: an endpoint has its full capacity after this time
 }
 
-// State is what discovery says of an endpoint.
+// State is the state of an endpoint according to discovery.
 type State int
 
 // The states of an endpoint.
@@ -143,32 +147,33 @@
 	Gone
 )
 
-// Endpoint is an entry of discovery's list.
+// Endpoint is an entry of an endpoint list.
 type Endpoint struct {
 	ID      string
 	State   State
 	Zone    string
-	Kind    string        // endpoints of one kind are alike in size and speed, as far as discovery knows
-	Cell    int           // endpoints of one cell share which keys they have seen
+	Kind    string        // endpoints of one kind have the same size and speed, as far as discovery knows
+	Cell    int           // endpoints of one cell share the idempotency keys that they have seen
 	Started time.Duration // instant of the latest start; 0: long ago
 }
 
-// List is a message from discovery.
+// List is an update by discovery.
 type List struct {
-	Failed   bool // an ask failed or a subscription broke: nothing is said of endpoints
-	Complete bool // endpoints not listed are gone; otherwise only the listed ones have changed
+	Failed   bool // a request failed or a subscription broke: the update says nothing of endpoints
+	Complete bool // endpoints that are not listed are gone; otherwise only those listed have changed
 	Entries  []Endpoint
 }
 
-// Request is something a client wants done.
+// Request is a client's request.
 type Request struct {
 	ID       string
 	Class    string
 	Tenant   string
 	Deadline time.Duration // instant at which the client stops waiting
-	Repeat   bool          // the client says that it has asked before
-	// Flow is 0 for a request that is here as a whole. Else its body flows in while an attempt is out, until this instant
-	// at the latest: the time that this takes says nothing of an endpoint, and Deadline rules only before and after.
+	Repeat   bool          // the client says that this is a retry
+	// Flow is 0 for a request that is complete. Otherwise its body streams in while an attempt is in flight, until this
+	// instant at the latest. The time that this takes is no latency of the endpoint, and the deadline applies only
+	// before and after it.
 	Flow time.Duration
 }
 
@@ -178,22 +183,22 @@
 // The results. Only Full, ConnectFailed and NotSent prove that the request did not run.
 const (
 	OK            Result = iota
-	Errored              // the endpoint answered with an error
-	Full                 // turned away unseen
-	TimedOut             // no answer in time
-	ConnectFailed        // no connection came about
+	Errored              // the endpoint responded with an error
+	Full                 // the endpoint rejected the request without reading it
+	TimedOut             // no response in time
+	ConnectFailed        // no connection was established
 	Reset                // the connection broke
-	Canceled             // withdrawn by Cancel
-	NotSent              // the Send was not carried out
+	Canceled             // the Balancer cancelled the attempt
+	NotSent              // the host did not send the attempt
 )
 
-// MayHaveRun tells whether an attempt that ended so may have had its effect.
+// MayHaveRun reports whether an attempt with this result may have taken effect.
 func (r Result) MayHaveRun() bool { return r != Full && r != ConnectFailed && r != NotSent }
 
-// Load is what an endpoint says of itself.
+// Load is an endpoint's load report.
 type Load struct {
-	Known bool    // a report came
-	Held  float64 // requests it is working on or keeps waiting
+	Known bool    // there is a report
+	Held  float64 // requests in service or queued
 }
 
 // Outcome is the end of an attempt.
@@ -202,13 +207,13 @@
 	Attempt  int
 	Endpoint string
 	Result   Result
-	Took     time.Duration // since the Send
+	Took     time.Duration // since the attempt was sent
 	Final    bool          // the request has its final answer
-	Reused   bool          // it went out on a connection that had served before
-	Spent    bool          // of a request with Flow: its body is gone, so that it can't be sent again
+	Reused   bool          // the attempt went out on a connection that had served before
+	Spent    bool          // of a request with a streaming body: the body is consumed, so no retry is possible
 }
 
-// ProbeResult is the answer to a Probe.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Endpoint string
 	Result   Result
