--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -12,96 +12,98 @@
 	"tuliprock/balance"
 )
 
-// rig drives a balancer by hand and keeps what it asks for.
-type rig struct {
-	t      *testing.T
-	now    time.Duration
-	b      *balance.Balancer
-	did    []string // all actions but timers, in order
-	to     map[string][]string
-	sentAt map[string]time.Duration
-	timer  []time.Duration
-	n      int
-	idle   map[string]bool // endpoints to which a connection stands idle
+// harness drives a balancer by hand and keeps what it asks for.
+type harness struct {
+	t               *testing.T
+	now             time.Duration
+	balancer        *balance.Balancer
+	actions         []string // all actions but timers, in order
+	sentTo          map[string][]string
+	sentAt          map[string]time.Duration
+	timers          []time.Duration
+	requestCount    int
+	idleConnections map[string]bool // endpoints to which a connection stands idle
 }
 
-func (r *rig) Send(id, ep string, _ time.Duration) {
-	r.did = append(r.did, "send "+id+" "+ep)
-	r.to[id] = append(r.to[id], ep)
+func (r *harness) Send(id, ep string, _ time.Duration) {
+	r.actions = append(r.actions, "send "+id+" "+ep)
+	r.sentTo[id] = append(r.sentTo[id], ep)
 	r.sentAt[id] = r.now
 }
-func (r *rig) Cancel(id string, n int)           { r.did = append(r.did, fmt.Sprint("cancel ", id, " ", n)) }
-func (r *rig) Refuse(id string, _ time.Duration) { r.did = append(r.did, "refuse "+id) }
-func (r *rig) Fail(id string)                    { r.did = append(r.did, "fail "+id) }
-func (r *rig) Probe(ep string)                   { r.did = append(r.did, "probe "+ep) }
-func (r *rig) Idle(ep string) bool               { return r.idle[ep] }
-func (r *rig) Subscribe()                        { r.did = append(r.did, "subscribe") }
-func (r *rig) Timer(at time.Duration)            { r.timer = append(r.timer, at) }
-func (r *rig) Log(string)                        {}
+func (r *harness) Cancel(id string, n int) {
+	r.actions = append(r.actions, fmt.Sprint("cancel ", id, " ", n))
+}
+func (r *harness) Refuse(id string, _ time.Duration) { r.actions = append(r.actions, "refuse "+id) }
+func (r *harness) Fail(id string)                    { r.actions = append(r.actions, "fail "+id) }
+func (r *harness) Probe(ep string)                   { r.actions = append(r.actions, "probe "+ep) }
+func (r *harness) Idle(ep string) bool               { return r.idleConnections[ep] }
+func (r *harness) Subscribe()                        { r.actions = append(r.actions, "subscribe") }
+func (r *harness) Timer(at time.Duration)            { r.timers = append(r.timers, at) }
+func (r *harness) Log(string)                        {}
 
-func basic() balance.Settings {
+func defaultSettings() balance.Settings {
 	return balance.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: ms,
 		ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: []balance.Class{
 			{Name: "read", Effect: balance.Safe, Aim: 2 * time.Second},
 			{Name: "bill", Effect: balance.Unsafe, Aim: 2 * time.Second}}}
 }
 
-func newRig(t *testing.T, s balance.Settings, endpoints ...string) *rig {
-	r := &rig{t: t, now: 100 * time.Second, to: map[string][]string{}, sentAt: map[string]time.Duration{}}
+func newHarness(t *testing.T, s balance.Settings, endpoints ...string) *harness {
+	r := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = 7
-	r.b = balance.New(r.now, s, r)
+	r.balancer = balance.New(r.now, s, r)
 	l := balance.List{Complete: true}
 	for _, id := range endpoints {
 		l.Entries = append(l.Entries, balance.Endpoint{ID: id})
 	}
-	r.b.EndpointList(r.now, l)
+	r.balancer.EndpointList(r.now, l)
 	return r
 }
 
-// wait lets time pass and fires the timers that fall due.
-func (r *rig) wait(d time.Duration) {
+// advance lets time pass and fires the timers that fall due.
+func (r *harness) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += ms
 		due := 0
-		r.timer = slices.DeleteFunc(r.timer, func(at time.Duration) bool {
+		r.timers = slices.DeleteFunc(r.timers, func(at time.Duration) bool {
 			if at <= r.now {
 				due++
 			}
 			return at <= r.now
 		})
 		for range due {
-			r.b.Timer(r.now)
+			r.balancer.Timer(r.now)
 		}
 	}
 }
 
-// call makes a request and returns its id and the endpoint it went to, if any.
-func (r *rig) call(class string) (id, ep string) {
-	id = r.ask(class, "")
-	if len(r.to[id]) > 0 {
-		ep = r.to[id][0]
+// request makes a request and returns its id and the endpoint it went to, if any.
+func (r *harness) request(class string) (id, ep string) {
+	id = r.requestAs(class, "")
+	if len(r.sentTo[id]) > 0 {
+		ep = r.sentTo[id][0]
 	}
 	return id, ep
 }
 
-// ask is a call for a tenant, which need not be sent on.
-func (r *rig) ask(class, tenant string) string {
-	r.n++
-	id := "r" + strconv.Itoa(r.n)
-	r.b.Request(r.now, balance.Request{ID: id, Class: class, Tenant: tenant, Deadline: r.now + 5*time.Second})
+// requestAs is a call for a tenant, which need not be sent on.
+func (r *harness) requestAs(class, tenant string) string {
+	r.requestCount++
+	id := "r" + strconv.Itoa(r.requestCount)
+	r.balancer.Request(r.now, balance.Request{ID: id, Class: class, Tenant: tenant, Deadline: r.now + 5*time.Second})
 	return id
 }
 
-// end reports the outcome of the latest attempt of a request.
-func (r *rig) end(id string, result balance.Result) {
-	n := len(r.to[id]) - 1
-	r.b.Outcome(r.now, balance.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: r.now - r.sentAt[id],
+// finish reports the outcome of the latest attempt of a request.
+func (r *harness) finish(id string, result balance.Result) {
+	n := len(r.sentTo[id]) - 1
+	r.balancer.Outcome(r.now, balance.Outcome{ID: id, Attempt: n, Endpoint: r.sentTo[id][n], Result: result, Took: r.now - r.sentAt[id],
 		Final: result == balance.OK})
 }
 
-func (r *rig) count(prefix string) int {
+func (r *harness) countActions(prefix string) int {
 	n := 0
-	for _, d := range r.did {
+	for _, d := range r.actions {
 		if strings.HasPrefix(d, prefix) {
 			n++
 		}
@@ -109,31 +111,31 @@
 	return n
 }
 
-// warm serves calls one after another, each endpoint taking its own time.
-func (r *rig) warm(calls int, took map[string]time.Duration) map[string]int {
+// serve serves calls one after another, each endpoint taking its own time.
+func (r *harness) serve(calls int, took map[string]time.Duration) map[string]int {
 	share := map[string]int{}
 	for range calls {
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		share[ep]++
-		r.wait(took[ep])
-		r.end(id, balance.OK)
+		r.advance(took[ep])
+		r.finish(id, balance.OK)
 	}
 	return share
 }
 
-func TestTurnsFollowSpeed(t *testing.T) {
-	r := newRig(t, basic(), "fast", "slow")
+func TestFasterEndpointGetsMoreRequests(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "fast", "slow")
 	took := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
-	r.warm(100, took)
-	share := r.warm(400, took)
+	r.serve(100, took)
+	share := r.serve(400, took)
 	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
 		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
 	}
 }
 
-func TestEqualEndpointsTakeEvenTurns(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
-	share := r.warm(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+func TestEqualEndpointsGetEqualNumbersOfRequests(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	share := r.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep, n := range share {
 		if n < 90 || n > 110 {
 			t.Errorf("%s got %d of 400 turns", ep, n)
@@ -141,28 +143,28 @@
 	}
 }
 
-func TestSlowEndpointIsDroppedAndWinsItsTurnsBack(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
+func TestSlowEndpointIsEjectedAndRecovers(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
-	r.warm(100, took)
+	r.serve(100, took)
 	took["d"] = 400 * ms
-	r.warm(60, took)
-	if n := r.warm(200, took)["d"]; n > 10 {
+	r.serve(60, took)
+	if n := r.serve(200, took)["d"]; n > 10 {
 		t.Errorf("a slow endpoint got %d of 200 calls", n)
 	}
 	took["d"] = 50 * ms
-	r.warm(200, took)
-	if n := r.warm(200, took)["d"]; n < 35 {
+	r.serve(200, took)
+	if n := r.serve(200, took)["d"]; n < 35 {
 		t.Errorf("a recovered endpoint got %d of 200 calls", n)
 	}
 }
 
-func TestOneLuckyEndpointKeepsHalfActive(t *testing.T) {
-	r := newRig(t, basic(), "lucky", "b", "c", "d", "e", "f")
+func TestOneUnusuallyFastEndpointDoesNotEjectAllOthers(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "lucky", "b", "c", "d", "e", "f")
 	took := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
-	r.warm(200, took)
+	r.serve(200, took)
 	others := 0
-	for ep, n := range r.warm(600, took) {
+	for ep, n := range r.serve(600, took) {
 		if ep != "lucky" && n > 1 {
 			others++
 		}
@@ -172,55 +174,55 @@
 	}
 }
 
-// TestHungEndpointLosesItsTurnsWithinAFewAnswerTimes: a hang must not keep its turns for a whole time-out.
-func TestHungEndpointLosesItsTurnsWithinAFewAnswerTimes(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "hung")
+// TestHungEndpointIsEjectedWithinAFewResponseTimes: a hang must not keep its turns for a whole time-out.
+func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
-	r.warm(100, took)
+	r.serve(100, took)
 	caught, start := 0, r.now
 	for range 200 {
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep == "hung" {
 			caught++
-			r.wait(20 * ms)
+			r.advance(20 * ms)
 			continue
 		}
-		r.wait(20 * ms)
-		r.end(id, balance.OK)
+		r.advance(20 * ms)
+		r.finish(id, balance.OK)
 	}
 	if trials := int((r.now - start) / (500 * ms)); caught > 5+trials {
 		t.Errorf("a hung endpoint caught %d of 200 calls", caught)
 	}
 }
 
-func TestBrokenSafeCallGoesOutAgainAndUnsafeDoesNot(t *testing.T) {
+func TestIdempotentRequestIsRetriedAfterResetAndUnsafeIsNot(t *testing.T) {
 	for class, want := range map[string]int{"read": 2, "bill": 1} {
-		r := newRig(t, basic(), "a", "b", "c")
-		r.warm(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms})
-		id, _ := r.call(class)
-		r.wait(time.Second)
-		r.end(id, balance.Reset)
-		if n := len(r.to[id]); n != want {
+		r := newHarness(t, defaultSettings(), "a", "b", "c")
+		r.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms})
+		id, _ := r.request(class)
+		r.advance(time.Second)
+		r.finish(id, balance.Reset)
+		if n := len(r.sentTo[id]); n != want {
 			t.Errorf("a broken %s was sent %d times, want %d", class, n, want)
 		}
 	}
 }
 
-func TestFailedConnectDropsUntilATrial(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "down")
-	r.warm(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
+func TestFailedConnectEjectsUntilATrialSucceeds(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "down")
+	r.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
 	tries, start := []time.Duration{}, r.now
 	for r.now < start+20*time.Second {
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep == "down" {
 			tries = append(tries, r.now)
-			r.end(id, balance.ConnectFailed)
-			if n := len(r.to[id]); n != 2 || r.to[id][1] == "down" {
-				t.Fatalf("after a failed connect the call went to %v", r.to[id])
+			r.finish(id, balance.ConnectFailed)
+			if n := len(r.sentTo[id]); n != 2 || r.sentTo[id][1] == "down" {
+				t.Fatalf("after a failed connect the call went to %v", r.sentTo[id])
 			}
 		}
-		r.wait(20 * ms)
-		r.end(id, balance.OK)
+		r.advance(20 * ms)
+		r.finish(id, balance.OK)
 	}
 	if len(tries) < 4 || len(tries) > 12 {
 		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
@@ -232,63 +234,63 @@
 	}
 }
 
-func TestWithNoneActiveTheSoonestTrialIsTaken(t *testing.T) {
-	r := newRig(t, basic(), "only")
-	id, _ := r.call("read")
-	r.end(id, balance.ConnectFailed) // dropped, and the resend is the none-active branch
-	if len(r.to[id]) != 2 {
-		t.Fatalf("actions %v", r.did)
-	}
-	r.wait(30 * ms)
-	r.end(id, balance.OK)
-	if _, ep := r.call("read"); ep != "only" {
+func TestNextTrialIsTakenWhenNoEndpointIsActive(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "only")
+	id, _ := r.request("read")
+	r.finish(id, balance.ConnectFailed) // dropped, and the resend is the none-active branch
+	if len(r.sentTo[id]) != 2 {
+		t.Fatalf("actions %v", r.actions)
+	}
+	r.advance(30 * ms)
+	r.finish(id, balance.OK)
+	if _, ep := r.request("read"); ep != "only" {
 		t.Error("a trial that succeeded with none active did not readmit its endpoint")
 	}
 }
 
-// TestQuietCallersDoNotCrowdADroppedEndpoint: trials must stay below the caller's own even share (big-1 of regina).
-func TestQuietCallersDoNotCrowdADroppedEndpoint(t *testing.T) {
+// TestTrialsOfAQuietBalancerStayBelowAnEvenShare: trials must stay below the caller's own even share (big-1 of regina).
+func TestTrialsOfAQuietBalancerStayBelowAnEvenShare(t *testing.T) {
 	names := []string{"slow"}
 	took := map[string]time.Duration{"slow": 900 * ms}
 	for i := range 19 {
 		names = append(names, "e"+strconv.Itoa(i))
 		took[names[i+1]] = 50 * ms
 	}
-	r := newRig(t, basic(), names...)
+	r := newHarness(t, defaultSettings(), names...)
 	slow := 0
 	for range 400 { // two calls a second, an even share is one call to each every 10 s
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep == "slow" {
 			slow++
 		}
-		r.wait(took[ep])
-		r.end(id, balance.OK)
-		r.wait(500*ms - min(took[ep], 400*ms))
+		r.advance(took[ep])
+		r.finish(id, balance.OK)
+		r.advance(500*ms - min(took[ep], 400*ms))
 	}
 	if slow > 14 {
 		t.Errorf("the slow endpoint got %d of 400 calls; an even share is 20", slow)
 	}
 }
 
-// tables returns how often each endpoint is met by callers that ask once a second each, and the most and the fewest
+// endpointsMet returns how often each endpoint is met by callers that ask once a second each, and the most and the fewest
 // endpoints that one caller meets.
-func tables(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+func endpointsMet(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	met, fewest = map[string]int{}, endpoints
 	for c := range callers {
-		s := basic()
+		s := defaultSettings()
 		s.Balancers, s.Index = callers, c
-		r := newRig(t, s, names...)
+		r := newHarness(t, s, names...)
 		own := map[string]bool{}
 		for range 40 {
-			id, ep := r.call("read")
+			id, ep := r.request("read")
 			own[ep] = true
-			r.wait(50 * ms)
-			r.end(id, balance.OK)
-			r.wait(950 * ms)
+			r.advance(50 * ms)
+			r.finish(id, balance.OK)
+			r.advance(950 * ms)
 		}
 		for ep := range own {
 			met[ep]++
@@ -300,8 +302,8 @@
 
 // On tartu's full-size days 420 callers with two calls a second each met each of 80 servers every 40 s: none saw a
 // server slow down, and nearly every call opened a connection.
-func TestManyQuietCallersKeepToTables(t *testing.T) {
-	met, fewest, most := tables(t, 200, 60)
+func TestManyQuietBalancersKeepToSubsets(t *testing.T) {
+	met, fewest, most := endpointsMet(t, 200, 60)
 	if fewest < 4 || most > 12 {
 		t.Errorf("callers meet %d to %d of 60 endpoints", fewest, most)
 	}
@@ -315,8 +317,8 @@
 }
 
 // With few callers, one more or less in whose table an endpoint is would be an imbalance of its own.
-func TestFewCallersMeetAllEndpoints(t *testing.T) {
-	if met, fewest, _ := tables(t, 6, 12); len(met) != 12 || fewest != 12 {
+func TestFewBalancersUseAllEndpoints(t *testing.T) {
+	if met, fewest, _ := endpointsMet(t, 6, 12); len(met) != 12 || fewest != 12 {
 		t.Errorf("a caller among few meets %d of 12 endpoints, all together %d", fewest, len(met))
 	}
 }
@@ -325,31 +327,31 @@
 // its room used up. What is asked beyond all shares together shows before: once answers stretch as well, over-share
 // requests are refused. They are not while answers are quick: on kigali's calm day the front gave 15 of 55 callers
 // several times the mean, and these refused 40,000 requests, and those who came again, before endpoints at leisure.
-func TestOverShareRequestsAreRefusedWhenAllAskTooMuch(t *testing.T) {
+func TestRequestsOverQuotaAreShedWhenResponsesStretchAndRateExceedsAllQuotas(t *testing.T) {
 	for _, row := range []struct {
 		perSecond int
 		took      time.Duration // of answers, after a second of 10 ms
 		want      bool
 	}{{4, 10 * ms, false}, {4, 30 * ms, false}, {16, 10 * ms, false}, {16, 30 * ms, true}} {
-		s := basic()
+		s := defaultSettings()
 		s.Balancers = 10
 		s.Tenants = []balance.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
-		r := newRig(t, s, "a", "b", "c")
+		r := newHarness(t, s, "a", "b", "c")
 		out := 0
 		for i := range 10 * row.perSecond {
 			took := row.took
 			if i < row.perSecond {
 				took = 10 * ms
 			}
-			id := r.ask("read", "greedy")
-			if len(r.to[id]) > 0 {
-				r.wait(took)
-				r.end(id, balance.OK)
+			id := r.requestAs("read", "greedy")
+			if len(r.sentTo[id]) > 0 {
+				r.advance(took)
+				r.finish(id, balance.OK)
 				out++
 			}
-			r.wait(time.Second/time.Duration(row.perSecond) - took)
+			r.advance(time.Second/time.Duration(row.perSecond) - took)
 		}
-		if n := r.count("refuse "); n > 0 != row.want || out == 0 {
+		if n := r.countActions("refuse "); n > 0 != row.want || out == 0 {
 			t.Errorf("%d of %d requests are refused, asked at %d a second and answered after %v", n, 10*row.perSecond, row.perSecond, row.took)
 		}
 	}
@@ -357,19 +359,19 @@
 
 // In ha74963 machines of a third of the speed took half of the calls of fast ones, and choked: most of an answer's time
 // was spent in the tiers below, which is the same behind all. There the charge is what the endpoint itself adds.
-func TestTimeBelowDoesNotEvenOutTheShares(t *testing.T) {
+func TestLatencyOfTiersBelowDoesNotEvenOutEndpoints(t *testing.T) {
 	for below, want := range map[int][2]float64{0: {1.2, 1.9}, 1: {2.2, 4.5}} {
-		s := basic()
+		s := defaultSettings()
 		s.TiersBelow = below
-		r := newRig(t, s, "fast1", "fast2", "slow1", "slow2")
+		r := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
 		took := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
-		r.warm(200, took)
+		r.serve(200, took)
 		share := map[string]float64{}
 		for range 400 {
-			id, ep := r.call("read")
+			id, ep := r.request("read")
 			share[ep[:4]]++
-			r.wait(took[ep])
-			r.end(id, balance.OK)
+			r.advance(took[ep])
+			r.finish(id, balance.OK)
 		}
 		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
 			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
@@ -379,22 +381,22 @@
 
 // In h36c04c a burst tipped the servers while callers with a few calls a second smoothed twenty answers before any of
 // them asked for less.
-func TestQuietCallerSoonSeesTheCrowd(t *testing.T) {
-	s := basic()
+func TestQuietBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
+	s := defaultSettings()
 	s.Balancers = 10
-	r := newRig(t, s, "a", "b", "c", "d")
+	r := newHarness(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
 	ask := func(took time.Duration, n int) (out int) {
 		for range n * 50 {
 			if r.now%(250*ms) < 10*ms {
-				if id, ep := r.call("read"); ep != "" {
+				if id, ep := r.request("read"); ep != "" {
 					due[id] = r.now + took
 				}
 			}
-			r.wait(10 * ms)
+			r.advance(10 * ms)
 			for _, id := range slices.Sorted(maps.Keys(due)) {
 				if r.now >= due[id] {
-					r.end(id, balance.OK)
+					r.finish(id, balance.OK)
 					delete(due, id)
 				}
 			}
@@ -409,8 +411,8 @@
 	}
 }
 
-// TestColdEndpointIsNotPushedOver: twenty callers hear of one start at the same time.
-func TestColdEndpointIsNotPushedOver(t *testing.T) {
+// TestTwentyBalancersDoNotOverloadAnEndpointThatIsWarmingUp: twenty callers hear of one start at the same time.
+func TestTwentyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
 	const callers, perSecond = 20, 5.0
 	names := []string{}
 	for i := range 9 {
@@ -418,27 +420,27 @@
 	}
 	got := [12]int{}
 	for c := range callers {
-		s := basic()
-		r := newRig(t, s, names...)
-		r.b = balance.New(r.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+		s := defaultSettings()
+		r := newHarness(t, s, names...)
+		r.balancer = balance.New(r.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
 			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, r)
 		l := balance.List{Complete: true}
 		for _, id := range names {
 			l.Entries = append(l.Entries, balance.Endpoint{ID: id})
 		}
-		r.b.EndpointList(r.now, l)
+		r.balancer.EndpointList(r.now, l)
 		step := func() string {
-			id, ep := r.call("read")
-			r.wait(50 * ms)
-			r.end(id, balance.OK)
-			r.wait(time.Second/time.Duration(perSecond) - 50*ms)
+			id, ep := r.request("read")
+			r.advance(50 * ms)
+			r.finish(id, balance.OK)
+			r.advance(time.Second/time.Duration(perSecond) - 50*ms)
 			return ep
 		}
 		for range 30 {
 			step()
 		}
 		start := r.now
-		r.b.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
+		r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
 		for r.now < start+11*time.Second {
 			if at := (r.now - start) / time.Second; step() == "cold" {
 				got[at]++
@@ -457,23 +459,23 @@
 	}
 }
 
-// TestNoClassStarvesInTheQueue: the class with the shortest aim must not be the only one refused in overload.
-func TestNoClassStarvesInTheQueue(t *testing.T) {
-	s := basic()
+// TestClassWithShortLatencyObjectiveDoesNotStarveInTheQueue: the class with the shortest aim must not be the only one refused in overload.
+func TestClassWithShortLatencyObjectiveDoesNotStarveInTheQueue(t *testing.T) {
+	s := defaultSettings()
 	s.Classes[0].Aim, s.Classes[1].Aim = 500*ms, 4*time.Second
-	r := newRig(t, s, "a")
+	r := newHarness(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
 	for i := range 1500 { // some hundred calls a second, one answer every 40 ms
-		id, _ := r.call([]string{"read", "bill"}[i%2])
+		id, _ := r.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
-		r.wait(10 * ms)
+		r.advance(10 * ms)
 		if i%4 == 0 {
-			for j := 1; j <= r.n; j++ {
-				if id := "r" + strconv.Itoa(j); len(r.to[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(r.did, "refuse "+id) &&
-					!slices.Contains(r.did, "fail "+id) {
+			for j := 1; j <= r.requestCount; j++ {
+				if id := "r" + strconv.Itoa(j); len(r.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(r.actions, "refuse "+id) &&
+					!slices.Contains(r.actions, "fail "+id) {
 					out = append(out, id)
-					r.end(id, balance.OK)
+					r.finish(id, balance.OK)
 					served[class[id]]++
 					break
 				}
@@ -485,17 +487,17 @@
 	}
 }
 
-func TestErrorsOfAllAreLaidAtTheNextTier(t *testing.T) {
-	s := basic()
+func TestErrorsOfAllEndpointsAreAttributedToTheTierBelow(t *testing.T) {
+	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
-	r := newRig(t, s, "a", "b", "c", "d")
-	r.warm(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	r := newHarness(t, s, "a", "b", "c", "d")
+	r.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	share := map[string]int{}
 	for range 80 { // every call ends in an error
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		share[ep]++
-		r.wait(50 * ms)
-		r.end(id, balance.Errored)
+		r.advance(50 * ms)
+		r.finish(id, balance.Errored)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if share[ep] < 14 {
@@ -504,47 +506,47 @@
 	}
 }
 
-// TestFastFailingEndpointDrawsNoTraffic guards against a middle-tier endpoint whose quick errors pass for the tier
+// TestEndpointThatFailsFastDrawsNoTraffic guards against a middle-tier endpoint whose quick errors pass for the tier
 // below's fault and for speed (incident i40577d).
-func TestFastFailingEndpointDrawsNoTraffic(t *testing.T) {
-	s := basic()
+func TestEndpointThatFailsFastDrawsNoTraffic(t *testing.T) {
+	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
 	names := []string{"broken"}
 	for i := range 7 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
-	r := newRig(t, s, names...)
+	r := newHarness(t, s, names...)
 	broken := 0
 	for range 400 {
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep == "broken" {
 			broken++
-			r.wait(2 * ms)
-			r.end(id, balance.Errored)
+			r.advance(2 * ms)
+			r.finish(id, balance.Errored)
 			continue
 		}
-		r.wait(50 * ms)
-		r.end(id, balance.OK)
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
 	}
 	if broken > 30 {
 		t.Errorf("a broken endpoint got %d of 400 calls", broken)
 	}
 }
 
-func TestOverShareIsRefusedOnlyWhenRoomIsShort(t *testing.T) {
-	s := basic()
+func TestRequestsOverQuotaAreShedOnlyWhenCapacityIsShort(t *testing.T) {
+	s := defaultSettings()
 	s.Tenants = []balance.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
-	r := newRig(t, s, "a", "b")
+	r := newHarness(t, s, "a", "b")
 	ask := func(tenant string) string {
-		r.n++
-		id := "r" + strconv.Itoa(r.n)
-		r.b.Request(r.now, balance.Request{ID: id, Class: "read", Tenant: tenant, Deadline: r.now + 5*time.Second})
+		r.requestCount++
+		id := "r" + strconv.Itoa(r.requestCount)
+		r.balancer.Request(r.now, balance.Request{ID: id, Class: "read", Tenant: tenant, Deadline: r.now + 5*time.Second})
 		return id
 	}
 	for range 9 {
 		ask("big")
 	}
-	if r.count("refuse") > 0 {
+	if r.countActions("refuse") > 0 {
 		t.Fatal("refused with room to spare")
 	}
 	ask("small")
@@ -554,7 +556,7 @@
 		ask("small")
 	}
 	refused := map[string]bool{}
-	for _, d := range r.did {
+	for _, d := range r.actions {
 		if id, ok := strings.CutPrefix(d, "refuse "); ok {
 			refused[id] = true
 		}
@@ -562,36 +564,36 @@
 	if len(refused) == 0 {
 		t.Fatal("nothing beyond the share was refused")
 	}
-	for i := 12; i <= r.n; i++ {
+	for i := 12; i <= r.requestCount; i++ {
 		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
 			t.Errorf("r%d is within its share and was refused", i)
 		}
 	}
 }
 
-// crowd offers a call every gap for a while. Each endpoint works on one call at a time, for work each. It returns
+// offerLoad offers a call every gap for a while. Each endpoint works on one call at a time, for work each. It returns
 // the most calls that an endpoint held in the second half of that time, and how many were answered.
-func (r *rig) crowd(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
+func (r *harness) offerLoad(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
 	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, r.now
 	for r.now < begun+long {
-		if id, ep := r.call("read"); ep != "" {
+		if id, ep := r.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
 		}
 		for next := r.now + gap; r.now < next; {
-			sent := len(r.did)
-			r.wait(ms)
+			sent := len(r.actions)
+			r.advance(ms)
 			for _, ep := range endpoints {
 				if busy[ep] += ms; busy[ep] >= work || len(queue[ep]) == 0 {
 					busy[ep] = 0
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
 						queue[ep] = queue[ep][1:]
-						r.end(id, balance.OK)
+						r.finish(id, balance.OK)
 						answered++
 					}
 				}
 			}
-			for _, d := range r.did[sent:] { // held calls that went out since
+			for _, d := range r.actions[sent:] { // held calls that went out since
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
@@ -607,34 +609,34 @@
 }
 
 // The servers of i2b2df6 and of many overloaded days tipped into a slow state while the room still grew.
-func TestOverloadLeavesEndpointsUncrowded(t *testing.T) {
-	r := newRig(t, basic(), "a", "b")
-	most, answered := r.crowd(30*ms, 20*ms, 3*time.Second, "a", "b")
-	if r.count("refuse") > 0 {
+func TestOverloadDoesNotCrowdEndpoints(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b")
+	most, answered := r.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
+	if r.countActions("refuse") > 0 {
 		t.Fatal("refused at a third of what the endpoints can do")
 	}
-	most, answered = r.crowd(5*ms, 20*ms, 6*time.Second, "a", "b")
+	most, answered = r.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
 		t.Errorf("an endpoint that does one call at a time held %d", most)
 	}
 	if answered < 540 {
 		t.Errorf("%d calls answered of the 600 that could be", answered)
 	}
-	if r.count("refuse") < 400 {
-		t.Errorf("only %d refused of twice the load", r.count("refuse"))
+	if r.countActions("refuse") < 400 {
+		t.Errorf("only %d refused of twice the load", r.countActions("refuse"))
 	}
 }
 
 // i72d39d and i2623e0: callers of the first tier that each let in what the endpoints can hold tip them in two seconds.
-func TestCallersOfTheFirstTierShareTheRoom(t *testing.T) {
+func TestFirstTierBalancersShareTheInitialConcurrencyLimit(t *testing.T) {
 	sends := func(balancers, tier int) int {
-		s := basic()
+		s := defaultSettings()
 		s.Balancers, s.Tier = balancers, tier
-		r := newRig(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
+		r := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
 		for range 100 {
-			r.call("read")
+			r.request("read")
 		}
-		return r.count("send")
+		return r.countActions("send")
 	}
 	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
 	if four > alone/4+1 || four < alone/4-1 {
@@ -645,20 +647,20 @@
 	}
 }
 
-// most keeps more calls wanted than there is room for, all answered after 100 ms, and tells how many were out at once.
-func (r *rig) most(long time.Duration) (most int) {
+// mostInFlight keeps more calls wanted than there is room for, all answered after 100 ms, and tells how many were out at once.
+func (r *harness) mostInFlight(long time.Duration) (most int) {
 	var out []string
 	seen := 0
-	for begun := r.now; r.now < begun+long; r.wait(ms) {
+	for begun := r.now; r.now < begun+long; r.advance(ms) {
 		for len(out) > 0 && r.now >= r.sentAt[out[0]]+100*ms {
-			r.end(out[0], balance.OK)
+			r.finish(out[0], balance.OK)
 			out = out[1:]
 		}
-		if r.n%2 == 0 || r.now%(3*ms) == 0 {
-			r.call("read")
+		if r.requestCount%2 == 0 || r.now%(3*ms) == 0 {
+			r.request("read")
 		}
-		for ; seen < len(r.did); seen++ {
-			if f := strings.Fields(r.did[seen]); f[0] == "send" {
+		for ; seen < len(r.actions); seen++ {
+			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
 				out = append(out, f[1])
 			}
 		}
@@ -669,11 +671,11 @@
 
 // On calm days of the fleet a sixth of the calls was refused at the front, while answers took what they always take: callers
 // come unevenly, and a sidecar that gets several times the mean must soon have room for it.
-func TestTheFrontSoonHasRoomWhereAnswersAreCalm(t *testing.T) {
+func TestFirstTierLimitGrowsFasterWhileResponsesDoNotStretch(t *testing.T) {
 	grown := func(tier int) int {
-		s := basic()
+		s := defaultSettings()
 		s.Tier = tier
-		return newRig(t, s, "a", "b").most(900 * ms)
+		return newHarness(t, s, "a", "b").mostInFlight(900 * ms)
 	}
 	front, below := grown(0), grown(1)
 	if front < below+(below-12)/2 { // both begin with 12
@@ -682,19 +684,19 @@
 }
 
 // Room in use is no pressure while answers take what they always take: what is over a tenant's share may use the rest.
-func TestOverShareMayUseCalmRoom(t *testing.T) {
+func TestRequestsOverQuotaMayUseTheLimitWhileResponsesDoNotStretch(t *testing.T) {
 	for stretch, refused := range map[time.Duration]bool{1: false, 3: true} {
-		s := basic()
+		s := defaultSettings()
 		s.Tenants = []balance.Tenant{{Name: "t", Quota: 1}, {Name: "u", Quota: 1e6}}
-		r := newRig(t, s, "a", "b")
-		r.warm(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
-		r.warm(30, map[string]time.Duration{"a": stretch * 100 * ms, "b": stretch * 100 * ms})
+		r := newHarness(t, s, "a", "b")
+		r.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
+		r.serve(30, map[string]time.Duration{"a": stretch * 100 * ms, "b": stretch * 100 * ms})
 		sent := 0
-		for r.count("refuse") == 0 && sent < 11 { // of a room of 12 at least
-			r.ask("read", "t")
+		for r.countActions("refuse") == 0 && sent < 11 { // of a room of 12 at least
+			r.requestAs("read", "t")
 			sent++
 		}
-		if got := r.count("refuse") > 0; got != refused {
+		if got := r.countActions("refuse") > 0; got != refused {
 			t.Errorf("answers stretch by %d: after %d calls over the share, refused %v", stretch, sent, got)
 		}
 	}
@@ -702,24 +704,24 @@
 
 // At the start of the standard days the first answers are those of the smallest calls. Taken for calm, they made
 // every later answer look late, and calls were refused with room to spare.
-func TestQuickFirstAnswersDoNotPassForCalm(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
+func TestFastFirstResponsesDoNotBecomeTheBaseline(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	due := map[string]time.Duration{}
 	seen, n, begun := 0, 0, r.now
-	for ; r.now < begun+6*time.Second; r.wait(ms) {
+	for ; r.now < begun+6*time.Second; r.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(due)) {
 			if r.now >= due[id] {
 				delete(due, id)
-				r.end(id, balance.OK)
+				r.finish(id, balance.OK)
 			}
 		}
 		for asked := 0; len(due)+asked < 22; asked++ {
-			if _, ep := r.call("read"); ep == "" && r.now > begun+3*time.Second {
-				t.Fatalf("no room for call %d after %v", r.n, r.now-begun)
+			if _, ep := r.request("read"); ep == "" && r.now > begun+3*time.Second {
+				t.Fatalf("no room for call %d after %v", r.requestCount, r.now-begun)
 			}
 		}
-		for ; seen < len(r.did); seen++ {
-			if f := strings.Fields(r.did[seen]); f[0] == "send" {
+		for ; seen < len(r.actions); seen++ {
+			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
 				n++
 				due[f[1]] = r.now + []time.Duration{20, 50, 90, 150, 250, 400}[n%6]*ms
 			}
@@ -728,68 +730,68 @@
 }
 
 // A lower tier that slows down must not leave a quiet caller with hardly any room.
-func TestSlownessOfFewCallsDoesNotShrinkTheRoom(t *testing.T) {
-	r := newRig(t, basic(), "a", "b")
-	r.warm(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	r.warm(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
+func TestSlowResponsesToFewRequestsDoNotReduceTheLimit(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b")
+	r.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
+	r.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
 	for range 9 {
-		if _, ep := r.call("read"); ep == "" {
+		if _, ep := r.request("read"); ep == "" {
 			t.Fatal("a call found no room beside fewer than nine")
 		}
 	}
 }
 
-func TestWithNoEndpointARequestIsHeldThenRefused(t *testing.T) {
-	r := newRig(t, basic())
-	id, _ := r.call("bill")
-	r.wait(100 * ms)
-	if len(r.did) > 0 {
-		t.Fatalf("acted at once: %v", r.did)
-	}
-	r.wait(5 * time.Second)
-	if !slices.Equal(r.did, []string{"refuse " + id}) {
-		t.Errorf("actions %v", r.did)
-	}
-	id, _ = r.call("bill")
-	r.b.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
-	if len(r.to[id]) != 1 {
+func TestRequestWithoutEndpointIsQueuedThenRejected(t *testing.T) {
+	r := newHarness(t, defaultSettings())
+	id, _ := r.request("bill")
+	r.advance(100 * ms)
+	if len(r.actions) > 0 {
+		t.Fatalf("acted at once: %v", r.actions)
+	}
+	r.advance(5 * time.Second)
+	if !slices.Equal(r.actions, []string{"refuse " + id}) {
+		t.Errorf("actions %v", r.actions)
+	}
+	id, _ = r.request("bill")
+	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
+	if len(r.sentTo[id]) != 1 {
 		t.Error("a held request did not go to the first endpoint that came")
 	}
 }
 
-func TestProbesAreAskedAndTheIdleEndpointIsTaken(t *testing.T) {
-	s := basic()
+func TestEndpointWithTheLowestReportedLoadIsPicked(t *testing.T) {
+	s := defaultSettings()
 	s.MayProbe = true
-	r := newRig(t, s, "a", "b", "c")
-	r.call("read")
-	if r.count("probe ") != 3 {
-		t.Fatalf("actions %v", r.did)
+	r := newHarness(t, s, "a", "b", "c")
+	r.request("read")
+	if r.countActions("probe ") != 3 {
+		t.Fatalf("actions %v", r.actions)
 	}
 	for ep, held := range map[string]float64{"a": 4, "b": 0, "c": 4} {
-		r.b.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
+		r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
 	}
-	if got := r.to["r1"]; !slices.Equal(got, []string{"b"}) {
+	if got := r.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
 		t.Errorf("sent to %v", got)
 	}
-	r.call("read")
-	r.wait(50 * ms) // lost probes do not hold a request for long
-	if len(r.to["r2"]) != 1 {
+	r.request("read")
+	r.advance(50 * ms) // lost probes do not hold a request for long
+	if len(r.sentTo["r2"]) != 1 {
 		t.Error("a request waits for probes that never come back")
 	}
 }
 
 // In i392ed2 a zone's servers hung: they answered probes, with eight calls in hand, and nothing else. Never picked,
 // they stayed next in turn, took all the probes, and calls went blindly to servers that nobody had asked.
-func TestCrowdedEndpointsDoNotTakeAllTheProbes(t *testing.T) {
-	s := basic()
+func TestLoadedEndpointsDoNotGetAllTheProbes(t *testing.T) {
+	s := defaultSettings()
 	s.MayProbe = true
 	eps := []string{"a", "b", "c", "d", "e", "hung1", "hung2", "hung3"}
-	r := newRig(t, s, eps...)
+	r := newHarness(t, s, eps...)
 	probes, toHung, picks := 0, 0, 0
 	for range 200 {
-		seen := len(r.did)
-		id, _ := r.call("read")
-		for _, d := range r.did[seen:] {
+		seen := len(r.actions)
+		id, _ := r.request("read")
+		for _, d := range r.actions[seen:] {
 			ep, ok := strings.CutPrefix(d, "probe ")
 			if !ok {
 				continue
@@ -799,15 +801,15 @@
 				load.Held = 8
 				toHung++
 			}
-			r.b.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: load})
+			r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: load})
 		}
-		if ep := r.to[id][0]; strings.HasPrefix(ep, "hung") {
+		if ep := r.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
 			picks++
-			r.end(id, balance.Full)
+			r.finish(id, balance.Full)
 			continue
 		}
-		r.wait(50 * ms)
-		r.end(id, balance.OK)
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
 	}
 	if toHung > probes/4 {
 		t.Errorf("%d of %d probes went to three crowded endpoints of eight", toHung, probes)
@@ -817,32 +819,32 @@
 	}
 }
 
-func TestDiscoveryIsAskedAgainAfterAFailure(t *testing.T) {
-	s := basic()
+func TestFailedDiscoveryIsSubscribedToAgain(t *testing.T) {
+	s := defaultSettings()
 	s.MustSubscribe, s.AskWithin = true, 10*time.Second
-	r := newRig(t, s, "a")
-	r.b.EndpointList(r.now, balance.List{Failed: true})
-	r.wait(5 * time.Second)
-	if n := r.count("subscribe"); n != 2 {
+	r := newHarness(t, s, "a")
+	r.balancer.EndpointList(r.now, balance.List{Failed: true})
+	r.advance(5 * time.Second)
+	if n := r.countActions("subscribe"); n != 2 {
 		t.Errorf("asked %d times", n)
 	}
 }
 
-// TestOddSettingsDoNoHarm plays with settings that no site has.
-func TestOddSettingsDoNoHarm(t *testing.T) {
+// TestUnusualSettingsStillGiveOneAnswerPerRequest plays with settings that no site has.
+func TestUnusualSettingsStillGiveOneAnswerPerRequest(t *testing.T) {
 	for _, s := range []balance.Settings{{}, {MayProbe: true}, {Balancers: -1, MaxAttempts: -1,
 		Classes: []balance.Class{{}}, Tenants: []balance.Tenant{{}}}} {
-		r := newRig(t, s, "a", "b")
+		r := newHarness(t, s, "a", "b")
 		for range 20 {
-			r.call("")
-			r.call("unlisted")
-			r.wait(10 * ms)
+			r.request("")
+			r.request("unlisted")
+			r.advance(10 * ms)
 		}
-		r.wait(6 * time.Second)
-		for i := 1; i <= r.n; i++ {
+		r.advance(6 * time.Second)
+		for i := 1; i <= r.requestCount; i++ {
 			id := "r" + strconv.Itoa(i)
 			answers := 0
-			for _, d := range r.did {
+			for _, d := range r.actions {
 				if d == "refuse "+id || d == "fail "+id {
 					answers++
 				}
@@ -855,43 +857,43 @@
 }
 
 // A balancer that hears nothing from an endpoint must not wait for a time-out, nor for its weight to grow.
-func TestSilentEndpointIsDroppedAtItsFirstOverdueAttempt(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
-	r.warm(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+func TestUnresponsiveEndpointIsEjectedAtItsFirstOverdueAttempt(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	r.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep := ""; ep != "d"; {
 		var id string
-		if id, ep = r.call("bill"); ep != "d" {
-			r.wait(50 * ms)
-			r.end(id, balance.OK)
+		if id, ep = r.request("bill"); ep != "d" {
+			r.advance(50 * ms)
+			r.finish(id, balance.OK)
 		}
 	}
-	r.wait(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
-	if share := r.warm(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
+	r.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
+	if share := r.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
 		t.Error("a silent endpoint got a turn")
 	}
 }
 
 // Retries of three tiers and of clients multiply: each balancer may add a tenth.
-func TestResendsAreBudgeted(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
-	r.warm(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
-	before, asked := r.count("send"), 200
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	r.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	before, asked := r.countActions("send"), 200
 	for range asked {
-		id, ep := r.call("read")
-		for n := 0; ep != "" && n < len(r.to[id]); n++ {
-			r.wait(10 * ms)
-			r.b.Outcome(r.now, balance.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: balance.Errored, Took: 10 * ms})
+		id, ep := r.request("read")
+		for n := 0; ep != "" && n < len(r.sentTo[id]); n++ {
+			r.advance(10 * ms)
+			r.balancer.Outcome(r.now, balance.Outcome{ID: id, Attempt: n, Endpoint: r.sentTo[id][n], Result: balance.Errored, Took: 10 * ms})
 		}
 	}
-	if extra := r.count("send") - before - asked; extra > asked/10+10 || extra < 5 {
+	if extra := r.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
 		t.Errorf("%d resends for %d requests that all failed", extra, asked)
 	}
 }
 
 // A quiet caller sees an endpoint every few seconds: what its kind takes counts until it knows better.
-func TestKindSpeaksForEndpointsHardlySampled(t *testing.T) {
-	s := basic()
-	r := newRig(t, s)
+func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
+	s := defaultSettings()
+	r := newHarness(t, s)
 	l, took := balance.List{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balance.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
@@ -902,10 +904,10 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	r.b.EndpointList(r.now, l)
-	r.warm(60, took)
+	r.balancer.EndpointList(r.now, l)
+	r.serve(60, took)
 	slow := 0
-	for ep, n := range r.warm(60, took) {
+	for ep, n := range r.serve(60, took) {
 		if ep[0] == 's' {
 			slow += n
 		}
@@ -916,94 +918,94 @@
 }
 
 // Rule 4: what a cold endpoint gets stays near its share, however much comes in.
-func TestSendsToAColdEndpointArePaced(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c")
+func TestRequestsToAnEndpointThatIsWarmingUpArePaced(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
-	r.warm(300, took)
-	r.b.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: r.now}}})
-	share := r.warm(150, took)
+	r.serve(300, took)
+	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: r.now}}})
+	share := r.serve(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
 	}
 }
 
 // An endpoint that reset its connections went down: it is cold when it comes back, whatever the list says.
-func TestResetEndpointComesBackCold(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c")
+func TestEndpointWarmsUpAfterAReset(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
-	r.warm(300, took)
+	r.serve(300, took)
 	for ep := ""; ep != "c"; {
 		var id string
-		id, ep = r.call("bill")
-		r.wait(20 * ms)
+		id, ep = r.request("bill")
+		r.advance(20 * ms)
 		if ep == "c" {
-			r.end(id, balance.Reset)
+			r.finish(id, balance.Reset)
 		} else {
-			r.end(id, balance.OK)
+			r.finish(id, balance.OK)
 		}
 	}
-	r.warm(30, took)
-	if share := r.warm(60, took); share["c"] > 60/3*2/3 {
+	r.serve(30, took)
+	if share := r.serve(60, took); share["c"] > 60/3*2/3 {
 		t.Errorf("an endpoint that went down got %d of 60 calls", share["c"])
 	}
 }
 
 // While others wait, a call that cannot be answered in time is refused rather than sent to fail.
-func TestHopelessCallIsRefusedWhileOthersWait(t *testing.T) {
-	r := newRig(t, basic(), "a")
-	r.warm(100, map[string]time.Duration{"a": 200 * ms})
-	for r.count("refuse") == 0 {
-		if _, ep := r.call("read"); ep == "" {
+func TestRequestThatCannotMeetItsDeadlineIsShedWhileOthersAreQueued(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a")
+	r.serve(100, map[string]time.Duration{"a": 200 * ms})
+	for r.countActions("refuse") == 0 {
+		if _, ep := r.request("read"); ep == "" {
 			break
 		}
 	}
-	r.b.Request(r.now, balance.Request{ID: "late", Class: "read", Deadline: r.now + 60*ms})
-	if r.did[len(r.did)-1] != "refuse late" {
-		t.Errorf("last action %q", r.did[len(r.did)-1])
+	r.balancer.Request(r.now, balance.Request{ID: "late", Class: "read", Deadline: r.now + 60*ms})
+	if r.actions[len(r.actions)-1] != "refuse late" {
+		t.Errorf("last action %q", r.actions[len(r.actions)-1])
 	}
 }
 
 // An attempt that was called off says nothing of its endpoint, good or bad.
-func TestCanceledAttemptIsNoSample(t *testing.T) {
-	r := newRig(t, basic(), "a", "b")
+func TestCanceledAttemptIsNoLatencySample(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
-	r.warm(100, took)
+	r.serve(100, took)
 	off := 0
 	for range 40 { // calls to b alone are called off, early
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep == "b" {
-			r.wait(ms)
-			r.b.ClientLeft(r.now, id)
-			r.end(id, balance.Canceled)
+			r.advance(ms)
+			r.balancer.ClientLeft(r.now, id)
+			r.finish(id, balance.Canceled)
 			off++
 			continue
 		}
-		r.wait(50 * ms)
-		r.end(id, balance.OK)
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
 	}
 	if off == 0 || off > 24 {
 		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
 	}
-	if share := r.warm(60, took); share["b"] < 20 {
+	if share := r.serve(60, took); share["b"] < 20 {
 		t.Errorf("turns after calls were called off: %v", share)
 	}
 }
 
 // i2b2df6: the room still grew while answers took half as long again as when all was calm.
-func TestRoomStopsGrowingWhileAnswersStretch(t *testing.T) {
-	r := newRig(t, basic(), "a", "b")
-	r.warm(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	due, most, seen := map[string]time.Duration{}, 0, len(r.did)
-	for begun := r.now; r.now < begun+4*time.Second; r.wait(ms) {
+func TestLimitStopsGrowingWhileResponsesStretch(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b")
+	r.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
+	due, most, seen := map[string]time.Duration{}, 0, len(r.actions)
+	for begun := r.now; r.now < begun+4*time.Second; r.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(due)) {
 			if r.now >= due[id] {
 				delete(due, id)
-				r.end(id, balance.OK)
+				r.finish(id, balance.OK)
 			}
 		}
-		r.call("read")
-		for ; seen < len(r.did); seen++ {
-			if f := strings.Fields(r.did[seen]); f[0] == "send" {
+		r.request("read")
+		for ; seen < len(r.actions); seen++ {
+			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
 				due[f[1]] = r.now + 77*ms
 			}
 		}
@@ -1015,24 +1017,24 @@
 }
 
 // The second attempt goes elsewhere, even where the first endpoint is next in turn again.
-func TestResendGoesElsewhere(t *testing.T) {
-	s := basic()
+func TestRetryGoesToAnotherEndpoint(t *testing.T) {
+	s := defaultSettings()
 	s.TiersBelow = 1
-	r := newRig(t, s, "fast", "slow")
+	r := newHarness(t, s, "fast", "slow")
 	took := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
-	r.warm(200, took)
+	r.serve(200, took)
 	again := 0
 	for range 30 {
-		r.warm(11, took) // earns a resend, and moves the turns on
-		id, _ := r.call("read")
-		r.wait(10 * ms)
-		r.end(id, balance.Errored)
-		if to := r.to[id]; len(to) == 2 {
+		r.serve(11, took) // earns a resend, and moves the turns on
+		id, _ := r.request("read")
+		r.advance(10 * ms)
+		r.finish(id, balance.Errored)
+		if to := r.sentTo[id]; len(to) == 2 {
 			if again++; to[0] == to[1] {
 				t.Fatalf("%s went to %v", id, to)
 			}
-			r.wait(took[to[1]])
-			r.end(id, balance.OK)
+			r.advance(took[to[1]])
+			r.finish(id, balance.OK)
 		}
 	}
 	if again < 10 {
@@ -1042,111 +1044,111 @@
 
 // Seen on a day on which three of four endpoints were replaced: the one that stayed got the calls of all four, and
 // its answers came too late.
-func TestRoomFollowsTheReadyEndpoints(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
+func TestLimitFollowsTheNumberOfReadyEndpoints(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	var l balance.List
 	for _, id := range []string{"b", "c", "d"} {
 		l.Entries = append(l.Entries, balance.Endpoint{ID: id, State: balance.Draining})
 	}
-	r.b.EndpointList(r.now, l)
+	r.balancer.EndpointList(r.now, l)
 	for range 24 {
-		r.ask("read", "")
+		r.requestAs("read", "")
 	}
-	if n := r.count("send"); n == 0 || n > 8 {
+	if n := r.countActions("send"); n == 0 || n > 8 {
 		t.Errorf("the one that is left gets %d calls at once", n)
 	}
 }
 
 // Seen on the same day: an endpoint that stopped answering held all the room, and a new one stood idle.
-func TestACloggedEndpointDoesNotHoldAllTheRoom(t *testing.T) {
-	r := newRig(t, basic(), "a")
+func TestHungEndpointDoesNotUseTheWholeLimit(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a")
 	for range 6 {
-		r.ask("read", "")
+		r.requestAs("read", "")
 	}
-	r.b.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
-	r.wait(time.Second)
+	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
+	r.advance(time.Second)
 	var trial string
 	for range 6 {
-		if id, ep := r.call("read"); ep == "b" {
+		if id, ep := r.request("read"); ep == "b" {
 			trial = id
 		}
 	}
 	if trial == "" {
 		t.Fatal("no trial of the new endpoint")
 	}
-	r.wait(100 * ms)
-	r.end(trial, balance.OK)
-	before := r.count("send")
+	r.advance(100 * ms)
+	r.finish(trial, balance.OK)
+	before := r.countActions("send")
 	for range 6 {
-		r.ask("read", "")
+		r.requestAs("read", "")
 	}
-	if n := r.count("send") - before; n < 4 {
+	if n := r.countActions("send") - before; n < 4 {
 		t.Errorf("%d calls go out beside the clogged endpoint", n)
 	}
 }
 
 // A long day brings ever new endpoints, ids, classes and tenants; nothing of those that have gone may stay.
-func TestNothingGrowsWithEverNewNames(t *testing.T) {
-	r := newRig(t, basic(), "a")
+func TestStateDoesNotGrowWithNewNames(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a")
 	for i := range 3000 {
-		r.b.EndpointList(r.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
-		id, ep := r.call([]string{"read", fmt.Sprint("class", i)}[i%2])
+		r.balancer.EndpointList(r.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
+		id, ep := r.request([]string{"read", fmt.Sprint("class", i)}[i%2])
 		if ep == "" {
 			t.Fatalf("request %d is not sent", i)
 		}
-		r.wait(2 * ms)
-		r.end(id, balance.OK)
-		r.b.ClientLeft(r.now, r.ask("read", fmt.Sprint("tenant", i)))
-		if last := fmt.Sprint("r", r.n); len(r.to[last]) > 0 {
-			r.end(last, balance.Canceled)
+		r.advance(2 * ms)
+		r.finish(id, balance.OK)
+		r.balancer.ClientLeft(r.now, r.requestAs("read", fmt.Sprint("tenant", i)))
+		if last := fmt.Sprint("r", r.requestCount); len(r.sentTo[last]) > 0 {
+			r.finish(last, balance.Canceled)
 		}
 	}
 	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "table": 2, "requests": 0, "live": 0, "waiting": 0}
-	if kept := balance.Kept(r.b); !maps.Equal(kept, want) {
+	if kept := balance.StateSizes(r.balancer); !maps.Equal(kept, want) {
 		t.Errorf("kept: %v", kept)
 	}
 }
 
 // Seen on a day of endpoints that close idle connections early: each break passed for a restart and for a sample of a
 // time-out, and sound endpoints were dropped. The request goes out again all the same, if that is allowed.
-func TestABreakOnAReusedConnectionIsNoSample(t *testing.T) {
+func TestResetOnAReusedConnectionIsNoLatencySample(t *testing.T) {
 	for _, reused := range []bool{true, false} {
-		r := newRig(t, basic(), "a", "b", "c")
+		r := newHarness(t, defaultSettings(), "a", "b", "c")
 		all := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
-		r.warm(30, all)
-		id, ep := r.call("read")
-		r.b.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
-		if len(r.to[id]) != 2 || r.to[id][1] == ep {
-			t.Fatalf("reused %v: sent to %v", reused, r.to[id])
+		r.serve(30, all)
+		id, ep := r.request("read")
+		r.balancer.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
+		if len(r.sentTo[id]) != 2 || r.sentTo[id][1] == ep {
+			t.Fatalf("reused %v: sent to %v", reused, r.sentTo[id])
 		}
-		r.end(id, balance.OK)
-		if share := r.warm(9, all); (share[ep] >= 2) != reused {
+		r.finish(id, balance.OK)
+		if share := r.serve(9, all); (share[ep] >= 2) != reused {
 			t.Errorf("reused %v: then %d of 9 turns", reused, share[ep])
 		}
-		id, ep = r.call("bill")
-		r.b.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
-		if len(r.to[id]) != 1 || r.count("fail "+id) != 1 {
-			t.Errorf("reused %v: unsafe work sent to %v", reused, r.to[id])
+		id, ep = r.request("bill")
+		r.balancer.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
+		if len(r.sentTo[id]) != 1 || r.countActions("fail "+id) != 1 {
+			t.Errorf("reused %v: unsafe work sent to %v", reused, r.sentTo[id])
 		}
 	}
 }
 
 // An idle connection holds turns together, and changes nothing of how many there are for each.
-func TestAnIdleConnectionIsUsedForAFewTurns(t *testing.T) {
-	r := newRig(t, basic(), "a", "b", "c", "d")
-	r.idle = map[string]bool{}
+func TestIdleConnectionIsUsedForAFewTurns(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	r.idleConnections = map[string]bool{}
 	share, moves, last := map[string]int{}, 0, ""
 	const calls = 400
 	for range calls {
-		id, ep := r.call("read")
+		id, ep := r.request("read")
 		if ep != last { // the one before closes
-			r.idle[last], last = false, ep
+			r.idleConnections[last], last = false, ep
 			moves++
 		}
 		share[ep]++
-		r.wait(50 * ms)
-		r.end(id, balance.OK)
-		r.idle[ep] = true
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
+		r.idleConnections[ep] = true
 	}
 	if moves > calls/2 {
 		t.Errorf("%d moves in %d calls", moves, calls)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,26 +8,26 @@
 	"tuliprock/balance"
 )
 
-// answering is a host whose endpoints answer at once, in the order asked.
-type answering struct {
+// instantHost is a host whose endpoints answer at once, in the order asked.
+type instantHost struct {
 	balance.Host
-	sent []benchSend
+	sent []sentAttempt
 }
 
-type benchSend struct{ id, endpoint string }
+type sentAttempt struct{ id, endpoint string }
 
-func (h *answering) Send(id, endpoint string, _ time.Duration) {
-	h.sent = append(h.sent, benchSend{id, endpoint})
+func (h *instantHost) Send(id, endpoint string, _ time.Duration) {
+	h.sent = append(h.sent, sentAttempt{id, endpoint})
 }
-func (*answering) Cancel(string, int)           {}
-func (*answering) Refuse(string, time.Duration) {}
-func (*answering) Fail(string)                  {}
-func (*answering) Idle(string) bool             { return false }
-func (*answering) Subscribe()                   {}
-func (*answering) Timer(time.Duration)          {}
-func (*answering) Log(string)                   {}
+func (*instantHost) Cancel(string, int)           {}
+func (*instantHost) Refuse(string, time.Duration) {}
+func (*instantHost) Fail(string)                  {}
+func (*instantHost) Idle(string) bool             { return false }
+func (*instantHost) Subscribe()                   {}
+func (*instantHost) Timer(time.Duration)          {}
+func (*instantHost) Log(string)                   {}
 
-func fleet(n int) balance.List {
+func completeList(n int) balance.List {
 	l := balance.List{Complete: true}
 	for i := range n {
 		l.Entries = append(l.Entries, balance.Endpoint{ID: fmt.Sprintf("n%05d", i), Kind: []string{"small", "large"}[i%2]})
@@ -35,11 +35,11 @@
 	return l
 }
 
-func alone(n int) (*balance.Balancer, *answering) {
-	h := &answering{}
+func newSingleBalancer(n int) (*balance.Balancer, *instantHost) {
+	h := &instantHost{}
 	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: 5 * time.Millisecond, ColdFrom: 0.3,
 		ColdFor: 10 * time.Second, Classes: []balance.Class{{Name: "look", Aim: time.Second}}}, h)
-	b.EndpointList(time.Hour, fleet(n))
+	b.EndpointList(time.Hour, completeList(n))
 	return b, h
 }
 
@@ -47,7 +47,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, h := alone(n)
+			m, h := newSingleBalancer(n)
 			now := time.Hour
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -64,11 +64,11 @@
 }
 
 // A list that changes by one member.
-func BenchmarkUpdate(b *testing.B) {
+func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, _ := alone(n)
-			whole := fleet(n + 1)
+			m, _ := newSingleBalancer(n)
+			whole := completeList(n + 1)
 			now := time.Hour
 			for i := 0; b.Loop(); i++ {
 				now += time.Second
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -9,10 +9,10 @@
 	"tuliprock/balance"
 )
 
-// turns plays requests, one at a time, before a fleet of which each tenth endpoint is slower, and gives the calls that
+// requestsPerEndpoint plays requests, one at a time, before a fleet of which each tenth endpoint is slower, and gives the calls that
 // each endpoint got.
-func turns(n, requests int, slower float64) map[string]float64 {
-	m, h := alone(n)
+func requestsPerEndpoint(n, requests int, slower float64) map[string]float64 {
+	m, h := newSingleBalancer(n)
 	now := time.Hour
 	got := map[string]float64{}
 	for i := range requests {
@@ -52,10 +52,10 @@
 
 // A table that is picked from by samples gives alike endpoints alike many calls, and slower ones fewer, as one does that is
 // gone through whole.
-func TestALongTableIsPickedFromEvenly(t *testing.T) {
+func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
 	const each = 40
 	for _, n := range []int{200, 400, 2000} { // whole, and twice by samples
-		got := turns(n, n*each, 1.4)
+		got := requestsPerEndpoint(n, n*each, 1.4)
 		fast, deviation, most := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
 		t.Logf("%d endpoints: %.1f calls, deviation %.3f, at most %.3f off; slower ones %.2f of that", n, fast, deviation, most, slow/fast)
@@ -69,9 +69,9 @@
 }
 
 // Endpoints of a long table that leave get nothing more, not even where they were used last; new ones get their trials.
-func TestALongTableChanges(t *testing.T) {
+func TestLargeSubsetFollowsListUpdates(t *testing.T) {
 	const n = 1000
-	m, h := alone(n)
+	m, h := newSingleBalancer(n)
 	now := time.Hour
 	ask := func(count int) (got map[string]int) {
 		got = map[string]int{}
@@ -88,7 +88,7 @@
 		return got
 	}
 	before := ask(50)
-	l := fleet(n + 10)
+	l := completeList(n + 10)
 	for i := range l.Entries {
 		if before[l.Entries[i].ID] > 0 {
 			l.Entries[i].State = balance.Draining
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -12,71 +12,71 @@
 // A fleet of quiet callers before a tier, on a platform whose endpoints start at a seventh of their capacity, take long to warm up
 // and fall over within a second.
 const (
-	coldCallers      = 47
-	coldEndpoints    = 120
-	coldCallerRate   = 25.0 // requests a second
-	coldFrom         = 0.14
-	coldFor          = 24 * time.Second
-	coldFallMultiple = 3.0
-	coldFallWindow   = time.Second
-	coldUse          = 1.3 // of a warm endpoint's capacity, by an even share of the requests: clients repeat what was refused
-	coldServiceTime  = 50 * ms
+	fleetBalancers       = 47
+	fleetEndpoints       = 120
+	fleetRequestRate     = 25.0 // requests a second
+	fleetInitialCapacity = 0.14
+	fleetSlowStart       = 24 * time.Second
+	overloadMultiple     = 3.0
+	overloadWindow       = time.Second
+	warmUtilization      = 1.3 // of a warm endpoint's capacity, by an even share of the requests: clients repeat what was refused
+	fleetServiceTime     = 50 * ms
 )
 
-// coldFleet plays the callers against one clock and remembers what each cold endpoint was sent.
-type coldFleet struct {
+// balancerFleet plays the callers against one clock and remembers what each cold endpoint was sent.
+type balancerFleet struct {
 	t       *testing.T
 	now     time.Duration
-	callers []*coldCaller
-	list    map[string]balance.Endpoint
+	members []*fleetMember
+	listed  map[string]balance.Endpoint
 	sends   map[string][]time.Duration
 }
 
-// coldCaller is the host of one Balancer; every attempt succeeds after coldServiceTime.
-type coldCaller struct {
-	fleet    *coldFleet
-	balancer *balance.Balancer
-	index    int
-	life     int
-	requests int
-	credit   float64 // of the next request
-	pending  []coldOutcome
-	timers   []time.Duration
+// fleetMember is the host of one Balancer; every attempt succeeds after coldServiceTime.
+type fleetMember struct {
+	fleet        *balancerFleet
+	balancer     *balance.Balancer
+	index        int
+	incarnation  int
+	requestCount int
+	credit       float64 // of the next request
+	pending      []pendingOutcome
+	timers       []time.Duration
 }
 
-type coldOutcome struct {
+type pendingOutcome struct {
 	at      time.Duration
 	outcome balance.Outcome
 }
 
-func (c *coldCaller) Send(id, endpoint string, _ time.Duration) {
+func (c *fleetMember) Send(id, endpoint string, _ time.Duration) {
 	f := c.fleet
-	if f.list[endpoint].Started > 0 {
+	if f.listed[endpoint].Started > 0 {
 		f.sends[endpoint] = append(f.sends[endpoint], f.now)
 	}
-	c.pending = append(c.pending, coldOutcome{f.now + coldServiceTime, balance.Outcome{ID: id, Endpoint: endpoint, Took: coldServiceTime, Final: true}})
+	c.pending = append(c.pending, pendingOutcome{f.now + fleetServiceTime, balance.Outcome{ID: id, Endpoint: endpoint, Took: fleetServiceTime, Final: true}})
 }
 
-func (c *coldCaller) Cancel(string, int)           {}
-func (c *coldCaller) Refuse(string, time.Duration) {}
-func (c *coldCaller) Fail(string)                  {}
-func (c *coldCaller) Probe(string)                 {}
-func (c *coldCaller) Idle(string) bool             { return false }
-func (c *coldCaller) Subscribe()                   {}
-func (c *coldCaller) Timer(at time.Duration)       { c.timers = append(c.timers, at) }
-func (c *coldCaller) Log(string)                   {}
+func (c *fleetMember) Cancel(string, int)           {}
+func (c *fleetMember) Refuse(string, time.Duration) {}
+func (c *fleetMember) Fail(string)                  {}
+func (c *fleetMember) Probe(string)                 {}
+func (c *fleetMember) Idle(string) bool             { return false }
+func (c *fleetMember) Subscribe()                   {}
+func (c *fleetMember) Timer(at time.Duration)       { c.timers = append(c.timers, at) }
+func (c *fleetMember) Log(string)                   {}
 
-// newColdFleet starts callers that know of warm endpoints and runs until they know their own rate.
-func newColdFleet(t *testing.T) *coldFleet {
+// newBalancerFleet starts callers that know of warm endpoints and runs until they know their own rate.
+func newBalancerFleet(t *testing.T) *balancerFleet {
 	t.Helper()
-	f := &coldFleet{t: t, now: 1000 * time.Second, list: map[string]balance.Endpoint{}, sends: map[string][]time.Duration{}}
-	for i := range coldEndpoints {
+	f := &balancerFleet{t: t, now: 1000 * time.Second, listed: map[string]balance.Endpoint{}, sends: map[string][]time.Duration{}}
+	for i := range fleetEndpoints {
 		id := fmt.Sprintf("warm%03d", i)
-		f.list[id] = balance.Endpoint{ID: id}
+		f.listed[id] = balance.Endpoint{ID: id}
 	}
-	for i := range coldCallers {
-		c := &coldCaller{fleet: f, index: i, credit: float64(i) / coldCallers}
-		f.callers = append(f.callers, c)
+	for i := range fleetBalancers {
+		c := &fleetMember{fleet: f, index: i, credit: float64(i) / fleetBalancers}
+		f.members = append(f.members, c)
 		f.restart(c)
 	}
 	f.run(10 * time.Second)
@@ -84,49 +84,49 @@
 }
 
 // restart begins a caller's life anew, with the whole list as it is now.
-func (f *coldFleet) restart(c *coldCaller) {
-	c.life++
+func (f *balancerFleet) restart(c *fleetMember) {
+	c.incarnation++
 	c.pending, c.timers = nil, nil
-	c.balancer = balance.New(f.now, balance.Settings{Seed: uint64(c.index + c.life*1000), Balancers: coldCallers, Index: c.index, MaxAttempts: 4, Resolution: ms,
-		ColdFrom: coldFrom, ColdFor: coldFor, Classes: basic().Classes}, c)
+	c.balancer = balance.New(f.now, balance.Settings{Seed: uint64(c.index + c.incarnation*1000), Balancers: fleetBalancers, Index: c.index, MaxAttempts: 4, Resolution: ms,
+		ColdFrom: fleetInitialCapacity, ColdFor: fleetSlowStart, Classes: defaultSettings().Classes}, c)
 	whole := balance.List{Complete: true}
-	for i := range coldEndpoints {
-		if e, ok := f.list[fmt.Sprintf("warm%03d", i)]; ok {
+	for i := range fleetEndpoints {
+		if e, ok := f.listed[fmt.Sprintf("warm%03d", i)]; ok {
 			whole.Entries = append(whole.Entries, e)
 		}
 	}
-	for i := range coldEndpoints {
-		if e, ok := f.list[fmt.Sprintf("cold%03d", i)]; ok {
+	for i := range fleetEndpoints {
+		if e, ok := f.listed[fmt.Sprintf("cold%03d", i)]; ok {
 			whole.Entries = append(whole.Entries, e)
 		}
 	}
 	c.balancer.EndpointList(f.now, whole)
 }
 
-// change tells all callers of a change of the list.
-func (f *coldFleet) change(entries ...balance.Endpoint) {
+// updateLists tells all callers of a change of the list.
+func (f *balancerFleet) updateLists(entries ...balance.Endpoint) {
 	for _, e := range entries {
 		if e.State == balance.Ready {
-			f.list[e.ID] = e
+			f.listed[e.ID] = e
 		} else {
-			delete(f.list, e.ID)
+			delete(f.listed, e.ID)
 		}
 	}
-	for _, c := range f.callers {
+	for _, c := range f.members {
 		c.balancer.EndpointList(f.now, balance.List{Entries: entries})
 	}
 }
 
-func (f *coldFleet) run(length time.Duration) {
+func (f *balancerFleet) run(length time.Duration) {
 	for end := f.now + length; f.now < end; f.now += ms {
-		for _, c := range f.callers {
+		for _, c := range f.members {
 			c.step()
 		}
 	}
 }
 
 // step does what is due for a caller in one millisecond.
-func (c *coldCaller) step() {
+func (c *fleetMember) step() {
 	now := c.fleet.now
 	for len(c.pending) > 0 && c.pending[0].at <= now {
 		next := c.pending[0]
@@ -144,26 +144,26 @@
 	if due {
 		c.balancer.Timer(now)
 	}
-	if c.credit += coldCallerRate * ms.Seconds(); c.credit >= 1 {
+	if c.credit += fleetRequestRate * ms.Seconds(); c.credit >= 1 {
 		c.credit--
-		c.requests++
-		c.balancer.Request(now, balance.Request{ID: fmt.Sprint(c.life, "-", c.requests), Class: "read", Deadline: now + 5*time.Second})
+		c.requestCount++
+		c.balancer.Request(now, balance.Request{ID: fmt.Sprint(c.incarnation, "-", c.requestCount), Class: "read", Deadline: now + 5*time.Second})
 	}
 }
 
-// worst is the largest load of a cold endpoint within the window, in what makes it fall over: N + 2 x root of N + 2 requests, N
+// worstLoad is the largest load of a cold endpoint within the window, in what makes it fall over: N + 2 x root of N + 2 requests, N
 // being what it may get then.
-func (f *coldFleet) worst() (most float64, sends int) {
+func (f *balancerFleet) worstLoad() (most float64, sends int) {
 	for id, at := range f.sends {
 		sends += len(at)
 		first := 0
 		for i, end := range at {
-			for at[first] <= end-coldFallWindow {
+			for at[first] <= end-overloadWindow {
 				first++
 			}
-			warmth := coldFrom + (1-coldFrom)*min(float64(end-f.list[id].Started)/float64(coldFor), 1)
-			even := coldCallers * coldCallerRate / coldEndpoints
-			allowed := coldFallMultiple * warmth * even / coldUse * coldFallWindow.Seconds()
+			warmth := fleetInitialCapacity + (1-fleetInitialCapacity)*min(float64(end-f.listed[id].Started)/float64(fleetSlowStart), 1)
+			even := fleetBalancers * fleetRequestRate / fleetEndpoints
+			allowed := overloadMultiple * warmth * even / warmUtilization * overloadWindow.Seconds()
 			most = max(most, float64(i-first+1)/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
@@ -172,8 +172,8 @@
 
 // Cold endpoints are not overloaded by the sum of many callers, each of which sends little, whatever brings the endpoints to all of
 // them at once; and they do get calls.
-func TestManyCallersDoNotOverloadAColdEndpoint(t *testing.T) {
-	coldOnes := func(f *coldFleet, n int) (out []balance.Endpoint) {
+func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
+	coldOnes := func(f *balancerFleet, n int) (out []balance.Endpoint) {
 		for i := range n {
 			out = append(out, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), Started: f.now - time.Second})
 		}
@@ -181,35 +181,35 @@
 	}
 	for _, row := range []struct {
 		name string
-		play func(f *coldFleet)
+		play func(f *balancerFleet)
 	}{
-		{"new endpoints are listed", func(f *coldFleet) {
-			f.change(coldOnes(f, 8)...)
+		{"new endpoints are listed", func(f *balancerFleet) {
+			f.updateLists(coldOnes(f, 8)...)
 			f.run(4 * time.Second)
 		}},
-		{"callers restart while endpoints are cold", func(f *coldFleet) {
-			f.change(coldOnes(f, 8)...)
-			for _, c := range f.callers[:coldCallers*7/10] {
+		{"callers restart while endpoints are cold", func(f *balancerFleet) {
+			f.updateLists(coldOnes(f, 8)...)
+			for _, c := range f.members[:fleetBalancers*7/10] {
 				f.restart(c)
 			}
 			f.run(4 * time.Second)
 		}},
-		{"the list changes again and again while endpoints are cold", func(f *coldFleet) {
-			f.change(coldOnes(f, 8)...)
+		{"the list changes again and again while endpoints are cold", func(f *balancerFleet) {
+			f.updateLists(coldOnes(f, 8)...)
 			for step := range 8 {
 				f.run(500 * time.Millisecond)
 				var drained []balance.Endpoint
 				for i := range 6 {
-					drained = append(drained, balance.Endpoint{ID: fmt.Sprintf("warm%03d", 7*(6*step+i)%coldEndpoints), State: balance.Draining})
+					drained = append(drained, balance.Endpoint{ID: fmt.Sprintf("warm%03d", 7*(6*step+i)%fleetEndpoints), State: balance.Draining})
 				}
-				f.change(drained...)
+				f.updateLists(drained...)
 			}
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newColdFleet(t)
+			f := newBalancerFleet(t)
 			row.play(f)
-			most, sends := f.worst()
+			most, sends := f.worstLoad()
 			t.Logf("%d calls to cold endpoints, at most %.2f of what overloads one", sends, most)
 			if most > 1 {
 				t.Errorf("a cold endpoint got %.2f times what overloads it", most)
