--- /dev/null
+++ b/balance/pick_test.go
@@ -0,0 +1,195 @@
+package balance_test
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"tuliprock/balance"
+)
+
+func TestFasterEndpointGetsMoreRequests(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "fast", "slow")
+	took := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
+	r.serve(100, took)
+	share := r.serve(400, took)
+	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
+		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
+	}
+}
+
+func TestEqualEndpointsGetEqualNumbersOfRequests(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	share := r.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	for ep, n := range share {
+		if n < 90 || n > 110 {
+			t.Errorf("%s got %d of 400 turns", ep, n)
+		}
+	}
+}
+
+// In ha74963 machines of a third of the speed got half as many requests as fast ones, and were saturated: most of the
+// latency was that of the tiers below, which is the same for all. Only what the endpoint adds is charged there.
+func TestLatencyOfTiersBelowDoesNotEvenOutEndpoints(t *testing.T) {
+	for below, want := range map[int][2]float64{0: {1.2, 1.9}, 1: {2.2, 4.5}} {
+		s := defaultSettings()
+		s.TiersBelow = below
+		r := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
+		took := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
+		r.serve(200, took)
+		share := map[string]float64{}
+		for range 400 {
+			id, ep := r.request("read")
+			share[ep[:4]]++
+			r.advance(took[ep])
+			r.finish(id, balance.OK)
+		}
+		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
+			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
+		}
+	}
+}
+
+// A balancer with little traffic uses an endpoint every few seconds: until it has samples, the weight of the kind counts.
+func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
+	s := defaultSettings()
+	r := newHarness(t, s)
+	l, took := balance.List{Complete: true}, map[string]time.Duration{}
+	for i := range 20 {
+		e := balance.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
+		took[e.ID] = 40 * ms
+		if i%2 == 1 {
+			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
+			took[e.ID] = 70 * ms
+		}
+		l.Entries = append(l.Entries, e)
+	}
+	r.balancer.EndpointList(r.now, l)
+	r.serve(60, took)
+	slow := 0
+	for ep, n := range r.serve(60, took) {
+		if ep[0] == 's' {
+			slow += n
+		}
+	}
+	if slow > 20 {
+		t.Errorf("slow machines got %d of 60 turns after three samples each", slow)
+	}
+}
+
+// Seen on the same day: attempts at a hung endpoint used the whole limit, and a new endpoint was idle.
+func TestHungEndpointDoesNotUseTheWholeLimit(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a")
+	for range 6 {
+		r.requestAs("read", "")
+	}
+	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
+	r.advance(time.Second)
+	var trial string
+	for range 6 {
+		if id, ep := r.request("read"); ep == "b" {
+			trial = id
+		}
+	}
+	if trial == "" {
+		t.Fatal("no trial of the new endpoint")
+	}
+	r.advance(100 * ms)
+	r.finish(trial, balance.OK)
+	before := r.countActions("send")
+	for range 6 {
+		r.requestAs("read", "")
+	}
+	if n := r.countActions("send") - before; n < 4 {
+		t.Errorf("%d calls go out beside the clogged endpoint", n)
+	}
+}
+
+// An idle connection groups turns, and does not change how many each endpoint gets.
+func TestIdleConnectionIsUsedForAFewTurns(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	r.idleConnections = map[string]bool{}
+	share, moves, last := map[string]int{}, 0, ""
+	const calls = 400
+	for range calls {
+		id, ep := r.request("read")
+		if ep != last { // the one before closes
+			r.idleConnections[last], last = false, ep
+			moves++
+		}
+		share[ep]++
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
+		r.idleConnections[ep] = true
+	}
+	if moves > calls/2 {
+		t.Errorf("%d moves in %d calls", moves, calls)
+	}
+	for ep, n := range share {
+		if n < calls/4-5 || n > calls/4+5 {
+			t.Errorf("%s got %d of %d turns", ep, n, calls)
+		}
+	}
+}
+
+func TestEndpointWithTheLowestReportedLoadIsPicked(t *testing.T) {
+	s := defaultSettings()
+	s.MayProbe = true
+	r := newHarness(t, s, "a", "b", "c")
+	r.request("read")
+	if r.countActions("probe ") != 3 {
+		t.Fatalf("actions %v", r.actions)
+	}
+	for ep, held := range map[string]float64{"a": 4, "b": 0, "c": 4} {
+		r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
+	}
+	if got := r.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
+		t.Errorf("sent to %v", got)
+	}
+	r.request("read")
+	r.advance(50 * ms) // lost probes do not hold a request for long
+	if len(r.sentTo["r2"]) != 1 {
+		t.Error("a request waits for probes that never come back")
+	}
+}
+
+// In i392ed2 a zone's endpoints hung: they answered probes, with a load of eight, and nothing else. Never picked, they kept
+// the lowest deficits and got all the probes, and requests went to endpoints without a load report.
+func TestLoadedEndpointsDoNotGetAllTheProbes(t *testing.T) {
+	s := defaultSettings()
+	s.MayProbe = true
+	eps := []string{"a", "b", "c", "d", "e", "hung1", "hung2", "hung3"}
+	r := newHarness(t, s, eps...)
+	probes, toHung, picks := 0, 0, 0
+	for range 200 {
+		seen := len(r.actions)
+		id, _ := r.request("read")
+		for _, d := range r.actions[seen:] {
+			ep, ok := strings.CutPrefix(d, "probe ")
+			if !ok {
+				continue
+			}
+			load := balance.Load{Known: true, Held: 1}
+			if probes++; strings.HasPrefix(ep, "hung") {
+				load.Held = 8
+				toHung++
+			}
+			r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: load})
+		}
+		if ep := r.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
+			picks++
+			r.finish(id, balance.Full)
+			continue
+		}
+		r.advance(50 * ms)
+		r.finish(id, balance.OK)
+	}
+	if toHung > probes/4 {
+		t.Errorf("%d of %d probes went to three crowded endpoints of eight", toHung, probes)
+	}
+	if picks > 6 {
+		t.Errorf("%d calls went to endpoints known to be crowded", picks)
+	}
+}
--- /dev/null
+++ b/balance/slowstart_test.go
@@ -0,0 +1,90 @@
+package balance_test
+
+import (
+	"strconv"
+	"testing"
+	"time"
+
+	"tuliprock/balance"
+)
+
+// All balancers learn of a start at the same time.
+func TestTwentyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
+	const callers, perSecond = 20, 5.0
+	names := []string{}
+	for i := range 9 {
+		names = append(names, "e"+strconv.Itoa(i))
+	}
+	got := [12]int{}
+	for c := range callers {
+		s := defaultSettings()
+		r := newHarness(t, s, names...)
+		r.balancer = balance.New(r.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, r)
+		l := balance.List{Complete: true}
+		for _, id := range names {
+			l.Entries = append(l.Entries, balance.Endpoint{ID: id})
+		}
+		r.balancer.EndpointList(r.now, l)
+		step := func() string {
+			id, ep := r.request("read")
+			r.advance(50 * ms)
+			r.finish(id, balance.OK)
+			r.advance(time.Second/time.Duration(perSecond) - 50*ms)
+			return ep
+		}
+		for range 30 {
+			step()
+		}
+		start := r.now
+		r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
+		for r.now < start+11*time.Second {
+			if at := (r.now - start) / time.Second; step() == "cold" {
+				got[at]++
+			}
+		}
+	}
+	even := callers * perSecond / 10 // calls a second to each endpoint
+	for at := range 11 {             // nor when it counts as warm at last (incident id93449)
+		warm := min(0.3+0.7*float64(at+1)/9, 1)
+		if n := float64(got[at]); n > even*warm*2+4 {
+			t.Errorf("second %d: a cold endpoint got %v calls, an even warm share is %v", at, n, even*warm)
+		}
+	}
+	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
+		t.Errorf("a cold endpoint did not come into use: %v", got)
+	}
+}
+
+// Rule 4 of the platform: an endpoint that is warming up gets about its share, whatever the request rate.
+func TestRequestsToAnEndpointThatIsWarmingUpArePaced(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c")
+	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
+	r.serve(300, took)
+	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: r.now}}})
+	share := r.serve(150, took)
+	if share["new"] == 0 || share["new"] > 150/4*2/3 {
+		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
+	}
+}
+
+// An endpoint that reset its connections went down: it warms up when it returns, whatever the list says of its start.
+func TestEndpointWarmsUpAfterAReset(t *testing.T) {
+	r := newHarness(t, defaultSettings(), "a", "b", "c")
+	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
+	r.serve(300, took)
+	for ep := ""; ep != "c"; {
+		var id string
+		id, ep = r.request("bill")
+		r.advance(20 * ms)
+		if ep == "c" {
+			r.finish(id, balance.Reset)
+		} else {
+			r.finish(id, balance.OK)
+		}
+	}
+	r.serve(30, took)
+	if share := r.serve(60, took); share["c"] > 60/3*2/3 {
+		t.Errorf("an endpoint that went down got %d of 60 calls", share["c"])
+	}
+}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"testing"
 
 	"tuliprock/balance"
@@ -45,3 +46,54 @@
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 }
+
+// endpointsMet returns how many balancers with one request a second each use an endpoint, and the fewest and the most
+// endpoints that one balancer uses.
+func endpointsMet(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+	names := []string{}
+	for i := range endpoints {
+		names = append(names, "e"+strconv.Itoa(i))
+	}
+	met, fewest = map[string]int{}, endpoints
+	for c := range callers {
+		s := defaultSettings()
+		s.Balancers, s.Index = callers, c
+		r := newHarness(t, s, names...)
+		own := map[string]bool{}
+		for range 40 {
+			id, ep := r.request("read")
+			own[ep] = true
+			r.advance(50 * ms)
+			r.finish(id, balance.OK)
+			r.advance(950 * ms)
+		}
+		for ep := range own {
+			met[ep]++
+		}
+		fewest, most = min(fewest, len(own)), max(most, len(own))
+	}
+	return met, fewest, most
+}
+
+// On tartu's full-size days each of 420 balancers with two requests a second used each of 80 endpoints every 40 s: none
+// noticed a slow endpoint, and nearly every request opened a connection.
+func TestManyQuietBalancersKeepToSubsets(t *testing.T) {
+	met, fewest, most := endpointsMet(t, 200, 60)
+	if fewest < 4 || most > 12 {
+		t.Errorf("callers meet %d to %d of 60 endpoints", fewest, most)
+	}
+	least, highest := 200, 0
+	for _, n := range met {
+		least, highest = min(least, n), max(highest, n)
+	}
+	if len(met) < 60 || float64(highest) > 1.3*float64(least) {
+		t.Errorf("%d endpoints are met, by %d to %d callers", len(met), least, highest)
+	}
+}
+
+// With few balancers, one more or less that has an endpoint in its subset would be an imbalance of its own.
+func TestFewBalancersUseAllEndpoints(t *testing.T) {
+	if met, fewest, _ := endpointsMet(t, 6, 12); len(met) != 12 || fewest != 12 {
+		t.Errorf("a caller among few meets %d of 12 endpoints, all together %d", fewest, len(met))
+	}
+}
