--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -23,22 +23,22 @@
 		s := defaultSettings()
 		s.Balancers = 10
 		s.Tenants = []balance.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
-		r := newHarness(t, s, "a", "b", "c")
+		h := newHarness(t, s, "a", "b", "c")
 		out := 0
 		for i := range 10 * row.perSecond {
 			took := row.took
 			if i < row.perSecond {
 				took = 10 * ms
 			}
-			id := r.requestAs("read", "greedy")
-			if len(r.sentTo[id]) > 0 {
-				r.advance(took)
-				r.finish(id, balance.OK)
+			id := h.requestAs("read", "greedy")
+			if len(h.sentTo[id]) > 0 {
+				h.advance(took)
+				h.finish(id, balance.OK)
 				out++
 			}
-			r.advance(time.Second/time.Duration(row.perSecond) - took)
+			h.advance(time.Second/time.Duration(row.perSecond) - took)
 		}
-		if n := r.countActions("refuse "); n > 0 != row.want || out == 0 {
+		if n := h.countActions("refuse "); n > 0 != row.want || out == 0 {
 			t.Errorf("%d of %d requests are refused, asked at %d a second and answered after %v", n, 10*row.perSecond, row.perSecond, row.took)
 		}
 	}
@@ -47,17 +47,17 @@
 func TestRequestsOverQuotaAreShedOnlyWhenCapacityIsShort(t *testing.T) {
 	s := defaultSettings()
 	s.Tenants = []balance.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
-	r := newHarness(t, s, "a", "b")
+	h := newHarness(t, s, "a", "b")
 	ask := func(tenant string) string {
-		r.requestCount++
-		id := "r" + strconv.Itoa(r.requestCount)
-		r.balancer.Request(r.now, balance.Request{ID: id, Class: "read", Tenant: tenant, Deadline: r.now + 5*time.Second})
+		h.requestCount++
+		id := "r" + strconv.Itoa(h.requestCount)
+		h.balancer.Request(h.now, balance.Request{ID: id, Class: "read", Tenant: tenant, Deadline: h.now + 5*time.Second})
 		return id
 	}
 	for range 9 {
 		ask("big")
 	}
-	if r.countActions("refuse") > 0 {
+	if h.countActions("refuse") > 0 {
 		t.Fatal("refused with room to spare")
 	}
 	ask("small")
@@ -67,7 +67,7 @@
 		ask("small")
 	}
 	refused := map[string]bool{}
-	for _, d := range r.actions {
+	for _, d := range h.actions {
 		if id, ok := strings.CutPrefix(d, "refuse "); ok {
 			refused[id] = true
 		}
@@ -75,7 +75,7 @@
 	if len(refused) == 0 {
 		t.Fatal("nothing beyond the share was refused")
 	}
-	for i := 12; i <= r.requestCount; i++ {
+	for i := 12; i <= h.requestCount; i++ {
 		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
 			t.Errorf("r%d is within its share and was refused", i)
 		}
@@ -87,15 +87,15 @@
 	for stretch, refused := range map[time.Duration]bool{1: false, 3: true} {
 		s := defaultSettings()
 		s.Tenants = []balance.Tenant{{Name: "t", Quota: 1}, {Name: "u", Quota: 1e6}}
-		r := newHarness(t, s, "a", "b")
-		r.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
-		r.serve(30, map[string]time.Duration{"a": stretch * 100 * ms, "b": stretch * 100 * ms})
+		h := newHarness(t, s, "a", "b")
+		h.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
+		h.serve(30, map[string]time.Duration{"a": stretch * 100 * ms, "b": stretch * 100 * ms})
 		sent := 0
-		for r.countActions("refuse") == 0 && sent < 11 { // of a room of 12 at least
-			r.requestAs("read", "t")
+		for h.countActions("refuse") == 0 && sent < 11 { // of a room of 12 at least
+			h.requestAs("read", "t")
 			sent++
 		}
-		if got := r.countActions("refuse") > 0; got != refused {
+		if got := h.countActions("refuse") > 0; got != refused {
 			t.Errorf("answers stretch by %d: after %d calls over the share, refused %v", stretch, sent, got)
 		}
 	}
@@ -105,19 +105,19 @@
 func TestClassWithShortLatencyObjectiveDoesNotStarveInTheQueue(t *testing.T) {
 	s := defaultSettings()
 	s.Classes[0].Aim, s.Classes[1].Aim = 500*ms, 4*time.Second
-	r := newHarness(t, s, "a")
+	h := newHarness(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
 	for i := range 1500 { // some hundred calls a second, one answer every 40 ms
-		id, _ := r.request([]string{"read", "bill"}[i%2])
+		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
-		r.advance(10 * ms)
+		h.advance(10 * ms)
 		if i%4 == 0 {
-			for j := 1; j <= r.requestCount; j++ {
-				if id := "r" + strconv.Itoa(j); len(r.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(r.actions, "refuse "+id) &&
-					!slices.Contains(r.actions, "fail "+id) {
+			for j := 1; j <= h.requestCount; j++ {
+				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(h.actions, "refuse "+id) &&
+					!slices.Contains(h.actions, "fail "+id) {
 					out = append(out, id)
-					r.finish(id, balance.OK)
+					h.finish(id, balance.OK)
 					served[class[id]]++
 					break
 				}
@@ -130,33 +130,33 @@
 }
 
 func TestRequestThatCannotMeetItsDeadlineIsShedWhileOthersAreQueued(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a")
-	r.serve(100, map[string]time.Duration{"a": 200 * ms})
-	for r.countActions("refuse") == 0 {
-		if _, ep := r.request("read"); ep == "" {
+	h := newHarness(t, defaultSettings(), "a")
+	h.serve(100, map[string]time.Duration{"a": 200 * ms})
+	for h.countActions("refuse") == 0 {
+		if _, ep := h.request("read"); ep == "" {
 			break
 		}
 	}
-	r.balancer.Request(r.now, balance.Request{ID: "late", Class: "read", Deadline: r.now + 60*ms})
-	if r.actions[len(r.actions)-1] != "refuse late" {
-		t.Errorf("last action %q", r.actions[len(r.actions)-1])
+	h.balancer.Request(h.now, balance.Request{ID: "late", Class: "read", Deadline: h.now + 60*ms})
+	if h.actions[len(h.actions)-1] != "refuse late" {
+		t.Errorf("last action %q", h.actions[len(h.actions)-1])
 	}
 }
 
 func TestRequestWithoutEndpointIsQueuedThenRejected(t *testing.T) {
-	r := newHarness(t, defaultSettings())
-	id, _ := r.request("bill")
-	r.advance(100 * ms)
-	if len(r.actions) > 0 {
-		t.Fatalf("acted at once: %v", r.actions)
-	}
-	r.advance(5 * time.Second)
-	if !slices.Equal(r.actions, []string{"refuse " + id}) {
-		t.Errorf("actions %v", r.actions)
-	}
-	id, _ = r.request("bill")
-	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
-	if len(r.sentTo[id]) != 1 {
+	h := newHarness(t, defaultSettings())
+	id, _ := h.request("bill")
+	h.advance(100 * ms)
+	if len(h.actions) > 0 {
+		t.Fatalf("acted at once: %v", h.actions)
+	}
+	h.advance(5 * time.Second)
+	if !slices.Equal(h.actions, []string{"refuse " + id}) {
+		t.Errorf("actions %v", h.actions)
+	}
+	id, _ = h.request("bill")
+	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
+	if len(h.sentTo[id]) != 1 {
 		t.Error("a held request did not go to the first endpoint that came")
 	}
 }
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -13,10 +13,10 @@
 func TestFailedDiscoveryIsSubscribedToAgain(t *testing.T) {
 	s := defaultSettings()
 	s.MustSubscribe, s.AskWithin = true, 10*time.Second
-	r := newHarness(t, s, "a")
-	r.balancer.EndpointList(r.now, balance.List{Failed: true})
-	r.advance(5 * time.Second)
-	if n := r.countActions("subscribe"); n != 2 {
+	h := newHarness(t, s, "a")
+	h.balancer.EndpointList(h.now, balance.List{Failed: true})
+	h.advance(5 * time.Second)
+	if n := h.countActions("subscribe"); n != 2 {
 		t.Errorf("asked %d times", n)
 	}
 }
@@ -25,17 +25,17 @@
 func TestUnusualSettingsStillGiveOneAnswerPerRequest(t *testing.T) {
 	for _, s := range []balance.Settings{{}, {MayProbe: true}, {Balancers: -1, MaxAttempts: -1,
 		Classes: []balance.Class{{}}, Tenants: []balance.Tenant{{}}}} {
-		r := newHarness(t, s, "a", "b")
+		h := newHarness(t, s, "a", "b")
 		for range 20 {
-			r.request("")
-			r.request("unlisted")
-			r.advance(10 * ms)
+			h.request("")
+			h.request("unlisted")
+			h.advance(10 * ms)
 		}
-		r.advance(6 * time.Second)
-		for i := 1; i <= r.requestCount; i++ {
+		h.advance(6 * time.Second)
+		for i := 1; i <= h.requestCount; i++ {
 			id := "r" + strconv.Itoa(i)
 			answers := 0
-			for _, d := range r.actions {
+			for _, d := range h.actions {
 				if d == "refuse "+id || d == "fail "+id {
 					answers++
 				}
@@ -49,22 +49,22 @@
 
 // A long day brings ever new endpoints, IDs, classes and tenants; nothing of those that are gone may stay.
 func TestStateDoesNotGrowWithNewNames(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a")
+	h := newHarness(t, defaultSettings(), "a")
 	for i := range 3000 {
-		r.balancer.EndpointList(r.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
-		id, ep := r.request([]string{"read", fmt.Sprint("class", i)}[i%2])
+		h.balancer.EndpointList(h.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
+		id, ep := h.request([]string{"read", fmt.Sprint("class", i)}[i%2])
 		if ep == "" {
 			t.Fatalf("request %d is not sent", i)
 		}
-		r.advance(2 * ms)
-		r.finish(id, balance.OK)
-		r.balancer.ClientLeft(r.now, r.requestAs("read", fmt.Sprint("tenant", i)))
-		if last := fmt.Sprint("r", r.requestCount); len(r.sentTo[last]) > 0 {
-			r.finish(last, balance.Canceled)
+		h.advance(2 * ms)
+		h.finish(id, balance.OK)
+		h.balancer.ClientLeft(h.now, h.requestAs("read", fmt.Sprint("tenant", i)))
+		if last := fmt.Sprint("r", h.requestCount); len(h.sentTo[last]) > 0 {
+			h.finish(last, balance.Canceled)
 		}
 	}
 	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "table": 2, "requests": 0, "live": 0, "waiting": 0}
-	if kept := balance.StateSizes(r.balancer); !maps.Equal(kept, want) {
+	if kept := balance.StateSizes(h.balancer); !maps.Equal(kept, want) {
 		t.Errorf("kept: %v", kept)
 	}
 }
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -15,19 +15,19 @@
 func TestQuietBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
 	s := defaultSettings()
 	s.Balancers = 10
-	r := newHarness(t, s, "a", "b", "c", "d")
+	h := newHarness(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
 	ask := func(took time.Duration, n int) (out int) {
 		for range n * 50 {
-			if r.now%(250*ms) < 10*ms {
-				if id, ep := r.request("read"); ep != "" {
-					due[id] = r.now + took
+			if h.now%(250*ms) < 10*ms {
+				if id, ep := h.request("read"); ep != "" {
+					due[id] = h.now + took
 				}
 			}
-			r.advance(10 * ms)
+			h.advance(10 * ms)
 			for _, id := range slices.Sorted(maps.Keys(due)) {
-				if r.now >= due[id] {
-					r.finish(id, balance.OK)
+				if h.now >= due[id] {
+					h.finish(id, balance.OK)
 					delete(due, id)
 				}
 			}
@@ -44,33 +44,33 @@
 
 // offerLoad makes a request every gap for a while. Each endpoint serves one request at a time and takes work for it. It
 // returns the most requests that an endpoint had in the second half of that time, and how many were served.
-func (r *harness) offerLoad(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
-	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, r.now
-	for r.now < begun+long {
-		if id, ep := r.request("read"); ep != "" {
+func (h *harness) offerLoad(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
+	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
+	for h.now < begun+long {
+		if id, ep := h.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
 		}
-		for next := r.now + gap; r.now < next; {
-			sent := len(r.actions)
-			r.advance(ms)
+		for next := h.now + gap; h.now < next; {
+			sent := len(h.actions)
+			h.advance(ms)
 			for _, ep := range endpoints {
 				if busy[ep] += ms; busy[ep] >= work || len(queue[ep]) == 0 {
 					busy[ep] = 0
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
 						queue[ep] = queue[ep][1:]
-						r.finish(id, balance.OK)
+						h.finish(id, balance.OK)
 						answered++
 					}
 				}
 			}
-			for _, d := range r.actions[sent:] { // held calls that went out since
+			for _, d := range h.actions[sent:] { // held calls that went out since
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
 			}
 			for _, ep := range endpoints {
-				if r.now > begun+long/2 {
+				if h.now > begun+long/2 {
 					most = max(most, len(queue[ep]))
 				}
 			}
@@ -81,20 +81,20 @@
 
 // In i2b2df6 and on many overloaded days endpoints became slow while the limit still grew.
 func TestOverloadDoesNotCrowdEndpoints(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b")
-	most, answered := r.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
-	if r.countActions("refuse") > 0 {
+	h := newHarness(t, defaultSettings(), "a", "b")
+	most, answered := h.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
+	if h.countActions("refuse") > 0 {
 		t.Fatal("refused at a third of what the endpoints can do")
 	}
-	most, answered = r.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
+	most, answered = h.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
 		t.Errorf("an endpoint that does one call at a time held %d", most)
 	}
 	if answered < 540 {
 		t.Errorf("%d calls answered of the 600 that could be", answered)
 	}
-	if r.countActions("refuse") < 400 {
-		t.Errorf("only %d refused of twice the load", r.countActions("refuse"))
+	if h.countActions("refuse") < 400 {
+		t.Errorf("only %d refused of twice the load", h.countActions("refuse"))
 	}
 }
 
@@ -103,11 +103,11 @@
 	sends := func(balancers, tier int) int {
 		s := defaultSettings()
 		s.Balancers, s.Tier = balancers, tier
-		r := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
+		h := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
 		for range 100 {
-			r.request("read")
+			h.request("read")
 		}
-		return r.countActions("send")
+		return h.countActions("send")
 	}
 	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
 	if four > alone/4+1 || four < alone/4-1 {
@@ -119,19 +119,19 @@
 }
 
 // mostInFlight requests more than the limit admits, all served after 100 ms, and returns how many were in flight at once.
-func (r *harness) mostInFlight(long time.Duration) (most int) {
+func (h *harness) mostInFlight(long time.Duration) (most int) {
 	var out []string
 	seen := 0
-	for begun := r.now; r.now < begun+long; r.advance(ms) {
-		for len(out) > 0 && r.now >= r.sentAt[out[0]]+100*ms {
-			r.finish(out[0], balance.OK)
+	for begun := h.now; h.now < begun+long; h.advance(ms) {
+		for len(out) > 0 && h.now >= h.sentAt[out[0]]+100*ms {
+			h.finish(out[0], balance.OK)
 			out = out[1:]
 		}
-		if r.requestCount%2 == 0 || r.now%(3*ms) == 0 {
-			r.request("read")
+		if h.requestCount%2 == 0 || h.now%(3*ms) == 0 {
+			h.request("read")
 		}
-		for ; seen < len(r.actions); seen++ {
-			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
+		for ; seen < len(h.actions); seen++ {
+			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
 				out = append(out, f[1])
 			}
 		}
@@ -157,25 +157,25 @@
 // At the start of the standard days the first responses are those of the cheapest requests. Taken as the baseline, they
 // made every later response look slow, and requests were rejected with capacity to spare.
 func TestFastFirstResponsesDoNotBecomeTheBaseline(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	due := map[string]time.Duration{}
-	seen, n, begun := 0, 0, r.now
-	for ; r.now < begun+6*time.Second; r.advance(ms) {
+	seen, n, begun := 0, 0, h.now
+	for ; h.now < begun+6*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if r.now >= due[id] {
+			if h.now >= due[id] {
 				delete(due, id)
-				r.finish(id, balance.OK)
+				h.finish(id, balance.OK)
 			}
 		}
 		for asked := 0; len(due)+asked < 22; asked++ {
-			if _, ep := r.request("read"); ep == "" && r.now > begun+3*time.Second {
-				t.Fatalf("no room for call %d after %v", r.requestCount, r.now-begun)
+			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
+				t.Fatalf("no room for call %d after %v", h.requestCount, h.now-begun)
 			}
 		}
-		for ; seen < len(r.actions); seen++ {
-			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
+		for ; seen < len(h.actions); seen++ {
+			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
 				n++
-				due[f[1]] = r.now + []time.Duration{20, 50, 90, 150, 250, 400}[n%6]*ms
+				due[f[1]] = h.now + []time.Duration{20, 50, 90, 150, 250, 400}[n%6]*ms
 			}
 		}
 	}
@@ -183,11 +183,11 @@
 
 // A lower tier that becomes slow must not reduce the limit of a balancer with little traffic to hardly any.
 func TestSlowResponsesToFewRequestsDoNotReduceTheLimit(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b")
-	r.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	r.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
+	h := newHarness(t, defaultSettings(), "a", "b")
+	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
+	h.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
 	for range 9 {
-		if _, ep := r.request("read"); ep == "" {
+		if _, ep := h.request("read"); ep == "" {
 			t.Fatal("a call found no room beside fewer than nine")
 		}
 	}
@@ -195,20 +195,20 @@
 
 // i2b2df6: the limit still grew while latencies were half as long again as their baseline.
 func TestLimitStopsGrowingWhileResponsesStretch(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b")
-	r.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	due, most, seen := map[string]time.Duration{}, 0, len(r.actions)
-	for begun := r.now; r.now < begun+4*time.Second; r.advance(ms) {
+	h := newHarness(t, defaultSettings(), "a", "b")
+	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
+	due, most, seen := map[string]time.Duration{}, 0, len(h.actions)
+	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if r.now >= due[id] {
+			if h.now >= due[id] {
 				delete(due, id)
-				r.finish(id, balance.OK)
+				h.finish(id, balance.OK)
 			}
 		}
-		r.request("read")
-		for ; seen < len(r.actions); seen++ {
-			if f := strings.Fields(r.actions[seen]); f[0] == "send" {
-				due[f[1]] = r.now + 77*ms
+		h.request("read")
+		for ; seen < len(h.actions); seen++ {
+			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
+				due[f[1]] = h.now + 77*ms
 			}
 		}
 		most = max(most, len(due))
@@ -221,16 +221,16 @@
 // Seen on a day on which three of four endpoints were replaced: the fourth got the requests of all, and its responses came
 // too late.
 func TestLimitFollowsTheNumberOfReadyEndpoints(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	var l balance.List
 	for _, id := range []string{"b", "c", "d"} {
 		l.Entries = append(l.Entries, balance.Endpoint{ID: id, State: balance.Draining})
 	}
-	r.balancer.EndpointList(r.now, l)
+	h.balancer.EndpointList(h.now, l)
 	for range 24 {
-		r.requestAs("read", "")
+		h.requestAs("read", "")
 	}
-	if n := r.countActions("send"); n == 0 || n > 8 {
+	if n := h.countActions("send"); n == 0 || n > 8 {
 		t.Errorf("the one that is left gets %d calls at once", n)
 	}
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -9,27 +9,27 @@
 )
 
 func TestSlowEndpointIsEjectedAndRecovers(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
-	r.serve(100, took)
+	h.serve(100, took)
 	took["d"] = 400 * ms
-	r.serve(60, took)
-	if n := r.serve(200, took)["d"]; n > 10 {
+	h.serve(60, took)
+	if n := h.serve(200, took)["d"]; n > 10 {
 		t.Errorf("a slow endpoint got %d of 200 calls", n)
 	}
 	took["d"] = 50 * ms
-	r.serve(200, took)
-	if n := r.serve(200, took)["d"]; n < 35 {
+	h.serve(200, took)
+	if n := h.serve(200, took)["d"]; n < 35 {
 		t.Errorf("a recovered endpoint got %d of 200 calls", n)
 	}
 }
 
 func TestOneUnusuallyFastEndpointDoesNotEjectAllOthers(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "lucky", "b", "c", "d", "e", "f")
+	h := newHarness(t, defaultSettings(), "lucky", "b", "c", "d", "e", "f")
 	took := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
-	r.serve(200, took)
+	h.serve(200, took)
 	others := 0
-	for ep, n := range r.serve(600, took) {
+	for ep, n := range h.serve(600, took) {
 		if ep != "lucky" && n > 1 {
 			others++
 		}
@@ -41,57 +41,57 @@
 
 // A hung endpoint must not keep its turns for a whole timeout.
 func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
-	r.serve(100, took)
-	caught, start := 0, r.now
+	h.serve(100, took)
+	caught, start := 0, h.now
 	for range 200 {
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		if ep == "hung" {
 			caught++
-			r.advance(20 * ms)
+			h.advance(20 * ms)
 			continue
 		}
-		r.advance(20 * ms)
-		r.finish(id, balance.OK)
+		h.advance(20 * ms)
+		h.finish(id, balance.OK)
 	}
-	if trials := int((r.now - start) / (500 * ms)); caught > 5+trials {
+	if trials := int((h.now - start) / (500 * ms)); caught > 5+trials {
 		t.Errorf("a hung endpoint caught %d of 200 calls", caught)
 	}
 }
 
 // The balancer waits neither for a timeout nor for the weight of an unresponsive endpoint to grow.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstOverdueAttempt(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	r.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep := ""; ep != "d"; {
 		var id string
-		if id, ep = r.request("bill"); ep != "d" {
-			r.advance(50 * ms)
-			r.finish(id, balance.OK)
+		if id, ep = h.request("bill"); ep != "d" {
+			h.advance(50 * ms)
+			h.finish(id, balance.OK)
 		}
 	}
-	r.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
-	if share := r.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
+	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
+	if share := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
 		t.Error("a silent endpoint got a turn")
 	}
 }
 
 func TestFailedConnectEjectsUntilATrialSucceeds(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "down")
-	r.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
-	tries, start := []time.Duration{}, r.now
-	for r.now < start+20*time.Second {
-		id, ep := r.request("read")
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "down")
+	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
+	tries, start := []time.Duration{}, h.now
+	for h.now < start+20*time.Second {
+		id, ep := h.request("read")
 		if ep == "down" {
-			tries = append(tries, r.now)
-			r.finish(id, balance.ConnectFailed)
-			if n := len(r.sentTo[id]); n != 2 || r.sentTo[id][1] == "down" {
-				t.Fatalf("after a failed connect the call went to %v", r.sentTo[id])
+			tries = append(tries, h.now)
+			h.finish(id, balance.ConnectFailed)
+			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
+				t.Fatalf("after a failed connect the call went to %v", h.sentTo[id])
 			}
 		}
-		r.advance(20 * ms)
-		r.finish(id, balance.OK)
+		h.advance(20 * ms)
+		h.finish(id, balance.OK)
 	}
 	if len(tries) < 4 || len(tries) > 12 {
 		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
@@ -104,15 +104,15 @@
 }
 
 func TestNextTrialIsTakenWhenNoEndpointIsActive(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "only")
-	id, _ := r.request("read")
-	r.finish(id, balance.ConnectFailed) // dropped, and the resend is the none-active branch
-	if len(r.sentTo[id]) != 2 {
-		t.Fatalf("actions %v", r.actions)
-	}
-	r.advance(30 * ms)
-	r.finish(id, balance.OK)
-	if _, ep := r.request("read"); ep != "only" {
+	h := newHarness(t, defaultSettings(), "only")
+	id, _ := h.request("read")
+	h.finish(id, balance.ConnectFailed) // dropped, and the resend is the none-active branch
+	if len(h.sentTo[id]) != 2 {
+		t.Fatalf("actions %v", h.actions)
+	}
+	h.advance(30 * ms)
+	h.finish(id, balance.OK)
+	if _, ep := h.request("read"); ep != "only" {
 		t.Error("a trial that succeeded with none active did not readmit its endpoint")
 	}
 }
@@ -125,16 +125,16 @@
 		names = append(names, "e"+strconv.Itoa(i))
 		took[names[i+1]] = 50 * ms
 	}
-	r := newHarness(t, defaultSettings(), names...)
+	h := newHarness(t, defaultSettings(), names...)
 	slow := 0
 	for range 400 { // two calls a second, an even share is one call to each every 10 s
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
 		}
-		r.advance(took[ep])
-		r.finish(id, balance.OK)
-		r.advance(500*ms - min(took[ep], 400*ms))
+		h.advance(took[ep])
+		h.finish(id, balance.OK)
+		h.advance(500*ms - min(took[ep], 400*ms))
 	}
 	if slow > 14 {
 		t.Errorf("the slow endpoint got %d of 400 calls; an even share is 20", slow)
@@ -144,14 +144,14 @@
 func TestErrorsOfAllEndpointsAreAttributedToTheTierBelow(t *testing.T) {
 	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
-	r := newHarness(t, s, "a", "b", "c", "d")
-	r.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h := newHarness(t, s, "a", "b", "c", "d")
+	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	share := map[string]int{}
 	for range 80 { // every call ends in an error
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		share[ep]++
-		r.advance(50 * ms)
-		r.finish(id, balance.Errored)
+		h.advance(50 * ms)
+		h.finish(id, balance.Errored)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if share[ep] < 14 {
@@ -168,18 +168,18 @@
 	for i := range 7 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
-	r := newHarness(t, s, names...)
+	h := newHarness(t, s, names...)
 	broken := 0
 	for range 400 {
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		if ep == "broken" {
 			broken++
-			r.advance(2 * ms)
-			r.finish(id, balance.Errored)
+			h.advance(2 * ms)
+			h.finish(id, balance.Errored)
 			continue
 		}
-		r.advance(50 * ms)
-		r.finish(id, balance.OK)
+		h.advance(50 * ms)
+		h.finish(id, balance.OK)
 	}
 	if broken > 30 {
 		t.Errorf("a broken endpoint got %d of 400 calls", broken)
@@ -188,26 +188,26 @@
 
 // A cancelled attempt says nothing of its endpoint, good or bad.
 func TestCanceledAttemptIsNoLatencySample(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b")
+	h := newHarness(t, defaultSettings(), "a", "b")
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
-	r.serve(100, took)
+	h.serve(100, took)
 	off := 0
 	for range 40 { // calls to b alone are called off, early
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		if ep == "b" {
-			r.advance(ms)
-			r.balancer.ClientLeft(r.now, id)
-			r.finish(id, balance.Canceled)
+			h.advance(ms)
+			h.balancer.ClientLeft(h.now, id)
+			h.finish(id, balance.Canceled)
 			off++
 			continue
 		}
-		r.advance(50 * ms)
-		r.finish(id, balance.OK)
+		h.advance(50 * ms)
+		h.finish(id, balance.OK)
 	}
 	if off == 0 || off > 24 {
 		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
 	}
-	if share := r.serve(60, took); share["b"] < 20 {
+	if share := h.serve(60, took); share["b"] < 20 {
 		t.Errorf("turns after calls were called off: %v", share)
 	}
 }
@@ -216,22 +216,22 @@
 // timeout, and healthy endpoints were ejected. The request is retried all the same, if that is safe.
 func TestResetOnAReusedConnectionIsNoLatencySample(t *testing.T) {
 	for _, reused := range []bool{true, false} {
-		r := newHarness(t, defaultSettings(), "a", "b", "c")
+		h := newHarness(t, defaultSettings(), "a", "b", "c")
 		all := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
-		r.serve(30, all)
-		id, ep := r.request("read")
-		r.balancer.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
-		if len(r.sentTo[id]) != 2 || r.sentTo[id][1] == ep {
-			t.Fatalf("reused %v: sent to %v", reused, r.sentTo[id])
+		h.serve(30, all)
+		id, ep := h.request("read")
+		h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
+		if len(h.sentTo[id]) != 2 || h.sentTo[id][1] == ep {
+			t.Fatalf("reused %v: sent to %v", reused, h.sentTo[id])
 		}
-		r.finish(id, balance.OK)
-		if share := r.serve(9, all); (share[ep] >= 2) != reused {
+		h.finish(id, balance.OK)
+		if share := h.serve(9, all); (share[ep] >= 2) != reused {
 			t.Errorf("reused %v: then %d of 9 turns", reused, share[ep])
 		}
-		id, ep = r.request("bill")
-		r.balancer.Outcome(r.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
-		if len(r.sentTo[id]) != 1 || r.countActions("fail "+id) != 1 {
-			t.Errorf("reused %v: unsafe work sent to %v", reused, r.sentTo[id])
+		id, ep = h.request("bill")
+		h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
+		if len(h.sentTo[id]) != 1 || h.countActions("fail "+id) != 1 {
+			t.Errorf("reused %v: unsafe work sent to %v", reused, h.sentTo[id])
 		}
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -24,29 +24,29 @@
 	idleConnections map[string]bool // endpoints to which a connection stands idle
 }
 
-func (r *harness) Send(id, ep string, _ time.Duration) {
-	r.actions = append(r.actions, "send "+id+" "+ep)
-	r.sentTo[id] = append(r.sentTo[id], ep)
-	r.sentAt[id] = r.now
+func (h *harness) Send(id, ep string, _ time.Duration) {
+	h.actions = append(h.actions, "send "+id+" "+ep)
+	h.sentTo[id] = append(h.sentTo[id], ep)
+	h.sentAt[id] = h.now
 }
 
-func (r *harness) Cancel(id string, n int) {
-	r.actions = append(r.actions, fmt.Sprint("cancel ", id, " ", n))
+func (h *harness) Cancel(id string, n int) {
+	h.actions = append(h.actions, fmt.Sprint("cancel ", id, " ", n))
 }
 
-func (r *harness) Refuse(id string, _ time.Duration) { r.actions = append(r.actions, "refuse "+id) }
+func (h *harness) Refuse(id string, _ time.Duration) { h.actions = append(h.actions, "refuse "+id) }
 
-func (r *harness) Fail(id string) { r.actions = append(r.actions, "fail "+id) }
+func (h *harness) Fail(id string) { h.actions = append(h.actions, "fail "+id) }
 
-func (r *harness) Probe(ep string) { r.actions = append(r.actions, "probe "+ep) }
+func (h *harness) Probe(ep string) { h.actions = append(h.actions, "probe "+ep) }
 
-func (r *harness) Idle(ep string) bool { return r.idleConnections[ep] }
+func (h *harness) Idle(ep string) bool { return h.idleConnections[ep] }
 
-func (r *harness) Subscribe() { r.actions = append(r.actions, "subscribe") }
+func (h *harness) Subscribe() { h.actions = append(h.actions, "subscribe") }
 
-func (r *harness) Timer(at time.Duration) { r.timers = append(r.timers, at) }
+func (h *harness) Timer(at time.Duration) { h.timers = append(h.timers, at) }
 
-func (r *harness) Log(string) {}
+func (h *harness) Log(string) {}
 
 // defaultSettings has one class of idempotent requests and one of others.
 func defaultSettings() balance.Settings {
@@ -58,62 +58,62 @@
 
 // newHarness makes a balancer whose first list has the endpoints given.
 func newHarness(t *testing.T, s balance.Settings, endpoints ...string) *harness {
-	r := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
+	h := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = 7
-	r.balancer = balance.New(r.now, s, r)
+	h.balancer = balance.New(h.now, s, h)
 	l := balance.List{Complete: true}
 	for _, id := range endpoints {
 		l.Entries = append(l.Entries, balance.Endpoint{ID: id})
 	}
-	r.balancer.EndpointList(r.now, l)
-	return r
+	h.balancer.EndpointList(h.now, l)
+	return h
 }
 
 // advance lets time pass in steps of a millisecond and fires the timers that fall due.
-func (r *harness) advance(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += ms
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += ms
 		due := 0
-		r.timers = slices.DeleteFunc(r.timers, func(at time.Duration) bool {
-			if at <= r.now {
+		h.timers = slices.DeleteFunc(h.timers, func(at time.Duration) bool {
+			if at <= h.now {
 				due++
 			}
-			return at <= r.now
+			return at <= h.now
 		})
 		for range due {
-			r.balancer.Timer(r.now)
+			h.balancer.Timer(h.now)
 		}
 	}
 }
 
 // request makes a request and returns its ID and the endpoint that its first attempt went to, if any.
-func (r *harness) request(class string) (id, ep string) {
-	id = r.requestAs(class, "")
-	if len(r.sentTo[id]) > 0 {
-		ep = r.sentTo[id][0]
+func (h *harness) request(class string) (id, ep string) {
+	id = h.requestAs(class, "")
+	if len(h.sentTo[id]) > 0 {
+		ep = h.sentTo[id][0]
 	}
 	return id, ep
 }
 
 // requestAs makes a request for a tenant; it need not be sent.
-func (r *harness) requestAs(class, tenant string) string {
-	r.requestCount++
-	id := "r" + strconv.Itoa(r.requestCount)
-	r.balancer.Request(r.now, balance.Request{ID: id, Class: class, Tenant: tenant, Deadline: r.now + 5*time.Second})
+func (h *harness) requestAs(class, tenant string) string {
+	h.requestCount++
+	id := "r" + strconv.Itoa(h.requestCount)
+	h.balancer.Request(h.now, balance.Request{ID: id, Class: class, Tenant: tenant, Deadline: h.now + 5*time.Second})
 	return id
 }
 
 // finish reports the outcome of the latest attempt of a request.
-func (r *harness) finish(id string, result balance.Result) {
-	n := len(r.sentTo[id]) - 1
-	r.balancer.Outcome(r.now, balance.Outcome{ID: id, Attempt: n, Endpoint: r.sentTo[id][n], Result: result, Took: r.now - r.sentAt[id],
+func (h *harness) finish(id string, result balance.Result) {
+	n := len(h.sentTo[id]) - 1
+	h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result, Took: h.now - h.sentAt[id],
 		Final: result == balance.OK})
 }
 
 // countActions returns how many calls of the host begin with the prefix.
-func (r *harness) countActions(prefix string) int {
+func (h *harness) countActions(prefix string) int {
 	n := 0
-	for _, d := range r.actions {
+	for _, d := range h.actions {
 		if strings.HasPrefix(d, prefix) {
 			n++
 		}
@@ -122,13 +122,13 @@
 }
 
 // serve serves requests one after another, each endpoint with its own latency, and returns how many each got.
-func (r *harness) serve(calls int, took map[string]time.Duration) map[string]int {
+func (h *harness) serve(calls int, took map[string]time.Duration) map[string]int {
 	share := map[string]int{}
 	for range calls {
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		share[ep]++
-		r.advance(took[ep])
-		r.finish(id, balance.OK)
+		h.advance(took[ep])
+		h.finish(id, balance.OK)
 	}
 	return share
 }
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -57,313 +57,313 @@
 	actions          []string
 }
 
-func (w *simulation) Send(id, ep string, timeout time.Duration) {
-	w.actions = append(w.actions, fmt.Sprintf("%v send %s %s", w.now, id, ep))
-	q, e := w.requests[id], w.listed[ep]
-	if q == nil || e.ID == "" {
-		w.t.Fatalf("%v: Send of %s to %s, one of them unknown", w.now, id, ep)
+func (sim *simulation) Send(id, ep string, timeout time.Duration) {
+	sim.actions = append(sim.actions, fmt.Sprintf("%v send %s %s", sim.now, id, ep))
+	req, e := sim.requests[id], sim.listed[ep]
+	if req == nil || e.ID == "" {
+		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
 	}
-	if q.isReported {
-		w.t.Fatalf("%v: Send of %s, which has ended", w.now, id)
+	if req.isReported {
+		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
 	}
-	if at, ok := w.unavailableSince[ep]; ok && w.now > at {
-		w.t.Fatalf("%v: Send to %s, told to stop at %v", w.now, ep, at)
+	if at, ok := sim.unavailableSince[ep]; ok && sim.now > at {
+		sim.t.Fatalf("%v: Send to %s, told to stop at %v", sim.now, ep, at)
 	}
-	if w.manuallyEjected[ep] {
-		w.t.Fatalf("%v: Send to %s, which is out by hand", w.now, ep)
+	if sim.manuallyEjected[ep] {
+		sim.t.Fatalf("%v: Send to %s, which is out by hand", sim.now, ep)
 	}
-	if w.settings.MaxAttempts > 0 && len(q.attempts) >= w.settings.MaxAttempts {
-		w.t.Fatalf("%v: attempt %d of %s", w.now, len(q.attempts), id)
+	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
+		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
 	}
-	for _, a := range q.attempts {
-		if a.inFlight {
-			w.t.Fatalf("%v: second copy of %s", w.now, id)
+	for _, att := range req.attempts {
+		if att.inFlight {
+			sim.t.Fatalf("%v: second copy of %s", sim.now, id)
 		}
-		if !a.inFlight && !a.mayHaveRun || q.class.Effect == balance.Safe {
+		if !att.inFlight && !att.mayHaveRun || req.class.Effect == balance.Safe {
 			continue
 		}
-		c := q.class
-		if c.Effect == balance.Unsafe || w.now > a.sentAt+c.Window || c.Group == balance.GroupZone && a.endpoint.Zone != e.Zone ||
-			c.Group == balance.GroupCell && a.endpoint.Cell != e.Cell {
-			w.t.Fatalf("%v: %s may take effect twice at %s", w.now, id, ep)
+		c := req.class
+		if c.Effect == balance.Unsafe || sim.now > att.sentAt+c.Window || c.Group == balance.GroupZone && att.endpoint.Zone != e.Zone ||
+			c.Group == balance.GroupCell && att.endpoint.Cell != e.Cell {
+			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
 		}
 	}
-	if e.Started > 0 && w.now-e.Started < w.settings.ColdFor {
-		w.slowStartSends[ep] = append(w.slowStartSends[ep], w.now)
+	if e.Started > 0 && sim.now-e.Started < sim.settings.ColdFor {
+		sim.slowStartSends[ep] = append(sim.slowStartSends[ep], sim.now)
 	}
-	w.sends++
-	a := &simAttempt{endpoint: e, sentAt: w.now, inFlight: true, endsAt: w.now + time.Duration(1+w.rng.IntN(300))*ms}
-	switch n := w.rng.IntN(20); {
+	sim.sends++
+	att := &simAttempt{endpoint: e, sentAt: sim.now, inFlight: true, endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
+	switch n := sim.rng.IntN(20); {
 	case n < 11:
-		a.result = balance.OK
+		att.result = balance.OK
 	case n == 11: // hangs
-		a.result, a.endsAt = balance.TimedOut, w.now+timeout
+		att.result, att.endsAt = balance.TimedOut, sim.now+timeout
 	default:
-		a.result = []balance.Result{balance.Errored, balance.Full, balance.ConnectFailed, balance.Reset,
+		att.result = []balance.Result{balance.Errored, balance.Full, balance.ConnectFailed, balance.Reset,
 			balance.NotSent, balance.OK, balance.TimedOut, balance.Errored}[n-12]
 	}
-	if a.endsAt > w.now+timeout {
-		a.result, a.endsAt = balance.TimedOut, w.now+timeout
+	if att.endsAt > sim.now+timeout {
+		att.result, att.endsAt = balance.TimedOut, sim.now+timeout
 	}
-	q.attempts = append(q.attempts, a)
+	req.attempts = append(req.attempts, att)
 }
 
-func (w *simulation) Cancel(id string, n int) {
-	if !w.settings.MayCancel {
-		w.t.Fatalf("%v: Cancel is not allowed", w.now)
-	}
-	q := w.requests[id]
-	if q == nil || n < 0 || n >= len(q.attempts) {
-		w.t.Fatalf("%v: Cancel of %s/%d, which was never sent", w.now, id, n)
-	}
-	if a := q.attempts[n]; a.inFlight && !a.isCanceled {
-		a.isCanceled = true
-		if w.rng.IntN(4) > 0 || a.endsAt > w.now+50*ms { // else another outcome is on its way
-			a.result, a.endsAt = balance.Canceled, w.now
+func (sim *simulation) Cancel(id string, n int) {
+	if !sim.settings.MayCancel {
+		sim.t.Fatalf("%v: Cancel is not allowed", sim.now)
+	}
+	req := sim.requests[id]
+	if req == nil || n < 0 || n >= len(req.attempts) {
+		sim.t.Fatalf("%v: Cancel of %s/%d, which was never sent", sim.now, id, n)
+	}
+	if att := req.attempts[n]; att.inFlight && !att.isCanceled {
+		att.isCanceled = true
+		if sim.rng.IntN(4) > 0 || att.endsAt > sim.now+50*ms { // else another outcome is on its way
+			att.result, att.endsAt = balance.Canceled, sim.now
 		}
 	}
 }
 
-func (w *simulation) Refuse(id string, _ time.Duration) {
-	q := w.answer(id)
-	w.answerCounts[1]++
-	for _, a := range q.attempts {
-		if (a.inFlight || a.mayHaveRun) && (q.class.Effect == balance.Unsafe ||
-			q.class.Effect == balance.Keyed && q.class.Group != balance.GroupAll) {
-			w.t.Fatalf("%v: %s is refused though it may have run", w.now, id)
+func (sim *simulation) Refuse(id string, _ time.Duration) {
+	req := sim.answer(id)
+	sim.answerCounts[1]++
+	for _, att := range req.attempts {
+		if (att.inFlight || att.mayHaveRun) && (req.class.Effect == balance.Unsafe ||
+			req.class.Effect == balance.Keyed && req.class.Group != balance.GroupAll) {
+			sim.t.Fatalf("%v: %s is refused though it may have run", sim.now, id)
 		}
 	}
 }
 
-func (w *simulation) Fail(id string) {
-	w.answer(id)
-	w.answerCounts[2]++
+func (sim *simulation) Fail(id string) {
+	sim.answer(id)
+	sim.answerCounts[2]++
 }
 
-func (w *simulation) answer(id string) *simRequest {
-	w.actions = append(w.actions, fmt.Sprintf("%v answer %s", w.now, id))
-	q := w.requests[id]
-	if q == nil || q.isReported {
-		w.t.Fatalf("%v: a second answer to %s", w.now, id)
+func (sim *simulation) answer(id string) *simRequest {
+	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
+	req := sim.requests[id]
+	if req == nil || req.isReported {
+		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
 	}
-	if !q.isAnswered && w.now > q.Deadline+answerSlack {
-		w.t.Fatalf("%v: a late answer to %s, due at %v", w.now, id, q.Deadline)
+	if !req.isAnswered && sim.now > req.Deadline+answerSlack {
+		sim.t.Fatalf("%v: a late answer to %s, due at %v", sim.now, id, req.Deadline)
 	}
-	q.isAnswered, q.isReported = true, true
-	return q
+	req.isAnswered, req.isReported = true, true
+	return req
 }
 
-func (w *simulation) Probe(ep string) {
-	if !w.settings.MayProbe {
-		w.t.Fatalf("%v: Probe is not allowed", w.now)
+func (sim *simulation) Probe(ep string) {
+	if !sim.settings.MayProbe {
+		sim.t.Fatalf("%v: Probe is not allowed", sim.now)
 	}
-	if w.manuallyEjected[ep] {
-		w.t.Fatalf("%v: Probe of %s, which is out by hand", w.now, ep)
+	if sim.manuallyEjected[ep] {
+		sim.t.Fatalf("%v: Probe of %s, which is out by hand", sim.now, ep)
 	}
-	w.probes = append(w.probes, ep)
+	sim.probes = append(sim.probes, ep)
 }
-func (w *simulation) Idle(string) bool       { return w.rng.IntN(2) == 0 }
-func (w *simulation) Subscribe()             {}
-func (w *simulation) Timer(at time.Duration) { w.timers = append(w.timers, at) }
-func (w *simulation) Log(string)             {}
+func (sim *simulation) Idle(string) bool       { return sim.rng.IntN(2) == 0 }
+func (sim *simulation) Subscribe()             {}
+func (sim *simulation) Timer(at time.Duration) { sim.timers = append(sim.timers, at) }
+func (sim *simulation) Log(string)             {}
 
 // restart begins a life of the balancer; what an earlier one held is lost.
-func (w *simulation) restart(seed uint64) {
-	w.requests, w.openIDs, w.timers, w.probes = map[string]*simRequest{}, nil, nil, nil
-	w.settings.Seed = seed
-	w.balancer = balance.New(w.now, w.settings, w)
+func (sim *simulation) restart(seed uint64) {
+	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
+	sim.settings.Seed = seed
+	sim.balancer = balance.New(sim.now, sim.settings, sim)
 	l := balance.List{Complete: true}
 	for i := range 12 {
-		if e, ok := w.listed["e"+strconv.Itoa(i)]; ok && e.State != balance.Gone {
+		if e, ok := sim.listed["e"+strconv.Itoa(i)]; ok && e.State != balance.Gone {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	w.balancer.EndpointList(w.now, l)
-	for id := range w.manuallyEjected {
-		w.balancer.Bar(w.now, id, true)
+	sim.balancer.EndpointList(sim.now, l)
+	for id := range sim.manuallyEjected {
+		sim.balancer.Bar(sim.now, id, true)
 	}
 }
 
 // changeEjection takes an endpoint out by hand, or back, listed or not.
-func (w *simulation) changeEjection() {
-	id := "e" + strconv.Itoa(w.rng.IntN(12))
-	out := w.rng.IntN(2) == 0
-	if delete(w.manuallyEjected, id); out {
-		w.manuallyEjected[id] = true
+func (sim *simulation) changeEjection() {
+	id := "e" + strconv.Itoa(sim.rng.IntN(12))
+	out := sim.rng.IntN(2) == 0
+	if delete(sim.manuallyEjected, id); out {
+		sim.manuallyEjected[id] = true
 	}
-	w.ejectionChanges++
-	w.balancer.Bar(w.now, id, out)
-	if out && !w.balancer.Knows(id) {
-		w.t.Fatalf("%v: %s is out, and not known", w.now, id)
+	sim.ejectionChanges++
+	sim.balancer.Bar(sim.now, id, out)
+	if out && !sim.balancer.Knows(id) {
+		sim.t.Fatalf("%v: %s is out, and not known", sim.now, id)
 	}
-	if listed, avoided := w.balancer.Census(); avoided > listed {
-		w.t.Fatalf("%v: %d of %d are avoided", w.now, avoided, listed)
+	if listed, avoided := sim.balancer.Census(); avoided > listed {
+		sim.t.Fatalf("%v: %d of %d are avoided", sim.now, avoided, listed)
 	}
 }
 
-func (w *simulation) changeList() {
-	if w.rng.IntN(10) == 0 {
-		w.balancer.EndpointList(w.now, balance.List{Failed: true})
+func (sim *simulation) changeList() {
+	if sim.rng.IntN(10) == 0 {
+		sim.balancer.EndpointList(sim.now, balance.List{Failed: true})
 		return
 	}
-	id := w.rng.IntN(12)
-	e := balance.Endpoint{ID: "e" + strconv.Itoa(id), State: balance.State(w.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
+	id := sim.rng.IntN(12)
+	e := balance.Endpoint{ID: "e" + strconv.Itoa(id), State: balance.State(sim.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
 		Kind: "k" + strconv.Itoa(id%3), Cell: id % 4}
-	if w.rng.IntN(3) > 0 {
+	if sim.rng.IntN(3) > 0 {
 		e.State = balance.Ready
 	}
-	old, known := w.listed[e.ID]
-	if e.State == balance.Ready && (!known || old.State == balance.Gone || w.rng.IntN(3) == 0) {
-		e.Started = w.now
+	old, known := sim.listed[e.ID]
+	if e.State == balance.Ready && (!known || old.State == balance.Gone || sim.rng.IntN(3) == 0) {
+		e.Started = sim.now
 	} else {
 		e.Started = old.Started
 	}
 	if e.State == balance.Ready {
-		delete(w.unavailableSince, e.ID)
-	} else if _, ok := w.unavailableSince[e.ID]; !ok {
-		w.unavailableSince[e.ID] = w.now
+		delete(sim.unavailableSince, e.ID)
+	} else if _, ok := sim.unavailableSince[e.ID]; !ok {
+		sim.unavailableSince[e.ID] = sim.now
 	}
-	w.listed[e.ID] = e
-	w.balancer.EndpointList(w.now, balance.List{Entries: []balance.Endpoint{e}})
+	sim.listed[e.ID] = e
+	sim.balancer.EndpointList(sim.now, balance.List{Entries: []balance.Endpoint{e}})
 }
 
-func (w *simulation) request() {
-	w.requestCount++
-	c := w.settings.Classes[w.rng.IntN(len(w.settings.Classes))]
-	r := balance.Request{ID: "r" + strconv.Itoa(w.requestCount), Class: c.Name, Tenant: "t" + strconv.Itoa(w.rng.IntN(3)),
-		Deadline: w.now + time.Duration(w.rng.IntN(1500))*ms, Repeat: w.rng.IntN(5) == 0}
-	if w.rng.IntN(30) == 0 {
+func (sim *simulation) request() {
+	sim.requestCount++
+	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
+	r := balance.Request{ID: "r" + strconv.Itoa(sim.requestCount), Class: c.Name, Tenant: "t" + strconv.Itoa(sim.rng.IntN(3)),
+		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, Repeat: sim.rng.IntN(5) == 0}
+	if sim.rng.IntN(30) == 0 {
 		r.Class, c = "never listed", balance.Class{Effect: balance.Unsafe}
 	}
-	w.requests[r.ID] = &simRequest{Request: r, class: c}
-	w.openIDs = append(w.openIDs, r.ID)
-	w.balancer.Request(w.now, r)
+	sim.requests[r.ID] = &simRequest{Request: r, class: c}
+	sim.openIDs = append(sim.openIDs, r.ID)
+	sim.balancer.Request(sim.now, r)
 }
 
 // step plays one batch.
-func (w *simulation) step() {
-	w.now += max(w.settings.Resolution, ms)
-	for range w.rng.IntN(4) {
-		if !w.isDraining {
-			w.request()
+func (sim *simulation) step() {
+	sim.now += max(sim.settings.Resolution, ms)
+	for range sim.rng.IntN(4) {
+		if !sim.isDraining {
+			sim.request()
 		}
 	}
-	if !w.isDraining && w.rng.IntN(40) == 0 {
-		w.changeList()
+	if !sim.isDraining && sim.rng.IntN(40) == 0 {
+		sim.changeList()
 	}
-	if !w.isDraining && w.rng.IntN(60) == 0 {
-		w.changeEjection()
+	if !sim.isDraining && sim.rng.IntN(60) == 0 {
+		sim.changeEjection()
 	}
 	due := 0
-	for i := 0; i < len(w.timers); i++ {
-		if w.timers[i] <= w.now {
-			w.timers[i] = w.timers[len(w.timers)-1]
-			w.timers = w.timers[:len(w.timers)-1]
+	for i := 0; i < len(sim.timers); i++ {
+		if sim.timers[i] <= sim.now {
+			sim.timers[i] = sim.timers[len(sim.timers)-1]
+			sim.timers = sim.timers[:len(sim.timers)-1]
 			i--
 			due++
 		}
 	}
 	for range due {
-		w.balancer.Timer(w.now)
+		sim.balancer.Timer(sim.now)
 	}
-	probes := w.probes
-	w.probes = nil
+	probes := sim.probes
+	sim.probes = nil
 	for _, ep := range probes {
-		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: float64(w.rng.IntN(5))}}
-		if w.rng.IntN(6) == 0 {
+		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: float64(sim.rng.IntN(5))}}
+		if sim.rng.IntN(6) == 0 {
 			p.Result, p.Load.Known = balance.ConnectFailed, false
 		}
-		if w.rng.IntN(20) > 0 { // some are lost
-			w.balancer.Probed(w.now, p)
+		if sim.rng.IntN(20) > 0 { // some are lost
+			sim.balancer.Probed(sim.now, p)
 		}
 	}
-	kept := w.openIDs[:0]
-	for _, id := range w.openIDs {
-		q := w.requests[id]
-		if !w.isDraining && !q.isAnswered && w.rng.IntN(400) == 0 {
-			q.isAnswered, q.isReported = true, true
-			w.balancer.ClientLeft(w.now, id)
+	kept := sim.openIDs[:0]
+	for _, id := range sim.openIDs {
+		req := sim.requests[id]
+		if !sim.isDraining && !req.isAnswered && sim.rng.IntN(400) == 0 {
+			req.isAnswered, req.isReported = true, true
+			sim.balancer.ClientLeft(sim.now, id)
 		}
 		out := false
-		for n, a := range q.attempts {
-			if a.inFlight && a.endsAt <= w.now {
-				a.inFlight, a.mayHaveRun = false, a.result != balance.Full && a.result != balance.ConnectFailed && a.result != balance.NotSent
-				if a.result == balance.OK && !q.isAnswered {
-					q.isAnswered = true
-					w.answerCounts[0]++
+		for n, att := range req.attempts {
+			if att.inFlight && att.endsAt <= sim.now {
+				att.inFlight, att.mayHaveRun = false, att.result != balance.Full && att.result != balance.ConnectFailed && att.result != balance.NotSent
+				if att.result == balance.OK && !req.isAnswered {
+					req.isAnswered = true
+					sim.answerCounts[0]++
 				}
-				final := q.isAnswered
-				q.isReported = q.isReported || final
-				w.balancer.Outcome(w.now, balance.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
-					Took: w.now - a.sentAt, Final: final})
-				if w.rng.IntN(30) == 0 { // a host that reports twice must do no harm
-					w.balancer.Outcome(w.now, balance.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result, Final: final})
+				final := req.isAnswered
+				req.isReported = req.isReported || final
+				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
+					Took: sim.now - att.sentAt, Final: final})
+				if sim.rng.IntN(30) == 0 { // a host that reports twice must do no harm
+					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result, Final: final})
 				}
 			}
-			out = out || a.inFlight
+			out = out || att.inFlight
 		}
-		if !q.isAnswered && w.now > q.Deadline+answerSlack {
-			w.t.Fatalf("%v: no answer to %s by %v", w.now, id, q.Deadline)
+		if !req.isAnswered && sim.now > req.Deadline+answerSlack {
+			sim.t.Fatalf("%v: no answer to %s by %v", sim.now, id, req.Deadline)
 		}
-		if !q.isAnswered || out {
+		if !req.isAnswered || out {
 			kept = append(kept, id)
 		}
 	}
-	w.openIDs = kept
+	sim.openIDs = kept
 }
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	w := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balance.Endpoint{},
+	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balance.Endpoint{},
 		unavailableSince: map[string]time.Duration{}, manuallyEjected: map[string]bool{}, slowStartSends: map[string][]time.Duration{}}
-	w.settings = balance.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
+	sim.settings = balance.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
 		MustSubscribe: rng.IntN(2) == 0, AskWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
 		MayCancel: rng.IntN(4) > 0, MayProbe: rng.IntN(3) == 0,
 		Resolution: time.Duration(1+rng.IntN(5)) * ms,
 		ColdFrom:   0.3, ColdFor: 9 * time.Second,
 		Tenants: []balance.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
 	for i, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Keyed, balance.Keyed, balance.Unsafe} {
-		w.settings.Classes = append(w.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
+		sim.settings.Classes = append(sim.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
 			Group: balance.Group(max(i-1, 0) % 3), Window: time.Duration(100+rng.IntN(400)) * ms, Aim: 400 * ms,
 		})
 	}
 	for i := range 8 {
 		id := "e" + strconv.Itoa(i)
-		w.listed[id] = balance.Endpoint{ID: id, Zone: "z" + strconv.Itoa(i%2), Kind: "k" + strconv.Itoa(i%3), Cell: i % 4}
+		sim.listed[id] = balance.Endpoint{ID: id, Zone: "z" + strconv.Itoa(i%2), Kind: "k" + strconv.Itoa(i%3), Cell: i % 4}
 	}
-	w.restart(seed)
-	return w
+	sim.restart(seed)
+	return sim
 }
 
 // runSimulation runs a random day of legal events; any broken rule is fatal.
 func runSimulation(t testing.TB, seed uint64, steps int) *simulation {
-	w := newSimulation(t, seed)
+	sim := newSimulation(t, seed)
 	for i := range steps {
-		w.step()
+		sim.step()
 		if i == steps/2 && seed%3 == 0 {
-			w.restart(seed + 1)
+			sim.restart(seed + 1)
 		}
 	}
-	w.isDraining = true
+	sim.isDraining = true
 	for range 3000 { // let everything end
-		if len(w.openIDs) == 0 {
+		if len(sim.openIDs) == 0 {
 			break
 		}
-		w.step()
+		sim.step()
 	}
-	if len(w.openIDs) > 0 {
-		t.Fatalf("%d requests never ended", len(w.openIDs))
+	if len(sim.openIDs) > 0 {
+		t.Fatalf("%d requests never ended", len(sim.openIDs))
 	}
-	return w
+	return sim
 }
 
 func TestInvariantsHoldOnRandomEvents(t *testing.T) {
 	var answers [3]int
 	bars := 0
 	for seed := range uint64(60) {
-		w := runSimulation(t, seed, 1500)
-		bars += w.ejectionChanges
-		for i, n := range w.answerCounts {
+		sim := runSimulation(t, seed, 1500)
+		bars += sim.ejectionChanges
+		for i, n := range sim.answerCounts {
 			answers[i] += n
 		}
 	}
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestFasterEndpointGetsMoreRequests(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "fast", "slow")
+	h := newHarness(t, defaultSettings(), "fast", "slow")
 	took := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
-	r.serve(100, took)
-	share := r.serve(400, took)
+	h.serve(100, took)
+	share := h.serve(400, took)
 	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
 		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
 	}
 }
 
 func TestEqualEndpointsGetEqualNumbersOfRequests(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	share := r.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	share := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep, n := range share {
 		if n < 90 || n > 110 {
 			t.Errorf("%s got %d of 400 turns", ep, n)
@@ -36,15 +36,15 @@
 	for below, want := range map[int][2]float64{0: {1.2, 1.9}, 1: {2.2, 4.5}} {
 		s := defaultSettings()
 		s.TiersBelow = below
-		r := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
+		h := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
 		took := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
-		r.serve(200, took)
+		h.serve(200, took)
 		share := map[string]float64{}
 		for range 400 {
-			id, ep := r.request("read")
+			id, ep := h.request("read")
 			share[ep[:4]]++
-			r.advance(took[ep])
-			r.finish(id, balance.OK)
+			h.advance(took[ep])
+			h.finish(id, balance.OK)
 		}
 		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
 			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
@@ -55,7 +55,7 @@
 // A balancer with little traffic uses an endpoint every few seconds: until it has samples, the weight of the kind counts.
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
-	r := newHarness(t, s)
+	h := newHarness(t, s)
 	l, took := balance.List{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balance.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
@@ -66,10 +66,10 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	r.balancer.EndpointList(r.now, l)
-	r.serve(60, took)
+	h.balancer.EndpointList(h.now, l)
+	h.serve(60, took)
 	slow := 0
-	for ep, n := range r.serve(60, took) {
+	for ep, n := range h.serve(60, took) {
 		if ep[0] == 's' {
 			slow += n
 		}
@@ -81,48 +81,48 @@
 
 // Seen on the same day: attempts at a hung endpoint used the whole limit, and a new endpoint was idle.
 func TestHungEndpointDoesNotUseTheWholeLimit(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a")
+	h := newHarness(t, defaultSettings(), "a")
 	for range 6 {
-		r.requestAs("read", "")
+		h.requestAs("read", "")
 	}
-	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
-	r.advance(time.Second)
+	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
+	h.advance(time.Second)
 	var trial string
 	for range 6 {
-		if id, ep := r.request("read"); ep == "b" {
+		if id, ep := h.request("read"); ep == "b" {
 			trial = id
 		}
 	}
 	if trial == "" {
 		t.Fatal("no trial of the new endpoint")
 	}
-	r.advance(100 * ms)
-	r.finish(trial, balance.OK)
-	before := r.countActions("send")
+	h.advance(100 * ms)
+	h.finish(trial, balance.OK)
+	before := h.countActions("send")
 	for range 6 {
-		r.requestAs("read", "")
+		h.requestAs("read", "")
 	}
-	if n := r.countActions("send") - before; n < 4 {
+	if n := h.countActions("send") - before; n < 4 {
 		t.Errorf("%d calls go out beside the clogged endpoint", n)
 	}
 }
 
 // An idle connection groups turns, and does not change how many each endpoint gets.
 func TestIdleConnectionIsUsedForAFewTurns(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	r.idleConnections = map[string]bool{}
+	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
+	h.idleConnections = map[string]bool{}
 	share, moves, last := map[string]int{}, 0, ""
 	const calls = 400
 	for range calls {
-		id, ep := r.request("read")
+		id, ep := h.request("read")
 		if ep != last { // the one before closes
-			r.idleConnections[last], last = false, ep
+			h.idleConnections[last], last = false, ep
 			moves++
 		}
 		share[ep]++
-		r.advance(50 * ms)
-		r.finish(id, balance.OK)
-		r.idleConnections[ep] = true
+		h.advance(50 * ms)
+		h.finish(id, balance.OK)
+		h.idleConnections[ep] = true
 	}
 	if moves > calls/2 {
 		t.Errorf("%d moves in %d calls", moves, calls)
@@ -137,20 +137,20 @@
 func TestEndpointWithTheLowestReportedLoadIsPicked(t *testing.T) {
 	s := defaultSettings()
 	s.MayProbe = true
-	r := newHarness(t, s, "a", "b", "c")
-	r.request("read")
-	if r.countActions("probe ") != 3 {
-		t.Fatalf("actions %v", r.actions)
+	h := newHarness(t, s, "a", "b", "c")
+	h.request("read")
+	if h.countActions("probe ") != 3 {
+		t.Fatalf("actions %v", h.actions)
 	}
 	for ep, held := range map[string]float64{"a": 4, "b": 0, "c": 4} {
-		r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
+		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
 	}
-	if got := r.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
+	if got := h.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
 		t.Errorf("sent to %v", got)
 	}
-	r.request("read")
-	r.advance(50 * ms) // lost probes do not hold a request for long
-	if len(r.sentTo["r2"]) != 1 {
+	h.request("read")
+	h.advance(50 * ms) // lost probes do not hold a request for long
+	if len(h.sentTo["r2"]) != 1 {
 		t.Error("a request waits for probes that never come back")
 	}
 }
@@ -161,12 +161,12 @@
 	s := defaultSettings()
 	s.MayProbe = true
 	eps := []string{"a", "b", "c", "d", "e", "hung1", "hung2", "hung3"}
-	r := newHarness(t, s, eps...)
+	h := newHarness(t, s, eps...)
 	probes, toHung, picks := 0, 0, 0
 	for range 200 {
-		seen := len(r.actions)
-		id, _ := r.request("read")
-		for _, d := range r.actions[seen:] {
+		seen := len(h.actions)
+		id, _ := h.request("read")
+		for _, d := range h.actions[seen:] {
 			ep, ok := strings.CutPrefix(d, "probe ")
 			if !ok {
 				continue
@@ -176,15 +176,15 @@
 				load.Held = 8
 				toHung++
 			}
-			r.balancer.Probed(r.now, balance.ProbeResult{Endpoint: ep, Load: load})
+			h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: load})
 		}
-		if ep := r.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
+		if ep := h.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
 			picks++
-			r.finish(id, balance.Full)
+			h.finish(id, balance.Full)
 			continue
 		}
-		r.advance(50 * ms)
-		r.finish(id, balance.OK)
+		h.advance(50 * ms)
+		h.finish(id, balance.OK)
 	}
 	if toHung > probes/4 {
 		t.Errorf("%d of %d probes went to three crowded endpoints of eight", toHung, probes)
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -18,28 +18,28 @@
 	got := [12]int{}
 	for c := range callers {
 		s := defaultSettings()
-		r := newHarness(t, s, names...)
-		r.balancer = balance.New(r.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
-			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, r)
+		h := newHarness(t, s, names...)
+		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, h)
 		l := balance.List{Complete: true}
 		for _, id := range names {
 			l.Entries = append(l.Entries, balance.Endpoint{ID: id})
 		}
-		r.balancer.EndpointList(r.now, l)
+		h.balancer.EndpointList(h.now, l)
 		step := func() string {
-			id, ep := r.request("read")
-			r.advance(50 * ms)
-			r.finish(id, balance.OK)
-			r.advance(time.Second/time.Duration(perSecond) - 50*ms)
+			id, ep := h.request("read")
+			h.advance(50 * ms)
+			h.finish(id, balance.OK)
+			h.advance(time.Second/time.Duration(perSecond) - 50*ms)
 			return ep
 		}
 		for range 30 {
 			step()
 		}
-		start := r.now
-		r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
-		for r.now < start+11*time.Second {
-			if at := (r.now - start) / time.Second; step() == "cold" {
+		start := h.now
+		h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
+		for h.now < start+11*time.Second {
+			if at := (h.now - start) / time.Second; step() == "cold" {
 				got[at]++
 			}
 		}
@@ -58,11 +58,11 @@
 
 // Rule 4 of the platform: an endpoint that is warming up gets about its share, whatever the request rate.
 func TestRequestsToAnEndpointThatIsWarmingUpArePaced(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c")
+	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
-	r.serve(300, took)
-	r.balancer.EndpointList(r.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: r.now}}})
-	share := r.serve(150, took)
+	h.serve(300, took)
+	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: h.now}}})
+	share := h.serve(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
 	}
@@ -70,21 +70,21 @@
 
 // An endpoint that reset its connections went down: it warms up when it returns, whatever the list says of its start.
 func TestEndpointWarmsUpAfterAReset(t *testing.T) {
-	r := newHarness(t, defaultSettings(), "a", "b", "c")
+	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
-	r.serve(300, took)
+	h.serve(300, took)
 	for ep := ""; ep != "c"; {
 		var id string
-		id, ep = r.request("bill")
-		r.advance(20 * ms)
+		id, ep = h.request("bill")
+		h.advance(20 * ms)
 		if ep == "c" {
-			r.finish(id, balance.Reset)
+			h.finish(id, balance.Reset)
 		} else {
-			r.finish(id, balance.OK)
+			h.finish(id, balance.OK)
 		}
 	}
-	r.serve(30, took)
-	if share := r.serve(60, took); share["c"] > 60/3*2/3 {
+	h.serve(30, took)
+	if share := h.serve(60, took); share["c"] > 60/3*2/3 {
 		t.Errorf("an endpoint that went down got %d of 60 calls", share["c"])
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -16,22 +16,22 @@
 	for i := range 100 {
 		ids = append(ids, fmt.Sprintf("e%02d", i))
 	}
-	r := newHarness(t, s, ids...)
-	r.learnBaseline("read")
-	used := func(r *harness) map[string]bool {
+	h := newHarness(t, s, ids...)
+	h.learnBaseline("read")
+	used := func(h *harness) map[string]bool {
 		out := map[string]bool{}
 		for range 400 {
-			id, ep := r.request("read")
+			id, ep := h.request("read")
 			out[ep] = true
-			r.advance(100 * ms)
-			r.finish(id, balance.OK)
+			h.advance(100 * ms)
+			h.finish(id, balance.OK)
 		}
 		return out
 	}
-	before := used(r)
-	r.balancer.Share(r.now, 60, 0) // no news
-	r.balancer.Share(r.now, 60, 30)
-	other := used(r)
+	before := used(h)
+	h.balancer.Share(h.now, 60, 0) // no news
+	h.balancer.Share(h.now, 60, 30)
+	other := used(h)
 	same := 0
 	for ep := range other {
 		if before[ep] {
@@ -41,8 +41,8 @@
 	if same == len(before) {
 		t.Error("another place among the balancers has the same endpoints")
 	}
-	r.balancer.Share(r.now, 60, 0)
-	if listed, avoided := r.balancer.Census(); listed != 100 || avoided != 0 {
+	h.balancer.Share(h.now, 60, 0)
+	if listed, avoided := h.balancer.Census(); listed != 100 || avoided != 0 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 }
@@ -58,14 +58,14 @@
 	for c := range callers {
 		s := defaultSettings()
 		s.Balancers, s.Index = callers, c
-		r := newHarness(t, s, names...)
+		h := newHarness(t, s, names...)
 		own := map[string]bool{}
 		for range 40 {
-			id, ep := r.request("read")
+			id, ep := h.request("read")
 			own[ep] = true
-			r.advance(50 * ms)
-			r.finish(id, balance.OK)
-			r.advance(950 * ms)
+			h.advance(50 * ms)
+			h.finish(id, balance.OK)
+			h.advance(950 * ms)
 		}
 		for ep := range own {
 			met[ep]++
