--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -17,12 +17,12 @@
 func TestRequestsOverQuotaAreShedWhenResponsesStretchAndRateExceedsAllQuotas(t *testing.T) {
 	for _, row := range []struct {
 		perSecond int
-		took      time.Duration // of answers, after a second of 10 ms
+		took      time.Duration // latency, after a second of 10 ms
 		want      bool
 	}{{4, 10 * ms, false}, {4, 30 * ms, false}, {16, 10 * ms, false}, {16, 30 * ms, true}} {
 		s := defaultSettings()
 		s.Balancers = 10
-		s.Tenants = []balance.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
+		s.Tenants = []balance.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 requests a second for this balancer
 		h := newHarness(t, s, "a", "b", "c")
 		out := 0
 		for i := range 10 * row.perSecond {
@@ -39,7 +39,7 @@
 			h.advance(time.Second/time.Duration(row.perSecond) - took)
 		}
 		if n := h.countActions("refuse "); n > 0 != row.want || out == 0 {
-			t.Errorf("%d of %d requests are refused, asked at %d a second and answered after %v", n, 10*row.perSecond, row.perSecond, row.took)
+			t.Errorf("%d of %d requests are rejected, at %d a second with a latency of %v", n, 10*row.perSecond, row.perSecond, row.took)
 		}
 	}
 }
@@ -48,17 +48,12 @@
 	s := defaultSettings()
 	s.Tenants = []balance.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
 	h := newHarness(t, s, "a", "b")
-	ask := func(tenant string) string {
-		h.requestCount++
-		id := "r" + strconv.Itoa(h.requestCount)
-		h.balancer.Request(h.now, balance.Request{ID: id, Class: "read", Tenant: tenant, Deadline: h.now + 5*time.Second})
-		return id
-	}
+	ask := func(tenant string) { h.requestAs("read", tenant) }
 	for range 9 {
 		ask("big")
 	}
 	if h.countActions("refuse") > 0 {
-		t.Fatal("refused with room to spare")
+		t.Fatal("rejected with capacity to spare")
 	}
 	ask("small")
 	ask("big")
@@ -73,11 +68,11 @@
 		}
 	}
 	if len(refused) == 0 {
-		t.Fatal("nothing beyond the share was refused")
+		t.Fatal("nothing over quota was rejected")
 	}
 	for i := 12; i <= h.requestCount; i++ {
 		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
-			t.Errorf("r%d is within its share and was refused", i)
+			t.Errorf("r%d is within its quota and was rejected", i)
 		}
 	}
 }
@@ -91,12 +86,12 @@
 		h.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
 		h.serve(30, map[string]time.Duration{"a": stretch * 100 * ms, "b": stretch * 100 * ms})
 		sent := 0
-		for h.countActions("refuse") == 0 && sent < 11 { // of a room of 12 at least
+		for h.countActions("refuse") == 0 && sent < 11 { // the limit is 12 at least
 			h.requestAs("read", "t")
 			sent++
 		}
 		if got := h.countActions("refuse") > 0; got != refused {
-			t.Errorf("answers stretch by %d: after %d calls over the share, refused %v", stretch, sent, got)
+			t.Errorf("stretch %d: after %d requests over quota, rejected %v", stretch, sent, got)
 		}
 	}
 }
@@ -108,7 +103,7 @@
 	h := newHarness(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
-	for i := range 1500 { // some hundred calls a second, one answer every 40 ms
+	for i := range 1500 { // a hundred requests a second, one response every 40 ms
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
@@ -157,6 +152,6 @@
 	id, _ = h.request("bill")
 	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
 	if len(h.sentTo[id]) != 1 {
-		t.Error("a held request did not go to the first endpoint that came")
+		t.Error("a queued request did not go to the first endpoint listed")
 	}
 }
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -17,7 +17,7 @@
 	h.balancer.EndpointList(h.now, balance.List{Failed: true})
 	h.advance(5 * time.Second)
 	if n := h.countActions("subscribe"); n != 2 {
-		t.Errorf("asked %d times", n)
+		t.Errorf("%d subscriptions", n)
 	}
 }
 
@@ -63,8 +63,8 @@
 			h.finish(last, balance.Canceled)
 		}
 	}
-	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "table": 2, "requests": 0, "live": 0, "waiting": 0}
-	if kept := balance.StateSizes(h.balancer); !maps.Equal(kept, want) {
-		t.Errorf("kept: %v", kept)
+	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "subset": 2, "requests": 0, "live": 0, "queue": 0}
+	if sizes := balance.StateSizes(h.balancer); !maps.Equal(sizes, want) {
+		t.Errorf("sizes are %v, want %v", sizes, want)
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,12 +8,13 @@
 	"tuliprock/balance"
 )
 
-// instantHost is a host whose endpoints answer at once, in the order asked.
+// instantHost is a host whose endpoints respond at once, in the order of the attempts.
 type instantHost struct {
 	balance.Host
 	sent []sentAttempt
 }
 
+// sentAttempt is an attempt that instantHost has not answered yet.
 type sentAttempt struct{ id, endpoint string }
 
 func (h *instantHost) Send(id, endpoint string, _ time.Duration) {
@@ -27,6 +28,7 @@
 func (*instantHost) Timer(time.Duration)          {}
 func (*instantHost) Log(string)                   {}
 
+// completeList lists n endpoints of two kinds.
 func completeList(n int) balance.List {
 	l := balance.List{Complete: true}
 	for i := range n {
@@ -35,6 +37,7 @@
 	return l
 }
 
+// newSingleBalancer makes a balancer without others, with n endpoints.
 func newSingleBalancer(n int) (*balance.Balancer, *instantHost) {
 	h := &instantHost{}
 	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: 5 * time.Millisecond, ColdFrom: 0.3,
@@ -43,7 +46,7 @@
 	return b, h
 }
 
-// One request and its answer, for a caller alone before a fleet.
+// BenchmarkRequest is one request and its response, for a balancer without others.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,7 +66,7 @@
 	}
 }
 
-// A list that changes by one member.
+// BenchmarkEndpointList is a complete list that changes by one endpoint.
 func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -36,9 +36,9 @@
 		return out
 	}
 	ask(200*ms, 40)
-	ask(1200*ms, 4) // two seconds of answers six times as slow
+	ask(1200*ms, 4) // two seconds of responses six times as slow
 	if out := ask(1200*ms, 2); out > 3 {
-		t.Errorf("%d calls are out after two seconds of slow answers", out)
+		t.Errorf("%d attempts are in flight after two seconds of slow responses", out)
 	}
 }
 
@@ -64,7 +64,7 @@
 					}
 				}
 			}
-			for _, d := range h.actions[sent:] { // held calls that went out since
+			for _, d := range h.actions[sent:] { // queued requests that were sent since
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
@@ -82,19 +82,19 @@
 // In i2b2df6 and on many overloaded days endpoints became slow while the limit still grew.
 func TestOverloadDoesNotCrowdEndpoints(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
-	most, answered := h.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
+	h.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
 	if h.countActions("refuse") > 0 {
-		t.Fatal("refused at a third of what the endpoints can do")
+		t.Fatal("rejected at a third of what the endpoints can serve")
 	}
-	most, answered = h.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
+	most, answered := h.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
-		t.Errorf("an endpoint that does one call at a time held %d", most)
+		t.Errorf("an endpoint that serves one request at a time had %d", most)
 	}
 	if answered < 540 {
-		t.Errorf("%d calls answered of the 600 that could be", answered)
+		t.Errorf("%d requests served of the 600 that could be", answered)
 	}
 	if h.countActions("refuse") < 400 {
-		t.Errorf("only %d refused of twice the load", h.countActions("refuse"))
+		t.Errorf("only %d rejected at twice the load", h.countActions("refuse"))
 	}
 }
 
@@ -111,10 +111,10 @@
 	}
 	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
 	if four > alone/4+1 || four < alone/4-1 {
-		t.Errorf("alone a caller lets in %d calls at once, beside three others %d", alone, four)
+		t.Errorf("alone a balancer sends %d requests at once, beside three others %d", alone, four)
 	}
 	if below != alone {
-		t.Errorf("behind the first tier a caller lets in %d calls at once, alone %d", below, alone)
+		t.Errorf("behind the first tier a balancer sends %d requests at once, alone %d", below, alone)
 	}
 }
 
@@ -149,8 +149,8 @@
 		return newHarness(t, s, "a", "b").mostInFlight(900 * ms)
 	}
 	front, below := grown(0), grown(1)
-	if front < below+(below-12)/2 { // both begin with 12
-		t.Errorf("after 0.9 s %d calls are out from the front, %d from a tier below", front, below)
+	if front < below+(below-12)/2 { // the initial limit of both is 12
+		t.Errorf("after 0.9 s %d attempts are in flight in the first tier, %d in another", front, below)
 	}
 }
 
@@ -169,7 +169,7 @@
 		}
 		for asked := 0; len(due)+asked < 22; asked++ {
 			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
-				t.Fatalf("no room for call %d after %v", h.requestCount, h.now-begun)
+				t.Fatalf("request %d is queued after %v", h.requestCount, h.now-begun)
 			}
 		}
 		for ; seen < len(h.actions); seen++ {
@@ -188,7 +188,7 @@
 	h.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
-			t.Fatal("a call found no room beside fewer than nine")
+			t.Fatal("a request is queued beside fewer than nine in flight")
 		}
 	}
 }
@@ -214,7 +214,7 @@
 		most = max(most, len(due))
 	}
 	if most < 8 || most > 24 {
-		t.Errorf("%d calls out at most; twelve are let in before anything is known", most)
+		t.Errorf("%d attempts in flight at most; the initial limit is twelve", most)
 	}
 }
 
@@ -231,6 +231,6 @@
 		h.requestAs("read", "")
 	}
 	if n := h.countActions("send"); n == 0 || n > 8 {
-		t.Errorf("the one that is left gets %d calls at once", n)
+		t.Errorf("the endpoint that is left gets %d requests at once", n)
 	}
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	if others < 2 {
-		t.Errorf("only %d endpoints beside the lucky one are in use", others)
+		t.Errorf("only %d endpoints beside the fast one are in use", others)
 	}
 }
 
@@ -56,7 +56,7 @@
 		h.finish(id, balance.OK)
 	}
 	if trials := int((h.now - start) / (500 * ms)); caught > 5+trials {
-		t.Errorf("a hung endpoint caught %d of 200 calls", caught)
+		t.Errorf("a hung endpoint got %d of 200 requests", caught)
 	}
 }
 
@@ -71,9 +71,9 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
+	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within activeFactor
 	if share := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
-		t.Error("a silent endpoint got a turn")
+		t.Error("an unresponsive endpoint got a request")
 	}
 }
 
@@ -87,16 +87,16 @@
 			tries = append(tries, h.now)
 			h.finish(id, balance.ConnectFailed)
 			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
-				t.Fatalf("after a failed connect the call went to %v", h.sentTo[id])
+				t.Fatalf("after a failed connect the request went to %v", h.sentTo[id])
 			}
 		}
 		h.advance(20 * ms)
 		h.finish(id, balance.OK)
 	}
 	if len(tries) < 4 || len(tries) > 12 {
-		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
+		t.Errorf("an endpoint that is down got %d attempts in 20 s", len(tries))
 	}
-	for i := 3; i < len(tries); i++ { // the waits grow until they reach their limit
+	for i := 3; i < len(tries); i++ { // the backoff grows to its limit
 		if wait := tries[i] - tries[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came after %v", i, wait)
 		}
@@ -106,14 +106,14 @@
 func TestNextTrialIsTakenWhenNoEndpointIsActive(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "only")
 	id, _ := h.request("read")
-	h.finish(id, balance.ConnectFailed) // dropped, and the resend is the none-active branch
+	h.finish(id, balance.ConnectFailed) // ejected; no endpoint is active for the retry
 	if len(h.sentTo[id]) != 2 {
 		t.Fatalf("actions %v", h.actions)
 	}
 	h.advance(30 * ms)
 	h.finish(id, balance.OK)
 	if _, ep := h.request("read"); ep != "only" {
-		t.Error("a trial that succeeded with none active did not readmit its endpoint")
+		t.Error("a trial that succeeded with none active did not make its endpoint active")
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	h := newHarness(t, defaultSettings(), names...)
 	slow := 0
-	for range 400 { // two calls a second, an even share is one call to each every 10 s
+	for range 400 { // two requests a second, so an even share is one each every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -147,7 +147,7 @@
 	h := newHarness(t, s, "a", "b", "c", "d")
 	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	share := map[string]int{}
-	for range 80 { // every call ends in an error
+	for range 80 { // every request ends in an error
 		id, ep := h.request("read")
 		share[ep]++
 		h.advance(50 * ms)
@@ -155,7 +155,7 @@
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if share[ep] < 14 {
-			t.Errorf("%s got %d of 80 calls that all failed below: %v", ep, share[ep], share)
+			t.Errorf("%s got %d of 80 requests that all failed below: %v", ep, share[ep], share)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, took)
 	off := 0
-	for range 40 { // calls to b alone are called off, early
+	for range 40 { // only attempts at b are cancelled, early
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
@@ -205,10 +205,10 @@
 		h.finish(id, balance.OK)
 	}
 	if off == 0 || off > 24 {
-		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
+		t.Errorf("b got %d of 40 requests; early cancellation must not make it look fast, nor slow", off)
 	}
 	if share := h.serve(60, took); share["b"] < 20 {
-		t.Errorf("turns after calls were called off: %v", share)
+		t.Errorf("requests after the cancellations: %v", share)
 	}
 }
 
@@ -226,12 +226,12 @@
 		}
 		h.finish(id, balance.OK)
 		if share := h.serve(9, all); (share[ep] >= 2) != reused {
-			t.Errorf("reused %v: then %d of 9 turns", reused, share[ep])
+			t.Errorf("reused %v: then %d of 9 requests", reused, share[ep])
 		}
 		id, ep = h.request("bill")
 		h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: reused})
 		if len(h.sentTo[id]) != 1 || h.countActions("fail "+id) != 1 {
-			t.Errorf("reused %v: unsafe work sent to %v", reused, h.sentTo[id])
+			t.Errorf("reused %v: the unsafe request was sent to %v", reused, h.sentTo[id])
 		}
 	}
 }
--- a/balance/export_test.go
+++ b/balance/export_test.go
@@ -1,7 +1,7 @@
 package balance
 
-// StateSizes tells tests how much a Balancer holds of each sort.
+// StateSizes returns the number of elements of each collection of a Balancer.
 func StateSizes(b *Balancer) map[string]int {
 	return map[string]int{"classes": len(b.classes), "tenants": len(b.tenants), "kinds": len(b.kinds), "names": len(b.endpointByID),
-		"endpoints": len(b.endpoints), "table": len(b.subset), "requests": len(b.requests), "live": len(b.live), "waiting": len(b.queue)}
+		"endpoints": len(b.endpoints), "subset": len(b.subset), "requests": len(b.requests), "live": len(b.live), "queue": len(b.queue)}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -11,17 +11,20 @@
 	"tuliprock/balance"
 )
 
+// ms is the step of time of all tests.
+const ms = time.Millisecond
+
 // harness is a host that drives one balancer by hand and records what it calls for.
 type harness struct {
 	t               *testing.T
 	now             time.Duration
 	balancer        *balance.Balancer
-	actions         []string // all actions but timers, in order
-	sentTo          map[string][]string
+	actions         []string            // calls of the host but timers, in order
+	sentTo          map[string][]string // by request: the endpoints of its attempts
 	sentAt          map[string]time.Duration
 	timers          []time.Duration
 	requestCount    int
-	idleConnections map[string]bool // endpoints to which a connection stands idle
+	idleConnections map[string]bool // by endpoint
 }
 
 func (h *harness) Send(id, ep string, _ time.Duration) {
@@ -58,6 +61,7 @@
 
 // newHarness makes a balancer whose first list has the endpoints given.
 func newHarness(t *testing.T, s balance.Settings, endpoints ...string) *harness {
+	t.Helper()
 	h := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = 7
 	h.balancer = balance.New(h.now, s, h)
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -10,12 +10,10 @@
 	"tuliprock/balance"
 )
 
-const ms = time.Millisecond
-
 // answerSlack is how long after the deadline a final answer may come.
 const answerSlack = 20 * ms
 
-// simAttempt is one attempt as the world sees it.
+// simAttempt is an attempt as the simulation knows it.
 type simAttempt struct {
 	endpoint       balance.Endpoint
 	sentAt, endsAt time.Duration
@@ -25,35 +23,36 @@
 	isCanceled     bool
 }
 
-// simRequest is one request as the world sees it.
+// simRequest is a request as the simulation knows it.
 type simRequest struct {
 	balance.Request
 	class      balance.Class
 	attempts   []*simAttempt
-	isAnswered bool // has its answer, or its client left
-	isReported bool // the balancer was told so, or did it itself, before the batch in hand
+	isAnswered bool // it has its answer, or its client has left
+	isReported bool // the balancer knows so, by an event or because it gave the answer
 }
 
-// simulation plays clients, discovery and endpoints against one balancer and watches the four rules.
+// simulation plays clients, discovery and endpoints against one balancer, and checks the rules of the platform: no
+// attempt at an endpoint that is not available, one answer per request and in time, no second effect, nothing not permitted.
 type simulation struct {
 	t                testing.TB
 	rng              *rand.Rand
 	settings         balance.Settings
 	now              time.Duration
 	balancer         *balance.Balancer
-	listed           map[string]balance.Endpoint // as last told
-	unavailableSince map[string]time.Duration    // when told of a drain or removal
-	manuallyEjected  map[string]bool             // out by hand
+	listed           map[string]balance.Endpoint // as listed last
+	unavailableSince map[string]time.Duration    // when it was listed as draining or gone
+	manuallyEjected  map[string]bool
 	ejectionChanges  int
 	requests         map[string]*simRequest
 	openIDs          []string
 	timers           []time.Duration
 	probes           []string
-	slowStartSends   map[string][]time.Duration // sends to cold endpoints
+	slowStartSends   map[string][]time.Duration // by endpoint, while it is warming up
 	requestCount     int
-	isDraining       bool // nothing new comes
+	isDraining       bool // no new request, list or ejection
 	sends            int
-	answerCounts     [3]int // served, refused, failed
+	answerCounts     [3]int // served, rejected, failed
 	actions          []string
 }
 
@@ -67,17 +66,17 @@
 		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
 	}
 	if at, ok := sim.unavailableSince[ep]; ok && sim.now > at {
-		sim.t.Fatalf("%v: Send to %s, told to stop at %v", sim.now, ep, at)
+		sim.t.Fatalf("%v: Send to %s, unavailable since %v", sim.now, ep, at)
 	}
 	if sim.manuallyEjected[ep] {
-		sim.t.Fatalf("%v: Send to %s, which is out by hand", sim.now, ep)
+		sim.t.Fatalf("%v: Send to %s, which is manually ejected", sim.now, ep)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
 		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
 	}
 	for _, att := range req.attempts {
 		if att.inFlight {
-			sim.t.Fatalf("%v: second copy of %s", sim.now, id)
+			sim.t.Fatalf("%v: second attempt in flight of %s", sim.now, id)
 		}
 		if !att.inFlight && !att.mayHaveRun || req.class.Effect == balance.Safe {
 			continue
@@ -130,7 +129,7 @@
 	for _, att := range req.attempts {
 		if (att.inFlight || att.mayHaveRun) && (req.class.Effect == balance.Unsafe ||
 			req.class.Effect == balance.Keyed && req.class.Group != balance.GroupAll) {
-			sim.t.Fatalf("%v: %s is refused though it may have run", sim.now, id)
+			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
 		}
 	}
 }
@@ -158,7 +157,7 @@
 		sim.t.Fatalf("%v: Probe is not allowed", sim.now)
 	}
 	if sim.manuallyEjected[ep] {
-		sim.t.Fatalf("%v: Probe of %s, which is out by hand", sim.now, ep)
+		sim.t.Fatalf("%v: Probe of %s, which is manually ejected", sim.now, ep)
 	}
 	sim.probes = append(sim.probes, ep)
 }
@@ -167,7 +166,7 @@
 func (sim *simulation) Timer(at time.Duration) { sim.timers = append(sim.timers, at) }
 func (sim *simulation) Log(string)             {}
 
-// restart begins a life of the balancer; what an earlier one held is lost.
+// restart replaces the balancer; the requests of an earlier one are lost.
 func (sim *simulation) restart(seed uint64) {
 	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
 	sim.settings.Seed = seed
@@ -184,7 +183,7 @@
 	}
 }
 
-// changeEjection takes an endpoint out by hand, or back, listed or not.
+// changeEjection ejects an endpoint manually or restores it, listed or not.
 func (sim *simulation) changeEjection() {
 	id := "e" + strconv.Itoa(sim.rng.IntN(12))
 	out := sim.rng.IntN(2) == 0
@@ -194,10 +193,10 @@
 	sim.ejectionChanges++
 	sim.balancer.Bar(sim.now, id, out)
 	if out && !sim.balancer.Knows(id) {
-		sim.t.Fatalf("%v: %s is out, and not known", sim.now, id)
+		sim.t.Fatalf("%v: %s is manually ejected, and not known", sim.now, id)
 	}
 	if listed, avoided := sim.balancer.Census(); avoided > listed {
-		sim.t.Fatalf("%v: %d of %d are avoided", sim.now, avoided, listed)
+		sim.t.Fatalf("%v: %d of %d are ejected", sim.now, avoided, listed)
 	}
 }
 
@@ -240,7 +239,7 @@
 	sim.balancer.Request(sim.now, r)
 }
 
-// step plays one batch.
+// step plays the events of one instant.
 func (sim *simulation) step() {
 	sim.now += max(sim.settings.Resolution, ms)
 	for range sim.rng.IntN(4) {
@@ -296,7 +295,7 @@
 				req.isReported = req.isReported || final
 				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
 					Took: sim.now - att.sentAt, Final: final})
-				if sim.rng.IntN(30) == 0 { // a host that reports twice must do no harm
+				if sim.rng.IntN(30) == 0 { // a second report must be ignored
 					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result, Final: final})
 				}
 			}
@@ -312,9 +311,11 @@
 	sim.openIDs = kept
 }
 
-func newSimulation(t testing.TB, seed uint64) *simulation {
+// newSimulation makes a simulation whose settings and events depend on the seed alone.
+func newSimulation(tb testing.TB, seed uint64) *simulation {
+	tb.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
-	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balance.Endpoint{},
+	sim := &simulation{t: tb, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balance.Endpoint{},
 		unavailableSince: map[string]time.Duration{}, manuallyEjected: map[string]bool{}, slowStartSends: map[string][]time.Duration{}}
 	sim.settings = balance.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
 		MustSubscribe: rng.IntN(2) == 0, AskWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
@@ -335,9 +336,10 @@
 	return sim
 }
 
-// runSimulation runs a random day of legal events; any broken rule is fatal.
-func runSimulation(t testing.TB, seed uint64, steps int) *simulation {
-	sim := newSimulation(t, seed)
+// runSimulation plays random legal events; a broken rule is fatal.
+func runSimulation(tb testing.TB, seed uint64, steps int) *simulation {
+	tb.Helper()
+	sim := newSimulation(tb, seed)
 	for i := range steps {
 		sim.step()
 		if i == steps/2 && seed%3 == 0 {
@@ -352,27 +354,27 @@
 		sim.step()
 	}
 	if len(sim.openIDs) > 0 {
-		t.Fatalf("%d requests never ended", len(sim.openIDs))
+		tb.Fatalf("%d requests never ended", len(sim.openIDs))
 	}
 	return sim
 }
 
 func TestInvariantsHoldOnRandomEvents(t *testing.T) {
 	var answers [3]int
-	bars := 0
+	ejectionChanges := 0
 	for seed := range uint64(60) {
 		sim := runSimulation(t, seed, 1500)
-		bars += sim.ejectionChanges
+		ejectionChanges += sim.ejectionChanges
 		for i, n := range sim.answerCounts {
 			answers[i] += n
 		}
 	}
-	if bars < 500 {
-		t.Errorf("only %d endpoints were taken out or back: the days test too little", bars)
+	if ejectionChanges < 500 {
+		t.Errorf("only %d ejections or restorations: the events test too little", ejectionChanges)
 	}
 	for i, n := range answers {
 		if n < 1000 {
-			t.Errorf("only %d answers of kind %d: the days test too little", n, i)
+			t.Errorf("only %d answers of kind %d: the events test too little", n, i)
 		}
 	}
 }
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -9,8 +9,8 @@
 	"tuliprock/balance"
 )
 
-// requestsPerEndpoint plays requests, one at a time, before a fleet of which each tenth endpoint is slower, and gives the calls that
-// each endpoint got.
+// requestsPerEndpoint serves requests one at a time, each tenth endpoint being slower, and returns how many each endpoint
+// got.
 func requestsPerEndpoint(n, requests int, slower float64) map[string]float64 {
 	m, h := newSingleBalancer(n)
 	now := time.Hour
@@ -32,7 +32,8 @@
 	return got
 }
 
-// spreadOf is how far the counts of alike endpoints are from their mean: the standard deviation and the largest, in shares.
+// spreadOf returns the mean count of the slow or the other endpoints, and the standard deviation and the largest deviation
+// from it, as fractions of the mean.
 func spreadOf(got map[string]float64, n int, slow bool) (mean, deviation, most float64) {
 	var counts []float64
 	for i := range n {
@@ -50,25 +51,25 @@
 	return mean, math.Sqrt(deviation) / mean, most
 }
 
-// A table that is picked from by samples gives alike endpoints alike many calls, and slower ones fewer, as one does that is
-// gone through whole.
+// Picks from samples of a large subset give equal endpoints about as many requests, and slower ones fewer, as picks from a
+// small subset do.
 func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
 	const each = 40
-	for _, n := range []int{200, 400, 2000} { // whole, and twice by samples
+	for _, n := range []int{200, 400, 2000} { // one scanned whole, two sampled
 		got := requestsPerEndpoint(n, n*each, 1.4)
 		fast, deviation, most := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
-		t.Logf("%d endpoints: %.1f calls, deviation %.3f, at most %.3f off; slower ones %.2f of that", n, fast, deviation, most, slow/fast)
+		t.Logf("%d endpoints: %.1f requests, deviation %.3f, at most %.3f off; slower ones %.2f of that", n, fast, deviation, most, slow/fast)
 		if deviation > 0.1 || most > 0.5 {
-			t.Errorf("%d endpoints: calls differ by %.3f, at most by %.3f", n, deviation, most)
+			t.Errorf("%d endpoints: requests differ by %.3f, at most by %.3f", n, deviation, most)
 		}
 		if share := slow / fast; share < 0.6 || share > 0.95 {
-			t.Errorf("%d endpoints: those slower by 1.4 get %.2f of the calls", n, share)
+			t.Errorf("%d endpoints: those slower by 1.4 get %.2f of the requests", n, share)
 		}
 	}
 }
 
-// Endpoints of a long table that leave get nothing more, not even where they were used last; new ones get their trials.
+// Endpoints that drain or are gone get no more requests, not even those used last; new ones get their trials.
 func TestLargeSubsetFollowsListUpdates(t *testing.T) {
 	const n = 1000
 	m, h := newSingleBalancer(n)
@@ -99,15 +100,15 @@
 	after := ask(20 * n)
 	for id := range before {
 		if after[id] > 0 {
-			t.Errorf("%s drains and got %d calls", id, after[id])
+			t.Errorf("%s is draining and got %d requests", id, after[id])
 		}
 	}
 	if after["n00000"] > 0 {
-		t.Error("one that is gone got calls")
+		t.Error("an endpoint that is gone got requests")
 	}
 	for i := range 10 {
 		if id := fmt.Sprintf("n%05d", n+i); after[id] == 0 {
-			t.Errorf("%s is new and got none", id)
+			t.Errorf("%s is new and got no request", id)
 		}
 	}
 }
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -7,12 +7,12 @@
 	"tuliprock/balance"
 )
 
-// What operators take out gets nothing, by any way, until it is back: whatever lists say meanwhile.
+// An endpoint that operators eject gets no attempt until they restore it, whatever lists say meanwhile.
 func TestManualEjectionSurvivesListUpdates(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.balancer.Bar(h.now, "a", true)
-	h.balancer.Bar(h.now, "a", true) // again
+	h.balancer.Bar(h.now, "a", true) // a repetition changes nothing
 	lists := []balance.List{
 		{Entries: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Entries: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
@@ -34,7 +34,7 @@
 	if listed, avoided := h.balancer.Census(); listed != 2 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
-	h.balancer.Bar(h.now, "a", false) // one call back undoes both
+	h.balancer.Bar(h.now, "a", false) // one restoration undoes both
 	met := false
 	for range 300 {
 		id, ep := h.request("read")
@@ -43,22 +43,22 @@
 		h.finish(id, balance.OK)
 	}
 	if !met {
-		t.Error("unused for 3 s after it was given back")
+		t.Error("unused for 3 s after it was restored")
 	}
 	if _, avoided := h.balancer.Census(); avoided != 0 {
-		t.Errorf("%d are avoided still", avoided)
+		t.Errorf("%d are still ejected", avoided)
 	}
 }
 
-// An id that is listed nowhere can be kept out, too: the list may name it later.
+// An ID that is not listed can be ejected, too: a list may name it later.
 func TestUnlistedEndpointCanBeEjectedManually(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	if h.balancer.Knows("b") {
-		t.Error("b is known before anybody named it")
+		t.Error("b is known before it was listed or ejected")
 	}
 	h.balancer.Bar(h.now, "b", true)
 	if !h.balancer.Knows("b") {
-		t.Error("b is out, and not known")
+		t.Error("b is ejected, and not known")
 	}
 	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
 	for range 20 {
@@ -68,30 +68,31 @@
 	}
 }
 
-// Where all are out nobody can serve until operators say so: callers are told at once, those that wait too.
+// Where operators have ejected all endpoints, only operators can change that: requests are rejected at once, queued ones
+// too.
 func TestAllEndpointsEjectedManuallyRejectsAtOnce(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
-	waits := h.requestAs("read", "") // draining ones may be followed by others: it is held
+	queued := h.requestAs("read", "") // other endpoints may follow the draining ones
 	if h.countActions("refuse") > 0 {
-		t.Fatal("refused though others may come")
+		t.Fatal("rejected though other endpoints may come")
 	}
 	h.balancer.Bar(h.now, "a", true)
 	h.balancer.Bar(h.now, "b", true)
 	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	if h.countActions("refuse "+waits) != 1 {
-		t.Error("one that waits is not refused")
+	if h.countActions("refuse "+queued) != 1 {
+		t.Error("the queued request is not rejected")
 	}
 	if id, ep := h.request("bill"); ep != "" || h.countActions("refuse "+id) != 1 {
-		t.Errorf("%s went to %q and is not refused at once", id, ep)
+		t.Errorf("%s went to %q and is not rejected at once", id, ep)
 	}
 	h.balancer.Bar(h.now, "b", false)
 	if _, ep := h.request("bill"); ep != "b" {
-		t.Errorf("after one is back: %q", ep)
+		t.Errorf("after one is restored: %q", ep)
 	}
 }
 
-// A request whose attempt ends at a barred endpoint is chosen anew, and one that may have run there is not resent.
+// An attempt that was not sent is retried elsewhere; a request that is not idempotent and may have run is not.
 func TestAttemptsInFlightAtAManuallyEjectedEndpointAreRetriedOnlyIfSafe(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
@@ -105,17 +106,17 @@
 		}
 	}
 	h.balancer.Bar(h.now, "a", true)
-	h.finish(read, balance.NotSent) // it was not written in time
+	h.finish(read, balance.NotSent) // the endpoint was ejected before it was written
 	h.finish(bill, balance.Reset)
 	if got := h.sentTo[read]; len(got) != 2 || got[1] != "b" {
-		t.Errorf("the one that was not sent: %v", got)
+		t.Errorf("the request that was not sent: %v", got)
 	}
 	if h.countActions("fail "+bill) != 1 || len(h.sentTo[bill]) != 1 {
-		t.Errorf("the unsafe one that may have run: %v", h.sentTo[bill])
+		t.Errorf("the unsafe request that may have run: %v", h.sentTo[bill])
 	}
 }
 
-// Back means new: cold, whatever the list says of its start, and what was sent before tells nothing of it.
+// A restored endpoint warms up, whatever the list says of its start, and results of attempts sent before say nothing of it.
 func TestRestoredEndpointCountsAsRestarted(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
@@ -126,10 +127,10 @@
 	h.balancer.Bar(h.now, "a", true)
 	h.advance(100 * ms)
 	h.balancer.Bar(h.now, "a", false)
-	// The list knows of no restart.
+	// The list does not know of the restart.
 	h.balancer.EndpointList(h.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	h.finish(old, balance.Reset) // by the one that is no more
-	h.finish(old, balance.OK)    // by the other
+	h.finish(old, balance.Reset) // by the earlier incarnation
+	h.finish(old, balance.OK)    // by the other endpoint
 	since, sent := h.now, 0
 	for h.now < since+2*time.Second {
 		id, ep := h.request("read")
@@ -139,8 +140,8 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 	}
-	// 500 calls a second, half of them its share when warm; a cold one has 0.3 of that and 1.5 times as much is sent.
+	// Of 500 requests a second half are its share at full capacity; it starts with 0.3 of that and gets 1.5 times as much.
 	if sent == 0 || sent > 400 {
-		t.Errorf("%d of 1000 calls went to the cold one within 2 s", sent)
+		t.Errorf("%d of 1000 requests went to the restored endpoint within 2 s", sent)
 	}
 }
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -16,7 +16,7 @@
 	h.serve(100, took)
 	share := h.serve(400, took)
 	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
-		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
+		t.Errorf("fast got %d requests and slow %d, want 1.25 to 2 times as many", f, s)
 	}
 }
 
@@ -25,7 +25,7 @@
 	share := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep, n := range share {
 		if n < 90 || n > 110 {
-			t.Errorf("%s got %d of 400 turns", ep, n)
+			t.Errorf("%s got %d of 400 requests", ep, n)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 			h.finish(id, balance.OK)
 		}
 		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
-			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
+			t.Errorf("with %d tiers below, fast endpoints get %.2f times the requests of slow ones", below, got)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		}
 	}
 	if slow > 20 {
-		t.Errorf("slow machines got %d of 60 turns after three samples each", slow)
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each", slow)
 	}
 }
 
@@ -103,7 +103,7 @@
 		h.requestAs("read", "")
 	}
 	if n := h.countActions("send") - before; n < 4 {
-		t.Errorf("%d calls go out beside the clogged endpoint", n)
+		t.Errorf("%d requests are sent beside the hung endpoint", n)
 	}
 }
 
@@ -115,7 +115,7 @@
 	const calls = 400
 	for range calls {
 		id, ep := h.request("read")
-		if ep != last { // the one before closes
+		if ep != last { // the connection to the one before is closed
 			h.idleConnections[last], last = false, ep
 			moves++
 		}
@@ -125,11 +125,11 @@
 		h.idleConnections[ep] = true
 	}
 	if moves > calls/2 {
-		t.Errorf("%d moves in %d calls", moves, calls)
+		t.Errorf("%d changes of endpoint in %d requests", moves, calls)
 	}
 	for ep, n := range share {
 		if n < calls/4-5 || n > calls/4+5 {
-			t.Errorf("%s got %d of %d turns", ep, n, calls)
+			t.Errorf("%s got %d of %d requests", ep, n, calls)
 		}
 	}
 }
@@ -149,9 +149,9 @@
 		t.Errorf("sent to %v", got)
 	}
 	h.request("read")
-	h.advance(50 * ms) // lost probes do not hold a request for long
+	h.advance(50 * ms) // lost probes delay a request only by probeTimeout
 	if len(h.sentTo["r2"]) != 1 {
-		t.Error("a request waits for probes that never come back")
+		t.Error("a request waits for probes that were lost")
 	}
 }
 
@@ -187,9 +187,9 @@
 		h.finish(id, balance.OK)
 	}
 	if toHung > probes/4 {
-		t.Errorf("%d of %d probes went to three crowded endpoints of eight", toHung, probes)
+		t.Errorf("%d of %d probes went to three loaded endpoints of eight", toHung, probes)
 	}
 	if picks > 6 {
-		t.Errorf("%d calls went to endpoints known to be crowded", picks)
+		t.Errorf("%d requests went to endpoints known to be loaded", picks)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -15,7 +15,7 @@
 		h.advance(time.Second)
 		h.finish(id, balance.Reset)
 		if n := len(h.sentTo[id]); n != want {
-			t.Errorf("a broken %s was sent %d times, want %d", class, n, want)
+			t.Errorf("after a reset, %s was sent %d times, want %d", class, n, want)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 		}
 	}
 	if extra := h.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
-		t.Errorf("%d resends for %d requests that all failed", extra, asked)
+		t.Errorf("%d retries of %d requests that all failed", extra, asked)
 	}
 }
 
@@ -46,7 +46,7 @@
 	h.serve(200, took)
 	again := 0
 	for range 30 {
-		h.serve(11, took) // earns a resend, and moves the turns on
+		h.serve(11, took) // earns a retry, and changes whose turn it is
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.Errored)
@@ -59,6 +59,6 @@
 		}
 	}
 	if again < 10 {
-		t.Errorf("%d of 30 calls were sent again", again)
+		t.Errorf("%d of 30 requests were retried", again)
 	}
 }
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -9,21 +9,21 @@
 	"tuliprock/balance"
 )
 
-// A fleet of quiet callers before a tier, on a platform whose endpoints start at a seventh of their capacity, take long to warm up
-// and fall over within a second.
+// Many balancers with little traffic each, on a platform whose endpoints start at a seventh of their capacity, warm up
+// slowly and are overloaded within a second.
 const (
 	fleetBalancers       = 47
 	fleetEndpoints       = 120
-	fleetRequestRate     = 25.0 // requests a second
+	fleetRequestRate     = 25.0 // requests per second of each balancer
 	fleetInitialCapacity = 0.14
 	fleetSlowStart       = 24 * time.Second
 	overloadMultiple     = 3.0
 	overloadWindow       = time.Second
-	warmUtilization      = 1.3 // of a warm endpoint's capacity, by an even share of the requests: clients repeat what was refused
+	warmUtilization      = 1.3 // of full capacity, by an even share of the requests: clients retry what was rejected
 	fleetServiceTime     = 50 * ms
 )
 
-// balancerFleet plays the callers against one clock and remembers what each cold endpoint was sent.
+// balancerFleet drives balancers by one clock and records the attempts at each endpoint that is warming up.
 type balancerFleet struct {
 	t       *testing.T
 	now     time.Duration
@@ -32,14 +32,14 @@
 	sends   map[string][]time.Duration
 }
 
-// fleetMember is the host of one Balancer; every attempt succeeds after coldServiceTime.
+// fleetMember is the host of one balancer; every attempt succeeds after fleetServiceTime.
 type fleetMember struct {
 	fleet        *balancerFleet
 	balancer     *balance.Balancer
 	index        int
 	incarnation  int
 	requestCount int
-	credit       float64 // of the next request
+	credit       float64 // fraction of the next request that is due
 	pending      []pendingOutcome
 	timers       []time.Duration
 }
@@ -66,7 +66,7 @@
 func (member *fleetMember) Timer(at time.Duration)       { member.timers = append(member.timers, at) }
 func (member *fleetMember) Log(string)                   {}
 
-// newBalancerFleet starts callers that know of warm endpoints and runs until they know their own rate.
+// newBalancerFleet starts balancers with endpoints at full capacity and runs until they know their own request rate.
 func newBalancerFleet(t *testing.T) *balancerFleet {
 	t.Helper()
 	fleet := &balancerFleet{t: t, now: 1000 * time.Second, listed: map[string]balance.Endpoint{}, sends: map[string][]time.Duration{}}
@@ -83,7 +83,7 @@
 	return fleet
 }
 
-// restart begins a caller's life anew, with the whole list as it is now.
+// restart replaces the balancer of a member; its first list is the complete list as it is now.
 func (fleet *balancerFleet) restart(member *fleetMember) {
 	member.incarnation++
 	member.pending, member.timers = nil, nil
@@ -103,7 +103,7 @@
 	member.balancer.EndpointList(fleet.now, whole)
 }
 
-// updateLists tells all callers of a change of the list.
+// updateLists sends a change of the list to all balancers.
 func (fleet *balancerFleet) updateLists(entries ...balance.Endpoint) {
 	for _, e := range entries {
 		if e.State == balance.Ready {
@@ -125,7 +125,7 @@
 	}
 }
 
-// step does what is due for a caller in one millisecond.
+// step plays one millisecond.
 func (member *fleetMember) step() {
 	now := member.fleet.now
 	for len(member.pending) > 0 && member.pending[0].at <= now {
@@ -151,8 +151,8 @@
 	}
 }
 
-// worstLoad is the largest load of a cold endpoint within the window, in what makes it fall over: N + 2 x root of N + 2 requests, N
-// being what it may get then.
+// worstLoad returns the largest number of attempts within overloadWindow at an endpoint that is warming up, as a fraction
+// of what overloads it: N + 2·√N + 2, where N is what its capacity allows then. It returns the number of attempts, too.
 func (fleet *balancerFleet) worstLoad() (most float64, sends int) {
 	for id, at := range fleet.sends {
 		sends += len(at)
@@ -170,8 +170,8 @@
 	return most, sends
 }
 
-// Cold endpoints are not overloaded by the sum of many callers, each of which sends little, whatever brings the endpoints to all of
-// them at once; and they do get calls.
+// The sum of many balancers that each send little must not overload an endpoint that is warming up, whatever makes all of
+// them use it at once; and it does get requests.
 func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
 	coldOnes := func(fleet *balancerFleet, n int) (out []balance.Endpoint) {
 		for i := range n {
@@ -187,14 +187,14 @@
 			fleet.updateLists(coldOnes(fleet, 8)...)
 			fleet.run(4 * time.Second)
 		}},
-		{"callers restart while endpoints are cold", func(fleet *balancerFleet) {
+		{"balancers restart while endpoints are warming up", func(fleet *balancerFleet) {
 			fleet.updateLists(coldOnes(fleet, 8)...)
 			for _, member := range fleet.members[:fleetBalancers*7/10] {
 				fleet.restart(member)
 			}
 			fleet.run(4 * time.Second)
 		}},
-		{"the list changes again and again while endpoints are cold", func(fleet *balancerFleet) {
+		{"the list changes repeatedly while endpoints are warming up", func(fleet *balancerFleet) {
 			fleet.updateLists(coldOnes(fleet, 8)...)
 			for step := range 8 {
 				fleet.run(500 * time.Millisecond)
@@ -210,12 +210,12 @@
 			fleet := newBalancerFleet(t)
 			row.play(fleet)
 			most, sends := fleet.worstLoad()
-			t.Logf("%d calls to cold endpoints, at most %.2f of what overloads one", sends, most)
+			t.Logf("%d attempts at endpoints that are warming up, at most %.2f of what overloads one", sends, most)
 			if most > 1 {
-				t.Errorf("a cold endpoint got %.2f times what overloads it", most)
+				t.Errorf("an endpoint that is warming up got %.2f times what overloads it", most)
 			}
 			if sends == 0 {
-				t.Error("cold endpoints got nothing")
+				t.Error("endpoints that are warming up got no request")
 			}
 		})
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -44,15 +44,15 @@
 			}
 		}
 	}
-	even := callers * perSecond / 10 // calls a second to each endpoint
-	for at := range 11 {             // nor when it counts as warm at last (incident id93449)
+	even := callers * perSecond / 10 // requests a second to each endpoint
+	for at := range 11 {             // the end of the slow start included (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: a cold endpoint got %v calls, an even warm share is %v", at, n, even*warm)
+			t.Errorf("second %d: the endpoint got %v requests, an even share of its capacity is %v", at, n, even*warm)
 		}
 	}
 	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
-		t.Errorf("a cold endpoint did not come into use: %v", got)
+		t.Errorf("the endpoint did not come into use: %v", got)
 	}
 }
 
@@ -64,7 +64,7 @@
 	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: h.now}}})
 	share := h.serve(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
-		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
+		t.Errorf("the new one of four endpoints got %d of 150 requests", share["new"])
 	}
 }
 
@@ -85,6 +85,6 @@
 	}
 	h.serve(30, took)
 	if share := h.serve(60, took); share["c"] > 60/3*2/3 {
-		t.Errorf("an endpoint that went down got %d of 60 calls", share["c"])
+		t.Errorf("an endpoint that went down got %d of 60 requests", share["c"])
 	}
 }
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/balance"
 )
 
-// upload asks for a request whose body flows for an hour at most.
+// upload makes a request whose body streams for an hour at most, and returns its ID.
 func (h *harness) upload(class string) string {
 	h.requestCount++
 	id := fmt.Sprint("u", h.requestCount)
@@ -17,7 +17,7 @@
 	return id
 }
 
-// learnBaseline lets calls of a class be known to take 10 ms.
+// learnBaseline serves requests of a class in 10 ms each, so that this is its baseline.
 func (h *harness) learnBaseline(class string) {
 	for range 200 {
 		id, _ := h.request(class)
@@ -26,14 +26,14 @@
 	}
 }
 
-// Transfers must not use up the room: calls that are over in an answer's time would stand still for as long as they last.
+// Transfers must not use up the concurrency limit: short requests would be queued for as long as transfers last.
 func TestStreamingBodiesDoNotCountAgainstTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	for range 200 {
 		h.upload("bill")
 	}
-	for range 200 { // and answers
+	for range 200 { // and streaming responses
 		id, ep := h.request("read")
 		if ep == "" {
 			t.Fatal("a download was not sent")
@@ -42,23 +42,23 @@
 		h.balancer.StreamStarted(h.now, id, 0)
 	}
 	if id, ep := h.request("read"); ep == "" {
-		t.Errorf("%s is held beside 400 transfers", id)
+		t.Errorf("%s is queued beside 400 transfers", id)
 	}
 	if n := h.countActions("refuse") + h.countActions("fail"); n > 0 {
-		t.Errorf("%d were given up", n)
+		t.Errorf("%d were rejected or failed", n)
 	}
 }
 
-// What a body takes is not the endpoint's time: neither to come, nor where it stops.
+// How long a body takes is no latency of the endpoint, whether it arrives or stops.
 func TestDurationOfAStreamingBodyIsNoLatencySample(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.learnBaseline("bill")
 	for range 3 {
 		id := h.upload("bill")
-		h.advance(20 * time.Second) // far beyond all that calls take, and the deadline
+		h.advance(20 * time.Second) // far beyond latencies and the deadline
 		if h.countActions("fail")+h.countActions("refuse") > 0 {
-			t.Fatalf("an upload was given up while it flowed: %v", h.actions[len(h.actions)-3:])
+			t.Fatalf("an upload was given up while its body was streaming: %v", h.actions[len(h.actions)-3:])
 		}
 		h.balancer.BodySent(h.now, id, 0, h.now+5*time.Second)
 		h.advance(10 * ms)
@@ -72,11 +72,11 @@
 		h.finish(id, balance.OK)
 	}
 	if seen["a"] < 30 || seen["b"] < 30 {
-		t.Errorf("an endpoint lost its turns by uploads: %v", seen)
+		t.Errorf("an endpoint got fewer requests because of uploads: %v", seen)
 	}
 }
 
-// Once its last byte is out, an upload waits like any other request: to its deadline, which begins then.
+// With its last byte sent, an upload waits for its response until the deadline, which is set only then.
 func TestDeadlineOfAStreamingBodyAppliesAfterItsLastByte(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	id := h.upload("bill")
@@ -95,11 +95,11 @@
 	}
 	h.advance(time.Hour + time.Second)
 	if h.countActions("fail "+id) != 1 {
-		t.Error("a body may flow for ever")
+		t.Error("a body may stream without end")
 	}
 }
 
-// A body that is spent is never sent again, and is refused only where no attempt can have run, whatever its class.
+// Whatever its class, a request with a consumed body is rejected only if no attempt can have run, else it fails.
 func TestRequestWithConsumedBodyIsNotRetried(t *testing.T) {
 	for _, class := range []string{"read", "bill"} {
 		for _, row := range []struct {
@@ -116,24 +116,24 @@
 			h.actions = nil
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: h.sentTo[id][0], Result: row.result, Spent: row.spent})
 			if i := slices.IndexFunc(h.actions, func(d string) bool { return d[:4] == row.want[:4] }); i < 0 || len(h.actions) != 1 {
-				t.Errorf("%s, %v, spent %v: %v, want %s", class, row.result, row.spent, h.actions, row.want)
+				t.Errorf("%s, %v, consumed %v: %v, want %s", class, row.result, row.spent, h.actions, row.want)
 			}
 		}
 	}
 }
 
-// A trial by a long upload must not keep the endpoint from others for as long as the upload lasts.
+// A trial by a long upload must not delay the next trial for as long as the upload lasts.
 func TestStreamingTrialDoesNotBlockOtherTrials(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	for range 50 { // b answers nothing any more, and is dropped
+	for range 50 { // b does not respond any more, and is ejected
 		id, ep := h.request("read")
 		if h.advance(10 * ms); ep == "a" {
 			h.finish(id, balance.OK)
 		}
 	}
 	var held []string
-	for range 400 { // an upload tries b sooner or later
+	for range 400 { // an upload becomes the trial of b sooner or later
 		id := h.upload("read")
 		if h.sentTo[id][0] == "b" {
 			held = append(held, id)
@@ -144,9 +144,9 @@
 		h.finish(id, balance.OK)
 	}
 	if len(held) == 0 {
-		t.Fatal("no upload tried the endpoint")
+		t.Fatal("no upload became a trial of the endpoint")
 	}
-	for range 1000 { // it flows on, and b answers again
+	for range 1000 { // the upload goes on, and b responds again
 		id, ep := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
@@ -154,5 +154,5 @@
 			return
 		}
 	}
-	t.Error("the endpoint is kept from all others by one upload")
+	t.Error("one upload keeps all other requests from the endpoint")
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -8,7 +8,7 @@
 	"tuliprock/balance"
 )
 
-// The place among balancers changes under way: other endpoints are used, and what was learned of all of them stays.
+// With another index a balancer uses other endpoints, and what was learned of all of them stays.
 func TestChangedIndexChangesTheSubsetAndKeepsWhatWasLearned(t *testing.T) {
 	s := defaultSettings()
 	s.Balancers = 60
@@ -29,7 +29,7 @@
 		return out
 	}
 	before := used(h)
-	h.balancer.Share(h.now, 60, 0) // no news
+	h.balancer.Share(h.now, 60, 0) // no change
 	h.balancer.Share(h.now, 60, 30)
 	other := used(h)
 	same := 0
@@ -39,17 +39,18 @@
 		}
 	}
 	if same == len(before) {
-		t.Error("another place among the balancers has the same endpoints")
+		t.Error("another index among the balancers has the same endpoints")
 	}
 	h.balancer.Share(h.now, 60, 0)
 	if listed, avoided := h.balancer.Census(); listed != 100 || avoided != 0 {
-		t.Errorf("%d listed, %d avoided", listed, avoided)
+		t.Errorf("%d listed, %d ejected", listed, avoided)
 	}
 }
 
 // endpointsMet returns how many balancers with one request a second each use an endpoint, and the fewest and the most
 // endpoints that one balancer uses.
 func endpointsMet(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+	t.Helper()
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
@@ -80,20 +81,20 @@
 func TestManyQuietBalancersKeepToSubsets(t *testing.T) {
 	met, fewest, most := endpointsMet(t, 200, 60)
 	if fewest < 4 || most > 12 {
-		t.Errorf("callers meet %d to %d of 60 endpoints", fewest, most)
+		t.Errorf("balancers use %d to %d of 60 endpoints", fewest, most)
 	}
 	least, highest := 200, 0
 	for _, n := range met {
 		least, highest = min(least, n), max(highest, n)
 	}
 	if len(met) < 60 || float64(highest) > 1.3*float64(least) {
-		t.Errorf("%d endpoints are met, by %d to %d callers", len(met), least, highest)
+		t.Errorf("%d endpoints are used, by %d to %d balancers", len(met), least, highest)
 	}
 }
 
 // With few balancers, one more or less that has an endpoint in its subset would be an imbalance of its own.
 func TestFewBalancersUseAllEndpoints(t *testing.T) {
 	if met, fewest, _ := endpointsMet(t, 6, 12); len(met) != 12 || fewest != 12 {
-		t.Errorf("a caller among few meets %d of 12 endpoints, all together %d", fewest, len(met))
+		t.Errorf("a balancer among few uses %d of 12 endpoints, all together %d", fewest, len(met))
 	}
 }
