--- a/balance/admission.go
+++ b/balance/admission.go
@@ -68,7 +68,7 @@
 	return now+seconds(b.expectedSeconds(req)*b.smallestActiveWeight()*fraction) <= req.giveUpAt
 }
 
-// rejectOrFail gives the final answer: a rejection where a retry by the client is harmless, else a failure.
+// rejectOrFail gives the final answer: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
 		b.admittedCounter.add(now) // it lacked an endpoint, and was not held back by the limit
@@ -84,7 +84,8 @@
 // canReject reports whether a retry by the client is harmless. For a request with a streaming body that holds
 // only if no attempt can have run.
 func (r *request) canReject() bool {
-	isIdempotent := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+	c := r.class
+	isIdempotent := c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll
 	return isIdempotent && r.Flow == 0 ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -14,7 +14,7 @@
 
 // EndpointList implements Events. From this event on an endpoint that is draining or gone gets no attempt.
 func (b *Balancer) EndpointList(now time.Duration, l List) {
-	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and within AskWithin
+	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and in time
 		if b.settings.MustSubscribe {
 			longest := max(b.settings.AskWithin/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -94,8 +94,7 @@
 }
 
 // effectiveDeficit is the deficit less the discount for an idle connection, by which a few turns follow one
-// another before the connection is closed. Endpoints keep their number of turns, and inFlightCharge prevents
-// crowds.
+// another before it is closed. Endpoints keep their number of turns, and inFlightCharge prevents crowds.
 func (b *Balancer) effectiveDeficit(ep *endpoint) float64 {
 	if b.host.Idle(ep.ID) {
 		return ep.deficit - idleConnectionDiscount*ep.weight()
