--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,9 +8,9 @@
 // Admission control: tenant quotas, load shedding and the final answer to what is not served.
 const (
 	quotaBurstSeconds     = 1.0  // seconds of a tenant's quota that may arrive at once
-	pressureUtilization   = 0.6  // fraction of the concurrency limit in flight above which capacity is short
-	pressureStretch       = 1.2  // stretch of recent responses below which capacity is never short
-	quotaPressureMultiple = 1.3  // request rate, in sums of all quotas, above which capacity is short
+	pressureUtilization   = 0.6  // fraction of the concurrency limit above which it counts as used
+	pressureStretch       = 1.2  // recent stretch above which a used limit or a high rate is pressure
+	quotaPressureMultiple = 1.3  // request rate, in sums of all quotas, above which it is high
 	queueTimeFraction     = 0.05 // longest time in the queue, in mean latency objectives of the classes
 	shedTimeFraction      = 0.6  // of the expected latency: must remain to the deadline while others queue
 
@@ -18,9 +18,9 @@
 )
 
 // shouldShed decides admission. A request is shed if it cannot be answered in time, if operators have ejected
-// all endpoints, or if it exceeds its tenant's quota while capacity is short. Capacity is also taken to be
-// short where responses stretch while the request rate exceeds the sum of all quotas: a balancer with little
-// traffic sees that before endpoints are saturated. The rate alone may only mean an uneven share of traffic.
+// all endpoints, or if it exceeds its quota while capacity is short: while requests are queued, or responses
+// stretch and the limit is used or the rate high. With little traffic the rate shows before endpoints
+// are saturated; without the stretch a high rate may only mean that clients are spread unevenly.
 func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
 	exceedsQuota := b.chargeQuota(now, req)
 	isStretched := b.recentStretch > pressureStretch
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -11,7 +11,7 @@
 	stretchTimeConstant     = 2 * time.Second // after which a response counts 1/e of the recent stretch
 	maxLimitStretch         = 3.0             // one response contributes no more: it may be an outlier
 	congestionStretch       = 1.6             // recent stretch above which the limit is reduced,
-	maxLimitReduction       = 0.5             // to no less than this fraction, every half response time
+	limitReductionFloor     = 0.5             // to no less than this fraction each half response time
 	limitGrowthStretch      = 1.5             // recent stretch below which a limit that is reached grows,
 	limitGrowthGain         = 0.2             // per response, by this times the distance below that stretch
 	firstTierGrowthStretch  = 1.3             // below which the first tier, where clients are spread
@@ -29,7 +29,7 @@
 	switch {
 	case b.recentStretch > congestionStretch && isUsed && now >= b.nextReductionAt:
 		inUse := min(b.concurrencyLimit, float64(b.inFlight+1))
-		reduction := max(maxLimitReduction, congestionStretch/b.recentStretch)
+		reduction := max(limitReductionFloor, congestionStretch/b.recentStretch)
 		b.concurrencyLimit = max(inUse*reduction, b.endpointShare())
 		b.nextReductionAt = now + seconds(b.recentStretch*b.typicalSeconds()/2)
 	case float64(b.inFlight+2) > b.concurrencyLimit:
