--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -292,7 +292,7 @@
 			a.came = true
 			e.came(a, w.work(c.class, e.tier), c.key, func(r balance.Result) {
 				w.in(wire, func() {
-					if !(e.silent || s.cutOff && e.zone == s.cutZone) {
+					if !e.silent && (!s.cutOff || e.zone != s.cutZone) {
 						s.over(a, r, reused)
 					}
 				})
