--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -24,28 +24,28 @@
 	if _, err := io.ReadFull(c, make([]byte, len("request"))); err != nil {
 		t.Fatal(err)
 	}
-	if arrived, left := s.arrival(r, now); left || arrived != now {
+	if arrived, left := s.arrivalTime(r, now); left || arrived != now {
 		t.Errorf("what came just now came %v before, left %v", now.Sub(arrived), left)
 	}
-	testpeer.Until(t, "the kernel counts", func() bool { ago, _ := lay(r); return ago >= stallLeast })
+	testpeer.Until(t, "the kernel counts", func() bool { ago, _ := sinceLastReceive(r); return ago >= stallThreshold })
 	client.Close()
-	testpeer.Until(t, "the kernel knows of the end", func() bool { _, left := lay(r); return left })
+	testpeer.Until(t, "the kernel knows of the end", func() bool { _, left := sinceLastReceive(r); return left })
 	now = now.Add(time.Second)
-	if arrived, left := s.arrival(r, now); !left || now.Sub(arrived) < stallLeast {
+	if arrived, left := s.arrivalTime(r, now); !left || now.Sub(arrived) < stallThreshold {
 		t.Errorf("what lay: %v, left %v", now.Sub(arrived), left)
 	}
 }
 
 func TestStallsAreSuspectedAfterAPause(t *testing.T) {
-	s := &stalls{began: time.Unix(0, 0)}
-	at := func(d time.Duration) bool { return s.suspects(s.began.Add(d)) }
-	for d, want := time.Second, true; d < time.Minute; d += stallLeast / 2 { // the first comes after a pause, the others don't
+	s := &stallDetector{startedAt: time.Unix(0, 0)}
+	at := func(d time.Duration) bool { return s.observeRequest(s.startedAt.Add(d)) }
+	for d, want := time.Second, true; d < time.Minute; d += stallThreshold / 2 { // the first comes after a pause, the others don't
 		if got := at(d); got != want {
 			t.Fatalf("after %v: %v", d, got)
 		}
-		want = d+stallLeast/2 < time.Second+stallWatch
+		want = d+stallThreshold/2 < time.Second+stallSuspicionPeriod
 	}
-	if !at(2*time.Minute) || !at(2*time.Minute+stallWatch/100) {
+	if !at(2*time.Minute) || !at(2*time.Minute+stallSuspicionPeriod/100) {
 		t.Error("a pause is not seen")
 	}
 }
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// isHere tells whether a request's caller still waits for it. net/http sees an end by reading on, and does not read on while a body
+// isClientConnected tells whether a request's caller still waits for it. net/http sees an end by reading on, and does not read on while a body
 // has not come to its end, nor once a byte has come behind the request: the kernel is asked, too. It may be called from any
 // goroutine; after the request's end nobody is here.
 //
 // The order counts: net/http's word comes last, for a handler that sees the end meanwhile ends the request, and then its connection.
-func isHere(r *http.Request) bool {
-	switch info, err := tcpInfo(r); {
+func isClientConnected(r *http.Request) bool {
+	switch info, err := requestTCPInfo(r); {
 	case errors.Is(err, net.ErrClosed):
 		return false
 	case err == nil && (info.State == stateCloseWait || info.State == stateClose):
@@ -31,22 +31,22 @@
 	stateCloseWait = 8
 )
 
-var errNotTold = errors.New("the kernel is not asked about this connection")
+var errNoTCPInfo = errors.New("the kernel is not asked about this connection")
 
-// tcpInfo is what the kernel tells of a request's connection. The error is net.ErrClosed where this side has closed it.
-func tcpInfo(r *http.Request) (*unix.TCPInfo, error) {
-	c, ok := r.Context().Value(connKey{}).(*callerConn)
+// requestTCPInfo is what the kernel tells of a request's connection. The error is net.ErrClosed where this side has closed it.
+func requestTCPInfo(r *http.Request) (*unix.TCPInfo, error) {
+	c, ok := r.Context().Value(connKey{}).(*clientConn)
 	if !ok {
-		return nil, errNotTold
+		return nil, errNoTCPInfo
 	}
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errNotTold
+		return nil, errNoTCPInfo
 	}
-	return infoOf(socket)
+	return socketTCPInfo(socket)
 }
 
-func infoOf(socket syscall.Conn) (info *unix.TCPInfo, err error) {
+func socketTCPInfo(socket syscall.Conn) (info *unix.TCPInfo, err error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -345,7 +345,7 @@
 			return
 		}
 		at := time.Now()
-		info, err := infoOf(nc.(*net.TCPConn))
+		info, err := socketTCPInfo(nc.(*net.TCPConn))
 		if err != nil {
 			return
 		}
@@ -370,11 +370,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !isHere(r) {
+	if !isClientConnected(r) {
 		t.Error("a client that waits is not here")
 	}
 	c.Close()
-	if isHere(r) {
+	if isClientConnected(r) {
 		t.Error("somebody is here on a closed connection")
 	}
 }
--- a/internal/frontend/framing_test.go
+++ b/internal/frontend/framing_test.go
@@ -20,15 +20,15 @@
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nContent-Length: 3\r\n\r\nbody":    true,
 		"POST / HTTP/1.1\r\nX-Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": true,
 	} {
-		var f framing
-		f.take([]byte(head), true)
-		if f.chunksAlone() != alone {
+		var f headScanner
+		f.scan([]byte(head), true)
+		if f.isChunkedOnly() != alone {
 			t.Errorf("%q: %v", head, !alone)
 		}
 	}
-	var f framing
-	f.take([]byte("Transfer-Encoding: chunked\r\n\r\n"), false) // the beginning was never seen
-	if f.chunksAlone() {
+	var f headScanner
+	f.scan([]byte("Transfer-Encoding: chunked\r\n\r\n"), false) // the beginning was never seen
+	if f.isChunkedOnly() {
 		t.Error("a head without its beginning is believed")
 	}
 }
@@ -39,15 +39,15 @@
 		lines := rapid.SliceOfN(rapid.SampledFrom([]string{"Transfer-Encoding: chunked", "Content-Length: 5", "X: y", "Host: h", " folded: z", "x:"}), 0, 6).Draw(t, "lines")
 		head := "POST / HTTP/1.1\r\n" + strings.Join(append(lines, "", ""), "\r\n")
 		want := strings.Contains(head, "\r\nTransfer") && !strings.Contains(head, "\r\nContent")
-		var f framing
-		f.take([]byte(rapid.SampledFrom([]string{"", "GET / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", "half a"}).Draw(t, "before")), true)
+		var f headScanner
+		f.scan([]byte(rapid.SampledFrom([]string{"", "GET / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", "half a"}).Draw(t, "before")), true)
 		for rest, anew := head, true; rest != ""; anew = false {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
-			f.take([]byte(rest[:n]), anew)
+			f.scan([]byte(rest[:n]), anew)
 			rest = rest[n:]
 		}
-		if f.chunksAlone() != want || f.folded != strings.Contains(head, "\n folded") {
-			t.Fatalf("%q: %v, folded %v", head, !want, f.folded)
+		if f.isChunkedOnly() != want || f.hasFoldedLine != strings.Contains(head, "\n folded") {
+			t.Fatalf("%q: %v, folded %v", head, !want, f.hasFoldedLine)
 		}
 	})
 }
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -13,7 +13,7 @@
 )
 
 // accepted gives both ends of a caller's connection that net/http holds for idle.
-func accepted(t *testing.T) (*Listener, *callerConn, net.Conn) {
+func accepted(t *testing.T) (*Listener, *clientConn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	c := nc.(*callerConn)
+	c := nc.(*clientConn)
 	l.Track(c, http.StateActive)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	if n, err := c.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatal(n, err)
 	}
-	l.retireIdle()
+	l.evictIdle()
 	io.WriteString(client, "st")
 	if n, err := io.ReadFull(c, make([]byte, 2)); n != 2 || err != nil {
 		t.Errorf("the rest of the request: %d bytes, %v", n, err)
@@ -65,7 +65,7 @@
 		}
 		read <- err
 	}()
-	l.retireIdle()
+	l.evictIdle()
 	if err := <-read; err != nil {
 		t.Errorf("the read that waited: %v", err)
 	}
@@ -79,17 +79,17 @@
 
 func TestASilentNewConnectionIsKeptForAWhile(t *testing.T) {
 	l, c, client := accepted(t)
-	c.stand(&l.silent)
-	c.since = time.Now().Add(time.Hour)
-	l.retireIdle()
+	c.moveTo(&l.silent)
+	c.queuedAt = time.Now().Add(time.Hour)
+	l.evictIdle()
 	io.WriteString(client, "r")
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Errorf("its first byte: %d, %v", n, err)
 	}
 	l, c, _ = accepted(t)
-	c.stand(&l.silent)
-	c.since = time.Now().Add(-2 * silentLeast)
-	l.retireIdle()
+	c.moveTo(&l.silent)
+	c.queuedAt = time.Now().Add(-2 * minSilentAge)
+	l.evictIdle()
 	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
 		t.Errorf("silent for long: %q, %v", rest, err)
 	}
@@ -98,25 +98,25 @@
 // Hundreds that connect and say nothing, or stop within a head, must not keep others out: they give way first.
 func TestSilentAndHalfRequestsGiveWay(t *testing.T) {
 	l, c, _ := accepted(t)
-	l.most = 0
-	c.stand(&l.partial)
-	c.since = time.Now().Add(-2 * partialLeast)
+	l.maxConnections = 0
+	c.moveTo(&l.partial)
+	c.queuedAt = time.Now().Add(-2 * minPartialAge)
 	l.mu.Lock()
-	l.makeRoom()
+	l.evictIfOverLimit()
 	l.mu.Unlock()
 	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
 		t.Errorf("half a head: %q, %v", rest, err)
 	}
 	l, c, _ = accepted(t)
-	other := &callerConn{Conn: c.Conn, all: l, unread: true}
-	other.stand(&l.silent)
-	other.since = time.Now().Add(-2 * silentLeast)
-	l.most = 0
+	other := &clientConn{Conn: c.Conn, listener: l, awaitsFirstByte: true}
+	other.moveTo(&l.silent)
+	other.queuedAt = time.Now().Add(-2 * minSilentAge)
+	l.maxConnections = 0
 	l.mu.Lock()
-	l.makeRoom()
+	l.evictIfOverLimit()
 	l.mu.Unlock()
-	if !other.retired || c.retired {
-		t.Errorf("the silent one retired: %v, the idle one: %v", other.retired, c.retired)
+	if !other.isEvicted || c.isEvicted {
+		t.Errorf("the silent one retired: %v, the idle one: %v", other.isEvicted, c.isEvicted)
 	}
 }
 
@@ -124,14 +124,14 @@
 // whole, a retirement made meanwhile must not end it.
 func TestAPipelinedRequestIsServedAfterARetirement(t *testing.T) {
 	l, c, client := accepted(t)
-	l.retireIdle()
+	l.evictIdle()
 	l.Track(c, http.StateActive)
 	io.WriteString(client, "r")
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Errorf("the read that watches for the caller's end: %d, %v", n, err)
 	}
-	if l.retiring != 0 || l.open != 1 {
-		t.Errorf("%d retiring, %d open", l.retiring, l.open)
+	if l.evicting != 0 || l.open != 1 {
+		t.Errorf("%d retiring, %d open", l.evicting, l.open)
 	}
 }
 
@@ -150,7 +150,7 @@
 		})
 		return came
 	})
-	l.retireIdle()
+	l.evictIdle()
 	if n, err := c.Read(make([]byte, 7)); n == 0 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
@@ -161,7 +161,7 @@
 func TestHalfARequestHasALimitAfterARetirement(t *testing.T) {
 	l, c, client := accepted(t)
 	io.WriteString(client, "GET /lo")
-	l.retireIdle()
+	l.evictIdle()
 	for {
 		if _, err := c.Read(make([]byte, 16)); err != nil {
 			return // not so much later
@@ -173,7 +173,7 @@
 	for after, want := range map[time.Duration][2]string{300 * time.Millisecond: {"1", "0.300"}, time.Second: {"1", "1.000"}, 1001 * time.Millisecond: {"2", "1.001"}} {
 		for i, fractions := range []bool{false, true} {
 			s := New(Options{Fractions: fractions}, &Current{}, nil)
-			if got := s.advice(after); got != want[i] {
+			if got := s.retryAfterValue(after); got != want[i] {
 				t.Errorf("%v: %s, want %s", after, got, want[i])
 			}
 		}
@@ -184,7 +184,7 @@
 	for _, c := range [][4]string{{"/api/", "/", "/api/x", "/x"}, {"/api", "/", "/api/x", "/x"}, {"/api", "/v1", "/api/x", "/v1/x"}, {"/api", "/v1/", "/api", "/v1/"},
 		{"/api/", "/v1/", "/api/", "/v1/"}, {"/api", "", "/api/x", "/api/x"}} {
 		target := Target{Prefix: c[0], Replace: c[1]}
-		if got := target.rewrite(c[2]); got != c[3] {
+		if got := target.rewritePath(c[2]); got != c[3] {
 			t.Errorf("%s for %s in %s: %s, want %s", c[1], c[0], c[2], got, c[3])
 		}
 	}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -18,8 +18,8 @@
 	"tuliprock/internal/upstream"
 )
 
-// bad is why a request is turned away that reaches no endpoint.
-type bad struct {
+// rejection is why a request is turned away that reaches no endpoint.
+type rejection struct {
 	status int
 	err    error
 	allow  []string // methods that are served instead
@@ -27,13 +27,13 @@
 	retryAfter time.Duration // for a refusal; 0: no advice
 }
 
-func refusal(status int, format string, args ...any) *bad {
-	return &bad{status: status, err: fmt.Errorf(format, args...)}
+func newRejection(status int, format string, args ...any) *rejection {
+	return &rejection{status: status, err: fmt.Errorf(format, args...)}
 }
 
-// reject turns a request away, and its connection with it: what follows on that can't be trusted, and a caller that
+// write turns a request away, and its connection with it: what follows on that can't be trusted, and a caller that
 // sends the same again must connect anew.
-func (b *bad) reject(w http.ResponseWriter) {
+func (b *rejection) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if len(b.allow) > 0 {
 		w.Header().Set("Allow", strings.Join(b.allow, ", "))
@@ -46,86 +46,86 @@
 
 // checkFraming turns away what could be read in two ways. net/http drops Content-Length where Transfer-Encoding
 // stands too, and would read what is left of the body as a new request; callers send lengths.
-func (s *Server) checkFraming(r *http.Request) *bad {
+func (s *Server) checkFraming(r *http.Request) *rejection {
 	switch {
 	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding there
-		return refusal(http.StatusBadRequest, "HTTP/1.1 is wanted")
-	case hasFolded(r):
-		return refusal(http.StatusBadRequest, "a header line is folded")
-	case len(r.TransferEncoding) > 0 && s.o.Pool == nil:
-		return refusal(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
-	case len(r.TransferEncoding) > 0 && s.o.Raw && !inChunks(r): // on the platform nobody else has made sure of that
-		return refusal(http.StatusBadRequest, "the body may be framed in two ways")
-	case r.ContentLength > s.o.Body:
-		return refusal(http.StatusRequestEntityTooLarge, "the body is too long")
+		return newRejection(http.StatusBadRequest, "HTTP/1.1 is wanted")
+	case hasFoldedLine(r):
+		return newRejection(http.StatusBadRequest, "a header line is folded")
+	case len(r.TransferEncoding) > 0 && s.options.Pool == nil:
+		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
+	case len(r.TransferEncoding) > 0 && s.options.Raw && !isChunkedOnly(r): // on the platform nobody else has made sure of that
+		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
+	case r.ContentLength > s.options.Body:
+		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	return nil
 }
 
-// readBody reads a body whole, in bounded time. The time limit must be lifted afterwards: while a request waits for
+// readBufferedBody reads a body whole, in bounded time. The time limit must be lifted afterwards: while a request waits for
 // its answer, a read that times out looks to net/http like a caller that has left.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *bad) {
+func (s *Server) readBufferedBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(s.o.BodyTimeout)); err != nil {
-		return nil, refusal(http.StatusBadRequest, "%w", err)
+	if err := control.SetReadDeadline(time.Now().Add(s.options.BodyTimeout)); err != nil {
+		return nil, newRejection(http.StatusBadRequest, "%w", err)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.o.Body))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.Body))
 	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
-		return nil, refusal(http.StatusRequestEntityTooLarge, "the body is too long")
+		return nil, newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	if err != nil {
-		return nil, refusal(http.StatusBadRequest, "the body can't be read")
+		return nil, newRejection(http.StatusBadRequest, "the body can't be read")
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return nil, refusal(http.StatusBadRequest, "%w", err)
+		return nil, newRejection(http.StatusBadRequest, "%w", err)
 	}
 	return body, nil
 }
 
-// asked is a request that is fit to be handed to its pool.
-type asked struct {
-	call   *eventloop.Call
-	target *Target
-	left   time.Duration // how long the caller waits
+// routedRequest is a request that is fit to be handed to its pool.
+type routedRequest struct {
+	call    *eventloop.Call
+	target  *Target
+	timeout time.Duration // how long the caller waits
 }
 
-// read makes a call of a request, or says what is wrong with it.
-func (s *Server) read(service *Service, r *http.Request, hasBody bool) (*asked, *bad) {
-	t, target, err := s.route(service, r)
+// parseRequest makes a call of a request, or says what is wrong with it.
+func (s *Server) parseRequest(service *Service, r *http.Request, hasBody bool) (*routedRequest, *rejection) {
+	t, target, err := s.resolveTarget(service, r)
 	if err != nil {
 		return nil, err
 	}
 	c := t.Class
 	switch {
 	case len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method):
-		err := refusal(http.StatusMethodNotAllowed, "method %.40q is not served here", r.Method)
+		err := newRejection(http.StatusMethodNotAllowed, "method %.40q is not served here", r.Method)
 		err.allow = c.Methods
 		return nil, err
 	case c.NoBody && hasBody:
-		return nil, refusal(http.StatusBadRequest, "a body is not wanted here")
+		return nil, newRejection(http.StatusBadRequest, "a body is not wanted here")
 	case c.Effect == balance.Keyed: // without a key endpoints could not drop its repeats
-		if _, err := one(r.Header, c.KeyHeader); err != nil {
-			return nil, refusal(http.StatusBadRequest, "%w", err)
+		if _, err := singleValue(r.Header, c.KeyHeader); err != nil {
+			return nil, newRejection(http.StatusBadRequest, "%w", err)
 		}
 	}
-	id, err := c.id(r.Header)
+	id, err := c.requestID(r.Header)
 	if err != nil {
 		return nil, err
 	}
-	left, err := c.deadline(r.Header)
+	left, err := c.requestTimeout(r.Header)
 	if err != nil {
 		return nil, err
 	}
-	header := s.towards(r, t)
+	header := s.upstreamHeader(r, t)
 	header[http.CanonicalHeaderKey(c.IDHeader)] = []string{id}
 	tenant := r.Header.Get(c.TenantHeader)
 	if tenant == "" {
 		tenant = t.Tenant
 	}
-	return &asked{&eventloop.Call{
+	return &routedRequest{&eventloop.Call{
 		Request: balance.Request{ID: id, Class: c.Name, Tenant: tenant, Repeat: c.RetryHeader != "" && r.Header.Get(c.RetryHeader) == "1"},
 		Message: &upstream.Message{Method: r.Method, Target: target, Host: r.Host, Header: header, DeadlineName: c.DeadlineHeader},
 		Replies: make(chan eventloop.Reply, 1),
@@ -134,52 +134,52 @@
 	}, t, left}, nil
 }
 
-// due sets a request's deadline, counted from an instant.
-func (s *Server) due(q *asked, from time.Time) {
-	q.call.Deadline = q.target.Pool.At(s.inTime(from.Add(q.left - wayBack)))
+// setDeadline sets a request's deadline, counted from an instant.
+func (s *Server) setDeadline(q *routedRequest, from time.Time) {
+	q.call.Deadline = q.target.Pool.At(s.capAtShutdown(from.Add(q.timeout - deadlineMargin)))
 }
 
-// inTime is an instant, or the end by which all must be answered if that comes first.
-func (s *Server) inTime(at time.Time) time.Time {
-	if last := s.ends.Load(); last != nil && last.Before(at) {
+// capAtShutdown is an instant, or the end by which all must be answered if that comes first.
+func (s *Server) capAtShutdown(at time.Time) time.Time {
+	if last := s.shutdownDeadline.Load(); last != nil && last.Before(at) {
 		return *last
 	}
 	return at
 }
 
-// route finds where a request goes, and as what target. A class that nobody named must reach neither the module nor an
+// resolveTarget finds where a request goes, and as what target. A class that nobody named must reach neither the module nor an
 // endpoint: nobody knows what repeating it may do.
-func (s *Server) route(service *Service, r *http.Request) (*Target, string, *bad) {
+func (s *Server) resolveTarget(service *Service, r *http.Request) (*Target, string, *rejection) {
 	m := route.Request{Method: r.Method, Header: r.Header, Host: route.Host(r.Host)}
 	raw := originForm(r.RequestURI)
 	var err error
 	switch {
-	case s.o.Raw && !isTarget(raw):
-		return nil, "", refusal(http.StatusBadRequest, "the target is no plain path")
-	case s.o.Raw:
+	case s.options.Raw && !isPlainPath(raw):
+		return nil, "", newRejection(http.StatusBadRequest, "the target is no plain path")
+	case s.options.Raw:
 		m.Path, m.RawQuery, _ = strings.Cut(raw, "?")
 	default:
 		if m.Path, m.RawQuery, err = route.Normalize(r.RequestURI); err != nil {
-			return nil, "", refusal(http.StatusBadRequest, "%w", err)
+			return nil, "", newRejection(http.StatusBadRequest, "%w", err)
 		}
 	}
 	i, ok := service.Table.Match(&m)
 	if !ok {
-		return nil, "", refusal(http.StatusNotFound, "nothing is served at %.80q", m.Path)
+		return nil, "", newRejection(http.StatusNotFound, "nothing is served at %.80q", m.Path)
 	}
 	t := &service.Targets[i]
-	if s.o.Raw {
+	if s.options.Raw {
 		return t, raw, nil
 	}
-	target := t.rewrite(m.Path)
+	target := t.rewritePath(m.Path)
 	if strings.Contains(r.RequestURI, "?") {
 		target += "?" + m.RawQuery
 	}
 	return t, target, nil
 }
 
-// rewrite puts Replace in place of Prefix, with one slash where they meet.
-func (t *Target) rewrite(path string) string {
+// rewritePath puts Replace in place of Prefix, with one slash where they meet.
+func (t *Target) rewritePath(path string) string {
 	if t.Replace == "" {
 		return path
 	}
@@ -206,43 +206,43 @@
 	}
 }
 
-// isTarget tells whether a request's target is a path that can go on to an endpoint as it is.
-func isTarget(target string) bool {
+// isPlainPath tells whether a request's target is a path that can go on to an endpoint as it is.
+func isPlainPath(target string) bool {
 	return strings.HasPrefix(target, "/") && !strings.ContainsFunc(target, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// id is the request's own, or one that is made for it.
-func (c *Class) id(h http.Header) (string, *bad) {
+// requestID is the request's own, or one that is made for it.
+func (c *Class) requestID(h http.Header) (string, *rejection) {
 	if !c.MustHaveID && len(h.Values(c.IDHeader)) == 0 {
 		var b [16]byte
 		_, _ = rand.Read(b[:]) // it never fails
 		return hex.EncodeToString(b[:]), nil
 	}
-	id, err := one(h, c.IDHeader)
-	if err != nil || len(id) > maxID {
-		return "", refusal(http.StatusBadRequest, "%s: one of moderate length is wanted", c.IDHeader)
+	id, err := singleValue(h, c.IDHeader)
+	if err != nil || len(id) > maxIDBytes {
+		return "", newRejection(http.StatusBadRequest, "%s: one of moderate length is wanted", c.IDHeader)
 	}
 	return id, nil
 }
 
-// deadline is how long the caller waits.
-func (c *Class) deadline(h http.Header) (time.Duration, *bad) {
+// requestTimeout is how long the caller waits.
+func (c *Class) requestTimeout(h http.Header) (time.Duration, *rejection) {
 	if !c.MustHaveDeadline && len(h.Values(c.DeadlineHeader)) == 0 {
 		return c.Deadline, nil
 	}
-	text, err := one(h, c.DeadlineHeader)
+	text, err := singleValue(h, c.DeadlineHeader)
 	if err != nil {
-		return 0, refusal(http.StatusBadRequest, "%w", err)
+		return 0, newRejection(http.StatusBadRequest, "%w", err)
 	}
 	ms, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || ms < 1 || ms > uint64(c.DeadlineMost.Milliseconds()) {
-		return 0, refusal(http.StatusBadRequest, "%s: %.40q is no usable time", c.DeadlineHeader, text)
+		return 0, newRejection(http.StatusBadRequest, "%s: %.40q is no usable time", c.DeadlineHeader, text)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// one gives the value of a header that must come exactly once.
-func one(h http.Header, name string) (string, error) {
+// singleValue gives the value of a header that must come exactly once.
+func singleValue(h http.Header, name string) (string, error) {
 	v := h.Values(name)
 	if len(v) != 1 || v[0] == "" {
 		return "", fmt.Errorf("%s: exactly one is wanted", name)
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -47,29 +47,29 @@
 	Guard  func() bool
 	Unsure time.Duration
 
-	inUse sync.WaitGroup // requests that it took
+	inFlight sync.WaitGroup // requests that it took
 }
 
 // Current holds the Service that takes new requests. It is safe for concurrent use.
 type Current struct {
-	mu  sync.RWMutex
-	now *Service
+	mu     sync.RWMutex
+	active *Service
 }
 
 // Swap puts a Service in the present one's place, which takes no new request from then on.
 func (c *Current) Swap(s *Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now = s
+	c.active = s
 }
 
 // Wait returns when all requests that the Service took have been answered. It must have been swapped out before.
-func (s *Service) Wait() { s.inUse.Wait() }
+func (s *Service) Wait() { s.inFlight.Wait() }
 
-// take gives the Service for one request, which has to call inUse.Done.
-func (c *Current) take() *Service {
+// acquire gives the Service for one request, which has to call inUse.Done.
+func (c *Current) acquire() *Service {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	c.now.inUse.Add(1)
-	return c.now
+	c.active.inFlight.Add(1)
+	return c.active
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -22,17 +22,17 @@
 // What callers are answered where an endpoint has not. Only a refusal is 503, and nothing is 429: both promise that
 // nothing has run.
 const (
-	statusRefused   = http.StatusServiceUnavailable
+	statusShed      = http.StatusServiceUnavailable
 	statusFailed    = http.StatusBadGateway
 	statusDuplicate = http.StatusConflict
 )
 
-var statusOf = map[eventloop.Verdict]int{eventloop.Refused: statusRefused, eventloop.Failed: statusFailed, eventloop.Duplicate: statusDuplicate}
+var statusByVerdict = map[eventloop.Verdict]int{eventloop.Refused: statusShed, eventloop.Failed: statusFailed, eventloop.Duplicate: statusDuplicate}
 
 const (
-	healthPath = "/_health"
-	maxID      = 256
-	wayBack    = 10 * time.Millisecond // kept of a deadline for the way here and back: 0.4 ms here (p99), the rest the network's
+	healthPath     = "/_health"
+	maxIDBytes     = 256
+	deadlineMargin = 10 * time.Millisecond // kept of a deadline for the way here and back: 0.4 ms here (p99), the rest the network's
 )
 
 // Options of a Server.
@@ -51,79 +51,79 @@
 
 // Server takes callers' requests, hands them to the loop of their pool and writes their answers.
 type Server struct {
-	o       Options
-	current *Current
+	options Options
+	routes  *Current
 	log     *slog.Logger
-	stalls  stalls
+	stalls  stallDetector
 
-	ending atomic.Bool               // answers close their connections
-	ends   atomic.Pointer[time.Time] // by which all must be answered; nil: none
-	last   chan struct{}             // closed a little after that
-	once   sync.Once
+	closesConnections atomic.Bool               // answers close their connections
+	shutdownDeadline  atomic.Pointer[time.Time] // by which all must be answered; nil: none
+	shutdownExpired   chan struct{}             // closed a little after that
+	shutdownOnce      sync.Once
 
-	flowing context.Context // ends when bodies that still flow are cut off
-	cutOff  context.CancelFunc
+	streamContext context.Context // ends when bodies that still flow are cut off
+	cancelStreams context.CancelFunc
 }
 
 // New makes a Server that routes by what is current.
 func New(o Options, current *Current, log *slog.Logger) *Server {
-	s := &Server{o: o, current: current, log: log, stalls: stalls{began: time.Now()}, last: make(chan struct{})}
-	s.flowing, s.cutOff = context.WithCancel(context.Background())
+	s := &Server{options: o, routes: current, log: log, stalls: stallDetector{startedAt: time.Now()}, shutdownExpired: make(chan struct{})}
+	s.streamContext, s.cancelStreams = context.WithCancel(context.Background())
 	return s
 }
 
 // AbortStreams ends all bodies that flow, so that their callers can tell.
-func (s *Server) AbortStreams() { s.cutOff() }
+func (s *Server) AbortStreams() { s.cancelStreams() }
 
 // SetShutdownDeadline makes all that is taken from now on be answered by the instant given. What was taken before and is held whole has failed
 // by then: its caller would wait for longer than this process is there. It counts once.
 func (s *Server) SetShutdownDeadline(at time.Time) {
-	s.once.Do(func() {
-		s.ends.Store(&at)
-		time.AfterFunc(time.Until(at)+lastWords, func() { close(s.last) })
+	s.shutdownOnce.Do(func() {
+		s.shutdownDeadline.Store(&at)
+		time.AfterFunc(time.Until(at)+shutdownResponseGrace, func() { close(s.shutdownExpired) })
 	})
 }
 
-// lastWords is what the module's own answers have, at the end, before this package gives them: ten times the 5 ms that it may be late.
-const lastWords = 50 * time.Millisecond
+// shutdownResponseGrace is what the module's own answers have, at the end, before this package gives them: ten times the 5 ms that it may be late.
+const shutdownResponseGrace = 50 * time.Millisecond
 
 // IsShuttingDown tells whether EndBy was called.
-func (s *Server) IsShuttingDown() bool { return s.ends.Load() != nil }
+func (s *Server) IsShuttingDown() bool { return s.shutdownDeadline.Load() != nil }
 
 // SetCloseConnections makes every answer from now on close its connection, or no longer.
-func (s *Server) SetCloseConnections(is bool) { s.ending.Store(is) }
+func (s *Server) SetCloseConnections(is bool) { s.closesConnections.Store(is) }
 
 // HTTP is the server to run on a Listener, whose Track it must be given.
 func (s *Server) HTTP(track func(net.Conn, http.ConnState)) *http.Server {
-	return &http.Server{Handler: s, DisableGeneralOptionsHandler: true, ReadHeaderTimeout: s.o.HeadTimeout, IdleTimeout: s.o.IdleTimeout, MaxHeaderBytes: s.o.Head,
+	return &http.Server{Handler: s, DisableGeneralOptionsHandler: true, ReadHeaderTimeout: s.options.HeadTimeout, IdleTimeout: s.options.IdleTimeout, MaxHeaderBytes: s.options.Head,
 		ConnState: track, ConnContext: withConn, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelWarn)}
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived, left := s.arrival(r, time.Now())
+	arrived, left := s.arrivalTime(r, time.Now())
 	if left {
 		panic(http.ErrAbortHandler)
 	}
-	out := &closing{ResponseWriter: w, ending: &s.ending}
+	out := &responseWriter{ResponseWriter: w, closesConnections: &s.closesConnections}
 	// The framing comes first: nothing may be read as a request that stands in another's body.
 	if bad := s.checkFraming(r); bad != nil {
-		s.reject(out, bad)
+		s.rejectInvalid(out, bad)
 		return
 	}
-	if s.isLong(r) {
-		s.serveLong(out, r, arrived)
+	if s.isStreaming(r) {
+		s.serveStreaming(out, r, arrived)
 		return
 	}
-	giveBack, bad := s.reserve(r, arrived)
+	giveBack, bad := s.reserveBodyMemory(r, arrived)
 	if bad != nil {
-		s.turnAway(out, r, bad)
+		s.rejectUnbuffered(out, r, bad)
 		return
 	}
 	defer giveBack()
-	text, bad := s.readBody(out, r)
+	text, bad := s.readBufferedBody(out, r)
 	if bad != nil {
-		s.reject(out, bad)
+		s.rejectInvalid(out, bad)
 		return
 	}
 	if r.URL.Path == healthPath {
@@ -131,58 +131,58 @@
 		_, _ = io.WriteString(out, "ok\n")
 		return
 	}
-	service := s.current.take()
-	defer service.inUse.Done()
-	q, bad := s.read(service, r, len(text) > 0)
+	service := s.routes.acquire()
+	defer service.inFlight.Done()
+	q, bad := s.parseRequest(service, r, len(text) > 0)
 	if bad != nil {
-		s.reject(out, bad)
+		s.rejectInvalid(out, bad)
 		return
 	}
 	q.call.Message.Body = text
-	s.due(q, arrived)
-	s.ask(out, r, q)
+	s.setDeadline(q, arrived)
+	s.dispatch(out, r, q)
 }
 
-// reject turns away what is no request, and counts it.
-func (s *Server) reject(w http.ResponseWriter, b *bad) {
-	s.o.Figures.Bad.Add(1)
-	b.reject(w)
+// rejectInvalid turns away what is no request, and counts it.
+func (s *Server) rejectInvalid(w http.ResponseWriter, b *rejection) {
+	s.options.Figures.Bad.Add(1)
+	b.write(w)
 }
 
-// turnAway refuses a request whose body was not read for lack of memory, and counts it as its class's where it is one.
-func (s *Server) turnAway(w http.ResponseWriter, r *http.Request, b *bad) {
-	service := s.current.take()
-	defer service.inUse.Done()
-	q, bad := s.read(service, r, true)
+// rejectUnbuffered refuses a request whose body was not read for lack of memory, and counts it as its class's where it is one.
+func (s *Server) rejectUnbuffered(w http.ResponseWriter, r *http.Request, b *rejection) {
+	service := s.routes.acquire()
+	defer service.inFlight.Done()
+	q, bad := s.parseRequest(service, r, true)
 	if bad != nil {
-		s.reject(w, bad)
+		s.rejectInvalid(w, bad)
 		return
 	}
-	q.turnAway(w, b)
+	q.reject(w, b)
 }
 
-// turnAway is Server's for a request that was read.
-func (q *asked) turnAway(w http.ResponseWriter, b *bad) {
+// reject is Server's for a request that was read.
+func (q *routedRequest) reject(w http.ResponseWriter, b *rejection) {
 	how := metrics.Failed
-	if b.status == statusRefused {
+	if b.status == statusShed {
 		how = metrics.Shed
 	}
 	q.target.Class.Figures.Count(how)
-	b.reject(w)
+	b.write(w)
 }
 
-// ask hands a request to its pool's loop and writes the final answer, unless the caller has left. Here, and nowhere else,
+// dispatch hands a request to its pool's loop and writes the final answer, unless the caller has left. Here, and nowhere else,
 // a request begins and ends for the figures.
-func (s *Server) ask(w *closing, r *http.Request, q *asked) {
+func (s *Server) dispatch(w *responseWriter, r *http.Request, q *routedRequest) {
 	how := metrics.Failed // unless its answer was written
 	q.target.Class.Figures.Begin()
 	defer func() { q.target.Class.Figures.End(how) }()
 	pool, c := q.target.Pool, q.call
-	c.Here = func() bool { return isHere(r) }
+	c.Here = func() bool { return isClientConnected(r) }
 	pool.Post(func(now time.Duration) { pool.Submit(now, c) })
-	reply, answered := s.await(r, q)
+	reply, answered := s.awaitReply(r, q)
 	if answered && reply.Verdict != eventloop.Left {
-		how = s.write(w, r, q, reply)
+		how = s.writeReply(w, r, q, reply)
 		return
 	}
 	u, gone := c.Message.Upload, answered || r.Context().Err() != nil
@@ -191,20 +191,20 @@
 	}
 	switch {
 	case u != nil && (u.Err() != nil || gone && u.Settle() != nil): // a body that does not come looks like a caller that has left, too
-		broken(u.Err()).reject(w)
+		bodyRejection(u.Err()).write(w)
 	case gone: // it may still read, and must not get the empty answer that net/http would make up
 		panic(http.ErrAbortHandler)
 	default:
-		s.write(w, r, q, eventloop.Reply{Verdict: eventloop.Failed})
+		s.writeReply(w, r, q, eventloop.Reply{Verdict: eventloop.Failed})
 	}
 }
 
-// await waits for the final answer. It is false if there is none: the caller has left, its body does not come, or this process ends.
-func (s *Server) await(r *http.Request, q *asked) (reply eventloop.Reply, answered bool) {
+// awaitReply waits for the final answer. It is false if there is none: the caller has left, its body does not come, or this process ends.
+func (s *Server) awaitReply(r *http.Request, q *routedRequest) (reply eventloop.Reply, answered bool) {
 	var failed, cut <-chan struct{}
-	last := s.last
+	last := s.shutdownExpired
 	if u := q.call.Message.Upload; u != nil {
-		failed, cut, last = u.Failed(), s.flowing.Done(), nil
+		failed, cut, last = u.Failed(), s.streamContext.Done(), nil
 	}
 	select {
 	case reply := <-q.call.Replies:
@@ -215,11 +215,11 @@
 	case <-r.Context().Done():
 	case <-q.target.Pool.Done():
 	}
-	return leave(q)
+	return withdraw(q)
 }
 
-// leave says that nobody waits for a request any more. If it was answered before, there is the answer.
-func leave(q *asked) (reply eventloop.Reply, answered bool) {
+// withdraw says that nobody waits for a request any more. If it was answered before, there is the answer.
+func withdraw(q *routedRequest) (reply eventloop.Reply, answered bool) {
 	left := make(chan bool, 1)
 	q.target.Pool.Post(func(now time.Duration) { left <- q.target.Pool.ClientDisconnected(now, q.call) })
 	select {
@@ -234,48 +234,48 @@
 	}
 }
 
-// closing is a ResponseWriter that says Connection: close once the sidecar is about to end.
-type closing struct {
+// responseWriter is a ResponseWriter that says Connection: close once the sidecar is about to end.
+type responseWriter struct {
 	http.ResponseWriter
-	ending *atomic.Bool
-	upload *body.Upload // nil: the request's body is here
-	always bool         // what follows on the connection can't be trusted
-	told   bool         // an answer has begun
+	closesConnections *atomic.Bool
+	upload            *body.Upload // nil: the request's body is here
+	mustClose         bool         // what follows on the connection can't be trusted
+	wroteHeader       bool         // an answer has begun
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *closing) WriteHeader(status int) {
-	w.told = true
-	if w.ending.Load() || w.always || w.upload != nil && !w.upload.Whole() {
+func (w *responseWriter) WriteHeader(status int) {
+	w.wroteHeader = true
+	if w.closesConnections.Load() || w.mustClose || w.upload != nil && !w.upload.Whole() {
 		w.Header().Set("Connection", "close")
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Unwrap lets http.ResponseController find the writer beneath.
-func (w *closing) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-var endOf = map[eventloop.Verdict]metrics.Outcome{eventloop.Served: metrics.OK, eventloop.Refused: metrics.Shed, eventloop.Failed: metrics.Failed, eventloop.Duplicate: metrics.Failed}
+var outcomeByVerdict = map[eventloop.Verdict]metrics.Outcome{eventloop.Served: metrics.OK, eventloop.Refused: metrics.Shed, eventloop.Failed: metrics.Failed, eventloop.Duplicate: metrics.Failed}
 
-// write sends the final answer, and tells how the request ended.
-func (s *Server) write(w *closing, r *http.Request, q *asked, reply eventloop.Reply) metrics.Outcome {
+// writeReply sends the final answer, and tells how the request ended.
+func (s *Server) writeReply(w *responseWriter, r *http.Request, q *routedRequest, reply eventloop.Reply) metrics.Outcome {
 	if reply.Answer.Stream != nil {
-		s.pass(w, r, q, reply.Answer) // it panics where that breaks
+		s.streamResponse(w, r, q, reply.Answer) // it panics where that breaks
 		return metrics.OK
 	}
 	// Bounded, so that a caller that does not read can't hold a connection for good. An error means that it left.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.o.WriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 	h := w.Header()
 	text, status := reply.Answer.Body, reply.Answer.Status
 	if status == 0 {
-		status = statusOf[reply.Verdict]
+		status = statusByVerdict[reply.Verdict]
 		text = []byte(http.StatusText(status) + "\n")
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 	} else {
-		s.copyHeader(h, reply.Answer.Header)
+		s.copyResponseHeader(h, reply.Answer.Header)
 	}
 	if reply.RetryAfter > 0 {
-		h.Set("Retry-After", s.advice(reply.RetryAfter))
+		h.Set("Retry-After", s.retryAfterValue(reply.RetryAfter))
 	}
 	switch {
 	case status == http.StatusNoContent || status == http.StatusNotModified:
@@ -289,27 +289,27 @@
 	}
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
-	return endOf[reply.Verdict]
+	return outcomeByVerdict[reply.Verdict]
 }
 
-// advice is when to return, never earlier than the module says.
-func (s *Server) advice(after time.Duration) string {
-	if s.o.Fractions {
+// retryAfterValue is when to return, never earlier than the module says.
+func (s *Server) retryAfterValue(after time.Duration) string {
+	if s.options.Fractions {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
 
-// copyHeader gives an endpoint's headers on: what kind of answer it is, or all but those of the connection.
-func (s *Server) copyHeader(to, from http.Header) {
+// copyResponseHeader gives an endpoint's headers on: what kind of answer it is, or all but those of the connection.
+func (s *Server) copyResponseHeader(to, from http.Header) {
 	to["Content-Type"] = nil // else net/http would guess one
-	if s.o.Raw {
+	if s.options.Raw {
 		if v := from.Get("Content-Type"); v != "" {
 			to.Set("Content-Type", v)
 		}
 		return
 	}
-	strip(from) // the answer is this caller's alone
+	removeHopByHop(from) // the answer is this caller's alone
 	maps.Copy(to, from)
 	to.Del("Content-Length")
 }
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -21,165 +21,165 @@
 	lingerBytes = 256 << 10
 )
 
-// isLong tells whether a request's body flows. One whose caller waits for a word before it sends it does at any length:
+// isStreaming tells whether a request's body flows. One whose caller waits for a word before it sends it does at any length:
 // the word is the endpoint's.
-func (s *Server) isLong(r *http.Request) bool {
-	return s.o.Pool != nil && r.URL.Path != healthPath && (r.ContentLength < 0 || r.ContentLength > body.Window || r.ContentLength > 0 && expects(r))
+func (s *Server) isStreaming(r *http.Request) bool {
+	return s.options.Pool != nil && r.URL.Path != healthPath && (r.ContentLength < 0 || r.ContentLength > body.Window || r.ContentLength > 0 && expectsContinue(r))
 }
 
-func expects(r *http.Request) bool {
+func expectsContinue(r *http.Request) bool {
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// reserve waits its turn for a short body's memory, for as long as its caller would wait for an answer.
-func (s *Server) reserve(r *http.Request, arrived time.Time) (giveBack func(), _ *bad) {
+// reserveBodyMemory waits its turn for a short body's memory, for as long as its caller would wait for an answer.
+func (s *Server) reserveBodyMemory(r *http.Request, arrived time.Time) (giveBack func(), _ *rejection) {
 	size := body.Size{Bytes: int(r.ContentLength)}
-	if s.o.Pool == nil || size.Bytes <= 0 {
+	if s.options.Pool == nil || size.Bytes <= 0 {
 		return func() {}, nil
 	}
-	switch err := s.o.Pool.Take(noTime, size); {
-	case errors.Is(err, noTime.Err()):
-		if bad := s.waitForMemory(r, arrived, size); bad != nil {
+	switch err := s.options.Pool.Take(expiredContext, size); {
+	case errors.Is(err, expiredContext.Err()):
+		if bad := s.waitForBodyMemory(r, arrived, size); bad != nil {
 			return nil, bad
 		}
 	case err != nil:
-		return nil, noMemory(err)
+		return nil, memoryRejection(err)
 	}
-	return func() { s.o.Pool.Give(size) }, nil
+	return func() { s.options.Pool.Give(size) }, nil
 }
 
-// noTime is for what is not to be waited for.
-var noTime = func() context.Context {
+// expiredContext is for what is not to be waited for.
+var expiredContext = func() context.Context {
 	ctx, end := context.WithCancel(context.Background())
 	end()
 	return ctx
 }()
 
-func (s *Server) waitForMemory(r *http.Request, arrived time.Time, size body.Size) *bad {
-	service := s.current.take()
-	defer service.inUse.Done()
-	q, bad := s.read(service, r, true)
+func (s *Server) waitForBodyMemory(r *http.Request, arrived time.Time, size body.Size) *rejection {
+	service := s.routes.acquire()
+	defer service.inFlight.Done()
+	q, bad := s.parseRequest(service, r, true)
 	if bad != nil {
 		return bad
 	}
-	most := time.Now().Add(s.o.BodyTimeout)
-	if own := s.inTime(arrived.Add(q.left - wayBack)); own.Before(most) {
+	most := time.Now().Add(s.options.BodyTimeout)
+	if own := s.capAtShutdown(arrived.Add(q.timeout - deadlineMargin)); own.Before(most) {
 		most = own
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), most)
 	defer cancel()
-	if err := s.o.Pool.Take(ctx, size); err != nil {
-		return noMemory(err)
+	if err := s.options.Pool.Take(ctx, size); err != nil {
+		return memoryRejection(err)
 	}
 	return nil
 }
 
-// noMemory turns away a request whose body can't be held.
-func noMemory(err error) *bad {
+// memoryRejection turns away a request whose body can't be held.
+func memoryRejection(err error) *rejection {
 	if errors.Is(err, body.ErrNever) {
-		return refusal(http.StatusRequestEntityTooLarge, "%w", err)
+		return newRejection(http.StatusRequestEntityTooLarge, "%w", err)
 	}
-	return refused("no memory for the body was free in time")
+	return newShedRejection("no memory for the body was free in time")
 }
 
-// refused promises that nothing has run, and says when to return.
-func refused(why string) *bad {
-	b := refusal(statusRefused, "%s", why)
+// newShedRejection promises that nothing has run, and says when to return.
+func newShedRejection(why string) *rejection {
+	b := newRejection(statusShed, "%s", why)
 	b.retryAfter = time.Second
 	return b
 }
 
-// broken is why a body could not be taken to its end.
-func broken(err error) *bad {
+// bodyRejection is why a body could not be taken to its end.
+func bodyRejection(err error) *rejection {
 	switch {
 	case errors.Is(err, body.ErrTooLong):
-		return refusal(http.StatusRequestEntityTooLarge, "%w", body.ErrTooLong)
+		return newRejection(http.StatusRequestEntityTooLarge, "%w", body.ErrTooLong)
 	case errors.Is(err, body.ErrSlow):
-		return refusal(http.StatusRequestTimeout, "%w", body.ErrSlow)
+		return newRejection(http.StatusRequestTimeout, "%w", body.ErrSlow)
 	}
-	return refusal(http.StatusBadRequest, "%w", body.ErrBroken)
+	return newRejection(http.StatusBadRequest, "%w", body.ErrBroken)
 }
 
-// serveLong serves a request whose body may flow. Until its beginning has come it reaches nobody.
-func (s *Server) serveLong(w *closing, r *http.Request, arrived time.Time) {
+// serveStreaming serves a request whose body may flow. Until its beginning has come it reaches nobody.
+func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
 	// Whoever stands before this daemon may have gone by a Content-Length beside the chunks, which net/http drops: what
 	// follows could be a part of the body to them (RFC 9112, 6.1).
-	w.always = r.ContentLength < 0
-	service := s.current.take()
-	defer service.inUse.Done()
-	q, bad := s.read(service, r, true)
+	w.mustClose = r.ContentLength < 0
+	service := s.routes.acquire()
+	defer service.inFlight.Done()
+	q, bad := s.parseRequest(service, r, true)
 	if bad != nil {
-		s.reject(w, bad)
+		s.rejectInvalid(w, bad)
 		return
 	}
 	control := http.NewResponseController(w)
 	if err := control.EnableFullDuplex(); err != nil {
-		s.reject(w, refusal(http.StatusBadRequest, "%w", err))
+		s.rejectInvalid(w, newRejection(http.StatusBadRequest, "%w", err))
 		return
 	}
-	wait, cancel := context.WithDeadline(r.Context(), s.inTime(arrived.Add(q.left-wayBack)))
-	defer context.AfterFunc(s.flowing, cancel)()
-	u, err := body.NewUpload(wait, s.o.Pool, body.Source{Body: r.Body, Deadline: control.SetReadDeadline, Size: r.ContentLength, Most: s.o.Body,
-		Trailer: func() http.Header { return r.Trailer }, Expects: expects(r), Pace: s.o.Pace})
+	wait, cancel := context.WithDeadline(r.Context(), s.capAtShutdown(arrived.Add(q.timeout-deadlineMargin)))
+	defer context.AfterFunc(s.streamContext, cancel)()
+	u, err := body.NewUpload(wait, s.options.Pool, body.Source{Body: r.Body, Deadline: control.SetReadDeadline, Size: r.ContentLength, Most: s.options.Body,
+		Trailer: func() http.Header { return r.Trailer }, Expects: expectsContinue(r), Pace: s.options.Pace})
 	cancel()
 	if err != nil {
-		q.turnAway(w, noMemory(err))
+		q.reject(w, memoryRejection(err))
 		return
 	}
 	w.upload = u
 	defer func() {
-		if w.told && !u.Whole() {
+		if w.wroteHeader && !u.Whole() {
 			_ = control.Flush() // the answer is not to wait; where there is none net/http would make one up
 		}
 		u.Close(lingerTime, lingerBytes)
 	}()
 	whole := false
 	if !u.Expects {
-		unhurt := context.AfterFunc(s.flowing, u.Stop)
+		unhurt := context.AfterFunc(s.streamContext, u.Stop)
 		whole, err = u.Fill()
 		switch unhurt(); {
-		case err != nil && s.flowing.Err() != nil:
-			q.turnAway(w, refused("the daemon is about to end"))
+		case err != nil && s.streamContext.Err() != nil:
+			q.reject(w, newShedRejection("the daemon is about to end"))
 			return
 		case err != nil:
-			s.reject(w, broken(err))
+			s.rejectInvalid(w, bodyRejection(err))
 			return
 		}
 	}
 	if whole && u.Trailer() == nil {
 		q.call.Message.Body = bytes.Clone(u.Beginning())
-		s.due(q, s.from(q, arrived))
+		s.setDeadline(q, s.deadlineStart(q, arrived))
 	} else {
-		s.flows(q, u, s.from(q, arrived))
+		s.setStreaming(q, u, s.deadlineStart(q, arrived))
 	}
-	s.ask(w, r, q)
+	s.dispatch(w, r, q)
 }
 
-// from is when the time of a request begins whose body's beginning has just come.
-func (s *Server) from(q *asked, arrived time.Time) time.Time {
+// deadlineStart is when the time of a request begins whose body's beginning has just come.
+func (s *Server) deadlineStart(q *routedRequest, arrived time.Time) time.Time {
 	if q.target.Class.DeadlineAll {
 		return arrived
 	}
 	return time.Now()
 }
 
-// flows makes a request one whose body flows, and says what its deadline rules: what waits, or all.
-func (s *Server) flows(q *asked, u *body.Upload, from time.Time) {
-	s.due(q, from)
+// setStreaming makes a request one whose body flows, and says what its deadline rules: what waits, or all.
+func (s *Server) setStreaming(q *routedRequest, u *body.Upload, from time.Time) {
+	s.setDeadline(q, from)
 	c := q.call
 	c.Message.Upload, c.Flow = u, c.Deadline
 	if !q.target.Class.DeadlineAll {
-		c.Flow = max(c.Deadline, q.target.Pool.At(s.inTime(from.Add(q.target.Class.FlowMost))))
-		c.Patience, c.Message.Patience = q.left, q.left
+		c.Flow = max(c.Deadline, q.target.Pool.At(s.capAtShutdown(from.Add(q.target.Class.FlowMost))))
+		c.Patience, c.Message.Patience = q.timeout, q.timeout
 	}
 }
 
-// pass passes an answer on as it comes. One that breaks is broken for the caller, too: its connection ends short of the
+// streamResponse passes an answer on as it comes. One that breaks is broken for the caller, too: its connection ends short of the
 // length, or without the last chunk (RFC 9112, 8).
-func (s *Server) pass(w *closing, r *http.Request, q *asked, a upstream.Response) {
+func (s *Server) streamResponse(w *responseWriter, r *http.Request, q *routedRequest, a upstream.Response) {
 	err := upstream.ErrClientGone
 	defer func() { a.Stream.Close(err) }()
-	for _, ctx := range []context.Context{r.Context(), s.flowing} {
+	for _, ctx := range []context.Context{r.Context(), s.streamContext} {
 		defer context.AfterFunc(ctx, a.Stream.Abort)()
 	}
 	most := q.target.Class.FlowMost
@@ -187,12 +187,12 @@
 		most = q.call.Deadline - q.target.Pool.Now()
 	}
 	defer time.AfterFunc(most, a.Stream.Abort).Stop()
-	meter := body.NewMeter(s.o.Pace)
-	paceOf(r, &meter)
-	defer paceOf(r, nil)
+	meter := body.NewMeter(s.options.Pace)
+	setPace(r, &meter)
+	defer setPace(r, nil)
 
 	h := w.Header()
-	s.copyHeader(h, a.Header)
+	s.copyResponseHeader(h, a.Header)
 	if a.Stream.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(a.Stream.Length, 10))
 	}
@@ -216,7 +216,7 @@
 		}
 		for n := int64(1); a.Stream.Length >= 0 && spliced != nil && n > 0; {
 			var e error
-			if n, e = spliced.ReadFrom(splice{nil, a.Stream}); e != nil {
+			if n, e = spliced.ReadFrom(splicedReader{nil, a.Stream}); e != nil {
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -224,5 +224,5 @@
 	for name, values := range a.Stream.Trailer() {
 		h[http.TrailerPrefix+name] = values
 	}
-	err = control.SetWriteDeadline(time.Now().Add(s.o.WriteTimeout)) // for the last chunk, which net/http writes
+	err = control.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)) // for the last chunk, which net/http writes
 }
