--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -6,33 +6,37 @@
 	"time"
 )
 
-// A process that was stopped, or got no core for long, finds requests in its sockets that have lain there meanwhile. Their
-// time runs from when they came, and not from when they are read; and whose caller has left must not run any more.
+// A process that was stopped, or got no processor time for long, finds requests in its sockets that arrived meanwhile.
+// Their deadlines count from their arrival, not from their reading, and those of clients that have disconnected must
+// not be forwarded any more.
 const (
-	stallThreshold       = 100 * time.Millisecond // without a request, after which the next ones are looked at: far less than any deadline that callers name in service (480 ms)
-	stallSuspicionPeriod = 2 * time.Second        // for so long: a crowd that waited is taken in by then
+	// stallThreshold is how long a pause without a request is taken for a stall: far less than the shortest deadline
+	// that clients set in service (480 ms).
+	stallThreshold = 100 * time.Millisecond
+	// stallSuspicionPeriod is for how long after a stall requests are checked: a backlog is read by then.
+	stallSuspicionPeriod = 2 * time.Second
 )
 
-// stallDetector tells when requests may have lain. The zero value is ready.
+// stallDetector finds out when requests may have waited in their sockets. It is safe for concurrent use.
 type stallDetector struct {
-	startedAt    time.Time    // fixed
-	lastRequest  atomic.Int64 // nanoseconds since began: of the latest request
-	suspectUntil atomic.Int64 // requests are looked at
+	startedAt    time.Time    // never changes
+	lastRequest  atomic.Int64 // nanoseconds since startedAt
+	suspectUntil atomic.Int64 // nanoseconds since startedAt
 }
 
-// observeRequest tells whether a request that is read now may have lain. A daemon that has little to do looks at each: that is one
-// system call.
-func (s *stallDetector) observeRequest(now time.Time) bool {
-	at := now.Sub(s.startedAt).Nanoseconds()
-	if at-s.lastRequest.Swap(at) >= int64(stallThreshold) {
-		s.suspectUntil.Store(at + int64(stallSuspicionPeriod))
+// observeRequest notes that a request is read now, and reports whether it may have waited in its socket. A daemon with
+// little load suspects every request: the check is one system call.
+func (d *stallDetector) observeRequest(now time.Time) (isSuspect bool) {
+	at := now.Sub(d.startedAt).Nanoseconds()
+	if at-d.lastRequest.Swap(at) >= int64(stallThreshold) {
+		d.suspectUntil.Store(at + int64(stallSuspicionPeriod))
 	}
-	return at < s.suspectUntil.Load()
+	return at < d.suspectUntil.Load()
 }
 
-// sinceLastReceive tells how long ago the latest bytes came on a request's connection, as the kernel counts, and whether its caller has
-// ended its sending since. Where the kernel does not tell, they came just now.
-func sinceLastReceive(r *http.Request) (ago time.Duration, left bool) {
+// sinceLastReceive returns how long ago the latest bytes arrived on a request's connection, by the kernel's clock, and
+// whether its client has ended its sending since. Where the kernel does not say, the bytes arrived just now.
+func sinceLastReceive(r *http.Request) (age time.Duration, isDisconnected bool) {
 	info, err := requestTCPInfo(r)
 	if err != nil {
 		return 0, false
@@ -40,15 +44,15 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, info.State == stateCloseWait
 }
 
-// arrivalTime is when a request came, and whether its caller has left since. Bytes that lay for less than a stall say nothing:
-// a body's end may come long after its beginning.
-func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, left bool) {
+// arrivalTime returns when a request that is read now arrived, and whether its client has disconnected since. An age
+// below a stall's says nothing: a body's end may arrive long after its beginning.
+func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stalls.observeRequest(now) {
 		return now, false
 	}
-	ago, left := sinceLastReceive(r)
-	if ago < stallThreshold {
+	age, isDisconnected := sinceLastReceive(r)
+	if age < stallThreshold {
 		return now, false
 	}
-	return now.Add(-ago), left
+	return now.Add(-age), isDisconnected
 }
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -9,11 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// isClientConnected tells whether a request's caller still waits for it. net/http sees an end by reading on, and does not read on while a body
-// has not come to its end, nor once a byte has come behind the request: the kernel is asked, too. It may be called from any
-// goroutine; after the request's end nobody is here.
+// isClientConnected reports whether a request's client still waits for it. net/http notices a disconnect by reading on,
+// and does not read on before a body's end was read, nor once a byte was received behind the request: so the kernel is
+// asked, too. It may be called from any goroutine; after the request's end it is false.
 //
-// The order counts: net/http's word comes last, for a handler that sees the end meanwhile ends the request, and then its connection.
+// The order matters: the request's context is looked at last, for a handler that sees a disconnect meanwhile ends the
+// request, and then its connection.
 func isClientConnected(r *http.Request) bool {
 	switch info, err := requestTCPInfo(r); {
 	case errors.Is(err, net.ErrClosed):
@@ -24,19 +25,20 @@
 	return r.Context().Err() == nil
 }
 
-// The kernel's numbers for a connection whose peer has ended its sending, and for one that was reset
-// (include/net/tcp_states.h).
+// The kernel's states of a connection (include/net/tcp_states.h).
 const (
-	stateClose     = 7
-	stateCloseWait = 8
+	stateClose     = 7 // it was reset
+	stateCloseWait = 8 // the peer has ended its sending
 )
 
-var errNoTCPInfo = errors.New("the kernel is not asked about this connection")
+// errNoTCPInfo is returned for a connection that is not a socket.
+var errNoTCPInfo = errors.New("the connection has no TCP_INFO")
 
-// requestTCPInfo is what the kernel tells of a request's connection. The error is net.ErrClosed where this side has closed it.
+// requestTCPInfo returns the kernel's TCP_INFO of a request's connection. The error is net.ErrClosed if this side has
+// closed the connection, and errNoTCPInfo if it is not a socket.
 func requestTCPInfo(r *http.Request) (*unix.TCPInfo, error) {
-	c, ok := r.Context().Value(connKey{}).(*clientConn)
-	if !ok {
+	c := connOf(r)
+	if c == nil {
 		return nil, errNoTCPInfo
 	}
 	socket, ok := c.Conn.(syscall.Conn)
@@ -46,12 +48,14 @@
 	return socketTCPInfo(socket)
 }
 
-func socketTCPInfo(socket syscall.Conn) (info *unix.TCPInfo, err error) {
+// socketTCPInfo returns the kernel's TCP_INFO of a socket. The error is net.ErrClosed if the socket was closed here.
+func socketTCPInfo(socket syscall.Conn) (*unix.TCPInfo, error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var asked error
-	err = raw.Control(func(fd uintptr) { info, asked = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	return info, errors.Join(err, asked)
+	var info *unix.TCPInfo
+	var infoErr error
+	err = raw.Control(func(fd uintptr) { info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	return info, errors.Join(err, infoErr)
 }
