--- /dev/null
+++ b/internal/frontend/body.go
@@ -0,0 +1,79 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"tuliprock/internal/body"
+)
+
+// reserveBodyMemory reserves the memory for a body that is buffered. It waits for its turn as long as the client would
+// wait for a response. release gives the memory back.
+func (s *Server) reserveBodyMemory(r *http.Request, arrived time.Time) (release func(), _ *rejection) {
+	size := body.Size{Bytes: int(r.ContentLength)}
+	if s.options.Pool == nil || size.Bytes <= 0 {
+		return func() {}, nil
+	}
+	switch err := s.options.Pool.Take(expiredContext, size); {
+	case errors.Is(err, expiredContext.Err()):
+		if rejected := s.waitForBodyMemory(r, arrived, size); rejected != nil {
+			return nil, rejected
+		}
+	case err != nil:
+		return nil, memoryRejection(err)
+	}
+	return func() { s.options.Pool.Give(size) }, nil
+}
+
+// expiredContext has ended, for a reservation that must not wait.
+var expiredContext = func() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}()
+
+// waitForBodyMemory waits for memory until the request's own deadline, or for BodyTimeout if that is shorter.
+func (s *Server) waitForBodyMemory(r *http.Request, arrived time.Time, size body.Size) *rejection {
+	routes := s.routes.acquire()
+	defer routes.release()
+	request, rejected := s.parseRequest(routes, r, true)
+	if rejected != nil {
+		return rejected
+	}
+	deadline := time.Now().Add(s.options.BodyTimeout)
+	if own := s.deadlineFrom(request, arrived); own.Before(deadline) {
+		deadline = own
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), deadline)
+	defer cancel()
+	if err := s.options.Pool.Take(ctx, size); err != nil {
+		return memoryRejection(err)
+	}
+	return nil
+}
+
+// readBufferedBody reads a complete body within BodyTimeout. The read deadline must be lifted afterwards: while a request
+// waits for its response, a read that times out looks to net/http like a client that has disconnected.
+func (s *Server) readBufferedBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
+	if r.ContentLength == 0 {
+		return nil, nil
+	}
+	control := http.NewResponseController(w)
+	if err := control.SetReadDeadline(time.Now().Add(s.options.BodyTimeout)); err != nil {
+		return nil, newRejection(http.StatusBadRequest, "%w", err)
+	}
+	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.Body))
+	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
+		return nil, newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
+	}
+	if err != nil {
+		return nil, newRejection(http.StatusBadRequest, "the body can't be read")
+	}
+	if err := control.SetReadDeadline(time.Time{}); err != nil {
+		return nil, newRejection(http.StatusBadRequest, "%w", err)
+	}
+	return content, nil
+}
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -6,89 +6,124 @@
 	"sync"
 )
 
-// headScanner watches the head of a request go by, for what net/http does not tell: a Content-Length beside chunks is dropped
-// there, and a folded line is joined to the one before. The zero value has seen none. Of a head that came along with the
-// request before it sees nothing: net/http has that in its buffer.
+// checkFraming rejects a request whose end two readers could see at different places, and one that is too long.
+// net/http drops a Content-Length beside a Transfer-Encoding, and would read what is left of the body as a new request.
+func (s *Server) checkFraming(r *http.Request) *rejection {
+	switch {
+	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding there
+		return newRejection(http.StatusBadRequest, "HTTP/1.1 is wanted")
+	case hasFoldedLine(r):
+		return newRejection(http.StatusBadRequest, "a header line is folded")
+	case len(r.TransferEncoding) > 0 && s.options.Pool == nil:
+		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
+	case len(r.TransferEncoding) > 0 && s.options.Raw && !isChunkedOnly(r): // on the platform nothing before the daemon checks that
+		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
+	case r.ContentLength > s.options.Body:
+		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
+	}
+	return nil
+}
+
+// hasFoldedLine reports whether a line of a request's head is folded (RFC 9112, 5.2): two readers could take it for one
+// field or for two.
+func hasFoldedLine(r *http.Request) bool {
+	c := connOf(r)
+	if c == nil {
+		return false
+	}
+	c.head.mu.Lock()
+	defer c.head.mu.Unlock()
+	return c.head.hasFoldedLine
+}
+
+// isChunkedOnly reports whether a request's body is chunked and framed in no other way.
+func isChunkedOnly(r *http.Request) bool {
+	c := connOf(r)
+	isChunked := len(r.TransferEncoding) == 1 && strings.EqualFold(r.TransferEncoding[0], "chunked")
+	return c != nil && isChunked && c.head.isChunkedOnly()
+}
+
+// headScanner scans the bytes of a request's head for what net/http does not report: it drops a Content-Length beside
+// a Transfer-Encoding, and joins a folded line to the one before. The zero value has scanned nothing. It does not see
+// the head of a pipelined request that was read along with the request before, which net/http has in its buffer. It is
+// safe for concurrent use.
 type headScanner struct {
 	mu                  sync.Mutex
-	name                [len("transfer-encoding")]byte // of the field whose line is read, in small letters
-	nameLength          int                            // letters of it; -1: the line's rest tells nothing
-	lineLength          int                            // bytes of the line, without its end
-	inRequestLine       bool                           // it is the request line
-	isComplete          bool                           // the head's end has come
-	sawStart            bool                           // it was seen from its beginning
-	hasContentLength    bool                           // a Content-Length
-	hasTransferEncoding bool                           // a Transfer-Encoding
-	hasFoldedLine       bool                           // a line that goes on with another (RFC 9112, 5.2)
+	name                [len("transfer-encoding")]byte // of the current line's field, in lower case
+	nameLength          int                            // bytes of name so far; -1: the rest of the line does not matter
+	lineLength          int                            // bytes of the current line so far, without its end
+	inRequestLine       bool
+	isComplete          bool // the head's end was scanned
+	sawStart            bool // the head was scanned from its start
+	hasContentLength    bool
+	hasTransferEncoding bool
+	hasFoldedLine       bool // a line that continues the one before (RFC 9112, 5.2)
 }
 
-// scan takes bytes that came; anew: they begin a request.
-func (f *headScanner) scan(b []byte, anew bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if anew {
-		f.nameLength, f.lineLength, f.inRequestLine, f.isComplete, f.sawStart, f.hasContentLength, f.hasTransferEncoding, f.hasFoldedLine = 0, 0, true, false, true, false, false, false
+// scan takes bytes that were received. startsRequest means that the first of them begins a request.
+func (h *headScanner) scan(b []byte, startsRequest bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if startsRequest {
+		h.reset()
 	}
 	for _, c := range b {
-		if f.isComplete || !f.sawStart {
+		if h.isComplete || !h.sawStart {
 			return
 		}
-		f.scanByte(c)
+		h.scanByte(c)
 	}
 }
 
-func (f *headScanner) scanByte(c byte) {
+// reset begins a new head. mu is held.
+func (h *headScanner) reset() {
+	h.nameLength, h.lineLength = 0, 0
+	h.inRequestLine, h.sawStart = true, true
+	h.isComplete, h.hasContentLength, h.hasTransferEncoding, h.hasFoldedLine = false, false, false, false
+}
+
+// scanByte takes one byte of the head. mu is held.
+func (h *headScanner) scanByte(c byte) {
 	switch c {
 	case '\r':
 	case '\n':
-		f.isComplete = f.lineLength == 0 && !f.inRequestLine
-		f.inRequestLine = f.inRequestLine && f.lineLength == 0
-		f.nameLength, f.lineLength = 0, 0
+		h.isComplete = h.lineLength == 0 && !h.inRequestLine
+		h.inRequestLine = h.inRequestLine && h.lineLength == 0 // empty lines before the request line are skipped
+		h.nameLength, h.lineLength = 0, 0
 	default:
-		f.hasFoldedLine = f.hasFoldedLine || f.lineLength == 0 && !f.inRequestLine && (c == ' ' || c == '\t')
-		f.lineLength++
-		switch {
-		case f.nameLength < 0:
-		case c == ':':
-			switch name := string(f.name[:f.nameLength]); name {
-			case "content-length":
-				f.hasContentLength = true
-			case "transfer-encoding":
-				f.hasTransferEncoding = true
-			}
-			f.nameLength = -1
-		case f.nameLength == len(f.name):
-			f.nameLength = -1
-		default:
-			if c >= 'A' && c <= 'Z' {
-				c += 'a' - 'A'
-			}
-			f.name[f.nameLength] = c
-			f.nameLength++
-		}
+		h.hasFoldedLine = h.hasFoldedLine || h.lineLength == 0 && !h.inRequestLine && (c == ' ' || c == '\t')
+		h.lineLength++
+		h.scanName(c)
 	}
 }
 
-// isChunkedOnly tells whether the latest head was seen whole, and frames its body by chunks and in no other way.
-func (f *headScanner) isChunkedOnly() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.sawStart && f.isComplete && f.hasTransferEncoding && !f.hasContentLength
-}
-
-// hasFoldedLine tells whether a line of a request's head is folded: two readers could take it for one field or for two.
-func hasFoldedLine(r *http.Request) bool {
-	c, ok := r.Context().Value(connKey{}).(*clientConn)
-	if !ok {
-		return false
+// scanName takes one byte of a line, and notes the field once the line's name is complete. mu is held.
+func (h *headScanner) scanName(c byte) {
+	switch {
+	case h.nameLength < 0:
+	case c == ':':
+		switch string(h.name[:h.nameLength]) {
+		case "content-length":
+			h.hasContentLength = true
+		case "transfer-encoding":
+			h.hasTransferEncoding = true
+		}
+		h.nameLength = -1
+	case h.nameLength == len(h.name): // longer than the names that matter
+		h.nameLength = -1
+	default:
+		if c >= 'A' && c <= 'Z' {
+			c += 'a' - 'A'
+		}
+		h.name[h.nameLength] = c
+		h.nameLength++
 	}
-	c.head.mu.Lock()
-	defer c.head.mu.Unlock()
-	return c.head.hasFoldedLine
 }
 
-// isChunkedOnly tells whether a request's body comes in chunks and can be read in no other way.
-func isChunkedOnly(r *http.Request) bool {
-	c, ok := r.Context().Value(connKey{}).(*clientConn)
-	return ok && len(r.TransferEncoding) == 1 && strings.EqualFold(r.TransferEncoding[0], "chunked") && c.head.isChunkedOnly()
+// isChunkedOnly reports whether the latest head was scanned from start to end, and has a Transfer-Encoding but no
+// Content-Length.
+func (h *headScanner) isChunkedOnly() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.sawStart && h.isComplete && h.hasTransferEncoding && !h.hasContentLength
 }
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -7,24 +7,27 @@
 	"strings"
 )
 
-// Forwarded says what becomes of what callers say of those before them (RFC 7239, and X-Forwarded-* by custom).
+// Forwarded is what becomes of the headers by which a client names those before it (RFC 9110, 7.6.3, RFC 7239, and
+// X-Forwarded-* by custom).
 type Forwarded string
 
-// The ways.
+// The settings of a listener's forwarding headers.
 const (
-	ForwardedSet    Forwarded = "set"    // dropped, and said anew
-	ForwardedAppend Forwarded = "append" // kept, and added to: callers are trusted
-	ForwardedDrop   Forwarded = "drop"   // dropped
-	ForwardedLeave  Forwarded = "leave"  // kept; nothing is said, in Via neither
+	ForwardedSet    Forwarded = "set"    // the client's are dropped, and the daemon's set
+	ForwardedAppend Forwarded = "append" // the daemon's are appended to the client's: clients are trusted
+	ForwardedDrop   Forwarded = "drop"   // the client's are dropped; only Via is added
+	ForwardedLeave  Forwarded = "leave"  // the client's are forwarded unchanged; nothing is added, not even Via
 )
 
-// hopByHopHeaders are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
+}
 
-// forwardedHeaders are the headers by which endpoints know what the daemon says of a caller.
+// forwardedHeaders are those by which endpoints learn from the daemon who the client is.
 var forwardedHeaders = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
 
-// removeHopByHop takes the headers out that concern one connection only.
+// removeHopByHop removes the headers that concern one connection only, and those that Connection names.
 func removeHopByHop(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -36,40 +39,41 @@
 	}
 }
 
-// endToEndHeader are the headers that go on. Those kept go on unchanged, whatever Connection names.
-func endToEndHeader(in http.Header, kept ...string) http.Header {
+// endToEndHeader returns a copy without the hop-by-hop headers. The headers in preserved stay, whatever Connection names.
+func endToEndHeader(in http.Header, preserved ...string) http.Header {
 	out := in.Clone()
 	removeHopByHop(out)
-	for _, name := range kept {
-		if v := in.Values(name); len(v) > 0 {
-			out[http.CanonicalHeaderKey(name)] = v
+	for _, name := range preserved {
+		if values := in.Values(name); len(values) > 0 {
+			out[http.CanonicalHeaderKey(name)] = values
 		}
 	}
 	return out
 }
 
-// upstreamHeader are the headers for an endpoint.
-func (s *Server) upstreamHeader(r *http.Request, t *Target) http.Header {
-	c := t.Class
-	h := endToEndHeader(r.Header, c.IDHeader, c.KeyHeader, c.TenantHeader)
-	for _, name := range t.Remove {
+// upstreamHeader returns the header with which a request is forwarded.
+func (s *Server) upstreamHeader(r *http.Request, target *Target) http.Header {
+	class := target.Class
+	h := endToEndHeader(r.Header, class.IDHeader, class.KeyHeader, class.TenantHeader)
+	for _, name := range target.Remove {
 		h.Del(name)
 	}
-	for _, set := range t.Set {
-		h.Set(set[0], set[1])
+	for _, field := range target.Set {
+		h.Set(field[0], field[1])
 	}
 	s.addForwarded(h, r)
 	return h
 }
 
-// addForwarded says where a request comes from, as the listener is told to. It guards against callers' words that pass for
-// the daemon's: the same names with underscores are the same to some endpoints.
+// addForwarded says in the header where a request comes from, as the listener's setting wants it. It guards against
+// headers of a client that pass for the daemon's: some endpoints take an underscore in a name for a hyphen.
 func (s *Server) addForwarded(h http.Header, r *http.Request) {
 	if s.options.Forwarded == ForwardedLeave {
 		return
 	}
 	for name := range h {
-		if strings.Contains(name, "_") && slices.Contains(forwardedHeaders, http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))) {
+		hyphenated := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))
+		if strings.Contains(name, "_") && slices.Contains(forwardedHeaders, hyphenated) {
 			delete(h, name)
 		}
 	}
@@ -94,21 +98,21 @@
 		h.Set("X-Forwarded-Proto", "http")
 	}
 	node := host
-	if strings.Contains(host, ":") {
+	if strings.Contains(host, ":") { // IPv6 (RFC 7239, 6)
 		node = `"[` + host + `]"`
 	}
 	appendListValue(h, "Forwarded", "for="+node+";host="+quotedString(r.Host)+";proto=http")
 }
 
-// appendListValue appends to a list header, in one line.
+// appendListValue appends to a header that is a list, and joins its lines to one.
 func appendListValue(h http.Header, name, value string) {
-	if was := strings.Join(h.Values(name), ", "); was != "" {
-		value = was + ", " + value
+	if existing := strings.Join(h.Values(name), ", "); existing != "" {
+		value = existing + ", " + value
 	}
 	h.Set(name, value)
 }
 
-// quotedString is a quoted string (RFC 9110, 5.6.4).
+// quotedString returns a quoted-string (RFC 9110, 5.6.4).
 func quotedString(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -10,63 +10,74 @@
 	"tuliprock/internal/route"
 )
 
-// Class is a class of requests: what repeating one may do, and where its particulars are found.
+// Class is a class of requests: what executing one twice may do, and which headers carry its parameters.
 type Class struct {
-	Name                                              string
-	Effect                                            balance.Effect
-	IDHeader, KeyHeader, TenantHeader, DeadlineHeader string
-	MustHaveID, MustHaveDeadline                      bool // else an id is made, and Deadline holds
-	Deadline, DeadlineMost                            time.Duration
-	RetryHeader                                       string   // "1" there: the caller has asked before; empty: that is never believed
-	Methods                                           []string // that are served; none: all
-	NoBody                                            bool     // requests bring none
+	Name    string
+	Effect  balance.Effect
+	Methods []string // that are served; none: all
+	NoBody  bool     // requests with a body are rejected
 
-	Figures *metrics.Class
+	IDHeader     string
+	MustHaveID   bool // a request without an id is rejected; else an id is generated for it
+	KeyHeader    string
+	TenantHeader string
+	RetryHeader  string // the value "1" marks a retry by the client; empty: the mark is never believed
+
+	DeadlineHeader   string
+	MustHaveDeadline bool          // a request without a deadline is rejected; else Deadline applies
+	Deadline         time.Duration // from the request's arrival
+	DeadlineMost     time.Duration // the longest that a client may set
+
+	FlowMost    time.Duration // that a streaming body may take, each way
+	DeadlineAll bool          // the deadline covers streaming bodies, too
 
-	FlowMost    time.Duration // that a body may flow, each way
-	DeadlineAll bool          // the deadline rules bodies that flow, too
+	Figures *metrics.Class
 }
 
-// Target is where a rule leads.
+// Target is where the requests of a route go.
 type Target struct {
-	Pool            *eventloop.Loop
-	Class           *Class
-	Tenant          string // of requests that name none
-	Prefix, Replace string // of the path; an empty Replace: left alone
-	Set             [][2]string
-	Remove          []string
+	Pool    *eventloop.Loop
+	Class   *Class
+	Tenant  string      // of requests that name none
+	Prefix  string      // of the path, which Replace replaces
+	Replace string      // empty: the path stays as it is
+	Set     [][2]string // request headers to set, as name and value
+	Remove  []string    // request headers to remove
 }
 
-// Service is what requests are routed by. It never changes.
+// Service is a configuration by which requests are routed. It does not change once it was swapped in.
 type Service struct {
 	Table   *route.Table
-	Targets []Target // by rule of the table
+	Targets []Target // by the index of the Table's rule
 
-	// Guard tells, at any time, whether new requests may be decided by this Service; nil: always. One that may not is refused, to come
-	// back after Unsure.
+	// Guard reports, at any time, whether new requests may be decided by this configuration; nil:
+	// always. While it is false they are shed, with a Retry-After of Unsure.
 	Guard  func() bool
 	Unsure time.Duration
 
-	inFlight sync.WaitGroup // requests that it took
+	inFlight sync.WaitGroup // requests that acquired it
 }
 
-// Current holds the Service that takes new requests. It is safe for concurrent use.
+// Wait returns when all requests that are routed by the Service were responded to. It must have been swapped out before.
+func (s *Service) Wait() { s.inFlight.Wait() }
+
+// release ends the use that acquire has begun.
+func (s *Service) release() { s.inFlight.Done() }
+
+// Current holds the Service that routes new requests. It is safe for concurrent use.
 type Current struct {
 	mu     sync.RWMutex
 	active *Service
 }
 
-// Swap puts a Service in the present one's place, which takes no new request from then on.
+// Swap replaces the active Service, which routes no new request from then on.
 func (c *Current) Swap(s *Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active = s
 }
 
-// Wait returns when all requests that the Service took have been answered. It must have been swapped out before.
-func (s *Service) Wait() { s.inFlight.Wait() }
-
-// acquire gives the Service for one request, which has to call inUse.Done.
+// acquire returns the active Service for one request, which must release it.
 func (c *Current) acquire() *Service {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- /dev/null
+++ b/internal/frontend/streaming_response.go
@@ -0,0 +1,73 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"tuliprock/internal/body"
+	"tuliprock/internal/upstream"
+)
+
+// streamResponse forwards a response as it is received. A malformed response is malformed for the client, too: the
+// connection ends short of the length, or without the last chunk (RFC 9112, 8). It panics with http.ErrAbortHandler then.
+func (s *Server) streamResponse(w *responseWriter, r *http.Request, request *routedRequest, response upstream.Response) {
+	stream := response.Stream
+	err := upstream.ErrClientGone
+	defer func() { stream.Close(err) }()
+	for _, ctx := range []context.Context{r.Context(), s.streamContext} {
+		defer context.AfterFunc(ctx, stream.Abort)()
+	}
+	maxDuration := request.target.Class.FlowMost
+	if request.target.Class.DeadlineAll {
+		maxDuration = request.call.Deadline - request.target.Pool.Now()
+	}
+	defer time.AfterFunc(maxDuration, stream.Abort).Stop()
+	meter := body.NewMeter(s.options.Pace)
+	setPace(r, &meter)
+	defer setPace(r, nil)
+
+	header := w.Header()
+	s.copyResponseHeader(header, response.Header)
+	if stream.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(stream.Length, 10))
+	}
+	w.WriteHeader(response.Status)
+	control := http.NewResponseController(w)
+	if control.Flush() != nil { // the head must not wait for a body that may be slow
+		panic(http.ErrAbortHandler)
+	}
+	if err = copyStream(w, control, stream); err != nil {
+		panic(http.ErrAbortHandler)
+	}
+	for name, values := range stream.Trailer() {
+		header[http.TrailerPrefix+name] = values
+	}
+	err = control.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)) // for the last chunk, which net/http writes
+}
+
+// copyStream writes a stream to the client up to its end. What need not be seen here is spliced. The error is
+// upstream.ErrClientGone if the client could not be written to, and the stream's own if that broke.
+func copyStream(w *responseWriter, control *http.ResponseController, stream *upstream.Stream) error {
+	spliced, _ := w.ResponseWriter.(io.ReaderFrom)
+	for {
+		part, err := stream.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if _, err := w.Write(part); err != nil || control.Flush() != nil {
+			return upstream.ErrClientGone
+		}
+		for n := int64(1); stream.Length >= 0 && spliced != nil && n > 0; {
+			if n, err = spliced.ReadFrom(splicedReader{nil, stream}); err != nil {
+				return upstream.ErrClientGone
+			}
+		}
+	}
+}
