--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -1,7 +1,6 @@
 package frontend
 
 import (
-	"context"
 	"io"
 	"net/http"
 	"testing"
@@ -10,42 +9,42 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Seen on the rehearsed day of stalls: a sidecar that was stopped for 20 s sent on what had lain in its sockets, 16 s after
-// its callers had left.
-func TestWhatLayInASocketIsAsOldAsItIs(t *testing.T) {
-	_, c, client := accepted(t)
-	if _, err := io.ReadAtLeast(client, make([]byte, 16), 1); err != nil { // the answer that accepted wrote
+// Seen on the rehearsed day of stalls: a sidecar that was stopped for 20 s forwarded what had arrived in its sockets, 16 s
+// after its clients had disconnected.
+func TestRequestThatWaitedInItsSocketCountsFromItsArrival(t *testing.T) {
+	idle := acceptIdleConn(t)
+	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // the response that acceptIdleConn wrote
 		t.Fatal(err)
 	}
-	r := (&http.Request{}).WithContext(context.WithValue(t.Context(), connKey{}, c))
+	r := (&http.Request{}).WithContext(withConn(t.Context(), idle.conn))
 	s := New(Options{}, nil, nil)
 	now := time.Now()
-	io.WriteString(client, "request")
-	if _, err := io.ReadFull(c, make([]byte, len("request"))); err != nil {
+	io.WriteString(idle.client, "request")
+	if _, err := io.ReadFull(idle.conn, make([]byte, len("request"))); err != nil {
 		t.Fatal(err)
 	}
-	if arrived, left := s.arrivalTime(r, now); left || arrived != now {
-		t.Errorf("what came just now came %v before, left %v", now.Sub(arrived), left)
+	if arrived, isDisconnected := s.arrivalTime(r, now); isDisconnected || arrived != now {
+		t.Errorf("a request that arrived just now: %v before, disconnected %v", now.Sub(arrived), isDisconnected)
 	}
-	testpeer.Until(t, "the kernel counts", func() bool { ago, _ := sinceLastReceive(r); return ago >= stallThreshold })
-	client.Close()
-	testpeer.Until(t, "the kernel knows of the end", func() bool { _, left := sinceLastReceive(r); return left })
+	testpeer.Until(t, "the kernel counts", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
+	idle.client.Close()
+	testpeer.Until(t, "the kernel has seen the disconnect", func() bool { _, isDisconnected := sinceLastReceive(r); return isDisconnected })
 	now = now.Add(time.Second)
-	if arrived, left := s.arrivalTime(r, now); !left || now.Sub(arrived) < stallThreshold {
-		t.Errorf("what lay: %v, left %v", now.Sub(arrived), left)
+	if arrived, isDisconnected := s.arrivalTime(r, now); !isDisconnected || now.Sub(arrived) < stallThreshold {
+		t.Errorf("a request that has waited: %v before, disconnected %v", now.Sub(arrived), isDisconnected)
 	}
 }
 
-func TestStallsAreSuspectedAfterAPause(t *testing.T) {
-	s := &stallDetector{startedAt: time.Unix(0, 0)}
-	at := func(d time.Duration) bool { return s.observeRequest(s.startedAt.Add(d)) }
-	for d, want := time.Second, true; d < time.Minute; d += stallThreshold / 2 { // the first comes after a pause, the others don't
-		if got := at(d); got != want {
-			t.Fatalf("after %v: %v", d, got)
+func TestRequestsAreSuspectForAWhileAfterAPause(t *testing.T) {
+	d := &stallDetector{startedAt: time.Unix(0, 0)}
+	observeAt := func(after time.Duration) bool { return d.observeRequest(d.startedAt.Add(after)) }
+	for after, want := time.Second, true; after < time.Minute; after += stallThreshold / 2 { // a pause is before the first only
+		if got := observeAt(after); got != want {
+			t.Fatalf("after %v: suspect is %v", after, got)
 		}
-		want = d+stallThreshold/2 < time.Second+stallSuspicionPeriod
+		want = after+stallThreshold/2 < time.Second+stallSuspicionPeriod
 	}
-	if !at(2*time.Minute) || !at(2*time.Minute+stallSuspicionPeriod/100) {
-		t.Error("a pause is not seen")
+	if !observeAt(2*time.Minute) || !observeAt(2*time.Minute+stallSuspicionPeriod/100) {
+		t.Error("a pause is not detected")
 	}
 }
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -365,7 +365,7 @@
 // A handler that has seen its client go ends, and its connection with it: whoever asks the kernel just then must not take a closed
 // connection for one of which nothing is known. Seen as 1 of 30,000 on a starved machine, sent 0.7 s after its client had left.
 func TestNobodyIsHereOnAClosedConnection(t *testing.T) {
-	_, c, _ := accepted(t)
+	c := acceptIdleConn(t).conn
 	r, err := http.NewRequestWithContext(withConn(t.Context(), c), http.MethodGet, "/look", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -72,8 +72,10 @@
 		return
 	}
 	for name := range h {
-		hyphenated := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))
-		if strings.Contains(name, "_") && slices.Contains(forwardedHeaders, hyphenated) {
+		if !strings.Contains(name, "_") {
+			continue
+		}
+		if hyphenated := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")); slices.Contains(forwardedHeaders, hyphenated) {
 			delete(h, name)
 		}
 	}
