--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -28,7 +28,10 @@
 	}
 	testpeer.Until(t, "the kernel counts", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
 	idle.client.Close()
-	testpeer.Until(t, "the kernel has seen the disconnect", func() bool { _, isDisconnected := sinceLastReceive(r); return isDisconnected })
+	testpeer.Until(t, "the kernel has seen the disconnect", func() bool {
+		_, isDisconnected := sinceLastReceive(r)
+		return isDisconnected
+	})
 	now = now.Add(time.Second)
 	if arrived, isDisconnected := s.arrivalTime(r, now); !isDisconnected || now.Sub(arrived) < stallThreshold {
 		t.Errorf("a request that has waited: %v before, disconnected %v", now.Sub(arrived), isDisconnected)
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -75,7 +75,8 @@
 		if !strings.Contains(name, "_") {
 			continue
 		}
-		if hyphenated := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")); slices.Contains(forwardedHeaders, hyphenated) {
+		hyphenated := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))
+		if slices.Contains(forwardedHeaders, hyphenated) {
 			delete(h, name)
 		}
 	}
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -25,6 +25,7 @@
 // testProxy is a Server with a Listener, an event loop with the real module and the endpoints' side.
 type testProxy struct {
 	addr     string
+	server   *Server
 	loop     *eventloop.Loop
 	upstream *upstream.Client
 	dials    chan string // the address of each dial, as far as there is room
@@ -35,6 +36,9 @@
 	mayCancel  bool       // requests that were forwarded may be cancelled
 	bodies     *body.Pool // nil: bodies are buffered
 	beforeDial func()     // runs before each dial; nil: nothing does
+
+	configure      func(*Options) // changes the Server's options; nil: nothing does
+	configureClass func(*Class)   // changes each class; nil: nothing does
 }
 
 // idempotencyWindow is how long endpoints drop duplicates of a request with an idempotency key.
@@ -67,8 +71,8 @@
 
 	figures := &metrics.Registry{}
 	current := &Current{}
-	current.Swap(testRoutes(t, p.loop, figures))
-	s := New(Options{
+	current.Swap(testRoutes(t, p.loop, figures, options.configureClass))
+	serverOptions := Options{
 		Head:         16 << 10,
 		Body:         1 << 20,
 		HeadTimeout:  testpeer.Patience,
@@ -78,14 +82,18 @@
 		Pace:         pace,
 		Figures:      figures,
 		Raw:          true,
-	}, current, log)
+	}
+	if options.configure != nil {
+		options.configure(&serverOptions)
+	}
+	p.server = New(serverOptions, current, log)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.addr = socket.Addr().String()
 	listener := NewListener(Limit(socket, 1000), 1000, testpeer.Patience)
-	server := s.HTTP(listener.Track)
+	server := p.server.HTTP(listener.Track)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { p.loop.Run(ctx) })
@@ -110,7 +118,7 @@
 }
 
 // testRoutes routes /look, /book and /pay as the classes of these names.
-func testRoutes(t *testing.T, pool *eventloop.Loop, figures *metrics.Registry) *Service {
+func testRoutes(t *testing.T, pool *eventloop.Loop, figures *metrics.Registry, configure func(*Class)) *Service {
 	t.Helper()
 	routes := &Service{}
 	var rules []route.Rule
@@ -126,6 +134,9 @@
 			DeadlineMost:     time.Hour,
 			Figures:          figures.Class(c.Name),
 		}
+		if configure != nil {
+			configure(class)
+		}
 		rules = append(rules, route.Rule{Name: c.Name, Kind: route.Prefix, Path: "/" + c.Name})
 		routes.Targets = append(routes.Targets, Target{Pool: pool, Class: class})
 	}
--- /dev/null
+++ b/internal/frontend/wire_test.go
@@ -0,0 +1,269 @@
+package frontend
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"tuliprock/internal/body"
+	"tuliprock/internal/testkit/testpeer"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/wire.golden instead of comparing with it")
+
+// wireCase is one request, and what the daemon is set to.
+type wireCase struct {
+	name     string
+	request  string         // as the client sends it
+	rest     string         // sent after a response of status 100
+	response string         // of the endpoint; empty: 200 with a body of "hi"
+	bodies   *body.Pool     // nil: bodies are buffered
+	set      func(*Options) // nil: as startProxy has them
+	class    func(*Class)   // nil: as startProxy has them
+	closes   bool           // responses close their connections
+}
+
+// What goes to clients and endpoints is a contract with others: statuses, headers, texts, and whether the connection can
+// serve another request. The golden file holds it; header fields are sorted, what changes from run to run is masked, and
+// bodies stand as length and digest, for how they are split into chunks depends on timing.
+func TestBytesOnTheWire(t *testing.T) {
+	const golden = "testdata/wire.golden"
+	if *updateGolden {
+		var all strings.Builder
+		for _, c := range wireCases() {
+			fmt.Fprintf(&all, "%s%s\n%s", caseMark, c.name, c.transcribe(t))
+		}
+		if err := os.WriteFile(golden, []byte(all.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	content, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	for part := range strings.SplitSeq(strings.TrimPrefix(string(content), caseMark), caseMark) {
+		name, text, _ := strings.Cut(part, "\n")
+		want[name] = text
+	}
+	cases := wireCases()
+	if len(cases) != len(want) {
+		t.Errorf("%d cases, the golden file has %d", len(cases), len(want))
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.transcribe(t); got != want[c.name] {
+				t.Errorf("got:\n%swant:\n%s", got, want[c.name])
+			}
+		})
+	}
+}
+
+// caseMark begins a case of the golden file.
+const caseMark = "== "
+
+func wireCases() []wireCase {
+	streaming := body.NewPool(1 << 20)
+	long := strings.Repeat("y", 3*body.Window)
+	const id, deadline = "Req-Id: r1\r\n", "Req-Deadline-Ms: 9000\r\n"
+	head := func(line, fields string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" }
+	const chunkedBody = "2\r\nab\r\n1\r\nc\r\n0\r\nX-End: e\r\n\r\n"
+	longChunked := fmt.Sprintf("%x\r\n%s\r\n0\r\nX-End: e\r\n\r\n", len(long), long)
+	chunked := head("POST /pay", id+deadline+"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n")
+	expecting := head("POST /pay", id+deadline+"Content-Length: 3\r\nExpect: 100-continue\r\n")
+	get := head("GET /look", id+deadline)
+	forwarding := func(how Forwarded) func(*Options) {
+		return func(o *Options) { o.Raw, o.Forwarded, o.Pseudonym = false, how, "via" }
+	}
+	const clients = "X-Forwarded-For: 192.0.2.1\r\nX_Forwarded_For: 192.0.2.2\r\nForwarded: for=192.0.2.1\r\nVia: 1.0 x\r\n" +
+		"Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 2\r\nX-End: kept\r\n"
+	look := head("GET /look?q=1", id+deadline+clients)
+	return []wireCase{
+		{name: "health", request: head("GET /_health", "")},
+		{name: "HTTP/1.0", request: "GET /look HTTP/1.0\r\nHost: h\r\n\r\n"},
+		{name: "a folded line", request: head("GET /look", id+deadline+"X: a\r\n b\r\n")},
+		{name: "chunked, buffering", request: chunked + chunkedBody},
+		{name: "a Content-Length, too", bodies: streaming,
+			request: head("POST /pay", id+deadline+"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + chunkedBody},
+		{name: "too long", request: head("POST /pay", id+deadline+"Content-Length: 2000000\r\n")},
+		{name: "too long, chunked", request: chunked + longChunked, bodies: streaming, set: func(o *Options) { o.Body = 100 }},
+		{name: "no memory ever", request: requestText("pay", "r1", "small"), bodies: body.NewPool(1)},
+		{name: "no memory ever, streaming", request: requestText("pay", "r1", long), bodies: body.NewPool(1)},
+		{name: "no route", request: head("GET /none", id+deadline)},
+		{name: "no plain path", request: head("OPTIONS *", id+deadline)},
+		{name: "a path that is not normal", request: head("GET /look/%zz", id+deadline), set: forwarding(ForwardedSet)},
+		{name: "no id", request: head("GET /look", deadline)},
+		{name: "an id that is too long", request: head("GET /look", "Req-Id: "+strings.Repeat("i", 257)+"\r\n"+deadline)},
+		{name: "no deadline", request: head("GET /look", id)},
+		{name: "two deadlines", request: head("GET /look", id+deadline+deadline)},
+		{name: "a deadline of 0", request: head("GET /look", id+"Req-Deadline-Ms: 0\r\n")},
+		{name: "no idempotency key", request: head("POST /book", id+deadline+"Content-Length: 0\r\n")},
+		{name: "a method that is not served", request: get, class: func(c *Class) { c.Methods = []string{"PUT", "POST"} }},
+		{name: "a body that is not wanted", request: requestText("pay", "r1", "body"), class: func(c *Class) { c.NoBody = true }},
+		{name: "GET", request: get},
+		{name: "HEAD", request: head("HEAD /look", id+deadline), response: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"},
+		{name: "absolute form", request: head("GET http://h/look?a=b", id+deadline)},
+		{name: "response without content", request: get, set: forwarding(ForwardedDrop),
+			response: "HTTP/1.1 204 No Content\r\nX-End: e\r\n\r\n"},
+		{name: "forwarded is set", request: look, set: forwarding(ForwardedSet)},
+		{name: "forwarded is appended", request: look, set: forwarding(ForwardedAppend)},
+		{name: "forwarded is dropped", request: look, set: forwarding(ForwardedDrop)},
+		{name: "forwarded is left", request: look, set: forwarding(ForwardedLeave)},
+		{name: "headers of the response", request: get, set: forwarding(ForwardedSet),
+			response: "HTTP/1.1 200 OK\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-End: e\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi"},
+		{name: "POST", request: requestText("pay", "r1", "body")},
+		{name: "POST, streaming", request: requestText("pay", "r1", long), bodies: streaming},
+		{name: "chunked", request: chunked + chunkedBody, bodies: streaming},
+		{name: "chunked, long", request: chunked + longChunked, bodies: streaming},
+		{name: "chunked, the deadline covers it", request: chunked + longChunked, bodies: streaming,
+			class: func(c *Class) { c.DeadlineAll = true }},
+		{name: "chunked, malformed", request: chunked + "zz\r\n", bodies: streaming},
+		{name: "Expect", request: expecting, rest: "abc", bodies: streaming},
+		{name: "Expect, buffering", request: expecting, rest: "abc"},
+		{name: "streaming response with a length", request: get, bodies: streaming,
+			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: %d\r\n\r\n%s", len(long), long)},
+		{name: "streaming response long enough to be spliced", request: get, bodies: streaming,
+			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 3<<20, strings.Repeat("z", 3<<20))},
+		{name: "streaming response in chunks", request: get, bodies: streaming,
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n" + longChunked},
+		{name: "streaming response that breaks", request: get, bodies: streaming,
+			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(long), long)},
+		{name: "streaming response in chunks that breaks", request: get, bodies: streaming,
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+				strings.TrimSuffix(longChunked, "0\r\nX-End: e\r\n\r\n")},
+		{name: "error of the endpoint", request: head("POST /pay", id+deadline+"Content-Length: 0\r\n"),
+			response: "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\noops"},
+		{name: "connections are to be closed", request: get, closes: true},
+	}
+}
+
+// transcribe sends the request, then another on the same connection, and returns what the endpoint and the client received.
+func (c *wireCase) transcribe(t *testing.T) string {
+	t.Helper()
+	endpoint := &recordingEndpoint{response: c.response}
+	if endpoint.response == "" {
+		endpoint.response = testpeer.Served
+	}
+	options := proxyOptions{mayCancel: true, bodies: c.bodies, configure: c.set, configureClass: func(class *Class) {
+		class.FlowMost = testpeer.Patience
+		if c.class != nil {
+			c.class(class)
+		}
+	}}
+	p := startProxy(t, options, testpeer.Accept(t, endpoint.serve).Addr().String())
+	p.server.SetCloseConnections(c.closes)
+	client := p.dialClient(t)
+	_ = client.SetDeadline(time.Now().Add(testpeer.Patience))
+	written := make(chan struct{})
+	go func() { // a rejected request may not be read to its end
+		defer close(written)
+		io.WriteString(client, c.request)
+	}()
+	in := bufio.NewReader(client)
+	method, _, _ := strings.Cut(c.request, " ")
+	out, resp := transcribeResponse(in, method)
+	if resp != nil && resp.StatusCode == http.StatusContinue {
+		io.WriteString(client, c.rest)
+		var final string
+		final, resp = transcribeResponse(in, method)
+		out += final
+	}
+	next := "closed"
+	if resp != nil && !resp.Close {
+		<-written
+		io.WriteString(client, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		if _, resp := transcribeResponse(in, "GET"); resp != nil {
+			next = resp.Status
+		}
+	}
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	return endpoint.received.String() + out + "next request: " + next + "\n"
+}
+
+// recordingEndpoint records the first request that it receives, and responds to each with a fixed text and a close.
+type recordingEndpoint struct {
+	response string
+
+	mu       sync.Mutex
+	received strings.Builder
+}
+
+func (e *recordingEndpoint) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	head, r := readHead(in, http.ReadRequest)
+	if r == nil {
+		return
+	}
+	content := transcribeBody(r.Body)
+	e.mu.Lock()
+	if e.received.Len() == 0 {
+		fmt.Fprintf(&e.received, "> %s%s%v\n", head, content, r.Trailer)
+	}
+	e.mu.Unlock()
+	io.WriteString(conn, e.response)
+}
+
+// transcribeResponse reads one response; nil: none came.
+func transcribeResponse(in *bufio.Reader, method string) (string, *http.Response) {
+	head, resp := readHead(in, func(in *bufio.Reader) (*http.Response, error) {
+		return http.ReadResponse(in, &http.Request{Method: method})
+	})
+	if resp == nil {
+		return "< no response\n", nil
+	}
+	return fmt.Sprintf("< %s%s%v\n", head, transcribeBody(resp.Body), resp.Trailer), resp
+}
+
+var masked = regexp.MustCompile(`(?m)^(Date|Req-Deadline-Ms): .*$`)
+
+// readHead reads a message's head and parses it along with the body that follows. It returns the head with its fields
+// sorted, and the zero message if there is none.
+func readHead[M any](in *bufio.Reader, parse func(*bufio.Reader) (M, error)) (head string, message M) {
+	var raw bytes.Buffer
+	for {
+		line, err := in.ReadString('\n')
+		raw.WriteString(line)
+		if err != nil {
+			return "", message
+		}
+		if line == "\r\n" {
+			break
+		}
+	}
+	lines := strings.Split(strings.TrimRight(strings.ReplaceAll(raw.String(), "\r\n", "\n"), "\n"), "\n")
+	slices.Sort(lines[1:])
+	message, err := parse(bufio.NewReader(io.MultiReader(&raw, in)))
+	if err != nil {
+		var none M
+		return "", none
+	}
+	return masked.ReplaceAllString(strings.Join(lines, "\n"), "$1: masked") + "\n", message
+}
+
+// transcribeBody reads a body to its end, and returns its length and digest, or the error: how much comes before a
+// connection breaks depends on timing.
+func transcribeBody(content io.Reader) string {
+	all, err := io.ReadAll(content)
+	switch {
+	case err != nil:
+		return fmt.Sprintf("body breaks: %v, trailer ", err)
+	case len(all) < 100:
+		return fmt.Sprintf("body %q, trailer ", all)
+	}
+	return fmt.Sprintf("body of %d bytes, sha256 %x, trailer ", len(all), sha256.Sum256(all))
+}
