--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { accepted.Close() })
 	conn := accepted.(*clientConn)
 	listener.Track(conn, http.StateActive)
-	if _, err := conn.Write([]byte("answer")); err != nil {
+	if _, err := conn.Write([]byte("response")); err != nil {
 		t.Fatal(err)
 	}
 	listener.Track(conn, http.StateIdle)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -25,7 +25,7 @@
 	"tuliprock/internal/metrics"
 )
 
-// healthPath is the path at which the daemon itself answers that it serves.
+// healthPath is the path at which the daemon itself responds for as long as it serves.
 const healthPath = "/_health"
 
 // shutdownResponseGrace is how long after the shutdown deadline the module's own replies are waited for, before requests
