--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -76,7 +76,7 @@
 	l.changed.Broadcast()
 }
 
-// limitedConn is a connection of a Limited listener. Its first Close releases its place.
+// limitedConn is a connection of a limited listener. Its first Close releases its place.
 type limitedConn struct {
 	*net.TCPConn
 	releaseOnce sync.Once
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// drainPollInterval is how often Finish looks for connections that have become idle: far less than what is left of the
+// drainPollInterval is how often a shutdown looks for connections that have become idle: far less than what is left of the
 // grace period by then.
 const drainPollInterval = 10 * time.Millisecond
 
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -24,8 +24,8 @@
 	RetryHeader  string // the value "1" marks a retry by the client; empty: the mark is never believed
 
 	DeadlineHeader   string
-	MustHaveDeadline bool          // a request without a deadline is rejected; else Deadline applies
-	Deadline         time.Duration // from the request's arrival
+	MustHaveDeadline bool          // a request without a deadline is rejected; else the default applies
+	Deadline         time.Duration // the default, from the request's arrival
 	DeadlineMost     time.Duration // the longest that a client may set
 
 	FlowMost    time.Duration // that a streaming body may take, each way
@@ -39,8 +39,8 @@
 	Pool    *eventloop.Loop
 	Class   *Class
 	Tenant  string      // of requests that name none
-	Prefix  string      // of the path, which Replace replaces
-	Replace string      // empty: the path stays as it is
+	Prefix  string      // of the path, to be replaced
+	Replace string      // of the prefix; empty: the path stays as it is
 	Set     [][2]string // request headers to set, as name and value
 	Remove  []string    // request headers to remove
 }
@@ -51,33 +51,33 @@
 	Targets []Target // by the index of the Table's rule
 
 	// Guard reports, at any time, whether new requests may be decided by this configuration; nil:
-	// always. While it is false they are shed, with a Retry-After of Unsure.
+	// always. While it is false they are shed, with the Retry-After that follows.
 	Guard  func() bool
 	Unsure time.Duration
 
 	inFlight sync.WaitGroup // requests that acquired it
 }
 
-// Wait returns when all requests that are routed by the Service were responded to. It must have been swapped out before.
+// Wait returns when all requests that are routed by it were responded to. It must have been swapped out before.
 func (s *Service) Wait() { s.inFlight.Wait() }
 
 // release ends the use that acquire has begun.
 func (s *Service) release() { s.inFlight.Done() }
 
-// Current holds the Service that routes new requests. It is safe for concurrent use.
+// Current holds the configuration that routes new requests. It is safe for concurrent use.
 type Current struct {
 	mu     sync.RWMutex
 	active *Service
 }
 
-// Swap replaces the active Service, which routes no new request from then on.
+// Swap replaces the active configuration, which routes no new request from then on.
 func (c *Current) Swap(s *Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active = s
 }
 
-// acquire returns the active Service for one request, which must release it.
+// acquire returns the active configuration for one request, which must release it.
 func (c *Current) acquire() *Service {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -44,7 +44,7 @@
 	return resolvedTarget{target, rewritten}, nil
 }
 
-// rewritePath puts Replace in place of Prefix, with one slash where they meet.
+// rewritePath replaces the path's prefix, with one slash where they meet.
 func (t *Target) rewritePath(path string) string {
 	if t.Replace == "" {
 		return path
