--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -50,8 +50,8 @@
 	Table   *route.Table
 	Targets []Target // by the index of the Table's rule
 
-	// Guard reports, at any time, whether new requests may be decided by this configuration; nil:
-	// always. While it is false they are shed, with the Retry-After that follows.
+	// Guard reports, at any time, whether new requests may be decided by this configuration; nil: always. While it is
+	// false they are shed, with the Retry-After that follows.
 	Guard  func() bool
 	Unsure time.Duration
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,10 +1,11 @@
 // Package frontend is the clients' side of the daemon: it accepts their connections, reads and checks their requests,
 // routes each to the event loop of its pool, and writes the responses.
 //
-// A Server is the http.Handler of one listening address; its Listener tracks the connections, and a limiting listener beneath caps
-// them. The routes are shared by all Servers, and a reload swaps them. The package owns the state of clients' connections and of requests up
-// to their submission; from then on the pool's event loop owns the request, and the handler waits for its reply. It
-// starts no goroutine of its own beside timers: requests run on net/http's, one for each connection.
+// A Server is the http.Handler of one listening address; its Listener tracks the connections, and a limiting listener
+// beneath caps their number. All Servers share the routes, which a reload swaps. The package owns the state of clients'
+// connections and of requests up to their submission; from then on the pool's event loop owns the request, and the
+// handler waits for its reply. It starts no goroutine of its own beside timers: requests run on net/http's, one for each
+// connection.
 //
 // What may be relied on: each valid request gets one response, or its connection is closed; a 503 that does not come from
 // an endpoint promises that nothing was executed; neither eviction nor a graceful shutdown closes a connection on which
