--- /dev/null
+++ b/internal/wal/compatibility_test.go
@@ -0,0 +1,101 @@
+package wal_test
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"tuliprock/internal/wal"
+)
+
+// Logs that an earlier build wrote (testdata/README.md) are read whole, are appended to, and are read again.
+func TestLogsOfEarlierBuildAreRead(t *testing.T) {
+	const appendedPayload = "a record of this build"
+	for _, c := range []struct {
+		name         string
+		snapshot     uint64
+		snapshotBody string
+		records      []wal.Record
+	}{
+		{name: "segments", records: earlierRecords(1)},
+		{name: "snapshot", snapshot: 20, snapshotBody: "the state after record 20", records: earlierRecords(21)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), "log")
+			if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "build-94b9de8", c.name))); err != nil {
+				t.Fatal(err)
+			}
+			want := c.records
+			for _, round := range []string{"as it was left", "after an append"} {
+				l := openEarlierLog(t, dir, c.snapshot, c.snapshotBody, want)
+				if next := uint64(len(want)) + c.snapshot + 1; l.Next() != next || l.Synced() != next-1 || l.Snapshot() != c.snapshot {
+					t.Errorf("%s: next %d, synced %d, snapshot %d, want %d, %d, %d",
+						round, l.Next(), l.Synced(), l.Snapshot(), next, next-1, c.snapshot)
+				}
+				index, err := l.Append('n', []byte(appendedPayload))
+				if err := errors.Join(err, l.Sync(), l.Close()); err != nil {
+					t.Fatal(err)
+				}
+				want = append(want, wal.Record{Index: index, Type: 'n', Payload: []byte(appendedPayload)})
+			}
+		})
+	}
+}
+
+// earlierRecords returns the records from an index on that the earlier build wrote.
+func earlierRecords(first uint64) []wal.Record {
+	var records []wal.Record
+	for i := first; i <= 40; i++ {
+		records = append(records, wal.Record{
+			Index:   i,
+			Type:    "hem"[i%3],
+			Payload: bytes.Repeat(fmt.Appendf(nil, "record %d of the build before;", i), int(i%4)),
+		})
+	}
+	return records
+}
+
+// openEarlierLog opens a log, and fails the test unless it has this snapshot and these records, and nothing of it was cut off or
+// removed.
+func openEarlierLog(t *testing.T, path string, snapshot uint64, snapshotBody string, want []wal.Record) *wal.Log {
+	t.Helper()
+	dir, err := wal.Dir(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var (
+		records       []wal.Record
+		restoredIndex uint64
+		restoredBody  []byte
+	)
+	options := wal.Options{SegmentBytes: 512, Said: func(line string) { t.Errorf("repaired: %s", line) }}
+	l, err := wal.Open(dir, options, func(index uint64, r io.Reader) error {
+		var err error
+		restoredIndex = index
+		restoredBody, err = io.ReadAll(r)
+		return err
+	}, func(r wal.Record) error {
+		r.Payload = bytes.Clone(r.Payload)
+		records = append(records, r)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if restoredIndex != snapshot || string(restoredBody) != snapshotBody {
+		t.Errorf("the snapshot at %d is %q, want %q at %d", restoredIndex, restoredBody, snapshotBody, snapshot)
+	}
+	if len(records) != len(want) {
+		t.Fatalf("%d records, want %d", len(records), len(want))
+	}
+	for i, r := range records {
+		if w := want[i]; r.Index != w.Index || r.Type != w.Type || !bytes.Equal(r.Payload, w.Payload) {
+			t.Errorf("record %d is %d of type %q: %q; want %d of type %q: %q", i, r.Index, r.Type, r.Payload, w.Index, w.Type, w.Payload)
+		}
+	}
+	return l
+}
