--- /dev/null
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -0,0 +1,298 @@
+package raftnode
+
+import (
+	"context"
+	"crypto/sha256"
+	"fmt"
+	"log/slog"
+	"maps"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"tuliprock/internal/cluster/consensus"
+	"tuliprock/internal/cluster/swim"
+	"tuliprock/internal/cluster/transport"
+	"tuliprock/internal/testkit/testpeer"
+	"tuliprock/internal/wal"
+)
+
+// earlierBuild has the data directories of a cluster whose daemons were of an earlier build (testdata/README.md).
+const earlierBuild = "testdata/build-94b9de8"
+
+// earlierFirstVoters are the voters that the files of the earlier build's daemons name.
+var earlierFirstVoters = []string{"bay-1", "bay-2", "bay-3"}
+
+// earlierMarks are the marks of the disks of the earlier build's daemons.
+var earlierMarks = map[string]string{
+	"bay-1": "3VKFU424G4JACKRYTYJF65Q6BO",
+	"bay-2": "WZGQWHUKSHO2WIDRJFFWEMQHYH",
+	"bay-3": "XIXELP7R2CUFTXHM5VYEX4SPK7",
+	"bay-4": "MXVAGED2ZUPVRM3N4KMNALE22T",
+}
+
+// earlierMoment is a moment of the earlier build's cluster at which all its processes were killed.
+type earlierMoment struct {
+	name          string // of the directory
+	version       uint64
+	bodies        map[string]string // of documents other than "shared"
+	voters        []string          // as the daemons cached them
+	knownVoters   []string          // whom the daemons might ask for a lease: voters and first voters
+	term          uint64            // of the voters
+	snapshotIndex map[string]uint64 // of the daemons' logs, by name; nil: they have no snapshot
+}
+
+var earlierMoments = []earlierMoment{
+	{
+		name:    "first-voters",
+		version: 14,
+		bodies: map[string]string{
+			"flag/a":              "one",
+			"flag/c":              "four, by one that does not vote",
+			"out/127.0.0.1:21040": "",
+		},
+		voters:      earlierFirstVoters,
+		knownVoters: earlierFirstVoters,
+		term:        1,
+	},
+	{
+		name:    "voters-changed",
+		version: 17,
+		bodies: map[string]string{
+			"flag/a":              "six, after all were killed",
+			"flag/c":              "four, by one that does not vote",
+			"flag/d":              "five, when there are four voters",
+			"flag/e":              "seven, when bay-3 is out",
+			"out/127.0.0.1:21040": "",
+		},
+		voters:        []string{"bay-1", "bay-2", "bay-4"},
+		knownVoters:   []string{"bay-1", "bay-2", "bay-3", "bay-4"},
+		term:          2,
+		snapshotIndex: map[string]uint64{"bay-1": 80, "bay-2": 80, "bay-3": 80, "bay-4": 2},
+	},
+}
+
+// copyData copies a daemon's data directory, and opens it.
+func (m *earlierMoment) copyData(t *testing.T, daemon string) wal.FS {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), daemon)
+	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, m.name, daemon))); err != nil {
+		t.Fatal(err)
+	}
+	disk, err := wal.Dir(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return disk
+}
+
+// documentLines are documents in the lines of the operators' command "settings".
+func documentLines(docs map[string]consensus.Document) string {
+	var lines strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(docs)) {
+		d := docs[name]
+		fmt.Fprintf(&lines, "document name=%s version=%d by=%s bytes=%d sha256=%x\n", name, d.Version, d.By, len(d.Body), d.Digest)
+	}
+	return lines.String()
+}
+
+// historyLines are changes in the lines of the operators' command "settings history".
+func historyLines(history []consensus.HistoryEntry) string {
+	var lines strings.Builder
+	for _, e := range history {
+		fmt.Fprintf(&lines, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
+			e.Version, e.Name, e.Bytes, e.Digest, e.By, e.At, e.Back)
+	}
+	return lines.String()
+}
+
+// earlierLines returns the lines of a file that the earlier build's answers stand in, those that begin with a word.
+func earlierLines(t *testing.T, file, word string) []string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(earlierBuild, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := slices.Collect(strings.Lines(string(text)))
+	return slices.DeleteFunc(lines, func(line string) bool { return !strings.HasPrefix(line, word+" ") })
+}
+
+// checkDocuments fails the test unless documents are those that the earlier build's daemons acted on.
+func (m *earlierMoment) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
+	t.Helper()
+	if got, want := documentLines(docs), strings.Join(earlierLines(t, m.name+".settings.txt", "document"), ""); got != want {
+		t.Errorf("documents\n%swant\n%s", got, want)
+	}
+	for name, d := range docs {
+		if body, ok := m.bodies[name]; ok && string(d.Body) != body {
+			t.Errorf("%s is %q, want %q", name, d.Body, body)
+		}
+		if d.Name != name || sha256.Sum256(d.Body) != d.Digest {
+			t.Errorf("%s has name %q, and digest %x of another body", name, d.Name, d.Digest)
+		}
+	}
+}
+
+// earlierTransport starts the transport of one of the earlier build's daemons.
+func earlierTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
+	t.Helper()
+	return startTestTransport(t, transport.Options{
+		Name:  daemon,
+		Join:  join,
+		Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond},
+	})
+}
+
+// startEarlier starts a node of this build in place of a daemon of the earlier one.
+func startEarlier(t *testing.T, daemon string, disk wal.FS, carrier *transport.Transport) *Node {
+	t.Helper()
+	n, err := Start(Options{
+		Name:      daemon,
+		Voters:    earlierFirstVoters,
+		Disk:      disk,
+		Lease:     testLeaseConfig,
+		Transport: carrier,
+		Now:       carrier.Now,
+		Log:       slog.New(slog.NewTextHandler(t.Output(), nil)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// A daemon that starts alone from the data of an earlier build has the identity that its voter had, and the cached
+// version, without a lease.
+func TestNodeStartsFromDataOfEarlierBuild(t *testing.T) {
+	for _, m := range earlierMoments {
+		for _, daemon := range slices.Sorted(maps.Keys(earlierMarks)) {
+			t.Run(m.name+"/"+daemon, func(t *testing.T) {
+				disk := m.copyData(t, daemon)
+				if text, err := readFile(disk, markFile, maxIdentityBytes); err != nil || string(text) != earlierMarks[daemon]+"\n" {
+					t.Errorf("mark %q, %v", text, err)
+				}
+				n := startEarlier(t, daemon, disk, earlierTransport(t, daemon))
+				leased, ok := n.Valid()
+				if leased.Version != m.version || ok {
+					t.Errorf("it starts with version %d, leased %t, want %d without a lease", leased.Version, ok, m.version)
+				}
+				m.checkDocuments(t, leased.Docs)
+				if err := n.Close(); err != nil {
+					t.Fatal(err)
+				}
+				// No goroutine of the node runs any more: what the event loop owned may be read.
+				if n.cached.Version != m.version || !slices.Equal(n.cached.Voters, m.voters) {
+					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, m.version, m.voters)
+				}
+				if !slices.Equal(n.client.knownVoters, m.knownVoters) {
+					t.Errorf("it knows the voters %q, want %q", n.client.knownVoters, m.knownVoters)
+				}
+				m.checkVoter(t, daemon, n)
+			})
+		}
+	}
+}
+
+// checkVoter fails the test unless a closed node has the voter that the daemon of the earlier build had.
+func (m *earlierMoment) checkVoter(t *testing.T, daemon string, n *Node) {
+	t.Helper()
+	if daemon == "bay-4" && m.snapshotIndex == nil { // it did not vote yet
+		if n.slot != nil || n.diskMark != earlierMarks[daemon] {
+			t.Errorf("voter %+v, mark %q", n.slot, n.diskMark)
+		}
+		return
+	}
+	if n.slot == nil {
+		t.Fatal("it has no voter")
+	}
+	const fleet = "ef8b6c92f1d49007" // as the identity file of bay-4 has it
+	want := identity{name: daemon, id: 4, marks: map[string]string{}}
+	if daemon != "bay-4" {
+		want.firstVoters, want.id = earlierFirstVoters, uint64(slices.Index(earlierFirstVoters, daemon)+1)
+		want.marks = maps.Clone(earlierMarks)
+		delete(want.marks, "bay-4")
+	}
+	got := n.slot.identity
+	if fmt.Sprintf("%x", got.fleetID) != fleet {
+		t.Errorf("fleet %x, want %s", got.fleetID, fleet)
+	}
+	got.fleetID = fleetID{}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("identity %+v, want %+v", got, want)
+	}
+	if term := n.slot.voter.Term(); term != m.term {
+		t.Errorf("term %d, want %d", term, m.term)
+	}
+	if index := n.slot.log.Snapshot(); index != m.snapshotIndex[daemon] {
+		t.Errorf("the log has a snapshot at %d, want %d", index, m.snapshotIndex[daemon])
+	}
+}
+
+// Voters of this build that start from the data of an earlier one elect a leader, act on the version that was agreed,
+// know its history and who votes, and agree on the next version.
+func TestClusterContinuesFromDataOfEarlierBuild(t *testing.T) {
+	for _, m := range earlierMoments {
+		t.Run(m.name, func(t *testing.T) {
+			c := &testCluster{t: t}
+			var join []netip.AddrPort
+			for _, daemon := range m.voters {
+				carrier := earlierTransport(t, daemon, join...)
+				join = append(join, carrier.Addr())
+				n := startEarlier(t, daemon, m.copyData(t, daemon), carrier)
+				t.Cleanup(func() {
+					if err := n.Close(); err != nil {
+						t.Error(err)
+					}
+				})
+				c.transports, c.nodes = append(c.transports, carrier), append(c.nodes, n)
+			}
+			for _, n := range c.nodes {
+				testpeer.Until(t, fmt.Sprint("it acts on version ", m.version), func() bool {
+					leased, ok := n.Valid()
+					return ok && leased.Version == m.version
+				})
+				leased, _ := n.Valid()
+				m.checkDocuments(t, leased.Docs)
+				testpeer.Until(t, "it votes, and has applied what was agreed", func() bool {
+					s := n.Status()
+					return s.Votes && s.Committed == m.version && s.Coming == m.version && s.All == m.version
+				})
+				if s := n.Status(); !slices.Equal(s.Sitting, m.voters) || s.Term <= m.term {
+					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.Sitting, s.Term, m.voters, m.term)
+				}
+				m.checkHistory(t, n)
+			}
+			if version := c.put(1, "the next", "of this build"); version != m.version+1 {
+				t.Errorf("the next version is %d, want %d", version, m.version+1)
+			}
+			c.waitAllActing(m.version+1, "of this build")
+		})
+	}
+}
+
+// checkHistory fails the test unless the history is that which the earlier build's daemons answered.
+func (m *earlierMoment) checkHistory(t *testing.T, n *Node) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Patience)
+	defer cancel()
+	r, err := n.Propose(ctx, consensus.Command{Read: &consensus.DocumentVersion{}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Join(earlierLines(t, "history.txt", "change")[:m.version], "")
+	if got := historyLines(r.History); r.Version != m.version || got != want {
+		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
+	}
+	r, err = n.Propose(ctx, consensus.Command{Read: &consensus.DocumentVersion{Name: "flag/a", Version: 3}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r.Doc == nil || string(r.Doc.Body) != "three" {
+		t.Errorf("flag/a at version 3: %+v", r.Doc)
+	}
+}
