--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -4,14 +4,14 @@
 
 import "container/list"
 
-// Budget shares out a bounded number of bytes. Short bodies have a part of it to themselves, and never wait behind long
+// MemoryBudget shares out a bounded number of bytes. Short bodies have a part of it to themselves, and never wait behind long
 // ones; among their like all are served in the order in which they asked. It is not safe for concurrent use.
-type Budget struct {
-	total, kept int
-	used, long  int
-	short, far  list.List // asks that wait, by kind
-	waiting     map[int]*list.Element
-	last        int
+type MemoryBudget struct {
+	total, shortReserve   int
+	used, usedByLong      int
+	shortQueue, longQueue list.List // asks that wait, by kind
+	waiting               map[int]*list.Element
+	lastID                int
 }
 
 // Size is what a body asks for.
@@ -20,82 +20,82 @@
 	Long  bool
 }
 
-type ask struct {
+type memoryRequest struct {
 	id int
 	Size
 }
 
-// NewBudget shares out total bytes, of which long bodies leave kept to the short ones.
-func NewBudget(total, kept int) *Budget {
-	return &Budget{total: total, kept: kept, waiting: map[int]*list.Element{}}
+// NewMemoryBudget shares out total bytes, of which long bodies leave kept to the short ones.
+func NewMemoryBudget(total, kept int) *MemoryBudget {
+	return &MemoryBudget{total: total, shortReserve: kept, waiting: map[int]*list.Element{}}
 }
 
 // Fits tells whether a size could be granted if nothing else were held.
-func (b *Budget) Fits(s Size) bool {
-	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Long || s.Bytes <= b.total-b.kept)
+func (b *MemoryBudget) Fits(s Size) bool {
+	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Long || s.Bytes <= b.total-b.shortReserve)
 }
 
-// Ask asks for bytes. What is not granted at once waits under its id, which is never 0.
-func (b *Budget) Ask(s Size) (id int, granted bool) {
-	b.last++
-	queue := b.queue(s)
-	if queue.Len() == 0 && b.grant(s) {
-		return b.last, true
+// Acquire asks for bytes. What is not granted at once waits under its id, which is never 0.
+func (b *MemoryBudget) Acquire(s Size) (id int, granted bool) {
+	b.lastID++
+	queue := b.queueFor(s)
+	if queue.Len() == 0 && b.tryGrant(s) {
+		return b.lastID, true
 	}
-	b.waiting[b.last] = queue.PushBack(ask{b.last, s})
-	return b.last, false
+	b.waiting[b.lastID] = queue.PushBack(memoryRequest{b.lastID, s})
+	return b.lastID, false
 }
 
-// Give gives bytes back and tells which asks are granted by it.
-func (b *Budget) Give(s Size) []int {
+// Release gives bytes back and tells which asks are granted by it.
+func (b *MemoryBudget) Release(s Size) []int {
 	b.used -= s.Bytes
 	if s.Long {
-		b.long -= s.Bytes
+		b.usedByLong -= s.Bytes
 	}
-	return b.serve()
+	return b.grantWaiting()
 }
 
-// Withdraw takes an ask back, and tells which others are granted by it; ok is false if it does not wait any more.
-func (b *Budget) Withdraw(id int) (granted []int, ok bool) {
+// Cancel takes an ask back, and tells which others are granted by it; ok is false if it does not wait any more.
+func (b *MemoryBudget) Cancel(id int) (granted []int, ok bool) {
 	e := b.waiting[id]
 	if e == nil {
 		return nil, false
 	}
 	delete(b.waiting, id)
-	b.queue(e.Value.(ask).Size).Remove(e)
-	return b.serve(), true
+	b.queueFor(e.Value.(memoryRequest).Size).Remove(e)
+	return b.grantWaiting(), true
 }
 
-// Held tells how many bytes are granted, and how many of them to long bodies.
-func (b *Budget) Held() (all, long int) { return b.used, b.long }
+// InUse tells how many bytes are granted, and how many of them to long bodies.
+func (b *MemoryBudget) InUse() (all, long int) { return b.used, b.usedByLong }
 
 // Waiting tells how many asks wait.
-func (b *Budget) Waiting() int { return len(b.waiting) }
+func (b *MemoryBudget) Waiting() int { return len(b.waiting) }
 
-func (b *Budget) queue(s Size) *list.List {
+func (b *MemoryBudget) queueFor(s Size) *list.List {
 	if s.Long {
-		return &b.far
+		return &b.longQueue
 	}
-	return &b.short
+	return &b.shortQueue
 }
 
-// grant takes the bytes if they are there. A long body takes none while a short one waits.
-func (b *Budget) grant(s Size) bool {
-	if b.used+s.Bytes > b.total || s.Long && (b.long+s.Bytes > b.total-b.kept || b.short.Len() > 0) {
+// tryGrant takes the bytes if they are there. A long body takes none while a short one waits.
+func (b *MemoryBudget) tryGrant(s Size) bool {
+	if b.used+s.Bytes > b.total || s.Long && (b.usedByLong+s.Bytes > b.total-b.shortReserve || b.shortQueue.Len() > 0) {
 		return false
 	}
 	b.used += s.Bytes
 	if s.Long {
-		b.long += s.Bytes
+		b.usedByLong += s.Bytes
 	}
 	return true
 }
 
-func (b *Budget) serve() (granted []int) {
-	for _, queue := range []*list.List{&b.short, &b.far} {
+func (b *MemoryBudget) grantWaiting() (granted []int) {
+	for _, queue := range []*list.List{&b.shortQueue, &b.longQueue} {
 		for e := queue.Front(); e != nil; e = queue.Front() {
-			a := e.Value.(ask)
-			if !b.grant(a.Size) {
+			a := e.Value.(memoryRequest)
+			if !b.tryGrant(a.Size) {
 				break
 			}
 			queue.Remove(e)
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -16,14 +16,14 @@
 // Pool is the memory for bodies of a process. It is safe for concurrent use.
 type Pool struct {
 	mu      sync.Mutex
-	budget  *Budget
+	budget  *MemoryBudget
 	granted map[int]chan struct{} // closed when the ask is granted
 	windows sync.Pool             // of *[]byte: idle ones are the collector's
 }
 
 // NewPool makes a Pool of so many bytes, of which a quarter is left to short bodies: long ones hold theirs for longer.
 func NewPool(total int) *Pool {
-	return &Pool{budget: NewBudget(total, total/4), granted: map[int]chan struct{}{}, windows: sync.Pool{New: func() any {
+	return &Pool{budget: NewMemoryBudget(total, total/4), granted: map[int]chan struct{}{}, windows: sync.Pool{New: func() any {
 		b := make([]byte, Window)
 		return &b
 	}}}
@@ -36,7 +36,7 @@
 		p.mu.Unlock()
 		return fmt.Errorf("%w: %d bytes", ErrNever, s.Bytes)
 	}
-	id, ok := p.budget.Ask(s)
+	id, ok := p.budget.Acquire(s)
 	if ok {
 		p.mu.Unlock()
 		return nil
@@ -51,12 +51,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	others, waits := p.budget.Withdraw(id)
+	others, waits := p.budget.Cancel(id)
 	if !waits { // granted meanwhile
 		return nil
 	}
 	delete(p.granted, id)
-	p.wake(others)
+	p.notify(others)
 	return ctx.Err()
 }
 
@@ -64,11 +64,11 @@
 func (p *Pool) Give(s Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wake(p.budget.Give(s))
+	p.notify(p.budget.Release(s))
 }
 
-// wake is called with p.mu held.
-func (p *Pool) wake(granted []int) {
+// notify is called with p.mu held.
+func (p *Pool) notify(granted []int) {
 	for _, id := range granted {
 		close(p.granted[id])
 		delete(p.granted, id)
@@ -79,22 +79,22 @@
 func (p *Pool) Held() (bytes, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bytes, _ = p.budget.Held()
+	bytes, _ = p.budget.InUse()
 	return bytes, p.budget.Waiting()
 }
 
-var aWindow = Size{Window, true}
+var windowSize = Size{Window, true}
 
-// Borrow takes a buffer of Window bytes. It must be given back with Return, once, when nobody uses it any more.
-func (p *Pool) Borrow(ctx context.Context) (*[]byte, error) {
-	if err := p.Take(ctx, aWindow); err != nil {
+// AcquireWindow takes a buffer of Window bytes. It must be given back with Return, once, when nobody uses it any more.
+func (p *Pool) AcquireWindow(ctx context.Context) (*[]byte, error) {
+	if err := p.Take(ctx, windowSize); err != nil {
 		return nil, err
 	}
 	return p.windows.Get().(*[]byte), nil
 }
 
-// Return gives a buffer back.
-func (p *Pool) Return(w *[]byte) {
+// ReleaseWindow gives a buffer back.
+func (p *Pool) ReleaseWindow(w *[]byte) {
 	p.windows.Put(w)
-	p.Give(aWindow)
+	p.Give(windowSize)
 }
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -11,39 +11,39 @@
 // Meter holds a peer to a Pace, by the times in which it was waited for: what the other side of a flow takes is not
 // charged. It is a bucket of time (a leaky bucket as a meter, ITU-T I.371): waiting drains it, bytes fill it.
 type Meter struct {
-	pace   Pace
-	credit time.Duration
-	set    time.Time // the limit of time that is set on the connection
+	pace         Pace
+	credit       time.Duration
+	lastDeadline time.Time // the limit of time that is set on the connection
 }
 
 // NewMeter begins with the whole of Idle in hand.
 func NewMeter(p Pace) Meter { return Meter{pace: p, credit: p.Idle} }
 
-// Wait is how long to wait for the next byte at most; 0: the peer is too slow.
-func (m *Meter) Wait() time.Duration {
+// MaxWait is how long to wait for the next byte at most; 0: the peer is too slow.
+func (m *Meter) MaxWait() time.Duration {
 	if m.pace.Rate <= 0 {
 		return m.pace.Idle
 	}
 	return max(m.credit, 0)
 }
 
-// slack is the part of Wait by which a limit that is set may fall short of it: setting one costs as much as a small part of a
+// deadlineSlack is the part of Wait by which a limit that is set may fall short of it: setting one costs as much as a small part of a
 // body.
-const slack = 8
+const deadlineSlack = 8
 
-// Limit is when a wait that begins now ends; anew is false where the limit set last will do.
-func (m *Meter) Limit(now time.Time) (at time.Time, anew bool) {
-	wait := m.Wait()
+// Deadline is when a wait that begins now ends; anew is false where the limit set last will do.
+func (m *Meter) Deadline(now time.Time) (at time.Time, anew bool) {
+	wait := m.MaxWait()
 	at = now.Add(wait)
-	if short := at.Sub(m.set); short >= 0 && short <= wait/slack {
-		return m.set, false
+	if short := at.Sub(m.lastDeadline); short >= 0 && short <= wait/deadlineSlack {
+		return m.lastDeadline, false
 	}
-	m.set = at
+	m.lastDeadline = at
 	return at, true
 }
 
-// Moved says that n bytes came or went after a wait.
-func (m *Meter) Moved(n int, waited time.Duration) {
+// Record says that n bytes came or went after a wait.
+func (m *Meter) Record(n int, waited time.Duration) {
 	if m.pace.Rate <= 0 {
 		return
 	}
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -8,7 +8,7 @@
 )
 
 // Only io.EOF itself ends a body: an error that wraps it is a body that broke, for a flow as for one that is read ahead.
-func TestAnErrorThatWrapsEOFIsNotTheEnd(t *testing.T) {
+func TestWrappedEOFIsNotEndOfBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   error
 		whole bool
@@ -19,7 +19,7 @@
 		"io.ErrUnexpectedEOF": {io.ErrUnexpectedEOF, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := upload(t, NewPool(2*Window), (&script{parts: [][]byte{{1}}, end: c.end}).source())
+			u := newTestUpload(t, NewPool(2*Window), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
 			if whole, err := u.Fill(); whole != c.whole || (err == nil) != c.whole || !c.whole && !errors.Is(err, ErrBroken) {
 				t.Errorf("whole %v, %v", whole, err)
 			}
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -39,36 +39,36 @@
 	pool   *Pool
 	window *[]byte
 	meter  Meter
-	ended  chan struct{} // closed when the body could not be read
+	failed chan struct{} // closed when the body could not be read
 
-	mu      sync.Mutex
-	quiet   sync.Cond // of reading
-	held    int       // bytes of the beginning
-	ahead   []byte    // what came for a flow that had ended: the next one's
-	got     int64
-	reading bool
-	whole   bool // the end has come
-	spent   bool
-	over    bool // nobody wants more
-	err     error
+	mu         sync.Mutex
+	readEnded  sync.Cond // of reading
+	prefixLen  int       // bytes of the beginning
+	readAhead  []byte    // what came for a flow that had ended: the next one's
+	received   int64
+	isReading  bool
+	isComplete bool // the end has come
+	isConsumed bool
+	isStopped  bool // nobody wants more
+	err        error
 }
 
 // NewUpload takes a window from the pool, and waits for one as long as ctx lasts. Close must be called.
 func NewUpload(ctx context.Context, pool *Pool, s Source) (*Upload, error) {
-	w, err := pool.Borrow(ctx)
+	w, err := pool.AcquireWindow(ctx)
 	if err != nil {
 		return nil, err
 	}
-	u := &Upload{Source: s, pool: pool, window: w, meter: NewMeter(s.Pace), ended: make(chan struct{})}
-	u.quiet.L = &u.mu
+	u := &Upload{Source: s, pool: pool, window: w, meter: NewMeter(s.Pace), failed: make(chan struct{})}
+	u.readEnded.L = &u.mu
 	return u, nil
 }
 
 // Fill reads until all that can be held is there or the body has ended, and tells whether all of the body is there. A
 // request whose beginning does not come reaches nobody.
 func (u *Upload) Fill() (whole bool, err error) {
-	for u.held < Held {
-		if _, err := u.read(nil); errors.Is(err, io.EOF) {
+	for u.prefixLen < Held {
+		if _, err := u.next(nil); errors.Is(err, io.EOF) {
 			return true, nil
 		} else if err != nil {
 			return false, err
@@ -81,25 +81,25 @@
 func (u *Upload) Beginning() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return (*u.window)[:u.held]
+	return (*u.window)[:u.prefixLen]
 }
 
 // Spent tells whether the body can't be sent again: more of it was given out than is held.
 func (u *Upload) Spent() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.spent
+	return u.isConsumed
 }
 
 // Whole tells whether the body's end has come: then what follows on the connection is not of it.
 func (u *Upload) Whole() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.whole
+	return u.isComplete
 }
 
 // Failed is closed when the body could not be read; Err says why.
-func (u *Upload) Failed() <-chan struct{} { return u.ended }
+func (u *Upload) Failed() <-chan struct{} { return u.failed }
 
 // Err is why the body could not be read: ErrSlow, ErrTooLong or ErrBroken, wrapped.
 func (u *Upload) Err() error {
@@ -112,12 +112,12 @@
 // the error says why there is no end. A body of which nothing came is not read: that would ask for it.
 func (u *Upload) Exhaust() error {
 	u.mu.Lock()
-	if u.Expects && u.got == 0 && u.mayRead() == nil {
-		u.note(io.ErrUnexpectedEOF)
+	if u.Expects && u.received == 0 && u.readError() == nil {
+		u.recordReadError(io.ErrUnexpectedEOF)
 	}
 	u.mu.Unlock()
 	for {
-		if _, err := u.read(nil); errors.Is(err, io.EOF) {
+		if _, err := u.next(nil); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
@@ -129,110 +129,110 @@
 func (u *Upload) Settle() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.settle()
+	u.waitForRead()
 	return u.err
 }
 
-// settle waits until no read is under way. u.mu is held, but let go meanwhile.
-func (u *Upload) settle() {
-	for u.reading {
-		u.quiet.Wait()
+// waitForRead waits until no read is under way. u.mu is held, but let go meanwhile.
+func (u *Upload) waitForRead() {
+	for u.isReading {
+		u.readEnded.Wait()
 	}
 }
 
-// read reads once: into what is free of the beginning's half, or else the other half. io.EOF is the body's end. A read
+// next reads once: into what is free of the beginning's half, or else the other half. io.EOF is the body's end. A read
 // of a flow that has ended may still be under way: what it brings is this one's.
-func (u *Upload) read(f *Flow) ([]byte, error) {
+func (u *Upload) next(f *Flow) ([]byte, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.reading && (f == nil || !f.ended) {
-		u.quiet.Wait()
+	for u.isReading && (f == nil || !f.isEnded) {
+		u.readEnded.Wait()
 	}
-	if f != nil && f.ended {
-		return nil, errEnded
+	if f != nil && f.isEnded {
+		return nil, errFlowEnded
 	}
-	if f != nil && f.at < u.held {
-		part := (*u.window)[f.at:u.held]
-		f.at = u.held
+	if f != nil && f.offset < u.prefixLen {
+		part := (*u.window)[f.offset:u.prefixLen]
+		f.offset = u.prefixLen
 		return part, nil
 	}
-	if part := u.ahead; part != nil { // and what is held goes under with the next read
-		u.ahead, u.spent = nil, true
+	if part := u.readAhead; part != nil { // and what is held goes under with the next read
+		u.readAhead, u.isConsumed = nil, true
 		return part, nil
 	}
-	if err := u.mayRead(); err != nil {
+	if err := u.readError(); err != nil {
 		return nil, err
 	}
-	to := (*u.window)[u.held:Held]
+	to := (*u.window)[u.prefixLen:Held]
 	beyond := len(to) == 0
 	switch {
-	case u.spent: // what was held is of no use any more
+	case u.isConsumed: // what was held is of no use any more
 		to = *u.window
 	case beyond:
 		to = (*u.window)[Held:]
 	}
 	n, err := u.readInto(to)
-	if u.got += int64(n); !beyond {
-		u.held += n
+	if u.received += int64(n); !beyond {
+		u.prefixLen += n
 	}
-	u.note(err)
+	u.recordReadError(err)
 	switch {
 	case u.err != nil:
 		return nil, u.err
-	case n == 0 && u.whole:
+	case n == 0 && u.isComplete:
 		return nil, io.EOF
-	case f != nil && f.ended:
+	case f != nil && f.isEnded:
 		if beyond {
-			u.ahead = to[:n]
+			u.readAhead = to[:n]
 		}
-		return nil, errEnded
+		return nil, errFlowEnded
 	case f != nil && !beyond:
-		f.at = u.held
+		f.offset = u.prefixLen
 	}
-	u.spent = u.spent || beyond
+	u.isConsumed = u.isConsumed || beyond
 	return to[:n], nil
 }
 
 // readInto reads with u.mu let go: a caller may take its time. u.mu is held before and after.
 func (u *Upload) readInto(to []byte) (int, error) {
-	u.reading = true
+	u.isReading = true
 	began := time.Now()
 	n, err := 0, error(nil)
-	if at, anew := u.meter.Limit(began); anew {
+	if at, anew := u.meter.Deadline(began); anew {
 		err = u.Deadline(at)
 	}
 	u.mu.Unlock()
 	for err == nil && n == 0 {
 		n, err = Read(u.Body, to)
 	}
-	u.meter.Moved(n, time.Since(began))
+	u.meter.Record(n, time.Since(began))
 	u.mu.Lock()
-	u.reading = false
-	u.quiet.Broadcast()
+	u.isReading = false
+	u.readEnded.Broadcast()
 	return n, err
 }
 
-// mayRead is called with u.mu held.
-func (u *Upload) mayRead() error {
+// readError is called with u.mu held.
+func (u *Upload) readError() error {
 	switch {
-	case u.whole:
+	case u.isComplete:
 		return io.EOF
 	case u.err != nil:
 		return u.err
-	case u.over:
+	case u.isStopped:
 		return ErrBroken
 	}
 	return nil
 }
 
-// note takes what a read said of the body. The limit of time must be lifted at its end: while a request waits for its
+// recordReadError takes what a read said of the body. The limit of time must be lifted at its end: while a request waits for its
 // answer, a read that times out looks to net/http like a caller that has left. u.mu is held.
-func (u *Upload) note(err error) {
+func (u *Upload) recordReadError(err error) {
 	switch {
-	case u.got > u.Most:
+	case u.received > u.Most:
 		u.err = ErrTooLong
 	case errors.Is(err, io.EOF):
-		u.whole = true
+		u.isComplete = true
 		_ = u.Deadline(time.Time{})
 		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -241,56 +241,56 @@
 		u.err = fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	if u.err != nil {
-		close(u.ended)
+		close(u.failed)
 	}
 }
 
 // Flow is one attempt's way through an Upload.
 type Flow struct {
-	u     *Upload
-	at    int // how much of the beginning was given out; guarded by u.mu, as is
-	ended bool
+	upload  *Upload
+	offset  int // how much of the beginning was given out; guarded by u.mu, as is
+	isEnded bool
 }
 
-var errEnded = errors.New("the attempt has ended")
+var errFlowEnded = errors.New("the attempt has ended")
 
-// Begin gives the body from its beginning on; ok is false if it is spent.
-func (u *Upload) Begin() (f *Flow, ok bool) {
+// NewFlow gives the body from its beginning on; ok is false if it is spent.
+func (u *Upload) NewFlow() (f *Flow, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return &Flow{u: u}, !u.spent
+	return &Flow{upload: u}, !u.isConsumed
 }
 
 // Next is the next part of the body, up to a Window; io.EOF: there is none.
-func (f *Flow) Next() ([]byte, error) { return f.u.read(f) }
+func (f *Flow) Next() ([]byte, error) { return f.upload.next(f) }
 
 // End says that nothing more is wanted by this flow.
 func (f *Flow) End() {
-	f.u.mu.Lock()
-	defer f.u.mu.Unlock()
-	f.ended = true
-	f.u.quiet.Broadcast() // it may wait for another's read
+	f.upload.mu.Lock()
+	defer f.upload.mu.Unlock()
+	f.isEnded = true
+	f.upload.readEnded.Broadcast() // it may wait for another's read
 }
 
 // Stop ends a read that is under way, and allows no further one.
 func (u *Upload) Stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.whole && u.err == nil {
-		u.over = true
+	if !u.isComplete && u.err == nil {
+		u.isStopped = true
 		_ = u.Deadline(time.Unix(1, 0))
 	}
 }
 
-// Surrender gives the window away until Close, once nothing is read into it any more: the body is spent. It is nil while
+// TakeWindow gives the window away until Close, once nothing is read into it any more: the body is spent. It is nil while
 // the body still comes.
-func (u *Upload) Surrender() []byte {
+func (u *Upload) TakeWindow() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.reading || u.ahead != nil {
+	if u.isReading || u.readAhead != nil {
 		return nil
 	}
-	u.spent, u.over = true, true
+	u.isConsumed, u.isStopped = true, true
 	return *u.window
 }
 
@@ -298,12 +298,12 @@
 // caller gets to read its answer (RFC 9112, 9.6). It returns when nothing reads any more.
 func (u *Upload) Close(linger time.Duration, most int64) {
 	u.mu.Lock()
-	u.over = true
-	if !u.whole && u.err == nil {
+	u.isStopped = true
+	if !u.isComplete && u.err == nil {
 		_ = u.Deadline(time.Now().Add(linger))
 	}
-	u.settle()
-	drain := !u.whole && u.err == nil && (u.got > 0 || !u.Expects) // a read would ask for what was never wanted
+	u.waitForRead()
+	drain := !u.isComplete && u.err == nil && (u.received > 0 || !u.Expects) // a read would ask for what was never wanted
 	u.mu.Unlock()
 	if drain {
 		end := time.Now().Add(linger)
@@ -315,5 +315,5 @@
 			}
 		}
 	}
-	u.pool.Return(u.window)
+	u.pool.ReleaseWindow(u.window)
 }
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -17,11 +17,11 @@
 )
 
 // The budget against a naive one that looks at all that waits after each step.
-func TestBudgetKeepsItsBoundsAndOrder(t *testing.T) {
+func TestMemoryBudgetKeepsBoundsAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 100).Draw(t, "total")
 		kept := rapid.IntRange(0, total).Draw(t, "kept")
-		b := NewBudget(total, kept)
+		b := NewMemoryBudget(total, kept)
 		sizes, waiting, held := map[int]Size{}, []int{}, []int{}
 		note := func(granted []int) {
 			for _, id := range granted {
@@ -44,7 +44,7 @@
 				if !b.Fits(s) {
 					continue
 				}
-				id, ok := b.Ask(s)
+				id, ok := b.Acquire(s)
 				sizes[id] = s
 				if waiting = append(waiting, id); ok {
 					note([]int{id})
@@ -53,12 +53,12 @@
 				i := rapid.IntRange(0, len(held)-1).Draw(t, "which")
 				id := held[i]
 				held = slices.Delete(held, i, i+1)
-				note(b.Give(sizes[id]))
+				note(b.Release(sizes[id]))
 			case what == 3 && len(waiting) > 0:
 				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "which")
 				id := waiting[i]
 				waiting = slices.Delete(waiting, i, i+1)
-				granted, ok := b.Withdraw(id)
+				granted, ok := b.Cancel(id)
 				if !ok {
 					t.Fatalf("%d waits, and could not be withdrawn", id)
 				}
@@ -71,7 +71,7 @@
 					far += sizes[id].Bytes
 				}
 			}
-			if gotAll, gotFar := b.Held(); gotAll != all || gotFar != far || all > total || far > total-kept || b.Waiting() != len(waiting) {
+			if gotAll, gotFar := b.InUse(); gotAll != all || gotFar != far || all > total || far > total-kept || b.Waiting() != len(waiting) {
 				t.Fatalf("held %d and %d, by the budget %d and %d, of %d and %d; %d wait, by the budget %d", all, far, gotAll, gotFar, total, total-kept, len(waiting), b.Waiting())
 			}
 			for _, id := range waiting { // the first of its like must be one that can't be had
@@ -86,17 +86,17 @@
 	})
 }
 
-func TestLongBodiesLeaveRoomForShortOnes(t *testing.T) {
+func TestLongBodiesLeaveMemoryForShortOnes(t *testing.T) {
 	p := NewPool(4 * Window)
 	ctx := t.Context()
 	for range 3 {
-		if _, err := p.Borrow(ctx); err != nil {
+		if _, err := p.AcquireWindow(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
 	short, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	if _, err := p.Borrow(short); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := p.AcquireWindow(short); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a fourth window of four: %v", err)
 	}
 	if err := p.Take(ctx, Size{Window, false}); err != nil {
@@ -107,16 +107,16 @@
 	}
 }
 
-func TestPoolGivesBackWhatIsGrantedToOneThatLeaves(t *testing.T) {
+func TestPoolLeaksNothingWhenWaitersTimeOut(t *testing.T) {
 	p := NewPool(4 * Window)
 	var busy sync.WaitGroup
 	for i := range 64 {
 		busy.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
 			defer cancel()
-			if w, err := p.Borrow(ctx); err == nil {
+			if w, err := p.AcquireWindow(ctx); err == nil {
 				time.Sleep(time.Millisecond)
-				p.Return(w)
+				p.ReleaseWindow(w)
 			}
 		})
 	}
@@ -127,19 +127,19 @@
 }
 
 // A peer at the least rate goes on for ever, one below it ends in bounded time, and a pause is forgiven up to Idle.
-func TestMeter(t *testing.T) {
+func TestMeterEnforcesMinimumRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pace{Idle: time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second, Rate: int64(rapid.IntRange(10, 10_000).Draw(t, "rate"))}
 		share := rapid.Float64Range(0.1, 3).Draw(t, "share of the rate")
 		step := time.Duration(rapid.IntRange(1, 900).Draw(t, "step in ms")) * time.Millisecond
 		m, total, moved := NewMeter(p), time.Duration(0), 0.0
 		for range 5000 {
-			if m.Wait() < step {
+			if m.MaxWait() < step {
 				break
 			}
 			n := int(share*float64(p.Rate)*(total+step).Seconds() - moved)
 			moved += float64(n)
-			m.Moved(n, step)
+			m.Record(n, step)
 			total += step
 		}
 		lasts := total >= 5000*step
@@ -151,20 +151,20 @@
 			t.Fatalf("went on for %v, %.1f s behind", total, behind)
 		}
 	})
-	if m := NewMeter(Pace{Idle: time.Second}); m.Wait() != time.Second {
-		t.Errorf("without a rate: %v", m.Wait())
+	if m := NewMeter(Pace{Idle: time.Second}); m.MaxWait() != time.Second {
+		t.Errorf("without a rate: %v", m.MaxWait())
 	}
 }
 
-// script is a caller's body: parts that come at once, and what follows.
-type script struct {
+// scriptedBody is a caller's body: parts that come at once, and what follows.
+type scriptedBody struct {
 	parts    [][]byte
 	end      error
 	deadline time.Time
 	gate     chan struct{} // a part comes with each; nil: at once
 }
 
-func (s *script) Read(to []byte) (int, error) {
+func (s *scriptedBody) Read(to []byte) (int, error) {
 	if s.gate != nil && len(s.parts) > 0 {
 		select {
 		case <-s.gate:
@@ -183,11 +183,11 @@
 }
 
 // source is the body as one of which the size is not known.
-func (s *script) source() Source {
+func (s *scriptedBody) source() Source {
 	return Source{Body: s, Deadline: func(at time.Time) error { s.deadline = at; return nil }, Size: -1, Most: 1 << 20, Pace: Pace{Idle: time.Second, Rate: 1000}}
 }
 
-func upload(t *testing.T, pool *Pool, s Source) *Upload {
+func newTestUpload(t *testing.T, pool *Pool, s Source) *Upload {
 	t.Helper()
 	u, err := NewUpload(t.Context(), pool, s)
 	if err != nil {
@@ -214,29 +214,29 @@
 	return n, nil
 }
 
-// all is all of a flow. The error is nil where the flow ends with io.EOF itself, by which io.ReadAll and others know the end.
-func all(f *Flow) ([]byte, error) { return io.ReadAll(&flowReader{f: f}) }
+// readAll is all of a flow. The error is nil where the flow ends with io.EOF itself, by which io.ReadAll and others know the end.
+func readAll(f *Flow) ([]byte, error) { return io.ReadAll(&flowReader{f: f}) }
 
-func TestABodyCanBeSentAgainWhileItIsHeld(t *testing.T) {
+func TestUploadCanBeResentWhileBuffered(t *testing.T) {
 	for _, row := range []struct {
 		length int
 		again  bool
 	}{{10, true}, {Held - 1, true}, {Held, true}, {Held + 1, false}, {5 * Window, false}} {
 		text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
 		pool := NewPool(2 * Window)
-		u := upload(t, pool, (&script{parts: [][]byte{text[:row.length/2], text[row.length/2:]}, end: io.EOF}).source())
+		u := newTestUpload(t, pool, (&scriptedBody{parts: [][]byte{text[:row.length/2], text[row.length/2:]}, end: io.EOF}).source())
 		if whole, err := u.Fill(); err != nil || whole != (row.length < Held) {
 			t.Errorf("%d bytes: whole %v, %v", row.length, whole, err)
 		}
 		for try := range 2 {
-			f, ok := u.Begin()
+			f, ok := u.NewFlow()
 			if ok != (try == 0 || row.again) {
 				t.Fatalf("%d bytes, try %d: %v", row.length, try, ok)
 			}
 			if !ok {
 				continue
 			}
-			if got, err := all(f); err != nil || !bytes.Equal(got, text) {
+			if got, err := readAll(f); err != nil || !bytes.Equal(got, text) {
 				t.Errorf("%d bytes, try %d: %d bytes came, %v", row.length, try, len(got), err)
 			}
 			f.End()
@@ -251,24 +251,24 @@
 }
 
 // What comes for an attempt that has ended is the next one's: nothing of the body is lost, nothing comes twice.
-func TestAReadOutlivesItsAttempt(t *testing.T) {
+func TestReadOfEndedFlowGoesToNextFlow(t *testing.T) {
 	for _, length := range []int{100, Held + 100} {
 		synctest.Test(t, func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789"), length/10)
-			s := &script{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, gate: make(chan struct{}, 9)}
+			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, gate: make(chan struct{}, 9)}
 			if len(s.parts[0]) == 0 {
 				s.parts = s.parts[1:]
 			}
-			u := upload(t, NewPool(2*Window), s.source())
+			u := newTestUpload(t, NewPool(2*Window), s.source())
 			for range (length - 100 + Held - 1) / Held {
 				s.gate <- struct{}{}
 			}
-			first, _ := u.Begin()
+			first, _ := u.NewFlow()
 			read := make(chan error)
-			go func() { _, err := all(first); read <- err }()
+			go func() { _, err := readAll(first); read <- err }()
 			synctest.Wait()
 			first.End()
-			second, ok := u.Begin()
+			second, ok := u.NewFlow()
 			if !ok || u.Spent() {
 				t.Fatal("the body is spent, though all that was given out is held")
 			}
@@ -276,12 +276,12 @@
 			done := make(chan error)
 			go func() {
 				var err error
-				got, err = all(second)
+				got, err = readAll(second)
 				done <- err
 			}()
 			synctest.Wait()
 			s.gate <- struct{}{}
-			if err := <-read; !errors.Is(err, errEnded) {
+			if err := <-read; !errors.Is(err, errFlowEnded) {
 				t.Errorf("the first: %v", err)
 			}
 			if err := <-done; err != nil || !bytes.Equal(got, text) {
@@ -292,28 +292,28 @@
 	}
 }
 
-var errNothing = errors.New("nothing comes")
+var errNothingComes = errors.New("nothing comes")
 
-func TestWhatIsWrongWithABodyIsSaid(t *testing.T) {
+func TestUploadReportsWhyBodyFailed(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		s    *script
+		s    *scriptedBody
 		want error
 	}{
-		{"too long", &script{parts: [][]byte{make([]byte, 2<<20)}, end: io.EOF}, ErrTooLong},
-		{"an end too early", &script{parts: [][]byte{{1}}, end: io.ErrUnexpectedEOF}, ErrBroken},
-		{"bad chunks", &script{end: errors.New("malformed chunked encoding")}, ErrBroken},
-		{"nothing comes", &script{parts: [][]byte{{1}}, end: errNothing}, ErrSlow},
+		{"too long", &scriptedBody{parts: [][]byte{make([]byte, 2<<20)}, end: io.EOF}, ErrTooLong},
+		{"an end too early", &scriptedBody{parts: [][]byte{{1}}, end: io.ErrUnexpectedEOF}, ErrBroken},
+		{"bad chunks", &scriptedBody{end: errors.New("malformed chunked encoding")}, ErrBroken},
+		{"nothing comes", &scriptedBody{parts: [][]byte{{1}}, end: errNothingComes}, ErrSlow},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if errors.Is(row.s.end, errNothing) { // of this bubble's own
+				if errors.Is(row.s.end, errNothingComes) { // of this bubble's own
 					row.s.gate = make(chan struct{})
 				}
 				pool := NewPool(2 * Window)
-				u := upload(t, pool, row.s.source())
-				f, _ := u.Begin()
-				if _, err := all(f); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
+				u := newTestUpload(t, pool, row.s.source())
+				f, _ := u.NewFlow()
+				if _, err := readAll(f); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
 					t.Errorf("%v, %v, want %v", err, u.Err(), row.want)
 				}
 				select {
@@ -331,13 +331,13 @@
 }
 
 // A caller that trickles is let go by the least rate, though it never pauses for long.
-func TestATricklingCallerIsLetGo(t *testing.T) {
+func TestTricklingClientFailsMinimumRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{gate: make(chan struct{})}
+		s := &scriptedBody{gate: make(chan struct{})}
 		for range 1000 {
 			s.parts = append(s.parts, []byte{1})
 		}
-		u := upload(t, NewPool(2*Window), s.source())
+		u := newTestUpload(t, NewPool(2*Window), s.source())
 		go func() {
 			for {
 				select {
@@ -358,7 +358,7 @@
 }
 
 // Of a sender who has ended what is left is read to its end, but not asked for: one that waits for a word has sent nothing.
-func TestWhatIsLeftOfABodyIsReadAndNotAskedFor(t *testing.T) {
+func TestExhaustReadsRestWithoutTriggeringContinue(t *testing.T) {
 	for name, c := range map[string]struct {
 		end     error
 		expects bool
@@ -373,13 +373,13 @@
 		"broken before its half": {end: io.ErrUnexpectedEOF, want: ErrBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &script{end: c.end}
+			s := &scriptedBody{end: c.end}
 			for range c.parts {
 				s.parts = append(s.parts, make([]byte, Held))
 			}
 			from := s.source()
 			from.Expects = c.expects
-			u := upload(t, NewPool(2*Window), from)
+			u := newTestUpload(t, NewPool(2*Window), from)
 			if err := u.Exhaust(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) || u.Whole() != (c.want == nil) || len(s.parts) != c.left {
 				t.Errorf("%v, whole %v, %d parts left", err, u.Whole(), len(s.parts))
 			}
@@ -389,10 +389,10 @@
 }
 
 // A flow that nobody wants to hear more of waits neither for the caller nor for ever.
-func TestCloseDrainsWithinItsBounds(t *testing.T) {
+func TestCloseDrainsWithinTimeAndByteLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{parts: [][]byte{make([]byte, 300<<10), {1}}, gate: make(chan struct{})}
-		u := upload(t, NewPool(2*Window), s.source())
+		s := &scriptedBody{parts: [][]byte{make([]byte, 300<<10), {1}}, gate: make(chan struct{})}
+		u := newTestUpload(t, NewPool(2*Window), s.source())
 		go func() {
 			for range 100 {
 				select {
@@ -401,7 +401,7 @@
 				}
 			}
 		}()
-		f, _ := u.Begin()
+		f, _ := u.NewFlow()
 		if _, err := f.Next(); err != nil {
 			t.Error(err)
 		}
@@ -415,7 +415,7 @@
 	})
 }
 
-func TestWriteEndsOnAPeerThatDoesNotRead(t *testing.T) {
+func TestWriteEndsWhenPeerDoesNotReadOrStopped(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/body/write.go
+++ b/internal/body/write.go
@@ -19,7 +19,7 @@
 func Write(nc net.Conn, m *Meter, stopped func() bool, buffers net.Buffers) (sent int64, err error) {
 	for len(buffers) > 0 {
 		began := time.Now()
-		if at, anew := m.Limit(began); anew {
+		if at, anew := m.Deadline(began); anew {
 			if err := nc.SetWriteDeadline(at); err != nil {
 				return sent, err
 			}
@@ -29,14 +29,14 @@
 		}
 		n, err := buffers.WriteTo(nc)
 		sent += n
-		m.Moved(int(n), time.Since(began))
+		m.Record(int(n), time.Since(began))
 		switch {
 		case err == nil:
 		case stopped():
 			return sent, ErrStopped
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return sent, err
-		case n == 0 || m.Wait() == 0:
+		case n == 0 || m.MaxWait() == 0:
 			return sent, ErrSlow
 		}
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,7 +14,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-func testUpstream(t *testing.T, addrs ...string) *Client {
+func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
 	u := New(Options{Idle: time.Minute, Dial: testpeer.Patience, Most: 100, OnlyOK: true})
 	for i, addr := range addrs {
@@ -24,18 +24,18 @@
 	return u
 }
 
-func get(path string) *Message {
+func getRequest(path string) *Message {
 	return &Message{Method: http.MethodGet, Target: path, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
-func ctxFor(t *testing.T, d time.Duration) context.Context {
+func contextFor(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestAnAnswerTellsTheOutcome(t *testing.T) {
+func TestResponseDecidesResult(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, row := range map[string]struct {
 		says string
@@ -73,7 +73,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := testpeer.NewEndpoint(t, testpeer.Says(row.says, row.stay))
-			result, _, a := testUpstream(t, e.Addr).Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{})
+			result, _, a := newTestClient(t, e.Addr).Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{})
 			if result != row.want {
 				t.Errorf("outcome %v, want %v", result, row.want)
 			}
@@ -87,32 +87,32 @@
 	}
 }
 
-func TestNoConnectionIsConnectFailed(t *testing.T) {
+func TestNoConnectionIsConnectFailedOrNotSent(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestClient(t, e.Addr)
 	u.dialTimeout = time.Nanosecond
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.ConnectFailed {
+	if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("never up: %v", r)
 	}
 	e.Listener.Close()
 	u.dialTimeout = testpeer.Patience
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.ConnectFailed {
+	if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "unlisted", get("/c"), AttemptHooks{}); r != balance.NotSent {
+	if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "unlisted", getRequest("/c"), AttemptHooks{}); r != balance.NotSent {
 		t.Errorf("no address: %v", r)
 	}
-	u.o.Most = 0 // a shortage here must not count against the endpoint
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.NotSent {
+	u.options.Most = 0 // a shortage here must not count against the endpoint
+	if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.NotSent {
 		t.Errorf("no descriptors: %v", r)
 	}
-	if u.open != 0 {
-		t.Errorf("%d descriptors are still counted", u.open)
+	if u.openCount != 0 {
+		t.Errorf("%d descriptors are still counted", u.openCount)
 	}
 }
 
 // A request whose last byte was not written can't have run.
-func TestABreakWhileWritingIsConnectFailed(t *testing.T) {
+func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,15 +127,15 @@
 			nc.Close() // with bytes unread: a reset
 		}
 	}()
-	m := get("/c")
+	m := getRequest("/c")
 	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _, _ := testUpstream(t, l.Addr().String()).Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.ConnectFailed {
+	if r, _, _ := newTestClient(t, l.Addr().String()).Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
 // The connection must be closed before the outcome is known: the next attempt would be a second one out.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+func TestConnectionIsClosedBeforeTimeoutOrCancelIsReported(t *testing.T) {
 	for _, want := range []balance.Result{balance.TimedOut, balance.Canceled} {
 		came, closed := make(chan bool, 1), make(chan error, 1)
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -144,19 +144,19 @@
 			closed <- err
 			return false
 		})
-		u := testUpstream(t, e.Addr)
+		u := newTestClient(t, e.Addr)
 		ctx, cancel := context.WithTimeout(context.Background(), testpeer.Patience)
 		if want == balance.TimedOut {
 			ctx, cancel = context.WithTimeout(context.Background(), 300*time.Millisecond)
 		} else {
 			go func() { <-came; cancel() }()
 		}
-		r, _, _ := u.Attempt(ctx, "a", get("/c"), AttemptHooks{})
+		r, _, _ := u.Attempt(ctx, "a", getRequest("/c"), AttemptHooks{})
 		cancel()
 		if r != want {
 			t.Errorf("outcome %v, want %v", r, want)
 		}
-		if u.open != 0 {
+		if u.openCount != 0 {
 			t.Errorf("%v: the connection is still open", want)
 		}
 		if err := <-closed; err == nil {
@@ -166,7 +166,7 @@
 }
 
 // net/http's Transport would send these again by itself.
-func TestABrokenReusedConnectionIsNotResent(t *testing.T) {
+func TestResetOfReusedConnectionIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 			if n > 1 {
@@ -175,14 +175,14 @@
 			io.WriteString(nc, testpeer.Served)
 			return true
 		})
-		u := testUpstream(t, e.Addr)
-		m := get("/c")
+		u := newTestClient(t, e.Addr)
+		m := getRequest("/c")
 		m.Method = method
 		m.Header.Set("Idempotency-Key", "k")
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK {
 			t.Fatalf("first: %v", r)
 		}
-		if r, reused, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.Reset || !reused {
+		if r, reused, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.Reset || !reused {
 			t.Errorf("%s on a connection that broke: %v, reused %v", method, r, reused)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
@@ -192,7 +192,7 @@
 }
 
 // until polls for what the kernel does in its own time.
-func TestADeadIdleConnectionIsNotPicked(t *testing.T) {
+func TestDeadIdleConnectionIsNotReused(t *testing.T) {
 	for name, behind := range map[string]string{"closed": "", "bytes that nobody asked for": "x"} {
 		answered := make(chan bool, 1)
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -203,13 +203,13 @@
 			}
 			return n > 1
 		})
-		u := testUpstream(t, e.Addr)
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
+		u := newTestClient(t, e.Addr)
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		answered <- true
-		testpeer.Until(t, name, func() bool { idle := u.pools["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
+		testpeer.Until(t, name, func() bool { idle := u.pools["a"].idle; return len(idle) == 0 || !idle[0].isQuiet() })
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Errorf("%s: second: %v", name, r)
 		}
 		if c := e.Connections.Load(); c != 2 {
@@ -218,13 +218,13 @@
 	}
 }
 
-func TestConnectionsAreReusedAndRetired(t *testing.T) {
+func TestConnectionsAreReusedUntilStaleMovedOrDraining(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	other := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestClient(t, e.Addr)
 	try := func(want int32) {
 		t.Helper()
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("outcome %v", r)
 		}
 		if c := e.Connections.Load(); c != want {
@@ -233,36 +233,36 @@
 	}
 	try(1)
 	try(1)
-	u.pools["a"].idle[0].idleAt = time.Now().Add(-u.idleFor) // the endpoint may close it any moment
+	u.pools["a"].idle[0].idleSince = time.Now().Add(-u.maxIdleAge) // the endpoint may close it any moment
 	try(2)
 	u.SetMember("a", other.Addr, true) // moved: the old connection leads elsewhere
 	try(2)
-	if c := other.Connections.Load(); c != 1 || u.open != 1 {
-		t.Errorf("%d connections to the new address, %d open", c, u.open)
+	if c := other.Connections.Load(); c != 1 || u.openCount != 1 {
+		t.Errorf("%d connections to the new address, %d open", c, u.openCount)
 	}
 	u.SetMember("a", other.Addr, false)
-	if u.open != 0 {
-		t.Errorf("%d connections to an endpoint that drains", u.open)
+	if u.openCount != 0 {
+		t.Errorf("%d connections to an endpoint that drains", u.openCount)
 	}
 }
 
-func TestIdleConnectionsGiveWayToNewOnes(t *testing.T) {
+func TestOldestIdleConnectionIsEvictedAtLimit(t *testing.T) {
 	e, f := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true)), testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	u := testUpstream(t, e.Addr, f.Addr)
-	u.o.Most = 1
+	u := newTestClient(t, e.Addr, f.Addr)
+	u.options.Most = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), id, get("/c"), AttemptHooks{}); r != balance.OK {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), id, getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Errorf("%s: %v", id, r)
 		}
-		if u.open != 1 {
-			t.Errorf("%d open", u.open)
+		if u.openCount != 1 {
+			t.Errorf("%d open", u.openCount)
 		}
 	}
 }
 
 // A second copy of an answer that comes just behind the first must not pass for the answer to the next request, though
 // the first brought nothing more with it and the next request is there at once.
-func TestASecondCopyIsNotTheNextAnswer(t *testing.T) {
+func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	answered := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.Header.Get("Req-Id")
@@ -273,12 +273,12 @@
 		}
 		return true
 	})
-	u := testUpstream(t, e.Addr)
-	u.settle = time.Second
+	u := newTestClient(t, e.Addr)
+	u.restPeriod = time.Second
 	for _, id := range []string{"r1", "r2"} {
-		m := get("/c")
+		m := getRequest("/c")
 		m.Header.Set("Req-Id", id)
-		if r, _, a := u.Attempt(ctxFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK || string(a.Body) != id {
+		if r, _, a := u.Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{}); r != balance.OK || string(a.Body) != id {
 			t.Errorf("request %s: %v, answer %q", id, r, a.Body)
 		}
 		if id == "r1" {
@@ -292,7 +292,7 @@
 
 // A second copy that comes some milliseconds late is not taken for the next answer: nothing of the next request is written before
 // it would have come.
-func TestNothingIsWrittenWhileASecondCopyMayCome(t *testing.T) {
+func TestConnectionRestsBeforeNextRequest(t *testing.T) {
 	const latest = 6 * time.Millisecond // of those that were measured
 	var answered, asked time.Time
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -302,9 +302,9 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	u := testUpstream(t, e.Addr)
+	u := newTestClient(t, e.Addr)
 	for range 2 {
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatal(r)
 		}
 	}
@@ -314,7 +314,7 @@
 }
 
 // What a request says of its time counts from when it goes out, and not from when its connection was asked for.
-func TestTheDeadlineToldIsWhatIsLeftWhenTheConnectionIsUp(t *testing.T) {
+func TestDeadlineHeaderExcludesTimeSpentDialing(t *testing.T) {
 	const limit, dial = 10 * time.Second, 50 * time.Millisecond
 	told := make(chan string, 1)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
@@ -323,15 +323,15 @@
 		return true
 	})
 	began := time.Now()
-	u := testUpstream(t, e.Addr)
-	connect := u.o.Connect
-	u.o.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	u := newTestClient(t, e.Addr)
+	connect := u.options.Connect
+	u.options.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		testpeer.Until(t, "the dial has lasted", func() bool { return time.Since(began) > dial })
 		return connect(ctx, network, addr)
 	}
-	m := get("/c")
+	m := getRequest("/c")
 	m.DeadlineName = "Req-Deadline-Ms"
-	if r, _, _ := u.Attempt(ctxFor(t, limit), "a", m, AttemptHooks{}); r != balance.OK {
+	if r, _, _ := u.Attempt(contextFor(t, limit), "a", m, AttemptHooks{}); r != balance.OK {
 		t.Fatal(r)
 	}
 	if ms, err := strconv.Atoi(<-told); err != nil || time.Duration(ms)*time.Millisecond > limit-dial+time.Millisecond {
@@ -341,39 +341,39 @@
 
 // A connection that was taken for a request which nobody wanted any more is no younger for it: its endpoint closes it all the same,
 // perhaps under the next request.
-func TestAConnectionThatWasNotUsedIsNoYounger(t *testing.T) {
+func TestUnusedConnectionKeepsItsIdleAge(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	u := testUpstream(t, e.Addr)
-	u.idleFor = 200 * time.Millisecond
+	u := newTestClient(t, e.Addr)
+	u.maxIdleAge = 200 * time.Millisecond
 	attempt := func(wanted bool, want balance.Result) {
 		t.Helper()
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{Wanted: func() bool { return wanted }}); r != want {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{Wanted: func() bool { return wanted }}); r != want {
 			t.Fatalf("%v, want %v", r, want)
 		}
 	}
 	attempt(true, balance.OK)
 	answered := time.Now()
-	testpeer.Until(t, "half of the time is over", func() bool { return time.Since(answered) > u.idleFor/2 })
+	testpeer.Until(t, "half of the time is over", func() bool { return time.Since(answered) > u.maxIdleAge/2 })
 	attempt(false, balance.NotSent)
-	testpeer.Until(t, "all of it is", func() bool { return time.Since(answered) > u.idleFor })
+	testpeer.Until(t, "all of it is", func() bool { return time.Since(answered) > u.maxIdleAge })
 	attempt(true, balance.OK)
 	if n := e.Connections.Load(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-func TestOnlyAConnectionThatStandsIsIdle(t *testing.T) {
+func TestHasIdleSeesClosedConnection(t *testing.T) {
 	release := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(nc, testpeer.Served)
 		<-release
 		return false
 	})
-	u := testUpstream(t, e.Addr)
+	u := newTestClient(t, e.Addr)
 	if u.HasIdle("a") || u.HasIdle("unknown") {
 		t.Error("idle before the first attempt")
 	}
-	if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/look"), AttemptHooks{}); r != balance.OK {
+	if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/look"), AttemptHooks{}); r != balance.OK {
 		t.Fatal(r)
 	}
 	if !u.HasIdle("a") {
@@ -383,20 +383,20 @@
 	testpeer.Until(t, "the close is seen", func() bool { return !u.HasIdle("a") })
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d open after the close", u.open)
+	if u.openCount != 0 {
+		t.Errorf("%d open after the close", u.openCount)
 	}
 }
 
 // Where connections are opened rather than waited for, one that rests holds nobody up, as long as there may be more.
-func TestARestingConnectionIsNotWaitedFor(t *testing.T) {
+func TestSpreadDialsInsteadOfWaitingForRest(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	for _, most := range []int{1, 2} {
 		u := New(Options{Idle: time.Minute, Dial: testpeer.Patience, Most: most, Spread: true})
-		u.settle = 30 * time.Millisecond
+		u.restPeriod = 30 * time.Millisecond
 		u.SetMember("a", e.Addr, true)
 		for range 2 {
-			if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/x"), AttemptHooks{}); r != balance.OK {
+			if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/x"), AttemptHooks{}); r != balance.OK {
 				t.Errorf("result %v", r)
 			}
 		}
@@ -407,23 +407,23 @@
 	}
 }
 
-// woken is the context of an attempt in a process that has just been woken: its time is up, and its timer has not rung yet.
-type woken struct{ context.Context }
+// wokenContext is the context of an attempt in a process that has just been woken: its time is up, and its timer has not rung yet.
+type wokenContext struct{ context.Context }
 
-func (woken) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
-func (woken) Done() <-chan struct{}       { return nil }
-func (woken) Err() error                  { return nil }
+func (wokenContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (wokenContext) Done() <-chan struct{}       { return nil }
+func (wokenContext) Err() error                  { return nil }
 
 // What waited for a connection while the process was stopped is not sent when it wakes, whether the connection is new or has
 // rested.
-func TestNothingIsSentWhoseTimeIsUp(t *testing.T) {
+func TestNothingIsSentPastDeadlineAfterProcessPause(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestClient(t, e.Addr)
 	for _, connection := range []string{"new", "rested"} {
-		if r, _, _ := u.Attempt(woken{context.Background()}, "a", get("/late"), AttemptHooks{}); r != map[string]balance.Result{"new": balance.ConnectFailed, "rested": balance.NotSent}[connection] {
+		if r, _, _ := u.Attempt(wokenContext{context.Background()}, "a", getRequest("/late"), AttemptHooks{}); r != map[string]balance.Result{"new": balance.ConnectFailed, "rested": balance.NotSent}[connection] {
 			t.Errorf("on a %s connection: %v", connection, r)
 		}
-		if r, _, _ := u.Attempt(ctxFor(t, testpeer.Patience), "a", get("/c"), AttemptHooks{}); r != balance.OK {
+		if r, _, _ := u.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{}); r != balance.OK {
 			t.Fatalf("%v", r)
 		}
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// MaxBody is how many bytes of a request or an answer are held whole.
-	MaxBody = body.Window
-	// MaxHead is how many bytes the head of an answer may have, with those ahead of the one that counts.
-	MaxHead     = 16 << 10
-	maxAnswered = 8 << 10                // of an answer's head
-	maxInterim  = 8                      // 1xx answers ahead of the one that counts
-	answerWhole = 500 * time.Millisecond // from an answer's first byte to its last
-	sweepEvery  = time.Second
-	defaultIdle = 15 * time.Second
-	defaultDial = 250 * time.Millisecond
-	idleShare   = 0.9 // of the endpoint's idle limit, after which a connection is no longer used
-	// restAfter is the rest of a connection between an answer and the next request: nearly twice the latest of 286 second copies that
+	// MaxBufferedBody is how many bytes of a request or an answer are held whole.
+	MaxBufferedBody = body.Window
+	// MaxHeads is how many bytes the head of an answer may have, with those ahead of the one that counts.
+	MaxHeads                = 16 << 10
+	maxResponseHead         = 8 << 10                // of an answer's head
+	maxInterimResponses     = 8                      // 1xx answers ahead of the one that counts
+	bufferedResponseTimeout = 500 * time.Millisecond // from an answer's first byte to its last
+	sweepInterval           = time.Second
+	defaultIdleTimeout      = 15 * time.Second
+	defaultDialTimeout      = 250 * time.Millisecond
+	idleTimeoutFraction     = 0.9 // of the endpoint's idle limit, after which a connection is no longer used
+	// restPeriod is the rest of a connection between an answer and the next request: nearly twice the latest of 286 second copies that
 	// were measured at the platform's endpoints, which came 0.7 to 5.7 ms after the first. Where connections are opened rather than waited
 	// for, no such copy was ever seen, and as long a rest costs a fifth of the rate at 16 and 64 callers.
-	restAfter  = 10 * time.Millisecond
-	restSpread = 2 * time.Millisecond
-	declined   = "Srv-Declined"
+	restPeriod       = 10 * time.Millisecond
+	restPeriodSpread = 2 * time.Millisecond
+	declinedHeader   = "Srv-Declined"
 )
 
 // Message is a request as it goes on to endpoints.
@@ -91,60 +91,60 @@
 // Client makes attempts over connections of its own. net/http's Transport is not used: it sends some requests
 // again by itself when a reused connection breaks, which is a second copy, and dials spare connections.
 type Client struct {
-	idleFor, dialTimeout time.Duration
-	settle               time.Duration // rest of a connection after an answer
-	o                    Options
+	maxIdleAge, dialTimeout time.Duration
+	restPeriod              time.Duration // rest of a connection after an answer
+	options                 Options
 
-	mu     sync.Mutex
-	open   int
-	pools  map[string]*pool // by endpoint id
-	barred map[string]bool  // endpoints that nothing new may go to, listed or not
+	mu        sync.Mutex
+	openCount int
+	pools     map[string]*endpointPool // by endpoint id
+	ejected   map[string]bool          // endpoints that nothing new may go to, listed or not
 }
 
-// pool holds the idle connections to one endpoint, the one used last at the end.
-type pool struct {
-	addr   string
-	wanted bool // it takes new requests, by the list
-	keep   bool // and operators have not taken it out: then its connections are worth keeping, too
-	idle   []*conn
+// endpointPool holds the idle connections to one endpoint, the one used last at the end.
+type endpointPool struct {
+	address         string
+	isListed        bool // it takes new requests, by the list
+	acceptsRequests bool // and operators have not taken it out: then its connections are worth keeping, too
+	idle            []*conn
 }
 
 // conn is one connection; it carries one attempt at a time.
 type conn struct {
 	net.Conn
-	raw    syscall.RawConn
-	limit  *io.LimitedReader // bounds what one answer may bring
-	read   *bufio.Reader
-	pool   *pool
-	addr   string
-	idleAt time.Time
-	closes bool // the head read last says that the connection ends with the answer
+	rawConn             syscall.RawConn
+	byteLimit           *io.LimitedReader // bounds what one answer may bring
+	reader              *bufio.Reader
+	pool                *endpointPool
+	address             string
+	idleSince           time.Time
+	closesAfterResponse bool // the head read last says that the connection ends with the answer
 }
 
 // New makes a Client.
 func New(o Options) *Client {
 	if o.Idle <= 0 {
-		o.Idle = defaultIdle
+		o.Idle = defaultIdleTimeout
 	}
 	if o.Dial <= 0 {
-		o.Dial = defaultDial
+		o.Dial = defaultDialTimeout
 	}
 	if o.Connect == nil {
 		o.Connect = (&net.Dialer{}).DialContext
 	}
-	settle := restAfter
+	settle := restPeriod
 	if o.Spread {
-		settle = restSpread
+		settle = restPeriodSpread
 	}
-	return &Client{idleFor: time.Duration(float64(o.Idle) * idleShare), dialTimeout: o.Dial, settle: settle, o: o,
-		pools: map[string]*pool{}, barred: map[string]bool{}}
+	return &Client{maxIdleAge: time.Duration(float64(o.Idle) * idleTimeoutFraction), dialTimeout: o.Dial, restPeriod: settle, options: o,
+		pools: map[string]*endpointPool{}, ejected: map[string]bool{}}
 }
 
 // SetMaxConnections changes how many connections may be open at once. Idle ones beyond it are closed.
 func (u *Client) SetMaxConnections(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.o.Most = most; u.open > most && u.evict(); {
+	for u.options.Most = most; u.openCount > most && u.evictOldest(); {
 	}
 }
 
@@ -155,13 +155,13 @@
 	defer u.mu.Unlock()
 	p := u.pools[id]
 	if p == nil {
-		p = &pool{}
+		p = &endpointPool{}
 		u.pools[id] = p
 	}
-	if p.addr != addr || !keep {
-		u.drain(p)
+	if p.address != addr || !keep {
+		u.closeIdle(p)
 	}
-	p.addr, p.wanted, p.keep = addr, keep, keep && !u.barred[id]
+	p.address, p.isListed, p.acceptsRequests = addr, keep, keep && !u.ejected[id]
 }
 
 // SetEjected keeps everything new from an endpoint, whatever SetMember says, or no longer does. An attempt that has written
@@ -169,24 +169,24 @@
 func (u *Client) SetEjected(id string, out bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if delete(u.barred, id); out {
-		u.barred[id] = true
+	if delete(u.ejected, id); out {
+		u.ejected[id] = true
 	}
 	p := u.pools[id]
 	if p == nil {
 		return
 	}
-	if p.keep = p.wanted && !out; out {
-		u.drain(p)
+	if p.acceptsRequests = p.isListed && !out; out {
+		u.closeIdle(p)
 	}
 }
 
-// takes tells whether an endpoint still takes new requests, where a connection leads.
-func (u *Client) takes(id string, c *conn) bool {
+// isAccepting tells whether an endpoint still takes new requests, where a connection leads.
+func (u *Client) isAccepting(id string, c *conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	p := u.pools[id]
-	return p != nil && p == c.pool && p.keep && p.addr == c.addr
+	return p != nil && p == c.pool && p.acceptsRequests && p.address == c.address
 }
 
 // RemoveMember forgets an endpoint.
@@ -194,14 +194,14 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if p := u.pools[id]; p != nil {
-		u.drain(p)
-		p.keep = false
+		u.closeIdle(p)
+		p.acceptsRequests = false
 		delete(u.pools, id)
 	}
 }
 
-// drain closes a pool's idle connections. u.mu is held.
-func (u *Client) drain(p *pool) {
+// closeIdle closes a pool's idle connections. u.mu is held.
+func (u *Client) closeIdle(p *endpointPool) {
 	for _, c := range p.idle {
 		u.closeLocked(c)
 	}
@@ -210,7 +210,7 @@
 
 func (u *Client) closeLocked(c *conn) {
 	c.Close()
-	u.open--
+	u.openCount--
 }
 
 func (u *Client) discard(c *conn) {
@@ -221,7 +221,7 @@
 
 // Run closes idle connections that have died or stood too long, until ctx ends; then it closes all idle ones.
 func (u *Client) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -229,7 +229,7 @@
 			u.sweep(func(*conn) bool { return false })
 			return
 		case <-tick.C:
-			u.sweep(u.usable)
+			u.sweep(u.isUsable)
 		}
 	}
 }
@@ -251,11 +251,11 @@
 	}
 }
 
-// quiet tells whether nothing has come on an idle connection: no end, no break, no bytes that nobody asked for. It
+// isQuiet tells whether nothing has come on an idle connection: no end, no break, no bytes that nobody asked for. It
 // guards against sending on a connection that the endpoint has closed, which would end as a reset.
-func (c *conn) quiet() bool {
+func (c *conn) isQuiet() bool {
 	quiet := false
-	err := c.raw.Control(func(fd uintptr) {
+	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
@@ -263,8 +263,8 @@
 	return err == nil && quiet
 }
 
-// usable tells whether an idle connection may carry the next attempt.
-func (u *Client) usable(c *conn) bool { return time.Since(c.idleAt) < u.idleFor && c.quiet() }
+// isUsable tells whether an idle connection may carry the next attempt.
+func (u *Client) isUsable(c *conn) bool { return time.Since(c.idleSince) < u.maxIdleAge && c.isQuiet() }
 
 // HasIdle tells whether an idle connection to the endpoint is usable, by a look at it: most that are closed while idle
 // are closed between two sweeps. Those found dead on the way go.
@@ -277,7 +277,7 @@
 	}
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
-		if u.usable(c) {
+		if u.isUsable(c) {
 			return true
 		}
 		u.closeLocked(c)
@@ -287,10 +287,10 @@
 	return false
 }
 
-// take returns an idle connection to the endpoint, or else dials one, and the request's text: made last, since it says how much time
+// acquire returns an idle connection to the endpoint, or else dials one, and the request's text: made last, since it says how much time
 // is left. Nothing in an answer shows which request it belongs to: whatever comes before ours is written must be seen before, and the
 // connection dropped. A second copy may come a little after the first, so a connection rests for a moment, and is looked at last thing.
-func (u *Client) take(ctx context.Context, id string, m *Message) (*conn, []byte, error) {
+func (u *Client) acquire(ctx context.Context, id string, m *Message) (*conn, []byte, error) {
 	for {
 		p, addr, c, err := u.reserve(id)
 		if err != nil {
@@ -300,16 +300,16 @@
 			if c, err = u.dial(ctx, p, addr); err != nil {
 				return nil, nil, err
 			}
-			return c, m.bytes(ctx), nil
+			return c, m.encode(ctx), nil
 		}
-		if rest := u.settle - time.Since(c.idleAt); rest > 0 {
+		if rest := u.restPeriod - time.Since(c.idleSince); rest > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(rest):
 			}
 		}
-		text := m.bytes(ctx)
-		if u.usable(c) {
+		text := m.encode(ctx)
+		if u.isUsable(c) {
 			return c, text, nil
 		}
 		u.discard(c)
@@ -317,10 +317,10 @@
 }
 
 // dial opens a connection for which reserve has given the right.
-func (u *Client) dial(ctx context.Context, p *pool, addr string) (c *conn, err error) {
+func (u *Client) dial(ctx context.Context, p *endpointPool, addr string) (c *conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, u.dialTimeout)
 	defer cancel()
-	nc, err := u.o.Connect(ctx, "tcp", addr)
+	nc, err := u.options.Connect(ctx, "tcp", addr)
 	if err == nil {
 		if c, err = newConn(nc, p, addr); err == nil {
 			return c, nil
@@ -329,52 +329,52 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.open--
+	u.openCount--
 	return nil, err
 }
 
-func newConn(nc net.Conn, p *pool, addr string) (*conn, error) {
+func newConn(nc net.Conn, p *endpointPool, addr string) (*conn, error) {
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	limit := &io.LimitedReader{R: nc}
-	return &conn{Conn: nc, raw: raw, limit: limit, read: bufio.NewReaderSize(limit, maxAnswered), pool: p, addr: addr}, nil
+	return &conn{Conn: nc, rawConn: raw, byteLimit: limit, reader: bufio.NewReaderSize(limit, maxResponseHead), pool: p, address: addr}, nil
 }
 
 // reserve takes the idle connection used last of those that have rested, if there is one, or the right to open one to
 // the address returned.
-func (u *Client) reserve(id string) (*pool, string, *conn, error) {
+func (u *Client) reserve(id string) (*endpointPool, string, *conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	p := u.pools[id]
 	switch {
 	case p == nil:
-		return nil, "", nil, errNoAddress
-	case !p.keep:
-		return nil, "", nil, errToldOff
+		return nil, "", nil, errUnknownEndpoint
+	case !p.acceptsRequests:
+		return nil, "", nil, errNotAccepting
 	}
 	i := len(p.idle) - 1
-	for i > 0 && time.Since(p.idle[i].idleAt) < u.settle {
+	for i > 0 && time.Since(p.idle[i].idleSince) < u.restPeriod {
 		i--
 	}
-	if i >= 0 && (!u.o.Spread || u.open >= u.o.Most || time.Since(p.idle[i].idleAt) >= u.settle) {
+	if i >= 0 && (!u.options.Spread || u.openCount >= u.options.Most || time.Since(p.idle[i].idleSince) >= u.restPeriod) {
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
-		return p, p.addr, c, nil
+		return p, p.address, c, nil
 	}
-	if u.open >= u.o.Most && !u.evict() {
-		return nil, "", nil, errNoDescriptors
+	if u.openCount >= u.options.Most && !u.evictOldest() {
+		return nil, "", nil, errConnectionLimit
 	}
-	u.open++
-	return p, p.addr, nil, nil
+	u.openCount++
+	return p, p.address, nil, nil
 }
 
-// evict closes the connection that has been idle longest, wherever it leads. u.mu is held.
-func (u *Client) evict() bool {
-	var oldest *pool
+// evictOldest closes the connection that has been idle longest, wherever it leads. u.mu is held.
+func (u *Client) evictOldest() bool {
+	var oldest *endpointPool
 	for _, p := range u.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleAt.Before(oldest.idle[0].idleAt)) {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = p
 		}
 	}
@@ -386,20 +386,20 @@
 	return true
 }
 
-// giveBack keeps a connection for the next attempt, if the endpoint is still where it leads. One that was taken and not used goes on
+// release keeps a connection for the next attempt, if the endpoint is still where it leads. One that was taken and not used goes on
 // being as old as it was: so the endpoint counts.
-func (u *Client) giveBack(c *conn, used bool) {
+func (u *Client) release(c *conn, used bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !c.pool.keep || c.pool.addr != c.addr {
+	if !c.pool.acceptsRequests || c.pool.address != c.address {
 		u.closeLocked(c)
 		return
 	}
-	if used || c.idleAt.IsZero() {
-		c.idleAt = time.Now()
+	if used || c.idleSince.IsZero() {
+		c.idleSince = time.Now()
 	}
 	i := len(c.pool.idle)
-	for i > 0 && c.pool.idle[i-1].idleAt.After(c.idleAt) {
+	for i > 0 && c.pool.idle[i-1].idleSince.After(c.idleSince) {
 		i--
 	}
 	c.pool.idle = slices.Insert(c.pool.idle, i, c)
@@ -409,27 +409,27 @@
 // Attempt returns: no second attempt can be out beside this one. It tells whether the connection had served before.
 // Once Watch.Begun has taken an answer, ctx rules no more, and Attempt returns when the answer's Stream is closed.
 func (u *Client) Attempt(ctx context.Context, id string, m *Message, w AttemptHooks) (r balance.Result, reused bool, a Response) {
-	c, text, err := u.take(ctx, id, m)
+	c, text, err := u.acquire(ctx, id, m)
 	switch {
 	case err != nil:
-	case !u.takes(id, c): // told so while it came up, or rested
+	case !u.isAccepting(id, c): // told so while it came up, or rested
 		u.discard(c)
-		err = errToldOff
-	case late(ctx):
+		err = errNotAccepting
+	case isPastDeadline(ctx):
 		u.discard(c)
-		err = errLate
+		err = errPastDeadline
 	case w.Wanted != nil && !w.Wanted():
-		u.giveBack(c, false)
-		err = errUnwanted
+		u.release(c, false)
+		err = errNotWanted
 	}
 	if err != nil {
-		return unlessCanceled(ctx, notConnected(err)), false, Response{}
+		return unlessCanceled(ctx, connectResult(err)), false, Response{}
 	}
-	reused = !c.idleAt.IsZero()
-	x := &exchange{u: u, c: c, m: m, watch: w, stop: context.AfterFunc(ctx, func() { c.Close() })}
+	reused = !c.idleSince.IsZero()
+	x := &exchange{client: u, conn: c, request: m, hooks: w, stopDeadline: context.AfterFunc(ctx, func() { c.Close() })}
 	r, a, reusable := x.run(ctx, text)
-	if reusable && (x.bound.Load() || x.stop()) {
-		u.giveBack(c, true)
+	if reusable && (x.isHandedOver.Load() || x.stopDeadline()) {
+		u.release(c, true)
 	} else {
 		u.discard(c)
 	}
@@ -437,23 +437,23 @@
 }
 
 var (
-	errNoAddress     = errors.New("no address is known")
-	errNoDescriptors = errors.New("all descriptors for endpoints are in use")
-	errToldOff       = errors.New("it takes nothing new")
-	errUnwanted      = errors.New("nobody wants it sent any more")
-	errLate          = errors.New("its time was up before anything was sent")
+	errUnknownEndpoint = errors.New("no address is known")
+	errConnectionLimit = errors.New("all descriptors for endpoints are in use")
+	errNotAccepting    = errors.New("it takes nothing new")
+	errNotWanted       = errors.New("nobody wants it sent any more")
+	errPastDeadline    = errors.New("its time was up before anything was sent")
 )
 
-// late tells whether an attempt's time is up, by the clock. In a process that was stopped while a connection came up or rested, what
+// isPastDeadline tells whether an attempt's time is up, by the clock. In a process that was stopped while a connection came up or rested, what
 // waited goes on before the timers ring that would have called it off.
-func late(ctx context.Context) bool {
+func isPastDeadline(ctx context.Context) bool {
 	ends, ok := ctx.Deadline()
 	return ctx.Err() != nil || ok && !time.Now().Before(ends)
 }
 
-// notConnected is the outcome where no connection came about. What is lacking here says nothing of the endpoint.
-func notConnected(err error) balance.Result {
-	for _, own := range []error{errNoAddress, errNoDescriptors, errToldOff, errLate, errUnwanted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
+// connectResult is the outcome where no connection came about. What is lacking here says nothing of the endpoint.
+func connectResult(err error) balance.Result {
+	for _, own := range []error{errUnknownEndpoint, errConnectionLimit, errNotAccepting, errPastDeadline, errNotWanted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, own) {
 			return balance.NotSent
 		}
@@ -469,18 +469,18 @@
 	return r
 }
 
-// errSpoilt is an answer that can't be what the endpoint made for the request.
-var errSpoilt = errors.New("a spoilt answer")
+// errMalformed is an answer that can't be what the endpoint made for the request.
+var errMalformed = errors.New("a spoilt answer")
 
-// broken is the outcome of an attempt whose last byte was written and whose whole answer has not come. A spoilt answer
+// brokenResult is the outcome of an attempt whose last byte was written and whose whole answer has not come. A spoilt answer
 // is an error of an endpoint that runs; only a broken connection may mean that it went down.
-func (c *conn) broken(ctx context.Context, err error) balance.Result {
+func (c *conn) brokenResult(ctx context.Context, err error) balance.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.TimedOut
 	case ctx.Err() != nil:
 		return balance.Canceled
-	case c.limit.N > 0 && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)):
+	case c.byteLimit.N > 0 && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)):
 		return balance.Reset
 	}
 	return balance.Errored
@@ -488,81 +488,81 @@
 
 // exchange is one request and its answer on a connection.
 type exchange struct {
-	u     *Client
-	c     *conn
-	m     *Message
-	watch AttemptHooks
-	stop  func() bool // lifts the attempt's limit of time; false if it is over
-	bound atomic.Bool // the answer is the caller's
+	client       *Client
+	conn         *conn
+	request      *Message
+	hooks        AttemptHooks
+	stopDeadline func() bool // lifts the attempt's limit of time; false if it is over
+	isHandedOver atomic.Bool // the answer is the caller's
 }
 
 // run writes the request and reads the answer.
 func (x *exchange) run(ctx context.Context, text []byte) (r balance.Result, a Response, reusable bool) {
-	if x.m.Upload != nil {
-		return x.upload(ctx, text)
+	if x.request.Upload != nil {
+		return x.runUpload(ctx, text)
 	}
 	// An endpoint begins a request when its last byte has come: one not written whole has not run. Others may begin with the
 	// first.
-	if n, _ := x.c.Write(text); n < len(text) {
-		if n > 0 && x.u.o.Begins == WithHead {
+	if n, _ := x.conn.Write(text); n < len(text) {
+		if n > 0 && x.client.options.Begins == WithHead {
 			return unlessCanceled(ctx, balance.Errored), Response{}, false
 		}
 		return unlessCanceled(ctx, balance.ConnectFailed), Response{}, false
 	}
-	x.sent()
-	resp, err := x.head(nil)
+	x.notifySent()
+	resp, err := x.awaitFinalHead(nil)
 	if err != nil {
-		return x.c.broken(ctx, err), Response{}, false
+		return x.conn.brokenResult(ctx, err), Response{}, false
 	}
-	return x.answer(ctx, resp)
+	return x.readResponse(ctx, resp)
 }
 
-// sent tells that the request's last byte was written.
-func (x *exchange) sent() {
-	if x.u.o.Sent != nil {
-		x.u.o.Sent()
+// notifySent tells that the request's last byte was written.
+func (x *exchange) notifySent() {
+	if x.client.options.Sent != nil {
+		x.client.options.Sent()
 	}
 }
 
-// answer reads the rest of an answer, and tells what it is.
-func (x *exchange) answer(ctx context.Context, resp *http.Response) (r balance.Result, a Response, reusable bool) {
-	if x.isLong(resp) {
-		return x.long(ctx, resp)
+// readResponse reads the rest of an answer, and tells what it is.
+func (x *exchange) readResponse(ctx context.Context, resp *http.Response) (r balance.Result, a Response, reusable bool) {
+	if x.isStreaming(resp) {
+		return x.streamResponse(ctx, resp)
 	}
-	text, err := readBody(resp)
+	text, err := readBufferedBody(resp)
 	if err == nil {
-		err = x.c.SetReadDeadline(time.Time{})
+		err = x.conn.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return x.c.broken(ctx, err), Response{}, false
+		return x.conn.brokenResult(ctx, err), Response{}, false
 	}
-	return x.told(resp, text)
+	return x.classify(resp, text)
 }
 
-// told is what a whole answer tells.
-func (x *exchange) told(resp *http.Response, text []byte) (r balance.Result, a Response, reusable bool) {
-	onlyOK := x.u.o.OnlyOK
-	reusable = !resp.Close && x.c.read.Buffered() == 0
+// classify is what a whole answer tells.
+func (x *exchange) classify(resp *http.Response, text []byte) (r balance.Result, a Response, reusable bool) {
+	onlyOK := x.client.options.OnlyOK
+	reusable = !resp.Close && x.conn.reader.Buffered() == 0
 	a = Response{Status: resp.StatusCode, Header: resp.Header, Body: text}
 	switch {
-	case x.u.isAnswer(resp.StatusCode):
+	case x.client.isAcceptable(resp.StatusCode):
 		return balance.OK, a, reusable
-	case isUnavailable(resp.StatusCode) && resp.Header.Get(declined) == "1":
+	case isUnavailable(resp.StatusCode) && resp.Header.Get(declinedHeader) == "1":
 		return balance.Full, Response{}, reusable
-	case onlyOK || isPromise(resp.StatusCode):
+	case onlyOK || promisesNotRun(resp.StatusCode):
 		return balance.Errored, Response{}, reusable
 	}
 	return balance.Errored, a, reusable
 }
 
-// isAnswer tells whether a status is what the endpoint makes of the request, and not its own failure.
-func (u *Client) isAnswer(status int) bool {
-	return status == http.StatusOK || !u.o.OnlyOK && status < http.StatusInternalServerError && !isPromise(status)
+// isAcceptable tells whether a status is what the endpoint makes of the request, and not its own failure.
+func (u *Client) isAcceptable(status int) bool {
+	return status == http.StatusOK || !u.options.OnlyOK && status < http.StatusInternalServerError && !promisesNotRun(status)
 }
 
-// isPromise tells whether a caller would take a status for the promise that nothing has run. An endpoint's word is not
+// promisesNotRun tells whether a caller would take a status for the promise that nothing has run. An endpoint's word is not
 // enough for that: another attempt may have run.
-func isPromise(status int) bool {
+func promisesNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -570,25 +570,25 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// head reads up to the head of the answer that counts. One without a length ends with its connection, if it says so (RFC
+// awaitFinalHead reads up to the head of the answer that counts. One without a length ends with its connection, if it says so (RFC
 // 9112, 6.3); else it could end early unseen, and is not taken for whole. Once it has begun it must come at once: a spoilt one may never end, and its connection stays open. interim is
 // told the status of each answer ahead.
-func (x *exchange) head(interim func(status int)) (*http.Response, error) {
-	c := x.c
-	c.limit.N = MaxHead + MaxBody
-	for range maxInterim {
-		if _, err := c.read.Peek(1); err != nil {
+func (x *exchange) awaitFinalHead(interim func(status int)) (*http.Response, error) {
+	c := x.conn
+	c.byteLimit.N = MaxHeads + MaxBufferedBody
+	for range maxInterimResponses {
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
-		if err := c.SetReadDeadline(time.Now().Add(x.u.whole())); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(x.client.responseTimeout())); err != nil {
 			return nil, err
 		}
-		resp, err := c.readHead(x.m.Method)
+		resp, err := c.readHead(x.request.Method)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK {
-			return resp, x.check(resp)
+			return resp, x.checkFraming(resp)
 		}
 		if interim != nil {
 			interim(resp.StatusCode)
@@ -597,35 +597,37 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: too many interim answers", errSpoilt)
+	return nil, fmt.Errorf("%w: too many interim answers", errMalformed)
 }
 
-// whole is how long an answer that is held whole may take from its first byte to its last.
-func (u *Client) whole() time.Duration { return max(answerWhole, u.o.Whole) }
+// responseTimeout is how long an answer that is held whole may take from its first byte to its last.
+func (u *Client) responseTimeout() time.Duration {
+	return max(bufferedResponseTimeout, u.options.Whole)
+}
 
 // readHead reads the head of one message: the answer, or an interim one.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	if err := c.checkHead(); err != nil {
+	if err := c.awaitHead(); err != nil {
 		return nil, err
 	}
-	resp, err := http.ReadResponse(c.read, &http.Request{Method: method})
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode < 100 || resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, fmt.Errorf("%w: status %d", errSpoilt, resp.StatusCode)
+		return nil, fmt.Errorf("%w: status %d", errMalformed, resp.StatusCode)
 	}
 	return resp, nil
 }
 
-// check turns away what can't be taken, by its head.
-func (x *exchange) check(resp *http.Response) error {
+// checkFraming turns away what can't be taken, by its head.
+func (x *exchange) checkFraming(resp *http.Response) error {
 	switch {
-	case hasNoBody(x.m.Method, resp):
-	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !x.c.closes:
-		return fmt.Errorf("%w: no length", errSpoilt)
-	case resp.ContentLength > MaxBody && !x.isLong(resp), x.u.o.Answer > 0 && resp.ContentLength > x.u.o.Answer:
-		return fmt.Errorf("%w: length %d", errSpoilt, resp.ContentLength)
+	case hasNoBody(x.request.Method, resp):
+	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !x.conn.closesAfterResponse:
+		return fmt.Errorf("%w: no length", errMalformed)
+	case resp.ContentLength > MaxBufferedBody && !x.isStreaming(resp), x.client.options.Answer > 0 && resp.ContentLength > x.client.options.Answer:
+		return fmt.Errorf("%w: length %d", errMalformed, resp.ContentLength)
 	}
 	return nil
 }
@@ -634,32 +636,32 @@
 	return method == http.MethodHead || resp.Body == http.NoBody
 }
 
-// readBody reads a body that is held whole.
-func readBody(resp *http.Response) ([]byte, error) {
+// readBufferedBody reads a body that is held whole.
+func readBufferedBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
-	if err == nil && len(text) > MaxBody {
-		err = fmt.Errorf("%w: too long", errSpoilt)
+	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxBufferedBody+1))
+	if err == nil && len(text) > MaxBufferedBody {
+		err = fmt.Errorf("%w: too long", errMalformed)
 	}
 	return text, err
 }
 
-// checkHead waits for a message's whole head, without taking it, and checks what net/http's parser would let pass.
-func (c *conn) checkHead() error {
+// awaitHead waits for a message's whole head, without taking it, and checks what net/http's parser would let pass.
+func (c *conn) awaitHead() error {
 	for {
-		seen, _ := c.read.Peek(c.read.Buffered())
+		seen, _ := c.reader.Peek(c.reader.Buffered())
 		if end := bytes.Index(seen, []byte("\r\n\r\n")); end >= 0 {
-			c.closes = saysClose(seen[:end])
-			return checkLines(seen[:end])
+			c.closesAfterResponse = hasConnectionClose(seen[:end])
+			return checkHeadLines(seen[:end])
 		}
-		if _, err := c.read.Peek(len(seen) + 1); err != nil {
+		if _, err := c.reader.Peek(len(seen) + 1); err != nil {
 			return err
 		}
 	}
 }
 
-// saysClose tells whether a head has a Connection field with the option close. net/http's parser drops that field.
-func saysClose(head []byte) bool {
+// hasConnectionClose tells whether a head has a Connection field with the option close. net/http's parser drops that field.
+func hasConnectionClose(head []byte) bool {
 	for line := range bytes.SplitSeq(head, []byte("\r\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if !bytes.EqualFold(name, []byte("Connection")) {
@@ -674,44 +676,44 @@
 	return false
 }
 
-// checkLines holds a head to the letter of HTTP/1.1: lines end with CR and LF and are not folded, and the body is
+// checkHeadLines holds a head to the letter of HTTP/1.1: lines end with CR and LF and are not folded, and the body is
 // framed in one way only. What can be read in two ways may be noise.
-func checkLines(head []byte) error {
+func checkHeadLines(head []byte) error {
 	framings := 0
 	for i, line := range bytes.Split(head, []byte("\r\n")) {
 		name, _, named := bytes.Cut(line, []byte(":"))
 		switch {
 		case bytes.ContainsAny(line, "\r\n"):
-			return fmt.Errorf("%w: a bare line end", errSpoilt)
+			return fmt.Errorf("%w: a bare line end", errMalformed)
 		case i == 0:
 			if !bytes.HasPrefix(line, []byte("HTTP/1.1 ")) {
-				return fmt.Errorf("%w: no status line", errSpoilt)
+				return fmt.Errorf("%w: no status line", errMalformed)
 			}
 		case !named || bytes.ContainsAny(name, " \t"):
-			return fmt.Errorf("%w: no field", errSpoilt)
+			return fmt.Errorf("%w: no field", errMalformed)
 		case bytes.EqualFold(name, []byte("Content-Length")), bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			framings++
 		}
 	}
 	if framings > 1 {
-		return fmt.Errorf("%w: framed in two ways", errSpoilt)
+		return fmt.Errorf("%w: framed in two ways", errMalformed)
 	}
 	return nil
 }
 
-// bytes is the request as written to an endpoint: all of it or, where the body flows, the head. It has a length, or
+// encode is the request as written to an endpoint: all of it or, where the body flows, the head. It has a length, or
 // chunks, and no other framing. Its deadline says how long this sidecar waits.
-func (m *Message) bytes(ctx context.Context) []byte {
+func (m *Message) encode(ctx context.Context) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", m.Method, m.Target, m.Host)
 	skip := map[string]bool{"Content-Length": true, "Host": true}
-	if left, ok := m.waits(ctx); ok && m.DeadlineName != "" {
+	if left, ok := m.responseTimeout(ctx); ok && m.DeadlineName != "" {
 		skip[http.CanonicalHeaderKey(m.DeadlineName)] = true
 		fmt.Fprintf(&text, "%s: %d\r\n", m.DeadlineName, max(left.Milliseconds(), 1))
 	}
 	switch {
 	case m.Upload != nil:
-		m.frame(&text)
+		m.writeFraming(&text)
 	case len(m.Body) > 0 || m.Method != http.MethodGet && m.Method != http.MethodHead:
 		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(m.Body))
 	}
@@ -721,8 +723,8 @@
 	return text.Bytes()
 }
 
-// waits is how long this sidecar waits for the answer.
-func (m *Message) waits(ctx context.Context) (time.Duration, bool) {
+// responseTimeout is how long this sidecar waits for the answer.
+func (m *Message) responseTimeout(ctx context.Context) (time.Duration, bool) {
 	if m.Patience > 0 {
 		return m.Patience, true
 	}
@@ -734,5 +736,5 @@
 func (u *Client) ResourceCounts() (endpoints, connections int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.pools), u.open
+	return len(u.pools), u.openCount
 }
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -16,43 +16,43 @@
 	"tuliprock/internal/body"
 )
 
-// stuffed is a connection from which a text comes, and then its end.
-type stuffed struct {
+// scriptedConn is a connection from which a text comes, and then its end.
+type scriptedConn struct {
 	net.Conn
 	mu  sync.Mutex
 	in  *bytes.Reader
 	out bytes.Buffer
 }
 
-func (s *stuffed) Read(to []byte) (int, error) {
+func (s *scriptedConn) Read(to []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.in.Read(to)
 }
 
-func (s *stuffed) Write(b []byte) (int, error) {
+func (s *scriptedConn) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(b)
 }
 
-func (s *stuffed) Close() error                     { return nil }
-func (s *stuffed) SetReadDeadline(time.Time) error  { return nil }
-func (s *stuffed) SetWriteDeadline(time.Time) error { return nil }
+func (s *scriptedConn) Close() error                     { return nil }
+func (s *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-func stuff(text []byte) (*stuffed, *conn) {
-	s := &stuffed{in: bytes.NewReader(text)}
+func newScriptedConn(text []byte) (*scriptedConn, *conn) {
+	s := &scriptedConn{in: bytes.NewReader(text)}
 	limit := &io.LimitedReader{R: s}
-	return s, &conn{Conn: s, limit: limit, read: bufio.NewReaderSize(limit, maxAnswered)}
+	return s, &conn{Conn: s, byteLimit: limit, reader: bufio.NewReaderSize(limit, maxResponseHead)}
 }
 
-// exchanged is what an endpoint's text comes to.
-func exchanged(text []byte, method string) (status int, got []byte, reusable, ok bool, left int) {
-	s, c := stuff(text)
+// exchangeWith is what an endpoint's text comes to.
+func exchangeWith(text []byte, method string) (status int, got []byte, reusable, ok bool, left int) {
+	s, c := newScriptedConn(text)
 	u := New(Options{Pool: body.NewPool(8 * body.Window), Pace: body.Pace{Idle: time.Minute}})
 	passed := make(chan []byte, 1)
-	x := &exchange{u: u, c: c, m: &Message{Method: method, Header: http.Header{}}, stop: func() bool { return true }}
-	x.watch.Begun = func(a Response) bool {
+	x := &exchange{client: u, conn: c, request: &Message{Method: method, Header: http.Header{}}, stopDeadline: func() bool { return true }}
+	x.hooks.Begun = func(a Response) bool {
 		status = a.Status
 		go func() {
 			var all []byte
@@ -72,16 +72,16 @@
 		return true
 	}
 	r, a, reusable := x.run(context.Background(), []byte("x"))
-	if x.bound.Load() {
+	if x.isHandedOver.Load() {
 		got = <-passed
 	} else {
 		status, got = a.Status, a.Body
 	}
-	return status, got, reusable, r == balance.OK, s.in.Len() + c.read.Buffered()
+	return status, got, reusable, r == balance.OK, s.in.Len() + c.reader.Buffered()
 }
 
 // What this reader takes for whole, net/http's takes for the same, ending in the same place.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponseIsReadAsNetHTTPReadsIt(f *testing.F) {
 	long := string(bytes.Repeat([]byte("x"), 70_000))
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + long, "HTTP/1.1 204 No\r\n\r\n",
@@ -98,7 +98,7 @@
 		if head {
 			method = http.MethodHead
 		}
-		status, got, reusable, ok, left := exchanged(text, method)
+		status, got, reusable, ok, left := exchangeWith(text, method)
 		if !ok {
 			return
 		}
@@ -123,7 +123,7 @@
 }
 
 // What goes on to an endpoint has the same body as what came, and no trailer that frames.
-func FuzzRequestGoesOnAsItCame(f *testing.F) {
+func FuzzRequestBodyIsForwardedUnchanged(f *testing.F) {
 	for _, seed := range []string{
 		"Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nhi\r\n0\r\n\r\n", "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n1\r\na\r\n0\r\nX-T: v\r\n\r\n",
 		"Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 4\r\nHost: x\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n7fffffffffffffff\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n",
@@ -139,7 +139,7 @@
 		var want bytes.Buffer
 		_, broken := io.Copy(&want, came.Body)
 		came, _ = http.ReadRequest(bufio.NewReader(bytes.NewReader(append([]byte("POST /x HTTP/1.1\r\nHost: h\r\n"), text...))))
-		s, c := stuff(nil)
+		s, c := newScriptedConn(nil)
 		pool := body.NewPool(8 * body.Window)
 		up, err := body.NewUpload(t.Context(), pool, body.Source{Body: came.Body, Deadline: func(time.Time) error { return nil }, Size: came.ContentLength, Most: 1 << 20,
 			Trailer: func() http.Header { return came.Trailer }, Pace: body.Pace{Idle: time.Minute}})
@@ -148,26 +148,26 @@
 		}
 		defer up.Close(0, 0)
 		m := &Message{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: up}
-		flow, _ := up.Begin()
+		flow, _ := up.NewFlow()
 		u := New(Options{Pace: body.Pace{Idle: time.Minute}})
-		p := &pump{x: &exchange{u: u, c: c, m: m}, flow: flow, meter: body.NewMeter(u.o.Pace), goOn: make(chan struct{}), done: make(chan struct{})}
-		p.run(m.bytes(context.Background()))
+		p := &bodySender{exchange: &exchange{client: u, conn: c, request: m}, flow: flow, meter: body.NewMeter(u.options.Pace), proceed: make(chan struct{}), done: make(chan struct{})}
+		p.run(m.encode(context.Background()))
 		out, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(s.out.Bytes())))
 		if err != nil {
 			t.Fatalf("what goes on can't be read: %v, %q", err, s.out.String())
 		}
 		got, err := io.ReadAll(out.Body)
 		if broken != nil {
-			if p.sent || err == nil && !errors.Is(broken, io.EOF) {
+			if p.isSent || err == nil && !errors.Is(broken, io.EOF) {
 				t.Fatalf("a broken body (%v) went on as a whole one: %q", broken, s.out.String())
 			}
 			return
 		}
-		if err != nil || !p.sent || !bytes.Equal(got, want.Bytes()) || out.ContentLength != came.ContentLength {
-			t.Fatalf("%d bytes went on of %d, %v, sent %v", len(got), want.Len(), err, p.sent)
+		if err != nil || !p.isSent || !bytes.Equal(got, want.Bytes()) || out.ContentLength != came.ContentLength {
+			t.Fatalf("%d bytes went on of %d, %v, sent %v", len(got), want.Len(), err, p.isSent)
 		}
 		for name := range out.Trailer {
-			if len(Trailers(http.Header{name: {""}})) == 0 {
+			if len(forwardableTrailers(http.Header{name: {""}})) == 0 {
 				t.Fatalf("the trailer %s went on", name)
 			}
 		}
