--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -1,41 +1,44 @@
-// Package body passes long bodies along in bounded memory. What it decides (who may hold how much, when a peer is too
-// slow) is in Budget and Meter, which have no I/O, no clock and no goroutine; Pool, Upload and Write carry it out.
 package body
 
 import "container/list"
 
-// MemoryBudget shares out a bounded number of bytes. Short bodies have a part of it to themselves, and never wait behind long
-// ones; among their like all are served in the order in which they asked. It is not safe for concurrent use.
+// MemoryBudget shares out a bounded number of bytes among bodies. A part of them is reserved for short bodies, which
+// never wait behind long ones; bodies of one kind are served in the order of their requests. It has no I/O, no clock
+// and no goroutine, and is not safe for concurrent use.
 type MemoryBudget struct {
-	total, shortReserve   int
-	used, usedByLong      int
-	shortQueue, longQueue list.List // asks that wait, by kind
-	waiting               map[int]*list.Element
-	lastID                int
+	total        int // bytes
+	shortReserve int // bytes of total that long bodies can't have
+	used         int
+	usedByLong   int
+	shortQueue   list.List // of memoryRequest
+	longQueue    list.List // of memoryRequest
+	waiting      map[int]*list.Element
+	lastID       int
 }
 
-// Size is what a body asks for.
+// Size is the memory that a body needs.
 type Size struct {
 	Bytes int
-	Long  bool
+	Long  bool // the body streams and holds its memory for as long as that takes
 }
 
+// memoryRequest is a request for memory that waits.
 type memoryRequest struct {
 	id int
 	Size
 }
 
-// NewMemoryBudget shares out total bytes, of which long bodies leave kept to the short ones.
-func NewMemoryBudget(total, kept int) *MemoryBudget {
-	return &MemoryBudget{total: total, shortReserve: kept, waiting: map[int]*list.Element{}}
+// NewMemoryBudget returns a budget of total bytes, of which shortReserve are reserved for short bodies.
+func NewMemoryBudget(total, shortReserve int) *MemoryBudget {
+	return &MemoryBudget{total: total, shortReserve: shortReserve, waiting: map[int]*list.Element{}}
 }
 
-// Fits tells whether a size could be granted if nothing else were held.
+// Fits reports whether the size could be granted if nothing else were in use.
 func (b *MemoryBudget) Fits(s Size) bool {
 	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Long || s.Bytes <= b.total-b.shortReserve)
 }
 
-// Acquire asks for bytes. What is not granted at once waits under its id, which is never 0.
+// Acquire requests bytes. A request that is not granted at once waits under the id, which is never 0.
 func (b *MemoryBudget) Acquire(s Size) (id int, granted bool) {
 	b.lastID++
 	queue := b.queueFor(s)
@@ -46,7 +49,7 @@
 	return b.lastID, false
 }
 
-// Release gives bytes back and tells which asks are granted by it.
+// Release gives bytes back that were granted, and returns the ids of the requests that are granted by that.
 func (b *MemoryBudget) Release(s Size) []int {
 	b.used -= s.Bytes
 	if s.Long {
@@ -55,7 +58,8 @@
 	return b.grantWaiting()
 }
 
-// Cancel takes an ask back, and tells which others are granted by it; ok is false if it does not wait any more.
+// Cancel withdraws a request and returns the ids of other requests that are granted by that. ok is false if the request
+// no longer waits.
 func (b *MemoryBudget) Cancel(id int) (granted []int, ok bool) {
 	e := b.waiting[id]
 	if e == nil {
@@ -66,10 +70,10 @@
 	return b.grantWaiting(), true
 }
 
-// InUse tells how many bytes are granted, and how many of them to long bodies.
+// InUse returns how many bytes are granted, and how many of them to long bodies.
 func (b *MemoryBudget) InUse() (all, long int) { return b.used, b.usedByLong }
 
-// Waiting tells how many asks wait.
+// Waiting returns how many requests wait.
 func (b *MemoryBudget) Waiting() int { return len(b.waiting) }
 
 func (b *MemoryBudget) queueFor(s Size) *list.List {
@@ -79,9 +83,12 @@
 	return &b.shortQueue
 }
 
-// tryGrant takes the bytes if they are there. A long body takes none while a short one waits.
+// tryGrant grants the bytes if they are free. A long body gets none while a short one waits.
 func (b *MemoryBudget) tryGrant(s Size) bool {
-	if b.used+s.Bytes > b.total || s.Long && (b.usedByLong+s.Bytes > b.total-b.shortReserve || b.shortQueue.Len() > 0) {
+	if b.used+s.Bytes > b.total {
+		return false
+	}
+	if s.Long && (b.usedByLong+s.Bytes > b.total-b.shortReserve || b.shortQueue.Len() > 0) {
 		return false
 	}
 	b.used += s.Bytes
@@ -91,16 +98,17 @@
 	return true
 }
 
+// grantWaiting grants what it can to waiting requests, to those of short bodies first, and returns their ids.
 func (b *MemoryBudget) grantWaiting() (granted []int) {
 	for _, queue := range []*list.List{&b.shortQueue, &b.longQueue} {
 		for e := queue.Front(); e != nil; e = queue.Front() {
-			a := e.Value.(memoryRequest)
-			if !b.tryGrant(a.Size) {
+			r := e.Value.(memoryRequest)
+			if !b.tryGrant(r.Size) {
 				break
 			}
 			queue.Remove(e)
-			delete(b.waiting, a.id)
-			granted = append(granted, a.id)
+			delete(b.waiting, r.id)
+			granted = append(granted, r.id)
 		}
 	}
 	return granted
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -7,52 +7,61 @@
 	"sync"
 )
 
-// Window is how much of a long body is held: what fits into it is short, and is read whole.
+// Window is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered completely.
 const Window = 64 << 10
 
-// ErrNever is a size that no Pool of this size ever grants.
+// shortReserveDivisor reserves a quarter of a Pool for short bodies, since long ones hold their memory for longer.
+const shortReserveDivisor = 4
+
+// ErrNever is returned for a size that the Pool can never grant.
 var ErrNever = errors.New("more than the memory for bodies")
 
+var windowSize = Size{Bytes: Window, Long: true}
+
 // Pool is the memory for bodies of a process. It is safe for concurrent use.
 type Pool struct {
 	mu      sync.Mutex
 	budget  *MemoryBudget
-	granted map[int]chan struct{} // closed when the ask is granted
-	windows sync.Pool             // of *[]byte: idle ones are the collector's
+	granted map[int]chan struct{} // by id of a request that waits; closed when it is granted
+	windows sync.Pool             // of *[]byte, each Window bytes long
 }
 
-// NewPool makes a Pool of so many bytes, of which a quarter is left to short bodies: long ones hold theirs for longer.
+// NewPool returns a Pool of total bytes, of which a quarter is reserved for short bodies.
 func NewPool(total int) *Pool {
-	return &Pool{budget: NewMemoryBudget(total, total/4), granted: map[int]chan struct{}{}, windows: sync.Pool{New: func() any {
+	p := &Pool{budget: NewMemoryBudget(total, total/shortReserveDivisor), granted: map[int]chan struct{}{}}
+	p.windows.New = func() any {
 		b := make([]byte, Window)
 		return &b
-	}}}
+	}
+	return p
 }
 
-// Take waits its turn for memory, for as long as ctx lasts. What is taken must be given back, once.
+// Take acquires memory for a body. It waits for its turn until ctx ends, and then returns ctx's error; memory that is
+// free is granted even if ctx has ended. A size that can never be granted is ErrNever, wrapped. What is acquired must
+// be released with Give exactly once.
 func (p *Pool) Take(ctx context.Context, s Size) error {
 	p.mu.Lock()
 	if !p.budget.Fits(s) {
 		p.mu.Unlock()
 		return fmt.Errorf("%w: %d bytes", ErrNever, s.Bytes)
 	}
-	id, ok := p.budget.Acquire(s)
-	if ok {
+	id, isGranted := p.budget.Acquire(s)
+	if isGranted {
 		p.mu.Unlock()
 		return nil
 	}
-	turn := make(chan struct{})
-	p.granted[id] = turn
+	granted := make(chan struct{})
+	p.granted[id] = granted
 	p.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	others, waits := p.budget.Cancel(id)
-	if !waits { // granted meanwhile
+	others, ok := p.budget.Cancel(id)
+	if !ok { // granted since ctx ended
 		return nil
 	}
 	delete(p.granted, id)
@@ -60,22 +69,22 @@
 	return ctx.Err()
 }
 
-// Give gives back what Take took.
+// Give releases what Take acquired.
 func (p *Pool) Give(s Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notify(p.budget.Release(s))
 }
 
-// notify is called with p.mu held.
-func (p *Pool) notify(granted []int) {
-	for _, id := range granted {
+// notify wakes those whose requests were granted. p.mu is held.
+func (p *Pool) notify(ids []int) {
+	for _, id := range ids {
 		close(p.granted[id])
 		delete(p.granted, id)
 	}
 }
 
-// Held tells how many bytes are taken, and how many bodies wait for some.
+// Held returns how many bytes are acquired, and how many bodies wait for some.
 func (p *Pool) Held() (bytes, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,9 +92,8 @@
 	return bytes, p.budget.Waiting()
 }
 
-var windowSize = Size{Window, true}
-
-// AcquireWindow takes a buffer of Window bytes. It must be given back with Return, once, when nobody uses it any more.
+// AcquireWindow acquires a buffer of Window bytes, with Take's waiting and errors. It must be released with
+// ReleaseWindow exactly once, when nobody uses it any more.
 func (p *Pool) AcquireWindow(ctx context.Context) (*[]byte, error) {
 	if err := p.Take(ctx, windowSize); err != nil {
 		return nil, err
@@ -93,7 +101,7 @@
 	return p.windows.Get().(*[]byte), nil
 }
 
-// ReleaseWindow gives a buffer back.
+// ReleaseWindow releases a buffer.
 func (p *Pool) ReleaseWindow(w *[]byte) {
 	p.windows.Put(w)
 	p.Give(windowSize)
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// Pace is the least that a peer must do for a flow to go on.
+// Pace is the minimum rate that a peer must keep for a body to go on.
 type Pace struct {
-	Idle time.Duration // the longest wait for its next byte, and the time that it may be behind Rate
-	Rate int64         // bytes a second; 0: none is asked
+	// Idle is the longest wait for the peer's next byte, and the time by which it may fall behind Rate.
+	Idle time.Duration
+	// Rate is in bytes a second; 0 means that only Idle counts.
+	Rate int64
 }
 
-// Meter holds a peer to a Pace, by the times in which it was waited for: what the other side of a flow takes is not
-// charged. It is a bucket of time (a leaky bucket as a meter, ITU-T I.371): waiting drains it, bytes fill it.
+// Meter holds a peer to a Pace. It counts only time in which the peer was waited for, so that the peer is not charged
+// for the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371), filled with time: waiting drains the
+// bucket, and bytes fill it up to Idle. It has no clock and is not safe for concurrent use.
 type Meter struct {
 	pace         Pace
 	credit       time.Duration
-	lastDeadline time.Time // the limit of time that is set on the connection
+	lastDeadline time.Time // the deadline that is set on the connection
 }
 
-// NewMeter begins with the whole of Idle in hand.
+// NewMeter returns a Meter whose bucket is full.
 func NewMeter(p Pace) Meter { return Meter{pace: p, credit: p.Idle} }
 
-// MaxWait is how long to wait for the next byte at most; 0: the peer is too slow.
+// MaxWait returns how long to wait for the peer's next byte at most; 0 means that the peer is too slow.
 func (m *Meter) MaxWait() time.Duration {
 	if m.pace.Rate <= 0 {
 		return m.pace.Idle
@@ -27,22 +30,28 @@
 	return max(m.credit, 0)
 }
 
-// deadlineSlack is the part of Wait by which a limit that is set may fall short of it: setting one costs as much as a small part of a
-// body.
-const deadlineSlack = 8
+// deadlineSlackDivisor: a deadline may fall short of MaxWait by an eighth of it before it is set anew, since each
+// setting costs as much as a small part of a body.
+const deadlineSlackDivisor = 8
 
-// Deadline is when a wait that begins now ends; anew is false where the limit set last will do.
-func (m *Meter) Deadline(now time.Time) (at time.Time, anew bool) {
+// MinWait returns the shortest wait that a deadline returned by Deadline allows now.
+func (m *Meter) MinWait() time.Duration {
+	return m.MaxWait() - m.MaxWait()/deadlineSlackDivisor
+}
+
+// Deadline returns when a wait that begins now must end. changed is false if the deadline that was returned last is
+// still close enough, and need not be set again.
+func (m *Meter) Deadline(now time.Time) (at time.Time, changed bool) {
 	wait := m.MaxWait()
 	at = now.Add(wait)
-	if short := at.Sub(m.lastDeadline); short >= 0 && short <= wait/deadlineSlack {
+	if short := at.Sub(m.lastDeadline); short >= 0 && short <= wait/deadlineSlackDivisor {
 		return m.lastDeadline, false
 	}
 	m.lastDeadline = at
 	return at, true
 }
 
-// Record says that n bytes came or went after a wait.
+// Record counts n bytes that were transferred after a wait for the peer.
 func (m *Meter) Record(n int, waited time.Duration) {
 	if m.pace.Rate <= 0 {
 		return
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -1,39 +1,55 @@
+// Package body streams request and response bodies in bounded memory.
+//
+// MemoryBudget decides which body may hold how much memory, and Meter when a peer falls below its minimum rate (Pace).
+// Neither has I/O, a clock or a goroutine. Pool, Upload and Write carry their decisions out.
+//
+// A Pool is shared by all bodies of a process and guarded by its own mutex. An Upload belongs to the request whose body
+// it reads, and its Flows to the attempts of that request, one after the other. The package starts no goroutines: all
+// reads, writes and waits happen on its callers' goroutines, and all end with a context, a deadline, Stop or Close.
+// Memory that was acquired is released exactly once by whoever acquired it, an Upload's by Close.
 package body
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
-	"os"
 	"sync"
 	"time"
 )
 
-// What may be wrong with an Upload, beside ErrSlow.
+// Why an Upload could not be read, besides ErrSlow. Clients receive the texts.
 var (
+	// ErrTooLong is a body of more than Source.Most bytes.
 	ErrTooLong = errors.New("the body is too long")
-	ErrBroken  = errors.New("the body can't be read to its end")
+	// ErrBroken is a body without its end, or one that was stopped.
+	ErrBroken = errors.New("the body can't be read to its end")
 )
 
-// Source is where an Upload comes from.
-type Source struct {
-	Body     io.Reader
-	Deadline func(time.Time) error // of reads; it must end one that waits
-	Size     int64                 // -1: not known
-	Most     int64                 // bytes, more of which are too many
-	Trailer  func() http.Header    // once Body has ended; nil: none
-	Expects  bool                  // the caller waits for a word before it sends the body (RFC 9110, 10.1.1)
-	Pace     Pace
-}
-
-// Held is how much of an Upload's beginning is held: half of a Window. What follows flows through the other half.
+// Held is the length in bytes of an Upload's prefix, which stays buffered. What follows it streams through the rest of
+// the Window.
 const Held = Window / 2
 
-// Upload is a request's body that flows in while the request is out. Its beginning is held, and can be sent again for as
-// long as nothing beyond it has been given out. Methods are safe for concurrent use, but no two flows may be under way,
-// and Next's bytes hold until the next Next only.
+// Source is the request from which an Upload reads.
+type Source struct {
+	Body io.Reader
+	// Deadline sets the deadline of reads. It must also end a read that waits.
+	Deadline func(time.Time) error
+	// Size is the body's length in bytes; -1 means that it is not known.
+	Size int64
+	// Most is the maximum length in bytes.
+	Most int64
+	// Trailer returns the request's trailers once Body has ended; nil means that there are none.
+	Trailer func() http.Header
+	// Expects says that the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1).
+	Expects bool
+	// Pace is the minimum rate of the client.
+	Pace Pace
+}
+
+// Upload is a request's body that is forwarded while it arrives. Its prefix stays buffered, and the body can be sent
+// again until something beyond the prefix was returned by a Flow. Methods are safe for concurrent use, but no two flows
+// may be under way.
 type Upload struct {
 	Source
 	pool   *Pool
@@ -42,18 +58,19 @@
 	failed chan struct{} // closed when the body could not be read
 
 	mu         sync.Mutex
-	readEnded  sync.Cond // of reading
-	prefixLen  int       // bytes of the beginning
-	readAhead  []byte    // what came for a flow that had ended: the next one's
-	received   int64
+	readEnded  sync.Cond
+	prefixLen  int    // bytes of the prefix that have arrived
+	readAhead  []byte // read for a flow that had ended, and to be returned to the next one
+	received   int64  // bytes
 	isReading  bool
-	isComplete bool // the end has come
-	isConsumed bool
-	isStopped  bool // nobody wants more
+	isComplete bool // the body's end has arrived
+	isConsumed bool // something beyond the prefix was returned, or the window was taken
+	isStopped  bool // no more reads are allowed
 	err        error
 }
 
-// NewUpload takes a window from the pool, and waits for one as long as ctx lasts. Close must be called.
+// NewUpload returns an Upload with a window of the pool, for which it waits until ctx ends. Its errors are those of
+// Pool.Take. Close must be called.
 func NewUpload(ctx context.Context, pool *Pool, s Source) (*Upload, error) {
 	w, err := pool.AcquireWindow(ctx)
 	if err != nil {
@@ -64,68 +81,39 @@
 	return u, nil
 }
 
-// Fill reads until all that can be held is there or the body has ended, and tells whether all of the body is there. A
-// request whose beginning does not come reaches nobody.
-func (u *Upload) Fill() (whole bool, err error) {
-	for u.prefixLen < Held {
-		if _, err := u.next(nil); errors.Is(err, io.EOF) {
-			return true, nil
-		} else if err != nil {
-			return false, err
-		}
-	}
-	return false, nil
-}
-
-// Beginning is what is held of the body.
+// Beginning returns what has arrived of the prefix. It is valid until more than the prefix was read, or until Close.
 func (u *Upload) Beginning() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return (*u.window)[:u.prefixLen]
 }
 
-// Spent tells whether the body can't be sent again: more of it was given out than is held.
+// Spent reports whether the body can't be sent again, since more than its prefix was returned.
 func (u *Upload) Spent() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isConsumed
 }
 
-// Whole tells whether the body's end has come: then what follows on the connection is not of it.
+// Whole reports whether the body's end has arrived, so that what follows on the connection is not a part of it.
 func (u *Upload) Whole() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isComplete
 }
 
-// Failed is closed when the body could not be read; Err says why.
+// Failed returns a channel that is closed when the body could not be read. Err then says why.
 func (u *Upload) Failed() <-chan struct{} { return u.failed }
 
-// Err is why the body could not be read: ErrSlow, ErrTooLong or ErrBroken, wrapped.
+// Err returns why the body could not be read: ErrSlow, ErrTooLong or ErrBroken, wrapped. It is nil otherwise.
 func (u *Upload) Err() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err
 }
 
-// Exhaust reads on to the body's end and drops what comes. It is for a sender who has ended, so that nothing has to be waited for;
-// the error says why there is no end. A body of which nothing came is not read: that would ask for it.
-func (u *Upload) Exhaust() error {
-	u.mu.Lock()
-	if u.Expects && u.received == 0 && u.readError() == nil {
-		u.recordReadError(io.ErrUnexpectedEOF)
-	}
-	u.mu.Unlock()
-	for {
-		if _, err := u.next(nil); errors.Is(err, io.EOF) {
-			return nil
-		} else if err != nil {
-			return err
-		}
-	}
-}
-
-// Settle is Err once no read is under way: net/http tells of a read that failed before the read returns.
+// Settle returns Err once no read is under way. net/http cancels a request whose read has failed before that read
+// returns, so that Err alone could still be nil.
 func (u *Upload) Settle() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,157 +121,25 @@
 	return u.err
 }
 
-// waitForRead waits until no read is under way. u.mu is held, but let go meanwhile.
+// waitForRead waits until no read is under way. u.mu is held before and after, but not while it waits.
 func (u *Upload) waitForRead() {
 	for u.isReading {
 		u.readEnded.Wait()
 	}
 }
 
-// next reads once: into what is free of the beginning's half, or else the other half. io.EOF is the body's end. A read
-// of a flow that has ended may still be under way: what it brings is this one's.
-func (u *Upload) next(f *Flow) ([]byte, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for u.isReading && (f == nil || !f.isEnded) {
-		u.readEnded.Wait()
-	}
-	if f != nil && f.isEnded {
-		return nil, errFlowEnded
-	}
-	if f != nil && f.offset < u.prefixLen {
-		part := (*u.window)[f.offset:u.prefixLen]
-		f.offset = u.prefixLen
-		return part, nil
-	}
-	if part := u.readAhead; part != nil { // and what is held goes under with the next read
-		u.readAhead, u.isConsumed = nil, true
-		return part, nil
-	}
-	if err := u.readError(); err != nil {
-		return nil, err
-	}
-	to := (*u.window)[u.prefixLen:Held]
-	beyond := len(to) == 0
-	switch {
-	case u.isConsumed: // what was held is of no use any more
-		to = *u.window
-	case beyond:
-		to = (*u.window)[Held:]
-	}
-	n, err := u.readInto(to)
-	if u.received += int64(n); !beyond {
-		u.prefixLen += n
-	}
-	u.recordReadError(err)
-	switch {
-	case u.err != nil:
-		return nil, u.err
-	case n == 0 && u.isComplete:
-		return nil, io.EOF
-	case f != nil && f.isEnded:
-		if beyond {
-			u.readAhead = to[:n]
-		}
-		return nil, errFlowEnded
-	case f != nil && !beyond:
-		f.offset = u.prefixLen
-	}
-	u.isConsumed = u.isConsumed || beyond
-	return to[:n], nil
-}
-
-// readInto reads with u.mu let go: a caller may take its time. u.mu is held before and after.
-func (u *Upload) readInto(to []byte) (int, error) {
-	u.isReading = true
-	began := time.Now()
-	n, err := 0, error(nil)
-	if at, anew := u.meter.Deadline(began); anew {
-		err = u.Deadline(at)
-	}
-	u.mu.Unlock()
-	for err == nil && n == 0 {
-		n, err = Read(u.Body, to)
-	}
-	u.meter.Record(n, time.Since(began))
-	u.mu.Lock()
-	u.isReading = false
-	u.readEnded.Broadcast()
-	return n, err
-}
-
-// readError is called with u.mu held.
-func (u *Upload) readError() error {
-	switch {
-	case u.isComplete:
-		return io.EOF
-	case u.err != nil:
-		return u.err
-	case u.isStopped:
-		return ErrBroken
-	}
-	return nil
-}
-
-// recordReadError takes what a read said of the body. The limit of time must be lifted at its end: while a request waits for its
-// answer, a read that times out looks to net/http like a caller that has left. u.mu is held.
-func (u *Upload) recordReadError(err error) {
-	switch {
-	case u.received > u.Most:
-		u.err = ErrTooLong
-	case errors.Is(err, io.EOF):
-		u.isComplete = true
-		_ = u.Deadline(time.Time{})
-		return
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		u.err = fmt.Errorf("%w: the body does not come", ErrSlow)
-	case err != nil:
-		u.err = fmt.Errorf("%w: %w", ErrBroken, err)
-	}
-	if u.err != nil {
-		close(u.failed)
-	}
-}
-
-// Flow is one attempt's way through an Upload.
-type Flow struct {
-	upload  *Upload
-	offset  int // how much of the beginning was given out; guarded by u.mu, as is
-	isEnded bool
-}
-
-var errFlowEnded = errors.New("the attempt has ended")
-
-// NewFlow gives the body from its beginning on; ok is false if it is spent.
-func (u *Upload) NewFlow() (f *Flow, ok bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return &Flow{upload: u}, !u.isConsumed
-}
-
-// Next is the next part of the body, up to a Window; io.EOF: there is none.
-func (f *Flow) Next() ([]byte, error) { return f.upload.next(f) }
-
-// End says that nothing more is wanted by this flow.
-func (f *Flow) End() {
-	f.upload.mu.Lock()
-	defer f.upload.mu.Unlock()
-	f.isEnded = true
-	f.upload.readEnded.Broadcast() // it may wait for another's read
-}
-
 // Stop ends a read that is under way, and allows no further one.
 func (u *Upload) Stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.isComplete && u.err == nil {
 		u.isStopped = true
-		_ = u.Deadline(time.Unix(1, 0))
+		_ = u.Deadline(time.Unix(1, 0)) // fails only on a connection that is closed
 	}
 }
 
-// TakeWindow gives the window away until Close, once nothing is read into it any more: the body is spent. It is nil while
-// the body still comes.
+// TakeWindow returns the window for the caller's use until Close. The body can't be sent again and is not read on. If
+// the body still arrives, or part of it waits for a flow, TakeWindow does nothing and returns nil.
 func (u *Upload) TakeWindow() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -294,26 +150,33 @@
 	return *u.window
 }
 
-// Close ends the Upload: whatever still comes is read and dropped for up to a time and a number of bytes, so that the
-// caller gets to read its answer (RFC 9112, 9.6). It returns when nothing reads any more.
-func (u *Upload) Close(linger time.Duration, most int64) {
+// Close ends the Upload and releases its window once no read is under way. What still arrives of the body is read and
+// dropped, for at most the time linger and about maxBytes bytes, so that the client can read its response before the
+// connection is reset (RFC 9112, 9.6).
+func (u *Upload) Close(linger time.Duration, maxBytes int64) {
 	u.mu.Lock()
 	u.isStopped = true
 	if !u.isComplete && u.err == nil {
-		_ = u.Deadline(time.Now().Add(linger))
+		_ = u.Deadline(time.Now().Add(linger)) // fails only on a connection that is closed
 	}
 	u.waitForRead()
-	drain := !u.isComplete && u.err == nil && (u.received > 0 || !u.Expects) // a read would ask for what was never wanted
+	// A read of a body that waits for 100 Continue would send that, though nobody wants the body.
+	drains := !u.isComplete && u.err == nil && (u.received > 0 || !u.Expects)
 	u.mu.Unlock()
-	if drain {
-		end := time.Now().Add(linger)
-		for left := most; left > 0 && time.Now().Before(end); {
-			n, err := u.Body.Read(*u.window)
-			left -= int64(n)
-			if err != nil {
-				break
-			}
-		}
+	if drains {
+		u.drain(linger, maxBytes)
 	}
 	u.pool.ReleaseWindow(u.window)
 }
+
+// drain reads and drops what still arrives, within the limits.
+func (u *Upload) drain(linger time.Duration, maxBytes int64) {
+	end := time.Now().Add(linger)
+	for left := maxBytes; left > 0 && time.Now().Before(end); {
+		n, err := u.Body.Read(*u.window)
+		left -= int64(n)
+		if err != nil {
+			return
+		}
+	}
+}
--- a/internal/body/write.go
+++ b/internal/body/write.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// ErrSlow is a peer that does not keep its Pace.
-var ErrSlow = errors.New("the peer is too slow")
-
-// ErrStopped is a Write that was told to stop.
-var ErrStopped = errors.New("stopped")
+var (
+	// ErrSlow is returned for a peer that does not keep its Pace. Clients receive the text.
+	ErrSlow = errors.New("the peer is too slow")
+	// ErrStopped is returned by a Write that was stopped.
+	ErrStopped = errors.New("stopped")
+)
 
-// Write writes all of the buffers to a peer that keeps its pace, and tells how much went out. It uses the connection's
-// deadline for writes, and leaves it behind, for the next Write by the same Meter. Whoever wants it to end makes stopped true and then
-// sets a deadline in the past, in this order.
-func Write(nc net.Conn, m *Meter, stopped func() bool, buffers net.Buffers) (sent int64, err error) {
+// Write writes all of the buffers to a peer that keeps its Pace, and returns how many bytes were written. The error is
+// ErrSlow, ErrStopped, or the connection's own. Write sets the connection's write deadline and leaves it for the next
+// Write with the same Meter. To stop it, let isStopped return true first, and then set a write deadline in the past.
+func Write(nc net.Conn, m *Meter, isStopped func() bool, buffers net.Buffers) (written int64, err error) {
 	for len(buffers) > 0 {
 		began := time.Now()
-		if at, anew := m.Deadline(began); anew {
+		if at, changed := m.Deadline(began); changed {
 			if err := nc.SetWriteDeadline(at); err != nil {
-				return sent, err
+				return written, err
 			}
 		}
-		if stopped() {
-			return sent, ErrStopped
+		if isStopped() {
+			return written, ErrStopped
 		}
 		n, err := buffers.WriteTo(nc)
-		sent += n
+		written += n
 		m.Record(int(n), time.Since(began))
 		switch {
 		case err == nil:
-		case stopped():
-			return sent, ErrStopped
+		case isStopped():
+			return written, ErrStopped
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			return sent, err
+			return written, err
 		case n == 0 || m.MaxWait() == 0:
-			return sent, ErrSlow
+			return written, ErrSlow
 		}
 	}
-	return sent, nil
+	return written, nil
 }
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -44,7 +44,7 @@
 	case err == nil:
 		clientMeter.Record(int(n), took)
 		s.meter.Record(int(n), 0)
-	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MaxWait()-clientMeter.MaxWait()/8: // the endpoint paused
+	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint paused
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
