--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Window is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered completely.
+// Window is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered
+// completely.
 const Window = 64 << 10
 
 // shortReserveDivisor reserves a quarter of a Pool for short bodies, since long ones hold their memory for longer.
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// Only io.EOF itself ends a body: an error that wraps it is a body that broke, for a flow as for one that is read ahead.
+// Only io.EOF itself ends a body: an error that wraps it means that the body broke.
 func TestWrappedEOFIsNotEndOfBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   error
-		whole bool
+		end        error
+		isComplete bool
 	}{
 		"io.EOF":              {io.EOF, true},
 		"wrapped":             {fmt.Errorf("chunk 3: %w", io.EOF), false},
@@ -20,11 +20,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newTestUpload(t, NewPool(2*Window), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
-			if whole, err := u.Fill(); whole != c.whole || (err == nil) != c.whole || !c.whole && !errors.Is(err, ErrBroken) {
-				t.Errorf("whole %v, %v", whole, err)
+			isComplete, err := u.Fill()
+			if isComplete != c.isComplete || (err == nil) != c.isComplete || !c.isComplete && !errors.Is(err, ErrBroken) {
+				t.Errorf("complete %v, %v", isComplete, err)
 			}
-			if err := u.Err(); u.Whole() != c.whole || errors.Is(err, io.EOF) {
-				t.Errorf("whole %v, %v", u.Whole(), err)
+			if err := u.Err(); u.Whole() != c.isComplete || errors.Is(err, io.EOF) {
+				t.Errorf("complete %v, %v", u.Whole(), err)
 			}
 			u.Close(0, 0)
 		})
--- /dev/null
+++ b/internal/body/write_test.go
@@ -0,0 +1,51 @@
+package body
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"testing"
+	"time"
+)
+
+func TestWriteEndsWhenPeerDoesNotReadOrStopped(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	nc, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	peer, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer peer.Close()
+	big := make([]byte, 32<<20) // more than the socket buffers hold
+	m := NewMeter(Pace{Idle: 50 * time.Millisecond, Rate: 100 << 20})
+	never := func() bool { return false }
+	if n, err := Write(nc, &m, never, net.Buffers{big}); !errors.Is(err, ErrSlow) || n == 0 || n == int64(len(big)) {
+		t.Errorf("slow peer: %d bytes, %v", n, err)
+	}
+	m = NewMeter(Pace{Idle: 20 * time.Second})
+	var stop sync.Once
+	stopped := make(chan struct{})
+	isStopped := func() bool {
+		select {
+		case <-stopped:
+			return true
+		default:
+			return false
+		}
+	}
+	time.AfterFunc(50*time.Millisecond, func() {
+		stop.Do(func() { close(stopped) })
+		nc.SetWriteDeadline(time.Unix(1, 0))
+	})
+	if _, err := Write(nc, &m, isStopped, net.Buffers{big}); !errors.Is(err, ErrStopped) {
+		t.Errorf("stopped: %v", err)
+	}
+}
