--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -100,3 +100,23 @@
 		}
 	})
 }
+
+// A long body whose memory is free waits while a short one waits, which would otherwise wait for longer.
+func TestLongBodyWaitsWhileShortOneWaits(t *testing.T) {
+	b := NewMemoryBudget(100, 0)
+	inUse, waitingShort, long := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, Long: true}
+	if _, ok := b.Acquire(inUse); !ok {
+		t.Fatal("the first request waits")
+	}
+	shortID, ok := b.Acquire(waitingShort)
+	if ok {
+		t.Fatal("120 bytes of 100 were granted")
+	}
+	longID, ok := b.Acquire(long)
+	if ok {
+		t.Error("a long body got memory while a short one waited")
+	}
+	if granted := b.Release(inUse); !slices.Equal(granted, []int{shortID, longID}) {
+		t.Errorf("granted %v, want the short body %d and then the long one %d", granted, shortID, longID)
+	}
+}
