--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,7 @@
-// Package metrics keeps the daemon's figures. Each is counted once, where the thing happens, by an atomic addition: no
-// lock stands on a request's way.
+// Package metrics counts a process's requests by class and outcome and writes the counts in the statsd line format.
+//
+// A Registry owns all counts of a process. Each event is counted once, where it happens, by an atomic addition: no lock
+// is taken while a request is served. The package starts no goroutine. All types are safe for concurrent use.
 package metrics
 
 import (
@@ -11,67 +13,71 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request that was taken ended.
+// Outcome is how an accepted request ended.
 type Outcome int
 
-// The ends. What ends after its caller has left counts as failed.
+// The outcomes. A request whose client disconnected before the response counts as Failed.
 const (
-	OK     Outcome = iota // served
-	Shed                  // refused
-	Failed                // neither
-	ends
+	OK           Outcome = iota // the request was served
+	Shed                        // the request was rejected to shed load
+	Failed                      // neither
+	outcomeCount                // the number of outcomes above, none itself
 )
 
-var endNames = [ends]string{"ok", "shed", "errors"}
+// outcomeNames are the outcomes' parts of metric names. Dashboards read them.
+var outcomeNames = [outcomeCount]string{"ok", "shed", "errors"}
 
-// prefix begins each figure's name.
-const prefix = "edge_router."
+// namePrefix begins the name of each metric.
+const namePrefix = "edge_router."
 
-// mostClasses bounds the names that reloads may bring; what comes later is counted under the name of the rest. Names come
-// from the configuration, never from callers.
+// maxClasses bounds the classes of a registry, since each reload of the configuration may bring new names. Further names
+// are counted together under overflowClass. Class names come from the configuration, never from clients.
 const (
-	mostClasses = 1024
-	rest        = "other"
+	maxClasses    = 1024
+	overflowClass = "other"
 )
 
-// Registry are a process's. The zero value is ready, and safe for concurrent use.
+// Registry holds the metrics of one process. The zero value is ready to use, and it is safe for concurrent use.
 type Registry struct {
-	Tries atomic.Uint64 // attempts whose last byte was written to an endpoint
-	Bad   atomic.Uint64 // what callers sent that was turned away before it was a request; it is no error of a class
+	// Tries counts attempts whose last byte was written to an endpoint.
+	Tries atomic.Uint64
+	// Bad counts input that was rejected before it was a request. It is not counted as a failure of any class.
+	Bad atomic.Uint64
 
-	active  atomic.Int64
-	mu      sync.Mutex // of the classes' names; not on a request's way
+	active  atomic.Int64 // requests between Begin and End, of all classes
+	mu      sync.Mutex   // guards classes; not taken while a request is served
 	classes map[string]*Class
 }
 
-// Class counts the requests of one class.
+// Class counts the requests of one class by outcome. It is safe for concurrent use.
 type Class struct {
-	all  *Registry
-	name string
-	n    [ends]atomic.Uint64
+	registry *Registry
+	name     string
+	outcomes [outcomeCount]atomic.Uint64
 }
 
-// Class gives the class of a name, the same one each time.
-func (f *Registry) Class(name string) *Class {
-	name = plain(name)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.classes == nil {
-		f.classes = map[string]*Class{}
+// Class returns the class of a name, the same one at each call. Bytes that have a meaning in a statsd line are replaced
+// by "_". When the registry already holds maxClasses classes, a new name gives the class that all further names share.
+func (r *Registry) Class(name string) *Class {
+	name = sanitizeName(name)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.classes == nil {
+		r.classes = map[string]*Class{}
 	}
-	if f.classes[name] == nil && len(f.classes) >= mostClasses {
-		name = rest
+	if r.classes[name] == nil && len(r.classes) >= maxClasses {
+		name = overflowClass
 	}
-	c := f.classes[name]
-	if c == nil {
-		c = &Class{all: f, name: name}
-		f.classes[name] = c
+	class := r.classes[name]
+	if class == nil {
+		class = &Class{registry: r, name: name}
+		r.classes[name] = class
 	}
-	return c
+	return class
 }
 
-// plain takes out of a name what would end it in a line of figures.
-func plain(name string) string {
+// sanitizeName replaces the characters of a name that would end it, or its line, in the statsd format.
+func sanitizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r > '~' || r == ':' || r == '|' || r == '@' || r == '#' {
 			return '_'
@@ -80,49 +86,57 @@
 	}, name)
 }
 
-// Begin says that a request was taken; End must follow, once.
-func (c *Class) Begin() { c.all.active.Add(1) }
+// Begin counts a request as active. Exactly one call of End must follow.
+func (c *Class) Begin() { c.registry.active.Add(1) }
 
-// End says how a request ended.
-func (c *Class) End(how Outcome) {
-	c.n[how].Add(1)
-	c.all.active.Add(-1)
+// End counts the outcome of a request that was begun; the request is no longer active.
+func (c *Class) End(outcome Outcome) {
+	c.outcomes[outcome].Add(1)
+	c.registry.active.Add(-1)
 }
 
-// Count says how a request ended that never began: it was refused before its body had come.
-func (c *Class) Count(how Outcome) { c.n[how].Add(1) }
+// Count counts the outcome of a request that was never active, such as one that was shed before its body was read.
+func (c *Class) Count(outcome Outcome) { c.outcomes[outcome].Add(1) }
 
-// Gauge is a figure that is read when it is written.
+// Gauge is a metric whose value is read when the metrics are written.
 type Gauge struct {
-	Name   string
+	Name   string // without the prefix that all metrics have
 	Value  int64
-	Counts bool // it only grows, and is written as the counts are
+	Counts bool // the value only grows, and is written as a counter
 }
 
-// Write writes all figures, each on a line of its own as statsd has them, and the gauges given. The counts of one request
-// may be seen by halves, as it ends meanwhile.
-func (f *Registry) Write(w io.Writer, gauges ...Gauge) error {
-	f.mu.Lock()
-	classes := make([]*Class, 0, len(f.classes))
-	for _, c := range f.classes {
-		classes = append(classes, c)
-	}
-	f.mu.Unlock()
-	slices.SortFunc(classes, func(a, b *Class) int { return strings.Compare(a.name, b.name) })
+// Write writes all metrics and then the given gauges to w, one statsd line each, classes in the order of their names. The
+// counters are not read at one instant: a request that ends meanwhile may be seen in one of them and not yet in another.
+// The error is that of w.
+func (r *Registry) Write(w io.Writer, gauges ...Gauge) error {
+	classes := r.sortedClasses()
 	var text strings.Builder
-	for how, name := range endNames {
+	for outcome, name := range outcomeNames {
 		for _, c := range classes {
-			fmt.Fprintf(&text, "%s%s.%s:%d|c\n", prefix, name, c.name, c.n[how].Load())
+			fmt.Fprintf(&text, "%s%s.%s:%d|c\n", namePrefix, name, c.name, c.outcomes[outcome].Load())
 		}
 	}
-	fmt.Fprintf(&text, "%stries:%d|c\n%sbad:%d|c\n%sactive:%d|g\n", prefix, f.Tries.Load(), prefix, f.Bad.Load(), prefix, f.active.Load())
+	fmt.Fprintf(&text, "%stries:%d|c\n", namePrefix, r.Tries.Load())
+	fmt.Fprintf(&text, "%sbad:%d|c\n", namePrefix, r.Bad.Load())
+	fmt.Fprintf(&text, "%sactive:%d|g\n", namePrefix, r.active.Load())
 	for _, g := range gauges {
 		kind := "g"
 		if g.Counts {
 			kind = "c"
 		}
-		fmt.Fprintf(&text, "%s%s:%d|%s\n", prefix, g.Name, g.Value, kind)
+		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, g.Name, g.Value, kind)
 	}
 	_, err := io.WriteString(w, text.String())
 	return err
 }
+
+func (r *Registry) sortedClasses() []*Class {
+	r.mu.Lock()
+	classes := make([]*Class, 0, len(r.classes))
+	for _, c := range r.classes {
+		classes = append(classes, c)
+	}
+	r.mu.Unlock()
+	slices.SortFunc(classes, func(a, b *Class) int { return strings.Compare(a.name, b.name) })
+	return classes
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,71 +7,76 @@
 	"testing"
 )
 
-func text(t *testing.T, f *Registry, gauges ...Gauge) string {
+// written returns what the registry writes.
+func written(t *testing.T, r *Registry, gauges ...Gauge) string {
 	t.Helper()
 	var b strings.Builder
-	if err := f.Write(&b, gauges...); err != nil {
+	if err := r.Write(&b, gauges...); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
 }
 
-func TestFiguresAreWrittenInTheirForm(t *testing.T) {
-	var f Registry
-	a := f.Class("b")
-	f.Class("a").Begin()
-	a.Begin()
-	a.End(OK)
-	a.Count(Shed)
-	f.Tries.Add(3)
-	f.Bad.Add(2)
-	want := "edge_router.ok.a:0|c\nedge_router.ok.b:1|c\nedge_router.shed.a:0|c\nedge_router.shed.b:1|c\nedge_router.errors.a:0|c\nedge_router.errors.b:0|c\n" +
-		"edge_router.tries:3|c\nedge_router.bad:2|c\nedge_router.active:1|g\nedge_router.pool_size:7|g\nedge_router.peers_sent:8|c\n"
-	if got := text(t, &f, Gauge{Name: "pool_size", Value: 7}, Gauge{Name: "peers_sent", Value: 8, Counts: true}); got != want {
+func TestWriteUsesStatsdLineFormat(t *testing.T) {
+	var r Registry
+	b := r.Class("b")
+	r.Class("a").Begin()
+	b.Begin()
+	b.End(OK)
+	b.Count(Shed)
+	r.Tries.Add(3)
+	r.Bad.Add(2)
+	want := "edge_router.ok.a:0|c\nedge_router.ok.b:1|c\n" +
+		"edge_router.shed.a:0|c\nedge_router.shed.b:1|c\n" +
+		"edge_router.errors.a:0|c\nedge_router.errors.b:0|c\n" +
+		"edge_router.tries:3|c\nedge_router.bad:2|c\nedge_router.active:1|g\n" +
+		"edge_router.pool_size:7|g\nedge_router.peers_sent:8|c\n"
+	got := written(t, &r, Gauge{Name: "pool_size", Value: 7}, Gauge{Name: "peers_sent", Value: 8, Counts: true})
+	if got != want {
 		t.Errorf("%s\nwant\n%s", got, want)
 	}
 }
 
-// A name can't end its line, nor make another figure, and names are bounded.
-func TestNamesOfClasses(t *testing.T) {
-	var f Registry
-	if f.Class("a b:c|d\nedge_router.active") != f.Class("a_b_c_d_edge_router.active") {
+// A class name can neither end its line nor forge another metric, and the number of classes is bounded.
+func TestClassNamesAreSanitizedAndBounded(t *testing.T) {
+	var r Registry
+	if r.Class("a b:c|d\nedge_router.active") != r.Class("a_b_c_d_edge_router.active") {
 		t.Error("a name with separators is another class")
 	}
-	for i := range 2 * mostClasses {
-		f.Class(fmt.Sprint(i)).Count(OK)
+	for i := range 2 * maxClasses {
+		r.Class(fmt.Sprint(i)).Count(OK)
 	}
-	if n := len(f.classes); n > mostClasses+1 {
+	if n := len(r.classes); n > maxClasses+1 {
 		t.Errorf("%d classes", n)
 	}
-	if got := strings.Count(text(t, &f), "\n"); got > 3*(mostClasses+1)+3 {
+	if got := strings.Count(written(t, &r), "\n"); got > 3*(maxClasses+1)+3 {
 		t.Errorf("%d lines", got)
 	}
 }
 
-func TestManyCountAtOnce(t *testing.T) {
-	var f Registry
-	var all sync.WaitGroup
+func TestConcurrentCountingLosesNothing(t *testing.T) {
+	var r Registry
+	var counters sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		counters.Go(func() {
 			for i := range 1000 {
-				c := f.Class([]string{"a", "b"}[i%2])
+				c := r.Class([]string{"a", "b"}[i%2])
 				c.Begin()
-				c.End(Outcome(i / 2 % int(ends)))
+				c.End(Outcome(i / 2 % int(outcomeCount)))
 				if i%100 == 0 {
-					_ = f.Write(&strings.Builder{})
+					_ = r.Write(&strings.Builder{}) // a strings.Builder never fails
 				}
 			}
 		})
 	}
-	all.Wait()
+	counters.Wait()
 	sum := uint64(0)
-	for _, c := range f.classes {
-		for i := range c.n {
-			sum += c.n[i].Load()
+	for _, c := range r.classes {
+		for i := range c.outcomes {
+			sum += c.outcomes[i].Load()
 		}
 	}
-	if sum != 8000 || f.active.Load() != 0 {
-		t.Errorf("%d ended, %d active", sum, f.active.Load())
+	if sum != 8000 || r.active.Load() != 0 {
+		t.Errorf("%d ended, %d active", sum, r.active.Load())
 	}
 }
