--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,102 @@
+package simwire
+
+import "tuliprock/balance"
+
+// attrClientRetry is the bit of a CALL's Attrs by which the client says that it has sent the request before.
+const attrClientRetry = 2
+
+// eventDecoders read the message of the Reader, by its name, and report it to an instance's balancer. Nothing is reported
+// where the message has an error.
+var eventDecoders = map[string]func(*Reader, balance.Events){
+	"REGISTRY":    (*Reader).endpointListReceived,
+	"CALL":        (*Reader).requestReceived,
+	"FLOWING":     (*Reader).streamStarted,
+	"ATTEMPT_END": (*Reader).attemptEnded,
+	"LEFT":        (*Reader).clientLeft,
+	"BELL":        (*Reader).timerFired,
+	"CHECKED":     (*Reader).healthCheckEnded,
+	"MESSAGE":     func(*Reader, balance.Events) {}, // known, and of no use to a balancer
+}
+
+func (r *Reader) endpointListReceived(to balance.Events) {
+	m := &r.message
+	var list balance.List
+	mode := m.text("Mode", required)
+	m.integer("Gen", optional) // only checked: the order of the lists is that of the messages
+	switch mode {
+	case "X":
+		list.Failed = true
+	case "C", "F", "D":
+		list.Complete = mode != "D"
+		list.Entries = r.lists.entries(m)
+	default:
+		m.fail("REGISTRY has an unknown Mode %q", mode)
+	}
+	if m.err == nil {
+		to.EndpointList(r.now, list)
+	}
+}
+
+func (r *Reader) requestReceived(to balance.Events) {
+	m := &r.message
+	request := balance.Request{
+		ID:       m.requestID(),
+		Class:    m.internedText("Band", required),
+		Tenant:   m.internedText("Team", optional),
+		Deadline: m.microseconds("ValidUntilUs", required),
+		Repeat:   m.integer("Attrs", optional)&attrClientRetry != 0,
+	}
+	if m.err == nil {
+		to.Request(r.now, request)
+	}
+}
+
+func (r *Reader) streamStarted(to balance.Events) {
+	m := &r.message
+	id, attempt := m.requestID(), m.integer("N", required)
+	if m.err == nil {
+		to.StreamStarted(r.now, id, attempt)
+	}
+}
+
+func (r *Reader) attemptEnded(to balance.Events) {
+	m := &r.message
+	outcome := balance.Outcome{
+		ID:       m.requestID(),
+		Attempt:  m.integer("N", required),
+		Endpoint: m.internedText("Endpoint", required),
+		Result:   m.result(),
+		Took:     m.microseconds("SpentUs", required),
+		Final:    m.integer("DoneFlag", optional) != 0,
+	}
+	if m.err == nil {
+		to.Outcome(r.now, outcome)
+	}
+}
+
+func (r *Reader) clientLeft(to balance.Events) {
+	m := &r.message
+	if id := m.requestID(); m.err == nil {
+		to.ClientLeft(r.now, id)
+	}
+}
+
+func (r *Reader) timerFired(to balance.Events) {
+	m := &r.message
+	m.integer("Mark", required) // only checked: all timers have the mark 0
+	if m.err == nil {
+		to.Timer(r.now)
+	}
+}
+
+func (r *Reader) healthCheckEnded(to balance.Events) {
+	m := &r.message
+	result := balance.ProbeResult{
+		Endpoint: m.internedText("Endpoint", required),
+		Result:   m.result(),
+		Load:     m.load(),
+	}
+	if m.err == nil {
+		to.Probed(r.now, result)
+	}
+}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -6,119 +6,113 @@
 	"time"
 )
 
-// A Reply gathers the actions of one batch. Its Of method gives the balance.Host of an instance.
+// Reply collects the actions of one batch. Its method Host gives each instance the balance.Host that writes to it. The
+// zero value is an empty reply. It is not safe for concurrent use.
 type Reply struct {
-	buf  []byte
-	last int // the instance whose actions were written last
-	any  bool
+	encoded  []byte
+	isBegun  bool // whether an action was written
+	instance int  // whose actions were written last
 }
 
-// Bytes ends the reply and returns it; the next action starts a new one.
+// Bytes ends the reply and returns its encoding, which is valid until the next action: that one begins a new reply.
 func (r *Reply) Bytes() []byte {
-	r.buf = append(r.buf, "FINISHED\n"...)
-	out := r.buf
-	r.buf, r.any = out[:0], false
-	return out
+	r.encoded = append(r.encoded, "FINISHED\n"...)
+	encoded := r.encoded
+	r.encoded, r.isBegun = encoded[:0], false
+	return encoded
 }
 
-// Of returns the host through which an instance acts.
-func (r *Reply) Of(instance int) *Host { return &Host{r, instance} }
+// Host returns the host through which an instance acts. It writes to all replies to come.
+func (r *Reply) Host(instance int) *Host { return &Host{r, instance} }
 
-// Host writes one instance's actions into a Reply.
+// Host implements balance.Host: it writes an instance's actions to a Reply.
 type Host struct {
-	r        *Reply
+	reply    *Reply
 	instance int
 }
 
-func (h *Host) begin(action string) {
-	r := h.r
-	if !r.any || r.last != h.instance {
-		r.buf = append(r.buf, "ON_BEHALF\tSidecar="...)
-		r.buf = strconv.AppendInt(r.buf, int64(h.instance), 10)
-		r.buf = append(r.buf, '\n')
-		r.any, r.last = true, h.instance
+// begin writes the name of an action, and before it whose action it is where that changes.
+func (h *Host) begin(action string) *Host {
+	r := h.reply
+	if !r.isBegun || r.instance != h.instance {
+		r.isBegun, r.instance = true, h.instance
+		r.encoded = append(r.encoded, "ON_BEHALF\tSidecar="...)
+		r.encoded = strconv.AppendInt(r.encoded, int64(h.instance), 10)
+		r.encoded = append(r.encoded, '\n')
 	}
-	r.buf = append(r.buf, action...)
+	r.encoded = append(r.encoded, action...)
+	return h
+}
+
+func (h *Host) key(key string) {
+	h.reply.encoded = append(h.reply.encoded, '\t')
+	h.reply.encoded = append(h.reply.encoded, key...)
+	h.reply.encoded = append(h.reply.encoded, '=')
 }
 
 func (h *Host) text(key, value string) *Host {
-	h.r.buf = append(h.r.buf, '\t')
-	h.r.buf = append(h.r.buf, key...)
-	h.r.buf = append(h.r.buf, '=')
-	h.r.buf = append(h.r.buf, value...)
+	h.key(key)
+	h.reply.encoded = append(h.reply.encoded, value...)
 	return h
 }
 
-func (h *Host) number(key string, n int64) *Host {
-	h.r.buf = append(h.r.buf, '\t')
-	h.r.buf = append(h.r.buf, key...)
-	h.r.buf = append(h.r.buf, '=')
-	h.r.buf = strconv.AppendInt(h.r.buf, n, 10)
+func (h *Host) number(key string, value int64) *Host {
+	h.key(key)
+	h.reply.encoded = strconv.AppendInt(h.reply.encoded, value, 10)
 	return h
 }
 
-func (h *Host) end() { h.r.buf = append(h.r.buf, '\n') }
+func (h *Host) end() { h.reply.encoded = append(h.reply.encoded, '\n') }
 
-// micros rounds up: a time-out or timer must not come early.
-func micros(d time.Duration) int64 { return int64((d + time.Microsecond - 1) / time.Microsecond) }
+// ceilMicroseconds rounds up, since a timeout or timer must not fire early.
+func ceilMicroseconds(d time.Duration) int64 {
+	return int64((d + time.Microsecond - 1) / time.Microsecond)
+}
 
-// Send writes a DISPATCH.
+// Send writes a DISPATCH; a timeout of 0 is left out.
 func (h *Host) Send(id, endpoint string, timeout time.Duration) {
-	h.begin("DISPATCH")
-	h.text("Rid", id).text("Endpoint", endpoint)
+	h.begin("DISPATCH").text("Rid", id).text("Endpoint", endpoint)
 	if timeout > 0 {
-		h.number("PatienceUs", micros(timeout))
+		h.number("PatienceUs", ceilMicroseconds(timeout))
 	}
 	h.end()
 }
 
 // Cancel writes a STOP_ATTEMPT.
 func (h *Host) Cancel(id string, n int) {
-	h.begin("STOP_ATTEMPT")
-	h.text("Rid", id).number("N", int64(n)).end()
+	h.begin("STOP_ATTEMPT").text("Rid", id).number("N", int64(n)).end()
 }
 
-// Refuse writes a SAY_NO.
+// Refuse writes a SAY_NO; a retryAfter of 0 is left out.
 func (h *Host) Refuse(id string, retryAfter time.Duration) {
-	h.begin("SAY_NO")
-	h.text("Rid", id)
+	h.begin("SAY_NO").text("Rid", id)
 	if retryAfter > 0 {
-		h.number("RetryInUs", micros(retryAfter))
+		h.number("RetryInUs", ceilMicroseconds(retryAfter))
 	}
 	h.end()
 }
 
 // Fail writes a FINISH_ERROR.
-func (h *Host) Fail(id string) {
-	h.begin("FINISH_ERROR")
-	h.text("Rid", id).end()
-}
+func (h *Host) Fail(id string) { h.begin("FINISH_ERROR").text("Rid", id).end() }
 
 // Probe writes a HEALTH_CHECK.
-func (h *Host) Probe(endpoint string) {
-	h.begin("HEALTH_CHECK")
-	h.text("Endpoint", endpoint).end()
-}
+func (h *Host) Probe(endpoint string) { h.begin("HEALTH_CHECK").text("Endpoint", endpoint).end() }
 
-// Idle implements balance.Host: the wire tells nothing of connections.
+// Idle returns false: the protocol says nothing of connections.
 func (h *Host) Idle(string) bool { return false }
 
 // Subscribe writes a LISTEN.
-func (h *Host) Subscribe() {
-	h.begin("LISTEN")
-	h.number("Active", 1).end()
-}
+func (h *Host) Subscribe() { h.begin("LISTEN").number("Active", 1).end() }
 
-// Timer writes a SET_TIMER.
+// Timer writes a SET_TIMER. All timers have the mark 0, for an instance does not tell them apart.
 func (h *Host) Timer(at time.Duration) {
-	h.begin("SET_TIMER")
-	h.number("InstantUs", micros(at)).number("Mark", 0).end()
+	h.begin("SET_TIMER").number("InstantUs", ceilMicroseconds(at)).number("Mark", 0).end()
 }
 
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
+// separatorsToSpaces keeps a text within one field of one line.
+var separatorsToSpaces = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // Log writes a DEBUG.
 func (h *Host) Log(line string) {
-	h.begin("DEBUG")
-	h.text("Words", oneLine.Replace(line)).end()
+	h.begin("DEBUG").text("Words", separatorsToSpaces.Replace(line)).end()
 }
--- /dev/null
+++ b/internal/simwire/reply_test.go
@@ -0,0 +1,46 @@
+package simwire
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// The reply's lines are also split with the reader's own parser, and put together again.
+func TestReplyEncodesActionsByInstance(t *testing.T) {
+	var r Reply
+	a, b := r.Host(3), r.Host(5)
+	a.Send("r1", "h:1", 1500*time.Nanosecond)
+	a.Cancel("r1", 2)
+	b.Refuse("r2", 0)
+	b.Refuse("r3", time.Millisecond)
+	b.Fail("r4")
+	b.Probe("h:2")
+	b.Subscribe()
+	b.Timer(5 * time.Microsecond)
+	b.Log("two\nlines")
+	want := "ON_BEHALF\tSidecar=3\nDISPATCH\tRid=r1\tEndpoint=h:1\tPatienceUs=2\nSTOP_ATTEMPT\tRid=r1\tN=2\n" +
+		"ON_BEHALF\tSidecar=5\nSAY_NO\tRid=r2\nSAY_NO\tRid=r3\tRetryInUs=1000\nFINISH_ERROR\tRid=r4\n" +
+		"HEALTH_CHECK\tEndpoint=h:2\nLISTEN\tActive=1\nSET_TIMER\tInstantUs=5\tMark=0\n" +
+		"DEBUG\tWords=two lines\nFINISHED\n"
+	got := string(r.Bytes())
+	if got != want {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+	var m message
+	for line := range strings.SplitSeq(strings.TrimSpace(got), "\n") {
+		if err := m.parse([]byte(line)); err != nil {
+			t.Error(err)
+		}
+		back := string(m.name)
+		for _, f := range m.fields {
+			back += "\t" + string(f.key) + "=" + string(f.value)
+		}
+		if back != line {
+			t.Errorf("%q came back as %q", line, back)
+		}
+	}
+	if got := string(r.Bytes()); got != "FINISHED\n" {
+		t.Errorf("an empty reply is %q", got)
+	}
+}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,18 +9,27 @@
 	"tuliprock/balance"
 )
 
-// settings is the shape of the START message's Config, as far as it is used.
+// Settings is what the settings object says to a host of balancers.
+type Settings struct {
+	balance.Settings               // what balance.New is given
+	ConnIdle         time.Duration // an endpoint closes a connection after it was idle for this long; 0: not known
+	DialTimeout      time.Duration // a connection that is not established by then has failed; 0: not known
+	Longest          time.Duration // the longest time that a client of any class waits in total; 0: not known of each class
+}
+
+// settings is the settings object as far as it is used; other members are ignored. Its fields have the wire's names and
+// types, and no tags, since encoding/json prints all of these in its errors.
 type settings struct {
-	NInstances int
-	Me         int
+	NInstances int // balancers
+	Me         int // this balancer's index
 	Tier       int
 	Tiers      []string
-	Lanes      []struct {
+	Lanes      []struct { // classes
 		Name, Semantics, Group string
-		OnTimeUs, WindowUs     int64
-		HardLimitUs            int64
+		OnTimeUs, WindowUs     int64 // latency objective; how long duplicates are recognized
+		HardLimitUs            int64 // the longest that a client waits
 	}
-	Accounts []struct {
+	Accounts []struct { // tenants
 		Name      string
 		QuotaPerS float64
 	}
@@ -28,84 +37,113 @@
 	ResolutionUs int64
 	Permissions  struct {
 		MayCancel, MayProbe, RetryAfter            bool
-		TryLimit                                   int
+		TryLimit                                   int // attempts for each request
 		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64
 	}
-	Report struct {
+	Report struct { // load report
 		Fields []string
 		How    string
 	}
 	Rules struct {
-		AskWithinUs, ColdUs int64
+		AskWithinUs, ColdUs int64 // poll interval; duration of the slow start
 		ColdFrom            float64
 	}
 }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-
-// Settings is what the object says to a host: the module's part, and what a host with connections of its own needs.
-type Settings struct {
-	balance.Settings
-	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: not told
-	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
-	Longest     time.Duration // that a client of any class waits in all; 0: not told of each
-}
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// ParseSettings reads the settings object, which the simulator and the deployment give in the same form.
+// ParseSettings decodes the settings object, which the simulator and the platform's configuration have in the same form.
+// An error names the member of the object that is at fault.
 func ParseSettings(text []byte) (Settings, error) {
-	var c settings
-	if err := json.Unmarshal(text, &c); err != nil {
+	var wire settings
+	if err := json.Unmarshal(text, &wire); err != nil {
 		return Settings{}, fmt.Errorf("parsing Config: %w", err)
 	}
-	s := Settings{ConnIdle: us(c.Permissions.ConnIdleUs), DialTimeout: us(c.Permissions.DialTimeoutUs)}
-	s.Settings = balance.Settings{
-		Balancers: c.NInstances, Index: c.Me, Tier: c.Tier, TiersBelow: max(len(c.Tiers)-1-c.Tier, 0),
-		AskWithin: us(c.Rules.AskWithinUs), MaxAttempts: c.Permissions.TryLimit,
-		MayCancel:  c.Permissions.MayCancel,
-		MayProbe:   c.Permissions.MayProbe && c.Report.How != "silent" && slices.Contains(c.Report.Fields, "active"),
-		Resolution: us(c.ResolutionUs), ColdFrom: c.Rules.ColdFrom, ColdFor: us(c.Rules.ColdUs),
+	s := Settings{
+		Settings:    wire.balancerSettings(),
+		ConnIdle:    microseconds(wire.Permissions.ConnIdleUs),
+		DialTimeout: microseconds(wire.Permissions.DialTimeoutUs),
+		Longest:     wire.longestHardLimit(),
 	}
-	if c.Permissions.RetryAfter {
-		s.MaxRetryAfter = us(c.Permissions.MaxRetryAfterUs)
-	}
-	switch c.Discovery {
+	switch wire.Discovery {
 	case "automatic", "":
 	case "subscribe":
 		s.MustSubscribe = true
 	default:
-		return s, fmt.Errorf("unknown Discovery %q in Config", c.Discovery)
+		return s, fmt.Errorf("unknown Discovery %q in Config", wire.Discovery)
 	}
-	told := true
-	for _, l := range c.Lanes {
-		s.Longest, told = max(s.Longest, us(l.HardLimitUs)), told && l.HardLimitUs > 0
-		k := balance.Class{Name: l.Name, Window: us(l.WindowUs), Aim: us(l.OnTimeUs)}
-		switch l.Semantics {
-		case "read_like":
-			k.Effect = balance.Safe
-		case "idempotency_key":
-			k.Effect = balance.Keyed
-		case "non_idempotent":
-			k.Effect = balance.Unsafe
-		default:
-			return s, fmt.Errorf("class %q in Config has unknown Semantics %q", l.Name, l.Semantics)
+	for _, lane := range wire.Lanes {
+		effect, ok := effects[lane.Semantics]
+		if !ok {
+			return s, fmt.Errorf("class %q in Config has unknown Semantics %q", lane.Name, lane.Semantics)
 		}
-		switch l.Group {
-		case "all", "":
-			k.Group = balance.GroupAll
-		case "zone":
-			k.Group = balance.GroupZone
-		case "cell":
-			k.Group = balance.GroupCell
-		default:
-			return s, fmt.Errorf("class %q in Config has unknown Group %q", l.Name, l.Group)
+		group, ok := groups[lane.Group]
+		if !ok {
+			return s, fmt.Errorf("class %q in Config has unknown Group %q", lane.Name, lane.Group)
 		}
-		s.Classes = append(s.Classes, k)
-	}
-	if !told {
-		s.Longest = 0
+		s.Classes = append(s.Classes, balance.Class{
+			Name:   lane.Name,
+			Effect: effect,
+			Group:  group,
+			Window: microseconds(lane.WindowUs),
+			Aim:    microseconds(lane.OnTimeUs),
+		})
 	}
-	for _, a := range c.Accounts {
-		s.Tenants = append(s.Tenants, balance.Tenant{Name: a.Name, Quota: a.QuotaPerS})
+	for _, account := range wire.Accounts {
+		s.Tenants = append(s.Tenants, balance.Tenant{Name: account.Name, Quota: account.QuotaPerS})
 	}
 	return s, nil
 }
+
+// effects are the wire's names of what a repeated request does.
+var effects = map[string]balance.Effect{
+	"read_like":       balance.Safe,
+	"idempotency_key": balance.Keyed,
+	"non_idempotent":  balance.Unsafe,
+}
+
+// groups are the wire's names of the endpoints that recognize one another's duplicates. Left out, it is all of them.
+var groups = map[string]balance.Group{
+	"":     balance.GroupAll,
+	"all":  balance.GroupAll,
+	"zone": balance.GroupZone,
+	"cell": balance.GroupCell,
+}
+
+// balancerSettings returns the balancer's part, without the classes, the tenants and the mode of discovery.
+func (w *settings) balancerSettings() balance.Settings {
+	s := balance.Settings{
+		Balancers:   w.NInstances,
+		Index:       w.Me,
+		Tier:        w.Tier,
+		TiersBelow:  max(len(w.Tiers)-1-w.Tier, 0),
+		AskWithin:   microseconds(w.Rules.AskWithinUs),
+		MaxAttempts: w.Permissions.TryLimit,
+		MayCancel:   w.Permissions.MayCancel,
+		MayProbe:    w.Permissions.MayProbe && w.reportsLoad(),
+		Resolution:  microseconds(w.ResolutionUs),
+		ColdFrom:    w.Rules.ColdFrom,
+		ColdFor:     microseconds(w.Rules.ColdUs),
+	}
+	if w.Permissions.RetryAfter {
+		s.MaxRetryAfter = microseconds(w.Permissions.MaxRetryAfterUs)
+	}
+	return s
+}
+
+// reportsLoad says whether endpoints report the load that the balancer uses.
+func (w *settings) reportsLoad() bool {
+	return w.Report.How != "silent" && slices.Contains(w.Report.Fields, "active")
+}
+
+// longestHardLimit returns the longest of the classes' limits; 0 if a class has none.
+func (w *settings) longestHardLimit() time.Duration {
+	longest := time.Duration(0)
+	for _, lane := range w.Lanes {
+		if lane.HardLimitUs <= 0 {
+			return 0
+		}
+		longest = max(longest, microseconds(lane.HardLimitUs))
+	}
+	return longest
+}
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -1,10 +1,36 @@
 package simwire
 
 import (
+	"reflect"
 	"testing"
 	"time"
+
+	"tuliprock/balance"
 )
 
+func TestStartCarriesTheSettings(t *testing.T) {
+	r, err := read("CLOCK\tAtTimeUs=0\nSWITCH_TO\tSidecar=0\nSTART\tRandomSeed=18446744073709551615\tConfig=" +
+		`{"NInstances":2,"Me":1,"Tier":1,"Tiers":["a","b","c"],"Zone":"z","Lanes":[{"Name":"n","Semantics":"idempotency_key",` +
+		`"Group":"cell","OnTimeUs":1,"HardLimitUs":2,"WindowUs":3,"Credit":4,"LateValue":0.5,"AimStretch":2}],` +
+		`"Accounts":[{"Name":"t","QuotaPerS":6.5}],"Discovery":"subscribe","ResolutionUs":5000,"New":{"x":[1]},` +
+		`"Permissions":{"MayCancel":true,"MayProbe":true,"SecondCopies":true,"RetryAfter":true,` +
+		`"TryLimit":4,"MaxRetryAfterUs":7},"Report":{"Fields":["active"],"How":"pull"},` +
+		`"Rules":{"AnswerSlackUs":8,"AskWithinUs":9,"ColdFrom":0.3,"ColdUs":10,"DrainGraceUs":11,"FallMultiple":4,` +
+		`"TipAfterUs":12}}` + "\nGO\n")
+	if err != nil {
+		t.Fatal(err)
+	}
+	us := time.Microsecond
+	want := balance.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
+		Classes: []balance.Class{{Name: "n", Effect: balance.Keyed, Group: balance.GroupCell, Window: 3 * us, Aim: us}},
+		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, AskWithin: 9 * us, MaxAttempts: 4,
+		MayCancel: true, MayProbe: true, MaxRetryAfter: 7 * us,
+		Resolution: 5 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * us}
+	if got := r.started[0]; !reflect.DeepEqual(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
+
 func TestSettingsGiveTheHostItsTimeouts(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -52,3 +78,21 @@
 		})
 	}
 }
+
+// Operators read these errors: they name the member at fault as the object does.
+func TestSettingsErrorsNameTheMember(t *testing.T) {
+	for name, c := range map[string]struct{ text, want string }{
+		"a text for a number":  {`{"NInstances":"x"}`, "parsing Config: json: cannot unmarshal string into Go struct field settings.NInstances of type int"},
+		"within a class":       {`{"Lanes":[{"OnTimeUs":"x"}]}`, "parsing Config: json: cannot unmarshal string into Go struct field .Lanes.OnTimeUs of type int64"},
+		"no object":            {`[]`, "parsing Config: json: cannot unmarshal array into Go value of type simwire.settings"},
+		"an unknown semantics": {`{"Lanes":[{"Name":"c","Semantics":"x"}]}`, `class "c" in Config has unknown Semantics "x"`},
+		"an unknown group":     {`{"Lanes":[{"Name":"c","Semantics":"read_like","Group":"x"}]}`, `class "c" in Config has unknown Group "x"`},
+		"an unknown discovery": {`{"Discovery":"x"}`, `unknown Discovery "x" in Config`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := ParseSettings([]byte(c.text)); err == nil || err.Error() != c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
