--- a/cmd/tuliprock/agreed_test.go
+++ b/cmd/tuliprock/agreed_test.go
@@ -84,12 +84,12 @@
 
 // call makes one call at a daemon's operators' address.
 func (d *fleetDaemon) call(line string) string {
-	nc, err := net.DialTimeout("tcp", d.admin, peersTime)
+	nc, err := net.DialTimeout("tcp", d.admin, reportTimeout)
 	if err != nil {
 		return err.Error()
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(peersTime))
+	_ = nc.SetDeadline(time.Now().Add(reportTimeout))
 	_, _ = io.WriteString(nc, line+"\n")
 	text, _ := io.ReadAll(nc)
 	return string(text)
@@ -151,7 +151,7 @@
 		t.Errorf("%d requests came to what is out", n)
 	}
 
-	if code, out, errs := run(t, program("settings", "--at", c.ds[0].admin, "--json", "-")); code != exitHeld || !strings.Contains(out, `"format":1,"version":`) || !strings.Contains(out, `"name":"out/`+first) {
+	if code, out, errs := run(t, program("settings", "--at", c.ds[0].admin, "--json", "-")); code != exitOK || !strings.Contains(out, `"format":1,"version":`) || !strings.Contains(out, `"name":"out/`+first) {
 		t.Errorf("settings: %d %s %s", code, out, errs)
 	}
 
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -32,17 +32,17 @@
 		}
 	}
 	if c.Route == "" {
-		return summary(os.Stdout, f)
+		return writeSummary(os.Stdout, f)
 	}
-	r, err := c.request()
+	r, err := c.parseRequest()
 	if err != nil {
 		return err
 	}
-	return explain(os.Stdout, f, r)
+	return explainRoute(os.Stdout, f, r)
 }
 
-// request reads what --route and --header give.
-func (c *checkCommand) request() (*route.Request, error) {
+// parseRequest reads what --route and --header give.
+func (c *checkCommand) parseRequest() (*route.Request, error) {
 	method, target, ok := strings.Cut(c.Route, " ")
 	u, err := url.Parse(target)
 	if !ok || err != nil || u.Host == "" {
@@ -63,8 +63,8 @@
 	return r, nil
 }
 
-// explain says which route takes a request.
-func explain(w io.Writer, f *config.File, r *route.Request) error {
+// explainRoute says which route takes a request.
+func explainRoute(w io.Writer, f *config.File, r *route.Request) error {
 	took, ok := f.Table().Match(r)
 	for i := range f.Route {
 		if ok && i == took {
@@ -76,7 +76,7 @@
 			return err
 		}
 	}
-	return verdict{errors.New("no route takes it: the daemon answers 404")}
+	return verdictError{errors.New("no route takes it: the daemon answers 404")}
 }
 
 func routeName(f *config.File, i int) string {
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("route[%d]", i)
 }
 
-// summary prints what was understood, and what looks like a mistake.
-func summary(w io.Writer, f *config.File) error {
+// writeSummary prints what was understood, and what looks like a mistake.
+func writeSummary(w io.Writer, f *config.File) error {
 	var b strings.Builder
 	var rows strings.Builder
 	for _, l := range f.Listener {
@@ -107,7 +107,7 @@
 		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
 	}
 	for _, p := range f.Pool {
-		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, membersFrom(&p), p.Attempts)
+		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, membersSource(&p), p.Attempts)
 	}
 	for i, r := range f.Route {
 		fmt.Fprintf(&rows, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
@@ -119,15 +119,15 @@
 	for _, s := range f.Table().Unreachable() {
 		fmt.Fprintf(&b, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, s.Rule), routeName(f, s.By))
 	}
-	for _, note := range sharedAddresses(f) {
+	for _, note := range sharedAddressNotes(f) {
 		fmt.Fprintf(&b, "note: %s\n", note)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// membersFrom says where a pool's members come from.
-func membersFrom(p *config.Pool) string {
+// membersSource says where a pool's members come from.
+func membersSource(p *config.Pool) string {
 	switch {
 	case p.File != "":
 		return "members in " + p.File
@@ -142,8 +142,8 @@
 	return fmt.Sprintf("%d members", len(p.Member))
 }
 
-// sharedAddresses finds members that are one machine under two names or in two pools: each pool knows only its own calls.
-func sharedAddresses(f *config.File) (notes []string) {
+// sharedAddressNotes finds members that are one machine under two names or in two pools: each pool knows only its own calls.
+func sharedAddressNotes(f *config.File) (notes []string) {
 	first := map[string]string{}
 	for _, p := range f.Pool {
 		for _, m := range p.Member {
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -15,8 +15,8 @@
 	"tuliprock/internal/testkit/baseline"
 )
 
-// commands is the command line.
-type commands struct {
+// commandLine is the command line.
+type commandLine struct {
 	Rehearse rehearseCommand `cmd:"" help:"Play a day on this machine, with stand-ins and real sidecars, and say whether each rule held."`
 	Fleet    fleetCommand    `cmd:"" help:"Play a fleet of hundreds of sidecars in virtual time, and say whether each rule held."`
 	Serve    serveCommand    `cmd:"" help:"Serve as an operators' file says, until SIGTERM. SIGHUP reads the file again."`
@@ -30,12 +30,12 @@
 	Plain    plainCommand    `cmd:"" hidden:"" help:"The daemon with a textbook picker in the module's place, for rehearsals."`
 }
 
-// verdict is an error that ends with exitBad: the work ran.
-type verdict struct{ error }
+// verdictError is an error that ends with exitBad: the work ran.
+type verdictError struct{ error }
 
-// command runs one and gives the exit code.
-func command(args []string) int {
-	var c commands
+// runCommand runs one and gives the exit code.
+func runCommand(args []string) int {
+	var c commandLine
 	parser, err := kong.New(&c, kong.Name("tuliprock"), kong.Description("A load-balancing sidecar. With no argument: the daemon, as ROUTER_CONFIG says."),
 		kong.Vars{"day": rehearsals.Default, "days": strings.Join(rehearsals.Names(), ", ")})
 	if err != nil {
@@ -46,11 +46,11 @@
 		err = ctx.Run()
 	}
 	if err == nil {
-		return exitHeld
+		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "tuliprock:", err)
-	if bad := (verdict{}); errors.As(err, &bad) {
-		return exitBad
+	if bad := (verdictError{}); errors.As(err, &bad) {
+		return exitFailure
 	}
 	return exitUsage
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return platformDaemon(decide)
+	return servePlatform(decide)
 }
 
 type serveCommand struct {
@@ -88,5 +88,5 @@
 
 // Run implements kong's command.
 func (c *serveCommand) Run() error {
-	return serve(eventloop.Module, file(c.Config), fileGC, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	return serve(eventloop.Module, fileConfig(c.Config), fileGCPercent, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	heapShare = 0.7 // of the memory limit that the heap may take before the collector works harder
+	heapLimitShare = 0.7 // of the memory limit that the heap may take before the collector works harder
 	// The live heap is small. On the platform, where memory is watched, rare collections look like growth: 300 put off the
 	// first one for a minute. Elsewhere frequent ones cost a sixth of the rate that one core serves to one caller.
-	platformGC = 50
-	fileGC     = 400
+	platformGCPercent = 50
+	fileGCPercent     = 400
 )
 
-// told gives what the daemon is to serve, and reads it anew at each call.
-type told func() (config.Service, error)
+// configSource gives what the daemon is to serve, and reads it anew at each call.
+type configSource func() (config.Service, error)
 
-// platform is what the platform tells. Of a later configuration a running sidecar takes where discovery is.
-func platform(log *slog.Logger) told {
+// platformConfig is what the platform tells. Of a later configuration a running sidecar takes where discovery is.
+func platformConfig(log *slog.Logger) configSource {
 	var first *config.Config
 	return func() (config.Service, error) {
 		c, err := config.Load(os.Getenv)
@@ -46,8 +46,8 @@
 	}
 }
 
-// file is what an operators' file tells.
-func file(path string) told {
+// fileConfig is what an operators' file tells.
+func fileConfig(path string) configSource {
 	return func() (config.Service, error) {
 		f, err := config.Read(path)
 		if err != nil {
@@ -58,17 +58,17 @@
 }
 
 // daemon serves as the platform says.
-func daemon() error { return platformDaemon(eventloop.Module) }
+func daemon() error { return servePlatform(eventloop.Module) }
 
-// platformDaemon is daemon with another decider in the module's place.
-func platformDaemon(decide eventloop.Decider) error {
+// servePlatform is daemon with another decider in the module's place.
+func servePlatform(decide eventloop.Decider) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	return serve(decide, platform(log), platformGC, log)
+	return serve(decide, platformConfig(log), platformGCPercent, log)
 }
 
 // serve serves until SIGTERM or SIGINT has come and all that was taken has been answered. SIGHUP reads the configuration
 // again; a bad one changes nothing.
-func serve(decide eventloop.Decider, read told, gcPercent int, log *slog.Logger) error {
+func serve(decide eventloop.Decider, read configSource, gcPercent int, log *slog.Logger) error {
 	hup := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the program
 	signal.Notify(hup, syscall.SIGHUP)
 	c, err := read()
@@ -80,7 +80,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if c.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitShare * float64(c.Limits.MemoryMB) * (1 << 20)))
 	}
 	log = log.With("name", c.Name)
 
@@ -95,12 +95,12 @@
 	if err != nil {
 		return err
 	}
-	go reload(s, hup, read, log)
+	go reloadOnHangup(s, hup, read, log)
 	return s.Serve(ctx)
 }
 
-// reload reads the configuration again after each signal, for as long as the program runs.
-func reload(s *sidecar.Sidecar, hup <-chan os.Signal, read told, log *slog.Logger) {
+// reloadOnHangup reads the configuration again after each signal, for as long as the program runs.
+func reloadOnHangup(s *sidecar.Sidecar, hup <-chan os.Signal, read configSource, log *slog.Logger) {
 	for range hup {
 		c, err := read()
 		if err == nil {
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -38,7 +38,7 @@
 	if len(c.Troubles) == 0 {
 		c.Troubles = fleetsim.Troubles()
 	}
-	results, err := c.play(decide)
+	results, err := c.playAll(decide)
 	if err != nil {
 		return err
 	}
@@ -52,17 +52,17 @@
 			return err
 		}
 	}
-	if err := c.write(results); err != nil {
+	if err := c.writeResults(results); err != nil {
 		return err
 	}
 	if !held {
-		return verdict{errors.New("a rule was broken")}
+		return verdictError{errors.New("a rule was broken")}
 	}
 	return nil
 }
 
-// play plays the days side by side: each is one goroutine's, and knows nothing of the others.
-func (c *fleetCommand) play(decide eventloop.Decider) ([]*fleetsim.Result, error) {
+// playAll plays the days side by side: each is one goroutine's, and knows nothing of the others.
+func (c *fleetCommand) playAll(decide eventloop.Decider) ([]*fleetsim.Result, error) {
 	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
 	var days sync.WaitGroup
 	for i, trouble := range c.Troubles {
@@ -74,7 +74,7 @@
 	return results, errors.Join(errs...)
 }
 
-func (c *fleetCommand) write(results []*fleetsim.Result) error {
+func (c *fleetCommand) writeResults(results []*fleetsim.Result) error {
 	if c.JSON == "" {
 		return nil
 	}
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -27,9 +27,9 @@
 
 // Bounds of a run, so that a slip of the hand can't send more than was meant.
 const (
-	loadMostRate        = 100_000
-	loadMostFor         = 24 * time.Hour
-	loadMostConnections = 20_000
+	maxLoadRate        = 100_000
+	maxLoadDuration    = 24 * time.Hour
+	maxLoadConnections = 20_000
 )
 
 type loadSendCommand struct {
@@ -51,7 +51,7 @@
 
 // Run implements kong's command. Exit code 0: the run is valid; 1: it is not, or was interrupted; 2: nothing was sent.
 func (c *loadSendCommand) Run() error {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return err
 	}
 	header := http.Header{}
@@ -77,33 +77,33 @@
 	if err != nil {
 		return err
 	}
-	if err := tellLoad(r, c.JSON); err != nil {
-		return verdict{err}
+	if err := writeLoadResult(r, c.JSON); err != nil {
+		return verdictError{err}
 	}
 	switch {
 	case r.Interrupted:
-		return verdict{errors.New("interrupted")}
+		return verdictError{errors.New("interrupted")}
 	case r.Invalid != "":
-		return verdict{errors.New("the run is not valid")}
+		return verdictError{errors.New("the run is not valid")}
 	}
 	return nil
 }
 
-func (c *loadSendCommand) check() error {
+func (c *loadSendCommand) validate() error {
 	u, err := url.Parse(c.Target)
 	switch {
 	case err != nil || u.Scheme != "http" || u.Host == "":
 		return fmt.Errorf("--target: %q is no http:// URL", c.Target)
 	case !isLoopback(u.Hostname()) && c.MayLoad != u.Hostname():
 		return fmt.Errorf("--target: %s is not on loopback: say --i-may-load %s if you may", u.Hostname(), u.Hostname())
-	case !(c.Rate > 0 && c.Rate <= loadMostRate):
-		return fmt.Errorf("--rate: must be over 0, and %d at most", loadMostRate)
-	case c.For <= 0 || c.For > loadMostFor:
-		return fmt.Errorf("--for: must be over 0, and %v at most", loadMostFor)
-	case c.Wait <= 0 || c.Wait > loadMostFor:
-		return fmt.Errorf("--wait: must be over 0, and %v at most", loadMostFor)
-	case c.Connections < 1 || c.Connections > loadMostConnections:
-		return fmt.Errorf("--connections: must be from 1 to %d", loadMostConnections)
+	case !(c.Rate > 0 && c.Rate <= maxLoadRate):
+		return fmt.Errorf("--rate: must be over 0, and %d at most", maxLoadRate)
+	case c.For <= 0 || c.For > maxLoadDuration:
+		return fmt.Errorf("--for: must be over 0, and %v at most", maxLoadDuration)
+	case c.Wait <= 0 || c.Wait > maxLoadDuration:
+		return fmt.Errorf("--wait: must be over 0, and %v at most", maxLoadDuration)
+	case c.Connections < 1 || c.Connections > maxLoadConnections:
+		return fmt.Errorf("--connections: must be from 1 to %d", maxLoadConnections)
 	}
 	return nil
 }
@@ -115,8 +115,8 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// tellLoad prints a result, and writes it where it is wanted.
-func tellLoad(r *loadgen.Result, path string) error {
+// writeLoadResult prints a result, and writes it where it is wanted.
+func writeLoadResult(r *loadgen.Result, path string) error {
 	table := io.Writer(os.Stdout)
 	if path == "-" {
 		table = os.Stderr
@@ -161,11 +161,11 @@
 			all.Merge(r)
 		}
 	}
-	if err := tellLoad(all, c.JSON); err != nil {
-		return verdict{err}
+	if err := writeLoadResult(all, c.JSON); err != nil {
+		return verdictError{err}
 	}
 	if all.Invalid != "" {
-		return verdict{errors.New("a run is not valid")}
+		return verdictError{errors.New("a run is not valid")}
 	}
 	return nil
 }
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -9,8 +9,8 @@
 
 // Exit codes, the same for all commands.
 const (
-	exitHeld = iota
-	exitBad  // the work ran and its verdict is bad
+	exitOK      = iota
+	exitFailure // the work ran and its verdict is bad
 	exitUsage
 )
 
@@ -22,5 +22,5 @@
 		}
 		return
 	}
-	os.Exit(command(os.Args[1:]))
+	os.Exit(runCommand(os.Args[1:]))
 }
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -13,31 +13,31 @@
 	"tuliprock/internal/testkit/swimsim"
 )
 
-type peersCommand struct{ daemonAt }
+type peersCommand struct{ daemonFlags }
 
-// daemonAt is whom a command asks, and where the answer goes.
-type daemonAt struct {
+// daemonFlags is whom a command asks, and where the answer goes.
+type daemonFlags struct {
 	At   string `required:"" placeholder:"ADDR" help:"The daemon's operators' address (admin_addr)."`
 	JSON string `name:"json" placeholder:"FILE" help:"Write the whole answer here; '-': standard output."`
 }
 
-// tell writes an answer as JSON where that is wanted, and else as print does.
-func (d *daemonAt) tell(answer any, print func(w io.Writer) error) error {
+// printResult writes an answer as JSON where that is wanted, and else as print does.
+func (d *daemonFlags) printResult(answer any, print func(w io.Writer) error) error {
 	if d.JSON != "" {
 		return writeJSON(d.JSON, answer)
 	}
 	return print(os.Stdout)
 }
 
-const peersTime = 2 * time.Second // a daemon owes an answer within one
+const reportTimeout = 2 * time.Second // a daemon owes an answer within one
 
 // Run implements kong's command.
 func (c *peersCommand) Run() error {
-	f, err := status.FetchFleet(c.At, peersTime)
+	f, err := status.FetchFleet(c.At, reportTimeout)
 	if err != nil {
 		return err
 	}
-	return c.tell(f, func(w io.Writer) error { return printPeers(w, f) })
+	return c.printResult(f, func(w io.Writer) error { return writePeers(w, f) })
 }
 
 type councilCommand struct {
@@ -56,7 +56,7 @@
 // Run implements kong's command.
 func (c *detectorCommand) Run() error { return swimsim.Tables(os.Stdout, c.Nodes, c.Seed) }
 
-func printPeers(w io.Writer, f *status.Fleet) error {
+func writePeers(w io.Writer, f *status.Fleet) error {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Standing, f.View, f.Daemons)
 	if f.Elder != "" {
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	var last *status.Fleet
 	testpeer.Until(t, what, func() bool {
-		f, err := status.FetchFleet(d.admin, peersTime)
+		f, err := status.FetchFleet(d.admin, reportTimeout)
 		if err == nil {
 			last = f
 		}
@@ -177,7 +177,7 @@
 	a.signal(t, syscall.SIGHUP)
 	a.await(t, "fleet.key_file")
 	younger.holds(t, "they still hear one another", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
-	if code, out, _ := run(t, program("peers", "--at", a.admin)); code != exitHeld || !strings.Contains(out, "a is ") {
+	if code, out, _ := run(t, program("peers", "--at", a.admin)); code != exitOK || !strings.Contains(out, "a is ") {
 		t.Errorf("peers: %d %s", code, out)
 	}
 	forger.holds(t, "with both keys the forger is heard", func(f *status.Fleet) bool { return peerOf(f, "a").State == "" || peerOf(f, "a").State == "alive" })
@@ -241,7 +241,7 @@
 	measure := func(what string) {
 		before := cpu(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
-		f, err := status.FetchFleet(d.admin, peersTime)
+		f, err := status.FetchFleet(d.admin, reportTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -262,7 +262,7 @@
 		defer func() { _ = l.Abort() }() // what it says at its end is no part of the measurement
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.FetchFleet(d.admin, peersTime); err == nil && f.Daemons == n+1 {
+		if f, err := status.FetchFleet(d.admin, reportTimeout); err == nil && f.Daemons == n+1 {
 			break
 		}
 	}
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -40,8 +40,8 @@
 	return "Days that ship: " + strings.Join(rehearsals.Names(), ", ") + ". Exit code 0: every rule held; 1: one was broken, or the day was not valid; 2: nothing was played."
 }
 
-// load finds the day's file.
-func (c *rehearseCommand) load() (*rehearse.Day, error) {
+// loadDay finds the day's file.
+func (c *rehearseCommand) loadDay() (*rehearse.Day, error) {
 	name := c.Day
 	if name == "" {
 		name = rehearsals.Default
@@ -54,7 +54,7 @@
 
 // Run implements kong's command.
 func (c *rehearseCommand) Run() error {
-	day, err := c.load()
+	day, err := c.loadDay()
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 			return err
 		}
 	}
-	plans, err := c.plans(day)
+	plans, err := c.drawPlans(day)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 			return fmt.Errorf("--against: %w", err)
 		}
 	}
-	outs, err := c.open()
+	outs, err := c.openOutputs()
 	if err != nil {
 		return err
 	}
@@ -92,11 +92,11 @@
 	if err != nil {
 		return err
 	}
-	return c.tell(results, outs)
+	return c.writeResults(results, outs)
 }
 
-// plans draws one for each seed and demand.
-func (c *rehearseCommand) plans(day *rehearse.Day) ([]*rehearse.Plan, error) {
+// drawPlans draws one for each seed and demand.
+func (c *rehearseCommand) drawPlans(day *rehearse.Day) ([]*rehearse.Plan, error) {
 	seeds := c.Seeds
 	if len(seeds) == 0 {
 		seeds = []uint64{day.Seed}
@@ -132,15 +132,15 @@
 			if c.Logs != "" {
 				opt.Logs = filepath.Join(c.Logs, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.Demand, b))
 			}
-			bar := progress(plan, b)
+			bar := newProgressBar(plan, b)
 			opt.Progress = bar.show
 			r, err := rehearse.Play(ctx, plan, opt)
 			bar.end()
 			if err != nil {
 				if errors.Is(err, context.Canceled) {
-					return nil, verdict{errors.New("interrupted; everything that was started has ended")}
+					return nil, verdictError{errors.New("interrupted; everything that was started has ended")}
 				}
-				return nil, verdict{err}
+				return nil, verdictError{err}
 			}
 			r.Balancer = b
 			results = append(results, r)
@@ -149,45 +149,45 @@
 	return results, nil
 }
 
-// tell writes the results where they are wanted, and gives the verdict.
-func (c *rehearseCommand) tell(results []*rehearse.Result, outs *outputs) error {
+// writeResults writes the results where they are wanted, and gives the verdict.
+func (c *rehearseCommand) writeResults(results []*rehearse.Result, outs *outputFiles) error {
 	table := io.Writer(os.Stdout)
 	if c.JSON == "-" {
 		table = os.Stderr
 	}
 	if err := rehearse.WriteTable(table, results); err != nil {
-		return verdict{err}
+		return verdictError{err}
 	}
 	if err := outs.write(results); err != nil {
-		return verdict{err}
+		return verdictError{err}
 	}
 	own := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.Module })
 	for _, r := range own {
 		switch {
 		case !r.Valid:
-			return verdict{fmt.Errorf("%s is not valid: %s", r.Day, r.Invalid[0])}
+			return verdictError{fmt.Errorf("%s is not valid: %s", r.Day, r.Invalid[0])}
 		case !r.Held:
-			return verdict{fmt.Errorf("%s: a rule is broken", r.Day)}
+			return verdictError{fmt.Errorf("%s: a rule is broken", r.Day)}
 		}
 	}
 	return nil
 }
 
-// outputs are files that are wanted at the end. They are opened before the day is played, and appear whole or not at all.
-type outputs struct {
-	files []*output
+// outputFiles are files that are wanted at the end. They are opened before the day is played, and appear whole or not at all.
+type outputFiles struct {
+	files []*outputFile
 }
 
-type output struct {
-	path  string
-	file  *os.File
-	whole bool // file is a temporary one, to be renamed
-	write func(io.Writer, []*rehearse.Result) error
+type outputFile struct {
+	path        string
+	file        *os.File
+	isTemporary bool // file is a temporary one, to be renamed
+	write       func(io.Writer, []*rehearse.Result) error
 }
 
 // open makes a file beside the one wanted, so that a half-written one is never found there. What is no ordinary file is
 // written to as it is.
-func (f *output) open() (err error) {
+func (f *outputFile) open() (err error) {
 	if f.path == "-" {
 		f.file = os.Stdout
 		return nil
@@ -196,30 +196,30 @@
 		f.file, err = os.OpenFile(f.path, os.O_WRONLY, 0)
 		return err
 	}
-	f.whole = true
+	f.isTemporary = true
 	f.file, err = os.CreateTemp(filepath.Dir(f.path), "."+filepath.Base(f.path)+"-*")
 	return err
 }
 
 // finish puts the file in its place.
-func (f *output) finish() error {
+func (f *outputFile) finish() error {
 	if f.file == os.Stdout {
 		return nil
 	}
-	if f.whole {
+	if f.isTemporary {
 		if err := f.file.Chmod(0o644); err != nil {
 			return err
 		}
 	}
-	if err := f.file.Close(); err != nil || !f.whole {
+	if err := f.file.Close(); err != nil || !f.isTemporary {
 		return err
 	}
 	return os.Rename(f.file.Name(), f.path)
 }
 
-func (c *rehearseCommand) open() (*outputs, error) {
-	o := &outputs{}
-	for _, f := range []*output{{path: c.JSON, write: rehearse.WriteJSON}, {path: c.Report, write: rehearse.WriteReport}} {
+func (c *rehearseCommand) openOutputs() (*outputFiles, error) {
+	o := &outputFiles{}
+	for _, f := range []*outputFile{{path: c.JSON, write: rehearse.WriteJSON}, {path: c.Report, write: rehearse.WriteReport}} {
 		if f.path == "" {
 			continue
 		}
@@ -232,7 +232,7 @@
 	return o, nil
 }
 
-func (o *outputs) write(results []*rehearse.Result) error {
+func (o *outputFiles) write(results []*rehearse.Result) error {
 	for _, f := range o.files {
 		if err := f.write(f.file, results); err != nil {
 			return fmt.Errorf("%s: %w", f.path, err)
@@ -245,28 +245,28 @@
 }
 
 // discard removes what was not written to its end.
-func (o *outputs) discard() {
+func (o *outputFiles) discard() {
 	for _, f := range o.files {
-		if f.whole {
+		if f.isTemporary {
 			_ = f.file.Close()           // what is in it is removed
 			_ = os.Remove(f.file.Name()) // gone where it was renamed
 		}
 	}
 }
 
-// bar shows how far a day has come, on a terminal only.
-type bar struct{ bar *progressbar.ProgressBar }
+// progressBar shows how far a day has come, on a terminal only.
+type progressBar struct{ bar *progressbar.ProgressBar }
 
-func progress(p *rehearse.Plan, balancer string) *bar {
+func newProgressBar(p *rehearse.Plan, balancer string) *progressBar {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
-		return &bar{}
+		return &progressBar{}
 	}
-	return &bar{progressbar.NewOptions64(p.Day.Length.Milliseconds(), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetWidth(30),
+	return &progressBar{progressbar.NewOptions64(p.Day.Length.Milliseconds(), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetWidth(30),
 		progressbar.OptionSetDescription(fmt.Sprintf("%s, %s", p.Day.Name, balancer)), progressbar.OptionClearOnFinish(),
 		progressbar.OptionSetPredictTime(false), progressbar.OptionShowElapsedTimeOnFinish())}
 }
 
-func (b *bar) show(s rehearse.Snapshot) {
+func (b *progressBar) show(s rehearse.Snapshot) {
 	if b.bar == nil {
 		return
 	}
@@ -278,7 +278,7 @@
 	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds())
 }
 
-func (b *bar) end() {
+func (b *progressBar) end() {
 	if b.bar != nil {
 		_ = b.bar.Finish()
 	}
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -28,15 +28,15 @@
 	Diff    settingsDiff    `cmd:"" help:"What differs between two versions of a document, or between what is agreed on and a file."`
 }
 
-// settingsTime is how long a call may take that a majority of the voters must answer: an election takes one or two seconds.
-const settingsTime = 10 * time.Second
+// agreementTimeout is how long a call may take that a majority of the voters must answer: an election takes one or two seconds.
+const agreementTimeout = 10 * time.Second
 
-func (d *daemonAt) call(body []byte, words ...string) (*status.CommandResult, error) {
-	return status.Call(d.At, words, body, settingsTime)
+func (d *daemonFlags) call(body []byte, words ...string) (*status.CommandResult, error) {
+	return status.Call(d.At, words, body, agreementTimeout)
 }
 
 type settingsShow struct {
-	daemonAt
+	daemonFlags
 	Name    string `arg:"" optional:"" help:"Of a document: shared, members/POOL, out/ID, flag/NAME."`
 	Version uint64 `help:"As it was at this version; 0: the latest."`
 }
@@ -48,19 +48,19 @@
 		if err != nil {
 			return err
 		}
-		return c.tell(a, func(w io.Writer) error {
+		return c.printResult(a, func(w io.Writer) error {
 			_, err := w.Write(a.Body)
 			return err
 		})
 	}
-	s, err := status.FetchSettings(c.At, peersTime)
+	s, err := status.FetchSettings(c.At, reportTimeout)
 	if err != nil {
 		return err
 	}
-	return c.tell(s, func(w io.Writer) error { return printSettings(w, s) })
+	return c.printResult(s, func(w io.Writer) error { return writeSettings(w, s) })
 }
 
-func (d *daemonAt) document(name string, version uint64) (*status.CommandResult, error) {
+func (d *daemonFlags) document(name string, version uint64) (*status.CommandResult, error) {
 	words := []string{"show", name}
 	if version > 0 {
 		words = append(words, strconv.FormatUint(version, 10))
@@ -68,7 +68,7 @@
 	return d.call(nil, words...)
 }
 
-func printSettings(w io.Writer, s *status.Settings) error {
+func writeSettings(w io.Writer, s *status.Settings) error {
 	var rows strings.Builder
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
 	if !s.Acting {
@@ -87,31 +87,31 @@
 	return writeColumns(w, rows.String())
 }
 
-// awaited is a command that has a version come to be acted on.
-type awaited struct {
-	daemonAt
+// rolloutFlags is a command that has a version come to be acted on.
+type rolloutFlags struct {
+	daemonFlags
 	Wait time.Duration `default:"60s" help:"How long to wait until all daemons act on it; 0s: until it is agreed on."`
 }
 
-// change is a command that has something changed.
-type change struct {
-	awaited
+// changeFlags is a command that has something changed.
+type changeFlags struct {
+	rolloutFlags
 	Expect string `placeholder:"VERSION" help:"Change nothing unless this is the latest version."`
 	ID     string `help:"Of this change: made again with the same one it is done once. Left out: drawn."`
 }
 
-// changed is the result of a change as JSON.
-type changed struct {
-	Format  int          `json:"format"` // 1
-	ID      string       `json:"id"`
-	Version uint64       `json:"version"`
-	Same    bool         `json:"same,omitempty"` // there was nothing to change
-	AllAct  bool         `json:"all_act"`        // no daemon acts on an earlier version any more
-	Lags    []status.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
+// changeResult is the result of a change as JSON.
+type changeResult struct {
+	Format        int          `json:"format"` // 1
+	ID            string       `json:"id"`
+	Version       uint64       `json:"version"`
+	IsUnchanged   bool         `json:"same,omitempty"` // there was nothing to change
+	IsActiveOnAll bool         `json:"all_act"`        // no daemon acts on an earlier version any more
+	Lags          []status.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
 }
 
-// make has a change agreed on, and waits until all act on it. It says both as they come.
-func (c *change) make(word, name string, body []byte, more ...string) error {
+// propose has a change agreed on, and waits until all act on it. It says both as they come.
+func (c *changeFlags) propose(word, name string, body []byte, more ...string) error {
 	if c.ID == "" {
 		c.ID = rand.Text()
 	}
@@ -121,21 +121,21 @@
 	}
 	a, err := c.call(body, append([]string{word, c.ID, expect, name}, more...)...)
 	if unsure := (status.IndeterminateError{}); errors.As(err, &unsure) {
-		return verdict{fmt.Errorf("%w; ask again with --id %s", err, c.ID)}
+		return verdictError{fmt.Errorf("%w; ask again with --id %s", err, c.ID)}
 	}
 	if err != nil {
 		return err
 	}
-	return c.await(&changed{Format: 1, ID: c.ID, Version: a.Version, Same: a.Same})
+	return c.await(&changeResult{Format: 1, ID: c.ID, Version: a.Version, IsUnchanged: a.Same})
 }
 
-func (c *awaited) await(r *changed) error {
+func (c *rolloutFlags) await(r *changeResult) error {
 	say := func(format string, args ...any) {
 		if c.JSON != "-" {
 			fmt.Printf(format+"\n", args...)
 		}
 	}
-	if r.Same {
+	if r.IsUnchanged {
 		say("there was nothing to change at version %d", r.Version)
 	} else {
 		say("version %d is agreed on", r.Version)
@@ -144,7 +144,7 @@
 	if c.Wait > 0 {
 		why = c.allAct(r)
 	}
-	if r.AllAct {
+	if r.IsActiveOnAll {
 		say("all act on version %d, %v later", r.Version, time.Since(began).Round(time.Millisecond))
 	}
 	for _, l := range r.Lags {
@@ -156,13 +156,13 @@
 	return why
 }
 
-const lookEvery = 100 * time.Millisecond
+const versionPollInterval = 100 * time.Millisecond
 
 // until asks a daemon what it acts on, again and again, until the answer is as wanted. It is false, with what came of the last
 // ask, if that takes longer than wait.
-func (d *daemonAt) until(wait time.Duration, wanted func(*status.Settings) bool) (s *status.Settings, ok bool, err error) {
-	for began := time.Now(); ; time.Sleep(lookEvery) {
-		s, err = status.FetchVersions(d.At, peersTime)
+func (d *daemonFlags) until(wait time.Duration, wanted func(*status.Settings) bool) (s *status.Settings, ok bool, err error) {
+	for began := time.Now(); ; time.Sleep(versionPollInterval) {
+		s, err = status.FetchVersions(d.At, reportTimeout)
 		if err == nil && wanted(s) {
 			return s, true, nil
 		}
@@ -173,20 +173,20 @@
 }
 
 // allAct waits until all daemons act on a version.
-func (c *awaited) allAct(r *changed) error {
+func (c *rolloutFlags) allAct(r *changeResult) error {
 	_, ok, _ := c.until(c.Wait, func(s *status.Settings) bool {
-		r.AllAct, r.Lags = s.All >= r.Version, s.Lags
-		return r.AllAct
+		r.IsActiveOnAll, r.Lags = s.All >= r.Version, s.Lags
+		return r.IsActiveOnAll
 	})
 	if !ok {
-		return verdict{fmt.Errorf("version %d is agreed on, but after %v not all act on it", r.Version, c.Wait)}
+		return verdictError{fmt.Errorf("version %d is agreed on, but after %v not all act on it", r.Version, c.Wait)}
 	}
 	r.Lags = nil
 	return nil
 }
 
 type settingsPut struct {
-	change
+	changeFlags
 	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: the document."`
 	Name string `help:"Put the file as this document: members/POOL (a list of members) or flag/NAME." placeholder:"NAME"`
 }
@@ -208,30 +208,30 @@
 			fmt.Fprintf(os.Stderr, "left out, as it is each daemon's own: %s\n", strings.Join(left, ", "))
 		}
 	}
-	return c.make("put", name, body, strconv.Itoa(len(body)))
+	return c.propose("put", name, body, strconv.Itoa(len(body)))
 }
 
 type settingsRemove struct {
-	change
+	changeFlags
 	Name string `arg:"" help:"Of the document."`
 }
 
 // Run implements kong's command.
-func (c *settingsRemove) Run() error { return c.make("remove", c.Name, nil) }
+func (c *settingsRemove) Run() error { return c.propose("remove", c.Name, nil) }
 
 type settingsBack struct {
-	change
+	changeFlags
 	Version uint64 `arg:"" help:"The version at which the document was as it is to be."`
 	Name    string `default:"shared" help:"Of the document."`
 }
 
 // Run implements kong's command.
 func (c *settingsBack) Run() error {
-	return c.make("back", c.Name, nil, strconv.FormatUint(c.Version, 10))
+	return c.propose("back", c.Name, nil, strconv.FormatUint(c.Version, 10))
 }
 
 type settingsForce struct {
-	awaited
+	rolloutFlags
 	Version uint64 `arg:"" help:"The version that is to come."`
 }
 
@@ -241,11 +241,11 @@
 	if err != nil {
 		return err
 	}
-	return c.await(&changed{Format: 1, Version: a.Version})
+	return c.await(&changeResult{Format: 1, Version: a.Version})
 }
 
 type settingsVoters struct {
-	daemonAt
+	daemonFlags
 	Change string        `arg:"" optional:"" enum:"add,remove," default:"" help:"add or remove; left out: says who votes."`
 	Name   string        `arg:"" optional:"" help:"Of the daemon. It needs a data_dir, empty where it is added."`
 	Wait   time.Duration `default:"30s" help:"How long to wait until it is so."`
@@ -261,34 +261,34 @@
 			return err
 		}
 	}
-	s, ok, err := c.until(c.Wait, func(s *status.Settings) bool { return c.Change == "" || c.done(s) })
+	s, ok, err := c.until(c.Wait, func(s *status.Settings) bool { return c.Change == "" || c.isDone(s) })
 	if !ok {
-		return errors.Join(verdict{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.aim(), s.Voters)}, err)
+		return errors.Join(verdictError{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.goal(), s.Voters)}, err)
 	}
-	return c.say(s)
+	return c.printVoters(s)
 }
 
-func (c *settingsVoters) aim() string {
+func (c *settingsVoters) goal() string {
 	if c.Change == "add" {
 		return c.Name + " votes"
 	}
 	return c.Name + " votes no longer"
 }
 
-// done tells whether a daemon holds that the change is made. Who is asked may list more than those who vote.
-func (c *settingsVoters) done(s *status.Settings) bool {
+// isDone tells whether a daemon holds that the change is made. Who is asked may list more than those who vote.
+func (c *settingsVoters) isDone(s *status.Settings) bool {
 	return slices.Contains(strings.Split(s.Sitting, ","), c.Name) == (c.Change == "add")
 }
 
-func (c *settingsVoters) say(s *status.Settings) error {
-	return c.tell(s, func(w io.Writer) error {
+func (c *settingsVoters) printVoters(s *status.Settings) error {
+	return c.printResult(s, func(w io.Writer) error {
 		_, err := fmt.Fprintln(w, strings.ReplaceAll(s.Sitting, ",", " "))
 		return err
 	})
 }
 
 type settingsHistory struct {
-	daemonAt
+	daemonFlags
 	Name string `arg:"" optional:"" help:"Of a document; left out: all."`
 }
 
@@ -298,10 +298,10 @@
 	if err != nil {
 		return err
 	}
-	return c.tell(a, func(w io.Writer) error { return c.print(w, a.History) })
+	return c.printResult(a, func(w io.Writer) error { return c.writeHistory(w, a.History) })
 }
 
-func (c *settingsHistory) print(w io.Writer, history []status.HistoryEntry) error {
+func (c *settingsHistory) writeHistory(w io.Writer, history []status.HistoryEntry) error {
 	var rows strings.Builder
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
@@ -320,7 +320,7 @@
 }
 
 type settingsDiff struct {
-	daemonAt
+	daemonFlags
 	Name string `default:"shared" help:"Of the document."`
 	From uint64 `help:"A version; 0: the latest."`
 	To   uint64 `help:"Another; 0: the latest."`
@@ -349,7 +349,7 @@
 		return err
 	}
 	text := udiff.Unified(fmt.Sprintf("%s, version %d", c.Name, from.Put), other, string(from.Body), string(to))
-	err = c.tell(struct {
+	err = c.printResult(struct {
 		Format  int    `json:"format"`
 		Differs bool   `json:"differs"`
 		Diff    string `json:"diff"`
@@ -358,7 +358,7 @@
 		return err
 	})
 	if err == nil && text != "" {
-		err = verdict{errors.New("they differ")}
+		err = verdictError{errors.New("they differ")}
 	}
 	return err
 }
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -60,7 +60,7 @@
 	began := time.Now()
 	for _, d := range ds {
 		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
-			s, err := status.FetchVersions(d.admin, peersTime)
+			s, err := status.FetchVersions(d.admin, reportTimeout)
 			return err == nil && s.Acting && s.Version >= version
 		})
 	}
@@ -109,7 +109,7 @@
 
 	// One put, by a daemon that does not vote, of a whole operators' file.
 	write(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
-	out := cli(exitHeld, "left out, as it is each daemon's own: daemon, listener", "put", file, at(4))
+	out := cli(exitOK, "left out, as it is each daemon's own: daemon, listener", "put", file, at(4))
 	if !strings.Contains(out, "version 1 is agreed on") || !strings.Contains(out, "all act on version 1") {
 		t.Errorf("%s", out)
 	}
@@ -121,13 +121,13 @@
 	cli(exitUsage, "new.toml:3: class[0].effect", "put", file, at(0))
 	write(c.settingsText("two", 1<<18))
 	cli(exitUsage, "another version is there than was expected", "put", file, at(1), "--expect=7")
-	cli(exitHeld, "all act on version 2", "put", file, at(1), "--expect=1", "--id=mine")
-	cli(exitHeld, "version 2 is agreed on", "put", file, at(2), "--expect=1", "--id=mine") // its answer was lost, say
+	cli(exitOK, "all act on version 2", "put", file, at(1), "--expect=1", "--id=mine")
+	cli(exitOK, "version 2 is agreed on", "put", file, at(2), "--expect=1", "--id=mine") // its answer was lost, say
 	marked(c.ds[3], "two")
-	cli(exitBad, "+route = [{ pool = \"p\", class = \"look\", set_header = [{ name = \"X-Settings\", value = \"two\" }] }]", "diff", at(3), "--from=1")
-	cli(exitHeld, "\"differs\":false", "diff", at(3), "--json=-", "--file="+file)
-	cli(exitHeld, "\"format\":1,\"version\":2,", at(3), "--json=-")
-	cli(exitHeld, "value = \"one\"", "show", "shared", "--version=1", at(4))
+	cli(exitFailure, "+route = [{ pool = \"p\", class = \"look\", set_header = [{ name = \"X-Settings\", value = \"two\" }] }]", "diff", at(3), "--from=1")
+	cli(exitOK, "\"differs\":false", "diff", at(3), "--json=-", "--file="+file)
+	cli(exitOK, "\"format\":1,\"version\":2,", at(3), "--json=-")
+	cli(exitOK, "value = \"one\"", "show", "shared", "--version=1", at(4))
 
 	// Some can't act on what comes: a file of members that is not there on their machine. It waits, and gives way.
 	lacks := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
@@ -143,30 +143,30 @@
 	c.ds[3].await(t, "msg=listening")
 	marked(c.ds[3], "two")
 	write([]byte(lacks))
-	cli(exitBad, "can't act on version 3: shared: pool[0].file", "put", file, at(3), "--wait=3s")
+	cli(exitFailure, "can't act on version 3: shared: pool[0].file", "put", file, at(3), "--wait=3s")
 	marked(c.ds[0], "two")
-	cli(exitHeld, "all act on version 4", "back", "1", at(0))
+	cli(exitOK, "all act on version 4", "back", "1", at(0))
 	for _, d := range c.ds {
 		marked(d, "one")
 	}
-	cli(exitBad, "can't act on version 5", "put", file, at(3), "--wait=2s")
-	cli(exitHeld, "all act on version 5", "force", "5", at(3))
+	cli(exitFailure, "can't act on version 5", "put", file, at(3), "--wait=2s")
+	cli(exitOK, "all act on version 5", "force", "5", at(3))
 	marked(c.ds[3], "three")
 	if status, after, err := c.ds[0].ask(client, ""); err != nil || status != http.StatusServiceUnavailable || after == "" {
 		t.Errorf("who can't act on what others do: %d, Retry-After %q, %v", status, after, err)
 	}
-	cli(exitHeld, "all act on version 6", "back", "2", at(0))
+	cli(exitOK, "all act on version 6", "back", "2", at(0))
 	marked(c.ds[0], "two")
-	cli(exitHeld, "as at version 2", "history", at(4))
+	cli(exitOK, "as at version 2", "history", at(4))
 
 	// A list of members that is agreed on.
 	write([]byte(strings.Replace(string(c.settingsText("seven", 0)), `name = "p", member = [{ address = "`+c.nodes[0].Addr+`" }, { address = "`+c.nodes[1].Addr+`" }]`, `name = "p", members = "agreed"`, 1)))
-	cli(exitHeld, "all act on version 7", "put", file, at(0))
+	cli(exitOK, "all act on version 7", "put", file, at(0))
 	list := filepath.Join(elsewhere, "list.json")
 	if err := os.WriteFile(list, []byte(`{"format":1,"members":[{"address":"`+c.nodes[1].Addr+`"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cli(exitHeld, "all act on version 8", "put", list, "--name=members/p", at(1))
+	cli(exitOK, "all act on version 8", "put", list, "--name=members/p", at(1))
 	marked(c.ds[4], "seven")
 	if n := c.asks(c.ds, 0); n > 0 {
 		t.Errorf("%d requests came to a node that is not on the list", n)
@@ -174,16 +174,16 @@
 	write([]byte(`{"format":1,"members":[]}`))
 	cli(exitUsage, "one at least is wanted", "put", file, "--name=members/p", at(1))
 	cli(exitUsage, "knows no such document", "put", file, "--name=other", at(1))
-	cli(exitHeld, "all act on version 9", "remove", "members/p", at(1))
+	cli(exitOK, "all act on version 9", "remove", "members/p", at(1))
 
 	// A voter that is gone for good is replaced by one that did not vote.
 	c.ds[0].signal(t, syscall.SIGKILL)
 	_ = c.ds[0].ended()
-	cli(exitHeld, "s0 s1 s2 s3", "voters", "add", "s3", at(4))
-	cli(exitHeld, "s1 s2 s3", "voters", "remove", "s0", at(3))
+	cli(exitOK, "s0 s1 s2 s3", "voters", "add", "s3", at(4))
+	cli(exitOK, "s1 s2 s3", "voters", "remove", "s0", at(3))
 	cli(exitUsage, "is no name of a daemon", "voters", "add", "s/3", at(4))
 	write(c.settingsText("ten", 0))
-	cli(exitHeld, "all act on version 10", "put", file, at(4))
+	cli(exitOK, "all act on version 10", "put", file, at(4))
 	for _, d := range c.ds[1:] {
 		marked(d, "ten")
 	}
@@ -198,5 +198,5 @@
 	for _, d := range c.ds[1:] {
 		marked(d, "ten")
 	}
-	cli(exitHeld, "s1 s2 s3", "voters", at(4))
+	cli(exitOK, "s1 s2 s3", "voters", at(4))
 }
