--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -1,21 +1,18 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"strings"
 
 	"github.com/alecthomas/kong"
 
 	"tuliprock/deploy/rehearsals"
-	"tuliprock/internal/eventloop"
-	"tuliprock/internal/testkit/baseline"
 )
 
-// commandLine is the command line.
+// commandLine is what the arguments are parsed into. The names of verbs, flags and arguments come from the names of the
+// fields of the commands.
 type commandLine struct {
 	Rehearse rehearseCommand `cmd:"" help:"Play a day on this machine, with stand-ins and real sidecars, and say whether each rule held."`
 	Fleet    fleetCommand    `cmd:"" help:"Play a fleet of hundreds of sidecars in virtual time, and say whether each rule held."`
@@ -30,13 +27,15 @@
 	Plain    plainCommand    `cmd:"" hidden:"" help:"The daemon with a textbook picker in the module's place, for rehearsals."`
 }
 
-// verdictError is an error that ends with exitBad: the work ran.
+// verdictError is an error that ends the process with exitFailure: the work was done, and its result is bad. All other
+// errors of a command end it with exitUsage.
 type verdictError struct{ error }
 
-// runCommand runs one and gives the exit code.
+// runCommand runs the command that the arguments name, prints its error and returns the exit code.
 func runCommand(args []string) int {
-	var c commandLine
-	parser, err := kong.New(&c, kong.Name("tuliprock"), kong.Description("A load-balancing sidecar. With no argument: the daemon, as ROUTER_CONFIG says."),
+	var line commandLine
+	parser, err := kong.New(&line, kong.Name("tuliprock"),
+		kong.Description("A load-balancing sidecar. With no argument: the daemon, as ROUTER_CONFIG says."),
 		kong.Vars{"day": rehearsals.Default, "days": strings.Join(rehearsals.Names(), ", ")})
 	if err != nil {
 		panic(err) // the struct above is wrong
@@ -54,39 +53,3 @@
 	}
 	return exitUsage
 }
-
-// writeJSON writes a tool's result to a file; "-": standard output.
-func writeJSON(path string, v any) error {
-	text, err := json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	text = append(text, '\n')
-	if path == "-" {
-		_, err = os.Stdout.Write(text)
-		return err
-	}
-	return os.WriteFile(path, text, 0o644)
-}
-
-type plainCommand struct {
-	Name string `arg:"" help:"random, round-robin or least-outstanding"`
-}
-
-// Run implements kong's command.
-func (c *plainCommand) Run() error {
-	decide, err := baseline.New(c.Name)
-	if err != nil {
-		return err
-	}
-	return servePlatform(decide)
-}
-
-type serveCommand struct {
-	Config string `required:"" placeholder:"FILE" help:"An operators' file; 'tuliprock check' says what is understood of it."`
-}
-
-// Run implements kong's command.
-func (c *serveCommand) Run() error {
-	return serve(eventloop.Module, fileConfig(c.Config), fileGCPercent, slog.New(slog.NewTextHandler(os.Stderr, nil)))
-}
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -14,39 +14,45 @@
 	"tuliprock/internal/sidecar"
 )
 
+// heapLimitShare is the share of the memory limit that the Go runtime is told as its own limit: from there on it collects
+// more often. The rest is for memory that the runtime does not count.
+const heapLimitShare = 0.7
+
+// The garbage collector's target, in percent of the live heap, which is small. On the platform, where memory is watched,
+// rare collections look like growth: 300 put off the first one for a minute. Elsewhere frequent ones cost a sixth of the
+// rate that one core serves to one client.
 const (
-	heapLimitShare = 0.7 // of the memory limit that the heap may take before the collector works harder
-	// The live heap is small. On the platform, where memory is watched, rare collections look like growth: 300 put off the
-	// first one for a minute. Elsewhere frequent ones cost a sixth of the rate that one core serves to one caller.
 	platformGCPercent = 50
 	fileGCPercent     = 400
 )
 
-// configSource gives what the daemon is to serve, and reads it anew at each call.
+// configSource returns what the daemon is to serve. It reads the configuration anew at each call, and is called by one
+// goroutine at a time.
 type configSource func() (config.Service, error)
 
-// platformConfig is what the platform tells. Of a later configuration a running sidecar takes where discovery is.
+// platformConfig reads the configuration that ROUTER_CONFIG names. Of all but the first one only what can change without a
+// restart is taken.
 func platformConfig(log *slog.Logger) configSource {
-	var first *config.Config
+	var current *config.Config
 	return func() (config.Service, error) {
 		c, err := config.Load(os.Getenv)
 		if err != nil {
 			return config.Service{}, err
 		}
-		if first == nil {
-			first = &c
+		if current == nil {
+			current = &c
 			return c.Service()
 		}
-		log.Info("configuration read again", "discovery", c.Discovery, "moves", c.Discovery != first.Discovery)
-		if c.Listen != first.Listen || c.Limits != first.Limits {
+		log.Info("configuration read again", "discovery", c.Discovery, "moves", c.Discovery != current.Discovery)
+		if c.Listen != current.Listen || c.Limits != current.Limits {
 			log.Warn("listen and limits change with a restart only")
 		}
-		*first = first.WithReloadable(c)
-		return first.Service()
+		*current = current.WithReloadable(c)
+		return current.Service()
 	}
 }
 
-// fileConfig is what an operators' file tells.
+// fileConfig reads an operators' file.
 func fileConfig(path string) configSource {
 	return func() (config.Service, error) {
 		f, err := config.Read(path)
@@ -57,59 +63,64 @@
 	}
 }
 
-// daemon serves as the platform says.
-func daemon() error { return servePlatform(eventloop.Module) }
-
-// servePlatform is daemon with another decider in the module's place.
-func servePlatform(decide eventloop.Decider) error {
+// servePlatform runs the daemon as the platform configures it.
+func servePlatform(decider eventloop.Decider) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	return serve(decide, platformConfig(log), platformGCPercent, log)
+	return serve(decider, platformConfig(log), platformGCPercent, log)
 }
 
-// serve serves until SIGTERM or SIGINT has come and all that was taken has been answered. SIGHUP reads the configuration
-// again; a bad one changes nothing.
-func serve(decide eventloop.Decider, read configSource, gcPercent int, log *slog.Logger) error {
-	hup := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the program
-	signal.Notify(hup, syscall.SIGHUP)
-	c, err := read()
+// serve runs the daemon until SIGTERM or SIGINT and then until all accepted requests are answered. SIGHUP reloads the
+// configuration; a bad one is logged and changes nothing.
+func serve(decider eventloop.Decider, source configSource, gcPercent int, log *slog.Logger) error {
+	hangups := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the process
+	signal.Notify(hangups, syscall.SIGHUP)
+	service, err := source()
 	if err != nil {
 		return err
 	}
-	if c.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(max(int(c.Limits.Cores), 1))
-	}
-	debug.SetGCPercent(gcPercent)
-	if c.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapLimitShare * float64(c.Limits.MemoryMB) * (1 << 20)))
-	}
-	log = log.With("name", c.Name)
-
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(c.Descriptors()) {
-		log.Warn("the system grants fewer descriptors than the connections that the configuration allows", "granted", files.Cur, "allowed", c.Descriptors())
-	}
+	setRuntimeLimits(service.Limits, gcPercent)
+	log = log.With("name", service.Name)
+	warnOfFewDescriptors(&service, log)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	s, err := sidecar.StartWith(decide, c, log)
+	s, err := sidecar.StartWith(decider, service, log)
 	if err != nil {
 		return err
 	}
-	go reloadOnHangup(s, hup, read, log)
+	go reloadOnHangup(s, hangups, source, log) // until the process ends
 	return s.Serve(ctx)
 }
 
-// reloadOnHangup reads the configuration again after each signal, for as long as the program runs.
-func reloadOnHangup(s *sidecar.Sidecar, hup <-chan os.Signal, read configSource, log *slog.Logger) {
-	for range hup {
-		c, err := read()
+func setRuntimeLimits(limits config.Limits, gcPercent int) {
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(int(limits.Cores), 1))
+	}
+	debug.SetGCPercent(gcPercent)
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapLimitShare * float64(limits.MemoryMB) * (1 << 20)))
+	}
+}
+
+func warnOfFewDescriptors(service *config.Service, log *slog.Logger) {
+	var files syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(service.Descriptors()) {
+		log.Warn("the system grants fewer descriptors than the connections that the configuration allows",
+			"granted", files.Cur, "allowed", service.Descriptors())
+	}
+}
+
+// reloadOnHangup reloads the configuration after each signal, for as long as the process runs.
+func reloadOnHangup(s *sidecar.Sidecar, hangups <-chan os.Signal, source configSource, log *slog.Logger) {
+	for range hangups {
+		service, err := source()
 		if err == nil {
-			err = s.Reload(c)
+			err = s.Reload(service)
 		}
 		if err != nil {
-			log.Error("the new configuration is not taken up", "err", err)
+			log.Error("the new configuration is not taken up", "error", err) // the text is read by .ci/run
 			continue
 		}
-		log.Info("the new configuration is in force")
+		log.Info("configuration reloaded")
 	}
 }
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -28,23 +28,23 @@
 
 // Run implements kong's command.
 func (c *fleetCommand) Run() error {
-	decide := eventloop.Module
+	decider := eventloop.Module
 	if c.Against != "" {
 		var err error
-		if decide, err = baseline.New(c.Against); err != nil {
+		if decider, err = baseline.New(c.Against); err != nil {
 			return err
 		}
 	}
 	if len(c.Troubles) == 0 {
 		c.Troubles = fleetsim.Troubles()
 	}
-	results, err := c.playAll(decide)
+	results, err := c.playAll(decider)
 	if err != nil {
 		return err
 	}
-	held := true
+	allHeld := true
 	for _, r := range results {
-		held = held && r.Rules.Held()
+		allHeld = allHeld && r.Rules.Held()
 		if c.JSON == "-" {
 			continue
 		}
@@ -55,20 +55,19 @@
 	if err := c.writeResults(results); err != nil {
 		return err
 	}
-	if !held {
+	if !allHeld {
 		return verdictError{errors.New("a rule was broken")}
 	}
 	return nil
 }
 
-// playAll plays the days side by side: each is one goroutine's, and knows nothing of the others.
-func (c *fleetCommand) playAll(decide eventloop.Decider) ([]*fleetsim.Result, error) {
+// playAll plays the days at the same time. Each has a goroutine and a state of its own; all have ended when it returns.
+func (c *fleetCommand) playAll(decider eventloop.Decider) ([]*fleetsim.Result, error) {
 	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
 	var days sync.WaitGroup
 	for i, trouble := range c.Troubles {
-		days.Go(func() {
-			results[i], errs[i] = fleetsim.PlayWith(decide, fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use})
-		})
+		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use}
+		days.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
 	}
 	days.Wait()
 	return results, errors.Join(errs...)
--- /dev/null
+++ b/cmd/tuliprock/serve.go
@@ -0,0 +1,17 @@
+package main
+
+import (
+	"log/slog"
+	"os"
+
+	"tuliprock/internal/eventloop"
+)
+
+type serveCommand struct {
+	Config string `required:"" placeholder:"FILE" help:"An operators' file; 'tuliprock check' says what is understood of it."`
+}
+
+// Run implements kong's command.
+func (c *serveCommand) Run() error {
+	return serve(eventloop.Module, fileConfig(c.Config), fileGCPercent, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+}
--- /dev/null
+++ b/cmd/tuliprock/settings_show.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"tuliprock/internal/cluster/status"
+)
+
+type settingsShow struct {
+	daemonFlags
+	Name    string `arg:"" optional:"" help:"Of a document: shared, members/POOL, out/ID, flag/NAME."`
+	Version uint64 `help:"As it was at this version; 0: the latest."`
+}
+
+// Run implements kong's command.
+func (c *settingsShow) Run() error {
+	if c.Name != "" {
+		document, err := c.document(c.Name, c.Version)
+		if err != nil {
+			return err
+		}
+		return c.printResult(document, func(w io.Writer) error {
+			_, err := w.Write(document.Body)
+			return err
+		})
+	}
+	settings, err := status.FetchSettings(c.At, reportTimeout)
+	if err != nil {
+		return err
+	}
+	return c.printResult(settings, func(w io.Writer) error { return writeSettings(w, settings) })
+}
+
+func writeSettings(w io.Writer, s *status.Settings) error {
+	var rows strings.Builder
+	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
+	if !s.Acting {
+		lease = "it has no lease"
+	}
+	fmt.Fprintf(&rows, "version %d; %s; granted by %s\n", s.Version, lease, s.Leader)
+	if s.Declined > 0 {
+		fmt.Fprintf(&rows, "it can't act on version %d: %s\n", s.Declined, s.Why)
+	}
+	for _, l := range s.Lags {
+		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Daemon, l.Why)
+	}
+	for _, d := range s.Documents {
+		fmt.Fprintf(&rows, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.By, d.Bytes)
+	}
+	return writeColumns(w, rows.String())
+}
--- /dev/null
+++ b/cmd/tuliprock/settings_voters.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"crypto/rand"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"time"
+
+	"tuliprock/internal/cluster/status"
+)
+
+type settingsVoters struct {
+	daemonFlags
+	Change string        `arg:"" optional:"" enum:"add,remove," default:"" help:"add or remove; left out: says who votes."`
+	Name   string        `arg:"" optional:"" help:"Of the daemon. It needs a data_dir, empty where it is added."`
+	Wait   time.Duration `default:"30s" help:"How long to wait until it is so."`
+}
+
+// Run implements kong's command.
+func (c *settingsVoters) Run() error {
+	if (c.Change == "") != (c.Name == "") {
+		return errors.New("settings voters: add NAME or remove NAME")
+	}
+	if c.Change != "" {
+		if _, err := c.call(nil, "voters-"+c.Change, rand.Text(), c.Name); err != nil {
+			return err
+		}
+	}
+	settings, ok, err := c.pollUntil(c.Wait, func(s *status.Settings) bool { return c.Change == "" || c.isDone(s) })
+	if !ok {
+		return errors.Join(verdictError{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.goal(), settings.Voters)}, err)
+	}
+	return c.printResult(settings, func(w io.Writer) error {
+		_, err := fmt.Fprintln(w, strings.ReplaceAll(settings.Sitting, ",", " "))
+		return err
+	})
+}
+
+// goal is what the command waits for.
+func (c *settingsVoters) goal() string {
+	if c.Change == "add" {
+		return c.Name + " votes"
+	}
+	return c.Name + " votes no longer"
+}
+
+// isDone says whether the daemon that is asked sees the change made. Sitting lists those who vote now, while Voters may
+// list more.
+func (c *settingsVoters) isDone(s *status.Settings) bool {
+	return slices.Contains(strings.Split(s.Sitting, ","), c.Name) == (c.Change == "add")
+}
