--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -15,7 +15,8 @@
 
 const module = "tuliprock/"
 
-// daemonImports are the folders of this module that daemon.go imports, itself or through others; tests and tools are not followed.
+// daemonImports are the packages of this module that daemon.go imports, directly or not; those of tests and tools are not
+// followed.
 func daemonImports(t *testing.T, root string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "cmd/tuliprock/daemon.go"), nil, parser.ImportsOnly)
@@ -41,9 +42,9 @@
 	return found
 }
 
-// The operators' programs go by the folders that "node" names: one left out ended their full fleet score four times
+// The operators' programs read the folders that "node" lists: one that was missing ended their full fleet score four times
 // ("the len is 13 but the index is 13").
-func TestDeployFileNamesWhatTheDaemonImports(t *testing.T) {
+func TestDeployFileListsTheDaemonsPackages(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
@@ -53,8 +54,8 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	// The policy's folder has a line of its own in the file, and the wire is the simulator's, of which the daemon borrows
-	// the settings' form.
+	// The policy's folder has a line of its own in the file, and simwire is the simulator's: the daemon uses only its decoder
+	// of settings.
 	want := []string{"cmd/tuliprock"}
 	for _, folder := range daemonImports(t, root) {
 		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/simwire" {
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -2,16 +2,13 @@
 
 import (
 	"cmp"
-	"crypto/sha256"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -22,122 +19,137 @@
 
 	"tuliprock/internal/cluster/status"
 	"tuliprock/internal/cluster/transport"
-	"tuliprock/internal/testkit/clusterinvariant"
 	"tuliprock/internal/testkit/faultnet"
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// drawnPlay is one play of drawn troubles on real processes, with load on all and puts all the time, and what was seen of it.
-type drawnPlay struct {
-	*councilDaemons
-	rng   *rand.Rand
-	began time.Time
-	load  sync.WaitGroup
-	over  atomic.Bool
-
-	mu      sync.Mutex
-	sent    map[string]sending // requests, by id
-	arrived map[string]arrival
-	refused map[string]bool // ids of those that were answered with 503
-	gone    int             // requests without an answer: their daemon was killed
-	odd     []string        // answers that should not be
-	lives   []int           // of each daemon
-	stops   [][]stopped     // of each daemon
-	up      []bool
-	marks   map[[32]byte]string // marks of settings, by the digest of the text
-	made    map[uint64][32]byte // what a put was told that it made, by version
-	ops     []porcupine.Operation
-
-	troubles []trouble
+// faultSchedule is one run of random faults on real processes, with requests through all of them and operations on the
+// settings all the time, and what was observed.
+type faultSchedule struct {
+	*testCluster
+	rng       *rand.Rand
+	startedAt time.Time
+	load      sync.WaitGroup
+	isOver    atomic.Bool
+
+	mu              sync.Mutex
+	requestsSent    map[string]sentRequest    // by id
+	requestsArrived map[string]arrivedRequest // by id
+	requestsShed    map[string]bool           // ids of requests that were answered with 503
+	unansweredCount int                       // requests without a response: their daemon was killed
+	violations      []string                  // what contradicts a guarantee by itself
+	incarnations    []int                     // of each daemon
+	pauses          [][]pause                 // of each daemon
+	isUp            []bool
+	marks           map[[32]byte]string // the mark of each settings text, by its digest
+	versionDigests  map[uint64][32]byte // the digest of the text that made a version, by the response to its put
+	flagOperations  []porcupine.Operation
+
+	faults []injectedFault
 }
 
-// trouble is one that was played; its effect ends where the next one begins.
-type trouble struct {
+// injectedFault is a fault that was injected; its effect lasts until the next one begins.
+type injectedFault struct {
 	name string
 	from time.Duration
 }
 
-type sending struct {
-	daemon, life int
-	at           time.Duration
+type sentRequest struct {
+	daemon, incarnation int
+	at                  time.Duration
 }
 
-type arrival struct {
+type arrivedRequest struct {
 	mark string
 	at   time.Duration
 }
 
-type stopped struct{ from, to time.Duration }
+// pause is for how long a daemon was stopped by SIGSTOP.
+type pause struct{ from, to time.Duration }
 
 const (
-	troubleMost  = 2500 * time.Millisecond
-	scheduleTime = 12 * time.Second       // of troubles
-	restLeast    = 500 * time.Millisecond // between two troubles
-	callRest     = 8 * time.Millisecond
-	putRest      = 150 * time.Millisecond
-	flagName     = "flag/x"
+	maxFaultDuration  = 2500 * time.Millisecond // added to the least, 200 ms
+	faultsDuration    = 12 * time.Second        // for how long faults are injected
+	minFaultGap       = 500 * time.Millisecond  // between two faults
+	requestInterval   = 8 * time.Millisecond    // between two requests through a daemon
+	operationInterval = 150 * time.Millisecond  // between two operations of a client on the settings
+	flagName          = "flag/x"                // the document that is checked for linearizability
 )
 
-func (s *drawnPlay) now() time.Duration { return time.Since(s.began) }
+// now is the time since the schedule was created, by which all observations are dated.
+func (s *faultSchedule) now() time.Duration { return time.Since(s.startedAt) }
 
-func newSchedule(t *testing.T, seed uint64, daemons int) *drawnPlay {
+func newFaultSchedule(t *testing.T, seed uint64, daemons int) *faultSchedule {
 	t.Helper()
-	s := &drawnPlay{rng: rand.New(rand.NewPCG(seed, 4)), began: time.Now(), sent: map[string]sending{}, arrived: map[string]arrival{}, refused: map[string]bool{},
-		marks: map[[32]byte]string{}, made: map[uint64][32]byte{}, lives: make([]int, daemons), stops: make([][]stopped, daemons), up: make([]bool, daemons)}
-	for i := range s.up {
-		s.up[i] = true
+	s := &faultSchedule{
+		rng:             rand.New(rand.NewPCG(seed, 4)),
+		startedAt:       time.Now(),
+		requestsSent:    map[string]sentRequest{},
+		requestsArrived: map[string]arrivedRequest{},
+		requestsShed:    map[string]bool{},
+		incarnations:    make([]int, daemons),
+		pauses:          make([][]pause, daemons),
+		isUp:            make([]bool, daemons),
+		marks:           map[[32]byte]string{},
+		versionDigests:  map[uint64][32]byte{},
 	}
-	// In builds with the race detector clocks differ by what is allowed; all daemons of one start have one rate.
+	for i := range s.isUp {
+		s.isUp[i] = true
+	}
+	// In builds with the race detector clocks differ by as much as is tolerated; all daemons start with one rate.
 	t.Setenv(transport.ClockRate, "0.99")
-	s.councilDaemons = newCouncil(t, councilOf{daemons: daemons, voters: 3, remember: true, shared: `shared = { unsure = "refuse" }`, saw: s.arrives})
+	s.testCluster = newTestCluster(t, clusterSpec{
+		daemons: daemons, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
+	})
 	return s
 }
 
-func (s *drawnPlay) arrives(r *http.Request) {
+// recordArrival is called with each request that arrives at a node. A request must not arrive by two versions.
+func (s *faultSchedule) recordArrival(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := r.Header.Get("Req-Id")
-	if was, ok := s.arrived[id]; ok && was.mark != r.Header.Get(markHeader) {
-		s.odd = append(s.odd, fmt.Sprintf("%s came by %q and by %q", id, was.mark, r.Header.Get(markHeader)))
+	if was, ok := s.requestsArrived[id]; ok && was.mark != r.Header.Get(markHeader) {
+		s.violations = append(s.violations, fmt.Sprintf("%s came by %q and by %q", id, was.mark, r.Header.Get(markHeader)))
 	}
-	s.arrived[id] = arrival{r.Header.Get(markHeader), s.now()}
+	s.requestsArrived[id] = arrivedRequest{r.Header.Get(markHeader), s.now()}
 }
 
-// call sends requests through a daemon, one after another.
-func (s *drawnPlay) call(daemon int) {
+// sendRequests sends requests through a daemon, one after another, until the schedule is over.
+func (s *faultSchedule) sendRequests(daemon int) {
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for n := 0; !s.over.Load(); n++ {
+	for n := 0; !s.isOver.Load(); n++ {
 		id := fmt.Sprintf("s%d-%d", daemon, n)
 		s.mu.Lock()
-		up := s.up[daemon]
-		s.sent[id] = sending{daemon, s.lives[daemon], s.now()}
+		up := s.isUp[daemon]
+		s.requestsSent[id] = sentRequest{daemon, s.incarnations[daemon], s.now()}
 		s.mu.Unlock()
-		status, after, err := s.ds[daemon].ask(client, id)
+		status, after, err := s.daemons[daemon].get(client, id)
 		s.mu.Lock()
 		switch {
 		case err != nil:
-			s.gone++
+			s.unansweredCount++
 		case status == http.StatusServiceUnavailable:
-			s.refused[id] = true
+			s.requestsShed[id] = true
 			if after == "" {
-				s.odd = append(s.odd, id+" was refused without advice")
+				s.violations = append(s.violations, id+" was refused without advice")
 			}
 		case status != http.StatusOK:
-			s.odd = append(s.odd, fmt.Sprintf("%s was answered with %d", id, status))
+			s.violations = append(s.violations, fmt.Sprintf("%s was answered with %d", id, status))
 		}
 		s.mu.Unlock()
-		if time.Sleep(callRest); !up {
-			time.Sleep(10 * callRest)
+		if time.Sleep(requestInterval); !up {
+			time.Sleep(10 * requestInterval)
 		}
 	}
 }
 
-// operate puts settings and a flag, and reads the flag, by daemons that are drawn.
-func (s *drawnPlay) operate(client int, rng *rand.Rand) {
-	for n := 0; !s.over.Load(); n++ {
+// sendOperations puts settings and a flag, and reads the flag, by way of random daemons, until the schedule is over.
+func (s *faultSchedule) sendOperations(client int, rng *rand.Rand) {
+	for n := 0; !s.isOver.Load(); n++ {
 		s.mu.Lock()
-		d := rng.IntN(len(s.ds))
-		up := s.up[d]
+		d := rng.IntN(len(s.daemons))
+		up := s.isUp[d]
 		s.mu.Unlock()
 		if up {
 			value := fmt.Sprintf("%d-%d", client, n)
@@ -150,85 +162,21 @@
 				s.readFlag(d)
 			}
 		}
-		time.Sleep(putRest)
+		time.Sleep(operationInterval)
 	}
 }
 
-const putTime = 4 * time.Second
-
-// putText puts settings of a mark and a size by a daemon.
-func (s *drawnPlay) putText(d int, mark string, pad int) (*status.CommandResult, error) {
-	text := s.settingsText(mark, pad)
-	s.mu.Lock()
-	s.marks[sha256.Sum256(text)] = mark
-	s.mu.Unlock()
-	a, err := s.ds[d].put(mark, "shared", text, putTime)
-	if err == nil {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.made[a.Version] = sha256.Sum256(text)
-	}
-	return a, err
-}
-
-// flagOp is what a register does: it is put, or read.
-type flagOp struct {
-	put   bool
-	value string
-}
-
-// register is the flag, as a sequence of operations.
-var register = porcupine.Model{
-	Init: func() any { return "" },
-	Step: func(state, input, output any) (bool, any) {
-		if in := input.(flagOp); in.put {
-			return true, in.value
-		}
-		return output.(string) == state.(string), state
-	},
-	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
-}
-
-// forever is when an operation ends whose end nobody has seen.
-const forever = time.Hour
-
-func (s *drawnPlay) putFlag(d int, value string) {
-	began := s.now()
-	_, err := s.ds[d].put(value, flagName, []byte(value), putTime)
-	ends := s.now()
-	if err != nil {
-		ends = forever
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ops = append(s.ops, porcupine.Operation{ClientId: len(s.ops), Input: flagOp{true, value}, Call: int64(began), Return: int64(ends), Output: ""})
-}
-
-func (s *drawnPlay) readFlag(d int) {
-	began := s.now()
-	a, err := status.Call(s.ds[d].admin, []string{"show", flagName}, nil, putTime)
-	value := ""
-	if err == nil {
-		value = string(a.Body)
-	} else if !strings.Contains(err.Error(), "no such document") {
-		return
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ops = append(s.ops, porcupine.Operation{ClientId: len(s.ops), Input: flagOp{}, Call: int64(began), Return: int64(s.now()), Output: value})
-}
-
-// trouble draws one fault, lets it last, and ends it.
-func (s *drawnPlay) trouble() string {
-	length := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(troubleMost)))
-	names := make([]string, len(s.ds))
+// injectFault draws a fault, injects it for a random time, ends it, and returns its name.
+func (s *faultSchedule) injectFault() string {
+	length := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
+	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
 	}
 	s.rng.Shuffle(len(names), func(i, k int) { names[i], names[k] = names[k], names[i] })
 	n := 1 + s.rng.IntN(len(names)-1)
 	some, others := names[:n], names[n:]
-	d := s.rng.IntN(len(s.ds))
+	d := s.rng.IntN(len(s.daemons))
 	if leads := s.leader(); leads >= 0 && s.rng.IntN(2) == 0 {
 		d = leads
 	}
@@ -238,7 +186,7 @@
 		time.Sleep(length)
 		s.net.Heal()
 		return "cut"
-	case 1: // two cuts in a row, so that a new leader falls at once
+	case 1: // two partitions in a row, so that a new leader is lost at once
 		s.net.Between(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length / 2)
 		s.net.Heal()
@@ -257,68 +205,68 @@
 		s.net.Heal()
 		return "loss"
 	case 4, 5:
-		s.ds[d].signal(s.t, syscall.SIGSTOP)
+		s.daemons[d].signal(s.t, syscall.SIGSTOP)
 		from := s.now()
 		time.Sleep(length)
 		to := s.now()
 		s.mu.Lock()
-		s.stops[d] = append(s.stops[d], stopped{from, to})
+		s.pauses[d] = append(s.pauses[d], pause{from, to})
 		s.mu.Unlock()
-		s.ds[d].signal(s.t, syscall.SIGCONT)
+		s.daemons[d].signal(s.t, syscall.SIGCONT)
 		return "stop"
 	case 6:
 		s.kill(d)
 		time.Sleep(length / 2)
-		if s.rng.IntN(3) == 0 && d >= 3 { // who does not vote may lose its disk
+		if s.rng.IntN(3) == 0 && d >= 3 { // a daemon that does not vote may lose its disk
 			_ = os.RemoveAll(filepath.Join(s.dir, fmt.Sprint("s", d)))
 		}
 		s.start(d)
 		return "kill"
 	default:
-		for i := range s.ds {
+		for i := range s.daemons {
 			s.kill(i)
 		}
-		for i := range s.ds {
+		for i := range s.daemons {
 			s.start(i)
 		}
 		return "kill all"
 	}
 }
 
-func (s *drawnPlay) kill(d int) {
+func (s *faultSchedule) kill(d int) {
 	s.mu.Lock()
-	s.up[d] = false
+	s.isUp[d] = false
 	s.mu.Unlock()
-	s.ds[d].signal(s.t, syscall.SIGKILL)
-	_ = s.ds[d].ended()
+	s.daemons[d].signal(s.t, syscall.SIGKILL)
+	_ = s.daemons[d].wait()
 }
 
-// start starts a daemon again, by a clock that differs by what is allowed, and does not wait for it.
-func (s *drawnPlay) start(d int) {
+// start starts a daemon again, with a clock rate within the tolerance, and does not wait until it is ready.
+func (s *faultSchedule) start(d int) {
 	s.t.Setenv(transport.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives[d]++
-	s.up[d] = true
-	s.ds[d].daemonRun = start(s.t, "serve", "--config", s.ds[d].path)
+	s.incarnations[d]++
+	s.isUp[d] = true
+	s.daemons[d].process = startProcess(s.t, "serve", "--config", s.daemons[d].path)
 }
 
-// play plays troubles, and then holds what was seen against what is promised.
-func (s *drawnPlay) play() {
+// run injects faults, and then checks the observations against the guarantees.
+func (s *faultSchedule) run() {
 	t := s.t
 	_, _ = s.putText(0, "first", 0)
-	for d := range s.ds {
-		s.load.Go(func() { s.call(d) })
+	for d := range s.daemons {
+		s.load.Go(func() { s.sendRequests(d) })
 	}
 	for i := range 3 {
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), uint64(i)))
-		s.load.Go(func() { s.operate(i, rng) })
+		s.load.Go(func() { s.sendOperations(i, rng) })
 	}
-	for s.now() < scheduleTime {
+	for s.now() < faultsDuration {
 		from := s.now()
-		what := s.trouble()
-		s.troubles = append(s.troubles, trouble{what, from})
-		rest := restLeast + time.Duration(s.rng.Int64N(int64(time.Second)))
+		what := s.injectFault()
+		s.faults = append(s.faults, injectedFault{what, from})
+		rest := minFaultGap + time.Duration(s.rng.Int64N(int64(time.Second)))
 		t.Logf("%v: %s is over", s.now().Round(time.Millisecond), what)
 		time.Sleep(rest)
 	}
@@ -328,104 +276,14 @@
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
 		return err == nil
 	})
-	s.acting(s.ds, last.Version)
-	s.over.Store(true)
+	s.awaitActive(s.daemons, last.Version)
+	s.isOver.Store(true)
 	s.load.Wait()
 	s.judge(last.Version)
 }
 
-// judge holds what was seen against what is promised.
-func (s *drawnPlay) judge(version uint64) {
-	t := s.t
-	history, err := status.Call(s.ds[0].admin, []string{"history"}, nil, putTime)
-	if err != nil {
-		t.Fatal(err)
-	}
-	versions := s.versions(history)
-	acts := s.acts(versions)
-	v := clusterinvariant.JudgeVersions(acts, conflictWithin)
-	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
-		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
-	}
-	for id := range s.refused {
-		if a, ok := s.arrived[id]; ok {
-			t.Errorf("%s was refused, and came to a node at %v", id, a.at)
-		}
-	}
-	for _, text := range s.odd[:min(len(s.odd), 5)] {
-		t.Error(text)
-	}
-	if v.Versions < 2 {
-		t.Errorf("%d versions were acted on: nothing was put to the test", v.Versions)
-	}
-	if result := porcupine.CheckOperationsTimeout(register, s.ops, 20*time.Second); result != porcupine.Ok {
-		t.Errorf("the flag's history of %d operations is linearizable: %v", len(s.ops), result)
-	}
-	t.Logf("SCHEDULE %d versions of %d acted on in %d requests, the longest contradiction %v of %v; %d refused, %d without an answer; %d operations on the flag; refused by trouble %v", v.Versions, version, len(acts), v.Longest.Round(time.Millisecond),
-		conflictWithin, len(s.refused), s.gone, len(s.ops), s.refusedBy())
-}
-
-// refusedBy counts the refused requests by the trouble in or after which they were sent.
-func (s *drawnPlay) refusedBy() map[string]int {
-	by := map[string]int{}
-	for id := range s.refused {
-		name := "start"
-		for _, t := range s.troubles {
-			if t.from <= s.sent[id].at {
-				name = t.name
-			}
-		}
-		by[name]++
-	}
-	return by
-}
-
-// versions are those in which settings were put, by mark. What a put was told must be in the history.
-func (s *drawnPlay) versions(history *status.CommandResult) map[string]uint64 {
-	versions, known := map[string]uint64{}, map[uint64]string{}
-	for _, c := range history.History {
-		if _, twice := known[c.Version]; twice {
-			s.t.Errorf("version %d is there twice", c.Version)
-		}
-		known[c.Version] = c.SHA256
-		for digest, mark := range s.marks {
-			if c.SHA256 == fmt.Sprintf("%x", digest) {
-				versions[mark] = c.Version
-			}
-		}
-	}
-	for version, digest := range s.made {
-		if known[version] != fmt.Sprintf("%x", digest) {
-			s.t.Errorf("a put was told that it made version %d, which is another's, or lost", version)
-		}
-	}
-	return versions
-}
-
-// acts are the requests that came to nodes, as acts of the daemons. One that was sent to a daemon while that was stopped was
-// decided after it woke.
-func (s *drawnPlay) acts(versions map[string]uint64) (acts []clusterinvariant.Act) {
-	for id, a := range s.arrived {
-		from := s.sent[id]
-		if a.mark == "" { // by a daemon's own file, before anything was agreed on
-			continue
-		}
-		for _, p := range s.stops[from.daemon] {
-			if from.at > p.from && from.at < p.to {
-				from.at = p.to
-			}
-		}
-		if versions[a.mark] == 0 {
-			s.t.Errorf("%s was decided by %q, which was never agreed on", id, a.mark)
-		}
-		acts = append(acts, clusterinvariant.Act{Asked: from.at, Said: a.at, By: fmt.Sprint("s", from.daemon), Life: from.life, Version: versions[a.mark], Digest: a.mark})
-	}
-	slices.SortFunc(acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
-	return acts
-}
-
-// SCHEDULES=number plays more of them, from SCHEDULE=seed on; every second one with seven daemons.
-func TestDrawnTroubles(t *testing.T) {
+// SCHEDULES=number runs more of them, from SCHEDULE=seed on; every second one has seven daemons instead of five.
+func TestRandomFaultSchedules(t *testing.T) {
 	n, err := strconv.Atoi(cmp.Or(os.Getenv("SCHEDULES"), "1"))
 	first, err2 := strconv.ParseUint(cmp.Or(os.Getenv("SCHEDULE"), "1"), 10, 64)
 	if err := errors.Join(err, err2); err != nil {
@@ -434,7 +292,7 @@
 	for i := range uint64(n) {
 		seed := first + i
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			newSchedule(t, seed, 5+2*int((seed+1)%2)).play()
+			newFaultSchedule(t, seed, 5+2*int((seed+1)%2)).run()
 		})
 	}
 }
--- a/cmd/tuliprock/norace_test.go
+++ b/cmd/tuliprock/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceDetector = false
+const isRaceDetectorOn = false
--- a/cmd/tuliprock/race_test.go
+++ b/cmd/tuliprock/race_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceDetector = true
+const isRaceDetectorOn = true
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -34,7 +34,8 @@
 
 // Help implements kong's HelpProvider.
 func (c *rehearseCommand) Help() string {
-	return "Days that ship: " + strings.Join(rehearsals.Names(), ", ") + ". Exit code 0: every rule held; 1: one was broken, or the day was not valid; 2: nothing was played."
+	return "Days that ship: " + strings.Join(rehearsals.Names(), ", ") +
+		". Exit code 0: every rule held; 1: one was broken, or the day was not valid; 2: nothing was played."
 }
 
 // loadDay reads the day: one that ships, by its name, or a file.
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -8,23 +8,25 @@
 	"time"
 )
 
-// The measurement: puts all the time for SOAK, and what the daemons' memory and their data_dirs come to. See docs/design/027.
-func TestSettingsSoak(t *testing.T) {
+// The measurement: continuous puts for the duration SOAK, and how large the daemons' memory and data_dirs become. See
+// docs/design/027.
+func TestSettingsSoakMemoryAndDisk(t *testing.T) {
 	length, err := time.ParseDuration(os.Getenv("SOAK"))
 	if err != nil {
 		t.Skip("SOAK is not set: a measurement")
 	}
-	c := newCouncil(t, councilOf{daemons: 5, voters: 3, remember: true, shared: `shared = { unsure = "refuse" }`})
+	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`})
 	began, look, puts, failed := time.Now(), time.Duration(0), 0, 0
 	for time.Since(began) < length {
 		puts++
-		if _, err := c.ds[puts%5].put(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTime); err != nil {
+		if _, err := c.daemons[puts%5].put(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTimeout); err != nil {
 			failed++
 		}
 		if since := time.Since(began); since >= look {
 			text := ""
-			for i, d := range c.ds {
-				text += fmt.Sprintf("  %d KiB, disk %d KiB", memory(d.cmd.Process.Pid, "VmRSS"), folder(t, filepath.Join(c.dir, fmt.Sprint("s", i)))>>10)
+			for i, d := range c.daemons {
+				text += fmt.Sprintf("  %d KiB, disk %d KiB",
+					processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), directorySize(t, filepath.Join(c.dir, fmt.Sprint("s", i)))>>10)
 			}
 			t.Logf("%v: %d puts, %d failed:%s", since.Round(time.Second), puts, failed, text)
 			look += length / 10
@@ -32,7 +34,8 @@
 	}
 }
 
-func folder(t *testing.T, dir string) (bytes int64) {
+// directorySize is the sum of the sizes of a directory's files.
+func directorySize(t *testing.T, dir string) (bytes int64) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -3,10 +3,8 @@
 import (
 	"bufio"
 	"crypto/sha256"
-	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
@@ -26,146 +24,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// bulk is a node that says what hash an upload has, or takes it unseen, and gives as many bytes as it is asked for.
-func bulk(w http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
-	pace := func(in io.Reader) io.Reader { return in }
-	if mbs, _ := strconv.Atoi(query.Get("mbs")); mbs > 0 {
-		pace = func(in io.Reader) io.Reader { return &slowly{in, mbs << 20, time.Now(), 0} }
-	}
-	if n, err := strconv.ParseInt(query.Get("give"), 10, 64); err == nil {
-		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
-		_, _ = io.CopyBuffer(struct{ io.Writer }{w}, pace(content(query.Get("hash") != "", n)), make([]byte, 256<<10))
-		return
-	}
-	if query.Get("hash") == "" {
-		_, _ = io.CopyBuffer(struct{ io.Writer }{io.Discard}, r.Body, make([]byte, 256<<10))
-		_, _ = io.WriteString(w, "ok")
-		return
-	}
-	h := sha256.New()
-	_, _ = io.CopyBuffer(h, pace(r.Body), make([]byte, 256<<10))
-	_, _ = fmt.Fprintf(w, "%x", h.Sum(nil)) // who asked misses it
-}
-
-// slowly reads at a rate of bytes a second.
-type slowly struct {
-	io.Reader
-	rate  int
-	began time.Time
-	got   int
-}
-
-func (s *slowly) Read(to []byte) (int, error) {
-	due := s.began.Add(time.Duration(float64(s.got) / float64(s.rate) * float64(time.Second)))
-	time.Sleep(time.Until(due))
-	n, err := s.Reader.Read(to)
-	s.got += n
-	return n, err
-}
-
-// content is what goes both ways: noise, or nothing but a length.
-func content(noise bool, n int64) io.Reader {
-	if noise {
-		return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
-	}
-	return io.LimitReader(zeros{}, n)
-}
-
-type zeros struct{}
-
-func (zeros) Read(to []byte) (int, error) { return len(to), nil }
-
-// spliceLoop passes connections on with nothing but io.Copy: what the system gives at most.
-func spliceLoop(at, to string) error {
-	l, err := net.Listen("tcp", at)
-	if err != nil {
-		return err
-	}
-	for {
-		in, err := l.Accept()
-		if err != nil {
-			return err
-		}
-		out, err := net.Dial("tcp", to)
-		if err != nil {
-			return err
-		}
-		for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
-			go func() {
-				_, _ = io.Copy(way[0], way[1])
-				_ = way[0].(*net.TCPConn).CloseWrite()
-			}()
-		}
-	}
-}
-
-// transfer moves n bytes and gives the answer's body: its own if it is short, else its hash.
-func transfer(addr, way, query string, n int64, noise bool, rate int) (string, error) {
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		return "", err
-	}
-	defer nc.Close()
-	in := bufio.NewReaderSize(nc, 256<<10)
-	source := content(noise, n)
-	if rate > 0 {
-		source = &slowly{source, rate, time.Now(), 0}
-	}
-	if way == "up" {
-		_, _ = fmt.Fprintf(nc, "PUT /bulk?%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", query, n)
-		if _, err := io.CopyBuffer(struct{ io.Writer }{nc}, source, make([]byte, 256<<10)); err != nil {
-			return "", err
-		}
-	} else {
-		_, _ = fmt.Fprintf(nc, "GET /bulk?give=%d&%s HTTP/1.1\r\nHost: h\r\n\r\n", n, query)
-	}
-	resp, err := http.ReadResponse(in, nil)
-	if err != nil {
-		return "", err
-	}
-	if resp.StatusCode == http.StatusServiceUnavailable {
-		return "", errRefused
-	}
-	if resp.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("answered %s", resp.Status)
-	}
-	if way == "up" {
-		text, err := io.ReadAll(resp.Body)
-		return string(text), err
-	}
-	var body io.Reader = resp.Body
-	if rate > 0 {
-		body = &slowly{body, rate, time.Now(), 0}
-	}
-	var into io.Writer = struct{ io.Writer }{io.Discard}
-	h := sha256.New()
-	if noise {
-		into = h
-	}
-	got, err := io.CopyBuffer(into, body, make([]byte, 256<<10))
-	if err == nil && got != n {
-		err = fmt.Errorf("%d bytes of %d came", got, n)
-	}
-	return fmt.Sprintf("%x", h.Sum(nil)), err
-}
-
-var errRefused = errors.New("refused")
-
-// insist is transfer, again whenever it is refused: the module lets in no more calls at once than its members answer well.
-// It tells how often that was.
-func insist(addr, way, query string, n int64, noise bool, rate int) (got string, refused int, err error) {
-	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(100 * time.Millisecond) {
-		got, err = transfer(addr, way, query, n, noise, rate)
-		if !errors.Is(err, errRefused) || time.Now().After(end) {
-			return got, refused, err
-		}
-		refused++
-	}
-}
-
-// longDaemon is a daemon on one core before a node on a core of its own.
-func longDaemon(t *testing.T, daemonSettings string) (daemon *daemonRun, own, node string) {
+// startStreamingDaemon starts a daemon on one core, and a node on a core of its own.
+func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, own, node string) {
 	t.Helper()
 	node = testpeer.FreePort(t)
 	startPeer(t, "bulk", node)
@@ -176,13 +36,13 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	daemon = start(t, "serve", "--config", path)
-	daemon.await(t, "msg=listening")
+	daemon = startProcess(t, "serve", "--config", path)
+	daemon.awaitText(t, "msg=listening")
 	return daemon, own, node
 }
 
-// memory is a figure of a process's memory, in KiB.
-func memory(pid int, what string) int {
+// processMemoryKiB reads a value of a process's memory, such as VmRSS or VmHWM.
+func processMemoryKiB(pid int, what string) int {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	_, rest, _ := strings.Cut(string(status), what+":")
 	line, _, _ := strings.Cut(rest, "\n")
@@ -190,8 +50,8 @@
 	return kb
 }
 
-// cpu is the processor time that a process has used.
-func cpu(pid int) time.Duration {
+// processorTime is the processor time that a process has used.
+func processorTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
@@ -200,24 +60,24 @@
 	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 wherever Go runs on Linux
 }
 
-// Long bodies in a daemon of its own stay under a fixed ceiling, however fast or slow the sides are, and arrive whole.
-// BODIES=gigabytes plays the measurement of docs/design/016; without it a small form of the same.
-func TestLongBodiesStayUnderACeiling(t *testing.T) {
+// Long streaming bodies stay under a fixed ceiling of memory, however fast or slow both sides are, and arrive complete.
+// BODIES=gigabytes runs the measurement of docs/design/016; without it the test is a small form of the same.
+func TestStreamingBodiesStayUnderMemoryCeiling(t *testing.T) {
 	gigabytes, _ := strconv.Atoi(os.Getenv("BODIES"))
-	alone, each, rate := int64(256<<20), int64(1<<20), 4 // alone it is more than the ceiling: one that is held fails
+	alone, each, rate := int64(256<<20), int64(1<<20), 4 // a single body is larger than the ceiling: one that is buffered fails
 	if gigabytes > 0 {
 		alone, each, rate = int64(gigabytes)<<30, int64(gigabytes)<<30/50, 20
 	}
-	ceiling := 32 << 10 // KiB over the idle daemon's
-	if raceDetector {   // which keeps a shadow of the memory, several times as large
+	ceiling := 32 << 10   // KiB over the idle daemon's
+	if isRaceDetectorOn { // whose shadow memory is several times as large as the program's
 		ceiling = 128 << 10
 	}
-	daemon, own, _ := longDaemon(t, "")
+	daemon, own, _ := startStreamingDaemon(t, "")
 	pid := daemon.cmd.Process.Pid
 	if _, err := transfer(own, "down", "", 1, false, 0); err != nil {
 		t.Fatal(err)
 	}
-	idle := memory(pid, "VmRSS")
+	idle := processMemoryKiB(pid, "VmRSS")
 	for _, row := range []struct {
 		name       string
 		at         int
@@ -231,14 +91,14 @@
 	} {
 		for _, way := range []string{"up", "down"} {
 			h := sha256.New()
-			_, _ = io.Copy(h, content(true, row.size))
+			_, _ = io.Copy(h, bodyOf(true, row.size))
 			want := fmt.Sprintf("%x", h.Sum(nil))
 			began := time.Now()
 			var busy sync.WaitGroup
 			var refusals atomic.Int32
 			for range row.at {
 				busy.Go(func() {
-					got, refused, err := insist(own, way, "hash=1&"+row.query, row.size, true, row.callerRate)
+					got, refused, err := transferUntilAdmitted(own, way, "hash=1&"+row.query, row.size, true, row.callerRate)
 					refusals.Add(int32(refused))
 					if err != nil || got != want {
 						t.Errorf("%s, %s: %q, %v, want %q", row.name, way, got, err, want)
@@ -246,8 +106,9 @@
 				})
 			}
 			busy.Wait()
-			took, peak := time.Since(began), memory(pid, "VmHWM")
-			t.Logf("%s, %s: %d x %d MiB in %.1f s, refused first %d times; idle %d KiB, at the peak %d KiB more", row.name, way, row.at, row.size>>20, took.Seconds(), refusals.Load(), idle, peak-idle)
+			took, peak := time.Since(began), processMemoryKiB(pid, "VmHWM")
+			t.Logf("%s, %s: %d x %d MiB in %.1f s, refused first %d times; idle %d KiB, at the peak %d KiB more",
+				row.name, way, row.at, row.size>>20, took.Seconds(), refusals.Load(), idle, peak-idle)
 			if peak-idle > ceiling {
 				t.Errorf("%s, %s: %d KiB over the idle daemon's, %d allowed", row.name, way, peak-idle, ceiling)
 			}
@@ -257,12 +118,12 @@
 
 // The measurement: long bodies through this daemon on one core, through httputil.ReverseProxy on one core, and through
 // bare io.Copy on one core, in turns. THROUGH=turns runs it; see docs/design/016.
-func TestThroughputBesideReverseProxyAndSplice(t *testing.T) {
+func TestStreamingThroughputAgainstReverseProxyAndSplice(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("THROUGH"))
 	if turns == 0 {
 		t.Skip("THROUGH is not set: a measurement, for a quiet machine")
 	}
-	daemon, own, node := longDaemon(t, "")
+	daemon, own, node := startStreamingDaemon(t, "")
 	addrs := []string{own, testpeer.FreePort(t), testpeer.FreePort(t)}
 	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], node), startPeer(t, "splice", addrs[2], node)}
 	const total = 2 << 30
@@ -273,7 +134,7 @@
 				var rate, used [3]float64
 				for k := range 3 {
 					which := (i + k) % 3
-					began, spent := time.Now(), cpu(pids[which])
+					began, spent := time.Now(), processorTime(pids[which])
 					var busy sync.WaitGroup
 					for range at {
 						busy.Go(func() {
@@ -284,21 +145,23 @@
 					}
 					busy.Wait()
 					rate[which] = total / time.Since(began).Seconds() / (1 << 20)
-					used[which] = (cpu(pids[which]) - spent).Seconds() / (float64(total) / (1 << 30))
+					used[which] = (processorTime(pids[which]) - spent).Seconds() / (float64(total) / (1 << 30))
 				}
-				t.Logf("%s, %d: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor for each GiB", way, at, rate[0], rate[1], rate[2], used[0], used[1], used[2])
+				t.Logf("%s, %d: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor for each GiB",
+					way, at, rate[0], rate[1], rate[2], used[0], used[1], used[2])
 				for k := range 2 {
 					rates[k], cpus[k] = append(rates[k], rate[0]/rate[k+1]), append(cpus[k], used[0]/used[k+1])
 				}
 			}
-			t.Logf("%s, %d at once: rate %s of ReverseProxy's, %s of the splice loop's; processor %s and %s", way, at, ratios(rates[0]), ratios(rates[1]), ratios(cpus[0]), ratios(cpus[1]))
+			t.Logf("%s, %d at once: rate %s of ReverseProxy's, %s of the splice loop's; processor %s and %s",
+				way, at, formatRatios(rates[0]), formatRatios(rates[1]), formatRatios(cpus[0]), formatRatios(cpus[1]))
 		}
 	}
 }
 
-// lookups asks for little at a steady pace, and gives the latencies from when each was due, in µs (the middle one and p99),
-// and the share that was refused.
-func lookups(t *testing.T, addr string, length time.Duration) (p50, p99, refused float64) {
+// measureLookups sends short requests at a steady rate. It returns the median and the p99 of the latencies, in µs from when
+// each was due, and the share of requests that were shed.
+func measureLookups(t *testing.T, addr string, length time.Duration) (p50, p99, refused float64) {
 	t.Helper()
 	const connections = 500
 	request, err := loadgen.Simple(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
@@ -327,20 +190,20 @@
 
 // The measurement: lookups alone, beside 50 long transfers through the same daemon and pool, and beside the same ones that go past the
 // daemon, in turns. LOOKUPS=turns runs it, with RATE MiB a second for each transfer; see docs/design/016.
-func TestLookupsBesideTransfers(t *testing.T) {
+func TestLookupLatencyBesideTransfers(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("LOOKUPS"))
 	rate, _ := strconv.Atoi(os.Getenv("RATE"))
 	if turns == 0 || rate == 0 {
 		t.Skip("LOOKUPS and RATE are not set: a measurement, for a quiet machine")
 	}
-	_, own, node := longDaemon(t, "")
+	_, own, node := startStreamingDaemon(t, "")
 	const length = 4 * time.Second
 	transfers := func(addr string) *sync.WaitGroup {
 		var busy sync.WaitGroup
 		for i := range 50 {
 			busy.Go(func() {
 				way := []string{"up", "down"}[i%2]
-				if _, _, err := insist(addr, way, "", int64(rate)<<20*6, false, rate<<20); err != nil {
+				if _, _, err := transferUntilAdmitted(addr, way, "", int64(rate)<<20*6, false, rate<<20); err != nil {
 					t.Error(err)
 				}
 			})
@@ -358,25 +221,27 @@
 				busy = transfers([]string{"", own, node}[which])
 			}
 			var p50, refused float64
-			p50, p99[which], refused = lookups(t, own, length)
+			p50, p99[which], refused = measureLookups(t, own, length)
 			if busy != nil {
 				busy.Wait()
 			}
-			t.Logf("%s: p50 %.0f us, p99 %.0f us, %.3f refused", []string{"alone", "beside transfers", "beside transfers past the daemon"}[which], p50, p99[which], refused)
+			t.Logf("%s: p50 %.0f us, p99 %.0f us, %.3f refused",
+				[]string{"alone", "beside transfers", "beside transfers past the daemon"}[which], p50, p99[which], refused)
 		}
 		through, past = append(through, p99[1]/p99[0]), append(past, p99[2]/p99[0])
 	}
-	t.Logf("p99 of lookups over the quiet one: %s beside 50 transfers of %d MiB/s, %s where these go past the daemon", ratios(through), rate, ratios(past))
+	t.Logf("p99 of lookups over the quiet one: %s beside 50 transfers of %d MiB/s, %s where these go past the daemon",
+		formatRatios(through), rate, formatRatios(past))
 }
 
-// 500 uploads of a gigabyte each at once, in 192 MB and 1,024 descriptors: most wait their turn or are refused, all are answered
-// when the daemon is told to end, and lookups go on. UPLOADS=seconds plays it.
-func TestManyUploadsAtOnce(t *testing.T) {
+// 500 concurrent uploads of a gigabyte each, with 192 MB and 1,024 descriptors: most wait or are shed, all are answered when
+// the daemon gets SIGTERM, and lookups are served meanwhile. UPLOADS=seconds runs it.
+func TestManyConcurrentUploadsAreAllAnswered(t *testing.T) {
 	seconds, _ := strconv.Atoi(os.Getenv("UPLOADS"))
 	if seconds == 0 {
 		t.Skip("UPLOADS is not set: a measurement, for a quiet machine")
 	}
-	daemon, own, _ := longDaemon(t, "memory_mb = 192\nbody_memory_mb = 64\ndrain_timeout = \"1s\"")
+	daemon, own, _ := startStreamingDaemon(t, "memory_mb = 192\nbody_memory_mb = 64\ndrain_timeout = \"1s\"")
 	pid := daemon.cmd.Process.Pid
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1024, Max: 1024}, nil); err != nil {
 		t.Fatal(err)
@@ -395,22 +260,23 @@
 			}
 			defer nc.Close()
 			_, _ = fmt.Fprintf(nc, "PUT /bulk HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", 1<<30)
-			go func() { _, _ = io.Copy(nc, content(false, 1<<30)) }()
+			go func() { _, _ = io.Copy(nc, bodyOf(false, 1<<30)) }()
 			if resp, err := http.ReadResponse(bufio.NewReader(nc), nil); err == nil {
 				got = resp.Status
 			}
 		})
 	}
 	time.Sleep(time.Duration(seconds) * time.Second)
-	p50, p99, refused := lookups(t, own, 2*time.Second)
-	t.Logf("lookups meanwhile (aim 15 s): p50 %.0f us, p99 %.0f us, %.3f refused; the daemon's memory at its peak %d KiB", p50, p99, refused, memory(pid, "VmHWM"))
+	p50, p99, refused := measureLookups(t, own, 2*time.Second)
+	t.Logf("lookups meanwhile (aim 15 s): p50 %.0f us, p99 %.0f us, %.3f refused; the daemon's memory at its peak %d KiB",
+		p50, p99, refused, processMemoryKiB(pid, "VmHWM"))
 	_ = daemon.cmd.Process.Signal(syscall.SIGTERM)
 	busy.Wait()
 	t.Logf("answers: %v", answers)
 	if answers["ended without an answer"] > 0 {
 		t.Error("some were not answered")
 	}
-	if peak := memory(pid, "VmHWM"); peak > 192<<10 {
+	if peak := processMemoryKiB(pid, "VmHWM"); peak > 192<<10 {
 		t.Errorf("%d KiB", peak)
 	}
 }
