--- a/internal/testkit/fake/caller.go
+++ b/internal/testkit/fake/caller.go
@@ -156,7 +156,7 @@
 	if _, err := io.WriteString(l, c.text(t, due)); err != nil {
 		l.Close()
 		if fresh {
-			c.rec.Add(invariant.Event{Kind: invariant.NotTaken, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.NotAccepted, Request: t.ID})
 			return true
 		}
 		return false
@@ -172,7 +172,7 @@
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
 			out.Left = true
-			c.rec.Add(invariant.Event{Kind: invariant.Left, Request: t.ID})
+			c.rec.Add(invariant.Event{Kind: invariant.ClientLeft, Request: t.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.rec.Add(invariant.Event{Kind: invariant.Unanswered, Request: t.ID})
 		case !fresh:
@@ -217,7 +217,7 @@
 		}
 	}
 	if l.in.Buffered() > 0 {
-		c.rec.Add(invariant.Event{Kind: invariant.Extra, Request: t.ID})
+		c.rec.Add(invariant.Event{Kind: invariant.ExtraBytes, Request: t.ID})
 	}
 	l.Close()
 }
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -593,11 +593,11 @@
 	}{
 		{"served", ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered}, 0},
 		{"refused", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503, []invariant.Kind{invariant.Asked, invariant.Answered}, 0},
-		{"answered twice", ok + ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered, invariant.Extra}, 0},
+		{"answered twice", ok + ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered, invariant.ExtraBytes}, 0},
 		{"cut", ok[:len(ok)-3] + "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
 		{"closed", "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
 		{"silence", "", 0, []invariant.Kind{invariant.Asked, invariant.Unanswered}, 0},
-		{"hung up", "", 0, []invariant.Kind{invariant.Asked, invariant.Left}, 20 * time.Millisecond},
+		{"hung up", "", 0, []invariant.Kind{invariant.Asked, invariant.ClientLeft}, 20 * time.Millisecond},
 	} {
 		connect, _ := sidecarThat(t, c.says)
 		rec := NewRecorder(time.Now(), 100)
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -64,20 +64,20 @@
 	{"answered late", 1, "after its time was up", begin().ask(s, "r", look).answer(3*s+51*ms, "r", 200)},
 	{"answered on the last moment", 1, "", begin().ask(s, "r", look).answer(3*s+50*ms, "r", 200)},
 	{"answered twice", 1, "answered 2 times", begin().ask(s, "r", look).answer(2*s, "r", 200).answer(2*s+ms, "r", 200)},
-	{"bytes behind the answer", 1, "more came", begin().ask(s, "r", look).answer(2*s, "r", 200).end(2*s+ms, Extra, "r", "")},
+	{"bytes behind the answer", 1, "more came", begin().ask(s, "r", look).answer(2*s, "r", 200).end(2*s+ms, ExtraBytes, "r", "")},
 	{"never answered", 1, "no answer", begin().ask(s, "r", look).end(3*s+150*ms, Unanswered, "r", "")},
 	{"never answered, by one that was killed", 1, "", append(begin().ask(s, "r", look), Event{At: 2 * s, Kind: Killed, Sidecar: "s"}).end(4*s, Unanswered, "r", "").ask(5*s, "q", look).answer(6*s, "q", 200)},
 	{"lost", 1, "without a whole answer", begin().ask(s, "r", look).end(2*s, Lost, "r", "")},
 	{"lost with a killed sidecar", 1, "", append(begin().ask(s, "r", look), Event{At: 2 * s, Kind: Killed, Sidecar: "s"}).end(2*s+ms, Lost, "r", "")},
-	{"lost at a planned end", 1, "without a whole answer", append(begin().ask(s, "r", look), Event{At: s + 100*ms, Kind: Term, Sidecar: "s"}).end(2*s, Lost, "r", "")},
-	{"taken long after SIGTERM, and found by SIGKILL", 1, "", append(begin(), Event{At: s, Kind: Term, Sidecar: "s"}, Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).ask(s+800*ms, "r", look).end(4*s, Lost, "r", "")},
-	{"taken soon after SIGTERM, and found by SIGKILL", 1, "without a whole answer", append(begin(), Event{At: s, Kind: Term, Sidecar: "s"}, Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).ask(s+700*ms, "r", look).end(4*s, Lost, "r", "")},
-	{"taken long after SIGTERM, and lost by itself", 1, "without a whole answer", append(begin(), Event{At: s, Kind: Term, Sidecar: "s"}).ask(s+800*ms, "r", look).end(2*s, Lost, "r", "")},
+	{"lost at a planned end", 1, "without a whole answer", append(begin().ask(s, "r", look), Event{At: s + 100*ms, Kind: TermSent, Sidecar: "s"}).end(2*s, Lost, "r", "")},
+	{"taken long after SIGTERM, and found by SIGKILL", 1, "", append(begin(), Event{At: s, Kind: TermSent, Sidecar: "s"}, Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).ask(s+800*ms, "r", look).end(4*s, Lost, "r", "")},
+	{"taken soon after SIGTERM, and found by SIGKILL", 1, "without a whole answer", append(begin(), Event{At: s, Kind: TermSent, Sidecar: "s"}, Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).ask(s+700*ms, "r", look).end(4*s, Lost, "r", "")},
+	{"taken long after SIGTERM, and lost by itself", 1, "without a whole answer", append(begin(), Event{At: s, Kind: TermSent, Sidecar: "s"}).ask(s+800*ms, "r", look).end(2*s, Lost, "r", "")},
 	{"another's answer", 1, "no endpoint made", append(begin().ask(s, "r", look), Event{At: 2 * s, Kind: Answered, Request: "r", Status: 200})},
 	{"a crash", 1, "ended by itself", append(begin().ask(s, "r", look).answer(2*s, "r", 200), Event{At: 3 * s, Kind: Exited, Sidecar: "s", Crash: true})},
 	{"closed on a request that was read", 1, "first connection was closed", begin().ask(s, "r", look).send(s+ms, "r", "a", 1).ask(s+2*ms, "r", look).answer(2*s, "r", 200)},
 	{"closed between requests", 1, "", begin().ask(s, "r", look).ask(s+2*ms, "r", look).send(s+3*ms, "r", "a", 1).end(s+9*ms, Done, "r", "a").answer(2*s, "r", 200)},
-	{"a caller that left", 1, "", begin().ask(s, "r", look).end(2*s, Left, "r", "")},
+	{"a caller that left", 1, "", begin().ask(s, "r", look).end(2*s, ClientLeft, "r", "")},
 
 	{"two at once", 2, "was out", begin().ask(s, "r", look).send(s+ms, "r", "a", 1).send(s+10*ms, "r", "b", 1).end(s+200*ms, Done, "r", "a").end(s+210*ms, Done, "r", "b").answer(s+220*ms, "r", 200)},
 	{"one after the other", 2, "", begin().ask(s, "r", look).send(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").send(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").answer(s+21*ms, "r", 200)},
@@ -100,8 +100,8 @@
 		}
 		return l
 	}()},
-	{"sent after its end", 2, "after its end", begin().ask(s, "r", look).end(2*s, Left, "r", "").send(2*s+100*ms, "r", "a", 1)},
-	{"sent as its caller left", 2, "", begin().ask(s, "q", look).send(s+ms, "q", "a", 1).end(s+2*ms, Declined, "q", "a").send(s+3*ms, "q", "a", 1).end(s+4*ms, Done, "q", "a").answer(s+5*ms, "q", 200).ask(s, "r", look).end(2*s, Left, "r", "").send(2*s+51*ms, "r", "a", 1)},
+	{"sent after its end", 2, "after its end", begin().ask(s, "r", look).end(2*s, ClientLeft, "r", "").send(2*s+100*ms, "r", "a", 1)},
+	{"sent as its caller left", 2, "", begin().ask(s, "q", look).send(s+ms, "q", "a", 1).end(s+2*ms, Declined, "q", "a").send(s+3*ms, "q", "a", 1).end(s+4*ms, Done, "q", "a").answer(s+5*ms, "q", 200).ask(s, "r", look).end(2*s, ClientLeft, "r", "").send(2*s+51*ms, "r", "a", 1)},
 	{"asked by nobody", 2, "nobody had asked", begin().send(s, "ghost", "a", 1)},
 
 	{"sent to what drains", 3, "node drains", begin().told(s, Draining).ask(2*s, "r", look).send(2*s, "r", "a", 1)},
@@ -215,7 +215,7 @@
 		id := fmt.Sprint("r", i)
 		l = l.ask(s, id, look).end(2*s, Lost, id, "")
 	}
-	if r := Judge(rules, l).Rules[0]; r.Broken != 1000 || len(r.Breaches) != breachesKept {
+	if r := Judge(rules, l).Rules[0]; r.Broken != 1000 || len(r.Breaches) != maxReportedViolations {
 		t.Errorf("%d broken, %d kept", r.Broken, len(r.Breaches))
 	}
 }
@@ -266,7 +266,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"", "a", "b", "s"})
 		events := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Event {
-			return Event{At: time.Duration(rapid.IntRange(0, 20000).Draw(t, "at")) * ms, Kind: Kind(rapid.IntRange(0, int(Stall)).Draw(t, "kind")),
+			return Event{At: time.Duration(rapid.IntRange(0, 20000).Draw(t, "at")) * ms, Kind: Kind(rapid.IntRange(0, int(HarnessStall)).Draw(t, "kind")),
 				Request: name.Draw(t, "request"), Sidecar: name.Draw(t, "sidecar"), Node: name.Draw(t, "node"), Class: rapid.IntRange(-1, 4).Draw(t, "class"),
 				State: State(rapid.IntRange(0, 2).Draw(t, "state")), Status: rapid.SampledFrom([]int{0, 200, 429, 502, 503}).Draw(t, "status"),
 				ColdFor: time.Duration(rapid.IntRange(0, 5).Draw(t, "cold")) * s, Work: rapid.Float64Range(0, 5).Draw(t, "work")}
--- /dev/null
+++ b/internal/testkit/invariant/process.go
@@ -0,0 +1,72 @@
+package invariant
+
+import "time"
+
+// sidecarState is what is known of one process of a sidecar. A restart begins a new one.
+type sidecarState struct {
+	termSent      bool
+	termAt        time.Duration
+	killed        bool
+	isPaused      bool
+	resumedAt     time.Duration            // the latest resumption; 0: none
+	notifications map[string]*notification // of nodes that drain or are gone, by node
+	knownStarts   map[string]time.Duration // the latest start that the process was notified of, by node
+}
+
+func newSidecarState() *sidecarState {
+	return &sidecarState{notifications: map[string]*notification{}, knownStarts: map[string]time.Duration{}}
+}
+
+// applyProcess records what became of a sidecar's process. A crash breaks rule 1.
+func (c *checker) applyProcess(e *Event) {
+	switch e.Kind {
+	case Up:
+		c.sidecars[e.Sidecar] = newSidecarState()
+	case TermSent:
+		sidecar := c.sidecar(e.Sidecar)
+		sidecar.termSent, sidecar.termAt = true, e.At
+	case Killed:
+		c.sidecar(e.Sidecar).killed = true
+	case Paused:
+		c.sidecar(e.Sidecar).isPaused = true
+	case Resumed:
+		c.applyResumed(e)
+	case Exited:
+		if e.Crash {
+			c.report.Crashes++
+			c.violate(ruleFinalResponse, e, "the sidecar's process ended by itself")
+		}
+	}
+}
+
+// applyResumed counts notifications that came during a pause as received at its end.
+func (c *checker) applyResumed(e *Event) {
+	sidecar := c.sidecar(e.Sidecar)
+	sidecar.isPaused, sidecar.resumedAt = false, e.At
+	for _, n := range sidecar.notifications {
+		if n.at > e.At-e.For {
+			n.at = e.At
+		}
+	}
+}
+
+// wasPaused reports whether the process that accepted the request was paused for a part of the request's time. Its response may
+// then be late; there must still be only one, and nothing may take effect twice.
+func (r *requestState) wasPaused() bool {
+	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.asked.At)
+}
+
+// isExcused reports whether a request may be lost with its sidecar: the process was killed outright, or it accepted the
+// request so long after SIGTERM that it need not answer any more.
+func (c *checker) isExcused(request *requestState) bool {
+	process := request.process
+	switch {
+	case process == nil:
+		return false
+	case process.killed && !process.termSent:
+		return true
+	case process.termSent:
+		return process.killed && request.asked.At > process.termAt+c.rules.TermGrace
+	}
+	return false
+}
--- a/internal/testkit/rehearse/process.go
+++ b/internal/testkit/rehearse/process.go
@@ -195,7 +195,7 @@
 
 // term ends it as a planned restart does: SIGTERM, and SIGKILL once the longest deadline and a little more are over.
 func (p *process) term(patience time.Duration) {
-	ended := p.signal(syscall.SIGTERM, invariant.Term)
+	ended := p.signal(syscall.SIGTERM, invariant.TermSent)
 	if ended == nil {
 		return
 	}
--- a/internal/testkit/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -245,7 +245,7 @@
 	w := &world{plan: testPlan(t), own: schedule.NewLatency()}
 	judge := func(o Own, events ...invariant.Event) []string {
 		r := &Result{Own: o, Referee: &invariant.Report{}}
-		r.Referee.Rules[2].Breaches = []invariant.Breach{{Rule: 3, At: 5 * time.Second}}
+		r.Referee.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
 		w.judgeOwn(r, events, time.Minute)
 		if r.Valid != (len(r.Invalid) == 0) {
 			t.Errorf("valid %v, %v", r.Valid, r.Invalid)
@@ -253,7 +253,7 @@
 		return r.Invalid
 	}
 	stall := func(at time.Duration) invariant.Event {
-		return invariant.Event{Kind: invariant.Stall, At: time.Minute + at, For: 60 * time.Millisecond}
+		return invariant.Event{Kind: invariant.HarnessStall, At: time.Minute + at, For: 60 * time.Millisecond}
 	}
 	for _, c := range []struct {
 		name   string
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -333,7 +333,7 @@
 	}
 	var stalls []invariant.Event
 	for _, e := range events {
-		if e.Kind == invariant.Stall {
+		if e.Kind == invariant.HarnessStall {
 			stalls = append(stalls, e)
 		}
 	}
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -86,14 +86,14 @@
 	}
 }
 
-func verdictText(u invariant.Rule) string {
+func verdictText(u invariant.RuleResult) string {
 	if u.Verdict == invariant.Broken {
 		return fmt.Sprintf("BROKEN %d times", u.Broken)
 	}
 	return string(u.Verdict)
 }
 
-func occasions(u invariant.Rule) string {
+func occasions(u invariant.RuleResult) string {
 	var out []string
 	for name, n := range u.Occasions {
 		out = append(out, fmt.Sprintf("%s %d", name, n))
@@ -102,7 +102,7 @@
 	return strings.Join(out, ", ")
 }
 
-func describe(x invariant.Breach) string {
+func describe(x invariant.Violation) string {
 	out := x.What
 	for _, part := range []struct{ name, value string }{{"request", x.Request}, {"sidecar", x.Sidecar}, {"node", x.Node}} {
 		if part.value != "" {
--- a/internal/testkit/rehearse/tell_test.go
+++ b/internal/testkit/rehearse/tell_test.go
@@ -20,10 +20,10 @@
 		Referee:  &invariant.Report{}}
 	names := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
 	for i := range r.Referee.Rules {
-		r.Referee.Rules[i] = invariant.Rule{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
+		r.Referee.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
 	}
 	r.Referee.Rules[1].Broken = 7
-	r.Referee.Rules[1].Breaches = []invariant.Breach{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
+	r.Referee.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
 	return r
 }
 
--- a/internal/testkit/rehearse/watch.go
+++ b/internal/testkit/rehearse/watch.go
@@ -58,7 +58,7 @@
 		h.own.Record(late)
 		h.worst = max(h.worst, late)
 		if late >= h.w.plan.Day.Rules.Slack {
-			h.w.rec.Add(invariant.Event{Kind: invariant.Stall, For: late})
+			h.w.rec.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
 		}
 	}
 }
