--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -22,7 +22,8 @@
 			c.violate(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", sent.Node)
 			return
 		case class.Effect == Keyed && sent.Cell != e.Cell:
-			c.violate(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d", sent.Node, sent.Cell, e.Cell)
+			c.violate(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d",
+				sent.Node, sent.Cell, e.Cell)
 			return
 		case class.Effect == Keyed && e.First > sent.At+class.Window+c.rules.Slack:
 			c.violate(ruleNoDoubleEffect, e, "keyed work sent again %v after the first send, its window is %v",
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -64,7 +64,8 @@
 		case request.wasPaused():
 			c.countOccasion(ruleFinalResponse, occasionPaused)
 		default:
-			c.violate(ruleFinalResponse, e, "no answer %v after its time was up", (e.At - request.asked.Until).Round(time.Millisecond))
+			c.violate(ruleFinalResponse, e, "no answer %v after its time was up",
+				(e.At - request.asked.Until).Round(time.Millisecond))
 		}
 	case ClientLeft:
 		c.countOccasion(ruleFinalResponse, "callers that left")
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// wasPaused reports whether the process that accepted the request was paused for a part of the request's time. Its response may
-// then be late; there must still be only one, and nothing may take effect twice.
+// wasPaused reports whether the process that accepted the request was paused for a part of the request's time. Its
+// response may then be late; there must still be only one, and nothing may take effect twice.
 func (r *requestState) wasPaused() bool {
 	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.asked.At)
 }
