--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -23,26 +23,27 @@
 	Tier, Cell     int
 	Cores          int
 	Speed          float64       // of a core, in yardsticks
-	Slots, Room    int           // requests in work, and waiting for a slot; beyond that they are turned away
-	ColdFrom       float64       // share of its capacity right after a start
-	ColdFor        time.Duration // over which that rises evenly
-	FallMultiple   float64       // sent more than this times what it can do,
-	FallAfter      time.Duration // over this time, a cold node falls over and stays down
-	Handshake      time.Duration // work for a new connection
-	IdleFor        time.Duration // it closes a connection that is idle for so long
-	Conns          int           // connections that it holds; requests on further ones are turned away
+	Slots          int           // requests in work
+	Room           int           `json:"Room"`         // waiting for a slot; beyond that they are turned away
+	ColdFrom       float64       `json:"ColdFrom"`     // share of its capacity right after a start
+	ColdFor        time.Duration `json:"ColdFor"`      // over which that rises evenly
+	FallMultiple   float64       `json:"FallMultiple"` // sent more than this times what it can do,
+	FallAfter      time.Duration `json:"FallAfter"`    // over this time, a cold node falls over and stays down
+	Handshake      time.Duration `json:"Handshake"`    // work for a new connection
+	IdleFor        time.Duration `json:"IdleFor"`      // it closes a connection that is idle for so long
+	Conns          int           `json:"Conns"`        // connections that it holds; requests on further ones are turned away
 	ErrorRate      float64       // share of requests that it answers with 500
-	Choke          *Choke
+	Choke          *Choke        `json:"Choke"`
 }
 
 // Choke is the slow state after overload.
 type Choke struct {
-	At     float64       // requests that run or wait here beyond the cores, times the root of the cores,
-	Over   time.Duration // on average over this time, bring it on;
-	Slower float64       // it makes a node so many times slower
-	Rest   time.Duration // until it has been mostly idle for so long,
-	Below  float64       // that is, its cores were busy under this share,
-	Most   time.Duration // or until this time is up
+	At     float64       `json:"At"`     // requests that run or wait here beyond the cores, times the root of the cores,
+	Over   time.Duration `json:"Over"`   // on average over this time, bring it on;
+	Slower float64       `json:"Slower"` // it makes a node so many times slower
+	Rest   time.Duration `json:"Rest"`   // until it has been mostly idle for so long,
+	Below  float64       `json:"Below"`  // that is, its cores were busy under this share,
+	Most   time.Duration `json:"Most"`   // or until this time is up
 }
 
 // Cell is a set of nodes that drop repeats of keyed work together.
