--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -24,8 +24,8 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// List is a message of discovery's: all members, or those that have changed.
-type List struct {
+// MemberList is a message of discovery's: all members, or those that have changed.
+type MemberList struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
@@ -38,36 +38,36 @@
 	StateGone     = "Gone"
 )
 
-var stateOf = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining, StateGone: invariant.Gone}
+var invariantStates = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining, StateGone: invariant.Gone}
 
-// heartbeat is how often an empty line comes on a watch.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is how often an empty line comes on a watch.
+const heartbeatInterval = 2 * time.Second
 
-// toldAfter is when a change that the agent has counts as told, whether or not its sidecar has fetched it: one that does
+// notifiedAfter is when a change that the agent has counts as told, whether or not its sidecar has fetched it: one that does
 // not listen must not pass for one that can't know.
-const toldAfter = 6 * time.Second
+const notifiedAfter = 6 * time.Second
 
-// keptChanges is how many changes an agent can repeat for a watch that resumes; one further back gets the whole list.
-const keptChanges = 256
+// maxChanges is how many changes an agent can repeat for a watch that resumes; one further back gets the whole list.
+const maxChanges = 256
 
 // Agent is discovery's end on a sidecar's own machine: it answers at once with what it has been sent, and is silent
 // while discovery is down.
 type Agent struct {
-	Sidecar string
-	Addr    string
-	rec     *Recorder
-	server  *http.Server
+	Sidecar  string
+	Addr     string
+	recorder *Recorder
+	server   *http.Server
 
-	mu      sync.Mutex
-	version int64
-	members map[string]Member
-	order   []string
-	changes []change
-	told    List          // as the sidecar has it
-	heard   int64         // the latest version written to it
-	news    chan struct{} // closed at each change, and when discovery goes down or comes back
-	down    bool
-	waiting []Member // changes that came while discovery was down
+	mu              sync.Mutex
+	version         int64
+	members         map[string]Member
+	order           []string
+	changes         []change
+	notified        MemberList    // as the sidecar has it
+	notifiedVersion int64         // the latest version written to it
+	changed         chan struct{} // closed at each change, and when discovery goes down or comes back
+	isDown          bool
+	pending         []Member // changes that came while discovery was down
 }
 
 type change struct {
@@ -81,13 +81,13 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Sidecar: sidecar, Addr: listener.Addr().String(), rec: rec, version: 1,
-		members: map[string]Member{}, news: make(chan struct{})}
+	a := &Agent{Sidecar: sidecar, Addr: listener.Addr().String(), recorder: rec, version: 1,
+		members: map[string]Member{}, changed: make(chan struct{})}
 	for _, m := range list {
-		a.set(m)
+		a.setMember(m)
 	}
-	a.told = a.list()
-	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headWait}
+	a.notified = a.fullList()
+	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headTimeout}
 	go func() { _ = a.server.Serve(listener) }() // it ends by Close; before that, a sidecar that gets no answer shows it
 	return a, nil
 }
@@ -101,58 +101,58 @@
 	return err
 }
 
-// Send brings a change to the agent; while discovery is down it waits there.
-func (a *Agent) Send(m Member) {
+// Update brings a change to the agent; while discovery is down it waits there.
+func (a *Agent) Update(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.down {
-		a.waiting = append(a.waiting, m)
+	if a.isDown {
+		a.pending = append(a.pending, m)
 		return
 	}
-	a.apply(m)
+	a.applyChange(m)
 }
 
-// Down makes discovery go down, or come back with all that has changed meanwhile.
-func (a *Agent) Down(down bool) {
+// SetDown makes discovery go down, or come back with all that has changed meanwhile.
+func (a *Agent) SetDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.down = down
+	a.isDown = down
 	if !down {
-		for _, m := range a.waiting {
-			a.apply(m)
+		for _, m := range a.pending {
+			a.applyChange(m)
 		}
-		a.waiting = nil
+		a.pending = nil
 	}
-	a.wake()
+	a.wakeWatches()
 }
 
-// Known is the list as its sidecar was last told.
-func (a *Agent) Known() List {
+// NotifiedList is the list as its sidecar was last told.
+func (a *Agent) NotifiedList() MemberList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.told
+	return a.notified
 }
 
-// apply takes a change up. a.mu is held.
-func (a *Agent) apply(m Member) {
+// applyChange takes a change up. a.mu is held.
+func (a *Agent) applyChange(m Member) {
 	a.version++
-	a.set(m)
+	a.setMember(m)
 	a.changes = append(a.changes, change{a.version, m})
 	version := a.version
-	time.AfterFunc(toldAfter, func() {
+	time.AfterFunc(notifiedAfter, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if a.heard < version {
-			a.rec.Add(Told(a.Sidecar, m, a.rec))
+		if a.notifiedVersion < version {
+			a.recorder.Add(NotificationEvent(a.Sidecar, m, a.recorder))
 		}
 	})
-	if len(a.changes) > keptChanges {
-		a.changes = a.changes[len(a.changes)-keptChanges:]
+	if len(a.changes) > maxChanges {
+		a.changes = a.changes[len(a.changes)-maxChanges:]
 	}
-	a.wake()
+	a.wakeWatches()
 }
 
-func (a *Agent) set(m Member) {
+func (a *Agent) setMember(m Member) {
 	if _, ok := a.members[m.ID]; !ok {
 		a.order = append(a.order, m.ID)
 	}
@@ -169,26 +169,26 @@
 	a.members[m.ID] = m
 }
 
-func (a *Agent) wake() {
-	close(a.news)
-	a.news = make(chan struct{})
+func (a *Agent) wakeWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// list is the whole list. a.mu is held.
-func (a *Agent) list() List {
-	l := List{Version: a.version, Full: true, Servers: []Member{}}
+// fullList is the whole list. a.mu is held.
+func (a *Agent) fullList() MemberList {
+	l := MemberList{Version: a.version, Full: true, Servers: []Member{}}
 	for _, id := range a.order {
 		l.Servers = append(l.Servers, a.members[id])
 	}
 	return l
 }
 
-// since is what has changed after a version, or the whole list. a.mu is held.
-func (a *Agent) since(version int64) List {
+// changesSince is what has changed after a version, or the whole list. a.mu is held.
+func (a *Agent) changesSince(version int64) MemberList {
 	if version > a.version || len(a.changes) > 0 && version < a.changes[0].version-1 || len(a.changes) == 0 && version < a.version {
-		return a.list()
+		return a.fullList()
 	}
-	l := List{Version: a.version, Servers: []Member{}}
+	l := MemberList{Version: a.version, Servers: []Member{}}
 	for _, c := range a.changes {
 		if c.version > version {
 			l.Servers = append(l.Servers, c.member)
@@ -204,8 +204,8 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		if l, ok := a.await(r, func() (List, bool) { return a.list(), true }); ok {
-			a.write(w, l)
+		if l, ok := a.awaitList(r, func() (MemberList, bool) { return a.fullList(), true }); ok {
+			a.writeList(w, l)
 		}
 		return
 	}
@@ -215,14 +215,14 @@
 		return
 	}
 	for first := true; ; first = false {
-		l, ok := a.await(r, func() (List, bool) {
-			l := a.since(after)
+		l, ok := a.awaitList(r, func() (MemberList, bool) {
+			l := a.changesSince(after)
 			return l, first || l.Full || len(l.Servers) > 0
 		})
 		switch {
 		case ok:
 			after = l.Version
-			if !a.write(w, l) {
+			if !a.writeList(w, l) {
 				return
 			}
 		case r.Context().Err() != nil:
@@ -236,14 +236,14 @@
 	}
 }
 
-// await waits until discovery is up and there is something to say. It is false after a heartbeat's time, or when the
+// awaitList waits until discovery is up and there is something to say. It is false after a heartbeat's time, or when the
 // watch has ended.
-func (a *Agent) await(r *http.Request, look func() (List, bool)) (List, bool) {
-	beat := time.NewTimer(heartbeat)
+func (a *Agent) awaitList(r *http.Request, look func() (MemberList, bool)) (MemberList, bool) {
+	beat := time.NewTimer(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		a.mu.Lock()
-		news, down := a.news, a.down
+		news, down := a.changed, a.isDown
 		if !down {
 			if l, ok := look(); ok {
 				a.mu.Unlock()
@@ -257,16 +257,16 @@
 		}
 		select {
 		case <-r.Context().Done():
-			return List{}, false
+			return MemberList{}, false
 		case <-news:
 		case <-tick:
-			return List{}, false
+			return MemberList{}, false
 		}
 	}
 }
 
-// write sends a message, and notes what the sidecar was told by it.
-func (a *Agent) write(w http.ResponseWriter, l List) bool {
+// writeList sends a message, and notes what the sidecar was told by it.
+func (a *Agent) writeList(w http.ResponseWriter, l MemberList) bool {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return false
@@ -279,19 +279,19 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	gone := a.note(l)
+	gone := a.recordWritten(l)
 	for _, m := range append(gone, l.Servers...) {
-		a.rec.Add(Told(a.Sidecar, m, a.rec))
+		a.recorder.Add(NotificationEvent(a.Sidecar, m, a.recorder))
 	}
 	return true
 }
 
-// note keeps what the sidecar has now, and says who is gone by a whole list that no longer names them. a.mu is held.
-func (a *Agent) note(l List) (gone []Member) {
-	old := a.told
-	a.heard = max(a.heard, l.Version)
+// recordWritten keeps what the sidecar has now, and says who is gone by a whole list that no longer names them. a.mu is held.
+func (a *Agent) recordWritten(l MemberList) (gone []Member) {
+	old := a.notified
+	a.notifiedVersion = max(a.notifiedVersion, l.Version)
 	if l.Version >= old.Version {
-		a.told = a.list()
+		a.notified = a.fullList()
 	}
 	if !l.Full {
 		return nil
@@ -309,9 +309,9 @@
 	return gone
 }
 
-// Told is the event that a sidecar has been told of a member.
-func Told(sidecar string, m Member, rec *Recorder) invariant.Event {
-	e := invariant.Event{Kind: invariant.Told, Sidecar: sidecar, Node: m.ID, State: stateOf[m.State]}
+// NotificationEvent is the event that a sidecar has been told of a member.
+func NotificationEvent(sidecar string, m Member, rec *Recorder) invariant.Event {
+	e := invariant.Event{Kind: invariant.Told, Sidecar: sidecar, Node: m.ID, State: invariantStates[m.State]}
 	if m.StartedMs > 0 {
 		e.Since = time.UnixMilli(m.StartedMs).Sub(rec.start.Round(0)) // wall against wall
 	}
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -16,61 +16,61 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Try is one request of a caller's.
-type Try struct {
-	ID      string // new with every try
-	Class   int
-	Tenant  string
-	Key     string // idempotency key; empty: none
-	Retry   bool
-	Hint    time.Duration // a guess at the work; 0: none
-	Job     *Job
-	Wait    time.Duration // the caller waits so long
-	HangUp  time.Duration // and leaves after this time already, if it is over 0
-	Connect func() (sidecar, addr string, ok bool)
+// Request is one request of a caller's.
+type Request struct {
+	ID         string // new with every try
+	Class      int
+	Tenant     string
+	Key        string // idempotency key; empty: none
+	Retry      bool
+	CostHint   time.Duration // a guess at the work; 0: none
+	Job        *Job
+	Timeout    time.Duration // the caller waits so long
+	LeaveAfter time.Duration // and leaves after this time already, if it is over 0
+	Connect    func() (sidecar, addr string, ok bool)
 }
 
 // Outcome is what a try came to.
 type Outcome struct {
 	Status     int           // 0: no answer
-	Reached    bool          // a sidecar took the request
+	IsAccepted bool          // a sidecar took the request
 	RetryAfter time.Duration // as the answer advises
-	Dialed     bool          // a connection was opened for it
-	Left       bool          // hung up on purpose
+	HasDialed  bool          // a connection was opened for it
+	HasLeft    bool          // hung up on purpose
 }
 
-// Caller makes tries over connections that it keeps. It is safe for concurrent use.
-type Caller struct {
-	classes []Class
-	desk    *Desk
-	rec     *Recorder
-	slack   time.Duration        // after a try's time until its answer counts as never come
-	most    int                  // idle connections kept
-	lasts   func() time.Duration // for how long a new one is used; nil: for good
+// Client makes tries over connections that it keeps. It is safe for concurrent use.
+type Client struct {
+	classes            []Class
+	registry           *Registry
+	recorder           *Recorder
+	tolerance          time.Duration        // after a try's time until its answer counts as never come
+	maxIdle            int                  // idle connections kept
+	connectionLifetime func() time.Duration // for how long a new one is used; nil: for good
 
 	mu   sync.Mutex
-	idle []*line
+	idle []*clientConn
 }
 
-// line is one connection of a caller's.
-type line struct {
+// clientConn is one connection of a caller's.
+type clientConn struct {
 	net.Conn
-	in      *bufio.Reader
-	sidecar string
-	until   time.Time // it is not used any more; zero: for good
+	reader      *bufio.Reader
+	sidecar     string
+	usableUntil time.Time // it is not used any more; zero: for good
 }
 
-// NewCaller makes a Caller that keeps at most most idle connections. slack is the rules' own on a try's time.
-func NewCaller(classes []Class, desk *Desk, rec *Recorder, slack time.Duration, most int) *Caller {
-	return &Caller{classes: classes, desk: desk, rec: rec, slack: slack, most: most}
+// NewClient makes a Caller that keeps at most most idle connections. slack is the rules' own on a try's time.
+func NewClient(classes []Class, desk *Registry, rec *Recorder, slack time.Duration, most int) *Client {
+	return &Client{classes: classes, registry: desk, recorder: rec, tolerance: slack, maxIdle: most}
 }
 
-// Lasts makes every new connection be used for a time that the function draws. It must be set before the first try, and
+// SetConnectionLifetime makes every new connection be used for a time that the function draws. It must be set before the first try, and
 // may be called from many goroutines.
-func (c *Caller) Lasts(draw func() time.Duration) { c.lasts = draw }
+func (c *Client) SetConnectionLifetime(draw func() time.Duration) { c.connectionLifetime = draw }
 
 // Close closes what is idle.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range c.idle {
@@ -79,14 +79,14 @@
 	c.idle = nil
 }
 
-// take gives the idle connection used last, if there is one.
-func (c *Caller) take() *line {
+// takeIdle gives the idle connection used last, if there is one.
+func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n := len(c.idle); n > 0; n = len(c.idle) {
 		l := c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		if l.until.IsZero() || time.Now().Before(l.until) {
+		if l.usableUntil.IsZero() || time.Now().Before(l.usableUntil) {
 			return l
 		}
 		l.Close()
@@ -94,10 +94,10 @@
 	return nil
 }
 
-func (c *Caller) keep(l *line) {
+func (c *Client) putIdle(l *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= c.most {
+	if len(c.idle) >= c.maxIdle {
 		l.Close()
 		return
 	}
@@ -105,102 +105,102 @@
 }
 
 const (
-	dialWait = 500 * time.Millisecond // the front layer notices a dead sidecar after seconds, a caller should sooner
-	tailLook = time.Millisecond       // for bytes behind an answer
+	dialTimeout    = 500 * time.Millisecond // the front layer notices a dead sidecar after seconds, a caller should sooner
+	extraBytesWait = time.Millisecond       // for bytes behind an answer
 )
 
-func dial(t Try) (*line, error) {
+func dialSidecar(t Request) (*clientConn, error) {
 	name, addr, ok := t.Connect()
 	if !ok {
 		return nil, errors.New("no sidecar is in")
 	}
-	nc, err := net.DialTimeout("tcp", addr, dialWait)
+	nc, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &line{Conn: nc, in: bufio.NewReader(nc), sidecar: name}, nil
+	return &clientConn{Conn: nc, reader: bufio.NewReader(nc), sidecar: name}, nil
 }
 
-// Try makes one try. It returns when the answer has come, the time is up or the connection has ended.
-func (c *Caller) Try(t Try) Outcome {
-	due := c.rec.Now() + t.Wait
-	c.desk.put(t.ID, ticket{job: t.Job, class: t.Class, key: t.Key})
+// Do makes one try. It returns when the answer has come, the time is up or the connection has ended.
+func (c *Client) Do(t Request) Outcome {
+	due := c.recorder.Now() + t.Timeout
+	c.registry.register(t.ID, registeredRequest{job: t.Job, class: t.Class, key: t.Key})
 	var out Outcome
 	for again := true; ; again = false {
-		l := c.take()
+		l := c.takeIdle()
 		if l == nil {
 			var err error
-			if l, err = dial(t); err != nil {
+			if l, err = dialSidecar(t); err != nil {
 				return out
 			}
-			if c.lasts != nil {
-				l.until = time.Now().Add(c.lasts())
+			if c.connectionLifetime != nil {
+				l.usableUntil = time.Now().Add(c.connectionLifetime())
 			}
-			out.Dialed = true
+			out.HasDialed = true
 		} else if !again {
 			l.Close() // the second time on a new connection
 			continue
 		}
-		fresh := out.Dialed
-		if c.once(l, t, due, fresh, &out) || fresh {
+		fresh := out.HasDialed
+		if c.exchange(l, t, due, fresh, &out) || fresh {
 			return out
 		}
 	}
 }
 
-// once is false where a connection that had served before ended before anything came: a sidecar may close one between
+// exchange is false where a connection that had served before ended before anything came: a sidecar may close one between
 // requests, and the request is sent once more on a new one.
-func (c *Caller) once(l *line, t Try, due time.Duration, fresh bool, out *Outcome) bool {
+func (c *Client) exchange(l *clientConn, t Request, due time.Duration, fresh bool, out *Outcome) bool {
 	asked := invariant.Event{Kind: invariant.Asked, Request: t.ID, Sidecar: l.sidecar, Class: t.Class, Until: due}
-	c.rec.Add(asked) // before the write: what comes of it comes later
-	if _, err := io.WriteString(l, c.text(t, due)); err != nil {
+	c.recorder.Add(asked) // before the write: what comes of it comes later
+	if _, err := io.WriteString(l, c.encode(t, due)); err != nil {
 		l.Close()
 		if fresh {
-			c.rec.Add(invariant.Event{Kind: invariant.NotAccepted, Request: t.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.NotAccepted, Request: t.ID})
 			return true
 		}
 		return false
 	}
-	out.Reached = true
-	limit, leaves := due+c.slack+graceMore, false
-	if t.HangUp > 0 && due-t.Wait+t.HangUp < limit {
-		limit, leaves = due-t.Wait+t.HangUp, true
+	out.IsAccepted = true
+	limit, leaves := due+c.tolerance+lateAllowance, false
+	if t.LeaveAfter > 0 && due-t.Timeout+t.LeaveAfter < limit {
+		limit, leaves = due-t.Timeout+t.LeaveAfter, true
 	}
-	_ = l.SetReadDeadline(time.Now().Add(limit - c.rec.Now()))
-	if _, err := l.in.Peek(1); err != nil {
+	_ = l.SetReadDeadline(time.Now().Add(limit - c.recorder.Now()))
+	if _, err := l.reader.Peek(1); err != nil {
 		l.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
-			out.Left = true
-			c.rec.Add(invariant.Event{Kind: invariant.ClientLeft, Request: t.ID})
+			out.HasLeft = true
+			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: t.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.rec.Add(invariant.Event{Kind: invariant.Unanswered, Request: t.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.Unanswered, Request: t.ID})
 		case !fresh:
 			return false
 		default:
-			c.rec.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
 		}
 		return true
 	}
-	c.read(l, t, due, out)
+	c.readResponse(l, t, due, out)
 	return true
 }
 
-// graceMore is how much later than the rules allow a caller lets go, so that a late answer is seen as such.
-const graceMore = 100 * time.Millisecond
+// lateAllowance is how much later than the rules allow a caller lets go, so that a late answer is seen as such.
+const lateAllowance = 100 * time.Millisecond
 
-// read takes an answer that has begun.
-func (c *Caller) read(l *line, t Try, due time.Duration, out *Outcome) {
-	_ = l.SetReadDeadline(time.Now().Add(max(due-c.rec.Now(), 0) + c.slack + graceMore))
-	resp, err := http.ReadResponse(l.in, nil)
+// readResponse takes an answer that has begun.
+func (c *Client) readResponse(l *clientConn, t Request, due time.Duration, out *Outcome) {
+	_ = l.SetReadDeadline(time.Now().Add(max(due-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
+	resp, err := http.ReadResponse(l.reader, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, bodyMost))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 		resp.Body.Close()
 	}
 	if err != nil {
 		l.Close()
-		c.rec.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
+		c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
 		return
 	}
 	out.Status = resp.StatusCode
@@ -208,22 +208,22 @@
 		out.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	genuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), t.ID+" ")
-	c.rec.Add(invariant.Event{Kind: invariant.Answered, Request: t.ID, Status: resp.StatusCode, Genuine: genuine})
-	if l.in.Buffered() == 0 && !resp.Close {
-		_ = l.SetReadDeadline(time.Now().Add(tailLook))
-		if _, err := l.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-			c.keep(l)
+	c.recorder.Add(invariant.Event{Kind: invariant.Answered, Request: t.ID, Status: resp.StatusCode, Genuine: genuine})
+	if l.reader.Buffered() == 0 && !resp.Close {
+		_ = l.SetReadDeadline(time.Now().Add(extraBytesWait))
+		if _, err := l.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
+			c.putIdle(l)
 			return
 		}
 	}
-	if l.in.Buffered() > 0 {
-		c.rec.Add(invariant.Event{Kind: invariant.ExtraBytes, Request: t.ID})
+	if l.reader.Buffered() > 0 {
+		c.recorder.Add(invariant.Event{Kind: invariant.ExtraBytes, Request: t.ID})
 	}
 	l.Close()
 }
 
-// text is the request as it is written.
-func (c *Caller) text(t Try, due time.Duration) string {
+// encode is the request as it is written.
+func (c *Client) encode(t Request, due time.Duration) string {
 	class := c.classes[t.Class]
 	method := http.MethodGet
 	if class.Effect != invariant.Safe {
@@ -231,12 +231,12 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /%s HTTP/1.1\r\nHost: api.internal\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", method, class.Name, t.ID,
-		max((due-c.rec.Now()).Milliseconds(), 1))
+		max((due-c.recorder.Now()).Milliseconds(), 1))
 	if t.Tenant != "" {
 		fmt.Fprintf(&b, "Req-Owner: %s\r\n", t.Tenant)
 	}
-	if t.Hint > 0 {
-		fmt.Fprintf(&b, "Req-Cost: %d\r\n", t.Hint.Microseconds())
+	if t.CostHint > 0 {
+		fmt.Fprintf(&b, "Req-Cost: %d\r\n", t.CostHint.Microseconds())
 	}
 	if t.Retry {
 		b.WriteString("Req-Retry: 1\r\n")
@@ -251,43 +251,43 @@
 	return b.String()
 }
 
-// Front deals callers' connections out among the sidecars that it holds for alive. It is safe for concurrent use.
-type Front struct {
-	mu   sync.Mutex
-	in   []place
-	next int
+// FrontLayer deals callers' connections out among the sidecars that it holds for alive. It is safe for concurrent use.
+type FrontLayer struct {
+	mu       sync.Mutex
+	sidecars []sidecarAddr
+	next     int
 }
 
-type place struct{ name, addr string }
+type sidecarAddr struct{ name, addr string }
 
-// In takes a sidecar in.
-func (f *Front) In(name, addr string) {
-	f.Out(name)
+// Add takes a sidecar in.
+func (f *FrontLayer) Add(name, addr string) {
+	f.Remove(name)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.in = append(f.in, place{name, addr})
+	f.sidecars = append(f.sidecars, sidecarAddr{name, addr})
 }
 
-// Out takes a sidecar out.
-func (f *Front) Out(name string) {
+// Remove takes a sidecar out.
+func (f *FrontLayer) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, p := range f.in {
+	for i, p := range f.sidecars {
 		if p.name == name {
-			f.in = append(f.in[:i:i], f.in[i+1:]...)
+			f.sidecars = append(f.sidecars[:i:i], f.sidecars[i+1:]...)
 			return
 		}
 	}
 }
 
 // Connect says where the next connection goes.
-func (f *Front) Connect() (name, addr string, ok bool) {
+func (f *FrontLayer) Connect() (name, addr string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.in) == 0 {
+	if len(f.sidecars) == 0 {
 		return "", "", false
 	}
 	f.next++
-	p := f.in[f.next%len(f.in)]
+	p := f.sidecars[f.next%len(f.sidecars)]
 	return p.name, p.addr, true
 }
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -52,20 +52,20 @@
 	fault DNSFault
 	delay time.Duration
 
-	busy sync.WaitGroup
-	stop chan struct{}
+	handlers sync.WaitGroup
+	stopped  chan struct{}
 }
 
 const (
-	dnsPlain   = 512 // bytes of an answer over UDP that asks for no more
-	dnsAliases = 8   // followed for one answer
-	dnsIdle    = 10 * time.Second
+	dnsMinPayload        = 512 // bytes of an answer over UDP that asks for no more
+	dnsMaxAliases        = 8   // followed for one answer
+	dnsConnectionTimeout = 10 * time.Second
 )
 
 // NewDNS starts a name server. Close ends it.
 func NewDNS() (*DNS, error) {
 	var err error
-	d := &DNS{names: map[string][]DNSRecord{}, stop: make(chan struct{})}
+	d := &DNS{names: map[string][]DNSRecord{}, stopped: make(chan struct{})}
 	for range 20 { // a port that is free for both
 		if d.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
@@ -79,26 +79,26 @@
 		return nil, err
 	}
 	d.Addr = d.tcp.Addr().String()
-	d.busy.Go(d.serveUDP)
-	d.busy.Go(d.serveTCP)
+	d.handlers.Go(d.serveUDP)
+	d.handlers.Go(d.serveTCP)
 	return d, nil
 }
 
 // Close ends the server and all that it answers.
 func (d *DNS) Close() {
-	close(d.stop)
+	close(d.stopped)
 	_ = d.udp.Close() // a socket that is given up
 	d.tcp.Close()
-	d.busy.Wait()
+	d.handlers.Wait()
 }
 
 // Set gives a name its records; none: the name does not exist.
 func (d *DNS) Set(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.names[key(name)] = records
+	d.names[canonicalName(name)] = records
 	if len(records) == 0 {
-		delete(d.names, key(name))
+		delete(d.names, canonicalName(name))
 	}
 }
 
@@ -109,7 +109,7 @@
 	d.fault, d.delay = fault, delay
 }
 
-func key(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) + "." }
+func canonicalName(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) + "." }
 
 func (d *DNS) serveUDP() {
 	b := make([]byte, 4096)
@@ -120,8 +120,8 @@
 		}
 		query := append([]byte(nil), b[:n]...)
 		d.Asked.Add(1)
-		d.busy.Go(func() {
-			if text := d.answer(query, false); text != nil {
+		d.handlers.Go(func() {
+			if text := d.respond(query, false); text != nil {
 				_, _ = d.udp.WriteTo(text, from)
 			}
 		})
@@ -134,19 +134,19 @@
 		if err != nil {
 			return
 		}
-		d.busy.Go(func() { d.talk(nc) })
+		d.handlers.Go(func() { d.serveConnection(nc) })
 	}
 }
 
-// talk answers what comes on a connection, each message behind its length (RFC 1035, 4.2.2).
-func (d *DNS) talk(nc net.Conn) {
+// serveConnection answers what comes on a connection, each message behind its length (RFC 1035, 4.2.2).
+func (d *DNS) serveConnection(nc net.Conn) {
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(dnsIdle))
+	_ = nc.SetDeadline(time.Now().Add(dnsConnectionTimeout))
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		select {
-		case <-d.stop:
+		case <-d.stopped:
 			nc.Close()
 		case <-done:
 		}
@@ -162,7 +162,7 @@
 		}
 		d.Asked.Add(1)
 		d.TCP.Add(1)
-		text := d.answer(query, true)
+		text := d.respond(query, true)
 		if text == nil {
 			return
 		}
@@ -172,15 +172,15 @@
 	}
 }
 
-// answer gives the message that answers a query; nil: none.
-func (d *DNS) answer(query []byte, tcp bool) []byte {
+// respond gives the message that answers a query; nil: none.
+func (d *DNS) respond(query []byte, tcp bool) []byte {
 	d.mu.Lock()
 	fault, delay := d.fault, d.delay
 	d.mu.Unlock()
 	if delay > 0 {
 		select {
 		case <-time.After(delay):
-		case <-d.stop:
+		case <-d.stopped:
 			return nil
 		}
 	}
@@ -193,10 +193,10 @@
 	if err != nil {
 		return nil
 	}
-	most := dnsPlain
+	most := dnsMinPayload
 	if p.SkipAllQuestions() == nil && p.SkipAllAnswers() == nil && p.SkipAllAuthorities() == nil {
 		if add, err := p.AdditionalHeader(); err == nil && add.Type == dnsmessage.TypeOPT {
-			most = max(int(add.Class), dnsPlain) // RFC 6891, 6.2.3
+			most = max(int(add.Class), dnsMinPayload) // RFC 6891, 6.2.3
 		}
 	}
 	m := dnsmessage.Message{Header: dnsmessage.Header{ID: h.ID, Response: true, RecursionDesired: h.RecursionDesired, RecursionAvailable: true},
@@ -238,14 +238,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := q.Name
-	for range dnsAliases {
-		list, ok := d.names[key(at.String())]
+	for range dnsMaxAliases {
+		list, ok := d.names[canonicalName(at.String())]
 		if !ok {
 			return out, dnsmessage.RCodeNameError
 		}
 		var alias dnsmessage.Name
 		for _, r := range list {
-			body := r.body(q.Type)
+			body := r.resource(q.Type)
 			if body == nil {
 				continue
 			}
@@ -262,13 +262,13 @@
 	return out, dnsmessage.RCodeSuccess
 }
 
-// body is the record's data if it answers a question of that type; nil: it does not.
-func (r *DNSRecord) body(t dnsmessage.Type) dnsmessage.ResourceBody {
+// resource is the record's data if it answers a question of that type; nil: it does not.
+func (r *DNSRecord) resource(t dnsmessage.Type) dnsmessage.ResourceBody {
 	switch {
 	case r.Alias != "":
-		return &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName(key(r.Alias))}
+		return &dnsmessage.CNAMEResource{CNAME: dnsmessage.MustNewName(canonicalName(r.Alias))}
 	case r.Service != "" && t == dnsmessage.TypeSRV:
-		return &dnsmessage.SRVResource{Priority: r.Priority, Port: r.Port, Target: dnsmessage.MustNewName(key(r.Service))}
+		return &dnsmessage.SRVResource{Priority: r.Priority, Port: r.Port, Target: dnsmessage.MustNewName(canonicalName(r.Service))}
 	case r.Address.Is4() && t == dnsmessage.TypeA:
 		return &dnsmessage.AResource{A: r.Address.As4()}
 	case r.Address.Is6() && t == dnsmessage.TypeAAAA:
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-const echoBody = 64 << 10 // bytes of a request's that are read
+const maxEchoBody = 64 << 10 // bytes of a request's that are read
 
-// Echo is a node that says which request came to it: the simplest to try a daemon with.
-func Echo(name string) http.Handler {
+// EchoHandler is a node that says which request came to it: the simplest to try a daemon with.
+func EchoHandler(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, echoBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -34,5 +34,5 @@
 
 // EchoServer is a server for Echo on an address, which it still has to listen on.
 func EchoServer(addr string) *http.Server {
-	return &http.Server{Addr: addr, Handler: Echo(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
+	return &http.Server{Addr: addr, Handler: EchoHandler(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 }
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -19,55 +19,55 @@
 
 // NodeSpec is what a node is. Its work is modelled: it takes time on a core that exists only as a count.
 type NodeSpec struct {
-	ID, Zone, Kind string
-	Tier, Cell     int
-	Cores          int
-	Speed          float64       // of a core, in yardsticks
-	Slots          int           // requests in work
-	Room           int           `json:"Room"`         // waiting for a slot; beyond that they are turned away
-	ColdFrom       float64       `json:"ColdFrom"`     // share of its capacity right after a start
-	ColdFor        time.Duration `json:"ColdFor"`      // over which that rises evenly
-	FallMultiple   float64       `json:"FallMultiple"` // sent more than this times what it can do,
-	FallAfter      time.Duration `json:"FallAfter"`    // over this time, a cold node falls over and stays down
-	Handshake      time.Duration `json:"Handshake"`    // work for a new connection
-	IdleFor        time.Duration `json:"IdleFor"`      // it closes a connection that is idle for so long
-	Conns          int           `json:"Conns"`        // connections that it holds; requests on further ones are turned away
-	ErrorRate      float64       // share of requests that it answers with 500
-	Choke          *Choke        `json:"Choke"`
+	ID, Zone, Kind     string
+	Tier, Cell         int
+	Cores              int
+	Speed              float64       // of a core, in yardsticks
+	Slots              int           // requests in work
+	QueueLimit         int           `json:"Room"`         // waiting for a slot; beyond that they are turned away
+	ColdCapacityShare  float64       `json:"ColdFrom"`     // share of its capacity right after a start
+	WarmUpDuration     time.Duration `json:"ColdFor"`      // over which that rises evenly
+	ColdOverloadFactor float64       `json:"FallMultiple"` // sent more than this times what it can do,
+	ColdOverloadWindow time.Duration `json:"FallAfter"`    // over this time, a cold node falls over and stays down
+	HandshakeWork      time.Duration `json:"Handshake"`    // work for a new connection
+	IdleTimeout        time.Duration `json:"IdleFor"`      // it closes a connection that is idle for so long
+	MaxConnections     int           `json:"Conns"`        // connections that it holds; requests on further ones are turned away
+	ErrorRate          float64       // share of requests that it answers with 500
+	Overload           *OverloadSpec `json:"Choke"`
 }
 
-// Choke is the slow state after overload.
-type Choke struct {
-	At     float64       `json:"At"`     // requests that run or wait here beyond the cores, times the root of the cores,
-	Over   time.Duration `json:"Over"`   // on average over this time, bring it on;
-	Slower float64       `json:"Slower"` // it makes a node so many times slower
-	Rest   time.Duration `json:"Rest"`   // until it has been mostly idle for so long,
-	Below  float64       `json:"Below"`  // that is, its cores were busy under this share,
-	Most   time.Duration `json:"Most"`   // or until this time is up
+// OverloadSpec is the slow state after overload.
+type OverloadSpec struct {
+	Threshold    float64       `json:"At"`     // requests that run or wait here beyond the cores, times the root of the cores,
+	AveragedOver time.Duration `json:"Over"`   // on average over this time, bring it on;
+	Slowdown     float64       `json:"Slower"` // it makes a node so many times slower
+	RecoverAfter time.Duration `json:"Rest"`   // until it has been mostly idle for so long,
+	IdleBelow    float64       `json:"Below"`  // that is, its cores were busy under this share,
+	MaxDuration  time.Duration `json:"Most"`   // or until this time is up
 }
 
 // Cell is a set of nodes that drop repeats of keyed work together.
 type Cell struct {
-	window time.Duration
-	mu     sync.Mutex
-	seen   map[string]time.Time
-	swept  time.Time
+	window  time.Duration
+	mu      sync.Mutex
+	seen    map[string]time.Time
+	sweptAt time.Time
 }
 
 // NewCell makes a cell that remembers keys for the window.
 func NewCell(window time.Duration) *Cell { return &Cell{window: window, seen: map[string]time.Time{}} }
 
-// repeat tells whether the key was seen within the window, and notes it.
-func (c *Cell) repeat(key string, now time.Time) bool {
+// isDuplicate tells whether the key was seen within the window, and notes it.
+func (c *Cell) isDuplicate(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.swept) > c.window { // so that the map holds two windows at most
+	if now.Sub(c.sweptAt) > c.window { // so that the map holds two windows at most
 		for k, at := range c.seen {
 			if now.Sub(at) > c.window {
 				delete(c.seen, k)
 			}
 		}
-		c.swept = now
+		c.sweptAt = now
 	}
 	if at, ok := c.seen[key]; ok && now.Sub(at) <= c.window {
 		return true
@@ -76,8 +76,8 @@
 	return false
 }
 
-// Next makes a node's calls to the tier behind it.
-type Next interface {
+// NextTier makes a node's calls to the tier behind it.
+type NextTier interface {
 	// Call makes one call for a request and tells whether it was served.
 	Call(class int, key string, job *Job) bool
 }
@@ -85,72 +85,72 @@
 // Node is a stand-in node. It listens on loopback at an address of its own, the same after a restart.
 type Node struct {
 	NodeSpec
-	Addr    string
-	Next    Next // nil: the last tier
-	classes []Class
-	cell    *Cell
-	desk    *Desk
-	rec     *Recorder
-	rng     func() float64
-
-	opened atomic.Int64 // connections, in all lives
-	choked atomic.Bool  // was slow by overload at least once
-
-	slow, hang, reset atomic.Uint64 // faults: math.Float64bits of how much slower, and of the share of requests
-
-	mu       sync.Mutex
-	life     *life // nil: down
-	draining bool
-	fallen   bool
+	Addr     string
+	NextTier NextTier // nil: the last tier
+	classes  []Class
+	cell     *Cell
+	registry *Registry
+	recorder *Recorder
+	random   func() float64
+
+	openedConnections atomic.Int64 // connections, in all lives
+	wasOverloaded     atomic.Bool  // was slow by overload at least once
+
+	slowdown, hangShare, resetShare atomic.Uint64 // faults: math.Float64bits of how much slower, and of the share of requests
+
+	mu           sync.Mutex
+	incarnation  *incarnation // nil: down
+	isDraining   bool
+	hasCollapsed bool
 }
 
-// life is one run of a node's process.
-type life struct {
-	began    time.Time
-	at       time.Duration // the same on the recorder's clock
-	cold     bool
-	done     chan struct{}
-	listener net.Listener
-	slots    *fifo
-	cores    *fifo
-	hand     atomic.Int64 // requests taken and not answered
-	wants    atomic.Int64 // those of them that run or wait here, not on others
-	busy     atomic.Int64 // cores at work
-	choked   atomic.Bool
-
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	sent  []pressure // while cold
+// incarnation is one run of a node's process.
+type incarnation struct {
+	startedAt    time.Time
+	startedSince time.Duration // the same on the recorder's clock
+	isCold       bool
+	done         chan struct{}
+	listener     net.Listener
+	slots        *semaphore
+	cores        *semaphore
+	inFlight     atomic.Int64 // requests taken and not answered
+	runnable     atomic.Int64 // those of them that run or wait here, not on others
+	busyCores    atomic.Int64 // cores at work
+	isOverloaded atomic.Bool
+
+	mu          sync.Mutex
+	connections map[net.Conn]bool
+	recentWork  []workArrival // while cold
 }
 
-type pressure struct {
+type workArrival struct {
 	at   time.Duration
 	work float64
 }
 
 // NewNode makes a node that is down. seed feeds what it draws by itself.
-func NewNode(spec NodeSpec, classes []Class, cell *Cell, desk *Desk, rec *Recorder, seed uint64) *Node {
+func NewNode(spec NodeSpec, classes []Class, cell *Cell, desk *Registry, rec *Recorder, seed uint64) *Node {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0x6e6f6465))
-	return &Node{NodeSpec: spec, classes: classes, cell: cell, desk: desk, rec: rec, rng: func() float64 {
+	return &Node{NodeSpec: spec, classes: classes, cell: cell, registry: desk, recorder: rec, random: func() float64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.Float64()
 	}}
 }
 
-// ErrFallen is the error of a start after the node, cold, was pushed over.
-var ErrFallen = errors.New("it has fallen over and stays down")
+// ErrCollapsed is the error of a start after the node, cold, was pushed over.
+var ErrCollapsed = errors.New("it has fallen over and stays down")
 
 // Start brings the node up, at its former address if it had one, and tells when.
 func (n *Node) Start(cold bool) (began time.Time, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != nil {
-		return n.life.began, nil
+	if n.incarnation != nil {
+		return n.incarnation.startedAt, nil
 	}
-	if n.fallen {
-		return time.Time{}, fmt.Errorf("node %s: %w", n.ID, ErrFallen)
+	if n.hasCollapsed {
+		return time.Time{}, fmt.Errorf("node %s: %w", n.ID, ErrCollapsed)
 	}
 	addr := n.Addr
 	if addr == "" {
@@ -160,38 +160,38 @@
 	if err != nil {
 		return time.Time{}, fmt.Errorf("node %s: %w", n.ID, err)
 	}
-	n.Addr, n.draining = listener.Addr().String(), false
-	l := &life{began: time.Now(), at: n.rec.Now(), cold: cold, done: make(chan struct{}), listener: listener,
-		slots: &fifo{free: n.Slots, most: n.Room}, cores: &fifo{free: n.Cores, most: math.MaxInt}, conns: map[net.Conn]bool{}}
-	n.life = l
+	n.Addr, n.isDraining = listener.Addr().String(), false
+	l := &incarnation{startedAt: time.Now(), startedSince: n.recorder.Now(), isCold: cold, done: make(chan struct{}), listener: listener,
+		slots: &semaphore{free: n.Slots, maxWaiting: n.QueueLimit}, cores: &semaphore{free: n.Cores, maxWaiting: math.MaxInt}, connections: map[net.Conn]bool{}}
+	n.incarnation = l
 	e := invariant.Event{Kind: invariant.Started, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
-		e.ColdFrom, e.ColdFor = n.ColdFrom, n.ColdFor
+		e.ColdFrom, e.ColdFor = n.ColdCapacityShare, n.WarmUpDuration
 	}
-	e.At = max(l.at, 1)
-	n.rec.Add(e)
-	go n.accept(l)
-	if n.Choke != nil {
-		go n.watchLoad(l)
+	e.At = max(l.startedSince, 1)
+	n.recorder.Add(e)
+	go n.acceptConnections(l)
+	if n.Overload != nil {
+		go n.monitorOverload(l)
 	}
-	return l.began, nil
+	return l.startedAt, nil
 }
 
 // Stop ends the node's process as a crash does: connections are reset, new ones refused.
 func (n *Node) Stop() {
 	n.mu.Lock()
-	l := n.life
-	n.life = nil
+	l := n.incarnation
+	n.incarnation = nil
 	n.mu.Unlock()
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n.rec.Add(invariant.Event{Kind: invariant.Stopped, Node: n.ID})
+	n.recorder.Add(invariant.Event{Kind: invariant.Stopped, Node: n.ID})
 	close(l.done)
 	l.listener.Close()
-	for nc := range l.conns {
+	for nc := range l.connections {
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // a reset, as when a process dies
 		}
@@ -203,44 +203,44 @@
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.draining = true
+	n.isDraining = true
 }
 
-// Up tells whether the node runs.
-func (n *Node) Up() bool {
+// IsUp tells whether the node runs.
+func (n *Node) IsUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life != nil
+	return n.incarnation != nil
 }
 
-// InHand is how many requests run or wait here.
-func (n *Node) InHand() int {
+// InFlight is how many requests run or wait here.
+func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life == nil {
+	if n.incarnation == nil {
 		return 0
 	}
-	return int(n.life.hand.Load())
+	return int(n.incarnation.inFlight.Load())
 }
 
-// Opened is how many connections have been opened to the node.
-func (n *Node) Opened() int { return int(n.opened.Load()) }
+// OpenedConnections is how many connections have been opened to the node.
+func (n *Node) OpenedConnections() int { return int(n.openedConnections.Load()) }
 
-// Choked tells whether overload has made the node slow at least once.
-func (n *Node) Choked() bool { return n.choked.Load() }
+// WasOverloaded tells whether overload has made the node slow at least once.
+func (n *Node) WasOverloaded() bool { return n.wasOverloaded.Load() }
 
-// Slow makes the node's cores so many times slower; 1 is as usual.
-func (n *Node) Slow(factor float64) { n.slow.Store(math.Float64bits(factor)) }
+// SetSlowdown makes the node's cores so many times slower; 1 is as usual.
+func (n *Node) SetSlowdown(factor float64) { n.slowdown.Store(math.Float64bits(factor)) }
 
-// Hang makes the node take this share of the requests and never answer them.
-func (n *Node) Hang(share float64) { n.hang.Store(math.Float64bits(share)) }
+// SetHangShare makes the node take this share of the requests and never answer them.
+func (n *Node) SetHangShare(share float64) { n.hangShare.Store(math.Float64bits(share)) }
 
-// Reset makes the node break the connection of this share of the requests after it has run them.
-func (n *Node) Reset(share float64) { n.reset.Store(math.Float64bits(share)) }
+// SetResetShare makes the node break the connection of this share of the requests after it has run them.
+func (n *Node) SetResetShare(share float64) { n.resetShare.Store(math.Float64bits(share)) }
 
-func load(v *atomic.Uint64) float64 { return math.Float64frombits(v.Load()) }
+func loadFloat(v *atomic.Uint64) float64 { return math.Float64frombits(v.Load()) }
 
-func (n *Node) accept(l *life) {
+func (n *Node) acceptConnections(l *incarnation) {
 	for {
 		nc, err := l.listener.Accept()
 		if err != nil {
@@ -253,34 +253,34 @@
 			continue
 		}
 		l.mu.Lock()
-		n.opened.Add(1)
-		over := n.Conns > 0 && len(l.conns) >= n.Conns
-		l.conns[nc] = true
+		n.openedConnections.Add(1)
+		over := n.MaxConnections > 0 && len(l.connections) >= n.MaxConnections
+		l.connections[nc] = true
 		l.mu.Unlock()
-		go n.serve(l, nc, over)
+		go n.serveConnection(l, nc, over)
 	}
 }
 
-// serve reads requests from a connection, one at a time, and notices when the other side ends it.
-func (n *Node) serve(l *life, nc net.Conn, over bool) {
+// serveConnection reads requests from a connection, one at a time, and notices when the other side ends it.
+func (n *Node) serveConnection(l *incarnation, nc net.Conn, over bool) {
 	defer func() {
 		l.mu.Lock()
-		delete(l.conns, nc)
+		delete(l.connections, nc)
 		l.mu.Unlock()
 		nc.Close()
 	}()
 	in := bufio.NewReader(nc)
 	var answered chan bool // of the request at work; its value says whether the connection goes on
 	var id string
-	n.idle(nc)
+	n.startIdleTimeout(nc)
 	for fresh := true; ; fresh = false {
 		if _, err := in.Peek(1); err != nil {
-			if answered != nil && len(answered) == 0 && !closed(l.done) {
-				n.rec.Add(invariant.Event{Kind: invariant.Dropped, Node: n.ID, Request: id})
+			if answered != nil && len(answered) == 0 && !isClosed(l.done) {
+				n.recorder.Add(invariant.Event{Kind: invariant.Dropped, Node: n.ID, Request: id})
 			}
 			return
 		}
-		first := n.rec.Now()
+		first := n.recorder.Now()
 		if answered != nil {
 			select {
 			case stays := <-answered:
@@ -291,31 +291,31 @@
 				return
 			}
 		}
-		_ = nc.SetReadDeadline(time.Now().Add(headWait))
+		_ = nc.SetReadDeadline(time.Now().Add(headTimeout))
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, bodyMost)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 			return
 		}
 		id = r.Header.Get("Req-Id")
 		_ = nc.SetReadDeadline(time.Time{})
 		answered = make(chan bool, 1)
-		if !n.take(l, nc, id, first, fresh, over, answered) {
+		if !n.handle(l, nc, id, first, fresh, over, answered) {
 			return
 		}
 	}
 }
 
-// idle bounds the wait for the next request.
-func (n *Node) idle(nc net.Conn) {
-	if n.IdleFor > 0 {
-		_ = nc.SetReadDeadline(time.Now().Add(n.IdleFor))
+// startIdleTimeout bounds the wait for the next request.
+func (n *Node) startIdleTimeout(nc net.Conn) {
+	if n.IdleTimeout > 0 {
+		_ = nc.SetReadDeadline(time.Now().Add(n.IdleTimeout))
 	}
 }
 
-func closed(done <-chan struct{}) bool {
+func isClosed(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
@@ -325,226 +325,226 @@
 }
 
 const (
-	headWait = 5 * time.Second // for the rest of a request that has begun
-	bodyMost = 64 << 10
+	headTimeout  = 5 * time.Second // for the rest of a request that has begun
+	maxBodyBytes = 64 << 10
 )
 
-// arrived notes that a request has come whole, unless the node has stopped: what a process had not read when it died never
+// recordArrival notes that a request has come whole, unless the node has stopped: what a process had not read when it died never
 // came, and would stay out for good in the timeline.
-func (n *Node) arrived(l *life, e invariant.Event) bool {
+func (n *Node) recordArrival(l *incarnation, e invariant.Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if closed(l.done) {
+	if isClosed(l.done) {
 		return false
 	}
-	n.rec.Add(e)
+	n.recorder.Add(e)
 	return true
 }
 
-// take receives one whole request and sees to its answer in a goroutine of its own, so that serve can watch the
+// handle receives one whole request and sees to its answer in a goroutine of its own, so that serve can watch the
 // connection meanwhile.
-func (n *Node) take(l *life, nc net.Conn, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
-	t, ok := n.desk.get(id)
+func (n *Node) handle(l *incarnation, nc net.Conn, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
+	t, ok := n.registry.lookup(id)
 	if !ok {
-		if n.arrived(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first}) {
-			answer(nc, http.StatusBadRequest, "", "")
+		if n.recordArrival(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first}) {
+			writeResponse(nc, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
-	if !n.arrived(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first, Work: t.job.Work.Seconds(), Cell: n.Cell}) {
+	if !n.recordArrival(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first, Work: t.job.Work.Seconds(), Cell: n.Cell}) {
 		return false
 	}
-	n.press(l, t.job.Work.Seconds())
-	if n.draws(&n.hang) {
+	n.recordColdWork(l, t.job.Work.Seconds())
+	if n.drawFault(&n.hangShare) {
 		return true // taken, and never answered
 	}
 	n.mu.Lock()
-	declines := over || n.draining
+	declines := over || n.isDraining
 	n.mu.Unlock()
-	l.hand.Add(1)
+	l.inFlight.Add(1)
 	go func() {
 		defer func() {
-			n.idle(nc)
+			n.startIdleTimeout(nc)
 			answered <- !over
 			if over {
 				nc.Close()
 			}
 		}()
-		defer l.hand.Add(-1)
-		l.wants.Add(1)
+		defer l.inFlight.Add(-1)
+		l.runnable.Add(1)
 		in := !declines && l.slots.acquire(l.done)
-		l.wants.Add(-1)
+		l.runnable.Add(-1)
 		if !in {
-			if closed(l.done) {
+			if isClosed(l.done) {
 				return
 			}
-			n.rec.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: id})
-			answer(nc, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
+			n.recorder.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: id})
+			writeResponse(nc, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 			return
 		}
 		defer l.slots.release()
-		n.run(l, nc, id, t, fresh)
+		n.execute(l, nc, id, t, fresh)
 	}()
 	return true
 }
 
-// draws tells whether a fault with a share strikes.
-func (n *Node) draws(fault *atomic.Uint64) bool {
-	share := load(fault)
-	return share > 0 && n.rng() < share
+// drawFault tells whether a fault with a share strikes.
+func (n *Node) drawFault(fault *atomic.Uint64) bool {
+	share := loadFloat(fault)
+	return share > 0 && n.random() < share
 }
 
-// run does a request's work and answers it. Nothing stops it but the node's death: a caller that leaves does not.
-func (n *Node) run(l *life, nc net.Conn, id string, t ticket, fresh bool) {
+// execute does a request's work and answers it. Nothing stops it but the node's death: a caller that leaves does not.
+func (n *Node) execute(l *incarnation, nc net.Conn, id string, t registeredRequest, fresh bool) {
 	work := t.job.Work
-	repeat := t.key != "" && n.classes[t.class].Effect == invariant.Keyed && n.cell.repeat(t.key, time.Now())
-	n.rec.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: id, Repeat: repeat})
+	repeat := t.key != "" && n.classes[t.class].Effect == invariant.Keyed && n.cell.isDuplicate(t.key, time.Now())
+	n.recorder.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: id, Repeat: repeat})
 	calls := t.job.Calls
 	if repeat {
-		work, calls = work/repeatShare, nil
+		work, calls = work/duplicateWorkDivisor, nil
 	}
 	if fresh {
-		work += n.Handshake
+		work += n.HandshakeWork
 	}
-	served := n.spend(l, work/2) && sleep(t.job.Wait, l.done)
+	served := n.useCore(l, work/2) && sleep(t.job.Wait, l.done)
 	if !served {
 		return
 	}
 	for _, c := range calls {
-		if served = n.Next == nil || n.Next.Call(t.class, t.key, c); !served {
+		if served = n.NextTier == nil || n.NextTier.Call(t.class, t.key, c); !served {
 			break
 		}
 	}
-	if !n.spend(l, work-work/2) {
+	if !n.useCore(l, work-work/2) {
 		return
 	}
-	if served && n.ErrorRate > 0 && n.rng() < n.ErrorRate {
+	if served && n.ErrorRate > 0 && n.random() < n.ErrorRate {
 		served = false
 	}
-	if n.draws(&n.reset) {
+	if n.drawFault(&n.resetShare) {
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		n.rec.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id})
+		n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id})
 		nc.Close()
 		return
 	}
-	n.rec.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id}) // before the write: what comes of it comes later
+	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id}) // before the write: what comes of it comes later
 	if served {
-		answer(nc, http.StatusOK, "", id+" "+n.ID+"\n")
+		writeResponse(nc, http.StatusOK, "", id+" "+n.ID+"\n")
 	} else {
-		answer(nc, http.StatusInternalServerError, "", "failed\n")
+		writeResponse(nc, http.StatusInternalServerError, "", "failed\n")
 	}
 }
 
-// repeatShare is the part of a request's work that a repeat takes which is dropped: it is looked up only.
-const repeatShare = 20
+// duplicateWorkDivisor is the part of a request's work that a repeat takes which is dropped: it is looked up only.
+const duplicateWorkDivisor = 20
 
-// spend takes time on a core.
-func (n *Node) spend(l *life, work time.Duration) bool {
-	l.wants.Add(1)
-	defer l.wants.Add(-1)
+// useCore takes time on a core.
+func (n *Node) useCore(l *incarnation, work time.Duration) bool {
+	l.runnable.Add(1)
+	defer l.runnable.Add(-1)
 	if !l.cores.acquire(l.done) {
 		return false
 	}
-	l.busy.Add(1)
+	l.busyCores.Add(1)
 	defer func() {
-		l.busy.Add(-1)
+		l.busyCores.Add(-1)
 		l.cores.release()
 	}()
-	return sleep(time.Duration(float64(work)/n.pace(l)), l.done)
+	return sleep(time.Duration(float64(work)/n.coreSpeed(l)), l.done)
 }
 
-// pace is how fast a core works just now, in yardsticks.
-func (n *Node) pace(l *life) float64 {
+// coreSpeed is how fast a core works just now, in yardsticks.
+func (n *Node) coreSpeed(l *incarnation) float64 {
 	speed := n.Speed
-	if l.cold {
-		speed *= warmth(n.ColdFrom, n.ColdFor, time.Since(l.began))
+	if l.isCold {
+		speed *= warmShare(n.ColdCapacityShare, n.WarmUpDuration, time.Since(l.startedAt))
 	}
-	if f := load(&n.slow); f > 0 {
+	if f := loadFloat(&n.slowdown); f > 0 {
 		speed /= f
 	}
-	if l.choked.Load() {
-		speed /= n.Choke.Slower
+	if l.isOverloaded.Load() {
+		speed /= n.Overload.Slowdown
 	}
 	return speed
 }
 
-// warmth is the share of its capacity that a node has some time after its start.
-func warmth(from float64, over, since time.Duration) float64 {
+// warmShare is the share of its capacity that a node has some time after its start.
+func warmShare(from float64, over, since time.Duration) float64 {
 	if over <= 0 || since >= over {
 		return 1
 	}
 	return from + (1-from)*float64(since)/float64(over)
 }
 
-// press counts what is sent to a cold node, also what it turns away, and lets it fall when that is too much.
-func (n *Node) press(l *life, work float64) {
-	now := n.rec.Now()
-	if !l.cold || n.FallMultiple <= 0 || now >= l.at+n.ColdFor {
+// recordColdWork counts what is sent to a cold node, also what it turns away, and lets it fall when that is too much.
+func (n *Node) recordColdWork(l *incarnation, work float64) {
+	now := n.recorder.Now()
+	if !l.isCold || n.ColdOverloadFactor <= 0 || now >= l.startedSince+n.WarmUpDuration {
 		return
 	}
 	l.mu.Lock()
-	l.sent = append(l.sent, pressure{now, work})
-	for len(l.sent) > 0 && l.sent[0].at <= now-n.FallAfter {
-		l.sent = l.sent[1:]
+	l.recentWork = append(l.recentWork, workArrival{now, work})
+	for len(l.recentWork) > 0 && l.recentWork[0].at <= now-n.ColdOverloadWindow {
+		l.recentWork = l.recentWork[1:]
 	}
 	sum := 0.0
-	for _, p := range l.sent {
+	for _, p := range l.recentWork {
 		sum += p.work
 	}
 	l.mu.Unlock()
-	can := warmth(n.ColdFrom, n.ColdFor, now-l.at) * float64(n.Cores) * n.Speed * n.FallAfter.Seconds()
-	if sum <= n.FallMultiple*can*(1+FallSlack) {
+	can := warmShare(n.ColdCapacityShare, n.WarmUpDuration, now-l.startedSince) * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
+	if sum <= n.ColdOverloadFactor*can*(1+ColdOverloadTolerance) {
 		return
 	}
 	n.mu.Lock()
-	first := !n.fallen
-	n.fallen = true
+	first := !n.hasCollapsed
+	n.hasCollapsed = true
 	n.mu.Unlock()
 	if first {
-		n.rec.Add(invariant.Event{Kind: invariant.Fell, Node: n.ID})
+		n.recorder.Add(invariant.Event{Kind: invariant.Fell, Node: n.ID})
 		go n.Stop()
 	}
 }
 
-// FallSlack is what chance may add to the work that a cold node bears.
-const FallSlack = 0.1
+// ColdOverloadTolerance is what chance may add to the work that a cold node bears.
+const ColdOverloadTolerance = 0.1
 
-const chokeLook = 100 * time.Millisecond
+const overloadCheckInterval = 100 * time.Millisecond
 
-// watchLoad brings the slow state on and ends it, once in a life.
-func (n *Node) watchLoad(l *life) {
-	limit := float64(n.Cores) + n.Choke.At*math.Sqrt(float64(n.Cores))
-	limit = min(limit, 0.7*float64(n.Slots+n.Room))
+// monitorOverload brings the slow state on and ends it, once in a life.
+func (n *Node) monitorOverload(l *incarnation) {
+	limit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
+	limit = min(limit, 0.7*float64(n.Slots+n.QueueLimit))
 	mean, rested := 0.0, time.Duration(0)
 	var since time.Time
-	for over := false; sleep(chokeLook, l.done); {
+	for over := false; sleep(overloadCheckInterval, l.done); {
 		switch {
-		case l.choked.Load():
-			if float64(l.busy.Load()) < n.Choke.Below*float64(n.Cores) {
-				rested += chokeLook
+		case l.isOverloaded.Load():
+			if float64(l.busyCores.Load()) < n.Overload.IdleBelow*float64(n.Cores) {
+				rested += overloadCheckInterval
 			} else {
 				rested = 0
 			}
-			if rested >= n.Choke.Rest || time.Since(since) >= n.Choke.Most {
-				l.choked.Store(false)
+			if rested >= n.Overload.RecoverAfter || time.Since(since) >= n.Overload.MaxDuration {
+				l.isOverloaded.Store(false)
 				over = true
 			}
 		case !over:
-			mean += (float64(l.wants.Load()) - mean) * float64(chokeLook) / float64(n.Choke.Over)
+			mean += (float64(l.runnable.Load()) - mean) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
 			if mean > limit {
 				since = time.Now()
-				l.choked.Store(true)
-				n.choked.Store(true)
+				l.isOverloaded.Store(true)
+				n.wasOverloaded.Store(true)
 			}
 		}
 	}
 }
 
-// answer writes a whole answer at once.
-func answer(nc net.Conn, status int, fields, body string) {
-	_ = nc.SetWriteDeadline(time.Now().Add(headWait))
+// writeResponse writes a whole answer at once.
+func writeResponse(nc net.Conn, status int, fields, body string) {
+	_ = nc.SetWriteDeadline(time.Now().Add(headTimeout))
 	_, _ = io.WriteString(nc, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+fields+
 		"Content-Type: text/plain\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	look = iota
-	book
+	readClass = iota
+	keyedClass
 )
 
 var classes = []Class{{"look", invariant.Safe, 0, 3 * time.Second}, {"book", invariant.Keyed, 200 * time.Millisecond, 3 * time.Second}}
@@ -32,21 +32,21 @@
 // Whatever a stand-in starts must end with it.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is one node, and what it takes to call it.
-type bench struct {
+// nodeFixture is one node, and what it takes to call it.
+type nodeFixture struct {
 	*Node
-	desk *Desk
+	desk *Registry
 	rec  *Recorder
 	n    int
 }
 
-func newBench(t *testing.T, change func(*NodeSpec)) *bench {
+func newNodeFixture(t *testing.T, change func(*NodeSpec)) *nodeFixture {
 	t.Helper()
-	spec := NodeSpec{ID: "n1", Cores: 1, Speed: 1, Slots: 1, Room: 1}
+	spec := NodeSpec{ID: "n1", Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}
 	if change != nil {
 		change(&spec)
 	}
-	b := &bench{desk: &Desk{}, rec: NewRecorder(time.Now(), 10000)}
+	b := &nodeFixture{desk: &Registry{}, rec: NewRecorder(time.Now(), 10000)}
 	b.Node = NewNode(spec, classes, NewCell(200*time.Millisecond), b.desk, b.rec, 1)
 	if _, err := b.Start(false); err != nil {
 		t.Fatal(err)
@@ -56,18 +56,18 @@
 }
 
 // write sends a request on a connection.
-func (b *bench) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
+func (b *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
 	t.Helper()
 	b.n++
 	id = fmt.Sprint("r", b.n)
-	b.desk.put(id, ticket{job: &Job{Work: work}, class: class, key: key})
+	b.desk.register(id, registeredRequest{job: &Job{Work: work}, class: class, key: key})
 	if _, err := io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+id+"\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	return id
 }
 
-func (b *bench) dial(t *testing.T) net.Conn {
+func (b *nodeFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", b.Addr)
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // count is how many events of a kind there are for a request; an empty id is any.
-func (b *bench) count(kind invariant.Kind, id string) (n int) {
+func (b *nodeFixture) count(kind invariant.Kind, id string) (n int) {
 	events, _ := b.rec.Events()
 	for _, e := range events {
 		if e.Kind == kind && (id == "" || e.Request == id) {
@@ -100,11 +100,11 @@
 	return n
 }
 
-func TestANodeServes(t *testing.T) {
-	b := newBench(t, nil)
+func TestNodeServesRequestsOnOneConnection(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	for range 3 { // on one connection
-		id := b.write(t, nc, look, "", time.Millisecond)
+		id := b.write(t, nc, readClass, "", time.Millisecond)
 		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
 			t.Errorf("%d %q", status, body)
 		}
@@ -112,8 +112,8 @@
 			t.Error("the timeline lacks something")
 		}
 	}
-	if b.Opened() != 1 {
-		t.Errorf("%d connections", b.Opened())
+	if b.OpenedConnections() != 1 {
+		t.Errorf("%d connections", b.OpenedConnections())
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
 	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.Sent, "ghost") != 1 {
@@ -121,26 +121,26 @@
 	}
 }
 
-func TestAFullNodeTurnsAway(t *testing.T) {
-	b := newBench(t, nil) // one slot, one may wait
+func TestNodeWithoutFreeSlotRejects(t *testing.T) {
+	b := newNodeFixture(t, nil) // one slot, one may wait
 	var lines []net.Conn
 	for range 2 {
 		nc := b.dial(t)
 		lines = append(lines, nc)
 		n := b.count(invariant.Sent, "")
-		b.write(t, nc, look, "", 300*time.Millisecond)
+		b.write(t, nc, readClass, "", 300*time.Millisecond)
 		testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, "") > n })
-		testpeer.Until(t, "in hand", func() bool { return b.InHand() > n })
+		testpeer.Until(t, "in hand", func() bool { return b.InFlight() > n })
 	}
 	third := b.dial(t)
 	testpeer.Until(t, "one waits", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.life.slots.mu.Lock()
-		defer b.life.slots.mu.Unlock()
-		return len(b.life.slots.queue) == 1
+		b.incarnation.slots.mu.Lock()
+		defer b.incarnation.slots.mu.Unlock()
+		return len(b.incarnation.slots.queue) == 1
 	})
-	id := b.write(t, third, look, "", time.Millisecond)
+	id := b.write(t, third, readClass, "", time.Millisecond)
 	if status, declined, _ := read(t, third); status != 503 || !declined || b.count(invariant.Declined, id) != 1 || b.count(invariant.Began, id) != 0 {
 		t.Errorf("%d, declined %v", status, declined)
 	}
@@ -151,13 +151,13 @@
 	}
 }
 
-func TestADrainingNodeFinishesAndTurnsAway(t *testing.T) {
-	b := newBench(t, func(s *NodeSpec) { s.Slots = 5 })
+func TestDrainingNodeFinishesRequestsAndRejectsNewOnes(t *testing.T) {
+	b := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := b.dial(t), b.dial(t)
-	id := b.write(t, first, look, "", 50*time.Millisecond)
+	id := b.write(t, first, readClass, "", 50*time.Millisecond)
 	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
 	b.Drain()
-	b.write(t, second, look, "", time.Millisecond)
+	b.write(t, second, readClass, "", time.Millisecond)
 	if status, declined, _ := read(t, second); status != 503 || !declined {
 		t.Errorf("new: %d, declined %v", status, declined)
 	}
@@ -166,13 +166,13 @@
 	}
 }
 
-func TestTooManyConnectionsAreTurnedAway(t *testing.T) {
-	b := newBench(t, func(s *NodeSpec) { s.Conns = 1 })
+func TestRequestsOnExcessConnectionsAreRejected(t *testing.T) {
+	b := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
 	first := b.dial(t)
-	b.write(t, first, look, "", time.Millisecond)
+	b.write(t, first, readClass, "", time.Millisecond)
 	read(t, first)
 	second := b.dial(t)
-	b.write(t, second, look, "", time.Millisecond)
+	b.write(t, second, readClass, "", time.Millisecond)
 	if status, declined, _ := read(t, second); status != 503 || !declined {
 		t.Errorf("%d, declined %v", status, declined)
 	}
@@ -181,10 +181,10 @@
 	}
 }
 
-func TestAnIdleConnectionIsClosed(t *testing.T) {
-	b := newBench(t, func(s *NodeSpec) { s.IdleFor = 30 * time.Millisecond })
+func TestIdleConnectionIsClosed(t *testing.T) {
+	b := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
 	nc := b.dial(t)
-	b.write(t, nc, look, "", 60*time.Millisecond) // longer than that at work is not idle
+	b.write(t, nc, readClass, "", 60*time.Millisecond) // longer than that at work is not idle
 	if status, _, _ := read(t, nc); status != 200 {
 		t.Errorf("%d", status)
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-func TestRepeatsAreDroppedInTheWindow(t *testing.T) {
-	b := newBench(t, nil)
+func TestDuplicatesWithinTheWindowAreDropped(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	began := func(id string) (effects, repeats int) {
 		events, _ := b.rec.Events()
@@ -214,7 +214,7 @@
 		class   int
 		key     string
 		repeats int
-	}{{book, "k", 0}, {book, "k", 1}, {book, "l", 0}, {look, "k", 0}} {
+	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
 		id := b.write(t, nc, row.class, row.key, time.Millisecond)
 		read(t, nc)
 		if effects, repeats := began(id); repeats != row.repeats || effects != 1-row.repeats {
@@ -223,18 +223,18 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCell(time.Second)
-		c.repeat("k", time.Now())
+		c.isDuplicate("k", time.Now())
 		time.Sleep(time.Second)
-		if !c.repeat("k", time.Now()) {
+		if !c.isDuplicate("k", time.Now()) {
 			t.Error("forgotten at the end of the window")
 		}
 		time.Sleep(time.Nanosecond)
-		if c.repeat("k", time.Now()) {
+		if c.isDuplicate("k", time.Now()) {
 			t.Error("remembered after it")
 		}
 		for i := range 1000 {
 			time.Sleep(10 * time.Millisecond)
-			c.repeat(fmt.Sprint(i), time.Now())
+			c.isDuplicate(fmt.Sprint(i), time.Now())
 		}
 		if len(c.seen) > 202 {
 			t.Errorf("%d keys are held for two windows of 100", len(c.seen))
@@ -242,21 +242,21 @@
 	})
 }
 
-func TestACallerThatLeavesIsSeenAndStopsNothing(t *testing.T) {
-	b := newBench(t, nil)
+func TestClientDepartureIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
-	id := b.write(t, nc, look, "", 50*time.Millisecond)
+	id := b.write(t, nc, readClass, "", 50*time.Millisecond)
 	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
 	nc.Close()
 	testpeer.Until(t, "seen", func() bool { return b.count(invariant.Dropped, id) == 1 })
 	testpeer.Until(t, "done all the same", func() bool { return b.count(invariant.Done, id) == 1 })
 }
 
-func TestFaults(t *testing.T) {
-	b := newBench(t, nil)
-	b.Hang(1)
+func TestNodeFaultsHangResetAndSlow(t *testing.T) {
+	b := newNodeFixture(t, nil)
+	b.SetHangShare(1)
 	nc := b.dial(t)
-	id := b.write(t, nc, look, "", time.Millisecond)
+	id := b.write(t, nc, readClass, "", time.Millisecond)
 	testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 0 {
@@ -264,27 +264,27 @@
 	}
 	nc.Close()
 	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.Dropped, id) == 1 })
-	b.Hang(0)
-	b.Reset(1)
+	b.SetHangShare(0)
+	b.SetResetShare(1)
 	nc = b.dial(t)
-	id = b.write(t, nc, look, "", time.Millisecond)
+	id = b.write(t, nc, readClass, "", time.Millisecond)
 	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 1 {
 		t.Errorf("a node that resets: %v", err)
 	}
-	b.Reset(0)
-	b.Slow(4)
+	b.SetResetShare(0)
+	b.SetSlowdown(4)
 	nc = b.dial(t)
 	began := time.Now()
-	b.write(t, nc, look, "", 50*time.Millisecond)
+	b.write(t, nc, readClass, "", 50*time.Millisecond)
 	if status, _, _ := read(t, nc); status != 200 || time.Since(began) < 200*time.Millisecond {
 		t.Errorf("four times slower: %d after %v", status, time.Since(began))
 	}
 }
 
-func TestACrashResetsAndAStartTakesTheOldAddress(t *testing.T) {
-	b := newBench(t, nil)
+func TestCrashResetsConnectionsAndRestartKeepsTheAddress(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
-	b.write(t, nc, look, "", time.Minute)
+	b.write(t, nc, readClass, "", time.Minute)
 	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, "") == 1 })
 	addr := b.Addr
 	b.Stop()
@@ -295,28 +295,28 @@
 		nc.Close()
 		t.Error("it still takes connections")
 	}
-	if _, err := b.Start(true); err != nil || b.Addr != addr || !b.Up() {
+	if _, err := b.Start(true); err != nil || b.Addr != addr || !b.IsUp() {
 		t.Errorf("%v, at %s instead of %s", err, b.Addr, addr)
 	}
 }
 
 // A request that was in a buffer when its node died never came: in the timeline it would stay out for good, and the next
 // attempt would look like a second one beside it.
-func TestWhatADeadNodeHadNotReadNeverCame(t *testing.T) {
-	b := newBench(t, nil)
+func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	b.mu.Lock()
-	life := b.life
+	life := b.incarnation
 	b.mu.Unlock()
-	b.desk.put("r1", ticket{job: &Job{Work: time.Millisecond}, class: look})
+	b.desk.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	b.Stop()
-	if b.take(life, nc, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
+	if b.handle(life, nc, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
 		t.Error("it came")
 	}
 }
 
-func TestAPortThatIsTakenIsSaid(t *testing.T) {
-	b := newBench(t, nil)
+func TestStartOnAnOccupiedPortNamesTheNode(t *testing.T) {
+	b := newNodeFixture(t, nil)
 	b.Stop()
 	l, err := net.Listen("tcp", b.Addr)
 	if err != nil {
@@ -328,20 +328,20 @@
 	}
 }
 
-func TestACapacityRisesEvenly(t *testing.T) {
+func TestCapacityRisesLinearlyDuringWarmUp(t *testing.T) {
 	for since, want := range map[time.Duration]float64{0: 0.4, 2: 0.7, 4: 1, 9: 1} {
-		if got := warmth(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
+		if got := warmShare(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
 			t.Errorf("after %d s: %v, want %v", since, got, want)
 		}
 	}
 }
 
 // What the node falls under must be what the referee calls too much.
-func TestANodeFallsWhereTheRefereeSaysSo(t *testing.T) {
-	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, FallMultiple: 4, FallAfter: 3 * time.Second, FallSlack: FallSlack}
+func TestNodeCollapsesWhereTheInvariantIsBroken(t *testing.T) {
+	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, FallMultiple: 4, FallAfter: 3 * time.Second, FallSlack: ColdOverloadTolerance}
 	for _, n := range []int{10, 60} {
-		b := newBench(t, func(s *NodeSpec) {
-			s.Slots, s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallAfter = 100, 0.3, time.Minute, 4, 3*time.Second
+		b := newNodeFixture(t, func(s *NodeSpec) {
+			s.Slots, s.ColdCapacityShare, s.WarmUpDuration, s.ColdOverloadFactor, s.ColdOverloadWindow = 100, 0.3, time.Minute, 4, 3*time.Second
 		})
 		b.Stop()
 		if _, err := b.Start(true); err != nil {
@@ -349,7 +349,7 @@
 		}
 		b.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
-		b.rec.Add(Told("s", m, b.rec))
+		b.rec.Add(NotificationEvent("s", m, b.rec))
 		for range n { // 0.1 s of work each: at 0.3 of one core about 4 s can be borne
 			nc, err := net.Dial("tcp", b.Addr)
 			if err != nil {
@@ -358,53 +358,53 @@
 			defer nc.Close()
 			id := fmt.Sprint("r", b.n+1)
 			b.rec.Add(invariant.Event{Kind: invariant.Asked, Request: id, Sidecar: "s"})
-			b.write(t, nc, look, "", 100*time.Millisecond)
+			b.write(t, nc, readClass, "", 100*time.Millisecond)
 			testpeer.Until(t, "taken", func() bool { return b.count(invariant.Sent, id) == 1 })
 		}
 		fell := n == 60
 		if fell {
-			testpeer.Until(t, "down", func() bool { return !b.Up() })
+			testpeer.Until(t, "down", func() bool { return !b.IsUp() })
 			if _, err := b.Start(true); err == nil {
 				t.Error("it comes back")
 			}
 		}
 		events, _ := b.rec.Events()
 		r := invariant.Judge(rules, events)
-		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || b.Up() == fell || (r.Falls > 0) != fell {
-			t.Errorf("%d requests: up %v, rule %s, %d falls", n, b.Up(), r.Rules[3].Verdict, r.Falls)
+		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || b.IsUp() == fell || (r.Falls > 0) != fell {
+			t.Errorf("%d requests: up %v, rule %s, %d falls", n, b.IsUp(), r.Rules[3].Verdict, r.Falls)
 		}
 	}
 }
 
-func TestOverloadMakesANodeSlowUntilItRests(t *testing.T) {
-	b := newBench(t, func(s *NodeSpec) {
+func TestOverloadSlowsNodeUntilItRecovers(t *testing.T) {
+	b := newNodeFixture(t, func(s *NodeSpec) {
 		s.Slots = 100
-		s.Choke = &Choke{At: 2, Over: 200 * time.Millisecond, Slower: 3, Rest: 200 * time.Millisecond, Below: 0.5, Most: time.Minute}
+		s.Overload = &OverloadSpec{Threshold: 2, AveragedOver: 200 * time.Millisecond, Slowdown: 3, RecoverAfter: 200 * time.Millisecond, IdleBelow: 0.5, MaxDuration: time.Minute}
 	})
 	for range 20 {
-		b.write(t, b.dial(t), look, "", 30*time.Millisecond)
+		b.write(t, b.dial(t), readClass, "", 30*time.Millisecond)
 	}
-	testpeer.Until(t, "slow", func() bool { return b.Choked() })
-	if got := b.pace(b.life); got != 1.0/3 {
+	testpeer.Until(t, "slow", func() bool { return b.WasOverloaded() })
+	if got := b.coreSpeed(b.incarnation); got != 1.0/3 {
 		t.Errorf("pace %v", got)
 	}
-	testpeer.Until(t, "as before", func() bool { return b.pace(b.life) == 1 })
+	testpeer.Until(t, "as before", func() bool { return b.coreSpeed(b.incarnation) == 1 })
 	if b.count(invariant.Done, "") != 20 {
 		t.Error("it got well before it had rested")
 	}
 }
 
-func TestPlacesAreGivenInOrder(t *testing.T) {
+func TestSemaphoreGrantsSlotsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		free, most, n := rapid.IntRange(1, 4).Draw(t, "free"), rapid.IntRange(0, 4).Draw(t, "most"), rapid.IntRange(1, 12).Draw(t, "n")
-		f := &fifo{free: free, most: most}
+		f := &semaphore{free: free, maxWaiting: most}
 		got := make(chan int, n)
 		var all sync.WaitGroup
 		refused := 0
 		for i := range n {
 			f.mu.Lock()
 			waits := f.free == 0
-			room := len(f.queue) < f.most
+			room := len(f.queue) < f.maxWaiting
 			before := len(f.queue)
 			f.mu.Unlock()
 			if waits && !room {
@@ -449,8 +449,8 @@
 	})
 }
 
-// roster is an agent with one member and a watch on it.
-func roster(t *testing.T) (*Agent, *Recorder) {
+// newTestAgent is an agent with one member and a watch on it.
+func newTestAgent(t *testing.T) (*Agent, *Recorder) {
 	t.Helper()
 	rec := NewRecorder(time.Now(), 1000)
 	a, err := NewAgent("s1", []Member{{ID: "a", Addr: "127.0.0.1:1", State: StateReady, Weight: 1}}, rec)
@@ -472,7 +472,7 @@
 	return bufio.NewReader(resp.Body)
 }
 
-func message(t *testing.T, in *bufio.Reader) (l List) {
+func message(t *testing.T, in *bufio.Reader) (l MemberList) {
 	t.Helper()
 	for {
 		text, err := in.ReadString('\n')
@@ -489,8 +489,8 @@
 	}
 }
 
-func TestAnAgentTellsWhatChanges(t *testing.T) {
-	a, rec := roster(t)
+func TestAgentSendsChangesToWatch(t *testing.T) {
+	a, rec := newTestAgent(t)
 	if l := message(t, get(t, a, "")); !l.Full || l.Version != 1 || len(l.Servers) != 1 || l.Servers[0].ID != "a" {
 		t.Errorf("the whole list: %+v", l)
 	}
@@ -498,11 +498,11 @@
 	if l := message(t, watch); l.Full || len(l.Servers) != 0 {
 		t.Errorf("nothing has changed: %+v", l)
 	}
-	a.Send(Member{ID: "b", Addr: "127.0.0.1:2", State: StateReady})
+	a.Update(Member{ID: "b", Addr: "127.0.0.1:2", State: StateReady})
 	if l := message(t, watch); l.Full || l.Version != 2 || len(l.Servers) != 1 || l.Servers[0].ID != "b" {
 		t.Errorf("one more: %+v", l)
 	}
-	a.Send(Member{ID: "a", State: StateGone})
+	a.Update(Member{ID: "a", State: StateGone})
 	message(t, watch)
 	if l := message(t, get(t, a, "?watch=1&after=0")); !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "b" {
 		t.Errorf("from too far back: %+v", l)
@@ -510,7 +510,7 @@
 	if l := message(t, get(t, a, "?watch=1&after=2")); l.Full || len(l.Servers) != 1 || l.Servers[0].State != StateGone {
 		t.Errorf("resumed: %+v", l)
 	}
-	if l := a.Known(); len(l.Servers) != 1 || l.Servers[0].ID != "b" {
+	if l := a.NotifiedList(); len(l.Servers) != 1 || l.Servers[0].ID != "b" {
 		t.Errorf("what the sidecar knows: %+v", l)
 	}
 	testpeer.Until(t, "told that a is gone", func() bool {
@@ -524,13 +524,13 @@
 	})
 }
 
-func TestAnAgentIsSilentWhileDiscoveryIsDown(t *testing.T) {
-	a, rec := roster(t)
+func TestAgentSendsNothingWhileDiscoveryIsDown(t *testing.T) {
+	a, rec := newTestAgent(t)
 	watch := get(t, a, "?watch=1&after=1")
 	message(t, watch)
-	a.Down(true)
-	a.Send(Member{ID: "a", State: StateDraining})
-	came := make(chan List, 1)
+	a.SetDown(true)
+	a.Update(Member{ID: "a", State: StateDraining})
+	came := make(chan MemberList, 1)
 	go func() { came <- message(t, watch) }()
 	select {
 	case l := <-came:
@@ -543,19 +543,19 @@
 			t.Error("noted as told while down")
 		}
 	}
-	a.Down(false)
+	a.SetDown(false)
 	if l := <-came; len(l.Servers) != 1 || l.Servers[0].State != StateDraining {
 		t.Errorf("afterwards: %+v", l)
 	}
 }
 
 // A sidecar that does not listen must not pass for one that can't know.
-func TestWhatIsNotFetchedCountsAsToldInTheEnd(t *testing.T) {
+func TestUnfetchedChangeCountsAsNotifiedAfterTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rec := NewRecorder(time.Now(), 100)
-		a := &Agent{Sidecar: "s1", rec: rec, version: 1, members: map[string]Member{}, news: make(chan struct{})}
-		a.Send(Member{ID: "a", State: StateDraining})
-		time.Sleep(toldAfter - time.Nanosecond)
+		a := &Agent{Sidecar: "s1", recorder: rec, version: 1, members: map[string]Member{}, changed: make(chan struct{})}
+		a.Update(Member{ID: "a", State: StateDraining})
+		time.Sleep(notifiedAfter - time.Nanosecond)
 		synctest.Wait()
 		if events, _ := rec.Events(); len(events) != 0 {
 			t.Error("too early")
@@ -568,8 +568,8 @@
 	})
 }
 
-// sidecarThat answers each connection's requests by a script of bytes; "CLOSE" ends the connection.
-func sidecarThat(t *testing.T, answers ...string) (connect func() (string, string, bool), served *testpeer.Endpoint) {
+// scriptedSidecar answers each connection's requests by a script of bytes; "CLOSE" ends the connection.
+func scriptedSidecar(t *testing.T, answers ...string) (connect func() (string, string, bool), served *testpeer.Endpoint) {
 	t.Helper()
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		if n > len(answers) {
@@ -582,7 +582,7 @@
 	return func() (string, string, bool) { return "s1", e.Addr, true }, e
 }
 
-func TestACallerSeesHowATryEnds(t *testing.T) {
+func TestClientRecordsHowARequestEnds(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
 	for _, c := range []struct {
 		name   string
@@ -599,17 +599,17 @@
 		{"silence", "", 0, []invariant.Kind{invariant.Asked, invariant.Unanswered}, 0},
 		{"hung up", "", 0, []invariant.Kind{invariant.Asked, invariant.ClientLeft}, 20 * time.Millisecond},
 	} {
-		connect, _ := sidecarThat(t, c.says)
+		connect, _ := scriptedSidecar(t, c.says)
 		rec := NewRecorder(time.Now(), 100)
-		caller := NewCaller(classes, &Desk{}, rec, 50*time.Millisecond, 4)
-		out := caller.Try(Try{ID: "ab", Class: look, Job: &Job{}, Wait: 200 * time.Millisecond, HangUp: c.hangUp, Connect: connect})
+		caller := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
+		out := caller.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: 200 * time.Millisecond, LeaveAfter: c.hangUp, Connect: connect})
 		caller.Close()
 		events, _ := rec.Events()
 		var kinds []invariant.Kind
 		for _, e := range events {
 			kinds = append(kinds, e.Kind)
 		}
-		if out.Status != c.status || !slices.Equal(kinds, c.kinds) || !out.Dialed || out.Left != (c.hangUp > 0) {
+		if out.Status != c.status || !slices.Equal(kinds, c.kinds) || !out.HasDialed || out.HasLeft != (c.hangUp > 0) {
 			t.Errorf("%s: %+v, %v", c.name, out, kinds)
 		}
 		if c.name == "refused" && out.RetryAfter != 250*time.Millisecond {
@@ -619,29 +619,29 @@
 			t.Error("its own answer is not known")
 		}
 	}
-	connect, _ := sidecarThat(t, strings.Replace(ok, "ID", "xy", 1))
+	connect, _ := scriptedSidecar(t, strings.Replace(ok, "ID", "xy", 1))
 	rec := NewRecorder(time.Now(), 100)
-	caller := NewCaller(classes, &Desk{}, rec, 50*time.Millisecond, 4)
+	caller := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
 	defer caller.Close()
-	caller.Try(Try{ID: "ab", Class: look, Job: &Job{}, Wait: time.Second, Connect: connect})
+	caller.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: time.Second, Connect: connect})
 	if events, _ := rec.Events(); events[1].Genuine {
 		t.Error("another's answer passes")
 	}
 	caller.Close()
-	if out := caller.Try(Try{ID: "cd", Job: &Job{}, Connect: func() (string, string, bool) { return "", "", false }}); out.Reached {
+	if out := caller.Do(Request{ID: "cd", Job: &Job{}, Connect: func() (string, string, bool) { return "", "", false }}); out.IsAccepted {
 		t.Errorf("no sidecar: %+v", out)
 	}
 }
 
 // A sidecar may close a connection between requests: the request that crosses it is sent once more, on a new one.
-func TestARequestThatCrossesACloseIsSentOnceMore(t *testing.T) {
+func TestRequestCrossingAConnectionCloseIsSentOnceMore(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
-	connect, e := sidecarThat(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
+	connect, e := scriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
 	rec := NewRecorder(time.Now(), 100)
-	caller := NewCaller(classes, &Desk{}, rec, 50*time.Millisecond, 4)
+	caller := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
 	defer caller.Close()
 	for i, want := range []int{200, 200, 0} {
-		if out := caller.Try(Try{ID: fmt.Sprint("r", i), Class: look, Job: &Job{}, Wait: time.Second, Connect: connect}); out.Status != want {
+		if out := caller.Do(Request{ID: fmt.Sprint("r", i), Class: readClass, Job: &Job{}, Timeout: time.Second, Connect: connect}); out.Status != want {
 			t.Errorf("try %d: %+v", i, out)
 		}
 	}
@@ -650,14 +650,14 @@
 	}
 }
 
-func TestTheFrontDealsInTurn(t *testing.T) {
-	f := &Front{}
+func TestFrontLayerUsesSidecarsInTurn(t *testing.T) {
+	f := &FrontLayer{}
 	if _, _, ok := f.Connect(); ok {
 		t.Error("there is none")
 	}
-	f.In("a", "1")
-	f.In("b", "2")
-	f.In("a", "1") // once
+	f.Add("a", "1")
+	f.Add("b", "2")
+	f.Add("a", "1") // once
 	got := map[string]int{}
 	for range 10 {
 		name, _, _ := f.Connect()
@@ -666,8 +666,8 @@
 	if got["a"] != 5 || got["b"] != 5 {
 		t.Errorf("%v", got)
 	}
-	f.Out("a")
-	f.Out("nobody")
+	f.Remove("a")
+	f.Remove("nobody")
 	for range 3 {
 		if name, addr, ok := f.Connect(); name != "b" || addr != "2" || !ok {
 			t.Error(name)
@@ -675,7 +675,7 @@
 	}
 }
 
-func TestATimelineHasABound(t *testing.T) {
+func TestRecorderIsBounded(t *testing.T) {
 	rec := NewRecorder(time.Now(), 2)
 	for range 5 {
 		rec.Add(invariant.Event{})
--- a/internal/testkit/fake/recorder.go
+++ b/internal/testkit/fake/recorder.go
@@ -12,16 +12,18 @@
 
 // Recorder keeps the timeline of a day. It is safe for concurrent use.
 type Recorder struct {
-	start time.Time
-	most  int
+	start     time.Time
+	maxEvents int
 
-	mu     sync.Mutex
-	events []invariant.Event
-	lost   int
+	mu      sync.Mutex
+	events  []invariant.Event
+	dropped int
 }
 
 // NewRecorder starts a timeline that holds most events; what comes beyond is counted only.
-func NewRecorder(start time.Time, most int) *Recorder { return &Recorder{start: start, most: most} }
+func NewRecorder(start time.Time, most int) *Recorder {
+	return &Recorder{start: start, maxEvents: most}
+}
 
 // Now is the time since the start, monotonic.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
@@ -33,8 +35,8 @@
 	if e.At == 0 { // under the lock: the order of events is that of their instants
 		e.At = r.Now()
 	}
-	if len(r.events) >= r.most {
-		r.lost++
+	if len(r.events) >= r.maxEvents {
+		r.dropped++
 		return
 	}
 	r.events = append(r.events, e)
@@ -44,15 +46,15 @@
 func (r *Recorder) Events() (events []invariant.Event, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.events[:len(r.events):len(r.events)], r.lost
+	return r.events[:len(r.events):len(r.events)], r.dropped
 }
 
 // Take is Events for good: the timeline is the caller's, and nothing is noted any more.
 func (r *Recorder) Take() (events []invariant.Event, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	events, lost = r.events, r.lost
-	r.events, r.most = nil, 0
+	events, lost = r.events, r.dropped
+	r.events, r.maxEvents = nil, 0
 	return events, lost
 }
 
@@ -63,34 +65,34 @@
 	Calls []*Job
 }
 
-// Total is the work in the whole chain.
-func (j *Job) Total() time.Duration {
+// TotalWork is the work in the whole chain.
+func (j *Job) TotalWork() time.Duration {
 	sum := j.Work
 	for _, c := range j.Calls {
-		sum += c.Total()
+		sum += c.TotalWork()
 	}
 	return sum
 }
 
-// ticket is what nodes know of a request that somebody has asked for.
-type ticket struct {
+// registeredRequest is what nodes know of a request that somebody has asked for.
+type registeredRequest struct {
 	job   *Job
 	class int
 	key   string
 }
 
-// Desk knows every request that was asked for, by its id. Ids are kept to the end of the day, since a late attempt must
+// Registry knows every request that was asked for, by its id. Ids are kept to the end of the day, since a late attempt must
 // still be known; the schedule bounds how many there are. It is safe for concurrent use.
-type Desk struct{ tickets sync.Map }
+type Registry struct{ requests sync.Map }
 
-func (d *Desk) put(id string, t ticket) { d.tickets.Store(id, t) }
+func (d *Registry) register(id string, t registeredRequest) { d.requests.Store(id, t) }
 
-func (d *Desk) get(id string) (ticket, bool) {
-	t, ok := d.tickets.Load(id)
+func (d *Registry) lookup(id string) (registeredRequest, bool) {
+	t, ok := d.requests.Load(id)
 	if !ok {
-		return ticket{}, false
+		return registeredRequest{}, false
 	}
-	return t.(ticket), true
+	return t.(registeredRequest), true
 }
 
 // Class is a class of requests as callers and nodes use it.
@@ -101,23 +103,23 @@
 	Deadline time.Duration
 }
 
-// fifo hands out places in the order asked for, and has a bounded queue.
-type fifo struct {
-	mu    sync.Mutex
-	free  int
-	most  int // may wait
-	queue []chan struct{}
+// semaphore hands out places in the order asked for, and has a bounded queue.
+type semaphore struct {
+	mu         sync.Mutex
+	free       int
+	maxWaiting int // may wait
+	queue      []chan struct{}
 }
 
 // acquire waits for a place. It is false at once where the queue is full, and when done closes first.
-func (f *fifo) acquire(done <-chan struct{}) bool {
+func (f *semaphore) acquire(done <-chan struct{}) bool {
 	f.mu.Lock()
 	if f.free > 0 {
 		f.free--
 		f.mu.Unlock()
 		return true
 	}
-	if len(f.queue) >= f.most {
+	if len(f.queue) >= f.maxWaiting {
 		f.mu.Unlock()
 		return false
 	}
@@ -132,7 +134,7 @@
 	}
 }
 
-func (f *fifo) release() {
+func (f *semaphore) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.queue) > 0 {
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -134,10 +134,10 @@
 		for _, k := range t.Kind {
 			shares = append(shares, k.Share)
 		}
-		var choke *fake.Choke
+		var choke *fake.OverloadSpec
 		if c := t.Choke; c != nil {
-			choke = &fake.Choke{At: c.At.At(rng.Float64()), Over: c.Over.At(rng.Float64()), Slower: c.Slower.At(rng.Float64()),
-				Rest: c.Rest.At(rng.Float64()), Below: c.Below.At(rng.Float64()), Most: c.Most.At(rng.Float64())}
+			choke = &fake.OverloadSpec{Threshold: c.At.At(rng.Float64()), AveragedOver: c.Over.At(rng.Float64()), Slowdown: c.Slower.At(rng.Float64()),
+				RecoverAfter: c.Rest.At(rng.Float64()), IdleBelow: c.Below.At(rng.Float64()), MaxDuration: c.Most.At(rng.Float64())}
 		}
 		hand, idle, errors := t.Handshake.At(rng.Float64()), t.Idle.At(rng.Float64()), t.Errors.At(rng.Float64())
 		n := int(whole(t.Nodes, rng))
@@ -147,10 +147,10 @@
 			p.Nodes = append(p.Nodes, NodePlan{Seed: rng.Uint64(), Spec: fake.NodeSpec{
 				ID: fmt.Sprintf("%s-%d", t.Name, j+1), Zone: "here", Kind: k.Name, Tier: i, Cell: j / cell,
 				Cores: k.Cores, Speed: k.Speed.At(rng.Float64()),
-				Slots: max(int(k.Slots.At(rng.Float64())*float64(k.Cores)), 1), Room: int(k.Room.At(rng.Float64()) * float64(k.Cores)),
-				ColdFrom: k.ColdFrom.At(rng.Float64()), ColdFor: k.ColdFor.At(rng.Float64()),
-				FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter,
-				Handshake: hand, IdleFor: idle, Conns: t.Conns, ErrorRate: errors, Choke: choke}})
+				Slots: max(int(k.Slots.At(rng.Float64())*float64(k.Cores)), 1), QueueLimit: int(k.Room.At(rng.Float64()) * float64(k.Cores)),
+				ColdCapacityShare: k.ColdFrom.At(rng.Float64()), WarmUpDuration: k.ColdFor.At(rng.Float64()),
+				ColdOverloadFactor: p.Day.Rules.FallMultiple, ColdOverloadWindow: p.Day.Rules.FallAfter,
+				HandshakeWork: hand, IdleTimeout: idle, MaxConnections: t.Conns, ErrorRate: errors, Overload: choke}})
 		}
 	}
 }
@@ -293,7 +293,7 @@
 		t := a.Tenant
 		tokens[t] = min(tokens[t]+p.Quotas[t]*(a.At-at[t]).Seconds(), max(p.Quotas[t], 1)) // a second's worth may come at once
 		at[t] = a.At
-		q.Worth = p.Day.Class[a.Class].Worth * q.Job.Total().Seconds()
+		q.Worth = p.Day.Class[a.Class].Worth * q.Job.TotalWork().Seconds()
 		if q.Over = tokens[t] < 1; q.Over {
 			q.Worth *= p.Day.Load.OverShareWorth
 		} else {
@@ -342,7 +342,7 @@
 // Rules are the figures that the referee holds a plan's day to.
 func (p *Plan) Rules() invariant.Rules {
 	r := invariant.Rules{MaxAttempts: p.Day.Rules.Attempts, Slack: p.Day.Rules.Slack, DrainGrace: p.Day.Rules.DrainGrace,
-		FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter, FallSlack: fake.FallSlack, TermGrace: termGrace}
+		FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter, FallSlack: fake.ColdOverloadTolerance, TermGrace: termGrace}
 	for _, c := range p.Classes {
 		r.Classes = append(r.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
 	}
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -49,9 +49,9 @@
 	opt     Options
 	ctx     context.Context
 	rec     *fake.Recorder
-	desk    *fake.Desk
-	front   *fake.Front
-	clients *fake.Caller
+	desk    *fake.Registry
+	front   *fake.FrontLayer
+	clients *fake.Client
 	dir     string
 	seq     atomic.Uint64
 	cancel  context.CancelFunc
@@ -80,7 +80,7 @@
 	plan    NodePlan
 	cell    *fake.Cell
 	sidecar *process // nil in the last tier
-	caller  *fake.Caller
+	caller  *fake.Client
 
 	mu     sync.Mutex
 	node   *fake.Node
@@ -112,13 +112,13 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	w := &world{plan: plan, opt: opt, ctx: ctx, cancel: cancel, dir: dir, desk: &fake.Desk{}, front: &fake.Front{},
+	w := &world{plan: plan, opt: opt, ctx: ctx, cancel: cancel, dir: dir, desk: &fake.Registry{}, front: &fake.FrontLayer{},
 		notices: map[*fake.Agent]chan notification{}, outs: make([]outcome, len(plan.Requests)), own: schedule.NewLatency()}
 	began := usage()
 	w.rec = fake.NewRecorder(time.Now(), eventsMost)
-	w.clients = fake.NewCaller(plan.Classes, w.desk, w.rec, plan.Day.Rules.Slack, clientsIdle)
+	w.clients = fake.NewClient(plan.Classes, w.desk, w.rec, plan.Day.Rules.Slack, clientsIdle)
 	if keep := plan.Day.Clients.Keep; keep.Hi > 0 {
-		w.clients.Lasts(func() time.Duration { return keep.At(w.share("keep", fmt.Sprint(w.seq.Add(1)))) })
+		w.clients.SetConnectionLifetime(func() time.Duration { return keep.At(w.share("keep", fmt.Sprint(w.seq.Add(1)))) })
 	}
 	defer w.close()
 	if err := w.build(); err != nil {
@@ -189,7 +189,7 @@
 			}
 			s.mu.Lock()
 			s.sidecar = p
-			s.caller = fake.NewCaller(w.plan.Classes, w.desk, w.rec, w.plan.Day.Rules.Slack, callersIdle)
+			s.caller = fake.NewClient(w.plan.Classes, w.desk, w.rec, w.plan.Day.Rules.Slack, callersIdle)
 			s.mu.Unlock()
 		}
 	}
@@ -203,7 +203,7 @@
 	n := fake.NewNode(spec, w.plan.Classes, s.cell, w.desk, w.rec, s.plan.Seed)
 	n.Addr = addr
 	if spec.Tier+1 < len(w.plan.Day.Tier) {
-		n.Next = &next{w, s}
+		n.NextTier = &next{w, s}
 	}
 	s.node = n
 	s.all = append(s.all, n)
@@ -229,8 +229,8 @@
 	n.s.mu.Lock()
 	p, caller := n.s.sidecar, n.s.caller
 	n.s.mu.Unlock()
-	out := caller.Try(fake.Try{ID: n.w.id("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.seq.Add(1)), Job: job,
-		Wait:    n.w.plan.Classes[class].Deadline,
+	out := caller.Do(fake.Request{ID: n.w.id("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.seq.Add(1)), Job: job,
+		Timeout: n.w.plan.Classes[class].Deadline,
 		Connect: func() (string, string, bool) { return p.name, p.addr, true }})
 	return out.Status == 200
 }
@@ -268,7 +268,7 @@
 	}
 	life := uint64(0)
 	p.seeds = func() uint64 { life++; return w.hash(name, fmt.Sprint(life)) }
-	p.crashed = func(p *process) { w.front.Out(p.name) }
+	p.crashed = func(p *process) { w.front.Remove(p.name) }
 	return p, nil
 }
 
@@ -305,7 +305,7 @@
 		}
 	}
 	for _, p := range w.first {
-		w.front.In(p.name, p.addr)
+		w.front.Add(p.name, p.addr)
 		w.fleet.fact(clusterinvariant.Up, p.name)
 	}
 	return first
@@ -400,7 +400,7 @@
 		for _, sites := range w.tiers {
 			for _, s := range sites {
 				s.mu.Lock()
-				busy += s.node.InHand()
+				busy += s.node.InFlight()
 				s.mu.Unlock()
 			}
 		}
@@ -427,15 +427,15 @@
 		if wait < time.Millisecond {
 			return
 		}
-		try := fake.Try{ID: w.id("try"), Class: q.Class, Tenant: w.plan.Day.Tenant[q.Tenant].Name, Key: q.Key, Retry: o.tries > 0,
-			Job: q.Job, Wait: wait, Connect: w.front.Connect}
+		try := fake.Request{ID: w.id("try"), Class: q.Class, Tenant: w.plan.Day.Tenant[q.Tenant].Name, Key: q.Key, Retry: o.tries > 0,
+			Job: q.Job, Timeout: wait, Connect: w.front.Connect}
 		if w.plan.Day.Load.Hints {
-			try.Hint = roughly(q)
+			try.CostHint = roughly(q)
 		}
 		if o.tries == 0 {
-			try.HangUp = q.HangUp
+			try.LeaveAfter = q.HangUp
 		}
-		out := w.clients.Try(try)
+		out := w.clients.Do(try)
 		o.tries++
 		o.status = out.Status
 		if out.Status == 200 {
@@ -443,7 +443,7 @@
 			return
 		}
 		refused := out.Status == 503 || out.Status == 429
-		if out.Left || o.tries > q.Retries || class.Effect != invariant.Safe && out.Reached && !refused {
+		if out.HasLeft || o.tries > q.Retries || class.Effect != invariant.Safe && out.IsAccepted && !refused {
 			return
 		}
 		pause := q.Backoff
@@ -458,7 +458,7 @@
 
 // roughly is a client's guess at the work: half to twice of it.
 func roughly(q *Request) time.Duration {
-	return time.Duration(float64(q.Job.Total()) * (0.5 + 1.5*rand.New(rand.NewPCG(q.Draw, drawJobs)).Float64()))
+	return time.Duration(float64(q.Job.TotalWork()) * (0.5 + 1.5*rand.New(rand.NewPCG(q.Draw, drawJobs)).Float64()))
 }
 
 func (o *outcome) inAim(aim time.Duration) bool { return o.served && o.took <= aim }
--- a/internal/testkit/rehearse/process.go
+++ b/internal/testkit/rehearse/process.go
@@ -64,7 +64,7 @@
 }
 
 // configText is what the platform would put where ROUTER_CONFIG points.
-func (p *process) configText(known fake.List) ([]byte, error) {
+func (p *process) configText(known fake.MemberList) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.seeds()),
 		"limits":   map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB, "sockets": p.day.Sidecars.Sockets},
@@ -74,7 +74,7 @@
 }
 
 // told is the command of a life, and what that is told.
-func (p *process) told(known fake.List) (*exec.Cmd, error) {
+func (p *process) told(known fake.MemberList) (*exec.Cmd, error) {
 	cmd := p.command()
 	cmd.Env = append(cmd.Environ(), p.env...)
 	if p.file != nil {
@@ -98,7 +98,7 @@
 	if p.stopped || p.cmd != nil {
 		return nil
 	}
-	known := p.agent.Known()
+	known := p.agent.NotifiedList()
 	cmd, err := p.told(known)
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is ours to pass on
 	p.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
 	for _, m := range known.Servers {
-		p.rec.Add(fake.Told(p.name, m, p.rec))
+		p.rec.Add(fake.NotificationEvent(p.name, m, p.rec))
 	}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
--- a/internal/testkit/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -71,7 +71,7 @@
 		count := make([]int, len(d.Tier))
 		for _, n := range p.Nodes {
 			count[n.Spec.Tier]++
-			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdFrom < 0.31 || n.Spec.ColdFor > 9*time.Second || n.Spec.Slots < 1 {
+			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdCapacityShare < 0.31 || n.Spec.WarmUpDuration > 9*time.Second || n.Spec.Slots < 1 {
 				t.Fatalf("%+v", n.Spec)
 			}
 		}
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -256,8 +256,8 @@
 			hit := false
 			for _, n := range s.all {
 				tierOf[n.ID] = n.Tier
-				conns += n.Opened()
-				hit = hit || n.Choked()
+				conns += n.OpenedConnections()
+				hit = hit || n.WasOverloaded()
 			}
 			if hit {
 				choked++
@@ -290,7 +290,7 @@
 	r.Attempts, r.Calls, r.Conns = ratio(float64(first), n, 0), ratio(float64(all), n, 0), ratio(float64(conns), n, 0)
 	offered, useful := 0.0, 0.0
 	for i := range w.plan.Requests {
-		total := w.plan.Requests[i].Job.Total().Seconds()
+		total := w.plan.Requests[i].Job.TotalWork().Seconds()
 		offered += total
 		if w.outs[i].served {
 			useful += total
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -20,11 +20,11 @@
 	}
 	switch s.Kind {
 	case "slow":
-		w.faulty(ctx, s, (*fake.Node).Slow, 1)
+		w.faulty(ctx, s, (*fake.Node).SetSlowdown, 1)
 	case "hang":
-		w.faulty(ctx, s, (*fake.Node).Hang, 0)
+		w.faulty(ctx, s, (*fake.Node).SetHangShare, 0)
 	case "reset":
-		w.faulty(ctx, s, (*fake.Node).Reset, 0)
+		w.faulty(ctx, s, (*fake.Node).SetResetShare, 0)
 	case "crash":
 		w.each(s, func(p *site) { w.crash(ctx, p, s) })
 	case "drain":
@@ -144,7 +144,7 @@
 	m := p.member
 	p.mu.Unlock()
 	if err != nil {
-		if !errors.Is(err, fake.ErrFallen) { // its port is taken: the day is not the one that was drawn
+		if !errors.Is(err, fake.ErrCollapsed) { // its port is taken: the day is not the one that was drawn
 			w.fail(err)
 		}
 		return
@@ -187,7 +187,7 @@
 			if !sleepCtx(w.ctx, time.Until(n.at)) {
 				return
 			}
-			a.Send(n.member)
+			a.Update(n.member)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 
 func (w *world) roster(down bool) {
 	for _, p := range w.all {
-		p.agent.Down(down)
+		p.agent.SetDown(down)
 	}
 }
 
@@ -251,7 +251,7 @@
 	defer noticed.Wait()
 	noticed.Go(func() { // the front goes on sending to a dead one for a while
 		if sleepCtx(ctx, notice) {
-			w.front.Out(p.name)
+			w.front.Remove(p.name)
 		}
 	})
 	if s.How == "planned" {
@@ -277,7 +277,7 @@
 		return
 	}
 	noticed.Wait()
-	w.front.In(p.name, p.addr)
+	w.front.Add(p.name, p.addr)
 }
 
 // termMost is the longest that the platform waits for deadlines before SIGKILL.
--- a/internal/testkit/rehearse/watch.go
+++ b/internal/testkit/rehearse/watch.go
@@ -31,7 +31,7 @@
 		for _, sites := range h.w.tiers {
 			for _, s := range sites {
 				s.mu.Lock()
-				row = append(row, s.node.InHand())
+				row = append(row, s.node.InFlight())
 				s.mu.Unlock()
 			}
 		}
