--- /dev/null
+++ b/internal/testkit/fake/cell.go
@@ -0,0 +1,36 @@
+package fake
+
+import (
+	"sync"
+	"time"
+)
+
+// Cell is a set of nodes that drop duplicates of keyed requests together. It is safe for concurrent use.
+type Cell struct {
+	window  time.Duration
+	mu      sync.Mutex
+	seen    map[string]time.Time
+	sweptAt time.Time
+}
+
+// NewCell makes a cell that remembers idempotency keys for the window.
+func NewCell(window time.Duration) *Cell { return &Cell{window: window, seen: map[string]time.Time{}} }
+
+// isDuplicate reports whether the key was seen within the window, and records it if not.
+func (c *Cell) isDuplicate(key string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(c.sweptAt) > c.window { // so that the map holds the keys of two windows at most
+		for k, at := range c.seen {
+			if now.Sub(at) > c.window {
+				delete(c.seen, k)
+			}
+		}
+		c.sweptAt = now
+	}
+	if at, ok := c.seen[key]; ok && now.Sub(at) <= c.window {
+		return true
+	}
+	c.seen[key] = now
+	return false
+}
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -1,15 +1,11 @@
 package fake
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
 	"net"
-	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,86 +13,45 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// NodeSpec is what a node is. Its work is modelled: it takes time on a core that exists only as a count.
+// NodeSpec describes a node. Its work is modelled: it takes time on a core that exists only as a count. The tags are the
+// names of printed plans.
 type NodeSpec struct {
 	ID, Zone, Kind     string
 	Tier, Cell         int
 	Cores              int
-	Speed              float64       // of a core, in yardsticks
-	Slots              int           // requests in work
-	QueueLimit         int           `json:"Room"`         // waiting for a slot; beyond that they are turned away
-	ColdCapacityShare  float64       `json:"ColdFrom"`     // share of its capacity right after a start
-	WarmUpDuration     time.Duration `json:"ColdFor"`      // over which that rises evenly
-	ColdOverloadFactor float64       `json:"FallMultiple"` // sent more than this times what it can do,
-	ColdOverloadWindow time.Duration `json:"FallAfter"`    // over this time, a cold node falls over and stays down
+	Speed              float64       // of a core; work is stated for a core of speed 1
+	Slots              int           // requests that are executed at a time
+	QueueLimit         int           `json:"Room"`         // requests that wait for a slot; further ones are rejected
+	ColdCapacityShare  float64       `json:"ColdFrom"`     // share of the capacity right after a start
+	WarmUpDuration     time.Duration `json:"ColdFor"`      // over which the share rises linearly to 1
+	ColdOverloadFactor float64       `json:"FallMultiple"` // a warming node collapses when sent more than this times what it can do
+	ColdOverloadWindow time.Duration `json:"FallAfter"`    // within a window of this length
 	HandshakeWork      time.Duration `json:"Handshake"`    // work for a new connection
-	IdleTimeout        time.Duration `json:"IdleFor"`      // it closes a connection that is idle for so long
-	MaxConnections     int           `json:"Conns"`        // connections that it holds; requests on further ones are turned away
+	IdleTimeout        time.Duration `json:"IdleFor"`      // after which an idle connection is closed; 0: none
+	MaxConnections     int           `json:"Conns"`        // requests on further connections are rejected; 0: no limit
 	ErrorRate          float64       // share of requests that it answers with 500
-	Overload           *OverloadSpec `json:"Choke"`
+	Overload           *OverloadSpec `json:"Choke"` // nil: overload does not slow the node
 }
 
-// OverloadSpec is the slow state after overload.
-type OverloadSpec struct {
-	Threshold    float64       `json:"At"`     // requests that run or wait here beyond the cores, times the root of the cores,
-	AveragedOver time.Duration `json:"Over"`   // on average over this time, bring it on;
-	Slowdown     float64       `json:"Slower"` // it makes a node so many times slower
-	RecoverAfter time.Duration `json:"Rest"`   // until it has been mostly idle for so long,
-	IdleBelow    float64       `json:"Below"`  // that is, its cores were busy under this share,
-	MaxDuration  time.Duration `json:"Most"`   // or until this time is up
-}
-
-// Cell is a set of nodes that drop repeats of keyed work together.
-type Cell struct {
-	window  time.Duration
-	mu      sync.Mutex
-	seen    map[string]time.Time
-	sweptAt time.Time
-}
-
-// NewCell makes a cell that remembers keys for the window.
-func NewCell(window time.Duration) *Cell { return &Cell{window: window, seen: map[string]time.Time{}} }
-
-// isDuplicate tells whether the key was seen within the window, and notes it.
-func (c *Cell) isDuplicate(key string, now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now.Sub(c.sweptAt) > c.window { // so that the map holds two windows at most
-		for k, at := range c.seen {
-			if now.Sub(at) > c.window {
-				delete(c.seen, k)
-			}
-		}
-		c.sweptAt = now
-	}
-	if at, ok := c.seen[key]; ok && now.Sub(at) <= c.window {
-		return true
-	}
-	c.seen[key] = now
-	return false
-}
-
-// NextTier makes a node's calls to the tier behind it.
-type NextTier interface {
-	// Call makes one call for a request and tells whether it was served.
-	Call(class int, key string, job *Job) bool
-}
-
-// Node is a stand-in node. It listens on loopback at an address of its own, the same after a restart.
+// Node is a fake node. It listens on loopback at an address of its own, the same after a restart. Its methods are safe for
+// concurrent use; the fields must not be written to after the first Start.
+//
+// A running node has a goroutine that accepts connections, one for each connection and for each request, and one that
+// monitors overload. Stop makes all of them end.
 type Node struct {
 	NodeSpec
-	Addr     string
-	NextTier NextTier // nil: the last tier
+	Addr     string   // set by the first Start
+	NextTier NextTier // nil: the node is of the last tier
 	classes  []Class
 	cell     *Cell
 	registry *Registry
 	recorder *Recorder
-	random   func() float64
+	random   func() float64 // in [0, 1)
 
-	openedConnections atomic.Int64 // connections, in all lives
-	wasOverloaded     atomic.Bool  // was slow by overload at least once
+	openedConnections atomic.Int64 // in all incarnations
+	wasOverloaded     atomic.Bool
 
-	slowdown, hangShare, resetShare atomic.Uint64 // faults: math.Float64bits of how much slower, and of the share of requests
+	faults nodeFaults
 
 	mu           sync.Mutex
 	incarnation  *incarnation // nil: down
@@ -107,43 +62,40 @@
 // incarnation is one run of a node's process.
 type incarnation struct {
 	startedAt    time.Time
-	startedSince time.Duration // the same on the recorder's clock
-	isCold       bool
-	done         chan struct{}
+	startedSince time.Duration // startedAt on the recorder's clock
+	isCold       bool          // started without its caches and so warming up
+	done         chan struct{} // closed by Stop
 	listener     net.Listener
 	slots        *semaphore
 	cores        *semaphore
-	inFlight     atomic.Int64 // requests taken and not answered
-	runnable     atomic.Int64 // those of them that run or wait here, not on others
-	busyCores    atomic.Int64 // cores at work
+	inFlight     atomic.Int64 // requests received and not answered
+	runnable     atomic.Int64 // of those, the ones that run or wait on this node, not on the next tier
+	busyCores    atomic.Int64
 	isOverloaded atomic.Bool
 
 	mu          sync.Mutex
 	connections map[net.Conn]bool
-	recentWork  []workArrival // while cold
+	recentWork  []workArrival // while warming up
 }
 
-type workArrival struct {
-	at   time.Duration
-	work float64
-}
-
-// NewNode makes a node that is down. seed feeds what it draws by itself.
-func NewNode(spec NodeSpec, classes []Class, cell *Cell, desk *Registry, rec *Recorder, seed uint64) *Node {
+// NewNode makes a node that is down. seed feeds the node's own random draws.
+func NewNode(spec NodeSpec, classes []Class, cell *Cell, registry *Registry, recorder *Recorder, seed uint64) *Node {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0x6e6f6465))
-	return &Node{NodeSpec: spec, classes: classes, cell: cell, registry: desk, recorder: rec, random: func() float64 {
+	random := func() float64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.Float64()
-	}}
+	}
+	return &Node{NodeSpec: spec, classes: classes, cell: cell, registry: registry, recorder: recorder, random: random}
 }
 
-// ErrCollapsed is the error of a start after the node, cold, was pushed over.
+// ErrCollapsed is the error of a start after the node collapsed under overload while warming up.
 var ErrCollapsed = errors.New("it has fallen over and stays down")
 
-// Start brings the node up, at its former address if it had one, and tells when.
-func (n *Node) Start(cold bool) (began time.Time, err error) {
+// Start starts the node, at its former address if it had one, and returns the instant of the start. It does nothing where
+// the node runs already. The error names the node; it is ErrCollapsed for a node that has collapsed.
+func (n *Node) Start(cold bool) (startedAt time.Time, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.incarnation != nil {
@@ -161,59 +113,72 @@
 		return time.Time{}, fmt.Errorf("node %s: %w", n.ID, err)
 	}
 	n.Addr, n.isDraining = listener.Addr().String(), false
-	l := &incarnation{startedAt: time.Now(), startedSince: n.recorder.Now(), isCold: cold, done: make(chan struct{}), listener: listener,
-		slots: &semaphore{free: n.Slots, maxWaiting: n.QueueLimit}, cores: &semaphore{free: n.Cores, maxWaiting: math.MaxInt}, connections: map[net.Conn]bool{}}
-	n.incarnation = l
+	run := &incarnation{
+		startedAt:    time.Now(),
+		startedSince: n.recorder.Now(),
+		isCold:       cold,
+		done:         make(chan struct{}),
+		listener:     listener,
+		slots:        &semaphore{free: n.Slots, maxWaiting: n.QueueLimit},
+		cores:        &semaphore{free: n.Cores, maxWaiting: math.MaxInt},
+		connections:  map[net.Conn]bool{},
+	}
+	n.incarnation = run
 	e := invariant.Event{Kind: invariant.Started, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
 		e.ColdFrom, e.ColdFor = n.ColdCapacityShare, n.WarmUpDuration
 	}
-	e.At = max(l.startedSince, 1)
+	e.At = max(run.startedSince, 1) // 0 would stand for the instant of Add
 	n.recorder.Add(e)
-	go n.acceptConnections(l)
+	go n.acceptConnections(run)
 	if n.Overload != nil {
-		go n.monitorOverload(l)
+		go n.monitorOverload(run)
 	}
-	return l.startedAt, nil
+	return run.startedAt, nil
 }
 
-// Stop ends the node's process as a crash does: connections are reset, new ones refused.
+// Stop ends the node's process as a crash does: connections are reset and new ones refused.
 func (n *Node) Stop() {
 	n.mu.Lock()
-	l := n.incarnation
+	run := n.incarnation
 	n.incarnation = nil
 	n.mu.Unlock()
-	if l == nil {
+	if run == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	n.recorder.Add(invariant.Event{Kind: invariant.Stopped, Node: n.ID})
-	close(l.done)
-	l.listener.Close()
-	for nc := range l.connections {
-		if tcp, ok := nc.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset, as when a process dies
-		}
-		nc.Close()
+	close(run.done)
+	run.listener.Close()
+	for conn := range run.connections {
+		resetConnection(conn)
+	}
+}
+
+// resetConnection closes a connection by a reset, as the death of a process does.
+func resetConnection(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
 	}
+	conn.Close()
 }
 
-// Drain makes the node turn new requests away and finish what it has.
+// Drain makes the node reject new requests and finish those in flight, until its next start.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isDraining = true
 }
 
-// IsUp tells whether the node runs.
+// IsUp reports whether the node runs.
 func (n *Node) IsUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.incarnation != nil
 }
 
-// InFlight is how many requests run or wait here.
+// InFlight is the number of requests that run or wait on the node.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,328 +188,8 @@
 	return int(n.incarnation.inFlight.Load())
 }
 
-// OpenedConnections is how many connections have been opened to the node.
+// OpenedConnections is the number of connections opened to the node in all its incarnations.
 func (n *Node) OpenedConnections() int { return int(n.openedConnections.Load()) }
 
-// WasOverloaded tells whether overload has made the node slow at least once.
+// WasOverloaded reports whether overload has made the node slow at least once.
 func (n *Node) WasOverloaded() bool { return n.wasOverloaded.Load() }
-
-// SetSlowdown makes the node's cores so many times slower; 1 is as usual.
-func (n *Node) SetSlowdown(factor float64) { n.slowdown.Store(math.Float64bits(factor)) }
-
-// SetHangShare makes the node take this share of the requests and never answer them.
-func (n *Node) SetHangShare(share float64) { n.hangShare.Store(math.Float64bits(share)) }
-
-// SetResetShare makes the node break the connection of this share of the requests after it has run them.
-func (n *Node) SetResetShare(share float64) { n.resetShare.Store(math.Float64bits(share)) }
-
-func loadFloat(v *atomic.Uint64) float64 { return math.Float64frombits(v.Load()) }
-
-func (n *Node) acceptConnections(l *incarnation) {
-	for {
-		nc, err := l.listener.Accept()
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if !sleep(10*time.Millisecond, l.done) { // out of descriptors: Accept fails at once, and would spin
-				return
-			}
-			continue
-		}
-		l.mu.Lock()
-		n.openedConnections.Add(1)
-		over := n.MaxConnections > 0 && len(l.connections) >= n.MaxConnections
-		l.connections[nc] = true
-		l.mu.Unlock()
-		go n.serveConnection(l, nc, over)
-	}
-}
-
-// serveConnection reads requests from a connection, one at a time, and notices when the other side ends it.
-func (n *Node) serveConnection(l *incarnation, nc net.Conn, over bool) {
-	defer func() {
-		l.mu.Lock()
-		delete(l.connections, nc)
-		l.mu.Unlock()
-		nc.Close()
-	}()
-	in := bufio.NewReader(nc)
-	var answered chan bool // of the request at work; its value says whether the connection goes on
-	var id string
-	n.startIdleTimeout(nc)
-	for fresh := true; ; fresh = false {
-		if _, err := in.Peek(1); err != nil {
-			if answered != nil && len(answered) == 0 && !isClosed(l.done) {
-				n.recorder.Add(invariant.Event{Kind: invariant.Dropped, Node: n.ID, Request: id})
-			}
-			return
-		}
-		first := n.recorder.Now()
-		if answered != nil {
-			select {
-			case stays := <-answered:
-				if !stays {
-					return
-				}
-			case <-l.done:
-				return
-			}
-		}
-		_ = nc.SetReadDeadline(time.Now().Add(headTimeout))
-		r, err := http.ReadRequest(in)
-		if err != nil {
-			return
-		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
-			return
-		}
-		id = r.Header.Get("Req-Id")
-		_ = nc.SetReadDeadline(time.Time{})
-		answered = make(chan bool, 1)
-		if !n.handle(l, nc, id, first, fresh, over, answered) {
-			return
-		}
-	}
-}
-
-// startIdleTimeout bounds the wait for the next request.
-func (n *Node) startIdleTimeout(nc net.Conn) {
-	if n.IdleTimeout > 0 {
-		_ = nc.SetReadDeadline(time.Now().Add(n.IdleTimeout))
-	}
-}
-
-func isClosed(done <-chan struct{}) bool {
-	select {
-	case <-done:
-		return true
-	default:
-		return false
-	}
-}
-
-const (
-	headTimeout  = 5 * time.Second // for the rest of a request that has begun
-	maxBodyBytes = 64 << 10
-)
-
-// recordArrival notes that a request has come whole, unless the node has stopped: what a process had not read when it died never
-// came, and would stay out for good in the timeline.
-func (n *Node) recordArrival(l *incarnation, e invariant.Event) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if isClosed(l.done) {
-		return false
-	}
-	n.recorder.Add(e)
-	return true
-}
-
-// handle receives one whole request and sees to its answer in a goroutine of its own, so that serve can watch the
-// connection meanwhile.
-func (n *Node) handle(l *incarnation, nc net.Conn, id string, first time.Duration, fresh, over bool, answered chan<- bool) bool {
-	t, ok := n.registry.lookup(id)
-	if !ok {
-		if n.recordArrival(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first}) {
-			writeResponse(nc, http.StatusBadRequest, "", "")
-		}
-		return false
-	}
-	if !n.recordArrival(l, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: id, First: first, Work: t.job.Work.Seconds(), Cell: n.Cell}) {
-		return false
-	}
-	n.recordColdWork(l, t.job.Work.Seconds())
-	if n.drawFault(&n.hangShare) {
-		return true // taken, and never answered
-	}
-	n.mu.Lock()
-	declines := over || n.isDraining
-	n.mu.Unlock()
-	l.inFlight.Add(1)
-	go func() {
-		defer func() {
-			n.startIdleTimeout(nc)
-			answered <- !over
-			if over {
-				nc.Close()
-			}
-		}()
-		defer l.inFlight.Add(-1)
-		l.runnable.Add(1)
-		in := !declines && l.slots.acquire(l.done)
-		l.runnable.Add(-1)
-		if !in {
-			if isClosed(l.done) {
-				return
-			}
-			n.recorder.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: id})
-			writeResponse(nc, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
-			return
-		}
-		defer l.slots.release()
-		n.execute(l, nc, id, t, fresh)
-	}()
-	return true
-}
-
-// drawFault tells whether a fault with a share strikes.
-func (n *Node) drawFault(fault *atomic.Uint64) bool {
-	share := loadFloat(fault)
-	return share > 0 && n.random() < share
-}
-
-// execute does a request's work and answers it. Nothing stops it but the node's death: a caller that leaves does not.
-func (n *Node) execute(l *incarnation, nc net.Conn, id string, t registeredRequest, fresh bool) {
-	work := t.job.Work
-	repeat := t.key != "" && n.classes[t.class].Effect == invariant.Keyed && n.cell.isDuplicate(t.key, time.Now())
-	n.recorder.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: id, Repeat: repeat})
-	calls := t.job.Calls
-	if repeat {
-		work, calls = work/duplicateWorkDivisor, nil
-	}
-	if fresh {
-		work += n.HandshakeWork
-	}
-	served := n.useCore(l, work/2) && sleep(t.job.Wait, l.done)
-	if !served {
-		return
-	}
-	for _, c := range calls {
-		if served = n.NextTier == nil || n.NextTier.Call(t.class, t.key, c); !served {
-			break
-		}
-	}
-	if !n.useCore(l, work-work/2) {
-		return
-	}
-	if served && n.ErrorRate > 0 && n.random() < n.ErrorRate {
-		served = false
-	}
-	if n.drawFault(&n.resetShare) {
-		if tcp, ok := nc.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0)
-		}
-		n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id})
-		nc.Close()
-		return
-	}
-	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: id}) // before the write: what comes of it comes later
-	if served {
-		writeResponse(nc, http.StatusOK, "", id+" "+n.ID+"\n")
-	} else {
-		writeResponse(nc, http.StatusInternalServerError, "", "failed\n")
-	}
-}
-
-// duplicateWorkDivisor is the part of a request's work that a repeat takes which is dropped: it is looked up only.
-const duplicateWorkDivisor = 20
-
-// useCore takes time on a core.
-func (n *Node) useCore(l *incarnation, work time.Duration) bool {
-	l.runnable.Add(1)
-	defer l.runnable.Add(-1)
-	if !l.cores.acquire(l.done) {
-		return false
-	}
-	l.busyCores.Add(1)
-	defer func() {
-		l.busyCores.Add(-1)
-		l.cores.release()
-	}()
-	return sleep(time.Duration(float64(work)/n.coreSpeed(l)), l.done)
-}
-
-// coreSpeed is how fast a core works just now, in yardsticks.
-func (n *Node) coreSpeed(l *incarnation) float64 {
-	speed := n.Speed
-	if l.isCold {
-		speed *= warmShare(n.ColdCapacityShare, n.WarmUpDuration, time.Since(l.startedAt))
-	}
-	if f := loadFloat(&n.slowdown); f > 0 {
-		speed /= f
-	}
-	if l.isOverloaded.Load() {
-		speed /= n.Overload.Slowdown
-	}
-	return speed
-}
-
-// warmShare is the share of its capacity that a node has some time after its start.
-func warmShare(from float64, over, since time.Duration) float64 {
-	if over <= 0 || since >= over {
-		return 1
-	}
-	return from + (1-from)*float64(since)/float64(over)
-}
-
-// recordColdWork counts what is sent to a cold node, also what it turns away, and lets it fall when that is too much.
-func (n *Node) recordColdWork(l *incarnation, work float64) {
-	now := n.recorder.Now()
-	if !l.isCold || n.ColdOverloadFactor <= 0 || now >= l.startedSince+n.WarmUpDuration {
-		return
-	}
-	l.mu.Lock()
-	l.recentWork = append(l.recentWork, workArrival{now, work})
-	for len(l.recentWork) > 0 && l.recentWork[0].at <= now-n.ColdOverloadWindow {
-		l.recentWork = l.recentWork[1:]
-	}
-	sum := 0.0
-	for _, p := range l.recentWork {
-		sum += p.work
-	}
-	l.mu.Unlock()
-	can := warmShare(n.ColdCapacityShare, n.WarmUpDuration, now-l.startedSince) * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
-	if sum <= n.ColdOverloadFactor*can*(1+ColdOverloadTolerance) {
-		return
-	}
-	n.mu.Lock()
-	first := !n.hasCollapsed
-	n.hasCollapsed = true
-	n.mu.Unlock()
-	if first {
-		n.recorder.Add(invariant.Event{Kind: invariant.Fell, Node: n.ID})
-		go n.Stop()
-	}
-}
-
-// ColdOverloadTolerance is what chance may add to the work that a cold node bears.
-const ColdOverloadTolerance = 0.1
-
-const overloadCheckInterval = 100 * time.Millisecond
-
-// monitorOverload brings the slow state on and ends it, once in a life.
-func (n *Node) monitorOverload(l *incarnation) {
-	limit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
-	limit = min(limit, 0.7*float64(n.Slots+n.QueueLimit))
-	mean, rested := 0.0, time.Duration(0)
-	var since time.Time
-	for over := false; sleep(overloadCheckInterval, l.done); {
-		switch {
-		case l.isOverloaded.Load():
-			if float64(l.busyCores.Load()) < n.Overload.IdleBelow*float64(n.Cores) {
-				rested += overloadCheckInterval
-			} else {
-				rested = 0
-			}
-			if rested >= n.Overload.RecoverAfter || time.Since(since) >= n.Overload.MaxDuration {
-				l.isOverloaded.Store(false)
-				over = true
-			}
-		case !over:
-			mean += (float64(l.runnable.Load()) - mean) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
-			if mean > limit {
-				since = time.Now()
-				l.isOverloaded.Store(true)
-				n.wasOverloaded.Store(true)
-			}
-		}
-	}
-}
-
-// writeResponse writes a whole answer at once.
-func writeResponse(nc net.Conn, status int, fields, body string) {
-	_ = nc.SetWriteDeadline(time.Now().Add(headTimeout))
-	_, _ = io.WriteString(nc, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+fields+
-		"Content-Type: text/plain\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
-}
--- /dev/null
+++ b/internal/testkit/fake/node_request.go
@@ -0,0 +1,160 @@
+package fake
+
+import (
+	"net/http"
+	"time"
+
+	"tuliprock/internal/testkit/invariant"
+)
+
+// NextTier makes a node's calls to the tier behind it. It must be safe for concurrent use.
+type NextTier interface {
+	// Call makes one call for a request and reports whether it was served.
+	Call(class int, key string, job *Job) bool
+}
+
+// duplicateWorkDivisor is by how much less work a duplicate is that a node drops: it is looked up only.
+const duplicateWorkDivisor = 20
+
+// recordArrival records that a request has arrived completely, unless the node has stopped: a request that a process had
+// not read when it died never arrived, and would stay in flight for good in the timeline.
+func (n *Node) recordArrival(run *incarnation, e invariant.Event) bool {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if isClosed(run.done) {
+		return false
+	}
+	n.recorder.Add(e)
+	return true
+}
+
+// handle receives one request and has it answered by a goroutine of its own, so that serveConnection can watch the
+// connection meanwhile. It reports whether the connection is used further.
+func (n *Node) handle(c *nodeConnection, a arrival) bool {
+	request, ok := n.registry.lookup(a.id)
+	if !ok {
+		if n.recordArrival(c.run, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: a.id, First: a.firstByteAt}) {
+			writeResponse(c, http.StatusBadRequest, "", "")
+		}
+		return false
+	}
+	work := request.job.Work.Seconds()
+	if !n.recordArrival(c.run, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: a.id, First: a.firstByteAt,
+		Work: work, Cell: n.Cell}) {
+		return false
+	}
+	n.recordColdWork(c.run, work)
+	if n.drawFault(&n.faults.hangShare) {
+		return true // received, and never answered
+	}
+	n.mu.Lock()
+	isRejected := c.isExcess || n.isDraining
+	n.mu.Unlock()
+	c.run.inFlight.Add(1)
+	go func() {
+		defer func() {
+			n.startIdleTimeout(c)
+			a.answered <- !c.isExcess
+			if c.isExcess {
+				c.Close()
+			}
+		}()
+		defer c.run.inFlight.Add(-1)
+		n.executeOrReject(c, a, request, isRejected)
+	}()
+	return true
+}
+
+// executeOrReject executes a request once it has a slot, or rejects it where the queue for slots is full.
+func (n *Node) executeOrReject(c *nodeConnection, a arrival, request registeredRequest, isRejected bool) {
+	c.run.runnable.Add(1)
+	hasSlot := !isRejected && c.run.slots.acquire(c.run.done)
+	c.run.runnable.Add(-1)
+	if hasSlot {
+		defer c.run.slots.release()
+		n.execute(c, a, request)
+		return
+	}
+	if isClosed(c.run.done) {
+		return
+	}
+	n.recorder.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: a.id})
+	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
+}
+
+// execute does a request's work and answers it. Only the node's death stops it; the departure of the client does not.
+func (n *Node) execute(c *nodeConnection, a arrival, request registeredRequest) {
+	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.Keyed &&
+		n.cell.isDuplicate(request.key, time.Now())
+	n.recorder.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: a.id, Repeat: isDuplicate})
+	work, calls := request.job.Work, request.job.Calls
+	if isDuplicate {
+		work, calls = work/duplicateWorkDivisor, nil
+	}
+	if a.isFirstOnConnection {
+		work += n.HandshakeWork
+	}
+	if !n.useCore(c.run, work/2) || !sleep(request.job.Wait, c.run.done) {
+		return
+	}
+	isServed := n.callNextTier(request, calls)
+	if !n.useCore(c.run, work-work/2) {
+		return
+	}
+	if isServed && n.ErrorRate > 0 && n.random() < n.ErrorRate {
+		isServed = false
+	}
+	isReset := n.drawFault(&n.faults.resetShare)
+	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: a.id}) // before the write and what follows from it
+	switch {
+	case isReset:
+		resetConnection(c.Conn)
+	case isServed:
+		writeResponse(c, http.StatusOK, "", a.id+" "+n.ID+"\n")
+	default:
+		writeResponse(c, http.StatusInternalServerError, "", "failed\n")
+	}
+}
+
+// callNextTier makes a request's calls in turn, up to the first that fails.
+func (n *Node) callNextTier(request registeredRequest, calls []*Job) bool {
+	if n.NextTier == nil {
+		return true
+	}
+	for _, call := range calls {
+		if !n.NextTier.Call(request.class, request.key, call) {
+			return false
+		}
+	}
+	return true
+}
+
+// useCore waits for a core and works on it. It is false where the node stops first.
+func (n *Node) useCore(run *incarnation, work time.Duration) bool {
+	run.runnable.Add(1)
+	defer run.runnable.Add(-1)
+	if !run.cores.acquire(run.done) {
+		return false
+	}
+	run.busyCores.Add(1)
+	defer func() {
+		run.busyCores.Add(-1)
+		run.cores.release()
+	}()
+	return sleep(time.Duration(float64(work)/n.coreSpeed(run)), run.done)
+}
+
+// coreSpeed is the present speed of a core.
+func (n *Node) coreSpeed(run *incarnation) float64 {
+	speed := n.Speed
+	if run.isCold {
+		speed *= warmShare(n.ColdCapacityShare, n.WarmUpDuration, time.Since(run.startedAt))
+	}
+	if factor := loadFloat(&n.faults.slowdown); factor > 0 {
+		speed /= factor
+	}
+	if run.isOverloaded.Load() {
+		speed /= n.Overload.Slowdown
+	}
+	return speed
+}
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -306,11 +306,11 @@
 	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	b.mu.Lock()
-	life := b.incarnation
+	run := b.incarnation
 	b.mu.Unlock()
 	b.desk.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	b.Stop()
-	if b.handle(life, nc, "r1", 0, true, false, make(chan bool, 1)) || b.count(invariant.Sent, "") != 0 {
+	if b.handle(&nodeConnection{Conn: nc, run: run}, arrival{id: "r1", isFirstOnConnection: true, answered: make(chan bool, 1)}) || b.count(invariant.Sent, "") != 0 {
 		t.Error("it came")
 	}
 }
