--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -16,233 +16,238 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Request is one request of a caller's.
+// Request is one request of a client.
 type Request struct {
-	ID         string // new with every try
+	ID         string // new for each request, retries included
 	Class      int
 	Tenant     string
 	Key        string // idempotency key; empty: none
 	Retry      bool
-	CostHint   time.Duration // a guess at the work; 0: none
+	CostHint   time.Duration // the client's guess at the work; 0: none
 	Job        *Job
-	Timeout    time.Duration // the caller waits so long
-	LeaveAfter time.Duration // and leaves after this time already, if it is over 0
-	Connect    func() (sidecar, addr string, ok bool)
+	Timeout    time.Duration // the client's deadline from the start
+	LeaveAfter time.Duration // the client closes the connection after this time; 0: it waits for the deadline
+	Connect    func() (Target, bool)
 }
 
-// Outcome is what a try came to.
+// Outcome is what became of a request.
 type Outcome struct {
-	Status     int           // 0: no answer
-	IsAccepted bool          // a sidecar took the request
-	RetryAfter time.Duration // as the answer advises
-	HasDialed  bool          // a connection was opened for it
-	HasLeft    bool          // hung up on purpose
+	Status     int           // 0: no response
+	IsAccepted bool          // the request was written to a sidecar completely
+	RetryAfter time.Duration // as the response advises; 0: not at all
+	HasDialed  bool          // a connection was opened for the request
+	HasLeft    bool          // the client left on purpose
 }
 
-// Client makes tries over connections that it keeps. It is safe for concurrent use.
+// Client sends requests over connections that it keeps, and records what it observes. It is safe for concurrent use and
+// has no goroutine of its own.
 type Client struct {
 	classes            []Class
 	registry           *Registry
 	recorder           *Recorder
-	tolerance          time.Duration        // after a try's time until its answer counts as never come
+	tolerance          time.Duration        // after the deadline, within which a response is not late
 	maxIdle            int                  // idle connections kept
-	connectionLifetime func() time.Duration // for how long a new one is used; nil: for good
+	connectionLifetime func() time.Duration // of a new connection; nil: unlimited
 
 	mu   sync.Mutex
-	idle []*clientConn
+	idle []*clientConn // the one used last is at the end
 }
 
-// clientConn is one connection of a caller's.
+// clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
 	sidecar     string
-	usableUntil time.Time // it is not used any more; zero: for good
+	usableUntil time.Time // zero: unlimited
 }
 
-// NewClient makes a Caller that keeps at most most idle connections. slack is the rules' own on a try's time.
-func NewClient(classes []Class, desk *Registry, rec *Recorder, slack time.Duration, most int) *Client {
-	return &Client{classes: classes, registry: desk, recorder: rec, tolerance: slack, maxIdle: most}
+const (
+	dialTimeout    = 500 * time.Millisecond // the front layer notices a dead sidecar after seconds, a client should sooner
+	extraBytesWait = time.Millisecond       // for bytes after a response
+	// lateAllowance is how much later than the rules allow a client gives up, so that a late response is seen as such.
+	lateAllowance = 100 * time.Millisecond
+)
+
+// errNoSidecar is the error of a dial while the front layer has no sidecar.
+var errNoSidecar = errors.New("no sidecar is in the front layer")
+
+// NewClient makes a client that keeps at most maxIdle idle connections. tolerance is that of the rules on a deadline.
+func NewClient(classes []Class, registry *Registry, recorder *Recorder, tolerance time.Duration, maxIdle int) *Client {
+	return &Client{classes: classes, registry: registry, recorder: recorder, tolerance: tolerance, maxIdle: maxIdle}
 }
 
-// SetConnectionLifetime makes every new connection be used for a time that the function draws. It must be set before the first try, and
-// may be called from many goroutines.
+// SetConnectionLifetime makes each new connection be used for a time that the function draws. It must be called before the
+// first request; the function may be called from many goroutines.
 func (c *Client) SetConnectionLifetime(draw func() time.Duration) { c.connectionLifetime = draw }
 
-// Close closes what is idle.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.idle {
-		l.Close()
+	for _, conn := range c.idle {
+		conn.Close()
 	}
 	c.idle = nil
 }
 
-// takeIdle gives the idle connection used last, if there is one.
+// takeIdle returns the idle connection used last, or nil.
 func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n := len(c.idle); n > 0; n = len(c.idle) {
-		l := c.idle[n-1]
+		conn := c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		if l.usableUntil.IsZero() || time.Now().Before(l.usableUntil) {
-			return l
+		if conn.usableUntil.IsZero() || time.Now().Before(conn.usableUntil) {
+			return conn
 		}
-		l.Close()
+		conn.Close()
 	}
 	return nil
 }
 
-func (c *Client) putIdle(l *clientConn) {
+func (c *Client) putIdle(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= c.maxIdle {
-		l.Close()
+		conn.Close()
 		return
 	}
-	c.idle = append(c.idle, l)
+	c.idle = append(c.idle, conn)
 }
 
-const (
-	dialTimeout    = 500 * time.Millisecond // the front layer notices a dead sidecar after seconds, a caller should sooner
-	extraBytesWait = time.Millisecond       // for bytes behind an answer
-)
-
-func dialSidecar(t Request) (*clientConn, error) {
-	name, addr, ok := t.Connect()
+func (c *Client) dial(r Request) (*clientConn, error) {
+	target, ok := r.Connect()
 	if !ok {
-		return nil, errors.New("no sidecar is in")
+		return nil, errNoSidecar
 	}
-	nc, err := net.DialTimeout("tcp", addr, dialTimeout)
+	conn, err := net.DialTimeout("tcp", target.Addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: nc, reader: bufio.NewReader(nc), sidecar: name}, nil
+	opened := &clientConn{Conn: conn, reader: bufio.NewReader(conn), sidecar: target.Sidecar}
+	if c.connectionLifetime != nil {
+		opened.usableUntil = time.Now().Add(c.connectionLifetime())
+	}
+	return opened, nil
 }
 
-// Do makes one try. It returns when the answer has come, the time is up or the connection has ended.
-func (c *Client) Do(t Request) Outcome {
-	due := c.recorder.Now() + t.Timeout
-	c.registry.register(t.ID, registeredRequest{job: t.Job, class: t.Class, key: t.Key})
+// Do sends one request. It returns when the response has come, the deadline has passed or the connection has ended. A
+// request whose kept connection ended before anything came is sent once more on a new one.
+func (c *Client) Do(r Request) Outcome {
+	deadline := c.recorder.Now() + r.Timeout
+	c.registry.register(r.ID, registeredRequest{job: r.Job, class: r.Class, key: r.Key})
 	var out Outcome
-	for again := true; ; again = false {
-		l := c.takeIdle()
-		if l == nil {
+	for isFirst := true; ; isFirst = false {
+		conn := c.takeIdle()
+		if conn != nil && !isFirst {
+			conn.Close() // the second time on a new connection
+			continue
+		}
+		if conn == nil {
 			var err error
-			if l, err = dialSidecar(t); err != nil {
+			if conn, err = c.dial(r); err != nil {
 				return out
 			}
-			if c.connectionLifetime != nil {
-				l.usableUntil = time.Now().Add(c.connectionLifetime())
-			}
 			out.HasDialed = true
-		} else if !again {
-			l.Close() // the second time on a new connection
-			continue
 		}
-		fresh := out.HasDialed
-		if c.exchange(l, t, due, fresh, &out) || fresh {
+		isNew := out.HasDialed
+		if c.exchange(conn, r, deadline, isNew, &out) || isNew {
 			return out
 		}
 	}
 }
 
-// exchange is false where a connection that had served before ended before anything came: a sidecar may close one between
-// requests, and the request is sent once more on a new one.
-func (c *Client) exchange(l *clientConn, t Request, due time.Duration, fresh bool, out *Outcome) bool {
-	asked := invariant.Event{Kind: invariant.Asked, Request: t.ID, Sidecar: l.sidecar, Class: t.Class, Until: due}
-	c.recorder.Add(asked) // before the write: what comes of it comes later
-	if _, err := io.WriteString(l, c.encode(t, due)); err != nil {
-		l.Close()
-		if fresh {
-			c.recorder.Add(invariant.Event{Kind: invariant.NotAccepted, Request: t.ID})
-			return true
+// exchange sends a request on a connection and reads the response. It is false where a kept connection ended before
+// anything came: a sidecar may close one between requests, and the request may be sent again.
+func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
+	c.recorder.Add(invariant.Event{Kind: invariant.Asked, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
+		Until: deadline}) // before the write and what follows from it
+	if _, err := io.WriteString(conn, c.encode(r, deadline)); err != nil {
+		conn.Close()
+		if isNew {
+			c.recorder.Add(invariant.Event{Kind: invariant.NotAccepted, Request: r.ID})
 		}
-		return false
+		return isNew
 	}
 	out.IsAccepted = true
-	limit, leaves := due+c.tolerance+lateAllowance, false
-	if t.LeaveAfter > 0 && due-t.Timeout+t.LeaveAfter < limit {
-		limit, leaves = due-t.Timeout+t.LeaveAfter, true
+	limit, leaves := deadline+c.tolerance+lateAllowance, false
+	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < limit {
+		limit, leaves = deadline-r.Timeout+r.LeaveAfter, true
 	}
-	_ = l.SetReadDeadline(time.Now().Add(limit - c.recorder.Now()))
-	if _, err := l.reader.Peek(1); err != nil {
-		l.Close()
+	_ = conn.SetReadDeadline(time.Now().Add(limit - c.recorder.Now()))
+	if _, err := conn.reader.Peek(1); err != nil {
+		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
 			out.HasLeft = true
-			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: t.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.recorder.Add(invariant.Event{Kind: invariant.Unanswered, Request: t.ID})
-		case !fresh:
+			c.recorder.Add(invariant.Event{Kind: invariant.Unanswered, Request: r.ID})
+		case !isNew:
 			return false
 		default:
-			c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: r.ID})
 		}
 		return true
 	}
-	c.readResponse(l, t, due, out)
+	c.readResponse(conn, r, deadline, out)
 	return true
 }
 
-// lateAllowance is how much later than the rules allow a caller lets go, so that a late answer is seen as such.
-const lateAllowance = 100 * time.Millisecond
-
-// readResponse takes an answer that has begun.
-func (c *Client) readResponse(l *clientConn, t Request, due time.Duration, out *Outcome) {
-	_ = l.SetReadDeadline(time.Now().Add(max(due-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
-	resp, err := http.ReadResponse(l.reader, nil)
+// readResponse reads a response of which the first byte has come.
+func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, out *Outcome) {
+	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 		resp.Body.Close()
 	}
 	if err != nil {
-		l.Close()
-		c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: t.ID})
+		conn.Close()
+		c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: r.ID})
 		return
 	}
 	out.Status = resp.StatusCode
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		out.RetryAfter = time.Duration(s * float64(time.Second))
+	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+		out.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	genuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), t.ID+" ")
-	c.recorder.Add(invariant.Event{Kind: invariant.Answered, Request: t.ID, Status: resp.StatusCode, Genuine: genuine})
-	if l.reader.Buffered() == 0 && !resp.Close {
-		_ = l.SetReadDeadline(time.Now().Add(extraBytesWait))
-		if _, err := l.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-			c.putIdle(l)
+	isGenuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), r.ID+" ")
+	c.recorder.Add(invariant.Event{Kind: invariant.Answered, Request: r.ID, Status: resp.StatusCode, Genuine: isGenuine})
+	if conn.reader.Buffered() == 0 && !resp.Close {
+		_ = conn.SetReadDeadline(time.Now().Add(extraBytesWait))
+		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
+			c.putIdle(conn)
 			return
 		}
 	}
-	if l.reader.Buffered() > 0 {
-		c.recorder.Add(invariant.Event{Kind: invariant.ExtraBytes, Request: t.ID})
+	if conn.reader.Buffered() > 0 {
+		c.recorder.Add(invariant.Event{Kind: invariant.ExtraBytes, Request: r.ID})
 	}
-	l.Close()
+	conn.Close()
 }
 
 // encode is the request as it is written.
-func (c *Client) encode(t Request, due time.Duration) string {
-	class := c.classes[t.Class]
+func (c *Client) encode(r Request, deadline time.Duration) string {
+	class := c.classes[r.Class]
 	method := http.MethodGet
 	if class.Effect != invariant.Safe {
 		method = http.MethodPost
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s /%s HTTP/1.1\r\nHost: api.internal\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", method, class.Name, t.ID,
-		max((due-c.recorder.Now()).Milliseconds(), 1))
-	if t.Tenant != "" {
-		fmt.Fprintf(&b, "Req-Owner: %s\r\n", t.Tenant)
+	fmt.Fprintf(&b, "%s /%s HTTP/1.1\r\nHost: api.internal\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", method, class.Name, r.ID,
+		max((deadline-c.recorder.Now()).Milliseconds(), 1))
+	if r.Tenant != "" {
+		fmt.Fprintf(&b, "Req-Owner: %s\r\n", r.Tenant)
 	}
-	if t.CostHint > 0 {
-		fmt.Fprintf(&b, "Req-Cost: %d\r\n", t.CostHint.Microseconds())
+	if r.CostHint > 0 {
+		fmt.Fprintf(&b, "Req-Cost: %d\r\n", r.CostHint.Microseconds())
 	}
-	if t.Retry {
+	if r.Retry {
 		b.WriteString("Req-Retry: 1\r\n")
 	}
 	if class.Effect == invariant.Keyed {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Key)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
 	}
 	if method == http.MethodPost {
 		b.WriteString("Content-Length: 0\r\n")
@@ -250,44 +255,3 @@
 	b.WriteString("\r\n")
 	return b.String()
 }
-
-// FrontLayer deals callers' connections out among the sidecars that it holds for alive. It is safe for concurrent use.
-type FrontLayer struct {
-	mu       sync.Mutex
-	sidecars []sidecarAddr
-	next     int
-}
-
-type sidecarAddr struct{ name, addr string }
-
-// Add takes a sidecar in.
-func (f *FrontLayer) Add(name, addr string) {
-	f.Remove(name)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.sidecars = append(f.sidecars, sidecarAddr{name, addr})
-}
-
-// Remove takes a sidecar out.
-func (f *FrontLayer) Remove(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for i, p := range f.sidecars {
-		if p.name == name {
-			f.sidecars = append(f.sidecars[:i:i], f.sidecars[i+1:]...)
-			return
-		}
-	}
-}
-
-// Connect says where the next connection goes.
-func (f *FrontLayer) Connect() (name, addr string, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.sidecars) == 0 {
-		return "", "", false
-	}
-	f.next++
-	p := f.sidecars[f.next%len(f.sidecars)]
-	return p.name, p.addr, true
-}
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -569,7 +569,7 @@
 }
 
 // scriptedSidecar answers each connection's requests by a script of bytes; "CLOSE" ends the connection.
-func scriptedSidecar(t *testing.T, answers ...string) (connect func() (string, string, bool), served *testpeer.Endpoint) {
+func scriptedSidecar(t *testing.T, answers ...string) (connect func() (Target, bool), served *testpeer.Endpoint) {
 	t.Helper()
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		if n > len(answers) {
@@ -579,7 +579,7 @@
 		io.WriteString(nc, strings.ReplaceAll(text, "ID", r.Header.Get("Req-Id")))
 		return !ends
 	})
-	return func() (string, string, bool) { return "s1", e.Addr, true }, e
+	return func() (Target, bool) { return Target{"s1", e.Addr}, true }, e
 }
 
 func TestClientRecordsHowARequestEnds(t *testing.T) {
@@ -628,7 +628,7 @@
 		t.Error("another's answer passes")
 	}
 	caller.Close()
-	if out := caller.Do(Request{ID: "cd", Job: &Job{}, Connect: func() (string, string, bool) { return "", "", false }}); out.IsAccepted {
+	if out := caller.Do(Request{ID: "cd", Job: &Job{}, Connect: func() (Target, bool) { return Target{}, false }}); out.IsAccepted {
 		t.Errorf("no sidecar: %+v", out)
 	}
 }
@@ -652,7 +652,7 @@
 
 func TestFrontLayerUsesSidecarsInTurn(t *testing.T) {
 	f := &FrontLayer{}
-	if _, _, ok := f.Connect(); ok {
+	if _, ok := f.Connect(); ok {
 		t.Error("there is none")
 	}
 	f.Add("a", "1")
@@ -660,8 +660,8 @@
 	f.Add("a", "1") // once
 	got := map[string]int{}
 	for range 10 {
-		name, _, _ := f.Connect()
-		got[name]++
+		target, _ := f.Connect()
+		got[target.Sidecar]++
 	}
 	if got["a"] != 5 || got["b"] != 5 {
 		t.Errorf("%v", got)
@@ -669,8 +669,8 @@
 	f.Remove("a")
 	f.Remove("nobody")
 	for range 3 {
-		if name, addr, ok := f.Connect(); name != "b" || addr != "2" || !ok {
-			t.Error(name)
+		if target, ok := f.Connect(); target != (Target{"b", "2"}) || !ok {
+			t.Error(target)
 		}
 	}
 }
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -224,14 +224,14 @@
 	s *site
 }
 
-// Call implements standin.Next.
+// Call implements fake.NextTier.
 func (n *next) Call(class int, key string, job *fake.Job) bool {
 	n.s.mu.Lock()
 	p, caller := n.s.sidecar, n.s.caller
 	n.s.mu.Unlock()
 	out := caller.Do(fake.Request{ID: n.w.id("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.seq.Add(1)), Job: job,
 		Timeout: n.w.plan.Classes[class].Deadline,
-		Connect: func() (string, string, bool) { return p.name, p.addr, true }})
+		Connect: func() (fake.Target, bool) { return fake.Target{Sidecar: p.name, Addr: p.addr}, true }})
 	return out.Status == 200
 }
 
