--- /dev/null
+++ b/internal/testkit/fake/agent_watch.go
@@ -0,0 +1,130 @@
+package fake
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// heartbeatInterval is how often an empty line comes on a watch.
+const heartbeatInterval = 2 * time.Second
+
+// ServeHTTP implements http.Handler: the full list, or with the parameter watch a stream of the changes after a version.
+func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != "/catalog/members" {
+		http.NotFound(w, r)
+		return
+	}
+	if r.URL.Query().Get("watch") == "" {
+		if list, ok := a.awaitList(r, func() (MemberList, bool) { return a.fullList(), true }); ok {
+			a.writeList(w, list)
+		}
+		return
+	}
+	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
+	if err != nil {
+		http.Error(w, "after: no version", http.StatusBadRequest)
+		return
+	}
+	a.serveWatch(w, r, after)
+}
+
+// serveWatch writes the changes after a version as they come, and a heartbeat in between, until the client leaves. The
+// first message comes at once, even if nothing has changed.
+func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, after int64) {
+	for isFirst := true; ; isFirst = false {
+		list, ok := a.awaitList(r, func() (MemberList, bool) {
+			list := a.changesSince(after)
+			return list, isFirst || list.Full || len(list.Servers) > 0
+		})
+		switch {
+		case ok:
+			after = list.Version
+			if !a.writeList(w, list) {
+				return
+			}
+		case r.Context().Err() != nil:
+			return
+		default:
+			if _, err := w.Write([]byte("\n")); err != nil {
+				return
+			}
+			_ = http.NewResponseController(w).Flush() // the next write shows an error
+		}
+	}
+}
+
+// awaitList waits until discovery is up and poll, which is called with a.mu held, has a list. It is false after the
+// heartbeat interval, and when the request has ended.
+func (a *Agent) awaitList(r *http.Request, poll func() (MemberList, bool)) (MemberList, bool) {
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
+	for {
+		a.mu.Lock()
+		changed, isDown := a.changed, a.isDown
+		if !isDown {
+			if list, ok := poll(); ok {
+				a.mu.Unlock()
+				return list, true
+			}
+		}
+		a.mu.Unlock()
+		tick := heartbeat.C
+		if isDown {
+			tick = nil // nothing is sent
+		}
+		select {
+		case <-r.Context().Done():
+			return MemberList{}, false
+		case <-changed:
+		case <-tick:
+			return MemberList{}, false
+		}
+	}
+}
+
+// writeList writes a message, and records what the sidecar was notified of by it. It is false where the write failed.
+func (a *Agent) writeList(w http.ResponseWriter, list MemberList) bool {
+	text, err := json.Marshal(list)
+	if err != nil {
+		return false
+	}
+	if _, err := w.Write(append(text, '\n')); err != nil {
+		return false
+	}
+	if err := http.NewResponseController(w).Flush(); err != nil {
+		return false
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	gone := a.recordWritten(list)
+	for _, m := range append(gone, list.Servers...) {
+		a.recorder.Add(NotificationEvent(a.Sidecar, m, a.recorder))
+	}
+	return true
+}
+
+// recordWritten keeps what the sidecar has now, and returns the members that are gone by a full list without them. a.mu is
+// held.
+func (a *Agent) recordWritten(list MemberList) (gone []Member) {
+	previous := a.notified
+	a.notifiedVersion = max(a.notifiedVersion, list.Version)
+	if list.Version >= previous.Version {
+		a.notified = a.fullList()
+	}
+	if !list.Full {
+		return nil
+	}
+	isListed := map[string]bool{}
+	for _, m := range list.Servers {
+		isListed[m.ID] = true
+	}
+	for _, m := range previous.Servers {
+		if !isListed[m.ID] {
+			m.State = StateGone
+			gone = append(gone, m)
+		}
+	}
+	return gone
+}
