--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"io"
+	"math"
 	"net"
 	"net/netip"
 	"strings"
@@ -13,18 +14,18 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNSFault is how a stand-in name server goes wrong.
+// DNSFault is a fault that is injected into a fake name server.
 type DNSFault int
 
 // The faults.
 const (
-	DNSWell      DNSFault = iota
-	DNSSilent             // no answer
-	DNSServfail           // SERVFAIL
-	DNSGarbage            // bytes that are no message
-	DNSCut                // half a message
-	DNSTruncated          // truncated over UDP, and nothing over TCP
-	DNSEmpty              // no error and no records
+	DNSWell      DNSFault = iota // none
+	DNSSilent                    // no response
+	DNSServfail                  // SERVFAIL
+	DNSGarbage                   // bytes that are no message
+	DNSCut                       // half a message
+	DNSTruncated                 // truncated over UDP, and nothing over TCP
+	DNSEmpty                     // no error and no records
 )
 
 // DNSRecord is one record of a name: an address, an alias or a service, whichever is set.
@@ -37,12 +38,13 @@
 	TTL      uint32 // seconds
 }
 
-// DNS is a name server on loopback over UDP and TCP (RFC 1035), which knows what Set tells it. Chains of aliases are
-// followed in its answers, as a recursive server does, up to a bound: one that loops is given as far as it goes.
+// DNS is a name server on loopback over UDP and TCP (RFC 1035), which knows the records that Set gave it. Like a recursive
+// server it follows chains of aliases in its responses, up to a bound: of a loop it returns as much. It is safe for
+// concurrent use. It has a goroutine for each protocol, connection and query in flight; Close ends them.
 type DNS struct {
 	Addr  string
-	Asked atomic.Int64 // messages that came
-	TCP   atomic.Int64 // of them, over TCP
+	Asked atomic.Int64 // queries received
+	TCP   atomic.Int64 // queries received over TCP
 
 	udp net.PacketConn
 	tcp net.Listener
@@ -57,8 +59,9 @@
 }
 
 const (
-	dnsMinPayload        = 512 // bytes of an answer over UDP that asks for no more
-	dnsMaxAliases        = 8   // followed for one answer
+	dnsMinPayload        = 512 // bytes of a response over UDP to a query that states no payload size
+	dnsMaxAliases        = 8   // followed for one response
+	dnsPortAttempts      = 20  // to find a port that is free for UDP and TCP
 	dnsConnectionTimeout = 10 * time.Second
 )
 
@@ -66,7 +69,7 @@
 func NewDNS() (*DNS, error) {
 	var err error
 	d := &DNS{names: map[string][]DNSRecord{}, stopped: make(chan struct{})}
-	for range 20 { // a port that is free for both
+	for range dnsPortAttempts {
 		if d.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -84,15 +87,15 @@
 	return d, nil
 }
 
-// Close ends the server and all that it answers.
+// Close ends the server and the queries in flight. It must be called once.
 func (d *DNS) Close() {
 	close(d.stopped)
-	_ = d.udp.Close() // a socket that is given up
+	_ = d.udp.Close() // nothing follows from the error: the socket is not used any more
 	d.tcp.Close()
 	d.handlers.Wait()
 }
 
-// Set gives a name its records; none: the name does not exist.
+// Set sets the records of a name; without records the name does not exist.
 func (d *DNS) Set(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,13 +105,14 @@
 	}
 }
 
-// Go makes the server go wrong from now on, each answer after a delay.
+// Go injects a fault from now on, and delays each response.
 func (d *DNS) Go(fault DNSFault, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault, d.delay = fault, delay
 }
 
+// canonicalName is a name in lower case with its final dot.
 func canonicalName(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) + "." }
 
 func (d *DNS) serveUDP() {
@@ -122,7 +126,7 @@
 		d.Asked.Add(1)
 		d.handlers.Go(func() {
 			if text := d.respond(query, false); text != nil {
-				_, _ = d.udp.WriteTo(text, from)
+				_, _ = d.udp.WriteTo(text, from) // a datagram may be lost as well
 			}
 		})
 	}
@@ -138,7 +142,7 @@
 	}
 }
 
-// serveConnection answers what comes on a connection, each message behind its length (RFC 1035, 4.2.2).
+// serveConnection answers the queries of a connection, where each message follows its length (RFC 1035, 4.2.2).
 func (d *DNS) serveConnection(nc net.Conn) {
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(dnsConnectionTimeout))
@@ -172,8 +176,8 @@
 	}
 }
 
-// respond gives the message that answers a query; nil: none.
-func (d *DNS) respond(query []byte, tcp bool) []byte {
+// respond returns the response to a query; nil: there is none.
+func (d *DNS) respond(query []byte, isTCP bool) []byte {
 	d.mu.Lock()
 	fault, delay := d.fault, d.delay
 	d.mu.Unlock()
@@ -184,74 +188,95 @@
 			return nil
 		}
 	}
-	var p dnsmessage.Parser
-	h, err := p.Start(query)
-	if err != nil || h.Response {
+	var parser dnsmessage.Parser
+	header, err := parser.Start(query)
+	if err != nil || header.Response {
 		return nil
 	}
-	q, err := p.Question()
+	question, err := parser.Question()
 	if err != nil {
 		return nil
 	}
-	most := dnsMinPayload
-	if p.SkipAllQuestions() == nil && p.SkipAllAnswers() == nil && p.SkipAllAuthorities() == nil {
-		if add, err := p.AdditionalHeader(); err == nil && add.Type == dnsmessage.TypeOPT {
-			most = max(int(add.Class), dnsMinPayload) // RFC 6891, 6.2.3
-		}
+	response := dnsmessage.Message{
+		Header: dnsmessage.Header{ID: header.ID, Response: true, RecursionDesired: header.RecursionDesired,
+			RecursionAvailable: true},
+		Questions: []dnsmessage.Question{question},
 	}
-	m := dnsmessage.Message{Header: dnsmessage.Header{ID: h.ID, Response: true, RecursionDesired: h.RecursionDesired, RecursionAvailable: true},
-		Questions: []dnsmessage.Question{q}}
 	switch fault {
 	case DNSSilent:
 		return nil
 	case DNSServfail:
-		m.RCode = dnsmessage.RCodeServerFailure
+		response.RCode = dnsmessage.RCodeServerFailure
 	case DNSGarbage:
 		return append(query[:2:2], "noise noise noise"...)
 	case DNSEmpty:
 	case DNSTruncated:
-		if tcp {
+		if isTCP {
 			return nil
 		}
-		m.Truncated = true
+		response.Truncated = true
 	default:
-		m.Answers, m.RCode = d.records(q)
+		response.Answers, response.RCode = d.records(question)
+	}
+	limit := math.MaxInt
+	if !isTCP {
+		limit = payloadLimit(&parser)
 	}
-	text, err := m.Pack()
+	text := packResponse(&response, limit)
+	if fault == DNSCut {
+		text = text[:len(text)/2]
+	}
+	return text
+}
+
+// payloadLimit is the size of a response over UDP that the sender of a query accepts (RFC 6891, 6.2.3). The parser is
+// behind the first question.
+func payloadLimit(p *dnsmessage.Parser) int {
+	if p.SkipAllQuestions() == nil && p.SkipAllAnswers() == nil && p.SkipAllAuthorities() == nil {
+		if header, err := p.AdditionalHeader(); err == nil && header.Type == dnsmessage.TypeOPT {
+			return max(int(header.Class), dnsMinPayload)
+		}
+	}
+	return dnsMinPayload
+}
+
+// packResponse encodes a response, truncated without its answers where it is longer than the limit; nil: it cannot.
+func packResponse(response *dnsmessage.Message, limit int) []byte {
+	text, err := response.Pack()
 	if err != nil {
 		return nil
 	}
-	if !tcp && len(text) > most {
-		m.Answers, m.Truncated = nil, true
-		if text, err = m.Pack(); err != nil {
+	if len(text) > limit {
+		response.Answers, response.Truncated = nil, true
+		if text, err = response.Pack(); err != nil {
 			return nil
 		}
 	}
-	if fault == DNSCut {
-		text = text[:len(text)/2]
-	}
 	return text
 }
 
-// records are those that answer a question.
+// records are the resources that answer a question, along the chain of aliases.
 func (d *DNS) records(q dnsmessage.Question) (out []dnsmessage.Resource, code dnsmessage.RCode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := q.Name
 	for range dnsMaxAliases {
-		list, ok := d.names[canonicalName(at.String())]
+		records, ok := d.names[canonicalName(at.String())]
 		if !ok {
 			return out, dnsmessage.RCodeNameError
 		}
 		var alias dnsmessage.Name
-		for _, r := range list {
-			body := r.resource(q.Type)
-			if body == nil {
+		for _, r := range records {
+			resource := r.resource(q.Type)
+			if resource == nil {
 				continue
 			}
-			out = append(out, dnsmessage.Resource{Header: dnsmessage.ResourceHeader{Name: at, Class: dnsmessage.ClassINET, TTL: r.TTL}, Body: body})
-			if c, ok := body.(*dnsmessage.CNAMEResource); ok {
-				alias = c.CNAME
+			out = append(out, dnsmessage.Resource{
+				Header: dnsmessage.ResourceHeader{Name: at, Class: dnsmessage.ClassINET, TTL: r.TTL},
+				Body:   resource,
+			})
+			if cname, ok := resource.(*dnsmessage.CNAMEResource); ok {
+				alias = cname.CNAME
 			}
 		}
 		if alias.Length == 0 {
@@ -262,7 +287,7 @@
 	return out, dnsmessage.RCodeSuccess
 }
 
-// resource is the record's data if it answers a question of that type; nil: it does not.
+// resource is the record's data if it answers a question of the type; nil: it does not.
 func (r *DNSRecord) resource(t dnsmessage.Type) dnsmessage.ResourceBody {
 	switch {
 	case r.Alias != "":
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-const maxEchoBody = 64 << 10 // bytes of a request's that are read
+const maxEchoBody = 64 << 10 // bytes
 
-// EchoHandler is a node that says which request came to it: the simplest to try a daemon with.
+// EchoHandler answers with the request that it received, preceded by the name. It is the simplest node to try a daemon
+// with. A body of more than 64 KiB is answered with 400.
 func EchoHandler(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
@@ -19,7 +20,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// Who asked may have left before the answer: that shows at its end.
+		// Write errors are ignored: the client may have left.
 		_, _ = fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
 		var names []string
 		for n := range r.Header {
@@ -32,7 +33,7 @@
 	})
 }
 
-// EchoServer is a server for Echo on an address, which it still has to listen on.
+// EchoServer is a server with an EchoHandler for an address. It does not listen yet.
 func EchoServer(addr string) *http.Server {
 	return &http.Server{Addr: addr, Handler: EchoHandler(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 }
