--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -24,7 +24,7 @@
 	QueueLimit         int           `json:"Room"`         // requests that wait for a slot; further ones are rejected
 	ColdCapacityShare  float64       `json:"ColdFrom"`     // share of the capacity right after a start
 	WarmUpDuration     time.Duration `json:"ColdFor"`      // over which the share rises linearly to 1
-	ColdOverloadFactor float64       `json:"FallMultiple"` // a warming node collapses when sent more than this times what it can do
+	ColdOverloadFactor float64       `json:"FallMultiple"` // a warming node collapses under this multiple of what it can do
 	ColdOverloadWindow time.Duration `json:"FallAfter"`    // within a window of this length
 	HandshakeWork      time.Duration `json:"Handshake"`    // work for a new connection
 	IdleTimeout        time.Duration `json:"IdleFor"`      // after which an idle connection is closed; 0: none
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -52,7 +52,8 @@
 	}
 	share := warmShare(n.ColdCapacityShare, n.WarmUpDuration, now-run.startedSince)
 	capacity := share * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
-	if run.addRecentWork(workArrival{now, work}, n.ColdOverloadWindow) <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
+	sent := run.addRecentWork(workArrival{now, work}, n.ColdOverloadWindow)
+	if sent <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
 		return
 	}
 	n.mu.Lock()
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -105,7 +105,8 @@
 		isServed = false
 	}
 	isReset := n.drawFault(&n.faults.resetShare)
-	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: a.id}) // before the write and what follows from it
+	// Recorded before the write and what follows from it.
+	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: a.id})
 	switch {
 	case isReset:
 		resetConnection(c.Conn)
