--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -38,10 +38,11 @@
 	coldFrom, coldFor := p.coldest()
 	fmt.Fprintf(&b, "[[pool]]\nname = %q\nagent = %q\nconnections = %d\ntier = %d\ntiers_below = %d\nattempts = %d\nretry_after_most = %q\ncold_from = %v\ncold_for = %q\n",
 		day.Tier[tier].Name, agent, each, tier, len(day.Tier)-1-tier, rules.Attempts, rules.MaxRetryAfter, coldFrom, coldFor)
-	for field, d := range map[string]time.Duration{"dial_timeout": rules.DialTimeout, "idle_timeout": day.Tier[tier].Idle.Lo} {
-		if d > 0 {
-			fmt.Fprintf(&b, "%s = %q\n", field, d)
-		}
+	if rules.DialTimeout > 0 {
+		fmt.Fprintf(&b, "dial_timeout = %q\n", rules.DialTimeout)
+	}
+	if idle := day.Tier[tier].Idle.Lo; idle > 0 {
+		fmt.Fprintf(&b, "idle_timeout = %q\n", idle)
 	}
 	for _, c := range day.Class {
 		fmt.Fprintf(&b, "[[route]]\npath_segments = %q\npool = %q\nclass = %q\n", "/"+c.Name+"/**", day.Tier[tier].Name, c.Name)
--- a/internal/testkit/rehearse/tell_test.go
+++ b/internal/testkit/rehearse/tell_test.go
@@ -10,8 +10,8 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// told is a result with a broken rule, a crash, and names that need care.
-func told(balancer string, seed uint64, demand, service float64) *Result {
+// exampleResult is a result with a broken rule, a crash, and names that need care.
+func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
 	r := &Result{Format: 1, Day: "d<b>ay", Balancer: balancer, Seed: seed, Demand: demand, Valid: true, Service: service, Whole: service / 100,
 		ByClass: map[string]Share{"look": {Asked: 2, Answered: 1, Share: 0.5}}, ByTenant: map[string]Share{"t": {Share: 1}},
 		Latency: map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}}, BySecond: make([]Second, 20), Refusals: make([]float64, 20),
@@ -29,7 +29,7 @@
 
 func TestOneResultIsTold(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteTable(&b, []*Result{told(Module, 1, 1, 80)}); err != nil {
+	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"BROKEN 7 times", "not put to the test", "rule 2, at 1.500 s: sent <twice>, request r<1>, node front-1", "look", "0.500", "things 1"} {
@@ -41,7 +41,7 @@
 
 func TestSeveralAreSetSideBySideWithTheirSpread(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteTable(&b, []*Result{told(Module, 1, 1, 80), told(Module, 2, 1, 60), told(Module, 3, 1, 70), told("random", 1, 1, 30), told("random", 2, 1, 40), told("random", 3, 1, 20)}); err != nil {
+	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80), exampleResult(Module, 2, 1, 60), exampleResult(Module, 3, 1, 70), exampleResult("random", 1, 1, 30), exampleResult("random", 2, 1, 40), exampleResult("random", 3, 1, 20)}); err != nil {
 		t.Fatal(err)
 	}
 	rows := map[string]bool{}
@@ -60,7 +60,7 @@
 
 func TestThePageIsWholeAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteReport(&b, []*Result{told(Module, 1, 0.8, 80), told(Module, 1, 1.3, 60), told("random", 1, 1.3, 50)}); err != nil {
+	if err := WriteReport(&b, []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -78,7 +78,7 @@
 
 func TestTheJSONCanBeReadBack(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteJSON(&b, []*Result{told(Module, 1, 1, 80)}); err != nil {
+	if err := WriteJSON(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	var out struct {
