--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -15,9 +15,9 @@
 // chart is a plot over the time of a day.
 type chart struct {
 	strings.Builder
-	height float64
-	length float64 // seconds
-	most   float64 // of the scale
+	height   float64
+	length   float64 // seconds
+	scaleMax float64 // of the scale
 }
 
 const (
@@ -29,7 +29,7 @@
 )
 
 func newChart(height, length, most float64) *chart {
-	c := &chart{height: height, length: max(length, 1), most: most}
+	c := &chart{height: height, length: max(length, 1), scaleMax: most}
 	fmt.Fprintf(&c.Builder, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
 	return c
 }
@@ -39,20 +39,20 @@
 }
 
 func (c *chart) y(value float64) float64 {
-	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.most)/c.most)
+	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
 
 // axes draws the scale and the time below.
 func (c *chart) axes(format string) {
 	for i := range 5 {
-		v := c.most * float64(i) / 4
+		v := c.scaleMax * float64(i) / 4
 		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
 			chartLeft, chartWidth-chartRight, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, fmt.Sprintf(format, v))
 	}
-	c.time()
+	c.timeAxis()
 }
 
-func (c *chart) time() {
+func (c *chart) timeAxis() {
 	step := niceStep(c.length)
 	for s := 0.0; s <= c.length; s += step {
 		fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%.0f s</text>`, c.x(s), c.height-6, s)
@@ -69,8 +69,8 @@
 	return 1200
 }
 
-// niceMost is a scale's end at or above a value.
-func niceMost(v float64) float64 {
+// niceMax is a scale's end at or above a value.
+func niceMax(v float64) float64 {
 	if v <= 0 {
 		return 1
 	}
@@ -83,19 +83,19 @@
 	return 10 * unit
 }
 
-// bands lays the troubles behind a plot, and marks broken rules.
-func (c *chart) bands(r *Result) {
-	for _, s := range r.Troubles {
+// faultBands lays the troubles behind a plot, and marks broken rules.
+func (c *chart) faultBands(r *Result) {
+	for _, s := range r.Faults {
 		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`, s.Kind, c.x(s.At.Seconds()),
 			max(c.x((s.At+s.For).Seconds())-c.x(s.At.Seconds()), 1), chartTop, c.height-chartTop-chartBottom)
 	}
 }
 
-func (c *chart) breaches(r *Result) {
-	for _, u := range r.Referee.Rules {
+func (c *chart) violationMarks(r *Result) {
+	for _, u := range r.Invariants.Rules {
 		for _, b := range u.Breaches {
 			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`, c.x(b.At.Seconds()),
-				c.x(b.At.Seconds()), chartTop, c.height-chartBottom, u.Number, b.At.Seconds(), html.EscapeString(describe(b)))
+				c.x(b.At.Seconds()), chartTop, c.height-chartBottom, u.Number, b.At.Seconds(), html.EscapeString(violationText(b)))
 		}
 	}
 }
@@ -124,14 +124,14 @@
 	return template.HTML(c.String()) // all text in it is escaped above
 }
 
-func pickSeconds(r *Result, of func(Second) float64) (out []float64) {
+func valuesBySecond(r *Result, of func(Second) float64) (out []float64) {
 	for _, s := range r.BySecond {
 		out = append(out, of(s))
 	}
 	return out
 }
 
-func most(values []float64) float64 {
+func maxOf(values []float64) float64 {
 	m := 0.0
 	for _, v := range values {
 		m = max(m, v)
@@ -141,42 +141,42 @@
 
 func worthChart(r *Result) template.HTML {
 	c := newChart(190, float64(len(r.BySecond)), 1)
-	c.bands(r)
+	c.faultBands(r)
 	c.axes("%.2f")
-	c.line("worth", pickSeconds(r, func(s Second) float64 { return s.Share.Share }))
-	c.breaches(r)
+	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.Share.Share }))
+	c.violationMarks(r)
 	return c.end()
 }
 
 func latencyChart(r *Result) template.HTML {
-	p99 := pickSeconds(r, func(s Second) float64 { return s.P99 })
-	c := newChart(170, float64(len(r.BySecond)), niceMost(most(p99)))
-	c.bands(r)
+	p99 := valuesBySecond(r, func(s Second) float64 { return s.P99 })
+	c := newChart(170, float64(len(r.BySecond)), niceMax(maxOf(p99)))
+	c.faultBands(r)
 	c.axes("%.1f s")
 	c.line("p99", p99)
-	c.line("p50", pickSeconds(r, func(s Second) float64 { return s.P50 }))
-	c.breaches(r)
+	c.line("p50", valuesBySecond(r, func(s Second) float64 { return s.P50 }))
+	c.violationMarks(r)
 	return c.end()
 }
 
-func refusalChart(r *Result) template.HTML {
-	c := newChart(120, float64(len(r.BySecond)), niceMost(most(r.Refusals)))
-	c.bands(r)
+func rejectionChart(r *Result) template.HTML {
+	c := newChart(120, float64(len(r.BySecond)), niceMax(maxOf(r.Rejections)))
+	c.faultBands(r)
 	c.axes("%.0f")
-	c.columns("refused", r.Refusals)
-	c.breaches(r)
+	c.columns("refused", r.Rejections)
+	c.violationMarks(r)
 	return c.end()
 }
 
-// troubleChart draws each trouble as a bar in a row of its own.
-func troubleChart(r *Result) template.HTML {
+// faultChart draws each trouble as a bar in a row of its own.
+func faultChart(r *Result) template.HTML {
 	const row = 20.0
-	c := newChart(chartTop+row*float64(max(len(r.Troubles), 1))+chartBottom, float64(len(r.BySecond)), 1)
-	for i, s := range r.Troubles {
+	c := newChart(chartTop+row*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
+	for i, s := range r.Faults {
 		x, y := c.x(s.At.Seconds()), chartTop+row*float64(i)
 		label := s.Kind
-		if s.Size > 0 {
-			label += fmt.Sprintf(" ×%.2g", s.Size)
+		if s.Magnitude > 0 {
+			label += fmt.Sprintf(" ×%.2g", s.Magnitude)
 		}
 		if len(s.Targets) > 0 {
 			label += ": " + strings.Join(s.Targets, ", ")
@@ -188,18 +188,18 @@
 		fmt.Fprintf(&c.Builder, `<rect class="trouble %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f" rx="3"/><text class="label" x="%.1f" y="%.1f" text-anchor="%s">%s</text>`,
 			s.Kind, x, max(c.x((s.At+s.For).Seconds())-x, 3), y+2, row-4, at, y+row-6, anchor, html.EscapeString(label))
 	}
-	c.time()
+	c.timeAxis()
 	return c.end()
 }
 
-// handChart draws what each node has in hand, a row a node, darker for more.
-func handChart(r *Result) template.HTML {
+// inFlightChart draws what each node has in hand, a row a node, darker for more.
+func inFlightChart(r *Result) template.HTML {
 	const row = 9.0
 	c := newChart(chartTop+row*float64(max(len(r.Nodes), 1))+chartBottom, float64(len(r.BySecond)), 1)
-	perSecond := int(time.Second / sampleEvery)
-	seconds := min(len(r.InHand)/perSecond, len(r.BySecond))
+	perSecond := int(time.Second / sampleInterval)
+	seconds := min(len(r.InFlight)/perSecond, len(r.BySecond))
 	top := 1
-	for _, sample := range r.InHand {
+	for _, sample := range r.InFlight {
 		for _, n := range sample {
 			top = max(top, n)
 		}
@@ -211,7 +211,7 @@
 		}
 		for s := range seconds {
 			n := 0
-			for _, sample := range r.InHand[s*perSecond : (s+1)*perSecond] {
+			for _, sample := range r.InFlight[s*perSecond : (s+1)*perSecond] {
 				n = max(n, sample[node])
 			}
 			if n > 0 {
@@ -220,7 +220,7 @@
 			}
 		}
 	}
-	c.time()
+	c.timeAxis()
 	return c.end()
 }
 
@@ -242,7 +242,7 @@
 		if by[r.Balancer] == nil {
 			order = append(order, r.Balancer)
 		}
-		by[r.Balancer] = append(by[r.Balancer], point{r.Demand, r.Whole})
+		by[r.Balancer] = append(by[r.Balancer], point{r.Demand, r.WorthShare})
 	}
 	if lowest == highest {
 		return ""
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -57,64 +57,64 @@
 		FallAfter     time.Duration `toml:"fall_after"`
 		DialTimeout   time.Duration `toml:"dial_timeout"`
 	} `toml:"rules"`
-	Tier    []Tier    `toml:"tier"`
-	Class   []Class   `toml:"class"`
-	Tenant  []Tenant  `toml:"tenant"`
-	Trouble []Trouble `toml:"trouble"`
+	Tiers   []Tier      `toml:"tier"`
+	Classes []Class     `toml:"class"`
+	Tenants []Tenant    `toml:"tenant"`
+	Faults  []FaultSpec `toml:"trouble"`
 
-	Fleet       *FleetDay     `toml:"fleet"` // nil: the sidecars don't know one another
-	LinkTrouble []LinkTrouble `toml:"link_trouble"`
+	Cluster    *ClusterConfig  `toml:"fleet"` // nil: the sidecars don't know one another
+	LinkFaults []LinkFaultSpec `toml:"link_trouble"`
 }
 
 // Tier is a tier of nodes. Requests of one tier call the next, one call after another.
 type Tier struct {
-	Name      string         `toml:"name"`
-	Nodes     tomlfile.Range `toml:"nodes"`
-	Work      float64        `toml:"work"`  // share of a class's work that one call takes here
-	Calls     tomlfile.Range `toml:"calls"` // that a request of the tier before makes here, on average
-	Cell      tomlfile.Range `toml:"cell"`  // nodes that drop repeats together
-	Conns     int            `toml:"conns"`
-	Handshake tomlfile.Span  `toml:"handshake"`
-	Idle      tomlfile.Span  `toml:"idle"`
-	Errors    tomlfile.Range `toml:"errors"` // share of requests that a node answers with an error
-	Kind      []Kind         `toml:"kind"`
-	Choke     *ChokeRange    `toml:"choke"`
+	Name           string         `toml:"name"`
+	Nodes          tomlfile.Range `toml:"nodes"`
+	WorkShare      float64        `toml:"work"`  // share of a class's work that one call takes here
+	Calls          tomlfile.Range `toml:"calls"` // that a request of the tier before makes here, on average
+	CellSize       tomlfile.Range `toml:"cell"`  // nodes that drop repeats together
+	MaxConnections int            `toml:"conns"`
+	HandshakeWork  tomlfile.Span  `toml:"handshake"`
+	IdleTimeout    tomlfile.Span  `toml:"idle"`
+	ErrorRate      tomlfile.Range `toml:"errors"` // share of requests that a node answers with an error
+	Kinds          []NodeKind     `toml:"kind"`
+	Overload       *OverloadRange `toml:"choke"`
 }
 
-// Kind is a kind of node.
-type Kind struct {
-	Name     string         `toml:"name"`
-	Share    float64        `toml:"share"`
-	Cores    int            `toml:"cores"`
-	Speed    tomlfile.Range `toml:"speed"` // of a core, in yardsticks
-	Slots    tomlfile.Range `toml:"slots"` // for each core
-	Room     tomlfile.Range `toml:"room"`  // that may wait, for each core
-	ColdFrom tomlfile.Range `toml:"cold_from"`
-	ColdFor  tomlfile.Span  `toml:"cold_for"`
+// NodeKind is a kind of node.
+type NodeKind struct {
+	Name              string         `toml:"name"`
+	Share             float64        `toml:"share"`
+	Cores             int            `toml:"cores"`
+	Speed             tomlfile.Range `toml:"speed"` // of a core, in yardsticks
+	Slots             tomlfile.Range `toml:"slots"` // for each core
+	QueueLimit        tomlfile.Range `toml:"room"`  // that may wait, for each core
+	ColdCapacityShare tomlfile.Range `toml:"cold_from"`
+	WarmUpDuration    tomlfile.Span  `toml:"cold_for"`
 }
 
-// ChokeRange is the slow state after overload, see standin.Choke.
-type ChokeRange struct {
-	At     tomlfile.Range `toml:"at"`
-	Over   tomlfile.Span  `toml:"over"`
-	Slower tomlfile.Range `toml:"slower"`
-	Rest   tomlfile.Span  `toml:"rest"`
-	Below  tomlfile.Range `toml:"below"`
-	Most   tomlfile.Span  `toml:"most"`
+// OverloadRange is the slow state after overload, see standin.Choke.
+type OverloadRange struct {
+	Threshold    tomlfile.Range `toml:"at"`
+	AveragedOver tomlfile.Span  `toml:"over"`
+	Slowdown     tomlfile.Range `toml:"slower"`
+	RecoverAfter tomlfile.Span  `toml:"rest"`
+	IdleBelow    tomlfile.Range `toml:"below"`
+	MaxDuration  tomlfile.Span  `toml:"most"`
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name     string        `toml:"name"`
-	Effect   string        `toml:"effect"` // safe, keyed or unsafe
-	Window   time.Duration `toml:"window"` // for keyed: within it the nodes of a cell drop a repeat
-	Share    float64       `toml:"share"`
-	Work     tomlfile.Span `toml:"work"` // on a core at yardstick speed, on average
-	Wait     tomlfile.Span `toml:"wait"` // on others, in each node that it comes to
-	Vary     float64       `toml:"vary"` // coefficient of variation of the work, which is lognormal
-	Aim      time.Duration `toml:"aim"`
-	Deadline time.Duration `toml:"deadline"`
-	Worth    float64       `toml:"worth"` // for each unit of work
+	Name             string        `toml:"name"`
+	Effect           string        `toml:"effect"` // safe, keyed or unsafe
+	Window           time.Duration `toml:"window"` // for keyed: within it the nodes of a cell drop a repeat
+	Share            float64       `toml:"share"`
+	Work             tomlfile.Span `toml:"work"` // on a core at yardstick speed, on average
+	Wait             tomlfile.Span `toml:"wait"` // on others, in each node that it comes to
+	WorkVariation    float64       `toml:"vary"` // coefficient of variation of the work, which is lognormal
+	LatencyObjective time.Duration `toml:"aim"`
+	Deadline         time.Duration `toml:"deadline"`
+	Worth            float64       `toml:"worth"` // for each unit of work
 }
 
 // Tenant is one of the parties that share the fleet.
@@ -124,22 +124,22 @@
 	Usage tomlfile.Range `toml:"usage"` // of its share that it asks for
 }
 
-// Trouble is something that goes wrong.
-type Trouble struct {
-	Kind  string         `toml:"kind"`
-	At    tomlfile.Span  `toml:"at"`
-	For   tomlfile.Span  `toml:"for"`
-	Share tomlfile.Range `toml:"share"` // of the nodes or sidecars, one at least
-	Size  tomlfile.Range `toml:"size"`
-	Tier  string         `toml:"tier"` // empty: the first
-	How   string         `toml:"how"`  // restart: kill or planned; crash, drain: back under the same id, or renamed at the old address
-	Down  tomlfile.Span  `toml:"down"` // how long a restarted sidecar, or a drained node, stays away
+// FaultSpec is something that goes wrong.
+type FaultSpec struct {
+	Kind      string         `toml:"kind"`
+	At        tomlfile.Span  `toml:"at"`
+	For       tomlfile.Span  `toml:"for"`
+	Share     tomlfile.Range `toml:"share"` // of the nodes or sidecars, one at least
+	Magnitude tomlfile.Range `toml:"size"`
+	Tier      string         `toml:"tier"` // empty: the first
+	Mode      string         `toml:"how"`  // restart: kill or planned; crash, drain: back under the same id, or renamed at the old address
+	DownFor   tomlfile.Span  `toml:"down"` // how long a restarted sidecar, or a drained node, stays away
 }
 
 // What a trouble needs. A size has a meaning of its own with each.
-type troubleNeeds struct{ nodes, sidecars, size, down, how bool }
+type faultNeeds struct{ nodes, sidecars, size, down, how bool }
 
-var troubleKinds = map[string]troubleNeeds{
+var faultKinds = map[string]faultNeeds{
 	"slow":        {nodes: true, size: true},               // size: how many times slower
 	"crash":       {nodes: true, how: true},                // nodes die together, and come back cold after for
 	"drain":       {nodes: true, down: true, how: true},    // told, stopped after for, and back cold after down
@@ -181,9 +181,9 @@
 
 // Bounds of what one machine is asked to play.
 const (
-	mostLength = time.Hour
-	mostNodes  = 400
-	mostTiers  = 5
+	maxLength = time.Hour
+	maxNodes  = 400
+	maxTiers  = 5
 )
 
 // Parse is Load on a text already read.
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, check := range []func(*tomlfile.File) error{d.checkHead, d.checkTiers, d.checkClasses, d.checkTroubles, d.checkFleet} {
+	for _, check := range []func(*tomlfile.File) error{d.checkHead, d.checkTiers, d.checkClassesAndTenants, d.checkFaults, d.checkCluster} {
 		if err := check(f); err != nil {
 			return nil, err
 		}
@@ -201,13 +201,13 @@
 	return d, nil
 }
 
-func share(r tomlfile.Range) bool { return r.Lo >= 0 && r.Hi <= 1 }
+func isShare(r tomlfile.Range) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
 func (d *Day) checkHead(f *tomlfile.File) error {
 	return f.Check("", []tomlfile.Must{
 		tomlfile.Need("format", d.Format == 1, "1"),
 		tomlfile.Need("name", d.Name != "", "a name"),
-		tomlfile.Need("length", d.Length >= time.Second && d.Length <= mostLength, "from 1s to 1h"),
+		tomlfile.Need("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
 		tomlfile.Need("load.use", d.Load.Use.Lo > 0 && d.Load.Use.Hi <= 10, "over 0, and 10 at most"),
 		tomlfile.Need("load.quota", d.Load.Quota.Lo > 0, "over 0"),
 		tomlfile.Need("load.over_share_worth", d.Load.OverShareWorth >= 0 && d.Load.OverShareWorth <= 1, "from 0 to 1"),
@@ -216,10 +216,10 @@
 		tomlfile.Need("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
 		tomlfile.Need("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
 		tomlfile.Need("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
-		tomlfile.Need("clients.try_share", d.Clients.TryShare.Lo > 0 && share(d.Clients.TryShare), "over 0, and 1 at most"),
+		tomlfile.Need("clients.try_share", d.Clients.TryShare.Lo > 0 && isShare(d.Clients.TryShare), "over 0, and 1 at most"),
 		tomlfile.Need("clients.at_once", d.Clients.AtOnce >= 0 && d.Clients.AtOnce <= 1, "from 0 to 1"),
-		tomlfile.Need("clients.honour", share(d.Clients.Honour), "from 0 to 1"),
-		tomlfile.Need("clients.hang_up", share(d.Clients.HangUp), "from 0 to 1"),
+		tomlfile.Need("clients.honour", isShare(d.Clients.Honour), "from 0 to 1"),
+		tomlfile.Need("clients.hang_up", isShare(d.Clients.HangUp), "from 0 to 1"),
 		tomlfile.Need("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
 		tomlfile.Need("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
 		tomlfile.Need("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
@@ -228,43 +228,43 @@
 }
 
 func (d *Day) checkTiers(f *tomlfile.File) error {
-	if n := len(d.Tier); n < 1 || n > mostTiers {
-		return f.Errorf("tier", "must be from 1 to %d of them", mostTiers)
+	if n := len(d.Tiers); n < 1 || n > maxTiers {
+		return f.Errorf("tier", "must be from 1 to %d of them", maxTiers)
 	}
 	sum := 0.0
-	for i := range d.Tier {
-		t, at := &d.Tier[i], fmt.Sprintf("tier[%d]", i)
+	for i := range d.Tiers {
+		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
 		sum += t.Nodes.Hi
 		if t.Calls.Hi == 0 {
 			t.Calls = tomlfile.Range{Lo: 1, Hi: 1}
 		}
-		if t.Cell.Hi == 0 {
-			t.Cell = tomlfile.Range{Lo: 4, Hi: 4}
+		if t.CellSize.Hi == 0 {
+			t.CellSize = tomlfile.Range{Lo: 4, Hi: 4}
 		}
 		if err := f.Check(at, []tomlfile.Must{
 			tomlfile.Need("name", t.Name != "", "a name"),
-			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= mostNodes, fmt.Sprintf("1 at least, and %d in all tiers together", mostNodes)),
-			tomlfile.Need("work", t.Work > 0, "over 0"),
+			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes, fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
+			tomlfile.Need("work", t.WorkShare > 0, "over 0"),
 			tomlfile.Need("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
-			tomlfile.Need("cell", t.Cell.Lo >= 1, "1 at least"),
-			tomlfile.Need("errors", share(t.Errors), "from 0 to 1"),
-			tomlfile.Need("kind", len(t.Kind) > 0, "given"),
+			tomlfile.Need("cell", t.CellSize.Lo >= 1, "1 at least"),
+			tomlfile.Need("errors", isShare(t.ErrorRate), "from 0 to 1"),
+			tomlfile.Need("kind", len(t.Kinds) > 0, "given"),
 		}); err != nil {
 			return err
 		}
-		for k := range t.Kind {
-			if err := t.Kind[k].check(f, fmt.Sprintf("%s.kind[%d]", at, k)); err != nil {
+		for k := range t.Kinds {
+			if err := t.Kinds[k].check(f, fmt.Sprintf("%s.kind[%d]", at, k)); err != nil {
 				return err
 			}
 		}
-		if c := t.Choke; c != nil {
+		if c := t.Overload; c != nil {
 			at += ".choke"
 			if err := f.Check(at, []tomlfile.Must{
-				tomlfile.Need("at", c.At.Lo > 0, "over 0"),
-				tomlfile.Need("over", c.Over.Lo >= 100*time.Millisecond, "100ms at least"),
-				tomlfile.Need("slower", c.Slower.Lo >= 1, "1 at least"),
-				tomlfile.Need("below", share(c.Below), "from 0 to 1"),
-				tomlfile.Need("most", c.Most.Lo > 0, "over 0"),
+				tomlfile.Need("at", c.Threshold.Lo > 0, "over 0"),
+				tomlfile.Need("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
+				tomlfile.Need("slower", c.Slowdown.Lo >= 1, "1 at least"),
+				tomlfile.Need("below", isShare(c.IdleBelow), "from 0 to 1"),
+				tomlfile.Need("most", c.MaxDuration.Lo > 0, "over 0"),
 			}); err != nil {
 				return err
 			}
@@ -273,33 +273,33 @@
 	return nil
 }
 
-func (k *Kind) check(f *tomlfile.File, at string) error {
+func (k *NodeKind) check(f *tomlfile.File, at string) error {
 	return f.Check(at, []tomlfile.Must{
 		tomlfile.Need("name", k.Name != "", "a name"),
 		tomlfile.Need("share", k.Share > 0, "over 0"),
 		tomlfile.Need("cores", k.Cores >= 1 && k.Cores <= 1024, "from 1 to 1024"),
 		tomlfile.Need("speed", k.Speed.Lo > 0, "over 0"),
 		tomlfile.Need("slots", k.Slots.Lo > 0, "over 0"),
-		tomlfile.Need("room", k.Room.Lo >= 0, "0 at least"),
-		tomlfile.Need("cold_from", k.ColdFrom.Lo > 0 && share(k.ColdFrom), "over 0, and 1 at most"),
+		tomlfile.Need("room", k.QueueLimit.Lo >= 0, "0 at least"),
+		tomlfile.Need("cold_from", k.ColdCapacityShare.Lo > 0 && isShare(k.ColdCapacityShare), "over 0, and 1 at most"),
 	})
 }
 
-func (d *Day) checkClasses(f *tomlfile.File) error {
-	if len(d.Class) == 0 {
+func (d *Day) checkClassesAndTenants(f *tomlfile.File) error {
+	if len(d.Classes) == 0 {
 		return f.Errorf("class", "must be given")
 	}
 	names := map[string]bool{}
-	for i, c := range d.Class {
+	for i, c := range d.Classes {
 		at := fmt.Sprintf("class[%d]", i)
 		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("name", plainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
+			tomlfile.Need("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
 			tomlfile.Need("effect", c.Effect == "safe" || c.Effect == "keyed" || c.Effect == "unsafe", "safe, keyed or unsafe"),
 			tomlfile.Need("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
 			tomlfile.Need("share", c.Share > 0, "over 0"),
 			tomlfile.Need("work", c.Work.Lo > 0, "over 0"),
-			tomlfile.Need("vary", c.Vary >= 0 && c.Vary <= 5, "from 0 to 5"),
-			tomlfile.Need("aim", c.Aim > 0 && c.Aim <= c.Deadline, "over 0, and the deadline at most"),
+			tomlfile.Need("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
+			tomlfile.Need("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.Deadline, "over 0, and the deadline at most"),
 			tomlfile.Need("deadline", c.Deadline <= time.Minute, "1m at most"),
 			tomlfile.Need("worth", c.Worth > 0, "over 0"),
 		}); err != nil {
@@ -307,13 +307,13 @@
 		}
 		names[c.Name] = true
 	}
-	if len(d.Tenant) == 0 {
+	if len(d.Tenants) == 0 {
 		return f.Errorf("tenant", "must be given")
 	}
-	for i, t := range d.Tenant {
+	for i, t := range d.Tenants {
 		at := fmt.Sprintf("tenant[%d]", i)
 		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("name", plainName(t.Name), "a name, of letters, digits and -"),
+			tomlfile.Need("name", isPlainName(t.Name), "a name, of letters, digits and -"),
 			tomlfile.Need("share", t.Share > 0, "over 0"),
 			tomlfile.Need("usage", t.Usage.Lo > 0, "over 0"),
 		}); err != nil {
@@ -323,8 +323,8 @@
 	return nil
 }
 
-// plainName tells whether a name can stand in a path and a header as it is.
-func plainName(s string) bool {
+// isPlainName tells whether a name can stand in a path and a header as it is.
+func isPlainName(s string) bool {
 	for _, c := range s {
 		if c != '-' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
 			return false
@@ -333,21 +333,21 @@
 	return s != ""
 }
 
-func (d *Day) checkTroubles(f *tomlfile.File) error {
-	for i, t := range d.Trouble {
+func (d *Day) checkFaults(f *tomlfile.File) error {
+	for i, t := range d.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		needs, ok := troubleKinds[t.Kind]
+		needs, ok := faultKinds[t.Kind]
 		hows := map[string][]string{"restart": {"kill", "planned"}, "crash": {"", "same", "renamed"}, "drain": {"", "same", "renamed"}}[t.Kind]
 		if err := f.Check(at, []tomlfile.Must{
 			tomlfile.Need("kind", ok, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
 			tomlfile.Need("at", f.Has(at+".at") && t.At.Hi < d.Length, "given, and before the day's end"),
 			tomlfile.Need("for", t.For.Lo > 0, "over 0"),
-			tomlfile.Need("share", share(t.Share) && (t.Share.Hi > 0) == (needs.nodes || needs.sidecars), "over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Need("size", (t.Size.Lo > 0) == needs.size, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Need("size", (t.Kind != "hang" && t.Kind != "reset") || t.Size.Hi <= 1, "a share of requests"),
-			tomlfile.Need("down", (t.Down.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
-			tomlfile.Need("how", oneOf(t.How, hows), fmt.Sprintf("one of %q", hows)),
-			tomlfile.Need("tier", t.Tier == "" || needs.nodes && d.tier(t.Tier) >= 0, "the name of a tier, for a trouble of nodes"),
+			tomlfile.Need("share", isShare(t.Share) && (t.Share.Hi > 0) == (needs.nodes || needs.sidecars), "over 0 and 1 at most where nodes or sidecars are hit, and only there"),
+			tomlfile.Need("size", (t.Magnitude.Lo > 0) == needs.size, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Need("size", (t.Kind != "hang" && t.Kind != "reset") || t.Magnitude.Hi <= 1, "a share of requests"),
+			tomlfile.Need("down", (t.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
+			tomlfile.Need("how", isAllowedMode(t.Mode, hows), fmt.Sprintf("one of %q", hows)),
+			tomlfile.Need("tier", t.Tier == "" || needs.nodes && d.tierIndex(t.Tier) >= 0, "the name of a tier, for a trouble of nodes"),
 		}); err != nil {
 			return err
 		}
@@ -355,13 +355,13 @@
 	return nil
 }
 
-func oneOf(s string, list []string) bool {
+func isAllowedMode(s string, list []string) bool {
 	return slices.Contains(list, s) || s == "" && len(list) == 0
 }
 
-// tier finds a tier by its name; an empty name is the first.
-func (d *Day) tier(name string) int {
-	for i, t := range d.Tier {
+// tierIndex finds a tier by its name; an empty name is the first.
+func (d *Day) tierIndex(name string) int {
+	for i, t := range d.Tiers {
 		if t.Name == name || name == "" {
 			return i
 		}
@@ -371,19 +371,19 @@
 
 // Cut makes the day shorter or longer. Its troubles keep their places in it, by share of its length.
 func (d *Day) Cut(length time.Duration) error {
-	if length < time.Second || length > mostLength {
-		return fmt.Errorf("%v is not from 1s to %v", length, mostLength)
+	if length < time.Second || length > maxLength {
+		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
 	}
 	scale := float64(length) / float64(d.Length)
 	stretch := func(s tomlfile.Span) tomlfile.Span {
 		return tomlfile.Span{Lo: time.Duration(float64(s.Lo) * scale), Hi: time.Duration(float64(s.Hi) * scale)}
 	}
-	for i := range d.Trouble {
-		t := &d.Trouble[i]
+	for i := range d.Faults {
+		t := &d.Faults[i]
 		t.At, t.For = stretch(t.At), stretch(t.For)
 	}
-	for i := range d.LinkTrouble {
-		t := &d.LinkTrouble[i]
+	for i := range d.LinkFaults {
+		t := &d.LinkFaults[i]
 		t.At, t.For = stretch(t.At), stretch(t.For)
 	}
 	d.Length = length
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -13,41 +13,41 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// strike plays one trouble. When ctx ends, what would come later is left out.
-func (w *world) strike(ctx context.Context, start time.Time, s Strike) {
-	if !sleepCtx(ctx, time.Until(start.Add(s.At))) {
+// inject plays one trouble. When ctx ends, what would come later is left out.
+func (w *rehearsal) inject(ctx context.Context, start time.Time, s Fault) {
+	if !sleep(ctx, time.Until(start.Add(s.At))) {
 		return
 	}
 	switch s.Kind {
 	case "slow":
-		w.faulty(ctx, s, (*fake.Node).SetSlowdown, 1)
+		w.applyNodeFault(ctx, s, (*fake.Node).SetSlowdown, 1)
 	case "hang":
-		w.faulty(ctx, s, (*fake.Node).SetHangShare, 0)
+		w.applyNodeFault(ctx, s, (*fake.Node).SetHangShare, 0)
 	case "reset":
-		w.faulty(ctx, s, (*fake.Node).SetResetShare, 0)
+		w.applyNodeFault(ctx, s, (*fake.Node).SetResetShare, 0)
 	case "crash":
-		w.each(s, func(p *site) { w.crash(ctx, p, s) })
+		w.forEachTarget(s, func(p *host) { w.crashNode(ctx, p, s) })
 	case "drain":
-		w.each(s, func(p *site) { w.drain(ctx, p, s) })
+		w.forEachTarget(s, func(p *host) { w.drainNode(ctx, p, s) })
 	case "restart":
-		w.restart(ctx, s)
+		w.restartSidecars(ctx, s)
 	case "stall":
-		w.stall(ctx, s)
+		w.pauseSidecars(ctx, s)
 	case "roster-late":
-		w.late.Add(int64(s.Size * float64(time.Second)))
-		sleepCtx(ctx, s.For)
-		w.late.Add(-int64(s.Size * float64(time.Second)))
+		w.extraNotice.Add(int64(s.Magnitude * float64(time.Second)))
+		sleep(ctx, s.For)
+		w.extraNotice.Add(-int64(s.Magnitude * float64(time.Second)))
 	case "roster-down":
-		w.roster(true)
-		sleepCtx(ctx, s.For)
-		w.roster(false)
+		w.setDiscoveryDown(true)
+		sleep(ctx, s.For)
+		w.setDiscoveryDown(false)
 	}
 }
 
-// sites are those that a trouble hits.
-func (w *world) sites(s Strike) []*site {
-	var out []*site
-	for _, p := range w.tiers[s.Tier] {
+// targets are those that a trouble hits.
+func (w *rehearsal) targets(s Fault) []*host {
+	var out []*host
+	for _, p := range w.hosts[s.Tier] {
 		for _, id := range s.Targets {
 			if p.plan.Spec.ID == id {
 				out = append(out, p)
@@ -57,59 +57,59 @@
 	return out
 }
 
-func (w *world) each(s Strike, do func(*site)) {
+func (w *rehearsal) forEachTarget(s Fault, do func(*host)) {
 	var all sync.WaitGroup
-	for _, p := range w.sites(s) {
+	for _, p := range w.targets(s) {
 		all.Go(func() { do(p) })
 	}
 	all.Wait()
 }
 
-func (w *world) faulty(ctx context.Context, s Strike, set func(*fake.Node, float64), well float64) {
+func (w *rehearsal) applyNodeFault(ctx context.Context, s Fault, set func(*fake.Node, float64), well float64) {
 	each := func(size float64) {
-		for _, p := range w.sites(s) {
+		for _, p := range w.targets(s) {
 			p.mu.Lock()
 			set(p.node, size)
 			p.mu.Unlock()
 		}
 	}
-	each(s.Size)
-	sleepCtx(ctx, s.For)
+	each(s.Magnitude)
+	sleep(ctx, s.For)
 	each(well)
 }
 
-// crash kills a node with its sidecar, and brings both back cold.
-func (w *world) crash(ctx context.Context, p *site, s Strike) {
-	w.stop(p)
-	if !sleepCtx(ctx, s.For) {
+// crashNode kills a node with its sidecar, and brings both back cold.
+func (w *rehearsal) crashNode(ctx context.Context, p *host, s Fault) {
+	w.stopNode(p)
+	if !sleep(ctx, s.For) {
 		return
 	}
-	w.revive(ctx, p, s.How)
+	w.restartNode(ctx, p, s.Mode)
 }
 
-// drain tells that a node drains, stops it after a while, and brings it back cold.
-func (w *world) drain(ctx context.Context, p *site, s Strike) {
+// drainNode tells that a node drains, stops it after a while, and brings it back cold.
+func (w *rehearsal) drainNode(ctx context.Context, p *host, s Fault) {
 	p.mu.Lock()
 	p.node.Drain()
 	p.member.State = fake.StateDraining
 	m := p.member
 	p.mu.Unlock()
-	w.tell(p, m, false)
-	if !sleepCtx(ctx, s.For) {
+	w.announce(p, m, false)
+	if !sleep(ctx, s.For) {
 		return
 	}
-	w.stop(p)
-	if !sleepCtx(ctx, s.Down) {
+	w.stopNode(p)
+	if !sleep(ctx, s.DownFor) {
 		return
 	}
-	w.revive(ctx, p, s.How)
+	w.restartNode(ctx, p, s.Mode)
 }
 
-// stop kills a node and its sidecar; the roster hears of it in its own time.
-func (w *world) stop(p *site) {
+// stopNode kills a node and its sidecar; the roster hears of it in its own time.
+func (w *rehearsal) stopNode(p *host) {
 	p.mu.Lock()
 	p.node.Stop()
-	side, caller := p.sidecar, p.caller
+	side, caller := p.sidecar, p.client
 	p.member.State = fake.StateGone
 	m := p.member
 	p.mu.Unlock()
@@ -117,15 +117,15 @@
 		side.kill()
 		caller.Close()
 	}
-	w.tell(p, m, false)
+	w.announce(p, m, false)
 }
 
-// revive brings a node back cold, at its old address, under its old id or a new one. Its sidecar comes up first.
-func (w *world) revive(ctx context.Context, p *site, how string) {
+// restartNode brings a node back cold, at its old address, under its old id or a new one. Its sidecar comes up first.
+func (w *rehearsal) restartNode(ctx context.Context, p *host, how string) {
 	if p.sidecar != nil {
 		err := p.sidecar.start()
 		if err == nil {
-			err = p.sidecar.ready(ctx)
+			err = p.sidecar.awaitReady(ctx)
 		}
 		if err != nil {
 			if ctx.Err() == nil {
@@ -136,11 +136,11 @@
 	}
 	p.mu.Lock()
 	if how == "renamed" {
-		p.names++
-		p.make(w, p.plan.Spec.ID+strings.Repeat("'", p.names), p.node.Addr)
+		p.renames++
+		p.newNode(w, p.plan.Spec.ID+strings.Repeat("'", p.renames), p.node.Addr)
 	}
 	began, err := p.node.Start(true)
-	p.member = member(p.node, fake.StateReady, began)
+	p.member = memberOf(p.node, fake.StateReady, began)
 	m := p.member
 	p.mu.Unlock()
 	if err != nil {
@@ -149,20 +149,20 @@
 		}
 		return
 	}
-	w.tell(p, m, true)
+	w.announce(p, m, true)
 }
 
-// tell sends a change to the agents of all sidecars that send to the node's tier, each in its own time, in order.
-func (w *world) tell(p *site, m fake.Member, added bool) {
+// announce sends a change to the agents of all sidecars that send to the node's tier, each in its own time, in order.
+func (w *rehearsal) announce(p *host, m fake.Member, added bool) {
 	span := w.plan.Day.Roster.Notice
 	if added {
 		span = w.plan.Day.Roster.Add
 	}
-	notice := span.At(w.share("notice", m.ID, m.State)) + time.Duration(w.late.Load())
-	for _, a := range w.agents(p.plan.Spec.Tier) {
-		at := time.Now().Add(notice + w.plan.Day.Roster.Spread.At(w.share("spread", m.ID, m.State, a.Sidecar)))
+	notice := span.At(w.drawShare("notice", m.ID, m.State)) + time.Duration(w.extraNotice.Load())
+	for _, a := range w.agentsOf(p.plan.Spec.Tier) {
+		at := time.Now().Add(notice + w.plan.Day.Roster.Spread.At(w.drawShare("spread", m.ID, m.State, a.Sidecar)))
 		select {
-		case w.notices[a] <- notification{at, m}:
+		case w.notifications[a] <- notification{at, m}:
 		case <-w.ctx.Done():
 		}
 	}
@@ -170,21 +170,21 @@
 
 // notification is a change on its way to an agent.
 type notification struct {
-	at     time.Time
+	dueAt  time.Time
 	member fake.Member
 }
 
-// noticesMost is how many changes may be on their way to one agent.
-const noticesMost = 1024
+// maxPendingNotifications is how many changes may be on their way to one agent.
+const maxPendingNotifications = 1024
 
-// bring hands an agent its changes in the order in which they happened, each no sooner than it is due.
-func (w *world) bring(a *fake.Agent, notices <-chan notification) {
+// deliver hands an agent its changes in the order in which they happened, each no sooner than it is due.
+func (w *rehearsal) deliver(a *fake.Agent, notices <-chan notification) {
 	for {
 		select {
 		case <-w.ctx.Done():
 			return
 		case n := <-notices:
-			if !sleepCtx(w.ctx, time.Until(n.at)) {
+			if !sleep(w.ctx, time.Until(n.dueAt)) {
 				return
 			}
 			a.Update(n.member)
@@ -192,33 +192,33 @@
 	}
 }
 
-// agents are those of the sidecars that send to a tier.
-func (w *world) agents(tier int) []*fake.Agent {
+// agentsOf are those of the sidecars that send to a tier.
+func (w *rehearsal) agentsOf(tier int) []*fake.Agent {
 	var out []*fake.Agent
 	if tier == 0 {
-		for _, p := range w.first {
+		for _, p := range w.frontSidecars {
 			out = append(out, p.agent)
 		}
 		return out
 	}
-	for _, s := range w.tiers[tier-1] {
+	for _, s := range w.hosts[tier-1] {
 		out = append(out, s.sidecar.agent)
 	}
 	return out
 }
 
-func (w *world) roster(down bool) {
-	for _, p := range w.all {
+func (w *rehearsal) setDiscoveryDown(down bool) {
+	for _, p := range w.sidecars {
 		p.agent.SetDown(down)
 	}
 }
 
-// stall stops sidecars' processes for a while, all at once.
-func (w *world) stall(ctx context.Context, s Strike) {
-	w.fleet.disturb()
-	defer w.fleet.calm()
+// pauseSidecars stops sidecars' processes for a while, all at once.
+func (w *rehearsal) pauseSidecars(ctx context.Context, s Fault) {
+	w.cluster.beginFault()
+	defer w.cluster.endFault()
 	var all sync.WaitGroup
-	for _, p := range w.first {
+	for _, p := range w.frontSidecars {
 		if slices.Contains(s.Targets, p.name) {
 			all.Go(func() { p.pause(ctx, s.For) })
 		}
@@ -226,59 +226,59 @@
 	all.Wait()
 }
 
-// restart ends sidecars one after another and starts each again with nothing but its last list.
-func (w *world) restart(ctx context.Context, s Strike) {
+// restartSidecars ends sidecars one after another and starts each again with nothing but its last list.
+func (w *rehearsal) restartSidecars(ctx context.Context, s Fault) {
 	var all sync.WaitGroup
 	for i, name := range s.Targets {
-		for _, p := range w.first {
+		for _, p := range w.frontSidecars {
 			if p.name == name {
-				all.Go(func() { w.restartOne(ctx, p, s, time.Duration(i)*s.For/time.Duration(len(s.Targets))) })
+				all.Go(func() { w.restartSidecar(ctx, p, s, time.Duration(i)*s.For/time.Duration(len(s.Targets))) })
 			}
 		}
 	}
 	all.Wait()
 }
 
-func (w *world) restartOne(ctx context.Context, p *process, s Strike, after time.Duration) {
-	if !sleepCtx(ctx, after) {
+func (w *rehearsal) restartSidecar(ctx context.Context, p *sidecarProcess, s Fault, after time.Duration) {
+	if !sleep(ctx, after) {
 		return
 	}
-	notice := w.plan.Day.Front.Notice.At(w.share("front", p.name, fmt.Sprint(s.At)))
-	if s.How == "planned" {
-		notice = termOutAfter
+	notice := w.plan.Day.Front.Notice.At(w.drawShare("front", p.name, fmt.Sprint(s.At)))
+	if s.Mode == "planned" {
+		notice = frontNoticeAfterTerm
 	}
 	var noticed sync.WaitGroup
 	defer noticed.Wait()
 	noticed.Go(func() { // the front goes on sending to a dead one for a while
-		if sleepCtx(ctx, notice) {
-			w.front.Remove(p.name)
+		if sleep(ctx, notice) {
+			w.frontLayer.Remove(p.name)
 		}
 	})
-	if s.How == "planned" {
-		w.fleet.fact(clusterinvariant.Leaving, p.name)
-		p.term(min(w.plan.longestDeadline(), termMost) + termGrace)
-		w.fleet.fact(clusterinvariant.Leaves, p.name)
+	if s.Mode == "planned" {
+		w.cluster.recordFact(clusterinvariant.Leaving, p.name)
+		p.terminate(min(w.plan.longestDeadline(), maxDeadlineWait) + termGrace)
+		w.cluster.recordFact(clusterinvariant.Leaves, p.name)
 	} else {
 		p.kill()
-		w.fleet.fact(clusterinvariant.Down, p.name)
+		w.cluster.recordFact(clusterinvariant.Down, p.name)
 	}
-	if !sleepCtx(ctx, s.Down) {
+	if !sleep(ctx, s.DownFor) {
 		return
 	}
-	w.fleet.fact(clusterinvariant.Up, p.name) // before: what it says of others from now on is of this life
+	w.cluster.recordFact(clusterinvariant.Up, p.name) // before: what it says of others from now on is of this life
 	if err := p.start(); err != nil {
 		w.fail(err)
 		return
 	}
-	if err := p.ready(ctx); err != nil {
+	if err := p.awaitReady(ctx); err != nil {
 		if ctx.Err() == nil {
 			w.fail(err)
 		}
 		return
 	}
 	noticed.Wait()
-	w.front.Add(p.name, p.addr)
+	w.frontLayer.Add(p.name, p.addr)
 }
 
-// termMost is the longest that the platform waits for deadlines before SIGKILL.
-const termMost = 3 * time.Second
+// maxDeadlineWait is the longest that the platform waits for deadlines before SIGKILL.
+const maxDeadlineWait = 3 * time.Second
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -80,7 +80,7 @@
 // doubled takes callers at the sidecar's address, and sends all that the sidecar answers twice. It gives the address at
 // which the sidecar must listen.
 func doubled(listen string) (string, error) {
-	hidden, err := freeAddr(250)
+	hidden, err := freeLoopbackAddr(250)
 	if err != nil {
 		return "", err
 	}
@@ -380,7 +380,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			r := played(t, testPlan(t), Options{Command: testSidecar(kind)})
-			for _, u := range r.Referee.Rules {
+			for _, u := range r.Invariants.Rules {
 				switch {
 				case u.Number == rule && u.Verdict != invariant.Broken:
 					t.Errorf("rule %d is %s: %v", rule, u.Verdict, u.Occasions)
@@ -391,7 +391,7 @@
 			if r.Held != (rule == 0) {
 				t.Errorf("held: %v", r.Held)
 			}
-			if kind == "crashes" && r.Referee.Crashes == 0 {
+			if kind == "crashes" && r.Invariants.Crashes == 0 {
 				t.Error("no crash was seen")
 			}
 		})
@@ -436,7 +436,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			r := played(t, testPlan(t, day...), Options{Command: testSidecar(kind)})
-			if u := r.Referee.Rules[2]; u.Verdict != want || u.Occasions["drains told"] < 1 {
+			if u := r.Invariants.Rules[2]; u.Verdict != want || u.Occasions["drains told"] < 1 {
 				t.Errorf("%s: %v, %+v", u.Verdict, u.Occasions, u.Breaches)
 			}
 		})
@@ -461,7 +461,7 @@
 tier = "back"
 `, `notice = "100ms"`, `notice = "2s"`)
 	r := played(t, testPlan(t, day...), Options{Command: testSidecar("good")})
-	if !r.Held || r.Referee.Rules[2].Occasions["ends told"] < 2 || r.Referee.Rules[3].Tests < 2 || r.Referee.Falls != 0 {
-		t.Errorf("held %v, falls %d: %+v", r.Held, r.Referee.Falls, r.Referee.Rules)
+	if !r.Held || r.Invariants.Rules[2].Occasions["ends told"] < 2 || r.Invariants.Rules[3].Tests < 2 || r.Invariants.Falls != 0 {
+		t.Errorf("held %v, falls %d: %+v", r.Held, r.Invariants.Falls, r.Invariants.Rules)
 	}
 }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -8,18 +8,18 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// watch looks at a day while it is played: what is in hand at each node, and whether the rehearsal itself gets to run.
-type watch struct {
-	w      *world
-	start  time.Time
-	inHand [][]int // by sample, by node of the plan
-	own    *schedule.Latency
-	worst  time.Duration
+// monitor looks at a day while it is played: what is in hand at each node, and whether the rehearsal itself gets to run.
+type monitor struct {
+	w             *rehearsal
+	start         time.Time
+	inFlight      [][]int // by sample, by node of the plan
+	timerLateness *schedule.Latency
+	worstStall    time.Duration
 }
 
-// run samples until done closes.
-func (h *watch) run(done <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+// sampleInFlight samples until done closes.
+func (h *monitor) sampleInFlight(done <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -28,37 +28,37 @@
 		case <-tick.C:
 		}
 		var row []int
-		for _, sites := range h.w.tiers {
+		for _, sites := range h.w.hosts {
 			for _, s := range sites {
 				s.mu.Lock()
 				row = append(row, s.node.InFlight())
 				s.mu.Unlock()
 			}
 		}
-		h.inHand = append(h.inHand, row)
-		if h.w.opt.Progress != nil {
-			h.w.opt.Progress(Snapshot{At: time.Since(h.start), Length: h.w.plan.Day.Length, Asked: float64(h.w.asked.Load()) / 1000,
-				Answered: float64(h.w.earned.Load()) / 1000, InFlight: int(h.w.inFlight.Load())})
+		h.inFlight = append(h.inFlight, row)
+		if h.w.options.Progress != nil {
+			h.w.options.Progress(Snapshot{At: time.Since(h.start), Length: h.w.plan.Day.Length, Asked: float64(h.w.offeredWorth.Load()) / 1000,
+				Answered: float64(h.w.inTimeWorth.Load()) / 1000, InFlight: int(h.w.inFlight.Load())})
 		}
 	}
 }
 
-// stalls measures how late a timer of the rehearsal's own comes, and notes pauses as long as the rules' allowance: a limit
+// watchStalls measures how late a timer of the rehearsal's own comes, and notes pauses as long as the rules' allowance: a limit
 // passed next to one can't be laid at a sidecar's door.
-func (h *watch) stalls(done <-chan struct{}) {
+func (h *monitor) watchStalls(done <-chan struct{}) {
 	for last := time.Now(); ; {
 		select {
 		case <-done:
 			return
-		case <-time.After(stallLook):
+		case <-time.After(stallCheckInterval):
 		}
 		now := time.Now()
-		late := now.Sub(last) - stallLook
+		late := now.Sub(last) - stallCheckInterval
 		last = now
-		h.own.Record(late)
-		h.worst = max(h.worst, late)
+		h.timerLateness.Record(late)
+		h.worstStall = max(h.worstStall, late)
 		if late >= h.w.plan.Day.Rules.Slack {
-			h.w.rec.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
+			h.w.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
 		}
 	}
 }
@@ -69,8 +69,8 @@
 	ownMB         float64
 }
 
-// usage reads it. Sidecars count once they have ended.
-func usage() (r resources) {
+// resourceUsage reads it. Sidecars count once they have ended.
+func resourceUsage() (r resources) {
 	read := func(who int) (time.Duration, float64) {
 		var u syscall.Rusage
 		if syscall.Getrusage(who, &u) != nil {
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -73,7 +73,7 @@
 func severalResults() []*Result {
 	several := []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
 	several[1].Valid, several[1].Invalid = false, []string{"the machine was too busy"}
-	several[2].Referee.Crashes = 1
+	several[2].Invariants.Crashes = 1
 	return several
 }
 
@@ -90,8 +90,8 @@
 	full := filled[Plan]()
 	full.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Draw: 4}
 	withPeers := exampleResult(Module, 1, 1, 80)
-	withPeers.Peers = filled[Peers]()
-	withPeers.Referee.Rules[0].Verdict = invariant.Untested
+	withPeers.Cluster = filled[ClusterResult]()
+	withPeers.Invariants.Rules[0].Verdict = invariant.Untested
 	for name, write := range map[string]func(io.Writer) error{
 		"result.json":   write(WriteJSON, []*Result{filled[Result]()}),
 		"one.txt":       write(WriteTable, smallResults()),
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -12,18 +12,18 @@
 
 // exampleResult is a result with a broken rule, a crash, and names that need care.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
-	r := &Result{Format: 1, Day: "d<b>ay", Balancer: balancer, Seed: seed, Demand: demand, Valid: true, Service: service, Whole: service / 100,
-		ByClass: map[string]Share{"look": {Asked: 2, Answered: 1, Share: 0.5}}, ByTenant: map[string]Share{"t": {Share: 1}},
-		Latency: map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}}, BySecond: make([]Second, 20), Refusals: make([]float64, 20),
-		Nodes: []string{"front-1", "front-2"}, InHand: [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
-		Troubles: []Strike{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Size: 4}},
-		Referee:  &invariant.Report{}}
+	r := &Result{Format: 1, Day: "d<b>ay", Balancer: balancer, Seed: seed, Demand: demand, Valid: true, Service: service, WorthShare: service / 100,
+		ByClass: map[string]Share{"look": {Offered: 2, InTime: 1, Share: 0.5}}, ByTenant: map[string]Share{"t": {Share: 1}},
+		Latency: map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}}, BySecond: make([]Second, 20), Rejections: make([]float64, 20),
+		Nodes: []string{"front-1", "front-2"}, InFlight: [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
+		Faults:     []Fault{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
+		Invariants: &invariant.Report{}}
 	names := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
-	for i := range r.Referee.Rules {
-		r.Referee.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
+	for i := range r.Invariants.Rules {
+		r.Invariants.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
 	}
-	r.Referee.Rules[1].Broken = 7
-	r.Referee.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
+	r.Invariants.Rules[1].Broken = 7
+	r.Invariants.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
 	return r
 }
 
@@ -85,7 +85,7 @@
 		Format int
 		Runs   []Result
 	}
-	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 || out.Runs[0].Referee.Rules[1].Broken != 7 {
+	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 || out.Runs[0].Invariants.Rules[1].Broken != 7 {
 		t.Errorf("%v: %+v", err, out)
 	}
 }
--- a/internal/testkit/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -68,14 +68,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		count := make([]int, len(d.Tier))
+		count := make([]int, len(d.Tiers))
 		for _, n := range p.Nodes {
 			count[n.Spec.Tier]++
 			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdCapacityShare < 0.31 || n.Spec.WarmUpDuration > 9*time.Second || n.Spec.Slots < 1 {
 				t.Fatalf("%+v", n.Spec)
 			}
 		}
-		for i, tier := range d.Tier {
+		for i, tier := range d.Tiers {
 			if float64(count[i]) < tier.Nodes.Lo || float64(count[i]) > tier.Nodes.Hi {
 				t.Fatalf("%d nodes in %s", count[i], tier.Name)
 			}
@@ -83,8 +83,8 @@
 		if share := p.Rate / p.Capacity; share < d.Load.Use.Lo-1e-9 || share > d.Load.Use.Hi+1e-9 {
 			t.Fatalf("asks for %v of what the fleet can do", share)
 		}
-		for i, s := range p.Strikes {
-			if s.At < d.Trouble[i].At.Lo || s.At > d.Trouble[i].At.Hi || (len(s.Targets) == 0) != (d.Trouble[i].Share.Hi == 0) {
+		for i, s := range p.Faults {
+			if s.At < d.Faults[i].At.Lo || s.At > d.Faults[i].At.Hi || (len(s.Targets) == 0) != (d.Faults[i].Share.Hi == 0) {
 				t.Fatalf("%+v", s)
 			}
 		}
@@ -94,7 +94,7 @@
 // The work drawn must be what the rate was reckoned with, or "half of what the fleet can do" would mean nothing.
 func TestCapacityIsWhatTheWorkTakes(t *testing.T) {
 	p := testPlan(t, `length = "8s"`, `length = "600s"`)
-	byTier := make([]float64, len(p.Day.Tier))
+	byTier := make([]float64, len(p.Day.Tiers))
 	for _, q := range p.Requests {
 		byTier[0] += q.Job.Work.Seconds()
 		for _, c := range q.Job.Calls {
@@ -182,8 +182,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Cut(4 * time.Second); err != nil || d.Length != 4*time.Second || d.Trouble[1].At.Lo != time.Second || d.Trouble[1].For.Lo != 750*time.Millisecond {
-		t.Errorf("%v: %+v", err, d.Trouble[1])
+	if err := d.Cut(4 * time.Second); err != nil || d.Length != 4*time.Second || d.Faults[1].At.Lo != time.Second || d.Faults[1].For.Lo != 750*time.Millisecond {
+		t.Errorf("%v: %+v", err, d.Faults[1])
 	}
 	if d.Cut(0) == nil || d.Cut(48*time.Hour) == nil {
 		t.Error("any length is taken")
@@ -242,11 +242,11 @@
 
 // A rehearsal that did not get to run must blame itself.
 func TestABusyMachineIsNotASidecarsFault(t *testing.T) {
-	w := &world{plan: testPlan(t), own: schedule.NewLatency()}
-	judge := func(o Own, events ...invariant.Event) []string {
-		r := &Result{Own: o, Referee: &invariant.Report{}}
-		r.Referee.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
-		w.judgeOwn(r, events, time.Minute)
+	w := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatency()}
+	judge := func(o HarnessMetrics, events ...invariant.Event) []string {
+		r := &Result{Harness: o, Invariants: &invariant.Report{}}
+		r.Invariants.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
+		w.validate(r, events, time.Minute)
 		if r.Valid != (len(r.Invalid) == 0) {
 			t.Errorf("valid %v, %v", r.Valid, r.Invalid)
 		}
@@ -257,16 +257,16 @@
 	}
 	for _, c := range []struct {
 		name   string
-		own    Own
+		own    HarnessMetrics
 		events []invariant.Event
 		want   string
 	}{
-		{"a quiet machine", Own{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
-		{"late sends", Own{LateP99: 0.026}, nil, "late"},
-		{"a long pause", Own{WorstStall: 0.51}, nil, "stood still"},
-		{"no room", Own{EventsNoRoom: 1}, nil, "no room"},
-		{"a pause next to a breach", Own{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
-		{"a pause elsewhere", Own{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
+		{"a quiet machine", HarnessMetrics{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
+		{"late sends", HarnessMetrics{LateP99: 0.026}, nil, "late"},
+		{"a long pause", HarnessMetrics{WorstStall: 0.51}, nil, "stood still"},
+		{"no room", HarnessMetrics{DroppedEvents: 1}, nil, "no room"},
+		{"a pause next to a breach", HarnessMetrics{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
+		{"a pause elsewhere", HarnessMetrics{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
 	} {
 		got := judge(c.own, c.events...)
 		if (c.want == "") != (len(got) == 0) || c.want != "" && !strings.Contains(got[0], c.want) {
@@ -278,18 +278,18 @@
 func TestTheWorstTenSeconds(t *testing.T) {
 	by := make([]Second, 30)
 	for i := range by {
-		by[i].Asked, by[i].Answered = 10, 10
+		by[i].Offered, by[i].InTime = 10, 10
 	}
 	for i := 12; i < 17; i++ {
-		by[i].Answered = 0
+		by[i].InTime = 0
 	}
-	if got := worst(by); got != 0.5 {
+	if got := worstWindowShare(by); got != 0.5 {
 		t.Errorf("%v", got)
 	}
-	if got := worst(by[12:17]); got != 0 {
+	if got := worstWindowShare(by[12:17]); got != 0 {
 		t.Errorf("a day shorter than that: %v", got)
 	}
-	if got := worst(nil); got != 1 {
+	if got := worstWindowShare(nil); got != 1 {
 		t.Errorf("no day: %v", got)
 	}
 }
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -14,8 +14,8 @@
 	Me           int
 	Tier         int
 	Tiers        []string
-	Lanes        []lane
-	Accounts     []account
+	Lanes        []classSettings
+	Accounts     []tenantSettings
 	Discovery    string
 	ResolutionUs int64
 	Permissions  struct {
@@ -30,48 +30,48 @@
 	}
 }
 
-type lane struct {
+type classSettings struct {
 	Name, Semantics, Group         string
 	OnTimeUs, DeadlineUs, WindowUs int64
 	Worth                          float64
 }
 
-type account struct {
+type tenantSettings struct {
 	Name      string
 	QuotaPerS float64
 }
 
-var semantics = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.Keyed: "idempotency_key", invariant.Unsafe: "non_idempotent"}
+var semanticsNames = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.Keyed: "idempotency_key", invariant.Unsafe: "non_idempotent"}
 
-// resolution is how late a sidecar's events and timers may come here: a timer's own lateness on a busy machine.
-const resolution = 5 * time.Millisecond
+// timerResolution is how late a sidecar's events and timers may come here: a timer's own lateness on a busy machine.
+const timerResolution = 5 * time.Millisecond
 
 // settingsFor is the object for sidecar me of the n that send to a tier.
 func (p *Plan) settingsFor(tier, me, n int) (json.RawMessage, error) {
 	var s settings
-	s.NInstances, s.Me, s.Tier, s.Discovery, s.ResolutionUs = n, me, tier, "automatic", resolution.Microseconds()
-	for _, t := range p.Day.Tier {
+	s.NInstances, s.Me, s.Tier, s.Discovery, s.ResolutionUs = n, me, tier, "automatic", timerResolution.Microseconds()
+	for _, t := range p.Day.Tiers {
 		s.Tiers = append(s.Tiers, t.Name)
 	}
-	for i, c := range p.Day.Class {
-		s.Lanes = append(s.Lanes, lane{Name: c.Name, Semantics: semantics[p.Classes[i].Effect], Group: "cell", OnTimeUs: c.Aim.Microseconds(),
+	for i, c := range p.Day.Classes {
+		s.Lanes = append(s.Lanes, classSettings{Name: c.Name, Semantics: semanticsNames[p.Classes[i].Effect], Group: "cell", OnTimeUs: c.LatencyObjective.Microseconds(),
 			DeadlineUs: c.Deadline.Microseconds(), WindowUs: c.Window.Microseconds(), Worth: c.Worth})
 	}
-	for i, t := range p.Day.Tenant {
-		s.Accounts = append(s.Accounts, account{t.Name, p.Quotas[i]})
+	for i, t := range p.Day.Tenants {
+		s.Accounts = append(s.Accounts, tenantSettings{t.Name, p.Quotas[i]})
 	}
 	s.Permissions.MayCancel, s.Permissions.RetryAfter, s.Permissions.TryLimit = true, p.Day.Rules.MaxRetryAfter > 0, p.Day.Rules.Attempts
 	s.Permissions.MaxRetryAfterUs = p.Day.Rules.MaxRetryAfter.Microseconds()
-	s.Permissions.ConnIdleUs = p.Day.Tier[tier].Idle.Lo.Microseconds()
+	s.Permissions.ConnIdleUs = p.Day.Tiers[tier].IdleTimeout.Lo.Microseconds()
 	s.Permissions.DialTimeoutUs = p.Day.Rules.DialTimeout.Microseconds()
 	s.Report.How = "silent"
 	r := p.Day.Rules
 	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs, s.Rules.TipAfterUs, s.Rules.FallMultiple = r.Slack.Microseconds(), r.DrainGrace.Microseconds(), r.FallAfter.Microseconds(), r.FallMultiple
 	s.Rules.ColdFrom = 1
-	for _, t := range p.Day.Tier { // the least and the longest of all, as the platform tells them
-		for _, k := range t.Kind {
-			s.Rules.ColdFrom = min(s.Rules.ColdFrom, k.ColdFrom.Lo)
-			s.Rules.ColdUs = max(s.Rules.ColdUs, k.ColdFor.Hi.Microseconds())
+	for _, t := range p.Day.Tiers { // the least and the longest of all, as the platform tells them
+		for _, k := range t.Kinds {
+			s.Rules.ColdFrom = min(s.Rules.ColdFrom, k.ColdCapacityShare.Lo)
+			s.Rules.ColdUs = max(s.Rules.ColdUs, k.WarmUpDuration.Hi.Microseconds())
 		}
 	}
 	return json.Marshal(s)
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -20,38 +20,38 @@
 )
 
 const (
-	readyWithin = 30 * time.Second       // as the platform waits
-	readyLook   = 10 * time.Millisecond  // between two looks at a sidecar's health
-	termGrace   = 700 * time.Millisecond // after SIGTERM, for which what comes must still be answered
-	logTail     = 2000                   // bytes of a sidecar's log that an error quotes
+	readyTimeout      = 30 * time.Second       // as the platform waits
+	readyPollInterval = 10 * time.Millisecond  // between two looks at a sidecar's health
+	termGrace         = 700 * time.Millisecond // after SIGTERM, for which what comes must still be answered
+	maxLogTail        = 2000                   // bytes of a sidecar's log that an error quotes
 )
 
-// process is a sidecar: a real process, ended and started again under its name and address.
-type process struct {
-	name     string
-	addr     string
-	agent    *fake.Agent
-	rec      *fake.Recorder
-	dir      string
-	command  func() *exec.Cmd
-	settings json.RawMessage
-	file     func(seed uint64) string // an operators' file in place of what the platform tells; nil: none
-	env      []string                 // on top of the rehearsal's own
-	day      *Day
-	seeds    func() uint64
-	crashed  func(*process)
+// sidecarProcess is a sidecar: a real process, ended and started again under its name and address.
+type sidecarProcess struct {
+	name          string
+	addr          string
+	agent         *fake.Agent
+	recorder      *fake.Recorder
+	workDir       string
+	command       func() *exec.Cmd
+	settings      json.RawMessage
+	operatorsFile func(seed uint64) string // an operators' file in place of what the platform tells; nil: none
+	env           []string                 // on top of the rehearsal's own
+	day           *Day
+	nextSeed      func() uint64
+	onCrash       func(*sidecarProcess)
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{} // of the present life; closed when it has ended
-	wanted  bool          // its end was asked for
-	peak    float64       // the most memory of any life that was ended, in MB; 0 where the system does not tell
-	stopped bool          // for good
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	exited         chan struct{} // of the present life; closed when it has ended
+	isExitExpected bool          // its end was asked for
+	peakMemoryMB   float64       // the most memory of any life that was ended, in MB; 0 where the system does not tell
+	isStopped      bool          // for good
 }
 
-// freeAddr finds a port that is free on a loopback address of the sidecar's own. On its own address no connection that
+// freeLoopbackAddr finds a port that is free on a loopback address of the sidecar's own. On its own address no connection that
 // leaves this machine's callers can take the port while the sidecar is down.
-func freeAddr(i int) (string, error) {
+func freeLoopbackAddr(i int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, 1+i/200, 1+i%200)
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil { // a machine with no more of the loopback network than its first address
@@ -63,96 +63,96 @@
 	return l.Addr().String(), nil
 }
 
-// configText is what the platform would put where ROUTER_CONFIG points.
-func (p *process) configText(known fake.MemberList) ([]byte, error) {
+// routerConfig is what the platform would put where ROUTER_CONFIG points.
+func (p *sidecarProcess) routerConfig(known fake.MemberList) ([]byte, error) {
 	return json.Marshal(map[string]any{
-		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.seeds()),
+		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.nextSeed()),
 		"limits":   map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB, "sockets": p.day.Sidecars.Sockets},
 		"known":    known,
 		"settings": p.settings,
 	})
 }
 
-// told is the command of a life, and what that is told.
-func (p *process) told(known fake.MemberList) (*exec.Cmd, error) {
+// newCommand is the command of a life, and what that is told.
+func (p *sidecarProcess) newCommand(known fake.MemberList) (*exec.Cmd, error) {
 	cmd := p.command()
 	cmd.Env = append(cmd.Environ(), p.env...)
-	if p.file != nil {
-		path := filepath.Join(p.dir, p.name+".toml")
+	if p.operatorsFile != nil {
+		path := filepath.Join(p.workDir, p.name+".toml")
 		cmd.Args = append(cmd.Args, "serve", "--config", path)
-		return cmd, os.WriteFile(path, []byte(p.file(p.seeds())), 0o600)
+		return cmd, os.WriteFile(path, []byte(p.operatorsFile(p.nextSeed())), 0o600)
 	}
-	text, err := p.configText(known)
+	text, err := p.routerConfig(known)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(p.dir, p.name+".json")
+	path := filepath.Join(p.workDir, p.name+".json")
 	cmd.Env = append(cmd.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME="+p.name, "ROUTER_LISTEN="+p.addr, "ROUTER_DISCOVERY="+p.agent.Addr)
 	return cmd, os.WriteFile(path, text, 0o600)
 }
 
 // start runs the program with the list that it was last told, and nothing else of its former life.
-func (p *process) start() error {
+func (p *sidecarProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stopped || p.cmd != nil {
+	if p.isStopped || p.cmd != nil {
 		return nil
 	}
 	known := p.agent.NotifiedList()
-	cmd, err := p.told(known)
+	cmd, err := p.newCommand(known)
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(p.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(p.workDir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }() // nothing was written by way of it: the process has a descriptor of its own
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is ours to pass on
-	p.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
+	p.recorder.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
 	for _, m := range known.Servers {
-		p.rec.Add(fake.NotificationEvent(p.name, m, p.rec))
+		p.recorder.Add(fake.NotificationEvent(p.name, m, p.recorder))
 	}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.ended, p.wanted = cmd, make(chan struct{}), false
-	go p.wait(cmd, p.ended)
+	p.cmd, p.exited, p.isExitExpected = cmd, make(chan struct{}), false
+	go p.awaitExit(cmd, p.exited)
 	return nil
 }
 
-// wait notices the end of a life.
-func (p *process) wait(cmd *exec.Cmd, ended chan struct{}) {
+// awaitExit notices the end of a life.
+func (p *sidecarProcess) awaitExit(cmd *exec.Cmd, ended chan struct{}) {
 	_ = cmd.Wait()
 	p.mu.Lock()
-	crash := !p.wanted
+	crash := !p.isExitExpected
 	p.cmd = nil
 	p.mu.Unlock()
-	p.rec.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: crash})
+	p.recorder.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: crash})
 	close(ended)
 	if crash {
-		p.crashed(p)
+		p.onCrash(p)
 	}
 }
 
 // signal sends one to the present life, and gives what closes at its end; nil if there is none.
-func (p *process) signal(s syscall.Signal, kind invariant.Kind) <-chan struct{} {
+func (p *sidecarProcess) signal(s syscall.Signal, kind invariant.Kind) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil
 	}
-	p.wanted = true
-	p.peak = max(p.peak, peakMB(p.cmd.Process.Pid))
-	p.rec.Add(invariant.Event{Kind: kind, Sidecar: p.name})
+	p.isExitExpected = true
+	p.peakMemoryMB = max(p.peakMemoryMB, peakResidentMB(p.cmd.Process.Pid))
+	p.recorder.Add(invariant.Event{Kind: kind, Sidecar: p.name})
 	_ = p.cmd.Process.Signal(s)
-	return p.ended
+	return p.exited
 }
 
-// peakMB is the most memory that a process has had resident, in MB. What the system tells of ended children won't do: it
+// peakResidentMB is the most memory that a process has had resident, in MB. What the system tells of ended children won't do: it
 // counts what their parent had when it made them.
-func peakMB(pid int) float64 {
+func peakResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -166,19 +166,19 @@
 }
 
 // pause stops the process for a while, and wakes it.
-func (p *process) pause(ctx context.Context, d time.Duration) {
+func (p *sidecarProcess) pause(ctx context.Context, d time.Duration) {
 	p.mu.Lock()
 	if p.cmd == nil {
 		p.mu.Unlock()
 		return
 	}
-	it, ended := p.cmd.Process, p.ended
+	it, ended := p.cmd.Process, p.exited
 	_ = it.Signal(syscall.SIGSTOP)
-	p.rec.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name}) // what comes of it comes later
+	p.recorder.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name}) // what comes of it comes later
 	p.mu.Unlock()
 	began := time.Now()
-	sleepCtx(ctx, d)
-	p.rec.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(began)})
+	sleep(ctx, d)
+	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(began)})
 	select {
 	case <-ended: // it was killed meanwhile
 	default:
@@ -187,14 +187,14 @@
 }
 
 // kill ends the process outright and waits for its end.
-func (p *process) kill() {
+func (p *sidecarProcess) kill() {
 	if ended := p.signal(syscall.SIGKILL, invariant.Killed); ended != nil {
 		<-ended
 	}
 }
 
-// term ends it as a planned restart does: SIGTERM, and SIGKILL once the longest deadline and a little more are over.
-func (p *process) term(patience time.Duration) {
+// terminate ends it as a planned restart does: SIGTERM, and SIGKILL once the longest deadline and a little more are over.
+func (p *sidecarProcess) terminate(patience time.Duration) {
 	ended := p.signal(syscall.SIGTERM, invariant.TermSent)
 	if ended == nil {
 		return
@@ -207,16 +207,16 @@
 }
 
 // stop ends the process for good.
-func (p *process) stop() {
+func (p *sidecarProcess) stop() {
 	p.mu.Lock()
-	p.stopped = true
+	p.isStopped = true
 	p.mu.Unlock()
 	p.kill()
 }
 
-// ready waits until the sidecar answers for its health.
-func (p *process) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// awaitReady waits until the sidecar answers for its health.
+func (p *sidecarProcess) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -224,7 +224,7 @@
 		down := p.cmd == nil
 		p.mu.Unlock()
 		if down {
-			return fmt.Errorf("%s ended before it was ready: %s", p.name, p.tail())
+			return fmt.Errorf("%s ended before it was ready: %s", p.name, p.lastLogLine())
 		}
 		if resp, err := client.Get("http://" + p.addr + "/_health"); err == nil {
 			resp.Body.Close()
@@ -232,27 +232,27 @@
 				return nil
 			}
 		}
-		if !sleepCtx(ctx, readyLook) {
+		if !sleep(ctx, readyPollInterval) {
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				return fmt.Errorf("%s is not ready after %v: %s", p.name, readyWithin, p.tail())
+				return fmt.Errorf("%s is not ready after %v: %s", p.name, readyTimeout, p.lastLogLine())
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// tail is the end of the sidecar's log, on one line.
-func (p *process) tail() string {
-	text, err := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
+// lastLogLine is the end of the sidecar's log, on one line.
+func (p *sidecarProcess) lastLogLine() string {
+	text, err := os.ReadFile(filepath.Join(p.workDir, p.name+".log"))
 	if err != nil {
 		return err.Error()
 	}
-	text = text[max(len(text)-logTail, 0):]
+	text = text[max(len(text)-maxLogTail, 0):]
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-func sleepCtx(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -28,9 +28,9 @@
 func WriteTable(w io.Writer, results []*Result) error {
 	var b strings.Builder
 	if len(results) == 1 {
-		one(&b, results[0])
+		writeOne(&b, results[0])
 	} else {
-		several(&b, results)
+		writeComparison(&b, results)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
@@ -43,44 +43,44 @@
 	_ = t.Flush()
 }
 
-func one(b *strings.Builder, r *Result) {
+func writeOne(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
 	var rows strings.Builder
-	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.Whole, r.WorstWindow)
+	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.WorthShare, r.WorstWindow)
 	for _, by := range []map[string]Share{r.ByClass, r.ByTenant} {
-		for _, name := range names(by) {
+		for _, name := range sortedKeys(by) {
 			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
 		}
 	}
 	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n", r.Service,
-		r.Prices.Connections, r.Prices.Waste, r.Prices.LateFails, r.Prices.Choked)
+		r.Penalties.Connections, r.Penalties.Waste, r.Penalties.LateFails, r.Penalties.Overload)
 	c := r.Requests
-	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n", c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.None)
-	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Conns)
-	for _, name := range names(r.Latency) {
+	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n", c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
+	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Connections)
+	for _, name := range sortedKeys(r.Latency) {
 		l := r.Latency[name]
-		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n", name, l.P50, l.P90, l.P99, l.P999, l.Most)
+		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n", name, l.P50, l.P90, l.P99, l.P999, l.Max)
 	}
 	writeColumns(b, rows.String())
 	b.WriteString("\n")
 	rows.Reset()
-	for _, u := range r.Referee.Rules {
-		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", u.Number, u.Name, verdictText(u), occasions(u))
+	for _, u := range r.Invariants.Rules {
+		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", u.Number, u.Name, verdictText(u), occasionsText(u))
 	}
 	writeColumns(b, rows.String())
-	for _, u := range r.Referee.Rules {
+	for _, u := range r.Invariants.Rules {
 		for _, x := range u.Breaches[:min(len(u.Breaches), 3)] {
-			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", x.Rule, x.At.Seconds(), describe(x))
+			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", x.Rule, x.At.Seconds(), violationText(x))
 		}
 	}
-	if r.Referee.Crashes > 0 {
-		fmt.Fprintf(b, "  %d sidecars crashed\n", r.Referee.Crashes)
+	if r.Invariants.Crashes > 0 {
+		fmt.Fprintf(b, "  %d sidecars crashed\n", r.Invariants.Crashes)
 	}
-	r.Peers.tell(b)
+	r.Cluster.writeText(b)
 	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; %.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*r.Own.LateP99, 1000*r.Own.LateMost, r.Own.Stalls, defaults().Rules.Slack, r.Own.CPU,
-		r.Own.MemoryMB, r.Own.SidecarsCPU, r.Own.SidecarMemoryMB)
+		1000*r.Harness.LateP99, 1000*r.Harness.LateMax, r.Harness.Stalls, defaults().Rules.Slack, r.Harness.CPU,
+		r.Harness.MemoryMB, r.Harness.SidecarsCPU, r.Harness.SidecarMemoryMB)
 	for _, why := range r.Invalid {
 		fmt.Fprintf(b, "NOT VALID: %s\n", why)
 	}
@@ -93,7 +93,7 @@
 	return string(u.Verdict)
 }
 
-func occasions(u invariant.RuleResult) string {
+func occasionsText(u invariant.RuleResult) string {
 	var out []string
 	for name, n := range u.Occasions {
 		out = append(out, fmt.Sprintf("%s %d", name, n))
@@ -102,7 +102,7 @@
 	return strings.Join(out, ", ")
 }
 
-func describe(x invariant.Violation) string {
+func violationText(x invariant.Violation) string {
 	out := x.What
 	for _, part := range []struct{ name, value string }{{"request", x.Request}, {"sidecar", x.Sidecar}, {"node", x.Node}} {
 		if part.value != "" {
@@ -112,17 +112,17 @@
 	return out
 }
 
-// several sets results side by side.
-func several(b *strings.Builder, results []*Result) {
+// writeComparison sets results side by side.
+func writeComparison(b *strings.Builder, results []*Result) {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99\trules")
 	for _, r := range results {
 		c := r.Requests
-		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n", r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.Whole,
-			r.WorstWindow, least(r.ByTenant), percent(c.Served, c.Asked), percent(c.Refused, c.Asked), percent(c.Failed+c.None, c.Asked), r.Latency["all"].P99, ruleWord(r))
+		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n", r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.WorthShare,
+			r.WorstWindow, minShare(r.ByTenant), percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total), r.Latency["all"].P99, verdictSummary(r))
 	}
 	writeColumns(b, rows.String())
-	spread(b, results)
+	writeSpread(b, results)
 	for _, r := range results {
 		for _, why := range r.Invalid {
 			fmt.Fprintf(b, "NOT VALID: %s, seed %d, %s: %s\n", r.Day, r.Seed, r.Balancer, why)
@@ -132,18 +132,18 @@
 
 func percent(a, b int) float64 { return 100 * ratio(float64(a), float64(b), 0) }
 
-// ruleWord is the verdict on a run in a word.
-func ruleWord(r *Result) string {
+// verdictSummary is the verdict on a run in a word.
+func verdictSummary(r *Result) string {
 	var broken []string
-	for _, u := range r.Referee.Rules {
+	for _, u := range r.Invariants.Rules {
 		if u.Verdict == invariant.Broken {
 			broken = append(broken, fmt.Sprint(u.Number))
 		}
 	}
 	switch {
-	case r.Referee.Crashes > 0:
+	case r.Invariants.Crashes > 0:
 		return "CRASHED"
-	case r.Peers != nil && !r.Peers.Held:
+	case r.Cluster != nil && !r.Cluster.Held:
 		return "BROKEN: " + strings.Join(append(broken, "fleet"), ", ")
 	case len(broken) > 0:
 		return "BROKEN: " + strings.Join(broken, ", ")
@@ -151,8 +151,8 @@
 	return "held"
 }
 
-// spread gives minimum, median and maximum by balancer and demand, where seeds were several.
-func spread(b *strings.Builder, results []*Result) {
+// writeSpread gives minimum, median and maximum by balancer and demand, where seeds were several.
+func writeSpread(b *strings.Builder, results []*Result) {
 	type key struct {
 		balancer string
 		demand   float64
