--- /dev/null
+++ b/internal/testkit/rehearse/day_check.go
@@ -0,0 +1,174 @@
+package rehearse
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"tuliprock/internal/tomlfile"
+)
+
+// Bounds of what one machine is asked to play.
+const (
+	maxLength = time.Hour
+	maxNodes  = 400
+	maxTiers  = 5
+)
+
+func isShare(r tomlfile.Range) bool { return r.Lo >= 0 && r.Hi <= 1 }
+
+func (d *Day) checkHead(f *tomlfile.File) error {
+	return f.Check("", []tomlfile.Must{
+		tomlfile.Need("format", d.Format == 1, "1"),
+		tomlfile.Need("name", d.Name != "", "a name"),
+		tomlfile.Need("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
+		tomlfile.Need("load.use", d.Load.Use.Lo > 0 && d.Load.Use.Hi <= 10, "over 0, and 10 at most"),
+		tomlfile.Need("load.quota", d.Load.Quota.Lo > 0, "over 0"),
+		tomlfile.Need("load.over_share_worth", d.Load.OverShareWorth >= 0 && d.Load.OverShareWorth <= 1, "from 0 to 1"),
+		tomlfile.Need("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
+		tomlfile.Need("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
+		tomlfile.Need("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
+		tomlfile.Need("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
+		tomlfile.Need("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
+		tomlfile.Need("clients.try_share", d.Clients.TryShare.Lo > 0 && isShare(d.Clients.TryShare), "over 0, and 1 at most"),
+		tomlfile.Need("clients.at_once", d.Clients.AtOnce >= 0 && d.Clients.AtOnce <= 1, "from 0 to 1"),
+		tomlfile.Need("clients.honour", isShare(d.Clients.Honour), "from 0 to 1"),
+		tomlfile.Need("clients.hang_up", isShare(d.Clients.HangUp), "from 0 to 1"),
+		tomlfile.Need("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
+		tomlfile.Need("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
+		tomlfile.Need("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
+		tomlfile.Need("rules.fall_after", d.Rules.FallAfter > 0, "over 0"),
+	})
+}
+
+func (d *Day) checkTiers(f *tomlfile.File) error {
+	if n := len(d.Tiers); n < 1 || n > maxTiers {
+		return f.Errorf("tier", "must be from 1 to %d of them", maxTiers)
+	}
+	sum := 0.0
+	for i := range d.Tiers {
+		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
+		sum += t.Nodes.Hi
+		if t.Calls.Hi == 0 {
+			t.Calls = tomlfile.Range{Lo: 1, Hi: 1}
+		}
+		if t.CellSize.Hi == 0 {
+			t.CellSize = tomlfile.Range{Lo: 4, Hi: 4}
+		}
+		if err := f.Check(at, []tomlfile.Must{
+			tomlfile.Need("name", t.Name != "", "a name"),
+			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes, fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
+			tomlfile.Need("work", t.WorkShare > 0, "over 0"),
+			tomlfile.Need("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
+			tomlfile.Need("cell", t.CellSize.Lo >= 1, "1 at least"),
+			tomlfile.Need("errors", isShare(t.ErrorRate), "from 0 to 1"),
+			tomlfile.Need("kind", len(t.Kinds) > 0, "given"),
+		}); err != nil {
+			return err
+		}
+		for k := range t.Kinds {
+			if err := t.Kinds[k].check(f, fmt.Sprintf("%s.kind[%d]", at, k)); err != nil {
+				return err
+			}
+		}
+		if c := t.Overload; c != nil {
+			at += ".choke"
+			if err := f.Check(at, []tomlfile.Must{
+				tomlfile.Need("at", c.Threshold.Lo > 0, "over 0"),
+				tomlfile.Need("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
+				tomlfile.Need("slower", c.Slowdown.Lo >= 1, "1 at least"),
+				tomlfile.Need("below", isShare(c.IdleBelow), "from 0 to 1"),
+				tomlfile.Need("most", c.MaxDuration.Lo > 0, "over 0"),
+			}); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+func (k *NodeKind) check(f *tomlfile.File, at string) error {
+	return f.Check(at, []tomlfile.Must{
+		tomlfile.Need("name", k.Name != "", "a name"),
+		tomlfile.Need("share", k.Share > 0, "over 0"),
+		tomlfile.Need("cores", k.Cores >= 1 && k.Cores <= 1024, "from 1 to 1024"),
+		tomlfile.Need("speed", k.Speed.Lo > 0, "over 0"),
+		tomlfile.Need("slots", k.Slots.Lo > 0, "over 0"),
+		tomlfile.Need("room", k.QueueLimit.Lo >= 0, "0 at least"),
+		tomlfile.Need("cold_from", k.ColdCapacityShare.Lo > 0 && isShare(k.ColdCapacityShare), "over 0, and 1 at most"),
+	})
+}
+
+func (d *Day) checkClassesAndTenants(f *tomlfile.File) error {
+	if len(d.Classes) == 0 {
+		return f.Errorf("class", "must be given")
+	}
+	names := map[string]bool{}
+	for i, c := range d.Classes {
+		at := fmt.Sprintf("class[%d]", i)
+		if err := f.Check(at, []tomlfile.Must{
+			tomlfile.Need("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
+			tomlfile.Need("effect", c.Effect == "safe" || c.Effect == "keyed" || c.Effect == "unsafe", "safe, keyed or unsafe"),
+			tomlfile.Need("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
+			tomlfile.Need("share", c.Share > 0, "over 0"),
+			tomlfile.Need("work", c.Work.Lo > 0, "over 0"),
+			tomlfile.Need("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
+			tomlfile.Need("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.Deadline, "over 0, and the deadline at most"),
+			tomlfile.Need("deadline", c.Deadline <= time.Minute, "1m at most"),
+			tomlfile.Need("worth", c.Worth > 0, "over 0"),
+		}); err != nil {
+			return err
+		}
+		names[c.Name] = true
+	}
+	if len(d.Tenants) == 0 {
+		return f.Errorf("tenant", "must be given")
+	}
+	for i, t := range d.Tenants {
+		at := fmt.Sprintf("tenant[%d]", i)
+		if err := f.Check(at, []tomlfile.Must{
+			tomlfile.Need("name", isPlainName(t.Name), "a name, of letters, digits and -"),
+			tomlfile.Need("share", t.Share > 0, "over 0"),
+			tomlfile.Need("usage", t.Usage.Lo > 0, "over 0"),
+		}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isPlainName tells whether a name can stand in a path and a header as it is.
+func isPlainName(s string) bool {
+	for _, c := range s {
+		if c != '-' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
+			return false
+		}
+	}
+	return s != ""
+}
+
+func (d *Day) checkFaults(f *tomlfile.File) error {
+	for i, t := range d.Faults {
+		at := fmt.Sprintf("trouble[%d]", i)
+		needs, ok := faultKinds[t.Kind]
+		hows := map[string][]string{"restart": {"kill", "planned"}, "crash": {"", "same", "renamed"}, "drain": {"", "same", "renamed"}}[t.Kind]
+		if err := f.Check(at, []tomlfile.Must{
+			tomlfile.Need("kind", ok, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
+			tomlfile.Need("at", f.Has(at+".at") && t.At.Hi < d.Length, "given, and before the day's end"),
+			tomlfile.Need("for", t.For.Lo > 0, "over 0"),
+			tomlfile.Need("share", isShare(t.Share) && (t.Share.Hi > 0) == (needs.nodes || needs.sidecars), "over 0 and 1 at most where nodes or sidecars are hit, and only there"),
+			tomlfile.Need("size", (t.Magnitude.Lo > 0) == needs.size, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Need("size", (t.Kind != "hang" && t.Kind != "reset") || t.Magnitude.Hi <= 1, "a share of requests"),
+			tomlfile.Need("down", (t.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
+			tomlfile.Need("how", isAllowedMode(t.Mode, hows), fmt.Sprintf("one of %q", hows)),
+			tomlfile.Need("tier", t.Tier == "" || needs.nodes && d.tierIndex(t.Tier) >= 0, "the name of a tier, for a trouble of nodes"),
+		}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func isAllowedMode(s string, list []string) bool {
+	return slices.Contains(list, s) || s == "" && len(list) == 0
+}
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -11,9 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/testkit/clusterinvariant"
 	"tuliprock/internal/testkit/fake"
-	"tuliprock/internal/testkit/invariant"
 	"tuliprock/internal/testkit/schedule"
 )
 
@@ -75,28 +73,6 @@
 	sendLateness *schedule.Latency // lateness of sends; of the dispatcher's goroutine only
 }
 
-// host is a place for a node: a machine with its own sidecar, and whatever node runs there now.
-type host struct {
-	plan    NodePlan
-	cell    *fake.Cell
-	sidecar *sidecarProcess // nil in the last tier
-	client  *fake.Client
-
-	mu           sync.Mutex
-	node         *fake.Node
-	member       fake.Member
-	renames      int
-	incarnations []*fake.Node // that have run here
-}
-
-// outcome is what became of a first try and its retries.
-type outcome struct {
-	isServed bool
-	duration time.Duration // since it was due, to its last answer
-	status   int           // of its last answer; 0: none
-	attempts int
-}
-
 // Play plays a plan. When it returns, everything that it started has ended. An error means that the day could not be
 // played; what the day showed is in the Result.
 func Play(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
@@ -150,130 +126,10 @@
 	}
 }
 
-// buildHosts makes nodes, agents and sidecars. The nodes run when it returns.
-func (w *rehearsal) buildHosts() error {
-	cells := map[[2]int]*fake.Cell{}
-	window := time.Duration(0)
-	for _, c := range w.plan.Classes {
-		window = max(window, c.Window)
-	}
-	w.hosts = make([][]*host, len(w.plan.Day.Tiers))
-	for _, p := range w.plan.Nodes {
-		key := [2]int{p.Spec.Tier, p.Spec.Cell}
-		if cells[key] == nil {
-			cells[key] = fake.NewCell(window)
-		}
-		s := &host{plan: p, cell: cells[key]}
-		s.newNode(w, p.Spec.ID, "")
-		if _, err := s.node.Start(false); err != nil {
-			return err
-		}
-		s.member = memberOf(s.node, fake.StateReady, time.Time{})
-		w.hosts[p.Spec.Tier] = append(w.hosts[p.Spec.Tier], s)
-	}
-	if err := w.buildCluster(); err != nil {
-		return err
-	}
-	for i := range w.plan.Sidecars {
-		p, err := w.newSidecar(sidecarName(i), 0, i, w.plan.Sidecars)
-		if err != nil {
-			return err
-		}
-		w.frontSidecars = append(w.frontSidecars, p)
-	}
-	for tier, sites := range w.hosts[:len(w.hosts)-1] {
-		for i, s := range sites {
-			p, err := w.newSidecar("of-"+s.plan.Spec.ID, tier+1, i, len(sites))
-			if err != nil {
-				return err
-			}
-			s.mu.Lock()
-			s.sidecar = p
-			s.client = fake.NewClient(w.plan.Classes, w.registry, w.recorder, w.plan.Day.Rules.Slack, maxNodeIdleConnections)
-			s.mu.Unlock()
-		}
-	}
-	return nil
-}
-
-// newNode puts a node that is down in its place, under an id.
-func (s *host) newNode(w *rehearsal, id, addr string) {
-	spec := s.plan.Spec
-	spec.ID = id
-	n := fake.NewNode(spec, w.plan.Classes, s.cell, w.registry, w.recorder, s.plan.Seed)
-	n.Addr = addr
-	if spec.Tier+1 < len(w.plan.Day.Tiers) {
-		n.NextTier = &nextTierClient{w, s}
-	}
-	s.node = n
-	s.incarnations = append(s.incarnations, n)
-}
-
-func memberOf(n *fake.Node, state string, started time.Time) fake.Member {
-	m := fake.Member{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state, Weight: 1}
-	if !started.IsZero() {
-		m.StartedMs = started.UnixMilli()
-	}
-	return m
-}
-
-// nextTierClient makes a node's calls through its own sidecar, each with an id and a key of its own. A call does not carry what is
-// left of its caller's time.
-type nextTierClient struct {
-	w *rehearsal
-	s *host
-}
-
-// Call implements fake.NextTier.
-func (n *nextTierClient) Call(class int, key string, job *fake.Job) bool {
-	n.s.mu.Lock()
-	p, caller := n.s.sidecar, n.s.client
-	n.s.mu.Unlock()
-	out := caller.Do(fake.Request{ID: n.w.newID("call"), Class: class, Key: fmt.Sprintf("%s-%016x", key, n.w.sequence.Add(1)), Job: job,
-		Timeout: n.w.plan.Classes[class].Deadline,
-		Connect: func() (fake.Target, bool) { return fake.Target{Sidecar: p.name, Addr: p.addr}, true }})
-	return out.Status == 200
-}
-
 func (w *rehearsal) newID(what string) string {
 	return fmt.Sprintf("%s-%016x", what, w.sequence.Add(1))
 }
 
-func (w *rehearsal) newSidecar(name string, tier, me, n int) (*sidecarProcess, error) {
-	var list []fake.Member
-	for _, s := range w.hosts[tier] {
-		list = append(list, s.member)
-	}
-	agent, err := fake.NewAgent(name, list, w.recorder)
-	if err != nil {
-		return nil, err
-	}
-	notices := make(chan notification, maxPendingNotifications)
-	w.notifications[agent] = notices
-	w.deliveries.Go(func() { w.deliver(agent, notices) })
-	p := &sidecarProcess{name: name, agent: agent, recorder: w.recorder, workDir: w.workDir, command: w.options.Command, day: w.plan.Day}
-	w.sidecars = append(w.sidecars, p) // from here on close ends it
-	if p.addr, err = freeLoopbackAddr(len(w.sidecars)); err != nil {
-		return nil, err
-	}
-	if p.settings, err = w.plan.settingsFor(tier, me, n); err != nil {
-		return nil, err
-	}
-	place := w.cluster.member(name)
-	if w.options.Serve || place != nil {
-		if place != nil && place.clockEnv != "" {
-			p.env = append(p.env, place.clockEnv)
-		}
-		p.operatorsFile = func(seed uint64) string {
-			return w.plan.operatorsFile(name, p.addr, agent.Addr, tier, me, n, seed, place)
-		}
-	}
-	life := uint64(0)
-	p.nextSeed = func() uint64 { life++; return w.drawHash(name, fmt.Sprint(life)) }
-	p.onCrash = func(p *sidecarProcess) { w.frontLayer.Remove(p.name) }
-	return p, nil
-}
-
 // drawHash draws a number for a matter by its name, so that the order of events does not sway it.
 func (w *rehearsal) drawHash(names ...string) uint64 {
 	h := fnv.New64a()
@@ -287,34 +143,6 @@
 	return float64(w.drawHash(names...)>>11) / (1 << 53)
 }
 
-// startSidecars starts all sidecars and waits for them.
-func (w *rehearsal) startSidecars() error {
-	room := make(chan struct{}, maxConcurrentStarts)
-	errs := make(chan error, len(w.sidecars))
-	for _, p := range w.sidecars {
-		room <- struct{}{}
-		go func() {
-			defer func() { <-room }()
-			err := p.start()
-			if err == nil {
-				err = p.awaitReady(w.ctx)
-			}
-			errs <- err
-		}()
-	}
-	var first error
-	for range w.sidecars {
-		if err := <-errs; err != nil && first == nil {
-			first = err
-		}
-	}
-	for _, p := range w.frontSidecars {
-		w.frontLayer.Add(p.name, p.addr)
-		w.cluster.recordFact(clusterinvariant.Up, p.name)
-	}
-	return first
-}
-
 // close ends everything.
 func (w *rehearsal) close() {
 	w.cancel()
@@ -413,56 +241,3 @@
 		}
 	}
 }
-
-// runClient plays one first try and its retries.
-func (w *rehearsal) runClient(i int, due time.Time) {
-	q, o := &w.plan.Requests[i], &w.outcomes[i]
-	class := w.plan.Classes[q.Class]
-	end := due.Add(class.Deadline)
-	defer func() {
-		o.duration = time.Since(due)
-		w.offeredWorth.Add(int64(1000 * q.Worth))
-		if o.isInTime(w.plan.Day.Classes[q.Class].LatencyObjective) {
-			w.inTimeWorth.Add(int64(1000 * q.Worth))
-		}
-	}()
-	for {
-		wait := min(q.AttemptTimeout, time.Until(end))
-		if wait < time.Millisecond {
-			return
-		}
-		try := fake.Request{ID: w.newID("try"), Class: q.Class, Tenant: w.plan.Day.Tenants[q.Tenant].Name, Key: q.Key, Retry: o.attempts > 0,
-			Job: q.Job, Timeout: wait, Connect: w.frontLayer.Connect}
-		if w.plan.Day.Load.Hints {
-			try.CostHint = costHint(q)
-		}
-		if o.attempts == 0 {
-			try.LeaveAfter = q.LeaveAfter
-		}
-		out := w.clients.Do(try)
-		o.attempts++
-		o.status = out.Status
-		if out.Status == 200 {
-			o.isServed = true
-			return
-		}
-		refused := out.Status == 503 || out.Status == 429
-		if out.HasLeft || o.attempts > q.Retries || class.Effect != invariant.Safe && out.IsAccepted && !refused {
-			return
-		}
-		pause := q.Backoff
-		if refused && q.HonoursRetryAfter {
-			pause = max(pause, out.RetryAfter)
-		}
-		if !sleep(w.ctx, pause) {
-			return
-		}
-	}
-}
-
-// costHint is a client's guess at the work: half to twice of it.
-func costHint(q *Request) time.Duration {
-	return time.Duration(float64(q.Job.TotalWork()) * (0.5 + 1.5*rand.New(rand.NewPCG(q.Draw, sourceJobs)).Float64()))
-}
-
-func (o *outcome) isInTime(aim time.Duration) bool { return o.isServed && o.duration <= aim }
