--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -2,69 +2,96 @@
 
 import (
 	"math/rand/v2"
+	"net/http"
 	"time"
 
 	"tuliprock/internal/testkit/fake"
 	"tuliprock/internal/testkit/invariant"
 )
 
-// outcome is what became of a first try and its retries.
+// maxClientIdleConnections is how many idle connections all clients together keep.
+const maxClientIdleConnections = 256
+
+// outcome is what became of a client's request over all its attempts.
 type outcome struct {
 	isServed bool
-	duration time.Duration // since it was due, to its last answer
-	status   int           // of its last answer; 0: none
+	duration time.Duration // from the instant at which the request was due to the last response
+	status   int           // of the last response; 0: none
 	attempts int
 }
 
-func (o *outcome) isInTime(aim time.Duration) bool { return o.isServed && o.duration <= aim }
+// isInTime reports whether the request was served within the latency objective.
+func (o *outcome) isInTime(objective time.Duration) bool {
+	return o.isServed && o.duration <= objective
+}
+
+// isRejection reports whether a status means that the request was not accepted, so that it may be sent again.
+func isRejection(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+}
 
-// runClient plays one first try and its retries.
-func (w *rehearsal) runClient(i int, due time.Time) {
-	q, o := &w.plan.Requests[i], &w.outcomes[i]
-	class := w.plan.Classes[q.Class]
-	end := due.Add(class.Deadline)
+// runClient sends request i of the plan and its retries, and sets its outcome.
+func (r *rehearsal) runClient(i int, due time.Time) {
+	request, o := &r.plan.Requests[i], &r.outcomes[i]
+	class := r.plan.Classes[request.Class]
+	deadline := due.Add(class.Deadline)
 	defer func() {
 		o.duration = time.Since(due)
-		w.offeredWorth.Add(int64(1000 * q.Worth))
-		if o.isInTime(w.plan.Day.Classes[q.Class].LatencyObjective) {
-			w.inTimeWorth.Add(int64(1000 * q.Worth))
+		r.offeredWorth.Add(int64(1000 * request.Worth))
+		if o.isInTime(r.plan.Day.Classes[request.Class].LatencyObjective) {
+			r.inTimeWorth.Add(int64(1000 * request.Worth))
 		}
 	}()
 	for {
-		wait := min(q.AttemptTimeout, time.Until(end))
-		if wait < time.Millisecond {
+		timeout := min(request.AttemptTimeout, time.Until(deadline))
+		if timeout < time.Millisecond {
 			return
 		}
-		try := fake.Request{ID: w.newID("try"), Class: q.Class, Tenant: w.plan.Day.Tenants[q.Tenant].Name, Key: q.Key, Retry: o.attempts > 0,
-			Job: q.Job, Timeout: wait, Connect: w.frontLayer.Connect}
-		if w.plan.Day.Load.Hints {
-			try.CostHint = costHint(q)
-		}
-		if o.attempts == 0 {
-			try.LeaveAfter = q.LeaveAfter
-		}
-		out := w.clients.Do(try)
+		out := r.clients.Do(r.newAttempt(request, o.attempts, timeout))
 		o.attempts++
 		o.status = out.Status
-		if out.Status == 200 {
+		if out.Status == http.StatusOK {
 			o.isServed = true
 			return
 		}
-		refused := out.Status == 503 || out.Status == 429
-		if out.HasLeft || o.attempts > q.Retries || class.Effect != invariant.Safe && out.IsAccepted && !refused {
+		isRejected := isRejection(out.Status)
+		mayHaveRun := class.Effect != invariant.Safe && out.IsAccepted && !isRejected
+		if out.HasLeft || o.attempts > request.Retries || mayHaveRun {
 			return
 		}
-		pause := q.Backoff
-		if refused && q.HonoursRetryAfter {
+		pause := request.Backoff
+		if isRejected && request.HonoursRetryAfter {
 			pause = max(pause, out.RetryAfter)
 		}
-		if !sleep(w.ctx, pause) {
+		if !sleep(r.ctx, pause) {
 			return
 		}
 	}
 }
 
-// costHint is a client's guess at the work: half to twice of it.
-func costHint(q *Request) time.Duration {
-	return time.Duration(float64(q.Job.TotalWork()) * (0.5 + 1.5*rand.New(rand.NewPCG(q.Draw, sourceJobs)).Float64()))
+// newAttempt is an attempt at a request after a number of others.
+func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
+	attempt := fake.Request{
+		ID:      r.newID("try"),
+		Class:   request.Class,
+		Tenant:  r.plan.Day.Tenants[request.Tenant].Name,
+		Key:     request.Key,
+		Retry:   attempts > 0,
+		Job:     request.Job,
+		Timeout: timeout,
+		Connect: r.frontLayer.Connect,
+	}
+	if r.plan.Day.Load.Hints {
+		attempt.CostHint = costHint(request)
+	}
+	if attempts == 0 {
+		attempt.LeaveAfter = request.LeaveAfter
+	}
+	return attempt
+}
+
+// costHint is a client's guess at the work, from half to twice of it.
+func costHint(request *Request) time.Duration {
+	rng := rand.New(rand.NewPCG(request.Draw, sourceJobs))
+	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
 }
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -14,34 +14,25 @@
 	"tuliprock/internal/testkit/faultnet"
 )
 
-// The bounds that the daemon's default times are to keep.
+// The lease config of a day whose sidecars agree on operator overrides.
 const (
-	defaultDetectWithin = 6 * time.Second
-	defaultSettleWithin = 3 * time.Second
-	clusterPollInterval = 50 * time.Millisecond // between two looks at what a sidecar holds
-	clusterPollTimeout  = time.Second           // for its answer
-
-	// What a day's sidecars promise one another, where they agree.
 	maxClockDrift       = 0.1
 	maxConflictDuration = 2 * time.Second
 	leaseDuration       = 6 * time.Second
-	overrideInterval    = 1500 * time.Millisecond // somebody takes an endpoint out, or gives it back
 )
 
-// clusterMember is where a sidecar is heard by the others.
-type clusterMember struct {
-	clockEnv    string // of the environment; empty: its own
-	incarnation int    // of its process; guarded by fleetWorld.mu
-	config      string // [fleet], and the operators' address, as its file has them
-	adminAddr   string
-}
+// firstClusterAddr is the number of a cluster's first loopback address, beyond those of the sidecars.
+const firstClusterAddr = 2000
+
+// maxClusterEvents bounds the events of a cluster's timeline, and the acts.
+const maxClusterEvents = maxEvents / 10
 
-// cluster is a fleet that is being played; nil: there is none.
+// cluster is a cluster of sidecars that is being rehearsed. Its methods do nothing for nil, which is a day without one.
 type cluster struct {
-	w       *rehearsal
-	net     *faultnet.Net
-	members map[string]*clusterMember
-	pollers sync.WaitGroup
+	rehearsal *rehearsal
+	net       *faultnet.Net
+	members   map[string]*clusterMember // by the sidecar's name; not written to after buildCluster
+	pollers   sync.WaitGroup
 
 	mu           sync.Mutex
 	events       []clusterinvariant.Event
@@ -49,150 +40,168 @@
 	activeFaults int
 }
 
-// buildCluster makes a place for each sidecar before the first tier.
-func (w *rehearsal) buildCluster() error {
-	day := w.plan.Day.Cluster
-	if day == nil {
+// clusterMember is what a sidecar needs to be a member of the cluster.
+type clusterMember struct {
+	clockEnv    string // sets the rate of its clock in the environment; empty: it is the machine's
+	incarnation int    // of its process; guarded by cluster.mu
+	config      string // the part of its operators' file: admin_addr and [fleet]
+	adminAddr   string
+}
+
+// buildCluster makes the sidecars before the first tier members of a cluster, if the day has one.
+func (r *rehearsal) buildCluster() error {
+	config := r.plan.Day.Cluster
+	if config == nil {
 		return nil
 	}
-	f := &cluster{w: w, net: faultnet.New(w.plan.Seed, nil), members: map[string]*clusterMember{}}
-	w.cluster = f
-	var listens, told []netip.AddrPort
+	c := &cluster{rehearsal: r, net: faultnet.New(r.plan.Seed, nil), members: map[string]*clusterMember{}}
+	r.cluster = c
+	var listens, advertised []netip.AddrPort
 	var voters []string
-	for i := range w.plan.Sidecars {
-		at, err := freeLoopbackAddr(firstClusterAddr + i)
+	for i := range r.plan.Sidecars {
+		addr, err := freeLoopbackAddr(firstClusterAddr + i)
 		if err != nil {
 			return err
 		}
-		listen := netip.MustParseAddrPort(at)
-		relay, err := f.net.Relay(sidecarName(i), listen)
+		listen := netip.MustParseAddrPort(addr)
+		relay, err := c.net.Relay(sidecarName(i), listen)
 		if err != nil {
 			return err
 		}
-		listens, told = append(listens, listen), append(told, relay)
-		if i < day.Voters {
+		listens, advertised = append(listens, listen), append(advertised, relay)
+		if i < config.Voters {
 			voters = append(voters, fmt.Sprintf("%q", sidecarName(i)))
 		}
 	}
-	for i := range w.plan.Sidecars {
+	for i := range r.plan.Sidecars {
+		name := sidecarName(i)
 		admin, err := freeLoopbackAddr(firstClusterAddr + i)
 		if err != nil {
 			return err
 		}
-		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n", admin, w.plan.Day.Name,
-			listens[i], told[i], told[0], told[len(told)/2], strings.Join(voters, ", "))
-		for name, d := range map[string]time.Duration{"probe_every": day.ProbeInterval, "probe_timeout": day.ProbeTimeout, "suspicion": day.SuspicionTimeout} {
-			if d > 0 {
-				text += fmt.Sprintf("%s = %q\n", name, d)
-			}
+		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
+			admin, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2], strings.Join(voters, ", "))
+		member := &clusterMember{config: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
+		if config.ClockRate.Hi > 0 {
+			member.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRate, config.ClockRate.At(r.drawShare("clock", name)))
 		}
-		if day.HasConsensus {
-			text += fmt.Sprintf("agreed = true\nconflict_within = %q\nlease = %q\nclock_drift = %v\n", maxConflictDuration, leaseDuration, maxClockDrift)
-			if i < day.Voters {
-				text += fmt.Sprintf("data_dir = %q\n", filepath.Join(w.workDir, sidecarName(i)+".data"))
-			}
-		}
-		place := &clusterMember{config: text, adminAddr: admin}
-		if day.ClockRate.Hi > 0 {
-			place.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRate, day.ClockRate.At(w.drawShare("clock", sidecarName(i))))
-		}
-		f.members[sidecarName(i)] = place
+		c.members[name] = member
 	}
 	return nil
 }
 
-// firstClusterAddr is the number of the first loopback address of a fleet: beyond those of the sidecars.
-const firstClusterAddr = 2000
+// operatorsFile is the rest of [fleet] in a sidecar's operators' file: the times of the failure detector and consensus.
+func (c *ClusterConfig) operatorsFile(workDir, name string, isVoter bool) string {
+	var b strings.Builder
+	for _, field := range []struct {
+		name  string
+		value time.Duration
+	}{{"probe_every", c.ProbeInterval}, {"probe_timeout", c.ProbeTimeout}, {"suspicion", c.SuspicionTimeout}} {
+		if field.value > 0 {
+			fmt.Fprintf(&b, "%s = %q\n", field.name, field.value)
+		}
+	}
+	if c.HasConsensus {
+		fmt.Fprintf(&b, "agreed = true\nconflict_within = %q\nlease = %q\nclock_drift = %v\n",
+			maxConflictDuration, leaseDuration, maxClockDrift)
+		if isVoter {
+			fmt.Fprintf(&b, "data_dir = %q\n", filepath.Join(workDir, name+".data"))
+		}
+	}
+	return b.String()
+}
 
-func (f *cluster) member(name string) *clusterMember {
-	if f == nil {
+// member is the sidecar's membership; nil: it is not a member.
+func (c *cluster) member(name string) *clusterMember {
+	if c == nil {
 		return nil
 	}
-	return f.members[name]
+	return c.members[name]
 }
 
-// recordFact notes what was done to a sidecar.
-func (f *cluster) recordFact(k clusterinvariant.Kind, of string) {
-	if f == nil {
+// recordFact records what was done to a sidecar's process.
+func (c *cluster) recordFact(kind clusterinvariant.Kind, sidecar string) {
+	if c == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if k == clusterinvariant.Up {
-		f.members[of].incarnation++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if kind == clusterinvariant.Up {
+		c.members[sidecar].incarnation++
 	}
-	f.record(clusterinvariant.Event{Kind: k, Of: of})
+	c.record(clusterinvariant.Event{Kind: kind, Of: sidecar})
 }
 
-// record notes an event. f.mu is held.
-func (f *cluster) record(e clusterinvariant.Event) {
-	e.At = f.w.recorder.Now()
-	if len(f.events) < maxEvents/10 {
-		f.events = append(f.events, e)
+// record adds an event at this instant. c.mu is held.
+func (c *cluster) record(e clusterinvariant.Event) {
+	e.At = c.rehearsal.recorder.Now()
+	if len(c.events) < maxClusterEvents {
+		c.events = append(c.events, e)
 	}
 }
 
-// beginFault and calm say that something is wrong with links or processes, and that it is over.
-func (f *cluster) beginFault() { f.countFault(1) }
-
-func (f *cluster) endFault()   { f.countFault(-1) }
+// beginFault records that a fault of links or processes is active, and endFault that it is over.
+func (c *cluster) beginFault() { c.countFault(1) }
+func (c *cluster) endFault()   { c.countFault(-1) }
 
-func (f *cluster) countFault(by int) {
-	if f == nil {
+func (c *cluster) countFault(change int) {
+	if c == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	was := f.activeFaults
-	f.activeFaults += by
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	before := c.activeFaults
+	c.activeFaults += change
 	switch {
-	case was == 0:
-		f.record(clusterinvariant.Event{Kind: clusterinvariant.Trouble})
-	case f.activeFaults == 0:
-		f.record(clusterinvariant.Event{Kind: clusterinvariant.Calm})
+	case before == 0:
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.Trouble})
+	case c.activeFaults == 0:
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.Calm})
 	}
 }
 
-// inject plays a trouble of links.
-func (f *cluster) inject(ctx context.Context, start time.Time, s LinkFault) {
-	if !sleep(ctx, time.Until(start.Add(s.At))) {
+// inject injects a fault of links when it is due. When ctx ends, the links are well again.
+func (c *cluster) inject(ctx context.Context, start time.Time, fault LinkFault) {
+	if !sleep(ctx, time.Until(start.Add(fault.At))) {
 		return
 	}
-	f.beginFault()
-	defer f.endFault()
-	end := time.Now().Add(s.For)
-	for on := true; time.Until(end) > 0; on = !on {
-		l := s.linkState()
-		if !on {
-			l = faultnet.Link{}
+	c.beginFault()
+	defer c.endFault()
+	end := time.Now().Add(fault.For)
+	for isActive := true; time.Until(end) > 0; isActive = !isActive {
+		link := faultnet.Link{}
+		if isActive {
+			link = fault.linkState()
 		}
-		f.setLinks(s, l)
+		c.setLinks(fault, link)
 		wait := time.Until(end)
-		if s.Period > 0 {
-			wait = min(wait, s.Period)
+		if fault.Period > 0 {
+			wait = min(wait, fault.Period)
 		}
 		if !sleep(ctx, wait) {
 			break
 		}
 	}
-	f.setLinks(s, faultnet.Link{})
+	c.setLinks(fault, faultnet.Link{})
 }
 
-func (f *cluster) setLinks(s LinkFault, l faultnet.Link) {
-	for i, part := range s.Parts {
-		for _, other := range s.Parts[i+1:] {
-			f.net.OneWay(part, other, l)
-			if !s.IsOneWay {
-				f.net.OneWay(other, part, l)
+// setLinks sets the state of all links between the parts of a fault.
+func (c *cluster) setLinks(fault LinkFault, link faultnet.Link) {
+	for i, part := range fault.Parts {
+		for _, other := range fault.Parts[i+1:] {
+			c.net.OneWay(part, other, link)
+			if !fault.IsOneWay {
+				c.net.OneWay(other, part, link)
 			}
 		}
 	}
 }
 
-func (f *cluster) close() {
-	if f == nil {
+// close waits for the pollers, which the end of the rehearsal's context stops, and closes the links.
+func (c *cluster) close() {
+	if c == nil {
 		return
 	}
-	f.pollers.Wait()
-	f.net.Close()
+	c.pollers.Wait()
+	c.net.Close()
 }
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -10,41 +10,48 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// ClusterConfig makes a fleet of the sidecars before the first tier. They are started on operators' files.
+// The bounds that a cluster with the daemon's default times must keep.
+const (
+	defaultDetectWithin = 6 * time.Second
+	defaultSettleWithin = 3 * time.Second
+)
+
+// ClusterConfig makes a cluster of the sidecars before the first tier, which are then started on operators' files. In a
+// day's file the cluster is called a fleet.
 type ClusterConfig struct {
 	Voters           int            `toml:"voters"`
-	ProbeInterval    time.Duration  `toml:"probe_every"`   // 0: the daemon's own
-	ProbeTimeout     time.Duration  `toml:"probe_timeout"` //
-	SuspicionTimeout time.Duration  `toml:"suspicion"`     //
-	ClockRate        tomlfile.Range `toml:"clock"`         // how fast each sidecar's clock runs, drawn for each; only programs built with the race detector heed it
-	DetectWithin     time.Duration  `toml:"detect"`        // until all others know of one that is gone, where nothing else is wrong
+	ProbeInterval    time.Duration  `toml:"probe_every"`   // 0: the daemon's default
+	ProbeTimeout     time.Duration  `toml:"probe_timeout"` // 0: the daemon's default
+	SuspicionTimeout time.Duration  `toml:"suspicion"`     // 0: the daemon's default
+	ClockRate        tomlfile.Range `toml:"clock"`         // drawn for each sidecar; only programs built with the race detector heed it
+	DetectWithin     time.Duration  `toml:"detect"`        // until all others know of a failure, while no fault is active
 	SettleWithin     time.Duration  `toml:"settle"`        // after the last fault, until all views are right
-	HasConsensus     bool           `toml:"agreed"`        // they agree on endpoints out by hand, and one is taken out and given back all day
+	HasConsensus     bool           `toml:"agreed"`        // the sidecars agree on operator overrides, and one is toggled all day
 }
 
-// LinkFaultSpec is something that goes wrong between sidecars.
+// LinkFaultSpec is a fault of the links between sidecars, as a day's file gives it.
 type LinkFaultSpec struct {
 	Kind        string         `toml:"kind"`
 	At          tomlfile.Span  `toml:"at"`
 	For         tomlfile.Span  `toml:"for"`
-	Parts       int            `toml:"parts"`  // into which the sidecars are dealt by the seed; what passes from one to another is hit
-	IsolatesOne bool           `toml:"alone"`  // one sidecar against all others, in place of parts
-	HasBridge   bool           `toml:"bridge"` // one sidecar is well with all
+	Parts       int            `toml:"parts"`  // into which the seed partitions the sidecars; the fault hits what passes between them
+	IsolatesOne bool           `toml:"alone"`  // one sidecar against all others, in place of Parts
+	HasBridge   bool           `toml:"bridge"` // one sidecar reaches all others
 	IsOneWay    bool           `toml:"one_way"`
-	Period      tomlfile.Span  `toml:"every"` // it comes and goes, for so long each
+	Period      tomlfile.Span  `toml:"every"` // the fault comes and goes, each for so long; 0: it stays
 	Magnitude   tomlfile.Range `toml:"size"`
 }
 
-// linkFaultHasMagnitude tells of each kind whether it has a size.
+// linkFaultHasMagnitude says for each kind of link fault whether it has a magnitude.
 var linkFaultHasMagnitude = map[string]bool{
-	"cut":       false, // datagrams vanish, streams stall
+	"cut":       false, // datagrams are lost, streams stall
 	"reset":     false, // streams are reset
-	"loss":      true,  // size: share of datagrams that vanish
-	"duplicate": true,  // size: share that comes twice
-	"delay":     true,  // size: seconds on top, and as much at random: later ones overtake
+	"loss":      true,  // share of datagrams that are lost
+	"duplicate": true,  // share of datagrams that arrive twice
+	"delay":     true,  // seconds added, and as much jitter, so that datagrams overtake each other
 }
 
-// LinkFault is a LinkTrouble with all that it draws.
+// LinkFault is a LinkFaultSpec with all that it draws. The tags are the names of printed plans.
 type LinkFault struct {
 	Kind      string
 	At, For   time.Duration
@@ -55,33 +62,38 @@
 }
 
 func (d *Day) checkCluster(f *tomlfile.File) error {
-	if t := d.Cluster; t != nil {
-		if t.DetectWithin == 0 {
-			t.DetectWithin = defaultDetectWithin
+	if c := d.Cluster; c != nil {
+		if c.DetectWithin == 0 {
+			c.DetectWithin = defaultDetectWithin
 		}
-		if t.SettleWithin == 0 {
-			t.SettleWithin = defaultSettleWithin
+		if c.SettleWithin == 0 {
+			c.SettleWithin = defaultSettleWithin
 		}
+		hasValidVoters := c.Voters >= 0 && float64(c.Voters) <= d.Sidecars.Count.Lo && (c.Voters == 0 || c.Voters%2 == 1)
+		isWithinDrift := c.ClockRate.Hi <= 1+maxClockDrift && c.ClockRate.Lo >= 1-maxClockDrift
 		if err := f.Check("fleet", []tomlfile.Must{
-			tomlfile.Need("voters", t.Voters >= 0 && float64(t.Voters) <= d.Sidecars.Count.Lo && (t.Voters == 0 || t.Voters%2 == 1), "0 or an odd number, of the sidecars"),
-			tomlfile.Need("agreed", !t.HasConsensus || t.Voters > 0 && t.ClockRate.Hi <= 1+maxClockDrift && t.ClockRate.Lo >= 1-maxClockDrift, fmt.Sprintf("beside voters, and clocks within %v", maxClockDrift)),
-			tomlfile.Need("clock", t.ClockRate.Hi == 0 || t.ClockRate.Lo >= 0.5 && t.ClockRate.Hi <= 2, "from 0.5 to 2"),
-			tomlfile.Need("detect", t.DetectWithin > 0, "over 0"),
-			tomlfile.Need("settle", t.SettleWithin > 0, "over 0"),
+			tomlfile.Need("voters", hasValidVoters, "0 or an odd number, of the sidecars"),
+			tomlfile.Need("agreed", !c.HasConsensus || c.Voters > 0 && isWithinDrift,
+				fmt.Sprintf("beside voters, and clocks within %v", maxClockDrift)),
+			tomlfile.Need("clock", c.ClockRate.Hi == 0 || c.ClockRate.Lo >= 0.5 && c.ClockRate.Hi <= 2, "from 0.5 to 2"),
+			tomlfile.Need("detect", c.DetectWithin > 0, "over 0"),
+			tomlfile.Need("settle", c.SettleWithin > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
 	}
-	for i, t := range d.LinkFaults {
-		size, ok := linkFaultHasMagnitude[t.Kind]
+	for i, spec := range d.LinkFaults {
+		hasMagnitude, isKnown := linkFaultHasMagnitude[spec.Kind]
+		hasValidParts := spec.Parts == 0 ||
+			spec.Parts >= 2 && !spec.IsolatesOne && float64(spec.Parts) <= d.Sidecars.Count.Lo
 		if err := f.Check(fmt.Sprintf("link_trouble[%d]", i), []tomlfile.Must{
-			tomlfile.Need("kind", ok, "cut, reset, loss, duplicate or delay"),
+			tomlfile.Need("kind", isKnown, "cut, reset, loss, duplicate or delay"),
 			tomlfile.Need("kind", d.Cluster != nil, "of a day with a fleet"),
-			tomlfile.Need("at", t.At.Hi < d.Length, "before the day's end"),
-			tomlfile.Need("for", t.For.Lo > 0, "over 0"),
-			tomlfile.Need("parts", t.Parts == 0 || t.Parts >= 2 && !t.IsolatesOne && float64(t.Parts) <= d.Sidecars.Count.Lo, "2 at least, one sidecar each, and not beside alone"),
-			tomlfile.Need("size", (t.Magnitude.Lo > 0) == size, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Need("size", t.Kind == "delay" || t.Magnitude.Hi <= 1, "a share"),
+			tomlfile.Need("at", spec.At.Hi < d.Length, "before the day's end"),
+			tomlfile.Need("for", spec.For.Lo > 0, "over 0"),
+			tomlfile.Need("parts", hasValidParts, "2 at least, one sidecar each, and not beside alone"),
+			tomlfile.Need("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Need("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a share"),
 		}); err != nil {
 			return err
 		}
@@ -89,28 +101,28 @@
 	return nil
 }
 
-// drawLinkFaults deals the sidecars to parts.
 func (p *Plan) drawLinkFaults() {
 	rng := newSource(p.Seed, sourceLinkFaults)
-	for _, t := range p.Day.LinkFaults {
-		s := LinkFault{Kind: t.Kind, At: t.At.At(rng.Float64()), For: t.For.At(rng.Float64()), IsOneWay: t.IsOneWay, Period: t.Period.At(rng.Float64()), Magnitude: t.Magnitude.At(rng.Float64())}
-		s.Parts = p.partition(rng, t)
-		p.LinkFaults = append(p.LinkFaults, s)
+	for _, spec := range p.Day.LinkFaults {
+		fault := LinkFault{Kind: spec.Kind, At: spec.At.At(rng.Float64()), For: spec.For.At(rng.Float64()),
+			IsOneWay: spec.IsOneWay, Period: spec.Period.At(rng.Float64()), Magnitude: spec.Magnitude.At(rng.Float64())}
+		fault.Parts = p.partition(rng, spec)
+		p.LinkFaults = append(p.LinkFaults, fault)
 	}
 }
 
-// partition makes parts of the sidecars: without a word of it each is a part of its own.
-func (p *Plan) partition(rng *rand.Rand, t LinkFaultSpec) [][]string {
+// partition divides the sidecars into the parts of a link fault; where it names none, each sidecar is a part.
+func (p *Plan) partition(rng *rand.Rand, spec LinkFaultSpec) [][]string {
 	var names []string
 	for _, i := range rng.Perm(p.Sidecars) {
 		names = append(names, sidecarName(i))
 	}
-	if t.HasBridge {
+	if spec.HasBridge {
 		names = names[1:]
 	}
-	n := t.Parts
+	n := spec.Parts
 	switch {
-	case t.IsolatesOne:
+	case spec.IsolatesOne:
 		return [][]string{names[:1], names[1:]}
 	case n == 0:
 		n = len(names)
@@ -125,18 +137,18 @@
 	return parts
 }
 
-// linkState is what becomes of the links that are hit.
-func (s *LinkFault) linkState() faultnet.Link {
-	switch s.Kind {
+// linkState is the state of a link while the fault is active.
+func (f *LinkFault) linkState() faultnet.Link {
+	switch f.Kind {
 	case "cut":
 		return faultnet.Link{Cut: true}
 	case "reset":
 		return faultnet.Link{Reset: true}
 	case "loss":
-		return faultnet.Link{Loss: s.Magnitude}
+		return faultnet.Link{Loss: f.Magnitude}
 	case "duplicate":
-		return faultnet.Link{Duplicate: s.Magnitude}
+		return faultnet.Link{Duplicate: f.Magnitude}
 	}
-	d := time.Duration(s.Magnitude * float64(time.Second))
-	return faultnet.Link{Delay: d, Jitter: d}
+	delay := time.Duration(f.Magnitude * float64(time.Second))
+	return faultnet.Link{Delay: delay, Jitter: delay}
 }
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -11,91 +11,102 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// startPollers looks at what the sidecars hold of one another, until done closes.
-func (f *cluster) startPollers(done <-chan struct{}) {
-	if f == nil {
+const (
+	clusterPollInterval = 50 * time.Millisecond // between two polls of one sidecar
+	clusterPollTimeout  = time.Second
+	overrideInterval    = 1500 * time.Millisecond // between two changes of the operator override
+)
+
+// startPollers starts goroutines that poll what the sidecars hold of one another, until done closes.
+func (c *cluster) startPollers(done <-chan struct{}) {
+	if c == nil {
 		return
 	}
-	for name, place := range f.members {
-		f.pollers.Go(func() { f.pollMembership(name, place, done) })
-		if f.w.plan.Day.Cluster.HasConsensus {
-			f.pollers.Go(func() { f.pollVersion(name, place, done) })
+	hasConsensus := c.rehearsal.plan.Day.Cluster.HasConsensus
+	for name, member := range c.members {
+		c.pollers.Go(func() { c.pollMembership(name, member, done) })
+		if hasConsensus {
+			c.pollers.Go(func() { c.pollVersion(name, member, done) })
 		}
 	}
-	if f.w.plan.Day.Cluster.HasConsensus {
-		f.pollers.Go(func() { f.toggleOverride(done) })
+	if hasConsensus {
+		c.pollers.Go(func() { c.toggleOverride(done) })
 	}
 }
 
-func (f *cluster) pollMembership(name string, place *clusterMember, done <-chan struct{}) {
-	held := map[string]status.Peer{}
-	for f.sleep(done, clusterPollInterval) {
-		r, err := status.FetchFleet(place.adminAddr, clusterPollTimeout)
+// pollMembership polls a sidecar's view of the members, and records each change in it.
+func (c *cluster) pollMembership(name string, member *clusterMember, done <-chan struct{}) {
+	known := map[string]status.Peer{}
+	for c.sleep(done, clusterPollInterval) {
+		fleet, err := status.FetchFleet(member.adminAddr, clusterPollTimeout)
 		if err != nil {
 			if failed := (*net.OpError)(nil); errors.As(err, &failed) && failed.Op != "read" {
-				clear(held) // nobody takes the call, and a process that is started again holds nothing of its former life
+				clear(known) // no process listens, and a restarted one holds nothing of its former incarnation
 			}
 			continue
 		}
-		f.recordView(name, r, held)
+		c.recordView(name, fleet, known)
 	}
 }
 
-// recordView notes what is new in a report.
-func (f *cluster) recordView(name string, r *status.Fleet, held map[string]status.Peer) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, p := range r.Peers {
-		if was, ok := held[p.Name]; ok && was.State == p.State && was.Incarnation == p.Incarnation {
+// recordView records what has changed in a sidecar's view since the one known.
+func (c *cluster) recordView(name string, fleet *status.Fleet, known map[string]status.Peer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range fleet.Peers {
+		if previous, ok := known[p.Name]; ok && previous.State == p.State && previous.Incarnation == p.Incarnation {
 			continue
 		}
-		held[p.Name] = p
-		f.record(clusterinvariant.Event{Kind: clusterinvariant.Saw, By: name, Of: p.Name, State: p.State, Incarnation: p.Incarnation})
+		known[p.Name] = p
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.Saw, By: name, Of: p.Name, State: p.State,
+			Incarnation: p.Incarnation})
 	}
 }
 
-// pollVersion asks a sidecar which version it acts on, until done closes.
-func (f *cluster) pollVersion(name string, place *clusterMember, done <-chan struct{}) {
-	for f.sleep(done, clusterPollInterval) {
-		f.mu.Lock()
-		life := place.incarnation
-		f.mu.Unlock()
-		asked := f.w.recorder.Now()
-		s, err := status.FetchSettings(place.adminAddr, clusterPollTimeout)
+// pollVersion polls the version that a sidecar acts on. A response that a restart overlaps is not used.
+func (c *cluster) pollVersion(name string, member *clusterMember, done <-chan struct{}) {
+	for c.sleep(done, clusterPollInterval) {
+		c.mu.Lock()
+		incarnation := member.incarnation
+		c.mu.Unlock()
+		sentAt := c.rehearsal.recorder.Now()
+		s, err := status.FetchSettings(member.adminAddr, clusterPollTimeout)
 		if err != nil || !s.Acting {
 			continue
 		}
-		act := clusterinvariant.Act{Asked: asked, Said: f.w.recorder.Now(), By: name, Life: life, Version: s.Version, Digest: fmt.Sprint(s.Documents)}
-		f.mu.Lock()
-		if life == place.incarnation && len(f.acts) < maxEvents/10 {
-			f.acts = append(f.acts, act)
+		act := clusterinvariant.Act{Asked: sentAt, Said: c.rehearsal.recorder.Now(), By: name, Life: incarnation,
+			Version: s.Version, Digest: fmt.Sprint(s.Documents)}
+		c.mu.Lock()
+		if incarnation == member.incarnation && len(c.acts) < maxClusterEvents {
+			c.acts = append(c.acts, act)
 		}
-		f.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
-// toggleOverride takes an endpoint out and gives it back, again and again, at a sidecar that is drawn each time. What becomes of a call is
-// for the versions to show.
-func (f *cluster) toggleOverride(done <-chan struct{}) {
-	nodes := f.w.hosts[0]
-	for n := 0; f.sleep(done, overrideInterval); n++ {
-		at := f.members[sidecarName(int(f.w.drawHash("hands", fmt.Sprint(n))%uint64(len(f.members))))]
-		word := []string{"set-down", "set-up"}[n%2]
-		if nc, err := net.DialTimeout("tcp", at.adminAddr, clusterPollTimeout); err == nil {
-			_ = nc.SetDeadline(time.Now().Add(clusterPollTimeout))
-			_, _ = fmt.Fprintf(nc, "%s %s\n", word, nodes[len(nodes)-1].plan.Spec.ID)
-			_, _ = io.Copy(io.Discard, nc)
-			nc.Close()
+// toggleOverride ejects an endpoint manually and brings it back, again and again, at a sidecar that is drawn each time.
+// The commands may fail: the versions that are acted on show what became of them.
+func (c *cluster) toggleOverride(done <-chan struct{}) {
+	hosts := c.rehearsal.hosts[0]
+	endpoint := hosts[len(hosts)-1].plan.Spec.ID
+	for n := 0; c.sleep(done, overrideInterval); n++ {
+		drawn := int(c.rehearsal.drawHash("hands", fmt.Sprint(n)) % uint64(len(c.members)))
+		command := []string{"set-down", "set-up"}[n%2]
+		if conn, err := net.DialTimeout("tcp", c.members[sidecarName(drawn)].adminAddr, clusterPollTimeout); err == nil {
+			_ = conn.SetDeadline(time.Now().Add(clusterPollTimeout))
+			_, _ = fmt.Fprintf(conn, "%s %s\n", command, endpoint)
+			_, _ = io.Copy(io.Discard, conn)
+			conn.Close()
 		}
 	}
 }
 
-// sleep waits; false: it is over.
-func (f *cluster) sleep(done <-chan struct{}, d time.Duration) bool {
+// sleep waits for d, or is false when done closes or the rehearsal's context ends first.
+func (c *cluster) sleep(done <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-done:
 		return false
-	case <-f.w.ctx.Done():
+	case <-c.rehearsal.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -10,22 +10,23 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
+// maxReportedViolations bounds the violations of one rule of a cluster in a result.
 const maxReportedViolations = 20
 
-// ClusterResult is what a day with a fleet showed of it.
+// ClusterResult is what a day with a cluster showed of it.
 type ClusterResult struct {
 	Held             bool                `json:"held"`
 	Rules            []ClusterRuleResult `json:"rules"`
-	DetectionSeconds float64             `json:"detect_s"` // the longest time until all others knew of one that was gone, where nothing else was wrong
-	SettleSeconds    float64             `json:"settle_s"` // the longest time after the last fault until all views were right
+	DetectionSeconds float64             `json:"detect_s"` // the longest until all others knew of a failure, while no fault was active
+	SettleSeconds    float64             `json:"settle_s"` // the longest after the last fault until all views were right
 	Events           int                 `json:"events"`
 
-	Acts                 int     `json:"acts,omitempty"`            // that a sidecar was asked which version it acts on, and had a lease
+	Acts                 int     `json:"acts,omitempty"`            // polls of a sidecar that held a lease on a version
 	Versions             int     `json:"versions,omitempty"`        // that were acted on
 	ContradictionSeconds float64 `json:"contradiction_s,omitempty"` // the longest that is certain
 }
 
-// ClusterRuleResult is the finding on one rule of a fleet.
+// ClusterRuleResult is the finding on one rule of a cluster.
 type ClusterRuleResult struct {
 	Name       string                    `json:"name"`
 	Verdict    string                    `json:"verdict"` // held, broken or not put to the test
@@ -33,61 +34,68 @@
 	Violations []clusterinvariant.Breach `json:"breaches"`
 }
 
-// check holds the day's timeline against the rules of a fleet.
-func (f *cluster) check(dayStart, end time.Duration) *ClusterResult {
-	if f == nil {
+// check checks the timeline of the cluster against its rules; nil: the day has no cluster. Instants are relative to the
+// start of the day.
+func (c *cluster) check(dayStart, end time.Duration) *ClusterResult {
+	if c == nil {
 		return nil
 	}
-	f.pollers.Wait()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	day := f.w.plan.Day.Cluster
-	v := clusterinvariant.Judge(f.events, clusterinvariant.Limits{Detect: day.DetectWithin, Settle: day.SettleWithin, End: end})
-	p := &ClusterResult{Held: len(v.Breaches) == 0, DetectionSeconds: v.Detect.Seconds(), SettleSeconds: v.Settle.Seconds(), Events: len(f.events)}
+	c.pollers.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	config := c.rehearsal.plan.Day.Cluster
+	verdict := clusterinvariant.Judge(c.events, clusterinvariant.Limits{Detect: config.DetectWithin,
+		Settle: config.SettleWithin, End: end})
+	result := &ClusterResult{DetectionSeconds: verdict.Detect.Seconds(), SettleSeconds: verdict.Settle.Seconds(),
+		Events: len(c.events)}
 	rules := clusterinvariant.Rules
-	if day.HasConsensus {
-		slices.SortStableFunc(f.acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
-		versions := clusterinvariant.JudgeVersions(f.acts, maxConflictDuration)
-		p.Acts, p.Versions, p.ContradictionSeconds = versions.Acts, versions.Versions, versions.Longest.Seconds()
-		v.Breaches = append(v.Breaches, versions.Breaches...)
-		p.Held = len(v.Breaches) == 0
+	if config.HasConsensus {
+		slices.SortStableFunc(c.acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
+		versions := clusterinvariant.JudgeVersions(c.acts, maxConflictDuration)
+		result.Acts, result.Versions = versions.Acts, versions.Versions
+		result.ContradictionSeconds = versions.Longest.Seconds()
+		verdict.Breaches = append(verdict.Breaches, versions.Breaches...)
 		rules = append(slices.Clone(rules), clusterinvariant.VersionRules...)
 		for _, rule := range clusterinvariant.VersionRules {
-			v.Tested[rule] = max(versions.Versions-1, 0)
+			verdict.Tested[rule] = max(versions.Versions-1, 0)
 		}
 	}
+	result.Held = len(verdict.Breaches) == 0
 	for _, rule := range rules {
-		r := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: v.Tested[rule], Violations: []clusterinvariant.Breach{}}
-		for _, b := range v.Breaches {
-			if b.Rule == rule && len(r.Violations) < maxReportedViolations {
-				b.At -= dayStart
-				r.Violations = append(r.Violations, b)
+		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: verdict.Tested[rule],
+			Violations: []clusterinvariant.Breach{}}
+		for _, violation := range verdict.Breaches {
+			if violation.Rule == rule && len(finding.Violations) < maxReportedViolations {
+				violation.At -= dayStart
+				finding.Violations = append(finding.Violations, violation)
 			}
 		}
 		switch {
-		case len(r.Violations) > 0:
-			r.Verdict = "broken"
-		case r.Tests == 0:
-			r.Verdict = "not put to the test"
+		case len(finding.Violations) > 0:
+			finding.Verdict = "broken"
+		case finding.Tests == 0:
+			finding.Verdict = "not put to the test"
 		}
-		p.Rules = append(p.Rules, r)
+		result.Rules = append(result.Rules, finding)
 	}
-	return p
+	return result
 }
 
-// writeText writes the finding in words.
-func (p *ClusterResult) writeText(b *strings.Builder) {
-	if p == nil {
+// writeText writes the finding as lines of text; nothing for nil.
+func (r *ClusterResult) writeText(b *strings.Builder) {
+	if r == nil {
 		return
 	}
-	for _, r := range p.Rules {
-		fmt.Fprintf(b, "fleet   %s: %s (%d)\n", r.Name, r.Verdict, r.Tests)
-		for _, x := range r.Violations[:min(len(r.Violations), 3)] {
-			fmt.Fprintf(b, "  at %.3f s: %s\n", x.At.Seconds(), x.Text)
+	for _, rule := range r.Rules {
+		fmt.Fprintf(b, "fleet   %s: %s (%d)\n", rule.Name, rule.Verdict, rule.Tests)
+		for _, violation := range rule.Violations[:min(len(rule.Violations), 3)] {
+			fmt.Fprintf(b, "  at %.3f s: %s\n", violation.At.Seconds(), violation.Text)
 		}
 	}
-	if p.Acts > 0 {
-		fmt.Fprintf(b, "fleet   %d versions acted on, %d acts; the longest contradiction that is certain %.2f s of %v\n", p.Versions, p.Acts, p.ContradictionSeconds, maxConflictDuration)
+	if r.Acts > 0 {
+		fmt.Fprintf(b, "fleet   %d versions acted on, %d acts; the longest contradiction that is certain %.2f s of %v\n",
+			r.Versions, r.Acts, r.ContradictionSeconds, maxConflictDuration)
 	}
-	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, until views were right after the last fault %.1f s\n", p.DetectionSeconds, p.SettleSeconds)
+	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, until views were right after the last fault %.1f s\n",
+		r.DetectionSeconds, r.SettleSeconds)
 }
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -13,272 +10,181 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// inject plays one trouble. When ctx ends, what would come later is left out.
-func (w *rehearsal) inject(ctx context.Context, start time.Time, s Fault) {
-	if !sleep(ctx, time.Until(start.Add(s.At))) {
+const (
+	frontNoticeAfterTerm = 300 * time.Millisecond // the front layer sends new connections for so long after SIGTERM
+	maxDeadlineWait      = 3 * time.Second        // the longest that the platform waits for deadlines before SIGKILL
+)
+
+// inject injects one fault when it is due, and returns when it is over. When ctx ends, the rest of it is left out.
+func (r *rehearsal) inject(ctx context.Context, start time.Time, fault Fault) {
+	if !sleep(ctx, time.Until(start.Add(fault.At))) {
 		return
 	}
-	switch s.Kind {
+	switch fault.Kind {
 	case "slow":
-		w.applyNodeFault(ctx, s, (*fake.Node).SetSlowdown, 1)
+		r.injectNodeFault(ctx, fault, (*fake.Node).SetSlowdown, 1)
 	case "hang":
-		w.applyNodeFault(ctx, s, (*fake.Node).SetHangShare, 0)
+		r.injectNodeFault(ctx, fault, (*fake.Node).SetHangShare, 0)
 	case "reset":
-		w.applyNodeFault(ctx, s, (*fake.Node).SetResetShare, 0)
+		r.injectNodeFault(ctx, fault, (*fake.Node).SetResetShare, 0)
 	case "crash":
-		w.forEachTarget(s, func(p *host) { w.crashNode(ctx, p, s) })
+		r.forEachTarget(fault, func(h *host) { r.crashNode(ctx, h, fault) })
 	case "drain":
-		w.forEachTarget(s, func(p *host) { w.drainNode(ctx, p, s) })
+		r.forEachTarget(fault, func(h *host) { r.drainNode(ctx, h, fault) })
 	case "restart":
-		w.restartSidecars(ctx, s)
+		r.restartSidecars(ctx, fault)
 	case "stall":
-		w.pauseSidecars(ctx, s)
+		r.pauseSidecars(ctx, fault)
 	case "roster-late":
-		w.extraNotice.Add(int64(s.Magnitude * float64(time.Second)))
-		sleep(ctx, s.For)
-		w.extraNotice.Add(-int64(s.Magnitude * float64(time.Second)))
+		delay := int64(fault.Magnitude * float64(time.Second))
+		r.extraNotice.Add(delay)
+		sleep(ctx, fault.For)
+		r.extraNotice.Add(-delay)
 	case "roster-down":
-		w.setDiscoveryDown(true)
-		sleep(ctx, s.For)
-		w.setDiscoveryDown(false)
+		r.setDiscoveryDown(true)
+		sleep(ctx, fault.For)
+		r.setDiscoveryDown(false)
 	}
 }
 
-// targets are those that a trouble hits.
-func (w *rehearsal) targets(s Fault) []*host {
+// targets are the hosts of the nodes that a fault hits.
+func (r *rehearsal) targets(fault Fault) []*host {
 	var out []*host
-	for _, p := range w.hosts[s.Tier] {
-		for _, id := range s.Targets {
-			if p.plan.Spec.ID == id {
-				out = append(out, p)
+	for _, h := range r.hosts[fault.Tier] {
+		for _, id := range fault.Targets {
+			if h.plan.Spec.ID == id {
+				out = append(out, h)
 			}
 		}
 	}
 	return out
 }
 
-func (w *rehearsal) forEachTarget(s Fault, do func(*host)) {
+// forEachTarget calls do for all targets concurrently, and waits for all.
+func (r *rehearsal) forEachTarget(fault Fault, do func(*host)) {
 	var all sync.WaitGroup
-	for _, p := range w.targets(s) {
-		all.Go(func() { do(p) })
+	for _, h := range r.targets(fault) {
+		all.Go(func() { do(h) })
 	}
 	all.Wait()
 }
 
-func (w *rehearsal) applyNodeFault(ctx context.Context, s Fault, set func(*fake.Node, float64), well float64) {
-	each := func(size float64) {
-		for _, p := range w.targets(s) {
-			p.mu.Lock()
-			set(p.node, size)
-			p.mu.Unlock()
+// injectNodeFault sets a fault of nodes to its magnitude, and to the value without a fault when it is over.
+func (r *rehearsal) injectNodeFault(ctx context.Context, fault Fault, set func(*fake.Node, float64), none float64) {
+	setAll := func(magnitude float64) {
+		for _, h := range r.targets(fault) {
+			h.mu.Lock()
+			set(h.node, magnitude)
+			h.mu.Unlock()
 		}
 	}
-	each(s.Magnitude)
-	sleep(ctx, s.For)
-	each(well)
+	setAll(fault.Magnitude)
+	sleep(ctx, fault.For)
+	setAll(none)
 }
 
-// crashNode kills a node with its sidecar, and brings both back cold.
-func (w *rehearsal) crashNode(ctx context.Context, p *host, s Fault) {
-	w.stopNode(p)
-	if !sleep(ctx, s.For) {
+// crashNode kills a node with its sidecar, and restarts both cold.
+func (r *rehearsal) crashNode(ctx context.Context, h *host, fault Fault) {
+	r.stopNode(h)
+	if !sleep(ctx, fault.For) {
 		return
 	}
-	w.restartNode(ctx, p, s.Mode)
+	r.restartNode(ctx, h, fault.Mode)
 }
 
-// drainNode tells that a node drains, stops it after a while, and brings it back cold.
-func (w *rehearsal) drainNode(ctx context.Context, p *host, s Fault) {
-	p.mu.Lock()
-	p.node.Drain()
-	p.member.State = fake.StateDraining
-	m := p.member
-	p.mu.Unlock()
-	w.announce(p, m, false)
-	if !sleep(ctx, s.For) {
+// drainNode drains a node, stops it after a while, and restarts it cold.
+func (r *rehearsal) drainNode(ctx context.Context, h *host, fault Fault) {
+	h.mu.Lock()
+	h.node.Drain()
+	h.member.State = fake.StateDraining
+	m := h.member
+	h.mu.Unlock()
+	r.announce(h, m, false)
+	if !sleep(ctx, fault.For) {
 		return
 	}
-	w.stopNode(p)
-	if !sleep(ctx, s.DownFor) {
+	r.stopNode(h)
+	if !sleep(ctx, fault.DownFor) {
 		return
 	}
-	w.restartNode(ctx, p, s.Mode)
-}
-
-// stopNode kills a node and its sidecar; the roster hears of it in its own time.
-func (w *rehearsal) stopNode(p *host) {
-	p.mu.Lock()
-	p.node.Stop()
-	side, caller := p.sidecar, p.client
-	p.member.State = fake.StateGone
-	m := p.member
-	p.mu.Unlock()
-	if side != nil {
-		side.kill()
-		caller.Close()
-	}
-	w.announce(p, m, false)
+	r.restartNode(ctx, h, fault.Mode)
 }
 
-// restartNode brings a node back cold, at its old address, under its old id or a new one. Its sidecar comes up first.
-func (w *rehearsal) restartNode(ctx context.Context, p *host, how string) {
-	if p.sidecar != nil {
-		err := p.sidecar.start()
-		if err == nil {
-			err = p.sidecar.awaitReady(ctx)
-		}
-		if err != nil {
-			if ctx.Err() == nil {
-				w.fail(fmt.Errorf("node %s: %w", p.plan.Spec.ID, err))
-			}
-			return
-		}
+func (r *rehearsal) setDiscoveryDown(isDown bool) {
+	for _, p := range r.sidecars {
+		p.agent.SetDown(isDown)
 	}
-	p.mu.Lock()
-	if how == "renamed" {
-		p.renames++
-		p.newNode(w, p.plan.Spec.ID+strings.Repeat("'", p.renames), p.node.Addr)
-	}
-	began, err := p.node.Start(true)
-	p.member = memberOf(p.node, fake.StateReady, began)
-	m := p.member
-	p.mu.Unlock()
-	if err != nil {
-		if !errors.Is(err, fake.ErrCollapsed) { // its port is taken: the day is not the one that was drawn
-			w.fail(err)
-		}
-		return
-	}
-	w.announce(p, m, true)
-}
-
-// announce sends a change to the agents of all sidecars that send to the node's tier, each in its own time, in order.
-func (w *rehearsal) announce(p *host, m fake.Member, added bool) {
-	span := w.plan.Day.Roster.Notice
-	if added {
-		span = w.plan.Day.Roster.Add
-	}
-	notice := span.At(w.drawShare("notice", m.ID, m.State)) + time.Duration(w.extraNotice.Load())
-	for _, a := range w.agentsOf(p.plan.Spec.Tier) {
-		at := time.Now().Add(notice + w.plan.Day.Roster.Spread.At(w.drawShare("spread", m.ID, m.State, a.Sidecar)))
-		select {
-		case w.notifications[a] <- notification{at, m}:
-		case <-w.ctx.Done():
-		}
-	}
-}
-
-// notification is a change on its way to an agent.
-type notification struct {
-	dueAt  time.Time
-	member fake.Member
 }
 
-// maxPendingNotifications is how many changes may be on their way to one agent.
-const maxPendingNotifications = 1024
-
-// deliver hands an agent its changes in the order in which they happened, each no sooner than it is due.
-func (w *rehearsal) deliver(a *fake.Agent, notices <-chan notification) {
-	for {
-		select {
-		case <-w.ctx.Done():
-			return
-		case n := <-notices:
-			if !sleep(w.ctx, time.Until(n.dueAt)) {
-				return
-			}
-			a.Update(n.member)
-		}
-	}
-}
-
-// agentsOf are those of the sidecars that send to a tier.
-func (w *rehearsal) agentsOf(tier int) []*fake.Agent {
-	var out []*fake.Agent
-	if tier == 0 {
-		for _, p := range w.frontSidecars {
-			out = append(out, p.agent)
-		}
-		return out
-	}
-	for _, s := range w.hosts[tier-1] {
-		out = append(out, s.sidecar.agent)
-	}
-	return out
-}
-
-func (w *rehearsal) setDiscoveryDown(down bool) {
-	for _, p := range w.sidecars {
-		p.agent.SetDown(down)
-	}
-}
-
-// pauseSidecars stops sidecars' processes for a while, all at once.
-func (w *rehearsal) pauseSidecars(ctx context.Context, s Fault) {
-	w.cluster.beginFault()
-	defer w.cluster.endFault()
+// pauseSidecars stops the processes of sidecars for a while, all at once.
+func (r *rehearsal) pauseSidecars(ctx context.Context, fault Fault) {
+	r.cluster.beginFault()
+	defer r.cluster.endFault()
 	var all sync.WaitGroup
-	for _, p := range w.frontSidecars {
-		if slices.Contains(s.Targets, p.name) {
-			all.Go(func() { p.pause(ctx, s.For) })
+	for _, p := range r.frontSidecars {
+		if slices.Contains(fault.Targets, p.name) {
+			all.Go(func() { p.pause(ctx, fault.For) })
 		}
 	}
 	all.Wait()
 }
 
-// restartSidecars ends sidecars one after another and starts each again with nothing but its last list.
-func (w *rehearsal) restartSidecars(ctx context.Context, s Fault) {
+// restartSidecars ends sidecars one after another and starts each again with nothing but its last endpoint list.
+func (r *rehearsal) restartSidecars(ctx context.Context, fault Fault) {
 	var all sync.WaitGroup
-	for i, name := range s.Targets {
-		for _, p := range w.frontSidecars {
+	for i, name := range fault.Targets {
+		for _, p := range r.frontSidecars {
 			if p.name == name {
-				all.Go(func() { w.restartSidecar(ctx, p, s, time.Duration(i)*s.For/time.Duration(len(s.Targets))) })
+				after := time.Duration(i) * fault.For / time.Duration(len(fault.Targets))
+				all.Go(func() { r.restartSidecar(ctx, p, fault, after) })
 			}
 		}
 	}
 	all.Wait()
 }
 
-func (w *rehearsal) restartSidecar(ctx context.Context, p *sidecarProcess, s Fault, after time.Duration) {
+func (r *rehearsal) restartSidecar(ctx context.Context, p *sidecarProcess, fault Fault, after time.Duration) {
 	if !sleep(ctx, after) {
 		return
 	}
-	notice := w.plan.Day.Front.Notice.At(w.drawShare("front", p.name, fmt.Sprint(s.At)))
-	if s.Mode == "planned" {
-		notice = frontNoticeAfterTerm
-	}
+	isPlanned := fault.Mode == "planned"
 	var noticed sync.WaitGroup
 	defer noticed.Wait()
-	noticed.Go(func() { // the front goes on sending to a dead one for a while
-		if sleep(ctx, notice) {
-			w.frontLayer.Remove(p.name)
+	noticed.Go(func() { // the front layer goes on sending to a dead sidecar for a while
+		if sleep(ctx, r.frontNotice(p, fault)) {
+			r.frontLayer.Remove(p.name)
 		}
 	})
-	if s.Mode == "planned" {
-		w.cluster.recordFact(clusterinvariant.Leaving, p.name)
-		p.terminate(min(w.plan.longestDeadline(), maxDeadlineWait) + termGrace)
-		w.cluster.recordFact(clusterinvariant.Leaves, p.name)
+	if isPlanned {
+		r.cluster.recordFact(clusterinvariant.Leaving, p.name)
+		p.terminate(min(r.plan.longestDeadline(), maxDeadlineWait) + termGrace)
+		r.cluster.recordFact(clusterinvariant.Leaves, p.name)
 	} else {
 		p.kill()
-		w.cluster.recordFact(clusterinvariant.Down, p.name)
+		r.cluster.recordFact(clusterinvariant.Down, p.name)
 	}
-	if !sleep(ctx, s.DownFor) {
+	if !sleep(ctx, fault.DownFor) {
 		return
 	}
-	w.cluster.recordFact(clusterinvariant.Up, p.name) // before: what it says of others from now on is of this life
+	r.cluster.recordFact(clusterinvariant.Up, p.name) // before the start: its views from now on are of the new incarnation
 	if err := p.start(); err != nil {
-		w.fail(err)
+		r.fail(err)
 		return
 	}
 	if err := p.awaitReady(ctx); err != nil {
 		if ctx.Err() == nil {
-			w.fail(err)
+			r.fail(err)
 		}
 		return
 	}
 	noticed.Wait()
-	w.frontLayer.Add(p.name, p.addr)
+	r.frontLayer.Add(p.name, p.addr)
 }
 
-// maxDeadlineWait is the longest that the platform waits for deadlines before SIGKILL.
-const maxDeadlineWait = 3 * time.Second
+// frontNotice is how long the front layer sends new connections to a sidecar that ends.
+func (r *rehearsal) frontNotice(p *sidecarProcess, fault Fault) time.Duration {
+	if fault.Mode == "planned" {
+		return frontNoticeAfterTerm
+	}
+	return r.plan.Day.Front.Notice.At(r.drawShare("front", p.name, fault.At.String()))
+}
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -10,195 +10,247 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-func ratio(a, b, empty float64) float64 {
-	if b <= 0 {
-		return empty
-	}
-	return a / b
-}
+// The weights of a day's shares in the points of service, which together are 1.
+const (
+	weightOverall     = 0.55
+	weightWorstWindow = 0.15
+	weightWorstClass  = 0.05
+	weightWorstTenant = 0.25
+)
 
-// Weights and prices of service.
+// The points of service that are taken off, of 100; see Penalties.
 const (
-	weightOverall, weightWorstWindow, weightWorstClass, weightWorstTenant = 0.55, 0.15, 0.05, 0.25
-	penaltyConnections, penaltyWaste, penaltyLateFails, penaltyOverload   = 8, 4, 3, 6
-	worstWindowSeconds                                                    = 10 // seconds
+	penaltyConnections = 8
+	penaltyWaste       = 4
+	penaltyLateFails   = 3
+	penaltyOverload    = 6
 )
 
-func (w *rehearsal) newResult(h *monitor, dayStart, end time.Duration, began resources) *Result {
-	events, lost := w.recorder.Take()
+// worstWindowSeconds is the length of the window with the least share that counts for itself.
+const worstWindowSeconds = 10
+
+// newResult measures and checks the day that was played, up to the instant end of the recorder's clock.
+func (r *rehearsal) newResult(m *monitor, dayStart, end time.Duration, before resources) *Result {
+	events, dropped := r.recorder.Take()
 	events = slices.DeleteFunc(events, func(e invariant.Event) bool { return e.At > end })
-	r := &Result{Format: 1, Day: w.plan.Day.Name, Seed: w.plan.Seed, Demand: w.plan.Demand, ByClass: map[string]Share{}, ByTenant: map[string]Share{},
-		Latency: map[string]Latency{}, Faults: w.plan.Faults, InFlight: h.inFlight,
-		Fleet: FleetSize{Nodes: len(w.plan.Nodes), Sidecars: len(w.sidecars), Capacity: w.plan.Capacity, Rate: w.plan.Rate}}
-	for _, n := range w.plan.Nodes {
-		r.Nodes = append(r.Nodes, n.Spec.ID)
-	}
-	r.Invariants = invariant.Judge(w.plan.Rules(), events)
-	for i := range r.Invariants.Rules {
-		for k := range r.Invariants.Rules[i].Breaches {
-			r.Invariants.Rules[i].Breaches[k].At -= dayStart
+	result := &Result{
+		Format:   1,
+		Day:      r.plan.Day.Name,
+		Seed:     r.plan.Seed,
+		Demand:   r.plan.Demand,
+		ByClass:  map[string]Share{},
+		ByTenant: map[string]Share{},
+		Latency:  map[string]Latency{},
+		Faults:   r.plan.Faults,
+		InFlight: m.inFlight,
+		Fleet: FleetSize{Nodes: len(r.plan.Nodes), Sidecars: len(r.sidecars), Capacity: r.plan.Capacity,
+			Rate: r.plan.Rate},
+	}
+	for _, n := range r.plan.Nodes {
+		result.Nodes = append(result.Nodes, n.Spec.ID)
+	}
+	result.Invariants = invariant.Judge(r.plan.Rules(), events)
+	for i := range result.Invariants.Rules {
+		violations := result.Invariants.Rules[i].Breaches
+		for k := range violations {
+			violations[k].At -= dayStart
 		}
 	}
-	r.Held = r.Invariants.Held()
-	if r.Cluster = w.cluster.check(dayStart, end); r.Cluster != nil {
-		r.Held = r.Held && r.Cluster.Held
+	result.Held = result.Invariants.Held()
+	if result.Cluster = r.cluster.check(dayStart, end); result.Cluster != nil {
+		result.Held = result.Held && result.Cluster.Held
 	}
-	w.addWorth(r)
-	w.addNodeMetrics(r, events, dayStart)
+	r.addWorth(result)
+	r.addNodeMetrics(result, events, dayStart)
+	result.addService()
 	now := resourceUsage()
-	r.Harness = HarnessMetrics{LateP50: w.sendLateness.At(0.5).Seconds(), LateP99: w.sendLateness.At(0.99).Seconds(), LateMax: w.sendLateness.Most().Seconds(), TimerP99: h.timerLateness.At(0.99).Seconds(),
-		WorstStall: h.worstStall.Seconds(), CPU: (now.own - began.own).Seconds(), DroppedEvents: lost}
-	w.validate(r, events, dayStart)
-	return r
+	result.Harness = HarnessMetrics{
+		LateP50:       r.sendLateness.At(0.5).Seconds(),
+		LateP99:       r.sendLateness.At(0.99).Seconds(),
+		LateMax:       r.sendLateness.Most().Seconds(),
+		TimerP99:      m.timerLateness.At(0.99).Seconds(),
+		WorstStall:    m.worstStall.Seconds(),
+		CPU:           (now.own - before.own).Seconds(),
+		DroppedEvents: dropped,
+	}
+	r.validate(result, events, dayStart)
+	return result
 }
 
-// addWorth counts what was answered in time.
-func (w *rehearsal) addWorth(r *Result) {
-	all := map[string]*schedule.Latency{"all": schedule.NewLatency()}
-	seconds := make([]*schedule.Latency, int(math.Ceil(w.plan.Day.Length.Seconds())))
-	r.BySecond = make([]Second, len(seconds))
-	for i := range seconds {
-		seconds[i] = schedule.NewLatency()
-	}
-	var whole Share
-	lateFail, tries := 0.0, 0
-	for i := range w.plan.Requests {
-		q, o := &w.plan.Requests[i], &w.outcomes[i]
-		class := w.plan.Day.Classes[q.Class]
-		inTime := o.isInTime(class.LatencyObjective)
-		second := min(int(q.At.Seconds()), len(seconds)-1)
-		whole.add(q, inTime)
-		r.BySecond[second].add(q, inTime)
-		addToShare(r.ByClass, class.Name, q, inTime)
-		if !q.IsOverQuota {
-			addToShare(r.ByTenant, w.plan.Day.Tenants[q.Tenant].Name, q, inTime)
+// addWorth measures what clients got: shares of worth served in time, latencies and counts.
+func (r *rehearsal) addWorth(result *Result) {
+	byName := map[string]*schedule.Latency{"all": schedule.NewLatency()}
+	bySecond := make([]*schedule.Latency, int(math.Ceil(r.plan.Day.Length.Seconds())))
+	result.BySecond = make([]Second, len(bySecond))
+	for i := range bySecond {
+		bySecond[i] = schedule.NewLatency()
+	}
+	var overall Share
+	lateFailWorth, attempts := 0.0, 0
+	for i := range r.plan.Requests {
+		request, o := &r.plan.Requests[i], &r.outcomes[i]
+		class := r.plan.Day.Classes[request.Class]
+		isInTime := o.isInTime(class.LatencyObjective)
+		second := min(int(request.At.Seconds()), len(bySecond)-1)
+		overall.add(request, isInTime)
+		result.BySecond[second].add(request, isInTime)
+		addToShare(result.ByClass, class.Name, request, isInTime)
+		if !request.IsOverQuota {
+			addToShare(result.ByTenant, r.plan.Day.Tenants[request.Tenant].Name, request, isInTime)
 		}
-		tries += o.attempts
-		r.Requests.count(o, class.LatencyObjective)
+		attempts += o.attempts
+		result.Requests.count(o, class.LatencyObjective)
 		if o.isServed {
 			for _, name := range []string{"all", class.Name} {
-				if all[name] == nil {
-					all[name] = schedule.NewLatency()
+				if byName[name] == nil {
+					byName[name] = schedule.NewLatency()
 				}
-				all[name].Record(o.duration)
+				byName[name].Record(o.duration)
 			}
-			seconds[second].Record(o.duration)
+			bySecond[second].Record(o.duration)
 		} else if o.duration > class.LatencyObjective {
-			lateFail += q.Worth
+			lateFailWorth += request.Worth
 		}
 	}
-	for name, l := range all {
-		r.Latency[name] = Latency{l.At(0.5).Seconds(), l.At(0.9).Seconds(), l.At(0.99).Seconds(), l.At(0.999).Seconds(), l.Most().Seconds()}
+	for name, l := range byName {
+		result.Latency[name] = Latency{P50: l.At(0.5).Seconds(), P90: l.At(0.9).Seconds(), P99: l.At(0.99).Seconds(),
+			P999: l.At(0.999).Seconds(), Max: l.Most().Seconds()}
 	}
-	for i, l := range seconds {
-		r.BySecond[i].P50, r.BySecond[i].P99 = l.At(0.5).Seconds(), l.At(0.99).Seconds()
+	for i, l := range bySecond {
+		result.BySecond[i].P50, result.BySecond[i].P99 = l.At(0.5).Seconds(), l.At(0.99).Seconds()
 	}
-	r.WorthShare, r.WorstWindow = whole.Share, worstWindowShare(r.BySecond)
-	r.ClientAttempts = ratio(float64(tries), float64(len(w.plan.Requests)), 0)
-	r.Penalties.LateFails = penaltyLateFails * ratio(lateFail, whole.Offered, 0)
-}
-
-func addToShare(in map[string]Share, name string, q *Request, inTime bool) {
-	s := in[name]
-	s.add(q, inTime)
-	in[name] = s
-}
-
-func (c *Counts) count(o *outcome, aim time.Duration) {
-	c.Total++
-	switch {
-	case o.isServed:
-		c.Served++
-		if o.duration > aim {
-			c.Late++
-		}
-	case o.status == 429 || o.status == 503:
-		c.Rejected++
-	case o.status != 0:
-		c.Failed++
-	default:
-		c.Unanswered++
-	}
-}
-
-// worstWindowShare is the share in the worst ten seconds.
-func worstWindowShare(by []Second) float64 {
-	least := 1.0
-	for i := 0; i+min(worstWindowSeconds, len(by)) <= len(by); i++ {
-		var sum Share
-		for _, s := range by[i:min(i+worstWindowSeconds, len(by))] {
-			sum.Offered += s.Offered
-			sum.InTime += s.InTime
-		}
-		least = min(least, ratio(sum.InTime, sum.Offered, 1))
-	}
-	return least
+	result.WorthShare, result.WorstWindow = overall.Share, worstWindowShare(result.BySecond)
+	result.ClientAttempts = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
+	result.Penalties.LateFails = penaltyLateFails * ratio(lateFailWorth, overall.Offered, 0)
 }
 
-// addNodeMetrics counts what nodes saw, and takes the prices off.
-func (w *rehearsal) addNodeMetrics(r *Result, events []invariant.Event, dayStart time.Duration) {
+// addNodeMetrics measures what nodes observed: attempts, connections, rejections, wasted work and overload.
+func (r *rehearsal) addNodeMetrics(result *Result, events []invariant.Event, dayStart time.Duration) {
 	tierOf := map[string]int{}
-	conns, choked := 0, 0
-	for _, sites := range w.hosts {
-		for _, s := range sites {
-			s.mu.Lock()
-			hit := false
-			for _, n := range s.incarnations {
+	connections, overloaded := 0, 0
+	for _, hosts := range r.hosts {
+		for _, h := range hosts {
+			h.mu.Lock()
+			wasOverloaded := false
+			for _, n := range h.incarnations {
 				tierOf[n.ID] = n.Tier
-				conns += n.OpenedConnections()
-				hit = hit || n.WasOverloaded()
+				connections += n.OpenedConnections()
+				wasOverloaded = wasOverloaded || n.WasOverloaded()
 			}
-			if hit {
-				choked++
+			if wasOverloaded {
+				overloaded++
 			}
-			s.mu.Unlock()
+			h.mu.Unlock()
 		}
 	}
-	first, all, ran := 0, 0, 0.0
-	work := map[string]float64{}
-	r.Rejections = make([]float64, len(r.BySecond))
+	firstTier, allTiers, workDone := 0, 0, 0.0
+	work := map[string]float64{} // by request
+	result.Rejections = make([]float64, len(result.BySecond))
 	for _, e := range events {
 		switch e.Kind {
 		case invariant.Sent:
-			all++
+			allTiers++
 			if tierOf[e.Node] == 0 {
-				first++
+				firstTier++
 			}
 			work[e.Request] = e.Work
 		case invariant.Began:
 			if !e.Repeat {
-				ran += work[e.Request]
+				workDone += work[e.Request]
 			}
 		case invariant.Answered:
-			if s := int((e.At - dayStart).Seconds()); (e.Status == 503 || e.Status == 429) && s >= 0 && s < len(r.Rejections) {
-				r.Rejections[s]++
+			if s := int((e.At - dayStart).Seconds()); isRejection(e.Status) && s >= 0 && s < len(result.Rejections) {
+				result.Rejections[s]++
 			}
 		}
 	}
-	n := float64(len(w.plan.Requests))
-	r.Attempts, r.Calls, r.Connections = ratio(float64(first), n, 0), ratio(float64(all), n, 0), ratio(float64(conns), n, 0)
+	n := float64(len(r.plan.Requests))
+	result.Attempts = ratio(float64(firstTier), n, 0)
+	result.Calls = ratio(float64(allTiers), n, 0)
+	result.Connections = ratio(float64(connections), n, 0)
 	offered, useful := 0.0, 0.0
-	for i := range w.plan.Requests {
-		total := w.plan.Requests[i].Job.TotalWork().Seconds()
+	for i := range r.plan.Requests {
+		total := r.plan.Requests[i].Job.TotalWork().Seconds()
 		offered += total
-		if w.outcomes[i].isServed {
+		if r.outcomes[i].isServed {
 			useful += total
 		}
 	}
-	r.Penalties.Connections = penaltyConnections * r.Connections
-	r.Penalties.Waste = penaltyWaste * ratio(max(ran-useful, 0), offered, 0)
-	r.Penalties.Overload = penaltyOverload * ratio(float64(choked), float64(len(w.plan.Nodes)), 0)
-	r.Service = 100*(weightOverall*r.WorthShare+weightWorstWindow*r.WorstWindow+weightWorstClass*minShare(r.ByClass)+weightWorstTenant*minShare(r.ByTenant)) -
+	result.Penalties.Connections = penaltyConnections * result.Connections
+	result.Penalties.Waste = penaltyWaste * ratio(max(workDone-useful, 0), offered, 0)
+	result.Penalties.Overload = penaltyOverload * ratio(float64(overloaded), float64(len(r.plan.Nodes)), 0)
+}
+
+// addService sums the weighted shares, less the penalties, to points of 100.
+func (r *Result) addService() {
+	r.Service = 100*(weightOverall*r.WorthShare+weightWorstWindow*r.WorstWindow+weightWorstClass*minShare(r.ByClass)+
+		weightWorstTenant*minShare(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFails - r.Penalties.Overload
 }
 
-func minShare(by map[string]Share) float64 {
+// add counts a request.
+func (s *Share) add(request *Request, isInTime bool) {
+	s.Offered += request.Worth
+	if isInTime {
+		s.InTime += request.Worth
+	}
+	s.Share = ratio(s.InTime, s.Offered, 1)
+}
+
+func addToShare(shares map[string]Share, name string, request *Request, isInTime bool) {
+	s := shares[name]
+	s.add(request, isInTime)
+	shares[name] = s
+}
+
+// count counts a request by its outcome.
+func (c *Counts) count(o *outcome, objective time.Duration) {
+	c.Total++
+	switch {
+	case o.isServed:
+		c.Served++
+		if o.duration > objective {
+			c.Late++
+		}
+	case isRejection(o.status):
+		c.Rejected++
+	case o.status != 0:
+		c.Failed++
+	default:
+		c.Unanswered++
+	}
+}
+
+// worstWindowShare is the least share of a window of worstWindowSeconds, or of all where the day is shorter.
+func worstWindowShare(seconds []Second) float64 {
 	least := 1.0
-	for _, s := range by {
+	length := min(worstWindowSeconds, len(seconds))
+	for i := 0; i+length <= len(seconds); i++ {
+		var sum Share
+		for _, s := range seconds[i : i+length] {
+			sum.Offered += s.Offered
+			sum.InTime += s.InTime
+		}
+		least = min(least, ratio(sum.InTime, sum.Offered, 1))
+	}
+	return least
+}
+
+// minShare is the least share of all, 1 without any.
+func minShare(shares map[string]Share) float64 {
+	least := 1.0
+	for _, s := range shares {
 		least = min(least, s.Share)
 	}
 	return least
 }
 
-// sortedKeys of what a Result keeps by name, in order.
+// ratio is a over b, or a value of its own where b is not positive.
+func ratio(a, b, empty float64) float64 {
+	if b <= 0 {
+		return empty
+	}
+	return a / b
+}
+
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -8,44 +8,53 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// monitor looks at a day while it is played: what is in hand at each node, and whether the rehearsal itself gets to run.
+const (
+	sampleInterval     = 250 * time.Millisecond // of the requests in flight; result files and charts count on it
+	stallCheckInterval = 5 * time.Millisecond
+)
+
+// monitor observes a day while it is played: the requests in flight at each node, and whether the rehearsal itself is
+// scheduled. Each of its two goroutines has fields of its own, which are read once both have ended.
 type monitor struct {
-	w             *rehearsal
-	start         time.Time
-	inFlight      [][]int // by sample, by node of the plan
+	rehearsal *rehearsal
+	start     time.Time
+
+	inFlight [][]int // by sample, by node of the plan
+
 	timerLateness *schedule.Latency
 	worstStall    time.Duration
 }
 
-// sampleInFlight samples until done closes.
-func (h *monitor) sampleInFlight(done <-chan struct{}) {
-	tick := time.NewTicker(sampleInterval)
-	defer tick.Stop()
+// sampleInFlight samples the requests in flight, and reports the progress, until done closes.
+func (m *monitor) sampleInFlight(done <-chan struct{}) {
+	r := m.rehearsal
+	ticker := time.NewTicker(sampleInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		var row []int
-		for _, sites := range h.w.hosts {
-			for _, s := range sites {
-				s.mu.Lock()
-				row = append(row, s.node.InFlight())
-				s.mu.Unlock()
+		var sample []int
+		for _, hosts := range r.hosts {
+			for _, h := range hosts {
+				h.mu.Lock()
+				sample = append(sample, h.node.InFlight())
+				h.mu.Unlock()
 			}
 		}
-		h.inFlight = append(h.inFlight, row)
-		if h.w.options.Progress != nil {
-			h.w.options.Progress(Snapshot{At: time.Since(h.start), Length: h.w.plan.Day.Length, Asked: float64(h.w.offeredWorth.Load()) / 1000,
-				Answered: float64(h.w.inTimeWorth.Load()) / 1000, InFlight: int(h.w.inFlight.Load())})
+		m.inFlight = append(m.inFlight, sample)
+		if r.options.Progress != nil {
+			r.options.Progress(Snapshot{At: time.Since(m.start), Length: r.plan.Day.Length, Asked: float64(r.offeredWorth.Load()) / 1000,
+				Answered: float64(r.inTimeWorth.Load()) / 1000, InFlight: int(r.inFlight.Load())})
 		}
 	}
 }
 
-// watchStalls measures how late a timer of the rehearsal's own comes, and notes pauses as long as the rules' allowance: a limit
-// passed next to one can't be laid at a sidecar's door.
-func (h *monitor) watchStalls(done <-chan struct{}) {
+// watchStalls measures how late a timer of the rehearsal fires, until done closes. It records stalls as long as the rules'
+// tolerance: a limit that is exceeded next to one may not be the sidecar's doing.
+func (m *monitor) watchStalls(done <-chan struct{}) {
 	for last := time.Now(); ; {
 		select {
 		case <-done:
@@ -55,21 +64,21 @@
 		now := time.Now()
 		late := now.Sub(last) - stallCheckInterval
 		last = now
-		h.timerLateness.Record(late)
-		h.worstStall = max(h.worstStall, late)
-		if late >= h.w.plan.Day.Rules.Slack {
-			h.w.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
+		m.timerLateness.Record(late)
+		m.worstStall = max(m.worstStall, late)
+		if late >= m.rehearsal.plan.Day.Rules.Slack {
+			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
 		}
 	}
 }
 
-// resources is what the rehearsal and its sidecars have used: time on cores, and the rehearsal's most memory.
+// resources are what the rehearsal and its sidecars have used: CPU time, and the rehearsal's peak of resident memory.
 type resources struct {
 	own, sidecars time.Duration
 	ownMB         float64
 }
 
-// resourceUsage reads it. Sidecars count once they have ended.
+// resourceUsage reads the use of resources so far. Sidecars count once they have ended; what the system does not state is 0.
 func resourceUsage() (r resources) {
 	read := func(who int) (time.Duration, float64) {
 		var u syscall.Rusage
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -8,24 +8,27 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Of a sidecar's descriptors, what the platform's daemon keeps for other things than connections.
+// reservedSockets is how many of a sidecar's descriptors the platform's daemon keeps for other things than connections.
 const reservedSockets = 40
 
-// operatorsFile is what a sidecar of the day would be told by people instead of the platform: sidecar me of the n that
-// send to a tier.
-func (p *Plan) operatorsFile(name, listen, agent string, tier, me, n int, seed uint64, fleet *clusterMember) string {
+// operatorsFile is the configuration of a sidecar as operators write it, in place of what the platform provides. The agent
+// is the address of its discovery agent; member is nil for a sidecar that is not in a cluster.
+func (p *Plan) operatorsFile(role sidecarRole, listen, agent string, seed uint64, member *clusterMember) string {
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
-	each := max((sidecars.Sockets-reservedSockets)/2, 8)
-	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n", name, seed>>1|1, float64(sidecars.Cores), sidecars.MemoryMB)
-	if fleet != nil {
-		b.WriteString(fleet.config)
+	tier := day.Tiers[role.tier]
+	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // on each side
+	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
+		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
+	if member != nil {
+		b.WriteString(member.config)
 	} else {
-		fmt.Fprintf(&b, "daemons = %d\nindex = %d\n", n, me)
+		fmt.Fprintf(&b, "daemons = %d\nindex = %d\n", role.count, role.index)
 	}
-	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n", listen, each)
+	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n", listen, connections)
 	for i, c := range day.Classes {
-		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\nid_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
+		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\n"+
+			"id_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
 		if p.Classes[i].Effect == invariant.Keyed {
 			fmt.Fprintf(&b, "window = %q\ngroup = \"cell\"\n", c.Window)
 		}
@@ -35,28 +38,29 @@
 			fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota = %v\n", t.Name, p.Quotas[i])
 		}
 	}
-	coldFrom, coldFor := p.coldStart()
-	fmt.Fprintf(&b, "[[pool]]\nname = %q\nagent = %q\nconnections = %d\ntier = %d\ntiers_below = %d\nattempts = %d\nretry_after_most = %q\ncold_from = %v\ncold_for = %q\n",
-		day.Tiers[tier].Name, agent, each, tier, len(day.Tiers)-1-tier, rules.Attempts, rules.MaxRetryAfter, coldFrom, coldFor)
+	coldShare, warmUp := p.coldStart()
+	fmt.Fprintf(&b, "[[pool]]\nname = %q\nagent = %q\nconnections = %d\ntier = %d\ntiers_below = %d\nattempts = %d\n"+
+		"retry_after_most = %q\ncold_from = %v\ncold_for = %q\n", tier.Name, agent, connections, role.tier,
+		len(day.Tiers)-1-role.tier, rules.Attempts, rules.MaxRetryAfter, coldShare, warmUp)
 	if rules.DialTimeout > 0 {
 		fmt.Fprintf(&b, "dial_timeout = %q\n", rules.DialTimeout)
 	}
-	if idle := day.Tiers[tier].IdleTimeout.Lo; idle > 0 {
-		fmt.Fprintf(&b, "idle_timeout = %q\n", idle)
+	if tier.IdleTimeout.Lo > 0 {
+		fmt.Fprintf(&b, "idle_timeout = %q\n", tier.IdleTimeout.Lo)
 	}
 	for _, c := range day.Classes {
-		fmt.Fprintf(&b, "[[route]]\npath_segments = %q\npool = %q\nclass = %q\n", "/"+c.Name+"/**", day.Tiers[tier].Name, c.Name)
+		fmt.Fprintf(&b, "[[route]]\npath_segments = %q\npool = %q\nclass = %q\n", "/"+c.Name+"/**", tier.Name, c.Name)
 	}
 	return b.String()
 }
 
-// coldStart is the least share and the longest time of a cold start, over all kinds of nodes.
-func (p *Plan) coldStart() (from float64, lasts time.Duration) {
-	from = 1
+// coldStart is the least share of its capacity that a node of any kind starts with, and the longest warm-up.
+func (p *Plan) coldStart() (share float64, warmUp time.Duration) {
+	share = 1
 	for _, t := range p.Day.Tiers {
 		for _, k := range t.Kinds {
-			from, lasts = min(from, k.ColdCapacityShare.Lo), max(lasts, k.WarmUpDuration.Hi)
+			share, warmUp = min(share, k.ColdCapacityShare.Lo), max(warmUp, k.WarmUpDuration.Hi)
 		}
 	}
-	return from, lasts
+	return share, warmUp
 }
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -100,12 +100,12 @@
 		"plan.json":     printed(testPlan(t)),
 		"fullplan.json": printed(full),
 		"operators.toml": func(w io.Writer) error {
-			text := testPlan(t).operatorsFile("sidecar-1", "127.0.0.1:1", "127.0.0.1:2", 1, 2, 3, 4, nil)
+			text := testPlan(t).operatorsFile(sidecarRole{"sidecar-1", 1, 2, 3}, "127.0.0.1:1", "127.0.0.1:2", 4, nil)
 			_, err := io.WriteString(w, text)
 			return err
 		},
 		"settings.json": func(w io.Writer) error {
-			text, err := testPlan(t).settingsFor(1, 2, 3)
+			text, err := testPlan(t).settingsFor(sidecarRole{"sidecar-1", 1, 2, 3})
 			if err != nil {
 				return err
 			}
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -26,51 +26,45 @@
 // Snapshot is how far a day has come.
 type Snapshot struct {
 	At, Length      time.Duration
-	Asked, Answered float64 // worth of what is due so far and decided, and of what was answered in time
+	Asked, Answered float64 // worth of the requests that are decided, and of those served in time
 	InFlight        int
 }
 
-// Figures of the play itself.
-const (
-	sampleInterval           = 250 * time.Millisecond
-	stallCheckInterval       = 5 * time.Millisecond
-	maxNodeIdleConnections   = 64                     // idle connections that a node's own caller keeps: its slots bound those in use
-	maxClientIdleConnections = 256                    // idle connections that all clients together keep
-	maxEvents                = 4_000_000              // 40 for each first try that a plan may have; a quiet day with three tiers leaves about 20
-	frontNoticeAfterTerm     = 300 * time.Millisecond // new connections go on coming after SIGTERM
-	maxConcurrentStarts      = 8                      // sidecars that start at once
-)
+// maxEvents bounds a timeline: 40 events for each request that a plan may have; a quiet day with three tiers has about 20.
+const maxEvents = 4_000_000
 
-// rehearsal is a day that is being played.
+// rehearsal is a day that is being played. It owns everything that runs for the day: nodes, agents, sidecars, clients and
+// the goroutines that inject faults. All of them end with close.
 type rehearsal struct {
-	plan          *Plan
-	options       Options
-	ctx           context.Context
-	recorder      *fake.Recorder
-	registry      *fake.Registry
-	frontLayer    *fake.FrontLayer
-	clients       *fake.Client
-	workDir       string
-	sequence      atomic.Uint64
-	cancel        context.CancelFunc
-	notifications map[*fake.Agent]chan notification // on their way; not written to after build
-	deliveries    sync.WaitGroup
+	plan       *Plan
+	options    Options
+	ctx        context.Context // ends with the play, and when it fails
+	cancel     context.CancelFunc
+	workDir    string // of the sidecars' configurations and logs
+	recorder   *fake.Recorder
+	registry   *fake.Registry
+	frontLayer *fake.FrontLayer
+	clients    *fake.Client
+	sequence   atomic.Uint64 // numbers the IDs of requests
 
-	hosts         [][]*host // by tier
-	frontSidecars []*sidecarProcess
-	sidecars      []*sidecarProcess
-	cluster       *cluster     // nil: the sidecars don't know one another
-	extraNotice   atomic.Int64 // nanoseconds that notices take on top
-	inFlight      atomic.Int64
+	hosts         [][]*host         // by tier
+	frontSidecars []*sidecarProcess // those before the first tier
+	sidecars      []*sidecarProcess // all
+	cluster       *cluster          // nil: the day has none
 
-	mu       sync.Mutex
-	failed   error
-	outcomes []outcome
+	notifications map[*fake.Agent]chan notification // on their way; not written to after buildHosts
+	deliveries    sync.WaitGroup
+	extraNotice   atomic.Int64 // nanoseconds added to the delay of notifications
 
 	requests     sync.WaitGroup
-	offeredWorth atomic.Int64 // thousandths of worth
-	inTimeWorth  atomic.Int64
-	sendLateness *schedule.Latency // lateness of sends; of the dispatcher's goroutine only
+	inFlight     atomic.Int64
+	outcomes     []outcome         // by request of the plan; each belongs to the goroutine of its client
+	offeredWorth atomic.Int64      // thousandths of worth
+	inTimeWorth  atomic.Int64      // thousandths of worth
+	sendLateness *schedule.Latency // of the dispatcher's goroutine only
+
+	mu  sync.Mutex
+	err error // why the day could not be played
 }
 
 // Play plays a plan. When it returns, everything that it started has ended. An error means that the day could not be
@@ -84,159 +78,195 @@
 		if dir, err = os.MkdirTemp("", "tuliprock-rehearse-"); err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // logs that nobody asked for: what stays of them harms no result
+		defer func() { _ = os.RemoveAll(dir) }() // nobody asked for these logs, and a rest of them harms no result
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	w := &rehearsal{plan: plan, options: opt, ctx: ctx, cancel: cancel, workDir: dir, registry: &fake.Registry{}, frontLayer: &fake.FrontLayer{},
-		notifications: map[*fake.Agent]chan notification{}, outcomes: make([]outcome, len(plan.Requests)), sendLateness: schedule.NewLatency()}
-	began := resourceUsage()
-	w.recorder = fake.NewRecorder(time.Now(), maxEvents)
-	w.clients = fake.NewClient(plan.Classes, w.registry, w.recorder, plan.Day.Rules.Slack, maxClientIdleConnections)
-	if keep := plan.Day.Clients.Keep; keep.Hi > 0 {
-		w.clients.SetConnectionLifetime(func() time.Duration { return keep.At(w.drawShare("keep", fmt.Sprint(w.sequence.Add(1)))) })
-	}
-	defer w.close()
-	if err := w.buildHosts(); err != nil {
+	before := resourceUsage()
+	r := newRehearsal(ctx, cancel, plan, opt, dir)
+	defer r.close()
+	if err := r.buildHosts(); err != nil {
 		return nil, err
 	}
-	if err := w.startSidecars(); err != nil {
+	if err := r.startSidecars(); err != nil {
 		return nil, err
 	}
-	r, err := w.play(began)
+	result, err := r.play(before)
 	if err != nil {
 		return nil, err
 	}
-	w.close() // sidecars' use is known once they have ended
-	now := resourceUsage()
-	r.Harness.SidecarsCPU, r.Harness.MemoryMB = (now.sidecars - began.sidecars).Seconds(), now.ownMB
-	for _, p := range w.sidecars {
-		r.Harness.SidecarMemoryMB = max(r.Harness.SidecarMemoryMB, p.peakMemoryMB)
+	r.close() // the sidecars' use of resources is known once they have ended
+	after := resourceUsage()
+	result.Harness.SidecarsCPU = (after.sidecars - before.sidecars).Seconds()
+	result.Harness.MemoryMB = after.ownMB
+	for _, p := range r.sidecars {
+		result.Harness.SidecarMemoryMB = max(result.Harness.SidecarMemoryMB, p.peakMemoryMB)
+	}
+	return result, nil
+}
+
+func newRehearsal(ctx context.Context, cancel context.CancelFunc, plan *Plan, opt Options, dir string) *rehearsal {
+	r := &rehearsal{
+		plan:          plan,
+		options:       opt,
+		ctx:           ctx,
+		cancel:        cancel,
+		workDir:       dir,
+		recorder:      fake.NewRecorder(time.Now(), maxEvents),
+		registry:      &fake.Registry{},
+		frontLayer:    &fake.FrontLayer{},
+		notifications: map[*fake.Agent]chan notification{},
+		outcomes:      make([]outcome, len(plan.Requests)),
+		sendLateness:  schedule.NewLatency(),
+	}
+	r.clients = fake.NewClient(plan.Classes, r.registry, r.recorder, plan.Day.Rules.Slack, maxClientIdleConnections)
+	if lifetime := plan.Day.Clients.Keep; lifetime.Hi > 0 {
+		r.clients.SetConnectionLifetime(func() time.Duration {
+			return lifetime.At(r.drawShare("keep", fmt.Sprint(r.sequence.Add(1))))
+		})
 	}
-	return r, nil
+	return r
 }
 
-// fail ends the day: it is not the one that was drawn any more.
-func (w *rehearsal) fail(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.failed == nil && w.ctx.Err() == nil {
-		w.failed = err
-		w.cancel()
+// fail ends the play with an error, since the day is no longer the one that was drawn. Only the first error counts.
+func (r *rehearsal) fail(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.err == nil && r.ctx.Err() == nil {
+		r.err = err
+		r.cancel()
 	}
 }
 
-func (w *rehearsal) newID(what string) string {
-	return fmt.Sprintf("%s-%016x", what, w.sequence.Add(1))
+// newID makes an ID that is unique in the play.
+func (r *rehearsal) newID(prefix string) string {
+	return fmt.Sprintf("%s-%016x", prefix, r.sequence.Add(1))
 }
 
-// drawHash draws a number for a matter by its name, so that the order of events does not sway it.
-func (w *rehearsal) drawHash(names ...string) uint64 {
+// drawHash draws a number from the seed and names, so that it does not depend on the order of events.
+func (r *rehearsal) drawHash(names ...string) uint64 {
 	h := fnv.New64a()
-	for _, n := range names {
-		_, _ = fmt.Fprintf(h, "%s\x00", n) // a hash takes all that is written to it
+	for _, name := range names {
+		_, _ = fmt.Fprintf(h, "%s\x00", name) // a hash takes all that is written to it
 	}
-	return rand.New(rand.NewPCG(w.plan.Seed, h.Sum64())).Uint64()
+	return rand.New(rand.NewPCG(r.plan.Seed, h.Sum64())).Uint64()
 }
 
-func (w *rehearsal) drawShare(names ...string) float64 {
-	return float64(w.drawHash(names...)>>11) / (1 << 53)
+// drawShare is drawHash in [0, 1).
+func (r *rehearsal) drawShare(names ...string) float64 {
+	return float64(r.drawHash(names...)>>11) / (1 << 53)
 }
 
-// close ends everything.
-func (w *rehearsal) close() {
-	w.cancel()
-	w.deliveries.Wait()
-	w.cluster.close()
-	var ends sync.WaitGroup
-	for _, p := range w.sidecars {
-		ends.Go(func() {
+// close ends everything that the rehearsal started. It may be called twice.
+func (r *rehearsal) close() {
+	r.cancel()
+	r.deliveries.Wait()
+	r.cluster.close()
+	var stopping sync.WaitGroup
+	for _, p := range r.sidecars {
+		stopping.Go(func() {
 			p.stop()
-			_ = p.agent.Close() // its sidecar has ended, and nothing else asks it
+			_ = p.agent.Close() // its only client has ended
 		})
 	}
-	ends.Wait()
-	w.clients.Close()
-	for _, sites := range w.hosts {
-		for _, s := range sites {
-			s.mu.Lock()
-			s.node.Stop()
-			if s.client != nil {
-				s.client.Close()
+	stopping.Wait()
+	r.clients.Close()
+	for _, hosts := range r.hosts {
+		for _, h := range hosts {
+			h.mu.Lock()
+			h.node.Stop()
+			if h.client != nil {
+				h.client.Close()
 			}
-			s.mu.Unlock()
+			h.mu.Unlock()
 		}
 	}
 }
 
-func (w *rehearsal) play(began resources) (*Result, error) {
+// play sends the requests of the plan when they are due, injects its faults, and checks what came of it.
+func (r *rehearsal) play(before resources) (*Result, error) {
 	start := time.Now()
-	dayStart := w.recorder.Now()
-	watch := &monitor{w: w, start: start, timerLateness: schedule.NewLatency()}
+	dayStart := r.recorder.Now()
+	monitor := &monitor{rehearsal: r, start: start, timerLateness: schedule.NewLatency()}
 	done := make(chan struct{})
-	var watching sync.WaitGroup
-	watching.Go(func() { watch.sampleInFlight(done) })
-	watching.Go(func() { watch.watchStalls(done) })
-	var strikes sync.WaitGroup
-	striking, calm := context.WithCancel(w.ctx)
-	for _, s := range w.plan.Faults {
-		strikes.Go(func() { w.inject(striking, start, s) })
-	}
-	w.cluster.startPollers(done)
-	for _, s := range w.plan.LinkFaults {
-		strikes.Go(func() { w.cluster.inject(striking, start, s) })
-	}
-	arrivals := make([]schedule.Arrival, len(w.plan.Requests))
-	for i, q := range w.plan.Requests {
-		arrivals[i] = q.Arrival
-	}
-	schedule.Due(start, arrivals, w.ctx.Done(), func(i int, due time.Time) {
-		w.sendLateness.Record(time.Since(due))
-		w.requests.Add(1)
-		w.inFlight.Add(1)
-		go func() {
-			defer w.requests.Done()
-			defer w.inFlight.Add(-1)
-			w.runClient(i, due)
-		}()
-	})
-	hurry := context.AfterFunc(w.ctx, func() { // an interrupt must not wait for answers
-		for _, p := range w.sidecars {
+	var monitoring sync.WaitGroup
+	monitoring.Go(func() { monitor.sampleInFlight(done) })
+	monitoring.Go(func() { monitor.watchStalls(done) })
+	endFaults := r.startFaults(start, done)
+	r.sendRequests(start)
+	cancelStop := context.AfterFunc(r.ctx, func() { // an interrupt must not wait for responses
+		for _, p := range r.sidecars {
 			p.stop()
 		}
 	})
-	defer hurry()
-	w.requests.Wait()
-	calm()
-	strikes.Wait()
-	w.awaitIdleNodes()
-	end := w.recorder.Now()
+	defer cancelStop()
+	r.requests.Wait()
+	endFaults()
+	r.awaitIdleNodes()
+	end := r.recorder.Now()
 	close(done)
-	watching.Wait()
-	w.mu.Lock()
-	failed := w.failed
-	w.mu.Unlock()
+	monitoring.Wait()
+	r.mu.Lock()
+	failed := r.err
+	r.mu.Unlock()
 	if failed != nil {
 		return nil, failed
 	}
-	if err := w.ctx.Err(); err != nil {
+	if err := r.ctx.Err(); err != nil {
 		return nil, err
 	}
-	return w.newResult(watch, dayStart, end, began), nil
+	return r.newResult(monitor, dayStart, end, before), nil
+}
+
+// startFaults starts a goroutine for each fault, and the pollers of the cluster, which done ends. The function that it
+// returns ends all faults and waits for them.
+func (r *rehearsal) startFaults(start time.Time, done <-chan struct{}) (end func()) {
+	var faults sync.WaitGroup
+	ctx, cancel := context.WithCancel(r.ctx)
+	for _, fault := range r.plan.Faults {
+		faults.Go(func() { r.inject(ctx, start, fault) })
+	}
+	r.cluster.startPollers(done)
+	for _, fault := range r.plan.LinkFaults {
+		faults.Go(func() { r.cluster.inject(ctx, start, fault) })
+	}
+	return func() {
+		cancel()
+		faults.Wait()
+	}
+}
+
+// sendRequests starts a goroutine for each request when it is due, and returns after the last or when the play is cancelled.
+func (r *rehearsal) sendRequests(start time.Time) {
+	arrivals := make([]schedule.Arrival, len(r.plan.Requests))
+	for i, request := range r.plan.Requests {
+		arrivals[i] = request.Arrival
+	}
+	schedule.Due(start, arrivals, r.ctx.Done(), func(i int, due time.Time) {
+		r.sendLateness.Record(time.Since(due))
+		r.requests.Add(1)
+		r.inFlight.Add(1)
+		go func() {
+			defer r.requests.Done()
+			defer r.inFlight.Add(-1)
+			r.runClient(i, due)
+		}()
+	})
 }
 
-// awaitIdleNodes lets nodes finish what they have, for as long as the longest deadline, so that the rules are held to the end.
-func (w *rehearsal) awaitIdleNodes() {
-	for end := time.Now().Add(w.plan.longestDeadline()); time.Now().Before(end); {
-		busy := 0
-		for _, sites := range w.hosts {
-			for _, s := range sites {
-				s.mu.Lock()
-				busy += s.node.InFlight()
-				s.mu.Unlock()
+// awaitIdleNodes waits until the nodes have finished their requests, for the longest deadline at most, so that the rules
+// are checked to the end.
+func (r *rehearsal) awaitIdleNodes() {
+	for end := time.Now().Add(r.plan.longestDeadline()); time.Now().Before(end); {
+		inFlight := 0
+		for _, hosts := range r.hosts {
+			for _, h := range hosts {
+				h.mu.Lock()
+				inFlight += h.node.InFlight()
+				h.mu.Unlock()
 			}
 		}
-		if busy == 0 || !sleep(w.ctx, sampleInterval/5) {
+		if inFlight == 0 || !sleep(r.ctx, sampleInterval/5) {
 			return
 		}
 	}
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -7,8 +7,8 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// settings is the object that a sidecar finds in its configuration, as far as it reads it: the names and units are the
-// platform's.
+// settings is the settings object of a sidecar's configuration, as far as sidecars read it. Its names and units are the
+// platform's: a lane is a class, an account a tenant.
 type settings struct {
 	NInstances   int
 	Me           int
@@ -41,38 +41,40 @@
 	QuotaPerS float64
 }
 
-var semanticsNames = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.Keyed: "idempotency_key", invariant.Unsafe: "non_idempotent"}
+// semanticsNames are the platform's names of the effects.
+var semanticsNames = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.Keyed: "idempotency_key",
+	invariant.Unsafe: "non_idempotent"}
 
-// timerResolution is how late a sidecar's events and timers may come here: a timer's own lateness on a busy machine.
+// timerResolution is how late events and timers of a sidecar may come in a rehearsal: the lateness of a timer on a busy
+// machine.
 const timerResolution = 5 * time.Millisecond
 
-// settingsFor is the object for sidecar me of the n that send to a tier.
-func (p *Plan) settingsFor(tier, me, n int) (json.RawMessage, error) {
+// settingsFor is the settings object of a sidecar.
+func (p *Plan) settingsFor(role sidecarRole) (json.RawMessage, error) {
+	day, rules := p.Day, p.Day.Rules
 	var s settings
-	s.NInstances, s.Me, s.Tier, s.Discovery, s.ResolutionUs = n, me, tier, "automatic", timerResolution.Microseconds()
-	for _, t := range p.Day.Tiers {
+	s.NInstances, s.Me, s.Tier = role.count, role.index, role.tier
+	s.Discovery, s.ResolutionUs = "automatic", timerResolution.Microseconds()
+	for _, t := range day.Tiers {
 		s.Tiers = append(s.Tiers, t.Name)
 	}
-	for i, c := range p.Day.Classes {
-		s.Lanes = append(s.Lanes, classSettings{Name: c.Name, Semantics: semanticsNames[p.Classes[i].Effect], Group: "cell", OnTimeUs: c.LatencyObjective.Microseconds(),
-			DeadlineUs: c.Deadline.Microseconds(), WindowUs: c.Window.Microseconds(), Worth: c.Worth})
+	for i, c := range day.Classes {
+		s.Lanes = append(s.Lanes, classSettings{Name: c.Name, Semantics: semanticsNames[p.Classes[i].Effect], Group: "cell",
+			OnTimeUs: c.LatencyObjective.Microseconds(), DeadlineUs: c.Deadline.Microseconds(),
+			WindowUs: c.Window.Microseconds(), Worth: c.Worth})
 	}
-	for i, t := range p.Day.Tenants {
+	for i, t := range day.Tenants {
 		s.Accounts = append(s.Accounts, tenantSettings{t.Name, p.Quotas[i]})
 	}
-	s.Permissions.MayCancel, s.Permissions.RetryAfter, s.Permissions.TryLimit = true, p.Day.Rules.MaxRetryAfter > 0, p.Day.Rules.Attempts
-	s.Permissions.MaxRetryAfterUs = p.Day.Rules.MaxRetryAfter.Microseconds()
-	s.Permissions.ConnIdleUs = p.Day.Tiers[tier].IdleTimeout.Lo.Microseconds()
-	s.Permissions.DialTimeoutUs = p.Day.Rules.DialTimeout.Microseconds()
+	s.Permissions.MayCancel, s.Permissions.RetryAfter = true, rules.MaxRetryAfter > 0
+	s.Permissions.TryLimit = rules.Attempts
+	s.Permissions.MaxRetryAfterUs = rules.MaxRetryAfter.Microseconds()
+	s.Permissions.ConnIdleUs = day.Tiers[role.tier].IdleTimeout.Lo.Microseconds()
+	s.Permissions.DialTimeoutUs = rules.DialTimeout.Microseconds()
 	s.Report.How = "silent"
-	r := p.Day.Rules
-	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs, s.Rules.TipAfterUs, s.Rules.FallMultiple = r.Slack.Microseconds(), r.DrainGrace.Microseconds(), r.FallAfter.Microseconds(), r.FallMultiple
-	s.Rules.ColdFrom = 1
-	for _, t := range p.Day.Tiers { // the least and the longest of all, as the platform tells them
-		for _, k := range t.Kinds {
-			s.Rules.ColdFrom = min(s.Rules.ColdFrom, k.ColdCapacityShare.Lo)
-			s.Rules.ColdUs = max(s.Rules.ColdUs, k.WarmUpDuration.Hi.Microseconds())
-		}
-	}
+	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Slack.Microseconds(), rules.DrainGrace.Microseconds()
+	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.FallAfter.Microseconds(), rules.FallMultiple
+	coldShare, warmUp := p.coldStart() // of all kinds of nodes, as the platform states them
+	s.Rules.ColdFrom, s.Rules.ColdUs = coldShare, warmUp.Microseconds()
 	return json.Marshal(s)
 }
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second       // as the platform waits
-	readyPollInterval = 10 * time.Millisecond  // between two looks at a sidecar's health
-	termGrace         = 700 * time.Millisecond // after SIGTERM, for which what comes must still be answered
-	maxLogTail        = 2000                   // bytes of a sidecar's log that an error quotes
+	readyTimeout      = 30 * time.Second // as the platform waits
+	readyPollInterval = 10 * time.Millisecond
+	termGrace         = 700 * time.Millisecond // after SIGTERM, in which new requests must still be answered
+	maxLogTail        = 2000                   // bytes of a sidecar's log of which an error quotes the last line
 )
 
-// sidecarProcess is a sidecar: a real process, ended and started again under its name and address.
+// sidecarProcess is a sidecar that runs as a real process, which can be ended and started again under its name and address.
+// Its methods are safe for concurrent use. While a process runs, a goroutine waits for its exit.
 type sidecarProcess struct {
 	name          string
 	addr          string
@@ -35,45 +36,46 @@
 	workDir       string
 	command       func() *exec.Cmd
 	settings      json.RawMessage
-	operatorsFile func(seed uint64) string // an operators' file in place of what the platform tells; nil: none
-	env           []string                 // on top of the rehearsal's own
+	operatorsFile func(seed uint64) string // in place of the platform's configuration; nil: none
+	env           []string                 // added to the environment of the rehearsal
 	day           *Day
-	nextSeed      func() uint64
+	nextSeed      func() uint64 // of each incarnation; called with mu held
 	onCrash       func(*sidecarProcess)
 
 	mu             sync.Mutex
-	cmd            *exec.Cmd
-	exited         chan struct{} // of the present life; closed when it has ended
-	isExitExpected bool          // its end was asked for
-	peakMemoryMB   float64       // the most memory of any life that was ended, in MB; 0 where the system does not tell
-	isStopped      bool          // for good
+	cmd            *exec.Cmd     // nil: no process runs
+	exited         chan struct{} // of the present process; closed after its exit
+	isExitExpected bool
+	peakMemoryMB   float64 // of all processes that were ended; 0 where the system does not state it
+	isStopped      bool    // no process is started any more
 }
 
-// freeLoopbackAddr finds a port that is free on a loopback address of the sidecar's own. On its own address no connection that
-// leaves this machine's callers can take the port while the sidecar is down.
+// freeLoopbackAddr finds a free port on a loopback address that depends on i. On an address of its own no outgoing
+// connection of this machine can take the port while the sidecar is down.
 func freeLoopbackAddr(i int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, 1+i/200, 1+i%200)
-	l, err := net.Listen("tcp", host+":0")
-	if err != nil { // a machine with no more of the loopback network than its first address
-		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	listener, err := net.Listen("tcp", host+":0")
+	if err != nil { // a machine with only the first address of the loopback network
+		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return "", err
 		}
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
-// routerConfig is what the platform would put where ROUTER_CONFIG points.
+// routerConfig is the file that ROUTER_CONFIG names, as the platform writes it.
 func (p *sidecarProcess) routerConfig(known fake.MemberList) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.nextSeed()),
-		"limits":   map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB, "sockets": p.day.Sidecars.Sockets},
+		"limits": map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB,
+			"sockets": p.day.Sidecars.Sockets},
 		"known":    known,
 		"settings": p.settings,
 	})
 }
 
-// newCommand is the command of a life, and what that is told.
+// newCommand writes the configuration of the next process and returns its command.
 func (p *sidecarProcess) newCommand(known fake.MemberList) (*exec.Cmd, error) {
 	cmd := p.command()
 	cmd.Env = append(cmd.Environ(), p.env...)
@@ -87,11 +89,13 @@
 		return nil, err
 	}
 	path := filepath.Join(p.workDir, p.name+".json")
-	cmd.Env = append(cmd.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME="+p.name, "ROUTER_LISTEN="+p.addr, "ROUTER_DISCOVERY="+p.agent.Addr)
+	cmd.Env = append(cmd.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME="+p.name, "ROUTER_LISTEN="+p.addr,
+		"ROUTER_DISCOVERY="+p.agent.Addr)
 	return cmd, os.WriteFile(path, text, 0o600)
 }
 
-// start runs the program with the list that it was last told, and nothing else of its former life.
+// start starts a process with the endpoint list that the former one was last notified of, and nothing else of its state. It
+// does nothing while a process runs, and after stop.
 func (p *sidecarProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,9 +111,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // nothing was written by way of it: the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // nothing was written through it: the process has a descriptor of its own
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is ours to pass on
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal must not reach the process
 	p.recorder.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
 	for _, m := range known.Servers {
 		p.recorder.Add(fake.NotificationEvent(p.name, m, p.recorder))
@@ -122,21 +126,22 @@
 	return nil
 }
 
-// awaitExit notices the end of a life.
-func (p *sidecarProcess) awaitExit(cmd *exec.Cmd, ended chan struct{}) {
-	_ = cmd.Wait()
+// awaitExit waits for the exit of a process and records it.
+func (p *sidecarProcess) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
+	_ = cmd.Wait() // whether it was asked to exit matters, not its status
 	p.mu.Lock()
-	crash := !p.isExitExpected
+	isCrash := !p.isExitExpected
 	p.cmd = nil
 	p.mu.Unlock()
-	p.recorder.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: crash})
-	close(ended)
-	if crash {
+	p.recorder.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: isCrash})
+	close(exited)
+	if isCrash {
 		p.onCrash(p)
 	}
 }
 
-// signal sends one to the present life, and gives what closes at its end; nil if there is none.
+// signal sends a signal that ends the present process, and returns the channel that closes after its exit; nil: no process
+// runs.
 func (p *sidecarProcess) signal(s syscall.Signal, kind invariant.Kind) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,12 +151,12 @@
 	p.isExitExpected = true
 	p.peakMemoryMB = max(p.peakMemoryMB, peakResidentMB(p.cmd.Process.Pid))
 	p.recorder.Add(invariant.Event{Kind: kind, Sidecar: p.name})
-	_ = p.cmd.Process.Signal(s)
+	_ = p.cmd.Process.Signal(s) // fails only for a process that has exited
 	return p.exited
 }
 
-// peakResidentMB is the most memory that a process has had resident, in MB. What the system tells of ended children won't do: it
-// counts what their parent had when it made them.
+// peakResidentMB is the peak of a process's resident memory, 0 where the system does not state it. The usage of ended
+// children will not do: it counts what their parent had when it forked.
 func peakResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -165,48 +170,48 @@
 	return kb / 1024
 }
 
-// pause stops the process for a while, and wakes it.
+// pause stops the process for d or until ctx ends, and resumes it.
 func (p *sidecarProcess) pause(ctx context.Context, d time.Duration) {
 	p.mu.Lock()
 	if p.cmd == nil {
 		p.mu.Unlock()
 		return
 	}
-	it, ended := p.cmd.Process, p.exited
-	_ = it.Signal(syscall.SIGSTOP)
-	p.recorder.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name}) // what comes of it comes later
+	process, exited := p.cmd.Process, p.exited
+	_ = process.Signal(syscall.SIGSTOP) // fails only for a process that has exited
+	p.recorder.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name})
 	p.mu.Unlock()
-	began := time.Now()
+	pausedAt := time.Now()
 	sleep(ctx, d)
-	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(began)})
+	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(pausedAt)}) // before its effects
 	select {
-	case <-ended: // it was killed meanwhile
+	case <-exited: // it was killed meanwhile
 	default:
-		_ = it.Signal(syscall.SIGCONT)
+		_ = process.Signal(syscall.SIGCONT)
 	}
 }
 
-// kill ends the process outright and waits for its end.
+// kill ends the process by SIGKILL and waits for its exit.
 func (p *sidecarProcess) kill() {
-	if ended := p.signal(syscall.SIGKILL, invariant.Killed); ended != nil {
-		<-ended
+	if exited := p.signal(syscall.SIGKILL, invariant.Killed); exited != nil {
+		<-exited
 	}
 }
 
-// terminate ends it as a planned restart does: SIGTERM, and SIGKILL once the longest deadline and a little more are over.
-func (p *sidecarProcess) terminate(patience time.Duration) {
-	ended := p.signal(syscall.SIGTERM, invariant.TermSent)
-	if ended == nil {
+// terminate ends the process as a planned restart does: by SIGTERM, and by SIGKILL where it has not exited in time.
+func (p *sidecarProcess) terminate(timeout time.Duration) {
+	exited := p.signal(syscall.SIGTERM, invariant.TermSent)
+	if exited == nil {
 		return
 	}
 	select {
-	case <-ended:
-	case <-time.After(patience):
+	case <-exited:
+	case <-time.After(timeout):
 		p.kill()
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process, and no other is started any more.
 func (p *sidecarProcess) stop() {
 	p.mu.Lock()
 	p.isStopped = true
@@ -214,16 +219,16 @@
 	p.kill()
 }
 
-// awaitReady waits until the sidecar answers for its health.
+// awaitReady polls the sidecar's health until it is ready. The error names the sidecar and quotes the end of its log.
 func (p *sidecarProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		p.mu.Lock()
-		down := p.cmd == nil
+		isDown := p.cmd == nil
 		p.mu.Unlock()
-		if down {
+		if isDown {
 			return fmt.Errorf("%s ended before it was ready: %s", p.name, p.lastLogLine())
 		}
 		if resp, err := client.Get("http://" + p.addr + "/_health"); err == nil {
@@ -241,7 +246,7 @@
 	}
 }
 
-// lastLogLine is the end of the sidecar's log, on one line.
+// lastLogLine is the last line of the sidecar's log, or why it cannot be read.
 func (p *sidecarProcess) lastLogLine() string {
 	text, err := os.ReadFile(filepath.Join(p.workDir, p.name+".log"))
 	if err != nil {
@@ -252,13 +257,14 @@
 	return lines[len(lines)-1]
 }
 
+// sleep waits for d, or is false when ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -7,65 +7,104 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-func (w *rehearsal) newSidecar(name string, tier, me, n int) (*sidecarProcess, error) {
+// maxConcurrentStarts is how many sidecars start at once.
+const maxConcurrentStarts = 8
+
+// sidecarRole is a sidecar's place among those that send to the same tier.
+type sidecarRole struct {
+	name         string
+	tier         int
+	index, count int
+}
+
+// buildSidecars makes the sidecars before the first tier, and those of the hosts with a tier behind them.
+func (r *rehearsal) buildSidecars() error {
+	for i := range r.plan.Sidecars {
+		p, err := r.newSidecar(sidecarRole{sidecarName(i), 0, i, r.plan.Sidecars})
+		if err != nil {
+			return err
+		}
+		r.frontSidecars = append(r.frontSidecars, p)
+	}
+	for tier, hosts := range r.hosts[:len(r.hosts)-1] {
+		for i, h := range hosts {
+			p, err := r.newSidecar(sidecarRole{"of-" + h.plan.Spec.ID, tier + 1, i, len(hosts)})
+			if err != nil {
+				return err
+			}
+			h.mu.Lock()
+			h.sidecar = p
+			h.client = fake.NewClient(r.plan.Classes, r.registry, r.recorder, r.plan.Day.Rules.Slack, maxNodeIdleConnections)
+			h.mu.Unlock()
+		}
+	}
+	return nil
+}
+
+// newSidecar makes a sidecar that is not started, with a discovery agent that runs.
+func (r *rehearsal) newSidecar(role sidecarRole) (*sidecarProcess, error) {
 	var list []fake.Member
-	for _, s := range w.hosts[tier] {
-		list = append(list, s.member)
+	for _, h := range r.hosts[role.tier] {
+		list = append(list, h.member)
 	}
-	agent, err := fake.NewAgent(name, list, w.recorder)
+	agent, err := fake.NewAgent(role.name, list, r.recorder)
 	if err != nil {
 		return nil, err
 	}
-	notices := make(chan notification, maxPendingNotifications)
-	w.notifications[agent] = notices
-	w.deliveries.Go(func() { w.deliver(agent, notices) })
-	p := &sidecarProcess{name: name, agent: agent, recorder: w.recorder, workDir: w.workDir, command: w.options.Command, day: w.plan.Day}
-	w.sidecars = append(w.sidecars, p) // from here on close ends it
-	if p.addr, err = freeLoopbackAddr(len(w.sidecars)); err != nil {
+	notifications := make(chan notification, maxPendingNotifications)
+	r.notifications[agent] = notifications
+	r.deliveries.Go(func() { r.deliver(agent, notifications) })
+	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
+		command: r.options.Command, day: r.plan.Day}
+	r.sidecars = append(r.sidecars, p) // from here on close ends it
+	if p.addr, err = freeLoopbackAddr(len(r.sidecars)); err != nil {
 		return nil, err
 	}
-	if p.settings, err = w.plan.settingsFor(tier, me, n); err != nil {
+	if p.settings, err = r.plan.settingsFor(role); err != nil {
 		return nil, err
 	}
-	place := w.cluster.member(name)
-	if w.options.Serve || place != nil {
-		if place != nil && place.clockEnv != "" {
-			p.env = append(p.env, place.clockEnv)
+	member := r.cluster.member(role.name)
+	if r.options.Serve || member != nil {
+		if member != nil && member.clockEnv != "" {
+			p.env = append(p.env, member.clockEnv)
 		}
 		p.operatorsFile = func(seed uint64) string {
-			return w.plan.operatorsFile(name, p.addr, agent.Addr, tier, me, n, seed, place)
+			return r.plan.operatorsFile(role, p.addr, agent.Addr, seed, member)
 		}
 	}
-	life := uint64(0)
-	p.nextSeed = func() uint64 { life++; return w.drawHash(name, fmt.Sprint(life)) }
-	p.onCrash = func(p *sidecarProcess) { w.frontLayer.Remove(p.name) }
+	incarnation := uint64(0)
+	p.nextSeed = func() uint64 {
+		incarnation++
+		return r.drawHash(role.name, fmt.Sprint(incarnation))
+	}
+	p.onCrash = func(p *sidecarProcess) { r.frontLayer.Remove(p.name) }
 	return p, nil
 }
 
-// startSidecars starts all sidecars and waits for them.
-func (w *rehearsal) startSidecars() error {
-	room := make(chan struct{}, maxConcurrentStarts)
-	errs := make(chan error, len(w.sidecars))
-	for _, p := range w.sidecars {
-		room <- struct{}{}
+// startSidecars starts all sidecars, waits until they are ready, and opens the front layer. It returns the first error.
+func (r *rehearsal) startSidecars() error {
+	starting := make(chan struct{}, maxConcurrentStarts)
+	errs := make(chan error, len(r.sidecars))
+	for _, p := range r.sidecars {
+		starting <- struct{}{}
 		go func() {
-			defer func() { <-room }()
+			defer func() { <-starting }()
 			err := p.start()
 			if err == nil {
-				err = p.awaitReady(w.ctx)
+				err = p.awaitReady(r.ctx)
 			}
 			errs <- err
 		}()
 	}
 	var first error
-	for range w.sidecars {
+	for range r.sidecars {
 		if err := <-errs; err != nil && first == nil {
 			first = err
 		}
 	}
-	for _, p := range w.frontSidecars {
-		w.frontLayer.Add(p.name, p.addr)
-		w.cluster.recordFact(clusterinvariant.Up, p.name)
+	for _, p := range r.frontSidecars {
+		r.frontLayer.Add(p.name, p.addr)
+		r.cluster.recordFact(clusterinvariant.Up, p.name)
 	}
 	return first
 }
