--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -81,7 +81,7 @@
 		Timeout: timeout,
 		Connect: r.frontLayer.Connect,
 	}
-	if r.plan.Day.Load.Hints {
+	if r.plan.Day.Load.HasCostHints {
 		attempt.CostHint = costHint(request)
 	}
 	if attempts == 0 {
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -1,5 +1,9 @@
-// Package rehearse plays a season on one machine: it draws a day from a file, starts stand-ins and real sidecars, plays
-// the day's troubles, and says what was answered in time and whether each rule held.
+// Package rehearse plays a season on one machine: it draws a plan of a day from its file and a seed, starts fakes and real
+// sidecars, sends the plan's requests, injects its faults, and checks what was served in time and whether each invariant
+// held.
+//
+// A Day, a Plan and a Result are plain values that belong to their caller; a Plan is not written to while it is played. Play
+// owns everything that it starts, processes and goroutines included, and returns once all of it has ended.
 package rehearse
 
 import (
@@ -10,19 +14,21 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Day is a day as its file gives it. What is a range is drawn by the seed. Durations are strings such as "1.5s".
+// Day is a day as its file gives it. What is a range is drawn by the seed. Durations are strings such as "1.5s". The tags
+// are the words of day files, which partly differ from the names here: a fault is a trouble, the cluster a fleet, discovery
+// the roster.
 type Day struct {
 	Format int           `toml:"format"` // 1
 	Name   string        `toml:"name"`
 	About  string        `toml:"about"`
 	Seed   uint64        `toml:"seed"`
-	Length time.Duration `toml:"length"` // of the arrivals; the day ends when the last is answered
+	Length time.Duration `toml:"length"` // of the arrivals; the day ends when the last request is decided
 
 	Load struct {
-		Use            tomlfile.Range `toml:"use"`              // share of what the fleet can do that is asked for
-		OverShareWorth float64        `toml:"over_share_worth"` // worth of what a tenant asks beyond its share
-		Quota          tomlfile.Range `toml:"quota"`            // quotas of all tenants together, as a share of what the fleet can do
-		Hints          bool           `toml:"hints"`            // callers send a rough guess at the work
+		Utilization    tomlfile.Range `toml:"use"`              // share of the nodes' capacity that is asked for
+		OverQuotaWorth float64        `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
+		Quota          tomlfile.Range `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
+		HasCostHints   bool           `toml:"hints"`            // clients send a rough guess at the work
 	} `toml:"load"`
 	Sidecars struct {
 		Count    tomlfile.Range `toml:"count"` // before the first tier; each node of a tier with one behind has its own
@@ -31,29 +37,29 @@
 		Sockets  int            `toml:"sockets"`
 	} `toml:"sidecars"`
 	Front struct {
-		Notice tomlfile.Span `toml:"notice"` // it goes on sending to a dead sidecar for so long
+		Notice tomlfile.Span `toml:"notice"` // the front layer sends to a dead sidecar for so long
 	} `toml:"front"`
-	Roster struct {
-		Notice tomlfile.Span `toml:"notice"` // until a sidecar hears that a node drains or is gone
-		Add    tomlfile.Span `toml:"add"`    // until it hears that one has started
-		Spread tomlfile.Span `toml:"spread"` // on top, for each sidecar
+	Discovery struct {
+		Notice tomlfile.Span `toml:"notice"` // until a sidecar is notified that a node drains or is gone
+		Add    tomlfile.Span `toml:"add"`    // until it is notified that a node has started
+		Spread tomlfile.Span `toml:"spread"` // added for each sidecar
 	} `toml:"roster"`
 	Clients struct {
-		Retries  tomlfile.Range `toml:"retries"`
-		TryShare tomlfile.Range `toml:"try_share"` // of the class's deadline, after which a try is given up
-		AtOnce   float64        `toml:"at_once"`   // share of clients that retry at once; the others after backoff
-		Backoff  tomlfile.Span  `toml:"backoff"`
-		Honour   tomlfile.Range `toml:"honour"`  // share that heeds Retry-After
-		HangUp   tomlfile.Range `toml:"hang_up"` // share of requests whose client leaves early
-		Keep     tomlfile.Span  `toml:"keep"`    // a connection is used for so long, then a new one is dealt out; 0: for good
+		Retries               tomlfile.Range `toml:"retries"`
+		AttemptTimeoutShare   tomlfile.Range `toml:"try_share"` // of the class's deadline, after which an attempt is given up
+		ImmediateRetryShare   float64        `toml:"at_once"`   // of clients that retry at once; the others after Backoff
+		Backoff               tomlfile.Span  `toml:"backoff"`
+		HonourRetryAfterShare tomlfile.Range `toml:"honour"`  // of clients that honour Retry-After
+		LeaveShare            tomlfile.Range `toml:"hang_up"` // of requests whose client leaves early
+		ConnectionLifetime    tomlfile.Span  `toml:"keep"`    // of a client's connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
 		Attempts      int           `toml:"attempts"`
 		MaxRetryAfter time.Duration `toml:"max_retry_after"`
-		Slack         time.Duration `toml:"slack"`
+		Slack         time.Duration `toml:"slack"` // tolerance of each time limit
 		DrainGrace    time.Duration `toml:"drain_grace"`
-		FallMultiple  float64       `toml:"fall_multiple"`
-		FallAfter     time.Duration `toml:"fall_after"`
+		FallMultiple  float64       `toml:"fall_multiple"` // of what a warming node can do, beyond which it collapses,
+		FallAfter     time.Duration `toml:"fall_after"`    // over this time
 		DialTimeout   time.Duration `toml:"dial_timeout"`
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
@@ -61,38 +67,38 @@
 	Tenants []Tenant    `toml:"tenant"`
 	Faults  []FaultSpec `toml:"trouble"`
 
-	Cluster    *ClusterConfig  `toml:"fleet"` // nil: the sidecars don't know one another
+	Cluster    *ClusterConfig  `toml:"fleet"` // nil: the sidecars do not know one another
 	LinkFaults []LinkFaultSpec `toml:"link_trouble"`
 }
 
-// Tier is a tier of nodes. Requests of one tier call the next, one call after another.
+// Tier is a tier of nodes. A request at one tier calls the next, one call after another.
 type Tier struct {
 	Name           string         `toml:"name"`
 	Nodes          tomlfile.Range `toml:"nodes"`
 	WorkShare      float64        `toml:"work"`  // share of a class's work that one call takes here
 	Calls          tomlfile.Range `toml:"calls"` // that a request of the tier before makes here, on average
-	CellSize       tomlfile.Range `toml:"cell"`  // nodes that drop repeats together
-	MaxConnections int            `toml:"conns"`
+	CellSize       tomlfile.Range `toml:"cell"`  // nodes that drop duplicates together
+	MaxConnections int            `toml:"conns"` // of a node; 0: no limit
 	HandshakeWork  tomlfile.Span  `toml:"handshake"`
 	IdleTimeout    tomlfile.Span  `toml:"idle"`
-	ErrorRate      tomlfile.Range `toml:"errors"` // share of requests that a node answers with an error
+	ErrorRate      tomlfile.Range `toml:"errors"` // share of requests that a node answers with 500
 	Kinds          []NodeKind     `toml:"kind"`
-	Overload       *OverloadRange `toml:"choke"`
+	Overload       *OverloadRange `toml:"choke"` // nil: overload does not slow the nodes
 }
 
-// NodeKind is a kind of node.
+// NodeKind is a kind of node, from which the nodes of a tier are drawn.
 type NodeKind struct {
 	Name              string         `toml:"name"`
-	Share             float64        `toml:"share"`
+	Share             float64        `toml:"share"` // of the tier's nodes, as a relative weight
 	Cores             int            `toml:"cores"`
-	Speed             tomlfile.Range `toml:"speed"` // of a core, in yardsticks
+	Speed             tomlfile.Range `toml:"speed"` // of a core
 	Slots             tomlfile.Range `toml:"slots"` // for each core
-	QueueLimit        tomlfile.Range `toml:"room"`  // that may wait, for each core
+	QueueLimit        tomlfile.Range `toml:"room"`  // for each core
 	ColdCapacityShare tomlfile.Range `toml:"cold_from"`
 	WarmUpDuration    tomlfile.Span  `toml:"cold_for"`
 }
 
-// OverloadRange is the slow state after overload, see standin.Choke.
+// OverloadRange is the range of a fake.OverloadSpec.
 type OverloadRange struct {
 	Threshold    tomlfile.Range `toml:"at"`
 	AveragedOver tomlfile.Span  `toml:"over"`
@@ -106,49 +112,58 @@
 type Class struct {
 	Name             string        `toml:"name"`
 	Effect           string        `toml:"effect"` // safe, keyed or unsafe
-	Window           time.Duration `toml:"window"` // for keyed: within it the nodes of a cell drop a repeat
-	Share            float64       `toml:"share"`
-	Work             tomlfile.Span `toml:"work"` // on a core at yardstick speed, on average
-	Wait             tomlfile.Span `toml:"wait"` // on others, in each node that it comes to
-	WorkVariation    float64       `toml:"vary"` // coefficient of variation of the work, which is lognormal
+	Window           time.Duration `toml:"window"` // for keyed: the nodes of a cell drop a duplicate within it
+	Share            float64       `toml:"share"`  // of the requests, as a relative weight
+	Work             tomlfile.Span `toml:"work"`   // on a core of speed 1, on average
+	Wait             tomlfile.Span `toml:"wait"`   // on others, at each node that a request comes to
+	WorkVariation    float64       `toml:"vary"`   // coefficient of variation of the work, which is lognormal
 	LatencyObjective time.Duration `toml:"aim"`
 	Deadline         time.Duration `toml:"deadline"`
-	Worth            float64       `toml:"worth"` // for each unit of work
+	Worth            float64       `toml:"worth"` // for each second of work
 }
 
-// Tenant is one of the parties that share the fleet.
+// Tenant is one of the parties that share the nodes.
 type Tenant struct {
 	Name  string         `toml:"name"`
-	Share float64        `toml:"share"`
+	Share float64        `toml:"share"` // of the quota, as a relative weight
 	Usage tomlfile.Range `toml:"usage"` // of its share that it asks for
 }
 
-// FaultSpec is something that goes wrong.
+// FaultSpec is a fault, as a day's file gives it.
 type FaultSpec struct {
 	Kind      string         `toml:"kind"`
 	At        tomlfile.Span  `toml:"at"`
 	For       tomlfile.Span  `toml:"for"`
-	Share     tomlfile.Range `toml:"share"` // of the nodes or sidecars, one at least
-	Magnitude tomlfile.Range `toml:"size"`
-	Tier      string         `toml:"tier"` // empty: the first
-	Mode      string         `toml:"how"`  // restart: kill or planned; crash, drain: back under the same id, or renamed at the old address
-	DownFor   tomlfile.Span  `toml:"down"` // how long a restarted sidecar, or a drained node, stays away
+	Share     tomlfile.Range `toml:"share"` // of the nodes or sidecars that are hit, at least one
+	Magnitude tomlfile.Range `toml:"size"`  // see faultKinds
+	Tier      string         `toml:"tier"`  // empty: the first
+	Mode      string         `toml:"how"`   // see faultModes
+	DownFor   tomlfile.Span  `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
 }
 
-// What a trouble needs. A size has a meaning of its own with each.
-type faultNeeds struct{ nodes, sidecars, size, down, how bool }
+// faultNeeds says what a kind of fault hits, and which of its optional fields it has.
+type faultNeeds struct{ nodes, sidecars, magnitude, down bool }
 
+// faultKinds are the kinds of faults. The magnitude has a meaning of its own with each.
 var faultKinds = map[string]faultNeeds{
-	"slow":        {nodes: true, size: true},               // size: how many times slower
-	"crash":       {nodes: true, how: true},                // nodes die together, and come back cold after for
-	"drain":       {nodes: true, down: true, how: true},    // told, stopped after for, and back cold after down
-	"hang":        {nodes: true, size: true},               // size: share of requests taken and never answered
-	"reset":       {nodes: true, size: true},               // size: share of requests run, and the connection broken
-	"restart":     {sidecars: true, down: true, how: true}, // of sidecars before the first tier, one after another over for
-	"stall":       {sidecars: true},                        // of sidecars before the first tier: stopped for a while, and woken
-	"roster-late": {size: true},                            // size: seconds that notices take on top
-	"roster-down": {},                                      // nothing is told
-	"surge":       {size: true},                            // size: how many times the demand
+	"slow":        {nodes: true, magnitude: true}, // magnitude: factor by which nodes are slower
+	"crash":       {nodes: true},                  // nodes die together, and come back cold after For
+	"drain":       {nodes: true, down: true},      // nodes drain, stop after For, and come back cold after DownFor
+	"hang":        {nodes: true, magnitude: true}, // magnitude: share of requests received and never answered
+	"reset":       {nodes: true, magnitude: true}, // magnitude: share of requests executed and the connection reset
+	"restart":     {sidecars: true, down: true},   // sidecars before the first tier restart, one after another over For
+	"stall":       {sidecars: true},               // sidecars before the first tier are paused
+	"roster-late": {magnitude: true},              // magnitude: seconds added to the delay of notifications
+	"roster-down": {},                             // discovery is down
+	"surge":       {magnitude: true},              // magnitude: factor on the demand
+}
+
+// faultModes are the modes of the kinds that have one. A node comes back under the same ID, which is the default, or renamed
+// at its old address.
+var faultModes = map[string][]string{
+	"restart": {"kill", "planned"},
+	"crash":   {"", "same", "renamed"},
+	"drain":   {"", "same", "renamed"},
 }
 
 // Load reads and checks a day's file. An error names file, line and field.
@@ -160,14 +175,30 @@
 	return Parse(path, text)
 }
 
-// defaults are what a file need not say: the figures of the rules, and what a small sidecar gets.
+// Parse is Load for a text that has been read from the file of that name.
+func Parse(name string, text []byte) (*Day, error) {
+	d := defaults()
+	f, err := tomlfile.Decode(name, text, d)
+	if err != nil {
+		return nil, err
+	}
+	for _, check := range []func(*tomlfile.File) error{d.checkHead, d.checkTiers, d.checkClassesAndTenants, d.checkFaults,
+		d.checkCluster} {
+		if err := check(f); err != nil {
+			return nil, err
+		}
+	}
+	return d, nil
+}
+
+// defaults is a day with what a file may leave out: the limits of the rules, and the resources of a small sidecar.
 func defaults() *Day {
 	d := &Day{}
-	d.Load.OverShareWorth = 0.05
+	d.Load.OverQuotaWorth = 0.05
 	d.Load.Quota = tomlfile.Range{Lo: 0.8, Hi: 0.8}
 	d.Sidecars.Count = tomlfile.Range{Lo: 1, Hi: 1}
 	d.Sidecars.Cores, d.Sidecars.MemoryMB, d.Sidecars.Sockets = 1, 192, 1024
-	d.Clients.TryShare = tomlfile.Range{Lo: 0.5, Hi: 0.5}
+	d.Clients.AttemptTimeoutShare = tomlfile.Range{Lo: 0.5, Hi: 0.5}
 	d.Rules.Attempts = 4
 	d.Rules.MaxRetryAfter = 2 * time.Second
 	d.Rules.Slack = 50 * time.Millisecond
@@ -178,22 +209,7 @@
 	return d
 }
 
-// Parse is Load on a text already read.
-func Parse(name string, text []byte) (*Day, error) {
-	d := defaults()
-	f, err := tomlfile.Decode(name, text, d)
-	if err != nil {
-		return nil, err
-	}
-	for _, check := range []func(*tomlfile.File) error{d.checkHead, d.checkTiers, d.checkClassesAndTenants, d.checkFaults, d.checkCluster} {
-		if err := check(f); err != nil {
-			return nil, err
-		}
-	}
-	return d, nil
-}
-
-// tierIndex finds a tier by its name; an empty name is the first.
+// tierIndex is the index of a tier by its name, where an empty name is the first; -1: there is none.
 func (d *Day) tierIndex(name string) int {
 	for i, t := range d.Tiers {
 		if t.Name == name || name == "" {
@@ -203,7 +219,7 @@
 	return -1
 }
 
-// Cut makes the day shorter or longer. Its troubles keep their places in it, by share of its length.
+// Cut makes the day shorter or longer, from a second to an hour. Its faults keep their places, as shares of its length.
 func (d *Day) Cut(length time.Duration) error {
 	if length < time.Second || length > maxLength {
 		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
@@ -213,12 +229,12 @@
 		return tomlfile.Span{Lo: time.Duration(float64(s.Lo) * scale), Hi: time.Duration(float64(s.Hi) * scale)}
 	}
 	for i := range d.Faults {
-		t := &d.Faults[i]
-		t.At, t.For = stretch(t.At), stretch(t.For)
+		fault := &d.Faults[i]
+		fault.At, fault.For = stretch(fault.At), stretch(fault.For)
 	}
 	for i := range d.LinkFaults {
-		t := &d.LinkFaults[i]
-		t.At, t.For = stretch(t.At), stretch(t.For)
+		fault := &d.LinkFaults[i]
+		fault.At, fault.For = stretch(fault.At), stretch(fault.For)
 	}
 	d.Length = length
 	return nil
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -15,6 +15,7 @@
 	maxTiers  = 5
 )
 
+// isShare reports whether a range lies within 0 and 1.
 func isShare(r tomlfile.Range) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
 func (d *Day) checkHead(f *tomlfile.File) error {
@@ -22,18 +23,18 @@
 		tomlfile.Need("format", d.Format == 1, "1"),
 		tomlfile.Need("name", d.Name != "", "a name"),
 		tomlfile.Need("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
-		tomlfile.Need("load.use", d.Load.Use.Lo > 0 && d.Load.Use.Hi <= 10, "over 0, and 10 at most"),
+		tomlfile.Need("load.use", d.Load.Utilization.Lo > 0 && d.Load.Utilization.Hi <= 10, "over 0, and 10 at most"),
 		tomlfile.Need("load.quota", d.Load.Quota.Lo > 0, "over 0"),
-		tomlfile.Need("load.over_share_worth", d.Load.OverShareWorth >= 0 && d.Load.OverShareWorth <= 1, "from 0 to 1"),
+		tomlfile.Need("load.over_share_worth", d.Load.OverQuotaWorth >= 0 && d.Load.OverQuotaWorth <= 1, "from 0 to 1"),
 		tomlfile.Need("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
 		tomlfile.Need("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
 		tomlfile.Need("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
 		tomlfile.Need("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
 		tomlfile.Need("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
-		tomlfile.Need("clients.try_share", d.Clients.TryShare.Lo > 0 && isShare(d.Clients.TryShare), "over 0, and 1 at most"),
-		tomlfile.Need("clients.at_once", d.Clients.AtOnce >= 0 && d.Clients.AtOnce <= 1, "from 0 to 1"),
-		tomlfile.Need("clients.honour", isShare(d.Clients.Honour), "from 0 to 1"),
-		tomlfile.Need("clients.hang_up", isShare(d.Clients.HangUp), "from 0 to 1"),
+		tomlfile.Need("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare), "over 0, and 1 at most"),
+		tomlfile.Need("clients.at_once", d.Clients.ImmediateRetryShare >= 0 && d.Clients.ImmediateRetryShare <= 1, "from 0 to 1"),
+		tomlfile.Need("clients.honour", isShare(d.Clients.HonourRetryAfterShare), "from 0 to 1"),
+		tomlfile.Need("clients.hang_up", isShare(d.Clients.LeaveShare), "from 0 to 1"),
 		tomlfile.Need("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
 		tomlfile.Need("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
 		tomlfile.Need("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
@@ -106,9 +107,10 @@
 	names := map[string]bool{}
 	for i, c := range d.Classes {
 		at := fmt.Sprintf("class[%d]", i)
+		_, hasEffect := effectsByName[c.Effect]
 		if err := f.Check(at, []tomlfile.Must{
 			tomlfile.Need("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
-			tomlfile.Need("effect", c.Effect == "safe" || c.Effect == "keyed" || c.Effect == "unsafe", "safe, keyed or unsafe"),
+			tomlfile.Need("effect", hasEffect, "safe, keyed or unsafe"),
 			tomlfile.Need("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
 			tomlfile.Need("share", c.Share > 0, "over 0"),
 			tomlfile.Need("work", c.Work.Lo > 0, "over 0"),
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// isPlainName tells whether a name can stand in a path and a header as it is.
+// isPlainName reports whether a name can stand in a path and a header as it is.
 func isPlainName(s string) bool {
 	for _, c := range s {
 		if c != '-' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
@@ -148,20 +150,24 @@
 }
 
 func (d *Day) checkFaults(f *tomlfile.File) error {
-	for i, t := range d.Faults {
+	for i, spec := range d.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		needs, ok := faultKinds[t.Kind]
-		hows := map[string][]string{"restart": {"kill", "planned"}, "crash": {"", "same", "renamed"}, "drain": {"", "same", "renamed"}}[t.Kind]
+		needs, isKnown := faultKinds[spec.Kind]
+		modes := faultModes[spec.Kind]
+		hitsTargets := needs.nodes || needs.sidecars
+		hitsRequests := spec.Kind == "hang" || spec.Kind == "reset"
 		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("kind", ok, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
-			tomlfile.Need("at", f.Has(at+".at") && t.At.Hi < d.Length, "given, and before the day's end"),
-			tomlfile.Need("for", t.For.Lo > 0, "over 0"),
-			tomlfile.Need("share", isShare(t.Share) && (t.Share.Hi > 0) == (needs.nodes || needs.sidecars), "over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Need("size", (t.Magnitude.Lo > 0) == needs.size, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Need("size", (t.Kind != "hang" && t.Kind != "reset") || t.Magnitude.Hi <= 1, "a share of requests"),
-			tomlfile.Need("down", (t.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
-			tomlfile.Need("how", isAllowedMode(t.Mode, hows), fmt.Sprintf("one of %q", hows)),
-			tomlfile.Need("tier", t.Tier == "" || needs.nodes && d.tierIndex(t.Tier) >= 0, "the name of a tier, for a trouble of nodes"),
+			tomlfile.Need("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
+			tomlfile.Need("at", f.Has(at+".at") && spec.At.Hi < d.Length, "given, and before the day's end"),
+			tomlfile.Need("for", spec.For.Lo > 0, "over 0"),
+			tomlfile.Need("share", isShare(spec.Share) && (spec.Share.Hi > 0) == hitsTargets,
+				"over 0 and 1 at most where nodes or sidecars are hit, and only there"),
+			tomlfile.Need("size", (spec.Magnitude.Lo > 0) == needs.magnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Need("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
+			tomlfile.Need("down", (spec.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
+			tomlfile.Need("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
+			tomlfile.Need("tier", spec.Tier == "" || needs.nodes && d.tierIndex(spec.Tier) >= 0,
+				"the name of a tier, for a trouble of nodes"),
 		}); err != nil {
 			return err
 		}
@@ -169,6 +175,7 @@
 	return nil
 }
 
-func isAllowedMode(s string, list []string) bool {
-	return slices.Contains(list, s) || s == "" && len(list) == 0
+// isAllowedMode reports whether a kind of fault with these modes may have the mode; without modes it must be empty.
+func isAllowedMode(mode string, modes []string) bool {
+	return slices.Contains(modes, mode) || mode == "" && len(modes) == 0
 }
--- a/internal/testkit/rehearse/discovery.go
+++ b/internal/testkit/rehearse/discovery.go
@@ -18,13 +18,13 @@
 // announce sends a change to the agents of all sidecars that send to the node's tier. Each has its own delay, and gets its
 // changes in order.
 func (r *rehearsal) announce(h *host, m fake.Member, isAdded bool) {
-	span := r.plan.Day.Roster.Notice
+	span := r.plan.Day.Discovery.Notice
 	if isAdded {
-		span = r.plan.Day.Roster.Add
+		span = r.plan.Day.Discovery.Add
 	}
 	delay := span.At(r.drawShare("notice", m.ID, m.State)) + time.Duration(r.extraNotice.Load())
 	for _, agent := range r.agentsOf(h.plan.Spec.Tier) {
-		dueAt := time.Now().Add(delay + r.plan.Day.Roster.Spread.At(r.drawShare("spread", m.ID, m.State, agent.Sidecar)))
+		dueAt := time.Now().Add(delay + r.plan.Day.Discovery.Spread.At(r.drawShare("spread", m.ID, m.State, agent.Sidecar)))
 		select {
 		case r.notifications[agent] <- notification{dueAt, m}:
 		case <-r.ctx.Done():
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -14,21 +14,22 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Plan is a day drawn from its file: all that is decided ahead. The same day, seed and demand give the same plan.
+// Plan is a day drawn from its file: all that is decided before it is played. The same day, seed and demand give the same
+// plan.
 type Plan struct {
 	Day             *Day
 	Seed            uint64
-	Demand          float64 // times the day's own
-	Capacity        float64 // first tries a second that the fleet can do, when warm and well
-	Rate            float64 // first tries a second that are asked for, without surges
+	Demand          float64 // factor on the day's own demand
+	Capacity        float64 // requests per second, without retries, that the nodes can serve when warm and without faults
+	Rate            float64 // requests per second, without retries, that are due outside surges
 	Nodes           []NodePlan
-	Sidecars        int
+	Sidecars        int // before the first tier
 	Classes         []fake.Class
-	Quotas          []float64 // requests a second within each tenant's share
-	Requests        []Request
+	Quotas          []float64 // requests per second, by tenant
+	Requests        []Request // in the order due
 	Faults          []Fault
 	LinkFaults      []LinkFault
-	callsPerRequest []float64 // to each tier, for one first try
+	callsPerRequest []float64 // by tier: calls for each one of the tier before, on average
 }
 
 // NodePlan is a node that the day has from its start.
@@ -37,24 +38,21 @@
 	Seed uint64
 }
 
-// Request is a first try that is due, and how its client will behave.
+// Request is a request that is due, and how its client behaves. The tags are the names of printed plans.
 type Request struct {
 	schedule.Arrival
 	Job               *fake.Job
-	Key               string
-	IsOverQuota       bool    `json:"Over"` // beyond its tenant's share
-	Worth             float64 // of an answer within the aim
+	Key               string  // idempotency key
+	IsOverQuota       bool    `json:"Over"`
+	Worth             float64 // of a response within the latency objective
 	Retries           int
-	AttemptTimeout    time.Duration `json:"Wait"` // a try is given up after this
-	Backoff           time.Duration // between tries; 0: at once
-	HonoursRetryAfter bool          `json:"Honours"` // heeds Retry-After
-	LeaveAfter        time.Duration `json:"HangUp"`  // leaves its first try after this; 0: stays
+	AttemptTimeout    time.Duration `json:"Wait"`
+	Backoff           time.Duration // before a retry; 0: it is sent at once
+	HonoursRetryAfter bool          `json:"Honours"`
+	LeaveAfter        time.Duration `json:"HangUp"` // the client leaves its first attempt after this; 0: it stays
 }
 
-// newSource is a source of numbers for one matter, so that a change in one does not shift the others.
-func newSource(seed uint64, matter uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, matter)) }
-
-// The matters that are drawn apart.
+// The sources of random numbers. Each draws for one matter, so that a change in one does not shift the others.
 const (
 	sourceFleet = iota + 1
 	sourceArrivals
@@ -64,37 +62,44 @@
 	sourceLinkFaults
 )
 
-// NewPlan draws a day.
+// newSource is one of the sources for a seed.
+func newSource(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
+
+// NewPlan draws a plan of a day. An error means that the day would be too large; it names the day.
 func NewPlan(d *Day, seed uint64, demand float64) (*Plan, error) {
 	p := &Plan{Day: d, Seed: seed, Demand: demand}
 	rng := newSource(seed, sourceFleet)
 	for _, c := range d.Classes {
-		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effectsByName[c.Effect], Window: c.Window, Deadline: c.Deadline})
+		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effectsByName[c.Effect], Window: c.Window,
+			Deadline: c.Deadline})
 	}
-	works := p.drawClassWork(rng)
+	work := p.drawClassWork(rng)
+	p.drawCalls(rng)
 	p.drawNodes(rng)
 	p.Sidecars = int(drawInteger(d.Sidecars.Count, rng))
-	p.computeCapacity(works)
-	p.Rate = p.Capacity * d.Load.Use.At(rng.Float64()) * demand
+	p.computeCapacity(work)
+	p.Rate = p.Capacity * d.Load.Utilization.At(rng.Float64()) * demand
 	usage := p.drawTenants()
 	p.drawFaults()
 	p.drawLinkFaults()
-	if err := p.drawRequests(works, usage); err != nil {
+	if err := p.drawRequests(work, usage); err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
 	return p, nil
 }
 
+// effectsByName are the effects by their names in day files.
 var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.Keyed, "unsafe": invariant.Unsafe}
 
-// drawInteger draws a whole number from a range.
+// drawInteger draws a whole number from a range, both ends included.
 func drawInteger(r tomlfile.Range, rng *rand.Rand) float64 {
 	return min(math.Floor(r.Lo+(r.Hi-r.Lo+1)*rng.Float64()), math.Floor(r.Hi))
 }
 
+// sidecarName is the name of a sidecar before the first tier.
 func sidecarName(i int) string { return fmt.Sprintf("sidecar-%d", i+1) }
 
-// longestDeadline is that of all classes.
+// longestDeadline is the longest deadline of all classes.
 func (p *Plan) longestDeadline() (longest time.Duration) {
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline)
@@ -102,17 +107,25 @@
 	return longest
 }
 
-// Rules are the figures that the referee holds a plan's day to.
+// Rules are the limits of the invariants for the day.
 func (p *Plan) Rules() invariant.Rules {
-	r := invariant.Rules{MaxAttempts: p.Day.Rules.Attempts, Slack: p.Day.Rules.Slack, DrainGrace: p.Day.Rules.DrainGrace,
-		FallMultiple: p.Day.Rules.FallMultiple, FallAfter: p.Day.Rules.FallAfter, FallSlack: fake.ColdOverloadTolerance, TermGrace: termGrace}
+	rules := invariant.Rules{
+		MaxAttempts:  p.Day.Rules.Attempts,
+		Slack:        p.Day.Rules.Slack,
+		DrainGrace:   p.Day.Rules.DrainGrace,
+		FallMultiple: p.Day.Rules.FallMultiple,
+		FallAfter:    p.Day.Rules.FallAfter,
+		FallSlack:    fake.ColdOverloadTolerance,
+		TermGrace:    termGrace,
+	}
 	for _, c := range p.Classes {
-		r.Classes = append(r.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
+		rules.Classes = append(rules.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
 	}
-	return r
+	return rules
 }
 
-// Print writes the whole plan as lines of JSON: the fleet, the troubles, then each request in the order due.
+// Print writes the whole plan as lines of JSON: the nodes and faults, then each request in the order due. The names are
+// those that readers of printed plans know: strikes are faults, links the faults of links.
 func (p *Plan) Print(w io.Writer) error {
 	out := json.NewEncoder(w)
 	head := struct {
@@ -130,8 +143,8 @@
 	if err := out.Encode(head); err != nil {
 		return err
 	}
-	for _, q := range p.Requests {
-		if err := out.Encode(q); err != nil {
+	for _, request := range p.Requests {
+		if err := out.Encode(request); err != nil {
 			return err
 		}
 	}
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -2,15 +2,16 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
-// Fault is a trouble with all that it draws.
+// Fault is a FaultSpec with all that it draws. The tags are its names in results and printed plans.
 type Fault struct {
 	Kind      string
 	At, For   time.Duration
 	Tier      int
-	Targets   []string      // ids of nodes, or names of sidecars
+	Targets   []string      // IDs of nodes, or names of sidecars
 	Magnitude float64       `json:"Size"`
 	Mode      string        `json:"How"`
 	DownFor   time.Duration `json:"Down"`
@@ -18,29 +19,49 @@
 
 func (p *Plan) drawFaults() {
 	rng := newSource(p.Seed, sourceFaults)
-	for _, t := range p.Day.Faults {
-		s := Fault{Kind: t.Kind, At: t.At.At(rng.Float64()), For: t.For.At(rng.Float64()), Tier: max(p.Day.tierIndex(t.Tier), 0),
-			Magnitude: t.Magnitude.At(rng.Float64()), Mode: t.Mode, DownFor: t.DownFor.At(rng.Float64())}
-		var among []string
-		switch needs := faultKinds[t.Kind]; {
-		case needs.nodes:
-			for _, n := range p.Nodes {
-				if n.Spec.Tier == s.Tier {
-					among = append(among, n.Spec.ID)
-				}
-			}
-		case needs.sidecars:
-			for i := range p.Sidecars {
-				among = append(among, sidecarName(i))
-			}
+	for _, spec := range p.Day.Faults {
+		fault := Fault{
+			Kind:      spec.Kind,
+			At:        spec.At.At(rng.Float64()),
+			For:       spec.For.At(rng.Float64()),
+			Tier:      max(p.Day.tierIndex(spec.Tier), 0),
+			Magnitude: spec.Magnitude.At(rng.Float64()),
+			Mode:      spec.Mode,
+			DownFor:   spec.DownFor.At(rng.Float64()),
 		}
-		share := t.Share.At(rng.Float64())
-		order := rng.Perm(len(among))
-		if len(among) > 0 {
-			for _, i := range order[:min(max(int(math.Round(share*float64(len(among)))), 1), len(among))] {
-				s.Targets = append(s.Targets, among[i])
+		fault.Targets = drawTargets(rng, p.candidates(fault), spec.Share.At(rng.Float64()))
+		p.Faults = append(p.Faults, fault)
+	}
+}
+
+// candidates are the nodes or sidecars that a fault may hit.
+func (p *Plan) candidates(fault Fault) []string {
+	var out []string
+	switch needs := faultKinds[fault.Kind]; {
+	case needs.nodes:
+		for _, n := range p.Nodes {
+			if n.Spec.Tier == fault.Tier {
+				out = append(out, n.Spec.ID)
 			}
 		}
-		p.Faults = append(p.Faults, s)
+	case needs.sidecars:
+		for i := range p.Sidecars {
+			out = append(out, sidecarName(i))
+		}
+	}
+	return out
+}
+
+// drawTargets draws a share of the candidates, at least one if there is any.
+func drawTargets(rng *rand.Rand, candidates []string, share float64) []string {
+	order := rng.Perm(len(candidates))
+	if len(candidates) == 0 {
+		return nil
+	}
+	n := min(max(int(math.Round(share*float64(len(candidates)))), 1), len(candidates))
+	var targets []string
+	for _, i := range order[:n] {
+		targets = append(targets, candidates[i])
 	}
+	return targets
 }
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -10,19 +10,39 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// maxRequests bounds a plan: with three tiers a first try was seen to take 24 kB of the rehearsal, timeline and all.
-const maxRequests = 100_000
+const (
+	// maxRequests bounds a plan: with three tiers a request was seen to take 24 kB of memory, its timeline included.
+	maxRequests = 100_000
+	// maxCalls bounds the requests of all tiers together: each has at least five events in the timeline.
+	maxCalls = maxEvents / 5
+	// maxWorkFactor bounds one draw of work, in means: a lognormal distribution has no bound of its own.
+	maxWorkFactor = 10
+	// surgeRampShare is the share of its length over which a surge rises, and over which it falls.
+	surgeRampShare = 0.1
+)
 
-// maxCalls bounds the requests of all tiers together: each leaves five events at least in the timeline.
-const maxCalls = maxEvents / 5
+// classWork is the mean work of a class on the day, and its mean wait on others.
+type classWork struct{ work, wait time.Duration }
 
-// surgeRampShare is over how much of its length a surge rises, and falls.
-const surgeRampShare = 0.1
+func (p *Plan) drawClassWork(rng *rand.Rand) []classWork {
+	var out []classWork
+	for _, c := range p.Day.Classes {
+		out = append(out, classWork{c.Work.At(rng.Float64()), c.Wait.At(rng.Float64())})
+	}
+	return out
+}
 
-// maxWorkFactor bounds one draw of work, in means: a lognormal has no end.
-const maxWorkFactor = 10
+func (p *Plan) drawCalls(rng *rand.Rand) {
+	for i, tier := range p.Day.Tiers {
+		calls := tier.Calls.At(rng.Float64())
+		if i == 0 {
+			calls = 1
+		}
+		p.callsPerRequest = append(p.callsPerRequest, calls)
+	}
+}
 
-// drawTenants says what each tenant may ask for, and how much of the traffic is its own.
+// drawTenants draws the quota of each tenant, and returns each one's relative weight in the traffic.
 func (p *Plan) drawTenants() (usage []float64) {
 	rng := newSource(p.Seed, sourceTenants)
 	shares := 0.0
@@ -37,70 +57,125 @@
 	return usage
 }
 
-func (p *Plan) drawRequests(works []classWork, usage []float64) error {
+func (p *Plan) drawRequests(work []classWork, usage []float64) error {
 	rng := newSource(p.Seed, sourceArrivals)
+	arrivals, err := p.drawArrivals(rng, usage)
+	if err != nil {
+		return err
+	}
+	behaviour := p.drawClientBehaviour(rng)
+	quotas := newQuotaBuckets(p.Quotas)
+	for _, a := range arrivals {
+		request := p.drawRequest(a, work[a.Class], behaviour)
+		request.Worth = p.Day.Classes[a.Class].Worth * request.Job.TotalWork().Seconds()
+		if request.IsOverQuota = !quotas.take(a.Tenant, a.At); request.IsOverQuota {
+			request.Worth *= p.Day.Load.OverQuotaWorth
+		}
+		p.Requests = append(p.Requests, request)
+	}
+	return nil
+}
+
+// drawArrivals draws when requests are due. An error means that there are too many of them, or of calls in all tiers.
+func (p *Plan) drawArrivals(rng *rand.Rand, usage []float64) ([]schedule.Arrival, error) {
 	rate := schedule.Rate{PerSecond: p.Rate}
-	for _, s := range p.Faults {
-		if s.Kind == "surge" {
-			rate.Surges = append(rate.Surges, schedule.Surge{At: s.At, For: s.For, Ramp: time.Duration(surgeRampShare * float64(s.For)), Factor: s.Magnitude})
+	for _, fault := range p.Faults {
+		if fault.Kind == "surge" {
+			rate.Surges = append(rate.Surges, schedule.Surge{At: fault.At, For: fault.For,
+				Ramp: time.Duration(surgeRampShare * float64(fault.For)), Factor: fault.Magnitude})
 		}
 	}
 	var shares []float64
 	for _, c := range p.Day.Classes {
 		shares = append(shares, c.Share)
 	}
-	arrivals, err := schedule.Draw(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenant: usage, Most: maxRequests})
+	arrivals, err := schedule.Draw(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenant: usage,
+		Most: maxRequests})
 	if err != nil {
-		return err
+		return nil, err
 	}
-	perTry, reached := 0.0, 1.0
-	for _, calls := range p.callsPerRequest {
-		reached *= calls
-		perTry += reached
+	perRequest, calls := 0.0, 1.0
+	for _, n := range p.callsPerRequest {
+		calls *= n
+		perRequest += calls
 	}
-	if all := perTry * float64(len(arrivals)); all > maxCalls {
-		return fmt.Errorf("%.0f calls in all tiers, %d are the most that a day may have", all, maxCalls)
+	if all := perRequest * float64(len(arrivals)); all > maxCalls {
+		return nil, fmt.Errorf("%.0f calls in all tiers, %d are the most that a day may have", all, maxCalls)
 	}
-	tokens, at := make([]float64, len(usage)), make([]time.Duration, len(usage))
-	for i := range tokens {
-		tokens[i] = max(p.Quotas[i], 1)
+	return arrivals, nil
+}
+
+// clientBehaviour is how the clients of the day behave.
+type clientBehaviour struct {
+	retries               int
+	attemptTimeoutShare   float64
+	backoff               time.Duration
+	honourRetryAfterShare float64
+	leaveShare            float64
+}
+
+// drawClientBehaviour draws in an order that is part of what a seed means.
+func (p *Plan) drawClientBehaviour(rng *rand.Rand) (b clientBehaviour) {
+	clients := &p.Day.Clients
+	b.retries = int(drawInteger(clients.Retries, rng))
+	b.attemptTimeoutShare = clients.AttemptTimeoutShare.At(rng.Float64())
+	b.backoff = clients.Backoff.At(rng.Float64())
+	b.honourRetryAfterShare = clients.HonourRetryAfterShare.At(rng.Float64())
+	b.leaveShare = clients.LeaveShare.At(rng.Float64())
+	return b
+}
+
+// drawRequest draws a request from the arrival's own source, without its worth.
+func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
+	rng := newSource(a.Draw, sourceJobs)
+	deadline := p.Day.Classes[a.Class].Deadline
+	request := Request{Arrival: a, Retries: b.retries, AttemptTimeout: time.Duration(b.attemptTimeoutShare * float64(deadline))}
+	request.Job = p.drawJob(rng, a.Class, 0, mean)
+	request.Key = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
+	if rng.Float64() >= p.Day.Clients.ImmediateRetryShare {
+		request.Backoff = b.backoff
 	}
-	retries := int(drawInteger(p.Day.Clients.Retries, rng))
-	tryShare := p.Day.Clients.TryShare.At(rng.Float64())
-	backoff := p.Day.Clients.Backoff.At(rng.Float64())
-	honour := p.Day.Clients.Honour.At(rng.Float64())
-	hangUp := p.Day.Clients.HangUp.At(rng.Float64())
-	for _, a := range arrivals {
-		q := Request{Arrival: a, Retries: retries, AttemptTimeout: time.Duration(tryShare * float64(p.Day.Classes[a.Class].Deadline))}
-		own := newSource(a.Draw, sourceJobs)
-		q.Job = p.drawJob(own, a.Class, 0, works[a.Class])
-		q.Key = fmt.Sprintf("%016x%016x", own.Uint64(), own.Uint64())
-		if own.Float64() >= p.Day.Clients.AtOnce {
-			q.Backoff = backoff
-		}
-		q.HonoursRetryAfter = own.Float64() < honour
-		if own.Float64() < hangUp {
-			q.LeaveAfter = time.Duration(own.Float64() * float64(q.AttemptTimeout))
-		}
-		t := a.Tenant
-		tokens[t] = min(tokens[t]+p.Quotas[t]*(a.At-at[t]).Seconds(), max(p.Quotas[t], 1)) // a second's worth may come at once
-		at[t] = a.At
-		q.Worth = p.Day.Classes[a.Class].Worth * q.Job.TotalWork().Seconds()
-		if q.IsOverQuota = tokens[t] < 1; q.IsOverQuota {
-			q.Worth *= p.Day.Load.OverShareWorth
-		} else {
-			tokens[t]--
-		}
-		p.Requests = append(p.Requests, q)
+	request.HonoursRetryAfter = rng.Float64() < b.honourRetryAfterShare
+	if rng.Float64() < b.leaveShare {
+		request.LeaveAfter = time.Duration(rng.Float64() * float64(request.AttemptTimeout))
 	}
-	return nil
+	return request
 }
 
-// drawJob draws a request's work in a tier and in those behind it.
+// quotaBuckets are a token bucket for each tenant, which holds the requests of a second.
+type quotaBuckets struct {
+	quotas []float64 // per second
+	tokens []float64
+	at     []time.Duration // when tokens was right
+}
+
+func newQuotaBuckets(quotas []float64) *quotaBuckets {
+	b := &quotaBuckets{quotas: quotas, tokens: make([]float64, len(quotas)), at: make([]time.Duration, len(quotas))}
+	for i, quota := range quotas {
+		b.tokens[i] = max(quota, 1)
+	}
+	return b
+}
+
+// take takes a token of a tenant, and is false where there is none.
+func (b *quotaBuckets) take(tenant int, at time.Duration) bool {
+	quota := b.quotas[tenant]
+	b.tokens[tenant] = min(b.tokens[tenant]+quota*(at-b.at[tenant]).Seconds(), max(quota, 1))
+	b.at[tenant] = at
+	if b.tokens[tenant] < 1 {
+		return false
+	}
+	b.tokens[tenant]--
+	return true
+}
+
+// drawJob draws a request's work at a tier and at those behind it.
 func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
-	t := p.Day.Tiers[tier]
-	j := &fake.Job{Work: time.Duration(float64(mean.work) * t.WorkShare * lognormal(rng, p.Day.Classes[class].WorkVariation)),
-		Wait: time.Duration(float64(mean.wait) * t.WorkShare)}
+	share := p.Day.Tiers[tier].WorkShare
+	job := &fake.Job{
+		Work: time.Duration(float64(mean.work) * share * lognormal(rng, p.Day.Classes[class].WorkVariation)),
+		Wait: time.Duration(float64(mean.wait) * share),
+	}
 	if tier+1 < len(p.Day.Tiers) {
 		calls := p.callsPerRequest[tier+1]
 		n := int(calls)
@@ -108,14 +183,14 @@
 			n++
 		}
 		for range n {
-			j.Calls = append(j.Calls, p.drawJob(rng, class, tier+1, mean))
+			job.Calls = append(job.Calls, p.drawJob(rng, class, tier+1, mean))
 		}
 	}
-	return j
+	return job
 }
 
-// lognormal draws a number of mean 1 and the given coefficient of variation.
+// lognormal draws from a lognormal distribution with mean 1 and the given coefficient of variation, up to a bound.
 func lognormal(rng *rand.Rand, cv float64) float64 {
-	s2 := math.Log(1 + cv*cv)
-	return min(math.Exp(rng.NormFloat64()*math.Sqrt(s2)-s2/2), maxWorkFactor)
+	variance := math.Log(1 + cv*cv)
+	return min(math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2), maxWorkFactor)
 }
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -120,7 +120,7 @@
 		sendLateness:  schedule.NewLatency(),
 	}
 	r.clients = fake.NewClient(plan.Classes, r.registry, r.recorder, plan.Day.Rules.Slack, maxClientIdleConnections)
-	if lifetime := plan.Day.Clients.Keep; lifetime.Hi > 0 {
+	if lifetime := plan.Day.Clients.ConnectionLifetime; lifetime.Hi > 0 {
 		r.clients.SetConnectionLifetime(func() time.Duration {
 			return lifetime.At(r.drawShare("keep", fmt.Sprint(r.sequence.Add(1))))
 		})
--- a/internal/testkit/rehearse/rehearse_test.go
+++ b/internal/testkit/rehearse/rehearse_test.go
@@ -80,7 +80,7 @@
 				t.Fatalf("%d nodes in %s", count[i], tier.Name)
 			}
 		}
-		if share := p.Rate / p.Capacity; share < d.Load.Use.Lo-1e-9 || share > d.Load.Use.Hi+1e-9 {
+		if share := p.Rate / p.Capacity; share < d.Load.Utilization.Lo-1e-9 || share > d.Load.Utilization.Hi+1e-9 {
 			t.Fatalf("asks for %v of what the fleet can do", share)
 		}
 		for i, s := range p.Faults {
@@ -171,7 +171,7 @@
 			}
 			return
 		}
-		if d.Length <= 10*time.Second && d.Load.Use.Hi <= 1 { // what passes the check can be drawn, or says why not
+		if d.Length <= 10*time.Second && d.Load.Utilization.Hi <= 1 { // what passes the check can be drawn, or says why not
 			_, _ = NewPlan(d, 1, 1)
 		}
 	})
