--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -11,14 +11,15 @@
 // The charts are SVG written by hand: a plot library would read its fonts at the start of every daemon (gonum/plot takes
 // 4 MB of resident memory as soon as it is linked in).
 
-// chart is a plot over the time of a day.
+// chart is a plot over the time of a day, written as SVG.
 type chart struct {
 	strings.Builder
 	height   float64
 	length   float64 // seconds
-	scaleMax float64 // of the scale
+	scaleMax float64 // the value at the top of the scale
 }
 
+// The size of a plot and its margins, in units of the view box.
 const (
 	chartWidth  = 1000.0
 	chartLeft   = 56.0
@@ -27,12 +28,14 @@
 	chartBottom = 22.0
 )
 
-func newChart(height, length, most float64) *chart {
-	c := &chart{height: height, length: max(length, 1), scaleMax: most}
+// newChart begins a plot over a length in seconds.
+func newChart(height, length, scaleMax float64) *chart {
+	c := &chart{height: height, length: max(length, 1), scaleMax: scaleMax}
 	fmt.Fprintf(&c.Builder, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
 	return c
 }
 
+// x is the position of an instant, and y that of a value, both kept within the plot.
 func (c *chart) x(seconds float64) float64 {
 	return chartLeft + (chartWidth-chartLeft-chartRight)*min(max(seconds, 0), c.length)/c.length
 }
@@ -41,16 +44,17 @@
 	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
 
-// axes draws the scale and the time below.
-func (c *chart) axes(format string) {
+// scale draws a grid with the values of the scale, in a format.
+func (c *chart) scale(format string) {
 	for i := range 5 {
 		v := c.scaleMax * float64(i) / 4
-		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
+		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`+
+			`<text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
 			chartLeft, chartWidth-chartRight, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, fmt.Sprintf(format, v))
 	}
-	c.timeAxis()
 }
 
+// timeAxis writes the seconds below the plot.
 func (c *chart) timeAxis() {
 	step := niceStep(c.length)
 	for s := 0.0; s <= c.length; s += step {
@@ -58,7 +62,7 @@
 	}
 }
 
-// niceStep gives about ten ticks.
+// niceStep is the distance of ticks, of which there are about ten.
 func niceStep(length float64) float64 {
 	for _, step := range []float64{1, 2, 5, 10, 15, 30, 60, 120, 300, 600} {
 		if length/step <= 12 {
@@ -68,7 +72,7 @@
 	return 1200
 }
 
-// niceMax is a scale's end at or above a value.
+// niceMax is the top of a scale, a round value that is at least v.
 func niceMax(v float64) float64 {
 	if v <= 0 {
 		return 1
@@ -82,24 +86,27 @@
 	return 10 * unit
 }
 
-// faultBands lays the troubles behind a plot, and marks broken rules.
+// faultBands draws a band behind the plot for each fault.
 func (c *chart) faultBands(r *Result) {
-	for _, s := range r.Faults {
-		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`, s.Kind, c.x(s.At.Seconds()),
-			max(c.x((s.At+s.For).Seconds())-c.x(s.At.Seconds()), 1), chartTop, c.height-chartTop-chartBottom)
+	for _, fault := range r.Faults {
+		x, end := c.x(fault.At.Seconds()), c.x((fault.At + fault.For).Seconds())
+		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`,
+			fault.Kind, x, max(end-x, 1), chartTop, c.height-chartTop-chartBottom)
 	}
 }
 
+// violationMarks draws a line at each violation of a rule.
 func (c *chart) violationMarks(r *Result) {
-	for _, u := range r.Invariants.Rules {
-		for _, b := range u.Breaches {
-			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`, c.x(b.At.Seconds()),
-				c.x(b.At.Seconds()), chartTop, c.height-chartBottom, u.Number, b.At.Seconds(), html.EscapeString(violationText(b)))
+	for _, rule := range r.Invariants.Rules {
+		for _, v := range rule.Breaches {
+			x := c.x(v.At.Seconds())
+			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`,
+				x, x, chartTop, c.height-chartBottom, rule.Number, v.At.Seconds(), html.EscapeString(violationText(v)))
 		}
 	}
 }
 
-// line draws values by whole seconds, as steps' middles.
+// line draws a value for each second, at its middle.
 func (c *chart) line(class string, values []float64) {
 	var points []string
 	for i, v := range values {
@@ -108,17 +115,19 @@
 	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, class, strings.Join(points, " "))
 }
 
-// columns draws a column a second.
+// columns draws a column for each second with a positive value.
 func (c *chart) columns(class string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
-			fmt.Fprintf(&c.Builder, `<rect class="%s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"><title>%d s: %.4g</title></rect>`, class, c.x(float64(i)),
-				max(c.x(float64(i+1))-c.x(float64(i))-0.5, 0.5), c.y(v), c.y(0)-c.y(v), i, v)
+			x, next := c.x(float64(i)), c.x(float64(i+1))
+			fmt.Fprintf(&c.Builder, `<rect class="%s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"><title>%d s: %.4g</title></rect>`,
+				class, x, max(next-x-0.5, 0.5), c.y(v), c.y(0)-c.y(v), i, v)
 		}
 	}
 }
 
+// end closes the plot and returns it. All text in it was escaped before.
 func (c *chart) end() template.HTML {
 	c.WriteString("</svg>")
-	return template.HTML(c.String()) // all text in it is escaped above
+	return template.HTML(c.String())
 }
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -24,7 +24,7 @@
 	}{1, "rehearsal", results})
 }
 
-// WriteTable tells results to a person: one in full, several beside each other.
+// WriteTable writes results as text: one in full, several beside each other.
 func WriteTable(w io.Writer, results []*Result) error {
 	var b strings.Builder
 	if len(results) == 1 {
@@ -39,10 +39,11 @@
 // writeColumns aligns the tab-separated cells of rows.
 func writeColumns(b *strings.Builder, rows string) {
 	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	_, _ = io.WriteString(t, rows) // a Builder takes all that is written to it
+	_, _ = io.WriteString(t, rows) // neither fails: a Builder takes all that is written to it
 	_ = t.Flush()
 }
 
+// writeOne writes one result in full.
 func writeOne(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
@@ -53,10 +54,11 @@
 			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
 		}
 	}
-	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n", r.Service,
-		r.Penalties.Connections, r.Penalties.Waste, r.Penalties.LateFails, r.Penalties.Overload)
+	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n",
+		r.Service, r.Penalties.Connections, r.Penalties.Waste, r.Penalties.LateFails, r.Penalties.Overload)
 	c := r.Requests
-	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n", c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
+	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n",
+		c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
 	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Connections)
 	for _, name := range sortedKeys(r.Latency) {
 		l := r.Latency[name]
@@ -65,13 +67,13 @@
 	writeColumns(b, rows.String())
 	b.WriteString("\n")
 	rows.Reset()
-	for _, u := range r.Invariants.Rules {
-		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", u.Number, u.Name, verdictText(u), occasionsText(u))
+	for _, rule := range r.Invariants.Rules {
+		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", rule.Number, rule.Name, verdictText(rule), occasionsText(rule))
 	}
 	writeColumns(b, rows.String())
-	for _, u := range r.Invariants.Rules {
-		for _, x := range u.Breaches[:min(len(u.Breaches), 3)] {
-			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", x.Rule, x.At.Seconds(), violationText(x))
+	for _, rule := range r.Invariants.Rules {
+		for _, v := range rule.Breaches[:min(len(rule.Breaches), 3)] {
+			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", v.Rule, v.At.Seconds(), violationText(v))
 		}
 	}
 	if r.Invariants.Crashes > 0 {
@@ -86,25 +88,28 @@
 	}
 }
 
-func verdictText(u invariant.RuleResult) string {
-	if u.Verdict == invariant.Broken {
-		return fmt.Sprintf("BROKEN %d times", u.Broken)
+// verdictText is the verdict on a rule.
+func verdictText(rule invariant.RuleResult) string {
+	if rule.Verdict == invariant.Broken {
+		return fmt.Sprintf("BROKEN %d times", rule.Broken)
 	}
-	return string(u.Verdict)
+	return string(rule.Verdict)
 }
 
-func occasionsText(u invariant.RuleResult) string {
+// occasionsText lists the occasions of a rule in the order of their names.
+func occasionsText(rule invariant.RuleResult) string {
 	var out []string
-	for name, n := range u.Occasions {
+	for name, n := range rule.Occasions {
 		out = append(out, fmt.Sprintf("%s %d", name, n))
 	}
 	sort.Strings(out)
 	return strings.Join(out, ", ")
 }
 
-func violationText(x invariant.Violation) string {
-	out := x.What
-	for _, part := range []struct{ name, value string }{{"request", x.Request}, {"sidecar", x.Sidecar}, {"node", x.Node}} {
+// violationText describes a violation with whom it concerns.
+func violationText(v invariant.Violation) string {
+	out := v.What
+	for _, part := range []struct{ name, value string }{{"request", v.Request}, {"sidecar", v.Sidecar}, {"node", v.Node}} {
 		if part.value != "" {
 			out += fmt.Sprintf(", %s %s", part.name, part.value)
 		}
@@ -112,14 +117,16 @@
 	return out
 }
 
-// writeComparison sets results side by side.
+// writeComparison writes several results beside each other, a row each.
 func writeComparison(b *strings.Builder, results []*Result) {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99\trules")
 	for _, r := range results {
 		c := r.Requests
-		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n", r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.WorthShare,
-			r.WorstWindow, minShare(r.ByTenant), percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total), r.Latency["all"].P99, verdictSummary(r))
+		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n",
+			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.WorthShare, r.WorstWindow, minShare(r.ByTenant),
+			percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total),
+			r.Latency["all"].P99, verdictSummary(r))
 	}
 	writeColumns(b, rows.String())
 	writeSpread(b, results)
@@ -130,14 +137,15 @@
 	}
 }
 
+// percent is a of b in percent; 0 where b is 0.
 func percent(a, b int) float64 { return 100 * ratio(float64(a), float64(b), 0) }
 
-// verdictSummary is the verdict on a run in a word.
+// verdictSummary is the verdict on a result in few words.
 func verdictSummary(r *Result) string {
 	var broken []string
-	for _, u := range r.Invariants.Rules {
-		if u.Verdict == invariant.Broken {
-			broken = append(broken, fmt.Sprint(u.Number))
+	for _, rule := range r.Invariants.Rules {
+		if rule.Verdict == invariant.Broken {
+			broken = append(broken, fmt.Sprint(rule.Number))
 		}
 	}
 	switch {
@@ -151,7 +159,7 @@
 	return "held"
 }
 
-// writeSpread gives minimum, median and maximum by balancer and demand, where seeds were several.
+// writeSpread writes minimum, median and maximum by balancer and demand, where there are several seeds.
 func writeSpread(b *strings.Builder, results []*Result) {
 	type key struct {
 		balancer string
