--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -10,38 +10,58 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// exampleResult is a result with a broken rule, a crash, and names that need care.
+// exampleResult is a result with a broken rule, and names that must be escaped in HTML.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
-	r := &Result{Format: 1, Day: "d<b>ay", Balancer: balancer, Seed: seed, Demand: demand, Valid: true, Service: service, WorthShare: service / 100,
-		ByClass: map[string]Share{"look": {Offered: 2, InTime: 1, Share: 0.5}}, ByTenant: map[string]Share{"t": {Share: 1}},
-		Latency: map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}}, BySecond: make([]Second, 20), Rejections: make([]float64, 20),
-		Nodes: []string{"front-1", "front-2"}, InFlight: [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
+	r := &Result{
+		Format:     1,
+		Day:        "d<b>ay",
+		Balancer:   balancer,
+		Seed:       seed,
+		Demand:     demand,
+		Valid:      true,
+		Service:    service,
+		WorthShare: service / 100,
+		ByClass:    map[string]Share{"look": {Offered: 2, InTime: 1, Share: 0.5}},
+		ByTenant:   map[string]Share{"t": {Share: 1}},
+		Latency:    map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
+		BySecond:   make([]Second, 20),
+		Rejections: make([]float64, 20),
+		Nodes:      []string{"front-1", "front-2"},
+		InFlight:   [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
 		Faults:     []Fault{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
-		Invariants: &invariant.Report{}}
-	names := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
+		Invariants: &invariant.Report{},
+	}
+	verdicts := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
 	for i := range r.Invariants.Rules {
-		r.Invariants.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: names[i], Occasions: map[string]int{"things": i}}
+		r.Invariants.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: verdicts[i],
+			Occasions: map[string]int{"things": i}}
 	}
 	r.Invariants.Rules[1].Broken = 7
-	r.Invariants.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>", Node: "front-1", What: "sent <twice>"}}
+	r.Invariants.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>",
+		Node: "front-1", What: "sent <twice>"}}
 	return r
 }
 
-func TestOneResultIsTold(t *testing.T) {
+func TestTableOfOneResult(t *testing.T) {
 	var b bytes.Buffer
 	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"BROKEN 7 times", "not put to the test", "rule 2, at 1.500 s: sent <twice>, request r<1>, node front-1", "look", "0.500", "things 1"} {
+	for _, want := range []string{"BROKEN 7 times", "not put to the test",
+		"rule 2, at 1.500 s: sent <twice>, request r<1>, node front-1", "look", "0.500", "things 1"} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("%q is missing in\n%s", want, b.String())
 		}
 	}
 }
 
-func TestSeveralAreSetSideBySideWithTheirSpread(t *testing.T) {
+func TestTableOfSeveralResultsHasTheirSpread(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80), exampleResult(Module, 2, 1, 60), exampleResult(Module, 3, 1, 70), exampleResult("random", 1, 1, 30), exampleResult("random", 2, 1, 40), exampleResult("random", 3, 1, 20)}); err != nil {
+	results := []*Result{
+		exampleResult(Module, 1, 1, 80), exampleResult(Module, 2, 1, 60), exampleResult(Module, 3, 1, 70),
+		exampleResult("random", 1, 1, 30), exampleResult("random", 2, 1, 40), exampleResult("random", 3, 1, 20),
+	}
+	if err := WriteTable(&b, results); err != nil {
 		t.Fatal(err)
 	}
 	rows := map[string]bool{}
@@ -58,9 +78,10 @@
 	}
 }
 
-func TestThePageIsWholeAndLoadsNothing(t *testing.T) {
+func TestReportIsCompleteAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteReport(&b, []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}); err != nil {
+	results := []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
+	if err := WriteReport(&b, results); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -69,14 +90,15 @@
 			t.Errorf("the page has %q", bad)
 		}
 	}
-	for _, want := range []string{"</html>", `class="breach"`, "sent &lt;twice&gt;", "BROKEN 7 times", "worth against demand", `class="band slow"`, "not-put-to-the-test"} {
+	for _, want := range []string{"</html>", `class="breach"`, "sent &lt;twice&gt;", "BROKEN 7 times", "worth against demand",
+		`class="band slow"`, "not-put-to-the-test"} {
 		if !strings.Contains(page, want) {
 			t.Errorf("the page lacks %q", want)
 		}
 	}
 }
 
-func TestTheJSONCanBeReadBack(t *testing.T) {
+func TestJSONResultCanBeReadBack(t *testing.T) {
 	var b bytes.Buffer
 	if err := WriteJSON(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
@@ -85,7 +107,8 @@
 		Format int
 		Runs   []Result
 	}
-	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 || out.Runs[0].Invariants.Rules[1].Broken != 7 {
+	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 ||
+		out.Runs[0].Invariants.Rules[1].Broken != 7 {
 		t.Errorf("%v: %+v", err, out)
 	}
 }
--- /dev/null
+++ b/internal/testkit/rehearse/play_test.go
@@ -0,0 +1,68 @@
+package rehearse
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+// Everything that a play starts must end with it, also when it is interrupted.
+func TestInterruptedPlayLeavesNothingBehind(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	dir := t.TempDir()
+	ctx, interrupt := context.WithCancel(context.Background())
+	defer interrupt()
+	opt := Options{Logs: dir, Command: sidecarCommand("good"), Progress: func(s Snapshot) {
+		if s.At > 500*time.Millisecond {
+			interrupt()
+		}
+	}}
+	if _, err := Play(ctx, testPlan(t), opt); !errors.Is(err, context.Canceled) {
+		t.Errorf("ended with %v", err)
+	}
+	configs, err := filepath.Glob(filepath.Join(dir, "*.json"))
+	if err != nil || len(configs) != 6 {
+		t.Fatalf("%v, %v", configs, err)
+	}
+	for _, path := range configs {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var c struct{ Listen string }
+		if err := json.Unmarshal(text, &c); err != nil {
+			t.Fatal(err)
+		}
+		if nc, err := net.DialTimeout("tcp", c.Listen, time.Second); err == nil {
+			nc.Close()
+			t.Errorf("something still listens at %s", c.Listen)
+		}
+	}
+}
+
+func TestSidecarThatDoesNotStartEndsThePlay(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	for name, command := range map[string]func() *exec.Cmd{
+		"no such program": func() *exec.Cmd { return exec.Command(filepath.Join(t.TempDir(), "nothing")) },
+		"port in use":     sidecarCommand("occupies its own port"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := Play(context.Background(), testPlan(t), Options{Command: command})
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v", err)
+			}
+			if name == "port in use" && (err == nil || !strings.Contains(err.Error(), "address already in use")) {
+				t.Errorf("the log is not quoted: %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testkit/rehearse/validity_test.go
@@ -0,0 +1,67 @@
+package rehearse
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"tuliprock/internal/testkit/invariant"
+	"tuliprock/internal/testkit/schedule"
+)
+
+// A rehearsal that was not scheduled must not blame a sidecar.
+func TestHarnessStallsMakeADayInvalid(t *testing.T) {
+	r := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatency()}
+	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
+		t.Helper()
+		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
+		result.Invariants.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
+		r.validate(result, events, time.Minute)
+		if result.Valid != (len(result.Invalid) == 0) {
+			t.Errorf("valid %v, %v", result.Valid, result.Invalid)
+		}
+		return result.Invalid
+	}
+	stall := func(at time.Duration) invariant.Event {
+		return invariant.Event{Kind: invariant.HarnessStall, At: time.Minute + at, For: 60 * time.Millisecond}
+	}
+	for _, c := range []struct {
+		name    string
+		harness HarnessMetrics
+		events  []invariant.Event
+		want    string
+	}{
+		{"within the limits", HarnessMetrics{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
+		{"late sends", HarnessMetrics{LateP99: 0.026}, nil, "late"},
+		{"long stall", HarnessMetrics{WorstStall: 0.51}, nil, "stood still"},
+		{"dropped events", HarnessMetrics{DroppedEvents: 1}, nil, "no room"},
+		{"stall next to a violation", HarnessMetrics{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
+		{"stalls away from a violation", HarnessMetrics{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := validate(t, c.harness, c.events...)
+			if (c.want == "") != (len(got) == 0) || c.want != "" && !strings.Contains(got[0], c.want) {
+				t.Errorf("%v", got)
+			}
+		})
+	}
+}
+
+func TestWorstWindowShare(t *testing.T) {
+	by := make([]Second, 30)
+	for i := range by {
+		by[i].Offered, by[i].InTime = 10, 10
+	}
+	for i := 12; i < 17; i++ {
+		by[i].InTime = 0
+	}
+	if got := worstWindowShare(by); got != 0.5 {
+		t.Errorf("%v", got)
+	}
+	if got := worstWindowShare(by[12:17]); got != 0 {
+		t.Errorf("day shorter than the window: %v", got)
+	}
+	if got := worstWindowShare(nil); got != 1 {
+		t.Errorf("empty day: %v", got)
+	}
+}
