--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -42,14 +42,16 @@
 }
 
 func TestRuleWithoutOccasionIsUntested(t *testing.T) {
-	r := Judge(rules, newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+5*ms, Done, "r", "a").respond(2*s, "r", 200))
+	r := Judge(rules, newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+5*ms, Done, "r", "a").
+		respond(2*s, "r", 200))
 	for i, want := range []Verdict{Held, Untested, Untested, Untested} {
 		if r.Rules[i].Verdict != want {
 			t.Errorf("rule %d: %s", i+1, r.Rules[i].Verdict)
 		}
 	}
 	// A notification after which nothing was sent does not test the rule.
-	r = Judge(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).respond(2*s, "r", 200))
+	r = Judge(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).
+		respond(2*s, "r", 200))
 	if r.Rules[2].Verdict != Untested || r.Rules[2].Occasions["drains told"] != 1 {
 		t.Errorf("%+v", r.Rules[2])
 	}
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -80,7 +80,8 @@
 			return err
 		}
 		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
-			admin, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2], strings.Join(voters, ", "))
+			admin, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2],
+			strings.Join(voters, ", "))
 		member := &clusterMember{config: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
 		if config.ClockRate.Hi > 0 {
 			member.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRate, config.ClockRate.At(r.drawShare("clock", name)))
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -23,10 +23,10 @@
 	ProbeInterval    time.Duration  `toml:"probe_every"`   // 0: the daemon's default
 	ProbeTimeout     time.Duration  `toml:"probe_timeout"` // 0: the daemon's default
 	SuspicionTimeout time.Duration  `toml:"suspicion"`     // 0: the daemon's default
-	ClockRate        tomlfile.Range `toml:"clock"`         // drawn for each sidecar; only programs built with the race detector heed it
+	ClockRate        tomlfile.Range `toml:"clock"`         // drawn for each sidecar; needs a program built with the race detector
 	DetectWithin     time.Duration  `toml:"detect"`        // until all others know of a failure, while no fault is active
 	SettleWithin     time.Duration  `toml:"settle"`        // after the last fault, until all views are right
-	HasConsensus     bool           `toml:"agreed"`        // the sidecars agree on operator overrides, and one is toggled all day
+	HasConsensus     bool           `toml:"agreed"`        // on operator overrides, of which one is toggled all day
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file gives it.
@@ -34,7 +34,7 @@
 	Kind        string         `toml:"kind"`
 	At          tomlfile.Span  `toml:"at"`
 	For         tomlfile.Span  `toml:"for"`
-	Parts       int            `toml:"parts"`  // into which the seed partitions the sidecars; the fault hits what passes between them
+	Parts       int            `toml:"parts"`  // of the sidecars, drawn; the fault hits what passes between them
 	IsolatesOne bool           `toml:"alone"`  // one sidecar against all others, in place of Parts
 	HasBridge   bool           `toml:"bridge"` // one sidecar reaches all others
 	IsOneWay    bool           `toml:"one_way"`
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -17,7 +17,7 @@
 type ClusterResult struct {
 	Held             bool                `json:"held"`
 	Rules            []ClusterRuleResult `json:"rules"`
-	DetectionSeconds float64             `json:"detect_s"` // the longest until all others knew of a failure, while no fault was active
+	DetectionSeconds float64             `json:"detect_s"` // the longest until all others knew of a failure
 	SettleSeconds    float64             `json:"settle_s"` // the longest after the last fault until all views were right
 	Events           int                 `json:"events"`
 
@@ -96,6 +96,7 @@
 		fmt.Fprintf(b, "fleet   %d versions acted on, %d acts; the longest contradiction that is certain %.2f s of %v\n",
 			r.Versions, r.Acts, r.ContradictionSeconds, maxConflictDuration)
 	}
-	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, until views were right after the last fault %.1f s\n",
+	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, "+
+		"until views were right after the last fault %.1f s\n",
 		r.DetectionSeconds, r.SettleSeconds)
 }
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -31,7 +31,8 @@
 		tomlfile.Need("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
 		tomlfile.Need("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
 		tomlfile.Need("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
-		tomlfile.Need("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare), "over 0, and 1 at most"),
+		tomlfile.Need("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare),
+			"over 0, and 1 at most"),
 		tomlfile.Need("clients.at_once", d.Clients.ImmediateRetryShare >= 0 && d.Clients.ImmediateRetryShare <= 1, "from 0 to 1"),
 		tomlfile.Need("clients.honour", isShare(d.Clients.HonourRetryAfterShare), "from 0 to 1"),
 		tomlfile.Need("clients.hang_up", isShare(d.Clients.LeaveShare), "from 0 to 1"),
@@ -58,7 +59,8 @@
 		}
 		if err := f.Check(at, []tomlfile.Must{
 			tomlfile.Need("name", t.Name != "", "a name"),
-			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes, fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
+			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes,
+				fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
 			tomlfile.Need("work", t.WorkShare > 0, "over 0"),
 			tomlfile.Need("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
 			tomlfile.Need("cell", t.CellSize.Lo >= 1, "1 at least"),
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -46,8 +46,13 @@
 		}
 		m.inFlight = append(m.inFlight, sample)
 		if r.options.Progress != nil {
-			r.options.Progress(Snapshot{At: time.Since(m.start), Length: r.plan.Day.Length, Asked: float64(r.offeredWorth.Load()) / 1000,
-				Answered: float64(r.inTimeWorth.Load()) / 1000, InFlight: int(r.inFlight.Load())})
+			r.options.Progress(Snapshot{
+				At:       time.Since(m.start),
+				Length:   r.plan.Day.Length,
+				Asked:    float64(r.offeredWorth.Load()) / 1000,
+				Answered: float64(r.inTimeWorth.Load()) / 1000,
+				InFlight: int(r.inFlight.Load()),
+			})
 		}
 	}
 }
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -25,7 +25,8 @@
 	} else {
 		fmt.Fprintf(&b, "daemons = %d\nindex = %d\n", role.count, role.index)
 	}
-	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n", listen, connections)
+	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n",
+		listen, connections)
 	for i, c := range day.Classes {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\n"+
 			"id_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -28,7 +28,7 @@
 	Calls          float64            `json:"calls_per_request"`       // attempts in all tiers
 	Connections    float64            `json:"connections_per_request"` // opened to nodes
 	ClientAttempts float64            `json:"tries_per_request"`       // of the clients themselves
-	Latency        map[string]Latency `json:"latency"`                 // of what was served, from the instant due, by class and for "all"
+	Latency        map[string]Latency `json:"latency"`                 // of what was served, from when due, by class and "all"
 
 	Invariants *invariant.Report `json:"referee"`
 	Faults     []Fault           `json:"troubles"`
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -47,6 +47,21 @@
 func writeOne(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
+	writeMeasures(b, r)
+	b.WriteString("\n")
+	writeInvariants(b, r.Invariants)
+	r.Cluster.writeText(b)
+	h := &r.Harness
+	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; "+
+		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
+		1000*h.LateP99, 1000*h.LateMax, h.Stalls, defaults().Rules.Slack, h.CPU, h.MemoryMB, h.SidecarsCPU, h.SidecarMemoryMB)
+	for _, why := range r.Invalid {
+		fmt.Fprintf(b, "NOT VALID: %s\n", why)
+	}
+}
+
+// writeMeasures writes what clients and nodes measured.
+func writeMeasures(b *strings.Builder, r *Result) {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.WorthShare, r.WorstWindow)
 	for _, by := range []map[string]Share{r.ByClass, r.ByTenant} {
@@ -54,37 +69,35 @@
 			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
 		}
 	}
+	p, c := &r.Penalties, &r.Requests
 	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n",
-		r.Service, r.Penalties.Connections, r.Penalties.Waste, r.Penalties.LateFails, r.Penalties.Overload)
-	c := r.Requests
+		r.Service, p.Connections, p.Waste, p.LateFails, p.Overload)
 	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n",
 		c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
-	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n", r.Attempts, r.Calls, r.Connections)
+	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n",
+		r.Attempts, r.Calls, r.Connections)
 	for _, name := range sortedKeys(r.Latency) {
 		l := r.Latency[name]
-		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n", name, l.P50, l.P90, l.P99, l.P999, l.Max)
+		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n",
+			name, l.P50, l.P90, l.P99, l.P999, l.Max)
 	}
 	writeColumns(b, rows.String())
-	b.WriteString("\n")
-	rows.Reset()
-	for _, rule := range r.Invariants.Rules {
+}
+
+// writeInvariants writes the finding on each invariant, with the first violations.
+func writeInvariants(b *strings.Builder, report *invariant.Report) {
+	var rows strings.Builder
+	for _, rule := range report.Rules {
 		fmt.Fprintf(&rows, "rule %d\t%s\t%s\t%s\n", rule.Number, rule.Name, verdictText(rule), occasionsText(rule))
 	}
 	writeColumns(b, rows.String())
-	for _, rule := range r.Invariants.Rules {
+	for _, rule := range report.Rules {
 		for _, v := range rule.Breaches[:min(len(rule.Breaches), 3)] {
 			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", v.Rule, v.At.Seconds(), violationText(v))
 		}
 	}
-	if r.Invariants.Crashes > 0 {
-		fmt.Fprintf(b, "  %d sidecars crashed\n", r.Invariants.Crashes)
-	}
-	r.Cluster.writeText(b)
-	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; %.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*r.Harness.LateP99, 1000*r.Harness.LateMax, r.Harness.Stalls, defaults().Rules.Slack, r.Harness.CPU,
-		r.Harness.MemoryMB, r.Harness.SidecarsCPU, r.Harness.SidecarMemoryMB)
-	for _, why := range r.Invalid {
-		fmt.Fprintf(b, "NOT VALID: %s\n", why)
+	if report.Crashes > 0 {
+		fmt.Fprintf(b, "  %d sidecars crashed\n", report.Crashes)
 	}
 }
 
@@ -120,7 +133,8 @@
 // writeComparison writes several results beside each other, a row each.
 func writeComparison(b *strings.Builder, results []*Result) {
 	var rows strings.Builder
-	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99\trules")
+	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99"+
+		"\trules")
 	for _, r := range results {
 		c := r.Requests
 		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n",
@@ -182,7 +196,8 @@
 	for _, k := range order {
 		v := by[k]
 		sort.Float64s(v)
-		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], (v[(len(v)-1)/2]+v[len(v)/2])/2, v[len(v)-1], len(v))
+		median := (v[(len(v)-1)/2] + v[len(v)/2]) / 2
+		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], median, v[len(v)-1], len(v))
 	}
 	writeColumns(b, rows.String())
 }
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -23,8 +23,8 @@
 		result.Invalid = append(result.Invalid, fmt.Sprintf(format, args...))
 	}
 	if limit := maxLateShare * rules.Slack.Seconds(); harness.LateP99 > limit {
-		invalidate("1 send of 100 was %.0f ms late or more, %.0f ms are allowed: this machine is too busy, or the day too large for it",
-			1000*harness.LateP99, 1000*limit)
+		invalidate("1 send of 100 was %.0f ms late or more, %.0f ms are allowed: "+
+			"this machine is too busy, or the day too large for it", 1000*harness.LateP99, 1000*limit)
 	}
 	if limit := maxStallShare * rules.DrainGrace.Seconds(); harness.WorstStall > limit {
 		invalidate("the rehearsal itself stood still for %.0f ms, %.0f ms are allowed", 1000*harness.WorstStall, 1000*limit)
