--- a/balance/admission.go
+++ b/balance/admission.go
@@ -44,7 +44,7 @@
 	if t.tokens < 1 {
 		return true
 	}
-	if !req.Repeat { // a client's retry was charged with its first request
+	if !req.IsRetry { // a client's retry was charged with its first request
 		t.tokens--
 	}
 	return false
@@ -74,7 +74,7 @@
 		b.admittedCounter.add(now) // it lacked an endpoint, and was not held back by the limit
 	}
 	if req.canReject() {
-		b.host.Refuse(req.ID, min(b.jitter(retryAfterAdvice), b.settings.MaxRetryAfter))
+		b.host.Reject(req.ID, min(b.jitter(retryAfterAdvice), b.settings.MaxRetryAfter))
 	} else {
 		b.host.Fail(req.ID)
 	}
@@ -85,7 +85,7 @@
 // only if no attempt can have run.
 func (r *request) canReject() bool {
 	c := r.class
-	isIdempotent := c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll
-	return isIdempotent && r.Flow == 0 ||
+	isIdempotent := c.Idempotency == Idempotent || c.Idempotency == IdempotencyKey && c.DedupScope == ScopeAll
+	return isIdempotent && r.StreamUntil == 0 ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -117,7 +117,7 @@
 // The class with the shortest latency objective must not be the only one rejected in overload.
 func TestClassWithShortLatencyObjectiveDoesNotStarveInTheQueue(t *testing.T) {
 	s := defaultSettings()
-	s.Classes[0].Aim, s.Classes[1].Aim = 500*ms, 4*time.Second
+	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
 	h := newHarness(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
@@ -168,7 +168,7 @@
 		t.Errorf("actions %v", h.actions)
 	}
 	id, _ = h.request("bill")
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new"}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new"}}})
 	if len(h.sentTo[id]) != 1 {
 		t.Error("a queued request did not go to the first endpoint listed")
 	}
--- a/balance/api.go
+++ b/balance/api.go
@@ -20,7 +20,7 @@
 // Events is what a host reports. *Balancer implements it. A host reports events in the order in which they happen.
 type Events interface {
 	// EndpointList reports an update by service discovery. The first one directly follows New.
-	EndpointList(now time.Duration, l List)
+	EndpointList(now time.Duration, l EndpointUpdate)
 	// Request reports a request. It gets exactly one final answer: the success of an attempt, or a rejection or
 	// failure by the Host.
 	Request(now time.Duration, r Request)
@@ -31,26 +31,26 @@
 	StreamStarted(now time.Duration, id string, n int)
 	// Outcome reports the end of an attempt. Every attempt sent gets exactly one; others are ignored.
 	Outcome(now time.Duration, o Outcome)
-	// ClientLeft reports that the client has disconnected, so that the request needs no answer any more.
-	ClientLeft(now time.Duration, id string)
+	// ClientDisconnected reports that the client has disconnected, so that the request needs no answer any more.
+	ClientDisconnected(now time.Duration, id string)
 	// Timer reports that an instant asked for by a timer has come.
 	Timer(now time.Duration)
 	// Probed reports the result of a probe.
 	Probed(now time.Duration, p ProbeResult)
-	// Bar reports that operators eject an endpoint (out) or restore it. An ejected endpoint gets no new attempt, whatever
+	// SetEjected reports that operators eject an endpoint (out) or restore it. An ejected endpoint gets no new attempt, whatever
 	// the endpoint list says, until it is restored. It then counts as restarted, and warms up. The ID need not be listed;
 	// the host bounds how many are ejected.
-	Bar(now time.Duration, id string, out bool)
+	SetEjected(now time.Duration, id string, out bool)
 
-	// Share reports how many balancers send to these endpoints from now on, this one included, and the index of this one
+	// SetBalancerCount reports how many balancers send to these endpoints from now on, this one included, and the index of this one
 	// among them, from 0. What was learned of the endpoints stays.
-	Share(now time.Duration, balancers, index int)
+	SetBalancerCount(now time.Duration, balancers, index int)
 
-	// Knows reports whether an endpoint is listed or ejected by operators. It is a query and changes nothing.
-	Knows(id string) bool
-	// Census returns how many endpoints are listed, and how many of them are ejected, by operators or as outliers. It is a
+	// IsKnown reports whether an endpoint is listed or ejected by operators. It is a query and changes nothing.
+	IsKnown(id string) bool
+	// EndpointCounts returns how many endpoints are listed, and how many of them are ejected, by operators or as outliers. It is a
 	// query and changes nothing.
-	Census() (listed, avoided int)
+	EndpointCounts() (listed, avoided int)
 }
 
 // Host carries out a Balancer's decisions. The Balancer waits for each call to return.
@@ -60,16 +60,16 @@
 	Send(id, endpoint string, timeout time.Duration)
 	// Cancel gives up attempt n. It still gets its Outcome.
 	Cancel(id string, n int)
-	// Refuse rejects a request. The answer is final, and says that a retry by the client is harmless, best not before
+	// Reject rejects a request. The answer is final, and says that a retry by the client is harmless, best not before
 	// retryAfter has passed (0: no advice).
-	Refuse(id string, retryAfter time.Duration)
+	Reject(id string, retryAfter time.Duration)
 	// Fail fails a request. The answer is final, and says nothing about the effect of the request.
 	Fail(id string)
 	// Probe asks an endpoint for its load, without a request.
 	Probe(endpoint string)
-	// Idle reports whether a connection to the endpoint is idle, so that an attempt would open none; false where the host
+	// HasIdleConnection reports whether a connection to the endpoint is idle, so that an attempt would open none; false where the host
 	// cannot tell.
-	Idle(endpoint string) bool
+	HasIdleConnection(endpoint string) bool
 	// Subscribe asks discovery for all changes from now on; an endpoint list is the response.
 	Subscribe()
 	// Timer asks for a Timer event at the given instant or soon after. Timers cannot be cancelled.
@@ -78,33 +78,33 @@
 	Log(line string)
 }
 
-// Effect says what a repetition of a request of a class may do.
-type Effect int
+// Idempotency says what a repetition of a request of a class may do.
+type Idempotency int
 
 // The effects, from harmless to harmful.
 const (
-	Safe   Effect = iota // idempotent: may run any number of times
-	Keyed                // has an idempotency key: a group of endpoints drops duplicates, for a while
-	Unsafe               // not idempotent: must never run twice
+	Idempotent     Idempotency = iota // idempotent: may run any number of times
+	IdempotencyKey                    // has an idempotency key: a group of endpoints drops duplicates, for a while
+	NonIdempotent                     // not idempotent: must never run twice
 )
 
-// Group says which endpoints together drop duplicates of a request with an idempotency key.
-type Group int
+// DedupScope says which endpoints together drop duplicates of a request with an idempotency key.
+type DedupScope int
 
 // The groups, from wide to narrow.
 const (
-	GroupAll  Group = iota // all endpoints
-	GroupZone              // the endpoints of one zone
-	GroupCell              // the endpoints of one cell
+	ScopeAll  DedupScope = iota // all endpoints
+	ScopeZone                   // the endpoints of one zone
+	ScopeCell                   // the endpoints of one cell
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name   string
-	Effect Effect
-	Group  Group         // with an idempotency key
-	Window time.Duration // with an idempotency key: how long duplicates are dropped, from the first attempt
-	Aim    time.Duration // the latency objective: a response is wanted within this time
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // with an idempotency key
+	DedupWindow      time.Duration // with an idempotency key: how long duplicates are dropped, from the first attempt
+	LatencyObjective time.Duration // the latency objective: a response is wanted within this time
 }
 
 // Tenant is one of the parties that share the endpoints.
@@ -124,17 +124,17 @@
 	Classes    []Class
 	Tenants    []Tenant
 
-	MustSubscribe bool          // discovery sends nothing without a subscription
-	AskWithin     time.Duration // without a subscription, discovery must be asked at least this often
+	MustSubscribe   bool          // discovery sends nothing without a subscription
+	SubscribeWithin time.Duration // without a subscription, discovery must be asked at least this often
 
 	MaxAttempts   int           // attempts allowed per request; 0: no limit
-	MayCancel     bool          // the host may cancel attempts
-	MayProbe      bool          // the host may probe endpoints, and results carry a load
+	CanCancel     bool          // the host may cancel attempts
+	CanProbe      bool          // the host may probe endpoints, and results carry a load
 	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: advice does not reach them
 
-	Resolution time.Duration // how late events and timers may come
-	ColdFrom   float64       // slow start: fraction of its capacity that an endpoint starts with at least
-	ColdFor    time.Duration // slow start: an endpoint has its full capacity after this time
+	TimerResolution   time.Duration // how late events and timers may come
+	SlowStartCapacity float64       // slow start: fraction of its capacity that an endpoint starts with at least
+	SlowStartDuration time.Duration // slow start: an endpoint has its full capacity after this time
 }
 
 // State is the state of an endpoint according to discovery.
@@ -157,11 +157,11 @@
 	Started time.Duration // instant of the latest start; 0: long ago
 }
 
-// List is an update by discovery.
-type List struct {
-	Failed   bool // a request failed or a subscription broke: the update says nothing of endpoints
-	Complete bool // endpoints that are not listed are gone; otherwise only those listed have changed
-	Entries  []Endpoint
+// EndpointUpdate is an update by discovery.
+type EndpointUpdate struct {
+	Failed    bool // a request failed or a subscription broke: the update says nothing of endpoints
+	Complete  bool // endpoints that are not listed are gone; otherwise only those listed have changed
+	Endpoints []Endpoint
 }
 
 // Request is a client's request.
@@ -170,21 +170,21 @@
 	Class    string
 	Tenant   string
 	Deadline time.Duration // instant at which the client stops waiting
-	Repeat   bool          // the client says that this is a retry
+	IsRetry  bool          // the client says that this is a retry
 	// Flow is 0 for a request that is complete. Otherwise its body streams in while an attempt is in flight, until this
 	// instant at the latest. The time that this takes is no latency of the endpoint, and the deadline applies only
 	// before and after it.
-	Flow time.Duration
+	StreamUntil time.Duration
 }
 
 // Result is how an attempt ended.
 type Result int
 
-// The results. Only Full, ConnectFailed and NotSent prove that the request did not run.
+// The results. Only Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
 	OK            Result = iota
-	Errored              // the endpoint responded with an error
-	Full                 // the endpoint rejected the request without reading it
+	ErrorResponse        // the endpoint responded with an error
+	Rejected             // the endpoint rejected the request without reading it
 	TimedOut             // no response in time
 	ConnectFailed        // no connection was established
 	Reset                // the connection broke
@@ -193,24 +193,24 @@
 )
 
 // MayHaveRun reports whether an attempt with this result may have taken effect.
-func (r Result) MayHaveRun() bool { return r != Full && r != ConnectFailed && r != NotSent }
+func (r Result) MayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
 
 // Load is an endpoint's load report.
 type Load struct {
-	Known bool    // there is a report
-	Held  float64 // requests in service or queued
+	Known    bool    // there is a report
+	Requests float64 // requests in service or queued
 }
 
 // Outcome is the end of an attempt.
 type Outcome struct {
-	ID       string // of the request
-	Attempt  int
-	Endpoint string
-	Result   Result
-	Took     time.Duration // since the attempt was sent
-	Final    bool          // the request has its final answer
-	Reused   bool          // the attempt went out on a connection that had served before
-	Spent    bool          // of a request with a streaming body: the body is consumed, so no retry is possible
+	ID               string // of the request
+	Attempt          int
+	Endpoint         string
+	Result           Result
+	Latency          time.Duration // since the attempt was sent
+	IsFinal          bool          // the request has its final answer
+	ReusedConnection bool          // the attempt went out on a connection that had served before
+	BodyConsumed     bool          // of a request with a streaming body: the body is consumed, so no retry is possible
 }
 
 // ProbeResult is the result of a probe.
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -13,10 +13,10 @@
 )
 
 // EndpointList implements Events. From this event on an endpoint that is draining or gone gets no attempt.
-func (b *Balancer) EndpointList(now time.Duration, l List) {
+func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
 	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and in time
 		if b.settings.MustSubscribe {
-			longest := max(b.settings.AskWithin/2, minBackoff)
+			longest := max(b.settings.SubscribeWithin/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
 			b.resubscribeAt = now + b.jitter(b.resubscribeBackoff)
 			b.wakeAt(b.resubscribeAt)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Bar implements Events. Attempts in flight at an endpoint that is ejected run to their end.
-func (b *Balancer) Bar(now time.Duration, id string, out bool) {
+// SetEjected implements Events. Attempts in flight at an endpoint that is ejected run to their end.
+func (b *Balancer) SetEjected(now time.Duration, id string, out bool) {
 	if b.manuallyEjected[id] == out {
 		return
 	}
@@ -77,7 +77,7 @@
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classes[r.Class]
 	if c == nil { // not in the settings: never retried, and not stored, because such names have no bound
-		c = &class{Class: Class{Effect: Unsafe, Aim: max(r.Deadline-now, 0)}}
+		c = &class{Class: Class{Idempotency: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}}
 	}
 	b.countRequest(now)
 	req := &request{Request: r, class: c, arrivedAt: now, liveIndex: len(b.live)}
@@ -88,7 +88,7 @@
 		b.rejectOrFail(now, req)
 		return
 	}
-	if !b.settings.MayProbe || !b.probeCandidates(now, req) {
+	if !b.settings.CanProbe || !b.probeCandidates(now, req) {
 		b.dispatch(now, req)
 	}
 	b.wakeAt(b.nextCheckAt(req))
@@ -148,12 +148,12 @@
 		b.admittedCounter.add(now)
 	}
 	att := attempt{endpoint: ep, incarnation: ep.incarnation, sentAt: now, waitingSince: now, inFlight: true,
-		isTrial: !ep.active, hasStreamingBody: req.Flow > 0, overdueAt: b.overdueInstant(now, req, ep)}
+		isTrial: !ep.active, hasStreamingBody: req.StreamUntil > 0, overdueAt: b.overdueInstant(now, req, ep)}
 	ep.trialInFlight = att.isTrial
 	b.countInFlight(&att, 1)
 	req.attempts, req.isQueued, req.pendingProbes = append(req.attempts, att), false, nil
 	b.wakeAt(att.overdueAt)
-	b.host.Send(req.ID, ep.ID, max(req.Deadline-now, req.Flow-now, time.Microsecond))
+	b.host.Send(req.ID, ep.ID, max(req.Deadline-now, req.StreamUntil-now, time.Microsecond))
 }
 
 // Outcome implements Events: it learns from the end of an attempt and decides whether to retry.
@@ -165,15 +165,15 @@
 	}
 	att.inFlight, att.mayHaveRun = false, o.Result.MayHaveRun()
 	b.countInFlight(att, -1)
-	req.bodyConsumed = req.bodyConsumed || o.Spent
+	req.bodyConsumed = req.bodyConsumed || o.BodyConsumed
 	if !att.isStreaming {
-		if req.Flow > 0 { // the client determines how long a streaming body takes, not the endpoint
-			o.Took = now - att.waitingSince
+		if req.StreamUntil > 0 { // the client determines how long a streaming body takes, not the endpoint
+			o.Latency = now - att.waitingSince
 		}
-		b.recordResult(now, req, att, attributedResult(o), o.Took)
+		b.recordResult(now, req, att, attributedResult(o), o.Latency)
 	}
 	switch {
-	case req.isAnswered || o.Final || o.Result == OK:
+	case req.isAnswered || o.IsFinal || o.Result == OK:
 		b.removeRequest(req)
 	case req.isQueued:
 	case b.canRetry(now, req) && slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool {
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -12,9 +12,9 @@
 
 func TestFailedDiscoveryIsSubscribedToAgain(t *testing.T) {
 	s := defaultSettings()
-	s.MustSubscribe, s.AskWithin = true, 10*time.Second
+	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
 	h := newHarness(t, s, "a")
-	h.balancer.EndpointList(h.now, balance.List{Failed: true})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Failed: true})
 	h.advance(5 * time.Second)
 	if n := h.countActions("subscribe"); n != 2 {
 		t.Errorf("%d subscriptions", n)
@@ -28,7 +28,7 @@
 		settings balance.Settings
 	}{
 		{"zero", balance.Settings{}},
-		{"probes without classes", balance.Settings{MayProbe: true}},
+		{"probes without classes", balance.Settings{CanProbe: true}},
 		{"negative numbers, class and tenant without name", balance.Settings{Balancers: -1, MaxAttempts: -1,
 			Classes: []balance.Class{{}}, Tenants: []balance.Tenant{{}}}},
 	} {
@@ -60,15 +60,15 @@
 func TestStateDoesNotGrowWithNewNames(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for i := range 3000 {
-		h.balancer.EndpointList(h.now, balance.List{Complete: true,
-			Entries: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
+		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true,
+			Endpoints: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
 		id, ep := h.request([]string{"read", fmt.Sprint("class", i)}[i%2])
 		if ep == "" {
 			t.Fatalf("request %d is not sent", i)
 		}
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
-		h.balancer.ClientLeft(h.now, h.requestAs("read", fmt.Sprint("tenant", i)))
+		h.balancer.ClientDisconnected(h.now, h.requestAs("read", fmt.Sprint("tenant", i)))
 		if last := fmt.Sprint("r", h.requestCount); len(h.sentTo[last]) > 0 {
 			h.finish(last, balance.Canceled)
 		}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -20,19 +20,19 @@
 func (h *instantHost) Send(id, endpoint string, _ time.Duration) {
 	h.sent = append(h.sent, sentAttempt{id, endpoint})
 }
-func (*instantHost) Cancel(string, int)           {}
-func (*instantHost) Refuse(string, time.Duration) {}
-func (*instantHost) Fail(string)                  {}
-func (*instantHost) Idle(string) bool             { return false }
-func (*instantHost) Subscribe()                   {}
-func (*instantHost) Timer(time.Duration)          {}
-func (*instantHost) Log(string)                   {}
+func (*instantHost) Cancel(string, int)            {}
+func (*instantHost) Reject(string, time.Duration)  {}
+func (*instantHost) Fail(string)                   {}
+func (*instantHost) HasIdleConnection(string) bool { return false }
+func (*instantHost) Subscribe()                    {}
+func (*instantHost) Timer(time.Duration)           {}
+func (*instantHost) Log(string)                    {}
 
 // completeList lists n endpoints of two kinds.
-func completeList(n int) balance.List {
-	l := balance.List{Complete: true}
+func completeList(n int) balance.EndpointUpdate {
+	l := balance.EndpointUpdate{Complete: true}
 	for i := range n {
-		l.Entries = append(l.Entries, balance.Endpoint{ID: fmt.Sprintf("n%05d", i), Kind: []string{"small", "large"}[i%2]})
+		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: fmt.Sprintf("n%05d", i), Kind: []string{"small", "large"}[i%2]})
 	}
 	return l
 }
@@ -40,9 +40,9 @@
 // newSingleBalancer makes a balancer without others, with n endpoints.
 func newSingleBalancer(n int) (*balance.Balancer, *instantHost) {
 	h := &instantHost{}
-	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true,
-		Resolution: 5 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second,
-		Classes: []balance.Class{{Name: "look", Aim: time.Second}}}, h)
+	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true,
+		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * time.Second,
+		Classes: []balance.Class{{Name: "look", LatencyObjective: time.Second}}}, h)
 	b.EndpointList(time.Hour, completeList(n))
 	return b, h
 }
@@ -60,7 +60,7 @@
 				m.Request(now, balance.Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
 				for _, s := range h.sent {
 					m.Outcome(now+time.Millisecond, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK,
-						Took: time.Millisecond, Final: true})
+						Latency: time.Millisecond, IsFinal: true})
 				}
 				h.sent = h.sent[:0]
 			}
@@ -77,7 +77,7 @@
 			now := time.Hour
 			for i := 0; b.Loop(); i++ {
 				now += time.Second
-				m.EndpointList(now, balance.List{Complete: true, Entries: whole.Entries[:n+i%2]})
+				m.EndpointList(now, balance.EndpointUpdate{Complete: true, Endpoints: whole.Endpoints[:n+i%2]})
 			}
 		})
 	}
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -222,9 +222,9 @@
 // too late.
 func TestLimitFollowsTheNumberOfReadyEndpoints(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	var l balance.List
+	var l balance.EndpointUpdate
 	for _, id := range []string{"b", "c", "d"} {
-		l.Entries = append(l.Entries, balance.Endpoint{ID: id, State: balance.Draining})
+		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id, State: balance.Draining})
 	}
 	h.balancer.EndpointList(h.now, l)
 	for range 24 {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -37,7 +37,7 @@
 		req.class.observe(now, took.Seconds())
 		b.updateConcurrencyLimit(now, stretch)
 		ep.kind.observe(stretch)
-	case Errored:
+	case ErrorResponse:
 		b.errorRate += recentMeanGain
 		ep.errorRate += recentMeanGain
 		if hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > ownErrorMultiple*b.errorRate; !hasFailed {
@@ -67,7 +67,7 @@
 // attributedResult is the result as far as the endpoint caused it. A reset on a reused connection counts as
 // not sent: the endpoint may close it just as it is used, and if it is down, new connections fail.
 func attributedResult(o Outcome) Result {
-	if o.Result == Reset && o.Reused {
+	if o.Result == Reset && o.ReusedConnection {
 		return NotSent
 	}
 	return o.Result
@@ -76,7 +76,7 @@
 // overdueInstant is when an attempt that waits for the endpoint from now on is overdue.
 func (b *Balancer) overdueInstant(now time.Duration, req *request, ep *endpoint) time.Duration {
 	wait := seconds(overdueMultiple * max(ep.weight(), 1) * b.expectedSeconds(req))
-	return now + max(wait, 3*b.settings.Resolution)
+	return now + max(wait, 3*b.settings.TimerResolution)
 }
 
 // handleOverdue takes the age of an overdue attempt as a sample. An endpoint without any response since the
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -151,7 +151,7 @@
 		id, ep := h.request("read")
 		share[ep]++
 		h.advance(50 * ms)
-		h.finish(id, balance.Errored)
+		h.finish(id, balance.ErrorResponse)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if share[ep] < 14 {
@@ -175,7 +175,7 @@
 		if ep == "broken" {
 			broken++
 			h.advance(2 * ms)
-			h.finish(id, balance.Errored)
+			h.finish(id, balance.ErrorResponse)
 			continue
 		}
 		h.advance(50 * ms)
@@ -196,7 +196,7 @@
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
-			h.balancer.ClientLeft(h.now, id)
+			h.balancer.ClientDisconnected(h.now, id)
 			h.finish(id, balance.Canceled)
 			off++
 			continue
@@ -224,7 +224,7 @@
 			all := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
 			h.serve(30, all)
 			id, ep := h.request("read")
-			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: row.isReused})
+			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 2 || h.sentTo[id][1] == ep {
 				t.Fatalf("sent to %v", h.sentTo[id])
 			}
@@ -233,7 +233,7 @@
 				t.Errorf("then %d of 9 requests", share[ep])
 			}
 			id, ep = h.request("bill")
-			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Took: ms, Reused: row.isReused})
+			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 1 || h.countActions("fail "+id) != 1 {
 				t.Errorf("the unsafe request was sent to %v", h.sentTo[id])
 			}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -14,27 +14,27 @@
 	fmt.Println("send", id, "to", endpoint)
 }
 func (printer) Cancel(id string, n int)                    { fmt.Println("cancel", id, n) }
-func (printer) Refuse(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
+func (printer) Reject(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
 func (printer) Fail(id string)                             { fmt.Println("fail", id) }
 func (printer) Probe(endpoint string)                      { fmt.Println("probe", endpoint) }
-func (printer) Idle(string) bool                           { return false }
+func (printer) HasIdleConnection(string) bool              { return false }
 func (printer) Subscribe()                                 { fmt.Println("subscribe") }
 func (printer) Timer(at time.Duration)                     {}
 func (printer) Log(line string)                            { fmt.Println(line) }
 
 func Example() {
 	b := balance.New(0, balance.Settings{
-		Balancers: 1, MaxAttempts: 3, MayCancel: true, Resolution: time.Millisecond,
-		Classes: []balance.Class{{Name: "lookup", Effect: balance.Safe, Aim: time.Second}},
+		Balancers: 1, MaxAttempts: 3, CanCancel: true, TimerResolution: time.Millisecond,
+		Classes: []balance.Class{{Name: "lookup", Idempotency: balance.Idempotent, LatencyObjective: time.Second}},
 	}, printer{})
-	b.EndpointList(0, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: "10.0.0.1:80"}}})
+	b.EndpointList(0, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "10.0.0.1:80"}}})
 
 	now := 5 * time.Millisecond
 	b.Request(now, balance.Request{ID: "r1", Class: "lookup", Deadline: now + 2*time.Second})
 	b.Outcome(now+20*time.Millisecond, balance.Outcome{ID: "r1", Endpoint: "10.0.0.1:80", Result: balance.OK,
-		Took: 20 * time.Millisecond, Final: true})
+		Latency: 20 * time.Millisecond, IsFinal: true})
 
-	b.EndpointList(time.Second, balance.List{Entries: []balance.Endpoint{{ID: "10.0.0.1:80", State: balance.Draining}}})
+	b.EndpointList(time.Second, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "10.0.0.1:80", State: balance.Draining}}})
 	b.Request(time.Second, balance.Request{ID: "r2", Class: "lookup", Deadline: 3 * time.Second})
 	b.Timer(2990 * time.Millisecond)
 	// Output:
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -37,13 +37,13 @@
 	h.actions = append(h.actions, fmt.Sprint("cancel ", id, " ", n))
 }
 
-func (h *harness) Refuse(id string, _ time.Duration) { h.actions = append(h.actions, "refuse "+id) }
+func (h *harness) Reject(id string, _ time.Duration) { h.actions = append(h.actions, "refuse "+id) }
 
 func (h *harness) Fail(id string) { h.actions = append(h.actions, "fail "+id) }
 
 func (h *harness) Probe(ep string) { h.actions = append(h.actions, "probe "+ep) }
 
-func (h *harness) Idle(ep string) bool { return h.idleConnections[ep] }
+func (h *harness) HasIdleConnection(ep string) bool { return h.idleConnections[ep] }
 
 func (h *harness) Subscribe() { h.actions = append(h.actions, "subscribe") }
 
@@ -53,10 +53,10 @@
 
 // defaultSettings has one class of idempotent requests and one of others.
 func defaultSettings() balance.Settings {
-	return balance.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: ms,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: []balance.Class{
-			{Name: "read", Effect: balance.Safe, Aim: 2 * time.Second},
-			{Name: "bill", Effect: balance.Unsafe, Aim: 2 * time.Second}}}
+	return balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
+		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: []balance.Class{
+			{Name: "read", Idempotency: balance.Idempotent, LatencyObjective: 2 * time.Second},
+			{Name: "bill", Idempotency: balance.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
 // newHarness makes a balancer whose first list has the endpoints given.
@@ -65,9 +65,9 @@
 	h := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = 7
 	h.balancer = balance.New(h.now, s, h)
-	l := balance.List{Complete: true}
+	l := balance.EndpointUpdate{Complete: true}
 	for _, id := range endpoints {
-		l.Entries = append(l.Entries, balance.Endpoint{ID: id})
+		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
 	}
 	h.balancer.EndpointList(h.now, l)
 	return h
@@ -111,7 +111,7 @@
 func (h *harness) finish(id string, result balance.Result) {
 	n := len(h.sentTo[id]) - 1
 	h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result,
-		Took: h.now - h.sentAt[id], Final: result == balance.OK})
+		Latency: h.now - h.sentAt[id], IsFinal: result == balance.OK})
 }
 
 // countActions returns how many calls of the host begin with the prefix.
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -78,17 +78,17 @@
 		if att.inFlight {
 			sim.t.Fatalf("%v: second attempt in flight of %s", sim.now, id)
 		}
-		if !att.inFlight && !att.mayHaveRun || req.class.Effect == balance.Safe {
+		if !att.inFlight && !att.mayHaveRun || req.class.Idempotency == balance.Idempotent {
 			continue
 		}
 		c := req.class
-		if c.Effect == balance.Unsafe || sim.now > att.sentAt+c.Window ||
-			c.Group == balance.GroupZone && att.endpoint.Zone != e.Zone ||
-			c.Group == balance.GroupCell && att.endpoint.Cell != e.Cell {
+		if c.Idempotency == balance.NonIdempotent || sim.now > att.sentAt+c.DedupWindow ||
+			c.DedupScope == balance.ScopeZone && att.endpoint.Zone != e.Zone ||
+			c.DedupScope == balance.ScopeCell && att.endpoint.Cell != e.Cell {
 			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
 		}
 	}
-	if e.Started > 0 && sim.now-e.Started < sim.settings.ColdFor {
+	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartDuration {
 		sim.slowStartSends[ep] = append(sim.slowStartSends[ep], sim.now)
 	}
 	sim.sends++
@@ -99,8 +99,8 @@
 	case n == 11: // hangs
 		att.result, att.endsAt = balance.TimedOut, sim.now+timeout
 	default:
-		att.result = []balance.Result{balance.Errored, balance.Full, balance.ConnectFailed, balance.Reset,
-			balance.NotSent, balance.OK, balance.TimedOut, balance.Errored}[n-12]
+		att.result = []balance.Result{balance.ErrorResponse, balance.Rejected, balance.ConnectFailed, balance.Reset,
+			balance.NotSent, balance.OK, balance.TimedOut, balance.ErrorResponse}[n-12]
 	}
 	if att.endsAt > sim.now+timeout {
 		att.result, att.endsAt = balance.TimedOut, sim.now+timeout
@@ -109,7 +109,7 @@
 }
 
 func (sim *simulation) Cancel(id string, n int) {
-	if !sim.settings.MayCancel {
+	if !sim.settings.CanCancel {
 		sim.t.Fatalf("%v: Cancel is not allowed", sim.now)
 	}
 	req := sim.requests[id]
@@ -124,12 +124,12 @@
 	}
 }
 
-func (sim *simulation) Refuse(id string, _ time.Duration) {
+func (sim *simulation) Reject(id string, _ time.Duration) {
 	req := sim.answer(id)
 	sim.answerCounts[1]++
 	for _, att := range req.attempts {
-		if (att.inFlight || att.mayHaveRun) && (req.class.Effect == balance.Unsafe ||
-			req.class.Effect == balance.Keyed && req.class.Group != balance.GroupAll) {
+		if (att.inFlight || att.mayHaveRun) && (req.class.Idempotency == balance.NonIdempotent ||
+			req.class.Idempotency == balance.IdempotencyKey && req.class.DedupScope != balance.ScopeAll) {
 			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
 		}
 	}
@@ -154,7 +154,7 @@
 }
 
 func (sim *simulation) Probe(ep string) {
-	if !sim.settings.MayProbe {
+	if !sim.settings.CanProbe {
 		sim.t.Fatalf("%v: Probe is not allowed", sim.now)
 	}
 	if sim.manuallyEjected[ep] {
@@ -162,25 +162,25 @@
 	}
 	sim.probes = append(sim.probes, ep)
 }
-func (sim *simulation) Idle(string) bool       { return sim.rng.IntN(2) == 0 }
-func (sim *simulation) Subscribe()             {}
-func (sim *simulation) Timer(at time.Duration) { sim.timers = append(sim.timers, at) }
-func (sim *simulation) Log(string)             {}
+func (sim *simulation) HasIdleConnection(string) bool { return sim.rng.IntN(2) == 0 }
+func (sim *simulation) Subscribe()                    {}
+func (sim *simulation) Timer(at time.Duration)        { sim.timers = append(sim.timers, at) }
+func (sim *simulation) Log(string)                    {}
 
 // restart replaces the balancer; the requests of an earlier one are lost.
 func (sim *simulation) restart(seed uint64) {
 	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
 	sim.settings.Seed = seed
 	sim.balancer = balance.New(sim.now, sim.settings, sim)
-	l := balance.List{Complete: true}
+	l := balance.EndpointUpdate{Complete: true}
 	for i := range 12 {
 		if e, ok := sim.listed["e"+strconv.Itoa(i)]; ok && e.State != balance.Gone {
-			l.Entries = append(l.Entries, e)
+			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
 	sim.balancer.EndpointList(sim.now, l)
 	for id := range sim.manuallyEjected {
-		sim.balancer.Bar(sim.now, id, true)
+		sim.balancer.SetEjected(sim.now, id, true)
 	}
 }
 
@@ -192,18 +192,18 @@
 		sim.manuallyEjected[id] = true
 	}
 	sim.ejectionChanges++
-	sim.balancer.Bar(sim.now, id, out)
-	if out && !sim.balancer.Knows(id) {
+	sim.balancer.SetEjected(sim.now, id, out)
+	if out && !sim.balancer.IsKnown(id) {
 		sim.t.Fatalf("%v: %s is manually ejected, and not known", sim.now, id)
 	}
-	if listed, avoided := sim.balancer.Census(); avoided > listed {
+	if listed, avoided := sim.balancer.EndpointCounts(); avoided > listed {
 		sim.t.Fatalf("%v: %d of %d are ejected", sim.now, avoided, listed)
 	}
 }
 
 func (sim *simulation) changeList() {
 	if sim.rng.IntN(10) == 0 {
-		sim.balancer.EndpointList(sim.now, balance.List{Failed: true})
+		sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{Failed: true})
 		return
 	}
 	id := sim.rng.IntN(12)
@@ -224,16 +224,16 @@
 		sim.unavailableSince[e.ID] = sim.now
 	}
 	sim.listed[e.ID] = e
-	sim.balancer.EndpointList(sim.now, balance.List{Entries: []balance.Endpoint{e}})
+	sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{e}})
 }
 
 func (sim *simulation) request() {
 	sim.requestCount++
 	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
 	r := balance.Request{ID: "r" + strconv.Itoa(sim.requestCount), Class: c.Name, Tenant: "t" + strconv.Itoa(sim.rng.IntN(3)),
-		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, Repeat: sim.rng.IntN(5) == 0}
+		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, IsRetry: sim.rng.IntN(5) == 0}
 	if sim.rng.IntN(30) == 0 {
-		r.Class, c = "never listed", balance.Class{Effect: balance.Unsafe}
+		r.Class, c = "never listed", balance.Class{Idempotency: balance.NonIdempotent}
 	}
 	sim.requests[r.ID] = &simRequest{Request: r, class: c}
 	sim.openIDs = append(sim.openIDs, r.ID)
@@ -242,7 +242,7 @@
 
 // step plays the events of one instant.
 func (sim *simulation) step() {
-	sim.now += max(sim.settings.Resolution, ms)
+	sim.now += max(sim.settings.TimerResolution, ms)
 	for range sim.rng.IntN(4) {
 		if !sim.isDraining {
 			sim.request()
@@ -269,7 +269,7 @@
 	probes := sim.probes
 	sim.probes = nil
 	for _, ep := range probes {
-		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: float64(sim.rng.IntN(5))}}
+		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: float64(sim.rng.IntN(5))}}
 		if sim.rng.IntN(6) == 0 {
 			p.Result, p.Load.Known = balance.ConnectFailed, false
 		}
@@ -282,13 +282,13 @@
 		req := sim.requests[id]
 		if !sim.isDraining && !req.isAnswered && sim.rng.IntN(400) == 0 {
 			req.isAnswered, req.isReported = true, true
-			sim.balancer.ClientLeft(sim.now, id)
+			sim.balancer.ClientDisconnected(sim.now, id)
 		}
 		out := false
 		for n, att := range req.attempts {
 			if att.inFlight && att.endsAt <= sim.now {
 				att.inFlight = false
-				att.mayHaveRun = att.result != balance.Full && att.result != balance.ConnectFailed && att.result != balance.NotSent
+				att.mayHaveRun = att.result != balance.Rejected && att.result != balance.ConnectFailed && att.result != balance.NotSent
 				if att.result == balance.OK && !req.isAnswered {
 					req.isAnswered = true
 					sim.answerCounts[0]++
@@ -296,10 +296,10 @@
 				final := req.isAnswered
 				req.isReported = req.isReported || final
 				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
-					Took: sim.now - att.sentAt, Final: final})
+					Latency: sim.now - att.sentAt, IsFinal: final})
 				if sim.rng.IntN(30) == 0 { // a second report must be ignored
 					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
-						Final: final})
+						IsFinal: final})
 				}
 			}
 			out = out || att.inFlight
@@ -322,14 +322,14 @@
 		listed: map[string]balance.Endpoint{}, unavailableSince: map[string]time.Duration{},
 		manuallyEjected: map[string]bool{}, slowStartSends: map[string][]time.Duration{}}
 	sim.settings = balance.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
-		MustSubscribe: rng.IntN(2) == 0, AskWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
-		MayCancel: rng.IntN(4) > 0, MayProbe: rng.IntN(3) == 0,
-		Resolution: time.Duration(1+rng.IntN(5)) * ms,
-		ColdFrom:   0.3, ColdFor: 9 * time.Second,
+		MustSubscribe: rng.IntN(2) == 0, SubscribeWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
+		CanCancel: rng.IntN(4) > 0, CanProbe: rng.IntN(3) == 0,
+		TimerResolution:   time.Duration(1+rng.IntN(5)) * ms,
+		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second,
 		Tenants: []balance.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Keyed, balance.Keyed, balance.Unsafe} {
-		sim.settings.Classes = append(sim.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
-			Group: balance.Group(max(i-1, 0) % 3), Window: time.Duration(100+rng.IntN(400)) * ms, Aim: 400 * ms,
+	for i, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.IdempotencyKey, balance.IdempotencyKey, balance.NonIdempotent} {
+		sim.settings.Classes = append(sim.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Idempotency: effect,
+			DedupScope: balance.DedupScope(max(i-1, 0) % 3), DedupWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
 		})
 	}
 	for i := range 8 {
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -24,7 +24,7 @@
 				took = time.Duration(slower * float64(took))
 			}
 			got[s.endpoint]++
-			m.Outcome(now+took, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Took: took, Final: true})
+			m.Outcome(now+took, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Latency: took, IsFinal: true})
 		}
 		h.sent = h.sent[:0]
 		now += 50 * time.Millisecond
@@ -84,7 +84,7 @@
 			for _, s := range h.sent {
 				got[s.endpoint]++
 				m.Outcome(now+time.Millisecond, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK,
-					Took: time.Millisecond, Final: true})
+					Latency: time.Millisecond, IsFinal: true})
 			}
 			h.sent = h.sent[:0]
 		}
@@ -92,12 +92,12 @@
 	}
 	before := ask(50)
 	l := completeList(n + 10)
-	for i := range l.Entries {
-		if before[l.Entries[i].ID] > 0 {
-			l.Entries[i].State = balance.Draining
+	for i := range l.Endpoints {
+		if before[l.Endpoints[i].ID] > 0 {
+			l.Endpoints[i].State = balance.Draining
 		}
 	}
-	l.Entries = l.Entries[1:]
+	l.Endpoints = l.Endpoints[1:]
 	m.EndpointList(now, l)
 	after := ask(20 * n)
 	for id := range before {
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -42,7 +42,7 @@
 func (b *Balancer) expectedSeconds(req *request) float64 {
 	c := req.class
 	if c.sampleCount == 0 || c.baselineLatency <= 0 {
-		return max(c.Aim.Seconds()/4, 0.001)
+		return max(c.LatencyObjective.Seconds()/4, 0.001)
 	}
 	return c.baselineLatency
 }
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -11,14 +11,14 @@
 func TestManualEjectionSurvivesListUpdates(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	h.balancer.Bar(h.now, "a", true)
-	h.balancer.Bar(h.now, "a", true) // a repetition changes nothing
-	lists := []balance.List{
-		{Entries: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
-		{Entries: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
-		{Entries: []balance.Endpoint{{ID: "a", Started: h.now}}},
-		{Complete: true, Entries: []balance.Endpoint{{ID: "b"}}},
-		{Complete: true, Entries: []balance.Endpoint{{ID: "a"}, {ID: "b"}}},
+	h.balancer.SetEjected(h.now, "a", true)
+	h.balancer.SetEjected(h.now, "a", true) // a repetition changes nothing
+	lists := []balance.EndpointUpdate{
+		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
+		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
+		{Endpoints: []balance.Endpoint{{ID: "a", Started: h.now}}},
+		{Complete: true, Endpoints: []balance.Endpoint{{ID: "b"}}},
+		{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}},
 	}
 	for i, l := range lists {
 		h.balancer.EndpointList(h.now, l)
@@ -31,10 +31,10 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	if listed, avoided := h.balancer.Census(); listed != 2 || avoided != 1 {
+	if listed, avoided := h.balancer.EndpointCounts(); listed != 2 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
-	h.balancer.Bar(h.now, "a", false) // one restoration undoes both
+	h.balancer.SetEjected(h.now, "a", false) // one restoration undoes both
 	met := false
 	for range 300 {
 		id, ep := h.request("read")
@@ -45,7 +45,7 @@
 	if !met {
 		t.Error("unused for 3 s after it was restored")
 	}
-	if _, avoided := h.balancer.Census(); avoided != 0 {
+	if _, avoided := h.balancer.EndpointCounts(); avoided != 0 {
 		t.Errorf("%d are still ejected", avoided)
 	}
 }
@@ -53,14 +53,14 @@
 // An ID that is not listed can be ejected, too: a list may name it later.
 func TestUnlistedEndpointCanBeEjectedManually(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
-	if h.balancer.Knows("b") {
+	if h.balancer.IsKnown("b") {
 		t.Error("b is known before it was listed or ejected")
 	}
-	h.balancer.Bar(h.now, "b", true)
-	if !h.balancer.Knows("b") {
+	h.balancer.SetEjected(h.now, "b", true)
+	if !h.balancer.IsKnown("b") {
 		t.Error("b is ejected, and not known")
 	}
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	for range 20 {
 		if id, ep := h.request("read"); ep == "b" {
 			t.Fatalf("%s went to b", id)
@@ -72,22 +72,22 @@
 // too.
 func TestAllEndpointsEjectedManuallyRejectsAtOnce(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{
 		{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
 	queued := h.requestAs("read", "") // other endpoints may follow the draining ones
 	if h.countActions("refuse") > 0 {
 		t.Fatal("rejected though other endpoints may come")
 	}
-	h.balancer.Bar(h.now, "a", true)
-	h.balancer.Bar(h.now, "b", true)
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
+	h.balancer.SetEjected(h.now, "a", true)
+	h.balancer.SetEjected(h.now, "b", true)
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
 	if h.countActions("refuse "+queued) != 1 {
 		t.Error("the queued request is not rejected")
 	}
 	if id, ep := h.request("bill"); ep != "" || h.countActions("refuse "+id) != 1 {
 		t.Errorf("%s went to %q and is not rejected at once", id, ep)
 	}
-	h.balancer.Bar(h.now, "b", false)
+	h.balancer.SetEjected(h.now, "b", false)
 	if _, ep := h.request("bill"); ep != "b" {
 		t.Errorf("after one is restored: %q", ep)
 	}
@@ -106,7 +106,7 @@
 			bill = id
 		}
 	}
-	h.balancer.Bar(h.now, "a", true)
+	h.balancer.SetEjected(h.now, "a", true)
 	h.finish(read, balance.NotSent) // the endpoint was ejected before it was written
 	h.finish(bill, balance.Reset)
 	if got := h.sentTo[read]; len(got) != 2 || got[1] != "b" {
@@ -125,11 +125,11 @@
 	for ; ep != "a"; old, ep = h.request("read") {
 		h.finish(old, balance.OK)
 	}
-	h.balancer.Bar(h.now, "a", true)
+	h.balancer.SetEjected(h.now, "a", true)
 	h.advance(100 * ms)
-	h.balancer.Bar(h.now, "a", false)
+	h.balancer.SetEjected(h.now, "a", false)
 	// The list does not know of the restart.
-	h.balancer.EndpointList(h.now, balance.List{Complete: true, Entries: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
 	h.finish(old, balance.Reset) // by the earlier incarnation
 	h.finish(old, balance.OK)    // by the other endpoint
 	since, sent := h.now, 0
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -96,7 +96,7 @@
 // effectiveDeficit is the deficit less the discount for an idle connection, by which a few turns follow one
 // another before it is closed. Endpoints keep their number of turns, and inFlightCharge prevents crowds.
 func (b *Balancer) effectiveDeficit(ep *endpoint) float64 {
-	if b.host.Idle(ep.ID) {
+	if b.host.HasIdleConnection(ep.ID) {
 		return ep.deficit - idleConnectionDiscount*ep.weight()
 	}
 	return ep.deficit
@@ -160,8 +160,8 @@
 	if p.Result != OK && ep.active {
 		b.eject(now, ep)
 	} else if p.Load.Known {
-		ep.reportedLoad, ep.reportedLoadAt = p.Load.Held, now
-		b.meanReportedLoad += (p.Load.Held - b.meanReportedLoad) * recentMeanGain
+		ep.reportedLoad, ep.reportedLoadAt = p.Load.Requests, now
+		b.meanReportedLoad += (p.Load.Requests - b.meanReportedLoad) * recentMeanGain
 	}
 	for _, req := range slices.Clone(b.live) {
 		if i := slices.Index(req.pendingProbes, ep); i >= 0 {
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -65,7 +65,7 @@
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
-	l, took := balance.List{Complete: true}, map[string]time.Duration{}
+	l, took := balance.EndpointUpdate{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balance.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
 		took[e.ID] = 40 * ms
@@ -73,7 +73,7 @@
 			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
 			took[e.ID] = 70 * ms
 		}
-		l.Entries = append(l.Entries, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	h.balancer.EndpointList(h.now, l)
 	h.serve(60, took)
@@ -94,7 +94,7 @@
 	for range 6 {
 		h.requestAs("read", "")
 	}
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "b"}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	h.advance(time.Second)
 	var trial string
 	for range 6 {
@@ -145,14 +145,14 @@
 
 func TestEndpointWithTheLowestReportedLoadIsPicked(t *testing.T) {
 	s := defaultSettings()
-	s.MayProbe = true
+	s.CanProbe = true
 	h := newHarness(t, s, "a", "b", "c")
 	h.request("read")
 	if h.countActions("probe ") != 3 {
 		t.Fatalf("actions %v", h.actions)
 	}
 	for ep, held := range map[string]float64{"a": 4, "b": 0, "c": 4} {
-		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Held: held}})
+		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: held}})
 	}
 	if got := h.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
 		t.Errorf("sent to %v", got)
@@ -168,7 +168,7 @@
 // the lowest deficits and got all the probes, and requests went to endpoints without a load report.
 func TestLoadedEndpointsDoNotGetAllTheProbes(t *testing.T) {
 	s := defaultSettings()
-	s.MayProbe = true
+	s.CanProbe = true
 	eps := []string{"a", "b", "c", "d", "e", "hung1", "hung2", "hung3"}
 	h := newHarness(t, s, eps...)
 	probes, toHung, picks := 0, 0, 0
@@ -180,16 +180,16 @@
 			if !ok {
 				continue
 			}
-			load := balance.Load{Known: true, Held: 1}
+			load := balance.Load{Known: true, Requests: 1}
 			if probes++; strings.HasPrefix(ep, "hung") {
-				load.Held = 8
+				load.Requests = 8
 				toHung++
 			}
 			h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: load})
 		}
 		if ep := h.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
 			picks++
-			h.finish(id, balance.Full)
+			h.finish(id, balance.Rejected)
 			continue
 		}
 		h.advance(50 * ms)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -22,12 +22,12 @@
 		if att.inFlight {
 			return false
 		}
-		if !att.mayHaveRun || c.Effect == Safe {
+		if !att.mayHaveRun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe || now+2*b.settings.Resolution >= att.sentAt+c.Window ||
-			c.Group == GroupZone && att.endpoint.Zone != ep.Zone ||
-			c.Group == GroupCell && att.endpoint.Cell != ep.Cell {
+		if c.Idempotency == NonIdempotent || now+2*b.settings.TimerResolution >= att.sentAt+c.DedupWindow ||
+			c.DedupScope == ScopeZone && att.endpoint.Zone != ep.Zone ||
+			c.DedupScope == ScopeCell && att.endpoint.Cell != ep.Cell {
 			return false
 		}
 	}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -37,8 +37,8 @@
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
 			h.advance(10 * ms)
-			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: balance.Errored,
-				Took: 10 * ms})
+			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: balance.ErrorResponse,
+				Latency: 10 * ms})
 		}
 	}
 	if extra := h.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
@@ -58,7 +58,7 @@
 		h.serve(11, took) // earns a retry, and changes whose turn it is
 		id, _ := h.request("read")
 		h.advance(10 * ms)
-		h.finish(id, balance.Errored)
+		h.finish(id, balance.ErrorResponse)
 		if to := h.sentTo[id]; len(to) == 2 {
 			if again++; to[0] == to[1] {
 				t.Fatalf("%s went to %v", id, to)
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -55,17 +55,17 @@
 		fleet.sends[endpoint] = append(fleet.sends[endpoint], fleet.now)
 	}
 	member.pending = append(member.pending, pendingOutcome{fleet.now + fleetServiceTime,
-		balance.Outcome{ID: id, Endpoint: endpoint, Took: fleetServiceTime, Final: true}})
+		balance.Outcome{ID: id, Endpoint: endpoint, Latency: fleetServiceTime, IsFinal: true}})
 }
 
-func (member *fleetMember) Cancel(string, int)           {}
-func (member *fleetMember) Refuse(string, time.Duration) {}
-func (member *fleetMember) Fail(string)                  {}
-func (member *fleetMember) Probe(string)                 {}
-func (member *fleetMember) Idle(string) bool             { return false }
-func (member *fleetMember) Subscribe()                   {}
-func (member *fleetMember) Timer(at time.Duration)       { member.timers = append(member.timers, at) }
-func (member *fleetMember) Log(string)                   {}
+func (member *fleetMember) Cancel(string, int)            {}
+func (member *fleetMember) Reject(string, time.Duration)  {}
+func (member *fleetMember) Fail(string)                   {}
+func (member *fleetMember) Probe(string)                  {}
+func (member *fleetMember) HasIdleConnection(string) bool { return false }
+func (member *fleetMember) Subscribe()                    {}
+func (member *fleetMember) Timer(at time.Duration)        { member.timers = append(member.timers, at) }
+func (member *fleetMember) Log(string)                    {}
 
 // newBalancerFleet starts balancers with endpoints at full capacity and runs until they know their own request rate.
 func newBalancerFleet(t *testing.T) *balancerFleet {
@@ -90,17 +90,17 @@
 	member.incarnation++
 	member.pending, member.timers = nil, nil
 	member.balancer = balance.New(fleet.now, balance.Settings{Seed: uint64(member.index + member.incarnation*1000),
-		Balancers: fleetBalancers, Index: member.index, MaxAttempts: 4, Resolution: ms,
-		ColdFrom: fleetInitialCapacity, ColdFor: fleetSlowStart, Classes: defaultSettings().Classes}, member)
-	whole := balance.List{Complete: true}
+		Balancers: fleetBalancers, Index: member.index, MaxAttempts: 4, TimerResolution: ms,
+		SlowStartCapacity: fleetInitialCapacity, SlowStartDuration: fleetSlowStart, Classes: defaultSettings().Classes}, member)
+	whole := balance.EndpointUpdate{Complete: true}
 	for i := range fleetEndpoints {
 		if e, ok := fleet.listed[fmt.Sprintf("warm%03d", i)]; ok {
-			whole.Entries = append(whole.Entries, e)
+			whole.Endpoints = append(whole.Endpoints, e)
 		}
 	}
 	for i := range fleetEndpoints {
 		if e, ok := fleet.listed[fmt.Sprintf("cold%03d", i)]; ok {
-			whole.Entries = append(whole.Entries, e)
+			whole.Endpoints = append(whole.Endpoints, e)
 		}
 	}
 	member.balancer.EndpointList(fleet.now, whole)
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, member := range fleet.members {
-		member.balancer.EndpointList(fleet.now, balance.List{Entries: entries})
+		member.balancer.EndpointList(fleet.now, balance.EndpointUpdate{Endpoints: entries})
 	}
 }
 
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -19,11 +19,11 @@
 	for c := range callers {
 		s := defaultSettings()
 		h := newHarness(t, s, names...)
-		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
-			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, h)
-		l := balance.List{Complete: true}
+		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, TimerResolution: ms,
+			SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: s.Classes}, h)
+		l := balance.EndpointUpdate{Complete: true}
 		for _, id := range names {
-			l.Entries = append(l.Entries, balance.Endpoint{ID: id})
+			l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
 		}
 		h.balancer.EndpointList(h.now, l)
 		step := func() string {
@@ -37,7 +37,7 @@
 			step()
 		}
 		start := h.now
-		h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "cold", Started: start}}})
+		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "cold", Started: start}}})
 		for h.now < start+11*time.Second {
 			if at := (h.now - start) / time.Second; step() == "cold" {
 				got[at]++
@@ -61,7 +61,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
 	h.serve(300, took)
-	h.balancer.EndpointList(h.now, balance.List{Entries: []balance.Endpoint{{ID: "new", Started: h.now}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: h.now}}})
 	share := h.serve(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("the new one of four endpoints got %d of 150 requests", share["new"])
--- a/balance/state.go
+++ b/balance/state.go
@@ -162,7 +162,7 @@
 	}
 	for _, c := range s.Classes {
 		b.classes[c.Name] = &class{Class: c}
-		b.meanLatencyObjective += c.Aim.Seconds() / float64(len(s.Classes))
+		b.meanLatencyObjective += c.LatencyObjective.Seconds() / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
 		quota := t.Quota / float64(max(s.Balancers, 1))
@@ -207,14 +207,14 @@
 }
 
 // mergeList applies a list to the endpoints and returns those that are new or have restarted.
-func (b *Balancer) mergeList(l List) []*endpoint {
+func (b *Balancer) mergeList(l EndpointUpdate) []*endpoint {
 	var started []*endpoint
 	if l.Complete {
 		for _, ep := range b.endpoints {
 			ep.State = Gone
 		}
 	}
-	for _, entry := range l.Entries {
+	for _, entry := range l.Endpoints {
 		ep := b.endpointByID[entry.ID]
 		if ep == nil {
 			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
@@ -259,11 +259,11 @@
 		slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool { return ep.State == Ready })
 }
 
-// Knows implements Events.
-func (b *Balancer) Knows(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
+// IsKnown implements Events.
+func (b *Balancer) IsKnown(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
 
-// Census implements Events.
-func (b *Balancer) Census() (listed, avoided int) {
+// EndpointCounts implements Events.
+func (b *Balancer) EndpointCounts() (listed, avoided int) {
 	for _, ep := range b.endpoints {
 		if ep.manuallyEjected || ep.ejected && !ep.active {
 			avoided++
@@ -300,9 +300,9 @@
 	return s
 }
 
-// Share implements Events. A change grants no tenant a burst: saved tokens shrink with this balancer's part of the
+// SetBalancerCount implements Events. A change grants no tenant a burst: saved tokens shrink with this balancer's part of the
 // quota, and grow only at the new rate.
-func (b *Balancer) Share(now time.Duration, balancers, index int) {
+func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
 	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
 	if before == after && b.settings.Index == index {
 		return
@@ -431,21 +431,21 @@
 
 // setDeadline sets when the request's client stops waiting.
 func (b *Balancer) setDeadline(req *request, deadline time.Duration) {
-	req.Deadline, req.giveUpAt = deadline, deadline-max(b.settings.Resolution, time.Millisecond)
+	req.Deadline, req.giveUpAt = deadline, deadline-max(b.settings.TimerResolution, time.Millisecond)
 }
 
 // giveUpInstant is when the request is given up: the deadline does not apply while its body still streams in.
 func (r *request) giveUpInstant() time.Duration {
 	for i := range r.attempts {
 		if att := &r.attempts[i]; att.inFlight && att.hasStreamingBody && !att.isStreaming {
-			return max(r.Flow, r.giveUpAt)
+			return max(r.StreamUntil, r.giveUpAt)
 		}
 	}
 	return r.giveUpAt
 }
 
-// ClientLeft implements Events.
-func (b *Balancer) ClientLeft(now time.Duration, id string) {
+// ClientDisconnected implements Events.
+func (b *Balancer) ClientDisconnected(now time.Duration, id string) {
 	if req := b.requests[id]; req != nil && !req.isAnswered {
 		b.removeRequest(req)
 		b.sendQueued(now)
@@ -462,7 +462,7 @@
 		b.live[last] = nil
 		b.live = b.live[:last]
 		for i := range req.attempts {
-			if att := &req.attempts[i]; att.inFlight && !att.isStreaming && b.settings.MayCancel {
+			if att := &req.attempts[i]; att.inFlight && !att.isStreaming && b.settings.CanCancel {
 				b.host.Cancel(req.ID, i)
 			}
 		}
@@ -513,11 +513,11 @@
 
 // capacityShare is the least fraction of its full capacity that the endpoint has by now; 1 unless it is warming up.
 func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
-	if ep.Started <= 0 || now-ep.Started >= b.settings.ColdFor {
+	if ep.Started <= 0 || now-ep.Started >= b.settings.SlowStartDuration {
 		return 1
 	}
-	age := float64(max(now-ep.Started, 0)) / float64(b.settings.ColdFor)
-	return max(b.settings.ColdFrom+(1-b.settings.ColdFrom)*age, 0.05)
+	age := float64(max(now-ep.Started, 0)) / float64(b.settings.SlowStartDuration)
+	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*age, 0.05)
 }
 
 // turnInterval is the time between two attempts of this balancer at one endpoint if all get the same.
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -13,7 +13,7 @@
 func (h *harness) upload(class string) string {
 	h.requestCount++
 	id := fmt.Sprint("u", h.requestCount)
-	h.balancer.Request(h.now, balance.Request{ID: id, Class: class, Deadline: h.now + 5*time.Second, Flow: h.now + time.Hour})
+	h.balancer.Request(h.now, balance.Request{ID: id, Class: class, Deadline: h.now + 5*time.Second, StreamUntil: h.now + time.Hour})
 	return id
 }
 
@@ -109,12 +109,12 @@
 			want       string
 		}{
 			{"consumed, connect failed", balance.ConnectFailed, true, "refuse"},
-			{"consumed, rejected", balance.Full, true, "refuse"},
+			{"consumed, rejected", balance.Rejected, true, "refuse"},
 			{"consumed, reset", balance.Reset, true, "fail"},
-			{"consumed, error response", balance.Errored, true, "fail"},
+			{"consumed, error response", balance.ErrorResponse, true, "fail"},
 			{"consumed, timed out", balance.TimedOut, true, "fail"},
 			{"kept, connect failed", balance.ConnectFailed, false, "send"},
-			{"kept, rejected", balance.Full, false, "send"},
+			{"kept, rejected", balance.Rejected, false, "send"},
 		} {
 			t.Run(class+", "+row.name, func(t *testing.T) {
 				h := newHarness(t, defaultSettings(), "a", "b", "c")
@@ -122,7 +122,7 @@
 				id := h.upload(class)
 				h.actions = nil
 				h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: h.sentTo[id][0], Result: row.result,
-					Spent: row.isConsumed})
+					BodyConsumed: row.isConsumed})
 				if len(h.actions) != 1 || !strings.HasPrefix(h.actions[0], row.want+" ") {
 					t.Errorf("%v, want %s", h.actions, row.want)
 				}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -29,8 +29,8 @@
 		return out
 	}
 	before := used(h)
-	h.balancer.Share(h.now, 60, 0) // no change
-	h.balancer.Share(h.now, 60, 30)
+	h.balancer.SetBalancerCount(h.now, 60, 0) // no change
+	h.balancer.SetBalancerCount(h.now, 60, 30)
 	other := used(h)
 	same := 0
 	for ep := range other {
@@ -41,8 +41,8 @@
 	if same == len(before) {
 		t.Error("another index among the balancers has the same endpoints")
 	}
-	h.balancer.Share(h.now, 60, 0)
-	if listed, avoided := h.balancer.Census(); listed != 100 || avoided != 0 {
+	h.balancer.SetBalancerCount(h.now, 60, 0)
+	if listed, avoided := h.balancer.EndpointCounts(); listed != 100 || avoided != 0 {
 		t.Errorf("%d listed, %d ejected", listed, avoided)
 	}
 }
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return err
 	}
-	if f.Fleet != nil && f.Fleet.KeyFile != "" {
-		if _, err := transport.ReadKeys(f.Fleet.KeyFile); err != nil {
+	if f.Cluster != nil && f.Cluster.KeyFile != "" {
+		if _, err := transport.ReadKeys(f.Cluster.KeyFile); err != nil {
 			return fmt.Errorf("%s: fleet.key_file: %w", c.File, err)
 		}
 	}
@@ -67,7 +67,7 @@
 			_, err := fmt.Fprintf(w, "%s takes it: pool %s, class %s\n", routeName(f, i), to.Pool, to.Class)
 			return err
 		}
-		if _, err := fmt.Fprintf(w, "%s does not: %s\n", routeName(f, i), f.Table().Refusal(i, r)); err != nil {
+		if _, err := fmt.Fprintf(w, "%s does not: %s\n", routeName(f, i), f.Table().Mismatch(i, r)); err != nil {
 			return err
 		}
 	}
@@ -107,11 +107,11 @@
 		fmt.Fprintf(&rows, "operators\t\t%s\tcheck, vars, peers, settings, set-down ID, set-up ID\n", f.Daemon.AdminAddr)
 	}
 	service := f.Service()
-	if service.Fleet != nil {
-		fmt.Fprintf(&rows, "fleet\t\t%v\t%v\n", service.Fleet.Listen, service.Fleet)
+	if service.Cluster != nil {
+		fmt.Fprintf(&rows, "fleet\t\t%v\t%v\n", service.Cluster.Listen, service.Cluster)
 	}
 	for _, c := range f.Class {
-		fmt.Fprintf(&rows, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Effect, c.Aim, c.Deadline)
+		fmt.Fprintf(&rows, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
 	}
 	for _, n := range f.Tenant {
 		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
@@ -122,7 +122,7 @@
 	for i, r := range f.Route {
 		fmt.Fprintf(&rows, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
 	}
-	fmt.Fprintf(&rows, "descriptors\t\tup to %d\t\n", service.Descriptors())
+	fmt.Fprintf(&rows, "descriptors\t\tup to %d\t\n", service.MaxDescriptors())
 	return rows.String()
 }
 
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons",
-			what, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Standing, f.Daemons)
+			what, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.Daemons)
 	}
 	measure("alone")
 	keys, err := transport.ReadKeys(key)
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -104,9 +104,9 @@
 
 func warnOfFewDescriptors(service *config.Service, log *slog.Logger) {
 	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(service.Descriptors()) {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(service.MaxDescriptors()) {
 		log.Warn("the system grants fewer descriptors than the connections that the configuration allows",
-			"granted", files.Cur, "allowed", service.Descriptors())
+			"granted", files.Cur, "allowed", service.MaxDescriptors())
 	}
 }
 
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -22,7 +22,7 @@
 
 func writePeers(w io.Writer, f *status.Fleet) error {
 	var rows strings.Builder
-	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Standing, f.View, f.Daemons)
+	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Connectivity, f.View, f.Daemons)
 	if f.Elder != "" {
 		fmt.Fprintf(&rows, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.Elder)
 	}
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -22,11 +22,11 @@
 	a := startClusterDaemon(t, "a", "c", freeClusterAddress(t, 1), key)
 	b := startClusterDaemon(t, "b", "c", freeClusterAddress(t, 2), key, a.listen)
 	elder := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), key, a.listen)
-	a.awaitReport(t, "three are there", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Index == 0 && f.Standing == "whole" })
+	a.awaitReport(t, "three are there", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
 	younger := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 4), key, b.listen)
 	stranger := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.listen)
 	forger := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.listen)
-	younger.awaitReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.Elder == elder.listen && f.Standing == "cut-off" })
+	younger.awaitReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.Elder == elder.listen && f.Connectivity == "cut-off" })
 	younger.awaitText(t, "an elder daemon of this name is in the fleet")
 	elder.awaitText(t, "a younger daemon of this name is about")
 	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "elder": elder, "younger": younger, "stranger": stranger, "forger": forger} {
@@ -38,7 +38,7 @@
 	}
 	for _, d := range []*clusterDaemon{a, b, elder} {
 		d.awaitReport(t, "the three hold one another", func(f *status.Fleet) bool {
-			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.listen && f.Standing == "whole"
+			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.listen && f.Connectivity == "whole"
 		})
 	}
 	elder.signal(t, syscall.SIGKILL)
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -31,8 +31,8 @@
 		return
 	}
 	worth := 1.0
-	if s.Asked > 0 {
-		worth = s.Answered / s.Asked
+	if s.Offered > 0 {
+		worth = s.InTime / s.Offered
 	}
 	b.bar.Describe(fmt.Sprintf("worth %.3f, %3d in flight, %3.0f s", worth, s.InFlight, s.At.Seconds()))
 	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds()) // a bar that is not drawn harms nothing
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.Same})
+	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
 }
 
 type settingsPut struct {
@@ -54,7 +54,7 @@
 	name := c.Name
 	if name == "" {
 		var left []string // the parts that each daemon has for itself
-		name = config.SharedDoc
+		name = config.SharedDocument
 		if body, left, err = config.ExtractShared(c.File, body); err != nil {
 			return err
 		}
--- a/cmd/tuliprock/settings_diff.go
+++ b/cmd/tuliprock/settings_diff.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	text := udiff.Unified(fmt.Sprintf("%s, version %d", c.Name, from.Put), label, string(from.Body), string(to))
+	text := udiff.Unified(fmt.Sprintf("%s, version %d", c.Name, from.PutVersion), label, string(from.Body), string(to))
 	err = c.printResult(struct {
 		Format  int    `json:"format"`
 		Differs bool   `json:"differs"`
@@ -51,10 +51,10 @@
 		if err != nil {
 			return nil, "", err
 		}
-		return to.Body, fmt.Sprintf("%s, version %d", c.Name, to.Put), nil
+		return to.Body, fmt.Sprintf("%s, version %d", c.Name, to.PutVersion), nil
 	}
 	body, err = os.ReadFile(c.File)
-	if err == nil && c.Name == config.SharedDoc {
+	if err == nil && c.Name == config.SharedDocument {
 		body, _, err = config.ExtractShared(c.File, body)
 	}
 	return body, c.File, err
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -33,8 +33,8 @@
 		if h.IsRemoval() {
 			what = "taken out"
 		}
-		if h.Back > 0 {
-			what += fmt.Sprintf(", as at version %d", h.Back)
+		if h.RestoredVersion > 0 {
+			what += fmt.Sprintf(", as at version %d", h.RestoredVersion)
 		}
 		at := time.UnixMilli(h.AtMs).UTC().Format(time.DateTime)
 		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.By, at)
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -46,7 +46,7 @@
 		printf("all act on version %d, %v later", result.Version, time.Since(began).Round(time.Millisecond))
 	}
 	for _, l := range result.Lags {
-		printf("waited for: %s: %s", l.Daemon, l.Why)
+		printf("waited for: %s: %s", l.Daemon, l.Reason)
 	}
 	if f.JSON != "" {
 		err = errors.Join(err, writeJSON(f.JSON, result))
@@ -57,7 +57,7 @@
 func (f *rolloutFlags) awaitActiveOnAll(result *changeResult) error {
 	// An error of the last poll says no more than that the daemon did not answer then; what counts is that time is up.
 	_, ok, _ := f.pollUntil(f.Wait, func(s *status.Settings) bool {
-		result.IsActiveOnAll, result.Lags = s.All >= result.Version, s.Lags
+		result.IsActiveOnAll, result.Lags = s.MinActingVersion >= result.Version, s.Lags
 		return result.IsActiveOnAll
 	})
 	if !ok {
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -37,15 +37,15 @@
 func writeSettings(w io.Writer, s *status.Settings) error {
 	var rows strings.Builder
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
-	if !s.Acting {
+	if !s.HasLease {
 		lease = "it has no lease"
 	}
 	fmt.Fprintf(&rows, "version %d; %s; granted by %s\n", s.Version, lease, s.Leader)
-	if s.Declined > 0 {
-		fmt.Fprintf(&rows, "it can't act on version %d: %s\n", s.Declined, s.Why)
+	if s.RejectedVersion > 0 {
+		fmt.Fprintf(&rows, "it can't act on version %d: %s\n", s.RejectedVersion, s.RejectionReason)
 	}
 	for _, l := range s.Lags {
-		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Daemon, l.Why)
+		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Daemon, l.Reason)
 	}
 	for _, d := range s.Documents {
 		fmt.Fprintf(&rows, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.By, d.Bytes)
--- a/internal/body/flow.go
+++ b/internal/body/flow.go
@@ -19,7 +19,7 @@
 	return &Flow{upload: u}, !u.isConsumed
 }
 
-// Next returns the next part of the body, of at most Window bytes, which is valid until the next call. io.EOF is the
+// Next returns the next part of the body, of at most WindowSize bytes, which is valid until the next call. io.EOF is the
 // body's end; any other error means that the body could not be read or that the flow has ended.
 func (f *Flow) Next() ([]byte, error) { return f.upload.next(f) }
 
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -7,44 +7,44 @@
 	"sync"
 )
 
-// Window is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered
+// WindowSize is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered
 // completely.
-const Window = 64 << 10
+const WindowSize = 64 << 10
 
-// shortReserveDivisor reserves a quarter of a Pool for short bodies, since long ones hold their memory for longer.
+// shortReserveDivisor reserves a quarter of a MemoryPool for short bodies, since long ones hold their memory for longer.
 const shortReserveDivisor = 4
 
-// ErrNever is returned for a size that the Pool can never grant.
-var ErrNever = errors.New("more than the memory for bodies")
+// ErrExceedsMemory is returned for a size that the MemoryPool can never grant.
+var ErrExceedsMemory = errors.New("more than the memory for bodies")
 
-var windowSize = Size{Bytes: Window, Long: true}
+var windowSize = Size{Bytes: WindowSize, Long: true}
 
-// Pool is the memory for bodies of a process. It is safe for concurrent use.
-type Pool struct {
+// MemoryPool is the memory for bodies of a process. It is safe for concurrent use.
+type MemoryPool struct {
 	mu      sync.Mutex
 	budget  *MemoryBudget
 	granted map[int]chan struct{} // by id of a request that waits; closed when it is granted
-	windows sync.Pool             // of *[]byte, each Window bytes long
+	windows sync.Pool             // of *[]byte, each WindowSize bytes long
 }
 
-// NewPool returns a Pool of total bytes, of which a quarter is reserved for short bodies.
-func NewPool(total int) *Pool {
-	p := &Pool{budget: NewMemoryBudget(total, total/shortReserveDivisor), granted: map[int]chan struct{}{}}
+// NewMemoryPool returns a MemoryPool of total bytes, of which a quarter is reserved for short bodies.
+func NewMemoryPool(total int) *MemoryPool {
+	p := &MemoryPool{budget: NewMemoryBudget(total, total/shortReserveDivisor), granted: map[int]chan struct{}{}}
 	p.windows.New = func() any {
-		b := make([]byte, Window)
+		b := make([]byte, WindowSize)
 		return &b
 	}
 	return p
 }
 
-// Take acquires memory for a body. It waits for its turn until ctx ends, and then returns ctx's error; memory that is
-// free is granted even if ctx has ended. A size that can never be granted is ErrNever, wrapped. What is acquired must
-// be released with Give exactly once.
-func (p *Pool) Take(ctx context.Context, s Size) error {
+// Acquire acquires memory for a body. It waits for its turn until ctx ends, and then returns ctx's error; memory that is
+// free is granted even if ctx has ended. A size that can never be granted is ErrExceedsMemory, wrapped. What is acquired must
+// be released with Release exactly once.
+func (p *MemoryPool) Acquire(ctx context.Context, s Size) error {
 	p.mu.Lock()
 	if !p.budget.Fits(s) {
 		p.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes", ErrNever, s.Bytes)
+		return fmt.Errorf("%w: %d bytes", ErrExceedsMemory, s.Bytes)
 	}
 	id, isGranted := p.budget.Acquire(s)
 	if isGranted {
@@ -70,40 +70,40 @@
 	return ctx.Err()
 }
 
-// Give releases what Take acquired.
-func (p *Pool) Give(s Size) {
+// Release releases what Acquire acquired.
+func (p *MemoryPool) Release(s Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notify(p.budget.Release(s))
 }
 
 // notify wakes those whose requests were granted. p.mu is held.
-func (p *Pool) notify(ids []int) {
+func (p *MemoryPool) notify(ids []int) {
 	for _, id := range ids {
 		close(p.granted[id])
 		delete(p.granted, id)
 	}
 }
 
-// Held returns how many bytes are acquired, and how many bodies wait for some.
-func (p *Pool) Held() (bytes, waiting int) {
+// InUse returns how many bytes are acquired, and how many bodies wait for some.
+func (p *MemoryPool) InUse() (bytes, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	bytes, _ = p.budget.InUse()
 	return bytes, p.budget.Waiting()
 }
 
-// AcquireWindow acquires a buffer of Window bytes, with Take's waiting and errors. It must be released with
+// AcquireWindow acquires a buffer of WindowSize bytes, with Acquire's waiting and errors. It must be released with
 // ReleaseWindow exactly once, when nobody uses it any more.
-func (p *Pool) AcquireWindow(ctx context.Context) (*[]byte, error) {
-	if err := p.Take(ctx, windowSize); err != nil {
+func (p *MemoryPool) AcquireWindow(ctx context.Context) (*[]byte, error) {
+	if err := p.Acquire(ctx, windowSize); err != nil {
 		return nil, err
 	}
 	return p.windows.Get().(*[]byte), nil
 }
 
 // ReleaseWindow releases a buffer.
-func (p *Pool) ReleaseWindow(w *[]byte) {
+func (p *MemoryPool) ReleaseWindow(w *[]byte) {
 	p.windows.Put(w)
-	p.Give(windowSize)
+	p.Release(windowSize)
 }
--- a/internal/body/memory_pool_test.go
+++ b/internal/body/memory_pool_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLongBodiesLeaveMemoryForShortOnes(t *testing.T) {
-	p := NewPool(4 * Window)
+	p := NewMemoryPool(4 * WindowSize)
 	ctx := t.Context()
 	for range 3 {
 		if _, err := p.AcquireWindow(ctx); err != nil {
@@ -21,16 +21,16 @@
 	if _, err := p.AcquireWindow(soon); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a fourth window of four: %v", err)
 	}
-	if err := p.Take(ctx, Size{Window, false}); err != nil {
+	if err := p.Acquire(ctx, Size{WindowSize, false}); err != nil {
 		t.Errorf("a short body besides: %v", err)
 	}
-	if err := p.Take(ctx, Size{4*Window + 1, false}); !errors.Is(err, ErrNever) {
+	if err := p.Acquire(ctx, Size{4*WindowSize + 1, false}); !errors.Is(err, ErrExceedsMemory) {
 		t.Errorf("more than the total: %v", err)
 	}
 }
 
 func TestPoolLeaksNothingWhenWaitersTimeOut(t *testing.T) {
-	p := NewPool(4 * Window)
+	p := NewMemoryPool(4 * WindowSize)
 	var users sync.WaitGroup
 	for i := range 64 {
 		users.Go(func() {
@@ -43,7 +43,7 @@
 		})
 	}
 	users.Wait()
-	if held, waiting := p.Held(); held != 0 || waiting != 0 || len(p.granted) != 0 {
+	if held, waiting := p.InUse(); held != 0 || waiting != 0 || len(p.granted) != 0 {
 		t.Errorf("%d bytes are held, %d wait, %d requests are kept", held, waiting, len(p.granted))
 	}
 }
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Pace is the minimum rate that a peer must keep for a body to go on.
-type Pace struct {
-	// Idle is the longest wait for the peer's next byte, and the time by which it may fall behind Rate.
-	Idle time.Duration
-	// Rate is in bytes a second; 0 means that only Idle counts.
-	Rate int64
+// MinimumRate is the minimum rate that a peer must keep for a body to go on.
+type MinimumRate struct {
+	// IdleTimeout is the longest wait for the peer's next byte, and the time by which it may fall behind BytesPerSecond.
+	IdleTimeout time.Duration
+	// BytesPerSecond is in bytes a second; 0 means that only IdleTimeout counts.
+	BytesPerSecond int64
 }
 
-// Meter holds a peer to a Pace. It counts only time in which the peer was waited for, so that the peer is not charged
+// Meter holds a peer to a MinimumRate. It counts only time in which the peer was waited for, so that the peer is not charged
 // for the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371), filled with time: waiting drains the
-// bucket, and bytes fill it up to Idle. It has no clock and is not safe for concurrent use.
+// bucket, and bytes fill it up to IdleTimeout. It has no clock and is not safe for concurrent use.
 type Meter struct {
-	pace         Pace
+	pace         MinimumRate
 	credit       time.Duration
 	lastDeadline time.Time // the deadline that is set on the connection
 }
 
 // NewMeter returns a Meter whose bucket is full.
-func NewMeter(p Pace) Meter { return Meter{pace: p, credit: p.Idle} }
+func NewMeter(p MinimumRate) Meter { return Meter{pace: p, credit: p.IdleTimeout} }
 
 // MaxWait returns how long to wait for the peer's next byte at most; 0 means that the peer is too slow.
 func (m *Meter) MaxWait() time.Duration {
-	if m.pace.Rate <= 0 {
-		return m.pace.Idle
+	if m.pace.BytesPerSecond <= 0 {
+		return m.pace.IdleTimeout
 	}
 	return max(m.credit, 0)
 }
@@ -53,9 +53,9 @@
 
 // Record counts n bytes that were transferred after a wait for the peer.
 func (m *Meter) Record(n int, waited time.Duration) {
-	if m.pace.Rate <= 0 {
+	if m.pace.BytesPerSecond <= 0 {
 		return
 	}
-	earned := time.Duration(float64(n) / float64(m.pace.Rate) * float64(time.Second))
-	m.credit = min(m.credit-waited+earned, m.pace.Idle)
+	earned := time.Duration(float64(n) / float64(m.pace.BytesPerSecond) * float64(time.Second))
+	m.credit = min(m.credit-waited+earned, m.pace.IdleTimeout)
 }
--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -11,9 +11,9 @@
 // to Idle.
 func TestMeterEnforcesMinimumRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Pace{
-			Idle: time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second,
-			Rate: int64(rapid.IntRange(10, 10_000).Draw(t, "rate")),
+		p := MinimumRate{
+			IdleTimeout:    time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second,
+			BytesPerSecond: int64(rapid.IntRange(10, 10_000).Draw(t, "rate")),
 		}
 		share := rapid.Float64Range(0.1, 3).Draw(t, "share of the rate")
 		step := time.Duration(rapid.IntRange(1, 900).Draw(t, "step in ms")) * time.Millisecond
@@ -22,7 +22,7 @@
 			if m.MaxWait() < step {
 				break
 			}
-			n := int(share*float64(p.Rate)*(total+step).Seconds() - moved)
+			n := int(share*float64(p.BytesPerSecond)*(total+step).Seconds() - moved)
 			moved += float64(n)
 			m.Record(n, step)
 			total += step
@@ -32,11 +32,11 @@
 		switch {
 		case share >= 1.01 && !goesOn:
 			t.Fatalf("ended after %v", total)
-		case share < 1 && behind > p.Idle.Seconds()+step.Seconds()+2/float64(p.Rate):
+		case share < 1 && behind > p.IdleTimeout.Seconds()+step.Seconds()+2/float64(p.BytesPerSecond):
 			t.Fatalf("went on for %v, %.1f s behind", total, behind)
 		}
 	})
-	if m := NewMeter(Pace{Idle: time.Second}); m.MaxWait() != time.Second {
+	if m := NewMeter(MinimumRate{IdleTimeout: time.Second}); m.MaxWait() != time.Second {
 		t.Errorf("without a rate: %v", m.MaxWait())
 	}
 }
@@ -45,7 +45,7 @@
 // allows at least.
 func TestMeterKeepsDeadlineThatIsCloseEnough(t *testing.T) {
 	const idle = 8 * time.Second
-	m := NewMeter(Pace{Idle: idle})
+	m := NewMeter(MinimumRate{IdleTimeout: idle})
 	if got, want := m.MinWait(), 7*time.Second; got != want {
 		t.Errorf("MinWait is %v, want %v", got, want)
 	}
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -19,13 +19,13 @@
 		"io.ErrUnexpectedEOF": {io.ErrUnexpectedEOF, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newTestUpload(t, NewPool(2*Window), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
-			isComplete, err := u.Fill()
+			u := newTestUpload(t, NewMemoryPool(2*WindowSize), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
+			isComplete, err := u.ReadPrefix()
 			if isComplete != c.isComplete || (err == nil) != c.isComplete || !c.isComplete && !errors.Is(err, ErrBroken) {
 				t.Errorf("complete %v, %v", isComplete, err)
 			}
-			if err := u.Err(); u.Whole() != c.isComplete || errors.Is(err, io.EOF) {
-				t.Errorf("complete %v, %v", u.Whole(), err)
+			if err := u.Err(); u.IsComplete() != c.isComplete || errors.Is(err, io.EOF) {
+				t.Errorf("complete %v, %v", u.IsComplete(), err)
 			}
 			u.Close(0, 0)
 		})
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -1,9 +1,9 @@
 // Package body streams request and response bodies in bounded memory.
 //
-// MemoryBudget decides which body may hold how much memory, and Meter when a peer falls below its minimum rate (Pace).
-// Neither has I/O, a clock or a goroutine. Pool, Upload and Write carry their decisions out.
+// MemoryBudget decides which body may hold how much memory, and Meter when a peer falls below its minimum rate (MinimumRate).
+// Neither has I/O, a clock or a goroutine. MemoryPool, Upload and Write carry their decisions out.
 //
-// A Pool is shared by all bodies of a process and guarded by its own mutex. An Upload belongs to the request whose body
+// A MemoryPool is shared by all bodies of a process and guarded by its own mutex. An Upload belongs to the request whose body
 // it reads, and its Flows to the attempts of that request, one after the other. The package starts no goroutines: all
 // reads, writes and waits happen on its callers' goroutines, and all end with a context, a deadline, Stop or Close.
 // Memory that was acquired is released exactly once by whoever acquired it, an Upload's by Close.
@@ -18,33 +18,33 @@
 	"time"
 )
 
-// Why an Upload could not be read, besides ErrSlow. Clients receive the texts.
+// Why an Upload could not be read, besides ErrTooSlow. Clients receive the texts.
 var (
-	// ErrTooLong is a body of more than Source.Most bytes.
+	// ErrTooLong is a body of more than Source.MaxBytes bytes.
 	ErrTooLong = errors.New("the body is too long")
 	// ErrBroken is a body without its end, or one that was stopped.
 	ErrBroken = errors.New("the body can't be read to its end")
 )
 
-// Held is the length in bytes of an Upload's prefix, which stays buffered. What follows it streams through the rest of
-// the Window.
-const Held = Window / 2
+// PrefixSize is the length in bytes of an Upload's prefix, which stays buffered. What follows it streams through the rest of
+// the window.
+const PrefixSize = WindowSize / 2
 
 // Source is the request from which an Upload reads.
 type Source struct {
 	Body io.Reader
-	// Deadline sets the deadline of reads. It must also end a read that waits.
-	Deadline func(time.Time) error
+	// SetReadDeadline sets the deadline of reads. It must also end a read that waits.
+	SetReadDeadline func(time.Time) error
 	// Size is the body's length in bytes; -1 means that it is not known.
 	Size int64
-	// Most is the maximum length in bytes.
-	Most int64
+	// MaxBytes is the maximum length in bytes.
+	MaxBytes int64
 	// Trailer returns the request's trailers once Body has ended; nil means that there are none.
 	Trailer func() http.Header
-	// Expects says that the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1).
-	Expects bool
-	// Pace is the minimum rate of the client.
-	Pace Pace
+	// ExpectsContinue says that the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1).
+	ExpectsContinue bool
+	// MinimumRate is the minimum rate of the client.
+	MinimumRate MinimumRate
 }
 
 // Upload is a request's body that is forwarded while it arrives. Its prefix stays buffered, and the body can be sent
@@ -52,7 +52,7 @@
 // may be under way.
 type Upload struct {
 	Source
-	pool   *Pool
+	pool   *MemoryPool
 	window *[]byte
 	meter  Meter
 	failed chan struct{} // closed when the body could not be read
@@ -70,33 +70,33 @@
 }
 
 // NewUpload returns an Upload with a window of the pool, for which it waits until ctx ends. Its errors are those of
-// Pool.Take. Close must be called.
-func NewUpload(ctx context.Context, pool *Pool, s Source) (*Upload, error) {
+// MemoryPool.Acquire. Close must be called.
+func NewUpload(ctx context.Context, pool *MemoryPool, s Source) (*Upload, error) {
 	w, err := pool.AcquireWindow(ctx)
 	if err != nil {
 		return nil, err
 	}
-	u := &Upload{Source: s, pool: pool, window: w, meter: NewMeter(s.Pace), failed: make(chan struct{})}
+	u := &Upload{Source: s, pool: pool, window: w, meter: NewMeter(s.MinimumRate), failed: make(chan struct{})}
 	u.readEnded.L = &u.mu
 	return u, nil
 }
 
-// Beginning returns what has arrived of the prefix. It is valid until more than the prefix was read, or until Close.
-func (u *Upload) Beginning() []byte {
+// Prefix returns what has arrived of the prefix. It is valid until more than the prefix was read, or until Close.
+func (u *Upload) Prefix() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return (*u.window)[:u.prefixLen]
 }
 
-// Spent reports whether the body can't be sent again, since more than its prefix was returned.
-func (u *Upload) Spent() bool {
+// IsConsumed reports whether the body can't be sent again, since more than its prefix was returned.
+func (u *Upload) IsConsumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isConsumed
 }
 
-// Whole reports whether the body's end has arrived, so that what follows on the connection is not a part of it.
-func (u *Upload) Whole() bool {
+// IsComplete reports whether the body's end has arrived, so that what follows on the connection is not a part of it.
+func (u *Upload) IsComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isComplete
@@ -105,16 +105,16 @@
 // Failed returns a channel that is closed when the body could not be read. Err then says why.
 func (u *Upload) Failed() <-chan struct{} { return u.failed }
 
-// Err returns why the body could not be read: ErrSlow, ErrTooLong or ErrBroken, wrapped. It is nil otherwise.
+// Err returns why the body could not be read: ErrTooSlow, ErrTooLong or ErrBroken, wrapped. It is nil otherwise.
 func (u *Upload) Err() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err
 }
 
-// Settle returns Err once no read is under way. net/http cancels a request whose read has failed before that read
+// ErrAfterRead returns Err once no read is under way. net/http cancels a request whose read has failed before that read
 // returns, so that Err alone could still be nil.
-func (u *Upload) Settle() error {
+func (u *Upload) ErrAfterRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.waitForRead()
@@ -134,7 +134,7 @@
 	defer u.mu.Unlock()
 	if !u.isComplete && u.err == nil {
 		u.isStopped = true
-		_ = u.Deadline(time.Unix(1, 0)) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Unix(1, 0)) // fails only on a connection that is closed
 	}
 }
 
@@ -157,11 +157,11 @@
 	u.mu.Lock()
 	u.isStopped = true
 	if !u.isComplete && u.err == nil {
-		_ = u.Deadline(time.Now().Add(linger)) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Now().Add(linger)) // fails only on a connection that is closed
 	}
 	u.waitForRead()
 	// A read of a body that waits for 100 Continue would send that, though nobody wants the body.
-	drains := !u.isComplete && u.err == nil && (u.received > 0 || !u.Expects)
+	drains := !u.isComplete && u.err == nil && (u.received > 0 || !u.ExpectsContinue)
 	u.mu.Unlock()
 	if drains {
 		u.drain(linger, maxBytes)
--- a/internal/body/upload_read.go
+++ b/internal/body/upload_read.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Fill reads until the prefix is complete or the body has ended, and reports whether all of the body is buffered. A
+// ReadPrefix reads until the prefix is complete or the body has ended, and reports whether all of the body is buffered. A
 // request must not be forwarded before its prefix has arrived.
-func (u *Upload) Fill() (isComplete bool, err error) {
-	for u.prefixLen < Held {
+func (u *Upload) ReadPrefix() (isComplete bool, err error) {
+	for u.prefixLen < PrefixSize {
 		if _, err := u.next(nil); errors.Is(err, io.EOF) {
 			return true, nil
 		} else if err != nil {
@@ -21,12 +21,12 @@
 	return false, nil
 }
 
-// Exhaust reads to the body's end and drops what it reads. It is for a client that has closed its side, so that nothing
+// ReadToEnd reads to the body's end and drops what it reads. It is for a client that has closed its side, so that nothing
 // has to be waited for. The error says why there is no end. A body that waits for 100 Continue and of which nothing has
 // arrived is not read, since a read would send that.
-func (u *Upload) Exhaust() error {
+func (u *Upload) ReadToEnd() error {
 	u.mu.Lock()
-	if u.Expects && u.received == 0 && u.checkReadable() == nil {
+	if u.ExpectsContinue && u.received == 0 && u.checkReadable() == nil {
 		u.recordReadError(io.ErrUnexpectedEOF)
 	}
 	u.mu.Unlock()
@@ -62,13 +62,13 @@
 	if err := u.checkReadable(); err != nil {
 		return nil, err
 	}
-	to := (*u.window)[u.prefixLen:Held]
+	to := (*u.window)[u.prefixLen:PrefixSize]
 	isBeyondPrefix := len(to) == 0
 	switch {
 	case u.isConsumed: // the prefix is of no more use
 		to = *u.window
 	case isBeyondPrefix:
-		to = (*u.window)[Held:]
+		to = (*u.window)[PrefixSize:]
 	}
 	n, err := u.readInto(to)
 	if u.received += int64(n); !isBeyondPrefix {
@@ -99,7 +99,7 @@
 	began := time.Now()
 	n, err := 0, error(nil)
 	if at, changed := u.meter.Deadline(began); changed {
-		err = u.Deadline(at)
+		err = u.SetReadDeadline(at)
 	}
 	u.mu.Unlock()
 	for err == nil && n == 0 {
@@ -130,14 +130,14 @@
 // u.mu is held.
 func (u *Upload) recordReadError(err error) {
 	switch {
-	case u.received > u.Most:
+	case u.received > u.MaxBytes:
 		u.err = ErrTooLong
 	case errors.Is(err, io.EOF):
 		u.isComplete = true
-		_ = u.Deadline(time.Time{}) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Time{}) // fails only on a connection that is closed
 		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		u.err = fmt.Errorf("%w: the body does not arrive", ErrSlow)
+		u.err = fmt.Errorf("%w: the body does not arrive", ErrTooSlow)
 	case err != nil:
 		u.err = fmt.Errorf("%w: %w", ErrBroken, err)
 	}
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -40,16 +40,16 @@
 // source is a Source with the body, whose size is not known.
 func (s *scriptedBody) source() Source {
 	return Source{
-		Body:     s,
-		Deadline: func(at time.Time) error { s.deadline = at; return nil },
-		Size:     -1,
-		Most:     1 << 20,
-		Pace:     Pace{Idle: time.Second, Rate: 1000},
+		Body:            s,
+		SetReadDeadline: func(at time.Time) error { s.deadline = at; return nil },
+		Size:            -1,
+		MaxBytes:        1 << 20,
+		MinimumRate:     MinimumRate{IdleTimeout: time.Second, BytesPerSecond: 1000},
 	}
 }
 
 // newTestUpload returns an Upload, which the test must close.
-func newTestUpload(t *testing.T, pool *Pool, s Source) *Upload {
+func newTestUpload(t *testing.T, pool *MemoryPool, s Source) *Upload {
 	t.Helper()
 	u, err := NewUpload(t.Context(), pool, s)
 	if err != nil {
@@ -84,13 +84,13 @@
 	for _, row := range []struct {
 		length       int
 		isResendable bool
-	}{{10, true}, {Held - 1, true}, {Held, true}, {Held + 1, false}, {5 * Window, false}} {
+	}{{10, true}, {PrefixSize - 1, true}, {PrefixSize, true}, {PrefixSize + 1, false}, {5 * WindowSize, false}} {
 		t.Run(fmt.Sprintf("%d bytes", row.length), func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
-			pool := NewPool(2 * Window)
+			pool := NewMemoryPool(2 * WindowSize)
 			parts := [][]byte{text[:row.length/2], text[row.length/2:]}
 			u := newTestUpload(t, pool, (&scriptedBody{parts: parts, end: io.EOF}).source())
-			if isComplete, err := u.Fill(); err != nil || isComplete != (row.length < Held) {
+			if isComplete, err := u.ReadPrefix(); err != nil || isComplete != (row.length < PrefixSize) {
 				t.Errorf("complete %v, %v", isComplete, err)
 			}
 			for attempt := range 2 {
@@ -106,10 +106,10 @@
 				}
 				f.End()
 			}
-			if u.Close(time.Second, 1<<20); u.Spent() == row.isResendable {
-				t.Errorf("spent %v", u.Spent())
+			if u.Close(time.Second, 1<<20); u.IsConsumed() == row.isResendable {
+				t.Errorf("spent %v", u.IsConsumed())
 			}
-			if held, _ := pool.Held(); held != 0 {
+			if held, _ := pool.InUse(); held != 0 {
 				t.Errorf("%d bytes are held after the end", held)
 			}
 		})
@@ -118,15 +118,15 @@
 
 // What is read for an attempt that has ended goes to the next one: nothing of the body is lost or comes twice.
 func TestReadOfEndedFlowGoesToNextFlow(t *testing.T) {
-	for _, length := range []int{100, Held + 100} {
+	for _, length := range []int{100, PrefixSize + 100} {
 		synctest.Test(t, func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789"), length/10)
 			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, gate: make(chan struct{}, 9)}
 			if len(s.parts[0]) == 0 {
 				s.parts = s.parts[1:]
 			}
-			u := newTestUpload(t, NewPool(2*Window), s.source())
-			for range (length - 100 + Held - 1) / Held {
+			u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
+			for range (length - 100 + PrefixSize - 1) / PrefixSize {
 				s.gate <- struct{}{}
 			}
 			first, _ := u.NewFlow()
@@ -135,7 +135,7 @@
 			synctest.Wait()
 			first.End()
 			second, ok := u.NewFlow()
-			if !ok || u.Spent() {
+			if !ok || u.IsConsumed() {
 				t.Fatal("the body is spent, though all that was returned is buffered")
 			}
 			var got []byte
@@ -170,14 +170,14 @@
 		{"too long", &scriptedBody{parts: [][]byte{make([]byte, 2<<20)}, end: io.EOF}, ErrTooLong},
 		{"end too early", &scriptedBody{parts: [][]byte{{1}}, end: io.ErrUnexpectedEOF}, ErrBroken},
 		{"bad chunks", &scriptedBody{end: errors.New("malformed chunked encoding")}, ErrBroken},
-		{"nothing arrives", &scriptedBody{parts: [][]byte{{1}}, end: errNothingComes}, ErrSlow},
+		{"nothing arrives", &scriptedBody{parts: [][]byte{{1}}, end: errNothingComes}, ErrTooSlow},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				if errors.Is(row.body.end, errNothingComes) { // of this bubble's own
 					row.body.gate = make(chan struct{})
 				}
-				pool := NewPool(2 * Window)
+				pool := NewMemoryPool(2 * WindowSize)
 				u := newTestUpload(t, pool, row.body.source())
 				f, _ := u.NewFlow()
 				if _, err := readAll(f); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
@@ -189,7 +189,7 @@
 					t.Error("Failed is not closed")
 				}
 				u.Close(time.Second, 100)
-				if held, _ := pool.Held(); held != 0 {
+				if held, _ := pool.InUse(); held != 0 {
 					t.Errorf("%d bytes are held after the end", held)
 				}
 			})
@@ -204,7 +204,7 @@
 		for range 1000 {
 			s.parts = append(s.parts, []byte{1})
 		}
-		u := newTestUpload(t, NewPool(2*Window), s.source())
+		u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
 		go func() {
 			for {
 				select {
@@ -216,7 +216,7 @@
 			}
 		}()
 		began := time.Now()
-		if _, err := u.Fill(); !errors.Is(err, ErrSlow) || time.Since(began) > 2*time.Second {
+		if _, err := u.ReadPrefix(); !errors.Is(err, ErrTooSlow) || time.Since(began) > 2*time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		u.Close(time.Second, 100)
@@ -243,14 +243,14 @@
 		t.Run(name, func(t *testing.T) {
 			s := &scriptedBody{end: c.end}
 			for range c.parts {
-				s.parts = append(s.parts, make([]byte, Held))
+				s.parts = append(s.parts, make([]byte, PrefixSize))
 			}
 			source := s.source()
-			source.Expects = c.expects
-			u := newTestUpload(t, NewPool(2*Window), source)
-			if err := u.Exhaust(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) ||
-				u.Whole() != (c.want == nil) || len(s.parts) != c.left {
-				t.Errorf("%v, complete %v, %d parts left", err, u.Whole(), len(s.parts))
+			source.ExpectsContinue = c.expects
+			u := newTestUpload(t, NewMemoryPool(2*WindowSize), source)
+			if err := u.ReadToEnd(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) ||
+				u.IsComplete() != (c.want == nil) || len(s.parts) != c.left {
+				t.Errorf("%v, complete %v, %d parts left", err, u.IsComplete(), len(s.parts))
 			}
 			u.Close(0, 0)
 		})
@@ -261,7 +261,7 @@
 func TestCloseDrainsWithinTimeAndByteLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedBody{parts: [][]byte{make([]byte, 300<<10), {1}}, gate: make(chan struct{})}
-		u := newTestUpload(t, NewPool(2*Window), s.source())
+		u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
 		go func() {
 			for range 100 {
 				select {
--- a/internal/body/write.go
+++ b/internal/body/write.go
@@ -8,14 +8,14 @@
 )
 
 var (
-	// ErrSlow is returned for a peer that does not keep its Pace. Clients receive the text.
-	ErrSlow = errors.New("the peer is too slow")
+	// ErrTooSlow is returned for a peer that does not keep its MinimumRate. Clients receive the text.
+	ErrTooSlow = errors.New("the peer is too slow")
 	// ErrStopped is returned by a Write that was stopped.
 	ErrStopped = errors.New("stopped")
 )
 
-// Write writes all of the buffers to a peer that keeps its Pace, and returns how many bytes were written. The error is
-// ErrSlow, ErrStopped, or the connection's own. Write sets the connection's write deadline and leaves it for the next
+// Write writes all of the buffers to a peer that keeps its MinimumRate, and returns how many bytes were written. The error is
+// ErrTooSlow, ErrStopped, or the connection's own. Write sets the connection's write deadline and leaves it for the next
 // Write with the same Meter. To stop it, let isStopped return true first, and then set a write deadline in the past.
 func Write(nc net.Conn, m *Meter, isStopped func() bool, buffers net.Buffers) (written int64, err error) {
 	for len(buffers) > 0 {
@@ -38,7 +38,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return written, err
 		case n == 0 || m.MaxWait() == 0:
-			return written, ErrSlow
+			return written, ErrTooSlow
 		}
 	}
 	return written, nil
--- a/internal/body/write_test.go
+++ b/internal/body/write_test.go
@@ -25,12 +25,12 @@
 	}
 	defer peer.Close()
 	big := make([]byte, 32<<20) // more than the socket buffers hold
-	m := NewMeter(Pace{Idle: 50 * time.Millisecond, Rate: 100 << 20})
+	m := NewMeter(MinimumRate{IdleTimeout: 50 * time.Millisecond, BytesPerSecond: 100 << 20})
 	never := func() bool { return false }
-	if n, err := Write(nc, &m, never, net.Buffers{big}); !errors.Is(err, ErrSlow) || n == 0 || n == int64(len(big)) {
+	if n, err := Write(nc, &m, never, net.Buffers{big}); !errors.Is(err, ErrTooSlow) || n == 0 || n == int64(len(big)) {
 		t.Errorf("slow peer: %d bytes, %v", n, err)
 	}
-	m = NewMeter(Pace{Idle: 20 * time.Second})
+	m = NewMeter(MinimumRate{IdleTimeout: 20 * time.Second})
 	var stop sync.Once
 	stopped := make(chan struct{})
 	isStopped := func() bool {
--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -24,13 +24,13 @@
 
 // BootstrapVote is what an initial voter says about its start. On the wire, "mark" is a disk's id.
 type BootstrapVote struct {
-	Begun  bool              `json:"begun"` // it has created its log
-	DiskID string            `json:"mark"`  // of its own disk
-	Marks  map[string]string `json:"marks"` // if it has begun: the disk ids with which it did, of all initial voters by name
+	HasBegun bool              `json:"begun"` // it has created its log
+	DiskID   string            `json:"mark"`  // of its own disk
+	DiskIDs  map[string]string `json:"marks"` // if it has begun: the disk ids with which it did, of all initial voters by name
 }
 
 // isReceived tells a vote from the zero value that stands for a missing one.
-func (v *BootstrapVote) isReceived() bool { return v.Begun || v.DiskID != "" }
+func (v *BootstrapVote) isReceived() bool { return v.HasBegun || v.DiskID != "" }
 
 // NewBootstrap returns the bootstrap of one of the initial voters, whose disk has an id and no log.
 func NewBootstrap(name, diskID string, initialVoters []string) *Bootstrap {
@@ -74,16 +74,16 @@
 	return names
 }
 
-// Decision returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means
+// Decide returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means
 // that this voter must never begin: others began with another disk of its name.
-func (b *Bootstrap) Decision() (diskIDs map[string]string, isLost bool) {
+func (b *Bootstrap) Decide() (diskIDs map[string]string, isLost bool) {
 	all := map[string]string{b.name: b.diskID}
 	for name, vote := range b.votes {
-		if vote.Begun {
-			if vote.Marks[b.name] != b.diskID {
+		if vote.HasBegun {
+			if vote.DiskIDs[b.name] != b.diskID {
 				return nil, true
 			}
-			diskIDs = vote.Marks
+			diskIDs = vote.DiskIDs
 		}
 		all[name] = vote.DiskID
 	}
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -45,7 +45,7 @@
 // voteOf is what a voter says when it is asked.
 func (r *bootstrapRun) voteOf(name string) BootstrapVote {
 	vote := r.disks[name].vote
-	if vote.DiskID = r.disks[name].id; !vote.Begun {
+	if vote.DiskID = r.disks[name].id; !vote.HasBegun {
 		vote = r.bootstrap[name].Vote()
 	}
 	return vote
@@ -55,8 +55,8 @@
 func (r *bootstrapRun) hasMajority() bool {
 	counts := map[string]int{}
 	for _, disk := range r.disks {
-		if disk.vote.Begun {
-			key := fmt.Sprint(disk.vote.Marks)
+		if disk.vote.HasBegun {
+			key := fmt.Sprint(disk.vote.DiskIDs)
 			if counts[key]++; counts[key] > len(bootstrapNames)/2 {
 				return true
 			}
@@ -90,11 +90,11 @@
 			}
 			other := rapid.SampledFrom(bootstrapNames).Draw(t, "other voter")
 			disk := r.disks[name]
-			if disk.vote.Begun || other == name {
+			if disk.vote.HasBegun || other == name {
 				continue
 			}
 			r.bootstrap[name].ReceiveVote(other, r.bootstrap[name].round, r.voteOf(other))
-			diskIDs, isLost := r.bootstrap[name].Decision()
+			diskIDs, isLost := r.bootstrap[name].Decide()
 			if diskIDs == nil || isLost {
 				continue
 			}
@@ -104,7 +104,7 @@
 			if diskIDs[name] != disk.id || len(diskIDs) != len(bootstrapNames) {
 				t.Fatalf("%s, whose disk is %s, begins with %v", name, disk.id, diskIDs)
 			}
-			disk.vote = BootstrapVote{Begun: true, DiskID: disk.id, Marks: diskIDs}
+			disk.vote = BootstrapVote{HasBegun: true, DiskID: disk.id, DiskIDs: diskIDs}
 			hadMajority = hadMajority || r.hasMajority()
 		}
 	})
@@ -113,12 +113,12 @@
 func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
 	b := NewBootstrap("a", "1", bootstrapNames)
 	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
-	b.ReceiveVote("x", 0, BootstrapVote{Begun: true}) // no initial voter
-	if diskIDs, isLost := b.Decision(); diskIDs != nil || isLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
+	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // no initial voter
+	if diskIDs, isLost := b.Decide(); diskIDs != nil || isLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
 		t.Errorf("without the vote of c: disks %v, lost %v, missing votes %v", diskIDs, isLost, b.MissingVotes())
 	}
-	b.ReceiveVote("c", 0, BootstrapVote{Begun: true, Marks: map[string]string{"a": "0"}})
-	if _, isLost := b.Decision(); !isLost {
+	b.ReceiveVote("c", 0, BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "0"}})
+	if _, isLost := b.Decide(); !isLost {
 		t.Error("c began with another disk of this voter, which is not taken for lost")
 	}
 }
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -38,18 +38,18 @@
 
 // HistoryEntry describes one change of the documents.
 type HistoryEntry struct {
-	Version uint64   `json:"version"` // that the change made
-	Name    string   `json:"name"`    // of the document
-	Digest  [32]byte `json:"digest"`  // of the new body; all zeros: the document was removed
-	Bytes   int      `json:"bytes"`   // of the new body
-	By      string   `json:"by"`
-	At      int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the requesting daemon; informational only
-	Back    uint64   `json:"back,omitempty"` // the version to which the change reverts the document; 0: it is no revert
+	Version    uint64   `json:"version"` // that the change made
+	Name       string   `json:"name"`    // of the document
+	Digest     [32]byte `json:"digest"`  // of the new body; all zeros: the document was removed
+	Bytes      int      `json:"bytes"`   // of the new body
+	By         string   `json:"by"`
+	At         int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the requesting daemon; informational only
+	RevertedTo uint64   `json:"back,omitempty"` // the version to which the change reverts the document; 0: it is no revert
 }
 
-// DigestOf returns one digest of all documents, independent of the map's order, to compare what daemons act on. It
+// DigestDocuments returns one digest of all documents, independent of the map's order, to compare what daemons act on. It
 // covers names and body digests only.
-func DigestOf(docs map[string]Document) [32]byte {
+func DigestDocuments(docs map[string]Document) [32]byte {
 	var text []byte
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
 		text = fmt.Appendf(text, "%q %x\n", name, docs[name].Digest)
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -19,16 +19,16 @@
 	if result, isDuplicate := s.duplicateResult(c.ID); isDuplicate {
 		return result, nil
 	}
-	if c.Expect != nil && *c.Expect != s.Version {
-		return CommandResult{}, fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, s.Version, *c.Expect)
+	if c.ExpectedVersion != nil && *c.ExpectedVersion != s.Version {
+		return CommandResult{}, fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, s.Version, *c.ExpectedVersion)
 	}
 	name, put, err := s.changedDocument(c)
 	if err != nil {
 		return CommandResult{}, err
 	}
 	change := HistoryEntry{Version: s.Version + 1, Name: name, By: c.By, At: c.At}
-	if c.Back != nil {
-		change.Back = c.Back.Version
+	if c.Revert != nil {
+		change.RevertedTo = c.Revert.Version
 	}
 	replaced, exists := s.Docs[name]
 	docs := maps.Clone(s.Docs) // the map before was handed out
@@ -40,7 +40,7 @@
 		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
 		docs[name] = Document{name, change.Version, change.Digest, c.By, put.Body}
 	case !exists: // there is nothing to remove
-		return s.rememberResult(c.ID, CommandResult{Version: s.Version, Same: true}), nil
+		return s.rememberResult(c.ID, CommandResult{Version: s.Version, Unchanged: true}), nil
 	default:
 		delete(docs, name)
 	}
@@ -60,12 +60,12 @@
 // removed. A revert to a version that did not have the document removes it.
 func (s *State) changedDocument(c *Command) (name string, put *DocumentPut, _ error) {
 	name, put = c.Remove, c.Put
-	if c.Back != nil {
-		document, err := s.documentAt(c.Back)
+	if c.Revert != nil {
+		document, err := s.documentAt(c.Revert)
 		if err != nil && !errors.Is(err, ErrDocumentNotFound) {
 			return "", nil, err
 		}
-		if name = c.Back.Name; document != nil {
+		if name = c.Revert.Name; document != nil {
 			put = &DocumentPut{document.Name, document.Body}
 		}
 	}
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -15,7 +15,7 @@
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
 	expected := uint64(3)
 	document := Document{Name: "a", Version: 2, By: "op", Body: []byte("xy")}
-	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, By: "op", At: 9, Back: 1}
+	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, By: "op", At: 9, RevertedTo: 1}
 	documentJSON := `{"name":"a","version":2,"digest":` + zeroDigest + `,"by":"op","body":"eHk="}`
 	entryJSON := `{"version":4,"name":"a","digest":` + zeroDigest + `,"bytes":2,"by":"op","at":9,"back":1}`
 	for _, c := range []struct {
@@ -27,7 +27,7 @@
 			"lease request",
 			LeaseRequest{
 				Daemon: "d", Seq: 1, ReadyVersion: 2, InstalledVersion: 3, AcceptedSeq: 4,
-				RejectedVersion: 5, RejectReason: "w", Mark: "m",
+				RejectedVersion: 5, RejectReason: "w", DiskID: "m",
 			},
 			`{"Daemon":"d","Seq":1,"Has":2,"Acts":3,"Took":4,"Declines":5,"Why":"w","Mark":"m"}`,
 		},
@@ -37,9 +37,9 @@
 			LeaseGrant{
 				Seq: 1, Version: 2, ActiveDocs: map[string]Document{"a": document},
 				PendingVersion: 3, PendingDocs: map[string]Document{"a": document}, Duration: time.Second,
-				Voters: []string{"v"}, Sitting: []string{"s"}, Seat: 4,
-				MayStartVoter: true, First: []string{"f"}, DiskLost: true,
-				FullyActive: 5, Lagging: []Lag{{"l", "y"}},
+				SlotHolders: []string{"v"}, ActiveVoters: []string{"s"}, VoterID: 4,
+				MayStartVoter: true, InitialVoters: []string{"f"}, DiskLost: true,
+				FullyActive: 5, Lagging: []LaggingDaemon{{"l", "y"}},
 			},
 			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},` +
 				`"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
@@ -56,9 +56,9 @@
 		{
 			"command",
 			Command{
-				Format: 2, ID: "i", Expect: &expected, By: "op", At: 9,
-				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Back: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
-				Seat: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
+				Format: 2, ID: "i", ExpectedVersion: &expected, By: "op", At: 9,
+				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Revert: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
+				ChangeVoter: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
 			},
 			`{"format":2,"id":"i","expect":3,"by":"op","at":9,` +
 				`"put":{"name":"a","body":"eHk="},"remove":"r","back":{"name":"a","version":1},"force":1,"skip":2,` +
@@ -67,22 +67,22 @@
 		{"empty command", Command{}, `{"format":0}`},
 		{
 			"command result",
-			CommandResult{Version: 1, Same: true, Doc: &document, History: []HistoryEntry{entry}},
+			CommandResult{Version: 1, Unchanged: true, Doc: &document, History: []HistoryEntry{entry}},
 			`{"version":1,"same":true,"doc":` + documentJSON + `,"history":[` + entryJSON + `]}`,
 		},
 		{
 			"bootstrap vote",
-			BootstrapVote{Begun: true, DiskID: "m", Marks: map[string]string{"v": "m"}},
+			BootstrapVote{HasBegun: true, DiskID: "m", DiskIDs: map[string]string{"v": "m"}},
 			`{"begun":true,"mark":"m","marks":{"v":"m"}}`,
 		},
 		{
 			"state",
 			State{
-				Version: 1, Coming: 2, Active: 3, Forced: 4,
+				Version: 1, Pending: 2, Active: 3, Forced: 4,
 				Docs: map[string]Document{"a": document}, PendingDocs: map[string]Document{}, ActiveDocs: map[string]Document{},
 				History: []HistoryEntry{entry}, RetainedDocs: []Document{document},
 				RecentResults: []recentResult{{"i", CommandResult{Version: 1}}},
-				Seats:         map[uint64]string{1: "v"}, Sitting: map[uint64]bool{1: true}, Leaving: map[uint64]string{2: "w"},
+				VoterSlots:    map[uint64]string{1: "v"}, ActiveVoters: map[uint64]bool{1: true}, DepartingVoters: map[uint64]string{2: "w"},
 				DiskIDs: map[uint64]string{3: "m"}, LastVoterID: 3, InitialVoters: []string{"v"},
 			},
 			`{"version":1,"coming":2,"active":3,"forced":4,"docs":{"a":` + documentJSON + `},"next":{},"acted":{},` +
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -23,10 +23,10 @@
 	hasPut       bool
 }
 
-var interleavingConfig = LeaseConfig{Lease: 4 * time.Second, Short: time.Second, Drift: 0.1}
+var interleavingConfig = LeaseConfig{Duration: 4 * time.Second, ShortDuration: time.Second, MaxClockDrift: 0.1}
 
 func (x *interleaving) localClock(daemon int) time.Duration {
-	return time.Duration(float64(x.now) * []float64{1 - interleavingConfig.Drift, 1 + interleavingConfig.Drift}[daemon])
+	return time.Duration(float64(x.now) * []float64{1 - interleavingConfig.MaxClockDrift, 1 + interleavingConfig.MaxClockDrift}[daemon])
 }
 
 // newInterleaving returns the case before its first step: version 1 is active, and both daemons have a lease.
@@ -168,9 +168,9 @@
 	for _, prefix := range [][]int{{4, 0, 2, 1, 3, 0, 2, 1, 3}, {4, 0, 2, 0, 2, 1, 3, 1}, {4, 0, 2, 0, 2, 1}} {
 		orders += explore(t, depth-1, prefix, visit)
 	}
-	t.Logf("%d orders, the longest overlap is %v of %v", orders, longest, interleavingConfig.Overlap())
-	if longest > interleavingConfig.Overlap() {
-		t.Errorf("overlap of %v, want at most %v", longest, interleavingConfig.Overlap())
+	t.Logf("%d orders, the longest overlap is %v of %v", orders, longest, interleavingConfig.MaxOverlap())
+	if longest > interleavingConfig.MaxOverlap() {
+		t.Errorf("overlap of %v, want at most %v", longest, interleavingConfig.MaxOverlap())
 	}
 	if longest == 0 {
 		t.Error("no order has an overlap at all: there are too few steps to show anything")
@@ -181,10 +181,10 @@
 func TestSkippingActivationWaitExceedsMaxOverlap(t *testing.T) {
 	original := interleavingConfig
 	t.Cleanup(func() { interleavingConfig = original })
-	interleavingConfig.NoWait = true
+	interleavingConfig.SkipActivationWait = true
 	longest := time.Duration(0)
 	explore(t, 5, []int{4, 0, 2}, func(x *interleaving) { longest = max(longest, x.longestOverlap()) })
-	if longest <= interleavingConfig.Overlap() {
-		t.Errorf("the longest overlap is %v, want more than %v", longest, interleavingConfig.Overlap())
+	if longest <= interleavingConfig.MaxOverlap() {
+		t.Errorf("the longest overlap is %v, want more than %v", longest, interleavingConfig.MaxOverlap())
 	}
 }
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -15,14 +15,14 @@
 type LeasedVersion struct {
 	Version           uint64
 	Docs              map[string]Document // never modified
-	Until             time.Duration       // instant, by the daemon's clock, at which the lease expires
+	ExpiresAt         time.Duration       // instant, by the daemon's clock, at which the lease expires
 	PreviousVersion   uint64              // on which the daemon acted before
 	PreviousExpiresAt time.Duration       // instant until which it may still act on that
 }
 
 // CoversVersion tells whether the daemon may act on a version at an instant.
 func (l *LeasedVersion) CoversVersion(version uint64, now time.Duration) bool {
-	return version == l.Version && now < l.Until || version == l.PreviousVersion && now < l.PreviousExpiresAt
+	return version == l.Version && now < l.ExpiresAt || version == l.PreviousVersion && now < l.PreviousExpiresAt
 }
 
 // LeaseHolder is a daemon's side of its leases: it makes requests, takes up grants and knows what the daemon may act
@@ -47,7 +47,7 @@
 	rejectReason    string
 
 	fullyActive uint64 // these as of the latest grant
-	lagging     []Lag
+	lagging     []LaggingDaemon
 }
 
 // NewLeaseHolder returns a holder without a lease. version and docs are what the daemon persisted before a restart;
@@ -56,7 +56,7 @@
 	return &LeaseHolder{
 		config:          config,
 		name:            name,
-		requestInterval: min(config.Lease, config.Short) / requestsPerLease,
+		requestInterval: min(config.Duration, config.ShortDuration) / requestsPerLease,
 		leased:          LeasedVersion{Version: version, Docs: docs},
 		readyVersion:    version,
 		readyDocs:       docs,
@@ -102,7 +102,7 @@
 			Version:           h.readyVersion,
 			Docs:              h.readyDocs,
 			PreviousVersion:   h.leased.Version,
-			PreviousExpiresAt: h.leased.Until,
+			PreviousExpiresAt: h.leased.ExpiresAt,
 		}
 	default:
 		return // the daemon does not have this version, or has not checked it
@@ -111,7 +111,7 @@
 	if h.config.CountFromGrant {
 		start = now
 	}
-	h.leased.Until, h.acceptedSeq = start+g.Duration, g.Seq // sooner than before if a version has become pending
+	h.leased.ExpiresAt, h.acceptedSeq = start+g.Duration, g.Seq // sooner than before if a version has become pending
 }
 
 // offerForCheck has documents checked that the daemon neither has nor has rejected.
@@ -146,8 +146,8 @@
 // Recheck forgets which version was rejected, so that it is checked anew when the leader next offers it.
 func (h *LeaseHolder) Recheck() { h.rejectedVersion, h.rejectReason = 0, "" }
 
-// Rejected returns the version that the daemon rejects, and why; 0: none.
-func (h *LeaseHolder) Rejected() (version uint64, reason string) {
+// RejectedVersion returns the version that the daemon rejects, and why; 0: none.
+func (h *LeaseHolder) RejectedVersion() (version uint64, reason string) {
 	return h.rejectedVersion, h.rejectReason
 }
 
@@ -161,11 +161,11 @@
 // Valid returns the version on which the daemon may act at an instant; ok is false if it has no lease then.
 func (h *LeaseHolder) Valid(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
 	l := &h.leased
-	return l.Version, l.Docs, l.Version > 0 && (now < l.Until || h.config.NoLook)
+	return l.Version, l.Docs, l.Version > 0 && (now < l.ExpiresAt || h.config.SkipExpiryCheck)
 }
 
 // FullyActive returns, as of the latest grant, the version before which no daemon acts (0: not known) and the daemons
 // for which the leader waits.
-func (h *LeaseHolder) FullyActive() (version uint64, lagging []Lag) {
+func (h *LeaseHolder) FullyActive() (version uint64, lagging []LaggingDaemon) {
 	return h.fullyActive, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -19,8 +19,8 @@
 	leaderSince time.Duration
 	daemons     map[string]*daemonLeases // by name; those whose leases have expired are dropped by Refresh
 
-	fullyActive uint64 // these two as of the latest Refresh
-	lagging     []Lag  // sorted by daemon
+	fullyActive uint64          // these two as of the latest Refresh
+	lagging     []LaggingDaemon // sorted by daemon
 }
 
 // daemonLeases is what the leader knows of a daemon.
@@ -54,17 +54,17 @@
 	grant := LeaseGrant{
 		Seq:            r.Seq,
 		Version:        state.Active,
-		PendingVersion: state.Coming,
+		PendingVersion: state.Pending,
 		Duration:       m.leaseDuration(&r, state),
-		Voters:         state.Voters(),
-		Sitting:        state.activeVoterNames(),
+		SlotHolders:    state.Voters(),
+		ActiveVoters:   state.activeVoterNames(),
 		FullyActive:    m.fullyActive,
 		Lagging:        m.lagging[:min(len(m.lagging), maxLagging)],
 	}
 	if r.ReadyVersion < state.Active && r.RejectedVersion < state.Active {
 		grant.ActiveDocs = state.ActiveDocs
 	}
-	if r.ReadyVersion < state.Coming && r.RejectedVersion < state.Coming {
+	if r.ReadyVersion < state.Pending && r.RejectedVersion < state.Pending {
 		grant.PendingDocs = state.PendingDocs
 	}
 	m.remember(now, r, grant.Duration)
@@ -78,9 +78,9 @@
 	case r.ReadyVersion < state.Active || isForcedOut(state, r):
 		return 0
 	case state.hasPending():
-		return m.config.Short
+		return m.config.ShortDuration
 	}
-	return m.config.Lease
+	return m.config.Duration
 }
 
 // remember records a request and the grant that answers it. Grants before the one that the daemon has accepted are
@@ -118,8 +118,8 @@
 	switch {
 	case !state.hasPending():
 		return 0
-	case m.config.NoWait:
-		return state.Coming
+	case m.config.SkipActivationWait:
+		return state.Pending
 	case !m.predecessorsExpired(now):
 		return 0
 	}
@@ -128,18 +128,18 @@
 			return 0
 		}
 	}
-	return state.Coming
+	return state.Pending
 }
 
 // VersionToSkip returns the pending version if a later one is to take its place, else 0: some daemon rejects it, it was
 // not forced, and another version was made since. No daemon ever acts on a version that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
-	if !state.hasPending() || state.Version == state.Coming || state.Forced >= state.Coming {
+	if !state.hasPending() || state.Version == state.Pending || state.Forced >= state.Pending {
 		return 0
 	}
 	for _, d := range m.daemons {
 		if rejectsPending(state, &d.request) && now < d.expiresAt() {
-			return state.Coming
+			return state.Pending
 		}
 	}
 	return 0
@@ -147,12 +147,12 @@
 
 // predecessorsExpired tells whether all leases that earlier leaders granted have certainly expired.
 func (m *LeaseManager) predecessorsExpired(now time.Duration) bool {
-	return now >= m.leaderSince+m.config.expiryWait(m.config.Lease)
+	return now >= m.leaderSince+m.config.expiryWait(m.config.Duration)
 }
 
 // laggingDaemons returns the daemons for which the leader waits, sorted: before a version is activated, and until they
 // act on the one that was. Daemons that have certainly no lease are not waited for.
-func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []Lag) {
+func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []LaggingDaemon) {
 	for name, d := range m.daemons {
 		reason := ""
 		switch {
@@ -164,10 +164,10 @@
 			reason = fmt.Sprintf("it acts on version %d yet", d.request.InstalledVersion)
 		}
 		if reason != "" {
-			lagging = append(lagging, Lag{name, reason})
+			lagging = append(lagging, LaggingDaemon{name, reason})
 		}
 	}
-	slices.SortFunc(lagging, func(a, b Lag) int { return strings.Compare(a.Daemon, b.Daemon) })
+	slices.SortFunc(lagging, func(a, b LaggingDaemon) int { return strings.Compare(a.Daemon, b.Daemon) })
 	return lagging
 }
 
@@ -178,12 +178,12 @@
 	case now >= expiresAt:
 		return ""
 	case isForcedOut(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.Coming)
+		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.Pending)
 	case rejectsPending(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d: %s", state.Coming, d.request.RejectReason)
-	case d.request.ReadyVersion < state.Coming:
-		return fmt.Sprintf("it has not got version %d", state.Coming)
-	case expiresAt > now+m.config.expiryWait(m.config.Short):
+		return fmt.Sprintf("it can't act on version %d: %s", state.Pending, d.request.RejectReason)
+	case d.request.ReadyVersion < state.Pending:
+		return fmt.Sprintf("it has not got version %d", state.Pending)
+	case expiresAt > now+m.config.expiryWait(m.config.ShortDuration):
 		return "it may have a long lease"
 	}
 	return ""
@@ -206,10 +206,10 @@
 
 // isForcedOut tells whether a daemon gets no lease because it rejects a pending version that was forced.
 func isForcedOut(state *State, r *LeaseRequest) bool {
-	return state.hasPending() && state.Forced >= state.Coming && rejectsPending(state, r)
+	return state.hasPending() && state.Forced >= state.Pending && rejectsPending(state, r)
 }
 
 // rejectsPending tells whether a daemon has reported that it can't act on the pending version.
 func rejectsPending(state *State, r *LeaseRequest) bool {
-	return r.ReadyVersion < state.Coming && r.RejectedVersion == state.Coming
+	return r.ReadyVersion < state.Pending && r.RejectedVersion == state.Pending
 }
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var testLeaseConfig = LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
+var testLeaseConfig = LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
 
 // stateWithPendingVersion returns a State whose version 1 is active and whose version 2 is pending.
 func stateWithPendingVersion(tb testing.TB) *State {
@@ -22,8 +22,8 @@
 			tb.Fatal(i, err)
 		}
 	}
-	if state.Active != 1 || state.Coming != 2 {
-		tb.Fatalf("active %d, pending %d: %+v", state.Active, state.Coming, state)
+	if state.Active != 1 || state.Pending != 2 {
+		tb.Fatalf("active %d, pending %d: %+v", state.Active, state.Pending, state)
 	}
 	return state
 }
@@ -31,7 +31,7 @@
 // withoutPendingVersion returns a copy of the State in which no version is pending, so that leases are long.
 func withoutPendingVersion(state *State) *State {
 	quiet := *state
-	quiet.Coming = quiet.Active
+	quiet.Pending = quiet.Active
 	return &quiet
 }
 
@@ -56,8 +56,8 @@
 		if got := m.VersionToActivate(start, state); got != 2 {
 			t.Fatalf("version to activate %d, want 2; lagging: %v", got, m.laggingDaemons(start, state))
 		}
-		h.HandleGrant(start+config.Short/5, late)
-		version, _, ok := h.Valid(start + config.Overlap() + 1)
+		h.HandleGrant(start+config.ShortDuration/5, late)
+		version, _, ok := h.Valid(start + config.MaxOverlap() + 1)
 		if ok != countFromGrant || version != 1 {
 			t.Errorf("lease counted from the grant: %v; after the greatest overlap it is valid: %v, for version %d",
 				countFromGrant, ok, version)
@@ -70,7 +70,7 @@
 func TestActivationWaitsForOutstandingLeases(t *testing.T) {
 	state, start := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(start, testLeaseConfig)
-	if m.VersionToActivate(start+testLeaseConfig.Lease, state) != 0 {
+	if m.VersionToActivate(start+testLeaseConfig.Duration, state) != 0 {
 		t.Error("a new leader does not wait for leases of its predecessors")
 	}
 	now := start + time.Minute
@@ -80,7 +80,7 @@
 	if got := m.laggingDaemons(later, state); len(got) != 1 || got[0].Daemon != "slow" || m.VersionToActivate(later, state) != 0 {
 		t.Errorf("lagging: %v, want slow alone", got)
 	}
-	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Short), state) != 2 {
+	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.ShortDuration), state) != 2 {
 		t.Error("the leader waits for a daemon whose lease has expired")
 	}
 	m.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, ReadyVersion: 2}, withoutPendingVersion(state))
@@ -109,7 +109,7 @@
 	if m.VersionToActivate(now+time.Second, state) != 0 {
 		t.Error("the leader does not wait for the long lease that the daemon accepted")
 	}
-	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Lease), state) != 2 {
+	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Duration), state) != 2 {
 		t.Error("the leader waits for a daemon whose lease has expired")
 	}
 }
@@ -117,7 +117,7 @@
 // A daemon that can't act on a version reports why, and delays its activation. A version that was put since takes its
 // place; a version that is forced is activated without the daemon.
 func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
-	state, now := stateWithPendingVersion(t), testLeaseConfig.Lease*10
+	state, now := stateWithPendingVersion(t), testLeaseConfig.Duration*10
 	m := NewLeaseManager(0, testLeaseConfig)
 	errNoSuchField := errors.New("no such field")
 	able, unable := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
@@ -138,7 +138,7 @@
 		}
 	}
 	rounds(4)
-	want := Lag{"old", "it can't act on version 2: no such field"}
+	want := LaggingDaemon{"old", "it can't act on version 2: no such field"}
 	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want ||
 		m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
 		t.Fatalf("lagging: %v, want %v alone", got, want)
@@ -167,7 +167,7 @@
 		t.Errorf("the other daemon acts on %d, valid %v", version, ok)
 	}
 	leased := able.Leased()
-	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.Overlap()) ||
+	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.MaxOverlap()) ||
 		!leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
 		t.Errorf("while the daemon changes over: %+v", leased)
 	}
@@ -190,7 +190,7 @@
 // Each request of a client calls this: it takes no lock, and far less than 50 ns.
 func BenchmarkLeaseValid(b *testing.B) {
 	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
-	h.leased.Until = time.Hour
+	h.leased.ExpiresAt = time.Hour
 	for b.Loop() {
 		if _, _, ok := h.Valid(time.Minute); !ok {
 			b.Fatal("no lease")
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -21,8 +21,8 @@
 
 // VoterChange assigns a voter slot to a daemon, or removes it.
 type VoterChange struct {
-	Name string `json:"name"`          // of the daemon
-	Out  bool   `json:"out,omitempty"` // its slot is removed
+	Name   string `json:"name"`          // of the daemon
+	Remove bool   `json:"out,omitempty"` // its slot is removed
 }
 
 // SlotClaim binds a voter slot to the disk of its daemon. On the wire and in the log, "seat" is the slot's id and
@@ -34,7 +34,7 @@
 
 // VoterID returns the raft id of the slot of a daemon, whether or not it votes yet; 0: it has no slot.
 func (s *State) VoterID(name string) uint64 {
-	for id, holder := range s.Seats {
+	for id, holder := range s.VoterSlots {
 		if holder == name {
 			return id
 		}
@@ -44,14 +44,14 @@
 
 // VoterName returns the name of the daemon that has a raft id, including one that is about to leave; empty: the id is
 // not in use.
-func (s *State) VoterName(id uint64) string { return cmp.Or(s.Seats[id], s.Leaving[id]) }
+func (s *State) VoterName(id uint64) string { return cmp.Or(s.VoterSlots[id], s.DepartingVoters[id]) }
 
 // Voters returns the names of all daemons with a voter slot, sorted.
-func (s *State) Voters() []string { return slices.Sorted(maps.Values(s.Seats)) }
+func (s *State) Voters() []string { return slices.Sorted(maps.Values(s.VoterSlots)) }
 
 // activeVoterNames returns the names of the daemons that vote in raft's configuration, sorted.
 func (s *State) activeVoterNames() (names []string) {
-	for id := range s.Sitting {
+	for id := range s.ActiveVoters {
 		names = append(names, s.VoterName(id))
 	}
 	slices.Sort(names)
@@ -61,38 +61,38 @@
 // setInitialVoters assigns slots to the initial voters, which vote at once. Their ids are 1, 2, ... in the order of
 // their names.
 func (s *State) setInitialVoters(names []string) {
-	s.Seats, s.Sitting, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
+	s.VoterSlots, s.ActiveVoters, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
 	s.InitialVoters = slices.Sorted(slices.Values(names))
 	for i, name := range s.InitialVoters {
 		id := uint64(i + 1)
-		s.Seats[id], s.Sitting[id] = name, true
+		s.VoterSlots[id], s.ActiveVoters[id] = name, true
 	}
 }
 
 func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
 	hasSlot := id != 0
-	if hasSlot != c.Out {
-		return CommandResult{Version: s.Version, Same: true}, nil
+	if hasSlot != c.Remove {
+		return CommandResult{Version: s.Version, Unchanged: true}, nil
 	}
-	isUnstarted := c.Out && !s.Sitting[id] // its slot may be withdrawn at any time: raft counts on nothing of it
+	isUnstarted := c.Remove && !s.ActiveVoters[id] // its slot may be withdrawn at any time: raft counts on nothing of it
 	if !isUnstarted {
 		if err := s.checkVoterChange(c); err != nil {
 			return CommandResult{}, err
 		}
 	}
-	s.Seats = maps.Clone(s.Seats)
-	if c.Out {
-		s.Leaving = map[uint64]string{}
-		if s.Sitting[id] {
-			s.Leaving[id] = c.Name
+	s.VoterSlots = maps.Clone(s.VoterSlots)
+	if c.Remove {
+		s.DepartingVoters = map[uint64]string{}
+		if s.ActiveVoters[id] {
+			s.DepartingVoters[id] = c.Name
 		}
-		delete(s.Seats, id)
+		delete(s.VoterSlots, id)
 		s.DiskIDs = maps.Clone(s.DiskIDs)
 		delete(s.DiskIDs, id)
 	} else {
 		s.LastVoterID++
-		s.Seats[s.LastVoterID] = c.Name
+		s.VoterSlots[s.LastVoterID] = c.Name
 	}
 	return CommandResult{Version: s.Version}, nil
 }
@@ -102,9 +102,9 @@
 	switch reason := s.changeInProgress(); {
 	case reason != "":
 		return fmt.Errorf("%w: %s", ErrMembershipUnchanged, reason)
-	case c.Out && len(s.Seats) == 1:
+	case c.Remove && len(s.VoterSlots) == 1:
 		return fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
-	case !c.Out && len(s.Seats) >= MaxVoters:
+	case !c.Remove && len(s.VoterSlots) >= MaxVoters:
 		return fmt.Errorf("%w: there are %d already", ErrMembershipUnchanged, MaxVoters)
 	}
 	return nil
@@ -112,12 +112,12 @@
 
 // changeInProgress describes the change of voters that raft's configuration does not have yet; empty: there is none.
 func (s *State) changeInProgress() string {
-	for id, name := range s.Seats {
-		if !s.Sitting[id] {
+	for id, name := range s.VoterSlots {
+		if !s.ActiveVoters[id] {
 			return name + " has yet to learn what is agreed on"
 		}
 	}
-	for _, name := range s.Leaving {
+	for _, name := range s.DepartingVoters {
 		return name + " has yet to leave"
 	}
 	return ""
@@ -125,8 +125,8 @@
 
 // applySlotClaim binds a slot whose voter is not active to a disk. The first claim stands.
 func (s *State) applySlotClaim(c *SlotClaim) CommandResult {
-	if s.Seats[c.VoterID] == "" || s.Sitting[c.VoterID] || s.DiskIDs[c.VoterID] != "" {
-		return CommandResult{Version: s.Version, Same: true}
+	if s.VoterSlots[c.VoterID] == "" || s.ActiveVoters[c.VoterID] || s.DiskIDs[c.VoterID] != "" {
+		return CommandResult{Version: s.Version, Unchanged: true}
 	}
 	s.DiskIDs = maps.Clone(s.DiskIDs)
 	if s.DiskIDs == nil {
@@ -152,7 +152,7 @@
 // vote.
 func (g *LeaseGrant) VoterAction(name string, voterID uint64) VoterAction {
 	switch {
-	case voterID != 0 && g.Seat != voterID && !slices.Contains(g.Sitting, name):
+	case voterID != 0 && g.VoterID != voterID && !slices.Contains(g.ActiveVoters, name):
 		return StopVoter
 	case voterID == 0 && g.MayStartVoter:
 		return StartVoter
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	const heartbeat = 10 * time.Millisecond
-	if v, err = NewVoter(0, Config{ID: 1, Beat: heartbeat, Seed: 1, Lease: testLeaseConfig}, d); err != nil {
+	if v, err = NewVoter(0, Config{ID: 1, HeartbeatInterval: heartbeat, Seed: 1, Lease: testLeaseConfig}, d); err != nil {
 		t.Fatal(err)
 	}
 	for now = 0; v.leaseManager == nil && now < time.Minute; now += heartbeat {
@@ -58,7 +58,7 @@
 	change := func(c VoterChange) error {
 		t.Helper()
 		v.Results = nil
-		if err := v.Propose(&Command{ID: "s", Seat: &c}); err != nil {
+		if err := v.Propose(&Command{ID: "s", ChangeVoter: &c}); err != nil {
 			t.Fatal(err)
 		}
 		drainOutput(v, now)
@@ -66,9 +66,9 @@
 	}
 	request := func(diskID string) LeaseGrant {
 		t.Helper()
-		return requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, Mark: diskID})
+		return requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, DiskID: diskID})
 	}
-	if g := request("m1"); g.Seat != 0 || g.MayStartVoter || g.DiskLost {
+	if g := request("m1"); g.VoterID != 0 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("daemon without a slot: %+v", g)
 	}
 	if err := errors.Join(change(VoterChange{Name: "x"}), change(VoterChange{Name: "x"})); err != nil {
@@ -79,13 +79,13 @@
 	if len(v.confState.GetLearners()) > 0 {
 		t.Error("raft has a learner whose disk is not known")
 	}
-	if g := request(""); g.Seat != 2 || g.MayStartVoter || g.DiskLost {
+	if g := request(""); g.VoterID != 2 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("daemon without a disk: %+v", g)
 	}
 	if g := request("m1"); g.MayStartVoter {
 		t.Errorf("before the disk's id is in the log: %+v", g)
 	}
-	if g := request("m1"); !g.MayStartVoter || g.Seat != 2 || len(g.First) != 1 {
+	if g := request("m1"); !g.MayStartVoter || g.VoterID != 2 || len(g.InitialVoters) != 1 {
 		t.Errorf("with the disk's id in the log: %+v", g)
 	}
 	if g := request("m2"); g.MayStartVoter || !g.DiskLost {
@@ -99,16 +99,16 @@
 	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrMembershipUnchanged) {
 		t.Errorf("second change: error %v, want %v", err, ErrMembershipUnchanged)
 	}
-	if err := change(VoterChange{Name: "x", Out: true}); err != nil {
+	if err := change(VoterChange{Name: "x", Remove: true}); err != nil {
 		t.Errorf("removal of a voter that never voted: %v", err)
 	}
-	if err := change(VoterChange{Name: "v", Out: true}); !errors.Is(err, ErrMembershipUnchanged) {
+	if err := change(VoterChange{Name: "v", Remove: true}); !errors.Is(err, ErrMembershipUnchanged) {
 		t.Errorf("removal of the last voter: error %v, want %v", err, ErrMembershipUnchanged)
 	}
 	if err := change(VoterChange{Name: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	if g := request("m2"); g.Seat != 3 || g.MayStartVoter || g.DiskLost {
+	if g := request("m2"); g.VoterID != 3 || g.MayStartVoter || g.DiskLost {
 		t.Errorf("another slot, whose disk is not known yet: %+v", g)
 	}
 }
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -31,7 +31,7 @@
 // only after that. Once the voter has stopped, none of this may be used.
 func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.stopOnRaftPanic()
-	if v.Stopped != nil || !v.rawNode.HasReady() {
+	if v.StopReason != nil || !v.rawNode.HasReady() {
 		return nil
 	}
 	ready := v.rawNode.Ready()
@@ -48,7 +48,7 @@
 		v.completeReadIndex(binary.BigEndian.Uint64(read.RequestCtx), read.Index)
 	}
 	for _, entry := range ready.CommittedEntries {
-		if v.applyEntry(entry); v.Stopped != nil {
+		if v.applyEntry(entry); v.StopReason != nil {
 			return nil // nothing that follows from this entry may leave the voter
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	id, result, err := v.state.applyEncoded(entry.GetData())
 	if errors.Is(err, ErrUnknownCommand) {
-		v.Stopped = fmt.Errorf("at %d: %w", v.appliedIndex, err)
+		v.StopReason = fmt.Errorf("at %d: %w", v.appliedIndex, err)
 		return
 	}
 	v.Results = append(v.Results, Result{id, result, err})
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -12,7 +12,7 @@
 	switch cause := recover().(type) {
 	case nil:
 	case raftPanic:
-		v.Stopped = fmt.Errorf("its log lacks what it had promised, as that of an earlier day would: %s", cause)
+		v.StopReason = fmt.Errorf("its log lacks what it had promised, as that of an earlier day would: %s", cause)
 	default:
 		panic(cause)
 	}
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -15,8 +15,8 @@
 
 // AddressedGrant is a grant and the daemon to which it is to be sent.
 type AddressedGrant struct {
-	Daemon string
-	Grant  LeaseGrant
+	Recipient string
+	Grant     LeaseGrant
 }
 
 // pendingLease is a lease request that waits, first for the confirmation of the leadership and then for the State.
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -15,7 +15,7 @@
 const maxLearnerLag = 16
 
 // IsLearner tells whether this voter does not vote yet.
-func (v *Voter) IsLearner() bool { return !v.state.Sitting[v.config.ID] }
+func (v *Voter) IsLearner() bool { return !v.state.ActiveVoters[v.config.ID] }
 
 // reconcileVoters proposes the next change that brings raft's configuration nearer to the voter slots: a new voter
 // becomes a learner first and votes when it has the log; then voters without a slot are removed. raft drops a proposal
@@ -25,19 +25,19 @@
 		return
 	}
 	learners, caughtUp := v.learners()
-	for id := range v.state.Seats {
-		if !v.state.Sitting[id] && !learners[id] && v.state.DiskIDs[id] != "" {
+	for id := range v.state.VoterSlots {
+		if !v.state.ActiveVoters[id] && !learners[id] && v.state.DiskIDs[id] != "" {
 			v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
 			return
 		}
 	}
-	if v.state.Seats[caughtUp] != "" {
+	if v.state.VoterSlots[caughtUp] != "" {
 		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, caughtUp)
 		return
 	}
-	for _, ids := range []map[uint64]bool{learners, v.state.Sitting} {
+	for _, ids := range []map[uint64]bool{learners, v.state.ActiveVoters} {
 		for id := range ids {
-			if v.state.Seats[id] == "" {
+			if v.state.VoterSlots[id] == "" {
 				v.removeVoter(id)
 				return
 			}
@@ -67,8 +67,8 @@
 		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeRemoveNode, id)
 		return
 	}
-	for other := range v.state.Seats {
-		if v.state.Sitting[other] {
+	for other := range v.state.VoterSlots {
+		if v.state.ActiveVoters[other] {
 			v.rawNode.TransferLeader(other)
 			return
 		}
@@ -95,27 +95,27 @@
 	for _, id := range v.confState.GetVoters() {
 		active[id] = true
 	}
-	v.state.Sitting, v.state.Leaving = active, maps.Clone(v.state.Leaving)
-	maps.DeleteFunc(v.state.Leaving, func(id uint64, _ string) bool { return !active[id] })
+	v.state.ActiveVoters, v.state.DepartingVoters = active, maps.Clone(v.state.DepartingVoters)
+	maps.DeleteFunc(v.state.DepartingVoters, func(id uint64, _ string) bool { return !active[id] })
 }
 
 // addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. A disk that is
 // new to a free slot is proposed for it; the daemon learns the outcome with a later grant.
 func (v *Voter) addSlotStatus(request *LeaseRequest, grant *LeaseGrant) {
-	grant.Seat = v.state.VoterID(request.Daemon)
-	if grant.Seat == 0 || request.Mark == "" {
+	grant.VoterID = v.state.VoterID(request.Daemon)
+	if grant.VoterID == 0 || request.DiskID == "" {
 		return // it has no slot, or no disk without a voter
 	}
-	if v.state.Sitting[grant.Seat] {
+	if v.state.ActiveVoters[grant.VoterID] {
 		grant.DiskLost = true // its voter is active, and the daemon does not run it
 		return
 	}
-	switch v.state.DiskIDs[grant.Seat] {
+	switch v.state.DiskIDs[grant.VoterID] {
 	case "":
 		// If the proposal is dropped, the daemon's next request repeats it.
-		_ = v.Propose(&Command{ClaimSlot: &SlotClaim{grant.Seat, request.Mark}})
-	case request.Mark:
-		grant.MayStartVoter, grant.First = true, v.state.InitialVoters
+		_ = v.Propose(&Command{ClaimSlot: &SlotClaim{grant.VoterID, request.DiskID}})
+	case request.DiskID:
+		grant.MayStartVoter, grant.InitialVoters = true, v.state.InitialVoters
 	default:
 		grant.DiskLost = true
 	}
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -14,7 +14,7 @@
 // commands have equal States. The names in JSON are those of stored snapshots.
 type State struct {
 	Version       uint64              `json:"version"` // of the latest change
-	Coming        uint64              `json:"coming"`  // the pending version, to be activated next; equal to Active: none
+	Pending       uint64              `json:"coming"`  // the pending version, to be activated next; equal to Active: none
 	Active        uint64              `json:"active"`  // on which daemons act
 	Forced        uint64              `json:"forced"`  // up to this one versions are activated although daemons reject them
 	Docs          map[string]Document `json:"docs"`    // as of Version; never modified once handed out
@@ -24,12 +24,12 @@
 	RetainedDocs  []Document          `json:"kept"`    // replaced or removed ones, to read or revert to; oldest first
 	RecentResults []recentResult      `json:"ids"`     // of commands with an ID, oldest first, at most maxRecentResults
 
-	Seats         map[uint64]string `json:"seats"`     // voter slots: names by raft id; never modified once handed out
-	Sitting       map[uint64]bool   `json:"sitting"`   // the ids that vote in raft's configuration
-	Leaving       map[uint64]string `json:"leaving"`   // without a slot, voting until raft's configuration drops them
-	DiskIDs       map[uint64]string `json:"marks"`     // of slots whose voter is not active yet; set once
-	LastVoterID   uint64            `json:"last_seat"` // the highest id assigned so far: ids are not reused
-	InitialVoters []string          `json:"first"`     // sorted
+	VoterSlots      map[uint64]string `json:"seats"`     // voter slots: names by raft id; never modified once handed out
+	ActiveVoters    map[uint64]bool   `json:"sitting"`   // the ids that vote in raft's configuration
+	DepartingVoters map[uint64]string `json:"leaving"`   // without a slot, voting until raft's configuration drops them
+	DiskIDs         map[uint64]string `json:"marks"`     // of slots whose voter is not active yet; set once
+	LastVoterID     uint64            `json:"last_seat"` // the highest id assigned so far: ids are not reused
+	InitialVoters   []string          `json:"first"`     // sorted
 }
 
 // recentResult is the result of a command, by the command's ID.
@@ -73,8 +73,8 @@
 		return s.applySkip(c.Skip), nil
 	case c.Force > 0:
 		return s.applyForce(c.Force)
-	case c.Seat != nil:
-		return s.applyVoterChange(c.Seat)
+	case c.ChangeVoter != nil:
+		return s.applyVoterChange(c.ChangeVoter)
 	case c.ClaimSlot != nil:
 		return s.applySlotClaim(c.ClaimSlot), nil
 	case c.Read != nil:
@@ -85,8 +85,8 @@
 
 // applyActivate makes the pending version the active one. A duplicate has no effect.
 func (s *State) applyActivate(version uint64) CommandResult {
-	if version == s.Coming && s.Active < s.Coming {
-		s.Active, s.ActiveDocs = s.Coming, s.PendingDocs
+	if version == s.Pending && s.Active < s.Pending {
+		s.Active, s.ActiveDocs = s.Pending, s.PendingDocs
 		s.setPending()
 	}
 	return CommandResult{Version: s.Active}
@@ -94,15 +94,15 @@
 
 // applySkip replaces the pending version by the latest one, unless it was forced.
 func (s *State) applySkip(version uint64) CommandResult {
-	if version == s.Coming && s.Active < s.Coming && s.Forced < s.Coming {
+	if version == s.Pending && s.Active < s.Pending && s.Forced < s.Pending {
 		s.setPending()
 	}
-	return CommandResult{Version: s.Coming}
+	return CommandResult{Version: s.Pending}
 }
 
 // applyForce has the pending version activated although some daemons reject it.
 func (s *State) applyForce(version uint64) (CommandResult, error) {
-	if version != s.Coming || s.Active == s.Coming {
+	if version != s.Pending || s.Active == s.Pending {
 		return CommandResult{}, fmt.Errorf("%w: %d", ErrVersionNotPending, version)
 	}
 	s.Forced = version
@@ -110,10 +110,10 @@
 }
 
 // setPending makes the latest version the pending one.
-func (s *State) setPending() { s.Coming, s.PendingDocs = s.Version, s.Docs }
+func (s *State) setPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
 
 // hasPending tells whether a version waits for its activation.
-func (s *State) hasPending() bool { return s.Coming > s.Active }
+func (s *State) hasPending() bool { return s.Pending > s.Active }
 
 // rememberResult records the result of a command with an ID, for its duplicates, and returns it.
 func (s *State) rememberResult(id string, result CommandResult) CommandResult {
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -50,14 +50,14 @@
 			result, err := a.Apply(entry)
 			resultB, _ := b.Apply(entry)
 			version := result.Version
-			if version != resultB.Version || a.Version != b.Version || a.Active != b.Active || a.Coming != b.Coming ||
-				DigestOf(a.Docs) != DigestOf(b.Docs) || DigestOf(a.ActiveDocs) != DigestOf(b.ActiveDocs) {
+			if version != resultB.Version || a.Version != b.Version || a.Active != b.Active || a.Pending != b.Pending ||
+				DigestDocuments(a.Docs) != DigestDocuments(b.Docs) || DigestDocuments(a.ActiveDocs) != DigestDocuments(b.ActiveDocs) {
 				t.Fatalf("%s: two States differ", entry)
 			}
-			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Coming || a.Coming > a.Version ||
+			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Pending || a.Pending > a.Version ||
 				err != nil && a.Version != before.Version {
 				t.Fatalf("%s: version %d, pending %d, active %d after %d, %d, %d", entry,
-					a.Version, a.Coming, a.Active, before.Version, before.Coming, before.Active)
+					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active)
 			}
 			if c.Activate == 0 && err == nil {
 				if first, ok := made[c.ID]; ok && first != version {
@@ -81,7 +81,7 @@
 		return c
 	case 2:
 		expected := uint64(rapid.IntRange(0, 20).Draw(t, "expected version"))
-		c.Expect = &expected
+		c.ExpectedVersion = &expected
 	}
 	c.Put = &DocumentPut{names.Draw(t, "name"), []byte(c.ID)}
 	return c
@@ -107,14 +107,14 @@
 			t.Errorf("%v: error %v, want %v", at, err, ErrDocumentNotFound)
 		}
 	}
-	result, err := apply(t, state, Command{ID: "i", Back: &DocumentVersion{"a", 2}})
-	if err != nil || result.Version != 6 || string(state.Docs["a"].Body) != "1" || state.History[5].Back != 2 {
+	result, err := apply(t, state, Command{ID: "i", Revert: &DocumentVersion{"a", 2}})
+	if err != nil || result.Version != 6 || string(state.Docs["a"].Body) != "1" || state.History[5].RevertedTo != 2 {
 		t.Errorf("revert: %+v, %v, history %+v", result, err, state.History)
 	}
-	if result, err := apply(t, state, Command{Back: &DocumentVersion{"a", 4}}); err != nil || result.Version != 7 || len(state.Docs) != 1 {
+	if result, err := apply(t, state, Command{Revert: &DocumentVersion{"a", 4}}); err != nil || result.Version != 7 || len(state.Docs) != 1 {
 		t.Errorf("revert to a version without the document: %+v, %v", result, err)
 	}
-	if result, err := apply(t, state, Command{Remove: "a"}); err != nil || !result.Same || state.Version != 7 {
+	if result, err := apply(t, state, Command{Remove: "a"}); err != nil || !result.Unchanged || state.Version != 7 {
 		t.Errorf("removal of a document that does not exist: %+v, %v", result, err)
 	}
 	body := bytes.Repeat([]byte("x"), MaxDocumentBytes/2)
@@ -143,18 +143,18 @@
 	if _, err := apply(t, state, Command{Force: 3}); !errors.Is(err, ErrVersionNotPending) {
 		t.Errorf("force of a version that is not pending: error %v, want %v", err, ErrVersionNotPending)
 	}
-	if mustApply(t, state, Command{Skip: 1}); state.Coming != 3 || state.Active != 0 {
-		t.Errorf("after skipping version 1: pending %d, active %d", state.Coming, state.Active)
+	if mustApply(t, state, Command{Skip: 1}); state.Pending != 3 || state.Active != 0 {
+		t.Errorf("after skipping version 1: pending %d, active %d", state.Pending, state.Active)
 	}
 	if _, err := apply(t, state, Command{Force: 3}); err != nil || state.Forced != 3 {
 		t.Errorf("force of the pending version: forced %d, error %v", state.Forced, err)
 	}
 	mustApply(t, state, putCommand("a", "4"))
-	if mustApply(t, state, Command{Skip: 3}); state.Coming != 3 {
+	if mustApply(t, state, Command{Skip: 3}); state.Pending != 3 {
 		t.Error("a forced version is skipped")
 	}
 	mustApply(t, state, Command{Activate: 3})
-	if state.Active != 3 || state.Coming != 4 || string(state.ActiveDocs["a"].Body) != "2" {
+	if state.Active != 3 || state.Pending != 4 || string(state.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("after the activation of version 3: %+v", state)
 	}
 	later := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
@@ -175,9 +175,9 @@
 			case 0:
 				c = Command{Remove: name}
 			case 1:
-				c = Command{Activate: state.Coming}
+				c = Command{Activate: state.Pending}
 			case 2:
-				c = Command{Back: &DocumentVersion{name, state.Version / 2}}
+				c = Command{Revert: &DocumentVersion{name, state.Version / 2}}
 			}
 			encoded, _ := c.Encode()
 			_, _ = state.Apply(encoded) // some reverts fail, which is part of the case
@@ -191,7 +191,7 @@
 			t.Fatal(err)
 		}
 		again, _ := decoded.Encode()
-		if !bytes.Equal(encoded, again) || DigestOf(state.Docs) != DigestOf(decoded.Docs) ||
+		if !bytes.Equal(encoded, again) || DigestDocuments(state.Docs) != DigestDocuments(decoded.Docs) ||
 			!reflect.DeepEqual(state.History, decoded.History) || len(state.RetainedDocs) != len(decoded.RetainedDocs) {
 			t.Fatalf("encoded as\n%s, then as\n%s", encoded, again)
 		}
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -22,10 +22,10 @@
 
 // Config of a voter, fixed for its lifetime.
 type Config struct {
-	ID    uint64        // of this voter in raft; never 0
-	Beat  time.Duration // the leader's heartbeat interval; an election timeout is five to ten of them
-	Seed  uint64        // of the random election timeouts
-	Lease LeaseConfig
+	ID                uint64        // of this voter in raft; never 0
+	HeartbeatInterval time.Duration // the leader's heartbeat interval; an election timeout is five to ten of them
+	Seed              uint64        // of the random election timeouts
+	Lease             LeaseConfig
 }
 
 // Voter is one replica of the State: raft's node, the log in memory and, while it leads, the manager of leases. It is
@@ -64,7 +64,7 @@
 	Grants []AddressedGrant
 	// The cause for which this voter must not continue; nil: it may. Its owner then uses none of its output and closes its
 	// log.
-	Stopped error
+	StopReason error
 }
 
 // NewVoter returns the voter whose disk held d, which it takes over. The error is the cause if the log is not
@@ -78,7 +78,7 @@
 		leaderSeenAt: now,
 		heartbeatAt:  now,
 	}
-	defer func() { err = errors.Join(err, v.Stopped) }()
+	defer func() { err = errors.Join(err, v.StopReason) }()
 	defer v.stopOnRaftPanic()
 	snapshot, err := d.storage.Snapshot()
 	if err != nil {
@@ -119,8 +119,8 @@
 // Term returns raft's latest term that this voter has seen.
 func (v *Voter) Term() uint64 { return v.rawNode.BasicStatus().GetTerm() }
 
-// Lagging returns the daemons for which this leader waits, as of its latest heartbeat; nil if it does not lead.
-func (v *Voter) Lagging() []Lag {
+// LaggingDaemons returns the daemons for which this leader waits, as of its latest heartbeat; nil if it does not lead.
+func (v *Voter) LaggingDaemons() []LaggingDaemon {
 	if v.leaseManager == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 
 // heartbeat sends raft's heartbeats and repeats what may have been lost or has become possible.
 func (v *Voter) heartbeat(now time.Duration) {
-	v.heartbeatAt = now + v.config.Beat
+	v.heartbeatAt = now + v.config.HeartbeatInterval
 	v.rawNode.Tick()
 	v.retryReadIndex()
 	v.proposeActivation(now)
@@ -194,13 +194,13 @@
 
 // leaderExpiresAt returns the instant until which a follower relies on the leader that it heard from.
 func (v *Voter) leaderExpiresAt() time.Duration {
-	return v.leaderSeenAt + electionHeartbeats*v.config.Beat
+	return v.leaderSeenAt + electionHeartbeats*v.config.HeartbeatInterval
 }
 
 // resetElectionTimer draws the instant at which this voter campaigns if it hears of no leader, so that few voters do at
 // once. raft's own draw takes no seed: followers are therefore not ticked, and campaign when this timer expires.
 func (v *Voter) resetElectionTimer(now time.Duration) {
-	timeout := electionHeartbeats * v.config.Beat
+	timeout := electionHeartbeats * v.config.HeartbeatInterval
 	v.campaignAt = now + timeout + time.Duration(v.rng.Int64N(int64(timeout)))
 }
 
--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -70,14 +70,14 @@
 
 // decideBootstrap ends the bootstrap if the votes decide it: this daemon begins as a first voter, or never will.
 func (n *Node) decideBootstrap(now time.Duration) {
-	marks, isDiskLost := n.bootstrap.Decision()
+	marks, isDiskLost := n.bootstrap.Decide()
 	switch {
 	case isDiskLost:
 		n.options.Log.Error("this daemon does not vote", "error", errVoterDiskLost)
 		n.bootstrap, n.isDiskLossLogged = nil, true
 	case marks != nil:
 		firstVoters := slices.Sorted(slices.Values(n.options.Voters))
-		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{Begun: true, Marks: marks}
+		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{HasBegun: true, DiskIDs: marks}
 		own := newFirstVoterIdentity(n.options.Name, firstVoters, marks)
 		var err error
 		if n.slot, err = n.createVoter(now, own); err != nil {
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -15,7 +15,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-var testLeaseConfig = consensus.LeaseConfig{Lease: 2 * time.Second, Short: 500 * time.Millisecond, Drift: 0.01}
+var testLeaseConfig = consensus.LeaseConfig{Duration: 2 * time.Second, ShortDuration: 500 * time.Millisecond, MaxClockDrift: 0.01}
 
 // startTestTransport starts a transport on loopback that is aborted with the test.
 func startTestTransport(t *testing.T, o transport.Options) *transport.Transport {
@@ -54,10 +54,10 @@
 	for i := range size {
 		o := transport.Options{
 			Name: fmt.Sprint("s", i),
-			Times: swim.Options{
-				ProbeEvery:   100 * time.Millisecond,
-				ProbeTimeout: 50 * time.Millisecond,
-				Suspicion:    300 * time.Millisecond,
+			Timing: swim.Options{
+				ProbeInterval:    100 * time.Millisecond,
+				ProbeTimeout:     50 * time.Millisecond,
+				SuspicionTimeout: 300 * time.Millisecond,
 			},
 		}
 		if i > 0 {
@@ -129,7 +129,7 @@
 
 // changeVoters proposes at a node that a daemon is added to the voters, or removed.
 func (c *testCluster) changeVoters(i int, name string, isRemoval bool) error {
-	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{Seat: &consensus.VoterChange{Name: name, Out: isRemoval}})
+	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{ChangeVoter: &consensus.VoterChange{Name: name, Remove: isRemoval}})
 	return err
 }
 
@@ -142,5 +142,5 @@
 // waitVotes waits until a node votes, or does not.
 func (c *testCluster) waitVotes(i int, votes bool) {
 	c.t.Helper()
-	testpeer.Until(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().Votes == votes })
+	testpeer.Until(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
 }
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -84,7 +84,7 @@
 	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, m.name, daemon))); err != nil {
 		t.Fatal(err)
 	}
-	disk, err := wal.Dir(path)
+	disk, err := wal.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	var lines strings.Builder
 	for _, e := range history {
 		fmt.Fprintf(&lines, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
-			e.Version, e.Name, e.Bytes, e.Digest, e.By, e.At, e.Back)
+			e.Version, e.Name, e.Bytes, e.Digest, e.By, e.At, e.RevertedTo)
 	}
 	return lines.String()
 }
@@ -142,9 +142,9 @@
 func earlierTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
 	t.Helper()
 	return startTestTransport(t, transport.Options{
-		Name:  daemon,
-		Join:  join,
-		Times: swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 300 * time.Millisecond},
+		Name:   daemon,
+		Join:   join,
+		Timing: swim.Options{ProbeInterval: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, SuspicionTimeout: 300 * time.Millisecond},
 	})
 }
 
@@ -228,7 +228,7 @@
 	if term := n.slot.voter.Term(); term != m.term {
 		t.Errorf("term %d, want %d", term, m.term)
 	}
-	if index := n.slot.log.Snapshot(); index != m.snapshotIndex[daemon] {
+	if index := n.slot.log.SnapshotIndex(); index != m.snapshotIndex[daemon] {
 		t.Errorf("the log has a snapshot at %d, want %d", index, m.snapshotIndex[daemon])
 	}
 }
@@ -260,10 +260,10 @@
 				m.checkDocuments(t, leased.Docs)
 				testpeer.Until(t, "it votes, and has applied what was agreed", func() bool {
 					s := n.Status()
-					return s.Votes && s.Committed == m.version && s.Coming == m.version && s.All == m.version
+					return s.IsVoter && s.CommittedVersion == m.version && s.PendingVersion == m.version && s.FullyActiveVersion == m.version
 				})
-				if s := n.Status(); !slices.Equal(s.Sitting, m.voters) || s.Term <= m.term {
-					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.Sitting, s.Term, m.voters, m.term)
+				if s := n.Status(); !slices.Equal(s.ActiveVoters, m.voters) || s.Term <= m.term {
+					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, m.voters, m.term)
 				}
 				m.checkHistory(t, n)
 			}
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -20,7 +20,7 @@
 		return strings.TrimSpace(string(text)), err
 	}
 	mark := rand.Text()
-	return mark, wal.Replace(n.options.Disk, markFile, []byte(mark+"\n"))
+	return mark, wal.ReplaceFile(n.options.Disk, markFile, []byte(mark+"\n"))
 }
 
 // readFile returns a file's first bytes, maxBytes at most; nil: there is no such file.
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -32,7 +32,7 @@
 	c.hasAnswered = false
 	r, next := c.holder.NextRequest(now)
 	if n.slot == nil && !n.hasStoppedVoting {
-		r.Mark = n.diskMark
+		r.DiskID = n.diskMark
 	}
 	c.nextRequest = next
 	if n.slot != nil && n.slot.voter.IsLeader() {
@@ -66,15 +66,15 @@
 func (n *Node) applyGrant(now time.Duration, leader string, g consensus.LeaseGrant) {
 	c := &n.client
 	c.hasAnswered, c.leader = true, leader
-	if len(g.Voters) > 0 {
-		c.setVoters(g.Voters, n.options.Voters)
-		c.activeVoters = g.Sitting
+	if len(g.SlotHolders) > 0 {
+		c.setVoters(g.SlotHolders, n.options.Voters)
+		c.activeVoters = g.ActiveVoters
 		if leader != n.options.Name {
 			n.applyVoterAction(now, &g)
 		}
 	}
 	c.holder.HandleGrant(now, g)
-	if !n.options.Installs {
+	if !n.options.ReportsInstalled {
 		c.holder.MarkInstalled(c.holder.Leased().Version)
 	}
 	n.startCheck()
@@ -82,8 +82,8 @@
 	if leased.Version != g.Version {
 		return // it can't be acted on yet
 	}
-	if leased.Version != n.cached.Version || !slices.Equal(g.Voters, n.cached.Voters) {
-		n.cacheVersion(leased, g.Voters)
+	if leased.Version != n.cached.Version || !slices.Equal(g.SlotHolders, n.cached.Voters) {
+		n.cacheVersion(leased, g.SlotHolders)
 	}
 	if !c.hasFirstGrant {
 		c.hasFirstGrant = true
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -58,8 +58,8 @@
 	testpeer.Until(t, "both know why", func() bool {
 		there, here := voter.Status(), other.Status()
 		return len(there.Lagging) == 1 && there.Lagging[0].Daemon == "o" &&
-			strings.Contains(there.Lagging[0].Why, "it is bad") &&
-			here.Declined == bad && here.Why == "it is bad"
+			strings.Contains(there.Lagging[0].Reason, "it is bad") &&
+			here.RejectedVersion == bad && here.RejectionReason == "it is bad"
 	})
 	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
 		t.Fatal(err)
@@ -68,5 +68,7 @@
 	testpeer.Until(t, "no lease", func() bool { _, ok := other.Valid(); return !ok })
 	good := put("better")
 	waitActing(other, good)
-	testpeer.Until(t, "all act", func() bool { return other.Status().All == good && voter.Status().All == good })
+	testpeer.Until(t, "all act", func() bool {
+		return other.Status().FullyActiveVersion == good && voter.Status().FullyActiveVersion == good
+	})
 }
--- a/internal/cluster/raftnode/messages_test.go
+++ b/internal/cluster/raftnode/messages_test.go
@@ -16,7 +16,7 @@
 	}{
 		{
 			name: "result of a committed command",
-			body: proposalResult{ID: "a", CommandResult: consensus.CommandResult{Version: 7, Same: true}},
+			body: proposalResult{ID: "a", CommandResult: consensus.CommandResult{Version: 7, Unchanged: true}},
 			want: `{"ID":"a","version":7,"same":true,"Err":""}`,
 		},
 		{
@@ -31,7 +31,7 @@
 		},
 		{
 			name: "bootstrap vote of a voter that has begun",
-			body: bootstrapMessage{Round: 4, Vote: consensus.BootstrapVote{Begun: true, Marks: map[string]string{"a": "m"}}},
+			body: bootstrapMessage{Round: 4, Vote: consensus.BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "m"}}},
 			want: `{"round":4,"asks":false,"word":{"begun":true,"mark":"","marks":{"a":"m"}}}`,
 		},
 	} {
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -63,7 +63,7 @@
 	Check func(docs map[string]consensus.Document) error
 	// The daemon reports by MarkInstalled which version it has installed. Otherwise a version counts as installed as
 	// soon as it is leased.
-	Installs bool
+	ReportsInstalled bool
 }
 
 // Node is a daemon's part in the agreement. Start makes one.
@@ -132,7 +132,7 @@
 // lock is taken.
 func (n *Node) Valid() (*consensus.LeasedVersion, bool) {
 	leased := n.leased.Load()
-	return leased, leased.Version > 0 && n.options.Now() < leased.Until
+	return leased, leased.Version > 0 && n.options.Now() < leased.ExpiresAt
 }
 
 // CoversVersion reports whether a version may be acted on now: the leased one, or the one before it until that one's
@@ -142,7 +142,9 @@
 }
 
 // LeaseRemaining is the time until the lease expires; 0: it has expired.
-func (n *Node) LeaseRemaining() time.Duration { return max(n.leased.Load().Until-n.options.Now(), 0) }
+func (n *Node) LeaseRemaining() time.Duration {
+	return max(n.leased.Load().ExpiresAt-n.options.Now(), 0)
+}
 
 // MarkInstalled reports that this daemon has installed a version. It is to be
 // called if the options say so, and only then.
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -27,7 +27,7 @@
 	second := c.put(4, "b", "two") // by a daemon that does not vote
 	c.waitAllActing(second, "two")
 	expect := first
-	unexpected := consensus.Command{Expect: &expect, Remove: testDocument}
+	unexpected := consensus.Command{ExpectedVersion: &expect, Remove: testDocument}
 	if _, err := c.nodes[3].ProposeVersion(t.Context(), unexpected); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("another version was expected: %v", err)
 	}
@@ -44,7 +44,7 @@
 	c.disks[1].Fail(0)
 	fourth := c.put(2, "d", "four")
 	c.waitAllActing(fourth, "four")
-	testpeer.Until(t, "the voter whose disk failed stops", func() bool { return !c.nodes[1].Status().Votes })
+	testpeer.Until(t, "the voter whose disk failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
 
 	abort(t, c.transports[2]) // one voter of three is left
 	testpeer.Until(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
@@ -61,7 +61,7 @@
 func BenchmarkCoversVersion(b *testing.B) {
 	began := time.Now()
 	n := &Node{options: Options{Now: func() time.Duration { return time.Since(began) }}}
-	n.leased.Store(&consensus.LeasedVersion{Version: 3, Until: time.Hour})
+	n.leased.Store(&consensus.LeasedVersion{Version: 3, ExpiresAt: time.Hour})
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if !n.CoversVersion(3) {
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -35,7 +35,7 @@
 	}
 	body, err := json.Marshal(cacheEntry{Version: leased.Version, Docs: leased.Docs, Voters: voters})
 	if err == nil {
-		err = wal.Replace(n.options.Disk, cacheFile, fmt.Appendf(nil, "%x\n%s", sha256.Sum256(body), body))
+		err = wal.ReplaceFile(n.options.Disk, cacheFile, fmt.Appendf(nil, "%x\n%s", sha256.Sum256(body), body))
 	}
 	if err != nil {
 		n.options.Log.Warn("version cache not written", "version", leased.Version, "error", err)
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -56,7 +56,7 @@
 func TestCacheFileKeepsItsFormat(t *testing.T) {
 	d := simdisk.New()
 	n := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
-	n.cacheVersion(consensus.LeasedVersion{Version: 7, Until: 1, PreviousVersion: 6, PreviousExpiresAt: 1}, []string{"a", "b"})
+	n.cacheVersion(consensus.LeasedVersion{Version: 7, ExpiresAt: 1, PreviousVersion: 6, PreviousExpiresAt: 1}, []string{"a", "b"})
 	got, err := readFile(d, "ACTED", 1<<20)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -49,8 +49,8 @@
 	for n.slot != nil {
 		voter := n.slot.voter
 		output := voter.Output(n.options.Now())
-		if voter.Stopped != nil {
-			n.options.Log.Error("this voter steps down", "error", voter.Stopped)
+		if voter.StopReason != nil {
+			n.options.Log.Error("this voter steps down", "error", voter.StopReason)
 			n.stopVoter()
 			return
 		}
@@ -84,10 +84,10 @@
 	if err := s.log.Sync(); err != nil {
 		return fmt.Errorf("sync the durable log: %w", err)
 	}
-	if output.Snapshot == nil || s.log.Synced() <= s.log.Snapshot() {
+	if output.Snapshot == nil || s.log.SyncedIndex() <= s.log.SnapshotIndex() {
 		return nil
 	}
-	if err := s.log.Snap(s.log.Synced(), output.Snapshot.Body); err != nil {
+	if err := s.log.Snap(s.log.SyncedIndex(), output.Snapshot.Body); err != nil {
 		return fmt.Errorf("write a snapshot: %w", err)
 	}
 	return nil
@@ -112,10 +112,10 @@
 // deliverGrants sends the leases that this daemon's voter grants, and takes up its own.
 func (n *Node) deliverGrants(grants []consensus.AddressedGrant) {
 	for _, g := range grants {
-		if g.Daemon == n.options.Name {
+		if g.Recipient == n.options.Name {
 			n.applyGrant(n.options.Now(), n.options.Name, g.Grant)
 		} else {
-			n.sendJSON(g.Daemon, kindLeaseGrant, g.Grant)
+			n.sendJSON(g.Recipient, kindLeaseGrant, g.Grant)
 		}
 	}
 }
--- a/internal/cluster/raftnode/voterslot.go
+++ b/internal/cluster/raftnode/voterslot.go
@@ -43,7 +43,7 @@
 		if own.name != n.options.Name {
 			return nil, fmt.Errorf("it is that of %q, and this is %s", strings.TrimSpace(string(text)), n.options.Name)
 		}
-		n.bootstrapVote = &consensus.BootstrapVote{Begun: true, Marks: own.marks}
+		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: own.marks}
 		return n.openVoter(now, own)
 	}
 	if n.diskMark, err = n.loadDiskMark(); err != nil {
@@ -68,7 +68,7 @@
 	if len(names) > 0 {
 		return nil, fmt.Errorf("the directory is no voter's: it has no %s, and %d other files", identityFile, len(names))
 	}
-	if err := wal.Replace(n.options.Disk, identityFile, []byte(own.String()+"\n")); err != nil {
+	if err := wal.ReplaceFile(n.options.Disk, identityFile, []byte(own.String()+"\n")); err != nil {
 		return nil, fmt.Errorf("write %s: %w", identityFile, err)
 	}
 	return n.openVoter(now, own)
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := wal.Options{Said: func(line string) { n.options.Log.Warn("durable log repaired", "detail", line) }}
+	options := wal.Options{OnRepair: func(line string) { n.options.Log.Warn("durable log repaired", "detail", line) }}
 	replay := func(r wal.Record) error { return state.Replay(r.Type, r.Payload) }
 	log, err := wal.Open(n.options.Disk, options, state.Restore, replay)
 	if err != nil {
@@ -89,10 +89,10 @@
 	var seed [8]byte
 	_, _ = rand.Read(seed[:]) // crypto/rand.Read never returns an error
 	voter, err := consensus.NewVoter(now, consensus.Config{
-		ID:    own.id,
-		Beat:  heartbeatInterval,
-		Seed:  binary.LittleEndian.Uint64(seed[:]),
-		Lease: n.options.Lease,
+		ID:                own.id,
+		HeartbeatInterval: heartbeatInterval,
+		Seed:              binary.LittleEndian.Uint64(seed[:]),
+		Lease:             n.options.Lease,
 	}, state)
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
@@ -121,12 +121,12 @@
 		n.stopVoter()
 	case consensus.StartVoter:
 		if !n.hasStoppedVoting {
-			n.joinVoters(now, &identity{name: n.options.Name, id: g.Seat, fleetID: newFleetID(g.First)})
+			n.joinVoters(now, &identity{name: n.options.Name, id: g.VoterID, fleetID: newFleetID(g.InitialVoters)})
 		}
 	case consensus.VoterDiskLost:
 		if !n.isDiskLossLogged && !n.hasStoppedVoting {
 			n.isDiskLossLogged = true
-			n.options.Log.Error("this daemon does not vote", "voter_id", g.Seat, "error", errVoterDiskLost)
+			n.options.Log.Error("this daemon does not vote", "voter_id", g.VoterID, "error", errVoterDiskLost)
 		}
 	}
 }
--- a/internal/cluster/raftnode/voterslot_test.go
+++ b/internal/cluster/raftnode/voterslot_test.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			testpeer.Until(t, "it votes", func() bool { return n.Status().Votes })
+			testpeer.Until(t, "it votes", func() bool { return n.Status().IsVoter })
 			if err := n.Close(); err != nil {
 				t.Error(err)
 			}
@@ -135,7 +135,7 @@
 	c.waitAllActing(c.put(5, "d", "four"), "four")
 	testpeer.Until(t, "all know who votes", func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
-			return strings.Join(n.Status().Sitting, " ") != "s3 s4 s5"
+			return strings.Join(n.Status().ActiveVoters, " ") != "s3 s4 s5"
 		})
 	})
 }
@@ -154,7 +154,7 @@
 		return <-isLost
 	})
 	c.waitAllActing(c.put(1, "b", "two"), "two")
-	if c.nodes[1].Status().Votes {
+	if c.nodes[1].Status().IsVoter {
 		t.Error("it votes")
 	}
 	c.changeVotersWhenFree(1, "s1", true)
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -24,13 +24,13 @@
 
 // HistoryEntry is an entry of the history of the agreed documents.
 type HistoryEntry struct {
-	Version uint64 `json:"version"`
-	Name    string `json:"name"`
-	Bytes   int    `json:"bytes"`
-	SHA256  string `json:"sha256"` // in hexadecimal; zeros: the document was removed
-	By      string `json:"by"`
-	AtMs    int64  `json:"at_ms"`          // Unix milliseconds, by the clock of the daemon that was called
-	Back    uint64 `json:"back,omitempty"` // the version whose document was restored
+	Version         uint64 `json:"version"`
+	Name            string `json:"name"`
+	Bytes           int    `json:"bytes"`
+	SHA256          string `json:"sha256"` // in hexadecimal; zeros: the document was removed
+	By              string `json:"by"`
+	AtMs            int64  `json:"at_ms"`          // Unix milliseconds, by the clock of the daemon that was called
+	RestoredVersion uint64 `json:"back,omitempty"` // the version whose document was restored
 }
 
 // IsRemoval reports whether the document was removed.
@@ -38,23 +38,23 @@
 
 // CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
 type CommandResult struct {
-	Format  int            `json:"format"`         // 1
-	Version uint64         `json:"version"`        // the version that a change made, or else the agreed one
-	Same    bool           `json:"same,omitempty"` // there was nothing to change
-	Name    string         `json:"name,omitempty"` // name of the requested document
-	Put     uint64         `json:"put,omitempty"`  // the version in which the requested document was put
-	Body    []byte         `json:"body,omitempty"` // of the requested document
-	History []HistoryEntry `json:"history,omitempty"`
+	Format      int            `json:"format"`         // 1
+	Version     uint64         `json:"version"`        // the version that a change made, or else the agreed one
+	IsUnchanged bool           `json:"same,omitempty"` // there was nothing to change
+	Name        string         `json:"name,omitempty"` // name of the requested document
+	PutVersion  uint64         `json:"put,omitempty"`  // the version in which the requested document was put
+	Body        []byte         `json:"body,omitempty"` // of the requested document
+	History     []HistoryEntry `json:"history,omitempty"`
 }
 
 // WriteResult writes the lines of a command's result, but no end of the response.
 func WriteResult(w io.Writer, r consensus.CommandResult) error {
-	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", r.Version, r.Same); err != nil {
+	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", r.Version, r.Unchanged); err != nil {
 		return err
 	}
 	for _, h := range r.History {
 		if _, err := fmt.Fprintf(w, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
-			h.Version, h.Name, h.Bytes, h.Digest, h.By, h.At, h.Back); err != nil {
+			h.Version, h.Name, h.Bytes, h.Digest, h.By, h.At, h.RevertedTo); err != nil {
 			return err
 		}
 	}
@@ -78,12 +78,12 @@
 	var h HistoryEntry
 	var encodedBody string
 	err := parseFields(line, lineFields{
-		"answer": {"version": &r.Version, "same": &r.Same},
+		"answer": {"version": &r.Version, "same": &r.IsUnchanged},
 		"change": {
 			"version": &h.Version, "name": &h.Name, "bytes": &h.Bytes, "sha256": &h.SHA256, "by": &h.By,
-			"at_ms": &h.AtMs, "back": &h.Back,
+			"at_ms": &h.AtMs, "back": &h.RestoredVersion,
 		},
-		"document": {"name": &r.Name, "version": &r.Put},
+		"document": {"name": &r.Name, "version": &r.PutVersion},
 		"body":     {"text": &encodedBody},
 	})
 	if err == nil && h.Version > 0 {
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -10,14 +10,14 @@
 
 // Fleet is what one daemon holds of its cluster. Its JSON form is documented for operators.
 type Fleet struct {
-	Format   int    `json:"format"` // 1
-	Self     string `json:"self"`
-	Standing string `json:"standing"`        // the swim.Connectivity: whole, partial or cut-off
-	Elder    string `json:"elder,omitempty"` // address of an elder daemon with this name, to which this one yields
-	View     uint64 `json:"view"`            // number of the view
-	Daemons  int    `json:"daemons"`         // number of daemons that share what is divided
-	Index    int    `json:"index"`           // ordinal of this daemon among them, from 0
-	Peers    []Peer `json:"peers"`           // members by name, this daemon included
+	Format       int    `json:"format"` // 1
+	Self         string `json:"self"`
+	Connectivity string `json:"standing"`        // the swim.Connectivity: whole, partial or cut-off
+	Elder        string `json:"elder,omitempty"` // address of an elder daemon with this name, to which this one yields
+	View         uint64 `json:"view"`            // number of the view
+	Daemons      int    `json:"daemons"`         // number of daemons that share what is divided
+	Ordinal      int    `json:"index"`           // ordinal of this daemon among them, from 0
+	Peers        []Peer `json:"peers"`           // members by name, this daemon included
 }
 
 // Peer is a member of a Fleet.
@@ -32,8 +32,8 @@
 // FleetFromView returns the report of a view at the instant now, on the clock of the view's node.
 func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
 	f := &Fleet{
-		Format: 1, Self: v.Self, Standing: v.Connectivity.String(), Elder: v.Rival, View: v.Number,
-		Daemons: daemons, Index: index,
+		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), Elder: v.Rival, View: v.Number,
+		Daemons: daemons, Ordinal: index,
 	}
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{
@@ -57,7 +57,7 @@
 		elder = " elder=" + f.Elder
 	}
 	if _, err := fmt.Fprintf(w, "fleet self=%s standing=%s view=%d daemons=%d index=%d%s\n",
-		f.Self, f.Standing, f.View, f.Daemons, f.Index, elder); err != nil {
+		f.Self, f.Connectivity, f.View, f.Daemons, f.Ordinal, elder); err != nil {
 		return err
 	}
 	for _, p := range f.Peers {
@@ -73,8 +73,8 @@
 	var p Peer
 	err := parseFields(line, lineFields{
 		"fleet": {
-			"self": &f.Self, "standing": &f.Standing, "elder": &f.Elder, "view": &f.View, "daemons": &f.Daemons,
-			"index": &f.Index,
+			"self": &f.Self, "standing": &f.Connectivity, "elder": &f.Elder, "view": &f.View, "daemons": &f.Daemons,
+			"index": &f.Ordinal,
 		},
 		"peer": {
 			"name": &p.Name, "address": &p.Address, "state": &p.State, "incarnation": &p.Incarnation,
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -9,30 +9,30 @@
 
 // Settings is what one daemon holds of the agreed settings. Its JSON form is documented for operators.
 type Settings struct {
-	Format    int        `json:"format"`  // 1
-	Version   uint64     `json:"version"` // the version that this daemon acts on
-	Acting    bool       `json:"acting"`  // its lease is valid
-	LeaseMs   int64      `json:"lease_ms"`
-	Votes     bool       `json:"votes"`              // it is a voter
-	Leads     bool       `json:"leads"`              // it is the leader
-	Leader    string     `json:"leader"`             // name of the daemon that granted the latest lease
-	Committed uint64     `json:"committed"`          // the latest committed version, as far as a voter here knows
-	Coming    uint64     `json:"coming"`             // the version that is to be acted on next
-	Term      uint64     `json:"term"`               // of the voters, where this daemon is one
-	All       uint64     `json:"all"`                // no daemon acts on an earlier version; 0: not known
-	Declined  uint64     `json:"declined,omitempty"` // the version that this daemon cannot act on
-	Why       string     `json:"why,omitempty"`      // the reason for Declined
-	Refused   uint64     `json:"refused"`            // requests that were rejected for lack of a valid lease
-	Voters    string     `json:"voters"`             // names from which it may acquire a lease, separated by commas
-	Sitting   string     `json:"sitting"`            // names of the voters, as the leader reported last, separated by commas
-	Lags      []Lag      `json:"lags"`               // the daemons that the leader waits for
-	Documents []Document `json:"documents"`
+	Format           int        `json:"format"`  // 1
+	Version          uint64     `json:"version"` // the version that this daemon acts on
+	HasLease         bool       `json:"acting"`  // its lease is valid
+	LeaseMs          int64      `json:"lease_ms"`
+	IsVoter          bool       `json:"votes"`              // it is a voter
+	IsLeader         bool       `json:"leads"`              // it is the leader
+	Leader           string     `json:"leader"`             // name of the daemon that granted the latest lease
+	Committed        uint64     `json:"committed"`          // the latest committed version, as far as a voter here knows
+	NextVersion      uint64     `json:"coming"`             // the version that is to be acted on next
+	Term             uint64     `json:"term"`               // of the voters, where this daemon is one
+	MinActingVersion uint64     `json:"all"`                // no daemon acts on an earlier version; 0: not known
+	RejectedVersion  uint64     `json:"declined,omitempty"` // the version that this daemon cannot act on
+	RejectionReason  string     `json:"why,omitempty"`      // the reason for Declined
+	RejectedRequests uint64     `json:"refused"`            // requests that were rejected for lack of a valid lease
+	LeaseVoters      string     `json:"voters"`             // names from which it may acquire a lease, separated by commas
+	CurrentVoters    string     `json:"sitting"`            // names of the voters, as the leader reported last, separated by commas
+	Lags             []Lag      `json:"lags"`               // the daemons that the leader waits for
+	Documents        []Document `json:"documents"`
 }
 
 // Lag is a daemon that the leader waits for.
 type Lag struct {
 	Daemon string `json:"daemon"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 }
 
 // Document is an agreed document.
@@ -64,12 +64,12 @@
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
 		"coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n",
-		s.Version, s.Acting, s.LeaseMs, s.Votes, s.Leads, s.Leader, s.Term, s.Committed,
-		s.Coming, s.All, s.Declined, url.QueryEscape(s.Why), s.Refused, s.Voters, s.Sitting); err != nil {
+		s.Version, s.HasLease, s.LeaseMs, s.IsVoter, s.IsLeader, s.Leader, s.Term, s.Committed,
+		s.NextVersion, s.MinActingVersion, s.RejectedVersion, url.QueryEscape(s.RejectionReason), s.RejectedRequests, s.LeaseVoters, s.CurrentVoters); err != nil {
 		return err
 	}
 	for _, l := range s.Lags {
-		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Daemon, url.QueryEscape(l.Why)); err != nil {
+		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Daemon, url.QueryEscape(l.Reason)); err != nil {
 			return err
 		}
 	}
@@ -87,12 +87,12 @@
 	var l Lag
 	err := parseFields(line, lineFields{
 		"settings": {
-			"version": &s.Version, "acting": &s.Acting, "lease_ms": &s.LeaseMs, "votes": &s.Votes, "leads": &s.Leads,
-			"leader": &s.Leader, "term": &s.Term, "committed": &s.Committed, "coming": &s.Coming, "all": &s.All,
-			"declined": &s.Declined, "why": (*escapedText)(&s.Why), "refused": &s.Refused, "voters": &s.Voters,
-			"sitting": &s.Sitting,
+			"version": &s.Version, "acting": &s.HasLease, "lease_ms": &s.LeaseMs, "votes": &s.IsVoter, "leads": &s.IsLeader,
+			"leader": &s.Leader, "term": &s.Term, "committed": &s.Committed, "coming": &s.NextVersion, "all": &s.MinActingVersion,
+			"declined": &s.RejectedVersion, "why": (*escapedText)(&s.RejectionReason), "refused": &s.RejectedRequests, "voters": &s.LeaseVoters,
+			"sitting": &s.CurrentVoters,
 		},
-		"lag":      {"daemon": &l.Daemon, "why": (*escapedText)(&l.Why)},
+		"lag":      {"daemon": &l.Daemon, "why": (*escapedText)(&l.Reason)},
 		"document": {"name": &d.Name, "version": &d.Version, "by": &d.By, "bytes": &d.Bytes, "sha256": &d.SHA256},
 	})
 	if err == nil && d.Name != "" {
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -15,8 +15,8 @@
 
 func TestSettingsSurviveWriteAndRead(t *testing.T) {
 	want := &Settings{
-		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leader: "s0", Committed: 5, Coming: 4, Term: 9, All: 2,
-		Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
+		Format: 1, Version: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", Committed: 5, NextVersion: 4, Term: 9, MinActingVersion: 2,
+		RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, LeaseVoters: "a,b,c", CurrentVoters: "a,b",
 		Lags:      []Lag{{"a", "it can't act: 50 %"}, {"b", ""}},
 		Documents: []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}},
 	}
@@ -80,7 +80,7 @@
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
 	sent := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
 		History: []consensus.HistoryEntry{
-			{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3},
+			{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, RevertedTo: 3},
 			{Version: 2, Name: "a"},
 		}}
 	var text strings.Builder
@@ -91,10 +91,10 @@
 	if err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine); err != nil {
 		t.Fatal(err)
 	}
-	if got.Version != 9 || got.Name != "shared" || got.Put != 7 || !bytes.Equal(got.Body, body) {
+	if got.Version != 9 || got.Name != "shared" || got.PutVersion != 7 || !bytes.Equal(got.Body, body) {
 		t.Errorf("%+v", got)
 	}
-	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].Back != 3 {
+	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].RestoredVersion != 3 {
 		t.Errorf("%+v", got)
 	}
 	if err := (&CommandResult{}).parseLine("body text=!!"); err == nil {
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -18,17 +18,17 @@
 	}}
 	fleet := FleetFromView(view, 3*time.Second, 2, 1)
 	settings := &Settings{
-		Format: 1, Version: 3, Acting: true, LeaseMs: 70, Votes: true, Leads: true, Leader: "s0", Committed: 5, Coming: 4,
-		Term: 9, All: 2, Declined: 4, Why: "no such field: x", Refused: 3, Voters: "a,b,c", Sitting: "a,b",
+		Format: 1, Version: 3, HasLease: true, LeaseMs: 70, IsVoter: true, IsLeader: true, Leader: "s0", Committed: 5, NextVersion: 4,
+		Term: 9, MinActingVersion: 2, RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, LeaseVoters: "a,b,c", CurrentVoters: "a,b",
 		Lags: []Lag{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
 	}
 	result := &CommandResult{
-		Format: 1, Version: 9, Same: true, Name: "shared", Put: 7, Body: []byte("\x00a"),
-		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", By: "s", AtMs: 12, Back: 3}},
+		Format: 1, Version: 9, IsUnchanged: true, Name: "shared", PutVersion: 7, Body: []byte("\x00a"),
+		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", By: "s", AtMs: 12, RestoredVersion: 3}},
 	}
 	sent := consensus.CommandResult{
-		Version: 9, Same: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
-		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, Back: 3}},
+		Version: 9, Unchanged: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
+		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, RevertedTo: 3}},
 	}
 	written := func(write func(*strings.Builder) error) string {
 		t.Helper()
@@ -51,7 +51,7 @@
 			"fleet self=s1 standing=cut-off view=7 daemons=2 index=1 elder=127.0.0.9:1\n" +
 				"peer name=s1 address=[::1]:7 state=alive incarnation=3 since_ms=2000\n" +
 				"peer name=s2 address=127.0.0.1:8 state=left incarnation=9 since_ms=0\n"},
-		{"fleet lines without an elder", written(func(w *strings.Builder) error { return (&Fleet{Self: "a", Standing: "whole"}).Write(w) }),
+		{"fleet lines without an elder", written(func(w *strings.Builder) error { return (&Fleet{Self: "a", Connectivity: "whole"}).Write(w) }),
 			"fleet self=a standing=whole view=0 daemons=0 index=0\n"},
 		{"fleet JSON", encoded(fleet),
 			`{"format":1,"self":"s1","standing":"cut-off","elder":"127.0.0.9:1","view":7,"daemons":2,"index":1,"peers":[` +
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -46,7 +46,7 @@
 		}
 		return
 	}
-	if u.State == Suspect && m.State == Suspect && u.Run == m.Run && u.Incarnation == m.Incarnation {
+	if u.State == Suspect && m.State == Suspect && u.Generation == m.Generation && u.Incarnation == m.Incarnation {
 		n.confirmSuspicion(m, u)
 		return
 	}
@@ -72,7 +72,7 @@
 	n.countPresent(m)
 	n.insertPresent(m)
 	n.viewNumber++
-	n.recordChange(Change{Name: u.Name, Addr: u.Addr, Is: Alive, New: true, Incarnation: u.Incarnation})
+	n.recordChange(Change{Name: u.Name, Addr: u.Addr, To: Alive, IsNew: true, Incarnation: u.Incarnation})
 	n.broadcasts.enqueue(alive)
 	if u.State == Suspect {
 		n.startSuspicion(now, m, u)
@@ -87,7 +87,7 @@
 	if was.State.IsPresent() {
 		n.uncountPresent(m)
 	}
-	if u.State != was.State || u.Run != was.Run {
+	if u.State != was.State || u.Generation != was.Generation {
 		m.since = now
 	}
 	m.Update = u
@@ -96,7 +96,7 @@
 	}
 	n.moveBetweenLists(m, was.State)
 	if u.State != was.State {
-		n.recordChange(Change{Name: u.Name, Addr: u.Addr, Was: was.State, Is: u.State, Incarnation: u.Incarnation})
+		n.recordChange(Change{Name: u.Name, Addr: u.Addr, From: was.State, To: u.State, Incarnation: u.Incarnation})
 	}
 	n.viewNumber++
 	n.broadcasts.enqueue(u)
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -33,14 +33,14 @@
 // applyUpdateOfSelf takes up what others state about this node, which alone may raise its incarnation.
 func (n *Node) applyUpdateOfSelf(now time.Duration, u Update) {
 	c := n.conflict
-	if n.isYielding() && u.Run == c.Run {
+	if n.isYielding() && u.Generation == c.Generation {
 		c.incarnation = max(c.incarnation, u.Incarnation)
 		if u.State == Left { // the elder gave up the name
 			c.unansweredProbes, c.nextProbe = conflictProbeAttempts, now
 		}
 		return
 	}
-	isThisProcess := u.Run == n.self.Run
+	isThisProcess := u.Generation == n.self.Generation
 	switch {
 	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // about this process, or one that has ended
 		isKnown := isThisProcess && u.State == n.self.State && u.Incarnation == n.self.Incarnation
@@ -53,7 +53,7 @@
 		n.refute(u.Incarnation)
 	case c == nil:
 		n.conflict = &nameConflict{Peer: u.Peer, nextProbe: now, incarnation: u.Incarnation}
-	case c.Run == u.Run:
+	case c.Generation == u.Generation:
 		c.incarnation = max(c.incarnation, u.Incarnation)
 	}
 }
@@ -73,7 +73,7 @@
 	if c == nil || now < c.nextProbe {
 		return
 	}
-	c.nextProbe = now + n.options.ProbeEvery
+	c.nextProbe = now + n.options.ProbeInterval
 	if c.unansweredProbes >= conflictProbeAttempts {
 		n.conflict = nil
 		n.viewNumber++
@@ -95,7 +95,7 @@
 		c.hasAnswered = true
 		n.viewNumber++
 	}
-	if c.isYielding = n.self.Run > c.Run; c.isYielding {
+	if c.isYielding = n.self.Generation > c.Generation; c.isYielding {
 		return
 	}
 	if c.incarnation >= n.self.Incarnation {
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -63,7 +63,7 @@
 	o.setDefaults()
 	n := &Node{
 		options:          o,
-		rng:              rand.New(rand.NewPCG(o.Seed, o.Self.Run)),
+		rng:              rand.New(rand.NewPCG(o.Seed, o.Self.Generation)),
 		self:             Update{Peer: o.Self, Incarnation: 1},
 		startedAt:        now,
 		expectedTick:     now,
@@ -82,16 +82,16 @@
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
 	n.seq = n.rng.Uint64() >> 16 // so that a response to an earlier process does not count for this one
-	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeEvery)))
+	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
-	for _, u := range o.Known {
+	for _, u := range o.InitialMembers {
 		if n.members[u.Name] == nil && u.Name != n.self.Name {
 			n.addMember(now, u)
 		}
 	}
-	if len(o.Known) > 0 { // the known members need no gossip of one another, and have this node already
+	if len(o.InitialMembers) > 0 { // the known members need no gossip of one another, and have this node already
 		n.broadcasts.reset()
-		n.changes, n.options.Known = nil, nil
+		n.changes, n.options.InitialMembers = nil, nil
 	}
 	n.updateConnectivity(now)
 	return n
@@ -116,7 +116,7 @@
 		next = min(next, n.conflict.nextProbe)
 	}
 	if n.improvedSince >= 0 {
-		next = min(next, n.improvedSince+connectivityHoldIntervals*n.options.ProbeEvery)
+		next = min(next, n.improvedSince+connectivityHoldIntervals*n.options.ProbeInterval)
 	}
 	n.expectedTick = next
 	return next
@@ -130,11 +130,11 @@
 	n.expireSuspicions(now)
 	n.tickNameConflict(now)
 	if now >= n.nextGossip && n.canGossip() {
-		n.nextGossip = now + n.options.ProbeEvery/gossipsPerProbeInterval
+		n.nextGossip = now + n.options.ProbeInterval/gossipsPerProbeInterval
 		n.gossip(gossipFanout)
 	}
 	if now >= n.nextRejoin {
-		n.nextRejoin = now + n.options.ProbeEvery
+		n.nextRejoin = now + n.options.ProbeInterval
 		n.rejoin()
 	}
 	if now >= n.nextReap {
@@ -151,7 +151,7 @@
 	if !m.isValid() {
 		return
 	}
-	if m.From.Name == n.self.Name && m.From.Run == n.self.Run {
+	if m.From.Name == n.self.Name && m.From.Generation == n.self.Generation {
 		return // this node's own message, reflected
 	}
 	n.hasContact = true
