--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if now >= n.nextProbe {
-		n.nextProbe = now + n.options.ProbeEvery // local health lengthens the timeouts, not the interval
+		n.nextProbe = now + n.options.ProbeInterval // local health lengthens the timeouts, not the interval
 		n.startProbe(now)
 	}
 }
@@ -47,7 +47,7 @@
 	n.probes[n.seq] = &probe{
 		target:     target,
 		indirectAt: now + n.scaleByLocalHealth(n.options.ProbeTimeout),
-		deadline:   now + n.scaleByLocalHealth(n.options.ProbeEvery),
+		deadline:   now + n.scaleByLocalHealth(n.options.ProbeInterval),
 	}
 	n.send(target.Addr, &Message{Kind: Ping, Seq: n.seq, Target: target.Peer})
 }
@@ -106,7 +106,7 @@
 // receiveAck ends what the Ack responds to: a probe of a process with this node's name, an indirect probe for another
 // member, or a probe of this node's own.
 func (n *Node) receiveAck(now time.Duration, m *Message) {
-	if c := n.conflict; c != nil && m.Seq == c.seq && m.From.Run == c.Run {
+	if c := n.conflict; c != nil && m.Seq == c.seq && m.From.Generation == c.Generation {
 		n.receiveConflictAck(now)
 		return
 	}
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -52,7 +52,7 @@
 		return
 	}
 	n.changeState(now, m, u)
-	minTimeout := time.Duration(float64(n.options.Suspicion) * n.suspicionScale())
+	minTimeout := time.Duration(float64(n.options.SuspicionTimeout) * n.suspicionScale())
 	s := &suspicion{
 		start:                 now,
 		minTimeout:            minTimeout,
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -38,7 +38,7 @@
 				i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
 				lastRun++
 				self := testPeer(i)
-				self.Run = lastRun
+				self.Generation = lastRun
 				join := []netip.AddrPort{testPeer((i + 1) % len(w.nodes)).Addr}
 				w.nodes[i] = New(w.now, Options{Self: self, Join: join, Seed: lastRun})
 			},
@@ -101,7 +101,7 @@
 	w := newTestNetwork(3)
 	elder := w.nodes[1]
 	youngerPeer := testPeer(1)
-	youngerPeer.Addr, youngerPeer.Run = testPeer(9).Addr, 1000
+	youngerPeer.Addr, youngerPeer.Generation = testPeer(9).Addr, 1000
 	younger := New(w.now, Options{Self: youngerPeer, Join: []netip.AddrPort{testPeer(0).Addr}})
 	w.nodes = append(w.nodes, younger)
 	w.run(t, 10*time.Second)
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -20,7 +20,7 @@
 	if !wasAbsent && (!m.Quiet || n.broadcasts.hasPending()) {
 		return
 	}
-	interval := n.options.ProbeEvery
+	interval := n.options.ProbeInterval
 	if factor := len(n.present) / membersPerSyncInterval; factor > 0 {
 		interval *= time.Duration(factor)
 	}
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -15,7 +15,7 @@
 // testPeer returns the first process of the i-th daemon.
 func testPeer(i int) Peer {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7)
-	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Run: uint64(i + 1)}
+	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Generation: uint64(i + 1)}
 }
 
 // testNetwork is nodes in virtual time and the messages in transit between them, which a test delivers, drops, duplicates
@@ -38,7 +38,7 @@
 		known = append(known, Update{Peer: testPeer(i), Incarnation: 1})
 	}
 	for i := range size {
-		w.nodes = append(w.nodes, New(w.now, Options{Self: testPeer(i), Known: known, Seed: uint64(i)}))
+		w.nodes = append(w.nodes, New(w.now, Options{Self: testPeer(i), InitialMembers: known, Seed: uint64(i)}))
 	}
 	return w
 }
@@ -74,7 +74,7 @@
 		w.inTransit = append(w.inTransit, e)
 	}
 	for _, m := range n.View().Members {
-		key := fmt.Sprint(n.self.Run, " ", m.Name)
+		key := fmt.Sprint(n.self.Generation, " ", m.Name)
 		if m.Incarnation < w.maxIncarnation[key] {
 			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, w.maxIncarnation[key], m.Name, m.Incarnation)
 		}
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -41,9 +41,9 @@
 
 // Peer identifies one process of a daemon: a process that was started again under the same name has another Run.
 type Peer struct {
-	Name string
-	Addr netip.AddrPort // where other nodes send to
-	Run  uint64         // of two processes with one name, the one with the greater Run counts as the younger
+	Name       string
+	Addr       netip.AddrPort // where other nodes send to
+	Generation uint64         // of two processes with one name, the one with the greater Run counts as the younger
 }
 
 // Update is a statement about the state of a member.
@@ -63,7 +63,7 @@
 	case u.State != v.State:
 		return u.State > v.State
 	}
-	return u.Run < v.Run
+	return u.Generation < v.Generation
 }
 
 func (u *Update) isValid() bool {
@@ -77,7 +77,7 @@
 // digest is the member's part in Node.Digest. It leaves out suspicion, which passes.
 func (u *Update) digest() uint64 {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:], u.Run)
+	binary.LittleEndian.PutUint64(b[:], u.Generation)
 	binary.LittleEndian.PutUint64(b[8:], u.Incarnation)
 	return xxhash.Sum64String(u.Name) ^ bits.RotateLeft64(xxhash.Sum64(b[:]), 17)
 }
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -49,8 +49,8 @@
 type Change struct {
 	Name        string
 	Addr        netip.AddrPort
-	Was, Is     State
-	New         bool // the member was not known before
+	From, To    State
+	IsNew       bool // the member was not known before
 	Incarnation uint64
 }
 
@@ -103,7 +103,7 @@
 	case n.improvedSince < 0 || current < n.improvedTo:
 		n.improvedSince, n.improvedTo = now, current
 	}
-	if now-n.improvedSince >= connectivityHoldIntervals*n.options.ProbeEvery {
+	if now-n.improvedSince >= connectivityHoldIntervals*n.options.ProbeInterval {
 		n.connectivity, n.improvedSince = n.improvedTo, -1
 		n.viewNumber++
 	}
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -29,8 +29,8 @@
 	packetFieldMessage     // or this one
 )
 
-// Overhead is the most bytes that a packet has besides the message of the failure detector in it.
-const Overhead = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
+// MaxOverheadBytes is the most bytes that a packet has besides the message of the failure detector in it.
+const MaxOverheadBytes = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
 
 // packet is what an authenticated packet carries: one of swimMessage and message, and the number that identifies it among
 // the packets of its sender's process.
@@ -43,7 +43,7 @@
 
 // appendSwimPacket appends a packet with a message of the failure detector to b.
 func appendSwimPacket(b []byte, options *Options, sequence uint64, m *swim.Message) []byte {
-	return appendPacket(b, options, sequence, packetFieldSwimMessage, Marshal(nil, m))
+	return appendPacket(b, options, sequence, packetFieldSwimMessage, AppendSwimMessage(nil, m))
 }
 
 // appendMessagePacket appends a packet with a message of Send to b.
@@ -106,13 +106,13 @@
 		if p.message, err = parseMessage(message); err != nil {
 			return packet{}, err
 		}
-		p.runID = p.message.Run
+		p.runID = p.message.RunID
 		return p, nil
 	}
 	if p.swimMessage, err = parseSwimMessage(swimMessage, maxUpdates); err != nil {
 		return packet{}, err
 	}
-	p.runID = p.swimMessage.From.Run
+	p.runID = p.swimMessage.From.Generation
 	return p, nil
 }
 
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -15,13 +15,13 @@
 func sampleSwimMessage() *swim.Message {
 	return &swim.Message{
 		Kind:   swim.Ping,
-		From:   swim.Update{Peer: swim.Peer{Name: "a", Addr: netip.MustParseAddrPort("127.0.0.1:7"), Run: 5}, Incarnation: 1},
+		From:   swim.Update{Peer: swim.Peer{Name: "a", Addr: netip.MustParseAddrPort("127.0.0.1:7"), Generation: 5}, Incarnation: 1},
 		Seq:    3,
-		Target: swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Run: 6},
+		Target: swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Generation: 6},
 		Digest: 9,
 		Quiet:  true,
 		Updates: []swim.Update{{
-			Peer:  swim.Peer{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Run: 7},
+			Peer:  swim.Peer{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Generation: 7},
 			State: swim.Suspect, Incarnation: 4, By: "a",
 		}},
 	}
@@ -30,7 +30,7 @@
 // Daemons of different builds exchange packets: the bytes are fixed.
 func TestPacketEncodingIsFixed(t *testing.T) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
-	message := &Message{From: "a", Run: 5, Kind: 'r', Body: []byte("body")}
+	message := &Message{From: "a", RunID: 5, Kind: 'r', Body: []byte("body")}
 	for _, row := range []struct {
 		name string
 		got  []byte
@@ -70,7 +70,7 @@
 	longName := strings.Repeat("n", swim.MaxNameBytes)
 	addr := netip.MustParseAddrPort("[2001:db8:1:2:3:4:5:6]:65535")
 	longest := swim.Update{
-		Peer:        swim.Peer{Name: longName, Addr: addr, Run: 1<<64 - 1},
+		Peer:        swim.Peer{Name: longName, Addr: addr, Generation: 1<<64 - 1},
 		State:       swim.Suspect,
 		Incarnation: 1<<62 - 1,
 		By:          longName,
@@ -106,7 +106,7 @@
 func FuzzOpenPacket(f *testing.F) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	f.Add(appendSwimPacket(nil, unsigned, 1, sampleSwimMessage())[headerBytes:])
-	f.Add(appendMessagePacket(nil, unsigned, 2, &Message{From: "a", Run: 5, Kind: 'r', Body: []byte("body")})[headerBytes:])
+	f.Add(appendMessagePacket(nil, unsigned, 2, &Message{From: "a", RunID: 5, Kind: 'r', Body: []byte("body")})[headerBytes:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		header := append([]byte(packetMagic), packetVersion, 0, 0, 0, 0)
@@ -125,7 +125,7 @@
 		if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", again.swimMessage) {
 			t.Errorf("parsed as %+v, and then as %+v: %v", got.swimMessage, again.swimMessage, err)
 		}
-		node := swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Run: 1}})
+		node := swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Generation: 1}})
 		node.Receive(time.Second, got.swimMessage)
 	})
 }
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -36,7 +36,7 @@
 	}
 	defer conn.Close()
 	options := testOptions("a")
-	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", Run: 5, Kind: 'x'}))
+	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", RunID: 5, Kind: 'x'}))
 	testpeer.Until(t, "it is counted", func() bool { return b.Metrics().Foreign == before+1 })
 	select {
 	case m := <-b.Messages():
@@ -66,7 +66,7 @@
 	defer conn.Close()
 	send := func(datagram []byte) { conn.Write(datagram) }
 
-	m := &swim.Message{Kind: swim.Gossip, From: swim.Update{Peer: swim.Peer{Name: "x", Addr: b.Addr(), Run: 5}, Incarnation: 1}}
+	m := &swim.Message{Kind: swim.Gossip, From: swim.Update{Peer: swim.Peer{Name: "x", Addr: b.Addr(), Generation: 5}, Incarnation: 1}}
 	signed := func(cluster string, keys ...Key) []byte {
 		return appendSwimPacket(nil, &Options{Cluster: cluster, Keys: keys}, 1, m)
 	}
@@ -80,14 +80,14 @@
 		datagram []byte
 		count    func(Metrics) uint64
 	}{
-		"empty":           {nil, func(m Metrics) uint64 { return m.Damaged }},
-		"cut off":         {valid[:20], func(m Metrics) uint64 { return m.Forged }},
-		"a bit flipped":   {altered, func(m Metrics) uint64 { return m.Forged }},
-		"too long":        {make([]byte, 9000), func(m Metrics) uint64 { return m.Damaged }},
+		"empty":           {nil, func(m Metrics) uint64 { return m.Malformed }},
+		"cut off":         {valid[:20], func(m Metrics) uint64 { return m.Unauthenticated }},
+		"a bit flipped":   {altered, func(m Metrics) uint64 { return m.Unauthenticated }},
+		"too long":        {make([]byte, 9000), func(m Metrics) uint64 { return m.Malformed }},
 		"another version": {laterVersion, func(m Metrics) uint64 { return m.Foreign }},
 		"another cluster": {signed("d", key), func(m Metrics) uint64 { return m.Foreign }},
-		"another key":     {signed("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Forged }},
-		"no key":          {signed("c"), func(m Metrics) uint64 { return m.Forged }},
+		"another key":     {signed("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Unauthenticated }},
+		"no key":          {signed("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := row.count(a.Metrics())
@@ -107,7 +107,7 @@
 		for range 500 {
 			send(altered)
 		}
-		return a.Metrics().Flooded > 1000
+		return a.Metrics().RateLimited > 1000
 	})
 	before := a.Metrics().Received
 	testpeer.Until(t, "b is received meanwhile", func() bool {
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	before := a.Metrics().Damaged
+	before := a.Metrics().Malformed
 	conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	testpeer.Until(t, "it is counted", func() bool { return a.Metrics().Damaged > before })
+	testpeer.Until(t, "it is counted", func() bool { return a.Metrics().Malformed > before })
 }
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -42,15 +42,15 @@
 
 // Message is what a part of a daemon sends to the same part of another daemon. Kind tells which part that is.
 type Message struct {
-	From string // the sender's name
-	Run  uint64 // identifies the sender's process
-	Kind byte
-	Body []byte
+	From  string // the sender's name
+	RunID uint64 // identifies the sender's process
+	Kind  byte
+	Body  []byte
 }
 
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
-	b = appendFixed64(b, messageFieldRunID, m.Run)
+	b = appendFixed64(b, messageFieldRunID, m.RunID)
 	b = appendVarint(b, messageFieldKind, uint64(m.Kind))
 	return appendBytes(b, messageFieldBody, m.Body)
 }
@@ -63,7 +63,7 @@
 		case messageFieldFrom:
 			m.From = string(f.bytes)
 		case messageFieldRunID:
-			m.Run = f.number
+			m.RunID = f.number
 		case messageFieldKind:
 			m.Kind = byte(f.number)
 		case messageFieldBody:
@@ -80,8 +80,8 @@
 	return m, nil
 }
 
-// Marshal appends the encoding of a message of the failure detector to b.
-func Marshal(b []byte, m *swim.Message) []byte {
+// AppendSwimMessage appends the encoding of a message of the failure detector to b.
+func AppendSwimMessage(b []byte, m *swim.Message) []byte {
 	b = appendVarint(b, swimFieldKind, uint64(m.Kind))
 	b = appendUpdate(b, swimFieldFrom, &m.From)
 	b = appendVarint(b, swimFieldSequence, m.Seq)
@@ -108,7 +108,7 @@
 		update = appendBytes(update, updateFieldIP, ip[:])
 	}
 	update = appendVarint(update, updateFieldPort, uint64(u.Addr.Port()))
-	update = appendFixed64(update, updateFieldRunID, u.Run)
+	update = appendFixed64(update, updateFieldRunID, u.Generation)
 	if u.State != swim.Alive {
 		update = appendVarint(update, updateFieldState, uint64(u.State))
 	}
@@ -174,7 +174,7 @@
 		case updateFieldPort:
 			port, ok = f.number, f.number < 1<<16
 		case updateFieldRunID:
-			u.Run = f.number
+			u.Generation = f.number
 		case updateFieldState:
 			u.State = swim.State(f.number)
 			ok = uint64(u.State) == f.number && u.State.Valid()
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -8,29 +8,29 @@
 // Metrics are counts since the start. Received and Sent count packets, Bytes the bytes of those that were sent; the rest
 // count packets that were dropped, by reason.
 type Metrics struct {
-	Received uint64
-	Sent     uint64
-	Bytes    uint64
-	Damaged  uint64 // malformed, too long or cut off
-	Foreign  uint64 // of another format version or cluster, or of a process that is not the member of its name
-	Forged   uint64 // signed with an unknown key, or altered
-	Replayed uint64 // received before, or too old to tell
-	Flooded  uint64 // their source exceeded its rate
-	Full     uint64 // a queue, or the limit on outgoing streams, was exhausted
+	Received        uint64
+	Sent            uint64
+	BytesSent       uint64
+	Malformed       uint64 // malformed, too long or cut off
+	Foreign         uint64 // of another format version or cluster, or of a process that is not the member of its name
+	Unauthenticated uint64 // signed with an unknown key, or altered
+	Replayed        uint64 // received before, or too old to tell
+	RateLimited     uint64 // their source exceeded its rate
+	QueueFull       uint64 // a queue, or the limit on outgoing streams, was exhausted
 }
 
 // Metrics returns the counts. Each is exact; together they are no snapshot of one instant.
 func (t *Transport) Metrics() Metrics {
 	return Metrics{
-		Received: t.received.Load(),
-		Sent:     t.sent.Load(),
-		Bytes:    t.bytesSent.Load(),
-		Damaged:  t.dropped.malformed.Load(),
-		Foreign:  t.dropped.foreign.Load(),
-		Forged:   t.dropped.unauthenticated.Load(),
-		Replayed: t.dropped.replayed.Load(),
-		Flooded:  t.dropped.rateLimited.Load(),
-		Full:     t.dropped.queueFull.Load(),
+		Received:        t.received.Load(),
+		Sent:            t.sent.Load(),
+		BytesSent:       t.bytesSent.Load(),
+		Malformed:       t.dropped.malformed.Load(),
+		Foreign:         t.dropped.foreign.Load(),
+		Unauthenticated: t.dropped.unauthenticated.Load(),
+		Replayed:        t.dropped.replayed.Load(),
+		RateLimited:     t.dropped.rateLimited.Load(),
+		QueueFull:       t.dropped.queueFull.Load(),
 	}
 }
 
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -16,14 +16,14 @@
 	Keys      Keys             // without one, Listen must be a loopback address
 	Join      []netip.AddrPort // contacted for as long as no other member is known
 	Voters    []string         // names of the voters; see swim.Options
-	Times     swim.Options     // only ProbeEvery, ProbeTimeout and Suspicion are used
+	Timing    swim.Options     // only ProbeEvery, ProbeTimeout and Suspicion are used
 	Log       *slog.Logger
 }
 
 // swimOptions returns what the failure detector of this process is configured with.
 func (t *Transport) swimOptions(options *Options) swim.Options {
-	o := options.Times
-	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Run: t.runID}
+	o := options.Timing
+	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Generation: t.runID}
 	o.Join, o.Voters, o.Seed = options.Join, options.Voters, t.runID
 	return o
 }
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -130,11 +130,11 @@
 	if o.loggedChanges++; o.loggedChanges > maxChangeLogLines {
 		return
 	}
-	was := c.Was.String()
-	if c.New {
+	was := c.From.String()
+	if c.IsNew {
 		was = "unknown"
 	}
-	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", was, "to", c.Is.String(),
+	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", was, "to", c.To.String(),
 		"incarnation", c.Incarnation)
 }
 
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -128,7 +128,7 @@
 // Reconfigure replaces Keys, Join, Voters and Times. The other options stay as they were given to Start.
 func (t *Transport) Reconfigure(options Options) {
 	next := *t.options.Load()
-	next.Keys, next.Join, next.Voters, next.Times = options.Keys, options.Join, options.Voters, options.Times
+	next.Keys, next.Join, next.Voters, next.Timing = options.Keys, options.Join, options.Voters, options.Timing
 	t.options.Store(&next)
 	t.callOwner(func(now time.Duration, node *swim.Node) { node.Reconfigure(now, t.swimOptions(&next)) })
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -26,7 +26,7 @@
 		Listen:  netip.MustParseAddrPort("127.0.0.1:0"),
 		Keys:    Keys{newKey(secret)},
 		Join:    join,
-		Times:   swim.Options{ProbeEvery: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, Suspicion: 200 * time.Millisecond},
+		Timing:  swim.Options{ProbeInterval: 100 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, SuspicionTimeout: 200 * time.Millisecond},
 		Log:     slog.New(slog.DiscardHandler),
 	}
 }
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -18,10 +18,10 @@
 	Group             string        `toml:"group"`  // which endpoints recognize each other's keys: "all", "zone" or "cell"
 
 	// aim in the file: the latency objective.
-	Aim time.Duration `toml:"aim"`
+	LatencyObjective time.Duration `toml:"aim"`
 	// deadline and deadline_most in the file: of a request that names none, and the longest that one may name.
-	Deadline     time.Duration `toml:"deadline"`
-	DeadlineMost time.Duration `toml:"deadline_most"`
+	Deadline    time.Duration `toml:"deadline"`
+	MaxDeadline time.Duration `toml:"deadline_most"`
 
 	IDHeader       string `toml:"id_header"`
 	KeyHeader      string `toml:"key_header"` // of the idempotency key
@@ -34,10 +34,10 @@
 	Methods         []string `toml:"methods"`          // that are served; none: all
 
 	// flow_most in the file: how long a body may stream, in each direction.
-	FlowMost      time.Duration `toml:"flow_most"`
-	DeadlineScope string        `toml:"deadline_rules"` // "waits" or "all": whether the deadline covers streaming, too
+	MaxStreamDuration time.Duration `toml:"flow_most"`
+	DeadlineScope     string        `toml:"deadline_rules"` // "waits" or "all": whether the deadline covers streaming, too
 
-	NoBody bool // requests must not have a body: the platform's contract, which no file can ask for
+	ForbidsBody bool // requests must not have a body: the platform's contract, which no file can ask for
 }
 
 // Values of id_missing and deadline_missing.
@@ -68,31 +68,31 @@
 	maxStreamDuration = 24 * time.Hour
 )
 
-// Effects has the balancer's effects of a request by their names in a file. It must not be changed.
-var Effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
+// EffectsByName has the balancer's effects of a request by their names in a file. It must not be changed.
+var EffectsByName = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent}
 
 // groups has the balancer's groups of endpoints by their names in a file.
-var groups = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
+var groups = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
 const (
 	effectKeyed = "keyed"
 	groupAll    = "all"
 )
 
-// MustHaveID reports whether a request without an ID is rejected. Otherwise an ID is made for it.
-func (c *Class) MustHaveID() bool { return c.IDMissing == missingReject }
+// RequiresID reports whether a request without an ID is rejected. Otherwise an ID is made for it.
+func (c *Class) RequiresID() bool { return c.IDMissing == missingReject }
 
-// MustHaveDeadline reports whether a request without a deadline is rejected. Otherwise Deadline applies to it.
-func (c *Class) MustHaveDeadline() bool { return c.DeadlineMissing == missingReject }
+// RequiresDeadline reports whether a request without a deadline is rejected. Otherwise Deadline applies to it.
+func (c *Class) RequiresDeadline() bool { return c.DeadlineMissing == missingReject }
 
-// DeadlineAll reports whether the deadline covers bodies that stream, too.
-func (c *Class) DeadlineAll() bool { return c.DeadlineScope == deadlineCoversAll }
+// DeadlineCoversStreaming reports whether the deadline covers bodies that stream, too.
+func (c *Class) DeadlineCoversStreaming() bool { return c.DeadlineScope == deadlineCoversAll }
 
 func (c *Class) applyDefaults(at *tomlfile.File, table string) {
 	setDefault(at, table+".deadline", &c.Deadline, defaultDeadline)
-	setDefault(at, table+".deadline_most", &c.DeadlineMost, max(c.Deadline, defaultMaxDeadline))
-	setDefault(at, table+".aim", &c.Aim, c.Deadline/2)
-	setDefault(at, table+".flow_most", &c.FlowMost, defaultMaxStreamDuration)
+	setDefault(at, table+".deadline_most", &c.MaxDeadline, max(c.Deadline, defaultMaxDeadline))
+	setDefault(at, table+".aim", &c.LatencyObjective, c.Deadline/2)
+	setDefault(at, table+".flow_most", &c.MaxStreamDuration, defaultMaxStreamDuration)
 	setIfEmpty(&c.Group, groupAll)
 	setIfEmpty(&c.IDHeader, defaultIDHeader)
 	setIfEmpty(&c.KeyHeader, defaultKeyHeader)
@@ -118,28 +118,28 @@
 
 // check adds the class's name to those of the classes before it.
 func (c *Class) check(at *tomlfile.File, table string, names uniqueNames) error {
-	_, isEffect := Effects[c.Effect]
+	_, isEffect := EffectsByName[c.Effect]
 	_, isGroup := groups[c.Group]
-	return at.Check(table, []tomlfile.Must{
-		tomlfile.Need("name", names.add(c.Name), "a name of its own"),
-		tomlfile.Need("effect", isEffect, "safe, keyed or unsafe"),
-		tomlfile.Need("window", (c.IdempotencyWindow > 0) == (c.Effect == effectKeyed),
+	return at.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", names.add(c.Name), "a name of its own"),
+		tomlfile.Require("effect", isEffect, "safe, keyed or unsafe"),
+		tomlfile.Require("window", (c.IdempotencyWindow > 0) == (c.Effect == effectKeyed),
 			"over 0 for a keyed class, and only there"),
-		tomlfile.Need("group", isGroup, "all, zone or cell"),
-		tomlfile.Need("deadline", c.Deadline > 0, "over 0"),
-		tomlfile.Need("deadline_most", c.DeadlineMost >= c.Deadline && c.DeadlineMost <= maxDeadline,
+		tomlfile.Require("group", isGroup, "all, zone or cell"),
+		tomlfile.Require("deadline", c.Deadline > 0, "over 0"),
+		tomlfile.Require("deadline_most", c.MaxDeadline >= c.Deadline && c.MaxDeadline <= maxDeadline,
 			"the deadline at least, and 1h at most"),
-		tomlfile.Need("flow_most", c.FlowMost > 0 && c.FlowMost <= maxStreamDuration, "over 0, and 24h at most"),
-		tomlfile.Need("deadline_rules", c.DeadlineScope == deadlineCoversWaits || c.DeadlineScope == deadlineCoversAll,
+		tomlfile.Require("flow_most", c.MaxStreamDuration > 0 && c.MaxStreamDuration <= maxStreamDuration, "over 0, and 24h at most"),
+		tomlfile.Require("deadline_rules", c.DeadlineScope == deadlineCoversWaits || c.DeadlineScope == deadlineCoversAll,
 			`"waits" or "all"`),
-		tomlfile.Need("aim", c.Aim > 0 && c.Aim <= c.DeadlineMost, "over 0, and deadline_most at most"),
-		tomlfile.Need("id_header", isHeaderName(c.IDHeader), "the name of a header"),
-		tomlfile.Need("key_header", isHeaderName(c.KeyHeader), "the name of a header"),
-		tomlfile.Need("tenant_header", isHeaderName(c.TenantHeader), "the name of a header"),
-		tomlfile.Need("deadline_header", isHeaderName(c.DeadlineHeader), "the name of a header"),
-		tomlfile.Need("retry_header", c.RetryHeader == "" || isHeaderName(c.RetryHeader), "the name of a header"),
-		tomlfile.Need("id_missing", c.IDMissing == missingMake || c.IDMissing == missingReject, `"make" or "refuse"`),
-		tomlfile.Need("deadline_missing", c.DeadlineMissing == missingFill || c.DeadlineMissing == missingReject,
+		tomlfile.Require("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.MaxDeadline, "over 0, and deadline_most at most"),
+		tomlfile.Require("id_header", isHeaderName(c.IDHeader), "the name of a header"),
+		tomlfile.Require("key_header", isHeaderName(c.KeyHeader), "the name of a header"),
+		tomlfile.Require("tenant_header", isHeaderName(c.TenantHeader), "the name of a header"),
+		tomlfile.Require("deadline_header", isHeaderName(c.DeadlineHeader), "the name of a header"),
+		tomlfile.Require("retry_header", c.RetryHeader == "" || isHeaderName(c.RetryHeader), "the name of a header"),
+		tomlfile.Require("id_missing", c.IDMissing == missingMake || c.IDMissing == missingReject, `"make" or "refuse"`),
+		tomlfile.Require("deadline_missing", c.DeadlineMissing == missingFill || c.DeadlineMissing == missingReject,
 			`"fill" or "refuse"`),
 	})
 }
@@ -153,9 +153,9 @@
 func (f *File) checkTenants(at *tomlfile.File) error {
 	names := uniqueNames{}
 	for i, t := range f.Tenant {
-		if err := at.Check(fmt.Sprintf("tenant[%d]", i), []tomlfile.Must{
-			tomlfile.Need("name", names.add(t.Name), "a name of its own"),
-			tomlfile.Need("quota", t.Quota > 0, "over 0"),
+		if err := at.Check(fmt.Sprintf("tenant[%d]", i), []tomlfile.Requirement{
+			tomlfile.Require("name", names.add(t.Name), "a name of its own"),
+			tomlfile.Require("quota", t.Quota > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -53,23 +53,23 @@
 )
 
 func (f *File) applyClusterDefaults(at *tomlfile.File) {
-	c := f.Fleet
+	c := f.Cluster
 	if c == nil {
 		return
 	}
 	f.dividesByMembership = !at.Has("daemon.daemons") && !at.Has("daemon.index")
 	setIfEmpty(&c.Name, f.Daemon.Name)
 	setIfEmpty(&c.ClusterName, defaultClusterName)
-	setDefault(at, "fleet.probe_every", &c.ProbeInterval, swim.DefaultProbeEvery)
+	setDefault(at, "fleet.probe_every", &c.ProbeInterval, swim.DefaultProbeInterval)
 	setDefault(at, "fleet.probe_timeout", &c.ProbeTimeout, swim.DefaultProbeTimeout)
-	setDefault(at, "fleet.suspicion", &c.SuspicionTimeout, swim.DefaultSuspicion)
+	setDefault(at, "fleet.suspicion", &c.SuspicionTimeout, swim.DefaultSuspicionTimeout)
 	setDefault(at, "fleet.conflict_within", &c.MaxConflict, defaultMaxConflict)
 	setDefault(at, "fleet.lease", &c.LeaseDuration, max(defaultLeaseDuration, c.MaxConflict))
 	setDefault(at, "fleet.clock_drift", &c.MaxClockDrift, defaultMaxClockDrift)
 }
 
 func (f *File) checkCluster(at *tomlfile.File) error {
-	c := f.Fleet
+	c := f.Cluster
 	if c == nil {
 		return nil
 	}
@@ -80,14 +80,14 @@
 	listen, listenErr := netip.ParseAddrPort(c.Listen)
 	advertise, advertiseErr := netip.ParseAddrPort(c.Advertise)
 	isReachable := advertiseErr == nil && advertise.Port() > 0 && !advertise.Addr().IsUnspecified()
-	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("name", swim.IsValidName(c.Name), clusterNameForm),
-		tomlfile.Need("cluster", swim.IsValidName(c.ClusterName), clusterNameForm),
-		tomlfile.Need("listen", listenErr == nil, "an IP address and a port"),
-		tomlfile.Need("listen", listen.Addr().IsLoopback() || c.KeyFile != "", "a loopback address where key_file is not given"),
-		tomlfile.Need("advertise", c.Advertise == "" || isReachable, "an IP address and a port that others can send to"),
-		tomlfile.Need("advertise", c.Advertise != "" || !listen.Addr().IsUnspecified(), "given where listen is for all addresses"),
-		tomlfile.Need("join", len(c.Join) <= maxJoinAddresses && allMatch(c.Join, isAddrPort),
+	return at.Check("fleet", []tomlfile.Requirement{
+		tomlfile.Require("name", swim.IsValidName(c.Name), clusterNameForm),
+		tomlfile.Require("cluster", swim.IsValidName(c.ClusterName), clusterNameForm),
+		tomlfile.Require("listen", listenErr == nil, "an IP address and a port"),
+		tomlfile.Require("listen", listen.Addr().IsLoopback() || c.KeyFile != "", "a loopback address where key_file is not given"),
+		tomlfile.Require("advertise", c.Advertise == "" || isReachable, "an IP address and a port that others can send to"),
+		tomlfile.Require("advertise", c.Advertise != "" || !listen.Addr().IsUnspecified(), "given where listen is for all addresses"),
+		tomlfile.Require("join", len(c.Join) <= maxJoinAddresses && allMatch(c.Join, isAddrPort),
 			fmt.Sprintf("%d IP addresses with ports at most", maxJoinAddresses)),
 	})
 }
@@ -96,41 +96,41 @@
 	names := uniqueNames{}
 	isOddOrNone := len(c.Voters) == 0 || len(c.Voters)%2 == 1
 	isNewName := func(name string) bool { return swim.IsValidName(name) && names.add(name) }
-	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("voters", len(c.Voters) <= maxVoters && isOddOrNone,
+	return at.Check("fleet", []tomlfile.Requirement{
+		tomlfile.Require("voters", len(c.Voters) <= maxVoters && isOddOrNone,
 			fmt.Sprintf("an odd number of names, %d at most, or none", maxVoters)),
-		tomlfile.Need("voters", allMatch(c.Voters, isNewName), "names, each once"),
+		tomlfile.Require("voters", allMatch(c.Voters, isNewName), "names, each once"),
 	})
 }
 
 func (c *Cluster) checkProbes(at *tomlfile.File) error {
-	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("probe_every", c.ProbeInterval >= minProbeInterval && c.ProbeInterval <= maxProbeInterval,
+	return at.Check("fleet", []tomlfile.Requirement{
+		tomlfile.Require("probe_every", c.ProbeInterval >= minProbeInterval && c.ProbeInterval <= maxProbeInterval,
 			fmt.Sprintf("from %v to %v", minProbeInterval, maxProbeInterval)),
-		tomlfile.Need("probe_timeout", c.ProbeTimeout >= minProbeTimeout && c.ProbeTimeout <= c.ProbeInterval/2,
+		tomlfile.Require("probe_timeout", c.ProbeTimeout >= minProbeTimeout && c.ProbeTimeout <= c.ProbeInterval/2,
 			fmt.Sprintf("from %v to half of probe_every", minProbeTimeout)),
 	})
 }
 
 func (c *Cluster) checkConsensus(at *tomlfile.File) error {
 	isVoter := slices.Contains(c.Voters, c.Name)
-	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("agreed", !c.ConsensusEnabled || len(c.Voters) > 0, "false where no voters are named"),
-		tomlfile.Need("data_dir", c.DataDir == "" || c.ConsensusEnabled, "left out where nothing is agreed on"),
-		tomlfile.Need("data_dir", c.DataDir != "" || !c.ConsensusEnabled || !isVoter,
+	return at.Check("fleet", []tomlfile.Requirement{
+		tomlfile.Require("agreed", !c.ConsensusEnabled || len(c.Voters) > 0, "false where no voters are named"),
+		tomlfile.Require("data_dir", c.DataDir == "" || c.ConsensusEnabled, "left out where nothing is agreed on"),
+		tomlfile.Require("data_dir", c.DataDir != "" || !c.ConsensusEnabled || !isVoter,
 			"given for a voter where settings are agreed on"),
-		tomlfile.Need("conflict_within", c.MaxConflict >= minMaxConflict && c.MaxConflict <= maxLeaseDuration,
+		tomlfile.Require("conflict_within", c.MaxConflict >= minMaxConflict && c.MaxConflict <= maxLeaseDuration,
 			fmt.Sprintf("from %v to %v", minMaxConflict, maxLeaseDuration)),
-		tomlfile.Need("lease", c.LeaseDuration >= c.MaxConflict && c.LeaseDuration <= maxLeaseDuration,
+		tomlfile.Require("lease", c.LeaseDuration >= c.MaxConflict && c.LeaseDuration <= maxLeaseDuration,
 			fmt.Sprintf("from conflict_within to %v", maxLeaseDuration)),
-		tomlfile.Need("clock_drift", c.MaxClockDrift >= 0 && c.MaxClockDrift <= maxClockDriftLimit,
+		tomlfile.Require("clock_drift", c.MaxClockDrift >= 0 && c.MaxClockDrift <= maxClockDriftLimit,
 			fmt.Sprintf("from 0 to %v", maxClockDriftLimit)),
 	})
 }
 
 func (c *Cluster) checkSuspicion(at *tomlfile.File) error {
-	return at.Check("fleet", []tomlfile.Must{
-		tomlfile.Need("suspicion", c.SuspicionTimeout >= c.ProbeInterval && c.SuspicionTimeout <= maxSuspicionTimeout,
+	return at.Check("fleet", []tomlfile.Requirement{
+		tomlfile.Require("suspicion", c.SuspicionTimeout >= c.ProbeInterval && c.SuspicionTimeout <= maxSuspicionTimeout,
 			fmt.Sprintf("from probe_every to %v", maxSuspicionTimeout)),
 	})
 }
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -42,16 +42,16 @@
 
 func (f *File) checkDaemon(at *tomlfile.File) error {
 	d := f.Daemon
-	return at.Check("daemon", []tomlfile.Must{
-		tomlfile.Need("name", isHeaderName(d.Name), "letters, digits and dashes"),
-		tomlfile.Need("daemons", d.Count >= 1 && d.Count <= maxDaemons, "from 1 to 100000"),
-		tomlfile.Need("index", d.Index >= 0 && d.Index < d.Count, "from 0, and under daemons"),
-		tomlfile.Need("cores", d.Cores >= 0, "0 or more"),
-		tomlfile.Need("body_memory_mb", d.BodyMemoryMB >= 1 && d.BodyMemoryMB <= maxBodyMemoryMB,
+	return at.Check("daemon", []tomlfile.Requirement{
+		tomlfile.Require("name", isHeaderName(d.Name), "letters, digits and dashes"),
+		tomlfile.Require("daemons", d.Count >= 1 && d.Count <= maxDaemons, "from 1 to 100000"),
+		tomlfile.Require("index", d.Index >= 0 && d.Index < d.Count, "from 0, and under daemons"),
+		tomlfile.Require("cores", d.Cores >= 0, "0 or more"),
+		tomlfile.Require("body_memory_mb", d.BodyMemoryMB >= 1 && d.BodyMemoryMB <= maxBodyMemoryMB,
 			fmt.Sprintf("from 1 to %d", maxBodyMemoryMB)),
-		tomlfile.Need("drain_timeout", d.DrainTimeout >= 0 && d.DrainTimeout <= maxDrainTimeout, "from 0s to 1h"),
-		tomlfile.Need("admin_addr", d.AdminAddr == "" || isAddress(d.AdminAddr), "host:port"),
-		tomlfile.Need("memory_mb", d.MemoryMB == 0 || d.MemoryMB >= minMemoryMB,
+		tomlfile.Require("drain_timeout", d.DrainTimeout >= 0 && d.DrainTimeout <= maxDrainTimeout, "from 0s to 1h"),
+		tomlfile.Require("admin_addr", d.AdminAddr == "" || isAddress(d.AdminAddr), "host:port"),
+		tomlfile.Require("memory_mb", d.MemoryMB == 0 || d.MemoryMB >= minMemoryMB,
 			fmt.Sprintf("0 (no limit) or %d at least", minMemoryMB)),
 	})
 }
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -14,12 +14,12 @@
 
 // Names of the documents that daemons agree on through consensus.
 const (
-	// SharedDoc is the name of the part of an operators' file that is the same on all daemons, as TOML.
-	SharedDoc = "shared"
+	// SharedDocument is the name of the part of an operators' file that is the same on all daemons, as TOML.
+	SharedDocument = "shared"
 	// MembersPrefix precedes a pool's name: the list of a pool with members = "agreed", in the form of a members file.
 	MembersPrefix = "members/"
-	// OutPrefix precedes an endpoint's ID: the endpoint is manually ejected. The body is empty.
-	OutPrefix = "out/"
+	// EjectionPrefix precedes an endpoint's ID: the endpoint is manually ejected. The body is empty.
+	EjectionPrefix = "out/"
 	// FlagPrefix precedes a name: a value of one line, without a meaning to the daemon.
 	FlagPrefix = "flag/"
 )
@@ -60,7 +60,7 @@
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
 		return err
 	}
-	if len(f.Listener) == 0 && f.Fleet == nil {
+	if len(f.Listener) == 0 && f.Cluster == nil {
 		return nil
 	}
 	// The text is for daemons with consensus, even if the daemon whose sections these are has none.
@@ -91,14 +91,14 @@
 
 func (f *File) checkShared(at *tomlfile.File) error {
 	behavior := f.Shared.OnIndeterminate
-	return at.Check("shared", []tomlfile.Must{
-		tomlfile.Need("unsure", behavior == keepServing || behavior == rejectRequests, `"keep" or "refuse"`),
+	return at.Check("shared", []tomlfile.Requirement{
+		tomlfile.Require("unsure", behavior == keepServing || behavior == rejectRequests, `"keep" or "refuse"`),
 	})
 }
 
 // checkNeedsConsensus rejects what only a cluster with consensus can do, where the file configures none.
 func (f *File) checkNeedsConsensus(at *tomlfile.File) error {
-	if f.Fleet != nil && f.Fleet.ConsensusEnabled {
+	if f.Cluster != nil && f.Cluster.ConsensusEnabled {
 		return nil
 	}
 	if f.Shared.OnIndeterminate == rejectRequests {
@@ -117,13 +117,13 @@
 // can't act on the documents.
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	out := *f
-	if text, ok := docs[SharedDoc]; ok {
-		shared, err := parseShared(SharedDoc, text)
+	if text, ok := docs[SharedDocument]; ok {
+		shared, err := parseShared(SharedDocument, text)
 		if err != nil {
 			return nil, err
 		}
 		out = *shared
-		out.Daemon, out.Fleet, out.Listener, out.dividesByMembership = f.Daemon, f.Fleet, f.Listener, f.dividesByMembership
+		out.Daemon, out.Cluster, out.Listener, out.dividesByMembership = f.Daemon, f.Cluster, f.Listener, f.dividesByMembership
 	}
 	out.agreedMembers = map[string][]Member{}
 	for name, body := range docs {
@@ -145,7 +145,7 @@
 // does and, where there is a shared document, that the files of members which its pools read exist on this machine.
 func (f *File) CheckDocuments(docs map[string][]byte) error {
 	with, err := f.WithDocuments(docs)
-	if err != nil || docs[SharedDoc] == nil {
+	if err != nil || docs[SharedDocument] == nil {
 		return err
 	}
 	for i, p := range with.Pool {
@@ -153,7 +153,7 @@
 			continue
 		}
 		if _, err := os.Stat(p.File); err != nil {
-			return fmt.Errorf("%s: pool[%d].file: %w", SharedDoc, i, err)
+			return fmt.Errorf("%s: pool[%d].file: %w", SharedDocument, i, err)
 		}
 	}
 	return nil
@@ -187,13 +187,13 @@
 }
 
 func isKnownDocument(name string, body []byte) bool {
-	if name == SharedDoc {
+	if name == SharedDocument {
 		return true
 	}
 	if pool, ok := strings.CutPrefix(name, MembersPrefix); ok {
 		return pool != ""
 	}
-	if endpoint, ok := strings.CutPrefix(name, OutPrefix); ok {
+	if endpoint, ok := strings.CutPrefix(name, EjectionPrefix); ok {
 		return endpoint != "" && len(body) == 0
 	}
 	flag, ok := strings.CutPrefix(name, FlagPrefix)
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -58,21 +58,21 @@
 	}
 	fixedMembers := replaceOnce(t, sharedPart, `members = "agreed"`, `member = [{ address = "127.0.0.1:9" }]`)
 	own := parseFile(t, replaceOnce(t, ownPart, ":2", ":22")+fixedMembers)
-	if s := own.Service(); !s.Refuses || len(s.Pools[0].Source.Members) != 1 {
+	if s := own.Service(); !s.RejectsWhenIndeterminate || len(s.Pools[0].Source.Members) != 1 {
 		t.Errorf("the file by itself: %+v", s)
 	}
-	with, err := own.WithDocuments(map[string][]byte{SharedDoc: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
+	with, err := own.WithDocuments(map[string][]byte{SharedDocument: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := with.Service()
-	if s.Listeners[0].Address != "127.0.0.1:22" || s.Admin != "127.0.0.1:1" || s.Fleet == nil {
+	if s.Listeners[0].Address != "127.0.0.1:22" || s.AdminAddress != "127.0.0.1:1" || s.Cluster == nil {
 		t.Errorf("the daemon's own sections: %+v", s)
 	}
-	if source := s.Pools[0].Source; len(source.Members) != 1 || source.Members[0].State != "draining" || source.Hold != 0 {
+	if source := s.Pools[0].Source; len(source.Members) != 1 || source.Members[0].State != "draining" || source.HoldLastGood != 0 {
 		t.Errorf("the agreed list: %+v", source)
 	}
-	if without, err := own.WithDocuments(map[string][]byte{SharedDoc: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
+	if without, err := own.WithDocuments(map[string][]byte{SharedDocument: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
 		t.Errorf("without an agreed list: %v", err)
 	}
 	if unchanged, err := own.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
@@ -94,7 +94,7 @@
 		"malformed TOML":          {"format = 1\n[", "shared:2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte(c.text)})
+			err := own.CheckDocuments(map[string][]byte{SharedDocument: []byte(c.text)})
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
@@ -113,7 +113,7 @@
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := own.CheckDocuments(map[string][]byte{SharedDoc: []byte("format = 1\n" + withMembersFile(t, path))}); err != nil {
+	if err := own.CheckDocuments(map[string][]byte{SharedDocument: []byte("format = 1\n" + withMembersFile(t, path))}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -19,7 +19,7 @@
 type File struct {
 	Format   int        `toml:"format"` // 1
 	Daemon   Daemon     `toml:"daemon"`
-	Fleet    *Cluster   `toml:"fleet"` // nil: this daemon is not part of a cluster
+	Cluster  *Cluster   `toml:"fleet"` // nil: this daemon is not part of a cluster
 	Listener []Listener `toml:"listener"`
 	Class    []Class    `toml:"class"`
 	Tenant   []Tenant   `toml:"tenant"`
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -18,11 +18,11 @@
 // Service converts the file. The result refers to the file, and shares its slices and classes.
 func (f *File) Service() Service {
 	s := Service{
-		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Fleet: f.clusterSpec(),
-		Admin: f.Daemon.AdminAddr, Operators: f.operatorConnections(),
-		Limits:     Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB},
-		Refuses:    f.Shared.OnIndeterminate == rejectRequests,
-		BodyMemory: f.Daemon.BodyMemoryMB << 20, Drain: f.Daemon.DrainTimeout, Grace: terminationGrace(0),
+		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Cluster: f.clusterSpec(),
+		AdminAddress: f.Daemon.AdminAddr, OperatorConnections: f.operatorConnections(),
+		Limits:                   Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB},
+		RejectsWhenIndeterminate: f.Shared.OnIndeterminate == rejectRequests,
+		BodyMemory:               f.Daemon.BodyMemoryMB << 20, DrainTimeout: f.Daemon.DrainTimeout, TerminationGrace: terminationGrace(0),
 	}
 	classes := map[string]*Class{}
 	for i := range f.Class {
@@ -30,8 +30,8 @@
 	}
 	classesByPool := map[string][]string{}
 	for _, r := range f.Route {
-		s.Targets = append(s.Targets, Target{Pool: r.Pool, Tenant: r.Tenant, Class: classes[r.Class], Prefix: r.PathPrefix,
-			Replace: r.ReplacePrefix, Set: r.SetHeader, Remove: r.RemoveHeaders})
+		s.Targets = append(s.Targets, Target{Pool: r.Pool, Tenant: r.Tenant, Class: classes[r.Class], PathPrefix: r.PathPrefix,
+			ReplacePrefix: r.ReplacePrefix, SetHeaders: r.SetHeader, RemoveHeaders: r.RemoveHeaders})
 		if !slices.Contains(classesByPool[r.Pool], r.Class) {
 			classesByPool[r.Pool] = append(classesByPool[r.Pool], r.Class)
 		}
@@ -53,22 +53,22 @@
 func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
 	return PoolSpec{
 		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
-		Connections: p.Connections, Dial: p.DialTimeout, Idle: p.IdleTimeout, Spread: true,
-		LastByte: p.StartAt == startAtLastByte, AnswerBytes: p.MaxResponseBytes,
-		Flow: body.Pace{Idle: p.StreamIdleTimeout, Rate: p.MinStreamRate}, Whole: p.StreamIdleTimeout,
+		Connections: p.Connections, DialTimeout: p.DialTimeout, IdleTimeout: p.IdleTimeout, DialsRatherThanWaits: true,
+		StartsAtLastByte: p.StartAt == startAtLastByte, MaxResponseBytes: p.MaxResponseBytes,
+		StreamPace: body.MinimumRate{IdleTimeout: p.StreamIdleTimeout, BytesPerSecond: p.MinStreamRate}, BufferedResponseTimeout: p.StreamIdleTimeout,
 	}
 }
 
 func (f *File) balanceSettings(p *Pool, classes []string) balance.Settings {
 	settings := balance.Settings{
 		Seed: f.Daemon.Seed, Balancers: f.Daemon.Count, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
-		MaxAttempts: p.Attempts, MayCancel: true, MaxRetryAfter: p.MaxRetryAfter, Resolution: timerResolution,
-		ColdFrom: p.SlowStartMinWeight, ColdFor: p.SlowStartWindow,
+		MaxAttempts: p.Attempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: timerResolution,
+		SlowStartCapacity: p.SlowStartMinWeight, SlowStartDuration: p.SlowStartWindow,
 	}
 	for _, c := range f.Class {
 		if slices.Contains(classes, c.Name) {
-			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Effect: Effects[c.Effect],
-				Group: groups[c.Group], Window: c.IdempotencyWindow, Aim: c.Aim})
+			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Idempotency: EffectsByName[c.Effect],
+				DedupScope: groups[c.Group], DedupWindow: c.IdempotencyWindow, LatencyObjective: c.LatencyObjective})
 		}
 	}
 	for _, t := range f.Tenant {
@@ -81,5 +81,5 @@
 	if p.Members == membersAgreed { // consensus has confirmed the list: it is neither held nor damped
 		return SourceSpec{Members: f.agreedMembers[p.Name]}
 	}
-	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, Hold: p.HoldLastGood, Damp: p.FlapDamping}
+	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, HoldLastGood: p.HoldLastGood, FlapDamping: p.FlapDamping}
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := f.Class[0]; c.Deadline != 3*time.Second || c.Aim != 1500*time.Millisecond || c.DeadlineMost != time.Minute || c.IDHeader != "Req-Id" || c.Group != "all" {
+	if c := f.Class[0]; c.Deadline != 3*time.Second || c.LatencyObjective != 1500*time.Millisecond || c.MaxDeadline != time.Minute || c.IDHeader != "Req-Id" || c.Group != "all" {
 		t.Errorf("defaults of a class: %+v", c)
 	}
 	if p := f.Pool[0]; p.Attempts != 4 || p.SlowStartMinWeight != 0.3 || p.Member[0].ID != "127.0.0.1:9001" || p.Member[1].ID != "two" {
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -25,12 +25,12 @@
 
 	// flow_idle and flow_rate in the file: the longest wait for the client's next byte while a body streams, and the
 	// bytes a second that the client must keep up (0: no minimum).
-	FlowIdle time.Duration `toml:"flow_idle"`
-	FlowRate int64         `toml:"flow_rate"`
+	StreamIdleTimeout time.Duration `toml:"flow_idle"`
+	MinStreamRate     int64         `toml:"flow_rate"`
 
 	Descriptor int `toml:"-"` // of a listening socket inherited from the platform; 0: the socket is opened
 
-	Raw bool // targets are matched and forwarded unnormalized: the platform's contract, which no file can ask for
+	RawTargets bool // targets are matched and forwarded unnormalized: the platform's contract, which no file can ask for
 }
 
 // Bounds and defaults of a listener. Times and sizes are those that the daemon was measured with on the platform.
@@ -82,8 +82,8 @@
 	setDefault(at, table+".body_timeout", &l.BodyTimeout, fallback.BodyTimeout)
 	setDefault(at, table+".idle_timeout", &l.IdleTimeout, fallback.IdleTimeout)
 	setDefault(at, table+".write_timeout", &l.WriteTimeout, fallback.WriteTimeout)
-	setDefault(at, table+".flow_idle", &l.FlowIdle, defaultStreamIdleTimeout)
-	setDefault(at, table+".flow_rate", &l.FlowRate, defaultMinStreamRate)
+	setDefault(at, table+".flow_idle", &l.StreamIdleTimeout, defaultStreamIdleTimeout)
+	setDefault(at, table+".flow_rate", &l.MinStreamRate, defaultMinStreamRate)
 	setIfEmpty(&l.Forwarded, fallback.Forwarded)
 	setIfEmpty(&l.RetryAfter, fallback.RetryAfter)
 }
@@ -106,21 +106,21 @@
 func (l *Listener) check(at *tomlfile.File, table string, names, addresses uniqueNames) error {
 	forms := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
 	isOwnAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
-	return at.Check(table, []tomlfile.Must{
-		tomlfile.Need("name", names.add(l.Name), "a name of its own"),
-		tomlfile.Need("address", isAddress(l.Address), "host:port"),
-		tomlfile.Need("address", isOwnAddress, "an address of its own"),
-		tomlfile.Need("connections", l.Connections >= 1 && l.Connections <= maxConnections, "from 1 to 1000000"),
-		tomlfile.Need("head_bytes", l.HeadBytes >= minHeadBytes && l.HeadBytes <= maxHeadBytes, "from 1024 to 1048576"),
-		tomlfile.Need("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
-		tomlfile.Need("head_timeout", l.HeadTimeout > 0, "over 0"),
-		tomlfile.Need("body_timeout", l.BodyTimeout > 0, "over 0"),
-		tomlfile.Need("idle_timeout", l.IdleTimeout > 0, "over 0"),
-		tomlfile.Need("write_timeout", l.WriteTimeout > 0, "over 0"),
-		tomlfile.Need("flow_idle", l.FlowIdle > 0, "over 0"),
-		tomlfile.Need("flow_rate", l.FlowRate >= 0, "0 or more"),
-		tomlfile.Need("forwarded", slices.Contains(forms, l.Forwarded), `"set", "append", "drop" or "leave"`),
-		tomlfile.Need("retry_after", l.RetryAfter == retryAfterSeconds || l.RetryAfter == retryAfterFraction,
+	return at.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", names.add(l.Name), "a name of its own"),
+		tomlfile.Require("address", isAddress(l.Address), "host:port"),
+		tomlfile.Require("address", isOwnAddress, "an address of its own"),
+		tomlfile.Require("connections", l.Connections >= 1 && l.Connections <= maxConnections, "from 1 to 1000000"),
+		tomlfile.Require("head_bytes", l.HeadBytes >= minHeadBytes && l.HeadBytes <= maxHeadBytes, "from 1024 to 1048576"),
+		tomlfile.Require("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
+		tomlfile.Require("head_timeout", l.HeadTimeout > 0, "over 0"),
+		tomlfile.Require("body_timeout", l.BodyTimeout > 0, "over 0"),
+		tomlfile.Require("idle_timeout", l.IdleTimeout > 0, "over 0"),
+		tomlfile.Require("write_timeout", l.WriteTimeout > 0, "over 0"),
+		tomlfile.Require("flow_idle", l.StreamIdleTimeout > 0, "over 0"),
+		tomlfile.Require("flow_rate", l.MinStreamRate >= 0, "0 or more"),
+		tomlfile.Require("forwarded", slices.Contains(forms, l.Forwarded), `"set", "append", "drop" or "leave"`),
+		tomlfile.Require("retry_after", l.RetryAfter == retryAfterSeconds || l.RetryAfter == retryAfterFraction,
 			`"seconds" or "fraction"`),
 	})
 }
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -37,7 +37,7 @@
 // Service converts the platform's configuration: one listener, one pool, and two routes for each class.
 func (c Config) Service() (Service, error) {
 	settings := c.Settings.Settings
-	settings.MayProbe = false // the platform rules out health checks of endpoints
+	settings.CanProbe = false // the platform rules out health checks of endpoints
 	rules, targets := platformRoutes(settings.Classes)
 	table, err := route.New(rules)
 	if err != nil {
@@ -45,15 +45,15 @@
 	}
 	s := Service{
 		Name: c.Name, Limits: c.Limits, Table: table, Targets: targets,
-		Admin: c.AdminAddress, Operators: c.operatorConnections(),
+		AdminAddress: c.AdminAddress, OperatorConnections: c.operatorConnections(),
 	}
-	s.Grace = terminationGrace(c.Settings.Longest)
-	s.Drain = s.Grace - cutOffNotice
+	s.TerminationGrace = terminationGrace(c.Settings.LongestClientWait)
+	s.DrainTimeout = s.TerminationGrace - cutOffNotice
 	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryFraction
-	connections := s.Connections(c.Limits.Sockets)
+	connections := s.ConnectionsWithin(c.Limits.Sockets)
 	listener, pool := c.platformListener(connections), c.platformPool(connections, settings)
 	if c.ListenDescriptor > 0 { // other processes may have the same socket
-		listener.Descriptor, pool.Source.Anew, s.Shared = c.ListenDescriptor, true, c.SharedDir
+		listener.Descriptor, pool.Source.RequestsFullList, s.SharedDir = c.ListenDescriptor, true, c.SharedDir
 	}
 	s.Listeners, s.Pools = []Listener{listener}, []PoolSpec{pool}
 	return s, nil
@@ -68,18 +68,18 @@
 
 func (c Config) platformListener(connections int) Listener {
 	l := defaultListener()
-	l.Name, l.Address, l.Connections, l.Raw = platformName, c.Listen, connections, true
+	l.Name, l.Address, l.Connections, l.RawTargets = platformName, c.Listen, connections, true
 	l.Forwarded, l.RetryAfter = forwardedLeave, retryAfterFraction
 	l.HeadTimeout, l.BodyTimeout, l.BodyBytes = platformHeadTimeout, platformBodyTimeout, platformBodyBytes
-	l.FlowIdle, l.FlowRate = platformStreamIdleTimeout, platformMinStreamRate
+	l.StreamIdleTimeout, l.MinStreamRate = platformStreamIdleTimeout, platformMinStreamRate
 	return l
 }
 
 func (c Config) platformPool(connections int, settings balance.Settings) PoolSpec {
 	return PoolSpec{
-		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, Known: c.LastUpdate},
-		Connections: connections, Dial: c.Settings.DialTimeout, Idle: c.Settings.ConnIdle,
-		LastByte: true, OnlyOK: true, AnswerBytes: platformBodyBytes, Flow: body.Pace{Idle: platformStreamIdleTimeout},
+		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
+		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.ConnIdle,
+		StartsAtLastByte: true, AcceptsOnlyOK: true, MaxResponseBytes: platformBodyBytes, StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
 }
 
@@ -100,20 +100,20 @@
 
 func platformClass(c balance.Class) *Class {
 	class := &Class{
-		Name: c.Name, Effect: effectName(c.Effect), Methods: []string{"POST"},
+		Name: c.Name, Effect: effectName(c.Idempotency), Methods: []string{"POST"},
 		IDHeader: defaultIDHeader, KeyHeader: defaultKeyHeader, TenantHeader: defaultTenantHeader,
 		DeadlineHeader: defaultDeadlineHeader, RetryHeader: "Req-Retry",
-		IDMissing: missingReject, DeadlineMissing: missingReject, DeadlineMost: maxDeadline, FlowMost: platformStreamDuration,
+		IDMissing: missingReject, DeadlineMissing: missingReject, MaxDeadline: maxDeadline, MaxStreamDuration: platformStreamDuration,
 	}
-	if c.Effect == balance.Safe {
-		class.Methods, class.NoBody = []string{"GET"}, true
+	if c.Idempotency == balance.Idempotent {
+		class.Methods, class.ForbidsBody = []string{"GET"}, true
 	}
 	return class
 }
 
 // effectName returns the name that an effect has in a file; "" for an unknown one.
-func effectName(effect balance.Effect) string {
-	for name, e := range Effects {
+func effectName(effect balance.Idempotency) string {
+	for name, e := range EffectsByName {
 		if e == effect {
 			return name
 		}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -48,12 +48,12 @@
 
 // DNS says which name resolves to a pool's endpoints.
 type DNS struct {
-	Name     string        `toml:"name"`
-	Type     string        `toml:"type"`   // "address" (A and AAAA) or "srv"
-	Port     int           `toml:"port"`   // of the endpoints, for "address" only
-	Server   string        `toml:"server"` // host:port; empty: the system's resolvers
-	TTLLeast time.Duration `toml:"ttl_least"`
-	TTLMost  time.Duration `toml:"ttl_most"`
+	Name   string        `toml:"name"`
+	Type   string        `toml:"type"`   // "address" (A and AAAA) or "srv"
+	Port   int           `toml:"port"`   // of the endpoints, for "address" only
+	Server string        `toml:"server"` // host:port; empty: the system's resolvers
+	MinTTL time.Duration `toml:"ttl_least"`
+	MaxTTL time.Duration `toml:"ttl_most"`
 }
 
 // Member is an endpoint in a pool's list.
@@ -124,8 +124,8 @@
 	}
 	if d := p.DNS; d != nil {
 		setIfEmpty(&d.Type, dnsAddress)
-		setDefault(at, table+".dns.ttl_least", &d.TTLLeast, defaultMinTTL)
-		setDefault(at, table+".dns.ttl_most", &d.TTLMost, max(defaultMaxTTL, d.TTLLeast))
+		setDefault(at, table+".dns.ttl_least", &d.MinTTL, defaultMinTTL)
+		setDefault(at, table+".dns.ttl_most", &d.MaxTTL, max(defaultMaxTTL, d.MinTTL))
 	}
 }
 
@@ -144,17 +144,17 @@
 
 // check adds the pool's name to those of the pools before it.
 func (p *Pool) check(at *tomlfile.File, table string, names uniqueNames) error {
-	if err := at.Check(table, []tomlfile.Must{
-		tomlfile.Need("name", names.add(p.Name), "a name of its own"),
-		tomlfile.Need("attempts", p.Attempts >= 1 && p.Attempts <= maxAttempts, "from 1 to 100"),
-		tomlfile.Need("cold_from", p.SlowStartMinWeight > 0 && p.SlowStartMinWeight <= 1, "over 0, and 1 at most"),
-		tomlfile.Need("connections", p.Connections >= 1 && p.Connections <= maxConnections, "from 1 to 1000000"),
-		tomlfile.Need("dial_timeout", p.DialTimeout > 0, "over 0"),
-		tomlfile.Need("idle_timeout", p.IdleTimeout > 0, "over 0"),
-		tomlfile.Need("tier", p.Tier >= 0 && p.Tier <= maxTiers, "from 0 to 100"),
-		tomlfile.Need("tiers_below", p.TiersBelow >= 0 && p.TiersBelow <= maxTiers, "from 0 to 100"),
-		tomlfile.Need("member", len(p.Member) <= discovery.MaxMembers, fmt.Sprintf("%d of them at most", discovery.MaxMembers)),
-		tomlfile.Need("agent", p.Agent == "" || isAddress(p.Agent), "host:port"),
+	if err := at.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", names.add(p.Name), "a name of its own"),
+		tomlfile.Require("attempts", p.Attempts >= 1 && p.Attempts <= maxAttempts, "from 1 to 100"),
+		tomlfile.Require("cold_from", p.SlowStartMinWeight > 0 && p.SlowStartMinWeight <= 1, "over 0, and 1 at most"),
+		tomlfile.Require("connections", p.Connections >= 1 && p.Connections <= maxConnections, "from 1 to 1000000"),
+		tomlfile.Require("dial_timeout", p.DialTimeout > 0, "over 0"),
+		tomlfile.Require("idle_timeout", p.IdleTimeout > 0, "over 0"),
+		tomlfile.Require("tier", p.Tier >= 0 && p.Tier <= maxTiers, "from 0 to 100"),
+		tomlfile.Require("tiers_below", p.TiersBelow >= 0 && p.TiersBelow <= maxTiers, "from 0 to 100"),
+		tomlfile.Require("member", len(p.Member) <= discovery.MaxMembers, fmt.Sprintf("%d of them at most", discovery.MaxMembers)),
+		tomlfile.Require("agent", p.Agent == "" || isAddress(p.Agent), "host:port"),
 	}); err != nil {
 		return err
 	}
@@ -186,24 +186,24 @@
 
 func (d *DNS) check(at *tomlfile.File, table string) error {
 	isSRV := d.Type == dnsSRV
-	return at.Check(table, []tomlfile.Must{
-		tomlfile.Need("name", discovery.IsDNSName(d.Name), "a name in DNS"),
-		tomlfile.Need("type", d.Type == dnsAddress || isSRV, `"address" or "srv"`),
-		tomlfile.Need("port", isSRV == (d.Port == 0) && d.Port >= 0 && d.Port < 1<<16,
+	return at.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", discovery.IsDNSName(d.Name), "a name in DNS"),
+		tomlfile.Require("type", d.Type == dnsAddress || isSRV, `"address" or "srv"`),
+		tomlfile.Require("port", isSRV == (d.Port == 0) && d.Port >= 0 && d.Port < 1<<16,
 			`from 1 to 65535 for "address", and left out for "srv"`),
-		tomlfile.Need("server", d.Server == "" || isAddress(d.Server), "host:port"),
-		tomlfile.Need("ttl_least", d.TTLLeast >= minTTL, fmt.Sprintf("%v at least", minTTL)),
-		tomlfile.Need("ttl_most", d.TTLMost >= d.TTLLeast, "ttl_least at least"),
+		tomlfile.Require("server", d.Server == "" || isAddress(d.Server), "host:port"),
+		tomlfile.Require("ttl_least", d.MinTTL >= minTTL, fmt.Sprintf("%v at least", minTTL)),
+		tomlfile.Require("ttl_most", d.MaxTTL >= d.MinTTL, "ttl_least at least"),
 	})
 }
 
 func (p *Pool) checkMembers(at *tomlfile.File, table string) error {
 	ids := uniqueNames{}
 	for i, m := range p.Member {
-		if err := at.Check(fmt.Sprintf("%s.member[%d]", table, i), []tomlfile.Must{
-			tomlfile.Need("address", isAddress(m.Address) && !strings.HasSuffix(m.Address, ":0"), "host:port"),
-			tomlfile.Need("id", ids.add(m.ID), "an id of its own in the pool (left out, it is the address)"),
-			tomlfile.Need("state", m.State == memberReady || m.State == memberDraining, `"ready" or "draining"`),
+		if err := at.Check(fmt.Sprintf("%s.member[%d]", table, i), []tomlfile.Requirement{
+			tomlfile.Require("address", isAddress(m.Address) && !strings.HasSuffix(m.Address, ":0"), "host:port"),
+			tomlfile.Require("id", ids.add(m.ID), "an id of its own in the pool (left out, it is the address)"),
+			tomlfile.Require("state", m.State == memberReady || m.State == memberDraining, `"ready" or "draining"`),
 		}); err != nil {
 			return err
 		}
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -92,11 +92,11 @@
 		return rule, err
 	}
 	hasReplaceablePrefix := r.PathPrefix != "" && strings.HasPrefix(r.ReplacePrefix, "/")
-	if err := at.Check(table, []tomlfile.Must{
-		tomlfile.Need("pool", names.pools[r.Pool], "the name of a pool"),
-		tomlfile.Need("class", names.classes[r.Class], "the name of a class"),
-		tomlfile.Need("tenant", names.tenants[r.Tenant], "the name of a tenant"),
-		tomlfile.Need("replace_prefix", r.ReplacePrefix == "" || hasReplaceablePrefix, "a path, beside path_prefix"),
+	if err := at.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("pool", names.pools[r.Pool], "the name of a pool"),
+		tomlfile.Require("class", names.classes[r.Class], "the name of a class"),
+		tomlfile.Require("tenant", names.tenants[r.Tenant], "the name of a tenant"),
+		tomlfile.Require("replace_prefix", r.ReplacePrefix == "" || hasReplaceablePrefix, "a path, beside path_prefix"),
 	}); err != nil {
 		return rule, err
 	}
@@ -115,9 +115,9 @@
 
 func (r *Route) checkHeaders(at *tomlfile.File, table string) error {
 	for i, h := range r.SetHeader {
-		if err := at.Check(fmt.Sprintf("%s.set_header[%d]", table, i), []tomlfile.Must{
-			tomlfile.Need("name", isRewritableHeader(h.Name), "a header that is not the daemon's own"),
-			tomlfile.Need("value", isHeaderValue(h.Value), "a header's value"),
+		if err := at.Check(fmt.Sprintf("%s.set_header[%d]", table, i), []tomlfile.Requirement{
+			tomlfile.Require("name", isRewritableHeader(h.Name), "a header that is not the daemon's own"),
+			tomlfile.Require("value", isHeaderValue(h.Value), "a header's value"),
 		}); err != nil {
 			return err
 		}
--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -20,9 +20,9 @@
 // called while Run runs.
 type AgentClient struct {
 	// Deliver takes each update, in order. It must be set before Run.
-	Deliver func(ListUpdate)
+	OnUpdate func(ListUpdate)
 	// Failed takes the end of each watch, where the agent must be subscribed to. It must be set before Run.
-	Failed func()
+	OnWatchEnd func()
 
 	addr              string
 	mustSubscribe     bool          // only Subscribe starts a watch, and Failed takes its end
@@ -115,7 +115,7 @@
 		c.logWatchEnd(err)
 		if c.mustSubscribe {
 			isWanted = false
-			c.Failed()
+			c.OnWatchEnd()
 			continue
 		}
 		if backoff = min(2*backoff, maxBackoff); hasReceived || !errors.Is(err, errMalformed) {
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -26,7 +26,7 @@
 	addr, queries := serveScript(t, steps...)
 	f := &clientFixture{updates: make(chan ListUpdate, 100), failures: make(chan bool, 100), queries: queries}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
-	f.Deliver, f.Failed = func(m ListUpdate) { f.updates <- m }, func() { f.failures <- true }
+	f.OnUpdate, f.OnWatchEnd = func(m ListUpdate) { f.updates <- m }, func() { f.failures <- true }
 	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
 	if change != nil {
 		change(f.AgentClient)
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -47,10 +47,10 @@
 	return true
 }
 
-// DNSSource makes a source that polls DNS through the standard resolver, which handles truncated, lost and malformed responses. The
+// NewDNSSource makes a source that polls DNS through the standard resolver, which handles truncated, lost and malformed responses. The
 // next poll is due when the shortest time to live of the last one is over. The id of a member is its address. deliver and failed are
 // called by Run and PollOnce.
-func DNSSource(o DNSOptions, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+func NewDNSSource(o DNSOptions, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
 	p := &dnsPoller{options: o, retryDelay: minDNSRetryDelay}
 	return newPollingSource("dns "+o.Name, cache, p.poll, deliver, failed, log)
 }
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -38,7 +38,7 @@
 func startDNSSource(t *testing.T, o DNSOptions) *sourceFixture {
 	t.Helper()
 	return startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-		return DNSSource(o, cache, deliver, failed, log)
+		return NewDNSSource(o, cache, deliver, failed, log)
 	})
 }
 
@@ -46,13 +46,13 @@
 func newIdleDNSSource(t *testing.T, o DNSOptions) *PollingSource {
 	t.Helper()
 	deliver := func(update ListUpdate) { t.Errorf("update %+v, want none", update) }
-	return DNSSource(o, NewMemberCache(holdOptions), deliver, func() {}, slog.New(slog.DiscardHandler))
+	return NewDNSSource(o, NewMemberCache(holdOptions), deliver, func() {}, slog.New(slog.DiscardHandler))
 }
 
 func TestDNSSourceFollowsAddressRecords(t *testing.T) {
 	server := newDNSServer(t)
 	server.Set("web.example", addressRecord("127.0.0.1", 0), addressRecord("127.0.0.2", 60), addressRecord("::1", 60))
-	server.Go(fake.DNSWell, 100*time.Millisecond) // slow
+	server.SetFault(fake.DNSHealthy, 100*time.Millisecond) // slow
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, "127.0.0.1:80", "127.0.0.2:80", "[::1]:80")
 	server.Set("web.example", addressRecord("127.0.0.2", 60))
@@ -86,7 +86,7 @@
 	server.Set("web.example", records...)
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, want...)
-	if server.TCP.Load() == 0 {
+	if server.TCPQueries.Load() == 0 {
 		t.Error("nothing was read over TCP")
 	}
 }
@@ -94,7 +94,7 @@
 // Whatever fails, the last list is kept, and the source follows the server again when it has recovered.
 func TestDNSFaultKeepsLastList(t *testing.T) {
 	for name, fault := range map[string]fake.DNSFault{
-		"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage, "cut": fake.DNSCut, "truncated": fake.DNSTruncated, "empty": fake.DNSEmpty,
+		"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage, "cut": fake.DNSHalfMessage, "truncated": fake.DNSTruncated, "empty": fake.DNSEmpty,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -102,16 +102,16 @@
 			server.Set("web.example", addressRecord("127.0.0.1", 0))
 			f := startDNSSource(t, quickDNSOptions(server))
 			f.expectList(t, "127.0.0.1:80")
-			server.Go(fault, 0)
+			server.SetFault(fault, 0)
 			if fault == fake.DNSEmpty { // a valid response, and no failure
-				before := server.Asked.Load()
-				testpeer.Until(t, "further queries arrive", func() bool { return server.Asked.Load() > before+4 })
+				before := server.Queries.Load()
+				testpeer.Until(t, "further queries arrive", func() bool { return server.Queries.Load() > before+4 })
 			} else {
 				f.expectFailure(t)
 			}
 			f.expectNoUpdate(t)
 			server.Set("web.example", addressRecord("127.0.0.2", 0))
-			server.Go(fake.DNSWell, 0)
+			server.SetFault(fake.DNSHealthy, 0)
 			f.source.Subscribe()
 			f.expectList(t, "127.0.0.2:80")
 		})
@@ -131,12 +131,12 @@
 // Run does not wait for a server that sends nothing when its context ends.
 func TestRunEndsWhileDNSServerIsSilent(t *testing.T) {
 	server := newDNSServer(t)
-	server.Go(fake.DNSSilent, 0)
+	server.SetFault(fake.DNSSilent, 0)
 	source := newIdleDNSSource(t, quickDNSOptions(server))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { source.Run(ctx); close(ended) }()
-	testpeer.Until(t, "a query arrives", func() bool { return server.Asked.Load() > 0 })
+	testpeer.Until(t, "a query arrives", func() bool { return server.Queries.Load() > 0 })
 	cancel()
 	select {
 	case <-ended:
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -24,9 +24,9 @@
 	mtimeGranularity = time.Second
 )
 
-// FileSource makes a source that reads a members file, and reads it again whenever it changes or is replaced. ParseMemberFile
+// NewFileSource makes a source that reads a members file, and reads it again whenever it changes or is replaced. ParseMemberFile
 // documents its format. deliver and failed are called by Run and PollOnce.
-func FileSource(path string, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+func NewFileSource(path string, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
 	p := filePoller{path: path}
 	return newPollingSource("members file "+path, cache, p.poll, deliver, failed, log)
 }
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -24,7 +24,7 @@
 func TestFileSourceFollowsReplacedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
 	f := startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-		return FileSource(path, cache, deliver, failed, log)
+		return NewFileSource(path, cache, deliver, failed, log)
 	})
 	f.expectFailure(t) // there is no file yet
 	replaceFile(t, path, `{"format":1,"members":[{"address":"10.0.0.1:80"},{"id":"b","address":"10.0.0.2:80","zone":"z","cell":2}]}`)
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// StaticSource makes a source of a fixed list of members. deliver and failed are called by Run and PollOnce.
-func StaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(),
+// NewStaticSource makes a source of a fixed list of members. deliver and failed are called by Run and PollOnce.
+func NewStaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(),
 	log *slog.Logger) *PollingSource {
 	poll := func(context.Context) (pollResult, error) { return pollResult{members: members}, nil }
 	return newPollingSource("members", cache, poll, deliver, failed, log)
@@ -149,7 +149,7 @@
 // deliverEndpoints delivers the complete list in force.
 func (s *PollingSource) deliverEndpoints() {
 	endpoints := s.endpoints.Endpoints()
-	update := ListUpdate{Full: true, Servers: make([]Member, 0, len(endpoints))}
+	update := ListUpdate{Full: true, Members: make([]Member, 0, len(endpoints))}
 	for _, e := range endpoints {
 		m := Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: balance.Ready}
 		if e.Draining {
@@ -158,7 +158,7 @@
 		if e.Since > 0 {
 			m.StartedMs = s.epoch.Add(e.Since).UnixMilli()
 		}
-		update.Servers = append(update.Servers, m)
+		update.Members = append(update.Members, m)
 	}
 	s.deliver(update)
 }
--- a/internal/discovery/polling_test.go
+++ b/internal/discovery/polling_test.go
@@ -44,7 +44,7 @@
 	select {
 	case update := <-f.updates:
 		var got []string
-		for _, m := range update.Servers {
+		for _, m := range update.Members {
 			name := m.Addr
 			if m.State == balance.Draining {
 				name += " draining"
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -24,7 +24,7 @@
 type ListUpdate struct {
 	Version *int64   `json:"version"` // of the list after this update; nil in updates of a PollingSource
 	Full    bool     `json:"full"`    // the update is the complete list: a member that it lacks is gone
-	Servers []Member `json:"servers"`
+	Members []Member `json:"servers"`
 }
 
 // stateByWireName has the states that the agent sends. Terminating on the wire is Draining in the code.
@@ -42,11 +42,11 @@
 	if update.Version == nil {
 		return ListUpdate{}, errors.New("version: missing")
 	}
-	if update.Servers == nil { // must not pass for a list that has become empty
+	if update.Members == nil { // must not pass for a list that has become empty
 		return ListUpdate{}, errors.New("servers: missing")
 	}
-	for i := range update.Servers {
-		if err := update.Servers[i].decodeState(); err != nil {
+	for i := range update.Members {
+		if err := update.Members[i].decodeState(); err != nil {
 			return ListUpdate{}, err
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -125,6 +125,6 @@
 		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	c.version = update.Version
-	c.Deliver(update)
+	c.OnUpdate(update)
 	return nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -45,7 +45,7 @@
 			return clientConn, nil
 		}
 		client.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
-		client.Deliver = func(update ListUpdate) {
+		client.OnUpdate = func(update ListUpdate) {
 			agent.versions, agent.receivedAt = append(agent.versions, *update.Version), append(agent.receivedAt, agent.elapsed())
 		}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -11,9 +11,9 @@
 // attemptHooks makes events of what happens during an attempt. The attempt's goroutine calls the hooks.
 func (l *Loop) attemptHooks(c *Call, n int) upstream.AttemptHooks {
 	return upstream.AttemptHooks{
-		Wanted: l.wantedFunc(c),
-		Sent:   func() { l.Post(func(now time.Duration) { l.bodySent(now, c, n) }) },
-		Begun: func(a upstream.Response) bool {
+		IsWanted:    l.wantedFunc(c),
+		RequestSent: func() { l.Post(func(now time.Duration) { l.bodySent(now, c, n) }) },
+		ResponseStarted: func(a upstream.Response) bool {
 			taken := make(chan bool, 1)
 			l.Post(func(now time.Duration) { taken <- l.streamStarted(now, c, n, a) })
 			select {
@@ -41,7 +41,7 @@
 // bodySent reports that the last byte of an attempt whose body streams has gone out.
 func (l *Loop) bodySent(now time.Duration, c *Call, n int) {
 	if !c.isOver.Load() && c.Patience > 0 {
-		c.Deadline = min(now+c.Patience, c.Flow)
+		c.Deadline = min(now+c.Patience, c.StreamUntil)
 	}
 	l.balancer.BodySent(now, c.ID, n, c.Deadline)
 }
@@ -53,7 +53,7 @@
 		return false
 	}
 	c.isOver.Store(true)
-	c.Replies <- Reply{Verdict: Served, Answer: a}
+	c.Replies <- Reply{Verdict: Served, Response: a}
 	l.balancer.StreamStarted(now, c.ID, n)
 	return true
 }
@@ -63,21 +63,21 @@
 	c.attemptsInFlight--
 	c.lastResponse = a
 	if u := c.Message.Upload; u != nil {
-		o.Spent = u.Spent()
+		o.BodyConsumed = u.IsConsumed()
 		if u.Err() != nil { // the caller's fault, and its end
 			l.ClientDisconnected(now, c)
 		}
 	}
 	if o.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
-		c.Replies <- Reply{Verdict: Left} // whoever waits for the answer may not have seen it
+		c.Replies <- Reply{Verdict: ClientGone} // whoever waits for the answer may not have seen it
 	}
 	if c.mayHaveRunAt == 0 && o.Result.MayHaveRun() {
 		c.mayHaveRunAt = sent
 	}
-	o.Took, o.Final = now-sent, c.isOver.Load()
+	o.Latency, o.IsFinal = now-sent, c.isOver.Load()
 	if o.Result == balance.OK && !c.isOver.Load() {
-		o.Final = true
-		l.reply(c, Reply{Verdict: Served, Answer: a})
+		o.IsFinal = true
+		l.reply(c, Reply{Verdict: Served, Response: a})
 	}
 	l.balancer.Outcome(now, o)
 	l.releaseIfEnded(c)
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -22,22 +22,22 @@
 	Failed
 	// Duplicate is a request whose id is in use by one that is still open.
 	Duplicate
-	// Left is a request whose client has disconnected: there is nobody to be answered.
-	Left
+	// ClientGone is a request whose client has disconnected: there is nobody to be answered.
+	ClientGone
 )
 
 // Reply is the final answer to a client.
 type Reply struct {
 	Verdict    Verdict
 	RetryAfter time.Duration     // 0: no advice
-	Answer     upstream.Response // if served; an endpoint's own error, where the last attempt brought one
+	Response   upstream.Response // if served; an endpoint's own error, where the last attempt brought one
 }
 
 // Call is a request that was admitted. Whoever submits it fills in the exported fields and leaves them alone from then on;
 // the others are the loop's.
 type Call struct {
 	balance.Request
-	Message *upstream.Message
+	Message *upstream.Request
 	Replies chan Reply // takes the one final answer without blocking: it must have room for one
 
 	// Patience, of a request whose body streams, is how long its response may be waited for after the last byte of the body;
@@ -46,12 +46,12 @@
 
 	// Guard, if set, is called in the event that has the module decide, before anything of the request goes out. Where it
 	// returns false the request is refused at once, with Unsure as its Retry-After.
-	Guard  func() bool
-	Unsure time.Duration
+	Guard           func() bool
+	GuardRetryAfter time.Duration
 
 	// Here reports, from any goroutine, whether the client is still connected; nil: it is. It is called last, before the first
 	// byte of an attempt goes out: the loop may be notified of a disconnect later.
-	Here func() bool
+	IsClientConnected func() bool
 
 	// isOver: answered, or the client has disconnected. The loop alone sets it; attempts that have written nothing yet read it.
 	isOver           atomic.Bool
@@ -62,7 +62,7 @@
 }
 
 // isClientConnected reports whether the client still waits, as far as that can be known.
-func (c *Call) isClientConnected() bool { return c.Here == nil || c.Here() }
+func (c *Call) isClientConnected() bool { return c.IsClientConnected == nil || c.IsClientConnected() }
 
 // Submit admits a request and has the module decide on it. One whose id is still in use is rejected, so that it can't
 // disturb the first. It is called from an event.
@@ -72,7 +72,7 @@
 		return
 	}
 	if c.Guard != nil && !c.Guard() {
-		c.Replies <- Reply{Verdict: Refused, RetryAfter: c.Unsure}
+		c.Replies <- Reply{Verdict: Refused, RetryAfter: c.GuardRetryAfter}
 		return
 	}
 	l.calls[c.ID] = c
@@ -86,7 +86,7 @@
 		return false
 	}
 	c.isOver.Store(true)
-	l.balancer.ClientLeft(now, c.ID)
+	l.balancer.ClientDisconnected(now, c.ID)
 	l.releaseIfEnded(c)
 	return true
 }
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -23,7 +23,7 @@
 	}
 	o := balance.Outcome{ID: id, Attempt: len(c.cancelAttempts), Endpoint: endpoint}
 	sent := h.clock.now()
-	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.Flow)-sent))
+	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.StreamUntil)-sent))
 	c.cancelAttempts = append(c.cancelAttempts, cancel)
 	c.attemptsInFlight++
 	if c.isOver.Load() {
@@ -34,7 +34,7 @@
 	hooks := h.attemptHooks(c, o.Attempt)
 	go func() {
 		var a upstream.Response
-		o.Result, o.Reused, a = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
+		o.Result, o.ReusedConnection, a = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
 		cancel()
 		h.Post(func(now time.Duration) { h.attemptEnded(now, c, o, sent, a) })
 	}()
@@ -47,8 +47,8 @@
 	}
 }
 
-// Refuse implements balance.Host.
-func (h host) Refuse(id string, retryAfter time.Duration) {
+// Reject implements balance.Host.
+func (h host) Reject(id string, retryAfter time.Duration) {
 	c := h.calls[id]
 	if c != nil && c.lastResponse.Status != 0 { // an endpoint's own error says more to the client, and promises less
 		h.Fail(id)
@@ -60,7 +60,7 @@
 // Fail implements balance.Host.
 func (h host) Fail(id string) {
 	if c := h.calls[id]; c != nil {
-		h.reply(c, Reply{Verdict: Failed, Answer: c.lastResponse})
+		h.reply(c, Reply{Verdict: Failed, Response: c.lastResponse})
 	}
 }
 
@@ -72,8 +72,8 @@
 	})
 }
 
-// Idle implements balance.Host.
-func (h host) Idle(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
+// HasIdleConnection implements balance.Host.
+func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
 
 // Subscribe implements balance.Host.
 func (h host) Subscribe() { h.requestWatch() }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -50,11 +50,11 @@
 type Upstream interface {
 	// Attempt sends a request once and returns how that ended; reused: on a connection that had served before. It may be called
 	// by many goroutines at once, and writes nothing once ctx has ended, or the hook Wanted has returned false.
-	Attempt(ctx context.Context, id string, m *upstream.Message, w upstream.AttemptHooks) (r balance.Result, reused bool, a upstream.Response)
+	Attempt(ctx context.Context, id string, m *upstream.Request, w upstream.AttemptHooks) (r balance.Result, reused bool, a upstream.Response)
 	// SetMember lists an endpoint at an address; takes: new requests may go to it.
-	SetMember(id, addr string, takes bool)
+	SetEndpoint(id, addr string, takes bool)
 	// RemoveMember takes an endpoint from the list.
-	RemoveMember(id string)
+	RemoveEndpoint(id string)
 	// SetEjected ejects an endpoint by an operator's override, or takes it back in.
 	SetEjected(id string, out bool)
 	// HasIdle reports whether an endpoint has an idle connection.
@@ -86,8 +86,8 @@
 		endpoints:          map[string]bool{},
 	}
 	for _, c := range s.Classes {
-		if c.Effect == balance.Keyed {
-			l.idempotencyWindows[c.Name] = c.Window
+		if c.Idempotency == balance.IdempotencyKey {
+			l.idempotencyWindows[c.Name] = c.DedupWindow
 		}
 	}
 	l.balancer = decide(l.clock.now(), s, host{l})
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -66,7 +66,7 @@
 	l.balancer = module
 	sure := false
 	c := func() *Call {
-		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return sure }, Unsure: time.Second}
+		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return sure }, GuardRetryAfter: time.Second}
 	}
 	first := c()
 	l.Submit(clockStart, first)
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -32,13 +32,13 @@
 }
 
 func (a *scriptedAttempt) mayHaveRun() bool {
-	return !a.writtenAt.IsZero() && a.result != balance.Full
+	return !a.writtenAt.IsZero() && a.result != balance.Rejected
 }
 
 // scriptedUpstream is an Upstream with the guards that the real one has: it writes nothing once ctx has ended, Wanted returns
 // false or the endpoint takes nothing new.
 type scriptedUpstream struct {
-	effect balance.Effect
+	effect balance.Idempotency
 
 	mu             sync.Mutex
 	accepting      map[string]bool
@@ -50,7 +50,7 @@
 }
 
 func (e *scriptedUpstream) Attempt(
-	ctx context.Context, id string, _ *upstream.Message, w upstream.AttemptHooks,
+	ctx context.Context, id string, _ *upstream.Request, w upstream.AttemptHooks,
 ) (balance.Result, bool, upstream.Response) {
 	a := &scriptedAttempt{endpoint: id, connected: make(chan struct{}), results: make(chan balance.Result, 1)}
 	e.mu.Lock()
@@ -82,7 +82,7 @@
 	case <-ctx.Done():
 		return balance.ConnectFailed
 	}
-	wanted := w.Wanted()
+	wanted := w.IsWanted()
 	e.mu.Lock()
 	if !e.accepting[a.endpoint] || ctx.Err() != nil || !wanted {
 		e.mu.Unlock()
@@ -110,8 +110,8 @@
 	}
 	for _, was := range e.attempts {
 		switch {
-		case was == a || !was.mayHaveRun() || e.effect == balance.Safe:
-		case e.effect == balance.Unsafe:
+		case was == a || !was.mayHaveRun() || e.effect == balance.Idempotent:
+		case e.effect == balance.NonIdempotent:
 			e.violations = append(e.violations, "unsafe work is written again")
 		case cellOf[was.endpoint] != cellOf[a.endpoint]:
 			e.violations = append(e.violations, "keyed work leaves its cell")
@@ -121,10 +121,10 @@
 	}
 }
 
-func (e *scriptedUpstream) SetMember(id, _ string, takes bool) { e.set(id, takes) }
-func (e *scriptedUpstream) RemoveMember(id string)             { e.set(id, false) }
-func (e *scriptedUpstream) SetEjected(id string, out bool)     { e.set(id, !out) }
-func (e *scriptedUpstream) HasIdle(string) bool                { return false }
+func (e *scriptedUpstream) SetEndpoint(id, _ string, takes bool) { e.set(id, takes) }
+func (e *scriptedUpstream) RemoveEndpoint(id string)             { e.set(id, false) }
+func (e *scriptedUpstream) SetEjected(id string, out bool)       { e.set(id, !out) }
+func (e *scriptedUpstream) HasIdle(string) bool                  { return false }
 
 func (e *scriptedUpstream) set(id string, takes bool) {
 	e.mu.Lock()
@@ -162,10 +162,10 @@
 )
 
 // playOrder plays one request through the steps and returns what was wrong.
-func playOrder(effect balance.Effect, mayCancel bool, script []int) (wrong []string) {
+func playOrder(effect balance.Idempotency, mayCancel bool, script []int) (wrong []string) {
 	e := &scriptedUpstream{effect: effect, accepting: map[string]bool{}}
-	settings := balance.Settings{Seed: 3, MayCancel: mayCancel, MaxAttempts: 4, Resolution: 5 * time.Millisecond,
-		Classes: []balance.Class{{Name: "c", Effect: effect, Group: balance.GroupCell, Window: orderWindow, Aim: orderDeadline / 2}}}
+	settings := balance.Settings{Seed: 3, CanCancel: mayCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
+		Classes: []balance.Class{{Name: "c", Idempotency: effect, DedupScope: balance.ScopeCell, DedupWindow: orderWindow, LatencyObjective: orderDeadline / 2}}}
 	l := New(Module, settings, e, func() {}, slog.New(slog.DiscardHandler))
 	list := func(without string) func(time.Duration) {
 		return func(now time.Duration) {
@@ -175,7 +175,7 @@
 				if id == without {
 					s.State = balance.Draining
 				}
-				m.Servers = append(m.Servers, s)
+				m.Members = append(m.Members, s)
 			}
 			l.UpdateEndpoints(now, m)
 		}
@@ -183,8 +183,8 @@
 	list("")(l.Now())
 	ctx, end := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Message{}, Replies: make(chan Reply, 4)}
-	c.Here = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.disconnectedAt.IsZero() }
+	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Request{}, Replies: make(chan Reply, 4)}
+	c.IsClientConnected = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.disconnectedAt.IsZero() }
 	l.Post(func(now time.Duration) { c.Deadline = now + orderDeadline; l.Submit(now, c) })
 	collectReplies := func() {
 		synctest.Wait()
@@ -208,15 +208,15 @@
 				close(a.connected)
 			}
 		case answers, errs, declines, resets:
-			finish([]balance.Result{balance.OK, balance.Errored, balance.Full, balance.Reset}[step-answers])
+			finish([]balance.Result{balance.OK, balance.ErrorResponse, balance.Rejected, balance.Reset}[step-answers])
 		case disconnects:
-			if c.Here() {
+			if c.IsClientConnected() {
 				e.mu.Lock()
 				e.disconnectedAt = time.Now()
 				e.mu.Unlock()
 			}
 		case notifiesLoop:
-			if !c.Here() {
+			if !c.IsClientConnected() {
 				l.Post(func(now time.Duration) { l.ClientDisconnected(now, c) })
 			}
 		case drains:
@@ -260,7 +260,7 @@
 	}
 	for _, r := range e.replies {
 		for _, a := range e.attempts {
-			if r.Verdict == Refused && effect != balance.Safe && a.mayHaveRun() {
+			if r.Verdict == Refused && effect != balance.Idempotent && a.mayHaveRun() {
 				wrong = append(wrong, "refused, and it may have run")
 			}
 		}
@@ -292,7 +292,7 @@
 }
 
 func TestEndsThatCrossKeepTheRulesOfOneRequest(t *testing.T) {
-	for _, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe} {
+	for _, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent} {
 		for _, mayCancel := range []bool{false, true} {
 			for _, script := range crossings {
 				synctest.Test(t, func(t *testing.T) {
@@ -310,7 +310,7 @@
 // endpoint that takes nothing new, nor against the class's rule on retries; nothing left over.
 func TestOneRequestGetsOneReplyInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		effect := rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe}).Draw(rt, "effect")
+		effect := rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent}).Draw(rt, "effect")
 		mayCancel := rapid.Bool().Draw(rt, "may cancel")
 		script := rapid.SliceOfN(rapid.IntRange(0, steps-1), 1, 14).Draw(rt, "steps")
 		var wrong []string
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	r := (&http.Request{}).WithContext(withConn(t.Context(), idle.conn))
-	s := New(Options{}, nil, nil)
+	s := NewServer(Options{}, nil, nil)
 	now := time.Now()
 	io.WriteString(idle.client, "request")
 	if _, err := io.ReadFull(idle.conn, make([]byte, len("request"))); err != nil {
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -14,10 +14,10 @@
 // wait for a response. release gives the memory back.
 func (s *Server) reserveBodyMemory(r *http.Request, arrived time.Time) (release func(), _ *rejection) {
 	size := body.Size{Bytes: int(r.ContentLength)}
-	if s.options.Pool == nil || size.Bytes <= 0 {
+	if s.options.BodyMemory == nil || size.Bytes <= 0 {
 		return func() {}, nil
 	}
-	switch err := s.options.Pool.Take(expiredContext, size); {
+	switch err := s.options.BodyMemory.Acquire(expiredContext, size); {
 	case errors.Is(err, expiredContext.Err()):
 		if rejected := s.waitForBodyMemory(r, arrived, size); rejected != nil {
 			return nil, rejected
@@ -25,7 +25,7 @@
 	case err != nil:
 		return nil, memoryRejection(err)
 	}
-	return func() { s.options.Pool.Give(size) }, nil
+	return func() { s.options.BodyMemory.Release(size) }, nil
 }
 
 // expiredContext has ended, for a reservation that must not wait.
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	if err := s.options.Pool.Take(ctx, size); err != nil {
+	if err := s.options.BodyMemory.Acquire(ctx, size); err != nil {
 		return memoryRejection(err)
 	}
 	return nil
@@ -65,7 +65,7 @@
 	if err := control.SetReadDeadline(time.Now().Add(s.options.BodyTimeout)); err != nil {
 		return nil, newRejection(http.StatusBadRequest, "%w", err)
 	}
-	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.Body))
+	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes))
 	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
 		return nil, newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -14,9 +14,9 @@
 // A request that waits for memory is shed before its own deadline, and not only when a body's time is up.
 func TestWaitForBodyMemoryEndsBeforeTheRequestsDeadline(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	pool := body.NewPool(body.Window)
+	pool := body.NewMemoryPool(body.WindowSize)
 	p := startProxy(t, proxyOptions{bodies: pool}, e.Addr)
-	if err := pool.Take(t.Context(), body.Size{Bytes: body.Window}); err != nil {
+	if err := pool.Acquire(t.Context(), body.Size{Bytes: body.WindowSize}); err != nil {
 		t.Fatal(err)
 	}
 	client := p.dialClient(t)
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Limited is a listener that holds a limited number of connections open at once. Beyond the limit Accept blocks, so that
+// LimitListener is a listener that holds a limited number of connections open at once. Beyond the limit Accept blocks, so that
 // further clients wait in the kernel's accept queue. Its connections embed *net.TCPConn, which a streamed response needs
 // for splice; netutil.LimitListener hides that.
-type Limited struct {
+type LimitListener struct {
 	net.Listener
 
 	mu             sync.Mutex
@@ -18,15 +18,15 @@
 	closed         bool
 }
 
-// Limit wraps a listener of TCP connections so that at most maxConnections of its connections are open at once.
-func Limit(l net.Listener, maxConnections int) *Limited {
-	limited := &Limited{Listener: l, maxConnections: maxConnections}
+// NewLimitListener wraps a listener of TCP connections so that at most maxConnections of its connections are open at once.
+func NewLimitListener(l net.Listener, maxConnections int) *LimitListener {
+	limited := &LimitListener{Listener: l, maxConnections: maxConnections}
 	limited.changed.L = &limited.mu
 	return limited
 }
 
 // SetMaxConnections changes the limit. Connections beyond a lower limit stay open.
-func (l *Limited) SetMaxConnections(maxConnections int) {
+func (l *LimitListener) SetMaxConnections(maxConnections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConnections = maxConnections
@@ -34,7 +34,7 @@
 }
 
 // Accept implements net.Listener. It blocks while the limit is reached, and fails with net.ErrClosed after Close.
-func (l *Limited) Accept() (net.Conn, error) {
+func (l *LimitListener) Accept() (net.Conn, error) {
 	if !l.acquire() {
 		return nil, net.ErrClosed
 	}
@@ -47,7 +47,7 @@
 }
 
 // Close implements net.Listener. Connections that were accepted stay open.
-func (l *Limited) Close() error {
+func (l *LimitListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
 	l.changed.Broadcast()
@@ -56,7 +56,7 @@
 }
 
 // acquire waits until one more connection may be open. It is false if the listener was closed.
-func (l *Limited) acquire() bool {
+func (l *LimitListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.open >= l.maxConnections && !l.closed {
@@ -69,7 +69,7 @@
 }
 
 // release lets another connection take the place of one that was closed.
-func (l *Limited) release() {
+func (l *LimitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -68,7 +68,7 @@
 	for range 3 {
 		addrs = append(addrs, testpeer.Accept(t, recorder.serve).Addr().String())
 	}
-	options := proxyOptions{mayCancel: true, bodies: body.NewPool(256 << 10), beforeDial: func() {
+	options := proxyOptions{mayCancel: true, bodies: body.NewMemoryPool(256 << 10), beforeDial: func() {
 		<-time.After(randomUpTo(4 * time.Millisecond)) // a slow link, not a wait for an event
 	}}
 	p := startProxy(t, options, addrs...)
@@ -106,7 +106,7 @@
 func disconnectMany(t *testing.T, addr string, perClass int) map[string]time.Time {
 	t.Helper()
 	const workers = 32
-	short, long := strings.Repeat("x", 20<<10), strings.Repeat("x", body.Window+1)
+	short, long := strings.Repeat("x", 20<<10), strings.Repeat("x", body.WindowSize+1)
 	contents := []string{short, "", short, "", long, "", short, ""}
 	var mu sync.Mutex
 	disconnectedAt := map[string]time.Time{}
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -12,13 +12,13 @@
 // here do the metrics count a request as active.
 func (s *Server) dispatch(w *responseWriter, r *http.Request, request *routedRequest) {
 	outcome := metrics.Failed // unless a response is written
-	request.target.Class.Figures.Begin()
-	defer func() { request.target.Class.Figures.End(outcome) }()
+	request.target.Class.Metrics.Begin()
+	defer func() { request.target.Class.Metrics.End(outcome) }()
 	pool, call := request.target.Pool, request.call
-	call.Here = func() bool { return isClientConnected(r) }
+	call.IsClientConnected = func() bool { return isClientConnected(r) }
 	pool.Post(func(now time.Duration) { pool.Submit(now, call) })
 	reply, isReplied := s.awaitReply(r, request)
-	if isReplied && reply.Verdict != eventloop.Left {
+	if isReplied && reply.Verdict != eventloop.ClientGone {
 		outcome = s.writeReply(w, r, request, reply)
 		return
 	}
@@ -67,10 +67,10 @@
 func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, leftByReply bool) {
 	upload, isDisconnected := request.call.Message.Upload, leftByReply || r.Context().Err() != nil
 	if leftByReply && upload != nil { // the kernel has reported the disconnect before what was sent ahead of it was read
-		_ = upload.Exhaust() // upload.Err keeps the error
+		_ = upload.ReadToEnd() // upload.Err keeps the error
 	}
 	switch {
-	case upload != nil && (upload.Err() != nil || isDisconnected && upload.Settle() != nil):
+	case upload != nil && (upload.Err() != nil || isDisconnected && upload.ErrAfterRead() != nil):
 		// A body that could not be read looks like a disconnect, too.
 		bodyRejection(upload.Err()).write(w)
 	case isDisconnected: // the client may still read, and must not get the empty response that net/http would make up
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -14,12 +14,12 @@
 		return newRejection(http.StatusBadRequest, "HTTP/1.1 is wanted")
 	case hasFoldedLine(r):
 		return newRejection(http.StatusBadRequest, "a header line is folded")
-	case len(r.TransferEncoding) > 0 && s.options.Pool == nil:
+	case len(r.TransferEncoding) > 0 && s.options.BodyMemory == nil:
 		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
 	case len(r.TransferEncoding) > 0 && s.options.Raw && !isChunkedOnly(r):
 		// On the platform nothing before the daemon has checked that.
 		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
-	case r.ContentLength > s.options.Body:
+	case r.ContentLength > s.options.MaxBodyBytes:
 		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	return nil
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Forwarded is what becomes of the headers by which a client names those before it (RFC 9110, 7.6.3, RFC 7239, and
+// ForwardedMode is what becomes of the headers by which a client names those before it (RFC 9110, 7.6.3, RFC 7239, and
 // X-Forwarded-* by custom).
-type Forwarded string
+type ForwardedMode string
 
 // The settings of a listener's forwarding headers.
 const (
-	ForwardedSet    Forwarded = "set"    // the client's are dropped, and the daemon's set
-	ForwardedAppend Forwarded = "append" // the daemon's are appended to the client's: clients are trusted
-	ForwardedDrop   Forwarded = "drop"   // the client's are dropped; only Via is added
-	ForwardedLeave  Forwarded = "leave"  // the client's are forwarded unchanged; nothing is added, not even Via
+	ForwardedSet    ForwardedMode = "set"    // the client's are dropped, and the daemon's set
+	ForwardedAppend ForwardedMode = "append" // the daemon's are appended to the client's: clients are trusted
+	ForwardedDrop   ForwardedMode = "drop"   // the client's are dropped; only Via is added
+	ForwardedLeave  ForwardedMode = "leave"  // the client's are forwarded unchanged; nothing is added, not even Via
 )
 
 // hopByHopHeaders concern one connection only (RFC 9110, 7.6.1).
@@ -55,10 +55,10 @@
 func (s *Server) upstreamHeader(r *http.Request, target *Target) http.Header {
 	class := target.Class
 	h := endToEndHeader(r.Header, class.IDHeader, class.KeyHeader, class.TenantHeader)
-	for _, name := range target.Remove {
+	for _, name := range target.RemoveHeaders {
 		h.Del(name)
 	}
-	for _, field := range target.Set {
+	for _, field := range target.SetHeaders {
 		h.Set(field[0], field[1])
 	}
 	s.addForwarded(h, r)
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -97,16 +97,16 @@
 	}
 }
 
-// Count returns the number of open connections.
-func (l *Listener) Count() int {
+// ConnectionCount returns the number of open connections.
+func (l *Listener) ConnectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Finish closes the listener, evicts idle connections and returns when all connections are closed, each with the
+// Shutdown closes the listener, evicts idle connections and returns when all connections are closed, each with the
 // response to its last request. The error is that of closing the listener.
-func (l *Listener) Finish() error {
+func (l *Listener) Shutdown() error {
 	err := l.Close()
 	for l.evictIdle() > 0 {
 		time.Sleep(drainPollInterval)
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -33,9 +33,9 @@
 
 // proxyOptions are what tests set of a testProxy.
 type proxyOptions struct {
-	mayCancel  bool       // requests that were forwarded may be cancelled
-	bodies     *body.Pool // nil: bodies are buffered
-	beforeDial func()     // runs before each dial; nil: nothing does
+	mayCancel  bool             // requests that were forwarded may be cancelled
+	bodies     *body.MemoryPool // nil: bodies are buffered
+	beforeDial func()           // runs before each dial; nil: nothing does
 
 	configure      func(*Options) // changes the Server's options; nil: nothing does
 	configureClass func(*Class)   // changes each class; nil: nothing does
@@ -45,9 +45,9 @@
 const idempotencyWindow = 300 * time.Millisecond
 
 var testClasses = []balance.Class{
-	{Name: "look", Aim: time.Second},
-	{Name: "book", Effect: balance.Keyed, Window: idempotencyWindow, Aim: time.Second},
-	{Name: "pay", Effect: balance.Unsafe, Aim: time.Second},
+	{Name: "look", LatencyObjective: time.Second},
+	{Name: "book", Idempotency: balance.IdempotencyKey, DedupWindow: idempotencyWindow, LatencyObjective: time.Second},
+	{Name: "pay", Idempotency: balance.NonIdempotent, LatencyObjective: time.Second},
 }
 
 // startProxy starts a testProxy for the endpoints a, b, ... at the given addresses. It ends with the test.
@@ -55,45 +55,45 @@
 	t.Helper()
 	p := &testProxy{dials: make(chan string, 100)}
 	log := slog.New(slog.DiscardHandler)
-	pace := body.Pace{Idle: testpeer.Patience}
+	pace := body.MinimumRate{IdleTimeout: testpeer.Patience}
 	p.upstream = upstream.New(upstream.Options{
-		Idle:    time.Minute,
-		Pool:    options.bodies,
-		Pace:    pace,
-		Dial:    testpeer.Patience,
-		Most:    200,
-		OnlyOK:  true,
-		Connect: p.dialer(options.beforeDial),
+		IdleTimeout:    time.Minute,
+		Pool:           options.bodies,
+		MinimumRate:    pace,
+		DialTimeout:    testpeer.Patience,
+		MaxConnections: 200,
+		OnlyOK:         true,
+		Connect:        p.dialer(options.beforeDial),
 	})
-	settings := balance.Settings{Seed: 7, MayCancel: options.mayCancel, MaxAttempts: 4, Classes: testClasses}
+	settings := balance.Settings{Seed: 7, CanCancel: options.mayCancel, MaxAttempts: 4, Classes: testClasses}
 	p.loop = eventloop.New(eventloop.Module, settings, p.upstream, func() {}, log)
 	p.loop.UpdateEndpoints(p.loop.Now(), listUpdate(t, "Ready", addrs))
 
 	figures := &metrics.Registry{}
-	current := &Current{}
+	current := &ActiveRouteConfig{}
 	current.Swap(testRoutes(t, p.loop, figures, options.configureClass))
 	serverOptions := Options{
-		Head:         16 << 10,
-		Body:         1 << 20,
-		HeadTimeout:  testpeer.Patience,
-		BodyTimeout:  testpeer.Patience,
-		WriteTimeout: testpeer.Patience,
-		Pool:         options.bodies,
-		Pace:         pace,
-		Figures:      figures,
-		Raw:          true,
+		MaxHeaderBytes: 16 << 10,
+		MaxBodyBytes:   1 << 20,
+		HeadTimeout:    testpeer.Patience,
+		BodyTimeout:    testpeer.Patience,
+		WriteTimeout:   testpeer.Patience,
+		BodyMemory:     options.bodies,
+		MinRate:        pace,
+		Metrics:        figures,
+		Raw:            true,
 	}
 	if options.configure != nil {
 		options.configure(&serverOptions)
 	}
-	p.server = New(serverOptions, current, log)
+	p.server = NewServer(serverOptions, current, log)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.addr = socket.Addr().String()
-	listener := NewListener(Limit(socket, 1000), 1000, testpeer.Patience)
-	server := p.server.HTTP(listener.Track)
+	listener := NewListener(NewLimitListener(socket, 1000), 1000, testpeer.Patience)
+	server := p.server.HTTPServer(listener.Track)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { p.loop.Run(ctx) })
@@ -118,21 +118,21 @@
 }
 
 // testRoutes routes /look, /book and /pay as the classes of these names.
-func testRoutes(t *testing.T, pool *eventloop.Loop, figures *metrics.Registry, configure func(*Class)) *Service {
+func testRoutes(t *testing.T, pool *eventloop.Loop, figures *metrics.Registry, configure func(*Class)) *RouteConfig {
 	t.Helper()
-	routes := &Service{}
+	routes := &RouteConfig{}
 	var rules []route.Rule
 	for _, c := range testClasses {
 		class := &Class{
 			Name:             c.Name,
-			Effect:           c.Effect,
+			Effect:           c.Idempotency,
 			IDHeader:         "Req-Id",
 			KeyHeader:        "Idempotency-Key",
 			DeadlineHeader:   "Req-Deadline-Ms",
-			MustHaveID:       true,
-			MustHaveDeadline: true,
-			DeadlineMost:     time.Hour,
-			Figures:          figures.Class(c.Name),
+			RequiresID:       true,
+			RequiresDeadline: true,
+			MaxDeadline:      time.Hour,
+			Metrics:          figures.Class(c.Name),
 		}
 		if configure != nil {
 			configure(class)
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -37,7 +37,7 @@
 
 // memoryRejection returns the rejection of a request whose body can't be buffered because of err.
 func memoryRejection(err error) *rejection {
-	if errors.Is(err, body.ErrNever) {
+	if errors.Is(err, body.ErrExceedsMemory) {
 		return newRejection(http.StatusRequestEntityTooLarge, "%w", err)
 	}
 	return newShedRejection("no memory for the body was free in time")
@@ -48,8 +48,8 @@
 	switch {
 	case errors.Is(err, body.ErrTooLong):
 		return newRejection(http.StatusRequestEntityTooLarge, "%w", body.ErrTooLong)
-	case errors.Is(err, body.ErrSlow):
-		return newRejection(http.StatusRequestTimeout, "%w", body.ErrSlow)
+	case errors.Is(err, body.ErrTooSlow):
+		return newRejection(http.StatusRequestTimeout, "%w", body.ErrTooSlow)
 	}
 	return newRejection(http.StatusBadRequest, "%w", body.ErrBroken)
 }
@@ -69,7 +69,7 @@
 
 // rejectInvalid rejects what is no valid request, and counts it as such.
 func (s *Server) rejectInvalid(w http.ResponseWriter, rejected *rejection) {
-	s.options.Figures.Bad.Add(1)
+	s.options.Metrics.RejectedInput.Add(1)
 	rejected.write(w)
 }
 
@@ -91,6 +91,6 @@
 	if rejected.status == statusShed {
 		outcome = metrics.Shed
 	}
-	q.target.Class.Figures.Count(outcome)
+	q.target.Class.Metrics.Count(outcome)
 	rejected.write(w)
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -29,7 +29,7 @@
 }
 
 // parseRequest routes a request and makes a call of it, or returns why it is rejected.
-func (s *Server) parseRequest(routes *Service, r *http.Request, hasBody bool) (*routedRequest, *rejection) {
+func (s *Server) parseRequest(routes *RouteConfig, r *http.Request, hasBody bool) (*routedRequest, *rejection) {
 	target, rejected := s.resolveTarget(routes, r)
 	if rejected != nil {
 		return nil, rejected
@@ -50,21 +50,21 @@
 	header[http.CanonicalHeaderKey(class.IDHeader)] = []string{id}
 	tenant := r.Header.Get(class.TenantHeader)
 	if tenant == "" {
-		tenant = target.Tenant
+		tenant = target.DefaultTenant
 	}
 	isRetry := class.RetryHeader != "" && r.Header.Get(class.RetryHeader) == "1"
 	call := &eventloop.Call{
-		Request: balance.Request{ID: id, Class: class.Name, Tenant: tenant, Repeat: isRetry},
-		Message: &upstream.Message{
-			Method:       r.Method,
-			Target:       target.requestTarget,
-			Host:         r.Host,
-			Header:       header,
-			DeadlineName: class.DeadlineHeader,
+		Request: balance.Request{ID: id, Class: class.Name, Tenant: tenant, IsRetry: isRetry},
+		Message: &upstream.Request{
+			Method:         r.Method,
+			Target:         target.requestTarget,
+			Host:           r.Host,
+			Header:         header,
+			DeadlineHeader: class.DeadlineHeader,
 		},
-		Replies: make(chan eventloop.Reply, 1),
-		Guard:   routes.Guard,
-		Unsure:  routes.Unsure,
+		Replies:         make(chan eventloop.Reply, 1),
+		Guard:           routes.Guard,
+		GuardRetryAfter: routes.GuardRetryAfter,
 	}
 	return &routedRequest{call: call, target: target.Target, timeout: timeout}, nil
 }
@@ -76,9 +76,9 @@
 		rejected := newRejection(http.StatusMethodNotAllowed, "method %.40q is not served here", r.Method)
 		rejected.allow = c.Methods
 		return rejected
-	case c.NoBody && hasBody:
+	case c.ForbidsBody && hasBody:
 		return newRejection(http.StatusBadRequest, "a body is not wanted here")
-	case c.Effect == balance.Keyed: // without an idempotency key endpoints could not drop duplicates
+	case c.Effect == balance.IdempotencyKey: // without an idempotency key endpoints could not drop duplicates
 		if _, err := singleValue(r.Header, c.KeyHeader); err != nil {
 			return newRejection(http.StatusBadRequest, "%w", err)
 		}
@@ -88,7 +88,7 @@
 
 // requestID returns the request's own id, or one that is generated for it.
 func (c *Class) requestID(h http.Header) (string, *rejection) {
-	if !c.MustHaveID && len(h.Values(c.IDHeader)) == 0 {
+	if !c.RequiresID && len(h.Values(c.IDHeader)) == 0 {
 		var id [16]byte
 		_, _ = rand.Read(id[:]) // documented never to fail
 		return hex.EncodeToString(id[:]), nil
@@ -102,15 +102,15 @@
 
 // requestTimeout returns how long the client waits for the response.
 func (c *Class) requestTimeout(h http.Header) (time.Duration, *rejection) {
-	if !c.MustHaveDeadline && len(h.Values(c.DeadlineHeader)) == 0 {
-		return c.Deadline, nil
+	if !c.RequiresDeadline && len(h.Values(c.DeadlineHeader)) == 0 {
+		return c.DefaultDeadline, nil
 	}
 	value, err := singleValue(h, c.DeadlineHeader)
 	if err != nil {
 		return 0, newRejection(http.StatusBadRequest, "%w", err)
 	}
 	ms, err := strconv.ParseUint(value, 10, 64)
-	if err != nil || ms < 1 || ms > uint64(c.DeadlineMost.Milliseconds()) {
+	if err != nil || ms < 1 || ms > uint64(c.MaxDeadline.Milliseconds()) {
 		return 0, newRejection(http.StatusBadRequest, "%s: %.40q is no usable time", c.DeadlineHeader, value)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -46,7 +46,7 @@
 // WriteHeader implements http.ResponseWriter.
 func (w *responseWriter) WriteHeader(status int) {
 	w.wroteHeader = true
-	if w.closesConnections.Load() || w.mustClose || w.upload != nil && !w.upload.Whole() {
+	if w.closesConnections.Load() || w.mustClose || w.upload != nil && !w.upload.IsComplete() {
 		w.Header().Set("Connection", "close")
 	}
 	w.ResponseWriter.WriteHeader(status)
@@ -58,17 +58,17 @@
 // writeReply writes the response to a request, and returns the request's outcome. A streaming response that breaks panics
 // with http.ErrAbortHandler.
 func (s *Server) writeReply(w *responseWriter, r *http.Request, request *routedRequest, reply eventloop.Reply) metrics.Outcome {
-	if reply.Answer.Stream != nil {
-		s.streamResponse(w, r, request, reply.Answer)
+	if reply.Response.Stream != nil {
+		s.streamResponse(w, r, request, reply.Response)
 		return metrics.OK
 	}
 	// A client that does not read must not hold its connection for good. An error means that the client has disconnected.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 	header := w.Header()
-	content, status := reply.Answer.Body, reply.Answer.Status
+	content, status := reply.Response.Body, reply.Response.Status
 	isFromEndpoint := status != 0
 	if isFromEndpoint {
-		s.copyResponseHeader(header, reply.Answer.Header)
+		s.copyResponseHeader(header, reply.Response.Header)
 	} else {
 		status = statusByVerdict[reply.Verdict]
 		content = []byte(http.StatusText(status) + "\n")
@@ -81,7 +81,7 @@
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 		content = nil
 	case r.Method == http.MethodHead && isFromEndpoint: // the length of the response to a GET, if known
-		if length := reply.Answer.Header.Get("Content-Length"); length != "" {
+		if length := reply.Response.Header.Get("Content-Length"); length != "" {
 			header.Set("Content-Length", length)
 		}
 	default:
@@ -94,7 +94,7 @@
 
 // retryAfterValue returns a Retry-After that is never earlier than the time given.
 func (s *Server) retryAfterValue(after time.Duration) string {
-	if s.options.Fractions {
+	if s.options.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
--- a/internal/frontend/response_test.go
+++ b/internal/frontend/response_test.go
@@ -12,10 +12,10 @@
 		1001 * time.Millisecond: {"2", "1.001"},
 	} {
 		t.Run(after.String(), func(t *testing.T) {
-			if got := New(Options{Fractions: false}, &Current{}, nil).retryAfterValue(after); got != want.whole {
+			if got := NewServer(Options{FractionalRetryAfter: false}, &ActiveRouteConfig{}, nil).retryAfterValue(after); got != want.whole {
 				t.Errorf("in whole seconds: %s, want %s", got, want.whole)
 			}
-			if got := New(Options{Fractions: true}, &Current{}, nil).retryAfterValue(after); got != want.fraction {
+			if got := NewServer(Options{FractionalRetryAfter: true}, &ActiveRouteConfig{}, nil).retryAfterValue(after); got != want.fraction {
 				t.Errorf("in fractions: %s, want %s", got, want.fraction)
 			}
 		})
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -35,29 +35,29 @@
 
 // Options of a Server.
 type Options struct {
-	Head int   // bytes of a request's head, at most: MaxHeaderBytes of http.Server
-	Body int64 // bytes of a request's body, at most
+	MaxHeaderBytes int   // bytes of a request's head, at most: MaxHeaderBytes of http.Server
+	MaxBodyBytes   int64 // bytes of a request's body, at most
 
 	HeadTimeout  time.Duration // for reading a request's head
 	BodyTimeout  time.Duration // for reading a buffered body
 	IdleTimeout  time.Duration // between requests of a connection
 	WriteTimeout time.Duration // for writing a buffered response, or the end of a streaming one
 
-	Forwarded Forwarded
-	Pseudonym string // of the daemon, in Via
-	Fractions bool   // Retry-After is in fractions of seconds; else in whole ones (RFC 9110, 10.2.3)
-	Raw       bool   // request targets are matched and forwarded unchanged, and of responses' headers only Content-Type
+	Forwarded            ForwardedMode
+	Pseudonym            string // of the daemon, in Via
+	FractionalRetryAfter bool   // Retry-After is in fractions of seconds; else in whole ones (RFC 9110, 10.2.3)
+	Raw                  bool   // request targets are matched and forwarded unchanged, and of responses' headers only Content-Type
 
-	Pool    *body.Pool // memory for bodies; nil: requests need a Content-Length, and all bodies are buffered
-	Pace    body.Pace  // minimum rate of clients where bodies are streamed
-	Figures *metrics.Registry
+	BodyMemory *body.MemoryPool // memory for bodies; nil: requests need a Content-Length, and all bodies are buffered
+	MinRate    body.MinimumRate // minimum rate of clients where bodies are streamed
+	Metrics    *metrics.Registry
 }
 
 // Server reads the requests of clients, submits them to the event loop of their pool and writes the responses. It is safe
 // for concurrent use.
 type Server struct {
 	options Options
-	routes  *Current
+	routes  *ActiveRouteConfig
 	log     *slog.Logger
 	stalls  stallDetector
 
@@ -70,8 +70,8 @@
 	cancelStreams context.CancelFunc
 }
 
-// New returns a Server that routes each request by what is active in routes when the request is read.
-func New(options Options, routes *Current, log *slog.Logger) *Server {
+// NewServer returns a Server that routes each request by what is active in routes when the request is read.
+func NewServer(options Options, routes *ActiveRouteConfig, log *slog.Logger) *Server {
 	s := &Server{
 		options:         options,
 		routes:          routes,
@@ -102,14 +102,14 @@
 // SetCloseConnections sets whether every response from now on closes its connection.
 func (s *Server) SetCloseConnections(isClosing bool) { s.closesConnections.Store(isClosing) }
 
-// HTTP returns the http.Server to run on a Listener. track is the Listener's Track.
-func (s *Server) HTTP(track func(net.Conn, http.ConnState)) *http.Server {
+// HTTPServer returns the http.Server to run on a Listener. track is the Listener's Track.
+func (s *Server) HTTPServer(track func(net.Conn, http.ConnState)) *http.Server {
 	return &http.Server{
 		Handler:                      s,
 		DisableGeneralOptionsHandler: true,
 		ReadHeaderTimeout:            s.options.HeadTimeout,
 		IdleTimeout:                  s.options.IdleTimeout,
-		MaxHeaderBytes:               s.options.Head,
+		MaxHeaderBytes:               s.options.MaxHeaderBytes,
 		ConnState:                    track,
 		ConnContext:                  withConn,
 		ErrorLog:                     slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -20,8 +20,8 @@
 // isStreaming reports whether a request's body is streamed to the endpoint. With Expect: 100-continue it is at any
 // length, for the endpoint decides whether the client should send it.
 func (s *Server) isStreaming(r *http.Request) bool {
-	isLong := r.ContentLength < 0 || r.ContentLength > body.Window
-	return s.options.Pool != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
+	isLong := r.ContentLength < 0 || r.ContentLength > body.WindowSize
+	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
 }
 
 func expectsContinue(r *http.Request) bool {
@@ -53,20 +53,20 @@
 	}
 	w.upload = upload
 	defer func() {
-		if w.wroteHeader && !upload.Whole() {
+		if w.wroteHeader && !upload.IsComplete() {
 			_ = control.Flush() // the response must not wait for the body; where there is none net/http would make one up
 		}
 		upload.Close(lingerTime, lingerBytes)
 	}()
 	isComplete := false
-	if !upload.Expects {
+	if !upload.ExpectsContinue {
 		if isComplete, err = s.fillUpload(upload); err != nil {
 			s.rejectUpload(w, request, err)
 			return
 		}
 	}
 	if isComplete && upload.Trailer() == nil {
-		request.call.Message.Body = bytes.Clone(upload.Beginning())
+		request.call.Message.Body = bytes.Clone(upload.Prefix())
 		s.setDeadline(request, deadlineStart(request, arrived))
 	} else {
 		s.setStreaming(request, upload, deadlineStart(request, arrived))
@@ -79,21 +79,21 @@
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	defer context.AfterFunc(s.streamContext, cancel)()
-	return body.NewUpload(ctx, s.options.Pool, body.Source{
-		Body:     r.Body,
-		Deadline: control.SetReadDeadline,
-		Size:     r.ContentLength,
-		Most:     s.options.Body,
-		Trailer:  func() http.Header { return r.Trailer },
-		Expects:  expectsContinue(r),
-		Pace:     s.options.Pace,
+	return body.NewUpload(ctx, s.options.BodyMemory, body.Source{
+		Body:            r.Body,
+		SetReadDeadline: control.SetReadDeadline,
+		Size:            r.ContentLength,
+		MaxBytes:        s.options.MaxBodyBytes,
+		Trailer:         func() http.Header { return r.Trailer },
+		ExpectsContinue: expectsContinue(r),
+		MinimumRate:     s.options.MinRate,
 	})
 }
 
 // fillUpload reads a body's beginning, and reports whether that is all of it. AbortStreams ends it.
 func (s *Server) fillUpload(upload *body.Upload) (isComplete bool, err error) {
 	defer context.AfterFunc(s.streamContext, upload.Stop)()
-	return upload.Fill()
+	return upload.ReadPrefix()
 }
 
 // rejectUpload rejects a request whose body's beginning could not be read because of err.
@@ -107,7 +107,7 @@
 
 // deadlineStart returns from when the deadline of a request counts whose body's beginning was received just now.
 func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
-	if request.target.Class.DeadlineAll {
+	if request.target.Class.DeadlineCoversStreams {
 		return arrived
 	}
 	return time.Now()
@@ -118,9 +118,9 @@
 func (s *Server) setStreaming(request *routedRequest, upload *body.Upload, began time.Time) {
 	s.setDeadline(request, began)
 	call, class := request.call, request.target.Class
-	call.Message.Upload, call.Flow = upload, call.Deadline
-	if !class.DeadlineAll {
-		call.Flow = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(began.Add(class.FlowMost))))
-		call.Patience, call.Message.Patience = request.timeout, request.timeout
+	call.Message.Upload, call.StreamUntil = upload, call.Deadline
+	if !class.DeadlineCoversStreams {
+		call.StreamUntil = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(began.Add(class.MaxStreamDuration))))
+		call.Patience, call.Message.ResponseTimeout = request.timeout, request.timeout
 	}
 }
--- a/internal/frontend/streaming_response.go
+++ b/internal/frontend/streaming_response.go
@@ -21,12 +21,12 @@
 	for _, ctx := range []context.Context{r.Context(), s.streamContext} {
 		defer context.AfterFunc(ctx, stream.Abort)()
 	}
-	maxDuration := request.target.Class.FlowMost
-	if request.target.Class.DeadlineAll {
+	maxDuration := request.target.Class.MaxStreamDuration
+	if request.target.Class.DeadlineCoversStreams {
 		maxDuration = request.call.Deadline - request.target.Pool.Now()
 	}
 	defer time.AfterFunc(maxDuration, stream.Abort).Stop()
-	meter := body.NewMeter(s.options.Pace)
+	meter := body.NewMeter(s.options.MinRate)
 	setPace(r, &meter)
 	defer setPace(r, nil)
 
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -15,7 +15,7 @@
 
 // resolveTarget finds where a request goes. A request that no route names is rejected: it must reach neither the module
 // nor an endpoint, for nobody knows what executing it twice may do.
-func (s *Server) resolveTarget(routes *Service, r *http.Request) (resolvedTarget, *rejection) {
+func (s *Server) resolveTarget(routes *RouteConfig, r *http.Request) (resolvedTarget, *rejection) {
 	query := route.Request{Method: r.Method, Header: r.Header, Host: route.Host(r.Host)}
 	raw := originForm(r.RequestURI)
 	var err error
@@ -46,14 +46,14 @@
 
 // rewritePath replaces the path's prefix, with one slash where they meet.
 func (t *Target) rewritePath(path string) string {
-	if t.Replace == "" {
+	if t.PrefixRewrite == "" {
 		return path
 	}
 	rest := strings.TrimPrefix(path, t.Prefix)
-	if strings.HasSuffix(t.Replace, "/") {
+	if strings.HasSuffix(t.PrefixRewrite, "/") {
 		rest = strings.TrimPrefix(rest, "/")
 	}
-	return t.Replace + rest
+	return t.PrefixRewrite + rest
 }
 
 // originForm returns a request target in origin form if it came in absolute form (RFC 9112, 3.2.2), and any other
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -12,7 +12,7 @@
 		"no replacement":               {"/api", "", "/api/x", "/api/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := Target{Prefix: c.prefix, Replace: c.replace}
+			target := Target{Prefix: c.prefix, PrefixRewrite: c.replace}
 			if got := target.rewritePath(c.path); got != c.want {
 				t.Errorf("%s for %s in %s: %s, want %s", c.replace, c.prefix, c.path, got, c.want)
 			}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -26,13 +26,13 @@
 // wireCase is one request, and what the daemon is set to.
 type wireCase struct {
 	name     string
-	request  string         // as the client sends it
-	rest     string         // sent after a response of status 100
-	response string         // of the endpoint; empty: 200 with a body of "hi"
-	bodies   *body.Pool     // nil: bodies are buffered
-	set      func(*Options) // nil: as startProxy has them
-	class    func(*Class)   // nil: as startProxy has them
-	closes   bool           // responses close their connections
+	request  string           // as the client sends it
+	rest     string           // sent after a response of status 100
+	response string           // of the endpoint; empty: 200 with a body of "hi"
+	bodies   *body.MemoryPool // nil: bodies are buffered
+	set      func(*Options)   // nil: as startProxy has them
+	class    func(*Class)     // nil: as startProxy has them
+	closes   bool             // responses close their connections
 }
 
 // What goes to clients and endpoints is a contract with others: statuses, headers, texts, and whether the connection can
@@ -76,8 +76,8 @@
 const caseMark = "== "
 
 func wireCases() []wireCase {
-	streaming := body.NewPool(1 << 20)
-	long := strings.Repeat("y", 3*body.Window)
+	streaming := body.NewMemoryPool(1 << 20)
+	long := strings.Repeat("y", 3*body.WindowSize)
 	const id, deadline = "Req-Id: r1\r\n", "Req-Deadline-Ms: 9000\r\n"
 	head := func(line, fields string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" }
 	const chunkedBody = "2\r\nab\r\n1\r\nc\r\n0\r\nX-End: e\r\n\r\n"
@@ -85,7 +85,7 @@
 	chunked := head("POST /pay", id+deadline+"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n")
 	expecting := head("POST /pay", id+deadline+"Content-Length: 3\r\nExpect: 100-continue\r\n")
 	get := head("GET /look", id+deadline)
-	forwarding := func(how Forwarded) func(*Options) {
+	forwarding := func(how ForwardedMode) func(*Options) {
 		return func(o *Options) { o.Raw, o.Forwarded, o.Pseudonym = false, how, "via" }
 	}
 	const clients = "X-Forwarded-For: 192.0.2.1\r\nX_Forwarded_For: 192.0.2.2\r\nForwarded: for=192.0.2.1\r\nVia: 1.0 x\r\n" +
@@ -99,9 +99,9 @@
 		{name: "a Content-Length, too", bodies: streaming,
 			request: head("POST /pay", id+deadline+"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + chunkedBody},
 		{name: "too long", request: head("POST /pay", id+deadline+"Content-Length: 2000000\r\n")},
-		{name: "too long, chunked", request: chunked + longChunked, bodies: streaming, set: func(o *Options) { o.Body = 100 }},
-		{name: "no memory ever", request: requestText("pay", "r1", "small"), bodies: body.NewPool(1)},
-		{name: "no memory ever, streaming", request: requestText("pay", "r1", long), bodies: body.NewPool(1)},
+		{name: "too long, chunked", request: chunked + longChunked, bodies: streaming, set: func(o *Options) { o.MaxBodyBytes = 100 }},
+		{name: "no memory ever", request: requestText("pay", "r1", "small"), bodies: body.NewMemoryPool(1)},
+		{name: "no memory ever, streaming", request: requestText("pay", "r1", long), bodies: body.NewMemoryPool(1)},
 		{name: "no route", request: head("GET /none", id+deadline)},
 		{name: "no plain path", request: head("OPTIONS *", id+deadline)},
 		{name: "a path that is not normal", request: head("GET /look/%zz", id+deadline), set: forwarding(ForwardedSet)},
@@ -112,7 +112,7 @@
 		{name: "a deadline of 0", request: head("GET /look", id+"Req-Deadline-Ms: 0\r\n")},
 		{name: "no idempotency key", request: head("POST /book", id+deadline+"Content-Length: 0\r\n")},
 		{name: "a method that is not served", request: get, class: func(c *Class) { c.Methods = []string{"PUT", "POST"} }},
-		{name: "a body that is not wanted", request: requestText("pay", "r1", "body"), class: func(c *Class) { c.NoBody = true }},
+		{name: "a body that is not wanted", request: requestText("pay", "r1", "body"), class: func(c *Class) { c.ForbidsBody = true }},
 		{name: "GET", request: get},
 		{name: "HEAD", request: head("HEAD /look", id+deadline), response: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"},
 		{name: "absolute form", request: head("GET http://h/look?a=b", id+deadline)},
@@ -129,7 +129,7 @@
 		{name: "chunked", request: chunked + chunkedBody, bodies: streaming},
 		{name: "chunked, long", request: chunked + longChunked, bodies: streaming},
 		{name: "chunked, the deadline covers it", request: chunked + longChunked, bodies: streaming,
-			class: func(c *Class) { c.DeadlineAll = true }},
+			class: func(c *Class) { c.DeadlineCoversStreams = true }},
 		{name: "chunked, malformed", request: chunked + "zz\r\n", bodies: streaming},
 		{name: "Expect", request: expecting, rest: "abc", bodies: streaming},
 		{name: "Expect, buffering", request: expecting, rest: "abc"},
@@ -158,7 +158,7 @@
 		endpoint.response = testpeer.Served
 	}
 	options := proxyOptions{mayCancel: true, bodies: c.bodies, configure: c.set, configureClass: func(class *Class) {
-		class.FlowMost = testpeer.Patience
+		class.MaxStreamDuration = testpeer.Patience
 		if c.class != nil {
 			c.class(class)
 		}
--- a/internal/hotrestart/compatibility_test.go
+++ b/internal/hotrestart/compatibility_test.go
@@ -79,7 +79,7 @@
 	d.markReady(t)
 	want := earlierState
 	want.Processes = []Process{{Number: 3, Ready: true}}
-	s, v, others := d.Poll(ReadOnly)
+	s, v, others := d.Poll(KeepReportedDescriptors)
 	if !reflect.DeepEqual(s, want) || v.Superseded || len(v.Others) > 0 || others != 0 {
 		t.Errorf("%+v, %+v, %d descriptors of others; want %+v and no others", s, v, others, want)
 	}
@@ -93,7 +93,7 @@
 		lockLiveFile(t, filepath.Join(dir, name))
 	}
 	d := join(t, dir)
-	s, v, others := d.Poll(ReadOnly)
+	s, v, others := d.Poll(KeepReportedDescriptors)
 	want := earlierState
 	want.Processes = []Process{{Number: 1, Ready: true}, {Number: 2, Ready: true}, {Number: 3}}
 	if !reflect.DeepEqual(s, want) {
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -32,8 +32,8 @@
 	// PollInterval is how often a process reads what the others have written. An operator's call must bind all processes
 	// within 1 s.
 	PollInterval = 100 * time.Millisecond
-	// ReadOnly makes Poll leave the number of descriptors as this process last reported it.
-	ReadOnly = -1
+	// KeepReportedDescriptors makes Poll leave the number of descriptors as this process last reported it.
+	KeepReportedDescriptors = -1
 
 	// lockTimeout bounds the wait for the lock. It is held for one read and one write: a process that holds it for longer
 	// has been stopped.
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -38,7 +38,7 @@
 
 func (d *Directory) expectView(t *testing.T, isSuperseded bool, others ...int) {
 	t.Helper()
-	if _, v, _ := d.Poll(ReadOnly); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
+	if _, v, _ := d.Poll(KeepReportedDescriptors); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
 		t.Errorf("process %d has %+v, want superseded %v, others %v", d.Number(), v, isSuperseded, others)
 	}
 }
@@ -97,7 +97,7 @@
 	a.kill()
 	b.kill()
 	for _, d := range []*Directory{b, join(t, dir)} {
-		s, _, _ := d.Poll(ReadOnly)
+		s, _, _ := d.Poll(KeepReportedDescriptors)
 		if want := []Ejection{{"s-1", true, at.UnixMilli()}, {"s-2", false, at.UnixMilli()}}; !slices.Equal(s.Ejections, want) {
 			t.Errorf("process %d has %v", d.Number(), s.Ejections)
 		}
@@ -106,7 +106,7 @@
 	if err := b.RecordEjection("s-3", false, at.Add(2*returnRetention)); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, _ := b.Poll(ReadOnly); len(s.Ejections) != 2 || s.Ejections[0].ID != "s-1" {
+	if s, _, _ := b.Poll(KeepReportedDescriptors); len(s.Ejections) != 2 || s.Ejections[0].ID != "s-1" {
 		t.Errorf("after returnRetention: %v", s.Ejections)
 	}
 }
@@ -127,7 +127,7 @@
 		}
 	}
 	calls.Wait()
-	if s, _, _ := join(t, dir).Poll(ReadOnly); len(s.Ejections) != 80 {
+	if s, _, _ := join(t, dir).Poll(KeepReportedDescriptors); len(s.Ejections) != 80 {
 		t.Errorf("%d of 80 ejections are recorded", len(s.Ejections))
 	}
 }
@@ -159,7 +159,7 @@
 				t.Fatal(err)
 			}
 			defer d.Close()
-			s, _, _ := d.Poll(ReadOnly)
+			s, _, _ := d.Poll(KeepReportedDescriptors)
 			if len(s.Ejections) != 0 || !strings.Contains(log.String(), "set aside") {
 				t.Errorf("%v; the log: %s", s.Ejections, &log)
 			}
@@ -179,17 +179,17 @@
 	if err := d.RecordEjection("s-1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	d.Poll(ReadOnly)
+	d.Poll(KeepReportedDescriptors)
 	if err := os.WriteFile(filepath.Join(dir, "tuliprock-n1.state"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, _ := d.Poll(ReadOnly); len(s.Ejections) != 1 {
+	if s, _, _ := d.Poll(KeepReportedDescriptors); len(s.Ejections) != 1 {
 		t.Errorf("after the damage: %v", s.Ejections)
 	}
 	if err := d.RecordEjection("s-2", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, _ := d.Poll(ReadOnly); len(s.Ejections) != 1 || s.Ejections[0].ID != "s-2" {
+	if s, _, _ := d.Poll(KeepReportedDescriptors); len(s.Ejections) != 1 || s.Ejections[0].ID != "s-2" {
 		t.Errorf("after the next change: %v", s.Ejections)
 	}
 }
@@ -236,7 +236,7 @@
 	a, b, c := join(t, dir), join(t, dir), join(t, dir)
 	b.Poll(20)
 	c.Poll(300)
-	b.Poll(ReadOnly)
+	b.Poll(KeepReportedDescriptors)
 	if _, _, others := a.Poll(1); others != 320 {
 		t.Errorf("the others use %d, want 320", others)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -40,9 +40,9 @@
 // Registry holds the metrics of one process. The zero value is ready to use, and it is safe for concurrent use.
 type Registry struct {
 	// Tries counts attempts whose last byte was written to an endpoint.
-	Tries atomic.Uint64
+	Attempts atomic.Uint64
 	// Bad counts input that was rejected before it was a request. It is not counted as a failure of any class.
-	Bad atomic.Uint64
+	RejectedInput atomic.Uint64
 
 	active  atomic.Int64 // requests between Begin and End, of all classes
 	mu      sync.Mutex   // guards classes; not taken while a request is served
@@ -98,17 +98,17 @@
 // Count counts the outcome of a request that was never active, such as one that was shed before its body was read.
 func (c *Class) Count(outcome Outcome) { c.outcomes[outcome].Add(1) }
 
-// Gauge is a metric whose value is read when the metrics are written.
-type Gauge struct {
-	Name   string // without the prefix that all metrics have
-	Value  int64
-	Counts bool // the value only grows, and is written as a counter
+// Sample is a metric whose value is read when the metrics are written.
+type Sample struct {
+	Name      string // without the prefix that all metrics have
+	Value     int64
+	IsCounter bool // the value only grows, and is written as a counter
 }
 
 // Write writes all metrics and then the given gauges to w, one statsd line each, classes in the order of their names. The
 // counters are not read at one instant: a request that ends meanwhile may be seen in one of them and not yet in another.
 // The error is that of w.
-func (r *Registry) Write(w io.Writer, gauges ...Gauge) error {
+func (r *Registry) Write(w io.Writer, gauges ...Sample) error {
 	classes := r.sortedClasses()
 	var text strings.Builder
 	for outcome, name := range outcomeNames {
@@ -116,12 +116,12 @@
 			fmt.Fprintf(&text, "%s%s.%s:%d|c\n", namePrefix, name, c.name, c.outcomes[outcome].Load())
 		}
 	}
-	fmt.Fprintf(&text, "%stries:%d|c\n", namePrefix, r.Tries.Load())
-	fmt.Fprintf(&text, "%sbad:%d|c\n", namePrefix, r.Bad.Load())
+	fmt.Fprintf(&text, "%stries:%d|c\n", namePrefix, r.Attempts.Load())
+	fmt.Fprintf(&text, "%sbad:%d|c\n", namePrefix, r.RejectedInput.Load())
 	fmt.Fprintf(&text, "%sactive:%d|g\n", namePrefix, r.active.Load())
 	for _, g := range gauges {
 		kind := "g"
-		if g.Counts {
+		if g.IsCounter {
 			kind = "c"
 		}
 		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, g.Name, g.Value, kind)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 )
 
 // written returns what the registry writes.
-func written(t *testing.T, r *Registry, gauges ...Gauge) string {
+func written(t *testing.T, r *Registry, gauges ...Sample) string {
 	t.Helper()
 	var b strings.Builder
 	if err := r.Write(&b, gauges...); err != nil {
@@ -24,14 +24,14 @@
 	b.Begin()
 	b.End(OK)
 	b.Count(Shed)
-	r.Tries.Add(3)
-	r.Bad.Add(2)
+	r.Attempts.Add(3)
+	r.RejectedInput.Add(2)
 	want := "edge_router.ok.a:0|c\nedge_router.ok.b:1|c\n" +
 		"edge_router.shed.a:0|c\nedge_router.shed.b:1|c\n" +
 		"edge_router.errors.a:0|c\nedge_router.errors.b:0|c\n" +
 		"edge_router.tries:3|c\nedge_router.bad:2|c\nedge_router.active:1|g\n" +
 		"edge_router.pool_size:7|g\nedge_router.peers_sent:8|c\n"
-	got := written(t, &r, Gauge{Name: "pool_size", Value: 7}, Gauge{Name: "peers_sent", Value: 8, Counts: true})
+	got := written(t, &r, Sample{Name: "pool_size", Value: 7}, Sample{Name: "peers_sent", Value: 8, IsCounter: true})
 	if got != want {
 		t.Errorf("%s\nwant\n%s", got, want)
 	}
--- a/internal/route/mismatch.go
+++ b/internal/route/mismatch.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Refusal says why the rule at an index does not match a request. It is empty if the rule matches.
+// Mismatch says why the rule at an index does not match a request. It is empty if the rule matches.
 //
 // It compares the parts one by one and does not use the table's indexes, so that tests can take it as the reference.
-func (t *Table) Refusal(index int, r *Request) string {
+func (t *Table) Mismatch(index int, r *Request) string {
 	c := &t.rules[index]
 	switch {
 	case !c.matchesHost(r.Host):
--- a/internal/route/mismatch_test.go
+++ b/internal/route/mismatch_test.go
@@ -15,7 +15,7 @@
 	r := &Request{Host: "b.example", Path: "/y", Method: "GET", Header: http.Header{}}
 	for i, want := range []string{`host "b.example" is none of a.example`, `path "/y" does not match "/x"`, "method GET is none of PUT", `header X-A is not "1"`, "query value q is missing", ""} {
 		t.Run(fmt.Sprintf("rule %d", i), func(t *testing.T) {
-			if got := table.Refusal(i, r); got != want {
+			if got := table.Mismatch(i, r); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -11,7 +11,7 @@
 // firstWithoutMismatch is the reference for Match: each rule in turn, each part by itself.
 func firstWithoutMismatch(t *Table, r *Request) (int, bool) {
 	for i := range t.rules {
-		if t.Refusal(i, r) == "" {
+		if t.Mismatch(i, r) == "" {
 			return i, true
 		}
 	}
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -15,10 +15,10 @@
 
 // openAdmin opens the operators' address of a configuration, if it is not the one that is open. s.mu is held.
 func (s *Sidecar) openAdmin(c config.Service) (*admin.Server, error) {
-	if c.Admin == "" || s.admin != nil && s.adminAddr == c.Admin {
+	if c.AdminAddress == "" || s.admin != nil && s.adminAddr == c.AdminAddress {
 		return nil, nil
 	}
-	l, err := net.Listen("tcp", c.Admin)
+	l, err := net.Listen("tcp", c.AdminAddress)
 	if err != nil {
 		return nil, fmt.Errorf("admin_addr: %w", err)
 	}
@@ -33,7 +33,7 @@
 	if s.cluster.hasConsensus() {
 		handlers.MaxBodyBytes = consensus.MaxDocumentBytes
 	}
-	server := admin.New(l, c.Operators, handlers, s.log)
+	server := admin.New(l, c.OperatorConnections, handlers, s.log)
 	go server.Serve()
 	return server, nil
 }
@@ -41,7 +41,7 @@
 // adoptAdmin replaces the operators' address by that of a new configuration. The old one ends in the background: the
 // reload must not wait for a command that waits for s.mu. s.mu is held.
 func (s *Sidecar) adoptAdmin(c config.Service, opened *admin.Server) {
-	if s.admin != nil && s.adminAddr != c.Admin {
+	if s.admin != nil && s.adminAddr != c.AdminAddress {
 		go func(old *admin.Server) {
 			if err := old.Close(); err != nil {
 				s.log.Warn("admin address closed with an error", "error", err)
@@ -50,7 +50,7 @@
 		s.admin = nil
 	}
 	if opened != nil {
-		s.admin, s.adminAddr = opened, c.Admin
+		s.admin, s.adminAddr = opened, c.AdminAddress
 		s.log.Info("admin address opened", "addr", opened.Addr().String())
 	}
 }
@@ -75,6 +75,6 @@
 // writeMetrics writes all metrics, one a line.
 func (s *Sidecar) writeMetrics(ctx context.Context, w io.Writer) error {
 	listed, avoided := s.overrides.countEndpoints(ctx)
-	gauges := []metrics.Gauge{{Name: "pool_size", Value: listed}, {Name: "pool_ejected", Value: avoided}}
+	gauges := []metrics.Sample{{Name: "pool_size", Value: listed}, {Name: "pool_ejected", Value: avoided}}
 	return s.metrics.Write(w, append(gauges, s.cluster.gauges()...)...)
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -18,7 +18,7 @@
 )
 
 // withAdmin gives the service an operators' address.
-func withAdmin(c *config.Service) { c.Admin, c.Operators = "127.0.0.1:0", 8 }
+func withAdmin(c *config.Service) { c.AdminAddress, c.OperatorConnections = "127.0.0.1:0", 8 }
 
 // adminCommand sends one command and returns its response.
 func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
@@ -243,11 +243,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.Admin, next.Operators = l.Addr().String(), 8
+	next.AdminAddress, next.OperatorConnections = l.Addr().String(), 8
 	if err := s.Reload(next); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 		t.Errorf("%v", err)
 	}
-	next.Admin = "127.0.0.1:0"
+	next.AdminAddress = "127.0.0.1:0"
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 		t.Errorf("%q", got)
 	}
 	was := s.admin.Addr().String()
-	next.Admin = ""
+	next.AdminAddress = ""
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -27,7 +27,7 @@
 			defer p.close()
 			done := make(chan bool)
 			for i := 0; b.Loop(); i++ {
-				p.updateEndpoints(discovery.ListUpdate{Full: true, Servers: list[:n+i%2]})
+				p.updateEndpoints(discovery.ListUpdate{Full: true, Members: list[:n+i%2]})
 				p.loop.Post(func(time.Duration) { done <- true })
 				<-done
 			}
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -26,9 +26,9 @@
 type clusterNode struct {
 	transport    *transport.Transport
 	log          *slog.Logger
-	spec         config.FleetSpec // as it was started
-	dividesPools bool             // the pools get the number of members that share them
-	stop         func()           // ends the goroutines
+	spec         config.ClusterSpec // as it was started
+	dividesPools bool               // the pools get the number of members that share them
+	stop         func()             // ends the goroutines
 	goroutines   sync.WaitGroup
 
 	raft             *raftnode.Node              // nil: nothing is agreed on
@@ -50,15 +50,15 @@
 )
 
 // transportOptions reads the key file.
-func transportOptions(spec *config.FleetSpec, log *slog.Logger) (transport.Options, error) {
+func transportOptions(spec *config.ClusterSpec, log *slog.Logger) (transport.Options, error) {
 	o := transport.Options{
-		Cluster:   spec.Cluster,
+		Cluster:   spec.ClusterName,
 		Name:      spec.Name,
 		Listen:    spec.Listen,
 		Advertise: spec.Advertise,
 		Join:      spec.Join,
 		Voters:    spec.Voters,
-		Times:     spec.Times,
+		Timing:    spec.Timing,
 		Log:       log,
 	}
 	if spec.KeyFile == "" {
@@ -74,10 +74,10 @@
 
 // startCluster joins the cluster that a configuration names; it returns nil if it names none.
 func startCluster(c config.Service, log *slog.Logger) (*clusterNode, error) {
-	if c.Fleet == nil {
+	if c.Cluster == nil {
 		return nil, nil
 	}
-	options, err := transportOptions(c.Fleet, log)
+	options, err := transportOptions(c.Cluster, log)
 	if err != nil {
 		return nil, err
 	}
@@ -85,10 +85,10 @@
 	if err != nil {
 		return nil, err
 	}
-	log.Info("cluster transport started", "cluster", c.Fleet.Cluster, "addr", link.Addr())
-	n := &clusterNode{transport: link, log: log, spec: *c.Fleet, dividesPools: c.Fleet.Divide, pools: map[*pool]bool{}}
+	log.Info("cluster transport started", "cluster", c.Cluster.ClusterName, "addr", link.Addr())
+	n := &clusterNode{transport: link, log: log, spec: *c.Cluster, dividesPools: c.Cluster.DividesByMembership, pools: map[*pool]bool{}}
 	n.ownFile.Store(c.File)
-	if c.Fleet.Agreed != nil {
+	if c.Cluster.Consensus != nil {
 		if n.raft, err = n.startRaft(); err != nil {
 			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), link.Abort())
 		}
@@ -102,19 +102,19 @@
 // startRaft starts this daemon's part in the consensus; without a data directory it never votes.
 func (n *clusterNode) startRaft() (*raftnode.Node, error) {
 	o := raftnode.Options{
-		Name:      n.spec.Name,
-		Voters:    n.spec.Voters,
-		Lease:     n.spec.Agreed.Terms,
-		Transport: n.transport,
-		Now:       n.transport.Now,
-		Log:       n.log,
-		Installs:  true,
+		Name:             n.spec.Name,
+		Voters:           n.spec.Voters,
+		Lease:            n.spec.Consensus.LeaseConfig,
+		Transport:        n.transport,
+		Now:              n.transport.Now,
+		Log:              n.log,
+		ReportsInstalled: true,
 		Check: func(docs map[string]consensus.Document) error {
 			return n.ownFile.Load().CheckDocuments(documentBodies(docs))
 		},
 	}
-	if n.spec.Agreed.DataDir != "" {
-		disk, err := wal.Dir(n.spec.Agreed.DataDir)
+	if n.spec.Consensus.DataDir != "" {
+		disk, err := wal.OpenDir(n.spec.Consensus.DataDir)
 		if err != nil {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 
 // prepareReconfigure reads what a reload may change of the cluster's configuration, the keys among it; commit applies it
 // and can't fail.
-func (n *clusterNode) prepareReconfigure(spec *config.FleetSpec) (commit func(), _ error) {
+func (n *clusterNode) prepareReconfigure(spec *config.ClusterSpec) (commit func(), _ error) {
 	switch {
 	case n == nil && spec == nil:
 		return func() {}, nil
@@ -138,8 +138,8 @@
 	}
 	return func() {
 		started := n.spec
-		if started.Name != spec.Name || started.Cluster != spec.Cluster || started.Listen != spec.Listen ||
-			started.Advertise != spec.Advertise || started.Divide != spec.Divide {
+		if started.Name != spec.Name || started.ClusterName != spec.ClusterName || started.Listen != spec.Listen ||
+			started.Advertise != spec.Advertise || started.DividesByMembership != spec.DividesByMembership {
 			n.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, " +
 				"change with a restart only")
 		}
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -6,11 +6,11 @@
 )
 
 // gauges returns the cluster's metrics; none without a cluster. Their names are read by dashboards and never change.
-func (n *clusterNode) gauges() []metrics.Gauge {
+func (n *clusterNode) gauges() []metrics.Sample {
 	if n == nil {
 		return nil
 	}
-	var gauges []metrics.Gauge
+	var gauges []metrics.Sample
 	if n.hasConsensus() {
 		gauges = n.settingsGauges()
 	}
@@ -20,9 +20,9 @@
 		count[m.State]++
 	}
 	for s := swim.Alive; s.Valid(); s++ {
-		gauges = append(gauges, metrics.Gauge{Name: "peers_" + s.String(), Value: count[s]})
+		gauges = append(gauges, metrics.Sample{Name: "peers_" + s.String(), Value: count[s]})
 	}
-	gauges = append(gauges, metrics.Gauge{Name: "peers_standing", Value: int64(view.Connectivity)})
+	gauges = append(gauges, metrics.Sample{Name: "peers_standing", Value: int64(view.Connectivity)})
 	link := n.transport.Metrics()
 	for _, c := range []struct {
 		name  string
@@ -30,30 +30,30 @@
 	}{
 		{"received", link.Received},
 		{"sent", link.Sent},
-		{"bytes", link.Bytes},
-		{"damaged", link.Damaged},
+		{"bytes", link.BytesSent},
+		{"damaged", link.Malformed},
 		{"foreign", link.Foreign},
-		{"forged", link.Forged},
+		{"forged", link.Unauthenticated},
 		{"replayed", link.Replayed},
-		{"flooded", link.Flooded},
-		{"full", link.Full},
+		{"flooded", link.RateLimited},
+		{"full", link.QueueFull},
 	} {
-		gauges = append(gauges, metrics.Gauge{Name: "peers_" + c.name, Value: int64(c.value), Counts: true})
+		gauges = append(gauges, metrics.Sample{Name: "peers_" + c.name, Value: int64(c.value), IsCounter: true})
 	}
 	return gauges
 }
 
 // settingsGauges returns the metrics of the agreed settings.
-func (n *clusterNode) settingsGauges() []metrics.Gauge {
+func (n *clusterNode) settingsGauges() []metrics.Sample {
 	s, _ := n.settingsStatus()
-	return []metrics.Gauge{
+	return []metrics.Sample{
 		{Name: "settings_version", Value: int64(s.Version)},
-		{Name: "settings_all", Value: int64(s.All)},
+		{Name: "settings_all", Value: int64(s.MinActingVersion)},
 		{Name: "settings_lease_ms", Value: s.LeaseMs},
 		{Name: "settings_term", Value: int64(s.Term)},
-		{Name: "settings_leads", Value: boolGauge(s.Leads)},
+		{Name: "settings_leads", Value: boolGauge(s.IsLeader)},
 		{Name: "settings_lagging", Value: int64(len(s.Lags))},
-		{Name: "settings_refused", Value: int64(s.Refused), Counts: true},
+		{Name: "settings_refused", Value: int64(s.RejectedRequests), IsCounter: true},
 	}
 }
 
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -39,7 +39,7 @@
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := s.connections.Count(); n > 64 {
+	if n := s.connections.ConnectionCount(); n > 64 {
 		t.Errorf("%d connections are open", n)
 	}
 }
@@ -54,7 +54,7 @@
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
-	testpeer.Until(t, "clients' connections end", func() bool { return s.connections.Count() == 0 })
+	testpeer.Until(t, "clients' connections end", func() bool { return s.connections.ConnectionCount() == 0 })
 	left := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -171,18 +171,18 @@
 			t.Errorf("%s is not served by A", path)
 		}
 	}
-	names.Go(fake.DNSServfail, 0)
+	names.SetFault(fake.DNSServfail, 0)
 	if err := os.Remove(list); err != nil {
 		t.Fatal(err)
 	}
-	asked := names.Asked.Load()
-	testpeer.Until(t, "DNS fails", func() bool { return names.Asked.Load() > asked+1 })
+	asked := names.Queries.Load()
+	testpeer.Until(t, "DNS fails", func() bool { return names.Queries.Load() > asked+1 })
 	for _, path := range []string{"/file", "/dns"} {
 		if !served(path, "A") {
 			t.Errorf("%s is not served by A any more", path)
 		}
 	}
-	names.Go(fake.DNSWell, 0)
+	names.SetFault(fake.DNSHealthy, 0)
 	write(b)
 	point(b)
 	for _, path := range []string{"/file", "/dns"} {
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -70,7 +70,7 @@
 	go func() { // the beginning, and the rest once the node has failed: else kernel buffers would swallow it
 		first := len(sends)
 		if c.moment == "head" || c.moment == "first byte" {
-			first = body.Held
+			first = body.PrefixSize
 		}
 		send(sends[:first])
 		goOn := c.retried
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -279,7 +279,7 @@
 	}
 	t.Logf("%d cells, %d not as the page has them", len(cells), bad.Load())
 	testpeer.Until(t, "all body memory is released", func() bool {
-		held, waiting := s.bodyMemory.Held()
+		held, waiting := s.bodyMemory.InUse()
 		return held == 0 && waiting == 0
 	})
 	// Idle connections to nodes may stay open: two a pool at most, with a goroutine at the node each.
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -34,10 +34,10 @@
 // joinHotRestart enters the directory that the processes share. It returns nil if none is configured, or if that one
 // can't be used: then this process has no successor, and manual ejections are kept in memory.
 func joinHotRestart(s *Sidecar, c config.Service, log *slog.Logger) *hotRestart {
-	if c.Shared == "" {
+	if c.SharedDir == "" {
 		return nil
 	}
-	directory, err := hotrestart.Join(c.Shared, c.Name, log)
+	directory, err := hotrestart.Join(c.SharedDir, c.Name, log)
 	if err != nil {
 		log.Error("hot restart is not available, and manual ejections are kept in memory", "error", err)
 		return nil
@@ -124,7 +124,7 @@
 	if r.memoryLimit != math.MaxInt64 {
 		debug.SetMemoryLimit(r.memoryLimit / int64(1+len(view.Others)))
 	}
-	r.sidecar.setConnectionLimit(r.config.Connections(limit))
+	r.sidecar.setConnectionLimit(r.config.ConnectionsWithin(limit))
 }
 
 // beginShutdown tells whether another process takes clients now. From now on this process's lifecycle does not change: if
@@ -172,10 +172,10 @@
 	defer s.mu.Unlock()
 	u := resourceUsage{descriptors: s.fixedDescriptors, hasEndpointLists: true}
 	for _, l := range s.listeners {
-		u.clients += l.connections.Count()
+		u.clients += l.connections.ConnectionCount()
 	}
 	for l := range s.drainingListeners {
-		u.clients += l.connections.Count()
+		u.clients += l.connections.ConnectionCount()
 	}
 	for p := range s.runningPools {
 		_, n := p.upstream.ResourceCounts()
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -17,7 +17,7 @@
 	spec          config.Listener
 	pseudonym     string // of this daemon in Via
 	socket        *socketHandle
-	acceptLimiter *frontend.Limited
+	acceptLimiter *frontend.LimitListener
 	connections   *frontend.Listener
 	frontend      *frontend.Server
 	server        *http.Server
@@ -29,8 +29,8 @@
 type listenerOptions struct {
 	pseudonym  string
 	socket     *socketHandle
-	current    *frontend.Current
-	bodyMemory *body.Pool
+	current    *frontend.ActiveRouteConfig
+	bodyMemory *body.MemoryPool
 	metrics    *metrics.Registry
 	log        *slog.Logger
 }
@@ -47,7 +47,7 @@
 // newListener puts a server behind a socket; serve starts it.
 func newListener(spec config.Listener, o listenerOptions) *listener {
 	// Beyond the limit clients wait in the kernel's queue, which costs no descriptor and loses nothing.
-	limiter := frontend.Limit(o.socket, spec.Connections+config.SpareCallers)
+	limiter := frontend.NewLimitListener(o.socket, spec.Connections+config.SpareConnections)
 	l := &listener{
 		spec:          spec,
 		pseudonym:     o.pseudonym,
@@ -56,28 +56,28 @@
 		connections:   frontend.NewListener(limiter, spec.Connections, spec.HeadTimeout),
 		acceptEnded:   make(chan struct{}),
 	}
-	l.frontend = frontend.New(frontend.Options{
-		Head:         spec.HeadBytes,
-		Body:         spec.BodyBytes,
-		HeadTimeout:  spec.HeadTimeout,
-		BodyTimeout:  spec.BodyTimeout,
-		IdleTimeout:  spec.IdleTimeout,
-		WriteTimeout: spec.WriteTimeout,
-		Forwarded:    frontend.Forwarded(spec.Forwarded),
-		Pseudonym:    o.pseudonym,
-		Fractions:    spec.RetryAfter == "fraction",
-		Raw:          spec.Raw,
-		Pool:         o.bodyMemory,
-		Figures:      o.metrics,
-		Pace:         body.Pace{Idle: spec.FlowIdle, Rate: spec.FlowRate},
+	l.frontend = frontend.NewServer(frontend.Options{
+		MaxHeaderBytes:       spec.HeadBytes,
+		MaxBodyBytes:         spec.BodyBytes,
+		HeadTimeout:          spec.HeadTimeout,
+		BodyTimeout:          spec.BodyTimeout,
+		IdleTimeout:          spec.IdleTimeout,
+		WriteTimeout:         spec.WriteTimeout,
+		Forwarded:            frontend.ForwardedMode(spec.Forwarded),
+		Pseudonym:            o.pseudonym,
+		FractionalRetryAfter: spec.RetryAfter == "fraction",
+		Raw:                  spec.RawTargets,
+		BodyMemory:           o.bodyMemory,
+		Metrics:              o.metrics,
+		MinRate:              body.MinimumRate{IdleTimeout: spec.StreamIdleTimeout, BytesPerSecond: spec.MinStreamRate},
 	}, o.current, o.log)
-	l.server = l.frontend.HTTP(l.connections.Track)
+	l.server = l.frontend.HTTPServer(l.connections.Track)
 	return l
 }
 
 // setMaxConnections changes how many connections are kept.
 func (l *listener) setMaxConnections(limit int) {
-	l.acceptLimiter.SetMaxConnections(limit + config.SpareCallers)
+	l.acceptLimiter.SetMaxConnections(limit + config.SpareConnections)
 	l.connections.SetMaxConnections(limit)
 }
 
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -147,7 +147,7 @@
 	}
 	defer o.release()
 	if o.directory != nil {
-		o.applyDirectory(hotrestart.ReadOnly)
+		o.applyDirectory(hotrestart.KeepReportedDescriptors)
 	}
 	before := o.state(id)
 	isKnown := before.isEjected
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -177,7 +177,7 @@
 	}
 	work.Wait()
 	testpeer.Until(t, "no memory is reserved", func() bool {
-		held, waiting := s.bodyMemory.Held()
+		held, waiting := s.bodyMemory.InUse()
 		return held == 0 && waiting == 0
 	})
 	runtime.GC()
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -41,32 +41,32 @@
 
 // newPool starts a pool. The module gets the list that the configuration knows before any other event.
 func newPool(
-	decider eventloop.Decider, spec config.PoolSpec, bodyMemory *body.Pool, registry *metrics.Registry, log *slog.Logger,
+	decider eventloop.Decider, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry, log *slog.Logger,
 ) *pool {
 	p := &pool{spec: spec, log: log, members: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
 	if settings.Seed == 0 {
 		settings.Seed = randomSeed()
 	}
-	begins := upstream.WithHead
-	if spec.LastByte {
-		begins = upstream.WithLastByte
+	begins := upstream.StartsWithHead
+	if spec.StartsAtLastByte {
+		begins = upstream.StartsWithLastByte
 	}
 	p.upstream = upstream.New(upstream.Options{
-		Idle:   spec.Idle,
-		Dial:   spec.Dial,
-		Most:   spec.Connections,
-		Spread: spec.Spread,
-		OnlyOK: spec.OnlyOK,
-		Begins: begins,
-		Pool:   bodyMemory,
-		Pace:   spec.Flow,
-		Whole:  spec.Whole,
-		Answer: spec.AnswerBytes,
-		Sent:   func() { registry.Tries.Add(1) },
+		IdleTimeout:             spec.IdleTimeout,
+		DialTimeout:             spec.DialTimeout,
+		MaxConnections:          spec.Connections,
+		Spread:                  spec.DialsRatherThanWaits,
+		OnlyOK:                  spec.AcceptsOnlyOK,
+		RequestStart:            begins,
+		Pool:                    bodyMemory,
+		MinimumRate:             spec.StreamPace,
+		BufferedResponseTimeout: spec.BufferedResponseTimeout,
+		MaxResponseBody:         spec.MaxResponseBytes,
+		OnRequestSent:           func() { registry.Attempts.Add(1) },
 	})
 	p.loop = eventloop.New(decider, settings, p.upstream, p.subscribe, log)
-	known := spec.Source.Known
+	known := spec.Source.LastUpdate
 	known.Full = true // a cached list is complete, and so is the first one that the module gets
 	p.loop.UpdateEndpoints(p.loop.Now(), known)
 	ctx, stop := context.WithCancel(context.Background())
@@ -112,7 +112,7 @@
 	if p.stopSource != nil {
 		p.stopSource()
 	}
-	p.members.SetOptions(endpointset.Options{Hold: spec.Hold, Damp: spec.Damp})
+	p.members.SetOptions(endpointset.Options{Hold: spec.HoldLastGood, Damp: spec.FlapDamping})
 	source := p.newSource(spec)
 	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source
 		source.Subscribe()
@@ -135,26 +135,26 @@
 func (p *pool) newSource(spec config.SourceSpec) discovery.Source {
 	switch {
 	case spec.Agent != "":
-		version := spec.Known.Version
-		if spec.Anew {
+		version := spec.LastUpdate.Version
+		if spec.RequestsFullList {
 			version = nil
 		}
 		agent := discovery.NewAgentClient(spec.Agent, version, p.spec.Settings.MustSubscribe, p.log)
-		agent.Deliver, agent.Failed = p.updateEndpoints, p.discoveryFailed
+		agent.OnUpdate, agent.OnWatchEnd = p.updateEndpoints, p.discoveryFailed
 		return agent
 	case spec.File != "":
-		return discovery.FileSource(spec.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+		return discovery.NewFileSource(spec.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	case spec.DNS != nil:
-		return discovery.DNSSource(discovery.DNSOptions{
+		return discovery.NewDNSSource(discovery.DNSOptions{
 			Name:    spec.DNS.Name,
 			Service: spec.DNS.Type == "srv",
 			Port:    spec.DNS.Port,
 			Server:  spec.DNS.Server,
-			MinTTL:  spec.DNS.TTLLeast,
-			MaxTTL:  spec.DNS.TTLMost,
+			MinTTL:  spec.DNS.MinTTL,
+			MaxTTL:  spec.DNS.MaxTTL,
 		}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	}
-	return discovery.StaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 }
 
 // canServe tells whether the pool can go on under another configuration: only its source may differ.
@@ -169,7 +169,7 @@
 func (p *pool) updateSource(spec config.SourceSpec) {
 	current := p.spec.Source
 	p.spec.Source = spec
-	spec.Known, current.Known = discovery.ListUpdate{}, discovery.ListUpdate{}
+	spec.LastUpdate, current.LastUpdate = discovery.ListUpdate{}, discovery.ListUpdate{}
 	if reflect.DeepEqual(current, spec) {
 		return
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -13,7 +13,7 @@
 
 // installedConfig is a configuration that is in force, or was and still has requests.
 type installedConfig struct {
-	service *frontend.Service
+	service *frontend.RouteConfig
 	pools   map[string]*pool // by name
 }
 
@@ -57,10 +57,10 @@
 	p.reconfigureCluster()
 	s.adoptAdmin(c, p.admin)
 	next := s.buildConfig(c)
-	active := activeSettings{consensus.DigestOf(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
+	active := activeSettings{consensus.DigestDocuments(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
 	active.version.Store(agreed.Version)
-	next.service.Guard = s.cluster.requestGuard(c.Refuses, active.version)
-	next.service.Unsure = indeterminateRetryAfter
+	next.service.Guard = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
+	next.service.GuardRetryAfter = indeterminateRetryAfter
 	s.currentService.Swap(next.service)
 	s.ownConfig, s.activeSettings = own, active
 	if s.cluster.hasConsensus() {
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	p := &preparedReload{effective: effective}
-	if p.reconfigureCluster, err = s.cluster.prepareReconfigure(effective.service.Fleet); err != nil {
+	if p.reconfigureCluster, err = s.cluster.prepareReconfigure(effective.service.Cluster); err != nil {
 		return nil, err
 	}
 	if p.admin, err = s.openAdmin(effective.service); err != nil {
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -7,24 +7,24 @@
 )
 
 // newService translates a configuration's routes for the frontend. Targets of the same class share one frontend.Class.
-func newService(c config.Service, pools map[string]*pool, registry *metrics.Registry) *frontend.Service {
+func newService(c config.Service, pools map[string]*pool, registry *metrics.Registry) *frontend.RouteConfig {
 	classes := map[*config.Class]*frontend.Class{}
-	service := &frontend.Service{Table: c.Table}
+	service := &frontend.RouteConfig{Table: c.Table}
 	for _, t := range c.Targets {
 		if classes[t.Class] == nil {
 			classes[t.Class] = newClass(t.Class)
-			classes[t.Class].Figures = registry.Class(t.Class.Name)
+			classes[t.Class].Metrics = registry.Class(t.Class.Name)
 		}
 		target := frontend.Target{
-			Pool:    pools[t.Pool].loop,
-			Class:   classes[t.Class],
-			Tenant:  t.Tenant,
-			Prefix:  t.Prefix,
-			Replace: t.Replace,
-			Remove:  t.Remove,
+			Pool:          pools[t.Pool].loop,
+			Class:         classes[t.Class],
+			DefaultTenant: t.Tenant,
+			Prefix:        t.PathPrefix,
+			PrefixRewrite: t.ReplacePrefix,
+			RemoveHeaders: t.RemoveHeaders,
 		}
-		for _, h := range t.Set {
-			target.Set = append(target.Set, [2]string{h.Name, h.Value})
+		for _, h := range t.SetHeaders {
+			target.SetHeaders = append(target.SetHeaders, [2]string{h.Name, h.Value})
 		}
 		service.Targets = append(service.Targets, target)
 	}
@@ -33,20 +33,20 @@
 
 func newClass(c *config.Class) *frontend.Class {
 	return &frontend.Class{
-		Name:             c.Name,
-		Effect:           config.Effects[c.Effect],
-		IDHeader:         c.IDHeader,
-		KeyHeader:        c.KeyHeader,
-		TenantHeader:     c.TenantHeader,
-		DeadlineHeader:   c.DeadlineHeader,
-		RetryHeader:      c.RetryHeader,
-		MustHaveID:       c.MustHaveID(),
-		MustHaveDeadline: c.MustHaveDeadline(),
-		Deadline:         c.Deadline,
-		DeadlineMost:     c.DeadlineMost,
-		Methods:          c.Methods,
-		NoBody:           c.NoBody,
-		FlowMost:         c.FlowMost,
-		DeadlineAll:      c.DeadlineAll(),
+		Name:                  c.Name,
+		Effect:                config.EffectsByName[c.Effect],
+		IDHeader:              c.IDHeader,
+		KeyHeader:             c.KeyHeader,
+		TenantHeader:          c.TenantHeader,
+		DeadlineHeader:        c.DeadlineHeader,
+		RetryHeader:           c.RetryHeader,
+		RequiresID:            c.RequiresID(),
+		RequiresDeadline:      c.RequiresDeadline(),
+		DefaultDeadline:       c.Deadline,
+		MaxDeadline:           c.MaxDeadline,
+		Methods:               c.Methods,
+		ForbidsBody:           c.ForbidsBody,
+		MaxStreamDuration:     c.MaxStreamDuration,
+		DeadlineCoversStreams: c.DeadlineCoversStreaming(),
 	}
 }
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -172,7 +172,7 @@
 }
 
 func (w *recordingEvents) Request(now time.Duration, r balance.Request) {
-	w.isRetry <- r.Repeat
+	w.isRetry <- r.IsRetry
 	w.Events.Request(now, r)
 }
 
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -37,7 +37,7 @@
 func settingsDocuments(docs map[string]consensus.Document) map[string]consensus.Document {
 	out := make(map[string]consensus.Document, len(docs))
 	for name, d := range docs {
-		if !strings.HasPrefix(name, config.OutPrefix) {
+		if !strings.HasPrefix(name, config.EjectionPrefix) {
 			out[name] = d
 		}
 	}
@@ -130,7 +130,7 @@
 		return errShuttingDown
 	}
 	agreed, _ := s.cluster.raft.Valid()
-	if consensus.DigestOf(settingsDocuments(agreed.Docs)) != s.activeSettings.digest {
+	if consensus.DigestDocuments(settingsDocuments(agreed.Docs)) != s.activeSettings.digest {
 		return s.reload(s.ownConfig)
 	}
 	s.activeSettings.version.Store(agreed.Version)
@@ -144,7 +144,7 @@
 	ejected := map[string]bool{}
 	agreed, _ := n.raft.Valid()
 	for name := range agreed.Docs {
-		if id, ok := strings.CutPrefix(name, config.OutPrefix); ok {
+		if id, ok := strings.CutPrefix(name, config.EjectionPrefix); ok {
 			ejected[id] = true
 		}
 	}
@@ -159,9 +159,9 @@
 	}
 	c := consensus.Command{By: n.spec.Name, At: time.Now().UnixMilli()}
 	if isEjected {
-		c.Put = &consensus.DocumentPut{Name: config.OutPrefix + id}
+		c.Put = &consensus.DocumentPut{Name: config.EjectionPrefix + id}
 	} else {
-		c.Remove = config.OutPrefix + id
+		c.Remove = config.EjectionPrefix + id
 	}
 	version, err := n.raft.ProposeVersion(ctx, c)
 	if err != nil {
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -103,7 +103,7 @@
 		if !swim.IsValidName(args[1]) {
 			return nil, fmt.Errorf("%.40q is no name of a daemon", args[1])
 		}
-		c.Seat = &consensus.VoterChange{Name: args[1], Out: name == "voters-remove"}
+		c.ChangeVoter = &consensus.VoterChange{Name: args[1], Remove: name == "voters-remove"}
 	default:
 		c.ID = args[0]
 		err = parseDocumentChange(c, name, args, body)
@@ -118,7 +118,7 @@
 		if err != nil {
 			return err
 		}
-		c.Expect = &expect
+		c.ExpectedVersion = &expect
 	}
 	document := args[2]
 	if !config.IsDocumentName(document) {
@@ -131,8 +131,8 @@
 	case "remove":
 		c.Remove = document
 	default:
-		c.Back = &consensus.DocumentVersion{Name: document}
-		c.Back.Version, err = strconv.ParseUint(args[3], 10, 64)
+		c.Revert = &consensus.DocumentVersion{Name: document}
+		c.Revert.Version, err = strconv.ParseUint(args[3], 10, 64)
 	}
 	return err
 }
@@ -173,24 +173,24 @@
 	agreed, _ := n.raft.Valid()
 	node := n.raft.Status()
 	s := &status.Settings{
-		Version:   agreed.Version,
-		Acting:    n.raft.CoversVersion(agreed.Version),
-		LeaseMs:   n.raft.LeaseRemaining().Milliseconds(),
-		Votes:     node.Votes,
-		Leads:     node.Leads,
-		Leader:    node.Leader,
-		Term:      node.Term,
-		Committed: node.Committed,
-		Coming:    node.Coming,
-		All:       node.All,
-		Declined:  node.Declined,
-		Why:       node.Why,
-		Refused:   n.rejectedRequests.Load(),
-		Voters:    strings.Join(node.Voters, ","),
-		Sitting:   strings.Join(node.Sitting, ","),
+		Version:          agreed.Version,
+		HasLease:         n.raft.CoversVersion(agreed.Version),
+		LeaseMs:          n.raft.LeaseRemaining().Milliseconds(),
+		IsVoter:          node.IsVoter,
+		IsLeader:         node.IsLeader,
+		Leader:           node.Leader,
+		Term:             node.Term,
+		Committed:        node.CommittedVersion,
+		NextVersion:      node.PendingVersion,
+		MinActingVersion: node.FullyActiveVersion,
+		RejectedVersion:  node.RejectedVersion,
+		RejectionReason:  node.RejectionReason,
+		RejectedRequests: n.rejectedRequests.Load(),
+		LeaseVoters:      strings.Join(node.KnownVoters, ","),
+		CurrentVoters:    strings.Join(node.ActiveVoters, ","),
 	}
 	for _, l := range node.Lagging {
-		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Why: l.Why})
+		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Reason: l.Reason})
 	}
 	return s, agreed
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -84,7 +84,7 @@
 		time.Sleep(drainPollInterval)
 	}
 	l.frontend.SetCloseConnections(true)
-	err := l.connections.Finish()
+	err := l.connections.Shutdown()
 	<-l.acceptEnded
 	return errors.Join(err, l.server.Close())
 }
@@ -97,5 +97,5 @@
 	case by == noSuccessor && elapsed < acceptAfterSignal:
 		return true
 	}
-	return elapsed < serveTime && l.connections.Count() > 0
+	return elapsed < serveTime && l.connections.ConnectionCount() > 0
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -37,7 +37,7 @@
 				passed++
 			})
 		}
-		go p.updateEndpoints(discovery.ListUpdate{Full: true, Servers: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
+		go p.updateEndpoints(discovery.ListUpdate{Full: true, Members: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
 		synctest.Wait()
 		close(jam)
 		synctest.Wait()
@@ -53,7 +53,7 @@
 	const grace = 1200 * time.Millisecond
 	came := make(chan bool, 10)
 	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { came <- true; return true })
-	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.Grace = grace }}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.TerminationGrace = grace }}, e.Addr)
 	hung := func(id, class string) *bufio.Reader {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -106,8 +106,8 @@
 			t.Fatal(err)
 		}
 		service, err := c.Service()
-		if err != nil || service.Grace != want || service.Drain >= want {
-			t.Errorf("%v: grace %v, drain %v, %v; want %v", limits, service.Grace, service.Drain, err, want)
+		if err != nil || service.TerminationGrace != want || service.DrainTimeout >= want {
+			t.Errorf("%v: grace %v, drain %v, %v; want %v", limits, service.TerminationGrace, service.DrainTimeout, err, want)
 		}
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -35,10 +35,10 @@
 type Sidecar struct {
 	decider          eventloop.Decider
 	log              *slog.Logger
-	currentService   frontend.Current
-	listenerFailed   chan error     // holds the first error of a listener that can't go on
-	bodyMemory       *body.Pool     // nil: bodies are buffered complete; fixed at the start
-	retiring         sync.WaitGroup // configurations and listeners that a reload removed and that still serve requests
+	currentService   frontend.ActiveRouteConfig
+	listenerFailed   chan error       // holds the first error of a listener that can't go on
+	bodyMemory       *body.MemoryPool // nil: bodies are buffered complete; fixed at the start
+	retiring         sync.WaitGroup   // configurations and listeners that a reload removed and that still serve requests
 	metrics          *metrics.Registry
 	overrides        *overrides
 	cluster          *clusterNode // nil: this daemon is in no cluster; fixed at the start
@@ -77,17 +77,17 @@
 		decider:           decider,
 		log:               log,
 		listenerFailed:    make(chan error, 1),
-		streamTimeout:     c.Drain,
-		gracePeriod:       c.Grace,
+		streamTimeout:     c.DrainTimeout,
+		gracePeriod:       c.TerminationGrace,
 		metrics:           &metrics.Registry{},
 		overrides:         newOverrides(),
-		fixedDescriptors:  c.Fixed(),
+		fixedDescriptors:  c.ReservedDescriptors(),
 		listeners:         map[string]*listener{},
 		drainingListeners: map[*listener]bool{},
 		runningPools:      map[*pool]bool{},
 	}
 	if c.BodyMemory > 0 {
-		s.bodyMemory = body.NewPool(c.BodyMemory)
+		s.bodyMemory = body.NewMemoryPool(c.BodyMemory)
 	}
 	var err error
 	if s.cluster, err = startCluster(c, log); err != nil {
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -203,7 +203,7 @@
 	if n := reached.Load(); n != 0 {
 		t.Errorf("%d reached the endpoint", n)
 	}
-	if held, _ := s.bodyMemory.Held(); held != 0 {
+	if held, _ := s.bodyMemory.InUse(); held != 0 {
 		t.Errorf("%d bytes are still reserved", held)
 	}
 }
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	if held, waiting := s.bodyMemory.Held(); held != 0 || waiting != 0 {
+	if held, waiting := s.bodyMemory.InUse(); held != 0 || waiting != 0 {
 		t.Errorf("%d bytes of the body memory are still reserved, %d requests wait", held, waiting)
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -20,7 +20,7 @@
 
 func (r *Reader) endpointListReceived(to balance.Events) {
 	m := &r.message
-	var list balance.List
+	var list balance.EndpointUpdate
 	mode := m.text("Mode", required)
 	m.integer("Gen", optional) // only checked: the order of the lists is that of the messages
 	switch mode {
@@ -28,7 +28,7 @@
 		list.Failed = true
 	case "C", "F", "D":
 		list.Complete = mode != "D"
-		list.Entries = r.lists.entries(m)
+		list.Endpoints = r.lists.entries(m)
 	default:
 		m.fail("REGISTRY has an unknown Mode %q", mode)
 	}
@@ -44,7 +44,7 @@
 		Class:    m.internedText("Band", required),
 		Tenant:   m.internedText("Team", optional),
 		Deadline: m.microseconds("ValidUntilUs", required),
-		Repeat:   m.integer("Attrs", optional)&attrClientRetry != 0,
+		IsRetry:  m.integer("Attrs", optional)&attrClientRetry != 0,
 	}
 	if m.err == nil {
 		to.Request(r.now, request)
@@ -66,8 +66,8 @@
 		Attempt:  m.integer("N", required),
 		Endpoint: m.internedText("Endpoint", required),
 		Result:   m.result(),
-		Took:     m.microseconds("SpentUs", required),
-		Final:    m.integer("DoneFlag", optional) != 0,
+		Latency:  m.microseconds("SpentUs", required),
+		IsFinal:  m.integer("DoneFlag", optional) != 0,
 	}
 	if m.err == nil {
 		to.Outcome(r.now, outcome)
@@ -77,7 +77,7 @@
 func (r *Reader) clientLeft(to balance.Events) {
 	m := &r.message
 	if id := m.requestID(); m.err == nil {
-		to.ClientLeft(r.now, id)
+		to.ClientDisconnected(r.now, id)
 	}
 }
 
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -167,9 +167,9 @@
 	case "Ok":
 		return balance.OK
 	case "Failed":
-		return balance.Errored
+		return balance.ErrorResponse
 	case "QueueFull":
-		return balance.Full
+		return balance.Rejected
 	case "TimedOut":
 		return balance.TimedOut
 	case "ConnectError":
@@ -182,7 +182,7 @@
 		return balance.NotSent
 	default:
 		m.fail("unknown StateCode %q", value)
-		return balance.Errored
+		return balance.ErrorResponse
 	}
 }
 
@@ -200,7 +200,7 @@
 			return balance.Load{}
 		}
 		if string(name) == "active" {
-			load.Known, load.Held = true, value
+			load.Known, load.Requests = true, value
 		}
 	}
 	return load
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -38,8 +38,10 @@
 	return r, nil
 }
 
-func (r *recorder) EndpointList(now time.Duration, l balance.List) { r.record(now, "list", l) }
-func (r *recorder) Request(now time.Duration, q balance.Request)   { r.record(now, "request", q) }
+func (r *recorder) EndpointList(now time.Duration, l balance.EndpointUpdate) {
+	r.record(now, "list", l)
+}
+func (r *recorder) Request(now time.Duration, q balance.Request) { r.record(now, "request", q) }
 func (r *recorder) StreamStarted(now time.Duration, id string, n int) {
 	r.record(now, "stream", []any{id, n})
 }
@@ -47,13 +49,13 @@
 	r.record(now, "sent", []any{id, n, deadline})
 }
 func (r *recorder) Outcome(now time.Duration, o balance.Outcome)    { r.record(now, "outcome", o) }
-func (r *recorder) ClientLeft(now time.Duration, id string)         { r.record(now, "left", id) }
+func (r *recorder) ClientDisconnected(now time.Duration, id string) { r.record(now, "left", id) }
 func (r *recorder) Timer(now time.Duration)                         { r.record(now, "timer", nil) }
 func (r *recorder) Probed(now time.Duration, p balance.ProbeResult) { r.record(now, "probed", p) }
-func (r *recorder) Share(time.Duration, int, int)                   {}
-func (r *recorder) Bar(time.Duration, string, bool)                 {}
-func (r *recorder) Knows(string) bool                               { return false }
-func (r *recorder) Census() (listed, avoided int)                   { return 0, 0 }
+func (r *recorder) SetBalancerCount(time.Duration, int, int)        {}
+func (r *recorder) SetEjected(time.Duration, string, bool)          {}
+func (r *recorder) IsKnown(string) bool                             { return false }
+func (r *recorder) EndpointCounts() (listed, avoided int)           { return 0, 0 }
 
 func read(text string) (*recorder, error) {
 	r := &recorder{started: map[int]balance.Settings{}}
@@ -80,12 +82,12 @@
 	const ms, us = time.Millisecond, time.Microsecond
 	endpoint := balance.Endpoint{ID: "h:1", Zone: "z", Kind: "big", Cell: 2, Started: 7 * us}
 	want := []recordedEvent{
-		{ms, "list", balance.List{Complete: true, Entries: []balance.Endpoint{endpoint}}},
-		{ms, "list", balance.List{Failed: true}},
-		{ms, "request", balance.Request{ID: "r1", Class: "c", Tenant: "t", Deadline: 2 * ms, Repeat: true}},
+		{ms, "list", balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{endpoint}}},
+		{ms, "list", balance.EndpointUpdate{Failed: true}},
+		{ms, "request", balance.Request{ID: "r1", Class: "c", Tenant: "t", Deadline: 2 * ms, IsRetry: true}},
 		{ms, "request", balance.Request{ID: "r2", Class: "c", Deadline: 2 * ms}},
-		{ms, "outcome", balance.Outcome{ID: "r1", Endpoint: "h:1", Result: balance.OK, Took: 5 * us, Final: true}},
-		{ms, "probed", balance.ProbeResult{Endpoint: "h:1", Result: balance.OK, Load: balance.Load{Known: true, Held: 2.5}}},
+		{ms, "outcome", balance.Outcome{ID: "r1", Endpoint: "h:1", Result: balance.OK, Latency: 5 * us, IsFinal: true}},
+		{ms, "probed", balance.ProbeResult{Endpoint: "h:1", Result: balance.OK, Load: balance.Load{Known: true, Requests: 2.5}}},
 		{ms, "stream", []any{"r2", 1}},
 		{ms, "left", "r2"},
 		{ms, "timer", nil},
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -83,8 +83,8 @@
 	h.begin("STOP_ATTEMPT").text("Rid", id).number("N", int64(n)).end()
 }
 
-// Refuse writes a SAY_NO; a retryAfter of 0 is left out.
-func (h *Host) Refuse(id string, retryAfter time.Duration) {
+// Reject writes a SAY_NO; a retryAfter of 0 is left out.
+func (h *Host) Reject(id string, retryAfter time.Duration) {
 	h.begin("SAY_NO").text("Rid", id)
 	if retryAfter > 0 {
 		h.number("RetryInUs", ceilMicroseconds(retryAfter))
@@ -98,8 +98,8 @@
 // Probe writes a HEALTH_CHECK.
 func (h *Host) Probe(endpoint string) { h.begin("HEALTH_CHECK").text("Endpoint", endpoint).end() }
 
-// Idle returns false: the protocol says nothing of connections.
-func (h *Host) Idle(string) bool { return false }
+// HasIdleConnection returns false: the protocol says nothing of connections.
+func (h *Host) HasIdleConnection(string) bool { return false }
 
 // Subscribe writes a LISTEN.
 func (h *Host) Subscribe() { h.begin("LISTEN").number("Active", 1).end() }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,10 +11,10 @@
 
 // Settings is what the settings object says to a host of balancers.
 type Settings struct {
-	balance.Settings               // what balance.New is given
-	ConnIdle         time.Duration // an endpoint closes a connection after it was idle for this long; 0: not known
-	DialTimeout      time.Duration // a connection that is not established by then has failed; 0: not known
-	Longest          time.Duration // the longest time that a client of any class waits in total; 0: not known of each class
+	balance.Settings                // what balance.New is given
+	ConnIdle          time.Duration // an endpoint closes a connection after it was idle for this long; 0: not known
+	DialTimeout       time.Duration // a connection that is not established by then has failed; 0: not known
+	LongestClientWait time.Duration // the longest time that a client of any class waits in total; 0: not known of each class
 }
 
 // settings is the settings object as far as it is used; other members are ignored. Its fields have the wire's names and
@@ -60,10 +60,10 @@
 		return Settings{}, fmt.Errorf("parsing Config: %w", err)
 	}
 	s := Settings{
-		Settings:    wire.balancerSettings(),
-		ConnIdle:    microseconds(wire.Permissions.ConnIdleUs),
-		DialTimeout: microseconds(wire.Permissions.DialTimeoutUs),
-		Longest:     wire.longestHardLimit(),
+		Settings:          wire.balancerSettings(),
+		ConnIdle:          microseconds(wire.Permissions.ConnIdleUs),
+		DialTimeout:       microseconds(wire.Permissions.DialTimeoutUs),
+		LongestClientWait: wire.longestHardLimit(),
 	}
 	switch wire.Discovery {
 	case "automatic", "":
@@ -82,11 +82,11 @@
 			return s, fmt.Errorf("class %q in Config has unknown Group %q", lane.Name, lane.Group)
 		}
 		s.Classes = append(s.Classes, balance.Class{
-			Name:   lane.Name,
-			Effect: effect,
-			Group:  group,
-			Window: microseconds(lane.WindowUs),
-			Aim:    microseconds(lane.OnTimeUs),
+			Name:             lane.Name,
+			Idempotency:      effect,
+			DedupScope:       group,
+			DedupWindow:      microseconds(lane.WindowUs),
+			LatencyObjective: microseconds(lane.OnTimeUs),
 		})
 	}
 	for _, account := range wire.Accounts {
@@ -96,34 +96,34 @@
 }
 
 // effects are the wire's names of what a repeated request does.
-var effects = map[string]balance.Effect{
-	"read_like":       balance.Safe,
-	"idempotency_key": balance.Keyed,
-	"non_idempotent":  balance.Unsafe,
+var effects = map[string]balance.Idempotency{
+	"read_like":       balance.Idempotent,
+	"idempotency_key": balance.IdempotencyKey,
+	"non_idempotent":  balance.NonIdempotent,
 }
 
 // groups are the wire's names of the endpoints that recognize one another's duplicates. Left out, it is all of them.
-var groups = map[string]balance.Group{
-	"":     balance.GroupAll,
-	"all":  balance.GroupAll,
-	"zone": balance.GroupZone,
-	"cell": balance.GroupCell,
+var groups = map[string]balance.DedupScope{
+	"":     balance.ScopeAll,
+	"all":  balance.ScopeAll,
+	"zone": balance.ScopeZone,
+	"cell": balance.ScopeCell,
 }
 
 // balancerSettings returns the balancer's part, without the classes, the tenants and the mode of discovery.
 func (w *settings) balancerSettings() balance.Settings {
 	s := balance.Settings{
-		Balancers:   w.NInstances,
-		Index:       w.Me,
-		Tier:        w.Tier,
-		TiersBelow:  max(len(w.Tiers)-1-w.Tier, 0),
-		AskWithin:   microseconds(w.Rules.AskWithinUs),
-		MaxAttempts: w.Permissions.TryLimit,
-		MayCancel:   w.Permissions.MayCancel,
-		MayProbe:    w.Permissions.MayProbe && w.reportsLoad(),
-		Resolution:  microseconds(w.ResolutionUs),
-		ColdFrom:    w.Rules.ColdFrom,
-		ColdFor:     microseconds(w.Rules.ColdUs),
+		Balancers:         w.NInstances,
+		Index:             w.Me,
+		Tier:              w.Tier,
+		TiersBelow:        max(len(w.Tiers)-1-w.Tier, 0),
+		SubscribeWithin:   microseconds(w.Rules.AskWithinUs),
+		MaxAttempts:       w.Permissions.TryLimit,
+		CanCancel:         w.Permissions.MayCancel,
+		CanProbe:          w.Permissions.MayProbe && w.reportsLoad(),
+		TimerResolution:   microseconds(w.ResolutionUs),
+		SlowStartCapacity: w.Rules.ColdFrom,
+		SlowStartDuration: microseconds(w.Rules.ColdUs),
 	}
 	if w.Permissions.RetryAfter {
 		s.MaxRetryAfter = microseconds(w.Permissions.MaxRetryAfterUs)
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -22,10 +22,10 @@
 	}
 	us := time.Microsecond
 	want := balance.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
-		Classes: []balance.Class{{Name: "n", Effect: balance.Keyed, Group: balance.GroupCell, Window: 3 * us, Aim: us}},
-		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, AskWithin: 9 * us, MaxAttempts: 4,
-		MayCancel: true, MayProbe: true, MaxRetryAfter: 7 * us,
-		Resolution: 5 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * us}
+		Classes: []balance.Class{{Name: "n", Idempotency: balance.IdempotencyKey, DedupScope: balance.ScopeCell, DedupWindow: 3 * us, LatencyObjective: us}},
+		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, SubscribeWithin: 9 * us, MaxAttempts: 4,
+		CanCancel: true, CanProbe: true, MaxRetryAfter: 7 * us,
+		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * us}
 	if got := r.started[0]; !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
@@ -38,7 +38,7 @@
 	}{
 		"all are given": {
 			`{"Permissions":{"ConnIdleUs":3,"DialTimeoutUs":4},"Lanes":[{"Semantics":"read_like","HardLimitUs":5},{"Semantics":"read_like","HardLimitUs":2}]}`,
-			Settings{ConnIdle: 3 * time.Microsecond, DialTimeout: 4 * time.Microsecond, Longest: 5 * time.Microsecond},
+			Settings{ConnIdle: 3 * time.Microsecond, DialTimeout: 4 * time.Microsecond, LongestClientWait: 5 * time.Microsecond},
 		},
 		"a class without a limit": {
 			`{"Lanes":[{"Semantics":"read_like","HardLimitUs":5},{"Semantics":"read_like"}]}`, Settings{},
@@ -50,7 +50,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.ConnIdle != c.want.ConnIdle || got.DialTimeout != c.want.DialTimeout || got.Longest != c.want.Longest {
+			if got.ConnIdle != c.want.ConnIdle || got.DialTimeout != c.want.DialTimeout || got.LongestClientWait != c.want.LongestClientWait {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
@@ -72,8 +72,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.MayProbe != c.want {
-				t.Errorf("MayProbe is %v", got.MayProbe)
+			if got.CanProbe != c.want {
+				t.Errorf("MayProbe is %v", got.CanProbe)
 			}
 		})
 	}
--- a/internal/testkit/baseline/plain.go
+++ b/internal/testkit/baseline/plain.go
@@ -32,10 +32,10 @@
 		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Names(), ", "))
 	}
 	return func(_ time.Duration, s balance.Settings, h balance.Host) balance.Events {
-		b := &balancer{host: h, s: s, pick: p, rng: rand.New(rand.NewPCG(s.Seed, 0x706c61696e)), effects: map[string]balance.Effect{},
+		b := &balancer{host: h, s: s, pick: p, rng: rand.New(rand.NewPCG(s.Seed, 0x706c61696e)), effects: map[string]balance.Idempotency{},
 			states: map[string]balance.State{}, barred: map[string]bool{}, out: map[string]int{}, requests: map[string]*request{}}
 		for _, c := range s.Classes {
-			b.effects[c.Name] = c.Effect
+			b.effects[c.Name] = c.Idempotency
 		}
 		return b
 	}, nil
@@ -46,7 +46,7 @@
 	s        balance.Settings
 	pick     pick
 	rng      *rand.Rand
-	effects  map[string]balance.Effect
+	effects  map[string]balance.Idempotency
 	states   map[string]balance.State
 	barred   map[string]bool
 	ready    []string // sorted
@@ -79,7 +79,7 @@
 }
 
 // EndpointList implements balance.Events.
-func (b *balancer) EndpointList(_ time.Duration, l balance.List) {
+func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Failed {
 		b.host.Subscribe()
 		return
@@ -87,7 +87,7 @@
 	if l.Complete {
 		clear(b.states)
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if b.states[e.ID] = e.State; e.State == balance.Gone {
 			delete(b.states, e.ID)
 		}
@@ -127,10 +127,10 @@
 }
 
 func (b *balancer) end(q *request) {
-	if q.mayRun && b.effects[q.Class] != balance.Safe {
+	if q.mayRun && b.effects[q.Class] != balance.Idempotent {
 		b.host.Fail(q.ID)
 	} else {
-		b.host.Refuse(q.ID, 0)
+		b.host.Reject(q.ID, 0)
 	}
 	q.over = true
 	b.forget(q)
@@ -155,18 +155,18 @@
 	ran := o.Result.MayHaveRun()
 	q.mayRun = q.mayRun || ran
 	switch {
-	case o.Final || q.over || o.Result == balance.OK:
+	case o.IsFinal || q.over || o.Result == balance.OK:
 		q.over = true
 		b.forget(q)
-	case q.mayRun && b.effects[q.Class] != balance.Safe:
+	case q.mayRun && b.effects[q.Class] != balance.Idempotent:
 		b.end(q)
 	default:
 		b.send(now, q)
 	}
 }
 
-// ClientLeft implements balance.Events.
-func (b *balancer) ClientLeft(_ time.Duration, id string) {
+// ClientDisconnected implements balance.Events.
+func (b *balancer) ClientDisconnected(_ time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
 		q.over = true
 		b.forget(q)
@@ -179,25 +179,25 @@
 // BodySent implements balance.Events.
 func (b *balancer) BodySent(time.Duration, string, int, time.Duration) {}
 
-// Share implements balance.Events: a textbook picker knows nothing of others.
-func (b *balancer) Share(time.Duration, int, int) {}
+// SetBalancerCount implements balance.Events: a textbook picker knows nothing of others.
+func (b *balancer) SetBalancerCount(time.Duration, int, int) {}
 
-// Bar implements balance.Events.
-func (b *balancer) Bar(_ time.Duration, id string, out bool) {
+// SetEjected implements balance.Events.
+func (b *balancer) SetEjected(_ time.Duration, id string, out bool) {
 	if delete(b.barred, id); out {
 		b.barred[id] = true
 	}
 	b.choose()
 }
 
-// Knows implements balance.Events.
-func (b *balancer) Knows(id string) bool {
+// IsKnown implements balance.Events.
+func (b *balancer) IsKnown(id string) bool {
 	_, listed := b.states[id]
 	return listed || b.barred[id]
 }
 
-// Census implements balance.Events.
-func (b *balancer) Census() (listed, avoided int) {
+// EndpointCounts implements balance.Events.
+func (b *balancer) EndpointCounts() (listed, avoided int) {
 	for id := range b.states {
 		if b.barred[id] {
 			avoided++
--- a/internal/testkit/baseline/plain_test.go
+++ b/internal/testkit/baseline/plain_test.go
@@ -16,7 +16,7 @@
 }
 
 func (h *host) Send(id, endpoint string, _ time.Duration) { h.sent = append(h.sent, endpoint) }
-func (h *host) Refuse(id string, _ time.Duration)         { h.refused = append(h.refused, id) }
+func (h *host) Reject(id string, _ time.Duration)         { h.refused = append(h.refused, id) }
 func (h *host) Fail(id string)                            { h.failed = append(h.failed, id) }
 
 func start(t *testing.T, name string, endpoints ...string) (balance.Events, *host) {
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	h := &host{}
-	b := decide(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "look"}, {Name: "book", Effect: balance.Keyed}, {Name: "pay", Effect: balance.Unsafe}}}, h)
-	l := balance.List{Complete: true}
+	b := decide(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "look"}, {Name: "book", Idempotency: balance.IdempotencyKey}, {Name: "pay", Idempotency: balance.NonIdempotent}}}, h)
+	l := balance.EndpointUpdate{Complete: true}
 	for _, id := range endpoints {
-		l.Entries = append(l.Entries, balance.Endpoint{ID: id})
+		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
 	}
 	b.EndpointList(0, l)
 	return b, h
@@ -78,7 +78,7 @@
 			{"look", balance.Reset, 3, 1, 0},
 			{"pay", balance.Reset, 1, 0, 1},
 			{"book", balance.TimedOut, 1, 0, 1},
-			{"pay", balance.Full, 3, 1, 0},
+			{"pay", balance.Rejected, 3, 1, 0},
 			{"book", balance.ConnectFailed, 3, 1, 0},
 		} {
 			b, h := start(t, name, "a", "b", "c", "d")
@@ -98,11 +98,11 @@
 
 func TestNothingGoesToWhatDrains(t *testing.T) {
 	b, h := start(t, "random", "a", "b")
-	b.EndpointList(0, balance.List{Entries: []balance.Endpoint{{ID: "a", State: balance.Draining}}})
+	b.EndpointList(0, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}})
 	for i := range 20 {
 		b.Request(0, ask(fmt.Sprint(i), "look"))
 	}
-	b.EndpointList(0, balance.List{Complete: true})
+	b.EndpointList(0, balance.EndpointUpdate{Complete: true})
 	b.Request(0, ask("last", "look"))
 	for _, e := range h.sent {
 		if e != "b" {
@@ -117,7 +117,7 @@
 func TestACallerThatLeftIsForgotten(t *testing.T) {
 	b, h := start(t, "random", "a", "b")
 	b.Request(0, ask("r", "look"))
-	b.ClientLeft(0, "r")
+	b.ClientDisconnected(0, "r")
 	b.Outcome(0, balance.Outcome{ID: "r", Endpoint: h.sent[0], Result: balance.Reset})
 	if len(h.sent) != 1 || len(h.refused)+len(h.failed) != 0 || len(b.(*balancer).requests) != 0 {
 		t.Errorf("%+v", h)
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -200,9 +200,9 @@
 
 // NotificationEvent is the event that a sidecar has been notified of a member, without an instant.
 func NotificationEvent(sidecar string, m Member, recorder *Recorder) invariant.Event {
-	e := invariant.Event{Kind: invariant.Told, Sidecar: sidecar, Node: m.ID, State: invariantStates[m.State]}
+	e := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: sidecar, Node: m.ID, State: invariantStates[m.State]}
 	if m.StartedMs > 0 {
-		e.Since = time.UnixMilli(m.StartedMs).Sub(recorder.start.Round(0)) // both by the wall clock
+		e.StartedAt = time.UnixMilli(m.StartedMs).Sub(recorder.start.Round(0)) // both by the wall clock
 	}
 	return e
 }
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -80,7 +80,7 @@
 	testpeer.Until(t, "notified that a is gone", func() bool {
 		events, _ := rec.Events()
 		for _, e := range events {
-			if e.Kind == invariant.Told && e.Node == "a" && e.State == invariant.Gone && e.Sidecar == "s1" {
+			if e.Kind == invariant.NodeStateNotified && e.Node == "a" && e.State == invariant.Gone && e.Sidecar == "s1" {
 				return true
 			}
 		}
@@ -103,7 +103,7 @@
 	}
 	events, _ := rec.Events()
 	for _, e := range events {
-		if e.Kind == invariant.Told && e.State == invariant.Draining {
+		if e.Kind == invariant.NodeStateNotified && e.State == invariant.Draining {
 			t.Error("notification recorded while down")
 		}
 	}
@@ -126,7 +126,7 @@
 		}
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		if events, _ := rec.Events(); len(events) != 1 || events[0].Kind != invariant.Told {
+		if events, _ := rec.Events(); len(events) != 1 || events[0].Kind != invariant.NodeStateNotified {
 			t.Errorf("%+v", events)
 		}
 	})
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -160,7 +160,7 @@
 // exchange sends a request on a connection and reads the response. It is false where a kept connection ended before
 // anything came: a sidecar may close one between requests, and the request may be sent again.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
-	c.recorder.Add(invariant.Event{Kind: invariant.Asked, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
+	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
 		Until: deadline}) // before the write and what follows from it
 	if _, err := io.WriteString(conn, c.encode(r, deadline)); err != nil {
 		conn.Close()
@@ -182,11 +182,11 @@
 			out.HasLeft = true
 			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.recorder.Add(invariant.Event{Kind: invariant.Unanswered, Request: r.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.ResponseOverdue, Request: r.ID})
 		case !isNew:
 			return false
 		default:
-			c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: r.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.ConnectionLost, Request: r.ID})
 		}
 		return true
 	}
@@ -205,7 +205,7 @@
 	}
 	if err != nil {
 		conn.Close()
-		c.recorder.Add(invariant.Event{Kind: invariant.Lost, Request: r.ID})
+		c.recorder.Add(invariant.Event{Kind: invariant.ConnectionLost, Request: r.ID})
 		return
 	}
 	out.Status = resp.StatusCode
@@ -213,7 +213,7 @@
 		out.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	isGenuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), r.ID+" ")
-	c.recorder.Add(invariant.Event{Kind: invariant.Answered, Request: r.ID, Status: resp.StatusCode, Genuine: isGenuine})
+	c.recorder.Add(invariant.Event{Kind: invariant.ResponseReceived, Request: r.ID, Status: resp.StatusCode, Genuine: isGenuine})
 	if conn.reader.Buffered() == 0 && !resp.Close {
 		_ = conn.SetReadDeadline(time.Now().Add(extraBytesWait))
 		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -246,7 +246,7 @@
 	if r.Retry {
 		b.WriteString("Req-Retry: 1\r\n")
 	}
-	if class.Effect == invariant.Keyed {
+	if class.Effect == invariant.IdempotencyKeyed {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
 	}
 	if method == http.MethodPost {
