--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -37,14 +37,14 @@
 		kinds      []invariant.Kind
 		leaveAfter time.Duration
 	}{
-		{"served", ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered}, 0},
+		{"served", ok, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
 		{"rejected", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503,
-			[]invariant.Kind{invariant.Asked, invariant.Answered}, 0},
-		{"two responses", ok + ok, 200, []invariant.Kind{invariant.Asked, invariant.Answered, invariant.ExtraBytes}, 0},
-		{"response cut", ok[:len(ok)-3] + "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
-		{"connection closed", "CLOSE", 0, []invariant.Kind{invariant.Asked, invariant.Lost}, 0},
-		{"no response", "", 0, []invariant.Kind{invariant.Asked, invariant.Unanswered}, 0},
-		{"client left", "", 0, []invariant.Kind{invariant.Asked, invariant.ClientLeft}, 20 * time.Millisecond},
+			[]invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
+		{"two responses", ok + ok, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived, invariant.ExtraBytes}, 0},
+		{"response cut", ok[:len(ok)-3] + "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
+		{"connection closed", "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
+		{"no response", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ResponseOverdue}, 0},
+		{"client left", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ClientLeft}, 20 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			connect, _ := scriptedSidecar(t, c.response)
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -19,13 +19,13 @@
 
 // The faults.
 const (
-	DNSWell      DNSFault = iota // none
-	DNSSilent                    // no response
-	DNSServfail                  // SERVFAIL
-	DNSGarbage                   // bytes that are no message
-	DNSCut                       // half a message
-	DNSTruncated                 // truncated over UDP, and nothing over TCP
-	DNSEmpty                     // no error and no records
+	DNSHealthy     DNSFault = iota // none
+	DNSSilent                      // no response
+	DNSServfail                    // SERVFAIL
+	DNSGarbage                     // bytes that are no message
+	DNSHalfMessage                 // half a message
+	DNSTruncated                   // truncated over UDP, and nothing over TCP
+	DNSEmpty                       // no error and no records
 )
 
 // DNSRecord is one record of a name: an address, an alias or a service, whichever is set.
@@ -42,9 +42,9 @@
 // server it follows chains of aliases in its responses, up to a bound: of a loop it returns as much. It is safe for
 // concurrent use. It has a goroutine for each protocol, connection and query in flight; Close ends them.
 type DNS struct {
-	Addr  string
-	Asked atomic.Int64 // queries received
-	TCP   atomic.Int64 // queries received over TCP
+	Addr       string
+	Queries    atomic.Int64 // queries received
+	TCPQueries atomic.Int64 // queries received over TCP
 
 	udp net.PacketConn
 	tcp net.Listener
@@ -105,8 +105,8 @@
 	}
 }
 
-// Go injects a fault from now on, and delays each response.
-func (d *DNS) Go(fault DNSFault, delay time.Duration) {
+// SetFault injects a fault from now on, and delays each response.
+func (d *DNS) SetFault(fault DNSFault, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault, d.delay = fault, delay
@@ -123,7 +123,7 @@
 			return
 		}
 		query := append([]byte(nil), b[:n]...)
-		d.Asked.Add(1)
+		d.Queries.Add(1)
 		d.handlers.Go(func() {
 			if text := d.respond(query, false); text != nil {
 				_, _ = d.udp.WriteTo(text, from) // a datagram may be lost as well
@@ -164,8 +164,8 @@
 		if _, err := io.ReadFull(nc, query); err != nil {
 			return
 		}
-		d.Asked.Add(1)
-		d.TCP.Add(1)
+		d.Queries.Add(1)
+		d.TCPQueries.Add(1)
 		text := d.respond(query, true)
 		if text == nil {
 			return
@@ -223,7 +223,7 @@
 		limit = payloadLimit(&parser)
 	}
 	text := packResponse(&response, limit)
-	if fault == DNSCut {
+	if fault == DNSHalfMessage {
 		text = text[:len(text)/2]
 	}
 	return text
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -124,9 +124,9 @@
 		connections:  map[net.Conn]bool{},
 	}
 	n.incarnation = run
-	e := invariant.Event{Kind: invariant.Started, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
+	e := invariant.Event{Kind: invariant.NodeStarted, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
-		e.ColdFrom, e.ColdFor = n.ColdCapacityShare, n.WarmUpDuration
+		e.ColdCapacityShare, e.WarmUpDuration = n.ColdCapacityShare, n.WarmUpDuration
 	}
 	e.At = max(run.startedSince, 1) // 0 would stand for the instant of Add
 	n.recorder.Add(e)
@@ -148,7 +148,7 @@
 	}
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	n.recorder.Add(invariant.Event{Kind: invariant.Stopped, Node: n.ID})
+	n.recorder.Add(invariant.Event{Kind: invariant.NodeStopped, Node: n.ID})
 	close(run.done)
 	run.listener.Close()
 	for conn := range run.connections {
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -66,7 +66,7 @@
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
 			if current.answered != nil && len(current.answered) == 0 && !isClosed(c.run.done) {
-				n.recorder.Add(invariant.Event{Kind: invariant.Dropped, Node: n.ID, Request: current.id})
+				n.recorder.Add(invariant.Event{Kind: invariant.AttemptAborted, Node: n.ID, Request: current.id})
 			}
 			return
 		}
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -61,7 +61,7 @@
 	n.hasCollapsed = true
 	n.mu.Unlock()
 	if isFirst {
-		n.recorder.Add(invariant.Event{Kind: invariant.Fell, Node: n.ID})
+		n.recorder.Add(invariant.Event{Kind: invariant.NodeCollapsed, Node: n.ID})
 		go n.Stop()
 	}
 }
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -21,8 +21,8 @@
 
 // The fake node and the invariant must agree on what a warming node bears.
 func TestNodeCollapsesWhereTheInvariantIsBroken(t *testing.T) {
-	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, FallMultiple: 4, FallAfter: 3 * time.Second,
-		FallSlack: ColdOverloadTolerance}
+	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
+		ColdOverloadTolerance: ColdOverloadTolerance}
 	for _, n := range []int{10, 60} {
 		b := newNodeFixture(t, func(s *NodeSpec) {
 			s.Slots, s.ColdCapacityShare, s.WarmUpDuration = 100, 0.3, time.Minute
@@ -32,7 +32,7 @@
 		if _, err := b.Start(true); err != nil {
 			t.Fatal(err)
 		}
-		b.rec.Add(invariant.Event{Kind: invariant.Up, Sidecar: "s"})
+		b.rec.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
 		b.rec.Add(NotificationEvent("s", m, b.rec))
 		for range n { // 0.1 s of work each: at 0.3 of one core the node bears about 4 s
@@ -42,9 +42,9 @@
 			}
 			defer nc.Close()
 			id := fmt.Sprint("r", b.n+1)
-			b.rec.Add(invariant.Event{Kind: invariant.Asked, Request: id, Sidecar: "s"})
+			b.rec.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
 			b.write(t, nc, readClass, "", 100*time.Millisecond)
-			testpeer.Until(t, "received", func() bool { return b.count(invariant.Sent, id) == 1 })
+			testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
 		}
 		fell := n == 60
 		if fell {
@@ -54,7 +54,7 @@
 			}
 		}
 		events, _ := b.rec.Events()
-		r := invariant.Judge(rules, events)
+		r := invariant.Check(rules, events)
 		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || b.IsUp() == fell || (r.Falls > 0) != fell {
 			t.Errorf("%d requests: up %v, rule %s, %d falls", n, b.IsUp(), r.Rules[3].Verdict, r.Falls)
 		}
@@ -75,7 +75,7 @@
 		t.Errorf("core speed %v", got)
 	}
 	testpeer.Until(t, "recovered", func() bool { return b.coreSpeed(b.incarnation) == 1 })
-	if b.count(invariant.Done, "") != 20 {
+	if b.count(invariant.AttemptCompleted, "") != 20 {
 		t.Error("the node recovered before it was idle")
 	}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -33,13 +33,13 @@
 func (n *Node) handle(c *nodeConnection, a arrival) bool {
 	request, ok := n.registry.lookup(a.id)
 	if !ok {
-		if n.recordArrival(c.run, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: a.id, First: a.firstByteAt}) {
+		if n.recordArrival(c.run, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: a.id, First: a.firstByteAt}) {
 			writeResponse(c, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
 	work := request.job.Work.Seconds()
-	if !n.recordArrival(c.run, invariant.Event{Kind: invariant.Sent, Node: n.ID, Request: a.id, First: a.firstByteAt,
+	if !n.recordArrival(c.run, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: a.id, First: a.firstByteAt,
 		Work: work, Cell: n.Cell}) {
 		return false
 	}
@@ -78,15 +78,15 @@
 	if isClosed(c.run.done) {
 		return
 	}
-	n.recorder.Add(invariant.Event{Kind: invariant.Declined, Node: n.ID, Request: a.id})
+	n.recorder.Add(invariant.Event{Kind: invariant.AttemptRejected, Node: n.ID, Request: a.id})
 	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 }
 
 // execute does a request's work and answers it. Only the node's death stops it; the departure of the client does not.
 func (n *Node) execute(c *nodeConnection, a arrival, request registeredRequest) {
-	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.Keyed &&
+	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
 		n.cell.isDuplicate(request.key, time.Now())
-	n.recorder.Add(invariant.Event{Kind: invariant.Began, Node: n.ID, Request: a.id, Repeat: isDuplicate})
+	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: a.id, Duplicate: isDuplicate})
 	work, calls := request.job.Work, request.job.Calls
 	if isDuplicate {
 		work, calls = work/duplicateWorkDivisor, nil
@@ -106,7 +106,7 @@
 	}
 	isReset := n.drawFault(&n.faults.resetShare)
 	// Recorded before the write and what follows from it.
-	n.recorder.Add(invariant.Event{Kind: invariant.Done, Node: n.ID, Request: a.id})
+	n.recorder.Add(invariant.Event{Kind: invariant.AttemptCompleted, Node: n.ID, Request: a.id})
 	switch {
 	case isReset:
 		resetConnection(c.Conn)
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -24,7 +24,7 @@
 
 var classes = []Class{
 	readClass:  {"look", invariant.Safe, 0, 3 * time.Second},
-	keyedClass: {"book", invariant.Keyed, 200 * time.Millisecond, 3 * time.Second},
+	keyedClass: {"book", invariant.IdempotencyKeyed, 200 * time.Millisecond, 3 * time.Second},
 }
 
 // Whatever a fake starts must end with it.
@@ -106,8 +106,8 @@
 		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
 			t.Errorf("%d %q", status, body)
 		}
-		if b.count(invariant.Sent, id) != 1 || b.count(invariant.Began, id) != 1 || b.count(invariant.Done, id) != 1 ||
-			b.count(invariant.Dropped, id) != 0 {
+		if b.count(invariant.AttemptReceived, id) != 1 || b.count(invariant.EffectStarted, id) != 1 || b.count(invariant.AttemptCompleted, id) != 1 ||
+			b.count(invariant.AttemptAborted, id) != 0 {
 			t.Error("the timeline is not that of one served request")
 		}
 	}
@@ -115,7 +115,7 @@
 		t.Errorf("%d connections", b.OpenedConnections())
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
-	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.Sent, "ghost") != 1 {
+	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.AttemptReceived, "ghost") != 1 {
 		t.Errorf("unknown ID: %d", status)
 	}
 }
@@ -126,9 +126,9 @@
 	for range 2 {
 		nc := b.dial(t)
 		lines = append(lines, nc)
-		n := b.count(invariant.Sent, "")
+		n := b.count(invariant.AttemptReceived, "")
 		b.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Until(t, "received", func() bool { return b.count(invariant.Sent, "") > n })
+		testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, "") > n })
 		testpeer.Until(t, "in flight", func() bool { return b.InFlight() > n })
 	}
 	third := b.dial(t)
@@ -140,8 +140,8 @@
 		return len(b.incarnation.slots.queue) == 1
 	})
 	id := b.write(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, third); status != 503 || !rejected || b.count(invariant.Declined, id) != 1 ||
-		b.count(invariant.Began, id) != 0 {
+	if status, rejected, _ := read(t, third); status != 503 || !rejected || b.count(invariant.AttemptRejected, id) != 1 ||
+		b.count(invariant.EffectStarted, id) != 0 {
 		t.Errorf("%d, rejected %v", status, rejected)
 	}
 	for _, nc := range lines {
@@ -155,7 +155,7 @@
 	b := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := b.dial(t), b.dial(t)
 	id := b.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
 	b.Drain()
 	b.write(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := read(t, second); status != 503 || !rejected {
@@ -191,7 +191,7 @@
 	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
 		t.Errorf("idle connection: %q, %v", rest, err)
 	}
-	if b.count(invariant.Dropped, "") != 0 {
+	if b.count(invariant.AttemptAborted, "") != 0 {
 		t.Error("the close is recorded as one by the client")
 	}
 }
@@ -202,9 +202,9 @@
 	began := func(id string) (effects, repeats int) {
 		events, _ := b.rec.Events()
 		for _, e := range events {
-			if e.Kind == invariant.Began && e.Request == id && e.Repeat {
+			if e.Kind == invariant.EffectStarted && e.Request == id && e.Duplicate {
 				repeats++
-			} else if e.Kind == invariant.Began && e.Request == id {
+			} else if e.Kind == invariant.EffectStarted && e.Request == id {
 				effects++
 			}
 		}
@@ -246,10 +246,10 @@
 	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	id := b.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, id) == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Until(t, "drop recorded", func() bool { return b.count(invariant.Dropped, id) == 1 })
-	testpeer.Until(t, "request completed", func() bool { return b.count(invariant.Done, id) == 1 })
+	testpeer.Until(t, "drop recorded", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Until(t, "request completed", func() bool { return b.count(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
@@ -257,18 +257,18 @@
 	b.SetHangShare(1)
 	nc := b.dial(t)
 	id := b.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Until(t, "received", func() bool { return b.count(invariant.Sent, id) == 1 })
+	testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 0 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 0 {
 		t.Errorf("hang fault: %v", err)
 	}
 	nc.Close()
-	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.Dropped, id) == 1 })
+	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
 	b.SetHangShare(0)
 	b.SetResetShare(1)
 	nc = b.dial(t)
 	id = b.write(t, nc, readClass, "", time.Millisecond)
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.Began, id) != 1 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 1 {
 		t.Errorf("reset fault: %v", err)
 	}
 	b.SetResetShare(0)
@@ -285,7 +285,7 @@
 	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	b.write(t, nc, readClass, "", time.Minute)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.Began, "") == 1 })
+	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, "") == 1 })
 	addr := b.Addr
 	b.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
@@ -311,7 +311,7 @@
 	b.desk.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	b.Stop()
 	a := arrival{id: "r1", isFirstOnConnection: true, answered: make(chan bool, 1)}
-	if b.handle(&nodeConnection{Conn: nc, run: run}, a) || b.count(invariant.Sent, "") != 0 {
+	if b.handle(&nodeConnection{Conn: nc, run: run}, a) || b.count(invariant.AttemptReceived, "") != 0 {
 		t.Error("the request is recorded")
 	}
 }
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -48,9 +48,9 @@
 }
 
 func (e *endpoint) noteStart() {
-	n := invariant.Event{Kind: invariant.Started, Node: e.id, Capacity: cores * e.speed, ColdFrom: 1}
+	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: cores * e.speed, ColdCapacityShare: 1}
 	if e.startedAt > 0 {
-		n.ColdFrom, n.ColdFor = e.w.day.Cold.From, e.w.day.Cold.For
+		n.ColdCapacityShare, n.WarmUpDuration = e.w.day.Cold.From, e.w.day.Cold.For
 	}
 	e.w.note(n)
 }
@@ -67,7 +67,7 @@
 		}
 	}
 	e.below = w.newSidecar("s-"+e.id, e.tier+1, index)
-	e.below.start(balance.List{})
+	e.below.start(balance.EndpointUpdate{})
 }
 
 func (e *endpoint) warmth() float64 {
@@ -85,7 +85,7 @@
 	e.up = false
 	e.life++
 	e.held, e.busy, e.open, e.ready, e.pressure = 0, 0, 0, nil, nil
-	e.w.note(invariant.Event{Kind: invariant.Stopped, Node: e.id})
+	e.w.note(invariant.Event{Kind: invariant.NodeStopped, Node: e.id})
 	if e.below != nil {
 		e.below.kill()
 	}
@@ -106,7 +106,7 @@
 // came takes an attempt whose last byte has come. end is told the result, unless the process dies before.
 func (e *endpoint) came(a *attempt, work float64, key string, end func(balance.Result)) {
 	w, life := e.w, e.life
-	w.note(invariant.Event{Kind: invariant.Sent, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+	w.note(invariant.Event{Kind: invariant.AttemptReceived, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
 	w.result.Attempts[e.tier]++
 	e.press(work)
 	answer := func(r balance.Result, kind invariant.Kind) {
@@ -116,7 +116,7 @@
 		}
 	}
 	if e.fell || e.held >= slots+queue {
-		answer(balance.Full, invariant.Declined)
+		answer(balance.Rejected, invariant.AttemptRejected)
 		return
 	}
 	e.held++
@@ -124,11 +124,11 @@
 	finish := func(r balance.Result) {
 		if e.life == life {
 			e.held--
-			answer(r, invariant.Done)
+			answer(r, invariant.AttemptCompleted)
 		}
 	}
 	e.core(func(done func()) {
-		w.note(invariant.Event{Kind: invariant.Began, Request: a.call.id, Node: e.id, Repeat: repeat})
+		w.note(invariant.Event{Kind: invariant.EffectStarted, Request: a.call.id, Node: e.id, Duplicate: repeat})
 		if repeat {
 			work = 0
 		}
@@ -160,7 +160,7 @@
 		case status == 200:
 			e.call(a, key, left-1, finish)
 		default:
-			finish(balance.Errored)
+			finish(balance.ErrorResponse)
 		}
 	})
 }
@@ -217,6 +217,6 @@
 	e.w.result.ColdMost = max(e.w.result.ColdMost, sum/limit)
 	if sum > limit*(1+fallSlack) && !e.fell {
 		e.fell = true
-		e.w.note(invariant.Event{Kind: invariant.Fell, Node: e.id})
+		e.w.note(invariant.Event{Kind: invariant.NodeCollapsed, Node: e.id})
 	}
 }
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -74,7 +74,7 @@
 	heard bool
 }
 
-func (d *deaf) EndpointList(now time.Duration, l balance.List) {
+func (d *deaf) EndpointList(now time.Duration, l balance.EndpointUpdate) {
 	if !d.heard {
 		d.heard = true
 		d.Events.EndpointList(now, l)
@@ -88,8 +88,8 @@
 	newest balance.Endpoint
 }
 
-func (e *eager) EndpointList(now time.Duration, l balance.List) {
-	for _, in := range l.Entries {
+func (e *eager) EndpointList(now time.Duration, l balance.EndpointUpdate) {
+	for _, in := range l.Endpoints {
 		if in.State == balance.Ready && in.Started >= e.newest.Started {
 			e.newest = in
 		}
@@ -101,7 +101,7 @@
 }
 
 func (e *eager) Outcome(_ time.Duration, o balance.Outcome) {
-	if !o.Final && o.Result != balance.OK {
+	if !o.IsFinal && o.Result != balance.OK {
 		e.host.Fail(o.ID)
 	}
 }
@@ -121,8 +121,8 @@
 	sends map[string]int
 }
 
-func (b *twice) EndpointList(_ time.Duration, l balance.List) {
-	for _, in := range l.Entries {
+func (b *twice) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
+	for _, in := range l.Endpoints {
 		if in.State == balance.Ready {
 			b.ids = append(b.ids, in.ID)
 		}
@@ -138,7 +138,7 @@
 
 func (b *twice) Outcome(_ time.Duration, o balance.Outcome) {
 	switch {
-	case o.Final || o.Result == balance.OK:
+	case o.IsFinal || o.Result == balance.OK:
 	case b.sends[o.ID] < maxAttempts:
 		b.send(o.ID)
 	default:
@@ -196,7 +196,7 @@
 				d.Seed, d.Use, d.Cold = 5+seed, 1, Cold{From: 0.14, For: 24 * time.Second, FallMultiple: 3, FallAfter: time.Second}
 				r := play(t, eventloop.Module, d)
 				if rule := r.Rules.Rules[3]; rule.Verdict != invariant.Held {
-					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.Broken, r.ColdMost)
+					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.ColdMost)
 				}
 			})
 		}
--- a/internal/testkit/fleetsim/play.go
+++ b/internal/testkit/fleetsim/play.go
@@ -70,16 +70,16 @@
 	w.run(epoch + d.Length)
 	w.closing = true
 	w.run(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
-	w.result.Rules = invariant.Judge(rules(d.Cold), w.timeline)
+	w.result.Rules = invariant.Check(rules(d.Cold), w.timeline)
 	return w.result, nil
 }
 
 func rules(cold Cold) invariant.Rules {
-	r := invariant.Rules{MaxAttempts: maxAttempts, Slack: slack, DrainGrace: drainGrace, FallMultiple: cold.FallMultiple, FallAfter: cold.FallAfter, FallSlack: fallSlack}
+	r := invariant.Rules{MaxAttempts: maxAttempts, Tolerance: slack, DrainGrace: drainGrace, ColdOverloadFactor: cold.FallMultiple, ColdOverloadWindow: cold.FallAfter, ColdOverloadTolerance: fallSlack}
 	for _, c := range classes {
 		effect := invariant.Safe
 		if c.keyed {
-			effect = invariant.Keyed
+			effect = invariant.IdempotencyKeyed
 		}
 		r.Classes = append(r.Classes, invariant.Class{Name: c.name, Effect: effect, Window: keyWindow})
 	}
@@ -124,7 +124,7 @@
 		}
 		w.in(listedAfter/2+w.exp(listedAfter/2), func() {
 			if s.up && (!e.gone || entry.State == balance.Gone) {
-				s.tell(balance.List{Entries: []balance.Endpoint{entry}})
+				s.tell(balance.EndpointUpdate{Endpoints: []balance.Endpoint{entry}})
 			}
 		})
 	}
@@ -219,9 +219,9 @@
 	fmt.Fprintf(&b, "       attempts for each needed %.2f %.2f %.2f   connections %.3f a call   lists %d   cold endpoints at most %.2f of what pushes them over\n",
 		r.Amplification(0), r.Amplification(1), r.Amplification(2), float64(r.Connections)/max(float64(r.Attempts[0]+r.Attempts[1]+r.Attempts[2]), 1), r.Lists, r.ColdMost)
 	for _, rule := range r.Rules.Rules {
-		fmt.Fprintf(&b, "       rule %d %-40s %s (%d times put to the test, %d broken)\n", rule.Number, rule.Name, rule.Verdict, rule.Tests, rule.Broken)
+		fmt.Fprintf(&b, "       rule %d %-40s %s (%d times put to the test, %d broken)\n", rule.Number, rule.Name, rule.Verdict, rule.TestedOccasions, rule.ViolationCount)
 		for _, breach := range rule.Breaches[:min(len(rule.Breaches), 3)] {
-			fmt.Fprintf(&b, "         at %v: %s %s %s %s\n", breach.At, breach.Request, breach.Sidecar, breach.Node, breach.What)
+			fmt.Fprintf(&b, "         at %v: %s %s %s %s\n", breach.At, breach.Request, breach.Sidecar, breach.Node, breach.Description)
 		}
 	}
 	_, err := io.WriteString(out, b.String())
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -16,7 +16,7 @@
 	up          bool
 	life        int
 	b           balance.Events
-	known       balance.List // as last told
+	known       balance.EndpointUpdate // as last told
 	view        map[string]*endpoint
 	calls       map[string]*call
 	idle        map[string][]time.Duration // connections to an endpoint that stand idle, and since when
@@ -55,32 +55,32 @@
 }
 
 // start begins a life with a list; an empty one is filled with what discovery knows.
-func (s *sidecar) start(known balance.List) {
+func (s *sidecar) start(known balance.EndpointUpdate) {
 	w := s.w
 	s.up, s.calls, s.idle, s.view = true, map[string]*call{}, map[string][]time.Duration{}, map[string]*endpoint{}
-	w.note(invariant.Event{Kind: invariant.Up, Sidecar: s.name})
+	w.note(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
 	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callers(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
-		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, Resolution: time.Millisecond, ColdFrom: w.day.Cold.From, ColdFor: w.day.Cold.For}
+		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: w.day.Cold.From, SlowStartDuration: w.day.Cold.For}
 	for _, c := range classes {
-		m := balance.Class{Name: c.name, Aim: c.aim}
+		m := balance.Class{Name: c.name, LatencyObjective: c.aim}
 		if c.keyed {
-			m.Effect, m.Group, m.Window = balance.Keyed, balance.GroupCell, keyWindow
+			m.Idempotency, m.DedupScope, m.DedupWindow = balance.IdempotencyKey, balance.ScopeCell, keyWindow
 		}
 		settings.Classes = append(settings.Classes, m)
 	}
 	s.b = w.decide(w.now, settings, s)
-	if len(known.Entries) == 0 {
+	if len(known.Endpoints) == 0 {
 		known = w.list(s.tier)
 	}
 	s.tell(known)
 }
 
 // list is what discovery knows of a tier.
-func (w *world) list(tier int) balance.List {
-	l := balance.List{Complete: true}
+func (w *world) list(tier int) balance.EndpointUpdate {
+	l := balance.EndpointUpdate{Complete: true}
 	for _, e := range w.tiers[tier] {
 		if !e.gone {
-			l.Entries = append(l.Entries, e.entry())
+			l.Endpoints = append(l.Endpoints, e.entry())
 		}
 	}
 	return l
@@ -91,15 +91,15 @@
 }
 
 // tell gives a list to the module.
-func (s *sidecar) tell(l balance.List) {
+func (s *sidecar) tell(l balance.EndpointUpdate) {
 	s.w.result.Lists++
-	for _, in := range l.Entries {
+	for _, in := range l.Endpoints {
 		for _, e := range s.w.tiers[s.tier] {
 			if e.id == in.ID {
 				s.view[in.ID] = e
 			}
 		}
-		n := invariant.Event{Kind: invariant.Told, Sidecar: s.name, Node: in.ID, State: invariant.State(in.State), Since: in.Started - epoch}
+		n := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: in.ID, State: invariant.State(in.State), StartedAt: in.Started - epoch}
 		s.w.note(n)
 	}
 	if l.Complete {
@@ -127,11 +127,11 @@
 	}
 	s.up = false
 	s.life++
-	s.w.note(invariant.Event{Kind: invariant.Killed, Sidecar: s.name})
+	s.w.note(invariant.Event{Kind: invariant.SidecarKilled, Sidecar: s.name})
 	for _, c := range s.inOrder() {
 		if !c.over {
 			c.over = true
-			s.w.note(invariant.Event{Kind: invariant.Lost, Request: c.id})
+			s.w.note(invariant.Event{Kind: invariant.ConnectionLost, Request: c.id})
 			s.w.in(wire, func() { c.end(0) })
 		}
 	}
@@ -139,7 +139,7 @@
 		e.open -= len(s.idle[e.id])
 	}
 	s.calls, s.idle = map[string]*call{}, map[string][]time.Duration{}
-	s.w.note(invariant.Event{Kind: invariant.Exited, Sidecar: s.name})
+	s.w.note(invariant.Event{Kind: invariant.SidecarExited, Sidecar: s.name})
 }
 
 // inOrder are the calls in a fixed order.
@@ -164,13 +164,13 @@
 		w.in(wire, func() { end(0) })
 		return
 	}
-	w.note(invariant.Event{Kind: invariant.Asked, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	w.note(invariant.Event{Kind: invariant.RequestSent, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
 	s.calls[c.id] = c
 	life := s.life
 	w.in(max(deadline-w.now, 0)+patienceOver, func() {
 		if !c.over && s.life == life {
 			c.over = true
-			w.note(invariant.Event{Kind: invariant.Unanswered, Request: c.id})
+			w.note(invariant.Event{Kind: invariant.ResponseOverdue, Request: c.id})
 			end(502)
 		}
 	})
@@ -184,7 +184,7 @@
 		return
 	}
 	c.over = true
-	s.w.note(invariant.Event{Kind: invariant.Answered, Request: c.id, Status: status, Genuine: status == 200})
+	s.w.note(invariant.Event{Kind: invariant.ResponseReceived, Request: c.id, Status: status, Genuine: status == 200})
 	s.w.in(wire, func() { c.end(status) })
 }
 
@@ -211,15 +211,15 @@
 	}
 	a.out = false
 	c := a.call
-	c.errored = r == balance.Errored
-	if r == balance.OK || r == balance.Errored || r == balance.Full {
+	c.errored = r == balance.ErrorResponse
+	if r == balance.OK || r == balance.ErrorResponse || r == balance.Rejected {
 		s.idle[a.e.id] = append(s.idle[a.e.id], s.w.now)
 	} else if a.e.open > 0 && r != balance.ConnectFailed {
 		a.e.open--
 	}
-	o := balance.Outcome{ID: c.id, Attempt: a.n, Endpoint: a.e.id, Result: r, Took: s.w.now - a.sentAt, Final: c.over, Reused: reused}
+	o := balance.Outcome{ID: c.id, Attempt: a.n, Endpoint: a.e.id, Result: r, Latency: s.w.now - a.sentAt, IsFinal: c.over, ReusedConnection: reused}
 	if r == balance.OK && !c.over {
-		o.Final = true
+		o.IsFinal = true
 		s.answer(c, 200)
 	}
 	s.b.Outcome(s.w.now, o)
@@ -276,7 +276,7 @@
 	w.in(timeout, func() {
 		if a.out && a.life == s.life && s.up {
 			if a.came {
-				w.note(invariant.Event{Kind: invariant.Dropped, Request: c.id, Node: e.id})
+				w.note(invariant.Event{Kind: invariant.AttemptAborted, Request: c.id, Node: e.id})
 			}
 			s.over(a, balance.TimedOut, reused)
 		}
@@ -309,8 +309,8 @@
 // Cancel implements balance.Host; the settings never allow it.
 func (s *sidecar) Cancel(string, int) {}
 
-// Refuse implements balance.Host.
-func (s *sidecar) Refuse(id string, _ time.Duration) {
+// Reject implements balance.Host.
+func (s *sidecar) Reject(id string, _ time.Duration) {
 	c := s.calls[id]
 	if c != nil && c.errored { // as the daemon does: an endpoint's own error promises less
 		s.Fail(id)
@@ -334,8 +334,8 @@
 // Probe implements balance.Host; the settings never allow it.
 func (s *sidecar) Probe(string) {}
 
-// Idle implements balance.Host.
-func (s *sidecar) Idle(endpoint string) bool {
+// HasIdleConnection implements balance.Host.
+func (s *sidecar) HasIdleConnection(endpoint string) bool {
 	s.sweep(endpoint)
 	return len(s.idle[endpoint]) > 0
 }
--- a/internal/testkit/fleetsim/world.go
+++ b/internal/testkit/fleetsim/world.go
@@ -80,7 +80,7 @@
 	for i := range front {
 		s := w.newSidecar(fmt.Sprint("f", i), 0, i)
 		w.front = append(w.front, s)
-		s.start(balance.List{})
+		s.start(balance.EndpointUpdate{})
 	}
 }
 
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -23,19 +23,19 @@
 
 // Rules are the limits that the rules set.
 type Rules struct {
-	Classes      []Class
-	MaxAttempts  int           // for one request; 0 is no limit
-	Slack        time.Duration // tolerance added to each time limit
-	DrainGrace   time.Duration // from a notification of a drain until no new request may follow
-	FallMultiple float64       // a warming node bears this multiple of what it can do
-	FallAfter    time.Duration // within a window of this length
-	FallSlack    float64       // share of that budget that chance may add
-	TermGrace    time.Duration // after SIGTERM, during which what a sidecar accepts must still be answered
+	Classes               []Class
+	MaxAttempts           int           // for one request; 0 is no limit
+	Tolerance             time.Duration // tolerance added to each time limit
+	DrainGrace            time.Duration // from a notification of a drain until no new request may follow
+	ColdOverloadFactor    float64       // a warming node bears this multiple of what it can do
+	ColdOverloadWindow    time.Duration // within a window of this length
+	ColdOverloadTolerance float64       // share of that budget that chance may add
+	TermGrace             time.Duration // after SIGTERM, during which what a sidecar accepts must still be answered
 }
 
-// Judge checks a timeline against the rules. Events need not be in order of their instants: Judge sorts them in place,
+// Check checks a timeline against the rules. Events need not be in order of their instants: Judge sorts them in place,
 // since the timeline of a long day is too large to hold twice. Events of one instant keep their order.
-func Judge(rules Rules, events []Event) *Report {
+func Check(rules Rules, events []Event) *Report {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	c := &checker{rules: rules, report: newReport(), requests: map[string]*requestState{},
 		nodes: map[string]*nodeState{}, sidecars: map[string]*sidecarState{}}
@@ -82,27 +82,27 @@
 // apply updates the state by one event and checks what the event decides.
 func (c *checker) apply(e *Event) {
 	switch e.Kind {
-	case Asked:
+	case RequestSent:
 		c.applyAsked(e)
 	case NotAccepted:
 		c.applyNotAccepted(e)
-	case Answered, ExtraBytes, Lost, Unanswered, ClientLeft:
+	case ResponseReceived, ExtraBytes, ConnectionLost, ResponseOverdue, ClientLeft:
 		c.applyRequestEnd(e)
-	case Sent:
+	case AttemptReceived:
 		c.applySent(e)
-	case Declined, Done, Dropped:
+	case AttemptRejected, AttemptCompleted, AttemptAborted:
 		c.applyAttemptEnd(e)
-	case Began:
+	case EffectStarted:
 		c.applyBegan(e)
-	case Told:
+	case NodeStateNotified:
 		c.applyTold(e)
-	case Started:
-		*c.node(e.Node) = nodeState{started: *e, isUp: true, isCold: e.ColdFor > 0}
-	case Stopped:
+	case NodeStarted:
+		*c.node(e.Node) = nodeState{started: *e, isUp: true, isCold: e.WarmUpDuration > 0}
+	case NodeStopped:
 		c.applyStopped(e)
-	case Fell:
+	case NodeCollapsed:
 		c.applyFell(e)
-	case Up, TermSent, Killed, Paused, Resumed, Exited:
+	case SidecarStarted, TermSent, SidecarKilled, Paused, Resumed, SidecarExited:
 		c.applyProcess(e)
 	}
 }
@@ -126,7 +126,7 @@
 func (c *checker) applyAttemptEnd(e *Event) {
 	for _, attempt := range slices.Backward(c.request(e.Request).attempts) {
 		if attempt.sent.Node == e.Node && !attempt.hasEnded {
-			attempt.hasEnded, attempt.endedAt, attempt.isRejected = true, e.At, e.Kind == Declined
+			attempt.hasEnded, attempt.endedAt, attempt.isRejected = true, e.At, e.Kind == AttemptRejected
 			return
 		}
 	}
@@ -147,10 +147,10 @@
 // violate records a violation of a rule; the description goes into the report as it is.
 func (c *checker) violate(rule int, e *Event, format string, args ...any) {
 	result := &c.report.Rules[rule-1]
-	result.Broken++
+	result.ViolationCount++
 	if len(result.Breaches) < maxReportedViolations {
 		result.Breaches = append(result.Breaches, Violation{Rule: rule, At: e.At, Request: e.Request, Sidecar: e.Sidecar,
-			Node: e.Node, What: fmt.Sprintf(format, args...)})
+			Node: e.Node, Description: fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -160,7 +160,7 @@
 // countTest counts an occasion on which the rule could have been broken.
 func (c *checker) countTest(rule int, name string) {
 	c.countOccasion(rule, name)
-	c.report.Rules[rule-1].Tests++
+	c.report.Rules[rule-1].TestedOccasions++
 }
 
 func (c *checker) request(id string) *requestState {
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -14,7 +14,7 @@
 	broken, held := map[int]int{}, map[int]int{}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := Judge(rules, slices.Clone(c.events))
+			r := Check(rules, slices.Clone(c.events))
 			rule := r.Rules[c.rule-1]
 			if c.broken == "" {
 				held[c.rule]++
@@ -23,7 +23,7 @@
 				}
 			} else {
 				broken[c.rule]++
-				if rule.Verdict != Broken || !strings.Contains(rule.Breaches[0].What, c.broken) || r.Held() {
+				if rule.Verdict != Broken || !strings.Contains(rule.Breaches[0].Description, c.broken) || r.Held() {
 					t.Errorf("rule %d is %s, held %v: %+v", c.rule, rule.Verdict, r.Held(), rule.Breaches)
 				}
 			}
@@ -42,7 +42,7 @@
 }
 
 func TestRuleWithoutOccasionIsUntested(t *testing.T) {
-	r := Judge(rules, newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+5*ms, Done, "r", "a").
+	r := Check(rules, newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+5*ms, AttemptCompleted, "r", "a").
 		respond(2*s, "r", 200))
 	for i, want := range []Verdict{Held, Untested, Untested, Untested} {
 		if r.Rules[i].Verdict != want {
@@ -50,29 +50,29 @@
 		}
 	}
 	// A notification after which nothing was sent does not test the rule.
-	r = Judge(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).
+	r = Check(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).
 		respond(2*s, "r", 200))
 	if r.Rules[2].Verdict != Untested || r.Rules[2].Occasions["drains told"] != 1 {
 		t.Errorf("%+v", r.Rules[2])
 	}
-	if r := Judge(rules, nil); r.Rules[0].Verdict != Untested {
+	if r := Check(rules, nil); r.Rules[0].Verdict != Untested {
 		t.Errorf("empty timeline: %s", r.Rules[0].Verdict)
 	}
 }
 
 func TestRestartedSidecarIsNotBoundByEarlierNotifications(t *testing.T) {
 	l := newTimeline().notify(s, Draining).start(2*s, "s").request(3*s, "r", readClass).
-		attempt(3*s, "r", "a", 1).end(3*s+ms, Done, "r", "a").respond(3*s+2*ms, "r", 200)
-	if r := Judge(rules, l); r.Rules[2].Verdict == Broken {
+		attempt(3*s, "r", "a", 1).end(3*s+ms, AttemptCompleted, "r", "a").respond(3*s+2*ms, "r", 200)
+	if r := Check(rules, l); r.Rules[2].Verdict == Broken {
 		t.Errorf("the new process is bound by a notification to the old one: %+v", r.Rules[2].Breaches)
 	}
-	if r := Judge(rules, append(l, timeline{}.notify(2*s+ms, Draining)...)); r.Rules[2].Verdict != Broken {
+	if r := Check(rules, append(l, timeline{}.notify(2*s+ms, Draining)...)); r.Rules[2].Verdict != Broken {
 		t.Errorf("notified after its start: %s", r.Rules[2].Verdict)
 	}
 }
 
 func TestViolationNamesRequestSidecarNodeAndInstant(t *testing.T) {
-	r := Judge(rules, newTimeline().notify(s, Gone).request(2*s, "r", readClass).attempt(2*s, "r", "a", 1))
+	r := Check(rules, newTimeline().notify(s, Gone).request(2*s, "r", readClass).attempt(2*s, "r", "a", 1))
 	b := r.Rules[2].Breaches[0]
 	if b.Rule != 3 || b.At != 2*s || b.Request != "r" || b.Sidecar != "s" || b.Node != "a" {
 		t.Errorf("%+v", b)
@@ -83,10 +83,10 @@
 	l := newTimeline()
 	for i := range 1000 {
 		id := fmt.Sprint("r", i)
-		l = l.request(s, id, readClass).end(2*s, Lost, id, "")
+		l = l.request(s, id, readClass).end(2*s, ConnectionLost, id, "")
 	}
-	if r := Judge(rules, l).Rules[0]; r.Broken != 1000 || len(r.Breaches) != maxReportedViolations {
-		t.Errorf("%d violations, %d reported", r.Broken, len(r.Breaches))
+	if r := Check(rules, l).Rules[0]; r.ViolationCount != 1000 || len(r.Breaches) != maxReportedViolations {
+		t.Errorf("%d violations, %d reported", r.ViolationCount, len(r.Breaches))
 	}
 }
 
@@ -94,7 +94,7 @@
 func TestVerdictsDoNotDependOnRecordingOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.SampledFrom(cases).Draw(t, "case")
-		want := Judge(rules, slices.Clone(c.events))
+		want := Check(rules, slices.Clone(c.events))
 		type key struct {
 			at   time.Duration
 			kind Kind
@@ -113,7 +113,7 @@
 			}
 			return index(a) - index(b)
 		})
-		got := Judge(rules, order)
+		got := Check(rules, order)
 		for i := range got.Rules {
 			if got.Rules[i].Verdict != want.Rules[i].Verdict && haveDistinctInstants(c.events) {
 				t.Fatalf("%s: rule %d is %s, was %s", c.name, i+1, got.Rules[i].Verdict, want.Rules[i].Verdict)
@@ -140,20 +140,20 @@
 		name := rapid.SampledFrom([]string{"", "a", "b", "s"})
 		events := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Event {
 			return Event{
-				At:      time.Duration(rapid.IntRange(0, 20000).Draw(t, "at")) * ms,
-				Kind:    Kind(rapid.IntRange(0, int(HarnessStall)).Draw(t, "kind")),
-				Request: name.Draw(t, "request"),
-				Sidecar: name.Draw(t, "sidecar"),
-				Node:    name.Draw(t, "node"),
-				Class:   rapid.IntRange(-1, 4).Draw(t, "class"),
-				State:   State(rapid.IntRange(0, 2).Draw(t, "state")),
-				Status:  rapid.SampledFrom([]int{0, 200, 429, 502, 503}).Draw(t, "status"),
-				ColdFor: time.Duration(rapid.IntRange(0, 5).Draw(t, "cold")) * s,
-				Work:    rapid.Float64Range(0, 5).Draw(t, "work"),
+				At:             time.Duration(rapid.IntRange(0, 20000).Draw(t, "at")) * ms,
+				Kind:           Kind(rapid.IntRange(0, int(HarnessStall)).Draw(t, "kind")),
+				Request:        name.Draw(t, "request"),
+				Sidecar:        name.Draw(t, "sidecar"),
+				Node:           name.Draw(t, "node"),
+				Class:          rapid.IntRange(-1, 4).Draw(t, "class"),
+				State:          State(rapid.IntRange(0, 2).Draw(t, "state")),
+				Status:         rapid.SampledFrom([]int{0, 200, 429, 502, 503}).Draw(t, "status"),
+				WarmUpDuration: time.Duration(rapid.IntRange(0, 5).Draw(t, "cold")) * s,
+				Work:           rapid.Float64Range(0, 5).Draw(t, "work"),
 			}
 		})).Draw(t, "events")
-		for _, r := range Judge(rules, events).Rules {
-			if r.Verdict == Held && r.Tests <= 0 {
+		for _, r := range Check(rules, events).Rules {
+			if r.Verdict == Held && r.TestedOccasions <= 0 {
 				t.Fatalf("rule %d held without an occasion to break it", r.Number)
 			}
 		}
@@ -164,10 +164,10 @@
 	var l timeline
 	for i := range 20000 {
 		id, at := fmt.Sprint("r", i), time.Duration(i)*ms
-		l = l.request(at, id, readClass).attempt(at+ms, id, "a", 1).end(at+5*ms, Done, id, "a").respond(at+6*ms, id, 200)
+		l = l.request(at, id, readClass).attempt(at+ms, id, "a", 1).end(at+5*ms, AttemptCompleted, id, "a").respond(at+6*ms, id, 200)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Judge(rules, l)
+		Check(rules, l)
 	}
 }
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -32,9 +32,9 @@
 // coldBudget is the work that a warming node may be sent within a window: what it can do at that moment, over the window,
 // times the multiple that it bears.
 func coldBudget(rules Rules, started Event, at time.Duration) float64 {
-	warm := min(float64(at-started.At)/float64(max(started.ColdFor, 1)), 1)
-	share := started.ColdFrom + (1-started.ColdFrom)*warm
-	return rules.FallMultiple * share * started.Capacity * rules.FallAfter.Seconds()
+	warm := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
+	share := started.ColdCapacityShare + (1-started.ColdCapacityShare)*warm
+	return rules.ColdOverloadFactor * share * started.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
 // checkColdOverload checks rule 4 on an attempt, as a budget for every window. Attempts that the node rejects count too.
@@ -43,7 +43,7 @@
 	if !node.isCold || !node.isUp {
 		return
 	}
-	if e.At >= node.started.At+node.started.ColdFor {
+	if e.At >= node.started.At+node.started.WarmUpDuration {
 		node.isCold, node.recent = false, nil
 		return
 	}
@@ -53,16 +53,16 @@
 	}
 	isInformed := process.knownStarts[e.Node] >= node.started.At-startRounding
 	node.recent = slices.DeleteFunc(append(node.recent, sentToCold{e.At, e.Work, isInformed}),
-		func(s sentToCold) bool { return s.at <= e.At-c.rules.FallAfter })
+		func(s sentToCold) bool { return s.at <= e.At-c.rules.ColdOverloadWindow })
 	sum, _ := node.recentWork()
-	limit := coldBudget(c.rules, node.started, e.At) * (1 + c.rules.FallSlack)
+	limit := coldBudget(c.rules, node.started, e.At) * (1 + c.rules.ColdOverloadTolerance)
 	if sum <= limit || node.isFlagged {
 		return
 	}
 	node.isFlagged = true
 	if c.blamesSidecars(node) {
 		c.violate(ruleNoColdOverload, e, "sent %.2f s of work within %v, %.2f s is the most for one that started %v ago",
-			sum, c.rules.FallAfter, limit, (e.At - node.started.At).Round(time.Millisecond))
+			sum, c.rules.ColdOverloadWindow, limit, (e.At - node.started.At).Round(time.Millisecond))
 	}
 }
 
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -21,11 +21,11 @@
 		case class.Effect == Unsafe:
 			c.violate(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", sent.Node)
 			return
-		case class.Effect == Keyed && sent.Cell != e.Cell:
+		case class.Effect == IdempotencyKeyed && sent.Cell != e.Cell:
 			c.violate(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d",
 				sent.Node, sent.Cell, e.Cell)
 			return
-		case class.Effect == Keyed && e.First > sent.At+class.Window+c.rules.Slack:
+		case class.Effect == IdempotencyKeyed && e.First > sent.At+class.Window+c.rules.Tolerance:
 			c.violate(ruleNoDoubleEffect, e, "keyed work sent again %v after the first send, its window is %v",
 				(e.First - sent.At).Round(time.Millisecond), class.Window)
 			return
@@ -36,7 +36,7 @@
 // checkSentAfterEnd checks that an attempt does not begin after its request has ended. The departure of a client and an
 // attempt may cross each other, which the tolerance allows.
 func (c *checker) checkSentAfterEnd(request *requestState, e *Event) {
-	if request.isOver && e.First > request.overAt+c.rules.Slack {
+	if request.isOver && e.First > request.overAt+c.rules.Tolerance {
 		c.violate(ruleNoDoubleEffect, e, "sent %v after its end", (e.First - request.overAt).Round(time.Millisecond))
 	}
 }
@@ -46,7 +46,7 @@
 	for _, request := range c.order {
 		for i, attempt := range request.attempts {
 			for _, earlier := range request.attempts[:i] {
-				if !earlier.hasEnded || earlier.endedAt > attempt.sent.At+c.rules.Slack {
+				if !earlier.hasEnded || earlier.endedAt > attempt.sent.At+c.rules.Tolerance {
 					e := attempt.sent
 					e.Sidecar = request.asked.Sidecar
 					c.violate(ruleNoDoubleEffect, &e, "sent while the attempt at %s was out", earlier.sent.Node)
@@ -58,7 +58,7 @@
 
 // applyBegan counts duplicates that nodes dropped, which show that retries of keyed work took effect once.
 func (c *checker) applyBegan(e *Event) {
-	if e.Repeat {
+	if e.Duplicate {
 		c.countOccasion(ruleNoDoubleEffect, "repeats that nodes dropped")
 	}
 }
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -14,7 +14,7 @@
 	sidecar := c.sidecar(e.Sidecar)
 	if e.State == Ready {
 		delete(sidecar.notifications, e.Node)
-		sidecar.knownStarts[e.Node] = e.Since
+		sidecar.knownStarts[e.Node] = e.StartedAt
 		return
 	}
 	if sidecar.notifications[e.Node] == nil {
@@ -26,7 +26,7 @@
 // checkDrain checks rule 3 on an attempt, which counts from its first byte. A notification puts the rule to the test once
 // its process has sent an attempt, to any node, after the grace.
 func (c *checker) checkDrain(process *sidecarState, e *Event) {
-	limit := c.rules.DrainGrace + c.rules.Slack
+	limit := c.rules.DrainGrace + c.rules.Tolerance
 	for node, n := range process.notifications {
 		if e.First <= n.at+limit {
 			continue
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -33,7 +33,7 @@
 	request := c.request(e.Request)
 	request.isOver, request.overAt = true, e.At
 	result := &c.report.Rules[ruleFinalResponse-1]
-	result.Tests--
+	result.TestedOccasions--
 	result.Occasions[occasionAccepted]--
 }
 
@@ -42,7 +42,7 @@
 	request := c.request(e.Request)
 	e.Sidecar = request.asked.Sidecar
 	switch e.Kind {
-	case Answered:
+	case ResponseReceived:
 		request.responses++
 		if request.responses > 1 {
 			c.violate(ruleFinalResponse, e, "answered %d times", request.responses)
@@ -51,13 +51,13 @@
 		c.checkResponse(request, e)
 	case ExtraBytes:
 		c.violate(ruleFinalResponse, e, "more came after the final answer")
-	case Lost:
+	case ConnectionLost:
 		if c.isExcused(request) {
 			c.countOccasion(ruleFinalResponse, occasionEnded)
 		} else {
 			c.violate(ruleFinalResponse, e, "the connection ended without a whole answer")
 		}
-	case Unanswered:
+	case ResponseOverdue:
 		switch {
 		case c.isExcused(request):
 			c.countOccasion(ruleFinalResponse, occasionEnded)
@@ -78,9 +78,9 @@
 // checkResponse checks the first response to a request: its time and origin by rule 1, and by rule 2 that it does not
 // reject a request that may have taken effect.
 func (c *checker) checkResponse(request *requestState, e *Event) {
-	if late := e.At - request.asked.Until; late > c.rules.Slack && request.wasPaused() {
+	if late := e.At - request.asked.Until; late > c.rules.Tolerance && request.wasPaused() {
 		c.countOccasion(ruleFinalResponse, occasionPaused)
-	} else if late > c.rules.Slack {
+	} else if late > c.rules.Tolerance {
 		c.violate(ruleFinalResponse, e, "answered %v after its time was up", late.Round(time.Millisecond))
 	}
 	switch e.Status {
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -20,18 +20,18 @@
 // applyProcess records what became of a sidecar's process. A crash breaks rule 1.
 func (c *checker) applyProcess(e *Event) {
 	switch e.Kind {
-	case Up:
+	case SidecarStarted:
 		c.sidecars[e.Sidecar] = newSidecarState()
 	case TermSent:
 		sidecar := c.sidecar(e.Sidecar)
 		sidecar.termSent, sidecar.termAt = true, e.At
-	case Killed:
+	case SidecarKilled:
 		c.sidecar(e.Sidecar).killed = true
 	case Paused:
 		c.sidecar(e.Sidecar).isPaused = true
 	case Resumed:
 		c.applyResumed(e)
-	case Exited:
+	case SidecarExited:
 		if e.Crash {
 			c.report.Crashes++
 			c.violate(ruleFinalResponse, e, "the sidecar's process ended by itself")
@@ -44,7 +44,7 @@
 	sidecar := c.sidecar(e.Sidecar)
 	sidecar.isPaused, sidecar.resumedAt = false, e.At
 	for _, n := range sidecar.notifications {
-		if n.at > e.At-e.For {
+		if n.at > e.At-e.Duration {
 			n.at = e.At
 		}
 	}
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -17,23 +17,23 @@
 
 // Violation is one break of a rule.
 type Violation struct {
-	Rule    int           `json:"rule"`
-	At      time.Duration `json:"at_ns"`
-	Request string        `json:"request,omitempty"`
-	Sidecar string        `json:"sidecar,omitempty"`
-	Node    string        `json:"node,omitempty"`
-	What    string        `json:"what"`
+	Rule        int           `json:"rule"`
+	At          time.Duration `json:"at_ns"`
+	Request     string        `json:"request,omitempty"`
+	Sidecar     string        `json:"sidecar,omitempty"`
+	Node        string        `json:"node,omitempty"`
+	Description string        `json:"what"`
 }
 
 // RuleResult is the finding on one rule.
 type RuleResult struct {
-	Number    int            `json:"number"` // from 1
-	Name      string         `json:"name"`
-	Verdict   Verdict        `json:"verdict"`
-	Tests     int            `json:"tests"`     // occasions on which the rule could have been broken
-	Occasions map[string]int `json:"occasions"` // all occasions, by name
-	Breaches  []Violation    `json:"breaches"`  // the first maxReportedViolations
-	Broken    int            `json:"broken"`    // violations in all
+	Number          int            `json:"number"` // from 1
+	Name            string         `json:"name"`
+	Verdict         Verdict        `json:"verdict"`
+	TestedOccasions int            `json:"tests"`     // occasions on which the rule could have been broken
+	Occasions       map[string]int `json:"occasions"` // all occasions, by name
+	Breaches        []Violation    `json:"breaches"`  // the first maxReportedViolations
+	ViolationCount  int            `json:"broken"`    // violations in all
 }
 
 // maxReportedViolations bounds what a report holds for a rule, since one cause can break it thousands of times.
@@ -77,9 +77,9 @@
 	for i := range r.Rules {
 		rule := &r.Rules[i]
 		switch {
-		case rule.Broken > 0:
+		case rule.ViolationCount > 0:
 			rule.Verdict = Broken
-		case rule.Tests > 0:
+		case rule.TestedOccasions > 0:
 			rule.Verdict = Held
 		default:
 			rule.Verdict = Untested
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -11,14 +11,14 @@
 )
 
 var rules = Rules{
-	Classes:      []Class{readClass: {"look", Safe, 0}, keyedClass: {"book", Keyed, 10 * s}, unsafeClass: {"pay", Unsafe, 0}},
-	MaxAttempts:  4,
-	Slack:        50 * ms,
-	DrainGrace:   500 * ms,
-	FallMultiple: 4,
-	FallAfter:    3 * s,
-	FallSlack:    0.1,
-	TermGrace:    700 * ms,
+	Classes:               []Class{readClass: {"look", Safe, 0}, keyedClass: {"book", IdempotencyKeyed, 10 * s}, unsafeClass: {"pay", Unsafe, 0}},
+	MaxAttempts:           4,
+	Tolerance:             50 * ms,
+	DrainGrace:            500 * ms,
+	ColdOverloadFactor:    4,
+	ColdOverloadWindow:    3 * s,
+	ColdOverloadTolerance: 0.1,
+	TermGrace:             700 * ms,
 }
 
 const (
@@ -31,15 +31,15 @@
 type timeline []Event
 
 func (l timeline) start(at time.Duration, sidecar string) timeline {
-	return append(l, Event{At: at, Kind: Up, Sidecar: sidecar})
+	return append(l, Event{At: at, Kind: SidecarStarted, Sidecar: sidecar})
 }
 
 func (l timeline) request(at time.Duration, id string, class int) timeline {
-	return append(l, Event{At: at, Kind: Asked, Request: id, Sidecar: "s", Class: class, Until: at + 2*s})
+	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Until: at + 2*s})
 }
 
 func (l timeline) attempt(at time.Duration, id, node string, cell int) timeline {
-	return append(l, Event{At: at, First: at - ms, Kind: Sent, Request: id, Node: node, Cell: cell, Work: 0.1})
+	return append(l, Event{At: at, First: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
 
 func (l timeline) end(at time.Duration, kind Kind, id, node string) timeline {
@@ -47,12 +47,12 @@
 }
 
 func (l timeline) respond(at time.Duration, id string, status int) timeline {
-	return append(l, Event{At: at, Kind: Answered, Request: id, Status: status, Genuine: true})
+	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, Genuine: true})
 }
 
 // notify notifies the sidecar s of the state of the node a.
 func (l timeline) notify(at time.Duration, state State) timeline {
-	return append(l, Event{At: at, Kind: Told, Sidecar: "s", Node: "a", State: state})
+	return append(l, Event{At: at, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: state})
 }
 
 func newTimeline() timeline { return timeline{}.start(1, "s") }
@@ -72,95 +72,95 @@
 		newTimeline().request(s, "r", readClass).respond(2*s, "r", 200).respond(2*s+ms, "r", 200)},
 	{"bytes after the response", 1, "more came",
 		newTimeline().request(s, "r", readClass).respond(2*s, "r", 200).end(2*s+ms, ExtraBytes, "r", "")},
-	{"no response", 1, "no answer", newTimeline().request(s, "r", readClass).end(3*s+150*ms, Unanswered, "r", "")},
+	{"no response", 1, "no answer", newTimeline().request(s, "r", readClass).end(3*s+150*ms, ResponseOverdue, "r", "")},
 	{"no response from a killed sidecar", 1, "",
-		append(newTimeline().request(s, "r", readClass), Event{At: 2 * s, Kind: Killed, Sidecar: "s"}).
-			end(4*s, Unanswered, "r", "").request(5*s, "q", readClass).respond(6*s, "q", 200)},
-	{"connection lost", 1, "without a whole answer", newTimeline().request(s, "r", readClass).end(2*s, Lost, "r", "")},
+		append(newTimeline().request(s, "r", readClass), Event{At: 2 * s, Kind: SidecarKilled, Sidecar: "s"}).
+			end(4*s, ResponseOverdue, "r", "").request(5*s, "q", readClass).respond(6*s, "q", 200)},
+	{"connection lost", 1, "without a whole answer", newTimeline().request(s, "r", readClass).end(2*s, ConnectionLost, "r", "")},
 	{"connection lost with a killed sidecar", 1, "",
-		append(newTimeline().request(s, "r", readClass), Event{At: 2 * s, Kind: Killed, Sidecar: "s"}).
-			end(2*s+ms, Lost, "r", "")},
+		append(newTimeline().request(s, "r", readClass), Event{At: 2 * s, Kind: SidecarKilled, Sidecar: "s"}).
+			end(2*s+ms, ConnectionLost, "r", "")},
 	{"connection lost in a graceful shutdown", 1, "without a whole answer",
 		append(newTimeline().request(s, "r", readClass), Event{At: s + 100*ms, Kind: TermSent, Sidecar: "s"}).
-			end(2*s, Lost, "r", "")},
+			end(2*s, ConnectionLost, "r", "")},
 	{"accepted after the grace of SIGTERM and killed", 1, "",
 		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"},
-			Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).request(s+800*ms, "r", readClass).end(4*s, Lost, "r", "")},
+			Event{At: 4 * s, Kind: SidecarKilled, Sidecar: "s"}).request(s+800*ms, "r", readClass).end(4*s, ConnectionLost, "r", "")},
 	{"accepted within the grace of SIGTERM and killed", 1, "without a whole answer",
 		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"},
-			Event{At: 4 * s, Kind: Killed, Sidecar: "s"}).request(s+700*ms, "r", readClass).end(4*s, Lost, "r", "")},
+			Event{At: 4 * s, Kind: SidecarKilled, Sidecar: "s"}).request(s+700*ms, "r", readClass).end(4*s, ConnectionLost, "r", "")},
 	{"accepted after the grace of SIGTERM and lost without a kill", 1, "without a whole answer",
 		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"}).request(s+800*ms, "r", readClass).
-			end(2*s, Lost, "r", "")},
+			end(2*s, ConnectionLost, "r", "")},
 	{"response of another request", 1, "no endpoint made",
 		append(newTimeline().request(s, "r", readClass),
-			Event{At: 2 * s, Kind: Answered, Request: "r", Status: 200})},
+			Event{At: 2 * s, Kind: ResponseReceived, Request: "r", Status: 200})},
 	{"sidecar crash", 1, "ended by itself",
 		append(newTimeline().request(s, "r", readClass).respond(2*s, "r", 200),
-			Event{At: 3 * s, Kind: Exited, Sidecar: "s", Crash: true})},
+			Event{At: 3 * s, Kind: SidecarExited, Sidecar: "s", Crash: true})},
 	{"connection closed on a request that was read", 1, "first connection was closed",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).request(s+2*ms, "r", readClass).
 			respond(2*s, "r", 200)},
 	{"connection closed between requests", 1, "",
 		newTimeline().request(s, "r", readClass).request(s+2*ms, "r", readClass).attempt(s+3*ms, "r", "a", 1).
-			end(s+9*ms, Done, "r", "a").respond(2*s, "r", 200)},
+			end(s+9*ms, AttemptCompleted, "r", "a").respond(2*s, "r", 200)},
 	{"client left", 1, "", newTimeline().request(s, "r", readClass).end(2*s, ClientLeft, "r", "")},
 
 	{"two attempts in flight together", 2, "was out",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).attempt(s+10*ms, "r", "b", 1).
-			end(s+200*ms, Done, "r", "a").end(s+210*ms, Done, "r", "b").respond(s+220*ms, "r", 200)},
+			end(s+200*ms, AttemptCompleted, "r", "a").end(s+210*ms, AttemptCompleted, "r", "b").respond(s+220*ms, "r", 200)},
 	{"attempts in sequence", 2, "",
-		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").
-			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").respond(s+21*ms, "r", 200)},
+		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
 	{"end of an attempt seen within the tolerance", 2, "",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).attempt(s+10*ms, "r", "b", 1).
-			end(s+60*ms, Dropped, "r", "a").end(s+70*ms, Done, "r", "b").respond(s+80*ms, "r", 200)},
+			end(s+60*ms, AttemptAborted, "r", "a").end(s+70*ms, AttemptCompleted, "r", "b").respond(s+80*ms, "r", 200)},
 	{"retry after the node died", 2, "",
 		append(newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1),
-			Event{At: s + 5*ms, Kind: Stopped, Node: "a"}).attempt(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").
+			Event{At: s + 5*ms, Kind: NodeStopped, Node: "a"}).attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").
 			respond(s+21*ms, "r", 200)},
 	{"unsafe request retried", 2, "unsafe work sent again",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").
-			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").respond(s+21*ms, "r", 200)},
+		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
 	{"unsafe request retried after a rejection", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Declined, "r", "a").
-			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").respond(s+21*ms, "r", 200)},
+		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
+			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
 	{"unsafe request rejected though it may have run", 2, "refused",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").
+		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
 			respond(s+21*ms, "r", 503)},
 	{"keyed request rejected with 429 though it ran", 2, "refused",
-		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Done, "r", "a").
+		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptCompleted, "r", "a").
 			respond(s+21*ms, "r", 429)},
 	{"unsafe request failed after it may have run", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Declined, "r", "a").
-			attempt(s+10*ms, "r", "b", 1).end(s+19*ms, Dropped, "r", "b").respond(s+21*ms, "r", 502)},
+		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
+			attempt(s+10*ms, "r", "b", 1).end(s+19*ms, AttemptAborted, "r", "b").respond(s+21*ms, "r", 502)},
 	{"unsafe request rejected after a rejected attempt", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Declined, "r", "a").
+		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
 			respond(s+21*ms, "r", 503)},
 	{"keyed request retried in another cell", 2, "cell 2",
-		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").
-			attempt(s+10*ms, "r", "b", 2).end(s+20*ms, Done, "r", "b").respond(s+21*ms, "r", 200)},
+		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+			attempt(s+10*ms, "r", "b", 2).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
 	{"keyed request retried in its cell", 2, "",
-		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, Dropped, "r", "a").
-			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, Done, "r", "b").respond(s+21*ms, "r", 200)},
+		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
 	{"keyed request retried after its window", 2, "its window is 10s",
-		newTimeline().request(s, "r", keyedClass).attempt(2*s, "r", "a", 1).end(3*s, Dropped, "r", "a").
-			attempt(12*s+52*ms, "r", "b", 1).end(13*s, Done, "r", "b")},
+		newTimeline().request(s, "r", keyedClass).attempt(2*s, "r", "a", 1).end(3*s, AttemptAborted, "r", "a").
+			attempt(12*s+52*ms, "r", "b", 1).end(13*s, AttemptCompleted, "r", "b")},
 	{"keyed request retried at the end of its window", 2, "",
-		newTimeline().request(s, "r", keyedClass).attempt(2*s, "r", "a", 1).end(3*s, Dropped, "r", "a").
-			attempt(12*s+50*ms, "r", "b", 1).end(13*s, Done, "r", "b")},
+		newTimeline().request(s, "r", keyedClass).attempt(2*s, "r", "a", 1).end(3*s, AttemptAborted, "r", "a").
+			attempt(12*s+50*ms, "r", "b", 1).end(13*s, AttemptCompleted, "r", "b")},
 	{"too many attempts", 2, "at most 4", func() timeline {
 		l := newTimeline().request(s, "r", readClass)
 		for i := range time.Duration(5) {
-			l = l.attempt(s+i*10*ms+ms, "r", "a", 1).end(s+i*10*ms+5*ms, Dropped, "r", "a")
+			l = l.attempt(s+i*10*ms+ms, "r", "a", 1).end(s+i*10*ms+5*ms, AttemptAborted, "r", "a")
 		}
 		return l
 	}()},
 	{"attempt after the end of the request", 2, "after its end",
 		newTimeline().request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+100*ms, "r", "a", 1)},
 	{"attempt crossing the client's departure", 2, "",
-		newTimeline().request(s, "q", readClass).attempt(s+ms, "q", "a", 1).end(s+2*ms, Declined, "q", "a").
-			attempt(s+3*ms, "q", "a", 1).end(s+4*ms, Done, "q", "a").respond(s+5*ms, "q", 200).
+		newTimeline().request(s, "q", readClass).attempt(s+ms, "q", "a", 1).end(s+2*ms, AttemptRejected, "q", "a").
+			attempt(s+3*ms, "q", "a", 1).end(s+4*ms, AttemptCompleted, "q", "a").respond(s+5*ms, "q", 200).
 			request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+51*ms, "r", "a", 1)},
 	{"attempt without a request", 2, "nobody had asked", newTimeline().attempt(s, "ghost", "a", 1)},
 
@@ -173,35 +173,35 @@
 			attempt(s+552*ms, "r", "a", 1)},
 	{"attempt within the grace and later one at another node", 3, "",
 		newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+551*ms, "r", "a", 1).
-			end(s+560*ms, Done, "r", "a").request(2*s, "q", readClass).attempt(2*s, "q", "b", 1)},
+			end(s+560*ms, AttemptCompleted, "r", "a").request(2*s, "q", readClass).attempt(2*s, "q", "b", 1)},
 	{"node is ready again", 3, "",
 		newTimeline().notify(s, Draining).request(2*s, "q", readClass).attempt(2*s, "q", "b", 1).notify(3*s, Ready).
 			request(4*s, "r", readClass).attempt(4*s, "r", "a", 1)},
 
 	{"burst on a warming node", 4, "started", coldStart(45)},
-	{"warming node collapsed", 4, "pushed over", append(coldStart(10), Event{At: 2*s + 20*ms, Kind: Fell, Node: "a"})},
+	{"warming node collapsed", 4, "pushed over", append(coldStart(10), Event{At: 2*s + 20*ms, Kind: NodeCollapsed, Node: "a"})},
 	{"burst within the budget of a warming node", 4, "", coldStart(30)},
 	{"burst from sidecars not notified of the start", 4, "", func() timeline {
 		l := coldStart(45)
-		l[1].Since = 0 // the start of an earlier incarnation
+		l[1].StartedAt = 0 // the start of an earlier incarnation
 		return l
 	}()},
 	{"burst on a warm node", 4, "", func() timeline {
 		l := coldStart(45)
 		for i := range l {
-			if l[i].Kind == Sent {
+			if l[i].Kind == AttemptReceived {
 				l[i].At, l[i].First = l[i].At+20*s, l[i].First+20*s
 			}
 		}
-		return l.attempt(2*s, "r0", "a", 1).end(2*s+ms, Done, "r0", "a")
+		return l.attempt(2*s, "r0", "a", 1).end(2*s+ms, AttemptCompleted, "r0", "a")
 	}()},
 }
 
 // coldStart is a node that starts with 0.3 of its capacity of 1 and is sent n requests of 0.12 s of work a second later. Its
 // budget is 4 x 0.37 x 3 s and a tenth more, 4.88 s.
 func coldStart(n int) timeline {
-	l := timeline{{At: s, Kind: Started, Node: "a", Capacity: 1, ColdFrom: 0.3, ColdFor: 10 * s},
-		{At: s + ms, Kind: Told, Sidecar: "s", Node: "a", State: Ready, Since: s}}
+	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityShare: 0.3, WarmUpDuration: 10 * s},
+		{At: s + ms, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: Ready, StartedAt: s}}
 	for i := range n {
 		id := fmt.Sprint("r", i)
 		l = l.request(2*s, id, readClass).attempt(2*s+time.Duration(i)*100*time.Microsecond, id, "a", 1)
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -65,7 +65,7 @@
 		c.broken("%v: voter %d has made version %d of %s, which was version %d", now, n.place, r.Version, r.ID, was)
 	}
 	c.ids[r.ID] = r.Version
-	if r.Same {
+	if r.Unchanged {
 		return
 	}
 	if was, ok := c.made[r.Version]; ok && was != r.ID {
@@ -95,7 +95,7 @@
 		if version, _, ok := n.holder.Valid(n.local(w.Now)); !ok || version != c.latest {
 			c.broken("%v: daemon %d acts on version %d (%v), %d is the latest", w.Now, n.place, version, ok, c.latest)
 		}
-		if n.voter != nil && leader.voter.State().Sitting[n.id] && n.voter.State().Version != c.latest {
+		if n.voter != nil && leader.voter.State().ActiveVoters[n.id] && n.voter.State().Version != c.latest {
 			c.broken("%v: voter %d has version %d, %d was committed", w.Now, n.place, n.voter.State().Version, c.latest)
 		}
 	}
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -110,7 +110,7 @@
 	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]int]bool{}, puts: map[string]*put{}}
 	drift := o.Drift
 	if drift == 0 {
-		drift = o.Terms.Drift
+		drift = o.Terms.MaxClockDrift
 	}
 	for i := range o.Voters + o.Followers {
 		n := &Node{place: i, rate: 1 - drift + 2*drift*w.rng.Float64()}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, Beat: beat, Seed: w.rng.Uint64(), Lease: w.o.Terms}, d)
+	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, HeartbeatInterval: beat, Seed: w.rng.Uint64(), Lease: w.o.Terms}, d)
 	return err
 }
 
@@ -255,7 +255,7 @@
 	if by == nil {
 		return
 	}
-	seats := by.voter.State().Seats
+	seats := by.voter.State().VoterSlots
 	var lost, in, out []*Node
 	for _, n := range w.Nodes {
 		switch id := by.voter.State().VoterID(fmt.Sprint("d", n.place)); {
@@ -267,20 +267,20 @@
 			in = append(in, n)
 		}
 	}
-	c := &consensus.VoterChange{Out: true}
+	c := &consensus.VoterChange{Remove: true}
 	switch {
 	case len(lost) > 0:
 		c.Name = fmt.Sprint("d", lost[0].place)
 	case len(seats) <= w.o.Voters && len(out) > 0:
 		n := out[w.rng.IntN(len(out))]
-		if c.Name, c.Out = fmt.Sprint("d", n.place), false; n.left { // its directory is emptied, and it is started again
+		if c.Name, c.Remove = fmt.Sprint("d", n.place), false; n.left { // its directory is emptied, and it is started again
 			w.Crash(n)
 			w.begin(n)
 		}
 	case len(in) > 0:
 		c.Name = fmt.Sprint("d", in[w.rng.IntN(len(in))].place)
 	}
-	w.at(by, w.Now, func() { w.use(by, func() { _ = by.voter.Propose(&consensus.Command{Seat: c}) }) })
+	w.at(by, w.Now, func() { w.use(by, func() { _ = by.voter.Propose(&consensus.Command{ChangeVoter: c}) }) })
 }
 
 // lose takes a voter's disk away, where all the others are there and have theirs.
@@ -291,16 +291,16 @@
 			by = v
 		}
 	}
-	if by == nil || n.voter == nil || len(by.voter.State().Sitting) < 3 {
+	if by == nil || n.voter == nil || len(by.voter.State().ActiveVoters) < 3 {
 		return
 	}
 	st := by.voter.State()
-	for id, name := range st.Seats {
-		if v := w.named(name); v.down || v.id != id || v.left || !st.Sitting[id] {
+	for id, name := range st.VoterSlots {
+		if v := w.named(name); v.down || v.id != id || v.left || !st.ActiveVoters[id] {
 			return
 		}
 	}
-	if len(st.Leaving) > 0 {
+	if len(st.DepartingVoters) > 0 {
 		return
 	}
 	w.Crash(n)
@@ -332,7 +332,7 @@
 		n.later = append(n.later, do)
 		return
 	}
-	if do(); n.voter.Stopped != nil {
+	if do(); n.voter.StopReason != nil {
 		w.stopped(n)
 		return
 	}
@@ -341,7 +341,7 @@
 
 // stopped takes up that a voter can't go on, which no disk that keeps its word is a cause for.
 func (w *World) stopped(n *Node) {
-	w.Checker.broken("%v: voter %d stops: %v", w.Now, n.place, n.voter.Stopped)
+	w.Checker.broken("%v: voter %d stops: %v", w.Now, n.place, n.voter.StopReason)
 	w.Crash(n)
 }
 
@@ -352,7 +352,7 @@
 	}
 	v := n.voter
 	out := v.Output(n.local(w.Now))
-	if n.voter.Stopped != nil {
+	if n.voter.StopReason != nil {
 		w.stopped(n)
 		return
 	}
@@ -383,8 +383,8 @@
 			w.Crash(n)
 			return
 		}
-		if out.Snapshot != nil && n.log.Synced() > n.log.Snapshot() {
-			if err := n.log.Snap(n.log.Synced(), out.Snapshot.Body); err != nil {
+		if out.Snapshot != nil && n.log.SyncedIndex() > n.log.SnapshotIndex() {
+			if err := n.log.Snap(n.log.SyncedIndex(), out.Snapshot.Body); err != nil {
 				w.Crash(n)
 				return
 			}
@@ -414,7 +414,7 @@
 // learnVoters takes up whom a daemon may ask, and whether it votes.
 func (w *World) learnVoters(n *Node, g consensus.LeaseGrant) {
 	n.asks = nil
-	for _, name := range g.Voters {
+	for _, name := range g.SlotHolders {
 		n.asks = append(n.asks, w.named(name).place)
 	}
 	n.kept = n.asks
@@ -429,7 +429,7 @@
 		if n.left {
 			return
 		}
-		n.id = g.Seat
+		n.id = g.VoterID
 		if err := w.open(n); err != nil {
 			w.Checker.broken("%v: daemon %d can't take a seat: %v", w.Now, n.place, err)
 			return
@@ -484,7 +484,7 @@
 }
 
 func (w *World) sendGrant(n *Node, t consensus.AddressedGrant) {
-	w.send(n.place, placeOf(t.Daemon), func(d *Node) {
+	w.send(n.place, placeOf(t.Recipient), func(d *Node) {
 		d.heard, d.leader = true, n.place
 		w.learnVoters(d, t.Grant)
 		d.holder.HandleGrant(d.local(w.Now), t.Grant)
@@ -514,7 +514,7 @@
 	n.heard = false
 	r, again := n.holder.NextRequest(n.local(w.Now))
 	if n.voter == nil && !n.left {
-		r.Mark = n.mark
+		r.DiskID = n.mark
 	}
 	w.send(n.place, n.leader, func(v *Node) {
 		hint := func() { // it says whom to ask
@@ -541,7 +541,7 @@
 func (w *World) act(n *Node) {
 	w.Acts++
 	a := n.holder.Leased()
-	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.Terms.NoLook) {
+	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.Terms.SkipExpiryCheck) {
 		w.Checker.acts(w.Now, n, n.installed, n.digest)
 	} else {
 		w.Refused++
@@ -554,7 +554,7 @@
 	a := n.holder.Leased()
 	w.at(n, w.Now+time.Duration(w.rng.Int64N(int64(installMost))), func() {
 		if a.Version > n.installed {
-			n.installed, n.digest = a.Version, consensus.DigestOf(a.Docs)
+			n.installed, n.digest = a.Version, consensus.DigestDocuments(a.Docs)
 			n.holder.MarkInstalled(a.Version)
 		}
 	})
@@ -572,7 +572,7 @@
 		case hardEvery / 4:
 			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}
 		case hardEvery / 2:
-			c.Put, c.Back = nil, &consensus.DocumentVersion{Name: "doc-0", Version: w.Checker.latest / 2}
+			c.Put, c.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: w.Checker.latest / 2}
 		}
 		w.puts[id] = &put{c: c}
 		if w.next%(2*hardEvery) == 0 { // every second time somebody insists
@@ -597,8 +597,8 @@
 	}
 	w.at(to, w.Now, func() {
 		w.use(to, func() {
-			if st := to.voter.State(); st.Coming > st.Active {
-				_ = to.voter.Propose(&consensus.Command{Force: st.Coming})
+			if st := to.voter.State(); st.Pending > st.Active {
+				_ = to.voter.Propose(&consensus.Command{Force: st.Pending})
 			}
 		})
 	})
--- a/internal/testkit/raftsim/council_test.go
+++ b/internal/testkit/raftsim/council_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-var terms = consensus.LeaseConfig{Lease: 6 * time.Second, Short: 1500 * time.Millisecond, Drift: 0.01}
+var terms = consensus.LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
 
 // play is one drawn schedule of faults.
 func play(o Options) *World {
@@ -47,8 +47,8 @@
 				for _, b := range w.Checker.Broken[:min(len(w.Checker.Broken), 3)] {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if w.Checker.Overlap > terms.Overlap() {
-					t.Errorf("seed %d: contradicting versions for %v, %v are allowed", seed, w.Checker.Overlap, terms.Overlap())
+				if w.Checker.Overlap > terms.MaxOverlap() {
+					t.Errorf("seed %d: contradicting versions for %v, %v are allowed", seed, w.Checker.Overlap, terms.MaxOverlap())
 				}
 				longest, acts, refused, versions = max(longest, w.Checker.Overlap), acts+w.Acts, refused+w.Refused, versions+w.Checker.latest
 				mu.Unlock()
@@ -60,14 +60,14 @@
 	}
 	close(seeds)
 	busy.Wait()
-	t.Logf("%d schedules: longest overlap %v of %v; %d acts, %d without a lease; %d versions", n, longest, terms.Overlap(), acts, refused, versions)
+	t.Logf("%d schedules: longest overlap %v of %v; %d acts, %d without a lease; %d versions", n, longest, terms.MaxOverlap(), acts, refused, versions)
 }
 
 // What makes the promise, left out one by one, is missed by the checker's word.
 func TestWhatIsLeftOutIsMissed(t *testing.T) {
 	for name, spoil := range map[string]func(*Options){
-		"an activation does not wait for leases":      func(o *Options) { o.Terms.NoWait = true },
-		"a daemon acts before it looks":               func(o *Options) { o.Terms.NoLook = true },
+		"an activation does not wait for leases":      func(o *Options) { o.Terms.SkipActivationWait = true },
+		"a daemon acts before it looks":               func(o *Options) { o.Terms.SkipExpiryCheck = true },
 		"a log without sync":                          func(o *Options) { o.Forgets = true },
 		"clocks that differ by more than they are to": func(o *Options) { o.Drift = 0.3 },
 	} {
@@ -77,7 +77,7 @@
 				o := Options{Voters: 3, Followers: 4, Seed: seed + 1, Terms: terms}
 				spoil(&o)
 				w := play(o)
-				if len(w.Checker.Broken) > 0 || w.Checker.Overlap > terms.Overlap() {
+				if len(w.Checker.Broken) > 0 || w.Checker.Overlap > terms.MaxOverlap() {
 					t.Logf("seed %d: overlap %v, %d broken", seed+1, w.Checker.Overlap, len(w.Checker.Broken))
 					return
 				}
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -30,7 +30,7 @@
 	var f Figures
 	w := New(Options{Voters: 3, Followers: daemons - 3, Seed: seed, Terms: terms, Puts: 10 * time.Millisecond})
 	w.calm = true
-	w.Run(5*time.Second + 2*terms.Lease)
+	w.Run(5*time.Second + 2*terms.Duration)
 	for range measured {
 		committed, acted := w.measurePut()
 		f.Committed, f.Acted = append(f.Committed, committed), append(f.Acted, acted)
@@ -47,7 +47,7 @@
 				break
 			}
 		}
-		w.Run(w.Now + 3*terms.Lease)
+		w.Run(w.Now + 3*terms.Duration)
 	}
 	slices.Sort(f.Committed)
 	slices.Sort(f.Acted)
@@ -85,7 +85,7 @@
 
 // Tables measures councils of several sizes, with leases as they are by default.
 func Tables(out io.Writer, sizes []int, seed uint64) error {
-	terms := consensus.LeaseConfig{Lease: 15 * time.Second, Short: time.Duration(4.95 * float64(time.Second)), Drift: 0.01}
+	terms := consensus.LeaseConfig{Duration: 15 * time.Second, ShortDuration: time.Duration(4.95 * float64(time.Second)), MaxClockDrift: 0.01}
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -19,27 +19,27 @@
 // ClusterConfig makes a cluster of the sidecars before the first tier, which are then started on operators' files. In a
 // day's file the cluster is called a fleet.
 type ClusterConfig struct {
-	Voters           int            `toml:"voters"`
-	ProbeInterval    time.Duration  `toml:"probe_every"`   // 0: the daemon's default
-	ProbeTimeout     time.Duration  `toml:"probe_timeout"` // 0: the daemon's default
-	SuspicionTimeout time.Duration  `toml:"suspicion"`     // 0: the daemon's default
-	ClockRate        tomlfile.Range `toml:"clock"`         // drawn for each sidecar; needs a program built with the race detector
-	DetectWithin     time.Duration  `toml:"detect"`        // until all others know of a failure, while no fault is active
-	SettleWithin     time.Duration  `toml:"settle"`        // after the last fault, until all views are right
-	HasConsensus     bool           `toml:"agreed"`        // on operator overrides, of which one is toggled all day
+	Voters           int                  `toml:"voters"`
+	ProbeInterval    time.Duration        `toml:"probe_every"`   // 0: the daemon's default
+	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // 0: the daemon's default
+	SuspicionTimeout time.Duration        `toml:"suspicion"`     // 0: the daemon's default
+	ClockRate        tomlfile.NumberRange `toml:"clock"`         // drawn for each sidecar; needs a program built with the race detector
+	DetectWithin     time.Duration        `toml:"detect"`        // until all others know of a failure, while no fault is active
+	SettleWithin     time.Duration        `toml:"settle"`        // after the last fault, until all views are right
+	HasConsensus     bool                 `toml:"agreed"`        // on operator overrides, of which one is toggled all day
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file gives it.
 type LinkFaultSpec struct {
-	Kind        string         `toml:"kind"`
-	At          tomlfile.Span  `toml:"at"`
-	For         tomlfile.Span  `toml:"for"`
-	Parts       int            `toml:"parts"`  // of the sidecars, drawn; the fault hits what passes between them
-	IsolatesOne bool           `toml:"alone"`  // one sidecar against all others, in place of Parts
-	HasBridge   bool           `toml:"bridge"` // one sidecar reaches all others
-	IsOneWay    bool           `toml:"one_way"`
-	Period      tomlfile.Span  `toml:"every"` // the fault comes and goes, each for so long; 0: it stays
-	Magnitude   tomlfile.Range `toml:"size"`
+	Kind        string                 `toml:"kind"`
+	At          tomlfile.DurationRange `toml:"at"`
+	For         tomlfile.DurationRange `toml:"for"`
+	Parts       int                    `toml:"parts"`  // of the sidecars, drawn; the fault hits what passes between them
+	IsolatesOne bool                   `toml:"alone"`  // one sidecar against all others, in place of Parts
+	HasBridge   bool                   `toml:"bridge"` // one sidecar reaches all others
+	IsOneWay    bool                   `toml:"one_way"`
+	Period      tomlfile.DurationRange `toml:"every"` // the fault comes and goes, each for so long; 0: it stays
+	Magnitude   tomlfile.NumberRange   `toml:"size"`
 }
 
 // linkFaultHasMagnitude says for each kind of link fault whether it has a magnitude.
@@ -71,13 +71,13 @@
 		}
 		hasValidVoters := c.Voters >= 0 && float64(c.Voters) <= d.Sidecars.Count.Lo && (c.Voters == 0 || c.Voters%2 == 1)
 		isWithinDrift := c.ClockRate.Hi <= 1+maxClockDrift && c.ClockRate.Lo >= 1-maxClockDrift
-		if err := f.Check("fleet", []tomlfile.Must{
-			tomlfile.Need("voters", hasValidVoters, "0 or an odd number, of the sidecars"),
-			tomlfile.Need("agreed", !c.HasConsensus || c.Voters > 0 && isWithinDrift,
+		if err := f.Check("fleet", []tomlfile.Requirement{
+			tomlfile.Require("voters", hasValidVoters, "0 or an odd number, of the sidecars"),
+			tomlfile.Require("agreed", !c.HasConsensus || c.Voters > 0 && isWithinDrift,
 				fmt.Sprintf("beside voters, and clocks within %v", maxClockDrift)),
-			tomlfile.Need("clock", c.ClockRate.Hi == 0 || c.ClockRate.Lo >= 0.5 && c.ClockRate.Hi <= 2, "from 0.5 to 2"),
-			tomlfile.Need("detect", c.DetectWithin > 0, "over 0"),
-			tomlfile.Need("settle", c.SettleWithin > 0, "over 0"),
+			tomlfile.Require("clock", c.ClockRate.Hi == 0 || c.ClockRate.Lo >= 0.5 && c.ClockRate.Hi <= 2, "from 0.5 to 2"),
+			tomlfile.Require("detect", c.DetectWithin > 0, "over 0"),
+			tomlfile.Require("settle", c.SettleWithin > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -86,14 +86,14 @@
 		hasMagnitude, isKnown := linkFaultHasMagnitude[spec.Kind]
 		hasValidParts := spec.Parts == 0 ||
 			spec.Parts >= 2 && !spec.IsolatesOne && float64(spec.Parts) <= d.Sidecars.Count.Lo
-		if err := f.Check(fmt.Sprintf("link_trouble[%d]", i), []tomlfile.Must{
-			tomlfile.Need("kind", isKnown, "cut, reset, loss, duplicate or delay"),
-			tomlfile.Need("kind", d.Cluster != nil, "of a day with a fleet"),
-			tomlfile.Need("at", spec.At.Hi < d.Length, "before the day's end"),
-			tomlfile.Need("for", spec.For.Lo > 0, "over 0"),
-			tomlfile.Need("parts", hasValidParts, "2 at least, one sidecar each, and not beside alone"),
-			tomlfile.Need("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Need("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a share"),
+		if err := f.Check(fmt.Sprintf("link_trouble[%d]", i), []tomlfile.Requirement{
+			tomlfile.Require("kind", isKnown, "cut, reset, loss, duplicate or delay"),
+			tomlfile.Require("kind", d.Cluster != nil, "of a day with a fleet"),
+			tomlfile.Require("at", spec.At.Hi < d.Length, "before the day's end"),
+			tomlfile.Require("for", spec.For.Lo > 0, "over 0"),
+			tomlfile.Require("parts", hasValidParts, "2 at least, one sidecar each, and not beside alone"),
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Require("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a share"),
 		}); err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -71,7 +71,7 @@
 		c.mu.Unlock()
 		sentAt := c.rehearsal.recorder.Now()
 		s, err := status.FetchSettings(member.adminAddr, clusterPollTimeout)
-		if err != nil || !s.Acting {
+		if err != nil || !s.HasLease {
 			continue
 		}
 		act := clusterinvariant.Act{Asked: sentAt, Said: c.rehearsal.recorder.Now(), By: name, Life: incarnation,
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -25,33 +25,33 @@
 	Length time.Duration `toml:"length"` // of the arrivals; the day ends when the last request is decided
 
 	Load struct {
-		Utilization    tomlfile.Range `toml:"use"`              // share of the nodes' capacity that is asked for
-		OverQuotaWorth float64        `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
-		Quota          tomlfile.Range `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
-		HasCostHints   bool           `toml:"hints"`            // clients send a rough guess at the work
+		Utilization    tomlfile.NumberRange `toml:"use"`              // share of the nodes' capacity that is asked for
+		OverQuotaWorth float64              `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
+		Quota          tomlfile.NumberRange `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
+		HasCostHints   bool                 `toml:"hints"`            // clients send a rough guess at the work
 	} `toml:"load"`
 	Sidecars struct {
-		Count    tomlfile.Range `toml:"count"` // before the first tier; each node of a tier with one behind has its own
-		Cores    float64        `toml:"cores"`
-		MemoryMB int            `toml:"memory_mb"`
-		Sockets  int            `toml:"sockets"`
+		Count    tomlfile.NumberRange `toml:"count"` // before the first tier; each node of a tier with one behind has its own
+		Cores    float64              `toml:"cores"`
+		MemoryMB int                  `toml:"memory_mb"`
+		Sockets  int                  `toml:"sockets"`
 	} `toml:"sidecars"`
 	Front struct {
-		Notice tomlfile.Span `toml:"notice"` // the front layer sends to a dead sidecar for so long
+		Notice tomlfile.DurationRange `toml:"notice"` // the front layer sends to a dead sidecar for so long
 	} `toml:"front"`
 	Discovery struct {
-		Notice tomlfile.Span `toml:"notice"` // until a sidecar is notified that a node drains or is gone
-		Add    tomlfile.Span `toml:"add"`    // until it is notified that a node has started
-		Spread tomlfile.Span `toml:"spread"` // added for each sidecar
+		Notice tomlfile.DurationRange `toml:"notice"` // until a sidecar is notified that a node drains or is gone
+		Add    tomlfile.DurationRange `toml:"add"`    // until it is notified that a node has started
+		Spread tomlfile.DurationRange `toml:"spread"` // added for each sidecar
 	} `toml:"roster"`
 	Clients struct {
-		Retries               tomlfile.Range `toml:"retries"`
-		AttemptTimeoutShare   tomlfile.Range `toml:"try_share"` // of the class's deadline, after which an attempt is given up
-		ImmediateRetryShare   float64        `toml:"at_once"`   // of clients that retry at once; the others after Backoff
-		Backoff               tomlfile.Span  `toml:"backoff"`
-		HonourRetryAfterShare tomlfile.Range `toml:"honour"`  // of clients that honour Retry-After
-		LeaveShare            tomlfile.Range `toml:"hang_up"` // of requests whose client leaves early
-		ConnectionLifetime    tomlfile.Span  `toml:"keep"`    // of a client's connection; 0: unlimited
+		Retries               tomlfile.NumberRange   `toml:"retries"`
+		AttemptTimeoutShare   tomlfile.NumberRange   `toml:"try_share"` // of the class's deadline, after which an attempt is given up
+		ImmediateRetryShare   float64                `toml:"at_once"`   // of clients that retry at once; the others after Backoff
+		Backoff               tomlfile.DurationRange `toml:"backoff"`
+		HonourRetryAfterShare tomlfile.NumberRange   `toml:"honour"`  // of clients that honour Retry-After
+		LeaveShare            tomlfile.NumberRange   `toml:"hang_up"` // of requests whose client leaves early
+		ConnectionLifetime    tomlfile.DurationRange `toml:"keep"`    // of a client's connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
 		Attempts      int           `toml:"attempts"`
@@ -73,72 +73,72 @@
 
 // Tier is a tier of nodes. A request at one tier calls the next, one call after another.
 type Tier struct {
-	Name           string         `toml:"name"`
-	Nodes          tomlfile.Range `toml:"nodes"`
-	WorkShare      float64        `toml:"work"`  // share of a class's work that one call takes here
-	Calls          tomlfile.Range `toml:"calls"` // that a request of the tier before makes here, on average
-	CellSize       tomlfile.Range `toml:"cell"`  // nodes that drop duplicates together
-	MaxConnections int            `toml:"conns"` // of a node; 0: no limit
-	HandshakeWork  tomlfile.Span  `toml:"handshake"`
-	IdleTimeout    tomlfile.Span  `toml:"idle"`
-	ErrorRate      tomlfile.Range `toml:"errors"` // share of requests that a node answers with 500
-	Kinds          []NodeKind     `toml:"kind"`
-	Overload       *OverloadRange `toml:"choke"` // nil: overload does not slow the nodes
+	Name           string                 `toml:"name"`
+	Nodes          tomlfile.NumberRange   `toml:"nodes"`
+	WorkShare      float64                `toml:"work"`  // share of a class's work that one call takes here
+	Calls          tomlfile.NumberRange   `toml:"calls"` // that a request of the tier before makes here, on average
+	CellSize       tomlfile.NumberRange   `toml:"cell"`  // nodes that drop duplicates together
+	MaxConnections int                    `toml:"conns"` // of a node; 0: no limit
+	HandshakeWork  tomlfile.DurationRange `toml:"handshake"`
+	IdleTimeout    tomlfile.DurationRange `toml:"idle"`
+	ErrorRate      tomlfile.NumberRange   `toml:"errors"` // share of requests that a node answers with 500
+	Kinds          []NodeKind             `toml:"kind"`
+	Overload       *OverloadRange         `toml:"choke"` // nil: overload does not slow the nodes
 }
 
 // NodeKind is a kind of node, from which the nodes of a tier are drawn.
 type NodeKind struct {
-	Name              string         `toml:"name"`
-	Share             float64        `toml:"share"` // of the tier's nodes, as a relative weight
-	Cores             int            `toml:"cores"`
-	Speed             tomlfile.Range `toml:"speed"` // of a core
-	Slots             tomlfile.Range `toml:"slots"` // for each core
-	QueueLimit        tomlfile.Range `toml:"room"`  // for each core
-	ColdCapacityShare tomlfile.Range `toml:"cold_from"`
-	WarmUpDuration    tomlfile.Span  `toml:"cold_for"`
+	Name              string                 `toml:"name"`
+	Share             float64                `toml:"share"` // of the tier's nodes, as a relative weight
+	Cores             int                    `toml:"cores"`
+	Speed             tomlfile.NumberRange   `toml:"speed"` // of a core
+	Slots             tomlfile.NumberRange   `toml:"slots"` // for each core
+	QueueLimit        tomlfile.NumberRange   `toml:"room"`  // for each core
+	ColdCapacityShare tomlfile.NumberRange   `toml:"cold_from"`
+	WarmUpDuration    tomlfile.DurationRange `toml:"cold_for"`
 }
 
 // OverloadRange is the range of a fake.OverloadSpec.
 type OverloadRange struct {
-	Threshold    tomlfile.Range `toml:"at"`
-	AveragedOver tomlfile.Span  `toml:"over"`
-	Slowdown     tomlfile.Range `toml:"slower"`
-	RecoverAfter tomlfile.Span  `toml:"rest"`
-	IdleBelow    tomlfile.Range `toml:"below"`
-	MaxDuration  tomlfile.Span  `toml:"most"`
+	Threshold    tomlfile.NumberRange   `toml:"at"`
+	AveragedOver tomlfile.DurationRange `toml:"over"`
+	Slowdown     tomlfile.NumberRange   `toml:"slower"`
+	RecoverAfter tomlfile.DurationRange `toml:"rest"`
+	IdleBelow    tomlfile.NumberRange   `toml:"below"`
+	MaxDuration  tomlfile.DurationRange `toml:"most"`
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name             string        `toml:"name"`
-	Effect           string        `toml:"effect"` // safe, keyed or unsafe
-	Window           time.Duration `toml:"window"` // for keyed: the nodes of a cell drop a duplicate within it
-	Share            float64       `toml:"share"`  // of the requests, as a relative weight
-	Work             tomlfile.Span `toml:"work"`   // on a core of speed 1, on average
-	Wait             tomlfile.Span `toml:"wait"`   // on others, at each node that a request comes to
-	WorkVariation    float64       `toml:"vary"`   // coefficient of variation of the work, which is lognormal
-	LatencyObjective time.Duration `toml:"aim"`
-	Deadline         time.Duration `toml:"deadline"`
-	Worth            float64       `toml:"worth"` // for each second of work
+	Name             string                 `toml:"name"`
+	Effect           string                 `toml:"effect"` // safe, keyed or unsafe
+	Window           time.Duration          `toml:"window"` // for keyed: the nodes of a cell drop a duplicate within it
+	Share            float64                `toml:"share"`  // of the requests, as a relative weight
+	Work             tomlfile.DurationRange `toml:"work"`   // on a core of speed 1, on average
+	Wait             tomlfile.DurationRange `toml:"wait"`   // on others, at each node that a request comes to
+	WorkVariation    float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
+	LatencyObjective time.Duration          `toml:"aim"`
+	Deadline         time.Duration          `toml:"deadline"`
+	Worth            float64                `toml:"worth"` // for each second of work
 }
 
 // Tenant is one of the parties that share the nodes.
 type Tenant struct {
-	Name  string         `toml:"name"`
-	Share float64        `toml:"share"` // of the quota, as a relative weight
-	Usage tomlfile.Range `toml:"usage"` // of its share that it asks for
+	Name  string               `toml:"name"`
+	Share float64              `toml:"share"` // of the quota, as a relative weight
+	Usage tomlfile.NumberRange `toml:"usage"` // of its share that it asks for
 }
 
 // FaultSpec is a fault, as a day's file gives it.
 type FaultSpec struct {
-	Kind      string         `toml:"kind"`
-	At        tomlfile.Span  `toml:"at"`
-	For       tomlfile.Span  `toml:"for"`
-	Share     tomlfile.Range `toml:"share"` // of the nodes or sidecars that are hit, at least one
-	Magnitude tomlfile.Range `toml:"size"`  // see faultKinds
-	Tier      string         `toml:"tier"`  // empty: the first
-	Mode      string         `toml:"how"`   // see faultModes
-	DownFor   tomlfile.Span  `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
+	Kind      string                 `toml:"kind"`
+	At        tomlfile.DurationRange `toml:"at"`
+	For       tomlfile.DurationRange `toml:"for"`
+	Share     tomlfile.NumberRange   `toml:"share"` // of the nodes or sidecars that are hit, at least one
+	Magnitude tomlfile.NumberRange   `toml:"size"`  // see faultKinds
+	Tier      string                 `toml:"tier"`  // empty: the first
+	Mode      string                 `toml:"how"`   // see faultModes
+	DownFor   tomlfile.DurationRange `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
 }
 
 // faultNeeds says what a kind of fault hits, and which of its optional fields it has.
@@ -195,10 +195,10 @@
 func defaults() *Day {
 	d := &Day{}
 	d.Load.OverQuotaWorth = 0.05
-	d.Load.Quota = tomlfile.Range{Lo: 0.8, Hi: 0.8}
-	d.Sidecars.Count = tomlfile.Range{Lo: 1, Hi: 1}
+	d.Load.Quota = tomlfile.NumberRange{Lo: 0.8, Hi: 0.8}
+	d.Sidecars.Count = tomlfile.NumberRange{Lo: 1, Hi: 1}
 	d.Sidecars.Cores, d.Sidecars.MemoryMB, d.Sidecars.Sockets = 1, 192, 1024
-	d.Clients.AttemptTimeoutShare = tomlfile.Range{Lo: 0.5, Hi: 0.5}
+	d.Clients.AttemptTimeoutShare = tomlfile.NumberRange{Lo: 0.5, Hi: 0.5}
 	d.Rules.Attempts = 4
 	d.Rules.MaxRetryAfter = 2 * time.Second
 	d.Rules.Slack = 50 * time.Millisecond
@@ -225,8 +225,8 @@
 		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
 	}
 	scale := float64(length) / float64(d.Length)
-	stretch := func(s tomlfile.Span) tomlfile.Span {
-		return tomlfile.Span{Lo: time.Duration(float64(s.Lo) * scale), Hi: time.Duration(float64(s.Hi) * scale)}
+	stretch := func(s tomlfile.DurationRange) tomlfile.DurationRange {
+		return tomlfile.DurationRange{Lo: time.Duration(float64(s.Lo) * scale), Hi: time.Duration(float64(s.Hi) * scale)}
 	}
 	for i := range d.Faults {
 		fault := &d.Faults[i]
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -16,30 +16,30 @@
 )
 
 // isShare reports whether a range lies within 0 and 1.
-func isShare(r tomlfile.Range) bool { return r.Lo >= 0 && r.Hi <= 1 }
+func isShare(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
 func (d *Day) checkHead(f *tomlfile.File) error {
-	return f.Check("", []tomlfile.Must{
-		tomlfile.Need("format", d.Format == 1, "1"),
-		tomlfile.Need("name", d.Name != "", "a name"),
-		tomlfile.Need("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
-		tomlfile.Need("load.use", d.Load.Utilization.Lo > 0 && d.Load.Utilization.Hi <= 10, "over 0, and 10 at most"),
-		tomlfile.Need("load.quota", d.Load.Quota.Lo > 0, "over 0"),
-		tomlfile.Need("load.over_share_worth", d.Load.OverQuotaWorth >= 0 && d.Load.OverQuotaWorth <= 1, "from 0 to 1"),
-		tomlfile.Need("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
-		tomlfile.Need("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
-		tomlfile.Need("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
-		tomlfile.Need("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
-		tomlfile.Need("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
-		tomlfile.Need("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare),
+	return f.Check("", []tomlfile.Requirement{
+		tomlfile.Require("format", d.Format == 1, "1"),
+		tomlfile.Require("name", d.Name != "", "a name"),
+		tomlfile.Require("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
+		tomlfile.Require("load.use", d.Load.Utilization.Lo > 0 && d.Load.Utilization.Hi <= 10, "over 0, and 10 at most"),
+		tomlfile.Require("load.quota", d.Load.Quota.Lo > 0, "over 0"),
+		tomlfile.Require("load.over_share_worth", d.Load.OverQuotaWorth >= 0 && d.Load.OverQuotaWorth <= 1, "from 0 to 1"),
+		tomlfile.Require("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
+		tomlfile.Require("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
+		tomlfile.Require("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
+		tomlfile.Require("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
+		tomlfile.Require("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
+		tomlfile.Require("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare),
 			"over 0, and 1 at most"),
-		tomlfile.Need("clients.at_once", d.Clients.ImmediateRetryShare >= 0 && d.Clients.ImmediateRetryShare <= 1, "from 0 to 1"),
-		tomlfile.Need("clients.honour", isShare(d.Clients.HonourRetryAfterShare), "from 0 to 1"),
-		tomlfile.Need("clients.hang_up", isShare(d.Clients.LeaveShare), "from 0 to 1"),
-		tomlfile.Need("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
-		tomlfile.Need("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
-		tomlfile.Need("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
-		tomlfile.Need("rules.fall_after", d.Rules.FallAfter > 0, "over 0"),
+		tomlfile.Require("clients.at_once", d.Clients.ImmediateRetryShare >= 0 && d.Clients.ImmediateRetryShare <= 1, "from 0 to 1"),
+		tomlfile.Require("clients.honour", isShare(d.Clients.HonourRetryAfterShare), "from 0 to 1"),
+		tomlfile.Require("clients.hang_up", isShare(d.Clients.LeaveShare), "from 0 to 1"),
+		tomlfile.Require("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
+		tomlfile.Require("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
+		tomlfile.Require("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
+		tomlfile.Require("rules.fall_after", d.Rules.FallAfter > 0, "over 0"),
 	})
 }
 
@@ -52,20 +52,20 @@
 		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
 		sum += t.Nodes.Hi
 		if t.Calls.Hi == 0 {
-			t.Calls = tomlfile.Range{Lo: 1, Hi: 1}
+			t.Calls = tomlfile.NumberRange{Lo: 1, Hi: 1}
 		}
 		if t.CellSize.Hi == 0 {
-			t.CellSize = tomlfile.Range{Lo: 4, Hi: 4}
+			t.CellSize = tomlfile.NumberRange{Lo: 4, Hi: 4}
 		}
-		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("name", t.Name != "", "a name"),
-			tomlfile.Need("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes,
+		if err := f.Check(at, []tomlfile.Requirement{
+			tomlfile.Require("name", t.Name != "", "a name"),
+			tomlfile.Require("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes,
 				fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
-			tomlfile.Need("work", t.WorkShare > 0, "over 0"),
-			tomlfile.Need("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
-			tomlfile.Need("cell", t.CellSize.Lo >= 1, "1 at least"),
-			tomlfile.Need("errors", isShare(t.ErrorRate), "from 0 to 1"),
-			tomlfile.Need("kind", len(t.Kinds) > 0, "given"),
+			tomlfile.Require("work", t.WorkShare > 0, "over 0"),
+			tomlfile.Require("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
+			tomlfile.Require("cell", t.CellSize.Lo >= 1, "1 at least"),
+			tomlfile.Require("errors", isShare(t.ErrorRate), "from 0 to 1"),
+			tomlfile.Require("kind", len(t.Kinds) > 0, "given"),
 		}); err != nil {
 			return err
 		}
@@ -76,12 +76,12 @@
 		}
 		if c := t.Overload; c != nil {
 			at += ".choke"
-			if err := f.Check(at, []tomlfile.Must{
-				tomlfile.Need("at", c.Threshold.Lo > 0, "over 0"),
-				tomlfile.Need("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
-				tomlfile.Need("slower", c.Slowdown.Lo >= 1, "1 at least"),
-				tomlfile.Need("below", isShare(c.IdleBelow), "from 0 to 1"),
-				tomlfile.Need("most", c.MaxDuration.Lo > 0, "over 0"),
+			if err := f.Check(at, []tomlfile.Requirement{
+				tomlfile.Require("at", c.Threshold.Lo > 0, "over 0"),
+				tomlfile.Require("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
+				tomlfile.Require("slower", c.Slowdown.Lo >= 1, "1 at least"),
+				tomlfile.Require("below", isShare(c.IdleBelow), "from 0 to 1"),
+				tomlfile.Require("most", c.MaxDuration.Lo > 0, "over 0"),
 			}); err != nil {
 				return err
 			}
@@ -91,14 +91,14 @@
 }
 
 func (k *NodeKind) check(f *tomlfile.File, at string) error {
-	return f.Check(at, []tomlfile.Must{
-		tomlfile.Need("name", k.Name != "", "a name"),
-		tomlfile.Need("share", k.Share > 0, "over 0"),
-		tomlfile.Need("cores", k.Cores >= 1 && k.Cores <= 1024, "from 1 to 1024"),
-		tomlfile.Need("speed", k.Speed.Lo > 0, "over 0"),
-		tomlfile.Need("slots", k.Slots.Lo > 0, "over 0"),
-		tomlfile.Need("room", k.QueueLimit.Lo >= 0, "0 at least"),
-		tomlfile.Need("cold_from", k.ColdCapacityShare.Lo > 0 && isShare(k.ColdCapacityShare), "over 0, and 1 at most"),
+	return f.Check(at, []tomlfile.Requirement{
+		tomlfile.Require("name", k.Name != "", "a name"),
+		tomlfile.Require("share", k.Share > 0, "over 0"),
+		tomlfile.Require("cores", k.Cores >= 1 && k.Cores <= 1024, "from 1 to 1024"),
+		tomlfile.Require("speed", k.Speed.Lo > 0, "over 0"),
+		tomlfile.Require("slots", k.Slots.Lo > 0, "over 0"),
+		tomlfile.Require("room", k.QueueLimit.Lo >= 0, "0 at least"),
+		tomlfile.Require("cold_from", k.ColdCapacityShare.Lo > 0 && isShare(k.ColdCapacityShare), "over 0, and 1 at most"),
 	})
 }
 
@@ -110,16 +110,16 @@
 	for i, c := range d.Classes {
 		at := fmt.Sprintf("class[%d]", i)
 		_, hasEffect := effectsByName[c.Effect]
-		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
-			tomlfile.Need("effect", hasEffect, "safe, keyed or unsafe"),
-			tomlfile.Need("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
-			tomlfile.Need("share", c.Share > 0, "over 0"),
-			tomlfile.Need("work", c.Work.Lo > 0, "over 0"),
-			tomlfile.Need("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
-			tomlfile.Need("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.Deadline, "over 0, and the deadline at most"),
-			tomlfile.Need("deadline", c.Deadline <= time.Minute, "1m at most"),
-			tomlfile.Need("worth", c.Worth > 0, "over 0"),
+		if err := f.Check(at, []tomlfile.Requirement{
+			tomlfile.Require("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
+			tomlfile.Require("effect", hasEffect, "safe, keyed or unsafe"),
+			tomlfile.Require("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
+			tomlfile.Require("share", c.Share > 0, "over 0"),
+			tomlfile.Require("work", c.Work.Lo > 0, "over 0"),
+			tomlfile.Require("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
+			tomlfile.Require("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.Deadline, "over 0, and the deadline at most"),
+			tomlfile.Require("deadline", c.Deadline <= time.Minute, "1m at most"),
+			tomlfile.Require("worth", c.Worth > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -130,10 +130,10 @@
 	}
 	for i, t := range d.Tenants {
 		at := fmt.Sprintf("tenant[%d]", i)
-		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("name", isPlainName(t.Name), "a name, of letters, digits and -"),
-			tomlfile.Need("share", t.Share > 0, "over 0"),
-			tomlfile.Need("usage", t.Usage.Lo > 0, "over 0"),
+		if err := f.Check(at, []tomlfile.Requirement{
+			tomlfile.Require("name", isPlainName(t.Name), "a name, of letters, digits and -"),
+			tomlfile.Require("share", t.Share > 0, "over 0"),
+			tomlfile.Require("usage", t.Usage.Lo > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -158,17 +158,17 @@
 		modes := faultModes[spec.Kind]
 		hitsTargets := needs.nodes || needs.sidecars
 		hitsRequests := spec.Kind == "hang" || spec.Kind == "reset"
-		if err := f.Check(at, []tomlfile.Must{
-			tomlfile.Need("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
-			tomlfile.Need("at", f.Has(at+".at") && spec.At.Hi < d.Length, "given, and before the day's end"),
-			tomlfile.Need("for", spec.For.Lo > 0, "over 0"),
-			tomlfile.Need("share", isShare(spec.Share) && (spec.Share.Hi > 0) == hitsTargets,
+		if err := f.Check(at, []tomlfile.Requirement{
+			tomlfile.Require("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
+			tomlfile.Require("at", f.Has(at+".at") && spec.At.Hi < d.Length, "given, and before the day's end"),
+			tomlfile.Require("for", spec.For.Lo > 0, "over 0"),
+			tomlfile.Require("share", isShare(spec.Share) && (spec.Share.Hi > 0) == hitsTargets,
 				"over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Need("size", (spec.Magnitude.Lo > 0) == needs.magnitude, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Need("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
-			tomlfile.Need("down", (spec.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
-			tomlfile.Need("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
-			tomlfile.Need("tier", spec.Tier == "" || needs.nodes && d.tierIndex(spec.Tier) >= 0,
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == needs.magnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Require("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
+			tomlfile.Require("down", (spec.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
+			tomlfile.Require("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
+			tomlfile.Require("tier", spec.Tier == "" || needs.nodes && d.tierIndex(spec.Tier) >= 0,
 				"the name of a tier, for a trouble of nodes"),
 		}); err != nil {
 			return err
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -152,11 +152,11 @@
 	attempts int
 }
 
-func (b *faultyDecider) EndpointList(_ time.Duration, l balance.List) {
+func (b *faultyDecider) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Complete {
 		clear(b.ready)
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if e.State != balance.Ready {
 			delete(b.ready, e.ID)
 		} else {
@@ -199,13 +199,13 @@
 	q := b.requests[o.ID]
 	switch {
 	case q == nil:
-	case o.Final || o.Result == balance.OK:
+	case o.IsFinal || o.Result == balance.OK:
 		delete(b.requests, o.ID)
 	case b.fault == "retries what may have run":
 		b.send(now, q)
 	case b.fault == "rejects what may have run":
 		delete(b.requests, o.ID)
-		b.host.Refuse(o.ID, 0)
+		b.host.Reject(o.ID, 0)
 	case b.fault == "never answers after a failure":
 	default:
 		delete(b.requests, o.ID)
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -124,7 +124,7 @@
 `, `notice = "100ms"`, `notice = "2s"`)
 	r := playValid(t, testPlan(t, day...), Options{Command: sidecarCommand("good")})
 	report := r.Invariants
-	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].Tests < 2 || report.Falls != 0 {
+	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Falls != 0 {
 		t.Errorf("held %v, falls %d: %+v", r.Held, report.Falls, report.Rules)
 	}
 }
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -49,7 +49,7 @@
 	for _, n := range r.plan.Nodes {
 		result.Nodes = append(result.Nodes, n.Spec.ID)
 	}
-	result.Invariants = invariant.Judge(r.plan.Rules(), events)
+	result.Invariants = invariant.Check(r.plan.Rules(), events)
 	for i := range result.Invariants.Rules {
 		violations := result.Invariants.Rules[i].Breaches
 		for k := range violations {
@@ -148,17 +148,17 @@
 	result.Rejections = make([]float64, len(result.BySecond))
 	for _, e := range events {
 		switch e.Kind {
-		case invariant.Sent:
+		case invariant.AttemptReceived:
 			allTiers++
 			if tierOf[e.Node] == 0 {
 				firstTier++
 			}
 			work[e.Request] = e.Work
-		case invariant.Began:
-			if !e.Repeat {
+		case invariant.EffectStarted:
+			if !e.Duplicate {
 				workDone += work[e.Request]
 			}
-		case invariant.Answered:
+		case invariant.ResponseReceived:
 			if s := int((e.At - dayStart).Seconds()); isRejection(e.Status) && s >= 0 && s < len(result.Rejections) {
 				result.Rejections[s]++
 			}
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -49,8 +49,8 @@
 			r.options.Progress(Snapshot{
 				At:       time.Since(m.start),
 				Length:   r.plan.Day.Length,
-				Asked:    float64(r.offeredWorth.Load()) / 1000,
-				Answered: float64(r.inTimeWorth.Load()) / 1000,
+				Offered:  float64(r.offeredWorth.Load()) / 1000,
+				InTime:   float64(r.inTimeWorth.Load()) / 1000,
 				InFlight: int(r.inFlight.Load()),
 			})
 		}
@@ -72,7 +72,7 @@
 		m.timerLateness.Record(late)
 		m.worstStall = max(m.worstStall, late)
 		if late >= m.rehearsal.plan.Day.Rules.Slack {
-			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, For: late})
+			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, Duration: late})
 		}
 	}
 }
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -30,7 +30,7 @@
 	for i, c := range day.Classes {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\n"+
 			"id_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
-		if p.Classes[i].Effect == invariant.Keyed {
+		if p.Classes[i].Effect == invariant.IdempotencyKeyed {
 			fmt.Fprintf(&b, "window = %q\ngroup = \"cell\"\n", c.Window)
 		}
 	}
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -36,9 +36,9 @@
 		r.Invariants.Rules[i] = invariant.RuleResult{Number: i + 1, Name: "a rule", Verdict: verdicts[i],
 			Occasions: map[string]int{"things": i}}
 	}
-	r.Invariants.Rules[1].Broken = 7
+	r.Invariants.Rules[1].ViolationCount = 7
 	r.Invariants.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>",
-		Node: "front-1", What: "sent <twice>"}}
+		Node: "front-1", Description: "sent <twice>"}}
 	return r
 }
 
@@ -108,7 +108,7 @@
 		Runs   []Result
 	}
 	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 ||
-		out.Runs[0].Invariants.Rules[1].Broken != 7 {
+		out.Runs[0].Invariants.Rules[1].ViolationCount != 7 {
 		t.Errorf("%v: %+v", err, out)
 	}
 }
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -89,10 +89,10 @@
 }
 
 // effectsByName are the effects by their names in day files.
-var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.Keyed, "unsafe": invariant.Unsafe}
+var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.IdempotencyKeyed, "unsafe": invariant.Unsafe}
 
 // drawInteger draws a whole number from a range, both ends included.
-func drawInteger(r tomlfile.Range, rng *rand.Rand) float64 {
+func drawInteger(r tomlfile.NumberRange, rng *rand.Rand) float64 {
 	return min(math.Floor(r.Lo+(r.Hi-r.Lo+1)*rng.Float64()), math.Floor(r.Hi))
 }
 
@@ -110,13 +110,13 @@
 // Rules are the limits of the invariants for the day.
 func (p *Plan) Rules() invariant.Rules {
 	rules := invariant.Rules{
-		MaxAttempts:  p.Day.Rules.Attempts,
-		Slack:        p.Day.Rules.Slack,
-		DrainGrace:   p.Day.Rules.DrainGrace,
-		FallMultiple: p.Day.Rules.FallMultiple,
-		FallAfter:    p.Day.Rules.FallAfter,
-		FallSlack:    fake.ColdOverloadTolerance,
-		TermGrace:    termGrace,
+		MaxAttempts:           p.Day.Rules.Attempts,
+		Tolerance:             p.Day.Rules.Slack,
+		DrainGrace:            p.Day.Rules.DrainGrace,
+		ColdOverloadFactor:    p.Day.Rules.FallMultiple,
+		ColdOverloadWindow:    p.Day.Rules.FallAfter,
+		ColdOverloadTolerance: fake.ColdOverloadTolerance,
+		TermGrace:             termGrace,
 	}
 	for _, c := range p.Classes {
 		rules.Classes = append(rules.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -26,7 +26,7 @@
 // Snapshot is how far a day has come.
 type Snapshot struct {
 	At, Length      time.Duration
-	Asked, Answered float64 // worth of the requests that are decided, and of those served in time
+	Offered, InTime float64 // worth of the requests that are decided, and of those served in time
 	InFlight        int
 }
 
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -114,7 +114,7 @@
 	defer func() { _ = log.Close() }() // nothing was written through it: the process has a descriptor of its own
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal must not reach the process
-	p.recorder.Add(invariant.Event{Kind: invariant.Up, Sidecar: p.name})
+	p.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: p.name})
 	for _, m := range known.Servers {
 		p.recorder.Add(fake.NotificationEvent(p.name, m, p.recorder))
 	}
@@ -133,7 +133,7 @@
 	isCrash := !p.isExitExpected
 	p.cmd = nil
 	p.mu.Unlock()
-	p.recorder.Add(invariant.Event{Kind: invariant.Exited, Sidecar: p.name, Crash: isCrash})
+	p.recorder.Add(invariant.Event{Kind: invariant.SidecarExited, Sidecar: p.name, Crash: isCrash})
 	close(exited)
 	if isCrash {
 		p.onCrash(p)
@@ -183,7 +183,7 @@
 	p.mu.Unlock()
 	pausedAt := time.Now()
 	sleep(ctx, d)
-	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, For: time.Since(pausedAt)}) // before its effects
+	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // before its effects
 	select {
 	case <-exited: // it was killed meanwhile
 	default:
@@ -193,7 +193,7 @@
 
 // kill ends the process by SIGKILL and waits for its exit.
 func (p *sidecarProcess) kill() {
-	if exited := p.signal(syscall.SIGKILL, invariant.Killed); exited != nil {
+	if exited := p.signal(syscall.SIGKILL, invariant.SidecarKilled); exited != nil {
 		<-exited
 	}
 }
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -104,7 +104,7 @@
 // verdictText is the verdict on a rule.
 func verdictText(rule invariant.RuleResult) string {
 	if rule.Verdict == invariant.Broken {
-		return fmt.Sprintf("BROKEN %d times", rule.Broken)
+		return fmt.Sprintf("BROKEN %d times", rule.ViolationCount)
 	}
 	return string(rule.Verdict)
 }
@@ -121,7 +121,7 @@
 
 // violationText describes a violation with whom it concerns.
 func violationText(v invariant.Violation) string {
-	out := v.What
+	out := v.Description
 	for _, part := range []struct{ name, value string }{{"request", v.Request}, {"sidecar", v.Sidecar}, {"node", v.Node}} {
 		if part.value != "" {
 			out += fmt.Sprintf(", %s %s", part.name, part.value)
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -44,7 +44,7 @@
 		for _, violation := range rule.Breaches {
 			at := violation.At + dayStart
 			if slices.ContainsFunc(stalls, func(e invariant.Event) bool {
-				return e.At-e.For-stallProximity <= at && at <= e.At+stallProximity
+				return e.At-e.Duration-stallProximity <= at && at <= e.At+stallProximity
 			}) {
 				near++
 			}
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -23,7 +23,7 @@
 		return result.Invalid
 	}
 	stall := func(at time.Duration) invariant.Event {
-		return invariant.Event{Kind: invariant.HarnessStall, At: time.Minute + at, For: 60 * time.Millisecond}
+		return invariant.Event{Kind: invariant.HarnessStall, At: time.Minute + at, Duration: 60 * time.Millisecond}
 	}
 	for _, c := range []struct {
 		name    string
--- a/internal/testkit/swimsim/swarm.go
+++ b/internal/testkit/swimsim/swarm.go
@@ -68,7 +68,7 @@
 	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), at: map[netip.AddrPort]*Node{}}
 	var known []swim.Update
 	for i := range o.Nodes {
-		n := &Node{Place: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Run: uint64(i + 1)}, Rate: 1, slow: w.rng.Float64() < o.Slow}
+		n := &Node{Place: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, Rate: 1, slow: w.rng.Float64() < o.Slow}
 		w.Nodes = append(w.Nodes, n)
 		known = append(known, swim.Update{Peer: n.Peer, Incarnation: 1})
 	}
@@ -105,7 +105,7 @@
 // Begin starts a node's process with the Peer that it has now.
 func (w *World) Begin(n *Node, known []swim.Update) {
 	o := w.o.Swim
-	o.Self, o.Seed, o.Known = n.Peer, w.rng.Uint64(), known
+	o.Self, o.Seed, o.InitialMembers = n.Peer, w.rng.Uint64(), known
 	if o.Join == nil {
 		o.Join = []netip.AddrPort{Addr(0), Addr(w.o.Nodes / 2)}
 	}
@@ -199,7 +199,7 @@
 	var room [transport.MaxDatagramBytes]byte
 	for _, e := range n.TakeMessages() {
 		w.Messages++
-		w.Bytes += uint64(len(transport.Marshal(room[:0], e.Message))) + transport.Overhead
+		w.Bytes += uint64(len(transport.AppendSwimMessage(room[:0], e.Message))) + transport.MaxOverheadBytes
 		to := w.at[e.To]
 		if to == nil || to.Dead || w.Cut != nil && w.Cut(n.Place, to.Place) {
 			continue
--- a/internal/testkit/swimsim/swarm_test.go
+++ b/internal/testkit/swimsim/swarm_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	p.OnChange = func(by *Node, c swim.Change) { p.saw(by, c.Name, c.Is, c.Incarnation) }
+	p.OnChange = func(by *Node, c swim.Change) { p.saw(by, c.Name, c.To, c.Incarnation) }
 	return p
 }
 
@@ -165,7 +165,7 @@
 // nextLife is a node as it is when it is started again.
 func nextLife(n *Node) swim.Peer {
 	as := n.Peer
-	as.Run += 1000
+	as.Generation += 1000
 	return as
 }
 
@@ -240,7 +240,7 @@
 	}{
 		{name: "good"},
 		{"never refutes", clusterinvariant.NoFalse, swim.Options{}, deaf},
-		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{Suspicion: 1, DisableSuspicionShrink: true}, nil},
+		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{SuspicionTimeout: 1, DisableSuspicionShrink: true}, nil},
 		{"forgets who left", clusterinvariant.LeftIsLeft, swim.Options{}, rude},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -58,7 +58,7 @@
 	w.Run(warmUp, nil)
 	sent, bytes := w.Messages, w.Bytes
 	w.OnChange = func(_ *Node, ch swim.Change) {
-		if ch.Is == swim.Failed {
+		if ch.To == swim.Failed {
 			seen[verdict{ch.Name, ch.Incarnation}] = true
 		}
 	}
@@ -87,12 +87,12 @@
 	w.OnChange = func(by *Node, ch swim.Change) {
 		switch {
 		case ch.Name != n.Peer.Name:
-		case ch.Is == swim.Failed:
+		case ch.To == swim.Failed:
 			if len(know) == 0 {
 				m.First = append(m.First, w.Now-at)
 			}
 			know[by.Place] = true
-		case ch.Is.IsPresent():
+		case ch.To.IsPresent():
 			delete(know, by.Place)
 		}
 	}
@@ -156,7 +156,7 @@
 		for _, suspicion := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 			for _, hard := range []Case{{Loss: 0.2}, {Slow: 0.1}} {
 				hard.Nodes, hard.Length, hard.Seed = 100, 2*time.Minute, seed
-				hard.Swim = swim.Options{ProbeEvery: every, Suspicion: suspicion}
+				hard.Swim = swim.Options{ProbeInterval: every, SuspicionTimeout: suspicion}
 				m := hard.Measure(false)
 				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", every, suspicion, 100*hard.Loss, 100*hard.Slow, m.False, at(m.All, 0.5), at(m.All, 1), m.Messages)
 			}
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -35,8 +35,8 @@
 }
 
 var (
-	rangeType    = reflect.TypeFor[Range]()
-	spanType     = reflect.TypeFor[Span]()
+	rangeType    = reflect.TypeFor[NumberRange]()
+	spanType     = reflect.TypeFor[DurationRange]()
 	durationType = reflect.TypeFor[time.Duration]()
 )
 
@@ -82,7 +82,7 @@
 		d.fail(field, "%v is neither a number nor two in order", value)
 		return
 	}
-	into.Set(reflect.ValueOf(Range{lo, hi}))
+	into.Set(reflect.ValueOf(NumberRange{lo, hi}))
 }
 
 func (d *decoder) durationRange(field string, value any, into reflect.Value) {
@@ -91,7 +91,7 @@
 		d.fail(field, `%v is neither a duration ("1.5s") nor two in order`, value)
 		return
 	}
-	into.Set(reflect.ValueOf(Span{lo, hi}))
+	into.Set(reflect.ValueOf(DurationRange{lo, hi}))
 }
 
 func (d *decoder) list(field string, value any, into reflect.Value) {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -12,15 +12,15 @@
 }
 
 type tier struct {
-	Name string `toml:"name"`
-	Size Range  `toml:"size"`
-	Kind []kind `toml:"kind"`
+	Name string      `toml:"name"`
+	Size NumberRange `toml:"size"`
+	Kind []kind      `toml:"kind"`
 }
 
 type sample struct {
 	Name  string        `toml:"name"`
 	Seed  uint64        `toml:"seed"`
-	Late  Span          `toml:"late"`
+	Late  DurationRange `toml:"late"`
 	Every time.Duration `toml:"every"`
 	Share float64       `toml:"share"`
 	On    bool          `toml:"on"`
@@ -63,9 +63,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "x" || s.Seed != 7 || s.Late != (Span{time.Second, 2500 * time.Millisecond}) || s.Every != 10*time.Millisecond ||
-		s.Share != 1 || !s.On || s.Load.Rate != 2.5 || len(s.Tier) != 2 || s.Tier[0].Size != (Range{8, 10}) ||
-		s.Tier[1].Size != (Range{3, 3}) || s.Tier[1].Kind[1].Cores != 8 {
+	if s.Name != "x" || s.Seed != 7 || s.Late != (DurationRange{time.Second, 2500 * time.Millisecond}) || s.Every != 10*time.Millisecond ||
+		s.Share != 1 || !s.On || s.Load.Rate != 2.5 || len(s.Tier) != 2 || s.Tier[0].Size != (NumberRange{8, 10}) ||
+		s.Tier[1].Size != (NumberRange{3, 3}) || s.Tier[1].Kind[1].Cores != 8 {
 		t.Errorf("%+v", s)
 	}
 	for field, want := range map[string]string{
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,14 +13,14 @@
 
 // AttemptHooks are called during an attempt. The zero value suits an attempt whose bodies are buffered.
 type AttemptHooks struct {
-	// Wanted is called last before the first byte is written, on the attempt's goroutine. If it returns false, nothing
+	// IsWanted is called last before the first byte is written, on the attempt's goroutine. If it returns false, nothing
 	// is written. nil means that the attempt is wanted.
-	Wanted func() bool
-	// Sent is called, on a goroutine of the attempt, once the last byte of a streaming request body is written.
-	Sent func()
-	// Begun is called when a response that is not buffered has begun. If it returns true, the response belongs to the
+	IsWanted func() bool
+	// RequestSent is called, on a goroutine of the attempt, once the last byte of a streaming request body is written.
+	RequestSent func()
+	// ResponseStarted is called when a response that is not buffered has begun. If it returns true, the response belongs to the
 	// callee, who must close its Stream. nil means that responses must be buffered.
-	Begun func(Response) bool
+	ResponseStarted func(Response) bool
 }
 
 // Why an attempt writes nothing, though its endpoint has not failed.
@@ -38,10 +38,10 @@
 
 // Attempt sends a request to an endpoint once and returns how that ended, whether the connection had served before,
 // and the endpoint's response if there is one. When ctx ends, the connection is closed before Attempt returns, so
-// that no later attempt is in flight together with this one. Once AttemptHooks.Begun has taken a response, ctx no
+// that no later attempt is in flight together with this one. Once AttemptHooks.ResponseStarted has taken a response, ctx no
 // longer counts, and Attempt returns when the response's Stream is closed.
 func (cl *Client) Attempt(
-	ctx context.Context, id string, m *Message, hooks AttemptHooks,
+	ctx context.Context, id string, m *Request, hooks AttemptHooks,
 ) (result balance.Result, reused bool, response Response) {
 	c, text, err := cl.acquire(ctx, id, m)
 	// The endpoint, the deadline and the client may have changed while the connection was dialed or rested.
@@ -53,7 +53,7 @@
 	case isPastDeadline(ctx):
 		cl.discard(c)
 		err = errPastDeadline
-	case hooks.Wanted != nil && !hooks.Wanted():
+	case hooks.IsWanted != nil && !hooks.IsWanted():
 		cl.release(c, false)
 		err = errNotWanted
 	}
@@ -100,11 +100,11 @@
 type exchange struct {
 	client  *Client
 	conn    *conn
-	request *Message
+	request *Request
 	hooks   AttemptHooks
 	// stopDeadline keeps the end of the attempt's context from closing the connection; false means that it has.
 	stopDeadline func() bool
-	isHandedOver atomic.Bool // the response belongs to the callee of AttemptHooks.Begun
+	isHandedOver atomic.Bool // the response belongs to the callee of AttemptHooks.ResponseStarted
 }
 
 // outcome is how an exchange ended. isReusable: the connection may carry another one.
@@ -122,8 +122,8 @@
 	// Endpoints that begin a request with its last byte have not run one that was not written completely. Others may
 	// have run it as soon as a byte of it was written.
 	if n, _ := x.conn.Write(text); n < len(text) {
-		if n > 0 && x.client.options.Begins == WithHead {
-			return outcome{result: unlessCanceled(ctx, balance.Errored)}
+		if n > 0 && x.client.options.RequestStart == StartsWithHead {
+			return outcome{result: unlessCanceled(ctx, balance.ErrorResponse)}
 		}
 		return outcome{result: unlessCanceled(ctx, balance.ConnectFailed)}
 	}
@@ -137,8 +137,8 @@
 
 // notifySent reports that the request's last byte was written.
 func (x *exchange) notifySent() {
-	if x.client.options.Sent != nil {
-		x.client.options.Sent()
+	if x.client.options.OnRequestSent != nil {
+		x.client.options.OnRequestSent()
 	}
 }
 
@@ -153,7 +153,7 @@
 	case c.byteLimit.N > 0 && isConnectionBreak(err):
 		return balance.Reset
 	}
-	return balance.Errored
+	return balance.ErrorResponse
 }
 
 // isConnectionBreak reports whether a read failed since the endpoint closed or reset the connection.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -18,17 +18,17 @@
 // newTestClient returns a Client whose endpoints, named a, b and so on, accept requests at the addresses.
 func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
-	client := New(Options{Idle: time.Minute, Dial: testpeer.Patience, Most: 100, OnlyOK: true})
+	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: 100, OnlyOK: true})
 	for i, addr := range addrs {
-		client.SetMember(string(rune('a'+i)), addr, true)
+		client.SetEndpoint(string(rune('a'+i)), addr, true)
 	}
 	t.Cleanup(func() { client.sweep(func(*conn) bool { return false }) })
 	return client
 }
 
 // getRequest returns a GET request for a path.
-func getRequest(path string) *Message {
-	return &Message{Method: http.MethodGet, Target: path, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
+func getRequest(path string) *Request {
+	return &Request{Method: http.MethodGet, Target: path, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
 // contextFor returns a context with a deadline, which ends with the test.
@@ -40,7 +40,7 @@
 }
 
 // attempt makes an attempt without hooks and returns its result.
-func attempt(t *testing.T, client *Client, id string, m *Message) balance.Result {
+func attempt(t *testing.T, client *Client, id string, m *Request) balance.Result {
 	t.Helper()
 	r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), id, m, AttemptHooks{})
 	return r
@@ -56,31 +56,31 @@
 		"200":                       {testpeer.Served, balance.OK, true},
 		"200 chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.OK, true},
 		"200 after interim":         {"HTTP/1.1 103 Early Hints\r\n\r\n" + testpeer.Served, balance.OK, true},
-		"500":                       {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balance.Errored, true},
-		"503 declined":              {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Full, true},
-		"504 declined":              {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Full, true},
-		"503 not declined":          {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balance.Errored, true},
-		"500 with declined header":  {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Errored, true},
+		"500":                       {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balance.ErrorResponse, true},
+		"503 declined":              {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
+		"504 declined":              {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
+		"503 not declined":          {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balance.ErrorResponse, true},
+		"500 with declined header":  {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.ErrorResponse, true},
 		"nothing, then end of file": {"", balance.Reset, false},
 		"half a head":               {head, balance.Reset, false},
 		"half a body":               {head + "9\r\n\r\nhi", balance.Reset, false},
 		"half of the chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balance.Reset, false},
-		"no length":                 {"HTTP/1.1 200 OK\r\n\r\nhi", balance.Errored, true},
-		"body too long":             {head + "70000\r\n\r\n" + strings.Repeat("x", 70000), balance.Errored, true},
-		"head without end":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), balance.Errored, true},
-		"corrupt bytes without end": {"\x00\x01", balance.Errored, true},
-		"head that stalls":          {head, balance.Errored, true},
-		"body that stalls":          {head + "9\r\n\r\nhi", balance.Errored, true},
-		"length of 3 GB":            {head + "3000000000\r\n\r\nhi", balance.Errored, true},
-		"negative length":           {head + "-2\r\n\r\nhi", balance.Errored, true},
-		"two framings":              {head + "2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.Errored, true},
-		"two lengths":               {head + "2\r\nContent-Length: 3\r\n\r\nhi", balance.Errored, true},
-		"bare line feeds":           {"HTTP/1.1 200 OK\nContent-Length: 2\n\r\n\r\nhi", balance.Errored, true},
-		"folded field":              {"HTTP/1.1 200 OK\r\nX: y\r\n Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balance.Errored, true},
-		"another protocol":          {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testpeer.Served, balance.Errored, true},
-		"only interim responses":    {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 9) + testpeer.Served, balance.Errored, true},
+		"no length":                 {"HTTP/1.1 200 OK\r\n\r\nhi", balance.ErrorResponse, true},
+		"body too long":             {head + "70000\r\n\r\n" + strings.Repeat("x", 70000), balance.ErrorResponse, true},
+		"head without end":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), balance.ErrorResponse, true},
+		"corrupt bytes without end": {"\x00\x01", balance.ErrorResponse, true},
+		"head that stalls":          {head, balance.ErrorResponse, true},
+		"body that stalls":          {head + "9\r\n\r\nhi", balance.ErrorResponse, true},
+		"length of 3 GB":            {head + "3000000000\r\n\r\nhi", balance.ErrorResponse, true},
+		"negative length":           {head + "-2\r\n\r\nhi", balance.ErrorResponse, true},
+		"two framings":              {head + "2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.ErrorResponse, true},
+		"two lengths":               {head + "2\r\nContent-Length: 3\r\n\r\nhi", balance.ErrorResponse, true},
+		"bare line feeds":           {"HTTP/1.1 200 OK\nContent-Length: 2\n\r\n\r\nhi", balance.ErrorResponse, true},
+		"folded field":              {"HTTP/1.1 200 OK\r\nX: y\r\n Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balance.ErrorResponse, true},
+		"another protocol":          {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testpeer.Served, balance.ErrorResponse, true},
+		"only interim responses":    {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 9) + testpeer.Served, balance.ErrorResponse, true},
 		"unreadable load report":    {"HTTP/1.1 200 OK\r\nSrv-Load: \xff;=,,inflight\r\nContent-Length: 2\r\n\r\nhi", balance.OK, true},
-		"corrupt bytes":             {"\x00\x01\r\n\r\n", balance.Errored, true},
+		"corrupt bytes":             {"\x00\x01\r\n\r\n", balance.ErrorResponse, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := testpeer.NewEndpoint(t, testpeer.Says(row.text, row.keepOpen))
@@ -114,7 +114,7 @@
 	if r := attempt(t, client, "unlisted", getRequest("/c")); r != balance.NotSent {
 		t.Errorf("no address: %v", r)
 	}
-	client.options.Most = 0 // a limit of this process must not count against the endpoint
+	client.options.MaxConnections = 0 // a limit of this process must not count against the endpoint
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.NotSent {
 		t.Errorf("connection limit: %v", r)
 	}
@@ -227,7 +227,7 @@
 		return connect(ctx, network, addr)
 	}
 	m := getRequest("/c")
-	m.DeadlineName = "Req-Deadline-Ms"
+	m.DeadlineHeader = "Req-Deadline-Ms"
 	if r, _, _ := client.Attempt(contextFor(t, timeout), "a", m, AttemptHooks{}); r != balance.OK {
 		t.Fatal(r)
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -31,28 +31,28 @@
 
 // Options configures a Client.
 type Options struct {
-	// Idle is the time after which endpoints close idle connections; 0 means 15 s.
-	Idle time.Duration
-	// Dial is the time after which a connection that is not established has failed; 0 means 250 ms.
-	Dial time.Duration
-	// Most is how many connections may be open at once, to all endpoints together.
-	Most int
-	// Spread opens a new connection, while fewer than Most are open, where all idle connections to an endpoint still
+	// IdleTimeout is the time after which endpoints close idle connections; 0 means 15 s.
+	IdleTimeout time.Duration
+	// DialTimeout is the time after which a connection that is not established has failed; 0 means 250 ms.
+	DialTimeout time.Duration
+	// MaxConnections is how many connections may be open at once, to all endpoints together.
+	MaxConnections int
+	// Spread opens a new connection, while fewer than MaxConnections are open, where all idle connections to an endpoint still
 	// rest. Without it the request waits until one of them has rested, which suits pools where connections are scarce.
 	Spread bool
-	// Begins says from which byte on a request may have run.
-	Begins Begins
+	// RequestStart says from which byte on a request may have run.
+	RequestStart RequestStart
 	// Pool is the memory for streaming responses; nil means that responses must be buffered.
-	Pool *body.Pool
-	// Pace is the minimum rate of endpoints while bodies stream.
-	Pace body.Pace
-	// Whole is how long a buffered response may take from its first byte to its last. Less than 500 ms counts as 500
+	Pool *body.MemoryPool
+	// MinimumRate is the minimum rate of endpoints while bodies stream.
+	MinimumRate body.MinimumRate
+	// BufferedResponseTimeout is how long a buffered response may take from its first byte to its last. Less than 500 ms counts as 500
 	// ms.
-	Whole time.Duration
-	// Answer is the maximum length in bytes of a response's body; 0 means no maximum.
-	Answer int64
-	// Sent, if not nil, is called for each attempt once the last byte of its request is written.
-	Sent func()
+	BufferedResponseTimeout time.Duration
+	// MaxResponseBody is the maximum length in bytes of a response's body; 0 means no maximum.
+	MaxResponseBody int64
+	// OnRequestSent, if not nil, is called for each attempt once the last byte of its request is written.
+	OnRequestSent func()
 	// Connect establishes connections, each of which must be a *net.TCPConn; nil means a net.Dialer.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
 	// OnlyOK accepts only responses with status 200. Without it every status below 500 except 429 is accepted, and a
@@ -68,7 +68,7 @@
 	restPeriod  time.Duration // of a connection, after a response
 	options     Options
 
-	mu        sync.Mutex // guards options.Most and what follows
+	mu        sync.Mutex // guards options.MaxConnections and what follows
 	openCount int        // connections that are open or being dialed
 	pools     map[string]*endpointPool
 	ejected   map[string]bool // endpoints that accept nothing new, listed or not
@@ -76,11 +76,11 @@
 
 // New returns a Client without endpoints.
 func New(o Options) *Client {
-	if o.Idle <= 0 {
-		o.Idle = defaultIdleTimeout
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = defaultIdleTimeout
 	}
-	if o.Dial <= 0 {
-		o.Dial = defaultDialTimeout
+	if o.DialTimeout <= 0 {
+		o.DialTimeout = defaultDialTimeout
 	}
 	if o.Connect == nil {
 		o.Connect = (&net.Dialer{}).DialContext
@@ -90,8 +90,8 @@
 		rest = restPeriodSpread
 	}
 	return &Client{
-		maxIdleAge:  time.Duration(float64(o.Idle) * idleTimeoutFraction),
-		dialTimeout: o.Dial,
+		maxIdleAge:  time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
+		dialTimeout: o.DialTimeout,
 		restPeriod:  rest,
 		options:     o,
 		pools:       map[string]*endpointPool{},
@@ -118,14 +118,14 @@
 func (cl *Client) SetMaxConnections(limit int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	for cl.options.Most = limit; cl.openCount > limit && cl.evictOldest(); {
+	for cl.options.MaxConnections = limit; cl.openCount > limit && cl.evictOldest(); {
 	}
 }
 
-// SetMember sets an endpoint's address and whether it accepts requests. Idle connections to a former address, or to an
+// SetEndpoint sets an endpoint's address and whether it accepts requests. Idle connections to a former address, or to an
 // endpoint that does not accept requests, are closed. An attempt there that has written nothing yet ends as
 // balance.NotSent; one that has written goes on.
-func (cl *Client) SetMember(id, addr string, acceptsRequests bool) {
+func (cl *Client) SetEndpoint(id, addr string, acceptsRequests bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	p := cl.pools[id]
@@ -140,7 +140,7 @@
 }
 
 // SetEjected ejects an endpoint, listed or not, or ends its ejection. An ejected endpoint gets no request, whatever
-// SetMember says, and its idle connections are closed. An attempt there that has written nothing yet ends as
+// SetEndpoint says, and its idle connections are closed. An attempt there that has written nothing yet ends as
 // balance.NotSent; one that has written goes on.
 func (cl *Client) SetEjected(id string, ejected bool) {
 	cl.mu.Lock()
@@ -157,8 +157,8 @@
 	}
 }
 
-// RemoveMember forgets an endpoint and closes its idle connections. An ejection of it stays in force.
-func (cl *Client) RemoveMember(id string) {
+// RemoveEndpoint forgets an endpoint and closes its idle connections. An ejection of it stays in force.
+func (cl *Client) RemoveEndpoint(id string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if p := cl.pools[id]; p != nil {
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -29,7 +29,7 @@
 // last, since it says how much time is left. An idle connection rests first and is checked last, so that a duplicate
 // of its previous response is seen before the request is written; where something has arrived, the connection is
 // discarded.
-func (cl *Client) acquire(ctx context.Context, id string, m *Message) (*conn, []byte, error) {
+func (cl *Client) acquire(ctx context.Context, id string, m *Request) (*conn, []byte, error) {
 	for {
 		r, err := cl.reserve(id)
 		if err != nil {
@@ -79,12 +79,12 @@
 	for i > 0 && time.Since(p.idle[i].idleSince) < cl.restPeriod {
 		i--
 	}
-	if i >= 0 && (!cl.options.Spread || cl.openCount >= cl.options.Most || time.Since(p.idle[i].idleSince) >= cl.restPeriod) {
+	if i >= 0 && (!cl.options.Spread || cl.openCount >= cl.options.MaxConnections || time.Since(p.idle[i].idleSince) >= cl.restPeriod) {
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		return reservation{pool: p, address: p.address, conn: c}, nil
 	}
-	if cl.openCount >= cl.options.Most && !cl.evictOldest() {
+	if cl.openCount >= cl.options.MaxConnections && !cl.evictOldest() {
 		return reservation{}, errConnectionLimit
 	}
 	cl.openCount++
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -56,12 +56,12 @@
 	wantConnections(1)
 	client.pools["a"].idle[0].idleSince = time.Now().Add(-client.maxIdleAge) // the endpoint may close it at any moment
 	wantConnections(2)
-	client.SetMember("a", other.Addr, true) // moved: the old connection leads elsewhere
+	client.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
 	wantConnections(2)
 	if c := other.Connections.Load(); c != 1 || client.openCount != 1 {
 		t.Errorf("%d connections to the new address, %d open", c, client.openCount)
 	}
-	client.SetMember("a", other.Addr, false)
+	client.SetEndpoint("a", other.Addr, false)
 	if client.openCount != 0 {
 		t.Errorf("%d connections to an endpoint that is draining", client.openCount)
 	}
@@ -71,7 +71,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	f := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	client := newTestClient(t, e.Addr, f.Addr)
-	client.options.Most = 1
+	client.options.MaxConnections = 1
 	for _, id := range []string{"a", "b", "a"} {
 		if r := attempt(t, client, id, getRequest("/c")); r != balance.OK {
 			t.Errorf("%s: %v", id, r)
@@ -144,7 +144,7 @@
 	client.maxIdleAge = 200 * time.Millisecond
 	wantResult := func(isWanted bool, want balance.Result) {
 		t.Helper()
-		hooks := AttemptHooks{Wanted: func() bool { return isWanted }}
+		hooks := AttemptHooks{IsWanted: func() bool { return isWanted }}
 		if r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), hooks); r != want {
 			t.Fatalf("%v, want %v", r, want)
 		}
@@ -190,9 +190,9 @@
 func TestSpreadDialsInsteadOfWaitingForRest(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	for _, limit := range []int{1, 2} {
-		client := New(Options{Idle: time.Minute, Dial: testpeer.Patience, Most: limit, Spread: true})
+		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: limit, Spread: true})
 		client.restPeriod = 30 * time.Millisecond
-		client.SetMember("a", e.Addr, true)
+		client.SetEndpoint("a", e.Addr, true)
 		for range 2 {
 			if r := attempt(t, client, "a", getRequest("/x")); r != balance.OK {
 				t.Errorf("result %v", r)
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -58,16 +58,16 @@
 // exchangeWith makes an exchange with an endpoint that writes text, whatever it is sent.
 func exchangeWith(text []byte, method string) exchanged {
 	s, c := newScriptedConn(text)
-	client := New(Options{Pool: body.NewPool(8 * body.Window), Pace: body.Pace{Idle: time.Minute}})
+	client := New(Options{Pool: body.NewMemoryPool(8 * body.WindowSize), MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
 	var got exchanged
 	streamed := make(chan []byte, 1)
 	x := &exchange{
 		client:       client,
 		conn:         c,
-		request:      &Message{Method: method, Header: http.Header{}},
+		request:      &Request{Method: method, Header: http.Header{}},
 		stopDeadline: func() bool { return true },
 	}
-	x.hooks.Begun = func(response Response) bool {
+	x.hooks.ResponseStarted = func(response Response) bool {
 		got.status = response.Status
 		go func() {
 			text, err := readStream(response.Stream)
@@ -178,22 +178,22 @@
 		_, broken := io.Copy(&want, received.Body)
 		received, _ = read()
 		s, c := newScriptedConn(nil)
-		pool := body.NewPool(8 * body.Window)
+		pool := body.NewMemoryPool(8 * body.WindowSize)
 		upload, err := body.NewUpload(t.Context(), pool, body.Source{
-			Body:     received.Body,
-			Deadline: func(time.Time) error { return nil },
-			Size:     received.ContentLength,
-			Most:     1 << 20,
-			Trailer:  func() http.Header { return received.Trailer },
-			Pace:     body.Pace{Idle: time.Minute},
+			Body:            received.Body,
+			SetReadDeadline: func(time.Time) error { return nil },
+			Size:            received.ContentLength,
+			MaxBytes:        1 << 20,
+			Trailer:         func() http.Header { return received.Trailer },
+			MinimumRate:     body.MinimumRate{IdleTimeout: time.Minute},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer upload.Close(0, 0)
-		m := &Message{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: upload}
+		m := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: upload}
 		flow, _ := upload.NewFlow()
-		client := New(Options{Pace: body.Pace{Idle: time.Minute}})
+		client := New(Options{MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
 		sender := newBodySender(&exchange{client: client, conn: c, request: m}, flow)
 		sender.run(m.encode(context.Background()))
 		forwarded, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(s.out.Bytes())))
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,43 +10,43 @@
 	"tuliprock/internal/body"
 )
 
-// Begins says when an endpoint may begin to run a request, and so what proves that it never ran one.
-type Begins int
+// RequestStart says when an endpoint may begin to run a request, and so what proves that it never ran one.
+type RequestStart int
 
 const (
-	// WithLastByte is for endpoints that run no request of which the last byte was not sent.
-	WithLastByte Begins = iota
-	// WithHead is for endpoints that may run a request as soon as any byte of it was sent.
-	WithHead
+	// StartsWithLastByte is for endpoints that run no request of which the last byte was not sent.
+	StartsWithLastByte RequestStart = iota
+	// StartsWithHead is for endpoints that may run a request as soon as any byte of it was sent.
+	StartsWithHead
 )
 
-// Message is a request as it is forwarded to endpoints.
-type Message struct {
+// Request is a request as it is forwarded to endpoints.
+type Request struct {
 	Method string
 	Target string // the request target, as it stands in the request line
 	Host   string
 	Header http.Header
 	Body   []byte
-	// DeadlineName is the header that says for how many milliseconds this sidecar waits for the response; "" means
+	// DeadlineHeader is the header that says for how many milliseconds this sidecar waits for the response; "" means
 	// none.
-	DeadlineName string
+	DeadlineHeader string
 
 	// Upload is the body in place of Body, if it streams.
 	Upload *body.Upload
-	// Patience is how long this sidecar waits for the response once Upload is sent; 0 means for as long as the
+	// ResponseTimeout is how long this sidecar waits for the response once Upload is sent; 0 means for as long as the
 	// attempt lasts.
-	Patience time.Duration
+	ResponseTimeout time.Duration
 }
 
 // encode returns the request as it is written to an endpoint: all of it or, if the body streams, the head. The body is
 // framed by its length or by chunks and in no other way. The deadline header says how much time is left now.
-func (m *Message) encode(ctx context.Context) []byte {
+func (m *Request) encode(ctx context.Context) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", m.Method, m.Target, m.Host)
 	skip := map[string]bool{"Content-Length": true, "Host": true}
-	if left, ok := m.responseTimeout(ctx); ok && m.DeadlineName != "" {
-		skip[http.CanonicalHeaderKey(m.DeadlineName)] = true
-		fmt.Fprintf(&text, "%s: %d\r\n", m.DeadlineName, max(left.Milliseconds(), 1))
+	if left, ok := m.responseTimeout(ctx); ok && m.DeadlineHeader != "" {
+		skip[http.CanonicalHeaderKey(m.DeadlineHeader)] = true
+		fmt.Fprintf(&text, "%s: %d\r\n", m.DeadlineHeader, max(left.Milliseconds(), 1))
 	}
 	switch {
 	case m.Upload != nil:
@@ -61,21 +61,21 @@
 }
 
 // writeFraming writes the header fields that frame a streaming body.
-func (m *Message) writeFraming(text *bytes.Buffer) {
+func (m *Request) writeFraming(text *bytes.Buffer) {
 	if m.Upload.Size >= 0 {
 		fmt.Fprintf(text, "Content-Length: %d\r\n", m.Upload.Size)
 	} else {
 		text.WriteString("Transfer-Encoding: chunked\r\n")
 	}
-	if m.Upload.Expects {
+	if m.Upload.ExpectsContinue {
 		text.WriteString("Expect: 100-continue\r\n")
 	}
 }
 
 // responseTimeout returns how long this sidecar waits for the response, and whether there is a limit.
-func (m *Message) responseTimeout(ctx context.Context) (time.Duration, bool) {
-	if m.Patience > 0 {
-		return m.Patience, true
+func (m *Request) responseTimeout(ctx context.Context) (time.Duration, bool) {
+	if m.ResponseTimeout > 0 {
+		return m.ResponseTimeout, true
 	}
 	at, ok := ctx.Deadline()
 	return time.Until(at), ok
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -68,7 +68,7 @@
 	return &bodySender{
 		exchange: x,
 		flow:     flow,
-		meter:    body.NewMeter(x.client.options.Pace),
+		meter:    body.NewMeter(x.client.options.MinimumRate),
 		proceed:  make(chan struct{}),
 		done:     make(chan struct{}),
 	}
@@ -92,7 +92,7 @@
 	isSent := s.isSent
 	s.mu.Unlock()
 	if isSent {
-		<-s.done // so that AttemptHooks.Sent is called before the attempt's end is reported
+		<-s.done // so that AttemptHooks.RequestSent is called before the attempt's end is reported
 		_ = s.exchange.conn.SetWriteDeadline(time.Time{})
 	}
 }
@@ -104,12 +104,12 @@
 	switch {
 	case s.isBodyLost || errors.Is(ctx.Err(), context.Canceled):
 		return balance.Canceled
-	case s.written == 0 || s.exchange.client.options.Begins == WithLastByte:
+	case s.written == 0 || s.exchange.client.options.RequestStart == StartsWithLastByte:
 		return balance.ConnectFailed
 	case s.isTooSlow || ctx.Err() != nil:
 		return balance.TimedOut
 	}
-	return balance.Errored // and not Reset: an endpoint that rejects uploads by closing the connection is not down
+	return balance.ErrorResponse // and not Reset: an endpoint that rejects uploads by closing the connection is not down
 }
 
 // run sends head and body.
@@ -118,7 +118,7 @@
 	if s.write(false, head) != nil {
 		return
 	}
-	if s.exchange.request.Upload.Expects {
+	if s.exchange.request.Upload.ExpectsContinue {
 		select {
 		case <-s.proceed:
 		case <-time.After(expectContinueTimeout):
@@ -130,8 +130,8 @@
 	if !s.sendBody() {
 		return
 	}
-	if s.exchange.hooks.Sent != nil {
-		s.exchange.hooks.Sent()
+	if s.exchange.hooks.RequestSent != nil {
+		s.exchange.hooks.RequestSent()
 	}
 }
 
@@ -180,7 +180,7 @@
 		if s.isSent = isLast; isLast {
 			s.exchange.notifySent()
 		}
-	case errors.Is(err, body.ErrSlow):
+	case errors.Is(err, body.ErrTooSlow):
 		s.isTooSlow = true
 		s.exchange.conn.Close()
 	case !s.isStopped.Load():
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,8 +14,8 @@
 
 const (
 	// maxBufferedBody is the maximum length in bytes of a response's body that is buffered.
-	maxBufferedBody = body.Window
-	// bufferedResponseTimeout is the time from a buffered response's first byte to its last, unless Options.Whole is
+	maxBufferedBody = body.WindowSize
+	// bufferedResponseTimeout is the time from a buffered response's first byte to its last, unless Options.BufferedResponseTimeout is
 	// longer.
 	bufferedResponseTimeout = 500 * time.Millisecond
 	maxInterimResponses     = 8 // 1xx, before the final response
@@ -66,13 +66,13 @@
 
 // responseTimeout is how long a buffered response may take from its first byte to its last.
 func (cl *Client) responseTimeout() time.Duration {
-	return max(bufferedResponseTimeout, cl.options.Whole)
+	return max(bufferedResponseTimeout, cl.options.BufferedResponseTimeout)
 }
 
 // checkFraming rejects a response by its head. A body without a length ends with its connection, if the head says so
 // (RFC 9112, 6.3). If it does not say so, the body could end early without a sign of that.
 func (x *exchange) checkFraming(resp *http.Response) error {
-	limit := x.client.options.Answer
+	limit := x.client.options.MaxResponseBody
 	switch {
 	case hasNoBody(x.request.Method, resp):
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !x.conn.closesAfterResponse:
@@ -116,11 +116,11 @@
 	case x.client.isAcceptable(resp.StatusCode):
 		return outcome{balance.OK, response, isReusable}
 	case isUnavailable(resp.StatusCode) && resp.Header.Get(declinedHeader) == "1":
-		return outcome{balance.Full, Response{}, isReusable}
+		return outcome{balance.Rejected, Response{}, isReusable}
 	case x.client.options.OnlyOK || promisesNotRun(resp.StatusCode):
-		return outcome{balance.Errored, Response{}, isReusable}
+		return outcome{balance.ErrorResponse, Response{}, isReusable}
 	}
-	return outcome{balance.Errored, response, isReusable}
+	return outcome{balance.ErrorResponse, response, isReusable}
 }
 
 // isReusableAfter reports whether the connection may carry another exchange after a response that was read completely.
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -44,7 +44,7 @@
 
 // isStreaming reports whether a response's body streams. An endpoint's error never does, since a retry may follow it.
 func (x *exchange) isStreaming(resp *http.Response) bool {
-	return x.client.options.Pool != nil && x.hooks.Begun != nil && !hasNoBody(x.request.Method, resp) &&
+	return x.client.options.Pool != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
 		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBody || resp.ContentLength < 0)
 }
 
@@ -66,7 +66,7 @@
 	handedOver := make(chan bool, 1)
 	handOver := func() {
 		if s.isClaimed.CompareAndSwap(false, true) {
-			x.isHandedOver.Store(x.stopDeadline() && x.hooks.Begun(Response{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
+			x.isHandedOver.Store(x.stopDeadline() && x.hooks.ResponseStarted(Response{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
 			handedOver <- x.isHandedOver.Load()
 		}
 	}
@@ -94,8 +94,8 @@
 		Length:   resp.ContentLength,
 		conn:     x.conn,
 		response: resp,
-		maxBytes: x.client.options.Answer,
-		meter:    body.NewMeter(x.client.options.Pace),
+		maxBytes: x.client.options.MaxResponseBody,
+		meter:    body.NewMeter(x.client.options.MinimumRate),
 		closed:   make(chan error, 1),
 		window:   window,
 	}
@@ -109,7 +109,7 @@
 	case err == nil:
 		err = x.conn.SetReadDeadline(time.Time{})
 		return outcome{result: balance.OK, isReusable: err == nil && x.isReusableAfter(resp)}
-	case errors.Is(err, body.ErrSlow):
+	case errors.Is(err, body.ErrTooSlow):
 		return outcome{result: balance.TimedOut}
 	case errors.Is(err, ErrClientGone):
 		return outcome{result: balance.Canceled}
@@ -174,8 +174,8 @@
 	s.readEnded.Broadcast()
 }
 
-// Next returns the next part of the body, of at most body.Window bytes, which is valid until the next call. io.EOF is
-// the body's end. body.ErrSlow, wrapped, means that the endpoint does not keep its minimum rate, and any other error
+// Next returns the next part of the body, of at most body.WindowSize bytes, which is valid until the next call. io.EOF is
+// the body's end. body.ErrTooSlow, wrapped, means that the endpoint does not keep its minimum rate, and any other error
 // that the body has broken.
 func (s *Stream) Next() ([]byte, error) {
 	s.mu.Lock()
@@ -199,7 +199,7 @@
 	}
 	var timeout net.Error
 	if errors.As(s.err, &timeout) && timeout.Timeout() {
-		return nil, fmt.Errorf("%w: %w", body.ErrSlow, s.err)
+		return nil, fmt.Errorf("%w: %w", body.ErrTooSlow, s.err)
 	}
 	return nil, s.err
 }
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -19,7 +19,7 @@
 // Splice copies a piece of the body to a client's connection inside the kernel (splice(2), by way of
 // net.TCPConn.ReadFrom) and returns its length in bytes. 0 means that there is nothing to gain, and that Next must
 // follow. It waits for the endpoint for 100 ms at most: an endpoint below its minimum rate is found by Next.
-// clientMeter measures the client, whose write deadline Splice sets; body.ErrSlow means that the client is too slow.
+// clientMeter measures the client, whose write deadline Splice sets; body.ErrTooSlow means that the client is too slow.
 func (s *Stream) Splice(to *net.TCPConn, clientMeter *body.Meter) (n int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return n, body.ErrSlow
+		return n, body.ErrTooSlow
 	default:
 		s.err = err
 	}
--- a/internal/wal/compatibility_test.go
+++ b/internal/wal/compatibility_test.go
@@ -32,9 +32,9 @@
 			want := c.records
 			for _, round := range []string{"as it was left", "after an append"} {
 				l := openEarlierLog(t, dir, c.snapshot, c.snapshotBody, want)
-				if next := uint64(len(want)) + c.snapshot + 1; l.Next() != next || l.Synced() != next-1 || l.Snapshot() != c.snapshot {
+				if next := uint64(len(want)) + c.snapshot + 1; l.NextIndex() != next || l.SyncedIndex() != next-1 || l.SnapshotIndex() != c.snapshot {
 					t.Errorf("%s: next %d, synced %d, snapshot %d, want %d, %d, %d",
-						round, l.Next(), l.Synced(), l.Snapshot(), next, next-1, c.snapshot)
+						round, l.NextIndex(), l.SyncedIndex(), l.SnapshotIndex(), next, next-1, c.snapshot)
 				}
 				index, err := l.Append('n', []byte(appendedPayload))
 				if err := errors.Join(err, l.Sync(), l.Close()); err != nil {
@@ -63,7 +63,7 @@
 // removed.
 func openEarlierLog(t *testing.T, path string, snapshot uint64, snapshotBody string, want []wal.Record) *wal.Log {
 	t.Helper()
-	dir, err := wal.Dir(path)
+	dir, err := wal.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 		restoredIndex uint64
 		restoredBody  []byte
 	)
-	options := wal.Options{SegmentBytes: 512, Said: func(line string) { t.Errorf("repaired: %s", line) }}
+	options := wal.Options{SegmentBytes: 512, OnRepair: func(line string) { t.Errorf("repaired: %s", line) }}
 	l, err := wal.Open(dir, options, func(index uint64, r io.Reader) error {
 		var err error
 		restoredIndex = index
--- a/internal/wal/dir.go
+++ b/internal/wal/dir.go
@@ -12,8 +12,8 @@
 // lockName is the file that Lock locks. It is not listed.
 const lockName = "LOCK"
 
-// Dir returns the operating system's directory at path as an FS. It creates the directory if there is none.
-func Dir(path string) (FS, error) {
+// OpenDir returns the operating system's directory at path as an FS. It creates the directory if there is none.
+func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/wal/dir_test.go
+++ b/internal/wal/dir_test.go
@@ -11,7 +11,7 @@
 
 // On the operating system's disk synced records are there, a second opener is rejected, and old segments are removed.
 func TestLogOnRealDisk(t *testing.T) {
-	fs, err := wal.Dir(filepath.Join(t.TempDir(), "log"))
+	fs, err := wal.OpenDir(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(l.Sync(), l.Snap(l.Synced(), []byte(snapshotBody(l.Synced()))), l.Close()); err != nil {
+	if err := errors.Join(l.Sync(), l.Snap(l.SyncedIndex(), []byte(snapshotBody(l.SyncedIndex()))), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	m.synced, m.snapshot = uint64(len(m.payloads)), uint64(len(m.payloads))
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := m.check(got, l.Next()); err != nil {
+	if err := m.check(got, l.NextIndex()); err != nil {
 		t.Error(err)
 	}
 	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -43,9 +43,9 @@
 // TempSuffix ends the names of files that Replace has not completed. Open removes such files.
 const TempSuffix = ".tmp"
 
-// Replace writes parts to a file and puts it in place of the one with its name, if there is one. When it returns nil the file is
+// ReplaceFile writes parts to a file and puts it in place of the one with its name, if there is one. When it returns nil the file is
 // durable; otherwise the one before is there, or this one. A crash may leave a file whose name ends with TempSuffix.
-func Replace(fs FS, name string, parts ...[]byte) error {
+func ReplaceFile(fs FS, name string, parts ...[]byte) error {
 	if err := writeFile(fs, name+TempSuffix, parts); err != nil {
 		return err
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -21,7 +21,7 @@
 // Options of a Log.
 type Options struct {
 	SegmentBytes int64        // a segment of this size or more is followed by another; 0: 16 MiB
-	Said         func(string) // takes one line for each file that Open has cut off or removed; nil: it is not reported
+	OnRepair     func(string) // takes one line for each file that Open has cut off or removed; nil: it is not reported
 }
 
 // Log is an open log. It is not safe for concurrent use.
@@ -40,14 +40,14 @@
 	failed      error    // returned by every call; nil: the log works
 }
 
-// Next returns the index that the next record will have.
-func (l *Log) Next() uint64 { return l.next }
+// NextIndex returns the index that the next record will have.
+func (l *Log) NextIndex() uint64 { return l.next }
 
-// Synced returns the index of the last record that is durable; 0: none is.
-func (l *Log) Synced() uint64 { return l.synced }
+// SyncedIndex returns the index of the last record that is durable; 0: none is.
+func (l *Log) SyncedIndex() uint64 { return l.synced }
 
-// Snapshot returns the index of the last record that the snapshot stands for; 0: there is no snapshot.
-func (l *Log) Snapshot() uint64 { return l.snapshot }
+// SnapshotIndex returns the index of the last record that the snapshot stands for; 0: there is no snapshot.
+func (l *Log) SnapshotIndex() uint64 { return l.snapshot }
 
 // Append adds a record of at most MaxRecordBytes and returns its index. The record is durable when Sync has returned nil.
 func (l *Log) Append(recordType byte, payload []byte) (uint64, error) {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -26,7 +26,7 @@
 
 func openLog(fs wal.FS) (*wal.Log, *recovered, error) {
 	got := &recovered{records: map[uint64]string{}}
-	options := wal.Options{SegmentBytes: segmentBytes, Said: func(line string) { got.reports = append(got.reports, line) }}
+	options := wal.Options{SegmentBytes: segmentBytes, OnRepair: func(line string) { got.reports = append(got.reports, line) }}
 	l, err := wal.Open(fs, options, func(index uint64, r io.Reader) error {
 		body, err := io.ReadAll(r)
 		got.snapshot, got.body = index, string(body)
@@ -79,12 +79,12 @@
 			m.payloads = append(m.payloads[:index-1], payload)
 		}
 		return err
-	case k < 9 || l.Synced() <= l.Snapshot():
+	case k < 9 || l.SyncedIndex() <= l.SnapshotIndex():
 		err := l.Sync()
-		m.synced = max(m.synced, l.Synced())
+		m.synced = max(m.synced, l.SyncedIndex())
 		return err
 	default:
-		at := l.Snapshot() + 1 + rng.Uint64N(l.Synced()-l.Snapshot())
+		at := l.SnapshotIndex() + 1 + rng.Uint64N(l.SyncedIndex()-l.SnapshotIndex())
 		err := l.Snap(at, []byte(snapshotBody(at)))
 		if err == nil {
 			m.snapshot = at
@@ -101,11 +101,11 @@
 		if err != nil {
 			return fmt.Errorf("opening: %w", err)
 		}
-		if err := m.check(got, l.Next()); err != nil {
+		if err := m.check(got, l.NextIndex()); err != nil {
 			return err
 		}
-		m.payloads = m.payloads[:l.Next()-1]
-		m.synced = l.Next() - 1 // what was recovered is durable
+		m.payloads = m.payloads[:l.NextIndex()-1]
+		m.synced = l.NextIndex() - 1 // what was recovered is durable
 		disk.FailAfter = 0
 		if rng.IntN(2) == 0 {
 			disk.FailAfter = disk.Changes + 1 + rng.IntN(20)
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -32,8 +32,8 @@
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = defaultSegmentBytes
 	}
-	if o.Said == nil {
-		o.Said = func(string) {}
+	if o.OnRepair == nil {
+		o.OnRepair = func(string) {}
 	}
 	lock, err := fs.Lock()
 	if err != nil {
@@ -140,7 +140,7 @@
 	if end == int64(len(s.bytes)) {
 		return nil
 	}
-	r.options.Said(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.name, end, len(s.bytes)))
+	r.options.OnRepair(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.name, end, len(s.bytes)))
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
@@ -149,7 +149,7 @@
 	last := len(r.segments) - 1
 	name := segmentName(r.segments[last])
 	r.segments = r.segments[:last]
-	r.options.Said(fmt.Sprintf("%s: its header is incomplete, removed", name))
+	r.options.OnRepair(fmt.Sprintf("%s: its header is incomplete, removed", name))
 	if err := errors.Join(f.Close(), r.fs.Remove(name)); err != nil {
 		return err
 	}
--- a/internal/wal/recovery_test.go
+++ b/internal/wal/recovery_test.go
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		if l, got, err := openLog(damaged); err == nil {
-			if err := (&model{payloads: m.payloads}).check(got, l.Next()); err != nil {
+			if err := (&model{payloads: m.payloads}).check(got, l.NextIndex()); err != nil {
 				t.Errorf("without %s: %v", name, err)
 			}
 		}
@@ -102,7 +102,7 @@
 		}
 		return true, nil
 	}
-	if err := want.check(got, l.Next()); err != nil {
+	if err := want.check(got, l.NextIndex()); err != nil {
 		return false, err
 	}
 	if _, err := l.Append('t', []byte("more")); err != nil {
@@ -112,7 +112,7 @@
 		return false, err
 	}
 	again, got, err := openLog(disk)
-	if err != nil || got.records[again.Next()-1] != "tmore" || again.Next() != l.Next() {
+	if err != nil || got.records[again.NextIndex()-1] != "tmore" || again.NextIndex() != l.NextIndex() {
 		return false, fmt.Errorf("opened again: %v, %w", got, err)
 	}
 	return false, nil
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -45,7 +45,7 @@
 	binary.LittleEndian.PutUint64(trailer[trailerLengthAt:], uint64(len(body)))
 	binary.LittleEndian.PutUint32(trailer[trailerBodyChecksumAt:], checksum(body))
 	binary.LittleEndian.PutUint32(trailer[trailerChecksumAt:], checksum(trailer[:trailerChecksumAt]))
-	return Replace(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
+	return ReplaceFile(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
 }
 
 // readSnapshot passes the body of the snapshot at l.snapshot to restore.
