--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -9,7 +9,7 @@
 	// gossipFanout is the number of members that each round of gossip goes to.
 	gossipFanout = 3
 
-	// gossipsPerProbeInterval is the number of rounds of gossip in a ProbeEvery.
+	// gossipsPerProbeInterval is the number of rounds of gossip in a ProbeInterval.
 	gossipsPerProbeInterval = 4
 
 	// retransmitFactor, times half of the binary logarithm of the cluster's size, is how often an update is sent.
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -21,7 +21,7 @@
 	Seed           uint64           // of the random numbers; fixed for the life of the Node
 
 	ProbeInterval    time.Duration // interval between two probes
-	ProbeTimeout     time.Duration // time after which an unanswered probe becomes indirect; half of ProbeEvery at most
+	ProbeTimeout     time.Duration // time after which an unanswered probe becomes indirect; half of ProbeInterval at most
 	SuspicionTimeout time.Duration // minimum suspicion timeout for up to ten members; it grows with the logarithm of their number
 
 	// Switches by which a measurement leaves parts of Lifeguard out. The daemon sets none of them.
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -70,7 +70,7 @@
 }
 
 // verifySuspicion decides at random whether this node probes a suspect of another member at once. A member of a large
-// cluster is otherwise probed by about one other in a ProbeEvery, and the confirmations would take as many of these as
+// cluster is otherwise probed by about one other in a ProbeInterval, and the confirmations would take as many of these as
 // are needed.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
 	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxLocalHealth {
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// membersPerSyncInterval is the number of members up to which an exchange may begin in every ProbeEvery. Above it the
+// membersPerSyncInterval is the number of members up to which an exchange may begin in every ProbeInterval. Above it the
 // interval grows in proportion, so that what a node sends does not grow with the cluster.
 const membersPerSyncInterval = 32
 
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// connectivityHoldIntervals is the number of ProbeEvery for which a better connectivity must last to count.
+	// connectivityHoldIntervals is the number of ProbeInterval for which a better connectivity must last to count.
 	connectivityHoldIntervals = 2
 
 	// maxPendingChanges bounds the changes that wait for TakeChanges.
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -16,7 +16,7 @@
 	Keys      Keys             // without one, Listen must be a loopback address
 	Join      []netip.AddrPort // contacted for as long as no other member is known
 	Voters    []string         // names of the voters; see swim.Options
-	Timing    swim.Options     // only ProbeEvery, ProbeTimeout and Suspicion are used
+	Timing    swim.Options     // only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
 	Log       *slog.Logger
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -51,9 +51,9 @@
 	// Attempt sends a request once and returns how that ended; reused: on a connection that had served before. It may be called
 	// by many goroutines at once, and writes nothing once ctx has ended, or the hook Wanted has returned false.
 	Attempt(ctx context.Context, id string, m *upstream.Request, w upstream.AttemptHooks) (r balance.Result, reused bool, a upstream.Response)
-	// SetMember lists an endpoint at an address; takes: new requests may go to it.
+	// SetEndpoint lists an endpoint at an address; takes: new requests may go to it.
 	SetEndpoint(id, addr string, takes bool)
-	// RemoveMember takes an endpoint from the list.
+	// RemoveEndpoint takes an endpoint from the list.
 	RemoveEndpoint(id string)
 	// SetEjected ejects an endpoint by an operator's override, or takes it back in.
 	SetEjected(id string, out bool)
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -103,7 +103,7 @@
 }
 
 // Poll returns the latest state that could be read, this process's view of it, and how many descriptors the other living
-// processes use together. used is how many this one uses, which the others then see; ReadOnly leaves that as it was.
+// processes use together. used is how many this one uses, which the others then see; KeepReportedDescriptors leaves that as it was.
 func (d *Directory) Poll(used int) (s State, v View, others int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -21,7 +21,7 @@
 	AttemptCompleted              // Node writes the response to the attempt
 	AttemptAborted                // the sidecar ended the connection of the attempt
 	NodeStateNotified             // discovery notified Sidecar of the State of Node; Since is the start time it stated
-	NodeStarted                   // Node started, warming up if ColdFor > 0; Capacity and ColdFrom are set
+	NodeStarted                   // Node started, warming up if WarmUpDuration > 0; Capacity and ColdCapacityShare are set
 	NodeStopped                   // Node's process died: its requests are lost and its connections reset
 	NodeCollapsed                 // Node collapsed under overload while warming up
 	SidecarStarted                // Sidecar's process was started; notifications to the process before it are void
