--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -35,11 +35,11 @@
 	sidecars int
 	warm     []string // entries of discovery's list
 	agent    *httptest.Server
-	changed  chan struct{} // closed when update is there
-	update   string
 
-	mu    sync.Mutex
-	calls map[string][]time.Time // at cold endpoints, by id
+	mu      sync.Mutex
+	updates []string
+	changed chan struct{}          // closed when there is another update, and replaced
+	calls   map[string][]time.Time // at cold endpoints, by id
 }
 
 func newColdSite(t *testing.T, sidecars, warm int) *coldSite {
@@ -82,7 +82,7 @@
 	return entries
 }
 
-// watch is discovery: a watch has heartbeats, and the update when there is one.
+// watch is discovery: a watch has heartbeats, and the updates when there are any.
 func (s *coldSite) watch(w http.ResponseWriter, r *http.Request) {
 	say := func(text string) {
 		_, _ = io.WriteString(w, text) // a sidecar that has left shows in the test's result
@@ -91,12 +91,16 @@
 	say("\n")
 	heartbeat := time.NewTicker(time.Second)
 	defer heartbeat.Stop()
-	changed := s.changed
-	for {
+	for sent := 0; ; {
+		s.mu.Lock()
+		pending, changed := s.updates[sent:], s.changed
+		s.mu.Unlock()
+		for _, update := range pending {
+			say(update + "\n")
+			sent++
+		}
 		select {
 		case <-changed:
-			say(s.update + "\n")
-			changed = nil
 		case <-heartbeat.C:
 			say("\n")
 		case <-r.Context().Done():
@@ -105,10 +109,13 @@
 	}
 }
 
-// tell sends all sidecars a change of the list.
-func (s *coldSite) tell(entries ...string) {
-	s.update = testpeer.Members(2, false, entries...)
+// update sends all sidecars a change of the list.
+func (s *coldSite) update(entries ...string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.updates = append(s.updates, testpeer.Members(2+len(s.updates), false, entries...))
 	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // start starts all sidecars with a list and gives their addresses.
@@ -212,12 +219,31 @@
 	s.judge(6)
 }
 
-// Many sidecars that hear at once of a cold endpoint spread their first requests to it at the pace of its warmth.
-func TestSidecarsToldOfAColdEndpointDoNotOverloadIt(t *testing.T) {
+// Many sidecars that are notified at once of a cold endpoint spread their first requests to it at the pace of its warmth.
+func TestSidecarsNotifiedOfAColdEndpointDoNotOverloadIt(t *testing.T) {
 	s := newColdSite(t, 48, 5)
 	addrs := s.start(s.warm)
 	s.ask(addrs, coldRequests)
-	s.tell(s.cold(1)...)
+	s.update(s.cold(1)...)
 	s.ask(addrs, coldRequests)
 	s.judge(6)
 }
+
+// Endpoints that drain one after another move a cold endpoint into the subsets of other sidecars each time; it is not overloaded by
+// what they send first.
+func TestChangesOfTheListDoNotOverloadAColdEndpoint(t *testing.T) {
+	const warm, steps, drainedPerStep = 40, 6, 4
+	s := newColdSite(t, 48, warm)
+	addrs := s.start(s.warm)
+	s.ask(addrs, coldRequests)
+	s.update(s.cold(4)...)
+	for step := range steps {
+		var drained []string
+		for i := range drainedPerStep {
+			drained = append(drained, strings.Replace(s.warm[(7*(step*drainedPerStep+i))%warm], `"Ready"`, `"Terminating"`, 1))
+		}
+		s.update(drained...)
+		s.ask(addrs, 2)
+	}
+	s.judge(warm)
+}
