--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -113,6 +113,28 @@
 	}
 }
 
+// A learner votes only when its voter has been seen to run: one that has not started yet counts as active in raft from when it is
+// added, and would be taken for one whose disk is lost.
+func TestLearnerThatNeverRespondedIsNotPromoted(t *testing.T) {
+	v, now := newSingleVoter(t)
+	for _, c := range []Command{{ID: "s", ChangeVoter: &VoterChange{Name: "x"}}, {ClaimSlot: &SlotClaim{VoterID: 2, DiskID: "m"}}} {
+		if err := v.Propose(&c); err != nil {
+			t.Fatal(err)
+		}
+		drainOutput(v, now)
+	}
+	for range 2 {
+		v.reconcileVoters()
+		drainOutput(v, now)
+	}
+	if learners := v.confState.GetLearners(); len(learners) != 1 || v.State().ActiveVoters[2] {
+		t.Errorf("learners %v, active voters %v", learners, v.State().ActiveVoters)
+	}
+	if g := requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, DiskID: "m"}); !g.MayStartVoter || g.DiskLost {
+		t.Errorf("its disk: %+v", g)
+	}
+}
+
 // Both the number and the size of the commands that the log in memory retains are bounded.
 func TestRetainedLogIsBounded(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -54,7 +54,9 @@
 			return
 		}
 		learners[id] = true
-		if progress.RecentActive && progress.Match+maxLearnerLag >= last {
+		// raft counts a learner as active from when it is added; only a match says that its voter runs. The log of a young
+		// cluster is shorter than maxLearnerLag.
+		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
 			caughtUp = id
 		}
 	})
