--- /dev/null
+++ b/internal/testkit/swimsim/table_test.go
@@ -0,0 +1,43 @@
+package swimsim
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// In a small cluster without faults no daemon is taken for failed, and each killed one is known to all within a few probe rounds.
+func TestMeasureOfACaseWithoutFaults(t *testing.T) {
+	m := Case{Nodes: 7, Length: time.Minute, Seed: 1}.Measure(true)
+	if m.False != 0 {
+		t.Errorf("%.1f false verdicts an hour", m.False)
+	}
+	if len(m.First) != 2 || len(m.All) != 2 || m.All[0] < m.First[0] || m.All[1] > 15*time.Second {
+		t.Errorf("killed daemons: first known after %v, known to all after %v", m.First, m.All)
+	}
+	if m.Messages <= 0 || m.Bytes <= m.Messages {
+		t.Errorf("%.1f messages and %.1f bytes a second and daemon", m.Messages, m.Bytes)
+	}
+	if m.Heal <= 0 {
+		t.Errorf("views are equal %v after a cut", m.Heal)
+	}
+}
+
+func TestWriteColumnsAlignsCells(t *testing.T) {
+	var text strings.Builder
+	if err := writeColumns(&text, "a\tb\nlong\tc\n"); err != nil {
+		t.Fatal(err)
+	}
+	if want := "a     b\nlong  c\n"; text.String() != want {
+		t.Errorf("%q, want %q", text.String(), want)
+	}
+}
+
+func TestQuantileOfNoTimesIsADash(t *testing.T) {
+	if got := at(nil, 0.5); got != "-" {
+		t.Errorf("%q", got)
+	}
+	if got := at([]time.Duration{time.Second, 2 * time.Second}, 1); got != "2s" {
+		t.Errorf("%q", got)
+	}
+}
