--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/netip"
@@ -47,13 +46,7 @@
 // A regression test: SIGHUP ended the program. Endpoints from the new discovery serve, the request in flight is answered,
 // and further reloads, also during the shutdown, do no harm.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
-	came, release := make(chan bool), make(chan bool)
-	old := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-		came <- true
-		<-release
-		io.WriteString(nc, testpeer.Served)
-		return true
-	})
+	old, came, release := newHeldEndpoint(t)
 	s := startPlatform(t, old.Addr)
 	first := make(chan int)
 	go func() {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -185,3 +185,16 @@
 	})
 	return server.Listener.Addr().String(), d.Calls
 }
+
+// newHeldEndpoint starts an endpoint that says of each request that it has come, and responds once release is closed.
+func newHeldEndpoint(t *testing.T) (e *testpeer.Endpoint, came <-chan bool, release chan bool) {
+	t.Helper()
+	arrivals, release := make(chan bool, 2), make(chan bool)
+	e = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+		arrivals <- true
+		<-release
+		io.WriteString(nc, testpeer.Served)
+		return true
+	})
+	return e, arrivals, release
+}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -40,13 +40,7 @@
 
 // A removed pool answers the requests that it has, by the configuration that accepted them, and then ends.
 func TestRemovedPoolFinishesItsRequests(t *testing.T) {
-	came, release := make(chan bool), make(chan bool)
-	slow := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-		came <- true
-		<-release
-		io.WriteString(nc, testpeer.Served)
-		return true
-	})
+	slow, came, release := newHeldEndpoint(t)
 	b := echoEndpoint(t, "B")
 	s := startFromFile(t, parseService(t, listen1+poolOf("a", slow.Addr)+lookRoute))
 	first := make(chan string)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -97,13 +97,7 @@
 }
 
 func TestDuplicateRequestIDLeavesTheFirstInFlight(t *testing.T) {
-	came, release := make(chan bool, 2), make(chan bool)
-	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-		came <- true
-		<-release
-		io.WriteString(nc, testpeer.Served)
-		return true
-	})
+	e, came, release := newHeldEndpoint(t)
 	s := startPlatform(t, e.Addr)
 	first := make(chan int)
 	go func() {
