--- a/balance/admission.go
+++ b/balance/admission.go
@@ -17,6 +17,13 @@
 	retryAfterAdvice = 300 * time.Millisecond // mean Retry-After of rejected requests, before jitter
 )
 
+// tenant is the token bucket of a tenant's quota.
+type tenant struct {
+	Tenant
+	tokens     float64 // as of refilledAt
+	refilledAt time.Duration
+}
+
 // shouldShed decides admission. A request is shed if it cannot be answered in time, if operators have ejected
 // all endpoints, or if it exceeds its quota while capacity is short: while requests are queued, or responses
 // stretch and the limit is used or the rate high. With little traffic the rate shows before endpoints
--- a/balance/api.go
+++ b/balance/api.go
@@ -11,8 +11,7 @@
 // Instants are readings of any clock that never runs backwards, as a time.Duration since an arbitrary zero. The same
 // settings, and the same events at the same instants, give the same calls of the host.
 //
-// api.go is the interface, state.go the state and its bookkeeping. All other files hold decisions; the deploy file
-// lists them as policy.
+// api.go is the interface. All other files hold the decisions and their state; the deploy file lists them as policy.
 package balance
 
 import "time"
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,17 +1,97 @@
 package balance
 
-// The events of a Balancer and the path of a request. The interface is in api.go, the state in state.go; each
-// mechanism has its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and Passarella,
+// The Balancer's state, its events and the path of a request. The interface is in api.go; each mechanism has
+// its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and Passarella,
 // "A Decentralized Framework for Serverless Edge Computing in the Internet of Things": a latency smoothed per
 // endpoint (its weight), endpoints within twice the best kept active, and the lowest deficit picked. Here a
 // weight is a stretch: latency over the baseline latency of the request's class, so 1 without load.
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
+// logInterval is the least time between two log lines of one kind, so that overload does not flood the log.
+const logInterval = 10 * time.Second
+
+// Balancer implements Events. New makes one. Its owner calls it from one goroutine at a time.
+type Balancer struct {
+	settings Settings
+	host     Host
+	rng      *rand.Rand
+
+	startedAt       time.Duration
+	wakeupAt        time.Duration // earliest timer asked for; 0: none
+	classes         map[string]*class
+	tenants         map[string]*tenant
+	kinds           map[string]*kind
+	endpointByID    map[string]*endpoint
+	endpoints       []*endpoint     // in the order in which they were first listed
+	availableCount  int             // endpoints that may be used
+	manuallyEjected map[string]bool // IDs, listed or not
+
+	subset               []*endpoint // the endpoints that this balancer uses
+	wantedSubsetSize     float64     // by the rate of requests
+	pickSample           []*endpoint // of a large subset: the candidates of the latest pick
+	recentlyUsed         []*endpoint // of a large subset: the endpoints used last
+	cachedSmallestWeight float64     // of a large subset: the smallest active weight
+	cachedWeightUses     int         // how often cachedSmallestWeight may still be used
+
+	requests map[string]*request // without a final answer, or with an attempt in flight
+	live     []*request          // without a final answer
+	queue    []*request          // in order of arrival
+
+	resubscribeAt      time.Duration // 0: not due
+	resubscribeBackoff time.Duration
+
+	inFlight         int     // attempts that wait for an endpoint
+	concurrencyLimit float64 // bound of inFlight
+	recentStretch    float64 // smoothed stretch of responses
+	limitUpdatedAt   time.Duration
+	nextReductionAt  time.Duration // of the concurrency limit, at the earliest
+
+	slowStartTurnSeconds float64 // at the latest change of the subset
+	retryBudget          float64 // retries saved up
+	errorRate            float64 // fraction of recent results that are errors
+	meanReportedLoad     float64 // over recent load reports
+	meanLatencyObjective float64 // over the classes, in seconds
+	totalQuota           float64 // of all tenants, requests per second of this balancer
+
+	requestCounter  fadingCounter // requests
+	admittedCounter fadingCounter // of them, those sent and those that no endpoint was available for
+	lastLoggedAt    map[string]time.Duration
+}
+
+var _ Events = (*Balancer)(nil)
+
+// New returns a Balancer that knows nothing but its settings. If they say MustSubscribe, it calls
+// h.Subscribe.
+func New(now time.Duration, s Settings, h Host) *Balancer {
+	b := &Balancer{
+		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)),
+		startedAt: now, requestCounter: fadingCounter{at: now}, admittedCounter: fadingCounter{at: now},
+		retryBudget: maxRetryBudget / 2, recentStretch: 1,
+		classes: map[string]*class{}, tenants: map[string]*tenant{}, kinds: map[string]*kind{},
+		endpointByID: map[string]*endpoint{}, requests: map[string]*request{},
+		lastLoggedAt: map[string]time.Duration{}, manuallyEjected: map[string]bool{},
+	}
+	for _, c := range s.Classes {
+		b.classes[c.Name] = &class{Class: c}
+		b.meanLatencyObjective += c.LatencyObjective.Seconds() / float64(len(s.Classes))
+	}
+	for _, t := range s.Tenants {
+		quota := t.Quota / float64(max(s.Balancers, 1))
+		b.totalQuota += quota
+		b.tenants[t.Name] = &tenant{Tenant: t, tokens: quota, refilledAt: now}
+	}
+	if s.MustSubscribe {
+		h.Subscribe()
+	}
+	return b
+}
+
 // EndpointList implements Events. From this event on an endpoint that is draining or gone gets no attempt.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
 	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and in time
@@ -215,3 +295,27 @@
 	}
 	b.sendQueued(now)
 }
+
+// SetBalancerCount implements Events. A change grants no tenant a burst: saved tokens shrink with this
+// balancer's part of the quota, and grow only at the new rate.
+func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
+	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
+	if before == after && b.settings.Index == index {
+		return
+	}
+	b.settings.Balancers, b.settings.Index = balancers, index
+	b.totalQuota *= before / after
+	for _, t := range b.tenants {
+		t.tokens = (t.tokens + t.Quota/before*(now-t.refilledAt).Seconds()) * min(before/after, 1)
+		t.refilledAt = now
+	}
+	b.rebuildSubset(now)
+}
+
+// log writes a line, at most one of a kind per logInterval.
+func (b *Balancer) log(now time.Duration, kind, text string) {
+	if at, ok := b.lastLoggedAt[kind]; !ok || now-at >= logInterval {
+		b.lastLoggedAt[kind] = now
+		b.host.Log(kind + ": " + text)
+	}
+}
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -40,3 +40,13 @@
 		b.concurrencyLimit += growth * max(limitGrowthStretch-b.recentStretch, 0)
 	}
 }
+
+// endpointShare is how many endpoints there are per balancer. Behind the first tier it is all of them:
+// balancers are many there, and each has little traffic.
+func (b *Balancer) endpointShare() float64 {
+	n := float64(len(b.endpoints))
+	if b.settings.Tier == 0 {
+		n /= float64(max(b.settings.Balancers, 1))
+	}
+	return max(n, 1)
+}
--- a/balance/deploy_test.go
+++ b/balance/deploy_test.go
@@ -17,8 +17,8 @@
 	tabColumns       = 4 // columns that a tab counts for
 )
 
-// filesOutsidePolicy hold the interface and the bookkeeping, and no decision.
-var filesOutsidePolicy = []string{"api.go", "state.go"}
+// filesOutsidePolicy are the files without decisions: api.go declares the interface of the package.
+var filesOutsidePolicy = []string{"api.go"}
 
 // readDeployFile returns the text of the deploy file.
 func readDeployFile(t *testing.T) string {
--- /dev/null
+++ b/balance/endpointlist.go
@@ -0,0 +1,66 @@
+package balance
+
+import "slices"
+
+// mergeList applies a list to the endpoints and returns those that are new or have restarted.
+func (b *Balancer) mergeList(l EndpointUpdate) []*endpoint {
+	var started []*endpoint
+	if l.Complete {
+		for _, ep := range b.endpoints {
+			ep.State = Gone
+		}
+	}
+	for _, entry := range l.Endpoints {
+		ep := b.endpointByID[entry.ID]
+		if ep == nil {
+			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
+			b.endpointByID[entry.ID], b.endpoints = ep, append(b.endpoints, ep)
+		}
+		entry.Started = max(entry.Started, ep.restoredAt) // the list may learn late of a restart by operators
+		if ep.kind == nil || entry.Started > ep.Started {
+			started = append(started, ep)
+		}
+		ep.Endpoint = entry
+		if ep.kind = b.kinds[entry.Kind]; ep.kind == nil {
+			ep.kind = &kind{weight: 1}
+			b.kinds[entry.Kind] = ep.kind
+		}
+	}
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(ep *endpoint) bool {
+		if ep.State == Gone {
+			delete(b.endpointByID, ep.ID)
+		}
+		return ep.State == Gone
+	})
+	b.countAvailable()
+	return started
+}
+
+// countAvailable updates the number of available endpoints.
+func (b *Balancer) countAvailable() {
+	b.availableCount = 0
+	for _, ep := range b.endpoints {
+		if ep.isAvailable() {
+			b.availableCount++
+		}
+	}
+}
+
+// allManuallyEjected reports whether there are ready endpoints and operators have ejected all of them.
+func (b *Balancer) allManuallyEjected() bool {
+	return b.availableCount == 0 && len(b.manuallyEjected) > 0 &&
+		slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool { return ep.State == Ready })
+}
+
+// IsKnown implements Events.
+func (b *Balancer) IsKnown(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
+
+// EndpointCounts implements Events.
+func (b *Balancer) EndpointCounts() (listed, avoided int) {
+	for _, ep := range b.endpoints {
+		if ep.manuallyEjected || ep.ejected && !ep.active {
+			avoided++
+		}
+	}
+	return len(b.endpoints), avoided
+}
--- /dev/null
+++ b/balance/ewma.go
@@ -0,0 +1,24 @@
+package balance
+
+import "time"
+
+import "math"
+
+// fadingCounter counts events with weights that decay with ewmaTimeConstant.
+type fadingCounter struct {
+	count float64 // as of at
+	at    time.Duration
+}
+
+func (c *fadingCounter) add(now time.Duration) {
+	c.count, c.at = c.count*ewmaDecay(now-c.at)+1, now
+}
+
+// perSecond is the recent rate of events. It is corrected for the time before startedAt, which had no events.
+func (c *fadingCounter) perSecond(now, startedAt time.Duration) float64 {
+	return c.count * ewmaDecay(now-c.at) /
+		((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
+}
+
+// ewmaDecay is the fraction that a time leaves of a weight.
+func ewmaDecay(d time.Duration) float64 { return math.Exp(-d.Seconds() / ewmaTimeConstant.Seconds()) }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -19,6 +19,25 @@
 	baselineRiseTime        = 60 * time.Second // in which it rises to the mean: overload is not normal
 )
 
+// kind pools the samples of the endpoints of one kind.
+type kind struct{ weight, sampleCount float64 }
+
+// observe adds the stretch of a response to the weight of the kind.
+func (k *kind) observe(stretch float64) {
+	k.sampleCount++
+	k.weight += (stretch - k.weight) * max(1/(k.sampleCount+2), kindWeightGain)
+}
+
+// class is the latency of the requests of one class.
+type class struct {
+	Class
+	sampleCount     float64
+	baselineLatency float64 // seconds, without load
+	meanLatency     float64 // seconds, recent
+	firstResponseAt time.Duration
+	lastResponseAt  time.Duration
+}
+
 // weight is the endpoint's expected stretch, the paper's w: that of its kind, corrected by its own samples.
 // The few samples of a balancer with little traffic cannot tell a slow machine from an expensive request.
 func (e *endpoint) weight() float64 {
@@ -69,3 +88,17 @@
 		c.baselineLatency += (c.meanLatency - c.baselineLatency) * gain
 	}
 }
+
+// typicalSeconds is the mean baseline latency over the requests of all classes, in seconds; 1 before any
+// response.
+func (b *Balancer) typicalSeconds() float64 {
+	sum, count := 0.0, 0.0
+	for i := range b.settings.Classes {
+		c := b.classes[b.settings.Classes[i].Name]
+		sum, count = sum+c.baselineLatency*c.sampleCount, count+c.sampleCount
+	}
+	if sum <= 0 {
+		return 1
+	}
+	return sum / count
+}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -24,6 +24,13 @@
 	loadReportLifetime = 10 * time.Millisecond // in which a load report is used: it ages as requests arrive
 )
 
+// activeSummary describes the active endpoints of the subset.
+type activeSummary struct {
+	count          int
+	smallestWeight float64 // 1 if there are none
+	lowestDeficit  float64 // 0 if there are none
+}
+
 // pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
 // grow with the number of endpoints. Each endpoint is sampled many times in a turn, so turns stay even. The
 // whole subset is scanned only if nothing in the sample is due.
@@ -171,3 +178,69 @@
 		}
 	}
 }
+
+// summarizeActive scans the subset for its active endpoints.
+func (b *Balancer) summarizeActive() activeSummary {
+	var s activeSummary
+	for _, ep := range b.subset {
+		if !ep.active || !ep.isAvailable() {
+			continue
+		}
+		if s.count == 0 || ep.weight() < s.smallestWeight {
+			s.smallestWeight = ep.weight()
+		}
+		if s.count == 0 || ep.deficit < s.lowestDeficit {
+			s.lowestDeficit = ep.deficit
+		}
+		s.count++
+	}
+	if s.count == 0 {
+		s.smallestWeight = 1
+	}
+	return s
+}
+
+// smallestActiveWeight is the smallest weight of an active endpoint. That of a large subset is cached for as
+// many uses that the scans cost no more than the picks; an endpoint gets a sample or two in between.
+func (b *Balancer) smallestActiveWeight() float64 {
+	if len(b.subset) <= fullScanLimit {
+		return b.summarizeActive().smallestWeight
+	}
+	if b.cachedWeightUses <= 0 {
+		b.cachedSmallestWeight = b.summarizeActive().smallestWeight
+		b.cachedWeightUses = len(b.subset) / pickSampleSize
+	}
+	b.cachedWeightUses--
+	return b.cachedSmallestWeight
+}
+
+// pickCandidates returns what the next pick chooses from: the subset, or a new sample of a large one.
+func (b *Balancer) pickCandidates() []*endpoint {
+	if len(b.subset) <= fullScanLimit {
+		return b.subset
+	}
+	b.pickSample = append(b.pickSample[:0], b.recentlyUsed...)
+	for range pickSampleSize {
+		b.pickSample = append(b.pickSample, b.subset[b.rng.IntN(len(b.subset))])
+	}
+	return b.pickSample
+}
+
+// lastCandidates returns what the latest pick chose from.
+func (b *Balancer) lastCandidates() []*endpoint {
+	if len(b.subset) <= fullScanLimit {
+		return b.subset
+	}
+	return b.pickSample
+}
+
+// noteUse adds an endpoint of a large subset to those used last.
+func (b *Balancer) noteUse(ep *endpoint) {
+	if len(b.subset) <= fullScanLimit || slices.Contains(b.recentlyUsed, ep) {
+		return
+	}
+	if len(b.recentlyUsed) == recentEndpointCount {
+		b.recentlyUsed = slices.Delete(b.recentlyUsed, 0, 1)
+	}
+	b.recentlyUsed = append(b.recentlyUsed, ep)
+}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -43,3 +43,13 @@
 func (b *Balancer) slowStartTurn(now time.Duration) float64 {
 	return float64(len(b.subset)) / max(b.admittedCounter.perSecond(now, b.startedAt), minRequestRate)
 }
+
+// capacityShare is the least fraction of its full capacity that the endpoint has by now; 1 unless it is
+// warming up.
+func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
+	if ep.Started <= 0 || now-ep.Started >= b.settings.SlowStartDuration {
+		return 1
+	}
+	age := float64(max(now-ep.Started, 0)) / float64(b.settings.SlowStartDuration)
+	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*age, 0.05)
+}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -48,3 +48,13 @@
 	}
 	b.subset = b.subset[:int(size)]
 }
+
+// turnInterval is the time between two attempts of this balancer at one endpoint if all get the same.
+func (b *Balancer) turnInterval(now time.Duration) time.Duration {
+	return seconds(float64(len(b.subset)) / max(b.requestRate(now), minRequestRate))
+}
+
+// requestRate is the recent rate of requests per second.
+func (b *Balancer) requestRate(now time.Duration) float64 {
+	return b.requestCounter.perSecond(now, b.startedAt)
+}
