--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,13 +8,13 @@
 // Admission control: tenant quotas, load shedding and the final answer to what is not served.
 const (
 	quotaBurstSeconds     = 1.0  // seconds of a tenant's quota that may arrive at once
-	pressureUtilization   = 0.6  // fraction of the concurrency limit above which it counts as used
-	pressureStretch       = 1.2  // recent stretch above which a used limit or a high rate is pressure
-	quotaPressureMultiple = 1.3  // request rate, in sums of all quotas, above which it is high
-	queueTimeFraction     = 0.05 // longest time in the queue, in mean latency objectives of the classes
-	shedTimeFraction      = 0.6  // of the expected latency: must remain to the deadline while others queue
+	usedLimitFraction     = 0.6  // fraction of the concurrency limit above which it counts as used
+	shedStretch           = 1.2  // recent stretch above which a used limit or a high rate is pressure
+	highRateQuotaMultiple = 1.3  // request rate, in sums of all quotas, above which it is high
+	maxQueueTimeFraction  = 0.05 // longest time in the queue, in mean latency objectives of the classes
+	minTimeLeftFraction   = 0.6  // of the expected latency: must remain to the deadline while others queue
 
-	retryAfterAdvice = 300 * time.Millisecond // mean Retry-After of rejected requests, before jitter
+	meanRetryAfter = 300 * time.Millisecond // mean Retry-After of rejected requests, before jitter
 )
 
 // tenant is the token bucket of a tenant's quota.
@@ -30,12 +30,12 @@
 // are saturated; without the stretch a high rate may only mean that clients are spread unevenly.
 func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
 	exceedsQuota := b.chargeQuota(now, req)
-	isStretched := b.recentStretch > pressureStretch
+	isStretched := b.recentStretch > shedStretch
 	isShort := len(b.queue) > 0 ||
-		float64(b.inFlight) > pressureUtilization*b.concurrencyLimit && isStretched ||
-		isStretched && b.requestRate(now) > quotaPressureMultiple*b.totalQuota
+		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && isStretched ||
+		isStretched && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
 	return now >= req.giveUpAt || b.allManuallyEjected() || isShort && exceedsQuota ||
-		len(b.queue) > 0 && !b.canMeetDeadline(now, req, shedTimeFraction)
+		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
 }
 
 // chargeQuota charges a request to the token bucket of its tenant and reports whether it exceeds the quota.
@@ -64,15 +64,15 @@
 	case len(req.attempts) > 0:
 		return req.giveUpAt
 	case b.availableCount == 0: // an endpoint that becomes available may still respond in time
-		return req.giveUpAt - seconds(b.expectedSeconds(req))
+		return req.giveUpAt - seconds(b.baselineSeconds(req))
 	}
-	return min(req.giveUpAt, req.arrivedAt+seconds(queueTimeFraction*b.meanLatencyObjective))
+	return min(req.giveUpAt, req.arrivedAt+seconds(maxQueueTimeFraction*b.meanLatencyObjective))
 }
 
 // canMeetDeadline reports whether the given fraction of the latency expected at the best endpoint still fits
 // before the request is given up.
 func (b *Balancer) canMeetDeadline(now time.Duration, req *request, fraction float64) bool {
-	return now+seconds(b.expectedSeconds(req)*b.smallestActiveWeight()*fraction) <= req.giveUpAt
+	return now+seconds(b.baselineSeconds(req)*b.smallestActiveWeight()*fraction) <= req.giveUpAt
 }
 
 // rejectOrFail gives the final answer: a rejection if a retry by the client is harmless, else a failure.
@@ -81,7 +81,7 @@
 		b.admittedCounter.add(now) // it lacked an endpoint, and was not held back by the limit
 	}
 	if req.canReject() {
-		b.host.Reject(req.ID, min(b.jitter(retryAfterAdvice), b.settings.MaxRetryAfter))
+		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
 	} else {
 		b.host.Fail(req.ID)
 	}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -33,15 +33,15 @@
 	manuallyEjected map[string]bool // IDs, listed or not
 
 	subset               []*endpoint // the endpoints that this balancer uses
-	wantedSubsetSize     float64     // by the rate of requests
+	subsetSizeByRate     float64     // by the rate of requests
 	pickSample           []*endpoint // of a large subset: the candidates of the latest pick
 	recentlyUsed         []*endpoint // of a large subset: the endpoints used last
 	cachedSmallestWeight float64     // of a large subset: the smallest active weight
 	cachedWeightUses     int         // how often cachedSmallestWeight may still be used
 
-	requests map[string]*request // without a final answer, or with an attempt in flight
-	live     []*request          // without a final answer
-	queue    []*request          // in order of arrival
+	requests   map[string]*request // without a final answer, or with an attempt in flight
+	unfinished []*request          // without a final answer
+	queue      []*request          // in order of arrival
 
 	resubscribeAt      time.Duration // 0: not due
 	resubscribeBackoff time.Duration
@@ -52,15 +52,15 @@
 	limitUpdatedAt   time.Duration
 	nextReductionAt  time.Duration // of the concurrency limit, at the earliest
 
-	slowStartTurnSeconds float64 // at the latest change of the subset
+	pacedRoundSeconds    float64 // at the latest change of the subset
 	retryBudget          float64 // retries saved up
 	errorRate            float64 // fraction of recent results that are errors
 	meanReportedLoad     float64 // over recent load reports
 	meanLatencyObjective float64 // over the classes, in seconds
 	totalQuota           float64 // of all tenants, requests per second of this balancer
 
-	requestCounter  fadingCounter // requests
-	admittedCounter fadingCounter // of them, those sent and those that no endpoint was available for
+	requestCounter  decayingCounter // requests
+	admittedCounter decayingCounter // of them, those sent and those that no endpoint was available for
 	lastLoggedAt    map[string]time.Duration
 }
 
@@ -71,7 +71,8 @@
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
 		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)),
-		startedAt: now, requestCounter: fadingCounter{at: now}, admittedCounter: fadingCounter{at: now},
+		startedAt:      now,
+		requestCounter: decayingCounter{updatedAt: now}, admittedCounter: decayingCounter{updatedAt: now},
 		retryBudget: maxRetryBudget / 2, recentStretch: 1,
 		classes: map[string]*class{}, tenants: map[string]*tenant{}, kinds: map[string]*kind{},
 		endpointByID: map[string]*endpoint{}, requests: map[string]*request{},
@@ -106,10 +107,10 @@
 	b.resubscribeBackoff, b.resubscribeAt = 0, 0
 	isFirst, availableBefore := len(b.endpoints) == 0, b.availableCount
 	for _, ep := range b.mergeList(l) {
-		b.startInactive(now, ep, isFirst)
+		b.resetEndpoint(now, ep, isFirst)
 	}
 	if isFirst {
-		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointShare(), 0
+		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointsPerBalancer(), 0
 	}
 	b.availabilityChanged(now, availableBefore)
 }
@@ -147,7 +148,7 @@
 		ep.incarnation++
 		ep.restoredAt, ep.Started, ep.trialInFlight = now, now, false
 		ep.errorRate, ep.reportedLoad, ep.reportedLoadAt = 0, 0, 0
-		b.startInactive(now, ep, false)
+		b.resetEndpoint(now, ep, false)
 	}
 	b.countAvailable()
 	b.availabilityChanged(now, availableBefore)
@@ -160,9 +161,9 @@
 		c = &class{Class: Class{Idempotency: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}}
 	}
 	b.countRequest(now)
-	req := &request{Request: r, class: c, arrivedAt: now, liveIndex: len(b.live)}
+	req := &request{Request: r, class: c, arrivedAt: now, unfinishedIndex: len(b.unfinished)}
 	b.setDeadline(req, r.Deadline)
-	b.requests[r.ID], b.live = req, append(b.live, req)
+	b.requests[r.ID], b.unfinished = req, append(b.unfinished, req)
 	b.retryBudget = min(b.retryBudget+retryBudgetRatio, maxRetryBudget)
 	if b.shouldShed(now, req) {
 		b.rejectOrFail(now, req)
@@ -217,18 +218,18 @@
 
 // send charges the endpoint and hands the attempt to the host.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint) {
-	if b.capacityShare(now, ep) < 1 {
+	if b.capacityFraction(now, ep) < 1 {
 		ep.slowStartNextAt = now + b.slowStartInterval(now, ep)
 	}
 	if ep.active {
 		b.chargeDeficit(now, req, ep)
 	}
-	b.noteUse(ep)
+	b.recordRecentUse(ep)
 	if len(req.attempts) == 0 {
 		b.admittedCounter.add(now)
 	}
 	att := attempt{endpoint: ep, incarnation: ep.incarnation, sentAt: now, waitingSince: now, inFlight: true,
-		isTrial: !ep.active, hasStreamingBody: req.StreamUntil > 0, overdueAt: b.overdueInstant(now, req, ep)}
+		isTrial: !ep.active, bodyStreaming: req.StreamUntil > 0, overdueAt: b.overdueInstant(now, req, ep)}
 	ep.trialInFlight = att.isTrial
 	b.countInFlight(&att, 1)
 	req.attempts, req.isQueued, req.pendingProbes = append(req.attempts, att), false, nil
@@ -246,14 +247,14 @@
 	att.inFlight, att.mayHaveRun = false, o.Result.MayHaveRun()
 	b.countInFlight(att, -1)
 	req.bodyConsumed = req.bodyConsumed || o.BodyConsumed
-	if !att.isStreaming {
+	if !att.responseStreaming {
 		if req.StreamUntil > 0 { // the client determines how long a streaming body takes, not the endpoint
 			o.Latency = now - att.waitingSince
 		}
 		b.recordResult(now, req, att, attributedResult(o), o.Latency)
 	}
 	switch {
-	case req.isAnswered || o.IsFinal || o.Result == OK:
+	case req.isFinished || o.IsFinal || o.Result == OK:
 		b.removeRequest(req)
 	case req.isQueued:
 	case b.canRetry(now, req) && slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool {
@@ -275,7 +276,7 @@
 		b.resubscribeAt = 0
 		b.host.Subscribe()
 	}
-	for _, req := range slices.Clone(b.live) {
+	for _, req := range slices.Clone(b.unfinished) {
 		if now >= req.giveUpInstant() || req.isQueued && now >= b.queueDeadline(req) {
 			if len(req.attempts) == 0 {
 				b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.queue)))
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -25,13 +25,13 @@
 	gain := 1 - math.Exp(-(now-b.limitUpdatedAt).Seconds()/stretchTimeConstant.Seconds())
 	b.limitUpdatedAt = now
 	b.recentStretch += (min(stretch, maxLimitStretch) - b.recentStretch) * max(gain, recentMeanGain)
-	isUsed := float64(b.inFlight+1) > pressureUtilization*b.concurrencyLimit
+	isUsed := float64(b.inFlight+1) > usedLimitFraction*b.concurrencyLimit
 	switch {
 	case b.recentStretch > congestionStretch && isUsed && now >= b.nextReductionAt:
 		inUse := min(b.concurrencyLimit, float64(b.inFlight+1))
 		reduction := max(limitReductionFloor, congestionStretch/b.recentStretch)
-		b.concurrencyLimit = max(inUse*reduction, b.endpointShare())
-		b.nextReductionAt = now + seconds(b.recentStretch*b.typicalSeconds()/2)
+		b.concurrencyLimit = max(inUse*reduction, b.endpointsPerBalancer())
+		b.nextReductionAt = now + seconds(b.recentStretch*b.meanBaselineSeconds()/2)
 	case float64(b.inFlight+2) > b.concurrencyLimit:
 		growth := limitGrowthGain
 		if b.settings.Tier == 0 && b.recentStretch < firstTierGrowthStretch {
@@ -41,9 +41,9 @@
 	}
 }
 
-// endpointShare is how many endpoints there are per balancer. Behind the first tier it is all of them:
+// endpointsPerBalancer is how many endpoints there are per balancer. Behind the first tier it is all of them:
 // balancers are many there, and each has little traffic.
-func (b *Balancer) endpointShare() float64 {
+func (b *Balancer) endpointsPerBalancer() float64 {
 	n := float64(len(b.endpoints))
 	if b.settings.Tier == 0 {
 		n /= float64(max(b.settings.Balancers, 1))
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -5,19 +5,19 @@
 // Outlier ejection. An endpoint whose weight leaves activeFactor, or that does not respond, is ejected. After
 // a backoff it gets a single trial request, and becomes active again or backs off for twice as long.
 const (
-	activeFactor       = 2.0                    // of the smallest active weight: the paper's active list
-	minBackoff         = 500 * time.Millisecond // the paper's b_min, before the first trial
-	maxBackoffMultiple = 8                      // longest backoff, in initial ones: recovery must show
-	ownErrorMultiple   = 1.5                    // error rate, over that of all, of an endpoint at fault
-	overdueMultiple    = 3.0                    // expected latencies after which an attempt is overdue
+	activeFactor         = 2.0                    // of the smallest active weight: the paper's active list
+	minBackoff           = 500 * time.Millisecond // the paper's b_min, before the first trial
+	maxBackoffMultiple   = 8                      // longest backoff, in initial ones: recovery must show
+	outlierErrorMultiple = 1.5                    // error rate, over that of all, of an endpoint at fault
+	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
 )
 
-// startInactive resets a new or restarted endpoint, which becomes active by a trial: at a random moment of a
+// resetEndpoint resets a new or restarted endpoint, which becomes active by a trial: at a random moment of a
 // turn, since all balancers learn of it at once. On the first list, what is not warming up is active at once.
-func (b *Balancer) startInactive(now time.Duration, ep *endpoint, isFirstList bool) {
-	ep.active = isFirstList && b.capacityShare(now, ep) == 1
+func (b *Balancer) resetEndpoint(now time.Duration, ep *endpoint, isFirstList bool) {
+	ep.active = isFirstList && b.capacityFraction(now, ep) == 1
 	ep.backoff = b.initialBackoff(now)
-	ep.nextTrialAt = now + seconds(b.rng.Float64()*b.turnInterval(now).Seconds())
+	ep.nextTrialAt = now + seconds(b.rng.Float64()*b.roundDuration(now).Seconds())
 	ep.sampleSum, ep.sampleCount, ep.deficit = 0, 0, b.rng.Float64()
 	ep.ejected, ep.wasInSubset = false, false
 }
@@ -25,7 +25,7 @@
 // recordResult learns from the result of an attempt and ends it if it is a trial.
 func (b *Balancer) recordResult(now time.Duration, req *request, att *attempt, r Result, took time.Duration) {
 	ep, hasFailed := att.endpoint, r != OK
-	stretch := min(took.Seconds()/b.expectedSeconds(req), maxSampleStretch)
+	stretch := min(took.Seconds()/b.baselineSeconds(req), maxSampleStretch)
 	if att.incarnation != ep.incarnation { // it was sent before the endpoint's restart
 		return
 	}
@@ -40,7 +40,8 @@
 	case ErrorResponse:
 		b.errorRate += recentMeanGain
 		ep.errorRate += recentMeanGain
-		if hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > ownErrorMultiple*b.errorRate; !hasFailed {
+		hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > outlierErrorMultiple*b.errorRate
+		if !hasFailed {
 			r = NotSent // the tier below fails for all endpoints alike: no information about this one
 		}
 	case Reset: // it restarts, and warms up when it responds again
@@ -55,7 +56,7 @@
 	}
 	if hasFailed {
 		timeout := (req.Deadline - att.waitingSince).Seconds()
-		stretch = min(max(stretch, timeout/b.expectedSeconds(req)), maxSampleStretch)
+		stretch = min(max(stretch, timeout/b.baselineSeconds(req)), maxSampleStretch)
 	}
 	if att.isTrial {
 		b.finishTrial(now, ep, stretch, hasFailed)
@@ -75,7 +76,7 @@
 
 // overdueInstant is when an attempt that waits for the endpoint from now on is overdue.
 func (b *Balancer) overdueInstant(now time.Duration, req *request, ep *endpoint) time.Duration {
-	wait := seconds(overdueMultiple * max(ep.weight(), 1) * b.expectedSeconds(req))
+	wait := seconds(overdueMultiple * max(ep.weight(), 1) * b.baselineSeconds(req))
 	return now + max(wait, 3*b.settings.TimerResolution)
 }
 
@@ -85,7 +86,7 @@
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
 	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
-	if att.hasStreamingBody { // its duration is no sample, and must not delay the next trial
+	if att.bodyStreaming { // its duration is no sample, and must not delay the next trial
 		if att.isTrial {
 			att.isTrial, ep.trialInFlight = false, false
 			b.scheduleTrial(now, ep, false)
@@ -96,7 +97,7 @@
 		return
 	}
 	if ep.active {
-		b.addSample(now, ep, min((now-att.waitingSince).Seconds()/b.expectedSeconds(req), maxSampleStretch))
+		b.addSample(now, ep, min((now-att.waitingSince).Seconds()/b.baselineSeconds(req), maxSampleStretch))
 		if ep.active && isSilent {
 			b.log(now, "silent", ep.ID+" answers nothing and gets trials only")
 			b.eject(now, ep)
@@ -135,5 +136,5 @@
 
 // initialBackoff is at least a turn: trials must not exceed an even share of the requests of this balancer.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
-	return max(minBackoff, b.turnInterval(now))
+	return max(minBackoff, b.roundDuration(now))
 }
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -4,19 +4,19 @@
 
 import "math"
 
-// fadingCounter counts events with weights that decay with ewmaTimeConstant.
-type fadingCounter struct {
-	count float64 // as of at
-	at    time.Duration
+// decayingCounter counts events with weights that decay with ewmaTimeConstant.
+type decayingCounter struct {
+	count     float64 // as of at
+	updatedAt time.Duration
 }
 
-func (c *fadingCounter) add(now time.Duration) {
-	c.count, c.at = c.count*ewmaDecay(now-c.at)+1, now
+func (c *decayingCounter) add(now time.Duration) {
+	c.count, c.updatedAt = c.count*ewmaDecay(now-c.updatedAt)+1, now
 }
 
 // perSecond is the recent rate of events. It is corrected for the time before startedAt, which had no events.
-func (c *fadingCounter) perSecond(now, startedAt time.Duration) float64 {
-	return c.count * ewmaDecay(now-c.at) /
+func (c *decayingCounter) perSecond(now, startedAt time.Duration) float64 {
+	return c.count * ewmaDecay(now-c.updatedAt) /
 		((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
 }
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// expectedSeconds is the latency of the request without load, in seconds: the baseline of its class, or a
+// baselineSeconds is the latency of the request without load, in seconds: the baseline of its class, or a
 // quarter of the latency objective before the first response.
-func (b *Balancer) expectedSeconds(req *request) float64 {
+func (b *Balancer) baselineSeconds(req *request) float64 {
 	c := req.class
 	if c.sampleCount == 0 || c.baselineLatency <= 0 {
 		return max(c.LatencyObjective.Seconds()/4, 0.001)
@@ -89,9 +89,9 @@
 	}
 }
 
-// typicalSeconds is the mean baseline latency over the requests of all classes, in seconds; 1 before any
+// meanBaselineSeconds is the mean baseline latency over the requests of all classes, in seconds; 1 before any
 // response.
-func (b *Balancer) typicalSeconds() float64 {
+func (b *Balancer) meanBaselineSeconds() float64 {
 	sum, count := 0.0, 0.0
 	for i := range b.settings.Classes {
 		c := b.classes[b.settings.Classes[i].Name]
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -8,12 +8,12 @@
 
 // The pick: deficit round robin over the active endpoints, and what is added to the paper's deficit.
 const (
-	inFlightCharge         = 1.0 // weights added per attempt in flight: a hang or a crowd shows at once
-	idleConnectionDiscount = 2.0 // weights taken off where a connection is idle; 4 made 1% of responses late
-	reportedLoadCharge     = 0.5 // weights charged per request that a load report shows, to probe others next
-	maxDeficitLag          = 2.0 // weights that a deficit may lag behind, or a burst would follow a crowd
-	sharedLatencyFraction  = 0.7 // of the smallest weight: latency of the tiers below, alike for all
-	endpointUsageMultiple  = 1.4 // of its part of the concurrency limit: the most an endpoint counts for
+	inFlightCharge           = 1.0 // weights added per attempt in flight: a hang or a crowd shows at once
+	idleConnectionDiscount   = 2.0 // weights taken off for an idle connection; 4 made 1% of responses late
+	reportedLoadCharge       = 0.5 // weights charged per request in a load report, to probe others next
+	maxDeficitLag            = 2.0 // weights that a deficit may lag behind, or a burst would follow a crowd
+	sharedLatencyFraction    = 0.7 // of the smallest weight: latency of the tiers below, alike for all
+	maxEndpointUsageMultiple = 1.4 // of its part of the concurrency limit: the most an endpoint counts for
 
 	fullScanLimit       = 256 // endpoints; a larger subset is sampled, to bound the cost of a pick
 	pickSampleSize      = 16  // endpoints drawn for a sample: 8 and 64 spread requests as evenly
@@ -84,7 +84,7 @@
 func (b *Balancer) pickBelowFairUsage(now time.Duration, req *request) *endpoint {
 	part, used := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
 	for _, ep := range b.subset {
-		used += min(float64(ep.inFlight), max(endpointUsageMultiple*part, 1))
+		used += min(float64(ep.inFlight), max(maxEndpointUsageMultiple*part, 1))
 	}
 	if used >= b.concurrencyLimit {
 		return nil
@@ -97,7 +97,7 @@
 // canSend reports whether the endpoint may get the request now, its pace in slow start included.
 func (b *Balancer) canSend(now time.Duration, req *request, ep *endpoint) bool {
 	return ep.isAvailable() &&
-		(now >= ep.slowStartNextAt || b.capacityShare(now, ep) == 1) && b.isSafeToSend(now, req, ep)
+		(now >= ep.slowStartNextAt || b.capacityFraction(now, ep) == 1) && b.isSafeToSend(now, req, ep)
 }
 
 // effectiveDeficit is the deficit less the discount for an idle connection, by which a few turns follow one
@@ -121,12 +121,12 @@
 // chargeDeficit charges an active endpoint its weight, as in the paper, times the cost of the class.
 // With tiers below, only what the endpoint adds is charged, or a slow machine would pass for a fast one.
 func (b *Balancer) chargeDeficit(now time.Duration, req *request, ep *endpoint) {
-	expected, weight := b.expectedSeconds(req), ep.weight()
+	expected, weight := b.baselineSeconds(req), ep.weight()
 	picked, charge := b.effectiveDeficit(ep), weight
 	if b.settings.TiersBelow > 0 {
 		charge -= sharedLatencyFraction * min(b.smallestActiveWeight(), weight)
 	}
-	ep.deficit += charge * expected / b.typicalSeconds()
+	ep.deficit += charge * expected / b.meanBaselineSeconds()
 	for _, other := range b.lastCandidates() { // one passed over for its load does not catch up at once,
 		other.deficit = max(other.deficit, picked-maxDeficitLag*weight)
 		if other != ep && other.hasFreshLoadReport(now) { // nor is it next, and probed, again and again
@@ -170,7 +170,7 @@
 		ep.reportedLoad, ep.reportedLoadAt = p.Load.Requests, now
 		b.meanReportedLoad += (p.Load.Requests - b.meanReportedLoad) * recentMeanGain
 	}
-	for _, req := range slices.Clone(b.live) {
+	for _, req := range slices.Clone(b.unfinished) {
 		if i := slices.Index(req.pendingProbes, ep); i >= 0 {
 			if req.pendingProbes = slices.Delete(req.pendingProbes, i, i+1); len(req.pendingProbes) == 0 {
 				b.dispatch(now, req)
@@ -234,8 +234,8 @@
 	return b.pickSample
 }
 
-// noteUse adds an endpoint of a large subset to those used last.
-func (b *Balancer) noteUse(ep *endpoint) {
+// recordRecentUse adds an endpoint of a large subset to those used last.
+func (b *Balancer) recordRecentUse(ep *endpoint) {
 	if len(b.subset) <= fullScanLimit || slices.Contains(b.recentlyUsed, ep) {
 		return
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -11,16 +11,16 @@
 // their first requests alone would overload it. Waits in progress are scaled with the length of a turn, which
 // a restarted balancer learns from its first requests. Without an active endpoint nothing is delayed.
 func (b *Balancer) paceSlowStart(now time.Duration) {
-	turn := b.slowStartTurn(now)
+	turn := b.slowStartRoundSeconds(now)
 	for _, ep := range b.endpoints {
-		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.slowStartTurnSeconds > 0 {
-			ep.slowStartNextAt = now + seconds(wait*turn/b.slowStartTurnSeconds)
+		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.pacedRoundSeconds > 0 {
+			ep.slowStartNextAt = now + seconds(wait*turn/b.pacedRoundSeconds)
 		}
 	}
-	b.slowStartTurnSeconds = turn
+	b.pacedRoundSeconds = turn
 	hasActive := b.summarizeActive().count > 0
 	for _, ep := range b.subset {
-		if hasActive && !ep.wasInSubset && b.capacityShare(now, ep) < 1 {
+		if hasActive && !ep.wasInSubset && b.capacityFraction(now, ep) < 1 {
 			wait := seconds(b.rng.Float64() * b.slowStartInterval(now, ep).Seconds())
 			ep.slowStartNextAt = max(ep.slowStartNextAt, now+wait)
 		}
@@ -35,18 +35,18 @@
 
 // slowStartInterval is the time between two attempts, trials included, at an endpoint that is warming up.
 func (b *Balancer) slowStartInterval(now time.Duration, ep *endpoint) time.Duration {
-	return seconds(b.slowStartTurn(now) / (b.capacityShare(now, ep) * slowStartLoadMultiple))
+	return seconds(b.slowStartRoundSeconds(now) / (b.capacityFraction(now, ep) * slowStartLoadMultiple))
 }
 
-// slowStartTurn is the length of a turn in seconds, by admitted requests only: what is rejected reaches no
-// endpoint, and clients repeat it.
-func (b *Balancer) slowStartTurn(now time.Duration) float64 {
+// slowStartRoundSeconds is the length of a turn in seconds, by admitted requests only: what is rejected
+// reaches no endpoint, and clients repeat it.
+func (b *Balancer) slowStartRoundSeconds(now time.Duration) float64 {
 	return float64(len(b.subset)) / max(b.admittedCounter.perSecond(now, b.startedAt), minRequestRate)
 }
 
-// capacityShare is the least fraction of its full capacity that the endpoint has by now; 1 unless it is
+// capacityFraction is the least fraction of its full capacity that the endpoint has by now; 1 unless it is
 // warming up.
-func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
+func (b *Balancer) capacityFraction(now time.Duration, ep *endpoint) float64 {
 	if ep.Started <= 0 || now-ep.Started >= b.settings.SlowStartDuration {
 		return 1
 	}
--- a/balance/streaming.go
+++ b/balance/streaming.go
@@ -5,9 +5,9 @@
 // BodySent implements Events: the attempt becomes one that waits for its endpoint.
 func (b *Balancer) BodySent(now time.Duration, id string, n int, deadline time.Duration) {
 	req := b.requests[id]
-	if att := req.inFlightAttempt(n); att != nil && att.hasStreamingBody && !att.isStreaming {
+	if att := req.inFlightAttempt(n); att != nil && att.bodyStreaming && !att.responseStreaming {
 		b.countInFlight(att, -1)
-		att.hasStreamingBody, att.waitingSince = false, now
+		att.bodyStreaming, att.waitingSince = false, now
 		b.countInFlight(att, 1)
 		b.setDeadline(req, deadline)
 		att.overdueAt = b.overdueInstant(now, req, att.endpoint)
@@ -21,7 +21,7 @@
 	if att := req.inFlightAttempt(n); att != nil {
 		b.recordResult(now, req, att, OK, now-att.waitingSince)
 		b.countInFlight(att, -1)
-		att.isStreaming, att.hasStreamingBody = true, true
+		att.responseStreaming, att.bodyStreaming = true, true
 		b.countInFlight(att, 1)
 		b.removeRequest(req)
 		b.sendQueued(now)
@@ -32,7 +32,7 @@
 // concurrency limit, which is for attempts that last about a response time: a few transfers would use it up
 // for as long as they last.
 func (b *Balancer) countInFlight(att *attempt, by int) {
-	if att.hasStreamingBody {
+	if att.bodyStreaming {
 		att.endpoint.streamsInFlight += by
 		return
 	}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -9,18 +9,18 @@
 
 // The size of the subset: the largest of three bounds.
 const (
-	subsetCallInterval = time.Second // each endpoint gets a request this often: its weight stays known
-	callersPerEndpoint = 12.0        // subsets that each endpoint is in: one more matters little
-	minSubsetSize      = 4.0         // endpoints, so that a retry finds another one
-	minRequestRate     = 0.2         // requests per second that a balancer is taken to have at least
+	subsetRequestInterval = time.Second // each endpoint gets a request this often: its weight stays known
+	balancersPerEndpoint  = 12.0        // subsets that each endpoint is in: one more matters little
+	minSubsetSize         = 4.0         // endpoints, so that a retry finds another one
+	minRequestRate        = 0.2         // requests per second that a balancer is taken to have at least
 )
 
 // countRequest counts a request, and rebuilds the subset where the rate has changed the wanted size by half.
 func (b *Balancer) countRequest(now time.Duration) {
 	b.requestCounter.add(now)
-	wanted := b.requestRate(now) * subsetCallInterval.Seconds()
-	if wanted > 1.5*b.wantedSubsetSize || wanted < 0.5*b.wantedSubsetSize {
-		b.wantedSubsetSize = wanted
+	wanted := b.requestRate(now) * subsetRequestInterval.Seconds()
+	if wanted > 1.5*b.subsetSizeByRate || wanted < 0.5*b.subsetSizeByRate {
+		b.subsetSizeByRate = wanted
 		b.rebuildSubset(now)
 	}
 }
@@ -35,7 +35,7 @@
 	isUnavailable := func(ep *endpoint) bool { return !ep.isAvailable() }
 	b.subset = slices.DeleteFunc(slices.Clone(b.endpoints), isUnavailable)
 	n, balancers := float64(len(b.subset)), float64(max(b.settings.Balancers, 1))
-	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, callersPerEndpoint*n/balancers))
+	size := math.Floor(max(b.subsetSizeByRate, minSubsetSize, balancersPerEndpoint*n/balancers))
 	if 2*size >= n {
 		return
 	}
@@ -49,8 +49,8 @@
 	b.subset = b.subset[:int(size)]
 }
 
-// turnInterval is the time between two attempts of this balancer at one endpoint if all get the same.
-func (b *Balancer) turnInterval(now time.Duration) time.Duration {
+// roundDuration is the time between two attempts of this balancer at one endpoint if all get the same.
+func (b *Balancer) roundDuration(now time.Duration) time.Duration {
 	return seconds(float64(len(b.subset)) / max(b.requestRate(now), minRequestRate))
 }
 
--- a/balance/timers.go
+++ b/balance/timers.go
@@ -10,7 +10,7 @@
 		if b.resubscribeAt > 0 {
 			b.wakeAt(b.resubscribeAt)
 		}
-		for _, req := range b.live {
+		for _, req := range b.unfinished {
 			b.wakeAt(b.nextCheckAt(req))
 		}
 	}
