--- a/balance/api.go
+++ b/balance/api.go
@@ -2,54 +2,55 @@
 // endpoint gets a request, whether an attempt is retried, when a request is queued and when load is shed.
 //
 // The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns all of these: it
-// creates a Balancer with New, reports what happens through the methods of Events, and carries out what the Balancer
-// calls for through Host, in the order of the calls. The Balancer calls the host only from within New and the event
-// methods; the host must not call back into the Balancer from there.
+// creates a Balancer with New, reports events through the methods of Events, and carries out the actions that the Balancer
+// requests through the methods of Host, in the order of the calls. The Balancer calls the host only from within New and the
+// event methods; the host must not call back into the Balancer from there.
 //
-// A Balancer owns its state alone and is not safe for concurrent use: one goroutine at a time may call it.
+// A Balancer shares no state with other balancers and is not safe for concurrent use: one goroutine at a time may call it.
 //
-// Instants are readings of any clock that never runs backwards, as a time.Duration since an arbitrary zero. The same
-// settings, and the same events at the same instants, give the same calls of the host.
+// Instants are readings of any monotonic clock, as a time.Duration since an arbitrary zero. The same settings, and the same
+// events at the same instants, give the same calls of the host.
 //
-// api.go is the interface. All other files hold the decisions and their state; the deploy file lists them as policy.
+// api.go declares the interface. All other files hold the decisions and their state; deploy/balancer.toml lists them as
+// policy.
 package balance
 
 import "time"
 
-// Events is what a host reports. *Balancer implements it. A host reports events in the order in which they happen.
+// Events are the events that a host reports to a balancer, in the order in which they happen. *Balancer implements it.
 type Events interface {
-	// EndpointList reports an update by service discovery. The first one directly follows New.
+	// EndpointList reports an update by service discovery. The host reports the first one directly after New.
 	EndpointList(now time.Duration, l EndpointUpdate)
-	// Request reports a request. It gets exactly one final answer: the success of an attempt, or a rejection or
-	// failure by the Host.
+	// Request reports a new request. The request gets exactly one final response: that of a successful attempt, or the one
+	// that Host.Reject or Host.Fail sends.
 	Request(now time.Duration, r Request)
-	// BodySent reports, for a request with a streaming body, that attempt n has sent the last byte of it. From now on the
-	// attempt waits for the endpoint, and the client waits until the deadline.
+	// BodySent reports, for a request with a streaming body, that attempt n has sent the last byte of the body. From now on
+	// the attempt waits for the endpoint, and the client waits until the deadline given here.
 	BodySent(now time.Duration, id string, n int, deadline time.Duration)
 	// StreamStarted reports that attempt n of a request has begun to stream its response to the client.
 	StreamStarted(now time.Duration, id string, n int)
-	// Outcome reports the end of an attempt. Every attempt sent gets exactly one; others are ignored.
+	// Outcome reports the end of an attempt. The host reports exactly one per attempt sent; further ones are ignored.
 	Outcome(now time.Duration, o Outcome)
-	// ClientDisconnected reports that the client has disconnected, so that the request needs no answer any more.
+	// ClientDisconnected reports that the client of a request has disconnected, so that the request needs no response.
 	ClientDisconnected(now time.Duration, id string)
-	// Timer reports that an instant asked for by a timer has come.
+	// Timer reports that the instant of a timer, which Host.Timer has set, has come.
 	Timer(now time.Duration)
-	// Probed reports the result of a probe.
+	// Probed reports the result of a load probe.
 	Probed(now time.Duration, p ProbeResult)
-	// SetEjected reports that operators eject an endpoint (out) or restore it. An ejected endpoint gets no new attempt, whatever
-	// the endpoint list says, until it is restored. It then counts as restarted, and warms up. The ID need not be listed;
-	// the host bounds how many are ejected.
-	SetEjected(now time.Duration, id string, out bool)
+	// SetEjected reports that operators eject an endpoint or, if ejected is false, restore it. An ejected endpoint gets no new
+	// attempt, whatever the endpoint list says, until it is restored. It then counts as restarted, and warms up. The ID need
+	// not be listed; the host bounds the number of ejected endpoints.
+	SetEjected(now time.Duration, id string, ejected bool)
 
-	// SetBalancerCount reports how many balancers send to these endpoints from now on, this one included, and the index of this one
-	// among them, from 0. What was learned of the endpoints stays.
+	// SetBalancerCount reports how many balancers send to these endpoints from now on, this one included, and the index of
+	// this one among them, from 0. Latency estimates, ejections and the other state of the endpoints stay.
 	SetBalancerCount(now time.Duration, balancers, index int)
 
-	// IsKnown reports whether an endpoint is listed or ejected by operators. It is a query and changes nothing.
+	// IsKnown reports whether an endpoint is listed or ejected by operators. It changes nothing.
 	IsKnown(id string) bool
-	// EndpointCounts returns how many endpoints are listed, and how many of them are ejected, by operators or as outliers. It is a
-	// query and changes nothing.
-	EndpointCounts() (listed, avoided int)
+	// EndpointCounts returns how many endpoints are listed, and how many of them are ejected, by operators or as outliers. It
+	// changes nothing.
+	EndpointCounts() (listed, ejected int)
 }
 
 // Host carries out a Balancer's decisions. The Balancer waits for each call to return.
@@ -57,138 +58,138 @@
 	// Send starts the next attempt of a request; attempts are numbered from 0. The attempt ends as TimedOut after the
 	// timeout, or at the request's deadline if that comes first.
 	Send(id, endpoint string, timeout time.Duration)
-	// Cancel gives up attempt n. It still gets its Outcome.
+	// Cancel cancels attempt n of a request. The host still reports its Outcome.
 	Cancel(id string, n int)
-	// Reject rejects a request. The answer is final, and says that a retry by the client is harmless, best not before
-	// retryAfter has passed (0: no advice).
+	// Reject sends the final response of a request that is not served. It tells the client that a retry is harmless, best
+	// not before retryAfter has passed (0: no Retry-After).
 	Reject(id string, retryAfter time.Duration)
-	// Fail fails a request. The answer is final, and says nothing about the effect of the request.
+	// Fail sends the final response of a request that has failed. It says nothing about whether the request has run.
 	Fail(id string)
-	// Probe asks an endpoint for its load, without a request.
+	// Probe sends a load probe, which requests a load report from an endpoint. The host reports its result by Events.Probed.
 	Probe(endpoint string)
-	// HasIdleConnection reports whether a connection to the endpoint is idle, so that an attempt would open none; false where the host
-	// cannot tell.
+	// HasIdleConnection reports whether a connection to the endpoint is idle, so that an attempt would not open one. It is
+	// false if the host does not know.
 	HasIdleConnection(endpoint string) bool
-	// Subscribe asks discovery for all changes from now on; an endpoint list is the response.
+	// Subscribe subscribes to all changes in discovery from now on, which answers with an endpoint list.
 	Subscribe()
-	// Timer asks for a Timer event at the given instant or soon after. Timers cannot be cancelled.
+	// Timer requests a Timer event at the given instant or soon after. Timers cannot be cancelled.
 	Timer(at time.Duration)
-	// Log writes a line for the engineers on call.
+	// Log writes a line to the log that the engineers on call read.
 	Log(line string)
 }
 
-// Idempotency says what a repetition of a request of a class may do.
+// Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
-// The effects, from harmless to harmful.
+// The kinds of idempotency, from harmless to harmful retries.
 const (
-	Idempotent     Idempotency = iota // idempotent: may run any number of times
-	IdempotencyKey                    // has an idempotency key: a group of endpoints drops duplicates, for a while
-	NonIdempotent                     // not idempotent: must never run twice
+	Idempotent     Idempotency = iota // the request may run any number of times
+	IdempotencyKey                    // endpoints drop duplicates by the request's key, within DedupScope and DedupWindow
+	NonIdempotent                     // the request must never run twice
 )
 
-// DedupScope says which endpoints together drop duplicates of a request with an idempotency key.
+// DedupScope says which endpoints recognize one another's requests with an idempotency key, and so drop duplicates of them.
 type DedupScope int
 
-// The groups, from wide to narrow.
+// The scopes of deduplication, from wide to narrow.
 const (
 	ScopeAll  DedupScope = iota // all endpoints
 	ScopeZone                   // the endpoints of one zone
 	ScopeCell                   // the endpoints of one cell
 )
 
-// Class is a class of requests.
+// Class holds the properties that all requests of one class have in common.
 type Class struct {
 	Name             string
-	Idempotency      Idempotency
-	DedupScope       DedupScope    // with an idempotency key
-	DedupWindow      time.Duration // with an idempotency key: how long duplicates are dropped, from the first attempt
-	LatencyObjective time.Duration // the latency objective: a response is wanted within this time
+	Idempotency      Idempotency   // whether its requests may run more than once
+	DedupScope       DedupScope    // endpoints that drop duplicates together; for IdempotencyKey only
+	DedupWindow      time.Duration // time from the first attempt in which duplicates are dropped; for IdempotencyKey only
+	LatencyObjective time.Duration // time within which a response is wanted
 }
 
-// Tenant is one of the parties that share the endpoints.
+// Tenant holds the quota of one of the parties that share the endpoints.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second, over all balancers of the tier
+	Quota float64 // requests per second that the tenant may send to all balancers of the tier together
 }
 
-// Settings are fixed for the life of a Balancer, but for the count and index of balancers, which an event may change.
-// The zero value of every field is valid.
+// Settings configure a Balancer. They do not change after New, except for Balancers and Index, which the event
+// SetBalancerCount replaces. The zero value of every field is valid.
 type Settings struct {
-	Seed       uint64 // of the random choices, which should differ between balancers
-	Balancers  int    // balancers that send to these endpoints, this one included
-	Index      int    // of this balancer among them, from 0
-	Tier       int    // how many tiers of balancers are between clients and this one
-	TiersBelow int    // how many tiers the endpoints depend on themselves
-	Classes    []Class
-	Tenants    []Tenant
+	Seed       uint64   // seed of the random choices, which should differ between balancers
+	Balancers  int      // number of balancers that send to these endpoints, this one included
+	Index      int      // index of this balancer among them, from 0
+	Tier       int      // number of tiers of balancers between the clients and this one
+	TiersBelow int      // number of tiers that the endpoints depend on to serve a request
+	Classes    []Class  // classes of requests; a request of any other class counts as NonIdempotent
+	Tenants    []Tenant // tenants that have a quota
 
-	MustSubscribe   bool          // discovery sends nothing without a subscription
-	SubscribeWithin time.Duration // without a subscription, discovery must be asked at least this often
+	MustSubscribe   bool          // whether discovery sends updates only after Host.Subscribe
+	SubscribeWithin time.Duration // longest time that discovery may go without a subscription or a poll
 
 	MaxAttempts   int           // attempts allowed per request; 0: no limit
-	CanCancel     bool          // the host may cancel attempts
-	CanProbe      bool          // the host may probe endpoints, and results carry a load
-	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: advice does not reach them
+	CanCancel     bool          // whether the host may cancel attempts
+	CanProbe      bool          // whether the host may send load probes, and their results carry a load report
+	MaxRetryAfter time.Duration // longest Retry-After that clients honour; 0: Retry-After does not reach them
 
-	TimerResolution   time.Duration // how late events and timers may come
-	SlowStartCapacity float64       // slow start: fraction of its capacity that an endpoint starts with at least
-	SlowStartDuration time.Duration // slow start: an endpoint has its full capacity after this time
+	TimerResolution   time.Duration // longest delay of events and timers
+	SlowStartCapacity float64       // least fraction of its full capacity that an endpoint has when it starts
+	SlowStartDuration time.Duration // time after its start at which an endpoint has its full capacity
 }
 
 // State is the state of an endpoint according to discovery.
 type State int
 
-// The states of an endpoint.
+// The states of an endpoint. Only a Ready endpoint may get new attempts.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    State = iota
+	Draining       // the endpoint finishes its requests in flight and then stops
+	Gone           // the endpoint does not run any more
 )
 
 // Endpoint is an entry of an endpoint list.
 type Endpoint struct {
-	ID      string
-	State   State
-	Zone    string
+	ID      string        // identifies the endpoint in lists and in calls of the Host
+	State   State         // state according to discovery
+	Zone    string        // zone in which the endpoint runs
 	Kind    string        // endpoints of one kind have the same size and speed, as far as discovery knows
-	Cell    int           // endpoints of one cell share the idempotency keys that they have seen
-	Started time.Duration // instant of the latest start; 0: long ago
+	Cell    int           // endpoints of one cell share the idempotency keys that they have received
+	Started time.Duration // instant at which the endpoint last started; 0: long ago
 }
 
-// EndpointUpdate is an update by discovery.
+// EndpointUpdate is an update of the endpoint list by discovery.
 type EndpointUpdate struct {
-	Failed    bool // a request failed or a subscription broke: the update says nothing of endpoints
-	Complete  bool // endpoints that are not listed are gone; otherwise only those listed have changed
-	Endpoints []Endpoint
+	Failed    bool       // a poll failed or a subscription broke, so that the update has no endpoints
+	Complete  bool       // endpoints that are not in Endpoints are gone; if false, they are unchanged
+	Endpoints []Endpoint // new and changed endpoints; all of them if Complete
 }
 
 // Request is a client's request.
 type Request struct {
 	ID       string
-	Class    string
-	Tenant   string
+	Class    string        // name of a class in Settings.Classes; an unknown one counts as NonIdempotent
+	Tenant   string        // name of a tenant in Settings.Tenants; an unknown one has no quota
 	Deadline time.Duration // instant at which the client stops waiting
-	IsRetry  bool          // the client says that this is a retry
-	// Flow is 0 for a request that is complete. Otherwise its body streams in while an attempt is in flight, until this
-	// instant at the latest. The time that this takes is no latency of the endpoint, and the deadline applies only
-	// before and after it.
+	IsRetry  bool          // whether the client says that it has sent the request before
+	// StreamUntil is 0 for a request whose body is buffered. Otherwise the body streams in while an attempt is in flight, until
+	// this instant at the latest. The time that this takes is not part of the endpoint's latency, and the deadline applies
+	// only before and after it.
 	StreamUntil time.Duration
 }
 
-// Result is how an attempt ended.
+// Result is how an attempt or a load probe ended.
 type Result int
 
-// The results. Only Rejected, ConnectFailed and NotSent prove that the request did not run.
+// The results of an attempt. Only Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
-	OK            Result = iota
-	ErrorResponse        // the endpoint responded with an error
-	Rejected             // the endpoint rejected the request without reading it
-	TimedOut             // no response in time
-	ConnectFailed        // no connection was established
-	Reset                // the connection broke
-	Canceled             // the Balancer cancelled the attempt
-	NotSent              // the host did not send the attempt
+	OK            Result = iota // the endpoint responded without an error
+	ErrorResponse               // the endpoint responded with an error
+	Rejected                    // the endpoint rejected the request without reading it
+	TimedOut                    // no response came before the timeout
+	ConnectFailed               // no connection was established
+	Reset                       // the connection broke
+	Canceled                    // the Balancer cancelled the attempt
+	NotSent                     // the host did not send the attempt
 )
 
 // MayHaveRun reports whether an attempt with this result may have taken effect.
@@ -196,25 +197,25 @@
 
 // Load is an endpoint's load report.
 type Load struct {
-	Known    bool    // there is a report
-	Requests float64 // requests in service or queued
+	Known    bool    // whether there is a load report; if not, Requests has no meaning
+	Requests float64 // requests that the endpoint serves or has queued
 }
 
 // Outcome is the end of an attempt.
 type Outcome struct {
-	ID               string // of the request
-	Attempt          int
-	Endpoint         string
-	Result           Result
-	Latency          time.Duration // since the attempt was sent
-	IsFinal          bool          // the request has its final answer
-	ReusedConnection bool          // the attempt went out on a connection that had served before
-	BodyConsumed     bool          // of a request with a streaming body: the body is consumed, so no retry is possible
+	ID               string        // ID of the request
+	Attempt          int           // number of the attempt, from 0
+	Endpoint         string        // ID of the endpoint that the attempt was sent to
+	Result           Result        // how the attempt ended
+	Latency          time.Duration // time from the sending of the attempt to its end
+	IsFinal          bool          // whether the request has its final response
+	ReusedConnection bool          // whether the attempt was sent on a connection that had served another one before
+	BodyConsumed     bool          // whether bytes of a streaming body were consumed, so that no retry is possible
 }
 
-// ProbeResult is the result of a probe.
+// ProbeResult is the result of a load probe.
 type ProbeResult struct {
-	Endpoint string
-	Result   Result
-	Load     Load
+	Endpoint string // ID of the endpoint
+	Result   Result // OK if the endpoint responded
+	Load     Load   // load report in the response
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,10 +1,11 @@
 package balance
 
-// The Balancer's state, its events and the path of a request. The interface is in api.go; each mechanism has
-// its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and Passarella,
-// "A Decentralized Framework for Serverless Edge Computing in the Internet of Things": a latency smoothed per
-// endpoint (its weight), endpoints within twice the best kept active, and the lowest deficit picked. Here a
-// weight is a stretch: latency over the baseline latency of the request's class, so 1 without load.
+// This file holds the Balancer's state, its events and the path of a request. The interface is in api.go;
+// each mechanism has its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and
+// Passarella, "A Decentralized Framework for Serverless Edge Computing in the Internet of Things": each
+// endpoint has a weight, which is its smoothed latency; endpoints with at most twice the smallest weight are
+// active; a request goes to the active endpoint with the lowest deficit. Here a weight is a stretch: the
+// latency divided by the baseline latency of the request's class, so it is 1 without load.
 
 import (
 	"fmt"
@@ -16,58 +17,58 @@
 // logInterval is the least time between two log lines of one kind, so that overload does not flood the log.
 const logInterval = 10 * time.Second
 
-// Balancer implements Events. New makes one. Its owner calls it from one goroutine at a time.
+// Balancer decides where the requests of one host go. It implements Events; New creates it. Only one
+// goroutine at a time may call it.
 type Balancer struct {
 	settings Settings
 	host     Host
-	rng      *rand.Rand
+	rng      *rand.Rand // source of all random choices, seeded by Settings.Seed
 
-	startedAt       time.Duration
-	wakeupAt        time.Duration // earliest timer asked for; 0: none
-	classes         map[string]*class
-	tenants         map[string]*tenant
-	kinds           map[string]*kind
-	endpointByID    map[string]*endpoint
-	endpoints       []*endpoint     // in the order in which they were first listed
-	availableCount  int             // endpoints that may be used
-	manuallyEjected map[string]bool // IDs, listed or not
+	startedAt       time.Duration        // instant of New
+	wakeupAt        time.Duration        // instant of the earliest timer set; 0: no timer is set
+	classes         map[string]*class    // classes of Settings, by name
+	tenants         map[string]*tenant   // tenants of Settings, by name
+	kinds           map[string]*kind     // kinds of the endpoints listed so far, by name
+	endpointByID    map[string]*endpoint // listed endpoints, by ID
+	endpoints       []*endpoint          // listed endpoints, in the order in which they were first listed
+	availableCount  int                  // number of listed endpoints that may get new attempts
+	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
-	subset               []*endpoint // the endpoints that this balancer uses
-	subsetSizeByRate     float64     // by the rate of requests
-	pickSample           []*endpoint // of a large subset: the candidates of the latest pick
-	recentlyUsed         []*endpoint // of a large subset: the endpoints used last
-	cachedSmallestWeight float64     // of a large subset: the smallest active weight
-	cachedWeightUses     int         // how often cachedSmallestWeight may still be used
+	subset               []*endpoint // endpoints that this balancer uses
+	subsetSizeByRate     float64     // subset size that the request rate required at the last rebuild for it
+	pickSample           []*endpoint // candidates of the last pick from a large subset
+	recentlyUsed         []*endpoint // endpoints of a large subset that were used last, oldest first
+	cachedSmallestWeight float64     // smallest weight of the active endpoints of a large subset
+	cachedWeightUses     int         // number of times that cachedSmallestWeight may still be used
 
-	requests   map[string]*request // without a final answer, or with an attempt in flight
-	unfinished []*request          // without a final answer
-	queue      []*request          // in order of arrival
+	requests   map[string]*request // by ID: requests without a final response or with an attempt in flight
+	unfinished []*request          // requests without a final response, in no particular order
+	queue      []*request          // requests that wait for an endpoint with capacity, in order of arrival
 
-	resubscribeAt      time.Duration // 0: not due
-	resubscribeBackoff time.Duration
+	resubscribeAt      time.Duration // instant of the next subscription to discovery; 0: none is due
+	resubscribeBackoff time.Duration // backoff before that subscription, without jitter; 0: discovery works
 
-	inFlight         int     // attempts that wait for an endpoint
-	concurrencyLimit float64 // bound of inFlight
-	recentStretch    float64 // smoothed stretch of responses
-	limitUpdatedAt   time.Duration
-	nextReductionAt  time.Duration // of the concurrency limit, at the earliest
+	inFlight         int           // attempts that wait for an endpoint, streaming bodies excluded
+	concurrencyLimit float64       // limit of inFlight, retries excepted
+	recentStretch    float64       // smoothed stretch of the responses of all endpoints
+	limitUpdatedAt   time.Duration // instant of the last response that updated recentStretch
+	nextReductionAt  time.Duration // instant before which the concurrency limit is not reduced again
 
-	pacedRoundSeconds    float64 // at the latest change of the subset
-	retryBudget          float64 // retries saved up
-	errorRate            float64 // fraction of recent results that are errors
-	meanReportedLoad     float64 // over recent load reports
-	meanLatencyObjective float64 // over the classes, in seconds
-	totalQuota           float64 // of all tenants, requests per second of this balancer
+	pacedRoundSeconds    float64 // slowStartRoundSeconds at the last rebuild of the subset
+	retryBudget          float64 // retries that may still be sent, at most maxRetryBudget
+	errorRate            float64 // fraction of error responses among recent results of all endpoints
+	meanReportedLoad     float64 // smoothed number of requests in the load reports of all endpoints
+	meanLatencyObjective float64 // mean latency objective of the classes, in seconds
+	totalQuota           float64 // this balancer's part of the quotas of all tenants, in requests per second
 
-	requestCounter  decayingCounter // requests
-	admittedCounter decayingCounter // of them, those sent and those that no endpoint was available for
-	lastLoggedAt    map[string]time.Duration
+	requestCounter  decayingCounter          // all requests
+	admittedCounter decayingCounter          // requests sent, or rejected only for lack of an endpoint
+	lastLoggedAt    map[string]time.Duration // instant of the last log line, by its kind
 }
 
 var _ Events = (*Balancer)(nil)
 
-// New returns a Balancer that knows nothing but its settings. If they say MustSubscribe, it calls
-// h.Subscribe.
+// New returns a Balancer without endpoints. It calls h.Subscribe if the settings say MustSubscribe.
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
 		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)),
@@ -93,9 +94,9 @@
 	return b
 }
 
-// EndpointList implements Events. From this event on an endpoint that is draining or gone gets no attempt.
+// EndpointList implements Events. An endpoint that is draining or gone gets no attempt after this event.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
-	if l.Failed { // resubscribe with jitter, so that balancers do not do it at once, and in time
+	if l.Failed { // jitter spreads the subscriptions of the balancers
 		if b.settings.MustSubscribe {
 			longest := max(b.settings.SubscribeWithin/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
@@ -115,14 +116,15 @@
 	b.availabilityChanged(now, availableBefore)
 }
 
-// availabilityChanged adapts subset, concurrency limit and queue to a change of the available endpoints.
+// availabilityChanged updates the subset, the concurrency limit and the queue after the set of available
+// endpoints has changed. availableBefore is their number before the change.
 func (b *Balancer) availabilityChanged(now time.Duration, availableBefore int) {
 	b.rebuildSubset(now)
-	if availableBefore > 0 && b.availableCount > 0 { // the load of many must not go to the few that remain
+	if availableBefore > 0 && b.availableCount > 0 { // the remaining endpoints must not get the load of all
 		b.concurrencyLimit *= float64(b.availableCount) / float64(availableBefore)
 	}
 	b.sendQueued(now)
-	if b.allManuallyEjected() { // only operators can change this, and that takes longer than requests wait
+	if b.allManuallyEjected() { // requests cannot wait as long as operators take to restore an endpoint
 		for _, req := range slices.Clone(b.queue) {
 			b.rejectOrFail(now, req)
 		}
@@ -130,12 +132,12 @@
 	}
 }
 
-// SetEjected implements Events. Attempts in flight at an endpoint that is ejected run to their end.
-func (b *Balancer) SetEjected(now time.Duration, id string, out bool) {
-	if b.manuallyEjected[id] == out {
+// SetEjected implements Events. Attempts in flight at an ejected endpoint are not cancelled.
+func (b *Balancer) SetEjected(now time.Duration, id string, ejected bool) {
+	if b.manuallyEjected[id] == ejected {
 		return
 	}
-	if out {
+	if ejected {
 		b.manuallyEjected[id] = true
 	} else {
 		delete(b.manuallyEjected, id)
@@ -144,7 +146,7 @@
 	if ep == nil {
 		return
 	}
-	if ep.manuallyEjected = out; !out {
+	if ep.manuallyEjected = ejected; !ejected {
 		ep.incarnation++
 		ep.restoredAt, ep.Started, ep.trialInFlight = now, now, false
 		ep.errorRate, ep.reportedLoad, ep.reportedLoadAt = 0, 0, 0
@@ -157,7 +159,7 @@
 // Request implements Events: it rejects the request, sends it, or queues it until an endpoint has capacity.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classes[r.Class]
-	if c == nil { // not in the settings: never retried, and not stored, because such names have no bound
+	if c == nil { // an unknown class is not stored, since clients can send any number of names
 		c = &class{Class: Class{Idempotency: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}}
 	}
 	b.countRequest(now)
@@ -175,7 +177,8 @@
 	b.wakeAt(b.nextCheckAt(req))
 }
 
-// dispatch sends a request to the endpoint picked, or queues it. Retries may exceed the concurrency limit.
+// dispatch picks an endpoint and sends the request to it, or queues the request if no endpoint can take it.
+// Retries may exceed the concurrency limit.
 func (b *Balancer) dispatch(now time.Duration, req *request) {
 	isRetry := len(req.attempts) > 0
 	if isRetry || len(b.queue) == 0 || req.isQueued {
@@ -185,7 +188,7 @@
 		} else {
 			ep = b.pickBelowFairUsage(now, req)
 		}
-		if ep == nil && isRetry { // the endpoints that know its idempotency key may be outside the subset
+		if ep == nil && isRetry { // the endpoints that drop duplicates of its key may be outside the subset
 			ep = b.pick(now, req, b.endpoints)
 		}
 		if ep != nil {
@@ -204,7 +207,8 @@
 	}
 }
 
-// sendQueued dispatches queued requests, oldest first, until one that is no retry finds no capacity.
+// sendQueued dispatches the queued requests, oldest first. Once no endpoint has capacity for a first attempt,
+// it dispatches only retries.
 func (b *Balancer) sendQueued(now time.Duration) {
 	isFull := false
 	for _, req := range b.queue {
@@ -216,7 +220,7 @@
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.isQueued })
 }
 
-// send charges the endpoint and hands the attempt to the host.
+// send charges the endpoint's deficit and calls Host.Send for the next attempt of the request.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint) {
 	if b.capacityFraction(now, ep) < 1 {
 		ep.slowStartNextAt = now + b.slowStartInterval(now, ep)
@@ -237,7 +241,7 @@
 	b.host.Send(req.ID, ep.ID, max(req.Deadline-now, req.StreamUntil-now, time.Microsecond))
 }
 
-// Outcome implements Events: it learns from the end of an attempt and decides whether to retry.
+// Outcome implements Events: it records the result of an attempt and decides whether to retry.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	req := b.requests[o.ID]
 	att := req.inFlightAttempt(o.Attempt)
@@ -248,7 +252,7 @@
 	b.countInFlight(att, -1)
 	req.bodyConsumed = req.bodyConsumed || o.BodyConsumed
 	if !att.responseStreaming {
-		if req.StreamUntil > 0 { // the client determines how long a streaming body takes, not the endpoint
+		if req.StreamUntil > 0 { // exclude the time that the client took to send the body
 			o.Latency = now - att.waitingSince
 		}
 		b.recordResult(now, req, att, attributedResult(o), o.Latency)
@@ -260,7 +264,7 @@
 	case b.canRetry(now, req) && slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool {
 		return ep.isAvailable() && b.isSafeToSend(now, req, ep)
 	}):
-		if o.Result != ConnectFailed { // which cost the endpoints nothing
+		if o.Result != ConnectFailed { // a failed connect adds no load to the endpoints
 			b.retryBudget--
 		}
 		b.dispatch(now, req)
@@ -270,7 +274,8 @@
 	b.sendQueued(now)
 }
 
-// processDue does what has fallen due by time alone: subscription, deadlines, lost probes, overdue attempts.
+// processDue handles what is due at a timer: the subscription to discovery, requests at their deadline, load
+// probes without a response, and overdue attempts.
 func (b *Balancer) processDue(now time.Duration) {
 	if b.resubscribeAt > 0 && now >= b.resubscribeAt {
 		b.resubscribeAt = 0
@@ -279,7 +284,8 @@
 	for _, req := range slices.Clone(b.unfinished) {
 		if now >= req.giveUpInstant() || req.isQueued && now >= b.queueDeadline(req) {
 			if len(req.attempts) == 0 {
-				b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.queue)))
+				text := fmt.Sprintf("no endpoint has capacity, %d requests are queued", len(b.queue))
+				b.log(now, "full", text)
 			}
 			b.rejectOrFail(now, req)
 			continue
@@ -297,8 +303,8 @@
 	b.sendQueued(now)
 }
 
-// SetBalancerCount implements Events. A change grants no tenant a burst: saved tokens shrink with this
-// balancer's part of the quota, and grow only at the new rate.
+// SetBalancerCount implements Events. A change gives no tenant a burst: its saved tokens shrink if this
+// balancer's part of the quota does, but do not grow with it.
 func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
 	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
 	if before == after && b.settings.Index == index {
@@ -313,7 +319,7 @@
 	b.rebuildSubset(now)
 }
 
-// log writes a line, at most one of a kind per logInterval.
+// log writes a line that begins with its kind, unless one of the kind was written within logInterval.
 func (b *Balancer) log(now time.Duration, kind, text string) {
 	if at, ok := b.lastLoggedAt[kind]; !ok || now-at >= logInterval {
 		b.lastLoggedAt[kind] = now
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -5,22 +5,26 @@
 	"time"
 )
 
-// The adaptive concurrency limit: attempts in flight, streaming bodies apart, over all endpoints.
+// The adaptive concurrency limit bounds the attempts in flight at all endpoints, streaming bodies excluded.
 const (
-	initialLimitPerEndpoint = 6.0             // attempts in flight per endpoint, before any response
-	stretchTimeConstant     = 2 * time.Second // after which a response counts 1/e of the recent stretch
-	maxLimitStretch         = 3.0             // one response contributes no more: it may be an outlier
-	congestionStretch       = 1.6             // recent stretch above which the limit is reduced,
-	limitReductionFloor     = 0.5             // to no less than this fraction each half response time
-	limitGrowthStretch      = 1.5             // recent stretch below which a limit that is reached grows,
-	limitGrowthGain         = 0.2             // per response, by this times the distance below that stretch
-	firstTierGrowthStretch  = 1.3             // below which the first tier, where clients are spread
-	firstTierGrowthMultiple = 2.0             // unevenly, has it grow this many times as fast
+	initialLimitPerEndpoint = 6.0             // attempts in flight per endpoint before any response
+	stretchTimeConstant     = 2 * time.Second // time after which a response has 1/e of its weight
+	maxLimitStretch         = 3.0             // largest stretch that one response, maybe an outlier, adds
+	congestionStretch       = 1.6             // recentStretch above which a used limit is reduced
+	limitReductionFloor     = 0.5             // least factor of a reduction; one per half a response time
+	limitGrowthStretch      = 1.5             // recentStretch below which a limit that is reached grows
+	limitGrowthGain         = 0.2             // growth per response, times limitGrowthStretch - recentStretch
+	usedLimitFraction       = 0.6             // fraction of the limit in flight above which it counts as used
+
+	// In the first tier clients are spread unevenly over balancers, so that some soon need a higher limit.
+	firstTierGrowthStretch  = 1.3 // recentStretch below which the limit of the first tier grows faster
+	firstTierGrowthMultiple = 2.0 // factor by which it grows faster
 )
 
-// updateConcurrencyLimit reduces the limit while it is used and responses stretch, lest endpoints are driven
-// into a slow state, and raises it while it is reached and they hardly do. A balancer with little traffic has
-// few responses to go by: the latest weighs most, and the attempt that it ended counts as in flight.
+// updateConcurrencyLimit updates the limit after a response. It reduces a limit that is used while the recent
+// stretch is high, before endpoints are saturated, and raises a limit that is reached while the stretch is
+// low. A balancer with little traffic has few responses, so the gain grows with the time since the last one,
+// and the attempt that has just ended counts as in flight.
 func (b *Balancer) updateConcurrencyLimit(now time.Duration, stretch float64) {
 	gain := 1 - math.Exp(-(now-b.limitUpdatedAt).Seconds()/stretchTimeConstant.Seconds())
 	b.limitUpdatedAt = now
@@ -41,8 +45,9 @@
 	}
 }
 
-// endpointsPerBalancer is how many endpoints there are per balancer. Behind the first tier it is all of them:
-// balancers are many there, and each has little traffic.
+// endpointsPerBalancer returns the number of endpoints divided by that of balancers, at least 1. Behind the
+// first tier it returns the number of all endpoints, since balancers there are many and each has little
+// traffic.
 func (b *Balancer) endpointsPerBalancer() float64 {
 	n := float64(len(b.endpoints))
 	if b.settings.Tier == 0 {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Outlier ejection. An endpoint whose weight leaves activeFactor, or that does not respond, is ejected. After
-// a backoff it gets a single trial request, and becomes active again or backs off for twice as long.
+// Outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor times the
+// smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or backs off
+// for twice as long.
 const (
-	activeFactor         = 2.0                    // of the smallest active weight: the paper's active list
-	minBackoff           = 500 * time.Millisecond // the paper's b_min, before the first trial
-	maxBackoffMultiple   = 8                      // longest backoff, in initial ones: recovery must show
-	outlierErrorMultiple = 1.5                    // error rate, over that of all, of an endpoint at fault
+	activeFactor         = 2.0                    // largest weight of an active endpoint, in smallest weights
+	minBackoff           = 500 * time.Millisecond // least backoff before the first trial: the paper's b_min
+	maxBackoffMultiple   = 8                      // longest backoff, in initial ones, to notice recoveries
+	outlierErrorMultiple = 1.5                    // error rate of an outlier, in error rates of all endpoints
 	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
 )
 
-// resetEndpoint resets a new or restarted endpoint, which becomes active by a trial: at a random moment of a
-// turn, since all balancers learn of it at once. On the first list, what is not warming up is active at once.
+// resetEndpoint resets the state of a new or restarted endpoint, which becomes active by a trial. The instant
+// of the trial is random within one round, since all balancers receive the list at the same time. On the
+// first list, an endpoint that is not warming up is active at once.
 func (b *Balancer) resetEndpoint(now time.Duration, ep *endpoint, isFirstList bool) {
 	ep.active = isFirstList && b.capacityFraction(now, ep) == 1
 	ep.backoff = b.initialBackoff(now)
@@ -22,11 +24,14 @@
 	ep.ejected, ep.wasInSubset = false, false
 }
 
-// recordResult learns from the result of an attempt and ends it if it is a trial.
-func (b *Balancer) recordResult(now time.Duration, req *request, att *attempt, r Result, took time.Duration) {
+// recordResult updates the estimates of the endpoint, its kind and the class with the result of an attempt.
+// The result of a trial makes the endpoint active or backs off.
+func (b *Balancer) recordResult(
+	now time.Duration, req *request, att *attempt, r Result, latency time.Duration,
+) {
 	ep, hasFailed := att.endpoint, r != OK
-	stretch := min(took.Seconds()/b.baselineSeconds(req), maxSampleStretch)
-	if att.incarnation != ep.incarnation { // it was sent before the endpoint's restart
+	stretch := min(latency.Seconds()/b.baselineSeconds(req), maxSampleStretch)
+	if att.incarnation != ep.incarnation { // the attempt was sent before operators restored the endpoint
 		return
 	}
 	b.errorRate -= b.errorRate * recentMeanGain
@@ -34,7 +39,7 @@
 	switch r {
 	case OK:
 		ep.lastResponseAt = now
-		req.class.observe(now, took.Seconds())
+		req.class.observe(now, latency.Seconds())
 		b.updateConcurrencyLimit(now, stretch)
 		ep.kind.observe(stretch)
 	case ErrorResponse:
@@ -42,12 +47,12 @@
 		ep.errorRate += recentMeanGain
 		hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > outlierErrorMultiple*b.errorRate
 		if !hasFailed {
-			r = NotSent // the tier below fails for all endpoints alike: no information about this one
+			r = NotSent // errors of the tier below, alike at all endpoints, say nothing about this one
 		}
-	case Reset: // it restarts, and warms up when it responds again
+	case Reset: // the endpoint is taken to restart, and to warm up afterwards
 		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // no sample; but a trial cancelled after it was overdue has failed
+	if r == Canceled || r == NotSent { // no sample, but a trial cancelled after it was overdue has failed
 		if att.isTrial {
 			ep.trialInFlight = false
 			b.scheduleTrial(now, ep, att.wasOverdue)
@@ -65,8 +70,9 @@
 	}
 }
 
-// attributedResult is the result as far as the endpoint caused it. A reset on a reused connection counts as
-// not sent: the endpoint may close it just as it is used, and if it is down, new connections fail.
+// attributedResult returns the result that counts for the endpoint. A reset on a reused connection counts as
+// not sent: a healthy endpoint may close an idle connection while an attempt is being sent on it. If the
+// endpoint is down, new connections fail, too.
 func attributedResult(o Outcome) Result {
 	if o.Result == Reset && o.ReusedConnection {
 		return NotSent
@@ -74,19 +80,20 @@
 	return o.Result
 }
 
-// overdueInstant is when an attempt that waits for the endpoint from now on is overdue.
+// overdueInstant returns the instant at which an attempt that waits for the endpoint from now on is overdue.
 func (b *Balancer) overdueInstant(now time.Duration, req *request, ep *endpoint) time.Duration {
 	wait := seconds(overdueMultiple * max(ep.weight(), 1) * b.baselineSeconds(req))
 	return now + max(wait, 3*b.settings.TimerResolution)
 }
 
-// handleOverdue takes the age of an overdue attempt as a sample. An endpoint without any response since the
-// attempt began is ejected, so that a hang is noticed after a few response times and not after a timeout.
+// handleOverdue adds the time for which overdue attempt i has waited to the latency samples. It ejects an
+// endpoint that has not responded to any attempt in that time, so that one that hangs is detected after a few
+// response times and not only after a timeout.
 func (b *Balancer) handleOverdue(now time.Duration, req *request, i int) {
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
 	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
-	if att.bodyStreaming { // its duration is no sample, and must not delay the next trial
+	if att.bodyStreaming { // the duration of a stream is no latency sample and must not delay the next trial
 		if att.isTrial {
 			att.isTrial, ep.trialInFlight = false, false
 			b.scheduleTrial(now, ep, false)
@@ -99,19 +106,20 @@
 	if ep.active {
 		b.addSample(now, ep, min((now-att.waitingSince).Seconds()/b.baselineSeconds(req), maxSampleStretch))
 		if ep.active && isSilent {
-			b.log(now, "silent", ep.ID+" answers nothing and gets trials only")
+			b.log(now, "silent", ep.ID+" does not respond and gets only trials")
 			b.eject(now, ep)
 		}
 	}
 }
 
-// eject takes an endpoint out of the active ones and schedules its first trial.
+// eject makes an endpoint inactive and schedules its first trial.
 func (b *Balancer) eject(now time.Duration, ep *endpoint) {
 	ep.active, ep.ejected, ep.backoff = false, true, b.initialBackoff(now)
 	b.scheduleTrial(now, ep, false)
 }
 
-// scheduleTrial sets the next trial, after twice the backoff if the last trial failed.
+// scheduleTrial schedules the next trial of an inactive endpoint. It doubles the backoff if the last trial
+// failed.
 func (b *Balancer) scheduleTrial(now time.Duration, ep *endpoint, hasFailed bool) {
 	if hasFailed {
 		ep.ejected = true
@@ -120,7 +128,8 @@
 	ep.nextTrialAt = now + b.jitter(ep.backoff)
 }
 
-// finishTrial makes the endpoint active again, with its deficit at its weight as in the paper, or backs off.
+// finishTrial makes the endpoint active after a successful trial, with a deficit equal to its weight as in
+// the paper, or schedules another trial.
 func (b *Balancer) finishTrial(now time.Duration, ep *endpoint, stretch float64, hasFailed bool) {
 	ep.trialInFlight, ep.sampleSum, ep.sampleCount, ep.lastSampleAt = false, stretch/ep.kind.weight, 1, now
 	active := b.summarizeActive()
@@ -134,7 +143,8 @@
 	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
 
-// initialBackoff is at least a turn: trials must not exceed an even share of the requests of this balancer.
+// initialBackoff returns the backoff before the first trial. It is at least one round, so that an inactive
+// endpoint gets no more requests from this balancer than an active one.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
 	return max(minBackoff, b.roundDuration(now))
 }
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// endpoint is what is known of one endpoint.
+// endpoint is the state of one listed endpoint.
 type endpoint struct {
-	Endpoint
-	kind *kind
-
-	active         bool          // in the paper's active list
-	deficit        float64       // the paper's Δ: what its turns have been charged
-	sampleSum      float64       // smoothed sum of its samples, each over the kind's weight
-	sampleCount    float64       // samples that sampleSum is worth
-	errorRate      float64       // fraction of recent results that are errors
-	lastSampleAt   time.Duration // of the latest sample
-	lastResponseAt time.Duration // of the latest response
-
-	ejected       bool          // not active because of its latency, silence or a failed trial
-	backoff       time.Duration // wait between trials
-	nextTrialAt   time.Duration // while not active
-	trialInFlight bool          // the single trial request is in flight
-
-	manuallyEjected bool          // by operators
-	restoredAt      time.Duration // when operators restored it; 0: never
-	incarnation     int           // how often operators restored it
-
-	inFlight        int // attempts that wait for its response
-	streamsInFlight int // attempts with a streaming body, in either direction
-
-	slowStartNextAt time.Duration // earliest next attempt, while it is warming up
-	wasInSubset     bool          // at the latest change of the subset
-
-	reportedLoad   float64       // of the latest load report
-	reportedLoadAt time.Duration // of the latest load report; 0: none
+	Endpoint       // its entry in the endpoint list
+	kind     *kind // pooled weight of the endpoints of its kind
+
+	active         bool          // whether it is in the paper's active list; if not, it gets only trials
+	deficit        float64       // the paper's Δ: sum of the weights charged for its requests
+	sampleSum      float64       // decayed sum of samples, each a stretch over the kind's weight
+	sampleCount    float64       // decayed number of the samples in sampleSum
+	errorRate      float64       // fraction of error responses among the endpoint's recent results
+	lastSampleAt   time.Duration // instant of the last latency sample
+	lastResponseAt time.Duration // instant of the last response without an error
+
+	ejected       bool          // whether latency, missing responses or a failed trial made it inactive
+	backoff       time.Duration // time between trials, without jitter
+	nextTrialAt   time.Duration // instant from which a trial may be sent while the endpoint is not active
+	trialInFlight bool          // whether a trial is in flight; there is one at a time
+
+	manuallyEjected bool          // whether operators have ejected the endpoint
+	restoredAt      time.Duration // instant at which operators restored the endpoint; 0: never
+	incarnation     int           // number of times that operators have restored the endpoint
+
+	inFlight        int // attempts of this balancer that wait for a response of the endpoint
+	streamsInFlight int // attempts with a streaming request or response body
+
+	slowStartNextAt time.Duration // earliest instant of the next attempt while the endpoint is warming up
+	wasInSubset     bool          // whether the endpoint was in the subset at its last rebuild
+
+	reportedLoad   float64       // requests in the last load report
+	reportedLoadAt time.Duration // instant of the last load report; 0: there is none
 }
 
 // isAvailable reports whether the endpoint may get new attempts.
 func (e *endpoint) isAvailable() bool { return e.State == Ready && !e.manuallyEjected }
 
-// hasFreshLoadReport reports whether the latest load report may still be used.
+// hasFreshLoadReport reports whether the last load report is recent enough to be used.
 func (e *endpoint) hasFreshLoadReport(now time.Duration) bool {
 	return e.reportedLoadAt > 0 && now-e.reportedLoadAt <= loadReportLifetime
 }
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// mergeList applies a list to the endpoints and returns those that are new or have restarted.
+// mergeList applies an update to the listed endpoints and returns those that are new or have restarted.
 func (b *Balancer) mergeList(l EndpointUpdate) []*endpoint {
 	var started []*endpoint
 	if l.Complete {
@@ -16,7 +16,7 @@
 			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
 			b.endpointByID[entry.ID], b.endpoints = ep, append(b.endpoints, ep)
 		}
-		entry.Started = max(entry.Started, ep.restoredAt) // the list may learn late of a restart by operators
+		entry.Started = max(entry.Started, ep.restoredAt) // the list may not show the restoration yet
 		if ep.kind == nil || entry.Started > ep.Started {
 			started = append(started, ep)
 		}
@@ -36,7 +36,7 @@
 	return started
 }
 
-// countAvailable updates the number of available endpoints.
+// countAvailable sets availableCount to the number of listed endpoints that may get new attempts.
 func (b *Balancer) countAvailable() {
 	b.availableCount = 0
 	for _, ep := range b.endpoints {
@@ -56,11 +56,11 @@
 func (b *Balancer) IsKnown(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
 
 // EndpointCounts implements Events.
-func (b *Balancer) EndpointCounts() (listed, avoided int) {
+func (b *Balancer) EndpointCounts() (listed, ejected int) {
 	for _, ep := range b.endpoints {
 		if ep.manuallyEjected || ep.ejected && !ep.active {
-			avoided++
+			ejected++
 		}
 	}
-	return len(b.endpoints), avoided
+	return len(b.endpoints), ejected
 }
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -1,24 +1,27 @@
 package balance
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
-import "math"
-
-// decayingCounter counts events with weights that decay with ewmaTimeConstant.
+// decayingCounter counts events, each with a weight that decays with ewmaTimeConstant.
 type decayingCounter struct {
-	count     float64 // as of at
-	updatedAt time.Duration
+	count     float64       // sum of the weights of all events at updatedAt
+	updatedAt time.Duration // instant of the last event
 }
 
+// add counts an event.
 func (c *decayingCounter) add(now time.Duration) {
 	c.count, c.updatedAt = c.count*ewmaDecay(now-c.updatedAt)+1, now
 }
 
-// perSecond is the recent rate of events. It is corrected for the time before startedAt, which had no events.
+// perSecond returns the recent rate of events. It divides by the weight of the time since startedAt, because
+// there were no events before.
 func (c *decayingCounter) perSecond(now, startedAt time.Duration) float64 {
 	return c.count * ewmaDecay(now-c.updatedAt) /
 		((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
 }
 
-// ewmaDecay is the fraction that a time leaves of a weight.
+// ewmaDecay returns the fraction of a weight that is left after the given time.
 func ewmaDecay(d time.Duration) float64 { return math.Exp(-d.Seconds() / ewmaTimeConstant.Seconds()) }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -39,6 +39,6 @@
 	b.Timer(2990 * time.Millisecond)
 	// Output:
 	// send r1 to 10.0.0.1:80
-	// full: no endpoint has room, 1 requests wait
+	// full: no endpoint has capacity, 1 requests are queued
 	// refuse r2
 }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -5,59 +5,65 @@
 	"time"
 )
 
-// Latency estimates: the baseline of each class, and the weights of endpoints and of their kinds.
+// Latency estimates: the baseline latency of each class, and the weights of endpoints and of their kinds.
 const (
-	ewmaAlpha        = 0.95             // the paper's α: the most that a sample leaves of the old weight
-	ewmaTimeConstant = 10 * time.Second // after which a sample counts 1/e, also where samples are rare
-	kindPriorSamples = 3.0              // samples that its kind's weight counts for in an endpoint's weight
+	ewmaAlpha        = 0.95             // the paper's α: most that a sample leaves of the old weight
+	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
+	kindPriorSamples = 3.0              // samples that the kind's weight counts for in an endpoint's weight
 	kindWeightGain   = 0.03             // least gain of a kind's weight per response
-	recentMeanGain   = 0.05             // least gain of other recent means per response
-	maxSampleStretch = 20.0             // one sample contributes no more to a weight
+	recentMeanGain   = 0.05             // least gain of other smoothed means per response or result
+	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
-	baselineLearningSeconds = 1.5              // during which it is the mean: fast responses come first
-	baselineFallGain        = 0.02             // gain of the baseline per response while the mean is below it
-	baselineRiseTime        = 60 * time.Second // in which it rises to the mean: overload is not normal
+	// At first the baseline is the mean latency, because the first responses are those of the fastest
+	// requests.
+	baselineLearningSeconds = 1.5              // seconds from the first response to the end of learning
+	baselineFallGain        = 0.02             // gain per response while the mean latency is lower
+	baselineRiseTime        = 60 * time.Second // time to rise to a higher mean: overload is not normal
 )
 
-// kind pools the samples of the endpoints of one kind.
-type kind struct{ weight, sampleCount float64 }
+// kind holds the estimate that the endpoints of one kind have in common.
+type kind struct {
+	weight      float64 // smoothed stretch of the responses of all endpoints of the kind
+	sampleCount float64 // number of responses so far
+}
 
-// observe adds the stretch of a response to the weight of the kind.
+// observe updates the weight of the kind with the stretch of a response.
 func (k *kind) observe(stretch float64) {
 	k.sampleCount++
 	k.weight += (stretch - k.weight) * max(1/(k.sampleCount+2), kindWeightGain)
 }
 
-// class is the latency of the requests of one class.
+// class is a class of requests with its latency estimates.
 type class struct {
 	Class
-	sampleCount     float64
-	baselineLatency float64 // seconds, without load
-	meanLatency     float64 // seconds, recent
-	firstResponseAt time.Duration
-	lastResponseAt  time.Duration
+	sampleCount     float64       // number of responses so far
+	baselineLatency float64       // latency without load, in seconds
+	meanLatency     float64       // smoothed latency of recent responses, in seconds
+	firstResponseAt time.Duration // instant of the first response
+	lastResponseAt  time.Duration // instant of the last response
 }
 
-// weight is the endpoint's expected stretch, the paper's w: that of its kind, corrected by its own samples.
-// The few samples of a balancer with little traffic cannot tell a slow machine from an expensive request.
+// weight returns the stretch expected at the endpoint, the paper's w: the weight of its kind, corrected by
+// its own samples. The kind counts because the few samples of a balancer with little traffic do not show
+// whether the machine is slow or the requests were expensive.
 func (e *endpoint) weight() float64 {
 	return e.kind.weight * (kindPriorSamples + e.sampleSum) / (kindPriorSamples + e.sampleCount)
 }
 
-// addSample adds a stretch to the endpoint's weight and ejects the endpoint if it is no longer within
-// activeFactor of the best.
+// addSample updates the endpoint's weight with a latency sample and ejects the endpoint if its weight now
+// exceeds activeFactor times the smallest active weight.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
 	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
-	kept := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples))
-	ep.sampleSum = ep.sampleSum*kept + stretch/ep.kind.weight
-	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*kept+1, now
+	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old samples
+	ep.sampleSum = ep.sampleSum*retained + stretch/ep.kind.weight
+	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*retained+1, now
 	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
 		b.eject(now, ep)
 	}
 }
 
-// baselineSeconds is the latency of the request without load, in seconds: the baseline of its class, or a
-// quarter of the latency objective before the first response.
+// baselineSeconds returns the latency expected for the request without load, in seconds: the baseline latency
+// of its class or, before the first response, a quarter of the latency objective.
 func (b *Balancer) baselineSeconds(req *request) float64 {
 	c := req.class
 	if c.sampleCount == 0 || c.baselineLatency <= 0 {
@@ -66,13 +72,13 @@
 	return c.baselineLatency
 }
 
-// observe adds a response to the latencies of the class. The baseline rises with time and not with the number
-// of responses.
+// observe updates the latency estimates of the class with a response. The baseline rises by an amount that
+// depends on the time passed, not on the number of responses.
 func (c *class) observe(now time.Duration, latency float64) {
 	if c.sampleCount++; c.sampleCount == 1 {
 		c.firstResponseAt = now
 	}
-	gap := now - c.lastResponseAt
+	sinceLast := now - c.lastResponseAt
 	c.lastResponseAt = now
 	if c.meanLatency > 0 {
 		latency = min(latency, maxSampleStretch*c.meanLatency)
@@ -84,13 +90,13 @@
 	case c.meanLatency < c.baselineLatency:
 		c.baselineLatency += (c.meanLatency - c.baselineLatency) * baselineFallGain
 	default:
-		gain := min(gap.Seconds()/baselineRiseTime.Seconds(), 1)
+		gain := min(sinceLast.Seconds()/baselineRiseTime.Seconds(), 1)
 		c.baselineLatency += (c.meanLatency - c.baselineLatency) * gain
 	}
 }
 
-// meanBaselineSeconds is the mean baseline latency over the requests of all classes, in seconds; 1 before any
-// response.
+// meanBaselineSeconds returns the mean baseline latency of the classes, weighted by their responses, in
+// seconds; 1 before any response.
 func (b *Balancer) meanBaselineSeconds() float64 {
 	sum, count := 0.0, 0.0
 	for i := range b.settings.Classes {
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -6,34 +6,39 @@
 	"time"
 )
 
-// The pick: deficit round robin over the active endpoints, and what is added to the paper's deficit.
+// The pick is a deficit round robin over the active endpoints. Loads, idle connections and load reports
+// modify the paper's deficit.
 const (
-	inFlightCharge           = 1.0 // weights added per attempt in flight: a hang or a crowd shows at once
-	idleConnectionDiscount   = 2.0 // weights taken off for an idle connection; 4 made 1% of responses late
-	reportedLoadCharge       = 0.5 // weights charged per request in a load report, to probe others next
-	maxDeficitLag            = 2.0 // weights that a deficit may lag behind, or a burst would follow a crowd
-	sharedLatencyFraction    = 0.7 // of the smallest weight: latency of the tiers below, alike for all
-	maxEndpointUsageMultiple = 1.4 // of its part of the concurrency limit: the most an endpoint counts for
-
-	fullScanLimit       = 256 // endpoints; a larger subset is sampled, to bound the cost of a pick
-	pickSampleSize      = 16  // endpoints drawn for a sample: 8 and 64 spread requests as evenly
-	recentEndpointCount = 8   // endpoints used last that every sample contains, for their idle connections
-
-	probesPerRequest   = 3                     // endpoints probed before a request, where probes are allowed
-	probeTimeout       = 5 * time.Millisecond  // after which a request goes out without the results
-	loadReportLifetime = 10 * time.Millisecond // in which a load report is used: it ages as requests arrive
+	inFlightCharge         = 1.0 // weights added per request at the endpoint, so that a hang shows at once
+	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
+	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe others next
+	maxDeficitLag          = 2.0 // weights that a deficit may be behind that picked, to bound bursts
+	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
+
+	// maxEndpointUsageMultiple bounds the part of the concurrency limit that one endpoint counts for, in even
+	// parts.
+	maxEndpointUsageMultiple = 1.4
+
+	fullScanLimit       = 256 // largest subset scanned by each pick; larger ones are sampled
+	pickSampleSize      = 16  // endpoints drawn per sample; 8 and 64 spread requests as evenly
+	recentEndpointCount = 8   // recently used endpoints in every sample, for their idle connections
+
+	probesPerRequest   = 3                     // endpoints that are sent a load probe before a request
+	probeTimeout       = 5 * time.Millisecond  // time after which the request is sent without load reports
+	loadReportLifetime = 10 * time.Millisecond // time in which a load report is used; new requests outdate it
 )
 
-// activeSummary describes the active endpoints of the subset.
+// activeSummary holds the number and the extremes of the active endpoints in the subset.
 type activeSummary struct {
-	count          int
-	smallestWeight float64 // 1 if there are none
-	lowestDeficit  float64 // 0 if there are none
+	count          int     // number of active endpoints that are available
+	smallestWeight float64 // smallest of their weights; 1 without any
+	lowestDeficit  float64 // lowest of their deficits; 0 without any
 }
 
 // pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
-// grow with the number of endpoints. Each endpoint is sampled many times in a turn, so turns stay even. The
-// whole subset is scanned only if nothing in the sample is due.
+// grow with the number of endpoints. Samples contain each endpoint many times per round, so that requests are
+// still spread evenly. The whole subset is scanned only if the sample has neither an active endpoint nor a
+// due trial.
 func (b *Balancer) pickFromSubset(now time.Duration, req *request) *endpoint {
 	candidates := b.pickCandidates()
 	ep := b.pick(now, req, candidates)
@@ -43,8 +48,9 @@
 	return b.pick(now, req, b.subset)
 }
 
-// pick returns the endpoint with the earliest trial due, else the active one with the lowest deficit, load
-// included; with none active, the one with the next trial. It returns nil if the request has to wait.
+// pick returns the endpoint whose trial has been due for longest, else the active endpoint with the lowest
+// sum of deficit and load. Without active endpoints it returns the one with the next trial. It returns nil if
+// the request has to wait.
 func (b *Balancer) pick(now time.Duration, req *request, candidates []*endpoint) *endpoint {
 	var dueTrial, lowest, nextTrial *endpoint
 	lowestDeficit, hasActive := math.Inf(1), false
@@ -54,7 +60,7 @@
 		case !b.canSend(now, req, ep):
 		case ep.active:
 			deficit := b.effectiveDeficit(ep) + inFlightCharge*ep.weight()*b.load(now, ep)
-			if req.wasSentTo(ep) { // a retry goes elsewhere if it can
+			if req.wasSentTo(ep) { // a retry prefers another endpoint
 				deficit += maxSampleStretch
 			}
 			if deficit < lowestDeficit {
@@ -79,29 +85,32 @@
 	return nextTrial
 }
 
-// pickBelowFairUsage picks while the concurrency limit is reached: where few endpoints use it up, from those
-// with less than their even part of it in flight, else none. One that hangs must not leave the others idle.
+// pickBelowFairUsage picks an endpoint while the concurrency limit is reached. If a few endpoints use up the
+// limit, it picks among those with less than an even part of the limit in flight, so that an endpoint that
+// hangs does not leave the others idle. Otherwise it returns nil.
 func (b *Balancer) pickBelowFairUsage(now time.Duration, req *request) *endpoint {
-	part, used := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
+	evenPart, used := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
 	for _, ep := range b.subset {
-		used += min(float64(ep.inFlight), max(maxEndpointUsageMultiple*part, 1))
+		used += min(float64(ep.inFlight), max(maxEndpointUsageMultiple*evenPart, 1))
 	}
 	if used >= b.concurrencyLimit {
 		return nil
 	}
 	return b.pick(now, req, slices.DeleteFunc(slices.Clone(b.subset), func(ep *endpoint) bool {
-		return float64(ep.inFlight) >= part || !ep.active && now < ep.nextTrialAt
+		return float64(ep.inFlight) >= evenPart || !ep.active && now < ep.nextTrialAt
 	}))
 }
 
-// canSend reports whether the endpoint may get the request now, its pace in slow start included.
+// canSend reports whether the request may be sent to the endpoint now: the endpoint is available, its slow
+// start allows another attempt, and the request cannot take effect twice.
 func (b *Balancer) canSend(now time.Duration, req *request, ep *endpoint) bool {
 	return ep.isAvailable() &&
 		(now >= ep.slowStartNextAt || b.capacityFraction(now, ep) == 1) && b.isSafeToSend(now, req, ep)
 }
 
-// effectiveDeficit is the deficit less the discount for an idle connection, by which a few turns follow one
-// another before it is closed. Endpoints keep their number of turns, and inFlightCharge prevents crowds.
+// effectiveDeficit returns the deficit minus the discount for an idle connection. By the discount an endpoint
+// gets a few requests in a row before the connection is closed. It gets as many requests in total as without
+// it, and inFlightCharge prevents too many at once.
 func (b *Balancer) effectiveDeficit(ep *endpoint) float64 {
 	if b.host.HasIdleConnection(ep.ID) {
 		return ep.deficit - idleConnectionDiscount*ep.weight()
@@ -109,8 +118,9 @@
 	return ep.deficit
 }
 
-// load is how many requests the endpoint is taken to work on: its fresh load report, else what is in flight
-// from here or, if more, the mean of all load reports. An endpoint not probed must not appear idle.
+// load returns the estimated number of requests at the endpoint: that of a fresh load report, else the
+// attempts in flight from this balancer or, if higher, the mean of all load reports. The mean is needed
+// because an endpoint without a load probe would otherwise appear idle.
 func (b *Balancer) load(now time.Duration, ep *endpoint) float64 {
 	if ep.hasFreshLoadReport(now) {
 		return ep.reportedLoad
@@ -118,26 +128,30 @@
 	return max(float64(ep.inFlight), b.meanReportedLoad) + float64(ep.streamsInFlight)
 }
 
-// chargeDeficit charges an active endpoint its weight, as in the paper, times the cost of the class.
-// With tiers below, only what the endpoint adds is charged, or a slow machine would pass for a fast one.
+// chargeDeficit adds the endpoint's weight to its deficit, as in the paper, times the relative baseline
+// latency of the request's class. With tiers below, it leaves out the latency that all endpoints have in
+// common: otherwise a slow machine would get nearly as many requests as a fast one.
 func (b *Balancer) chargeDeficit(now time.Duration, req *request, ep *endpoint) {
-	expected, weight := b.baselineSeconds(req), ep.weight()
-	picked, charge := b.effectiveDeficit(ep), weight
+	baseline, weight := b.baselineSeconds(req), ep.weight()
+	pickedDeficit, charge := b.effectiveDeficit(ep), weight
 	if b.settings.TiersBelow > 0 {
 		charge -= sharedLatencyFraction * min(b.smallestActiveWeight(), weight)
 	}
-	ep.deficit += charge * expected / b.meanBaselineSeconds()
-	for _, other := range b.lastCandidates() { // one passed over for its load does not catch up at once,
-		other.deficit = max(other.deficit, picked-maxDeficitLag*weight)
-		if other != ep && other.hasFreshLoadReport(now) { // nor is it next, and probed, again and again
-			other.deficit = max(other.deficit, picked+reportedLoadCharge*weight*other.reportedLoad)
+	ep.deficit += charge * baseline / b.meanBaselineSeconds()
+	for _, other := range b.lastCandidates() {
+		// An endpoint that was not picked because of its load must not get a burst of requests afterwards.
+		other.deficit = max(other.deficit, pickedDeficit-maxDeficitLag*weight)
+		// Nor must it be among the endpoints with the lowest deficits, which are probed, all the time.
+		if other != ep && other.hasFreshLoadReport(now) {
+			other.deficit = max(other.deficit, pickedDeficit+reportedLoadCharge*weight*other.reportedLoad)
 		}
 	}
 }
 
-// probeCandidates probes the endpoints with the lowest deficits and reports whether there are any.
+// probeCandidates sends load probes to the endpoints with the lowest deficits and reports whether it sent
+// any.
 func (b *Balancer) probeCandidates(now time.Duration, req *request) bool {
-	var next [probesPerRequest + 1]*endpoint // by deficit; an insertion pushes out the last
+	var next [probesPerRequest + 1]*endpoint // lowest deficits first; the last one is dropped
 	for _, ep := range b.subset {
 		if b.canSend(now, req, ep) && (ep.active || !ep.trialInFlight && now >= ep.nextTrialAt) {
 			i := probesPerRequest
@@ -157,8 +171,8 @@
 	return len(req.pendingProbes) > 0
 }
 
-// Probed implements Events: it stores the load report and dispatches the requests that have all of theirs. An
-// active endpoint whose probe failed is ejected.
+// Probed implements Events: it stores the load report and dispatches the requests that waited only for this
+// one. An active endpoint whose load probe failed is ejected.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
 	ep := b.endpointByID[p.Endpoint]
 	if ep == nil {
@@ -179,7 +193,7 @@
 	}
 }
 
-// summarizeActive scans the subset for its active endpoints.
+// summarizeActive scans the subset and returns a summary of its active endpoints.
 func (b *Balancer) summarizeActive() activeSummary {
 	var s activeSummary
 	for _, ep := range b.subset {
@@ -200,8 +214,9 @@
 	return s
 }
 
-// smallestActiveWeight is the smallest weight of an active endpoint. That of a large subset is cached for as
-// many uses that the scans cost no more than the picks; an endpoint gets a sample or two in between.
+// smallestActiveWeight returns the smallest weight of an active endpoint. For a large subset the result is
+// cached for as many uses as make the scans cost no more than the picks; an endpoint gets one or two latency
+// samples meanwhile.
 func (b *Balancer) smallestActiveWeight() float64 {
 	if len(b.subset) <= fullScanLimit {
 		return b.summarizeActive().smallestWeight
@@ -214,7 +229,7 @@
 	return b.cachedSmallestWeight
 }
 
-// pickCandidates returns what the next pick chooses from: the subset, or a new sample of a large one.
+// pickCandidates returns the endpoints for the next pick: the subset, or a new sample of a large one.
 func (b *Balancer) pickCandidates() []*endpoint {
 	if len(b.subset) <= fullScanLimit {
 		return b.subset
@@ -226,7 +241,8 @@
 	return b.pickSample
 }
 
-// lastCandidates returns what the latest pick chose from.
+// lastCandidates returns the endpoints that the last pick chose from: the subset, or its sample of a large
+// one.
 func (b *Balancer) lastCandidates() []*endpoint {
 	if len(b.subset) <= fullScanLimit {
 		return b.subset
@@ -234,7 +250,8 @@
 	return b.pickSample
 }
 
-// recordRecentUse adds an endpoint of a large subset to those used last.
+// recordRecentUse adds an endpoint of a large subset to recentlyUsed and removes the oldest if there are too
+// many.
 func (b *Balancer) recordRecentUse(ep *endpoint) {
 	if len(b.subset) <= fullScanLimit || slices.Contains(b.recentlyUsed, ep) {
 		return
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,40 +1,41 @@
 package balance
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-import "slices"
-
-// attempt is one Host.Send.
+// attempt is the state of one attempt of a request, which is one call of Host.Send.
 type attempt struct {
 	endpoint          *endpoint
-	incarnation       int // of the endpoint, when the attempt was sent
-	sentAt            time.Duration
-	waitingSince      time.Duration // when it began to wait for the endpoint, the streaming body sent
-	overdueAt         time.Duration // when it is overdue next
-	inFlight          bool          // has no Outcome yet
-	mayHaveRun        bool          // has ended, and may have taken effect
-	isTrial           bool          // of an endpoint that is not active
-	wasOverdue        bool
-	responseStreaming bool // its response streams to the client
-	bodyStreaming     bool // its body streams, in either direction
+	incarnation       int           // incarnation of the endpoint to which the attempt was sent
+	sentAt            time.Duration // instant of Host.Send
+	waitingSince      time.Duration // instant of Host.Send, or of the last byte of a streaming request body
+	overdueAt         time.Duration // instant of the next check whether the attempt takes too long
+	inFlight          bool          // whether its Outcome has not been reported yet
+	mayHaveRun        bool          // whether it has ended, and the request may have taken effect
+	isTrial           bool          // whether the endpoint was not active when the attempt was sent
+	wasOverdue        bool          // whether overdueAt has passed at least once
+	responseStreaming bool          // whether its response is streaming to the client
+	bodyStreaming     bool          // whether its request or response body is streaming
 }
 
-// request is what is known of one request.
+// request is the state of one request.
 type request struct {
 	Request
 	class           *class
-	arrivedAt       time.Duration
-	giveUpAt        time.Duration // last instant at which an answer still reaches the client
-	attempts        []attempt
-	isFinished      bool          // has its final answer, or its client has left
-	isQueued        bool          // waits in Balancer.queue
-	pendingProbes   []*endpoint   // endpoints whose load report is awaited
-	probeDeadline   time.Duration // when it stops waiting for load reports
-	unfinishedIndex int           // its index in Balancer.live
-	bodyConsumed    bool          // it cannot be sent again
+	arrivedAt       time.Duration // instant of Events.Request
+	giveUpAt        time.Duration // last instant at which a response reaches the client before the deadline
+	attempts        []attempt     // all attempts so far, in the order in which they were sent
+	isFinished      bool          // whether it has its final response, or its client has disconnected
+	isQueued        bool          // whether it waits in Balancer.queue
+	pendingProbes   []*endpoint   // endpoints whose load reports it waits for
+	probeDeadline   time.Duration // instant at which it stops waiting for load reports
+	unfinishedIndex int           // its index in Balancer.unfinished
+	bodyConsumed    bool          // whether bytes of a streaming body were consumed: no retry is possible
 }
 
-// inFlightAttempt returns attempt n if it is in flight, else nil. The request may be nil.
+// inFlightAttempt returns attempt n if it is in flight, else nil. It may be called on a nil request.
 func (r *request) inFlightAttempt(n int) *attempt {
 	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
 		return nil
@@ -42,12 +43,13 @@
 	return &r.attempts[n]
 }
 
-// setDeadline sets when the request's client stops waiting.
+// setDeadline sets the instant at which the request's client stops waiting.
 func (b *Balancer) setDeadline(req *request, deadline time.Duration) {
 	req.Deadline, req.giveUpAt = deadline, deadline-max(b.settings.TimerResolution, time.Millisecond)
 }
 
-// giveUpInstant is when the request is given up: the deadline does not apply while its body still streams in.
+// giveUpInstant returns the instant at which the request is given up. It is not before StreamUntil while the
+// client is still sending the body.
 func (r *request) giveUpInstant() time.Duration {
 	for i := range r.attempts {
 		if att := &r.attempts[i]; att.inFlight && att.bodyStreaming && !att.responseStreaming {
@@ -57,7 +59,7 @@
 	return r.giveUpAt
 }
 
-// ClientDisconnected implements Events.
+// ClientDisconnected implements Events: it cancels the request.
 func (b *Balancer) ClientDisconnected(now time.Duration, id string) {
 	if req := b.requests[id]; req != nil && !req.isFinished {
 		b.removeRequest(req)
@@ -65,8 +67,8 @@
 	}
 }
 
-// removeRequest marks a request as answered, cancels its attempts in flight and forgets it after the last of
-// them.
+// removeRequest marks a request as finished, cancels its attempts in flight except for a streaming response,
+// and deletes the request if no attempt is in flight any more.
 func (b *Balancer) removeRequest(req *request) {
 	if !req.isFinished {
 		req.isFinished, req.isQueued, req.pendingProbes = true, false, nil
@@ -86,12 +88,12 @@
 	}
 }
 
-// hasAttemptInFlight reports whether an Outcome is still to come.
+// hasAttemptInFlight reports whether the Outcome of any attempt has not been reported yet.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// wasSentTo reports whether an attempt went to the endpoint.
+// wasSentTo reports whether an attempt of the request was sent to the endpoint.
 func (r *request) wasSentTo(ep *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == ep })
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// The retry budget, which keeps retries of several tiers from multiplying.
+// The retry budget. It prevents the retries of several tiers from multiplying.
 const (
-	retryBudgetRatio = 0.1  // retries earned per request
-	maxRetryBudget   = 10.0 // retries saved up at most
+	retryBudgetRatio = 0.1  // retries that each request adds to the budget
+	maxRetryBudget   = 10.0 // largest number of retries in the budget
 )
 
-// canRetry reports whether body, attempt limit, retry budget and deadline permit another attempt.
+// canRetry reports whether the body, the attempt limit, the retry budget and the deadline permit another
+// attempt.
 func (b *Balancer) canRetry(now time.Duration, req *request) bool {
 	return !req.bodyConsumed && (b.settings.MaxAttempts <= 0 || len(req.attempts) < b.settings.MaxAttempts) &&
 		b.retryBudget >= 1 && b.canMeetDeadline(now, req, 1)
 }
 
-// isSafeToSend reports whether the request cannot take effect twice if the endpoint gets it now: no attempt
-// is in flight, and any that may have run is harmless to repeat or will be dropped there as a duplicate.
+// isSafeToSend reports whether the request cannot take effect twice if it is sent to the endpoint now. That
+// is so if no attempt is in flight, and if any attempt may have run, the request is idempotent or the
+// endpoint drops it as a duplicate.
 func (b *Balancer) isSafeToSend(now time.Duration, req *request, ep *endpoint) bool {
 	for i := range req.attempts {
 		att, c := &req.attempts[i], req.class
--- a/balance/streaming.go
+++ b/balance/streaming.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// BodySent implements Events: the attempt becomes one that waits for its endpoint.
+// BodySent implements Events: from now on the attempt waits for its endpoint and counts against the
+// concurrency limit, and the request has a deadline.
 func (b *Balancer) BodySent(now time.Duration, id string, n int, deadline time.Duration) {
 	req := b.requests[id]
 	if att := req.inFlightAttempt(n); att != nil && att.bodyStreaming && !att.responseStreaming {
@@ -15,7 +16,8 @@
 	}
 }
 
-// StreamStarted implements Events: the request is answered, and its response has no time limit any more.
+// StreamStarted implements Events: the request counts as finished, and its streaming response has no time
+// limit.
 func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	if att := req.inFlightAttempt(n); att != nil {
@@ -28,14 +30,14 @@
 	}
 }
 
-// countInFlight adds by to the count that the attempt belongs to. Streaming bodies do not count against the
-// concurrency limit, which is for attempts that last about a response time: a few transfers would use it up
-// for as long as they last.
-func (b *Balancer) countInFlight(att *attempt, by int) {
+// countInFlight adds delta to the counter of attempts in flight, or to that of streams if the attempt's body
+// is streaming. Streaming bodies do not count against the concurrency limit, which assumes attempts that last
+// about one response time: a few long transfers would use it up.
+func (b *Balancer) countInFlight(att *attempt, delta int) {
 	if att.bodyStreaming {
-		att.endpoint.streamsInFlight += by
+		att.endpoint.streamsInFlight += delta
 		return
 	}
-	att.endpoint.inFlight += by
-	b.inFlight += by
+	att.endpoint.inFlight += delta
+	b.inFlight += delta
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -7,28 +7,32 @@
 	"time"
 )
 
-// The size of the subset: the largest of three bounds.
+// The subset has the largest size that any of the first three constants demands. Each endpoint is in many
+// subsets, so that one more or less matters little for its load.
 const (
-	subsetRequestInterval = time.Second // each endpoint gets a request this often: its weight stays known
-	balancersPerEndpoint  = 12.0        // subsets that each endpoint is in: one more matters little
-	minSubsetSize         = 4.0         // endpoints, so that a retry finds another one
-	minRequestRate        = 0.2         // requests per second that a balancer is taken to have at least
+	subsetRequestInterval = time.Second // time between requests at an endpoint, to know its weight
+	balancersPerEndpoint  = 12.0        // least number of subsets that contain an endpoint
+	minSubsetSize         = 4.0         // least number of endpoints, so that a retry finds another one
+
+	minRequestRate = 0.2 // requests per second that a balancer is assumed to have at least
 )
 
-// countRequest counts a request, and rebuilds the subset where the rate has changed the wanted size by half.
+// countRequest counts a request, and rebuilds the subset if the size that the request rate requires has
+// changed by half.
 func (b *Balancer) countRequest(now time.Duration) {
 	b.requestCounter.add(now)
-	wanted := b.requestRate(now) * subsetRequestInterval.Seconds()
-	if wanted > 1.5*b.subsetSizeByRate || wanted < 0.5*b.subsetSizeByRate {
-		b.subsetSizeByRate = wanted
+	sizeByRate := b.requestRate(now) * subsetRequestInterval.Seconds()
+	if sizeByRate > 1.5*b.subsetSizeByRate || sizeByRate < 0.5*b.subsetSizeByRate {
+		b.subsetSizeByRate = sizeByRate
 		b.rebuildSubset(now)
 	}
 }
 
-// rebuildSubset chooses the endpoints that this balancer uses. With little traffic over all of them it would
-// not know their latency, and open a connection for nearly every request. A subset takes even steps through
-// the endpoints sorted by kind, from a start by the balancer's index: all endpoints get as many balancers,
-// all balancers the same mix of kinds.
+// rebuildSubset chooses the endpoints that this balancer uses. A balancer with little traffic that used all
+// of them would not know their latency, and would open a connection for nearly every request. The subset
+// takes endpoints at even distances from a list sorted by kind, beginning at a position given by the
+// balancer's index, so that all endpoints are in about as many subsets and all subsets have the same mix of
+// kinds.
 func (b *Balancer) rebuildSubset(now time.Duration) {
 	defer b.paceSlowStart(now)
 	b.recentlyUsed, b.pickSample, b.cachedWeightUses = b.recentlyUsed[:0], b.pickSample[:0], 0
@@ -49,12 +53,13 @@
 	b.subset = b.subset[:int(size)]
 }
 
-// roundDuration is the time between two attempts of this balancer at one endpoint if all get the same.
+// roundDuration returns the length of a round: the time in which each endpoint of the subset gets one request
+// if all get the same number.
 func (b *Balancer) roundDuration(now time.Duration) time.Duration {
 	return seconds(float64(len(b.subset)) / max(b.requestRate(now), minRequestRate))
 }
 
-// requestRate is the recent rate of requests per second.
+// requestRate returns the recent rate of requests, in requests per second.
 func (b *Balancer) requestRate(now time.Duration) float64 {
 	return b.requestCounter.perSecond(now, b.startedAt)
 }
--- a/balance/timers.go
+++ b/balance/timers.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Timer implements Events. Timers cannot be cancelled: one before the next wake-up is stale and ignored.
+// Timer implements Events. A timer that fires before wakeupAt is stale, since timers cannot be cancelled, and
+// is ignored.
 func (b *Balancer) Timer(now time.Duration) {
 	if b.wakeupAt != 0 && now >= b.wakeupAt {
 		b.wakeupAt = 0
@@ -16,7 +17,7 @@
 	}
 }
 
-// nextCheckAt is when processDue has to check the request next.
+// nextCheckAt returns the instant at which processDue has to check the request next.
 func (b *Balancer) nextCheckAt(req *request) time.Duration {
 	at := req.giveUpInstant()
 	if req.isQueued {
@@ -33,7 +34,7 @@
 	return at
 }
 
-// wakeAt makes sure that processDue runs at the instant given.
+// wakeAt sets a timer, so that processDue runs at the given instant, unless an earlier timer is set.
 func (b *Balancer) wakeAt(at time.Duration) {
 	if b.wakeupAt == 0 || at < b.wakeupAt {
 		b.wakeupAt = at
@@ -41,8 +42,8 @@
 	}
 }
 
-// jitter varies a duration by a quarter at most, so that balancers that see the same do not act at the same
-// moment.
+// jitter returns a random duration between 0.75 and 1.25 times d, so that balancers with the same events do
+// not act at the same instant.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
