--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -10,15 +10,16 @@
 	"tuliprock/balance"
 )
 
-// In tartu's overload (incident i35432f) endpoints were saturated within two seconds, before a balancer with few attempts
-// in flight reached its concurrency limit. A request rate above the sum of all quotas shows earlier: once responses stretch
-// as well, requests over quota are shed. They are not while responses are fast: on kigali's day without load 15 of 55
-// balancers got several times the mean rate, and shed 40,000 requests, and their retries, while endpoints had capacity.
-func TestRequestsOverQuotaAreShedWhenResponsesStretchAndRateExceedsAllQuotas(t *testing.T) {
+// In an overload endpoints were saturated within two seconds, before a balancer with few attempts in flight reached its
+// concurrency limit (incident i35432f, site tartu). A request rate above the sum of all quotas shows the overload earlier:
+// once responses are slow as well, requests over quota are shed. They must not be shed while responses are fast: on a day
+// without load, 15 of 55 balancers got several times the mean rate and shed 40,000 requests, and the clients' retries,
+// while endpoints had capacity (site kigali).
+func TestRequestsOverQuotaAreShedWhenResponsesAreSlowAndRateExceedsAllQuotas(t *testing.T) {
 	for _, row := range []struct {
 		name       string
 		perSecond  int
-		took       time.Duration // latency, after a second of 10 ms
+		latency    time.Duration // latency of all responses after the first second, in which it is 10 ms
 		wantReject bool
 	}{
 		{"low rate and fast responses", 4, 10 * ms, false},
@@ -29,25 +30,26 @@
 		t.Run(row.name, func(t *testing.T) {
 			s := defaultSettings()
 			s.Balancers = 10
-			// Of the quotas together this balancer has 8 requests a second.
-			s.Tenants = []balance.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}}
+			// This balancer's part of all quotas is 8 requests per second.
+			s.Tenants = []balance.Tenant{{Name: "over quota", Quota: 20}, {Name: "within quota", Quota: 60}}
 			h := newHarness(t, s, "a", "b", "c")
 			served := 0
 			for i := range 10 * row.perSecond {
-				took := row.took
+				latency := row.latency
 				if i < row.perSecond {
-					took = 10 * ms
+					latency = 10 * ms
 				}
-				id := h.requestAs("read", "greedy")
+				id := h.requestForTenant("read", "over quota")
 				if len(h.sentTo[id]) > 0 {
-					h.advance(took)
+					h.advance(latency)
 					h.finish(id, balance.OK)
 					served++
 				}
-				h.advance(time.Second/time.Duration(row.perSecond) - took)
+				h.advance(time.Second/time.Duration(row.perSecond) - latency)
 			}
-			if n := h.countActions("refuse "); n > 0 != row.wantReject || served == 0 {
-				t.Errorf("%d of %d requests are rejected, %d served", n, 10*row.perSecond, served)
+			if n := h.countActions("reject "); n > 0 != row.wantReject || served == 0 {
+				t.Errorf("%d of %d requests were rejected and %d served, want any rejected: %v, and at least 1 served", n,
+					10*row.perSecond, served, row.wantReject)
 			}
 		})
 	}
@@ -57,58 +59,59 @@
 	s := defaultSettings()
 	s.Tenants = []balance.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
 	h := newHarness(t, s, "a", "b")
-	ask := func(tenant string) { h.requestAs("read", tenant) }
+	request := func(tenant string) { h.requestForTenant("read", tenant) }
 	for range 9 {
-		ask("big")
+		request("big")
 	}
-	if h.countActions("refuse") > 0 {
-		t.Fatal("rejected with capacity to spare")
+	if h.countActions("reject") > 0 {
+		t.Fatalf("%d requests were rejected while endpoints had capacity, want none", h.countActions("reject"))
 	}
-	ask("small")
-	ask("big")
+	request("small")
+	request("big")
 	for range 20 {
-		ask("big")
-		ask("small")
+		request("big")
+		request("small")
 	}
-	refused := map[string]bool{}
+	rejected := map[string]bool{}
 	for _, d := range h.actions {
-		if id, ok := strings.CutPrefix(d, "refuse "); ok {
-			refused[id] = true
+		if id, ok := strings.CutPrefix(d, "reject "); ok {
+			rejected[id] = true
 		}
 	}
-	if len(refused) == 0 {
-		t.Fatal("nothing over quota was rejected")
+	if len(rejected) == 0 {
+		t.Fatal("no request over quota was rejected, want at least 1")
 	}
 	for i := 12; i <= h.requestCount; i++ {
-		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
-			t.Errorf("r%d is within its quota and was rejected", i)
+		if isSmall := i%2 == 1; isSmall && rejected["r"+strconv.Itoa(i)] {
+			t.Errorf("r%d was rejected although its tenant is within its quota", i)
 		}
 	}
 }
 
-// Attempts in flight are no pressure while latencies are at their baseline: requests over quota may use spare capacity.
-func TestRequestsOverQuotaMayUseTheLimitWhileResponsesDoNotStretch(t *testing.T) {
+// While latencies are at their baseline, attempts in flight do not mean overload: requests over quota may use spare
+// capacity.
+func TestRequestsOverQuotaMayUseTheLimitWhileResponsesAreFast(t *testing.T) {
 	for _, row := range []struct {
 		name       string
-		took       time.Duration // latency of the later responses; that of the earlier ones is 100 ms
+		latency    time.Duration // latency of the later responses; that of the earlier ones is 100 ms
 		wantReject bool
 	}{
 		{"responses at the baseline", 100 * ms, false},
-		{"responses stretched by 3", 300 * ms, true},
+		{"responses of three times the baseline", 300 * ms, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := defaultSettings()
 			s.Tenants = []balance.Tenant{{Name: "t", Quota: 1}, {Name: "u", Quota: 1e6}}
 			h := newHarness(t, s, "a", "b")
 			h.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
-			h.serve(30, map[string]time.Duration{"a": row.took, "b": row.took})
+			h.serve(30, map[string]time.Duration{"a": row.latency, "b": row.latency})
 			sent := 0
-			for h.countActions("refuse") == 0 && sent < 11 { // the limit is 12 at least
-				h.requestAs("read", "t")
+			for h.countActions("reject") == 0 && sent < 11 { // the limit is 12 at least
+				h.requestForTenant("read", "t")
 				sent++
 			}
-			if got := h.countActions("refuse") > 0; got != row.wantReject {
-				t.Errorf("after %d requests over quota, rejected %v", sent, got)
+			if got := h.countActions("reject") > 0; got != row.wantReject {
+				t.Errorf("after %d requests over quota, any rejected: %v, want %v", sent, got, row.wantReject)
 			}
 		})
 	}
@@ -119,17 +122,17 @@
 	s := defaultSettings()
 	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
 	h := newHarness(t, s, "a")
-	served, out := map[string]int{}, []string{}
+	served, finished := map[string]int{}, []string{}
 	class := map[string]string{}
-	for i := range 1500 { // a hundred requests a second, one response every 40 ms
+	for i := range 1500 { // 100 requests per second and 25 responses per second
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
 		if i%4 == 0 {
 			for j := 1; j <= h.requestCount; j++ {
-				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(h.actions, "refuse "+id) &&
+				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(finished, id) && !slices.Contains(h.actions, "reject "+id) &&
 					!slices.Contains(h.actions, "fail "+id) {
-					out = append(out, id)
+					finished = append(finished, id)
 					h.finish(id, balance.OK)
 					served[class[id]]++
 					break
@@ -138,21 +141,21 @@
 		}
 	}
 	if served["read"] < served["bill"]/3 {
-		t.Errorf("served %v", served)
+		t.Errorf("served by class: %v, want at least a third as many of read as of bill", served)
 	}
 }
 
 func TestRequestThatCannotMeetItsDeadlineIsShedWhileOthersAreQueued(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	h.serve(100, map[string]time.Duration{"a": 200 * ms})
-	for h.countActions("refuse") == 0 {
+	for h.countActions("reject") == 0 {
 		if _, ep := h.request("read"); ep == "" {
 			break
 		}
 	}
 	h.balancer.Request(h.now, balance.Request{ID: "late", Class: "read", Deadline: h.now + 60*ms})
-	if h.actions[len(h.actions)-1] != "refuse late" {
-		t.Errorf("last action %q", h.actions[len(h.actions)-1])
+	if h.actions[len(h.actions)-1] != "reject late" {
+		t.Errorf("last action is %q, want %q", h.actions[len(h.actions)-1], "reject late")
 	}
 }
 
@@ -161,15 +164,15 @@
 	id, _ := h.request("bill")
 	h.advance(100 * ms)
 	if len(h.actions) > 0 {
-		t.Fatalf("acted at once: %v", h.actions)
+		t.Fatalf("actions after 100 ms are %v, want none", h.actions)
 	}
 	h.advance(5 * time.Second)
-	if !slices.Equal(h.actions, []string{"refuse " + id}) {
-		t.Errorf("actions %v", h.actions)
+	if !slices.Equal(h.actions, []string{"reject " + id}) {
+		t.Errorf("actions after 5.1 s are %v, want only the rejection of %s", h.actions, id)
 	}
 	id, _ = h.request("bill")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new"}}})
 	if len(h.sentTo[id]) != 1 {
-		t.Error("a queued request did not go to the first endpoint listed")
+		t.Errorf("the queued request has %d attempts after the first endpoint was listed, want 1", len(h.sentTo[id]))
 	}
 }
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -10,19 +10,19 @@
 	"tuliprock/balance"
 )
 
-func TestFailedDiscoveryIsSubscribedToAgain(t *testing.T) {
+func TestFailedSubscriptionIsRepeated(t *testing.T) {
 	s := defaultSettings()
 	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
 	h := newHarness(t, s, "a")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Failed: true})
 	h.advance(5 * time.Second)
 	if n := h.countActions("subscribe"); n != 2 {
-		t.Errorf("%d subscriptions", n)
+		t.Errorf("%d subscriptions within 5 s of the failure, want 2, the first included", n)
 	}
 }
 
-// The settings are those that no site has.
-func TestUnusualSettingsStillGiveOneAnswerPerRequest(t *testing.T) {
+// Settings that are zero, negative or incomplete must not lead to a request without a final response, or with two.
+func TestUnusualSettingsStillGiveOneFinalResponsePerRequest(t *testing.T) {
 	for _, row := range []struct {
 		name     string
 		settings balance.Settings
@@ -42,21 +42,21 @@
 			h.advance(6 * time.Second)
 			for i := 1; i <= h.requestCount; i++ {
 				id := "r" + strconv.Itoa(i)
-				answers := 0
+				responses := 0
 				for _, d := range h.actions {
-					if d == "refuse "+id || d == "fail "+id {
-						answers++
+					if d == "reject "+id || d == "fail "+id {
+						responses++
 					}
 				}
-				if answers != 1 {
-					t.Errorf("%s has %d answers", id, answers)
+				if responses != 1 {
+					t.Errorf("%s has %d final responses, want 1", id, responses)
 				}
 			}
 		})
 	}
 }
 
-// A long day brings ever new endpoints, IDs, classes and tenants; nothing of those that are gone may stay.
+// The state of endpoints, requests, classes and tenants that are gone must be deleted, or memory grows without bound.
 func TestStateDoesNotGrowWithNewNames(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for i := range 3000 {
@@ -64,17 +64,17 @@
 			Endpoints: []balance.Endpoint{{ID: fmt.Sprint("e", i)}, {ID: fmt.Sprint("e", i+1)}}})
 		id, ep := h.request([]string{"read", fmt.Sprint("class", i)}[i%2])
 		if ep == "" {
-			t.Fatalf("request %d is not sent", i)
+			t.Fatalf("request %d was not sent to an endpoint", i)
 		}
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
-		h.balancer.ClientDisconnected(h.now, h.requestAs("read", fmt.Sprint("tenant", i)))
+		h.balancer.ClientDisconnected(h.now, h.requestForTenant("read", fmt.Sprint("tenant", i)))
 		if last := fmt.Sprint("r", h.requestCount); len(h.sentTo[last]) > 0 {
 			h.finish(last, balance.Canceled)
 		}
 	}
 	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "subset": 2,
-		"requests": 0, "live": 0, "queue": 0}
+		"requests": 0, "unfinished": 0, "queue": 0}
 	if sizes := balance.StateSizes(h.balancer); !maps.Equal(sizes, want) {
 		t.Errorf("sizes are %v, want %v", sizes, want)
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,13 +8,13 @@
 	"tuliprock/balance"
 )
 
-// instantHost is a host whose endpoints respond at once, in the order of the attempts.
+// instantHost is a host that records attempts. The caller reports their outcomes in the order in which they were sent.
 type instantHost struct {
 	balance.Host
-	sent []sentAttempt
+	sent []sentAttempt // attempts without an outcome
 }
 
-// sentAttempt is an attempt that instantHost has not answered yet.
+// sentAttempt is an attempt of which the outcome has not been reported yet.
 type sentAttempt struct{ id, endpoint string }
 
 func (h *instantHost) Send(id, endpoint string, _ time.Duration) {
@@ -28,7 +28,7 @@
 func (*instantHost) Timer(time.Duration)           {}
 func (*instantHost) Log(string)                    {}
 
-// completeList lists n endpoints of two kinds.
+// completeList returns a complete list of n endpoints of two kinds.
 func completeList(n int) balance.EndpointUpdate {
 	l := balance.EndpointUpdate{Complete: true}
 	for i := range n {
@@ -37,17 +37,17 @@
 	return l
 }
 
-// newSingleBalancer makes a balancer without others, with n endpoints.
+// newSingleBalancer returns the only balancer of n endpoints, and its host.
 func newSingleBalancer(n int) (*balance.Balancer, *instantHost) {
 	h := &instantHost{}
 	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true,
 		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * time.Second,
-		Classes: []balance.Class{{Name: "look", LatencyObjective: time.Second}}}, h)
+		Classes: []balance.Class{{Name: "lookup", LatencyObjective: time.Second}}}, h)
 	b.EndpointList(time.Hour, completeList(n))
 	return b, h
 }
 
-// BenchmarkRequest is one request and its response, for a balancer without others.
+// BenchmarkRequest measures one request and its response at the only balancer of its endpoints.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -57,7 +57,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 2 * time.Millisecond
 				id := fmt.Sprint(i)
-				m.Request(now, balance.Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
+				m.Request(now, balance.Request{ID: id, Class: "lookup", Deadline: now + 5*time.Second})
 				for _, s := range h.sent {
 					m.Outcome(now+time.Millisecond, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK,
 						Latency: time.Millisecond, IsFinal: true})
@@ -68,16 +68,16 @@
 	}
 }
 
-// BenchmarkEndpointList is a complete list that changes by one endpoint.
+// BenchmarkEndpointList measures a complete list that differs by one endpoint from the last one.
 func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, _ := newSingleBalancer(n)
-			whole := completeList(n + 1)
+			complete := completeList(n + 1)
 			now := time.Hour
 			for i := 0; b.Loop(); i++ {
 				now += time.Second
-				m.EndpointList(now, balance.EndpointUpdate{Complete: true, Endpoints: whole.Endpoints[:n+i%2]})
+				m.EndpointList(now, balance.EndpointUpdate{Complete: true, Endpoints: complete.Endpoints[:n+i%2]})
 			}
 		})
 	}
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -10,97 +10,100 @@
 	"tuliprock/balance"
 )
 
-// In h36c04c a burst saturated the endpoints while balancers with a few requests a second smoothed twenty responses before
-// any of them reduced its limit.
-func TestQuietBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
+// A burst saturated the endpoints while balancers with a few requests per second smoothed twenty responses before any of
+// them reduced its limit (found day h36c04c).
+func TestLowTrafficBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
 	s := defaultSettings()
 	s.Balancers = 10
 	h := newHarness(t, s, "a", "b", "c", "d")
-	due := map[string]time.Duration{}
-	ask := func(took time.Duration, n int) (out int) {
+	finishAt := map[string]time.Duration{}
+	// Sends four requests per second for a time of n half seconds, and returns the most attempts in flight.
+	run := func(latency time.Duration, n int) (maxInFlight int) {
 		for range n * 50 {
 			if h.now%(250*ms) < 10*ms {
 				if id, ep := h.request("read"); ep != "" {
-					due[id] = h.now + took
+					finishAt[id] = h.now + latency
 				}
 			}
 			h.advance(10 * ms)
-			for _, id := range slices.Sorted(maps.Keys(due)) {
-				if h.now >= due[id] {
+			for _, id := range slices.Sorted(maps.Keys(finishAt)) {
+				if h.now >= finishAt[id] {
 					h.finish(id, balance.OK)
-					delete(due, id)
+					delete(finishAt, id)
 				}
 			}
-			out = max(out, len(due))
+			maxInFlight = max(maxInFlight, len(finishAt))
 		}
-		return out
+		return maxInFlight
 	}
-	ask(200*ms, 40)
-	ask(1200*ms, 4) // two seconds of responses six times as slow
-	if out := ask(1200*ms, 2); out > 3 {
-		t.Errorf("%d attempts are in flight after two seconds of slow responses", out)
+	run(200*ms, 40)
+	run(1200*ms, 4) // two seconds of responses six times as slow
+	if got := run(1200*ms, 2); got > 3 {
+		t.Errorf("%d attempts are in flight after two seconds of slow responses, want 3 at most", got)
 	}
 }
 
-// offerLoad makes a request every gap for a while. Each endpoint serves one request at a time and takes work for it. It
-// returns the most requests that an endpoint had in the second half of that time, and how many were served.
-func (h *harness) offerLoad(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
+// offerLoad sends a request per interval for the given duration. Each endpoint serves one request at a time, in
+// serviceTime. It returns the most requests that an endpoint had at once in the second half of the duration, and the number
+// of requests served.
+func (h *harness) offerLoad(interval, serviceTime, duration time.Duration, endpoints ...string) (maxQueued, served int) {
 	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
-	for h.now < begun+long {
+	for h.now < begun+duration {
 		if id, ep := h.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
 		}
-		for next := h.now + gap; h.now < next; {
+		for next := h.now + interval; h.now < next; {
 			sent := len(h.actions)
 			h.advance(ms)
 			for _, ep := range endpoints {
-				if busy[ep] += ms; busy[ep] >= work || len(queue[ep]) == 0 {
+				if busy[ep] += ms; busy[ep] >= serviceTime || len(queue[ep]) == 0 {
 					busy[ep] = 0
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
 						queue[ep] = queue[ep][1:]
 						h.finish(id, balance.OK)
-						answered++
+						served++
 					}
 				}
 			}
-			for _, d := range h.actions[sent:] { // queued requests that were sent since
+			for _, d := range h.actions[sent:] { // requests that the balancer had queued and sent in this millisecond
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
 			}
 			for _, ep := range endpoints {
-				if h.now > begun+long/2 {
-					most = max(most, len(queue[ep]))
+				if h.now > begun+duration/2 {
+					maxQueued = max(maxQueued, len(queue[ep]))
 				}
 			}
 		}
 	}
-	return most, answered
+	return maxQueued, served
 }
 
-// In i2b2df6 and on many overloaded days endpoints became slow while the limit still grew.
-func TestOverloadDoesNotCrowdEndpoints(t *testing.T) {
+// In overload the limit must not grow so far that endpoints become slow (incident i2b2df6 and many overloaded days).
+func TestOverloadDoesNotFillEndpointQueues(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
-	if h.countActions("refuse") > 0 {
-		t.Fatal("rejected at a third of what the endpoints can serve")
+	if h.countActions("reject") > 0 {
+		t.Fatalf("%d requests were rejected at a third of the endpoints' capacity, want none", h.countActions("reject"))
 	}
-	most, answered := h.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
-	if most > 5 {
-		t.Errorf("an endpoint that serves one request at a time had %d", most)
+	maxQueued, served := h.offerLoad(5*ms, 20*ms, 6*time.Second, "a", "b")
+	if maxQueued > 5 {
+		t.Errorf("an endpoint that serves one request at a time had %d, want 5 at most", maxQueued)
 	}
-	if answered < 540 {
-		t.Errorf("%d requests served of the 600 that could be", answered)
+	if served < 540 {
+		t.Errorf("%d requests were served, want at least 540 of the 600 that endpoints can serve", served)
 	}
-	if h.countActions("refuse") < 400 {
-		t.Errorf("only %d rejected at twice the load", h.countActions("refuse"))
+	if h.countActions("reject") < 400 {
+		t.Errorf("%d requests were rejected at twice the endpoints' capacity, want at least 400", h.countActions("reject"))
 	}
 }
 
-// i72d39d and i2623e0: first-tier balancers that each admit what all endpoints can serve saturate them in two seconds.
-func TestFirstTierBalancersShareTheInitialConcurrencyLimit(t *testing.T) {
-	sends := func(balancers, tier int) int {
+// First-tier balancers that each admitted the capacity of all endpoints saturated them in two seconds (incidents i72d39d and
+// i2623e0).
+func TestFirstTierBalancersDivideTheInitialConcurrencyLimit(t *testing.T) {
+	initialSends := func(balancers, tier int) int {
 		s := defaultSettings()
 		s.Balancers, s.Tier = balancers, tier
 		h := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
@@ -109,118 +112,118 @@
 		}
 		return h.countActions("send")
 	}
-	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
-	if four > alone/4+1 || four < alone/4-1 {
-		t.Errorf("alone a balancer sends %d requests at once, beside three others %d", alone, four)
+	single, oneOfFour, secondTier := initialSends(1, 0), initialSends(4, 0), initialSends(4, 1)
+	if oneOfFour > single/4+1 || oneOfFour < single/4-1 {
+		t.Errorf("one of four balancers sends %d requests at once, want a quarter of the %d of a single one", oneOfFour, single)
 	}
-	if below != alone {
-		t.Errorf("behind the first tier a balancer sends %d requests at once, alone %d", below, alone)
+	if secondTier != single {
+		t.Errorf("one of four balancers in the second tier sends %d requests at once, want %d as a single one", secondTier, single)
 	}
 }
 
-// mostInFlight requests more than the limit admits, all served after 100 ms, and returns how many were in flight at once.
-func (h *harness) mostInFlight(long time.Duration) (most int) {
-	var out []string
+// maxInFlight sends more requests than the limit admits for the given duration, with a latency of 100 ms, and returns the
+// most attempts in flight at once.
+func (h *harness) maxInFlight(duration time.Duration) (most int) {
+	var inFlight []string
 	seen := 0
-	for begun := h.now; h.now < begun+long; h.advance(ms) {
-		for len(out) > 0 && h.now >= h.sentAt[out[0]]+100*ms {
-			h.finish(out[0], balance.OK)
-			out = out[1:]
+	for begun := h.now; h.now < begun+duration; h.advance(ms) {
+		for len(inFlight) > 0 && h.now >= h.sentAt[inFlight[0]]+100*ms {
+			h.finish(inFlight[0], balance.OK)
+			inFlight = inFlight[1:]
 		}
 		if h.requestCount%2 == 0 || h.now%(3*ms) == 0 {
 			h.request("read")
 		}
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
-				out = append(out, f[1])
+				inFlight = append(inFlight, f[1])
 			}
 		}
-		most = max(most, len(out))
+		most = max(most, len(inFlight))
 	}
 	return most
 }
 
-// On days without overload a sixth of the requests was rejected in the first tier, while latencies were at their baseline:
-// clients are spread unevenly, and a balancer with several times the mean rate must soon have the limit for it.
-func TestFirstTierLimitGrowsFasterWhileResponsesDoNotStretch(t *testing.T) {
-	grown := func(tier int) int {
+// On days without overload the first tier rejected a sixth of the requests while latencies were at their baseline: clients
+// are spread unevenly, and the limit of a balancer with several times the mean rate grew too slowly.
+func TestFirstTierLimitGrowsFasterWhileResponsesAreFast(t *testing.T) {
+	limitAfterGrowth := func(tier int) int {
 		s := defaultSettings()
 		s.Tier = tier
-		return newHarness(t, s, "a", "b").mostInFlight(900 * ms)
+		return newHarness(t, s, "a", "b").maxInFlight(900 * ms)
 	}
-	front, below := grown(0), grown(1)
-	if front < below+(below-12)/2 { // the initial limit of both is 12
-		t.Errorf("after 0.9 s %d attempts are in flight in the first tier, %d in another", front, below)
+	first, second := limitAfterGrowth(0), limitAfterGrowth(1)
+	if first < second+(second-12)/2 { // the initial limit of both is 12
+		t.Errorf("after 0.9 s the limit of 12 is %d in the first tier, want 1.5 times the growth to %d in the second", first, second)
 	}
 }
 
-// At the start of the standard days the first responses are those of the cheapest requests. Taken as the baseline, they
-// made every later response look slow, and requests were rejected with capacity to spare.
+// The first responses are those of the cheapest requests. When they were taken as the baseline, all later responses seemed
+// slow, and requests were rejected although endpoints had capacity (start of the standard days).
 func TestFastFirstResponsesDoNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	due := map[string]time.Duration{}
-	seen, n, begun := 0, 0, h.now
+	finishAt := map[string]time.Duration{}
+	seen, sentCount, begun := 0, 0, h.now
 	for ; h.now < begun+6*time.Second; h.advance(ms) {
-		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if h.now >= due[id] {
-				delete(due, id)
+		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
+			if h.now >= finishAt[id] {
+				delete(finishAt, id)
 				h.finish(id, balance.OK)
 			}
 		}
-		for asked := 0; len(due)+asked < 22; asked++ {
+		for requested := 0; len(finishAt)+requested < 22; requested++ {
 			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
-				t.Fatalf("request %d is queued after %v", h.requestCount, h.now-begun)
+				t.Fatalf("request %d was queued %v after the start, want it sent at once after 3 s", h.requestCount, h.now-begun)
 			}
 		}
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
-				n++
-				due[f[1]] = h.now + []time.Duration{20, 50, 90, 150, 250, 400}[n%6]*ms
+				sentCount++
+				finishAt[f[1]] = h.now + []time.Duration{20, 50, 90, 150, 250, 400}[sentCount%6]*ms
 			}
 		}
 	}
 }
 
-// A lower tier that becomes slow must not reduce the limit of a balancer with little traffic to hardly any.
+// When the tier below becomes slow, a balancer with little traffic must not reduce its limit to a few attempts.
 func TestSlowResponsesToFewRequestsDoNotReduceTheLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
 	h.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
-			t.Fatal("a request is queued beside fewer than nine in flight")
+			t.Fatal("a request was queued with fewer than nine in flight, want nine sent at once")
 		}
 	}
 }
 
-// i2b2df6: the limit still grew while latencies were half as long again as their baseline.
-func TestLimitStopsGrowingWhileResponsesStretch(t *testing.T) {
+// The limit still grew while latencies were 1.5 times their baseline (incident i2b2df6).
+func TestLimitStopsGrowingWhileResponsesAreSlow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	due, most, seen := map[string]time.Duration{}, 0, len(h.actions)
+	finishAt, most, seen := map[string]time.Duration{}, 0, len(h.actions)
 	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
-		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if h.now >= due[id] {
-				delete(due, id)
+		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
+			if h.now >= finishAt[id] {
+				delete(finishAt, id)
 				h.finish(id, balance.OK)
 			}
 		}
 		h.request("read")
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
-				due[f[1]] = h.now + 77*ms
+				finishAt[f[1]] = h.now + 77*ms
 			}
 		}
-		most = max(most, len(due))
+		most = max(most, len(finishAt))
 	}
 	if most < 8 || most > 24 {
-		t.Errorf("%d attempts in flight at most; the initial limit is twelve", most)
+		t.Errorf("%d attempts were in flight at most, want 8 to 24; the initial limit is 12", most)
 	}
 }
 
-// Seen on a day on which three of four endpoints were replaced: the fourth got the requests of all, and its responses came
-// too late.
-func TestLimitFollowsTheNumberOfReadyEndpoints(t *testing.T) {
+// When three of four endpoints were replaced, the fourth one got the requests of all of them and responded too late.
+func TestLimitIsProportionalToTheNumberOfReadyEndpoints(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	var l balance.EndpointUpdate
 	for _, id := range []string{"b", "c", "d"} {
@@ -228,9 +231,9 @@
 	}
 	h.balancer.EndpointList(h.now, l)
 	for range 24 {
-		h.requestAs("read", "")
+		h.requestForTenant("read", "")
 	}
 	if n := h.countActions("send"); n == 0 || n > 8 {
-		t.Errorf("the endpoint that is left gets %d requests at once", n)
+		t.Errorf("the only endpoint that is not draining got %d requests at once, want 1 to 8", n)
 	}
 }
--- a/balance/deploy_test.go
+++ b/balance/deploy_test.go
@@ -30,7 +30,7 @@
 	return string(text)
 }
 
-// policyFiles returns the names that the deploy file lists as policy, without their folder.
+// policyFiles returns the file names that the deploy file lists as policy, without their folder.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	match := regexp.MustCompile(`(?m)^policy = \[("[^"]+"(?:, "[^"]+")*)\]$`).FindStringSubmatch(readDeployFile(t))
@@ -48,8 +48,8 @@
 	return names
 }
 
-// readModuleFile returns a file of this package.
-func readModuleFile(t *testing.T, name string) string {
+// readPackageFile returns the text of a file of this package.
+func readPackageFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -63,28 +63,28 @@
 func TestPolicyFilesFitTheColumnLimitAndNameTheInterface(t *testing.T) {
 	for _, key := range []string{"build", "sim"} {
 		if !regexp.MustCompile(`(?m)^` + key + ` = "[^"]+"$`).MatchString(readDeployFile(t)) {
-			t.Errorf("deploy file has no %q command", key)
+			t.Errorf("the deploy file has no %q command", key)
 		}
 	}
 	for _, name := range policyFiles(t) {
-		for i, line := range strings.Split(readModuleFile(t, name), "\n") {
+		for i, line := range strings.Split(readPackageFile(t, name), "\n") {
 			columns := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tabColumns)))
 			if columns > maxPolicyColumns {
-				t.Errorf("%s:%d has %d columns", name, i+1, columns)
+				t.Errorf("%s:%d has %d columns, want %d at most", name, i+1, columns, maxPolicyColumns)
 			}
 		}
 	}
-	head := strings.Join(strings.Split(readModuleFile(t, "balancer.go"), "\n")[:6], "\n")
+	head := strings.Join(strings.Split(readPackageFile(t, "balancer.go"), "\n")[:6], "\n")
 	if !strings.Contains(head, "api.go") {
-		t.Error("the first lines of the module do not name api.go")
+		t.Errorf("the first six lines of balancer.go do not name api.go:\n%s", head)
 	}
 }
 
-// TestPolicyListsEveryFileThatDecides keeps decisions from moving into a file that the policy list does not count.
-func TestPolicyListsEveryFileThatDecides(t *testing.T) {
+// TestPolicyListsEveryFileButTheInterface fails if a file with decisions is missing in the policy list.
+func TestPolicyListsEveryFileButTheInterface(t *testing.T) {
 	listed := policyFiles(t)
 	if listed[0] != "balancer.go" {
-		t.Errorf("policy begins with %q, not with balancer.go", listed[0])
+		t.Errorf("policy begins with %q, want balancer.go", listed[0])
 	}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -96,6 +96,6 @@
 	slices.Sort(want)
 	slices.Sort(listed)
 	if !slices.Equal(listed, want) {
-		t.Errorf("policy lists %v, the files that decide are %v", listed, want)
+		t.Errorf("policy lists %v, want %v", listed, want)
 	}
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -10,26 +10,26 @@
 
 func TestSlowEndpointIsEjectedAndRecovers(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
-	h.serve(100, took)
-	took["d"] = 400 * ms
-	h.serve(60, took)
-	if n := h.serve(200, took)["d"]; n > 10 {
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
+	h.serve(100, latency)
+	latency["d"] = 400 * ms
+	h.serve(60, latency)
+	if n := h.serve(200, latency)["d"]; n > 10 {
 		t.Errorf("a slow endpoint got %d of 200 calls", n)
 	}
-	took["d"] = 50 * ms
-	h.serve(200, took)
-	if n := h.serve(200, took)["d"]; n < 35 {
+	latency["d"] = 50 * ms
+	h.serve(200, latency)
+	if n := h.serve(200, latency)["d"]; n < 35 {
 		t.Errorf("a recovered endpoint got %d of 200 calls", n)
 	}
 }
 
 func TestOneUnusuallyFastEndpointDoesNotEjectAllOthers(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "lucky", "b", "c", "d", "e", "f")
-	took := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
-	h.serve(200, took)
+	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
+	h.serve(200, latency)
 	others := 0
-	for ep, n := range h.serve(600, took) {
+	for ep, n := range h.serve(600, latency) {
 		if ep != "lucky" && n > 1 {
 			others++
 		}
@@ -42,8 +42,8 @@
 // A hung endpoint must not keep its turns for a whole timeout.
 func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
-	h.serve(100, took)
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
+	h.serve(100, latency)
 	caught, start := 0, h.now
 	for range 200 {
 		id, ep := h.request("read")
@@ -72,7 +72,7 @@
 		}
 	}
 	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within activeFactor
-	if share := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
+	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
 		t.Error("an unresponsive endpoint got a request")
 	}
 }
@@ -120,24 +120,24 @@
 // Seen on day big-1 of regina: trials of balancers with little traffic crowded an ejected endpoint.
 func TestTrialsOfAQuietBalancerStayBelowAnEvenShare(t *testing.T) {
 	names := []string{"slow"}
-	took := map[string]time.Duration{"slow": 900 * ms}
+	latency := map[string]time.Duration{"slow": 900 * ms}
 	for i := range 19 {
 		names = append(names, "e"+strconv.Itoa(i))
-		took[names[i+1]] = 50 * ms
+		latency[names[i+1]] = 50 * ms
 	}
 	h := newHarness(t, defaultSettings(), names...)
 	slow := 0
-	for range 400 { // two requests a second, so an even share is one each every 10 s
+	for range 400 { // two requests a second, so an even counts is one each every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
 		}
-		h.advance(took[ep])
+		h.advance(latency[ep])
 		h.finish(id, balance.OK)
-		h.advance(500*ms - min(took[ep], 400*ms))
+		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 calls; an even share is 20", slow)
+		t.Errorf("the slow endpoint got %d of 400 calls; an even counts is 20", slow)
 	}
 }
 
@@ -146,16 +146,16 @@
 	s.TiersBelow, s.MaxAttempts = 1, 1
 	h := newHarness(t, s, "a", "b", "c", "d")
 	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
-	share := map[string]int{}
+	counts := map[string]int{}
 	for range 80 { // every request ends in an error
 		id, ep := h.request("read")
-		share[ep]++
+		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balance.ErrorResponse)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
-		if share[ep] < 14 {
-			t.Errorf("%s got %d of 80 requests that all failed below: %v", ep, share[ep], share)
+		if counts[ep] < 14 {
+			t.Errorf("%s got %d of 80 requests that all failed below: %v", ep, counts[ep], counts)
 		}
 	}
 }
@@ -189,8 +189,8 @@
 // A cancelled attempt says nothing of its endpoint, good or bad.
 func TestCanceledAttemptIsNoLatencySample(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
-	h.serve(100, took)
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
+	h.serve(100, latency)
 	off := 0
 	for range 40 { // only attempts at b are cancelled, early
 		id, ep := h.request("read")
@@ -207,8 +207,8 @@
 	if off == 0 || off > 24 {
 		t.Errorf("b got %d of 40 requests; early cancellation must not make it look fast, nor slow", off)
 	}
-	if share := h.serve(60, took); share["b"] < 20 {
-		t.Errorf("requests after the cancellations: %v", share)
+	if counts := h.serve(60, latency); counts["b"] < 20 {
+		t.Errorf("requests after the cancellations: %v", counts)
 	}
 }
 
@@ -229,8 +229,8 @@
 				t.Fatalf("sent to %v", h.sentTo[id])
 			}
 			h.finish(id, balance.OK)
-			if share := h.serve(9, all); (share[ep] >= 2) != row.isReused {
-				t.Errorf("then %d of 9 requests", share[ep])
+			if counts := h.serve(9, all); (counts[ep] >= 2) != row.isReused {
+				t.Errorf("then %d of 9 requests", counts[ep])
 			}
 			id, ep = h.request("bill")
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,26 +7,27 @@
 	"tuliprock/balance"
 )
 
-// printer is a host that only says what it was asked to do. A real one would send, set timers and answer clients.
-type printer struct{}
+// printingHost is a host that prints the calls of the balancer. A real host sends requests, sets timers and responds to
+// clients.
+type printingHost struct{}
 
-func (printer) Send(id, endpoint string, timeout time.Duration) {
+func (printingHost) Send(id, endpoint string, timeout time.Duration) {
 	fmt.Println("send", id, "to", endpoint)
 }
-func (printer) Cancel(id string, n int)                    { fmt.Println("cancel", id, n) }
-func (printer) Reject(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
-func (printer) Fail(id string)                             { fmt.Println("fail", id) }
-func (printer) Probe(endpoint string)                      { fmt.Println("probe", endpoint) }
-func (printer) HasIdleConnection(string) bool              { return false }
-func (printer) Subscribe()                                 { fmt.Println("subscribe") }
-func (printer) Timer(at time.Duration)                     {}
-func (printer) Log(line string)                            { fmt.Println(line) }
+func (printingHost) Cancel(id string, n int)                    { fmt.Println("cancel", id, n) }
+func (printingHost) Reject(id string, retryAfter time.Duration) { fmt.Println("reject", id) }
+func (printingHost) Fail(id string)                             { fmt.Println("fail", id) }
+func (printingHost) Probe(endpoint string)                      { fmt.Println("probe", endpoint) }
+func (printingHost) HasIdleConnection(string) bool              { return false }
+func (printingHost) Subscribe()                                 { fmt.Println("subscribe") }
+func (printingHost) Timer(at time.Duration)                     {}
+func (printingHost) Log(line string)                            { fmt.Println(line) }
 
 func Example() {
 	b := balance.New(0, balance.Settings{
 		Balancers: 1, MaxAttempts: 3, CanCancel: true, TimerResolution: time.Millisecond,
 		Classes: []balance.Class{{Name: "lookup", Idempotency: balance.Idempotent, LatencyObjective: time.Second}},
-	}, printer{})
+	}, printingHost{})
 	b.EndpointList(0, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "10.0.0.1:80"}}})
 
 	now := 5 * time.Millisecond
@@ -40,5 +41,5 @@
 	// Output:
 	// send r1 to 10.0.0.1:80
 	// full: no endpoint has capacity, 1 requests are queued
-	// refuse r2
+	// reject r2
 }
--- a/balance/export_test.go
+++ b/balance/export_test.go
@@ -4,5 +4,5 @@
 func StateSizes(b *Balancer) map[string]int {
 	return map[string]int{"classes": len(b.classes), "tenants": len(b.tenants), "kinds": len(b.kinds),
 		"names": len(b.endpointByID), "endpoints": len(b.endpoints), "subset": len(b.subset),
-		"requests": len(b.requests), "live": len(b.unfinished), "queue": len(b.queue)}
+		"requests": len(b.requests), "unfinished": len(b.unfinished), "queue": len(b.queue)}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -37,7 +37,7 @@
 	h.actions = append(h.actions, fmt.Sprint("cancel ", id, " ", n))
 }
 
-func (h *harness) Reject(id string, _ time.Duration) { h.actions = append(h.actions, "refuse "+id) }
+func (h *harness) Reject(id string, _ time.Duration) { h.actions = append(h.actions, "reject "+id) }
 
 func (h *harness) Fail(id string) { h.actions = append(h.actions, "fail "+id) }
 
@@ -92,15 +92,15 @@
 
 // request makes a request and returns its ID and the endpoint that its first attempt went to, if any.
 func (h *harness) request(class string) (id, ep string) {
-	id = h.requestAs(class, "")
+	id = h.requestForTenant(class, "")
 	if len(h.sentTo[id]) > 0 {
 		ep = h.sentTo[id][0]
 	}
 	return id, ep
 }
 
-// requestAs makes a request for a tenant; it need not be sent.
-func (h *harness) requestAs(class, tenant string) string {
+// requestForTenant makes a request for a tenant; it need not be sent.
+func (h *harness) requestForTenant(class, tenant string) string {
 	h.requestCount++
 	id := "r" + strconv.Itoa(h.requestCount)
 	h.balancer.Request(h.now, balance.Request{ID: id, Class: class, Tenant: tenant, Deadline: h.now + 5*time.Second})
@@ -126,13 +126,13 @@
 }
 
 // serve serves requests one after another, each endpoint with its own latency, and returns how many each got.
-func (h *harness) serve(calls int, took map[string]time.Duration) map[string]int {
-	share := map[string]int{}
+func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
+	counts := map[string]int{}
 	for range calls {
 		id, ep := h.request("read")
-		share[ep]++
-		h.advance(took[ep])
+		counts[ep]++
+		h.advance(latency[ep])
 		h.finish(id, balance.OK)
 	}
-	return share
+	return counts
 }
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -10,8 +10,8 @@
 	"tuliprock/balance"
 )
 
-// answerSlack is how long after the deadline a final answer may come.
-const answerSlack = 20 * ms
+// deadlineSlack is how long after the deadline a final answer may come.
+const deadlineSlack = 20 * ms
 
 // simAttempt is an attempt as the simulation knows it.
 type simAttempt struct {
@@ -26,10 +26,10 @@
 // simRequest is a request as the simulation knows it.
 type simRequest struct {
 	balance.Request
-	class      balance.Class
-	attempts   []*simAttempt
-	isAnswered bool // it has its answer, or its client has left
-	isReported bool // the balancer knows so, by an event or because it gave the answer
+	class            balance.Class
+	attempts         []*simAttempt
+	isFinished       bool // it has its answer, or its client has left
+	balancerKnowsEnd bool // the balancer knows so, by an event or because it gave the answer
 }
 
 // simulation plays clients, discovery and endpoints against one balancer, and checks the rules of the platform: no
@@ -52,7 +52,7 @@
 	requestCount     int
 	isDraining       bool // no new request, list or ejection
 	sends            int
-	answerCounts     [3]int // served, rejected, failed
+	responseCounts   [3]int // served, rejected, failed
 	actions          []string
 }
 
@@ -62,7 +62,7 @@
 	if req == nil || e.ID == "" {
 		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
 	}
-	if req.isReported {
+	if req.balancerKnowsEnd {
 		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
 	}
 	if at, ok := sim.unavailableSince[ep]; ok && sim.now > at {
@@ -125,8 +125,8 @@
 }
 
 func (sim *simulation) Reject(id string, _ time.Duration) {
-	req := sim.answer(id)
-	sim.answerCounts[1]++
+	req := sim.recordResponse(id)
+	sim.responseCounts[1]++
 	for _, att := range req.attempts {
 		if (att.inFlight || att.mayHaveRun) && (req.class.Idempotency == balance.NonIdempotent ||
 			req.class.Idempotency == balance.IdempotencyKey && req.class.DedupScope != balance.ScopeAll) {
@@ -136,20 +136,20 @@
 }
 
 func (sim *simulation) Fail(id string) {
-	sim.answer(id)
-	sim.answerCounts[2]++
+	sim.recordResponse(id)
+	sim.responseCounts[2]++
 }
 
-func (sim *simulation) answer(id string) *simRequest {
+func (sim *simulation) recordResponse(id string) *simRequest {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
 	req := sim.requests[id]
-	if req == nil || req.isReported {
+	if req == nil || req.balancerKnowsEnd {
 		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
 	}
-	if !req.isAnswered && sim.now > req.Deadline+answerSlack {
+	if !req.isFinished && sim.now > req.Deadline+deadlineSlack {
 		sim.t.Fatalf("%v: a late answer to %s, due at %v", sim.now, id, req.Deadline)
 	}
-	req.isAnswered, req.isReported = true, true
+	req.isFinished, req.balancerKnowsEnd = true, true
 	return req
 }
 
@@ -280,8 +280,8 @@
 	kept := sim.openIDs[:0]
 	for _, id := range sim.openIDs {
 		req := sim.requests[id]
-		if !sim.isDraining && !req.isAnswered && sim.rng.IntN(400) == 0 {
-			req.isAnswered, req.isReported = true, true
+		if !sim.isDraining && !req.isFinished && sim.rng.IntN(400) == 0 {
+			req.isFinished, req.balancerKnowsEnd = true, true
 			sim.balancer.ClientDisconnected(sim.now, id)
 		}
 		out := false
@@ -289,12 +289,12 @@
 			if att.inFlight && att.endsAt <= sim.now {
 				att.inFlight = false
 				att.mayHaveRun = att.result != balance.Rejected && att.result != balance.ConnectFailed && att.result != balance.NotSent
-				if att.result == balance.OK && !req.isAnswered {
-					req.isAnswered = true
-					sim.answerCounts[0]++
+				if att.result == balance.OK && !req.isFinished {
+					req.isFinished = true
+					sim.responseCounts[0]++
 				}
-				final := req.isAnswered
-				req.isReported = req.isReported || final
+				final := req.isFinished
+				req.balancerKnowsEnd = req.balancerKnowsEnd || final
 				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
 					Latency: sim.now - att.sentAt, IsFinal: final})
 				if sim.rng.IntN(30) == 0 { // a second report must be ignored
@@ -304,10 +304,10 @@
 			}
 			out = out || att.inFlight
 		}
-		if !req.isAnswered && sim.now > req.Deadline+answerSlack {
+		if !req.isFinished && sim.now > req.Deadline+deadlineSlack {
 			sim.t.Fatalf("%v: no answer to %s by %v", sim.now, id, req.Deadline)
 		}
-		if !req.isAnswered || out {
+		if !req.isFinished || out {
 			kept = append(kept, id)
 		}
 	}
@@ -369,7 +369,7 @@
 	for seed := range uint64(60) {
 		sim := runSimulation(t, seed, 1500)
 		ejectionChanges += sim.ejectionChanges
-		for i, n := range sim.answerCounts {
+		for i, n := range sim.responseCounts {
 			answers[i] += n
 		}
 	}
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -17,14 +17,14 @@
 	got := map[string]float64{}
 	for i := range requests {
 		id := fmt.Sprint(i)
-		m.Request(now, balance.Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
+		m.Request(now, balance.Request{ID: id, Class: "lookup", Deadline: now + 5*time.Second})
 		for _, s := range h.sent {
-			took := 20 * time.Millisecond
+			latency := 20 * time.Millisecond
 			if s.endpoint[len(s.endpoint)-1] == '0' {
-				took = time.Duration(slower * float64(took))
+				latency = time.Duration(slower * float64(latency))
 			}
 			got[s.endpoint]++
-			m.Outcome(now+took, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Latency: took, IsFinal: true})
+			m.Outcome(now+latency, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Latency: latency, IsFinal: true})
 		}
 		h.sent = h.sent[:0]
 		now += 50 * time.Millisecond
@@ -64,8 +64,8 @@
 		if deviation > 0.1 || most > 0.5 {
 			t.Errorf("%d endpoints: requests differ by %.3f, at most by %.3f", n, deviation, most)
 		}
-		if share := slow / fast; share < 0.6 || share > 0.95 {
-			t.Errorf("%d endpoints: those slower by 1.4 get %.2f of the requests", n, share)
+		if fraction := slow / fast; fraction < 0.6 || fraction > 0.95 {
+			t.Errorf("%d endpoints: those slower by 1.4 get %.2f of the requests", n, fraction)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		for range count {
 			now += 2 * time.Millisecond
 			id := fmt.Sprint(now)
-			m.Request(now, balance.Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
+			m.Request(now, balance.Request{ID: id, Class: "lookup", Deadline: now + 5*time.Second})
 			for _, s := range h.sent {
 				got[s.endpoint]++
 				m.Outcome(now+time.Millisecond, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK,
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -74,17 +74,17 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{
 		{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
-	queued := h.requestAs("read", "") // other endpoints may follow the draining ones
-	if h.countActions("refuse") > 0 {
+	queued := h.requestForTenant("read", "") // other endpoints may follow the draining ones
+	if h.countActions("reject") > 0 {
 		t.Fatal("rejected though other endpoints may come")
 	}
 	h.balancer.SetEjected(h.now, "a", true)
 	h.balancer.SetEjected(h.now, "b", true)
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	if h.countActions("refuse "+queued) != 1 {
+	if h.countActions("reject "+queued) != 1 {
 		t.Error("the queued request is not rejected")
 	}
-	if id, ep := h.request("bill"); ep != "" || h.countActions("refuse "+id) != 1 {
+	if id, ep := h.request("bill"); ep != "" || h.countActions("reject "+id) != 1 {
 		t.Errorf("%s went to %q and is not rejected at once", id, ep)
 	}
 	h.balancer.SetEjected(h.now, "b", false)
@@ -141,7 +141,7 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 	}
-	// Of 500 requests a second half are its share at full capacity; it starts with 0.3 of that and gets 1.5 times as much.
+	// Of 500 requests a second half are its counts at full capacity; it starts with 0.3 of that and gets 1.5 times as much.
 	if sent == 0 || sent > 400 {
 		t.Errorf("%d of 1000 requests went to the restored endpoint within 2 s", sent)
 	}
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -12,18 +12,18 @@
 
 func TestFasterEndpointGetsMoreRequests(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "fast", "slow")
-	took := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
-	h.serve(100, took)
-	share := h.serve(400, took)
-	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
+	latency := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
+	h.serve(100, latency)
+	counts := h.serve(400, latency)
+	if f, s := counts["fast"], counts["slow"]; f < s*5/4 || f > s*2 {
 		t.Errorf("fast got %d requests and slow %d, want 1.25 to 2 times as many", f, s)
 	}
 }
 
 func TestEqualEndpointsGetEqualNumbersOfRequests(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
-	share := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
-	for ep, n := range share {
+	counts := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	for ep, n := range counts {
 		if n < 90 || n > 110 {
 			t.Errorf("%s got %d of 400 requests", ep, n)
 		}
@@ -45,16 +45,16 @@
 			s := defaultSettings()
 			s.TiersBelow = row.tiersBelow
 			h := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
-			took := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
-			h.serve(200, took)
-			share := map[string]float64{}
+			latency := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
+			h.serve(200, latency)
+			counts := map[string]float64{}
 			for range 400 {
 				id, ep := h.request("read")
-				share[ep[:4]]++
-				h.advance(took[ep])
+				counts[ep[:4]]++
+				h.advance(latency[ep])
 				h.finish(id, balance.OK)
 			}
-			if got := share["fast"] / share["slow"]; got < row.fewest || got > row.greatest {
+			if got := counts["fast"] / counts["slow"]; got < row.fewest || got > row.greatest {
 				t.Errorf("fast endpoints get %.2f times the requests of slow ones", got)
 			}
 		})
@@ -65,20 +65,20 @@
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
-	l, took := balance.EndpointUpdate{Complete: true}, map[string]time.Duration{}
+	l, latency := balance.EndpointUpdate{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balance.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
-		took[e.ID] = 40 * ms
+		latency[e.ID] = 40 * ms
 		if i%2 == 1 {
 			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
-			took[e.ID] = 70 * ms
+			latency[e.ID] = 70 * ms
 		}
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	h.balancer.EndpointList(h.now, l)
-	h.serve(60, took)
+	h.serve(60, latency)
 	slow := 0
-	for ep, n := range h.serve(60, took) {
+	for ep, n := range h.serve(60, latency) {
 		if ep[0] == 's' {
 			slow += n
 		}
@@ -92,7 +92,7 @@
 func TestHungEndpointDoesNotUseTheWholeLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for range 6 {
-		h.requestAs("read", "")
+		h.requestForTenant("read", "")
 	}
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	h.advance(time.Second)
@@ -109,7 +109,7 @@
 	h.finish(trial, balance.OK)
 	before := h.countActions("send")
 	for range 6 {
-		h.requestAs("read", "")
+		h.requestForTenant("read", "")
 	}
 	if n := h.countActions("send") - before; n < 4 {
 		t.Errorf("%d requests are sent beside the hung endpoint", n)
@@ -120,7 +120,7 @@
 func TestIdleConnectionIsUsedForAFewTurns(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.idleConnections = map[string]bool{}
-	share, moves, last := map[string]int{}, 0, ""
+	counts, moves, last := map[string]int{}, 0, ""
 	const calls = 400
 	for range calls {
 		id, ep := h.request("read")
@@ -128,7 +128,7 @@
 			h.idleConnections[last], last = false, ep
 			moves++
 		}
-		share[ep]++
+		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 		h.idleConnections[ep] = true
@@ -136,7 +136,7 @@
 	if moves > calls/2 {
 		t.Errorf("%d changes of endpoint in %d requests", moves, calls)
 	}
-	for ep, n := range share {
+	for ep, n := range counts {
 		if n < calls/4-5 || n > calls/4+5 {
 			t.Errorf("%s got %d of %d requests", ep, n, calls)
 		}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -51,11 +51,11 @@
 	s := defaultSettings()
 	s.TiersBelow = 1
 	h := newHarness(t, s, "fast", "slow")
-	took := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
-	h.serve(200, took)
+	latency := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
+	h.serve(200, latency)
 	again := 0
 	for range 30 {
-		h.serve(11, took) // earns a retry, and changes whose turn it is
+		h.serve(11, latency) // earns a retry, and changes whose turn it is
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.ErrorResponse)
@@ -63,7 +63,7 @@
 			if again++; to[0] == to[1] {
 				t.Fatalf("%s went to %v", id, to)
 			}
-			h.advance(took[to[1]])
+			h.advance(latency[to[1]])
 			h.finish(id, balance.OK)
 		}
 	}
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -178,7 +178,7 @@
 // The sum of many balancers that each send little must not overload an endpoint that is warming up, whatever makes all of
 // them use it at once; and it does get requests.
 func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
-	coldOnes := func(fleet *balancerFleet, n int) (out []balance.Endpoint) {
+	startingEndpoints := func(fleet *balancerFleet, n int) (out []balance.Endpoint) {
 		for i := range n {
 			out = append(out, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), Started: fleet.now - time.Second})
 		}
@@ -189,18 +189,18 @@
 		play func(fleet *balancerFleet)
 	}{
 		{"new endpoints are listed", func(fleet *balancerFleet) {
-			fleet.updateLists(coldOnes(fleet, 8)...)
+			fleet.updateLists(startingEndpoints(fleet, 8)...)
 			fleet.run(4 * time.Second)
 		}},
 		{"balancers restart while endpoints are warming up", func(fleet *balancerFleet) {
-			fleet.updateLists(coldOnes(fleet, 8)...)
+			fleet.updateLists(startingEndpoints(fleet, 8)...)
 			for _, member := range fleet.members[:fleetBalancers*7/10] {
 				fleet.restart(member)
 			}
 			fleet.run(4 * time.Second)
 		}},
 		{"the list changes repeatedly while endpoints are warming up", func(fleet *balancerFleet) {
-			fleet.updateLists(coldOnes(fleet, 8)...)
+			fleet.updateLists(startingEndpoints(fleet, 8)...)
 			for step := range 8 {
 				fleet.run(500 * time.Millisecond)
 				var drained []balance.Endpoint
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -10,16 +10,16 @@
 
 // All balancers learn of a start at the same time.
 func TestTwentyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
-	const callers, perSecond = 20, 5.0
+	const balancers, perSecond = 20, 5.0
 	names := []string{}
 	for i := range 9 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	got := [12]int{}
-	for c := range callers {
+	for c := range balancers {
 		s := defaultSettings()
 		h := newHarness(t, s, names...)
-		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, TimerResolution: ms,
+		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: balancers, Index: c, MaxAttempts: 4, TimerResolution: ms,
 			SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: s.Classes}, h)
 		l := balance.EndpointUpdate{Complete: true}
 		for _, id := range names {
@@ -44,11 +44,11 @@
 			}
 		}
 	}
-	even := callers * perSecond / 10 // requests a second to each endpoint
-	for at := range 11 {             // the end of the slow start included (incident id93449)
+	even := balancers * perSecond / 10 // requests a second to each endpoint
+	for at := range 11 {               // the end of the slow start included (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: the endpoint got %v requests, an even share of its capacity is %v", at, n, even*warm)
+			t.Errorf("second %d: the endpoint got %v requests, an even counts of its capacity is %v", at, n, even*warm)
 		}
 	}
 	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
@@ -56,23 +56,23 @@
 	}
 }
 
-// Rule 4 of the platform: an endpoint that is warming up gets about its share, whatever the request rate.
+// Rule 4 of the platform: an endpoint that is warming up gets about its counts, whatever the request rate.
 func TestRequestsToAnEndpointThatIsWarmingUpArePaced(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
-	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
-	h.serve(300, took)
+	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
+	h.serve(300, latency)
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: h.now}}})
-	share := h.serve(150, took)
-	if share["new"] == 0 || share["new"] > 150/4*2/3 {
-		t.Errorf("the new one of four endpoints got %d of 150 requests", share["new"])
+	counts := h.serve(150, latency)
+	if counts["new"] == 0 || counts["new"] > 150/4*2/3 {
+		t.Errorf("the new one of four endpoints got %d of 150 requests", counts["new"])
 	}
 }
 
 // An endpoint that reset its connections went down: it warms up when it returns, whatever the list says of its start.
 func TestEndpointWarmsUpAfterAReset(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
-	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
-	h.serve(300, took)
+	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
+	h.serve(300, latency)
 	for ep := ""; ep != "c"; {
 		var id string
 		id, ep = h.request("bill")
@@ -83,8 +83,8 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.serve(30, took)
-	if share := h.serve(60, took); share["c"] > 60/3*2/3 {
-		t.Errorf("an endpoint that went down got %d of 60 requests", share["c"])
+	h.serve(30, latency)
+	if counts := h.serve(60, latency); counts["c"] > 60/3*2/3 {
+		t.Errorf("an endpoint that went down got %d of 60 requests", counts["c"])
 	}
 }
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -44,7 +44,7 @@
 	if id, ep := h.request("read"); ep == "" {
 		t.Errorf("%s is queued beside 400 transfers", id)
 	}
-	if n := h.countActions("refuse") + h.countActions("fail"); n > 0 {
+	if n := h.countActions("reject") + h.countActions("fail"); n > 0 {
 		t.Errorf("%d were rejected or failed", n)
 	}
 }
@@ -57,7 +57,7 @@
 	for range 3 {
 		id := h.upload("bill")
 		h.advance(20 * time.Second) // far beyond latencies and the deadline
-		if h.countActions("fail")+h.countActions("refuse") > 0 {
+		if h.countActions("fail")+h.countActions("reject") > 0 {
 			t.Fatalf("an upload was given up while its body was streaming: %v", h.actions[len(h.actions)-3:])
 		}
 		h.balancer.BodySent(h.now, id, 0, h.now+5*time.Second)
@@ -108,8 +108,8 @@
 			isConsumed bool
 			want       string
 		}{
-			{"consumed, connect failed", balance.ConnectFailed, true, "refuse"},
-			{"consumed, rejected", balance.Rejected, true, "refuse"},
+			{"consumed, connect failed", balance.ConnectFailed, true, "reject"},
+			{"consumed, rejected", balance.Rejected, true, "reject"},
 			{"consumed, reset", balance.Reset, true, "fail"},
 			{"consumed, error response", balance.ErrorResponse, true, "fail"},
 			{"consumed, timed out", balance.TimedOut, true, "fail"},
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -47,18 +47,18 @@
 	}
 }
 
-// endpointsMet returns how many balancers with one request a second each use an endpoint, and the fewest and the most
+// measureSubsets returns how many balancers with one request a second each use an endpoint, and the fewest and the most
 // endpoints that one balancer uses.
-func endpointsMet(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+func measureSubsets(t *testing.T, balancers, endpoints int) (met map[string]int, fewest, most int) {
 	t.Helper()
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	met, fewest = map[string]int{}, endpoints
-	for c := range callers {
+	for c := range balancers {
 		s := defaultSettings()
-		s.Balancers, s.Index = callers, c
+		s.Balancers, s.Index = balancers, c
 		h := newHarness(t, s, names...)
 		own := map[string]bool{}
 		for range 40 {
@@ -79,7 +79,7 @@
 // On tartu's full-size days each of 420 balancers with two requests a second used each of 80 endpoints every 40 s: none
 // noticed a slow endpoint, and nearly every request opened a connection.
 func TestManyQuietBalancersKeepToSubsets(t *testing.T) {
-	met, fewest, most := endpointsMet(t, 200, 60)
+	met, fewest, most := measureSubsets(t, 200, 60)
 	if fewest < 4 || most > 12 {
 		t.Errorf("balancers use %d to %d of 60 endpoints", fewest, most)
 	}
@@ -94,7 +94,7 @@
 
 // With few balancers, one more or less that has an endpoint in its subset would be an imbalance of its own.
 func TestFewBalancersUseAllEndpoints(t *testing.T) {
-	if met, fewest, _ := endpointsMet(t, 6, 12); len(met) != 12 || fewest != 12 {
+	if met, fewest, _ := measureSubsets(t, 6, 12); len(met) != 12 || fewest != 12 {
 		t.Errorf("a balancer among few uses %d of 12 endpoints, all together %d", fewest, len(met))
 	}
 }
