--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -15,52 +15,52 @@
 	latency["d"] = 400 * ms
 	h.serve(60, latency)
 	if n := h.serve(200, latency)["d"]; n > 10 {
-		t.Errorf("a slow endpoint got %d of 200 calls", n)
+		t.Errorf("the slow endpoint got %d of 200 requests, want 10 at most", n)
 	}
 	latency["d"] = 50 * ms
 	h.serve(200, latency)
 	if n := h.serve(200, latency)["d"]; n < 35 {
-		t.Errorf("a recovered endpoint got %d of 200 calls", n)
+		t.Errorf("the recovered endpoint got %d of 200 requests, want at least 35", n)
 	}
 }
 
 func TestOneUnusuallyFastEndpointDoesNotEjectAllOthers(t *testing.T) {
-	h := newHarness(t, defaultSettings(), "lucky", "b", "c", "d", "e", "f")
-	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
+	h := newHarness(t, defaultSettings(), "fast", "b", "c", "d", "e", "f")
+	latency := map[string]time.Duration{"fast": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
 	h.serve(200, latency)
 	others := 0
 	for ep, n := range h.serve(600, latency) {
-		if ep != "lucky" && n > 1 {
+		if ep != "fast" && n > 1 {
 			others++
 		}
 	}
 	if others < 2 {
-		t.Errorf("only %d endpoints beside the fast one are in use", others)
+		t.Errorf("%d endpoints other than the fast one are in use, want at least 2", others)
 	}
 }
 
-// A hung endpoint must not keep its turns for a whole timeout.
+// An endpoint that hangs must not get requests until the first of them times out.
 func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
 	h.serve(100, latency)
-	caught, start := 0, h.now
+	hungRequests, start := 0, h.now
 	for range 200 {
 		id, ep := h.request("read")
 		if ep == "hung" {
-			caught++
+			hungRequests++
 			h.advance(20 * ms)
 			continue
 		}
 		h.advance(20 * ms)
 		h.finish(id, balance.OK)
 	}
-	if trials := int((h.now - start) / (500 * ms)); caught > 5+trials {
-		t.Errorf("a hung endpoint got %d of 200 requests", caught)
+	if trials := int((h.now - start) / (500 * ms)); hungRequests > 5+trials {
+		t.Errorf("the hung endpoint got %d of 200 requests, want 5 and %d trials at most", hungRequests, trials)
 	}
 }
 
-// The balancer waits neither for a timeout nor for the weight of an unresponsive endpoint to grow.
+// An endpoint that does not respond is ejected before an attempt times out and before its weight exceeds activeFactor.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstOverdueAttempt(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
@@ -71,34 +71,34 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within activeFactor
+	h.advance(200 * ms) // beyond overdueMultiple times 50 ms; one sample of 3 leaves its weight within activeFactor
 	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
-		t.Error("an unresponsive endpoint got a request")
+		t.Errorf("the endpoint that does not respond got %d of 6 requests, want none", counts["d"])
 	}
 }
 
-func TestFailedConnectEjectsUntilATrialSucceeds(t *testing.T) {
+func TestFailedConnectEjectsAnEndpointUntilATrialSucceeds(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "down")
 	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
-	tries, start := []time.Duration{}, h.now
+	attempts, start := []time.Duration{}, h.now
 	for h.now < start+20*time.Second {
 		id, ep := h.request("read")
 		if ep == "down" {
-			tries = append(tries, h.now)
+			attempts = append(attempts, h.now)
 			h.finish(id, balance.ConnectFailed)
 			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
-				t.Fatalf("after a failed connect the request went to %v", h.sentTo[id])
+				t.Fatalf("the request was sent to %v, want a retry at another endpoint after the failed connect", h.sentTo[id])
 			}
 		}
 		h.advance(20 * ms)
 		h.finish(id, balance.OK)
 	}
-	if len(tries) < 4 || len(tries) > 12 {
-		t.Errorf("an endpoint that is down got %d attempts in 20 s", len(tries))
+	if len(attempts) < 4 || len(attempts) > 12 {
+		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attempts))
 	}
-	for i := 3; i < len(tries); i++ { // the backoff grows to its limit
-		if wait := tries[i] - tries[i-1]; wait < 500*ms {
-			t.Errorf("trial %d came after %v", i, wait)
+	for i := 3; i < len(attempts); i++ { // the backoff grows to its limit
+		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
+			t.Errorf("trial %d came %v after the one before, want at least 500 ms", i, wait)
 		}
 	}
 }
@@ -108,17 +108,17 @@
 	id, _ := h.request("read")
 	h.finish(id, balance.ConnectFailed) // ejected; no endpoint is active for the retry
 	if len(h.sentTo[id]) != 2 {
-		t.Fatalf("actions %v", h.actions)
+		t.Fatalf("actions are %v, want two attempts of %s", h.actions, id)
 	}
 	h.advance(30 * ms)
 	h.finish(id, balance.OK)
 	if _, ep := h.request("read"); ep != "only" {
-		t.Error("a trial that succeeded with none active did not make its endpoint active")
+		t.Errorf("after a successful trial a request was sent to %q, want the endpoint \"only\"", ep)
 	}
 }
 
-// Seen on day big-1 of regina: trials of balancers with little traffic crowded an ejected endpoint.
-func TestTrialsOfAQuietBalancerStayBelowAnEvenShare(t *testing.T) {
+// The trials of many balancers with little traffic overloaded an ejected endpoint (day big-1 of site regina).
+func TestTrialsOfALowTrafficBalancerStayBelowAnEvenPart(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
 	for i := range 19 {
@@ -127,7 +127,7 @@
 	}
 	h := newHarness(t, defaultSettings(), names...)
 	slow := 0
-	for range 400 { // two requests a second, so an even counts is one each every 10 s
+	for range 400 { // two requests per second, so each of 20 endpoints would get one every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -137,7 +137,7 @@
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 calls; an even counts is 20", slow)
+		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slow)
 	}
 }
 
@@ -147,7 +147,7 @@
 	h := newHarness(t, s, "a", "b", "c", "d")
 	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	counts := map[string]int{}
-	for range 80 { // every request ends in an error
+	for range 80 { // all requests fail
 		id, ep := h.request("read")
 		counts[ep]++
 		h.advance(50 * ms)
@@ -155,13 +155,14 @@
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if counts[ep] < 14 {
-			t.Errorf("%s got %d of 80 requests that all failed below: %v", ep, counts[ep], counts)
+			t.Errorf("%s got %d of 80 requests that all failed, want at least 14; all counts: %v", ep, counts[ep], counts)
 		}
 	}
 }
 
-// Incident i40577d: the fast errors of an endpoint in a middle tier passed for errors of the tier below, and for speed.
-func TestEndpointThatFailsFastDrawsNoTraffic(t *testing.T) {
+// The fast errors of an endpoint in a middle tier were attributed to the tier below, and the endpoint seemed fast and got
+// more requests (incident i40577d).
+func TestEndpointThatFailsFastGetsFewRequests(t *testing.T) {
 	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
 	names := []string{"broken"}
@@ -182,38 +183,38 @@
 		h.finish(id, balance.OK)
 	}
 	if broken > 30 {
-		t.Errorf("a broken endpoint got %d of 400 calls", broken)
+		t.Errorf("the endpoint that fails got %d of 400 requests, want 30 at most", broken)
 	}
 }
 
-// A cancelled attempt says nothing of its endpoint, good or bad.
+// The time until an attempt is cancelled says nothing about the latency of its endpoint.
 func TestCanceledAttemptIsNoLatencySample(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, latency)
-	off := 0
-	for range 40 { // only attempts at b are cancelled, early
+	canceled := 0
+	for range 40 { // attempts at b are cancelled after 1 ms, those at a succeed
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
 			h.balancer.ClientDisconnected(h.now, id)
 			h.finish(id, balance.Canceled)
-			off++
+			canceled++
 			continue
 		}
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if off == 0 || off > 24 {
-		t.Errorf("b got %d of 40 requests; early cancellation must not make it look fast, nor slow", off)
+	if canceled == 0 || canceled > 24 {
+		t.Errorf("b got %d of 40 requests, want 1 to 24: cancellation must make it seem neither fast nor slow", canceled)
 	}
 	if counts := h.serve(60, latency); counts["b"] < 20 {
-		t.Errorf("requests after the cancellations: %v", counts)
+		t.Errorf("after the cancellations b got %d of 60 requests, want at least 20", counts["b"])
 	}
 }
 
-// Seen on a day of endpoints that close idle connections early: each reset passed for a restart and for a sample of a
-// timeout, and healthy endpoints were ejected. The request is retried all the same, if that is safe.
+// On a day with endpoints that close idle connections early, each reset was taken as a restart and as a latency sample of a
+// timeout, and healthy endpoints were ejected. The request is still retried if it is idempotent.
 func TestResetOnAReusedConnectionIsNoLatencySample(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -226,16 +227,16 @@
 			id, ep := h.request("read")
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 2 || h.sentTo[id][1] == ep {
-				t.Fatalf("sent to %v", h.sentTo[id])
+				t.Fatalf("the idempotent request was sent to %v, want a retry at another endpoint than %s", h.sentTo[id], ep)
 			}
 			h.finish(id, balance.OK)
 			if counts := h.serve(9, all); (counts[ep] >= 2) != row.isReused {
-				t.Errorf("then %d of 9 requests", counts[ep])
+				t.Errorf("%s then got %d of 9 requests, want at least 2: %v", ep, counts[ep], row.isReused)
 			}
 			id, ep = h.request("bill")
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 1 || h.countActions("fail "+id) != 1 {
-				t.Errorf("the unsafe request was sent to %v", h.sentTo[id])
+				t.Errorf("the request that is not idempotent was sent to %v, want one attempt and a failure", h.sentTo[id])
 			}
 		})
 	}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -11,20 +11,20 @@
 	"tuliprock/balance"
 )
 
-// ms is the step of time of all tests.
+// ms is the step in which time advances in all tests.
 const ms = time.Millisecond
 
-// harness is a host that drives one balancer by hand and records what it calls for.
+// harness is a host whose test advances the time, reports events to one balancer, and checks the calls recorded.
 type harness struct {
 	t               *testing.T
 	now             time.Duration
 	balancer        *balance.Balancer
-	actions         []string            // calls of the host but timers, in order
-	sentTo          map[string][]string // by request: the endpoints of its attempts
-	sentAt          map[string]time.Duration
-	timers          []time.Duration
-	requestCount    int
-	idleConnections map[string]bool // by endpoint
+	actions         []string                 // calls of the host in order, without Timer and Log
+	sentTo          map[string][]string      // IDs of the endpoints of a request's attempts, by request ID
+	sentAt          map[string]time.Duration // instant of a request's last attempt, by request ID
+	timers          []time.Duration          // instants of the timers that have not fired
+	requestCount    int                      // requests sent so far; the last one has the ID "r" and this number
+	idleConnections map[string]bool          // whether an idle connection to an endpoint exists, by endpoint ID
 }
 
 func (h *harness) Send(id, ep string, _ time.Duration) {
@@ -51,7 +51,7 @@
 
 func (h *harness) Log(string) {}
 
-// defaultSettings has one class of idempotent requests and one of others.
+// defaultSettings returns settings with one class of idempotent requests, read, and one of others, bill.
 func defaultSettings() balance.Settings {
 	return balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: []balance.Class{
@@ -59,7 +59,7 @@
 			{Name: "bill", Idempotency: balance.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
-// newHarness makes a balancer whose first list has the endpoints given.
+// newHarness returns the harness of a balancer whose first list has the given endpoints.
 func newHarness(t *testing.T, s balance.Settings, endpoints ...string) *harness {
 	t.Helper()
 	h := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
@@ -73,7 +73,7 @@
 	return h
 }
 
-// advance lets time pass in steps of a millisecond and fires the timers that fall due.
+// advance advances the time in steps of a millisecond and fires the timers that are due.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += ms
@@ -90,7 +90,8 @@
 	}
 }
 
-// request makes a request and returns its ID and the endpoint that its first attempt went to, if any.
+// request sends a request to the balancer. It returns the request's ID and the endpoint of its first attempt, which is empty
+// if the request was queued or rejected.
 func (h *harness) request(class string) (id, ep string) {
 	id = h.requestForTenant(class, "")
 	if len(h.sentTo[id]) > 0 {
@@ -99,7 +100,7 @@
 	return id, ep
 }
 
-// requestForTenant makes a request for a tenant; it need not be sent.
+// requestForTenant sends a tenant's request to the balancer and returns the request's ID.
 func (h *harness) requestForTenant(class, tenant string) string {
 	h.requestCount++
 	id := "r" + strconv.Itoa(h.requestCount)
@@ -107,28 +108,29 @@
 	return id
 }
 
-// finish reports the outcome of the latest attempt of a request.
+// finish reports the outcome of the last attempt of a request.
 func (h *harness) finish(id string, result balance.Result) {
 	n := len(h.sentTo[id]) - 1
 	h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result,
 		Latency: h.now - h.sentAt[id], IsFinal: result == balance.OK})
 }
 
-// countActions returns how many calls of the host begin with the prefix.
+// countActions returns how many recorded calls of the host begin with the prefix.
 func (h *harness) countActions(prefix string) int {
 	n := 0
-	for _, d := range h.actions {
-		if strings.HasPrefix(d, prefix) {
+	for _, action := range h.actions {
+		if strings.HasPrefix(action, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// serve serves requests one after another, each endpoint with its own latency, and returns how many each got.
-func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
+// serve sends requests one after another, which succeed with the latency of their endpoint. It returns the number of requests
+// by endpoint.
+func (h *harness) serve(requests int, latency map[string]time.Duration) map[string]int {
 	counts := map[string]int{}
-	for range calls {
+	for range requests {
 		id, ep := h.request("read")
 		counts[ep]++
 		h.advance(latency[ep])
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -10,60 +10,61 @@
 	"tuliprock/balance"
 )
 
-// deadlineSlack is how long after the deadline a final answer may come.
+// deadlineSlack is the time after its deadline in which a request may still get its final response.
 const deadlineSlack = 20 * ms
 
-// simAttempt is an attempt as the simulation knows it.
+// simAttempt is the state of an attempt in the simulation.
 type simAttempt struct {
 	endpoint       balance.Endpoint
 	sentAt, endsAt time.Duration
-	result         balance.Result
-	inFlight       bool
-	mayHaveRun     bool // ended, and nothing proves that it did not run
-	isCanceled     bool
+	result         balance.Result // result that the attempt has at endsAt
+	inFlight       bool           // whether the balancer has not got its outcome yet
+	mayHaveRun     bool           // whether it has ended and its result does not prove that it did not run
+	isCanceled     bool           // whether the balancer has cancelled it
 }
 
-// simRequest is a request as the simulation knows it.
+// simRequest is the state of a request in the simulation.
 type simRequest struct {
 	balance.Request
 	class            balance.Class
 	attempts         []*simAttempt
-	isFinished       bool // it has its answer, or its client has left
-	balancerKnowsEnd bool // the balancer knows so, by an event or because it gave the answer
+	isFinished       bool // whether it has its final response, or its client has disconnected
+	balancerKnowsEnd bool // whether the balancer caused that or was notified of it
 }
 
-// simulation plays clients, discovery and endpoints against one balancer, and checks the rules of the platform: no
-// attempt at an endpoint that is not available, one answer per request and in time, no second effect, nothing not permitted.
+// simulation simulates clients, discovery and endpoints for one balancer, and checks the invariants: no attempt is sent to
+// an endpoint that is not available, each request gets one final response in time, no request can take effect twice, and
+// the balancer does nothing that its settings do not allow.
 type simulation struct {
 	t                testing.TB
 	rng              *rand.Rand
 	settings         balance.Settings
 	now              time.Duration
 	balancer         *balance.Balancer
-	listed           map[string]balance.Endpoint // as listed last
-	unavailableSince map[string]time.Duration    // when it was listed as draining or gone
-	manuallyEjected  map[string]bool
-	ejectionChanges  int
-	requests         map[string]*simRequest
-	openIDs          []string
-	timers           []time.Duration
-	probes           []string
-	slowStartSends   map[string][]time.Duration // by endpoint, while it is warming up
+	listed           map[string]balance.Endpoint // last list entry of each endpoint, by ID
+	unavailableSince map[string]time.Duration    // instant at which an endpoint was listed as draining or gone, by ID
+	manuallyEjected  map[string]bool             // IDs of the endpoints that operators have ejected
+	ejectionChanges  int                         // manual ejections and restorations so far
+	requests         map[string]*simRequest      // by ID, since the last restart of the balancer
+	openIDs          []string                    // IDs of requests that are not finished or have an attempt in flight
+	timers           []time.Duration             // instants of the timers that have not fired
+	probes           []string                    // IDs of endpoints whose load probes have no result yet
+	slowStartSends   map[string][]time.Duration  // instants of attempts at endpoints that are warming up, by ID
 	requestCount     int
-	isDraining       bool // no new request, list or ejection
-	sends            int
-	responseCounts   [3]int // served, rejected, failed
-	actions          []string
+	isDraining       bool     // whether no new requests, lists or ejections are simulated any more
+	sends            int      // attempts sent so far
+	responseCounts   [3]int   // final responses so far: successes, rejections and failures
+	actions          []string // instants and arguments of Send, Reject and Fail, in order
 }
 
 func (sim *simulation) Send(id, ep string, timeout time.Duration) {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v send %s %s", sim.now, id, ep))
 	req, e := sim.requests[id], sim.listed[ep]
 	if req == nil || e.ID == "" {
-		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
+		sim.t.Fatalf("%v: Send of request %q to endpoint %q, one of which is unknown", sim.now, id, ep)
 	}
 	if req.balancerKnowsEnd {
-		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
+		sim.t.Fatalf("%v: Send of %s, which is finished", sim.now, id)
 	}
 	if at, ok := sim.unavailableSince[ep]; ok && sim.now > at {
 		sim.t.Fatalf("%v: Send to %s, unavailable since %v", sim.now, ep, at)
@@ -72,11 +73,11 @@
 		sim.t.Fatalf("%v: Send to %s, which is manually ejected", sim.now, ep)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
-		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
+		sim.t.Fatalf("%v: Send of attempt %d of %s, want %d attempts at most", sim.now, len(req.attempts), id, sim.settings.MaxAttempts)
 	}
 	for _, att := range req.attempts {
 		if att.inFlight {
-			sim.t.Fatalf("%v: second attempt in flight of %s", sim.now, id)
+			sim.t.Fatalf("%v: Send of %s, which has another attempt in flight", sim.now, id)
 		}
 		if !att.inFlight && !att.mayHaveRun || req.class.Idempotency == balance.Idempotent {
 			continue
@@ -85,7 +86,7 @@
 		if c.Idempotency == balance.NonIdempotent || sim.now > att.sentAt+c.DedupWindow ||
 			c.DedupScope == balance.ScopeZone && att.endpoint.Zone != e.Zone ||
 			c.DedupScope == balance.ScopeCell && att.endpoint.Cell != e.Cell {
-			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
+			sim.t.Fatalf("%v: Send of %s to %s, where it may take effect twice", sim.now, id, ep)
 		}
 	}
 	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartDuration {
@@ -96,7 +97,7 @@
 	switch n := sim.rng.IntN(20); {
 	case n < 11:
 		att.result = balance.OK
-	case n == 11: // hangs
+	case n == 11: // the endpoint hangs
 		att.result, att.endsAt = balance.TimedOut, sim.now+timeout
 	default:
 		att.result = []balance.Result{balance.ErrorResponse, balance.Rejected, balance.ConnectFailed, balance.Reset,
@@ -110,15 +111,15 @@
 
 func (sim *simulation) Cancel(id string, n int) {
 	if !sim.settings.CanCancel {
-		sim.t.Fatalf("%v: Cancel is not allowed", sim.now)
+		sim.t.Fatalf("%v: Cancel, which the settings do not allow", sim.now)
 	}
 	req := sim.requests[id]
 	if req == nil || n < 0 || n >= len(req.attempts) {
-		sim.t.Fatalf("%v: Cancel of %s/%d, which was never sent", sim.now, id, n)
+		sim.t.Fatalf("%v: Cancel of attempt %d of %s, which was never sent", sim.now, n, id)
 	}
 	if att := req.attempts[n]; att.inFlight && !att.isCanceled {
 		att.isCanceled = true
-		if sim.rng.IntN(4) > 0 || att.endsAt > sim.now+50*ms { // else another outcome is on its way
+		if sim.rng.IntN(4) > 0 || att.endsAt > sim.now+50*ms { // else the attempt ends before the host cancels it
 			att.result, att.endsAt = balance.Canceled, sim.now
 		}
 	}
@@ -130,7 +131,7 @@
 	for _, att := range req.attempts {
 		if (att.inFlight || att.mayHaveRun) && (req.class.Idempotency == balance.NonIdempotent ||
 			req.class.Idempotency == balance.IdempotencyKey && req.class.DedupScope != balance.ScopeAll) {
-			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
+			sim.t.Fatalf("%v: Reject of %s, which may have run and is not idempotent", sim.now, id)
 		}
 	}
 }
@@ -140,14 +141,15 @@
 	sim.responseCounts[2]++
 }
 
+// recordResponse records the final response by Reject or Fail.
 func (sim *simulation) recordResponse(id string) *simRequest {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
 	req := sim.requests[id]
 	if req == nil || req.balancerKnowsEnd {
-		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
+		sim.t.Fatalf("%v: final response to %s, which is unknown or already finished", sim.now, id)
 	}
 	if !req.isFinished && sim.now > req.Deadline+deadlineSlack {
-		sim.t.Fatalf("%v: a late answer to %s, due at %v", sim.now, id, req.Deadline)
+		sim.t.Fatalf("%v: final response to %s, want it by its deadline %v", sim.now, id, req.Deadline)
 	}
 	req.isFinished, req.balancerKnowsEnd = true, true
 	return req
@@ -155,7 +157,7 @@
 
 func (sim *simulation) Probe(ep string) {
 	if !sim.settings.CanProbe {
-		sim.t.Fatalf("%v: Probe is not allowed", sim.now)
+		sim.t.Fatalf("%v: Probe, which the settings do not allow", sim.now)
 	}
 	if sim.manuallyEjected[ep] {
 		sim.t.Fatalf("%v: Probe of %s, which is manually ejected", sim.now, ep)
@@ -167,7 +169,7 @@
 func (sim *simulation) Timer(at time.Duration)        { sim.timers = append(sim.timers, at) }
 func (sim *simulation) Log(string)                    {}
 
-// restart replaces the balancer; the requests of an earlier one are lost.
+// restart replaces the balancer. The requests of the balancer before are lost.
 func (sim *simulation) restart(seed uint64) {
 	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
 	sim.settings.Seed = seed
@@ -184,23 +186,24 @@
 	}
 }
 
-// changeEjection ejects an endpoint manually or restores it, listed or not.
+// changeEjection ejects a random endpoint manually or restores it, whether it is listed or not.
 func (sim *simulation) changeEjection() {
 	id := "e" + strconv.Itoa(sim.rng.IntN(12))
-	out := sim.rng.IntN(2) == 0
-	if delete(sim.manuallyEjected, id); out {
+	isEjection := sim.rng.IntN(2) == 0
+	if delete(sim.manuallyEjected, id); isEjection {
 		sim.manuallyEjected[id] = true
 	}
 	sim.ejectionChanges++
-	sim.balancer.SetEjected(sim.now, id, out)
-	if out && !sim.balancer.IsKnown(id) {
-		sim.t.Fatalf("%v: %s is manually ejected, and not known", sim.now, id)
+	sim.balancer.SetEjected(sim.now, id, isEjection)
+	if isEjection && !sim.balancer.IsKnown(id) {
+		sim.t.Fatalf("%v: IsKnown of %s, which is manually ejected, is false", sim.now, id)
 	}
-	if listed, avoided := sim.balancer.EndpointCounts(); avoided > listed {
-		sim.t.Fatalf("%v: %d of %d are ejected", sim.now, avoided, listed)
+	if listed, ejected := sim.balancer.EndpointCounts(); ejected > listed {
+		sim.t.Fatalf("%v: EndpointCounts returns %d listed and %d ejected endpoints", sim.now, listed, ejected)
 	}
 }
 
+// changeList reports a failed update, or one with a random change of a random endpoint.
 func (sim *simulation) changeList() {
 	if sim.rng.IntN(10) == 0 {
 		sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{Failed: true})
@@ -227,6 +230,7 @@
 	sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{e}})
 }
 
+// request sends a random request to the balancer.
 func (sim *simulation) request() {
 	sim.requestCount++
 	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
@@ -240,7 +244,7 @@
 	sim.balancer.Request(sim.now, r)
 }
 
-// step plays the events of one instant.
+// step advances the time and reports the events of the new instant.
 func (sim *simulation) step() {
 	sim.now += max(sim.settings.TimerResolution, ms)
 	for range sim.rng.IntN(4) {
@@ -273,18 +277,18 @@
 		if sim.rng.IntN(6) == 0 {
 			p.Result, p.Load.Known = balance.ConnectFailed, false
 		}
-		if sim.rng.IntN(20) > 0 { // some are lost
+		if sim.rng.IntN(20) > 0 { // else the result is lost
 			sim.balancer.Probed(sim.now, p)
 		}
 	}
-	kept := sim.openIDs[:0]
+	stillOpen := sim.openIDs[:0]
 	for _, id := range sim.openIDs {
 		req := sim.requests[id]
 		if !sim.isDraining && !req.isFinished && sim.rng.IntN(400) == 0 {
 			req.isFinished, req.balancerKnowsEnd = true, true
 			sim.balancer.ClientDisconnected(sim.now, id)
 		}
-		out := false
+		hasAttemptInFlight := false
 		for n, att := range req.attempts {
 			if att.inFlight && att.endsAt <= sim.now {
 				att.inFlight = false
@@ -293,28 +297,28 @@
 					req.isFinished = true
 					sim.responseCounts[0]++
 				}
-				final := req.isFinished
-				req.balancerKnowsEnd = req.balancerKnowsEnd || final
+				isFinal := req.isFinished
+				req.balancerKnowsEnd = req.balancerKnowsEnd || isFinal
 				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
-					Latency: sim.now - att.sentAt, IsFinal: final})
-				if sim.rng.IntN(30) == 0 { // a second report must be ignored
+					Latency: sim.now - att.sentAt, IsFinal: isFinal})
+				if sim.rng.IntN(30) == 0 { // the balancer must ignore a second outcome
 					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
-						IsFinal: final})
+						IsFinal: isFinal})
 				}
 			}
-			out = out || att.inFlight
+			hasAttemptInFlight = hasAttemptInFlight || att.inFlight
 		}
 		if !req.isFinished && sim.now > req.Deadline+deadlineSlack {
-			sim.t.Fatalf("%v: no answer to %s by %v", sim.now, id, req.Deadline)
+			sim.t.Fatalf("%v: no final response to %s, want it by its deadline %v", sim.now, id, req.Deadline)
 		}
-		if !req.isFinished || out {
-			kept = append(kept, id)
+		if !req.isFinished || hasAttemptInFlight {
+			stillOpen = append(stillOpen, id)
 		}
 	}
-	sim.openIDs = kept
+	sim.openIDs = stillOpen
 }
 
-// newSimulation makes a simulation whose settings and events depend on the seed alone.
+// newSimulation returns a simulation whose settings and events depend only on the seed.
 func newSimulation(tb testing.TB, seed uint64) *simulation {
 	tb.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -327,8 +331,9 @@
 		TimerResolution:   time.Duration(1+rng.IntN(5)) * ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second,
 		Tenants: []balance.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.IdempotencyKey, balance.IdempotencyKey, balance.NonIdempotent} {
-		sim.settings.Classes = append(sim.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Idempotency: effect,
+	for i, idempotency := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.IdempotencyKey,
+		balance.IdempotencyKey, balance.NonIdempotent} {
+		sim.settings.Classes = append(sim.settings.Classes, balance.Class{Name: "c" + strconv.Itoa(i), Idempotency: idempotency,
 			DedupScope: balance.DedupScope(max(i-1, 0) % 3), DedupWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
 		})
 	}
@@ -340,7 +345,8 @@
 	return sim
 }
 
-// runSimulation plays random legal events; a broken rule is fatal.
+// runSimulation simulates random events for a number of steps, and then until all requests have ended. A violation of an
+// invariant fails the test.
 func runSimulation(tb testing.TB, seed uint64, steps int) *simulation {
 	tb.Helper()
 	sim := newSimulation(tb, seed)
@@ -351,34 +357,34 @@
 		}
 	}
 	sim.isDraining = true
-	for range 3000 { // let everything end
+	for range 3000 {
 		if len(sim.openIDs) == 0 {
 			break
 		}
 		sim.step()
 	}
 	if len(sim.openIDs) > 0 {
-		tb.Fatalf("%d requests never ended", len(sim.openIDs))
+		tb.Fatalf("%d requests have not ended 3000 steps after the last new one", len(sim.openIDs))
 	}
 	return sim
 }
 
 func TestInvariantsHoldOnRandomEvents(t *testing.T) {
-	var answers [3]int
+	var responses [3]int
 	ejectionChanges := 0
 	for seed := range uint64(60) {
 		sim := runSimulation(t, seed, 1500)
 		ejectionChanges += sim.ejectionChanges
 		for i, n := range sim.responseCounts {
-			answers[i] += n
+			responses[i] += n
 		}
 	}
 	if ejectionChanges < 500 {
-		t.Errorf("only %d ejections or restorations: the events test too little", ejectionChanges)
+		t.Errorf("%d manual ejections and restorations were simulated, want at least 500", ejectionChanges)
 	}
-	for i, n := range answers {
+	for i, n := range responses {
 		if n < 1000 {
-			t.Errorf("only %d answers of kind %d: the events test too little", n, i)
+			t.Errorf("%d final responses of kind %d of responseCounts were simulated, want at least 1000", n, i)
 		}
 	}
 }
@@ -387,11 +393,11 @@
 	for seed := range uint64(5) {
 		a, b := runSimulation(t, seed, 500).actions, runSimulation(t, seed, 500).actions
 		if len(a) != len(b) || len(a) == 0 {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions in one run and %d in the other, want the same number, not 0", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %q, then %q", seed, a[i], b[i])
+				t.Fatalf("seed %d: action %d is %q in one run and %q in the other", seed, i, a[i], b[i])
 			}
 		}
 	}
