--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -71,7 +71,7 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // beyond overdueMultiple times 50 ms; one sample of 3 leaves its weight within activeFactor
+	h.advance(200 * ms) // beyond three times 50 ms (overdueMultiple); one sample of 3 leaves its weight within activeFactor
 	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
 		t.Errorf("the endpoint that does not respond got %d of 6 requests, want none", counts["d"])
 	}
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -9,8 +9,8 @@
 	"tuliprock/balance"
 )
 
-// requestsPerEndpoint serves requests one at a time, each tenth endpoint being slower, and returns how many each endpoint
-// got.
+// requestsPerEndpoint sends requests one at a time to a balancer of n endpoints, and returns the number of requests by
+// endpoint. The latency of every tenth endpoint is slower times that of the others.
 func requestsPerEndpoint(n, requests int, slower float64) map[string]float64 {
 	m, h := newSingleBalancer(n)
 	now := time.Hour
@@ -32,9 +32,9 @@
 	return got
 }
 
-// spreadOf returns the mean count of the slow or the other endpoints, and the standard deviation and the largest deviation
-// from it, as fractions of the mean.
-func spreadOf(got map[string]float64, n int, slow bool) (mean, deviation, most float64) {
+// spreadOf returns the mean number of requests of the slow or of the other endpoints, and the standard deviation and the
+// largest deviation from the mean as fractions of it.
+func spreadOf(got map[string]float64, n int, slow bool) (mean, deviation, maxDeviation float64) {
 	var counts []float64
 	for i := range n {
 		if (i%10 == 0) == slow {
@@ -46,36 +46,38 @@
 	}
 	for _, c := range counts {
 		deviation += (c - mean) * (c - mean) / float64(len(counts))
-		most = max(most, math.Abs(c-mean)/mean)
+		maxDeviation = max(maxDeviation, math.Abs(c-mean)/mean)
 	}
-	return mean, math.Sqrt(deviation) / mean, most
+	return mean, math.Sqrt(deviation) / mean, maxDeviation
 }
 
-// Picks from samples of a large subset give equal endpoints about as many requests, and slower ones fewer, as picks from a
-// small subset do.
+// Picks from samples of a large subset must spread requests like picks from a small subset: evenly over equal endpoints, and
+// fewer to slower ones.
 func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
-	const each = 40
-	for _, n := range []int{200, 400, 2000} { // one scanned whole, two sampled
-		got := requestsPerEndpoint(n, n*each, 1.4)
-		fast, deviation, most := spreadOf(got, n, false)
+	const requestsPerEndpointMean = 40
+	for _, n := range []int{200, 400, 2000} { // the first is scanned, the others are sampled
+		got := requestsPerEndpoint(n, n*requestsPerEndpointMean, 1.4)
+		fast, deviation, maxDeviation := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
-		t.Logf("%d endpoints: %.1f requests, deviation %.3f, at most %.3f off; slower ones %.2f of that",
-			n, fast, deviation, most, slow/fast)
-		if deviation > 0.1 || most > 0.5 {
-			t.Errorf("%d endpoints: requests differ by %.3f, at most by %.3f", n, deviation, most)
+		t.Logf("%d endpoints: %.1f requests each, standard deviation %.3f, largest deviation %.3f; slower ones get %.2f of that",
+			n, fast, deviation, maxDeviation, slow/fast)
+		if deviation > 0.1 || maxDeviation > 0.5 {
+			t.Errorf("%d endpoints: requests have a standard deviation of %.3f and a largest deviation of %.3f, want 0.1 and 0.5 at most",
+				n, deviation, maxDeviation)
 		}
 		if fraction := slow / fast; fraction < 0.6 || fraction > 0.95 {
-			t.Errorf("%d endpoints: those slower by 1.4 get %.2f of the requests", n, fraction)
+			t.Errorf("%d endpoints: those with 1.4 times the latency get %.2f of the others' requests, want 0.6 to 0.95", n, fraction)
 		}
 	}
 }
 
-// Endpoints that drain or are gone get no more requests, not even those used last; new ones get their trials.
+// After a list update the sample of a large subset must not contain endpoints that are draining or gone, not even recently
+// used ones, and new endpoints get trials.
 func TestLargeSubsetFollowsListUpdates(t *testing.T) {
 	const n = 1000
 	m, h := newSingleBalancer(n)
 	now := time.Hour
-	ask := func(count int) (got map[string]int) {
+	sendRequests := func(count int) (got map[string]int) {
 		got = map[string]int{}
 		for range count {
 			now += 2 * time.Millisecond
@@ -90,7 +92,7 @@
 		}
 		return got
 	}
-	before := ask(50)
+	before := sendRequests(50)
 	l := completeList(n + 10)
 	for i := range l.Endpoints {
 		if before[l.Endpoints[i].ID] > 0 {
@@ -99,18 +101,18 @@
 	}
 	l.Endpoints = l.Endpoints[1:]
 	m.EndpointList(now, l)
-	after := ask(20 * n)
+	after := sendRequests(20 * n)
 	for id := range before {
 		if after[id] > 0 {
-			t.Errorf("%s is draining and got %d requests", id, after[id])
+			t.Errorf("%s is draining and got %d requests, want none", id, after[id])
 		}
 	}
 	if after["n00000"] > 0 {
-		t.Error("an endpoint that is gone got requests")
+		t.Errorf("the endpoint that is gone got %d requests, want none", after["n00000"])
 	}
 	for i := range 10 {
 		if id := fmt.Sprintf("n%05d", n+i); after[id] == 0 {
-			t.Errorf("%s is new and got no request", id)
+			t.Errorf("the new endpoint %s got no request, want at least 1", id)
 		}
 	}
 }
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -7,12 +7,12 @@
 	"tuliprock/balance"
 )
 
-// An endpoint that operators eject gets no attempt until they restore it, whatever lists say meanwhile.
+// An endpoint that operators eject must not get an attempt until they restore it, whatever list updates come meanwhile.
 func TestManualEjectionSurvivesListUpdates(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.balancer.SetEjected(h.now, "a", true)
-	h.balancer.SetEjected(h.now, "a", true) // a repetition changes nothing
+	h.balancer.SetEjected(h.now, "a", true) // has no effect, as it is already ejected
 	lists := []balance.EndpointUpdate{
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
@@ -25,75 +25,76 @@
 		for range 50 {
 			id, ep := h.request("read")
 			if ep != "b" {
-				t.Fatalf("after list %d: %s went to %q", i, id, ep)
+				t.Fatalf("after list update %d, %s was sent to %q, want b", i, id, ep)
 			}
 			h.advance(10 * ms)
 			h.finish(id, balance.OK)
 		}
 	}
-	if listed, avoided := h.balancer.EndpointCounts(); listed != 2 || avoided != 1 {
-		t.Errorf("%d listed, %d avoided", listed, avoided)
+	if listed, ejected := h.balancer.EndpointCounts(); listed != 2 || ejected != 1 {
+		t.Errorf("%d endpoints are listed and %d ejected, want 2 and 1", listed, ejected)
 	}
-	h.balancer.SetEjected(h.now, "a", false) // one restoration undoes both
-	met := false
+	h.balancer.SetEjected(h.now, "a", false) // undoes both ejections
+	isUsed := false
 	for range 300 {
 		id, ep := h.request("read")
-		met = met || ep == "a"
+		isUsed = isUsed || ep == "a"
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
 	}
-	if !met {
-		t.Error("unused for 3 s after it was restored")
+	if !isUsed {
+		t.Error("the endpoint got no request within 3 s after it was restored, want at least 1")
 	}
-	if _, avoided := h.balancer.EndpointCounts(); avoided != 0 {
-		t.Errorf("%d are still ejected", avoided)
+	if _, ejected := h.balancer.EndpointCounts(); ejected != 0 {
+		t.Errorf("%d endpoints are ejected after the restoration, want none", ejected)
 	}
 }
 
-// An ID that is not listed can be ejected, too: a list may name it later.
+// Operators can eject an ID that is not listed, since a later list may contain it.
 func TestUnlistedEndpointCanBeEjectedManually(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	if h.balancer.IsKnown("b") {
-		t.Error("b is known before it was listed or ejected")
+		t.Error("IsKnown of b is true before it was listed or ejected")
 	}
 	h.balancer.SetEjected(h.now, "b", true)
 	if !h.balancer.IsKnown("b") {
-		t.Error("b is ejected, and not known")
+		t.Error("IsKnown of b is false after it was ejected")
 	}
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	for range 20 {
 		if id, ep := h.request("read"); ep == "b" {
-			t.Fatalf("%s went to b", id)
+			t.Fatalf("%s was sent to b, which is ejected", id)
 		}
 	}
 }
 
-// Where operators have ejected all endpoints, only operators can change that: requests are rejected at once, queued ones
-// too.
-func TestAllEndpointsEjectedManuallyRejectsAtOnce(t *testing.T) {
+// If operators have ejected all endpoints, only they can change that, so requests are rejected at once instead of waiting in
+// the queue.
+func TestRequestsAreRejectedAtOnceWhenAllEndpointsAreEjectedManually(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{
 		{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
-	queued := h.requestForTenant("read", "") // other endpoints may follow the draining ones
+	queued := h.requestForTenant("read", "") // stays queued, as discovery may list other endpoints
 	if h.countActions("reject") > 0 {
-		t.Fatal("rejected though other endpoints may come")
+		t.Fatal("a request was rejected while all endpoints are draining, want it queued")
 	}
 	h.balancer.SetEjected(h.now, "a", true)
 	h.balancer.SetEjected(h.now, "b", true)
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
 	if h.countActions("reject "+queued) != 1 {
-		t.Error("the queued request is not rejected")
+		t.Error("the queued request was not rejected when all endpoints were ejected")
 	}
 	if id, ep := h.request("bill"); ep != "" || h.countActions("reject "+id) != 1 {
-		t.Errorf("%s went to %q and is not rejected at once", id, ep)
+		t.Errorf("%s was sent to %q, want it rejected at once", id, ep)
 	}
 	h.balancer.SetEjected(h.now, "b", false)
 	if _, ep := h.request("bill"); ep != "b" {
-		t.Errorf("after one is restored: %q", ep)
+		t.Errorf("after b was restored, a request was sent to %q, want b", ep)
 	}
 }
 
-// An attempt that was not sent is retried elsewhere; a request that is not idempotent and may have run is not.
+// After a manual ejection, an attempt that was not sent is retried at another endpoint; a request that is not idempotent and
+// may have run is not retried.
 func TestAttemptsInFlightAtAManuallyEjectedEndpointAreRetriedOnlyIfSafe(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
@@ -107,31 +108,32 @@
 		}
 	}
 	h.balancer.SetEjected(h.now, "a", true)
-	h.finish(read, balance.NotSent) // the endpoint was ejected before it was written
+	h.finish(read, balance.NotSent) // the host had not sent it before the ejection
 	h.finish(bill, balance.Reset)
 	if got := h.sentTo[read]; len(got) != 2 || got[1] != "b" {
-		t.Errorf("the request that was not sent: %v", got)
+		t.Errorf("the request that had not been sent got attempts at %v, want a retry at b", got)
 	}
 	if h.countActions("fail "+bill) != 1 || len(h.sentTo[bill]) != 1 {
-		t.Errorf("the unsafe request that may have run: %v", h.sentTo[bill])
+		t.Errorf("the request that may have run got attempts at %v, want one attempt and a failure", h.sentTo[bill])
 	}
 }
 
-// A restored endpoint warms up, whatever the list says of its start, and results of attempts sent before say nothing of it.
+// A restored endpoint warms up, whatever start the list gives, and results of attempts sent before its ejection do not count
+// for it.
 func TestRestoredEndpointCountsAsRestarted(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	old, ep := h.request("read")
-	for ; ep != "a"; old, ep = h.request("read") {
-		h.finish(old, balance.OK)
+	earlier, ep := h.request("read")
+	for ; ep != "a"; earlier, ep = h.request("read") {
+		h.finish(earlier, balance.OK)
 	}
 	h.balancer.SetEjected(h.now, "a", true)
 	h.advance(100 * ms)
 	h.balancer.SetEjected(h.now, "a", false)
-	// The list does not know of the restart.
+	// This list does not show the restart.
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	h.finish(old, balance.Reset) // by the earlier incarnation
-	h.finish(old, balance.OK)    // by the other endpoint
+	h.finish(earlier, balance.Reset) // result of the earlier incarnation of a
+	h.finish(earlier, balance.OK)    // result of the retry at b
 	since, sent := h.now, 0
 	for h.now < since+2*time.Second {
 		id, ep := h.request("read")
@@ -141,8 +143,9 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 	}
-	// Of 500 requests a second half are its counts at full capacity; it starts with 0.3 of that and gets 1.5 times as much.
+	// At full capacity it would get half of 500 requests per second. It starts with 0.3 of that capacity, and gets 1.5 times
+	// (slowStartLoadMultiple) as many requests.
 	if sent == 0 || sent > 400 {
-		t.Errorf("%d of 1000 requests went to the restored endpoint within 2 s", sent)
+		t.Errorf("%d of 1000 requests were sent to the restored endpoint within 2 s, want 1 to 400", sent)
 	}
 }
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -16,7 +16,7 @@
 	h.serve(100, latency)
 	counts := h.serve(400, latency)
 	if f, s := counts["fast"], counts["slow"]; f < s*5/4 || f > s*2 {
-		t.Errorf("fast got %d requests and slow %d, want 1.25 to 2 times as many", f, s)
+		t.Errorf("the fast endpoint got %d requests and the slow one %d, want 1.25 to 2 times as many", f, s)
 	}
 }
 
@@ -25,18 +25,19 @@
 	counts := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
 	for ep, n := range counts {
 		if n < 90 || n > 110 {
-			t.Errorf("%s got %d of 400 requests", ep, n)
+			t.Errorf("%s got %d of 400 requests, want 90 to 110", ep, n)
 		}
 	}
 }
 
-// In ha74963 machines of a third of the speed got half as many requests as fast ones, and were saturated: most of the
-// latency was that of the tiers below, which is the same for all. Only what the endpoint adds is charged there.
-func TestLatencyOfTiersBelowDoesNotEvenOutEndpoints(t *testing.T) {
+// Machines with a third of the speed got half as many requests as fast ones, and were saturated: most of the latency was
+// that of the tiers below, which is the same for all endpoints (found day ha74963). With tiers below, the balancer therefore
+// charges only the latency that the endpoint adds.
+func TestLatencyOfTiersBelowDoesNotHideSlowEndpoints(t *testing.T) {
 	for _, row := range []struct {
-		name             string
-		tiersBelow       int
-		fewest, greatest float64 // requests of fast endpoints, in those of slow ones
+		name               string
+		tiersBelow         int
+		minRatio, maxRatio float64 // bounds of the requests of fast endpoints divided by those of slow ones
 	}{
 		{"no tier below", 0, 1.2, 1.9},
 		{"a tier below", 1, 2.2, 4.5},
@@ -54,14 +55,15 @@
 				h.advance(latency[ep])
 				h.finish(id, balance.OK)
 			}
-			if got := counts["fast"] / counts["slow"]; got < row.fewest || got > row.greatest {
-				t.Errorf("fast endpoints get %.2f times the requests of slow ones", got)
+			if got := counts["fast"] / counts["slow"]; got < row.minRatio || got > row.maxRatio {
+				t.Errorf("fast endpoints got %.2f times the requests of slow ones, want %.1f to %.1f times", got, row.minRatio, row.maxRatio)
 			}
 		})
 	}
 }
 
-// A balancer with little traffic uses an endpoint every few seconds: until it has samples, the weight of the kind counts.
+// A balancer with little traffic sends to an endpoint only every few seconds. Until it has samples, the weight of the kind
+// applies.
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
@@ -84,12 +86,12 @@
 		}
 	}
 	if slow > 20 {
-		t.Errorf("slow endpoints got %d of 60 requests after three samples each", slow)
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slow)
 	}
 }
 
-// Seen on the same day: attempts at a hung endpoint used the whole limit, and a new endpoint was idle.
-func TestHungEndpointDoesNotUseTheWholeLimit(t *testing.T) {
+// Attempts at an endpoint that hung used up the concurrency limit, and a new endpoint got no requests.
+func TestHungEndpointDoesNotUseUpTheLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for range 6 {
 		h.requestForTenant("read", "")
@@ -103,7 +105,7 @@
 		}
 	}
 	if trial == "" {
-		t.Fatal("no trial of the new endpoint")
+		t.Fatal("the new endpoint got no trial")
 	}
 	h.advance(100 * ms)
 	h.finish(trial, balance.OK)
@@ -112,33 +114,33 @@
 		h.requestForTenant("read", "")
 	}
 	if n := h.countActions("send") - before; n < 4 {
-		t.Errorf("%d requests are sent beside the hung endpoint", n)
+		t.Errorf("%d of 6 requests were sent while one endpoint hangs, want at least 4", n)
 	}
 }
 
-// An idle connection groups turns, and does not change how many each endpoint gets.
-func TestIdleConnectionIsUsedForAFewTurns(t *testing.T) {
+// An endpoint with an idle connection gets a few requests in a row, but not more requests in total.
+func TestIdleConnectionIsUsedForAFewRequestsInARow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.idleConnections = map[string]bool{}
-	counts, moves, last := map[string]int{}, 0, ""
-	const calls = 400
-	for range calls {
+	counts, changes, last := map[string]int{}, 0, ""
+	const requests = 400
+	for range requests {
 		id, ep := h.request("read")
-		if ep != last { // the connection to the one before is closed
+		if ep != last { // the endpoint used before closes its connection
 			h.idleConnections[last], last = false, ep
-			moves++
+			changes++
 		}
 		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 		h.idleConnections[ep] = true
 	}
-	if moves > calls/2 {
-		t.Errorf("%d changes of endpoint in %d requests", moves, calls)
+	if changes > requests/2 {
+		t.Errorf("the endpoint changed %d times in %d requests, want half of them at most", changes, requests)
 	}
 	for ep, n := range counts {
-		if n < calls/4-5 || n > calls/4+5 {
-			t.Errorf("%s got %d of %d requests", ep, n, calls)
+		if n < requests/4-5 || n > requests/4+5 {
+			t.Errorf("%s got %d of %d requests, want a quarter, give or take 5", ep, n, requests)
 		}
 	}
 }
@@ -149,56 +151,56 @@
 	h := newHarness(t, s, "a", "b", "c")
 	h.request("read")
 	if h.countActions("probe ") != 3 {
-		t.Fatalf("actions %v", h.actions)
+		t.Fatalf("actions are %v, want 3 load probes", h.actions)
 	}
-	for ep, held := range map[string]float64{"a": 4, "b": 0, "c": 4} {
-		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: held}})
+	for ep, load := range map[string]float64{"a": 4, "b": 0, "c": 4} {
+		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: load}})
 	}
 	if got := h.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
-		t.Errorf("sent to %v", got)
+		t.Errorf("r1 was sent to %v, want b, which reported no load", got)
 	}
 	h.request("read")
-	h.advance(50 * ms) // lost probes delay a request only by probeTimeout
+	h.advance(50 * ms) // a lost load probe delays a request only by probeTimeout
 	if len(h.sentTo["r2"]) != 1 {
-		t.Error("a request waits for probes that were lost")
+		t.Errorf("r2 has %d attempts 50 ms after its load probes were lost, want 1", len(h.sentTo["r2"]))
 	}
 }
 
-// In i392ed2 a zone's endpoints hung: they answered probes, with a load of eight, and nothing else. Never picked, they kept
-// the lowest deficits and got all the probes, and requests went to endpoints without a load report.
-func TestLoadedEndpointsDoNotGetAllTheProbes(t *testing.T) {
+// The endpoints of a zone hung, but still responded to load probes, with a load of 8 requests. As they were never picked, they
+// kept the lowest deficits and got all load probes, and requests went to endpoints without a load report (incident i392ed2).
+func TestLoadedEndpointsDoNotGetAllLoadProbes(t *testing.T) {
 	s := defaultSettings()
 	s.CanProbe = true
 	eps := []string{"a", "b", "c", "d", "e", "hung1", "hung2", "hung3"}
 	h := newHarness(t, s, eps...)
-	probes, toHung, picks := 0, 0, 0
+	probes, hungProbes, hungRequests := 0, 0, 0
 	for range 200 {
 		seen := len(h.actions)
 		id, _ := h.request("read")
-		for _, d := range h.actions[seen:] {
-			ep, ok := strings.CutPrefix(d, "probe ")
+		for _, action := range h.actions[seen:] {
+			ep, ok := strings.CutPrefix(action, "probe ")
 			if !ok {
 				continue
 			}
 			load := balance.Load{Known: true, Requests: 1}
 			if probes++; strings.HasPrefix(ep, "hung") {
 				load.Requests = 8
-				toHung++
+				hungProbes++
 			}
 			h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: load})
 		}
 		if ep := h.sentTo[id][0]; strings.HasPrefix(ep, "hung") {
-			picks++
+			hungRequests++
 			h.finish(id, balance.Rejected)
 			continue
 		}
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if toHung > probes/4 {
-		t.Errorf("%d of %d probes went to three loaded endpoints of eight", toHung, probes)
+	if hungProbes > probes/4 {
+		t.Errorf("%d of %d load probes were sent to the three hung endpoints of eight, want a quarter at most", hungProbes, probes)
 	}
-	if picks > 6 {
-		t.Errorf("%d requests went to endpoints known to be loaded", picks)
+	if hungRequests > 6 {
+		t.Errorf("%d requests were sent to hung endpoints, which report a high load, want 6 at most", hungRequests)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -7,7 +7,7 @@
 	"tuliprock/balance"
 )
 
-func TestIdempotentRequestIsRetriedAfterResetAndUnsafeIsNot(t *testing.T) {
+func TestOnlyIdempotentRequestIsRetriedAfterReset(t *testing.T) {
 	for _, row := range []struct {
 		name, class  string
 		wantAttempts int
@@ -22,18 +22,18 @@
 			h.advance(time.Second)
 			h.finish(id, balance.Reset)
 			if n := len(h.sentTo[id]); n != row.wantAttempts {
-				t.Errorf("%d attempts, want %d", n, row.wantAttempts)
+				t.Errorf("the request got %d attempts, want %d", n, row.wantAttempts)
 			}
 		})
 	}
 }
 
-// Retries of three tiers and of clients multiply: each balancer may add a tenth.
+// The retries of three tiers and of clients multiply, so a balancer may retry only a tenth of its requests.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
-	before, asked := h.countActions("send"), 200
-	for range asked {
+	before, requests := h.countActions("send"), 200
+	for range requests {
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
 			h.advance(10 * ms)
@@ -41,33 +41,33 @@
 				Latency: 10 * ms})
 		}
 	}
-	if extra := h.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
-		t.Errorf("%d retries of %d requests that all failed", extra, asked)
+	if retries := h.countActions("send") - before - requests; retries > requests/10+10 || retries < 5 {
+		t.Errorf("%d requests that all failed got %d retries, want 5 to %d", requests, retries, requests/10+10)
 	}
 }
 
-// The first endpoint may have the lowest deficit again; the retry goes elsewhere all the same.
+// A retry must go to another endpoint even if the first one has the lowest deficit again.
 func TestRetryGoesToAnotherEndpoint(t *testing.T) {
 	s := defaultSettings()
 	s.TiersBelow = 1
 	h := newHarness(t, s, "fast", "slow")
 	latency := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
 	h.serve(200, latency)
-	again := 0
+	retried := 0
 	for range 30 {
-		h.serve(11, latency) // earns a retry, and changes whose turn it is
+		h.serve(11, latency) // adds a retry to the budget, and changes the order of the deficits
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.ErrorResponse)
 		if to := h.sentTo[id]; len(to) == 2 {
-			if again++; to[0] == to[1] {
-				t.Fatalf("%s went to %v", id, to)
+			if retried++; to[0] == to[1] {
+				t.Fatalf("%s was sent to %v, want two different endpoints", id, to)
 			}
 			h.advance(latency[to[1]])
 			h.finish(id, balance.OK)
 		}
 	}
-	if again < 10 {
-		t.Errorf("%d of 30 requests were retried", again)
+	if retried < 10 {
+		t.Errorf("%d of 30 requests were retried, want at least 10", retried)
 	}
 }
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -9,41 +9,42 @@
 	"tuliprock/balance"
 )
 
-// Many balancers with little traffic each, on a platform whose endpoints start at a seventh of their capacity, warm up
-// slowly and are overloaded within a second.
+// The simulated platform has many balancers with little traffic each. Its endpoints start at a seventh of their capacity, warm
+// up slowly and are overloaded within a second.
 const (
 	fleetBalancers       = 47
 	fleetEndpoints       = 120
-	fleetRequestRate     = 25.0 // requests per second of each balancer
-	fleetInitialCapacity = 0.14
-	fleetSlowStart       = 24 * time.Second
-	overloadMultiple     = 3.0
-	overloadWindow       = time.Second
-	warmUtilization      = 1.3 // of full capacity, by an even share of the requests: clients retry what was rejected
-	fleetServiceTime     = 50 * ms
+	fleetRequestRate     = 25.0             // requests per second that each balancer gets
+	fleetInitialCapacity = 0.14             // fraction of its full capacity that an endpoint starts with
+	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
+	overloadMultiple     = 3.0              // load, in capacities, that overloads an endpoint
+	overloadWindow       = time.Second      // time over which that load is measured
+	warmUtilization      = 1.3              // even part of the requests, in full capacities; above 1 due to clients' retries
+	fleetServiceTime     = 50 * ms          // latency of all attempts
 )
 
-// balancerFleet drives balancers by one clock and records the attempts at each endpoint that is warming up.
+// balancerFleet simulates balancers with one clock and records the attempts at each endpoint that is warming up.
 type balancerFleet struct {
 	t       *testing.T
 	now     time.Duration
 	members []*fleetMember
-	listed  map[string]balance.Endpoint
-	sends   map[string][]time.Duration
+	listed  map[string]balance.Endpoint // ready endpoints, by ID
+	sends   map[string][]time.Duration  // instants of the attempts at endpoints that are warming up, by ID
 }
 
-// fleetMember is the host of one balancer; every attempt succeeds after fleetServiceTime.
+// fleetMember is one balancer with its host; every attempt succeeds after fleetServiceTime.
 type fleetMember struct {
 	fleet        *balancerFleet
 	balancer     *balance.Balancer
-	index        int
-	incarnation  int
-	requestCount int
-	credit       float64 // fraction of the next request that is due
-	pending      []pendingOutcome
-	timers       []time.Duration
+	index        int              // index of the balancer in the fleet, from 0
+	incarnation  int              // number of times that the balancer has been started
+	requestCount int              // requests that the balancer has got
+	credit       float64          // fraction of the next request that is due
+	pending      []pendingOutcome // outcomes that have not been reported, by time
+	timers       []time.Duration  // instants of the timers that have not fired
 }
 
+// pendingOutcome is an outcome to be reported at the given instant.
 type pendingOutcome struct {
 	at      time.Duration
 	outcome balance.Outcome
@@ -67,7 +68,8 @@
 func (member *fleetMember) Timer(at time.Duration)        { member.timers = append(member.timers, at) }
 func (member *fleetMember) Log(string)                    {}
 
-// newBalancerFleet starts balancers with endpoints at full capacity and runs until they know their own request rate.
+// newBalancerFleet starts balancers with endpoints at full capacity and runs them until they have estimated their request
+// rate.
 func newBalancerFleet(t *testing.T) *balancerFleet {
 	t.Helper()
 	fleet := &balancerFleet{t: t, now: 1000 * time.Second, listed: map[string]balance.Endpoint{},
@@ -85,28 +87,28 @@
 	return fleet
 }
 
-// restart replaces the balancer of a member; its first list is the complete list as it is now.
+// restart replaces the balancer of a member; its first list contains all ready endpoints.
 func (fleet *balancerFleet) restart(member *fleetMember) {
 	member.incarnation++
 	member.pending, member.timers = nil, nil
 	member.balancer = balance.New(fleet.now, balance.Settings{Seed: uint64(member.index + member.incarnation*1000),
 		Balancers: fleetBalancers, Index: member.index, MaxAttempts: 4, TimerResolution: ms,
 		SlowStartCapacity: fleetInitialCapacity, SlowStartDuration: fleetSlowStart, Classes: defaultSettings().Classes}, member)
-	whole := balance.EndpointUpdate{Complete: true}
+	complete := balance.EndpointUpdate{Complete: true}
 	for i := range fleetEndpoints {
 		if e, ok := fleet.listed[fmt.Sprintf("warm%03d", i)]; ok {
-			whole.Endpoints = append(whole.Endpoints, e)
+			complete.Endpoints = append(complete.Endpoints, e)
 		}
 	}
 	for i := range fleetEndpoints {
 		if e, ok := fleet.listed[fmt.Sprintf("cold%03d", i)]; ok {
-			whole.Endpoints = append(whole.Endpoints, e)
+			complete.Endpoints = append(complete.Endpoints, e)
 		}
 	}
-	member.balancer.EndpointList(fleet.now, whole)
+	member.balancer.EndpointList(fleet.now, complete)
 }
 
-// updateLists sends a change of the list to all balancers.
+// updateLists reports an update with the given entries to all balancers.
 func (fleet *balancerFleet) updateLists(entries ...balance.Endpoint) {
 	for _, e := range entries {
 		if e.State == balance.Ready {
@@ -120,15 +122,16 @@
 	}
 }
 
-func (fleet *balancerFleet) run(length time.Duration) {
-	for end := fleet.now + length; fleet.now < end; fleet.now += ms {
+// run advances the time of all balancers by the given duration.
+func (fleet *balancerFleet) run(duration time.Duration) {
+	for end := fleet.now + duration; fleet.now < end; fleet.now += ms {
 		for _, member := range fleet.members {
 			member.step()
 		}
 	}
 }
 
-// step plays one millisecond.
+// step reports the events of one millisecond to the balancer.
 func (member *fleetMember) step() {
 	now := member.fleet.now
 	for len(member.pending) > 0 && member.pending[0].at <= now {
@@ -155,9 +158,10 @@
 	}
 }
 
-// worstLoad returns the largest number of attempts within overloadWindow at an endpoint that is warming up, as a fraction
-// of what overloads it: N + 2·√N + 2, where N is what its capacity allows then. It returns the number of attempts, too.
-func (fleet *balancerFleet) worstLoad() (most float64, sends int) {
+// worstLoad returns the largest number of attempts within overloadWindow at an endpoint that is warming up, divided by the
+// number that overloads it. That is N + 2·√N + 2, where N is overloadMultiple times the capacity of the endpoint at the time.
+// It also returns the number of all attempts.
+func (fleet *balancerFleet) worstLoad() (worst float64, sends int) {
 	for id, at := range fleet.sends {
 		sends += len(at)
 		first := 0
@@ -167,26 +171,26 @@
 			}
 			progress := min(float64(end-fleet.listed[id].Started)/float64(fleetSlowStart), 1)
 			capacity := fleetInitialCapacity + (1-fleetInitialCapacity)*progress
-			even := fleetBalancers * fleetRequestRate / fleetEndpoints
-			allowed := overloadMultiple * capacity * even / warmUtilization * overloadWindow.Seconds()
-			most = max(most, float64(i-first+1)/(allowed+2*math.Sqrt(allowed)+2))
+			evenRate := fleetBalancers * fleetRequestRate / fleetEndpoints
+			allowed := overloadMultiple * capacity * evenRate / warmUtilization * overloadWindow.Seconds()
+			worst = max(worst, float64(i-first+1)/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
-	return most, sends
+	return worst, sends
 }
 
-// The sum of many balancers that each send little must not overload an endpoint that is warming up, whatever makes all of
-// them use it at once; and it does get requests.
+// Many balancers that each send few requests must not overload an endpoint that is warming up, also if an event makes all of
+// them use it at once. The endpoint must still get requests.
 func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
-	startingEndpoints := func(fleet *balancerFleet, n int) (out []balance.Endpoint) {
+	startingEndpoints := func(fleet *balancerFleet, n int) (endpoints []balance.Endpoint) {
 		for i := range n {
-			out = append(out, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), Started: fleet.now - time.Second})
+			endpoints = append(endpoints, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), Started: fleet.now - time.Second})
 		}
-		return out
+		return endpoints
 	}
 	for _, row := range []struct {
 		name string
-		play func(fleet *balancerFleet)
+		run  func(fleet *balancerFleet)
 	}{
 		{"new endpoints are listed", func(fleet *balancerFleet) {
 			fleet.updateLists(startingEndpoints(fleet, 8)...)
@@ -203,25 +207,25 @@
 			fleet.updateLists(startingEndpoints(fleet, 8)...)
 			for step := range 8 {
 				fleet.run(500 * time.Millisecond)
-				var drained []balance.Endpoint
+				var draining []balance.Endpoint
 				for i := range 6 {
 					id := fmt.Sprintf("warm%03d", 7*(6*step+i)%fleetEndpoints)
-					drained = append(drained, balance.Endpoint{ID: id, State: balance.Draining})
+					draining = append(draining, balance.Endpoint{ID: id, State: balance.Draining})
 				}
-				fleet.updateLists(drained...)
+				fleet.updateLists(draining...)
 			}
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			fleet := newBalancerFleet(t)
-			row.play(fleet)
-			most, sends := fleet.worstLoad()
-			t.Logf("%d attempts at endpoints that are warming up, at most %.2f of what overloads one", sends, most)
-			if most > 1 {
-				t.Errorf("an endpoint that is warming up got %.2f times what overloads it", most)
+			row.run(fleet)
+			worst, sends := fleet.worstLoad()
+			t.Logf("%d attempts at endpoints that are warming up; one got %.2f times the load that overloads it", sends, worst)
+			if worst > 1 {
+				t.Errorf("an endpoint that is warming up got %.2f times the load that overloads it, want 1 at most", worst)
 			}
 			if sends == 0 {
-				t.Error("endpoints that are warming up got no request")
+				t.Error("endpoints that are warming up got no request, want at least 1")
 			}
 		})
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,14 +8,14 @@
 	"tuliprock/balance"
 )
 
-// All balancers learn of a start at the same time.
+// All balancers are notified of a new endpoint at the same time. Together they must not overload it while it is warming up.
 func TestTwentyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
 	const balancers, perSecond = 20, 5.0
 	names := []string{}
 	for i := range 9 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
-	got := [12]int{}
+	requests := [12]int{} // requests at the new endpoint, by the second after its start
 	for c := range balancers {
 		s := defaultSettings()
 		h := newHarness(t, s, names...)
@@ -37,26 +37,26 @@
 			step()
 		}
 		start := h.now
-		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "cold", Started: start}}})
+		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: start}}})
 		for h.now < start+11*time.Second {
-			if at := (h.now - start) / time.Second; step() == "cold" {
-				got[at]++
+			if at := (h.now - start) / time.Second; step() == "new" {
+				requests[at]++
 			}
 		}
 	}
-	even := balancers * perSecond / 10 // requests a second to each endpoint
-	for at := range 11 {               // the end of the slow start included (incident id93449)
-		warm := min(0.3+0.7*float64(at+1)/9, 1)
-		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: the endpoint got %v requests, an even counts of its capacity is %v", at, n, even*warm)
+	evenRate := balancers * perSecond / 10 // requests per second at each of ten endpoints with full capacity
+	for at := range 11 {                   // includes the end of the slow start after 9 s (incident id93449)
+		capacity := min(0.3+0.7*float64(at+1)/9, 1)
+		if n := float64(requests[at]); n > evenRate*capacity*2+4 {
+			t.Errorf("in second %d the endpoint got %v requests, want %v at most", at, n, evenRate*capacity*2+4)
 		}
 	}
-	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
-		t.Errorf("the endpoint did not come into use: %v", got)
+	if requests[0] == 0 && requests[1] == 0 && requests[2] == 0 || requests[10] < int(evenRate/2) {
+		t.Errorf("the endpoint got %v requests by second, want 1 in the first three and %d in the last", requests, int(evenRate/2))
 	}
 }
 
-// Rule 4 of the platform: an endpoint that is warming up gets about its counts, whatever the request rate.
+// An endpoint that is warming up must not be overloaded at any request rate: it gets requests in proportion to its capacity.
 func TestRequestsToAnEndpointThatIsWarmingUpArePaced(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
@@ -64,11 +64,12 @@
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: h.now}}})
 	counts := h.serve(150, latency)
 	if counts["new"] == 0 || counts["new"] > 150/4*2/3 {
-		t.Errorf("the new one of four endpoints got %d of 150 requests", counts["new"])
+		t.Errorf("the new one of four endpoints got %d of 150 requests, want 1 to %d", counts["new"], 150/4*2/3)
 	}
 }
 
-// An endpoint that reset its connections went down: it warms up when it returns, whatever the list says of its start.
+// An endpoint that resets a connection is taken to have failed: it warms up when it responds again, whatever start the list
+// gives.
 func TestEndpointWarmsUpAfterAReset(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
@@ -85,6 +86,6 @@
 	}
 	h.serve(30, latency)
 	if counts := h.serve(60, latency); counts["c"] > 60/3*2/3 {
-		t.Errorf("an endpoint that went down got %d of 60 requests", counts["c"])
+		t.Errorf("the endpoint that reset a connection got %d of 60 requests, want %d at most", counts["c"], 60/3*2/3)
 	}
 }
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/balance"
 )
 
-// upload makes a request whose body streams for an hour at most, and returns its ID.
+// upload sends a request whose body may stream for an hour, and returns its ID.
 func (h *harness) upload(class string) string {
 	h.requestCount++
 	id := fmt.Sprint("u", h.requestCount)
@@ -17,7 +17,7 @@
 	return id
 }
 
-// learnBaseline serves requests of a class in 10 ms each, so that this is its baseline.
+// learnBaseline serves requests of a class in 10 ms each, so that its baseline latency becomes 10 ms.
 func (h *harness) learnBaseline(class string) {
 	for range 200 {
 		id, _ := h.request(class)
@@ -26,57 +26,58 @@
 	}
 }
 
-// Transfers must not use up the concurrency limit: short requests would be queued for as long as transfers last.
+// Streaming bodies must not use up the concurrency limit, or other requests would be queued for as long as the transfers
+// last.
 func TestStreamingBodiesDoNotCountAgainstTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	for range 200 {
 		h.upload("bill")
 	}
-	for range 200 { // and streaming responses
+	for range 200 { // their responses are streaming, too
 		id, ep := h.request("read")
 		if ep == "" {
-			t.Fatal("a download was not sent")
+			t.Fatalf("%s was queued while only streaming bodies are in flight, want it sent", id)
 		}
 		h.advance(10 * ms)
 		h.balancer.StreamStarted(h.now, id, 0)
 	}
 	if id, ep := h.request("read"); ep == "" {
-		t.Errorf("%s is queued beside 400 transfers", id)
+		t.Errorf("%s was queued while 400 streaming bodies are in flight, want it sent", id)
 	}
 	if n := h.countActions("reject") + h.countActions("fail"); n > 0 {
-		t.Errorf("%d were rejected or failed", n)
+		t.Errorf("%d requests were rejected or failed, want none", n)
 	}
 }
 
-// How long a body takes is no latency of the endpoint, whether it arrives or stops.
+// The duration of a streaming body must not count as latency of the endpoint, or healthy endpoints would be ejected.
 func TestDurationOfAStreamingBodyIsNoLatencySample(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.learnBaseline("bill")
 	for range 3 {
 		id := h.upload("bill")
-		h.advance(20 * time.Second) // far beyond latencies and the deadline
+		h.advance(20 * time.Second) // far longer than the latencies and the deadline
 		if h.countActions("fail")+h.countActions("reject") > 0 {
-			t.Fatalf("an upload was given up while its body was streaming: %v", h.actions[len(h.actions)-3:])
+			t.Fatalf("an upload was rejected or failed while its body was streaming; last actions are %v", h.actions[len(h.actions)-3:])
 		}
 		h.balancer.BodySent(h.now, id, 0, h.now+5*time.Second)
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
 	}
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for range 100 {
 		id, ep := h.request("read")
-		seen[ep]++
+		counts[ep]++
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
 	}
-	if seen["a"] < 30 || seen["b"] < 30 {
-		t.Errorf("an endpoint got fewer requests because of uploads: %v", seen)
+	if counts["a"] < 30 || counts["b"] < 30 {
+		t.Errorf("after the uploads the endpoints got %v of 100 requests, want at least 30 each", counts)
 	}
 }
 
-// With its last byte sent, an upload waits for its response until the deadline, which is set only then.
+// The deadline of an upload is set when its last byte has been sent; it waits for its response until then.
 func TestDeadlineOfAStreamingBodyAppliesAfterItsLastByte(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	id := h.upload("bill")
@@ -84,22 +85,23 @@
 	h.balancer.BodySent(h.now, id, 0, h.now+2*time.Second)
 	h.advance(1900 * ms)
 	if h.countActions("fail") != 0 {
-		t.Error("given up before its deadline")
+		t.Error("the upload failed before its deadline")
 	}
 	h.advance(200 * ms)
 	if h.countActions("fail "+id) != 1 || h.countActions("cancel "+id) != 1 {
-		t.Errorf("not given up at its deadline: %v", h.actions)
+		t.Errorf("actions after the deadline are %v, want the upload cancelled and failed", h.actions)
 	}
 	if id = h.upload("read"); h.countActions("send "+id) != 1 {
-		t.Fatal("not sent")
+		t.Fatalf("upload %s was not sent", id)
 	}
 	h.advance(time.Hour + time.Second)
 	if h.countActions("fail "+id) != 1 {
-		t.Error("a body may stream without end")
+		t.Errorf("upload %s has not failed after StreamUntil", id)
 	}
 }
 
-// Whatever its class, a request with a consumed body is rejected only if no attempt can have run, else it fails.
+// A request whose body is consumed is not retried, whatever its class: it is rejected if no attempt can have run, and fails
+// otherwise.
 func TestRequestWithConsumedBodyIsNotRetried(t *testing.T) {
 	for _, class := range []string{"read", "bill"} {
 		for _, row := range []struct {
@@ -113,8 +115,8 @@
 			{"consumed, reset", balance.Reset, true, "fail"},
 			{"consumed, error response", balance.ErrorResponse, true, "fail"},
 			{"consumed, timed out", balance.TimedOut, true, "fail"},
-			{"kept, connect failed", balance.ConnectFailed, false, "send"},
-			{"kept, rejected", balance.Rejected, false, "send"},
+			{"buffered, connect failed", balance.ConnectFailed, false, "send"},
+			{"buffered, rejected", balance.Rejected, false, "send"},
 		} {
 			t.Run(class+", "+row.name, func(t *testing.T) {
 				h := newHarness(t, defaultSettings(), "a", "b", "c")
@@ -124,38 +126,38 @@
 				h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: h.sentTo[id][0], Result: row.result,
 					BodyConsumed: row.isConsumed})
 				if len(h.actions) != 1 || !strings.HasPrefix(h.actions[0], row.want+" ") {
-					t.Errorf("%v, want %s", h.actions, row.want)
+					t.Errorf("actions are %v, want one %s", h.actions, row.want)
 				}
 			})
 		}
 	}
 }
 
-// A trial by a long upload must not delay the next trial for as long as the upload lasts.
+// A trial that is a long upload must not delay the next trial until the upload ends.
 func TestStreamingTrialDoesNotBlockOtherTrials(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	for range 50 { // b does not respond any more, and is ejected
+	for range 50 { // b stops responding and is ejected
 		id, ep := h.request("read")
 		if h.advance(10 * ms); ep == "a" {
 			h.finish(id, balance.OK)
 		}
 	}
-	var held []string
-	for range 400 { // an upload becomes the trial of b sooner or later
+	var trials []string
+	for range 400 { // one of the uploads becomes a trial of b
 		id := h.upload("read")
 		if h.sentTo[id][0] == "b" {
-			held = append(held, id)
+			trials = append(trials, id)
 			break
 		}
 		h.balancer.BodySent(h.now, id, 0, h.now+5*time.Second)
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
 	}
-	if len(held) == 0 {
-		t.Fatal("no upload became a trial of the endpoint")
+	if len(trials) == 0 {
+		t.Fatal("no upload became a trial of b")
 	}
-	for range 1000 { // the upload goes on, and b responds again
+	for range 1000 { // the upload continues, and b responds again
 		id, ep := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
@@ -163,5 +165,5 @@
 			return
 		}
 	}
-	t.Error("one upload keeps all other requests from the endpoint")
+	t.Error("b got none of 1000 requests during the upload, want another trial")
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -8,8 +8,8 @@
 	"tuliprock/balance"
 )
 
-// With another index a balancer uses other endpoints, and what was learned of all of them stays.
-func TestChangedIndexChangesTheSubsetAndKeepsWhatWasLearned(t *testing.T) {
+// A balancer with a changed index uses other endpoints, and the state of all endpoints is kept.
+func TestChangedIndexChangesTheSubsetAndKeepsEndpointState(t *testing.T) {
 	s := defaultSettings()
 	s.Balancers = 60
 	var ids []string
@@ -18,83 +18,83 @@
 	}
 	h := newHarness(t, s, ids...)
 	h.learnBaseline("read")
-	used := func(h *harness) map[string]bool {
-		out := map[string]bool{}
+	usedEndpoints := func(h *harness) map[string]bool {
+		used := map[string]bool{}
 		for range 400 {
 			id, ep := h.request("read")
-			out[ep] = true
+			used[ep] = true
 			h.advance(100 * ms)
 			h.finish(id, balance.OK)
 		}
-		return out
+		return used
 	}
-	before := used(h)
-	h.balancer.SetBalancerCount(h.now, 60, 0) // no change
+	before := usedEndpoints(h)
+	h.balancer.SetBalancerCount(h.now, 60, 0) // has no effect: the index is 0 already
 	h.balancer.SetBalancerCount(h.now, 60, 30)
-	other := used(h)
+	after := usedEndpoints(h)
 	same := 0
-	for ep := range other {
+	for ep := range after {
 		if before[ep] {
 			same++
 		}
 	}
 	if same == len(before) {
-		t.Error("another index among the balancers has the same endpoints")
+		t.Errorf("with another index the balancer uses the same %d endpoints as before, want others", same)
 	}
 	h.balancer.SetBalancerCount(h.now, 60, 0)
-	if listed, avoided := h.balancer.EndpointCounts(); listed != 100 || avoided != 0 {
-		t.Errorf("%d listed, %d ejected", listed, avoided)
+	if listed, ejected := h.balancer.EndpointCounts(); listed != 100 || ejected != 0 {
+		t.Errorf("%d endpoints are listed and %d ejected, want 100 and none", listed, ejected)
 	}
 }
 
-// measureSubsets returns how many balancers with one request a second each use an endpoint, and the fewest and the most
-// endpoints that one balancer uses.
-func measureSubsets(t *testing.T, balancers, endpoints int) (met map[string]int, fewest, most int) {
+// measureSubsets runs balancers with one request per second each. It returns the number of balancers that use an endpoint, by
+// its ID, and the smallest and largest number of endpoints that one balancer uses.
+func measureSubsets(t *testing.T, balancers, endpoints int) (users map[string]int, smallest, largest int) {
 	t.Helper()
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
-	met, fewest = map[string]int{}, endpoints
+	users, smallest = map[string]int{}, endpoints
 	for c := range balancers {
 		s := defaultSettings()
 		s.Balancers, s.Index = balancers, c
 		h := newHarness(t, s, names...)
-		own := map[string]bool{}
+		used := map[string]bool{}
 		for range 40 {
 			id, ep := h.request("read")
-			own[ep] = true
+			used[ep] = true
 			h.advance(50 * ms)
 			h.finish(id, balance.OK)
 			h.advance(950 * ms)
 		}
-		for ep := range own {
-			met[ep]++
+		for ep := range used {
+			users[ep]++
 		}
-		fewest, most = min(fewest, len(own)), max(most, len(own))
+		smallest, largest = min(smallest, len(used)), max(largest, len(used))
 	}
-	return met, fewest, most
+	return users, smallest, largest
 }
 
-// On tartu's full-size days each of 420 balancers with two requests a second used each of 80 endpoints every 40 s: none
-// noticed a slow endpoint, and nearly every request opened a connection.
-func TestManyQuietBalancersKeepToSubsets(t *testing.T) {
-	met, fewest, most := measureSubsets(t, 200, 60)
-	if fewest < 4 || most > 12 {
-		t.Errorf("balancers use %d to %d of 60 endpoints", fewest, most)
+// Each of 420 balancers with two requests per second used each of 80 endpoints every 40 s: no balancer detected a slow
+// endpoint, and nearly every request opened a connection (full-size days of site tartu).
+func TestManyLowTrafficBalancersUseSubsets(t *testing.T) {
+	users, smallest, largest := measureSubsets(t, 200, 60)
+	if smallest < 4 || largest > 12 {
+		t.Errorf("balancers use %d to %d of 60 endpoints, want 4 to 12", smallest, largest)
 	}
-	least, highest := 200, 0
-	for _, n := range met {
-		least, highest = min(least, n), max(highest, n)
+	fewest, most := 200, 0
+	for _, n := range users {
+		fewest, most = min(fewest, n), max(most, n)
 	}
-	if len(met) < 60 || float64(highest) > 1.3*float64(least) {
-		t.Errorf("%d endpoints are used, by %d to %d balancers", len(met), least, highest)
+	if len(users) < 60 || float64(most) > 1.3*float64(fewest) {
+		t.Errorf("%d endpoints are used, by %d to %d balancers, want 60, the most by 1.3 times the fewest", len(users), fewest, most)
 	}
 }
 
-// With few balancers, one more or less that has an endpoint in its subset would be an imbalance of its own.
+// With few balancers all use all endpoints: with subsets, one balancer more or less per endpoint would be an imbalance.
 func TestFewBalancersUseAllEndpoints(t *testing.T) {
-	if met, fewest, _ := measureSubsets(t, 6, 12); len(met) != 12 || fewest != 12 {
-		t.Errorf("a balancer among few uses %d of 12 endpoints, all together %d", fewest, len(met))
+	if users, smallest, _ := measureSubsets(t, 6, 12); len(users) != 12 || smallest != 12 {
+		t.Errorf("a balancer uses %d of 12 endpoints and all balancers together use %d, want 12", smallest, len(users))
 	}
 }
