--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,7 @@
-// Simhost hosts balancers for the fleet simulator: it reads batches of events from standard input and writes one reply
-// per batch to standard output. It makes no decision of its own, and the balancers share no state. It runs on one
-// goroutine, and ends with exit code 0 at the end of input, and with 1 and the reason on standard error at a malformed line.
+// Simhost hosts balancers for the fleet simulator. It reads batches of events from standard input, passes each event to the
+// balancer it is for, and writes one reply per batch, with the balancers' actions, to standard output. It makes no
+// balancing decision itself. The balancers share no state, and the program uses one goroutine. It exits with code 0 at the end of input. At a malformed line it writes the
+// reason to standard error and exits with code 1.
 package main
 
 import (
@@ -13,8 +14,8 @@
 	"tuliprock/internal/simwire"
 )
 
-// gcPercent lets the heap grow to five times its live size between collections: balancers are small and their garbage
-// is short-lived.
+// gcPercent lets the heap grow to five times its live size between garbage collections. That takes little memory, since
+// balancers are small and their garbage is short-lived.
 const gcPercent = 400
 
 func main() {
@@ -25,18 +26,18 @@
 	}
 }
 
-// run answers the batches of in until it ends.
+// run reads batches from in until it ends and writes their replies to out.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	return reader.Run(&host{out: out, reader: reader, balancers: map[int]*balance.Balancer{}})
 }
 
-// host is the simwire.Handler of the balancers that run.
+// host is the simwire.Handler that owns the running balancers.
 type host struct {
 	out       io.Writer
 	reader    *simwire.Reader
-	reply     simwire.Reply
-	balancers map[int]*balance.Balancer // by instance
+	reply     simwire.Reply             // actions of the current batch
+	balancers map[int]*balance.Balancer // running balancers, by instance
 }
 
 // Start implements simwire.Handler.
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startedInstance begins a batch for an instance that it starts, with one class and one endpoint.
+// startedInstance is the beginning of a batch. It starts an instance with one class and one endpoint.
 const startedInstance = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={\"Lanes\":[{\"Name\":\"c\"," +
 	"\"Semantics\":\"read_like\",\"OnTimeUs\":1000000}]}\nLEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h:1\n" +
 	"REGISTRY\tMode=C\tGen=1\tRef=0\n"
@@ -20,14 +20,14 @@
 	text := out.String()
 	if !strings.Contains(text, "ON_BEHALF\tSidecar=3\n") || !strings.Contains(text, "DISPATCH\tRid=r1\tEndpoint=h:1\t") ||
 		strings.Count(text, "FINISHED\n") != 2 || !strings.HasSuffix(text, "FINISHED\nFINISHED\n") {
-		t.Errorf("reply %q", text)
+		t.Errorf("replies are %q, want one with a DISPATCH of r1 to h:1 and an empty one", text)
 	}
 }
 
 func TestRunEndsWithoutErrorAtEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(""), &out); err != nil || out.Len() > 0 {
-		t.Errorf("%v, output %q", err, out.String())
+		t.Errorf("error %v and output %q, want neither", err, out.String())
 	}
 }
 
@@ -36,10 +36,10 @@
 		var out bytes.Buffer
 		err := run(strings.NewReader(startedInstance+"SHUTDOWN\n"+after), &out)
 		if err == nil || !strings.Contains(err.Error(), "never started") {
-			t.Errorf("%q after SHUTDOWN: %v", after, err)
+			t.Errorf("%q after SHUTDOWN gives error %v, want one with \"never started\"", after, err)
 		}
 		if out.Len() > 0 {
-			t.Errorf("output %q", out.String())
+			t.Errorf("output is %q, want none", out.String())
 		}
 	}
 }
--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -6,37 +6,38 @@
 	"tuliprock/balance"
 )
 
-// maxLists is how many endpoint lists the protocol can refer to: their numbers run from 0 to 15.
+// maxLists is the number of endpoint lists that the protocol can refer to, by the numbers 0 to 15.
 const maxLists = 16
 
-// endpointLists are the lists that LEDGER and ENDPOINT messages spell out once and REGISTRY messages refer to by number,
-// in the same batch or in later ones.
+// endpointLists holds the lists that the simulator defines by a LEDGER and its ENDPOINT messages. REGISTRY messages refer to
+// them by number, in the same batch or in later ones.
 type endpointLists struct {
-	byNumber   [maxLists]*endpointList // nil: never spelt out
-	current    *endpointList           // the list of the last LEDGER
-	entriesDue int                     // ENDPOINT messages that current still lacks
+	byNumber   [maxLists]*endpointList // list that was last defined for each number; nil: none
+	current    *endpointList           // list of the last LEDGER
+	entriesDue int                     // number of ENDPOINT messages that are still due for the current list
 }
 
+// endpointList is a list of endpoints with a number.
 type endpointList struct{ entries []balance.Endpoint }
 
-// begin reads a LEDGER: a new list takes the place of the one that had its number.
+// begin decodes a LEDGER, which begins a new list. The list replaces the one that had its number.
 func (l *endpointLists) begin(m *message) error {
 	number, count := m.integer("Ref", required), m.integer("Hosts", required)
 	if m.err != nil {
 		return m.err
 	}
 	if number < 0 || number >= maxLists || count < 0 {
-		return errors.New("LEDGER with a number out of range")
+		return errors.New("LEDGER has a Ref or Hosts out of range")
 	}
 	l.current = &endpointList{entries: []balance.Endpoint{}}
 	l.byNumber[number], l.entriesDue = l.current, count
 	return nil
 }
 
-// add reads an ENDPOINT: the next entry of the current list.
+// add decodes an ENDPOINT, which is the next entry of the current list.
 func (l *endpointLists) add(m *message) error {
 	if l.entriesDue == 0 {
-		return errors.New("ENDPOINT without a LEDGER that counts it")
+		return errors.New("ENDPOINT exceeds the Hosts of the last LEDGER")
 	}
 	endpoint := balance.Endpoint{
 		ID:      m.internedText("Endpoint", required),
@@ -60,14 +61,14 @@
 	return m.err
 }
 
-// entries returns the list that a REGISTRY refers to.
+// entries returns the endpoints of the list that a REGISTRY refers to.
 func (l *endpointLists) entries(m *message) []balance.Endpoint {
 	number := m.integer("Ref", required)
 	if m.err != nil {
 		return nil
 	}
 	if number < 0 || number >= maxLists || l.byNumber[number] == nil {
-		m.fail("REGISTRY names list %d, which was never given", number)
+		m.fail("REGISTRY refers to list %d, which was never defined", number)
 		return nil
 	}
 	return l.byNumber[number].entries
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,11 +2,11 @@
 
 import "tuliprock/balance"
 
-// attrClientRetry is the bit of a CALL's Attrs by which the client says that it has sent the request before.
+// attrClientRetry is the bit of a CALL's Attrs that is set if the client has sent the request before.
 const attrClientRetry = 2
 
-// eventDecoders read the message of the Reader, by its name, and report it to an instance's balancer. Nothing is reported
-// where the message has an error.
+// eventDecoders maps the name of a message to the function that decodes the Reader's message and reports it as an event to an
+// instance's balancer. A message with an error is not reported.
 var eventDecoders = map[string]func(*Reader, balance.Events){
 	"REGISTRY":    (*Reader).endpointListReceived,
 	"CALL":        (*Reader).requestReceived,
@@ -15,14 +15,14 @@
 	"LEFT":        (*Reader).clientLeft,
 	"BELL":        (*Reader).timerFired,
 	"CHECKED":     (*Reader).healthCheckEnded,
-	"MESSAGE":     func(*Reader, balance.Events) {}, // known, and of no use to a balancer
+	"MESSAGE":     func(*Reader, balance.Events) {}, // a balancer does not use it
 }
 
 func (r *Reader) endpointListReceived(to balance.Events) {
 	m := &r.message
 	var list balance.EndpointUpdate
 	mode := m.text("Mode", required)
-	m.integer("Gen", optional) // only checked: the order of the lists is that of the messages
+	m.integer("Gen", optional) // validated but not used: lists come in the order of the messages
 	switch mode {
 	case "X":
 		list.Failed = true
@@ -83,7 +83,7 @@
 
 func (r *Reader) timerFired(to balance.Events) {
 	m := &r.message
-	m.integer("Mark", required) // only checked: all timers have the mark 0
+	m.integer("Mark", required) // validated but not used: all timers have the mark 0
 	if m.err == nil {
 		to.Timer(r.now)
 	}
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,13 +10,13 @@
 	"tuliprock/balance"
 )
 
-// maxInterned bounds how many distinct values a message keeps for reuse. It is far above the names that one fleet has.
+// maxInterned bounds the number of distinct values that a message caches. A fleet has far fewer names.
 const maxInterned = 1 << 16
 
-// maxMicros is the largest count of microseconds that a time.Duration can hold.
+// maxMicros is the largest number of microseconds that a time.Duration can represent.
 const maxMicros = int64(1<<63-1) / int64(time.Microsecond)
 
-// presence says whether a message must have a field.
+// presence tells whether a message must have a field.
 type presence bool
 
 const (
@@ -24,20 +24,21 @@
 	required presence = true
 )
 
-// message is one line of a batch: a name, and fields of the form key=value, separated by tabs. It is reused from line to
-// line, and what it holds is valid until the next line is parsed. The accessors keep the first error in err; err is
+// message is one line of a batch: a name, and fields of the form key=value, separated by tabs. One message is reused for all
+// lines, so its name and fields are valid until the next line is parsed. Its accessors store the first error in err, which is
 // checked once, after all fields were read and before any of their values is used.
 type message struct {
 	name     []byte
 	fields   []field
 	err      error
-	interned map[string]string // outlives the line
+	interned map[string]string // strings returned by internedText, cached across lines
 }
 
+// field is a key=value pair of a message.
 type field struct{ key, value []byte }
 
-// parse splits a line into its name and fields. The last field of START, its Config, runs to the end of the line, tabs
-// included. A line without a byte gives a message without a name.
+// parse splits a line into its name and fields. The Config of a START is its last field and extends to the end of the line,
+// tabs included. An empty line gives a message without a name.
 func (m *message) parse(line []byte) error {
 	m.fields, m.err = m.fields[:0], nil
 	name, rest, _ := bytes.Cut(line, []byte("\t"))
@@ -49,29 +50,29 @@
 		return nil
 	}
 	for len(rest) > 0 {
-		key, after, ok := bytes.Cut(rest, []byte("="))
+		key, afterKey, ok := bytes.Cut(rest, []byte("="))
 		if !ok || len(key) == 0 || bytes.IndexByte(key, '\t') >= 0 {
 			return fmt.Errorf("%s has a part that is not name=value", name)
 		}
-		value := after
+		value := afterKey
 		if string(name) == "START" && string(key) == "Config" {
 			rest = nil
 		} else {
-			value, rest, _ = bytes.Cut(after, []byte("\t"))
+			value, rest, _ = bytes.Cut(afterKey, []byte("\t"))
 		}
 		m.fields = append(m.fields, field{key, value})
 	}
 	return nil
 }
 
-// fail keeps an error unless there already is one.
+// fail stores an error in err unless there already is one.
 func (m *message) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf(format, args...)
 	}
 }
 
-// lookup returns the value of the first field of a key.
+// lookup returns the value of the first field with the given key.
 func (m *message) lookup(key string) (value []byte, ok bool) {
 	for i := range m.fields {
 		if string(m.fields[i].key) == key {
@@ -81,7 +82,7 @@
 	return nil, false
 }
 
-// unsigned reads a decimal number without a sign; a field that is absent and optional is 0.
+// unsigned returns the value of a field as a decimal number without a sign; a missing optional field is 0.
 func (m *message) unsigned(key string, need presence) uint64 {
 	value, ok := m.lookup(key)
 	if !ok {
@@ -97,7 +98,7 @@
 	return n
 }
 
-// parseUnsigned is strconv.ParseUint in base 10 without the allocation of a string.
+// parseUnsigned parses a decimal number like strconv.ParseUint, but does not allocate a string.
 func parseUnsigned(digits []byte) (n uint64, ok bool) {
 	if len(digits) == 0 || len(digits) > 20 {
 		return 0, false
@@ -111,7 +112,7 @@
 	return n, true
 }
 
-// integer reads a number that an int can hold.
+// integer returns the value of a field as a number that an int can represent.
 func (m *message) integer(key string, need presence) int {
 	n := m.unsigned(key, need)
 	if n > 1<<63-1 {
@@ -120,7 +121,7 @@
 	return int(n)
 }
 
-// microseconds reads a number of microseconds.
+// microseconds returns the value of a field that is a number of microseconds.
 func (m *message) microseconds(key string, need presence) time.Duration {
 	n := m.unsigned(key, need)
 	if n > uint64(maxMicros) {
@@ -129,7 +130,7 @@
 	return time.Duration(n) * time.Microsecond
 }
 
-// bytes reads a value as it is. One that is required must not be empty.
+// bytes returns the unchanged value of a field. A required field must not be empty.
 func (m *message) bytes(key string, need presence) []byte {
 	value, ok := m.lookup(key)
 	if need == required && len(value) == 0 {
@@ -142,13 +143,14 @@
 	return value
 }
 
-// text is bytes as a string of its own.
+// text returns the value of a field as a string, which stays valid after the line.
 func (m *message) text(key string, need presence) string { return string(m.bytes(key, need)) }
 
-// requestID reads the id of the request that the message is about.
+// requestID returns the ID of the request that the message is about.
 func (m *message) requestID() string { return m.text("Rid", required) }
 
-// internedText reads a value of which few different ones come, such as a class or an endpoint, without a new string each time.
+// internedText returns the value of a field like text, but caches the string. It is for fields with few distinct values, such as
+// classes and endpoints.
 func (m *message) internedText(key string, need presence) string {
 	value := m.bytes(key, need)
 	if s, ok := m.interned[string(value)]; ok {
@@ -161,7 +163,7 @@
 	return s
 }
 
-// result reads how an attempt or a health check ended.
+// result returns the result of an attempt or a load probe, which is the field StateCode.
 func (m *message) result() balance.Result {
 	switch value := m.bytes("StateCode", required); string(value) {
 	case "Ok":
@@ -186,8 +188,8 @@
 	}
 }
 
-// load reads a load report, which is a list of name:value pairs. The requests that an endpoint holds are its "active"
-// value, the queued ones included.
+// load returns the load report in the field Load, which is a list of name:value pairs. Its "active" value is the number of
+// requests that the endpoint serves or has queued.
 func (m *message) load() (load balance.Load) {
 	rest := m.bytes("Load", optional)
 	for len(rest) > 0 {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,7 +11,8 @@
 	"tuliprock/balance"
 )
 
-// Handler receives what a Reader decodes, in the order of the input. An error that a method returns ends the reading.
+// Handler receives the decoded messages of a Reader in the order of the input. If a method returns an error, Reader.Run
+// ends with that error.
 type Handler interface {
 	// Start creates the balancer of an instance with these settings.
 	Start(instance int, s balance.Settings) error
@@ -19,23 +20,23 @@
 	Stop(instance int) error
 	// Instance returns the balancer that receives the events of an instance.
 	Instance(instance int) (balance.Events, error)
-	// EndBatch is called when a batch was read completely and its reply is due.
+	// EndBatch is called after the last message of a batch, when its reply is due.
 	EndBatch() error
 }
 
-// readBufferBytes is the size of the input buffer. Most lines fit; only a START with its settings may not.
+// readBufferBytes is the size of the input buffer. Only a START, which contains the settings, may be longer.
 const readBufferBytes = 1 << 16
 
-// Reader decodes batches of events. It is not safe for concurrent use.
+// Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
-	longLine   []byte // holds a line that does not fit into the buffer of in
-	lineNumber int
-	message    message // the line being handled
+	longLine   []byte  // the last line that was longer than the buffer of in
+	lineNumber int     // number of the last line read, from 1
+	message    message // parsed form of that line
 
-	isBatchOpen bool
-	now         time.Duration // of the last CLOCK
-	instance    int           // that the last SWITCH_TO named
+	isBatchOpen bool          // whether the batch of the last CLOCK has not ended yet
+	now         time.Duration // time of the last CLOCK
+	instance    int           // instance of the last SWITCH_TO, which gets the events that follow
 	hasInstance bool          // whether the batch has had a SWITCH_TO
 	lists       endpointLists
 }
@@ -45,11 +46,11 @@
 	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), message: message{interned: map[string]string{}}}
 }
 
-// Now returns the time of the batch that is being read.
+// Now returns the time of the current batch.
 func (r *Reader) Now() time.Duration { return r.now }
 
-// Run reads batches and calls h until the input ends. It returns nil if the input ends between two batches, and else the
-// first error with the number of its line.
+// Run reads batches and calls h until the input ends. It returns nil if the input ends after a complete batch, and otherwise
+// the first error with its line number.
 func (r *Reader) Run(h Handler) error {
 	for {
 		line, err := r.readLine()
@@ -68,7 +69,7 @@
 	}
 }
 
-// readLine returns the next line without its line end. The bytes are valid until the next call.
+// readLine returns the next line without its line break. The bytes are valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	r.lineNumber++
 	line, err := r.in.ReadSlice('\n')
@@ -81,7 +82,7 @@
 		line = r.longLine
 	}
 	if err == io.EOF && len(line) > 0 {
-		return nil, errors.New("the last line has no end")
+		return nil, errors.New("the last line does not end with a line break")
 	}
 	if err != nil {
 		return nil, err
@@ -89,7 +90,7 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-// handleLine checks that a line may stand where it does, and handles it. Empty lines are ignored.
+// handleLine parses a line, checks that its message is allowed at this point, and handles it. Empty lines are ignored.
 func (r *Reader) handleLine(line []byte, h Handler) error {
 	m := &r.message
 	if err := m.parse(line); err != nil || len(m.name) == 0 {
@@ -107,6 +108,7 @@
 	return r.handleMessage(h)
 }
 
+// beginBatch handles a CLOCK, which begins a batch.
 func (r *Reader) beginBatch() error {
 	if r.isBatchOpen {
 		return errors.New("CLOCK within a batch")
@@ -119,8 +121,8 @@
 	return r.message.err
 }
 
-// handleMessage handles a message within a batch. Messages that are not known, of a later version of the protocol, are
-// ignored.
+// handleMessage handles a message within a batch. Unknown messages are ignored, since a later version of the protocol may have
+// them.
 func (r *Reader) handleMessage(h Handler) error {
 	m := &r.message
 	switch string(m.name) {
@@ -157,6 +159,7 @@
 	return m.err
 }
 
+// start handles a START, which creates an instance.
 func (r *Reader) start(h Handler) error {
 	seed := r.message.unsigned("RandomSeed", required)
 	if r.message.err != nil {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -10,18 +10,18 @@
 	"tuliprock/balance"
 )
 
-// recordedEvent is a call of a method of balance.Events.
+// recordedEvent is a recorded call of a method of balance.Events.
 type recordedEvent struct {
 	now  time.Duration
-	name string
-	args any // one argument as it is, several as a []any
+	name string // short name of the method
+	args any    // the argument after now, or a []any of several
 }
 
-// recorder is a Handler, and each instance's balancer, that records the events.
+// recorder is a Handler that records the events for all instances.
 type recorder struct {
 	events  []recordedEvent
-	started map[int]balance.Settings
-	batches int
+	started map[int]balance.Settings // settings of the running instances, by instance
+	batches int                      // number of complete batches
 }
 
 func (r *recorder) record(now time.Duration, name string, args any) {
@@ -55,14 +55,15 @@
 func (r *recorder) SetBalancerCount(time.Duration, int, int)        {}
 func (r *recorder) SetEjected(time.Duration, string, bool)          {}
 func (r *recorder) IsKnown(string) bool                             { return false }
-func (r *recorder) EndpointCounts() (listed, avoided int)           { return 0, 0 }
+func (r *recorder) EndpointCounts() (listed, ejected int)           { return 0, 0 }
 
+// read passes a text to a Reader and returns what its Handler recorded.
 func read(text string) (*recorder, error) {
 	r := &recorder{started: map[int]balance.Settings{}}
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
-// openBatch begins a batch for an instance that it starts.
+// openBatch is the beginning of a batch. It starts an instance.
 const openBatch = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
 
 func TestReaderReportsEvents(t *testing.T) {
@@ -96,7 +97,7 @@
 		t.Errorf("got\n%+v\nwant\n%+v", r.events, want)
 	}
 	if r.batches != 2 || r.started[3].Seed != 9 {
-		t.Errorf("%d batches, seed %d", r.batches, r.started[3].Seed)
+		t.Errorf("read %d batches and seed %d, want 2 and 9", r.batches, r.started[3].Seed)
 	}
 }
 
@@ -136,9 +137,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := read(text); err == nil {
-				t.Error("no error")
+				t.Errorf("Run returned no error for %q", text)
 			} else if strings.Contains(err.Error(), "\n") {
-				t.Errorf("the error is not one line: %q", err)
+				t.Errorf("the error is %q, want a single line", err)
 			}
 		})
 	}
@@ -149,9 +150,9 @@
 	f.Add("CLOCK\tAtTimeUs=8412250\nGO\n\n")
 	f.Add(openBatch + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h\nREGISTRY\tMode=D\tGen=1\tRef=0\nGO\n")
 	f.Add(openBatch + "CHECKED\tEndpoint=h:1\tStateCode=Ok\tSpentUs=3\tLoad=active:2.5,waiting:1\nGO\n")
-	f.Fuzz(func(t *testing.T, text string) { // any text is either read or an error, never a panic
+	f.Fuzz(func(t *testing.T, text string) { // a malformed text must give an error and not a panic
 		if _, err := read(text); err != nil && err.Error() == "" {
-			t.Error("an error without a text")
+			t.Error("the error has an empty text")
 		}
 	})
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Reply collects the actions of one batch. Its method Host gives each instance the balance.Host that writes to it. The
-// zero value is an empty reply. It is not safe for concurrent use.
+// Reply collects the actions of one batch. Its method Host returns a balance.Host that writes the actions of one instance to
+// it. The zero value is an empty reply. A Reply is not safe for concurrent use.
 type Reply struct {
-	encoded  []byte
-	isBegun  bool // whether an action was written
-	instance int  // whose actions were written last
+	encoded  []byte // encoded actions so far
+	isBegun  bool   // whether the reply has any action
+	instance int    // instance of the last action
 }
 
-// Bytes ends the reply and returns its encoding, which is valid until the next action: that one begins a new reply.
+// Bytes ends the reply and returns its encoding, which is valid until the next action. That action begins a new reply.
 func (r *Reply) Bytes() []byte {
 	r.encoded = append(r.encoded, "FINISHED\n"...)
 	encoded := r.encoded
@@ -22,16 +22,16 @@
 	return encoded
 }
 
-// Host returns the host through which an instance acts. It writes to all replies to come.
+// Host returns the balance.Host of an instance. It writes to the current reply and to all later ones.
 func (r *Reply) Host(instance int) *Host { return &Host{r, instance} }
 
-// Host implements balance.Host: it writes an instance's actions to a Reply.
+// Host implements balance.Host by writing the actions of an instance to a Reply.
 type Host struct {
 	reply    *Reply
 	instance int
 }
 
-// begin writes the name of an action, and before it whose action it is where that changes.
+// begin writes the name of an action. If the last action was another instance's, it first writes an ON_BEHALF line.
 func (h *Host) begin(action string) *Host {
 	r := h.reply
 	if !r.isBegun || r.instance != h.instance {
@@ -44,32 +44,36 @@
 	return h
 }
 
+// key writes the key of a field.
 func (h *Host) key(key string) {
 	h.reply.encoded = append(h.reply.encoded, '\t')
 	h.reply.encoded = append(h.reply.encoded, key...)
 	h.reply.encoded = append(h.reply.encoded, '=')
 }
 
+// text writes a field with a text value.
 func (h *Host) text(key, value string) *Host {
 	h.key(key)
 	h.reply.encoded = append(h.reply.encoded, value...)
 	return h
 }
 
+// number writes a field with a number.
 func (h *Host) number(key string, value int64) *Host {
 	h.key(key)
 	h.reply.encoded = strconv.AppendInt(h.reply.encoded, value, 10)
 	return h
 }
 
+// end ends the line of an action.
 func (h *Host) end() { h.reply.encoded = append(h.reply.encoded, '\n') }
 
-// ceilMicroseconds rounds up, since a timeout or timer must not fire early.
+// ceilMicroseconds converts d to microseconds. It rounds up, since a timeout or timer must not fire early.
 func ceilMicroseconds(d time.Duration) int64 {
 	return int64((d + time.Microsecond - 1) / time.Microsecond)
 }
 
-// Send writes a DISPATCH; a timeout of 0 is left out.
+// Send writes a DISPATCH, without a timeout if it is 0.
 func (h *Host) Send(id, endpoint string, timeout time.Duration) {
 	h.begin("DISPATCH").text("Rid", id).text("Endpoint", endpoint)
 	if timeout > 0 {
@@ -78,12 +82,12 @@
 	h.end()
 }
 
-// Cancel writes a STOP_ATTEMPT.
+// Cancel writes a STOP_ATTEMPT, which cancels attempt n of a request.
 func (h *Host) Cancel(id string, n int) {
 	h.begin("STOP_ATTEMPT").text("Rid", id).number("N", int64(n)).end()
 }
 
-// Reject writes a SAY_NO; a retryAfter of 0 is left out.
+// Reject writes a SAY_NO, which rejects a request, without a retryAfter if it is 0.
 func (h *Host) Reject(id string, retryAfter time.Duration) {
 	h.begin("SAY_NO").text("Rid", id)
 	if retryAfter > 0 {
@@ -92,27 +96,27 @@
 	h.end()
 }
 
-// Fail writes a FINISH_ERROR.
+// Fail writes a FINISH_ERROR, which ends a request as failed.
 func (h *Host) Fail(id string) { h.begin("FINISH_ERROR").text("Rid", id).end() }
 
-// Probe writes a HEALTH_CHECK.
+// Probe writes a HEALTH_CHECK, which is the protocol's load probe.
 func (h *Host) Probe(endpoint string) { h.begin("HEALTH_CHECK").text("Endpoint", endpoint).end() }
 
-// HasIdleConnection returns false: the protocol says nothing of connections.
+// HasIdleConnection returns false, because the protocol has no connections.
 func (h *Host) HasIdleConnection(string) bool { return false }
 
-// Subscribe writes a LISTEN.
+// Subscribe writes a LISTEN, which subscribes to discovery.
 func (h *Host) Subscribe() { h.begin("LISTEN").number("Active", 1).end() }
 
-// Timer writes a SET_TIMER. All timers have the mark 0, for an instance does not tell them apart.
+// Timer writes a SET_TIMER. All timers have the mark 0, because a balancer does not distinguish them.
 func (h *Host) Timer(at time.Duration) {
 	h.begin("SET_TIMER").number("InstantUs", ceilMicroseconds(at)).number("Mark", 0).end()
 }
 
-// separatorsToSpaces keeps a text within one field of one line.
+// separatorsToSpaces replaces line breaks and tabs by spaces, so that a text stays within its field.
 var separatorsToSpaces = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Log writes a DEBUG.
+// Log writes a DEBUG, which is a line for the log.
 func (h *Host) Log(line string) {
 	h.begin("DEBUG").text("Words", separatorsToSpaces.Replace(line)).end()
 }
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The reply's lines are also split with the reader's own parser, and put together again.
+// The lines of the reply must also be valid for the parser of the Reader: parsed and joined again they must be the same.
 func TestReplyEncodesActionsByInstance(t *testing.T) {
 	var r Reply
 	a, b := r.Host(3), r.Host(5)
@@ -32,15 +32,15 @@
 		if err := m.parse([]byte(line)); err != nil {
 			t.Error(err)
 		}
-		back := string(m.name)
+		rejoined := string(m.name)
 		for _, f := range m.fields {
-			back += "\t" + string(f.key) + "=" + string(f.value)
+			rejoined += "\t" + string(f.key) + "=" + string(f.value)
 		}
-		if back != line {
-			t.Errorf("%q came back as %q", line, back)
+		if rejoined != line {
+			t.Errorf("parsed and joined again the line is %q, want %q", rejoined, line)
 		}
 	}
 	if got := string(r.Bytes()); got != "FINISHED\n" {
-		t.Errorf("an empty reply is %q", got)
+		t.Errorf("the empty reply is %q, want %q", got, "FINISHED\n")
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,51 +9,52 @@
 	"tuliprock/balance"
 )
 
-// Settings is what the settings object says to a host of balancers.
+// Settings are the contents of the settings object that a host of balancers uses.
 type Settings struct {
-	balance.Settings                // what balance.New is given
-	ConnIdle          time.Duration // an endpoint closes a connection after it was idle for this long; 0: not known
-	DialTimeout       time.Duration // a connection that is not established by then has failed; 0: not known
-	LongestClientWait time.Duration // the longest time that a client of any class waits in total; 0: not known of each class
+	balance.Settings                // settings for balance.New
+	ConnIdle          time.Duration // time after which an endpoint closes an idle connection; 0: unknown
+	DialTimeout       time.Duration // time in which a connection must be established; 0: unknown
+	LongestClientWait time.Duration // longest time that a client of any class waits in total; 0: unknown for at least one class
 }
 
-// settings is the settings object as far as it is used; other members are ignored. Its fields have the wire's names and
-// types, and no tags, since encoding/json prints all of these in its errors.
+// settings is the settings object of the wire, without the members that are not used; the decoder ignores these. Its fields
+// have the names and types of the wire and no tags, because encoding/json prints these in its errors.
 type settings struct {
-	NInstances int // balancers
-	Me         int // this balancer's index
-	Tier       int
-	Tiers      []string
-	Lanes      []struct { // classes
+	NInstances int        // number of balancers of the tier
+	Me         int        // index of this balancer among them, from 0
+	Tier       int        // index of this balancer's tier in Tiers
+	Tiers      []string   // names of all tiers, from the one that clients use
+	Lanes      []struct { // classes of requests
 		Name, Semantics, Group string
-		OnTimeUs, WindowUs     int64 // latency objective; how long duplicates are recognized
-		HardLimitUs            int64 // the longest that a client waits
+		OnTimeUs, WindowUs     int64 // latency objective; time in which duplicates are recognized
+		HardLimitUs            int64 // longest time that a client waits
 	}
 	Accounts []struct { // tenants
 		Name      string
-		QuotaPerS float64
+		QuotaPerS float64 // requests per second
 	}
-	Discovery    string
-	ResolutionUs int64
+	Discovery    string // how endpoint lists come: automatic or subscribe
+	ResolutionUs int64  // longest delay of events and timers
 	Permissions  struct {
 		MayCancel, MayProbe, RetryAfter            bool
-		TryLimit                                   int // attempts for each request
+		TryLimit                                   int // attempts allowed per request
 		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64
 	}
-	Report struct { // load report
-		Fields []string
-		How    string
+	Report struct { // load reports of endpoints
+		Fields []string // names of the values in a report
+		How    string   // how reports are sent; silent: there are none
 	}
 	Rules struct {
-		AskWithinUs, ColdUs int64 // poll interval; duration of the slow start
-		ColdFrom            float64
+		AskWithinUs, ColdUs int64   // longest time without a subscription or poll; duration of the slow start
+		ColdFrom            float64 // fraction of its full capacity that an endpoint starts with
 	}
 }
 
+// microseconds converts a number of microseconds to a duration.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// ParseSettings decodes the settings object, which the simulator and the platform's configuration have in the same form.
-// An error names the member of the object that is at fault.
+// ParseSettings decodes the settings object, which has the same form in the simulator's protocol and in the platform's
+// configuration. An error names the invalid member of the object.
 func ParseSettings(text []byte) (Settings, error) {
 	var wire settings
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -73,18 +74,18 @@
 		return s, fmt.Errorf("unknown Discovery %q in Config", wire.Discovery)
 	}
 	for _, lane := range wire.Lanes {
-		effect, ok := effects[lane.Semantics]
+		idempotency, ok := idempotencies[lane.Semantics]
 		if !ok {
 			return s, fmt.Errorf("class %q in Config has unknown Semantics %q", lane.Name, lane.Semantics)
 		}
-		group, ok := groups[lane.Group]
+		scope, ok := dedupScopes[lane.Group]
 		if !ok {
 			return s, fmt.Errorf("class %q in Config has unknown Group %q", lane.Name, lane.Group)
 		}
 		s.Classes = append(s.Classes, balance.Class{
 			Name:             lane.Name,
-			Idempotency:      effect,
-			DedupScope:       group,
+			Idempotency:      idempotency,
+			DedupScope:       scope,
 			DedupWindow:      microseconds(lane.WindowUs),
 			LatencyObjective: microseconds(lane.OnTimeUs),
 		})
@@ -95,22 +96,22 @@
 	return s, nil
 }
 
-// effects are the wire's names of what a repeated request does.
-var effects = map[string]balance.Idempotency{
+// idempotencies maps the values of Semantics on the wire.
+var idempotencies = map[string]balance.Idempotency{
 	"read_like":       balance.Idempotent,
 	"idempotency_key": balance.IdempotencyKey,
 	"non_idempotent":  balance.NonIdempotent,
 }
 
-// groups are the wire's names of the endpoints that recognize one another's duplicates. Left out, it is all of them.
-var groups = map[string]balance.DedupScope{
+// dedupScopes maps the values of Group on the wire. Without a value the scope is all endpoints.
+var dedupScopes = map[string]balance.DedupScope{
 	"":     balance.ScopeAll,
 	"all":  balance.ScopeAll,
 	"zone": balance.ScopeZone,
 	"cell": balance.ScopeCell,
 }
 
-// balancerSettings returns the balancer's part, without the classes, the tenants and the mode of discovery.
+// balancerSettings returns the settings for balance.New, without the seed, the classes, the tenants and the mode of discovery.
 func (w *settings) balancerSettings() balance.Settings {
 	s := balance.Settings{
 		Balancers:         w.NInstances,
@@ -131,12 +132,12 @@
 	return s
 }
 
-// reportsLoad says whether endpoints report the load that the balancer uses.
+// reportsLoad reports whether endpoints send load reports with the value that the balancer uses.
 func (w *settings) reportsLoad() bool {
 	return w.Report.How != "silent" && slices.Contains(w.Report.Fields, "active")
 }
 
-// longestHardLimit returns the longest of the classes' limits; 0 if a class has none.
+// longestHardLimit returns the largest HardLimitUs of all classes; 0 if a class has none.
 func (w *settings) longestHardLimit() time.Duration {
 	longest := time.Duration(0)
 	for _, lane := range w.Lanes {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -8,7 +8,7 @@
 	"tuliprock/balance"
 )
 
-func TestStartCarriesTheSettings(t *testing.T) {
+func TestStartPassesTheSettingsToTheHandler(t *testing.T) {
 	r, err := read("CLOCK\tAtTimeUs=0\nSWITCH_TO\tSidecar=0\nSTART\tRandomSeed=18446744073709551615\tConfig=" +
 		`{"NInstances":2,"Me":1,"Tier":1,"Tiers":["a","b","c"],"Zone":"z","Lanes":[{"Name":"n","Semantics":"idempotency_key",` +
 		`"Group":"cell","OnTimeUs":1,"HardLimitUs":2,"WindowUs":3,"Credit":4,"LateValue":0.5,"AimStretch":2}],` +
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestSettingsGiveTheHostItsTimeouts(t *testing.T) {
+func TestSettingsContainTheTimeoutsOfTheHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want Settings
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestProbesNeedPermissionAndAReportOfLoad(t *testing.T) {
+func TestLoadProbesNeedPermissionAndLoadReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want bool
@@ -73,13 +73,13 @@
 				t.Fatal(err)
 			}
 			if got.CanProbe != c.want {
-				t.Errorf("MayProbe is %v", got.CanProbe)
+				t.Errorf("CanProbe is %v, want %v", got.CanProbe, c.want)
 			}
 		})
 	}
 }
 
-// Operators read these errors: they name the member at fault as the object does.
+// Operators read these errors, so they must name the invalid member as it is in the settings object.
 func TestSettingsErrorsNameTheMember(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"a text for a number":  {`{"NInstances":"x"}`, "parsing Config: json: cannot unmarshal string into Go struct field settings.NInstances of type int"},
