--- a/balance/admission.go
+++ b/balance/admission.go
@@ -11,7 +11,7 @@
 	shedStretch           = 1.2  // recentStretch above which requests over quota may be shed
 	highRateQuotaMultiple = 1.3  // request rate, as a multiple of totalQuota, above which it is high
 	maxQueueTimeFraction  = 0.05 // longest time in the queue, as a fraction of meanLatencyObjective
-	minTimeLeftFraction   = 0.6  // time left required while others queue, per expected latency
+	minTimeLeftFraction   = 0.6  // least time to the deadline, in expected latencies, if others are queued
 
 	meanRetryAfter = 300 * time.Millisecond // mean Retry-After of rejected requests
 )
@@ -79,7 +79,7 @@
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // the concurrency limit was not what kept it in the queue
+		b.admittedCounter.add(now) // it was not the concurrency limit that kept it queued
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
--- a/balance/api.go
+++ b/balance/api.go
@@ -33,7 +33,7 @@
 	Outcome(now time.Duration, o Outcome)
 	// ClientDisconnected reports that the client of a request has disconnected, so that the request needs no response.
 	ClientDisconnected(now time.Duration, id string)
-	// Timer reports that the instant of a timer, which Host.Timer has set, has come.
+	// Timer reports that the instant of a timer, set by Host.Timer, has been reached.
 	Timer(now time.Duration)
 	// Probed reports the result of a load probe.
 	Probed(now time.Duration, p ProbeResult)
@@ -70,7 +70,7 @@
 	// HasIdleConnection reports whether a connection to the endpoint is idle, so that an attempt would not open one. It is
 	// false if the host does not know.
 	HasIdleConnection(endpoint string) bool
-	// Subscribe subscribes to all changes in discovery from now on, which answers with an endpoint list.
+	// Subscribe subscribes to all later changes in discovery, which responds with an endpoint list.
 	Subscribe()
 	// Timer requests a Timer event at the given instant or soon after. Timers cannot be cancelled.
 	Timer(at time.Duration)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -35,7 +35,7 @@
 	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
 	subset               []*endpoint // endpoints that this balancer uses
-	subsetSizeByRate     float64     // subset size that the request rate required at the last rebuild for it
+	subsetSizeByRate     float64     // subset size required by the request rate when it last changed by half
 	pickSample           []*endpoint // candidates of the last pick from a large subset
 	recentlyUsed         []*endpoint // endpoints of a large subset that were used last, oldest first
 	cachedSmallestWeight float64     // smallest weight of the active endpoints of a large subset
@@ -46,7 +46,7 @@
 	queue      []*request          // requests that wait for an endpoint with capacity, in order of arrival
 
 	resubscribeAt      time.Duration // instant of the next subscription to discovery; 0: none is due
-	resubscribeBackoff time.Duration // backoff before that subscription, without jitter; 0: discovery works
+	resubscribeBackoff time.Duration // backoff before the next subscription, jitter excluded; 0: none
 
 	inFlight         int           // attempts that wait for an endpoint, streaming bodies excluded
 	concurrencyLimit float64       // limit of inFlight, retries excepted
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -11,14 +11,16 @@
 	stretchTimeConstant     = 2 * time.Second // time after which a response has 1/e of its weight
 	maxLimitStretch         = 3.0             // largest stretch that one response, maybe an outlier, adds
 	congestionStretch       = 1.6             // recentStretch above which a used limit is reduced
-	limitReductionFloor     = 0.5             // least factor of a reduction; one per half a response time
 	limitGrowthStretch      = 1.5             // recentStretch below which a limit that is reached grows
 	limitGrowthGain         = 0.2             // growth per response, times limitGrowthStretch - recentStretch
 	usedLimitFraction       = 0.6             // fraction of the limit in flight above which it counts as used
 
+	// limitReductionFloor is the least factor of a reduction. There is at most one per half a response time.
+	limitReductionFloor = 0.5
+
 	// In the first tier clients are spread unevenly over balancers, so that some soon need a higher limit.
 	firstTierGrowthStretch  = 1.3 // recentStretch below which the limit of the first tier grows faster
-	firstTierGrowthMultiple = 2.0 // factor by which it grows faster
+	firstTierGrowthMultiple = 2.0 // factor by which the limit of the first tier grows faster
 )
 
 // updateConcurrencyLimit updates the limit after a response. It reduces a limit that is used while the recent
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -153,7 +153,7 @@
 		return newHarness(t, s, "a", "b").maxInFlight(900 * ms)
 	}
 	first, second := limitAfterGrowth(0), limitAfterGrowth(1)
-	if first < second+(second-12)/2 { // the initial limit of both is 12
+	if first < second+(second-12)/2 { // 12 is the initial limit in both tiers
 		t.Errorf("after 0.9 s the limit of 12 is %d in the first tier, want 1.5 times the growth to %d in the second", first, second)
 	}
 }
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -6,9 +6,9 @@
 // smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or backs off
 // for twice as long.
 const (
-	activeFactor         = 2.0                    // largest weight of an active endpoint, in smallest weights
+	activeFactor         = 2.0                    // largest active weight, as a multiple of the smallest one
 	minBackoff           = 500 * time.Millisecond // least backoff before the first trial: the paper's b_min
-	maxBackoffMultiple   = 8                      // longest backoff, in initial ones, to notice recoveries
+	maxBackoffMultiple   = 8                      // longest backoff, in initial backoffs: recovery must show
 	outlierErrorMultiple = 1.5                    // error rate of an outlier, in error rates of all endpoints
 	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
 )
@@ -52,7 +52,7 @@
 	case Reset: // the endpoint is taken to restart, and to warm up afterwards
 		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // no sample, but a trial cancelled after it was overdue has failed
+	if r == Canceled || r == NotSent { // no latency sample, but an overdue trial has failed
 		if att.isTrial {
 			ep.trialInFlight = false
 			b.scheduleTrial(now, ep, att.wasOverdue)
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -29,7 +29,7 @@
 	class            balance.Class
 	attempts         []*simAttempt
 	isFinished       bool // whether it has its final response, or its client has disconnected
-	balancerKnowsEnd bool // whether the balancer caused that or was notified of it
+	balancerKnowsEnd bool // whether the balancer knows that the request is finished
 }
 
 // simulation simulates clients, discovery and endpoints for one balancer, and checks the invariants: no attempt is sent to
@@ -45,7 +45,7 @@
 	unavailableSince map[string]time.Duration    // instant at which an endpoint was listed as draining or gone, by ID
 	manuallyEjected  map[string]bool             // IDs of the endpoints that operators have ejected
 	ejectionChanges  int                         // manual ejections and restorations so far
-	requests         map[string]*simRequest      // by ID, since the last restart of the balancer
+	requests         map[string]*simRequest      // requests since the last restart of the balancer, by ID
 	openIDs          []string                    // IDs of requests that are not finished or have an attempt in flight
 	timers           []time.Duration             // instants of the timers that have not fired
 	probes           []string                    // IDs of endpoints whose load probes have no result yet
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -55,7 +55,7 @@
 // fewer to slower ones.
 func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
 	const requestsPerEndpointMean = 40
-	for _, n := range []int{200, 400, 2000} { // the first is scanned, the others are sampled
+	for _, n := range []int{200, 400, 2000} { // 200 endpoints are scanned, 400 and 2000 sampled
 		got := requestsPerEndpoint(n, n*requestsPerEndpointMean, 1.4)
 		fast, deviation, maxDeviation := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -11,14 +11,15 @@
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
 	kindPriorSamples = 3.0              // samples that the kind's weight counts for in an endpoint's weight
 	kindWeightGain   = 0.03             // least gain of a kind's weight per response
-	recentMeanGain   = 0.05             // least gain of other smoothed means per response or result
+	recentMeanGain   = 0.05             // least gain per sample of all other smoothed means
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
 	// At first the baseline is the mean latency, because the first responses are those of the fastest
-	// requests.
-	baselineLearningSeconds = 1.5              // seconds from the first response to the end of learning
-	baselineFallGain        = 0.02             // gain per response while the mean latency is lower
-	baselineRiseTime        = 60 * time.Second // time to rise to a higher mean: overload is not normal
+	// requests. Then it follows a lower mean fast and a higher one slowly, since the latency of an overload
+	// is not normal.
+	baselineLearningSeconds = 1.5              // seconds after the first response: baseline is the mean
+	baselineFallGain        = 0.02             // gain of the baseline towards a lower mean, per response
+	baselineRiseTime        = 60 * time.Second // time in which the baseline rises to a higher mean
 )
 
 // kind holds the estimate that the endpoints of one kind have in common.
@@ -54,7 +55,7 @@
 // exceeds activeFactor times the smallest active weight.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
 	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
-	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old samples
+	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old samples that is left
 	ep.sampleSum = ep.sampleSum*retained + stretch/ep.kind.weight
 	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*retained+1, now
 	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -12,7 +12,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.balancer.SetEjected(h.now, "a", true)
-	h.balancer.SetEjected(h.now, "a", true) // has no effect, as it is already ejected
+	h.balancer.SetEjected(h.now, "a", true) // has no effect, as a is already ejected
 	lists := []balance.EndpointUpdate{
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -9,14 +9,14 @@
 // The pick is a deficit round robin over the active endpoints. Loads, idle connections and load reports
 // modify the paper's deficit.
 const (
-	inFlightCharge         = 1.0 // weights added per request at the endpoint, so that a hang shows at once
+	inFlightCharge         = 1.0 // weights added to a deficit per request at the endpoint: hangs show at once
 	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
 	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe others next
-	maxDeficitLag          = 2.0 // weights that a deficit may be behind that picked, to bound bursts
+	maxDeficitLag          = 2.0 // weights that a deficit may be below the picked one, to bound bursts
 	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
 
-	// maxEndpointUsageMultiple bounds the part of the concurrency limit that one endpoint counts for, in even
-	// parts.
+	// maxEndpointUsageMultiple is the largest number of attempts in flight that one endpoint counts for, as a
+	// multiple of an even part of the concurrency limit.
 	maxEndpointUsageMultiple = 1.4
 
 	fullScanLimit       = 256 // largest subset scanned by each pick; larger ones are sampled
@@ -31,8 +31,8 @@
 // activeSummary holds the number and the extremes of the active endpoints in the subset.
 type activeSummary struct {
 	count          int     // number of active endpoints that are available
-	smallestWeight float64 // smallest of their weights; 1 without any
-	lowestDeficit  float64 // lowest of their deficits; 0 without any
+	smallestWeight float64 // smallest weight of an active endpoint; 1 without any
+	lowestDeficit  float64 // lowest deficit of an active endpoint; 0 without any
 }
 
 // pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
@@ -141,7 +141,7 @@
 	for _, other := range b.lastCandidates() {
 		// An endpoint that was not picked because of its load must not get a burst of requests afterwards.
 		other.deficit = max(other.deficit, pickedDeficit-maxDeficitLag*weight)
-		// Nor must it be among the endpoints with the lowest deficits, which are probed, all the time.
+		// An endpoint with a load report must not stay among the lowest deficits, or it gets all load probes.
 		if other != ep && other.hasFreshLoadReport(now) {
 			other.deficit = max(other.deficit, pickedDeficit+reportedLoadCharge*weight*other.reportedLoad)
 		}
@@ -151,7 +151,7 @@
 // probeCandidates sends load probes to the endpoints with the lowest deficits and reports whether it sent
 // any.
 func (b *Balancer) probeCandidates(now time.Duration, req *request) bool {
-	var next [probesPerRequest + 1]*endpoint // lowest deficits first; the last one is dropped
+	var next [probesPerRequest + 1]*endpoint // endpoints in order of deficit; the last one is dropped
 	for _, ep := range b.subset {
 		if b.canSend(now, req, ep) && (ep.active || !ep.trialInFlight && now >= ep.nextTrialAt) {
 			i := probesPerRequest
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -18,7 +18,7 @@
 	fleetInitialCapacity = 0.14             // fraction of its full capacity that an endpoint starts with
 	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
 	overloadMultiple     = 3.0              // load, in capacities, that overloads an endpoint
-	overloadWindow       = time.Second      // time over which that load is measured
+	overloadWindow       = time.Second      // time over which the load of an endpoint is measured
 	warmUtilization      = 1.3              // even part of the requests, in full capacities; above 1 due to clients' retries
 	fleetServiceTime     = 50 * ms          // latency of all attempts
 )
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -34,7 +34,7 @@
 	for range 200 {
 		h.upload("bill")
 	}
-	for range 200 { // their responses are streaming, too
+	for range 200 { // requests with streaming responses
 		id, ep := h.request("read")
 		if ep == "" {
 			t.Fatalf("%s was queued while only streaming bodies are in flight, want it sent", id)
