--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -47,7 +47,7 @@
 		ep.errorRate += recentMeanGain
 		hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > outlierErrorMultiple*b.errorRate
 		if !hasFailed {
-			r = NotSent // errors of the tier below, alike at all endpoints, say nothing about this one
+			r = NotSent // the tier below fails for all endpoints: no information on this one
 		}
 	case Reset: // the endpoint is taken to restart, and to warm up afterwards
 		ep.Started = max(ep.Started, now)
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -143,7 +143,7 @@
 
 // recordResponse records the final response by Reject or Fail.
 func (sim *simulation) recordResponse(id string) *simRequest {
-	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
+	sim.actions = append(sim.actions, fmt.Sprintf("%v final response %s", sim.now, id))
 	req := sim.requests[id]
 	if req == nil || req.balancerKnowsEnd {
 		sim.t.Fatalf("%v: final response to %s, which is unknown or already finished", sim.now, id)
