--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -22,11 +22,11 @@
 	VerbVersions Verb = "versions" // the first line of settings: which version is in force
 )
 
-// verbPut is the argument of settings that announces a body.
-const verbPut = "put"
+// putArgument is the argument of settings that announces a body.
+const putArgument = "put"
 
-// takesID tells of each verb whether an endpoint's ID follows. A verb that is not a key is not known.
-var takesID = map[Verb]bool{
+// takesEndpointID tells of each verb whether an endpoint's ID follows. A verb that is not a key is not known.
+var takesEndpointID = map[Verb]bool{
 	VerbCheck:    false,
 	VerbVars:     false,
 	VerbSetDown:  true,
@@ -64,7 +64,7 @@
 		return Command{}, errors.New("the line is empty")
 	}
 	c := Command{Verb: Verb(words[0])}
-	wantsID, isKnown := takesID[c.Verb]
+	wantsID, isKnown := takesEndpointID[c.Verb]
 	switch {
 	case !isKnown:
 		return Command{}, fmt.Errorf(
@@ -87,7 +87,7 @@
 // parseSettings reads the words behind settings. Only the length of a body matters here; the handler reads the rest.
 func (c Command) parseSettings(words [][]byte) (Command, error) {
 	c.Arguments = string(bytes.Join(words, []byte(" ")))
-	if string(words[0]) != verbPut {
+	if string(words[0]) != putArgument {
 		return c, nil
 	}
 	length, err := strconv.Atoi(string(words[len(words)-1]))
--- a/internal/admin/command_test.go
+++ b/internal/admin/command_test.go
@@ -58,7 +58,7 @@
 			}
 			return
 		}
-		wantsID, isKnown := takesID[c.Verb]
+		wantsID, isKnown := takesEndpointID[c.Verb]
 		if !isKnown || wantsID != (c.EndpointID != "") || !bytes.Contains(line, []byte(c.EndpointID)) ||
 			c.BodyLength < 0 || c.Arguments != "" && c.Verb != VerbSettings {
 			t.Errorf("%q: %+v", line, c)
--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -38,35 +38,35 @@
 	switch c.Verb {
 	case VerbCheck:
 		if !s.handlers.IsReady() {
-			return failure(errors.New("this process does not take clients"))
+			return failureResponse(errors.New("this process does not take clients"))
 		}
-		return success("this process takes clients")
+		return successResponse("this process takes clients")
 	case VerbVars:
-		return multiLine(func(w io.Writer) error { return s.handlers.WriteMetrics(ctx, w) })
+		return multiLineResponse(func(w io.Writer) error { return s.handlers.WriteMetrics(ctx, w) })
 	case VerbPeers:
-		return multiLine(s.handlers.WritePeers)
+		return multiLineResponse(s.handlers.WritePeers)
 	case VerbSettings:
-		return multiLine(func(w io.Writer) error { return s.handlers.HandleSettings(ctx, c.Arguments, body, w) })
+		return multiLineResponse(func(w io.Writer) error { return s.handlers.HandleSettings(ctx, c.Arguments, body, w) })
 	case VerbVersions:
-		return multiLine(s.handlers.WriteVersions)
+		return multiLineResponse(s.handlers.WriteVersions)
 	}
 	outcome, err := s.handlers.SetEjected(ctx, c.EndpointID, c.Verb == VerbSetDown)
 	if err != nil {
-		return failure(err)
+		return failureResponse(err)
 	}
-	return success(outcome)
+	return successResponse(outcome)
 }
 
-// multiLine is a response of several lines; the last one marks the end.
-func multiLine(write func(w io.Writer) error) []byte {
+// multiLineResponse is a response of several lines; the last one marks the end.
+func multiLineResponse(write func(w io.Writer) error) []byte {
 	var text bytes.Buffer
 	if err := write(&text); err != nil {
-		return failure(err)
+		return failureResponse(err)
 	}
 	text.WriteString("EOT\n")
 	return text.Bytes()
 }
 
-func success(text string) []byte { return fmt.Appendf(nil, "SUCCESS %s\n", text) }
+func successResponse(text string) []byte { return fmt.Appendf(nil, "SUCCESS %s\n", text) }
 
-func failure(err error) []byte { return fmt.Appendf(nil, "FAILURE %v\n", err) }
+func failureResponse(err error) []byte { return fmt.Appendf(nil, "FAILURE %v\n", err) }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -53,7 +53,7 @@
 // connection is a client's, with its entry in the list of idle ones, which may have been removed.
 type connection struct {
 	net.Conn
-	entry *list.Element
+	idleEntry *list.Element
 }
 
 // New makes a Server on a listener, which it closes in Close. At most maxConnections connections, or one, are open at
@@ -123,26 +123,26 @@
 		return nil, false
 	}
 	s.openConnections++
-	return &connection{Conn: nc, entry: s.idle.PushBack(nc)}, true
+	return &connection{Conn: nc, idleEntry: s.idle.PushBack(nc)}, true
 }
 
 // release closes a connection and lets another one take its place.
 func (s *Server) release(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle.Remove(c.entry)
+	s.idle.Remove(c.idleEntry)
 	c.Close()
 	s.openConnections--
 	s.changed.Broadcast()
 }
 
-// claim takes a connection out of the idle ones, since its command has come. It returns false if the connection has just
+// markBusy takes a connection out of the idle ones, since its command has come. It returns false if the connection has just
 // been closed for another's sake.
-func (s *Server) claim(c *connection) bool {
+func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.idle.Len()
-	s.idle.Remove(c.entry)
+	s.idle.Remove(c.idleEntry)
 	return s.idle.Len() < before
 }
 
@@ -151,10 +151,10 @@
 	defer s.release(c)
 	c.SetReadDeadline(time.Now().Add(lineTimeout))
 	command, body, err := s.readCommand(bufio.NewReaderSize(c, maxLineBytes))
-	if errors.Is(err, errIncompleteLine) || !s.claim(c) {
+	if errors.Is(err, errIncompleteLine) || !s.markBusy(c) {
 		return
 	}
-	response := failure(err)
+	response := failureResponse(err)
 	if err == nil {
 		response = s.execute(command, body)
 	}
@@ -203,7 +203,7 @@
 		return
 	}
 	s.mu.Lock()
-	c.entry = s.idle.PushFront(c.Conn)
+	c.idleEntry = s.idle.PushFront(c.Conn)
 	isClosed := s.isClosed
 	s.changed.Broadcast()
 	s.mu.Unlock()
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -42,8 +42,8 @@
 // testConnections is the limit of the servers under test.
 const testConnections = 4
 
-// start serves commands until the test ends.
-func start(t *testing.T, handlers Handlers) *Server {
+// startServer serves commands until the test ends.
+func startServer(t *testing.T, handlers Handlers) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +86,7 @@
 
 func TestOneCommandOneResponsePerConnection(t *testing.T) {
 	ejections := make(chan string, 9)
-	s := start(t, testHandlers(true, ejections))
+	s := startServer(t, testHandlers(true, ejections))
 	for _, row := range []struct{ send, want string }{
 		{"check\n", "SUCCESS this process takes clients\n"},
 		{"check\r\nvars\n", "SUCCESS this process takes clients\n"}, // the rest is not read
@@ -113,7 +113,7 @@
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
-	if got := exchange(t, start(t, testHandlers(false, nil)), "check\n"); !strings.HasPrefix(got, "FAILURE ") {
+	if got := exchange(t, startServer(t, testHandlers(false, nil)), "check\n"); !strings.HasPrefix(got, "FAILURE ") {
 		t.Errorf("not ready: %q", got)
 	}
 }
@@ -121,7 +121,7 @@
 // An ID that was cut could be another endpoint's.
 func TestIncompleteLineIsNotExecuted(t *testing.T) {
 	ejections := make(chan string, 1)
-	s := start(t, testHandlers(true, ejections))
+	s := startServer(t, testHandlers(true, ejections))
 	nc := dial(t, s)
 	_, _ = io.WriteString(nc, "set-down s-12")
 	_ = nc.(*net.TCPConn).CloseWrite()
@@ -137,7 +137,7 @@
 
 // Connections that send no complete command block nobody, nor does a command that takes long.
 func TestIdleConnectionsDoNotBlockCommands(t *testing.T) {
-	s := start(t, testHandlers(true, make(chan string, 1)))
+	s := startServer(t, testHandlers(true, make(chan string, 1)))
 	var idle []net.Conn
 	for i := range 20 * testConnections {
 		nc := dial(t, s)
@@ -173,7 +173,7 @@
 }
 
 func TestCloseEndsServeAndIdleConnections(t *testing.T) {
-	s := start(t, testHandlers(true, nil))
+	s := startServer(t, testHandlers(true, nil))
 	nc := dial(t, s)
 	exchange(t, s, "check\n")
 	s.Close()
--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -2,107 +2,107 @@
 
 import "container/list"
 
-// MemoryBudget shares out a bounded number of bytes among bodies. A part of them is reserved for short bodies, which
-// never wait behind long ones; bodies of one kind are served in the order of their requests. It has no I/O, no clock
-// and no goroutine, and is not safe for concurrent use.
+// MemoryBudget divides a fixed number of bytes among bodies. A part of them is reserved for buffered bodies, which never wait
+// behind streaming ones. Requests for the same kind of body are granted in the order in which they were made. A MemoryBudget
+// does no I/O, reads no clock, starts no goroutine, and is not safe for concurrent use.
 type MemoryBudget struct {
-	total        int // bytes
-	shortReserve int // bytes of total that long bodies can't have
-	used         int
-	usedByLong   int
-	shortQueue   list.List // of memoryRequest
-	longQueue    list.List // of memoryRequest
-	waiting      map[int]*list.Element
-	lastID       int
+	total           int                   // bytes to divide
+	bufferedReserve int                   // bytes of total that streaming bodies can't get
+	used            int                   // bytes granted to bodies of both kinds
+	usedByStreaming int                   // bytes granted to streaming bodies
+	bufferedQueue   list.List             // waitingRequests for buffered bodies, oldest first
+	streamingQueue  list.List             // waitingRequests for streaming bodies, oldest first
+	waiting         map[int]*list.Element // entries of both queues, by request ID
+	lastID          int                   // ID of the most recent request
 }
 
-// Size is the memory that a body needs.
+// Size is the amount of memory that a body needs, and the kind of body.
 type Size struct {
-	Bytes int
-	Long  bool // the body streams and holds its memory for as long as that takes
+	Bytes     int
+	Streaming bool // the body is forwarded while it arrives and holds its memory until it ends
 }
 
-// memoryRequest is a request for memory that waits.
-type memoryRequest struct {
+// waitingRequest is a request for memory that has not been granted yet.
+type waitingRequest struct {
 	id int
 	Size
 }
 
-// NewMemoryBudget returns a budget of total bytes, of which shortReserve are reserved for short bodies.
-func NewMemoryBudget(total, shortReserve int) *MemoryBudget {
-	return &MemoryBudget{total: total, shortReserve: shortReserve, waiting: map[int]*list.Element{}}
+// NewMemoryBudget returns a budget of total bytes, of which bufferedReserve are reserved for buffered bodies.
+func NewMemoryBudget(total, bufferedReserve int) *MemoryBudget {
+	return &MemoryBudget{total: total, bufferedReserve: bufferedReserve, waiting: map[int]*list.Element{}}
 }
 
 // Fits reports whether the size could be granted if nothing else were in use.
 func (b *MemoryBudget) Fits(s Size) bool {
-	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Long || s.Bytes <= b.total-b.shortReserve)
+	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Streaming || s.Bytes <= b.total-b.bufferedReserve)
 }
 
-// Acquire requests bytes. A request that is not granted at once waits under the id, which is never 0.
+// Acquire requests memory. A request that can't be granted at once is queued under the returned ID, which is never 0.
 func (b *MemoryBudget) Acquire(s Size) (id int, granted bool) {
 	b.lastID++
 	queue := b.queueFor(s)
 	if queue.Len() == 0 && b.tryGrant(s) {
 		return b.lastID, true
 	}
-	b.waiting[b.lastID] = queue.PushBack(memoryRequest{b.lastID, s})
+	b.waiting[b.lastID] = queue.PushBack(waitingRequest{b.lastID, s})
 	return b.lastID, false
 }
 
-// Release gives bytes back that were granted, and returns the ids of the requests that are granted by that.
+// Release releases granted memory, and returns the IDs of the queued requests that this lets it grant.
 func (b *MemoryBudget) Release(s Size) []int {
 	b.used -= s.Bytes
-	if s.Long {
-		b.usedByLong -= s.Bytes
+	if s.Streaming {
+		b.usedByStreaming -= s.Bytes
 	}
 	return b.grantWaiting()
 }
 
-// Cancel withdraws a request and returns the ids of other requests that are granted by that. ok is false if the request
-// no longer waits.
+// Cancel removes a queued request, and returns the IDs of the other queued requests that this lets it grant. ok is false if
+// the request is not queued any more.
 func (b *MemoryBudget) Cancel(id int) (granted []int, ok bool) {
 	e := b.waiting[id]
 	if e == nil {
 		return nil, false
 	}
 	delete(b.waiting, id)
-	b.queueFor(e.Value.(memoryRequest).Size).Remove(e)
+	b.queueFor(e.Value.(waitingRequest).Size).Remove(e)
 	return b.grantWaiting(), true
 }
 
-// InUse returns how many bytes are granted, and how many of them to long bodies.
-func (b *MemoryBudget) InUse() (all, long int) { return b.used, b.usedByLong }
+// InUse returns how many bytes are granted in total, and how many of them to streaming bodies.
+func (b *MemoryBudget) InUse() (all, streaming int) { return b.used, b.usedByStreaming }
 
-// Waiting returns how many requests wait.
+// Waiting returns how many requests are queued.
 func (b *MemoryBudget) Waiting() int { return len(b.waiting) }
 
 func (b *MemoryBudget) queueFor(s Size) *list.List {
-	if s.Long {
-		return &b.longQueue
+	if s.Streaming {
+		return &b.streamingQueue
 	}
-	return &b.shortQueue
+	return &b.bufferedQueue
 }
 
-// tryGrant grants the bytes if they are free. A long body gets none while a short one waits.
+// tryGrant grants the memory if it is free. A streaming body gets none while a buffered one waits.
 func (b *MemoryBudget) tryGrant(s Size) bool {
 	if b.used+s.Bytes > b.total {
 		return false
 	}
-	if s.Long && (b.usedByLong+s.Bytes > b.total-b.shortReserve || b.shortQueue.Len() > 0) {
+	if s.Streaming && (b.usedByStreaming+s.Bytes > b.total-b.bufferedReserve || b.bufferedQueue.Len() > 0) {
 		return false
 	}
 	b.used += s.Bytes
-	if s.Long {
-		b.usedByLong += s.Bytes
+	if s.Streaming {
+		b.usedByStreaming += s.Bytes
 	}
 	return true
 }
 
-// grantWaiting grants what it can to waiting requests, to those of short bodies first, and returns their ids.
+// grantWaiting grants as many queued requests as fit, those for buffered bodies first, and returns their IDs.
 func (b *MemoryBudget) grantWaiting() (granted []int) {
-	for _, queue := range []*list.List{&b.shortQueue, &b.longQueue} {
+	for _, queue := range []*list.List{&b.bufferedQueue, &b.streamingQueue} {
 		for e := queue.Front(); e != nil; e = queue.Front() {
-			r := e.Value.(memoryRequest)
+			r := e.Value.(waitingRequest)
 			if !b.tryGrant(r.Size) {
 				break
 			}
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -7,84 +7,86 @@
 	"pgregory.net/rapid"
 )
 
-// budgetModel is a naive budget: all that was granted, and all that waits in the order of the requests.
+// budgetModel applies random operations to a MemoryBudget and tracks the requests that are granted and those that wait.
 type budgetModel struct {
-	budget         *MemoryBudget
-	total, reserve int
-	sizes          map[int]Size // by id
-	waiting, held  []int        // ids
+	budget           *MemoryBudget
+	total, reserve   int          // arguments of NewMemoryBudget
+	sizes            map[int]Size // sizes of all requests, by ID
+	waiting, granted []int        // IDs of requests, the waiting ones in the order in which they were made
 }
 
-// granted moves ids from waiting to held. No request may overtake another one of its kind.
-func (m *budgetModel) granted(t *rapid.T, ids []int) {
+// recordGrants moves IDs from waiting to granted. It fails if a request was granted before an older one of the same kind.
+func (m *budgetModel) recordGrants(t *rapid.T, ids []int) {
 	for _, id := range ids {
 		i := slices.Index(m.waiting, id)
 		if i < 0 {
-			t.Fatalf("%d was granted and did not wait", id)
+			t.Fatalf("request %d was granted, but was not waiting", id)
 		}
-		for _, before := range m.waiting[:i] {
-			if m.sizes[before].Long == m.sizes[id].Long {
-				t.Fatalf("%d was granted before %d of its kind", id, before)
+		for _, older := range m.waiting[:i] {
+			if m.sizes[older].Streaming == m.sizes[id].Streaming {
+				t.Fatalf("request %d was granted before the older request %d of the same kind", id, older)
 			}
 		}
-		m.waiting, m.held = slices.Delete(m.waiting, i, i+1), append(m.held, id)
+		m.waiting, m.granted = slices.Delete(m.waiting, i, i+1), append(m.granted, id)
 	}
 }
 
-// step acquires, releases or cancels.
+// step makes, releases or cancels one request at random.
 func (m *budgetModel) step(t *rapid.T) {
-	switch what := rapid.IntRange(0, 3).Draw(t, "what"); {
-	case what <= 1:
-		s := Size{rapid.IntRange(0, m.total).Draw(t, "bytes"), rapid.Bool().Draw(t, "long")}
+	switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
+	case action <= 1:
+		s := Size{rapid.IntRange(0, m.total).Draw(t, "bytes"), rapid.Bool().Draw(t, "streaming")}
 		if !m.budget.Fits(s) {
 			return
 		}
 		id, ok := m.budget.Acquire(s)
 		m.sizes[id] = s
 		if m.waiting = append(m.waiting, id); ok {
-			m.granted(t, []int{id})
+			m.recordGrants(t, []int{id})
 		}
-	case what == 2 && len(m.held) > 0:
-		i := rapid.IntRange(0, len(m.held)-1).Draw(t, "which")
-		id := m.held[i]
-		m.held = slices.Delete(m.held, i, i+1)
-		m.granted(t, m.budget.Release(m.sizes[id]))
-	case what == 3 && len(m.waiting) > 0:
-		i := rapid.IntRange(0, len(m.waiting)-1).Draw(t, "which")
+	case action == 2 && len(m.granted) > 0:
+		i := rapid.IntRange(0, len(m.granted)-1).Draw(t, "index of the granted request")
+		id := m.granted[i]
+		m.granted = slices.Delete(m.granted, i, i+1)
+		m.recordGrants(t, m.budget.Release(m.sizes[id]))
+	case action == 3 && len(m.waiting) > 0:
+		i := rapid.IntRange(0, len(m.waiting)-1).Draw(t, "index of the waiting request")
 		id := m.waiting[i]
 		m.waiting = slices.Delete(m.waiting, i, i+1)
 		granted, ok := m.budget.Cancel(id)
 		if !ok {
-			t.Fatalf("%d waits, and could not be canceled", id)
+			t.Fatalf("request %d is waiting, but could not be canceled", id)
 		}
-		m.granted(t, granted)
+		m.recordGrants(t, granted)
 	}
 }
 
-// check compares what is in use, and fails if the first request of a kind waits though it could be granted.
+// check compares the memory in use with the granted requests, and fails if the oldest waiting request of a kind could be
+// granted.
 func (m *budgetModel) check(t *rapid.T) {
-	all, long := 0, 0
-	for _, id := range m.held {
+	all, streaming := 0, 0
+	for _, id := range m.granted {
 		all += m.sizes[id].Bytes
-		if m.sizes[id].Long {
-			long += m.sizes[id].Bytes
+		if m.sizes[id].Streaming {
+			streaming += m.sizes[id].Bytes
 		}
 	}
-	maxLong := m.total - m.reserve
-	if gotAll, gotLong := m.budget.InUse(); gotAll != all || gotLong != long || all > m.total || long > maxLong {
-		t.Fatalf("%d and %d in use, by the budget %d and %d, of %d and %d", all, long, gotAll, gotLong, m.total, maxLong)
+	maxStreaming := m.total - m.reserve
+	if gotAll, gotStreaming := m.budget.InUse(); gotAll != all || gotStreaming != streaming || all > m.total || streaming > maxStreaming {
+		t.Fatalf("InUse returned %d, %d, want %d, %d and at most %d, %d",
+			gotAll, gotStreaming, all, streaming, m.total, maxStreaming)
 	}
 	if m.budget.Waiting() != len(m.waiting) {
-		t.Fatalf("%d wait, by the budget %d", len(m.waiting), m.budget.Waiting())
+		t.Fatalf("Waiting returned %d, want %d", m.budget.Waiting(), len(m.waiting))
 	}
-	isShort := func(id int) bool { return !m.sizes[id].Long }
+	isBuffered := func(id int) bool { return !m.sizes[id].Streaming }
 	for i, id := range m.waiting {
 		s := m.sizes[id]
-		isFirst := !slices.ContainsFunc(m.waiting[:i], func(other int) bool { return m.sizes[other].Long == s.Long })
-		fits := all+s.Bytes <= m.total && (!s.Long || long+s.Bytes <= maxLong)
-		yields := s.Long && slices.ContainsFunc(m.waiting, isShort)
-		if isFirst && fits && !yields {
-			t.Fatalf("%v waits for nothing", s)
+		isOldest := !slices.ContainsFunc(m.waiting[:i], func(other int) bool { return m.sizes[other].Streaming == s.Streaming })
+		fits := all+s.Bytes <= m.total && (!s.Streaming || streaming+s.Bytes <= maxStreaming)
+		mustYield := s.Streaming && slices.ContainsFunc(m.waiting, isBuffered)
+		if isOldest && fits && !mustYield {
+			t.Fatalf("request %d for %+v waits, though its memory is free", id, s)
 		}
 	}
 }
@@ -101,22 +103,23 @@
 	})
 }
 
-// A long body whose memory is free waits while a short one waits, which would otherwise wait for longer.
-func TestLongBodyWaitsWhileShortOneWaits(t *testing.T) {
+// A streaming body gets no memory, even if enough is free, while a buffered one waits: the buffered one would have to wait
+// longer.
+func TestStreamingBodyWaitsWhileBufferedOneWaits(t *testing.T) {
 	b := NewMemoryBudget(100, 0)
-	inUse, waitingShort, long := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, Long: true}
+	inUse, buffered, streaming := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, Streaming: true}
 	if _, ok := b.Acquire(inUse); !ok {
-		t.Fatal("the first request waits")
+		t.Fatal("the first request was not granted")
 	}
-	shortID, ok := b.Acquire(waitingShort)
+	bufferedID, ok := b.Acquire(buffered)
 	if ok {
 		t.Fatal("120 bytes of 100 were granted")
 	}
-	longID, ok := b.Acquire(long)
+	streamingID, ok := b.Acquire(streaming)
 	if ok {
-		t.Error("a long body got memory while a short one waited")
+		t.Error("a streaming body got memory while a buffered one was waiting")
 	}
-	if granted := b.Release(inUse); !slices.Equal(granted, []int{shortID, longID}) {
-		t.Errorf("granted %v, want the short body %d and then the long one %d", granted, shortID, longID)
+	if granted := b.Release(inUse); !slices.Equal(granted, []int{bufferedID, streamingID}) {
+		t.Errorf("granted requests %v, want the buffered body's, %d, then the streaming one's, %d", granted, bufferedID, streamingID)
 	}
 }
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -7,39 +7,40 @@
 	"sync"
 )
 
-// WindowSize is the size in bytes of a streaming body's buffer. A body that fits into it is short and is buffered
-// completely.
-const WindowSize = 64 << 10
+// BufferSize is the size in bytes of a streaming body's buffer. A body that fits into it is buffered completely instead.
+const BufferSize = 64 << 10
 
-// shortReserveDivisor reserves a quarter of a MemoryPool for short bodies, since long ones hold their memory for longer.
-const shortReserveDivisor = 4
+// bufferedReserveDivisor reserves a quarter of a MemoryPool for buffered bodies, since streaming ones hold their memory for
+// longer.
+const bufferedReserveDivisor = 4
 
 // ErrExceedsMemory is returned for a size that the MemoryPool can never grant.
 var ErrExceedsMemory = errors.New("more than the memory for bodies")
 
-var windowSize = Size{Bytes: WindowSize, Long: true}
+// bufferRequest is the memory that one streaming body needs.
+var bufferRequest = Size{Bytes: BufferSize, Streaming: true}
 
-// MemoryPool is the memory for bodies of a process. It is safe for concurrent use.
+// MemoryPool limits the memory that all bodies of a process hold together. It is safe for concurrent use.
 type MemoryPool struct {
 	mu      sync.Mutex
 	budget  *MemoryBudget
-	granted map[int]chan struct{} // by id of a request that waits; closed when it is granted
-	windows sync.Pool             // of *[]byte, each WindowSize bytes long
+	granted map[int]chan struct{} // by ID of a queued request; each is closed when its request is granted
+	buffers sync.Pool             // unused buffers, each a *[]byte of BufferSize bytes
 }
 
-// NewMemoryPool returns a MemoryPool of total bytes, of which a quarter is reserved for short bodies.
+// NewMemoryPool returns a MemoryPool of total bytes, of which a quarter is reserved for buffered bodies.
 func NewMemoryPool(total int) *MemoryPool {
-	p := &MemoryPool{budget: NewMemoryBudget(total, total/shortReserveDivisor), granted: map[int]chan struct{}{}}
-	p.windows.New = func() any {
-		b := make([]byte, WindowSize)
+	p := &MemoryPool{budget: NewMemoryBudget(total, total/bufferedReserveDivisor), granted: map[int]chan struct{}{}}
+	p.buffers.New = func() any {
+		b := make([]byte, BufferSize)
 		return &b
 	}
 	return p
 }
 
-// Acquire acquires memory for a body. It waits for its turn until ctx ends, and then returns ctx's error; memory that is
-// free is granted even if ctx has ended. A size that can never be granted is ErrExceedsMemory, wrapped. What is acquired must
-// be released with Release exactly once.
+// Acquire acquires memory for a body. It waits until the memory is granted or ctx ends, and returns ctx's error in the second
+// case. Free memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a size that can never be
+// granted. Acquired memory must be released with Release exactly once.
 func (p *MemoryPool) Acquire(ctx context.Context, s Size) error {
 	p.mu.Lock()
 	if !p.budget.Fits(s) {
@@ -62,7 +63,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	others, ok := p.budget.Cancel(id)
-	if !ok { // granted since ctx ended
+	if !ok { // the request was granted after ctx had ended
 		return nil
 	}
 	delete(p.granted, id)
@@ -70,14 +71,14 @@
 	return ctx.Err()
 }
 
-// Release releases what Acquire acquired.
+// Release releases memory that Acquire granted.
 func (p *MemoryPool) Release(s Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notify(p.budget.Release(s))
 }
 
-// notify wakes those whose requests were granted. p.mu is held.
+// notify wakes the goroutines whose requests were granted. p.mu is held.
 func (p *MemoryPool) notify(ids []int) {
 	for _, id := range ids {
 		close(p.granted[id])
@@ -85,7 +86,7 @@
 	}
 }
 
-// InUse returns how many bytes are acquired, and how many bodies wait for some.
+// InUse returns how many bytes are acquired, and how many bodies are waiting for memory.
 func (p *MemoryPool) InUse() (bytes, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,17 +94,17 @@
 	return bytes, p.budget.Waiting()
 }
 
-// AcquireWindow acquires a buffer of WindowSize bytes, with Acquire's waiting and errors. It must be released with
-// ReleaseWindow exactly once, when nobody uses it any more.
-func (p *MemoryPool) AcquireWindow(ctx context.Context) (*[]byte, error) {
-	if err := p.Acquire(ctx, windowSize); err != nil {
+// AcquireBuffer acquires a buffer of BufferSize bytes. It waits and fails as Acquire does. The buffer must be released with
+// ReleaseBuffer exactly once, when it is not used any more.
+func (p *MemoryPool) AcquireBuffer(ctx context.Context) (*[]byte, error) {
+	if err := p.Acquire(ctx, bufferRequest); err != nil {
 		return nil, err
 	}
-	return p.windows.Get().(*[]byte), nil
+	return p.buffers.Get().(*[]byte), nil
 }
 
-// ReleaseWindow releases a buffer.
-func (p *MemoryPool) ReleaseWindow(w *[]byte) {
-	p.windows.Put(w)
-	p.Release(windowSize)
+// ReleaseBuffer releases a buffer that AcquireBuffer returned.
+func (p *MemoryPool) ReleaseBuffer(b *[]byte) {
+	p.buffers.Put(b)
+	p.Release(bufferRequest)
 }
--- a/internal/body/memory_pool_test.go
+++ b/internal/body/memory_pool_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-func TestLongBodiesLeaveMemoryForShortOnes(t *testing.T) {
-	p := NewMemoryPool(4 * WindowSize)
+func TestStreamingBodiesLeaveMemoryForBufferedOnes(t *testing.T) {
+	p := NewMemoryPool(4 * BufferSize)
 	ctx := t.Context()
 	for range 3 {
-		if _, err := p.AcquireWindow(ctx); err != nil {
+		if _, err := p.AcquireBuffer(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
-	soon, cancel := context.WithTimeout(ctx, time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	if _, err := p.AcquireWindow(soon); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a fourth window of four: %v", err)
+	if _, err := p.AcquireBuffer(shortCtx); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("fourth buffer from a pool of four: error %v, want %v", err, context.DeadlineExceeded)
 	}
-	if err := p.Acquire(ctx, Size{WindowSize, false}); err != nil {
-		t.Errorf("a short body besides: %v", err)
+	if err := p.Acquire(ctx, Size{BufferSize, false}); err != nil {
+		t.Errorf("buffered body besides three streaming ones: error %v, want none", err)
 	}
-	if err := p.Acquire(ctx, Size{4*WindowSize + 1, false}); !errors.Is(err, ErrExceedsMemory) {
-		t.Errorf("more than the total: %v", err)
+	if err := p.Acquire(ctx, Size{4*BufferSize + 1, false}); !errors.Is(err, ErrExceedsMemory) {
+		t.Errorf("more than the total: error %v, want %v", err, ErrExceedsMemory)
 	}
 }
 
 func TestPoolLeaksNothingWhenWaitersTimeOut(t *testing.T) {
-	p := NewMemoryPool(4 * WindowSize)
+	p := NewMemoryPool(4 * BufferSize)
 	var users sync.WaitGroup
 	for i := range 64 {
 		users.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
 			defer cancel()
-			if w, err := p.AcquireWindow(ctx); err == nil {
+			if b, err := p.AcquireBuffer(ctx); err == nil {
 				time.Sleep(time.Millisecond)
-				p.ReleaseWindow(w)
+				p.ReleaseBuffer(b)
 			}
 		})
 	}
 	users.Wait()
-	if held, waiting := p.InUse(); held != 0 || waiting != 0 || len(p.granted) != 0 {
-		t.Errorf("%d bytes are held, %d wait, %d requests are kept", held, waiting, len(p.granted))
+	if inUse, waiting := p.InUse(); inUse != 0 || waiting != 0 || len(p.granted) != 0 {
+		t.Errorf("%d bytes in use, %d requests waiting, %d entries in granted, want 0 of each", inUse, waiting, len(p.granted))
 	}
 }
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// MinimumRate is the minimum rate that a peer must keep for a body to go on.
+// MinimumRate is the rate that a peer must keep while it sends or receives a body.
 type MinimumRate struct {
-	// IdleTimeout is the longest wait for the peer's next byte, and the time by which it may fall behind BytesPerSecond.
+	// IdleTimeout is the maximum time without a byte from the peer, and the maximum time by which the peer may fall behind
+	// BytesPerSecond.
 	IdleTimeout time.Duration
-	// BytesPerSecond is in bytes a second; 0 means that only IdleTimeout counts.
+	// BytesPerSecond is the minimum average rate; 0 means that only IdleTimeout applies.
 	BytesPerSecond int64
 }
 
-// Meter holds a peer to a MinimumRate. It counts only time in which the peer was waited for, so that the peer is not charged
-// for the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371), filled with time: waiting drains the
-// bucket, and bytes fill it up to IdleTimeout. It has no clock and is not safe for concurrent use.
+// Meter checks that a peer keeps a MinimumRate. It counts only the time spent waiting for this peer, so that a peer is not
+// blamed for delays on the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371), filled with time: waiting
+// drains the bucket, and transferred bytes fill it up to IdleTimeout. It reads no clock and is not safe for concurrent use.
 type Meter struct {
-	pace         MinimumRate
-	credit       time.Duration
-	lastDeadline time.Time // the deadline that is set on the connection
+	rate         MinimumRate
+	credit       time.Duration // time that the peer may still take before it falls below the rate
+	lastDeadline time.Time     // deadline that Deadline returned last
 }
 
 // NewMeter returns a Meter whose bucket is full.
-func NewMeter(p MinimumRate) Meter { return Meter{pace: p, credit: p.IdleTimeout} }
+func NewMeter(rate MinimumRate) Meter { return Meter{rate: rate, credit: rate.IdleTimeout} }
 
-// MaxWait returns how long to wait for the peer's next byte at most; 0 means that the peer is too slow.
+// MaxWait returns the maximum time to wait for the peer's next byte; 0 means that the peer is too slow.
 func (m *Meter) MaxWait() time.Duration {
-	if m.pace.BytesPerSecond <= 0 {
-		return m.pace.IdleTimeout
+	if m.rate.BytesPerSecond <= 0 {
+		return m.rate.IdleTimeout
 	}
 	return max(m.credit, 0)
 }
 
-// deadlineSlackDivisor: a deadline may fall short of MaxWait by an eighth of it before it is set anew, since each
-// setting costs as much as a small part of a body.
+// deadlineSlackDivisor is the part of MaxWait, an eighth, by which a connection's deadline may be too early before it is set
+// again. Each call that sets a deadline costs as much as transferring a small part of a body.
 const deadlineSlackDivisor = 8
 
-// MinWait returns the shortest wait that a deadline returned by Deadline allows now.
+// MinWait returns the shortest wait that a deadline returned by Deadline can allow at present.
 func (m *Meter) MinWait() time.Duration {
 	return m.MaxWait() - m.MaxWait()/deadlineSlackDivisor
 }
 
-// Deadline returns when a wait that begins now must end. changed is false if the deadline that was returned last is
-// still close enough, and need not be set again.
+// Deadline returns when a wait that begins now must end. changed is false if the deadline returned by the previous call is
+// still close enough and need not be set again.
 func (m *Meter) Deadline(now time.Time) (at time.Time, changed bool) {
 	wait := m.MaxWait()
 	at = now.Add(wait)
@@ -51,11 +52,11 @@
 	return at, true
 }
 
-// Record counts n bytes that were transferred after a wait for the peer.
+// Record records that n bytes were transferred after the given time of waiting for the peer.
 func (m *Meter) Record(n int, waited time.Duration) {
-	if m.pace.BytesPerSecond <= 0 {
+	if m.rate.BytesPerSecond <= 0 {
 		return
 	}
-	earned := time.Duration(float64(n) / float64(m.pace.BytesPerSecond) * float64(time.Second))
-	m.credit = min(m.credit-waited+earned, m.pace.IdleTimeout)
+	earned := time.Duration(float64(n) / float64(m.rate.BytesPerSecond) * float64(time.Second))
+	m.credit = min(m.credit-waited+earned, m.rate.IdleTimeout)
 }
--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -7,42 +7,42 @@
 	"pgregory.net/rapid"
 )
 
-// A peer at the minimum rate may go on without end, one below it ends in bounded time, and a pause costs nothing up
-// to Idle.
+// A peer that keeps the minimum rate is never found too slow, and one below the rate is found too slow once it has fallen behind
+// by IdleTimeout. A pause shorter than IdleTimeout is allowed.
 func TestMeterEnforcesMinimumRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := MinimumRate{
 			IdleTimeout:    time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second,
 			BytesPerSecond: int64(rapid.IntRange(10, 10_000).Draw(t, "rate")),
 		}
-		share := rapid.Float64Range(0.1, 3).Draw(t, "share of the rate")
+		fraction := rapid.Float64Range(0.1, 3).Draw(t, "fraction of the rate")
 		step := time.Duration(rapid.IntRange(1, 900).Draw(t, "step in ms")) * time.Millisecond
-		m, total, moved := NewMeter(p), time.Duration(0), 0.0
+		m, total, transferred := NewMeter(p), time.Duration(0), 0.0
 		for range 5000 {
 			if m.MaxWait() < step {
 				break
 			}
-			n := int(share*float64(p.BytesPerSecond)*(total+step).Seconds() - moved)
-			moved += float64(n)
+			n := int(fraction*float64(p.BytesPerSecond)*(total+step).Seconds() - transferred)
+			transferred += float64(n)
 			m.Record(n, step)
 			total += step
 		}
-		goesOn := total >= 5000*step
-		behind := (1 - share) * total.Seconds()
+		hasCompleted := total >= 5000*step
+		secondsBehind := (1 - fraction) * total.Seconds()
 		switch {
-		case share >= 1.01 && !goesOn:
-			t.Fatalf("ended after %v", total)
-		case share < 1 && behind > p.IdleTimeout.Seconds()+step.Seconds()+2/float64(p.BytesPerSecond):
-			t.Fatalf("went on for %v, %.1f s behind", total, behind)
+		case fraction >= 1.01 && !hasCompleted:
+			t.Fatalf("a peer above the minimum rate was found too slow after %v", total)
+		case fraction < 1 && secondsBehind > p.IdleTimeout.Seconds()+step.Seconds()+2/float64(p.BytesPerSecond):
+			t.Fatalf("a peer below the minimum rate was accepted for %v, when it was %.1f s behind", total, secondsBehind)
 		}
 	})
 	if m := NewMeter(MinimumRate{IdleTimeout: time.Second}); m.MaxWait() != time.Second {
-		t.Errorf("without a rate: %v", m.MaxWait())
+		t.Errorf("without BytesPerSecond: MaxWait is %v, want %v", m.MaxWait(), time.Second)
 	}
 }
 
-// A deadline is set anew only once it falls short of the longest wait by more than an eighth, and MinWait is what it
-// allows at least.
+// Deadline returns a new deadline only when the previous one is too early by more than an eighth of MaxWait. So every deadline
+// allows a wait of at least MinWait.
 func TestMeterKeepsDeadlineThatIsCloseEnough(t *testing.T) {
 	const idle = 8 * time.Second
 	m := NewMeter(MinimumRate{IdleTimeout: idle})
@@ -51,8 +51,8 @@
 	}
 	start := time.Now()
 	for _, row := range []struct {
-		after   time.Duration
-		at      time.Duration
+		after   time.Duration // time from start to the call of Deadline
+		at      time.Duration // time from start to the deadline
 		changed bool
 	}{
 		{0, idle, true},
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// Only io.EOF itself ends a body: an error that wraps it means that the body broke.
+// Only io.EOF itself ends a body. An error that wraps it means that the body could not be read to its end.
 func TestWrappedEOFIsNotEndOfBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		end        error
-		isComplete bool
+		end        error // error of the read after the last byte
+		isComplete bool  // the body should count as complete
 	}{
 		"io.EOF":              {io.EOF, true},
 		"wrapped":             {fmt.Errorf("chunk 3: %w", io.EOF), false},
@@ -19,13 +19,13 @@
 		"io.ErrUnexpectedEOF": {io.ErrUnexpectedEOF, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newTestUpload(t, NewMemoryPool(2*WindowSize), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
+			u := newTestUpload(t, NewMemoryPool(2*BufferSize), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
 			isComplete, err := u.ReadPrefix()
 			if isComplete != c.isComplete || (err == nil) != c.isComplete || !c.isComplete && !errors.Is(err, ErrBroken) {
-				t.Errorf("complete %v, %v", isComplete, err)
+				t.Errorf("ReadPrefix: complete %v, error %v, want complete %v", isComplete, err, c.isComplete)
 			}
 			if err := u.Err(); u.IsComplete() != c.isComplete || errors.Is(err, io.EOF) {
-				t.Errorf("complete %v, %v", u.IsComplete(), err)
+				t.Errorf("IsComplete is %v, Err is %v, want complete %v and no io.EOF", u.IsComplete(), err, c.isComplete)
 			}
 			u.Close(0, 0)
 		})
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -1,12 +1,12 @@
 // Package body streams request and response bodies in bounded memory.
 //
-// MemoryBudget decides which body may hold how much memory, and Meter when a peer falls below its minimum rate (MinimumRate).
-// Neither has I/O, a clock or a goroutine. MemoryPool, Upload and Write carry their decisions out.
+// MemoryBudget decides how much memory each body may hold, and Meter decides when a peer has fallen below its MinimumRate.
+// Neither does I/O, reads a clock or starts a goroutine. MemoryPool, Upload and Write apply these decisions.
 //
-// A MemoryPool is shared by all bodies of a process and guarded by its own mutex. An Upload belongs to the request whose body
-// it reads, and its Flows to the attempts of that request, one after the other. The package starts no goroutines: all
-// reads, writes and waits happen on its callers' goroutines, and all end with a context, a deadline, Stop or Close.
-// Memory that was acquired is released exactly once by whoever acquired it, an Upload's by Close.
+// All bodies of a process share one MemoryPool, which its own mutex guards. An Upload belongs to the request whose body it
+// reads, and each of its UploadReaders to one attempt of that request; attempts follow each other. The package starts no
+// goroutines: all reads, writes and waits run on the goroutines of its callers, and each ends with a context, a deadline, Stop
+// or Close. Acquired memory is released exactly once by whoever acquired it; Close releases that of an Upload.
 package body
 
 import (
@@ -18,91 +18,93 @@
 	"time"
 )
 
-// Why an Upload could not be read, besides ErrTooSlow. Clients receive the texts.
+// Reasons, besides ErrTooSlow, why an Upload could not be read. The texts are sent to clients.
 var (
-	// ErrTooLong is a body of more than Source.MaxBytes bytes.
+	// ErrTooLong is returned for a body of more than Source.MaxBytes bytes.
 	ErrTooLong = errors.New("the body is too long")
-	// ErrBroken is a body without its end, or one that was stopped.
+	// ErrBroken is returned for a body that is malformed or ended early, or whose reading was stopped.
 	ErrBroken = errors.New("the body can't be read to its end")
 )
 
-// PrefixSize is the length in bytes of an Upload's prefix, which stays buffered. What follows it streams through the rest of
-// the window.
-const PrefixSize = WindowSize / 2
+// PrefixSize is the length in bytes of an Upload's prefix, which stays in the buffer so that the body can be sent again. The
+// bytes after the prefix stream through the rest of the buffer.
+const PrefixSize = BufferSize / 2
 
 // Source is the request from which an Upload reads.
 type Source struct {
 	Body io.Reader
-	// SetReadDeadline sets the deadline of reads. It must also end a read that waits.
+	// SetReadDeadline sets the read deadline of Body. It must also apply to a read that is blocked.
 	SetReadDeadline func(time.Time) error
-	// Size is the body's length in bytes; -1 means that it is not known.
+	// Size is the body's length in bytes; -1 means that the length is not known.
 	Size int64
-	// MaxBytes is the maximum length in bytes.
+	// MaxBytes is the maximum length of the body in bytes.
 	MaxBytes int64
 	// Trailer returns the request's trailers once Body has ended; nil means that there are none.
 	Trailer func() http.Header
 	// ExpectsContinue says that the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1).
 	ExpectsContinue bool
-	// MinimumRate is the minimum rate of the client.
+	// MinimumRate is the rate that the client must keep while it sends the body.
 	MinimumRate MinimumRate
 }
 
-// Upload is a request's body that is forwarded while it arrives. Its prefix stays buffered, and the body can be sent
-// again until something beyond the prefix was returned by a Flow. Methods are safe for concurrent use, but no two flows
-// may be under way.
+// Upload is a request's body that is forwarded while it arrives. Its prefix stays buffered, so the body can be sent again until
+// an UploadReader has returned bytes beyond the prefix. Methods are safe for concurrent use, but only one UploadReader may be
+// open at a time.
 type Upload struct {
 	Source
 	pool   *MemoryPool
-	window *[]byte
-	meter  Meter
+	buffer *[]byte       // BufferSize bytes: the prefix, then the parts after it
+	meter  Meter         // of the client's MinimumRate
 	failed chan struct{} // closed when the body could not be read
 
-	mu         sync.Mutex
-	readEnded  sync.Cond
-	prefixLen  int    // bytes of the prefix that have arrived
-	readAhead  []byte // read for a flow that had ended, and to be returned to the next one
-	received   int64  // bytes
-	isReading  bool
-	isComplete bool // the body's end has arrived
-	isConsumed bool // something beyond the prefix was returned, or the window was taken
-	isStopped  bool // no more reads are allowed
-	err        error
+	mu          sync.Mutex
+	readEnded   sync.Cond // signaled when a read of Source.Body has ended, or an UploadReader was closed
+	prefixLen   int       // bytes of the prefix that have arrived
+	pendingPart []byte    // part that was read for a reader closed meanwhile; the next reader returns it
+	received    int64     // bytes of the body that have arrived
+	isReading   bool      // a read of Source.Body is in progress
+	isComplete  bool      // the body's end has arrived
+	isConsumed  bool      // the body can't be sent again: bytes beyond the prefix were returned, or the buffer was taken
+	isStopped   bool      // no more reads are allowed
+	err         error     // why the body could not be read
 }
 
-// NewUpload returns an Upload with a window of the pool, for which it waits until ctx ends. Its errors are those of
-// MemoryPool.Acquire. Close must be called.
+// NewUpload returns an Upload with a buffer from the pool. It waits for the buffer until ctx ends, and fails as
+// MemoryPool.Acquire does. Close must be called.
 func NewUpload(ctx context.Context, pool *MemoryPool, s Source) (*Upload, error) {
-	w, err := pool.AcquireWindow(ctx)
+	buffer, err := pool.AcquireBuffer(ctx)
 	if err != nil {
 		return nil, err
 	}
-	u := &Upload{Source: s, pool: pool, window: w, meter: NewMeter(s.MinimumRate), failed: make(chan struct{})}
+	u := &Upload{Source: s, pool: pool, buffer: buffer, meter: NewMeter(s.MinimumRate), failed: make(chan struct{})}
 	u.readEnded.L = &u.mu
 	return u, nil
 }
 
-// Prefix returns what has arrived of the prefix. It is valid until more than the prefix was read, or until Close.
+// Prefix returns the bytes of the prefix that have arrived. They are valid until more than the prefix has been read, or until
+// Close.
 func (u *Upload) Prefix() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return (*u.window)[:u.prefixLen]
+	return (*u.buffer)[:u.prefixLen]
 }
 
-// IsConsumed reports whether the body can't be sent again, since more than its prefix was returned.
+// IsConsumed reports whether the body can't be sent again, because bytes beyond its prefix were returned or its buffer was
+// taken.
 func (u *Upload) IsConsumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isConsumed
 }
 
-// IsComplete reports whether the body's end has arrived, so that what follows on the connection is not a part of it.
+// IsComplete reports whether the body's end has arrived, so that further bytes on the connection are not a part of it.
 func (u *Upload) IsComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isComplete
 }
 
-// Failed returns a channel that is closed when the body could not be read. Err then says why.
+// Failed returns a channel that is closed when the body could not be read. Err then returns the reason.
 func (u *Upload) Failed() <-chan struct{} { return u.failed }
 
 // Err returns why the body could not be read: ErrTooSlow, ErrTooLong or ErrBroken, wrapped. It is nil otherwise.
@@ -112,8 +114,8 @@
 	return u.err
 }
 
-// ErrAfterRead returns Err once no read is under way. net/http cancels a request whose read has failed before that read
-// returns, so that Err alone could still be nil.
+// ErrAfterRead waits until no read is in progress and returns the same as Err. When a read fails, net/http cancels the
+// request's context before that read returns, at which time Err is still nil.
 func (u *Upload) ErrAfterRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -121,59 +123,60 @@
 	return u.err
 }
 
-// waitForRead waits until no read is under way. u.mu is held before and after, but not while it waits.
+// waitForRead waits until no read is in progress. u.mu is held before and after, but not during the wait.
 func (u *Upload) waitForRead() {
 	for u.isReading {
 		u.readEnded.Wait()
 	}
 }
 
-// Stop ends a read that is under way, and allows no further one.
+// Stop interrupts a read that is in progress, and prevents further ones.
 func (u *Upload) Stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.isComplete && u.err == nil {
 		u.isStopped = true
-		_ = u.SetReadDeadline(time.Unix(1, 0)) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	}
 }
 
-// TakeWindow returns the window for the caller's use until Close. The body can't be sent again and is not read on. If
-// the body still arrives, or part of it waits for a flow, TakeWindow does nothing and returns nil.
-func (u *Upload) TakeWindow() []byte {
+// TakeBuffer lets the caller use the Upload's buffer until Close, and returns it. The body can't be sent again or read further
+// after that. If a read is in progress, or a part that was read has not been returned yet, TakeBuffer does nothing and returns
+// nil.
+func (u *Upload) TakeBuffer() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.isReading || u.readAhead != nil {
+	if u.isReading || u.pendingPart != nil {
 		return nil
 	}
 	u.isConsumed, u.isStopped = true, true
-	return *u.window
+	return *u.buffer
 }
 
-// Close ends the Upload and releases its window once no read is under way. What still arrives of the body is read and
-// dropped, for at most the time linger and about maxBytes bytes, so that the client can read its response before the
-// connection is reset (RFC 9112, 9.6).
+// Close ends the Upload, and releases its buffer when no read is in progress. It first reads and discards the rest of the body,
+// for at most the time linger and up to about maxBytes bytes, so that the client can read its response before the connection
+// is reset (RFC 9112, 9.6).
 func (u *Upload) Close(linger time.Duration, maxBytes int64) {
 	u.mu.Lock()
 	u.isStopped = true
 	if !u.isComplete && u.err == nil {
-		_ = u.SetReadDeadline(time.Now().Add(linger)) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Now().Add(linger)) // fails only on a closed connection
 	}
 	u.waitForRead()
-	// A read of a body that waits for 100 Continue would send that, though nobody wants the body.
-	drains := !u.isComplete && u.err == nil && (u.received > 0 || !u.ExpectsContinue)
+	// If the client waits for 100 Continue, reading would make net/http send that and so ask for a body that is not needed.
+	mustDrain := !u.isComplete && u.err == nil && (u.received > 0 || !u.ExpectsContinue)
 	u.mu.Unlock()
-	if drains {
+	if mustDrain {
 		u.drain(linger, maxBytes)
 	}
-	u.pool.ReleaseWindow(u.window)
+	u.pool.ReleaseBuffer(u.buffer)
 }
 
-// drain reads and drops what still arrives, within the limits.
+// drain reads and discards the rest of the body, within the limits of Close.
 func (u *Upload) drain(linger time.Duration, maxBytes int64) {
 	end := time.Now().Add(linger)
 	for left := maxBytes; left > 0 && time.Now().Before(end); {
-		n, err := u.Body.Read(*u.window)
+		n, err := u.Body.Read(*u.buffer)
 		left -= int64(n)
 		if err != nil {
 			return
--- /dev/null
+++ b/internal/body/upload_reader.go
@@ -0,0 +1,33 @@
+package body
+
+import "errors"
+
+var errReaderClosed = errors.New("upload reader is closed")
+
+// UploadReader reads an Upload from its first byte on behalf of one attempt. A new reader may be used only after the previous
+// one was closed. A read that the closed one began may still wait for the client: the new reader gets the bytes it returns.
+type UploadReader struct {
+	upload   *Upload
+	offset   int  // bytes of the upload's prefix that were returned, guarded by upload.mu
+	isClosed bool // guarded by upload.mu
+}
+
+// NewReader returns a reader that begins with the body's first byte. ok is false if the body can't be sent again.
+func (u *Upload) NewReader() (r *UploadReader, ok bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return &UploadReader{upload: u}, !u.isConsumed
+}
+
+// Next returns the next part of the body, of at most BufferSize bytes, which is valid until the next call. It returns io.EOF
+// at the body's end, and any other error if the body could not be read or the reader is closed.
+func (r *UploadReader) Next() ([]byte, error) { return r.upload.next(r) }
+
+// Close closes the reader. A blocked call of Next returns an error, but only after the read from the client that it has begun
+// itself, if any, has returned.
+func (r *UploadReader) Close() {
+	r.upload.mu.Lock()
+	defer r.upload.mu.Unlock()
+	r.isClosed = true
+	r.upload.readEnded.Broadcast() // Next may be waiting for a read that a previous reader began
+}
--- a/internal/body/upload_read.go
+++ b/internal/body/upload_receive.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ReadPrefix reads until the prefix is complete or the body has ended, and reports whether all of the body is buffered. A
-// request must not be forwarded before its prefix has arrived.
+// ReadPrefix reads until the prefix is complete or the body has ended, and reports whether the complete body is buffered. It
+// must be called before the request is forwarded.
 func (u *Upload) ReadPrefix() (isComplete bool, err error) {
 	for u.prefixLen < PrefixSize {
 		if _, err := u.next(nil); errors.Is(err, io.EOF) {
@@ -21,9 +21,9 @@
 	return false, nil
 }
 
-// ReadToEnd reads to the body's end and drops what it reads. It is for a client that has closed its side, so that nothing
-// has to be waited for. The error says why there is no end. A body that waits for 100 Continue and of which nothing has
-// arrived is not read, since a read would send that.
+// ReadToEnd reads to the body's end and discards the bytes. It is meant for a client that has closed its side of the connection,
+// so that no read has to wait. The error says why the end could not be read. If the client waits for 100 Continue and has
+// sent nothing, ReadToEnd reads nothing and returns ErrBroken, since a read would make net/http send 100 Continue.
 func (u *Upload) ReadToEnd() error {
 	u.mu.Lock()
 	if u.ExpectsContinue && u.received == 0 && u.checkReadable() == nil {
@@ -39,36 +39,37 @@
 	}
 }
 
-// next returns the next part for a flow, or for nobody if f is nil, reading once if nothing is buffered for it. io.EOF
-// is the body's end. A read on behalf of a flow that has ended may still be under way; what it brings is for this flow.
-func (u *Upload) next(f *Flow) ([]byte, error) {
+// next returns the next part of the body for a reader. It reads from the client only if no part for this reader is buffered.
+// With a nil reader it extends the buffered prefix or, if that is complete, consumes the body. It returns io.EOF at the
+// body's end. If a read that a closed reader began is still in progress, next waits for it and returns the bytes it read.
+func (u *Upload) next(r *UploadReader) ([]byte, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.isReading && (f == nil || !f.isEnded) {
+	for u.isReading && (r == nil || !r.isClosed) {
 		u.readEnded.Wait()
 	}
-	if f != nil && f.isEnded {
-		return nil, errFlowEnded
+	if r != nil && r.isClosed {
+		return nil, errReaderClosed
 	}
-	if f != nil && f.offset < u.prefixLen {
-		part := (*u.window)[f.offset:u.prefixLen]
-		f.offset = u.prefixLen
+	if r != nil && r.offset < u.prefixLen {
+		part := (*u.buffer)[r.offset:u.prefixLen]
+		r.offset = u.prefixLen
 		return part, nil
 	}
-	if part := u.readAhead; part != nil { // the next read overwrites the prefix
-		u.readAhead, u.isConsumed = nil, true
+	if part := u.pendingPart; part != nil { // the next read overwrites the prefix
+		u.pendingPart, u.isConsumed = nil, true
 		return part, nil
 	}
 	if err := u.checkReadable(); err != nil {
 		return nil, err
 	}
-	to := (*u.window)[u.prefixLen:PrefixSize]
+	to := (*u.buffer)[u.prefixLen:PrefixSize]
 	isBeyondPrefix := len(to) == 0
 	switch {
-	case u.isConsumed: // the prefix is of no more use
-		to = *u.window
+	case u.isConsumed: // the prefix is not needed any more
+		to = *u.buffer
 	case isBeyondPrefix:
-		to = (*u.window)[PrefixSize:]
+		to = (*u.buffer)[PrefixSize:]
 	}
 	n, err := u.readInto(to)
 	if u.received += int64(n); !isBeyondPrefix {
@@ -80,20 +81,20 @@
 		return nil, u.err
 	case n == 0 && u.isComplete:
 		return nil, io.EOF
-	case f != nil && f.isEnded:
+	case r != nil && r.isClosed:
 		if isBeyondPrefix {
-			u.readAhead = to[:n]
+			u.pendingPart = to[:n]
 		}
-		return nil, errFlowEnded
-	case f != nil && !isBeyondPrefix:
-		f.offset = u.prefixLen
+		return nil, errReaderClosed
+	case r != nil && !isBeyondPrefix:
+		r.offset = u.prefixLen
 	}
 	u.isConsumed = u.isConsumed || isBeyondPrefix
 	return to[:n], nil
 }
 
-// readInto reads at least one byte, unless that fails. u.mu is held before and after, but not during the read, which
-// takes as long as the client does.
+// readInto reads at least one byte, unless the read fails. u.mu is held before and after, but not during the read, which may
+// wait for the client.
 func (u *Upload) readInto(to []byte) (int, error) {
 	u.isReading = true
 	began := time.Now()
@@ -112,7 +113,7 @@
 	return n, err
 }
 
-// checkReadable returns why the body must not be read on, or nil. u.mu is held.
+// checkReadable returns nil if the body may be read further, and otherwise the reason why not. u.mu is held.
 func (u *Upload) checkReadable() error {
 	switch {
 	case u.isComplete:
@@ -125,16 +126,16 @@
 	return nil
 }
 
-// recordReadError records what a read's error, or nil, says of the body. At the body's end the read deadline must be
-// cleared: while a request waits for its response, a read that times out looks to net/http like a client that has left.
-// u.mu is held.
+// recordReadError updates the state of the body after a read that returned err, which may be nil. At the body's end it clears the
+// read deadline: if the connection's background read timed out while the request waits for its response, net/http would take
+// the client for disconnected. u.mu is held.
 func (u *Upload) recordReadError(err error) {
 	switch {
 	case u.received > u.MaxBytes:
 		u.err = ErrTooLong
 	case errors.Is(err, io.EOF):
 		u.isComplete = true
-		_ = u.SetReadDeadline(time.Time{}) // fails only on a connection that is closed
+		_ = u.SetReadDeadline(time.Time{}) // fails only on a closed connection
 		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		u.err = fmt.Errorf("%w: the body does not arrive", ErrTooSlow)
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// scriptedBody is a client's body: parts, and the error that follows them.
+// scriptedBody is a client's body that consists of fixed parts and ends with a fixed error.
 type scriptedBody struct {
-	parts    [][]byte
-	end      error
-	deadline time.Time
-	gate     chan struct{} // each receive lets one part arrive; nil: all arrive at once
+	parts    [][]byte      // parts that have not been read yet
+	end      error         // error that a read returns after the last part
+	deadline time.Time     // read deadline
+	arrivals chan struct{} // each value received lets one read return; if nil, reads do not wait
 }
 
 func (s *scriptedBody) Read(to []byte) (int, error) {
-	if s.gate != nil && len(s.parts) > 0 {
+	if s.arrivals != nil && len(s.parts) > 0 {
 		select {
-		case <-s.gate:
+		case <-s.arrivals:
 		case <-time.After(time.Until(s.deadline)):
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -37,7 +37,7 @@
 	return n, nil
 }
 
-// source is a Source with the body, whose size is not known.
+// source returns a Source for the body, whose size is not known.
 func (s *scriptedBody) source() Source {
 	return Source{
 		Body:            s,
@@ -48,7 +48,7 @@
 	}
 }
 
-// newTestUpload returns an Upload, which the test must close.
+// newTestUpload returns an Upload that the test must close.
 func newTestUpload(t *testing.T, pool *MemoryPool, s Source) *Upload {
 	t.Helper()
 	u, err := NewUpload(t.Context(), pool, s)
@@ -58,16 +58,16 @@
 	return u
 }
 
-// flowReader reads a flow as an io.Reader. Errors of Next are returned unchanged.
-type flowReader struct {
-	f    *Flow
-	part []byte
+// ioReader adapts an UploadReader to io.Reader. It returns the errors of Next unchanged.
+type ioReader struct {
+	upload *UploadReader
+	part   []byte // bytes that Next returned and Read did not return yet
 }
 
-func (r *flowReader) Read(to []byte) (int, error) {
+func (r *ioReader) Read(to []byte) (int, error) {
 	if len(r.part) == 0 {
 		var err error
-		if r.part, err = r.f.Next(); err != nil {
+		if r.part, err = r.upload.Next(); err != nil {
 			return 0, err
 		}
 	}
@@ -76,90 +76,91 @@
 	return n, nil
 }
 
-// readAll reads a flow to its end. The error is nil only if the flow ends with io.EOF itself, by which io.ReadAll and
-// others recognize the end.
-func readAll(f *Flow) ([]byte, error) { return io.ReadAll(&flowReader{f: f}) }
+// readAll reads to the body's end. The error is nil only if Next returns io.EOF itself at the end: like other readers, io.ReadAll
+// takes an error that wraps io.EOF for a failure.
+func readAll(r *UploadReader) ([]byte, error) { return io.ReadAll(&ioReader{upload: r}) }
 
 func TestUploadCanBeResentWhileBuffered(t *testing.T) {
 	for _, row := range []struct {
-		length       int
-		isResendable bool
-	}{{10, true}, {PrefixSize - 1, true}, {PrefixSize, true}, {PrefixSize + 1, false}, {5 * WindowSize, false}} {
+		length       int  // bytes of the body
+		isResendable bool // a second reader should return the body again
+	}{{10, true}, {PrefixSize - 1, true}, {PrefixSize, true}, {PrefixSize + 1, false}, {5 * BufferSize, false}} {
 		t.Run(fmt.Sprintf("%d bytes", row.length), func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
-			pool := NewMemoryPool(2 * WindowSize)
+			pool := NewMemoryPool(2 * BufferSize)
 			parts := [][]byte{text[:row.length/2], text[row.length/2:]}
 			u := newTestUpload(t, pool, (&scriptedBody{parts: parts, end: io.EOF}).source())
 			if isComplete, err := u.ReadPrefix(); err != nil || isComplete != (row.length < PrefixSize) {
-				t.Errorf("complete %v, %v", isComplete, err)
+				t.Errorf("ReadPrefix: complete %v, error %v, want complete %v", isComplete, err, row.length < PrefixSize)
 			}
 			for attempt := range 2 {
-				f, ok := u.NewFlow()
-				if ok != (attempt == 0 || row.isResendable) {
-					t.Fatalf("attempt %d: %v", attempt, ok)
+				r, ok := u.NewReader()
+				if want := attempt == 0 || row.isResendable; ok != want {
+					t.Fatalf("attempt %d: NewReader returned ok %v, want %v", attempt, ok, want)
 				}
 				if !ok {
 					continue
 				}
-				if got, err := readAll(f); err != nil || !bytes.Equal(got, text) {
-					t.Errorf("attempt %d: %d bytes came, %v", attempt, len(got), err)
+				if got, err := readAll(r); err != nil || !bytes.Equal(got, text) {
+					t.Errorf("attempt %d: read %d bytes, error %v, want the %d bytes of the body", attempt, len(got), err, len(text))
 				}
-				f.End()
+				r.Close()
 			}
 			if u.Close(time.Second, 1<<20); u.IsConsumed() == row.isResendable {
-				t.Errorf("spent %v", u.IsConsumed())
+				t.Errorf("IsConsumed is %v, want %v", u.IsConsumed(), !row.isResendable)
 			}
-			if held, _ := pool.InUse(); held != 0 {
-				t.Errorf("%d bytes are held after the end", held)
+			if inUse, _ := pool.InUse(); inUse != 0 {
+				t.Errorf("%d bytes of the pool are in use after Close, want 0", inUse)
 			}
 		})
 	}
 }
 
-// What is read for an attempt that has ended goes to the next one: nothing of the body is lost or comes twice.
-func TestReadOfEndedFlowGoesToNextFlow(t *testing.T) {
+// A reader may be closed while its read from the client is in progress. The next reader must return the bytes of that read, so
+// that no part of the body is lost or duplicated.
+func TestReadOfClosedReaderGoesToNextReader(t *testing.T) {
 	for _, length := range []int{100, PrefixSize + 100} {
 		synctest.Test(t, func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789"), length/10)
-			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, gate: make(chan struct{}, 9)}
+			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, arrivals: make(chan struct{}, 9)}
 			if len(s.parts[0]) == 0 {
 				s.parts = s.parts[1:]
 			}
-			u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
+			u := newTestUpload(t, NewMemoryPool(2*BufferSize), s.source())
 			for range (length - 100 + PrefixSize - 1) / PrefixSize {
-				s.gate <- struct{}{}
+				s.arrivals <- struct{}{}
 			}
-			first, _ := u.NewFlow()
-			read := make(chan error)
-			go func() { _, err := readAll(first); read <- err }()
+			first, _ := u.NewReader()
+			firstDone := make(chan error)
+			go func() { _, err := readAll(first); firstDone <- err }()
 			synctest.Wait()
-			first.End()
-			second, ok := u.NewFlow()
+			first.Close()
+			second, ok := u.NewReader()
 			if !ok || u.IsConsumed() {
-				t.Fatal("the body is spent, though all that was returned is buffered")
+				t.Fatal("the body can't be sent again, though all bytes that were returned are buffered")
 			}
 			var got []byte
-			done := make(chan error)
+			secondDone := make(chan error)
 			go func() {
 				var err error
 				got, err = readAll(second)
-				done <- err
+				secondDone <- err
 			}()
 			synctest.Wait()
-			s.gate <- struct{}{}
-			if err := <-read; !errors.Is(err, errFlowEnded) {
-				t.Errorf("the first: %v", err)
+			s.arrivals <- struct{}{}
+			if err := <-firstDone; !errors.Is(err, errReaderClosed) {
+				t.Errorf("first reader: error %v, want %v", err, errReaderClosed)
 			}
-			if err := <-done; err != nil || !bytes.Equal(got, text) {
-				t.Errorf("the second: %d bytes of %d, %v", len(got), len(text), err)
+			if err := <-secondDone; err != nil || !bytes.Equal(got, text) {
+				t.Errorf("second reader: read %d bytes, error %v, want the %d bytes of the body", len(got), err, len(text))
 			}
 			u.Close(time.Second, 100)
 		})
 	}
 }
 
-// errNothingComes stands for a body of which nothing arrives in time.
-var errNothingComes = errors.New("nothing arrives")
+// errStalled marks a table row whose body stalls until the read deadline.
+var errStalled = errors.New("the body stalls")
 
 func TestUploadReportsWhyBodyFailed(t *testing.T) {
 	for _, row := range []struct {
@@ -170,45 +171,45 @@
 		{"too long", &scriptedBody{parts: [][]byte{make([]byte, 2<<20)}, end: io.EOF}, ErrTooLong},
 		{"end too early", &scriptedBody{parts: [][]byte{{1}}, end: io.ErrUnexpectedEOF}, ErrBroken},
 		{"bad chunks", &scriptedBody{end: errors.New("malformed chunked encoding")}, ErrBroken},
-		{"nothing arrives", &scriptedBody{parts: [][]byte{{1}}, end: errNothingComes}, ErrTooSlow},
+		{"stalled", &scriptedBody{parts: [][]byte{{1}}, end: errStalled}, ErrTooSlow},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if errors.Is(row.body.end, errNothingComes) { // of this bubble's own
-					row.body.gate = make(chan struct{})
+				if errors.Is(row.body.end, errStalled) {
+					row.body.arrivals = make(chan struct{}) // made here, since the channel must belong to the synctest bubble
 				}
-				pool := NewMemoryPool(2 * WindowSize)
+				pool := NewMemoryPool(2 * BufferSize)
 				u := newTestUpload(t, pool, row.body.source())
-				f, _ := u.NewFlow()
-				if _, err := readAll(f); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
-					t.Errorf("%v, %v, want %v", err, u.Err(), row.want)
+				r, _ := u.NewReader()
+				if _, err := readAll(r); !errors.Is(err, row.want) || !errors.Is(u.Err(), row.want) {
+					t.Errorf("error of the read %v, of Err %v, want %v", err, u.Err(), row.want)
 				}
 				select {
 				case <-u.Failed():
 				default:
-					t.Error("Failed is not closed")
+					t.Error("the channel of Failed is not closed")
 				}
 				u.Close(time.Second, 100)
-				if held, _ := pool.InUse(); held != 0 {
-					t.Errorf("%d bytes are held after the end", held)
+				if inUse, _ := pool.InUse(); inUse != 0 {
+					t.Errorf("%d bytes of the pool are in use after Close, want 0", inUse)
 				}
 			})
 		})
 	}
 }
 
-// A client that trickles falls below the minimum rate, though it never pauses for long.
+// A client that sends a few bytes at a time falls below the minimum rate, though it never pauses for as long as IdleTimeout.
 func TestTricklingClientFailsMinimumRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scriptedBody{gate: make(chan struct{})}
+		s := &scriptedBody{arrivals: make(chan struct{})}
 		for range 1000 {
 			s.parts = append(s.parts, []byte{1})
 		}
-		u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
+		u := newTestUpload(t, NewMemoryPool(2*BufferSize), s.source())
 		go func() {
 			for {
 				select {
-				case s.gate <- struct{}{}:
+				case s.arrivals <- struct{}{}:
 					time.Sleep(100 * time.Millisecond)
 				case <-u.Failed():
 					return
@@ -217,22 +218,22 @@
 		}()
 		began := time.Now()
 		if _, err := u.ReadPrefix(); !errors.Is(err, ErrTooSlow) || time.Since(began) > 2*time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+			t.Errorf("error %v after %v, want %v within 2s", err, time.Since(began), ErrTooSlow)
 		}
 		u.Close(time.Second, 100)
-		time.Sleep(time.Second) // the client sees the end
+		time.Sleep(time.Second) // lets the client's goroutine end
 	})
 }
 
-// The rest of a body whose client has closed its side is read to its end, unless the client waits for 100 Continue:
-// then it has sent nothing, and a read would ask for the body.
-func TestExhaustReadsRestWithoutTriggeringContinue(t *testing.T) {
+// ReadToEnd must not read a body whose client waits for 100 Continue: that client has sent nothing, and a read would make
+// net/http ask for the body.
+func TestReadToEndReadsRestWithoutTriggeringContinue(t *testing.T) {
 	for name, c := range map[string]struct {
-		end     error
-		expects bool
-		parts   int
-		want    error
-		left    int // parts that were not read
+		end     error // error of the read after the last part
+		expects bool  // the client waits for 100 Continue
+		parts   int   // parts of the body, PrefixSize bytes each
+		want    error // error that ReadToEnd should return
+		left    int   // parts that should remain unread
 	}{
 		"complete":                 {end: io.EOF, parts: 5},
 		"without its end":          {end: io.ErrUnexpectedEOF, parts: 5, want: ErrBroken},
@@ -247,39 +248,40 @@
 			}
 			source := s.source()
 			source.ExpectsContinue = c.expects
-			u := newTestUpload(t, NewMemoryPool(2*WindowSize), source)
+			u := newTestUpload(t, NewMemoryPool(2*BufferSize), source)
 			if err := u.ReadToEnd(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) ||
 				u.IsComplete() != (c.want == nil) || len(s.parts) != c.left {
-				t.Errorf("%v, complete %v, %d parts left", err, u.IsComplete(), len(s.parts))
+				t.Errorf("ReadToEnd returned %v, Err %v, IsComplete %v, %d parts unread, want error %v and %d parts unread",
+					err, u.Err(), u.IsComplete(), len(s.parts), c.want, c.left)
 			}
 			u.Close(0, 0)
 		})
 	}
 }
 
-// A body of which no more is wanted holds Close up neither for as long as the client likes nor for ever.
+// Close must not wait for a body that never ends: it stops draining at its time limit or its byte limit.
 func TestCloseDrainsWithinTimeAndByteLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scriptedBody{parts: [][]byte{make([]byte, 300<<10), {1}}, gate: make(chan struct{})}
-		u := newTestUpload(t, NewMemoryPool(2*WindowSize), s.source())
+		s := &scriptedBody{parts: [][]byte{make([]byte, 300<<10), {1}}, arrivals: make(chan struct{})}
+		u := newTestUpload(t, NewMemoryPool(2*BufferSize), s.source())
 		go func() {
 			for range 100 {
 				select {
-				case s.gate <- struct{}{}:
+				case s.arrivals <- struct{}{}:
 				case <-time.After(5 * time.Second):
 				}
 			}
 		}()
-		f, _ := u.NewFlow()
-		if _, err := f.Next(); err != nil {
+		r, _ := u.NewReader()
+		if _, err := r.Next(); err != nil {
 			t.Error(err)
 		}
-		f.End()
+		r.Close()
 		began := time.Now()
 		u.Close(500*time.Millisecond, 128<<10)
 		if took := time.Since(began); took > time.Second || len(s.parts[0]) < 100<<10 {
-			t.Errorf("closed after %v, with %d bytes left", took, len(s.parts[0]))
+			t.Errorf("Close took %v and left %d bytes, want at most 1s and at least %d bytes", took, len(s.parts[0]), 100<<10)
 		}
-		time.Sleep(10 * time.Minute) // the client gives up
+		time.Sleep(10 * time.Minute) // lets the client's goroutine time out and end
 	})
 }
--- a/internal/body/write.go
+++ b/internal/body/write.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	// ErrTooSlow is returned for a peer that does not keep its MinimumRate. Clients receive the text.
+	// ErrTooSlow is returned if the peer does not keep its MinimumRate. The text is sent to clients.
 	ErrTooSlow = errors.New("the peer is too slow")
 	// ErrStopped is returned by a Write that was stopped.
 	ErrStopped = errors.New("stopped")
 )
 
-// Write writes all of the buffers to a peer that keeps its MinimumRate, and returns how many bytes were written. The error is
-// ErrTooSlow, ErrStopped, or the connection's own. Write sets the connection's write deadline and leaves it for the next
-// Write with the same Meter. To stop it, let isStopped return true first, and then set a write deadline in the past.
+// Write writes all buffers to a peer that must keep a MinimumRate, and returns how many bytes were written. The error is
+// ErrTooSlow, ErrStopped, or the connection's own. Write sets the connection's write deadline and leaves it in place for the
+// next Write with the same Meter. To stop a Write, first make isStopped return true, then set a write deadline in the past.
 func Write(nc net.Conn, m *Meter, isStopped func() bool, buffers net.Buffers) (written int64, err error) {
 	for len(buffers) > 0 {
 		began := time.Now()
--- a/internal/body/write_test.go
+++ b/internal/body/write_test.go
@@ -28,7 +28,7 @@
 	m := NewMeter(MinimumRate{IdleTimeout: 50 * time.Millisecond, BytesPerSecond: 100 << 20})
 	never := func() bool { return false }
 	if n, err := Write(nc, &m, never, net.Buffers{big}); !errors.Is(err, ErrTooSlow) || n == 0 || n == int64(len(big)) {
-		t.Errorf("slow peer: %d bytes, %v", n, err)
+		t.Errorf("slow peer: wrote %d bytes of %d, error %v, want a part of them and %v", n, len(big), err, ErrTooSlow)
 	}
 	m = NewMeter(MinimumRate{IdleTimeout: 20 * time.Second})
 	var stop sync.Once
@@ -46,6 +46,6 @@
 		nc.SetWriteDeadline(time.Unix(1, 0))
 	})
 	if _, err := Write(nc, &m, isStopped, net.Buffers{big}); !errors.Is(err, ErrStopped) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("stopped: error %v, want %v", err, ErrStopped)
 	}
 }
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -14,9 +14,9 @@
 // A request that waits for memory is shed before its own deadline, and not only when a body's time is up.
 func TestWaitForBodyMemoryEndsBeforeTheRequestsDeadline(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	pool := body.NewMemoryPool(body.WindowSize)
+	pool := body.NewMemoryPool(body.BufferSize)
 	p := startProxy(t, proxyOptions{bodies: pool}, e.Addr)
-	if err := pool.Acquire(t.Context(), body.Size{Bytes: body.WindowSize}); err != nil {
+	if err := pool.Acquire(t.Context(), body.Size{Bytes: body.BufferSize}); err != nil {
 		t.Fatal(err)
 	}
 	client := p.dialClient(t)
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -106,7 +106,7 @@
 func disconnectMany(t *testing.T, addr string, perClass int) map[string]time.Time {
 	t.Helper()
 	const workers = 32
-	short, long := strings.Repeat("x", 20<<10), strings.Repeat("x", body.WindowSize+1)
+	short, long := strings.Repeat("x", 20<<10), strings.Repeat("x", body.BufferSize+1)
 	contents := []string{short, "", short, "", long, "", short, ""}
 	var mu sync.Mutex
 	disconnectedAt := map[string]time.Time{}
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -18,7 +18,7 @@
 // a streaming body's beginning and its end. The body may be complete there; a client that only ended its sending gets 400
 // if it is not. The connection that was established serves the next request.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
-	long := strings.Repeat("x", body.WindowSize+1<<10)
+	long := strings.Repeat("x", body.BufferSize+1<<10)
 	for _, class := range []string{"look", "book", "pay"} {
 		short := requestText(class, "r1", "")
 		requests := map[string][2]string{ // what is sent before the dial and after it
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -58,7 +58,7 @@
 	pace := body.MinimumRate{IdleTimeout: testpeer.Patience}
 	p.upstream = upstream.New(upstream.Options{
 		IdleTimeout:    time.Minute,
-		Pool:           options.bodies,
+		BodyMemory:     options.bodies,
 		MinimumRate:    pace,
 		DialTimeout:    testpeer.Patience,
 		MaxConnections: 200,
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -20,7 +20,7 @@
 // isStreaming reports whether a request's body is streamed to the endpoint. With Expect: 100-continue it is at any
 // length, for the endpoint decides whether the client should send it.
 func (s *Server) isStreaming(r *http.Request) bool {
-	isLong := r.ContentLength < 0 || r.ContentLength > body.WindowSize
+	isLong := r.ContentLength < 0 || r.ContentLength > body.BufferSize
 	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
 }
 
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -77,7 +77,7 @@
 
 func wireCases() []wireCase {
 	streaming := body.NewMemoryPool(1 << 20)
-	long := strings.Repeat("y", 3*body.WindowSize)
+	long := strings.Repeat("y", 3*body.BufferSize)
 	const id, deadline = "Req-Id: r1\r\n", "Req-Deadline-Ms: 9000\r\n"
 	head := func(line, fields string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" }
 	const chunkedBody = "2\r\nab\r\n1\r\nc\r\n0\r\nX-End: e\r\n\r\n"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts a process's requests by class and outcome and writes the counts in the statsd line format.
+// Package metrics counts a process's requests by class and outcome, and writes the counts in the statsd line format.
 //
-// A Registry owns all counts of a process. Each event is counted once, where it happens, by an atomic addition: no lock
-// is taken while a request is served. The package starts no goroutine. All types are safe for concurrent use.
+// A Registry owns all counts of a process. Each event is counted once, where it happens, with an atomic addition, so that
+// no lock is taken while a request is served. The package starts no goroutine. All types are safe for concurrent use.
 package metrics
 
 import (
@@ -16,35 +16,35 @@
 // Outcome is how an accepted request ended.
 type Outcome int
 
-// The outcomes. A request whose client disconnected before the response counts as Failed.
+// The outcomes of a request.
 const (
 	OK           Outcome = iota // the request was served
 	Shed                        // the request was rejected to shed load
-	Failed                      // neither
-	outcomeCount                // the number of outcomes above, none itself
+	Failed                      // the request failed, or its client disconnected before the response
+	outcomeCount                // number of outcomes
 )
 
-// outcomeNames are the outcomes' parts of metric names. Dashboards read them.
+// outcomeNames are the parts of metric names that stand for the outcomes. Dashboards depend on them.
 var outcomeNames = [outcomeCount]string{"ok", "shed", "errors"}
 
-// namePrefix begins the name of each metric.
+// namePrefix is the first part of every metric's name.
 const namePrefix = "edge_router."
 
-// maxClasses bounds the classes of a registry, since each reload of the configuration may bring new names. Further names
-// are counted together under overflowClass. Class names come from the configuration, never from clients.
+// Class names come from the configuration, never from clients. Their number is limited since each reload of the configuration
+// may add new names.
 const (
-	maxClasses    = 1024
-	overflowClass = "other"
+	maxClasses    = 1024    // classes of a registry, without the overflow class
+	overflowClass = "other" // name of the class that counts the requests of all further names
 )
 
 // Registry holds the metrics of one process. The zero value is ready to use, and it is safe for concurrent use.
 type Registry struct {
-	// Tries counts attempts whose last byte was written to an endpoint.
+	// Attempts counts the attempts whose last byte was written to an endpoint.
 	Attempts atomic.Uint64
-	// Bad counts input that was rejected before it was a request. It is not counted as a failure of any class.
+	// RejectedInput counts inputs that were rejected before they became requests. They are not counted in any class.
 	RejectedInput atomic.Uint64
 
-	active  atomic.Int64 // requests between Begin and End, of all classes
+	active  atomic.Int64 // requests of all classes between Begin and End
 	mu      sync.Mutex   // guards classes; not taken while a request is served
 	classes map[string]*Class
 }
@@ -56,8 +56,8 @@
 	outcomes [outcomeCount]atomic.Uint64
 }
 
-// Class returns the class of a name, the same one at each call. Bytes that have a meaning in a statsd line are replaced
-// by "_". When the registry already holds maxClasses classes, a new name gives the class that all further names share.
+// Class returns the class with a name, and creates it at the first call. Bytes of the name that have a meaning in a statsd line
+// are replaced by "_". Once the registry holds maxClasses classes, all new names share one class.
 func (r *Registry) Class(name string) *Class {
 	name = sanitizeName(name)
 	r.mu.Lock()
@@ -76,7 +76,7 @@
 	return class
 }
 
-// sanitizeName replaces the characters of a name that would end it, or its line, in the statsd format.
+// sanitizeName replaces the characters that would end a name, or its line, in the statsd format.
 func sanitizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r > '~' || r == ':' || r == '|' || r == '@' || r == '#' {
@@ -89,26 +89,26 @@
 // Begin counts a request as active. Exactly one call of End must follow.
 func (c *Class) Begin() { c.registry.active.Add(1) }
 
-// End counts the outcome of a request that was begun; the request is no longer active.
+// End counts the outcome of a request for which Begin was called. The request is no longer active.
 func (c *Class) End(outcome Outcome) {
 	c.outcomes[outcome].Add(1)
 	c.registry.active.Add(-1)
 }
 
-// Count counts the outcome of a request that was never active, such as one that was shed before its body was read.
+// Count counts the outcome of a request for which Begin was not called, such as one that was shed before its body was read.
 func (c *Class) Count(outcome Outcome) { c.outcomes[outcome].Add(1) }
 
-// Sample is a metric whose value is read when the metrics are written.
+// Sample is a metric whose value is measured when the metrics are written.
 type Sample struct {
-	Name      string // without the prefix that all metrics have
+	Name      string // metric name without namePrefix
 	Value     int64
-	IsCounter bool // the value only grows, and is written as a counter
+	IsCounter bool // the value never decreases and is written as a counter, not as a gauge
 }
 
-// Write writes all metrics and then the given gauges to w, one statsd line each, classes in the order of their names. The
-// counters are not read at one instant: a request that ends meanwhile may be seen in one of them and not yet in another.
-// The error is that of w.
-func (r *Registry) Write(w io.Writer, gauges ...Sample) error {
+// Write writes all metrics and then the given samples to w, one statsd line each, with classes sorted by name. The counters
+// are not read at the same instant: a request that ends during the call may be included in one of them and not in another.
+// Write returns the error of w.
+func (r *Registry) Write(w io.Writer, samples ...Sample) error {
 	classes := r.sortedClasses()
 	var text strings.Builder
 	for outcome, name := range outcomeNames {
@@ -119,12 +119,12 @@
 	fmt.Fprintf(&text, "%stries:%d|c\n", namePrefix, r.Attempts.Load())
 	fmt.Fprintf(&text, "%sbad:%d|c\n", namePrefix, r.RejectedInput.Load())
 	fmt.Fprintf(&text, "%sactive:%d|g\n", namePrefix, r.active.Load())
-	for _, g := range gauges {
+	for _, s := range samples {
 		kind := "g"
-		if g.IsCounter {
+		if s.IsCounter {
 			kind = "c"
 		}
-		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, g.Name, g.Value, kind)
+		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, s.Name, s.Value, kind)
 	}
 	_, err := io.WriteString(w, text.String())
 	return err
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// written returns what the registry writes.
-func written(t *testing.T, r *Registry, gauges ...Sample) string {
+// writeToString returns the text that Registry.Write writes.
+func writeToString(t *testing.T, r *Registry, samples ...Sample) string {
 	t.Helper()
 	var b strings.Builder
-	if err := r.Write(&b, gauges...); err != nil {
+	if err := r.Write(&b, samples...); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
@@ -31,26 +31,26 @@
 		"edge_router.errors.a:0|c\nedge_router.errors.b:0|c\n" +
 		"edge_router.tries:3|c\nedge_router.bad:2|c\nedge_router.active:1|g\n" +
 		"edge_router.pool_size:7|g\nedge_router.peers_sent:8|c\n"
-	got := written(t, &r, Sample{Name: "pool_size", Value: 7}, Sample{Name: "peers_sent", Value: 8, IsCounter: true})
+	got := writeToString(t, &r, Sample{Name: "pool_size", Value: 7}, Sample{Name: "peers_sent", Value: 8, IsCounter: true})
 	if got != want {
-		t.Errorf("%s\nwant\n%s", got, want)
+		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// A class name can neither end its line nor forge another metric, and the number of classes is bounded.
+// A class name must not end its line or forge another metric, and the number of classes must be limited.
 func TestClassNamesAreSanitizedAndBounded(t *testing.T) {
 	var r Registry
 	if r.Class("a b:c|d\nedge_router.active") != r.Class("a_b_c_d_edge_router.active") {
-		t.Error("a name with separators is another class")
+		t.Error("a name with separators and its sanitized form give different classes, want the same")
 	}
 	for i := range 2 * maxClasses {
 		r.Class(fmt.Sprint(i)).Count(OK)
 	}
 	if n := len(r.classes); n > maxClasses+1 {
-		t.Errorf("%d classes", n)
+		t.Errorf("registry has %d classes, want at most %d", n, maxClasses+1)
 	}
-	if got := strings.Count(written(t, &r), "\n"); got > 3*(maxClasses+1)+3 {
-		t.Errorf("%d lines", got)
+	if got, limit := strings.Count(writeToString(t, &r), "\n"), 3*(maxClasses+1)+3; got > limit {
+		t.Errorf("Write wrote %d lines, want at most %d", got, limit)
 	}
 }
 
@@ -70,13 +70,13 @@
 		})
 	}
 	counters.Wait()
-	sum := uint64(0)
+	ended := uint64(0)
 	for _, c := range r.classes {
 		for i := range c.outcomes {
-			sum += c.outcomes[i].Load()
+			ended += c.outcomes[i].Load()
 		}
 	}
-	if sum != 8000 || r.active.Load() != 0 {
-		t.Errorf("%d ended, %d active", sum, r.active.Load())
+	if ended != 8000 || r.active.Load() != 0 {
+		t.Errorf("%d requests have ended and %d are active, want 8000 and 0", ended, r.active.Load())
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -58,7 +58,7 @@
 		err = errNotWanted
 	}
 	if err != nil {
-		return unlessCanceled(ctx, connectResult(err)), false, Response{}
+		return unlessCanceled(ctx, noConnectionResult(err)), false, Response{}
 	}
 	reused = !c.idleSince.IsZero()
 	x := &exchange{client: cl, conn: c, request: m, hooks: hooks, stopDeadline: context.AfterFunc(ctx, func() { c.Close() })}
@@ -78,8 +78,8 @@
 	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
 }
 
-// connectResult is the result of an attempt that got no connection.
-func connectResult(err error) balance.Result {
+// noConnectionResult is the result of an attempt that got no connection.
+func noConnectionResult(err error) balance.Result {
 	for _, local := range localFailures {
 		if errors.Is(err, local) {
 			return balance.NotSent
@@ -128,9 +128,9 @@
 		return outcome{result: unlessCanceled(ctx, balance.ConnectFailed)}
 	}
 	x.notifySent()
-	resp, err := x.awaitFinalHead(nil)
+	resp, err := x.readFinalHead(nil)
 	if err != nil {
-		return outcome{result: x.conn.brokenResult(ctx, err)}
+		return outcome{result: x.conn.failedResponseResult(ctx, err)}
 	}
 	return x.readResponse(ctx, resp)
 }
@@ -142,9 +142,9 @@
 	}
 }
 
-// brokenResult is the result of an attempt whose last byte was written and whose response did not come completely. A
+// failedResponseResult is the result of an attempt whose last byte was written and whose response did not come completely. A
 // malformed response is an error of an endpoint that runs; only a broken connection may mean that the endpoint is down.
-func (c *conn) brokenResult(ctx context.Context, err error) balance.Result {
+func (c *conn) failedResponseResult(ctx context.Context, err error) balance.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balance.TimedOut
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -236,13 +236,13 @@
 	}
 }
 
-// wokenContext is the context of an attempt in a process that was stopped and has just resumed: its deadline has
+// resumedProcessContext is the context of an attempt in a process that was stopped and has just resumed: its deadline has
 // passed, and its timer has not fired yet.
-type wokenContext struct{ context.Context }
+type resumedProcessContext struct{ context.Context }
 
-func (wokenContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
-func (wokenContext) Done() <-chan struct{}       { return nil }
-func (wokenContext) Err() error                  { return nil }
+func (resumedProcessContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (resumedProcessContext) Done() <-chan struct{}       { return nil }
+func (resumedProcessContext) Err() error                  { return nil }
 
 // A request that waited for a connection while the process was stopped is not sent when the process resumes, whether
 // the connection is new or has rested.
@@ -253,7 +253,7 @@
 		connection string
 		want       balance.Result
 	}{{"new", balance.ConnectFailed}, {"rested", balance.NotSent}} {
-		r, _, _ := client.Attempt(wokenContext{context.Background()}, "a", getRequest("/late"), AttemptHooks{})
+		r, _, _ := client.Attempt(resumedProcessContext{context.Background()}, "a", getRequest("/late"), AttemptHooks{})
 		if r != row.want {
 			t.Errorf("on a %s connection: %v, want %v", row.connection, r, row.want)
 		}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -39,11 +39,11 @@
 	MaxConnections int
 	// Spread opens a new connection, while fewer than MaxConnections are open, where all idle connections to an endpoint still
 	// rest. Without it the request waits until one of them has rested, which suits pools where connections are scarce.
-	Spread bool
+	DialInsteadOfWaiting bool
 	// RequestStart says from which byte on a request may have run.
 	RequestStart RequestStart
 	// Pool is the memory for streaming responses; nil means that responses must be buffered.
-	Pool *body.MemoryPool
+	BodyMemory *body.MemoryPool
 	// MinimumRate is the minimum rate of endpoints while bodies stream.
 	MinimumRate body.MinimumRate
 	// BufferedResponseTimeout is how long a buffered response may take from its first byte to its last. Less than 500 ms counts as 500
@@ -65,7 +65,7 @@
 type Client struct {
 	maxIdleAge  time.Duration // of an idle connection that may still be used
 	dialTimeout time.Duration
-	restPeriod  time.Duration // of a connection, after a response
+	reuseDelay  time.Duration // of a connection, after a response
 	options     Options
 
 	mu        sync.Mutex // guards options.MaxConnections and what follows
@@ -85,14 +85,14 @@
 	if o.Connect == nil {
 		o.Connect = (&net.Dialer{}).DialContext
 	}
-	rest := restPeriod
-	if o.Spread {
-		rest = restPeriodSpread
+	rest := reuseDelay
+	if o.DialInsteadOfWaiting {
+		rest = reuseDelayWhenDialing
 	}
 	return &Client{
 		maxIdleAge:  time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
 		dialTimeout: o.DialTimeout,
-		restPeriod:  rest,
+		reuseDelay:  rest,
 		options:     o,
 		pools:       map[string]*endpointPool{},
 		ejected:     map[string]bool{},
@@ -136,7 +136,7 @@
 	if p.address != addr || !acceptsRequests {
 		cl.closeIdle(p)
 	}
-	p.address, p.isListed, p.acceptsRequests = addr, acceptsRequests, acceptsRequests && !cl.ejected[id]
+	p.address, p.isListedAsAccepting, p.acceptsRequests = addr, acceptsRequests, acceptsRequests && !cl.ejected[id]
 }
 
 // SetEjected ejects an endpoint, listed or not, or ends its ejection. An ejected endpoint gets no request, whatever
@@ -152,7 +152,7 @@
 	if p == nil {
 		return
 	}
-	if p.acceptsRequests = p.isListed && !ejected; ejected {
+	if p.acceptsRequests = p.isListedAsAccepting && !ejected; ejected {
 		cl.closeIdle(p)
 	}
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -56,9 +56,9 @@
 	return nil, err
 }
 
-// isQuiet reports whether nothing has arrived on an idle connection: no end, no reset, no unrequested bytes. A request
+// hasNoInput reports whether nothing has arrived on an idle connection: no end, no reset, no unrequested bytes. A request
 // on a connection that its endpoint has closed would end as a reset, after which it may not be safe to retry.
-func (c *conn) isQuiet() bool {
+func (c *conn) hasNoInput() bool {
 	isQuiet := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -9,20 +9,20 @@
 // A connection rests between a response and the next request, since a duplicate of the response may follow it and
 // nothing in a response shows to which request it belongs.
 const (
-	// restPeriod is nearly twice the delay of the latest of 286 duplicates measured at the platform's endpoints,
+	// reuseDelay is nearly twice the delay of the latest of 286 duplicates measured at the platform's endpoints,
 	// which came 0.7 to 5.7 ms after the first copy.
-	restPeriod = 10 * time.Millisecond
-	// restPeriodSpread holds with Options.Spread. No duplicate was ever seen at such endpoints, and a rest of 10 ms
+	reuseDelay = 10 * time.Millisecond
+	// reuseDelayWhenDialing holds with Options.Spread. No duplicate was ever seen at such endpoints, and a rest of 10 ms
 	// costs a fifth of the request rate at 16 and 64 clients.
-	restPeriodSpread = 2 * time.Millisecond
+	reuseDelayWhenDialing = 2 * time.Millisecond
 )
 
 // endpointPool holds the idle connections to one endpoint. It is guarded by Client.mu.
 type endpointPool struct {
-	address         string
-	isListed        bool    // as accepting requests, by the endpoint list
-	acceptsRequests bool    // listed as such and not ejected: its connections are worth keeping
-	idle            []*conn // the one that was used last at the end
+	address             string
+	isListedAsAccepting bool    // as accepting requests, by the endpoint list
+	acceptsRequests     bool    // listed as such and not ejected: its connections are worth keeping
+	idle                []*conn // the one that was used last at the end
 }
 
 // acquire returns a usable connection to the endpoint, idle or new, and the encoded request. The request is encoded
@@ -42,7 +42,7 @@
 			}
 			return c, m.encode(ctx), nil
 		}
-		if rest := cl.restPeriod - time.Since(r.conn.idleSince); rest > 0 {
+		if rest := cl.reuseDelay - time.Since(r.conn.idleSince); rest > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(rest):
@@ -76,10 +76,10 @@
 		return reservation{}, errNotAccepting
 	}
 	i := len(p.idle) - 1
-	for i > 0 && time.Since(p.idle[i].idleSince) < cl.restPeriod {
+	for i > 0 && time.Since(p.idle[i].idleSince) < cl.reuseDelay {
 		i--
 	}
-	if i >= 0 && (!cl.options.Spread || cl.openCount >= cl.options.MaxConnections || time.Since(p.idle[i].idleSince) >= cl.restPeriod) {
+	if i >= 0 && (!cl.options.DialInsteadOfWaiting || cl.openCount >= cl.options.MaxConnections || time.Since(p.idle[i].idleSince) >= cl.reuseDelay) {
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		return reservation{pool: p, address: p.address, conn: c}, nil
@@ -168,7 +168,7 @@
 
 // isUsable reports whether an idle connection may carry the next attempt.
 func (cl *Client) isUsable(c *conn) bool {
-	return time.Since(c.idleSince) < cl.maxIdleAge && c.isQuiet()
+	return time.Since(c.idleSince) < cl.maxIdleAge && c.hasNoInput()
 }
 
 // isAccepting reports whether the endpoint still accepts requests at the address to which the connection leads.
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -28,7 +28,7 @@
 				t.Fatalf("first: %v", r)
 			}
 			answered <- true
-			testpeer.Until(t, name, func() bool { idle := client.pools["a"].idle; return len(idle) == 0 || !idle[0].isQuiet() })
+			testpeer.Until(t, name, func() bool { idle := client.pools["a"].idle; return len(idle) == 0 || !idle[0].hasNoInput() })
 			if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
 				t.Errorf("second: %v", r)
 			}
@@ -96,7 +96,7 @@
 		return true
 	})
 	client := newTestClient(t, e.Addr)
-	client.restPeriod = time.Second
+	client.reuseDelay = time.Second
 	for _, id := range []string{"r1", "r2"} {
 		m := getRequest("/c")
 		m.Header.Set("Req-Id", id)
@@ -190,8 +190,8 @@
 func TestSpreadDialsInsteadOfWaitingForRest(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	for _, limit := range []int{1, 2} {
-		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: limit, Spread: true})
-		client.restPeriod = 30 * time.Millisecond
+		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: limit, DialInsteadOfWaiting: true})
+		client.reuseDelay = 30 * time.Millisecond
 		client.SetEndpoint("a", e.Addr, true)
 		for range 2 {
 			if r := attempt(t, client, "a", getRequest("/x")); r != balance.OK {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -46,8 +46,8 @@
 	return s, &conn{Conn: s, byteLimit: limit, reader: bufio.NewReaderSize(limit, maxResponseHead)}
 }
 
-// exchanged is how an exchange with an endpoint that writes a fixed text ended.
-type exchanged struct {
+// exchangeResult is how an exchange with an endpoint that writes a fixed text ended.
+type exchangeResult struct {
 	status     int
 	body       []byte
 	isOK       bool
@@ -56,10 +56,10 @@
 }
 
 // exchangeWith makes an exchange with an endpoint that writes text, whatever it is sent.
-func exchangeWith(text []byte, method string) exchanged {
+func exchangeWith(text []byte, method string) exchangeResult {
 	s, c := newScriptedConn(text)
-	client := New(Options{Pool: body.NewMemoryPool(8 * body.WindowSize), MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
-	var got exchanged
+	client := New(Options{BodyMemory: body.NewMemoryPool(8 * body.BufferSize), MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
+	var got exchangeResult
 	streamed := make(chan []byte, 1)
 	x := &exchange{
 		client:       client,
@@ -178,7 +178,7 @@
 		_, broken := io.Copy(&want, received.Body)
 		received, _ = read()
 		s, c := newScriptedConn(nil)
-		pool := body.NewMemoryPool(8 * body.WindowSize)
+		pool := body.NewMemoryPool(8 * body.BufferSize)
 		upload, err := body.NewUpload(t.Context(), pool, body.Source{
 			Body:            received.Body,
 			SetReadDeadline: func(time.Time) error { return nil },
@@ -192,7 +192,7 @@
 		}
 		defer upload.Close(0, 0)
 		m := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: upload}
-		flow, _ := upload.NewFlow()
+		flow, _ := upload.NewReader()
 		client := New(Options{MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
 		sender := newBodySender(&exchange{client: client, conn: c, request: m}, flow)
 		sender.run(m.encode(context.Background()))
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -25,29 +25,29 @@
 // sent completely; else it ends with the read from the client that may be under way.
 type bodySender struct {
 	exchange    *exchange
-	flow        *body.Flow
+	reader      *body.UploadReader
 	meter       body.Meter
-	proceed     chan struct{} // closed when the endpoint wants the body
-	proceedOnce sync.Once
+	bodyAllowed chan struct{} // closed when the endpoint wants the body
+	allowOnce   sync.Once
 	done        chan struct{} // closed when run returns
 	isStopped   atomic.Bool
 
-	mu         sync.Mutex // held while something is written
-	written    int64      // bytes
-	isSent     bool       // the last byte is written
-	isTooSlow  bool       // the endpoint does not keep the minimum rate
-	isBodyLost bool       // the client does not bring the body
+	mu             sync.Mutex // held while something is written
+	written        int64      // bytes
+	isSent         bool       // the last byte is written
+	isTooSlow      bool       // the endpoint does not keep the minimum rate
+	isUploadBroken bool       // the client does not bring the body
 }
 
 // runUpload sends a request whose body streams while it waits for the response, which may come before the body's end.
 func (x *exchange) runUpload(ctx context.Context, head []byte) outcome {
-	flow, ok := x.request.Upload.NewFlow()
+	flow, ok := x.request.Upload.NewReader()
 	if !ok {
 		return outcome{result: balance.NotSent}
 	}
 	s := newBodySender(x, flow)
 	go s.run(head)
-	resp, err := x.awaitFinalHead(func(status int) {
+	resp, err := x.readFinalHead(func(status int) {
 		if status == http.StatusContinue {
 			s.allowBody()
 		}
@@ -55,33 +55,33 @@
 	s.stop(err != nil)
 	switch {
 	case err != nil && !s.isSent:
-		return outcome{result: s.unsentResult(ctx)}
+		return outcome{result: s.incompleteRequestResult(ctx)}
 	case err != nil:
-		return outcome{result: x.conn.brokenResult(ctx, err)}
+		return outcome{result: x.conn.failedResponseResult(ctx, err)}
 	}
 	o := x.readResponse(ctx, resp)
 	o.isReusable = o.isReusable && s.isSent
 	return o
 }
 
-func newBodySender(x *exchange, flow *body.Flow) *bodySender {
+func newBodySender(x *exchange, flow *body.UploadReader) *bodySender {
 	return &bodySender{
-		exchange: x,
-		flow:     flow,
-		meter:    body.NewMeter(x.client.options.MinimumRate),
-		proceed:  make(chan struct{}),
-		done:     make(chan struct{}),
+		exchange:    x,
+		reader:      flow,
+		meter:       body.NewMeter(x.client.options.MinimumRate),
+		bodyAllowed: make(chan struct{}),
+		done:        make(chan struct{}),
 	}
 }
 
 // allowBody lets the body follow the head.
-func (s *bodySender) allowBody() { s.proceedOnce.Do(func() { close(s.proceed) }) }
+func (s *bodySender) allowBody() { s.allowOnce.Do(func() { close(s.bodyAllowed) }) }
 
 // stop stops the sender if the request is not sent completely, and returns when it writes no more. It does not wait for
 // a read from the client. closesConn says whether the connection is to be closed.
 func (s *bodySender) stop(closesConn bool) {
 	s.isStopped.Store(true)
-	s.flow.End() // before allowBody: a client that waits for 100 Continue must not be asked for a body that nobody wants
+	s.reader.Close() // before allowBody: a client that waits for 100 Continue must not be asked for a body that nobody wants
 	s.allowBody()
 	if closesConn {
 		s.exchange.conn.Close()
@@ -97,12 +97,12 @@
 	}
 }
 
-// unsentResult is the result of an attempt whose request was not sent completely.
-func (s *bodySender) unsentResult(ctx context.Context) balance.Result {
+// incompleteRequestResult is the result of an attempt whose request was not sent completely.
+func (s *bodySender) incompleteRequestResult(ctx context.Context) balance.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.isBodyLost || errors.Is(ctx.Err(), context.Canceled):
+	case s.isUploadBroken || errors.Is(ctx.Err(), context.Canceled):
 		return balance.Canceled
 	case s.written == 0 || s.exchange.client.options.RequestStart == StartsWithLastByte:
 		return balance.ConnectFailed
@@ -120,7 +120,7 @@
 	}
 	if s.exchange.request.Upload.ExpectsContinue {
 		select {
-		case <-s.proceed:
+		case <-s.bodyAllowed:
 		case <-time.After(expectContinueTimeout):
 		}
 		if s.isStopped.Load() {
@@ -139,17 +139,17 @@
 func (s *bodySender) sendBody() bool {
 	size, sent := s.exchange.request.Upload.Size, int64(0)
 	for isLast := false; !isLast; {
-		part, err := s.flow.Next()
+		part, err := s.reader.Next()
 		sent += int64(len(part))
 		switch {
 		case err == nil:
 			isLast = sent == size
-			err = s.write(isLast, s.frame(part)...)
+			err = s.write(isLast, s.encodePart(part)...)
 		case errors.Is(err, io.EOF) && size < 0:
 			isLast = true
 			err = s.write(true, s.finalChunk())
 		default:
-			s.loseBody()
+			s.abortBrokenUpload()
 		}
 		if err != nil {
 			return false
@@ -158,12 +158,12 @@
 	return true
 }
 
-// loseBody ends an attempt whose body does not come.
-func (s *bodySender) loseBody() {
+// abortBrokenUpload ends an attempt whose body does not come.
+func (s *bodySender) abortBrokenUpload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.isStopped.Load() {
-		s.isBodyLost = true
+		s.isUploadBroken = true
 		s.exchange.conn.Close()
 	}
 }
@@ -189,8 +189,8 @@
 	return err
 }
 
-// frame returns a part of the body as it is written: as a chunk, if the body has no known length.
-func (s *bodySender) frame(part []byte) [][]byte {
+// encodePart returns a part of the body as it is written: as a chunk, if the body has no known length.
+func (s *bodySender) encodePart(part []byte) [][]byte {
 	if s.exchange.request.Upload.Size >= 0 {
 		return [][]byte{part}
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,7 +14,7 @@
 
 const (
 	// maxBufferedBody is the maximum length in bytes of a response's body that is buffered.
-	maxBufferedBody = body.WindowSize
+	maxBufferedBody = body.BufferSize
 	// bufferedResponseTimeout is the time from a buffered response's first byte to its last, unless Options.BufferedResponseTimeout is
 	// longer.
 	bufferedResponseTimeout = 500 * time.Millisecond
@@ -34,17 +34,17 @@
 	Stream *Stream // the body in place of Body, if it streams
 }
 
-// awaitFinalHead reads up to and including the head of the final response. onInterim, if not nil, is called with the
+// readFinalHead reads up to and including the head of the final response. onInterim, if not nil, is called with the
 // status of each interim response. The final response must follow its first byte at once, since a malformed one may
 // never end while its connection stays open.
-func (x *exchange) awaitFinalHead(onInterim func(status int)) (*http.Response, error) {
+func (x *exchange) readFinalHead(onInterim func(status int)) (*http.Response, error) {
 	c := x.conn
 	c.byteLimit.N = maxHeads + maxBufferedBody
 	for range maxInterimResponses {
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
-		if err := c.SetReadDeadline(time.Now().Add(x.client.responseTimeout())); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(x.client.bufferedResponseLimit())); err != nil {
 			return nil, err
 		}
 		resp, err := c.readHead(x.request.Method)
@@ -64,8 +64,8 @@
 	return nil, fmt.Errorf("%w: more than %d interim responses", errMalformed, maxInterimResponses-1)
 }
 
-// responseTimeout is how long a buffered response may take from its first byte to its last.
-func (cl *Client) responseTimeout() time.Duration {
+// bufferedResponseLimit is how long a buffered response may take from its first byte to its last.
+func (cl *Client) bufferedResponseLimit() time.Duration {
 	return max(bufferedResponseTimeout, cl.options.BufferedResponseTimeout)
 }
 
@@ -93,7 +93,7 @@
 		err = x.conn.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return outcome{result: x.conn.brokenResult(ctx, err)}
+		return outcome{result: x.conn.failedResponseResult(ctx, err)}
 	}
 	return x.classify(resp, text)
 }
--- a/internal/upstream/response_head.go
+++ b/internal/upstream/response_head.go
@@ -15,7 +15,7 @@
 
 // readHead reads the head of one response, final or interim.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	if err := c.awaitHead(); err != nil {
+	if err := c.bufferHead(); err != nil {
 		return nil, err
 	}
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -28,9 +28,9 @@
 	return resp, nil
 }
 
-// awaitHead waits until a complete head is buffered, without consuming it, and rejects what net/http's parser would
+// bufferHead waits until a complete head is buffered, without consuming it, and rejects what net/http's parser would
 // accept. It notes whether the connection ends with the response.
-func (c *conn) awaitHead() error {
+func (c *conn) bufferHead() error {
 	for {
 		seen, _ := c.reader.Peek(c.reader.Buffered())
 		if end := bytes.Index(seen, []byte("\r\n\r\n")); end >= 0 {
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -34,7 +34,7 @@
 
 	mu        sync.Mutex
 	readEnded sync.Cond
-	window    []byte
+	buffer    []byte
 	filled    int // bytes of window that were read
 	consumed  int // bytes of window that were returned by Next
 	isReading bool
@@ -44,7 +44,7 @@
 
 // isStreaming reports whether a response's body streams. An endpoint's error never does, since a retry may follow it.
 func (x *exchange) isStreaming(resp *http.Response) bool {
-	return x.client.options.Pool != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
+	return x.client.options.BodyMemory != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
 		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBody || resp.ContentLength < 0)
 }
 
@@ -56,7 +56,7 @@
 // streamResponse hands a streaming response over and waits until it is closed. For a moment it is held back, up to one
 // window: if it breaks meanwhile, a retry is still possible, and if it ends, it is returned as a buffered response.
 func (x *exchange) streamResponse(ctx context.Context, resp *http.Response) outcome {
-	window, release, err := x.borrowWindow(ctx)
+	window, release, err := x.acquireBuffer(ctx)
 	if err != nil {
 		return outcome{result: balance.Canceled} // which says nothing of the endpoint
 	}
@@ -76,9 +76,9 @@
 		s.prefetch()
 		if s.hasEnded() && s.isClaimed.CompareAndSwap(false, true) {
 			if err := x.conn.SetReadDeadline(time.Time{}); !errors.Is(s.err, io.EOF) || err != nil {
-				return outcome{result: x.conn.brokenResult(ctx, s.err)}
+				return outcome{result: x.conn.failedResponseResult(ctx, s.err)}
 			}
-			return x.classify(resp, bytes.Clone(s.window[:s.filled]))
+			return x.classify(resp, bytes.Clone(s.buffer[:s.filled]))
 		}
 	}
 	handOver()
@@ -97,7 +97,7 @@
 		maxBytes: x.client.options.MaxResponseBody,
 		meter:    body.NewMeter(x.client.options.MinimumRate),
 		closed:   make(chan error, 1),
-		window:   window,
+		buffer:   window,
 	}
 	s.readEnded.L = &s.mu
 	return s
@@ -117,26 +117,26 @@
 	return outcome{result: balance.Reset}
 }
 
-// borrowWindow returns the buffer of a response and what gives it back. It is the upload's own, if the upload no longer
+// acquireBuffer returns the buffer of a response and what gives it back. It is the upload's own, if the upload no longer
 // needs that, so that exchanges which hold a window do not wait for another.
-func (x *exchange) borrowWindow(ctx context.Context) (window []byte, release func(), err error) {
+func (x *exchange) acquireBuffer(ctx context.Context) (window []byte, release func(), err error) {
 	if upload := x.request.Upload; upload != nil {
-		if window = upload.TakeWindow(); window != nil {
+		if window = upload.TakeBuffer(); window != nil {
 			return window, func() {}, nil
 		}
 	}
-	w, err := x.client.options.Pool.AcquireWindow(ctx)
+	w, err := x.client.options.BodyMemory.AcquireBuffer(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	return *w, func() { x.client.options.Pool.ReleaseWindow(w) }, nil
+	return *w, func() { x.client.options.BodyMemory.ReleaseBuffer(w) }, nil
 }
 
 // prefetch reads until the window is full, the body has ended, or the stream is handed over.
 func (s *Stream) prefetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.filled < len(s.window) && s.err == nil && !s.isClaimed.Load() {
+	for s.filled < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
 		// This replaces the deadline of buffered responses.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
@@ -154,7 +154,7 @@
 // Next can return what is there.
 func (s *Stream) readOnce() {
 	s.isReading = true
-	to := s.window[s.filled:]
+	to := s.buffer[s.filled:]
 	if s.Length >= 0 {
 		to = to[:min(int64(len(to)), s.Length-s.received)]
 	}
@@ -193,7 +193,7 @@
 		}
 		s.readOnce()
 	}
-	if part := s.window[s.consumed:s.filled]; len(part) > 0 {
+	if part := s.buffer[s.consumed:s.filled]; len(part) > 0 {
 		s.consumed = s.filled
 		return part, nil
 	}
