--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -8,24 +8,24 @@
 	"unicode/utf8"
 )
 
-// Verb is the first word of a command. Operators' scripts send it: its text never changes.
+// Verb is the first word of a command. The texts must not change, since operators' scripts send them.
 type Verb string
 
 // The verbs of the protocol.
 const (
-	VerbCheck    Verb = "check"    // whether this process takes clients
-	VerbVars     Verb = "vars"     // all metrics
+	VerbCheck    Verb = "check"    // reports whether this process accepts clients
+	VerbVars     Verb = "vars"     // prints all metrics
 	VerbSetDown  Verb = "set-down" // ejects an endpoint manually
 	VerbSetUp    Verb = "set-up"   // ends an endpoint's manual ejection
-	VerbPeers    Verb = "peers"    // the members of the cluster
-	VerbSettings Verb = "settings" // the agreed settings; arguments read or change them
-	VerbVersions Verb = "versions" // the first line of settings: which version is in force
+	VerbPeers    Verb = "peers"    // prints the members of the cluster
+	VerbSettings Verb = "settings" // prints or changes the cluster's settings, depending on its arguments
+	VerbVersions Verb = "versions" // prints the version of the settings that is in force
 )
 
-// putArgument is the argument of settings that announces a body.
+// putArgument is the first argument of VerbSettings for a command with a body.
 const putArgument = "put"
 
-// takesEndpointID tells of each verb whether an endpoint's ID follows. A verb that is not a key is not known.
+// takesEndpointID has all known verbs as keys. The value says whether an endpoint's ID must follow the verb.
 var takesEndpointID = map[Verb]bool{
 	VerbCheck:    false,
 	VerbVars:     false,
@@ -36,21 +36,21 @@
 	VerbVersions: false,
 }
 
-// maxLineBytes is how many bytes a line may have, its end included. IDs of endpoints are some tens of bytes long.
+// maxLineBytes is the maximum length of a line in bytes, including its end. IDs of endpoints are some tens of bytes long.
 const maxLineBytes = 512
 
 var errLineTooLong = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
 
-// Command is a parsed line.
+// Command is a parsed command line.
 type Command struct {
 	Verb       Verb
-	EndpointID string // where the verb takes one
-	Arguments  string // what follows settings, with one space between words
-	BodyLength int    // bytes that follow the line, as the last word of "settings put ID EXPECT NAME BYTES" says
+	EndpointID string // endpoint to which the command applies; empty if the verb takes no endpoint ID
+	Arguments  string // words after VerbSettings, separated by one space; empty for other verbs
+	BodyLength int    // number of body bytes after the line, the last word of "settings put ID EXPECT NAME BYTES"
 }
 
-// ParseCommand reads a line without its line feed. Words are separated by spaces or tabs, and a carriage return at the
-// end is ignored. The text of an error is one line that may be shown to the operator.
+// ParseCommand parses a line without its line feed. Words are separated by spaces or tabs, and a carriage return at the end
+// is ignored. An error's text fits on one line and may be shown to the operator.
 func ParseCommand(line []byte) (Command, error) {
 	if len(line) >= maxLineBytes {
 		return Command{}, errLineTooLong
@@ -81,10 +81,10 @@
 	return c, nil
 }
 
-// isControl tells whether a character may not stand in a line.
+// isControl reports whether a character is a control character other than the tab, which a line must not contain.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// parseSettings reads the words behind settings. Only the length of a body matters here; the handler reads the rest.
+// parseSettings parses the words after VerbSettings. It interprets only a body's length and leaves the rest to the handler.
 func (c Command) parseSettings(words [][]byte) (Command, error) {
 	c.Arguments = string(bytes.Join(words, []byte(" ")))
 	if string(words[0]) != putArgument {
--- a/internal/admin/command_test.go
+++ b/internal/admin/command_test.go
@@ -20,7 +20,7 @@
 		"settings put a - shared 7": {Verb: VerbSettings, Arguments: "put a - shared 7", BodyLength: 7},
 	} {
 		if got, err := ParseCommand([]byte(line)); err != nil || got != want {
-			t.Errorf("%q: %v, %v", line, got, err)
+			t.Errorf("%q: got %+v, error %v, want %+v", line, got, err, want)
 		}
 	}
 	for line, want := range map[string]string{
@@ -42,7 +42,7 @@
 		"set-down " + strings.Repeat("x", maxLineBytes): "longer than",
 	} {
 		if got, err := ParseCommand([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, %v", line, got, err)
+			t.Errorf("%q: got %+v, error %v, want an error that contains %q", line, got, err, want)
 		}
 	}
 }
@@ -54,14 +54,14 @@
 		c, err := ParseCommand(line)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\r\n") {
-				t.Errorf("%q: more than a line: %q", line, err)
+				t.Errorf("%q: error %q has more than one line", line, err)
 			}
 			return
 		}
 		wantsID, isKnown := takesEndpointID[c.Verb]
 		if !isKnown || wantsID != (c.EndpointID != "") || !bytes.Contains(line, []byte(c.EndpointID)) ||
 			c.BodyLength < 0 || c.Arguments != "" && c.Verb != VerbSettings {
-			t.Errorf("%q: %+v", line, c)
+			t.Errorf("%q was parsed as %+v, which breaks the rules for its verb or has an ID that is not on the line", line, c)
 		}
 	})
 }
--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// responseTimeout bounds a command's execution, and then the write of its response: operators are owed one within 1 s.
+// responseTimeout limits the execution of a command and, separately, the write of its response. Operators must get a response
+// within 1 s.
 const responseTimeout = 900 * time.Millisecond
 
-// Handlers carry the commands out. They are called by many goroutines at once. Each that takes a context must return
-// when that ends. The body is the handler's own.
+// Handlers execute the commands. They are called by many goroutines concurrently. A handler that takes a context must return
+// when the context ends.
 type Handlers struct {
-	// IsReady tells whether this process takes clients.
+	// IsReady reports whether this process accepts clients.
 	IsReady func() bool
-	// WriteMetrics writes all metrics, one a line.
+	// WriteMetrics writes all metrics, one per line.
 	WriteMetrics func(ctx context.Context, w io.Writer) error
 	// WritePeers writes the members of the cluster.
 	WritePeers func(w io.Writer) error
-	// WriteVersions writes which version of the agreed settings is in force.
+	// WriteVersions writes the version of the cluster's settings that is in force.
 	WriteVersions func(w io.Writer) error
-	// HandleSettings carries out what follows the verb settings, and writes the result.
+	// HandleSettings executes a settings command with its arguments and body, and writes the result. It may keep body.
 	HandleSettings func(ctx context.Context, arguments string, body []byte, w io.Writer) error
-	// MaxBodyBytes is how many bytes may follow a line; 0: none.
+	// MaxBodyBytes is the maximum length in bytes of a command's body; 0 means that bodies are rejected.
 	MaxBodyBytes int
-	// SetEjected ejects an endpoint manually, or ends that, and describes the outcome.
+	// SetEjected ejects an endpoint manually or ends its manual ejection, and returns a text that describes the outcome.
 	SetEjected func(ctx context.Context, id string, isEjected bool) (string, error)
 }
 
-// execute carries a command out and returns its response.
+// execute executes a command and returns its response.
 func (s *Server) execute(c Command, body []byte) []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
@@ -57,7 +58,7 @@
 	return successResponse(outcome)
 }
 
-// multiLineResponse is a response of several lines; the last one marks the end.
+// multiLineResponse returns a response of several lines, of which the last one marks the end.
 func multiLineResponse(write func(w io.Writer) error) []byte {
 	var text bytes.Buffer
 	if err := write(&text); err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
-// Package admin serves the operators' address: a TCP connection carries one command on one line, gets one response and
-// is closed. The package parses commands and limits connections; what a command does is the business of the Handlers.
+// Package admin serves the operators' address. Each TCP connection carries one command on one line, gets one response and is
+// closed. The package parses commands and limits the number of connections; Handlers execute the commands.
 //
-// A Server owns its listener and its connections. Serve runs on the caller's goroutine, and each connection on one of
-// its own; all have ended when Close returns. A command is executed only if its line, and the body that it announces,
-// came complete. A response follows within about two seconds, or the connection is closed.
+// A Server owns its listener and its connections. Serve runs on the goroutine of its caller, and each connection on a goroutine
+// of its own; all connections have ended when Close returns. A command is executed only if its complete line, and its complete
+// body if it has one, were received. The response follows within about two seconds, or the connection is closed.
 package admin
 
 import (
@@ -20,23 +20,24 @@
 )
 
 const (
-	// lineTimeout is how long a client may take to send its command, as long as no other one needs the connection.
+	// lineTimeout is the maximum time for a client to send its command. A connection may be closed earlier to make room for
+	// another one.
 	lineTimeout = 10 * time.Second
-	// acceptRetryDelay follows an accept that failed, for example for want of descriptors.
+	// acceptRetryDelay is the delay after a failed accept, for example when the process has no file descriptors left.
 	acceptRetryDelay = 5 * time.Millisecond
-	// acceptLogInterval is the time between two log lines about failed accepts.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = 10 * time.Second
 )
 
-// A client has lingerTimeout to read its response and close, and may send maxLingerBytes meanwhile: a close on bytes that
-// nobody has read makes the kernel send a reset, which can destroy the response.
+// After the response, the server waits for the client to close the connection and discards what the client still sends. Closing
+// a connection with unread bytes makes the kernel send a reset, which can destroy the response before the client reads it.
 const (
-	lingerTimeout  = 200 * time.Millisecond
-	maxLingerBytes = 64 << 10
+	lingerTimeout  = 200 * time.Millisecond // time for the client to close
+	maxLingerBytes = 64 << 10               // bytes that are discarded at most
 )
 
-// Server executes commands. The number of open connections is limited: at the limit, a new connection replaces the
-// oldest one that has not sent a complete command.
+// Server accepts connections and executes their commands. The number of open connections is limited: at the limit, a new
+// connection replaces the oldest one that has not sent a complete command.
 type Server struct {
 	listener       net.Listener
 	handlers       Handlers
@@ -45,26 +46,26 @@
 
 	mu              sync.Mutex
 	openConnections int
-	changed         sync.Cond // a connection has ended, or become idle
-	idle            list.List // of net.Conn that may be closed for another's sake, the first in front
+	changed         sync.Cond // signaled when a connection has ended or become idle
+	idle            list.List // net.Conns that may be closed to make room for others, the next one to close in front
 	isClosed        bool
 }
 
-// connection is a client's, with its entry in the list of idle ones, which may have been removed.
+// connection is a client's connection.
 type connection struct {
 	net.Conn
-	idleEntry *list.Element
+	idleEntry *list.Element // entry in Server.idle, from which it may have been removed
 }
 
-// New makes a Server on a listener, which it closes in Close. At most maxConnections connections, or one, are open at
-// once. Serve must be called for the Server to do anything.
+// New returns a Server for a listener, which Close closes. At most maxConnections connections, but at least one, can be open at
+// the same time. The Server does nothing until Serve is called.
 func New(l net.Listener, maxConnections int, handlers Handlers, log *slog.Logger) *Server {
 	s := &Server{listener: l, handlers: handlers, maxConnections: max(maxConnections, 1), log: log}
 	s.changed.L = &s.mu
 	return s
 }
 
-// Addr returns the address on which commands are taken.
+// Addr returns the address on which the Server accepts connections.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve accepts connections and returns after Close.
@@ -92,8 +93,8 @@
 	}
 }
 
-// Close stops accepting, closes the connections on which no command is being executed, and returns when all
-// connections have ended. The error is that of closing the listener.
+// Close closes the listener and the connections on which no command is being executed, and returns when all connections have
+// ended. It returns the error of closing the listener.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.mu.Lock()
@@ -108,14 +109,15 @@
 	return err
 }
 
-// admit waits until a connection may be open and counts it as an idle one. Where there is no idle one to close it waits
-// for a command that is being executed: that takes responseTimeout at most. It returns false after Close.
+// admit waits until one more connection may be open, and adds nc to the idle ones. At the limit it closes the first idle
+// connection; if there is none, it waits for the end of a command, whose execution takes at most responseTimeout. It returns
+// false after Close.
 func (s *Server) admit(nc net.Conn) (*connection, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.openConnections >= s.maxConnections && !s.isClosed {
 		if oldest := s.idle.Front(); oldest != nil {
-			s.idle.Remove(oldest).(net.Conn).Close() // its goroutine's read fails, and releases it
+			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine fails, and it calls release
 		}
 		s.changed.Wait()
 	}
@@ -126,7 +128,7 @@
 	return &connection{Conn: nc, idleEntry: s.idle.PushBack(nc)}, true
 }
 
-// release closes a connection and lets another one take its place.
+// release closes a connection and lets admit accept another one.
 func (s *Server) release(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,17 +138,17 @@
 	s.changed.Broadcast()
 }
 
-// markBusy takes a connection out of the idle ones, since its command has come. It returns false if the connection has just
-// been closed for another's sake.
+// markBusy removes a connection whose command was received from the idle ones. It returns false if the connection has just been
+// closed to make room for another one.
 func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.idle.Len()
+	countBefore := s.idle.Len()
 	s.idle.Remove(c.idleEntry)
-	return s.idle.Len() < before
+	return s.idle.Len() < countBefore
 }
 
-// serveConnection reads one command and responds to it.
+// serveConnection reads one command, executes it and writes the response.
 func (s *Server) serveConnection(c *connection) {
 	defer s.release(c)
 	c.SetReadDeadline(time.Now().Add(lineTimeout))
@@ -165,11 +167,11 @@
 	s.linger(c)
 }
 
-// errIncompleteLine is why a connection gets no response: its client has closed it, or was too slow.
+// errIncompleteLine means that the client has closed the connection or was too slow. Such a connection gets no response.
 var errIncompleteLine = errors.New("the line is not complete")
 
-// readCommand reads the first line that is not empty, and the body that it announces. An incomplete line is never
-// parsed: an ID that was cut could be another endpoint's. All of it must come before the connection's read deadline.
+// readCommand reads the first line that is not empty, and the command's body if it has one, before the connection's read
+// deadline. An incomplete line is never parsed, since a truncated ID could be that of another endpoint.
 func (s *Server) readCommand(in *bufio.Reader) (Command, []byte, error) {
 	line, err := in.ReadSlice('\n')
 	for err == nil && len(bytes.TrimSpace(line)) == 0 {
@@ -195,11 +197,11 @@
 	return c, body, nil
 }
 
-// linger lets the client read its response. The connection counts as idle meanwhile, and is the first to be closed for
-// another's sake.
+// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed to
+// make room for another one.
 func (s *Server) linger(c *connection) {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || writeCloser.CloseWrite() != nil {
 		return
 	}
 	s.mu.Lock()
@@ -211,5 +213,5 @@
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // the command is done, whatever the client does now
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // an error does not matter: the command was executed
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// testHandlers report the ejections that they are called for. They know no endpoint "nobody", and one "slow" never confirms.
+// testHandlers returns handlers that send ejections to a channel. The endpoint "nobody" is unknown to them, and an ejection of
+// the endpoint "slow" is never confirmed.
 func testHandlers(isReady bool, ejections chan<- string) Handlers {
 	return Handlers{
 		IsReady: func() bool { return isReady },
@@ -39,10 +40,10 @@
 	}
 }
 
-// testConnections is the limit of the servers under test.
+// testConnections is the maximum number of open connections of the servers under test.
 const testConnections = 4
 
-// startServer serves commands until the test ends.
+// startServer starts a Server that runs until the test ends.
 func startServer(t *testing.T, handlers Handlers) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +71,7 @@
 	return nc
 }
 
-// exchange sends text and reads all that comes until the connection ends.
+// exchange sends text on a new connection and returns all bytes that are received until the server closes it.
 func exchange(t *testing.T, s *Server, text string) string {
 	t.Helper()
 	nc := dial(t, s)
@@ -79,7 +80,7 @@
 	}
 	response, err := io.ReadAll(nc)
 	if err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("reading the response to %q: %v", text, err)
 	}
 	return string(response)
 }
@@ -89,7 +90,7 @@
 	s := startServer(t, testHandlers(true, ejections))
 	for _, row := range []struct{ send, want string }{
 		{"check\n", "SUCCESS this process takes clients\n"},
-		{"check\r\nvars\n", "SUCCESS this process takes clients\n"}, // the rest is not read
+		{"check\r\nvars\n", "SUCCESS this process takes clients\n"}, // the second command is not executed
 		{"\n\r\n \ncheck\n", "SUCCESS this process takes clients\n"},
 		{"vars\n", "edge_router.active:1|g\nEOT\n"},
 		{"settings put x 5\n12345", "put x 5: 5 bytes\nEOT\n"},
@@ -105,20 +106,20 @@
 		{strings.Repeat("x", 70<<10) + "\n", "FAILURE the line is longer than 512 bytes\n"},
 	} {
 		if got := exchange(t, s, row.send); got != row.want {
-			t.Errorf("%.60q: %q, want %q", row.send, got, row.want)
+			t.Errorf("%.60q: response %q, want %q", row.send, got, row.want)
 		}
 	}
 	for _, want := range []string{"s-1 true", "s-1 false"} {
 		if got := <-ejections; got != want {
-			t.Errorf("%s, want %s", got, want)
+			t.Errorf("SetEjected was called with %s, want %s", got, want)
 		}
 	}
 	if got := exchange(t, startServer(t, testHandlers(false, nil)), "check\n"); !strings.HasPrefix(got, "FAILURE ") {
-		t.Errorf("not ready: %q", got)
+		t.Errorf("check while not ready: response %q, want one that begins with FAILURE", got)
 	}
 }
 
-// An ID that was cut could be another endpoint's.
+// A line without its end must not be executed, since a truncated ID could be that of another endpoint.
 func TestIncompleteLineIsNotExecuted(t *testing.T) {
 	ejections := make(chan string, 1)
 	s := startServer(t, testHandlers(true, ejections))
@@ -126,16 +127,16 @@
 	_, _ = io.WriteString(nc, "set-down s-12")
 	_ = nc.(*net.TCPConn).CloseWrite()
 	if response, err := io.ReadAll(nc); err != nil || len(response) > 0 {
-		t.Errorf("%q, %v", response, err)
+		t.Errorf("got response %q, error %v, want neither", response, err)
 	}
 	select {
 	case ejection := <-ejections:
-		t.Error(ejection)
+		t.Errorf("SetEjected was called with %s, want no call", ejection)
 	default:
 	}
 }
 
-// Connections that send no complete command block nobody, nor does a command that takes long.
+// Neither connections without a complete command nor a slow command may delay other commands.
 func TestIdleConnectionsDoNotBlockCommands(t *testing.T) {
 	s := startServer(t, testHandlers(true, make(chan string, 1)))
 	var idle []net.Conn
@@ -149,14 +150,14 @@
 	for range 5 {
 		startedAt := time.Now()
 		if got := exchange(t, s, "check\n"); !strings.HasPrefix(got, "SUCCESS") {
-			t.Errorf("%q", got)
+			t.Errorf("check: response %q, want one that begins with SUCCESS", got)
 		}
 		if took := time.Since(startedAt); took > time.Second {
-			t.Errorf("answered after %v", took)
+			t.Errorf("the response took %v, want at most 1s", took)
 		}
 	}
 	if response, err := io.ReadAll(busy); err != nil || !strings.HasPrefix(string(response), "FAILURE") {
-		t.Errorf("the busy one: %q, %v", response, err)
+		t.Errorf("slow command: response %q, error %v, want one that begins with FAILURE", response, err)
 	}
 	closed := 0
 	for _, nc := range idle {
@@ -168,7 +169,7 @@
 		}
 	}
 	if closed < 19*testConnections {
-		t.Errorf("only %d of %d idle connections were closed for others", closed, len(idle))
+		t.Errorf("%d of %d idle connections were closed to make room, want at least %d", closed, len(idle), 19*testConnections)
 	}
 }
 
@@ -178,9 +179,9 @@
 	exchange(t, s, "check\n")
 	s.Close()
 	if _, err := nc.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection is open still")
+		t.Error("a connection is still open after Close")
 	}
 	if s.openConnections != 0 || s.idle.Len() != 0 {
-		t.Errorf("%d open, %d idle", s.openConnections, s.idle.Len())
+		t.Errorf("%d connections open and %d idle after Close, want 0 and 0", s.openConnections, s.idle.Len())
 	}
 }
