--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,17 +13,17 @@
 
 // AttemptHooks are called during an attempt. The zero value suits an attempt whose bodies are buffered.
 type AttemptHooks struct {
-	// IsWanted is called last before the first byte is written, on the attempt's goroutine. If it returns false, nothing
-	// is written. nil means that the attempt is wanted.
+	// IsWanted reports whether the client still waits for a response. It is called on the attempt's goroutine, immediately
+	// before the first byte is written. If it returns false, nothing is written. nil means that the request is still wanted.
 	IsWanted func() bool
-	// RequestSent is called, on a goroutine of the attempt, once the last byte of a streaming request body is written.
+	// RequestSent is called after the last byte of a streaming request body was written, on one of the attempt's goroutines.
 	RequestSent func()
-	// ResponseStarted is called when a response that is not buffered has begun. If it returns true, the response belongs to the
-	// callee, who must close its Stream. nil means that responses must be buffered.
+	// ResponseStarted is called when a response that is not buffered has begun. If it returns true, the callee owns the response
+	// and must close its Stream. nil means that responses must be buffered.
 	ResponseStarted func(Response) bool
 }
 
-// Why an attempt writes nothing, though its endpoint has not failed.
+// Reasons why an attempt writes nothing, though its endpoint has not failed.
 var (
 	errUnknownEndpoint = errors.New("endpoint has no known address")
 	errConnectionLimit = errors.New("connection limit is reached")
@@ -32,19 +32,20 @@
 	errPastDeadline    = errors.New("deadline passed before anything was sent")
 )
 
-// localFailures say nothing of the endpoint.
+// localFailures are errors with causes in this process, which do not mean that the endpoint has failed.
 var localFailures = []error{errUnknownEndpoint, errConnectionLimit, errNotAccepting, errPastDeadline, errNotWanted,
 	syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL}
 
-// Attempt sends a request to an endpoint once and returns how that ended, whether the connection had served before,
-// and the endpoint's response if there is one. When ctx ends, the connection is closed before Attempt returns, so
-// that no later attempt is in flight together with this one. Once AttemptHooks.ResponseStarted has taken a response, ctx no
-// longer counts, and Attempt returns when the response's Stream is closed.
+// Attempt sends a request to an endpoint once. It returns the result, whether it used a connection that had been idle, and the
+// endpoint's response if there is one. When ctx ends, the connection is closed before Attempt returns, so that a later attempt
+// is never in flight at the same time. After AttemptHooks.ResponseStarted has accepted a response, ctx has no effect any more,
+// and Attempt returns when the response's Stream is closed.
 func (cl *Client) Attempt(
-	ctx context.Context, id string, m *Request, hooks AttemptHooks,
+	ctx context.Context, id string, req *Request, hooks AttemptHooks,
 ) (result balance.Result, reused bool, response Response) {
-	c, text, err := cl.acquire(ctx, id, m)
-	// The endpoint, the deadline and the client may have changed while the connection was dialed or rested.
+	c, encoded, err := cl.acquire(ctx, id, req)
+	// While acquire dialed or waited for the reuse delay, the endpoint may have stopped accepting requests, the deadline may have
+	// passed, and the client may have disconnected.
 	switch {
 	case err != nil:
 	case !cl.isAccepting(id, c):
@@ -61,8 +62,8 @@
 		return unlessCanceled(ctx, noConnectionResult(err)), false, Response{}
 	}
 	reused = !c.idleSince.IsZero()
-	x := &exchange{client: cl, conn: c, request: m, hooks: hooks, stopDeadline: context.AfterFunc(ctx, func() { c.Close() })}
-	o := x.run(ctx, text)
+	x := &exchange{client: cl, conn: c, request: req, hooks: hooks, stopDeadline: context.AfterFunc(ctx, func() { c.Close() })}
+	o := x.run(ctx, encoded)
 	if o.isReusable && (x.isHandedOver.Load() || x.stopDeadline()) {
 		cl.release(c, true)
 	} else {
@@ -71,14 +72,15 @@
 	return o.result, reused, o.response
 }
 
-// isPastDeadline reports whether an attempt's deadline has passed, by the clock. In a process that was stopped while a
-// connection was dialed or rested, the attempt goes on before the timer fires that would have canceled it.
+// isPastDeadline reports whether an attempt's deadline has passed. It compares the deadline with the clock, since ctx may not have
+// ended yet: if the process was suspended while the attempt waited for a connection, the attempt can continue before the timer
+// that cancels ctx fires.
 func isPastDeadline(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
 }
 
-// noConnectionResult is the result of an attempt that got no connection.
+// noConnectionResult returns the result of an attempt that wrote nothing because of err.
 func noConnectionResult(err error) balance.Result {
 	for _, local := range localFailures {
 		if errors.Is(err, local) {
@@ -102,26 +104,27 @@
 	conn    *conn
 	request *Request
 	hooks   AttemptHooks
-	// stopDeadline keeps the end of the attempt's context from closing the connection; false means that it has.
+	// stopDeadline detaches the connection from the attempt's context, whose end closes the connection. It returns false if the
+	// context had already ended.
 	stopDeadline func() bool
-	isHandedOver atomic.Bool // the response belongs to the callee of AttemptHooks.ResponseStarted
+	isHandedOver atomic.Bool // AttemptHooks.ResponseStarted has accepted the response
 }
 
-// outcome is how an exchange ended. isReusable: the connection may carry another one.
+// outcome is how an exchange ended.
 type outcome struct {
 	result     balance.Result
 	response   Response
-	isReusable bool
+	isReusable bool // the connection may carry another exchange
 }
 
-// run writes the request and reads the response.
-func (x *exchange) run(ctx context.Context, text []byte) outcome {
+// run writes the encoded request, or its head if the body streams, and reads the response.
+func (x *exchange) run(ctx context.Context, encoded []byte) outcome {
 	if x.request.Upload != nil {
-		return x.runUpload(ctx, text)
+		return x.runUpload(ctx, encoded)
 	}
-	// Endpoints that begin a request with its last byte have not run one that was not written completely. Others may
-	// have run it as soon as a byte of it was written.
-	if n, _ := x.conn.Write(text); n < len(text) {
+	// With StartsWithLastByte, the endpoint has not run a request that was not written completely. With StartsWithHead, it may
+	// have run the request if any byte was written.
+	if n, _ := x.conn.Write(encoded); n < len(encoded) {
 		if n > 0 && x.client.options.RequestStart == StartsWithHead {
 			return outcome{result: unlessCanceled(ctx, balance.ErrorResponse)}
 		}
@@ -135,15 +138,16 @@
 	return x.readResponse(ctx, resp)
 }
 
-// notifySent reports that the request's last byte was written.
+// notifySent calls Options.OnRequestSent after the request's last byte was written.
 func (x *exchange) notifySent() {
 	if x.client.options.OnRequestSent != nil {
 		x.client.options.OnRequestSent()
 	}
 }
 
-// failedResponseResult is the result of an attempt whose last byte was written and whose response did not come completely. A
-// malformed response is an error of an endpoint that runs; only a broken connection may mean that the endpoint is down.
+// failedResponseResult returns the result of an attempt whose request was written completely, but whose response could not be read
+// because of err. It is Reset only if the connection broke, which may mean that the endpoint is down. An endpoint that sent a
+// malformed response is running.
 func (c *conn) failedResponseResult(ctx context.Context, err error) balance.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -156,7 +160,7 @@
 	return balance.ErrorResponse
 }
 
-// isConnectionBreak reports whether a read failed since the endpoint closed or reset the connection.
+// isConnectionBreak reports whether err, the error of a read, means that the endpoint closed or reset the connection.
 func isConnectionBreak(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,14 +1,14 @@
-// Package upstream sends requests to endpoints and reports by evidence how each attempt ended: whether it may have run
-// at the endpoint, and what came back.
+// Package upstream sends requests to endpoints and reports how each attempt ended: whether the request may have run at the
+// endpoint, and which response was received.
 //
-// A Client owns all connections to the endpoints of one pool and the record of which endpoints accept requests; both
-// are guarded by its mutex, and none of its methods holds that mutex while it waits for the network. Client.Run,
-// which its caller starts and ends, closes idle connections that have gone stale. An attempt runs on its caller's
-// goroutine. While a request's body streams, one more goroutine of that attempt sends it (bodySender).
+// A Client owns all connections to the endpoints of one pool, and keeps track of which endpoints accept requests. Its mutex guards
+// both and is never held while a method waits for the network. Client.Run, which its caller starts and ends, closes idle
+// connections that endpoints have closed or may close soon. An attempt runs on the goroutine of its caller. If a request's body
+// streams, one more goroutine sends it (see bodySender).
 //
-// A caller may rely on this: an attempt writes its request at most once, and nothing of it once Attempt has returned,
-// so that attempts made one after the other are never in flight together. No first byte is written for a request
-// whose deadline has passed, that its client no longer wants, or whose endpoint no longer accepts requests.
+// An attempt writes its request at most once, and writes nothing after Attempt has returned. So attempts that are made one after
+// the other are never in flight at the same time. Nothing is written for a request whose deadline has passed, whose client has
+// disconnected, or whose endpoint no longer accepts requests.
 package upstream
 
 import (
@@ -23,9 +23,9 @@
 const (
 	defaultIdleTimeout = 15 * time.Second
 	defaultDialTimeout = 250 * time.Millisecond
-	sweepInterval      = time.Second // between two checks of all idle connections
-	// idleTimeoutFraction of the endpoint's idle timeout is the age from which a connection is no longer used: the
-	// endpoint could close it while a request is on its way.
+	sweepInterval      = time.Second // time between two checks of all idle connections
+	// idleTimeoutFraction is the fraction of the endpoint's idle timeout after which an idle connection is not used any more. The
+	// endpoint could close an older connection while a request is on its way.
 	idleTimeoutFraction = 0.9
 )
 
@@ -33,48 +33,50 @@
 type Options struct {
 	// IdleTimeout is the time after which endpoints close idle connections; 0 means 15 s.
 	IdleTimeout time.Duration
-	// DialTimeout is the time after which a connection that is not established has failed; 0 means 250 ms.
+	// DialTimeout is the maximum time to establish a connection; 0 means 250 ms.
 	DialTimeout time.Duration
-	// MaxConnections is how many connections may be open at once, to all endpoints together.
+	// MaxConnections is the maximum number of open connections, to all endpoints together.
 	MaxConnections int
-	// Spread opens a new connection, while fewer than MaxConnections are open, where all idle connections to an endpoint still
-	// rest. Without it the request waits until one of them has rested, which suits pools where connections are scarce.
+	// DialInsteadOfWaiting makes a request use a new connection if the reuse delay of all idle connections to its endpoint has not
+	// passed yet, and fewer than MaxConnections are open. Without it, the request waits until the delay of one of them has
+	// passed, which suits pools with a low MaxConnections.
 	DialInsteadOfWaiting bool
-	// RequestStart says from which byte on a request may have run.
+	// RequestStart says when endpoints may begin to run a request.
 	RequestStart RequestStart
-	// Pool is the memory for streaming responses; nil means that responses must be buffered.
+	// BodyMemory is the memory for streaming responses; nil means that responses must be buffered.
 	BodyMemory *body.MemoryPool
-	// MinimumRate is the minimum rate of endpoints while bodies stream.
+	// MinimumRate is the rate that endpoints must keep while they send or receive streaming bodies.
 	MinimumRate body.MinimumRate
-	// BufferedResponseTimeout is how long a buffered response may take from its first byte to its last. Less than 500 ms counts as 500
-	// ms.
+	// BufferedResponseTimeout is the maximum time from the first byte of a buffered response to its last. Values below 500 ms
+	// mean 500 ms.
 	BufferedResponseTimeout time.Duration
 	// MaxResponseBody is the maximum length in bytes of a response's body; 0 means no maximum.
 	MaxResponseBody int64
-	// OnRequestSent, if not nil, is called for each attempt once the last byte of its request is written.
+	// OnRequestSent, if not nil, is called for each attempt after the last byte of its request was written.
 	OnRequestSent func()
-	// Connect establishes connections, each of which must be a *net.TCPConn; nil means a net.Dialer.
+	// Connect establishes connections, each of which must be a *net.TCPConn; nil means that a net.Dialer does so.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OnlyOK accepts only responses with status 200. Without it every status below 500 except 429 is accepted, and a
-	// failed attempt brings the endpoint's own response along, unless that promises that nothing has run.
+	// OnlyOK accepts only responses with status 200. Without it, every status below 500 except 429 is accepted, and Attempt
+	// returns the endpoint's response even if the attempt failed, unless the status is 429 or 503: a client would take these for
+	// a promise that its request has not run.
 	OnlyOK bool
 }
 
-// Client makes attempts over connections of its own. It is safe for concurrent use. It does not use net/http's
-// Transport, which by itself resends some requests when a reused connection breaks, and dials spare connections.
+// Client makes attempts over its own connections. It is safe for concurrent use. It does not use net/http's Transport, which
+// resends some requests when a reused connection breaks, and dials connections that may not be needed.
 type Client struct {
-	maxIdleAge  time.Duration // of an idle connection that may still be used
+	maxIdleAge  time.Duration // maximum time since the last response on an idle connection that may be used
 	dialTimeout time.Duration
-	reuseDelay  time.Duration // of a connection, after a response
+	reuseDelay  time.Duration // minimum time between a response and the next request on the same connection
 	options     Options
 
-	mu        sync.Mutex // guards options.MaxConnections and what follows
-	openCount int        // connections that are open or being dialed
-	pools     map[string]*endpointPool
-	ejected   map[string]bool // endpoints that accept nothing new, listed or not
+	mu        sync.Mutex               // guards options.MaxConnections, openCount, pools and ejected
+	openCount int                      // number of connections that are open or being dialed
+	pools     map[string]*endpointPool // idle connections of the known endpoints, by endpoint ID
+	ejected   map[string]bool          // IDs of ejected endpoints, whether known or not
 }
 
-// New returns a Client without endpoints.
+// New returns a Client that knows no endpoints.
 func New(o Options) *Client {
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = defaultIdleTimeout
@@ -85,21 +87,21 @@
 	if o.Connect == nil {
 		o.Connect = (&net.Dialer{}).DialContext
 	}
-	rest := reuseDelay
+	delay := reuseDelay
 	if o.DialInsteadOfWaiting {
-		rest = reuseDelayWhenDialing
+		delay = reuseDelayWhenDialing
 	}
 	return &Client{
 		maxIdleAge:  time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
 		dialTimeout: o.DialTimeout,
-		reuseDelay:  rest,
+		reuseDelay:  delay,
 		options:     o,
 		pools:       map[string]*endpointPool{},
 		ejected:     map[string]bool{},
 	}
 }
 
-// Run closes idle connections that are dead or stale, until ctx ends; then it closes all idle connections and returns.
+// Run regularly closes the idle connections that can't be used any more. When ctx ends, it closes all idle connections and returns.
 func (cl *Client) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -114,7 +116,7 @@
 	}
 }
 
-// SetMaxConnections changes how many connections may be open at once, and closes idle ones beyond that.
+// SetMaxConnections changes Options.MaxConnections, and closes idle connections above the new limit.
 func (cl *Client) SetMaxConnections(limit int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -122,9 +124,9 @@
 	}
 }
 
-// SetEndpoint sets an endpoint's address and whether it accepts requests. Idle connections to a former address, or to an
-// endpoint that does not accept requests, are closed. An attempt there that has written nothing yet ends as
-// balance.NotSent; one that has written goes on.
+// SetEndpoint sets an endpoint's address and whether it accepts requests. It closes the endpoint's idle connections if the
+// address has changed or the endpoint does not accept requests. An attempt that uses the old address, or an endpoint that
+// does not accept requests, ends as balance.NotSent if it has not written anything yet, and continues otherwise.
 func (cl *Client) SetEndpoint(id, addr string, acceptsRequests bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -139,9 +141,9 @@
 	p.address, p.isListedAsAccepting, p.acceptsRequests = addr, acceptsRequests, acceptsRequests && !cl.ejected[id]
 }
 
-// SetEjected ejects an endpoint, listed or not, or ends its ejection. An ejected endpoint gets no request, whatever
-// SetEndpoint says, and its idle connections are closed. An attempt there that has written nothing yet ends as
-// balance.NotSent; one that has written goes on.
+// SetEjected ejects an endpoint or ends its ejection; the endpoint need not be known. An ejected endpoint gets no requests, even
+// if SetEndpoint says that it accepts them, and its idle connections are closed. An attempt at the endpoint ends as
+// balance.NotSent if it has not written anything yet, and continues otherwise.
 func (cl *Client) SetEjected(id string, ejected bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -157,7 +159,7 @@
 	}
 }
 
-// RemoveEndpoint forgets an endpoint and closes its idle connections. An ejection of it stays in force.
+// RemoveEndpoint removes an endpoint and closes its idle connections. If the endpoint is ejected, it stays so.
 func (cl *Client) RemoveEndpoint(id string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -168,7 +170,7 @@
 	}
 }
 
-// ResourceCounts returns how many endpoints are known and how many connections are open or being dialed.
+// ResourceCounts returns the number of known endpoints, and of connections that are open or being dialed.
 func (cl *Client) ResourceCounts() (endpoints, connections int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,14 +13,13 @@
 // conn is one connection to an endpoint. It carries one attempt at a time.
 type conn struct {
 	net.Conn
-	rawConn   syscall.RawConn
-	byteLimit *io.LimitedReader // bounds what one response may bring
-	reader    *bufio.Reader     // of byteLimit
-	pool      *endpointPool
-	address   string
-	idleSince time.Time // zero until the first response
-	// closesAfterResponse: the head that was read last says that the connection ends with its response.
-	closesAfterResponse bool
+	rawConn             syscall.RawConn
+	byteLimit           *io.LimitedReader // limits the bytes that are read for one response
+	reader              *bufio.Reader     // reads from byteLimit
+	pool                *endpointPool     // pool of the endpoint
+	address             string            // address that was dialed
+	idleSince           time.Time         // time of the last response, or of the first return to the pool without one; zero before that
+	closesAfterResponse bool              // the last response head had the option "Connection: close"
 }
 
 func newConn(nc net.Conn, p *endpointPool, address string) (*conn, error) {
@@ -39,7 +38,7 @@
 	}, nil
 }
 
-// dial establishes the connection that reserve has counted as open, and takes it off that count if it fails.
+// dial establishes a connection that reserve has already counted in openCount. If dial fails, it corrects openCount.
 func (cl *Client) dial(ctx context.Context, p *endpointPool, address string) (c *conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cl.dialTimeout)
 	defer cancel()
@@ -56,14 +55,14 @@
 	return nil, err
 }
 
-// hasNoInput reports whether nothing has arrived on an idle connection: no end, no reset, no unrequested bytes. A request
-// on a connection that its endpoint has closed would end as a reset, after which it may not be safe to retry.
+// hasNoInput reports whether nothing was received on an idle connection: no bytes, no end of file and no reset. If a request were
+// sent on a connection that the endpoint has closed, it would end as balance.Reset, after which a retry may not be safe.
 func (c *conn) hasNoInput() bool {
-	isQuiet := false
+	isEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isQuiet = errors.Is(err, syscall.EAGAIN)
+		isEmpty = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && isQuiet
+	return err == nil && isEmpty
 }
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// A connection rests between a response and the next request, since a duplicate of the response may follow it and
-// nothing in a response shows to which request it belongs.
+// The next request on a connection is delayed after a response. An endpoint may send a response twice, and nothing in the
+// duplicate shows that it is not the response to the next request.
 const (
 	// reuseDelay is nearly twice the delay of the latest of 286 duplicates measured at the platform's endpoints,
 	// which came 0.7 to 5.7 ms after the first copy.
 	reuseDelay = 10 * time.Millisecond
-	// reuseDelayWhenDialing holds with Options.Spread. No duplicate was ever seen at such endpoints, and a rest of 10 ms
-	// costs a fifth of the request rate at 16 and 64 clients.
+	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of such pools were never seen to send
+	// duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
 	reuseDelayWhenDialing = 2 * time.Millisecond
 )
 
-// endpointPool holds the idle connections to one endpoint. It is guarded by Client.mu.
+// endpointPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
 type endpointPool struct {
 	address             string
-	isListedAsAccepting bool    // as accepting requests, by the endpoint list
-	acceptsRequests     bool    // listed as such and not ejected: its connections are worth keeping
-	idle                []*conn // the one that was used last at the end
+	isListedAsAccepting bool    // the last SetEndpoint said that the endpoint accepts requests
+	acceptsRequests     bool    // isListedAsAccepting, and the endpoint is not ejected
+	idle                []*conn // idle connections by idleSince, the most recently used one last
 }
 
-// acquire returns a usable connection to the endpoint, idle or new, and the encoded request. The request is encoded
-// last, since it says how much time is left. An idle connection rests first and is checked last, so that a duplicate
-// of its previous response is seen before the request is written; where something has arrived, the connection is
-// discarded.
-func (cl *Client) acquire(ctx context.Context, id string, m *Request) (*conn, []byte, error) {
+// acquire returns a usable connection to the endpoint, idle or new, and the encoded request. The request is encoded after the
+// connection was dialed or its reuse delay has passed, since it says how much time is left until its deadline. An idle
+// connection is checked last and discarded if bytes have arrived, since these may be a duplicate of its previous response.
+func (cl *Client) acquire(ctx context.Context, id string, req *Request) (*conn, []byte, error) {
 	for {
 		r, err := cl.reserve(id)
 		if err != nil {
@@ -40,31 +39,32 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			return c, m.encode(ctx), nil
+			return c, req.encode(ctx), nil
 		}
-		if rest := cl.reuseDelay - time.Since(r.conn.idleSince); rest > 0 {
+		if delay := cl.reuseDelay - time.Since(r.conn.idleSince); delay > 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(rest):
+			case <-time.After(delay):
 			}
 		}
-		text := m.encode(ctx)
+		encoded := req.encode(ctx)
 		if cl.isUsable(r.conn) {
-			return r.conn, text, nil
+			return r.conn, encoded, nil
 		}
 		cl.discard(r.conn)
 	}
 }
 
-// reservation is an idle connection taken from its pool or, where conn is nil, the right to dial one more.
+// reservation is an idle connection that was taken from its pool, or the permission to dial a new one.
 type reservation struct {
 	pool    *endpointPool
-	address string
-	conn    *conn
+	address string // address to dial
+	conn    *conn  // idle connection; nil if a new one may be dialed
 }
 
-// reserve takes the most recently used of the idle connections that have rested. If there is none, it takes one that
-// still rests or counts a new connection as open, as Options.Spread says.
+// reserve takes an idle connection from the endpoint's pool: of those whose reuse delay has passed, the most recently used one.
+// If there is none, it takes the connection that has been idle longest or, if the pool is empty or Options.DialInsteadOfWaiting
+// says so, counts a new connection as open. At Options.MaxConnections, an idle connection to any endpoint is closed for that.
 func (cl *Client) reserve(id string) (reservation, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -91,8 +91,8 @@
 	return reservation{pool: p, address: p.address}, nil
 }
 
-// release makes a connection idle, unless its endpoint has moved or accepts no requests: then it is closed. One that
-// was not used keeps its age, since the endpoint's idle timeout goes on.
+// release returns a connection to its pool, or closes it if the endpoint's address has changed or the endpoint accepts no requests.
+// A connection that was not used keeps its idleSince, since the endpoint's idle timeout was not reset either.
 func (cl *Client) release(c *conn, wasUsed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -110,14 +110,14 @@
 	c.pool.idle = slices.Insert(c.pool.idle, i, c)
 }
 
-// discard closes a connection that is not idle.
+// discard closes a connection that is not in a pool.
 func (cl *Client) discard(c *conn) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.closeLocked(c)
 }
 
-// closeLocked closes a connection. cl.mu is held.
+// closeLocked closes a connection and counts it as closed. cl.mu is held.
 func (cl *Client) closeLocked(c *conn) {
 	c.Close()
 	cl.openCount--
@@ -131,8 +131,8 @@
 	p.idle = nil
 }
 
-// evictOldest closes the connection that has been idle longest, to whichever endpoint, and reports whether there was
-// one. cl.mu is held.
+// evictOldest closes the connection that has been idle longest, among those to all endpoints, and reports whether there was an
+// idle connection. cl.mu is held.
 func (cl *Client) evictOldest() bool {
 	var oldest *endpointPool
 	for _, p := range cl.pools {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// sweep closes all idle connections for which keep is false.
+// sweep closes all idle connections for which keep returns false.
 func (cl *Client) sweep(keep func(*conn) bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -171,7 +171,7 @@
 	return time.Since(c.idleSince) < cl.maxIdleAge && c.hasNoInput()
 }
 
-// isAccepting reports whether the endpoint still accepts requests at the address to which the connection leads.
+// isAccepting reports whether the endpoint still accepts requests at the address of the connection.
 func (cl *Client) isAccepting(id string, c *conn) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -179,8 +179,8 @@
 	return p != nil && p == c.pool && p.acceptsRequests && p.address == c.address
 }
 
-// HasIdle reports whether the endpoint has a usable idle connection. It checks the connections themselves, since most
-// of those that an endpoint closes are closed between two sweeps, and closes the dead ones that it finds.
+// HasIdle reports whether the endpoint has a usable idle connection. It checks each connection and closes the unusable ones it
+// finds, since an endpoint may have closed connections after the last sweep.
 func (cl *Client) HasIdle(id string) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,73 +10,73 @@
 	"tuliprock/internal/body"
 )
 
-// RequestStart says when an endpoint may begin to run a request, and so what proves that it never ran one.
+// RequestStart says when an endpoint may begin to run a request. It decides whether an incomplete request may have run.
 type RequestStart int
 
 const (
-	// StartsWithLastByte is for endpoints that run no request of which the last byte was not sent.
+	// StartsWithLastByte means that endpoints run a request only after its last byte was sent.
 	StartsWithLastByte RequestStart = iota
-	// StartsWithHead is for endpoints that may run a request as soon as any byte of it was sent.
+	// StartsWithHead means that endpoints may run a request as soon as any byte of it was sent.
 	StartsWithHead
 )
 
 // Request is a request as it is forwarded to endpoints.
 type Request struct {
 	Method string
-	Target string // the request target, as it stands in the request line
-	Host   string
+	Target string // request target of the request line
+	Host   string // value of the Host header
 	Header http.Header
-	Body   []byte
-	// DeadlineHeader is the header that says for how many milliseconds this sidecar waits for the response; "" means
-	// none.
+	Body   []byte // buffered body; must be empty if Upload is set
+	// DeadlineHeader is the name of the header with the time, in milliseconds, for which this sidecar will wait for the response;
+	// "" means that no such header is sent.
 	DeadlineHeader string
 
-	// Upload is the body in place of Body, if it streams.
+	// Upload is the body if it streams, and nil if it is buffered.
 	Upload *body.Upload
-	// ResponseTimeout is how long this sidecar waits for the response once Upload is sent; 0 means for as long as the
-	// attempt lasts.
+	// ResponseTimeout is how long this sidecar waits for the response after Upload was sent; 0 means until the attempt's context
+	// ends.
 	ResponseTimeout time.Duration
 }
 
-// encode returns the request as it is written to an endpoint: all of it or, if the body streams, the head. The body is
-// framed by its length or by chunks and in no other way. The deadline header says how much time is left now.
-func (m *Request) encode(ctx context.Context) []byte {
+// encode returns the bytes that are written to an endpoint: the complete request or, if the body streams, its head. The body is
+// framed either by its length or by chunks. The deadline header has the time that is left at the moment of the call.
+func (r *Request) encode(ctx context.Context) []byte {
 	var text bytes.Buffer
-	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", m.Method, m.Target, m.Host)
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	skip := map[string]bool{"Content-Length": true, "Host": true}
-	if left, ok := m.responseTimeout(ctx); ok && m.DeadlineHeader != "" {
-		skip[http.CanonicalHeaderKey(m.DeadlineHeader)] = true
-		fmt.Fprintf(&text, "%s: %d\r\n", m.DeadlineHeader, max(left.Milliseconds(), 1))
+	if left, ok := r.responseTimeout(ctx); ok && r.DeadlineHeader != "" {
+		skip[http.CanonicalHeaderKey(r.DeadlineHeader)] = true
+		fmt.Fprintf(&text, "%s: %d\r\n", r.DeadlineHeader, max(left.Milliseconds(), 1))
 	}
 	switch {
-	case m.Upload != nil:
-		m.writeFraming(&text)
-	case len(m.Body) > 0 || m.Method != http.MethodGet && m.Method != http.MethodHead:
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(m.Body))
+	case r.Upload != nil:
+		r.writeFraming(&text)
+	case len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead:
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.Body))
 	}
-	_ = m.Header.WriteSubset(&text, skip) // a bytes.Buffer returns no error
+	_ = r.Header.WriteSubset(&text, skip) // writing to a bytes.Buffer never fails
 	text.WriteString("\r\n")
-	text.Write(m.Body)
+	text.Write(r.Body)
 	return text.Bytes()
 }
 
 // writeFraming writes the header fields that frame a streaming body.
-func (m *Request) writeFraming(text *bytes.Buffer) {
-	if m.Upload.Size >= 0 {
-		fmt.Fprintf(text, "Content-Length: %d\r\n", m.Upload.Size)
+func (r *Request) writeFraming(text *bytes.Buffer) {
+	if r.Upload.Size >= 0 {
+		fmt.Fprintf(text, "Content-Length: %d\r\n", r.Upload.Size)
 	} else {
 		text.WriteString("Transfer-Encoding: chunked\r\n")
 	}
-	if m.Upload.ExpectsContinue {
+	if r.Upload.ExpectsContinue {
 		text.WriteString("Expect: 100-continue\r\n")
 	}
 }
 
-// responseTimeout returns how long this sidecar waits for the response, and whether there is a limit.
-func (m *Request) responseTimeout(ctx context.Context) (time.Duration, bool) {
-	if m.ResponseTimeout > 0 {
-		return m.ResponseTimeout, true
+// responseTimeout returns how long this sidecar will wait for the response. The bool is false if there is no limit.
+func (r *Request) responseTimeout(ctx context.Context) (time.Duration, bool) {
+	if r.ResponseTimeout > 0 {
+		return r.ResponseTimeout, true
 	}
-	at, ok := ctx.Deadline()
-	return time.Until(at), ok
+	deadline, ok := ctx.Deadline()
+	return time.Until(deadline), ok
 }
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -15,31 +15,32 @@
 	"tuliprock/internal/body"
 )
 
-// expectContinueTimeout is how long an endpoint has to accept or reject a body before it is sent anyway: the endpoint
-// may not know the expectation (RFC 9110, 10.1.1). net/http's Transport is commonly given the same time.
+// expectContinueTimeout is how long to wait for 100 Continue before the body is sent anyway, since the endpoint may not support the
+// expectation (RFC 9110, 10.1.1). It is the value commonly used with net/http's Transport.
 const expectContinueTimeout = time.Second
 
 var crlf = []byte("\r\n")
 
-// bodySender sends a request whose body streams. Its goroutine, run, ends before runUpload returns if the request was
-// sent completely; else it ends with the read from the client that may be under way.
+// bodySender sends a request whose body streams. Its method run is executed on a goroutine of its own. If the request was sent
+// completely, that goroutine ends before runUpload returns. Otherwise it ends when its current read from the client, if any,
+// returns.
 type bodySender struct {
 	exchange    *exchange
 	reader      *body.UploadReader
-	meter       body.Meter
-	bodyAllowed chan struct{} // closed when the endpoint wants the body
-	allowOnce   sync.Once
+	meter       body.Meter    // of the endpoint's minimum rate
+	bodyAllowed chan struct{} // closed when the body may be sent, or the sender was stopped
+	allowOnce   sync.Once     // closes bodyAllowed
 	done        chan struct{} // closed when run returns
-	isStopped   atomic.Bool
+	isStopped   atomic.Bool   // nothing more may be written
 
-	mu             sync.Mutex // held while something is written
-	written        int64      // bytes
-	isSent         bool       // the last byte is written
-	isTooSlow      bool       // the endpoint does not keep the minimum rate
-	isUploadBroken bool       // the client does not bring the body
+	mu             sync.Mutex // held during each write to the endpoint; guards the fields below
+	written        int64      // bytes of the request that were written
+	isSent         bool       // the request's last byte was written
+	isTooSlow      bool       // the endpoint fell below its minimum rate
+	isUploadBroken bool       // the client's body could not be read
 }
 
-// runUpload sends a request whose body streams while it waits for the response, which may come before the body's end.
+// runUpload sends a request whose body streams, and at the same time waits for the response, which may come before the body's end.
 func (x *exchange) runUpload(ctx context.Context, head []byte) outcome {
 	flow, ok := x.request.Upload.NewReader()
 	if !ok {
@@ -74,14 +75,14 @@
 	}
 }
 
-// allowBody lets the body follow the head.
+// allowBody lets run send the body.
 func (s *bodySender) allowBody() { s.allowOnce.Do(func() { close(s.bodyAllowed) }) }
 
-// stop stops the sender if the request is not sent completely, and returns when it writes no more. It does not wait for
-// a read from the client. closesConn says whether the connection is to be closed.
+// stop stops the sender, unless the request was sent completely, and returns when nothing more will be written. It does not wait
+// for a read from the client. With closesConn it also closes the connection.
 func (s *bodySender) stop(closesConn bool) {
 	s.isStopped.Store(true)
-	s.reader.Close() // before allowBody: a client that waits for 100 Continue must not be asked for a body that nobody wants
+	s.reader.Close() // before allowBody, since a client that waits for 100 Continue must not be asked for a body that is not needed
 	s.allowBody()
 	if closesConn {
 		s.exchange.conn.Close()
@@ -92,12 +93,12 @@
 	isSent := s.isSent
 	s.mu.Unlock()
 	if isSent {
-		<-s.done // so that AttemptHooks.RequestSent is called before the attempt's end is reported
+		<-s.done // AttemptHooks.RequestSent must be called before Attempt returns
 		_ = s.exchange.conn.SetWriteDeadline(time.Time{})
 	}
 }
 
-// incompleteRequestResult is the result of an attempt whose request was not sent completely.
+// incompleteRequestResult returns the result of an attempt whose request was not sent completely.
 func (s *bodySender) incompleteRequestResult(ctx context.Context) balance.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,10 +110,10 @@
 	case s.isTooSlow || ctx.Err() != nil:
 		return balance.TimedOut
 	}
-	return balance.ErrorResponse // and not Reset: an endpoint that rejects uploads by closing the connection is not down
+	return balance.ErrorResponse // not Reset, since an endpoint that rejects an upload by closing the connection is not down
 }
 
-// run sends head and body.
+// run sends the head and the body.
 func (s *bodySender) run(head []byte) {
 	defer close(s.done)
 	if s.write(false, head) != nil {
@@ -158,7 +159,7 @@
 	return true
 }
 
-// abortBrokenUpload ends an attempt whose body does not come.
+// abortBrokenUpload closes the connection, and so ends the attempt, because the client's body could not be read.
 func (s *bodySender) abortBrokenUpload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// write writes parts of the request; isLast: the request's last byte is among them. If that fails, the endpoint may
-// have said why, and its response is awaited for a moment.
+// write writes parts of the request. isLast says whether they include the request's last byte. If the write fails, the endpoint may
+// have sent a response that explains why, so the response is still awaited for bufferedResponseTimeout.
 func (s *bodySender) write(isLast bool, parts ...[]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +190,7 @@
 	return err
 }
 
-// encodePart returns a part of the body as it is written: as a chunk, if the body has no known length.
+// encodePart returns a part of the body as it is written to the endpoint: as a chunk if the body's length is not known.
 func (s *bodySender) encodePart(part []byte) [][]byte {
 	if s.exchange.request.Upload.Size >= 0 {
 		return [][]byte{part}
@@ -197,12 +198,12 @@
 	return [][]byte{fmt.Appendf(nil, "%x\r\n", len(part)), part, crlf}
 }
 
-// finalChunk returns what ends a body without a known length.
+// finalChunk returns the last chunk and the trailers, which end a body whose length is not known.
 func (s *bodySender) finalChunk() []byte {
 	upload := s.exchange.request.Upload
 	text := bytes.NewBufferString("0\r\n")
 	if upload.Trailer != nil {
-		_ = forwardableTrailers(upload.Trailer()).Write(text) // a bytes.Buffer returns no error
+		_ = forwardableTrailers(upload.Trailer()).Write(text) // writing to a bytes.Buffer never fails
 	}
 	text.Write(crlf)
 	return text.Bytes()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxBufferedBody is the maximum length in bytes of a response's body that is buffered.
+	// maxBufferedBody is the maximum length in bytes of a buffered response's body.
 	maxBufferedBody = body.BufferSize
-	// bufferedResponseTimeout is the time from a buffered response's first byte to its last, unless Options.BufferedResponseTimeout is
-	// longer.
+	// bufferedResponseTimeout is the minimum of Options.BufferedResponseTimeout. It is also the time for which a streaming response
+	// is held back, and for which a response is awaited after a failed write.
 	bufferedResponseTimeout = 500 * time.Millisecond
-	maxInterimResponses     = 8 // 1xx, before the final response
+	maxInterimResponses     = 8 // number of 1xx responses at which an attempt fails
 
-	declinedHeader = "Srv-Declined" // of an endpoint that is full
+	declinedHeader = "Srv-Declined" // header, with value 1, of an endpoint that is at its capacity and has not run the request
 )
 
-// errMalformed is a response that can't be what the endpoint made for the request.
+// errMalformed means that a response violates HTTP, or a limit of this package.
 var errMalformed = errors.New("malformed response")
 
-// Response is an endpoint's response, buffered completely or as a stream.
+// Response is an endpoint's response, either buffered or streaming.
 type Response struct {
 	Status int
-	Header http.Header // as it was received
-	Body   []byte
-	Stream *Stream // the body in place of Body, if it streams
+	Header http.Header // header fields as received
+	Body   []byte      // buffered body; nil if Stream is set
+	Stream *Stream     // streaming body; nil if the response is buffered
 }
 
-// readFinalHead reads up to and including the head of the final response. onInterim, if not nil, is called with the
-// status of each interim response. The final response must follow its first byte at once, since a malformed one may
-// never end while its connection stays open.
+// readFinalHead reads the interim responses and the head of the final response. onInterim, if not nil, is called with the status
+// of each interim response. Each head must be complete within bufferedResponseLimit of its first byte, since an endpoint that
+// sends a malformed head may neither complete it nor close the connection. For the final response, this read deadline stays set.
 func (x *exchange) readFinalHead(onInterim func(status int)) (*http.Response, error) {
 	c := x.conn
 	c.byteLimit.N = maxHeads + maxBufferedBody
@@ -64,13 +64,14 @@
 	return nil, fmt.Errorf("%w: more than %d interim responses", errMalformed, maxInterimResponses-1)
 }
 
-// bufferedResponseLimit is how long a buffered response may take from its first byte to its last.
+// bufferedResponseLimit returns the maximum time from the first byte of a buffered response to its last.
 func (cl *Client) bufferedResponseLimit() time.Duration {
 	return max(bufferedResponseTimeout, cl.options.BufferedResponseTimeout)
 }
 
-// checkFraming rejects a response by its head. A body without a length ends with its connection, if the head says so
-// (RFC 9112, 6.3). If it does not say so, the body could end early without a sign of that.
+// checkFraming rejects a response whose head announces a body that is too long or whose end can't be recognized. A body without
+// a length ends when the connection is closed (RFC 9112, 6.3). That is accepted only if the head has "Connection: close":
+// otherwise a connection that broke early could not be told from the end of the body.
 func (x *exchange) checkFraming(resp *http.Response) error {
 	limit := x.client.options.MaxResponseBody
 	switch {
@@ -83,35 +84,35 @@
 	return nil
 }
 
-// readResponse reads what follows the final response's head and classifies the response.
+// readResponse reads the body of the final response and returns the outcome of the exchange.
 func (x *exchange) readResponse(ctx context.Context, resp *http.Response) outcome {
 	if x.isStreaming(resp) {
 		return x.streamResponse(ctx, resp)
 	}
-	text, err := readBufferedBody(resp)
+	content, err := readBufferedBody(resp)
 	if err == nil {
 		err = x.conn.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
 		return outcome{result: x.conn.failedResponseResult(ctx, err)}
 	}
-	return x.classify(resp, text)
+	return x.classify(resp, content)
 }
 
-// readBufferedBody reads a body that is buffered.
+// readBufferedBody reads a body of at most maxBufferedBody bytes to its end.
 func readBufferedBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
-	if err == nil && len(text) > maxBufferedBody {
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
+	if err == nil && len(content) > maxBufferedBody {
 		err = fmt.Errorf("%w: body of more than %d bytes is too long", errMalformed, maxBufferedBody)
 	}
-	return text, err
+	return content, err
 }
 
-// classify is the outcome of an exchange with a complete response.
-func (x *exchange) classify(resp *http.Response, text []byte) outcome {
+// classify returns the outcome of an exchange whose response was received completely.
+func (x *exchange) classify(resp *http.Response, content []byte) outcome {
 	isReusable := x.isReusableAfter(resp)
-	response := Response{Status: resp.StatusCode, Header: resp.Header, Body: text}
+	response := Response{Status: resp.StatusCode, Header: resp.Header, Body: content}
 	switch {
 	case x.client.isAcceptable(resp.StatusCode):
 		return outcome{balance.OK, response, isReusable}
@@ -123,26 +124,29 @@
 	return outcome{balance.ErrorResponse, response, isReusable}
 }
 
-// isReusableAfter reports whether the connection may carry another exchange after a response that was read completely.
+// isReusableAfter reports whether the connection may carry another exchange, after a response that was read completely.
 func (x *exchange) isReusableAfter(resp *http.Response) bool {
 	return !resp.Close && x.conn.reader.Buffered() == 0
 }
 
-// isAcceptable reports whether a status is what the endpoint made of the request, and not a failure of its own.
+// isAcceptable reports whether a status means that the endpoint has processed the request, be it with success or by rejecting it as
+// invalid.
 func (cl *Client) isAcceptable(status int) bool {
 	return status == http.StatusOK || !cl.options.OnlyOK && status < http.StatusInternalServerError && !promisesNotRun(status)
 }
 
-// promisesNotRun reports whether a client would take the status for a promise that its request has not run. One
-// endpoint can't promise that, since an attempt at another may have run.
+// promisesNotRun reports whether a client would take the status for a promise that its request has not run. Such a response of one
+// endpoint must not be forwarded, since an earlier attempt at another endpoint may have run.
 func promisesNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
+// isUnavailable reports whether a status is one that can come with declinedHeader.
 func isUnavailable(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
+// hasNoBody reports whether a response to a request with the given method has no body.
 func hasNoBody(method string, resp *http.Response) bool {
 	return method == http.MethodHead || resp.Body == http.NoBody
 }
--- a/internal/upstream/response_head.go
+++ b/internal/upstream/response_head.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxResponseHead is the maximum length in bytes of one head. It is the size of a connection's read buffer.
+	// maxResponseHead is the maximum length in bytes of one response head. It is the size of a connection's read buffer.
 	maxResponseHead = 8 << 10
-	// maxHeads is the maximum length in bytes of a response's heads, the interim ones included.
+	// maxHeads is the maximum total length in bytes of the heads of a response and its interim responses.
 	maxHeads = 16 << 10
 )
 
@@ -23,28 +23,28 @@
 		return nil, err
 	}
 	if resp.StatusCode < 100 || resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, fmt.Errorf("%w: status %d", errMalformed, resp.StatusCode)
+		return nil, fmt.Errorf("%w: unexpected status %d", errMalformed, resp.StatusCode)
 	}
 	return resp, nil
 }
 
-// bufferHead waits until a complete head is buffered, without consuming it, and rejects what net/http's parser would
-// accept. It notes whether the connection ends with the response.
+// bufferHead waits until a complete head is buffered, without consuming it. It rejects malformed heads that net/http's parser would
+// accept, and sets closesAfterResponse.
 func (c *conn) bufferHead() error {
 	for {
-		seen, _ := c.reader.Peek(c.reader.Buffered())
-		if end := bytes.Index(seen, []byte("\r\n\r\n")); end >= 0 {
-			c.closesAfterResponse = hasConnectionClose(seen[:end])
-			return checkHeadLines(seen[:end])
+		buffered, _ := c.reader.Peek(c.reader.Buffered())
+		if end := bytes.Index(buffered, []byte("\r\n\r\n")); end >= 0 {
+			c.closesAfterResponse = hasConnectionClose(buffered[:end])
+			return checkHeadLines(buffered[:end])
 		}
-		if _, err := c.reader.Peek(len(seen) + 1); err != nil {
+		if _, err := c.reader.Peek(len(buffered) + 1); err != nil {
 			return err
 		}
 	}
 }
 
-// hasConnectionClose reports whether a head has a Connection field with the option close. net/http's parser drops that
-// field.
+// hasConnectionClose reports whether a head has a Connection field with the option close. net/http's parser removes that field
+// from the header it returns.
 func hasConnectionClose(head []byte) bool {
 	for line := range bytes.SplitSeq(head, []byte("\r\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -60,8 +60,8 @@
 	return false
 }
 
-// checkHeadLines holds a head strictly to HTTP/1.1: lines end with CR LF and are not folded, and the body is framed
-// in one way only. What can be read in two ways may be corrupt or an attempt at smuggling.
+// checkHeadLines checks that a head follows HTTP/1.1 strictly: lines end with CR LF and are not folded, and the body is framed in
+// one way only. A head that can be interpreted in two ways may be corrupt or an attempt at response smuggling.
 func checkHeadLines(head []byte) error {
 	framings := 0
 	for i, line := range bytes.Split(head, []byte("\r\n")) {
@@ -74,7 +74,7 @@
 				return fmt.Errorf("%w: no HTTP/1.1 status line", errMalformed)
 			}
 		case !hasColon || bytes.ContainsAny(name, " \t"):
-			return fmt.Errorf("%w: line %d of the head is no field", errMalformed, i+1)
+			return fmt.Errorf("%w: line %d of the head is not a header field", errMalformed, i+1)
 		case bytes.EqualFold(name, []byte("Content-Length")), bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			framings++
 		}
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -18,51 +18,56 @@
 	"tuliprock/internal/body"
 )
 
-// ErrClientGone is passed to Stream.Close if the client has left before the body's end.
-var ErrClientGone = errors.New("client has left")
+// ErrClientGone is passed to Stream.Close if the client has disconnected before the body's end.
+var ErrClientGone = errors.New("client has disconnected")
 
-// Stream is the body of a streaming response. One goroutine reads it, with Next and Splice, and closes it once; Abort
-// may be called by any.
+// Stream is the body of a streaming response. One goroutine reads it with Next and Splice and then closes it once. Abort may be
+// called by any goroutine.
 type Stream struct {
-	Length    int64 // in bytes; -1 means that it is not known
+	Length    int64 // length of the body in bytes; -1 means that it is not known
 	conn      *conn
 	response  *http.Response
-	maxBytes  int64 // 0 means no maximum
-	meter     body.Meter
-	closed    chan error
-	isClaimed atomic.Bool // handed over, or read completely before that
+	maxBytes  int64       // maximum length of the body in bytes; 0 means no maximum
+	meter     body.Meter  // of the endpoint's minimum rate
+	closed    chan error  // receives the argument of Close
+	isClaimed atomic.Bool // handed over to AttemptHooks.ResponseStarted, or read completely before that
 
 	mu        sync.Mutex
-	readEnded sync.Cond
+	readEnded sync.Cond // signaled when a read from the endpoint has ended
 	buffer    []byte
-	filled    int // bytes of window that were read
-	consumed  int // bytes of window that were returned by Next
-	isReading bool
-	received  int64 // bytes of the body
-	err       error // of the latest read
+	filled    int   // bytes of buffer that hold data
+	consumed  int   // bytes of buffer that Next has returned
+	isReading bool  // a read from the endpoint is in progress
+	received  int64 // bytes of the body that were read or spliced
+	err       error // error of the last read; no read follows once it is set
 }
 
-// isStreaming reports whether a response's body streams. An endpoint's error never does, since a retry may follow it.
+// isStreaming reports whether a response's body streams. A response that is not acceptable is always buffered, since the request
+// may be retried.
 func (x *exchange) isStreaming(resp *http.Response) bool {
 	return x.client.options.BodyMemory != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
 		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBody || resp.ContentLength < 0)
 }
 
-// isEventStream reports whether the parts of a response are wanted as they come (HTML Living Standard, 9.2).
+// isEventStream reports whether a response consists of server-sent events, which must be forwarded without delay (HTML Living
+// Standard, 9.2).
 func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// streamResponse hands a streaming response over and waits until it is closed. For a moment it is held back, up to one
-// window: if it breaks meanwhile, a retry is still possible, and if it ends, it is returned as a buffered response.
+// streamResponse hands a streaming response over to AttemptHooks.ResponseStarted and waits until its Stream is closed. Before that,
+// it holds back up to one buffer of the body, for at most bufferedResponseTimeout: if the body breaks during this time, the
+// request can still be retried, and if the body ends, it is returned as a buffered response.
 func (x *exchange) streamResponse(ctx context.Context, resp *http.Response) outcome {
-	window, release, err := x.acquireBuffer(ctx)
+	buffer, release, err := x.acquireBuffer(ctx)
 	if err != nil {
-		return outcome{result: balance.Canceled} // which says nothing of the endpoint
+		return outcome{result: balance.Canceled} // a result that does not count against the endpoint
 	}
 	defer release()
-	x.conn.byteLimit.N = math.MaxInt64 // and resp.Body is never closed: that would read on for what was spliced past it
-	s := x.newStream(resp, window)
+	x.conn.byteLimit.N = math.MaxInt64 // Stream.maxBytes limits a streaming body instead
+	// resp.Body must not be closed: closing it reads to the body's end, but it does not count the bytes that Splice has taken
+	// from the connection, and would wait for more.
+	s := x.newStream(resp, buffer)
 	handedOver := make(chan bool, 1)
 	handOver := func() {
 		if s.isClaimed.CompareAndSwap(false, true) {
@@ -88,8 +93,8 @@
 	return x.closedOutcome(resp, <-s.closed)
 }
 
-// newStream returns the stream of a response that is read into window.
-func (x *exchange) newStream(resp *http.Response, window []byte) *Stream {
+// newStream returns a Stream that reads a response's body into buffer.
+func (x *exchange) newStream(resp *http.Response, buffer []byte) *Stream {
 	s := &Stream{
 		Length:   resp.ContentLength,
 		conn:     x.conn,
@@ -97,13 +102,13 @@
 		maxBytes: x.client.options.MaxResponseBody,
 		meter:    body.NewMeter(x.client.options.MinimumRate),
 		closed:   make(chan error, 1),
-		buffer:   window,
+		buffer:   buffer,
 	}
 	s.readEnded.L = &s.mu
 	return s
 }
 
-// closedOutcome is the outcome of an exchange whose stream was closed with an error or with nil.
+// closedOutcome returns the outcome of an exchange whose stream was closed with err, which may be nil.
 func (x *exchange) closedOutcome(resp *http.Response, err error) outcome {
 	switch {
 	case err == nil:
@@ -117,41 +122,41 @@
 	return outcome{result: balance.Reset}
 }
 
-// acquireBuffer returns the buffer of a response and what gives it back. It is the upload's own, if the upload no longer
-// needs that, so that exchanges which hold a window do not wait for another.
-func (x *exchange) acquireBuffer(ctx context.Context) (window []byte, release func(), err error) {
+// acquireBuffer returns the buffer for a response, and a function that releases it. If the request's upload no longer needs its
+// buffer, that one is used, so that an exchange which already has a buffer does not wait for a second one.
+func (x *exchange) acquireBuffer(ctx context.Context) (buffer []byte, release func(), err error) {
 	if upload := x.request.Upload; upload != nil {
-		if window = upload.TakeBuffer(); window != nil {
-			return window, func() {}, nil
+		if buffer = upload.TakeBuffer(); buffer != nil {
+			return buffer, func() {}, nil
 		}
 	}
-	w, err := x.client.options.BodyMemory.AcquireBuffer(ctx)
+	b, err := x.client.options.BodyMemory.AcquireBuffer(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	return *w, func() { x.client.options.BodyMemory.ReleaseBuffer(w) }, nil
+	return *b, func() { x.client.options.BodyMemory.ReleaseBuffer(b) }, nil
 }
 
-// prefetch reads until the window is full, the body has ended, or the stream is handed over.
+// prefetch reads until the buffer is full, the body has ended or broken, or the stream is handed over.
 func (s *Stream) prefetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.filled < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
-		// This replaces the deadline of buffered responses.
+		// Replaces the read deadline that readFinalHead has set.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
 	}
 }
 
-// hasEnded reports whether the window holds all of the body, or all that came before it broke.
+// hasEnded reports whether the body has ended or broken, so that nothing more will be read into the buffer.
 func (s *Stream) hasEnded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err != nil
 }
 
-// readOnce reads once into the free part of the window. s.mu is held before and after, but not during the read, so that
-// Next can return what is there.
+// readOnce reads once into the free part of the buffer. s.mu is held before and after, but not during the read, so that Next can
+// return bytes that were read before.
 func (s *Stream) readOnce() {
 	s.isReading = true
 	to := s.buffer[s.filled:]
@@ -174,20 +179,20 @@
 	s.readEnded.Broadcast()
 }
 
-// Next returns the next part of the body, of at most body.WindowSize bytes, which is valid until the next call. io.EOF is
-// the body's end. body.ErrTooSlow, wrapped, means that the endpoint does not keep its minimum rate, and any other error
-// that the body has broken.
+// Next returns the next part of the body, of at most body.BufferSize bytes, which is valid until the next call. It returns io.EOF
+// at the body's end. An error that wraps body.ErrTooSlow means that the endpoint does not keep its minimum rate, and any other
+// error that the body has broken.
 func (s *Stream) Next() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.consumed == s.filled && s.err == nil {
-		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait())) // also for a read that is under way
+		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait())) // also applies to a read that is in progress
 		if s.isReading {
 			s.readEnded.Wait()
 			continue
 		}
 		s.consumed, s.filled = 0, 0
-		if s.Length >= 0 && s.received == s.Length { // net/http does not count what was spliced
+		if s.Length >= 0 && s.received == s.Length { // net/http's reader does not count the bytes that were spliced
 			s.err = io.EOF
 			break
 		}
@@ -204,12 +209,12 @@
 	return nil, s.err
 }
 
-// Trailer returns the trailers that may be forwarded. It is valid once Next has returned io.EOF.
+// Trailer returns the trailers that may be forwarded. It must not be called before Next has returned io.EOF.
 func (s *Stream) Trailer() http.Header { return forwardableTrailers(s.response.Trailer) }
 
-// Close ends the stream. A nil error means that the body was forwarded completely, and any other says why not. It must
-// be called exactly once, by the goroutine that reads.
+// Close ends the stream. err is nil if the body was forwarded completely, and otherwise the reason why not. Close must be called
+// exactly once, by the goroutine that reads.
 func (s *Stream) Close(err error) { s.closed <- err }
 
-// Abort closes the connection, which makes Next fail.
+// Abort closes the connection to the endpoint, which makes Next fail.
 func (s *Stream) Abort() { s.conn.Close() }
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	minSpliceBytes    = 256 << 10              // left of a body, from which splicing is worth its system calls
-	maxSpliceBytes    = 1 << 20                // at once: what a pipe of the kernel holds at most
-	spliceReadTimeout = 100 * time.Millisecond // of the endpoint's next bytes
+	minSpliceBytes    = 256 << 10              // remaining bytes of a body below which splicing costs more system calls than it saves
+	maxSpliceBytes    = 1 << 20                // bytes per call of Splice, the maximum capacity of a pipe in the kernel
+	spliceReadTimeout = 100 * time.Millisecond // maximum wait for the endpoint per call of Splice
 )
 
-// Splice copies a piece of the body to a client's connection inside the kernel (splice(2), by way of
-// net.TCPConn.ReadFrom) and returns its length in bytes. 0 means that there is nothing to gain, and that Next must
-// follow. It waits for the endpoint for 100 ms at most: an endpoint below its minimum rate is found by Next.
-// clientMeter measures the client, whose write deadline Splice sets; body.ErrTooSlow means that the client is too slow.
+// Splice copies a part of the body to a client's connection inside the kernel (splice(2), which net.TCPConn.ReadFrom uses) and
+// returns its length in bytes. 0 means that the next part must be read with Next. Splice waits for the endpoint for at most
+// 100 ms, and leaves it to Next to detect an endpoint below its minimum rate. clientMeter is the meter of the client, and Splice
+// sets the client's write deadline from it; body.ErrTooSlow means that the client is too slow.
 func (s *Stream) Splice(to *net.TCPConn, clientMeter *body.Meter) (n int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,22 +29,22 @@
 	}
 	began := time.Now()
 	_ = from.SetReadDeadline(began.Add(spliceReadTimeout))
-	if at, changed := clientMeter.Deadline(began); changed {
-		if err := to.SetWriteDeadline(at); err != nil {
+	if deadline, changed := clientMeter.Deadline(began); changed {
+		if err := to.SetWriteDeadline(deadline); err != nil {
 			return 0, err
 		}
 	}
-	want := min(s.Length-s.received, maxSpliceBytes)
-	n, err = to.ReadFrom(&io.LimitedReader{R: from, N: want})
+	size := min(s.Length-s.received, maxSpliceBytes)
+	n, err = to.ReadFrom(&io.LimitedReader{R: from, N: size})
 	took := time.Since(began)
 	s.received += n
 	switch {
-	case err == nil && n < want:
+	case err == nil && n < size:
 		s.err = io.ErrUnexpectedEOF
 	case err == nil:
 		clientMeter.Record(int(n), took)
 		s.meter.Record(int(n), 0)
-	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint paused
+	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint's read deadline, not the client's
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -55,7 +55,7 @@
 	return n, err
 }
 
-// canSplice reports whether nothing of the body is buffered and enough of it is left. s.mu is held.
+// canSplice reports whether no part of the body is buffered and enough of it is left to splice. s.mu is held.
 func (s *Stream) canSplice() bool {
 	return s.Length >= 0 && s.Length-s.received >= minSpliceBytes && !s.isReading && s.consumed >= s.filled && s.err == nil &&
 		s.conn.reader.Buffered() == 0 && s.maxBytes <= 0
--- a/internal/upstream/trailer.go
+++ b/internal/upstream/trailer.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// forbiddenTrailers are fields that must not be merged into a message from its trailers: framing, routing,
-// credentials, and how the body is to be read (RFC 9110, 6.5.1).
+// forbiddenTrailers are fields that must not be forwarded as trailers: fields for framing, routing and authentication, and fields
+// that say how the body is processed (RFC 9110, 6.5.1).
 var forbiddenTrailers = []string{
 	"Authorization", "Cache-Control", "Connection", "Content-Encoding", "Content-Length", "Content-Range", "Content-Type",
 	"Cookie", "Expect", "Host", "Keep-Alive", "Max-Forwards", "Pragma", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Range", "Set-Cookie", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Www-Authenticate",
 }
 
-// forwardableTrailers returns those of a message's trailers that may be forwarded.
+// forwardableTrailers returns the trailers of a message that may be forwarded.
 func forwardableTrailers(in http.Header) http.Header {
 	out := http.Header{}
 	for name, values := range in {
