--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -15,7 +15,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// newTestClient returns a Client whose endpoints, named a, b and so on, accept requests at the addresses.
+// newTestClient returns a Client with one accepting endpoint for each address. Their IDs are a, b and so on.
 func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
 	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: 100, OnlyOK: true})
@@ -31,7 +31,7 @@
 	return &Request{Method: http.MethodGet, Target: path, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
-// contextFor returns a context with a deadline, which ends with the test.
+// contextFor returns a context with a timeout. It also ends with the test.
 func contextFor(t *testing.T, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -40,18 +40,18 @@
 }
 
 // attempt makes an attempt without hooks and returns its result.
-func attempt(t *testing.T, client *Client, id string, m *Request) balance.Result {
+func attempt(t *testing.T, client *Client, id string, req *Request) balance.Result {
 	t.Helper()
-	r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), id, m, AttemptHooks{})
+	r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), id, req, AttemptHooks{})
 	return r
 }
 
 func TestResponseDecidesResult(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, row := range map[string]struct {
-		text     string
-		want     balance.Result
-		keepOpen bool
+		text     string         // bytes that the endpoint writes
+		want     balance.Result // expected result of the attempt
+		keepOpen bool           // the endpoint keeps the connection open after that
 	}{
 		"200":                       {testpeer.Served, balance.OK, true},
 		"200 chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.OK, true},
@@ -93,37 +93,37 @@
 				t.Errorf("body %q, want %q", response.Body, want)
 			}
 			if n := e.Requests.Load(); n != 1 {
-				t.Errorf("the endpoint received the request %d times", n)
+				t.Errorf("the endpoint received %d requests, want 1", n)
 			}
 		})
 	}
 }
 
-func TestNoConnectionIsConnectFailedOrNotSent(t *testing.T) {
+func TestAttemptWithoutConnectionIsConnectFailedOrNotSent(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	client := newTestClient(t, e.Addr)
 	client.dialTimeout = time.Nanosecond
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.ConnectFailed {
-		t.Errorf("dial timeout: %v", r)
+		t.Errorf("dial timeout: result %v, want %v", r, balance.ConnectFailed)
 	}
 	e.Listener.Close()
 	client.dialTimeout = testpeer.Patience
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.ConnectFailed {
-		t.Errorf("refused: %v", r)
+		t.Errorf("connection refused: result %v, want %v", r, balance.ConnectFailed)
 	}
 	if r := attempt(t, client, "unlisted", getRequest("/c")); r != balance.NotSent {
-		t.Errorf("no address: %v", r)
+		t.Errorf("unknown endpoint: result %v, want %v", r, balance.NotSent)
 	}
 	client.options.MaxConnections = 0 // a limit of this process must not count against the endpoint
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.NotSent {
-		t.Errorf("connection limit: %v", r)
+		t.Errorf("connection limit: result %v, want %v", r, balance.NotSent)
 	}
 	if client.openCount != 0 {
-		t.Errorf("%d connections are still counted as open", client.openCount)
+		t.Errorf("%d connections are still counted as open, want 0", client.openCount)
 	}
 }
 
-// A request whose last byte was not written can't have run, at endpoints that begin with the last byte.
+// With StartsWithLastByte, a request whose last byte was not written can't have run, so that a retry is safe.
 func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,18 +136,18 @@
 			if _, err := io.ReadFull(nc, make([]byte, 10)); err != nil {
 				t.Error(err)
 			}
-			nc.Close() // with bytes unread: a reset
+			nc.Close() // sends a reset, since bytes are unread
 		}
 	}()
-	m := getRequest("/c")
-	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r := attempt(t, newTestClient(t, l.Addr().String()), "a", m); r != balance.ConnectFailed {
-		t.Errorf("result %v", r)
+	req := getRequest("/c")
+	req.Method, req.Body = http.MethodPost, make([]byte, 64<<20) // more bytes than the socket buffers hold
+	if r := attempt(t, newTestClient(t, l.Addr().String()), "a", req); r != balance.ConnectFailed {
+		t.Errorf("result %v, want %v", r, balance.ConnectFailed)
 	}
 }
 
-// The connection must be closed before the result is reported: a retry would otherwise be in flight together with this
-// attempt.
+// Attempt must close the connection before it reports a timeout or a cancellation. Otherwise a retry could be in flight at the
+// same time as this attempt.
 func TestConnectionIsClosedBeforeTimeoutOrCancelIsReported(t *testing.T) {
 	for _, want := range []balance.Result{balance.TimedOut, balance.Canceled} {
 		t.Run(fmt.Sprint(want), func(t *testing.T) {
@@ -174,13 +174,14 @@
 				t.Error("the connection is still open")
 			}
 			if err := <-closed; err == nil {
-				t.Error("the endpoint did not see the end")
+				t.Error("the endpoint read a byte, want an error because the connection was closed")
 			}
 		})
 	}
 }
 
-// net/http's Transport would resend these by itself.
+// Attempt must report a reset and not send the request again. net/http's Transport would resend these requests when a reused
+// connection breaks.
 func TestResetOfReusedConnectionIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -192,25 +193,24 @@
 				return true
 			})
 			client := newTestClient(t, e.Addr)
-			m := getRequest("/c")
-			m.Method = method
-			m.Header.Set("Idempotency-Key", "k")
-			if r := attempt(t, client, "a", m); r != balance.OK {
-				t.Fatalf("first: %v", r)
+			req := getRequest("/c")
+			req.Method = method
+			req.Header.Set("Idempotency-Key", "k")
+			if r := attempt(t, client, "a", req); r != balance.OK {
+				t.Fatalf("first attempt: result %v, want %v", r, balance.OK)
 			}
-			r, reused, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{})
+			r, reused, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", req, AttemptHooks{})
 			if r != balance.Reset || !reused {
-				t.Errorf("on a connection that broke: %v, reused %v", r, reused)
+				t.Errorf("second attempt: result %v, reused %v, want %v, true", r, reused, balance.Reset)
 			}
 			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
-				t.Errorf("%d requests on %d connections", n, c)
+				t.Errorf("the endpoint received %d requests on %d connections, want 2 on 1", n, c)
 			}
 		})
 	}
 }
 
-// The deadline header says how much time is left when the request is written, and not when its connection was
-// requested.
+// The deadline header must have the time that is left when the request is written, not when the dialing of its connection began.
 func TestDeadlineHeaderExcludesTimeSpentDialing(t *testing.T) {
 	const timeout, dialTime = 10 * time.Second, 50 * time.Millisecond
 	header := make(chan string, 1)
@@ -223,45 +223,45 @@
 	client := newTestClient(t, e.Addr)
 	connect := client.options.Connect
 	client.options.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		testpeer.Until(t, "the dial takes its time", func() bool { return time.Since(began) > dialTime })
+		testpeer.Until(t, "dialTime has passed", func() bool { return time.Since(began) > dialTime })
 		return connect(ctx, network, addr)
 	}
-	m := getRequest("/c")
-	m.DeadlineHeader = "Req-Deadline-Ms"
-	if r, _, _ := client.Attempt(contextFor(t, timeout), "a", m, AttemptHooks{}); r != balance.OK {
-		t.Fatal(r)
+	req := getRequest("/c")
+	req.DeadlineHeader = "Req-Deadline-Ms"
+	if r, _, _ := client.Attempt(contextFor(t, timeout), "a", req, AttemptHooks{}); r != balance.OK {
+		t.Fatalf("result %v, want %v", r, balance.OK)
 	}
-	if ms, err := strconv.Atoi(<-header); err != nil || time.Duration(ms)*time.Millisecond > timeout-dialTime+time.Millisecond {
-		t.Errorf("header says %d ms, %v: %v of %v had passed", ms, err, dialTime, timeout)
+	const maxLeft = timeout - dialTime + time.Millisecond
+	if ms, err := strconv.Atoi(<-header); err != nil || time.Duration(ms)*time.Millisecond > maxLeft {
+		t.Errorf("the deadline header has %d ms (error %v), want at most %v, since dialing took %v of %v", ms, err, maxLeft, dialTime, timeout)
 	}
 }
 
-// resumedProcessContext is the context of an attempt in a process that was stopped and has just resumed: its deadline has
-// passed, and its timer has not fired yet.
+// resumedProcessContext is the context of an attempt in a process that was suspended and has just resumed: its deadline has passed,
+// but the timer that cancels the context has not fired yet.
 type resumedProcessContext struct{ context.Context }
 
 func (resumedProcessContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 func (resumedProcessContext) Done() <-chan struct{}       { return nil }
 func (resumedProcessContext) Err() error                  { return nil }
 
-// A request that waited for a connection while the process was stopped is not sent when the process resumes, whether
-// the connection is new or has rested.
+// A request must not be sent if its deadline has passed while the process was suspended, be it on a new connection or on an idle one.
 func TestNothingIsSentPastDeadlineAfterProcessPause(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	client := newTestClient(t, e.Addr)
 	for _, row := range []struct {
-		connection string
+		connection string // kind of connection that the attempt uses
 		want       balance.Result
-	}{{"new", balance.ConnectFailed}, {"rested", balance.NotSent}} {
+	}{{"new", balance.ConnectFailed}, {"idle", balance.NotSent}} {
 		r, _, _ := client.Attempt(resumedProcessContext{context.Background()}, "a", getRequest("/late"), AttemptHooks{})
 		if r != row.want {
-			t.Errorf("on a %s connection: %v, want %v", row.connection, r, row.want)
+			t.Errorf("on a connection that is %s: result %v, want %v", row.connection, r, row.want)
 		}
 		if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
-			t.Fatalf("%v", r)
+			t.Fatalf("attempt before its deadline: result %v, want %v", r, balance.OK)
 		}
 	}
 	if n := e.Requests.Load(); n != 2 {
-		t.Errorf("%d requests came, and 2 were in time", n)
+		t.Errorf("the endpoint received %d requests, want the 2 before their deadline", n)
 	}
 }
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -14,56 +14,56 @@
 func TestDeadIdleConnectionIsNotReused(t *testing.T) {
 	for name, trailing := range map[string]string{"closed": "", "unrequested bytes": "x"} {
 		t.Run(name, func(t *testing.T) {
-			answered := make(chan bool, 1)
+			responded := make(chan bool, 1)
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 				io.WriteString(nc, testpeer.Served)
 				if n == 1 {
-					<-answered
+					<-responded
 					io.WriteString(nc, trailing)
 				}
 				return n > 1
 			})
 			client := newTestClient(t, e.Addr)
 			if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
-				t.Fatalf("first: %v", r)
+				t.Fatalf("first attempt: result %v, want %v", r, balance.OK)
 			}
-			answered <- true
+			responded <- true
 			testpeer.Until(t, name, func() bool { idle := client.pools["a"].idle; return len(idle) == 0 || !idle[0].hasNoInput() })
 			if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
-				t.Errorf("second: %v", r)
+				t.Errorf("second attempt: result %v, want %v", r, balance.OK)
 			}
 			if c := e.Connections.Load(); c != 2 {
-				t.Errorf("%d connections", c)
+				t.Errorf("the endpoint accepted %d connections, want 2", c)
 			}
 		})
 	}
 }
 
-func TestConnectionsAreReusedUntilStaleMovedOrDraining(t *testing.T) {
+func TestConnectionsAreReusedUntilStaleOrAddressChangesOrDraining(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	other := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	client := newTestClient(t, e.Addr)
 	wantConnections := func(want int32) {
 		t.Helper()
 		if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
-			t.Fatalf("result %v", r)
+			t.Fatalf("result %v, want %v", r, balance.OK)
 		}
 		if c := e.Connections.Load(); c != want {
-			t.Errorf("%d connections, want %d", c, want)
+			t.Errorf("the endpoint accepted %d connections, want %d", c, want)
 		}
 	}
 	wantConnections(1)
 	wantConnections(1)
-	client.pools["a"].idle[0].idleSince = time.Now().Add(-client.maxIdleAge) // the endpoint may close it at any moment
+	client.pools["a"].idle[0].idleSince = time.Now().Add(-client.maxIdleAge) // so old that the endpoint may close it at any moment
 	wantConnections(2)
-	client.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
+	client.SetEndpoint("a", other.Addr, true) // the idle connection still leads to the old address
 	wantConnections(2)
 	if c := other.Connections.Load(); c != 1 || client.openCount != 1 {
-		t.Errorf("%d connections to the new address, %d open", c, client.openCount)
+		t.Errorf("%d connections to the new address and %d open in total, want 1 and 1", c, client.openCount)
 	}
 	client.SetEndpoint("a", other.Addr, false)
 	if client.openCount != 0 {
-		t.Errorf("%d connections to an endpoint that is draining", client.openCount)
+		t.Errorf("%d connections to a draining endpoint are open, want 0", client.openCount)
 	}
 }
 
@@ -74,23 +74,23 @@
 	client.options.MaxConnections = 1
 	for _, id := range []string{"a", "b", "a"} {
 		if r := attempt(t, client, id, getRequest("/c")); r != balance.OK {
-			t.Errorf("%s: %v", id, r)
+			t.Errorf("endpoint %s: result %v, want %v", id, r, balance.OK)
 		}
 		if client.openCount != 1 {
-			t.Errorf("%d open", client.openCount)
+			t.Errorf("%d connections are open, want 1", client.openCount)
 		}
 	}
 }
 
-// A duplicate of a response that comes just after the first copy must not be read as the response to the next request,
-// though nothing more came together with the first copy and the next request is made at once.
+// An endpoint may send a response twice. The duplicate must not be read as the response to the next request, even if it arrives
+// only after the first copy was read and the next request is made at once.
 func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
-	answered := make(chan bool)
+	responded := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.Header.Get("Req-Id")
 		io.WriteString(nc, text)
 		if n == 1 {
-			<-answered
+			<-responded
 			io.WriteString(nc, text)
 		}
 		return true
@@ -98,25 +98,25 @@
 	client := newTestClient(t, e.Addr)
 	client.reuseDelay = time.Second
 	for _, id := range []string{"r1", "r2"} {
-		m := getRequest("/c")
-		m.Header.Set("Req-Id", id)
-		r, _, response := client.Attempt(contextFor(t, testpeer.Patience), "a", m, AttemptHooks{})
+		req := getRequest("/c")
+		req.Header.Set("Req-Id", id)
+		r, _, response := client.Attempt(contextFor(t, testpeer.Patience), "a", req, AttemptHooks{})
 		if r != balance.OK || string(response.Body) != id {
-			t.Errorf("request %s: %v, response %q", id, r, response.Body)
+			t.Errorf("request %s: result %v, body %q, want %v, %q", id, r, response.Body, balance.OK, id)
 		}
 		if id == "r1" {
-			answered <- true
+			responded <- true
 		}
 	}
 	if c := e.Connections.Load(); c != 2 {
-		t.Errorf("%d connections", c)
+		t.Errorf("the endpoint accepted %d connections, want 2", c)
 	}
 }
 
-// A duplicate response that comes some milliseconds late is not read as the next response, since nothing of the next
-// request is written before it would have come.
-func TestConnectionRestsBeforeNextRequest(t *testing.T) {
-	const latestDuplicate = 6 * time.Millisecond // of those that were measured
+// A duplicate response may arrive some milliseconds after the first copy. So that it is not read as the next response, the next
+// request on the connection must not be written before then.
+func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
+	const latestDuplicate = 6 * time.Millisecond // rounded-up delay of the latest duplicate that was observed, see reuseDelay
 	var firstRequest, lastRequest time.Time
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 		if lastRequest = time.Now(); n == 1 {
@@ -128,16 +128,16 @@
 	client := newTestClient(t, e.Addr)
 	for range 2 {
 		if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
-			t.Fatal(r)
+			t.Fatalf("result %v, want %v", r, balance.OK)
 		}
 	}
 	if e.Connections.Load() == 1 && lastRequest.Sub(firstRequest) < latestDuplicate {
-		t.Errorf("a request came %v after the previous response", lastRequest.Sub(firstRequest))
+		t.Errorf("the second request came %v after the first one, want at least %v", lastRequest.Sub(firstRequest), latestDuplicate)
 	}
 }
 
-// A connection that was acquired for a request that is no longer wanted keeps its age, since its endpoint's idle
-// timeout goes on and could end under the next request.
+// A connection that was acquired for a request that was not sent must keep its idleSince. The endpoint's idle timeout was not reset,
+// and could expire while the next request is on its way.
 func TestUnusedConnectionKeepsItsIdleAge(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	client := newTestClient(t, e.Addr)
@@ -146,21 +146,21 @@
 		t.Helper()
 		hooks := AttemptHooks{IsWanted: func() bool { return isWanted }}
 		if r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), hooks); r != want {
-			t.Fatalf("%v, want %v", r, want)
+			t.Fatalf("result %v, want %v", r, want)
 		}
 	}
 	wantResult(true, balance.OK)
-	answered := time.Now()
-	testpeer.Until(t, "half of the idle time has passed", func() bool { return time.Since(answered) > client.maxIdleAge/2 })
+	responded := time.Now()
+	testpeer.Until(t, "half of maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge/2 })
 	wantResult(false, balance.NotSent)
-	testpeer.Until(t, "all of the idle time has passed", func() bool { return time.Since(answered) > client.maxIdleAge })
+	testpeer.Until(t, "maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge })
 	wantResult(true, balance.OK)
 	if n := e.Connections.Load(); n != 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("the endpoint accepted %d connections, want 2", n)
 	}
 }
 
-func TestHasIdleSeesClosedConnection(t *testing.T) {
+func TestHasIdleDetectsClosedConnection(t *testing.T) {
 	release := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(nc, testpeer.Served)
@@ -169,25 +169,26 @@
 	})
 	client := newTestClient(t, e.Addr)
 	if client.HasIdle("a") || client.HasIdle("unknown") {
-		t.Error("idle before the first attempt")
+		t.Error("HasIdle is true before the first attempt, want false")
 	}
-	if r := attempt(t, client, "a", getRequest("/look")); r != balance.OK {
-		t.Fatal(r)
+	if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
+		t.Fatalf("result %v, want %v", r, balance.OK)
 	}
 	if !client.HasIdle("a") {
-		t.Error("not idle after a response")
+		t.Error("HasIdle is false after a response, want true")
 	}
 	close(release)
-	testpeer.Until(t, "the close is seen", func() bool { return !client.HasIdle("a") })
+	testpeer.Until(t, "HasIdle is false after the endpoint has closed the connection", func() bool { return !client.HasIdle("a") })
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if client.openCount != 0 {
-		t.Errorf("%d open after the close", client.openCount)
+		t.Errorf("%d connections are open after the endpoint has closed its only one, want 0", client.openCount)
 	}
 }
 
-// With Options.Spread a connection that rests delays no request while fewer than the maximum are open.
-func TestSpreadDialsInsteadOfWaitingForRest(t *testing.T) {
+// With Options.DialInsteadOfWaiting, a request does not wait for the reuse delay of a connection while fewer than MaxConnections are
+// open.
+func TestClientDialsInsteadOfWaitingForReuseDelay(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	for _, limit := range []int{1, 2} {
 		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: limit, DialInsteadOfWaiting: true})
@@ -195,11 +196,11 @@
 		client.SetEndpoint("a", e.Addr, true)
 		for range 2 {
 			if r := attempt(t, client, "a", getRequest("/x")); r != balance.OK {
-				t.Errorf("result %v", r)
+				t.Errorf("result %v, want %v", r, balance.OK)
 			}
 		}
 		if n := e.Connections.Swap(0); int(n) != limit {
-			t.Errorf("with %d at most, %d were opened", limit, n)
+			t.Errorf("MaxConnections %d: two attempts opened %d connections, want %d", limit, n, limit)
 		}
 		client.sweep(func(*conn) bool { return false })
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -16,12 +16,12 @@
 	"tuliprock/internal/body"
 )
 
-// scriptedConn is a connection from which a fixed text is read, and then its end. What is written to it is kept.
+// scriptedConn is a connection from which a fixed text and then io.EOF is read. It records the bytes that are written to it.
 type scriptedConn struct {
 	net.Conn
 	mu  sync.Mutex
-	in  *bytes.Reader
-	out bytes.Buffer
+	in  *bytes.Reader // text that has not been read yet
+	out bytes.Buffer  // bytes that were written
 }
 
 func (s *scriptedConn) Read(to []byte) (int, error) {
@@ -40,22 +40,23 @@
 func (s *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
+// newScriptedConn returns a scriptedConn, and a conn that uses it.
 func newScriptedConn(text []byte) (*scriptedConn, *conn) {
 	s := &scriptedConn{in: bytes.NewReader(text)}
 	limit := &io.LimitedReader{R: s}
 	return s, &conn{Conn: s, byteLimit: limit, reader: bufio.NewReaderSize(limit, maxResponseHead)}
 }
 
-// exchangeResult is how an exchange with an endpoint that writes a fixed text ended.
+// exchangeResult is the result of an exchange with an endpoint that writes a fixed text.
 type exchangeResult struct {
 	status     int
 	body       []byte
-	isOK       bool
-	isReusable bool
-	unread     int // bytes of the text
+	isOK       bool // the result is balance.OK
+	isReusable bool // the connection may carry another exchange
+	unread     int  // bytes of the text that were not consumed
 }
 
-// exchangeWith makes an exchange with an endpoint that writes text, whatever it is sent.
+// exchangeWith makes an exchange with an endpoint that writes text, regardless of the request it receives.
 func exchangeWith(text []byte, method string) exchangeResult {
 	s, c := newScriptedConn(text)
 	client := New(Options{BodyMemory: body.NewMemoryPool(8 * body.BufferSize), MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
@@ -86,7 +87,7 @@
 	return got
 }
 
-// readStream reads a stream up to its end, where the error is nil, or up to an error.
+// readStream reads a stream to its end. The error is nil if it has reached the end.
 func readStream(s *Stream) (text []byte, err error) {
 	for {
 		part, err := s.Next()
@@ -100,8 +101,8 @@
 	}
 }
 
-// A response that is accepted here is read by net/http with the same status and body, and with its end in the same
-// place.
+// For a response that Client accepts, net/http must read the same status and body, and must find the response's end at the same
+// byte.
 func FuzzResponseIsReadAsNetHTTPReadsIt(f *testing.F) {
 	long := string(bytes.Repeat([]byte("x"), 70_000))
 	for _, seed := range []string{
@@ -139,19 +140,20 @@
 			resp, err = http.ReadResponse(reference, &http.Request{Method: method})
 		}
 		if err != nil {
-			t.Fatalf("net/http: %v; here status %d", err, got.status)
+			t.Fatalf("the client accepted a response with status %d that net/http rejects: %v", got.status, err)
 		}
 		want, err := io.ReadAll(resp.Body)
 		if err != nil || got.status != resp.StatusCode || !bytes.Equal(got.body, want) {
-			t.Fatalf("status %d with %d bytes; net/http: %d with %d, %v", got.status, len(got.body), resp.StatusCode, len(want), err)
+			t.Fatalf("read status %d with %d bytes, net/http: status %d with %d bytes, error %v",
+				got.status, len(got.body), resp.StatusCode, len(want), err)
 		}
 		if rest := in.Len() + reference.Buffered(); got.isReusable && (rest != 0 || got.unread != 0) {
-			t.Fatalf("the connection is reusable with %d bytes unread (net/http: %d)", got.unread, rest)
+			t.Fatalf("the connection is reusable with %d bytes unread (net/http: %d), want 0", got.unread, rest)
 		}
 	})
 }
 
-// A streaming request is forwarded with the body that was received, and without trailers that must not be forwarded.
+// A streaming request must be forwarded with exactly the body that was received, and without forbidden trailers.
 func FuzzRequestBodyIsForwardedUnchanged(f *testing.F) {
 	for _, seed := range []string{
 		"Content-Length: 2\r\n\r\nhi",
@@ -175,7 +177,7 @@
 			return
 		}
 		var want bytes.Buffer
-		_, broken := io.Copy(&want, received.Body)
+		_, bodyErr := io.Copy(&want, received.Body)
 		received, _ = read()
 		s, c := newScriptedConn(nil)
 		pool := body.NewMemoryPool(8 * body.BufferSize)
@@ -191,28 +193,29 @@
 			t.Fatal(err)
 		}
 		defer upload.Close(0, 0)
-		m := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: upload}
-		flow, _ := upload.NewReader()
+		req := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Upload: upload}
+		reader, _ := upload.NewReader()
 		client := New(Options{MinimumRate: body.MinimumRate{IdleTimeout: time.Minute}})
-		sender := newBodySender(&exchange{client: client, conn: c, request: m}, flow)
-		sender.run(m.encode(context.Background()))
+		sender := newBodySender(&exchange{client: client, conn: c, request: req}, reader)
+		sender.run(req.encode(context.Background()))
 		forwarded, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(s.out.Bytes())))
 		if err != nil {
-			t.Fatalf("the forwarded request can't be read: %v, %q", err, s.out.String())
+			t.Fatalf("parsing the forwarded request %q: %v", s.out.String(), err)
 		}
 		got, err := io.ReadAll(forwarded.Body)
-		if broken != nil {
-			if sender.isSent || err == nil && !errors.Is(broken, io.EOF) {
-				t.Fatalf("a broken body (%v) was forwarded as a complete one: %q", broken, s.out.String())
+		if bodyErr != nil {
+			if sender.isSent || err == nil && !errors.Is(bodyErr, io.EOF) {
+				t.Fatalf("a broken body (%v) was forwarded as a complete one: %q", bodyErr, s.out.String())
 			}
 			return
 		}
 		if err != nil || !sender.isSent || !bytes.Equal(got, want.Bytes()) || forwarded.ContentLength != received.ContentLength {
-			t.Fatalf("%d bytes of %d were forwarded, %v, sent %v", len(got), want.Len(), err, sender.isSent)
+			t.Fatalf("forwarded %d bytes of %d with length %d, want length %d; error %v, sent completely %v",
+				len(got), want.Len(), forwarded.ContentLength, received.ContentLength, err, sender.isSent)
 		}
 		for name := range forwarded.Trailer {
 			if len(forwardableTrailers(http.Header{name: {""}})) == 0 {
-				t.Fatalf("the trailer %s was forwarded", name)
+				t.Fatalf("the forbidden trailer %s was forwarded", name)
 			}
 		}
 	})
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -42,11 +42,11 @@
 
 // runUpload sends a request whose body streams, and at the same time waits for the response, which may come before the body's end.
 func (x *exchange) runUpload(ctx context.Context, head []byte) outcome {
-	flow, ok := x.request.Upload.NewReader()
+	reader, ok := x.request.Upload.NewReader()
 	if !ok {
 		return outcome{result: balance.NotSent}
 	}
-	s := newBodySender(x, flow)
+	s := newBodySender(x, reader)
 	go s.run(head)
 	resp, err := x.readFinalHead(func(status int) {
 		if status == http.StatusContinue {
@@ -65,10 +65,10 @@
 	return o
 }
 
-func newBodySender(x *exchange, flow *body.UploadReader) *bodySender {
+func newBodySender(x *exchange, reader *body.UploadReader) *bodySender {
 	return &bodySender{
 		exchange:    x,
-		reader:      flow,
+		reader:      reader,
 		meter:       body.NewMeter(x.client.options.MinimumRate),
 		bodyAllowed: make(chan struct{}),
 		done:        make(chan struct{}),
