--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -32,7 +32,7 @@
 	errPastDeadline    = errors.New("deadline passed before anything was sent")
 )
 
-// localFailures are errors with causes in this process, which do not mean that the endpoint has failed.
+// localFailures are errors that do not count against the endpoint.
 var localFailures = []error{errUnknownEndpoint, errConnectionLimit, errNotAccepting, errPastDeadline, errNotWanted,
 	syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL}
 
@@ -62,9 +62,9 @@
 		return unlessCanceled(ctx, noConnectionResult(err)), false, Response{}
 	}
 	reused = !c.idleSince.IsZero()
-	x := &exchange{client: cl, conn: c, request: req, hooks: hooks, stopDeadline: context.AfterFunc(ctx, func() { c.Close() })}
+	x := &exchange{client: cl, conn: c, request: req, hooks: hooks, detachContext: context.AfterFunc(ctx, func() { c.Close() })}
 	o := x.run(ctx, encoded)
-	if o.isReusable && (x.isHandedOver.Load() || x.stopDeadline()) {
+	if o.isReusable && (x.isHandedOver.Load() || x.detachContext()) {
 		cl.release(c, true)
 	} else {
 		cl.discard(c)
@@ -104,10 +104,10 @@
 	conn    *conn
 	request *Request
 	hooks   AttemptHooks
-	// stopDeadline detaches the connection from the attempt's context, whose end closes the connection. It returns false if the
-	// context had already ended.
-	stopDeadline func() bool
-	isHandedOver atomic.Bool // AttemptHooks.ResponseStarted has accepted the response
+	// detachContext prevents the end of the attempt's context from closing the connection. It returns false if the context had
+	// already ended.
+	detachContext func() bool
+	isHandedOver  atomic.Bool // AttemptHooks.ResponseStarted has accepted the response
 }
 
 // outcome is how an exchange ended.
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -63,10 +63,10 @@
 	var got exchangeResult
 	streamed := make(chan []byte, 1)
 	x := &exchange{
-		client:       client,
-		conn:         c,
-		request:      &Request{Method: method, Header: http.Header{}},
-		stopDeadline: func() bool { return true },
+		client:        client,
+		conn:          c,
+		request:       &Request{Method: method, Header: http.Header{}},
+		detachContext: func() bool { return true },
 	}
 	x.hooks.ResponseStarted = func(response Response) bool {
 		got.status = response.Status
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -71,7 +71,7 @@
 	handedOver := make(chan bool, 1)
 	handOver := func() {
 		if s.isClaimed.CompareAndSwap(false, true) {
-			x.isHandedOver.Store(x.stopDeadline() && x.hooks.ResponseStarted(Response{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
+			x.isHandedOver.Store(x.detachContext() && x.hooks.ResponseStarted(Response{Status: resp.StatusCode, Header: resp.Header, Stream: s}))
 			handedOver <- x.isHandedOver.Load()
 		}
 	}
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	minSpliceBytes    = 256 << 10              // remaining bytes of a body below which splicing costs more system calls than it saves
+	minSpliceBytes    = 256 << 10              // remaining bytes of a body below which splicing is not worth its system calls
 	maxSpliceBytes    = 1 << 20                // bytes per call of Splice, the maximum capacity of a pipe in the kernel
 	spliceReadTimeout = 100 * time.Millisecond // maximum wait for the endpoint per call of Splice
 )
