--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,8 +13,9 @@
 
 // AttemptHooks are called during an attempt. The zero value suits an attempt whose bodies are buffered.
 type AttemptHooks struct {
-	// IsWanted reports whether the client still waits for a response. It is called on the attempt's goroutine, immediately
-	// before the first byte is written. If it returns false, nothing is written. nil means that the request is still wanted.
+	// IsWanted reports whether the request should still be sent; it should not, for example, if the client has disconnected. It
+	// is called on the attempt's goroutine, immediately before the first byte is written. If it returns false, nothing is
+	// written. nil means that the request should be sent.
 	IsWanted func() bool
 	// RequestSent is called after the last byte of a streaming request body was written, on one of the attempt's goroutines.
 	RequestSent func()
@@ -45,7 +46,7 @@
 ) (result balance.Result, reused bool, response Response) {
 	c, encoded, err := cl.acquire(ctx, id, req)
 	// While acquire dialed or waited for the reuse delay, the endpoint may have stopped accepting requests, the deadline may have
-	// passed, and the client may have disconnected.
+	// passed, and the request may have become unwanted.
 	switch {
 	case err != nil:
 	case !cl.isAccepting(id, c):
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -233,7 +233,8 @@
 	}
 	const maxLeft = timeout - dialTime + time.Millisecond
 	if ms, err := strconv.Atoi(<-header); err != nil || time.Duration(ms)*time.Millisecond > maxLeft {
-		t.Errorf("the deadline header has %d ms (error %v), want at most %v, since dialing took %v of %v", ms, err, maxLeft, dialTime, timeout)
+		t.Errorf("the deadline header has %d ms (error %v), want at most %v, since dialing took %v of %v",
+			ms, err, maxLeft, dialTime, timeout)
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -7,8 +7,8 @@
 // streams, one more goroutine sends it (see bodySender).
 //
 // An attempt writes its request at most once, and writes nothing after Attempt has returned. So attempts that are made one after
-// the other are never in flight at the same time. Nothing is written for a request whose deadline has passed, whose client has
-// disconnected, or whose endpoint no longer accepts requests.
+// the other are never in flight at the same time. Nothing is written for a request whose deadline has passed, which is no longer
+// wanted (see AttemptHooks.IsWanted), or whose endpoint no longer accepts requests.
 package upstream
 
 import (
