--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -11,18 +11,18 @@
 // by IdleTimeout. A pause shorter than IdleTimeout is allowed.
 func TestMeterEnforcesMinimumRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := MinimumRate{
+		minimum := MinimumRate{
 			IdleTimeout:    time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second,
 			BytesPerSecond: int64(rapid.IntRange(10, 10_000).Draw(t, "rate")),
 		}
 		fraction := rapid.Float64Range(0.1, 3).Draw(t, "fraction of the rate")
 		step := time.Duration(rapid.IntRange(1, 900).Draw(t, "step in ms")) * time.Millisecond
-		m, total, transferred := NewMeter(p), time.Duration(0), 0.0
+		m, total, transferred := NewMeter(minimum), time.Duration(0), 0.0
 		for range 5000 {
 			if m.MaxWait() < step {
 				break
 			}
-			n := int(fraction*float64(p.BytesPerSecond)*(total+step).Seconds() - transferred)
+			n := int(fraction*float64(minimum.BytesPerSecond)*(total+step).Seconds() - transferred)
 			transferred += float64(n)
 			m.Record(n, step)
 			total += step
@@ -32,7 +32,7 @@
 		switch {
 		case fraction >= 1.01 && !hasCompleted:
 			t.Fatalf("a peer above the minimum rate was found too slow after %v", total)
-		case fraction < 1 && secondsBehind > p.IdleTimeout.Seconds()+step.Seconds()+2/float64(p.BytesPerSecond):
+		case fraction < 1 && secondsBehind > minimum.IdleTimeout.Seconds()+step.Seconds()+2/float64(minimum.BytesPerSecond):
 			t.Fatalf("a peer below the minimum rate was accepted for %v, when it was %.1f s behind", total, secondsBehind)
 		}
 	})
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -229,16 +229,16 @@
 // net/http ask for the body.
 func TestReadToEndReadsRestWithoutTriggeringContinue(t *testing.T) {
 	for name, c := range map[string]struct {
-		end     error // error of the read after the last part
-		expects bool  // the client waits for 100 Continue
-		parts   int   // parts of the body, PrefixSize bytes each
-		want    error // error that ReadToEnd should return
-		left    int   // parts that should remain unread
+		end             error // error of the read after the last part
+		expectsContinue bool  // the client waits for 100 Continue
+		parts           int   // parts of the body, PrefixSize bytes each
+		want            error // error that ReadToEnd should return
+		unread          int   // parts that should remain unread
 	}{
 		"complete":                 {end: io.EOF, parts: 5},
 		"without its end":          {end: io.ErrUnexpectedEOF, parts: 5, want: ErrBroken},
-		"waits for 100 Continue":   {end: io.EOF, expects: true, parts: 1, want: ErrBroken, left: 1},
-		"too long":                 {end: io.EOF, parts: 40, want: ErrTooLong, left: 7},
+		"waits for 100 Continue":   {end: io.EOF, expectsContinue: true, parts: 1, want: ErrBroken, unread: 1},
+		"too long":                 {end: io.EOF, parts: 40, want: ErrTooLong, unread: 7},
 		"broken before the prefix": {end: io.ErrUnexpectedEOF, want: ErrBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -247,12 +247,12 @@
 				s.parts = append(s.parts, make([]byte, PrefixSize))
 			}
 			source := s.source()
-			source.ExpectsContinue = c.expects
+			source.ExpectsContinue = c.expectsContinue
 			u := newTestUpload(t, NewMemoryPool(2*BufferSize), source)
 			if err := u.ReadToEnd(); !errors.Is(err, c.want) || !errors.Is(u.Err(), c.want) ||
-				u.IsComplete() != (c.want == nil) || len(s.parts) != c.left {
+				u.IsComplete() != (c.want == nil) || len(s.parts) != c.unread {
 				t.Errorf("ReadToEnd returned %v, Err %v, IsComplete %v, %d parts unread, want error %v and %d parts unread",
-					err, u.Err(), u.IsComplete(), len(s.parts), c.want, c.left)
+					err, u.Err(), u.IsComplete(), len(s.parts), c.want, c.unread)
 			}
 			u.Close(0, 0)
 		})
