--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// newMixedTable has n rules of all cheap kinds, ten for each host, and a request that only one of the last rules matches.
+// newMixedTable returns a table of n rules of all kinds but Pattern, ten for each host, and a request that only the last of the
+// Exact rules matches.
 func newMixedTable(tb testing.TB, n int) (*Table, *Request) {
 	tb.Helper()
 	var rules []Rule
@@ -46,7 +47,7 @@
 	}
 }
 
-// Without hosts the index narrows a lookup the least.
+// The index narrows a lookup least if no rule has a host.
 func BenchmarkMatchWithoutHosts(b *testing.B) {
 	for _, kind := range []PathKind{Prefix, Segments, Pattern} {
 		for _, n := range []int{10, 1000, 10000} {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -9,44 +9,44 @@
 	"strings"
 )
 
-// Bounds of a rule's path. They bound the memory of a table that is compiled from an operators' file.
+// Limits on a rule's path, which bound the memory of a table that is compiled from an operator's file.
 const (
-	maxSegments     = 64
-	maxPatternBytes = 1024
+	maxSegments     = 64   // segments of a path of kind Segments
+	maxPatternBytes = 1024 // bytes of a regular expression
 )
 
-// Parts of a path of the kind Segments that stand for others.
+// Wildcards in a path of kind Segments.
 const (
-	wildcardSegment  = "*"
-	trailingWildcard = "**"
+	wildcardSegment  = "*"  // matches one non-empty segment
+	trailingWildcard = "**" // matches any number of segments at the end of a path
 )
 
-// RuleError is what is wrong with a rule that New was given.
+// RuleError reports that a rule passed to New is invalid.
 type RuleError struct {
-	Index int    // of the rule in New's argument
-	Name  string // of the rule
-	Err   error
+	Index int    // index of the rule in New's argument
+	Name  string // name of the rule
+	Err   error  // reason why the rule is invalid
 }
 
 func (e *RuleError) Error() string { return fmt.Sprintf("route %d (%s): %v", e.Index, e.Name, e.Err) }
 
-// Unwrap returns what is wrong, without the rule's index and name.
+// Unwrap returns the reason, without the rule's index and name.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// compiledRule is a rule that has been checked. The names of its header conditions are canonical.
+// compiledRule is a validated rule, with its path parsed. The names of its header conditions are canonical.
 type compiledRule struct {
 	Rule
-	pattern             *regexp.Regexp // of the kind Pattern, anchored at both ends
-	literalPrefix       string         // that any match of the pattern begins with
-	segments            []string       // of the kind Segments, without "**"
-	hasTrailingWildcard bool           // the segments are followed by "**"
+	pattern             *regexp.Regexp // path of a rule of kind Pattern, anchored at both ends
+	literalPrefix       string         // literal text that every match of pattern begins with
+	segments            []string       // segments of the path of a rule of kind Segments, without a trailing "**"
+	hasTrailingWildcard bool           // the path of a rule of kind Segments ends with "**"
 }
 
 func compile(r Rule) (compiledRule, error) {
 	c := compiledRule{Rule: r}
 	for _, host := range r.Hosts {
 		if !isHostPattern(host) {
-			return c, fmt.Errorf("host %q is no name in small letters, nor one behind \"*.\"", host)
+			return c, fmt.Errorf("host %q is not a lower-case name, with or without a leading \"*.\"", host)
 		}
 	}
 	if err := c.compilePath(); err != nil {
@@ -92,10 +92,10 @@
 		c.segments, c.hasTrailingWildcard = c.segments[:last], true
 	}
 	if len(c.segments) > maxSegments {
-		return fmt.Errorf("path has over %d segments", maxSegments)
+		return fmt.Errorf("path has more than %d segments", maxSegments)
 	}
 	if slices.Contains(c.segments, trailingWildcard) {
-		return errors.New(`"**" may stand at the end of a path only`)
+		return errors.New(`"**" is allowed only at the end of a path`)
 	}
 	return nil
 }
@@ -108,8 +108,8 @@
 	if c.pattern, err = regexp.Compile(`\A(?:` + c.Path + `)\z`); err != nil {
 		return fmt.Errorf("pattern: %w", err)
 	}
-	// The anchors hide the literal prefix from package regexp. A pattern may compile only within the group, as ")(" does;
-	// then it has no prefix.
+	// LiteralPrefix returns nothing for an anchored expression, so the prefix is taken from the pattern without anchors. A
+	// pattern such as ")(" compiles only inside the group; it gets no prefix.
 	if unanchored, err := regexp.Compile(c.Path); err == nil {
 		c.literalPrefix, _ = unanchored.LiteralPrefix()
 	}
--- a/internal/route/condition.go
+++ b/internal/route/condition.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// String says what a request lacks that does not meet the condition.
+// String describes why a request does not meet the condition.
 func (c *Condition) String() string {
 	switch c.Operator {
 	case Absent:
-		return fmt.Sprintf("%s is there, and must not be", c.Name)
+		return fmt.Sprintf("%s is present, but must be absent", c.Name)
 	case Equal:
 		return fmt.Sprintf("%s is not %q", c.Name, c.Value)
 	case HasPrefix:
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s is missing", c.Name)
 }
 
-// matchesHeader needs a canonical name in the condition.
+// matchesHeader reports whether a header meets the condition, whose name must be canonical.
 func (c *Condition) matchesHeader(h http.Header) bool {
 	values := h[c.Name]
 	if c.Operator == Absent {
@@ -29,7 +29,7 @@
 	return slices.ContainsFunc(values, c.matchesValue)
 }
 
-// matchesQuery goes through a raw query without building a map of it.
+// matchesQuery reports whether a raw query meets the condition. It scans the query in place, which spares building a map.
 func (c *Condition) matchesQuery(rawQuery string) bool {
 	for rawQuery != "" {
 		var pair string
@@ -42,7 +42,7 @@
 	return c.Operator == Absent
 }
 
-// matchesValue compares a value that is present.
+// matchesValue compares a value of a request by an operator other than Absent.
 func (c *Condition) matchesValue(value string) bool {
 	switch c.Operator {
 	case Equal:
@@ -53,7 +53,8 @@
 	return true
 }
 
-// isImpliedBy reports whether the condition holds wherever another holds. It may return false for one that does.
+// isImpliedBy reports whether every request that meets the other condition meets this one, too. It may miss an implication,
+// but never reports a wrong one.
 func (c Condition) isImpliedBy(other Condition) bool {
 	switch {
 	case c == other:
@@ -66,7 +67,7 @@
 	return c.Operator == HasPrefix && other.Operator != Present && strings.HasPrefix(other.Value, c.Value)
 }
 
-// unescapeQuery decodes a name or value of a query as forms are decoded. A malformed one is returned as it is.
+// unescapeQuery decodes a name or value of a query like a form's: "+" is a space. A malformed one is returned unchanged.
 func unescapeQuery(s string) string {
 	if !strings.ContainsAny(s, "%+") {
 		return s
--- a/internal/route/condition_test.go
+++ b/internal/route/condition_test.go
@@ -8,9 +8,9 @@
 
 func TestConditionComparesEachValue(t *testing.T) {
 	for _, c := range []struct {
-		query string
-		want  Condition
-		holds bool
+		query     string
+		condition Condition
+		want      bool
 	}{
 		{"a=1", Condition{"a", Present, ""}, true}, {"b=1", Condition{"a", Present, ""}, false}, {"a", Condition{"a", Present, ""}, true},
 		{"a=1", Condition{"a", Absent, ""}, false}, {"b=1", Condition{"a", Absent, ""}, true}, {"", Condition{"a", Absent, ""}, true},
@@ -18,18 +18,18 @@
 		{"%61=%31", Condition{"a", Equal, "1"}, true}, {"a=x+y", Condition{"a", Equal, "x y"}, true}, {"a=%zz", Condition{"a", Equal, "%zz"}, true},
 		{"&&a=1&", Condition{"a", Equal, "1"}, true},
 	} {
-		t.Run(fmt.Sprintf("query %q %s", c.query, &c.want), func(t *testing.T) {
-			if got := c.want.matchesQuery(c.query); got != c.holds {
-				t.Errorf("got %v, want %v", got, c.holds)
+		t.Run(fmt.Sprintf("query %q %s", c.query, &c.condition), func(t *testing.T) {
+			if got := c.condition.matchesQuery(c.query); got != c.want {
+				t.Errorf("matchesQuery returned %v, want %v", got, c.want)
 			}
 		})
 	}
 	h := http.Header{"A": {"1", "23"}}
-	for want, holds := range map[Condition]bool{{"A", Present, ""}: true, {"B", Present, ""}: false, {"A", Absent, ""}: false, {"B", Absent, ""}: true,
+	for condition, want := range map[Condition]bool{{"A", Present, ""}: true, {"B", Present, ""}: false, {"A", Absent, ""}: false, {"B", Absent, ""}: true,
 		{"A", Equal, "23"}: true, {"A", Equal, "2"}: false, {"A", HasPrefix, "2"}: true} {
-		t.Run("header "+want.String(), func(t *testing.T) {
-			if got := want.matchesHeader(h); got != holds {
-				t.Errorf("got %v, want %v", got, holds)
+		t.Run("header "+condition.String(), func(t *testing.T) {
+			if got := condition.matchesHeader(h); got != want {
+				t.Errorf("matchesHeader returned %v, want %v", got, want)
 			}
 		})
 	}
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// pathIndex is an index of the rules of one host by their paths. Rules are given by their indexes in the table; all
-// lists are in ascending order.
+// pathIndex indexes the rules of one host by their paths. It refers to a rule by its index in the table; all lists of rules are
+// in ascending order.
 type pathIndex struct {
-	any      []int
-	exact    map[string][]int
-	prefixes prefixIndex
-	segments *segmentNode
-	patterns prefixIndex // by the literal prefix
+	any      []int            // rules of kind AnyPath
+	exact    map[string][]int // rules of kind Exact, by their path
+	prefixes prefixIndex      // rules of kind Prefix, by their path
+	segments *segmentNode     // rules of kind Segments: the root of their tree
+	patterns prefixIndex      // rules of kind Pattern, by the literal prefix of their expression
 }
 
 func newPathIndex() *pathIndex {
@@ -36,31 +36,32 @@
 	}
 }
 
-// prefixIndex has lists of rules by what a path must begin with. A lookup takes one access for each length.
+// prefixIndex maps prefixes of paths to rules. A lookup takes one map access for each distinct length of a prefix.
 type prefixIndex struct {
 	rulesByPrefix map[string][]int
-	lengths       []int // of the prefixes, ascending, each once
+	lengths       []int // distinct lengths of the prefixes in bytes, ascending
 }
 
 func (x *prefixIndex) add(prefix string, rule int) {
 	if x.rulesByPrefix[prefix] == nil {
-		if at, found := slices.BinarySearch(x.lengths, len(prefix)); !found {
-			x.lengths = slices.Insert(x.lengths, at, len(prefix))
+		if i, found := slices.BinarySearch(x.lengths, len(prefix)); !found {
+			x.lengths = slices.Insert(x.lengths, i, len(prefix))
 		}
 	}
 	x.rulesByPrefix[prefix] = append(x.rulesByPrefix[prefix], rule)
 }
 
-// segmentNode is a node in the tree of the paths of the kind Segments. It stands for the segments on the way from the
-// root.
+// segmentNode is a node of the tree in which paths of kind Segments are stored. Each edge from the root to a node is labeled with
+// one segment.
 type segmentNode struct {
-	children              map[string]*segmentNode
-	wildcard              *segmentNode // the child for "*"
-	rules                 []int        // that end here
-	trailingWildcardRules []int        // that end here with "**"
+	children              map[string]*segmentNode // child nodes by their literal segment
+	wildcard              *segmentNode            // child node for the segment "*"
+	rules                 []int                   // rules whose path ends at this node
+	trailingWildcardRules []int                   // rules whose path ends with "**" after this node
 }
 
-// isEmptyRoot reports whether a tree has no rules. A rule without "**" has at least one segment, and so a child.
+// isEmptyRoot reports whether the tree below a root has no rules. The rules of the root itself need no check: a path without
+// "**" has at least one segment, so its rule is stored at a descendant.
 func (n *segmentNode) isEmptyRoot() bool {
 	return n.children == nil && n.wildcard == nil && n.trailingWildcardRules == nil
 }
@@ -76,7 +77,7 @@
 	}
 }
 
-// child returns the node for one more segment, and makes it if need be.
+// child returns the child node for a segment, and creates it if it does not exist.
 func (n *segmentNode) child(segment string) *segmentNode {
 	if segment == wildcardSegment {
 		if n.wildcard == nil {
--- a/internal/route/mismatch.go
+++ b/internal/route/mismatch.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Mismatch says why the rule at an index does not match a request. It is empty if the rule matches.
+// Mismatch describes why the rule at an index does not match a request. It returns "" if the rule matches.
 //
-// It compares the parts one by one and does not use the table's indexes, so that tests can take it as the reference.
+// It compares each part of the rule directly, without the table's indexes, so that tests can check Match against it.
 func (t *Table) Mismatch(index int, r *Request) string {
 	c := &t.rules[index]
 	switch {
--- a/internal/route/mismatch_test.go
+++ b/internal/route/mismatch_test.go
@@ -16,7 +16,7 @@
 	for i, want := range []string{`host "b.example" is none of a.example`, `path "/y" does not match "/x"`, "method GET is none of PUT", `header X-A is not "1"`, "query value q is missing", ""} {
 		t.Run(fmt.Sprintf("rule %d", i), func(t *testing.T) {
 			if got := table.Mismatch(i, r); got != want {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("Mismatch returned %q, want %q", got, want)
 			}
 		})
 	}
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Errors of Normalize. Each is a reason to reject a request with 400: a target that servers read in different ways must
-// not be routed by one reading and served by another.
+// Errors of Normalize, each of which rejects the request with status 400. Servers interpret such targets in different ways: a
+// target must not be routed by one interpretation and served by another.
 var (
 	ErrNotAbsolutePath    = errors.New("the target is no absolute path")
 	ErrUnencodedCharacter = errors.New("the target has a character that must be encoded")
@@ -16,15 +16,15 @@
 	ErrAboveRoot          = errors.New("the path leads above its root")
 )
 
-// Normalize returns the path of a request's target in its normal form, in which it is matched and forwarded, and the
-// query as it arrived, without its "?". In normal form unreserved characters are not percent-encoded, other encodings
-// are in capitals (RFC 3986, 6.2.2.1 and 6.2.2.2), and there are no dot segments (5.2.4).
+// Normalize returns the path of a request target in normal form, in which it is matched and forwarded, and the unchanged query
+// without its "?". In normal form unreserved characters are not percent-encoded, other percent-encodings are in upper case (RFC
+// 3986, 6.2.2.1 and 6.2.2.2), and there are no dot segments (RFC 3986, 5.2.4).
 //
-// The query must consist of characters that may stand in a target. A path that servers read in different ways is an
-// error: encoded slashes, backslashes and NULs, empty segments but the last, and parameters (";"), which some servers
-// strip.
+// The query must consist of characters that are allowed in a target. A path that servers interpret in different ways is an
+// error: one with encoded slashes, backslashes or NULs, with empty segments except the last, or with parameters (";"), which
+// some servers strip.
 //
-// A path in normal form is returned as it is, without allocation.
+// A path that is already in normal form is returned without allocation.
 func Normalize(target string) (path, query string, err error) {
 	path, query, _ = strings.Cut(target, "?")
 	if path == "" || path[0] != '/' {
@@ -44,8 +44,8 @@
 	return path, query, err
 }
 
-// Host returns the host of a Host header in the form that rules have it in: in small letters, without port, brackets and
-// final dot.
+// Host returns the host of a Host header in the form in which rules name hosts: in lower case, without port, brackets and final
+// dot.
 func Host(header string) string {
 	if name, _, err := net.SplitHostPort(header); err == nil {
 		header = name
@@ -53,7 +53,7 @@
 	return strings.ToLower(strings.TrimSuffix(strings.Trim(header, "[]"), "."))
 }
 
-// isQuery reports whether a query consists of visible ASCII characters, less the one that begins a fragment.
+// isQuery reports whether a query consists of visible ASCII characters other than "#", which begins a fragment.
 func isQuery(query string) bool {
 	for i := range len(query) {
 		if c := query[i]; c <= ' ' || c > '~' || c == '#' {
@@ -63,7 +63,8 @@
 	return true
 }
 
-// isNormal reports whether an absolute path is certainly in normal form. An error means that it has none.
+// isNormal reports whether an absolute path is certainly in normal form; false means that it may have to be changed. An error
+// means that the path has no normal form.
 func isNormal(path string) (normal bool, err error) {
 	normal = true
 	for i := range len(path) {
@@ -72,8 +73,8 @@
 			normal = false
 		case c == '/' && i > 0 && path[i-1] == '/', c == ';':
 			return false, ErrInvalidSegment
-		case c == '.' && path[i-1] == '/': // the first byte is a slash
-			normal = false // the segment may be a dot segment
+		case c == '.' && path[i-1] == '/': // i > 0, since the first byte is a slash
+			normal = false // this may be a dot segment
 		case !isPathByte(c):
 			return false, ErrUnencodedCharacter
 		}
@@ -81,7 +82,7 @@
 	return normal, nil
 }
 
-// isPathByte reports whether a byte may stand in a path unencoded: pchar and slash (RFC 3986, 3.3), less the semicolon.
+// isPathByte reports whether a byte is allowed unencoded in a path: pchar and slash (RFC 3986, 3.3), except the semicolon.
 func isPathByte(c byte) bool {
 	return isUnreserved(c) || strings.IndexByte("/!$&'()*+,=:@", c) >= 0
 }
@@ -93,7 +94,7 @@
 
 const hexDigits = "0123456789ABCDEF"
 
-// decodePath decodes unreserved characters and brings other encodings into capitals.
+// decodePath decodes percent-encoded unreserved characters and writes other percent-encodings in upper case.
 func decodePath(path string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(path))
@@ -111,7 +112,7 @@
 		}
 		switch c := byte(high<<4 | low); {
 		case c == '/' || c == '\\' || c == 0 || c == ';' || c == '%':
-			return "", ErrInvalidEscape // a server that decodes once more would read another path
+			return "", ErrInvalidEscape // a server that decodes the path again would read a different path
 		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
@@ -124,7 +125,7 @@
 	return b.String(), nil
 }
 
-// hexValue returns the value of a hexadecimal digit, and -1 for another byte.
+// hexValue returns the value of a hexadecimal digit, and -1 for any other byte.
 func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
@@ -137,27 +138,27 @@
 	return -1
 }
 
-// removeDotSegments is the algorithm of RFC 3986, 5.2.4, except that a step above the root is an error: servers differ
-// in what they make of it.
+// removeDotSegments implements RFC 3986, 5.2.4, except that a path that leads above the root is an error, since servers handle
+// it in different ways.
 func removeDotSegments(path string) (string, error) {
-	var kept []string
+	var output []string
 	segments := strings.Split(path[1:], "/")
 	for i, segment := range segments {
 		isLast := i == len(segments)-1
 		switch segment {
 		case ".":
 		case "..":
-			if len(kept) == 0 {
+			if len(output) == 0 {
 				return "", ErrAboveRoot
 			}
-			kept = kept[:len(kept)-1]
+			output = output[:len(output)-1]
 		default:
-			kept = append(kept, segment)
+			output = append(output, segment)
 			continue
 		}
 		if isLast {
-			kept = append(kept, "") // the path keeps its final slash
+			output = append(output, "") // the path keeps its final slash
 		}
 	}
-	return "/" + strings.Join(kept, "/"), nil
+	return "/" + strings.Join(output, "/"), nil
 }
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -14,7 +14,7 @@
 		t.Run(target, func(t *testing.T) {
 			got, _, err := Normalize(target)
 			if err != nil || got != want {
-				t.Errorf("got %q, %v, want %q", got, err, want)
+				t.Errorf("Normalize returned path %q, error %v, want path %q", got, err, want)
 			}
 		})
 	}
@@ -26,7 +26,7 @@
 	} {
 		t.Run("rejected "+target, func(t *testing.T) {
 			if got, _, err := Normalize(target); !errors.Is(err, want) || err.Error() != want.Error() {
-				t.Errorf("got %q, %v, want %v", got, err, want)
+				t.Errorf("Normalize returned path %q, error %v, want error %v", got, err, want)
 			}
 		})
 	}
@@ -43,13 +43,13 @@
 		}
 		again, _, err := Normalize(path)
 		if err != nil || again != path {
-			t.Errorf("%q is %q, which is %q, %v", target, path, again, err)
+			t.Errorf("%q is normalized to %q, which is normalized again to %q, error %v", target, path, again, err)
 		}
 		if strings.Contains(path, "//") || strings.Contains(path+"/", "/../") || strings.Contains(path+"/", "/./") || strings.ContainsAny(path, "?;\\# ") || path[0] != '/' {
-			t.Errorf("%q is %q", target, path)
+			t.Errorf("%q is normalized to %q, which is not in normal form", target, path)
 		}
 		if _, raw, _ := strings.Cut(target, "?"); raw != query {
-			t.Errorf("the query of %q is %q", target, query)
+			t.Errorf("Normalize returned query %q for %q, want %q", query, target, raw)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 		"[::1]": "::1", "": "", "10.0.0.1": "10.0.0.1"} {
 		t.Run(header, func(t *testing.T) {
 			if got := Host(header); got != want {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("Host returned %q, want %q", got, want)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 	for target, ok := range map[string]bool{"/a?b=%20&c=/?": true, "/a?b#c": false, "/a?\xff": false, "/a?\x20": false} {
 		t.Run(target, func(t *testing.T) {
 			if _, _, err := Normalize(target); (err == nil) != ok {
-				t.Errorf("got %v, want accepted %v", err, ok)
+				t.Errorf("Normalize returned error %v, want success %v", err, ok)
 			}
 		})
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,56 +1,56 @@
-// Package route decides which route takes a request: rules in, a compiled table out. It also has the normal form of
-// request targets that rules are matched against.
+// Package route finds the rule that a request matches. Rules are compiled into a Table, which is indexed by host and path. The
+// package also normalizes request targets, since rules are matched against normalized paths.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A Table never changes and is safe for concurrent use.
-// The work of a lookup is bounded by the table, whatever the request is.
+// The package does no I/O, reads no clock and starts no goroutine. A Table is immutable and safe for concurrent use. The work
+// of a lookup is bounded by the size of the table, whatever the request is.
 package route
 
 import "net/http"
 
-// PathKind says how a rule's path is compared with that of a request.
+// PathKind says how a rule's path is compared with the path of a request.
 type PathKind uint8
 
-// The kinds of paths.
+// The kinds of paths in rules.
 const (
-	AnyPath  PathKind = iota
-	Exact             // the whole path
-	Prefix            // any path that begins with it
-	Segments          // segment by segment: "*" is any one that is not empty, "**" at the end any number, none included
-	Pattern           // a regular expression (RE2) that must match the whole path
+	AnyPath  PathKind = iota // every path matches
+	Exact                    // the request's path must be equal to the rule's
+	Prefix                   // the request's path must begin with the rule's
+	Segments                 // compared segment by segment: "*" matches one non-empty segment, "**" at the end any number, even none
+	Pattern                  // the rule's path is a regular expression (RE2) that must match the complete path
 )
 
-// Operator says how a header's or a query's value is compared.
+// Operator says how a condition compares the value of a header or query parameter.
 type Operator uint8
 
-// The operators. Of a value that occurs several times one that matches is enough.
+// The operators of a Condition. If a name occurs several times in a request, one value that matches is enough.
 const (
-	Present Operator = iota
-	Absent
-	Equal
-	HasPrefix
+	Present   Operator = iota // the request has the name, with any value
+	Absent                    // the request does not have the name
+	Equal                     // the value is equal to the condition's
+	HasPrefix                 // the value begins with the condition's
 )
 
-// Condition is a requirement on a header or a query value. Names of headers are compared without regard to case.
+// Condition is a requirement on a header or a query parameter of a request.
 type Condition struct {
-	Name     string
+	Name     string // name of the header or query parameter; header names are compared without regard to case
 	Operator Operator
-	Value    string // for Equal and HasPrefix
+	Value    string // value to compare with, if the operator is Equal or HasPrefix
 }
 
-// Rule is a route as it is written. The first rule of a table whose every part matches takes a request. A part that is
-// left empty matches all.
+// Rule describes the requests of one route. A request is routed by the first rule of the table of which every part matches. A
+// part that is empty matches every request.
 type Rule struct {
 	Name    string
-	Hosts   []string // any of these: "a.example", or "*.example" for any name below it, of any depth
+	Hosts   []string // alternatives: "a.example", or "*.example" for all names below it, at any depth
 	Kind    PathKind
 	Path    string
-	Methods []string // any of these
-	Headers []Condition
-	Query   []Condition
+	Methods []string    // alternative request methods
+	Headers []Condition // conditions on headers, all of which must hold
+	Query   []Condition // conditions on query parameters, all of which must hold
 }
 
-// Request is what is matched. Host is in the form that the function Host returns, Path and RawQuery are in that of
-// Normalize. The keys of Header must be canonical.
+// Request holds the parts of a request that rules are matched against. Host must be as the function Host returns it, Path and
+// RawQuery as Normalize returns them. The keys of Header must be canonical.
 type Request struct {
 	Host, Path, RawQuery, Method string
 	Header                       http.Header
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Shadow is a rule that takes no requests because an earlier one takes all that it would match. Both are indexes of the
-// table.
+// Shadow is a rule that no request reaches because an earlier rule matches all requests that it would match. Both fields are
+// indexes of rules in the table.
 type Shadow struct{ Rule, By int }
 
-// Unreachable returns the rules that one earlier rule shadows. Rules that only several others shadow together are not
-// found. The time that it takes grows with the square of the number of rules.
+// Unreachable returns the rules that are shadowed by a single earlier rule. It does not find rules that are shadowed only by
+// several earlier rules together. Its time is quadratic in the number of rules.
 func (t *Table) Unreachable() []Shadow {
 	var shadows []Shadow
 	for later := range t.rules {
@@ -24,10 +24,11 @@
 	return shadows
 }
 
-// covers reports whether the rule matches all requests that another matches. It may return false for one that does.
+// covers reports whether the rule matches every request that another rule matches. It may miss such a pair, but never reports a
+// wrong one.
 func (c *compiledRule) covers(other *compiledRule) bool {
 	isImplied := func(conditions []Condition) func(Condition) bool {
-		return func(own Condition) bool { return slices.ContainsFunc(conditions, own.isImpliedBy) }
+		return func(implied Condition) bool { return slices.ContainsFunc(conditions, implied.isImpliedBy) }
 	}
 	return c.coversPath(other) && c.coversHosts(other) && c.coversMethods(other) &&
 		allMatch(c.Headers, isImplied(other.Headers)) && allMatch(c.Query, isImplied(other.Query))
@@ -57,14 +58,14 @@
 	case c.Kind == other.Kind && c.Path == other.Path:
 		return true
 	case c.Kind == Segments && other.Kind == Segments && c.hasTrailingWildcard && len(other.segments) >= len(c.segments):
-		return slices.EqualFunc(c.segments, other.segments[:len(c.segments)], func(own, its string) bool {
-			return own == its || own == wildcardSegment && its != ""
+		return slices.EqualFunc(c.segments, other.segments[:len(c.segments)], func(segment, otherSegment string) bool {
+			return segment == otherSegment || segment == wildcardSegment && otherSegment != ""
 		})
 	}
 	return false
 }
 
-// matchesAnyPath reports whether the rule's path matches that of every request.
+// matchesAnyPath reports whether the rule's path matches the path of every request.
 func (c *compiledRule) matchesAnyPath() bool {
 	switch c.Kind {
 	case AnyPath:
--- a/internal/route/shadow_test.go
+++ b/internal/route/shadow_test.go
@@ -19,12 +19,12 @@
 			got, _ := table.Match(drawRequest(t))
 			for _, s := range shadows {
 				if got == s.Rule {
-					t.Fatalf("rule %d is matched, though %d shadows it: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
+					t.Fatalf("Match returned rule %d, which is shadowed by rule %d: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
 				}
 			}
 		}
 	})
 	if found == 0 {
-		t.Error("no rule was ever found to be unreachable")
+		t.Error("Unreachable found no rule in any of the tables")
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -5,16 +5,15 @@
 	"strings"
 )
 
-// Table is a compiled list of rules. A lookup allocates nothing unless it has to decode a query value or to match a
-// pattern.
+// Table is a compiled list of rules. A lookup allocates memory only to decode a query value or to match a regular expression.
 type Table struct {
 	rules         []compiledRule
-	exactHosts    map[string]*pathIndex
-	wildcardHosts map[string]*pathIndex // by the name after "*."
-	anyHost       *pathIndex
+	exactHosts    map[string]*pathIndex // rules with a host that is a full name, by that name
+	wildcardHosts map[string]*pathIndex // rules with a host "*.NAME", by NAME
+	anyHost       *pathIndex            // rules without hosts
 }
 
-// New compiles rules. An error is a *RuleError.
+// New compiles rules. Any error that it returns is a *RuleError.
 func New(rules []Rule) (*Table, error) {
 	t := &Table{exactHosts: map[string]*pathIndex{}, wildcardHosts: map[string]*pathIndex{}, anyHost: newPathIndex()}
 	for i, r := range rules {
@@ -47,13 +46,13 @@
 // Len returns how many rules the table has.
 func (t *Table) Len() int { return len(t.rules) }
 
-// Rule returns the rule at an index of New's argument, with canonical names of headers.
+// Rule returns the rule at an index of New's argument, with canonical header names.
 func (t *Table) Rule(index int) Rule { return t.rules[index].Rule }
 
-// noRule is an index beyond those of all rules.
+// noRule is an index greater than that of any rule.
 const noRule = int(^uint(0) >> 1)
 
-// Match returns the index of the first rule that takes a request, and whether there is one.
+// Match returns the index of the first rule that matches a request, and whether there is one.
 func (t *Table) Match(r *Request) (index int, ok bool) {
 	best := noRule
 	if p := t.exactHosts[r.Host]; p != nil {
@@ -73,8 +72,8 @@
 	return best, best != noRule
 }
 
-// firstMatchOfHost returns the first rule of a host that takes the request if it comes before best, and best otherwise. Each
-// kind of path lowers best, so that fewer rules of the kinds that cost more are tried.
+// firstMatchOfHost returns the first rule of a host that matches the request if it comes before best, and best otherwise. Kinds
+// of paths are looked up from cheap to expensive: each match lowers best, which leaves fewer expensive rules to check.
 func (t *Table) firstMatchOfHost(p *pathIndex, r *Request, best int) int {
 	best = t.firstMatch(p.any, r, best)
 	best = t.firstMatch(p.exact[r.Path], r, best)
@@ -96,9 +95,9 @@
 	return best
 }
 
-// firstMatchBySegments walks down the tree of segments. path begins with the slash before the next segment, or is empty at
-// the end. A node is reached on one way only, so that each is visited once at most: the work is bounded by the tree,
-// whatever the path is.
+// firstMatchBySegments is firstMatch for the rules below a node of the segment tree. path is the part of the request's path that
+// is not matched yet: it begins with the slash before the next segment, or is empty at the end. Each node has one parent and so
+// is visited at most once: the work is bounded by the size of the tree, whatever the path is.
 func (t *Table) firstMatchBySegments(n *segmentNode, path string, r *Request, best int) int {
 	best = t.firstMatch(n.trailingWildcardRules, r, best)
 	if path == "" {
@@ -117,8 +116,8 @@
 	return best
 }
 
-// firstMatch returns the first rule of a list whose other parts match if it comes before best, and best otherwise. Host and
-// path of these rules have been matched.
+// firstMatch returns the first rule of a list that matches the request if it comes before best, and best otherwise. The hosts
+// and paths of these rules are known to match.
 func (t *Table) firstMatch(rules []int, r *Request, best int) int {
 	for _, i := range rules {
 		if i >= best {
@@ -131,8 +130,8 @@
 	return best
 }
 
-// firstPatternMatch does what first does for rules whose pattern has yet to be matched. That costs more than all else, and
-// so comes last.
+// firstPatternMatch is firstMatch for rules of kind Pattern, whose paths are not known to match. The regular expression is
+// matched last, since it costs more than all other parts.
 func (t *Table) firstPatternMatch(rules []int, r *Request, best int) int {
 	for _, i := range rules {
 		if i >= best {
@@ -145,7 +144,7 @@
 	return best
 }
 
-// matchesMethodAndConditions reports whether everything but host and path matches.
+// matchesMethodAndConditions reports whether every part of the rule other than host and path matches the request.
 func (c *compiledRule) matchesMethodAndConditions(r *Request) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) {
 		return false
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// firstWithoutMismatch is the reference for Match: each rule in turn, each part by itself.
+// firstWithoutMismatch is the reference implementation of Match: it compares each part of each rule in turn, without an index.
 func firstWithoutMismatch(t *Table, r *Request) (int, bool) {
 	for i := range t.rules {
 		if t.Mismatch(i, r) == "" {
@@ -18,7 +18,7 @@
 	return noRule, false
 }
 
-func oneOf(words ...string) *rapid.Generator[string] { return rapid.SampledFrom(words) }
+func oneOf(values ...string) *rapid.Generator[string] { return rapid.SampledFrom(values) }
 
 var (
 	hostGenerator        = oneOf("a.example", "b.example", "x.a.example", "y.x.a.example", "example", ".a.example", "")
@@ -27,8 +27,8 @@
 	methodGenerator      = oneOf("GET", "PUT", "MOVE")
 )
 
-func drawPath(t *rapid.T, of *rapid.Generator[string]) string {
-	return "/" + strings.Join(rapid.SliceOfN(of, 1, 4).Draw(t, "segments"), "/")
+func drawPath(t *rapid.T, segments *rapid.Generator[string]) string {
+	return "/" + strings.Join(rapid.SliceOfN(segments, 1, 4).Draw(t, "segments"), "/")
 }
 
 func drawCondition(t *rapid.T) Condition {
@@ -83,7 +83,7 @@
 			got, ok := table.Match(r)
 			want, wantOK := firstWithoutMismatch(table, r)
 			if got != want || ok != wantOK {
-				t.Fatalf("%+v: rule %d, want %d", r, got, want)
+				t.Fatalf("Match(%+v) returned rule %d, want %d", r, got, want)
 			}
 		}
 	})
@@ -104,13 +104,13 @@
 		r := &Request{Path: path, RawQuery: query}
 		got, _ := table.Match(r)
 		if want, _ := firstWithoutMismatch(table, r); got != want {
-			t.Errorf("%+v: %d, want %d", r, got, want)
+			t.Errorf("Match(%+v) returned rule %d, want %d", r, got, want)
 		}
 	})
 }
 
-// A tree of segments with a wildcard beside a name at each level has 2^10 leaves that one path may lead to; and a
-// pattern that takes exponential time with backtracking.
+// Guards against lookups that take exponential time: a segment tree with both a literal and a wildcard child at each level, where
+// one path leads to 2^10 leaves, and a pattern that a backtracking matcher would need exponential time for.
 func TestLookupOfAdversarialRulesIsBounded(t *testing.T) {
 	var rules []Rule
 	for i := range 1 << 10 {
@@ -129,20 +129,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := table.Match(&Request{Path: strings.Repeat("/a", 10) + "/no"}); ok {
-		t.Error("matched")
+	if rule, ok := table.Match(&Request{Path: strings.Repeat("/a", 10) + "/no"}); ok {
+		t.Errorf("Match returned rule %d for a path that ends in no leaf, want no rule", rule)
 	}
-	if _, ok := table.Match(&Request{Path: "/" + strings.Repeat("a", 8000)}); ok {
-		t.Error("matched")
+	if rule, ok := table.Match(&Request{Path: "/" + strings.Repeat("a", 8000)}); ok {
+		t.Errorf("Match returned rule %d for a path without a \"b\", want no rule", rule)
 	}
 }
 
 func TestLookupAndNormalizeAllocateNothing(t *testing.T) {
 	table, r := newMixedTable(t, 1000)
 	if n := testing.AllocsPerRun(100, func() { table.Match(r) }); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("Match made %v allocations, want 0", n)
 	}
 	if n := testing.AllocsPerRun(100, func() { _, _, _ = Normalize("/exact/996?x=1") }); n != 0 {
-		t.Errorf("%v allocations to normalize", n)
+		t.Errorf("Normalize made %v allocations, want 0", n)
 	}
 }
