--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	for _, s := range f.Table().Unreachable() {
-		fmt.Fprintf(&text, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, s.Rule), routeName(f, s.By))
+		fmt.Fprintf(&text, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, s.Rule), routeName(f, s.ShadowedBy))
 	}
 	for _, note := range sharedAddressNotes(f) {
 		fmt.Fprintf(&text, "note: %s\n", note)
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -64,14 +64,14 @@
 }
 
 // servePlatform runs the daemon as the platform configures it.
-func servePlatform(decider eventloop.Decider) error {
+func servePlatform(decider eventloop.BalancerFactory) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	return serve(decider, platformConfig(log), platformGCPercent, log)
 }
 
 // serve runs the daemon until SIGTERM or SIGINT and then until all accepted requests are answered. SIGHUP reloads the
 // configuration; a bad one is logged and changes nothing.
-func serve(decider eventloop.Decider, source configSource, gcPercent int, log *slog.Logger) error {
+func serve(decider eventloop.BalancerFactory, source configSource, gcPercent int, log *slog.Logger) error {
 	hangups := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	service, err := source()
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -28,7 +28,7 @@
 
 // Run implements kong's command.
 func (c *fleetCommand) Run() error {
-	decider := eventloop.Module
+	decider := eventloop.NewBalancer
 	if c.Against != "" {
 		var err error
 		if decider, err = baseline.New(c.Against); err != nil {
@@ -62,7 +62,7 @@
 }
 
 // playAll plays the days at the same time. Each has a goroutine and a state of its own; all have ended when it returns.
-func (c *fleetCommand) playAll(decider eventloop.Decider) ([]*fleetsim.Result, error) {
+func (c *fleetCommand) playAll(decider eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
 	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
 	var days sync.WaitGroup
 	for i, trouble := range c.Troubles {
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -24,7 +24,7 @@
 
 func main() {
 	if len(os.Args) == 1 {
-		if err := servePlatform(eventloop.Module); err != nil {
+		if err := servePlatform(eventloop.NewBalancer); err != nil {
 			fmt.Fprintln(os.Stderr, "tuliprock:", err)
 			os.Exit(exitFailure)
 		}
--- a/cmd/tuliprock/serve.go
+++ b/cmd/tuliprock/serve.go
@@ -13,5 +13,5 @@
 
 // Run implements kong's command.
 func (c *serveCommand) Run() error {
-	return serve(eventloop.Module, fileConfig(c.Config), fileGCPercent, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	return serve(eventloop.NewBalancer, fileConfig(c.Config), fileGCPercent, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -40,8 +40,8 @@
 
 // bodySent reports that the last byte of an attempt whose body streams has gone out.
 func (l *Loop) bodySent(now time.Duration, c *Call, n int) {
-	if !c.isFinished.Load() && c.Patience > 0 {
-		c.Deadline = min(now+c.Patience, c.StreamUntil)
+	if !c.isFinished.Load() && c.ResponseTimeout > 0 {
+		c.Deadline = min(now+c.ResponseTimeout, c.StreamUntil)
 	}
 	l.balancer.BodySent(now, c.ID, n, c.Deadline)
 }
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -16,8 +16,8 @@
 const (
 	// Served is a request that an endpoint answered.
 	Served Verdict = iota
-	// Refused is a request of which nothing has run, or that does no harm where it runs again.
-	Refused
+	// Shed is a request of which nothing has run, or that does no harm where it runs again.
+	Shed
 	// Failed is a request of whose effect nothing is promised.
 	Failed
 	// Duplicate is a request whose id is in use by one that is still open.
@@ -42,7 +42,7 @@
 
 	// Patience, of a request whose body streams, is how long its response may be waited for after the last byte of the body;
 	// 0: to the deadline.
-	Patience time.Duration
+	ResponseTimeout time.Duration
 
 	// Guard, if set, is called in the event that has the module decide, before anything of the request goes out. Where it
 	// returns false the request is refused at once, with Unsure as its Retry-After.
@@ -72,7 +72,7 @@
 		return
 	}
 	if c.Guard != nil && !c.Guard() {
-		c.Replies <- Reply{Verdict: Refused, RetryAfter: c.GuardRetryAfter}
+		c.Replies <- Reply{Verdict: Shed, RetryAfter: c.GuardRetryAfter}
 		return
 	}
 	l.calls[c.ID] = c
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -54,7 +54,7 @@
 		h.Fail(id)
 		return
 	}
-	h.reply(c, Reply{Verdict: Refused, RetryAfter: retryAfter})
+	h.reply(c, Reply{Verdict: Shed, RetryAfter: retryAfter})
 }
 
 // Fail implements balance.Host.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -63,16 +63,16 @@
 
 var _ Upstream = (*upstream.Client)(nil)
 
-// Decider makes the module that decides. It must call no method of the host before it returns.
-type Decider func(now time.Duration, s balance.Settings, h balance.Host) balance.Events
+// BalancerFactory makes the module that decides. It must call no method of the host before it returns.
+type BalancerFactory func(now time.Duration, s balance.Settings, h balance.Host) balance.Events
 
-// Module is the Decider of the daemon.
-func Module(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+// NewBalancer is the BalancerFactory of the daemon.
+func NewBalancer(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 	return balance.New(now, s, h)
 }
 
 // New makes a Loop, which handles nothing before Run. requestWatch asks discovery for a watch and must not block.
-func New(decide Decider, s balance.Settings, u Upstream, requestWatch func(), log *slog.Logger) *Loop {
+func New(decide BalancerFactory, s balance.Settings, u Upstream, requestWatch func(), log *slog.Logger) *Loop {
 	l := &Loop{
 		clock:              clock{time.Now()},
 		events:             make(chan func(time.Duration), eventQueueLength),
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -40,7 +40,7 @@
 
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
 func TestTimerDueAtOnceDoesNotStarveOtherEvents(t *testing.T) {
-	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
+	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	r := &rearmingBalancer{host: host{l}}
 	l.balancer = r
 	r.host.Timer(clockStart)
@@ -61,7 +61,7 @@
 
 // A request whose guard returns false is refused at once, and never reaches the module; its id is free.
 func TestGuardIsCalledBeforeBalancerDecides(t *testing.T) {
-	l := New(Module, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
+	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	module := &requestRecorder{}
 	l.balancer = module
 	sure := false
@@ -70,7 +70,7 @@
 	}
 	first := c()
 	l.Submit(clockStart, first)
-	if r := <-first.Replies; r.Verdict != Refused || r.RetryAfter != time.Second || len(module.ids) > 0 {
+	if r := <-first.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(module.ids) > 0 {
 		t.Errorf("%+v, and the module was given %v", r, module.ids)
 	}
 	sure = true
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -166,7 +166,7 @@
 	e := &scriptedUpstream{idempotency: effect, accepting: map[string]bool{}}
 	settings := balance.Settings{Seed: 3, CanCancel: mayCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
 		Classes: []balance.Class{{Name: "c", Idempotency: effect, DedupScope: balance.ScopeCell, DedupWindow: scriptDedupWindow, LatencyObjective: scriptDeadline / 2}}}
-	l := New(Module, settings, e, func() {}, slog.New(slog.DiscardHandler))
+	l := New(NewBalancer, settings, e, func() {}, slog.New(slog.DiscardHandler))
 	list := func(without string) func(time.Duration) {
 		return func(now time.Duration) {
 			m := discovery.ListUpdate{Full: true}
@@ -260,7 +260,7 @@
 	}
 	for _, r := range e.replies {
 		for _, a := range e.attempts {
-			if r.Verdict == Refused && effect != balance.Idempotent && a.mayHaveRun() {
+			if r.Verdict == Shed && effect != balance.Idempotent && a.mayHaveRun() {
 				wrong = append(wrong, "refused, and it may have run")
 			}
 		}
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -66,7 +66,7 @@
 		Connect:        p.dialer(options.beforeDial),
 	})
 	settings := balance.Settings{Seed: 7, CanCancel: options.mayCancel, MaxAttempts: 4, Classes: testClasses}
-	p.loop = eventloop.New(eventloop.Module, settings, p.upstream, func() {}, log)
+	p.loop = eventloop.New(eventloop.NewBalancer, settings, p.upstream, func() {}, log)
 	p.loop.UpdateEndpoints(p.loop.Now(), listUpdate(t, "Ready", addrs))
 
 	figures := &metrics.Registry{}
@@ -125,7 +125,7 @@
 	for _, c := range testClasses {
 		class := &Class{
 			Name:             c.Name,
-			Effect:           c.Idempotency,
+			Idempotency:      c.Idempotency,
 			IDHeader:         "Req-Id",
 			KeyHeader:        "Idempotency-Key",
 			DeadlineHeader:   "Req-Deadline-Ms",
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -78,7 +78,7 @@
 		return rejected
 	case c.ForbidsBody && hasBody:
 		return newRejection(http.StatusBadRequest, "a body is not wanted here")
-	case c.Effect == balance.IdempotencyKey: // without an idempotency key endpoints could not drop duplicates
+	case c.Idempotency == balance.IdempotencyKey: // without an idempotency key endpoints could not drop duplicates
 		if _, err := singleValue(r.Header, c.KeyHeader); err != nil {
 			return newRejection(http.StatusBadRequest, "%w", err)
 		}
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -22,14 +22,14 @@
 )
 
 var statusByVerdict = map[eventloop.Verdict]int{
-	eventloop.Refused:   statusShed,
+	eventloop.Shed:      statusShed,
 	eventloop.Failed:    statusFailed,
 	eventloop.Duplicate: statusDuplicate,
 }
 
 var outcomeByVerdict = map[eventloop.Verdict]metrics.Outcome{
 	eventloop.Served:    metrics.OK,
-	eventloop.Refused:   metrics.Shed,
+	eventloop.Shed:      metrics.Shed,
 	eventloop.Failed:    metrics.Failed,
 	eventloop.Duplicate: metrics.Failed,
 }
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -13,7 +13,7 @@
 // Class is a class of requests: what executing one twice may do, and which headers carry its parameters.
 type Class struct {
 	Name        string
-	Effect      balance.Idempotency
+	Idempotency balance.Idempotency
 	Methods     []string // that are served; none: all
 	ForbidsBody bool     // requests with a body are rejected
 
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -121,6 +121,6 @@
 	call.Message.Upload, call.StreamUntil = upload, call.Deadline
 	if !class.DeadlineCoversStreams {
 		call.StreamUntil = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(began.Add(class.MaxStreamDuration))))
-		call.Patience, call.Message.ResponseTimeout = request.timeout, request.timeout
+		call.ResponseTimeout, call.Message.ResponseTimeout = request.timeout, request.timeout
 	}
 }
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -7,7 +7,7 @@
 
 // Shadow is a rule that no request reaches because an earlier rule matches all requests that it would match. Both fields are
 // indexes of rules in the table.
-type Shadow struct{ Rule, By int }
+type Shadow struct{ Rule, ShadowedBy int }
 
 // Unreachable returns the rules that are shadowed by a single earlier rule. It does not find rules that are shadowed only by
 // several earlier rules together. Its time is quadratic in the number of rules.
@@ -16,7 +16,7 @@
 	for later := range t.rules {
 		for earlier := range later {
 			if t.rules[earlier].covers(&t.rules[later]) {
-				shadows = append(shadows, Shadow{Rule: later, By: earlier})
+				shadows = append(shadows, Shadow{Rule: later, ShadowedBy: earlier})
 				break
 			}
 		}
--- a/internal/route/shadow_test.go
+++ b/internal/route/shadow_test.go
@@ -19,7 +19,7 @@
 			got, _ := table.Match(drawRequest(t))
 			for _, s := range shadows {
 				if got == s.Rule {
-					t.Fatalf("Match returned rule %d, which is shadowed by rule %d: %+v, %+v", s.Rule, s.By, table.Rule(s.Rule), table.Rule(s.By))
+					t.Fatalf("Match returned rule %d, which is shadowed by rule %d: %+v, %+v", s.Rule, s.ShadowedBy, table.Rule(s.Rule), table.Rule(s.ShadowedBy))
 				}
 			}
 		}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -41,7 +41,7 @@
 
 // newPool starts a pool. The module gets the list that the configuration knows before any other event.
 func newPool(
-	decider eventloop.Decider, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry, log *slog.Logger,
+	decider eventloop.BalancerFactory, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry, log *slog.Logger,
 ) *pool {
 	p := &pool{spec: spec, log: log, members: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -145,7 +145,7 @@
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 		repeats := make(chan bool, 1)
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &recordingEvents{Events: eventloop.Module(now, s, h), isRetry: repeats}
+			return &recordingEvents{Events: eventloop.NewBalancer(now, s, h), isRetry: repeats}
 		}
 		c := parseService(t, listen1+poolOf("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -24,7 +24,7 @@
 func TestEndpointUpdateOvertakesQueuedRequests(t *testing.T) {
 	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
+		p := newPool(eventloop.NewBalancer, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 		defer p.close()
 		jam := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-jam })
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -33,7 +33,7 @@
 // Sidecar is a running daemon: its listeners, its pools, and the routes from the ones to the others. Its methods may be
 // called by several goroutines.
 type Sidecar struct {
-	decider          eventloop.Decider
+	decider          eventloop.BalancerFactory
 	log              *slog.Logger
 	currentService   frontend.ActiveRouteConfig
 	listenerFailed   chan error       // holds the first error of a listener that can't go on
@@ -67,12 +67,12 @@
 // Start opens the listeners and starts the pools. They serve from then on; the caller must call Serve, which ends them.
 // An error names the setting or address at fault, and nothing is left running.
 func Start(c config.Service, log *slog.Logger) (*Sidecar, error) {
-	return StartWith(eventloop.Module, c, log)
+	return StartWith(eventloop.NewBalancer, c, log)
 }
 
 // StartWith is Start with another decider in the module's place, on the same sockets. Benchmarks and tests compare the
 // module with others that way.
-func StartWith(decider eventloop.Decider, c config.Service, log *slog.Logger) (*Sidecar, error) {
+func StartWith(decider eventloop.BalancerFactory, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
 		decider:           decider,
 		log:               log,
--- a/internal/testkit/baseline/plain.go
+++ b/internal/testkit/baseline/plain.go
@@ -25,8 +25,8 @@
 // Names are the pickers, in order.
 func Names() []string { return []string{"random", "round-robin", "least-outstanding"} }
 
-// New gives the Decider of a name.
-func New(name string) (eventloop.Decider, error) {
+// New gives the BalancerFactory of a name.
+func New(name string) (eventloop.BalancerFactory, error) {
 	p, ok := picks[name]
 	if !ok {
 		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Names(), ", "))
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -17,7 +17,7 @@
 	return Day{Seed: 3, Sidecars: 40, Trouble: trouble, Length: 14 * time.Second, Use: 0.6}
 }
 
-func play(t *testing.T, decide eventloop.Decider, d Day) *Result {
+func play(t *testing.T, decide eventloop.BalancerFactory, d Day) *Result {
 	t.Helper()
 	r, err := PlayWith(decide, d)
 	if err != nil {
@@ -31,7 +31,7 @@
 	tested := [4]bool{}
 	for _, trouble := range Troubles() {
 		t.Run(trouble, func(t *testing.T) {
-			r := play(t, eventloop.Module, small(trouble))
+			r := play(t, eventloop.NewBalancer, small(trouble))
 			if !r.Rules.Held() {
 				var b strings.Builder
 				_ = r.Tell(&b)
@@ -43,7 +43,7 @@
 			for i, rule := range r.Rules.Rules {
 				tested[i] = tested[i] || rule.Verdict != invariant.Untested
 			}
-			if again := play(t, eventloop.Module, small(trouble)); !reflect.DeepEqual(r, again) {
+			if again := play(t, eventloop.NewBalancer, small(trouble)); !reflect.DeepEqual(r, again) {
 				t.Error("the same day ends in another way")
 			}
 		})
@@ -57,7 +57,7 @@
 
 // A calm day at three fifths of what the fleet can do is served nearly whole, and each call is made once.
 func TestACalmDayIsServed(t *testing.T) {
-	r := play(t, eventloop.Module, small("calm"))
+	r := play(t, eventloop.NewBalancer, small("calm"))
 	if r.Share() < 0.97 {
 		t.Errorf("%.3f of the worth is served in time", r.Share())
 	}
@@ -153,16 +153,16 @@
 	for _, row := range []struct {
 		name, trouble string
 		rule          int
-		decide        eventloop.Decider
+		decide        eventloop.BalancerFactory
 	}{
 		{"one that answers nothing", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return silent{eventloop.Module(now, s, h)}
+			return silent{eventloop.NewBalancer(now, s, h)}
 		}},
 		{"one that sends twice", "split", 2, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
 			return &twice{host: h, sends: map[string]int{}}
 		}},
 		{"one that hears nothing", "join", 3, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &deaf{Events: eventloop.Module(now, s, h)}
+			return &deaf{Events: eventloop.NewBalancer(now, s, h)}
 		}},
 		{"one that floods what is cold", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &eager{host: h} }},
 	} {
@@ -194,7 +194,7 @@
 			t.Run(fmt.Sprint(trouble, seed), func(t *testing.T) {
 				d := small(trouble)
 				d.Seed, d.Use, d.Cold = 5+seed, 1, Cold{From: 0.14, For: 24 * time.Second, FallMultiple: 3, FallAfter: time.Second}
-				r := play(t, eventloop.Module, d)
+				r := play(t, eventloop.NewBalancer, d)
 				if rule := r.Rules.Rules[3]; rule.Verdict != invariant.Held {
 					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.ColdMost)
 				}
--- a/internal/testkit/fleetsim/play.go
+++ b/internal/testkit/fleetsim/play.go
@@ -50,10 +50,10 @@
 }
 
 // Play plays a day with the decision module. The same Day gives the same Result, to the last figure.
-func Play(d Day) (*Result, error) { return PlayWith(eventloop.Module, d) }
+func Play(d Day) (*Result, error) { return PlayWith(eventloop.NewBalancer, d) }
 
 // PlayWith is Play with another decider in the module's place.
-func PlayWith(decide eventloop.Decider, d Day) (*Result, error) {
+func PlayWith(decide eventloop.BalancerFactory, d Day) (*Result, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/testkit/fleetsim/world.go
+++ b/internal/testkit/fleetsim/world.go
@@ -17,7 +17,7 @@
 // world is a day that is played.
 type world struct {
 	day      Day
-	decide   eventloop.Decider
+	decide   eventloop.BalancerFactory
 	rng      *rand.Rand
 	now      time.Duration
 	agenda   eventqueue.Agenda[func()]
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	decide := eventloop.Module
+	decide := eventloop.NewBalancer
 	switch fault {
 	case "good":
 	case "sends responses twice":
