--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -8,16 +8,16 @@
 	"tuliprock/internal/upstream"
 )
 
-// attemptHooks makes events of what happens during an attempt. The attempt's goroutine calls the hooks.
-func (l *Loop) attemptHooks(c *Call, n int) upstream.AttemptHooks {
+// attemptHooks returns hooks that post what happens during an attempt as events. The attempt's goroutine calls them.
+func (l *Loop) attemptHooks(c *Call, attempt int) upstream.AttemptHooks {
 	return upstream.AttemptHooks{
 		IsWanted:    l.isWantedFunc(c),
-		RequestSent: func() { l.Post(func(now time.Duration) { l.bodySent(now, c, n) }) },
-		ResponseStarted: func(a upstream.Response) bool {
-			taken := make(chan bool, 1)
-			l.Post(func(now time.Duration) { taken <- l.streamStarted(now, c, n, a) })
+		RequestSent: func() { l.Post(func(now time.Duration) { l.bodySent(now, c, attempt) }) },
+		ResponseStarted: func(response upstream.Response) bool {
+			accepted := make(chan bool, 1)
+			l.Post(func(now time.Duration) { accepted <- l.streamStarted(now, c, attempt, response) })
 			select {
-			case ok := <-taken:
+			case ok := <-accepted:
 				return ok
 			case <-l.done:
 				return false
@@ -26,59 +26,60 @@
 	}
 }
 
-// isWantedFunc makes what an attempt asks last, before its first byte goes out: is the request still to be sent? It is not once
-// it has its answer or its client has gone, nor, if it may have run before, once endpoints no longer drop duplicates of its
-// idempotency key: the module decided before the connection came up. What the loop itself knows is read last, since the loop may
-// be notified of an end while the kernel is asked about the client.
+// isWantedFunc returns the last check of an attempt before its first byte is written. The request is not sent any more once it has
+// its reply or its client has disconnected, nor, if an earlier attempt may have run, once endpoints no longer drop duplicates of its
+// idempotency key: the balancer decided on the attempt before the connection was established. isFinished is read after the kernel
+// is asked about the client, since the loop may finish the request meanwhile.
 func (l *Loop) isWantedFunc(c *Call) func() bool {
-	last := time.Duration(math.MaxInt64)
-	if window, keyed := l.idempotencyWindows[c.Class]; keyed && c.mayHaveRunAt > 0 {
-		last = c.mayHaveRunAt + window
+	expiresAt := time.Duration(math.MaxInt64)
+	if window, hasKey := l.idempotencyWindows[c.Class]; hasKey && c.mayHaveRunAt > 0 {
+		expiresAt = c.mayHaveRunAt + window
 	}
-	return func() bool { return c.isClientConnected() && !c.isFinished.Load() && l.clock.now() < last }
+	return func() bool { return c.isClientConnected() && !c.isFinished.Load() && l.clock.now() < expiresAt }
 }
 
-// bodySent reports that the last byte of an attempt whose body streams has gone out.
-func (l *Loop) bodySent(now time.Duration, c *Call, n int) {
+// bodySent handles the event that an attempt has written the last byte of a streaming body.
+func (l *Loop) bodySent(now time.Duration, c *Call, attempt int) {
 	if !c.isFinished.Load() && c.ResponseTimeout > 0 {
 		c.Deadline = min(now+c.ResponseTimeout, c.StreamUntil)
 	}
-	l.balancer.BodySent(now, c.ID, n, c.Deadline)
+	l.balancer.BodySent(now, c.ID, attempt, c.Deadline)
 }
 
-// streamStarted gives a response that has begun to stream to the client, and reports whether that one still waits for it. From
-// then on the response is the client's, whatever becomes of it.
-func (l *Loop) streamStarted(now time.Duration, c *Call, n int, a upstream.Response) bool {
+// streamStarted handles the event that an attempt has received the beginning of a streaming response. It returns false if the
+// request is already finished. Otherwise the response is the reply, even if it breaks later.
+func (l *Loop) streamStarted(now time.Duration, c *Call, attempt int, response upstream.Response) bool {
 	if c.isFinished.Load() {
 		return false
 	}
 	c.isFinished.Store(true)
-	c.Replies <- Reply{Verdict: Served, Response: a}
-	l.balancer.StreamStarted(now, c.ID, n)
+	c.Replies <- Reply{Verdict: Served, Response: response}
+	l.balancer.StreamStarted(now, c.ID, attempt)
 	return true
 }
 
-// attemptEnded reports the end of an attempt. A complete response is passed on at once; one that comes too late is dropped.
-func (l *Loop) attemptEnded(now time.Duration, c *Call, o balance.Outcome, sent time.Duration, a upstream.Response) {
+// attemptEnded handles the end of an attempt. A complete response is forwarded at once, or dropped if the request is already
+// finished.
+func (l *Loop) attemptEnded(now time.Duration, c *Call, outcome balance.Outcome, sentAt time.Duration, response upstream.Response) {
 	c.attemptsInFlight--
-	c.lastResponse = a
-	if u := c.Message.Upload; u != nil {
-		o.BodyConsumed = u.IsConsumed()
-		if u.Err() != nil { // the caller's fault, and its end
+	c.lastResponse = response
+	if upload := c.Message.Upload; upload != nil {
+		outcome.BodyConsumed = upload.IsConsumed()
+		if upload.Err() != nil { // the client failed to send its body, which ends the request
 			l.ClientDisconnected(now, c)
 		}
 	}
-	if o.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
-		c.Replies <- Reply{Verdict: ClientGone} // whoever waits for the answer may not have seen it
+	if outcome.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
+		c.Replies <- Reply{Verdict: ClientGone} // the goroutine that waits for the reply may not have noticed the disconnect
 	}
-	if c.mayHaveRunAt == 0 && o.Result.MayHaveRun() {
-		c.mayHaveRunAt = sent
+	if c.mayHaveRunAt == 0 && outcome.Result.MayHaveRun() {
+		c.mayHaveRunAt = sentAt
 	}
-	o.Latency, o.IsFinal = now-sent, c.isFinished.Load()
-	if o.Result == balance.OK && !c.isFinished.Load() {
-		o.IsFinal = true
-		l.reply(c, Reply{Verdict: Served, Response: a})
+	outcome.Latency, outcome.IsFinal = now-sentAt, c.isFinished.Load()
+	if outcome.Result == balance.OK && !c.isFinished.Load() {
+		outcome.IsFinal = true
+		l.reply(c, Reply{Verdict: Served, Response: response})
 	}
-	l.balancer.Outcome(now, o)
+	l.balancer.Outcome(now, outcome)
 	l.removeIfFinished(c)
 }
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -12,60 +12,64 @@
 // Verdict is how a request ended.
 type Verdict int
 
-// The verdicts.
+// The verdicts on a request.
 const (
-	// Served is a request that an endpoint answered.
+	// Served means that an endpoint's response is the reply.
 	Served Verdict = iota
-	// Shed is a request of which nothing has run, or that does no harm where it runs again.
+	// Shed means that the request was not executed, or that executing it again is harmless.
 	Shed
-	// Failed is a request of whose effect nothing is promised.
+	// Failed means that the request may or may not have been executed.
 	Failed
-	// Duplicate is a request whose id is in use by one that is still open.
+	// Duplicate means that another request with the same id is not finished yet.
 	Duplicate
-	// ClientGone is a request whose client has disconnected: there is nobody to be answered.
+	// ClientGone means that the client has disconnected and needs no response.
 	ClientGone
 )
 
-// Reply is the final answer to a client.
+// Reply is the final result of a request.
 type Reply struct {
 	Verdict    Verdict
-	RetryAfter time.Duration     // 0: no advice
-	Response   upstream.Response // if served; an endpoint's own error, where the last attempt brought one
+	RetryAfter time.Duration // when the client should retry; 0: no advice
+	// Response is the endpoint's response if the verdict is Served. If the verdict is Failed, it is the error response to the
+	// last attempt, if there was one.
+	Response upstream.Response
 }
 
-// Call is a request that was admitted. Whoever submits it fills in the exported fields and leaves them alone from then on;
-// the others are the loop's.
+// Call is a request that is submitted to a Loop. The submitter sets the exported fields and must not change them after Submit;
+// the other fields belong to the loop.
 type Call struct {
 	balance.Request
 	Message *upstream.Request
-	Replies chan Reply // takes the one final answer without blocking: it must have room for one
+	Replies chan Reply // receives the only Reply; it needs a buffer of one, since the loop must not block
 
-	// Patience, of a request whose body streams, is how long its response may be waited for after the last byte of the body;
-	// 0: to the deadline.
+	// ResponseTimeout is how long to wait for the response to a request with a streaming body, from the last byte of the body;
+	// 0: until the deadline.
 	ResponseTimeout time.Duration
 
-	// Guard, if set, is called in the event that has the module decide, before anything of the request goes out. Where it
-	// returns false the request is refused at once, with Unsure as its Retry-After.
+	// Guard, if not nil, is called by Submit before the balancer decides on the request. If it returns false, the request is
+	// shed at once, with GuardRetryAfter as its Retry-After.
 	Guard           func() bool
-	GuardRetryAfter time.Duration
+	GuardRetryAfter time.Duration // Retry-After of a request that Guard sheds
 
-	// Here reports, from any goroutine, whether the client is still connected; nil: it is. It is called last, before the first
-	// byte of an attempt goes out: the loop may be notified of a disconnect later.
+	// IsClientConnected reports whether the client is still connected; nil: it always is. It must be safe to call from any
+	// goroutine. An attempt calls it right before its first byte is written, since the loop may be notified of a disconnect
+	// later.
 	IsClientConnected func() bool
 
-	// isOver: answered, or the client has disconnected. The loop alone sets it; attempts that have written nothing yet read it.
+	// isFinished means that the request has its reply or that its client has disconnected. Only the loop sets it; attempts read
+	// it before they write their first byte.
 	isFinished       atomic.Bool
-	mayHaveRunAt     time.Duration     // when the first attempt that may have run was sent; 0: none may have
-	lastResponse     upstream.Response // of the latest attempt that ended, if it brought one
-	cancelAttempts   []context.CancelFunc
+	mayHaveRunAt     time.Duration        // instant at which the first attempt that may have run was sent; 0: no attempt may have run
+	lastResponse     upstream.Response    // response of the attempt that ended last; zero if it received none
+	cancelAttempts   []context.CancelFunc // cancel functions of all attempts, by the number of the attempt
 	attemptsInFlight int
 }
 
-// isClientConnected reports whether the client still waits, as far as that can be known.
+// isClientConnected reports whether the client is still connected, as far as is known.
 func (c *Call) isClientConnected() bool { return c.IsClientConnected == nil || c.IsClientConnected() }
 
-// Submit admits a request and has the module decide on it. One whose id is still in use is rejected, so that it can't
-// disturb the first. It is called from an event.
+// Submit passes a request to the balancer, which decides on it. A request whose id is still in use gets the verdict Duplicate, so
+// that it cannot interfere with the first one. Submit is called from an event.
 func (l *Loop) Submit(now time.Duration, c *Call) {
 	if l.calls[c.ID] != nil {
 		c.Replies <- Reply{Verdict: Duplicate}
@@ -79,8 +83,8 @@
 	l.balancer.Request(now, c.Request)
 }
 
-// ClientDisconnected reports that the client of a request has gone. It returns false if the request had its final answer
-// before. It is called from an event.
+// ClientDisconnected reports that the client of a request has disconnected. It returns false if the request was finished before.
+// It is called from an event.
 func (l *Loop) ClientDisconnected(now time.Duration, c *Call) bool {
 	if l.calls[c.ID] != c || c.isFinished.Load() {
 		return false
@@ -91,7 +95,7 @@
 	return true
 }
 
-// reply gives the final answer, once.
+// reply finishes a request with its reply. It does nothing if the request is nil or finished.
 func (l *Loop) reply(c *Call, r Reply) {
 	if c == nil || c.isFinished.Load() {
 		return
@@ -101,7 +105,7 @@
 	l.removeIfFinished(c)
 }
 
-// removeIfFinished drops a call that is over and has no attempt in flight: nothing more can come of it, and its id is free.
+// removeIfFinished removes a finished call that has no attempt in flight: no more events can concern it, and its id is free again.
 func (l *Loop) removeIfFinished(c *Call) {
 	if c.isFinished.Load() && c.attemptsInFlight == 0 && l.calls[c.ID] == c {
 		delete(l.calls, c.ID)
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// clock gives instants as the decision module takes them: a monotonic reading since the start of the loop, on top of
-// clockStart. It holds no state that changes, and may be read from any goroutine.
+// clock converts times to the instants that the balancer takes: the monotonic time since the start of the loop, plus clockStart.
+// It is immutable and may be read from any goroutine.
 type clock struct{ started time.Time }
 
-// clockStart is the instant at which a clock starts: well above zero, so that 0 means long ago, and starts of endpoints
-// before this sidecar's own have instants too.
+// clockStart is the instant at which a clock starts. It is well above zero because 0 means "long ago", and because endpoints
+// that started before this sidecar need instants, too.
 const clockStart = 24 * time.Hour
 
 func (c clock) now() time.Duration { return c.at(time.Now()) }
 
 func (c clock) at(t time.Time) time.Duration { return clockStart + t.Sub(c.started) }
 
-// fromUnixMillis converts wall time; 0 or less is long ago. The offset is fixed: the same start of an endpoint must always
-// give the same instant, or the module would take an old start for a restart.
+// fromUnixMillis converts wall-clock time to an instant; 0 or less means "long ago". The offset between the clocks is fixed: the
+// same start time of an endpoint must always give the same instant, or the balancer would take the endpoint for restarted.
 func (c clock) fromUnixMillis(unixMs int64) time.Duration {
 	if unixMs <= 0 {
 		return 0
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/upstream"
 )
 
-// host carries out what the module decides. It runs on the loop's goroutine, blocks on nothing and does not call the module
-// back: what the module is to be notified of is deferred to the end of the event.
+// host carries out the balancer's decisions. Its methods run on the loop's goroutine, must not block and must not call the
+// balancer: events that they cause are deferred until the current event has been handled.
 type host struct{ *Loop }
 
 var _ balance.Host = host{}
@@ -19,38 +19,39 @@
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls[id]
 	if c == nil {
-		return // no request of this loop: there is nothing to report either
+		return // the loop has no such request, so there is no outcome to report
 	}
-	o := balance.Outcome{ID: id, Attempt: len(c.cancelAttempts), Endpoint: endpoint}
-	sent := h.clock.now()
-	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.StreamUntil)-sent))
+	outcome := balance.Outcome{ID: id, Attempt: len(c.cancelAttempts), Endpoint: endpoint}
+	sentAt := h.clock.now()
+	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.StreamUntil)-sentAt))
 	c.cancelAttempts = append(c.cancelAttempts, cancel)
 	c.attemptsInFlight++
 	if c.isFinished.Load() {
-		o.Result = balance.NotSent
-		h.deferred = append(h.deferred, func(now time.Duration) { h.attemptEnded(now, c, o, sent, upstream.Response{}) })
+		outcome.Result = balance.NotSent
+		h.deferred = append(h.deferred, func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
 		return
 	}
-	hooks := h.attemptHooks(c, o.Attempt)
+	hooks := h.attemptHooks(c, outcome.Attempt)
 	go func() {
-		var a upstream.Response
-		o.Result, o.ReusedConnection, a = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
+		var response upstream.Response
+		outcome.Result, outcome.ReusedConnection, response = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
 		cancel()
-		h.Post(func(now time.Duration) { h.attemptEnded(now, c, o, sent, a) })
+		h.Post(func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, response) })
 	}()
 }
 
 // Cancel implements balance.Host.
-func (h host) Cancel(id string, n int) {
-	if c := h.calls[id]; c != nil && n >= 0 && n < len(c.cancelAttempts) {
-		c.cancelAttempts[n]()
+func (h host) Cancel(id string, attempt int) {
+	if c := h.calls[id]; c != nil && attempt >= 0 && attempt < len(c.cancelAttempts) {
+		c.cancelAttempts[attempt]()
 	}
 }
 
 // Reject implements balance.Host.
 func (h host) Reject(id string, retryAfter time.Duration) {
 	c := h.calls[id]
-	if c != nil && c.lastResponse.Status != 0 { // an endpoint's own error says more to the client, and promises less
+	// An endpoint's error response tells the client more, and unlike a shed request it does not promise that a retry is harmless.
+	if c != nil && c.lastResponse.Status != 0 {
 		h.Fail(id)
 		return
 	}
@@ -64,8 +65,8 @@
 	}
 }
 
-// Probe implements balance.Host. There are no health checks of endpoints: the settings given to the module never allow them,
-// and one that it asks for all the same has not been sent.
+// Probe implements balance.Host. This host has no health checks of endpoints: the balancer's settings never allow them. Should the
+// balancer call for one nevertheless, its result is NotSent.
 func (h host) Probe(endpoint string) {
 	h.deferred = append(h.deferred, func(now time.Duration) {
 		h.balancer.Probed(now, balance.ProbeResult{Endpoint: endpoint, Result: balance.NotSent})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,14 +1,15 @@
-// Package eventloop runs the decision module of one pool. The module is not safe for concurrent use, and its decisions must
-// follow what happened in the order in which it happened: so a Loop owns it, and one goroutine (Run) handles all events in
-// turn, feeds them to the module and carries out what it decides.
+// Package eventloop runs the balancer of one pool. The balancer (package balance) is not safe for concurrent use, and it must be
+// notified of events in the order in which they happen. So a Loop owns it, and one goroutine (Run) handles all events in turn,
+// reports them to the balancer and carries out its decisions.
 //
-// The loop's goroutine owns all state of the Loop and of the Calls submitted to it; the clock alone may be read from anywhere.
-// Events come by Post and Do, which any goroutine but the loop's may call. Each attempt at an endpoint has a goroutine of its
-// own, which ends with the attempt and posts its end as an event. A method that says so is called from an event.
+// The loop's goroutine owns all state of the Loop and of the Calls submitted to it; only the clock may be read from any goroutine.
+// Events are posted with Post and Do, which any goroutine but the loop's may call. Each attempt has a goroutine of its own, which
+// ends with the attempt and posts its end as an event. A method that is "called from an event" must be called only by a function
+// passed to Post or Do.
 //
-// A caller may rely on this: each Call that was submitted gets at most one Reply, and exactly one if its client stays and the
-// loop lasts; nothing of it is written once it has its Reply or its client was seen to have gone; when Run returns, all attempts
-// that are still in flight have been canceled.
+// The package guarantees: each submitted Call gets at most one Reply, and exactly one if its client stays connected and the loop
+// keeps running; nothing is written to an endpoint for a Call that has its Reply or whose client is known to have disconnected;
+// when Run returns, all attempts that are still in flight have been canceled.
 package eventloop
 
 import (
@@ -22,48 +23,50 @@
 	"tuliprock/internal/upstream"
 )
 
-// ErrClosed is why an event was not handled: the loop has ended.
-var ErrClosed = errors.New("the pool has ended")
+// ErrClosed is returned for an event that was not handled because the loop has stopped.
+var ErrClosed = errors.New("the event loop of the pool has stopped")
 
-// eventQueueLength is how many events wait before Post blocks: room for a burst of ends of attempts.
+// eventQueueLength is how many events can be queued before Post blocks. It has capacity for a burst of ends of attempts.
 const eventQueueLength = 256
 
-// Loop owns the decision module. All that happens is posted to it and handled in turn by its one goroutine.
+// Loop owns the balancer of one pool. Its single goroutine handles all events, one after another.
 type Loop struct {
 	clock        clock
 	balancer     balance.Events
-	events       chan func(now time.Duration)
-	urgent       chan func(now time.Duration) // what must not wait behind the queue of events
-	done         chan struct{}
+	events       chan func(now time.Duration) // queue of events posted with Post
+	urgent       chan func(now time.Duration) // events posted with Do, which bypass the queue
+	done         chan struct{}                // closed when Run returns
 	upstream     Upstream
-	requestWatch func() // has discovery watch in place of being polled
+	requestWatch func() // makes discovery watch the endpoint list instead of polling it
 	log          *slog.Logger
 
-	idempotencyWindows map[string]time.Duration  // of classes with idempotency keys: for which endpoints drop duplicates
-	calls              map[string]*Call          // by id
-	endpoints          map[string]bool           // the ids listed by discovery
-	timers             []time.Duration           // sorted
-	deferred           []func(now time.Duration) // events that arose within a Host method
+	idempotencyWindows map[string]time.Duration  // how long endpoints drop duplicates, by name of a class with idempotency keys
+	calls              map[string]*Call          // calls that are unfinished or have attempts in flight, by request id
+	endpoints          map[string]bool           // set of the ids of listed endpoints
+	timers             []time.Duration           // instants of the balancer's timers, ascending
+	deferred           []func(now time.Duration) // events that methods of host caused, to be handled after the current event
 }
 
-// Upstream makes the attempts; *upstream.Client does.
+// Upstream makes attempts at endpoints. *upstream.Client implements it.
 type Upstream interface {
-	// Attempt sends a request once and returns how that ended; reused: on a connection that had served before. It may be called
-	// by many goroutines at once, and writes nothing once ctx has ended, or the hook Wanted has returned false.
-	Attempt(ctx context.Context, id string, m *upstream.Request, w upstream.AttemptHooks) (r balance.Result, reused bool, a upstream.Response)
-	// SetEndpoint lists an endpoint at an address; takes: new requests may go to it.
-	SetEndpoint(id, addr string, takes bool)
-	// RemoveEndpoint takes an endpoint from the list.
+	// Attempt sends a request to an endpoint once and returns the result. reused means that the attempt used a connection that had
+	// served a request before. Attempt is safe for concurrent use. It writes nothing after ctx has ended or the hook IsWanted has
+	// returned false.
+	Attempt(ctx context.Context, id string, request *upstream.Request, hooks upstream.AttemptHooks) (
+		result balance.Result, reused bool, response upstream.Response)
+	// SetEndpoint adds an endpoint or updates it. acceptsRequests means that new requests may be sent to it.
+	SetEndpoint(id, addr string, acceptsRequests bool)
+	// RemoveEndpoint removes an endpoint.
 	RemoveEndpoint(id string)
-	// SetEjected ejects an endpoint by an operator's override, or takes it back in.
-	SetEjected(id string, out bool)
-	// HasIdle reports whether an endpoint has an idle connection.
+	// SetEjected ejects an endpoint by an operator's override, or restores it.
+	SetEjected(id string, isEjected bool)
+	// HasIdle reports whether there is an idle connection to an endpoint.
 	HasIdle(id string) bool
 }
 
 var _ Upstream = (*upstream.Client)(nil)
 
-// BalancerFactory makes the module that decides. It must call no method of the host before it returns.
+// BalancerFactory creates the balancer that a Loop owns. It must not call the host before it returns.
 type BalancerFactory func(now time.Duration, s balance.Settings, h balance.Host) balance.Events
 
 // NewBalancer is the BalancerFactory of the daemon.
@@ -71,8 +74,9 @@
 	return balance.New(now, s, h)
 }
 
-// New makes a Loop, which handles nothing before Run. requestWatch asks discovery for a watch and must not block.
-func New(decide BalancerFactory, s balance.Settings, u Upstream, requestWatch func(), log *slog.Logger) *Loop {
+// New returns a Loop, which handles no event until Run is called. requestWatch makes discovery watch the endpoint list and must not
+// block.
+func New(newBalancer BalancerFactory, s balance.Settings, u Upstream, requestWatch func(), log *slog.Logger) *Loop {
 	l := &Loop{
 		clock:              clock{time.Now()},
 		events:             make(chan func(time.Duration), eventQueueLength),
@@ -90,27 +94,26 @@
 			l.idempotencyWindows[c.Name] = c.DedupWindow
 		}
 	}
-	l.balancer = decide(l.clock.now(), s, host{l})
+	l.balancer = newBalancer(l.clock.now(), s, host{l})
 	return l
 }
 
-// Now is the Loop's clock. It never runs backwards, and may be read from any goroutine.
+// Now returns the current instant by the Loop's clock, which never runs backwards. It may be called from any goroutine.
 func (l *Loop) Now() time.Duration { return l.clock.now() }
 
-// At is an instant by the Loop's clock.
+// At converts a time to an instant by the Loop's clock.
 func (l *Loop) At(t time.Time) time.Duration { return l.clock.at(t) }
 
-// Done is closed when the Loop has ended.
+// Done returns a channel that is closed when the Loop has stopped.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// ResourceCounts returns how much the Loop holds of each sort: calls, endpoints, deferred events and timers. It is called from
-// an event.
+// ResourceCounts returns how many calls, endpoints, deferred events and timers the Loop holds. It is called from an event.
 func (l *Loop) ResourceCounts() (calls, members, events, timers int) {
 	return len(l.calls), len(l.endpoints), len(l.deferred), len(l.timers)
 }
 
-// Post hands an event to the loop, and blocks while its queue is full. Once the loop has ended the event is dropped. It must
-// not be called from within the loop.
+// Post queues an event, and blocks while the queue is full. The event is dropped if the loop has stopped. Post must not be called
+// from the loop's goroutine.
 func (l *Loop) Post(event func(now time.Duration)) {
 	select {
 	case l.events <- event:
@@ -118,8 +121,8 @@
 	}
 }
 
-// Do hands an event to the loop past those that wait, and returns nil when it was handled. It returns the error of ctx, or
-// ErrClosed, when one of them ends first: then the event may still be handled. It must not be called from within the loop.
+// Do has an event handled ahead of the queued ones, and returns nil once it was handled. If ctx or the loop ends first, it returns
+// the error of ctx or ErrClosed, and the event may or may not have been handled. Do must not be called from the loop's goroutine.
 func (l *Loop) Do(ctx context.Context, event func(now time.Duration)) error {
 	handled := make(chan struct{})
 	select {
@@ -139,15 +142,15 @@
 	}
 }
 
-// Run handles events until ctx ends. Attempts that are still in flight then are canceled.
+// Run handles events until ctx ends. It then cancels the attempts that are still in flight.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	defer l.cancelAllAttempts()
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	nextTimer := time.NewTimer(time.Hour)
+	defer nextTimer.Stop()
 	for {
 		if len(l.timers) > 0 {
-			alarm.Reset(l.timers[0] - l.clock.now())
+			nextTimer.Reset(l.timers[0] - l.clock.now())
 		}
 		select {
 		case <-ctx.Done():
@@ -156,7 +159,7 @@
 			l.handle(event)
 		case event := <-l.events:
 			l.handle(event)
-		case <-alarm.C:
+		case <-nextTimer.C:
 			l.handle(l.fireTimers)
 		}
 	}
@@ -170,7 +173,7 @@
 	}
 }
 
-// handle handles an event, and those that arise from it.
+// handle handles an event, and then the deferred events that it caused.
 func (l *Loop) handle(event func(now time.Duration)) {
 	event(l.clock.now())
 	for len(l.deferred) > 0 {
@@ -180,8 +183,8 @@
 	}
 }
 
-// fireTimers reports the timers that are due. One set meanwhile waits for the next turn, so that timers can't keep
-// other events out.
+// fireTimers reports the due timers to the balancer. A timer that the balancer sets meanwhile fires only after Run has had a chance
+// to handle another event, so that timers that are due at once cannot starve other events.
 func (l *Loop) fireTimers(now time.Duration) {
 	due, _ := slices.BinarySearch(l.timers, now+1)
 	l.timers = slices.Delete(l.timers, 0, due)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,25 +8,25 @@
 	"tuliprock/balance"
 )
 
-// The same start must always be the same instant, or an old one would pass for a restart.
+// The balancer would take an endpoint for restarted if the same start time gave different instants.
 func TestEndpointStartTimeMapsToOneInstant(t *testing.T) {
 	c := clock{time.Now()}
-	at := c.started.UnixMilli()
-	if c.fromUnixMillis(0) != 0 {
-		t.Errorf("long ago: %v", c.fromUnixMillis(0))
+	startedMs := c.started.UnixMilli()
+	if got := c.fromUnixMillis(0); got != 0 {
+		t.Errorf("the unknown start time 0 gives instant %v, want 0", got)
 	}
-	if got := c.fromUnixMillis(at - 2000); got != clockStart-2*time.Second {
-		t.Errorf("two seconds before the start: %v", got)
+	if got := c.fromUnixMillis(startedMs - 2000); got != clockStart-2*time.Second {
+		t.Errorf("two seconds before the clock's start give instant %v, want %v", got, clockStart-2*time.Second)
 	}
 	if got := c.fromUnixMillis(1); got != 0 {
-		t.Errorf("years ago: %v", got)
+		t.Errorf("a start in 1970 gives instant %v, want 0", got)
 	}
 	if now := c.now(); now < clockStart {
-		t.Errorf("now: %v", now)
+		t.Errorf("now is instant %v, want %v at least", now, clockStart)
 	}
 }
 
-// rearmingBalancer asks for a timer that is due at once, each time one rings.
+// rearmingBalancer sets a timer that is due at once whenever a timer fires.
 type rearmingBalancer struct {
 	balance.Events
 	host        balance.Host
@@ -38,44 +38,46 @@
 	r.host.Timer(now)
 }
 
-// A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
+// A timer that is set while timers fire must not fire in the same event, or other events would never be handled.
 func TestTimerDueAtOnceDoesNotStarveOtherEvents(t *testing.T) {
 	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
-	r := &rearmingBalancer{host: host{l}}
-	l.balancer = r
-	r.host.Timer(clockStart)
-	r.host.Timer(clockStart + 1)
+	balancer := &rearmingBalancer{host: host{l}}
+	l.balancer = balancer
+	balancer.host.Timer(clockStart)
+	balancer.host.Timer(clockStart + 1)
 	l.handle(l.fireTimers)
-	if r.timersFired != 2 || len(l.timers) != 2 {
-		t.Errorf("%d rings, %d timers wait", r.timersFired, len(l.timers))
+	if balancer.timersFired != 2 || len(l.timers) != 2 {
+		t.Errorf("%d timers fired and %d are pending, want 2 and 2", balancer.timersFired, len(l.timers))
 	}
 }
 
-// requestRecorder notes which requests a module is asked to decide on.
+// requestRecorder is a balancer that records the ids of the requests that it is given.
 type requestRecorder struct {
 	balance.Events
 	ids []string
 }
 
-func (a *requestRecorder) Request(_ time.Duration, r balance.Request) { a.ids = append(a.ids, r.ID) }
+func (r *requestRecorder) Request(_ time.Duration, request balance.Request) {
+	r.ids = append(r.ids, request.ID)
+}
 
-// A request whose guard returns false is refused at once, and never reaches the module; its id is free.
+// A request whose guard returns false must be shed without reaching the balancer, and its id must be free afterwards.
 func TestGuardIsCalledBeforeBalancerDecides(t *testing.T) {
 	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
-	module := &requestRecorder{}
-	l.balancer = module
-	sure := false
-	c := func() *Call {
-		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return sure }, GuardRetryAfter: time.Second}
+	balancer := &requestRecorder{}
+	l.balancer = balancer
+	guardResult := false
+	newCall := func() *Call {
+		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return guardResult }, GuardRetryAfter: time.Second}
 	}
-	first := c()
+	first := newCall()
 	l.Submit(clockStart, first)
-	if r := <-first.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(module.ids) > 0 {
-		t.Errorf("%+v, and the module was given %v", r, module.ids)
+	if r := <-first.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(balancer.ids) > 0 {
+		t.Errorf("the guard returned false: reply %+v, balancer was given %v, want verdict Shed, a Retry-After of 1 s and no request", r, balancer.ids)
 	}
-	sure = true
-	l.Submit(clockStart, c())
-	if len(module.ids) != 1 {
-		t.Errorf("the module was given %v", module.ids)
+	guardResult = true
+	l.Submit(clockStart, newCall())
+	if len(balancer.ids) != 1 {
+		t.Errorf("the guard returned true: balancer was given %v, want one request", balancer.ids)
 	}
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -17,81 +17,82 @@
 )
 
 const (
-	scriptDedupWindow = 300 * time.Millisecond
-	scriptDeadline    = time.Second
+	scriptDedupWindow = 300 * time.Millisecond // how long endpoints drop duplicates of the simulated request
+	scriptDeadline    = time.Second            // deadline of the simulated request
 )
 
-// scriptedAttempt is an attempt at a scripted endpoint: it waits until it is connected, and then for its result.
+// scriptedAttempt is an attempt that a script controls: it waits until the script lets its dial succeed, and then for its result.
 type scriptedAttempt struct {
 	endpoint  string
-	connected chan struct{}
-	results   chan balance.Result
-	writtenAt,
-	endedAt time.Time
-	result balance.Result
+	connected chan struct{}       // closed when the dial succeeds
+	results   chan balance.Result // receives the result from the script
+	writtenAt time.Time           // when the request was written; zero: it was not
+	endedAt   time.Time           // zero: the attempt is in flight
+	result    balance.Result
 }
 
 func (a *scriptedAttempt) mayHaveRun() bool {
 	return !a.writtenAt.IsZero() && a.result != balance.Rejected
 }
 
-// scriptedUpstream is an Upstream with the guards that the real one has: it writes nothing once ctx has ended, Wanted returns
-// false or the endpoint takes nothing new.
+// scriptedUpstream is an Upstream for one request. Like *upstream.Client it writes nothing once ctx has ended, IsWanted returns
+// false or the endpoint accepts no requests. It records what violates the rules for attempts.
 type scriptedUpstream struct {
-	idempotency balance.Idempotency
+	idempotency balance.Idempotency // of the request's class
 
 	mu             sync.Mutex
-	accepting      map[string]bool
+	accepting      map[string]bool // whether an endpoint accepts new requests, by its id
 	attempts       []*scriptedAttempt
 	inFlight       int
 	violations     []string
 	replies        []Reply
-	disconnectedAt time.Time // zero: the client is here
+	disconnectedAt time.Time // when the client disconnected; zero: it is connected
 }
 
-func (e *scriptedUpstream) Attempt(
-	ctx context.Context, id string, _ *upstream.Request, w upstream.AttemptHooks,
+func (u *scriptedUpstream) Attempt(
+	ctx context.Context, id string, _ *upstream.Request, hooks upstream.AttemptHooks,
 ) (balance.Result, bool, upstream.Response) {
 	a := &scriptedAttempt{endpoint: id, connected: make(chan struct{}), results: make(chan balance.Result, 1)}
-	e.mu.Lock()
-	if n := len(e.attempts); n > 0 && !e.disconnectedAt.IsZero() {
-		if last := e.attempts[n-1]; last.result == balance.NotSent && !last.endedAt.Before(e.disconnectedAt) {
-			e.violations = append(e.violations, "another attempt for a client that was seen to have gone")
+	u.mu.Lock()
+	if n := len(u.attempts); n > 0 && !u.disconnectedAt.IsZero() {
+		if last := u.attempts[n-1]; last.result == balance.NotSent && !last.endedAt.Before(u.disconnectedAt) {
+			u.violations = append(u.violations, "an attempt starts after an earlier one has found the client disconnected")
 		}
 	}
-	e.attempts = append(e.attempts, a)
-	if e.inFlight++; e.inFlight > 1 {
-		e.violations = append(e.violations, "two attempts are in flight")
+	u.attempts = append(u.attempts, a)
+	if u.inFlight++; u.inFlight > 1 {
+		u.violations = append(u.violations, "two attempts are in flight")
 	}
-	e.mu.Unlock()
-	r := e.exchange(ctx, a, w)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.inFlight--
-	a.result, a.endedAt = r, time.Now()
-	answer := upstream.Response{}
-	if r == balance.OK {
-		answer.Status = 200
+	u.mu.Unlock()
+	result := u.exchange(ctx, a, hooks)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.inFlight--
+	a.result, a.endedAt = result, time.Now()
+	response := upstream.Response{}
+	if result == balance.OK {
+		response.Status = 200
 	}
-	return r, false, answer
+	return result, false, response
 }
 
-func (e *scriptedUpstream) exchange(ctx context.Context, a *scriptedAttempt, w upstream.AttemptHooks) balance.Result {
+// exchange waits for the dial, writes the request and waits for the result.
+func (u *scriptedUpstream) exchange(ctx context.Context, a *scriptedAttempt, hooks upstream.AttemptHooks) balance.Result {
 	select {
 	case <-a.connected:
 	case <-ctx.Done():
 		return balance.ConnectFailed
 	}
-	wanted := w.IsWanted()
-	e.mu.Lock()
-	if !e.accepting[a.endpoint] || ctx.Err() != nil || !wanted {
-		e.mu.Unlock()
+	isWanted := hooks.IsWanted()
+	u.mu.Lock()
+	if !u.accepting[a.endpoint] || ctx.Err() != nil || !isWanted {
+		u.mu.Unlock()
 		return balance.NotSent
 	}
-	e.checkWrite(a)
+	u.checkWrite(a)
 	a.writtenAt = time.Now()
-	a.result = balance.TimedOut // until it has ended: it may run
-	e.mu.Unlock()
+	a.result = balance.TimedOut // the request may run from now on; Attempt overwrites this with the actual result
+	u.mu.Unlock()
 	select {
 	case r := <-a.results:
 		return r
@@ -100,175 +101,179 @@
 	}
 }
 
-// checkWrite holds what is about to be written against the rules. e.mu is held.
-func (e *scriptedUpstream) checkWrite(a *scriptedAttempt) {
-	if !e.disconnectedAt.IsZero() {
-		e.violations = append(e.violations, "written after the client had disconnected")
+// checkWrite records which rules are violated if an attempt writes the request now. u.mu is held.
+func (u *scriptedUpstream) checkWrite(a *scriptedAttempt) {
+	if !u.disconnectedAt.IsZero() {
+		u.violations = append(u.violations, "written after the client had disconnected")
 	}
-	if len(e.replies) > 0 {
-		e.violations = append(e.violations, "written after the final answer")
+	if len(u.replies) > 0 {
+		u.violations = append(u.violations, "written after the reply")
 	}
-	for _, was := range e.attempts {
+	for _, earlier := range u.attempts {
 		switch {
-		case was == a || !was.mayHaveRun() || e.idempotency == balance.Idempotent:
-		case e.idempotency == balance.NonIdempotent:
-			e.violations = append(e.violations, "unsafe work is written again")
-		case cellOf[was.endpoint] != cellOf[a.endpoint]:
-			e.violations = append(e.violations, "keyed work leaves its cell")
-		case time.Since(was.writtenAt) > scriptDedupWindow:
-			e.violations = append(e.violations, "keyed work is written after its window")
+		case earlier == a || !earlier.mayHaveRun() || u.idempotency == balance.Idempotent:
+		case u.idempotency == balance.NonIdempotent:
+			u.violations = append(u.violations, "a non-idempotent request is written again")
+		case cellOf[earlier.endpoint] != cellOf[a.endpoint]:
+			u.violations = append(u.violations, "a retry with an idempotency key goes to another cell")
+		case time.Since(earlier.writtenAt) > scriptDedupWindow:
+			u.violations = append(u.violations, "a retry with an idempotency key is written after the deduplication window")
 		}
 	}
 }
 
-func (e *scriptedUpstream) SetEndpoint(id, _ string, takes bool) { e.setAccepting(id, takes) }
-func (e *scriptedUpstream) RemoveEndpoint(id string)             { e.setAccepting(id, false) }
-func (e *scriptedUpstream) SetEjected(id string, out bool)       { e.setAccepting(id, !out) }
-func (e *scriptedUpstream) HasIdle(string) bool                  { return false }
+func (u *scriptedUpstream) SetEndpoint(id, _ string, acceptsRequests bool) {
+	u.setAccepting(id, acceptsRequests)
+}
+func (u *scriptedUpstream) RemoveEndpoint(id string)             { u.setAccepting(id, false) }
+func (u *scriptedUpstream) SetEjected(id string, isEjected bool) { u.setAccepting(id, !isEjected) }
+func (u *scriptedUpstream) HasIdle(string) bool                  { return false }
 
-func (e *scriptedUpstream) setAccepting(id string, takes bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.accepting[id] = takes
+func (u *scriptedUpstream) setAccepting(id string, isAccepting bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.accepting[id] = isAccepting
 }
 
-func (e *scriptedUpstream) latestAttempt() *scriptedAttempt {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.attempts) == 0 {
+func (u *scriptedUpstream) latestAttempt() *scriptedAttempt {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if len(u.attempts) == 0 {
 		return nil
 	}
-	return e.attempts[len(e.attempts)-1]
+	return u.attempts[len(u.attempts)-1]
 }
 
+// cellOf is the cell of each endpoint, by its id.
 var cellOf = map[string]int{"a": 1, "b": 1, "c": 2}
 
-// The steps of an order: what may happen to one request at any time.
+// The steps of a script: events that may happen to a request at any time. simulateRequest depends on the order of the four results.
 const (
-	dialSucceeds = iota
-	endpointSucceeds
-	endpointErrs
-	endpointRejects
-	connectionResets
-	clientDisconnects        // the client
-	loopNotifiedOfDisconnect // of the disconnect
-	endpointDrains           // an endpoint, with a list
-	endpointsReturn          // of all endpoints, with a list
-	shortWait                // time passes
-	longWait
-	waitUntilNearDeadline // until the module has given up, and the attempt's own time is not over yet
-	loopStops             // the process
-	stepCount
+	dialSucceeds             = iota // the latest attempt connects to its endpoint
+	endpointSucceeds                // the latest attempt ends with balance.OK
+	endpointErrs                    // the latest attempt ends with balance.ErrorResponse
+	endpointRejects                 // the latest attempt ends with balance.Rejected
+	connectionResets                // the latest attempt ends with balance.Reset
+	clientDisconnects               // the client disconnects, and the loop is not notified
+	loopNotifiedOfDisconnect        // the loop is notified if the client has disconnected
+	endpointDrains                  // an endpoint list reports the endpoint of the latest attempt as draining
+	endpointsReturn                 // an endpoint list reports all endpoints as ready
+	shortWait                       // 40 ms pass
+	longWait                        // the length of the deduplication window passes
+	waitUntilNearDeadline           // time passes until the balancer has given up, but the attempt's timeout has not expired
+	loopStops                       // the context of Loop.Run ends
+	stepCount                       // the number of steps
 )
 
-// simulateRequest plays one request through the steps and returns what was wrong.
-func simulateRequest(effect balance.Idempotency, mayCancel bool, script []int) (wrong []string) {
-	e := &scriptedUpstream{idempotency: effect, accepting: map[string]bool{}}
-	settings := balance.Settings{Seed: 3, CanCancel: mayCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
-		Classes: []balance.Class{{Name: "c", Idempotency: effect, DedupScope: balance.ScopeCell, DedupWindow: scriptDedupWindow, LatencyObjective: scriptDeadline / 2}}}
-	l := New(NewBalancer, settings, e, func() {}, slog.New(slog.DiscardHandler))
-	list := func(without string) func(time.Duration) {
+// simulateRequest runs a script of steps for one request of a class and returns the violations.
+func simulateRequest(idempotency balance.Idempotency, canCancel bool, script []int) (violations []string) {
+	u := &scriptedUpstream{idempotency: idempotency, accepting: map[string]bool{}}
+	settings := balance.Settings{Seed: 3, CanCancel: canCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
+		Classes: []balance.Class{{Name: "c", Idempotency: idempotency, DedupScope: balance.ScopeCell, DedupWindow: scriptDedupWindow, LatencyObjective: scriptDeadline / 2}}}
+	l := New(NewBalancer, settings, u, func() {}, slog.New(slog.DiscardHandler))
+	updateEndpoints := func(draining string) func(time.Duration) {
 		return func(now time.Duration) {
-			m := discovery.ListUpdate{Full: true}
+			update := discovery.ListUpdate{Full: true}
 			for id, cell := range cellOf {
-				s := discovery.Member{ID: id, Addr: "h:1", Cell: cell}
-				if id == without {
-					s.State = balance.Draining
+				member := discovery.Member{ID: id, Addr: "h:1", Cell: cell}
+				if id == draining {
+					member.State = balance.Draining
 				}
-				m.Members = append(m.Members, s)
+				update.Members = append(update.Members, member)
 			}
-			l.UpdateEndpoints(now, m)
+			l.UpdateEndpoints(now, update)
 		}
 	}
-	list("")(l.Now())
-	ctx, end := context.WithCancel(context.Background())
+	updateEndpoints("")(l.Now())
+	ctx, stopLoop := context.WithCancel(context.Background())
 	go l.Run(ctx)
 	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Request{}, Replies: make(chan Reply, 4)}
-	c.IsClientConnected = func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.disconnectedAt.IsZero() }
+	c.IsClientConnected = func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.disconnectedAt.IsZero() }
 	l.Post(func(now time.Duration) { c.Deadline = now + scriptDeadline; l.Submit(now, c) })
 	collectReplies := func() {
 		synctest.Wait()
-		e.mu.Lock()
-		defer e.mu.Unlock()
+		u.mu.Lock()
+		defer u.mu.Unlock()
 		for len(c.Replies) > 0 {
-			e.replies = append(e.replies, <-c.Replies)
+			u.replies = append(u.replies, <-c.Replies)
 		}
 	}
-	finish := func(r balance.Result) {
-		if a := e.latestAttempt(); a != nil && !a.writtenAt.IsZero() && len(a.results) == 0 {
+	endAttempt := func(r balance.Result) {
+		if a := u.latestAttempt(); a != nil && !a.writtenAt.IsZero() && len(a.results) == 0 {
 			a.results <- r
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	collectReplies()
 	for _, step := range script {
 		switch step {
 		case dialSucceeds:
-			if a := e.latestAttempt(); a != nil && a.writtenAt.IsZero() && a.endedAt.IsZero() {
+			if a := u.latestAttempt(); a != nil && a.writtenAt.IsZero() && a.endedAt.IsZero() {
 				close(a.connected)
 			}
 		case endpointSucceeds, endpointErrs, endpointRejects, connectionResets:
-			finish([]balance.Result{balance.OK, balance.ErrorResponse, balance.Rejected, balance.Reset}[step-endpointSucceeds])
+			endAttempt([]balance.Result{balance.OK, balance.ErrorResponse, balance.Rejected, balance.Reset}[step-endpointSucceeds])
 		case clientDisconnects:
 			if c.IsClientConnected() {
-				e.mu.Lock()
-				e.disconnectedAt = time.Now()
-				e.mu.Unlock()
+				u.mu.Lock()
+				u.disconnectedAt = time.Now()
+				u.mu.Unlock()
 			}
 		case loopNotifiedOfDisconnect:
 			if !c.IsClientConnected() {
 				l.Post(func(now time.Duration) { l.ClientDisconnected(now, c) })
 			}
 		case endpointDrains:
-			if a := e.latestAttempt(); a != nil {
-				l.Post(list(a.endpoint))
+			if a := u.latestAttempt(); a != nil {
+				l.Post(updateEndpoints(a.endpoint))
 			}
 		case endpointsReturn:
-			l.Post(list(""))
+			l.Post(updateEndpoints(""))
 		case shortWait:
-			time.Sleep(40 * time.Millisecond) // virtual
+			time.Sleep(40 * time.Millisecond) // in virtual time
 		case longWait:
-			time.Sleep(scriptDedupWindow) // virtual
+			time.Sleep(scriptDedupWindow) // in virtual time
 		case waitUntilNearDeadline:
-			time.Sleep(time.Until(began.Add(scriptDeadline - 2*time.Millisecond))) // virtual
+			time.Sleep(time.Until(startedAt.Add(scriptDeadline - 2*time.Millisecond))) // in virtual time
 		case loopStops:
-			end()
+			stopLoop()
 		}
 		collectReplies()
 	}
-	time.Sleep(2 * scriptDeadline) // virtual
+	time.Sleep(2 * scriptDeadline) // in virtual time
 	collectReplies()
-	ended := ctx.Err() != nil
-	if !ended {
+	isLoopStopped := ctx.Err() != nil
+	if !isLoopStopped {
 		l.Post(func(time.Duration) {
-			if calls, _, later, timers := l.ResourceCounts(); calls+later > 0 || timers > 1 {
-				e.violations = append(e.violations, fmt.Sprintf("the loop still holds %d calls, %d events, %d timers", calls, later, timers))
+			if calls, _, events, timers := l.ResourceCounts(); calls+events > 0 || timers > 1 {
+				u.violations = append(u.violations, fmt.Sprintf("the loop holds %d calls, %d deferred events and %d timers, want none, none and 1 at most", calls, events, timers))
 			}
 		})
 		synctest.Wait()
 	}
-	end()
+	stopLoop()
 	synctest.Wait()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	wrong = e.violations
-	if e.inFlight > 0 {
-		wrong = append(wrong, "an attempt outlives the loop")
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	violations = u.violations
+	if u.inFlight > 0 {
+		violations = append(violations, "an attempt is in flight after the loop has stopped")
 	}
-	if n := len(e.replies); n > 1 || n == 0 && e.disconnectedAt.IsZero() && !ended {
-		wrong = append(wrong, fmt.Sprintf("%d final answers, left at %v, ended %v", n, e.disconnectedAt, ended))
+	if n := len(u.replies); n > 1 || n == 0 && u.disconnectedAt.IsZero() && !isLoopStopped {
+		violations = append(violations, fmt.Sprintf("%d replies, the client disconnected at %v (zero: never), the loop was stopped: %v", n, u.disconnectedAt, isLoopStopped))
 	}
-	for _, r := range e.replies {
-		for _, a := range e.attempts {
-			if r.Verdict == Shed && effect != balance.Idempotent && a.mayHaveRun() {
-				wrong = append(wrong, "refused, and it may have run")
+	for _, r := range u.replies {
+		for _, a := range u.attempts {
+			if r.Verdict == Shed && idempotency != balance.Idempotent && a.mayHaveRun() {
+				violations = append(violations, "the request was shed although it may have run")
 			}
 		}
 	}
-	return wrong
+	return violations
 }
 
-// raceScripts are the orders in which something is owed at the instant at which something ends; the drawn ones rarely meet them.
+// raceScripts are scripts in which two ends of the request come close together, such as a disconnect right before the dial succeeds.
+// Random scripts rarely contain these orders.
 var raceScripts = [][]int{
 	{clientDisconnects, dialSucceeds},
 	{clientDisconnects, loopNotifiedOfDisconnect, dialSucceeds},
@@ -292,12 +297,12 @@
 }
 
 func TestConcurrentEndEventsKeepRequestInvariants(t *testing.T) {
-	for _, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent} {
-		for _, mayCancel := range []bool{false, true} {
+	for _, idempotency := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent} {
+		for _, canCancel := range []bool{false, true} {
 			for _, script := range raceScripts {
 				synctest.Test(t, func(t *testing.T) {
-					if wrong := simulateRequest(effect, mayCancel, script); len(wrong) > 0 {
-						t.Errorf("effect %v, may cancel %v, steps %v: %q", effect, mayCancel, script, wrong)
+					if violations := simulateRequest(idempotency, canCancel, script); len(violations) > 0 {
+						t.Errorf("idempotency %v, can cancel %v, steps %v: %q", idempotency, canCancel, script, violations)
 					}
 				})
 			}
@@ -305,18 +310,18 @@
 	}
 }
 
-// One request in virtual time, with all that may happen to it in all orders that are drawn: one final answer at most, and exactly
-// one to a client that stays; never two attempts in flight; nothing written after the disconnect, after the answer, to an
-// endpoint that takes nothing new, nor against the class's rule on retries; nothing left over.
+// Runs one request in virtual time through random orders of events. It must get at most one reply, and exactly one if its client
+// stays connected. There must never be two attempts in flight. Nothing may be written after the disconnect, after the reply, to an
+// endpoint that accepts no requests, or against the class's rule on retries. Nothing may be left over afterwards.
 func TestOneRequestGetsOneReplyInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		effect := rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent}).Draw(rt, "effect")
-		mayCancel := rapid.Bool().Draw(rt, "may cancel")
+		idempotency := rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent}).Draw(rt, "idempotency")
+		canCancel := rapid.Bool().Draw(rt, "can cancel")
 		script := rapid.SliceOfN(rapid.IntRange(0, stepCount-1), 1, 14).Draw(rt, "steps")
-		var wrong []string
-		synctest.Test(t, func(*testing.T) { wrong = simulateRequest(effect, mayCancel, script) })
-		if len(wrong) > 0 {
-			rt.Fatalf("%q", wrong)
+		var violations []string
+		synctest.Test(t, func(*testing.T) { violations = simulateRequest(idempotency, canCancel, script) })
+		if len(violations) > 0 {
+			rt.Fatalf("%q", violations)
 		}
 	})
 }
