--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// A process that was stopped, or got no processor time for long, finds requests in its sockets that arrived meanwhile.
-// Their deadlines count from their arrival, not from their reading, and those of clients that have disconnected must
-// not be forwarded any more.
+// If the process was stopped, or got no processor time for a while, requests have waited in its sockets. Their deadlines count from
+// their arrival, not from when they are read, and requests of clients that have disconnected meanwhile must not be forwarded.
 const (
-	// stallThreshold is how long a pause without a request is taken for a stall: far less than the shortest deadline
-	// that clients set in service (480 ms).
+	// stallThreshold is the length from which a pause between requests is taken for a stall of the process. It is far below
+	// the shortest deadline that clients set in service (480 ms).
 	stallThreshold = 100 * time.Millisecond
-	// stallSuspicionPeriod is for how long after a stall requests are checked: a backlog is read by then.
+	// stallSuspicionPeriod is how long after a stall the arrival of requests is checked. The backlog is read by then.
 	stallSuspicionPeriod = 2 * time.Second
 )
 
-// stallDetector finds out when requests may have waited in their sockets. It is safe for concurrent use.
+// stallDetector detects when requests may have waited in their sockets. It is safe for concurrent use.
 type stallDetector struct {
-	startedAt    time.Time    // never changes
-	lastRequest  atomic.Int64 // nanoseconds since startedAt
-	suspectUntil atomic.Int64 // nanoseconds since startedAt
+	startedAt    time.Time    // when the detector was created; never changes
+	lastRequest  atomic.Int64 // when the latest request was read, in nanoseconds since startedAt
+	suspectUntil atomic.Int64 // end of the suspicion after the latest stall, in nanoseconds since startedAt
 }
 
-// observeRequest notes that a request is read now, and reports whether it may have waited in its socket. A daemon with
-// little load suspects every request: the check is one system call.
+// observeRequest records that a request is read now, and reports whether it may have waited in its socket. With little load every
+// request is suspect, which costs one system call each.
 func (d *stallDetector) observeRequest(now time.Time) (isSuspect bool) {
-	at := now.Sub(d.startedAt).Nanoseconds()
-	if at-d.lastRequest.Swap(at) >= int64(stallThreshold) {
-		d.suspectUntil.Store(at + int64(stallSuspicionPeriod))
+	sinceStart := now.Sub(d.startedAt).Nanoseconds()
+	if sinceStart-d.lastRequest.Swap(sinceStart) >= int64(stallThreshold) {
+		d.suspectUntil.Store(sinceStart + int64(stallSuspicionPeriod))
 	}
-	return at < d.suspectUntil.Load()
+	return sinceStart < d.suspectUntil.Load()
 }
 
-// sinceLastReceive returns how long ago the latest bytes arrived on a request's connection, by the kernel's clock, and
-// whether its client has ended its sending since. Where the kernel does not say, the bytes arrived just now.
+// sinceLastReceive returns how long ago the latest bytes were received on a request's connection, by the kernel's clock, and whether
+// the client has closed its sending side since. The age is 0 if the kernel provides no information.
 func sinceLastReceive(r *http.Request) (age time.Duration, isDisconnected bool) {
 	info, err := requestTCPInfo(r)
 	if err != nil {
@@ -44,8 +43,8 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, info.State == stateCloseWait
 }
 
-// arrivalTime returns when a request that is read now arrived, and whether its client has disconnected since. An age
-// below a stall's says nothing: a body's end may arrive long after its beginning.
+// arrivalTime returns when a request that is read now arrived, and whether its client has disconnected since. An age below
+// stallThreshold is not evidence of a stall, and is ignored: the end of a body may be received long after its beginning.
 func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stalls.observeRequest(now) {
 		return now, false
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -10,8 +10,8 @@
 	"tuliprock/internal/body"
 )
 
-// reserveBodyMemory reserves the memory for a body that is buffered. It waits for its turn as long as the client would
-// wait for a response. release gives the memory back.
+// reserveBodyMemory reserves the memory for a buffered body. It waits for free memory at most until the request's deadline. The
+// caller must call release when the memory is no longer used.
 func (s *Server) reserveBodyMemory(r *http.Request, arrived time.Time) (release func(), _ *rejection) {
 	size := body.Size{Bytes: int(r.ContentLength)}
 	if s.options.BodyMemory == nil || size.Bytes <= 0 {
@@ -28,14 +28,14 @@
 	return func() { s.options.BodyMemory.Release(size) }, nil
 }
 
-// expiredContext has ended, for a reservation that must not wait.
+// expiredContext has been canceled already. A reservation with it fails rather than waits.
 var expiredContext = func() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }()
 
-// waitForBodyMemory waits for memory until the request's own deadline, or for BodyTimeout if that is shorter.
+// waitForBodyMemory waits for memory until the request's deadline, but no longer than BodyTimeout.
 func (s *Server) waitForBodyMemory(r *http.Request, arrived time.Time, size body.Size) *rejection {
 	routes := s.routes.acquire()
 	defer routes.release()
@@ -44,8 +44,8 @@
 		return rejected
 	}
 	deadline := time.Now().Add(s.options.BodyTimeout)
-	if own := s.deadlineFrom(request, arrived); own.Before(deadline) {
-		deadline = own
+	if requestDeadline := s.deadlineFrom(request, arrived); requestDeadline.Before(deadline) {
+		deadline = requestDeadline
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// readBufferedBody reads a complete body within BodyTimeout. The read deadline must be lifted afterwards: while a request
-// waits for its response, a read that times out looks to net/http like a client that has disconnected.
+// readBufferedBody reads a complete body within BodyTimeout. It removes the read deadline afterwards: net/http would take a read
+// that times out while the request waits for its response for a disconnect of the client.
 func (s *Server) readBufferedBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -17,24 +17,25 @@
 const (
 	// finalReadTimeout is how long the last read waits on a connection that is about to be closed.
 	finalReadTimeout = 20 * time.Millisecond
-	// maxFinalReads is how often that read is done again if this process got no processor time meanwhile.
+	// maxFinalReads limits how often the last read is repeated because the process got no processor time during it.
 	maxFinalReads = 3
 )
 
-// clientConn is the connection of a client. It observes what net/http reads and writes, for the Listener's tracking.
+// clientConn is the connection of a client. It observes the reads and writes of net/http, so that the Listener can track whether a
+// request is open on the connection.
 type clientConn struct {
 	net.Conn
 	listener   *Listener
-	writeMeter atomic.Pointer[body.Meter] // minimum rate of writes; nil: none
-	head       headScanner
-
-	// listener.mu guards these:
-	queue           *list.List // of the Listener, in which element stands; nil while a request is open
-	element         *list.Element
-	queuedAt        time.Time
-	awaitsFirstByte bool // no byte was received since the last write
-	isEvicted       bool // the next read ends the connection, unless bytes are received first
-	isCounted       bool // in listener.open
+	writeMeter atomic.Pointer[body.Meter] // enforces a minimum rate of writes; nil: no minimum
+	head       headScanner                // scans the heads of the requests that are read
+
+	// listener.mu guards the fields below.
+	queue           *list.List    // the listener's queue that holds the connection; nil while a request is open
+	element         *list.Element // the connection's element of queue
+	queuedAt        time.Time     // when the connection was added to queue
+	awaitsFirstByte bool          // no byte was received since the last write: the next byte begins a request
+	isEvicted       bool          // the next read ends the connection, unless bytes are received first
+	isCounted       bool          // the connection is counted in listener.open
 }
 
 // Read implements net.Conn.
@@ -55,11 +56,11 @@
 	return n, err
 }
 
-// recordReceived notes bytes that were read. listener.mu is held.
+// recordReceived tracks bytes that were read. listener.mu is held.
 func (c *clientConn) recordReceived(b []byte) {
 	c.head.scan(b, c.awaitsFirstByte)
-	if c.isEvicted && c.awaitsFirstByte { // a request came first
-		c.cancelEviction(time.Now().Add(c.listener.headTimeout)) // the eviction has replaced net/http's own deadline
+	if c.isEvicted && c.awaitsFirstByte { // a request was received before the eviction took effect
+		c.cancelEviction(time.Now().Add(c.listener.headTimeout)) // the eviction has overwritten net/http's read deadline
 		c.moveTo(&c.listener.partial)
 	}
 	if c.queue == &c.listener.silent || c.queue == &c.listener.idle {
@@ -68,19 +69,19 @@
 	c.awaitsFirstByte = false
 }
 
-// awaitsRequest reports whether the connection's next byte begins a request.
+// awaitsRequest reports whether the next byte that is received begins a request.
 func (c *clientConn) awaitsRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.awaitsFirstByte && (c.isEvicted || c.queue != nil)
 }
 
-// readAgain reads once more after a read has timed out. The runtime reports a timeout even if bytes have arrived, and
-// a request that has arrived must not be lost.
+// readAgain reads once more after a read has timed out. Go's runtime reports a timeout even if bytes have been received, and a
+// request that was received must not be lost.
 func (c *clientConn) readAgain(b []byte) (n int, err error) {
 	for range maxFinalReads {
 		startedAt := time.Now()
-		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // if it fails, so does the read
+		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // if this fails, the read fails, too
 		n, err = c.Conn.Read(b)
 		if n > 0 {
 			return n, c.Conn.SetReadDeadline(time.Now().Add(c.listener.headTimeout))
@@ -92,8 +93,8 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. net/http sets a deadline right after it has reported that a connection is idle:
-// that must not undo an eviction.
+// SetReadDeadline implements net.Conn. It ignores the deadline that net/http sets right after it has reported a connection as idle
+// if the connection was evicted in that moment, since the deadline would undo the eviction.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -106,7 +107,7 @@
 // Write implements net.Conn.
 func (c *clientConn) Write(b []byte) (int, error) {
 	c.listener.mu.Lock()
-	c.awaitsFirstByte = true // before the write: what is received in response to it begins a request
+	c.awaitsFirstByte = true // set before the write, since the client may send its next request as soon as it receives the bytes
 	c.listener.mu.Unlock()
 	if meter := c.writeMeter.Load(); meter != nil {
 		n, err := body.Write(c.Conn, meter, neverStopped, net.Buffers{b})
@@ -117,19 +118,19 @@
 
 func neverStopped() bool { return false }
 
-// splicer is a source whose bytes can go to a connection within the kernel.
+// splicer is a source whose bytes the kernel can move to a connection without copying them to this process.
 type splicer interface {
 	Splice(*net.TCPConn, *body.Meter) (int64, error)
 }
 
-// splicedReader is a splicer in the form in which net/http hands it through to clientConn.ReadFrom. It is never read.
+// splicedReader wraps a splicer as an io.Reader, so that net/http passes it to clientConn.ReadFrom. Its Reader is nil and never read.
 type splicedReader struct {
 	io.Reader
 	splicer
 }
 
-// ReadFrom implements io.ReaderFrom. A splicedReader is spliced if the connection's writes have a minimum rate; else
-// nothing of it is copied, without an error.
+// ReadFrom implements io.ReaderFrom. It splices a splicedReader if the connection has a writeMeter; otherwise it copies nothing
+// from it and returns no error.
 func (c *clientConn) ReadFrom(r io.Reader) (int64, error) {
 	source, isSpliced := r.(splicedReader)
 	to, isTCP := c.Conn.(*limitedConn)
@@ -142,21 +143,21 @@
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn is the ConnContext hook by which a handler finds its request's connection.
+// withConn is the ConnContext hook of http.Server. It adds the connection to the contexts of the requests that are read from it.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connOf returns a request's connection; nil if a Listener did not accept it.
+// connOf returns a request's connection, or nil if it was not accepted by a Listener.
 func connOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	return c
 }
 
-// setWriteMeter holds the client to a minimum rate while a response is written to it; nil: no longer.
+// setWriteMeter enforces a minimum rate on writes to the client of a request; nil removes it.
 func setWriteMeter(r *http.Request, meter *body.Meter) {
 	if c := connOf(r); c != nil {
 		c.writeMeter.Store(meter)
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// LimitListener is a listener that holds a limited number of connections open at once. Beyond the limit Accept blocks, so that
-// further clients wait in the kernel's accept queue. Its connections embed *net.TCPConn, which a streamed response needs
-// for splice; netutil.LimitListener hides that.
+// LimitListener is a listener that limits how many of its connections are open at once. At the limit Accept blocks, and further
+// clients wait in the kernel's accept queue. Its connections expose their *net.TCPConn, which streaming responses need for splice;
+// those of netutil.LimitListener do not.
 type LimitListener struct {
 	net.Listener
 
-	mu             sync.Mutex
-	changed        sync.Cond // open, maxConnections or closed has changed
-	open           int       // connections that are open or about to be accepted
+	mu             sync.Mutex // guards the fields below
+	changed        sync.Cond  // signaled when open, maxConnections or closed has changed
+	open           int        // connections that are open or about to be accepted
 	maxConnections int
-	closed         bool
+	closed         bool // Close was called
 }
 
-// NewLimitListener wraps a listener of TCP connections so that at most maxConnections of its connections are open at once.
+// NewLimitListener wraps a listener for TCP connections, so that at most maxConnections of them are open at once.
 func NewLimitListener(l net.Listener, maxConnections int) *LimitListener {
 	limited := &LimitListener{Listener: l, maxConnections: maxConnections}
 	limited.changed.L = &limited.mu
@@ -33,7 +33,7 @@
 	l.changed.Broadcast()
 }
 
-// Accept implements net.Listener. It blocks while the limit is reached, and fails with net.ErrClosed after Close.
+// Accept implements net.Listener. It blocks while maxConnections connections are open, and returns net.ErrClosed after Close.
 func (l *LimitListener) Accept() (net.Conn, error) {
 	if !l.acquire() {
 		return nil, net.ErrClosed
@@ -46,7 +46,7 @@
 	return &limitedConn{TCPConn: conn.(*net.TCPConn), release: l.release}, nil
 }
 
-// Close implements net.Listener. Connections that were accepted stay open.
+// Close implements net.Listener. Accepted connections stay open.
 func (l *LimitListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -55,7 +55,7 @@
 	return l.Listener.Close()
 }
 
-// acquire waits until one more connection may be open. It is false if the listener was closed.
+// acquire waits until one more connection may be open and counts it. It returns false if the listener is closed.
 func (l *LimitListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 	return !l.closed
 }
 
-// release lets another connection take the place of one that was closed.
+// release no longer counts a connection that was closed or not accepted, so that another one can be accepted.
 func (l *LimitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,11 +76,11 @@
 	l.changed.Broadcast()
 }
 
-// limitedConn is a connection of a limited listener. Its first Close releases its place.
+// limitedConn is a connection of a LimitListener, which counts it until its first Close.
 type limitedConn struct {
 	*net.TCPConn
 	releaseOnce sync.Once
-	release     func()
+	release     func() // release of the LimitListener, to be called once
 }
 
 // Close implements net.Conn.
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// isClientConnected reports whether a request's client still waits for it. net/http notices a disconnect by reading on,
-// and does not read on before a body's end was read, nor once a byte was received behind the request: so the kernel is
-// asked, too. It may be called from any goroutine; after the request's end it is false.
+// isClientConnected reports whether a request's client is still connected. net/http detects a disconnect by reading from the
+// connection, but it does not read until the handler has read the whole body, nor after it has received a byte that follows the
+// request. The kernel is therefore asked, too. isClientConnected may be called from any goroutine, and returns false after the
+// request has ended.
 //
-// The order matters: the request's context is looked at last, for a handler that sees a disconnect meanwhile ends the
-// request, and then its connection.
+// The request's context must be checked after the kernel was asked: a handler that notices a disconnect in between first ends the
+// request, which cancels the context, and then closes the connection.
 func isClientConnected(r *http.Request) bool {
 	switch info, err := requestTCPInfo(r); {
 	case errors.Is(err, net.ErrClosed):
@@ -25,17 +26,17 @@
 	return r.Context().Err() == nil
 }
 
-// The kernel's states of a connection (include/net/tcp_states.h).
+// TCP states of the Linux kernel (include/net/tcp_states.h).
 const (
-	stateClose     = 7 // it was reset
-	stateCloseWait = 8 // the peer has ended its sending
+	stateClose     = 7 // TCP_CLOSE: the connection was reset
+	stateCloseWait = 8 // TCP_CLOSE_WAIT: the peer has closed its sending side
 )
 
 // errNoTCPInfo is returned for a connection that is not a socket.
 var errNoTCPInfo = errors.New("the connection has no TCP_INFO")
 
-// requestTCPInfo returns the kernel's TCP_INFO of a request's connection. The error is net.ErrClosed if this side has
-// closed the connection, and errNoTCPInfo if it is not a socket.
+// requestTCPInfo returns the kernel's TCP_INFO of a request's connection. The error is net.ErrClosed if this process has closed the
+// connection, and errNoTCPInfo if the connection is not a socket.
 func requestTCPInfo(r *http.Request) (*unix.TCPInfo, error) {
 	c := connOf(r)
 	if c == nil {
@@ -48,7 +49,7 @@
 	return socketTCPInfo(socket)
 }
 
-// socketTCPInfo returns the kernel's TCP_INFO of a socket. The error is net.ErrClosed if the socket was closed here.
+// socketTCPInfo returns the kernel's TCP_INFO of a socket. The error is net.ErrClosed if this process has closed the socket.
 func socketTCPInfo(socket syscall.Conn) (*unix.TCPInfo, error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -8,26 +8,26 @@
 	"tuliprock/internal/metrics"
 )
 
-// dispatch submits a request to its pool's event loop and writes the response, unless the client has disconnected. Only
-// here do the metrics count a request as active.
+// dispatch submits a request to its pool's event loop and writes the response, unless the client has disconnected. The metrics count
+// the request as active from the call of dispatch to its return.
 func (s *Server) dispatch(w *responseWriter, r *http.Request, request *routedRequest) {
-	outcome := metrics.Failed // unless a response is written
+	outcome := metrics.Failed // overwritten if a reply is written
 	request.target.Class.Metrics.Begin()
 	defer func() { request.target.Class.Metrics.End(outcome) }()
 	pool, call := request.target.Pool, request.call
 	call.IsClientConnected = func() bool { return isClientConnected(r) }
 	pool.Post(func(now time.Duration) { pool.Submit(now, call) })
-	reply, isReplied := s.awaitReply(r, request)
-	if isReplied && reply.Verdict != eventloop.ClientGone {
+	reply, hasReply := s.awaitReply(r, request)
+	if hasReply && reply.Verdict != eventloop.ClientGone {
 		outcome = s.writeReply(w, r, request, reply)
 		return
 	}
-	s.endWithoutReply(w, r, request, isReplied)
+	s.endWithoutReply(w, r, request, hasReply)
 }
 
-// awaitReply waits for the reply to a request. There is none if the client has disconnected, the request's body could not
-// be read, or the process or the pool ends.
-func (s *Server) awaitReply(r *http.Request, request *routedRequest) (reply eventloop.Reply, isReplied bool) {
+// awaitReply waits for the reply to a request. There is no reply if the client disconnects, the request's body cannot be read, or
+// the process or the pool ends.
+func (s *Server) awaitReply(r *http.Request, request *routedRequest) (reply eventloop.Reply, hasReply bool) {
 	var uploadFailed, streamsAborted <-chan struct{}
 	shutdownExpired := s.shutdownExpired
 	if upload := request.call.Message.Upload; upload != nil {
@@ -45,8 +45,9 @@
 	return withdraw(request)
 }
 
-// withdraw reports to the event loop that nobody waits for a request any more. It returns the reply if there was one before.
-func withdraw(request *routedRequest) (reply eventloop.Reply, isReplied bool) {
+// withdraw reports to the event loop that nobody waits for a request any more. It returns the reply if the loop has sent one
+// meanwhile.
+func withdraw(request *routedRequest) (reply eventloop.Reply, hasReply bool) {
 	pool := request.target.Pool
 	withdrawn := make(chan bool, 1)
 	pool.Post(func(now time.Duration) { withdrawn <- pool.ClientDisconnected(now, request.call) })
@@ -62,18 +63,19 @@
 	}
 }
 
-// endWithoutReply ends a request to which there is no reply that can be written. leftByReply means that the event loop's
-// reply was that the client has disconnected.
-func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, leftByReply bool) {
-	upload, isDisconnected := request.call.Message.Upload, leftByReply || r.Context().Err() != nil
-	if leftByReply && upload != nil { // the kernel has reported the disconnect before what was sent ahead of it was read
+// endWithoutReply ends a request for which the event loop has sent no reply, or only the verdict ClientGone, which isClientGone
+// reports.
+func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, isClientGone bool) {
+	upload, isDisconnected := request.call.Message.Upload, isClientGone || r.Context().Err() != nil
+	if isClientGone && upload != nil { // the kernel reports the disconnect before all bytes that the client sent are read
 		_ = upload.ReadToEnd() // upload.Err keeps the error
 	}
 	switch {
 	case upload != nil && (upload.Err() != nil || isDisconnected && upload.ErrAfterRead() != nil):
-		// A body that could not be read looks like a disconnect, too.
+		// A body that cannot be read looks like a disconnect, too, but its client gets a response.
 		bodyRejection(upload.Err()).write(w)
-	case isDisconnected: // the client may still read, and must not get the empty response that net/http would make up
+	case isDisconnected:
+		// The client may have closed only its sending side. It must not get the empty response that net/http would write.
 		panic(http.ErrAbortHandler)
 	default:
 		s.writeReply(w, r, request, eventloop.Reply{Verdict: eventloop.Failed})
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// minSilentAge is how long a new connection may be silent before it is suspect: clients send at once.
+	// minSilentAge is how long a new connection may send nothing before it is evicted first. Clients normally send at once.
 	minSilentAge = 100 * time.Millisecond
 	// minPartialAge is how long the rest of a request's head may take before its connection can be evicted.
 	minPartialAge = 300 * time.Millisecond
 )
 
-// evictIfOverLimit evicts the least valuable connection if there are too many: a silent one, then the one idle for
-// longest, then one whose request's head does not go on. Where all have an open request, the limit of the listener
-// beneath holds new ones back. l.mu is held.
+// evictIfOverLimit evicts one connection if there are more than maxConnections. It prefers a new connection that has sent nothing for
+// minSilentAge, then the connection that has been idle for longest, then any new one without a byte received, then one on which a
+// request's head has been incomplete for minPartialAge. If all connections have an open request, none is evicted; a LimitListener
+// keeps further ones from being accepted. l.mu is held.
 func (l *Listener) evictIfOverLimit() {
 	if l.open-l.evicting <= l.maxConnections {
 		return
@@ -33,8 +34,8 @@
 	l.scheduleRecheck()
 }
 
-// scheduleRecheck has evictIfOverLimit run again: while Accept waits for a free place, nothing else would call it.
-// l.mu is held.
+// scheduleRecheck schedules another evictIfOverLimit, which nothing else would call while Accept blocks at the limit of the
+// LimitListener. l.mu is held.
 func (l *Listener) scheduleRecheck() {
 	if l.isRecheckScheduled {
 		return
@@ -48,7 +49,7 @@
 	})
 }
 
-// evictIdle evicts all idle connections, and new ones that have been silent for long, and returns the number of open
+// evictIdle evicts all idle connections, and new ones that have sent nothing for minSilentAge. It returns the number of open
 // connections.
 func (l *Listener) evictIdle() int {
 	l.mu.Lock()
@@ -65,26 +66,26 @@
 	return l.open
 }
 
-// evict makes the read that waits for a request return, and so net/http close the connection, unless a request is
-// received first. listener.mu is held.
+// evict makes the read that waits for a request time out, so that net/http closes the connection, unless a request is received first.
+// listener.mu is held.
 func (c *clientConn) evict() {
 	c.moveTo(nil)
 	c.isEvicted = true
 	c.listener.evicting++
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // it fails on a closed connection only, where the read returns anyway
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // this fails only on a closed connection, on which the read returns anyway
 }
 
-// cancelEviction takes an eviction back because a request was received first. The request must be read by the
-// deadline; zero: no deadline. listener.mu is held.
+// cancelEviction cancels an eviction because a request was received first. The request must be read by the deadline; zero means no
+// deadline. listener.mu is held.
 func (c *clientConn) cancelEviction(deadline time.Time) {
 	if c.isEvicted {
 		c.isEvicted = false
 		c.listener.evicting--
-		_ = c.Conn.SetReadDeadline(deadline) // it fails on a closed connection only, where the next read fails, too
+		_ = c.Conn.SetReadDeadline(deadline) // this fails only on a closed connection, on which the next read fails, too
 	}
 }
 
-// moveTo moves the connection to the end of a queue of its Listener; nil: out of all. listener.mu is held.
+// moveTo moves the connection to the end of a queue of its Listener; nil removes it from its queue. listener.mu is held.
 func (c *clientConn) moveTo(queue *list.List) {
 	if c.queue != nil {
 		c.queue.Remove(c.element)
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -6,18 +6,19 @@
 	"sync"
 )
 
-// checkFraming rejects a request whose end two readers could see at different places, and one that is too long.
-// net/http drops a Content-Length beside a Transfer-Encoding, and would read what is left of the body as a new request.
+// checkFraming rejects a request of which two servers could find the end at different positions, and one whose body is too long. It
+// guards against request smuggling: net/http ignores a Content-Length beside a Transfer-Encoding, and would read the rest of the body
+// as a new request.
 func (s *Server) checkFraming(r *http.Request) *rejection {
 	switch {
-	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding there
+	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding in HTTP/1.0
 		return newRejection(http.StatusBadRequest, "HTTP/1.1 is wanted")
 	case hasFoldedLine(r):
 		return newRejection(http.StatusBadRequest, "a header line is folded")
 	case len(r.TransferEncoding) > 0 && s.options.BodyMemory == nil:
 		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
 	case len(r.TransferEncoding) > 0 && s.options.Raw && !isChunkedOnly(r):
-		// On the platform nothing before the daemon has checked that.
+		// With the option Raw no proxy in front of the daemon has checked the framing.
 		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
 	case r.ContentLength > s.options.MaxBodyBytes:
 		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
@@ -25,8 +26,8 @@
 	return nil
 }
 
-// hasFoldedLine reports whether a line of a request's head is folded (RFC 9112, 5.2): two readers could take it for one
-// field or for two.
+// hasFoldedLine reports whether a line of a request's head is folded (RFC 9112, 5.2). Two servers could parse it differently, as one
+// field or as two.
 func hasFoldedLine(r *http.Request) bool {
 	c := connOf(r)
 	if c == nil {
@@ -44,24 +45,24 @@
 	return c != nil && isChunked && c.head.isChunkedOnly()
 }
 
-// headScanner scans the bytes of a request's head for what net/http does not report: it drops a Content-Length beside
-// a Transfer-Encoding, and joins a folded line to the one before. The zero value has scanned nothing. It does not see
-// the head of a pipelined request that was read along with the request before, which net/http has in its buffer. It is
-// safe for concurrent use.
+// headScanner scans the bytes of a request's head for what net/http does not report: it ignores a Content-Length beside a
+// Transfer-Encoding, and joins a folded line to the previous one. The zero value has scanned nothing. The scanner misses the head of a
+// pipelined request that was received together with the previous request, since net/http reads that head from its buffer. It is safe
+// for concurrent use.
 type headScanner struct {
 	mu                  sync.Mutex
-	name                [len("transfer-encoding")]byte // of the current line's field, in lower case
-	nameLength          int                            // bytes of name so far; -1: the rest of the line does not matter
-	lineLength          int                            // bytes of the current line so far, without its end
-	inRequestLine       bool
-	isComplete          bool // the head's end was scanned
-	sawStart            bool // the head was scanned from its start
+	name                [len("transfer-encoding")]byte // field name of the current line so far, in lower case
+	nameLength          int                            // bytes of name that are set; -1: the rest of the line is skipped
+	lineLength          int                            // bytes of the current line so far, without its line end
+	inRequestLine       bool                           // the request line has not ended yet
+	isComplete          bool                           // the end of the head was scanned
+	sawStart            bool                           // the head was scanned from its first byte
 	hasContentLength    bool
 	hasTransferEncoding bool
-	hasFoldedLine       bool // a line that continues the one before (RFC 9112, 5.2)
+	hasFoldedLine       bool // a line continues the previous one (RFC 9112, 5.2)
 }
 
-// scan takes bytes that were received. startsRequest means that the first of them begins a request.
+// scan processes bytes that were received. startsRequest means that the first of them begins a request.
 func (h *headScanner) scan(b []byte, startsRequest bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,14 +77,14 @@
 	}
 }
 
-// reset begins a new head. mu is held.
+// reset prepares the scanner for a new head. mu is held.
 func (h *headScanner) reset() {
 	h.nameLength, h.lineLength = 0, 0
 	h.inRequestLine, h.sawStart = true, true
 	h.isComplete, h.hasContentLength, h.hasTransferEncoding, h.hasFoldedLine = false, false, false, false
 }
 
-// scanByte takes one byte of the head. mu is held.
+// scanByte processes one byte of the head. mu is held.
 func (h *headScanner) scanByte(c byte) {
 	switch c {
 	case '\r':
@@ -98,7 +99,7 @@
 	}
 }
 
-// scanName takes one byte of a line, and notes the field once the line's name is complete. mu is held.
+// scanName processes one byte of a line, and records the field once its name is complete. mu is held.
 func (h *headScanner) scanName(c byte) {
 	switch {
 	case h.nameLength < 0:
@@ -110,7 +111,7 @@
 			h.hasTransferEncoding = true
 		}
 		h.nameLength = -1
-	case h.nameLength == len(h.name): // longer than the names that matter
+	case h.nameLength == len(h.name): // longer than both names that are looked for
 		h.nameLength = -1
 	default:
 		if c >= 'A' && c <= 'Z' {
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// ForwardedMode is what becomes of the headers by which a client names those before it (RFC 9110, 7.6.3, RFC 7239, and
-// X-Forwarded-* by custom).
+// ForwardedMode says how a listener handles the headers that tell endpoints where a request came from: Via (RFC 9110, 7.6.3),
+// Forwarded (RFC 7239) and the customary X-Forwarded-*.
 type ForwardedMode string
 
-// The settings of a listener's forwarding headers.
+// The values of ForwardedMode.
 const (
-	ForwardedSet    ForwardedMode = "set"    // the client's are dropped, and the daemon's set
-	ForwardedAppend ForwardedMode = "append" // the daemon's are appended to the client's: clients are trusted
-	ForwardedDrop   ForwardedMode = "drop"   // the client's are dropped; only Via is added
-	ForwardedLeave  ForwardedMode = "leave"  // the client's are forwarded unchanged; nothing is added, not even Via
+	ForwardedSet    ForwardedMode = "set"    // replace the client's forwarding headers by the daemon's
+	ForwardedAppend ForwardedMode = "append" // append the daemon's values to the client's forwarding headers: clients are trusted
+	ForwardedDrop   ForwardedMode = "drop"   // remove the client's forwarding headers and add only Via
+	ForwardedLeave  ForwardedMode = "leave"  // forward the client's headers unchanged and add nothing, not even Via
 )
 
-// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// forwardedHeaders are those by which endpoints learn from the daemon who the client is.
+// forwardedHeaders are the headers that tell endpoints who the client is.
 var forwardedHeaders = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
 
-// removeHopByHop removes the headers that concern one connection only, and those that Connection names.
+// removeHopByHop removes the hop-by-hop headers, and the headers that are named in Connection.
 func removeHopByHop(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -39,7 +39,7 @@
 	}
 }
 
-// endToEndHeader returns a copy without the hop-by-hop headers. The headers in preserved stay, whatever Connection names.
+// endToEndHeader returns a copy of a header without the hop-by-hop headers. The preserved ones stay even if Connection names them.
 func endToEndHeader(in http.Header, preserved ...string) http.Header {
 	out := in.Clone()
 	removeHopByHop(out)
@@ -65,8 +65,8 @@
 	return h
 }
 
-// addForwarded says in the header where a request comes from, as the listener's setting wants it. It guards against
-// headers of a client that pass for the daemon's: some endpoints take an underscore in a name for a hyphen.
+// addForwarded sets the headers that say where a request came from, according to the listener's ForwardedMode. It removes client
+// headers that could be taken for the daemon's, since some endpoints treat an underscore in a name like a hyphen.
 func (s *Server) addForwarded(h http.Header, r *http.Request) {
 	if s.options.Forwarded == ForwardedLeave {
 		return
@@ -101,13 +101,13 @@
 		h.Set("X-Forwarded-Proto", "http")
 	}
 	node := host
-	if strings.Contains(host, ":") { // IPv6 (RFC 7239, 6)
+	if strings.Contains(host, ":") { // an IPv6 address must be in brackets and quoted (RFC 7239, 6)
 		node = `"[` + host + `]"`
 	}
 	appendListValue(h, "Forwarded", "for="+node+";host="+quotedString(r.Host)+";proto=http")
 }
 
-// appendListValue appends to a header that is a list, and joins its lines to one.
+// appendListValue appends a value to a header whose value is a comma-separated list, and joins its lines to one.
 func appendListValue(h http.Header, name, value string) {
 	if existing := strings.Join(h.Values(name), ", "); existing != "" {
 		value = existing + ", " + value
@@ -115,7 +115,7 @@
 	h.Set(name, value)
 }
 
-// quotedString returns a quoted-string (RFC 9110, 5.6.4).
+// quotedString returns s as a quoted-string (RFC 9110, 5.6.4).
 func quotedString(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// drainPollInterval is how often a shutdown looks for connections that have become idle: far less than what is left of the
-// grace period by then.
+// drainPollInterval is how often a shutdown checks for connections that have become idle. It is far shorter than the grace period
+// that is left by then.
 const drainPollInterval = 10 * time.Millisecond
 
-// Listener tracks the connections of clients, and evicts those without an open request: the least valuable one where
-// there are too many, all of them at shutdown.
+// Listener tracks the connections of clients and evicts those without an open request: one at a time if there are too many, and all of
+// them at shutdown.
 //
-// It guards against closing a connection on which a request has just been read. net/http's own Shutdown and
-// SetKeepAlivesEnabled do that, and so would a close from its ConnState hook: there a connection counts as idle until
-// the complete head of a request was read, and what is read during a Shutdown is dropped.
+// It never closes a connection on which a request has just been received. The Shutdown and SetKeepAlivesEnabled methods of
+// http.Server do that, and so would closing connections in its ConnState hook: net/http reports a connection as idle until it has read
+// the complete head of a request, and drops what it reads during Shutdown.
 //
-// Its methods are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
+// The methods of Listener are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
 type Listener struct {
 	net.Listener
-	headTimeout time.Duration
+	headTimeout time.Duration // for reading the rest of a request's head whose connection was about to be evicted
 
-	mu                 sync.Mutex // guards what follows, and the tracking fields of all clientConns
-	maxConnections     int
-	open               int  // connections accepted and not yet closed
-	evicting           int  // connections that are marked for eviction and not yet closed
-	isRecheckScheduled bool // a timer will call evictIfOverLimit
+	mu                 sync.Mutex // guards the fields below, and the tracking fields of all clientConns
+	maxConnections     int        // number of connections beyond which those without an open request are evicted
+	open               int        // number of connections that are accepted and not yet closed
+	evicting           int        // number of connections that are marked for eviction and not yet closed
+	isRecheckScheduled bool       // a timer will call evictIfOverLimit
 
-	// Queues of connections without an open request, the one queued for longest in front:
-	silent  list.List // new, without any byte received
-	idle    list.List // a response was written, and no byte received since
-	partial list.List // a part of a request's head was received
+	// The queues hold the connections without an open request, the one that was queued first at the front.
+	silent  list.List // new connections on which no byte was received
+	idle    list.List // connections on which no byte was received since a response was written
+	partial list.List // connections on which a part of a request's head was received
 }
 
-// NewListener wraps a listener. It evicts connections beyond maxConnections for as long as there are any without an open
-// request. headTimeout is how long a request's head may take whose connection was about to be evicted.
+// NewListener wraps a listener. While more than maxConnections connections are open, it evicts connections without an open request.
+// headTimeout limits how long reading a request's head may take on a connection that was about to be evicted.
 func NewListener(l net.Listener, maxConnections int, headTimeout time.Duration) *Listener {
 	return &Listener{Listener: l, maxConnections: maxConnections, headTimeout: headTimeout}
 }
@@ -57,13 +57,13 @@
 	return c, nil
 }
 
-// Track follows the state of a connection. It is the ConnState hook of the http.Server that serves the Listener.
+// Track is the ConnState hook of the http.Server that serves the Listener. It tracks the state of each connection.
 func (l *Listener) Track(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
-	case http.StateActive: // a head is complete, perhaps that of a pipelined request: it is served
+	case http.StateActive: // the head of a request is complete, which may be a pipelined one: the request will be served
 		c.moveTo(nil)
 		c.cancelEviction(time.Time{})
 	case http.StateIdle:
@@ -86,7 +86,7 @@
 	}
 }
 
-// SetMaxConnections changes the number of connections beyond which those without an open request are evicted.
+// SetMaxConnections changes the number of connections beyond which connections without an open request are evicted.
 func (l *Listener) SetMaxConnections(maxConnections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +104,8 @@
 	return l.open
 }
 
-// Shutdown closes the listener, evicts idle connections and returns when all connections are closed, each with the
-// response to its last request. The error is that of closing the listener.
+// Shutdown closes the listener, evicts connections as they become idle, and returns when all connections are closed. Each is closed
+// only after the response to its last request. The error is that of closing the listener.
 func (l *Listener) Shutdown() error {
 	err := l.Close()
 	for l.evictIdle() > 0 {
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -12,15 +12,15 @@
 	"tuliprock/internal/metrics"
 )
 
-// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool, which would compute one.
+// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool's balancer, which would compute one.
 const shedRetryAfter = time.Second
 
-// rejection is the response to a request that reaches no endpoint. Clients read the text of err in its body.
+// rejection is the response to a request that reaches no endpoint. The text of err becomes the response's body.
 type rejection struct {
 	status     int
 	err        error
-	allow      []string      // the methods that are served instead
-	retryAfter time.Duration // whole seconds; 0: none
+	allow      []string      // methods for the header Allow, if the request's method is not allowed
+	retryAfter time.Duration // value of the header Retry-After, in whole seconds; 0: no such header
 }
 
 // newRejection returns a rejection whose text is formatted as by fmt.Errorf.
@@ -28,14 +28,14 @@
 	return &rejection{status: status, err: fmt.Errorf(format, args...)}
 }
 
-// newShedRejection returns a rejection that promises that nothing was executed, and says when to retry.
+// newShedRejection returns a rejection with status 503, which promises that the request was not executed, and a Retry-After.
 func newShedRejection(reason string) *rejection {
 	shed := newRejection(statusShed, "%s", reason)
 	shed.retryAfter = shedRetryAfter
 	return shed
 }
 
-// memoryRejection returns the rejection of a request whose body can't be buffered because of err.
+// memoryRejection returns the rejection of a request for whose body no memory could be reserved because of err.
 func memoryRejection(err error) *rejection {
 	if errors.Is(err, body.ErrExceedsMemory) {
 		return newRejection(http.StatusRequestEntityTooLarge, "%w", err)
@@ -43,7 +43,7 @@
 	return newShedRejection("no memory for the body was free in time")
 }
 
-// bodyRejection returns the rejection of a request whose body could not be read to its end because of err.
+// bodyRejection returns the rejection of a request whose body could not be read completely because of err.
 func bodyRejection(err error) *rejection {
 	switch {
 	case errors.Is(err, body.ErrTooLong):
@@ -54,8 +54,8 @@
 	return newRejection(http.StatusBadRequest, "%w", body.ErrBroken)
 }
 
-// write sends the rejection and closes the connection: what follows on it can't be trusted, and a client that sends the
-// same request again must connect anew.
+// write writes the rejection and has the connection closed: the bytes that follow on it can't be trusted to begin a new request, and a
+// client that sends the same request again must open a new connection.
 func (r *rejection) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if len(r.allow) > 0 {
@@ -67,14 +67,15 @@
 	http.Error(w, r.err.Error(), r.status)
 }
 
-// rejectInvalid rejects what is no valid request, and counts it as such.
+// rejectInvalid rejects an invalid request and counts it in the metrics as rejected input.
 func (s *Server) rejectInvalid(w http.ResponseWriter, rejected *rejection) {
 	s.options.Metrics.RejectedInput.Add(1)
 	rejected.write(w)
 }
 
-// rejectUnbuffered rejects a request whose body was not read for lack of memory. A valid one counts for its class.
-func (s *Server) rejectUnbuffered(w http.ResponseWriter, r *http.Request, unbuffered *rejection) {
+// rejectUnbuffered rejects a request for whose body no memory could be reserved. A valid request counts for its class, an invalid
+// one as rejected input.
+func (s *Server) rejectUnbuffered(w http.ResponseWriter, r *http.Request, rejected *rejection) {
 	routes := s.routes.acquire()
 	defer routes.release()
 	request, invalid := s.parseRequest(routes, r, true)
@@ -82,15 +83,15 @@
 		s.rejectInvalid(w, invalid)
 		return
 	}
-	request.reject(w, unbuffered)
+	request.reject(w, rejected)
 }
 
-// reject rejects a valid request, and counts it for its class.
-func (q *routedRequest) reject(w http.ResponseWriter, rejected *rejection) {
+// reject rejects a valid request and counts it for its class.
+func (r *routedRequest) reject(w http.ResponseWriter, rejected *rejection) {
 	outcome := metrics.Failed
 	if rejected.status == statusShed {
 		outcome = metrics.Shed
 	}
-	q.target.Class.Metrics.Count(outcome)
+	r.target.Class.Metrics.Count(outcome)
 	rejected.write(w)
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -14,21 +14,22 @@
 	"tuliprock/internal/upstream"
 )
 
-// maxIDBytes is the longest id that a client may give a request: ids are kept for as long as their requests.
+// maxIDBytes is the maximum length of a request's id that a client sets. It bounds memory, since each id is held until its request has
+// ended.
 const maxIDBytes = 256
 
-// deadlineMargin is subtracted from each deadline for the way from the client and back: 0.4 ms in this process (p99), the
-// rest for the network.
+// deadlineMargin is subtracted from each deadline for the way between the client and this daemon, both ways: 0.4 ms in this process
+// (99th percentile), the rest for the network.
 const deadlineMargin = 10 * time.Millisecond
 
 // routedRequest is a valid request with its route, ready to be submitted to its pool.
 type routedRequest struct {
 	call    *eventloop.Call
 	target  *Target
-	timeout time.Duration // how long the client waits
+	timeout time.Duration // how long the client waits for the response
 }
 
-// parseRequest routes a request and makes a call of it, or returns why it is rejected.
+// parseRequest checks and routes a request and creates its call, or returns the rejection of the request.
 func (s *Server) parseRequest(routes *RouteConfig, r *http.Request, hasBody bool) (*routedRequest, *rejection) {
 	target, rejected := s.resolveTarget(routes, r)
 	if rejected != nil {
@@ -69,7 +70,7 @@
 	return &routedRequest{call: call, target: target.Target, timeout: timeout}, nil
 }
 
-// checkRequest returns why a request does not fit its class; nil: it fits.
+// checkRequest returns the rejection of a request that its class does not allow, and nil for any other request.
 func (c *Class) checkRequest(r *http.Request, hasBody bool) *rejection {
 	switch {
 	case len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method):
@@ -78,7 +79,7 @@
 		return rejected
 	case c.ForbidsBody && hasBody:
 		return newRejection(http.StatusBadRequest, "a body is not wanted here")
-	case c.Idempotency == balance.IdempotencyKey: // without an idempotency key endpoints could not drop duplicates
+	case c.Idempotency == balance.IdempotencyKey: // endpoints can drop duplicates only by the idempotency key
 		if _, err := singleValue(r.Header, c.KeyHeader); err != nil {
 			return newRejection(http.StatusBadRequest, "%w", err)
 		}
@@ -86,11 +87,11 @@
 	return nil
 }
 
-// requestID returns the request's own id, or one that is generated for it.
+// requestID returns the id that the client has set, or a random one if it has set none and the class does not require one.
 func (c *Class) requestID(h http.Header) (string, *rejection) {
 	if !c.RequiresID && len(h.Values(c.IDHeader)) == 0 {
 		var id [16]byte
-		_, _ = rand.Read(id[:]) // documented never to fail
+		_, _ = rand.Read(id[:]) // never returns an error, according to its documentation
 		return hex.EncodeToString(id[:]), nil
 	}
 	id, err := singleValue(h, c.IDHeader)
@@ -100,7 +101,7 @@
 	return id, nil
 }
 
-// requestTimeout returns how long the client waits for the response.
+// requestTimeout returns how long the client waits for the response: the value of the deadline header, or the class's default.
 func (c *Class) requestTimeout(h http.Header) (time.Duration, *rejection) {
 	if !c.RequiresDeadline && len(h.Values(c.DeadlineHeader)) == 0 {
 		return c.DefaultDeadline, nil
@@ -116,7 +117,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// singleValue returns the value of a header that must come exactly once and not be empty.
+// singleValue returns the value of a header that must be present exactly once and not be empty.
 func singleValue(h http.Header, name string) (string, error) {
 	values := h.Values(name)
 	if len(values) != 1 || values[0] == "" {
@@ -125,20 +126,20 @@
 	return values[0], nil
 }
 
-// deadlineFrom returns by when the response to a request must be written whose time began at the instant given.
-func (s *Server) deadlineFrom(request *routedRequest, began time.Time) time.Time {
-	return s.capAtShutdown(began.Add(request.timeout - deadlineMargin))
+// deadlineFrom returns when the response to a request must be written if the request's timeout began at start.
+func (s *Server) deadlineFrom(request *routedRequest, start time.Time) time.Time {
+	return s.capAtShutdown(start.Add(request.timeout - deadlineMargin))
 }
 
-// setDeadline sets the deadline of a request's call, counted from the instant given.
-func (s *Server) setDeadline(request *routedRequest, began time.Time) {
-	request.call.Deadline = request.target.Pool.At(s.deadlineFrom(request, began))
+// setDeadline sets the deadline of a request's call if the request's timeout began at start.
+func (s *Server) setDeadline(request *routedRequest, start time.Time) {
+	request.call.Deadline = request.target.Pool.At(s.deadlineFrom(request, start))
 }
 
-// capAtShutdown returns an instant, or the shutdown deadline if that comes first.
-func (s *Server) capAtShutdown(at time.Time) time.Time {
-	if deadline := s.shutdownDeadline.Load(); deadline != nil && deadline.Before(at) {
-		return *deadline
+// capAtShutdown returns the earlier of a deadline and the shutdown deadline.
+func (s *Server) capAtShutdown(deadline time.Time) time.Time {
+	if shutdown := s.shutdownDeadline.Load(); shutdown != nil && shutdown.Before(deadline) {
+		return *shutdown
 	}
-	return at
+	return deadline
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -13,12 +13,12 @@
 	"tuliprock/internal/metrics"
 )
 
-// The statuses with which clients are responded to where there is no response of an endpoint. Only a request that was
-// shed gets 503, and none gets 429: both promise that nothing was executed.
+// Statuses of the daemon's own responses, for requests without a response of an endpoint. Clients take 503 and 429 as a promise that
+// the request was not executed: 503 is only for requests that were shed, and 429 is not used.
 const (
 	statusShed      = http.StatusServiceUnavailable
 	statusFailed    = http.StatusBadGateway
-	statusDuplicate = http.StatusConflict
+	statusDuplicate = http.StatusConflict // a request with the same id is not finished
 )
 
 var statusByVerdict = map[eventloop.Verdict]int{
@@ -34,12 +34,12 @@
 	eventloop.Duplicate: metrics.Failed,
 }
 
-// responseWriter is a ResponseWriter that sets Connection: close where the connection can't serve another request.
+// responseWriter is a ResponseWriter that sets Connection: close if the connection can't serve another request.
 type responseWriter struct {
 	http.ResponseWriter
-	closesConnections *atomic.Bool // the Server's: all connections are to be closed
-	upload            *body.Upload // the request's streaming body; nil: the body was read
-	mustClose         bool         // what follows on the connection can't be trusted
+	closesConnections *atomic.Bool // closesConnections of the Server: every response closes its connection
+	upload            *body.Upload // streaming body of the request; nil: the body is not streamed
+	mustClose         bool         // the bytes that follow on the connection can't be trusted to begin a new request
 	wroteHeader       bool
 }
 
@@ -52,17 +52,17 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController find the writer beneath.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// writeReply writes the response to a request, and returns the request's outcome. A streaming response that breaks panics
-// with http.ErrAbortHandler.
+// writeReply writes the response to a request and returns the request's outcome. It panics with http.ErrAbortHandler if a streaming
+// response breaks.
 func (s *Server) writeReply(w *responseWriter, r *http.Request, request *routedRequest, reply eventloop.Reply) metrics.Outcome {
 	if reply.Response.Stream != nil {
 		s.streamResponse(w, r, request, reply.Response)
 		return metrics.OK
 	}
-	// A client that does not read must not hold its connection for good. An error means that the client has disconnected.
+	// The deadline keeps a client that does not read from holding its connection forever. An error means that it has disconnected.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 	header := w.Header()
 	content, status := reply.Response.Body, reply.Response.Status
@@ -80,7 +80,7 @@
 	switch {
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 		content = nil
-	case r.Method == http.MethodHead && isFromEndpoint: // the length of the response to a GET, if known
+	case r.Method == http.MethodHead && isFromEndpoint: // the Content-Length is that of the response to a GET, if known
 		if length := reply.Response.Header.Get("Content-Length"); length != "" {
 			header.Set("Content-Length", length)
 		}
@@ -92,18 +92,18 @@
 	return outcomeByVerdict[reply.Verdict]
 }
 
-// retryAfterValue returns a Retry-After that is never earlier than the time given.
-func (s *Server) retryAfterValue(after time.Duration) string {
+// retryAfterValue returns the value of a Retry-After header. Whole seconds are rounded up, so that clients don't retry too early.
+func (s *Server) retryAfterValue(retryAfter time.Duration) string {
 	if s.options.FractionalRetryAfter {
-		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
+		return strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)
 	}
-	return strconv.Itoa(int(math.Ceil(after.Seconds())))
+	return strconv.Itoa(int(math.Ceil(retryAfter.Seconds())))
 }
 
-// copyResponseHeader copies the header of an endpoint's response: all but the hop-by-hop headers, or with the option Raw
-// only Content-Type. It may change from, which belongs to one response.
+// copyResponseHeader copies the header of an endpoint's response without the hop-by-hop headers, or only Content-Type if the option
+// Raw is set. It may modify from, which no other response uses.
 func (s *Server) copyResponseHeader(to, from http.Header) {
-	to["Content-Type"] = nil // else net/http would guess one
+	to["Content-Type"] = nil // keeps net/http from guessing a Content-Type
 	if s.options.Raw {
 		if contentType := from.Get("Content-Type"); contentType != "" {
 			to.Set("Content-Type", contentType)
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -10,74 +10,75 @@
 	"tuliprock/internal/route"
 )
 
-// Class is a class of requests: what executing one twice may do, and which headers carry its parameters.
+// Class is a class of requests. It says whether they are idempotent and in which headers clients send their parameters.
 type Class struct {
 	Name        string
 	Idempotency balance.Idempotency
-	Methods     []string // that are served; none: all
+	Methods     []string // allowed request methods; none means all
 	ForbidsBody bool     // requests with a body are rejected
 
-	IDHeader     string
-	RequiresID   bool // a request without an id is rejected; else an id is generated for it
-	KeyHeader    string
-	TenantHeader string
-	RetryHeader  string // the value "1" marks a retry by the client; empty: the mark is never believed
+	IDHeader     string // name of the header with the request's id
+	RequiresID   bool   // a request without an id is rejected; otherwise an id is generated for it
+	KeyHeader    string // name of the header with the idempotency key
+	TenantHeader string // name of the header with the tenant
+	RetryHeader  string // name of the header whose value "1" marks a retry by the client; "" means that no mark is trusted
 
-	DeadlineHeader   string
-	RequiresDeadline bool          // a request without a deadline is rejected; else the default applies
-	DefaultDeadline  time.Duration // the default, from the request's arrival
-	MaxDeadline      time.Duration // the longest that a client may set
+	DeadlineHeader   string        // name of the header with the client's timeout in milliseconds
+	RequiresDeadline bool          // a request without a deadline is rejected; otherwise DefaultDeadline applies
+	DefaultDeadline  time.Duration // timeout of a request without a deadline, from its arrival
+	MaxDeadline      time.Duration // longest timeout that a client may set
 
-	MaxStreamDuration     time.Duration // that a streaming body may take, each way
-	DeadlineCoversStreams bool          // the deadline covers streaming bodies, too
+	MaxStreamDuration     time.Duration // longest time for a streaming request body, and again for a streaming response body
+	DeadlineCoversStreams bool          // the deadline also applies to the time that streaming bodies take
 
 	Metrics *metrics.Class
 }
 
-// Target is where the requests of a route go.
+// Target says how the requests of a route are handled: by which pool, as which class and with which changes.
 type Target struct {
 	Pool          *eventloop.Loop
 	Class         *Class
-	DefaultTenant string      // of requests that name none
-	Prefix        string      // of the path, to be replaced
-	PrefixRewrite string      // of the prefix; empty: the path stays as it is
-	SetHeaders    [][2]string // request headers to set, as name and value
-	RemoveHeaders []string    // request headers to remove
+	DefaultTenant string      // tenant of requests that name none
+	Prefix        string      // prefix of the path that PrefixRewrite replaces
+	PrefixRewrite string      // replacement for Prefix; "" means that the path is not changed
+	SetHeaders    [][2]string // request headers to set, each as name and value
+	RemoveHeaders []string    // names of request headers to remove
 }
 
-// RouteConfig is a configuration by which requests are routed. It does not change once it was swapped in.
+// RouteConfig is a configuration by which requests are routed. It must not change after it was swapped in.
 type RouteConfig struct {
 	Table   *route.Table
-	Targets []Target // by the index of the Table's rule
+	Targets []Target // targets by the index of their rule in Table
 
-	// Guard reports, at any time, whether new requests may be decided by this configuration; nil: always. While it is
-	// false they are shed, with the Retry-After that follows.
+	// Guard reports whether new requests may be routed by this configuration at present; nil means always. While it returns
+	// false, new requests are shed with GuardRetryAfter as their Retry-After.
 	Guard           func() bool
-	GuardRetryAfter time.Duration
+	GuardRetryAfter time.Duration // Retry-After of a request that is shed because of Guard
 
-	inFlight sync.WaitGroup // requests that acquired it
+	inFlight sync.WaitGroup // requests that have acquired the configuration and not released it
 }
 
-// Wait returns when all requests that are routed by it were responded to. It must have been swapped out before.
-func (s *RouteConfig) Wait() { s.inFlight.Wait() }
+// Wait waits until all requests that are routed by the configuration have ended. It must be called only after the configuration was
+// swapped out.
+func (c *RouteConfig) Wait() { c.inFlight.Wait() }
 
-// release ends the use that acquire has begun.
-func (s *RouteConfig) release() { s.inFlight.Done() }
+// release ends a request's use of the configuration, which began with acquire.
+func (c *RouteConfig) release() { c.inFlight.Done() }
 
 // ActiveRouteConfig holds the configuration that routes new requests. It is safe for concurrent use.
 type ActiveRouteConfig struct {
-	mu     sync.RWMutex
+	mu     sync.RWMutex // guards active
 	active *RouteConfig
 }
 
-// Swap replaces the active configuration, which routes no new request from then on.
-func (c *ActiveRouteConfig) Swap(s *RouteConfig) {
+// Swap replaces the active configuration. The previous one routes no new requests.
+func (c *ActiveRouteConfig) Swap(next *RouteConfig) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active = s
+	c.active = next
 }
 
-// acquire returns the active configuration for one request, which must release it.
+// acquire returns the active configuration for one request. The caller must release it when the request has ended.
 func (c *ActiveRouteConfig) acquire() *RouteConfig {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,15 +1,15 @@
-// Package frontend is the clients' side of the daemon: it accepts their connections, reads and checks their requests,
-// routes each to the event loop of its pool, and writes the responses.
+// Package frontend is the downstream side of the daemon: it accepts the connections of clients, reads and checks their requests,
+// routes each request to the event loop of its pool, and writes the responses.
 //
-// A Server is the http.Handler of one listening address; its Listener tracks the connections, and a limiting listener
-// beneath caps their number. All Servers share the routes, which a reload swaps. The package owns the state of clients'
-// connections and of requests up to their submission; from then on the pool's event loop owns the request, and the
-// handler waits for its reply. It starts no goroutine of its own beside timers: requests run on net/http's, one for each
-// connection.
+// A Server is the http.Handler of one listening address. Its Listener tracks the connections and wraps a LimitListener, which limits
+// their number. All Servers share an ActiveRouteConfig, which a reload of the configuration swaps. The package owns the state of
+// clients' connections, and that of requests until they are submitted; from then on the pool's event loop owns the request, and the
+// handler waits for its reply. Apart from timers the package starts no goroutines: requests are handled on those of net/http, one for
+// each connection.
 //
-// What may be relied on: each valid request gets one response, or its connection is closed; a 503 that does not come from
-// an endpoint promises that nothing was executed; neither eviction nor a graceful shutdown closes a connection on which
-// a request was received but not responded to.
+// The package guarantees: each valid request gets one response, or its connection is closed; a 503 that does not come from an endpoint
+// promises that the request was not executed; neither eviction nor a graceful shutdown closes a connection on which a request was
+// received that has no response yet.
 package frontend
 
 import (
@@ -26,30 +26,33 @@
 	"tuliprock/internal/metrics"
 )
 
-// healthPath is the path at which the daemon itself responds for as long as it serves.
+// healthPath is the path of the daemon's own health check, which responds as long as the daemon serves requests.
 const healthPath = "/_health"
 
-// shutdownResponseGrace is how long after the shutdown deadline the module's own replies are waited for, before requests
-// are failed here: ten times the 5 ms by which the module may be late.
+// shutdownResponseGrace is how long after the shutdown deadline a Server waits for replies from the event loop before it fails the
+// remaining requests. It is ten times the 5 ms by which timers of the balancer may be late.
 const shutdownResponseGrace = 50 * time.Millisecond
 
-// Options of a Server.
+// Options configures a Server.
 type Options struct {
-	MaxHeaderBytes int   // bytes of a request's head, at most: MaxHeaderBytes of http.Server
-	MaxBodyBytes   int64 // bytes of a request's body, at most
+	MaxHeaderBytes int   // maximum size of a request's head in bytes: MaxHeaderBytes of http.Server
+	MaxBodyBytes   int64 // maximum size of a request's body in bytes
 
-	HeadTimeout  time.Duration // for reading a request's head
-	BodyTimeout  time.Duration // for reading a buffered body
-	IdleTimeout  time.Duration // between requests of a connection
-	WriteTimeout time.Duration // for writing a buffered response, or the end of a streaming one
+	HeadTimeout  time.Duration // timeout for reading a request's head
+	BodyTimeout  time.Duration // timeout for reading a buffered body
+	IdleTimeout  time.Duration // how long a connection may be idle between two requests
+	WriteTimeout time.Duration // timeout for writing a buffered response, or the end of a streaming one
 
 	Forwarded            ForwardedMode
-	Pseudonym            string // of the daemon, in Via
-	FractionalRetryAfter bool   // Retry-After is in fractions of seconds; else in whole ones (RFC 9110, 10.2.3)
-	Raw                  bool   // request targets are matched and forwarded unchanged, and of responses' headers only Content-Type
+	Pseudonym            string // the daemon's pseudonym in the header Via
+	FractionalRetryAfter bool   // Retry-After has fractions of seconds; otherwise it has whole seconds (RFC 9110, 10.2.3)
 
-	BodyMemory *body.MemoryPool // memory for bodies; nil: requests need a Content-Length, and all bodies are buffered
-	MinRate    body.MinimumRate // minimum rate of clients where bodies are streamed
+	// Raw means that request targets are matched and forwarded unchanged, and that Content-Type is the only response header that is
+	// forwarded. It is set where no proxy in front of the daemon has checked the framing of requests.
+	Raw bool
+
+	BodyMemory *body.MemoryPool // memory for bodies; nil: bodies are never streamed, and requests need a Content-Length
+	MinRate    body.MinimumRate // minimum rate at which clients must send and receive streaming bodies
 	Metrics    *metrics.Registry
 }
 
@@ -62,15 +65,15 @@
 	stalls  stallDetector
 
 	closesConnections atomic.Bool               // every response closes its connection
-	shutdownDeadline  atomic.Pointer[time.Time] // by which all requests are responded to; nil: none
-	shutdownExpired   chan struct{}             // closed shutdownResponseGrace after the shutdownDeadline
-	shutdownOnce      sync.Once
+	shutdownDeadline  atomic.Pointer[time.Time] // when all requests must have their responses; nil: no shutdown has begun
+	shutdownExpired   chan struct{}             // closed shutdownResponseGrace after shutdownDeadline
+	shutdownOnce      sync.Once                 // guards against a second shutdown deadline
 
-	streamContext context.Context // ends when AbortStreams is called
-	cancelStreams context.CancelFunc
+	streamContext context.Context    // context of all streaming bodies, which AbortStreams cancels
+	cancelStreams context.CancelFunc // cancels streamContext
 }
 
-// NewServer returns a Server that routes each request by what is active in routes when the request is read.
+// NewServer returns a Server that routes each request by the configuration that is active in routes when the request is read.
 func NewServer(options Options, routes *ActiveRouteConfig, log *slog.Logger) *Server {
 	s := &Server{
 		options:         options,
@@ -83,16 +86,16 @@
 	return s
 }
 
-// AbortStreams ends all streaming bodies, in a way that shows their clients that they are not complete.
+// AbortStreams aborts all streaming bodies, in a way that shows clients that they are incomplete.
 func (s *Server) AbortStreams() { s.cancelStreams() }
 
-// SetShutdownDeadline gives all requests that are read from now on a response by the instant given. A request that was
-// read before, and whose body is buffered, has failed 50 ms after it: its client would wait for longer than this process
-// runs. Only the first call has an effect.
-func (s *Server) SetShutdownDeadline(at time.Time) {
+// SetShutdownDeadline sets a deadline that caps those of all requests that are read from now on. Requests with buffered bodies that
+// were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop waiting. Only the
+// first call has an effect.
+func (s *Server) SetShutdownDeadline(deadline time.Time) {
 	s.shutdownOnce.Do(func() {
-		s.shutdownDeadline.Store(&at)
-		time.AfterFunc(time.Until(at)+shutdownResponseGrace, func() { close(s.shutdownExpired) })
+		s.shutdownDeadline.Store(&deadline)
+		time.AfterFunc(time.Until(deadline)+shutdownResponseGrace, func() { close(s.shutdownExpired) })
 	})
 }
 
@@ -100,9 +103,9 @@
 func (s *Server) IsShuttingDown() bool { return s.shutdownDeadline.Load() != nil }
 
 // SetCloseConnections sets whether every response from now on closes its connection.
-func (s *Server) SetCloseConnections(isClosing bool) { s.closesConnections.Store(isClosing) }
+func (s *Server) SetCloseConnections(closes bool) { s.closesConnections.Store(closes) }
 
-// HTTPServer returns the http.Server to run on a Listener. track is the Listener's Track.
+// HTTPServer returns an http.Server that serves the connections of a Listener. track is the Listener's Track.
 func (s *Server) HTTPServer(track func(net.Conn, http.ConnState)) *http.Server {
 	return &http.Server{
 		Handler:                      s,
@@ -116,15 +119,15 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler where the connection must be closed without a
-// complete response.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler if the connection must be closed without a complete
+// response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived, isDisconnected := s.arrivalTime(r, time.Now())
 	if isDisconnected {
 		panic(http.ErrAbortHandler)
 	}
 	out := &responseWriter{ResponseWriter: w, closesConnections: &s.closesConnections}
-	// The framing is checked first: bytes of another request's body must never be read as a request.
+	// The framing is checked first, since bytes of a request's body must never be read as another request.
 	if rejected := s.checkFraming(r); rejected != nil {
 		s.rejectInvalid(out, rejected)
 		return
@@ -136,7 +139,7 @@
 	s.serveBuffered(out, r, arrived)
 }
 
-// serveBuffered serves a request whose body is read completely before it is submitted.
+// serveBuffered serves a request whose body is read completely before the request is submitted.
 func (s *Server) serveBuffered(w *responseWriter, r *http.Request, arrived time.Time) {
 	release, rejected := s.reserveBodyMemory(r, arrived)
 	if rejected != nil {
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -10,15 +10,15 @@
 	"tuliprock/internal/body"
 )
 
-// What is still read of a client that was responded to before its body's end, as net/http does for handlers that leave
-// a body unread: closing a connection with unread bytes resets it, which could take the response along.
+// Limits on reading the rest of a body after the response was written. Closing a connection with unread bytes resets it, which could
+// keep the client from receiving the response. net/http does the same for handlers that leave a body unread.
 const (
 	lingerTime  = 500 * time.Millisecond
 	lingerBytes = 256 << 10
 )
 
-// isStreaming reports whether a request's body is streamed to the endpoint. With Expect: 100-continue it is at any
-// length, for the endpoint decides whether the client should send it.
+// isStreaming reports whether a request's body is streamed to the endpoint. Long bodies and those of unknown length are. With Expect:
+// 100-continue bodies of any length are, since the endpoint decides whether the client should send them.
 func (s *Server) isStreaming(r *http.Request) bool {
 	isLong := r.ContentLength < 0 || r.ContentLength > body.WindowSize
 	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
@@ -28,11 +28,11 @@
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// serveStreaming serves a request whose body may be streamed. It is submitted to its pool only when the body's beginning
-// was received.
+// serveStreaming serves a request whose body is streamed. The request is submitted to its pool only after the beginning of the body
+// was received, unless the client waits for 100 Continue. A body that ends within its beginning is buffered after all.
 func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
-	// A proxy before this daemon may have gone by a Content-Length beside the chunks, which net/http drops: what follows
-	// could be a part of the body to it (RFC 9112, 6.1).
+	// A proxy in front of this daemon may have used a Content-Length beside the chunked encoding, which net/http ignores. To the
+	// proxy the bytes that follow could be a part of the body (RFC 9112, 6.1).
 	w.mustClose = r.ContentLength < 0
 	routes := s.routes.acquire()
 	defer routes.release()
@@ -54,7 +54,9 @@
 	w.upload = upload
 	defer func() {
 		if w.wroteHeader && !upload.IsComplete() {
-			_ = control.Flush() // the response must not wait for the body; where there is none net/http would make one up
+			// The client must get the response before the rest of the body is read. Without a response there is nothing to
+			// flush: net/http would write an empty one.
+			_ = control.Flush()
 		}
 		upload.Close(lingerTime, lingerBytes)
 	}()
@@ -74,7 +76,7 @@
 	s.dispatch(w, r, request)
 }
 
-// openUpload waits for memory for a streaming body, at most until the deadline.
+// openUpload returns an Upload of the request's body. It waits for the memory that this needs at most until the deadline.
 func (s *Server) openUpload(r *http.Request, control *http.ResponseController, deadline time.Time) (*body.Upload, error) {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
@@ -90,13 +92,13 @@
 	})
 }
 
-// fillUpload reads a body's beginning, and reports whether that is all of it. AbortStreams ends it.
+// fillUpload reads the beginning of a body and reports whether the body is complete with it. AbortStreams makes it fail.
 func (s *Server) fillUpload(upload *body.Upload) (isComplete bool, err error) {
 	defer context.AfterFunc(s.streamContext, upload.Stop)()
 	return upload.ReadPrefix()
 }
 
-// rejectUpload rejects a request whose body's beginning could not be read because of err.
+// rejectUpload rejects a request of whose body the beginning could not be read because of err.
 func (s *Server) rejectUpload(w *responseWriter, request *routedRequest, err error) {
 	if s.streamContext.Err() != nil {
 		request.reject(w, newShedRejection("the daemon is about to end"))
@@ -105,7 +107,8 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// deadlineStart returns from when the deadline of a request counts whose body's beginning was received just now.
+// deadlineStart returns when the timeout of a request begins, the beginning of whose body was received just now: at its arrival if the
+// deadline covers streaming bodies, and now otherwise.
 func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
 		return arrived
@@ -113,14 +116,14 @@
 	return time.Now()
 }
 
-// setStreaming makes a request one whose body is streamed. Its deadline covers all of it, or only the time in which it
-// waits and none of its body moves.
-func (s *Server) setStreaming(request *routedRequest, upload *body.Upload, began time.Time) {
-	s.setDeadline(request, began)
+// setStreaming attaches a streaming body to a request and sets the request's deadlines. Unless the class's deadline covers streaming
+// bodies, it applies only to the waits before and after the body, and MaxStreamDuration limits the body itself.
+func (s *Server) setStreaming(request *routedRequest, upload *body.Upload, start time.Time) {
+	s.setDeadline(request, start)
 	call, class := request.call, request.target.Class
 	call.Message.Upload, call.StreamUntil = upload, call.Deadline
 	if !class.DeadlineCoversStreams {
-		call.StreamUntil = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(began.Add(class.MaxStreamDuration))))
+		call.StreamUntil = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(start.Add(class.MaxStreamDuration))))
 		call.ResponseTimeout, call.Message.ResponseTimeout = request.timeout, request.timeout
 	}
 }
--- a/internal/frontend/streaming_response.go
+++ b/internal/frontend/streaming_response.go
@@ -12,8 +12,9 @@
 	"tuliprock/internal/upstream"
 )
 
-// streamResponse forwards a response as it is received. A malformed response is malformed for the client, too: the
-// connection ends short of the length, or without the last chunk (RFC 9112, 8). It panics with http.ErrAbortHandler then.
+// streamResponse forwards a response while it is received. If the endpoint's response is incomplete, so is the client's: the connection
+// is closed before the Content-Length is reached, or without the last chunk (RFC 9112, 8). streamResponse then panics with
+// http.ErrAbortHandler.
 func (s *Server) streamResponse(w *responseWriter, r *http.Request, request *routedRequest, response upstream.Response) {
 	stream := response.Stream
 	err := upstream.ErrClientGone
@@ -37,7 +38,7 @@
 	}
 	w.WriteHeader(response.Status)
 	control := http.NewResponseController(w)
-	if control.Flush() != nil { // the head must not wait for a body that may be slow
+	if control.Flush() != nil { // flushed at once, since the body may be slow
 		panic(http.ErrAbortHandler)
 	}
 	if err = copyStream(w, control, stream); err != nil {
@@ -46,11 +47,12 @@
 	for name, values := range stream.Trailer() {
 		header[http.TrailerPrefix+name] = values
 	}
-	err = control.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)) // for the last chunk, which net/http writes
+	// net/http writes the last chunk after the handler has returned.
+	err = control.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 }
 
-// copyStream writes a stream to the client up to its end. What need not be seen here is spliced. The error is
-// upstream.ErrClientGone if the client could not be written to, and the stream's own if that broke.
+// copyStream writes a stream to the client until its end. Bytes of a stream of known length are spliced where possible. The error is
+// upstream.ErrClientGone if writing to the client failed, and the stream's error if reading from the endpoint failed.
 func copyStream(w *responseWriter, control *http.ResponseController, stream *upstream.Stream) error {
 	spliced, _ := w.ResponseWriter.(io.ReaderFrom)
 	for {
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -7,14 +7,14 @@
 	"tuliprock/internal/route"
 )
 
-// resolvedTarget is where a request goes, and the request target with which it is forwarded.
+// resolvedTarget is the Target of a request's route.
 type resolvedTarget struct {
 	*Target
-	requestTarget string
+	requestTarget string // request target with which the request is forwarded
 }
 
-// resolveTarget finds where a request goes. A request that no route names is rejected: it must reach neither the module
-// nor an endpoint, for nobody knows what executing it twice may do.
+// resolveTarget returns the target of a request's route. A request that matches no route is rejected: it must reach neither the balancer
+// nor an endpoint, since it is not known whether it is idempotent.
 func (s *Server) resolveTarget(routes *RouteConfig, r *http.Request) (resolvedTarget, *rejection) {
 	query := route.Request{Method: r.Method, Header: r.Header, Host: route.Host(r.Host)}
 	raw := originForm(r.RequestURI)
@@ -44,7 +44,8 @@
 	return resolvedTarget{target, rewritten}, nil
 }
 
-// rewritePath replaces the path's prefix, with one slash where they meet.
+// rewritePath replaces Prefix at the beginning of the path by PrefixRewrite. Where both the replacement and the rest of the path have
+// a slash, one is dropped.
 func (t *Target) rewritePath(path string) string {
 	if t.PrefixRewrite == "" {
 		return path
@@ -56,25 +57,24 @@
 	return t.PrefixRewrite + rest
 }
 
-// originForm returns a request target in origin form if it came in absolute form (RFC 9112, 3.2.2), and any other
-// unchanged.
+// originForm converts a request target in absolute form (RFC 9112, 3.2.2) to origin form, and returns any other unchanged.
 func originForm(target string) string {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !strings.EqualFold(target[:len(scheme)], scheme) {
 		return target
 	}
-	rest := target[len(scheme):]
-	switch i := strings.IndexAny(rest, "/?"); {
+	authorityAndPath := target[len(scheme):]
+	switch i := strings.IndexAny(authorityAndPath, "/?"); {
 	case i < 0:
 		return "/"
-	case rest[i] == '?':
-		return "/" + rest[i:]
+	case authorityAndPath[i] == '?':
+		return "/" + authorityAndPath[i:]
 	default:
-		return rest[i:]
+		return authorityAndPath[i:]
 	}
 }
 
-// isPlainPath reports whether a request target is a path that can be forwarded unchanged.
+// isPlainPath reports whether a request target is an absolute path of visible ASCII characters, which can be forwarded unchanged.
 func isPlainPath(target string) bool {
 	return strings.HasPrefix(target, "/") && !strings.ContainsFunc(target, func(c rune) bool { return c <= ' ' || c > '~' })
 }
