--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Seen on the rehearsed day of stalls: a sidecar that was stopped for 20 s forwarded what had arrived in its sockets, 16 s
-// after its clients had disconnected.
+// Guards against late forwarding after a stall: in a rehearsal a sidecar that was stopped for 20 s forwarded requests from its sockets
+// 16 s after their clients had disconnected.
 func TestRequestThatWaitedInItsSocketCountsFromItsArrival(t *testing.T) {
 	idle := acceptIdleConn(t)
 	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // the response that acceptIdleConn wrote
@@ -24,30 +24,31 @@
 		t.Fatal(err)
 	}
 	if arrived, isDisconnected := s.arrivalTime(r, now); isDisconnected || arrived != now {
-		t.Errorf("a request that arrived just now: %v before, disconnected %v", now.Sub(arrived), isDisconnected)
+		t.Errorf("a request that arrived just now: arrival %v ago, disconnected %v, want 0 and false", now.Sub(arrived), isDisconnected)
 	}
-	testpeer.Until(t, "the kernel counts", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
+	testpeer.Until(t, "the kernel reports that the last bytes are as old as a stall", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
 	idle.client.Close()
-	testpeer.Until(t, "the kernel has seen the disconnect", func() bool {
+	testpeer.Until(t, "the kernel reports the disconnect", func() bool {
 		_, isDisconnected := sinceLastReceive(r)
 		return isDisconnected
 	})
 	now = now.Add(time.Second)
 	if arrived, isDisconnected := s.arrivalTime(r, now); !isDisconnected || now.Sub(arrived) < stallThreshold {
-		t.Errorf("a request that has waited: %v before, disconnected %v", now.Sub(arrived), isDisconnected)
+		t.Errorf("a request that has waited: arrival %v ago, disconnected %v, want %v at least and true", now.Sub(arrived), isDisconnected, stallThreshold)
 	}
 }
 
 func TestRequestsAreSuspectForAWhileAfterAPause(t *testing.T) {
 	d := &stallDetector{startedAt: time.Unix(0, 0)}
-	observeAt := func(after time.Duration) bool { return d.observeRequest(d.startedAt.Add(after)) }
-	for after, want := time.Second, true; after < time.Minute; after += stallThreshold / 2 { // a pause is before the first only
-		if got := observeAt(after); got != want {
-			t.Fatalf("after %v: suspect is %v", after, got)
+	observeAt := func(sinceStart time.Duration) bool { return d.observeRequest(d.startedAt.Add(sinceStart)) }
+	// Only the pause before the first request is as long as a stall.
+	for sinceStart, want := time.Second, true; sinceStart < time.Minute; sinceStart += stallThreshold / 2 {
+		if got := observeAt(sinceStart); got != want {
+			t.Fatalf("request after %v: suspect is %v, want %v", sinceStart, got, want)
 		}
-		want = after+stallThreshold/2 < time.Second+stallSuspicionPeriod
+		want = sinceStart+stallThreshold/2 < time.Second+stallSuspicionPeriod
 	}
 	if !observeAt(2*time.Minute) || !observeAt(2*time.Minute+stallSuspicionPeriod/100) {
-		t.Error("a pause is not detected")
+		t.Error("requests after a pause of a minute are not suspect, want suspect")
 	}
 }
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request that waits for memory is shed before its own deadline, and not only when a body's time is up.
+// A request that waits for body memory must be shed by its own deadline, which is shorter than BodyTimeout.
 func TestWaitForBodyMemoryEndsBeforeTheRequestsDeadline(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	pool := body.NewMemoryPool(body.WindowSize)
@@ -23,12 +23,12 @@
 	sentAt := time.Now()
 	io.WriteString(client, requestTextWithin("pay", "r1", "small", 200*time.Millisecond))
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
-	took := time.Since(sentAt)
+	elapsed := time.Since(sentAt)
 	isShed := err == nil && resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
-	if !isShed || took > testpeer.Patience/2 {
-		t.Errorf("%v, %v after %v", resp, err, took)
+	if !isShed || elapsed > testpeer.Patience/2 {
+		t.Errorf("response %v, error %v after %v, want status 503 with a Retry-After within %v", resp, err, elapsed, testpeer.Patience/2)
 	}
 	if n := e.Requests.Load(); n != 0 {
-		t.Errorf("%d requests were forwarded", n)
+		t.Errorf("%d requests were forwarded, want 0", n)
 	}
 }
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -20,11 +20,10 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// arrivalRecorder is an endpoint that records when each request arrived, by the kernel's clock: its reader may be late
-// itself.
+// arrivalRecorder is an endpoint that records when each request arrived. It uses the kernel's clock, since its own reads may be late.
 type arrivalRecorder struct {
 	mu        sync.Mutex
-	arrivedAt map[string]time.Time // by the request's id
+	arrivedAt map[string]time.Time // arrival times by the request's id
 }
 
 func (a *arrivalRecorder) serve(conn net.Conn) {
@@ -52,58 +51,59 @@
 	}
 }
 
-// Clients disconnect by FIN and by RST, at random instants, while their requests wait for memory, in the module, for a dial
-// or for an endpoint's pause after a response: nothing is forwarded later than maxDelay after the disconnect, and nothing
-// leaks. TULIPROCK_LEAVES sets how many clients of each class disconnect.
+// Clients disconnect by FIN and by RST at random instants, while their requests wait for body memory, in the balancer, for a dial, or
+// for an endpoint that pauses after a response. No request may be forwarded later than maxDelay after its client's disconnect, and
+// nothing may leak. The environment variable TULIPROCK_TEST_DISCONNECTS sets how many clients of each class disconnect.
 func TestThousandsOfClientsDisconnectWhileTheyWait(t *testing.T) {
 	const maxDelay = 300 * time.Millisecond
-	perClass := 500
-	if value := os.Getenv("TULIPROCK_LEAVES"); value != "" {
-		perClass, _ = strconv.Atoi(value)
+	clientsPerClass := 500
+	if value := os.Getenv("TULIPROCK_TEST_DISCONNECTS"); value != "" {
+		clientsPerClass, _ = strconv.Atoi(value)
 	}
-	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // after all others
+	goroutinesBefore := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, goroutinesBefore) }) // registered first, so that it runs after all other cleanups
 	recorder := &arrivalRecorder{arrivedAt: map[string]time.Time{}}
 	var addrs []string
 	for range 3 {
 		addrs = append(addrs, testpeer.Accept(t, recorder.serve).Addr().String())
 	}
-	options := proxyOptions{mayCancel: true, bodyMemory: body.NewMemoryPool(256 << 10), beforeDial: func() {
-		<-time.After(randomUpTo(4 * time.Millisecond)) // a slow link, not a wait for an event
+	options := proxyOptions{canCancel: true, bodyMemory: body.NewMemoryPool(256 << 10), beforeDial: func() {
+		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
 	}}
 	p := startProxy(t, options, addrs...)
-	descriptors := testpeer.Descriptors()
-	disconnectedAt := disconnectMany(t, p.addr, perClass)
+	descriptorsBefore := testpeer.Descriptors()
+	disconnectedAt := disconnectMany(t, p.addr, clientsPerClass)
 	p.awaitNoCalls(t)
-	testpeer.Until(t, "no timer is left but the module's next", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
-	testpeer.Until(t, "descriptors are closed, but for idle connections to endpoints, which have both ends here", func() bool {
+	testpeer.Until(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
+	testpeer.Until(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
 		_, idle := p.upstream.ResourceCounts()
-		return testpeer.Descriptors() <= descriptors+2*idle
+		return testpeer.Descriptors() <= descriptorsBefore+2*idle
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	late, never, worst := 0, 0, time.Duration(0)
+	late, notForwarded, longestDelay := 0, 0, time.Duration(0)
 	for id, at := range disconnectedAt {
 		arrived, ok := recorder.arrivedAt[id]
 		switch delay := arrived.Sub(at); {
 		case !ok:
-			never++
+			notForwarded++
 		case delay > maxDelay:
 			late++
 			fallthrough
 		default:
-			worst = max(worst, delay)
+			longestDelay = max(longestDelay, delay)
 		}
 	}
 	total := len(disconnectedAt)
-	t.Logf("%d disconnected, %d of their requests were not forwarded, the latest %v after the disconnect", total, never, worst)
-	if late > 0 || never == 0 || never == total {
-		t.Errorf("%d were forwarded over %v after the disconnect; %d of %d were never forwarded", late, maxDelay, never, total)
+	t.Logf("%d clients disconnected, %d of their requests were not forwarded, the latest was forwarded %v after the disconnect", total, notForwarded, longestDelay)
+	if late > 0 || notForwarded == 0 || notForwarded == total {
+		t.Errorf("%d requests were forwarded later than %v after the disconnect, want 0; %d of %d were not forwarded, want some but not all", late, maxDelay, notForwarded, total)
 	}
 }
 
-// disconnectMany sends requests of each class and disconnects at random instants. It returns when, by the request's id.
-func disconnectMany(t *testing.T, addr string, perClass int) map[string]time.Time {
+// disconnectMany sends requests of each class and disconnects at random instants. It returns when each client disconnected, by the
+// request's id.
+func disconnectMany(t *testing.T, addr string, clientsPerClass int) map[string]time.Time {
 	t.Helper()
 	const workers = 32
 	short, long := strings.Repeat("x", 20<<10), strings.Repeat("x", body.WindowSize+1)
@@ -114,7 +114,7 @@
 		var clients sync.WaitGroup
 		for worker := range workers {
 			clients.Go(func() {
-				for i := worker; i < perClass; i += workers {
+				for i := worker; i < clientsPerClass; i += workers {
 					id := fmt.Sprint(class, i)
 					client, err := net.Dial("tcp", addr)
 					if err != nil {
@@ -126,7 +126,7 @@
 						content = contents[i%len(contents)]
 					}
 					io.WriteString(client, requestTextWithin(class, id, content, 2*time.Second)+[]string{"", "\r\n"}[i%2])
-					<-time.After(randomUpTo(24 * time.Millisecond)) // the instant of the disconnect
+					<-time.After(randomUpTo(24 * time.Millisecond)) // chooses the instant of the disconnect
 					disconnect(client.(*net.TCPConn), i%3 == 0)
 					mu.Lock()
 					disconnectedAt[id] = time.Now()
@@ -139,7 +139,7 @@
 	return disconnectedAt
 }
 
-// randomUpTo returns a random duration below most.
-func randomUpTo(most time.Duration) time.Duration {
-	return time.Duration(rand.Float64() * float64(most))
+// randomUpTo returns a random duration less than limit.
+func randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(rand.Float64() * float64(limit))
 }
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -13,27 +13,27 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request whose client disconnects while its attempt waits for a connection is not written when that is established,
-// though net/http does not see the disconnect: bytes may stand behind the request, or nobody reads on what stands between
-// a streaming body's beginning and its end. The body may be complete there; a client that only ended its sending gets 400
-// if it is not. The connection that was established serves the next request.
+// A request whose client disconnects while its attempt dials must not be written once the connection is established, even though
+// net/http does not notice the disconnect. It does not if further bytes follow the request, or if the rest of a streaming body has not
+// been read yet. A client that closes only its sending side before the end of its body must get status 400. The connection that was
+// dialed must serve the next request.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", body.WindowSize+1<<10)
 	for _, class := range []string{"look", "book", "pay"} {
 		short := requestText(class, "r1", "")
-		requests := map[string][2]string{ // what is sent before the dial and after it
-			"short":                  {short},
-			"a stray line end after": {short, "\r\n"},
-			"another request after":  {short, requestText(class, "next", "")},
+		requests := map[string][2]string{ // the bytes that are sent before the dial begins, and after that
+			"short":                        {short},
+			"short, then a stray line end": {short, "\r\n"},
+			"short, then a second request": {short, requestText(class, "next", "")},
 		}
 		if class != "look" {
 			requests["long"] = [2]string{requestText(class, "r1", long)}
 			requests[incompleteBody] = [2]string{strings.TrimSuffix(requestText(class, "r1", long), "x")}
 		}
 		for name, request := range requests {
-			for _, how := range []string{"FIN", "RST", halfClose} {
-				t.Run(fmt.Sprintf("%s, %s, %s", class, name, how), func(t *testing.T) {
-					checkNotForwarded(t, class, request, how, map[bool]int{true: http.StatusBadRequest}[name == incompleteBody])
+			for _, disconnectMode := range []string{"FIN", "RST", halfClose} {
+				t.Run(fmt.Sprintf("%s, %s, %s", class, name, disconnectMode), func(t *testing.T) {
+					checkNotForwarded(t, class, request, disconnectMode, map[bool]int{true: http.StatusBadRequest}[name == incompleteBody])
 				})
 			}
 		}
@@ -41,15 +41,15 @@
 }
 
 const (
-	incompleteBody = "long, without its end"
+	incompleteBody = "long, without its last byte"
 	halfClose      = "half-close"
 )
 
-// checkNotForwarded sends a request's two parts and disconnects while its attempt dials. wantStatus is what a client that
-// only ended its sending gets; 0: nothing.
-func checkNotForwarded(t *testing.T, class string, request [2]string, how string, wantStatus int) {
+// checkNotForwarded sends a request in two parts, disconnects while its attempt dials, and checks that nothing is forwarded.
+// wantStatus is the status for a client that closes only its sending side; 0 means that it gets no response.
+func checkNotForwarded(t *testing.T, class string, request [2]string, disconnectMode string, wantStatus int) {
 	t.Helper()
-	var forwarded atomic.Int64 // bytes to the endpoint, in whatever pieces
+	var forwarded atomic.Int64 // bytes that the endpoint received
 	endpoint := testpeer.Accept(t, func(conn net.Conn) {
 		defer conn.Close()
 		for b := make([]byte, 1<<10); ; io.WriteString(conn, testpeer.Served) {
@@ -66,27 +66,27 @@
 	io.WriteString(client, request[0])
 	p.awaitDial(t)
 	io.WriteString(client, request[1])
-	if how == halfClose {
+	if disconnectMode == halfClose {
 		_ = client.CloseWrite()
 	} else {
-		disconnect(client, how == "RST")
+		disconnect(client, disconnectMode == "RST")
 	}
 	close(mayDial)
 	p.awaitNoCalls(t)
 	if n := forwarded.Load(); n != 0 {
-		t.Errorf("%d bytes were written to the endpoint", n)
+		t.Errorf("%d bytes were written to the endpoint, want 0", n)
 	}
-	if got := responseStatus(client); how == halfClose && got != wantStatus {
-		t.Errorf("status %d, want %d (0: nothing)", got, wantStatus)
+	if got := responseStatus(client); disconnectMode == halfClose && got != wantStatus {
+		t.Errorf("status %d, want %d (0: no response)", got, wantStatus)
 	}
 	if got := p.status(t, requestText(class, "r2", "")); got != http.StatusOK || len(p.dials) > 0 {
-		t.Errorf("a client that stays: status %d, %d more dials", got, len(p.dials))
+		t.Errorf("request of another client: status %d, %d more dials, want 200 and 0", got, len(p.dials))
 	}
 }
 
-// A handler that has seen its client disconnect ends, and its connection with it: whoever asks the kernel just then must
-// not take a closed connection for one of which nothing is known. Seen as 1 of 30,000 on a starved machine, sent 0.7 s after
-// its client had disconnected.
+// Guards against forwarding a request after its handler has noticed the disconnect and closed the connection: the kernel's state of a
+// closed connection can't be read, which must not count as connected. On a machine short of processor time 1 of 30,000 requests was
+// forwarded 0.7 s after its client had disconnected.
 func TestClientOfClosedConnectionIsNotConnected(t *testing.T) {
 	conn := acceptIdleConn(t).conn
 	r, err := http.NewRequestWithContext(withConn(t.Context(), conn), http.MethodGet, "/look", nil)
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	if !isClientConnected(r) {
-		t.Error("a client that waits is not connected")
+		t.Error("isClientConnected returned false for an open connection, want true")
 	}
 	conn.Close()
 	if isClientConnected(r) {
-		t.Error("the client of a closed connection is connected")
+		t.Error("isClientConnected returned true for a closed connection, want false")
 	}
 }
--- a/internal/frontend/dispatch_test.go
+++ b/internal/frontend/dispatch_test.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request that was forwarded before its client disconnected is not cancelled where settings forbid that: its response is
-// waited for, and its connection stays open.
+// If the settings forbid cancelling attempts, a request that was forwarded before its client disconnected must run to its end, and its
+// connection to the endpoint must stay open.
 func TestForwardedRequestIsNotCancelledByDisconnect(t *testing.T) {
 	received, respond := make(chan bool), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(conn net.Conn, _ *http.Request, n int) bool {
@@ -31,17 +31,17 @@
 	close(respond)
 	p.awaitNoCalls(t)
 	if got := p.status(t, requestText("pay", "r2", "")); got != http.StatusOK || e.Connections.Load() != 1 {
-		t.Errorf("status %d, %d connections", got, e.Connections.Load())
+		t.Errorf("next request: status %d, %d connections to the endpoint, want 200 and 1", got, e.Connections.Load())
 	}
 }
 
-// Nothing is forwarded to an endpoint that is terminated or removed while a connection to it is dialed.
+// Nothing may be forwarded to an endpoint that begins to drain or is removed while a connection to it is dialed.
 func TestRequestIsNotForwardedToEndpointRemovedDuringDial(t *testing.T) {
 	for _, state := range []string{"Terminating", "Gone"} {
 		t.Run(state, func(t *testing.T) {
 			e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 			mayDial := make(chan struct{})
-			p := startProxy(t, proxyOptions{mayCancel: true, beforeDial: func() { <-mayDial }}, e.Addr)
+			p := startProxy(t, proxyOptions{canCancel: true, beforeDial: func() { <-mayDial }}, e.Addr)
 			client := p.dialClient(t)
 			io.WriteString(client, requestText("pay", "r1", ""))
 			p.awaitDial(t)
@@ -53,22 +53,22 @@
 			<-updated
 			close(mayDial)
 			if got := responseStatus(client); got != http.StatusServiceUnavailable {
-				t.Errorf("status %d: it must be shed, for it was never executed", got)
+				t.Errorf("status %d, want 503, since the request was not executed", got)
 			}
 			if n := e.Requests.Load(); n != 0 {
-				t.Errorf("%d requests were forwarded", n)
+				t.Errorf("%d requests were forwarded, want 0", n)
 			}
 		})
 	}
 }
 
-// A request with an idempotency key that may have been executed is not forwarded once endpoints no longer drop its
-// duplicates, even if its retry began to dial before.
+// A request with an idempotency key that may have been executed must not be forwarded again after its deduplication window, in which
+// endpoints drop duplicates, even if the retry began to dial within the window.
 func TestRetryIsNotForwardedAfterItsIdempotencyWindow(t *testing.T) {
-	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { return false }) // a reset after the last byte
+	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { return false }) // closes the connection without a response
 	var dials atomic.Int32
 	mayDialAgain := make(chan struct{})
-	p := startProxy(t, proxyOptions{mayCancel: true, beforeDial: func() {
+	p := startProxy(t, proxyOptions{canCancel: true, beforeDial: func() {
 		if dials.Add(1) > 1 {
 			<-mayDialAgain
 		}
@@ -78,12 +78,12 @@
 	io.WriteString(client, requestText("book", "r1", ""))
 	p.awaitDial(t)
 	p.awaitDial(t)
-	testpeer.Until(t, "the window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
+	testpeer.Until(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
 	close(mayDialAgain)
-	if got := responseStatus(client); got != http.StatusServiceUnavailable { // of group "all"
-		t.Errorf("status %d", got)
+	if got := responseStatus(client); got != http.StatusServiceUnavailable { // all endpoints share the keys they have seen
+		t.Errorf("status %d, want 503", got)
 	}
 	if n := e.Requests.Load(); n != 1 {
-		t.Errorf("%d requests were forwarded, all but one after the window", n)
+		t.Errorf("%d attempts reached the endpoint, want 1: only the first one is within the window", n)
 	}
 }
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -12,14 +12,14 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// idleConn is a connection that net/http takes for idle.
+// idleConn is a connection that net/http has reported as idle.
 type idleConn struct {
 	listener *Listener
-	conn     *clientConn
-	client   net.Conn // its other end
+	conn     *clientConn // the daemon's end of the connection
+	client   net.Conn    // the client's end of the connection
 }
 
-// acceptIdleConn opens a connection on which one response was written.
+// acceptIdleConn opens a connection that is idle after one response was written.
 func acceptIdleConn(t *testing.T) idleConn {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +47,8 @@
 	return idleConn{listener, conn, client}
 }
 
-// Seen on an overloaded day with few descriptors: connections were closed between the read of a request and the moment at
-// which net/http calls them active.
+// Guards against closing a connection between the read of a request's first bytes and the moment when net/http reports the connection
+// as active. This happened under overload with few file descriptors.
 func TestConnectionWithPartlyReadRequestIsNotEvicted(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "re")
@@ -58,7 +58,7 @@
 	idle.listener.evictIdle()
 	io.WriteString(idle.client, "st")
 	if n, err := io.ReadFull(idle.conn, make([]byte, 2)); n != 2 || err != nil {
-		t.Errorf("the rest of the request: %d bytes, %v", n, err)
+		t.Errorf("reading the rest of the request: %d bytes, error %v, want 2 bytes and no error", n, err)
 	}
 }
 
@@ -66,7 +66,7 @@
 	idle := acceptIdleConn(t)
 	read := make(chan error)
 	go func() {
-		rest, err := io.ReadAll(idle.conn) // no error: the read ended with io.EOF
+		rest, err := io.ReadAll(idle.conn) // err is nil if the read ended with io.EOF
 		if len(rest) > 0 {
 			err = fmt.Errorf("%q was read, %w", rest, err)
 		}
@@ -74,13 +74,14 @@
 	}()
 	idle.listener.evictIdle()
 	if err := <-read; err != nil {
-		t.Errorf("the read that waited: %v", err)
+		t.Errorf("the pending read returned %v, want io.EOF and no bytes", err)
 	}
-	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Patience)); err != nil { // as net/http does after its hook
+	// net/http sets a read deadline after its ConnState hook has run.
+	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Patience)); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(idle.conn); err != nil || len(rest) > 0 {
-		t.Errorf("the next read: %q, %v", rest, err)
+		t.Errorf("the next read returned %q, error %v, want io.EOF and no bytes", rest, err)
 	}
 }
 
@@ -92,21 +93,22 @@
 		idle.listener.evictIdle()
 		io.WriteString(idle.client, "r")
 		if n, err := idle.conn.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Errorf("its first byte: %d, %v", n, err)
+			t.Errorf("reading the first byte: %d bytes, error %v, want 1 byte and no error", n, err)
 		}
 	})
-	t.Run("silent for long", func(t *testing.T) {
+	t.Run("silent for twice the minimum age", func(t *testing.T) {
 		idle := acceptIdleConn(t)
 		idle.conn.moveTo(&idle.listener.silent)
 		idle.conn.queuedAt = time.Now().Add(-2 * minSilentAge)
 		idle.listener.evictIdle()
 		if rest, err := io.ReadAll(idle.conn); err != nil || len(rest) > 0 {
-			t.Errorf("%q, %v", rest, err)
+			t.Errorf("the connection delivered %q, error %v, want io.EOF and no bytes", rest, err)
 		}
 	})
 }
 
-// Hundreds of clients that connect and send nothing, or stop within a head, must not keep others out: they are evicted first.
+// Clients that connect and send nothing, or only a part of a request's head, must not use up the connection limit: their connections
+// are evicted, those without any byte first.
 func TestSilentAndPartialConnectionsAreEvictedBeyondTheLimit(t *testing.T) {
 	evictOne := func(l *Listener) {
 		l.mu.Lock()
@@ -120,7 +122,7 @@
 		idle.conn.queuedAt = time.Now().Add(-2 * minPartialAge)
 		evictOne(idle.listener)
 		if rest, err := io.ReadAll(idle.conn); err != nil || len(rest) > 0 {
-			t.Errorf("%q, %v", rest, err)
+			t.Errorf("the connection delivered %q, error %v, want io.EOF and no bytes", rest, err)
 		}
 	})
 	t.Run("a silent connection before an idle one", func(t *testing.T) {
@@ -131,27 +133,28 @@
 		idle.listener.maxConnections = 0
 		evictOne(idle.listener)
 		if !silent.isEvicted || idle.conn.isEvicted {
-			t.Errorf("the silent one evicted: %v, the idle one: %v", silent.isEvicted, idle.conn.isEvicted)
+			t.Errorf("silent connection evicted: %v, idle connection evicted: %v, want true and false", silent.isEvicted, idle.conn.isEvicted)
 		}
 	})
 }
 
-// A pipelined request is in net/http's buffer, where no read shows it: once its head is complete, an eviction made
-// meanwhile must not end it.
+// net/http reads a pipelined request from its buffer, so no read on the connection cancels an eviction. Once net/http reports the
+// request's head as complete, an earlier eviction must not end the connection.
 func TestPipelinedRequestCancelsEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	idle.listener.evictIdle()
 	idle.listener.Track(idle.conn, http.StateActive)
 	io.WriteString(idle.client, "r")
 	if n, err := idle.conn.Read(make([]byte, 1)); n != 1 || err != nil {
-		t.Errorf("the read that watches for a disconnect: %d, %v", n, err)
+		t.Errorf("net/http's background read returned %d bytes, error %v, want 1 byte and no error", n, err)
 	}
 	if idle.listener.evicting != 0 || idle.listener.open != 1 {
-		t.Errorf("%d evicting, %d open", idle.listener.evicting, idle.listener.open)
+		t.Errorf("%d connections are being evicted and %d are open, want 0 and 1", idle.listener.evicting, idle.listener.open)
 	}
 }
 
-// Seen on the same day, with half a core: a request that was received but not read yet must not be lost.
+// Guards against losing a request that the kernel has received but the process has not read yet when its connection is evicted. This
+// happened under overload on half a core.
 func TestReceivedRequestIsReadDespiteEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "request")
@@ -168,19 +171,19 @@
 	})
 	idle.listener.evictIdle()
 	if n, err := idle.conn.Read(make([]byte, 7)); n == 0 || err != nil {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("the read returned %d bytes, error %v, want some bytes and no error", n, err)
 	}
 }
 
-// Seen in a test of partial heads: a connection whose eviction was cancelled by some bytes had no read deadline left, and
-// with enough of these nobody else was accepted.
+// Guards against a connection without a read deadline: after a partial head had cancelled the connection's eviction, no deadline was
+// left. Enough such connections kept all other clients from being accepted.
 func TestPartialRequestHasReadDeadlineAfterCancelledEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "GET /lo")
 	idle.listener.evictIdle()
 	for {
 		if _, err := idle.conn.Read(make([]byte, 16)); err != nil {
-			return // before the test's own limit
+			return // the read timed out before the test did
 		}
 	}
 }
--- a/internal/frontend/framing_test.go
+++ b/internal/frontend/framing_test.go
@@ -13,14 +13,14 @@
 		head          string
 		isChunkedOnly bool
 	}{
-		"chunked":                              {requestLine + "Transfer-Encoding: chunked\r\n\r\n", true},
+		"chunked only":                         {requestLine + "Transfer-Encoding: chunked\r\n\r\n", true},
 		"empty line first, lower case":         {"\r\n" + requestLine + "transfer-encoding:chunked\r\n\r\n", true},
 		"line ends without CR":                 {"POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n", true},
-		"a Content-Length, too":                {requestLine + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", false},
-		"a folded Content-Length, too":         {requestLine + "content-LENGTH:\r\n 3\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", false},
-		"no end of the head":                   {requestLine + "Transfer-Encoding: chunked\r\n", false},
-		"the name in a value":                  {requestLine + "X: Transfer-Encoding: chunked\r\n\r\n", false},
-		"the name within names":                {requestLine + "Transfer-Encoding-X: chunked\r\nX-Transfer-Encoding: b\r\n\r\n", false},
+		"Content-Length and chunked":           {requestLine + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", false},
+		"folded Content-Length and chunked":    {requestLine + "content-LENGTH:\r\n 3\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", false},
+		"incomplete head":                      {requestLine + "Transfer-Encoding: chunked\r\n", false},
+		"the name of the field in a value":     {requestLine + "X: Transfer-Encoding: chunked\r\n\r\n", false},
+		"the name within other names":          {requestLine + "Transfer-Encoding-X: chunked\r\nX-Transfer-Encoding: b\r\n\r\n", false},
 		"a Content-Length in the body":         {requestLine + "Transfer-Encoding: chunked\r\n\r\nContent-Length: 3\r\n\r\nbody", true},
 		"a Content-Length within another name": {requestLine + "X-Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true},
 	} {
@@ -28,7 +28,7 @@
 			var scanner headScanner
 			scanner.scan([]byte(c.head), true)
 			if got := scanner.isChunkedOnly(); got != c.isChunkedOnly {
-				t.Errorf("%q: chunked only is %v", c.head, got)
+				t.Errorf("head %q: isChunkedOnly returned %v, want %v", c.head, got, c.isChunkedOnly)
 			}
 		})
 	}
@@ -36,12 +36,12 @@
 		var scanner headScanner
 		scanner.scan([]byte("Transfer-Encoding: chunked\r\n\r\n"), false)
 		if scanner.isChunkedOnly() {
-			t.Error("a head without its beginning is believed")
+			t.Error("isChunkedOnly returned true for a head without its beginning, want false")
 		}
 	})
 }
 
-// The result must not depend on how the bytes are split into reads, nor on what came before.
+// The result must not depend on how the bytes of a head are split into reads, nor on earlier requests.
 func TestHeadScannerResultIsIndependentOfReadBoundaries(t *testing.T) {
 	fields := []string{"Transfer-Encoding: chunked", "Content-Length: 5", "X: y", "Host: h", " folded: z", "x:"}
 	previous := []string{"", "GET / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", "half a"}
@@ -57,7 +57,8 @@
 			rest = rest[n:]
 		}
 		if scanner.isChunkedOnly() != want || scanner.hasFoldedLine != strings.Contains(head, "\n folded") {
-			t.Fatalf("%q: chunked only is %v, folded %v", head, !want, scanner.hasFoldedLine)
+			t.Fatalf("head %q: isChunkedOnly is %v, want %v; hasFoldedLine is %v, want %v",
+				head, scanner.isChunkedOnly(), want, scanner.hasFoldedLine, strings.Contains(head, "\n folded"))
 		}
 	})
 }
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -22,56 +22,57 @@
 	"tuliprock/internal/upstream"
 )
 
-// testProxy is a Server with a Listener, an event loop with the real module and the endpoints' side.
+// testProxy is a Server with a Listener, an event loop with the real balancer, and a client for the endpoints.
 type testProxy struct {
 	addr     string
 	server   *Server
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	dials    chan string // the address of each dial, as far as there is room
+	dials    chan string // addresses that were dialed; further ones are dropped while the buffer is full
 }
 
-// proxyOptions are what tests set of a testProxy.
+// proxyOptions are the options of a testProxy.
 type proxyOptions struct {
-	mayCancel  bool             // requests that were forwarded may be cancelled
-	bodyMemory *body.MemoryPool // nil: bodies are buffered
-	beforeDial func()           // runs before each dial; nil: nothing does
+	canCancel  bool             // the balancer may cancel attempts
+	bodyMemory *body.MemoryPool // memory for bodies; nil: all bodies are buffered
+	beforeDial func()           // called before each dial of an endpoint, if not nil
 
-	configure      func(*Options) // changes the Server's options; nil: nothing does
-	configureClass func(*Class)   // changes each class; nil: nothing does
+	configure      func(*Options) // changes the options of the Server, if not nil
+	configureClass func(*Class)   // changes each class, if not nil
 }
 
 // idempotencyWindow is how long endpoints drop duplicates of a request with an idempotency key.
 const idempotencyWindow = 300 * time.Millisecond
 
+// testClasses has one class of each idempotency: look is idempotent, book has idempotency keys, and pay is non-idempotent.
 var testClasses = []balance.Class{
 	{Name: "look", LatencyObjective: time.Second},
 	{Name: "book", Idempotency: balance.IdempotencyKey, DedupWindow: idempotencyWindow, LatencyObjective: time.Second},
 	{Name: "pay", Idempotency: balance.NonIdempotent, LatencyObjective: time.Second},
 }
 
-// startProxy starts a testProxy for the endpoints a, b, ... at the given addresses. It ends with the test.
+// startProxy starts a testProxy for endpoints with the ids a, b and so on at the given addresses. The proxy ends with the test.
 func startProxy(t *testing.T, options proxyOptions, addrs ...string) *testProxy {
 	t.Helper()
 	p := &testProxy{dials: make(chan string, 100)}
 	log := slog.New(slog.DiscardHandler)
-	pace := body.MinimumRate{IdleTimeout: testpeer.Patience}
+	minimumRate := body.MinimumRate{IdleTimeout: testpeer.Patience}
 	p.upstream = upstream.New(upstream.Options{
 		IdleTimeout:    time.Minute,
 		Pool:           options.bodyMemory,
-		MinimumRate:    pace,
+		MinimumRate:    minimumRate,
 		DialTimeout:    testpeer.Patience,
 		MaxConnections: 200,
 		OnlyOK:         true,
 		Connect:        p.dialer(options.beforeDial),
 	})
-	settings := balance.Settings{Seed: 7, CanCancel: options.mayCancel, MaxAttempts: 4, Classes: testClasses}
+	settings := balance.Settings{Seed: 7, CanCancel: options.canCancel, MaxAttempts: 4, Classes: testClasses}
 	p.loop = eventloop.New(eventloop.NewBalancer, settings, p.upstream, func() {}, log)
 	p.loop.UpdateEndpoints(p.loop.Now(), listUpdate(t, "Ready", addrs))
 
-	figures := &metrics.Registry{}
-	current := &ActiveRouteConfig{}
-	current.Swap(testRoutes(t, p.loop, figures, options.configureClass))
+	registry := &metrics.Registry{}
+	activeRoutes := &ActiveRouteConfig{}
+	activeRoutes.Swap(testRoutes(t, p.loop, registry, options.configureClass))
 	serverOptions := Options{
 		MaxHeaderBytes: 16 << 10,
 		MaxBodyBytes:   1 << 20,
@@ -79,14 +80,14 @@
 		BodyTimeout:    testpeer.Patience,
 		WriteTimeout:   testpeer.Patience,
 		BodyMemory:     options.bodyMemory,
-		MinRate:        pace,
-		Metrics:        figures,
+		MinRate:        minimumRate,
+		Metrics:        registry,
 		Raw:            true,
 	}
 	if options.configure != nil {
 		options.configure(&serverOptions)
 	}
-	p.server = NewServer(serverOptions, current, log)
+	p.server = NewServer(serverOptions, activeRoutes, log)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +104,7 @@
 	return p
 }
 
-// dialer returns a dial that notes its address in dials.
+// dialer returns a dial function that sends the address to dials and then calls beforeDial.
 func (p *testProxy) dialer(beforeDial func()) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		select {
@@ -117,8 +118,8 @@
 	}
 }
 
-// testRoutes routes /look, /book and /pay as the classes of these names.
-func testRoutes(t *testing.T, pool *eventloop.Loop, figures *metrics.Registry, configure func(*Class)) *RouteConfig {
+// testRoutes returns a configuration that routes /look, /book and /pay as the classes of these names.
+func testRoutes(t *testing.T, pool *eventloop.Loop, registry *metrics.Registry, configure func(*Class)) *RouteConfig {
 	t.Helper()
 	routes := &RouteConfig{}
 	var rules []route.Rule
@@ -132,7 +133,7 @@
 			RequiresID:       true,
 			RequiresDeadline: true,
 			MaxDeadline:      time.Hour,
-			Metrics:          figures.Class(c.Name),
+			Metrics:          registry.Class(c.Name),
 		}
 		if configure != nil {
 			configure(class)
@@ -147,7 +148,7 @@
 	return routes
 }
 
-// listUpdate is a complete endpoint list, all of whose endpoints are in one state.
+// listUpdate returns a complete endpoint list with endpoints at the given addresses, all in the same state.
 func listUpdate(t *testing.T, state string, addrs []string) discovery.ListUpdate {
 	t.Helper()
 	var entries []string
@@ -161,24 +162,25 @@
 	return update
 }
 
-// requestText is a request as clients send it, with a deadline of 10 s.
+// requestText returns the bytes of a client's request of a class, with a deadline of 10 s.
 func requestText(class, id, content string) string {
 	return requestTextWithin(class, id, content, 10*time.Second)
 }
 
+// requestTextWithin returns the bytes of a client's request of a class with the given deadline.
 func requestTextWithin(class, id, content string, deadline time.Duration) string {
-	method, extra := "GET", ""
+	method, headers := "GET", ""
 	if class != "look" {
-		method, extra = "POST", "Content-Length: "+strconv.Itoa(len(content))+"\r\n"
+		method, headers = "POST", "Content-Length: "+strconv.Itoa(len(content))+"\r\n"
 	}
 	if class == "book" {
-		extra += "Idempotency-Key: k" + id + "\r\n"
+		headers += "Idempotency-Key: k" + id + "\r\n"
 	}
 	return method + " /" + class + " HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\n" +
-		"Req-Deadline-Ms: " + strconv.FormatInt(deadline.Milliseconds(), 10) + "\r\n" + extra + "\r\n" + content
+		"Req-Deadline-Ms: " + strconv.FormatInt(deadline.Milliseconds(), 10) + "\r\n" + headers + "\r\n" + content
 }
 
-// dialClient opens a client's connection, which is closed with the test.
+// dialClient opens a client's connection, which is closed when the test ends.
 func (p *testProxy) dialClient(t *testing.T) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -189,7 +191,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// status sends a request on a new connection and returns the status of the response; 0: there was none.
+// status sends a request on a new connection and returns the status of the response, or 0 if there is none.
 func (p *testProxy) status(t *testing.T, request string) int {
 	t.Helper()
 	client := p.dialClient(t)
@@ -197,7 +199,7 @@
 	return responseStatus(client)
 }
 
-// responseStatus reads a response's head and returns its status; 0: there was none.
+// responseStatus reads the head of a response and returns its status, or 0 if there is none.
 func responseStatus(client net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
@@ -206,38 +208,38 @@
 	return resp.StatusCode
 }
 
-// awaitDial waits until an attempt dials.
+// awaitDial waits until an attempt dials its endpoint.
 func (p *testProxy) awaitDial(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.dials:
 	case <-time.After(testpeer.Patience):
-		t.Fatal("nothing is dialed")
+		t.Fatalf("no endpoint was dialed within %v", testpeer.Patience)
 	}
 }
 
-// awaitNoCalls waits until the event loop holds no call any more.
+// awaitNoCalls waits until the event loop holds no calls.
 func (p *testProxy) awaitNoCalls(t *testing.T) {
 	t.Helper()
-	testpeer.Until(t, "the event loop holds no call", func() bool {
+	testpeer.Until(t, "the event loop holds no calls", func() bool {
 		calls, _ := p.resourceCounts()
 		return calls == 0
 	})
 }
 
-// resourceCounts returns how many calls and timers the event loop holds.
+// resourceCounts returns how many calls, deferred events included, and how many timers the event loop holds.
 func (p *testProxy) resourceCounts() (calls, timers int) {
 	counted := make(chan struct{})
 	p.loop.Post(func(time.Duration) {
 		defer close(counted)
-		pending, _, events, scheduled := p.loop.ResourceCounts()
-		calls, timers = pending+events, scheduled
+		loopCalls, _, events, loopTimers := p.loop.ResourceCounts()
+		calls, timers = loopCalls+events, loopTimers
 	})
 	<-counted
 	return calls, timers
 }
 
-// disconnect ends a client's connection by FIN or by RST.
+// disconnect closes a client's connection by RST if byReset is true, and by FIN otherwise.
 func disconnect(client *net.TCPConn, byReset bool) {
 	if byReset {
 		_ = client.SetLinger(0)
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -23,29 +23,29 @@
 
 var updateGolden = flag.Bool("update", false, "write testdata/wire.golden instead of comparing with it")
 
-// wireCase is one request, and what the daemon is set to.
+// wireCase is a request to a testProxy and the settings of that proxy.
 type wireCase struct {
-	name              string
-	request           string           // as the client sends it
-	afterContinue     string           // sent after a response of status 100
-	response          string           // of the endpoint; empty: 200 with a body of "hi"
-	bodyMemory        *body.MemoryPool // nil: bodies are buffered
-	configure         func(*Options)   // nil: as startProxy has them
-	configureClass    func(*Class)     // nil: as startProxy has them
-	closesConnections bool             // responses close their connections
+	name              string           // title of the case's section in the golden file
+	request           string           // bytes that the client sends
+	afterContinue     string           // bytes that the client sends after a response with status 100
+	response          string           // bytes that the endpoint sends; "" means status 200 with the body "hi"
+	bodyMemory        *body.MemoryPool // memory for bodies; nil: all bodies are buffered
+	configure         func(*Options)   // changes the options that startProxy sets, if not nil
+	configureClass    func(*Class)     // changes each class that startProxy sets, if not nil
+	closesConnections bool             // whether SetCloseConnections is called
 }
 
-// What goes to clients and endpoints is a contract with others: statuses, headers, texts, and whether the connection can
-// serve another request. The golden file holds it; header fields are sorted, what changes from run to run is masked, and
-// bodies stand as length and digest, for how they are split into chunks depends on timing.
+// What the daemon sends to clients and endpoints is a contract with them: statuses, headers, texts, and whether the connection can
+// serve another request. The golden file contains the expected bytes. Header fields are sorted in it, values that differ between runs
+// are masked, and long bodies are replaced by their length and digest, since their split into chunks depends on timing.
 func TestBytesOnTheWire(t *testing.T) {
 	const golden = "testdata/wire.golden"
 	if *updateGolden {
-		var all strings.Builder
+		var transcripts strings.Builder
 		for _, c := range wireCases() {
-			fmt.Fprintf(&all, "%s%s\n%s", casePrefix, c.name, c.transcribe(t))
+			fmt.Fprintf(&transcripts, "%s%s\n%s", casePrefix, c.name, c.transcribe(t))
 		}
-		if err := os.WriteFile(golden, []byte(all.String()), 0o644); err != nil {
+		if err := os.WriteFile(golden, []byte(transcripts.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
@@ -55,13 +55,13 @@
 		t.Fatal(err)
 	}
 	want := map[string]string{}
-	for part := range strings.SplitSeq(strings.TrimPrefix(string(content), casePrefix), casePrefix) {
-		name, text, _ := strings.Cut(part, "\n")
-		want[name] = text
+	for section := range strings.SplitSeq(strings.TrimPrefix(string(content), casePrefix), casePrefix) {
+		name, transcript, _ := strings.Cut(section, "\n")
+		want[name] = transcript
 	}
 	cases := wireCases()
 	if len(cases) != len(want) {
-		t.Errorf("%d cases, the golden file has %d", len(cases), len(want))
+		t.Errorf("%d test cases, but the golden file has %d", len(cases), len(want))
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,39 +72,41 @@
 	}
 }
 
-// casePrefix begins a case of the golden file.
+// casePrefix begins the title line of each case in the golden file.
 const casePrefix = "== "
 
 func wireCases() []wireCase {
-	streaming := body.NewMemoryPool(1 << 20)
+	streamingMemory := body.NewMemoryPool(1 << 20)
 	long := strings.Repeat("y", 3*body.WindowSize)
 	const id, deadline = "Req-Id: r1\r\n", "Req-Deadline-Ms: 9000\r\n"
-	head := func(line, fields string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" }
+	head := func(methodAndTarget, fields string) string {
+		return methodAndTarget + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n"
+	}
 	const chunkedBody = "2\r\nab\r\n1\r\nc\r\n0\r\nX-End: e\r\n\r\n"
 	longChunked := fmt.Sprintf("%x\r\n%s\r\n0\r\nX-End: e\r\n\r\n", len(long), long)
-	chunked := head("POST /pay", id+deadline+"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n")
-	expecting := head("POST /pay", id+deadline+"Content-Length: 3\r\nExpect: 100-continue\r\n")
+	chunkedHead := head("POST /pay", id+deadline+"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n")
+	expectHead := head("POST /pay", id+deadline+"Content-Length: 3\r\nExpect: 100-continue\r\n")
 	get := head("GET /look", id+deadline)
-	forwarding := func(how ForwardedMode) func(*Options) {
-		return func(o *Options) { o.Raw, o.Forwarded, o.Pseudonym = false, how, "via" }
+	withForwarded := func(mode ForwardedMode) func(*Options) {
+		return func(o *Options) { o.Raw, o.Forwarded, o.Pseudonym = false, mode, "via" }
 	}
-	const clients = "X-Forwarded-For: 192.0.2.1\r\nX_Forwarded_For: 192.0.2.2\r\nForwarded: for=192.0.2.1\r\nVia: 1.0 x\r\n" +
+	const clientHeaders = "X-Forwarded-For: 192.0.2.1\r\nX_Forwarded_For: 192.0.2.2\r\nForwarded: for=192.0.2.1\r\nVia: 1.0 x\r\n" +
 		"Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 2\r\nX-End: kept\r\n"
-	look := head("GET /look?q=1", id+deadline+clients)
+	getWithClientHeaders := head("GET /look?q=1", id+deadline+clientHeaders)
 	return []wireCase{
 		{name: "health", request: head("GET /_health", "")},
 		{name: "HTTP/1.0", request: "GET /look HTTP/1.0\r\nHost: h\r\n\r\n"},
 		{name: "a folded line", request: head("GET /look", id+deadline+"X: a\r\n b\r\n")},
-		{name: "chunked, buffering", request: chunked + chunkedBody},
-		{name: "a Content-Length, too", bodyMemory: streaming,
+		{name: "chunked, buffering", request: chunkedHead + chunkedBody},
+		{name: "a Content-Length, too", bodyMemory: streamingMemory,
 			request: head("POST /pay", id+deadline+"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + chunkedBody},
 		{name: "too long", request: head("POST /pay", id+deadline+"Content-Length: 2000000\r\n")},
-		{name: "too long, chunked", request: chunked + longChunked, bodyMemory: streaming, configure: func(o *Options) { o.MaxBodyBytes = 100 }},
+		{name: "too long, chunked", request: chunkedHead + longChunked, bodyMemory: streamingMemory, configure: func(o *Options) { o.MaxBodyBytes = 100 }},
 		{name: "no memory ever", request: requestText("pay", "r1", "small"), bodyMemory: body.NewMemoryPool(1)},
 		{name: "no memory ever, streaming", request: requestText("pay", "r1", long), bodyMemory: body.NewMemoryPool(1)},
 		{name: "no route", request: head("GET /none", id+deadline)},
 		{name: "no plain path", request: head("OPTIONS *", id+deadline)},
-		{name: "a path that is not normal", request: head("GET /look/%zz", id+deadline), configure: forwarding(ForwardedSet)},
+		{name: "a path that is not normal", request: head("GET /look/%zz", id+deadline), configure: withForwarded(ForwardedSet)},
 		{name: "no id", request: head("GET /look", deadline)},
 		{name: "an id that is too long", request: head("GET /look", "Req-Id: "+strings.Repeat("i", 257)+"\r\n"+deadline)},
 		{name: "no deadline", request: head("GET /look", id)},
@@ -116,32 +118,32 @@
 		{name: "GET", request: get},
 		{name: "HEAD", request: head("HEAD /look", id+deadline), response: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"},
 		{name: "absolute form", request: head("GET http://h/look?a=b", id+deadline)},
-		{name: "response without content", request: get, configure: forwarding(ForwardedDrop),
+		{name: "response without content", request: get, configure: withForwarded(ForwardedDrop),
 			response: "HTTP/1.1 204 No Content\r\nX-End: e\r\n\r\n"},
-		{name: "forwarded is set", request: look, configure: forwarding(ForwardedSet)},
-		{name: "forwarded is appended", request: look, configure: forwarding(ForwardedAppend)},
-		{name: "forwarded is dropped", request: look, configure: forwarding(ForwardedDrop)},
-		{name: "forwarded is left", request: look, configure: forwarding(ForwardedLeave)},
-		{name: "headers of the response", request: get, configure: forwarding(ForwardedSet),
+		{name: "forwarded is set", request: getWithClientHeaders, configure: withForwarded(ForwardedSet)},
+		{name: "forwarded is appended", request: getWithClientHeaders, configure: withForwarded(ForwardedAppend)},
+		{name: "forwarded is dropped", request: getWithClientHeaders, configure: withForwarded(ForwardedDrop)},
+		{name: "forwarded is left", request: getWithClientHeaders, configure: withForwarded(ForwardedLeave)},
+		{name: "headers of the response", request: get, configure: withForwarded(ForwardedSet),
 			response: "HTTP/1.1 200 OK\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-End: e\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi"},
 		{name: "POST", request: requestText("pay", "r1", "body")},
-		{name: "POST, streaming", request: requestText("pay", "r1", long), bodyMemory: streaming},
-		{name: "chunked", request: chunked + chunkedBody, bodyMemory: streaming},
-		{name: "chunked, long", request: chunked + longChunked, bodyMemory: streaming},
-		{name: "chunked, the deadline covers it", request: chunked + longChunked, bodyMemory: streaming,
+		{name: "POST, streaming", request: requestText("pay", "r1", long), bodyMemory: streamingMemory},
+		{name: "chunked", request: chunkedHead + chunkedBody, bodyMemory: streamingMemory},
+		{name: "chunked, long", request: chunkedHead + longChunked, bodyMemory: streamingMemory},
+		{name: "chunked, the deadline covers it", request: chunkedHead + longChunked, bodyMemory: streamingMemory,
 			configureClass: func(c *Class) { c.DeadlineCoversStreams = true }},
-		{name: "chunked, malformed", request: chunked + "zz\r\n", bodyMemory: streaming},
-		{name: "Expect", request: expecting, afterContinue: "abc", bodyMemory: streaming},
-		{name: "Expect, buffering", request: expecting, afterContinue: "abc"},
-		{name: "streaming response with a length", request: get, bodyMemory: streaming,
+		{name: "chunked, malformed", request: chunkedHead + "zz\r\n", bodyMemory: streamingMemory},
+		{name: "Expect", request: expectHead, afterContinue: "abc", bodyMemory: streamingMemory},
+		{name: "Expect, buffering", request: expectHead, afterContinue: "abc"},
+		{name: "streaming response with a length", request: get, bodyMemory: streamingMemory,
 			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: %d\r\n\r\n%s", len(long), long)},
-		{name: "streaming response long enough to be spliced", request: get, bodyMemory: streaming,
+		{name: "streaming response long enough to be spliced", request: get, bodyMemory: streamingMemory,
 			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 3<<20, strings.Repeat("z", 3<<20))},
-		{name: "streaming response in chunks", request: get, bodyMemory: streaming,
+		{name: "streaming response in chunks", request: get, bodyMemory: streamingMemory,
 			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n" + longChunked},
-		{name: "streaming response that breaks", request: get, bodyMemory: streaming,
+		{name: "streaming response that breaks", request: get, bodyMemory: streamingMemory,
 			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(long), long)},
-		{name: "streaming response in chunks that breaks", request: get, bodyMemory: streaming,
+		{name: "streaming response in chunks that breaks", request: get, bodyMemory: streamingMemory,
 			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				strings.TrimSuffix(longChunked, "0\r\nX-End: e\r\n\r\n")},
 		{name: "error of the endpoint", request: head("POST /pay", id+deadline+"Content-Length: 0\r\n"),
@@ -150,14 +152,15 @@
 	}
 }
 
-// transcribe sends the request, then another on the same connection, and returns what the endpoint and the client received.
+// transcribe sends the request, then a health check on the same connection, and returns a transcript of what the endpoint and the client
+// received.
 func (c *wireCase) transcribe(t *testing.T) string {
 	t.Helper()
 	endpoint := &recordingEndpoint{response: c.response}
 	if endpoint.response == "" {
 		endpoint.response = testpeer.Served
 	}
-	options := proxyOptions{mayCancel: true, bodyMemory: c.bodyMemory, configure: c.configure, configureClass: func(class *Class) {
+	options := proxyOptions{canCancel: true, bodyMemory: c.bodyMemory, configure: c.configure, configureClass: func(class *Class) {
 		class.MaxStreamDuration = testpeer.Patience
 		if c.configureClass != nil {
 			c.configureClass(class)
@@ -168,38 +171,39 @@
 	client := p.dialClient(t)
 	_ = client.SetDeadline(time.Now().Add(testpeer.Patience))
 	written := make(chan struct{})
-	go func() { // a rejected request may not be read to its end
+	go func() { // the daemon may not read a rejected request to its end, which would block this write
 		defer close(written)
 		io.WriteString(client, c.request)
 	}()
 	in := bufio.NewReader(client)
 	method, _, _ := strings.Cut(c.request, " ")
-	out, resp := transcribeResponse(in, method)
+	responses, resp := transcribeResponse(in, method)
 	if resp != nil && resp.StatusCode == http.StatusContinue {
 		io.WriteString(client, c.afterContinue)
-		var final string
-		final, resp = transcribeResponse(in, method)
-		out += final
+		var finalResponse string
+		finalResponse, resp = transcribeResponse(in, method)
+		responses += finalResponse
 	}
-	next := "closed"
+	nextResult := "closed"
 	if resp != nil && !resp.Close {
 		<-written
 		io.WriteString(client, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 		if _, resp := transcribeResponse(in, "GET"); resp != nil {
-			next = resp.Status
+			nextResult = resp.Status
 		}
 	}
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
-	return endpoint.received.String() + out + "next request: " + next + "\n"
+	return endpoint.received.String() + responses + "next request: " + nextResult + "\n"
 }
 
-// recordingEndpoint records the first request that it receives, and responds to each with a fixed text and a close.
+// recordingEndpoint records the first request that it receives. It sends fixed bytes in response to each request, and then closes the
+// connection.
 type recordingEndpoint struct {
-	response string
+	response string // bytes to send in response to each request
 
 	mu       sync.Mutex
-	received strings.Builder
+	received strings.Builder // transcript of the first request
 }
 
 func (e *recordingEndpoint) serve(conn net.Conn) {
@@ -218,7 +222,7 @@
 	io.WriteString(conn, e.response)
 }
 
-// transcribeResponse reads one response; nil: none came.
+// transcribeResponse reads one response and returns its transcript. The response is nil if none was received.
 func transcribeResponse(in *bufio.Reader, method string) (string, *http.Response) {
 	head, resp := readHead(in, func(in *bufio.Reader) (*http.Response, error) {
 		return http.ReadResponse(in, &http.Request{Method: method})
@@ -229,10 +233,11 @@
 	return fmt.Sprintf("< %s%s%v\n", head, transcribeBody(resp.Body), resp.Trailer), resp
 }
 
+// maskedHeaders matches the header lines whose values differ between runs.
 var maskedHeaders = regexp.MustCompile(`(?m)^(Date|Req-Deadline-Ms): .*$`)
 
-// readHead reads a message's head and parses it along with the body that follows. It returns the head with its fields
-// sorted, and the zero message if there is none.
+// readHead reads the head of a message and parses the message, whose body is still to be read. It returns the head with its fields
+// sorted, or the zero message if the head is incomplete or malformed.
 func readHead[M any](in *bufio.Reader, parse func(*bufio.Reader) (M, error)) (head string, message M) {
 	var raw bytes.Buffer
 	for {
@@ -255,15 +260,15 @@
 	return maskedHeaders.ReplaceAllString(strings.Join(lines, "\n"), "$1: masked") + "\n", message
 }
 
-// transcribeBody reads a body to its end, and returns its length and digest, or the error: how much comes before a
-// connection breaks depends on timing.
-func transcribeBody(content io.Reader) string {
-	all, err := io.ReadAll(content)
+// transcribeBody reads a body to its end and returns a transcript: the content of a short body, the length and digest of a long one, or
+// only the error if the body breaks, since the number of bytes before that depends on timing.
+func transcribeBody(r io.Reader) string {
+	content, err := io.ReadAll(r)
 	switch {
 	case err != nil:
 		return fmt.Sprintf("body breaks: %v, trailer ", err)
-	case len(all) < 100:
-		return fmt.Sprintf("body %q, trailer ", all)
+	case len(content) < 100:
+		return fmt.Sprintf("body %q, trailer ", content)
 	}
-	return fmt.Sprintf("body of %d bytes, sha256 %x, trailer ", len(all), sha256.Sum256(all))
+	return fmt.Sprintf("body of %d bytes, sha256 %x, trailer ", len(content), sha256.Sum256(content))
 }
