--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -26,7 +26,7 @@
 // ErrClosed is returned for an event that was not handled because the loop has stopped.
 var ErrClosed = errors.New("the event loop of the pool has stopped")
 
-// eventQueueLength is how many events can be queued before Post blocks. It has capacity for a burst of ends of attempts.
+// eventQueueLength is how many events can be queued before Post blocks. It is enough for a burst of attempts that end at once.
 const eventQueueLength = 256
 
 // Loop owns the balancer of one pool. Its single goroutine handles all events, one after another.
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -272,8 +272,8 @@
 	return violations
 }
 
-// raceScripts are scripts in which two ends of the request come close together, such as a disconnect right before the dial succeeds.
-// Random scripts rarely contain these orders.
+// raceScripts are scripts in which an event that ends the request coincides with another one, such as a disconnect right before the
+// dial succeeds. Random scripts rarely contain these orders.
 var raceScripts = [][]int{
 	{clientDisconnects, dialSucceeds},
 	{clientDisconnects, loopNotifiedOfDisconnect, dialSucceeds},
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// readBufferedBody reads a complete body within BodyTimeout. It removes the read deadline afterwards: net/http would take a read
-// that times out while the request waits for its response for a disconnect of the client.
+// readBufferedBody reads a complete body within BodyTimeout. It removes the read deadline afterwards: if a read timed out while the
+// request waits for its response, net/http would report that the client has disconnected.
 func (s *Server) readBufferedBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -126,17 +126,17 @@
 	if isDisconnected {
 		panic(http.ErrAbortHandler)
 	}
-	out := &responseWriter{ResponseWriter: w, closesConnections: &s.closesConnections}
+	writer := &responseWriter{ResponseWriter: w, closesConnections: &s.closesConnections}
 	// The framing is checked first, since bytes of a request's body must never be read as another request.
 	if rejected := s.checkFraming(r); rejected != nil {
-		s.rejectInvalid(out, rejected)
+		s.rejectInvalid(writer, rejected)
 		return
 	}
 	if s.isStreaming(r) {
-		s.serveStreaming(out, r, arrived)
+		s.serveStreaming(writer, r, arrived)
 		return
 	}
-	s.serveBuffered(out, r, arrived)
+	s.serveBuffered(writer, r, arrived)
 }
 
 // serveBuffered serves a request whose body is read completely before the request is submitted.
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -98,7 +98,7 @@
 	return upload.ReadPrefix()
 }
 
-// rejectUpload rejects a request of whose body the beginning could not be read because of err.
+// rejectUpload rejects a request because reading the beginning of its body failed with err.
 func (s *Server) rejectUpload(w *responseWriter, request *routedRequest, err error) {
 	if s.streamContext.Err() != nil {
 		request.reject(w, newShedRejection("the daemon is about to end"))
@@ -107,7 +107,7 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// deadlineStart returns when the timeout of a request begins, the beginning of whose body was received just now: at its arrival if the
+// deadlineStart returns when a request's timeout begins, once the beginning of its body was received: at the request's arrival if the
 // deadline covers streaming bodies, and now otherwise.
 func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -30,7 +30,7 @@
 
 func (e *RuleError) Error() string { return fmt.Sprintf("route %d (%s): %v", e.Index, e.Name, e.Err) }
 
-// Unwrap returns the reason, without the rule's index and name.
+// Unwrap returns the reason why the rule is invalid, without the rule's index and name.
 func (e *RuleError) Unwrap() error { return e.Err }
 
 // compiledRule is a validated rule, with its path parsed. The names of its header conditions are canonical.
