--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -6,33 +6,34 @@
 )
 
 // Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not:
-// it would vote again in terms in which it has voted, and two majorities could result.
+// it would vote a second time in terms in which it has already voted, and two majorities could result.
 //
-// Each initial voter draws an id for its disk at its first start. It begins once all other initial voters have said, in
-// the same round, that they have not begun, or one of them that it began with this very disk. So a fleet begins when
-// all its initial voters have been up at once, and a voter that returns without its disk learns from any other that has
-// begun that the disk is another. Votes count for one round only, since their senders may begin at any time; it is
-// assumed that no disk is lost and its daemon back within one round.
+// Each initial voter draws an id for its disk at its first start. It creates its log ("begins") once either all other
+// initial voters have reported in the same round that they have not begun, or one of them has reported that it began
+// with this voter's present disk id. So a cluster begins when all its initial voters have been up at once. A voter that
+// returns with an empty disk, and hence a new disk id, learns from any voter that has begun that its old disk is lost.
+// Votes count for one round only, since their senders may begin at any time; it is assumed that a daemon does not lose
+// its disk and restart within one round.
 //
 // A Bootstrap is not safe for concurrent use.
 type Bootstrap struct {
-	round  uint64
-	name   string
-	diskID string
-	votes  map[string]BootstrapVote // of the other initial voters; without a disk id: not received in this round
+	round  uint64                   // number of the current round
+	name   string                   // name of this initial voter
+	diskID string                   // id of this voter's disk
+	votes  map[string]BootstrapVote // votes of this round by name of the other initial voter; the zero value if missing
 }
 
-// BootstrapVote is what an initial voter says about its start. On the wire, "mark" is a disk's id.
+// BootstrapVote is an initial voter's report on whether it has begun.
 type BootstrapVote struct {
-	HasBegun bool              `json:"begun"` // it has created its log
-	DiskID   string            `json:"mark"`  // of its own disk
-	DiskIDs  map[string]string `json:"marks"` // if it has begun: the disk ids with which it did, of all initial voters by name
+	HasBegun bool              `json:"begun"` // the voter has created its log
+	DiskID   string            `json:"mark"`  // id of the voter's disk; may be empty if HasBegun
+	DiskIDs  map[string]string `json:"marks"` // if HasBegun: the disk ids of all initial voters, by name, with which it began
 }
 
-// isReceived tells a vote from the zero value that stands for a missing one.
+// isReceived distinguishes a vote from the zero value, which stands for a missing one.
 func (v *BootstrapVote) isReceived() bool { return v.HasBegun || v.DiskID != "" }
 
-// NewBootstrap returns the bootstrap of one of the initial voters, whose disk has an id and no log.
+// NewBootstrap returns the bootstrap of the initial voter with this name, whose disk has an id but no log.
 func NewBootstrap(name, diskID string, initialVoters []string) *Bootstrap {
 	b := &Bootstrap{name: name, diskID: diskID, votes: map[string]BootstrapVote{}}
 	for _, other := range initialVoters {
@@ -43,8 +44,8 @@
 	return b
 }
 
-// StartRound begins a round and returns its number. All other initial voters are to be asked, and their responses to be
-// passed to ReceiveVote with this number.
+// StartRound begins a round and returns its number. The caller requests the votes of all other initial voters and passes
+// them to ReceiveVote with this number.
 func (b *Bootstrap) StartRound() uint64 {
 	b.round++
 	for name := range b.votes {
@@ -53,10 +54,10 @@
 	return b.round
 }
 
-// Vote returns this voter's own vote.
+// Vote returns the vote of this voter, which has not begun.
 func (b *Bootstrap) Vote() BootstrapVote { return BootstrapVote{DiskID: b.diskID} }
 
-// ReceiveVote records the vote of another initial voter. Votes of earlier rounds and of others are dropped.
+// ReceiveVote records the vote of another initial voter. It drops votes of earlier rounds and those of other daemons.
 func (b *Bootstrap) ReceiveVote(from string, round uint64, vote BootstrapVote) {
 	if _, isInitial := b.votes[from]; isInitial && round == b.round && vote.isReceived() {
 		b.votes[from] = vote
@@ -74,8 +75,8 @@
 	return names
 }
 
-// Decide returns the disk ids, by name, with which this voter is to begin; nil: it is not decided yet. isLost means
-// that this voter must never begin: others began with another disk of its name.
+// Decide returns the disk ids of all initial voters, by name, if this voter may begin now, and else nil. isLost means
+// that this voter must never begin: another one began when this voter had another disk, which is lost.
 func (b *Bootstrap) Decide() (diskIDs map[string]string, isLost bool) {
 	all := map[string]string{b.name: b.diskID}
 	for name, vote := range b.votes {
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -17,10 +17,10 @@
 
 // bootstrapRun is a fleet whose initial voters restart, lose disks and exchange votes in any order.
 type bootstrapRun struct {
-	disks     map[string]*bootstrapDisk
-	bootstrap map[string]*Bootstrap
-	lost      map[string]bool // voters that lost their disk after a majority had begun
-	drawn     int             // disk ids
+	disks        map[string]*bootstrapDisk
+	bootstrap    map[string]*Bootstrap
+	lost         map[string]bool // voters that lost their disk after a majority had begun
+	drawnDiskIDs int             // disk ids
 }
 
 func newBootstrapRun() *bootstrapRun {
@@ -33,8 +33,8 @@
 
 // replaceDisk starts a voter with an empty disk.
 func (r *bootstrapRun) replaceDisk(name string) {
-	r.drawn++
-	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawn)}
+	r.drawnDiskIDs++
+	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawnDiskIDs)}
 	r.restart(name)
 }
 
@@ -51,7 +51,7 @@
 	return vote
 }
 
-// hasMajority tells whether a majority has begun with the same disks.
+// hasMajority reports whether a majority has begun with the same disks.
 func (r *bootstrapRun) hasMajority() bool {
 	counts := map[string]int{}
 	for _, disk := range r.disks {
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -10,45 +10,45 @@
 // Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active),
 // and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
 const (
-	MaxDocumentBytes = 1 << 20                  // of the body of one document
-	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // of the bodies of all documents of a version
-	MaxDocuments     = 1000                     // in one version
+	MaxDocumentBytes = 1 << 20                  // bytes in the body of one document
+	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // bytes in the bodies of all documents of a version
+	MaxDocuments     = 1000                     // documents in one version
 )
 
-// Document is a named text, as of the version in which it was put.
+// Document is a named text as it was last written.
 type Document struct {
-	Name    string   `json:"name"`
-	Version uint64   `json:"version"` // in which it was put
-	Digest  [32]byte `json:"digest"`  // SHA-256 of Body
-	By      string   `json:"by"`      // who put it
-	Body    []byte   `json:"body,omitempty"`
+	Name       string   `json:"name"`
+	Version    uint64   `json:"version"`        // version that was made when the document was written
+	Digest     [32]byte `json:"digest"`         // SHA-256 of Body
+	ProposedBy string   `json:"by"`             // name of the daemon that proposed the document
+	Body       []byte   `json:"body,omitempty"` // complete text of the document
 }
 
-// DocumentPut is a document to be written, with its complete body.
+// DocumentPut is a document to be written.
 type DocumentPut struct {
 	Name string `json:"name"`
-	Body []byte `json:"body"`
+	Body []byte `json:"body"` // complete text of the document
 }
 
-// DocumentVersion names a document as of a version of the State; version 0 means the latest.
+// DocumentVersion refers to a document as it was at some version.
 type DocumentVersion struct {
 	Name    string `json:"name"`
-	Version uint64 `json:"version,omitempty"`
+	Version uint64 `json:"version,omitempty"` // version at which the document is meant; 0: the latest
 }
 
 // HistoryEntry describes one change of the documents.
 type HistoryEntry struct {
-	Version    uint64   `json:"version"` // that the change made
-	Name       string   `json:"name"`    // of the document
-	Digest     [32]byte `json:"digest"`  // of the new body; all zeros: the document was removed
-	Bytes      int      `json:"bytes"`   // of the new body
-	By         string   `json:"by"`
-	At         int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the requesting daemon; informational only
-	RevertedTo uint64   `json:"back,omitempty"` // the version to which the change reverts the document; 0: it is no revert
+	Version     uint64   `json:"version"`        // version that the change made
+	Name        string   `json:"name"`           // name of the changed document
+	Digest      [32]byte `json:"digest"`         // SHA-256 of the document's new body; all zeros: the document was removed
+	Bytes       int      `json:"bytes"`          // size of the document's new body
+	ProposedBy  string   `json:"by"`             // name of the daemon that proposed the change
+	AtUnixMilli int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the proposing daemon; informational only
+	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: it is no revert
 }
 
-// DigestDocuments returns one digest of all documents, independent of the map's order, to compare what daemons act on. It
-// covers names and body digests only.
+// DigestDocuments returns one digest of all documents, independent of the map's order, with which the documents of two
+// daemons can be compared. It covers names and body digests only.
 func DigestDocuments(docs map[string]Document) [32]byte {
 	var text []byte
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
@@ -57,8 +57,8 @@
 	return sha256.Sum256(text)
 }
 
-// totalBytes returns the size of all bodies.
-func totalBytes(docs map[string]Document) (total int) {
+// totalBodyBytes returns the size of the bodies of all documents.
+func totalBodyBytes(docs map[string]Document) (total int) {
 	for _, document := range docs {
 		total += len(document.Body)
 	}
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -8,13 +8,14 @@
 	"slices"
 )
 
-// Bounds of what is retained of earlier versions.
+// Bounds of what the State retains of earlier versions.
 const (
-	maxRetainedBytes  = 1 << 20 // of bodies of replaced and removed documents
-	maxHistoryEntries = 1000    // changes, and retained documents
+	maxRetainedBytes  = 1 << 20 // bytes in the bodies of retained documents, which were replaced or removed
+	maxHistoryEntries = 1000    // entries in the history, and at most as many retained documents
 )
 
-// applyDocumentChange puts, removes or reverts a document.
+// applyDocumentChange puts, removes or reverts a document. A duplicate of an earlier command gets that one's result and
+// changes nothing.
 func (s *State) applyDocumentChange(c *Command) (CommandResult, error) {
 	if result, isDuplicate := s.duplicateResult(c.ID); isDuplicate {
 		return result, nil
@@ -26,21 +27,21 @@
 	if err != nil {
 		return CommandResult{}, err
 	}
-	change := HistoryEntry{Version: s.Version + 1, Name: name, By: c.By, At: c.At}
+	change := HistoryEntry{Version: s.Version + 1, Name: name, ProposedBy: c.ProposedBy, AtUnixMilli: c.AtUnixMilli}
 	if c.Revert != nil {
 		change.RevertedTo = c.Revert.Version
 	}
 	replaced, exists := s.Docs[name]
-	docs := maps.Clone(s.Docs) // the map before was handed out
+	docs := maps.Clone(s.Docs) // callers may still read the old map
 	switch {
 	case put != nil:
-		if !s.admits(put) {
+		if !s.fitsLimits(put) {
 			return CommandResult{}, ErrLimitExceeded
 		}
 		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
-		docs[name] = Document{name, change.Version, change.Digest, c.By, put.Body}
+		docs[name] = Document{name, change.Version, change.Digest, c.ProposedBy, put.Body}
 	case !exists: // there is nothing to remove
-		return s.rememberResult(c.ID, CommandResult{Version: s.Version, Unchanged: true}), nil
+		return s.recordResult(c.ID, CommandResult{Version: s.Version, Unchanged: true}), nil
 	default:
 		delete(docs, name)
 	}
@@ -53,11 +54,11 @@
 		s.retain(replaced)
 	}
 	s.History = lastN(append(s.History, change), maxHistoryEntries)
-	return s.rememberResult(c.ID, CommandResult{Version: s.Version}), nil
+	return s.recordResult(c.ID, CommandResult{Version: s.Version}), nil
 }
 
-// changedDocument returns the name of the document that a command changes, and what is to be put; nil: it is to be
-// removed. A revert to a version that did not have the document removes it.
+// changedDocument returns the name of the document that a command changes, and the document to be written in its place;
+// nil means that it is to be removed. A revert to a version that did not have the document removes it.
 func (s *State) changedDocument(c *Command) (name string, put *DocumentPut, _ error) {
 	name, put = c.Remove, c.Put
 	if c.Revert != nil {
@@ -75,15 +76,16 @@
 	return name, put, nil
 }
 
-// admits tells whether the documents stay within their bounds with this one put.
-func (s *State) admits(put *DocumentPut) bool {
+// fitsLimits reports whether the documents stay within their bounds if this one is written.
+func (s *State) fitsLimits(put *DocumentPut) bool {
 	replaced, exists := s.Docs[put.Name]
 	return len(put.Body) <= MaxDocumentBytes &&
 		(exists || len(s.Docs) < MaxDocuments) &&
-		totalBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
+		totalBodyBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
 }
 
-// retain keeps a document that was replaced or removed, and drops the oldest retained ones beyond the bounds.
+// retain adds a document that was replaced or removed to the retained ones, and drops the oldest of these that exceed
+// the bounds.
 func (s *State) retain(document Document) {
 	retained := append(slices.Clone(s.RetainedDocs), document)
 	bytes := 0
@@ -96,8 +98,8 @@
 	s.RetainedDocs = retained
 }
 
-// documentAt returns a document as of a version. The error is ErrDocumentNotFound if the version did not have it, and
-// ErrCompacted if what it was is not retained any more.
+// documentAt returns a document as it was at a version. The error is ErrDocumentNotFound if that version did not have
+// the document, and ErrCompacted if the version is no longer retained.
 func (s *State) documentAt(at *DocumentVersion) (*Document, error) {
 	if d, ok := s.Docs[at.Name]; ok && (at.Version == 0 || d.Version <= at.Version) {
 		return &d, nil
@@ -129,7 +131,7 @@
 	return nil, unavailable(ErrDocumentNotFound)
 }
 
-// readDocument returns a document, or the history if no name is given.
+// readDocument returns a document as it was at a version, or the history if no name is given.
 func (s *State) readDocument(at *DocumentVersion) (CommandResult, error) {
 	if at.Name == "" {
 		return CommandResult{Version: s.Version, History: s.History}, nil
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -14,8 +14,8 @@
 // builds read what a disk holds. A Go field may be renamed; its name in JSON may not.
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
 	expected := uint64(3)
-	document := Document{Name: "a", Version: 2, By: "op", Body: []byte("xy")}
-	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, By: "op", At: 9, RevertedTo: 1}
+	document := Document{Name: "a", Version: 2, ProposedBy: "op", Body: []byte("xy")}
+	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, ProposedBy: "op", AtUnixMilli: 9, RevertedTo: 1}
 	documentJSON := `{"name":"a","version":2,"digest":` + zeroDigest + `,"by":"op","body":"eHk="}`
 	entryJSON := `{"version":4,"name":"a","digest":` + zeroDigest + `,"bytes":2,"by":"op","at":9,"back":1}`
 	for _, c := range []struct {
@@ -56,7 +56,7 @@
 		{
 			"command",
 			Command{
-				Format: 2, ID: "i", ExpectedVersion: &expected, By: "op", At: 9,
+				Format: 2, ID: "i", ExpectedVersion: &expected, ProposedBy: "op", AtUnixMilli: 9,
 				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Revert: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
 				ChangeVoter: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
 			},
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -13,14 +13,14 @@
 // allowed. What raft guarantees is assumed: one log, and grants of a former leader only for requests from before its
 // successor was elected.
 type interleaving struct {
-	state        *State
-	manager      *LeaseManager
-	now          time.Duration // true time; the leader's clock is right
-	holders      [2]*LeaseHolder
-	inFlight     [2]*LeaseGrant
-	firstActive  [3]time.Duration // when a version was first acted on; 0: not yet
-	hasNewLeader bool
-	hasPut       bool
+	state            *State
+	manager          *LeaseManager
+	now              time.Duration // true time; the leader's clock is right
+	holders          [2]*LeaseHolder
+	grantsInFlight   [2]*LeaseGrant
+	firstActive      [3]time.Duration // when a version was first acted on; 0: not yet
+	hasNewLeader     bool
+	hasSecondVersion bool
 }
 
 var interleavingConfig = LeaseConfig{Duration: 4 * time.Second, ShortDuration: time.Second, MaxClockDrift: 0.1}
@@ -80,21 +80,21 @@
 	case which < stepGrant:
 		request, _ := x.holders[which].NextRequest(x.localClock(which))
 		grant := x.manager.Grant(x.now, request, x.state)
-		x.inFlight[which] = &grant
+		x.grantsInFlight[which] = &grant
 	case which < stepPut:
 		daemon := which - stepGrant
-		grant := x.inFlight[daemon]
+		grant := x.grantsInFlight[daemon]
 		if grant == nil {
 			return false
 		}
-		x.inFlight[daemon] = nil
+		x.grantsInFlight[daemon] = nil
 		x.holders[daemon].HandleGrant(x.localClock(daemon), *grant)
 		completeCheckAndInstall(x.holders[daemon])
 	case which == stepPut:
-		if x.hasPut {
+		if x.hasSecondVersion {
 			return false
 		}
-		x.hasPut = true
+		x.hasSecondVersion = true
 		x.apply(tb, Command{ID: "b", Put: &DocumentPut{"x", []byte("2")}})
 	case which == stepNewLeader:
 		if x.hasNewLeader {
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// LeaseConfig has the durations of leases, which are the same for all daemons of a fleet. The rates of clocks are taken to
-// differ from that of true time by no more than the drift.
+// LeaseConfig has the durations of leases, which are the same for all daemons of a cluster. The guarantee assumes that
+// no clock's rate differs from that of true time by more than MaxClockDrift.
 type LeaseConfig struct {
-	Duration      time.Duration // of a lease, by the holder's clock
-	ShortDuration time.Duration // of a lease while a version is pending
-	MaxClockDrift float64       // the greatest relative error of a clock's rate, 0.01 for 1 %
+	Duration      time.Duration // duration of a lease by its holder's clock while no version is pending
+	ShortDuration time.Duration // duration of a lease by its holder's clock while a version is pending
+	MaxClockDrift float64       // greatest relative error of a clock's rate, 0.01 for 1 %
 
 	// Faults that tests inject to verify that they are detected. All are off in the daemon.
 	CountFromGrant     bool // a lease counts from the arrival of its grant instead of from the request
@@ -15,57 +15,59 @@
 	SkipExpiryCheck    bool // a daemon acts without checking that its lease has not expired
 }
 
-// expiryWait returns how long to wait by this clock until a lease that another clock counts has certainly expired.
+// expiryWait returns how long to wait by this daemon's clock until a lease that another daemon counts by its own clock
+// has certainly expired.
 func (c LeaseConfig) expiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
 }
 
-// MaxOverlap returns the longest true time for which some daemon may still act on a version after another daemon has begun
-// to act on a later one.
+// MaxOverlap returns the longest true time for which some daemon may still act on a version after another daemon has
+// begun to act on a later one.
 func (c LeaseConfig) MaxOverlap() time.Duration {
 	return time.Duration(float64(c.ShortDuration) / (1 - c.MaxClockDrift))
 }
 
-// LeaseRequest asks the leader for a lease. Its names on the wire are those of the tags.
+// LeaseRequest is a daemon's request to the leader for a lease. The JSON names are on the wire and must not change.
 type LeaseRequest struct {
-	Daemon           string `json:"Daemon"`
-	Seq              uint64 `json:"Seq"`                // of the request; the grant repeats it
-	ReadyVersion     uint64 `json:"Has"`                // the latest version whose documents the daemon has and can act on
-	InstalledVersion uint64 `json:"Acts"`               // the version on which all parts of the daemon act
-	AcceptedSeq      uint64 `json:"Took"`               // Seq of the grant in use: earlier ones are out of use
-	RejectedVersion  uint64 `json:"Declines,omitempty"` // the latest version on which the daemon can't act; 0: none
-	RejectReason     string `json:"Why,omitempty"`      // why it can't; at most maxReasonRunes
-	DiskID           string `json:"Mark,omitempty"`     // id of the disk of a daemon that could run a voter and runs none
+	Daemon           string `json:"Daemon"`             // name of the requesting daemon
+	Seq              uint64 `json:"Seq"`                // sequence number of the request, which the grant repeats
+	ReadyVersion     uint64 `json:"Has"`                // latest version whose documents the daemon has and can act on
+	InstalledVersion uint64 `json:"Acts"`               // version on which all parts of the daemon act
+	AcceptedSeq      uint64 `json:"Took"`               // Seq of the latest grant that the daemon accepted; it uses no earlier one
+	RejectedVersion  uint64 `json:"Declines,omitempty"` // latest version on which the daemon can't act; 0: none
+	RejectReason     string `json:"Why,omitempty"`      // why the daemon can't act on RejectedVersion, at most maxReasonRunes
+	DiskID           string `json:"Mark,omitempty"`     // disk id of a daemon that could run a voter but runs none; else empty
 }
 
-// LeaseGrant is the leader's response to a LeaseRequest. Its names on the wire are those of the tags.
+// LeaseGrant is the leader's response to a LeaseRequest. The JSON names are on the wire and must not change.
 type LeaseGrant struct {
-	Seq            uint64              `json:"Seq"`     // of the request
-	Version        uint64              `json:"Version"` // on which the daemon is to act
-	ActiveDocs     map[string]Document `json:"Docs"`    // of Version; nil: the daemon has them, or has rejected them
-	PendingVersion uint64              `json:"Next"`    // for which the daemon is to get ready
-	PendingDocs    map[string]Document `json:"Coming"`  // of PendingVersion; nil as above
-	Duration       time.Duration       `json:"Lease"`   // 0: no lease, and earlier ones end
+	Seq            uint64              `json:"Seq"`     // sequence number of the request
+	Version        uint64              `json:"Version"` // active version, on which the daemon is to act
+	ActiveDocs     map[string]Document `json:"Docs"`    // documents of Version; nil if the daemon has them or has rejected them
+	PendingVersion uint64              `json:"Next"`    // version whose documents the daemon is to check
+	PendingDocs    map[string]Document `json:"Coming"`  // documents of PendingVersion; nil if the daemon has them or has rejected them
+	Duration       time.Duration       `json:"Lease"`   // duration of the lease; 0: no lease, and earlier leases end
 
-	SlotHolders   []string `json:"Voters"`  // daemons with a voter slot, which may grant leases
-	ActiveVoters  []string `json:"Sitting"` // daemons whose voters are active
-	VoterID       uint64   `json:"Seat"`    // id of the daemon's voter slot; 0: none
+	SlotHolders   []string `json:"Voters"`  // names of the daemons with a voter slot, which may grant leases
+	ActiveVoters  []string `json:"Sitting"` // names of the daemons that vote in raft's configuration
+	VoterID       uint64   `json:"Seat"`    // raft id of the requesting daemon's voter slot; 0: none
 	MayStartVoter bool     `json:"Begins"`  // the daemon may start its voter on the disk that the request named
-	InitialVoters []string `json:"First"`   // with MayStartVoter: the fleet's initial voters
-	DiskLost      bool     `json:"Lost"`    // the daemon's slot is bound to another disk than the request named
+	InitialVoters []string `json:"First"`   // names of the cluster's initial voters; set with MayStartVoter only
+	DiskLost      bool     `json:"Lost"`    // the daemon's voter slot is bound to another disk than the request named
 
-	FullyActive uint64          `json:"All"`  // no daemon acts on an earlier version; 0: not known yet
-	Lagging     []LaggingDaemon `json:"Lags"` // daemons for which the leader waits; at most maxLagging
+	FullyActive uint64          `json:"All"`  // version before which no daemon acts; 0: not known yet
+	Lagging     []LaggingDaemon `json:"Lags"` // daemons for which the leader waits, at most maxLagging
 }
 
-// LaggingDaemon names a daemon for which the leader waits before a version is active on all daemons.
+// LaggingDaemon is a daemon for which the leader waits: before it activates a version, or until all daemons act on the
+// active one.
 type LaggingDaemon struct {
-	Daemon string `json:"Daemon"`
-	Reason string `json:"Why"`
+	Daemon string `json:"Daemon"` // name of the daemon
+	Reason string `json:"Why"`    // why the leader waits for the daemon
 }
 
-// Bounds of what requests and grants carry.
+// Bounds of lease requests and grants.
 const (
-	maxLagging     = 16  // daemons
-	maxReasonRunes = 300 // of a RejectReason
+	maxLagging     = 16  // daemons in LeaseGrant.Lagging
+	maxReasonRunes = 300 // Unicode characters in LeaseRequest.RejectReason
 )
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -6,52 +6,53 @@
 )
 
 const (
-	requestsPerLease      = 4 // in the duration of the shorter lease, so that some may be lost
-	requestIntervalFactor = 4 // by which requests come faster while a version is being activated
+	requestsPerLease          = 4 // requests in the duration of the shorter lease, so that some may be lost
+	activationIntervalDivisor = 4 // divides the interval between requests while a version is being activated
 )
 
-// LeasedVersion is what a daemon may act on: a version until its lease expires and, while the daemon changes over to
-// it, the previous one until the lease on that expires. It is a value that may be copied and read by other goroutines.
+// LeasedVersion is what a daemon may act on: a version until its lease expires and, while parts of the daemon still act
+// on the previous version, that one until its own lease expires. It is a value that may be copied and read by other
+// goroutines.
 type LeasedVersion struct {
-	Version           uint64
-	Docs              map[string]Document // never modified
-	ExpiresAt         time.Duration       // instant, by the daemon's clock, at which the lease expires
-	PreviousVersion   uint64              // on which the daemon acted before
-	PreviousExpiresAt time.Duration       // instant until which it may still act on that
+	Version           uint64              // version on which the daemon is to act; 0: none
+	Docs              map[string]Document // documents of Version by name, never modified
+	ExpiresAt         time.Duration       // instant, by the daemon's clock, at which the lease on Version expires
+	PreviousVersion   uint64              // version on which the daemon acted before Version; 0: none
+	PreviousExpiresAt time.Duration       // instant, by the daemon's clock, at which the lease on PreviousVersion expires
 }
 
-// CoversVersion tells whether the daemon may act on a version at an instant.
+// CoversVersion reports whether a lease allows the daemon to act on a version at an instant.
 func (l *LeasedVersion) CoversVersion(version uint64, now time.Duration) bool {
 	return version == l.Version && now < l.ExpiresAt || version == l.PreviousVersion && now < l.PreviousExpiresAt
 }
 
-// LeaseHolder is a daemon's side of its leases: it makes requests, takes up grants and knows what the daemon may act
-// on. It moves on to a version only after the daemon has checked that version's documents (PendingCheck and
-// CompleteCheck). It is not safe for concurrent use.
+// LeaseHolder is a daemon's side of its leases: it makes requests, applies grants and knows what the daemon may act on.
+// It changes to a version only after the daemon has checked that version's documents (PendingCheck and CompleteCheck).
+// It is not safe for concurrent use.
 type LeaseHolder struct {
 	config          LeaseConfig
-	name            string
-	seq             uint64        // of the latest request,
-	requestedAt     time.Duration // and when it was made
-	requestInterval time.Duration
-	acceptedSeq     uint64 // of the latest grant in use
+	name            string        // name of the daemon
+	seq             uint64        // sequence number of the latest request
+	requestedAt     time.Duration // instant of the latest request, by the daemon's clock
+	requestInterval time.Duration // time between requests while no version is being activated
+	acceptedSeq     uint64        // sequence number of the latest accepted grant
 
 	leased           LeasedVersion
-	installedVersion uint64 // on which the daemon's other parts act
+	installedVersion uint64 // version on which all parts of the daemon act, as reported to MarkInstalled
 
-	readyVersion    uint64 // the latest one that passed its check
-	readyDocs       map[string]Document
-	offeredVersion  uint64 // to be checked; 0: none
-	offeredDocs     map[string]Document
-	rejectedVersion uint64 // the latest one that failed its check; 0: none
-	rejectReason    string
+	readyVersion    uint64              // latest version that passed its check
+	readyDocs       map[string]Document // documents of readyVersion
+	offeredVersion  uint64              // version that the daemon is to check; 0: none
+	offeredDocs     map[string]Document // documents of offeredVersion
+	rejectedVersion uint64              // latest version that failed its check; 0: none
+	rejectReason    string              // why rejectedVersion failed its check
 
-	fullyActive uint64 // these as of the latest grant
-	lagging     []LaggingDaemon
+	fullyActive uint64          // version before which no daemon acts, by the latest grant; 0: not known
+	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest grant
 }
 
-// NewLeaseHolder returns a holder without a lease. version and docs are what the daemon persisted before a restart;
-// version 0: nothing.
+// NewLeaseHolder returns a holder without a lease. version and docs are what the daemon acted on before a restart, if it
+// persisted them; otherwise version is 0.
 func NewLeaseHolder(name string, config LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
 	return &LeaseHolder{
 		config:          config,
@@ -63,14 +64,14 @@
 	}
 }
 
-// NextRequest returns a request that is to be sent now, and the instant at which the next one is due. A grant counts
-// only in response to the latest request.
+// NextRequest returns a request that is to be sent now, and the instant at which the next one is due. Only a grant that
+// answers the latest request is accepted.
 func (h *LeaseHolder) NextRequest(now time.Duration) (r LeaseRequest, nextAt time.Duration) {
 	h.seq++
 	h.requestedAt = now
 	nextAt = now + h.requestInterval
 	if h.readyVersion > h.leased.Version || len(h.lagging) > 0 { // an activation waits for these requests
-		nextAt = now + h.requestInterval/requestIntervalFactor
+		nextAt = now + h.requestInterval/activationIntervalDivisor
 	}
 	return LeaseRequest{
 		Daemon:           h.name,
@@ -83,8 +84,8 @@
 	}, nextAt
 }
 
-// HandleGrant takes up a grant. One that does not answer the latest request is dropped, since the instant of its
-// request is not known any more.
+// HandleGrant applies a grant. A grant that does not answer the latest request is dropped, since the instant of its
+// request, from which the lease counts, is no longer known.
 func (h *LeaseHolder) HandleGrant(now time.Duration, g LeaseGrant) {
 	if g.Seq != h.seq || g.Version < h.leased.Version {
 		return
@@ -105,29 +106,31 @@
 			PreviousExpiresAt: h.leased.ExpiresAt,
 		}
 	default:
-		return // the daemon does not have this version, or has not checked it
+		return // the daemon does not have the documents of this version, or has not checked them
 	}
 	start := h.requestedAt
 	if h.config.CountFromGrant {
 		start = now
 	}
-	h.leased.ExpiresAt, h.acceptedSeq = start+g.Duration, g.Seq // sooner than before if a version has become pending
+	// The lease may now expire earlier than before, if a version has become pending.
+	h.leased.ExpiresAt, h.acceptedSeq = start+g.Duration, g.Seq
 }
 
-// offerForCheck has documents checked that the daemon neither has nor has rejected.
+// offerForCheck has PendingCheck return a version, unless the daemon has its documents or has rejected it.
 func (h *LeaseHolder) offerForCheck(version uint64, docs map[string]Document) {
 	if docs != nil && version > h.readyVersion && version != h.rejectedVersion && version != h.offeredVersion {
 		h.offeredVersion, h.offeredDocs = version, docs
 	}
 }
 
-// PendingCheck returns the version that the daemon is to check, and then to report to CompleteCheck; 0: none.
+// PendingCheck returns the version that the daemon is to check before it reports the outcome to CompleteCheck, and its
+// documents; version 0 means that there is none.
 func (h *LeaseHolder) PendingCheck() (version uint64, docs map[string]Document) {
 	return h.offeredVersion, h.offeredDocs
 }
 
-// CompleteCheck reports whether the daemon can act on a version that PendingCheck returned; a non-nil error says why
-// not. The outcome of a check that another one has replaced is dropped.
+// CompleteCheck records whether the daemon can act on a version that PendingCheck returned; a non-nil error says why it
+// can't. The outcome is dropped if PendingCheck returns another version by now.
 func (h *LeaseHolder) CompleteCheck(version uint64, err error) {
 	if version == 0 || version != h.offeredVersion {
 		return
@@ -143,29 +146,30 @@
 	h.offeredVersion, h.offeredDocs = 0, nil
 }
 
-// Recheck forgets which version was rejected, so that it is checked anew when the leader next offers it.
+// Recheck forgets which version was rejected, so that it is checked again when the leader next offers it.
 func (h *LeaseHolder) Recheck() { h.rejectedVersion, h.rejectReason = 0, "" }
 
-// RejectedVersion returns the version that the daemon rejects, and why; 0: none.
+// RejectedVersion returns the version that the daemon rejects and the reason; version 0 means that there is none.
 func (h *LeaseHolder) RejectedVersion() (version uint64, reason string) {
 	return h.rejectedVersion, h.rejectReason
 }
 
-// MarkInstalled reports that all parts of the daemon act on a version. Until then the leader counts the daemon as
-// acting on the version before.
+// MarkInstalled records that all parts of the daemon act on a version. Until then the leader assumes that the daemon
+// still acts on the version that was recorded before.
 func (h *LeaseHolder) MarkInstalled(version uint64) { h.installedVersion = version }
 
 // Leased returns what the daemon may act on.
 func (h *LeaseHolder) Leased() LeasedVersion { return h.leased }
 
-// Valid returns the version on which the daemon may act at an instant; ok is false if it has no lease then.
+// Valid returns the version on which the daemon may act at an instant, with its documents; ok is false if the daemon has
+// no valid lease then.
 func (h *LeaseHolder) Valid(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
 	l := &h.leased
 	return l.Version, l.Docs, l.Version > 0 && (now < l.ExpiresAt || h.config.SkipExpiryCheck)
 }
 
-// FullyActive returns, as of the latest grant, the version before which no daemon acts (0: not known) and the daemons
-// for which the leader waits.
+// FullyActive returns what the latest grant reported about the cluster: the version before which no daemon acts, which
+// is 0 if it is not known, and the daemons for which the leader waits.
 func (h *LeaseHolder) FullyActive() (version uint64, lagging []LaggingDaemon) {
 	return h.fullyActive, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// maxOutstandingGrants bounds the grants that are remembered of one daemon. Beyond it the latest two are merged into
-// one with the later Seq and the later expiry, which errs on the side of waiting.
+// maxOutstandingGrants bounds the grants that are recorded for one daemon. Beyond it the latest two are merged into one
+// with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
 const maxOutstandingGrants = 32
 
 // LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when
 // a pending version may be activated. Each term has a new one. It is not safe for concurrent use.
 type LeaseManager struct {
 	config      LeaseConfig
-	leaderSince time.Duration
-	daemons     map[string]*daemonLeases // by name; those whose leases have expired are dropped by Refresh
+	leaderSince time.Duration            // instant at which the term began, by the leader's clock
+	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
-	fullyActive uint64          // these two as of the latest Refresh
-	lagging     []LaggingDaemon // sorted by daemon
+	fullyActive uint64          // version before which no daemon acts, by the latest Refresh; 0: not known
+	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest Refresh, sorted by name
 }
 
-// daemonLeases is what the leader knows of a daemon.
+// daemonLeases is what the leader knows about one daemon's leases.
 type daemonLeases struct {
-	request LeaseRequest       // the latest one
-	grants  []outstandingGrant // that the daemon may use, by Seq; at most maxOutstandingGrants
+	request LeaseRequest       // latest request of the daemon
+	grants  []outstandingGrant // grants that the daemon may use, in the order of seq, at most maxOutstandingGrants
 }
 
 // outstandingGrant is a grant that its daemon may use.
 type outstandingGrant struct {
-	seq       uint64
-	expiresAt time.Duration // instant, by the leader's clock, at which it has certainly expired
+	seq       uint64        // sequence number of the request that the grant answered
+	expiresAt time.Duration // instant, by the leader's clock, at which the lease has certainly expired
 }
 
 // expiresAt returns the instant at which all leases that the daemon may hold have certainly expired.
@@ -43,13 +43,13 @@
 	return latest
 }
 
-// NewLeaseManager returns the manager of a term that begins now. Leases that earlier leaders granted may still run.
+// NewLeaseManager returns the manager of a term that begins now. Leases that earlier leaders granted may still be valid.
 func NewLeaseManager(now time.Duration, config LeaseConfig) *LeaseManager {
 	return &LeaseManager{config: config, leaderSince: now, daemons: map[string]*daemonLeases{}}
 }
 
-// Grant answers a request. It may be called only after a majority has confirmed, later than the request arrived, that
-// this node leads.
+// Grant answers a request. It may be called only if a majority has confirmed, after the request arrived, that this voter
+// leads.
 func (m *LeaseManager) Grant(now time.Duration, r LeaseRequest, state *State) LeaseGrant {
 	grant := LeaseGrant{
 		Seq:            r.Seq,
@@ -67,15 +67,15 @@
 	if r.ReadyVersion < state.Pending && r.RejectedVersion < state.Pending {
 		grant.PendingDocs = state.PendingDocs
 	}
-	m.remember(now, r, grant.Duration)
+	m.recordGrant(now, r, grant.Duration)
 	return grant
 }
 
-// leaseDuration returns the duration of a lease, which is 0 for a daemon that can't act on the active version, or not
-// on a pending one that was forced.
+// leaseDuration returns the duration of the lease that answers a request. It is 0 for a daemon that can't act on the
+// active version, or that can't act on a pending version that was forced.
 func (m *LeaseManager) leaseDuration(r *LeaseRequest, state *State) time.Duration {
 	switch {
-	case r.ReadyVersion < state.Active || isForcedOut(state, r):
+	case r.ReadyVersion < state.Active || isExcludedByForce(state, r):
 		return 0
 	case state.hasPending():
 		return m.config.ShortDuration
@@ -83,9 +83,9 @@
 	return m.config.Duration
 }
 
-// remember records a request and the grant that answers it. Grants before the one that the daemon has accepted are
-// dropped: it never returns to them.
-func (m *LeaseManager) remember(now time.Duration, r LeaseRequest, lease time.Duration) {
+// recordGrant records a request and the grant that answers it. It drops the grants before the one that the daemon has
+// accepted, since the daemon does not use them again.
+func (m *LeaseManager) recordGrant(now time.Duration, r LeaseRequest, lease time.Duration) {
 	d := m.daemons[r.Daemon]
 	if d == nil {
 		d = &daemonLeases{}
@@ -103,17 +103,18 @@
 	}
 }
 
-// Refresh updates what grants carry about the other daemons. It visits all of them, and is therefore called once a
-// heartbeat and not for each grant. That no daemon acts on versions before some version stays true until the next call.
+// Refresh updates what grants report about all daemons: which ones lag, and the version before which none acts. As it
+// scans all daemons, it is called once a heartbeat and not for each grant. That no daemon acts on a version before the
+// reported one stays true until the next call.
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
-	m.fullyActive = m.oldestActive(now, state)
+	m.fullyActive = m.oldestActiveVersion(now, state)
 }
 
 // VersionToActivate returns the pending version if it may be activated now, else 0. Each daemon that may hold a lease
-// must have the version's documents and hold short leases only; for others the leader waits until their leases have
-// certainly expired.
+// must have the version's documents and hold short leases only; for a daemon that does not, the leader waits until its
+// leases have certainly expired.
 func (m *LeaseManager) VersionToActivate(now time.Duration, state *State) uint64 {
 	switch {
 	case !state.hasPending():
@@ -124,15 +125,16 @@
 		return 0
 	}
 	for _, d := range m.daemons {
-		if m.waitReason(now, state, d) != "" {
+		if m.activationWaitReason(now, state, d) != "" {
 			return 0
 		}
 	}
 	return state.Pending
 }
 
-// VersionToSkip returns the pending version if a later one is to take its place, else 0: some daemon rejects it, it was
-// not forced, and another version was made since. No daemon ever acts on a version that was skipped.
+// VersionToSkip returns the pending version if the latest version is to take its place, else 0. That is so if some
+// daemon rejects the pending version, it was not forced, and a later version exists. No daemon ever acts on a version
+// that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
 	if !state.hasPending() || state.Version == state.Pending || state.Forced >= state.Pending {
 		return 0
@@ -145,13 +147,14 @@
 	return 0
 }
 
-// predecessorsExpired tells whether all leases that earlier leaders granted have certainly expired.
+// predecessorsExpired reports whether all leases that earlier leaders granted have certainly expired.
 func (m *LeaseManager) predecessorsExpired(now time.Duration) bool {
 	return now >= m.leaderSince+m.config.expiryWait(m.config.Duration)
 }
 
-// laggingDaemons returns the daemons for which the leader waits, sorted: before a version is activated, and until they
-// act on the one that was. Daemons that have certainly no lease are not waited for.
+// laggingDaemons returns the daemons for which the leader waits, sorted by name. While a version is pending these are the
+// daemons that delay its activation, otherwise the ones that do not act on the active version yet. The leader does not
+// wait for daemons that certainly hold no lease.
 func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []LaggingDaemon) {
 	for name, d := range m.daemons {
 		reason := ""
@@ -159,9 +162,9 @@
 		case now >= d.expiresAt():
 			continue
 		case state.hasPending():
-			reason = m.waitReason(now, state, d)
+			reason = m.activationWaitReason(now, state, d)
 		case d.request.InstalledVersion < state.Active:
-			reason = fmt.Sprintf("it acts on version %d yet", d.request.InstalledVersion)
+			reason = fmt.Sprintf("it still acts on version %d", d.request.InstalledVersion)
 		}
 		if reason != "" {
 			lagging = append(lagging, LaggingDaemon{name, reason})
@@ -171,27 +174,28 @@
 	return lagging
 }
 
-// waitReason describes why the activation of the pending version waits for a daemon; empty: it does not wait.
-func (m *LeaseManager) waitReason(now time.Duration, state *State, d *daemonLeases) string {
+// activationWaitReason describes why the activation of the pending version waits for a daemon. It is empty if the
+// activation does not wait for that daemon.
+func (m *LeaseManager) activationWaitReason(now time.Duration, state *State, d *daemonLeases) string {
 	expiresAt := d.expiresAt()
 	switch {
 	case now >= expiresAt:
 		return ""
-	case isForcedOut(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.Pending)
+	case isExcludedByForce(state, &d.request):
+		return fmt.Sprintf("it can't act on version %d, which was forced: its lease must expire first", state.Pending)
 	case rejectsPending(state, &d.request):
 		return fmt.Sprintf("it can't act on version %d: %s", state.Pending, d.request.RejectReason)
 	case d.request.ReadyVersion < state.Pending:
-		return fmt.Sprintf("it has not got version %d", state.Pending)
+		return fmt.Sprintf("it does not have version %d yet", state.Pending)
 	case expiresAt > now+m.config.expiryWait(m.config.ShortDuration):
-		return "it may have a long lease"
+		return "it may still hold a long lease"
 	}
 	return ""
 }
 
-// oldestActive returns the version before which no daemon acts; 0: it is not known while leases of earlier leaders may
-// run.
-func (m *LeaseManager) oldestActive(now time.Duration, state *State) uint64 {
+// oldestActiveVersion returns the version before which no daemon acts. It is 0, for not known, while leases of earlier
+// leaders may still be valid.
+func (m *LeaseManager) oldestActiveVersion(now time.Duration, state *State) uint64 {
 	if !m.predecessorsExpired(now) {
 		return 0
 	}
@@ -204,12 +208,12 @@
 	return oldest
 }
 
-// isForcedOut tells whether a daemon gets no lease because it rejects a pending version that was forced.
-func isForcedOut(state *State, r *LeaseRequest) bool {
+// isExcludedByForce reports whether a daemon gets no lease because it rejects the pending version, which was forced.
+func isExcludedByForce(state *State, r *LeaseRequest) bool {
 	return state.hasPending() && state.Forced >= state.Pending && rejectsPending(state, r)
 }
 
-// rejectsPending tells whether a daemon has reported that it can't act on the pending version.
+// rejectsPending reports whether a daemon has reported that it can't act on the pending version.
 func rejectsPending(state *State, r *LeaseRequest) bool {
 	return r.ReadyVersion < state.Pending && r.RejectedVersion == state.Pending
 }
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -8,31 +8,32 @@
 )
 
 // The voters change in two steps. A command assigns or removes a voter slot; there is at most one such change in
-// progress. The leader then carries it over into raft's configuration (reconfiguration.go). The id of a slot is never
-// assigned twice: a daemon that returns with an empty disk becomes another voter, so that nothing that the one before
-// has acknowledged is lost unnoticed.
+// progress. The leader then changes raft's configuration accordingly (reconfiguration.go). The raft id of a slot is
+// never assigned twice: a daemon that returns with an empty disk becomes a voter with another id. Under the old id,
+// raft would still count on the entries and votes that the voter acknowledged and lost.
 //
-// A slot is bound to one disk. The log has the disk's id before raft's configuration names the new voter, and the new
-// voter starts only when a leader, confirmed by a majority, says so for this very disk. A daemon whose disk was lost
-// has another id and stays away: raft may count on what was on the lost disk.
+// A slot is bound to one disk, by an id that the daemon draws for the disk. The log has the disk id before raft's
+// configuration names the new voter, and the new voter starts only when a leader, confirmed by a majority, permits it
+// for this disk. A daemon whose disk was lost has another disk id and must not start the voter, since raft may count on
+// what was on the lost disk.
 
 // MaxVoters is the greatest number of voter slots.
 const MaxVoters = 7
 
 // VoterChange assigns a voter slot to a daemon, or removes it.
 type VoterChange struct {
-	Name   string `json:"name"`          // of the daemon
-	Remove bool   `json:"out,omitempty"` // its slot is removed
+	Name   string `json:"name"`          // name of the daemon
+	Remove bool   `json:"out,omitempty"` // the daemon's slot is removed; false: a slot is assigned
 }
 
-// SlotClaim binds a voter slot to the disk of its daemon. On the wire and in the log, "seat" is the slot's id and
-// "mark" the disk's.
+// SlotClaim binds a voter slot to the disk of its daemon.
 type SlotClaim struct {
-	VoterID uint64 `json:"seat"`
-	DiskID  string `json:"mark"`
+	VoterID uint64 `json:"seat"` // raft id of the voter slot
+	DiskID  string `json:"mark"` // id of the daemon's disk
 }
 
-// VoterID returns the raft id of the slot of a daemon, whether or not it votes yet; 0: it has no slot.
+// VoterID returns the raft id of a daemon's voter slot, whether or not its voter is active. It is 0 if the daemon has no
+// slot.
 func (s *State) VoterID(name string) uint64 {
 	for id, holder := range s.VoterSlots {
 		if holder == name {
@@ -42,8 +43,8 @@
 	return 0
 }
 
-// VoterName returns the name of the daemon that has a raft id, including one that is about to leave; empty: the id is
-// not in use.
+// VoterName returns the name of the daemon whose voter has a raft id, including a departing voter's. It is empty if the
+// id is not in use.
 func (s *State) VoterName(id uint64) string { return cmp.Or(s.VoterSlots[id], s.DepartingVoters[id]) }
 
 // Voters returns the names of all daemons with a voter slot, sorted.
@@ -58,8 +59,8 @@
 	return names
 }
 
-// setInitialVoters assigns slots to the initial voters, which vote at once. Their ids are 1, 2, ... in the order of
-// their names.
+// setInitialVoters assigns slots to the initial voters, which are active from the start. Their ids are 1, 2, ... in the
+// order of their names.
 func (s *State) setInitialVoters(names []string) {
 	s.VoterSlots, s.ActiveVoters, s.LastVoterID = map[uint64]string{}, map[uint64]bool{}, uint64(len(names))
 	s.InitialVoters = slices.Sorted(slices.Values(names))
@@ -69,14 +70,16 @@
 	}
 }
 
+// applyVoterChange assigns or removes a voter slot. A change that has been made already has no effect.
 func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
 	hasSlot := id != 0
 	if hasSlot != c.Remove {
 		return CommandResult{Version: s.Version, Unchanged: true}, nil
 	}
-	isUnstarted := c.Remove && !s.ActiveVoters[id] // its slot may be withdrawn at any time: raft counts on nothing of it
-	if !isUnstarted {
+	// A slot whose voter is not active may be removed at any time: raft does not count on its voter.
+	isInactiveRemoval := c.Remove && !s.ActiveVoters[id]
+	if !isInactiveRemoval {
 		if err := s.checkVoterChange(c); err != nil {
 			return CommandResult{}, err
 		}
@@ -97,20 +100,22 @@
 	return CommandResult{Version: s.Version}, nil
 }
 
-// checkVoterChange returns why a change can't be made now.
+// checkVoterChange returns an error if a change of the voters can't be made now, which says why.
 func (s *State) checkVoterChange(c *VoterChange) error {
 	switch reason := s.changeInProgress(); {
 	case reason != "":
-		return fmt.Errorf("%w: %s", ErrMembershipUnchanged, reason)
+		return fmt.Errorf("%w: %s", ErrVoterChangeRejected, reason)
 	case c.Remove && len(s.VoterSlots) == 1:
-		return fmt.Errorf("%w: %s is the last", ErrMembershipUnchanged, c.Name)
+		return fmt.Errorf("%w: %s is the last", ErrVoterChangeRejected, c.Name)
 	case !c.Remove && len(s.VoterSlots) >= MaxVoters:
-		return fmt.Errorf("%w: there are %d already", ErrMembershipUnchanged, MaxVoters)
+		return fmt.Errorf("%w: there are %d already", ErrVoterChangeRejected, MaxVoters)
 	}
 	return nil
 }
 
-// changeInProgress describes the change of voters that raft's configuration does not have yet; empty: there is none.
+// changeInProgress describes the change of voters that raft's configuration does not have yet. It is empty if there is
+// none. The texts are part of what operators are answered and must not change: a new voter "has yet to learn" while it
+// receives the log, and a removed one "has yet to leave".
 func (s *State) changeInProgress() string {
 	for id, name := range s.VoterSlots {
 		if !s.ActiveVoters[id] {
@@ -123,7 +128,7 @@
 	return ""
 }
 
-// applySlotClaim binds a slot whose voter is not active to a disk. The first claim stands.
+// applySlotClaim binds a slot whose voter is not active to a disk. Claims after the first have no effect.
 func (s *State) applySlotClaim(c *SlotClaim) CommandResult {
 	if s.VoterSlots[c.VoterID] == "" || s.ActiveVoters[c.VoterID] || s.DiskIDs[c.VoterID] != "" {
 		return CommandResult{Version: s.Version, Unchanged: true}
@@ -136,20 +141,20 @@
 	return CommandResult{Version: s.Version}
 }
 
-// VoterAction is what a daemon has to do about its voter after a grant.
+// VoterAction is what a daemon has to do with its own voter after a grant.
 type VoterAction int
 
-// The actions.
+// The possible values of a VoterAction.
 const (
-	KeepVoterRole VoterAction = iota // nothing changes
-	StopVoter                        // the daemon's slot was removed: its voter ends
-	StartVoter                       // the daemon starts the voter whose id the grant has
-	VoterDiskLost                    // the daemon's slot is bound to another disk than it has: it must not vote
+	KeepVoterRole VoterAction = iota // the daemon goes on as before, with or without a voter
+	StopVoter                        // the daemon stops its voter, whose slot was removed
+	StartVoter                       // the daemon starts the voter that has LeaseGrant.VoterID
+	VoterDiskLost                    // the daemon must not vote: its voter slot is bound to another disk than it has
 )
 
-// VoterAction returns what the daemon that received the grant has to do. voterID is the id of the voter that it runs, 0
-// for none. A voter whose slot was removed continues until raft's configuration drops it, since a majority may need its
-// vote.
+// VoterAction returns what the daemon that received the grant has to do with its voter. name is the daemon's, and
+// voterID the raft id of the voter that it runs, 0 for none. A voter whose slot was removed continues until raft's
+// configuration drops it, since a majority may need its vote.
 func (g *LeaseGrant) VoterAction(name string, voterID uint64) VoterAction {
 	switch {
 	case voterID != 0 && g.VoterID != voterID && !slices.Contains(g.ActiveVoters, name):
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -96,14 +96,14 @@
 	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().changeInProgress() == "" {
 		t.Errorf("with a new voter: configuration %v, change in progress %q", v.confState, v.State().changeInProgress())
 	}
-	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrMembershipUnchanged) {
-		t.Errorf("second change: error %v, want %v", err, ErrMembershipUnchanged)
+	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrVoterChangeRejected) {
+		t.Errorf("second change: error %v, want %v", err, ErrVoterChangeRejected)
 	}
 	if err := change(VoterChange{Name: "x", Remove: true}); err != nil {
 		t.Errorf("removal of a voter that never voted: %v", err)
 	}
-	if err := change(VoterChange{Name: "v", Remove: true}); !errors.Is(err, ErrMembershipUnchanged) {
-		t.Errorf("removal of the last voter: error %v, want %v", err, ErrMembershipUnchanged)
+	if err := change(VoterChange{Name: "v", Remove: true}); !errors.Is(err, ErrVoterChangeRejected) {
+		t.Errorf("removal of the last voter: error %v, want %v", err, ErrVoterChangeRejected)
 	}
 	if err := change(VoterChange{Name: "x"}); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -11,24 +11,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// VoterOutput is what a voter wants done, in this order: the records are appended to the durable log and synced, the
-// snapshot is stored, and only then are the messages sent.
+// VoterOutput is the work that a voter has for its owner, in this order: append the records to the durable log and sync
+// it, store the snapshot, and only then send the messages.
 type VoterOutput struct {
-	Records  []Record
-	Snapshot *Snapshot // nil: none
-	Messages []*raftpb.Message
+	Records  []Record          // records for the durable log
+	Snapshot *Snapshot         // snapshot for the durable log; nil: none
+	Messages []*raftpb.Message // messages to other voters
 }
 
 // Result is the outcome of a command that was committed.
 type Result struct {
-	ID string // of the command; empty: it has none
+	ID string // the command's ID; empty: it has none
 	CommandResult
-	Err error // why the command changed nothing
+	Err error // why the command changed nothing; nil: it was applied
 }
 
-// Output returns what is to be done now, or nil if there is nothing. It is called in a loop until it returns nil; what
-// it returned must be done before any other method is called. It also adds to Results and Grants, which may be sent
-// only after that. Once the voter has stopped, none of this may be used.
+// Output returns the work that is to be done now, or nil if there is none. The owner calls it in a loop until it returns
+// nil, and does the returned work before it calls any other method. Output also adds to Results and Grants, which may be
+// sent only after that work is done. If Output has set StopReason, none of this may be used.
 func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.stopOnRaftPanic()
 	if v.StopReason != nil || !v.rawNode.HasReady() {
@@ -49,7 +49,7 @@
 	}
 	for _, entry := range ready.CommittedEntries {
 		if v.applyEntry(entry); v.StopReason != nil {
-			return nil // nothing that follows from this entry may leave the voter
+			return nil // no output may depend on an entry that was not applied
 		}
 	}
 	if v.isLeader && v.leaseManager == nil && v.hasAppliedOwnTerm() {
@@ -57,8 +57,9 @@
 	}
 	v.grantConfirmedLeases(now)
 	if hasSnapshot {
-		// The snapshot below includes the hard state and the entries that came with it. As records of their own they
-		// would become durable before it, and a loss of power in between would leave a log with a gap.
+		// The snapshot taken below includes the hard state and the entries that raft delivered with the received one. As
+		// records they would become durable before the snapshot, and a loss of power in between would leave a gap in the
+		// log.
 		out.Records = []Record{{recordSnapshotMarker, nil}}
 	}
 	if hasSnapshot || v.needsSnapshot() {
@@ -68,16 +69,16 @@
 	return out
 }
 
-// installSnapshot replaces log and State by a snapshot of another voter.
+// installSnapshot replaces the log and the State by a snapshot received from another voter.
 func (v *Voter) installSnapshot(snapshot *raftpb.Snapshot) {
 	if err := errors.Join(v.storage.ApplySnapshot(snapshot), v.restore(snapshot)); err != nil {
-		// The transport has verified the message's signature: another voter of the fleet made this snapshot.
+		// The transport has verified the message's signature, so another voter of the cluster made this snapshot.
 		panic(fmt.Sprintf("install snapshot of another voter: %v", err))
 	}
 }
 
-// appendToLog appends raft's new entries and its hard state to the log in memory, and returns the records for the
-// durable one.
+// appendToLog appends raft's new entries and its hard state to the log in memory, and returns them as records for the
+// durable log.
 func (v *Voter) appendToLog(ready *raft.Ready) (records []Record) {
 	for _, entry := range ready.Entries {
 		records = append(records, Record{recordEntry, mustMarshal(entry)})
@@ -87,13 +88,13 @@
 	}
 	if hardState := ready.HardState; hardState != nil && !raft.IsEmptyHardState(hardState) {
 		v.term = hardState.GetTerm()
-		_ = v.storage.SetHardState(hardState) // in memory: it does not fail
+		_ = v.storage.SetHardState(hardState) // never fails: the storage is in memory
 		records = append(records, Record{recordHardState, mustMarshal(hardState)})
 	}
 	return records
 }
 
-// applyEntry applies a committed entry. At a command that this build does not know the voter stops.
+// applyEntry applies a committed entry. If the entry has a command that this build does not know, the voter stops.
 func (v *Voter) applyEntry(entry *raftpb.Entry) {
 	v.appliedIndex = entry.GetIndex()
 	v.bytesSinceSnapshot += len(entry.GetData())
@@ -106,20 +107,20 @@
 	}
 	id, result, err := v.state.applyEncoded(entry.GetData())
 	if errors.Is(err, ErrUnknownCommand) {
-		v.StopReason = fmt.Errorf("at %d: %w", v.appliedIndex, err)
+		v.StopReason = fmt.Errorf("log index %d: %w", v.appliedIndex, err)
 		return
 	}
 	v.Results = append(v.Results, Result{id, result, err})
 }
 
-// hasAppliedOwnTerm tells whether this leader has applied an entry of its own term, and hence all that was committed
-// before.
+// hasAppliedOwnTerm reports whether this leader has applied an entry of its own term, and hence everything that was
+// committed in earlier terms.
 func (v *Voter) hasAppliedOwnTerm() bool {
 	term, err := v.storage.Term(v.appliedIndex)
 	return err == nil && term == v.Term()
 }
 
-// mustMarshal encodes a message that this process has made or decoded, which does not fail.
+// mustMarshal encodes a message of raft. That can't fail for a message that this process made or decoded.
 func mustMarshal(message proto.Message) []byte {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// raftPanic is what raft panics with, through its logger, where its log contradicts what other voters say: the disk has
-// lost what this voter had acknowledged, or is a copy of an earlier day.
+// raftPanic is the value with which raft panics, through its logger, if its log contradicts messages of other voters.
+// That happens if the disk has lost what this voter had acknowledged, or was replaced by an older copy of itself.
 type raftPanic string
 
-// stopOnRaftPanic is deferred around calls into raft. It ends this voter instead of the daemon, which can go on under
-// leases; other panics continue.
+// stopOnRaftPanic is deferred around calls into raft. On a raftPanic it stops this voter instead of the daemon, which can
+// continue under leases of the other voters. Other panics are passed on.
 func (v *Voter) stopOnRaftPanic() {
 	switch cause := recover().(type) {
 	case nil:
 	case raftPanic:
-		v.StopReason = fmt.Errorf("its log lacks what it had promised, as that of an earlier day would: %s", cause)
+		v.StopReason = fmt.Errorf("its log lacks entries that it had acknowledged, as an older copy of its disk would: %s", cause)
 	default:
 		panic(cause)
 	}
 }
 
-// panickingLogger drops raft's log lines and turns its fatal ones into a raftPanic.
+// panickingLogger is the logger of raft. It drops log lines, except that a fatal one panics with a raftPanic.
 type panickingLogger struct{}
 
 func (panickingLogger) Debug(...any)            {}
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// maxPendingLeaseRequests bounds the requests that wait for a confirmation of the leadership.
+// maxPendingLeaseRequests bounds the lease requests that wait for an answer of this voter.
 const maxPendingLeaseRequests = 4096
 
-// ErrNotLeader means that a lease request was not accepted: this voter does not lead, has not yet applied what its
-// predecessors committed, or has as many requests waiting as it may.
+// ErrNotLeader means that a lease request was not accepted: this voter does not lead, has not yet applied all that its
+// predecessors committed, or has maxPendingLeaseRequests waiting.
 var ErrNotLeader = errors.New("this voter does not lead")
 
 // AddressedGrant is a grant and the daemon to which it is to be sent.
 type AddressedGrant struct {
-	Recipient string
+	Recipient string // name of the daemon
 	Grant     LeaseGrant
 }
 
-// pendingLease is a lease request that waits, first for the confirmation of the leadership and then for the State.
+// pendingLease is a lease request that is not answered yet. It waits until a majority has confirmed the leadership, and
+// then until the State is as recent as the log was at that time.
 type pendingLease struct {
-	round     uint64 // of the confirmation that covers the request
-	readIndex uint64 // that must be applied before the request is answered; set by the confirmation
+	round     uint64 // number of the earliest round of ReadIndex that covers the request
+	readIndex uint64 // log index that must be applied before the request is answered; set when the round is confirmed
 	request   LeaseRequest
 }
 
-// RequestLease accepts a request for a lease, or returns ErrNotLeader. The answer is added to Grants once a majority
-// has confirmed that this voter leads.
+// RequestLease accepts a request for a lease, or returns ErrNotLeader. The grant is added to Grants after a majority has
+// confirmed that this voter leads.
 func (v *Voter) RequestLease(r LeaseRequest) error {
 	defer v.stopOnRaftPanic()
 	if !v.isLeader || v.leaseManager == nil || len(v.unconfirmedLeases)+len(v.confirmedLeases) >= maxPendingLeaseRequests {
@@ -38,20 +39,21 @@
 	return nil
 }
 
-// startReadIndex begins a round of raft's ReadIndex. Its confirmation covers all requests that arrived before it began.
+// startReadIndex starts a round of raft's ReadIndex. If it is confirmed, this voter still led after all requests that
+// had arrived before.
 func (v *Voter) startReadIndex() {
 	v.readRound++
 	v.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.readRound))
 }
 
-// retryReadIndex begins another round if requests still wait for a confirmation, since messages may be lost.
+// retryReadIndex starts another round if requests still wait for a confirmation, since messages may have been lost.
 func (v *Voter) retryReadIndex() {
 	if len(v.unconfirmedLeases) > 0 {
 		v.startReadIndex()
 	}
 }
 
-// completeReadIndex marks the requests that a confirmed round covers.
+// completeReadIndex moves the requests that a confirmed round covers from the unconfirmed to the confirmed ones.
 func (v *Voter) completeReadIndex(round, index uint64) {
 	unconfirmed := v.unconfirmedLeases[:0]
 	for _, lease := range v.unconfirmedLeases {
@@ -65,7 +67,7 @@
 	v.unconfirmedLeases = unconfirmed
 }
 
-// grantConfirmedLeases answers the confirmed requests for which enough of the log is applied.
+// grantConfirmedLeases answers the confirmed requests whose read index is applied.
 func (v *Voter) grantConfirmedLeases(now time.Duration) {
 	waiting := v.confirmedLeases[:0]
 	for _, lease := range v.confirmedLeases {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -10,16 +10,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is by how many entries a learner may be behind when it is promoted: it gets them with the next
-// messages.
+// maxLearnerLag is the number of log entries by which a learner may be behind when it is promoted to a voter. It
+// receives so few with the next messages.
 const maxLearnerLag = 16
 
-// IsLearner tells whether this voter does not vote yet.
+// IsLearner reports whether this voter receives the log but does not vote in raft's configuration.
 func (v *Voter) IsLearner() bool { return !v.state.ActiveVoters[v.config.ID] }
 
-// reconcileVoters proposes the next change that brings raft's configuration nearer to the voter slots: a new voter
-// becomes a learner first and votes when it has the log; then voters without a slot are removed. raft drops a proposal
-// while the change before it is not applied.
+// reconcileVoters proposes the next change that brings raft's configuration closer to the voter slots: a new voter is
+// first added as a learner, and promoted when it has received the log; after that, voters without a slot are removed.
+// raft drops a proposal while an earlier change is not applied.
 func (v *Voter) reconcileVoters() {
 	if v.leaseManager == nil {
 		return
@@ -45,17 +45,18 @@
 	}
 }
 
-// learners returns the learners of raft's configuration, and the id of one that may be promoted; 0: none.
+// learners returns the raft ids of the learners in raft's configuration, and the id of one that may be promoted, which
+// is 0 if there is none.
 func (v *Voter) learners() (learners map[uint64]bool, caughtUp uint64) {
 	learners = map[uint64]bool{}
-	last, _ := v.storage.LastIndex() // in memory: it does not fail
+	last, _ := v.storage.LastIndex() // never fails: the storage is in memory
 	v.rawNode.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
 		if kind != raft.ProgressTypeLearner {
 			return
 		}
 		learners[id] = true
-		// raft counts a learner as active from when it is added; only a match says that its voter runs. The log of a young
-		// cluster is shorter than maxLearnerLag.
+		// raft counts a learner as active as soon as it is added; only a match above 0 shows that its voter runs. The lag
+		// alone does not show it, as the log of a young cluster is shorter than maxLearnerLag.
 		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
 			caughtUp = id
 		}
@@ -63,7 +64,8 @@
 	return learners, caughtUp
 }
 
-// removeVoter proposes that a voter be removed. A leader that is to be removed transfers the leadership first.
+// removeVoter proposes to remove a voter from raft's configuration. A leader that is to be removed itself transfers the
+// leadership first.
 func (v *Voter) removeVoter(id uint64) {
 	if id != v.config.ID {
 		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeRemoveNode, id)
@@ -77,8 +79,9 @@
 	}
 }
 
+// proposeConfChange proposes a change of raft's configuration that concerns the voter with a raft id.
 func (v *Voter) proposeConfChange(kind raftpb.ConfChangeType, id uint64) {
-	// A proposal that is dropped is made again at the next heartbeat.
+	// If raft drops the proposal, reconcileVoters repeats it at the next heartbeat.
 	_ = v.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id})
 }
 
@@ -86,7 +89,7 @@
 func (v *Voter) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		// raft itself made the entry, and the log checks its digest.
+		// raft itself encoded the entry, and the durable log has verified its checksum.
 		panic(fmt.Sprintf("decode configuration change at index %d: %v", entry.GetIndex(), err))
 	}
 	v.confState = v.rawNode.ApplyConfChange(change)
@@ -101,15 +104,16 @@
 	maps.DeleteFunc(v.state.DepartingVoters, func(id uint64, _ string) bool { return !active[id] })
 }
 
-// addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. A disk that is
-// new to a free slot is proposed for it; the daemon learns the outcome with a later grant.
+// addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. If the slot is
+// not bound to a disk yet, it proposes to bind it to the disk that the request names; the daemon gets the outcome with a
+// later grant.
 func (v *Voter) addSlotStatus(request *LeaseRequest, grant *LeaseGrant) {
 	grant.VoterID = v.state.VoterID(request.Daemon)
 	if grant.VoterID == 0 || request.DiskID == "" {
-		return // it has no slot, or no disk without a voter
+		return // the daemon has no slot, or no disk on which it could start a voter
 	}
 	if v.state.ActiveVoters[grant.VoterID] {
-		grant.DiskLost = true // its voter is active, and the daemon does not run it
+		grant.DiskLost = true // the voter is active in raft, but the daemon has a disk without it
 		return
 	}
 	switch v.state.DiskIDs[grant.VoterID] {
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -14,21 +14,22 @@
 const (
 	recordHardState      byte = 'h' // raft's term, vote and commit index
 	recordEntry          byte = 'e' // an entry of raft's log
-	recordSnapshotMarker byte = 'm' // empty: a snapshot of another voter, which follows, replaces all records up to here
+	recordSnapshotMarker byte = 'm' // no payload; another voter's snapshot, stored next, replaces all records up to here
 )
 
 // Record is one record for the durable log.
 type Record struct {
-	Type    byte
-	Payload []byte
+	Type    byte   // one of recordHardState, recordEntry and recordSnapshotMarker
+	Payload []byte // encoded message of raft; nil for recordSnapshotMarker
 }
 
-// RecoveredState collects what a durable log holds when it is opened: first Restore is called with the latest snapshot,
-// if there is one, then Replay with each record after it. NewVoter takes it over.
+// RecoveredState collects what a durable log holds when it is opened. Restore is called first, with the latest snapshot
+// if there is one, and then Replay with each record after it. NewVoter takes ownership of the RecoveredState.
 type RecoveredState struct{ storage *raft.MemoryStorage }
 
-// NewRecoveredState returns the state of an empty disk. initialVoters are the fleet's initial voters, whose ids are
-// their places in sorted order, from 1; none: the voter joins a fleet that has begun, and gets the log from others.
+// NewRecoveredState returns the state of an empty disk. initialVoters are the names of the cluster's initial voters,
+// whose raft ids are their positions in sorted order, from 1. For a voter that is added later they are empty, and it
+// receives the log from other voters.
 func NewRecoveredState(initialVoters []string) (*RecoveredState, error) {
 	d := &RecoveredState{storage: raft.NewMemoryStorage()}
 	if len(initialVoters) == 0 {
@@ -37,7 +38,8 @@
 	return d, d.storage.ApplySnapshot(initialSnapshot(initialVoters))
 }
 
-// Restore takes the body of a Snapshot. The index by which the log knows it is not used: the body has raft's own.
+// Restore reads the body of a Snapshot. It ignores the snapshot's index in the durable log, since the body has raft's
+// index.
 func (d *RecoveredState) Restore(_ uint64, r io.Reader) error {
 	body, err := io.ReadAll(r)
 	if err != nil {
@@ -67,7 +69,7 @@
 	return d.storage.SetHardState(hardState)
 }
 
-// Replay takes a record of the durable log.
+// Replay adds a record of the durable log to the state.
 func (d *RecoveredState) Replay(recordType byte, payload []byte) error {
 	switch recordType {
 	case recordHardState:
@@ -84,7 +86,7 @@
 	return fmt.Errorf("unknown record type %q", recordType)
 }
 
-// appendEntry appends an encoded entry, in place of those that it overrides.
+// appendEntry appends an encoded entry. It replaces an earlier entry with the same index and drops those after that.
 func (d *RecoveredState) appendEntry(encoded []byte) error {
 	entry := &raftpb.Entry{}
 	if err := proto.Unmarshal(encoded, entry); err != nil {
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -11,25 +11,29 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// When a snapshot is taken, and how much of the log stays beside it for voters that are a little behind. They would
-// otherwise need the whole snapshot.
+// A snapshot is due when so many entries, or so many bytes of entries, have been applied since the latest one. Part of
+// the log before the snapshot is retained for voters that are a little behind, which would otherwise need the complete
+// snapshot.
 const (
-	snapshotEntries  = 1000    // entries applied since the last snapshot, or
-	snapshotLogBytes = 8 << 20 // bytes of them: several of the longest commands
-	retainedEntries  = snapshotEntries / 2
-	retainedLogBytes = 4 << 20
+	snapshotEntries  = 1000                // entries applied since the latest snapshot
+	snapshotLogBytes = 8 << 20             // bytes of entries applied since the latest snapshot: several of the longest commands
+	retainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
+	retainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
 )
 
-// initialIndex is the index of the snapshot with which initial voters begin.
+// initialIndex is the log index of the snapshot from which the logs of the initial voters start.
 const initialIndex = 1
 
-// snapshotHeaderParts are the parts of a snapshot's body before the entries: raft's hard state and raft's snapshot.
+// snapshotHeaderParts is the number of parts of a snapshot's body before the entries: raft's hard state and raft's own
+// snapshot.
 const snapshotHeaderParts = 2
 
-// Snapshot replaces all records of the durable log before it.
-type Snapshot struct{ Body []byte }
+// Snapshot replaces all records before it in the durable log.
+type Snapshot struct {
+	Body []byte // raft's hard state, raft's snapshot and the entries after that, as joinParts encodes them
+}
 
-// initialSnapshot returns the snapshot with which the initial voters begin, which is the same for all of them.
+// initialSnapshot returns the snapshot from which the logs of the initial voters start. It is the same for all of them.
 func initialSnapshot(names []string) *raftpb.Snapshot {
 	state := NewState()
 	state.setInitialVoters(names)
@@ -48,7 +52,7 @@
 	}
 }
 
-// restore replaces this voter's State by that of a snapshot.
+// restore replaces this voter's State by the one in a snapshot of raft.
 func (v *Voter) restore(snapshot *raftpb.Snapshot) error {
 	v.appliedIndex, v.snapshotIndex = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetIndex()
 	v.state, v.confState = NewState(), snapshot.GetMetadata().GetConfState()
@@ -63,16 +67,16 @@
 	return nil
 }
 
-// needsSnapshot tells whether the log has grown so much that a snapshot is due, or a learner was added: it accepts only
-// a snapshot whose configuration names it.
+// needsSnapshot reports whether a snapshot is due because the log has grown, or because a learner was added: a learner
+// accepts only a snapshot whose configuration names it.
 func (v *Voter) needsSnapshot() bool {
 	return v.needsLearnerSnapshot ||
 		v.appliedIndex >= v.snapshotIndex+snapshotEntries ||
 		v.bytesSinceSnapshot >= snapshotLogBytes
 }
 
-// takeSnapshot returns a snapshot of what is applied together with the entries of the log beyond that, and compacts the
-// log in memory.
+// takeSnapshot returns a snapshot of the applied State together with the log entries that are not applied yet, and
+// compacts the log in memory.
 func (v *Voter) takeSnapshot() *Snapshot {
 	data, err := v.state.Encode()
 	if err != nil {
@@ -83,17 +87,18 @@
 			panic(fmt.Sprintf("create snapshot at index %d: %v", v.appliedIndex, err))
 		}
 		if index := v.compactionIndex(); index > 0 {
-			_ = v.storage.Compact(index) // fails only where the log is compacted that far already
+			_ = v.storage.Compact(index) // fails only if the log is compacted that far already
 		}
 		v.snapshotIndex, v.bytesSinceSnapshot = v.appliedIndex, 0
 	}
-	snapshot, _ := v.storage.Snapshot() // in memory: these do not fail
+	// These calls never fail: the storage is in memory.
+	snapshot, _ := v.storage.Snapshot()
 	hardState, _, _ := v.storage.InitialState()
 	parts := [][]byte{mustMarshal(hardState), mustMarshal(snapshot)}
 	if last, err := v.storage.LastIndex(); err == nil && last > v.appliedIndex {
 		entries, err := v.storage.Entries(v.appliedIndex+1, last+1, math.MaxUint64)
 		if err != nil {
-			panic(err) // the log in memory has all entries after a snapshot
+			panic(err) // the log in memory has all entries after the snapshot
 		}
 		for _, entry := range entries {
 			parts = append(parts, mustMarshal(entry))
@@ -102,8 +107,8 @@
 	return &Snapshot{Body: joinParts(parts...)}
 }
 
-// compactionIndex returns the entry up to which the log may be dropped, now that a snapshot has all that is applied; 0:
-// none.
+// compactionIndex returns the index of the last entry that the log in memory may drop once a snapshot covers all applied
+// entries. It is 0 if there is none.
 func (v *Voter) compactionIndex() uint64 {
 	first, err := v.storage.FirstIndex()
 	if err != nil || first > v.appliedIndex {
@@ -132,8 +137,8 @@
 	v.rawNode.ReportSnapshot(to, status)
 }
 
-// joinParts concatenates the parts of a snapshot's body, each behind its length as a varint. The form is stored and
-// must not change.
+// joinParts concatenates the parts of a snapshot's body, each preceded by its length as a varint. The encoding is stored
+// on disk and must not change.
 func joinParts(parts ...[]byte) (body []byte) {
 	for _, part := range parts {
 		body = append(binary.AppendUvarint(body, uint64(len(part))), part...)
@@ -141,9 +146,10 @@
 	return body
 }
 
+// errTruncated means that the body of a snapshot ends before one of its parts does.
 var errTruncated = errors.New("the body is truncated")
 
-// splitParts undoes joinParts.
+// splitParts returns the parts of a body that joinParts encoded.
 func splitParts(body []byte) (parts [][]byte, err error) {
 	for len(body) > 0 {
 		length, n := binary.Uvarint(body)
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -6,39 +6,40 @@
 	"slices"
 )
 
-// maxRecentResults bounds the commands whose duplicates are recognized. A requester retries within seconds, in which
-// far fewer commands are committed.
+// maxRecentResults bounds the number of commands whose duplicates are recognized. A requester retries within seconds,
+// in which far fewer commands are committed.
 const maxRecentResults = 1024
 
 // State is what the commands of the log have produced. It depends on nothing else: voters that have applied the same
-// commands have equal States. The names in JSON are those of stored snapshots.
+// commands have equal States. The JSON names are stored in snapshots and must not change. The maps are replaced and
+// never modified, so that callers may keep them.
 type State struct {
-	Version       uint64              `json:"version"` // of the latest change
-	Pending       uint64              `json:"coming"`  // the pending version, to be activated next; equal to Active: none
-	Active        uint64              `json:"active"`  // on which daemons act
-	Forced        uint64              `json:"forced"`  // up to this one versions are activated although daemons reject them
-	Docs          map[string]Document `json:"docs"`    // as of Version; never modified once handed out
-	PendingDocs   map[string]Document `json:"next"`    // as of the pending version; never modified
-	ActiveDocs    map[string]Document `json:"acted"`   // as of Active; never modified
-	History       []HistoryEntry      `json:"history"` // oldest first, at most maxHistoryEntries
-	RetainedDocs  []Document          `json:"kept"`    // replaced or removed ones, to read or revert to; oldest first
-	RecentResults []recentResult      `json:"ids"`     // of commands with an ID, oldest first, at most maxRecentResults
-
-	VoterSlots      map[uint64]string `json:"seats"`     // voter slots: names by raft id; never modified once handed out
-	ActiveVoters    map[uint64]bool   `json:"sitting"`   // the ids that vote in raft's configuration
-	DepartingVoters map[uint64]string `json:"leaving"`   // without a slot, voting until raft's configuration drops them
-	DiskIDs         map[uint64]string `json:"marks"`     // of slots whose voter is not active yet; set once
-	LastVoterID     uint64            `json:"last_seat"` // the highest id assigned so far: ids are not reused
-	InitialVoters   []string          `json:"first"`     // sorted
+	Version       uint64              `json:"version"` // latest version of the documents
+	Pending       uint64              `json:"coming"`  // version to be activated next; equal to Active if none is pending
+	Active        uint64              `json:"active"`  // version on which the daemons act
+	Forced        uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
+	Docs          map[string]Document `json:"docs"`    // documents of Version, by name
+	PendingDocs   map[string]Document `json:"next"`    // documents of the pending version, by name
+	ActiveDocs    map[string]Document `json:"acted"`   // documents of the active version, by name
+	History       []HistoryEntry      `json:"history"` // latest changes, oldest first, at most maxHistoryEntries
+	RetainedDocs  []Document          `json:"kept"`    // replaced and removed documents, to read or revert to; oldest first
+	RecentResults []recentResult      `json:"ids"`     // results of commands with an ID, oldest first, at most maxRecentResults
+
+	VoterSlots      map[uint64]string `json:"seats"`     // names of the daemons with a voter slot, by raft id
+	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids that vote in raft's configuration
+	DepartingVoters map[uint64]string `json:"leaving"`   // names, by raft id, of voters without a slot that raft has yet to drop
+	DiskIDs         map[uint64]string `json:"marks"`     // disk ids by raft id, each set once before the slot's voter is active
+	LastVoterID     uint64            `json:"last_seat"` // highest raft id assigned so far; ids are not reused
+	InitialVoters   []string          `json:"first"`     // names of the cluster's initial voters, sorted
 }
 
-// recentResult is the result of a command, by the command's ID.
+// recentResult is the result of a command that had an ID, with which the command's duplicates are answered.
 type recentResult struct {
-	ID string `json:"id"`
+	ID string `json:"id"` // the command's ID
 	CommandResult
 }
 
-// NewState returns the State before the first command.
+// NewState returns the empty State to which the first command of a log is applied.
 func NewState() *State {
 	return &State{
 		Docs:        map[string]Document{},
@@ -47,13 +48,14 @@
 	}
 }
 
-// Apply applies an encoded command of the log. On an error nothing has changed.
+// Apply applies an encoded command of the log. If it returns an error, the State is unchanged.
 func (s *State) Apply(entry []byte) (CommandResult, error) {
 	_, result, err := s.applyEncoded(entry)
 	return result, err
 }
 
-// applyEncoded is Apply that also returns the command's ID, so that a long command is decoded once.
+// applyEncoded does what Apply does and also returns the command's ID, so that callers need not decode a long command
+// a second time.
 func (s *State) applyEncoded(entry []byte) (id string, _ CommandResult, _ error) {
 	var command Command
 	if err := json.Unmarshal(entry, &command); err != nil {
@@ -63,6 +65,7 @@
 	return command.ID, result, err
 }
 
+// applyCommand applies a command according to which of its fields is set.
 func (s *State) applyCommand(c *Command) (CommandResult, error) {
 	switch {
 	case c.Format > commandFormat:
@@ -92,7 +95,7 @@
 	return CommandResult{Version: s.Active}
 }
 
-// applySkip replaces the pending version by the latest one, unless it was forced.
+// applySkip makes the latest version the pending one in place of the given version, unless that one was forced.
 func (s *State) applySkip(version uint64) CommandResult {
 	if version == s.Pending && s.Active < s.Pending && s.Forced < s.Pending {
 		s.setPending()
@@ -100,7 +103,7 @@
 	return CommandResult{Version: s.Pending}
 }
 
-// applyForce has the pending version activated although some daemons reject it.
+// applyForce records that the pending version is to be activated even if some daemons reject it.
 func (s *State) applyForce(version uint64) (CommandResult, error) {
 	if version != s.Pending || s.Active == s.Pending {
 		return CommandResult{}, fmt.Errorf("%w: %d", ErrVersionNotPending, version)
@@ -112,19 +115,20 @@
 // setPending makes the latest version the pending one.
 func (s *State) setPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
 
-// hasPending tells whether a version waits for its activation.
+// hasPending reports whether a version waits to be activated.
 func (s *State) hasPending() bool { return s.Pending > s.Active }
 
-// rememberResult records the result of a command with an ID, for its duplicates, and returns it.
-func (s *State) rememberResult(id string, result CommandResult) CommandResult {
+// recordResult records the result of a command, if it has an ID, so that duplicates get the same one. It returns the
+// result.
+func (s *State) recordResult(id string, result CommandResult) CommandResult {
 	if id != "" {
 		s.RecentResults = lastN(append(s.RecentResults, recentResult{id, result}), maxRecentResults)
 	}
 	return result
 }
 
-// duplicateResult returns the result of a command that was applied before, if it is still known.
-func (s *State) duplicateResult(id string) (CommandResult, bool) {
+// duplicateResult returns the recorded result of a command with this ID; ok is false if none is recorded.
+func (s *State) duplicateResult(id string) (_ CommandResult, ok bool) {
 	if id == "" {
 		return CommandResult{}, false
 	}
@@ -135,7 +139,7 @@
 	return s.RecentResults[i].CommandResult, true
 }
 
-// lastN returns the last n elements of a list, in a list of their own if there are more.
+// lastN returns the last n elements of a list: the list itself if it has no more than n, otherwise a copy.
 func lastN[T any](list []T, n int) []T {
 	if len(list) > n {
 		return slices.Clone(list[len(list)-n:])
--- a/internal/cluster/consensus/state_encoding.go
+++ b/internal/cluster/consensus/state_encoding.go
@@ -5,15 +5,17 @@
 	"fmt"
 )
 
-// snapshotState is the encoded form of a State in a snapshot: each body stands in it once, by its digest in hex.
+// snapshotState is the encoded form of a State in a snapshot. Documents are encoded without their bodies, so that a body
+// that several of them share is stored once.
 type snapshotState struct {
 	State
-	Bodies map[string][]byte `json:"bodies"`
+	Bodies map[string][]byte `json:"bodies"` // bodies of the documents, by bodyKey
 }
 
+// bodyKey returns the key of a document's body in a snapshot: its digest in hexadecimal digits.
 func bodyKey(d *Document) string { return fmt.Sprintf("%x", d.Digest) }
 
-// Encode returns the State in the form of a snapshot. Equal States have equal encodings.
+// Encode returns the encoded form of the State for a snapshot. Equal States have equal encodings.
 func (s *State) Encode() ([]byte, error) {
 	out := snapshotState{State: *s, Bodies: map[string][]byte{}}
 	moveBody := func(d Document) Document {
@@ -37,7 +39,7 @@
 	return json.Marshal(out)
 }
 
-// DecodeState decodes what State.Encode returned.
+// DecodeState decodes the output of State.Encode.
 func DecodeState(encoded []byte) (*State, error) {
 	in := snapshotState{State: *NewState()}
 	if err := json.Unmarshal(encoded, &in); err != nil {
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -170,7 +170,7 @@
 		for i := range rapid.IntRange(0, 30).Draw(t, "commands") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			body := rapid.SampledFrom([]string{"", "1", "22"}).Draw(t, "body")
-			c := Command{ID: fmt.Sprint(i), By: "d", At: int64(i), Put: &DocumentPut{name, []byte(body)}}
+			c := Command{ID: fmt.Sprint(i), ProposedBy: "d", AtUnixMilli: int64(i), Put: &DocumentPut{name, []byte(body)}}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				c = Command{Remove: name}
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -9,74 +9,74 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// electionHeartbeats is for how many heartbeat intervals a follower hears nothing of a leader, at least, before it
+// electionHeartbeats is the least number of heartbeat intervals without a message of a leader after which a follower
 // campaigns.
 const electionHeartbeats = 5
 
 // Bounds of raft's messages and of its uncommitted log.
 const (
-	maxInflightMessages = 64      // append messages on their way to one voter
-	maxMessageBytes     = 1 << 20 // of entries in one message; a longer entry goes alone
-	maxUncommittedBytes = 8 << 20 // of proposed entries that are not committed: several of the longest commands
+	maxInflightMessages = 64      // append messages to one voter that it has not acknowledged
+	maxMessageBytes     = 1 << 20 // bytes of entries in one message; a longer entry is sent alone
+	maxUncommittedBytes = 8 << 20 // bytes of proposed entries that are not committed: several of the longest commands
 )
 
-// Config of a voter, fixed for its lifetime.
+// Config is the configuration of a voter, fixed for its lifetime.
 type Config struct {
-	ID                uint64        // of this voter in raft; never 0
+	ID                uint64        // raft id of this voter; never 0
 	HeartbeatInterval time.Duration // the leader's heartbeat interval; an election timeout is five to ten of them
-	Seed              uint64        // of the random election timeouts
-	Lease             LeaseConfig
+	Seed              uint64        // seed of the random election timeouts
+	Lease             LeaseConfig   // durations of the leases that this voter grants while it leads
 }
 
 // Voter is one replica of the State: raft's node, the log in memory and, while it leads, the manager of leases. It is
 // not safe for concurrent use.
 //
-// Its owner calls Tick at NextTick and passes messages of other voters to Receive. After each call of any method it
-// calls Output until that returns nil, and takes Results and Grants.
+// The owner of a Voter calls Tick at NextTick and passes messages of other voters to Receive. After each call of any
+// method it calls Output until that returns nil, and takes Results and Grants.
 type Voter struct {
 	config  Config
-	rng     *rand.Rand
-	rawNode *raft.RawNode
-	storage *raft.MemoryStorage
-
-	state                *State
-	confState            *raftpb.ConfState // raft's configuration as of appliedIndex
-	appliedIndex         uint64
-	snapshotIndex        uint64 // of the latest snapshot
-	bytesSinceSnapshot   int    // of the entries applied since
-	needsLearnerSnapshot bool   // a learner was added that the latest snapshot does not name
-
-	term         uint64
-	isLeader     bool
-	heartbeatAt  time.Duration // next heartbeat, while it leads
-	leaderSeenAt time.Duration // latest message of a leader
-	campaignAt   time.Duration // election timeout, while it follows
-
-	leaseManager      *LeaseManager  // set while it leads and has applied what its predecessors committed
-	readRound         uint64         // of raft's ReadIndex, the latest that was begun
-	unconfirmedLeases []pendingLease // wait for their round
-	confirmedLeases   []pendingLease // wait for their read index to be applied
-	proposedVersion   uint64         // the latest that was proposed to be activated or skipped, in this term
-
-	// Results of committed commands, in the order of the log. Their taker sets the field to nil.
+	rng     *rand.Rand          // draws the election timeouts
+	rawNode *raft.RawNode       // raft's state machine
+	storage *raft.MemoryStorage // raft's log in memory
+
+	state                *State            // result of the applied commands
+	confState            *raftpb.ConfState // raft's configuration at appliedIndex
+	appliedIndex         uint64            // log index of the last applied entry
+	snapshotIndex        uint64            // log index of the latest snapshot
+	bytesSinceSnapshot   int               // bytes of the entries applied since the latest snapshot
+	needsLearnerSnapshot bool              // a learner was added that the latest snapshot does not name
+
+	term            uint64        // raft's term in the latest hard state
+	isLeader        bool          // raft's node takes itself for the leader
+	nextHeartbeatAt time.Duration // instant of the next heartbeat, while this voter leads
+	leaderHeardAt   time.Duration // instant of the latest message of a leader
+	campaignAt      time.Duration // instant at which this voter campaigns, while it follows
+
+	leaseManager      *LeaseManager  // nil unless this voter leads and has applied all that its predecessors committed
+	readRound         uint64         // number of the latest round of raft's ReadIndex that was started
+	unconfirmedLeases []pendingLease // requests whose round of ReadIndex is not confirmed yet
+	confirmedLeases   []pendingLease // requests whose round is confirmed, but whose read index may not be applied yet
+	proposedVersion   uint64         // latest version that this leader proposed to activate or skip in this term
+
+	// Results are those of committed commands, in the order of the log. The owner takes them and sets the field to nil.
 	Results []Result
-	// Grants that are to be sent. Their taker sets the field to nil.
+	// Grants are to be sent. The owner takes them and sets the field to nil.
 	Grants []AddressedGrant
-	// The cause for which this voter must not continue; nil: it may. Its owner then uses none of its output and closes its
-	// log.
+	// StopReason is why this voter must not continue, nil if it may. Once it is set, the owner uses none of the voter's
+	// output and closes its log.
 	StopReason error
 }
 
-// NewVoter returns the voter whose disk held d, which it takes over. The error is the cause if the log is not
-// consistent.
+// NewVoter returns a voter that starts from the state recovered from its disk, of which it takes ownership. It fails if
+// the log is not consistent.
 func NewVoter(now time.Duration, config Config, d *RecoveredState) (_ *Voter, err error) {
 	v := &Voter{
-		config:       config,
-		storage:      d.storage,
-		state:        NewState(),
-		rng:          rand.New(rand.NewPCG(config.Seed, config.ID)),
-		leaderSeenAt: now,
-		heartbeatAt:  now,
+		config:          config,
+		storage:         d.storage,
+		state:           NewState(),
+		rng:             rand.New(rand.NewPCG(config.Seed, config.ID)),
+		leaderHeardAt:   now,
+		nextHeartbeatAt: now,
 	}
 	defer func() { err = errors.Join(err, v.StopReason) }()
 	defer v.stopOnRaftPanic()
@@ -107,19 +107,20 @@
 	return v, nil
 }
 
-// State returns what this voter has applied. It must not be modified, and changes with the next call of Output.
+// State returns the State after all commands that this voter has applied. The caller must not modify it; Output does.
 func (v *Voter) State() *State { return v.state }
 
-// IsLeader tells whether this voter takes itself for the leader. Another may have been elected since.
+// IsLeader reports whether this voter takes itself for the leader. Another one may have been elected meanwhile.
 func (v *Voter) IsLeader() bool { return v.isLeader }
 
-// Applied returns the index of the last entry that was applied.
-func (v *Voter) Applied() uint64 { return v.appliedIndex }
+// AppliedIndex returns the log index of the last applied entry.
+func (v *Voter) AppliedIndex() uint64 { return v.appliedIndex }
 
-// Term returns raft's latest term that this voter has seen.
+// Term returns the latest term of raft that this voter has seen.
 func (v *Voter) Term() uint64 { return v.rawNode.BasicStatus().GetTerm() }
 
-// LaggingDaemons returns the daemons for which this leader waits, as of its latest heartbeat; nil if it does not lead.
+// LaggingDaemons returns the daemons for which this leader waited at its latest heartbeat. It returns nil if this voter
+// does not lead.
 func (v *Voter) LaggingDaemons() []LaggingDaemon {
 	if v.leaseManager == nil {
 		return nil
@@ -130,23 +131,23 @@
 // NextTick returns the instant at which Tick is due.
 func (v *Voter) NextTick() time.Duration {
 	if v.isLeader {
-		return v.heartbeatAt
+		return v.nextHeartbeatAt
 	}
 	return min(v.campaignAt, v.leaderExpiresAt())
 }
 
-// Tick does what is due: a leader's heartbeat, or a follower's campaign. Calls before NextTick have no effect.
+// Tick does the work that is due: a leader's heartbeat or a follower's campaign. A call before NextTick has no effect.
 func (v *Voter) Tick(now time.Duration) {
 	defer v.stopOnRaftPanic()
 	if v.isLeader {
-		if now >= v.heartbeatAt {
+		if now >= v.nextHeartbeatAt {
 			v.heartbeat(now)
 		}
 		return
 	}
 	if now >= v.leaderExpiresAt() {
-		_ = v.rawNode.ForgetLeader() // else it would reject the votes that others ask for
-		v.leaderSeenAt = now
+		_ = v.rawNode.ForgetLeader() // otherwise raft would reject the vote requests of other voters
+		v.leaderHeardAt = now
 	}
 	if now >= v.campaignAt {
 		v.resetElectionTimer(now)
@@ -154,17 +155,18 @@
 	}
 }
 
-// heartbeat sends raft's heartbeats and repeats what may have been lost or has become possible.
+// heartbeat has raft send its heartbeats, repeats requests whose messages may have been lost, and proposes what has
+// become possible since the previous heartbeat.
 func (v *Voter) heartbeat(now time.Duration) {
-	v.heartbeatAt = now + v.config.HeartbeatInterval
+	v.nextHeartbeatAt = now + v.config.HeartbeatInterval
 	v.rawNode.Tick()
 	v.retryReadIndex()
 	v.proposeActivation(now)
 	v.reconcileVoters()
 }
 
-// proposeActivation proposes that the pending version be activated, or be skipped, when it may be. Each version is
-// proposed once a term.
+// proposeActivation proposes to activate the pending version, or to skip it, once that is allowed. Each version is
+// proposed at most once in a term.
 func (v *Voter) proposeActivation(now time.Duration) {
 	if v.leaseManager == nil {
 		return
@@ -181,44 +183,45 @@
 	}
 }
 
-// setLeadership records that this voter has become the leader, or no longer is.
+// setLeadership records whether this voter leads. If that changed, it resets the state of leases and the timers.
 func (v *Voter) setLeadership(now time.Duration, isLeader bool) {
 	if isLeader == v.isLeader {
 		return
 	}
 	v.isLeader, v.leaseManager, v.proposedVersion = isLeader, nil, 0
 	v.unconfirmedLeases, v.confirmedLeases = nil, nil
-	v.leaderSeenAt, v.heartbeatAt = now, now
+	v.leaderHeardAt, v.nextHeartbeatAt = now, now
 	v.resetElectionTimer(now)
 }
 
-// leaderExpiresAt returns the instant until which a follower relies on the leader that it heard from.
+// leaderExpiresAt returns the instant until which a follower assumes, after its latest message, that the leader lives.
 func (v *Voter) leaderExpiresAt() time.Duration {
-	return v.leaderSeenAt + electionHeartbeats*v.config.HeartbeatInterval
+	return v.leaderHeardAt + electionHeartbeats*v.config.HeartbeatInterval
 }
 
-// resetElectionTimer draws the instant at which this voter campaigns if it hears of no leader, so that few voters do at
-// once. raft's own draw takes no seed: followers are therefore not ticked, and campaign when this timer expires.
+// resetElectionTimer sets the instant at which this voter campaigns unless it receives a message of a leader before. The
+// instant is random, so that few voters campaign at once. raft's own random timeout can't be seeded; followers therefore
+// do not tick raft, and campaign when this timer expires.
 func (v *Voter) resetElectionTimer(now time.Duration) {
 	timeout := electionHeartbeats * v.config.HeartbeatInterval
 	v.campaignAt = now + timeout + time.Duration(v.rng.Int64N(int64(timeout)))
 }
 
-// Receive takes a message of another voter. Messages that raft can't use are dropped.
+// Receive passes a message of another voter to raft. Messages that raft rejects are dropped.
 func (v *Voter) Receive(now time.Duration, message *raftpb.Message) {
 	defer v.stopOnRaftPanic()
 	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if message.GetTerm() >= v.term {
-			v.leaderSeenAt = now
+			v.leaderHeardAt = now
 			v.resetElectionTimer(now)
 		}
 	}
 	_ = v.rawNode.Step(message)
 }
 
-// Propose proposes a command for the log. An error means that this voter can't, and that nothing was done. Without an
-// error the command may still be lost; if it is committed, its Result follows.
+// Propose proposes a command for the log. An error means that raft did not accept the proposal and nothing was done.
+// Without an error the command may still be lost; if it is committed, Results gets its result.
 func (v *Voter) Propose(c *Command) error {
 	encoded, err := c.Encode()
 	if err != nil {
@@ -227,7 +230,7 @@
 	return v.ProposeEncoded(encoded)
 }
 
-// ProposeEncoded is Propose for the output of Command.Encode.
+// ProposeEncoded does what Propose does with a command that Command.Encode has encoded.
 func (v *Voter) ProposeEncoded(command []byte) error {
 	defer v.stopOnRaftPanic()
 	return v.rawNode.Propose(command)
--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -20,7 +20,7 @@
 type bootstrap struct {
 	*consensus.Bootstrap
 	startedAt    time.Duration
-	nextRound    time.Duration
+	nextRoundAt  time.Duration
 	isWaitLogged bool
 }
 
@@ -35,14 +35,14 @@
 // startBootstrapRound requests the votes of the other first voters.
 func (n *Node) startBootstrapRound(now time.Duration) {
 	b := n.bootstrap
-	b.nextRound = now + bootstrapRoundInterval
+	b.nextRoundAt = now + bootstrapRoundInterval
 	missing := b.MissingVotes()
 	if now > b.startedAt+bootstrapWarnAfter && !b.isWaitLogged && len(missing) > 0 {
 		b.isWaitLogged = true
 		n.options.Log.Warn("this daemon votes when all first voters have been up at once", "missing", strings.Join(missing, " "))
 	}
 	request := bootstrapMessage{Round: b.StartRound(), IsRequest: true, Vote: b.Vote()}
-	for _, name := range n.options.Voters {
+	for _, name := range n.options.InitialVoters {
 		if name != n.options.Name {
 			n.sendJSON(name, kindBootstrap, request)
 		}
@@ -54,7 +54,7 @@
 // does not answer.
 func (n *Node) handleBootstrap(now time.Duration, m transport.Message) {
 	var received bootstrapMessage
-	if json.Unmarshal(m.Body, &received) != nil || !slices.Contains(n.options.Voters, m.From) {
+	if json.Unmarshal(m.Body, &received) != nil || !slices.Contains(n.options.InitialVoters, m.From) {
 		return
 	}
 	switch {
@@ -76,11 +76,11 @@
 		n.options.Log.Error("this daemon does not vote", "error", errVoterDiskLost)
 		n.bootstrap, n.isDiskLossLogged = nil, true
 	case marks != nil:
-		firstVoters := slices.Sorted(slices.Values(n.options.Voters))
+		firstVoters := slices.Sorted(slices.Values(n.options.InitialVoters))
 		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{HasBegun: true, DiskIDs: marks}
-		own := newFirstVoterIdentity(n.options.Name, firstVoters, marks)
+		own := newInitialVoterIdentity(n.options.Name, firstVoters, marks)
 		var err error
-		if n.slot, err = n.createVoter(now, own); err != nil {
+		if n.localVoter, err = n.createVoter(now, own); err != nil {
 			n.hasStoppedVoting = true
 			n.options.Log.Error("voter not started after the bootstrap", "error", err)
 		}
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -80,13 +80,13 @@
 func (c *testCluster) start(i int) {
 	c.t.Helper()
 	node, err := Start(Options{
-		Name:      fmt.Sprint("s", i),
-		Voters:    []string{"s2", "s0", "s1"},
-		Disk:      c.disks[i],
-		Lease:     testLeaseConfig,
-		Transport: c.transports[i],
-		Now:       c.transports[i].Now,
-		Log:       slog.New(slog.NewTextHandler(c.t.Output(), nil)),
+		Name:          fmt.Sprint("s", i),
+		InitialVoters: []string{"s2", "s0", "s1"},
+		Disk:          c.disks[i],
+		Lease:         testLeaseConfig,
+		Transport:     c.transports[i],
+		Now:           c.transports[i].Now,
+		Log:           slog.New(slog.NewTextHandler(c.t.Output(), nil)),
 	})
 	if err != nil {
 		c.t.Fatal(err)
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Patience)
 	defer cancel()
 	put := &consensus.DocumentPut{Name: testDocument, Body: []byte(body)}
-	version, err := c.nodes[i].ProposeVersion(ctx, consensus.Command{ID: id, By: "test", Put: put})
+	version, err := c.nodes[i].ProposeVersion(ctx, consensus.Command{ID: id, ProposedBy: "test", Put: put})
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -25,19 +25,19 @@
 // earlierBuild has the data directories of a cluster whose daemons were of an earlier build (testdata/README.md).
 const earlierBuild = "testdata/build-94b9de8"
 
-// earlierFirstVoters are the voters that the files of the earlier build's daemons name.
-var earlierFirstVoters = []string{"bay-1", "bay-2", "bay-3"}
+// earlierInitialVoters are the voters that the files of the earlier build's daemons name.
+var earlierInitialVoters = []string{"bay-1", "bay-2", "bay-3"}
 
-// earlierMarks are the marks of the disks of the earlier build's daemons.
-var earlierMarks = map[string]string{
+// earlierDiskIDs are the marks of the disks of the earlier build's daemons.
+var earlierDiskIDs = map[string]string{
 	"bay-1": "3VKFU424G4JACKRYTYJF65Q6BO",
 	"bay-2": "WZGQWHUKSHO2WIDRJFFWEMQHYH",
 	"bay-3": "XIXELP7R2CUFTXHM5VYEX4SPK7",
 	"bay-4": "MXVAGED2ZUPVRM3N4KMNALE22T",
 }
 
-// earlierMoment is a moment of the earlier build's cluster at which all its processes were killed.
-type earlierMoment struct {
+// earlierFixture is a moment of the earlier build's cluster at which all its processes were killed.
+type earlierFixture struct {
 	name          string // of the directory
 	version       uint64
 	bodies        map[string]string // of documents other than "shared"
@@ -47,7 +47,7 @@
 	snapshotIndex map[string]uint64 // of the daemons' logs, by name; nil: they have no snapshot
 }
 
-var earlierMoments = []earlierMoment{
+var earlierFixtures = []earlierFixture{
 	{
 		name:    "first-voters",
 		version: 14,
@@ -56,8 +56,8 @@
 			"flag/c":              "four, by one that does not vote",
 			"out/127.0.0.1:21040": "",
 		},
-		voters:      earlierFirstVoters,
-		knownVoters: earlierFirstVoters,
+		voters:      earlierInitialVoters,
+		knownVoters: earlierInitialVoters,
 		term:        1,
 	},
 	{
@@ -78,10 +78,10 @@
 }
 
 // copyData copies a daemon's data directory, and opens it.
-func (m *earlierMoment) copyData(t *testing.T, daemon string) wal.FS {
+func (f *earlierFixture) copyData(t *testing.T, daemon string) wal.FS {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), daemon)
-	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, m.name, daemon))); err != nil {
+	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, f.name, daemon))); err != nil {
 		t.Fatal(err)
 	}
 	disk, err := wal.OpenDir(path)
@@ -96,7 +96,7 @@
 	var lines strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
 		d := docs[name]
-		fmt.Fprintf(&lines, "document name=%s version=%d by=%s bytes=%d sha256=%x\n", name, d.Version, d.By, len(d.Body), d.Digest)
+		fmt.Fprintf(&lines, "document name=%s version=%d by=%s bytes=%d sha256=%x\n", name, d.Version, d.ProposedBy, len(d.Body), d.Digest)
 	}
 	return lines.String()
 }
@@ -106,7 +106,7 @@
 	var lines strings.Builder
 	for _, e := range history {
 		fmt.Fprintf(&lines, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
-			e.Version, e.Name, e.Bytes, e.Digest, e.By, e.At, e.RevertedTo)
+			e.Version, e.Name, e.Bytes, e.Digest, e.ProposedBy, e.AtUnixMilli, e.RevertedTo)
 	}
 	return lines.String()
 }
@@ -123,13 +123,13 @@
 }
 
 // checkDocuments fails the test unless documents are those that the earlier build's daemons acted on.
-func (m *earlierMoment) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
+func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
-	if got, want := documentLines(docs), strings.Join(earlierLines(t, m.name+".settings.txt", "document"), ""); got != want {
+	if got, want := documentLines(docs), strings.Join(earlierLines(t, f.name+".settings.txt", "document"), ""); got != want {
 		t.Errorf("documents\n%swant\n%s", got, want)
 	}
 	for name, d := range docs {
-		if body, ok := m.bodies[name]; ok && string(d.Body) != body {
+		if body, ok := f.bodies[name]; ok && string(d.Body) != body {
 			t.Errorf("%s is %q, want %q", name, d.Body, body)
 		}
 		if d.Name != name || sha256.Sum256(d.Body) != d.Digest {
@@ -148,17 +148,17 @@
 	})
 }
 
-// startEarlier starts a node of this build in place of a daemon of the earlier one.
-func startEarlier(t *testing.T, daemon string, disk wal.FS, carrier *transport.Transport) *Node {
+// startEarlierNode starts a node of this build in place of a daemon of the earlier one.
+func startEarlierNode(t *testing.T, daemon string, disk wal.FS, carrier *transport.Transport) *Node {
 	t.Helper()
 	n, err := Start(Options{
-		Name:      daemon,
-		Voters:    earlierFirstVoters,
-		Disk:      disk,
-		Lease:     testLeaseConfig,
-		Transport: carrier,
-		Now:       carrier.Now,
-		Log:       slog.New(slog.NewTextHandler(t.Output(), nil)),
+		Name:          daemon,
+		InitialVoters: earlierInitialVoters,
+		Disk:          disk,
+		Lease:         testLeaseConfig,
+		Transport:     carrier,
+		Now:           carrier.Now,
+		Log:           slog.New(slog.NewTextHandler(t.Output(), nil)),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -169,81 +169,81 @@
 // A daemon that starts alone from the data of an earlier build has the identity that its voter had, and the cached
 // version, without a lease.
 func TestNodeStartsFromDataOfEarlierBuild(t *testing.T) {
-	for _, m := range earlierMoments {
-		for _, daemon := range slices.Sorted(maps.Keys(earlierMarks)) {
-			t.Run(m.name+"/"+daemon, func(t *testing.T) {
-				disk := m.copyData(t, daemon)
-				if text, err := readFile(disk, markFile, maxIdentityBytes); err != nil || string(text) != earlierMarks[daemon]+"\n" {
+	for _, f := range earlierFixtures {
+		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
+			t.Run(f.name+"/"+daemon, func(t *testing.T) {
+				disk := f.copyData(t, daemon)
+				if text, err := readFile(disk, diskIDFile, maxIdentityBytes); err != nil || string(text) != earlierDiskIDs[daemon]+"\n" {
 					t.Errorf("mark %q, %v", text, err)
 				}
-				n := startEarlier(t, daemon, disk, earlierTransport(t, daemon))
+				n := startEarlierNode(t, daemon, disk, earlierTransport(t, daemon))
 				leased, ok := n.Valid()
-				if leased.Version != m.version || ok {
-					t.Errorf("it starts with version %d, leased %t, want %d without a lease", leased.Version, ok, m.version)
+				if leased.Version != f.version || ok {
+					t.Errorf("it starts with version %d, leased %t, want %d without a lease", leased.Version, ok, f.version)
 				}
-				m.checkDocuments(t, leased.Docs)
+				f.checkDocuments(t, leased.Docs)
 				if err := n.Close(); err != nil {
 					t.Fatal(err)
 				}
 				// No goroutine of the node runs any more: what the event loop owned may be read.
-				if n.cached.Version != m.version || !slices.Equal(n.cached.Voters, m.voters) {
-					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, m.version, m.voters)
+				if n.cached.Version != f.version || !slices.Equal(n.cached.Voters, f.voters) {
+					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, f.version, f.voters)
 				}
-				if !slices.Equal(n.client.knownVoters, m.knownVoters) {
-					t.Errorf("it knows the voters %q, want %q", n.client.knownVoters, m.knownVoters)
+				if !slices.Equal(n.client.knownVoters, f.knownVoters) {
+					t.Errorf("it knows the voters %q, want %q", n.client.knownVoters, f.knownVoters)
 				}
-				m.checkVoter(t, daemon, n)
+				f.checkVoter(t, daemon, n)
 			})
 		}
 	}
 }
 
 // checkVoter fails the test unless a closed node has the voter that the daemon of the earlier build had.
-func (m *earlierMoment) checkVoter(t *testing.T, daemon string, n *Node) {
+func (f *earlierFixture) checkVoter(t *testing.T, daemon string, n *Node) {
 	t.Helper()
-	if daemon == "bay-4" && m.snapshotIndex == nil { // it did not vote yet
-		if n.slot != nil || n.diskMark != earlierMarks[daemon] {
-			t.Errorf("voter %+v, mark %q", n.slot, n.diskMark)
+	if daemon == "bay-4" && f.snapshotIndex == nil { // it did not vote yet
+		if n.localVoter != nil || n.diskID != earlierDiskIDs[daemon] {
+			t.Errorf("voter %+v, mark %q", n.localVoter, n.diskID)
 		}
 		return
 	}
-	if n.slot == nil {
+	if n.localVoter == nil {
 		t.Fatal("it has no voter")
 	}
 	const fleet = "ef8b6c92f1d49007" // as the identity file of bay-4 has it
-	want := identity{name: daemon, id: 4, marks: map[string]string{}}
+	want := identity{name: daemon, id: 4, diskIDs: map[string]string{}}
 	if daemon != "bay-4" {
-		want.firstVoters, want.id = earlierFirstVoters, uint64(slices.Index(earlierFirstVoters, daemon)+1)
-		want.marks = maps.Clone(earlierMarks)
-		delete(want.marks, "bay-4")
+		want.initialVoters, want.id = earlierInitialVoters, uint64(slices.Index(earlierInitialVoters, daemon)+1)
+		want.diskIDs = maps.Clone(earlierDiskIDs)
+		delete(want.diskIDs, "bay-4")
 	}
-	got := n.slot.identity
-	if fmt.Sprintf("%x", got.fleetID) != fleet {
-		t.Errorf("fleet %x, want %s", got.fleetID, fleet)
+	got := n.localVoter.identity
+	if fmt.Sprintf("%x", got.clusterID) != fleet {
+		t.Errorf("fleet %x, want %s", got.clusterID, fleet)
 	}
-	got.fleetID = fleetID{}
+	got.clusterID = clusterID{}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("identity %+v, want %+v", got, want)
 	}
-	if term := n.slot.voter.Term(); term != m.term {
-		t.Errorf("term %d, want %d", term, m.term)
+	if term := n.localVoter.voter.Term(); term != f.term {
+		t.Errorf("term %d, want %d", term, f.term)
 	}
-	if index := n.slot.log.SnapshotIndex(); index != m.snapshotIndex[daemon] {
-		t.Errorf("the log has a snapshot at %d, want %d", index, m.snapshotIndex[daemon])
+	if index := n.localVoter.log.SnapshotIndex(); index != f.snapshotIndex[daemon] {
+		t.Errorf("the log has a snapshot at %d, want %d", index, f.snapshotIndex[daemon])
 	}
 }
 
 // Voters of this build that start from the data of an earlier one elect a leader, act on the version that was agreed,
 // know its history and who votes, and agree on the next version.
 func TestClusterContinuesFromDataOfEarlierBuild(t *testing.T) {
-	for _, m := range earlierMoments {
-		t.Run(m.name, func(t *testing.T) {
+	for _, f := range earlierFixtures {
+		t.Run(f.name, func(t *testing.T) {
 			c := &testCluster{t: t}
 			var join []netip.AddrPort
-			for _, daemon := range m.voters {
+			for _, daemon := range f.voters {
 				carrier := earlierTransport(t, daemon, join...)
 				join = append(join, carrier.Addr())
-				n := startEarlier(t, daemon, m.copyData(t, daemon), carrier)
+				n := startEarlierNode(t, daemon, f.copyData(t, daemon), carrier)
 				t.Cleanup(func() {
 					if err := n.Close(); err != nil {
 						t.Error(err)
@@ -252,31 +252,31 @@
 				c.transports, c.nodes = append(c.transports, carrier), append(c.nodes, n)
 			}
 			for _, n := range c.nodes {
-				testpeer.Until(t, fmt.Sprint("it acts on version ", m.version), func() bool {
+				testpeer.Until(t, fmt.Sprint("it acts on version ", f.version), func() bool {
 					leased, ok := n.Valid()
-					return ok && leased.Version == m.version
+					return ok && leased.Version == f.version
 				})
 				leased, _ := n.Valid()
-				m.checkDocuments(t, leased.Docs)
+				f.checkDocuments(t, leased.Docs)
 				testpeer.Until(t, "it votes, and has applied what was agreed", func() bool {
 					s := n.Status()
-					return s.IsVoter && s.CommittedVersion == m.version && s.PendingVersion == m.version && s.FullyActiveVersion == m.version
+					return s.IsVoter && s.CommittedVersion == f.version && s.PendingVersion == f.version && s.FullyActiveVersion == f.version
 				})
-				if s := n.Status(); !slices.Equal(s.ActiveVoters, m.voters) || s.Term <= m.term {
-					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, m.voters, m.term)
+				if s := n.Status(); !slices.Equal(s.ActiveVoters, f.voters) || s.Term <= f.term {
+					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, f.voters, f.term)
 				}
-				m.checkHistory(t, n)
+				f.checkHistory(t, n)
 			}
-			if version := c.put(1, "the next", "of this build"); version != m.version+1 {
-				t.Errorf("the next version is %d, want %d", version, m.version+1)
+			if version := c.put(1, "the next", "of this build"); version != f.version+1 {
+				t.Errorf("the next version is %d, want %d", version, f.version+1)
 			}
-			c.waitAllActing(m.version+1, "of this build")
+			c.waitAllActing(f.version+1, "of this build")
 		})
 	}
 }
 
 // checkHistory fails the test unless the history is that which the earlier build's daemons answered.
-func (m *earlierMoment) checkHistory(t *testing.T, n *Node) {
+func (f *earlierFixture) checkHistory(t *testing.T, n *Node) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Patience)
 	defer cancel()
@@ -284,8 +284,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Join(earlierLines(t, "history.txt", "change")[:m.version], "")
-	if got := historyLines(r.History); r.Version != m.version || got != want {
+	want := strings.Join(earlierLines(t, "history.txt", "change")[:f.version], "")
+	if got := historyLines(r.History); r.Version != f.version || got != want {
 		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
 	}
 	r, err = n.Propose(ctx, consensus.Command{Read: &consensus.DocumentVersion{Name: "flag/a", Version: 3}})
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -9,18 +9,18 @@
 	"tuliprock/internal/wal"
 )
 
-// markFile has the mark of a disk, a random text that is drawn at the first start with it (consensus.Bootstrap,
+// diskIDFile has the mark of a disk, a random text that is drawn at the first start with it (consensus.Bootstrap,
 // consensus.VoterMark).
-const markFile = "MARK"
+const diskIDFile = "MARK"
 
-// loadDiskMark returns the mark of this daemon's disk, and draws it if there is none.
-func (n *Node) loadDiskMark() (string, error) {
-	text, err := readFile(n.options.Disk, markFile, maxIdentityBytes)
+// loadDiskID returns the mark of this daemon's disk, and draws it if there is none.
+func (n *Node) loadDiskID() (string, error) {
+	text, err := readFile(n.options.Disk, diskIDFile, maxIdentityBytes)
 	if err != nil || len(text) > 0 {
 		return strings.TrimSpace(string(text)), err
 	}
 	mark := rand.Text()
-	return mark, wal.ReplaceFile(n.options.Disk, markFile, []byte(mark+"\n"))
+	return mark, wal.ReplaceFile(n.options.Disk, diskIDFile, []byte(mark+"\n"))
 }
 
 // readFile returns a file's first bytes, maxBytes at most; nil: there is no such file.
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -24,13 +24,13 @@
 		case <-timer.C:
 		}
 		now := n.options.Now()
-		if n.slot != nil && now >= n.slot.voter.NextTick() {
-			n.slot.voter.Tick(now)
+		if n.localVoter != nil && now >= n.localVoter.voter.NextTick() {
+			n.localVoter.voter.Tick(now)
 		}
-		if n.bootstrap != nil && now >= n.bootstrap.nextRound {
+		if n.bootstrap != nil && now >= n.bootstrap.nextRoundAt {
 			n.startBootstrapRound(now)
 		}
-		if now >= n.client.nextRequest {
+		if now >= n.client.nextRequestAt {
 			n.requestLease(now)
 		}
 		n.attemptProposals(now)
@@ -42,15 +42,15 @@
 
 // untilNextDeadline is the time for which nothing is due, maxIdleWait at most.
 func (n *Node) untilNextDeadline(now time.Duration) time.Duration {
-	next := n.client.nextRequest
+	next := n.client.nextRequestAt
 	if n.bootstrap != nil {
-		next = min(next, n.bootstrap.nextRound)
+		next = min(next, n.bootstrap.nextRoundAt)
 	}
-	if n.slot != nil {
-		next = min(next, n.slot.voter.NextTick())
+	if n.localVoter != nil {
+		next = min(next, n.localVoter.voter.NextTick())
 	}
 	for _, p := range n.proposals {
-		next = min(next, p.nextAttempt, p.expiresAt)
+		next = min(next, p.nextAttemptAt, p.expiresAt)
 	}
 	return min(max(next-now, 0), maxIdleWait)
 }
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -19,43 +19,43 @@
 // changes. That of a first voter has the names of all first voters, from which their ids follow; that of a voter which
 // joined later has the id that it was assigned, and the fleet's.
 type identity struct {
-	name        string
-	firstVoters []string // sorted; none: this voter joined later
-	id          uint64   // raft's
-	fleetID     fleetID
-	marks       map[string]string // of the first voters' disks, when the first of them began
+	name          string
+	initialVoters []string // sorted; none: this voter joined later
+	id            uint64   // raft's
+	clusterID     clusterID
+	diskIDs       map[string]string // of the first voters' disks, when the first of them began
 }
 
-// fleetID is a digest of the first voters' names. Raft messages of voters of another fleet are dropped by it.
-type fleetID [fleetIDSize]byte
+// clusterID is a digest of the first voters' names. Raft messages of voters of another fleet are dropped by it.
+type clusterID [clusterIDSize]byte
 
-const fleetIDSize = 8
+const clusterIDSize = 8
 
-func newFleetID(firstVoters []string) fleetID {
+func newClusterID(firstVoters []string) clusterID {
 	sum := sha256.Sum256([]byte(strings.Join(firstVoters, " ")))
-	return fleetID(sum[:fleetIDSize])
+	return clusterID(sum[:clusterIDSize])
 }
 
-// newFirstVoterIdentity is the identity of one of the first voters, whose names are sorted. Its id is 0 if it is none
+// newInitialVoterIdentity is the identity of one of the first voters, whose names are sorted. Its id is 0 if it is none
 // of them.
-func newFirstVoterIdentity(name string, firstVoters []string, marks map[string]string) *identity {
+func newInitialVoterIdentity(name string, firstVoters []string, marks map[string]string) *identity {
 	return &identity{
-		name:        name,
-		firstVoters: firstVoters,
-		id:          uint64(slices.Index(firstVoters, name) + 1),
-		fleetID:     newFleetID(firstVoters),
-		marks:       marks,
+		name:          name,
+		initialVoters: firstVoters,
+		id:            uint64(slices.Index(firstVoters, name) + 1),
+		clusterID:     newClusterID(firstVoters),
+		diskIDs:       marks,
 	}
 }
 
 // String is the identity as the file has it, without the end of the last line.
 func (i *identity) String() string {
-	if len(i.firstVoters) == 0 {
-		return fmt.Sprintf("%s joined as %d in %x", i.name, i.id, i.fleetID)
+	if len(i.initialVoters) == 0 {
+		return fmt.Sprintf("%s joined as %d in %x", i.name, i.id, i.clusterID)
 	}
-	text := i.name + " of " + strings.Join(i.firstVoters, " ")
-	for _, name := range slices.Sorted(maps.Keys(i.marks)) {
-		text += "\n" + name + " " + i.marks[name]
+	text := i.name + " of " + strings.Join(i.initialVoters, " ")
+	for _, name := range slices.Sorted(maps.Keys(i.diskIDs)) {
+		text += "\n" + name + " " + i.diskIDs[name]
 	}
 	return text
 }
@@ -71,14 +71,14 @@
 	}
 	switch {
 	case len(words) > 2 && words[1] == "of":
-		if i := newFirstVoterIdentity(words[0], words[2:], marks); i.id > 0 {
+		if i := newInitialVoterIdentity(words[0], words[2:], marks); i.id > 0 {
 			return i, nil
 		}
 	case len(words) == 6 && words[1] == "joined" && words[4] == "in":
 		fleet, err := hex.DecodeString(words[5])
 		id, idErr := strconv.ParseUint(words[3], 10, 64)
-		if err == nil && idErr == nil && len(fleet) == fleetIDSize && id > 0 {
-			return &identity{name: words[0], id: id, fleetID: fleetID(fleet), marks: marks}, nil
+		if err == nil && idErr == nil && len(fleet) == clusterIDSize && id > 0 {
+			return &identity{name: words[0], id: id, clusterID: clusterID(fleet), diskIDs: marks}, nil
 		}
 	}
 	return nil, fmt.Errorf("%s: no identity of a voter: %.100q", identityFile, text)
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -19,13 +19,13 @@
 		{
 			name: "first voter that began before there were marks",
 			text: "b of a b c",
-			want: identity{name: "b", firstVoters: []string{"a", "b", "c"}, id: 2},
+			want: identity{name: "b", initialVoters: []string{"a", "b", "c"}, id: 2},
 		},
 		{
 			name: "first voter with the marks of all",
 			text: "c of a b c\na MA\nb MB\nc MC",
-			want: identity{name: "c", firstVoters: []string{"a", "b", "c"}, id: 3,
-				marks: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
+			want: identity{name: "c", initialVoters: []string{"a", "b", "c"}, id: 3,
+				diskIDs: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
 		},
 		{
 			name: "voter that joined later",
@@ -39,10 +39,10 @@
 				t.Fatal(err)
 			}
 			if got.name != c.want.name || got.id != c.want.id ||
-				!slices.Equal(got.firstVoters, c.want.firstVoters) || !maps.Equal(got.marks, c.want.marks) {
+				!slices.Equal(got.initialVoters, c.want.initialVoters) || !maps.Equal(got.diskIDs, c.want.diskIDs) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
-			if fleet := hex.EncodeToString(got.fleetID[:]); fleet != fleetOfABC {
+			if fleet := hex.EncodeToString(got.clusterID[:]); fleet != fleetOfABC {
 				t.Errorf("fleet %s, want %s", fleet, fleetOfABC)
 			}
 			if got.String() != c.text {
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -12,11 +12,11 @@
 // leaseClient is a daemon's side of its lease, and what it knows of the voters that may grant one.
 type leaseClient struct {
 	holder          *consensus.LeaseHolder
-	nextRequest     time.Duration // instant at which a lease is requested again
+	nextRequestAt   time.Duration // instant at which a lease is requested again
 	knownVoters     []string      // who may be asked, sorted: the first voters, and those that vote as far as is known
 	activeVoters    []string      // who votes, as the leader reported last
 	leader          string        // the voter that granted the latest lease, or that was asked last
-	hasAnswered     bool          // leader granted the latest request
+	isLatestGranted bool          // leader granted the latest request
 	hasFirstGrant   bool          // Node.firstGrant is closed
 	checkingVersion uint64        // version whose check is running; 0: none
 }
@@ -25,18 +25,18 @@
 // answer.
 func (n *Node) requestLease(now time.Duration) {
 	c := &n.client
-	if !c.hasAnswered {
+	if !c.isLatestGranted {
 		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // the least string that is greater than leader
 		c.leader = c.knownVoters[i%len(c.knownVoters)]
 	}
-	c.hasAnswered = false
+	c.isLatestGranted = false
 	r, next := c.holder.NextRequest(now)
-	if n.slot == nil && !n.hasStoppedVoting {
-		r.DiskID = n.diskMark
+	if n.localVoter == nil && !n.hasStoppedVoting {
+		r.DiskID = n.diskID
 	}
-	c.nextRequest = next
-	if n.slot != nil && n.slot.voter.IsLeader() {
-		_ = n.slot.voter.RequestLease(r) // without a grant it is requested again
+	c.nextRequestAt = next
+	if n.localVoter != nil && n.localVoter.voter.IsLeader() {
+		_ = n.localVoter.voter.RequestLease(r) // without a grant it is requested again
 		return
 	}
 	n.sendJSON(c.leader, kindLeaseRequest, r)
@@ -49,7 +49,7 @@
 	if json.Unmarshal(m.Body, &r) != nil || r.Daemon != m.From {
 		return
 	}
-	if n.slot == nil || n.slot.voter.RequestLease(r) != nil {
+	if n.localVoter == nil || n.localVoter.voter.RequestLease(r) != nil {
 		n.sendJSON(m.From, kindVoterNames, n.client.knownVoters)
 	}
 }
@@ -65,9 +65,9 @@
 // applyGrant takes up a grant of a leader, which may be this daemon's own voter, and what the leader reports with it.
 func (n *Node) applyGrant(now time.Duration, leader string, g consensus.LeaseGrant) {
 	c := &n.client
-	c.hasAnswered, c.leader = true, leader
+	c.isLatestGranted, c.leader = true, leader
 	if len(g.SlotHolders) > 0 {
-		c.setVoters(g.SlotHolders, n.options.Voters)
+		c.setVoters(g.SlotHolders, n.options.InitialVoters)
 		c.activeVoters = g.ActiveVoters
 		if leader != n.options.Name {
 			n.applyVoterAction(now, &g)
@@ -112,7 +112,7 @@
 				n.options.Log.Warn("version rejected by this daemon's check", "version", version, "error", err)
 			}
 			c.holder.CompleteCheck(version, err)
-			c.nextRequest = 0
+			c.nextRequestAt = 0
 			n.startCheck() // another version may have been offered meanwhile
 		})
 	})
@@ -121,7 +121,7 @@
 // handleVoterNames takes the names that a daemon sent which is not the leader, unless the leader has answered already.
 func (n *Node) handleVoterNames(m transport.Message) {
 	var names []string
-	if json.Unmarshal(m.Body, &names) == nil && !n.client.hasAnswered {
+	if json.Unmarshal(m.Body, &names) == nil && !n.client.isLatestGranted {
 		n.client.addVoters(names)
 	}
 }
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -19,7 +19,7 @@
 	start := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		t.Helper()
 		l := startTestTransport(t, transport.Options{Name: name, Join: join})
-		o := Options{Name: name, Voters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now,
+		o := Options{Name: name, InitialVoters: []string{"v"}, Lease: testLeaseConfig, Transport: l, Now: l.Now,
 			Log: slog.New(slog.DiscardHandler), Check: check}
 		if name == "v" {
 			o.Disk = simdisk.New()
--- a/internal/cluster/raftnode/voterslot.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -16,8 +16,8 @@
 // heartbeatInterval is that of the voters. Without a heartbeat for five to ten of it another leader is elected.
 const heartbeatInterval = 100 * time.Millisecond
 
-// voterSlot is a daemon's place among the voters: its identity, its voter and the voter's durable log.
-type voterSlot struct {
+// localVoter is a daemon's place among the voters: its identity, its voter and the voter's durable log.
+type localVoter struct {
 	identity
 	voter     *consensus.Voter
 	log       *wal.Log
@@ -30,7 +30,7 @@
 
 // startVoter starts the voter that this daemon's disk has. A first voter whose disk has none starts the bootstrap
 // instead; nil without an error: this daemon does not vote, or not yet.
-func (n *Node) startVoter(now time.Duration) (*voterSlot, error) {
+func (n *Node) startVoter(now time.Duration) (*localVoter, error) {
 	text, err := readFile(n.options.Disk, identityFile, maxIdentityBytes)
 	if err != nil {
 		return nil, err
@@ -43,27 +43,27 @@
 		if own.name != n.options.Name {
 			return nil, fmt.Errorf("it is that of %q, and this is %s", strings.TrimSpace(string(text)), n.options.Name)
 		}
-		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: own.marks}
+		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: own.diskIDs}
 		return n.openVoter(now, own)
 	}
-	if n.diskMark, err = n.loadDiskMark(); err != nil {
+	if n.diskID, err = n.loadDiskID(); err != nil {
 		return nil, err
 	}
-	if firstVoters := slices.Sorted(slices.Values(n.options.Voters)); slices.Contains(firstVoters, n.options.Name) {
-		n.bootstrap = &bootstrap{Bootstrap: consensus.NewBootstrap(n.options.Name, n.diskMark, firstVoters), startedAt: now}
+	if firstVoters := slices.Sorted(slices.Values(n.options.InitialVoters)); slices.Contains(firstVoters, n.options.Name) {
+		n.bootstrap = &bootstrap{Bootstrap: consensus.NewBootstrap(n.options.Name, n.diskID, firstVoters), startedAt: now}
 	}
 	return nil, nil
 }
 
 // createVoter writes the identity of a new voter to a directory that has no voter, and starts the voter.
-func (n *Node) createVoter(now time.Duration, own *identity) (*voterSlot, error) {
+func (n *Node) createVoter(now time.Duration, own *identity) (*localVoter, error) {
 	names, err := n.options.Disk.List()
 	if err != nil {
 		return nil, fmt.Errorf("list the voter's directory: %w", err)
 	}
 	// A daemon that did not vote leaves the cache and the mark, and a start that was cut short leaves temporary files.
 	names = slices.DeleteFunc(names, func(name string) bool {
-		return name == cacheFile || name == markFile || strings.HasSuffix(name, wal.TempSuffix)
+		return name == cacheFile || name == diskIDFile || strings.HasSuffix(name, wal.TempSuffix)
 	})
 	if len(names) > 0 {
 		return nil, fmt.Errorf("the directory is no voter's: it has no %s, and %d other files", identityFile, len(names))
@@ -75,8 +75,8 @@
 }
 
 // openVoter opens the durable log, which may be empty, and starts the voter with what it has.
-func (n *Node) openVoter(now time.Duration, own *identity) (*voterSlot, error) {
-	state, err := consensus.NewRecoveredState(own.firstVoters)
+func (n *Node) openVoter(now time.Duration, own *identity) (*localVoter, error) {
+	state, err := consensus.NewRecoveredState(own.initialVoters)
 	if err != nil {
 		return nil, err
 	}
@@ -97,22 +97,22 @@
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	return &voterSlot{identity: *own, voter: voter, log: log, peerNames: map[uint64]string{}}, nil
+	return &localVoter{identity: *own, voter: voter, log: log, peerNames: map[uint64]string{}}, nil
 }
 
 // stopVoter stops this daemon's voter; no other is started before the process ends.
 func (n *Node) stopVoter() {
-	if err := n.slot.log.Close(); err != nil {
+	if err := n.localVoter.log.Close(); err != nil {
 		n.options.Log.Warn("durable log not closed cleanly", "error", err)
 	}
-	n.slot, n.hasStoppedVoting = nil, true
+	n.localVoter, n.hasStoppedVoting = nil, true
 }
 
 // applyVoterAction does what follows for this daemon's slot from the grant of a leader that a majority has confirmed.
 func (n *Node) applyVoterAction(now time.Duration, g *consensus.LeaseGrant) {
 	var id uint64
-	if n.slot != nil {
-		id = n.slot.id
+	if n.localVoter != nil {
+		id = n.localVoter.id
 	}
 	switch g.VoterAction(n.options.Name, id) {
 	case consensus.StopVoter:
@@ -121,7 +121,7 @@
 		n.stopVoter()
 	case consensus.StartVoter:
 		if !n.hasStoppedVoting {
-			n.joinVoters(now, &identity{name: n.options.Name, id: g.VoterID, fleetID: newFleetID(g.InitialVoters)})
+			n.startAddedVoter(now, &identity{name: n.options.Name, id: g.VoterID, clusterID: newClusterID(g.InitialVoters)})
 		}
 	case consensus.VoterDiskLost:
 		if !n.isDiskLossLogged && !n.hasStoppedVoting {
@@ -131,8 +131,8 @@
 	}
 }
 
-// joinVoters starts a voter that was added to the voters. If that fails it is not tried again with each grant.
-func (n *Node) joinVoters(now time.Duration, own *identity) {
+// startAddedVoter starts a voter that was added to the voters. If that fails it is not tried again with each grant.
+func (n *Node) startAddedVoter(now time.Duration, own *identity) {
 	slot, err := n.createVoter(now, own)
 	if err != nil {
 		n.hasStoppedVoting = true
@@ -140,5 +140,5 @@
 		return
 	}
 	n.options.Log.Info("voter started", "voter_id", own.id)
-	n.slot, n.bootstrap = slot, nil
+	n.localVoter, n.bootstrap = slot, nil
 }
--- a/internal/cluster/raftnode/voterslot_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -20,7 +20,7 @@
 	startOn := func(t *testing.T, name string, voters []string) (*Node, error) {
 		t.Helper()
 		l := startTestTransport(t, transport.Options{Name: name})
-		return Start(Options{Name: name, Voters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now,
+		return Start(Options{Name: name, InitialVoters: voters, Disk: d, Lease: testLeaseConfig, Transport: l, Now: l.Now,
 			Log: slog.New(slog.DiscardHandler)})
 	}
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 		}
 		testpeer.Until(t, "it gives up", func() bool {
 			hasGivenUp := make(chan bool, 1)
-			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.slot == nil })
+			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.localVoter == nil })
 			return <-hasGivenUp
 		})
 		if err := n.Close(); err != nil {
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -46,7 +46,7 @@
 	Name string
 	// Voters are the names of the first voters, in any order. All daemons of a cluster have the same, also after voters
 	// changed.
-	Voters []string
+	InitialVoters []string
 	// Disk holds a voter's durable log and the version that was acted on last. Nil: nothing outlasts a restart, and
 	// this daemon can't vote.
 	Disk wal.FS
@@ -80,10 +80,10 @@
 
 	// What follows is owned by the event loop, run.
 
-	slot             *voterSlot // nil: this daemon does not vote
-	hasStoppedVoting bool       // until the process ends: no voter is started any more
+	localVoter       *localVoter // nil: this daemon does not vote
+	hasStoppedVoting bool        // until the process ends: no voter is started any more
 	isDiskLossLogged bool
-	diskMark         string                   // of a disk that had no voter at Start; empty: it had one, or there is no disk
+	diskID           string                   // of a disk that had no voter at Start; empty: it had one, or there is no disk
 	bootstrap        *bootstrap               // while this daemon is a first voter that has yet to begin; else nil
 	bootstrapVote    *consensus.BootstrapVote // answer to first voters that have yet to begin; nil: it never began
 	client           leaseClient
@@ -99,11 +99,11 @@
 		changed:    make(chan struct{}, 1),
 		calls:      make(chan func()),
 		proposals:  pendingProposals{},
-		client:     leaseClient{knownVoters: slices.Sorted(slices.Values(o.Voters)), leader: o.Voters[0]},
+		client:     leaseClient{knownVoters: slices.Sorted(slices.Values(o.InitialVoters)), leader: o.InitialVoters[0]},
 	}
 	if o.Disk != nil {
 		var err error
-		if n.slot, err = n.startVoter(o.Now()); err != nil {
+		if n.localVoter, err = n.startVoter(o.Now()); err != nil {
 			return nil, err
 		}
 	}
@@ -121,8 +121,8 @@
 func (n *Node) Close() error {
 	n.cancel()
 	n.goroutines.Wait()
-	if n.slot != nil {
-		return n.slot.log.Close()
+	if n.localVoter != nil {
+		return n.localVoter.log.Close()
 	}
 	return nil
 }
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -32,13 +32,13 @@
 
 // proposal is a command that was proposed here, or that another daemon forwarded to this voter.
 type proposal struct {
-	body        []byte              // the encoded command; nil after result is set
-	waiter      chan proposalResult // of the caller that waits here; nil: none
-	proposer    string              // the daemon that forwarded it; empty: none
-	nextAttempt time.Duration
-	backoff     time.Duration
-	expiresAt   time.Duration
-	result      *proposalResult // held for a caller that proposes it again; nil: not known yet
+	body          []byte              // the encoded command; nil after result is set
+	waiter        chan proposalResult // of the caller that waits here; nil: none
+	forwarder     string              // the daemon that forwarded it; empty: none
+	nextAttemptAt time.Duration
+	backoff       time.Duration
+	expiresAt     time.Duration
+	result        *proposalResult // held for a caller that proposes it again; nil: not known yet
 }
 
 // proposalResult is the result of a command. Its JSON is the body of a message: the tags never change.
@@ -126,11 +126,11 @@
 	var cmd struct {
 		ID string `json:"id"`
 	}
-	if n.slot == nil || json.Unmarshal(m.Body, &cmd) != nil || cmd.ID == "" {
+	if n.localVoter == nil || json.Unmarshal(m.Body, &cmd) != nil || cmd.ID == "" {
 		return
 	}
 	if known := n.proposals[cmd.ID]; known != nil {
-		known.proposer = m.From
+		known.forwarder = m.From
 		if known.result != nil {
 			n.sendJSON(m.From, kindProposalResult, *known.result)
 		}
@@ -139,7 +139,7 @@
 	if n.proposals.hasCapacity(len(m.Body)) {
 		n.proposals[cmd.ID] = &proposal{
 			body:      m.Body,
-			proposer:  m.From,
+			forwarder: m.From,
 			backoff:   initialRetryBackoff,
 			expiresAt: now + orphanRetention,
 		}
@@ -153,10 +153,10 @@
 		switch {
 		case now >= p.expiresAt:
 			delete(n.proposals, id)
-		case now < p.nextAttempt || p.result != nil:
-		case n.slot != nil:
-			if n.slot.voter.ProposeEncoded(p.body) != nil {
-				p.nextAttempt = now + heartbeatInterval // there is no leader, and nothing was proposed
+		case now < p.nextAttemptAt || p.result != nil:
+		case n.localVoter != nil:
+			if n.localVoter.voter.ProposeEncoded(p.body) != nil {
+				p.nextAttemptAt = now + heartbeatInterval // there is no leader, and nothing was proposed
 				continue
 			}
 			p.scheduleRetry(now)
@@ -169,7 +169,7 @@
 
 // scheduleRetry sets the next attempt, with exponential backoff.
 func (p *proposal) scheduleRetry(now time.Duration) {
-	p.nextAttempt = now + p.backoff
+	p.nextAttemptAt = now + p.backoff
 	p.backoff = min(2*p.backoff, maxRetryBackoff)
 }
 
@@ -187,16 +187,16 @@
 	if p == nil || p.result != nil {
 		return
 	}
-	if p.proposer != "" {
-		n.sendJSON(p.proposer, kindProposalResult, r)
+	if p.forwarder != "" {
+		n.sendJSON(p.forwarder, kindProposalResult, r)
 	}
 	switch {
 	case p.waiter != nil:
 		p.waiter <- r
 		delete(n.proposals, r.ID)
-	case p.proposer != "":
+	case p.forwarder != "":
 		delete(n.proposals, r.ID)
 	default:
-		p.result, p.body, p.nextAttempt = &r, nil, p.expiresAt
+		p.result, p.body, p.nextAttemptAt = &r, nil, p.expiresAt
 	}
 }
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -47,10 +47,10 @@
 	s := Status{Leader: n.client.leader, KnownVoters: n.client.knownVoters, ActiveVoters: n.client.activeVoters}
 	s.FullyActiveVersion, s.Lagging = n.client.holder.FullyActive()
 	s.RejectedVersion, s.RejectionReason = n.client.holder.RejectedVersion()
-	if n.slot == nil {
+	if n.localVoter == nil {
 		return s
 	}
-	voter, state := n.slot.voter, n.slot.voter.State()
+	voter, state := n.localVoter.voter, n.localVoter.voter.State()
 	s.IsVoter, s.IsLeader, s.Term = !voter.IsLearner(), voter.IsLeader(), voter.Term()
 	s.CommittedVersion, s.PendingVersion = state.Version, state.Pending
 	if s.IsLeader {
--- a/internal/cluster/raftnode/storedformat_test.go
+++ b/internal/cluster/raftnode/storedformat_test.go
@@ -22,10 +22,10 @@
 func TestStoredDataOfEarlierBuildEncodesUnchanged(t *testing.T) {
 	kinds := map[string]int{} // commands by the names of fields that are set
 	snapshots := 0
-	for _, m := range earlierMoments {
-		for _, daemon := range slices.Sorted(maps.Keys(earlierMarks)) {
-			t.Run(m.name+"/"+daemon, func(t *testing.T) {
-				disk := m.copyData(t, daemon)
+	for _, f := range earlierFixtures {
+		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
+			t.Run(f.name+"/"+daemon, func(t *testing.T) {
+				disk := f.copyData(t, daemon)
 				checkCacheEncodesUnchanged(t, disk)
 				text, err := readFile(disk, identityFile, maxIdentityBytes)
 				if err != nil {
@@ -57,8 +57,8 @@
 			t.Errorf("no command %q is in the logs: %v", kind, kinds)
 		}
 	}
-	if snapshots != len(earlierMarks) {
-		t.Errorf("%d snapshots, want %d", snapshots, len(earlierMarks))
+	if snapshots != len(earlierDiskIDs) {
+		t.Errorf("%d snapshots, want %d", snapshots, len(earlierDiskIDs))
 	}
 }
 
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -60,7 +60,7 @@
 		return 0, nil
 	}
 	n.cached = cacheEntry{Version: entry.Version, Voters: entry.Voters}
-	n.client.setVoters(entry.Voters, n.options.Voters)
+	n.client.setVoters(entry.Voters, n.options.InitialVoters)
 	return entry.Version, entry.Docs
 }
 
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -16,38 +16,38 @@
 const maxPeerNames = 64
 
 // peerName returns a voter's name by its id; empty: it is not known.
-func (s *voterSlot) peerName(id uint64) string {
-	if name := s.voter.State().VoterName(id); name != "" {
+func (v *localVoter) peerName(id uint64) string {
+	if name := v.voter.State().VoterName(id); name != "" {
 		return name
 	}
-	return s.peerNames[id]
+	return v.peerNames[id]
 }
 
 // handleRaft hands a raft message to the voter if the daemon that sent it is the voter that it names as its sender.
 func (n *Node) handleRaft(now time.Duration, m transport.Message) {
 	message := &raftpb.Message{}
-	if len(m.Body) < fleetIDSize || proto.Unmarshal(m.Body[fleetIDSize:], message) != nil {
+	if len(m.Body) < clusterIDSize || proto.Unmarshal(m.Body[clusterIDSize:], message) != nil {
 		return
 	}
-	s := n.slot
-	if s == nil || fleetID(m.Body[:fleetIDSize]) != s.fleetID || message.GetTo() != s.id {
+	v := n.localVoter
+	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.id {
 		return
 	}
-	switch known := s.peerName(message.GetFrom()); {
-	case known == "" && len(s.peerNames) < maxPeerNames:
+	switch known := v.peerName(message.GetFrom()); {
+	case known == "" && len(v.peerNames) < maxPeerNames:
 		// A voter that was added while this one was away may be the leader now.
-		s.peerNames[message.GetFrom()] = m.From
+		v.peerNames[message.GetFrom()] = m.From
 	case known != m.From:
 		return
 	}
-	s.voter.Receive(now, message)
+	v.voter.Receive(now, message)
 }
 
 // processVoterOutput persists what the voter has to promise and then sends what rests on it, until there is nothing
 // more to do.
 func (n *Node) processVoterOutput() {
-	for n.slot != nil {
-		voter := n.slot.voter
+	for n.localVoter != nil {
+		voter := n.localVoter.voter
 		output := voter.Output(n.options.Now())
 		if voter.StopReason != nil {
 			n.options.Log.Error("this voter steps down", "error", voter.StopReason)
@@ -55,7 +55,7 @@
 			return
 		}
 		if output != nil {
-			if err := n.slot.persist(output); err != nil {
+			if err := n.localVoter.persist(output); err != nil {
 				n.options.Log.Error("this voter steps down: its disk has failed", "error", err)
 				n.stopVoter()
 				return
@@ -75,19 +75,19 @@
 }
 
 // persist writes a voter's records and then its snapshot, and returns nil when they are durable.
-func (s *voterSlot) persist(output *consensus.VoterOutput) error {
+func (v *localVoter) persist(output *consensus.VoterOutput) error {
 	for _, r := range output.Records {
-		if _, err := s.log.Append(r.Type, r.Payload); err != nil {
+		if _, err := v.log.Append(r.Type, r.Payload); err != nil {
 			return fmt.Errorf("append to the durable log: %w", err)
 		}
 	}
-	if err := s.log.Sync(); err != nil {
+	if err := v.log.Sync(); err != nil {
 		return fmt.Errorf("sync the durable log: %w", err)
 	}
-	if output.Snapshot == nil || s.log.SyncedIndex() <= s.log.SnapshotIndex() {
+	if output.Snapshot == nil || v.log.SyncedIndex() <= v.log.SnapshotIndex() {
 		return nil
 	}
-	if err := s.log.Snap(s.log.SyncedIndex(), output.Snapshot.Body); err != nil {
+	if err := v.log.Snap(v.log.SyncedIndex(), output.Snapshot.Body); err != nil {
 		return fmt.Errorf("write a snapshot: %w", err)
 	}
 	return nil
@@ -96,16 +96,16 @@
 // sendRaft sends a raft message to the voter that it is for. Raft needs to know whether a snapshot went out, and
 // resends anything else without.
 func (n *Node) sendRaft(message *raftpb.Message) {
-	name := n.slot.peerName(message.GetTo())
+	name := n.localVoter.peerName(message.GetTo())
 	if name == "" {
 		return
 	}
 	body, err := proto.Marshal(message)
 	if err == nil {
-		err = n.options.Transport.Send(name, kindRaft, append(n.slot.fleetID[:], body...))
+		err = n.options.Transport.Send(name, kindRaft, append(n.localVoter.clusterID[:], body...))
 	}
 	if message.GetType() == raftpb.MsgSnap {
-		n.slot.voter.ReportSnapshot(message.GetTo(), err == nil)
+		n.localVoter.voter.ReportSnapshot(message.GetTo(), err == nil)
 	}
 }
 
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -54,7 +54,7 @@
 	}
 	for _, h := range r.History {
 		if _, err := fmt.Fprintf(w, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
-			h.Version, h.Name, h.Bytes, h.Digest, h.By, h.At, h.RevertedTo); err != nil {
+			h.Version, h.Name, h.Bytes, h.Digest, h.ProposedBy, h.AtUnixMilli, h.RevertedTo); err != nil {
 			return err
 		}
 	}
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -80,7 +80,7 @@
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
 	sent := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
 		History: []consensus.HistoryEntry{
-			{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, RevertedTo: 3},
+			{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, ProposedBy: "s", AtUnixMilli: 12, RevertedTo: 3},
 			{Version: 2, Name: "a"},
 		}}
 	var text strings.Builder
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -28,7 +28,7 @@
 	}
 	sent := consensus.CommandResult{
 		Version: 9, Unchanged: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
-		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, By: "s", At: 12, RevertedTo: 3}},
+		History: []consensus.HistoryEntry{{Version: 1, Name: "a", Digest: [32]byte{1}, Bytes: 5, ProposedBy: "s", AtUnixMilli: 12, RevertedTo: 3}},
 	}
 	written := func(write func(*strings.Builder) error) string {
 		t.Helper()
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -103,7 +103,7 @@
 func (n *clusterNode) startRaft() (*raftnode.Node, error) {
 	o := raftnode.Options{
 		Name:             n.spec.Name,
-		Voters:           n.spec.Voters,
+		InitialVoters:    n.spec.Voters,
 		Lease:            n.spec.Consensus.LeaseConfig,
 		Transport:        n.transport,
 		Now:              n.transport.Now,
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -157,7 +157,7 @@
 	if !n.hasConsensus() {
 		return ""
 	}
-	c := consensus.Command{By: n.spec.Name, At: time.Now().UnixMilli()}
+	c := consensus.Command{ProposedBy: n.spec.Name, AtUnixMilli: time.Now().UnixMilli()}
 	if isEjected {
 		c.Put = &consensus.DocumentPut{Name: config.EjectionPrefix + id}
 	} else {
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -85,7 +85,7 @@
 	if len(args) < count.least || len(args) > count.most {
 		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.least)
 	}
-	c := &consensus.Command{By: n.spec.Name, At: time.Now().UnixMilli()}
+	c := &consensus.Command{ProposedBy: n.spec.Name, AtUnixMilli: time.Now().UnixMilli()}
 	var err error
 	switch name {
 	case "history":
@@ -154,7 +154,7 @@
 	for _, name := range slices.Sorted(maps.Keys(agreed.Docs)) {
 		d := agreed.Docs[name]
 		s.Documents = append(s.Documents, status.Document{
-			Name: name, Version: d.Version, By: d.By, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest),
+			Name: name, Version: d.Version, By: d.ProposedBy, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest),
 		})
 	}
 	return s.Write(w)
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -287,7 +287,7 @@
 func (w *World) lose(n *Node) {
 	var by *Node // who knows most
 	for _, v := range w.voters() {
-		if by == nil || v.voter.Applied() > by.voter.Applied() {
+		if by == nil || v.voter.AppliedIndex() > by.voter.AppliedIndex() {
 			by = v
 		}
 	}
@@ -565,7 +565,7 @@
 	if !w.calm {
 		w.next++
 		id := fmt.Sprint("put-", w.next)
-		c := &consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
+		c := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
 		switch w.next % hardEvery {
 		case 0:
 			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id + hardEnd)}
@@ -686,7 +686,7 @@
 	w.Run(w.Now + within/2)
 	w.next++ // the last one mends what some can't act on
 	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &consensus.Command{ID: id, By: "test", Put: &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}}}
+	w.puts[id] = &put{c: &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}}}
 	w.Run(w.Now + within/2)
 	w.Checker.settled(w)
 }
