--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	bootstrapRoundInterval = 300 * time.Millisecond // between two rounds of requests to the other first voters
-	bootstrapWarnAfter     = 10 * time.Second       // after Start: from then on the log names those that do not answer
+	bootstrapRoundInterval = 300 * time.Millisecond // time between two rounds of requests to the other initial voters
+	bootstrapWarnAfter     = 10 * time.Second       // time after Start at which a warning names the voters without an answer
 )
 
-// bootstrap is the state of a first voter that has yet to begin: it may once it knows that none of its name began
-// before with another disk (consensus.Bootstrap).
+// bootstrap is the state of an initial voter that has not created its log. It may create the log once it knows that this
+// daemon did not do so before with another disk (consensus.Bootstrap).
 type bootstrap struct {
 	*consensus.Bootstrap
-	startedAt    time.Duration
-	nextRoundAt  time.Duration
-	isWaitLogged bool
+	startedAt    time.Duration // instant of Start
+	nextRoundAt  time.Duration // instant at which the next round of requests is due
+	isWaitLogged bool          // the warning about missing votes is logged
 }
 
-// bootstrapMessage carries a vote between first voters. The ones that have yet to begin request votes, all of them
-// answer. On the wire IsRequest is "asks", and Vote is "word".
+// bootstrapMessage carries the vote of an initial voter to another one. Initial voters that have not created their logs
+// request votes; all initial voters answer. The JSON names are on the wire and must not change.
 type bootstrapMessage struct {
-	Round     uint64                  `json:"round"`
-	IsRequest bool                    `json:"asks"`
-	Vote      consensus.BootstrapVote `json:"word"`
+	Round     uint64                  `json:"round"` // round of the requesting voter, which the answer repeats
+	IsRequest bool                    `json:"asks"`  // the sender requests the vote of the recipient; false: it is an answer
+	Vote      consensus.BootstrapVote `json:"word"`  // vote of the sender
 }
 
-// startBootstrapRound requests the votes of the other first voters.
+// startBootstrapRound starts a round and requests the votes of the other initial voters.
 func (n *Node) startBootstrapRound(now time.Duration) {
 	b := n.bootstrap
 	b.nextRoundAt = now + bootstrapRoundInterval
 	missing := b.MissingVotes()
 	if now > b.startedAt+bootstrapWarnAfter && !b.isWaitLogged && len(missing) > 0 {
 		b.isWaitLogged = true
-		n.options.Log.Warn("this daemon votes when all first voters have been up at once", "missing", strings.Join(missing, " "))
+		n.options.Log.Warn("this daemon votes once all initial voters have been up at the same time", "missing", strings.Join(missing, " "))
 	}
 	request := bootstrapMessage{Round: b.StartRound(), IsRequest: true, Vote: b.Vote()}
 	for _, name := range n.options.InitialVoters {
@@ -50,8 +50,8 @@
 	n.decideBootstrap(now)
 }
 
-// handleBootstrap answers a request and counts an answer. A daemon that never began as a voter, and is not about to,
-// does not answer.
+// handleBootstrap answers the request for a vote, or records the vote in an answer. A daemon whose disk has no voter and
+// which is not bootstrapping one does not answer.
 func (n *Node) handleBootstrap(now time.Duration, m transport.Message) {
 	var received bootstrapMessage
 	if json.Unmarshal(m.Body, &received) != nil || !slices.Contains(n.options.InitialVoters, m.From) {
@@ -68,17 +68,18 @@
 	}
 }
 
-// decideBootstrap ends the bootstrap if the votes decide it: this daemon begins as a first voter, or never will.
+// decideBootstrap ends the bootstrap if the votes allow a decision: either this daemon creates its log and starts its
+// voter, or its disk is lost and it never does.
 func (n *Node) decideBootstrap(now time.Duration) {
-	marks, isDiskLost := n.bootstrap.Decide()
+	diskIDs, isDiskLost := n.bootstrap.Decide()
 	switch {
 	case isDiskLost:
 		n.options.Log.Error("this daemon does not vote", "error", errVoterDiskLost)
 		n.bootstrap, n.isDiskLossLogged = nil, true
-	case marks != nil:
-		firstVoters := slices.Sorted(slices.Values(n.options.InitialVoters))
-		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{HasBegun: true, DiskIDs: marks}
-		own := newInitialVoterIdentity(n.options.Name, firstVoters, marks)
+	case diskIDs != nil:
+		initialVoters := slices.Sorted(slices.Values(n.options.InitialVoters))
+		n.bootstrap, n.bootstrapVote = nil, &consensus.BootstrapVote{HasBegun: true, DiskIDs: diskIDs}
+		own := newInitialVoterIdentity(n.options.Name, initialVoters, diskIDs)
 		var err error
 		if n.localVoter, err = n.createVoter(now, own); err != nil {
 			n.hasStoppedVoting = true
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -9,21 +9,22 @@
 	"tuliprock/internal/wal"
 )
 
-// diskIDFile has the mark of a disk, a random text that is drawn at the first start with it (consensus.Bootstrap,
-// consensus.VoterMark).
+// diskIDFile is the name of the file that holds the id of a disk, a random text that is drawn at the first start with
+// the disk. It identifies the disk in the bootstrap and when a voter slot is bound to it (consensus.Bootstrap,
+// consensus.SlotClaim).
 const diskIDFile = "MARK"
 
-// loadDiskID returns the mark of this daemon's disk, and draws it if there is none.
+// loadDiskID returns the id of this daemon's disk. If the disk has none, it draws one and stores it.
 func (n *Node) loadDiskID() (string, error) {
 	text, err := readFile(n.options.Disk, diskIDFile, maxIdentityBytes)
 	if err != nil || len(text) > 0 {
 		return strings.TrimSpace(string(text)), err
 	}
-	mark := rand.Text()
-	return mark, wal.ReplaceFile(n.options.Disk, diskIDFile, []byte(mark+"\n"))
+	diskID := rand.Text()
+	return diskID, wal.ReplaceFile(n.options.Disk, diskIDFile, []byte(diskID+"\n"))
 }
 
-// readFile returns a file's first bytes, maxBytes at most; nil: there is no such file.
+// readFile returns the contents of a file, at most its first maxBytes, or nil without an error if there is no such file.
 func readFile(fs wal.FS, name string, maxBytes int64) ([]byte, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -36,7 +37,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
-	defer func() { _ = f.Close() }() // nothing was written that an error could concern
+	defer func() { _ = f.Close() }() // the file was only read, so an error loses nothing
 	size, err := f.Size()
 	if err != nil {
 		return nil, fmt.Errorf("size of %s: %w", name, err)
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -6,10 +6,10 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxIdleWait bounds the wait of an event loop for which nothing is due.
+// maxIdleWait is the longest time for which the event loop waits when nothing is due.
 const maxIdleWait = time.Hour
 
-// run is the event loop: it handles messages, calls and deadlines until the node is closed.
+// run is the event loop: it handles messages, submitted functions and deadlines until the node is closed.
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// untilNextDeadline is the time for which nothing is due, maxIdleWait at most.
+// untilNextDeadline returns the time until the next work is due, at most maxIdleWait.
 func (n *Node) untilNextDeadline(now time.Duration) time.Duration {
 	next := n.client.nextRequestAt
 	if n.bootstrap != nil {
@@ -55,8 +55,8 @@
 	return min(max(next-now, 0), maxIdleWait)
 }
 
-// handleMessage dispatches a message by its kind. One that can't be decoded is dropped: it was authenticated as that of
-// a daemon of the cluster, so that daemon runs another version.
+// handleMessage dispatches a message by its kind. A message that can't be decoded is dropped: the transport has verified
+// that a daemon of the cluster sent it, so that daemon runs another build.
 func (n *Node) handleMessage(m transport.Message) {
 	now := n.options.Now()
 	switch m.Kind {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -11,44 +11,47 @@
 )
 
 const (
-	identityFile     = "IDENTITY"
-	maxIdentityBytes = 4096 // seven names take 500
+	identityFile     = "IDENTITY" // name of the file that holds a voter's identity
+	maxIdentityBytes = 4096       // greatest size of the file that is read; with seven names it has about 500 bytes
 )
 
-// identity says whose a voter's directory is, and in which fleet. It is a file beside the durable log that never
-// changes. That of a first voter has the names of all first voters, from which their ids follow; that of a voter which
-// joined later has the id that it was assigned, and the fleet's.
+// identity says which voter of which cluster owns a data directory. It is stored in a file beside the durable log, which
+// is written once. The identity of an initial voter has the names of all initial voters, from which their raft ids
+// follow; that of a voter that was added later has its assigned raft id and the cluster's id.
 type identity struct {
-	name          string
-	initialVoters []string // sorted; none: this voter joined later
-	id            uint64   // raft's
-	clusterID     clusterID
-	diskIDs       map[string]string // of the first voters' disks, when the first of them began
+	name          string            // name of the voter's daemon
+	initialVoters []string          // names of the cluster's initial voters, sorted; empty: this voter was added later
+	id            uint64            // raft id of the voter
+	clusterID     clusterID         // id of the cluster
+	diskIDs       map[string]string // disk ids of the initial voters, by name, when the first of them created its log
 }
 
-// clusterID is a digest of the first voters' names. Raft messages of voters of another fleet are dropped by it.
+// clusterID is a digest of the names of a cluster's initial voters. With it, a voter recognizes and drops raft messages
+// of voters of another cluster.
 type clusterID [clusterIDSize]byte
 
+// clusterIDSize is the size of a clusterID in bytes.
 const clusterIDSize = 8
 
-func newClusterID(firstVoters []string) clusterID {
-	sum := sha256.Sum256([]byte(strings.Join(firstVoters, " ")))
+// newClusterID returns the id of the cluster whose initial voters have these names, which are sorted.
+func newClusterID(initialVoters []string) clusterID {
+	sum := sha256.Sum256([]byte(strings.Join(initialVoters, " ")))
 	return clusterID(sum[:clusterIDSize])
 }
 
-// newInitialVoterIdentity is the identity of one of the first voters, whose names are sorted. Its id is 0 if it is none
-// of them.
-func newInitialVoterIdentity(name string, firstVoters []string, marks map[string]string) *identity {
+// newInitialVoterIdentity returns the identity of the initial voter with a name. The names of the initial voters are
+// sorted. If the name is not among them, the identity's id is 0.
+func newInitialVoterIdentity(name string, initialVoters []string, diskIDs map[string]string) *identity {
 	return &identity{
 		name:          name,
-		initialVoters: firstVoters,
-		id:            uint64(slices.Index(firstVoters, name) + 1),
-		clusterID:     newClusterID(firstVoters),
-		diskIDs:       marks,
+		initialVoters: initialVoters,
+		id:            uint64(slices.Index(initialVoters, name) + 1),
+		clusterID:     newClusterID(initialVoters),
+		diskIDs:       diskIDs,
 	}
 }
 
-// String is the identity as the file has it, without the end of the last line.
+// String returns the contents of the identity file, without the final newline.
 func (i *identity) String() string {
 	if len(i.initialVoters) == 0 {
 		return fmt.Sprintf("%s joined as %d in %x", i.name, i.id, i.clusterID)
@@ -60,26 +63,26 @@
 	return text
 }
 
-// parseIdentity parses what String returns.
+// parseIdentity parses the output of identity.String.
 func parseIdentity(text string) (*identity, error) {
-	firstLine, markLines, _ := strings.Cut(text, "\n")
+	firstLine, diskIDLines, _ := strings.Cut(text, "\n")
 	words := strings.Fields(firstLine)
-	marks := map[string]string{}
-	for line := range strings.Lines(markLines) {
-		name, mark, _ := strings.Cut(strings.TrimSpace(line), " ")
-		marks[name] = mark
+	diskIDs := map[string]string{}
+	for line := range strings.Lines(diskIDLines) {
+		name, diskID, _ := strings.Cut(strings.TrimSpace(line), " ")
+		diskIDs[name] = diskID
 	}
 	switch {
 	case len(words) > 2 && words[1] == "of":
-		if i := newInitialVoterIdentity(words[0], words[2:], marks); i.id > 0 {
+		if i := newInitialVoterIdentity(words[0], words[2:], diskIDs); i.id > 0 {
 			return i, nil
 		}
 	case len(words) == 6 && words[1] == "joined" && words[4] == "in":
-		fleet, err := hex.DecodeString(words[5])
+		cluster, err := hex.DecodeString(words[5])
 		id, idErr := strconv.ParseUint(words[3], 10, 64)
-		if err == nil && idErr == nil && len(fleet) == clusterIDSize && id > 0 {
-			return &identity{name: words[0], id: id, clusterID: clusterID(fleet), diskIDs: marks}, nil
+		if err == nil && idErr == nil && len(cluster) == clusterIDSize && id > 0 {
+			return &identity{name: words[0], id: id, clusterID: clusterID(cluster), diskIDs: diskIDs}, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: no identity of a voter: %.100q", identityFile, text)
+	return nil, fmt.Errorf("%s: not the identity of a voter: %.100q", identityFile, text)
 }
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -9,24 +9,24 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// leaseClient is a daemon's side of its lease, and what it knows of the voters that may grant one.
+// leaseClient is a daemon's side of its lease, and what the daemon knows about the voters that may grant one.
 type leaseClient struct {
 	holder          *consensus.LeaseHolder
 	nextRequestAt   time.Duration // instant at which a lease is requested again
-	knownVoters     []string      // who may be asked, sorted: the first voters, and those that vote as far as is known
-	activeVoters    []string      // who votes, as the leader reported last
-	leader          string        // the voter that granted the latest lease, or that was asked last
+	knownVoters     []string      // names, sorted, of the initial voters and of all voters known since: they may grant leases
+	activeVoters    []string      // names of the daemons that vote, as a leader last reported them
+	leader          string        // name of the voter that granted the latest lease, or from which one was requested last
 	isLatestGranted bool          // leader granted the latest request
 	hasFirstGrant   bool          // Node.firstGrant is closed
 	checkingVersion uint64        // version whose check is running; 0: none
 }
 
-// requestLease requests a lease from the voter that granted the last one, or from the next one by name if it did not
-// answer.
+// requestLease requests a lease from the voter that granted the latest one. If that voter did not answer the latest
+// request, it requests the lease from the next voter by name.
 func (n *Node) requestLease(now time.Duration) {
 	c := &n.client
 	if !c.isLatestGranted {
-		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // the least string that is greater than leader
+		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // the first name after leader in sorted order
 		c.leader = c.knownVoters[i%len(c.knownVoters)]
 	}
 	c.isLatestGranted = false
@@ -36,14 +36,14 @@
 	}
 	c.nextRequestAt = next
 	if n.localVoter != nil && n.localVoter.voter.IsLeader() {
-		_ = n.localVoter.voter.RequestLease(r) // without a grant it is requested again
+		_ = n.localVoter.voter.RequestLease(r) // if it fails, the next request is due soon
 		return
 	}
 	n.sendJSON(c.leader, kindLeaseRequest, r)
 }
 
-// handleLeaseRequest hands a request to this daemon's voter. If that is not the leader, the other gets the names of
-// those that it may ask instead: its own may be out of date.
+// handleLeaseRequest passes a request to this daemon's voter. If that is not the leader, it sends the names of the known
+// voters to the requesting daemon, whose own names may be out of date.
 func (n *Node) handleLeaseRequest(m transport.Message) {
 	var r consensus.LeaseRequest
 	if json.Unmarshal(m.Body, &r) != nil || r.Daemon != m.From {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleLeaseGrant takes a grant that another daemon sent.
+// handleLeaseGrant applies a grant that another daemon sent.
 func (n *Node) handleLeaseGrant(now time.Duration, m transport.Message) {
 	var g consensus.LeaseGrant
 	if slices.Contains(n.client.knownVoters, m.From) && json.Unmarshal(m.Body, &g) == nil {
@@ -62,7 +62,8 @@
 	}
 }
 
-// applyGrant takes up a grant of a leader, which may be this daemon's own voter, and what the leader reports with it.
+// applyGrant applies a grant of a leader, which may be this daemon's own voter, and what the grant reports about the
+// voters and the versions.
 func (n *Node) applyGrant(now time.Duration, leader string, g consensus.LeaseGrant) {
 	c := &n.client
 	c.isLatestGranted, c.leader = true, leader
@@ -80,20 +81,20 @@
 	n.startCheck()
 	leased := c.holder.Leased()
 	if leased.Version != g.Version {
-		return // it can't be acted on yet
+		return // this daemon does not act on the active version yet
 	}
 	if leased.Version != n.cached.Version || !slices.Equal(g.SlotHolders, n.cached.Voters) {
 		n.cacheVersion(leased, g.SlotHolders)
 	}
 	if !c.hasFirstGrant {
 		c.hasFirstGrant = true
-		n.publish() // before the channel says that it is
+		n.publish() // so that Valid returns this version to whoever waits for firstGrant
 		close(n.firstGrant)
 	}
 }
 
-// startCheck starts Options.Check of the version that was offered, one at a time. The lease is requested as soon as it
-// ends, since the leader may wait for the result.
+// startCheck runs Options.Check for the version that the leader offered, unless a check is running. As soon as the check
+// ends the daemon requests a lease, since the leader may wait for the outcome.
 func (n *Node) startCheck() {
 	c := &n.client
 	version, docs := c.holder.PendingCheck()
@@ -118,7 +119,8 @@
 	})
 }
 
-// handleVoterNames takes the names that a daemon sent which is not the leader, unless the leader has answered already.
+// handleVoterNames adds the names of voters that a daemon sent because its voter does not lead. It ignores them if a
+// leader has granted the latest request meanwhile.
 func (n *Node) handleVoterNames(m transport.Message) {
 	var names []string
 	if json.Unmarshal(m.Body, &names) == nil && !n.client.isLatestGranted {
@@ -126,12 +128,12 @@
 	}
 }
 
-// maxKnownVoters bounds the names that are learned from daemons that are not the leader.
+// maxKnownVoters bounds the known voters if names come from daemons other than the leader.
 const maxKnownVoters = 4 * consensus.MaxVoters
 
-// setVoters sets the known voters to those that a leader reported, and the first voters.
-func (c *leaseClient) setVoters(names, firstVoters []string) {
-	c.knownVoters = sortedUnion(names, firstVoters)
+// setVoters sets the known voters to those that a leader reported and the initial voters.
+func (c *leaseClient) setVoters(names, initialVoters []string) {
+	c.knownVoters = sortedUnion(names, initialVoters)
 }
 
 // addVoters adds names to the known voters, unless there would be more than maxKnownVoters.
@@ -141,7 +143,7 @@
 	}
 }
 
-// sortedUnion has each name of both lists once.
+// sortedUnion returns the names that are in either list, each once and sorted.
 func sortedUnion(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
--- a/internal/cluster/raftnode/localvoter.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -13,23 +13,25 @@
 	"tuliprock/internal/wal"
 )
 
-// heartbeatInterval is that of the voters. Without a heartbeat for five to ten of it another leader is elected.
+// heartbeatInterval is the time between two heartbeats of the leader. The voters elect another leader when they have
+// received none for five to ten intervals.
 const heartbeatInterval = 100 * time.Millisecond
 
-// localVoter is a daemon's place among the voters: its identity, its voter and the voter's durable log.
+// localVoter is the voter that a daemon runs, with its identity and its durable log.
 type localVoter struct {
 	identity
 	voter     *consensus.Voter
-	log       *wal.Log
-	peerNames map[uint64]string // names of voters by id, as their messages have them, until the log does
+	log       *wal.Log          // durable log of the voter
+	peerNames map[uint64]string // names by raft id, from the messages of voters that the replicated State does not name yet
 }
 
-// errVoterDiskLost is why a daemon with a voter's slot does not vote: what its voter promised was on a disk that is
-// gone, and a voter without it could break the promise.
-var errVoterDiskLost = errors.New("the log of its seat is not here; have it taken out of the voters, and then put in again")
+// errVoterDiskLost is why a daemon with a voter slot does not vote. The votes and entries that its voter acknowledged
+// were on a disk that is gone; a voter without them could vote twice in a term, or lose committed entries.
+var errVoterDiskLost = errors.New("the disk to which its voter slot is bound is gone; " +
+	"remove this daemon from the voters and then add it again")
 
-// startVoter starts the voter that this daemon's disk has. A first voter whose disk has none starts the bootstrap
-// instead; nil without an error: this daemon does not vote, or not yet.
+// startVoter starts the voter that is stored on this daemon's disk. If none is stored, an initial voter starts the
+// bootstrap instead. It returns nil without an error if this daemon runs no voter, or none yet.
 func (n *Node) startVoter(now time.Duration) (*localVoter, error) {
 	text, err := readFile(n.options.Disk, identityFile, maxIdentityBytes)
 	if err != nil {
@@ -41,7 +43,7 @@
 			return nil, err
 		}
 		if own.name != n.options.Name {
-			return nil, fmt.Errorf("it is that of %q, and this is %s", strings.TrimSpace(string(text)), n.options.Name)
+			return nil, fmt.Errorf("it belongs to the voter %q, but this daemon is %s", strings.TrimSpace(string(text)), n.options.Name)
 		}
 		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: own.diskIDs}
 		return n.openVoter(now, own)
@@ -49,24 +51,25 @@
 	if n.diskID, err = n.loadDiskID(); err != nil {
 		return nil, err
 	}
-	if firstVoters := slices.Sorted(slices.Values(n.options.InitialVoters)); slices.Contains(firstVoters, n.options.Name) {
-		n.bootstrap = &bootstrap{Bootstrap: consensus.NewBootstrap(n.options.Name, n.diskID, firstVoters), startedAt: now}
+	if initialVoters := slices.Sorted(slices.Values(n.options.InitialVoters)); slices.Contains(initialVoters, n.options.Name) {
+		n.bootstrap = &bootstrap{Bootstrap: consensus.NewBootstrap(n.options.Name, n.diskID, initialVoters), startedAt: now}
 	}
 	return nil, nil
 }
 
-// createVoter writes the identity of a new voter to a directory that has no voter, and starts the voter.
+// createVoter writes the identity of a new voter to the data directory, which must not have a voter, and starts the
+// voter.
 func (n *Node) createVoter(now time.Duration, own *identity) (*localVoter, error) {
 	names, err := n.options.Disk.List()
 	if err != nil {
 		return nil, fmt.Errorf("list the voter's directory: %w", err)
 	}
-	// A daemon that did not vote leaves the cache and the mark, and a start that was cut short leaves temporary files.
+	// A daemon without a voter has written the cache and the disk id, and an interrupted start leaves temporary files.
 	names = slices.DeleteFunc(names, func(name string) bool {
 		return name == cacheFile || name == diskIDFile || strings.HasSuffix(name, wal.TempSuffix)
 	})
 	if len(names) > 0 {
-		return nil, fmt.Errorf("the directory is no voter's: it has no %s, and %d other files", identityFile, len(names))
+		return nil, fmt.Errorf("the directory belongs to no voter: it has %d other files but no %s", len(names), identityFile)
 	}
 	if err := wal.ReplaceFile(n.options.Disk, identityFile, []byte(own.String()+"\n")); err != nil {
 		return nil, fmt.Errorf("write %s: %w", identityFile, err)
@@ -74,7 +77,7 @@
 	return n.openVoter(now, own)
 }
 
-// openVoter opens the durable log, which may be empty, and starts the voter with what it has.
+// openVoter opens the durable log, which may be empty, and starts the voter from the log's contents.
 func (n *Node) openVoter(now time.Duration, own *identity) (*localVoter, error) {
 	state, err := consensus.NewRecoveredState(own.initialVoters)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return &localVoter{identity: *own, voter: voter, log: log, peerNames: map[uint64]string{}}, nil
 }
 
-// stopVoter stops this daemon's voter; no other is started before the process ends.
+// stopVoter stops this daemon's voter. The process starts none again.
 func (n *Node) stopVoter() {
 	if err := n.localVoter.log.Close(); err != nil {
 		n.options.Log.Warn("durable log not closed cleanly", "error", err)
@@ -108,7 +111,8 @@
 	n.localVoter, n.hasStoppedVoting = nil, true
 }
 
-// applyVoterAction does what follows for this daemon's slot from the grant of a leader that a majority has confirmed.
+// applyVoterAction starts or stops this daemon's voter if a grant requires it. A majority has confirmed the leader that
+// sent the grant.
 func (n *Node) applyVoterAction(now time.Duration, g *consensus.LeaseGrant) {
 	var id uint64
 	if n.localVoter != nil {
@@ -116,8 +120,8 @@
 	}
 	switch g.VoterAction(n.options.Name, id) {
 	case consensus.StopVoter:
-		n.options.Log.Warn("this daemon does not vote any more: its seat was taken out; empty its data_dir before it is to vote again",
-			"voter_id", id)
+		n.options.Log.Warn("this daemon does not vote any more: its voter slot was removed; "+
+			"empty its data_dir before adding it to the voters again", "voter_id", id)
 		n.stopVoter()
 	case consensus.StartVoter:
 		if !n.hasStoppedVoting {
@@ -131,14 +135,15 @@
 	}
 }
 
-// startAddedVoter starts a voter that was added to the voters. If that fails it is not tried again with each grant.
+// startAddedVoter starts the voter of a daemon that was added to the voters. If that fails it is not attempted again, as
+// each grant would repeat it.
 func (n *Node) startAddedVoter(now time.Duration, own *identity) {
-	slot, err := n.createVoter(now, own)
+	voter, err := n.createVoter(now, own)
 	if err != nil {
 		n.hasStoppedVoting = true
-		n.options.Log.Error("this daemon was called to vote, and can't", "error", err)
+		n.options.Log.Error("this daemon was added to the voters, but its voter can't start", "error", err)
 		return
 	}
 	n.options.Log.Info("voter started", "voter_id", own.id)
-	n.localVoter, n.bootstrap = slot, nil
+	n.localVoter, n.bootstrap = voter, nil
 }
--- a/internal/cluster/raftnode/messages.go
+++ b/internal/cluster/raftnode/messages.go
@@ -2,24 +2,25 @@
 
 import "encoding/json"
 
-// Kinds of messages between nodes. They are on the wire, and never change.
+// Kinds of messages between nodes, with what their bodies hold, in JSON unless said otherwise. The values are on the
+// wire and must not change.
 const (
-	kindRaft           = 'r' // a fleetID, and a raft message in protobuf's encoding
-	kindLeaseRequest   = 'q' // consensus.LeaseRequest
-	kindLeaseGrant     = 'g' // consensus.LeaseGrant
-	kindProposal       = 'p' // consensus.Command, as its Encode returns it
-	kindProposalResult = 's' // proposalResult
-	kindVoterNames     = 'v' // []string
-	kindBootstrap      = 'f' // bootstrapMessage
+	kindRaft           = 'r' // a clusterID, followed by a raft message in protobuf's encoding
+	kindLeaseRequest   = 'q' // a consensus.LeaseRequest
+	kindLeaseGrant     = 'g' // a consensus.LeaseGrant
+	kindProposal       = 'p' // a consensus.Command, as its Encode method returns it
+	kindProposalResult = 's' // a proposalResult
+	kindVoterNames     = 'v' // names of the voters that the sender knows, as a []string
+	kindBootstrap      = 'f' // a bootstrapMessage
 )
 
-// send sends a message without knowing whether it goes out: one that does not is lost as if the network had dropped it,
-// and whoever needs an answer sends again.
+// send sends a message and ignores errors: a message that is not sent is lost as if the network had dropped it, and
+// senders that need an answer repeat their message.
 func (n *Node) send(to string, kind byte, body []byte) {
 	_ = n.options.Transport.Send(to, kind, body)
 }
 
-// sendJSON is send of a body in JSON.
+// sendJSON sends a message whose body is the JSON encoding of a value.
 func (n *Node) sendJSON(to string, kind byte, body any) {
 	if encoded, err := json.Marshal(body); err == nil {
 		n.send(to, kind, encoded)
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -1,21 +1,23 @@
-// Package raftnode runs a daemon's part in the cluster's agreement: it owns the daemon's voter (package consensus), the
-// voter's durable log (package wal) and the daemon's lease, and carries their messages over a transport.
+// Package raftnode connects a daemon to the replicated documents of package consensus. It runs the daemon's voter, if
+// the daemon has one, with the voter's durable log (package wal), keeps the daemon's lease, and carries their messages
+// over a transport.
 //
 // # State and goroutines
 //
 // Start starts one goroutine, the event loop, which alone owns the voter, the log, the lease and the pending proposals.
-// While a version is checked (Options.Check) there is one more, which hands its result back to the event loop. Close
-// ends both and waits for them. Requests read what the daemon may act on from an atomic pointer (Valid, CoversVersion)
-// and never wait for the event loop.
+// While a version is checked (Options.Check) a second goroutine runs, which passes the outcome to the event loop. Close
+// ends both and waits for them. Valid and CoversVersion, which are called for each request of a client, read an atomic
+// pointer and never wait for the event loop.
 //
 // # What a caller may rely on
 //
-// All methods of Node are safe for concurrent use. A version is acted on only under a lease that a majority of the
-// voters stands behind. A proposal is answered when it is committed or rejected; while that can't be known it fails
-// with consensus.ErrIndeterminate, and the same command with the same ID is applied once however often it is proposed.
+// All methods of Node are safe for concurrent use. The daemon may act on a version only under a lease, which the leader
+// grants after a majority of the voters has confirmed its leadership. A proposal returns when it is committed or
+// rejected. If that is not known in time it fails with consensus.ErrIndeterminate; a command is applied once, however
+// often it is proposed with the same ID.
 //
-// A voter whose disk fails stops for the rest of the process and says so in the log; its daemon goes on under the
-// leases of the other voters. At most maxPendingProposals commands are pending; messages are bounded by the transport.
+// A voter whose disk fails stops until the process is restarted and logs an error; its daemon continues under leases of
+// the other voters. At most maxPendingProposals commands are pending. The transport bounds the size of messages.
 package raftnode
 
 import (
@@ -33,65 +35,67 @@
 
 // Transport carries messages between the daemons; *transport.Transport is one.
 type Transport interface {
-	// Send sends a message to a daemon by its name and does not wait for it. An error says that the message did not go
-	// out; nil does not say that it arrives.
+	// Send sends a message to the daemon with a name and returns at once. An error means that the message was not sent;
+	// without an error it may still be lost.
 	Send(name string, kind byte, body []byte) error
-	// Messages has what other daemons sent to this one.
+	// Messages returns the channel of the messages that other daemons sent to this one.
 	Messages() <-chan transport.Message
 }
 
-// Options of a Node. Name, Voters, Lease, Transport, Now and Log must be set.
+// Options of a Node. Name, InitialVoters, Lease, Transport, Now and Log must be set.
 type Options struct {
-	// Name is this daemon's, unique in the cluster.
+	// Name is the name of this daemon, unique in the cluster.
 	Name string
-	// Voters are the names of the first voters, in any order. All daemons of a cluster have the same, also after voters
-	// changed.
+	// InitialVoters are the names of the cluster's initial voters, in any order. All daemons of a cluster have the same
+	// ones, which stay the same when the voters change.
 	InitialVoters []string
-	// Disk holds a voter's durable log and the version that was acted on last. Nil: nothing outlasts a restart, and
-	// this daemon can't vote.
+	// Disk holds the voter's durable log, and the version on which the daemon acted last. If it is nil, nothing outlasts
+	// a restart, and this daemon can't run a voter.
 	Disk wal.FS
-	// Lease has the lease times, the same for all daemons of a cluster.
+	// Lease has the durations of leases, the same for all daemons of a cluster.
 	Lease consensus.LeaseConfig
-	// Transport carries the messages. Its owner closes it, after the Node.
+	// Transport carries the messages. Its owner closes it after the Node.
 	Transport Transport
-	// Now is this daemon's clock, which never runs backwards.
+	// Now is this daemon's monotonic clock.
 	Now func() time.Duration
-	// Log gets what operators need to see.
+	// Log gets the messages for operators.
 	Log *slog.Logger
-	// Check returns an error if this daemon can't act on documents; nil: it can act on all. Start calls it for the
-	// cached version; after that it runs on a goroutine of its own, one call at a time.
+	// Check returns an error if this daemon can't act on the documents of a version. If it is nil, the daemon can act on
+	// all versions. Start calls it for the cached version; after that it runs on a goroutine of its own, one call at a
+	// time.
 	Check func(docs map[string]consensus.Document) error
-	// The daemon reports by MarkInstalled which version it has installed. Otherwise a version counts as installed as
-	// soon as it is leased.
+	// ReportsInstalled means that the daemon calls MarkInstalled for each version that it has installed. Otherwise a
+	// version counts as installed as soon as it is leased.
 	ReportsInstalled bool
 }
 
-// Node is a daemon's part in the agreement. Start makes one.
+// Node connects a daemon to the replicated documents. Start returns a running one.
 type Node struct {
 	options    Options
-	leased     atomic.Pointer[consensus.LeasedVersion]
-	status     atomic.Pointer[Status]
-	firstGrant chan struct{} // closed at the first grant
-	changed    chan struct{} // has a value when leased has another version
-	calls      chan func()   // for the event loop to run
-	ctx        context.Context
-	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
-
-	// What follows is owned by the event loop, run.
-
-	localVoter       *localVoter // nil: this daemon does not vote
-	hasStoppedVoting bool        // until the process ends: no voter is started any more
-	isDiskLossLogged bool
-	diskID           string                   // of a disk that had no voter at Start; empty: it had one, or there is no disk
-	bootstrap        *bootstrap               // while this daemon is a first voter that has yet to begin; else nil
-	bootstrapVote    *consensus.BootstrapVote // answer to first voters that have yet to begin; nil: it never began
-	client           leaseClient
-	proposals        pendingProposals
-	cached           cacheEntry // what the cache file holds, without the documents
+	leased     atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act, for all goroutines
+	status     atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
+	firstGrant chan struct{}                           // closed at the first grant that this daemon can act on
+	changed    chan struct{}                           // has a value when leased has another version than before
+	calls      chan func()                             // functions that the event loop is to run
+	ctx        context.Context                         // canceled by Close
+	cancel     context.CancelFunc                      // cancels ctx
+	goroutines sync.WaitGroup                          // event loop and running check
+
+	// The fields below are owned by the event loop (run).
+
+	localVoter       *localVoter              // this daemon's voter; nil: it runs none
+	hasStoppedVoting bool                     // this process starts no voter any more
+	isDiskLossLogged bool                     // the log has the error that the disk of this daemon's voter is lost
+	diskID           string                   // id of this daemon's disk if it had no voter at Start; else empty
+	bootstrap        *bootstrap               // set while this daemon is an initial voter that has not created its log; else nil
+	bootstrapVote    *consensus.BootstrapVote // vote of a voter that has created its log, for the other initial voters; else nil
+	client           leaseClient              // this daemon's lease, and the voters that may grant it
+	proposals        pendingProposals         // commands whose result is not known, or not fetched, yet
+	cached           cacheEntry               // contents of the cache file, without the documents
 }
 
-// Start loads what the disk has and starts the event loop. An error names the file or what is wrong with the directory.
+// Start loads the state on the disk and starts the event loop. An error names the damaged file, or says what is wrong
+// with the directory.
 func Start(o Options) (*Node, error) {
 	n := &Node{
 		options:    o,
@@ -116,8 +120,7 @@
 	return n, nil
 }
 
-// Close stops the node and returns when none of its goroutines runs any more. An error is that of closing the durable
-// log.
+// Close stops the node and returns when all its goroutines have ended. It returns the error of closing the durable log.
 func (n *Node) Close() error {
 	n.cancel()
 	n.goroutines.Wait()
@@ -127,45 +130,45 @@
 	return nil
 }
 
-// Valid returns what this daemon acts on, which must not be changed, and whether its lease is valid now. It is false
-// after the lease has expired and before the first one. The caller bounds the time between this check and the act. No
-// lock is taken.
+// Valid returns the version on which this daemon acts, which the caller must not modify, and whether the lease on it is
+// valid now. It is not valid before the first grant and after the lease has expired. The caller bounds the time between
+// this check and what it does under the lease. Valid takes no lock.
 func (n *Node) Valid() (*consensus.LeasedVersion, bool) {
 	leased := n.leased.Load()
 	return leased, leased.Version > 0 && n.options.Now() < leased.ExpiresAt
 }
 
-// CoversVersion reports whether a version may be acted on now: the leased one, or the one before it until that one's
-// lease has expired. No lock is taken.
+// CoversVersion reports whether this daemon may act on a version now: the leased version, or the previous one until the
+// lease on that has expired. It takes no lock.
 func (n *Node) CoversVersion(version uint64) bool {
 	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
 
-// LeaseRemaining is the time until the lease expires; 0: it has expired.
+// LeaseRemaining returns the time until the lease expires, 0 if it has expired.
 func (n *Node) LeaseRemaining() time.Duration {
 	return max(n.leased.Load().ExpiresAt-n.options.Now(), 0)
 }
 
-// MarkInstalled reports that this daemon has installed a version. It is to be
-// called if the options say so, and only then.
+// MarkInstalled records that all parts of this daemon act on a version. It must be called if Options.ReportsInstalled is
+// set, and only then.
 func (n *Node) MarkInstalled(version uint64) {
 	n.submit(n.ctx, func() { n.client.holder.MarkInstalled(version) })
 }
 
-// Recheck has a version that this daemon rejected checked again when it is offered next. It is to be called when
-// something changed on which Options.Check depends.
+// Recheck has a version that this daemon rejected checked again when the leader offers it next. It is to be called when
+// something changes on which the result of Options.Check depends.
 func (n *Node) Recheck() { n.submit(n.ctx, func() { n.client.holder.Recheck() }) }
 
-// FirstGrant is closed when the first grant since Start that this daemon can act on has come. Valid returns what is
-// agreed from then on, if anything is.
+// FirstGrant returns a channel that is closed at the first grant since Start that this daemon can act on. From then on
+// Valid returns the cluster's active version, if there is one.
 func (n *Node) FirstGrant() <-chan struct{} { return n.firstGrant }
 
-// Changed has a value when Valid returns another version than before. Changes that were not received in time are merged
-// into one.
+// Changed returns a channel that gets a value when Valid returns another version than before. Changes are merged into
+// one value until the caller receives it.
 func (n *Node) Changed() <-chan struct{} { return n.changed }
 
-// submit hands a function to the event loop and does not wait for its end. It returns false if ctx or the node ended
-// first: the function is not run then.
+// submit passes a function to the event loop and does not wait until it has run. It returns false, and the function is
+// not run, if ctx or the node ends first.
 func (n *Node) submit(ctx context.Context, call func()) bool {
 	select {
 	case n.calls <- call:
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds; the bytes are those that
+	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds. The bytes are as many as
 	// raft allows to be uncommitted.
 	maxPendingProposals     = 64
 	maxPendingProposalBytes = 8 << 20
 
-	// initialRetryBackoff lies between the first two attempts of a command. It doubles with each attempt up to
-	// maxRetryBackoff, since every attempt may have all voters write another copy of a long command.
+	// initialRetryBackoff is the time between the first two attempts of a command. The time doubles with each attempt up
+	// to maxRetryBackoff, since with every attempt all voters may write another copy of a long command.
 	initialRetryBackoff = time.Second
 	maxRetryBackoff     = orphanRetention
 
-	// orphanRetention is how long a proposal is held for which no caller here waits: proposed again within it, it is not
-	// proposed to raft a second time.
+	// orphanRetention is how long a node holds a proposal for which none of its callers waits. A command that is proposed
+	// again within that time is not proposed to raft again.
 	orphanRetention = 8 * time.Second
 )
 
-// proposal is a command that was proposed here, or that another daemon forwarded to this voter.
+// proposal is a command that was proposed at this node, or that another daemon forwarded to this node's voter.
 type proposal struct {
-	body          []byte              // the encoded command; nil after result is set
-	waiter        chan proposalResult // of the caller that waits here; nil: none
-	forwarder     string              // the daemon that forwarded it; empty: none
-	nextAttemptAt time.Duration
-	backoff       time.Duration
-	expiresAt     time.Duration
-	result        *proposalResult // held for a caller that proposes it again; nil: not known yet
+	body          []byte              // encoded command; nil once result is set
+	waiter        chan proposalResult // channel on which a caller of this node waits for the result; nil: none waits
+	forwarder     string              // name of the daemon that forwarded the command; empty: it was proposed here
+	nextAttemptAt time.Duration       // instant at which the command is proposed to raft or forwarded again
+	backoff       time.Duration       // time between the next attempt and the one after that
+	expiresAt     time.Duration       // instant at which the proposal is dropped
+	result        *proposalResult     // result for a caller that proposes the command again; nil: it is not known yet
 }
 
-// proposalResult is the result of a command. Its JSON is the body of a message: the tags never change.
+// proposalResult is the result of a command. Its JSON names are on the wire and must not change.
 type proposalResult struct {
-	ID string `json:"ID"`
+	ID string `json:"ID"` // the command's ID
 	consensus.CommandResult
-	Error string `json:"Err"` // why it was rejected; empty: it was committed
+	Error string `json:"Err"` // why the command was rejected; empty: it was committed
 }
 
-// pendingProposals holds proposals by the ID of their command.
+// pendingProposals holds proposals by the IDs of their commands.
 type pendingProposals map[string]*proposal
 
-// hasCapacity reports whether one more command of so many bytes may be held.
+// hasCapacity reports whether one more command of this size in bytes may be held.
 func (p pendingProposals) hasCapacity(size int) bool {
 	for _, other := range p {
 		size += len(other.body)
@@ -59,7 +59,7 @@
 	return len(p) < maxPendingProposals && size <= maxPendingProposalBytes
 }
 
-// ProposeVersion is Propose for callers that need only the version that the command made.
+// ProposeVersion does what Propose does, and returns only the version that the command made.
 func (n *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
 	r, err := n.Propose(ctx, cmd)
 	return r.Version, err
@@ -88,7 +88,7 @@
 	select {
 	case r := <-result:
 		if r.Error != "" {
-			return r.CommandResult, errors.New(r.Error) // only the text crosses the wire
+			return r.CommandResult, errors.New(r.Error) // a message carries only the text of an error
 		}
 		return r.CommandResult, nil
 	case <-ctx.Done():
@@ -102,8 +102,8 @@
 	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
-// addProposal has a command's result sent to waiter: at once if it is known, otherwise when it comes. It returns false
-// if the command is new and there is no capacity for it.
+// addProposal has the result of a command sent to waiter: at once if it is known, otherwise when it arrives. It returns
+// false if the command is new and there is no capacity for it.
 func (n *Node) addProposal(id string, body []byte, waiter chan proposalResult) bool {
 	p := n.proposals[id]
 	switch {
@@ -120,8 +120,8 @@
 	return true
 }
 
-// handleProposal takes a command that another daemon forwarded to this voter. Without capacity it is dropped: the other
-// retries.
+// handleProposal handles a command that another daemon forwarded to this node's voter. If there is no capacity for the
+// command it is dropped, and the other daemon retries.
 func (n *Node) handleProposal(now time.Duration, m transport.Message) {
 	var cmd struct {
 		ID string `json:"id"`
@@ -146,8 +146,8 @@
 	}
 }
 
-// attemptProposals drops expired proposals and attempts those that are due: a voter proposes to raft, any other daemon
-// forwards to the leader that it knows.
+// attemptProposals drops expired proposals and attempts those that are due: a node with a voter proposes the command to
+// raft, any other one forwards it to the leader that it knows.
 func (n *Node) attemptProposals(now time.Duration) {
 	for id, p := range n.proposals {
 		switch {
@@ -156,7 +156,7 @@
 		case now < p.nextAttemptAt || p.result != nil:
 		case n.localVoter != nil:
 			if n.localVoter.voter.ProposeEncoded(p.body) != nil {
-				p.nextAttemptAt = now + heartbeatInterval // there is no leader, and nothing was proposed
+				p.nextAttemptAt = now + heartbeatInterval // raft knows no leader, and nothing was proposed
 				continue
 			}
 			p.scheduleRetry(now)
@@ -173,7 +173,7 @@
 	p.backoff = min(2*p.backoff, maxRetryBackoff)
 }
 
-// handleProposalResult takes the result of a command from a voter to which it was forwarded.
+// handleProposalResult handles the result of a command from a voter to which this node forwarded the command.
 func (n *Node) handleProposalResult(m transport.Message) {
 	var r proposalResult
 	if json.Unmarshal(m.Body, &r) == nil && slices.Contains(n.client.knownVoters, m.From) {
@@ -181,7 +181,8 @@
 	}
 }
 
-// completeProposal hands a result to whoever waits for it. If nobody does it is held until the proposal expires.
+// completeProposal passes a result to the caller or the daemon that waits for it. If none does, the result is held until
+// the proposal expires.
 func (n *Node) completeProposal(r proposalResult) {
 	p := n.proposals[r.ID]
 	if p == nil || p.result != nil {
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -6,26 +6,26 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// Status is the state of the agreement as this daemon sees it.
+// Status describes the cluster's voters and the replicated documents as far as this daemon knows.
 type Status struct {
-	IsVoter            bool                      // this daemon is a voter, and no learner
-	IsLeader           bool                      // this daemon's voter is the leader
-	Leader             string                    // the voter that granted the latest lease, or that was asked for one last
-	KnownVoters        []string                  // whom this daemon may ask for a lease, sorted
-	ActiveVoters       []string                  // who votes, as the leader reported last
-	Term               uint64                    // raft's, of this daemon's voter; 0: it does not vote
-	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: it does not vote
-	PendingVersion     uint64                    // version that is activated next, as this daemon's voter has applied it; 0: it does not vote
-	FullyActiveVersion uint64                    // no daemon acts on an earlier version; 0: not known
-	Lagging            []consensus.LaggingDaemon // daemons that the leader waits for
-	RejectedVersion    uint64                    // latest version that this daemon rejected; 0: none
-	RejectionReason    string                    // why it was rejected
+	IsVoter            bool                      // this daemon runs a voter that is not a learner
+	IsLeader           bool                      // this daemon's voter takes itself for the leader
+	Leader             string                    // voter that granted the latest lease, or from which one was requested last
+	KnownVoters        []string                  // names of the daemons from which this one may request a lease, sorted
+	ActiveVoters       []string                  // names of the daemons that vote, as a leader last reported them
+	Term               uint64                    // latest raft term that this daemon's voter has seen; 0: it runs no voter
+	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: it runs no voter
+	PendingVersion     uint64                    // version to be activated next, by this daemon's voter; 0: it runs no voter
+	FullyActiveVersion uint64                    // version before which no daemon acts; 0: not known
+	Lagging            []consensus.LaggingDaemon // daemons for which the leader waits
+	RejectedVersion    uint64                    // latest version on which this daemon can't act; 0: none
+	RejectionReason    string                    // why this daemon can't act on RejectedVersion
 }
 
-// Status returns the state as of the event loop's last turn. Its slices must not be changed.
+// Status returns the status after the latest pass of the event loop. The caller must not modify its slices.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// publish stores what other goroutines read, the leased version and the status, if it changed.
+// publish makes the leased version and the status available to other goroutines if they have changed.
 func (n *Node) publish() {
 	leased := n.client.holder.Leased()
 	if before := n.leased.Load(); leased.Version != before.Version || leased.ExpiresAt != before.ExpiresAt {
@@ -42,7 +42,7 @@
 	}
 }
 
-// currentStatus collects the status from the lease client and the voter.
+// currentStatus returns the status by the state of the lease client and the voter.
 func (n *Node) currentStatus() Status {
 	s := Status{Leader: n.client.leader, KnownVoters: n.client.knownVoters, ActiveVoters: n.client.activeVoters}
 	s.FullyActiveVersion, s.Lagging = n.client.holder.FullyActive()
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// cacheFile holds the version that a daemon acted on last: a line with the SHA-256 of the rest, and the rest as the
-	// JSON of a cacheEntry. It is replaced atomically. It grants no lease: a daemon that starts and reaches no voter
-	// goes on with it as with a lease that has expired.
+	// cacheFile is the name of the file that holds the version on which a daemon acted last: a line with the SHA-256 of
+	// the rest of the file, and then a cacheEntry in JSON. The file is replaced atomically. It is no lease: a daemon
+	// that starts and reaches no voter uses the cached version as if the lease on it had expired.
 	cacheFile = "ACTED"
 
-	checksumSize  = 2*sha256.Size + 1           // bytes: hexadecimal digits, and the end of the line
-	maxCacheBytes = 2 * consensus.MaxTotalBytes // bodies in base64, and the names
+	checksumSize  = 2*sha256.Size + 1           // bytes of the checksum line: hexadecimal digits and a newline
+	maxCacheBytes = 2 * consensus.MaxTotalBytes // greatest size of the cache file: bodies in base64, and names
 )
 
-// cacheEntry is what the cache file holds.
+// cacheEntry is the version and the voters that the cache file holds. Its JSON names are stored and must not change.
 type cacheEntry struct {
-	Version uint64                        `json:"version"`
-	Docs    map[string]consensus.Document `json:"docs"`
-	Voters  []string                      `json:"voters"`
+	Version uint64                        `json:"version"` // version on which the daemon acted last
+	Docs    map[string]consensus.Document `json:"docs"`    // documents of Version, by name
+	Voters  []string                      `json:"voters"`  // names of the daemons with a voter slot, sorted
 }
 
-// cacheVersion writes the version that this daemon acts on, and the voters' names. If the disk fails the daemon goes
-// on: all it loses is what it would start with. The write is not repeated then.
+// cacheVersion writes the version on which this daemon acts, and the names of the voters, to the cache file. If the disk
+// fails, the write is not repeated and the daemon continues: it only lacks the version at its next start.
 func (n *Node) cacheVersion(leased consensus.LeasedVersion, voters []string) {
 	n.cached = cacheEntry{Version: leased.Version, Voters: voters}
 	if n.options.Disk == nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// loadCachedVersion returns the cached version and takes up its voters. It returns nothing if there is none, or if it
-// is damaged or rejected by Options.Check.
+// loadCachedVersion returns the cached version with its documents, and adds the cached voters to the known ones. It
+// returns version 0 if there is no cache file, or if the file is damaged or Options.Check rejects the version.
 func (n *Node) loadCachedVersion() (uint64, map[string]consensus.Document) {
 	if n.options.Disk == nil {
 		return 0, nil
@@ -64,7 +64,7 @@
 	return entry.Version, entry.Docs
 }
 
-// readCacheEntry reads the cache file; nil: there is none.
+// readCacheEntry reads the cache file. It returns nil without an error if there is none.
 func readCacheEntry(fs wal.FS) (*cacheEntry, error) {
 	text, err := readFile(fs, cacheFile, maxCacheBytes)
 	if text == nil || err != nil {
@@ -72,7 +72,7 @@
 	}
 	checksum := fmt.Sprintf("%x\n", sha256.Sum256(text[min(len(text), checksumSize):]))
 	if len(text) < checksumSize || string(text[:checksumSize]) != checksum {
-		return nil, fmt.Errorf("%s: the checksum is not that of its contents", cacheFile)
+		return nil, fmt.Errorf("%s: its checksum does not match its contents", cacheFile)
 	}
 	entry := &cacheEntry{}
 	if err := json.Unmarshal(text[checksumSize:], entry); err != nil {
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -11,11 +11,11 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxPeerNames bounds the names that are learned from messages. Ids are never assigned twice, and a voter that is so
-// far behind the log gets it from any of those that it knows.
+// maxPeerNames bounds the names of voters that are taken from messages. As raft ids are never assigned twice, a voter
+// may meet more ids than that only if it is far behind; it then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
-// peerName returns a voter's name by its id; empty: it is not known.
+// peerName returns the name of the voter with a raft id, or an empty string if it is not known.
 func (v *localVoter) peerName(id uint64) string {
 	if name := v.voter.State().VoterName(id); name != "" {
 		return name
@@ -23,7 +23,8 @@
 	return v.peerNames[id]
 }
 
-// handleRaft hands a raft message to the voter if the daemon that sent it is the voter that it names as its sender.
+// handleRaft passes a raft message to this node's voter, if the daemon that sent it is the voter that the message names
+// as its sender.
 func (n *Node) handleRaft(now time.Duration, m transport.Message) {
 	message := &raftpb.Message{}
 	if len(m.Body) < clusterIDSize || proto.Unmarshal(m.Body[clusterIDSize:], message) != nil {
@@ -35,7 +36,7 @@
 	}
 	switch known := v.peerName(message.GetFrom()); {
 	case known == "" && len(v.peerNames) < maxPeerNames:
-		// A voter that was added while this one was away may be the leader now.
+		// The sender may have been added while this voter was down, and may be the leader by now.
 		v.peerNames[message.GetFrom()] = m.From
 	case known != m.From:
 		return
@@ -43,8 +44,8 @@
 	v.voter.Receive(now, message)
 }
 
-// processVoterOutput persists what the voter has to promise and then sends what rests on it, until there is nothing
-// more to do.
+// processVoterOutput does the work that the voter has, until there is no more: it persists records and snapshots, and
+// then sends the messages, grants and results that depend on them.
 func (n *Node) processVoterOutput() {
 	for n.localVoter != nil {
 		voter := n.localVoter.voter
@@ -74,7 +75,7 @@
 	}
 }
 
-// persist writes a voter's records and then its snapshot, and returns nil when they are durable.
+// persist writes the voter's records and then its snapshot to the durable log, and returns nil when they are durable.
 func (v *localVoter) persist(output *consensus.VoterOutput) error {
 	for _, r := range output.Records {
 		if _, err := v.log.Append(r.Type, r.Payload); err != nil {
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// sendRaft sends a raft message to the voter that it is for. Raft needs to know whether a snapshot went out, and
-// resends anything else without.
+// sendRaft sends a raft message to its recipient. raft must be notified whether a snapshot was sent; it resends other
+// messages without that.
 func (n *Node) sendRaft(message *raftpb.Message) {
 	name := n.localVoter.peerName(message.GetTo())
 	if name == "" {
@@ -109,7 +110,7 @@
 	}
 }
 
-// deliverGrants sends the leases that this daemon's voter grants, and takes up its own.
+// deliverGrants sends the grants of this daemon's voter to other daemons, and applies the one for this daemon.
 func (n *Node) deliverGrants(grants []consensus.AddressedGrant) {
 	for _, g := range grants {
 		if g.Recipient == n.options.Name {
@@ -120,7 +121,7 @@
 	}
 }
 
-// deliverResults completes the proposals that the voter has applied.
+// deliverResults completes the proposals whose commands this daemon's voter has applied.
 func (n *Node) deliverResults(results []consensus.Result) {
 	for _, r := range results {
 		result := proposalResult{ID: r.ID, CommandResult: r.CommandResult}
