--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -7,20 +7,21 @@
 	"pgregory.net/rapid"
 )
 
+// bootstrapNames are the names of the initial voters in these tests.
 var bootstrapNames = []string{"a", "b", "c"}
 
 // bootstrapDisk is the disk of an initial voter.
 type bootstrapDisk struct {
-	id   string
-	vote BootstrapVote // what it says once it has begun
+	id   string        // disk id
+	vote BootstrapVote // vote of the voter once it has begun; before that the zero value
 }
 
-// bootstrapRun is a fleet whose initial voters restart, lose disks and exchange votes in any order.
+// bootstrapRun is a cluster whose initial voters restart, lose disks and exchange votes in any order.
 type bootstrapRun struct {
-	disks        map[string]*bootstrapDisk
-	bootstrap    map[string]*Bootstrap
-	lost         map[string]bool // voters that lost their disk after a majority had begun
-	drawnDiskIDs int             // disk ids
+	disks        map[string]*bootstrapDisk // present disks, by the voter's name
+	bootstrap    map[string]*Bootstrap     // running bootstraps, by the voter's name
+	lost         map[string]bool           // names of voters that lost their disk after a majority had begun
+	drawnDiskIDs int                       // number of disk ids drawn so far
 }
 
 func newBootstrapRun() *bootstrapRun {
@@ -31,18 +32,19 @@
 	return r
 }
 
-// replaceDisk starts a voter with an empty disk.
+// replaceDisk restarts a voter with an empty disk, which has a new id.
 func (r *bootstrapRun) replaceDisk(name string) {
 	r.drawnDiskIDs++
 	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawnDiskIDs)}
 	r.restart(name)
 }
 
+// restart restarts a voter with the disk that it has.
 func (r *bootstrapRun) restart(name string) {
 	r.bootstrap[name] = NewBootstrap(name, r.disks[name].id, bootstrapNames)
 }
 
-// voteOf is what a voter says when it is asked.
+// voteOf returns the vote with which a voter answers a request.
 func (r *bootstrapRun) voteOf(name string) BootstrapVote {
 	vote := r.disks[name].vote
 	if vote.DiskID = r.disks[name].id; !vote.HasBegun {
@@ -51,7 +53,7 @@
 	return vote
 }
 
-// hasMajority reports whether a majority has begun with the same disks.
+// hasMajority reports whether a majority of the voters has begun with the same disk ids.
 func (r *bootstrapRun) hasMajority() bool {
 	counts := map[string]int{}
 	for _, disk := range r.disks {
@@ -65,8 +67,9 @@
 	return false
 }
 
-// In whatever order votes arrive and disks are lost: once a majority has begun with the same disks, a voter that loses
-// its disk never begins. If a majority has lost its disks, nobody can tell any more.
+// Votes arrive and disks are lost in random order. Once a majority has begun with the same disk ids, a voter that loses
+// its disk must not begin again. The run ends when a majority has lost its disks, since the others can't know any more
+// who had begun.
 func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapRun(), false
@@ -81,7 +84,7 @@
 					return
 				}
 				r.replaceDisk(name)
-				for _, b := range r.bootstrap { // a disk is not replaced within one round
+				for _, b := range r.bootstrap { // Bootstrap assumes that no disk is replaced within one round
 					b.StartRound()
 				}
 				continue
@@ -99,10 +102,10 @@
 				continue
 			}
 			if r.lost[name] {
-				t.Fatalf("%s begins with %v, though its disk was lost after others had begun", name, diskIDs)
+				t.Fatalf("%s begins with disk ids %v, though its disk was lost after others had begun", name, diskIDs)
 			}
 			if diskIDs[name] != disk.id || len(diskIDs) != len(bootstrapNames) {
-				t.Fatalf("%s, whose disk is %s, begins with %v", name, disk.id, diskIDs)
+				t.Fatalf("%s begins with disk ids %v, want %d ids with its own, %s", name, diskIDs, len(bootstrapNames), disk.id)
 			}
 			disk.vote = BootstrapVote{HasBegun: true, DiskID: disk.id, DiskIDs: diskIDs}
 			hadMajority = hadMajority || r.hasMajority()
@@ -113,12 +116,13 @@
 func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
 	b := NewBootstrap("a", "1", bootstrapNames)
 	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
-	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // no initial voter
+	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // x is no initial voter
 	if diskIDs, isLost := b.Decide(); diskIDs != nil || isLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
-		t.Errorf("without the vote of c: disks %v, lost %v, missing votes %v", diskIDs, isLost, b.MissingVotes())
+		t.Errorf("without the vote of c: disk ids %v, lost %v, missing votes %v; want none, false, [c]",
+			diskIDs, isLost, b.MissingVotes())
 	}
 	b.ReceiveVote("c", 0, BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "0"}})
 	if _, isLost := b.Decide(); !isLost {
-		t.Error("c began with another disk of this voter, which is not taken for lost")
+		t.Error("c began when this voter had another disk, but Decide does not report the disk as lost")
 	}
 }
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// zeroDigest is a digest of zeros in JSON.
+// zeroDigest is the JSON encoding of a digest of zeros.
 var zeroDigest = "[" + strings.Repeat("0,", 31) + "0]"
 
-// Names in messages between daemons and in stored data are fixed: daemons of other builds read the messages, and later
-// builds read what a disk holds. A Go field may be renamed; its name in JSON may not.
+// The JSON names of fields in messages and in stored data must not change: daemons of other builds read the messages,
+// and later builds read the data on the disks. A Go field may be renamed; its JSON name may not.
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
 	expected := uint64(3)
 	document := Document{Name: "a", Version: 2, ProposedBy: "op", Body: []byte("xy")}
@@ -110,12 +110,12 @@
 	}
 }
 
-// The types of records in a durable log and the form of a snapshot's body are fixed, too.
+// The record types of a durable log and the encoding of a snapshot's body must not change, since later builds read them.
 func TestStoredRecordFormIsFixed(t *testing.T) {
 	if got := string([]byte{recordHardState, recordEntry, recordSnapshotMarker}); got != "hem" {
 		t.Errorf("record types %q, want %q", got, "hem")
 	}
 	if got := string(joinParts([]byte("ab"), nil, []byte("c"))); got != "\x02ab\x00\x01c" {
-		t.Errorf("joined parts %q", got)
+		t.Errorf("joined parts %q, want %q", got, "\x02ab\x00\x01c")
 	}
 }
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -8,28 +8,31 @@
 	"time"
 )
 
-// interleaving is a small case that is explored exhaustively: two daemons, two versions, one change of leader, and
-// every order of so many steps. Time advances by steps; one daemon's clock runs as slow and the other's as fast as is
-// allowed. What raft guarantees is assumed: one log, and grants of a former leader only for requests from before its
-// successor was elected.
+// interleaving is a small cluster whose steps are explored exhaustively, in every order up to some number of steps. It
+// has two daemons, two versions and at most one change of the leader. Time advances by steps; one daemon's clock runs as
+// slow and the other's as fast as is allowed. The guarantees of raft are assumed: there is one log, and a former leader
+// grants leases only for requests that were made before its successor was elected.
 type interleaving struct {
 	state            *State
 	manager          *LeaseManager
-	now              time.Duration // true time; the leader's clock is right
-	holders          [2]*LeaseHolder
-	grantsInFlight   [2]*LeaseGrant
-	firstActive      [3]time.Duration // when a version was first acted on; 0: not yet
-	hasNewLeader     bool
-	hasSecondVersion bool
+	now              time.Duration    // true time; the leader's clock is right
+	holders          [2]*LeaseHolder  // lease holders of the two daemons
+	grantsInFlight   [2]*LeaseGrant   // grant that has not reached the daemon yet; nil: none
+	firstActive      [3]time.Duration // by version: true time at which a daemon first acted on it; 0: none has
+	hasNewLeader     bool             // the leader has changed
+	hasSecondVersion bool             // version 2 was put
 }
 
+// interleavingConfig is the lease configuration of the explored cluster.
 var interleavingConfig = LeaseConfig{Duration: 4 * time.Second, ShortDuration: time.Second, MaxClockDrift: 0.1}
 
+// localClock returns the time by a daemon's own clock: daemon 0's is the slowest allowed, daemon 1's the fastest.
 func (x *interleaving) localClock(daemon int) time.Duration {
 	return time.Duration(float64(x.now) * []float64{1 - interleavingConfig.MaxClockDrift, 1 + interleavingConfig.MaxClockDrift}[daemon])
 }
 
-// newInterleaving returns the case before its first step: version 1 is active, and both daemons have a lease.
+// newInterleaving returns the cluster before the first explored step: version 1 is active, and both daemons have a lease
+// on it.
 func newInterleaving(tb testing.TB) *interleaving {
 	tb.Helper()
 	x := &interleaving{state: NewState(), now: time.Minute}
@@ -38,7 +41,7 @@
 	x.manager = NewLeaseManager(x.now-time.Minute, interleavingConfig)
 	for daemon := range x.holders {
 		x.holders[daemon] = NewLeaseHolder(fmt.Sprint(daemon), interleavingConfig, 0, nil)
-		for range 2 { // the first grant brings the documents, the second the lease
+		for range 2 { // the first grant has the documents, the second one the lease
 			x.step(tb, stepRequest+daemon)
 			x.step(tb, stepGrant+daemon)
 		}
@@ -46,13 +49,14 @@
 	return x
 }
 
-// completeCheckAndInstall accepts the version that was offered, and installs the one that is leased.
+// completeCheckAndInstall accepts the version that the daemon is to check, and marks the leased one as installed.
 func completeCheckAndInstall(h *LeaseHolder) {
 	version, _ := h.PendingCheck()
 	h.CompleteCheck(version, nil)
 	h.MarkInstalled(h.Leased().Version)
 }
 
+// apply applies a command that must succeed to the cluster's State.
 func (x *interleaving) apply(tb testing.TB, c Command) {
 	tb.Helper()
 	if _, err := apply(tb, x.state, c); err != nil {
@@ -60,20 +64,20 @@
 	}
 }
 
-// The steps.
+// The steps that are explored. stepRequest and stepGrant are those of daemon 0; the next number is that of daemon 1.
 const (
-	stepRequest   = 0 // and 1: a daemon's request is answered; the grant is in flight
-	stepGrant     = 2 // and 3: the grant arrives
-	stepPut       = 4 // a second version is put
-	stepNewLeader = 5
-	stepActivate  = 6 // the leader activates what it may
-	stepShortTime = 7
-	stepLongTime  = 8
+	stepRequest   = 0 // a daemon sends a request, and the leader's grant is in flight
+	stepGrant     = 2 // the grant in flight reaches the daemon, which checks and installs what it offers
+	stepPut       = 4 // version 2 is put
+	stepNewLeader = 5 // another leader is elected
+	stepActivate  = 6 // the leader activates the pending version
+	stepShortTime = 7 // 300 ms pass
+	stepLongTime  = 8 // 1.7 s pass
 
-	interleavingSteps = 9
+	interleavingSteps = 9 // number of steps
 )
 
-// step does one of the steps; false: it is not possible now.
+// step does one of the steps. It returns false if the step is not possible now.
 func (x *interleaving) step(tb testing.TB, which int) bool {
 	tb.Helper()
 	switch {
@@ -116,8 +120,8 @@
 	return true
 }
 
-// longestOverlap has both daemons act, and returns for how long a daemon has acted on version 1 since one acted on
-// version 2.
+// longestOverlap has both daemons act on the versions for which they have valid leases now. If one acts on version 1, it
+// returns the time since a daemon first acted on version 2, else 0.
 func (x *interleaving) longestOverlap() (overlap time.Duration) {
 	var acting [2]uint64
 	for daemon, h := range x.holders {
@@ -136,7 +140,8 @@
 	return overlap
 }
 
-// explore visits all orders of depth steps after a prefix, and returns how many there were.
+// explore does all orders of depth steps after the steps in prefix. It calls visit after each step of each prefix that
+// it does, and returns the number of orders.
 func explore(tb testing.TB, depth int, prefix []int, visit func(x *interleaving)) (orders int) {
 	tb.Helper()
 	x := newInterleaving(tb)
@@ -155,7 +160,8 @@
 	return orders
 }
 
-// EXPLORE=6 in the environment goes one step deeper, through nine times as many orders.
+// In every order of 5 steps, no daemon acts on version 1 for longer than MaxOverlap after a daemon has acted on version
+// 2. The environment variable EXPLORE sets another number of steps; each further step makes nine times as many orders.
 func TestEveryOrderOfStepsStaysWithinMaxOverlap(t *testing.T) {
 	depth := 5
 	if deeper, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
@@ -164,20 +170,22 @@
 	longest := time.Duration(0)
 	visit := func(x *interleaving) { longest = max(longest, x.longestOverlap()) }
 	orders := explore(t, depth, nil, visit)
-	// Deeper where the margin is small: a put, and both daemons ready or nearly so, before the explored steps.
+	// Explore longer orders where the overlap is close to MaxOverlap: they begin with stepPut and with requests and grants
+	// after which both daemons have the documents of version 2, or nearly so.
 	for _, prefix := range [][]int{{4, 0, 2, 1, 3, 0, 2, 1, 3}, {4, 0, 2, 0, 2, 1, 3, 1}, {4, 0, 2, 0, 2, 1}} {
 		orders += explore(t, depth-1, prefix, visit)
 	}
-	t.Logf("%d orders, the longest overlap is %v of %v", orders, longest, interleavingConfig.MaxOverlap())
+	t.Logf("%d orders: the longest overlap is %v, allowed are %v", orders, longest, interleavingConfig.MaxOverlap())
 	if longest > interleavingConfig.MaxOverlap() {
-		t.Errorf("overlap of %v, want at most %v", longest, interleavingConfig.MaxOverlap())
+		t.Errorf("the longest overlap is %v, want at most %v", longest, interleavingConfig.MaxOverlap())
 	}
 	if longest == 0 {
-		t.Error("no order has an overlap at all: there are too few steps to show anything")
+		t.Error("no order has an overlap, want some: the orders have too few steps to show anything")
 	}
 }
 
-// The exploration detects a leader that does not wait for outstanding leases.
+// With the injected fault that the leader does not wait for outstanding leases, the exploration finds an overlap that is
+// longer than MaxOverlap.
 func TestSkippingActivationWaitExceedsMaxOverlap(t *testing.T) {
 	original := interleavingConfig
 	t.Cleanup(func() { interleavingConfig = original })
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// testLeaseConfig is the lease configuration of the tests that do not set their own.
 var testLeaseConfig = LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
 
 // stateWithPendingVersion returns a State whose version 1 is active and whose version 2 is pending.
@@ -30,13 +31,14 @@
 
 // withoutPendingVersion returns a copy of the State in which no version is pending, so that leases are long.
 func withoutPendingVersion(state *State) *State {
-	quiet := *state
-	quiet.Pending = quiet.Active
-	return &quiet
+	c := *state
+	c.Pending = c.Active
+	return &c
 }
 
-// The last grant for a version arrives late, and nothing after it. If the lease counted from the grant, the daemon
-// would act on the version for longer than is guaranteed.
+// The last grant of a lease on version 1 reaches its daemon late, and no grant follows. If the lease counted from the
+// arrival of the grant (CountFromGrant), the daemon would act on version 1 for longer than MaxOverlap after version 2
+// may be active.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
 	for _, countFromGrant := range []bool{false, true} {
 		config := testLeaseConfig
@@ -48,7 +50,9 @@
 			r, _ := h.NextRequest(now)
 			return m.Grant(now, r, state)
 		}
-		for range 3 { // the active documents, then a lease and the pending documents, then the report that it has them
+		// The grants have the active documents, then a lease and the pending documents, then a lease again. The last
+		// request reports that the daemon has the pending documents.
+		for range 3 {
 			h.HandleGrant(start, request(start))
 			completeCheckAndInstall(h)
 		}
@@ -59,44 +63,45 @@
 		h.HandleGrant(start+config.ShortDuration/5, late)
 		version, _, ok := h.Valid(start + config.MaxOverlap() + 1)
 		if ok != countFromGrant || version != 1 {
-			t.Errorf("lease counted from the grant: %v; after the greatest overlap it is valid: %v, for version %d",
-				countFromGrant, ok, version)
+			t.Errorf("after MaxOverlap the lease is valid: %v, for version %d; want %v, for version 1, if it counts from the grant: %v",
+				ok, version, countFromGrant, countFromGrant)
 		}
 	}
 }
 
-// The leader waits for each daemon that may hold a lease, unless it has the pending version and holds short leases
-// only.
+// The leader does not activate a version before each daemon that may hold a lease has the version's documents and holds
+// short leases only.
 func TestActivationWaitsForOutstandingLeases(t *testing.T) {
 	state, start := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(start, testLeaseConfig)
 	if m.VersionToActivate(start+testLeaseConfig.Duration, state) != 0 {
-		t.Error("a new leader does not wait for leases of its predecessors")
+		t.Error("a new leader activates a version before the leases of its predecessors have expired")
 	}
 	now := start + time.Minute
 	m.Grant(now, LeaseRequest{Daemon: "slow", Seq: 1, ReadyVersion: 1}, state)
 	m.Grant(now, LeaseRequest{Daemon: "ready", Seq: 1, ReadyVersion: 2}, state)
 	later := now + time.Second
 	if got := m.laggingDaemons(later, state); len(got) != 1 || got[0].Daemon != "slow" || m.VersionToActivate(later, state) != 0 {
-		t.Errorf("lagging: %v, want slow alone", got)
+		t.Errorf("lagging: %v, version to activate %d; want slow alone, and 0", got, m.VersionToActivate(later, state))
 	}
 	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.ShortDuration), state) != 2 {
-		t.Error("the leader waits for a daemon whose lease has expired")
+		t.Error("the leader does not activate the version though the lease of the only lagging daemon has expired")
 	}
 	m.Grant(now, LeaseRequest{Daemon: "long", Seq: 1, ReadyVersion: 2}, withoutPendingVersion(state))
 	m.Grant(now, LeaseRequest{Daemon: "long", Seq: 2, ReadyVersion: 2}, state)
 	later = now + 2*time.Second
 	if m.VersionToActivate(later, state) != 0 {
-		t.Error("the grant that shortened the lease may be lost, and the leader does not wait")
+		t.Error("the leader activates the version though a daemon may hold a long lease: the grant of its short one may be lost")
 	}
 	m.Grant(later, LeaseRequest{Daemon: "long", Seq: 3, ReadyVersion: 2, AcceptedSeq: 2}, state)
 	if m.VersionToActivate(later, state) != 2 {
-		t.Errorf("the daemon has accepted the short lease, and the leader waits: %v", m.laggingDaemons(later, state))
+		t.Errorf("the leader does not activate the version though the daemon has accepted the short lease; lagging: %v",
+			m.laggingDaemons(later, state))
 	}
 }
 
-// Grants are lost for so long that those of one daemon are merged: the leader still waits for the one that the daemon
-// accepted last.
+// Grants to a daemon are lost for so long that the leader merges the outstanding ones. The leader still waits until the
+// lease that the daemon accepted last has expired.
 func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
 	state, now := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
@@ -104,18 +109,18 @@
 	for seq := range uint64(last) {
 		m.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, withoutPendingVersion(state))
 	}
-	// The grant that answers this, and that would shorten the lease, is lost.
+	// The grant that answers this request and would shorten the lease is lost.
 	m.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, state)
 	if m.VersionToActivate(now+time.Second, state) != 0 {
-		t.Error("the leader does not wait for the long lease that the daemon accepted")
+		t.Error("the leader activates the version though the daemon may hold the long lease that it accepted")
 	}
 	if m.VersionToActivate(now+testLeaseConfig.expiryWait(testLeaseConfig.Duration), state) != 2 {
-		t.Error("the leader waits for a daemon whose lease has expired")
+		t.Error("the leader does not activate the version though the daemon's leases have expired")
 	}
 }
 
-// A daemon that can't act on a version reports why, and delays its activation. A version that was put since takes its
-// place; a version that is forced is activated without the daemon.
+// A daemon that can't act on a version reports why, and delays the version's activation. A later version takes the place
+// of the rejected one. A version that is forced is activated without the daemon.
 func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
 	state, now := stateWithPendingVersion(t), testLeaseConfig.Duration*10
 	m := NewLeaseManager(0, testLeaseConfig)
@@ -141,14 +146,15 @@
 	want := LaggingDaemon{"old", "it can't act on version 2: no such field"}
 	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want ||
 		m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
-		t.Fatalf("lagging: %v, want %v alone", got, want)
+		t.Fatalf("lagging: %v, version to activate %d, to skip %d; want %v alone, 0 and 0",
+			got, m.VersionToActivate(now, state), m.VersionToSkip(now, state), want)
 	}
 	if version, _, ok := unable.Valid(now); version != 1 || !ok {
-		t.Errorf("the daemon that rejects the pending version acts on %d, valid %v", version, ok)
+		t.Errorf("the daemon that rejects the pending version acts on %d, valid %v; want 1, true", version, ok)
 	}
 	mustApply(t, state, putCommand("x", "3"))
 	if m.VersionToSkip(now, state) != 2 {
-		t.Error("the rejected version is not skipped for the one that was put since")
+		t.Error("the rejected version is not skipped though a later one exists")
 	}
 	mustApply(t, state, Command{Skip: 2})
 	rounds(2)
@@ -157,19 +163,20 @@
 	if _, _, ok := unable.Valid(now); ok {
 		t.Error("the daemon that rejects the forced version has a lease")
 	}
-	rounds(1) // it accepts the grant without a lease
+	rounds(1) // the daemon reports that it has accepted the grant without a lease
 	if m.VersionToActivate(now, state) != 3 {
-		t.Errorf("the forced version waits for %v", m.laggingDaemons(now, state))
+		t.Errorf("version to activate %d, want the forced version 3; lagging: %v",
+			m.VersionToActivate(now, state), m.laggingDaemons(now, state))
 	}
 	mustApply(t, state, Command{Activate: 3})
 	rounds(1)
 	if version, _, ok := able.Valid(now); version != 3 || !ok {
-		t.Errorf("the other daemon acts on %d, valid %v", version, ok)
+		t.Errorf("the other daemon acts on %d, valid %v; want 3, true", version, ok)
 	}
 	leased := able.Leased()
 	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.MaxOverlap()) ||
 		!leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
-		t.Errorf("while the daemon changes over: %+v", leased)
+		t.Errorf("leased %+v, want version 3, and version 1 until its lease expires", leased)
 	}
 	if _, _, ok := unable.Valid(now); ok {
 		t.Error("the daemon that rejects the active version has a lease")
@@ -179,15 +186,16 @@
 	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
 	rounds(3)
 	if version, _, ok := unable.Valid(now); version != 4 || !ok {
-		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; lagging: %v",
+		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
 			version, ok, m.laggingDaemons(now, state))
 	}
 	if version, lagging := able.FullyActive(); version != 4 || len(lagging) > 0 {
-		t.Errorf("all daemons act on %d, lagging: %v", version, lagging)
+		t.Errorf("all daemons act on %d, lagging: %v; want 4, and none", version, lagging)
 	}
 }
 
-// Each request of a client calls this: it takes no lock, and far less than 50 ns.
+// BenchmarkLeaseValid measures LeaseHolder.Valid, which runs for each request of a client: it takes no lock, and far
+// less than 50 ns.
 func BenchmarkLeaseValid(b *testing.B) {
 	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
 	h.leased.ExpiresAt = time.Hour
@@ -198,13 +206,13 @@
 	}
 }
 
-// What a leader does for each request while a version is pending, with its share of the work that visits all daemons
-// once a heartbeat.
+// BenchmarkGrant measures a leader's work for each lease request while a version is pending, including the request's
+// fraction of the work that scans all daemons once a heartbeat.
 func BenchmarkGrant(b *testing.B) {
 	for _, daemons := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			state, m, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
-			const requestsPerHeartbeat = 100 // 300 daemons make a thousand requests a second
+			const requestsPerHeartbeat = 100 // 300 daemons send a thousand requests a second
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
 				if i%requestsPerHeartbeat == 0 {
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newSingleVoter returns a voter that is the only one of its fleet, and leads.
+// newSingleVoter returns a voter that is the only one of its cluster and leads it, and the present instant.
 func newSingleVoter(t *testing.T) (v *Voter, now time.Duration) {
 	t.Helper()
 	d, err := NewRecoveredState([]string{"v"})
@@ -22,12 +22,12 @@
 		drainOutput(v, now)
 	}
 	if !v.IsLeader() || v.IsLearner() {
-		t.Fatalf("the only voter: leader %v, learner %v", v.IsLeader(), v.IsLearner())
+		t.Fatalf("the only voter: leader %v, learner %v; want true, false", v.IsLeader(), v.IsLearner())
 	}
 	return v, now
 }
 
-// drainOutput takes a voter's output, as if it were carried out, and returns how many snapshots were in it.
+// drainOutput discards a voter's output, as if its work were done, and returns the number of snapshots in it.
 func drainOutput(v *Voter, now time.Duration) (snapshots int) {
 	for out := v.Output(now); out != nil; out = v.Output(now) {
 		if out.Snapshot != nil {
@@ -37,7 +37,7 @@
 	return snapshots
 }
 
-// requestGrant returns the grant that answers a request.
+// requestGrant returns the grant with which the voter answers a request.
 func requestGrant(t *testing.T, v *Voter, now time.Duration, r LeaseRequest) LeaseGrant {
 	t.Helper()
 	v.Grants = nil
@@ -51,8 +51,8 @@
 	return v.Grants[0].Grant
 }
 
-// A voter slot can be used with the disk whose id is in the log, and with no other. Before that, raft does not learn of
-// the new voter.
+// A daemon may start its voter only with the disk whose id the log has for the voter slot. Before the log has an id,
+// raft's configuration does not name the new voter.
 func TestVoterSlotIsClaimedByOneDisk(t *testing.T) {
 	v, now := newSingleVoter(t)
 	change := func(c VoterChange) error {
@@ -69,7 +69,7 @@
 		return requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, DiskID: diskID})
 	}
 	if g := request("m1"); g.VoterID != 0 || g.MayStartVoter || g.DiskLost {
-		t.Errorf("daemon without a slot: %+v", g)
+		t.Errorf("a daemon without a slot is granted %+v, want no voter", g)
 	}
 	if err := errors.Join(change(VoterChange{Name: "x"}), change(VoterChange{Name: "x"})); err != nil {
 		t.Fatal(err)
@@ -77,30 +77,31 @@
 	v.reconcileVoters()
 	drainOutput(v, now)
 	if len(v.confState.GetLearners()) > 0 {
-		t.Error("raft has a learner whose disk is not known")
+		t.Errorf("raft's configuration has learners %v, want none before a disk id is known", v.confState.GetLearners())
 	}
 	if g := request(""); g.VoterID != 2 || g.MayStartVoter || g.DiskLost {
-		t.Errorf("daemon without a disk: %+v", g)
+		t.Errorf("a daemon without a disk is granted %+v, want slot 2 and no start", g)
 	}
 	if g := request("m1"); g.MayStartVoter {
-		t.Errorf("before the disk's id is in the log: %+v", g)
+		t.Errorf("before the log has the disk id, the daemon is granted %+v, want no start", g)
 	}
 	if g := request("m1"); !g.MayStartVoter || g.VoterID != 2 || len(g.InitialVoters) != 1 {
-		t.Errorf("with the disk's id in the log: %+v", g)
+		t.Errorf("with the disk id in the log, the daemon is granted %+v, want the start of voter 2", g)
 	}
 	if g := request("m2"); g.MayStartVoter || !g.DiskLost {
-		t.Errorf("another disk: %+v", g)
+		t.Errorf("a daemon with another disk is granted %+v, want a lost disk", g)
 	}
 	v.reconcileVoters()
 	drainOutput(v, now)
 	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().changeInProgress() == "" {
-		t.Errorf("with a new voter: configuration %v, change in progress %q", v.confState, v.State().changeInProgress())
+		t.Errorf("with a new voter, the configuration is %v and the change in progress %q; want the learner 2, and a change",
+			v.confState, v.State().changeInProgress())
 	}
 	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrVoterChangeRejected) {
-		t.Errorf("second change: error %v, want %v", err, ErrVoterChangeRejected)
+		t.Errorf("change while another is in progress: error %v, want %v", err, ErrVoterChangeRejected)
 	}
 	if err := change(VoterChange{Name: "x", Remove: true}); err != nil {
-		t.Errorf("removal of a voter that never voted: %v", err)
+		t.Errorf("removal of a voter that is not active: error %v, want none", err)
 	}
 	if err := change(VoterChange{Name: "v", Remove: true}); !errors.Is(err, ErrVoterChangeRejected) {
 		t.Errorf("removal of the last voter: error %v, want %v", err, ErrVoterChangeRejected)
@@ -109,12 +110,12 @@
 		t.Fatal(err)
 	}
 	if g := request("m2"); g.VoterID != 3 || g.MayStartVoter || g.DiskLost {
-		t.Errorf("another slot, whose disk is not known yet: %+v", g)
+		t.Errorf("a daemon with a new slot, whose disk is not known yet, is granted %+v, want slot 3 and no start", g)
 	}
 }
 
-// A learner votes only when its voter has been seen to run: one that has not started yet counts as active in raft from when it is
-// added, and would be taken for one whose disk is lost.
+// A learner is promoted only after its voter has responded. raft counts a learner as active as soon as it is added; if a
+// voter that has not started yet were promoted, the leader would take its disk for lost.
 func TestLearnerThatNeverRespondedIsNotPromoted(t *testing.T) {
 	v, now := newSingleVoter(t)
 	for _, c := range []Command{{ID: "s", ChangeVoter: &VoterChange{Name: "x"}}, {ClaimSlot: &SlotClaim{VoterID: 2, DiskID: "m"}}} {
@@ -128,14 +129,14 @@
 		drainOutput(v, now)
 	}
 	if learners := v.confState.GetLearners(); len(learners) != 1 || v.State().ActiveVoters[2] {
-		t.Errorf("learners %v, active voters %v", learners, v.State().ActiveVoters)
+		t.Errorf("learners %v, active voters %v; want one learner, and voter 2 not active", learners, v.State().ActiveVoters)
 	}
 	if g := requestGrant(t, v, now, LeaseRequest{Daemon: "x", Seq: 1, DiskID: "m"}); !g.MayStartVoter || g.DiskLost {
-		t.Errorf("its disk: %+v", g)
+		t.Errorf("the daemon of the learner is granted %+v, want the start of its voter", g)
 	}
 }
 
-// Both the number and the size of the commands that the log in memory retains are bounded.
+// The log in memory retains commands of a bounded number and a bounded total size.
 func TestRetainedLogIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -147,7 +148,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v, now := newSingleVoter(t)
 			body := make([]byte, c.size)
-			maxHeld, snapshots, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/c.size)
+			maxHeldBytes, snapshots, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/c.size)
 			for range puts {
 				if err := v.Propose(&Command{Put: &DocumentPut{"a", body}}); err != nil {
 					t.Fatal(err)
@@ -159,19 +160,20 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				held := 0
+				heldBytes := 0
 				for _, entry := range entries {
-					held += len(entry.GetData())
+					heldBytes += len(entry.GetData())
 				}
-				maxHeld = max(maxHeld, held)
+				maxHeldBytes = max(maxHeldBytes, heldBytes)
 				if len(entries) > 2*snapshotEntries {
 					t.Fatalf("%d entries are held, want at most %d", len(entries), 2*snapshotEntries)
 				}
 			}
-			if maxHeld > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
-				t.Errorf("up to %d bytes are held, with %d snapshots", maxHeld, snapshots)
+			if maxHeldBytes > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
+				t.Errorf("up to %d bytes are held, with %d snapshots; want at most %d, and some",
+					maxHeldBytes, snapshots, snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes)
 			}
-			t.Logf("up to %d bytes are held, with %d snapshots of %d puts", maxHeld, snapshots, puts)
+			t.Logf("up to %d bytes are held, with %d snapshots and %d puts", maxHeldBytes, snapshots, puts)
 		})
 	}
 }
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// apply encodes a command and applies it.
+// apply encodes a command and applies it to a State.
 func apply(tb testing.TB, state *State, c Command) (CommandResult, error) {
 	tb.Helper()
 	encoded, err := c.Encode()
@@ -20,7 +20,7 @@
 	return state.Apply(encoded)
 }
 
-// mustApply is apply of a command that must succeed.
+// mustApply does what apply does with a command that must succeed.
 func mustApply(tb testing.TB, state *State, c Command) CommandResult {
 	tb.Helper()
 	result, err := apply(tb, state, c)
@@ -30,12 +30,13 @@
 	return result
 }
 
+// putCommand returns a command without an ID that writes a document.
 func putCommand(name, body string) Command {
 	return Command{Put: &DocumentPut{name, []byte(body)}}
 }
 
-// For any commands in any order and with any duplicates: versions only grow, a duplicate is applied once, a command
-// that expects another version changes nothing, and two States that applied the same commands are equal.
+// Random commands are applied in random order, some of them twice. Versions never decrease, a duplicate is applied once,
+// a command that expects another version changes nothing, and two States that applied the same commands are equal.
 func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
@@ -52,16 +53,16 @@
 			version := result.Version
 			if version != resultB.Version || a.Version != b.Version || a.Active != b.Active || a.Pending != b.Pending ||
 				DigestDocuments(a.Docs) != DigestDocuments(b.Docs) || DigestDocuments(a.ActiveDocs) != DigestDocuments(b.ActiveDocs) {
-				t.Fatalf("%s: two States differ", entry)
+				t.Fatalf("after %s: two States that applied the same commands differ", entry)
 			}
 			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Pending || a.Pending > a.Version ||
 				err != nil && a.Version != before.Version {
-				t.Fatalf("%s: version %d, pending %d, active %d after %d, %d, %d", entry,
-					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active)
+				t.Fatalf("after %s: version %d, pending %d, active %d; before: %d, %d, %d; error %v", entry,
+					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active, err)
 			}
 			if c.Activate == 0 && err == nil {
 				if first, ok := made[c.ID]; ok && first != version {
-					t.Fatalf("%s: made version %d, and %d when first applied", entry, version, first)
+					t.Fatalf("%s returns version %d, want %d as when it was first applied", entry, version, first)
 				}
 				made[c.ID] = version
 			}
@@ -69,7 +70,7 @@
 	})
 }
 
-// drawCommand draws an activation, a removal, or a put with or without an expected version.
+// drawCommand draws an activation, a removal, or a put, which may expect a version.
 func drawCommand(t *rapid.T) Command {
 	c := Command{ID: fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "id"))}
 	names := rapid.SampledFrom([]string{"x", "y"})
@@ -87,8 +88,8 @@
 	return c
 }
 
-// A document can be read as of any version, and reverted to it, while that is retained. What is not retained any more
-// is told from what never existed.
+// A document can be read as it was at any retained version, and reverted to that. The errors for a document that is no
+// longer retained and for one that never existed differ.
 func TestDocumentsAreReadAndRevertedByVersion(t *testing.T) {
 	state := NewState()
 	for _, c := range []Command{
@@ -99,23 +100,24 @@
 	for version, want := range map[uint64]string{1: "1", 2: "1", 3: "2", 5: "3", 0: "3", 9: "3"} {
 		result, err := apply(t, state, Command{Read: &DocumentVersion{"a", version}})
 		if err != nil || string(result.Doc.Body) != want || result.Version != 5 {
-			t.Errorf("a at version %d: %+v, %v; want %s", version, result.Doc, err, want)
+			t.Errorf("document a at version %d is %+v, error %v; want body %s", version, result.Doc, err, want)
 		}
 	}
 	for _, at := range []DocumentVersion{{"a", 4}, {"b", 1}, {"c", 0}, {"c", 2}} {
 		if _, err := apply(t, state, Command{Read: &at}); !errors.Is(err, ErrDocumentNotFound) {
-			t.Errorf("%v: error %v, want %v", at, err, ErrDocumentNotFound)
+			t.Errorf("read of %v: error %v, want %v", at, err, ErrDocumentNotFound)
 		}
 	}
 	result, err := apply(t, state, Command{ID: "i", Revert: &DocumentVersion{"a", 2}})
 	if err != nil || result.Version != 6 || string(state.Docs["a"].Body) != "1" || state.History[5].RevertedTo != 2 {
-		t.Errorf("revert: %+v, %v, history %+v", result, err, state.History)
+		t.Errorf("revert to version 2: result %+v, error %v, history %+v; want version 6 with body 1", result, err, state.History)
 	}
-	if result, err := apply(t, state, Command{Revert: &DocumentVersion{"a", 4}}); err != nil || result.Version != 7 || len(state.Docs) != 1 {
-		t.Errorf("revert to a version without the document: %+v, %v", result, err)
+	result, err = apply(t, state, Command{Revert: &DocumentVersion{"a", 4}})
+	if err != nil || result.Version != 7 || len(state.Docs) != 1 {
+		t.Errorf("revert to a version without the document: result %+v, error %v; want version 7 without it", result, err)
 	}
 	if result, err := apply(t, state, Command{Remove: "a"}); err != nil || !result.Unchanged || state.Version != 7 {
-		t.Errorf("removal of a document that does not exist: %+v, %v", result, err)
+		t.Errorf("removal of a document that does not exist: result %+v, error %v; want it unchanged", result, err)
 	}
 	body := bytes.Repeat([]byte("x"), MaxDocumentBytes/2)
 	for i := range 4 {
@@ -125,7 +127,7 @@
 	if _, err := apply(t, state, Command{Read: &DocumentVersion{"big", 8}}); !errors.Is(err, ErrCompacted) {
 		t.Errorf("read of a version that is not retained: error %v, want %v", err, ErrCompacted)
 	}
-	mustApply(t, state, Command{Read: &DocumentVersion{"big", 10}}) // it is retained
+	mustApply(t, state, Command{Read: &DocumentVersion{"big", 10}}) // version 10 is retained
 	for name, size := range map[string]int{"all documents": MaxDocumentBytes, "one document": MaxDocumentBytes + 1} {
 		tooLong := Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), size)}}
 		if _, err := apply(t, state, tooLong); !errors.Is(err, ErrLimitExceeded) {
@@ -134,7 +136,7 @@
 	}
 }
 
-// A forced version stays the pending one until it is active; a version that was skipped is never active.
+// A forced version stays pending until it is active, even if a later version exists. A skipped version is never active.
 func TestForcedVersionIsNotSkipped(t *testing.T) {
 	state := NewState()
 	for range 3 {
@@ -144,26 +146,27 @@
 		t.Errorf("force of a version that is not pending: error %v, want %v", err, ErrVersionNotPending)
 	}
 	if mustApply(t, state, Command{Skip: 1}); state.Pending != 3 || state.Active != 0 {
-		t.Errorf("after skipping version 1: pending %d, active %d", state.Pending, state.Active)
+		t.Errorf("after skipping version 1: pending %d, active %d; want 3, 0", state.Pending, state.Active)
 	}
 	if _, err := apply(t, state, Command{Force: 3}); err != nil || state.Forced != 3 {
-		t.Errorf("force of the pending version: forced %d, error %v", state.Forced, err)
+		t.Errorf("force of the pending version: forced %d, error %v; want 3, none", state.Forced, err)
 	}
 	mustApply(t, state, putCommand("a", "4"))
 	if mustApply(t, state, Command{Skip: 3}); state.Pending != 3 {
-		t.Error("a forced version is skipped")
+		t.Errorf("pending version %d, want 3: a forced version is not skipped", state.Pending)
 	}
 	mustApply(t, state, Command{Activate: 3})
 	if state.Active != 3 || state.Pending != 4 || string(state.ActiveDocs["a"].Body) != "2" {
-		t.Errorf("after the activation of version 3: %+v", state)
+		t.Errorf("after the activation of version 3: %+v; want version 3 active and 4 pending", state)
 	}
 	later := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
 	if _, err := state.Apply(later); !errors.Is(err, ErrUnknownCommand) || state.Version != 4 {
-		t.Errorf("command of a later build: error %v, want %v", err, ErrUnknownCommand)
+		t.Errorf("command of a later build: error %v, version %d; want %v, 4", err, state.Version, ErrUnknownCommand)
 	}
 }
 
-// A State that was encoded in a snapshot and decoded is the same, and each body is encoded once.
+// A State that is encoded for a snapshot and decoded again is the same. A body that several versions share is encoded
+// once.
 func TestStateSurvivesSnapshotEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState()
@@ -180,7 +183,7 @@
 				c = Command{Revert: &DocumentVersion{name, state.Version / 2}}
 			}
 			encoded, _ := c.Encode()
-			_, _ = state.Apply(encoded) // some reverts fail, which is part of the case
+			_, _ = state.Apply(encoded) // some reverts fail and leave the State as it is
 		}
 		encoded, err := state.Encode()
 		if err != nil {
@@ -190,14 +193,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, _ := decoded.Encode()
-		if !bytes.Equal(encoded, again) || DigestDocuments(state.Docs) != DigestDocuments(decoded.Docs) ||
+		reencoded, _ := decoded.Encode()
+		if !bytes.Equal(encoded, reencoded) || DigestDocuments(state.Docs) != DigestDocuments(decoded.Docs) ||
 			!reflect.DeepEqual(state.History, decoded.History) || len(state.RetainedDocs) != len(decoded.RetainedDocs) {
-			t.Fatalf("encoded as\n%s, then as\n%s", encoded, again)
+			t.Fatalf("encoded as\n%s, and after decoding as\n%s", encoded, reencoded)
 		}
 		for name, d := range state.Docs {
 			if !bytes.Equal(d.Body, decoded.Docs[name].Body) {
-				t.Fatalf("%s: body %q, was %q", name, decoded.Docs[name].Body, d.Body)
+				t.Fatalf("document %s has body %q, want %q", name, decoded.Docs[name].Body, d.Body)
 			}
 		}
 	})
@@ -205,6 +208,7 @@
 	mustApply(t, state, Command{Put: &DocumentPut{"a", body}})
 	mustApply(t, state, Command{Activate: 1})
 	if encoded, err := state.Encode(); err != nil || len(encoded) > 3*MaxDocumentBytes/2 {
-		t.Errorf("%d bytes for a body that is referred to three times, error %v", len(encoded), err)
+		t.Errorf("%d bytes for a body that three versions share, want at most %d; error %v",
+			len(encoded), 3*MaxDocumentBytes/2, err)
 	}
 }
