--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// A State that is encoded for a snapshot and decoded again is the same. A body that several versions share is encoded
-// once.
+// A State that is encoded for a snapshot and decoded again is the same. A body is encoded once, even if the latest, the
+// pending and the active version have it.
 func TestStateSurvivesSnapshotEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState()
@@ -208,7 +208,7 @@
 	mustApply(t, state, Command{Put: &DocumentPut{"a", body}})
 	mustApply(t, state, Command{Activate: 1})
 	if encoded, err := state.Encode(); err != nil || len(encoded) > 3*MaxDocumentBytes/2 {
-		t.Errorf("%d bytes for a body that three versions share, want at most %d; error %v",
+		t.Errorf("%d bytes for a body of the latest, pending and active version, want at most %d; error %v",
 			len(encoded), 3*MaxDocumentBytes/2, err)
 	}
 }
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -15,9 +15,10 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
+// testLeaseConfig is the lease configuration of all nodes in the tests.
 var testLeaseConfig = consensus.LeaseConfig{Duration: 2 * time.Second, ShortDuration: 500 * time.Millisecond, MaxClockDrift: 0.01}
 
-// startTestTransport starts a transport on loopback that is aborted with the test.
+// startTestTransport starts a transport on the loopback interface, which is aborted when the test ends.
 func startTestTransport(t *testing.T, o transport.Options) *transport.Transport {
 	t.Helper()
 	o.Cluster, o.Listen, o.Log = "c", netip.MustParseAddrPort("127.0.0.1:0"), slog.New(slog.DiscardHandler)
@@ -29,7 +30,7 @@
 	return l
 }
 
-// abort stops a transport without notice to the others, as if its process were killed.
+// abort stops a transport without notifying the others, as if its process had been killed.
 func abort(t *testing.T, l *transport.Transport) {
 	t.Helper()
 	if err := l.Abort(); err != nil {
@@ -37,7 +38,8 @@
 	}
 }
 
-// testCluster is nodes s0, s1 and so on over real transports in one process; s0, s1 and s2 are the first voters.
+// testCluster has nodes with the names s0, s1 and so on in one process, connected by real transports. The initial voters
+// are s0, s1 and s2.
 type testCluster struct {
 	t          *testing.T
 	transports []*transport.Transport
@@ -45,9 +47,10 @@
 	disks      []*simdisk.Disk
 }
 
-// testDocument is the name of the one document that the tests of a testCluster change.
+// testDocument is the name of the only document that tests of a testCluster change.
 const testDocument = "doc"
 
+// newTestCluster starts a cluster with this number of nodes, which are closed when the test ends.
 func newTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t}
@@ -76,7 +79,7 @@
 	return c
 }
 
-// start starts a node with the disk that it has now.
+// start starts node i with its present disk and its transport.
 func (c *testCluster) start(i int) {
 	c.t.Helper()
 	node, err := Start(Options{
@@ -94,7 +97,7 @@
 	c.nodes[i] = node
 }
 
-// put proposes the document's body at a node, and returns the version that this made.
+// put proposes at node i to write the test document, and returns the version that this made.
 func (c *testCluster) put(i int, id, body string) uint64 {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Patience)
@@ -107,13 +110,13 @@
 	return version
 }
 
-// waitAllActing waits until all nodes act on a version, or a later one, with this body of the document.
+// waitAllActing waits until all nodes act on this version or a later one, in which the test document has this body.
 func (c *testCluster) waitAllActing(version uint64, body string) {
 	c.t.Helper()
 	c.waitActing(c.nodes, version, body)
 }
 
-// waitActing is waitAllActing for some of the nodes.
+// waitActing does what waitAllActing does for some of the nodes.
 func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
 	c.t.Helper()
 	testpeer.Until(c.t, fmt.Sprint("all act on version ", version), func() bool {
@@ -127,19 +130,19 @@
 	})
 }
 
-// changeVoters proposes at a node that a daemon is added to the voters, or removed.
+// changeVoters proposes at node i to add a daemon to the voters, or to remove it.
 func (c *testCluster) changeVoters(i int, name string, isRemoval bool) error {
 	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{ChangeVoter: &consensus.VoterChange{Name: name, Remove: isRemoval}})
 	return err
 }
 
-// changeVotersWhenFree repeats changeVoters until the change before it is done.
+// changeVotersWhenFree repeats changeVoters until it succeeds, that is until no earlier change is in progress.
 func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
 	c.t.Helper()
 	testpeer.Until(c.t, "voters change", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
 
-// waitVotes waits until a node votes, or does not.
+// waitVotes waits until node i votes, or until it does not.
 func (c *testCluster) waitVotes(i int, votes bool) {
 	c.t.Helper()
 	testpeer.Until(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -22,13 +22,13 @@
 	"tuliprock/internal/wal"
 )
 
-// earlierBuild has the data directories of a cluster whose daemons were of an earlier build (testdata/README.md).
+// earlierBuild is the directory with data directories that daemons of an earlier build wrote (testdata/README.md).
 const earlierBuild = "testdata/build-94b9de8"
 
-// earlierInitialVoters are the voters that the files of the earlier build's daemons name.
+// earlierInitialVoters are the initial voters of the earlier build's cluster.
 var earlierInitialVoters = []string{"bay-1", "bay-2", "bay-3"}
 
-// earlierDiskIDs are the marks of the disks of the earlier build's daemons.
+// earlierDiskIDs are the disk ids of the earlier build's daemons, by name.
 var earlierDiskIDs = map[string]string{
 	"bay-1": "3VKFU424G4JACKRYTYJF65Q6BO",
 	"bay-2": "WZGQWHUKSHO2WIDRJFFWEMQHYH",
@@ -36,17 +36,19 @@
 	"bay-4": "MXVAGED2ZUPVRM3N4KMNALE22T",
 }
 
-// earlierFixture is a moment of the earlier build's cluster at which all its processes were killed.
+// earlierFixture has the data directories of the earlier build's daemons at a moment when all of them were killed, and
+// what is expected of a start from the data.
 type earlierFixture struct {
-	name          string // of the directory
-	version       uint64
-	bodies        map[string]string // of documents other than "shared"
-	voters        []string          // as the daemons cached them
-	knownVoters   []string          // whom the daemons might ask for a lease: voters and first voters
-	term          uint64            // of the voters
-	snapshotIndex map[string]uint64 // of the daemons' logs, by name; nil: they have no snapshot
+	name          string            // name of the directory below earlierBuild
+	version       uint64            // version on which all daemons acted
+	bodies        map[string]string // bodies of the documents other than "shared", by name
+	voters        []string          // names of the voters in the daemons' cache files
+	knownVoters   []string          // names of the voters and of the initial voters
+	term          uint64            // raft's term on the voters' disks
+	snapshotIndex map[string]uint64 // index of the snapshot in the daemon's log, by the daemon's name; nil: there are none
 }
 
+// earlierFixtures are the two moments at which the earlier build's daemons were killed.
 var earlierFixtures = []earlierFixture{
 	{
 		name:    "first-voters",
@@ -77,7 +79,7 @@
 	},
 }
 
-// copyData copies a daemon's data directory, and opens it.
+// copyData copies a daemon's data directory into a temporary one and opens the copy.
 func (f *earlierFixture) copyData(t *testing.T, daemon string) wal.FS {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), daemon)
@@ -91,7 +93,7 @@
 	return disk
 }
 
-// documentLines are documents in the lines of the operators' command "settings".
+// documentLines returns the lines with which the operators' command "settings" describes documents.
 func documentLines(docs map[string]consensus.Document) string {
 	var lines strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
@@ -101,7 +103,7 @@
 	return lines.String()
 }
 
-// historyLines are changes in the lines of the operators' command "settings history".
+// historyLines returns the lines with which the operators' command "settings history" describes changes.
 func historyLines(history []consensus.HistoryEntry) string {
 	var lines strings.Builder
 	for _, e := range history {
@@ -111,7 +113,7 @@
 	return lines.String()
 }
 
-// earlierLines returns the lines of a file that the earlier build's answers stand in, those that begin with a word.
+// earlierLines returns the lines that begin with a word in a file with answers of the earlier build.
 func earlierLines(t *testing.T, file, word string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(earlierBuild, file))
@@ -122,7 +124,7 @@
 	return slices.DeleteFunc(lines, func(line string) bool { return !strings.HasPrefix(line, word+" ") })
 }
 
-// checkDocuments fails the test unless documents are those that the earlier build's daemons acted on.
+// checkDocuments fails the test unless the documents are those on which the earlier build's daemons acted.
 func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
 	if got, want := documentLines(docs), strings.Join(earlierLines(t, f.name+".settings.txt", "document"), ""); got != want {
@@ -130,15 +132,15 @@
 	}
 	for name, d := range docs {
 		if body, ok := f.bodies[name]; ok && string(d.Body) != body {
-			t.Errorf("%s is %q, want %q", name, d.Body, body)
+			t.Errorf("document %s has body %q, want %q", name, d.Body, body)
 		}
 		if d.Name != name || sha256.Sum256(d.Body) != d.Digest {
-			t.Errorf("%s has name %q, and digest %x of another body", name, d.Name, d.Digest)
+			t.Errorf("document %s has name %q and digest %x, want its own name and the SHA-256 of its body", name, d.Name, d.Digest)
 		}
 	}
 }
 
-// earlierTransport starts the transport of one of the earlier build's daemons.
+// earlierTransport starts a transport with the name of one of the earlier build's daemons.
 func earlierTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
 	t.Helper()
 	return startTestTransport(t, transport.Options{
@@ -148,16 +150,16 @@
 	})
 }
 
-// startEarlierNode starts a node of this build in place of a daemon of the earlier one.
-func startEarlierNode(t *testing.T, daemon string, disk wal.FS, carrier *transport.Transport) *Node {
+// startEarlierNode starts a node of this build in place of a daemon of the earlier build.
+func startEarlierNode(t *testing.T, daemon string, disk wal.FS, l *transport.Transport) *Node {
 	t.Helper()
 	n, err := Start(Options{
 		Name:          daemon,
 		InitialVoters: earlierInitialVoters,
 		Disk:          disk,
 		Lease:         testLeaseConfig,
-		Transport:     carrier,
-		Now:           carrier.Now,
+		Transport:     l,
+		Now:           l.Now,
 		Log:           slog.New(slog.NewTextHandler(t.Output(), nil)),
 	})
 	if err != nil {
@@ -166,31 +168,31 @@
 	return n
 }
 
-// A daemon that starts alone from the data of an earlier build has the identity that its voter had, and the cached
-// version, without a lease.
+// A daemon that starts alone from the data of an earlier build has the identity of its voter and the cached version, but
+// no lease.
 func TestNodeStartsFromDataOfEarlierBuild(t *testing.T) {
 	for _, f := range earlierFixtures {
 		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
 			t.Run(f.name+"/"+daemon, func(t *testing.T) {
 				disk := f.copyData(t, daemon)
 				if text, err := readFile(disk, diskIDFile, maxIdentityBytes); err != nil || string(text) != earlierDiskIDs[daemon]+"\n" {
-					t.Errorf("mark %q, %v", text, err)
+					t.Errorf("disk id %q, error %v; want %q", text, err, earlierDiskIDs[daemon]+"\n")
 				}
 				n := startEarlierNode(t, daemon, disk, earlierTransport(t, daemon))
 				leased, ok := n.Valid()
 				if leased.Version != f.version || ok {
-					t.Errorf("it starts with version %d, leased %t, want %d without a lease", leased.Version, ok, f.version)
+					t.Errorf("the node starts with version %d, leased %t; want %d without a lease", leased.Version, ok, f.version)
 				}
 				f.checkDocuments(t, leased.Docs)
 				if err := n.Close(); err != nil {
 					t.Fatal(err)
 				}
-				// No goroutine of the node runs any more: what the event loop owned may be read.
+				// The node's goroutines have ended, so the fields that the event loop owned may be read.
 				if n.cached.Version != f.version || !slices.Equal(n.cached.Voters, f.voters) {
 					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, f.version, f.voters)
 				}
 				if !slices.Equal(n.client.knownVoters, f.knownVoters) {
-					t.Errorf("it knows the voters %q, want %q", n.client.knownVoters, f.knownVoters)
+					t.Errorf("the node knows the voters %q, want %q", n.client.knownVoters, f.knownVoters)
 				}
 				f.checkVoter(t, daemon, n)
 			})
@@ -201,16 +203,16 @@
 // checkVoter fails the test unless a closed node has the voter that the daemon of the earlier build had.
 func (f *earlierFixture) checkVoter(t *testing.T, daemon string, n *Node) {
 	t.Helper()
-	if daemon == "bay-4" && f.snapshotIndex == nil { // it did not vote yet
+	if daemon == "bay-4" && f.snapshotIndex == nil { // bay-4 was not a voter yet
 		if n.localVoter != nil || n.diskID != earlierDiskIDs[daemon] {
-			t.Errorf("voter %+v, mark %q", n.localVoter, n.diskID)
+			t.Errorf("voter %+v, disk id %q; want none, %q", n.localVoter, n.diskID, earlierDiskIDs[daemon])
 		}
 		return
 	}
 	if n.localVoter == nil {
-		t.Fatal("it has no voter")
+		t.Fatal("the node has no voter")
 	}
-	const fleet = "ef8b6c92f1d49007" // as the identity file of bay-4 has it
+	const cluster = "ef8b6c92f1d49007" // cluster id in the identity file of bay-4
 	want := identity{name: daemon, id: 4, diskIDs: map[string]string{}}
 	if daemon != "bay-4" {
 		want.initialVoters, want.id = earlierInitialVoters, uint64(slices.Index(earlierInitialVoters, daemon)+1)
@@ -218,8 +220,8 @@
 		delete(want.diskIDs, "bay-4")
 	}
 	got := n.localVoter.identity
-	if fmt.Sprintf("%x", got.clusterID) != fleet {
-		t.Errorf("fleet %x, want %s", got.clusterID, fleet)
+	if fmt.Sprintf("%x", got.clusterID) != cluster {
+		t.Errorf("cluster id %x, want %s", got.clusterID, cluster)
 	}
 	got.clusterID = clusterID{}
 	if !reflect.DeepEqual(got, want) {
@@ -229,41 +231,41 @@
 		t.Errorf("term %d, want %d", term, f.term)
 	}
 	if index := n.localVoter.log.SnapshotIndex(); index != f.snapshotIndex[daemon] {
-		t.Errorf("the log has a snapshot at %d, want %d", index, f.snapshotIndex[daemon])
+		t.Errorf("the log has a snapshot at index %d, want %d", index, f.snapshotIndex[daemon])
 	}
 }
 
-// Voters of this build that start from the data of an earlier one elect a leader, act on the version that was agreed,
-// know its history and who votes, and agree on the next version.
+// Voters of this build that start from the data of an earlier build elect a leader, act on the stored version, know the
+// history and the voters, and commit the next version.
 func TestClusterContinuesFromDataOfEarlierBuild(t *testing.T) {
 	for _, f := range earlierFixtures {
 		t.Run(f.name, func(t *testing.T) {
 			c := &testCluster{t: t}
 			var join []netip.AddrPort
 			for _, daemon := range f.voters {
-				carrier := earlierTransport(t, daemon, join...)
-				join = append(join, carrier.Addr())
-				n := startEarlierNode(t, daemon, f.copyData(t, daemon), carrier)
+				l := earlierTransport(t, daemon, join...)
+				join = append(join, l.Addr())
+				n := startEarlierNode(t, daemon, f.copyData(t, daemon), l)
 				t.Cleanup(func() {
 					if err := n.Close(); err != nil {
 						t.Error(err)
 					}
 				})
-				c.transports, c.nodes = append(c.transports, carrier), append(c.nodes, n)
+				c.transports, c.nodes = append(c.transports, l), append(c.nodes, n)
 			}
 			for _, n := range c.nodes {
-				testpeer.Until(t, fmt.Sprint("it acts on version ", f.version), func() bool {
+				testpeer.Until(t, fmt.Sprint("the node acts on version ", f.version), func() bool {
 					leased, ok := n.Valid()
 					return ok && leased.Version == f.version
 				})
 				leased, _ := n.Valid()
 				f.checkDocuments(t, leased.Docs)
-				testpeer.Until(t, "it votes, and has applied what was agreed", func() bool {
+				testpeer.Until(t, "the node votes, and its voter has applied the stored version", func() bool {
 					s := n.Status()
 					return s.IsVoter && s.CommittedVersion == f.version && s.PendingVersion == f.version && s.FullyActiveVersion == f.version
 				})
 				if s := n.Status(); !slices.Equal(s.ActiveVoters, f.voters) || s.Term <= f.term {
-					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, f.voters, f.term)
+					t.Errorf("active voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, f.voters, f.term)
 				}
 				f.checkHistory(t, n)
 			}
@@ -275,7 +277,7 @@
 	}
 }
 
-// checkHistory fails the test unless the history is that which the earlier build's daemons answered.
+// checkHistory fails the test unless a node returns the history that the earlier build's daemons returned.
 func (f *earlierFixture) checkHistory(t *testing.T, n *Node) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Patience)
@@ -293,6 +295,6 @@
 		t.Fatal(err)
 	}
 	if r.Doc == nil || string(r.Doc.Body) != "three" {
-		t.Errorf("flag/a at version 3: %+v", r.Doc)
+		t.Errorf("flag/a at version 3 is %+v, want body three", r.Doc)
 	}
 }
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -8,28 +8,29 @@
 	"testing"
 )
 
-// Identities are on the disks of voters that run: what earlier programs wrote is read, and written again byte by byte.
+// The identity files of running voters were written by earlier builds: they must be parsed, and written again byte for
+// byte.
 func TestIdentityKeepsItsFormat(t *testing.T) {
-	const fleetOfABC = "0e9f64031fcb2bc7" // the first 8 bytes of SHA-256 of "a b c"
+	const clusterOfABC = "0e9f64031fcb2bc7" // the first 8 bytes of SHA-256 of "a b c"
 	for _, c := range []struct {
 		name string
 		text string
 		want identity
 	}{
 		{
-			name: "first voter that began before there were marks",
+			name: "initial voter that began before there were disk ids",
 			text: "b of a b c",
 			want: identity{name: "b", initialVoters: []string{"a", "b", "c"}, id: 2},
 		},
 		{
-			name: "first voter with the marks of all",
+			name: "initial voter with the disk ids of all",
 			text: "c of a b c\na MA\nb MB\nc MC",
 			want: identity{name: "c", initialVoters: []string{"a", "b", "c"}, id: 3,
 				diskIDs: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
 		},
 		{
-			name: "voter that joined later",
-			text: "d joined as 4 in " + fleetOfABC,
+			name: "voter that was added later",
+			text: "d joined as 4 in " + clusterOfABC,
 			want: identity{name: "d", id: 4},
 		},
 	} {
@@ -42,8 +43,8 @@
 				!slices.Equal(got.initialVoters, c.want.initialVoters) || !maps.Equal(got.diskIDs, c.want.diskIDs) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
-			if fleet := hex.EncodeToString(got.clusterID[:]); fleet != fleetOfABC {
-				t.Errorf("fleet %s, want %s", fleet, fleetOfABC)
+			if cluster := hex.EncodeToString(got.clusterID[:]); cluster != clusterOfABC {
+				t.Errorf("cluster id %s, want %s", cluster, clusterOfABC)
 			}
 			if got.String() != c.text {
 				t.Errorf("written as %q, want %q", got.String(), c.text)
@@ -52,20 +53,21 @@
 	}
 }
 
+// An identity file that can't be parsed gives an error whose text has one line, even if the file has several.
 func TestMalformedIdentityIsRejectedInOneLine(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
 		{"empty", ""},
-		{"not among the first voters", "x of a b c"},
-		{"no first voters", "x of"},
+		{"not among the initial voters", "x of a b c"},
+		{"no initial voters", "x of"},
 		{"id 0", "d joined as 0 in 0011223344556677"},
-		{"id that is no number", "d joined as four in 0011223344556677"},
-		{"fleet of 7 bytes", "d joined as 4 in 00112233445566"},
-		{"fleet that is not hexadecimal", "d joined as 4 in 001122334455667z"},
+		{"id that is not a number", "d joined as four in 0011223344556677"},
+		{"cluster id of 7 bytes", "d joined as 4 in 00112233445566"},
+		{"cluster id that is not hexadecimal", "d joined as 4 in 001122334455667z"},
 		{"two lines of something else", "some\nthing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if i, err := parseIdentity(c.text); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("parsed as %+v: %v", i, err)
+				t.Errorf("parsed as %+v, error %v; want an error in one line", i, err)
 			}
 		})
 	}
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -14,7 +14,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A daemon that can't act on a version reports why to all, and loses its lease where the version is forced.
+// A daemon that can't act on a version reports the reason to the leader, and loses its lease if the version is forced.
 func TestRejectedVersionIsReportedAndForceEndsTheLease(t *testing.T) {
 	start := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		t.Helper()
@@ -48,27 +48,27 @@
 	}
 	waitActing := func(n *Node, version uint64) {
 		t.Helper()
-		testpeer.Until(t, fmt.Sprint("version ", version), func() bool {
+		testpeer.Until(t, fmt.Sprint("the node acts on version ", version), func() bool {
 			leased, ok := n.Valid()
 			return ok && leased.Version == version
 		})
 	}
 	waitActing(other, put("good"))
 	bad := put("bad")
-	testpeer.Until(t, "both know why", func() bool {
-		there, here := voter.Status(), other.Status()
-		return len(there.Lagging) == 1 && there.Lagging[0].Daemon == "o" &&
-			strings.Contains(there.Lagging[0].Reason, "it is bad") &&
-			here.RejectedVersion == bad && here.RejectionReason == "it is bad"
+	testpeer.Until(t, "both daemons report why the version is rejected", func() bool {
+		leader, rejecting := voter.Status(), other.Status()
+		return len(leader.Lagging) == 1 && leader.Lagging[0].Daemon == "o" &&
+			strings.Contains(leader.Lagging[0].Reason, "it is bad") &&
+			rejecting.RejectedVersion == bad && rejecting.RejectionReason == "it is bad"
 	})
 	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
 		t.Fatal(err)
 	}
 	waitActing(voter, bad)
-	testpeer.Until(t, "no lease", func() bool { _, ok := other.Valid(); return !ok })
+	testpeer.Until(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := other.Valid(); return !ok })
 	good := put("better")
 	waitActing(other, good)
-	testpeer.Until(t, "all act", func() bool {
+	testpeer.Until(t, "both daemons report that all act on the latest version", func() bool {
 		return other.Status().FullyActiveVersion == good && voter.Status().FullyActiveVersion == good
 	})
 }
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -12,7 +12,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A voter's disk is its own, and a log without an identity is nobody's. The cases run in order, on one disk.
+// A daemon does not start on the disk of another daemon's voter, and starts no voter on a disk that has a log but no
+// identity. The cases run in order, on one disk.
 func TestDiskOfAnotherVoterIsRejected(t *testing.T) {
 	d := simdisk.New()
 	d.SetBytes("IDENTITY.new", []byte("a o"))
@@ -25,14 +26,14 @@
 	}
 	for _, c := range []struct {
 		name       string
-		daemon     string // that starts on the disk
-		voters     []string
-		isRejected bool
+		daemon     string   // name of the daemon that starts on the disk
+		voters     []string // initial voters in the daemon's options
+		isRejected bool     // Start returns an error
 	}{
 		{"its own voter", "a", []string{"b", "a", "c"}, false},
-		{"its own voter, with other first voters in its options than on its disk", "a", []string{"a", "b", "d"}, false},
-		{"another first voter", "b", []string{"a", "b", "c"}, true},
-		{"a daemon that is no first voter", "x", []string{"a", "b", "c"}, true},
+		{"its own voter, with other initial voters in its options than on its disk", "a", []string{"a", "b", "d"}, false},
+		{"another initial voter", "b", []string{"a", "b", "c"}, true},
+		{"a daemon that is no initial voter", "x", []string{"a", "b", "c"}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, err := startOn(t, c.daemon, c.voters)
@@ -41,14 +42,14 @@
 					n.Close()
 				}
 				if err == nil || strings.Contains(err.Error(), "\n") {
-					t.Errorf("%s starts: %v", c.daemon, err)
+					t.Errorf("start of %s: error %v, want one of one line", c.daemon, err)
 				}
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			testpeer.Until(t, "it votes", func() bool { return n.Status().IsVoter })
+			testpeer.Until(t, c.daemon+" votes", func() bool { return n.Status().IsVoter })
 			if err := n.Close(); err != nil {
 				t.Error(err)
 			}
@@ -62,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Until(t, "it gives up", func() bool {
+		testpeer.Until(t, "the daemon gives up starting a voter", func() bool {
 			hasGivenUp := make(chan bool, 1)
 			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.localVoter == nil })
 			return <-hasGivenUp
@@ -73,18 +74,19 @@
 	})
 }
 
-// A voter that is given an older copy of its disk stops, where that can be known, and its daemon goes on.
+// A voter starts on an older copy of its disk, and so lacks entries that it had acknowledged. The cluster continues, and
+// so does the voter's daemon, even if raft detects this and stops the voter.
 func TestVoterWithAnOlderDiskDoesNotStopTheCluster(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
 	c.nodes[1].Close()
-	older := map[string][]byte{}
+	olderFiles := map[string][]byte{}
 	names, err := c.disks[1].List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if older[name], err = readFile(c.disks[1], name, 1<<20); err != nil {
+		if olderFiles[name], err = readFile(c.disks[1], name, 1<<20); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -95,25 +97,26 @@
 	}
 	c.waitAllActing(last, "4")
 	c.nodes[1].Close()
-	now, _ := c.disks[1].List()
-	for _, name := range now {
-		if older[name] == nil {
+	newerNames, _ := c.disks[1].List()
+	for _, name := range newerNames {
+		if olderFiles[name] == nil {
 			_ = c.disks[1].Remove(name)
 		}
 	}
-	for name, text := range older {
+	for name, text := range olderFiles {
 		c.disks[1].SetBytes(name, text)
 	}
 	c.start(1)
-	c.waitAllActing(c.put(2, "c", "five"), "five") // with its vote or without it, and none of the daemons ends
+	c.waitAllActing(c.put(2, "c", "five"), "five") // whether or not the voter on the older disk still votes
 }
 
-// One voter after another is replaced, the leader too; one that lost its disk returns as another; one that joined votes
-// after a restart; and what the voters before have committed is kept by those after.
+// The initial voters are replaced one by one, including the leader, and later voters have all that earlier ones
+// committed. A voter that was added votes again after a restart. A daemon that lost its disk is removed and added as a
+// new voter.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
 	c := newTestCluster(t, 6)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
-	for i := range 3 { // s3, s4, s5 in place of s0, s1, s2
+	for i := range 3 { // s3, s4 and s5 replace s0, s1 and s2
 		added, removed := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
 		c.changeVotersWhenFree(5, added, false)
 		c.waitVotes(3+i, true)
@@ -127,35 +130,35 @@
 	c.nodes[5].Close()
 	c.waitActing(c.nodes[:5], c.put(3, "c", "three"), "three")
 
-	c.changeVotersWhenFree(3, "s5", true) // its disk is lost
-	c.disks[5] = simdisk.New()
+	c.changeVotersWhenFree(3, "s5", true)
+	c.disks[5] = simdisk.New() // the disk of s5 is lost
 	c.start(5)
 	c.changeVotersWhenFree(3, "s5", false)
 	c.waitVotes(5, true)
 	c.waitAllActing(c.put(5, "d", "four"), "four")
-	testpeer.Until(t, "all know who votes", func() bool {
+	testpeer.Until(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
 			return strings.Join(n.Status().ActiveVoters, " ") != "s3 s4 s5"
 		})
 	})
 }
 
-// A first voter that lost its disk learns so from the others, and does not vote, though all options name it; removed
-// and added again it does.
-func TestFirstVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
+// An initial voter that lost its disk learns that from the others and does not vote, though the options of all daemons
+// name it. It votes after it was removed from the voters and added again.
+func TestInitialVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
 	c.nodes[1].Close()
 	c.disks[1] = simdisk.New()
 	c.start(1)
-	testpeer.Until(t, "it learns that its disk is lost", func() bool {
+	testpeer.Until(t, "s1 learns that its disk is lost", func() bool {
 		isLost := make(chan bool, 1)
 		c.nodes[1].submit(t.Context(), func() { isLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
 		return <-isLost
 	})
 	c.waitAllActing(c.put(1, "b", "two"), "two")
 	if c.nodes[1].Status().IsVoter {
-		t.Error("it votes")
+		t.Error("s1 votes though its disk was lost")
 	}
 	c.changeVotersWhenFree(1, "s1", true)
 	c.changeVotersWhenFree(1, "s1", false)
@@ -167,18 +170,18 @@
 	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
-// A change is rejected while another is under way; a voter that never came can be removed.
+// A change of the voters is rejected while another is in progress. A voter whose daemon never starts can be removed.
 func TestInvalidVoterChangesAreRejected(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.put(0, "a", "one")
-	if err := c.changeVoters(1, "nobody", false); err != nil { // who never comes
+	if err := c.changeVoters(1, "nobody", false); err != nil { // no daemon has this name
 		t.Fatal(err)
 	}
 	if err := c.changeVoters(1, "s3", false); err == nil || !strings.Contains(err.Error(), "nobody has yet to learn") {
-		t.Errorf("a second change: %v", err)
+		t.Errorf("change while another is in progress: error %v, want that nobody has yet to learn", err)
 	}
 	if err := c.changeVoters(2, "nobody", true); err != nil {
-		t.Errorf("a voter that never came can't be removed: %v", err)
+		t.Errorf("removal of a voter whose daemon never started: error %v, want none", err)
 	}
 	c.changeVotersWhenFree(2, "s3", false)
 	c.waitVotes(3, true)
--- a/internal/cluster/raftnode/messages_test.go
+++ b/internal/cluster/raftnode/messages_test.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// Daemons of different versions talk to each other, so that the bytes of a message's body never change.
+// Daemons of different builds exchange messages, so the encoding of their bodies must not change.
 func TestMessageBodiesKeepTheirEncoding(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -25,7 +25,7 @@
 			want: `{"ID":"b","version":0,"Err":"no"}`,
 		},
 		{
-			name: "bootstrap vote of a voter that has yet to begin",
+			name: "bootstrap vote of a voter that has not begun",
 			body: bootstrapMessage{Round: 3, IsRequest: true, Vote: consensus.BootstrapVote{DiskID: "m"}},
 			want: `{"round":3,"asks":true,"word":{"begun":false,"mark":"m","marks":null}}`,
 		},
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -15,21 +15,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Proposals at any daemon are committed and acted on by all; a voter that lost power returns with what it had; one
-// whose disk fails stops, and the others go on; without a majority nothing is committed, and leases expire.
+// Proposals at any daemon are committed, and all daemons act on them. A voter that lost power recovers its state; a voter
+// whose disk fails stops, and the others continue. Without a majority nothing is committed, and leases expire.
 func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
 	c := newTestCluster(t, 5)
 	first := c.put(0, "a", "one")
 	c.waitAllActing(first, "one")
-	if repeated := c.put(4, "a", "one"); repeated != first {
-		t.Errorf("the same command twice: version %d and %d", first, repeated)
+	if duplicate := c.put(4, "a", "one"); duplicate != first {
+		t.Errorf("a duplicate of the command returns version %d, want %d", duplicate, first)
 	}
-	second := c.put(4, "b", "two") // by a daemon that does not vote
+	second := c.put(4, "b", "two") // s4 does not vote
 	c.waitAllActing(second, "two")
-	expect := first
-	unexpected := consensus.Command{ExpectedVersion: &expect, Remove: testDocument}
-	if _, err := c.nodes[3].ProposeVersion(t.Context(), unexpected); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
-		t.Errorf("another version was expected: %v", err)
+	outdated := first
+	removal := consensus.Command{ExpectedVersion: &outdated, Remove: testDocument}
+	if _, err := c.nodes[3].ProposeVersion(t.Context(), removal); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
+		t.Errorf("command that expects version %d after %d: error %v, want a rejection", first, second, err)
 	}
 
 	c.nodes[0].Close()
@@ -38,29 +38,29 @@
 	third := c.put(0, "c", "three")
 	c.waitAllActing(third, "three")
 	if third != second+1 {
-		t.Errorf("version %d after %d", third, second)
+		t.Errorf("the next version is %d, want %d", third, second+1)
 	}
 
 	c.disks[1].Fail(0)
 	fourth := c.put(2, "d", "four")
 	c.waitAllActing(fourth, "four")
-	testpeer.Until(t, "the voter whose disk failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
+	testpeer.Until(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
 
-	abort(t, c.transports[2]) // one voter of three is left
+	abort(t, c.transports[2]) // of the three voters, only s0 is left
 	testpeer.Until(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	put := consensus.Command{Put: &consensus.DocumentPut{Name: testDocument}}
 	if _, err := c.nodes[3].ProposeVersion(ctx, put); !errors.Is(err, consensus.ErrIndeterminate) {
-		t.Errorf("without a majority: %v", err)
+		t.Errorf("proposal without a majority: error %v, want %v", err, consensus.ErrIndeterminate)
 	}
 }
 
-// CoversVersion is on the way of each request that is rejected while no lease is valid: 56 ns, nearly all of it the
-// clock, and no lock.
+// BenchmarkCoversVersion measures Node.CoversVersion, which runs for each request that is rejected while no lease is
+// valid. It takes 56 ns, nearly all of it for reading the clock, and no lock.
 func BenchmarkCoversVersion(b *testing.B) {
-	began := time.Now()
-	n := &Node{options: Options{Now: func() time.Duration { return time.Since(began) }}}
+	start := time.Now()
+	n := &Node{options: Options{Now: func() time.Duration { return time.Since(start) }}}
 	n.leased.Store(&consensus.LeasedVersion{Version: 3, ExpiresAt: time.Hour})
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/cluster/raftnode/storedformat_test.go
+++ b/internal/cluster/raftnode/storedformat_test.go
@@ -17,10 +17,10 @@
 	"tuliprock/internal/wal"
 )
 
-// What an earlier build wrote is decoded without loss: encoded again it is the same, byte by byte. A field that had
-// another name in JSON would be missing or renamed.
+// The data that an earlier build stored is decoded without loss: encoded again it is the same, byte for byte. If a field
+// had another JSON name by now, its value would be missing or have another name.
 func TestStoredDataOfEarlierBuildEncodesUnchanged(t *testing.T) {
-	kinds := map[string]int{} // commands by the names of fields that are set
+	fields := map[string]int{} // number of commands in which a field is set, by the field's JSON name
 	snapshots := 0
 	for _, f := range earlierFixtures {
 		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
@@ -32,29 +32,29 @@
 					t.Fatal(err)
 				}
 				if text == nil {
-					return // it did not vote
+					return // this daemon was not a voter
 				}
 				own, err := parseIdentity(string(text))
 				if err != nil {
 					t.Fatal(err)
 				}
 				if own.String()+"\n" != string(text) {
-					t.Errorf("identity %q, it was %q", own, text)
+					t.Errorf("identity is encoded as %q, want %q", own.String()+"\n", text)
 				}
 				replayNothing := func(wal.Record) error { return nil }
 				openAndClose(t, disk, func(r io.Reader) error {
 					snapshots++
 					return checkSnapshotEncodesUnchanged(t, r)
 				}, replayNothing)
-				// Without the snapshot the records that it stands for are replayed too.
+				// Without the snapshot, the records before it are replayed, too.
 				removeSnapshots(t, disk)
-				openAndClose(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, kinds) })
+				openAndClose(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, fields) })
 			})
 		}
 	}
-	for _, kind := range []string{"put", "remove", "back", "force", "skip", "seat", "mark", "read", "activate"} {
-		if kinds[kind] == 0 {
-			t.Errorf("no command %q is in the logs: %v", kind, kinds)
+	for _, field := range []string{"put", "remove", "back", "force", "skip", "seat", "mark", "read", "activate"} {
+		if fields[field] == 0 {
+			t.Errorf("no command in the logs sets the field %q, want some; fields: %v", field, fields)
 		}
 	}
 	if snapshots != len(earlierDiskIDs) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// openAndClose opens a log, which passes a snapshot and records to restore and replay, and closes it.
+// openAndClose opens a durable log, which passes its snapshot to restore and its records to replay, and closes it.
 func openAndClose(t *testing.T, disk wal.FS, restore func(io.Reader) error, replay func(wal.Record) error) {
 	t.Helper()
 	log, err := wal.Open(disk, wal.Options{}, func(_ uint64, r io.Reader) error { return restore(r) }, replay)
@@ -74,7 +74,7 @@
 	}
 }
 
-// removeSnapshots removes the snapshots of a log that still has all records from the first one on.
+// removeSnapshots removes the snapshots of a durable log, which must have all records from the first one on.
 func removeSnapshots(t *testing.T, disk wal.FS) {
 	t.Helper()
 	names, err := disk.List()
@@ -91,11 +91,12 @@
 	}
 }
 
+// checkCacheEncodesUnchanged fails the test unless the decoded cache file is encoded as the same bytes again.
 func checkCacheEncodesUnchanged(t *testing.T, disk wal.FS) {
 	t.Helper()
 	text, err := readFile(disk, cacheFile, maxCacheBytes)
 	if err != nil || len(text) < checksumSize {
-		t.Fatalf("cache of %d bytes: %v", len(text), err)
+		t.Fatalf("cache file of %d bytes, error %v; want at least %d bytes", len(text), err, checksumSize)
 	}
 	entry, err := readCacheEntry(disk)
 	if err != nil {
@@ -104,16 +105,16 @@
 	checkSameJSON(t, cacheFile, text[checksumSize:], entry)
 }
 
-// checkSameJSON fails the test unless the JSON of a value is the text that it was decoded from.
+// checkSameJSON fails the test unless the JSON encoding of a value is the text from which the value was decoded.
 func checkSameJSON(t *testing.T, what string, text []byte, value any) {
 	t.Helper()
 	if encoded, err := json.Marshal(value); err != nil || !bytes.Equal(encoded, text) {
-		t.Errorf("%s is encoded as\n%s, %v, it was\n%s", what, encoded, err, text)
+		t.Errorf("%s is encoded as\n%s\nwith error %v, want\n%s", what, encoded, err, text)
 	}
 }
 
-// checkSnapshotEncodesUnchanged reads the state of a snapshot's body: parts behind their lengths, the second of which
-// is raft's snapshot.
+// checkSnapshotEncodesUnchanged fails the test unless the decoded State of a snapshot is encoded as the same bytes again.
+// The snapshot's body consists of parts, each preceded by its length; the second part is raft's snapshot with the State.
 func checkSnapshotEncodesUnchanged(t *testing.T, r io.Reader) error {
 	t.Helper()
 	body, err := io.ReadAll(r)
@@ -138,13 +139,14 @@
 		return err
 	}
 	if !bytes.Equal(encoded, snapshot.GetData()) {
-		t.Errorf("the state is encoded as\n%s, it was\n%s", encoded, snapshot.GetData())
+		t.Errorf("the State is encoded as\n%s\nwant\n%s", encoded, snapshot.GetData())
 	}
 	return nil
 }
 
-// checkEntryEncodesUnchanged decodes the command of a raft entry, and counts it by its kind.
-func checkEntryEncodesUnchanged(t *testing.T, r wal.Record, kinds map[string]int) error {
+// checkEntryEncodesUnchanged fails the test unless the decoded command of a raft entry is encoded as the same bytes
+// again. It counts the command in fields under each field that the command sets. Records of other types pass.
+func checkEntryEncodesUnchanged(t *testing.T, r wal.Record, fields map[string]int) error {
 	t.Helper()
 	if r.Type != 'e' {
 		return nil
@@ -157,17 +159,17 @@
 		return nil
 	}
 	var (
-		command consensus.Command
-		fields  map[string]json.RawMessage
+		command   consensus.Command
+		setFields map[string]json.RawMessage
 	)
 	if err := json.Unmarshal(entry.GetData(), &command); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(entry.GetData(), &fields); err != nil {
+	if err := json.Unmarshal(entry.GetData(), &setFields); err != nil {
 		return err
 	}
-	for field := range fields {
-		kinds[field]++
+	for field := range setFields {
+		fields[field]++
 	}
 	checkSameJSON(t, "a command", entry.GetData(), command)
 	return nil
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -12,8 +12,8 @@
 	"tuliprock/internal/testkit/simdisk"
 )
 
-// The version that a daemon acted on is there after a restart, or none is: a file that is cut or changed at any byte
-// gives none.
+// The cache file gives the version that was written, or none: a file that is truncated or damaged at any byte gives no
+// version.
 func TestCachedVersionIsLoadedCompleteOrNotAtAll(t *testing.T) {
 	d := simdisk.New()
 	n := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
@@ -28,14 +28,14 @@
 		return (&Node{options: n.options}).loadCachedVersion()
 	}
 	if v, docs := load(complete); v != 7 || string(docs["a"].Body) != "text" {
-		t.Errorf("%d, %v", v, docs)
+		t.Errorf("loaded version %d with documents %v, want 7 with document a", v, docs)
 	}
 	for i := range complete {
 		flipped := slices.Clone(complete)
 		flipped[i] ^= 1
 		for _, damaged := range [][]byte{complete[:i], flipped} {
 			if v, _ := load(damaged); v != 0 {
-				t.Fatalf("at byte %d: version %d of a damaged file", i, v)
+				t.Fatalf("a file damaged at byte %d gives version %d, want none", i, v)
 			}
 		}
 	}
@@ -43,16 +43,16 @@
 	rejecting.Check = func(map[string]consensus.Document) error { return errors.New("no") }
 	d.SetBytes(cacheFile, complete)
 	if v, _ := (&Node{options: rejecting}).loadCachedVersion(); v != 0 {
-		t.Error("a daemon goes on with a version that it rejects")
+		t.Errorf("loaded version %d, want none: the daemon's check rejects it", v)
 	}
 	d.Fail(0)
-	n.cacheVersion(consensus.LeasedVersion{Version: 8}, nil) // and goes on
+	n.cacheVersion(consensus.LeasedVersion{Version: 8}, nil) // logs the error and returns
 	if v, _ := (&Node{options: n.options}).loadCachedVersion(); v == 8 {
-		t.Error("the disk has failed")
+		t.Error("loaded version 8, which was written after the disk had failed")
 	}
 }
 
-// The cache file is on the disks of daemons that run: its bytes never change.
+// Later builds read the cache files of running daemons, so the file's format must not change.
 func TestCacheFileKeepsItsFormat(t *testing.T) {
 	d := simdisk.New()
 	n := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
