--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -15,7 +15,7 @@
 // ClaimSlot) or Read is set.
 type Command struct {
 	Format          int              `json:"format"`             // format number, set by Encode
-	ID              string           `json:"id,omitempty"`       // id of a document change; a duplicate has no effect
+	ID              string           `json:"id,omitempty"`       // id of a document change; a duplicate with the same id has no effect
 	ExpectedVersion *uint64          `json:"expect,omitempty"`   // latest version that the requester has seen; nil: any
 	ProposedBy      string           `json:"by,omitempty"`       // name of the daemon that proposed the command
 	AtUnixMilli     int64            `json:"at,omitempty"`       // Unix milliseconds by the clock of the proposing daemon
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -33,7 +33,7 @@
 // DocumentVersion refers to a document as it was at some version.
 type DocumentVersion struct {
 	Name    string `json:"name"`
-	Version uint64 `json:"version,omitempty"` // version at which the document is meant; 0: the latest
+	Version uint64 `json:"version,omitempty"` // version at which the document is looked up; 0: the latest
 }
 
 // HistoryEntry describes one change of the documents.
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -47,11 +47,11 @@
 	}
 	s.Docs = docs
 	s.Version++
-	if !s.hasPending() {
-		s.setPending()
+	if !s.hasPendingVersion() {
+		s.makeLatestPending()
 	}
 	if exists {
-		s.retain(replaced)
+		s.retainDocument(replaced)
 	}
 	s.History = lastN(append(s.History, change), maxHistoryEntries)
 	return s.recordResult(c.ID, CommandResult{Version: s.Version}), nil
@@ -84,9 +84,9 @@
 		totalBodyBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
 }
 
-// retain adds a document that was replaced or removed to the retained ones, and drops the oldest of these that exceed
+// retainDocument adds a document that was replaced or removed to the retained ones, and drops the oldest of these that exceed
 // the bounds.
-func (s *State) retain(document Document) {
+func (s *State) retainDocument(document Document) {
 	retained := append(slices.Clone(s.RetainedDocs), document)
 	bytes := 0
 	for i, d := range slices.Backward(retained) {
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -15,7 +15,7 @@
 type interleaving struct {
 	state            *State
 	manager          *LeaseManager
-	now              time.Duration    // true time; the leader's clock is right
+	now              time.Duration    // true time, which the leader's clock shows
 	holders          [2]*LeaseHolder  // lease holders of the two daemons
 	grantsInFlight   [2]*LeaseGrant   // grant that has not reached the daemon yet; nil: none
 	firstActive      [3]time.Duration // by version: true time at which a daemon first acted on it; 0: none has
@@ -164,8 +164,8 @@
 // 2. The environment variable EXPLORE sets another number of steps; each further step makes nine times as many orders.
 func TestEveryOrderOfStepsStaysWithinMaxOverlap(t *testing.T) {
 	depth := 5
-	if deeper, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
-		depth = deeper
+	if steps, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
+		depth = steps
 	}
 	longest := time.Duration(0)
 	visit := func(x *interleaving) { longest = max(longest, x.longestOverlap()) }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -77,7 +77,7 @@
 	switch {
 	case r.ReadyVersion < state.Active || isExcludedByForce(state, r):
 		return 0
-	case state.hasPending():
+	case state.hasPendingVersion():
 		return m.config.ShortDuration
 	}
 	return m.config.Duration
@@ -117,7 +117,7 @@
 // leases have certainly expired.
 func (m *LeaseManager) VersionToActivate(now time.Duration, state *State) uint64 {
 	switch {
-	case !state.hasPending():
+	case !state.hasPendingVersion():
 		return 0
 	case m.config.SkipActivationWait:
 		return state.Pending
@@ -136,7 +136,7 @@
 // daemon rejects the pending version, it was not forced, and a later version exists. No daemon ever acts on a version
 // that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
-	if !state.hasPending() || state.Version == state.Pending || state.Forced >= state.Pending {
+	if !state.hasPendingVersion() || state.Version == state.Pending || state.Forced >= state.Pending {
 		return 0
 	}
 	for _, d := range m.daemons {
@@ -161,7 +161,7 @@
 		switch {
 		case now >= d.expiresAt():
 			continue
-		case state.hasPending():
+		case state.hasPendingVersion():
 			reason = m.activationWaitReason(now, state, d)
 		case d.request.InstalledVersion < state.Active:
 			reason = fmt.Sprintf("it still acts on version %d", d.request.InstalledVersion)
@@ -210,7 +210,7 @@
 
 // isExcludedByForce reports whether a daemon gets no lease because it rejects the pending version, which was forced.
 func isExcludedByForce(state *State, r *LeaseRequest) bool {
-	return state.hasPending() && state.Forced >= state.Pending && rejectsPending(state, r)
+	return state.hasPendingVersion() && state.Forced >= state.Pending && rejectsPending(state, r)
 }
 
 // rejectsPending reports whether a daemon has reported that it can't act on the pending version.
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -56,11 +56,11 @@
 			h.HandleGrant(start, request(start))
 			completeCheckAndInstall(h)
 		}
-		late := request(start)
+		lateGrant := request(start)
 		if got := m.VersionToActivate(start, state); got != 2 {
 			t.Fatalf("version to activate %d, want 2; lagging: %v", got, m.laggingDaemons(start, state))
 		}
-		h.HandleGrant(start+config.ShortDuration/5, late)
+		h.HandleGrant(start+config.ShortDuration/5, lateGrant)
 		version, _, ok := h.Valid(start + config.MaxOverlap() + 1)
 		if ok != countFromGrant || version != 1 {
 			t.Errorf("after MaxOverlap the lease is valid: %v, for version %d; want %v, for version 1, if it counts from the grant: %v",
@@ -125,16 +125,16 @@
 	state, now := stateWithPendingVersion(t), testLeaseConfig.Duration*10
 	m := NewLeaseManager(0, testLeaseConfig)
 	errNoSuchField := errors.New("no such field")
-	able, unable := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
+	accepting, rejecting := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
 	rounds := func(n int) {
 		for range n {
 			m.Refresh(now, state)
-			for _, h := range []*LeaseHolder{able, unable} {
+			for _, h := range []*LeaseHolder{accepting, rejecting} {
 				r, _ := h.NextRequest(now)
 				h.HandleGrant(now, m.Grant(now, r, state))
 				version, _ := h.PendingCheck()
 				err := error(nil)
-				if h == unable && (version == 2 || version == 3) {
+				if h == rejecting && (version == 2 || version == 3) {
 					err = errNoSuchField
 				}
 				h.CompleteCheck(version, err)
@@ -149,7 +149,7 @@
 		t.Fatalf("lagging: %v, version to activate %d, to skip %d; want %v alone, 0 and 0",
 			got, m.VersionToActivate(now, state), m.VersionToSkip(now, state), want)
 	}
-	if version, _, ok := unable.Valid(now); version != 1 || !ok {
+	if version, _, ok := rejecting.Valid(now); version != 1 || !ok {
 		t.Errorf("the daemon that rejects the pending version acts on %d, valid %v; want 1, true", version, ok)
 	}
 	mustApply(t, state, putCommand("x", "3"))
@@ -160,7 +160,7 @@
 	rounds(2)
 	mustApply(t, state, Command{Force: 3})
 	rounds(1)
-	if _, _, ok := unable.Valid(now); ok {
+	if _, _, ok := rejecting.Valid(now); ok {
 		t.Error("the daemon that rejects the forced version has a lease")
 	}
 	rounds(1) // the daemon reports that it has accepted the grant without a lease
@@ -170,26 +170,26 @@
 	}
 	mustApply(t, state, Command{Activate: 3})
 	rounds(1)
-	if version, _, ok := able.Valid(now); version != 3 || !ok {
+	if version, _, ok := accepting.Valid(now); version != 3 || !ok {
 		t.Errorf("the other daemon acts on %d, valid %v; want 3, true", version, ok)
 	}
-	leased := able.Leased()
+	leased := accepting.Leased()
 	if !leased.CoversVersion(1, now) || leased.CoversVersion(1, now+testLeaseConfig.MaxOverlap()) ||
 		!leased.CoversVersion(3, now) || leased.CoversVersion(2, now) {
 		t.Errorf("leased %+v, want version 3, and version 1 until its lease expires", leased)
 	}
-	if _, _, ok := unable.Valid(now); ok {
+	if _, _, ok := rejecting.Valid(now); ok {
 		t.Error("the daemon that rejects the active version has a lease")
 	}
 	mustApply(t, state, putCommand("x", "4"))
 	rounds(3)
 	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
 	rounds(3)
-	if version, _, ok := unable.Valid(now); version != 4 || !ok {
+	if version, _, ok := rejecting.Valid(now); version != 4 || !ok {
 		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
 			version, ok, m.laggingDaemons(now, state))
 	}
-	if version, lagging := able.FullyActive(); version != 4 || len(lagging) > 0 {
+	if version, lagging := accepting.FullyActive(); version != 4 || len(lagging) > 0 {
 		t.Errorf("all daemons act on %d, lagging: %v; want 4, and none", version, lagging)
 	}
 }
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -102,7 +102,7 @@
 
 // checkVoterChange returns an error if a change of the voters can't be made now, which says why.
 func (s *State) checkVoterChange(c *VoterChange) error {
-	switch reason := s.changeInProgress(); {
+	switch reason := s.voterChangeInProgress(); {
 	case reason != "":
 		return fmt.Errorf("%w: %s", ErrVoterChangeRejected, reason)
 	case c.Remove && len(s.VoterSlots) == 1:
@@ -113,10 +113,10 @@
 	return nil
 }
 
-// changeInProgress describes the change of voters that raft's configuration does not have yet. It is empty if there is
+// voterChangeInProgress describes the change of voters that raft's configuration does not have yet. It is empty if there is
 // none. The texts are part of what operators are answered and must not change: a new voter "has yet to learn" while it
 // receives the log, and a removed one "has yet to leave".
-func (s *State) changeInProgress() string {
+func (s *State) voterChangeInProgress() string {
 	for id, name := range s.VoterSlots {
 		if !s.ActiveVoters[id] {
 			return name + " has yet to learn what is agreed on"
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -93,9 +93,9 @@
 	}
 	v.reconcileVoters()
 	drainOutput(v, now)
-	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().changeInProgress() == "" {
+	if len(v.confState.GetLearners()) != 1 || v.confState.GetLearners()[0] != 2 || v.State().voterChangeInProgress() == "" {
 		t.Errorf("with a new voter, the configuration is %v and the change in progress %q; want the learner 2, and a change",
-			v.confState, v.State().changeInProgress())
+			v.confState, v.State().voterChangeInProgress())
 	}
 	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrVoterChangeRejected) {
 		t.Errorf("change while another is in progress: error %v, want %v", err, ErrVoterChangeRejected)
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// startReadIndex starts a round of raft's ReadIndex. If it is confirmed, this voter still led after all requests that
-// had arrived before.
+// startReadIndex starts a round of raft's ReadIndex. Its confirmation proves that this voter still led after all requests
+// that arrived before the round started.
 func (v *Voter) startReadIndex() {
 	v.readRound++
 	v.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.readRound))
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -24,15 +24,15 @@
 	if v.leaseManager == nil {
 		return
 	}
-	learners, caughtUp := v.learners()
+	learners, promotable := v.learners()
 	for id := range v.state.VoterSlots {
 		if !v.state.ActiveVoters[id] && !learners[id] && v.state.DiskIDs[id] != "" {
 			v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
 			return
 		}
 	}
-	if v.state.VoterSlots[caughtUp] != "" {
-		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, caughtUp)
+	if v.state.VoterSlots[promotable] != "" {
+		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, promotable)
 		return
 	}
 	for _, ids := range []map[uint64]bool{learners, v.state.ActiveVoters} {
@@ -47,7 +47,7 @@
 
 // learners returns the raft ids of the learners in raft's configuration, and the id of one that may be promoted, which
 // is 0 if there is none.
-func (v *Voter) learners() (learners map[uint64]bool, caughtUp uint64) {
+func (v *Voter) learners() (learners map[uint64]bool, promotable uint64) {
 	learners = map[uint64]bool{}
 	last, _ := v.storage.LastIndex() // never fails: the storage is in memory
 	v.rawNode.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
@@ -58,10 +58,10 @@
 		// raft counts a learner as active as soon as it is added; only a match above 0 shows that its voter runs. The lag
 		// alone does not show it, as the log of a young cluster is shorter than maxLearnerLag.
 		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
-			caughtUp = id
+			promotable = id
 		}
 	})
-	return learners, caughtUp
+	return learners, promotable
 }
 
 // removeVoter proposes to remove a voter from raft's configuration. A leader that is to be removed itself transfers the
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -90,7 +90,7 @@
 func (s *State) applyActivate(version uint64) CommandResult {
 	if version == s.Pending && s.Active < s.Pending {
 		s.Active, s.ActiveDocs = s.Pending, s.PendingDocs
-		s.setPending()
+		s.makeLatestPending()
 	}
 	return CommandResult{Version: s.Active}
 }
@@ -98,7 +98,7 @@
 // applySkip makes the latest version the pending one in place of the given version, unless that one was forced.
 func (s *State) applySkip(version uint64) CommandResult {
 	if version == s.Pending && s.Active < s.Pending && s.Forced < s.Pending {
-		s.setPending()
+		s.makeLatestPending()
 	}
 	return CommandResult{Version: s.Pending}
 }
@@ -112,11 +112,11 @@
 	return CommandResult{Version: version}, nil
 }
 
-// setPending makes the latest version the pending one.
-func (s *State) setPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
+// makeLatestPending makes the latest version the pending one.
+func (s *State) makeLatestPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
 
-// hasPending reports whether a version waits to be activated.
-func (s *State) hasPending() bool { return s.Pending > s.Active }
+// hasPendingVersion reports whether a version waits to be activated.
+func (s *State) hasPendingVersion() bool { return s.Pending > s.Active }
 
 // recordResult records the result of a command, if it has an ID, so that duplicates get the same one. It returns the
 // result.
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -40,7 +40,7 @@
 func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
-		made := map[string]uint64{} // versions by command ID
+		versionsByID := map[string]uint64{} // version returned at the first application, by command ID
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawCommand(t)
 			entry, err := c.Encode()
@@ -61,10 +61,10 @@
 					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active, err)
 			}
 			if c.Activate == 0 && err == nil {
-				if first, ok := made[c.ID]; ok && first != version {
+				if first, ok := versionsByID[c.ID]; ok && first != version {
 					t.Fatalf("%s returns version %d, want %d as when it was first applied", entry, version, first)
 				}
-				made[c.ID] = version
+				versionsByID[c.ID] = version
 			}
 		}
 	})
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -69,10 +69,10 @@
 
 // NewVoter returns a voter that starts from the state recovered from its disk, of which it takes ownership. It fails if
 // the log is not consistent.
-func NewVoter(now time.Duration, config Config, d *RecoveredState) (_ *Voter, err error) {
+func NewVoter(now time.Duration, config Config, recovered *RecoveredState) (_ *Voter, err error) {
 	v := &Voter{
 		config:          config,
-		storage:         d.storage,
+		storage:         recovered.storage,
 		state:           NewState(),
 		rng:             rand.New(rand.NewPCG(config.Seed, config.ID)),
 		leaderHeardAt:   now,
@@ -80,7 +80,7 @@
 	}
 	defer func() { err = errors.Join(err, v.StopReason) }()
 	defer v.stopOnRaftPanic()
-	snapshot, err := d.storage.Snapshot()
+	snapshot, err := recovered.storage.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +194,8 @@
 	v.resetElectionTimer(now)
 }
 
-// leaderExpiresAt returns the instant until which a follower assumes, after its latest message, that the leader lives.
+// leaderExpiresAt returns the instant until which a follower assumes that the leader is alive, counted from the leader's
+// latest message.
 func (v *Voter) leaderExpiresAt() time.Duration {
 	return v.leaderHeardAt + electionHeartbeats*v.config.HeartbeatInterval
 }
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -139,7 +139,7 @@
 // changeVotersWhenFree repeats changeVoters until it succeeds, that is until no earlier change is in progress.
 func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
 	c.t.Helper()
-	testpeer.Until(c.t, "voters change", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
+	testpeer.Until(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
 
 // waitVotes waits until node i votes, or until it does not.
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -19,7 +19,7 @@
 			return
 		case m := <-n.options.Transport.Messages():
 			n.handleMessage(m)
-		case call := <-n.calls:
+		case call := <-n.submitted:
 			call()
 		case <-timer.C:
 		}
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -6,8 +6,8 @@
 //
 // Start starts one goroutine, the event loop, which alone owns the voter, the log, the lease and the pending proposals.
 // While a version is checked (Options.Check) a second goroutine runs, which passes the outcome to the event loop. Close
-// ends both and waits for them. Valid and CoversVersion, which are called for each request of a client, read an atomic
-// pointer and never wait for the event loop.
+// ends both and waits for them. Valid and CoversVersion, which are called while client requests are handled, read an
+// atomic pointer and never wait for the event loop.
 //
 // # What a caller may rely on
 //
@@ -71,15 +71,15 @@
 
 // Node connects a daemon to the replicated documents. Start returns a running one.
 type Node struct {
-	options    Options
-	leased     atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act, for all goroutines
-	status     atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
-	firstGrant chan struct{}                           // closed at the first grant that this daemon can act on
-	changed    chan struct{}                           // has a value when leased has another version than before
-	calls      chan func()                             // functions that the event loop is to run
-	ctx        context.Context                         // canceled by Close
-	cancel     context.CancelFunc                      // cancels ctx
-	goroutines sync.WaitGroup                          // event loop and running check
+	options        Options
+	leased         atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act, for all goroutines
+	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
+	firstGrant     chan struct{}                           // closed at the first grant that this daemon can act on
+	versionChanged chan struct{}                           // has a value when leased has another version than before
+	submitted      chan func()                             // functions that the event loop is to run
+	ctx            context.Context                         // canceled by Close
+	cancel         context.CancelFunc                      // cancels ctx
+	goroutines     sync.WaitGroup                          // event loop and running check
 
 	// The fields below are owned by the event loop (run).
 
@@ -98,12 +98,12 @@
 // with the directory.
 func Start(o Options) (*Node, error) {
 	n := &Node{
-		options:    o,
-		firstGrant: make(chan struct{}),
-		changed:    make(chan struct{}, 1),
-		calls:      make(chan func()),
-		proposals:  pendingProposals{},
-		client:     leaseClient{knownVoters: slices.Sorted(slices.Values(o.InitialVoters)), leader: o.InitialVoters[0]},
+		options:        o,
+		firstGrant:     make(chan struct{}),
+		versionChanged: make(chan struct{}, 1),
+		submitted:      make(chan func()),
+		proposals:      pendingProposals{},
+		client:         leaseClient{knownVoters: slices.Sorted(slices.Values(o.InitialVoters)), leader: o.InitialVoters[0]},
 	}
 	if o.Disk != nil {
 		var err error
@@ -165,13 +165,13 @@
 
 // Changed returns a channel that gets a value when Valid returns another version than before. Changes are merged into
 // one value until the caller receives it.
-func (n *Node) Changed() <-chan struct{} { return n.changed }
+func (n *Node) Changed() <-chan struct{} { return n.versionChanged }
 
 // submit passes a function to the event loop and does not wait until it has run. It returns false, and the function is
 // not run, if ctx or the node ends first.
 func (n *Node) submit(ctx context.Context, call func()) bool {
 	select {
-	case n.calls <- call:
+	case n.submitted <- call:
 		return true
 	case <-ctx.Done():
 	case <-n.ctx.Done():
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -32,7 +32,7 @@
 		n.leased.Store(&leased)
 		if leased.Version != before.Version {
 			select {
-			case n.changed <- struct{}{}:
+			case n.versionChanged <- struct{}{}:
 			default:
 			}
 		}
