--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -22,32 +22,34 @@
 	"tuliprock/internal/wal"
 )
 
-// earlierBuild has the data directories of a cluster whose daemons were of an earlier build (testdata/README.md).
+// earlierBuild is the directory with data directories that daemons of an earlier build wrote (testdata/README.md).
 const earlierBuild = "testdata/build-94b9de8"
 
-// earlierFirstVoters are the voters that the files of the earlier build's daemons name.
-var earlierFirstVoters = []string{"bay-1", "bay-2", "bay-3"}
+// earlierInitialVoters are the initial voters of the earlier build's cluster.
+var earlierInitialVoters = []string{"bay-1", "bay-2", "bay-3"}
 
-// earlierMarks are the marks of the disks of the earlier build's daemons.
-var earlierMarks = map[string]string{
+// earlierDiskIDs are the disk ids of the earlier build's daemons, by name.
+var earlierDiskIDs = map[string]string{
 	"bay-1": "3VKFU424G4JACKRYTYJF65Q6BO",
 	"bay-2": "WZGQWHUKSHO2WIDRJFFWEMQHYH",
 	"bay-3": "XIXELP7R2CUFTXHM5VYEX4SPK7",
 	"bay-4": "MXVAGED2ZUPVRM3N4KMNALE22T",
 }
 
-// earlierMoment is a moment of the earlier build's cluster at which all its processes were killed.
-type earlierMoment struct {
-	name          string // of the directory
-	version       uint64
-	bodies        map[string]string // of documents other than "shared"
-	voters        []string          // as the daemons cached them
-	knownVoters   []string          // whom the daemons might ask for a lease: voters and first voters
-	term          uint64            // of the voters
-	snapshotIndex map[string]uint64 // of the daemons' logs, by name; nil: they have no snapshot
+// earlierFixture has the data directories of the earlier build's daemons at a moment when all of them were killed, and
+// what is expected of a start from the data.
+type earlierFixture struct {
+	name          string            // name of the directory below earlierBuild
+	version       uint64            // version on which all daemons acted
+	bodies        map[string]string // bodies of the documents other than "shared", by name
+	voters        []string          // names of the voters in the daemons' cache files
+	knownVoters   []string          // names of the voters and of the initial voters
+	term          uint64            // raft's term on the voters' disks
+	snapshotIndex map[string]uint64 // index of the snapshot in the daemon's log, by the daemon's name; nil: there are none
 }
 
-var earlierMoments = []earlierMoment{
+// earlierFixtures are the two moments at which the earlier build's daemons were killed.
+var earlierFixtures = []earlierFixture{
 	{
 		name:    "first-voters",
 		version: 14,
@@ -56,8 +58,8 @@
 			"flag/c":              "four, by one that does not vote",
 			"out/127.0.0.1:21040": "",
 		},
-		voters:      earlierFirstVoters,
-		knownVoters: earlierFirstVoters,
+		voters:      earlierInitialVoters,
+		knownVoters: earlierInitialVoters,
 		term:        1,
 	},
 	{
@@ -77,11 +79,11 @@
 	},
 }
 
-// copyData copies a daemon's data directory, and opens it.
-func (m *earlierMoment) copyData(t *testing.T, daemon string) wal.FS {
+// copyData copies a daemon's data directory into a temporary one and opens the copy.
+func (f *earlierFixture) copyData(t *testing.T, daemon string) wal.FS {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), daemon)
-	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, m.name, daemon))); err != nil {
+	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, f.name, daemon))); err != nil {
 		t.Fatal(err)
 	}
 	disk, err := wal.OpenDir(path)
@@ -91,27 +93,27 @@
 	return disk
 }
 
-// documentLines are documents in the lines of the operators' command "settings".
+// documentLines returns the lines with which the operators' command "settings" describes documents.
 func documentLines(docs map[string]consensus.Document) string {
 	var lines strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
 		d := docs[name]
-		fmt.Fprintf(&lines, "document name=%s version=%d by=%s bytes=%d sha256=%x\n", name, d.Version, d.By, len(d.Body), d.Digest)
+		fmt.Fprintf(&lines, "document name=%s version=%d by=%s bytes=%d sha256=%x\n", name, d.Version, d.ProposedBy, len(d.Body), d.Digest)
 	}
 	return lines.String()
 }
 
-// historyLines are changes in the lines of the operators' command "settings history".
+// historyLines returns the lines with which the operators' command "settings history" describes changes.
 func historyLines(history []consensus.HistoryEntry) string {
 	var lines strings.Builder
 	for _, e := range history {
 		fmt.Fprintf(&lines, "change version=%d name=%s bytes=%d sha256=%x by=%s at_ms=%d back=%d\n",
-			e.Version, e.Name, e.Bytes, e.Digest, e.By, e.At, e.RevertedTo)
+			e.Version, e.Name, e.Bytes, e.Digest, e.ProposedBy, e.AtUnixMilli, e.RevertedTo)
 	}
 	return lines.String()
 }
 
-// earlierLines returns the lines of a file that the earlier build's answers stand in, those that begin with a word.
+// earlierLines returns the lines that begin with a word in a file with answers of the earlier build.
 func earlierLines(t *testing.T, file, word string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(earlierBuild, file))
@@ -122,23 +124,23 @@
 	return slices.DeleteFunc(lines, func(line string) bool { return !strings.HasPrefix(line, word+" ") })
 }
 
-// checkDocuments fails the test unless documents are those that the earlier build's daemons acted on.
-func (m *earlierMoment) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
+// checkDocuments fails the test unless the documents are those on which the earlier build's daemons acted.
+func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
-	if got, want := documentLines(docs), strings.Join(earlierLines(t, m.name+".settings.txt", "document"), ""); got != want {
+	if got, want := documentLines(docs), strings.Join(earlierLines(t, f.name+".settings.txt", "document"), ""); got != want {
 		t.Errorf("documents\n%swant\n%s", got, want)
 	}
 	for name, d := range docs {
-		if body, ok := m.bodies[name]; ok && string(d.Body) != body {
-			t.Errorf("%s is %q, want %q", name, d.Body, body)
+		if body, ok := f.bodies[name]; ok && string(d.Body) != body {
+			t.Errorf("document %s has body %q, want %q", name, d.Body, body)
 		}
 		if d.Name != name || sha256.Sum256(d.Body) != d.Digest {
-			t.Errorf("%s has name %q, and digest %x of another body", name, d.Name, d.Digest)
+			t.Errorf("document %s has name %q and digest %x, want its own name and the SHA-256 of its body", name, d.Name, d.Digest)
 		}
 	}
 }
 
-// earlierTransport starts the transport of one of the earlier build's daemons.
+// earlierTransport starts a transport with the name of one of the earlier build's daemons.
 func earlierTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
 	t.Helper()
 	return startTestTransport(t, transport.Options{
@@ -148,17 +150,17 @@
 	})
 }
 
-// startEarlier starts a node of this build in place of a daemon of the earlier one.
-func startEarlier(t *testing.T, daemon string, disk wal.FS, carrier *transport.Transport) *Node {
+// startEarlierNode starts a node of this build in place of a daemon of the earlier build.
+func startEarlierNode(t *testing.T, daemon string, disk wal.FS, l *transport.Transport) *Node {
 	t.Helper()
 	n, err := Start(Options{
-		Name:      daemon,
-		Voters:    earlierFirstVoters,
-		Disk:      disk,
-		Lease:     testLeaseConfig,
-		Transport: carrier,
-		Now:       carrier.Now,
-		Log:       slog.New(slog.NewTextHandler(t.Output(), nil)),
+		Name:          daemon,
+		InitialVoters: earlierInitialVoters,
+		Disk:          disk,
+		Lease:         testLeaseConfig,
+		Transport:     l,
+		Now:           l.Now,
+		Log:           slog.New(slog.NewTextHandler(t.Output(), nil)),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -166,117 +168,117 @@
 	return n
 }
 
-// A daemon that starts alone from the data of an earlier build has the identity that its voter had, and the cached
-// version, without a lease.
+// A daemon that starts alone from the data of an earlier build has the identity of its voter and the cached version, but
+// no lease.
 func TestNodeStartsFromDataOfEarlierBuild(t *testing.T) {
-	for _, m := range earlierMoments {
-		for _, daemon := range slices.Sorted(maps.Keys(earlierMarks)) {
-			t.Run(m.name+"/"+daemon, func(t *testing.T) {
-				disk := m.copyData(t, daemon)
-				if text, err := readFile(disk, markFile, maxIdentityBytes); err != nil || string(text) != earlierMarks[daemon]+"\n" {
-					t.Errorf("mark %q, %v", text, err)
+	for _, f := range earlierFixtures {
+		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
+			t.Run(f.name+"/"+daemon, func(t *testing.T) {
+				disk := f.copyData(t, daemon)
+				if text, err := readFile(disk, diskIDFile, maxIdentityBytes); err != nil || string(text) != earlierDiskIDs[daemon]+"\n" {
+					t.Errorf("disk id %q, error %v; want %q", text, err, earlierDiskIDs[daemon]+"\n")
 				}
-				n := startEarlier(t, daemon, disk, earlierTransport(t, daemon))
+				n := startEarlierNode(t, daemon, disk, earlierTransport(t, daemon))
 				leased, ok := n.Valid()
-				if leased.Version != m.version || ok {
-					t.Errorf("it starts with version %d, leased %t, want %d without a lease", leased.Version, ok, m.version)
+				if leased.Version != f.version || ok {
+					t.Errorf("the node starts with version %d, leased %t; want %d without a lease", leased.Version, ok, f.version)
 				}
-				m.checkDocuments(t, leased.Docs)
+				f.checkDocuments(t, leased.Docs)
 				if err := n.Close(); err != nil {
 					t.Fatal(err)
 				}
-				// No goroutine of the node runs any more: what the event loop owned may be read.
-				if n.cached.Version != m.version || !slices.Equal(n.cached.Voters, m.voters) {
-					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, m.version, m.voters)
+				// The node's goroutines have ended, so the fields that the event loop owned may be read.
+				if n.cached.Version != f.version || !slices.Equal(n.cached.Voters, f.voters) {
+					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, f.version, f.voters)
 				}
-				if !slices.Equal(n.client.knownVoters, m.knownVoters) {
-					t.Errorf("it knows the voters %q, want %q", n.client.knownVoters, m.knownVoters)
+				if !slices.Equal(n.client.knownVoters, f.knownVoters) {
+					t.Errorf("the node knows the voters %q, want %q", n.client.knownVoters, f.knownVoters)
 				}
-				m.checkVoter(t, daemon, n)
+				f.checkVoter(t, daemon, n)
 			})
 		}
 	}
 }
 
 // checkVoter fails the test unless a closed node has the voter that the daemon of the earlier build had.
-func (m *earlierMoment) checkVoter(t *testing.T, daemon string, n *Node) {
+func (f *earlierFixture) checkVoter(t *testing.T, daemon string, n *Node) {
 	t.Helper()
-	if daemon == "bay-4" && m.snapshotIndex == nil { // it did not vote yet
-		if n.slot != nil || n.diskMark != earlierMarks[daemon] {
-			t.Errorf("voter %+v, mark %q", n.slot, n.diskMark)
+	if daemon == "bay-4" && f.snapshotIndex == nil { // bay-4 was not a voter yet
+		if n.localVoter != nil || n.diskID != earlierDiskIDs[daemon] {
+			t.Errorf("voter %+v, disk id %q; want none, %q", n.localVoter, n.diskID, earlierDiskIDs[daemon])
 		}
 		return
 	}
-	if n.slot == nil {
-		t.Fatal("it has no voter")
+	if n.localVoter == nil {
+		t.Fatal("the node has no voter")
 	}
-	const fleet = "ef8b6c92f1d49007" // as the identity file of bay-4 has it
-	want := identity{name: daemon, id: 4, marks: map[string]string{}}
+	const cluster = "ef8b6c92f1d49007" // cluster id in the identity file of bay-4
+	want := identity{name: daemon, id: 4, diskIDs: map[string]string{}}
 	if daemon != "bay-4" {
-		want.firstVoters, want.id = earlierFirstVoters, uint64(slices.Index(earlierFirstVoters, daemon)+1)
-		want.marks = maps.Clone(earlierMarks)
-		delete(want.marks, "bay-4")
+		want.initialVoters, want.id = earlierInitialVoters, uint64(slices.Index(earlierInitialVoters, daemon)+1)
+		want.diskIDs = maps.Clone(earlierDiskIDs)
+		delete(want.diskIDs, "bay-4")
 	}
-	got := n.slot.identity
-	if fmt.Sprintf("%x", got.fleetID) != fleet {
-		t.Errorf("fleet %x, want %s", got.fleetID, fleet)
+	got := n.localVoter.identity
+	if fmt.Sprintf("%x", got.clusterID) != cluster {
+		t.Errorf("cluster id %x, want %s", got.clusterID, cluster)
 	}
-	got.fleetID = fleetID{}
+	got.clusterID = clusterID{}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("identity %+v, want %+v", got, want)
 	}
-	if term := n.slot.voter.Term(); term != m.term {
-		t.Errorf("term %d, want %d", term, m.term)
+	if term := n.localVoter.voter.Term(); term != f.term {
+		t.Errorf("term %d, want %d", term, f.term)
 	}
-	if index := n.slot.log.SnapshotIndex(); index != m.snapshotIndex[daemon] {
-		t.Errorf("the log has a snapshot at %d, want %d", index, m.snapshotIndex[daemon])
+	if index := n.localVoter.log.SnapshotIndex(); index != f.snapshotIndex[daemon] {
+		t.Errorf("the log has a snapshot at index %d, want %d", index, f.snapshotIndex[daemon])
 	}
 }
 
-// Voters of this build that start from the data of an earlier one elect a leader, act on the version that was agreed,
-// know its history and who votes, and agree on the next version.
+// Voters of this build that start from the data of an earlier build elect a leader, act on the stored version, know the
+// history and the voters, and commit the next version.
 func TestClusterContinuesFromDataOfEarlierBuild(t *testing.T) {
-	for _, m := range earlierMoments {
-		t.Run(m.name, func(t *testing.T) {
+	for _, f := range earlierFixtures {
+		t.Run(f.name, func(t *testing.T) {
 			c := &testCluster{t: t}
 			var join []netip.AddrPort
-			for _, daemon := range m.voters {
-				carrier := earlierTransport(t, daemon, join...)
-				join = append(join, carrier.Addr())
-				n := startEarlier(t, daemon, m.copyData(t, daemon), carrier)
+			for _, daemon := range f.voters {
+				l := earlierTransport(t, daemon, join...)
+				join = append(join, l.Addr())
+				n := startEarlierNode(t, daemon, f.copyData(t, daemon), l)
 				t.Cleanup(func() {
 					if err := n.Close(); err != nil {
 						t.Error(err)
 					}
 				})
-				c.transports, c.nodes = append(c.transports, carrier), append(c.nodes, n)
+				c.transports, c.nodes = append(c.transports, l), append(c.nodes, n)
 			}
 			for _, n := range c.nodes {
-				testpeer.Until(t, fmt.Sprint("it acts on version ", m.version), func() bool {
+				testpeer.Until(t, fmt.Sprint("the node acts on version ", f.version), func() bool {
 					leased, ok := n.Valid()
-					return ok && leased.Version == m.version
+					return ok && leased.Version == f.version
 				})
 				leased, _ := n.Valid()
-				m.checkDocuments(t, leased.Docs)
-				testpeer.Until(t, "it votes, and has applied what was agreed", func() bool {
+				f.checkDocuments(t, leased.Docs)
+				testpeer.Until(t, "the node votes, and its voter has applied the stored version", func() bool {
 					s := n.Status()
-					return s.IsVoter && s.CommittedVersion == m.version && s.PendingVersion == m.version && s.FullyActiveVersion == m.version
+					return s.IsVoter && s.CommittedVersion == f.version && s.PendingVersion == f.version && s.FullyActiveVersion == f.version
 				})
-				if s := n.Status(); !slices.Equal(s.ActiveVoters, m.voters) || s.Term <= m.term {
-					t.Errorf("voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, m.voters, m.term)
+				if s := n.Status(); !slices.Equal(s.ActiveVoters, f.voters) || s.Term <= f.term {
+					t.Errorf("active voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, f.voters, f.term)
 				}
-				m.checkHistory(t, n)
+				f.checkHistory(t, n)
 			}
-			if version := c.put(1, "the next", "of this build"); version != m.version+1 {
-				t.Errorf("the next version is %d, want %d", version, m.version+1)
+			if version := c.put(1, "the next", "of this build"); version != f.version+1 {
+				t.Errorf("the next version is %d, want %d", version, f.version+1)
 			}
-			c.waitAllActing(m.version+1, "of this build")
+			c.waitAllActing(f.version+1, "of this build")
 		})
 	}
 }
 
-// checkHistory fails the test unless the history is that which the earlier build's daemons answered.
-func (m *earlierMoment) checkHistory(t *testing.T, n *Node) {
+// checkHistory fails the test unless a node returns the history that the earlier build's daemons returned.
+func (f *earlierFixture) checkHistory(t *testing.T, n *Node) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Patience)
 	defer cancel()
@@ -284,8 +286,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Join(earlierLines(t, "history.txt", "change")[:m.version], "")
-	if got := historyLines(r.History); r.Version != m.version || got != want {
+	want := strings.Join(earlierLines(t, "history.txt", "change")[:f.version], "")
+	if got := historyLines(r.History); r.Version != f.version || got != want {
 		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
 	}
 	r, err = n.Propose(ctx, consensus.Command{Read: &consensus.DocumentVersion{Name: "flag/a", Version: 3}})
@@ -293,6 +295,6 @@
 		t.Fatal(err)
 	}
 	if r.Doc == nil || string(r.Doc.Body) != "three" {
-		t.Errorf("flag/a at version 3: %+v", r.Doc)
+		t.Errorf("flag/a at version 3 is %+v, want body three", r.Doc)
 	}
 }
