--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -13,7 +13,8 @@
 	"tuliprock/internal/metrics"
 )
 
-// openAdmin opens the operators' address of a configuration, if it is not the one that is open. s.mu is held.
+// openAdmin starts the admin server at a configuration's address for operators. It returns nil if no address is
+// configured, or if the running server has the same address. s.mu is held.
 func (s *Sidecar) openAdmin(c config.Service) (*admin.Server, error) {
 	if c.AdminAddress == "" || s.admin != nil && s.adminAddr == c.AdminAddress {
 		return nil, nil
@@ -38,8 +39,8 @@
 	return server, nil
 }
 
-// adoptAdmin replaces the operators' address by that of a new configuration. The old one ends in the background: the
-// reload must not wait for a command that waits for s.mu. s.mu is held.
+// adoptAdmin replaces the admin server by the one that openAdmin has opened for a new configuration. The old server is
+// closed in the background: the reload holds s.mu and must not wait for a command that waits for s.mu. s.mu is held.
 func (s *Sidecar) adoptAdmin(c config.Service, opened *admin.Server) {
 	if s.admin != nil && s.adminAddr != c.AdminAddress {
 		go func(old *admin.Server) {
@@ -55,8 +56,9 @@
 	}
 }
 
-// setEjected ejects an endpoint manually, or ends that: here at once, and then on all members of a cluster with agreed
-// settings. It logs the command, unless its ID is unknown: whoever can connect could fill the log with such lines.
+// setEjected ejects an endpoint manually, or ends its ejection: on this daemon at once, and then on all members of a
+// cluster that agrees on settings. It logs the command unless the endpoint's ID is unknown: anyone who can connect to the
+// operators' address could fill the log with unknown IDs.
 func (s *Sidecar) setEjected(ctx context.Context, id string, isEjected bool) (string, error) {
 	outcome, err := s.overrides.setEjected(ctx, id, isEjected)
 	if err == nil {
@@ -72,7 +74,7 @@
 	return outcome, err
 }
 
-// writeMetrics writes all metrics, one a line.
+// writeMetrics writes all metrics, one per line.
 func (s *Sidecar) writeMetrics(ctx context.Context, w io.Writer) error {
 	listed, avoided := s.overrides.countEndpoints(ctx)
 	gauges := []metrics.Sample{{Name: "pool_size", Value: listed}, {Name: "pool_ejected", Value: avoided}}
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -20,36 +20,37 @@
 	"tuliprock/internal/wal"
 )
 
-// clusterNode is this daemon's part in a cluster, which an operators' file configures as [fleet]. Without one the
-// Sidecar has a nil clusterNode, which opens no socket and runs no goroutine; all methods that the Sidecar calls take
-// that.
+// clusterNode is this daemon's membership in a cluster, which the section [fleet] of the operators' file configures.
+// Without that section the Sidecar has a nil clusterNode, which opens no socket and runs no goroutine; all methods that
+// the Sidecar calls accept nil.
 type clusterNode struct {
 	transport    *transport.Transport
 	log          *slog.Logger
-	spec         config.ClusterSpec // as it was started
-	dividesPools bool               // the pools get the number of members that share them
-	stop         func()             // ends the goroutines
+	spec         config.ClusterSpec // the cluster's configuration when this daemon was started
+	dividesPools bool               // whether pools learn how many members share their endpoints
+	stop         func()             // stops the cluster's goroutines
 	goroutines   sync.WaitGroup
 
-	raft             *raftnode.Node              // nil: nothing is agreed on
-	ownFile          atomic.Pointer[config.File] // this daemon's own file, as it was read last
-	rejectedRequests atomic.Uint64               // since this daemon had no valid lease
-	// agreedEjections are the endpoints ejected by agreement, as applied last. watchAgreement's goroutine owns them.
+	raft             *raftnode.Node              // nil: the cluster does not agree on settings
+	ownFile          atomic.Pointer[config.File] // this daemon's own configuration file as last read
+	rejectedRequests atomic.Uint64               // number of requests rejected because this daemon had no valid lease
+	// agreedEjections are the IDs of the endpoints that the cluster has agreed to eject and that were ejected here
+	// because of that. Only the goroutine of watchAgreement uses the field after the start.
 	agreedEjections map[string]bool
 
 	mu             sync.Mutex
-	daemons, index int            // how many members share the pools, and which one this is; 0: not known yet
-	pools          map[*pool]bool // those that run
+	daemons, index int            // number of members that share the pools, and this one's position; 0: not known yet
+	pools          map[*pool]bool // running pools
 }
 
 var (
-	// errNoCluster is why a command about the cluster is not carried out.
+	// errNoCluster is the response to a command about the cluster on a daemon that is in none.
 	errNoCluster = errors.New("this daemon is in no fleet")
-	// errClusterNeedsRestart is why a reload that adds or removes the cluster fails.
-	errClusterNeedsRestart = errors.New("fleet: whether there is one changes with a restart")
+	// errClusterNeedsRestart is the error of a reload that adds or removes the section [fleet].
+	errClusterNeedsRestart = errors.New("fleet: adding or removing this section needs a restart")
 )
 
-// transportOptions reads the key file.
+// transportOptions returns the options of the cluster's transport for a configuration; it reads the key file.
 func transportOptions(spec *config.ClusterSpec, log *slog.Logger) (transport.Options, error) {
 	o := transport.Options{
 		Cluster:   spec.ClusterName,
@@ -72,7 +73,7 @@
 	return o, nil
 }
 
-// startCluster joins the cluster that a configuration names; it returns nil if it names none.
+// startCluster joins the cluster that a configuration names. It returns nil if the configuration names none.
 func startCluster(c config.Service, log *slog.Logger) (*clusterNode, error) {
 	if c.Cluster == nil {
 		return nil, nil
@@ -99,7 +100,7 @@
 	return n, nil
 }
 
-// startRaft starts this daemon's part in the consensus; without a data directory it never votes.
+// startRaft starts this daemon's consensus node. Without a data directory the node never becomes a voter.
 func (n *clusterNode) startRaft() (*raftnode.Node, error) {
 	o := raftnode.Options{
 		Name:             n.spec.Name,
@@ -123,8 +124,8 @@
 	return raftnode.Start(o)
 }
 
-// prepareReconfigure reads what a reload may change of the cluster's configuration, the keys among it; commit applies it
-// and can't fail.
+// prepareReconfigure reads the cluster settings, among them the keys, that a reload may change. The returned function
+// commit applies them and can't fail.
 func (n *clusterNode) prepareReconfigure(spec *config.ClusterSpec) (commit func(), _ error) {
 	switch {
 	case n == nil && spec == nil:
@@ -144,14 +145,14 @@
 				"change with a restart only")
 		}
 		if n.raft != nil && !slices.Equal(started.Voters, spec.Voters) {
-			n.log.Warn("fleet: voters stay as they are where settings are agreed on")
+			n.log.Warn("fleet: the change of voters is ignored: where settings are agreed on, voters are changed by command")
 			options.Voters = started.Voters
 		}
-		n.transport.Reconfigure(options) // even if all is equal: the key file may have other content under the same name
+		n.transport.Reconfigure(options) // even if all options are equal: the key file's content may have changed
 	}, nil
 }
 
-// watchMembers tells the pools how many members share them, as the view of the cluster changes.
+// watchMembers follows the cluster's membership and passes the number of members that share the pools to the pools.
 func (n *clusterNode) watchMembers(ctx context.Context) {
 	var tracker ordinal.Tracker
 	timer := time.NewTimer(0)
@@ -186,12 +187,12 @@
 		return
 	}
 	n.log.Info("cluster size changed", "daemons", daemons, "index", index)
-	for _, p := range pools { // on this goroutine alone: a pool that is busy delays only the other pools' events
+	for _, p := range pools { // one after another on this goroutine: a busy pool delays only this event for the others
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
-// addPool lets a new pool know the number of members, now and when it changes.
+// addPool passes the number of members to a new pool, now and whenever the number changes.
 func (n *clusterNode) addPool(p *pool) {
 	if n == nil {
 		return
@@ -205,6 +206,7 @@
 	}
 }
 
+// removePool ends the updates that addPool has started for a pool.
 func (n *clusterNode) removePool(p *pool) {
 	if n == nil {
 		return
@@ -214,7 +216,8 @@
 	delete(n.pools, p)
 }
 
-// close leaves the cluster, so that the other members see it at once, and returns when nothing runs any more.
+// close announces to the other members that this daemon leaves the cluster, and returns when all of the cluster's
+// goroutines have ended.
 func (n *clusterNode) close() error {
 	if n == nil {
 		return nil
@@ -228,7 +231,7 @@
 	return errors.Join(err, n.transport.Close())
 }
 
-// writePeers writes this daemon's view of the cluster: a line for itself, and one for each member, itself included.
+// writePeers writes this daemon's view of the cluster: one line about itself, and one for each member, itself included.
 func (n *clusterNode) writePeers(w io.Writer) error {
 	if n == nil {
 		return errNoCluster
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -5,7 +5,8 @@
 	"tuliprock/internal/metrics"
 )
 
-// gauges returns the cluster's metrics; none without a cluster. Their names are read by dashboards and never change.
+// gauges returns the cluster's metrics, and none without a cluster. Dashboards read the metrics by name, so the names
+// never change.
 func (n *clusterNode) gauges() []metrics.Sample {
 	if n == nil {
 		return nil
@@ -43,7 +44,7 @@
 	return gauges
 }
 
-// settingsGauges returns the metrics of the agreed settings.
+// settingsGauges returns the metrics of the agreed settings and of this daemon's lease.
 func (n *clusterNode) settingsGauges() []metrics.Sample {
 	s, _ := n.settingsStatus()
 	return []metrics.Sample{
@@ -57,6 +58,7 @@
 	}
 }
 
+// boolGauge returns 1 for true and 0 for false.
 func boolGauge(isSet bool) int64 {
 	if isSet {
 		return 1
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -11,28 +11,30 @@
 	"tuliprock/internal/hotrestart"
 )
 
-// hotRestart is this process's part among several processes of the same sidecar, which share a directory: the newest one
-// takes clients, the others drain. All methods of a nil one that the shutdown needs do nothing.
+// hotRestart coordinates this process with the other processes of the same sidecar through a shared directory: the newest
+// process takes clients, the others drain. A nil hotRestart means that there are no other processes; beginShutdown and
+// close accept it.
 type hotRestart struct {
 	sidecar      *Sidecar
 	directory    *hotrestart.Directory
 	log          *slog.Logger
 	config       config.Service
-	memoryLimit  int64         // of this process's heap while it is alone
-	stopPolling  chan struct{} // closed by close
-	pollingEnded chan struct{} // closed when run has returned
-	finished     chan struct{} // closed when another process takes clients and this one has answered all
+	memoryLimit  int64         // memory limit of the Go runtime, in bytes, while no other process runs
+	stopPolling  chan struct{} // closed by the method close, to stop run
+	pollingEnded chan struct{} // closed when the method run has returned
+	finished     chan struct{} // closed when another process takes clients and this one has no client left
 
 	mu              sync.Mutex // held by one poll at a time
 	startedAt       time.Time
 	lifecycle       *hotrestart.Lifecycle
-	descriptorLimit int  // descriptors that this process may use, as last set
-	isShuttingDown  bool // the lifecycle does not change any more
-	isPolling       bool // run was started
+	descriptorLimit int  // number of descriptors that this process may use now
+	isShuttingDown  bool // the shutdown has begun: poll no longer changes the lifecycle
+	isPolling       bool // the method run was started
 }
 
-// joinHotRestart enters the directory that the processes share. It returns nil if none is configured, or if that one
-// can't be used: then this process has no successor, and manual ejections are kept in memory.
+// joinHotRestart registers this process in the directory that the processes share. It returns nil if no directory is
+// configured or the directory can't be used: then this process has no successor, and manual ejections are only kept in
+// memory.
 func joinHotRestart(s *Sidecar, c config.Service, log *slog.Logger) *hotRestart {
 	if c.SharedDir == "" {
 		return nil
@@ -64,14 +66,14 @@
 	return r
 }
 
-// start polls once, so that a process which is alone takes clients at once, and then in the background until close.
+// start polls once, so that a process without others takes clients at once, and then in the background until close.
 func (r *hotRestart) start() {
 	r.poll()
 	r.isPolling = true
 	go r.run()
 }
 
-// run polls until close.
+// run polls the shared directory periodically until close.
 func (r *hotRestart) run() {
 	defer close(r.pollingEnded)
 	tick := time.NewTicker(hotrestart.PollInterval)
@@ -86,7 +88,8 @@
 	}
 }
 
-// poll reads what the other processes have written, and acts on it.
+// poll reads what the other processes have written to the shared directory, follows their ejections, adapts this
+// process's limits, and starts or stops taking clients.
 func (r *hotRestart) poll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +103,7 @@
 	case hotrestart.Serving:
 		r.sidecar.setAccepting(true)
 		if err := r.directory.SetReady(true); err != nil {
-			r.log.Error("readiness is not recorded", "error", err)
+			r.log.Error("readiness could not be recorded", "error", err)
 		}
 		r.sidecar.isReady.Store(true)
 		r.log.Info("this process takes clients", "number", r.directory.Number(), "others", view.Others)
@@ -114,7 +117,7 @@
 	}
 }
 
-// applyLimits sets this process's part of the descriptors and of the memory that all processes share.
+// applyLimits sets this process's part of the descriptors and of the memory that all processes of the sidecar share.
 func (r *hotRestart) applyLimits(view hotrestart.View, others int) {
 	limit := hotrestart.DescriptorLimit(r.config.Limits.Sockets, view, others)
 	if limit == r.descriptorLimit {
@@ -127,8 +130,9 @@
 	r.sidecar.setConnectionLimit(r.config.ConnectionsWithin(limit))
 }
 
-// beginShutdown tells whether another process takes clients now. From now on this process's lifecycle does not change: if
-// it took clients until now, older processes that still run may take them again.
+// beginShutdown reports whether another process takes clients now, and fixes this process's lifecycle phase. If this
+// process was the one that took clients, it withdraws its readiness, so that older processes that still run may take
+// clients again.
 func (r *hotRestart) beginShutdown() successor {
 	if r == nil {
 		return noSuccessor
@@ -141,12 +145,12 @@
 		return otherProcess
 	}
 	if err := r.directory.SetReady(false); err != nil {
-		r.log.Error("shutdown is not recorded", "error", err)
+		r.log.Error("shutdown could not be recorded", "error", err)
 	}
 	return noSuccessor
 }
 
-// close ends the polling and leaves the directory. It is the last thing that a Sidecar does.
+// close stops polling and removes this process from the shared directory. It is the last step of Serve.
 func (r *hotRestart) close() {
 	if r == nil {
 		return
@@ -160,13 +164,15 @@
 	}
 }
 
-// resourceUsage is what a process uses of the resources that all processes of a sidecar share.
+// resourceUsage is this process's part of the resources that all processes of a sidecar share, and whether its pools are
+// ready to serve.
 type resourceUsage struct {
-	descriptors      int
-	clients          int  // connections
-	hasEndpointLists bool // every pool has a list from discovery
+	descriptors      int  // number of open descriptors
+	clients          int  // number of connections from clients
+	hasEndpointLists bool // whether discovery has delivered an endpoint list to every pool
 }
 
+// usage counts the resources that this process uses now.
 func (s *Sidecar) usage() resourceUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +192,8 @@
 	return u
 }
 
-// setConnectionLimit sets how many connections each listener may have from clients, and each pool to endpoints.
+// setConnectionLimit sets how many clients' connections each listener may have, and how many connections to endpoints
+// each pool may have.
 func (s *Sidecar) setConnectionLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +206,8 @@
 	}
 }
 
-// setAccepting makes the listeners accept clients, or stop that and close each connection with its next response.
+// setAccepting makes the listeners accept clients, or makes them stop accepting and close each connection with its next
+// response.
 func (s *Sidecar) setAccepting(isAccepting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -15,17 +15,17 @@
 // listener is an address that clients connect to, and the server behind it.
 type listener struct {
 	spec          config.Listener
-	pseudonym     string // of this daemon in Via
+	pseudonym     string // this daemon's name in the Via header
 	socket        *socketHandle
 	acceptLimiter *frontend.LimitListener
 	connections   *frontend.Listener
 	frontend      *frontend.Server
 	server        *http.Server
-	acceptEnded   chan struct{} // closed when it accepts no more
-	isDraining    atomic.Bool   // an error of serve is expected
+	acceptEnded   chan struct{} // closed when serve has stopped accepting connections
+	isDraining    atomic.Bool   // the listener is being closed: an error of serve is expected, not a failure
 }
 
-// listenerOptions are what a listener needs beside its own part of the configuration.
+// listenerOptions are a listener's dependencies and the settings that it shares with the daemon's other listeners.
 type listenerOptions struct {
 	pseudonym  string
 	socket     *socketHandle
@@ -35,8 +35,8 @@
 	log        *slog.Logger
 }
 
-// listenerKey is what makes a listener the same before and after a reload: its address, or, where that has any free
-// port, its name too.
+// listenerKey identifies a listener across reloads: by its address, or by name and address if the port is 0, as several
+// listeners can have such an address.
 func listenerKey(spec config.Listener) string {
 	if strings.HasSuffix(spec.Address, ":0") {
 		return spec.Name + " " + spec.Address
@@ -46,7 +46,7 @@
 
 // newListener puts a server behind a socket; serve starts it.
 func newListener(spec config.Listener, o listenerOptions) *listener {
-	// Beyond the limit clients wait in the kernel's queue, which costs no descriptor and loses nothing.
+	// Clients beyond the limit wait in the kernel's accept queue, which costs no descriptor and loses no connection.
 	limiter := frontend.NewLimitListener(o.socket, spec.Connections+config.SpareConnections)
 	l := &listener{
 		spec:          spec,
@@ -75,7 +75,7 @@
 	return l
 }
 
-// setMaxConnections changes how many connections are kept.
+// setMaxConnections changes how many clients' connections may be open at once.
 func (l *listener) setMaxConnections(limit int) {
 	l.acceptLimiter.SetMaxConnections(limit + config.SpareConnections)
 	l.connections.SetMaxConnections(limit)
@@ -87,7 +87,7 @@
 	return l.server.Serve(l.connections)
 }
 
-// canServe tells whether the listener can go on under another configuration: only its name may differ.
+// canServe reports whether the listener can be reused under another configuration: only its name may differ.
 func (l *listener) canServe(spec config.Listener, pseudonym string) bool {
 	spec.Name = l.spec.Name
 	return l.spec == spec && l.pseudonym == pseudonym
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -14,37 +14,40 @@
 )
 
 const (
-	// countTimeout is how long the pools may take to count their endpoints; then the last count holds.
+	// countTimeout is how long the pools may take to count their endpoints; after that the previous count is reported.
 	countTimeout = 200 * time.Millisecond
-	// catchUpTimeout bounds how long the pools may take to follow ejections that another process has recorded.
+	// catchUpTimeout is how long the pools may take to apply ejections that another process has recorded.
 	catchUpTimeout = 500 * time.Millisecond
 )
 
 var (
-	// errUnknownEndpoint is why an ejection was not carried out.
+	// errUnknownEndpoint is the error of a command about an endpoint that is neither listed nor ejected.
 	errUnknownEndpoint = errors.New("no endpoint of this id is listed")
-	// errUnconfirmed is a command that may yet be carried out.
+	// errUnconfirmed is the error of a command that timed out and may still take effect.
 	errUnconfirmed = errors.New("not confirmed in time; call again")
 )
 
-// overrides are the endpoints that operators have ejected manually, for all pools. They outlive endpoint lists, reloads
-// and, by the shared directory, processes.
+// overrides records which endpoints operators have ejected manually, and applies the ejections to all pools. The
+// ejections outlive endpoint lists and reloads, and with a shared directory also processes.
 type overrides struct {
-	commandSlot chan struct{}         // held while a command, or what another process has recorded, is carried out
-	directory   *hotrestart.Directory // what other processes of this sidecar know; nil: there are none
-	// recentlyRestored are IDs whose ejection ended shortly before this process began; fixed before the first pool.
+	commandSlot chan struct{}         // semaphore of size one: held while ejections are changed
+	directory   *hotrestart.Directory // directory shared with other processes of this sidecar; nil: there are no others
+	// recentlyRestored are the IDs of endpoints whose ejection ended shortly before this process started. It is fixed
+	// before the first pool starts.
 	recentlyRestored []string
 
 	mu      sync.Mutex
-	ejected map[string]bool
-	pools   map[*pool]bool // those that run
+	ejected map[string]bool // IDs of the manually ejected endpoints
+	pools   map[*pool]bool  // running pools
 }
 
+// newOverrides returns overrides without ejections and without a shared directory.
 func newOverrides() *overrides {
 	return &overrides{commandSlot: make(chan struct{}, 1), ejected: map[string]bool{}, pools: map[*pool]bool{}}
 }
 
-// attach takes over the ejections of the processes that share a directory. It is called before the first pool starts.
+// attach adopts the ejections that the processes sharing a directory have recorded there. It is called before the first
+// pool starts.
 func (o *overrides) attach(directory *hotrestart.Directory, ejections []hotrestart.Ejection) {
 	for _, e := range ejections {
 		o.record(e.ID, e.Ejected)
@@ -55,7 +58,7 @@
 	o.directory = directory
 }
 
-// acquire waits for the command slot; release gives it back.
+// acquire waits for the command slot, which release frees again.
 func (o *overrides) acquire(ctx context.Context) error {
 	select {
 	case o.commandSlot <- struct{}{}:
@@ -65,9 +68,10 @@
 	}
 }
 
+// release frees the command slot.
 func (o *overrides) release() { <-o.commandSlot }
 
-// addPool applies the ejections to a pool that has served nobody yet.
+// addPool applies the ejections to a new pool before it serves its first request.
 func (o *overrides) addPool(p *pool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,33 +81,35 @@
 		for _, id := range ejected {
 			p.loop.SetEjected(now, id, true)
 		}
-		for _, id := range o.recentlyRestored { // so that they warm up here, too
+		for _, id := range o.recentlyRestored { // ejecting and restoring them makes them warm up in this process too
 			p.loop.SetEjected(now, id, true)
 			p.loop.SetEjected(now, id, false)
 		}
 	})
 }
 
+// removePool ends the updates that addPool has started for a pool.
 func (o *overrides) removePool(p *pool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.pools, p)
 }
 
-// ejectionState is what the overrides hold of one endpoint.
+// ejectionState is a snapshot of the overrides with regard to one endpoint.
 type ejectionState struct {
-	pools     []*pool // those that run
-	isEjected bool
-	count     int // of all ejected endpoints
+	pools     []*pool // running pools
+	isEjected bool    // whether the endpoint is manually ejected
+	count     int     // number of all manually ejected endpoints
 }
 
+// state returns a snapshot of the overrides with regard to the endpoint with the given ID.
 func (o *overrides) state(id string) ejectionState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return ejectionState{slices.Collect(maps.Keys(o.pools)), o.ejected[id], len(o.ejected)}
 }
 
-// record changes what pools that start from now on apply.
+// record records an ejection, or its end, for the pools that start from now on.
 func (o *overrides) record(id string, isEjected bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,14 +127,14 @@
 	return slices.Collect(maps.Keys(o.ejected))
 }
 
-// apply records an ejection, or its end, and returns when the pools have it. Recording comes first, so that a pool which
-// starts meanwhile has it too.
+// apply records an ejection, or its end, and returns when the given pools have applied it. Recording comes first, so that
+// a pool that starts in the meantime applies it too.
 func (o *overrides) apply(ctx context.Context, pools []*pool, id string, isEjected bool) error {
 	o.record(id, isEjected)
 	return doOnPools(ctx, pools, func(l *eventloop.Loop, now time.Duration) { l.SetEjected(now, id, isEjected) })
 }
 
-// doOnPools has all pools' loops handle an event, one after another. Pools that have ended are left out.
+// doOnPools lets the event loops of the pools handle an event, one loop after another. It skips pools that have ended.
 func doOnPools(ctx context.Context, pools []*pool, event func(l *eventloop.Loop, now time.Duration)) error {
 	for _, p := range pools {
 		err := p.loop.Do(ctx, func(now time.Duration) { event(p.loop, now) })
@@ -139,8 +145,9 @@
 	return nil
 }
 
-// setEjected ejects an endpoint manually, or ends that. It returns once all pools and the shared directory have it, and
-// describes the outcome to the operator. After errUnconfirmed it may yet happen.
+// setEjected ejects an endpoint manually, or ends its ejection. It returns once all pools have applied the change and the
+// shared directory has recorded it, with a description of the outcome for the operator. After errUnconfirmed the change
+// may still take effect.
 func (o *overrides) setEjected(ctx context.Context, id string, isEjected bool) (string, error) {
 	if err := o.acquire(ctx); err != nil {
 		return "", errUnconfirmed
@@ -164,7 +171,7 @@
 		return "", errUnconfirmed
 	}
 	outcome := describeOutcome(id, before.isEjected, isEjected)
-	if o.directory != nil { // even if nothing has changed here: the other processes may not have it
+	if o.directory != nil { // even if nothing has changed in this process: the other processes may not have the record
 		if err := o.directory.RecordEjection(id, isEjected, time.Now()); err != nil {
 			return "", fmt.Errorf("%s, but here alone, for other processes can't be told: %w", outcome, err)
 		}
@@ -172,7 +179,7 @@
 	return outcome, nil
 }
 
-// describeOutcome is the response to an operator; its texts are documented.
+// describeOutcome returns the response to an operator's set-down or set-up. Its texts are documented for operators.
 func describeOutcome(id string, wasEjected, isEjected bool) string {
 	switch {
 	case wasEjected && isEjected:
@@ -185,8 +192,9 @@
 	return id + " was not out"
 }
 
-// applyAgreed follows the ejections that the cluster has agreed on: those in current and not in previous begin, those in
-// previous alone end. It returns the set that is applied now, which is previous if ctx ended first.
+// applyAgreed applies a change of the ejections that the cluster has agreed on: it ejects the endpoints that are only in
+// current, and restores those that are only in previous. It returns the set that is applied now, which is previous if ctx
+// ended before the command slot was free.
 func (o *overrides) applyAgreed(ctx context.Context, previous, current map[string]bool) map[string]bool {
 	if o.acquire(ctx) != nil {
 		return previous
@@ -194,19 +202,20 @@
 	defer o.release()
 	for _, ids := range []map[string]bool{previous, current} {
 		for id := range ids {
-			here := o.state(id)
-			isUnchanged := previous[id] == current[id] || here.isEjected == current[id]
-			if isUnchanged || current[id] && here.count >= hotrestart.MaxEjections {
+			local := o.state(id)
+			isUnchanged := previous[id] == current[id] || local.isEjected == current[id]
+			if isUnchanged || current[id] && local.count >= hotrestart.MaxEjections {
 				continue
 			}
-			_ = o.apply(ctx, here.pools, id, current[id]) // ctx ends with the daemon, and the pools with it
+			_ = o.apply(ctx, local.pools, id, current[id]) // fails only if ctx has ended, when the daemon shuts down
 		}
 	}
 	return current
 }
 
-// syncDirectory follows what other processes have recorded, and returns what the directory says of them. While a command
-// is being carried out it only polls: the command comes first.
+// syncDirectory applies the ejections that other processes have recorded in the shared directory. It returns the view of
+// those processes and how many descriptors they have reported as open. While a command holds the command slot it only
+// polls the directory, so as not to delay either.
 func (o *overrides) syncDirectory(descriptors int) (hotrestart.View, int) {
 	select {
 	case o.commandSlot <- struct{}{}:
@@ -218,7 +227,7 @@
 	}
 }
 
-// applyDirectory is syncDirectory with the command slot held.
+// applyDirectory does the work of syncDirectory; the command slot is held.
 func (o *overrides) applyDirectory(descriptors int) (hotrestart.View, int) {
 	state, view, others := o.directory.Poll(descriptors)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
@@ -226,19 +235,20 @@
 	isRecorded := make(map[string]bool, len(state.Ejections))
 	for _, e := range state.Ejections {
 		isRecorded[e.ID] = true
-		if here := o.state(e.ID); here.isEjected != e.Ejected {
-			_ = o.apply(ctx, here.pools, e.ID, e.Ejected) // a loop that is late handles it all the same
+		if local := o.state(e.ID); local.isEjected != e.Ejected {
+			_ = o.apply(ctx, local.pools, e.ID, e.Ejected) // after a timeout a busy event loop still applies the change later
 		}
 	}
 	for _, id := range o.ejectedIDs() {
-		if !isRecorded[id] { // it was lost with a damaged file; the next poll tries again if this fails
+		if !isRecorded[id] { // the record was lost with a damaged file; if this fails, the next poll records it
 			_ = o.directory.RecordEjection(id, true, time.Now())
 		}
 	}
 	return view, others
 }
 
-// countEndpoints asks all pools at once for their numbers of endpoints and of avoided ones.
+// countEndpoints returns how many endpoints are listed in all pools together, and how many of them the decision module
+// avoids. The pools count concurrently.
 func (o *overrides) countEndpoints(ctx context.Context) (listed, avoided int64) {
 	ctx, cancel := context.WithTimeout(ctx, countTimeout)
 	defer cancel()
@@ -246,7 +256,7 @@
 	var pending sync.WaitGroup
 	for _, p := range pools {
 		pending.Go(func() {
-			_ = p.loop.Do(ctx, func(time.Duration) { // else the last count holds
+			_ = p.loop.Do(ctx, func(time.Duration) { // after an error the pool's previous count is used
 				l, a := p.loop.EndpointCounts()
 				p.listedCount.Store(int64(l))
 				p.avoidedCount.Store(int64(a))
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -28,18 +28,18 @@
 	members  *discovery.MemberCache
 	log      *slog.Logger
 
-	hasEndpointList           atomic.Bool  // discovery has delivered a list
-	listedCount, avoidedCount atomic.Int64 // endpoints, as the module counted them last
+	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
+	listedCount, avoidedCount atomic.Int64 // numbers of listed and of avoided endpoints at the module's last count
 
 	mu         sync.Mutex
 	source     discovery.Source
-	stopSource func()         // ends the source and waits for it
-	stop       func()         // ends the loop and the connections
-	goroutines sync.WaitGroup // the loop's and the connections'
-	references int            // configurations in whose name requests may still come; guarded by Sidecar.mu
+	stopSource func()         // stops the discovery source and waits until it has ended
+	stop       func()         // stops the event loop and the connections to endpoints
+	goroutines sync.WaitGroup // goroutines of the event loop and of the connections to endpoints
+	references int            // number of configurations that may still send requests to this pool; guarded by Sidecar.mu
 }
 
-// newPool starts a pool. The module gets the list that the configuration knows before any other event.
+// newPool starts a pool. The module gets the endpoint list of the configuration before any other event.
 func newPool(
 	decider eventloop.Decider, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry, log *slog.Logger,
 ) *pool {
@@ -48,9 +48,9 @@
 	if settings.Seed == 0 {
 		settings.Seed = randomSeed()
 	}
-	begins := upstream.StartsWithHead
+	requestStart := upstream.StartsWithHead
 	if spec.StartsAtLastByte {
-		begins = upstream.StartsWithLastByte
+		requestStart = upstream.StartsWithLastByte
 	}
 	p.upstream = upstream.New(upstream.Options{
 		IdleTimeout:             spec.IdleTimeout,
@@ -58,7 +58,7 @@
 		MaxConnections:          spec.Connections,
 		Spread:                  spec.DialsRatherThanWaits,
 		OnlyOK:                  spec.AcceptsOnlyOK,
-		RequestStart:            begins,
+		RequestStart:            requestStart,
 		Pool:                    bodyMemory,
 		MinimumRate:             spec.StreamPace,
 		BufferedResponseTimeout: spec.BufferedResponseTimeout,
@@ -66,9 +66,9 @@
 		OnRequestSent:           func() { registry.Attempts.Add(1) },
 	})
 	p.loop = eventloop.New(decider, settings, p.upstream, p.subscribe, log)
-	known := spec.Source.LastUpdate
-	known.Full = true // a cached list is complete, and so is the first one that the module gets
-	p.loop.UpdateEndpoints(p.loop.Now(), known)
+	cached := spec.Source.LastUpdate
+	cached.Full = true // a cached list names all endpoints, and the first update for the module must be a full one
+	p.loop.UpdateEndpoints(p.loop.Now(), cached)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	p.goroutines.Go(func() { p.loop.Run(ctx) })
@@ -80,12 +80,12 @@
 // randomSeed returns a seed that is not zero.
 func randomSeed() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never returns an error
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// subscribe requests watch events from the source. The module's first request comes before there is a source;
-// startSource repeats it.
+// subscribe requests watch events from the discovery source. The module subscribes for the first time before there is a
+// source; startSource then subscribes again.
 func (p *pool) subscribe() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,8 +94,9 @@
 	}
 }
 
-// updateEndpoints passes a list to the module ahead of the queued events: a draining endpoint must not get the requests
-// that are queued before the list. Once the loop has ended there is nobody to pass it to.
+// updateEndpoints passes an endpoint list to the module ahead of the queued events: an endpoint that the list names as
+// draining must not get the requests that were queued before the list. After the event loop has ended the call does
+// nothing.
 func (p *pool) updateEndpoints(list discovery.ListUpdate) {
 	_ = p.loop.Do(context.Background(), func(now time.Duration) {
 		p.loop.UpdateEndpoints(now, list)
@@ -103,21 +104,22 @@
 	})
 }
 
-// discoveryFailed tells the module that the source can't be reached. Once the loop has ended there is nobody to tell.
+// discoveryFailed notifies the module that the discovery source can't be reached. After the event loop has ended the call
+// does nothing.
 func (p *pool) discoveryFailed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
 
-// startSource starts a source of endpoints in place of the one that runs. The present list holds until the new source
-// delivers one.
+// startSource replaces the running discovery source. The current endpoint list stays in use until the new source delivers
+// one.
 func (p *pool) startSource(spec config.SourceSpec) {
 	if p.stopSource != nil {
 		p.stopSource()
 	}
 	p.members.SetOptions(endpointset.Options{Hold: spec.HoldLastGood, Damp: spec.FlapDamping})
 	source := p.newSource(spec)
-	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source
+	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source yet
 		source.Subscribe()
 	}
-	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil { // a list on this machine is there at once
+	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil { // a local list can be read without delay
 		polled.PollOnce(context.Background())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -157,15 +159,15 @@
 	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 }
 
-// canServe tells whether the pool can go on under another configuration: only its source may differ.
+// canServe reports whether the pool can be reused under another configuration: only its discovery source may differ.
 func (p *pool) canServe(spec config.PoolSpec) bool {
 	current := p.spec
 	current.Source, spec.Source = config.SourceSpec{}, config.SourceSpec{}
 	return reflect.DeepEqual(current, spec)
 }
 
-// updateSource changes where the pool's endpoints come from. If only an agent's address changes, the watch that runs
-// migrates to it.
+// updateSource changes the pool's discovery source. If only the discovery agent's address changes, the running watch
+// migrates to the new address.
 func (p *pool) updateSource(spec config.SourceSpec) {
 	current := p.spec.Source
 	p.spec.Source = spec
@@ -180,7 +182,7 @@
 	p.startSource(spec)
 }
 
-// close stops the pool and returns when nothing of it runs but attempts that are being cancelled.
+// close stops the pool. When it returns, at most attempts that are being cancelled still run.
 func (p *pool) close() {
 	p.stopSource()
 	p.stop()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,26 +11,27 @@
 	"tuliprock/internal/frontend"
 )
 
-// installedConfig is a configuration that is in force, or was and still has requests.
+// installedConfig is the configuration in use, or an earlier one that still serves requests.
 type installedConfig struct {
 	service *frontend.RouteConfig
-	pools   map[string]*pool // by name
+	pools   map[string]*pool // the configuration's pools by name
 }
 
-// preparedReload is what a reload has opened before it changes anything: all that can fail comes first.
+// preparedReload holds what a reload opens before it changes anything: every step that can fail comes before the first
+// change.
 type preparedReload struct {
 	effective          effectiveConfig
-	reconfigureCluster func()
-	admin              *admin.Server        // nil: the address stays as it is, or there is none
-	listeners          map[string]*listener // by listenerKey: those that stay, and new ones that don't accept yet
+	reconfigureCluster func()               // applies the new cluster settings
+	admin              *admin.Server        // newly opened admin server; nil: the address is unchanged, or there is none
+	listeners          map[string]*listener // unchanged listeners, and new ones that don't accept yet, by listenerKey
 }
 
-// Reload installs another configuration; an error says why it has changed nothing. What is the same in both goes on:
-// listeners keep their connections, and pools all that their module has learned. A request is served to its end by the
-// configuration that accepted it; listeners and pools that are removed end when their last request is answered. Reloads
-// may come at any time and at once; after the shutdown has begun they fail.
+// Reload installs another configuration. If it returns an error it has changed nothing. Unchanged parts are reused:
+// listeners keep their connections, and pools keep the state of their decision module. A request is served to its end by
+// the configuration that accepted it; removed listeners and pools end when their last request has its response. Reload
+// may be called at any time and by several goroutines; after the shutdown has begun it fails.
 //
-// In a cluster with agreed settings these hold in place of what the configuration says of the same.
+// In a cluster that agrees on settings the agreed settings override those of the configuration.
 func (s *Sidecar) Reload(c config.Service) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// reload installs this daemon's own configuration with the agreed settings. s.mu is held.
+// reload installs this daemon's own configuration combined with the agreed settings. s.mu is held.
 func (s *Sidecar) reload(own config.Service) error {
 	p, err := s.prepareReload(own)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// prepareReload opens what a configuration needs. s.mu is held.
+// prepareReload opens the sockets of a configuration and validates its cluster settings. s.mu is held.
 func (s *Sidecar) prepareReload(own config.Service) (*preparedReload, error) {
 	effective, err := s.cluster.composeConfig(own)
 	if err != nil {
@@ -97,8 +98,9 @@
 	return p, nil
 }
 
-// buildConfig makes a configuration's routes and pools, with the pools that can go on. A pool that is replaced still has
-// requests, so that it too gets the new source of endpoints: it must learn which ones drain or are gone. s.mu is held.
+// buildConfig creates a configuration's routes and pools, and reuses the running pools that can serve it. A pool that is
+// replaced may still have requests, so it gets the new discovery source too: it must learn which endpoints are draining
+// or were removed. s.mu is held.
 func (s *Sidecar) buildConfig(c config.Service) *installedConfig {
 	next := &installedConfig{pools: make(map[string]*pool, len(c.Pools))}
 	for _, spec := range c.Pools {
@@ -121,7 +123,7 @@
 	return next
 }
 
-// startPool starts a pool with the ejections and limits that hold now. s.mu is held.
+// startPool starts a pool with the current manual ejections and connection limit. s.mu is held.
 func (s *Sidecar) startPool(spec config.PoolSpec) *pool {
 	p := newPool(s.decider, spec, s.bodyMemory, s.metrics, s.log.With("pool", spec.Name))
 	s.runningPools[p] = true
@@ -133,8 +135,8 @@
 	return p
 }
 
-// retireConfig releases a configuration's pools once its last request is answered, and closes those that no other
-// configuration uses. s.mu is held.
+// retireConfig releases a configuration's pools in the background once its last request has its response, and closes the
+// pools that no other configuration uses. s.mu is held.
 func (s *Sidecar) retireConfig(old *installedConfig) {
 	s.retiring.Go(func() {
 		old.service.Wait()
@@ -155,8 +157,8 @@
 	})
 }
 
-// openListeners returns a configuration's listeners by listenerKey: those that can go on, and new ones that don't accept
-// yet. After an error the new ones are closed. s.mu is held.
+// openListeners returns a configuration's listeners by listenerKey: running listeners that can be reused, and new ones
+// that don't accept yet. If it returns an error it has closed the new ones. s.mu is held.
 func (s *Sidecar) openListeners(c config.Service) (map[string]*listener, error) {
 	next := make(map[string]*listener, len(c.Listeners))
 	for _, spec := range c.Listeners {
@@ -191,8 +193,8 @@
 	return next, nil
 }
 
-// openSocket opens a listener's socket. Where another listener at the same address runs or drains it shares that one's:
-// connections that wait in its queue must not be lost. s.mu is held.
+// openSocket opens a listener's socket. If another listener at the same address runs or is draining, the new listener
+// shares its socket: connections that wait in the socket's accept queue must not be lost. s.mu is held.
 func (s *Sidecar) openSocket(spec config.Listener) (*socketHandle, error) {
 	key := listenerKey(spec)
 	if current := s.listeners[key]; current != nil {
@@ -211,14 +213,14 @@
 		return listen(spec.Address)
 	}
 	h, err := listenInherited(spec.Descriptor, spec.Address)
-	if err == nil && s.hotRestart != nil { // its first poll decides whether this process takes clients
+	if err == nil && s.hotRestart != nil { // the first poll of hotRestart decides whether this process takes clients
 		h.SetPaused(true)
 	}
 	return h, err
 }
 
-// adoptListeners starts the new ones of a configuration's listeners, and drains those that it does not have. s.mu is
-// held.
+// adoptListeners starts the new listeners of a configuration, and drains the running listeners that are not part of it.
+// s.mu is held.
 func (s *Sidecar) adoptListeners(next map[string]*listener) {
 	for key, l := range next {
 		if s.listeners[key] == l {
@@ -229,7 +231,7 @@
 			if err := l.serve(); !l.isDraining.Load() {
 				select {
 				case s.listenerFailed <- fmt.Errorf("listener %s: %w", l.spec.Name, err):
-				default: // another one has failed before, and Serve returns that error
+				default: // another listener failed earlier, and Serve returns its error
 				}
 			}
 		}()
@@ -246,7 +248,7 @@
 	s.listeners = next
 }
 
-// retireListener drains a listener that is no longer configured. s.mu is held.
+// retireListener drains a listener in the background that is no longer configured. s.mu is held.
 func (s *Sidecar) retireListener(l *listener, by successor) {
 	s.drainingListeners[l] = true
 	l.isDraining.Store(true)
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -6,7 +6,7 @@
 	"tuliprock/internal/metrics"
 )
 
-// newService translates a configuration's routes for the frontend. Targets of the same class share one frontend.Class.
+// newService converts a configuration's routes for the frontend. Targets of the same class share one frontend.Class.
 func newService(c config.Service, pools map[string]*pool, registry *metrics.Registry) *frontend.RouteConfig {
 	classes := map[*config.Class]*frontend.Class{}
 	service := &frontend.RouteConfig{Table: c.Table}
@@ -31,6 +31,7 @@
 	return service
 }
 
+// newClass converts a request class's settings for the frontend; newService adds the metrics.
 func newClass(c *config.Class) *frontend.Class {
 	return &frontend.Class{
 		Name:                  c.Name,
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -12,28 +12,31 @@
 	"tuliprock/internal/config"
 )
 
-// firstGrantTimeout is how long a daemon that starts waits for its first lease before it takes clients: two elections.
+// firstGrantTimeout is how long a starting daemon waits for its first lease before it takes clients. Two elections of a
+// leader fit into it.
 const firstGrantTimeout = 2 * time.Second
 
-// indeterminateRetryAfter is the Retry-After of a request that is rejected since this daemon has no lease. One that
-// reaches a voter requests a lease every conflict_within/4, 1.25 s by default, and at once where its lease has expired
-// while the process was stopped.
+// indeterminateRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. A
+// daemon that can reach a voter requests a lease every conflict_within/4, 1.25 s by default, and at once if its lease
+// expired while the process was stopped.
 const indeterminateRetryAfter = time.Second
 
-// activeSettings are the agreed settings in the installed configuration.
+// activeSettings identifies the agreed settings in the installed configuration.
 type activeSettings struct {
-	digest  [32]byte       // of the documents
-	version *atomic.Uint64 // read by each request; it changes alone when the documents stay the same
+	digest [32]byte // digest of the names and contents of the documents
+	// version is the version of the agreed settings, which each request reads. If a new version has equal documents, only
+	// this field changes.
+	version *atomic.Uint64
 }
 
-// effectiveConfig is a daemon's own configuration with the agreed settings in it.
+// effectiveConfig is a daemon's own configuration combined with the agreed settings.
 type effectiveConfig struct {
 	service config.Service
-	agreed  *consensus.LeasedVersion // of version 0 where nothing is agreed on
+	agreed  *consensus.LeasedVersion // the agreed settings; version 0 if the cluster does not agree on settings
 }
 
-// settingsDocuments are the documents that a configuration is made of. Those of manual ejections are left out:
-// watchAgreement applies them without a reload.
+// settingsDocuments returns the documents that are part of the configuration. It omits the documents of manual ejections,
+// which watchAgreement applies without a reload.
 func settingsDocuments(docs map[string]consensus.Document) map[string]consensus.Document {
 	out := make(map[string]consensus.Document, len(docs))
 	for name, d := range docs {
@@ -44,6 +47,7 @@
 	return out
 }
 
+// documentBodies returns the contents of documents by the documents' names.
 func documentBodies(docs map[string]consensus.Document) map[string][]byte {
 	out := make(map[string][]byte, len(docs))
 	for name, d := range docs {
@@ -52,11 +56,11 @@
 	return out
 }
 
-// hasConsensus tells whether this daemon is in a cluster that agrees on settings.
+// hasConsensus reports whether this daemon is in a cluster that agrees on settings.
 func (n *clusterNode) hasConsensus() bool { return n != nil && n.raft != nil }
 
-// composeConfig adds the agreed settings to a daemon's own configuration. Without a cluster that agrees on settings it
-// returns that as it is.
+// composeConfig combines a daemon's own configuration with the agreed settings. Without a cluster that agrees on settings
+// it returns the own configuration unchanged.
 func (n *clusterNode) composeConfig(own config.Service) (effectiveConfig, error) {
 	if !n.hasConsensus() {
 		return effectiveConfig{own, &consensus.LeasedVersion{}}, nil
@@ -64,14 +68,14 @@
 	agreed, _ := n.raft.Valid()
 	file, err := own.File.WithDocuments(documentBodies(settingsDocuments(agreed.Docs)))
 	if err != nil {
-		return effectiveConfig{}, fmt.Errorf("with version %d of what is agreed on: %w", agreed.Version, err)
+		return effectiveConfig{}, fmt.Errorf("with version %d of the agreed settings: %w", agreed.Version, err)
 	}
 	return effectiveConfig{file.Service(), agreed}, nil
 }
 
-// requestGuard returns what decides, for each request of a configuration, whether it is served: it is rejected unless
-// this daemon's lease covers the configuration's version, so that no daemon serves by an old version for longer than is
-// promised. It returns nil, which serves all, where the configuration does not want that.
+// requestGuard returns a function that decides whether a request is served. The function rejects requests unless this
+// daemon's lease covers the configuration's version, so that no daemon applies an old version for longer than the lease
+// lasts. requestGuard returns nil, which means that all requests are served, if the configuration does not want the check.
 func (n *clusterNode) requestGuard(isWanted bool, version *atomic.Uint64) func() bool {
 	if !n.hasConsensus() || !isWanted {
 		return nil
@@ -85,7 +89,8 @@
 	}
 }
 
-// awaitFirstGrant waits for the first lease, and applies the agreed ejections before the first client is accepted.
+// awaitFirstGrant waits for the first lease, at most for firstGrantTimeout, and applies the agreed ejections before the
+// first client is accepted.
 func (n *clusterNode) awaitFirstGrant(o *overrides) {
 	if !n.hasConsensus() {
 		return
@@ -94,12 +99,12 @@
 	case <-n.raft.FirstGrant():
 	case <-time.After(firstGrantTimeout):
 		cached, _ := n.raft.Valid()
-		n.log.Warn("no lease granted yet; the cached settings hold", "after", firstGrantTimeout, "version", cached.Version)
+		n.log.Warn("no lease granted yet; using the cached settings", "after", firstGrantTimeout, "version", cached.Version)
 	}
 	n.agreedEjections = o.applyAgreed(context.Background(), nil, n.ejectedIDs())
 }
 
-// watchAgreement installs from now on what the cluster agrees on, until close.
+// watchAgreement starts a goroutine that installs settings and ejections as the cluster agrees on them, until close.
 func (n *clusterNode) watchAgreement(s *Sidecar) {
 	if !n.hasConsensus() {
 		return
@@ -122,7 +127,8 @@
 	})
 }
 
-// installAgreedSettings installs the agreed settings, if they differ from those in force; else it notes their version.
+// installAgreedSettings installs the agreed settings if their documents differ from the installed ones. Otherwise it only
+// records their version as installed.
 func (s *Sidecar) installAgreedSettings() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,8 +144,8 @@
 	return nil
 }
 
-// ejectedIDs returns the endpoints that are ejected by agreement. Where the lease has expired the last agreement holds:
-// at worst an endpoint gets no requests that might get some.
+// ejectedIDs returns the IDs of the endpoints that the cluster has agreed to eject. After the lease has expired it still
+// returns the last agreed set: at worst an endpoint stays ejected that could serve again.
 func (n *clusterNode) ejectedIDs() map[string]bool {
 	ejected := map[string]bool{}
 	agreed, _ := n.raft.Valid()
@@ -151,8 +157,8 @@
 	return ejected
 }
 
-// proposeEjection has the cluster agree on an ejection, or its end, that was carried out here. It returns what is added
-// to the response to the operator; nothing where no settings are agreed on.
+// proposeEjection proposes to the cluster a manual ejection, or its end, that was applied on this daemon. It returns a
+// text to append to the response to the operator, and an empty text if the cluster does not agree on settings.
 func (n *clusterNode) proposeEjection(ctx context.Context, id string, isEjected bool) string {
 	if !n.hasConsensus() {
 		return ""
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -17,13 +17,13 @@
 	"tuliprock/internal/config"
 )
 
-// errNoConsensus is why a command about agreed settings is not carried out.
-var errNoConsensus = errors.New("nothing is agreed on here")
+// errNoConsensus is the response to a command about agreed settings on a daemon without them.
+var errNoConsensus = errors.New("this daemon is in no cluster that agrees on settings")
 
-// argumentCount is how many arguments a settings command takes.
+// argumentCount is the range of the number of arguments that a settings command takes.
 type argumentCount struct{ least, most int }
 
-// settingsCommands are the words that may follow settings on an admin line.
+// settingsCommands are the commands that may follow the word settings on a line to the operators' address.
 var settingsCommands = map[string]argumentCount{
 	"put":           {4, 4},
 	"remove":        {3, 3},
@@ -35,18 +35,19 @@
 	"show":          {1, 2},
 }
 
-// handleSettings carries out what follows settings on an admin line, and writes the result:
+// handleSettings executes the command that follows the word settings on a line to the operators' address, and writes the
+// result:
 //
-//	put ID EXPECT NAME BYTES      stores a document; EXPECT: the version that must be the latest, or -
+//	put ID EXPECT NAME BYTES      stores a document; EXPECT: the version that must be the latest, or - for any
 //	remove ID EXPECT NAME         removes a document
 //	back ID EXPECT NAME VERSION   restores a document as it was at a version
-//	force ID VERSION              activates the next version though some daemons can't install it
+//	force ID VERSION              activates the next version although some daemons can't install it
 //	voters-add ID NAME            makes a daemon with a data_dir a voter
-//	voters-remove ID NAME         ends that
+//	voters-remove ID NAME         makes a voter an ordinary member again
 //	history                       lists all changes that are remembered
-//	show NAME [VERSION]           shows a document as it is agreed on, or was
+//	show NAME [VERSION]           shows a document as agreed on now, or as it was at a version
 //
-// Without arguments it writes the settings in force. A command that is repeated with the same ID is done once.
+// Without a command it writes the settings in force. A command that is repeated with the same ID takes effect only once.
 func (n *clusterNode) handleSettings(ctx context.Context, arguments string, body []byte, w io.Writer) error {
 	if !n.hasConsensus() {
 		return errNoConsensus
@@ -75,7 +76,7 @@
 	return status.WriteResult(w, result)
 }
 
-// parseSettingsCommand reads a command and its arguments. The texts of its errors go to the operator.
+// parseSettingsCommand parses a command and its arguments. The operator sees its errors.
 func (n *clusterNode) parseSettingsCommand(name string, args []string, body []byte) (*consensus.Command, error) {
 	count, isKnown := settingsCommands[name]
 	if !isKnown {
@@ -83,7 +84,7 @@
 			"settings %.40q is none of put, remove, back, force, voters-add, voters-remove, history, show", name)
 	}
 	if len(args) < count.least || len(args) > count.most {
-		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.least)
+		return nil, fmt.Errorf("settings %s: got %d arguments, want %d", name, len(args), count.least)
 	}
 	c := &consensus.Command{By: n.spec.Name, At: time.Now().UnixMilli()}
 	var err error
@@ -111,7 +112,7 @@
 	return c, err
 }
 
-// parseDocumentChange reads the arguments of put, remove and back.
+// parseDocumentChange parses the arguments of the commands put, remove and back.
 func parseDocumentChange(c *consensus.Command, name string, args []string, body []byte) error {
 	if args[1] != "-" {
 		expect, err := strconv.ParseUint(args[1], 10, 64)
@@ -137,7 +138,7 @@
 	return err
 }
 
-// checkPut returns why this daemon could not install a document beside the others that are agreed on.
+// checkPut returns an error if this daemon could not install a document together with the other agreed documents.
 func (n *clusterNode) checkPut(put *consensus.DocumentPut) error {
 	agreed, _ := n.raft.Valid()
 	docs := documentBodies(settingsDocuments(agreed.Docs))
@@ -145,7 +146,7 @@
 	return n.ownFile.Load().CheckDocuments(docs)
 }
 
-// writeSettings writes the agreed settings that are in force here, with a line for each document.
+// writeSettings writes the status of the agreed settings on this daemon, with one line for each document.
 func (n *clusterNode) writeSettings(w io.Writer) error {
 	if !n.hasConsensus() {
 		return errNoConsensus
@@ -160,7 +161,7 @@
 	return s.Write(w)
 }
 
-// writeVersions is writeSettings without the documents.
+// writeVersions writes the status of the agreed settings on this daemon without the lines for the documents.
 func (n *clusterNode) writeVersions(w io.Writer) error {
 	if !n.hasConsensus() {
 		return errNoConsensus
@@ -169,6 +170,7 @@
 	return s.Write(w)
 }
 
+// settingsStatus returns the status of the agreed settings on this daemon, without documents, and the settings themselves.
 func (n *clusterNode) settingsStatus() (*status.Settings, *consensus.LeasedVersion) {
 	agreed, _ := n.raft.Valid()
 	node := n.raft.Status()
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// The shutdown is timed from its end: the process may be killed when the grace period is over.
+// Time limits of the shutdown. The margins count back from the end of the grace period, when the process may be killed.
 const (
-	// acceptAfterSignal is how long new connections are accepted after the signal when there is no successor: whoever
-	// routes clients here learns of the shutdown only then.
+	// acceptAfterSignal is how long new connections are accepted after the signal when there is no successor: the
+	// platform's load balancers notice the shutdown only after the signal.
 	acceptAfterSignal = 600 * time.Millisecond
-	// closeConnectionsMargin is how long before the kill responses begin to close their connections. Until then clients
-	// may go on using the connections that they have.
+	// closeConnectionsMargin is the time before the end of the grace period at which responses begin to close their
+	// connections. Until then clients may go on using the connections that they have.
 	closeConnectionsMargin = 1500 * time.Millisecond
-	// requestDeadlineMargin is how long before the kill the last request must have been answered.
+	// requestDeadlineMargin is the time before the end of the grace period by which every request has its response.
 	requestDeadlineMargin = 200 * time.Millisecond
 	// drainPollInterval is the time between two checks for whether clients are still connected.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// errShuttingDown is why a reload that comes too late changes nothing.
-var errShuttingDown = errors.New("the daemon is about to end")
+// errShuttingDown is the error of a reload that comes after the shutdown has begun.
+var errShuttingDown = errors.New("the daemon is shutting down")
 
-// successor is who accepts from a listener's socket after the listener has ended.
+// successor tells which process accepts from a listener's socket after the listener has ended.
 type successor int
 
 const (
-	noSuccessor  successor = iota
-	sameProcess            // another listener in this process
-	otherProcess           // a process that has taken over by hot restart
+	noSuccessor  successor = iota // the socket is closed
+	sameProcess                   // another listener in this process accepts from the socket
+	otherProcess                  // a process that has replaced this one by hot restart accepts from the socket
 )
 
-// shutDown ends all listeners, then the pools and routes, and last what they depend on. It returns when no request is
+// shutDown ends all listeners, then the pools and routes, and last what these depend on. It returns when no request is
 // in flight any more.
 func (s *Sidecar) shutDown(by successor) error {
 	s.isReady.Store(false)
@@ -57,24 +57,25 @@
 	}
 	s.mu.Lock()
 	s.retireConfig(s.installed)
-	operators := s.admin
+	adminServer := s.admin
 	s.mu.Unlock()
 	s.retiring.Wait()
-	// While clients are served, the other members count on this one's share of the endpoints.
+	// Leave the cluster only after the last client: the other members' division of the endpoints includes this member
+	// until then.
 	err = errors.Join(err, s.cluster.close())
-	if operators != nil {
-		err = errors.Join(err, operators.Close())
+	if adminServer != nil {
+		err = errors.Join(err, adminServer.Close())
 	}
 	return err
 }
 
 // drain ends a listener without losing a connection that the kernel has accepted, and without rejecting clients while
-// this process can serve them. For serveTime all goes on as before, as long as clients are connected; then responses say
-// Connection: close, and idle connections are closed. There is no further time limit: requests end by their deadlines,
-// later ones by the shutdown's, and net/http closes connections that bring none.
+// this process can serve them. While clients are connected, but at most for serveTime, the listener serves as before; then
+// responses say Connection: close, and idle connections are closed. drain itself sets no further time limit: requests end
+// by their own deadlines or by the shutdown deadline, and net/http closes connections that send no request.
 //
-// With a successor in the same process it need not wait. With one in another process the connections that clients have
-// here are served for as long, but each closes with its next response.
+// With a successor in the same process drain does not wait. With a successor in another process the existing connections
+// are also served for up to serveTime, but each one closes with its next response.
 func (l *listener) drain(by successor, serveTime time.Duration) error {
 	startedAt := time.Now()
 	if by == otherProcess {
@@ -89,7 +90,7 @@
 	return errors.Join(err, l.server.Close())
 }
 
-// mustServe tells whether a listener that has been draining for some time serves as before.
+// mustServe reports whether a listener that has been draining for the elapsed time still serves as before.
 func (l *listener) mustServe(by successor, elapsed, serveTime time.Duration) bool {
 	switch {
 	case by == sameProcess:
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,16 +1,16 @@
 // Package sidecar runs the load balancer on real sockets: it builds listeners, pools and routes from a configuration,
-// reloads them, and shuts them down without losing a request. The decision module (package balance, behind package
-// eventloop) decides; this package carries out and decides nothing about endpoints itself.
+// reloads them, and shuts them down without losing a request. The decision module (package balance, run by package
+// eventloop) chooses the endpoints; this package executes its decisions and makes none about endpoints itself.
 //
-// A Sidecar owns all that it starts. Its mutex guards which configuration is installed; a reload holds it from its
-// beginning to its end. Each listener has a goroutine that accepts, beside those of net/http; each pool has one for its
-// event loop, one for its connections and one for discovery. A listener or pool that a reload has removed has a
-// goroutine that waits for its last request. A member of a cluster has one that follows the members, and with agreed
-// settings one that installs them. Hot restart has one that polls the shared directory. All of them end before Serve
-// returns, except the attempts that are being cancelled by then.
+// A Sidecar owns every goroutine that it starts. Its mutex guards which configuration is installed; a reload holds the
+// mutex from beginning to end. Each listener has a goroutine that accepts connections, in addition to those of net/http;
+// each pool has one for its event loop, one for its connections and one for discovery. A listener or pool that a reload
+// has removed has a goroutine that waits for its last request. In a cluster one goroutine follows the membership, and
+// another installs the agreed settings if the cluster agrees on settings. Hot restart has one that polls the shared
+// directory. All goroutines end before Serve returns, except those of attempts that are still being cancelled then.
 //
-// A caller may rely on this: every request that was accepted is served by the configuration that accepted it, and is
-// answered before Serve returns, unless a listener fails.
+// Guarantee: every accepted request is served by the configuration that accepted it, and gets its response before Serve
+// returns, unless a listener fails.
 package sidecar
 
 import (
@@ -30,48 +30,48 @@
 	"tuliprock/internal/metrics"
 )
 
-// Sidecar is a running daemon: its listeners, its pools, and the routes from the ones to the others. Its methods may be
+// Sidecar is a running daemon: its listeners, its pools, and the routes from listeners to pools. Its methods may be
 // called by several goroutines.
 type Sidecar struct {
 	decider          eventloop.Decider
 	log              *slog.Logger
 	currentService   frontend.ActiveRouteConfig
-	listenerFailed   chan error       // holds the first error of a listener that can't go on
-	bodyMemory       *body.MemoryPool // nil: bodies are buffered complete; fixed at the start
+	listenerFailed   chan error       // holds the error of the first listener that failed
+	bodyMemory       *body.MemoryPool // memory for streaming bodies; nil: all bodies are buffered; fixed at the start
 	retiring         sync.WaitGroup   // configurations and listeners that a reload removed and that still serve requests
 	metrics          *metrics.Registry
 	overrides        *overrides
 	cluster          *clusterNode // nil: this daemon is in no cluster; fixed at the start
 	hotRestart       *hotRestart  // nil: no other process can be a successor
-	isReady          atomic.Bool  // this process takes clients
-	fixedDescriptors int          // descriptors besides connections of clients and to endpoints
+	isReady          atomic.Bool  // whether this process takes clients
+	fixedDescriptors int          // number of descriptors that are neither clients' nor endpoints' connections
 
-	// Both begin with the shutdown and are fixed at the start.
-	streamTimeout time.Duration // until streaming bodies are aborted
-	gracePeriod   time.Duration // until the process is killed at the earliest
+	streamTimeout time.Duration // time from the start of the shutdown until streaming bodies are aborted
+	gracePeriod   time.Duration // shortest time from the start of the shutdown until the platform kills the process
 
 	mu                sync.Mutex
 	isShuttingDown    bool
 	installed         *installedConfig
-	ownConfig         config.Service       // what installed was made of, before agreed settings were added
-	activeSettings    activeSettings       // the agreed settings in installed
-	listeners         map[string]*listener // by listenerKey
-	drainingListeners map[*listener]bool   // removed by a reload, and not ended yet
-	runningPools      map[*pool]bool       // installed, or removed and not ended yet
-	admin             *admin.Server        // nil: there is no operators' address
-	adminAddr         string               // of admin, as configured
-	// connectionLimit is that of each listener and each pool while processes share the descriptors; 0: as configured.
+	ownConfig         config.Service       // the installed configuration before the agreed settings were added
+	activeSettings    activeSettings       // the agreed settings that are part of the installed configuration
+	listeners         map[string]*listener // the installed configuration's listeners by listenerKey
+	drainingListeners map[*listener]bool   // listeners that a reload has removed and that have not ended yet
+	runningPools      map[*pool]bool       // installed pools, and removed pools that have not ended yet
+	admin             *admin.Server        // server for operators' commands; nil: no address is configured for it
+	adminAddr         string               // address of the admin server, as configured
+	// connectionLimit is the connection limit of each listener and each pool while several processes share the
+	// descriptors; 0: the configured limits apply.
 	connectionLimit int
 }
 
-// Start opens the listeners and starts the pools. They serve from then on; the caller must call Serve, which ends them.
-// An error names the setting or address at fault, and nothing is left running.
+// Start opens the listeners and starts the pools. They serve from then on; the caller must call Serve, which stops them
+// in the end. An error names the setting or address at fault; nothing keeps running after an error.
 func Start(c config.Service, log *slog.Logger) (*Sidecar, error) {
 	return StartWith(eventloop.Module, c, log)
 }
 
-// StartWith is Start with another decider in the module's place, on the same sockets. Benchmarks and tests compare the
-// module with others that way.
+// StartWith is Start with a decider of the caller's choice in place of the decision module. Benchmarks and tests compare
+// the module with other load balancing algorithms that way.
 func StartWith(decider eventloop.Decider, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
 		decider:           decider,
@@ -119,8 +119,8 @@
 	return addrs
 }
 
-// Serve returns when ctx has ended or another process has taken over, and all requests have been answered. If a
-// listener fails it returns that error at once.
+// Serve returns once ctx has ended, or another process has replaced this one by hot restart, and every request has its
+// response. If a listener fails, Serve returns the listener's error at once.
 func (s *Sidecar) Serve(ctx context.Context) error {
 	defer s.hotRestart.close()
 	var finished <-chan struct{}
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -12,33 +12,34 @@
 	"tuliprock/internal/hotrestart"
 )
 
-// sharedSocket is a listening socket that several servers may accept from, one after another: connections that wait in
-// its queue must not be lost when one server replaces another. Each server has a socketHandle; the last Close closes the
-// socket.
+// sharedSocket is a listening socket that several servers accept from, one after another: connections that wait in the
+// socket's accept queue must not be lost when one server replaces another. Each server has a socketHandle; closing the
+// last handle closes the socket.
 //
-// A second descriptor of the same socket would not do: making a listener of one sets both blocking for a moment, and an
-// accept at that moment hangs until the next connection.
+// A duplicated descriptor for each server would not work: making a net.Listener from a descriptor sets the socket to
+// blocking mode for a moment, through both descriptors, and an accept at that moment hangs until the next connection.
 //
-// The Accepts of all handles wait on one net.TCPListener, and only its deadline can end them. It is in the past while a
-// handle is closing or the socket is paused. Setting it fails only when the listener is closed; Accept reports that.
+// The Accept calls of all handles wait on one net.TCPListener, and only the listener's deadline can interrupt them. The
+// deadline is in the past while a handle is closing or the socket is paused. Setting the deadline fails only when the
+// listener is closed, which Accept reports.
 type sharedSocket struct {
 	tcp *net.TCPListener
 
 	mu       sync.Mutex
-	changed  sync.Cond // of closing, isPaused, or a handle's isClosed
-	handles  int       // that are not closed
-	isPaused bool      // no connection is accepted
-	closing  int       // handles whose Accept has yet to return
+	changed  sync.Cond // signals a change of closing, isPaused or a handle's isClosed
+	handles  int       // number of open handles
+	isPaused bool      // whether all handles have stopped accepting connections
+	closing  int       // number of closed handles whose Accept calls have not all returned
 }
 
-// socketHandle is one server's part of a sharedSocket. It implements net.Listener.
+// socketHandle is one server's access to a sharedSocket. It implements net.Listener.
 type socketHandle struct {
 	*sharedSocket
 	isClosed  atomic.Bool
-	accepting atomic.Int32 // Accepts that have not returned
+	accepting atomic.Int32 // number of Accept calls in progress
 }
 
-// past is a deadline that ends an Accept at once.
+// past is a deadline that interrupts an Accept call at once.
 var past = time.Unix(1, 0)
 
 // listen opens a socket and returns its first handle.
@@ -65,8 +66,8 @@
 	return &socketHandle{sharedSocket: s}
 }
 
-// SetPaused stops all handles from accepting connections, or lets them go on. Meanwhile connections wait in the kernel's
-// queue. An Accept that has a connection already returns it.
+// SetPaused stops all handles from accepting connections, or lets them accept again. While the socket is paused,
+// connections wait in the kernel's accept queue. An Accept call that already has a connection returns it.
 func (s *sharedSocket) SetPaused(isPaused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +80,14 @@
 	s.changed.Broadcast()
 }
 
-// clearDeadline lets Accepts wait again, unless a pause or a closing handle needs the deadline. s.mu is held.
+// clearDeadline lets Accept calls wait again, unless a pause or a closing handle needs the deadline. s.mu is held.
 func (s *sharedSocket) clearDeadline() {
 	if s.closing == 0 && !s.isPaused {
 		_ = s.tcp.SetDeadline(time.Time{})
 	}
 }
 
-// newHandle returns a further handle; ok is false if the socket is closed.
+// newHandle returns another handle; ok is false if the socket is closed.
 func (s *sharedSocket) newHandle() (h *socketHandle, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,9 +117,9 @@
 	}
 }
 
-// awaitTurn waits until no other handle is closing and the socket is not paused, or this handle is closed. The deadline
-// must not be cleared earlier: an Accept looks at it only once it has woken up, so that the closing handle's might sleep
-// on.
+// awaitTurn waits until no other handle is closing and the socket is not paused, or until this handle is closed. The
+// deadline must not be cleared earlier: an Accept call checks the deadline only after it has woken up, so the Accept call
+// of the closing handle might go on waiting.
 func (h *socketHandle) awaitTurn() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,15 +129,16 @@
 	h.clearDeadline()
 }
 
-// Close implements net.Listener. An Accept that waits returns; one that has a connection already returns that.
+// Close implements net.Listener. It interrupts a waiting Accept call; an Accept call that already has a connection returns
+// it.
 func (h *socketHandle) Close() error {
 	if h.isClosed.Swap(true) {
 		return nil
 	}
-	if h.closeOne() {
+	if h.release() {
 		return h.tcp.Close()
 	}
-	for h.accepting.Load() > 0 { // it returns as soon as it gets to run
+	for h.accepting.Load() > 0 { // the interrupted Accept call returns as soon as its goroutine is scheduled
 		time.Sleep(time.Millisecond)
 	}
 	h.mu.Lock()
@@ -147,8 +149,9 @@
 	return nil
 }
 
-// closeOne counts a handle less, and tells whether it was the last. If not, the deadline ends the handle's Accept.
-func (h *socketHandle) closeOne() (isLast bool) {
+// release removes this handle from the count of open handles, and reports whether it was the last one. If it was not, the
+// deadline interrupts the handle's Accept call.
+func (h *socketHandle) release() (isLast bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.handles--
