--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -13,32 +13,33 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A pool with its real parts gets a list that changes by one member.
+// BenchmarkPoolUpdate measures how long a pool with the real decision module and connections takes to apply an endpoint
+// list that differs by one member from the previous one.
 func BenchmarkPoolUpdate(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var list []discovery.Member
+			var members []discovery.Member
 			for i := range n + 1 {
-				list = append(list, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
+				members = append(members, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
 			}
 			source := config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}
 			spec := config.PoolSpec{Name: "p", Connections: 10, Source: source}
 			p := newPool(eventloop.Module, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 			defer p.close()
-			done := make(chan bool)
+			applied := make(chan bool)
 			for i := 0; b.Loop(); i++ {
-				p.updateEndpoints(discovery.ListUpdate{Full: true, Members: list[:n+i%2]})
-				p.loop.Post(func(time.Duration) { done <- true })
-				<-done
+				p.updateEndpoints(discovery.ListUpdate{Full: true, Members: members[:n+i%2]})
+				p.loop.Post(func(time.Duration) { applied <- true })
+				<-applied
 			}
 		})
 	}
 }
 
-// One request after another on one connection, through the daemon and an endpoint.
+// BenchmarkServe measures requests sent one after another on one connection, through the daemon to an endpoint.
 func BenchmarkServe(b *testing.B) {
 	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
-	s := startFromFile(b, parseService(b, listen1+poolOf("a", e.Addr)+lookRoute))
+	s := startFromFile(b, parseService(b, listenerOne+poolSection("a", e.Addr)+lookRoute))
 	nc, in, _ := openConnection(b, s.addressOf("one"))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -15,41 +15,42 @@
 	return string(b[:runtime.Stack(b, true)])
 }
 
+// clusterPackages is the common prefix of the import paths of the cluster's packages.
 const clusterPackages = "tuliprock/internal/cluster/"
 
-// On the platform sidecars can't reach one another: no socket is opened for that and no goroutine started. Where an
-// operators' file has a fleet both are there, so that this test could fail; and all pools get the number of members, also
-// those that a reload adds.
+// On the platform sidecars can't reach one another, so a daemon on the platform's configuration must not open sockets or
+// start goroutines for a cluster. A daemon on an operators' file with the section [fleet] does, which shows that the check
+// can fail. All pools of such a daemon get the number of members, also pools that a reload adds.
 func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
 	a := echoEndpoint(t, "A")
-	p := startPlatform(t, a)
-	if p.cluster != nil || strings.Contains(allStacks(), clusterPackages) {
-		t.Error("the platform's sidecar is in a cluster")
+	platform := startPlatform(t, a)
+	if platform.cluster != nil || strings.Contains(allStacks(), clusterPackages) {
+		t.Error("a daemon on the platform's configuration is in a cluster")
 	}
-	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listen1 + poolOf("a", a) + lookRoute
+	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listenerOne + poolSection("a", a) + lookRoute
 	s := startFromFile(t, parseService(t, file))
 	if !strings.Contains(allStacks(), clusterPackages+"transport") {
-		t.Fatal("a file with a fleet starts no cluster: the check above proves nothing")
+		t.Fatal("a file with the section [fleet] starts no cluster: the check above proves nothing")
 	}
 	join := "name = \"r\"\njoin = [\"" + s.cluster.transport.Addr().String() + "\"]"
 	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", join, 1)))
-	shared := func(d *fileSidecar) bool {
+	seesBoth := func(d *fileSidecar) bool {
 		d.cluster.mu.Lock()
 		defer d.cluster.mu.Unlock()
 		return d.cluster.daemons == 2
 	}
-	testpeer.Until(t, "two share", func() bool { return shared(s) && shared(other) })
+	testpeer.Until(t, "both daemons count two members", func() bool { return seesBoth(s) && seesBoth(other) })
 	if resp, _ := sendGet(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
-		t.Errorf("%s", resp.Status)
+		t.Errorf("status %s, want 200", resp.Status)
 	}
-	if err := s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)); err == nil {
-		t.Error("a reload ends the cluster")
+	if err := s.Reload(parseService(t, listenerOne+poolSection("a", a)+lookRoute)); err == nil {
+		t.Error("a reload without the section [fleet] succeeded, want an error")
 	}
-	s.reload(t, strings.Replace(file, poolOf("a", a), poolOf("a", a)+poolOf("b", a), 1))
+	s.reload(t, strings.Replace(file, poolSection("a", a), poolSection("a", a)+poolSection("b", a), 1))
 	s.cluster.mu.Lock()
 	pools := len(s.cluster.pools)
 	s.cluster.mu.Unlock()
 	if pools != 2 {
-		t.Errorf("%d pools get the number of members", pools)
+		t.Errorf("%d pools get the number of members, want 2", pools)
 	}
 }
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -12,19 +12,19 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Idle connections are closed for new clients when connections run short, and no request is lost.
+// When the connection limit is reached, idle connections are closed to make room for new clients, and no request is lost.
 func TestIdleConnectionsYieldToNewClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
-	for i := range 100 { // far over the limit
+	for i := range 100 { // far more connections than the limit allows
 		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("client %d: status %d", i, resp.StatusCode)
+			t.Fatalf("client %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 }
 
-// Connections that send nothing, by hundreds, must not block clients that send requests.
+// Hundreds of connections that send no request, or only its beginning, must not block clients that send requests.
 func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
@@ -34,45 +34,47 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		io.WriteString(nc, "GET /lo"[:i%2*7]) // some of a head, or nothing
+		io.WriteString(nc, "GET /lo"[:i%2*7]) // the beginning of a request line, or nothing
 	}
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 	if n := s.connections.ConnectionCount(); n > 64 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want at most 64", n)
 	}
 }
 
-// A long day brings ever new endpoint IDs at old addresses, request IDs and connections; the state of old ones must go.
+// A daemon that runs for long sees ever new endpoint IDs at the same addresses, new request IDs and new connections. The
+// state that it keeps about old ones must be released.
 func TestStateOfDepartedEndpointsIsReleased(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
 		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
 		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
-			t.Fatalf("request %d: status %d", i, status)
+			t.Fatalf("request %d: status %d, want 200", i, status)
 		}
 	}
-	testpeer.Until(t, "clients' connections end", func() bool { return s.connections.ConnectionCount() == 0 })
-	left := make(chan [4]int)
+	testpeer.Until(t, "clients' connections are closed", func() bool { return s.connections.ConnectionCount() == 0 })
+	counts := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
-		left <- [4]int{calls, members, events, timers}
+		counts <- [4]int{calls, members, events, timers}
 	})
-	if n := <-left; n[0] != 0 || n[1] != 1 || n[2] != 0 || n[3] > 600 {
-		t.Errorf("calls, members, events, timers: %v", n)
+	if n := <-counts; n[0] != 0 || n[1] != 1 || n[2] != 0 || n[3] > 600 {
+		t.Errorf("calls, members, events, timers: %v, want 0, 1, 0, at most 600", n)
 	}
 	if endpoints, connections := s.upstream.ResourceCounts(); endpoints != 1 || connections > 1 {
-		t.Errorf("%d pools, %d connections to endpoints", endpoints, connections)
+		t.Errorf("state of %d endpoints and %d connections to them, want 1 and at most 1", endpoints, connections)
 	}
 }
 
-// Endpoints that close idle connections, here as soon as another one is used, must not cost a connection a request.
+// Endpoints close idle connections, here as soon as another connection is used. Connections must still be reused, so that
+// not every request needs a new one.
 func TestShortLivedConnectionsAreReusedWhileOpen(t *testing.T) {
 	var mu sync.Mutex
 	idle := map[net.Conn]bool{}
-	var all []*testpeer.Endpoint
+	var endpoints []*testpeer.Endpoint
 	var addrs []string
 	for range 4 {
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -85,24 +87,24 @@
 				}
 			}
 			idle[nc] = true
-			time.Sleep(4 * time.Millisecond) // so that all requests take about the same time
+			time.Sleep(4 * time.Millisecond) // makes all requests take about the same time
 			io.WriteString(nc, testpeer.Served)
 			return true
 		})
-		all, addrs = append(all, e), append(addrs, e.Addr)
+		endpoints, addrs = append(endpoints, e), append(addrs, e.Addr)
 	}
 	s := startPlatform(t, addrs...)
-	const calls = 60
-	for n := range calls {
+	const requests = 60
+	for n := range requests {
 		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
-			t.Fatalf("call %d: %d", n, status)
+			t.Fatalf("request %d: status %d, want 200", n, status)
 		}
 	}
 	opened := int32(0)
-	for _, e := range all {
+	for _, e := range endpoints {
 		opened += e.Connections.Load()
 	}
-	if opened > calls*2/3 {
-		t.Errorf("%d connections for %d calls one after another", opened, calls)
+	if opened > requests*2/3 {
+		t.Errorf("%d connections were opened for %d sequential requests, want at most %d", opened, requests, requests*2/3)
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 	"testing"
-	"tuliprock/internal/testkit/fake"
 
+	"tuliprock/internal/testkit/fake"
 	"tuliprock/internal/testkit/testpeer"
 )
 
@@ -21,43 +21,44 @@
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
-	calls := func() (int32, int32) {
+	sendEight := func() (atA, atB int32) {
 		for range 8 {
 			n++
 			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
-				t.Errorf("status %d", status)
+				t.Errorf("request %d: status %d, want 200", n, status)
 			}
 		}
 		return a.Requests.Swap(0), b.Requests.Swap(0)
 	}
-	if x, y := calls(); x == 0 || y == 0 {
-		t.Errorf("at first %d and %d", x, y)
+	if atA, atB := sendEight(); atA == 0 || atB == 0 {
+		t.Errorf("with both endpoints ready: %d requests at a and %d at b, want some at each", atA, atB)
 	}
 	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
-	if x, y := calls(); x != 0 || y != 8 {
-		t.Errorf("with a draining, %d and %d", x, y)
+	if atA, atB := sendEight(); atA != 0 || atB != 8 {
+		t.Errorf("with a draining: %d requests at a and %d at b, want 0 and 8", atA, atB)
 	}
-	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready"))) // a gone, b moved
-	if x, y := calls(); x != 8 || y != 0 {
-		t.Errorf("with b moved, %d to its new address and %d to the old", x, y)
+	// The endpoint a is removed, and the endpoint b gets the address that a had.
+	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready")))
+	if atNew, atOld := sendEight(); atNew != 8 || atOld != 0 {
+		t.Errorf("with b at a new address: %d requests there and %d at the old one, want 8 and 0", atNew, atOld)
 	}
 }
 
-// A regression test: SIGHUP ended the program. Endpoints from the new discovery serve, the request in flight is answered,
-// and further reloads, also during the shutdown, do no harm.
+// A regression test: SIGHUP ended the program. After a reload with another discovery agent the agent's endpoints serve,
+// the request in flight gets its response, and further reloads do no harm, also during the shutdown.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
-	old, came, release := newHeldEndpoint(t)
-	s := startPlatform(t, old.Addr)
+	oldEndpoint, arrived, release := newBlockingEndpoint(t)
+	s := startPlatform(t, oldEndpoint.Addr)
 	first := make(chan int)
 	go func() {
 		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000))
 		first <- status
 	}()
-	<-came
-	fresh := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	<-arrived
+	newEndpoint := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	c := s.platformConfig
 	var calls chan string
-	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", fresh.Addr, "Ready")), "SILENT")
+	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", newEndpoint.Addr, "Ready")), "SILENT")
 	reload := func() error {
 		t.Helper()
 		service, err := c.Service()
@@ -70,74 +71,76 @@
 		t.Fatal(err)
 	}
 	<-calls
-	<-calls // the second call is the watch: the list is in force
+	<-calls // the second call to the agent is the watch, which begins once the first list is applied
 	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000))
-	if status != http.StatusOK || fresh.Requests.Load() != 1 {
-		t.Errorf("after the move: %d, %d requests at the new endpoint", status, fresh.Requests.Load())
+	if status != http.StatusOK || newEndpoint.Requests.Load() != 1 {
+		t.Errorf("after the reload: status %d, %d requests at the new endpoint, want 200 and 1", status, newEndpoint.Requests.Load())
 	}
 	if err := reload(); err != nil {
 		t.Error(err)
 	}
 	s.terminate()
 	c.Discovery, _ = startDiscovery(t)
-	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
+	testpeer.Until(t, "the shutdown begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("in flight: %d", status)
+		t.Errorf("the request in flight: status %d, want 200", status)
 	}
 	if err := <-s.serveResult; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve: %v", err)
 	}
 }
 
-// The same address in two pools, and a member that keeps its ID at another address.
+// Two pools may list the same address, and a reload may give a member of one pool another address under the same ID
+// without an effect on the other pool.
 func TestSameAddressInTwoPoolsAndMemberWithNewAddress(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
 	member := func(addr string) string {
 		return fmt.Sprintf("[[pool]]\nname = \"a\"\n[[pool.member]]\nid = \"m\"\naddress = %q\n", addr)
 	}
 	routes := "[[route]]\nhosts = [\"b\"]\npool = \"b\"\nclass = \"look\"\n" + lookRoute
-	s := startFromFile(t, parseService(t, listen1+member(a)+poolOf("b", a)+routes))
+	s := startFromFile(t, parseService(t, listenerOne+member(a)+poolSection("b", a)+routes))
 	for _, host := range []string{"a", "b"} {
 		if _, text := sendGet(t, s.addressOf("one"), host, "/"); !strings.HasPrefix(text, "A ") {
-			t.Errorf("%s: %q", host, text)
+			t.Errorf("host %s: response %q, want one from A", host, text)
 		}
 	}
-	s.reload(t, listen1+member(b)+poolOf("b", a)+routes)
+	s.reload(t, listenerOne+member(b)+poolSection("b", a)+routes)
 	if _, text := sendGet(t, s.addressOf("one"), "a", "/"); !strings.HasPrefix(text, "B ") {
-		t.Errorf("moved: %q", text)
+		t.Errorf("the pool with the changed member: response %q, want one from B", text)
 	}
 	if _, text := sendGet(t, s.addressOf("one"), "b", "/"); !strings.HasPrefix(text, "A ") {
-		t.Errorf("the other pool: %q", text)
+		t.Errorf("the unchanged pool: response %q, want one from A", text)
 	}
 }
 
-// Members from DNS and from a file: a changed list is used, and a source that fails leaves the last list in force.
+// Pools take their members from DNS and from a file. A changed list is applied; while a source fails, the last list stays
+// in use.
 func TestPoolMembersFromDNSAndFiles(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
-	names, err := fake.NewDNS()
+	dns, err := fake.NewDNS()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(names.Close)
-	list := filepath.Join(t.TempDir(), "members.json")
-	write := func(addr string) {
-		if err := os.WriteFile(list+".new", fmt.Appendf(nil, `{"format":1,"members":[{"address":%q}]}`, addr), 0o600); err != nil {
+	t.Cleanup(dns.Close)
+	membersFile := filepath.Join(t.TempDir(), "members.json")
+	writeMembersFile := func(addr string) {
+		if err := os.WriteFile(membersFile+".new", fmt.Appendf(nil, `{"format":1,"members":[{"address":%q}]}`, addr), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(list+".new", list); err != nil {
+		if err := os.Rename(membersFile+".new", membersFile); err != nil {
 			t.Fatal(err)
 		}
 	}
-	point := func(addr string) {
+	setDNSRecords := func(addr string) {
 		_, port, _ := net.SplitHostPort(addr)
 		n, _ := strconv.Atoi(port)
-		names.Set("host.example", fake.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
-		names.Set("_web._tcp.example", fake.DNSRecord{Service: "host.example", Port: uint16(n)})
+		dns.Set("host.example", fake.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
+		dns.Set("_web._tcp.example", fake.DNSRecord{Service: "host.example", Port: uint16(n)})
 	}
-	write(a)
-	point(a)
-	s := startFromFile(t, parseService(t, listen1+fmt.Sprintf(`
+	writeMembersFile(a)
+	setDNSRecords(a)
+	s := startFromFile(t, parseService(t, listenerOne+fmt.Sprintf(`
 		[[pool]]
 		name = "file"
 		file = %q
@@ -154,31 +157,31 @@
 		path = "/dns"
 		pool = "dns"
 		class = "look"
-		`, list, names.Addr)))
-	served := func(path, name string) bool {
+		`, membersFile, dns.Addr)))
+	isServedBy := func(path, name string) bool {
 		_, text := sendGet(t, s.addressOf("one"), "h", path)
 		return strings.HasPrefix(text, name+" ")
 	}
 	for _, path := range []string{"/file", "/dns"} {
-		if !served(path, "A") {
+		if !isServedBy(path, "A") {
 			t.Errorf("%s is not served by A", path)
 		}
 	}
-	names.SetFault(fake.DNSServfail, 0)
-	if err := os.Remove(list); err != nil {
+	dns.SetFault(fake.DNSServfail, 0)
+	if err := os.Remove(membersFile); err != nil {
 		t.Fatal(err)
 	}
-	asked := names.Queries.Load()
-	testpeer.Until(t, "DNS fails", func() bool { return names.Queries.Load() > asked+1 })
+	queriesBefore := dns.Queries.Load()
+	testpeer.Until(t, "DNS queries fail", func() bool { return dns.Queries.Load() > queriesBefore+1 })
 	for _, path := range []string{"/file", "/dns"} {
-		if !served(path, "A") {
-			t.Errorf("%s is not served by A any more", path)
+		if !isServedBy(path, "A") {
+			t.Errorf("%s is not served by A while the sources fail", path)
 		}
 	}
-	names.SetFault(fake.DNSHealthy, 0)
-	write(b)
-	point(b)
+	dns.SetFault(fake.DNSHealthy, 0)
+	writeMembersFile(b)
+	setDNSRecords(b)
 	for _, path := range []string{"/file", "/dns"} {
-		testpeer.Until(t, path+" is served by B", func() bool { return served(path, "B") })
+		testpeer.Until(t, path+" is served by B", func() bool { return isServedBy(path, "B") })
 	}
 }
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -16,7 +16,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// parseService reads an operators' file. Its classes are the same in all tests.
+// parseService parses an operators' file and adds the request classes that all tests share: look, which is safe, and pay,
+// which is not idempotent.
 func parseService(tb testing.TB, text string) config.Service {
 	tb.Helper()
 	return parseFile(tb, `format = 1
@@ -24,6 +25,7 @@
 		`+text)
 }
 
+// parseFile parses a complete operators' file.
 func parseFile(tb testing.TB, text string) config.Service {
 	tb.Helper()
 	f, err := config.ParseFile("test.toml", []byte(text))
@@ -36,11 +38,11 @@
 // fileSidecar is a daemon that runs on an operators' file.
 type fileSidecar struct {
 	*Sidecar
-	terminate   context.CancelFunc
-	serveResult chan error
+	terminate   context.CancelFunc // begins the shutdown, as SIGTERM does
+	serveResult chan error         // receives the error of Serve, and is closed then
 }
 
-// startFromFile serves until the test ends.
+// startFromFile starts a daemon that serves until the test ends.
 func startFromFile(tb testing.TB, c config.Service) *fileSidecar {
 	tb.Helper()
 	s, err := Start(c, slog.New(slog.DiscardHandler))
@@ -51,8 +53,10 @@
 	return &fileSidecar{Sidecar: s, terminate: terminate, serveResult: serveResult}
 }
 
+// addressOf returns the address of the listener with a name.
 func (s *fileSidecar) addressOf(name string) string { return s.Addrs()[name].String() }
 
+// reload installs an operators' file, as parseService reads it.
 func (s *fileSidecar) reload(tb testing.TB, text string) {
 	tb.Helper()
 	if err := s.Reload(parseService(tb, text)); err != nil {
@@ -60,7 +64,7 @@
 	}
 }
 
-// sendGet requests a target of a host on a connection of its own.
+// sendGet sends a GET request for a target of a host on a connection of its own.
 func sendGet(tb testing.TB, addr, host, target string) (*http.Response, string) {
 	tb.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+target, nil)
@@ -71,6 +75,7 @@
 	return roundTrip(tb, r)
 }
 
+// roundTrip sends a request on a connection of its own, and returns the response and its body.
 func roundTrip(tb testing.TB, r *http.Request) (*http.Response, string) {
 	tb.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
@@ -87,7 +92,8 @@
 	return resp, string(text)
 }
 
-// echoEndpoint starts an endpoint that responds with its name and the request's line and headers.
+// echoEndpoint starts an endpoint that responds with its name, the request line and the request's headers. It returns the
+// endpoint's address.
 func echoEndpoint(tb testing.TB, name string) string {
 	tb.Helper()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -98,8 +104,8 @@
 	return e.Listener.Addr().String()
 }
 
-// poolOf is a pool of an operators' file.
-func poolOf(name string, addrs ...string) string {
+// poolSection returns the section of an operators' file for a pool with the given members.
+func poolSection(name string, addrs ...string) string {
 	text := "[[pool]]\nname = \"" + name + "\"\n"
 	for _, a := range addrs {
 		text += "[[pool.member]]\naddress = \"" + a + "\"\n"
@@ -107,15 +113,16 @@
 	return text
 }
 
-// Parts of operators' files.
+// Sections of operators' files: two listeners, and routes that send all requests to pool a in the class look or pay.
 const (
-	listen1   = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\n"
-	listen2   = "[[listener]]\nname = \"two\"\naddress = \"127.0.0.1:0\"\n"
-	lookRoute = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
-	payRoute  = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
+	listenerOne = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\n"
+	listenerTwo = "[[listener]]\nname = \"two\"\naddress = \"127.0.0.1:0\"\n"
+	lookRoute   = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
+	payRoute    = "[[route]]\npool = \"a\"\nclass = \"pay\"\n"
 )
 
-// openConnection sends a request on a connection that stays open.
+// openConnection opens a connection, sends a request on it and reads the response. The connection stays open until the
+// test ends.
 func openConnection(tb testing.TB, addr string) (net.Conn, *bufio.Reader, *http.Response) {
 	tb.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -127,7 +134,7 @@
 	return nc, in, sendOn(tb, nc, in)
 }
 
-// sendOn sends a request on an open connection and reads the response.
+// sendOn sends a request on an open connection and reads the response and its body.
 func sendOn(tb testing.TB, nc net.Conn, in *bufio.Reader) *http.Response {
 	tb.Helper()
 	nc.SetDeadline(time.Now().Add(testpeer.Patience))
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -22,43 +22,45 @@
 	"tuliprock/internal/upstream"
 )
 
-// laneSettings are the platform's settings in all tests.
-const laneSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
+// platformSettings are the platform's settings in the tests. They configure three request classes, selected by path: look
+// (safe), book (with an idempotency key) and pay (not idempotent).
+const platformSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
 	{"Name":"book","Semantics":"idempotency_key","Group":"cell","WindowUs":10000000,"OnTimeUs":2000000},
 	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
 	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":2000000,"DialTimeoutUs":5000000}}`
 
-// platformSidecar is a daemon that runs on the platform's configuration, on loopback sockets.
+// platformSidecar is a daemon that runs on the platform's configuration, with one listener and one pool, on loopback.
 type platformSidecar struct {
 	*Sidecar
 	platformConfig config.Config
-	addr           string
-	connections    *frontend.Listener
-	frontend       *frontend.Server
-	loop           *eventloop.Loop
-	upstream       *upstream.Client
+	addr           string             // address of the listener
+	connections    *frontend.Listener // connections of the listener
+	frontend       *frontend.Server   // server of the listener
+	loop           *eventloop.Loop    // event loop of the pool
+	upstream       *upstream.Client   // connections of the pool to its endpoints
 	pool           *pool
-	terminate      context.CancelFunc
-	serveResult    chan error
+	terminate      context.CancelFunc // begins the shutdown, as SIGTERM does
+	serveResult    chan error         // receives the error of Serve, and is closed then
 }
 
-// startPlatform starts a sidecar in front of the endpoints given, with the IDs a, b, ... Its discovery never responds.
+// startPlatform starts a sidecar with the given addresses as endpoints, which get the IDs a, b, ... Its discovery agent
+// never responds.
 func startPlatform(t *testing.T, addrs ...string) *platformSidecar {
 	t.Helper()
 	return startPlatformWith(t, "{}", nil, addrs...)
 }
 
-// startPlatformWith is startPlatform with limits, in JSON, and changes of the configuration.
+// startPlatformWith does the same as startPlatform with resource limits, as JSON, and with changes to the configuration.
 func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
-	silent := httptest.NewServer(&testpeer.Discovery{Calls: make(chan string, 100)})
-	t.Cleanup(silent.Close)
-	var list []string
+	silentAgent := httptest.NewServer(&testpeer.Discovery{Calls: make(chan string, 100)})
+	t.Cleanup(silentAgent.Close)
+	var members []string
 	for i, addr := range addrs {
-		list = append(list, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
+		members = append(members, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
 	}
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
-		silent.Listener.Addr(), limits, testpeer.Members(1, true, list...), laneSettings)
+		silentAgent.Listener.Addr(), limits, testpeer.Members(1, true, members...), platformSettings)
 	c, err := config.Parse([]byte(text), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -90,8 +92,8 @@
 	}
 }
 
-// serveUntilCleanup serves until terminate is called or the test ends. serveResult gets Serve's error, and is closed; an
-// error that the test does not read fails it.
+// serveUntilCleanup runs Serve until terminate is called or the test ends. serveResult receives the error of Serve and is
+// then closed; an error that the test does not receive itself fails the test.
 func serveUntilCleanup(tb testing.TB, s *Sidecar) (terminate context.CancelFunc, serveResult chan error) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -109,15 +111,16 @@
 	return cancel, serveResult
 }
 
-// request makes a request as the platform's clients send it.
-func (s *platformSidecar) request(t *testing.T, method, path, id string, ms int) *http.Request {
+// request returns a request as the platform's clients send it, with a deadline in milliseconds. A request of the class
+// book has an idempotency key.
+func (s *platformSidecar) request(t *testing.T, method, path, id string, deadlineMs int) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Req-Id", id)
-	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(ms))
+	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(deadlineMs))
 	if strings.HasPrefix(path, "/book") {
 		r.Header.Set("Idempotency-Key", "key-"+id)
 	}
@@ -141,7 +144,7 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// sendKeepingOpen sends a request on a new connection and leaves that open.
+// sendKeepingOpen sends a request on a new connection, reads the response and leaves the connection open.
 func sendKeepingOpen(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
 	t.Helper()
 	nc, err := net.Dial("tcp", r.URL.Host)
@@ -164,30 +167,30 @@
 	return nc, in, &http.Response{}
 }
 
-// updateList passes a list through the loop, as discovery does: later events find it in force.
+// updateList passes an endpoint list to the pool's event loop, as discovery does, and returns when the list is applied.
 func (s *platformSidecar) updateList(t *testing.T, text string) {
 	t.Helper()
-	m, err := discovery.ParseListUpdate([]byte(text))
+	list, err := discovery.ParseListUpdate([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool.updateEndpoints(m)
+	s.pool.updateEndpoints(list)
 }
 
-// startDiscovery starts a discovery that plays the steps and reports the calls to it.
+// startDiscovery starts a fake discovery agent that responds to each call with the next step, and reports the calls.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
-	d := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
-	server := httptest.NewServer(d)
+	agent := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	server := httptest.NewServer(agent)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
 		server.Close()
 	})
-	return server.Listener.Addr().String(), d.Calls
+	return server.Listener.Addr().String(), agent.Calls
 }
 
-// newHeldEndpoint starts an endpoint that says of each request that it has come, and responds once release is closed.
-func newHeldEndpoint(t *testing.T) (e *testpeer.Endpoint, came <-chan bool, release chan bool) {
+// newBlockingEndpoint starts an endpoint that reports the arrival of each request, and responds once release is closed.
+func newBlockingEndpoint(t *testing.T) (e *testpeer.Endpoint, arrived <-chan bool, release chan bool) {
 	t.Helper()
 	arrivals, release := make(chan bool, 2), make(chan bool)
 	e = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -87,11 +87,11 @@
 		})
 		hung = append(hung, e.Addr)
 	}
-	text := listen1
+	text := listenerOne
 	if apart {
-		text += listen2
+		text += listenerTwo
 	}
-	text += poolOf("a", a) + poolOf("hang", hung...) + "[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n" + lookRoute
+	text += poolSection("a", a) + poolSection("hang", hung...) + "[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n" + lookRoute
 	s := startFromFile(tb, parseService(tb, text))
 	if apart {
 		return s.addressOf("one"), s.addressOf("two")
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -17,50 +17,50 @@
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
-	served := func(want int) {
+	sendExpecting := func(want int) {
 		t.Helper()
 		n++
 		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != want {
-			t.Fatalf("request %d: %d, want %d", n, status, want)
+			t.Fatalf("request %d: status %d, want %d", n, status, want)
 		}
 	}
 	for a.Requests.Load() == 0 || b.Requests.Load() == 0 {
-		served(http.StatusOK)
+		sendExpecting(http.StatusOK)
 	}
-	for _, row := range []struct{ call, want string }{
+	for _, row := range []struct{ command, want string }{
 		{"set-down nobody", "FAILURE"},
 		{"set-up nobody", "FAILURE"},
 		{"set-down a", "SUCCESS a is out\n"},
 		{"set-down a", "SUCCESS a was out already\n"},
 		{"check", "SUCCESS"},
 	} {
-		if got := s.adminCommand(t, row.call); !strings.HasPrefix(got, row.want) {
-			t.Errorf("%s: %q, want %q", row.call, got, row.want)
+		if got := s.adminCommand(t, row.command); !strings.HasPrefix(got, row.want) {
+			t.Errorf("%s: response %q, want %q", row.command, got, row.want)
 		}
 	}
-	was := a.Requests.Load()
+	beforeEjection := a.Requests.Load()
 	for range 30 {
-		served(http.StatusOK)
+		sendExpecting(http.StatusOK)
 	}
-	if a.Requests.Load() != was {
-		t.Errorf("%d requests came to the ejected endpoint", a.Requests.Load()-was)
+	if a.Requests.Load() != beforeEjection {
+		t.Errorf("%d requests reached the ejected endpoint, want none", a.Requests.Load()-beforeEjection)
 	}
 	if got := parseMetrics(t, s.adminCommand(t, "vars")); got["pool_size"] != 2 || got["pool_ejected"] != 1 {
-		t.Errorf("pool_size %d, pool_ejected %d", got["pool_size"], got["pool_ejected"])
+		t.Errorf("pool_size %d, pool_ejected %d, want 2 and 1", got["pool_size"], got["pool_ejected"])
 	}
 	s.adminCommand(t, "set-down b")
-	served(http.StatusServiceUnavailable)
+	sendExpecting(http.StatusServiceUnavailable)
 	s.adminCommand(t, "set-up a")
-	began := time.Now()
-	for a.Requests.Load() == was {
-		served(http.StatusOK)
+	restoredAt := time.Now()
+	for a.Requests.Load() == beforeEjection {
+		sendExpecting(http.StatusOK)
 	}
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("unused for %v", took)
+	if unused := time.Since(restoredAt); unused > 5*time.Second {
+		t.Errorf("the restored endpoint got its first request after %v, want at most 5s", unused)
 	}
 }
 
-// A pool that a reload makes has the ejections of before.
+// A pool that a reload creates applies the manual ejections from before the reload.
 func TestManualEjectionOutlivesReload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
@@ -70,64 +70,66 @@
 		t.Fatal(err)
 	}
 	withAdmin(&next)
-	next.Pools[0].Settings.MaxAttempts++ // another pool
+	next.Pools[0].Settings.MaxAttempts++ // a changed setting makes the reload replace the pool
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
 	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "1", 8000))
 	if status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
-		t.Errorf("status %d, %d requests came", status, e.Requests.Load())
+		t.Errorf("status %d and %d requests reached the ejected endpoint, want 503 and none", status, e.Requests.Load())
 	}
 	s.adminCommand(t, "set-up a")
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
-		t.Errorf("after the ejection: %d", status)
+		t.Errorf("after the ejection has ended: status %d, want 200", status)
 	}
 }
 
-// A connection that is established after its endpoint was ejected carries nothing; the request is retried elsewhere.
+// A connection that is established after its endpoint was ejected carries no request. The request may be retried at
+// another endpoint; here there is none, and it is shed as never sent.
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
-	s.upstream.SetEjected("a", true) // the module does not know yet
+	s.upstream.SetEjected("a", true) // the decision module is not notified yet and still chooses the endpoint
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d, want 503: it never ran", status)
+		t.Errorf("status %d, want 503, since the request was never sent", status)
 	}
 	if n := e.Requests.Load(); n > 0 {
-		t.Errorf("%d requests came", n)
+		t.Errorf("%d requests reached the ejected endpoint, want none", n)
 	}
 }
 
-// An endpoint whose ejection ends while it drains, or after it was removed, gets nothing until discovery lists it as ready.
+// An endpoint whose ejection ends while it is draining, or after it was removed, gets no requests until discovery lists it
+// as ready.
 func TestRestoredEndpointThatIsNotReadyGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
-	burst := func(what string) {
+	sendBurst := func(state string) {
 		t.Helper()
 		for range 20 {
 			n++
 			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != http.StatusOK {
-				t.Fatalf("%s: %d", what, status)
+				t.Fatalf("%s: status %d, want 200", state, status)
 			}
 		}
 		if got := a.Requests.Load(); got > 0 {
-			t.Errorf("%s: %d requests came", what, got)
+			t.Errorf("%s: %d requests reached the endpoint, want none", state, got)
 		}
 	}
 	s.adminCommand(t, "set-down a")
 	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
-		t.Errorf("while it drains: %q", got)
+		t.Errorf("set-up while the endpoint is draining: response %q", got)
 	}
-	burst("restored while it drains")
+	sendBurst("restored while draining")
 	s.adminCommand(t, "set-down a")
 	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
-		t.Errorf("after it was removed: %q", got)
+		t.Errorf("set-up after the endpoint was removed: response %q", got)
 	}
-	burst("restored after it was removed")
+	sendBurst("restored after removal")
 	if got := s.adminCommand(t, "set-up a"); !strings.HasPrefix(got, "FAILURE") {
-		t.Errorf("once it is neither listed nor ejected: %q", got)
+		t.Errorf("set-up of an endpoint that is neither listed nor ejected: response %q, want FAILURE", got)
 	}
 }
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -19,15 +19,16 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// All forms in which the platform's clients frame a request are served, and reach the endpoint as one request.
+// All ways in which the platform's clients frame a request are served, and each request reaches the endpoint as exactly one
+// request.
 func TestPlatformRequestForms(t *testing.T) {
-	type got struct {
+	type forwardedRequest struct {
 		uri, host, body string
 	}
-	came := make(chan got, 10)
+	arrived := make(chan forwardedRequest, 10)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		came <- got{r.RequestURI, r.Host, string(body)}
+		arrived <- forwardedRequest{r.RequestURI, r.Host, string(body)}
 		_, _ = io.WriteString(w, "hi")
 	}))
 	t.Cleanup(e.Close)
@@ -36,17 +37,17 @@
 	big := strings.Repeat("0123456789abcdef", 10<<10)
 	for i, row := range []struct {
 		name, text, uri, body string
-		pieces                bool
+		sentBytewise          bool // the client writes the request one byte at a time
 	}{
 		{"a length", "POST /pay" + fields + "Req-Id: %d\r\nContent-Length: 2\r\n\r\nhi", "/pay", "hi", false},
-		{"in pieces of a byte", "POST /pay" + fields + "Req-Id: %d\r\nContent-Length: 2\r\n\r\nhi", "/pay", "hi", true},
+		{"a length, byte by byte", "POST /pay" + fields + "Req-Id: %d\r\nContent-Length: 2\r\n\r\nhi", "/pay", "hi", true},
 		{"chunks", "POST /pay" + fields + "Req-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "/pay", "hi", false},
-		{"chunks in pieces", "POST /pay" + fields + "Req-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1\r\ni\r\n0\r\n\r\n", "/pay", "hi", true},
+		{"chunks, byte by byte", "POST /pay" + fields + "Req-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1\r\ni\r\n0\r\n\r\n", "/pay", "hi", true},
 		{"extensions and trailers", "POST /pay" + fields + "Req-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b;c=\"d\"\r\nhi\r\n0;e\r\nX-Sum: 1\r\n\r\n", "/pay", "hi", false},
 		{"absolute form", "GET http://h/look/1?a=%%41" + fields + "Req-Id: %d\r\n\r\n", "/look/1?a=%41", "", false},
-		{"a query and no path", "GET HTTP://h/look?x" + fields + "Req-Id: %d\r\n\r\n", "/look?x", "", false},
-		{"long", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nContent-Length: %d\r\n\r\n", len(big)) + big, "/pay", big, false},
-		{"long, in chunks", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)) + big + "\r\n0\r\n\r\n", "/pay", big, false},
+		{"absolute form with an upper-case scheme", "GET HTTP://h/look?x" + fields + "Req-Id: %d\r\n\r\n", "/look?x", "", false},
+		{"a long body", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nContent-Length: %d\r\n\r\n", len(big)) + big, "/pay", big, false},
+		{"a long body in a chunk", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)) + big + "\r\n0\r\n\r\n", "/pay", big, false},
 	} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -55,7 +56,7 @@
 		_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
 		text := fmt.Appendf(nil, row.text, i)
 		go func() {
-			if !row.pieces {
+			if !row.sentBytewise {
 				_, _ = nc.Write(text)
 				return
 			}
@@ -72,15 +73,16 @@
 			nc.Close()
 			continue
 		}
-		answer, err := io.ReadAll(resp.Body)
-		if err != nil || resp.StatusCode != http.StatusOK || string(answer) != "hi" {
-			t.Errorf("%s: %d %.80q %v", row.name, resp.StatusCode, answer, err)
-		} else if g := <-came; g.uri != row.uri || g.body != row.body || g.host != "h" {
-			t.Errorf("%s: came as %q for %q with %d bytes", row.name, g.uri, g.host, len(g.body))
+		body, err := io.ReadAll(resp.Body)
+		if err != nil || resp.StatusCode != http.StatusOK || string(body) != "hi" {
+			t.Errorf("%s: status %d, body %.80q, error %v, want 200 \"hi\"", row.name, resp.StatusCode, body, err)
+		} else if got := <-arrived; got.uri != row.uri || got.body != row.body || got.host != "h" {
+			t.Errorf("%s: the endpoint got %q for host %q with %d bytes, want %q for host \"h\" with %d bytes",
+				row.name, got.uri, got.host, len(got.body), row.uri, len(row.body))
 		}
 		nc.Close()
 	}
-	// Expect: the body is sent only after the 100 response.
+	// With Expect: 100-continue the client sends the body only after the interim response.
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -90,19 +92,20 @@
 	_, _ = fmt.Fprintf(nc, "POST /pay%sReq-Id: e\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", fields)
 	in := bufio.NewReader(nc)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
-		t.Fatalf("expects: %q, %v", line, err)
+		t.Fatalf("Expect: 100-continue: first line %q, error %v, want status 100", line, err)
 	}
 	_, _ = in.ReadString('\n')
 	_, _ = io.WriteString(nc, "hi")
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("expects: %v, %v", resp, err)
+		t.Errorf("Expect: 100-continue: response %v, error %v, want 200", resp, err)
 	}
-	if g := <-came; g.body != "hi" {
-		t.Errorf("expects: %q came", g.body)
+	if got := <-arrived; got.body != "hi" {
+		t.Errorf("Expect: 100-continue: the endpoint got the body %q, want \"hi\"", got.body)
 	}
 }
 
-// A response may end with its connection if it says so (RFC 9112, 6.3); one that does not could have been truncated.
+// The end of the connection may delimit a response without a length (RFC 9112, 6.3), but only if the response says
+// Connection: close: otherwise it could have been truncated.
 func TestResponsesDelimitedByConnectionClose(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
@@ -110,26 +113,26 @@
 		status int
 		body   string
 	}{
-		"it says so":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", 200, "hello"},
-		"among others":         {"HTTP/1.1 200 OK\r\nCONNECTION: x, Close\r\n\r\nhello", 200, "hello"},
-		"nothing":              {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 200, ""},
-		"a long one":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, 200, big},
-		"it does not say so":   {"HTTP/1.1 200 OK\r\n\r\nhello", 502, ""},
-		"it says another word": {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
+		"close":                {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", 200, "hello"},
+		"close in a list":      {"HTTP/1.1 200 OK\r\nCONNECTION: x, Close\r\n\r\nhello", 200, "hello"},
+		"an empty body":        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 200, ""},
+		"a long body":          {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, 200, big},
+		"no Connection header": {"HTTP/1.1 200 OK\r\n\r\nhello", 502, ""},
+		"another token":        {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
 	} {
 		e := testpeer.NewEndpoint(t, testpeer.Says(row.text, false))
 		s := startPlatform(t, e.Addr)
 		status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
 		if status != row.status || status == 200 && body != row.body {
-			t.Errorf("%s: %d, %d bytes", name, status, len(body))
+			t.Errorf("%s: status %d with %d bytes, want status %d with %d bytes", name, status, len(body), row.status, len(row.body))
 		}
 		if n := e.Requests.Load(); n != 1 {
-			t.Errorf("%s: %d attempts of what may not run twice", name, n)
+			t.Errorf("%s: %d attempts of a non-idempotent request, want 1", name, n)
 		}
 	}
 }
 
-// Streaming bodies both ways at once arrive complete, and the memory for them is bounded.
+// Streaming bodies in both directions at the same time arrive complete, and the memory for them is bounded.
 func TestPlatformStreamingBodies(t *testing.T) {
 	const size, clients = 4 << 20, 24
 	text := make([]byte, size)
@@ -152,14 +155,14 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var work sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range clients {
-		work.Go(func() {
+		running.Go(func() {
 			r := s.request(t, http.MethodPost, "/pay", fmt.Sprint(i), 20000)
 			r.Body = io.NopCloser(bytes.NewReader(text))
 			r.ContentLength = size
 			if i%2 == 0 {
-				r.ContentLength = -1
+				r.ContentLength = -1 // the body is sent in chunks
 			}
 			resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 			if err != nil {
@@ -169,26 +172,26 @@
 			defer resp.Body.Close()
 			h := sha256.New()
 			n, err := io.Copy(h, resp.Body)
-			refused := resp.StatusCode == http.StatusServiceUnavailable // there is memory for 12 requests at the start
-			if !refused && (err != nil || resp.StatusCode != http.StatusOK || n != size || !bytes.Equal(h.Sum(nil), sum[:])) {
-				t.Errorf("%d: %d, %d bytes, %v", i, resp.StatusCode, n, err)
+			isShed := resp.StatusCode == http.StatusServiceUnavailable // the body memory is enough for 12 requests at first
+			if !isShed && (err != nil || resp.StatusCode != http.StatusOK || n != size || !bytes.Equal(h.Sum(nil), sum[:])) {
+				t.Errorf("client %d: status %d, %d bytes, error %v, want 200 and the %d bytes of the endpoint", i, resp.StatusCode, n, err, size)
 			}
 		})
 	}
-	work.Wait()
-	testpeer.Until(t, "no memory is reserved", func() bool {
-		held, waiting := s.bodyMemory.InUse()
-		return held == 0 && waiting == 0
+	running.Wait()
+	testpeer.Until(t, "no body memory is reserved", func() bool {
+		reserved, waiting := s.bodyMemory.InUse()
+		return reserved == 0 && waiting == 0
 	})
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 24<<20 {
-		t.Errorf("%d bytes stay", grown)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 24<<20 {
+		t.Errorf("the heap has grown by %d bytes, want at most %d", growth, 24<<20)
 	}
 }
 
-// A regression test: the time limit of short responses applied while the beginning was buffered, and 28 long responses
-// that arrived in pieces were cut off.
+// A regression test: the time limit of short responses applied while the beginning of a long response was buffered, and 28
+// long responses that arrived in pieces were cut off.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
@@ -200,7 +203,7 @@
 			t.Parallel()
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n"+head)
-				for part := 0; part < len(big); part += 10 << 10 { // the first window alone takes longer than short responses may
+				for part := 0; part < len(big); part += 10 << 10 { // the buffered beginning alone takes longer than a short response may
 					time.Sleep(100 * time.Millisecond)
 					_, _ = io.WriteString(nc, big[part:part+10<<10])
 				}
@@ -211,7 +214,7 @@
 			})
 			s := startPlatform(t, e.Addr)
 			if status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
-				t.Errorf("%d, %d bytes", status, len(body))
+				t.Errorf("status %d with %d bytes, want 200 with %d bytes", status, len(body), len(big))
 			}
 		})
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -16,89 +16,89 @@
 
 func TestReloadKeepsUnchangedListenersAndPools(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+poolOf("b", b)+lookRoute))
-	was, listener := s.installed.pools, s.listeners["one 127.0.0.1:0"]
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+poolSection("b", b)+lookRoute))
+	pools, listener := s.installed.pools, s.listeners["one 127.0.0.1:0"]
 	nc, in, resp := openConnection(t, s.addressOf("one"))
 	if resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.Status)
 	}
-	s.reload(t, listen1+poolOf("a", a, b)+poolOf("b", b)+lookRoute)
-	if s.installed.pools["a"] != was["a"] || s.installed.pools["b"] != was["b"] || s.listeners["one 127.0.0.1:0"] != listener {
-		t.Error("what did not change was built anew")
+	s.reload(t, listenerOne+poolSection("a", a, b)+poolSection("b", b)+lookRoute)
+	if s.installed.pools["a"] != pools["a"] || s.installed.pools["b"] != pools["b"] || s.listeners["one 127.0.0.1:0"] != listener {
+		t.Error("a reload replaced a pool or listener of which only the members changed")
 	}
 	sendOn(t, nc, in)
-	changed := strings.Replace(poolOf("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)
-	s.reload(t, listen1+changed+poolOf("b", b)+lookRoute)
-	if s.installed.pools["a"] == was["a"] || s.installed.pools["b"] != was["b"] {
-		t.Error("a pool that changed was kept, or one that did not was not")
+	changed := strings.Replace(poolSection("a", b), "[[pool.member]]", "attempts = 2\n[[pool.member]]", 1)
+	s.reload(t, listenerOne+changed+poolSection("b", b)+lookRoute)
+	if s.installed.pools["a"] == pools["a"] || s.installed.pools["b"] != pools["b"] {
+		t.Error("a reload kept the changed pool, or replaced the unchanged one")
 	}
 	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
-		t.Errorf("after the change: %q", text)
+		t.Errorf("after the change: response %q, want one from B", text)
 	}
-	sendOn(t, nc, in) // the client's connection has lasted through all reloads
+	sendOn(t, nc, in) // the client's connection has stayed open through all reloads
 }
 
-// A removed pool answers the requests that it has, by the configuration that accepted them, and then ends.
+// A removed pool completes its requests in flight under the configuration that accepted them, and then ends.
 func TestRemovedPoolFinishesItsRequests(t *testing.T) {
-	slow, came, release := newHeldEndpoint(t)
+	blocking, arrived, release := newBlockingEndpoint(t)
 	b := echoEndpoint(t, "B")
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", slow.Addr)+lookRoute))
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", blocking.Addr)+lookRoute))
 	first := make(chan string)
 	go func() {
 		_, text := sendGet(t, s.addressOf("one"), "h", "/")
 		first <- text
 	}()
-	<-came
+	<-arrived
 	old := s.installed.pools["a"]
-	s.reload(t, listen1+poolOf("b", b)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`))
+	s.reload(t, listenerOne+poolSection("b", b)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`))
 	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "B ") {
-		t.Errorf("a new request: %q", text)
+		t.Errorf("a new request: response %q, want one from B", text)
 	}
 	select {
 	case <-old.loop.Done():
-		t.Error("the pool ended with a request in flight")
+		t.Error("the removed pool ended with a request in flight")
 	default:
 	}
 	close(release)
 	if text := <-first; text != "hi" {
-		t.Errorf("the request in flight: %q", text)
+		t.Errorf("the request in flight: response %q, want \"hi\"", text)
 	}
 	select {
 	case <-old.loop.Done():
 	case <-time.After(testpeer.Patience):
-		t.Error("the pool never ended")
+		t.Error("the removed pool has not ended after its last request")
 	}
 }
 
-// A replaced pool still learns which endpoints drain: a request that it still has must not be retried there.
+// A replaced pool still gets endpoint updates: a request that it still has must not be retried at a draining endpoint.
 func TestReplacedPoolStillReceivesEndpointUpdates(t *testing.T) {
-	const declines = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
-	came, release := make(chan int, 10), make(chan bool)
-	var nodes [2]*testpeer.Endpoint
-	for i := range nodes {
-		nodes[i] = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-			came <- i
+	const declined = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+	arrived, release := make(chan int, 10), make(chan bool)
+	var endpoints [2]*testpeer.Endpoint
+	for i := range endpoints {
+		endpoints[i] = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+			arrived <- i
 			<-release
-			io.WriteString(nc, declines)
+			io.WriteString(nc, declined)
 			return true
 		})
 	}
 	file := func(attempts int, states ...string) string {
 		text := fmt.Sprintf("[[pool]]\nname = \"a\"\nattempts = %d\n", attempts)
 		for i, state := range states {
-			text += fmt.Sprintf("[[pool.member]]\naddress = %q\nstate = %q\n", nodes[i].Addr, state)
+			text += fmt.Sprintf("[[pool.member]]\naddress = %q\nstate = %q\n", endpoints[i].Addr, state)
 		}
-		return listen1 + text + lookRoute
+		return listenerOne + text + lookRoute
 	}
 	s := startFromFile(t, parseService(t, file(3, "ready", "ready")))
-	ended := make(chan bool)
+	responded := make(chan bool)
 	go func() {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
 		r.Header.Set("Req-Deadline-Ms", "1500")
 		roundTrip(t, r)
-		close(ended)
+		close(responded)
 	}()
-	first := <-came
+	first := <-arrived
 	states := []string{"draining", "draining"}
 	states[first] = "ready"
 	old := s.installed.pools["a"]
@@ -107,61 +107,62 @@
 		t.Fatal("the pool was not replaced")
 	}
 	close(release)
-	<-ended
-	if n := nodes[1-first].Requests.Load(); n != 0 {
-		t.Errorf("%d requests came to the one that drains", n)
+	<-responded
+	if n := endpoints[1-first].Requests.Load(); n != 0 {
+		t.Errorf("%d requests reached the draining endpoint, want none", n)
 	}
 }
 
 func TestFailedReloadChangesNothing(t *testing.T) {
 	a := echoEndpoint(t, "A")
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+lookRoute))
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+lookRoute))
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	was, listeners := s.installed, fmt.Sprint(s.Addrs())
+	defer occupied.Close()
+	installed, listeners := s.installed, fmt.Sprint(s.Addrs())
 	free := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
-	inUse := fmt.Sprintf("[[listener]]\nname = \"late\"\naddress = %q\n", taken.Addr())
-	err = s.Reload(parseService(t, free+inUse+poolOf("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
-	if err == nil || !strings.Contains(err.Error(), "listener late") {
-		t.Errorf("error %v", err)
+	inUse := fmt.Sprintf("[[listener]]\nname = \"inuse\"\naddress = %q\n", occupied.Addr())
+	err = s.Reload(parseService(t, free+inUse+poolSection("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
+	if err == nil || !strings.Contains(err.Error(), "listener inuse") {
+		t.Errorf("error %v, want one that names the listener inuse", err)
 	}
-	if s.installed != was || fmt.Sprint(s.Addrs()) != listeners {
-		t.Error("something changed")
+	if s.installed != installed || fmt.Sprint(s.Addrs()) != listeners {
+		t.Error("a failed reload changed the installed configuration or the listeners")
 	}
 	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
-		t.Errorf("afterwards: %q", text)
+		t.Errorf("after the failed reload: response %q, want one from A", text)
 	}
 }
 
-// A listener that changes its address serves at the old one for a while: for the connections there, and for clients that
-// don't know yet. Back again, and with other limits at the same address, no request is lost.
+// After a reload has changed a listener's address, the old address serves for a while: for the connections there, and for
+// clients that don't know the new address yet. When the listener gets its old address back, and then another timeout at the
+// same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
 	a := echoEndpoint(t, "A")
-	here, there := testpeer.FreePort(t), testpeer.FreePort(t)
-	at := func(addr string, more string) string {
-		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, more) + poolOf("a", a) + lookRoute
-	}
-	s := startFromFile(t, parseService(t, at(here, "")))
-	nc, in, _ := openConnection(t, here)
-	s.reload(t, at(there, ""))
-	for _, addr := range []string{here, there} {
+	first, second := testpeer.FreePort(t), testpeer.FreePort(t)
+	fileWith := func(addr string, listenerSettings string) string {
+		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, listenerSettings) + poolSection("a", a) + lookRoute
+	}
+	s := startFromFile(t, parseService(t, fileWith(first, "")))
+	nc, in, _ := openConnection(t, first)
+	s.reload(t, fileWith(second, ""))
+	for _, addr := range []string{first, second} {
 		if resp, _ := sendGet(t, addr, "h", "/"); resp.StatusCode != http.StatusOK {
-			t.Errorf("at %s: %s", addr, resp.Status)
+			t.Errorf("after the move, at %s: status %s, want 200", addr, resp.Status)
 		}
 	}
 	sendOn(t, nc, in)
-	s.reload(t, at(here, ""))                        // while the first one still drains
-	s.reload(t, at(here, "idle_timeout = \"1s\"\n")) // another server behind the same socket
+	s.reload(t, fileWith(first, ""))                        // the listener that was there first is still draining
+	s.reload(t, fileWith(first, "idle_timeout = \"1s\"\n")) // a new server takes over the same socket
 	for range 50 {
-		if resp, _ := sendGet(t, here, "h", "/"); resp.StatusCode != http.StatusOK {
-			t.Errorf("back at %s: %s", here, resp.Status)
+		if resp, _ := sendGet(t, first, "h", "/"); resp.StatusCode != http.StatusOK {
+			t.Errorf("after the move back, at %s: status %s, want 200", first, resp.Status)
 		}
 	}
-	testpeer.Until(t, "the old address is closed", func() bool {
-		nc, err := net.Dial("tcp", there)
+	testpeer.Until(t, "the second address is closed", func() bool {
+		nc, err := net.Dial("tcp", second)
 		if err == nil {
 			nc.Close()
 		}
@@ -176,26 +177,26 @@
 
 func TestConcurrentReloadsAndReloadDuringShutdown(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", a)+lookRoute))
-	var busy sync.WaitGroup
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+lookRoute))
+	var running sync.WaitGroup
 	for i := range 20 {
-		busy.Go(func() {
-			if err := s.Reload(parseService(t, listen1+poolOf("a", []string{a, b}[i%2])+lookRoute)); err != nil {
+		running.Go(func() {
+			if err := s.Reload(parseService(t, listenerOne+poolSection("a", []string{a, b}[i%2])+lookRoute)); err != nil {
 				t.Error(err)
 			}
 		})
-		busy.Go(func() {
-			// 503 is allowed: the one member of each list is new there, and warming up.
+		running.Go(func() {
+			// 503 is allowed: the only member of each list is new in the pool, and warming up.
 			resp, _ := sendGet(t, s.addressOf("one"), "h", "/")
 			if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-				t.Error(resp.Status)
+				t.Errorf("status %s, want 200 or 503", resp.Status)
 			}
 		})
 	}
-	busy.Wait()
+	running.Wait()
 	s.terminate()
-	testpeer.Until(t, "the end begins", func() bool {
-		return errors.Is(s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)), errShuttingDown)
+	testpeer.Until(t, "the shutdown begins", func() bool {
+		return errors.Is(s.Reload(parseService(t, listenerOne+poolSection("a", a)+lookRoute)), errShuttingDown)
 	})
 	if err := <-s.serveResult; err != nil {
 		t.Error(err)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -18,12 +18,12 @@
 )
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	got := make(chan *http.Request, 1)
+	forwarded := make(chan *http.Request, 1)
 	body := make(chan string, 1)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		body <- string(text)
-		got <- r
+		forwarded <- r
 		io.WriteString(w, "done")
 	}))
 	defer e.Close()
@@ -31,38 +31,40 @@
 	r := s.request(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
 	if status, text, _ := send(t, r); status != http.StatusOK || text != "done" {
-		t.Errorf("%d %q", status, text)
+		t.Errorf("response %d %q, want 200 \"done\"", status, text)
 	}
-	in := <-got
-	if b := <-body; in.Method != http.MethodPost || in.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
-		in.Header.Get("Req-Id") != "id-1" || in.Header.Get("Idempotency-Key") != "key-id-1" {
-		t.Errorf("%s %s %v, body %q", in.Method, in.RequestURI, in.Header, b)
+	got := <-forwarded
+	if b := <-body; got.Method != http.MethodPost || got.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
+		got.Header.Get("Req-Id") != "id-1" || got.Header.Get("Idempotency-Key") != "key-id-1" {
+		t.Errorf("the endpoint got %s %s %v, body %q", got.Method, got.RequestURI, got.Header, b)
 	}
-	var left int
-	if _, err := fmt.Sscan(in.Header.Get("Req-Deadline-Ms"), &left); err != nil || left < 1 || left >= 4000 {
-		t.Errorf("the endpoint got a deadline of %d ms: %v", left, err)
+	var remainingMs int
+	if _, err := fmt.Sscan(got.Header.Get("Req-Deadline-Ms"), &remainingMs); err != nil || remainingMs < 1 || remainingMs >= 4000 {
+		t.Errorf("the endpoint got a deadline of %d ms (error %v), want 1 to 3999 ms", remainingMs, err)
 	}
 }
 
-// A request that can't have run may be shed; one that may have run fails, and is sent only once.
+// A non-idempotent request that an endpoint may have run fails with 502 and is sent only once; one that never reached an
+// endpoint is shed with 503 and Retry-After.
 func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says("", false))
 	s := startPlatform(t, e.Addr, e.Addr, e.Addr)
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
-		t.Errorf("may have run: %d", status)
+		t.Errorf("a request that may have run: status %d, want 502", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want once", n)
 	}
 	closed := testpeer.NewEndpoint(t, testpeer.Says("", false))
 	closed.Listener.Close()
 	s = startPlatform(t, closed.Addr)
 	status, _, h := send(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("never ran: %d %v", status, h)
+		t.Errorf("a request that was never sent: status %d, headers %v, want 503 with Retry-After", status, h)
 	}
 }
 
+// An endpoint that accepts a request and never responds must not keep the client without a response.
 func TestSilentEndpointStillYieldsAResponse(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		_, _ = nc.Read(make([]byte, 1))
@@ -70,50 +72,50 @@
 	})
 	s := startPlatform(t, e.Addr)
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 502", status)
 	}
 }
 
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
-	came, left := make(chan bool), make(chan bool)
+	arrived, canceled := make(chan bool), make(chan bool)
 	e := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		came <- true
+		arrived <- true
 		<-r.Context().Done()
-		left <- true
+		canceled <- true
 	}))
 	defer e.Close()
 	s := startPlatform(t, e.Listener.Addr().String())
-	ctx, leave := context.WithCancel(context.Background())
-	go func() { <-came; leave() }()
+	ctx, disconnect := context.WithCancel(context.Background())
+	go func() { <-arrived; disconnect() }()
 	r := s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
 	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("the client got error %v, want %v", err, context.Canceled)
 	}
 	select {
-	case <-left:
+	case <-canceled:
 	case <-time.After(testpeer.Patience):
-		t.Error("the endpoint was left waiting")
+		t.Error("the attempt was not cancelled")
 	}
 }
 
 func TestDuplicateRequestIDLeavesTheFirstInFlight(t *testing.T) {
-	e, came, release := newHeldEndpoint(t)
+	e, arrived, release := newBlockingEndpoint(t)
 	s := startPlatform(t, e.Addr)
 	first := make(chan int)
 	go func() {
 		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000))
 		first <- status
 	}()
-	<-came
+	<-arrived
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
-		t.Errorf("second: %d", status)
+		t.Errorf("the second request: status %d, want 409", status)
 	}
 	close(release)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("first: %d", status)
+		t.Errorf("the first request: status %d, want 200", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
-		t.Errorf("%d requests reached the endpoint", n)
+		t.Errorf("%d requests reached the endpoint, want 1", n)
 	}
 }
 
@@ -122,35 +124,35 @@
 	s := startPlatform(t, e.Addr)
 	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
-		"noise":                     "\x01\x02 \x03\r\n\r\n",
+		"binary garbage":            "\x01\x02 \x03\r\n\r\n",
 		"no host":                   "GET /look HTTP/1.1\r\n" + id + ms + "\r\n",
 		"no id":                     "GET /look" + host + ms + "\r\n",
 		"an empty id":               "GET /look" + host + "Req-Id:\r\n" + ms + "\r\n",
 		"two ids":                   "GET /look" + host + id + "Req-Id: r2\r\n" + ms + "\r\n",
-		"an endless id":             "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + "\r\n" + ms + "\r\n",
+		"an over-long id":           "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + "\r\n" + ms + "\r\n",
 		"no deadline":               "GET /look" + host + id + "\r\n",
-		"a deadline that's no time": "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n\r\n",
-		"a deadline of nothing":     "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n\r\n",
+		"a non-numeric deadline":    "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n\r\n",
+		"a zero deadline":           "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n\r\n",
 		"a negative deadline":       "GET /look" + host + id + "Req-Deadline-Ms: -5\r\n\r\n",
-		"an endless deadline":       "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n",
+		"an overflowing deadline":   "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n",
 		"a negative length":         "POST /pay" + host + id + ms + "Content-Length: -1\r\n\r\n",
-		"a length that's no number": "POST /pay" + host + id + ms + "Content-Length: x\r\n\r\n",
+		"a non-numeric length":      "POST /pay" + host + id + ms + "Content-Length: x\r\n\r\n",
 		"an over-long body":         "POST /pay" + host + id + ms + "Content-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000),
 		"a huge length, no body":    "POST /pay" + host + id + ms + "Content-Length: 3000000000\r\n\r\n",
 		"chunks and a length":       "POST /pay" + host + id + ms + "Transfer-Encoding: chunked\r\nContent-Length: 12\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-		"chunks that are none":      "POST /pay" + host + id + ms + "Transfer-Encoding: chunked\r\n\r\nhi\r\n0\r\n\r\n",
+		"malformed chunks":          "POST /pay" + host + id + ms + "Transfer-Encoding: chunked\r\n\r\nhi\r\n0\r\n\r\n",
 		"HTTP/1.0":                  "GET /look HTTP/1.0\r\nHost: h\r\n" + id + ms + "\r\n",
-		"a class that nobody named": "POST /new" + host + id + ms + "Content-Length: 0\r\n\r\n",
-		"a class in disguise":       "GET /loo%6b" + host + id + ms + "\r\n",
-		"a whole URL of no class":   "GET http://h/" + host + id + ms + "\r\n",
+		"an unknown class":          "POST /new" + host + id + ms + "Content-Length: 0\r\n\r\n",
+		"an encoded class":          "GET /loo%6b" + host + id + ms + "\r\n",
+		"an absolute URL, no class": "GET http://h/" + host + id + ms + "\r\n",
 		"a URL of another scheme":   "GET ftp://h/look" + host + id + ms + "\r\n",
 		"a target not in ASCII":     "GET /look/\xff" + host + id + ms + "\r\n",
 		"a safe class by POST":      "POST /look" + host + id + ms + "Content-Length: 0\r\n\r\n",
-		"a keyed class by GET":      "GET /book" + host + id + ms + "Idempotency-Key: k\r\n\r\n",
+		"book by GET":               "GET /book" + host + id + ms + "Idempotency-Key: k\r\n\r\n",
 		"two keys":                  "POST /book" + host + id + ms + "Idempotency-Key: k\r\nIdempotency-Key: l\r\nContent-Length: 0\r\n\r\n",
 		"a safe class with a body":  "GET /look" + host + id + ms + "Content-Length: 2\r\n\r\nhi",
 		"an over-long head":         "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
-		"a keyed class with no key": "POST /book" + host + id + ms + "Content-Length: 0\r\n\r\n",
+		"book with no key":          "POST /book" + host + id + ms + "Content-Length: 0\r\n\r\n",
 		"another method":            "DELETE /look" + host + id + ms + "\r\n",
 	} {
 		nc, err := net.Dial("tcp", s.addr)
@@ -162,37 +164,38 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if resp.StatusCode < 400 || resp.StatusCode > 499 || resp.StatusCode == http.StatusTooManyRequests {
-			t.Errorf("%s: status %d", name, resp.StatusCode)
+			t.Errorf("%s: status %d, want 4xx other than 429", name, resp.StatusCode)
 		}
 		nc.Close()
 	}
 	if n := e.Requests.Load(); n != 0 {
-		t.Errorf("%d requests reached the endpoint", n)
+		t.Errorf("%d requests reached the endpoint, want none", n)
 	}
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
-		t.Errorf("a good request afterwards: %d", status)
+		t.Errorf("a valid request afterwards: status %d, want 200", status)
 	}
 }
 
-// A body that never ends must not hold its connection, whatever else is wrong with the request.
+// A request whose body stays incomplete is rejected after the body timeout and its connection is closed, also if the
+// request has other defects.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	shortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
 	s := startPlatformWith(t, "{}", []func(*config.Service){shortTimeout}, e.Addr)
-	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
+	for name, fields := range map[string]string{"valid headers": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
 		nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
-		text, err := io.ReadAll(nc) // to the end of the connection
+		text, err := io.ReadAll(nc) // returns when the daemon has closed the connection
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
-			t.Errorf("%s: %q, %v", name, text, err)
+			t.Errorf("%s: response %q, error %v, want status 400", name, text, err)
 		}
 		nc.Close()
 	}
 	if n := e.Requests.Load(); n != 0 {
-		t.Errorf("%d requests reached the endpoint", n)
+		t.Errorf("%d requests reached the endpoint, want none", n)
 	}
 }
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -19,7 +19,7 @@
 
 func TestRoutesSelectPools(t *testing.T) {
 	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
-	s := startFromFile(t, parseService(t, listen1+listen2+poolOf("a", a)+poolOf("b", a, b)+`
+	s := startFromFile(t, parseService(t, listenerOne+listenerTwo+poolSection("a", a)+poolSection("b", a, b)+`
 		[[route]]
 		hosts = ["b.example", "*.b.example"]
 		path_prefix = "/old/"
@@ -66,7 +66,7 @@
 		"drop":  {"Via: 1.0 x\r\nVia: 1.1 tuliprock"},
 		"leave": {"Via: 1.0 x\r\n", "X-Forwarded-For: 6.6.6.6\r\n", "Forwarded: for=6.6.6.6\r\n", "X_forwarded_for: 7.7.7.7\r\n"},
 	} {
-		s := startFromFile(t, parseService(t, listen1+"forwarded = \""+way+"\"\n"+poolOf("a", a)+route))
+		s := startFromFile(t, parseService(t, listenerOne+"forwarded = \""+way+"\"\n"+poolSection("a", a)+route))
 		r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("one")+"/", nil)
 		r.Host = "h"
 		for name, value := range map[string]string{
@@ -112,7 +112,7 @@
 	}))
 	defer e.Close()
 	const postRoute = "[[route]]\nmethods = [\"POST\"]\npool = \"a\"\nclass = \"pay\"\n"
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Listener.Addr().String())+postRoute+lookRoute))
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", e.Listener.Addr().String())+postRoute+lookRoute))
 	for _, c := range []struct {
 		method string
 		status int
@@ -147,7 +147,7 @@
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return &recordingEvents{Events: eventloop.Module(now, s, h), isRetry: repeats}
 		}
-		c := parseService(t, listen1+poolOf("a", e.Addr)+lookRoute)
+		c := parseService(t, listenerOne+poolSection("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
 		s, err := StartWith(decide, c, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -179,7 +179,7 @@
 // A target that two readers could understand differently is rejected before routing.
 func TestAmbiguousTargetsAreRejected(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Addr)+lookRoute))
+	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", e.Addr)+lookRoute))
 	for name, text := range map[string]string{
 		"two hosts":          "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
 		"no host":            "GET / HTTP/1.1\r\n\r\n",
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -20,41 +20,45 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A list with a draining endpoint overtakes the queued events: what is decided after it has come avoids that endpoint.
+// An endpoint list overtakes the queued events: a draining endpoint must not get the requests that were queued before the
+// list.
 func TestEndpointUpdateOvertakesQueuedRequests(t *testing.T) {
-	const behind, soon = 200, 30 // the loop draws between the two queues: 30 in a row are one in a billion
+	// The event loop picks at random between its two queues: that it picks the same one 30 times in a row has a
+	// probability of one in a billion.
+	const queued, maxHandledBefore = 200, 30
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(eventloop.Module, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 		defer p.close()
-		jam := make(chan struct{})
-		p.loop.Post(func(time.Duration) { <-jam })
-		passed, updatedAfter := 0, -1
-		for range behind {
+		unblock := make(chan struct{})
+		p.loop.Post(func(time.Duration) { <-unblock })
+		handled, updatedAfter := 0, -1
+		for range queued {
 			p.loop.Post(func(time.Duration) {
 				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && updatedAfter < 0 {
-					updatedAfter = passed
+					updatedAfter = handled
 				}
-				passed++
+				handled++
 			})
 		}
 		go p.updateEndpoints(discovery.ListUpdate{Full: true, Members: []discovery.Member{{ID: "a", Addr: "127.0.0.1:1"}}})
 		synctest.Wait()
-		close(jam)
+		close(unblock)
 		synctest.Wait()
-		if updatedAfter < 0 || updatedAfter > soon {
-			t.Errorf("the list was applied after %d of %d queued events (-1: after all)", updatedAfter, passed)
+		if updatedAfter < 0 || updatedAfter > maxHandledBefore {
+			t.Errorf("the list was applied after %d of %d queued events (-1: after all), want at most %d",
+				updatedAfter, handled, maxHandledBefore)
 		}
 	})
 }
 
-// After SIGTERM the platform waits for the longest deadline and a little more: every request that was accepted, before or
-// after, is answered by then, though its own deadline is later and its endpoint hangs.
+// After SIGTERM the platform waits for the grace period and then kills the process. Every request that was accepted before
+// or after the signal must have its response by then, although its own deadline is later and its endpoint hangs.
 func TestShutdownAnswersEveryRequestBeforeTheKill(t *testing.T) {
 	const grace = 1200 * time.Millisecond
-	came := make(chan bool, 10)
-	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { came <- true; return true })
+	arrived := make(chan bool, 10)
+	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { arrived <- true; return true })
 	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.TerminationGrace = grace }}, e.Addr)
-	hung := func(id, class string) *bufio.Reader {
+	sendHangingRequest := func(id, class string) *bufio.Reader {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -64,36 +68,37 @@
 		if err := s.request(t, method, "/"+class, id, 3600000).Write(nc); err != nil {
 			t.Fatal(err)
 		}
-		<-came
+		<-arrived
 		return bufio.NewReader(nc)
 	}
-	before, after := []*bufio.Reader{hung("1", "look"), hung("2", "pay")}, []*bufio.Reader(nil)
-	began := time.Now()
+	before := []*bufio.Reader{sendHangingRequest("1", "look"), sendHangingRequest("2", "pay")}
+	terminatedAt := time.Now()
 	s.terminate()
-	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
-	after = append(after, hung("3", "look"), hung("4", "pay"))
+	testpeer.Until(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
+	after := []*bufio.Reader{sendHangingRequest("3", "look"), sendHangingRequest("4", "pay")}
 	for i, in := range append(before, after...) {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i+1, err)
 		}
-		if unsafe := i%2 == 1; unsafe && resp.StatusCode != http.StatusBadGateway {
-			t.Errorf("request %d may have run, and got %d", i+1, resp.StatusCode)
+		if isPay := i%2 == 1; isPay && resp.StatusCode != http.StatusBadGateway {
+			t.Errorf("non-idempotent request %d may have run: status %d, want 502", i+1, resp.StatusCode)
 		}
 	}
-	took := time.Since(began)
-	t.Logf("all answered after %v of %v", took, grace)
+	took := time.Since(terminatedAt)
+	t.Logf("all requests had their responses after %v of a grace period of %v", took, grace)
 	if err := <-s.serveResult; err != nil {
 		t.Error(err)
 	}
 	if took < grace/2 {
-		t.Errorf("answered after %v: there was more time", took)
+		t.Errorf("all requests were ended after %v, want at least half of the grace period of %v", took, grace)
 	}
 }
 
-// The grace period follows from the deadlines in the settings, and is never longer than the platform's.
+// The grace period follows from the request classes' longest deadlines in the settings, and is never longer than that of
+// the platform.
 func TestGracePeriodFollowsFromSettings(t *testing.T) {
-	for limits, want := range map[[2]int]time.Duration{ // of the two classes, in ms; 0: none
+	for limits, want := range map[[2]int]time.Duration{ // key: longest deadlines of the two classes in ms; 0: no limit
 		{500, 800}:  1500 * time.Millisecond,
 		{500, 6000}: 3700 * time.Millisecond,
 		{0, 500}:    3700 * time.Millisecond,
@@ -107,17 +112,18 @@
 		}
 		service, err := c.Service()
 		if err != nil || service.TerminationGrace != want || service.DrainTimeout >= want {
-			t.Errorf("%v: grace %v, drain %v, %v; want %v", limits, service.TerminationGrace, service.DrainTimeout, err, want)
+			t.Errorf("limits of %v ms: grace period %v, drain timeout %v, error %v; want a grace period of %v and a shorter drain timeout",
+				limits, service.TerminationGrace, service.DrainTimeout, err, want)
 		}
 	}
 }
 
-// After SIGTERM clients still connect for a while; every accepted request is answered before the end.
+// After SIGTERM new clients are accepted for a while, and every accepted request gets its response before Serve returns.
 func TestShutdownLosesNoRequest(t *testing.T) {
-	came, release := make(chan bool, 100), make(chan bool)
+	arrived, release := make(chan bool, 100), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "slow") {
-			came <- true
+			arrived <- true
 			<-release
 		}
 		io.WriteString(nc, testpeer.Served)
@@ -129,22 +135,22 @@
 		slow.Go(func() {
 			_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
 			if resp.StatusCode != http.StatusOK || !resp.Close {
-				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
+				t.Errorf("in flight: status %d, close %v, want 200 and true", resp.StatusCode, resp.Close)
 			}
 		})
-		<-came
+		<-arrived
 	}
-	_, in, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "kept", 60000))
+	_, in, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "idle", 60000))
 	if resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("before the signal: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("before the signal: status %d, close %v, want 200 and false", resp.StatusCode, resp.Close)
 	}
 
 	s.terminate()
 	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
-		t.Errorf("right after the signal: %d", status)
+		t.Errorf("right after the signal: status %d, want 200", status)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("reading from the idle connection: error %v, want EOF", err)
 	}
 	testpeer.Until(t, "the listener closes", func() bool {
 		nc, err := net.Dial("tcp", s.addr)
@@ -155,7 +161,7 @@
 	})
 	select {
 	case err := <-s.serveResult:
-		t.Fatalf("ended with requests in flight: %v", err)
+		t.Fatalf("Serve returned with requests in flight: %v", err)
 	default:
 	}
 	close(release)
@@ -163,14 +169,14 @@
 	select {
 	case err := <-s.serveResult:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Serve: %v", err)
 		}
 	case <-time.After(testpeer.Patience):
-		t.Error("never ended")
+		t.Error("Serve has not returned")
 	}
 }
 
-// After SIGTERM a client may go on using its connection, and is answered in time for the end.
+// After SIGTERM a client may go on using its connection, and gets a response before the grace period ends.
 func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("Req-Id") != "long" {
@@ -181,7 +187,7 @@
 	s := startPlatform(t, e.Addr)
 	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
 	s.terminate()
-	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
+	testpeer.Until(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
@@ -191,11 +197,11 @@
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("%s: %v", row.id, err)
+			t.Fatalf("request %s: %v", row.id, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != row.want {
-			t.Errorf("%s: status %d", row.id, resp.StatusCode)
+			t.Errorf("request %s: status %d, want %d", row.id, resp.StatusCode, row.want)
 		}
 	}
 }
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -31,7 +31,7 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", e.Addr)+payRoute))
 	const unfinished = "a chunk of 16 digits" // its body is never complete
 	const secret = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	post := func(headers, body string) string { return "POST /x HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + body }
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Servers that replace one another on a socket lose no connection, and the one that closes returns soon.
+// Servers that replace one another on a socket lose no connection, and the handle of a replaced server closes quickly.
 func TestSharedSocketIsHandedOverWithoutLoss(t *testing.T) {
 	h, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -56,10 +56,10 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, net.ErrClosed) {
-				t.Errorf("a closed handle ended with %v", err)
+				t.Errorf("Accept of a closed handle: error %v, want %v", err, net.ErrClosed)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatal("a closed handle still accepts")
+			t.Fatal("Accept of a closed handle does not return")
 		}
 		h, ended = next, nextEnded
 	}
@@ -75,12 +75,13 @@
 		t.Error("a closed socket can be shared")
 	}
 	if err := h.Close(); err != nil {
-		t.Errorf("closed twice: %v", err)
+		t.Errorf("closing a handle twice: %v", err)
 	}
 }
 
-// A regression test: of two handles that accepted from one socket the one that stayed cleared the deadline by which the
-// other was to end, again and again before that had seen it, for 20 s on two busy cores.
+// A regression test: while one of two handles of a socket was closing, the other one cleared the past deadline that was to
+// interrupt the closing handle's Accept call, again and again before that call had noticed it. On two busy cores that
+// went on for 20 s.
 func TestConcurrentHandlesCloseIndependently(t *testing.T) {
 	first, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -98,10 +99,10 @@
 		go func() { _, err := h.Accept(); ended <- err }()
 	}
 	for _, h := range handles {
-		testpeer.Until(t, "it accepts", func() bool { return h.accepting.Load() > 0 })
+		testpeer.Until(t, "the handle accepts", func() bool { return h.accepting.Load() > 0 })
 	}
 	for i, h := range handles {
-		if i%4 == 3 { // two at once
+		if i%4 == 3 { // close this handle and the next one concurrently
 			go h.Close()
 		} else if err := h.Close(); err != nil {
 			t.Error(err)
@@ -111,10 +112,10 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, net.ErrClosed) {
-				t.Errorf("ended with %v", err)
+				t.Errorf("Accept of a closed handle: error %v, want %v", err, net.ErrClosed)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatal("one still accepts")
+			t.Fatal("Accept of a closed handle does not return")
 		}
 	}
 }
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -52,7 +52,7 @@
 		}
 	}))
 	defer e.Close()
-	file := "[daemon]\ndrain_timeout = \"1s\"\n" + streamingListener + poolOf("a", e.Listener.Addr().String()) + payRoute
+	file := "[daemon]\ndrain_timeout = \"1s\"\n" + streamingListener + poolSection("a", e.Listener.Addr().String()) + payRoute
 	s := startFromFile(t, parseService(t, file))
 	addr := s.addressOf("one")
 	quick, quickAnswer := slowUpload(t, addr, 1<<20)
@@ -101,7 +101,7 @@
 		_, _ = fmt.Fprint(w, n+1<<10)
 	}))
 	defer e.Close()
-	file := streamingListener + poolOf("a", e.Listener.Addr().String()) + payRoute
+	file := streamingListener + poolSection("a", e.Listener.Addr().String()) + payRoute
 	s := startFromFile(t, parseService(t, file))
 	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
 	nc.Write(textOf(64 << 10))
@@ -155,7 +155,7 @@
 			_, _ = nc.Read(make([]byte, 1<<10))
 			_, _ = fmt.Fprintf(nc, "HTTP/1.1 %d Early\r\nContent-Length: 5\r\n\r\nearly", status)
 		})
-		s := startFromFile(t, parseService(t, streamingListener+poolOf("a", l.Addr().String())+payRoute))
+		s := startFromFile(t, parseService(t, streamingListener+poolSection("a", l.Addr().String())+payRoute))
 		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
 		nc.Write(textOf(64 << 10))
 		got := <-answer // the body never ends, and the connection does
@@ -176,7 +176,7 @@
 		io.WriteString(nc, testpeer.Served)
 		return true
 	})
-	s := startFromFile(t, parseService(t, streamingListener+"flow_idle = \"1s\"\n"+poolOf("a", e.Addr)+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+"flow_idle = \"1s\"\n"+poolSection("a", e.Addr)+payRoute))
 	var answers []chan string
 	for range 200 {
 		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -13,21 +13,25 @@
 	"testing"
 )
 
-// streamingListener is an operators' file whose listener takes streaming bodies.
+// streamingListener is a listener section of an operators' file that allows request bodies of up to 1 GiB, which are
+// streamed.
 const streamingListener = "[[listener]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\nbody_bytes = 1073741824\n"
 
-// pseudoRandomBytes reads as the same n bytes every time, and takes no memory for them.
+// pseudoRandomBytes returns a reader of n bytes that are the same on every call and are generated while they are read.
 func pseudoRandomBytes(n int64) io.Reader {
 	return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
 }
 
+// hashOf returns the SHA-256 of what a reader yields, in hex.
 func hashOf(r io.Reader) string {
 	h := sha256.New()
 	_, _ = io.Copy(h, r)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// bulkEndpoint responds to an upload with its hash, and to a GET with as many bytes as it asks for.
+// bulkEndpoint starts an endpoint that responds to an upload with the body's hash, its Content-Length and the trailer
+// X-After, and to a request with the query give=N with N pseudo-random bytes and trailers. It returns the endpoint's
+// address.
 func bulkEndpoint(tb testing.TB) string {
 	tb.Helper()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,24 +52,24 @@
 }
 
 func TestStreamingBodiesAreForwardedComplete(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t), bulkEndpoint(t))+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", bulkEndpoint(t), bulkEndpoint(t))+payRoute))
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 200_000, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
-			size, after := n, ""
+			wantLength, wantTrailer := n, ""
 			r, _ := http.NewRequest(http.MethodPost, "http://"+s.addressOf("one")+"/up", io.NopCloser(pseudoRandomBytes(n)))
 			r.ContentLength = n
 			if chunked {
-				r.ContentLength, size = -1, -1
-				if n < 32768 { // what fits is buffered complete, and has a length then
-					size = n
+				r.ContentLength, wantLength = -1, -1
+				if n < 32768 { // a short body is buffered completely, and then forwarded with a length
+					wantLength = n
 				}
 			}
 			resp, got := roundTrip(t, r)
-			if want := fmt.Sprintf("%s %d %s", hashOf(pseudoRandomBytes(n)), size, after); got != want {
-				t.Errorf("%d bytes up, chunked %v: %s %q, want %q", n, chunked, resp.Status, got, want)
+			if want := fmt.Sprintf("%s %d %s", hashOf(pseudoRandomBytes(n)), wantLength, wantTrailer); got != want {
+				t.Errorf("upload of %d bytes, chunked %v: status %s, %q, want %q", n, chunked, resp.Status, got, want)
 			}
 			if chunked && !resp.Close {
-				t.Error("a connection that brought chunks goes on")
+				t.Error("the response to a chunked request does not close the connection")
 			}
 			query := fmt.Sprintf("?give=%d", n)
 			if chunked {
@@ -77,18 +81,19 @@
 				t.Fatal(err)
 			}
 			if got := hashOf(down.Body); got != hashOf(pseudoRandomBytes(n)) {
-				t.Errorf("%d bytes down, chunked %v: other bytes", n, chunked)
+				t.Errorf("download of %d bytes, chunked %v: the bytes differ from those that the endpoint sent", n, chunked)
 			}
 			if n > 65536 && chunked && (down.Trailer.Get("X-After") != "there" || down.Trailer.Get("Set-Cookie") != "") {
-				t.Errorf("trailers down: %v", down.Trailer)
+				t.Errorf("trailers of the response: %v, want X-After and no Set-Cookie", down.Trailer)
 			}
 		}
 	}
-	if held, waiting := s.bodyMemory.InUse(); held != 0 || waiting != 0 {
-		t.Errorf("%d bytes of the body memory are still reserved, %d requests wait", held, waiting)
+	if reserved, waiting := s.bodyMemory.InUse(); reserved != 0 || waiting != 0 {
+		t.Errorf("%d bytes of the body memory are still reserved, and %d requests wait for some", reserved, waiting)
 	}
 }
 
+// newGetRequest returns a GET request for a URL that is known to be valid.
 func newGetRequest(url string) *http.Request {
 	r, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -98,7 +103,7 @@
 }
 
 func TestRequestTrailersAreForwardedExceptFramingFields(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", bulkEndpoint(t))+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", bulkEndpoint(t))+payRoute))
 	nc, in, _ := openConnection(t, s.addressOf("one"))
 	io.WriteString(nc, "POST /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-After\r\n\r\n"+
 		"3;ext=1\r\nabc\r\n0\r\nX-After: yes\r\nContent-Length: 7\r\n\r\n")
@@ -108,36 +113,36 @@
 	}
 	got, _ := io.ReadAll(resp.Body)
 	if want := hashOf(strings.NewReader("abc")) + " -1 yes"; string(got) != want {
-		t.Errorf("%s %q, want %q", resp.Status, got, want)
+		t.Errorf("status %s, body %q, want %q", resp.Status, got, want)
 	}
 }
 
-// A client that sends Expect: 100-continue gets the endpoint's decision.
+// A client that sends Expect: 100-continue gets the endpoint's decision on whether to send the body.
 func TestExpectContinueIsAnsweredByTheEndpoint(t *testing.T) {
-	var read int64
+	var bytesRead int64
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/no" {
 			w.WriteHeader(http.StatusExpectationFailed)
 			return
 		}
-		read, _ = io.Copy(io.Discard, r.Body)
+		bytesRead, _ = io.Copy(io.Discard, r.Body)
 	}))
 	t.Cleanup(e.Close)
-	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Listener.Addr().String())+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", e.Listener.Addr().String())+payRoute))
 	for path, want := range map[string]string{"/no": "HTTP/1.1 417 ", "/yes": "HTTP/1.1 100 "} {
 		nc, in, _ := openConnection(t, s.addressOf("one"))
 		io.WriteString(nc, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n")
 		line, err := in.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, want) {
-			t.Fatalf("%s: %q, %v", path, line, err)
+			t.Fatalf("%s: first line %q, error %v, want %q", path, line, err, want)
 		}
 		if path == "/no" {
 			continue
 		}
 		io.WriteString(nc, "hello")
 		_, _ = in.ReadString('\n')
-		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || read != 5 || resp.Close {
-			t.Errorf("%+v, %v, %d bytes", resp, err, read)
+		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || bytesRead != 5 || resp.Close {
+			t.Errorf("response %+v, error %v, %d bytes reached the endpoint, want 200, 5 bytes and an open connection", resp, err, bytesRead)
 		}
 	}
 }
