--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -16,8 +16,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// playClient plays the client's side and returns the outcome that it saw.
-func (c *cell) playClient(t *testing.T, addr string) string {
+// runClient sends the cell's request, lets the client fail if the cell says so, and returns the outcome for the client as
+// classifyResponse names it.
+func (c *matrixCell) runClient(t *testing.T, addr string) string {
 	t.Helper()
 	defer close(c.clientEnded)
 	nc, err := net.Dial("tcp", addr)
@@ -29,18 +30,18 @@
 	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
 	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
 	chunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
-	method, framing, sends := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), textOf(c.size)
+	method, framing, requestBody := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), longBody(c.size)
 	switch {
 	case chunked:
 		framing = "Transfer-Encoding: chunked"
 	case c.direction == "down":
-		framing, sends = "Content-Length: 2", []byte("hi")
+		framing, requestBody = "Content-Length: 2", []byte("hi")
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n\r\n",
-		method, c.name, c.name[1:], framing)
+		method, c.path, c.path[1:], framing)
 	if c.fails("caller") && c.moment == "head" {
 		io.WriteString(nc, head[:20])
-		return c.misbehave(nc, func() { io.WriteString(nc, "x") })
+		return c.injectClientFault(nc, func() { io.WriteString(nc, "x") })
 	}
 	io.WriteString(nc, head)
 	send := func(part []byte) {
@@ -51,46 +52,49 @@
 		_, _ = nc.Write(part)
 	}
 	if c.direction == "down" {
-		send(sends)
+		send(requestBody)
 		return c.receive(nc)
 	}
 	if c.fails("caller") {
-		send(sends[:c.offset()])
+		send(requestBody[:c.offset()])
 		if chunked && c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
-		left := sends[c.offset():]
-		return c.misbehave(nc, func() {
-			if len(left) > 0 {
-				send(left[:1])
-				left = left[1:]
+		remaining := requestBody[c.offset():]
+		return c.injectClientFault(nc, func() {
+			if len(remaining) > 0 {
+				send(remaining[:1])
+				remaining = remaining[1:]
 			}
 		})
 	}
-	go func() { // the beginning, and the rest once the node has failed: else kernel buffers would swallow it
-		first := len(sends)
+	// If the endpoint fails early, send the rest of the body only after the fault: kernel buffers would take the whole body
+	// before it otherwise.
+	go func() {
+		first := len(requestBody)
 		if c.moment == "head" || c.moment == "first byte" {
 			first = body.PrefixSize
 		}
-		send(sends[:first])
-		goOn := c.retried
+		send(requestBody[:first])
+		afterFault := c.retried
 		if c.fault == "silence" || c.fault == "slow" {
-			goOn = c.failed
+			afterFault = c.nodeFailed
 		}
 		select {
-		case <-goOn:
+		case <-afterFault:
 		case <-c.clientEnded:
 		}
-		send(sends[first:])
+		send(requestBody[first:])
 	}()
-	return outcome(bufio.NewReader(nc), []byte("done"), nil)
+	return classifyResponse(bufio.NewReader(nc), []byte("done"), nil)
 }
 
-// misbehave fails while a request is sent, and returns the outcome.
-func (c *cell) misbehave(nc net.Conn, slowly func()) string {
+// injectClientFault lets the client fail while it sends its request, and returns the outcome. A slow client calls sendByte
+// again and again to send one more byte.
+func (c *matrixCell) injectClientFault(nc net.Conn, sendByte func()) string {
 	want := []byte("done")
 	if c.direction == "down" {
-		want = textOf(c.size)
+		want = longBody(c.size)
 	}
 	switch c.fault {
 	case "close":
@@ -101,43 +105,43 @@
 	case "garbage":
 		io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 	case "slow":
-		over := make(chan bool)
-		defer close(over)
+		clientEnded := make(chan bool)
+		defer close(clientEnded)
 		go func() {
 			for range 200 {
 				select {
-				case <-over:
+				case <-clientEnded:
 					return
 				case <-time.After(100 * time.Millisecond):
-					slowly()
+					sendByte()
 				}
 			}
 		}()
 	}
-	return outcome(bufio.NewReader(nc), want, nil)
+	return classifyResponse(bufio.NewReader(nc), want, nil)
 }
 
-// receive reads a long response, and fails halfway if the cell says so.
-func (c *cell) receive(nc net.Conn) string {
+// receive reads a long response, lets the client fail while it reads if the cell says so, and returns the outcome.
+func (c *matrixCell) receive(nc net.Conn) string {
 	in := bufio.NewReader(nc)
 	if !c.fails("caller") {
-		return outcome(in, textOf(c.size), nil)
+		return classifyResponse(in, longBody(c.size), nil)
 	}
-	return outcome(in, textOf(c.size), func(got io.Reader) (so int, gone bool, broken error) {
-		so, err := readExpected(io.LimitReader(got, int64(c.offset())), textOf(c.offset()))
-		if err == nil && so < c.offset() {
+	return classifyResponse(in, longBody(c.size), func(responseBody io.Reader) (received int, isClosed bool, _ error) {
+		received, err := readExpected(io.LimitReader(responseBody, int64(c.offset())), longBody(c.offset()))
+		if err == nil && received < c.offset() {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return so, false, err
+			return received, false, err
 		}
 		switch c.fault {
 		case "close":
 			nc.Close()
-			return so, true, nil
+			return received, true, nil
 		case "reset":
 			reset(nc)
-			return so, true, nil
+			return received, true, nil
 		case "garbage":
 			io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 		case "silence":
@@ -148,42 +152,42 @@
 			for b := make([]byte, 1); ; {
 				select {
 				case <-c.exchangeEnded:
-					return so, false, nil
+					return received, false, nil
 				case <-time.After(100 * time.Millisecond):
 				}
-				n, err := got.Read(b)
-				if n > 0 && b[0] != textOf(so + 1)[so] {
-					return so, false, errOtherBytes
+				n, err := responseBody.Read(b)
+				if n > 0 && b[0] != longBody(received + 1)[received] {
+					return received, false, errUnexpectedBody
 				}
-				if so += n; err == io.EOF {
-					return so, false, nil
+				if received += n; err == io.EOF {
+					return received, false, nil
 				} else if err != nil {
-					return so, false, err
+					return received, false, err
 				}
 			}
 		}
-		return so, false, nil
+		return received, false, nil
 	})
 }
 
-// awaitPeerClose returns when the peer has closed the connection, or after a while.
-func awaitPeerClose(nc *net.TCPConn, within time.Duration) {
-	for end := time.Now().Add(within); time.Now().Before(end) && countEstablished([]*net.TCPConn{nc}) > 0; {
+// awaitPeerClose returns when the peer has closed the connection, or after the timeout.
+func awaitPeerClose(nc *net.TCPConn, timeout time.Duration) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && countEstablished([]*net.TCPConn{nc}) > 0; {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// errOtherBytes is a body that is not the expected one.
-var errOtherBytes = errors.New("another answer")
+// errUnexpectedBody is the error of readExpected for a body that differs from the expected one.
+var errUnexpectedBody = errors.New("unexpected body")
 
-// readExpected reads to the end and returns how many of the expected bytes came. It buffers only a part: allocating 48 MB
-// took a reader up to 1.47 s under the race detector, four at a time on two cores, and a client that does not read for
-// 1.5 s is cut off.
-func readExpected(got io.Reader, want []byte) (n int, err error) {
-	for part := make([]byte, 64<<10); err == nil; {
+// readExpected reads to the end of a body and returns how many of the expected bytes it has read, and errUnexpectedBody at
+// the first difference. A body that is a prefix of the expected bytes is no error. It reads into a small buffer: allocating one of 48 MB took a reader up to 1.47 s
+// under the race detector, with four readers on two cores, and the daemon cuts off a client that does not read for 1.5 s.
+func readExpected(body io.Reader, want []byte) (n int, err error) {
+	for buffer := make([]byte, 64<<10); err == nil; {
 		var k int
-		if k, err = got.Read(part); !bytes.HasPrefix(want[n:], part[:k]) {
-			return n, errOtherBytes
+		if k, err = body.Read(buffer); !bytes.HasPrefix(want[n:], buffer[:k]) {
+			return n, errUnexpectedBody
 		}
 		n += k
 	}
@@ -193,25 +197,26 @@
 	return n, err
 }
 
-// outcome reads a response and classifies it. midway, if any, reads its first part and returns how many bytes came as
-// expected, and whether the client has closed the connection itself.
-func outcome(in *bufio.Reader, want []byte, midway func(io.Reader) (int, bool, error)) string {
+// classifyResponse reads a response and returns its outcome as the table in docs/operators/long-bodies.md names it. If
+// readFirst is not nil, it reads the first part of the body, and returns how many expected bytes it has read and whether
+// the client has closed the connection itself.
+func classifyResponse(in *bufio.Reader, want []byte, readFirst func(body io.Reader) (int, bool, error)) string {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return "no answer"
 	}
 	defer resp.Body.Close()
-	got := 0
-	if midway != nil && resp.StatusCode == http.StatusOK {
-		var gone bool
-		if got, gone, err = midway(resp.Body); gone {
+	received := 0
+	if readFirst != nil && resp.StatusCode == http.StatusOK {
+		var isClosed bool
+		if received, isClosed, err = readFirst(resp.Body); isClosed {
 			return "gone"
 		}
 	}
 	if err == nil && resp.StatusCode == http.StatusOK {
 		var n int
-		n, err = readExpected(resp.Body, want[got:])
-		got += n
+		n, err = readExpected(resp.Body, want[received:])
+		received += n
 	}
 	switch {
 	case resp.StatusCode == http.StatusBadGateway:
@@ -220,16 +225,18 @@
 		return "refused"
 	case resp.StatusCode != http.StatusOK:
 		return strconv.Itoa(resp.StatusCode)
-	case err != nil && !errors.Is(err, errOtherBytes):
+	case err != nil && !errors.Is(err, errUnexpectedBody):
 		return "cut"
-	case err == nil && got == len(want):
+	case err == nil && received == len(want):
 		return "served"
 	}
 	return "wrong"
 }
 
-func sendProbe(addr string, c *cell, text string) string {
-	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.name+"?probe="+text, nil)
+// sendProbeRequest sends a request to a cell's path that asks an endpoint for a text. It returns the response's body, or a
+// name of the outcome if the response is not 200.
+func sendProbeRequest(addr string, c *matrixCell, text string) string {
+	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.path+"?probe="+text, nil)
 	r.Header.Set("Idempotency-Key", text)
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(r)
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -15,22 +15,24 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// matrixNode serves all cells, by path.
-type matrixNode struct {
-	cells     map[string]*cell
-	testEnded chan struct{}
+// matrixEndpoint is the behaviour of the endpoints in the fault matrix: they serve all cells, and fail as each cell says.
+type matrixEndpoint struct {
+	cells     map[string]*matrixCell // all cells by path
+	testEnded chan struct{}          // closed when all clients have their outcomes
 }
 
-// start returns the address of an endpoint that serves all cells.
-func (n *matrixNode) start(t *testing.T) string {
+// start starts an endpoint and returns its address. It may be called several times.
+func (n *matrixEndpoint) start(t *testing.T) string {
 	t.Helper()
 	return testpeer.Accept(t, func(nc net.Conn) {
-		_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10) // so that most of what is not read does not go out
+		_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10) // a small buffer, so that the daemon notices that a body is not read
 		n.serve(nc)
 	}).Addr().String()
 }
 
-func (n *matrixNode) serve(nc net.Conn) {
+// serve handles the requests of one connection. A request with the query probe=TEXT gets TEXT as its response; each other
+// request is an attempt of a cell.
+func (n *matrixEndpoint) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	for {
@@ -42,17 +44,18 @@
 			_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(probe), probe)
 			continue
 		}
-		if c := n.cells[r.URL.Path]; c == nil || !n.play(c, nc, r) {
+		if c := n.cells[r.URL.Path]; c == nil || !n.serveAttempt(c, nc, r) {
 			return
 		}
 	}
 }
 
-// play serves one attempt. It returns false if the connection is to be closed.
-func (n *matrixNode) play(c *cell, nc net.Conn, r *http.Request) bool {
+// serveAttempt serves one attempt of a cell, or fails if the cell says so. It returns false if the connection is to be
+// closed.
+func (n *matrixEndpoint) serveAttempt(c *matrixCell, nc net.Conn, r *http.Request) bool {
 	c.mu.Lock()
 	c.attempts++
-	first := c.attempts == 1
+	isFirst := c.attempts == 1
 	if c.attempts == 2 {
 		close(c.retried)
 	}
@@ -65,77 +68,78 @@
 		c.mu.Unlock()
 		c.endOnce.Do(func() { close(c.exchangeEnded) })
 	}()
-	bad := first && c.fails("node")
-	if bad && c.direction == "up" && c.moment != "after" {
+	fails := isFirst && c.fails("node")
+	if fails && c.direction == "up" && c.moment != "after" {
 		if _, err := io.CopyN(io.Discard, r.Body, int64(c.offset())); err != nil {
 			return false
 		}
-		return n.misbehave(c, nc, func() { _, _ = r.Body.Read(make([]byte, 1)) })
+		return n.injectFault(c, nc, func() { _, _ = r.Body.Read(make([]byte, 1)) })
 	}
-	if !isSentBody(r.Body, c) {
+	if !isExpectedRequestBody(r.Body, c) {
 		return false
 	}
 	c.mu.Lock()
 	c.runs++
 	c.mu.Unlock()
-	head, answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), textOf(c.size)
-	chunked := bad && c.direction == "down" && c.fault == "garbage"
+	head, responseBody := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), longBody(c.size)
+	chunked := fails && c.direction == "down" && c.fault == "garbage"
 	switch {
 	case c.direction == "up":
-		answer = []byte("done")
+		responseBody = []byte("done")
 		head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	case chunked:
 		head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	}
-	if !bad {
-		_, err := (&net.Buffers{[]byte(head), answer}).WriteTo(nc)
+	if !fails {
+		_, err := (&net.Buffers{[]byte(head), responseBody}).WriteTo(nc)
 		return err == nil
 	}
-	dribble := []byte(head)
+	remaining := []byte(head) // bytes that a slow endpoint still sends
 	switch {
-	case c.direction == "up": // the node has the complete request, and has sent nothing yet
+	case c.direction == "up": // the endpoint has the complete request, and has sent nothing yet
 	case c.moment == "head":
 		if c.fault != "garbage" {
 			io.WriteString(nc, head[:20])
-			dribble = dribble[20:]
+			remaining = remaining[20:]
 		}
 	case chunked:
-		part := answer[:c.offset()]
+		part := responseBody[:c.offset()]
 		_, _ = fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(part), part)
 		if c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
 	default:
-		_, _ = (&net.Buffers{[]byte(head), answer[:c.offset()]}).WriteTo(nc)
-		dribble = answer[c.offset():]
+		_, _ = (&net.Buffers{[]byte(head), responseBody[:c.offset()]}).WriteTo(nc)
+		remaining = responseBody[c.offset():]
 	}
-	if c.direction == "down" && c.moment == "after" { // a reset would destroy what is still on its way
+	if c.direction == "down" && c.moment == "after" { // a reset now would discard bytes that the client has not received yet
 		select {
 		case <-c.clientEnded:
 		case <-n.testEnded:
 		}
 	}
-	return n.misbehave(c, nc, func() {
-		if len(dribble) > 0 {
-			_, _ = nc.Write(dribble[:1])
-			dribble = dribble[1:]
+	return n.injectFault(c, nc, func() {
+		if len(remaining) > 0 {
+			_, _ = nc.Write(remaining[:1])
+			remaining = remaining[1:]
 		}
 	})
 }
 
-// isSentBody tells whether a request's body is the one that the client sent.
-func isSentBody(in io.Reader, c *cell) bool {
+// isExpectedRequestBody reads a request's body and reports whether it is the one that the cell's client sends.
+func isExpectedRequestBody(in io.Reader, c *matrixCell) bool {
 	want := []byte("hi")
 	if c.direction == "up" {
-		want = textOf(c.size)
+		want = longBody(c.size)
 	}
 	n, err := readExpected(in, want)
 	return err == nil && n == len(want)
 }
 
-// countEstablished counts the connections that their peer has not closed: a node that does not read can't tell otherwise.
-func countEstablished(list []*net.TCPConn) (n int) {
-	for _, nc := range list {
+// countEstablished counts the connections that the peer has not closed. It asks the kernel for the state of the TCP
+// connection, since an endpoint that does not read notices no end of file.
+func countEstablished(connections []*net.TCPConn) (n int) {
+	for _, nc := range connections {
 		raw, err := nc.SyscallConn()
 		if err != nil {
 			continue
@@ -150,9 +154,10 @@
 	return n
 }
 
-// misbehave fails as the cell says; a node that is too slow calls slowly again and again. It returns false, as play does.
-func (n *matrixNode) misbehave(c *cell, nc net.Conn, slowly func()) bool {
-	defer c.fail()
+// injectFault lets the endpoint fail as the cell says. A slow endpoint calls transferByte again and again to transfer
+// one more byte. The result is always false, so that serveAttempt can return it.
+func (n *matrixEndpoint) injectFault(c *matrixCell, nc net.Conn, transferByte func()) bool {
+	defer c.markNodeFailed()
 	switch c.fault {
 	case "close":
 		return false
@@ -162,17 +167,17 @@
 	case "garbage":
 		io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 	case "slow":
-		c.fail()
+		c.markNodeFailed()
 		for range 200 {
 			select {
 			case <-n.testEnded:
 				return false
 			case <-time.After(100 * time.Millisecond):
-				slowly()
+				transferByte()
 			}
 		}
 	}
-	c.fail()
+	c.markNodeFailed()
 	<-n.testEnded
 	return false
 }
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -19,47 +19,48 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// The fault matrix: whoever fails, whenever and however, each request gets the one response that the operators' page
-// promises (docs/operators/long-bodies.md, which this test reads), and runs no more often than it says there. The values
-// are those of the page's table.
+// Dimensions of the fault matrix. For each combination of a failing side, moment and fault a request must get one of the
+// outcomes that the table in docs/operators/long-bodies.md promises, and run at most as often as the table says. The test
+// reads that table; the values are those that the table uses.
 var (
-	matrixDirections   = []string{"up", "down"}
-	matrixFailingSides = []string{"caller", "node", "both"}
-	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"}
-	matrixFaults       = []string{"close", "reset", "silence", "garbage", "slow"}
-	matrixClasses      = []string{"safe", "keyed", "unsafe"}
+	matrixDirections   = []string{"up", "down"}                                         // direction of the long body
+	matrixFailingSides = []string{"caller", "node", "both"}                             // client, endpoint, or both of them
+	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"} // what was sent when the fault occurs
+	matrixFaults       = []string{"close", "reset", "silence", "garbage", "slow"}       // what the failing side does
+	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // effect of the request class
 )
 
-// cell is one cell of the matrix: how it is played, and what was seen.
-type cell struct {
+// matrixCell is one cell of the fault matrix: one request with its fault, and what the endpoints observed of it.
+type matrixCell struct {
 	direction, failingSide, moment, fault, class string
 
-	name          string        // and path
-	size          int           // of the long body
-	failed        chan struct{} // closed when the node has failed
-	exchangeEnded chan struct{} // closed when the first exchange at a node is over
+	path          string        // path of the cell's requests, and name of its pool
+	size          int           // size of the long body in bytes
+	nodeFailed    chan struct{} // closed when the endpoint has failed
+	exchangeEnded chan struct{} // closed when the first exchange at an endpoint is over
 	clientEnded   chan struct{} // closed when the client has its outcome
 	retried       chan struct{} // closed when a second attempt has begun
 
 	mu              sync.Mutex
-	attempts, runs  int
-	connections     []*net.TCPConn // of attempts
-	mostConnections int            // at once
+	attempts        int            // number of attempts that reached an endpoint
+	runs            int            // number of attempts whose complete request reached an endpoint
+	connections     []*net.TCPConn // connections of the attempts in flight
+	mostConnections int            // largest number of connections of attempts in flight at the same time
 
-	failOnce, endOnce sync.Once
+	failOnce, endOnce sync.Once // guard the closing of nodeFailed and of exchangeEnded
 }
 
-// newCell makes the cell that is played under a path.
-func newCell(name, direction, failingSide, moment, fault, class string) *cell {
-	c := &cell{
+// newMatrixCell returns a cell whose requests have the given path.
+func newMatrixCell(path, direction, failingSide, moment, fault, class string) *matrixCell {
+	c := &matrixCell{
 		direction:     direction,
 		failingSide:   failingSide,
 		moment:        moment,
 		fault:         fault,
 		class:         class,
-		name:          name,
+		path:          path,
 		size:          2 << 20,
-		failed:        make(chan struct{}),
+		nodeFailed:    make(chan struct{}),
 		exchangeEnded: make(chan struct{}),
 		clientEnded:   make(chan struct{}),
 		retried:       make(chan struct{}),
@@ -67,22 +68,22 @@
 	isUnread := fault == "silence" || fault == "slow"
 	nodeStopsEarly := direction == "up" && c.fails("node") && (moment == "middle" || c.offset() < 2 && isUnread)
 	clientStopsReading := direction == "down" && c.fails("caller") && isUnread
-	if nodeStopsEarly || clientStopsReading { // more than the system's buffers take
+	if nodeStopsEarly || clientStopsReading { // the body must be larger than all kernel buffers on its way
 		c.size = 48 << 20
 	}
 	return c
 }
 
-// newCells makes all cells of the matrix.
-func newCells() []*cell {
-	var cells []*cell
+// newMatrixCells returns all cells of the matrix.
+func newMatrixCells() []*matrixCell {
+	var cells []*matrixCell
 	for _, direction := range matrixDirections {
 		for _, failingSide := range matrixFailingSides {
 			for _, moment := range matrixMoments {
 				for _, fault := range matrixFaults {
 					for _, class := range matrixClasses {
-						name := fmt.Sprintf("/c%d", len(cells))
-						cells = append(cells, newCell(name, direction, failingSide, moment, fault, class))
+						path := fmt.Sprintf("/c%d", len(cells))
+						cells = append(cells, newMatrixCell(path, direction, failingSide, moment, fault, class))
 					}
 				}
 			}
@@ -91,36 +92,41 @@
 	return cells
 }
 
-// fails tells whether a side, "caller" or "node", is to fail.
-func (c *cell) fails(side string) bool { return c.failingSide == side || c.failingSide == "both" }
+// fails reports whether a side, "caller" (the client) or "node" (the endpoint), fails in this cell.
+func (c *matrixCell) fails(side string) bool { return c.failingSide == side || c.failingSide == "both" }
 
-// offset is how many bytes of a body have been sent when the fault comes.
-func (c *cell) offset() int {
+// offset returns how many bytes of the long body have been sent when the fault occurs.
+func (c *matrixCell) offset() int {
 	return map[string]int{"head": 0, "first byte": 1, "middle": 1 << 20, "last byte": c.size - 1, "after": c.size}[c.moment]
 }
 
-func (c *cell) fail() { c.failOnce.Do(func() { close(c.failed) }) }
+// markNodeFailed records that the endpoint has failed.
+func (c *matrixCell) markNodeFailed() { c.failOnce.Do(func() { close(c.nodeFailed) }) }
 
-// longText is shared by all cells: making one for each would take them too much time.
-var longText = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
+// longBodyBytes is shared by all cells, since allocating a body for each cell would take too much time.
+var longBodyBytes = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
 
-func textOf(size int) []byte { return longText[:size] }
+// longBody returns a body of the given size, at most 64 MiB. The bytes are shared and must not be changed.
+func longBody(size int) []byte { return longBodyBytes[:size] }
 
-// reset ends a connection so that the peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(nc net.Conn) {
 	_ = nc.(*net.TCPConn).SetLinger(0)
 	nc.Close()
 }
 
-// expectation is a row of the page's table. "*" stands for all values, and lists are separated by commas.
+// expectation is a row of the table in docs/operators/long-bodies.md, which promises an outcome for some cells.
 type expectation struct {
-	of       [5]string // direction, failing side, moment, fault, class
-	outcomes []string
-	runs     int
-	line     int
-	matches  atomic.Int32
+	// pattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
+	// values, or a list of values separated by commas.
+	pattern  [5]string
+	outcomes []string     // outcomes that the client may get, as classifyResponse names them
+	maxRuns  int          // how often the request may run at an endpoint
+	row      int          // number of the row in the table
+	matches  atomic.Int32 // number of cells that the row applies to
 }
 
+// readExpectations reads the table in docs/operators/long-bodies.md.
 func readExpectations(t *testing.T) (rows []*expectation) {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", "long-bodies.md"))
@@ -129,7 +135,7 @@
 	}
 	_, table, found := strings.Cut(string(page), "| way | who fails | when | how | class |")
 	if !found {
-		t.Fatal("the page has no table")
+		t.Fatal("the page long-bodies.md has no table of faults")
 	}
 	for i, line := range strings.Split(table, "\n") {
 		cols := strings.Split(strings.Trim(line, "| "), "|")
@@ -139,15 +145,15 @@
 		if len(cols) != 7 {
 			break
 		}
-		e := &expectation{line: i}
+		e := &expectation{row: i}
 		for k := range cols {
 			cols[k] = strings.TrimSpace(cols[k])
 		}
-		copy(e.of[:], cols)
-		for a := range strings.SplitSeq(cols[5], ",") {
-			e.outcomes = append(e.outcomes, strings.TrimSpace(a))
+		copy(e.pattern[:], cols)
+		for outcome := range strings.SplitSeq(cols[5], ",") {
+			e.outcomes = append(e.outcomes, strings.TrimSpace(outcome))
 		}
-		if e.runs, err = strconv.Atoi(cols[6]); err != nil {
+		if e.maxRuns, err = strconv.Atoi(cols[6]); err != nil {
 			t.Fatalf("row %d: %v", i, err)
 		}
 		rows = append(rows, e)
@@ -155,46 +161,49 @@
 	return rows
 }
 
-func (e *expectation) covers(c *cell) bool {
-	for i, is := range []string{c.direction, c.failingSide, c.moment, c.fault, c.class} {
-		if e.of[i] != "*" && !listContains(e.of[i], is) {
+// appliesTo reports whether the row's pattern matches a cell.
+func (e *expectation) appliesTo(c *matrixCell) bool {
+	for i, value := range []string{c.direction, c.failingSide, c.moment, c.fault, c.class} {
+		if e.pattern[i] != "*" && !listContains(e.pattern[i], value) {
 			return false
 		}
 	}
 	return true
 }
 
-func listContains(list, what string) bool {
-	for one := range strings.SplitSeq(list, ",") {
-		if strings.TrimSpace(one) == what {
+// listContains reports whether a list separated by commas contains a value.
+func listContains(list, value string) bool {
+	for element := range strings.SplitSeq(list, ",") {
+		if strings.TrimSpace(element) == value {
 			return true
 		}
 	}
 	return false
 }
 
-// judge returns an error if a cell is not as the page has it.
-func judge(c *cell, outcome string, rows []*expectation) error {
+// checkCell returns an error if a cell's outcome, runs or concurrent attempts are not as the first row that applies to the
+// cell promises, or if no row applies.
+func checkCell(c *matrixCell, outcome string, rows []*expectation) error {
 	for _, e := range rows {
-		if !e.covers(c) {
+		if !e.appliesTo(c) {
 			continue
 		}
 		e.matches.Add(1)
 		switch {
 		case !listContains(strings.Join(e.outcomes, ","), outcome):
-			return fmt.Errorf("answered %q, want %v (row %d)", outcome, e.outcomes, e.line)
-		case c.runs > e.runs:
-			return fmt.Errorf("ran %d times, %d allowed (row %d)", c.runs, e.runs, e.line)
+			return fmt.Errorf("outcome %q, want one of %v (row %d)", outcome, e.outcomes, e.row)
+		case c.runs > e.maxRuns:
+			return fmt.Errorf("ran %d times, want at most %d (row %d)", c.runs, e.maxRuns, e.row)
 		case c.mostConnections > 1:
-			return fmt.Errorf("%d attempts in flight at once", c.mostConnections)
+			return fmt.Errorf("%d attempts in flight at once, want 1", c.mostConnections)
 		}
 		return nil
 	}
-	return errors.New("no row of the page covers it")
+	return errors.New("no row of the table applies to the cell")
 }
 
-// matrixFile is an operators' file with a pool and a route for each cell. All pools have the same two members.
-func matrixFile(cells []*cell, a, b string) string {
+// matrixFile returns an operators' file with a pool and a route for each cell. All pools have the same two members.
+func matrixFile(cells []*matrixCell, a, b string) string {
 	file := strings.Builder{}
 	file.WriteString(`format = 1
 		class = [
@@ -228,70 +237,75 @@
 			path = %q
 			pool = %q
 			class = %q
-			`, c.name, a, b, c.name, c.name, c.class)
+			`, c.path, a, b, c.path, c.path, c.class)
 	}
 	return file.String()
 }
 
+// Whichever side fails, at whatever moment and in whatever way, a request gets one of the outcomes that the operators'
+// table promises, runs at most as often as promised, and never has two attempts in flight. The next requests of the same
+// class get responses of their own, and no memory, goroutine or descriptor is leaked.
 func TestFaultMatrix(t *testing.T) {
 	rows := readExpectations(t)
-	n := &matrixNode{cells: map[string]*cell{}, testEnded: make(chan struct{})}
-	cells := newCells()
+	n := &matrixEndpoint{cells: map[string]*matrixCell{}, testEnded: make(chan struct{})}
+	cells := newMatrixCells()
 	for _, c := range cells {
-		n.cells[c.name] = c
+		n.cells[c.path] = c
 	}
 	s := startFromFile(t, parseFile(t, matrixFile(cells, n.start(t), n.start(t))))
-	for _, c := range cells { // so that each pool has its goroutines before they are counted
-		if sendProbe(s.addressOf("one"), c, "first") != "first" {
-			t.Fatalf("%s does not serve", c.name)
+	for _, c := range cells { // starts the goroutines of each pool before goroutines are counted
+		if sendProbeRequest(s.addressOf("one"), c, "first") != "first" {
+			t.Fatalf("%s does not serve", c.path)
 		}
 	}
-	before, files := settledGoroutines(), measureResources().descriptors
-	var busy sync.WaitGroup
-	var bad atomic.Int32
+	goroutinesBefore, descriptorsBefore := settledGoroutines(), measureResources().descriptors
+	var running sync.WaitGroup
+	var failedCells atomic.Int32
 	slots := make(chan bool, 16)
 	for _, c := range cells {
-		busy.Go(func() {
+		running.Go(func() {
 			slots <- true
 			defer func() { <-slots }()
-			answer := c.playClient(t, s.addressOf("one"))
-			// The next request gets a response of its own, or none.
+			outcome := c.runClient(t, s.addressOf("one"))
+			// The next two requests must get responses of their own, or be shed or fail.
 			for i := range 2 {
-				want := fmt.Sprintf("%s-%d", c.name[1:], i)
-				if got := sendProbe(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
-					t.Errorf("%s: the next request got %q", c, got)
+				want := fmt.Sprintf("%s-%d", c.path[1:], i)
+				if got := sendProbeRequest(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
+					t.Errorf("%s: the next request got %q, want %q, refused or failed", c, got, want)
 				}
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if err := judge(c, answer, rows); err != nil {
-				bad.Add(1)
+			if err := checkCell(c, outcome, rows); err != nil {
+				failedCells.Add(1)
 				t.Errorf("%s: %v", c, err)
 			}
 		})
 	}
-	busy.Wait()
+	running.Wait()
 	close(n.testEnded)
 	for _, e := range rows {
 		if e.matches.Load() == 0 {
-			t.Errorf("row %d of the page covers nothing", e.line)
+			t.Errorf("row %d of the table applies to no cell", e.row)
 		}
 	}
-	t.Logf("%d cells, %d not as the page has them", len(cells), bad.Load())
+	t.Logf("%d cells, of which %d are not as the table promises", len(cells), failedCells.Load())
 	testpeer.Until(t, "all body memory is released", func() bool {
-		held, waiting := s.bodyMemory.InUse()
-		return held == 0 && waiting == 0
+		reserved, waiting := s.bodyMemory.InUse()
+		return reserved == 0 && waiting == 0
 	})
-	// Idle connections to nodes may stay open: two a pool at most, with a goroutine at the node each.
-	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= before+2*len(cells) })
-	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= files+4*len(cells) })
+	// Idle connections to endpoints may stay open: at most two for each pool, each with a goroutine at the endpoint.
+	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= goroutinesBefore+2*len(cells) })
+	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= descriptorsBefore+4*len(cells) })
 }
 
-func (c *cell) String() string {
+// String returns the cell's coordinates, for failure messages.
+func (c *matrixCell) String() string {
 	return strings.Join([]string{c.direction, c.failingSide, c.moment, c.fault, c.class}, ", ")
 }
 
-// settledGoroutines is the least number of goroutines in 100 ms.
+// settledGoroutines returns the smallest number of goroutines seen within 100 ms, so that goroutines that are about to end
+// are not counted.
 func settledGoroutines() int {
 	n := runtime.NumGoroutine()
 	for range 20 {
@@ -301,29 +315,29 @@
 	return n
 }
 
-// The judge of the matrix must detect each violation.
+// The fault matrix's own checks must detect each kind of violation, and classify each kind of response.
 func TestFaultMatrixDetectsViolations(t *testing.T) {
-	rows := []*expectation{{of: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, runs: 1}}
-	as := func(change func(*cell)) *cell {
-		c := &cell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, mostConnections: 1}
+	rows := []*expectation{{pattern: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, maxRuns: 1}}
+	cellWith := func(change func(*matrixCell)) *matrixCell {
+		c := &matrixCell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, mostConnections: 1}
 		change(c)
 		return c
 	}
-	if err := judge(as(func(*cell) {}), "gone", rows); err != nil {
+	if err := checkCell(cellWith(func(*matrixCell) {}), "gone", rows); err != nil {
 		t.Error(err)
 	}
 	for name, row := range map[string]struct {
-		c      *cell
-		answer string
+		c       *matrixCell
+		outcome string
 	}{
-		"another answer": {as(func(*cell) {}), "served"},
-		"two runs":       {as(func(c *cell) { c.runs = 2 }), "gone"},
-		"two at once":    {as(func(c *cell) { c.mostConnections = 2 }), "gone"},
-		"no row":         {as(func(c *cell) { c.failingSide = "node" }), "gone"},
-		"no such answer": {as(func(*cell) {}), "wrong"},
+		"another outcome":      {cellWith(func(*matrixCell) {}), "served"},
+		"two runs":             {cellWith(func(c *matrixCell) { c.runs = 2 }), "gone"},
+		"two attempts at once": {cellWith(func(c *matrixCell) { c.mostConnections = 2 }), "gone"},
+		"no row":               {cellWith(func(c *matrixCell) { c.failingSide = "node" }), "gone"},
+		"a wrong response":     {cellWith(func(*matrixCell) {}), "wrong"},
 	} {
-		if judge(row.c, row.answer, rows) == nil {
-			t.Errorf("%s passes", name)
+		if checkCell(row.c, row.outcome, rows) == nil {
+			t.Errorf("%s is not detected", name)
 		}
 	}
 	for text, want := range map[string]string{
@@ -337,8 +351,8 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                       "wrong",
 		"HTTP/1.1 408 No\r\n\r\n":                                            "408",
 	} {
-		if got := outcome(bufio.NewReader(strings.NewReader(text)), []byte("done"), nil); got != want {
-			t.Errorf("%q is %q, want %q", text, got, want)
+		if got := classifyResponse(bufio.NewReader(strings.NewReader(text)), []byte("done"), nil); got != want {
+			t.Errorf("the response %q is classified as %q, want %q", text, got, want)
 		}
 	}
 }
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -39,7 +39,7 @@
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.Header().Set("Content-Length", "10000000")
-			w.Write(textOf(1 << 20))
+			w.Write(longBody(1 << 20))
 			w.(http.Flusher).Flush()
 			began <- true
 			<-r.Context().Done()
@@ -56,11 +56,11 @@
 	s := startFromFile(t, parseService(t, file))
 	addr := s.addressOf("one")
 	quick, quickAnswer := slowUpload(t, addr, 1<<20)
-	quick.Write(textOf(64 << 10))
+	quick.Write(longBody(64 << 10))
 	stuck, stuckAnswer := slowUpload(t, addr, 1<<20)
-	stuck.Write(textOf(64 << 10))
+	stuck.Write(longBody(64 << 10))
 	early, earlyAnswer := slowUpload(t, addr, 1<<20) // of which the endpoint has got nothing yet
-	early.Write(textOf(100))
+	early.Write(longBody(100))
 	down := make(chan error, 1)
 	go func() {
 		resp, err := (&http.Transport{}).RoundTrip(newGetRequest("http://" + addr + "/down"))
@@ -73,7 +73,7 @@
 		<-began
 	}
 	s.terminate()
-	quick.Write(textOf(1 << 20)[64<<10:])
+	quick.Write(longBody(1 << 20)[64<<10:])
 	if got := <-quickAnswer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("an upload that ends in time: %q", got)
 	}
@@ -104,10 +104,10 @@
 	file := streamingListener + poolSection("a", e.Listener.Addr().String()) + payRoute
 	s := startFromFile(t, parseService(t, file))
 	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
-	nc.Write(textOf(64 << 10))
+	nc.Write(longBody(64 << 10))
 	<-began
 	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1)) // another server takes over the socket
-	nc.Write(textOf(1 << 20)[64<<10:])
+	nc.Write(longBody(1 << 20)[64<<10:])
 	// The response is complete when the connection ends, whether the old server closes it early or not.
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "1048576") {
 		t.Errorf("%q", got)
@@ -133,13 +133,13 @@
 	one := "[[pool]]\nname = \"a\"\n[[pool.member]]\naddress = \"" + a.Listener.Addr().String() + "\"\n"
 	s := startFromFile(t, parseService(t, streamingListener+one+payRoute))
 	nc, answer := slowUpload(t, s.addressOf("one"), 1<<20)
-	nc.Write(textOf(64 << 10))
+	nc.Write(longBody(64 << 10))
 	<-began
 	s.reload(t, streamingListener+one+"state = \"draining\"\n[[pool.member]]\naddress = \""+b+"\"\n"+payRoute)
 	for range 20 {
 		sendGet(t, s.addressOf("one"), "h", "/")
 	}
-	nc.Write(textOf(1 << 20)[64<<10:])
+	nc.Write(longBody(1 << 20)[64<<10:])
 	if got := <-answer; !strings.HasPrefix(got, "HTTP/1.1 200 OK") {
 		t.Errorf("%q", got)
 	}
@@ -157,7 +157,7 @@
 		})
 		s := startFromFile(t, parseService(t, streamingListener+poolSection("a", l.Addr().String())+payRoute))
 		nc, answer := slowUpload(t, s.addressOf("one"), 1<<30)
-		nc.Write(textOf(64 << 10))
+		nc.Write(longBody(64 << 10))
 		got := <-answer // the body never ends, and the connection does
 		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") ||
 			!strings.Contains(got, "Connection: close") {
