--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -18,77 +18,80 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// What the platform tells of cold endpoints in these tests, and how callers ask.
+// The platform's rules for cold endpoints in these tests, and the load.
 const (
-	coldFrom         = 0.14
-	coldWarmup       = 24 * time.Second
-	coldFallMultiple = 3.0
-	coldFallWindow   = time.Second
-	coldAnswerTime   = 200 * time.Millisecond // of every endpoint: a client asks five times a second
-	coldRequests     = 10                     // of each client
-	coldUse          = 1.6                    // of what the endpoints can do: more than that is asked
+	coldFrom             = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
+	coldWarmup           = 24 * time.Second       // time until a cold endpoint has its full capacity
+	coldOverloadMultiple = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
+	coldOverloadWindow   = time.Second            // time over which an endpoint's requests are counted
+	coldResponseTime     = 200 * time.Millisecond // response time of every endpoint: a client sends five requests a second
+	coldRequests         = 10                     // number of requests that each client sends in one call of sendRequests
+	coldLoadFactor       = 1.6                    // ratio of the load to what the endpoints can serve: they are overloaded
 )
 
-// coldSite is many sidecars before one tier on loopback, one discovery, and cold endpoints whose requests are counted.
-type coldSite struct {
+// coldStartSite has many sidecars in front of one tier on loopback, one discovery agent, and cold endpoints whose requests
+// are recorded.
+type coldStartSite struct {
 	t        *testing.T
-	sidecars int
-	warm     []string // entries of discovery's list
-	agent    *httptest.Server
+	sidecars int              // number of sidecars that startSidecars starts
+	warm     []string         // entries of the warm endpoints in the endpoint list
+	agent    *httptest.Server // discovery agent of all sidecars
 
 	mu      sync.Mutex
-	updates []string
-	changed chan struct{}          // closed when there is another update, and replaced
-	calls   map[string][]time.Time // at cold endpoints, by id
+	updates []string               // list updates that the agent sends on each watch, in this order
+	changed chan struct{}          // closed and replaced by a new channel when an update is added
+	arrived map[string][]time.Time // arrival times of the requests at each cold endpoint, by the endpoint's ID
 }
 
-func newColdSite(t *testing.T, sidecars, warm int) *coldSite {
+// newColdStartSite starts the discovery agent and a number of warm endpoints.
+func newColdStartSite(t *testing.T, sidecars, warm int) *coldStartSite {
 	t.Helper()
-	s := &coldSite{t: t, sidecars: sidecars, changed: make(chan struct{}), calls: map[string][]time.Time{}}
-	s.agent = httptest.NewServer(http.HandlerFunc(s.watch))
+	s := &coldStartSite{t: t, sidecars: sidecars, changed: make(chan struct{}), arrived: map[string][]time.Time{}}
+	s.agent = httptest.NewServer(http.HandlerFunc(s.serveWatch))
 	t.Cleanup(s.agent.Close)
 	for i := range warm {
-		s.warm = append(s.warm, s.endpoint(fmt.Sprintf("warm%02d", i), 0))
+		s.warm = append(s.warm, s.startEndpoint(fmt.Sprintf("warm%02d", i), 0))
 	}
 	return s
 }
 
-// endpoint starts an endpoint and gives its entry; started: its start, 0: long ago.
-func (s *coldSite) endpoint(id string, started int64) string {
+// startEndpoint starts an endpoint and returns its entry for the endpoint list. startedMs is the endpoint's start time in
+// Unix milliseconds; 0 makes it a warm endpoint, whose requests are not recorded.
+func (s *coldStartSite) startEndpoint(id string, startedMs int64) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if started > 0 {
+		if startedMs > 0 {
 			s.mu.Lock()
-			s.calls[id] = append(s.calls[id], time.Now())
+			s.arrived[id] = append(s.arrived[id], time.Now())
 			s.mu.Unlock()
 		}
-		answer := time.NewTimer(coldAnswerTime)
-		defer answer.Stop()
+		responseTimer := time.NewTimer(coldResponseTime)
+		defer responseTimer.Stop()
 		select {
-		case <-answer.C:
-			_, _ = io.WriteString(w, "ok") // a client that has left shows in its own result
+		case <-responseTimer.C:
+			_, _ = io.WriteString(w, "ok") // the client itself reports an error if it has disconnected
 		case <-r.Context().Done():
 		}
 	}))
 	s.t.Cleanup(server.Close)
 	entry := testpeer.Member(id, server.Listener.Addr().String(), "Ready")
-	return strings.Replace(entry, `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, started), 1)
+	return strings.Replace(entry, `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, startedMs), 1)
 }
 
-// cold starts cold endpoints and gives their entries.
-func (s *coldSite) cold(n int) (entries []string) {
+// startColdEndpoints starts cold endpoints and returns their entries for the endpoint list.
+func (s *coldStartSite) startColdEndpoints(n int) (entries []string) {
 	for i := range n {
-		entries = append(entries, s.endpoint(fmt.Sprintf("cold%02d", i), time.Now().UnixMilli()))
+		entries = append(entries, s.startEndpoint(fmt.Sprintf("cold%02d", i), time.Now().UnixMilli()))
 	}
 	return entries
 }
 
-// watch is discovery: a watch has heartbeats, and the updates when there are any.
-func (s *coldSite) watch(w http.ResponseWriter, r *http.Request) {
-	say := func(text string) {
-		_, _ = io.WriteString(w, text) // a sidecar that has left shows in the test's result
+// serveWatch is the discovery agent's handler: it sends heartbeats, and all list updates as they are added.
+func (s *coldStartSite) serveWatch(w http.ResponseWriter, r *http.Request) {
+	write := func(text string) {
+		_, _ = io.WriteString(w, text) // a sidecar that has disconnected shows in the test's result
 		w.(http.Flusher).Flush()
 	}
-	say("\n")
+	write("\n")
 	heartbeat := time.NewTicker(time.Second)
 	defer heartbeat.Stop()
 	for sent := 0; ; {
@@ -96,21 +99,21 @@
 		pending, changed := s.updates[sent:], s.changed
 		s.mu.Unlock()
 		for _, update := range pending {
-			say(update + "\n")
+			write(update + "\n")
 			sent++
 		}
 		select {
 		case <-changed:
 		case <-heartbeat.C:
-			say("\n")
+			write("\n")
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// update sends all sidecars a change of the list.
-func (s *coldSite) update(entries ...string) {
+// updateList sends a partial update of the endpoint list to all sidecars.
+func (s *coldStartSite) updateList(entries ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updates = append(s.updates, testpeer.Members(2+len(s.updates), false, entries...))
@@ -118,8 +121,8 @@
 	s.changed = make(chan struct{})
 }
 
-// start starts all sidecars with a list and gives their addresses.
-func (s *coldSite) start(known []string) (addrs []string) {
+// startSidecars starts all sidecars with an endpoint list and returns their addresses.
+func (s *coldStartSite) startSidecars(entries []string) (addrs []string) {
 	s.t.Helper()
 	ctx, terminate := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -131,7 +134,7 @@
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"%d","limits":{},"known":%s,
 			"settings":{"NInstances":%d,"Me":%d,"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000}],
 			"Permissions":{"MayCancel":true,"TryLimit":4},"Rules":{"ColdFrom":%g,"ColdUs":%d}}}`,
-			s.agent.Listener.Addr(), i+1, testpeer.Members(1, true, known...), s.sidecars, i, coldFrom, coldWarmup.Microseconds())
+			s.agent.Listener.Addr(), i+1, testpeer.Members(1, true, entries...), s.sidecars, i, coldFrom, coldWarmup.Microseconds())
 		c, err := config.Parse([]byte(text), func(string) string { return "" })
 		if err != nil {
 			s.t.Fatal(err)
@@ -156,8 +159,8 @@
 	return addrs
 }
 
-// ask has one client at each sidecar ask, one request after another.
-func (s *coldSite) ask(addrs []string, requests int) {
+// sendRequests runs one client for each sidecar, which sends its requests one after another.
+func (s *coldStartSite) sendRequests(addrs []string, requests int) {
 	s.t.Helper()
 	var clients sync.WaitGroup
 	for i, addr := range addrs {
@@ -179,7 +182,7 @@
 				}
 				_, err = io.Copy(io.Discard, resp.Body)
 				if resp.Body.Close(); err != nil || resp.StatusCode != http.StatusOK {
-					s.t.Errorf("%s: %v", resp.Status, err)
+					s.t.Errorf("status %s, error %v, want 200", resp.Status, err)
 				}
 			}
 		})
@@ -187,63 +190,66 @@
 	clients.Wait()
 }
 
-// judge holds each cold endpoint's requests to what the rule allows: N + 2 x root of N + 2 within the window, N being the multiple of
-// what it can do by now.
-func (s *coldSite) judge(endpoints int) {
+// checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within the window. N is
+// coldOverloadMultiple times the requests that a cold endpoint can serve within the window.
+func (s *coldStartSite) checkColdEndpoints(endpoints int) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	even := float64(s.sidecars) / coldAnswerTime.Seconds() / float64(endpoints) / coldUse
-	allowed := coldFallMultiple * (coldFrom + (1-coldFrom)*0.1) * even * coldFallWindow.Seconds() // a tenth of the warm-up is over at most
+	warmCapacity := float64(s.sidecars) / coldResponseTime.Seconds() / float64(endpoints) / coldLoadFactor // requests per second
+	// At most a tenth of the warm-up is over when the test ends.
+	overload := coldOverloadMultiple * (coldFrom + (1-coldFrom)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
+	limit := overload + 2*math.Sqrt(overload) + 2
 	most, first := 0, 0
-	for _, calls := range s.calls {
+	for _, arrivals := range s.arrived {
 		first = 0
-		for i, at := range calls {
-			for at.Sub(calls[first]) > coldFallWindow {
+		for i, at := range arrivals {
+			for at.Sub(arrivals[first]) > coldOverloadWindow {
 				first++
 			}
 			most = max(most, i-first+1)
 		}
 	}
-	s.t.Logf("at most %d requests at a cold endpoint within %v, %.1f allowed", most, coldFallWindow, allowed+2*math.Sqrt(allowed)+2)
-	if float64(most) > allowed+2*math.Sqrt(allowed)+2 {
-		s.t.Errorf("a cold endpoint got %d requests within %v", most, coldFallWindow)
+	s.t.Logf("at most %d requests at a cold endpoint within %v, %.1f allowed", most, coldOverloadWindow, limit)
+	if float64(most) > limit {
+		s.t.Errorf("a cold endpoint got %d requests within %v, want at most %.1f", most, coldOverloadWindow, limit)
 	}
 }
 
-// Many sidecars that start at once with a list that names a cold endpoint do not all send to it at once.
+// Many sidecars that start at the same time with a list that contains a cold endpoint must not all send to it at once.
 func TestRestartedSidecarsDoNotOverloadAColdEndpoint(t *testing.T) {
-	s := newColdSite(t, 48, 5)
-	addrs := s.start(append(s.cold(1), s.warm...))
-	s.ask(addrs, coldRequests)
-	s.judge(6)
+	s := newColdStartSite(t, 48, 5)
+	addrs := s.startSidecars(append(s.startColdEndpoints(1), s.warm...))
+	s.sendRequests(addrs, coldRequests)
+	s.checkColdEndpoints(6)
 }
 
-// Many sidecars that are notified at once of a cold endpoint spread their first requests to it at the pace of its warmth.
+// Many sidecars that are notified of a cold endpoint at the same time must spread their first requests to it, as far as the
+// endpoint has warmed up.
 func TestSidecarsNotifiedOfAColdEndpointDoNotOverloadIt(t *testing.T) {
-	s := newColdSite(t, 48, 5)
-	addrs := s.start(s.warm)
-	s.ask(addrs, coldRequests)
-	s.update(s.cold(1)...)
-	s.ask(addrs, coldRequests)
-	s.judge(6)
+	s := newColdStartSite(t, 48, 5)
+	addrs := s.startSidecars(s.warm)
+	s.sendRequests(addrs, coldRequests)
+	s.updateList(s.startColdEndpoints(1)...)
+	s.sendRequests(addrs, coldRequests)
+	s.checkColdEndpoints(6)
 }
 
-// Endpoints that drain one after another move a cold endpoint into the subsets of other sidecars each time; it is not overloaded by
-// what they send first.
+// Each time that endpoints begin to drain, a cold endpoint gets into the subsets of other sidecars. It must not be
+// overloaded by their first requests.
 func TestChangesOfTheListDoNotOverloadAColdEndpoint(t *testing.T) {
 	const warm, steps, drainedPerStep = 40, 6, 4
-	s := newColdSite(t, 48, warm)
-	addrs := s.start(s.warm)
-	s.ask(addrs, coldRequests)
-	s.update(s.cold(4)...)
+	s := newColdStartSite(t, 48, warm)
+	addrs := s.startSidecars(s.warm)
+	s.sendRequests(addrs, coldRequests)
+	s.updateList(s.startColdEndpoints(4)...)
 	for step := range steps {
 		var drained []string
 		for i := range drainedPerStep {
 			drained = append(drained, strings.Replace(s.warm[(7*(step*drainedPerStep+i))%warm], `"Ready"`, `"Terminating"`, 1))
 		}
-		s.update(drained...)
-		s.ask(addrs, 2)
+		s.updateList(drained...)
+		s.sendRequests(addrs, 2)
 	}
-	s.judge(warm)
+	s.checkColdEndpoints(warm)
 }
