--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -17,20 +17,22 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// stormNode is an endpoint that knows since when a list has it as draining or removed.
+// stormNode is an endpoint that records the requests that arrive too late after a reload has made it draining or removed
+// it.
 type stormNode struct {
 	server *httptest.Server
 	addr   string
-	seen   *sync.Map // request IDs that have come to any node
+	seen   *sync.Map // IDs of the requests that have arrived at any endpoint
 
 	mu            sync.Mutex
-	drainingSince time.Time // zero: it is listed as ready
-	late          []time.Duration
+	drainingSince time.Time       // when the endpoint was configured as draining or removed; zero: it is configured as ready
+	late          []time.Duration // delays after drainingSince of the requests that arrived later than lateAfter
 }
 
-// lateAfter is how long after a reload with a draining member the daemon may still send there.
+// lateAfter is how long the daemon may still send requests to a member after a reload has made it draining or removed it.
 const lateAfter = 500 * time.Millisecond
 
+// newStormNode starts an endpoint that is configured as ready. seen is shared by all endpoints.
 func newStormNode(t *testing.T, seen *sync.Map) *stormNode {
 	t.Helper()
 	n := &stormNode{seen: seen}
@@ -40,12 +42,12 @@
 	return n
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It responds with the request's ID.
 func (n *stormNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	if !n.drainingSince.IsZero() {
-		if after := time.Since(n.drainingSince); after > lateAfter {
-			n.late = append(n.late, after)
+		if delay := time.Since(n.drainingSince); delay > lateAfter {
+			n.late = append(n.late, delay)
 		}
 	}
 	n.mu.Unlock()
@@ -54,29 +56,33 @@
 	io.WriteString(w, id)
 }
 
-// setReady notes whether the node is listed as ready in the next reload.
-func (n *stormNode) setReady(ready bool) {
+// setReady records whether the next reload configures the endpoint as ready.
+func (n *stormNode) setReady(isReady bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case ready:
+	case isReady:
 		n.drainingSince = time.Time{}
 	case n.drainingSince.IsZero():
 		n.drainingSince = time.Now()
 	}
 }
 
-// stormClient sends requests on a connection that it keeps as long as it may, and expects one response to each.
+// stormClient sends requests one after another on a connection that it keeps until the daemon closes it, and expects one
+// response to each.
 type stormClient struct {
-	seen  *sync.Map
-	nc    net.Conn
-	in    *bufio.Reader
-	isNew bool // nothing has been answered on the connection
+	seen  *sync.Map     // IDs of the requests that have arrived at any endpoint
+	nc    net.Conn      // the open connection; nil: there is none
+	in    *bufio.Reader // reads from the connection
+	isNew bool          // no response has come on the connection yet
 
-	served, shed, resent int
-	lost                 []string
+	served int      // number of requests with the expected response
+	shed   int      // number of requests with status 503
+	resent int      // number of requests sent again because the daemon closed the idle connection at the same time
+	lost   []string // a description of each request without a valid response
 }
 
+// drop closes the connection, if there is one.
 func (c *stormClient) drop() {
 	if c.nc != nil {
 		c.nc.Close()
@@ -84,11 +90,11 @@
 	}
 }
 
-// send sends one request. One that the end of an idle connection crossed on its way is sent again, unless any of it was
-// taken: then it is lost.
+// send sends one request. If the daemon closes the idle connection at the same time, so that the request gets no response,
+// the request is sent again, unless it has arrived at an endpoint: then it is lost.
 func (c *stormClient) send(addr, id string) {
-	for try := 0; ; try++ {
-		this := fmt.Sprint(id, "-", try)
+	for attempt := 0; ; attempt++ {
+		attemptID := fmt.Sprint(id, "-", attempt)
 		if c.nc == nil {
 			nc, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -98,27 +104,28 @@
 			c.nc, c.in, c.isNew = nc, bufio.NewReader(nc), true
 		}
 		c.nc.SetDeadline(time.Now().Add(testpeer.Patience))
-		_, err := io.WriteString(c.nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+this+"\r\n\r\n")
+		_, err := io.WriteString(c.nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+attemptID+"\r\n\r\n")
 		var resp *http.Response
 		if err == nil {
 			resp, err = http.ReadResponse(c.in, nil)
 		}
 		if err != nil {
-			_, taken := c.seen.Load(this)
-			crossed := !c.isNew && !taken
+			_, hasArrived := c.seen.Load(attemptID)
+			mayResend := !c.isNew && !hasArrived
 			c.drop()
-			if !crossed || try > 5 {
-				c.lost = append(c.lost, fmt.Sprintf("%s: %v (taken: %v)", this, err, taken))
+			if !mayResend || attempt > 5 {
+				c.lost = append(c.lost, fmt.Sprintf("%s: %v (arrived at an endpoint: %v)", attemptID, err, hasArrived))
 				return
 			}
 			c.resent++
 			continue
 		}
-		c.record(resp, this)
+		c.record(resp, attemptID)
 		return
 	}
 }
 
+// record counts a response by its status and body.
 func (c *stormClient) record(resp *http.Response, id string) {
 	c.isNew = false
 	text, err := io.ReadAll(resp.Body)
@@ -130,26 +137,26 @@
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		c.shed++
 		if _, ran := c.seen.Load(id); ran && resp.Header.Get("Retry-After") == "" {
-			c.lost = append(c.lost, id+": refused without advice")
+			c.lost = append(c.lost, id+": status 503 without Retry-After")
 		}
 	default:
-		c.lost = append(c.lost, fmt.Sprintf("%s: %s, %q", id, resp.Status, text))
+		c.lost = append(c.lost, fmt.Sprintf("%s: status %s, body %q", id, resp.Status, text))
 	}
 	if resp.Close {
 		c.drop()
 	}
 }
 
-// stormFile is the operators' file of a round: members come, drain and go, the listener moves, a second pool comes and
-// goes, and settings change.
-func stormFile(round int, places [2]string, nodes []*stormNode) string {
+// stormFile returns the operators' file of a round. From round to round members are added, draining and removed, the
+// listener moves between two addresses, a second pool is added and removed, and settings change.
+func stormFile(round int, addrs [2]string, nodes []*stormNode) string {
 	var b strings.Builder
 	idleTimeout := []string{"5s", "6s"}[round/10%2]
-	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", places[round/30%2], idleTimeout)
+	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", addrs[round/30%2], idleTimeout)
 	fmt.Fprintf(&b, "[[pool]]\nname = \"a\"\nattempts = %d\n", 3+round/50%2)
 	for i, n := range nodes {
 		switch phase := (round/45 + i) % len(nodes); phase {
-		case 0: // gone
+		case 0: // the endpoint is removed from the pool
 			n.setReady(false)
 		case 1:
 			n.setReady(false)
@@ -167,12 +174,13 @@
 	return b.String()
 }
 
-// resourceLevels is what the process holds.
+// resourceLevels are the resources that the process uses.
 type resourceLevels struct {
 	goroutines, descriptors int
-	heap                    uint64
+	heap                    uint64 // bytes of live heap objects
 }
 
+// measureResources collects garbage and returns the resources in use.
 func measureResources() (u resourceLevels) {
 	runtime.GC()
 	var m runtime.MemStats
@@ -180,23 +188,24 @@
 	return resourceLevels{runtime.NumGoroutine(), testpeer.Descriptors(), m.HeapAlloc}
 }
 
+// Parameters of TestReloadStorm.
 const (
-	stormReloads = 200
-	stormClients = 8
-	stormGap     = 25 * time.Millisecond // between reloads: each phase of a member lasts over a second
-	stormHeap    = 4 << 20               // bytes that the heap may differ by between two quiet moments
+	stormReloads       = 200
+	stormClients       = 8
+	stormInterval      = 25 * time.Millisecond // time between reloads; a member keeps its state for 45 reloads, over a second
+	stormMaxHeapGrowth = 4 << 20               // bytes by which the heap may grow from before the storm to after it
 )
 
-// Two hundred reloads under load lose no request, send none late, and leak nothing.
+// Two hundred reloads under load lose no request, send none to a member that has long been draining, and leak nothing.
 func TestReloadStorm(t *testing.T) {
 	var seen sync.Map
 	var nodes []*stormNode
 	for range 5 {
 		nodes = append(nodes, newStormNode(t, &seen))
 	}
-	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
-	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
-	quiet := func() resourceLevels {
+	addrs := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
+	s := startFromFile(t, parseService(t, stormFile(0, addrs, nodes)))
+	measureIdle := func() resourceLevels {
 		testpeer.Until(t, "removed listeners have ended", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -207,39 +216,39 @@
 		}
 		return measureResources()
 	}
-	for round := range 4 { // so that what is made once exists
-		s.reload(t, stormFile(round, places, nodes))
+	for round := range 4 { // the first reloads allocate what later reloads reuse
+		s.reload(t, stormFile(round, addrs, nodes))
 	}
-	s.reload(t, stormFile(0, places, nodes))
-	before := quiet()
+	s.reload(t, stormFile(0, addrs, nodes))
+	before := measureIdle()
 
-	var place atomic.Value
-	place.Store(places[0])
+	var currentAddr atomic.Value
+	currentAddr.Store(addrs[0])
 	stop := make(chan bool)
 	clients := make([]*stormClient, stormClients)
-	var busy sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range clients {
 		c := &stormClient{seen: &seen}
 		clients[i] = c
-		busy.Go(func() {
+		running.Go(func() {
 			defer c.drop()
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
 				default:
-					c.send(place.Load().(string), fmt.Sprint(i, "-", n))
+					c.send(currentAddr.Load().(string), fmt.Sprint(i, "-", n))
 				}
 			}
 		})
 	}
 	for round := range stormReloads {
-		s.reload(t, stormFile(round, places, nodes))
-		place.Store(places[round/30%2])
-		time.Sleep(stormGap)
+		s.reload(t, stormFile(round, addrs, nodes))
+		currentAddr.Store(addrs[round/30%2])
+		time.Sleep(stormInterval)
 	}
 	close(stop)
-	busy.Wait()
+	running.Wait()
 	var total stormClient
 	for _, c := range clients {
 		total.served, total.shed, total.resent = total.served+c.served, total.shed+c.shed, total.resent+c.resent
@@ -247,32 +256,32 @@
 	}
 	for _, n := range nodes {
 		if len(n.late) > 0 {
-			t.Errorf("%d requests came to a member later than %v after it began to drain: %v",
+			t.Errorf("%d requests reached a member later than %v after it began to drain or was removed, the first ones after %v",
 				len(n.late), lateAfter, n.late[:min(len(n.late), 5)])
 		}
 	}
 	if len(total.lost) > 0 {
-		t.Errorf("%d requests lost: %.5q", len(total.lost), total.lost)
+		t.Errorf("%d requests lost, want none: %.5q", len(total.lost), total.lost)
 	}
 	if total.served == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
-	s.reload(t, stormFile(0, places, nodes))
+	s.reload(t, stormFile(0, addrs, nodes))
 	seen.Clear()
 	var after resourceLevels
 	testpeer.Until(t, "goroutines and descriptors are as before", func() bool {
-		after = quiet()
+		after = measureIdle()
 		return after.goroutines <= before.goroutines && after.descriptors <= before.descriptors
 	})
-	if after.heap > before.heap+stormHeap {
-		t.Errorf("the heap grew from %d to %d bytes", before.heap, after.heap)
+	if after.heap > before.heap+stormMaxHeapGrowth {
+		t.Errorf("the heap grew from %d to %d bytes, want at most %d more", before.heap, after.heap, stormMaxHeapGrowth)
 	}
-	t.Logf("served %d, refused %d, sent again since a connection ended as they came %d", total.served, total.shed, total.resent)
-	t.Logf("goroutines %d and %d, descriptors %d and %d, heap %d and %d KiB", before.goroutines, after.goroutines,
+	t.Logf("requests: %d served, %d shed, %d sent again because the daemon closed the connection", total.served, total.shed, total.resent)
+	t.Logf("before and after: goroutines %d and %d, descriptors %d and %d, heap %d and %d KiB", before.goroutines, after.goroutines,
 		before.descriptors, after.descriptors, before.heap>>10, after.heap>>10)
 }
 
-// The storm's own checks must detect the faults that they are for.
+// The reload storm's own checks must detect late requests and lost requests, and nothing else.
 func TestReloadStormDetectsViolations(t *testing.T) {
 	var seen sync.Map
 	n := newStormNode(t, &seen)
@@ -281,33 +290,34 @@
 	c := &stormClient{seen: &seen}
 	c.send(n.addr, "late")
 	if len(n.late) != 1 || c.served != 1 {
-		t.Errorf("a late request: %v, served %d", n.late, c.served)
+		t.Errorf("after a late request: late %v, served %d, want one of each", n.late, c.served)
 	}
 	n.setReady(true)
 	n.setReady(false)
 	c.send(n.addr, "in time")
 	if len(n.late) != 1 {
-		t.Errorf("a request in time: %v", n.late)
+		t.Errorf("after a request in time: late %v, want only the earlier one", n.late)
 	}
 	c.drop()
 	for name, serve := range map[string]func(net.Conn, *http.Request, int) bool{
-		"taken and dropped": func(_ net.Conn, r *http.Request, _ int) bool { seen.Store(r.Header.Get("Req-Id"), true); return false },
-		"another's answer":  testpeer.Says(testpeer.Served, true),
-		"an error":          testpeer.Says("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
+		"no response after arrival": func(_ net.Conn, r *http.Request, _ int) bool { seen.Store(r.Header.Get("Req-Id"), true); return false },
+		"another response":          testpeer.Says(testpeer.Served, true),
+		"an error":                  testpeer.Says("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
 	} {
 		c := &stormClient{seen: &seen}
 		c.send(testpeer.NewEndpoint(t, serve).Addr, "x")
 		if len(c.lost) != 1 {
-			t.Errorf("%s: lost %v", name, c.lost)
+			t.Errorf("%s: lost %v, want one request", name, c.lost)
 		}
 		c.drop()
 	}
-	// Dropped where an earlier request on the connection was answered: lost only if it was taken.
-	for taken := range 2 {
+	// A request without a response on a connection that has served an earlier request is lost only if it has arrived at an
+	// endpoint.
+	for arrived := range 2 {
 		c := &stormClient{seen: &seen}
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, count int) bool {
 			if count == 2 {
-				if taken == 1 {
+				if arrived == 1 {
 					seen.Store(r.Header.Get("Req-Id"), true)
 				}
 				return false
@@ -318,8 +328,8 @@
 		})
 		c.send(e.Addr, "one")
 		c.send(e.Addr, "two")
-		if len(c.lost) != taken || c.resent != 1-taken {
-			t.Errorf("taken %d: lost %v, crossed %d", taken, c.lost, c.resent)
+		if len(c.lost) != arrived || c.resent != 1-arrived {
+			t.Errorf("with %d arrived: lost %v, sent again %d, want %d and %d", arrived, c.lost, c.resent, arrived, 1-arrived)
 		}
 		c.drop()
 	}
