--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -82,16 +82,22 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := transport.Start(options)
+	clusterTransport, err := transport.Start(options)
 	if err != nil {
 		return nil, err
 	}
-	log.Info("cluster transport started", "cluster", c.Cluster.ClusterName, "addr", link.Addr())
-	n := &clusterNode{transport: link, log: log, spec: *c.Cluster, dividesPools: c.Cluster.DividesByMembership, pools: map[*pool]bool{}}
+	log.Info("cluster transport started", "cluster", c.Cluster.ClusterName, "addr", clusterTransport.Addr())
+	n := &clusterNode{
+		transport:    clusterTransport,
+		log:          log,
+		spec:         *c.Cluster,
+		dividesPools: c.Cluster.DividesByMembership,
+		pools:        map[*pool]bool{},
+	}
 	n.ownFile.Store(c.File)
 	if c.Cluster.Consensus != nil {
 		if n.raft, err = n.startRaft(); err != nil {
-			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), link.Abort())
+			return nil, errors.Join(fmt.Errorf("fleet.data_dir: %w", err), clusterTransport.Abort())
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -24,20 +24,20 @@
 		gauges = append(gauges, metrics.Sample{Name: "peers_" + s.String(), Value: count[s]})
 	}
 	gauges = append(gauges, metrics.Sample{Name: "peers_standing", Value: int64(view.Connectivity)})
-	link := n.transport.Metrics()
+	transportMetrics := n.transport.Metrics()
 	for _, c := range []struct {
 		name  string
 		value uint64
 	}{
-		{"received", link.Received},
-		{"sent", link.Sent},
-		{"bytes", link.BytesSent},
-		{"damaged", link.Malformed},
-		{"foreign", link.Foreign},
-		{"forged", link.Unauthenticated},
-		{"replayed", link.Replayed},
-		{"flooded", link.RateLimited},
-		{"full", link.QueueFull},
+		{"received", transportMetrics.Received},
+		{"sent", transportMetrics.Sent},
+		{"bytes", transportMetrics.BytesSent},
+		{"damaged", transportMetrics.Malformed},
+		{"foreign", transportMetrics.Foreign},
+		{"forged", transportMetrics.Unauthenticated},
+		{"replayed", transportMetrics.Replayed},
+		{"flooded", transportMetrics.RateLimited},
+		{"full", transportMetrics.QueueFull},
 	} {
 		gauges = append(gauges, metrics.Sample{Name: "peers_" + c.name, Value: int64(c.value), IsCounter: true})
 	}
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -181,8 +181,9 @@
 var errUnexpectedBody = errors.New("unexpected body")
 
 // readExpected reads to the end of a body and returns how many of the expected bytes it has read, and errUnexpectedBody at
-// the first difference. A body that is a prefix of the expected bytes is no error. It reads into a small buffer: allocating one of 48 MB took a reader up to 1.47 s
-// under the race detector, with four readers on two cores, and the daemon cuts off a client that does not read for 1.5 s.
+// the first difference. A body that is a prefix of the expected bytes is no error. It reads into a small buffer: allocating
+// one of 48 MB took a reader up to 1.47 s under the race detector, with four readers on two cores, and the daemon cuts off
+// a client that does not read for 1.5 s.
 func readExpected(body io.Reader, want []byte) (n int, err error) {
 	for buffer := make([]byte, 64<<10); err == nil; {
 		var k int
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -102,7 +102,7 @@
 	return s.addressOf("one"), s.addressOf("one")
 }
 
-// A pool whose endpoints hang must not delay another's requests, not even on the same listener.
+// A pool whose endpoints hang must not delay the requests of another pool, not even on the same listener.
 func TestHungPoolDoesNotDelayOtherPools(t *testing.T) {
 	for _, separateListeners := range []bool{false, true} {
 		healthyAddr, hungAddr := startWithHungPool(t, separateListeners)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -10,7 +10,7 @@
 // Time limits of the shutdown. The margins count back from the end of the grace period, when the process may be killed.
 const (
 	// acceptAfterSignal is how long new connections are accepted after the signal when there is no successor: the
-	// platform's load balancers notice the shutdown only after the signal.
+	// component that routes clients to this daemon learns of the shutdown only at the signal.
 	acceptAfterSignal = 600 * time.Millisecond
 	// closeConnectionsMargin is the time before the end of the grace period at which responses begin to close their
 	// connections. Until then clients may go on using the connections that they have.
