--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -5,7 +5,8 @@
 	"tuliprock/internal/metrics"
 )
 
-// gauges returns the cluster's metrics; none without a cluster. Their names are read by dashboards and never change.
+// gauges returns the cluster's metrics, and none without a cluster. Dashboards read the metrics by name, so the names
+// never change.
 func (n *clusterNode) gauges() []metrics.Sample {
 	if n == nil {
 		return nil
@@ -23,27 +24,27 @@
 		gauges = append(gauges, metrics.Sample{Name: "peers_" + s.String(), Value: count[s]})
 	}
 	gauges = append(gauges, metrics.Sample{Name: "peers_standing", Value: int64(view.Connectivity)})
-	link := n.transport.Metrics()
+	transportMetrics := n.transport.Metrics()
 	for _, c := range []struct {
 		name  string
 		value uint64
 	}{
-		{"received", link.Received},
-		{"sent", link.Sent},
-		{"bytes", link.BytesSent},
-		{"damaged", link.Malformed},
-		{"foreign", link.Foreign},
-		{"forged", link.Unauthenticated},
-		{"replayed", link.Replayed},
-		{"flooded", link.RateLimited},
-		{"full", link.QueueFull},
+		{"received", transportMetrics.Received},
+		{"sent", transportMetrics.Sent},
+		{"bytes", transportMetrics.BytesSent},
+		{"damaged", transportMetrics.Malformed},
+		{"foreign", transportMetrics.Foreign},
+		{"forged", transportMetrics.Unauthenticated},
+		{"replayed", transportMetrics.Replayed},
+		{"flooded", transportMetrics.RateLimited},
+		{"full", transportMetrics.QueueFull},
 	} {
 		gauges = append(gauges, metrics.Sample{Name: "peers_" + c.name, Value: int64(c.value), IsCounter: true})
 	}
 	return gauges
 }
 
-// settingsGauges returns the metrics of the agreed settings.
+// settingsGauges returns the metrics of the agreed settings and of this daemon's lease.
 func (n *clusterNode) settingsGauges() []metrics.Sample {
 	s, _ := n.settingsStatus()
 	return []metrics.Sample{
@@ -57,6 +58,7 @@
 	}
 }
 
+// boolGauge returns 1 for true and 0 for false.
 func boolGauge(isSet bool) int64 {
 	if isSet {
 		return 1
