--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -87,7 +87,7 @@
 	if output.Snapshot == nil || s.log.SyncedIndex() <= s.log.SnapshotIndex() {
 		return nil
 	}
-	if err := s.log.Snap(s.log.SyncedIndex(), output.Snapshot.Body); err != nil {
+	if err := s.log.WriteSnapshot(s.log.SyncedIndex(), output.Snapshot.Body); err != nil {
 		return fmt.Errorf("write a snapshot: %w", err)
 	}
 	return nil
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/council.go
@@ -384,7 +384,7 @@
 			return
 		}
 		if out.Snapshot != nil && n.log.SyncedIndex() > n.log.SnapshotIndex() {
-			if err := n.log.Snap(n.log.SyncedIndex(), out.Snapshot.Body); err != nil {
+			if err := n.log.WriteSnapshot(n.log.SyncedIndex(), out.Snapshot.Body); err != nil {
 				w.Crash(n)
 				return
 			}
--- a/internal/wal/dir.go
+++ b/internal/wal/dir.go
@@ -23,7 +23,7 @@
 // osDir is the path of a directory.
 type osDir string
 
-func (d osDir) path(name string) string { return filepath.Join(string(d), name) }
+func (d osDir) filePath(name string) string { return filepath.Join(string(d), name) }
 
 // List implements FS.
 func (d osDir) List() ([]string, error) {
@@ -49,7 +49,7 @@
 }
 
 func (d osDir) openFile(name string, flags int) (File, error) {
-	f, err := os.OpenFile(d.path(name), flags, 0o600)
+	f, err := os.OpenFile(d.filePath(name), flags, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -58,11 +58,11 @@
 
 // Rename implements FS.
 func (d osDir) Rename(oldName, newName string) error {
-	return os.Rename(d.path(oldName), d.path(newName))
+	return os.Rename(d.filePath(oldName), d.filePath(newName))
 }
 
 // Remove implements FS.
-func (d osDir) Remove(name string) error { return os.Remove(d.path(name)) }
+func (d osDir) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
 // SyncDir implements FS.
 func (d osDir) SyncDir() error {
@@ -75,7 +75,7 @@
 
 // Lock implements FS. The operating system releases the lock when the process ends, whatever ends it.
 func (d osDir) Lock() (io.Closer, error) {
-	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(d.filePath(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", string(d), ErrLocked)
 		}
-		return nil, fmt.Errorf("%s: %w", d.path(lockName), err)
+		return nil, fmt.Errorf("%s: %w", d.filePath(lockName), err)
 	}
 	return f, nil
 }
--- a/internal/wal/dir_test.go
+++ b/internal/wal/dir_test.go
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(l.Sync(), l.Snap(l.SyncedIndex(), []byte(snapshotBody(l.SyncedIndex()))), l.Close()); err != nil {
+	if err := errors.Join(l.Sync(), l.WriteSnapshot(l.SyncedIndex(), []byte(snapshotBody(l.SyncedIndex()))), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	m.synced, m.snapshot = uint64(len(m.payloads)), uint64(len(m.payloads))
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(l.Sync(), l.Snap(1, []byte("state"))); err != nil {
+	if err := errors.Join(l.Sync(), l.WriteSnapshot(1, []byte("state"))); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := l.Append('u', []byte{0, 255}); err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -30,54 +30,54 @@
 	options Options
 	lock    io.Closer
 
-	segments    []uint64 // index of the first record of each, ascending
-	active      File     // the last segment
-	activeBytes int64    // size of the active segment, with what is buffered
-	buffer      []byte   // records appended and not yet written
-	next        uint64   // index of the next record
-	synced      uint64   // index of the last record that is durable
-	snapshot    uint64   // index of the last record that the snapshot stands for; 0: there is none
-	failed      error    // returned by every call; nil: the log works
+	segmentFirstIndexes []uint64 // index of the first record of each, ascending
+	activeSegment       File     // the last segment
+	activeBytes         int64    // size of the active segment, with what is buffered
+	buffer              []byte   // records appended and not yet written
+	nextIndex           uint64   // index of the next record
+	syncedIndex         uint64   // index of the last record that is durable
+	snapshotIndex       uint64   // index of the last record that the snapshot stands for; 0: there is none
+	failure             error    // returned by every call; nil: the log works
 }
 
 // NextIndex returns the index that the next record will have.
-func (l *Log) NextIndex() uint64 { return l.next }
+func (l *Log) NextIndex() uint64 { return l.nextIndex }
 
 // SyncedIndex returns the index of the last record that is durable; 0: none is.
-func (l *Log) SyncedIndex() uint64 { return l.synced }
+func (l *Log) SyncedIndex() uint64 { return l.syncedIndex }
 
 // SnapshotIndex returns the index of the last record that the snapshot stands for; 0: there is no snapshot.
-func (l *Log) SnapshotIndex() uint64 { return l.snapshot }
+func (l *Log) SnapshotIndex() uint64 { return l.snapshotIndex }
 
 // Append adds a record of at most MaxRecordBytes and returns its index. The record is durable when Sync has returned nil.
 func (l *Log) Append(recordType byte, payload []byte) (uint64, error) {
-	if l.failed != nil {
-		return 0, l.failed
+	if l.failure != nil {
+		return 0, l.failure
 	}
 	if len(payload) > MaxRecordBytes {
 		return 0, fmt.Errorf("a record of %d bytes, %d are the most", len(payload), MaxRecordBytes)
 	}
 	if l.activeBytes >= l.options.SegmentBytes {
 		if err := l.rotate(); err != nil {
-			return 0, l.fail(err)
+			return 0, l.setFailure(err)
 		}
 	}
 	before := len(l.buffer)
-	l.buffer = appendRecord(l.buffer, Record{l.next, recordType, payload}, l.synced)
+	l.buffer = appendRecord(l.buffer, Record{l.nextIndex, recordType, payload}, l.syncedIndex)
 	l.activeBytes += int64(len(l.buffer) - before)
-	l.next++
+	l.nextIndex++
 	if len(l.buffer) >= maxBufferBytes {
 		if err := l.flush(); err != nil {
 			return 0, err
 		}
 	}
-	return l.next - 1, nil
+	return l.nextIndex - 1, nil
 }
 
 // flush writes the buffer to the active segment.
 func (l *Log) flush() error {
-	if _, err := l.active.Write(l.buffer); err != nil {
-		return l.fail(err)
+	if _, err := l.activeSegment.Write(l.buffer); err != nil {
+		return l.setFailure(err)
 	}
 	l.buffer = l.buffer[:0]
 	return nil
@@ -85,33 +85,33 @@
 
 // Sync makes all records appended so far durable, with one write and one sync for all of them.
 func (l *Log) Sync() error {
-	if l.failed != nil {
-		return l.failed
+	if l.failure != nil {
+		return l.failure
 	}
-	if l.synced == l.next-1 {
+	if l.syncedIndex == l.nextIndex-1 {
 		return nil
 	}
 	if err := l.flush(); err != nil {
 		return err
 	}
-	if err := l.active.Sync(); err != nil {
-		return l.fail(err)
+	if err := l.activeSegment.Sync(); err != nil {
+		return l.setFailure(err)
 	}
-	l.synced = l.next - 1
+	l.syncedIndex = l.nextIndex - 1
 	return nil
 }
 
-// fail makes err the result of every later call, and returns it.
-func (l *Log) fail(err error) error {
-	l.failed = fmt.Errorf("the log has failed: %w", err)
-	return l.failed
+// setFailure makes err the result of every later call, and returns it.
+func (l *Log) setFailure(err error) error {
+	l.failure = fmt.Errorf("the log has failed: %w", err)
+	return l.failure
 }
 
 // Close closes the log. Records that were not synced may be lost.
 func (l *Log) Close() error {
-	err := l.active.Close()
-	if l.failed == nil {
-		l.failed = errors.New("the log is closed")
+	err := l.activeSegment.Close()
+	if l.failure == nil {
+		l.failure = errors.New("the log is closed")
 	}
 	return errors.Join(err, l.lock.Close())
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -85,7 +85,7 @@
 		return err
 	default:
 		at := l.SnapshotIndex() + 1 + rng.Uint64N(l.SyncedIndex()-l.SnapshotIndex())
-		err := l.Snap(at, []byte(snapshotBody(at)))
+		err := l.WriteSnapshot(at, []byte(snapshotBody(at)))
 		if err == nil {
 			m.snapshot = at
 		}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -12,12 +12,12 @@
 
 // A record's fields, as offsets in bytes (docs/wal-format.md). Numbers are little-endian.
 const (
-	recordChecksumAt  = 0 // of all that follows
-	recordLengthAt    = 4 // of the payload
-	recordTypeAt      = 8
-	recordIndexAt     = 9
-	recordSyncedAt    = 17 // index of the last record that was durable when this one was appended
-	recordHeaderBytes = 25
+	recordChecksumOffset    = 0 // of all that follows
+	recordLengthOffset      = 4 // of the payload
+	recordTypeOffset        = 8
+	recordIndexOffset       = 9
+	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
+	recordHeaderBytes       = 25
 )
 
 var crc32c = crc32.MakeTable(crc32.Castagnoli)
@@ -37,25 +37,25 @@
 	b = append(b, make([]byte, recordHeaderBytes)...)
 	b = append(b, r.Payload...)
 	encoded := b[start:]
-	binary.LittleEndian.PutUint32(encoded[recordLengthAt:], uint32(len(r.Payload)))
-	encoded[recordTypeAt] = r.Type
-	binary.LittleEndian.PutUint64(encoded[recordIndexAt:], r.Index)
-	binary.LittleEndian.PutUint64(encoded[recordSyncedAt:], synced)
-	binary.LittleEndian.PutUint32(encoded[recordChecksumAt:], checksum(encoded[recordLengthAt:]))
+	binary.LittleEndian.PutUint32(encoded[recordLengthOffset:], uint32(len(r.Payload)))
+	encoded[recordTypeOffset] = r.Type
+	binary.LittleEndian.PutUint64(encoded[recordIndexOffset:], r.Index)
+	binary.LittleEndian.PutUint64(encoded[recordSyncedIndexOffset:], synced)
+	binary.LittleEndian.PutUint32(encoded[recordChecksumOffset:], checksum(encoded[recordLengthOffset:]))
 	return b
 }
 
 // decodedRecord is a record as it is in a segment.
 type decodedRecord struct {
-	Record        // its payload is a part of the bytes it was decoded from
-	synced uint64 // index of the last record that was durable when this one was appended
-	size   int    // in bytes, with the header
+	Record              // its payload is a part of the bytes it was decoded from
+	syncedIndex  uint64 // index of the last record that was durable when this one was appended
+	encodedBytes int    // in bytes, with the header
 }
 
 // Why a record cannot be decoded.
 var (
 	errRecordHeaderTruncated = errors.New("a record's header is truncated")
-	errRecordTooLong         = errors.New("a record's length is over the bound")
+	errRecordExceedsMaximum  = errors.New("a record's length is over the bound")
 	errRecordTruncated       = errors.New("a record is truncated")
 	errRecordChecksum        = errors.New("a record's checksum is wrong")
 )
@@ -65,23 +65,23 @@
 	if len(b) < recordHeaderBytes {
 		return decodedRecord{}, errRecordHeaderTruncated
 	}
-	length := binary.LittleEndian.Uint32(b[recordLengthAt:])
+	length := binary.LittleEndian.Uint32(b[recordLengthOffset:])
 	if length > MaxRecordBytes {
-		return decodedRecord{}, errRecordTooLong
+		return decodedRecord{}, errRecordExceedsMaximum
 	}
 	size := recordHeaderBytes + int(length)
 	if len(b) < size {
 		return decodedRecord{}, errRecordTruncated
 	}
-	if checksum(b[recordLengthAt:size]) != binary.LittleEndian.Uint32(b[recordChecksumAt:]) {
+	if checksum(b[recordLengthOffset:size]) != binary.LittleEndian.Uint32(b[recordChecksumOffset:]) {
 		return decodedRecord{}, errRecordChecksum
 	}
-	if got := binary.LittleEndian.Uint64(b[recordIndexAt:]); got != index {
+	if got := binary.LittleEndian.Uint64(b[recordIndexOffset:]); got != index {
 		return decodedRecord{}, fmt.Errorf("record %d found, record %d expected", got, index)
 	}
 	return decodedRecord{
-		Record: Record{Index: index, Type: b[recordTypeAt], Payload: b[recordHeaderBytes:size:size]},
-		synced: binary.LittleEndian.Uint64(b[recordSyncedAt:]),
-		size:   size,
+		Record:       Record{Index: index, Type: b[recordTypeOffset], Payload: b[recordHeaderBytes:size:size]},
+		syncedIndex:  binary.LittleEndian.Uint64(b[recordSyncedIndexOffset:]),
+		encodedBytes: size,
 	}, nil
 }
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, options: o, lock: lock, next: 1}
+	l := &Log{fs: fs, options: o, lock: lock, nextIndex: 1}
 	r := recovery{Log: l, restore: restore, replay: replay}
-	if err := r.run(); err != nil {
-		if l.active != nil {
-			err = errors.Join(err, l.active.Close())
+	if err := r.recoverLog(); err != nil {
+		if l.activeSegment != nil {
+			err = errors.Join(err, l.activeSegment.Close())
 		}
 		return nil, errors.Join(err, lock.Close())
 	}
@@ -57,10 +57,10 @@
 	replay  func(Record) error
 	// lastSegmentNext is the index after the last record of the segment that was read last. It is less than next where the snapshot
 	// stands for records that the segment has lost.
-	lastSegmentNext uint64
+	nextIndexInLastSegment uint64
 }
 
-func (r *recovery) run() error {
+func (r *recovery) recoverLog() error {
 	names, err := r.fs.List()
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	var snapshots []uint64
 	for _, name := range names {
 		if first, ok := parseFileName(name, segmentSuffix); ok {
-			r.segments = append(r.segments, first)
+			r.segmentFirstIndexes = append(r.segmentFirstIndexes, first)
 		} else if index, ok := parseFileName(name, snapshotSuffix); ok {
 			snapshots = append(snapshots, index)
 		} else if strings.HasSuffix(name, TempSuffix) { // a snapshot that was not completed
@@ -77,139 +77,139 @@
 			}
 		}
 	}
-	slices.Sort(r.segments)
+	slices.Sort(r.segmentFirstIndexes)
 	if len(snapshots) > 0 {
-		r.snapshot = slices.Max(snapshots)
+		r.snapshotIndex = slices.Max(snapshots)
 		if err := r.readSnapshot(r.restore); err != nil {
 			return err
 		}
-		r.next = r.snapshot + 1
+		r.nextIndex = r.snapshotIndex + 1
 	}
 	if err := r.replaySegments(); err != nil {
 		return err
 	}
-	if err := r.removeObsolete(); err != nil {
+	if err := r.removeObsoleteFiles(); err != nil {
 		return err
 	}
-	if r.active == nil {
-		return r.createSegment(r.next)
+	if r.activeSegment == nil {
+		return r.createSegment(r.nextIndex)
 	}
 	return nil
 }
 
-// errNotBegun is returned for a last segment whose header is incomplete: a crash came before a record was written to it.
-var errNotBegun = errors.New("the segment has no header")
+// errIncompleteHeader is returned for a last segment whose header is incomplete: a crash came before a record was written to it.
+var errIncompleteHeader = errors.New("the segment has no header")
 
 // replaySegments replays all records after the snapshot, and makes the last segment the active one.
 func (r *recovery) replaySegments() error {
 	// A crash after a snapshot was written may leave segments that it stands for. All but the last of them are skipped.
-	for len(r.segments) > 1 && r.segments[1] <= r.next {
-		r.segments = r.segments[1:]
+	for len(r.segmentFirstIndexes) > 1 && r.segmentFirstIndexes[1] <= r.nextIndex {
+		r.segmentFirstIndexes = r.segmentFirstIndexes[1:]
 	}
-	for i, first := range r.segments {
+	for i, first := range r.segmentFirstIndexes {
 		f, content, err := r.openAndRead(segmentName(first))
 		if err != nil {
 			return err
 		}
-		s := segmentContent{name: segmentName(first), first: first, bytes: content, isFirst: i == 0, isLast: i == len(r.segments)-1}
+		s := segmentFile{fileName: segmentName(first), firstIndex: first, content: content, isFirst: i == 0, isLast: i == len(r.segmentFirstIndexes)-1}
 		end, err := r.replaySegment(s)
 		switch {
-		case errors.Is(err, errNotBegun):
-			return r.dropLastSegment(f)
+		case errors.Is(err, errIncompleteHeader):
+			return r.removeLastSegment(f)
 		case err != nil:
 			return errors.Join(err, f.Close())
 		case !s.isLast:
 			err = f.Close()
 		default:
-			err = r.activate(f, s, end)
+			err = r.activateLastSegment(f, s, end)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	r.synced = r.next - 1
-	if r.active != nil && r.lastSegmentNext < r.next {
+	r.syncedIndex = r.nextIndex - 1
+	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex {
 		return r.rotate()
 	}
 	return nil
 }
 
-// activate makes the last segment the active one, and truncates it to end, where its last complete record ends.
-func (r *recovery) activate(f File, s segmentContent, end int64) error {
-	r.active, r.activeBytes = f, end
-	if end == int64(len(s.bytes)) {
+// activateLastSegment makes the last segment the active one, and truncates it to end, where its last complete record ends.
+func (r *recovery) activateLastSegment(f File, s segmentFile, end int64) error {
+	r.activeSegment, r.activeBytes = f, end
+	if end == int64(len(s.content)) {
 		return nil
 	}
-	r.options.OnRepair(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.name, end, len(s.bytes)))
+	r.options.OnRepair(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.fileName, end, len(s.content)))
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
-// dropLastSegment removes the last segment, in which no record was durable, and makes the one before it the active one.
-func (r *recovery) dropLastSegment(f File) error {
-	last := len(r.segments) - 1
-	name := segmentName(r.segments[last])
-	r.segments = r.segments[:last]
+// removeLastSegment removes the last segment, in which no record was durable, and makes the one before it the active one.
+func (r *recovery) removeLastSegment(f File) error {
+	last := len(r.segmentFirstIndexes) - 1
+	name := segmentName(r.segmentFirstIndexes[last])
+	r.segmentFirstIndexes = r.segmentFirstIndexes[:last]
 	r.options.OnRepair(fmt.Sprintf("%s: its header is incomplete, removed", name))
 	if err := errors.Join(f.Close(), r.fs.Remove(name)); err != nil {
 		return err
 	}
-	r.synced = r.next - 1
+	r.syncedIndex = r.nextIndex - 1
 	if last == 0 {
 		return nil
 	}
-	f, err := r.fs.Open(segmentName(r.segments[last-1])) // it was closed after it was replayed
+	f, err := r.fs.Open(segmentName(r.segmentFirstIndexes[last-1])) // it was closed after it was replayed
 	if err != nil {
 		return err
 	}
-	r.active = f
+	r.activeSegment = f
 	r.activeBytes, err = f.Size()
 	return err
 }
 
-// segmentContent is a segment as it was read.
-type segmentContent struct {
-	name            string
-	first           uint64 // index of its first record
-	bytes           []byte
+// segmentFile is a segment as it was read.
+type segmentFile struct {
+	fileName        string
+	firstIndex      uint64 // index of its first record
+	content         []byte
 	isFirst, isLast bool // among the segments that are replayed
 }
 
 // replaySegment replays a segment's records after the snapshot, and returns the offset at which its last complete record ends.
-func (r *recovery) replaySegment(s segmentContent) (end int64, err error) {
-	if err := checkFileHeader(s.bytes, segmentMagic, s.first); err != nil {
-		if s.isLast && len(s.bytes) <= fileHeaderBytes {
-			return 0, errNotBegun
+func (r *recovery) replaySegment(s segmentFile) (end int64, err error) {
+	if err := checkFileHeader(s.content, segmentMagic, s.firstIndex); err != nil {
+		if s.isLast && len(s.content) <= fileHeaderBytes {
+			return 0, errIncompleteHeader
 		}
-		return 0, &CorruptionError{s.name, 0, err}
+		return 0, &CorruptionError{s.fileName, 0, err}
 	}
-	if s.first > r.next || !s.isFirst && s.first != r.next {
-		return 0, &CorruptionError{s.name, fileIndexAt, fmt.Errorf("records %d to %d are missing before it", r.next, s.first-1)}
+	if s.firstIndex > r.nextIndex || !s.isFirst && s.firstIndex != r.nextIndex {
+		return 0, &CorruptionError{s.fileName, fileIndexOffset, fmt.Errorf("records %d to %d are missing before it", r.nextIndex, s.firstIndex-1)}
 	}
 	end = fileHeaderBytes
-	index := s.first
-	defer func() { r.lastSegmentNext = index }()
-	for end < int64(len(s.bytes)) {
-		record, err := decodeRecord(s.bytes[end:], index)
+	index := s.firstIndex
+	defer func() { r.nextIndexInLastSegment = index }()
+	for end < int64(len(s.content)) {
+		record, err := decodeRecord(s.content[end:], index)
 		if err != nil {
 			if !s.isLast {
-				return 0, &CorruptionError{s.name, end, err}
+				return 0, &CorruptionError{s.fileName, end, err}
 			}
-			if hasRecordAfterSync(s.bytes[end:], index) {
-				return 0, &CorruptionError{s.name, end, fmt.Errorf("%w, and later records were written after it was synced", err)}
+			if hasRecordAfterSync(s.content[end:], index) {
+				return 0, &CorruptionError{s.fileName, end, fmt.Errorf("%w, and later records were written after it was synced", err)}
 			}
 			break
 		}
-		if index >= r.next {
+		if index >= r.nextIndex {
 			if err := r.replay(record.Record); err != nil {
-				return 0, fmt.Errorf("%s at byte %d: record %d: %w", s.name, end, index, err)
+				return 0, fmt.Errorf("%s at byte %d: record %d: %w", s.fileName, end, index, err)
 			}
-			r.next = index + 1
+			r.nextIndex = index + 1
 		}
-		end += int64(record.size)
+		end += int64(record.encodedBytes)
 		index++
 	}
-	if !s.isLast && index < r.next {
-		return 0, &CorruptionError{s.name, end, errors.New("the segment ends early")}
+	if !s.isLast && index < r.nextIndex {
+		return 0, &CorruptionError{s.fileName, end, errors.New("the segment ends early")}
 	}
 	return end, nil
 }
@@ -218,11 +218,11 @@
 // record at index is damaged, and not torn by a crash.
 func hasRecordAfterSync(b []byte, index uint64) bool {
 	for at := 1; at+recordHeaderBytes <= len(b); at++ {
-		claimed := binary.LittleEndian.Uint64(b[at+recordIndexAt:])
+		claimed := binary.LittleEndian.Uint64(b[at+recordIndexOffset:])
 		if claimed <= index || claimed > index+uint64(len(b)/recordHeaderBytes) {
 			continue
 		}
-		if record, err := decodeRecord(b[at:], claimed); err == nil && record.synced >= index {
+		if record, err := decodeRecord(b[at:], claimed); err == nil && record.syncedIndex >= index {
 			return true
 		}
 	}
--- a/internal/wal/recovery_test.go
+++ b/internal/wal/recovery_test.go
@@ -31,7 +31,7 @@
 			}
 		}
 		if i == 17 {
-			if err := l.Snap(15, []byte(snapshotBody(15))); err != nil {
+			if err := l.WriteSnapshot(15, []byte(snapshotBody(15))); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -20,11 +20,11 @@
 	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP"
 	formatVersion               = 1
 
-	fileVersionAt   = 8
-	fileIndexAt     = 16
-	fileChecksumAt  = 24 // of all that precedes it
-	fileReservedAt  = 28
-	fileHeaderBytes = 32
+	fileVersionOffset  = 8
+	fileIndexOffset    = 16
+	fileChecksumOffset = 24 // of all that precedes it
+	fileReservedOffset = 28
+	fileHeaderBytes    = 32
 )
 
 func segmentName(first uint64) string { return fileName(first, segmentSuffix) }
@@ -46,9 +46,9 @@
 func encodeFileHeader(magic string, index uint64) []byte {
 	b := make([]byte, fileHeaderBytes)
 	copy(b, magic)
-	binary.LittleEndian.PutUint32(b[fileVersionAt:], formatVersion)
-	binary.LittleEndian.PutUint64(b[fileIndexAt:], index)
-	binary.LittleEndian.PutUint32(b[fileChecksumAt:], checksum(b[:fileChecksumAt]))
+	binary.LittleEndian.PutUint32(b[fileVersionOffset:], formatVersion)
+	binary.LittleEndian.PutUint64(b[fileIndexOffset:], index)
+	binary.LittleEndian.PutUint32(b[fileChecksumOffset:], checksum(b[:fileChecksumOffset]))
 	return b
 }
 
@@ -57,15 +57,15 @@
 	if len(b) < fileHeaderBytes {
 		return errors.New("the header is truncated")
 	}
-	version := binary.LittleEndian.Uint32(b[fileVersionAt:])
+	version := binary.LittleEndian.Uint32(b[fileVersionOffset:])
 	switch {
-	case checksum(b[:fileChecksumAt]) != binary.LittleEndian.Uint32(b[fileChecksumAt:]) || binary.LittleEndian.Uint32(b[fileReservedAt:]) != 0:
+	case checksum(b[:fileChecksumOffset]) != binary.LittleEndian.Uint32(b[fileChecksumOffset:]) || binary.LittleEndian.Uint32(b[fileReservedOffset:]) != 0:
 		return errors.New("the header is damaged")
 	case string(b[:len(magic)]) != magic:
 		return errors.New("the file is not a log's")
 	case version != formatVersion:
 		return fmt.Errorf("format version %d is unknown", version)
-	case binary.LittleEndian.Uint64(b[fileIndexAt:]) != index:
+	case binary.LittleEndian.Uint64(b[fileIndexOffset:]) != index:
 		return errors.New("the header has another index than the file's name")
 	}
 	return nil
@@ -76,10 +76,10 @@
 	if err := l.Sync(); err != nil {
 		return err
 	}
-	if err := l.active.Close(); err != nil {
+	if err := l.activeSegment.Close(); err != nil {
 		return err
 	}
-	return l.createSegment(l.next)
+	return l.createSegment(l.nextIndex)
 }
 
 // createSegment begins a segment with the record at first, and makes it the active one. It is durable before a record is written to
@@ -89,13 +89,13 @@
 	if err != nil {
 		return err
 	}
-	l.active = f
+	l.activeSegment = f
 	if _, err := f.Write(encodeFileHeader(segmentMagic, first)); err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil {
 		return err
 	}
-	l.segments, l.activeBytes = append(l.segments, first), fileHeaderBytes
+	l.segmentFirstIndexes, l.activeBytes = append(l.segmentFirstIndexes, first), fileHeaderBytes
 	return l.fs.SyncDir()
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -13,44 +13,44 @@
 
 // The trailer of a snapshot, as offsets in bytes (docs/wal-format.md). Numbers are little-endian.
 const (
-	trailerLengthAt       = 0  // of the body
-	trailerBodyChecksumAt = 8  // of the body
-	trailerChecksumAt     = 12 // of the trailer's fields that precede it
-	snapshotTrailerBytes  = 16
+	trailerLengthOffset       = 0  // of the body
+	trailerBodyChecksumOffset = 8  // of the body
+	trailerChecksumOffset     = 12 // of the trailer's fields that precede it
+	snapshotTrailerBytes      = 16
 )
 
-// Snap writes a snapshot of at most MaxSnapshotBytes that stands for all records up to index, which must be synced, and removes the
+// WriteSnapshot writes a snapshot of at most MaxSnapshotBytes that stands for all records up to index, which must be synced, and removes the
 // files that it stands for. When it returns nil the snapshot is durable; otherwise the one before is, or this one.
-func (l *Log) Snap(index uint64, body []byte) error {
+func (l *Log) WriteSnapshot(index uint64, body []byte) error {
 	switch {
-	case l.failed != nil:
-		return l.failed
-	case index > l.synced || index <= l.snapshot:
-		return fmt.Errorf("a snapshot at %d: records are synced up to %d, and there is one at %d", index, l.synced, l.snapshot)
+	case l.failure != nil:
+		return l.failure
+	case index > l.syncedIndex || index <= l.snapshotIndex:
+		return fmt.Errorf("a snapshot at %d: records are synced up to %d, and there is one at %d", index, l.syncedIndex, l.snapshotIndex)
 	case len(body) > MaxSnapshotBytes:
 		return fmt.Errorf("a snapshot of %d bytes, %d are the most", len(body), MaxSnapshotBytes)
 	}
-	if err := l.writeSnapshot(index, body); err != nil {
-		return l.fail(err)
+	if err := l.writeSnapshotFile(index, body); err != nil {
+		return l.setFailure(err)
 	}
-	l.snapshot = index
-	if err := l.removeObsolete(); err != nil {
-		return l.fail(err)
+	l.snapshotIndex = index
+	if err := l.removeObsoleteFiles(); err != nil {
+		return l.setFailure(err)
 	}
 	return nil
 }
 
-func (l *Log) writeSnapshot(index uint64, body []byte) error {
+func (l *Log) writeSnapshotFile(index uint64, body []byte) error {
 	var trailer [snapshotTrailerBytes]byte
-	binary.LittleEndian.PutUint64(trailer[trailerLengthAt:], uint64(len(body)))
-	binary.LittleEndian.PutUint32(trailer[trailerBodyChecksumAt:], checksum(body))
-	binary.LittleEndian.PutUint32(trailer[trailerChecksumAt:], checksum(trailer[:trailerChecksumAt]))
+	binary.LittleEndian.PutUint64(trailer[trailerLengthOffset:], uint64(len(body)))
+	binary.LittleEndian.PutUint32(trailer[trailerBodyChecksumOffset:], checksum(body))
+	binary.LittleEndian.PutUint32(trailer[trailerChecksumOffset:], checksum(trailer[:trailerChecksumOffset]))
 	return ReplaceFile(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
 }
 
 // readSnapshot passes the body of the snapshot at l.snapshot to restore.
 func (l *Log) readSnapshot(restore func(uint64, io.Reader) error) error {
-	name := snapshotName(l.snapshot)
+	name := snapshotName(l.snapshotIndex)
 	f, b, err := l.openAndRead(name)
 	if err != nil {
 		return err
@@ -58,27 +58,27 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if err := checkFileHeader(b, snapshotMagic, l.snapshot); err != nil {
+	if err := checkFileHeader(b, snapshotMagic, l.snapshotIndex); err != nil {
 		return &CorruptionError{name, 0, err}
 	}
 	if len(b) < fileHeaderBytes+snapshotTrailerBytes {
 		return &CorruptionError{name, int64(len(b)), errors.New("the snapshot is truncated")}
 	}
 	body, trailer := b[fileHeaderBytes:len(b)-snapshotTrailerBytes], b[len(b)-snapshotTrailerBytes:]
-	if checksum(trailer[:trailerChecksumAt]) != binary.LittleEndian.Uint32(trailer[trailerChecksumAt:]) ||
-		binary.LittleEndian.Uint64(trailer[trailerLengthAt:]) != uint64(len(body)) ||
-		checksum(body) != binary.LittleEndian.Uint32(trailer[trailerBodyChecksumAt:]) {
+	if checksum(trailer[:trailerChecksumOffset]) != binary.LittleEndian.Uint32(trailer[trailerChecksumOffset:]) ||
+		binary.LittleEndian.Uint64(trailer[trailerLengthOffset:]) != uint64(len(body)) ||
+		checksum(body) != binary.LittleEndian.Uint32(trailer[trailerBodyChecksumOffset:]) {
 		return &CorruptionError{name, fileHeaderBytes, errors.New("the snapshot's checksum is wrong")}
 	}
-	if err := restore(l.snapshot, bytes.NewReader(body)); err != nil {
+	if err := restore(l.snapshotIndex, bytes.NewReader(body)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
 }
 
-// removeObsolete removes older snapshots, and the segments whose records the snapshot stands for. The active segment stays.
-func (l *Log) removeObsolete() error {
-	if l.snapshot == 0 {
+// removeObsoleteFiles removes older snapshots, and the segments whose records the snapshot stands for. The active segment stays.
+func (l *Log) removeObsoleteFiles() error {
+	if l.snapshotIndex == 0 {
 		return nil
 	}
 	names, err := l.fs.List()
@@ -86,22 +86,22 @@
 		return err
 	}
 	firstKept := uint64(0) // the segment of the first record after the snapshot
-	for _, first := range l.segments {
-		if first <= l.snapshot+1 {
+	for _, first := range l.segmentFirstIndexes {
+		if first <= l.snapshotIndex+1 {
 			firstKept = first
 		}
 	}
 	for _, name := range names {
 		first, isSegment := parseFileName(name, segmentSuffix)
 		index, isSnapshot := parseFileName(name, snapshotSuffix)
-		if isSegment && first < firstKept || isSnapshot && index < l.snapshot {
+		if isSegment && first < firstKept || isSnapshot && index < l.snapshotIndex {
 			if err := l.fs.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
-	for len(l.segments) > 0 && l.segments[0] < firstKept {
-		l.segments = l.segments[1:]
+	for len(l.segmentFirstIndexes) > 0 && l.segmentFirstIndexes[0] < firstKept {
+		l.segmentFirstIndexes = l.segmentFirstIndexes[1:]
 	}
 	return nil
 }
