--- a/internal/hotrestart/descriptors.go
+++ b/internal/hotrestart/descriptors.go
@@ -1,22 +1,25 @@
 package hotrestart
 
 const (
-	// reservedDescriptors of the common limit are used by no process: the others may open as many between two polls.
+	// reservedDescriptors is how many descriptors of the common limit no process may plan to use: the other processes can
+	// open that many between two polls without the limit being exceeded.
 	reservedDescriptors = 16
-	// startupDescriptors are left to a process that has only just started.
+	// startupDescriptors is how many descriptors the others are assumed to use at least: a process that has only just
+	// started needs as many, even if it has reported fewer.
 	startupDescriptors = 48
-	// drainingLimitDivisor is the part of the limit that a superseded process may use, whatever the newer ones need.
-	drainingLimitDivisor = 4
+	// supersededLimitDivisor divides the common limit: a superseded process may use at least limit/supersededLimitDivisor,
+	// however many descriptors the newer processes need, as long as that many are free.
+	supersededLimitDivisor = 4
 )
 
-// DescriptorLimit returns how many descriptors a process may use of a limit that all processes of a sidecar have in common.
-// v is its view, othersUse how many descriptors the others reported together.
+// DescriptorLimit returns how many file descriptors a process may use of a limit that all processes of a sidecar have in
+// common. v is the process's view of the others, and othersUse is the total that the others reported.
 func DescriptorLimit(limit int, v View, othersUse int) int {
 	switch {
 	case len(v.Others) == 0:
 		return limit
-	case v.Superseded: // the more the newer ones need, the fewer idle connections it keeps
-		return min(limit-othersUse-reservedDescriptors, max(limit/drainingLimitDivisor, limit-2*(othersUse+reservedDescriptors)))
+	case v.Superseded: // gives up two descriptors for each that the others use, so that it keeps fewer idle connections
+		return min(limit-othersUse-reservedDescriptors, max(limit/supersededLimitDivisor, limit-2*(othersUse+reservedDescriptors)))
 	}
 	return limit - max(othersUse, startupDescriptors) - reservedDescriptors
 }
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -1,15 +1,18 @@
-// Package hotrestart lets one process of a sidecar replace another under load. The processes inherit one listening socket,
-// agree on which of them serves, and share what operators ejected. They do so through files in a directory, and know
-// nothing else of one another.
+// Package hotrestart lets a new process of a sidecar replace a running one under load. The processes inherit one listening
+// socket, agree on which of them accepts connections, and share the manual ejections of endpoints. They communicate only
+// through files in a shared directory.
 //
-// What a process concludes from the shared state is decided by State, View, Lifecycle and DescriptorLimit, which are pure:
-// they have no I/O and no clock. Directory reads and writes the files. The package starts no goroutine; its user calls
-// Directory.Poll every PollInterval and feeds the result to a Lifecycle.
+// State, View, Lifecycle and DescriptorLimit decide what a process concludes from the shared state. They are pure: they have
+// no I/O and read no clock. Directory reads and writes the files. The package starts no goroutine; its user calls
+// Directory.Poll every PollInterval and passes the result to a Lifecycle.
 //
-// The files are shared with processes of older and newer builds, so their names and formats are fixed. For a sidecar NAME
-// they are: tuliprock-NAME.state, a State in JSON that is replaced as a whole; tuliprock-NAME.lock, locked for each change
-// of it; tuliprock-NAME.N.live, locked for as long as process N lives, which holds the number of its descriptors; and
-// tuliprock-NAME.state.bad, the latest state that could not be parsed.
+// Processes of older and newer builds use the same files, so the names and formats are fixed. The files of a sidecar with
+// the name NAME are:
+//
+//   - tuliprock-NAME.state: a State in JSON, which is always replaced as a whole by a rename.
+//   - tuliprock-NAME.lock: locked during each change of the state.
+//   - tuliprock-NAME.N.live: locked as long as process number N lives. It holds how many descriptors the process uses.
+//   - tuliprock-NAME.state.bad: the latest state that could not be parsed.
 package hotrestart
 
 import (
@@ -29,44 +32,47 @@
 )
 
 const (
-	// PollInterval is how often a process reads what the others have written. An operator's call must bind all processes
-	// within 1 s.
+	// PollInterval is how often a process reads what the others have written. It must be short enough for a manual ejection
+	// to take effect in all processes within 1 s.
 	PollInterval = 100 * time.Millisecond
-	// KeepReportedDescriptors makes Poll leave the number of descriptors as this process last reported it.
+	// KeepReportedDescriptors is passed to Poll to leave unchanged the descriptor count that this process last reported.
 	KeepReportedDescriptors = -1
 
-	// lockTimeout bounds the wait for the lock. It is held for one read and one write: a process that holds it for longer
-	// has been stopped.
-	lockTimeout       = 500 * time.Millisecond
+	// lockTimeout bounds the wait for the lock on the state. A process holds the lock for one read and one write only, so
+	// one that holds it for longer has been stopped.
+	lockTimeout = 500 * time.Millisecond
+	// lockRetryInterval is the pause between two attempts to take the lock.
 	lockRetryInterval = 2 * time.Millisecond
 
-	// readErrorLogInterval is the least time between log lines about a state that can't be read.
+	// readErrorLogInterval is the minimum time between two log lines about a state that can't be read.
 	readErrorLogInterval = 10 * time.Second
-	maxFileNameBytes     = 64 // of a sidecar's name within the files' names
+	// maxNamePartBytes is how many bytes of a sidecar's name are used in file names.
+	maxNamePartBytes = 64
 )
 
 // Directory is this process's access to the directory that all processes of a sidecar share. Its methods may be called
 // concurrently.
 type Directory struct {
-	pathPrefix string // of all files
-	name       string // the sidecar's
-	log        *slog.Logger
-	number     int      // this process's
-	liveFile   *os.File // its lock proves that this process lives
-
-	mu                  sync.Mutex // guards what follows
-	lastState           State
-	lastStateInfo       os.FileInfo // of the file that lastState was read from; nil before the first one
-	reportedDescriptors int
-	readErrorLoggedAt   time.Time
+	pathPrefix    string // common beginning of the paths of all the sidecar's files
+	sidecarName   string // name that all processes of the sidecar were started with
+	logger        *slog.Logger
+	processNumber int      // number that Join assigned to this process
+	liveFile      *os.File // open file whose lock proves to other processes that this one lives
+
+	mu                   sync.Mutex  // guards the fields below
+	lastState            State       // state that was read last
+	lastStateFileInfo    os.FileInfo // identity and modification time of the file that lastState was read from; nil until a state is read
+	reportedDescriptors  int         // descriptor count that this process last wrote to its live file
+	lastReadErrorLogTime time.Time   // when an unreadable state was last logged
 }
 
-// Join adds this process, as the newest one, to the sidecar called name whose files are in dir. A state that can't be parsed
-// is logged, set aside and replaced by an empty one. An error means that the directory can't be used at all.
+// Join adds this process, as the newest one, to the sidecar called name, whose files are in dir. If the existing state can't
+// be parsed, Join logs that, renames the file to end in .bad, and starts from an empty state. An error means that the
+// directory can't be used at all.
 func Join(dir, name string, log *slog.Logger) (*Directory, error) {
-	d := &Directory{pathPrefix: filepath.Join(dir, "tuliprock-"+fileNameOf(name)), name: name, log: log}
+	d := &Directory{pathPrefix: filepath.Join(dir, "tuliprock-"+fileNamePart(name)), sidecarName: name, logger: log}
 	err := d.updateState(func(s *State) error {
-		d.number = s.addProcess(d.isAlive)
+		d.processNumber = s.addProcess(d.isProcessAlive)
 		return d.createLiveFile()
 	})
 	if err != nil {
@@ -78,76 +84,81 @@
 	return d, nil
 }
 
-// Number returns this process's number, which is greater than those of all processes that joined before.
-func (d *Directory) Number() int { return d.number }
+// Number returns the number of this process, which is greater than the numbers of all processes that joined earlier.
+func (d *Directory) Number() int { return d.processNumber }
 
-// Close leaves the directory: the other processes take this one for dead. No method may be called after it.
+// Close removes and unlocks the live file, so that the other processes consider this one dead. No method may be called after
+// Close.
 func (d *Directory) Close() error {
 	return errors.Join(os.Remove(d.liveFile.Name()), d.liveFile.Close())
 }
 
-// SetReady records whether this process accepts connections. The others see it when it returns nil.
+// SetReady records whether this process accepts connections. Once SetReady has returned nil, the other processes see the
+// change with their next poll.
 func (d *Directory) SetReady(isReady bool) error {
 	return d.updateState(func(s *State) error {
-		s.setReady(d.number, isReady)
+		s.setReady(d.processNumber, isReady)
 		return nil
 	})
 }
 
-// RecordEjection records that an operator ejected an endpoint at an instant, or returned it if isEjected is false. The other
-// processes see it when it returns nil. The error is ErrTooManyEjections when MaxEjections endpoints are ejected already.
+// RecordEjection records that an operator ejected the endpoint id at the time at, or restored it if isEjected is false. Once
+// RecordEjection has returned nil, the other processes see the change with their next poll. The error is ErrTooManyEjections
+// if MaxEjections endpoints are ejected already.
 func (d *Directory) RecordEjection(id string, isEjected bool, at time.Time) error {
 	return d.updateState(func(s *State) error {
 		return s.recordEjection(Ejection{ID: id, Ejected: isEjected, AtMs: at.UnixMilli()})
 	})
 }
 
-// Poll returns the latest state that could be read, this process's view of it, and how many descriptors the other living
-// processes use together. used is how many this one uses, which the others then see; KeepReportedDescriptors leaves that as it was.
-func (d *Directory) Poll(used int) (s State, v View, others int) {
+// Poll returns the latest state that could be read, this process's view of it, and the total number of descriptors that the
+// other live processes report. It reports to them that this process uses ownDescriptors, or leaves the last report unchanged
+// if that is KeepReportedDescriptors.
+func (d *Directory) Poll(ownDescriptors int) (s State, v View, othersDescriptors int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reportDescriptors(used)
-	if err := d.refreshState(); err != nil && time.Since(d.readErrorLoggedAt) > readErrorLogInterval {
-		d.readErrorLoggedAt = time.Now()
-		d.log.Error("hot restart state can't be read", "error", err) // the next process that changes it sets it aside
+	d.reportDescriptors(ownDescriptors)
+	if err := d.reloadChangedState(); err != nil && time.Since(d.lastReadErrorLogTime) > readErrorLogInterval {
+		d.lastReadErrorLogTime = time.Now()
+		d.logger.Error("hot restart state can't be read", "error", err) // the next process that changes the state sets the unreadable one aside
 	}
-	v = d.lastState.View(d.number, d.isAlive)
+	v = d.lastState.View(d.processNumber, d.isProcessAlive)
 	for _, number := range v.Others {
-		others += d.descriptorsOf(number)
+		othersDescriptors += d.reportedDescriptorsOf(number)
 	}
-	return d.lastState, v, others
+	return d.lastState, v, othersDescriptors
 }
 
-// refreshState reads the state if its file has been replaced since it was last read. If that fails, lastState stays. d.mu
-// must be held.
-func (d *Directory) refreshState() error {
+// reloadChangedState reads the state into lastState if the state file has been replaced since the last read. If reading or
+// parsing fails, lastState stays unchanged. d.mu must be held.
+func (d *Directory) reloadChangedState() error {
 	info, err := os.Stat(d.statePath())
-	if err != nil { // no process has written it, or it has just been set aside
+	if err != nil { // no process has written a state, or one has just set it aside and not replaced it yet
 		return nil
 	}
-	if d.lastStateInfo != nil && os.SameFile(info, d.lastStateInfo) && info.ModTime().Equal(d.lastStateInfo.ModTime()) {
+	if d.lastStateFileInfo != nil && os.SameFile(info, d.lastStateFileInfo) && info.ModTime().Equal(d.lastStateFileInfo.ModTime()) {
 		return nil
 	}
-	text, err := readBounded(d.statePath())
+	text, err := readBoundedFile(d.statePath())
 	if err != nil {
 		return err
 	}
-	s, err := Parse(text, d.name)
+	s, err := ParseState(text, d.sidecarName)
 	if err != nil {
 		return err
 	}
-	d.lastState, d.lastStateInfo = s, info
+	d.lastState, d.lastStateFileInfo = s, info
 	return nil
 }
 
-// updateState applies a change to the state, under the lock, and replaces its file as a whole.
+// updateState applies a change to the shared state. It holds the lock meanwhile, so that concurrent changes are not lost, and
+// replaces the file by a rename, so that readers, which take no lock, never see part of a state.
 func (d *Directory) updateState(change func(*State) error) error {
 	lock, err := d.acquireLock()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = lock.Close() }() // releases the lock; nothing was written to it
+	defer func() { _ = lock.Close() }() // closing releases the lock; nothing was written to the file
 	s, err := d.readState()
 	if err != nil {
 		return err
@@ -159,75 +170,77 @@
 	if err != nil {
 		return err
 	}
-	newPath := d.statePath() + ".new" // only the holder of the lock writes it
+	newPath := d.statePath() + ".new" // written only by the process that holds the lock
 	if err := os.WriteFile(newPath, text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(newPath, d.statePath())
 }
 
-// acquireLock locks the state for this call, against other processes and other calls in this one. Closing the file releases
-// the lock.
+// acquireLock locks the state against other processes and against concurrent calls in this process. The caller releases the
+// lock by closing the file that is returned.
 func (d *Directory) acquireLock() (*os.File, error) {
 	lock, err := os.OpenFile(d.pathPrefix+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for began := time.Now(); ; time.Sleep(lockRetryInterval) {
+	for startedAt := time.Now(); ; time.Sleep(lockRetryInterval) {
 		err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
 			return lock, nil
 		}
-		isHeld := errors.Is(err, unix.EWOULDBLOCK) || errors.Is(err, unix.EINTR)
-		if !isHeld || time.Since(began) > lockTimeout {
+		shouldRetry := errors.Is(err, unix.EWOULDBLOCK) || errors.Is(err, unix.EINTR)
+		if !shouldRetry || time.Since(startedAt) > lockTimeout {
 			return nil, errors.Join(fmt.Errorf("lock %s: %w", lock.Name(), err), lock.Close())
 		}
 	}
 }
 
-// readState reads the state. One that can't be parsed is set aside, and an empty one is returned. The lock must be held.
+// readState reads and parses the shared state. It returns an empty state if there is no file, and also if the file can't be
+// parsed, which it then renames to end in .bad. The caller must hold the lock.
 func (d *Directory) readState() (State, error) {
-	empty := State{Format: stateFormat, Name: d.name}
-	text, err := readBounded(d.statePath())
+	empty := State{Format: stateFormat, Name: d.sidecarName}
+	text, err := readBoundedFile(d.statePath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return empty, nil
 	case err != nil:
 		return State{}, err
 	}
-	s, err := Parse(text, d.name)
+	s, err := ParseState(text, d.sidecarName)
 	if err != nil {
-		aside := d.statePath() + ".bad"
-		d.log.Error("hot restart state is damaged and is set aside", "file", aside, "error", err)
-		return empty, os.Rename(d.statePath(), aside)
+		badPath := d.statePath() + ".bad"
+		d.logger.Error("hot restart state is damaged and is set aside", "file", badPath, "error", err)
+		return empty, os.Rename(d.statePath(), badPath)
 	}
 	return s, nil
 }
 
 func (d *Directory) statePath() string { return d.pathPrefix + ".state" }
 
-// readBounded reads a file, up to maxStateBytes of it.
-func readBounded(path string) ([]byte, error) {
+// readBoundedFile returns the content of a file, cut off after maxStateBytes.
+func readBoundedFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read, so an error of Close has no effect
 	return io.ReadAll(io.LimitReader(f, maxStateBytes))
 }
 
-// fileNameOf maps a sidecar's name to a part of a file's name, each to a different one.
-func fileNameOf(name string) string {
+// fileNamePart returns the part of the file names that stands for a sidecar's name. Names with characters that are unsafe in
+// a path, and long names, are shortened and get a hash, so that different sidecars use different files.
+func fileNamePart(name string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
 		}
 		return '_'
 	}, name)
-	if safe == name && len(safe) <= maxFileNameBytes {
+	if safe == name && len(safe) <= maxNamePartBytes {
 		return safe
 	}
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, name) // never returns an error
-	return fmt.Sprintf("%.*s-%x", maxFileNameBytes, safe, hash.Sum64())
+	_, _ = io.WriteString(hash, name) // a hash never returns an error
+	return fmt.Sprintf("%.*s-%x", maxNamePartBytes, safe, hash.Sum64())
 }
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -15,65 +15,67 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// join starts a process of sidecar n1; kill ends it.
-func join(t *testing.T, dir string) *Directory {
+// joinSidecar joins sidecar n1 as a new process would. simulateKill ends that process, at the latest when the test ends.
+func joinSidecar(t *testing.T, dir string) *Directory {
 	t.Helper()
 	d, err := Join(dir, "n1", discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.kill() })
+	t.Cleanup(func() { d.simulateKill() })
 	return d
 }
 
-// kill ends a process as SIGKILL does: its files stay, its lock does not.
-func (d *Directory) kill() { d.liveFile.Close() }
+// simulateKill does to the directory what SIGKILL of the process does: the live file stays, and its lock is released.
+func (d *Directory) simulateKill() { d.liveFile.Close() }
 
-func (d *Directory) markReady(t *testing.T) {
+// mustSetReady records that the process accepts connections.
+func (d *Directory) mustSetReady(t *testing.T) {
 	t.Helper()
 	if err := d.SetReady(true); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// expectView polls, and checks whether the process is superseded and which other processes are alive.
 func (d *Directory) expectView(t *testing.T, isSuperseded bool, others ...int) {
 	t.Helper()
 	if _, v, _ := d.Poll(KeepReportedDescriptors); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
-		t.Errorf("process %d has %+v, want superseded %v, others %v", d.Number(), v, isSuperseded, others)
+		t.Errorf("process %d has the view %+v, want superseded %v and others %v", d.Number(), v, isSuperseded, others)
 	}
 }
 
 func TestNewestLivingReadyProcessSupersedesTheOthers(t *testing.T) {
 	dir := t.TempDir()
-	a := join(t, dir)
-	a.markReady(t)
+	a := joinSidecar(t, dir)
+	a.mustSetReady(t)
 	a.expectView(t, false)
-	b := join(t, dir)
+	b := joinSidecar(t, dir)
 	a.expectView(t, false, 2)
 	b.expectView(t, false, 1)
-	b.markReady(t)
+	b.mustSetReady(t)
 	a.expectView(t, true, 2)
 	b.expectView(t, false, 1)
-	c := join(t, dir)
-	c.markReady(t)
+	c := joinSidecar(t, dir)
+	c.mustSetReady(t)
 	a.expectView(t, true, 2, 3)
 	b.expectView(t, true, 1, 3)
-	c.kill()
+	c.simulateKill()
 	a.expectView(t, true, 2)
 	b.expectView(t, false, 1)
-	b.kill()
+	b.simulateKill()
 	a.expectView(t, false)
 	if err := a.Close(); err != nil {
 		t.Error(err)
 	}
-	d := join(t, dir)
+	d := joinSidecar(t, dir)
 	d.expectView(t, false)
 }
 
 func TestProcessThatIsNoLongerReadySupersedesNone(t *testing.T) {
 	dir := t.TempDir()
-	a, b := join(t, dir), join(t, dir)
-	b.markReady(t)
+	a, b := joinSidecar(t, dir), joinSidecar(t, dir)
+	b.mustSetReady(t)
 	a.expectView(t, true, 2)
 	if err := b.SetReady(false); err != nil {
 		t.Fatal(err)
@@ -83,43 +85,43 @@
 
 func TestLatestEjectionOfEachEndpointReachesAllProcesses(t *testing.T) {
 	dir := t.TempDir()
-	a, b := join(t, dir), join(t, dir)
+	a, b := joinSidecar(t, dir), joinSidecar(t, dir)
 	at := time.Now()
 	for _, call := range []struct {
-		by        *Directory
+		process   *Directory
 		id        string
 		isEjected bool
 	}{{a, "s-1", true}, {b, "s-2", true}, {b, "s-1", true}, {a, "s-2", false}} {
-		if err := call.by.RecordEjection(call.id, call.isEjected, at); err != nil {
+		if err := call.process.RecordEjection(call.id, call.isEjected, at); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a.kill()
-	b.kill()
-	for _, d := range []*Directory{b, join(t, dir)} {
+	a.simulateKill()
+	b.simulateKill()
+	for _, d := range []*Directory{b, joinSidecar(t, dir)} {
 		s, _, _ := d.Poll(KeepReportedDescriptors)
 		if want := []Ejection{{"s-1", true, at.UnixMilli()}, {"s-2", false, at.UnixMilli()}}; !slices.Equal(s.Ejections, want) {
-			t.Errorf("process %d has %v", d.Number(), s.Ejections)
+			t.Errorf("process %d has the ejections %v, want %v", d.Number(), s.Ejections, want)
 		}
 	}
-	// A change much later removes the old return, and keeps the old ejection.
-	if err := b.RecordEjection("s-3", false, at.Add(2*returnRetention)); err != nil {
+	// A change after the retention removes the entry of the endpoint that was restored, and keeps that of the ejected one.
+	if err := b.RecordEjection("s-3", false, at.Add(2*restoredEntryRetention)); err != nil {
 		t.Fatal(err)
 	}
 	if s, _, _ := b.Poll(KeepReportedDescriptors); len(s.Ejections) != 2 || s.Ejections[0].ID != "s-1" {
-		t.Errorf("after returnRetention: %v", s.Ejections)
+		t.Errorf("after restoredEntryRetention: ejections %v, want those of s-1 and s-3", s.Ejections)
 	}
 }
 
 func TestConcurrentEjectionsAreAllRecorded(t *testing.T) {
 	dir := t.TempDir()
 	var calls sync.WaitGroup
-	for p := range 4 {
-		d := join(t, dir)
-		for k := range 2 {
+	for process := range 4 {
+		d := joinSidecar(t, dir)
+		for caller := range 2 {
 			calls.Go(func() {
 				for i := range 10 {
-					if err := d.RecordEjection(fmt.Sprint(p, "-", k, "-", i), true, time.Now()); err != nil {
+					if err := d.RecordEjection(fmt.Sprint(process, "-", caller, "-", i), true, time.Now()); err != nil {
 						t.Error(err)
 					}
 				}
@@ -127,8 +129,8 @@
 		}
 	}
 	calls.Wait()
-	if s, _, _ := join(t, dir).Poll(KeepReportedDescriptors); len(s.Ejections) != 80 {
-		t.Errorf("%d of 80 ejections are recorded", len(s.Ejections))
+	if s, _, _ := joinSidecar(t, dir).Poll(KeepReportedDescriptors); len(s.Ejections) != 80 {
+		t.Errorf("%d ejections are recorded, want 80", len(s.Ejections))
 	}
 }
 
@@ -138,15 +140,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaced := func(old, replacement string) string { return strings.Replace(string(intact), old, replacement, 1) }
+	withReplacement := func(old, replacement string) string { return strings.Replace(string(intact), old, replacement, 1) }
 	for name, text := range map[string]string{
-		"empty":               "",
-		"cut off":             string(intact[:len(intact)/2]),
-		"noise":               "\x00\xff\x10",
-		"another format":      replaced(`"format": 1`, `"format": 2`),
-		"another sidecar":     replaced(`"n1"`, `"n2"`),
-		"no id":               replaced(`"s-1"`, `""`),
-		"numbers below first": replaced(`"number": 3`, `"number": -3`),
+		"empty":                   "",
+		"truncated":               string(intact[:len(intact)/2]),
+		"random bytes":            "\x00\xff\x10",
+		"another format":          withReplacement(`"format": 1`, `"format": 2`),
+		"another sidecar":         withReplacement(`"n1"`, `"n2"`),
+		"no id":                   withReplacement(`"s-1"`, `""`),
+		"negative process number": withReplacement(`"number": 3`, `"number": -3`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -161,21 +163,21 @@
 			defer d.Close()
 			s, _, _ := d.Poll(KeepReportedDescriptors)
 			if len(s.Ejections) != 0 || !strings.Contains(log.String(), "set aside") {
-				t.Errorf("%v; the log: %s", s.Ejections, &log)
+				t.Errorf("ejections %v, log %q; want none and a log line with \"set aside\"", s.Ejections, &log)
 			}
-			if aside, err := os.ReadFile(filepath.Join(dir, "tuliprock-n1.state.bad")); err != nil || string(aside) != text {
-				t.Errorf("set aside: %q, %v", aside, err)
+			if badText, err := os.ReadFile(filepath.Join(dir, "tuliprock-n1.state.bad")); err != nil || string(badText) != text {
+				t.Errorf("the .bad state file has %q, error %v; want %q", badText, err, text)
 			}
 		})
 	}
-	if s, err := Parse(intact, "n1"); err != nil || len(s.Ejections) != 1 {
-		t.Errorf("the intact one: %v, %v", s, err)
+	if s, err := ParseState(intact, "n1"); err != nil || len(s.Ejections) != 1 {
+		t.Errorf("the intact state is parsed as %v with error %v, want 1 ejection", s, err)
 	}
 }
 
 func TestDamageWhileRunningKeepsTheLastStateUntilTheNextChange(t *testing.T) {
 	dir := t.TempDir()
-	d := join(t, dir)
+	d := joinSidecar(t, dir)
 	if err := d.RecordEjection("s-1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -184,46 +186,46 @@
 		t.Fatal(err)
 	}
 	if s, _, _ := d.Poll(KeepReportedDescriptors); len(s.Ejections) != 1 {
-		t.Errorf("after the damage: %v", s.Ejections)
+		t.Errorf("after the damage: ejections %v, want that of s-1", s.Ejections)
 	}
 	if err := d.RecordEjection("s-2", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	if s, _, _ := d.Poll(KeepReportedDescriptors); len(s.Ejections) != 1 || s.Ejections[0].ID != "s-2" {
-		t.Errorf("after the next change: %v", s.Ejections)
+		t.Errorf("after the next change: ejections %v, want that of s-2 alone", s.Ejections)
 	}
 }
 
 func TestJoinFailsWithoutTheDirectory(t *testing.T) {
-	if _, err := Join(filepath.Join(t.TempDir(), "nowhere"), "n1", discardLog); err == nil {
-		t.Error("joined")
+	if _, err := Join(filepath.Join(t.TempDir(), "missing"), "n1", discardLog); err == nil {
+		t.Error("Join succeeded in a directory that does not exist, want an error")
 	}
 }
 
 func TestFileNamesOfDifferentSidecarsDiffer(t *testing.T) {
 	names := map[string]string{}
 	for _, name := range []string{"n1", "n/1", "n_1", "n:1", "", "..", strings.Repeat("x", 300), strings.Repeat("x", 301)} {
-		file := fileNameOf(name)
+		file := fileNamePart(name)
 		if other, isTaken := names[file]; isTaken || strings.ContainsAny(file, "/.") || len(file) > 100 {
-			t.Errorf("%.20q and %.20q: %q", name, other, file)
+			t.Errorf("sidecar %.20q gets the file name part %q (taken by sidecar %.20q: %v); want a unique one without / and . of at most 100 bytes", name, file, other, isTaken)
 		}
 		names[file] = name
 	}
 }
 
-// Processes of other builds use the same files.
+// Processes of other builds use the same files, so the names and the format of live files must not change.
 func TestFileNamesAreFixed(t *testing.T) {
 	for name, want := range map[string]string{"n1": "n1", "x_-9": "x_-9", "": "", "n/1": "n_1-223493192647d131"} {
-		if got := fileNameOf(name); got != want {
-			t.Errorf("%q: %q, want %q", name, got, want)
+		if got := fileNamePart(name); got != want {
+			t.Errorf("sidecar %q gets the file name part %q, want %q", name, got, want)
 		}
 	}
 	dir := t.TempDir()
-	d := join(t, dir)
+	d := joinSidecar(t, dir)
 	d.Poll(17)
 	for file, want := range map[string]string{"tuliprock-n1.lock": "", "tuliprock-n1.1.live": "17        \n"} {
 		if got, err := os.ReadFile(filepath.Join(dir, file)); err != nil || string(got) != want {
-			t.Errorf("%s: %q, %v, want %q", file, got, err, want)
+			t.Errorf("%s has %q, error %v; want %q", file, got, err, want)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(dir, "tuliprock-n1.state")); err != nil {
@@ -233,15 +235,15 @@
 
 func TestPollSumsTheDescriptorsOfTheOthers(t *testing.T) {
 	dir := t.TempDir()
-	a, b, c := join(t, dir), join(t, dir), join(t, dir)
+	a, b, c := joinSidecar(t, dir), joinSidecar(t, dir), joinSidecar(t, dir)
 	b.Poll(20)
 	c.Poll(300)
 	b.Poll(KeepReportedDescriptors)
-	if _, _, others := a.Poll(1); others != 320 {
-		t.Errorf("the others use %d, want 320", others)
+	if _, _, othersDescriptors := a.Poll(1); othersDescriptors != 320 {
+		t.Errorf("the other processes use %d descriptors, want 320", othersDescriptors)
 	}
-	c.kill()
-	if _, _, others := a.Poll(1); others != 20 {
-		t.Errorf("after one has died the others use %d, want 20", others)
+	c.simulateKill()
+	if _, _, othersDescriptors := a.Poll(1); othersDescriptors != 20 {
+		t.Errorf("after one process has died, the others use %d descriptors, want 20", othersDescriptors)
 	}
 }
--- a/internal/hotrestart/ejections.go
+++ b/internal/hotrestart/ejections.go
@@ -7,49 +7,52 @@
 )
 
 const (
-	// MaxEjections is how many endpoints may be ejected by operators at once: far more than an endpoint list has, and
-	// some 100 kB of state.
+	// MaxEjections bounds how many endpoints may be ejected manually at the same time. It is far more than an endpoint list
+	// has, and keeps the state at about 100 kB.
 	MaxEjections = 1024
-	// maxReturns bounds the returns that are kept, like MaxEjections.
-	maxReturns = 1024
-	// returnRetention is for how long a return is kept: longer than an endpoint's slow start, or the start of a process.
-	returnRetention = time.Minute
-	maxIDBytes      = 512
+	// maxRestoredEntries bounds how many entries of restored endpoints a State keeps.
+	maxRestoredEntries = 1024
+	// restoredEntryRetention is how long the entry of a restored endpoint is kept. It exceeds the duration of an endpoint's
+	// slow start, and the time that a process takes to start.
+	restoredEntryRetention = time.Minute
+	// maxIDBytes bounds the ID of an endpoint.
+	maxIDBytes = 512
 )
 
-// ErrTooManyEjections is the reason why an endpoint is not ejected: MaxEjections are.
+// ErrTooManyEjections means that an endpoint was not ejected because MaxEjections endpoints are ejected already.
 var ErrTooManyEjections = fmt.Errorf("%d endpoints are out already: no more can be", MaxEjections)
 
-// Ejection is an operator's ejection of an endpoint, or its return.
+// Ejection records that an operator ejected an endpoint, or restored it later. A State has at most one for each endpoint.
 type Ejection struct {
-	ID      string `json:"id"`    // the endpoint's
-	Ejected bool   `json:"out"`   // false: it was returned
-	AtMs    int64  `json:"at_ms"` // Unix time in milliseconds
+	ID      string `json:"id"`    // ID of the endpoint
+	Ejected bool   `json:"out"`   // true: the endpoint was ejected; false: it was restored
+	AtMs    int64  `json:"at_ms"` // Unix time in milliseconds at which the operator ejected or restored the endpoint
 }
 
-// IsRecentReturn reports whether this is a return so recent that the endpoint may still be in its slow start. Older ones may
-// remain in a State until the next change.
-func (e Ejection) IsRecentReturn(now time.Time) bool {
+// IsRecentlyRestored reports whether the endpoint was restored so recently that it may still be in its slow start. The check
+// of the age is needed because older entries remain in a State until its next change.
+func (e Ejection) IsRecentlyRestored(now time.Time) bool {
 	age := now.Sub(time.UnixMilli(e.AtMs)) // negative if the wall clock was set back
-	return !e.Ejected && age < returnRetention && age > -returnRetention
+	return !e.Ejected && age < restoredEntryRetention && age > -restoredEntryRetention
 }
 
-// recordEjection records an ejection or return in place of earlier ones of the same endpoint, and removes returns that
-// returnRetention has passed for. The error is ErrTooManyEjections.
+// recordEjection adds an entry in place of an earlier one of the same endpoint, and removes entries of endpoints that were
+// restored more than restoredEntryRetention ago. If there are too many of those, the oldest is removed. The error is
+// ErrTooManyEjections.
 func (s *State) recordEjection(latest Ejection) error {
-	ejected := 0
+	ejectedCount := 0
 	s.Ejections = slices.DeleteFunc(s.Ejections, func(e Ejection) bool {
 		age := time.Duration(latest.AtMs-e.AtMs) * time.Millisecond
-		isObsolete := e.ID == latest.ID || !e.Ejected && (age > returnRetention || age < -returnRetention)
+		isObsolete := e.ID == latest.ID || !e.Ejected && (age > restoredEntryRetention || age < -restoredEntryRetention)
 		if !isObsolete && e.Ejected {
-			ejected++
+			ejectedCount++
 		}
 		return isObsolete
 	})
-	if latest.Ejected && ejected >= MaxEjections {
+	if latest.Ejected && ejectedCount >= MaxEjections {
 		return ErrTooManyEjections
 	}
-	if returned := len(s.Ejections) - ejected; !latest.Ejected && returned >= maxReturns {
+	if restoredCount := len(s.Ejections) - ejectedCount; !latest.Ejected && restoredCount >= maxRestoredEntries {
 		oldest := slices.IndexFunc(s.Ejections, func(e Ejection) bool { return !e.Ejected })
 		s.Ejections = slices.Delete(s.Ejections, oldest, oldest+1)
 	}
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -3,55 +3,57 @@
 import "time"
 
 const (
-	// endpointListTimeout is how long a successor waits for the complete endpoint list. Discovery on the same machine
-	// responds at once or not at all.
+	// endpointListTimeout is how long a starting process waits for complete endpoint lists. Discovery runs on the same
+	// machine and responds at once or not at all.
 	endpointListTimeout = 2 * time.Second
-	// successorNoticeTime is when the older processes have polled, and so have left a successor its descriptors.
-	successorNoticeTime = 3 * PollInterval / 2
-	// minDrainTime is how long a superseded process lives at least, to serve again if its successor dies soon.
+	// successorMinStartTime is how long a successor stays in phase Starting at least. By then the older processes have
+	// polled, and have lowered their descriptor limits to make room for it.
+	successorMinStartTime = 3 * PollInterval / 2
+	// minDrainTime is how long a superseded process keeps running at least, so that it can serve again if its successor
+	// dies soon.
 	minDrainTime = time.Second
 )
 
-// Phase is what a process does with connections.
+// Phase says how a process treats client connections.
 type Phase int
 
-// The phases, in their usual order. A draining process serves again when no newer process that is ready lives.
+// The phases in their usual order. A draining process returns to Serving when no newer process is alive and ready.
 const (
-	Starting Phase = iota // accepts none yet
-	Serving               // accepts them
-	Draining              // accepts none any more; those that are open are served
-	Finished              // none is open any more: the process is to exit
+	Starting Phase = iota // accepts no connections yet
+	Serving               // accepts connections
+	Draining              // accepts no new connections and serves those that are open
+	Finished              // has no open connections any more and must exit
 )
 
-// Lifecycle is the state machine of a process's phases. Instants are readings of one monotonic clock. It must not be used
-// concurrently.
+// Lifecycle is the state machine of a process's phases. Points in time are given as durations on one monotonic clock. A
+// Lifecycle must not be used concurrently.
 type Lifecycle struct {
-	phase      Phase
-	phaseSince time.Duration
+	phase          Phase
+	phaseStartedAt time.Duration // clock reading at which the current phase began
 }
 
 // NewLifecycle returns a Lifecycle in phase Starting.
-func NewLifecycle(now time.Duration) *Lifecycle { return &Lifecycle{phaseSince: now} }
+func NewLifecycle(now time.Duration) *Lifecycle { return &Lifecycle{phaseStartedAt: now} }
 
 // Phase returns the current phase.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
-// Update takes the result of a poll, whether the endpoint list is complete, and how many client connections are open. It
-// reports whether the phase has changed.
-func (l *Lifecycle) Update(now time.Duration, v View, isListComplete bool, connections int) bool {
-	next := l.next(now-l.phaseSince, v, isListComplete, connections)
+// Update moves to the next phase if it is due, and reports whether the phase has changed. v is the result of the latest poll,
+// hasEndpointLists is whether all endpoint lists are complete, and connections is how many client connections are open.
+func (l *Lifecycle) Update(now time.Duration, v View, hasEndpointLists bool, connections int) bool {
+	next := l.nextPhase(now-l.phaseStartedAt, v, hasEndpointLists, connections)
 	if next == l.phase {
 		return false
 	}
-	l.phase, l.phaseSince = next, now
+	l.phase, l.phaseStartedAt = next, now
 	return true
 }
 
-// next returns the phase that follows, inPhase after the current one began.
-func (l *Lifecycle) next(inPhase time.Duration, v View, isListComplete bool, connections int) Phase {
+// nextPhase returns the phase that follows the current one, which has lasted timeInPhase, or the current one if it goes on.
+func (l *Lifecycle) nextPhase(timeInPhase time.Duration, v View, hasEndpointLists bool, connections int) Phase {
 	switch l.phase {
 	case Starting:
-		isReady := inPhase >= successorNoticeTime && isListComplete || inPhase >= endpointListTimeout
+		isReady := timeInPhase >= successorMinStartTime && hasEndpointLists || timeInPhase >= endpointListTimeout
 		if len(v.Others) == 0 || isReady {
 			return Serving
 		}
@@ -63,7 +65,7 @@
 		if !v.Superseded {
 			return Serving
 		}
-		if connections == 0 && inPhase >= minDrainTime {
+		if connections == 0 && timeInPhase >= minDrainTime {
 			return Finished
 		}
 	}
--- a/internal/hotrestart/lifecycle_test.go
+++ b/internal/hotrestart/lifecycle_test.go
@@ -8,11 +8,11 @@
 func TestLifecyclePhases(t *testing.T) {
 	alone, older, superseded := View{}, View{Others: []int{1}}, View{Others: []int{2}, Superseded: true}
 	type update struct {
-		at             time.Duration
-		view           View
-		isListComplete bool
-		connections    int
-		want           Phase
+		now              time.Duration
+		view             View
+		hasEndpointLists bool
+		connections      int
+		want             Phase
 	}
 	const s = time.Second
 	for name, updates := range map[string][]update{
@@ -20,32 +20,32 @@
 			{0, alone, false, 0, Serving},
 			{s, alone, true, 5, Serving},
 		},
-		"a successor waits to be noticed": {
+		"a successor waits until the older process has polled": {
 			{0, older, true, 0, Starting},
-			{successorNoticeTime, older, true, 0, Serving},
+			{successorMinStartTime, older, true, 0, Serving},
 			{s, older, true, 9, Serving},
 		},
-		"the endpoint list does not come": {
+		"the endpoint lists stay incomplete": {
 			{s, older, false, 0, Starting},
 			{endpointListTimeout, older, false, 0, Serving},
 		},
-		"the older ones die": {
+		"the older process dies while the successor starts": {
 			{0, older, false, 0, Starting},
 			{1, alone, false, 0, Serving},
 		},
-		"superseded, drains its connections": {
+		"a superseded process drains its connections": {
 			{0, alone, true, 5, Serving},
 			{s, superseded, true, 5, Draining},
 			{9 * s, superseded, true, 1, Draining},
 			{10 * s, superseded, true, 0, Finished},
 		},
-		"superseded without connections, drains for the least time": {
+		"a superseded process without connections drains for minDrainTime": {
 			{0, alone, true, 0, Serving},
 			{s, superseded, true, 0, Draining},
 			{s + minDrainTime - 1, superseded, true, 0, Draining},
 			{s + minDrainTime, superseded, true, 0, Finished},
 		},
-		"the successor dies": {
+		"the successor dies and another one starts": {
 			{0, alone, true, 5, Serving},
 			{s, superseded, true, 5, Draining},
 			{2 * s, alone, true, 0, Serving},
@@ -55,10 +55,10 @@
 		t.Run(name, func(t *testing.T) {
 			l := NewLifecycle(0)
 			for i, u := range updates {
-				before := l.Phase()
-				hasChanged := l.Update(u.at, u.view, u.isListComplete, u.connections)
-				if l.Phase() != u.want || hasChanged != (before != u.want) {
-					t.Errorf("update %d: phase %d, changed %v, want %d", i, l.Phase(), hasChanged, u.want)
+				previous := l.Phase()
+				hasChanged := l.Update(u.now, u.view, u.hasEndpointLists, u.connections)
+				if l.Phase() != u.want || hasChanged != (previous != u.want) {
+					t.Errorf("update %d: phase %d, reported as changed: %v; the phase was %d, want %d", i, l.Phase(), hasChanged, previous, u.want)
 				}
 			}
 		})
--- a/internal/hotrestart/livefile.go
+++ b/internal/hotrestart/livefile.go
@@ -10,13 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
+// liveFilePath returns the path of the live file of the process with this number.
 func (d *Directory) liveFilePath(number int) string {
 	return fmt.Sprintf("%s.%d.live", d.pathPrefix, number)
 }
 
-// createLiveFile creates this process's live file and locks it.
+// createLiveFile creates the live file of this process and locks it. The lock lasts until the process ends or calls Close.
 func (d *Directory) createLiveFile() error {
-	f, err := os.OpenFile(d.liveFilePath(d.number), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(d.liveFilePath(d.processNumber), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -27,40 +28,43 @@
 	return nil
 }
 
-// isAlive reports whether a process lives, which is when its live file is locked. A dead process's file is removed.
-func (d *Directory) isAlive(number int) bool {
+// isProcessAlive reports whether a process lives, that is, whether its live file is locked. It removes the live file of a dead
+// process.
+func (d *Directory) isProcessAlive(number int) bool {
 	f, err := os.Open(d.liveFilePath(number))
 	if err != nil {
 		return false
 	}
-	defer func() { _ = f.Close() }() // nothing was written to it
+	defer func() { _ = f.Close() }() // the file was only read, so an error of Close has no effect
 	err = unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB)
 	if err == nil {
-		_ = os.Remove(f.Name()) // under its lock, so that no new process can have taken the number; else the next call removes it
+		// The file is removed while it is locked here, so that it can't be that of a new process with the same number, which
+		// would hold the lock. If the removal fails, the next call tries again.
+		_ = os.Remove(f.Name())
 	}
 	return errors.Is(err, unix.EWOULDBLOCK)
 }
 
-// reportDescriptors writes how many descriptors this process uses into its live file. If that fails, the next call tries
-// again. d.mu must be held.
-func (d *Directory) reportDescriptors(used int) {
-	if used == d.reportedDescriptors || used < 0 {
+// reportDescriptors writes into the live file that this process uses count descriptors, unless it has reported the same count
+// already or count is KeepReportedDescriptors. If the write fails, the next call tries again. d.mu must be held.
+func (d *Directory) reportDescriptors(count int) {
+	if count == d.reportedDescriptors || count < 0 {
 		return
 	}
-	if _, err := d.liveFile.WriteAt(fmt.Appendf(nil, "%-10d\n", used), 0); err == nil {
-		d.reportedDescriptors = used
+	if _, err := d.liveFile.WriteAt(fmt.Appendf(nil, "%-10d\n", count), 0); err == nil {
+		d.reportedDescriptors = count
 	}
 }
 
-// descriptorsOf returns how many descriptors another process reported that it uses, 0 if that can't be read.
-func (d *Directory) descriptorsOf(number int) int {
-	text, err := readBounded(d.liveFilePath(number))
+// reportedDescriptorsOf returns the descriptor count in the live file of another process, or 0 if it can't be read.
+func (d *Directory) reportedDescriptorsOf(number int) int {
+	text, err := readBoundedFile(d.liveFilePath(number))
 	if err != nil {
 		return 0
 	}
-	n, err := strconv.Atoi(strings.TrimSpace(string(text)))
-	if err != nil || n < 0 {
+	count, err := strconv.Atoi(strings.TrimSpace(string(text)))
+	if err != nil || count < 0 {
 		return 0
 	}
-	return n
+	return count
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// maxAcceptBlock bounds an accept on a socket that another process has set blocking. It is well within PollInterval, by
-	// which a process notices that it is superseded.
-	maxAcceptBlock = 50 * time.Millisecond
-	// minInheritedDescriptor is the first one that is not a standard stream.
+	// acceptTimeout bounds a call of accept on a socket that another process has made blocking. It is well below
+	// PollInterval, within which a process notices that it is superseded.
+	acceptTimeout = 50 * time.Millisecond
+	// minInheritedDescriptor is the lowest descriptor that is not a standard stream.
 	minInheritedDescriptor = 3
 )
 
-// InheritedDescriptor parses the number of an inherited descriptor, the value of an environment variable. An empty value
-// results in 0. An error names the variable.
+// InheritedDescriptor parses the value of an environment variable that holds the number of an inherited file descriptor. It
+// returns 0 if the value is empty. An error names the variable.
 func InheritedDescriptor(variable, value string) (int, error) {
 	if value == "" {
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(value)
 	if err != nil || fd < minInheritedDescriptor {
-		return 0, fmt.Errorf("%s: %.40q is no descriptor", variable, value)
+		return 0, fmt.Errorf("%s: %.40q is not a descriptor number of at least %d", variable, value, minInheritedDescriptor)
 	}
 	return fd, nil
 }
 
 // InheritedListener returns a listener on an inherited socket, which must be a TCP socket that listens at address. The
-// listener has a descriptor of its own: fd stays open, and closing the listener does not shut the socket down, from which
-// other processes accept too.
+// listener uses a duplicate of fd: fd stays open, and closing the listener does not shut down the socket, from which other
+// processes accept connections too.
 //
-// The socket is made non-blocking. All its descriptors share that property, and whoever starts a process with one of them
-// may reset it for a moment, as os/exec does. An accept that begins then, and loses its connection to another process,
-// would block until the next one arrives, and with it the end of this process. So an accept that does block is ended by
-// the system after maxAcceptBlock, for plain TCP. Multipath TCP ignores that limit, and its sockets are accepted all the
-// same.
+// InheritedListener makes the socket non-blocking. All descriptors of the socket share this setting, and a program that
+// passes one of them to a child process may make the socket blocking for a moment, as os/exec does. An accept that begins at
+// that moment blocks if another process takes the connection; it would delay the exit of this process until the next
+// connection arrives. A receive timeout on the socket therefore ends a blocked accept after acceptTimeout. This works for
+// plain TCP only: Multipath TCP ignores the timeout, but its sockets are supported without it.
 func InheritedListener(fd int, address string) (*net.TCPListener, error) {
 	if err := checkListeningSocket(fd, address); err != nil {
 		return nil, err
@@ -47,16 +47,16 @@
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("descriptor %d: set non-blocking: %w", fd, err)
 	}
-	timeout := unix.NsecToTimeval(maxAcceptBlock.Nanoseconds())
+	timeout := unix.NsecToTimeval(acceptTimeout.Nanoseconds())
 	if err := unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
 		return nil, fmt.Errorf("descriptor %d: set accept timeout: %w", fd, err)
 	}
-	duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+	duplicateFD, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: duplicate: %w", fd, err)
 	}
-	f := os.NewFile(uintptr(duplicate), "listener")
-	defer func() { _ = f.Close() }() // net.FileListener has duplicated it again
+	f := os.NewFile(uintptr(duplicateFD), "listener")
+	defer func() { _ = f.Close() }() // net.FileListener uses another duplicate of the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
@@ -69,21 +69,22 @@
 	return tcpListener, nil
 }
 
-// checkListeningSocket returns an error that says why a descriptor is not a TCP socket that listens at address.
+// checkListeningSocket returns an error unless the descriptor is a TCP socket that listens at address. An unspecified IP
+// address, of the socket or in address, matches every IP address; the ports must be equal.
 func checkListeningSocket(fd int, address string) error {
 	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
-		return fmt.Errorf("descriptor %d is no socket: %w", fd, err)
+		return fmt.Errorf("descriptor %d is not a socket: %w", fd, err)
 	}
 	protocol, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_PROTOCOL)
-	isTCP := protocol == unix.IPPROTO_TCP || protocol == unix.IPPROTO_MPTCP // Go's own listeners use the latter
+	isTCP := protocol == unix.IPPROTO_TCP || protocol == unix.IPPROTO_MPTCP // Go's listeners use Multipath TCP by default
 	if err != nil || socketType != unix.SOCK_STREAM || !isTCP {
 		return errNotTCP(fd)
 	}
-	if listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listens == 0 {
+	if isListening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || isListening == 0 {
 		return fmt.Errorf("descriptor %d does not listen", fd)
 	}
-	actual, err := boundAddr(fd)
+	actual, err := boundTCPAddr(fd)
 	if err != nil {
 		return err
 	}
@@ -99,13 +100,13 @@
 	return nil
 }
 
-// boundAddr returns the address that a TCP socket is bound to.
-func boundAddr(fd int) (*net.TCPAddr, error) {
-	name, err := unix.Getsockname(fd)
+// boundTCPAddr returns the address that a TCP socket is bound to.
+func boundTCPAddr(fd int) (*net.TCPAddr, error) {
+	socketAddr, err := unix.Getsockname(fd)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	switch a := name.(type) {
+	switch a := socketAddr.(type) {
 	case *unix.SockaddrInet4:
 		return &net.TCPAddr{IP: a.Addr[:], Port: a.Port}, nil
 	case *unix.SockaddrInet6:
@@ -114,4 +115,5 @@
 	return nil, errNotTCP(fd)
 }
 
-func errNotTCP(fd int) error { return fmt.Errorf("descriptor %d is no TCP socket", fd) }
+// errNotTCP returns the error for a descriptor that is not a TCP socket.
+func errNotTCP(fd int) error { return fmt.Errorf("descriptor %d is not a TCP socket", fd) }
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -8,29 +8,32 @@
 )
 
 const (
-	stateFormat   = 1
-	maxStateBytes = 4 << 20 // far more than a State with all that it may hold
-	// maxProcesses is how many processes a State may list. Those that are dead are removed first.
+	// stateFormat is the version of the state file's format. A state with another version is rejected.
+	stateFormat = 1
+	// maxStateBytes bounds how much of a file is read. It is far more than the largest valid State takes.
+	maxStateBytes = 4 << 20
+	// maxProcesses bounds how many processes a State lists. Dead processes are removed first, then the oldest ones.
 	maxProcesses = 64
 )
 
-// State is what all processes of one sidecar share. Its JSON form is fixed: processes of other builds read it.
+// State is the content of the state file, which all processes of one sidecar share. Its JSON form is fixed, since processes of
+// other builds read and write it.
 type State struct {
-	Format    int        `json:"format"`
-	Name      string     `json:"name"` // the sidecar's
-	Processes []Process  `json:"processes"`
-	Ejections []Ejection `json:"bars"` // in the order in which they were recorded
+	Format    int        `json:"format"`    // version of the format, always stateFormat
+	Name      string     `json:"name"`      // name of the sidecar
+	Processes []Process  `json:"processes"` // processes that have joined, in ascending order of their numbers
+	Ejections []Ejection `json:"bars"`      // latest ejection or restoration of each endpoint, in the order of recording
 }
 
-// Process is an entry of a process that lives, or has died without removing it.
+// Process is the entry of a process that has joined. The entry of a process that has ended stays until another one joins.
 type Process struct {
-	Number int  `json:"number"` // greater than those of all that joined before it
-	Ready  bool `json:"ready"`  // it accepts connections
+	Number int  `json:"number"` // greater than the numbers of all processes that joined earlier
+	Ready  bool `json:"ready"`  // whether the process accepts connections
 }
 
-// Parse decodes and checks the state of the sidecar called name. An error means that the text is damaged, or belongs to
-// another sidecar, and names the field at fault.
-func Parse(text []byte, name string) (State, error) {
+// ParseState decodes and validates the state of the sidecar called name. An error means that the text is damaged, or belongs
+// to another sidecar, and names the invalid field.
+func ParseState(text []byte, name string) (State, error) {
 	var s State
 	if err := json.Unmarshal(text, &s); err != nil {
 		return State{}, fmt.Errorf("decode: %w", err)
@@ -39,16 +42,16 @@
 	case s.Format != stateFormat:
 		return State{}, fmt.Errorf("format: %d is not %d", s.Format, stateFormat)
 	case s.Name != name:
-		return State{}, fmt.Errorf("name: %.80q is another sidecar", s.Name)
-	case len(s.Ejections) > MaxEjections+maxReturns || len(s.Processes) > maxProcesses:
-		return State{}, errors.New("bars, processes: more entries than are ever written")
+		return State{}, fmt.Errorf("name: the state belongs to another sidecar, %.80q", s.Name)
+	case len(s.Ejections) > MaxEjections+maxRestoredEntries || len(s.Processes) > maxProcesses:
+		return State{}, errors.New("bars, processes: too many entries")
 	}
-	seen := map[string]bool{}
+	seenIDs := map[string]bool{}
 	for _, e := range s.Ejections {
-		if e.ID == "" || len(e.ID) > maxIDBytes || seen[e.ID] {
-			return State{}, fmt.Errorf("bars: %.80q is no valid id, or is listed twice", e.ID)
+		if e.ID == "" || len(e.ID) > maxIDBytes || seenIDs[e.ID] {
+			return State{}, fmt.Errorf("bars: id %.80q is invalid or is listed twice", e.ID)
 		}
-		seen[e.ID] = true
+		seenIDs[e.ID] = true
 	}
 	for i, p := range s.Processes {
 		if p.Number < 1 || i > 0 && p.Number <= s.Processes[i-1].Number {
@@ -58,10 +61,11 @@
 	return s, nil
 }
 
+// encode returns the state in its JSON form.
 func (s State) encode() ([]byte, error) { return json.MarshalIndent(s, "", " ") }
 
-// addProcess adds a process and returns its number. Dead ones are removed. A number is not used again while the process that
-// has it, or a later one, is listed.
+// addProcess removes the entries of dead processes, adds one for a new process, and returns its number. A number is not used
+// again as long as the list has the process with that number or a later one.
 func (s *State) addProcess(isAlive func(number int) bool) (number int) {
 	for _, p := range s.Processes {
 		number = max(number, p.Number)
@@ -75,7 +79,7 @@
 	return number
 }
 
-// setReady records whether a process accepts connections.
+// setReady records whether the process with this number accepts connections.
 func (s *State) setReady(number int, isReady bool) {
 	for i := range s.Processes {
 		if s.Processes[i].Number == number {
@@ -84,13 +88,13 @@
 	}
 }
 
-// View is what a State means for one process.
+// View is what a State implies for one process.
 type View struct {
-	Superseded bool  // a newer process accepts connections
-	Others     []int // the numbers of the other processes that live
+	Superseded bool  // whether a newer live process accepts connections
+	Others     []int // numbers of the other live processes, in ascending order
 }
 
-// View returns what the state means for a process. isAlive is called for the other processes only.
+// View returns what the state implies for the process with this number. isAlive is called for the other processes only.
 func (s State) View(number int, isAlive func(number int) bool) View {
 	var v View
 	for _, p := range s.Processes {
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Processes of other builds read and write the same state: the bytes are fixed.
+// Processes of other builds read and write the same state file, so its bytes must not change.
 func TestStateEncodingIsFixed(t *testing.T) {
 	const want = `{
  "format": 1,
@@ -37,12 +37,12 @@
 		Ejections: []Ejection{{ID: "s-1", Ejected: true, AtMs: 5}, {ID: "s-2", AtMs: 6}},
 	}.encode()
 	if err != nil || string(got) != want {
-		t.Errorf("%s, %v, want %s", got, err, want)
+		t.Errorf("encoded as %s with error %v, want %s", got, err, want)
 	}
 }
 
-// Any text is parsed or rejected, and what was parsed can be changed, written and parsed again.
-func FuzzParse(f *testing.F) {
+// ParseState accepts or rejects any text without a panic, and an accepted state can be changed, encoded and parsed again.
+func FuzzParseState(f *testing.F) {
 	state := State{Format: stateFormat, Name: "n1", Processes: []Process{{1, true}}, Ejections: []Ejection{{"s-1", true, 5}}}
 	intact, err := state.encode()
 	if err != nil {
@@ -51,18 +51,18 @@
 	f.Add(intact)
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Parse(text, "n1")
+		s, err := ParseState(text, "n1")
 		if err != nil {
 			return
 		}
 		s.addProcess(func(int) bool { return true })
-		_ = s.recordEjection(Ejection{"x", true, 1}) // the state may be full
-		again, err := s.encode()
+		_ = s.recordEjection(Ejection{"x", true, 1}) // the state may have MaxEjections already
+		changedText, err := s.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Parse(again, "n1"); err != nil {
-			t.Errorf("%s becomes %s: %v", text, again, err)
+		if _, err := ParseState(changedText, "n1"); err != nil {
+			t.Errorf("state %s, changed and encoded as %s: %v, want no error", text, changedText, err)
 		}
 	})
 }
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -48,7 +48,7 @@
 func (o *overrides) attach(directory *hotrestart.Directory, ejections []hotrestart.Ejection) {
 	for _, e := range ejections {
 		o.record(e.ID, e.Ejected)
-		if e.IsRecentReturn(time.Now()) {
+		if e.IsRecentlyRestored(time.Now()) {
 			o.recentlyRestored = append(o.recentlyRestored, e.ID)
 		}
 	}
