--- a/internal/wal/compatibility_test.go
+++ b/internal/wal/compatibility_test.go
@@ -12,14 +12,15 @@
 	"tuliprock/internal/wal"
 )
 
-// Logs that an earlier build wrote (testdata/README.md) are read whole, are appended to, and are read again.
+// Logs that an earlier build wrote (testdata/README.md) are read completely. They can be appended to, and are then read completely
+// again.
 func TestLogsOfEarlierBuildAreRead(t *testing.T) {
 	const appendedPayload = "a record of this build"
 	for _, c := range []struct {
 		name         string
-		snapshot     uint64
-		snapshotBody string
-		records      []wal.Record
+		snapshot     uint64       // index of the last record that the snapshot replaces; 0: there is no snapshot
+		snapshotBody string       // body of the snapshot; empty if there is none
+		records      []wal.Record // records after the snapshot
 	}{
 		{name: "segments", records: earlierRecords(1)},
 		{name: "snapshot", snapshot: 20, snapshotBody: "the state after record 20", records: earlierRecords(21)},
@@ -30,10 +31,10 @@
 				t.Fatal(err)
 			}
 			want := c.records
-			for _, round := range []string{"as it was left", "after an append"} {
+			for _, round := range []string{"first open, as the earlier build left it", "second open, after an append"} {
 				l := openEarlierLog(t, dir, c.snapshot, c.snapshotBody, want)
 				if next := uint64(len(want)) + c.snapshot + 1; l.NextIndex() != next || l.SyncedIndex() != next-1 || l.SnapshotIndex() != c.snapshot {
-					t.Errorf("%s: next %d, synced %d, snapshot %d, want %d, %d, %d",
+					t.Errorf("%s: next index %d, synced index %d, snapshot index %d; want %d, %d, %d",
 						round, l.NextIndex(), l.SyncedIndex(), l.SnapshotIndex(), next, next-1, c.snapshot)
 				}
 				index, err := l.Append('n', []byte(appendedPayload))
@@ -46,7 +47,7 @@
 	}
 }
 
-// earlierRecords returns the records from an index on that the earlier build wrote.
+// earlierRecords returns the records from the index first to the last one, 40, that the earlier build wrote.
 func earlierRecords(first uint64) []wal.Record {
 	var records []wal.Record
 	for i := first; i <= 40; i++ {
@@ -59,8 +60,7 @@
 	return records
 }
 
-// openEarlierLog opens a log, and fails the test unless it has this snapshot and these records, and nothing of it was cut off or
-// removed.
+// openEarlierLog opens a log. It fails the test unless the log has the given snapshot and records, and Open has repaired nothing.
 func openEarlierLog(t *testing.T, path string, snapshot uint64, snapshotBody string, want []wal.Record) *wal.Log {
 	t.Helper()
 	dir, err := wal.OpenDir(path)
@@ -72,7 +72,7 @@
 		restoredIndex uint64
 		restoredBody  []byte
 	)
-	options := wal.Options{SegmentBytes: 512, OnRepair: func(line string) { t.Errorf("repaired: %s", line) }}
+	options := wal.Options{SegmentBytes: 512, OnRepair: func(line string) { t.Errorf("Open made a repair, want none: %s", line) }}
 	l, err := wal.Open(dir, options, func(index uint64, r io.Reader) error {
 		var err error
 		restoredIndex = index
@@ -87,14 +87,14 @@
 		t.Fatal(err)
 	}
 	if restoredIndex != snapshot || string(restoredBody) != snapshotBody {
-		t.Errorf("the snapshot at %d is %q, want %q at %d", restoredIndex, restoredBody, snapshotBody, snapshot)
+		t.Errorf("the snapshot at index %d is %q, want %q at index %d", restoredIndex, restoredBody, snapshotBody, snapshot)
 	}
 	if len(records) != len(want) {
-		t.Fatalf("%d records, want %d", len(records), len(want))
+		t.Fatalf("%d records were replayed, want %d", len(records), len(want))
 	}
 	for i, r := range records {
 		if w := want[i]; r.Index != w.Index || r.Type != w.Type || !bytes.Equal(r.Payload, w.Payload) {
-			t.Errorf("record %d is %d of type %q: %q; want %d of type %q: %q", i, r.Index, r.Type, r.Payload, w.Index, w.Type, w.Payload)
+			t.Errorf("replayed record %d has index %d, type %q and payload %q; want index %d, type %q and payload %q", i, r.Index, r.Type, r.Payload, w.Index, w.Type, w.Payload)
 		}
 	}
 	return l
--- a/internal/wal/dir.go
+++ b/internal/wal/dir.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// lockName is the file that Lock locks. It is not listed.
+// lockName is the name of the file that Lock locks. List leaves it out.
 const lockName = "LOCK"
 
-// OpenDir returns the operating system's directory at path as an FS. It creates the directory if there is none.
+// OpenDir returns the directory at path, in the operating system's file system, as an FS. It creates the directory if necessary.
 func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -20,9 +20,10 @@
 	return osDir(path), nil
 }
 
-// osDir is the path of a directory.
+// osDir is an FS in the operating system's file system. Its value is the path of the directory.
 type osDir string
 
+// filePath returns the path of a file in the directory.
 func (d osDir) filePath(name string) string { return filepath.Join(string(d), name) }
 
 // List implements FS.
@@ -48,6 +49,7 @@
 	return d.openFile(name, os.O_RDWR|os.O_APPEND|os.O_CREATE|os.O_TRUNC)
 }
 
+// openFile opens a file in the directory with the flags of os.OpenFile.
 func (d osDir) openFile(name string, flags int) (File, error) {
 	f, err := os.OpenFile(d.filePath(name), flags, 0o600)
 	if err != nil {
@@ -73,14 +75,14 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock implements FS. The operating system releases the lock when the process ends, whatever ends it.
+// Lock implements FS. The operating system releases the lock when the process ends, also if it crashes or is killed.
 func (d osDir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.filePath(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // the lock's error is the one that the operator must see, alone on its line
+		_ = f.Close() // an error of Close is dropped, so that the operator sees a single line with the lock error
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", string(d), ErrLocked)
 		}
@@ -89,7 +91,7 @@
 	return f, nil
 }
 
-// osFile is an open file of an osDir.
+// osFile is a File in the operating system's file system.
 type osFile struct{ *os.File }
 
 // Size implements File.
--- a/internal/wal/dir_test.go
+++ b/internal/wal/dir_test.go
@@ -9,7 +9,8 @@
 	"tuliprock/internal/wal"
 )
 
-// On the operating system's disk synced records are there, a second opener is rejected, and old segments are removed.
+// In a directory of the operating system, synced records are recovered, a second Open is rejected, and a snapshot removes obsolete
+// segments.
 func TestLogOnRealDisk(t *testing.T) {
 	fs, err := wal.OpenDir(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
@@ -20,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := openLog(fs); !errors.Is(err, wal.ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open of the directory: error %v, want %v", err, wal.ErrLocked)
 	}
 	m := &model{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -34,7 +35,7 @@
 	}
 	m.synced, m.snapshot = uint64(len(m.payloads)), uint64(len(m.payloads))
 	if names, _ := fs.List(); len(names) > 2 {
-		t.Errorf("files %q", names)
+		t.Errorf("after the snapshot there are the files %q, want at most 2", names)
 	}
 	l, got, err := openLog(fs)
 	if err != nil {
@@ -45,6 +46,6 @@
 		t.Error(err)
 	}
 	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
-		t.Error("a record over the bound is accepted")
+		t.Error("a record of more than MaxRecordBytes was accepted, want an error")
 	}
 }
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -9,17 +9,17 @@
 	"tuliprock/internal/testkit/simdisk"
 )
 
-// The files of a log with a snapshot, byte by byte, as docs/wal-format.md has them.
+// The files of a log with a snapshot have exactly the bytes that docs/wal-format.md specifies.
 func TestFilesHaveBytesOfFormatVersion1(t *testing.T) {
-	const header = "01000000" + "00000000" + "0100000000000000" // version, zeros, index
+	const header = "01000000" + "00000000" + "0100000000000000" // version, four zero bytes, index
 	want := map[string]string{
 		"00000000000000000001.log": hex.EncodeToString([]byte("TULIPWAL")) + header + "6c963a6b" + "00000000" +
-			// checksum, length, type, index, index synced before, payload
+			// of each record: checksum, payload length, type, index, index synced when it was appended, payload
 			"a515afce" + "05000000" + "74" + "0100000000000000" + "0000000000000000" + "6669727374" +
 			"a8fd78da" + "00000000" + "74" + "0200000000000000" + "0000000000000000" +
 			"1928b3c7" + "02000000" + "75" + "0300000000000000" + "0200000000000000" + "00ff",
 		"00000000000000000001.snap": hex.EncodeToString([]byte("TULIPSNP")) + header + "c937c9b1" + "00000000" +
-			hex.EncodeToString([]byte("state")) + "0500000000000000" + "df68db66" + "bb5a05eb", // length, checksums
+			hex.EncodeToString([]byte("state")) + "0500000000000000" + "df68db66" + "bb5a05eb", // body; trailer: length of the body, checksum of the body, checksum of the trailer
 	}
 	disk := simdisk.New()
 	l, _, err := openLog(disk)
@@ -46,11 +46,11 @@
 	}
 	slices.Sort(names)
 	if wantNames := []string{"00000000000000000001.log", "00000000000000000001.snap"}; !slices.Equal(names, wantNames) {
-		t.Errorf("files %q, want %q", names, wantNames)
+		t.Errorf("the log has the files %q, want %q", names, wantNames)
 	}
 	for _, name := range names {
 		if got := hex.EncodeToString(disk.Bytes(name)); got != want[name] {
-			t.Errorf("%s is %s, want %s", name, got, want[name])
+			t.Errorf("%s has the bytes %s, want %s", name, got, want[name])
 		}
 	}
 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -5,46 +5,49 @@
 	"io"
 )
 
-// FS is a directory. Names are those of files; there are no directories below it. A change is sure to survive a loss of power only when
-// it was synced: the bytes of a file by File.Sync, and names (of files created, renamed, removed) by SyncDir.
+// FS is a directory that holds files and no subdirectories. A change is certain to survive a loss of power only after it was synced:
+// the content of a file by File.Sync, and the creation, renaming or removal of a file by SyncDir.
 type FS interface {
 	// List returns the names of all files, in any order.
 	List() ([]string, error)
-	// Open opens an existing file.
+	// Open opens an existing file for reading and appending.
 	Open(name string) (File, error)
-	// Create makes an empty file, in place of an existing one.
+	// Create creates an empty file and opens it for reading and appending. An existing file with the name is replaced.
 	Create(name string) (File, error)
-	// Rename renames a file, in place of an existing one.
+	// Rename renames a file. An existing file with the new name is replaced.
 	Rename(oldName, newName string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// SyncDir makes the names of files durable.
+	// SyncDir makes all files that were created, renamed or removed so far durable under their names, or durably absent.
 	SyncDir() error
-	// Lock locks the directory until the result is closed or the process ends. The error is ErrLocked where it is locked already.
+	// Lock locks the directory until the result is closed or the process ends. The error is ErrLocked if the directory is locked
+	// already.
 	Lock() (io.Closer, error)
 }
 
-// File is an open file.
+// File is an open file of an FS.
 type File interface {
 	io.ReaderAt
-	io.Writer // appends
-	// Size returns the size in bytes.
+	io.Writer // appends to the end of the file
+	// Size returns the size of the file in bytes.
 	Size() (int64, error)
 	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
-	// Sync makes the bytes of the file durable.
+	// Sync makes the content of the file durable.
 	Sync() error
 	io.Closer
 }
 
-// ErrLocked is returned where another process has the directory open.
+// ErrLocked means that another process, or another Log of this one, has locked the directory.
 var ErrLocked = errors.New("another process has it open")
 
-// TempSuffix ends the names of files that Replace has not completed. Open removes such files.
+// TempSuffix ends the name of a file that ReplaceFile is writing. Open removes such files, which a crash has left.
 const TempSuffix = ".tmp"
 
-// ReplaceFile writes parts to a file and puts it in place of the one with its name, if there is one. When it returns nil the file is
-// durable; otherwise the one before is there, or this one. A crash may leave a file whose name ends with TempSuffix.
+// ReplaceFile atomically creates or replaces the file called name, whose new content is all parts in order. The content is written to
+// a temporary file and synced before the rename, and the directory is synced after it. So the new file is durable if ReplaceFile
+// returns nil. After an error or a crash there is either the old file or the complete new one, and possibly a temporary file whose
+// name ends with TempSuffix.
 func ReplaceFile(fs FS, name string, parts ...[]byte) error {
 	if err := writeFile(fs, name+TempSuffix, parts); err != nil {
 		return err
@@ -55,7 +58,7 @@
 	return fs.SyncDir()
 }
 
-// writeFile creates a file, writes parts to it and syncs it.
+// writeFile creates a file, writes parts to it, syncs it, and closes it.
 func writeFile(fs FS, name string, parts [][]byte) error {
 	f, err := fs.Create(name)
 	if err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,9 +1,9 @@
-// Package wal is a durable write-ahead log: records in segments, and a snapshot that stands for the records before it. Its guarantee:
-// after any crash, all records that were appended before a Sync that returned nil are there, complete and in order, and the records
-// that are there are a prefix of those appended. docs/wal-format.md has the format.
+// Package wal implements a durable write-ahead log. It stores records in segment files, and a snapshot that replaces the records up
+// to its index. After any crash, the log still has all records that were appended before a Sync that returned nil, complete and in
+// order, and the records that it has are a prefix of the appended ones. docs/wal-format.md specifies the format of the files.
 //
-// A Log is owned by its caller, starts no goroutine, and keeps other processes from opening its directory. After a disk error it
-// fails every call: what a failed write or sync has left is unknown, and is found out by opening the log again.
+// A Log starts no goroutine, and locks its directory against other processes. After a disk error all its calls fail, since it is
+// unknown what the failed write or sync has left on the disk; opening the log again finds that out.
 package wal
 
 import (
@@ -13,43 +13,46 @@
 )
 
 const (
+	// defaultSegmentBytes is the value of Options.SegmentBytes if none is set.
 	defaultSegmentBytes = 16 << 20
-	// maxBufferBytes is the size from which records are written before a Sync. A buffer holds one record more at most.
+	// maxBufferBytes is the size of the buffer from which Append writes it to the segment without waiting for Sync. The buffer
+	// exceeds it by one record at most.
 	maxBufferBytes = 1 << 20
 )
 
-// Options of a Log.
+// Options configure a Log.
 type Options struct {
-	SegmentBytes int64        // a segment of this size or more is followed by another; 0: 16 MiB
-	OnRepair     func(string) // takes one line for each file that Open has cut off or removed; nil: it is not reported
+	SegmentBytes int64        // size in bytes from which a segment is followed by a new one; 0 means 16 MiB
+	OnRepair     func(string) // called by Open with a one-line message for each file that it truncates or removes; may be nil
 }
 
-// Log is an open log. It is not safe for concurrent use.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
-	fs      FS
+	fs      FS // directory that holds the log's files
 	options Options
-	lock    io.Closer
+	lock    io.Closer // lock on the directory, held until Close
 
-	segmentFirstIndexes []uint64 // index of the first record of each, ascending
-	activeSegment       File     // the last segment
-	activeBytes         int64    // size of the active segment, with what is buffered
-	buffer              []byte   // records appended and not yet written
-	nextIndex           uint64   // index of the next record
-	syncedIndex         uint64   // index of the last record that is durable
-	snapshotIndex       uint64   // index of the last record that the snapshot stands for; 0: there is none
-	failure             error    // returned by every call; nil: the log works
+	segmentFirstIndexes []uint64 // index of the first record of each segment, in ascending order
+	activeSegment       File     // last segment, to which records are appended
+	activeSegmentBytes  int64    // size of the active segment in bytes, including the buffered records
+	buffer              []byte   // encoded records that were appended and not yet written to the active segment
+	nextIndex           uint64   // index that the next appended record gets
+	syncedIndex         uint64   // index of the last durable record; 0: none is durable
+	snapshotIndex       uint64   // index of the last record that the snapshot replaces; 0: there is no snapshot
+	failure             error    // error that every call returns after a disk error or Close; nil while the log is usable
 }
 
-// NextIndex returns the index that the next record will have.
+// NextIndex returns the index that the next appended record gets.
 func (l *Log) NextIndex() uint64 { return l.nextIndex }
 
-// SyncedIndex returns the index of the last record that is durable; 0: none is.
+// SyncedIndex returns the index of the last durable record, or 0 if none is durable.
 func (l *Log) SyncedIndex() uint64 { return l.syncedIndex }
 
-// SnapshotIndex returns the index of the last record that the snapshot stands for; 0: there is no snapshot.
+// SnapshotIndex returns the index of the last record that the snapshot replaces, or 0 if there is no snapshot.
 func (l *Log) SnapshotIndex() uint64 { return l.snapshotIndex }
 
-// Append adds a record of at most MaxRecordBytes and returns its index. The record is durable when Sync has returned nil.
+// Append adds a record with a payload of at most MaxRecordBytes and returns its index. The record is durable once a later Sync has
+// returned nil.
 func (l *Log) Append(recordType byte, payload []byte) (uint64, error) {
 	if l.failure != nil {
 		return 0, l.failure
@@ -57,14 +60,14 @@
 	if len(payload) > MaxRecordBytes {
 		return 0, fmt.Errorf("a record of %d bytes, %d are the most", len(payload), MaxRecordBytes)
 	}
-	if l.activeBytes >= l.options.SegmentBytes {
+	if l.activeSegmentBytes >= l.options.SegmentBytes {
 		if err := l.rotate(); err != nil {
 			return 0, l.setFailure(err)
 		}
 	}
-	before := len(l.buffer)
+	bufferedBytes := len(l.buffer)
 	l.buffer = appendRecord(l.buffer, Record{l.nextIndex, recordType, payload}, l.syncedIndex)
-	l.activeBytes += int64(len(l.buffer) - before)
+	l.activeSegmentBytes += int64(len(l.buffer) - bufferedBytes)
 	l.nextIndex++
 	if len(l.buffer) >= maxBufferBytes {
 		if err := l.flush(); err != nil {
@@ -74,7 +77,7 @@
 	return l.nextIndex - 1, nil
 }
 
-// flush writes the buffer to the active segment.
+// flush writes the buffered records to the active segment, without syncing it.
 func (l *Log) flush() error {
 	if _, err := l.activeSegment.Write(l.buffer); err != nil {
 		return l.setFailure(err)
@@ -83,7 +86,7 @@
 	return nil
 }
 
-// Sync makes all records appended so far durable, with one write and one sync for all of them.
+// Sync makes all records that were appended so far durable. It writes all buffered records at once and syncs the segment once.
 func (l *Log) Sync() error {
 	if l.failure != nil {
 		return l.failure
@@ -101,13 +104,13 @@
 	return nil
 }
 
-// setFailure makes err the result of every later call, and returns it.
+// setFailure wraps err, records it as the error that every later call returns, and returns it.
 func (l *Log) setFailure(err error) error {
 	l.failure = fmt.Errorf("the log has failed: %w", err)
 	return l.failure
 }
 
-// Close closes the log. Records that were not synced may be lost.
+// Close closes the log and then releases the lock on its directory. Records that were appended after the last Sync may be lost.
 func (l *Log) Close() error {
 	err := l.activeSegment.Close()
 	if l.failure == nil {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -14,19 +14,21 @@
 	"tuliprock/internal/wal"
 )
 
-// recovered is what opening a log passed to its callbacks.
+// recovered collects what wal.Open passes to its callbacks.
 type recovered struct {
-	snapshot uint64
-	body     string            // of the snapshot
-	records  map[uint64]string // type and payload, by index
-	reports  []string
+	snapshot uint64            // index of the restored snapshot; 0: there was none
+	body     string            // body of the restored snapshot
+	records  map[uint64]string // type and payload of each replayed record, by index
+	repairs  []string          // messages passed to OnRepair
 }
 
-const segmentBytes = 600 // some ten records
+// segmentBytes is the size in bytes from which the tests' logs begin a new segment. Such a segment has about ten records.
+const segmentBytes = 600
 
+// openLog opens a log with small segments, and returns it with what was recovered.
 func openLog(fs wal.FS) (*wal.Log, *recovered, error) {
 	got := &recovered{records: map[uint64]string{}}
-	options := wal.Options{SegmentBytes: segmentBytes, OnRepair: func(line string) { got.reports = append(got.reports, line) }}
+	options := wal.Options{SegmentBytes: segmentBytes, OnRepair: func(line string) { got.repairs = append(got.repairs, line) }}
 	l, err := wal.Open(fs, options, func(index uint64, r io.Reader) error {
 		body, err := io.ReadAll(r)
 		got.snapshot, got.body = index, string(body)
@@ -38,74 +40,76 @@
 	return l, got, err
 }
 
-// model is what was appended to a log, and what must be durable.
+// model records what was appended to a log, and what must be durable.
 type model struct {
-	payloads []string // of record i+1
-	synced   uint64
-	snapshot uint64
+	payloads []string // payloads of all appended records; element i is that of record i+1
+	synced   uint64   // index of the last record that must be durable
+	snapshot uint64   // index of the latest snapshot that must be durable; 0: there is none
 }
 
+// snapshotBody returns the body of a snapshot at index.
 func snapshotBody(index uint64) string { return fmt.Sprint("state at ", index) }
 
-// check compares what was recovered, with next as the log's next index, with the model: it must be a prefix of what was appended,
-// with all that was synced.
+// check returns an error unless what was recovered is consistent with the model: the records must be a prefix of the appended ones and
+// include all synced ones. next is the next index of the recovered log.
 func (m *model) check(got *recovered, next uint64) error {
 	if next-1 < m.synced || next-1 > uint64(len(m.payloads)) {
-		return fmt.Errorf("%d records are there, %d were synced and %d appended", next-1, m.synced, len(m.payloads))
+		return fmt.Errorf("%d records were recovered, want at least the %d synced and at most the %d appended ones", next-1, m.synced, len(m.payloads))
 	}
 	if got.snapshot < m.snapshot || got.snapshot > 0 && got.body != snapshotBody(got.snapshot) {
-		return fmt.Errorf("the snapshot is %q at %d, one at %d was written", got.body, got.snapshot, m.snapshot)
+		return fmt.Errorf("the recovered snapshot is %q at index %d, want one at index %d or later", got.body, got.snapshot, m.snapshot)
 	}
 	for i := got.snapshot + 1; i < next; i++ {
 		if record, ok := got.records[i]; !ok || record != "t"+m.payloads[i-1] {
-			return fmt.Errorf("record %d is %.40q, not %.40q", i, record, m.payloads[i-1])
+			return fmt.Errorf("record %d is %.40q, want %.40q", i, record, "t"+m.payloads[i-1])
 		}
 	}
 	for i := range got.records {
 		if i <= got.snapshot || i >= next {
-			return fmt.Errorf("record %d was replayed", i)
+			return fmt.Errorf("record %d was replayed, want only records %d to %d", i, got.snapshot+1, next-1)
 		}
 	}
 	return nil
 }
 
-// step makes one random call on the log.
+// step makes one random call of Append, Sync or WriteSnapshot on the log, and updates the model.
 func (m *model) step(l *wal.Log, rng *rand.Rand) error {
-	switch k := rng.IntN(10); {
-	case k < 6:
+	switch choice := rng.IntN(10); {
+	case choice < 6:
 		payload := strings.Repeat(string(rune('a'+rng.IntN(26))), rng.IntN(200)) + fmt.Sprint(len(m.payloads)+1)
 		index, err := l.Append('t', []byte(payload))
 		if err == nil {
 			m.payloads = append(m.payloads[:index-1], payload)
 		}
 		return err
-	case k < 9 || l.SyncedIndex() <= l.SnapshotIndex():
+	case choice < 9 || l.SyncedIndex() <= l.SnapshotIndex():
 		err := l.Sync()
 		m.synced = max(m.synced, l.SyncedIndex())
 		return err
 	default:
-		at := l.SnapshotIndex() + 1 + rng.Uint64N(l.SyncedIndex()-l.SnapshotIndex())
-		err := l.WriteSnapshot(at, []byte(snapshotBody(at)))
+		index := l.SnapshotIndex() + 1 + rng.Uint64N(l.SyncedIndex()-l.SnapshotIndex())
+		err := l.WriteSnapshot(index, []byte(snapshotBody(index)))
 		if err == nil {
-			m.snapshot = at
+			m.snapshot = index
 		}
 		return err
 	}
 }
 
-// checkHistory makes random calls on a log, with failures and losses of power in between, and checks what is recovered after each.
+// checkHistory opens a log five times, makes random calls on it, and simulates disk errors and losses of power. It returns an error if
+// a recovered log is inconsistent with the calls, or a log works on after a disk error.
 func checkHistory(disk *simdisk.Disk, rng *rand.Rand, steps int) error {
 	m := &model{}
 	for range 5 {
 		l, got, err := openLog(disk)
 		if err != nil {
-			return fmt.Errorf("opening: %w", err)
+			return fmt.Errorf("open the log: %w", err)
 		}
 		if err := m.check(got, l.NextIndex()); err != nil {
 			return err
 		}
 		m.payloads = m.payloads[:l.NextIndex()-1]
-		m.synced = l.NextIndex() - 1 // what was recovered is durable
+		m.synced = l.NextIndex() - 1 // recovered records are durable
 		disk.FailAfter = 0
 		if rng.IntN(2) == 0 {
 			disk.FailAfter = disk.Changes + 1 + rng.IntN(20)
@@ -115,8 +119,8 @@
 		}
 		for range steps {
 			if err := m.step(l, rng); err != nil {
-				if l.Sync() == nil { // after an error nothing can become durable
-					return fmt.Errorf("a log goes on after %w", err)
+				if l.Sync() == nil { // after an error no record may be reported as durable
+					return fmt.Errorf("Sync succeeded after an earlier call had failed: %w", err)
 				}
 				break
 			}
@@ -126,6 +130,7 @@
 	return nil
 }
 
+// Synced records survive crashes and disk errors. A failing history is reduced to a small one.
 func TestSyncedRecordsSurviveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -135,7 +140,7 @@
 	})
 }
 
-// Thousands of the same histories, without a search for the smallest one that fails.
+// Checks the same property as TestSyncedRecordsSurviveCrashes on many more histories, without reducing a failing one.
 func TestSyncedRecordsSurviveCrashesInThousandsOfHistories(t *testing.T) {
 	for seed := range uint64(5000) {
 		if err := checkHistory(simdisk.New(), rand.New(rand.NewPCG(seed, 2)), 60); err != nil {
@@ -144,7 +149,7 @@
 	}
 }
 
-// The tests above can fail: they detect a disk that reports a sync and does not make one.
+// The histories of the tests above are able to detect a loss: they fail on a disk that reports a successful sync without making one.
 func TestHistoriesDetectDiskWithoutSync(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := simdisk.New()
@@ -153,7 +158,7 @@
 			return
 		}
 	}
-	t.Error("no loss was detected in fifty histories on a disk without syncs")
+	t.Error("no history of 50 on a disk without syncs detected a loss, want at least one")
 }
 
 func TestAppendRejectsRecordOverBound(t *testing.T) {
@@ -162,7 +167,7 @@
 		t.Fatal(err)
 	}
 	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
-		t.Error("a record over the bound is accepted")
+		t.Error("a record of more than MaxRecordBytes was accepted, want an error")
 	}
 	if err := errors.Join(l.Sync(), l.Close()); err != nil {
 		t.Error(err)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -7,32 +7,36 @@
 	"hash/crc32"
 )
 
-// MaxRecordBytes bounds a record's payload. It holds the largest command of the consensus, a document of 1 MB, several times.
+// MaxRecordBytes bounds the payload of a record. It is several times the size of the largest command that the consensus stores, which
+// is a document of 1 MB.
 const MaxRecordBytes = 16 << 20
 
-// A record's fields, as offsets in bytes (docs/wal-format.md). Numbers are little-endian.
+// Offsets, in bytes, of the fields of an encoded record, whose payload follows the header (docs/wal-format.md). Numbers are
+// little-endian.
 const (
-	recordChecksumOffset    = 0 // of all that follows
-	recordLengthOffset      = 4 // of the payload
-	recordTypeOffset        = 8
-	recordIndexOffset       = 9
+	recordChecksumOffset    = 0  // CRC-32C of all bytes of the record after the checksum
+	recordLengthOffset      = 4  // length of the payload in bytes
+	recordTypeOffset        = 8  // one byte, defined by the user of the log
+	recordIndexOffset       = 9  // index of the record
 	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
-	recordHeaderBytes       = 25
+	recordHeaderBytes       = 25 // size of the header, with all fields above
 )
 
+// crc32c is the table of the CRC-32C checksum.
 var crc32c = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the CRC-32C of b.
 func checksum(b []byte) uint32 { return crc32.Checksum(b, crc32c) }
 
-// Record is an entry of the log. Indices begin at 1 and have no gaps.
+// Record is an entry of the log.
 type Record struct {
-	Index   uint64
-	Type    byte // defined by the log's user
-	Payload []byte
+	Index   uint64 // position in the log; the first record has 1, and there are no gaps
+	Type    byte   // kind of the payload, defined by the user of the log
+	Payload []byte // content, which the log does not interpret
 }
 
-// appendRecord appends the encoded record to b. synced is the index of the last record that is durable now.
-func appendRecord(b []byte, r Record, synced uint64) []byte {
+// appendRecord appends the encoded record to b. syncedIndex is the index of the last record that is durable now.
+func appendRecord(b []byte, r Record, syncedIndex uint64) []byte {
 	start := len(b)
 	b = append(b, make([]byte, recordHeaderBytes)...)
 	b = append(b, r.Payload...)
@@ -40,27 +44,28 @@
 	binary.LittleEndian.PutUint32(encoded[recordLengthOffset:], uint32(len(r.Payload)))
 	encoded[recordTypeOffset] = r.Type
 	binary.LittleEndian.PutUint64(encoded[recordIndexOffset:], r.Index)
-	binary.LittleEndian.PutUint64(encoded[recordSyncedIndexOffset:], synced)
+	binary.LittleEndian.PutUint64(encoded[recordSyncedIndexOffset:], syncedIndex)
 	binary.LittleEndian.PutUint32(encoded[recordChecksumOffset:], checksum(encoded[recordLengthOffset:]))
 	return b
 }
 
-// decodedRecord is a record as it is in a segment.
+// decodedRecord is a record that was read from a segment.
 type decodedRecord struct {
-	Record              // its payload is a part of the bytes it was decoded from
+	Record              // its payload shares memory with the bytes of the segment
 	syncedIndex  uint64 // index of the last record that was durable when this one was appended
-	encodedBytes int    // in bytes, with the header
+	encodedBytes int    // size of the encoded record in bytes, including the header
 }
 
-// Why a record cannot be decoded.
+// Errors of decodeRecord.
 var (
-	errRecordHeaderTruncated = errors.New("a record's header is truncated")
-	errRecordExceedsMaximum  = errors.New("a record's length is over the bound")
-	errRecordTruncated       = errors.New("a record is truncated")
-	errRecordChecksum        = errors.New("a record's checksum is wrong")
+	errRecordHeaderTruncated = errors.New("the record's header is truncated")
+	errRecordExceedsMaximum  = errors.New("the record's length exceeds the maximum")
+	errRecordTruncated       = errors.New("the record is truncated")
+	errRecordChecksum        = errors.New("the record's checksum is wrong")
 )
 
-// decodeRecord decodes the record at the beginning of b, which must have the index given.
+// decodeRecord decodes the record at the beginning of b. It returns an error if the record is incomplete or damaged, or has another
+// index than the expected one.
 func decodeRecord(b []byte, index uint64) (decodedRecord, error) {
 	if len(b) < recordHeaderBytes {
 		return decodedRecord{}, errRecordHeaderTruncated
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// CorruptionError is returned by Open where something that was durable is damaged or missing. No segment and no snapshot was changed.
+// CorruptionError is returned by Open if durable data is damaged or missing. Open has then changed no segment and no snapshot.
 type CorruptionError struct {
-	File   string
-	Offset int64 // in bytes
-	Err    error // what is wrong there
+	File   string // name of the damaged file, or of the file before which records are missing
+	Offset int64  // position of the damage in the file, in bytes
+	Err    error  // what is wrong at the offset
 }
 
-// Error implements error: one line that says what an operator can do.
+// Error implements error. It returns a single line, which also says what an operator can do.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %v; restore the directory from a copy, or empty it and let the others bring this one up to date",
+	return fmt.Sprintf("%s at byte %d: %v; restore the directory from a copy, or empty it so that the other members bring this one up to date",
 		e.File, e.Offset, e.Err)
 }
 
 // Unwrap returns Err.
 func (e *CorruptionError) Unwrap() error { return e.Err }
 
-// Open opens the log in a directory, or creates it. The snapshot, if there is one, is passed to restore with a reader of its body; then
-// each record after it is passed to replay, which must not keep its payload. An error of either ends Open. It returns an error that is
-// ErrLocked where the log is open already, and a CorruptionError where durable data is damaged.
+// Open opens the log in a directory, or creates it. If there is a snapshot, Open passes its index and a reader of its body to restore.
+// It then passes each record after the snapshot to replay, which must not keep the payload. If one of them returns an error, Open
+// fails. The error is ErrLocked if the log is open already, and a CorruptionError if durable data is damaged or missing.
 func Open(fs FS, o Options, restore func(index uint64, r io.Reader) error, replay func(Record) error) (*Log, error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = defaultSegmentBytes
@@ -50,36 +50,38 @@
 	return l, nil
 }
 
-// recovery opens a log.
+// recovery reads the files of a log while Open opens it.
 type recovery struct {
 	*Log
-	restore func(uint64, io.Reader) error
-	replay  func(Record) error
-	// lastSegmentNext is the index after the last record of the segment that was read last. It is less than next where the snapshot
-	// stands for records that the segment has lost.
+	restore func(uint64, io.Reader) error // receives the index and the body of the snapshot
+	replay  func(Record) error            // receives each record after the snapshot
+	// nextIndexInLastSegment is the index after the last record in the segment that was read last. It is less than nextIndex if the
+	// segment has lost records that the snapshot replaces.
 	nextIndexInLastSegment uint64
 }
 
+// recoverLog restores the snapshot, replays the records after it, repairs what a crash has left incomplete, removes obsolete files, and
+// makes the log ready for appending.
 func (r *recovery) recoverLog() error {
 	names, err := r.fs.List()
 	if err != nil {
 		return err
 	}
-	var snapshots []uint64
+	var snapshotIndexes []uint64
 	for _, name := range names {
-		if first, ok := parseFileName(name, segmentSuffix); ok {
-			r.segmentFirstIndexes = append(r.segmentFirstIndexes, first)
+		if firstIndex, ok := parseFileName(name, segmentSuffix); ok {
+			r.segmentFirstIndexes = append(r.segmentFirstIndexes, firstIndex)
 		} else if index, ok := parseFileName(name, snapshotSuffix); ok {
-			snapshots = append(snapshots, index)
-		} else if strings.HasSuffix(name, TempSuffix) { // a snapshot that was not completed
+			snapshotIndexes = append(snapshotIndexes, index)
+		} else if strings.HasSuffix(name, TempSuffix) { // a crash interrupted ReplaceFile before the rename
 			if err := r.fs.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
 	slices.Sort(r.segmentFirstIndexes)
-	if len(snapshots) > 0 {
-		r.snapshotIndex = slices.Max(snapshots)
+	if len(snapshotIndexes) > 0 {
+		r.snapshotIndex = slices.Max(snapshotIndexes)
 		if err := r.readSnapshot(r.restore); err != nil {
 			return err
 		}
@@ -97,21 +99,23 @@
 	return nil
 }
 
-// errIncompleteHeader is returned for a last segment whose header is incomplete: a crash came before a record was written to it.
-var errIncompleteHeader = errors.New("the segment has no header")
+// errIncompleteHeader means that the last segment has no complete header. A crash came before a record was written to the segment, since
+// the header is synced first.
+var errIncompleteHeader = errors.New("the segment's header is incomplete")
 
 // replaySegments replays all records after the snapshot, and makes the last segment the active one.
 func (r *recovery) replaySegments() error {
-	// A crash after a snapshot was written may leave segments that it stands for. All but the last of them are skipped.
+	// A crash after a snapshot was written may leave segments that have only records up to the snapshot. They are skipped, unless one
+	// is the last segment, which stays the active one.
 	for len(r.segmentFirstIndexes) > 1 && r.segmentFirstIndexes[1] <= r.nextIndex {
 		r.segmentFirstIndexes = r.segmentFirstIndexes[1:]
 	}
-	for i, first := range r.segmentFirstIndexes {
-		f, content, err := r.openAndRead(segmentName(first))
+	for i, firstIndex := range r.segmentFirstIndexes {
+		f, content, err := r.openAndRead(segmentName(firstIndex))
 		if err != nil {
 			return err
 		}
-		s := segmentFile{fileName: segmentName(first), firstIndex: first, content: content, isFirst: i == 0, isLast: i == len(r.segmentFirstIndexes)-1}
+		s := segmentFile{fileName: segmentName(firstIndex), firstIndex: firstIndex, content: content, isFirst: i == 0, isLast: i == len(r.segmentFirstIndexes)-1}
 		end, err := r.replaySegment(s)
 		switch {
 		case errors.Is(err, errIncompleteHeader):
@@ -128,15 +132,16 @@
 		}
 	}
 	r.syncedIndex = r.nextIndex - 1
-	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex {
+	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex { // the next record begins a segment, since indexes within a segment must have no gap
 		return r.rotate()
 	}
 	return nil
 }
 
-// activateLastSegment makes the last segment the active one, and truncates it to end, where its last complete record ends.
+// activateLastSegment makes the last segment the active one, and removes an incomplete record at its end. end is the offset in bytes
+// at which the last complete record ends.
 func (r *recovery) activateLastSegment(f File, s segmentFile, end int64) error {
-	r.activeSegment, r.activeBytes = f, end
+	r.activeSegment, r.activeSegmentBytes = f, end
 	if end == int64(len(s.content)) {
 		return nil
 	}
@@ -144,12 +149,13 @@
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
-// removeLastSegment removes the last segment, in which no record was durable, and makes the one before it the active one.
+// removeLastSegment removes the last segment, whose header is incomplete so that it can't have durable records. It makes the segment
+// before that the active one, if there is one.
 func (r *recovery) removeLastSegment(f File) error {
 	last := len(r.segmentFirstIndexes) - 1
 	name := segmentName(r.segmentFirstIndexes[last])
 	r.segmentFirstIndexes = r.segmentFirstIndexes[:last]
-	r.options.OnRepair(fmt.Sprintf("%s: its header is incomplete, removed", name))
+	r.options.OnRepair(fmt.Sprintf("%s: removed, since its header is incomplete", name))
 	if err := errors.Join(f.Close(), r.fs.Remove(name)); err != nil {
 		return err
 	}
@@ -157,24 +163,25 @@
 	if last == 0 {
 		return nil
 	}
-	f, err := r.fs.Open(segmentName(r.segmentFirstIndexes[last-1])) // it was closed after it was replayed
+	f, err := r.fs.Open(segmentName(r.segmentFirstIndexes[last-1])) // the segment was closed after its records were replayed
 	if err != nil {
 		return err
 	}
 	r.activeSegment = f
-	r.activeBytes, err = f.Size()
+	r.activeSegmentBytes, err = f.Size()
 	return err
 }
 
-// segmentFile is a segment as it was read.
+// segmentFile is a segment that was read from the directory.
 type segmentFile struct {
-	fileName        string
-	firstIndex      uint64 // index of its first record
-	content         []byte
-	isFirst, isLast bool // among the segments that are replayed
+	fileName        string // name of the segment's file
+	firstIndex      uint64 // index of the segment's first record
+	content         []byte // all bytes of the file, including the header
+	isFirst, isLast bool   // position among the segments that are replayed
 }
 
-// replaySegment replays a segment's records after the snapshot, and returns the offset at which its last complete record ends.
+// replaySegment replays the records of a segment that come after the snapshot. It returns the offset in bytes at which the last
+// complete record of the segment ends.
 func (r *recovery) replaySegment(s segmentFile) (end int64, err error) {
 	if err := checkFileHeader(s.content, segmentMagic, s.firstIndex); err != nil {
 		if s.isLast && len(s.content) <= fileHeaderBytes {
@@ -183,7 +190,7 @@
 		return 0, &CorruptionError{s.fileName, 0, err}
 	}
 	if s.firstIndex > r.nextIndex || !s.isFirst && s.firstIndex != r.nextIndex {
-		return 0, &CorruptionError{s.fileName, fileIndexOffset, fmt.Errorf("records %d to %d are missing before it", r.nextIndex, s.firstIndex-1)}
+		return 0, &CorruptionError{s.fileName, fileIndexOffset, fmt.Errorf("records %d to %d, which precede this segment, are missing", r.nextIndex, s.firstIndex-1)}
 	}
 	end = fileHeaderBytes
 	index := s.firstIndex
@@ -195,7 +202,7 @@
 				return 0, &CorruptionError{s.fileName, end, err}
 			}
 			if hasRecordAfterSync(s.content[end:], index) {
-				return 0, &CorruptionError{s.fileName, end, fmt.Errorf("%w, and later records were written after it was synced", err)}
+				return 0, &CorruptionError{s.fileName, end, fmt.Errorf("%w, although it was synced before later records were written", err)}
 			}
 			break
 		}
@@ -209,27 +216,28 @@
 		index++
 	}
 	if !s.isLast && index < r.nextIndex {
-		return 0, &CorruptionError{s.fileName, end, errors.New("the segment ends early")}
+		return 0, &CorruptionError{s.fileName, end, errors.New("records at the end of the segment are missing")}
 	}
 	return end, nil
 }
 
-// hasRecordAfterSync reports whether b has, anywhere, a record that was appended when the record at index was durable. If so, the
-// record at index is damaged, and not torn by a crash.
+// hasRecordAfterSync reports whether b has, at any offset, a valid record that was appended when the record at index was durable
+// already. If so, the record at index was damaged later, and is not one that a crash left incomplete.
 func hasRecordAfterSync(b []byte, index uint64) bool {
-	for at := 1; at+recordHeaderBytes <= len(b); at++ {
-		claimed := binary.LittleEndian.Uint64(b[at+recordIndexOffset:])
-		if claimed <= index || claimed > index+uint64(len(b)/recordHeaderBytes) {
+	for offset := 1; offset+recordHeaderBytes <= len(b); offset++ {
+		possibleIndex := binary.LittleEndian.Uint64(b[offset+recordIndexOffset:])
+		if possibleIndex <= index || possibleIndex > index+uint64(len(b)/recordHeaderBytes) {
 			continue
 		}
-		if record, err := decodeRecord(b[at:], claimed); err == nil && record.syncedIndex >= index {
+		if record, err := decodeRecord(b[offset:], possibleIndex); err == nil && record.syncedIndex >= index {
 			return true
 		}
 	}
 	return false
 }
 
-// openAndRead opens a file and reads all of it: segments and snapshots are of bounded size. The caller closes the file.
+// openAndRead opens a file and reads its whole content into memory, since the size of segments and snapshots is bounded. The caller
+// must close the file.
 func (l *Log) openAndRead(name string) (File, []byte, error) {
 	f, err := l.fs.Open(name)
 	if err != nil {
--- a/internal/wal/recovery_test.go
+++ b/internal/wal/recovery_test.go
@@ -11,7 +11,8 @@
 	"tuliprock/internal/wal"
 )
 
-// writeLog returns a disk with a log of several segments and a snapshot, all synced, and its model.
+// writeLog returns a disk that has a log of 30 records in several segments with a snapshot at record 15, all synced, and the model of
+// the log.
 func writeLog(t *testing.T) (*simdisk.Disk, *model) {
 	t.Helper()
 	disk, m := simdisk.New(), &model{}
@@ -43,36 +44,36 @@
 	return disk, m
 }
 
-// Each file is truncated at every byte, and each byte is flipped: opening recovers a prefix, or returns an error of one line that names
-// the file. A synced record is missing only where opening fails, or where it is in the last batch of the last segment, which cannot be
-// told from a torn one.
+// Each file is truncated at every byte, and a bit of every byte is flipped. After each of these damages Open either recovers a prefix of
+// the records, or fails with a one-line error that names the file. If Open succeeds, a flipped bit may cost only records of the last
+// batch, since a damaged record there looks like one that a crash left incomplete.
 func TestOpenDetectsEveryTruncationAndFlip(t *testing.T) {
 	disk, m := writeLog(t)
 	names, err := disk.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused, opened := 0, 0
+	rejectedCount, openedCount := 0, 0
 	for _, name := range names {
 		content := disk.Bytes(name)
-		for at := range content {
+		for offset := range content {
 			flipped := slices.Clone(content)
-			flipped[at] ^= 1 << (at % 8)
-			for damage, bytes := range map[string][]byte{"cut": content[:at], "flipped": flipped} {
+			flipped[offset] ^= 1 << (offset % 8)
+			for damage, bytes := range map[string][]byte{"truncated": content[:offset], "flipped": flipped} {
 				damaged := disk.Copy()
 				damaged.SetBytes(name, bytes)
-				want := &model{payloads: m.payloads, snapshot: m.snapshot, synced: 27} // the last batch is 28 to 30
-				if damage == "cut" {
-					want.synced = 15
+				want := &model{payloads: m.payloads, snapshot: m.snapshot, synced: 27} // records 28 to 30 are the last synced batch
+				if damage == "truncated" {
+					want.synced = 15 // a truncated segment has no later record that shows how far it was synced
 				}
-				isRefused, err := checkDamaged(damaged, want)
+				isRejected, err := checkDamagedLog(damaged, want)
 				if err != nil {
-					t.Fatalf("%s %s at %d: %v", name, damage, at, err)
+					t.Fatalf("%s %s at byte %d: %v", name, damage, offset, err)
 				}
-				if isRefused {
-					refused++
+				if isRejected {
+					rejectedCount++
 				} else {
-					opened++
+					openedCount++
 				}
 			}
 		}
@@ -82,18 +83,19 @@
 		}
 		if l, got, err := openLog(damaged); err == nil {
 			if err := (&model{payloads: m.payloads}).check(got, l.NextIndex()); err != nil {
-				t.Errorf("without %s: %v", name, err)
+				t.Errorf("with the file %s removed: %v", name, err)
 			}
 		}
 	}
-	if refused == 0 || opened == 0 {
-		t.Errorf("%d refused, %d opened", refused, opened)
+	if rejectedCount == 0 || openedCount == 0 {
+		t.Errorf("%d damaged logs were rejected and %d opened, want some of both", rejectedCount, openedCount)
 	}
-	t.Logf("%d refused, %d opened", refused, opened)
+	t.Logf("%d damaged logs were rejected and %d opened", rejectedCount, openedCount)
 }
 
-// checkDamaged opens a damaged log. If that succeeds, the log must be as want has it, accept a further record and recover that, too.
-func checkDamaged(disk *simdisk.Disk, want *model) (isRefused bool, err error) {
+// checkDamagedLog opens a damaged log. If Open fails, the error must be a one-line CorruptionError that names a file. Otherwise the log must
+// be consistent with the model want, and accept a further record that the next Open recovers.
+func checkDamagedLog(disk *simdisk.Disk, want *model) (isRejected bool, err error) {
 	l, got, err := openLog(disk)
 	if err != nil {
 		var corruption *wal.CorruptionError
@@ -111,13 +113,14 @@
 	if err := errors.Join(l.Sync(), l.Close()); err != nil {
 		return false, err
 	}
-	again, got, err := openLog(disk)
-	if err != nil || got.records[again.NextIndex()-1] != "tmore" || again.NextIndex() != l.NextIndex() {
-		return false, fmt.Errorf("opened again: %v, %w", got, err)
+	reopened, got, err := openLog(disk)
+	if err != nil || got.records[reopened.NextIndex()-1] != "tmore" || reopened.NextIndex() != l.NextIndex() {
+		return false, fmt.Errorf("second open recovered %v with error %w, want the appended record", got, err)
 	}
 	return false, nil
 }
 
+// Open accepts or rejects any content of one or two segments without a panic, and a log that it opens can be appended to and synced.
 func FuzzOpen(f *testing.F) {
 	disk := simdisk.New()
 	l, _, err := openLog(disk)
@@ -132,13 +135,13 @@
 			f.Fatal(err)
 		}
 	}
-	firstName, secondName := fmt.Sprintf("%020d.log", 1), fmt.Sprintf("%020d.log", 12)
-	f.Add(disk.Bytes(firstName), disk.Bytes(secondName))
+	firstSegmentName, secondSegmentName := fmt.Sprintf("%020d.log", 1), fmt.Sprintf("%020d.log", 12)
+	f.Add(disk.Bytes(firstSegmentName), disk.Bytes(secondSegmentName))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		disk := simdisk.New()
-		disk.SetBytes(firstName, first)
+		disk.SetBytes(firstSegmentName, first)
 		if len(second) > 0 {
-			disk.SetBytes(secondName, second)
+			disk.SetBytes(secondSegmentName, second)
 		}
 		if l, _, err := openLog(disk); err == nil {
 			if _, err := l.Append('t', nil); err != nil || l.Sync() != nil {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -8,41 +8,46 @@
 	"strings"
 )
 
-// A file is named for an index, in this many decimal digits: a segment for its first record, a snapshot for the last record that it
-// stands for.
+// The name of a file is the index of a record in fileNameDigits decimal digits, and a suffix. For a segment it is the index of the
+// segment's first record, for a snapshot that of the last record that the snapshot replaces.
 const (
-	fileNameDigits                = 20
+	fileNameDigits                = 20 // as many as the largest uint64 has
 	segmentSuffix, snapshotSuffix = ".log", ".snap"
 )
 
-// The header of segments and snapshots (docs/wal-format.md). Numbers are little-endian; what lies between the fields is zero.
+// The header of segments and snapshots (docs/wal-format.md): the magic bytes at offset 0, and fields whose offsets in bytes are below.
+// Numbers are little-endian, and the bytes between the fields are zero.
 const (
-	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP"
-	formatVersion               = 1
+	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP" // first bytes of a file, which identify its kind
+	formatVersion               = 1                      // version of the format; files with another version are rejected
 
-	fileVersionOffset  = 8
-	fileIndexOffset    = 16
-	fileChecksumOffset = 24 // of all that precedes it
-	fileReservedOffset = 28
-	fileHeaderBytes    = 32
+	fileVersionOffset  = 8  // version of the format
+	fileIndexOffset    = 16 // index that the file is named after
+	fileChecksumOffset = 24 // CRC-32C of all bytes before it
+	fileReservedOffset = 28 // four zero bytes that are not part of the checksum
+	fileHeaderBytes    = 32 // size of the header
 )
 
-func segmentName(first uint64) string { return fileName(first, segmentSuffix) }
+// segmentName returns the name of the segment that begins with the record at firstIndex.
+func segmentName(firstIndex uint64) string { return fileName(firstIndex, segmentSuffix) }
 
+// snapshotName returns the name of the snapshot that replaces the records up to index.
 func snapshotName(index uint64) string { return fileName(index, snapshotSuffix) }
 
+// fileName returns the name of the file for an index, with the suffix of its kind.
 func fileName(index uint64, suffix string) string {
 	return fmt.Sprintf("%0*d%s", fileNameDigits, index, suffix)
 }
 
-// parseFileName returns the index that a segment or a snapshot is named for; ok is false if the name is another file's.
+// parseFileName returns the index in the name of a segment or a snapshot, whichever has the suffix. It returns false if the name is
+// not that of such a file.
 func parseFileName(name, suffix string) (index uint64, ok bool) {
 	digits, hasSuffix := strings.CutSuffix(name, suffix)
 	index, err := strconv.ParseUint(digits, 10, 64)
 	return index, hasSuffix && err == nil && len(digits) == fileNameDigits && index > 0
 }
 
-// encodeFileHeader returns the header of a segment or a snapshot.
+// encodeFileHeader returns the header of a segment or a snapshot, depending on magic.
 func encodeFileHeader(magic string, index uint64) []byte {
 	b := make([]byte, fileHeaderBytes)
 	copy(b, magic)
@@ -52,7 +57,7 @@
 	return b
 }
 
-// checkFileHeader returns an error unless b begins with the header of magic and index.
+// checkFileHeader returns an error unless b begins with a valid header that has the given magic bytes and index.
 func checkFileHeader(b []byte, magic string, index uint64) error {
 	if len(b) < fileHeaderBytes {
 		return errors.New("the header is truncated")
@@ -62,16 +67,17 @@
 	case checksum(b[:fileChecksumOffset]) != binary.LittleEndian.Uint32(b[fileChecksumOffset:]) || binary.LittleEndian.Uint32(b[fileReservedOffset:]) != 0:
 		return errors.New("the header is damaged")
 	case string(b[:len(magic)]) != magic:
-		return errors.New("the file is not a log's")
+		return fmt.Errorf("the header does not begin with %q", magic)
 	case version != formatVersion:
 		return fmt.Errorf("format version %d is unknown", version)
 	case binary.LittleEndian.Uint64(b[fileIndexOffset:]) != index:
-		return errors.New("the header has another index than the file's name")
+		return errors.New("the index in the header differs from the index in the file name")
 	}
 	return nil
 }
 
-// rotate completes the active segment and begins the next.
+// rotate syncs and closes the active segment, and begins the next one. The sync comes first, so that only the last segment can have
+// records that are not durable.
 func (l *Log) rotate() error {
 	if err := l.Sync(); err != nil {
 		return err
@@ -82,20 +88,20 @@
 	return l.createSegment(l.nextIndex)
 }
 
-// createSegment begins a segment with the record at first, and makes it the active one. It is durable before a record is written to
-// it.
-func (l *Log) createSegment(first uint64) error {
-	f, err := l.fs.Create(segmentName(first))
+// createSegment creates a segment that begins with the record at firstIndex, and makes it the active one. It syncs the file and the
+// directory, so that the segment is durable before a record is written to it.
+func (l *Log) createSegment(firstIndex uint64) error {
+	f, err := l.fs.Create(segmentName(firstIndex))
 	if err != nil {
 		return err
 	}
 	l.activeSegment = f
-	if _, err := f.Write(encodeFileHeader(segmentMagic, first)); err != nil {
+	if _, err := f.Write(encodeFileHeader(segmentMagic, firstIndex)); err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil {
 		return err
 	}
-	l.segmentFirstIndexes, l.activeBytes = append(l.segmentFirstIndexes, first), fileHeaderBytes
+	l.segmentFirstIndexes, l.activeSegmentBytes = append(l.segmentFirstIndexes, firstIndex), fileHeaderBytes
 	return l.fs.SyncDir()
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,27 +8,29 @@
 	"io"
 )
 
-// MaxSnapshotBytes bounds a snapshot, which is held in memory while it is written and read.
+// MaxSnapshotBytes bounds the body of a snapshot. It is in memory as a whole while it is written or read.
 const MaxSnapshotBytes = 256 << 20
 
-// The trailer of a snapshot, as offsets in bytes (docs/wal-format.md). Numbers are little-endian.
+// Offsets, in bytes, of the fields of the trailer that follows the body of a snapshot (docs/wal-format.md). Numbers are
+// little-endian.
 const (
-	trailerLengthOffset       = 0  // of the body
-	trailerBodyChecksumOffset = 8  // of the body
-	trailerChecksumOffset     = 12 // of the trailer's fields that precede it
-	snapshotTrailerBytes      = 16
+	trailerLengthOffset       = 0  // length of the body in bytes
+	trailerBodyChecksumOffset = 8  // CRC-32C of the body
+	trailerChecksumOffset     = 12 // CRC-32C of the trailer's bytes before this field
+	snapshotTrailerBytes      = 16 // size of the trailer
 )
 
-// WriteSnapshot writes a snapshot of at most MaxSnapshotBytes that stands for all records up to index, which must be synced, and removes the
-// files that it stands for. When it returns nil the snapshot is durable; otherwise the one before is, or this one.
+// WriteSnapshot stores a snapshot that replaces all records up to index, and removes the files that are obsolete then. The records must
+// be synced, and body must have at most MaxSnapshotBytes. The new snapshot is durable if WriteSnapshot returns nil; after an error or
+// a crash the log has either the previous snapshot or the new one.
 func (l *Log) WriteSnapshot(index uint64, body []byte) error {
 	switch {
 	case l.failure != nil:
 		return l.failure
 	case index > l.syncedIndex || index <= l.snapshotIndex:
-		return fmt.Errorf("a snapshot at %d: records are synced up to %d, and there is one at %d", index, l.syncedIndex, l.snapshotIndex)
+		return fmt.Errorf("snapshot at record %d is rejected: records are synced up to %d, and the latest snapshot is at %d", index, l.syncedIndex, l.snapshotIndex)
 	case len(body) > MaxSnapshotBytes:
-		return fmt.Errorf("a snapshot of %d bytes, %d are the most", len(body), MaxSnapshotBytes)
+		return fmt.Errorf("snapshot of %d bytes exceeds the maximum of %d bytes", len(body), MaxSnapshotBytes)
 	}
 	if err := l.writeSnapshotFile(index, body); err != nil {
 		return l.setFailure(err)
@@ -40,6 +42,7 @@
 	return nil
 }
 
+// writeSnapshotFile writes the file of a snapshot and makes it durable.
 func (l *Log) writeSnapshotFile(index uint64, body []byte) error {
 	var trailer [snapshotTrailerBytes]byte
 	binary.LittleEndian.PutUint64(trailer[trailerLengthOffset:], uint64(len(body)))
@@ -48,7 +51,7 @@
 	return ReplaceFile(l.fs, snapshotName(index), encodeFileHeader(snapshotMagic, index), body, trailer[:])
 }
 
-// readSnapshot passes the body of the snapshot at l.snapshot to restore.
+// readSnapshot reads and verifies the snapshot at l.snapshotIndex, and passes its body to restore.
 func (l *Log) readSnapshot(restore func(uint64, io.Reader) error) error {
 	name := snapshotName(l.snapshotIndex)
 	f, b, err := l.openAndRead(name)
@@ -76,7 +79,8 @@
 	return nil
 }
 
-// removeObsoleteFiles removes older snapshots, and the segments whose records the snapshot stands for. The active segment stays.
+// removeObsoleteFiles removes older snapshots, and the segments that have only records that the snapshot replaces. The active segment
+// is never removed.
 func (l *Log) removeObsoleteFiles() error {
 	if l.snapshotIndex == 0 {
 		return nil
@@ -85,22 +89,22 @@
 	if err != nil {
 		return err
 	}
-	firstKept := uint64(0) // the segment of the first record after the snapshot
-	for _, first := range l.segmentFirstIndexes {
-		if first <= l.snapshotIndex+1 {
-			firstKept = first
+	firstKeptIndex := uint64(0) // first index of the segment that has, or will have, the record after the snapshot
+	for _, firstIndex := range l.segmentFirstIndexes {
+		if firstIndex <= l.snapshotIndex+1 {
+			firstKeptIndex = firstIndex
 		}
 	}
 	for _, name := range names {
-		first, isSegment := parseFileName(name, segmentSuffix)
+		firstIndex, isSegment := parseFileName(name, segmentSuffix)
 		index, isSnapshot := parseFileName(name, snapshotSuffix)
-		if isSegment && first < firstKept || isSnapshot && index < l.snapshotIndex {
+		if isSegment && firstIndex < firstKeptIndex || isSnapshot && index < l.snapshotIndex {
 			if err := l.fs.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
-	for len(l.segmentFirstIndexes) > 0 && l.segmentFirstIndexes[0] < firstKept {
+	for len(l.segmentFirstIndexes) > 0 && l.segmentFirstIndexes[0] < firstKeptIndex {
 		l.segmentFirstIndexes = l.segmentFirstIndexes[1:]
 	}
 	return nil
