--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -216,6 +216,7 @@
 	return s, nil
 }
 
+// statePath returns the path of the state file.
 func (d *Directory) statePath() string { return d.pathPrefix + ".state" }
 
 // readBoundedFile returns the content of a file, cut off after maxStateBytes.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -58,7 +58,7 @@
 		return 0, l.failure
 	}
 	if len(payload) > MaxRecordBytes {
-		return 0, fmt.Errorf("a record of %d bytes, %d are the most", len(payload), MaxRecordBytes)
+		return 0, fmt.Errorf("record of %d bytes exceeds the maximum of %d bytes", len(payload), MaxRecordBytes)
 	}
 	if l.activeSegmentBytes >= l.options.SegmentBytes {
 		if err := l.rotate(); err != nil {
