--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -88,7 +88,7 @@
 	if output.Snapshot == nil || v.log.SyncedIndex() <= v.log.SnapshotIndex() {
 		return nil
 	}
-	if err := v.log.Snap(v.log.SyncedIndex(), output.Snapshot.Body); err != nil {
+	if err := v.log.WriteSnapshot(v.log.SyncedIndex(), output.Snapshot.Body); err != nil {
 		return fmt.Errorf("write a snapshot: %w", err)
 	}
 	return nil
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// CorruptionError is returned by Open where something that was durable is damaged or missing. No segment and no snapshot was changed.
+// CorruptionError is returned by Open if durable data is damaged or missing. Open has then changed no segment and no snapshot.
 type CorruptionError struct {
-	File   string
-	Offset int64 // in bytes
-	Err    error // what is wrong there
+	File   string // name of the damaged file, or of the file before which records are missing
+	Offset int64  // position of the damage in the file, in bytes
+	Err    error  // what is wrong at the offset
 }
 
-// Error implements error: one line that says what an operator can do.
+// Error implements error. It returns a single line, which also says what an operator can do.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %v; restore the directory from a copy, or empty it and let the others bring this one up to date",
+	return fmt.Sprintf("%s at byte %d: %v; restore the directory from a copy, or empty it so that the other members bring this one up to date",
 		e.File, e.Offset, e.Err)
 }
 
 // Unwrap returns Err.
 func (e *CorruptionError) Unwrap() error { return e.Err }
 
-// Open opens the log in a directory, or creates it. The snapshot, if there is one, is passed to restore with a reader of its body; then
-// each record after it is passed to replay, which must not keep its payload. An error of either ends Open. It returns an error that is
-// ErrLocked where the log is open already, and a CorruptionError where durable data is damaged.
+// Open opens the log in a directory, or creates it. If there is a snapshot, Open passes its index and a reader of its body to restore.
+// It then passes each record after the snapshot to replay, which must not keep the payload. If one of them returns an error, Open
+// fails. The error is ErrLocked if the log is open already, and a CorruptionError if durable data is damaged or missing.
 func Open(fs FS, o Options, restore func(index uint64, r io.Reader) error, replay func(Record) error) (*Log, error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = defaultSegmentBytes
@@ -39,197 +39,205 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, options: o, lock: lock, next: 1}
+	l := &Log{fs: fs, options: o, lock: lock, nextIndex: 1}
 	r := recovery{Log: l, restore: restore, replay: replay}
-	if err := r.run(); err != nil {
-		if l.active != nil {
-			err = errors.Join(err, l.active.Close())
+	if err := r.recoverLog(); err != nil {
+		if l.activeSegment != nil {
+			err = errors.Join(err, l.activeSegment.Close())
 		}
 		return nil, errors.Join(err, lock.Close())
 	}
 	return l, nil
 }
 
-// recovery opens a log.
+// recovery reads the files of a log while Open opens it.
 type recovery struct {
 	*Log
-	restore func(uint64, io.Reader) error
-	replay  func(Record) error
-	// lastSegmentNext is the index after the last record of the segment that was read last. It is less than next where the snapshot
-	// stands for records that the segment has lost.
-	lastSegmentNext uint64
+	restore func(uint64, io.Reader) error // receives the index and the body of the snapshot
+	replay  func(Record) error            // receives each record after the snapshot
+	// nextIndexInLastSegment is the index after the last record in the segment that was read last. It is less than nextIndex if the
+	// segment has lost records that the snapshot replaces.
+	nextIndexInLastSegment uint64
 }
 
-func (r *recovery) run() error {
+// recoverLog restores the snapshot, replays the records after it, repairs what a crash has left incomplete, removes obsolete files, and
+// makes the log ready for appending.
+func (r *recovery) recoverLog() error {
 	names, err := r.fs.List()
 	if err != nil {
 		return err
 	}
-	var snapshots []uint64
+	var snapshotIndexes []uint64
 	for _, name := range names {
-		if first, ok := parseFileName(name, segmentSuffix); ok {
-			r.segments = append(r.segments, first)
+		if firstIndex, ok := parseFileName(name, segmentSuffix); ok {
+			r.segmentFirstIndexes = append(r.segmentFirstIndexes, firstIndex)
 		} else if index, ok := parseFileName(name, snapshotSuffix); ok {
-			snapshots = append(snapshots, index)
-		} else if strings.HasSuffix(name, TempSuffix) { // a snapshot that was not completed
+			snapshotIndexes = append(snapshotIndexes, index)
+		} else if strings.HasSuffix(name, TempSuffix) { // a crash interrupted ReplaceFile before the rename
 			if err := r.fs.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
-	slices.Sort(r.segments)
-	if len(snapshots) > 0 {
-		r.snapshot = slices.Max(snapshots)
+	slices.Sort(r.segmentFirstIndexes)
+	if len(snapshotIndexes) > 0 {
+		r.snapshotIndex = slices.Max(snapshotIndexes)
 		if err := r.readSnapshot(r.restore); err != nil {
 			return err
 		}
-		r.next = r.snapshot + 1
+		r.nextIndex = r.snapshotIndex + 1
 	}
 	if err := r.replaySegments(); err != nil {
 		return err
 	}
-	if err := r.removeObsolete(); err != nil {
+	if err := r.removeObsoleteFiles(); err != nil {
 		return err
 	}
-	if r.active == nil {
-		return r.createSegment(r.next)
+	if r.activeSegment == nil {
+		return r.createSegment(r.nextIndex)
 	}
 	return nil
 }
 
-// errNotBegun is returned for a last segment whose header is incomplete: a crash came before a record was written to it.
-var errNotBegun = errors.New("the segment has no header")
+// errIncompleteHeader means that the last segment has no complete header. A crash came before a record was written to the segment, since
+// the header is synced first.
+var errIncompleteHeader = errors.New("the segment's header is incomplete")
 
 // replaySegments replays all records after the snapshot, and makes the last segment the active one.
 func (r *recovery) replaySegments() error {
-	// A crash after a snapshot was written may leave segments that it stands for. All but the last of them are skipped.
-	for len(r.segments) > 1 && r.segments[1] <= r.next {
-		r.segments = r.segments[1:]
+	// A crash after a snapshot was written may leave segments that have only records up to the snapshot. They are skipped, unless one
+	// is the last segment, which stays the active one.
+	for len(r.segmentFirstIndexes) > 1 && r.segmentFirstIndexes[1] <= r.nextIndex {
+		r.segmentFirstIndexes = r.segmentFirstIndexes[1:]
 	}
-	for i, first := range r.segments {
-		f, content, err := r.openAndRead(segmentName(first))
+	for i, firstIndex := range r.segmentFirstIndexes {
+		f, content, err := r.openAndRead(segmentName(firstIndex))
 		if err != nil {
 			return err
 		}
-		s := segmentContent{name: segmentName(first), first: first, bytes: content, isFirst: i == 0, isLast: i == len(r.segments)-1}
+		s := segmentFile{fileName: segmentName(firstIndex), firstIndex: firstIndex, content: content, isFirst: i == 0, isLast: i == len(r.segmentFirstIndexes)-1}
 		end, err := r.replaySegment(s)
 		switch {
-		case errors.Is(err, errNotBegun):
-			return r.dropLastSegment(f)
+		case errors.Is(err, errIncompleteHeader):
+			return r.removeLastSegment(f)
 		case err != nil:
 			return errors.Join(err, f.Close())
 		case !s.isLast:
 			err = f.Close()
 		default:
-			err = r.activate(f, s, end)
+			err = r.activateLastSegment(f, s, end)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	r.synced = r.next - 1
-	if r.active != nil && r.lastSegmentNext < r.next {
+	r.syncedIndex = r.nextIndex - 1
+	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex { // the next record begins a segment, since indexes within a segment must have no gap
 		return r.rotate()
 	}
 	return nil
 }
 
-// activate makes the last segment the active one, and truncates it to end, where its last complete record ends.
-func (r *recovery) activate(f File, s segmentContent, end int64) error {
-	r.active, r.activeBytes = f, end
-	if end == int64(len(s.bytes)) {
+// activateLastSegment makes the last segment the active one, and removes an incomplete record at its end. end is the offset in bytes
+// at which the last complete record ends.
+func (r *recovery) activateLastSegment(f File, s segmentFile, end int64) error {
+	r.activeSegment, r.activeSegmentBytes = f, end
+	if end == int64(len(s.content)) {
 		return nil
 	}
-	r.options.OnRepair(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.name, end, len(s.bytes)))
+	r.options.OnRepair(fmt.Sprintf("%s: truncated at byte %d of %d, after the last complete record", s.fileName, end, len(s.content)))
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
-// dropLastSegment removes the last segment, in which no record was durable, and makes the one before it the active one.
-func (r *recovery) dropLastSegment(f File) error {
-	last := len(r.segments) - 1
-	name := segmentName(r.segments[last])
-	r.segments = r.segments[:last]
-	r.options.OnRepair(fmt.Sprintf("%s: its header is incomplete, removed", name))
+// removeLastSegment removes the last segment, whose header is incomplete so that it can't have durable records. It makes the segment
+// before that the active one, if there is one.
+func (r *recovery) removeLastSegment(f File) error {
+	last := len(r.segmentFirstIndexes) - 1
+	name := segmentName(r.segmentFirstIndexes[last])
+	r.segmentFirstIndexes = r.segmentFirstIndexes[:last]
+	r.options.OnRepair(fmt.Sprintf("%s: removed, since its header is incomplete", name))
 	if err := errors.Join(f.Close(), r.fs.Remove(name)); err != nil {
 		return err
 	}
-	r.synced = r.next - 1
+	r.syncedIndex = r.nextIndex - 1
 	if last == 0 {
 		return nil
 	}
-	f, err := r.fs.Open(segmentName(r.segments[last-1])) // it was closed after it was replayed
+	f, err := r.fs.Open(segmentName(r.segmentFirstIndexes[last-1])) // the segment was closed after its records were replayed
 	if err != nil {
 		return err
 	}
-	r.active = f
-	r.activeBytes, err = f.Size()
+	r.activeSegment = f
+	r.activeSegmentBytes, err = f.Size()
 	return err
 }
 
-// segmentContent is a segment as it was read.
-type segmentContent struct {
-	name            string
-	first           uint64 // index of its first record
-	bytes           []byte
-	isFirst, isLast bool // among the segments that are replayed
+// segmentFile is a segment that was read from the directory.
+type segmentFile struct {
+	fileName        string // name of the segment's file
+	firstIndex      uint64 // index of the segment's first record
+	content         []byte // all bytes of the file, including the header
+	isFirst, isLast bool   // position among the segments that are replayed
 }
 
-// replaySegment replays a segment's records after the snapshot, and returns the offset at which its last complete record ends.
-func (r *recovery) replaySegment(s segmentContent) (end int64, err error) {
-	if err := checkFileHeader(s.bytes, segmentMagic, s.first); err != nil {
-		if s.isLast && len(s.bytes) <= fileHeaderBytes {
-			return 0, errNotBegun
+// replaySegment replays the records of a segment that come after the snapshot. It returns the offset in bytes at which the last
+// complete record of the segment ends.
+func (r *recovery) replaySegment(s segmentFile) (end int64, err error) {
+	if err := checkFileHeader(s.content, segmentMagic, s.firstIndex); err != nil {
+		if s.isLast && len(s.content) <= fileHeaderBytes {
+			return 0, errIncompleteHeader
 		}
-		return 0, &CorruptionError{s.name, 0, err}
+		return 0, &CorruptionError{s.fileName, 0, err}
 	}
-	if s.first > r.next || !s.isFirst && s.first != r.next {
-		return 0, &CorruptionError{s.name, fileIndexAt, fmt.Errorf("records %d to %d are missing before it", r.next, s.first-1)}
+	if s.firstIndex > r.nextIndex || !s.isFirst && s.firstIndex != r.nextIndex {
+		return 0, &CorruptionError{s.fileName, fileIndexOffset, fmt.Errorf("records %d to %d, which precede this segment, are missing", r.nextIndex, s.firstIndex-1)}
 	}
 	end = fileHeaderBytes
-	index := s.first
-	defer func() { r.lastSegmentNext = index }()
-	for end < int64(len(s.bytes)) {
-		record, err := decodeRecord(s.bytes[end:], index)
+	index := s.firstIndex
+	defer func() { r.nextIndexInLastSegment = index }()
+	for end < int64(len(s.content)) {
+		record, err := decodeRecord(s.content[end:], index)
 		if err != nil {
 			if !s.isLast {
-				return 0, &CorruptionError{s.name, end, err}
+				return 0, &CorruptionError{s.fileName, end, err}
 			}
-			if hasRecordAfterSync(s.bytes[end:], index) {
-				return 0, &CorruptionError{s.name, end, fmt.Errorf("%w, and later records were written after it was synced", err)}
+			if hasRecordAfterSync(s.content[end:], index) {
+				return 0, &CorruptionError{s.fileName, end, fmt.Errorf("%w, although it was synced before later records were written", err)}
 			}
 			break
 		}
-		if index >= r.next {
+		if index >= r.nextIndex {
 			if err := r.replay(record.Record); err != nil {
-				return 0, fmt.Errorf("%s at byte %d: record %d: %w", s.name, end, index, err)
+				return 0, fmt.Errorf("%s at byte %d: record %d: %w", s.fileName, end, index, err)
 			}
-			r.next = index + 1
+			r.nextIndex = index + 1
 		}
-		end += int64(record.size)
+		end += int64(record.encodedBytes)
 		index++
 	}
-	if !s.isLast && index < r.next {
-		return 0, &CorruptionError{s.name, end, errors.New("the segment ends early")}
+	if !s.isLast && index < r.nextIndex {
+		return 0, &CorruptionError{s.fileName, end, errors.New("records at the end of the segment are missing")}
 	}
 	return end, nil
 }
 
-// hasRecordAfterSync reports whether b has, anywhere, a record that was appended when the record at index was durable. If so, the
-// record at index is damaged, and not torn by a crash.
+// hasRecordAfterSync reports whether b has, at any offset, a valid record that was appended when the record at index was durable
+// already. If so, the record at index was damaged later, and is not one that a crash left incomplete.
 func hasRecordAfterSync(b []byte, index uint64) bool {
-	for at := 1; at+recordHeaderBytes <= len(b); at++ {
-		claimed := binary.LittleEndian.Uint64(b[at+recordIndexAt:])
-		if claimed <= index || claimed > index+uint64(len(b)/recordHeaderBytes) {
+	for offset := 1; offset+recordHeaderBytes <= len(b); offset++ {
+		possibleIndex := binary.LittleEndian.Uint64(b[offset+recordIndexOffset:])
+		if possibleIndex <= index || possibleIndex > index+uint64(len(b)/recordHeaderBytes) {
 			continue
 		}
-		if record, err := decodeRecord(b[at:], claimed); err == nil && record.synced >= index {
+		if record, err := decodeRecord(b[offset:], possibleIndex); err == nil && record.syncedIndex >= index {
 			return true
 		}
 	}
 	return false
 }
 
-// openAndRead opens a file and reads all of it: segments and snapshots are of bounded size. The caller closes the file.
+// openAndRead opens a file and reads its whole content into memory, since the size of segments and snapshots is bounded. The caller
+// must close the file.
 func (l *Log) openAndRead(name string) (File, []byte, error) {
 	f, err := l.fs.Open(name)
 	if err != nil {
