--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// decoder sets a struct's fields from a parsed file, and collects errors.
+// decoder sets the fields of a struct from a parsed file, and collects all errors that it finds.
 type decoder struct {
-	file *File
+	file *File // source of line numbers for errors
 	errs []*Error
 }
 
-func (d *decoder) fail(field, format string, args ...any) {
+// addError records an error at the field with this full name.
+func (d *decoder) addError(field, format string, args ...any) {
 	d.errs = append(d.errs, d.file.errorAt(field, fmt.Sprintf(format, args...)))
 }
 
-func (d *decoder) table(name string, tree map[string]any, into reflect.Value) {
+// decodeTable sets the fields of a struct from the keys of a table; name is the table's full name.
+func (d *decoder) decodeTable(name string, tree map[string]any, into reflect.Value) {
 	fields := map[string]reflect.Value{}
 	for i := range into.NumField() {
 		if tag := into.Type().Field(i).Tag.Get("toml"); tag != "" {
@@ -27,32 +29,33 @@
 	for key, value := range tree {
 		field, ok := fields[key]
 		if !ok {
-			d.fail(join(name, key), "unknown field")
+			d.addError(joinName(name, key), "unknown field")
 			continue
 		}
-		d.value(join(name, key), value, field)
+		d.decodeValue(joinName(name, key), value, field)
 	}
 }
 
 var (
-	rangeType    = reflect.TypeFor[NumberRange]()
-	spanType     = reflect.TypeFor[DurationRange]()
-	durationType = reflect.TypeFor[time.Duration]()
+	numberRangeType   = reflect.TypeFor[NumberRange]()
+	durationRangeType = reflect.TypeFor[DurationRange]()
+	durationType      = reflect.TypeFor[time.Duration]()
 )
 
-// value sets one field. The types of this package and durations come first: their kinds are those of other types, too.
-func (d *decoder) value(field string, value any, into reflect.Value) {
+// decodeValue sets one field. Ranges and durations are recognized by type before anything else, since by kind they are
+// ordinary structs and integers.
+func (d *decoder) decodeValue(field string, value any, into reflect.Value) {
 	switch into.Type() {
-	case rangeType:
-		d.numberRange(field, value, into)
+	case numberRangeType:
+		d.decodeNumberRange(field, value, into)
 		return
-	case spanType:
-		d.durationRange(field, value, into)
+	case durationRangeType:
+		d.decodeDurationRange(field, value, into)
 		return
 	case durationType:
-		v, ok := duration(value)
+		v, ok := parseDuration(value)
 		if !ok {
-			d.fail(field, `%v is no duration ("1.5s")`, value)
+			d.addError(field, `%v is not a duration like "1.5s"`, value)
 			return
 		}
 		into.SetInt(int64(v))
@@ -61,106 +64,106 @@
 	switch into.Kind() {
 	case reflect.Pointer:
 		into.Set(reflect.New(into.Type().Elem()))
-		d.value(field, value, into.Elem())
+		d.decodeValue(field, value, into.Elem())
 	case reflect.Struct:
 		tree, ok := value.(map[string]any)
 		if !ok {
-			d.fail(field, "a table is wanted")
+			d.addError(field, "must be a table")
 			return
 		}
-		d.table(field, tree, into)
+		d.decodeTable(field, tree, into)
 	case reflect.Slice:
-		d.list(field, value, into)
+		d.decodeArray(field, value, into)
 	default:
-		d.scalar(field, value, into)
+		d.decodeScalar(field, value, into)
 	}
 }
 
-func (d *decoder) numberRange(field string, value any, into reflect.Value) {
-	lo, hi, ok := interval(value, number)
+func (d *decoder) decodeNumberRange(field string, value any, into reflect.Value) {
+	lo, hi, ok := parseRange(value, parseNumber)
 	if !ok || lo > hi {
-		d.fail(field, "%v is neither a number nor two in order", value)
+		d.addError(field, "%v is neither a number nor an array of two numbers, the lower bound first", value)
 		return
 	}
 	into.Set(reflect.ValueOf(NumberRange{lo, hi}))
 }
 
-func (d *decoder) durationRange(field string, value any, into reflect.Value) {
-	lo, hi, ok := interval(value, duration)
+func (d *decoder) decodeDurationRange(field string, value any, into reflect.Value) {
+	lo, hi, ok := parseRange(value, parseDuration)
 	if !ok || lo > hi {
-		d.fail(field, `%v is neither a duration ("1.5s") nor two in order`, value)
+		d.addError(field, `%v is neither a duration like "1.5s" nor an array of two durations, the lower bound first`, value)
 		return
 	}
 	into.Set(reflect.ValueOf(DurationRange{lo, hi}))
 }
 
-func (d *decoder) list(field string, value any, into reflect.Value) {
+func (d *decoder) decodeArray(field string, value any, into reflect.Value) {
 	list, ok := value.([]any)
 	if !ok {
-		d.fail(field, "a list is wanted")
+		d.addError(field, "must be an array")
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(list), len(list)))
 	for i, element := range list {
-		d.value(fmt.Sprintf("%s[%d]", field, i), element, into.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", field, i), element, into.Index(i))
 	}
 }
 
-func (d *decoder) scalar(field string, value any, into reflect.Value) {
+func (d *decoder) decodeScalar(field string, value any, into reflect.Value) {
 	switch into.Kind() {
 	case reflect.String:
 		if v, ok := value.(string); ok {
 			into.SetString(v)
 			return
 		}
-		d.fail(field, "%v is no text", value)
+		d.addError(field, "%v is not a string", value)
 	case reflect.Bool:
 		if v, ok := value.(bool); ok {
 			into.SetBool(v)
 			return
 		}
-		d.fail(field, "%v is neither true nor false", value)
+		d.addError(field, "%v is neither true nor false", value)
 	case reflect.Int, reflect.Int64:
 		if v, ok := value.(int64); ok {
 			into.SetInt(v)
 			return
 		}
-		d.fail(field, "%v is no whole number", value)
+		d.addError(field, "%v is not an integer", value)
 	case reflect.Uint64:
 		if v, ok := value.(int64); ok && v >= 0 {
 			into.SetUint(uint64(v))
 			return
 		}
-		d.fail(field, "%v is no whole number from 0 up", value)
+		d.addError(field, "%v is not an integer of at least 0", value)
 	case reflect.Float64:
-		if v, ok := number(value); ok {
+		if v, ok := parseNumber(value); ok {
 			into.SetFloat(v)
 			return
 		}
-		d.fail(field, "%v is no number", value)
+		d.addError(field, "%v is not a finite number", value)
 	default:
-		d.fail(field, "can't be set")
+		d.addError(field, "fields of type %v are not supported", into.Type())
 	}
 }
 
-// interval reads a list of two values, or one value that is both bounds. It does not compare them.
-func interval[T any](value any, read func(any) (T, bool)) (lo, hi T, ok bool) {
+// parseRange parses an array of two bounds, or one value that is both bounds. It does not compare them.
+func parseRange[T any](value any, parse func(any) (T, bool)) (lo, hi T, ok bool) {
 	list, isList := value.([]any)
 	if !isList {
-		lo, ok = read(value)
+		lo, ok = parse(value)
 		return lo, lo, ok
 	}
 	if len(list) != 2 {
 		return lo, hi, false
 	}
-	if lo, ok = read(list[0]); ok {
-		hi, ok = read(list[1])
+	if lo, ok = parse(list[0]); ok {
+		hi, ok = parse(list[1])
 	}
 	return lo, hi, ok
 }
 
-// number reads a finite number.
-func number(value any) (float64, bool) {
+// parseNumber returns a finite integer or floating-point number as a float64.
+func parseNumber(value any) (float64, bool) {
 	switch v := value.(type) {
 	case int64:
 		return float64(v), true
@@ -170,8 +173,8 @@
 	return 0, false
 }
 
-// duration reads a duration in the form of time.ParseDuration that is not negative.
-func duration(value any) (time.Duration, bool) {
+// parseDuration parses a non-negative duration in the syntax of time.ParseDuration.
+func parseDuration(value any) (time.Duration, bool) {
 	text, ok := value.(string)
 	if !ok {
 		return 0, false
--- a/internal/tomlfile/error.go
+++ b/internal/tomlfile/error.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Error is what is wrong with a file. Its text is one line.
+// Error describes a problem in a file. Its text is a single line.
 type Error struct {
-	File    string
-	Line    int    // from 1; 0: the file as a whole, or unknown
-	Field   string // as in tier[0].cores, with indexes from 0; empty: none in particular
+	File    string // file's name, as the caller of Decode gave it
+	Line    int    // line number, from 1; 0 if unknown or if the problem concerns the whole file
+	Field   string // full name of the field, as in tier[0].cores, with indexes from 0; empty if the problem is in no particular field
 	Problem string
 }
 
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -10,7 +10,8 @@
 func (f *File) indexLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
-	table, tablesInArray := "", map[string]int{}
+	table := ""                       // full name of the current table
+	tablesInArray := map[string]int{} // number of tables read so far in each array of tables, by full name
 	for p.NextExpression() {
 		e := p.Expression()
 		switch e.Kind {
@@ -26,7 +27,7 @@
 	}
 }
 
-// recordLine records the line of a key that is relative to a table, and returns the key's full name.
+// recordLine records the line of a key, which is relative to table, and returns the key's full name.
 func (f *File) recordLine(p *unstable.Parser, table string, key unstable.Iterator, tablesInArray map[string]int) string {
 	line := 0
 	for part := key; part.Next(); {
@@ -37,7 +38,7 @@
 	return name
 }
 
-// recordValueLines records the line of a key with a value, and of the keys in it if the value is an inline table.
+// recordValueLines records the line of a key, and the lines of the keys inside its value if that is an inline table.
 func (f *File) recordValueLines(p *unstable.Parser, table string, keyValue *unstable.Node) {
 	name := f.recordLine(p, table, keyValue.Key(), nil)
 	if keyValue.Value().Kind != unstable.InlineTable {
@@ -48,12 +49,13 @@
 	}
 }
 
-// fullName is the full name of a key that is relative to a table. A part that names an array of tables gets the index
-// of its latest table: a header of TOML refers to that. array is the same without the last part's index.
+// fullName returns the full name of a key that is relative to table. A part that names an array of tables gets the
+// index of the last table read, since that is the one a TOML header refers to. array is the full name without the
+// index of its last part.
 func fullName(table string, key unstable.Iterator, tablesInArray map[string]int) (array, name string) {
 	name = table
 	for key.Next() {
-		array = join(name, string(key.Node().Data))
+		array = joinName(name, string(key.Node().Data))
 		name = array
 		if n := tablesInArray[array]; n > 0 {
 			name = fmt.Sprintf("%s[%d]", array, n-1)
--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -7,26 +7,27 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// RemoveTopLevel returns a text without the keys and tables whose names begin with one of the given top-level names, and
-// which of these names it had, in order of appearance. The rest stays byte for byte; comment lines belong to what
-// follows them. The text must be valid TOML.
+// RemoveTopLevel removes the keys and tables whose full names begin with one of the given top-level names. It returns
+// the remaining text, unchanged byte for byte, and those of the names that were found, in order of appearance. Comment
+// lines directly above a removed key or table are removed with it. The text must be valid TOML.
 func RemoveTopLevel(text []byte, names ...string) (rest []byte, found []string) {
 	var p unstable.Parser
 	p.Reset(text)
-	var isRemoved, inTable bool // of the block that is being read; a block is a key with its value, or a table with its keys
-	blockBegin := 0
+	// A block is a top-level key with its value, or a table header with the table's keys.
+	var isRemoved, isTable bool // properties of the current block
+	currentStart := 0           // offset of the current block in text
 	endBlock := func(end int) {
 		if !isRemoved {
-			rest = append(rest, text[blockBegin:end]...)
+			rest = append(rest, text[currentStart:end]...)
 		}
-		blockBegin = end
+		currentStart = end
 	}
 	for p.NextExpression() {
 		e := p.Expression()
-		if e.Kind == unstable.KeyValue && inTable {
-			continue // in the block of its table
+		if e.Kind == unstable.KeyValue && isTable {
+			continue // the key belongs to the current table's block
 		}
-		inTable = e.Kind != unstable.KeyValue
+		isTable = e.Kind != unstable.KeyValue
 		key := e.Key()
 		key.Next()
 		name := string(key.Node().Data)
@@ -39,7 +40,7 @@
 	return rest, found
 }
 
-// blockStart is the beginning of the line that has an offset, and of the comment lines right before it.
+// blockStart returns the offset at which the line that contains offset begins, or the comment lines directly above it.
 func blockStart(text []byte, offset int) int {
 	start := bytes.LastIndexByte(text[:offset], '\n') + 1
 	for start > 0 {
--- a/internal/tomlfile/remove_test.go
+++ b/internal/tomlfile/remove_test.go
@@ -50,14 +50,14 @@
 pool = "p"`
 	rest, found := RemoveTopLevel([]byte(text), "daemon", "listener", "fleet", "nothing")
 	if string(rest) != want || !slices.Equal(found, []string{"daemon", "listener", "fleet"}) {
-		t.Errorf("%v:\n%s", found, rest)
+		t.Errorf("found %v, rest:\n%s", found, rest)
 	}
 	if again, found := RemoveTopLevel(rest, "daemon", "listener", "fleet"); string(again) != want || found != nil {
-		t.Errorf("again %v:\n%s", found, again)
+		t.Errorf("the second removal found %v, and left:\n%s", found, again)
 	}
 }
 
-// Whatever is removed, the rest is valid, has nothing of what was to be removed, and decodes to the same values.
+// For any valid text, the rest is valid TOML and decodes to the original values without the removed key.
 func FuzzRemoveTopLevel(f *testing.F) {
 	f.Add([]byte("a = 1\n# b\n[b]\nc = [1,\n2]\n[[a]]\n[b.d]\n"))
 	f.Add([]byte("a.b = 1\n\"a\" . c = 2\n['b']\nx = \"\"\"\n[a]\n\"\"\""))
@@ -68,7 +68,7 @@
 		}
 		rest, _ := RemoveTopLevel(text, "a")
 		if err := toml.Unmarshal(rest, &remaining); err != nil {
-			t.Fatalf("%q of %q: %v", rest, text, err)
+			t.Fatalf("the rest %q of %q is invalid: %v", rest, text, err)
 		}
 		delete(tree, "a")
 		want, err := toml.Marshal(tree)
@@ -77,7 +77,7 @@
 		}
 		got, err := toml.Marshal(remaining)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("%q of %q: %q, %v; want %q", rest, text, got, err, want)
+			t.Fatalf("the rest %q of %q decodes to %q (error %v), want %q", rest, text, got, err, want)
 		}
 	})
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,10 +1,11 @@
 // Package tomlfile reads TOML files strictly into structs. Unknown fields are errors, numbers and durations may be given
-// as ranges, and every error is one line that names file, line and field.
+// as ranges, and every error is a single line that names the file, the line and the field.
 //
-// Decode fills a struct by its toml tags and returns a File, which knows the line of each field. The caller then checks
-// values and reports what it finds through File.Check and File.Errorf.
+// Decode fills a struct according to its toml tags and returns a File, which maps each field to its line. The caller
+// then checks the values, and reports invalid ones with File.Check and File.Errorf.
 //
-// The package has no goroutines and keeps no state. A File does not change after Decode, and may be used concurrently.
+// The package starts no goroutines and has no global state. A File does not change after Decode and may be used
+// concurrently.
 package tomlfile
 
 import (
@@ -18,15 +19,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// File knows at which line each field and table of a file is.
+// File maps the fields and tables of a TOML file to their lines, so that errors can name them.
 type File struct {
-	name  string
-	lines map[string]int // by full name of the field or table, as in tier[0].cores
+	name  string         // file's name in errors
+	lines map[string]int // line numbers, from 1, by full name of the field or table, as in tier[0].cores
 }
 
-// Decode reads a text into the struct that into points to, by its toml tags. name stands for the file in errors. Fields
-// that the text leaves out keep their values, so that defaults can be set before; but the elements of an array of tables
-// start from zero values. Of several errors the first in the file is returned, an *Error.
+// Decode parses text into the struct that into points to, according to its toml tags. name is the file's name in
+// errors. Fields that the text leaves out keep their values, so defaults can be set before the call; but the elements
+// of an array start from zero values. Errors are of type *Error; if there are several, the first one in the file is
+// returned.
 func Decode(name string, text []byte, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
 	var tree map[string]any
@@ -35,7 +37,7 @@
 	}
 	f.indexLines(text)
 	d := decoder{file: f}
-	d.table("", tree, reflect.ValueOf(into).Elem())
+	d.decodeTable("", tree, reflect.ValueOf(into).Elem())
 	if len(d.errs) == 0 {
 		return f, nil
 	}
@@ -43,11 +45,11 @@
 	return f, d.errs[0]
 }
 
-// Has reports whether the file states a field.
+// Has reports whether a field is present in the file.
 func (f *File) Has(field string) bool { return f.lines[field] > 0 }
 
-// Errorf returns an *Error at a field. Where the file does not state the field, the line is that of the innermost table
-// around it that is in the file.
+// Errorf returns an *Error for a field. If the field is not present in the file, the error has the line of the innermost
+// enclosing table that is.
 func (f *File) Errorf(field, format string, args ...any) error {
 	return f.errorAt(field, fmt.Sprintf(format, args...))
 }
@@ -64,7 +66,7 @@
 	return &Error{File: f.name, Line: line, Field: field, Problem: problem}
 }
 
-// syntaxError converts an error of the TOML parser.
+// syntaxError converts an error of the TOML parser to an *Error.
 func (f *File) syntaxError(err error) *Error {
 	var syntax *toml.DecodeError
 	if !errors.As(err, &syntax) {
@@ -74,8 +76,8 @@
 	return &Error{File: f.name, Line: line, Field: strings.Join(syntax.Key(), "."), Problem: syntax.Error()}
 }
 
-// join is the full name of a key in a table; the file's own table has an empty name.
-func join(table, key string) string {
+// joinName returns the full name of a key in a table. The empty table name stands for the top level of the file.
+func joinName(table, key string) string {
 	if table == "" {
 		return key
 	}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-type kind struct {
+type kindTable struct {
 	Name  string `toml:"name"`
 	Cores int    `toml:"cores"`
 }
 
-type tier struct {
+type tierTable struct {
 	Name string      `toml:"name"`
 	Size NumberRange `toml:"size"`
-	Kind []kind      `toml:"kind"`
+	Kind []kindTable `toml:"kind"`
 }
 
-type sample struct {
+type sampleFile struct {
 	Name  string        `toml:"name"`
 	Seed  uint64        `toml:"seed"`
 	Late  DurationRange `toml:"late"`
@@ -27,10 +27,10 @@
 	Load  struct {
 		Rate float64 `toml:"rate"`
 	} `toml:"load"`
-	Tier []tier `toml:"tier"`
+	Tier []tierTable `toml:"tier"`
 }
 
-const good = `name = "x"
+const sampleText = `name = "x"
 seed = 7
 late = ["1s", "2.5s"]
 every = "10ms"
@@ -58,19 +58,19 @@
 `
 
 func TestDecodeFillsStructAndFindsLines(t *testing.T) {
-	var s sample
-	f, err := Decode("day.toml", []byte(good), &s)
+	var s sampleFile
+	f, err := Decode("day.toml", []byte(sampleText), &s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Name != "x" || s.Seed != 7 || s.Late != (DurationRange{time.Second, 2500 * time.Millisecond}) || s.Every != 10*time.Millisecond ||
 		s.Share != 1 || !s.On || s.Load.Rate != 2.5 || len(s.Tier) != 2 || s.Tier[0].Size != (NumberRange{8, 10}) ||
 		s.Tier[1].Size != (NumberRange{3, 3}) || s.Tier[1].Kind[1].Cores != 8 {
-		t.Errorf("%+v", s)
+		t.Errorf("decoded %+v", s)
 	}
 	for field, want := range map[string]string{
 		"tier[1].kind[1].cores": "day.toml:25: tier[1].kind[1].cores: too many",
-		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // its table's line
+		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // not in the file: the line is that of tier[1].kind[1]
 		"load.rate":             "day.toml:7: load.rate: too many",
 		"nowhere":               "day.toml: nowhere: too many",
 	} {
@@ -97,37 +97,37 @@
 		"day.toml:6: on:":                            {`on = true`, `on = "yes"`},
 	} {
 		t.Run(want, func(t *testing.T) {
-			text := strings.Replace(good, change.from, change.to, 1)
-			if text == good {
-				t.Fatal("nothing replaced")
+			text := strings.Replace(sampleText, change.from, change.to, 1)
+			if text == sampleText {
+				t.Fatalf("the sample file does not contain %q", change.from)
 			}
-			var s sample
+			var s sampleFile
 			_, err := Decode("day.toml", []byte(text), &s)
 			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Error(err)
+				t.Errorf("got error %v, want one line that begins with %q", err, want)
 			}
 		})
 	}
 }
 
 func TestDecodeReturnsFirstErrorOfFile(t *testing.T) {
-	var s sample
-	for range 20 { // the decoder ranges over maps, whose order is random
+	var s sampleFile
+	for range 20 { // repeated since the decoder iterates over maps in random order
 		_, err := Decode("day.toml", []byte("a = 1\nb = 2\nc = 3\n"), &s)
 		if err == nil || err.Error() != "day.toml:1: a: unknown field" {
-			t.Fatal(err)
+			t.Fatalf("got error %v, want the one in line 1", err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(sampleText))
 	f.Add([]byte("[[tier]]\n[tier.kind]\nx = 1"))
 	f.Add([]byte("a.b.c = {x = {y = [1, {z = 2}]}}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s sample
+		var s sampleFile
 		if _, err := Decode("day.toml", text, &s); err != nil && (strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "day.toml")) {
-			t.Errorf("%q", err)
+			t.Errorf("error %q is not one line that begins with the file's name", err)
 		}
 	})
 }
