--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// Backoff between two watches. After silence it stays at the least: the agent answers a request that waits when it returns, but
-// cannot know of one that is not there yet. It doubles only after malformed messages.
+// Backoff between two watches. It doubles only after malformed messages. When the agent is silent or down it stays at the minimum,
+// so that a request is nearly always pending: an agent that comes back responds to pending requests at once.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
 
-// AgentClient is the Source that watches the endpoint list at the platform's discovery agent. Only Subscribe and SwitchAgent may be
-// called while Run runs.
+// AgentClient is the Source that watches the endpoint list of the platform's discovery agent. While Run runs, only Subscribe and
+// SwitchAgent may be called.
 type AgentClient struct {
-	// Deliver takes each update, in order. It must be set before Run.
+	// OnUpdate is called with each update, in order. It must be set before Run.
 	OnUpdate func(ListUpdate)
-	// Failed takes the end of each watch, where the agent must be subscribed to. It must be set before Run.
+	// OnWatchEnd is called whenever a watch ends, if each watch must be requested by Subscribe. It must be set before Run.
 	OnWatchEnd func()
 
-	addr              string
-	mustSubscribe     bool          // only Subscribe starts a watch, and Failed takes its end
-	subscribeRequests chan struct{} // capacity 1: a Subscribe not yet served
-	switchRequests    chan string   // capacity 1: the latest address to switch to
-	version           *int64        // of the latest update; nil: the complete list must be fetched
+	addr              string        // host:port of the current agent
+	mustSubscribe     bool          // each watch must be requested by Subscribe; otherwise a new one is opened whenever one ends
+	subscribeRequests chan struct{} // holds at most one call of Subscribe that has not been handled
+	switchRequests    chan string   // holds at most one address that SwitchAgent was called with and Run has not switched to
+	version           *int64        // version of the known list; nil if the complete list must be fetched
 	log               *slog.Logger
 	client            *http.Client
-	idleTimeout       time.Duration // a watch that sends nothing for this long is closed
-	firstByteTimeout  time.Duration // for the first byte of a response
-	lastLoggedAt      time.Time
+	idleTimeout       time.Duration // maximum time without a byte before a watch is closed
+	firstByteTimeout  time.Duration // maximum time to the first byte of a response
+	lastLoggedAt      time.Time     // when the end of a watch was last logged
 }
 
-// NewAgentClient makes a client of the discovery agent at addr. version is that of the list already known; nil: the complete list is
-// fetched first. Where mustSubscribe is true a watch is opened only after Subscribe. The caller sets the callbacks before Run.
+// NewAgentClient returns a client of the discovery agent at addr. version is the version of the list that the caller already knows; if
+// it is nil, the complete list is fetched first. If mustSubscribe is true, a watch is opened only after a call of Subscribe. The caller
+// sets the callbacks before Run.
 func NewAgentClient(addr string, version *int64, mustSubscribe bool, log *slog.Logger) *AgentClient {
 	c := &AgentClient{
 		addr:              addr,
@@ -56,8 +57,8 @@
 	return c
 }
 
-// SwitchAgent leaves the present address for another. It does not block, and replaces a switch that Run has not yet made. It must not
-// be called concurrently with itself.
+// SwitchAgent makes Run continue with the agent at addr. It does not block, and overrides an earlier call that Run has not handled yet.
+// It must not be called concurrently with itself.
 func (c *AgentClient) SwitchAgent(addr string) {
 	select {
 	case <-c.switchRequests:
@@ -74,21 +75,21 @@
 	}
 }
 
-// Run implements Source. A switch of the agent ends the watch at once and fetches the complete list at the new address, since what
-// was missed meanwhile cannot be known there. The old list remains in force until the new one comes.
+// Run implements Source. SwitchAgent ends the current watch at once, and the complete list is fetched from the new agent: its versions
+// do not tell which updates were missed. The receiver keeps the old list until the new one arrives.
 func (c *AgentClient) Run(ctx context.Context) {
-	isWanted := !c.mustSubscribe // a watch, without a further Subscribe
+	watchRequested := !c.mustSubscribe
 	for ctx.Err() == nil {
 		watchCtx, stop := context.WithCancel(ctx)
 		ended := make(chan bool, 1)
-		go func() { ended <- c.keepWatching(watchCtx, isWanted) }()
+		go func() { ended <- c.keepWatching(watchCtx, watchRequested) }()
 		select {
 		case <-ctx.Done():
 			stop()
 			<-ended
 		case addr := <-c.switchRequests:
 			stop()
-			isWanted = <-ended
+			watchRequested = <-ended
 			if addr != c.addr {
 				c.addr, c.version = addr, nil
 			}
@@ -96,12 +97,13 @@
 	}
 }
 
-// keepWatching keeps a watch at the present address until ctx ends, and reports whether one was wanted then. A watch that breaks
-// leaves the old list in force; the next one requests what has changed since.
-func (c *AgentClient) keepWatching(ctx context.Context, isWanted bool) bool {
+// keepWatching opens one watch after the other at the current agent until ctx ends. watchRequested says whether the first one has been
+// requested, and the result whether a requested watch was cut short by ctx. After a watch breaks the list stays as it is, and the next
+// watch begins with the changes since.
+func (c *AgentClient) keepWatching(ctx context.Context, watchRequested bool) bool {
 	backoff := minBackoff
 	for {
-		if !isWanted {
+		if !watchRequested {
 			select {
 			case <-ctx.Done():
 				return false
@@ -114,17 +116,18 @@
 		}
 		c.logWatchEnd(err)
 		if c.mustSubscribe {
-			isWanted = false
+			watchRequested = false
 			c.OnWatchEnd()
 			continue
 		}
-		if backoff = min(2*backoff, maxBackoff); hasReceived || !errors.Is(err, errMalformed) {
+		if backoff = min(2*backoff, maxBackoff); hasReceived || !errors.Is(err, errMalformedMessage) {
 			backoff = minBackoff
 		}
-		sleep(ctx, time.Duration(float64(backoff)*(0.5+rand.Float64()))) // jitter: all sidecars lose their watch together
+		sleep(ctx, time.Duration(float64(backoff)*(0.5+rand.Float64()))) // jitter, since all sidecars lose their watch at the same time
 	}
 }
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -134,7 +137,7 @@
 	}
 }
 
-// logWatchEnd logs the end of a watch, at most once in logInterval.
+// logWatchEnd logs why a watch ended, at most once per logInterval.
 func (c *AgentClient) logWatchEnd(err error) {
 	if time.Since(c.lastLoggedAt) > logInterval {
 		c.lastLoggedAt = time.Now()
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -14,33 +14,33 @@
 // clientFixture is an AgentClient that runs against a scripted agent until the test ends.
 type clientFixture struct {
 	*AgentClient
-	updates  chan ListUpdate
-	failures chan bool
-	queries  chan string // that the agent received
+	updates   chan ListUpdate // updates that the client reported
+	watchEnds chan bool       // one value for each call of OnWatchEnd
+	queries   chan string     // URL queries of the requests that the agent received
 }
 
-// startClient runs a client that knows the list at version. change, unless nil, is called before Run. The agent responds to each
-// request with the next step.
-func startClient(t *testing.T, version int64, change func(*AgentClient), steps ...string) *clientFixture {
+// startClient starts a client that knows the list at the given version. configure may be nil; otherwise it is called before Run. The
+// agent responds to each request with the next step of its script.
+func startClient(t *testing.T, version int64, configure func(*AgentClient), steps ...string) *clientFixture {
 	t.Helper()
 	addr, queries := serveScript(t, steps...)
-	f := &clientFixture{updates: make(chan ListUpdate, 100), failures: make(chan bool, 100), queries: queries}
+	f := &clientFixture{updates: make(chan ListUpdate, 100), watchEnds: make(chan bool, 100), queries: queries}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
-	f.OnUpdate, f.OnWatchEnd = func(m ListUpdate) { f.updates <- m }, func() { f.failures <- true }
+	f.OnUpdate, f.OnWatchEnd = func(update ListUpdate) { f.updates <- update }, func() { f.watchEnds <- true }
 	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
-	if change != nil {
-		change(f.AgentClient)
+	if configure != nil {
+		configure(f.AgentClient)
 	}
 	ctx := t.Context()
 	go f.Run(ctx)
 	return f
 }
 
-// serveScript runs an agent that responds to each request with the next step, and sends nothing once there is none.
+// serveScript starts an agent that responds to each request with the next step, and sends nothing once all steps are used up.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
-	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
-	return serveHandler(t, s), s.Calls
+	agent := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	return serveHandler(t, agent), agent.Calls
 }
 
 func serveHandler(t *testing.T, h http.Handler) (addr string) {
@@ -59,10 +59,10 @@
 		select {
 		case got := <-f.queries:
 			if got != want {
-				t.Errorf("query %q, want %q", got, want)
+				t.Errorf("the agent received the query %q, want %q", got, want)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatalf("query %q was not received", want)
+			t.Fatalf("the agent did not receive the query %q", want)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 		select {
 		case update := <-f.updates:
 			if *update.Version != want {
-				t.Errorf("version %d, want %d", *update.Version, want)
+				t.Errorf("the client delivered version %d, want %d", *update.Version, want)
 			}
 		case <-time.After(testpeer.Patience):
-			t.Fatalf("version %d was not delivered", want)
+			t.Fatalf("the client did not deliver version %d", want)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	f.expectVersions(t, 8)
 }
 
-// After a malformed message an update may have been missed: the complete list is fetched, and the old one remains in force.
+// After a malformed message an update may have been missed: the client fetches the complete list, and reports nothing until then.
 func TestMalformedMessageRefetchesList(t *testing.T) {
 	for name, line := range map[string]string{
 		"no JSON":          "{nonsense",
@@ -121,13 +121,13 @@
 		testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
 	f.Subscribe()
 	f.expectVersions(t, 42)
-	<-f.failures
+	<-f.watchEnds
 	f.Subscribe()
 	f.expectVersions(t, 43)
 	f.expectQueries(t, "watch=1&after=41", "watch=1&after=42")
 }
 
-// The old watch ends at once, and the complete list is fetched from the new agent, whose versions do not tell what was missed.
+// The old watch ends at once, and the complete list is fetched from the new agent: its versions do not tell which updates were missed.
 func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
 	for name, mustSubscribe := range map[string]bool{"pushed": false, "subscribed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -138,14 +138,15 @@
 			f.expectVersions(t, 7, 8)
 			f.queries = queries
 			f.expectQueries(t, "", "watch=1&after=7")
-			if len(f.failures) > 0 {
-				t.Error("the switch was reported as a failure")
+			if len(f.watchEnds) > 0 {
+				t.Error("the switch was reported as the end of a watch")
 			}
 		})
 	}
 }
 
-// A switch may come before the previous one is made, lead to an agent that sends nothing, or to the present one.
+// SwitchAgent may be called before an earlier call is handled, and with the address of an agent that sends nothing or of the current
+// one.
 func TestLastOfManySwitchesWins(t *testing.T) {
 	f := startClient(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
@@ -171,7 +172,7 @@
 	<-watched
 }
 
-// The complete list must arrive within 4 s of a switch, though the first request gets no response.
+// The complete list must arrive within 4 s of a switch, even if the first request gets no response.
 func TestUnansweredRequestIsRetried(t *testing.T) {
 	f := startClient(t, 41, func(c *AgentClient) { c.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
 	silent, queries := serveScript(t)
@@ -179,6 +180,6 @@
 	<-queries
 	<-queries
 	if 2*pushedFirstByteTimeout+minBackoff > 3*time.Second {
-		t.Errorf("two requests without a response take %v each", pushedFirstByteTimeout)
+		t.Errorf("two requests without a response take %v each and a backoff of %v, want at most 3s together", pushedFirstByteTimeout, minBackoff)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,12 +1,12 @@
-// Package discovery follows the endpoints of a pool. A Source reports them as ListUpdates: AgentClient watches the platform's
-// discovery agent, and PollingSource reads a fixed list, a file or DNS. The package decides nothing about endpoints beyond what
-// endpointset does for polled sources (flap damping, and holding a list through empty or failed responses).
+// Package discovery tracks the endpoints of a pool. A Source reports them as ListUpdates: AgentClient watches the platform's
+// discovery agent, and PollingSource polls a fixed list, a file or DNS. The package makes no decisions about endpoints, except that
+// package endpointset delays some changes for polled sources: it damps endpoints that flap, and keeps the last good list while
+// responses are empty or failed.
 //
-// Each source is owned by the goroutine that calls its Run, which returns when its context ends and then leaves no goroutine
-// behind, except that the standard resolver may need a moment to end its own. An AgentClient runs one further goroutine inside
-// Run, for the watch at the present address; a DNS poll runs up to maxConcurrentLookups. Updates and failures are reported one
-// at a time, in order, and never concurrently by one source. A failed source never empties a list by itself: until an update
-// arrives, the receiver keeps what it has.
+// Each source is owned by the goroutine that calls its Run. Run returns when its context ends and then leaves no goroutine behind,
+// except for those of the standard resolver, which may need a moment to end. Inside Run, an AgentClient runs one further goroutine
+// for the watch of the current agent, and a DNS poll runs up to maxConcurrentLookups. A source reports updates and failures in
+// order, and never concurrently. The receiver keeps the list that it has until an update arrives: a failure alone never empties it.
 package discovery
 
 import (
@@ -20,15 +20,15 @@
 // MaxMembers is the largest number of members that one source may list.
 const MaxMembers = 100_000
 
-// logInterval is the least time between two log lines of one source about its failures: a source that is down fails several times
-// a second.
+// logInterval is the minimum time between two log lines of one source about its failures. A source that is down fails several
+// times a second.
 const logInterval = 10 * time.Second
 
 // Source reports the endpoints of a pool.
 type Source interface {
 	// Run reports updates and failures until ctx ends.
 	Run(ctx context.Context)
-	// Subscribe requests a watch or a poll at once, for sources that report nothing otherwise. It does not block.
+	// Subscribe requests a watch or a poll without delay. It does not block.
 	Subscribe()
 }
 
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	dnsPollTimeout       = 5 * time.Second // of one poll, however many lookups it needs
-	maxConcurrentLookups = 8               // of the hosts that SRV records name
-	minDNSRetryDelay     = time.Second     // after a failed or empty poll; doubled up to DNSOptions.MaxTTL
+	dnsPollTimeout       = 5 * time.Second // time limit for all lookups of one poll together
+	maxConcurrentLookups = 8               // lookups of SRV target hosts that run at the same time
+	minDNSRetryDelay     = time.Second     // delay after a failed or empty poll; doubles each time, up to DNSOptions.MaxTTL
 )
 
-// DNSOptions say which name is polled, and at which server.
+// DNSOptions configure a DNS source: which name is polled, at which server and how often.
 type DNSOptions struct {
 	Name           string
-	Service        bool          // look up SRV, which names hosts and ports; otherwise A and AAAA, with Port
-	Port           int           // of all members, unless Service is set
-	Server         string        // host:port; empty: the system's
-	MinTTL, MaxTTL time.Duration // bounds of the time between two polls that list members
+	UseSRV         bool          // look up SRV records, which name hosts and ports; otherwise A and AAAA records
+	Port           int           // port of all members; unused if UseSRV is set
+	Server         string        // host:port of the DNS server; empty for the system's resolvers
+	MinTTL, MaxTTL time.Duration // bounds of the time to the next poll after one that lists members, which follows from the times to live
 }
 
-// IsDNSName reports whether a text can be looked up in DNS: labels of letters, digits, dashes and underscores (RFC 1035, 2.3.4).
+// IsDNSName reports whether s is a valid DNS name: labels of letters, digits, dashes and underscores, within the size limits of
+// RFC 1035, 2.3.4.
 func IsDNSName(s string) bool {
 	s = strings.TrimSuffix(s, ".")
 	if s == "" || len(s) > 253 {
@@ -47,21 +48,22 @@
 	return true
 }
 
-// NewDNSSource makes a source that polls DNS through the standard resolver, which handles truncated, lost and malformed responses. The
-// next poll is due when the shortest time to live of the last one is over. The id of a member is its address. deliver and failed are
-// called by Run and PollOnce.
-func NewDNSSource(o DNSOptions, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+// NewDNSSource returns a source that polls DNS through the standard resolver, which handles truncated, lost and malformed responses. The
+// next poll is due when the shortest time to live among the last poll's records has passed. A member's ID is its address. Run and
+// PollOnce call deliver with each list that differs from the previous one, and onFailure after each failed poll.
+func NewDNSSource(o DNSOptions, cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource {
 	p := &dnsPoller{options: o, retryDelay: minDNSRetryDelay}
-	return newPollingSource("dns "+o.Name, cache, p.poll, deliver, failed, log)
+	return newPollingSource("dns "+o.Name, cache, p.poll, deliver, onFailure, log)
 }
 
+// dnsPoller looks up the members of a pool in DNS, and records the times to live of the records that it receives.
 type dnsPoller struct {
 	options    DNSOptions
-	resolver   *net.Resolver // of the present poll
-	retryDelay time.Duration
+	resolver   *net.Resolver // resolver of the current poll
+	retryDelay time.Duration // delay after the next failed or empty poll
 
 	mu          sync.Mutex
-	shortestTTL time.Duration // in the responses of the present poll; negative: none yet; guarded by mu
+	shortestTTL time.Duration // shortest time to live received in the current poll; negative if none was; guarded by mu
 }
 
 func (p *dnsPoller) poll(ctx context.Context) (pollResult, error) {
@@ -98,22 +100,22 @@
 }
 
 func (p *dnsPoller) lookup(ctx context.Context) ([]endpointset.Member, error) {
-	if !p.options.Service {
+	if !p.options.UseSRV {
 		return p.lookupAddresses(ctx, p.options.Name, p.options.Port)
 	}
 	_, records, err := p.resolver.LookupSRV(ctx, "", "", fullyQualified(p.options.Name))
 	if err != nil {
 		return nil, err
 	}
-	// Only the records of the lowest priority number serve. The others are for when those cannot be reached (RFC 2782), which is not
-	// known here.
+	// Only the records with the lowest priority number are used. The others are fallbacks for when those hosts cannot be reached
+	// (RFC 2782), which is not known here.
 	lowest := slices.MinFunc(records, func(a, b *net.SRV) int { return cmp.Compare(a.Priority, b.Priority) }).Priority
 	records = slices.DeleteFunc(records, func(r *net.SRV) bool { return r.Priority != lowest })
 	return p.lookupTargets(ctx, records)
 }
 
-// lookupTargets looks up the hosts that records name. One lookup that fails fails the poll, since a part of the list must not pass for
-// the complete list; a host that does not exist is left out.
+// lookupTargets looks up the hosts that SRV records name. If one lookup fails the whole poll fails, since a partial list must not be
+// taken for the complete one. A host that does not exist is left out.
 func (p *dnsPoller) lookupTargets(ctx context.Context, records []*net.SRV) ([]endpointset.Member, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -138,7 +140,7 @@
 	return sortUnique(slices.Concat(found...)), nil
 }
 
-// lookupAddresses returns a member for each address of a name, A and AAAA, sorted.
+// lookupAddresses returns one member for each address in the A and AAAA records of a name, sorted by ID.
 func (p *dnsPoller) lookupAddresses(ctx context.Context, name string, port int) ([]endpointset.Member, error) {
 	addresses, err := p.resolver.LookupNetIP(ctx, "ip", fullyQualified(name))
 	if err != nil {
@@ -152,17 +154,17 @@
 	return sortUnique(members), nil
 }
 
-// sortUnique sorts members and drops duplicates: two names for one address are one member.
+// sortUnique sorts members by ID and removes duplicates, which arise if two names resolve to the same address.
 func sortUnique(members []endpointset.Member) []endpointset.Member {
 	slices.SortFunc(members, func(a, b endpointset.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return slices.Compact(members)
 }
 
-// fullyQualified keeps the resolver from using the system's search list.
+// fullyQualified returns a name with a trailing dot, so that the resolver does not append the domains of the system's search list.
 func fullyQualified(name string) string { return strings.TrimSuffix(name, ".") + "." }
 
-// dial connects the resolver to its server. The connection records times to live, which the resolver does not return, and is closed
-// when the poll ends: the resolver continues for a while with queries whose result nobody awaits.
+// dial connects the resolver to a DNS server. The connection records times to live, which the resolver does not return. It is closed
+// when the poll ends, since the resolver would otherwise continue for a while with queries whose results are no longer needed.
 func (p *dnsPoller) dial(pollCtx, queryCtx context.Context, network, address string) (net.Conn, error) {
 	if pollCtx.Err() != nil {
 		return nil, pollCtx.Err()
@@ -181,7 +183,7 @@
 	return &tcpTTLConn{Conn: conn, poller: p}, nil
 }
 
-// recordTTL takes the time to live of a response.
+// recordTTL lowers shortestTTL to the shortest time to live in a response, if that is shorter.
 func (p *dnsPoller) recordTTL(message []byte) {
 	if ttl, ok := shortestTTL(message); ok {
 		p.mu.Lock()
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -30,29 +30,29 @@
 	return fake.DNSRecord{Address: netip.MustParseAddr(ip), TTL: ttl}
 }
 
-// quickDNSOptions have polls follow one another fast.
+// quickDNSOptions returns options with 10 to 20 ms between polls.
 func quickDNSOptions(server *fake.DNS) DNSOptions {
 	return DNSOptions{Name: "web.example", Port: 80, Server: server.Addr, MinTTL: 10 * time.Millisecond, MaxTTL: 20 * time.Millisecond}
 }
 
 func startDNSSource(t *testing.T, o DNSOptions) *sourceFixture {
 	t.Helper()
-	return startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-		return NewDNSSource(o, cache, deliver, failed, log)
+	return startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource {
+		return NewDNSSource(o, cache, deliver, onFailure, log)
 	})
 }
 
-// newIdleDNSSource makes a source that the test runs itself, and that must not deliver an update.
-func newIdleDNSSource(t *testing.T, o DNSOptions) *PollingSource {
+// newEmptyDNSSource returns a source that has not been started, and fails the test if it ever delivers an update.
+func newEmptyDNSSource(t *testing.T, o DNSOptions) *PollingSource {
 	t.Helper()
-	deliver := func(update ListUpdate) { t.Errorf("update %+v, want none", update) }
+	deliver := func(update ListUpdate) { t.Errorf("the source delivered %+v, want no update", update) }
 	return NewDNSSource(o, NewMemberCache(holdOptions), deliver, func() {}, slog.New(slog.DiscardHandler))
 }
 
 func TestDNSSourceFollowsAddressRecords(t *testing.T) {
 	server := newDNSServer(t)
 	server.Set("web.example", addressRecord("127.0.0.1", 0), addressRecord("127.0.0.2", 60), addressRecord("::1", 60))
-	server.SetFault(fake.DNSHealthy, 100*time.Millisecond) // slow
+	server.SetFault(fake.DNSHealthy, 100*time.Millisecond) // responses are correct but delayed
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, "127.0.0.1:80", "127.0.0.2:80", "[::1]:80")
 	server.Set("web.example", addressRecord("127.0.0.2", 60))
@@ -69,7 +69,7 @@
 	server.Set("_http._tcp.example", srv("one.example", 81, 1), srv("alias.example", 81, 1), srv("one.example", 82, 1),
 		srv("none.example", 83, 1), srv("one.example", 99, 2))
 	o := quickDNSOptions(server)
-	o.Name, o.Service, o.Port = "_http._tcp.example", true, 0
+	o.Name, o.UseSRV, o.Port = "_http._tcp.example", true, 0
 	f := startDNSSource(t, o)
 	f.expectList(t, "127.0.0.1:81", "127.0.0.1:82")
 }
@@ -87,14 +87,15 @@
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, want...)
 	if server.TCPQueries.Load() == 0 {
-		t.Error("nothing was read over TCP")
+		t.Error("the server received no query over TCP")
 	}
 }
 
-// Whatever fails, the last list is kept, and the source follows the server again when it has recovered.
+// Through each kind of fault the last list is kept, and after the server's recovery the source delivers its new list.
 func TestDNSFaultKeepsLastList(t *testing.T) {
 	for name, fault := range map[string]fake.DNSFault{
-		"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage, "cut": fake.DNSHalfMessage, "truncated": fake.DNSTruncated, "empty": fake.DNSEmpty,
+		"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage, "half a message": fake.DNSHalfMessage, "truncated": fake.DNSTruncated,
+		"empty": fake.DNSEmpty,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -103,7 +104,7 @@
 			f := startDNSSource(t, quickDNSOptions(server))
 			f.expectList(t, "127.0.0.1:80")
 			server.SetFault(fault, 0)
-			if fault == fake.DNSEmpty { // a valid response, and no failure
+			if fault == fake.DNSEmpty { // an empty response is valid, and not reported as a failure
 				before := server.Queries.Load()
 				testpeer.Until(t, "further queries arrive", func() bool { return server.Queries.Load() > before+4 })
 			} else {
@@ -122,17 +123,17 @@
 	server := newDNSServer(t)
 	server.Set("web.example", fake.DNSRecord{Alias: "b.example"})
 	server.Set("b.example", fake.DNSRecord{Alias: "web.example"})
-	source := newIdleDNSSource(t, quickDNSOptions(server))
+	source := newEmptyDNSSource(t, quickDNSOptions(server))
 	if nextPollIn := source.PollOnce(t.Context()); nextPollIn <= 0 {
-		t.Error("no further poll is due")
+		t.Errorf("the next poll is due in %v, want a positive time", nextPollIn)
 	}
 }
 
-// Run does not wait for a server that sends nothing when its context ends.
+// When its context ends, Run returns even if the server has not responded to the current query.
 func TestRunEndsWhileDNSServerIsSilent(t *testing.T) {
 	server := newDNSServer(t)
 	server.SetFault(fake.DNSSilent, 0)
-	source := newIdleDNSSource(t, quickDNSOptions(server))
+	source := newEmptyDNSSource(t, quickDNSOptions(server))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { source.Run(ctx); close(ended) }()
@@ -152,12 +153,12 @@
 		strings.Repeat("x", 64): false, strings.Repeat("x.", 130): false, "caf\u00e9": false,
 	} {
 		if IsDNSName(name) != want {
-			t.Errorf("%q: %v", name, !want)
+			t.Errorf("IsDNSName(%q) is %v, want %v", name, !want, want)
 		}
 	}
 }
 
-// FuzzDNSResponses has the standard resolver read arbitrary responses through the connection that records times to live.
+// FuzzDNSResponses feeds arbitrary responses to the standard resolver through the connection that records times to live.
 func FuzzDNSResponses(f *testing.F) {
 	f.Add([]byte("\x81\x80\x00\x01\x00\x01\x00\x00\x00\x00"), uint8(3))
 	f.Fuzz(func(t *testing.T, tail []byte, step uint8) {
@@ -166,21 +167,22 @@
 			t.Fatal(err)
 		}
 		defer server.Close()
-		go respondWith(server, tail)
+		go respondToQueries(server, tail)
 		o := DNSOptions{
-			Name: "a.example", Port: 1, Server: server.LocalAddr().String(), Service: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute,
+			Name: "a.example", Port: 1, Server: server.LocalAddr().String(), UseSRV: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute,
 		}
 		p := &dnsPoller{options: o, retryDelay: time.Second}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		if result, err := p.poll(ctx); err == nil && (result.nextPollIn < time.Second || result.nextPollIn > time.Minute) {
-			t.Errorf("the next poll is due in %v", result.nextPollIn)
+			t.Errorf("the next poll is due in %v, want from 1s to 1m", result.nextPollIn)
 		}
 	})
 }
 
-// respondWith responds to each query until the server is closed. The resolver requires its own id and question; the rest is tail.
-func respondWith(server net.PacketConn, tail []byte) {
+// respondToQueries responds to each query until the server is closed. A response repeats the ID and the question of the query, since the
+// resolver drops it otherwise. The first 10 bytes of tail replace the other header fields, and the rest follows the question.
+func respondToQueries(server net.PacketConn, tail []byte) {
 	b := make([]byte, 2048)
 	for {
 		n, from, err := server.ReadFrom(b)
@@ -192,6 +194,6 @@
 			copy(out[2:12], tail[:10])
 			out = append(out, tail[10:]...)
 		}
-		_, _ = server.WriteTo(out, from) // a response that is lost fails the poll, which the caller allows
+		_, _ = server.WriteTo(out, from) // a lost response makes the poll fail, which the test accepts
 	}
 }
--- a/internal/discovery/dnsttl.go
+++ b/internal/discovery/dnsttl.go
@@ -9,11 +9,11 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// maxTCPFrameBytes is the size of the longest DNS message over TCP, with the two bytes of its length (RFC 1035, 4.2.2).
+// maxTCPFrameBytes is the size of the longest DNS message over TCP, including its two-byte length prefix (RFC 1035, 4.2.2).
 const maxTCPFrameBytes = 2 + 65535
 
-// udpTTLConn records the times to live of the messages read from it. It embeds the concrete type since the resolver frames messages
-// by whether the connection is a net.PacketConn.
+// udpTTLConn records the times to live in the DNS messages that are read from it. It embeds the concrete type since the resolver
+// expects length prefixes on every connection that is not a net.PacketConn.
 type udpTTLConn struct {
 	*net.UDPConn
 	poller *dnsPoller
@@ -28,11 +28,11 @@
 	return n, err
 }
 
-// tcpTTLConn records the time to live of the message read from it. The resolver reads one message per connection.
+// tcpTTLConn records the times to live in the DNS message that is read from it. The resolver reads one message per connection.
 type tcpTTLConn struct {
 	net.Conn
 	poller  *dnsPoller
-	partial []byte // of the message that is being read, with its length
+	partial []byte // bytes of the current message read so far, including the length prefix
 }
 
 // Read implements net.Conn.
@@ -50,7 +50,7 @@
 	return n, err
 }
 
-// shortestTTL returns the shortest time to live of the records in a message's answer section (RFC 1035, 4.1.3). ok is false if the
+// shortestTTL returns the shortest time to live among the records in a message's answer section (RFC 1035, 4.1.3). ok is false if the
 // section is empty or the message is malformed.
 func shortestTTL(message []byte) (ttl time.Duration, ok bool) {
 	var parser dnsmessage.Parser
--- a/internal/discovery/dnsttl_test.go
+++ b/internal/discovery/dnsttl_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// responseWithTTLs packs a response with one address record for each time to live, in seconds.
+// responseWithTTLs returns an encoded DNS response with one address record for each time to live, in seconds.
 func responseWithTTLs(tb testing.TB, ttls ...uint32) []byte {
 	tb.Helper()
 	m := dnsmessage.Message{Header: dnsmessage.Header{Response: true}}
@@ -26,7 +26,7 @@
 	return message
 }
 
-func TestShortestTTLOfResponseCounts(t *testing.T) {
+func TestShortestTTLOfResponse(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		message []byte
@@ -34,21 +34,21 @@
 		ok      bool
 	}{
 		{"several records", responseWithTTLs(t, 60, 5, 30), 5 * time.Second, true},
-		{"a zero", responseWithTTLs(t, 60, 0), 0, true},
+		{"one record of zero", responseWithTTLs(t, 60, 0), 0, true},
 		{"the highest bit set (RFC 2181, 8)", responseWithTTLs(t, 1<<31), 0, true},
-		{"no records", responseWithTTLs(t), 0, false},
-		{"cut off", responseWithTTLs(t, 60)[:25], 0, false},
-		{"empty", nil, 0, false},
+		{"no record", responseWithTTLs(t), 0, false},
+		{"truncated message", responseWithTTLs(t, 60)[:25], 0, false},
+		{"empty message", nil, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, ok := shortestTTL(c.message); ok != c.ok || ok && got != c.want {
-				t.Errorf("%v, %v; want %v, %v", got, ok, c.want, c.ok)
+				t.Errorf("shortest time to live %v (ok %v), want %v (ok %v)", got, ok, c.want, c.ok)
 			}
 		})
 	}
 }
 
-// Over TCP the message follows its length and arrives in parts.
+// Over TCP a message has a length prefix, and may arrive in several parts.
 func TestTTLIsRecordedOverTCPInParts(t *testing.T) {
 	p := &dnsPoller{shortestTTL: -1}
 	resolverConn, serverConn := net.Pipe()
@@ -69,7 +69,7 @@
 		}
 	}
 	if p.shortestTTL != 7*time.Second {
-		t.Errorf("recorded %v", p.shortestTTL)
+		t.Errorf("recorded a time to live of %v, want 7s", p.shortestTTL)
 	}
 }
 
@@ -78,7 +78,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		if ttl, ok := shortestTTL(message); ok && (ttl < 0 || ttl > (1<<31-1)*time.Second) {
-			t.Errorf("%v", ttl)
+			t.Errorf("time to live %v, want one from 0 to 2^31-1 seconds", ttl)
 		}
 	})
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// filePollInterval and the time to read the file together stay well within the 500 ms in which a draining member must be noticed.
+	// filePollInterval plus the time to read the file must stay well under 500 ms: no new request may be sent to a member later than
+	// that after it is marked as draining.
 	filePollInterval = 200 * time.Millisecond
-	// maxFileBytes holds MaxMembers entries of about 100 bytes, and more.
+	// maxFileBytes is the largest size of a members file: more than MaxMembers entries of about 100 bytes need.
 	maxFileBytes = 16 << 20
-	// mtimeGranularity bounds the clock tick of modification times: a file that changes twice within one tick looks unchanged, so
-	// while its modification time is this young it is read again.
+	// mtimeGranularity is an upper bound of the resolution of modification times. A file that changes twice within that resolution
+	// looks unchanged, so a file is read again if its modification time was this recent at the last reading.
 	mtimeGranularity = time.Second
 )
 
-// NewFileSource makes a source that reads a members file, and reads it again whenever it changes or is replaced. ParseMemberFile
-// documents its format. deliver and failed are called by Run and PollOnce.
-func NewFileSource(path string, cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
+// NewFileSource returns a source that reads a members file whenever it changes or is replaced. ParseMemberFile documents the format.
+// Run and PollOnce call deliver with each list that differs from the previous one, and onFailure after each failed poll.
+func NewFileSource(path string, cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource {
 	p := filePoller{path: path}
-	return newPollingSource("members file "+path, cache, p.poll, deliver, failed, log)
+	return newPollingSource("members file "+path, cache, p.poll, deliver, onFailure, log)
 }
 
-// filePoller remembers what a file looked like when it was read last.
+// filePoller reads a file if its metadata has changed since the last reading.
 type filePoller struct {
 	path       string
-	hasStat    bool // lastInfo is set
-	lastInfo   os.FileInfo
-	lastReadAt time.Time
+	hasRead    bool        // lastInfo and lastReadAt are set
+	lastInfo   os.FileInfo // file's metadata right before the last reading
+	lastReadAt time.Time   // when the file was last read
 }
 
 func (p *filePoller) poll(context.Context) (pollResult, error) {
 	result := pollResult{nextPollIn: filePollInterval}
 	info, err := os.Stat(p.path)
 	if err != nil {
-		p.lastInfo, p.hasStat = nil, false
+		p.lastInfo, p.hasRead = nil, false
 		return result, err
 	}
-	if p.hasStat && p.isUnchanged(info) {
+	if p.hasRead && p.isUnchanged(info) {
 		result.isUnchanged = true
 		return result, nil
 	}
-	p.lastInfo, p.lastReadAt, p.hasStat = info, time.Now(), true
+	p.lastInfo, p.lastReadAt, p.hasRead = info, time.Now(), true
 	text, err := readBounded(p.path)
 	if err != nil {
 		return result, err
@@ -59,17 +60,19 @@
 	return result, err
 }
 
+// isUnchanged reports whether the file with this metadata is certainly the same as at the last reading.
 func (p *filePoller) isUnchanged(info os.FileInfo) bool {
 	return os.SameFile(info, p.lastInfo) && info.Size() == p.lastInfo.Size() && info.ModTime().Equal(p.lastInfo.ModTime()) &&
 		p.lastReadAt.Sub(info.ModTime()) > mtimeGranularity
 }
 
+// readBounded reads a file of at most maxFileBytes.
 func readBounded(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // closing a file that was only read loses nothing
 	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err == nil && len(text) > maxFileBytes {
 		err = fmt.Errorf("longer than %d bytes", maxFileBytes)
@@ -77,7 +80,7 @@
 	return text, err
 }
 
-// memberEntry is a member in a members file.
+// memberEntry is an entry of a members file.
 type memberEntry struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
@@ -91,8 +94,8 @@
 //
 //	{"format": 1, "members": [{"id": "a", "address": "host:port", "zone": "", "kind": "", "cell": 0, "state": "ready"}]}
 //
-// A missing id is the address, and a missing state is ready; the other state is draining. The format is JSON since a JSON object that
-// is cut off anywhere does not parse. One bad entry rejects the file: the error names the entry and its field.
+// The id defaults to the address. The state is "ready", which is the default, or "draining". The format is JSON since a truncated JSON
+// object never parses. A single invalid entry rejects the whole file; the error names the entry and the field.
 func ParseMemberFile(text []byte) ([]endpointset.Member, error) {
 	entries, err := decodeMemberFile(text)
 	if err != nil {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -23,10 +23,10 @@
 
 func TestFileSourceFollowsReplacedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
-	f := startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource {
-		return NewFileSource(path, cache, deliver, failed, log)
+	f := startSource(t, holdOptions, func(cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource {
+		return NewFileSource(path, cache, deliver, onFailure, log)
 	})
-	f.expectFailure(t) // there is no file yet
+	f.expectFailure(t) // the file does not exist yet
 	replaceFile(t, path, `{"format":1,"members":[{"address":"10.0.0.1:80"},{"id":"b","address":"10.0.0.2:80","zone":"z","cell":2}]}`)
 	f.expectList(t, "10.0.0.1:80", "10.0.0.2:80")
 	replaceFile(t, path, `{"format":1,"members":[{"address":"10.0.0.1:80","state":"draining"},{"id":"b","address":"10.0.0.2:80"}]}`)
@@ -34,16 +34,16 @@
 	for _, bad := range []string{`{"format":1,"members":[{"address":"10.0.0.`, `{"format":1,"members":[]}`, ""} {
 		replaceFile(t, path, bad)
 		if bad != "" && strings.HasSuffix(bad, "[]}") {
-			continue // a valid file that lists no members is no failure
+			continue // a valid file without members is not reported as a failure
 		}
 		f.expectFailure(t)
 	}
 	f.expectNoUpdate(t)
-	replaceFile(t, path, `{"format":1,"members":[{"id":"b","address":"10.0.0.3:80"}]}`) // the same id at a new address
+	replaceFile(t, path, `{"format":1,"members":[{"id":"b","address":"10.0.0.3:80"}]}`) // the same ID with a new address
 	f.expectList(t, "10.0.0.3:80")
 }
 
-// The file is overwritten in place, twice within the granularity of its modification time and to the same length.
+// The file is overwritten in place with a text of the same length and the same modification time, so its metadata does not change.
 func TestFileRewrittenWithinMtimeGranularityIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members.json")
 	mtime := time.Now()
@@ -77,31 +77,31 @@
 
 func TestParseMemberFileRejectsBadFiles(t *testing.T) {
 	entry := func(i int) string { return fmt.Sprintf(`{"address":"10.%d.%d.%d:80"}`, i>>16, i>>8&255, i&255) }
-	var most []string
+	var maxEntries []string // as many entries as a file may have
 	for i := range 100_000 {
-		most = append(most, entry(i))
+		maxEntries = append(maxEntries, entry(i))
 	}
 	fileOf := func(entries ...string) string { return `{"format":1,"members":[` + strings.Join(entries, ",") + `]}` }
-	if members, err := ParseMemberFile([]byte(fileOf(most...))); err != nil || len(members) != 100_000 {
-		t.Errorf("100,000 members: %d, %v", len(members), err)
+	if members, err := ParseMemberFile([]byte(fileOf(maxEntries...))); err != nil || len(members) != 100_000 {
+		t.Errorf("a file of 100,000 members: parsed %d of them, error %v", len(members), err)
 	}
 	good := fileOf(entry(1), entry(2))
-	for cut := range len(good) {
-		if _, err := ParseMemberFile([]byte(good[:cut])); err == nil {
-			t.Fatalf("a file cut off at %d is accepted: %s", cut, good[:cut])
+	for length := range len(good) {
+		if _, err := ParseMemberFile([]byte(good[:length])); err == nil {
+			t.Fatalf("a file truncated to %d bytes is accepted: %s", length, good[:length])
 		}
 	}
 	for text, want := range map[string]string{
-		fileOf(append(most, entry(100_000))...): "members: over 100000",
-		fileOf(entry(1), entry(1)):              `members[1].id: "10.0.0.1:80" is listed twice`,
-		fileOf(`{"address":"here"}`):            "members[0].address",
-		fileOf(`{"address":"h:1","state":"x"}`): `members[0].state: "x"`,
-		fileOf(`{"addr":"h:1"}`):                "unknown field",
-		good + "{}":                             "unexpected data after the list",
-		`{"members":[]}`:                        "format: 0 is not 1",
+		fileOf(append(maxEntries, entry(100_000))...): "members: over 100000",
+		fileOf(entry(1), entry(1)):                    `members[1].id: "10.0.0.1:80" is listed twice`,
+		fileOf(`{"address":"here"}`):                  "members[0].address",
+		fileOf(`{"address":"h:1","state":"x"}`):       `members[0].state: "x"`,
+		fileOf(`{"addr":"h:1"}`):                      "unknown field",
+		good + "{}":                                   "unexpected data after the list",
+		`{"members":[]}`:                              "format: 0 is not 1",
 	} {
 		if _, err := ParseMemberFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60s: %v, want %s", text, err, want)
+			t.Errorf("%.60s: got error %v, want %s", text, err, want)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "huge.json")
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if _, err := (&filePoller{path: path}).poll(t.Context()); err == nil || !strings.Contains(err.Error(), "longer than") {
-		t.Errorf("50 MB: %v", err)
+		t.Errorf("a file of 50 MB: got error %v, want one about its length", err)
 	}
 }
 
@@ -120,7 +120,7 @@
 		ids := map[string]bool{}
 		for _, m := range members {
 			if err != nil || m.ID == "" || ids[m.ID] || CheckAddress("", m.Addr) != nil {
-				t.Errorf("member %+v, error %v", m, err)
+				t.Errorf("parsed the invalid member %+v, or one despite the error %v", m, err)
 			}
 			ids[m.ID] = true
 		}
--- a/internal/discovery/membercache.go
+++ b/internal/discovery/membercache.go
@@ -6,18 +6,18 @@
 	"tuliprock/internal/endpointset"
 )
 
-// MemberCache is what a pool remembers of its members when its source is replaced: the endpoints in force and their flaps. It is not
-// safe for concurrent use; the PollingSource that runs owns it.
+// MemberCache keeps a pool's active endpoints and their flap histories when the pool's source is replaced by another. It is not safe
+// for concurrent use; the PollingSource that is running owns it.
 type MemberCache struct {
 	endpoints *endpointset.Set
-	epoch     time.Time // zero of the instants in endpoints
+	epoch     time.Time // time that corresponds to instant 0 of endpoints
 }
 
-// NewMemberCache makes an empty MemberCache.
+// NewMemberCache returns an empty MemberCache.
 func NewMemberCache(o endpointset.Options) *MemberCache {
-	// The epoch lies in the past, for instant 0 is that of a member that was there from the beginning.
+	// The epoch is in the past so that no member is added at instant 0, which stands for members of the first list.
 	return &MemberCache{endpointset.New(o), time.Now().Add(-time.Second)}
 }
 
-// SetOptions changes the options for the poll results to come. No source with this MemberCache may run.
+// SetOptions replaces the options, for future poll results. No source that uses this MemberCache may be running.
 func (c *MemberCache) SetOptions(o endpointset.Options) { c.endpoints.SetOptions(o) }
--- a/internal/discovery/messagereader.go
+++ b/internal/discovery/messagereader.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// maxMessageBytes bounds a message of the agent: a complete list, or one update of a watch.
+// maxMessageBytes bounds the size of one message from the agent: a complete list, or one update of a watch.
 const maxMessageBytes = 4 << 20
 
-var errMessageTooLong = fmt.Errorf("%w: it is too long", errMalformed)
+var errMessageTooLong = fmt.Errorf("%w: longer than %d bytes", errMalformedMessage, maxMessageBytes)
 
-// messageReader reads a response of the agent for the decoder of its messages, and resets the watchdog that cancels the request. A
-// message that has begun must make progress within the first byte timeout and end within the idle timeout. Empty lines between
-// messages are heartbeats, and are not passed to the decoder.
+// messageReader passes the agent's messages to a JSON decoder, and keeps extending the watchdog timer that cancels the request. Once a
+// message has begun, further bytes must arrive within the first-byte timeout each time, and its end within the idle timeout. Empty lines
+// between messages are heartbeats and are not passed on.
 type messageReader struct {
 	io.Reader
 	client           *AgentClient
-	watchdog         *time.Timer
-	hasReceived      bool // a byte, be it of a heartbeat
-	isMidMessage     bool
-	messageStartedAt time.Time
-	messageBytes     int // of the present message, so far
+	watchdog         *time.Timer // cancels the request when it fires
+	hasReceived      bool        // any byte has arrived, including heartbeats
+	isMidMessage     bool        // a message has begun and not ended
+	messageStartedAt time.Time   // when the first byte of the current message arrived
+	messageBytes     int         // bytes of the current message that have arrived
 }
 
 // Read implements io.Reader.
@@ -43,7 +43,7 @@
 	}
 }
 
-// extendMessage counts n further bytes of the present message, or the first ones of the next.
+// extendMessage counts n bytes towards the current message, which they begin if none is in progress.
 func (r *messageReader) extendMessage(n int) error {
 	if !r.isMidMessage {
 		r.isMidMessage, r.messageStartedAt, r.messageBytes = true, time.Now(), 0
@@ -57,12 +57,13 @@
 	return nil
 }
 
-// endMessage notes the end of a message. buffered is what the decoder has read beyond it: it may begin the next message.
+// endMessage ends the current message. buffered is the text beyond it that the decoder has read already, which may be the beginning of
+// the next message.
 func (r *messageReader) endMessage(buffered io.Reader) {
 	r.isMidMessage = false
 	r.watchdog.Reset(r.client.idleTimeout)
 	rest, _ := io.ReadAll(buffered) // reading from the decoder's buffer cannot fail
 	if len(bytes.TrimSpace(rest)) > 0 {
-		_ = r.extendMessage(len(rest)) // cannot exceed the bound: the buffer's bytes were counted when they were read
+		_ = r.extendMessage(len(rest)) // cannot exceed maxMessageBytes, since these bytes were within it as part of the last message
 	}
 }
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -10,34 +10,34 @@
 	"tuliprock/internal/endpointset"
 )
 
-// PollingSource is a Source that is polled: a fixed list, a file, or DNS. What a poll returns goes through an endpointset.Set, and
-// each update is the complete list of endpoints in force. Only Subscribe may be called while Run runs.
+// PollingSource is a Source that polls a fixed list, a file or DNS. The results go through an endpointset.Set, and each update is the
+// complete list of active endpoints. While Run runs, only Subscribe may be called.
 type PollingSource struct {
-	name      string // for the log
+	name      string // source's name in log lines
 	poll      func(context.Context) (pollResult, error)
-	endpoints *endpointset.Set
-	epoch     time.Time // zero of the instants in endpoints
-	deliver   func(ListUpdate)
-	onFailure func()
+	endpoints *endpointset.Set // listed members, and which of them are active
+	epoch     time.Time        // time that corresponds to instant 0 of endpoints
+	deliver   func(ListUpdate) // called with each list that differs from the previous one
+	onFailure func()           // called after each failed poll
 	log       *slog.Logger
 
-	pollRequests chan struct{} // capacity 1: a Subscribe not yet served
-	lastLoggedAt time.Time
-	isHealthy    bool // the last poll listed members, or no failure was logged since one did
+	pollRequests chan struct{} // holds at most one call of Subscribe that has not been handled
+	lastLoggedAt time.Time     // when a failure was last logged; zero after a recovery
+	isHealthy    bool          // no poll has failed or listed no members since the last poll that listed some
 }
 
-// pollResult is what one poll returned.
+// pollResult is the result of one poll.
 type pollResult struct {
-	members     []endpointset.Member
-	isUnchanged bool          // since the poll before; members is not set then
-	nextPollIn  time.Duration // 0: no further poll is due
+	members     []endpointset.Member // listed members; nil if isUnchanged
+	isUnchanged bool                 // the list is the same as at the previous poll
+	nextPollIn  time.Duration        // time until the next poll; 0 if only Subscribe causes one
 }
 
-// errNoMembers is logged where a poll succeeds and lists no members.
+// errNoMembers is logged when a poll succeeds but lists no members.
 var errNoMembers = errors.New("no members are listed")
 
-// newPollingSource makes a PollingSource. deliver takes each complete list that differs from the one before; onFailure takes each
-// failed poll. At most one of the sources that share a MemberCache may run.
+// newPollingSource returns a PollingSource. deliver is called with each complete list that differs from the previous one, and onFailure
+// after each failed poll. At most one of the sources that share a MemberCache may run at a time.
 func newPollingSource(name string, cache *MemberCache, poll func(context.Context) (pollResult, error), deliver func(ListUpdate),
 	onFailure func(), log *slog.Logger) *PollingSource {
 	return &PollingSource{
@@ -46,11 +46,12 @@
 	}
 }
 
-// NewStaticSource makes a source of a fixed list of members. deliver and failed are called by Run and PollOnce.
-func NewStaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), failed func(),
+// NewStaticSource returns a source of a fixed list of members. Run and PollOnce call deliver with each list that differs from the
+// previous one, and onFailure after each failed poll.
+func NewStaticSource(members []endpointset.Member, cache *MemberCache, deliver func(ListUpdate), onFailure func(),
 	log *slog.Logger) *PollingSource {
 	poll := func(context.Context) (pollResult, error) { return pollResult{members: members}, nil }
-	return newPollingSource("members", cache, poll, deliver, failed, log)
+	return newPollingSource("members", cache, poll, deliver, onFailure, log)
 }
 
 // Subscribe implements Source: it requests a poll. It does not block.
@@ -67,7 +68,7 @@
 	defer timer.Stop()
 	nextPollIn := s.PollOnce(ctx)
 	for ctx.Err() == nil {
-		var nextPollAt time.Time // zero: only a request brings a further poll
+		var nextPollAt time.Time // zero if only Subscribe causes another poll
 		if nextPollIn > 0 {
 			nextPollAt = time.Now().Add(nextPollIn)
 		}
@@ -78,10 +79,10 @@
 	}
 }
 
-// waitForNextPoll waits until a poll is due or requested, and delivers the lists that change meanwhile by time alone. It returns
-// false if ctx ends before.
+// waitForNextPoll waits until a poll is due or requested. Meanwhile it delivers the list whenever a damping delay or the hold time
+// ends and changes it. It returns false if ctx ends first.
 func (s *PollingSource) waitForNextPoll(ctx context.Context, timer *time.Timer, nextPollAt time.Time) bool {
-	const idleWait = time.Hour // nothing is due
+	const idleWait = time.Hour // timer interval while neither a poll nor a change is due
 	for {
 		wait := idleWait
 		if !nextPollAt.IsZero() {
@@ -107,8 +108,8 @@
 	}
 }
 
-// PollOnce polls one time, delivers the list if it has changed, and returns the time until the next poll (0: none is due). Run calls
-// it from its start on; before, the owner may call it to have the first list at once.
+// PollOnce polls once, delivers the list if it has changed, and returns the time until the next poll, or 0 if none is due. The owner may
+// call it before Run to get the first list without waiting; afterwards only Run calls it.
 func (s *PollingSource) PollOnce(ctx context.Context) (nextPollIn time.Duration) {
 	result, err := s.poll(ctx)
 	now := time.Since(s.epoch)
@@ -137,7 +138,7 @@
 	return result.nextPollIn
 }
 
-// logFailure logs a poll that failed or listed no members, at most once in logInterval.
+// logFailure logs a poll that failed or listed no members, at most once per logInterval.
 func (s *PollingSource) logFailure(err error) {
 	s.isHealthy = false
 	if time.Since(s.lastLoggedAt) > logInterval {
@@ -146,7 +147,7 @@
 	}
 }
 
-// deliverEndpoints delivers the complete list in force.
+// deliverEndpoints delivers the complete list of active endpoints.
 func (s *PollingSource) deliverEndpoints() {
 	endpoints := s.endpoints.Endpoints()
 	update := ListUpdate{Full: true, Members: make([]Member, 0, len(endpoints))}
@@ -155,8 +156,8 @@
 		if e.Draining {
 			m.State = balance.Draining
 		}
-		if e.Since > 0 {
-			m.StartedMs = s.epoch.Add(e.Since).UnixMilli()
+		if e.ActiveSince > 0 {
+			m.StartedMs = s.epoch.Add(e.ActiveSince).UnixMilli()
 		}
 		update.Members = append(update.Members, m)
 	}
--- a/internal/discovery/polling_test.go
+++ b/internal/discovery/polling_test.go
@@ -16,16 +16,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sourceFixture is a source that runs until the test ends, and what it reports.
+// sourceFixture is a source that runs until the test ends, with the updates and failures that it reports.
 type sourceFixture struct {
 	updates  chan ListUpdate
 	failures chan bool
 	source   *PollingSource
 }
 
-// newSourceFunc makes a source of a pool with a MemberCache.
-type newSourceFunc func(cache *MemberCache, deliver func(ListUpdate), failed func(), log *slog.Logger) *PollingSource
+// newSourceFunc is a constructor of a source, with the callbacks and the cache that startSource passes in.
+type newSourceFunc func(cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource
 
+// startSource starts a source with an empty MemberCache, and stops it when the test ends.
 func startSource(t *testing.T, o endpointset.Options, newSource newSourceFunc) *sourceFixture {
 	t.Helper()
 	f := &sourceFixture{updates: make(chan ListUpdate, 1000), failures: make(chan bool, 1000)}
@@ -38,7 +39,8 @@
 	return f
 }
 
-// expectList waits for the next update, which must be the complete list of the addresses given, " draining" behind those that are.
+// expectList waits for the next update, which must be the complete list of exactly these members. A member is written as its address,
+// followed by " draining" if it is draining.
 func (f *sourceFixture) expectList(t *testing.T, want ...string) {
 	t.Helper()
 	select {
@@ -52,10 +54,10 @@
 			got = append(got, name)
 		}
 		if !update.Full || !slices.Equal(got, want) {
-			t.Fatalf("update %v, want %v", got, want)
+			t.Fatalf("update %v (complete: %v), want the complete list %v", got, update.Full, want)
 		}
 	case <-time.After(testpeer.Patience):
-		t.Fatalf("no update, want %v", want)
+		t.Fatalf("no update was delivered, want the list %v", want)
 	}
 }
 
@@ -64,7 +66,7 @@
 	select {
 	case <-f.failures:
 	case update := <-f.updates:
-		t.Fatalf("update %+v, want a failure", update)
+		t.Fatalf("update %+v was delivered, want a failure", update)
 	case <-time.After(testpeer.Patience):
 		t.Fatal("no failure was reported")
 	}
@@ -74,10 +76,10 @@
 	t.Helper()
 	select {
 	case update := <-f.updates:
-		t.Errorf("update %+v, want none", update)
+		t.Errorf("update %+v was delivered, want none", update)
 	default:
 	}
 }
 
-// holdOptions keep the last list through all failures of a test.
-var holdOptions = endpointset.Options{Hold: time.Hour, Damp: time.Millisecond}
+// holdOptions keep the last good list for longer than any test takes.
+var holdOptions = endpointset.Options{HoldLastGood: time.Hour, FlapDamping: time.Millisecond}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -8,32 +8,33 @@
 	"tuliprock/balance"
 )
 
-// Member is an endpoint as discovery lists it.
+// Member is an endpoint as a discovery source lists it.
 type Member struct {
 	ID        string        `json:"id"`
-	Addr      string        `json:"addr"` // host:port; may be empty where State is Gone
+	Addr      string        `json:"addr"` // host:port; may be empty if State is Gone
 	Zone      string        `json:"zone"`
 	Kind      string        `json:"kind"`
 	Cell      int           `json:"cell"`
-	StateName string        `json:"state"`      // as the agent sends it; empty in updates of a PollingSource
-	StartedMs int64         `json:"started_ms"` // Unix time in milliseconds; 0: unknown, or there from the beginning
-	State     balance.State `json:"-"`          // what StateName says
+	StateName string        `json:"state"`      // state's name, a key of stateByWireName; empty in updates of a PollingSource
+	StartedMs int64         `json:"started_ms"` // when the member started, as Unix time in ms; 0 if unknown or listed from the beginning
+	State     balance.State `json:"-"`          // state that StateName stands for
 }
 
-// ListUpdate is a message from discovery: the complete endpoint list, or the members that have changed.
+// ListUpdate is a message from a discovery source: the complete endpoint list, or only the members that have changed.
 type ListUpdate struct {
-	Version *int64   `json:"version"` // of the list after this update; nil in updates of a PollingSource
-	Full    bool     `json:"full"`    // the update is the complete list: a member that it lacks is gone
+	Version *int64   `json:"version"` // version of the list after this update; nil in updates of a PollingSource
+	Full    bool     `json:"full"`    // the update is the complete list, so members that are missing from it are gone
 	Members []Member `json:"servers"`
 }
 
-// stateByWireName has the states that the agent sends. Terminating on the wire is Draining in the code.
+// stateByWireName maps the state names that the agent sends. Terminating on the wire is Draining in the code.
 var stateByWireName = map[string]balance.State{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone}
 
-// errMalformed is wrapped by the errors of messages that were rejected.
-var errMalformed = errors.New("malformed message")
+// errMalformedMessage is wrapped by the errors for messages that are rejected.
+var errMalformedMessage = errors.New("malformed message")
 
-// ParseListUpdate decodes and checks a message from discovery. One bad entry rejects the message: the error names the field.
+// ParseListUpdate decodes and checks a message from the agent. A single invalid entry rejects the whole message; the error names the
+// field.
 func ParseListUpdate(text []byte) (ListUpdate, error) {
 	var update ListUpdate
 	if err := json.Unmarshal(text, &update); err != nil {
@@ -42,19 +43,19 @@
 	if update.Version == nil {
 		return ListUpdate{}, errors.New("version: missing")
 	}
-	if update.Members == nil { // must not pass for a list that has become empty
+	if update.Members == nil { // a missing field must not be taken for an empty list
 		return ListUpdate{}, errors.New("servers: missing")
 	}
 	for i := range update.Members {
-		if err := update.Members[i].decodeState(); err != nil {
+		if err := update.Members[i].decodeStateAndCheck(); err != nil {
 			return ListUpdate{}, err
 		}
 	}
 	return update, nil
 }
 
-// decodeState sets State from StateName and checks the fields that every member must have.
-func (m *Member) decodeState() error {
+// decodeStateAndCheck sets State from StateName and checks the fields that every member must have.
+func (m *Member) decodeStateAndCheck() error {
 	state, ok := stateByWireName[m.StateName]
 	if !ok {
 		return fmt.Errorf("state: %q of %q is unknown", m.StateName, m.ID)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,23 +12,26 @@
 )
 
 const (
-	// membersPath serves the endpoint list; with the query watch=1 it serves the changes after a version, as a stream.
+	// membersPath is the agent's URL path for the endpoint list. With the query watch=1&after=VERSION it serves a stream of the changes
+	// after that version.
 	membersPath = "/catalog/members"
 
-	// watchIdleTimeout closes a watch that sends nothing. The agent sends a heartbeat every 2 s. An update that a silent watch misses
-	// counts as received 6 s after the silence began, and requests may use the old list for 0.5 s more. So two heartbeats are missed
-	// before the watch is closed, and two further requests in vain leave more than half a second.
+	// watchIdleTimeout is how long a watch may send nothing before it is closed. The agent sends a heartbeat every 2 s. The platform
+	// counts an update that a silent watch misses as received 6 s after the silence began, and tolerates the old list for 0.5 s more.
+	// With this timeout two heartbeats are missed before the watch is closed, and more than half a second is left even after two further
+	// requests without a response.
 	watchIdleTimeout = 4300 * time.Millisecond
 
-	// The first byte of a response comes at once from an agent on this machine, and an update that is received at the agent's
-	// return counts at once. An agent that must be subscribed to serves requests one after the other, so it gets longer.
-	pushedFirstByteTimeout     = 400 * time.Millisecond
+	// pushedFirstByteTimeout is short since the agent runs on this machine and normally responds at once. After a silence, its updates
+	// count as received as soon as it responds again.
+	pushedFirstByteTimeout = 400 * time.Millisecond
+	// subscribedFirstByteTimeout is longer since an agent that must be subscribed to handles one request at a time.
 	subscribedFirstByteTimeout = 2500 * time.Millisecond
 )
 
-// watch keeps one watch, after fetching the complete list if that is needed, and reports whether it received anything. The agent
-// begins a watch with what has changed, or sends a heartbeat within 2 s if nothing has. A watch that opens and stays silent is
-// therefore closed sooner than one that has sent something, unless the complete list has just been fetched.
+// watch runs one watch until it ends, and reports whether anything was received. It first fetches the complete list if the version is
+// unknown. The agent begins a watch with the changes since the given version, or sends a heartbeat within 2 s if there are none. So a
+// watch that opens and stays silent is closed sooner than one that has sent something, unless the complete list was just fetched.
 func (c *AgentClient) watch(ctx context.Context) (hasReceived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -53,7 +56,7 @@
 	return hasReceived || reader.hasReceived, err
 }
 
-// readUpdates applies the messages of a watch until it ends, and returns why it did.
+// readUpdates applies the messages of a watch until it ends. The error says why it ended, and is never nil.
 func (c *AgentClient) readUpdates(reader *messageReader) error {
 	decoder := json.NewDecoder(reader)
 	for {
@@ -68,21 +71,22 @@
 	}
 }
 
-// endWatch decides what the next watch must begin with, from the way this one ended.
+// endWatch turns the error that ended a watch into one for the log, and drops the known version if an update may have been missed, so
+// that the complete list is fetched next.
 func (c *AgentClient) endWatch(reader *messageReader, err error) error {
 	switch {
-	case reader.isMidMessage: // an update was sent, and its content is unknown
+	case reader.isMidMessage: // the content of the incomplete update is unknown
 		c.version = nil
-		return fmt.Errorf("watch: %w: %w", errMalformed, err)
-	case !reader.hasReceived: // whatever it would have sent is in the complete list
+		return fmt.Errorf("watch: %w: %w", errMalformedMessage, err)
+	case !reader.hasReceived: // the watch never sent the changes that it should begin with
 		c.version = nil
 	case errors.Is(err, io.EOF):
-		err = errors.New("ended by discovery")
+		err = errors.New("closed by the agent")
 	}
 	return fmt.Errorf("watch: %w", err)
 }
 
-// fetchList fetches the complete list once.
+// fetchList fetches and applies the complete list.
 func (c *AgentClient) fetchList(ctx context.Context, watchdog *time.Timer) error {
 	body, err := c.get(ctx, "")
 	if err != nil {
@@ -96,7 +100,7 @@
 	return c.applyMessage(text)
 }
 
-// get requests the members and returns the body of a response with status 200. The caller closes it.
+// get requests membersPath with a query and returns the body of the response, whose status must be 200. The caller closes the body.
 func (c *AgentClient) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.addr+membersPath+query, nil)
 	if err != nil {
@@ -113,16 +117,16 @@
 	return resp.Body, nil
 }
 
-// applyMessage delivers one message. After a malformed one, or changes to an older list than the one known, an update may have been
-// missed, and the complete list is fetched next.
+// applyMessage parses one message and calls OnUpdate with it. If the message is malformed, or has changes to an older list than the
+// known one, an update may have been missed: the version is dropped, so that the complete list is fetched next.
 func (c *AgentClient) applyMessage(text []byte) error {
 	update, err := ParseListUpdate(text)
 	if err == nil && !update.Full && (c.version == nil || *update.Version < *c.version) {
-		err = fmt.Errorf("version: %d does not follow", *update.Version)
+		err = fmt.Errorf("version: %d does not follow the known one", *update.Version)
 	}
 	if err != nil {
 		c.version = nil
-		return fmt.Errorf("%w: %w", errMalformed, err)
+		return fmt.Errorf("%w: %w", errMalformedMessage, err)
 	}
 	c.version = update.Version
 	c.OnUpdate(update)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,20 +19,21 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// serveFunc writes the response to the agent's nth request, counted from 1.
+// serveFunc writes the agent's response to its nth request, counted from 1.
 type serveFunc func(agent *scriptedAgent, w io.Writer, query string, n int)
 
-// scriptedAgent is an agent in virtual time. serve is called on a goroutine of its own for each request.
+// scriptedAgent is a discovery agent in virtual time, with a record of what a client requested and delivered.
 type scriptedAgent struct {
-	serve      serveFunc
-	startedAt  time.Time
-	mu         sync.Mutex
-	queries    []string        // guarded by mu until the client has ended
-	versions   []int64         // that the client delivered
-	receivedAt []time.Duration // the instant of each version, since startedAt
+	serve       serveFunc // called for each request, on a new goroutine
+	startedAt   time.Time
+	mu          sync.Mutex
+	queries     []string        // URL queries of all requests; guarded by mu until the client has ended
+	versions    []int64         // versions of the updates that the client delivered
+	deliveredAt []time.Duration // when the client delivered each of versions, as a time since startedAt
 }
 
-// runScript runs a client, which knows the list at version 7, against a scripted agent for d, and returns the agent as it is then.
+// runScript runs a client that knows the list at version 7 against a scripted agent for the duration d, and returns the agent
+// afterwards.
 func runScript(t *testing.T, d time.Duration, serve serveFunc) (agent *scriptedAgent) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,20 +47,21 @@
 		}
 		client.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
 		client.OnUpdate = func(update ListUpdate) {
-			agent.versions, agent.receivedAt = append(agent.versions, *update.Version), append(agent.receivedAt, agent.elapsed())
+			agent.versions, agent.deliveredAt = append(agent.versions, *update.Version), append(agent.deliveredAt, agent.elapsed())
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); client.Run(ctx) }()
-		time.Sleep(d) // virtual
+		time.Sleep(d) // in virtual time
 		synctest.Wait()
 		stop()
 		<-ended
-		time.Sleep(2 * time.Minute) // virtual: the agent's goroutines end
+		time.Sleep(2 * time.Minute) // in virtual time, until the agent's goroutines have ended
 	})
 	return agent
 }
 
+// serveConn reads one request, records it and serves it.
 func (a *scriptedAgent) serveConn(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -75,33 +77,36 @@
 	_, _ = reader.ReadByte() // blocks until the client closes the connection
 }
 
+// elapsed returns the time since the agent's start.
 func (a *scriptedAgent) elapsed() time.Duration { return time.Since(a.startedAt) }
 
-// sendHeartbeats keeps a watch alive. The last heartbeat is sent at the instant until.
+// sendHeartbeats sends heartbeats on a watch. The last one is sent when until has elapsed since the agent's start.
 func (a *scriptedAgent) sendHeartbeats(w io.Writer, until time.Duration) {
 	for a.elapsed() <= until {
 		writeChunk(w, "\n")
-		time.Sleep(min(2*time.Second, until-a.elapsed()+1)) // virtual
+		time.Sleep(min(2*time.Second, until-a.elapsed()+1)) // in virtual time
 	}
 }
 
-// openStream writes the header of a chunked response, writeChunk a part of its body, and writeResponse a complete response. Their
-// errors are ignored, since the client closes a connection whenever it gives up a response.
+// openStream writes the header of a chunked response. Like those of writeChunk and writeResponse its errors are ignored, since the
+// client closes the connection whenever it abandons a response.
 func openStream(w io.Writer) {
 	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
+// writeChunk writes one chunk of a chunked response.
 func writeChunk(w io.Writer, text string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
 
+// writeResponse writes a complete response.
 func writeResponse(w io.Writer, text string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// An update that a silent watch misses arrives within the 6 s after which it counts as received, though the next two requests meet
-// silence, too: whether they are accepted and get no response, or open a watch that sends nothing.
+// The platform counts an update as received 6 s after the watch fell silent. The client must have it by then, even if its next two
+// requests fail as well, because they get no response or open a watch that sends nothing.
 func TestUpdateMissedBySilentWatchArrivesInTime(t *testing.T) {
 	const silentFrom = 10 * time.Second
-	for name, serveSilently := range map[string]func(io.Writer){
+	for name, serveNothing := range map[string]func(io.Writer){
 		"requests without a response":        func(io.Writer) {},
 		"watches that open and send nothing": openStream,
 	} {
@@ -112,7 +117,7 @@
 					openStream(w)
 					agent.sendHeartbeats(w, silentFrom)
 				case n < 4:
-					serveSilently(w)
+					serveNothing(w)
 				case query == "":
 					writeResponse(w, testpeer.Members(8, true))
 				default:
@@ -121,14 +126,14 @@
 				}
 			})
 			if len(agent.versions) == 0 {
-				t.Errorf("no update 6 s after the silence began, queries %q", agent.queries)
+				t.Errorf("no update was delivered within 6 s of the silence, queries %q", agent.queries)
 			}
 		})
 	}
 }
 
-// An agent that is silent for long answers the requests that wait when it returns, and its updates then count as received at once:
-// except for a short backoff, one request always waits.
+// An agent that comes back after a long silence responds to pending requests, and its updates count as received at once. So the client
+// must always have a request pending, except during a short backoff.
 func TestUpdateArrivesAtOnceWhenAgentReturns(t *testing.T) {
 	const downAt = 5 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -139,17 +144,17 @@
 				agent.sendHeartbeats(w, downAt)
 				return
 			}
-			time.Sleep(max(upAt-agent.elapsed(), 0)) // virtual
+			time.Sleep(max(upAt-agent.elapsed(), 0)) // in virtual time
 			openStream(w)
 			writeChunk(w, testpeer.Members(8, false)+"\n")
 		})
-		if len(agent.receivedAt) == 0 || agent.receivedAt[0] < upAt || agent.receivedAt[0]-upAt > 2*minBackoff {
-			rt.Fatalf("down until %v, updates received after %v", upAt, agent.receivedAt)
+		if len(agent.deliveredAt) == 0 || agent.deliveredAt[0] < upAt || agent.deliveredAt[0]-upAt > 2*minBackoff {
+			rt.Fatalf("the agent was down until %v and updates were delivered at %v, want the first within %v", upAt, agent.deliveredAt, 2*minBackoff)
 		}
 	})
 }
 
-// A watch that sends only heartbeats while nothing changes is kept, after the complete list was fetched once.
+// After the complete list has been fetched, a watch that sends only heartbeats stays open.
 func TestWatchWithOnlyHeartbeatsIsKept(t *testing.T) {
 	agent := runScript(t, 50*time.Second, func(agent *scriptedAgent, w io.Writer, query string, _ int) {
 		if query == "" {
@@ -157,7 +162,7 @@
 			return
 		}
 		openStream(w)
-		time.Sleep(2 * time.Second) // virtual
+		time.Sleep(2 * time.Second) // in virtual time
 		agent.sendHeartbeats(w, time.Minute)
 	})
 	if want := []string{"watch=1&after=7", "", "watch=1&after=8"}; fmt.Sprint(agent.queries) != fmt.Sprint(want) {
@@ -165,16 +170,16 @@
 	}
 }
 
-// A message that begins and does not end is malformed, whether it stops or never ends: the complete list is fetched at once, and not
-// when the watch has been silent.
+// A message that begins but does not end is malformed, whether it stops or goes on without end. The complete list is then fetched at
+// once, not only after the idle timeout.
 func TestUnfinishedMessageRefetchesList(t *testing.T) {
 	const chunkBytes = 64 << 10
 	for name, c := range map[string]struct {
 		furtherChunks int
-		within        time.Duration // for an update delivered later would come after the draining member was used
+		within        time.Duration // time limit for the list; later, requests might have gone to a member that is draining
 	}{
-		"it stops":        {0, 500 * time.Millisecond},
-		"it is unbounded": {2 * maxMessageBytes / chunkBytes, pushedFirstByteTimeout - 1},
+		"message stops":        {0, 500 * time.Millisecond},
+		"message is unbounded": {2 * maxMessageBytes / chunkBytes, pushedFirstByteTimeout - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			agent := runScript(t, c.within, func(agent *scriptedAgent, w io.Writer, query string, n int) {
@@ -194,17 +199,18 @@
 				}
 			})
 			if len(agent.versions) != 1 || agent.versions[0] != 9 {
-				t.Errorf("versions %v, queries %q", agent.versions, agent.queries)
+				t.Errorf("delivered versions %v, want version 9 alone; queries %q", agent.versions, agent.queries)
 			}
 		})
 	}
 }
 
+// indentedList is the complete list at version 8, of one member whose ID has braces and quotes.
 const indentedList = "{\n  \"version\": 8,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a } \\\" {\",\n" +
 	"      \"addr\": \"127.0.0.1:1\",\n      \"state\": \"Ready\"\n    }\n  ]\n}\n"
 
-// Lists may be indented and arrive in parts: a watch split at any byte, or into single bytes, delivers the same updates, and the
-// complete list need not be fetched.
+// Lists may be indented, and messages may arrive in parts. However the stream of a watch is split, at any byte or into single bytes, the
+// client delivers the same updates and need not fetch the complete list.
 func TestWatchSplitAtEveryByteDeliversTheSameUpdates(t *testing.T) {
 	stream := "\n" + indentedList + "\n\n" + testpeer.Members(9, false, testpeer.Member("b", "127.0.0.1:2", "Terminating")) + "\r\n" +
 		indentedList + testpeer.Members(10, false) + "\n\n"
@@ -220,12 +226,12 @@
 			}
 		})
 		if fmt.Sprint(agent.versions) != "[8 9 8 10]" || len(agent.queries) != 1 {
-			t.Errorf("split at %d: versions %v, queries %q", splitAt, agent.versions, agent.queries)
+			t.Errorf("split at %d: delivered versions %v, want [8 9 8 10]; queries %q, want one", splitAt, agent.versions, agent.queries)
 		}
 	}
 }
 
-// The same over a socket: an indented list, and a change.
+// Over a real socket, a watch delivers an indented list and a change after it.
 func TestWatchReadsIndentedList(t *testing.T) {
 	f := startClient(t, 7, nil, indentedList+testpeer.Members(9, false)+"\nSILENT")
 	f.expectVersions(t, 8, 9)
--- a/internal/endpointset/damping.go
+++ b/internal/endpointset/damping.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// maxDampDoublings bounds the delay of a member that flaps: 64 times Options.Damp at most.
-	maxDampDoublings = 6
-	// flapMemory is how long after its last departure the flaps of a member are forgotten.
-	flapMemory = 10 * time.Minute
-	// maxRememberedFlaps bounds the members remembered for their flaps, in addition to as many as are in force.
-	maxRememberedFlaps = 10_000
+	// maxDampingDoublings bounds how often the delay of a flapping member doubles: it is at most 64 times Options.FlapDamping.
+	maxDampingDoublings = 6
+	// flapHistoryLifetime is how long a member's departures are remembered after the last one.
+	flapHistoryLifetime = 10 * time.Minute
+	// maxFlapHistories bounds the number of flap histories kept, in addition to one per active member.
+	maxFlapHistories = 10_000
 )
 
-// flapHistory is what is remembered of a member that has departed.
+// flapHistory records the departures of a member: how often, and when last, it disappeared from the list.
 type flapHistory struct {
-	departures  int
-	departedAt  time.Duration // last
-	hasReturned bool          // it is listed again, and was withheld
-	returnedAt  time.Duration // if hasReturned
+	departures      int           // number of times that the member disappeared from the list
+	lastDepartureAt time.Duration // instant of the last departure
+	isListedAgain   bool          // the member has been listed since its last departure, and was damped
+	listedAgainAt   time.Duration // instant at which the damped member was listed again; set if isListedAgain
 }
 
-// recordDeparture notes that a member is no longer listed.
+// recordDeparture records that a member is no longer listed.
 func (s *Set) recordDeparture(now time.Duration, id string) {
-	history := s.flaps[id]
-	if history == nil || now-history.departedAt > flapMemory {
-		s.boundFlaps(now)
+	history := s.flapHistories[id]
+	if history == nil || now-history.lastDepartureAt > flapHistoryLifetime {
+		s.pruneFlapHistories(now)
 		history = &flapHistory{}
-		s.flaps[id] = history
+		s.flapHistories[id] = history
 	}
 	history.departures++
-	history.departedAt, history.hasReturned = now, false
+	history.lastDepartureAt, history.isListedAgain = now, false
 }
 
-// boundFlaps keeps the memory for flaps bounded: it forgets old ones, and all of them where too many are recent.
-func (s *Set) boundFlaps(now time.Duration) {
-	if len(s.flaps) < maxRememberedFlaps+len(s.inForce) {
+// pruneFlapHistories makes room for another flap history if the limit is reached: it deletes expired ones, or all of them if
+// too many have not expired.
+func (s *Set) pruneFlapHistories(now time.Duration) {
+	if len(s.flapHistories) < maxFlapHistories+len(s.active) {
 		return
 	}
-	for id, history := range s.flaps {
-		if now-history.departedAt > flapMemory {
-			delete(s.flaps, id)
+	for id, history := range s.flapHistories {
+		if now-history.lastDepartureAt > flapHistoryLifetime {
+			delete(s.flapHistories, id)
 		}
 	}
-	if len(s.flaps) >= maxRememberedFlaps+len(s.inForce) {
-		clear(s.flaps)
+	if len(s.flapHistories) >= maxFlapHistories+len(s.active) {
+		clear(s.flapHistories)
 	}
 }
 
-// admissionAt returns the instant from which a member that is listed may be in force, and notes its return. A member that departed
-// once is admitted at once: an ordinary restart is no flapping.
-func (s *Set) admissionAt(now time.Duration, id string) time.Duration {
-	history := s.flaps[id]
-	if history == nil || history.departures < 2 || now-history.departedAt > flapMemory {
+// activationTime returns the instant from which a listed member may be active, and records that a damped member is listed again.
+// A member that departed only once is not damped: an ordinary restart is not flapping.
+func (s *Set) activationTime(now time.Duration, id string) time.Duration {
+	history := s.flapHistories[id]
+	if history == nil || history.departures < 2 || now-history.lastDepartureAt > flapHistoryLifetime {
 		return now
 	}
-	if !history.hasReturned {
-		history.hasReturned, history.returnedAt = true, now
+	if !history.isListedAgain {
+		history.isListedAgain, history.listedAgainAt = true, now
 	}
-	doublings := min(history.departures-2, maxDampDoublings)
-	return history.returnedAt + s.options.Damp<<doublings
+	doublings := min(history.departures-2, maxDampingDoublings)
+	return history.listedAgainAt + s.options.FlapDamping<<doublings
 }
--- a/internal/endpointset/damping_test.go
+++ b/internal/endpointset/damping_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A member that departed once returns at once, since a restart is no flapping. From the second departure on the delay doubles.
+// A member is active at once after its first departure, since a restart is not flapping. From the second departure on it is delayed,
+// for twice as long after each further one.
 func TestFlappingMemberIsDampedWithDoublingDelay(t *testing.T) {
 	set := New(testOptions)
 	now := time.Duration(0)
@@ -18,55 +19,55 @@
 	}
 	set.HandleList(now, members("a", "b"))
 	flap()
-	expectInForce(t, set, "a", "b")
+	expectActive(t, set, "a", "b")
 	for _, delay := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		flap()
-		expectInForce(t, set, "a")
+		expectActive(t, set, "a")
 		if at, ok := set.NextChange(); !ok || at != now+delay {
 			t.Errorf("next change at %v, want %v", at, now+delay)
 		}
 		if set.Tick(now + delay - 1) {
-			t.Error("admitted early")
+			t.Errorf("the member is active before its delay of %v is over", delay)
 		}
-		set.HandleList(now+delay/2, members("a", "b")) // a further list does not restart the delay
+		set.HandleList(now+delay/2, members("a", "b")) // another list in between does not restart the delay
 		if !set.Tick(now + delay) {
-			t.Error("not admitted when the delay was over")
+			t.Errorf("the member is not active after its delay of %v", delay)
 		}
-		expectInForce(t, set, "a", "b")
+		expectActive(t, set, "a", "b")
 	}
 	for range 20 {
 		flap()
 	}
 	if at, _ := set.NextChange(); at != now+64*time.Second {
-		t.Errorf("the longest delay is %v", at-now)
+		t.Errorf("the longest delay is %v, want %v", at-now, 64*time.Second)
 	}
-	now += flapMemory + time.Second
+	now += flapHistoryLifetime + time.Second
 	set.HandleList(now, members("a", "b"))
 	flap()
-	expectInForce(t, set, "a", "b")
+	expectActive(t, set, "a", "b")
 }
 
-func TestDampingNeverLeavesSetWithoutReadyMember(t *testing.T) {
+func TestDampedMemberIsActiveIfNoOtherIsReady(t *testing.T) {
 	set := New(testOptions)
 	for i := range 6 {
 		set.HandleList(time.Duration(2*i)*time.Millisecond, members("a"))
 		set.HandleList(time.Duration(2*i+1)*time.Millisecond, members("b"))
-		if got := idsInForce(set); len(got) != 1 {
-			t.Fatalf("in force: %v", got)
+		if got := activeIDs(set); len(got) != 1 {
+			t.Fatalf("active members %v, want one", got)
 		}
 	}
 	draining := member("b")
 	draining.Draining = true
 	set.HandleList(time.Second, []Member{draining, member("a")})
-	expectInForce(t, set, "a", "b")
+	expectActive(t, set, "a", "b")
 }
 
-func TestRememberedFlapsAreBounded(t *testing.T) {
+func TestFlapHistoriesAreBounded(t *testing.T) {
 	set := New(testOptions)
-	for i := range 3 * maxRememberedFlaps {
+	for i := range 3 * maxFlapHistories {
 		set.HandleList(time.Duration(i), members(fmt.Sprint("m", i)))
 	}
-	if n := len(set.flaps); n > maxRememberedFlaps+1 {
-		t.Errorf("%d members are remembered", n)
+	if n := len(set.flapHistories); n > maxFlapHistories+1 {
+		t.Errorf("%d flap histories are kept, want at most %d", n, maxFlapHistories+1)
 	}
 }
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -1,9 +1,9 @@
-// Package endpointset keeps the set of a pool's endpoints in force, from the lists that a discovery source returns. It is pure: lists
-// and instants go in, the endpoints in force come out, and there is no I/O, clock or goroutine. A Set is owned by its caller.
+// Package endpointset computes the active endpoints of a pool from the lists that a discovery source returns. It has no I/O, clock
+// or goroutines: the caller passes in lists and instants, and owns the Set.
 //
-// A member that a list no longer has leaves at once. The other direction is slow: an empty or failed response takes effect only after
-// Options.Hold (the set is held meanwhile), and a member that flaps must be listed steadily before it is admitted again (flap
-// damping, see Options.Damp). While a member is listed as ready, one that is ready is in force.
+// A member that is missing from a new list is removed at once. Other changes are delayed: an empty or failed response takes effect
+// only Options.HoldLastGood after the last list with members, and a member that flaps must stay listed for a while before it is
+// active again (flap damping, see Options.FlapDamping). As long as any member is listed as ready, at least one ready member is active.
 package endpointset
 
 import (
@@ -19,42 +19,43 @@
 	Draining             bool
 }
 
-// Endpoint is a member in force.
+// Endpoint is an active member.
 type Endpoint struct {
 	Member
-	// Since is the instant at which the member came, or moved to its address; 0: it was in the first list.
-	Since time.Duration
+	// ActiveSince is the instant at which the member became active or changed its address; 0 if it has been unchanged since the
+	// first list.
+	ActiveSince time.Duration
 }
 
 // Options of a Set. With zero values every response takes effect at once.
 type Options struct {
-	Hold time.Duration // after the last list with members, an empty or failed response is not believed for this long
-	Damp time.Duration // a member that returns for the second time must be listed for this long; doubled each further time
+	HoldLastGood time.Duration // how long the last list with members is kept while responses are empty or failed
+	FlapDamping  time.Duration // how long a member must be listed after its second departure; doubles with each further departure
 }
 
-// Set holds the endpoints in force. It is not safe for concurrent use. Instants are durations since an epoch of the caller's choice,
+// Set holds the active endpoints. It is not safe for concurrent use. Instants are durations since an epoch that the caller chooses,
 // and must not decrease from call to call.
 type Set struct {
-	options         Options
-	hasList         bool                // a list with members has been handled
-	listed          map[string]Member   // by id, in the last list that was believed
-	inForce         map[string]Endpoint // by id
-	flaps           map[string]*flapHistory
-	lastGoodListAt  time.Duration // of the last list with members
-	isHolding       bool          // an empty or failed response came since
-	nextAdmissionAt time.Duration // of a member that is withheld; 0: none is
+	options          Options
+	hasList          bool                    // a list with members has been handled
+	listed           map[string]Member       // members of the last accepted list, by ID
+	active           map[string]Endpoint     // active endpoints, by ID
+	flapHistories    map[string]*flapHistory // departures of members, by ID
+	lastGoodListAt   time.Duration           // instant of the last list with members
+	holdsLastGood    bool                    // an empty or failed response has followed the last list with members
+	nextActivationAt time.Duration           // earliest instant at which a damped member becomes active; 0 if no member is damped
 }
 
-// New makes an empty Set.
+// New returns an empty Set.
 func New(o Options) *Set {
-	return &Set{options: o, listed: map[string]Member{}, inForce: map[string]Endpoint{}, flaps: map[string]*flapHistory{}}
+	return &Set{options: o, listed: map[string]Member{}, active: map[string]Endpoint{}, flapHistories: map[string]*flapHistory{}}
 }
 
-// SetOptions changes the options for the calls that follow.
+// SetOptions replaces the options. Subsequent calls use the new ones.
 func (s *Set) SetOptions(o Options) { s.options = o }
 
-// HandleList takes a complete list, and reports whether the endpoints in force have changed. Of members with the same id the first
-// counts. An empty list is handled as a failure.
+// HandleList applies a complete list, and reports whether the active endpoints have changed. Of several members with the same ID the
+// first one counts. An empty list is handled as a failure.
 func (s *Set) HandleList(now time.Duration, members []Member) (changed bool) {
 	if len(members) == 0 {
 		return s.HandleFailure(now)
@@ -65,7 +66,7 @@
 			listed[m.ID] = m
 		}
 	}
-	s.lastGoodListAt, s.isHolding = now, false
+	s.lastGoodListAt, s.holdsLastGood = now, false
 	for id := range s.listed {
 		if _, isListed := listed[id]; !isListed {
 			s.recordDeparture(now, id)
@@ -77,92 +78,92 @@
 	return changed
 }
 
-// HandleFailure takes an empty or failed response, and reports whether the endpoints in force have changed: once Options.Hold is over
-// none is left.
+// HandleFailure applies an empty or failed response, and reports whether the active endpoints have changed. It removes all of them
+// once Options.HoldLastGood has passed since the last list with members.
 func (s *Set) HandleFailure(now time.Duration) (changed bool) {
-	s.isHolding = true
-	if now < s.lastGoodListAt+s.options.Hold || len(s.inForce) == 0 {
+	s.holdsLastGood = true
+	if now < s.lastGoodListAt+s.options.HoldLastGood || len(s.active) == 0 {
 		return false
 	}
 	clear(s.listed)
 	return s.refresh(now)
 }
 
-// NextChange returns the next instant at which time alone may change the endpoints in force; ok is false if there is none. The caller
-// then calls Tick.
+// NextChange returns the next instant at which the active endpoints may change without a further response, when the caller must call
+// Tick. ok is false if there is none.
 func (s *Set) NextChange() (at time.Duration, ok bool) {
-	if s.nextAdmissionAt > 0 {
-		at, ok = s.nextAdmissionAt, true
+	if s.nextActivationAt > 0 {
+		at, ok = s.nextActivationAt, true
 	}
-	if holdEnd := s.lastGoodListAt + s.options.Hold; s.isHolding && len(s.inForce) > 0 && (!ok || holdEnd < at) {
+	if holdEnd := s.lastGoodListAt + s.options.HoldLastGood; s.holdsLastGood && len(s.active) > 0 && (!ok || holdEnd < at) {
 		at, ok = holdEnd, true
 	}
 	return at, ok
 }
 
-// Tick applies what is due at now, and reports whether the endpoints in force have changed.
+// Tick applies the changes that are due at now, and reports whether the active endpoints have changed.
 func (s *Set) Tick(now time.Duration) (changed bool) {
-	if s.isHolding && s.HandleFailure(now) {
+	if s.holdsLastGood && s.HandleFailure(now) {
 		return true
 	}
 	return s.refresh(now)
 }
 
-// Endpoints returns a copy of the endpoints in force, in order of their ids.
+// Endpoints returns a copy of the active endpoints, sorted by ID.
 func (s *Set) Endpoints() []Endpoint {
-	endpoints := make([]Endpoint, 0, len(s.inForce))
-	for _, e := range s.inForce {
+	endpoints := make([]Endpoint, 0, len(s.active))
+	for _, e := range s.active {
 		endpoints = append(endpoints, e)
 	}
 	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return endpoints
 }
 
-// refresh brings the endpoints in force to the members listed, without those withheld, and reports whether that changed them. The
-// members withheld are admitted all the same where no ready member would be left.
+// refresh makes the listed members active, except for damped ones, and reports whether the active endpoints have changed. Damped
+// members become active regardless if no other listed member is ready.
 func (s *Set) refresh(now time.Duration) (changed bool) {
-	for id := range s.inForce {
+	for id := range s.active {
 		if _, isListed := s.listed[id]; !isListed {
-			delete(s.inForce, id)
+			delete(s.active, id)
 			changed = true
 		}
 	}
-	s.nextAdmissionAt = 0
-	var withheld []Member
+	s.nextActivationAt = 0
+	var damped []Member
 	hasReady := false
 	for id, m := range s.listed {
-		if _, isInForce := s.inForce[id]; !isInForce {
-			if at := s.admissionAt(now, id); at > now {
-				withheld = append(withheld, m)
-				if s.nextAdmissionAt == 0 || at < s.nextAdmissionAt {
-					s.nextAdmissionAt = at
+		if _, isActive := s.active[id]; !isActive {
+			if at := s.activationTime(now, id); at > now {
+				damped = append(damped, m)
+				if s.nextActivationAt == 0 || at < s.nextActivationAt {
+					s.nextActivationAt = at
 				}
 				continue
 			}
 		}
 		hasReady = hasReady || !m.Draining
-		changed = s.admit(now, m) || changed
+		changed = s.activate(now, m) || changed
 	}
-	if !hasReady && len(withheld) > 0 {
-		for _, m := range withheld {
-			s.admit(now, m)
+	if !hasReady && len(damped) > 0 {
+		for _, m := range damped {
+			s.activate(now, m)
 		}
-		s.nextAdmissionAt, changed = 0, true
+		s.nextActivationAt, changed = 0, true
 	}
 	return changed
 }
 
-// admit puts a member in force as it is listed now, and reports whether that is a change. A member at a new address is another
-// machine, or a process that was started anew: its Since begins again.
-func (s *Set) admit(now time.Duration, m Member) (changed bool) {
-	before, wasInForce := s.inForce[m.ID]
-	if wasInForce && before.Member == m {
+// activate adds a member to the active endpoints, or updates it there, and reports whether that is a change. A member at a new address
+// is a different machine or process, so its ActiveSince starts anew.
+func (s *Set) activate(now time.Duration, m Member) (changed bool) {
+	before, wasActive := s.active[m.ID]
+	if wasActive && before.Member == m {
 		return false
 	}
-	e := Endpoint{Member: m, Since: before.Since}
-	if s.hasList && (!wasInForce || before.Addr != m.Addr) {
-		e.Since = now
+	e := Endpoint{Member: m, ActiveSince: before.ActiveSince}
+	if s.hasList && (!wasActive || before.Addr != m.Addr) {
+		e.ActiveSince = now
 	}
-	s.inForce[m.ID] = e
+	s.active[m.ID] = e
 	return true
 }
--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -17,95 +17,95 @@
 	return list
 }
 
-func idsInForce(set *Set) (ids []string) {
+func activeIDs(set *Set) (ids []string) {
 	for _, e := range set.Endpoints() {
 		ids = append(ids, e.ID)
 	}
 	return ids
 }
 
-func expectInForce(t *testing.T, set *Set, want ...string) {
+func expectActive(t *testing.T, set *Set, want ...string) {
 	t.Helper()
-	if got := idsInForce(set); !slices.Equal(got, want) {
-		t.Errorf("in force: %v, want %v", got, want)
+	if got := activeIDs(set); !slices.Equal(got, want) {
+		t.Errorf("active members %v, want %v", got, want)
 	}
 }
 
-var testOptions = Options{Hold: time.Minute, Damp: time.Second}
+var testOptions = Options{HoldLastGood: time.Minute, FlapDamping: time.Second}
 
 func TestEmptyListTakesEffectAfterHold(t *testing.T) {
 	set := New(testOptions)
 	if _, ok := set.NextChange(); set.HandleFailure(0) || ok {
-		t.Error("a set that was always empty holds something")
+		t.Error("a failure changes an empty set, or a change is due in it")
 	}
 	set.HandleList(time.Second, members("a", "b"))
 	if set.HandleList(2*time.Second, nil) || set.HandleFailure(60*time.Second) {
-		t.Error("changed before the hold was over")
+		t.Error("the endpoints changed before the hold time was over")
 	}
-	expectInForce(t, set, "a", "b")
+	expectActive(t, set, "a", "b")
 	if at, ok := set.NextChange(); !ok || at != 61*time.Second {
-		t.Errorf("next change at %v, %v", at, ok)
+		t.Errorf("next change at %v (due: %v), want at 1m1s", at, ok)
 	}
 	if !set.Tick(61 * time.Second) {
-		t.Error("not changed when the hold was over")
+		t.Error("the endpoints did not change when the hold time was over")
 	}
-	expectInForce(t, set)
+	expectActive(t, set)
 	if _, ok := set.NextChange(); ok {
 		t.Error("a change is due in an empty set")
 	}
 	set.HandleList(62*time.Second, members("a"))
-	expectInForce(t, set, "a")
+	expectActive(t, set, "a")
 }
 
-func TestListWithMembersEndsHold(t *testing.T) {
+func TestListWithMembersCancelsEarlierFailure(t *testing.T) {
 	set := New(testOptions)
 	set.HandleList(0, members("a"))
 	set.HandleFailure(50 * time.Second)
 	set.HandleList(55*time.Second, members("a"))
 	if _, ok := set.NextChange(); ok || set.Tick(10*time.Minute) {
-		t.Error("the failure before the list still has an effect")
+		t.Error("a failure before the last list still has an effect")
 	}
-	expectInForce(t, set, "a")
+	expectActive(t, set, "a")
 }
 
-// A member that is new since the first list may need to warm up, and so may one that has moved to another address.
-func TestNewAndMovedMembersHaveSince(t *testing.T) {
+// A member that was not in the first list may need slow start, and so may one whose address has changed.
+func TestActiveSinceIsSetForNewMembersAndNewAddresses(t *testing.T) {
 	set := New(testOptions)
 	set.HandleList(5, members("a"))
-	moved := Member{ID: "a", Addr: "elsewhere:1"}
-	set.HandleList(7, []Member{moved, member("b")})
-	if e := set.Endpoints(); e[0].Since != 7 || e[1].Since != 7 {
-		t.Errorf("%+v", e)
+	atNewAddress := Member{ID: "a", Addr: "elsewhere:1"}
+	set.HandleList(7, []Member{atNewAddress, member("b")})
+	if e := set.Endpoints(); e[0].ActiveSince != 7 || e[1].ActiveSince != 7 {
+		t.Errorf("endpoints %+v, want both active since instant 7", e)
 	}
-	inZone := moved
-	inZone.Zone = "z"
-	set.HandleList(9, []Member{inZone, member("b")})
-	if e := set.Endpoints(); e[0].Since != 7 || e[0].Zone != "z" {
-		t.Errorf("after a change of its zone alone: %+v", e[0])
+	inNewZone := atNewAddress
+	inNewZone.Zone = "z"
+	set.HandleList(9, []Member{inNewZone, member("b")})
+	if e := set.Endpoints(); e[0].ActiveSince != 7 || e[0].Zone != "z" {
+		t.Errorf("after a change of the zone alone: %+v, want it in the new zone and active since instant 7", e[0])
 	}
 }
 
 func TestSetOptionsAppliesToNextFailure(t *testing.T) {
-	set := New(Options{Hold: time.Hour})
+	set := New(Options{HoldLastGood: time.Hour})
 	set.HandleList(0, members("a"))
-	set.SetOptions(Options{Hold: time.Second})
+	set.SetOptions(Options{HoldLastGood: time.Second})
 	if !set.HandleFailure(time.Second) {
-		t.Error("the former hold is in effect")
+		t.Error("the former hold time still applies")
 	}
 }
 
-// Whatever a source returns: endpoints in force are in the last list that was believed, a member that a list lacks is out at once,
-// and while a member is listed as ready one that is ready is in force.
-func TestEndpointsInForceAreListed(t *testing.T) {
+// For any sequence of responses: active endpoints are in the last list with members, a member that is missing from a list is removed
+// at once, and a ready member is active as long as one is listed.
+func TestActiveEndpointsAreListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := New(Options{Hold: time.Duration(rapid.IntRange(0, 50).Draw(t, "hold")), Damp: time.Duration(rapid.IntRange(0, 9).Draw(t, "damp"))})
+		set := New(Options{HoldLastGood: time.Duration(rapid.IntRange(0, 50).Draw(t, "hold time")), FlapDamping: time.Duration(rapid.IntRange(0, 9).Draw(t, "flap damping"))})
 		now, lastListAt := time.Duration(1), time.Duration(0)
 		var lastList []Member
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "later"))
+			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "elapsed"))
 			before := set.Endpoints()
 			changed := false
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "call") {
 			case 0:
 				changed = set.HandleFailure(now)
 			case 1:
@@ -119,12 +119,12 @@
 			}
 			after := set.Endpoints()
 			if changed == slices.Equal(before, after) {
-				t.Fatalf("changed is %v: %v, then %v", changed, before, after)
+				t.Fatalf("changed is %v, though the endpoints were %v and are %v", changed, before, after)
 			}
-			if len(lastList) > 0 && now < lastListAt+set.options.Hold && len(after) == 0 {
-				t.Fatalf("empty %v after a list with members", now-lastListAt)
+			if len(lastList) > 0 && now < lastListAt+set.options.HoldLastGood && len(after) == 0 {
+				t.Fatalf("no endpoint is active %v after a list with members, within the hold time", now-lastListAt)
 			}
-			checkListed(t, after, lastList)
+			checkActive(t, after, lastList)
 		}
 	})
 }
@@ -133,11 +133,11 @@
 	return Member{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), Draining: rapid.Bool().Draw(t, "draining")}
 }
 
-// checkListed checks endpoints in force against the last list with members.
-func checkListed(t *rapid.T, inForce []Endpoint, list []Member) {
-	for _, e := range inForce {
+// checkActive checks the active endpoints against the last list with members.
+func checkActive(t *rapid.T, active []Endpoint, list []Member) {
+	for _, e := range active {
 		if !slices.Contains(list, e.Member) {
-			t.Fatalf("%v is in force, and is not listed in %v", e, list)
+			t.Fatalf("%v is active, and is not in the list %v", e, list)
 		}
 	}
 	firstByID := map[string]Member{}
@@ -146,11 +146,11 @@
 			firstByID[m.ID] = m
 		}
 	}
-	isReadyListed := false
+	listHasReady := false
 	for _, m := range firstByID {
-		isReadyListed = isReadyListed || !m.Draining
+		listHasReady = listHasReady || !m.Draining
 	}
-	if isReadyListed && len(inForce) > 0 && !slices.ContainsFunc(inForce, func(e Endpoint) bool { return !e.Draining }) {
-		t.Fatalf("no ready member of %v is in force: %v", list, inForce)
+	if listHasReady && len(active) > 0 && !slices.ContainsFunc(active, func(e Endpoint) bool { return !e.Draining }) {
+		t.Fatalf("no ready member of the list %v is active: %v", list, active)
 	}
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -112,7 +112,7 @@
 	if p.stopSource != nil {
 		p.stopSource()
 	}
-	p.members.SetOptions(endpointset.Options{Hold: spec.HoldLastGood, Damp: spec.FlapDamping})
+	p.members.SetOptions(endpointset.Options{HoldLastGood: spec.HoldLastGood, FlapDamping: spec.FlapDamping})
 	source := p.newSource(spec)
 	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source
 		source.Subscribe()
@@ -146,12 +146,12 @@
 		return discovery.NewFileSource(spec.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	case spec.DNS != nil:
 		return discovery.NewDNSSource(discovery.DNSOptions{
-			Name:    spec.DNS.Name,
-			Service: spec.DNS.Type == "srv",
-			Port:    spec.DNS.Port,
-			Server:  spec.DNS.Server,
-			MinTTL:  spec.DNS.MinTTL,
-			MaxTTL:  spec.DNS.MaxTTL,
+			Name:   spec.DNS.Name,
+			UseSRV: spec.DNS.Type == "srv",
+			Port:   spec.DNS.Port,
+			Server: spec.DNS.Server,
+			MinTTL: spec.DNS.MinTTL,
+			MaxTTL: spec.DNS.MaxTTL,
 		}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
 	}
 	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
