--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -111,7 +111,7 @@
 		fmt.Fprintf(&rows, "fleet\t\t%v\t%v\n", service.Cluster.Listen, service.Cluster)
 	}
 	for _, c := range f.Class {
-		fmt.Fprintf(&rows, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
+		fmt.Fprintf(&rows, "class\t%s\t%s\twanted within %v, given up after %v where a request does not say\n", c.Name, c.Idempotency, c.LatencyObjective, c.Deadline)
 	}
 	for _, n := range f.Tenant {
 		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,49 +8,47 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Class is a section [[class]]: a class of requests, whether one may be retried, and which headers carry what the
-// balancer needs to know of it.
+// Class is a section [[class]]: a class of requests, with the rules for retrying them and for their deadlines, and the headers
+// that carry a request's ID, tenant and deadline.
 type Class struct {
-	Name   string `toml:"name"`
-	Effect string `toml:"effect"` // "safe", "keyed" or "unsafe"
+	Name        string `toml:"name"`
+	Idempotency string `toml:"effect"` // whether requests are idempotent: "safe", "keyed" (if they have an idempotency key) or "unsafe"
 
-	IdempotencyWindow time.Duration `toml:"window"` // for which endpoints recognize a duplicate by its key; over 0 if keyed
-	Group             string        `toml:"group"`  // which endpoints recognize each other's keys: "all", "zone" or "cell"
+	DedupWindow time.Duration `toml:"window"` // how long endpoints recognize a duplicate by its idempotency key; 0 unless "keyed"
+	DedupScope  string        `toml:"group"`  // which endpoints recognize each other's idempotency keys: "all", "zone" or "cell"
 
-	// aim in the file: the latency objective.
-	LatencyObjective time.Duration `toml:"aim"`
-	// deadline and deadline_most in the file: of a request that names none, and the longest that one may name.
-	Deadline    time.Duration `toml:"deadline"`
-	MaxDeadline time.Duration `toml:"deadline_most"`
+	LatencyObjective time.Duration `toml:"aim"`           // time within which a response is wanted
+	Deadline         time.Duration `toml:"deadline"`      // deadline of a request that names none
+	MaxDeadline      time.Duration `toml:"deadline_most"` // longest deadline that a request may name
 
-	IDHeader       string `toml:"id_header"`
-	KeyHeader      string `toml:"key_header"` // of the idempotency key
-	TenantHeader   string `toml:"tenant_header"`
-	DeadlineHeader string `toml:"deadline_header"` // in milliseconds
-	RetryHeader    string `toml:"retry_header"`    // "1" in it: the client is retrying; empty: no client is trusted to say so
+	IDHeader       string `toml:"id_header"`       // header with the request's ID
+	KeyHeader      string `toml:"key_header"`      // header with the idempotency key
+	TenantHeader   string `toml:"tenant_header"`   // header with the tenant's name
+	DeadlineHeader string `toml:"deadline_header"` // header with the deadline in milliseconds
+	RetryHeader    string `toml:"retry_header"`    // header whose value "1" marks a client's retry; empty if clients' marks are not trusted
 
-	IDMissing       string   `toml:"id_missing"`       // what becomes of a request without an ID: "make" or "refuse"
-	DeadlineMissing string   `toml:"deadline_missing"` // and without a deadline: "fill" or "refuse"
-	Methods         []string `toml:"methods"`          // that are served; none: all
+	IDMissing       string   `toml:"id_missing"`       // handling of a request without an ID: "make" or "refuse"
+	DeadlineMissing string   `toml:"deadline_missing"` // handling of a request without a deadline: "fill" or "refuse"
+	Methods         []string `toml:"methods"`          // methods that are served; empty for all
 
-	// flow_most in the file: how long a body may stream, in each direction.
-	MaxStreamDuration time.Duration `toml:"flow_most"`
-	DeadlineScope     string        `toml:"deadline_rules"` // "waits" or "all": whether the deadline covers streaming, too
+	MaxStreamDuration time.Duration `toml:"flow_most"`      // how long a body may stream, in each direction
+	DeadlineScope     string        `toml:"deadline_rules"` // part of a request that its deadline covers: "waits" or "all"
 
-	ForbidsBody bool // requests must not have a body: the platform's contract, which no file can ask for
+	// ForbidsBody makes requests with a body be rejected. It follows from the platform's contract, and cannot be set in a file.
+	ForbidsBody bool
 }
 
-// Values of id_missing and deadline_missing.
+// Values of the fields id_missing and deadline_missing.
 const (
-	missingMake   = "make"   // an ID is made
-	missingFill   = "fill"   // the class's deadline applies
-	missingReject = "refuse" // the request is rejected
+	missingGenerate   = "make"   // an ID is generated
+	missingUseDefault = "fill"   // the class's Deadline is used
+	missingReject     = "refuse" // the request is rejected
 )
 
-// Values of deadline_rules.
+// Values of the field deadline_rules.
 const (
-	deadlineCoversWaits = "waits" // the wait for a response, and not the streaming of a body
-	deadlineCoversAll   = "all"   // the request from its beginning to its end
+	deadlineCoversWaits = "waits" // the deadline covers the wait for a response, but not the streaming of bodies
+	deadlineCoversAll   = "all"   // the deadline covers the complete request and response
 )
 
 // Bounds and defaults of a class.
@@ -68,93 +66,94 @@
 	maxStreamDuration = 24 * time.Hour
 )
 
-// EffectsByName has the balancer's effects of a request by their names in a file. It must not be changed.
-var EffectsByName = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent}
+// IdempotencyByName maps the values of the field effect to the balancer's values. It must not be modified.
+var IdempotencyByName = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent}
 
-// groups has the balancer's groups of endpoints by their names in a file.
-var groups = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
+// dedupScopes maps the values of the field group to the balancer's values.
+var dedupScopes = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
+// Values of the fields effect and group that the code refers to.
 const (
-	effectKeyed = "keyed"
-	groupAll    = "all"
+	idempotencyKeyed = "keyed"
+	dedupScopeAll    = "all"
 )
 
-// RequiresID reports whether a request without an ID is rejected. Otherwise an ID is made for it.
+// RequiresID reports whether a request without an ID is rejected. Otherwise an ID is generated.
 func (c *Class) RequiresID() bool { return c.IDMissing == missingReject }
 
-// RequiresDeadline reports whether a request without a deadline is rejected. Otherwise Deadline applies to it.
+// RequiresDeadline reports whether a request without a deadline is rejected. Otherwise it gets the class's Deadline.
 func (c *Class) RequiresDeadline() bool { return c.DeadlineMissing == missingReject }
 
-// DeadlineCoversStreaming reports whether the deadline covers bodies that stream, too.
+// DeadlineCoversStreaming reports whether the deadline also limits the streaming of bodies.
 func (c *Class) DeadlineCoversStreaming() bool { return c.DeadlineScope == deadlineCoversAll }
 
-func (c *Class) applyDefaults(at *tomlfile.File, table string) {
-	setDefault(at, table+".deadline", &c.Deadline, defaultDeadline)
-	setDefault(at, table+".deadline_most", &c.MaxDeadline, max(c.Deadline, defaultMaxDeadline))
-	setDefault(at, table+".aim", &c.LatencyObjective, c.Deadline/2)
-	setDefault(at, table+".flow_most", &c.MaxStreamDuration, defaultMaxStreamDuration)
-	setIfEmpty(&c.Group, groupAll)
+func (c *Class) applyDefaults(tomlFile *tomlfile.File, table string) {
+	setDefault(tomlFile, table+".deadline", &c.Deadline, defaultDeadline)
+	setDefault(tomlFile, table+".deadline_most", &c.MaxDeadline, max(c.Deadline, defaultMaxDeadline))
+	setDefault(tomlFile, table+".aim", &c.LatencyObjective, c.Deadline/2)
+	setDefault(tomlFile, table+".flow_most", &c.MaxStreamDuration, defaultMaxStreamDuration)
+	setIfEmpty(&c.DedupScope, dedupScopeAll)
 	setIfEmpty(&c.IDHeader, defaultIDHeader)
 	setIfEmpty(&c.KeyHeader, defaultKeyHeader)
 	setIfEmpty(&c.TenantHeader, defaultTenantHeader)
 	setIfEmpty(&c.DeadlineHeader, defaultDeadlineHeader)
-	setIfEmpty(&c.IDMissing, missingMake)
-	setIfEmpty(&c.DeadlineMissing, missingFill)
+	setIfEmpty(&c.IDMissing, missingGenerate)
+	setIfEmpty(&c.DeadlineMissing, missingUseDefault)
 	setIfEmpty(&c.DeadlineScope, deadlineCoversWaits)
 }
 
-func (f *File) checkClasses(at *tomlfile.File) error {
+func (f *File) checkClasses(tomlFile *tomlfile.File) error {
 	if len(f.Class) == 0 {
-		return at.Errorf("class", "must be given")
+		return tomlFile.Errorf("class", "must be given")
 	}
 	names := uniqueNames{}
 	for i := range f.Class {
-		if err := f.Class[i].check(at, fmt.Sprintf("class[%d]", i), names); err != nil {
+		if err := f.Class[i].check(tomlFile, fmt.Sprintf("class[%d]", i), names); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// check adds the class's name to those of the classes before it.
-func (c *Class) check(at *tomlfile.File, table string, names uniqueNames) error {
-	_, isEffect := EffectsByName[c.Effect]
-	_, isGroup := groups[c.Group]
-	return at.Check(table, []tomlfile.Requirement{
-		tomlfile.Require("name", names.add(c.Name), "a name of its own"),
-		tomlfile.Require("effect", isEffect, "safe, keyed or unsafe"),
-		tomlfile.Require("window", (c.IdempotencyWindow > 0) == (c.Effect == effectKeyed),
-			"over 0 for a keyed class, and only there"),
-		tomlfile.Require("group", isGroup, "all, zone or cell"),
+// check checks the class. names are those of the classes before it, and check adds its own.
+func (c *Class) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
+	_, isIdempotency := IdempotencyByName[c.Idempotency]
+	_, isDedupScope := dedupScopes[c.DedupScope]
+	return tomlFile.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", names.add(c.Name), "a unique name"),
+		tomlfile.Require("effect", isIdempotency, `"safe", "keyed" or "unsafe"`),
+		tomlfile.Require("window", (c.DedupWindow > 0) == (c.Idempotency == idempotencyKeyed),
+			`over 0 if effect is "keyed", and left out otherwise`),
+		tomlfile.Require("group", isDedupScope, `"all", "zone" or "cell"`),
 		tomlfile.Require("deadline", c.Deadline > 0, "over 0"),
 		tomlfile.Require("deadline_most", c.MaxDeadline >= c.Deadline && c.MaxDeadline <= maxDeadline,
-			"the deadline at least, and 1h at most"),
+			"from deadline to 1h"),
 		tomlfile.Require("flow_most", c.MaxStreamDuration > 0 && c.MaxStreamDuration <= maxStreamDuration, "over 0, and 24h at most"),
 		tomlfile.Require("deadline_rules", c.DeadlineScope == deadlineCoversWaits || c.DeadlineScope == deadlineCoversAll,
 			`"waits" or "all"`),
 		tomlfile.Require("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.MaxDeadline, "over 0, and deadline_most at most"),
-		tomlfile.Require("id_header", isHeaderName(c.IDHeader), "the name of a header"),
-		tomlfile.Require("key_header", isHeaderName(c.KeyHeader), "the name of a header"),
-		tomlfile.Require("tenant_header", isHeaderName(c.TenantHeader), "the name of a header"),
-		tomlfile.Require("deadline_header", isHeaderName(c.DeadlineHeader), "the name of a header"),
-		tomlfile.Require("retry_header", c.RetryHeader == "" || isHeaderName(c.RetryHeader), "the name of a header"),
-		tomlfile.Require("id_missing", c.IDMissing == missingMake || c.IDMissing == missingReject, `"make" or "refuse"`),
-		tomlfile.Require("deadline_missing", c.DeadlineMissing == missingFill || c.DeadlineMissing == missingReject,
+		tomlfile.Require("id_header", isHeaderName(c.IDHeader), "a header name"),
+		tomlfile.Require("key_header", isHeaderName(c.KeyHeader), "a header name"),
+		tomlfile.Require("tenant_header", isHeaderName(c.TenantHeader), "a header name"),
+		tomlfile.Require("deadline_header", isHeaderName(c.DeadlineHeader), "a header name"),
+		tomlfile.Require("retry_header", c.RetryHeader == "" || isHeaderName(c.RetryHeader), "a header name"),
+		tomlfile.Require("id_missing", c.IDMissing == missingGenerate || c.IDMissing == missingReject, `"make" or "refuse"`),
+		tomlfile.Require("deadline_missing", c.DeadlineMissing == missingUseDefault || c.DeadlineMissing == missingReject,
 			`"fill" or "refuse"`),
 	})
 }
 
-// Tenant is a section [[tenant]]: one of the parties that share the pools.
+// Tenant is a section [[tenant]]: a user of the pools with a quota of their capacity.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Quota float64 `toml:"quota"` // requests a second, over all daemons
+	Quota float64 `toml:"quota"` // requests per second, summed over all daemons
 }
 
-func (f *File) checkTenants(at *tomlfile.File) error {
+func (f *File) checkTenants(tomlFile *tomlfile.File) error {
 	names := uniqueNames{}
 	for i, t := range f.Tenant {
-		if err := at.Check(fmt.Sprintf("tenant[%d]", i), []tomlfile.Requirement{
-			tomlfile.Require("name", names.add(t.Name), "a name of its own"),
+		if err := tomlFile.Check(fmt.Sprintf("tenant[%d]", i), []tomlfile.Requirement{
+			tomlfile.Require("name", names.add(t.Name), "a unique name"),
 			tomlfile.Require("quota", t.Quota > 0, "over 0"),
 		}); err != nil {
 			return err
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -13,25 +13,25 @@
 
 // ClusterSpec is the section [fleet] in the form that the cluster's packages take.
 type ClusterSpec struct {
-	Name                string         // of this daemon
-	ClusterName         string         // name of the cluster
-	Listen              netip.AddrPort // for UDP and TCP
-	Advertise           netip.AddrPort // the zero value: Listen
-	Join                []netip.AddrPort
-	KeyFile             string // empty: messages are not authenticated
-	Voters              []string
-	Timing              swim.Options   // with intervals and timeouts set
-	Consensus           *ConsensusSpec // nil: no consensus
-	DividesByMembership bool           // how many daemons share the pools, and this one's index, follow from the membership
+	Name                string           // name of this daemon in the cluster
+	ClusterName         string           // name of the cluster
+	Listen              netip.AddrPort   // address to listen on, for UDP and TCP
+	Advertise           netip.AddrPort   // address that other daemons send to; the zero value stands for Listen
+	Join                []netip.AddrPort // addresses of other daemons to contact first
+	KeyFile             string           // path of the shared key; empty if messages are not authenticated
+	Voters              []string         // names of the daemons that vote
+	Timing              swim.Options     // intervals and timeouts of the failure detection; other options are not set
+	Consensus           *ConsensusSpec   // nil if this daemon takes no part in consensus
+	DividesByMembership bool             // the membership determines how many daemons share the pools, and this one's index
 }
 
 // ConsensusSpec says how a daemon takes part in consensus.
 type ConsensusSpec struct {
-	DataDir     string // empty: the daemon does not vote, and persists nothing over a restart
+	DataDir     string // directory for persistent state; empty if the daemon does not vote and keeps nothing over a restart
 	LeaseConfig consensus.LeaseConfig
 }
 
-// clusterSpec converts the section [fleet], which has been checked; nil where there is none.
+// clusterSpec converts the section [fleet], which must have been checked. It returns nil if the file has no such section.
 func (f *File) clusterSpec() *ClusterSpec {
 	c := f.Cluster
 	if c == nil {
@@ -55,26 +55,27 @@
 	return spec
 }
 
+// leaseConfig returns the durations of leases.
 func (c *Cluster) leaseConfig() consensus.LeaseConfig {
-	// A clock that is slow by MaxClockDrift measures this while MaxConflict passes.
-	short := time.Duration(float64(c.MaxConflict) * (1 - c.MaxClockDrift))
-	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: short}
+	// A clock that is slow by MaxClockDrift measures this duration while MaxConflict passes.
+	shortDuration := time.Duration(float64(c.MaxConflict) * (1 - c.MaxClockDrift))
+	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: shortDuration}
 }
 
-// String describes the cluster in one line, as the verb check prints it.
-func (f *ClusterSpec) String() string {
-	parts := []string{fmt.Sprintf("%s in %s", f.Name, f.ClusterName), fmt.Sprintf("%d addresses to join by", len(f.Join))}
-	if len(f.Voters) > 0 {
-		parts = append(parts, "voters "+strings.Join(f.Voters, " "))
+// String describes the cluster in one line, as the command check prints it.
+func (s *ClusterSpec) String() string {
+	parts := []string{fmt.Sprintf("%s in %s", s.Name, s.ClusterName), fmt.Sprintf("%d addresses to join by", len(s.Join))}
+	if len(s.Voters) > 0 {
+		parts = append(parts, "voters "+strings.Join(s.Voters, " "))
 	}
-	if f.DividesByMembership {
-		parts = append(parts, "daemons and index by who is there")
+	if s.DividesByMembership {
+		parts = append(parts, "daemons and index by membership")
 	}
-	if f.Consensus != nil {
-		parts = append(parts, fmt.Sprintf("settings agreed on, contradicting for %v at most", f.Consensus.LeaseConfig.MaxOverlap()))
+	if s.Consensus != nil {
+		parts = append(parts, fmt.Sprintf("settings by consensus, contradicting for %v at most", s.Consensus.LeaseConfig.MaxOverlap()))
 	}
-	if f.KeyFile == "" {
-		parts = append(parts, "no key")
+	if s.KeyFile == "" {
+		parts = append(parts, "not authenticated")
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Bounds and defaults of the daemon's section.
+// Bounds and defaults of the section [daemon].
 const (
 	defaultName         = "tuliprock"
 	defaultBodyMemoryMB = 16
@@ -18,31 +18,31 @@
 	maxDrainTimeout = time.Hour
 )
 
-// Daemon is the section [daemon]: what concerns the process as a whole.
+// Daemon is the section [daemon]: settings of the process as a whole.
 type Daemon struct {
 	Name     string  `toml:"name"`
-	Count    int     `toml:"daemons"` // daemons that share the pools, this one included
-	Index    int     `toml:"index"`   // of this daemon among them, from 0
-	Seed     uint64  `toml:"seed"`    // of the balancer's random choices; 0: drawn at the start
-	Cores    float64 `toml:"cores"`   // 0: as many as the system provides
-	MemoryMB int     `toml:"memory_mb"`
+	Count    int     `toml:"daemons"`   // number of daemons that share the pools, including this one
+	Index    int     `toml:"index"`     // index of this daemon among those that share the pools, from 0
+	Seed     uint64  `toml:"seed"`      // seed of the balancer's random choices; 0 to draw one at the start
+	Cores    float64 `toml:"cores"`     // CPU cores to use; 0 for as many as the system provides
+	MemoryMB int     `toml:"memory_mb"` // memory limit in MiB; 0 for no limit
 
-	AdminAddr string `toml:"admin_addr"` // address for operators' commands; empty: none is opened
+	AdminAddr string `toml:"admin_addr"` // host:port to listen on for operators' commands; empty for none
 
-	BodyMemoryMB int           `toml:"body_memory_mb"` // memory budget for request bodies and for all streaming bodies
-	DrainTimeout time.Duration `toml:"drain_timeout"`  // from SIGTERM until bodies that still stream are cut off
+	BodyMemoryMB int           `toml:"body_memory_mb"` // memory budget in MiB for request bodies and for all streaming bodies
+	DrainTimeout time.Duration `toml:"drain_timeout"`  // time from SIGTERM until bodies that are still streaming are aborted
 }
 
-func (d *Daemon) applyDefaults(at *tomlfile.File) {
+func (d *Daemon) applyDefaults(tomlFile *tomlfile.File) {
 	setIfEmpty(&d.Name, defaultName)
-	setDefault(at, "daemon.body_memory_mb", &d.BodyMemoryMB, defaultBodyMemoryMB)
-	setDefault(at, "daemon.drain_timeout", &d.DrainTimeout, defaultDrainTimeout)
-	setDefault(at, "daemon.daemons", &d.Count, 1)
+	setDefault(tomlFile, "daemon.body_memory_mb", &d.BodyMemoryMB, defaultBodyMemoryMB)
+	setDefault(tomlFile, "daemon.drain_timeout", &d.DrainTimeout, defaultDrainTimeout)
+	setDefault(tomlFile, "daemon.daemons", &d.Count, 1)
 }
 
-func (f *File) checkDaemon(at *tomlfile.File) error {
+func (f *File) checkDaemon(tomlFile *tomlfile.File) error {
 	d := f.Daemon
-	return at.Check("daemon", []tomlfile.Requirement{
+	return tomlFile.Check("daemon", []tomlfile.Requirement{
 		tomlfile.Require("name", isHeaderName(d.Name), "letters, digits and dashes"),
 		tomlfile.Require("daemons", d.Count >= 1 && d.Count <= maxDaemons, "from 1 to 100000"),
 		tomlfile.Require("index", d.Index >= 0 && d.Index < d.Count, "from 0, and under daemons"),
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,13 +1,12 @@
-// Package config reads and checks the two sources of a daemon's configuration: the JSON file that the platform names in
-// ROUTER_CONFIG (Config) and the operators' TOML file (File). Both become one Service, which the rest of the daemon is
-// built from.
+// Package config reads and checks a daemon's configuration, which comes from one of two sources: the JSON file that the platform
+// names in ROUTER_CONFIG (Config), or the operators' TOML file (File). Both are converted to a Service, from which the rest of
+// the daemon is built.
 //
-// The package has no goroutines and keeps no state. Config, File and Service are complete and checked when they are
-// returned; nothing in the package changes them afterwards, so that they may be shared for reading. A reload produces
-// new ones.
+// The package starts no goroutines and has no global state. A Config, File or Service that it returns is complete and checked,
+// and does not change afterwards, so it may be read concurrently. A reload produces new ones.
 //
-// Every error fits on one line. It names the field at fault, and for an operators' file also the file and the line.
+// Every error is a single line. It names the invalid field, and for an operators' file also the file and the line.
 //
-// Files are named for the section that they read: daemon.go, listener.go, class.go (classes and tenants), pool.go,
-// route.go and cluster.go. documents.go holds what daemons agree on through consensus.
+// Source files are named after the section of the operators' file that they read: daemon.go, listener.go, class.go (classes and
+// tenants), pool.go, route.go and cluster.go. documents.go reads the documents that daemons agree on through consensus.
 package config
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -14,48 +14,49 @@
 
 // Names of the documents that daemons agree on through consensus.
 const (
-	// SharedDocument is the name of the part of an operators' file that is the same on all daemons, as TOML.
+	// SharedDocument is the name of the document with the part of an operators' file that all daemons share, as TOML.
 	SharedDocument = "shared"
-	// MembersPrefix precedes a pool's name: the list of a pool with members = "agreed", in the form of a members file.
+	// MembersPrefix, followed by a pool's name, names the member list of a pool with members = "agreed". The document has the
+	// format of a members file.
 	MembersPrefix = "members/"
-	// EjectionPrefix precedes an endpoint's ID: the endpoint is manually ejected. The body is empty.
+	// EjectionPrefix, followed by an endpoint's ID, names an empty document whose existence manually ejects the endpoint.
 	EjectionPrefix = "out/"
-	// FlagPrefix precedes a name: a value of one line, without a meaning to the daemon.
+	// FlagPrefix, followed by any name, names a document with a single line of text. The daemon does not interpret it.
 	FlagPrefix = "flag/"
 )
 
-// maxDocumentNameBytes bounds a document's name.
+// maxDocumentNameBytes is the maximum length of a document's name.
 const maxDocumentNameBytes = 300
 
-// ownSections are the sections of an operators' file that are each daemon's own; the rest is shared.
-var ownSections = []string{"daemon", "fleet", "listener"}
+// localSections are the sections of an operators' file that may differ between daemons. All other sections are shared.
+var localSections = []string{"daemon", "fleet", "listener"}
 
-// Shared is the section [shared]: what concerns all daemons of a cluster alike.
+// Shared is the section [shared]: settings for all daemons of a cluster.
 type Shared struct {
 	OnIndeterminate string `toml:"unsure"` // what a daemon does after its lease has expired: "keep" or "refuse"
 }
 
-// Values of unsure.
+// Values of the field unsure.
 const (
-	keepServing    = "keep"   // go on with the version that it has
-	rejectRequests = "refuse" // reject all requests: others may act on another version
+	keepServing    = "keep"   // continue with the present version
+	rejectRequests = "refuse" // reject all requests, since other daemons may act on another version
 )
 
-// ExtractShared removes the daemon's own sections from an operators' file and returns what is shared, with the names of
-// the sections that were removed. A text without such sections is accepted, too. The shared part has been checked as a
-// whole; an error has the line in the text as it was given.
+// ExtractShared removes the local sections from an operators' file, and returns the shared part and the names of the removed
+// sections. A text without local sections is accepted, too. The shared part is checked completely. Line numbers in errors are
+// those of the given text.
 func ExtractShared(name string, text []byte) (shared []byte, removed []string, err error) {
-	if err := checkOwnSections(name, text); err != nil {
+	if err := checkWithLocalSections(name, text); err != nil {
 		return nil, nil, err
 	}
-	shared, removed = tomlfile.RemoveTopLevel(text, ownSections...)
+	shared, removed = tomlfile.RemoveTopLevel(text, localSections...)
 	_, err = parseShared(name, shared)
 	return shared, removed, err
 }
 
-// checkOwnSections checks a text complete with the daemon's own sections where it has any. Without them the line numbers
-// of errors would be those of the shortened text.
-func checkOwnSections(name string, text []byte) error {
+// checkWithLocalSections checks a text before its local sections are removed, so that errors have the line numbers of the
+// original text. It skips a text without listeners and cluster, which is not a complete file.
+func checkWithLocalSections(name string, text []byte) error {
 	f := &File{}
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
 		return err
@@ -63,58 +64,58 @@
 	if len(f.Listener) == 0 && f.Cluster == nil {
 		return nil
 	}
-	// The text is for daemons with consensus, even if the daemon whose sections these are has none.
-	withConsensus := func(*File, *tomlfile.File) error { return nil }
-	_, err := parse(name, text, withConsensus)
+	// The shared part is for daemons with consensus, even if these local sections configure none.
+	assumeConsensus := func(*File, *tomlfile.File) error { return nil }
+	_, err := parse(name, text, assumeConsensus)
 	return err
 }
 
-// parseShared reads and checks the shared part alone. The File that it returns has no daemon, cluster or listeners.
+// parseShared parses and checks the shared part of a file. The File that it returns has no local sections.
 func parseShared(name string, text []byte) (*File, error) {
 	f := &File{}
-	at, err := tomlfile.Decode(name, text, f)
+	tomlFile, err := tomlfile.Decode(name, text, f)
 	if err != nil {
 		return nil, err
 	}
-	if _, own := tomlfile.RemoveTopLevel(text, ownSections...); len(own) > 0 {
-		return nil, at.Errorf(own[0], "must be left out: it is each daemon's own")
+	if _, local := tomlfile.RemoveTopLevel(text, localSections...); len(local) > 0 {
+		return nil, tomlFile.Errorf(local[0], "must be left out: it is each daemon's own")
 	}
-	if err := f.checkFormat(at); err != nil {
+	if err := f.checkFormat(tomlFile); err != nil {
 		return nil, err
 	}
-	f.applyDefaults(at)
-	if err := runChecks(at, f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
+	f.applyDefaults(tomlFile)
+	if err := runChecks(tomlFile, f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *File) checkShared(at *tomlfile.File) error {
+func (f *File) checkShared(tomlFile *tomlfile.File) error {
 	behavior := f.Shared.OnIndeterminate
-	return at.Check("shared", []tomlfile.Requirement{
+	return tomlFile.Check("shared", []tomlfile.Requirement{
 		tomlfile.Require("unsure", behavior == keepServing || behavior == rejectRequests, `"keep" or "refuse"`),
 	})
 }
 
-// checkNeedsConsensus rejects what only a cluster with consensus can do, where the file configures none.
-func (f *File) checkNeedsConsensus(at *tomlfile.File) error {
+// checkNeedsConsensus rejects settings that need a cluster with consensus if the file configures none.
+func (f *File) checkNeedsConsensus(tomlFile *tomlfile.File) error {
 	if f.Cluster != nil && f.Cluster.ConsensusEnabled {
 		return nil
 	}
 	if f.Shared.OnIndeterminate == rejectRequests {
-		return at.Errorf("shared.unsure", `must be "keep" where nothing is agreed on`)
+		return tomlFile.Errorf("shared.unsure", `must be "keep" unless fleet.agreed is true`)
 	}
 	for i, p := range f.Pool {
 		if p.Members != "" {
-			return at.Errorf(fmt.Sprintf("pool[%d].members", i), "must be left out where nothing is agreed on")
+			return tomlFile.Errorf(fmt.Sprintf("pool[%d].members", i), "must be left out unless fleet.agreed is true")
 		}
 	}
 	return nil
 }
 
-// WithDocuments returns a copy of the file with agreed documents, by name, in place of its own shared part and lists of
-// members. Without a shared document the file's own shared part applies. An error says in one line why this daemon
-// can't act on the documents.
+// WithDocuments returns a copy of the file in which agreed documents, given by name, replace the file's shared part and provide
+// the lists of pools with members = "agreed". Without a shared document the file keeps its shared part. An error says in one line
+// why this daemon can't act on the documents.
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	out := *f
 	if text, ok := docs[SharedDocument]; ok {
@@ -141,14 +142,14 @@
 	return &out, nil
 }
 
-// CheckDocuments returns nil if this daemon can act on documents, and otherwise why not. It checks what WithDocuments
-// does and, where there is a shared document, that the files of members which its pools read exist on this machine.
+// CheckDocuments returns an error if this daemon can't act on the documents. It checks everything that WithDocuments does and, if
+// there is a shared document, that the members files of its pools exist on this machine.
 func (f *File) CheckDocuments(docs map[string][]byte) error {
-	with, err := f.WithDocuments(docs)
+	updated, err := f.WithDocuments(docs)
 	if err != nil || docs[SharedDocument] == nil {
 		return err
 	}
-	for i, p := range with.Pool {
+	for i, p := range updated.Pool {
 		if p.File == "" {
 			continue
 		}
@@ -159,26 +160,26 @@
 	return nil
 }
 
-// parseAgreedMembers reads a list of members. An empty one is rejected: it would take the pool out of service at once.
+// parseAgreedMembers parses an agreed list of members. It rejects an empty list, which would take the pool out of service at once.
 func parseAgreedMembers(body []byte) ([]Member, error) {
 	endpoints, err := discovery.ParseMemberFile(body)
 	if err != nil {
 		return nil, err
 	}
 	if len(endpoints) == 0 {
-		return nil, errors.New("members: one at least is wanted; take endpoints out by hand")
+		return nil, errors.New("members: one at least is wanted; eject endpoints manually instead")
 	}
-	return membersFromEndpoints(endpoints), nil
+	return fileMembers(endpoints), nil
 }
 
-// IsDocumentName reports whether a document may have this name: 300 bytes at most, valid UTF-8, without spaces and
-// ASCII control characters.
+// IsDocumentName reports whether a document may have this name: at most maxDocumentNameBytes of valid UTF-8, not empty, without
+// spaces and ASCII control characters.
 func IsDocumentName(name string) bool {
 	isForbidden := func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' }
 	return name != "" && len(name) <= maxDocumentNameBytes && !strings.ContainsFunc(name, isForbidden)
 }
 
-// checkDocument requires a document to be of a kind that this version of the program knows.
+// checkDocument returns an error if a document's name and body are not of a kind that this version of the program knows.
 func checkDocument(name string, body []byte) error {
 	if isKnownDocument(name, body) {
 		return nil
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-const ownPart = `[daemon]
+// localPart and sharedPart together are a complete operators' file, but for the format.
+const localPart = `[daemon]
 name = "d"
 admin_addr = "127.0.0.1:1"
 [[listener]]
@@ -32,60 +33,62 @@
 class = "look"
 `
 
+// agreedList is the document with the members of the pool p.
 const agreedList = `{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`
 
+// parseFile parses an operators' file, given without its format.
 func parseFile(t *testing.T, text string) *File {
 	t.Helper()
-	f, err := ParseFile("own.toml", []byte("format = 1\n"+text))
+	f, err := ParseFile("daemon.toml", []byte("format = 1\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func TestExtractSharedRemovesOwnSections(t *testing.T) {
-	shared, removed, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
+func TestExtractSharedRemovesLocalSections(t *testing.T) {
+	shared, removed, err := ExtractShared("f.toml", []byte("format = 1\n"+localPart+sharedPart))
 	if err != nil || string(shared) != "format = 1\n"+sharedPart || strings.Join(removed, " ") != "daemon listener fleet" {
-		t.Fatalf("%s %v %v", shared, removed, err)
+		t.Fatalf("shared part %s, removed sections %v, error %v", shared, removed, err)
 	}
 }
 
-// Documents that were extracted from one daemon's file, and applied to another's with other sections of its own.
+// A shared document that was extracted from one daemon's file applies to another daemon, which keeps its local sections.
 func TestAgreedDocumentsReplaceSharedPartAndMembers(t *testing.T) {
-	shared, _, err := ExtractShared("f.toml", []byte("format = 1\n"+ownPart+sharedPart))
+	shared, _, err := ExtractShared("f.toml", []byte("format = 1\n"+localPart+sharedPart))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fixedMembers := replaceOnce(t, sharedPart, `members = "agreed"`, `member = [{ address = "127.0.0.1:9" }]`)
-	own := parseFile(t, replaceOnce(t, ownPart, ":2", ":22")+fixedMembers)
-	if s := own.Service(); !s.RejectsWhenIndeterminate || len(s.Pools[0].Source.Members) != 1 {
-		t.Errorf("the file by itself: %+v", s)
+	file := parseFile(t, replaceOnce(t, localPart, ":2", ":22")+fixedMembers)
+	if s := file.Service(); !s.RejectsWhenIndeterminate || len(s.Pools[0].Source.Members) != 1 {
+		t.Errorf("without documents: %+v, want rejection when indeterminate and one fixed member", s)
 	}
-	with, err := own.WithDocuments(map[string][]byte{SharedDocument: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
+	updated, err := file.WithDocuments(map[string][]byte{SharedDocument: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := with.Service()
+	s := updated.Service()
 	if s.Listeners[0].Address != "127.0.0.1:22" || s.AdminAddress != "127.0.0.1:1" || s.Cluster == nil {
-		t.Errorf("the daemon's own sections: %+v", s)
+		t.Errorf("the local sections were not kept: %+v", s)
 	}
 	if source := s.Pools[0].Source; len(source.Members) != 1 || source.Members[0].State != "draining" || source.HoldLastGood != 0 {
-		t.Errorf("the agreed list: %+v", source)
+		t.Errorf("source %+v, want the one draining member of the agreed list, and no hold time", source)
 	}
-	if without, err := own.WithDocuments(map[string][]byte{SharedDocument: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
-		t.Errorf("without an agreed list: %v", err)
+	if without, err := file.WithDocuments(map[string][]byte{SharedDocument: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
+		t.Errorf("the pool has members without an agreed list, or error %v", err)
 	}
-	if unchanged, err := own.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
-		t.Errorf("without documents: %v", err)
+	if unchanged, err := file.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
+		t.Errorf("no documents changed the pool's one fixed member, or error %v", err)
 	}
 }
 
 func TestCheckDocumentsNamesLineOfSharedDocument(t *testing.T) {
-	own := parseFile(t, ownPart+sharedPart)
+	file := parseFile(t, localPart+sharedPart)
 	missingFile := filepath.Join(t.TempDir(), "members.json")
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown field":           {"format = 1\n" + sharedPart + "more = 1\n", "shared:13: route[0].more: unknown field"},
-		"section of its own":      {"format = 1\n" + ownPart + sharedPart, "shared:2: daemon: must be left out"},
+		"local section":           {"format = 1\n" + localPart + sharedPart, "shared:2: daemon: must be left out"},
 		"other format":            {"format = 2\n" + sharedPart, "shared:1: format"},
 		"unknown unsure":          {"format = 1\n" + replaceOnce(t, sharedPart, `"refuse"`, `"guess"`), "shared:3: shared.unsure"},
 		"unknown pool":            {"format = 1\n" + replaceOnce(t, sharedPart, `pool = "p"`, `pool = "q"`), "shared:11: route[0].pool"},
@@ -94,32 +97,33 @@
 		"malformed TOML":          {"format = 1\n[", "shared:2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := own.CheckDocuments(map[string][]byte{SharedDocument: []byte(c.text)})
+			err := file.CheckDocuments(map[string][]byte{SharedDocument: []byte(c.text)})
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want %s", err, c.want)
+				t.Errorf("got error %v, want one line with %s", err, c.want)
 			}
 		})
 	}
 }
 
+// withMembersFile returns the shared part with a pool that reads its members from a file.
 func withMembersFile(t *testing.T, path string) string {
 	t.Helper()
 	return replaceOnce(t, sharedPart, `members = "agreed"`, `file = "`+path+`"`)
 }
 
 func TestCheckDocumentsAcceptsMembersFileThatExists(t *testing.T) {
-	own := parseFile(t, ownPart+sharedPart)
+	file := parseFile(t, localPart+sharedPart)
 	path := filepath.Join(t.TempDir(), "members.json")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := own.CheckDocuments(map[string][]byte{SharedDocument: []byte("format = 1\n" + withMembersFile(t, path))}); err != nil {
-		t.Error(err)
+	if err := file.CheckDocuments(map[string][]byte{SharedDocument: []byte("format = 1\n" + withMembersFile(t, path))}); err != nil {
+		t.Errorf("a shared document whose members file exists: got error %v", err)
 	}
 }
 
 func TestCheckDocumentsRejectsUnknownAndMalformed(t *testing.T) {
-	own := parseFile(t, ownPart+sharedPart)
+	file := parseFile(t, localPart+sharedPart)
 	for name, body := range map[string]string{
 		"":          "",
 		"other":     "",
@@ -132,23 +136,23 @@
 		"flag/x":    "a\nb",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := own.CheckDocuments(map[string][]byte{name: []byte(body)}); err == nil {
-				t.Errorf("accepted with %q", body)
+			if err := file.CheckDocuments(map[string][]byte{name: []byte(body)}); err == nil {
+				t.Errorf("the document %q with body %q is accepted", name, body)
 			}
 		})
 	}
 }
 
 func TestAgreedMembersAndRejectionNeedConsensus(t *testing.T) {
-	withoutConsensus := replaceOnce(t, ownPart, "agreed = true\n", "")
+	withoutConsensus := replaceOnce(t, localPart, "agreed = true\n", "")
 	for name, shared := range map[string]string{
 		"unsure and members": sharedPart,
 		"unsure alone":       replaceOnce(t, sharedPart, `members = "agreed"`, `member = [{ address = "a:1" }]`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseFile("f", []byte("format = 1\n"+withoutConsensus+shared))
-			if err == nil || !strings.Contains(err.Error(), "where nothing is agreed on") {
-				t.Error(err)
+			if err == nil || !strings.Contains(err.Error(), "unless fleet.agreed is true") {
+				t.Errorf("got error %v, want one that names fleet.agreed", err)
 			}
 		})
 	}
@@ -160,7 +164,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if IsDocumentName(document) {
-				t.Errorf("%q is accepted", document)
+				t.Errorf("the document name %q is accepted", document)
 			}
 		})
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,15 +11,15 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// fileFormat is the only value of format that an operators' file may have.
+// fileFormat is the only format version of operators' files that is supported.
 const fileFormat = 1
 
-// File is the operators' file: what a daemon serves that is not under the platform's control. Read, ParseFile and
+// File is an operators' file, which configures a daemon that the platform does not control. Read, ParseFile and
 // WithDocuments return it with defaults applied and every section checked.
 type File struct {
-	Format   int        `toml:"format"` // 1
+	Format   int        `toml:"format"` // format version; must be fileFormat
 	Daemon   Daemon     `toml:"daemon"`
-	Cluster  *Cluster   `toml:"fleet"` // nil: this daemon is not part of a cluster
+	Cluster  *Cluster   `toml:"fleet"` // settings of the cluster; nil if this daemon is not part of one
 	Listener []Listener `toml:"listener"`
 	Class    []Class    `toml:"class"`
 	Tenant   []Tenant   `toml:"tenant"`
@@ -27,13 +27,13 @@
 	Route    []Route    `toml:"route"`
 	Shared   Shared     `toml:"shared"`
 
-	table               *route.Table
-	dividesByMembership bool                // daemon.daemons and daemon.index are left to the cluster's membership
-	agreedMembers       map[string][]Member // members of pools with members = "agreed", by pool
+	table               *route.Table        // compiled routes
+	dividesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
+	agreedMembers       map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
 }
 
-// Read reads and checks an operators' file. An error in its contents names file, line and field in one line; the error
-// of a file that can't be read is that of os.ReadFile.
+// Read reads and checks an operators' file. If the file can't be read, the error is that of os.ReadFile; an error in its
+// contents names the file, the line and the field.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,83 +42,81 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile does what Read does with a text that has been read already. name stands for the file in errors.
+// ParseFile parses and checks the text of an operators' file. name is the file's name in errors.
 func ParseFile(name string, text []byte) (*File, error) {
 	return parse(name, text, (*File).checkNeedsConsensus)
 }
 
-// sectionCheck checks one section of a decoded file and returns its first error. The argument locates fields in it.
+// sectionCheck checks one section of a decoded file and returns the first error. The argument locates fields in the file's text.
 type sectionCheck func(*tomlfile.File) error
 
-// parse reads and checks a complete file. consensusCheck decides whether the file may ask for something that only a
-// cluster with consensus can do.
+// parse parses and checks a complete file. consensusCheck checks settings that are valid only in a cluster with consensus.
 func parse(name string, text []byte, consensusCheck func(*File, *tomlfile.File) error) (*File, error) {
 	f := &File{}
-	at, err := tomlfile.Decode(name, text, f)
+	tomlFile, err := tomlfile.Decode(name, text, f)
 	if err != nil {
 		return nil, err
 	}
-	f.applyDefaults(at)
-	f.applyClusterDefaults(at)
-	checkConsensus := func(at *tomlfile.File) error { return consensusCheck(f, at) }
-	if err := runChecks(at, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkShared, checkConsensus,
+	f.applyDefaults(tomlFile)
+	f.applyClusterDefaults(tomlFile)
+	checkConsensus := func(tomlFile *tomlfile.File) error { return consensusCheck(f, tomlFile) }
+	if err := runChecks(tomlFile, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkShared, checkConsensus,
 		f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// runChecks returns the error of the first check that fails. The order of checks decides which of several errors an
-// operator sees.
-func runChecks(at *tomlfile.File, checks ...sectionCheck) error {
+// runChecks runs the checks in order and returns the first error.
+func runChecks(tomlFile *tomlfile.File, checks ...sectionCheck) error {
 	for _, check := range checks {
-		if err := check(at); err != nil {
+		if err := check(tomlFile); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Table returns the file's routes, compiled. Its rules have the indexes of Route.
+// Table returns the file's compiled routes. A rule of the table has the index of its section in Route.
 func (f *File) Table() *route.Table { return f.table }
 
-// applyDefaults fills what the file leaves out, except for the section of the cluster. A zero that the file states is
-// kept, and checked later.
-func (f *File) applyDefaults(at *tomlfile.File) {
-	f.Daemon.applyDefaults(at)
+// applyDefaults sets the default values of fields that the file leaves out, except in the section [fleet]. A zero that is
+// written in the file is kept, and checked later.
+func (f *File) applyDefaults(tomlFile *tomlfile.File) {
+	f.Daemon.applyDefaults(tomlFile)
 	setIfEmpty(&f.Shared.OnIndeterminate, keepServing)
 	for i := range f.Listener {
-		f.Listener[i].applyDefaults(at, fmt.Sprintf("listener[%d]", i))
+		f.Listener[i].applyDefaults(tomlFile, fmt.Sprintf("listener[%d]", i))
 	}
 	for i := range f.Class {
-		f.Class[i].applyDefaults(at, fmt.Sprintf("class[%d]", i))
+		f.Class[i].applyDefaults(tomlFile, fmt.Sprintf("class[%d]", i))
 	}
 	for i := range f.Pool {
-		f.Pool[i].applyDefaults(at, fmt.Sprintf("pool[%d]", i))
+		f.Pool[i].applyDefaults(tomlFile, fmt.Sprintf("pool[%d]", i))
 	}
 }
 
-func (f *File) checkFormat(at *tomlfile.File) error {
+func (f *File) checkFormat(tomlFile *tomlfile.File) error {
 	if f.Format != fileFormat {
-		return at.Errorf("format", "must be 1")
+		return tomlFile.Errorf("format", "must be %d", fileFormat)
 	}
 	return nil
 }
 
-// setDefault sets a value that the file does not state. field is its full name, as in listener[0].connections.
-func setDefault[T any](at *tomlfile.File, field string, value *T, fallback T) {
-	if !at.Has(field) {
+// setDefault sets a value to its default if the file leaves out the field. field is the full name, as in listener[0].connections.
+func setDefault[T any](tomlFile *tomlfile.File, field string, value *T, fallback T) {
+	if !tomlFile.Has(field) {
 		*value = fallback
 	}
 }
 
-// setIfEmpty sets a text that is left out or empty.
+// setIfEmpty sets a text to its default if it is empty or left out.
 func setIfEmpty(value *string, fallback string) { *value = cmp.Or(*value, fallback) }
 
-// uniqueNames is the set of names that a list has used so far.
+// uniqueNames is the set of names used so far in a list whose names must be unique.
 type uniqueNames map[string]bool
 
-// add records a name. It returns false for an empty name and for one that was added before.
+// add adds a name to the set. It returns false if the name is empty or was already in the set.
 func (n uniqueNames) add(name string) bool {
 	isNew := name != "" && !n[name]
 	n[name] = true
@@ -129,5 +127,5 @@
 	return !slices.ContainsFunc(list, func(s string) bool { return !matches(s) })
 }
 
-// isAddress reports whether a text is host:port.
+// isAddress reports whether s has the form host:port.
 func isAddress(s string) bool { return discovery.CheckAddress("", s) == nil }
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -8,14 +8,14 @@
 	"tuliprock/internal/body"
 )
 
-// fileOperatorConnections is the number of operators' connections under an operators' file, which states no limit on
-// descriptors.
+// fileOperatorConnections is the maximum number of operators' connections. It is fixed, since an operators' file sets no limit on
+// descriptors from which it could follow.
 const fileOperatorConnections = 32
 
-// timerResolution is how late events and timers may come: the lateness of a timer on an ordinary machine that is busy.
+// timerResolution is how late events and timers may arrive at the balancer: the delay of a timer on an ordinary, busy machine.
 const timerResolution = 5 * time.Millisecond
 
-// Service converts the file. The result refers to the file, and shares its slices and classes.
+// Service converts the file to a Service, which shares the file's slices and classes.
 func (f *File) Service() Service {
 	s := Service{
 		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Cluster: f.clusterSpec(),
@@ -42,6 +42,7 @@
 	return s
 }
 
+// operatorConnections returns the maximum number of operators' connections, 0 without an address for them.
 func (f *File) operatorConnections() int {
 	if f.Daemon.AdminAddr == "" {
 		return 0
@@ -49,7 +50,7 @@
 	return fileOperatorConnections
 }
 
-// poolSpec converts a pool. classes are the names of the classes that routes send to it.
+// poolSpec converts a pool. classes are the names of the classes whose requests are routed to it.
 func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
 	return PoolSpec{
 		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
@@ -59,16 +60,17 @@
 	}
 }
 
+// balanceSettings returns the settings of a pool's balancer. classes are the names of the classes whose requests are routed to the pool.
 func (f *File) balanceSettings(p *Pool, classes []string) balance.Settings {
 	settings := balance.Settings{
 		Seed: f.Daemon.Seed, Balancers: f.Daemon.Count, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
 		MaxAttempts: p.Attempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: timerResolution,
-		SlowStartCapacity: p.SlowStartMinWeight, SlowStartDuration: p.SlowStartWindow,
+		SlowStartCapacity: p.SlowStartCapacity, SlowStartDuration: p.SlowStartDuration,
 	}
 	for _, c := range f.Class {
 		if slices.Contains(classes, c.Name) {
-			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Idempotency: EffectsByName[c.Effect],
-				DedupScope: groups[c.Group], DedupWindow: c.IdempotencyWindow, LatencyObjective: c.LatencyObjective})
+			settings.Classes = append(settings.Classes, balance.Class{Name: c.Name, Idempotency: IdempotencyByName[c.Idempotency],
+				DedupScope: dedupScopes[c.DedupScope], DedupWindow: c.DedupWindow, LatencyObjective: c.LatencyObjective})
 		}
 	}
 	for _, t := range f.Tenant {
@@ -77,8 +79,9 @@
 	return settings
 }
 
+// sourceSpec returns where a pool's endpoints come from.
 func (f *File) sourceSpec(p *Pool) SourceSpec {
-	if p.Members == membersAgreed { // consensus has confirmed the list: it is neither held nor damped
+	if p.Members == membersAgreed { // consensus has confirmed the list, so HoldLastGood and FlapDamping do not apply
 		return SourceSpec{Members: f.agreedMembers[p.Name]}
 	}
 	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, HoldLastGood: p.HoldLastGood, FlapDamping: p.FlapDamping}
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -9,31 +9,31 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Listener is a section [[listener]]: an address that clients connect to, and what a connection there may use.
+// Listener is a section [[listener]]: an address that clients connect to, and the limits of connections to it.
 type Listener struct {
 	Name         string        `toml:"name"`
-	Address      string        `toml:"address"`
-	Connections  int           `toml:"connections"`  // open at a time at most
-	HeadBytes    int           `toml:"head_bytes"`   // of a request line with its headers, at most
-	BodyBytes    int64         `toml:"body_bytes"`   // of a request's body, at most
-	HeadTimeout  time.Duration `toml:"head_timeout"` // until the head has arrived
-	BodyTimeout  time.Duration `toml:"body_timeout"` // from then on until a buffered body has
-	IdleTimeout  time.Duration `toml:"idle_timeout"` // between two requests
-	WriteTimeout time.Duration `toml:"write_timeout"`
-	Forwarded    string        `toml:"forwarded"`   // what becomes of forwarding headers: "set", "append", "drop" or "leave"
-	RetryAfter   string        `toml:"retry_after"` // form of that header: "seconds" (RFC 9110) or "fraction"
+	Address      string        `toml:"address"`       // host:port to listen on
+	Connections  int           `toml:"connections"`   // maximum number of open client connections
+	HeadBytes    int           `toml:"head_bytes"`    // maximum size of a request line with its headers
+	BodyBytes    int64         `toml:"body_bytes"`    // maximum size of a request body
+	HeadTimeout  time.Duration `toml:"head_timeout"`  // time limit for the arrival of a request's head
+	BodyTimeout  time.Duration `toml:"body_timeout"`  // time limit for the arrival of a buffered body, after the head
+	IdleTimeout  time.Duration `toml:"idle_timeout"`  // maximum time between two requests of a connection
+	WriteTimeout time.Duration `toml:"write_timeout"` // time limit for sending a response
+	Forwarded    string        `toml:"forwarded"`     // handling of forwarding headers: "set", "append", "drop" or "leave"
+	RetryAfter   string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (RFC 9110) or "fraction"
 
-	// flow_idle and flow_rate in the file: the longest wait for the client's next byte while a body streams, and the
-	// bytes a second that the client must keep up (0: no minimum).
-	StreamIdleTimeout time.Duration `toml:"flow_idle"`
-	MinStreamRate     int64         `toml:"flow_rate"`
+	StreamIdleTimeout time.Duration `toml:"flow_idle"` // longest wait for the client's next byte while a body streams
+	MinStreamRate     int64         `toml:"flow_rate"` // bytes per second that the client must keep up; 0 for no minimum
 
-	Descriptor int `toml:"-"` // of a listening socket inherited from the platform; 0: the socket is opened
+	Descriptor int `toml:"-"` // descriptor of a listening socket inherited from the platform; 0 to open a socket
 
-	RawTargets bool // targets are matched and forwarded unnormalized: the platform's contract, which no file can ask for
+	// RawTargets makes request targets be matched and forwarded without normalization. It follows from the platform's
+	// contract, and cannot be set in a file.
+	RawTargets bool
 }
 
-// Bounds and defaults of a listener. Times and sizes are those that the daemon was measured with on the platform.
+// Bounds and defaults of a listener. The default times and sizes are those that the daemon was measured with on the platform.
 const (
 	defaultConnections = 500
 	defaultHeadBytes   = 16 << 10
@@ -45,14 +45,14 @@
 	maxBodyBytes   = 1 << 40
 )
 
-// Defaults for bodies that stream. The wait is that of a connection whose peer has to retransmit lost segments several
-// times (RFC 6298 doubles 1 s); the rate is below that of the slowest links in service (GPRS, some 20 kbit/s).
+// Defaults for streaming bodies. The idle timeout is enough for a peer to retransmit lost segments several times (RFC 6298
+// starts with 1 s and doubles it); the rate is below that of the slowest links in use (GPRS, about 20 kbit/s).
 const (
 	defaultStreamIdleTimeout = 10 * time.Second
-	defaultMinStreamRate     = 1 << 10 // bytes a second
+	defaultMinStreamRate     = 1 << 10 // bytes per second
 )
 
-// Values of forwarded and retry_after.
+// Values of the fields forwarded and retry_after.
 const (
 	forwardedSet       = "set"
 	forwardedAppend    = "append"
@@ -62,8 +62,8 @@
 	retryAfterFraction = "fraction"
 )
 
-// defaultListener is a listener without name and address, with the limits of one that names none. Those of streaming
-// bodies are not among them: the platform has its own.
+// defaultListener returns a listener with default limits and without a name and an address. The limits of streaming bodies
+// are not set, since the platform has other defaults.
 func defaultListener() Listener {
 	return Listener{
 		Connections: defaultConnections, HeadBytes: defaultHeadBytes, BodyBytes: defaultBodyBytes,
@@ -73,43 +73,43 @@
 	}
 }
 
-func (l *Listener) applyDefaults(at *tomlfile.File, table string) {
-	fallback := defaultListener()
-	setDefault(at, table+".connections", &l.Connections, fallback.Connections)
-	setDefault(at, table+".head_bytes", &l.HeadBytes, fallback.HeadBytes)
-	setDefault(at, table+".body_bytes", &l.BodyBytes, fallback.BodyBytes)
-	setDefault(at, table+".head_timeout", &l.HeadTimeout, fallback.HeadTimeout)
-	setDefault(at, table+".body_timeout", &l.BodyTimeout, fallback.BodyTimeout)
-	setDefault(at, table+".idle_timeout", &l.IdleTimeout, fallback.IdleTimeout)
-	setDefault(at, table+".write_timeout", &l.WriteTimeout, fallback.WriteTimeout)
-	setDefault(at, table+".flow_idle", &l.StreamIdleTimeout, defaultStreamIdleTimeout)
-	setDefault(at, table+".flow_rate", &l.MinStreamRate, defaultMinStreamRate)
-	setIfEmpty(&l.Forwarded, fallback.Forwarded)
-	setIfEmpty(&l.RetryAfter, fallback.RetryAfter)
+func (l *Listener) applyDefaults(tomlFile *tomlfile.File, table string) {
+	defaults := defaultListener()
+	setDefault(tomlFile, table+".connections", &l.Connections, defaults.Connections)
+	setDefault(tomlFile, table+".head_bytes", &l.HeadBytes, defaults.HeadBytes)
+	setDefault(tomlFile, table+".body_bytes", &l.BodyBytes, defaults.BodyBytes)
+	setDefault(tomlFile, table+".head_timeout", &l.HeadTimeout, defaults.HeadTimeout)
+	setDefault(tomlFile, table+".body_timeout", &l.BodyTimeout, defaults.BodyTimeout)
+	setDefault(tomlFile, table+".idle_timeout", &l.IdleTimeout, defaults.IdleTimeout)
+	setDefault(tomlFile, table+".write_timeout", &l.WriteTimeout, defaults.WriteTimeout)
+	setDefault(tomlFile, table+".flow_idle", &l.StreamIdleTimeout, defaultStreamIdleTimeout)
+	setDefault(tomlFile, table+".flow_rate", &l.MinStreamRate, defaultMinStreamRate)
+	setIfEmpty(&l.Forwarded, defaults.Forwarded)
+	setIfEmpty(&l.RetryAfter, defaults.RetryAfter)
 }
 
-func (f *File) checkListeners(at *tomlfile.File) error {
+func (f *File) checkListeners(tomlFile *tomlfile.File) error {
 	if len(f.Listener) == 0 {
-		return at.Errorf("listener", "must be given")
+		return tomlFile.Errorf("listener", "must be given")
 	}
 	names, addresses := uniqueNames{}, uniqueNames{}
 	for i := range f.Listener {
-		if err := f.Listener[i].check(at, fmt.Sprintf("listener[%d]", i), names, addresses); err != nil {
+		if err := f.Listener[i].check(tomlFile, fmt.Sprintf("listener[%d]", i), names, addresses); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// check adds the listener's name and address to those of the listeners before it. Port 0 stands for any free port, so
-// that several listeners may have it.
-func (l *Listener) check(at *tomlfile.File, table string, names, addresses uniqueNames) error {
-	forms := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
-	isOwnAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
-	return at.Check(table, []tomlfile.Requirement{
-		tomlfile.Require("name", names.add(l.Name), "a name of its own"),
+// check checks the listener. names and addresses are those of the listeners before it, and check adds its own. Port 0 stands
+// for any free port, so several listeners may have it.
+func (l *Listener) check(tomlFile *tomlfile.File, table string, names, addresses uniqueNames) error {
+	forwardedValues := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
+	isUniqueAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
+	return tomlFile.Check(table, []tomlfile.Requirement{
+		tomlfile.Require("name", names.add(l.Name), "a unique name"),
 		tomlfile.Require("address", isAddress(l.Address), "host:port"),
-		tomlfile.Require("address", isOwnAddress, "an address of its own"),
+		tomlfile.Require("address", isUniqueAddress, "an address that no other listener has"),
 		tomlfile.Require("connections", l.Connections >= 1 && l.Connections <= maxConnections, "from 1 to 1000000"),
 		tomlfile.Require("head_bytes", l.HeadBytes >= minHeadBytes && l.HeadBytes <= maxHeadBytes, "from 1024 to 1048576"),
 		tomlfile.Require("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
@@ -119,7 +119,7 @@
 		tomlfile.Require("write_timeout", l.WriteTimeout > 0, "over 0"),
 		tomlfile.Require("flow_idle", l.StreamIdleTimeout > 0, "over 0"),
 		tomlfile.Require("flow_rate", l.MinStreamRate >= 0, "0 or more"),
-		tomlfile.Require("forwarded", slices.Contains(forms, l.Forwarded), `"set", "append", "drop" or "leave"`),
+		tomlfile.Require("forwarded", slices.Contains(forwardedValues, l.Forwarded), `"set", "append", "drop" or "leave"`),
 		tomlfile.Require("retry_after", l.RetryAfter == retryAfterSeconds || l.RetryAfter == retryAfterFraction,
 			`"seconds" or "fraction"`),
 	})
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -13,30 +13,30 @@
 	"tuliprock/internal/simwire"
 )
 
-// Config is the platform's configuration of a sidecar: the file that ROUTER_CONFIG names, completed by environment
-// variables. Load and Parse return it checked, with default limits applied.
+// Config is the platform's configuration of a sidecar: the file that ROUTER_CONFIG names, with environment variables for
+// fields that the file leaves out. Load and Parse return it checked, with default limits applied.
 type Config struct {
-	Name         string
-	Listen       string // host:port for clients
-	Discovery    string // host:port of the platform's discovery
-	AdminAddress string // host:port for operators' commands; empty: none is opened
-	Limits       Limits
-	LastUpdate   discovery.ListUpdate // the last update that discovery sent before this process started; the zero value: none
+	Name         string               // sidecar's name
+	Listen       string               // host:port to listen on for clients
+	Discovery    string               // host:port of the platform's discovery agent
+	AdminAddress string               // host:port to listen on for operators' commands; empty for none
+	Limits       Limits               // resource limits
+	LastUpdate   discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
 
-	ListenDescriptor int    // of the listening socket, inherited from the platform and perhaps shared with others; 0: none
-	SharedDir        string // directory that all processes of the sidecar have; empty: none
+	ListenDescriptor int    // descriptor of a listening socket that is inherited and may be shared; 0 to open a socket
+	SharedDir        string // directory shared by all processes of the sidecar; empty for none
 
-	Settings simwire.Settings
+	Settings simwire.Settings // settings of the balancer, timeouts and the random seed
 }
 
-// Limits is what the platform grants a sidecar.
+// Limits are the resources that a sidecar may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64 `json:"cores"`     // CPU cores
+	MemoryMB int     `json:"memory_mb"` // memory in MiB
+	Sockets  int     `json:"sockets"`   // open files and connections
 }
 
-// Limits where the platform states none, and the least that a sidecar can work with.
+// Limits that apply if the platform's file leaves them out, and the smallest ones that a sidecar can work with.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
@@ -45,18 +45,19 @@
 	minSockets      = 64
 )
 
-// platformFile is the platform's file. Its fields are matched without regard to case. It has no name and no tags of its
-// own because the errors of encoding/json quote both.
+// platformFile is the contents of the platform's file. Field names are matched case-insensitively. The type is an alias of an
+// unnamed struct with few tags because errors of encoding/json quote the names of types and fields.
 type platformFile = struct {
 	Name, Listen, Discovery string
-	Seed                    string // 64 bits in hexadecimal
+	Seed                    string // random seed of 64 bits, in hexadecimal
 	AdminAddress            string `json:"admin_addr"`
 	Limits                  Limits
-	Known, Settings         json.RawMessage
+	Known                   json.RawMessage // last update of the discovery agent, see discovery.ListUpdate
+	Settings                json.RawMessage // see simwire.Settings
 }
 
-// Load reads and checks the file that the variable ROUTER_CONFIG names. Other variables stand in for fields that the
-// file leaves out. An error begins with the name of the field or variable at fault.
+// Load reads and checks the file that the environment variable ROUTER_CONFIG names. Other variables replace fields that the
+// file leaves out. An error begins with the name of the invalid field or variable.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -69,7 +70,7 @@
 	return Parse(text, getenv)
 }
 
-// Parse does what Load does with a text that has been read already.
+// Parse parses and checks the text of a platform file, and takes the fields that it leaves out from the environment, like Load.
 func Parse(text []byte, getenv func(string) string) (Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -96,7 +97,7 @@
 	return c, nil
 }
 
-// readAddresses checks the addresses, and reads the descriptor of a socket that listens at one of them already.
+// readAddresses checks the addresses, and reads the descriptor of the listening socket if the platform passes one on.
 func (c *Config) readAddresses(getenv func(string) string) error {
 	if err := discovery.CheckAddress("listen", c.Listen); err != nil {
 		return err
@@ -114,7 +115,7 @@
 	return discovery.CheckAddress("admin_addr", c.AdminAddress)
 }
 
-// readSettings decodes the parts of the file that other packages define.
+// readSettings decodes the seed and the parts of the file whose format other packages define.
 func (c *Config) readSettings(file platformFile) (err error) {
 	if len(file.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -134,18 +135,18 @@
 	return nil
 }
 
-// WithReloadable returns the configuration with what a running sidecar takes over from a later one: the address of
-// discovery. Everything else changes with a restart only. The list of endpoints and all that was measured of them stay.
+// WithReloadable returns the configuration with the fields of a later one that a running sidecar can adopt, which is only the
+// address of the discovery agent. Other changes need a restart. The endpoint list and all measurements of endpoints are kept.
 func (c Config) WithReloadable(later Config) Config {
 	c.Discovery = later.Discovery
 	return c
 }
 
-// check rejects limits that no sidecar can work with. Zero stands for a limit that is not stated.
+// check rejects limits that are too small for a sidecar. A limit of 0 is allowed: it is replaced by the default.
 func (l *Limits) check() error {
 	switch {
 	case l.Cores < 0:
-		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
+		return fmt.Errorf("limits.cores: %v is negative", l.Cores)
 	case l.MemoryMB != 0 && l.MemoryMB < minMemoryMB:
 		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets != 0 && l.Sockets < minSockets:
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -12,32 +12,31 @@
 // platformName is the name of the platform's one listener and one pool.
 const platformName = "platform"
 
-// Bodies on the platform: up to 32 MB in each direction, from clients that may take 2 s for a head and keep up 64 kB a
-// second. A client that misbehaves must get an error or a close within 3 s of connecting.
+// Limits of requests on the platform. Its clients may send and receive bodies of up to 32 MB, take 2 s to send a head, and send
+// at least 64 kB per second. A misbehaving client must get an error, or its connection must be closed, within 3 s of connecting.
 const (
 	platformBodyBytes         = 32 << 20
 	platformHeadTimeout       = 2500 * time.Millisecond
-	platformBodyTimeout       = 2500 * time.Millisecond // of a buffered body: 1 s at 64 kB a second, in pieces
-	platformMinStreamRate     = 48 << 10                // three quarters of 64 kB: measurements are late and early by turns
-	platformStreamIdleTimeout = 5 * time.Second         // for which a peer may send nothing, or be behind its rate
-	platformStreamDuration    = 10 * time.Minute        // 32 MB at 64 kB a second take 8.5
+	platformBodyTimeout       = 2500 * time.Millisecond // time for a buffered body of 64 kB, which takes 1 s at 64 kB per second
+	platformMinStreamRate     = 48 << 10                // bytes per second: 64 kB per second less a quarter, since the measured rate fluctuates
+	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
+	platformStreamDuration    = 10 * time.Minute        // 32 MB at 64 kB per second take 8.5 minutes
 
-	// platformBodyMemoryFraction is the divisor of the memory limit that gives the budget for bodies. Two processes share
-	// the limit during a hot restart.
-	platformBodyMemoryFraction = 8
+	// platformBodyMemoryDivisor gives the memory budget for bodies as a fraction of the memory limit. The budget is small because
+	// two processes share the limit during a hot restart.
+	platformBodyMemoryDivisor = 8
 )
 
-// Operators' connections get one in operatorSocketFraction of the platform's limit on sockets, and minOperatorConnections
-// at least.
+// Operators' connections may use the limit on sockets divided by operatorSocketDivisor, but at least minOperatorConnections.
 const (
-	operatorSocketFraction = 16
+	operatorSocketDivisor  = 16
 	minOperatorConnections = 8
 )
 
-// Service converts the platform's configuration: one listener, one pool, and two routes for each class.
+// Service converts the platform's configuration to a Service with one listener, one pool and two routes for each class.
 func (c Config) Service() (Service, error) {
 	settings := c.Settings.Settings
-	settings.CanProbe = false // the platform rules out health checks of endpoints
+	settings.CanProbe = false // the platform forbids health checks of endpoints
 	rules, targets := platformRoutes(settings.Classes)
 	table, err := route.New(rules)
 	if err != nil {
@@ -48,22 +47,23 @@
 		AdminAddress: c.AdminAddress, OperatorConnections: c.operatorConnections(),
 	}
 	s.TerminationGrace = terminationGrace(c.Settings.LongestClientWait)
-	s.DrainTimeout = s.TerminationGrace - cutOffNotice
-	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryFraction
+	s.DrainTimeout = s.TerminationGrace - abortReportTime
+	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
 	connections := s.ConnectionsWithin(c.Limits.Sockets)
 	listener, pool := c.platformListener(connections), c.platformPool(connections, settings)
-	if c.ListenDescriptor > 0 { // other processes may have the same socket
+	if c.ListenDescriptor > 0 { // several processes of the sidecar may run, and share the socket
 		listener.Descriptor, pool.Source.RequestsFullList, s.SharedDir = c.ListenDescriptor, true, c.SharedDir
 	}
 	s.Listeners, s.Pools = []Listener{listener}, []PoolSpec{pool}
 	return s, nil
 }
 
+// operatorConnections returns the maximum number of operators' connections, 0 without an address for them.
 func (c Config) operatorConnections() int {
 	if c.AdminAddress == "" {
 		return 0
 	}
-	return max(c.Limits.Sockets/operatorSocketFraction, minOperatorConnections)
+	return max(c.Limits.Sockets/operatorSocketDivisor, minOperatorConnections)
 }
 
 func (c Config) platformListener(connections int) Listener {
@@ -79,12 +79,12 @@
 	return PoolSpec{
 		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
 		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.ConnIdle,
-		StartsAtLastByte: true, AcceptsOnlyOK: true, MaxResponseBytes: platformBodyBytes, StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
+		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformBodyBytes, StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
 }
 
-// platformRoutes returns the platform's routes and their targets. The first segment of the path, as it arrived, is the
-// name of the class.
+// platformRoutes returns the platform's routes and their targets. The class of a request is named by the first segment of its
+// path, which is not normalized.
 func platformRoutes(classes []balance.Class) ([]route.Rule, []Target) {
 	var rules []route.Rule
 	var targets []Target
@@ -100,7 +100,7 @@
 
 func platformClass(c balance.Class) *Class {
 	class := &Class{
-		Name: c.Name, Effect: effectName(c.Idempotency), Methods: []string{"POST"},
+		Name: c.Name, Idempotency: idempotencyName(c.Idempotency), Methods: []string{"POST"},
 		IDHeader: defaultIDHeader, KeyHeader: defaultKeyHeader, TenantHeader: defaultTenantHeader,
 		DeadlineHeader: defaultDeadlineHeader, RetryHeader: "Req-Retry",
 		IDMissing: missingReject, DeadlineMissing: missingReject, MaxDeadline: maxDeadline, MaxStreamDuration: platformStreamDuration,
@@ -111,10 +111,10 @@
 	return class
 }
 
-// effectName returns the name that an effect has in a file; "" for an unknown one.
-func effectName(effect balance.Idempotency) string {
-	for name, e := range EffectsByName {
-		if e == effect {
+// idempotencyName is the inverse of IdempotencyByName. It returns "" for an unknown value.
+func idempotencyName(idempotency balance.Idempotency) string {
+	for name, value := range IdempotencyByName {
+		if value == idempotency {
 			return name
 		}
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// validConfig is a platform file that sets most fields.
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":128,"sockets":512},"known":{"version":41,"full":true,"servers":[]},
 	"settings":{"Permissions":{"ConnIdleUs":30000000,"DialTimeoutUs":200000}}}`
 
 func emptyEnvironment(string) string { return "" }
 
 func TestParseReadsPlatformFile(t *testing.T) {
-	c, err := Parse([]byte(goodConfig), emptyEnvironment)
+	c, err := Parse([]byte(validConfig), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.LastUpdate.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
 		c.Settings.ConnIdle != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("parsed %+v", c)
 	}
 }
 
-func TestEnvironmentStandsInForMissingFields(t *testing.T) {
+func TestEnvironmentReplacesMissingFields(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"seed":"1","settings":{},"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -37,14 +38,14 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:3" || c.Limits != (Limits{1, defaultMemoryMB, defaultSockets}) {
-		t.Errorf("%+v", c)
+		t.Errorf("loaded %+v", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
 		t.Run("without "+variable, func(t *testing.T) {
 			incomplete := maps.Clone(environment)
 			delete(incomplete, variable)
 			if _, err := Load(func(variable string) string { return incomplete[variable] }); err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("got %v, want %s", err, want)
+				t.Errorf("got error %v, want one that begins with %s", err, want)
 			}
 		})
 	}
@@ -63,20 +64,20 @@
 		"settings":         {`{"Permissions"`, `{"Lanes":[{"Name":"x","Semantics":"odd"}],"Permissions"`},
 	} {
 		t.Run(field, func(t *testing.T) {
-			_, err := Parse([]byte(replaceOnce(t, goodConfig, change.from, change.to)), emptyEnvironment)
+			_, err := Parse([]byte(replaceOnce(t, validConfig, change.from, change.to)), emptyEnvironment)
 			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
-				t.Error(err)
+				t.Errorf("got error %v, want one line that begins with %s:", err, field)
 			}
 		})
 	}
 }
 
-// replaceOnce replaces the first occurrence of a text, which must be there and differ.
+// replaceOnce replaces the first occurrence of a part of text. It fails the test if that changes nothing.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	changed := strings.Replace(text, from, to, 1)
 	if changed == text {
-		t.Fatalf("%q replaces nothing", from)
+		t.Fatalf("replacing %q by %q does not change the text", from, to)
 	}
 	return changed
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -9,30 +9,31 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// maxRoutes bounds a file's routes. Lookups stay fast with as many (BenchmarkMatch in package route goes up to 10,000).
+// maxRoutes is the maximum number of routes in a file. Lookups stay fast with that many (BenchmarkMatch in package route goes up
+// to 10,000).
 const maxRoutes = 100_000
 
-// Route is a section [[route]]: which requests go to which pool, and as which class. The first route whose every part
-// matches takes a request; a part that is left out matches all.
+// Route is a section [[route]]: it sends the requests that match all of its conditions to a pool, as requests of a class. Of
+// several routes that match a request the first one applies. A condition that is left out matches every request.
 type Route struct {
 	Name    string      `toml:"name"`
-	Hosts   []string    `toml:"hosts"`
-	Methods []string    `toml:"methods"`
-	Header  []Condition `toml:"header"`
-	Query   []Condition `toml:"query"`
+	Hosts   []string    `toml:"hosts"`   // hosts of which the request must have one; empty for any
+	Methods []string    `toml:"methods"` // methods of which the request must have one; empty for any
+	Header  []Condition `toml:"header"`  // conditions on headers
+	Query   []Condition `toml:"query"`   // conditions on query values
 
-	// One of these at most; see the kinds of paths in package route.
+	// At most one of the path fields is set. Package route explains the kinds of paths.
 	Path         string `toml:"path"`
 	PathPrefix   string `toml:"path_prefix"`
 	PathSegments string `toml:"path_segments"`
 	PathPattern  string `toml:"path_pattern"`
 
-	Pool          string        `toml:"pool"`
-	Class         string        `toml:"class"`
-	Tenant        string        `toml:"tenant"`         // of requests that name none
-	ReplacePrefix string        `toml:"replace_prefix"` // takes the place of PathPrefix in the forwarded request
-	SetHeader     []HeaderValue `toml:"set_header"`     // in the forwarded request
-	RemoveHeaders []string      `toml:"remove_headers"` // from the forwarded request
+	Pool          string        `toml:"pool"`           // name of the pool that serves the requests
+	Class         string        `toml:"class"`          // name of the requests' class
+	Tenant        string        `toml:"tenant"`         // tenant of requests that name none
+	ReplacePrefix string        `toml:"replace_prefix"` // replaces PathPrefix in the forwarded request; empty to keep it
+	SetHeader     []HeaderValue `toml:"set_header"`     // headers to set in the forwarded request
+	RemoveHeaders []string      `toml:"remove_headers"` // names of headers to remove from the forwarded request
 }
 
 // HeaderValue is a header that a route sets.
@@ -41,23 +42,24 @@
 	Value string `toml:"value"`
 }
 
-// Condition is a requirement on a header or a query value. Without Equal, Prefix and Absent the value must be present.
+// Condition is a condition on a header or a query value. Without Equal, Prefix and Absent any value matches, but one must be
+// present.
 type Condition struct {
 	Name   string `toml:"name"`
-	Equal  string `toml:"equal"` // may be empty: whether it is given is known from the file
-	Prefix string `toml:"prefix"`
-	Absent bool   `toml:"absent"`
+	Equal  string `toml:"equal"`  // required value; applies even if empty, provided that the file has the field
+	Prefix string `toml:"prefix"` // required prefix of the value; empty for none
+	Absent bool   `toml:"absent"` // there must be no such header or query value
 }
 
-// checkRoutes also compiles the routes into the file's table.
-func (f *File) checkRoutes(at *tomlfile.File) error {
+// checkRoutes checks the routes and compiles them into the file's table.
+func (f *File) checkRoutes(tomlFile *tomlfile.File) error {
 	if n := len(f.Route); n == 0 || n > maxRoutes {
-		return at.Errorf("route", "must be from 1 to %d of them", maxRoutes)
+		return tomlFile.Errorf("route", "must have from 1 to %d entries", maxRoutes)
 	}
 	names := f.definedNames()
 	rules := make([]route.Rule, 0, len(f.Route))
 	for i := range f.Route {
-		rule, err := f.Route[i].check(at, fmt.Sprintf("route[%d]", i), names)
+		rule, err := f.Route[i].check(tomlFile, fmt.Sprintf("route[%d]", i), names)
 		if err != nil {
 			return err
 		}
@@ -68,7 +70,7 @@
 	return err
 }
 
-// definedNames are the names that a route may refer to.
+// definedNames holds the names of pools, classes and tenants that a route may refer to.
 type definedNames struct{ pools, classes, tenants map[string]bool }
 
 func (f *File) definedNames() definedNames {
@@ -85,81 +87,81 @@
 	return names
 }
 
-// check returns the route as a rule of the table.
-func (r *Route) check(at *tomlfile.File, table string, names definedNames) (route.Rule, error) {
-	rule, err := r.rule(at, table)
+// check checks the route and converts it to a rule of the table.
+func (r *Route) check(tomlFile *tomlfile.File, table string, names definedNames) (route.Rule, error) {
+	rule, err := r.tableRule(tomlFile, table)
 	if err != nil {
 		return rule, err
 	}
 	hasReplaceablePrefix := r.PathPrefix != "" && strings.HasPrefix(r.ReplacePrefix, "/")
-	if err := at.Check(table, []tomlfile.Requirement{
+	if err := tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("pool", names.pools[r.Pool], "the name of a pool"),
 		tomlfile.Require("class", names.classes[r.Class], "the name of a class"),
 		tomlfile.Require("tenant", names.tenants[r.Tenant], "the name of a tenant"),
-		tomlfile.Require("replace_prefix", r.ReplacePrefix == "" || hasReplaceablePrefix, "a path, beside path_prefix"),
+		tomlfile.Require("replace_prefix", r.ReplacePrefix == "" || hasReplaceablePrefix, "a path, and given only together with path_prefix"),
 	}); err != nil {
 		return rule, err
 	}
-	if err := r.checkHeaders(at, table); err != nil {
+	if err := r.checkHeaders(tomlFile, table); err != nil {
 		return rule, err
 	}
-	// A table of this rule alone, so that its error can be located in the file.
+	// Compiling the rule alone tells which route of the file an error is in.
 	if _, err := route.New([]route.Rule{rule}); err != nil {
 		if ruleErr := (*route.RuleError)(nil); errors.As(err, &ruleErr) {
 			err = ruleErr.Err
 		}
-		return rule, at.Errorf(table, "%v", err)
+		return rule, tomlFile.Errorf(table, "%v", err)
 	}
 	return rule, nil
 }
 
-func (r *Route) checkHeaders(at *tomlfile.File, table string) error {
+func (r *Route) checkHeaders(tomlFile *tomlfile.File, table string) error {
 	for i, h := range r.SetHeader {
-		if err := at.Check(fmt.Sprintf("%s.set_header[%d]", table, i), []tomlfile.Requirement{
-			tomlfile.Require("name", isRewritableHeader(h.Name), "a header that is not the daemon's own"),
-			tomlfile.Require("value", isHeaderValue(h.Value), "a header's value"),
+		if err := tomlFile.Check(fmt.Sprintf("%s.set_header[%d]", table, i), []tomlfile.Requirement{
+			tomlfile.Require("name", isRewritableHeader(h.Name), "the name of a header that routes may change"),
+			tomlfile.Require("value", isHeaderValue(h.Value), "a valid header value"),
 		}); err != nil {
 			return err
 		}
 	}
 	if !allMatch(r.RemoveHeaders, isRewritableHeader) {
-		return at.Errorf(table+".remove_headers", "must be headers that are not the daemon's own")
+		return tomlFile.Errorf(table+".remove_headers", "must be names of headers that routes may change")
 	}
 	return nil
 }
 
-// rule converts the route's conditions. What only the table can check is left to it.
-func (r *Route) rule(at *tomlfile.File, table string) (route.Rule, error) {
+// tableRule converts the route's conditions to a rule. It checks only what compiling the rule does not check.
+func (r *Route) tableRule(tomlFile *tomlfile.File, table string) (route.Rule, error) {
 	rule := route.Rule{Name: r.Name, Hosts: r.Hosts, Methods: r.Methods}
-	paths := 0
+	pathCount := 0
 	for _, p := range []struct {
 		kind route.PathKind
 		path string
 	}{{route.Exact, r.Path}, {route.Prefix, r.PathPrefix}, {route.Segments, r.PathSegments}, {route.Pattern, r.PathPattern}} {
 		if p.path != "" {
-			paths++
+			pathCount++
 			rule.Kind, rule.Path = p.kind, p.path
 		}
 	}
-	if paths > 1 {
-		return rule, at.Errorf(table, "must have one of path, path_prefix, path_segments and path_pattern at most")
+	if pathCount > 1 {
+		return rule, tomlFile.Errorf(table, "must have at most one of path, path_prefix, path_segments and path_pattern")
 	}
 	if normal, _, err := route.Normalize(r.Path); r.Path != "" && (err != nil || normal != r.Path) {
-		return rule, at.Errorf(table+".path", "%q is not in its normal form, and would never match", r.Path)
+		return rule, tomlFile.Errorf(table+".path", "%q is not in normal form, and would never match", r.Path)
 	}
 	var err error
-	if rule.Headers, err = routeConditions(at, table+".header", r.Header); err != nil {
+	if rule.Headers, err = routeConditions(tomlFile, table+".header", r.Header); err != nil {
 		return rule, err
 	}
-	rule.Query, err = routeConditions(at, table+".query", r.Query)
+	rule.Query, err = routeConditions(tomlFile, table+".query", r.Query)
 	return rule, err
 }
 
-// routeConditions converts the conditions of one array of tables.
-func routeConditions(at *tomlfile.File, array string, conditions []Condition) ([]route.Condition, error) {
+// routeConditions converts conditions; array is the full name of the array of tables that they are from.
+func routeConditions(tomlFile *tomlfile.File, array string, conditions []Condition) ([]route.Condition, error) {
 	var out []route.Condition
 	for i, c := range conditions {
-		converted, err := c.routeCondition(at, fmt.Sprintf("%s[%d]", array, i))
+		converted, err := c.routeCondition(tomlFile, fmt.Sprintf("%s[%d]", array, i))
 		if err != nil {
 			return nil, err
 		}
@@ -168,28 +170,28 @@
 	return out, nil
 }
 
-func (c Condition) routeCondition(at *tomlfile.File, table string) (route.Condition, error) {
+func (c Condition) routeCondition(tomlFile *tomlfile.File, table string) (route.Condition, error) {
 	out := route.Condition{Name: c.Name}
 	if c.Name == "" {
-		return out, at.Errorf(table+".name", "must be given")
+		return out, tomlFile.Errorf(table+".name", "must be given")
 	}
-	comparisons := 0
+	comparisonCount := 0
 	for _, o := range []struct {
 		operator route.Operator
 		isGiven  bool
 		value    string
 	}{
-		{route.Equal, at.Has(table + ".equal"), c.Equal},
+		{route.Equal, tomlFile.Has(table + ".equal"), c.Equal},
 		{route.HasPrefix, c.Prefix != "", c.Prefix},
 		{route.Absent, c.Absent, ""},
 	} {
 		if o.isGiven {
-			comparisons++
+			comparisonCount++
 			out.Operator, out.Value = o.operator, o.value
 		}
 	}
-	if comparisons > 1 {
-		return out, at.Errorf(table, "must have one of equal, prefix and absent at most")
+	if comparisonCount > 1 {
+		return out, tomlFile.Errorf(table, "must have at most one of equal, prefix and absent")
 	}
 	return out, nil
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -9,83 +9,85 @@
 	"tuliprock/internal/route"
 )
 
-// Service is everything that a daemon is built from, whether the platform configured it (Config.Service) or an operators'
-// file (File.Service). It never changes; a reload produces another one.
+// Service is the complete configuration that a daemon is built from, converted from the platform's file (Config.Service) or an
+// operators' file (File.Service). It is immutable; a reload produces a new one.
 type Service struct {
 	Name                     string
-	AdminAddress             string       // address for operators' commands; empty: none is opened
-	OperatorConnections      int          // connections to that address at most
-	SharedDir                string       // directory that all processes of the sidecar have; empty: there is one process at a time
-	Cluster                  *ClusterSpec // nil: this daemon is not part of a cluster
-	Limits                   Limits       // zero values: left to the system
+	AdminAddress             string       // address to listen on for operators' commands; empty for none
+	OperatorConnections      int          // maximum number of connections to AdminAddress
+	SharedDir                string       // directory shared by all processes of the sidecar; empty if only one runs at a time
+	Cluster                  *ClusterSpec // settings of the cluster; nil if this daemon is not part of one
+	Limits                   Limits       // resource limits; a value of 0 means the system's own limit
 	Listeners                []Listener
 	Pools                    []PoolSpec
-	Table                    *route.Table
-	Targets                  []Target // by index of the table's rules
-	File                     *File    // that the service was made of; nil: the platform configured it
-	RejectsWhenIndeterminate bool     // requests are rejected while it is indeterminate which version other daemons act on
-
-	BodyMemory       int           // memory budget for bodies in bytes; 0: bodies are buffered, and must have a Content-Length
-	DrainTimeout     time.Duration // from the signal to shut down until bodies that still stream are cut off
-	TerminationGrace time.Duration // from that signal until the process may be killed, at the earliest
+	Table                    *route.Table // compiled routes
+	Targets                  []Target     // targets of the routes, by index of the rule in Table
+	File                     *File        // operators' file that the Service was converted from; nil for the platform's
+	RejectsWhenIndeterminate bool         // requests are rejected while it is indeterminate which version other daemons act on
+
+	BodyMemory       int           // memory budget for bodies in bytes; 0 if all bodies are buffered and need a Content-Length
+	DrainTimeout     time.Duration // time from the shutdown signal until bodies that are still streaming are aborted
+	TerminationGrace time.Duration // time from the shutdown signal during which the process is not killed
 }
 
-// PoolSpec is a pool in the form that the daemon builds it from.
+// PoolSpec is the complete configuration of a pool.
 type PoolSpec struct {
 	Name                     string
-	Settings                 balance.Settings // a seed of 0: one is drawn
-	Connections              int              // to all endpoints together, at most
-	DialTimeout, IdleTimeout time.Duration    // timeouts of dialing, and of connections that are not in use
-	StartsAtLastByte         bool             // endpoints start on a request at its last byte, and not before
-	MaxResponseBytes         int64            // of a response that streams, at most; 0: unlimited
-	StreamPace               body.MinimumRate // minimum pace of endpoints while a body streams
-
-	// How long a buffered response may take from its first byte to its last; a value under 0.5 s stands for that. On the
-	// platform, where it is 0, no response takes nearly as long (23 ms at most, measured).
+	Settings                 balance.Settings // balancer's settings; a random seed is drawn if Settings.Seed is 0
+	Connections              int              // maximum number of connections to all endpoints together
+	DialTimeout, IdleTimeout time.Duration    // time limits for dialing, and for a connection without requests
+	StartsAtLastByte         bool             // endpoints start on a request only after its last byte has arrived
+	MaxResponseBytes         int64            // maximum size of a response body in bytes; 0 for no limit
+	StreamPace               body.MinimumRate // slowest pace at which an endpoint may send or receive a streaming body
+
+	// BufferedResponseTimeout limits the time from the first to the last byte of a buffered response; values under 0.5 s are
+	// treated as 0.5 s. On the platform it is 0, since no response there takes nearly as long (23 ms at most, measured).
 	BufferedResponseTimeout time.Duration
 
-	DialsRatherThanWaits bool // connections are opened rather than waited for
-	AcceptsOnlyOK        bool // only a 200 is a response, and only its type and body are forwarded: the platform's contract
-	Source               SourceSpec
+	DialsRatherThanWaits bool // a new connection is dialed rather than waiting until a used one may be reused
+	// AcceptsOnlyStatusOK follows from the platform's contract: any status but 200 is a failure, and of a response only the content
+	// type and the body are forwarded.
+	AcceptsOnlyStatusOK bool
+	Source              SourceSpec
 }
 
-// SourceSpec says where a pool's endpoints come from. Of Agent, Members, File and DNS one is set at most; without any
-// the pool has no endpoints.
+// SourceSpec says where a pool's endpoints come from. At most one of Agent, Members, File and DNS is set; if none is, the
+// pool has no endpoints.
 type SourceSpec struct {
-	Agent            string               // address of the platform's discovery
-	RequestsFullList bool                 // the agent is asked for its complete list, though an update is known
-	LastUpdate       discovery.ListUpdate // the agent's last update before this process started
-	Members          []Member
-	File             string // path of a file of members
+	Agent            string               // host:port of the platform's discovery agent
+	RequestsFullList bool                 // the complete list is requested from the agent even though LastUpdate is known
+	LastUpdate       discovery.ListUpdate // last update that the agent sent before this process started
+	Members          []Member             // fixed or agreed list
+	File             string               // path of a members file
 	DNS              *DNS
-	HoldLastGood     time.Duration // for which the last good list outlives sources that fail or list nobody
-	FlapDamping      time.Duration // for which an endpoint that flaps must be listed before it is used, at first
+	HoldLastGood     time.Duration // how long the last good list is kept while the source fails or lists no members
+	FlapDamping      time.Duration // how long an endpoint that starts to flap must be listed before it is used; doubles with further flaps
 }
 
-// Target says where a rule of the table sends requests, and what it changes in them.
+// Target says where the requests that match a rule of the routing table are sent, and how they are rewritten.
 type Target struct {
-	Pool, Tenant              string // Tenant is that of requests that name none
+	Pool, Tenant              string // pool that serves the requests, and tenant of requests that name none
 	Class                     *Class
-	PathPrefix, ReplacePrefix string // the path's prefix and what replaces it; an empty Replace: it stays
+	PathPrefix, ReplacePrefix string // prefix of the path and its replacement; the prefix stays if the replacement is empty
 	SetHeaders                []HeaderValue
-	RemoveHeaders             []string // names of headers
+	RemoveHeaders             []string // names of headers to remove
 }
 
-// SpareConnections is the number of client connections that a listener accepts beyond its limit, until an idle one has been
-// closed for each.
+// SpareConnections is the number of client connections that a listener accepts beyond its limit while it closes an idle one for
+// each.
 const SpareConnections = 16
 
-// Numbers of descriptors, for budgeting them.
+// Reservations of file descriptors.
 const (
-	// internalDescriptors are reserved for what the other reservations do not cover.
+	// internalDescriptors is the number reserved for everything that has no reservation of its own.
 	internalDescriptors = 24
-	// clusterDescriptors are two sockets, eight streams in each direction, and the files of a voter's log.
+	// clusterDescriptors covers two sockets, eight streams in each direction, and four files of a voter's log.
 	clusterDescriptors = 2 + 2*8 + 4
-	// minConnections is the least number of connections in each direction, even if it exceeds the budget.
+	// minConnections is the minimum number of connections to clients and to endpoints each, even if it exceeds the budget.
 	minConnections = 8
 )
 
-// MaxDescriptors returns how many files and connections the daemon may have open at most.
+// MaxDescriptors returns the maximum number of files and connections that the daemon may have open.
 func (s *Service) MaxDescriptors() int {
 	sum := s.ReservedDescriptors()
 	for _, l := range s.Listeners {
@@ -97,13 +99,13 @@
 	return sum
 }
 
-// ConnectionsWithin returns how many connections clients may have, and how many there may be to endpoints, under a limit on
-// descriptors.
+// ConnectionsWithin returns the maximum number of client connections under a limit on descriptors, which is also the maximum number
+// of connections to endpoints.
 func (s *Service) ConnectionsWithin(descriptors int) int {
 	return max((descriptors-s.ReservedDescriptors()-SpareConnections)/2, minConnections)
 }
 
-// ReservedDescriptors returns how many descriptors are reserved for everything but connections of clients and to endpoints.
+// ReservedDescriptors returns the number of descriptors that are reserved for everything except connections to clients and endpoints.
 func (s *Service) ReservedDescriptors() int {
 	if s.Cluster != nil {
 		return internalDescriptors + s.OperatorConnections + clusterDescriptors
@@ -111,19 +113,19 @@
 	return internalDescriptors + s.OperatorConnections
 }
 
-// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, counted as 3 s at most, and 0.7 s more.
-// Whatever is cut off then must have been reported to its client before.
+// After SIGTERM the platform waits for the longest deadline, at most 3 s, and another 0.7 s before it sends SIGKILL. Requests that are
+// still running must be aborted earlier, so that their clients get an error first.
 const (
-	graceDeadlineCap   = 3 * time.Second
+	maxGraceDeadline   = 3 * time.Second
 	graceAfterDeadline = 700 * time.Millisecond
-	cutOffNotice       = 300 * time.Millisecond
+	abortReportTime    = 300 * time.Millisecond // time between the abort of requests and SIGKILL
 )
 
-// terminationGrace returns how long the platform lets a process run after SIGTERM. longest is the longest deadline; 0:
-// unknown.
-func terminationGrace(longest time.Duration) time.Duration {
-	if longest <= 0 {
-		longest = graceDeadlineCap
+// terminationGrace returns how long the platform lets a process run after SIGTERM. longestDeadline is the longest deadline of a
+// request, or 0 if unknown.
+func terminationGrace(longestDeadline time.Duration) time.Duration {
+	if longestDeadline <= 0 {
+		longestDeadline = maxGraceDeadline
 	}
-	return min(longest, graceDeadlineCap) + graceAfterDeadline
+	return min(longestDeadline, maxGraceDeadline) + graceAfterDeadline
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -57,7 +57,7 @@
 		DialTimeout:             spec.DialTimeout,
 		MaxConnections:          spec.Connections,
 		Spread:                  spec.DialsRatherThanWaits,
-		OnlyOK:                  spec.AcceptsOnlyOK,
+		OnlyOK:                  spec.AcceptsOnlyStatusOK,
 		RequestStart:            begins,
 		Pool:                    bodyMemory,
 		MinimumRate:             spec.StreamPace,
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -34,7 +34,7 @@
 func newClass(c *config.Class) *frontend.Class {
 	return &frontend.Class{
 		Name:                  c.Name,
-		Effect:                config.EffectsByName[c.Effect],
+		Effect:                config.IdempotencyByName[c.Idempotency],
 		IDHeader:              c.IDHeader,
 		KeyHeader:             c.KeyHeader,
 		TenantHeader:          c.TenantHeader,
