--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -12,7 +12,7 @@
 // that carry a request's ID, tenant and deadline.
 type Class struct {
 	Name        string `toml:"name"`
-	Idempotency string `toml:"effect"` // whether requests are idempotent: "safe", "keyed" (if they have an idempotency key) or "unsafe"
+	Idempotency string `toml:"effect"` // whether requests may be retried: "safe", "keyed" (by idempotency key) or "unsafe"
 
 	DedupWindow time.Duration `toml:"window"` // how long endpoints recognize a duplicate by its idempotency key; 0 unless "keyed"
 	DedupScope  string        `toml:"group"`  // which endpoints recognize each other's idempotency keys: "all", "zone" or "cell"
@@ -67,7 +67,9 @@
 )
 
 // IdempotencyByName maps the values of the field effect to the balancer's values. It must not be modified.
-var IdempotencyByName = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent}
+var IdempotencyByName = map[string]balance.Idempotency{
+	"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent,
+}
 
 // dedupScopes maps the values of the field group to the balancer's values.
 var dedupScopes = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -79,7 +79,8 @@
 	return PoolSpec{
 		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
 		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.ConnIdle,
-		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformBodyBytes, StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
+		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformBodyBytes,
+		StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
 }
 
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -19,7 +19,7 @@
 	DialTimeout time.Duration `toml:"dial_timeout"` // time limit for establishing a connection
 	IdleTimeout time.Duration `toml:"idle_timeout"` // how long a connection may be idle and still be reused
 
-	SlowStartCapacity float64       `toml:"cold_from"` // fraction of its capacity that a new endpoint starts with, over 0 and at most 1
+	SlowStartCapacity float64       `toml:"cold_from"` // fraction of its capacity that a new endpoint starts with
 	SlowStartDuration time.Duration `toml:"cold_for"`  // time after which a new endpoint has its full capacity
 
 	Tier          int           `toml:"tier"`             // number of client tiers in front of this daemon
@@ -38,7 +38,7 @@
 	Members string   `toml:"members"` // "agreed" for a list that the cluster agrees on; empty otherwise
 
 	HoldLastGood time.Duration `toml:"hold"` // how long the last good list is kept while the source fails or lists no members
-	FlapDamping  time.Duration `toml:"damp"` // how long an endpoint that starts to flap must be listed before it is used; doubles with further flaps
+	FlapDamping  time.Duration `toml:"damp"` // delay before an endpoint that starts to flap is used again; doubles with further flaps
 }
 
 // DNS says which DNS name resolves to a pool's endpoints, and how it is polled.
@@ -53,11 +53,11 @@
 
 // Member is an endpoint in a pool's list.
 type Member struct {
-	ID      string `toml:"id"` // unique in the pool; defaults to Address
-	Address string `toml:"address"`
+	ID      string `toml:"id"`      // unique in the pool; defaults to Address
+	Address string `toml:"address"` // host:port
 	Zone    string `toml:"zone"`
-	Kind    string `toml:"kind"`
-	Cell    int    `toml:"cell"`
+	Kind    string `toml:"kind"`  // endpoints of the same kind have the same size and speed
+	Cell    int    `toml:"cell"`  // endpoints of the same cell share the idempotency keys that they have seen
 	State   string `toml:"state"` // "ready" or "draining"
 }
 
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -61,7 +61,7 @@
 	File             string               // path of a members file
 	DNS              *DNS
 	HoldLastGood     time.Duration // how long the last good list is kept while the source fails or lists no members
-	FlapDamping      time.Duration // how long an endpoint that starts to flap must be listed before it is used; doubles with further flaps
+	FlapDamping      time.Duration // delay before an endpoint that starts to flap is used again; doubles with further flaps
 }
 
 // Target says where the requests that match a rule of the routing table are sent, and how they are rewritten.
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -13,8 +13,8 @@
 	ID        string        `json:"id"`
 	Addr      string        `json:"addr"` // host:port; may be empty if State is Gone
 	Zone      string        `json:"zone"`
-	Kind      string        `json:"kind"`
-	Cell      int           `json:"cell"`
+	Kind      string        `json:"kind"`       // endpoints of the same kind have the same size and speed
+	Cell      int           `json:"cell"`       // endpoints of the same cell share the idempotency keys that they have seen
 	StateName string        `json:"state"`      // state's name, a key of stateByWireName; empty in updates of a PollingSource
 	StartedMs int64         `json:"started_ms"` // when the member started, as Unix time in ms; 0 if unknown or listed from the beginning
 	State     balance.State `json:"-"`          // state that StateName stands for
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -14,9 +14,12 @@
 
 // Member is an endpoint as a source lists it.
 type Member struct {
-	ID, Addr, Zone, Kind string
-	Cell                 int
-	Draining             bool
+	ID       string
+	Addr     string // host:port
+	Zone     string
+	Kind     string // endpoints of the same kind have the same size and speed
+	Cell     int    // endpoints of the same cell share the idempotency keys that they have seen
+	Draining bool   // the member must get no new requests
 }
 
 // Endpoint is an active member.
