--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -40,11 +40,11 @@
 
 	maxJoinAddresses    = 64
 	maxVoters           = 7
-	minProbeInterval    = 50 * time.Millisecond // keeps the load that probes cause low
+	minProbeInterval    = 50 * time.Millisecond // much shorter intervals (as 1 ms) would amount to a load test of the daemons
 	maxProbeInterval    = time.Minute
 	minProbeTimeout     = 10 * time.Millisecond
 	maxSuspicionTimeout = 10 * time.Minute
-	minMaxConflict      = 500 * time.Millisecond // leases are renewed four times per duration, which must not be too frequent
+	minMaxConflict      = 500 * time.Millisecond // a lease is renewed four times in its duration, so a shorter one would cause many renewals
 	maxLeaseDuration    = 10 * time.Minute
 	maxClockDriftLimit  = 0.2 // upper bound of Cluster.MaxClockDrift
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -67,7 +67,7 @@
 	return f, nil
 }
 
-// runChecks runs the checks in order and returns the first error.
+// runChecks runs the checks in order and returns the first error, so their order decides which of several errors an operator sees.
 func runChecks(tomlFile *tomlfile.File, checks ...sectionCheck) error {
 	for _, check := range checks {
 		if err := check(tomlFile); err != nil {
