--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -35,7 +35,7 @@
 func newClass(c *config.Class) *frontend.Class {
 	return &frontend.Class{
 		Name:                  c.Name,
-		Idempotency:           config.EffectsByName[c.Effect],
+		Idempotency:           config.IdempotencyByName[c.Idempotency],
 		IDHeader:              c.IDHeader,
 		KeyHeader:             c.KeyHeader,
 		TenantHeader:          c.TenantHeader,
