--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -19,15 +19,15 @@
 // broadcastQueue holds the updates to be gossiped, one of a member at most. Each is sent a bounded number of times, and
 // those first that were sent least.
 type broadcastQueue struct {
-	byName      map[string]*broadcast
-	byTransmits [][]*broadcast // by how often they were sent; one that was replaced stays until collect reaches it
-	lowest      int            // no entry of byTransmits below it holds a broadcast
+	byName          map[string]*broadcast
+	byTransmitCount [][]*broadcast // by how often they were sent; one that was replaced stays until collect reaches it
+	lowestLevel     int            // no entry of byTransmits below it holds a broadcast
 }
 
 // broadcast is an update with the number of times that it was sent.
 type broadcast struct {
 	Update
-	transmits int
+	transmitCount int
 }
 
 // reset empties the queue.
@@ -44,11 +44,11 @@
 }
 
 func (q *broadcastQueue) insert(b *broadcast) {
-	for len(q.byTransmits) <= b.transmits {
-		q.byTransmits = append(q.byTransmits, nil)
+	for len(q.byTransmitCount) <= b.transmitCount {
+		q.byTransmitCount = append(q.byTransmitCount, nil)
 	}
-	q.byTransmits[b.transmits] = append(q.byTransmits[b.transmits], b)
-	q.lowest = min(q.lowest, b.transmits)
+	q.byTransmitCount[b.transmitCount] = append(q.byTransmitCount[b.transmitCount], b)
+	q.lowestLevel = min(q.lowestLevel, b.transmitCount)
 }
 
 // collect appends updates for one message to those that it must carry, within the bounds of a message. It drops an update
@@ -59,10 +59,10 @@
 		freeBytes -= out[i].maxEncodedBytes()
 	}
 	var sentAgain []*broadcast
-	for q.lowest < len(q.byTransmits) && len(out) < MaxPiggyback {
-		level := q.byTransmits[q.lowest]
+	for q.lowestLevel < len(q.byTransmitCount) && len(out) < MaxPiggyback {
+		level := q.byTransmitCount[q.lowestLevel]
 		if len(level) == 0 {
-			q.lowest++
+			q.lowestLevel++
 			continue
 		}
 		b := level[0]
@@ -72,20 +72,20 @@
 			}
 			freeBytes -= b.maxEncodedBytes()
 			out = append(out, b.Update)
-			if b.transmits++; b.transmits < limit {
+			if b.transmitCount++; b.transmitCount < limit {
 				sentAgain = append(sentAgain, b) // put back after the loop: a message carries an update once
 			} else {
 				delete(q.byName, b.Name)
 			}
 		}
 		level[0] = nil
-		q.byTransmits[q.lowest] = level[1:]
+		q.byTransmitCount[q.lowestLevel] = level[1:]
 	}
 	for _, b := range sentAgain {
 		q.insert(b)
 	}
 	if len(q.byName) == 0 {
-		q.byTransmits, q.lowest = nil, 0
+		q.byTransmitCount, q.lowestLevel = nil, 0
 	}
 	return out
 }
--- a/internal/cluster/swim/localhealth.go
+++ b/internal/cluster/swim/localhealth.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// maxLocalHealth is the worst score of local health. A maximum of 8 gave no fewer false verdicts, and a last survivor
+// maxHealthScore is the worst score of local health. A maximum of 8 gave no fewer false verdicts, and a last survivor
 // that took 13 s to find out about the others.
-const maxLocalHealth = 4
+const maxHealthScore = 4
 
 // HealthScore returns the node's score of its own health (Lifeguard's local health multiplier): 0 is healthy, and each
 // step lengthens the timeouts of probes by their base value.
-func (n *Node) HealthScore() int { return n.localHealth }
+func (n *Node) HealthScore() int { return n.healthScore }
 
-// adjustLocalHealth adds evidence that this node is slow, or, below 0, that it is not.
-func (n *Node) adjustLocalHealth(by int) {
+// adjustHealthScore adds evidence that this node is slow, or, below 0, that it is not.
+func (n *Node) adjustHealthScore(by int) {
 	if !n.options.DisableLocalHealth {
-		n.localHealth = max(0, min(n.localHealth+by, maxLocalHealth))
+		n.healthScore = max(0, min(n.healthScore+by, maxHealthScore))
 	}
 }
 
-// scaleByLocalHealth returns a timeout lengthened by the local health multiplier.
-func (n *Node) scaleByLocalHealth(d time.Duration) time.Duration {
-	return d * time.Duration(n.localHealth+1)
+// scaleByHealthScore returns a timeout lengthened by the local health multiplier.
+func (n *Node) scaleByHealthScore(d time.Duration) time.Duration {
+	return d * time.Duration(n.healthScore+1)
 }
 
 // detectPause notices that the process did not run when Tick was due. What it did not receive meanwhile is no evidence
@@ -30,7 +30,7 @@
 		return
 	}
 	n.expectedTick = now
-	n.adjustLocalHealth(1)
+	n.adjustHealthScore(1)
 	if len(n.probes) > 0 {
 		clear(n.probes)
 		n.nextProbe = now
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -16,10 +16,10 @@
 // member is an entry of the membership table.
 type member struct {
 	Update
-	since      time.Duration // instant at which this node took up the state
-	index      int           // in Node.present while it is present, in Node.failed while it is failed
-	suspicion  *suspicion    // while it is suspect
-	lastHelper *member       // who reached it last when this node could not; nil: nobody
+	stateSince         time.Duration // instant at which this node took up the state
+	index              int           // in Node.present while it is present, in Node.failed while it is failed
+	suspicion          *suspicion    // while it is suspect
+	lastIndirectProber *member       // who reached it last when this node could not; nil: nobody
 }
 
 // PresentCount returns the number of other members that are present, suspects included.
@@ -36,7 +36,7 @@
 // from the other side of a partition: the member becomes suspect instead, so that it can refute.
 func (n *Node) applyUpdate(now time.Duration, u Update, isExchange bool) {
 	if u.Name == n.self.Name {
-		n.applyUpdateOfSelf(now, u)
+		n.applyUpdateAboutSelf(now, u)
 		return
 	}
 	m := n.members[u.Name]
@@ -67,7 +67,7 @@
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
 	alive.State, alive.By = Alive, ""
-	m := &member{Update: alive, since: now}
+	m := &member{Update: alive, stateSince: now}
 	n.members[u.Name] = m
 	n.countPresent(m)
 	n.insertPresent(m)
@@ -88,7 +88,7 @@
 		n.uncountPresent(m)
 	}
 	if u.State != was.State || u.Generation != was.Generation {
-		m.since = now
+		m.stateSince = now
 	}
 	m.Update = u
 	if u.State.IsPresent() {
@@ -105,7 +105,7 @@
 // reap drops members that failed or left long ago.
 func (n *Node) reap(now time.Duration) {
 	for name, m := range n.members {
-		if m.State.IsPresent() || now-m.since < reapAfter {
+		if m.State.IsPresent() || now-m.stateSince < reapAfter {
 			continue
 		}
 		if m.State == Failed {
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -10,7 +10,7 @@
 // younger that will yield.
 type nameConflict struct {
 	Peer
-	seq              uint64 // sequence number of the latest probe
+	lastSeq          uint64 // sequence number of the latest probe
 	unansweredProbes int
 	nextProbe        time.Duration
 	incarnation      uint64 // the highest one received
@@ -30,8 +30,8 @@
 // isYielding reports whether the node sends nothing of its own because it yields to an elder process with its name.
 func (n *Node) isYielding() bool { return n.conflict != nil && n.conflict.isYielding }
 
-// applyUpdateOfSelf takes up what others state about this node, which alone may raise its incarnation.
-func (n *Node) applyUpdateOfSelf(now time.Duration, u Update) {
+// applyUpdateAboutSelf takes up what others state about this node, which alone may raise its incarnation.
+func (n *Node) applyUpdateAboutSelf(now time.Duration, u Update) {
 	c := n.conflict
 	if n.isYielding() && u.Generation == c.Generation {
 		c.incarnation = max(c.incarnation, u.Incarnation)
@@ -48,7 +48,7 @@
 			return
 		}
 		if isThisProcess && u.State == Suspect {
-			n.adjustLocalHealth(1)
+			n.adjustHealthScore(1)
 		}
 		n.refute(u.Incarnation)
 	case c == nil:
@@ -81,9 +81,9 @@
 		return
 	}
 	c.unansweredProbes++
-	n.seq++
-	c.seq = n.seq
-	n.send(c.Addr, &Message{Kind: Ping, Seq: n.seq, Target: c.Peer})
+	n.lastSeq++
+	c.lastSeq = n.lastSeq
+	n.send(c.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: c.Peer})
 }
 
 // receiveConflictAck handles the response of the other process with this node's name. The younger of the two yields for as
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -31,12 +31,12 @@
 	nextReap     time.Duration
 
 	// Probing: see probe.go and indirectprobe.go.
-	seq            uint64            // the latest sequence number of a Ping
+	lastSeq        uint64            // the latest sequence number of a Ping
 	probes         map[uint64]*probe // by sequence number; see startProbe for their bound
 	indirectProbes map[uint64]*indirectProbe
 	probeIndex     int       // next place in present to be probed
 	urgentTargets  []*member // suspects of other members that are probed next; maxLocalHealth at most
-	localHealth    int       // 0: healthy; up to maxLocalHealth
+	healthScore    int       // 0: healthy; up to maxLocalHealth
 	nextProbe      time.Duration
 
 	nextSuspicionEnd time.Duration // no suspicion ends before; noDeadline: there is none
@@ -51,11 +51,11 @@
 	conflict *nameConflict // another process with this node's name; nil: none
 
 	// The view: see view.go.
-	connectivity  Connectivity
-	improvedSince time.Duration // instant since which a better connectivity has lasted; negative: it does not
-	improvedTo    Connectivity  // the lowest one since improvedSince
-	viewNumber    uint64
-	changes       []Change
+	connectivity         Connectivity
+	improvedSince        time.Duration // instant since which a better connectivity has lasted; negative: it does not
+	improvedConnectivity Connectivity  // the lowest one since improvedSince
+	viewNumber           uint64
+	changes              []Change
 }
 
 // New returns a Node that starts at now. It contacts the addresses in Options.Join with its first Tick.
@@ -81,7 +81,7 @@
 	}
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
-	n.seq = n.rng.Uint64() >> 16 // so that a response to an earlier process does not count for this one
+	n.lastSeq = n.rng.Uint64() >> 16 // so that a response to an earlier process does not count for this one
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
 	for _, u := range o.InitialMembers {
@@ -104,7 +104,7 @@
 		next = min(next, n.nextGossip)
 	}
 	for _, p := range n.probes {
-		if !p.indirectSent {
+		if !p.hasSentIndirect {
 			next = min(next, p.indirectAt)
 		}
 		next = min(next, p.deadline)
@@ -172,7 +172,7 @@
 		n.syncIfViewsDiffer(now, m, wasAbsent)
 	case Nack:
 		if p := n.probes[m.Seq]; p != nil {
-			p.nacks = min(p.nacks+1, p.expectedNacks)
+			p.receivedNacks = min(p.receivedNacks+1, p.expectedNacks)
 		}
 	case Sync:
 		n.sendFullState(m.From, SyncReply)
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -8,12 +8,12 @@
 
 // probe is a Ping of this node that has no response yet.
 type probe struct {
-	target        *member
-	indirectAt    time.Duration // instant at which other members are asked for indirect probes
-	indirectSent  bool
-	deadline      time.Duration // instant at which the probe has failed
-	expectedNacks int           // members that were asked, each of which responds with a Nack at least
-	nacks         int
+	target          *member
+	indirectAt      time.Duration // instant at which other members are asked for indirect probes
+	hasSentIndirect bool
+	deadline        time.Duration // instant at which the probe has failed
+	expectedNacks   int           // members that were asked, each of which responds with a Nack at least
+	receivedNacks   int
 }
 
 // tickProbes ends the probes that are overdue, begins indirect ones, and probes the next member.
@@ -22,8 +22,8 @@
 		p := n.probes[seq]
 		if now >= p.deadline {
 			delete(n.probes, seq)
-			n.probeFailed(now, p)
-		} else if !p.indirectSent && now >= p.indirectAt {
+			n.handleFailedProbe(now, p)
+		} else if !p.hasSentIndirect && now >= p.indirectAt {
 			n.sendIndirectProbes(seq, p)
 		}
 	}
@@ -36,20 +36,20 @@
 // startProbe sends a Ping to the next target. A member is probed again only when its response is overdue for good, so that
 // maxLocalHealth+1 probes are out at most.
 func (n *Node) startProbe(now time.Duration) {
-	if n.isYielding() || n.hasLeft || len(n.probes) > maxLocalHealth {
+	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
 	}
 	target := n.nextProbeTarget()
 	if target == nil {
 		return
 	}
-	n.seq++
-	n.probes[n.seq] = &probe{
+	n.lastSeq++
+	n.probes[n.lastSeq] = &probe{
 		target:     target,
-		indirectAt: now + n.scaleByLocalHealth(n.options.ProbeTimeout),
-		deadline:   now + n.scaleByLocalHealth(n.options.ProbeInterval),
+		indirectAt: now + n.scaleByHealthScore(n.options.ProbeTimeout),
+		deadline:   now + n.scaleByHealthScore(n.options.ProbeInterval),
 	}
-	n.send(target.Addr, &Message{Kind: Ping, Seq: n.seq, Target: target.Peer})
+	n.send(target.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: target.Peer})
 }
 
 // nextProbeTarget returns an urgent target, or else the next member of the round, which is shuffled anew at its end.
@@ -73,13 +73,13 @@
 	return m
 }
 
-// probeFailed suspects the target of a probe without a response. Nacks that were expected and did not arrive are
+// handleFailedProbe suspects the target of a probe without a response. Nacks that were expected and did not arrive are
 // evidence against this node's own health.
-func (n *Node) probeFailed(now time.Duration, p *probe) {
+func (n *Node) handleFailedProbe(now time.Duration, p *probe) {
 	if p.expectedNacks > 0 {
-		n.adjustLocalHealth(p.expectedNacks - p.nacks)
+		n.adjustHealthScore(p.expectedNacks - p.receivedNacks)
 	} else {
-		n.adjustLocalHealth(1)
+		n.adjustHealthScore(1)
 	}
 	if n.members[p.target.Name] != p.target || !p.target.State.IsPresent() {
 		return
@@ -106,20 +106,20 @@
 // receiveAck ends what the Ack responds to: a probe of a process with this node's name, an indirect probe for another
 // member, or a probe of this node's own.
 func (n *Node) receiveAck(now time.Duration, m *Message) {
-	if c := n.conflict; c != nil && m.Seq == c.seq && m.From.Generation == c.Generation {
+	if c := n.conflict; c != nil && m.Seq == c.lastSeq && m.From.Generation == c.Generation {
 		n.receiveConflictAck(now)
 		return
 	}
-	if p := n.indirectProbes[m.Seq]; p != nil && m.From.Name == p.target {
+	if p := n.indirectProbes[m.Seq]; p != nil && m.From.Name == p.targetName {
 		delete(n.indirectProbes, m.Seq)
-		n.send(p.requester, &Message{Kind: Ack, Seq: p.requesterSeq, Target: m.From.Peer})
+		n.send(p.requesterAddr, &Message{Kind: Ack, Seq: p.requesterSeq, Target: m.From.Peer})
 		return
 	}
 	if p := n.probes[m.Seq]; p != nil && (m.From.Name == p.target.Name || m.Target.Name == p.target.Name) {
 		delete(n.probes, m.Seq)
-		n.adjustLocalHealth(-1)
+		n.adjustHealthScore(-1)
 		if m.From.Name != p.target.Name {
-			p.target.lastHelper = n.members[m.From.Name]
+			p.target.lastIndirectProber = n.members[m.From.Name]
 		}
 	}
 }
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -11,8 +11,8 @@
 	// maxSuspicionMultiplier is the maximum suspicion timeout, which holds without confirmations, in minimum ones.
 	maxSuspicionMultiplier = 3
 
-	// neededConfirmations is the number of confirmations by other members that shrink the timeout to its minimum.
-	neededConfirmations = 3
+	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the timeout to its minimum.
+	confirmationsForMinTimeout = 3
 
 	// expectedVerifiers is the mean number of members that at once probe a suspect of another member.
 	expectedVerifiers = 6
@@ -23,25 +23,25 @@
 type suspicion struct {
 	start                  time.Duration
 	minTimeout, maxTimeout time.Duration
-	expectedConfirmations  int      // the number that brings the timeout to minTimeout
-	suspectedBy            []string // names of those who suspect; 1+expectedConfirmations at most
+	neededConfirmations    int      // the number that brings the timeout to minTimeout
+	suspectors             []string // names of those who suspect; 1+expectedConfirmations at most
 }
 
 // confirm adds a member that suspects, and reports whether that shrinks the timeout.
 func (s *suspicion) confirm(by string) bool {
-	if len(s.suspectedBy) > s.expectedConfirmations || slices.Contains(s.suspectedBy, by) {
+	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, by) {
 		return false
 	}
-	s.suspectedBy = append(s.suspectedBy, by)
+	s.suspectors = append(s.suspectors, by)
 	return true
 }
 
 // deadline returns the instant at which the suspect has failed.
 func (s *suspicion) deadline() time.Duration {
-	if s.expectedConfirmations == 0 {
+	if s.neededConfirmations == 0 {
 		return s.start + s.minTimeout
 	}
-	fraction := math.Log(float64(len(s.suspectedBy))) / math.Log(float64(s.expectedConfirmations+1))
+	fraction := math.Log(float64(len(s.suspectors))) / math.Log(float64(s.neededConfirmations+1))
 	shrunk := s.maxTimeout - time.Duration(fraction*float64(s.maxTimeout-s.minTimeout))
 	return s.start + max(s.minTimeout, shrunk)
 }
@@ -54,11 +54,11 @@
 	n.changeState(now, m, u)
 	minTimeout := time.Duration(float64(n.options.SuspicionTimeout) * n.suspicionScale())
 	s := &suspicion{
-		start:                 now,
-		minTimeout:            minTimeout,
-		maxTimeout:            maxSuspicionMultiplier * minTimeout,
-		expectedConfirmations: min(neededConfirmations, max(len(n.present)-2, 0)),
-		suspectedBy:           []string{u.By},
+		start:               now,
+		minTimeout:          minTimeout,
+		maxTimeout:          maxSuspicionMultiplier * minTimeout,
+		neededConfirmations: min(confirmationsForMinTimeout, max(len(n.present)-2, 0)),
+		suspectors:          []string{u.By},
 	}
 	if n.options.DisableSuspicionShrink {
 		s.maxTimeout = minTimeout
@@ -73,7 +73,7 @@
 // cluster is otherwise probed by about one other in a ProbeInterval, and the confirmations would take as many of these as
 // are needed.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
-	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxLocalHealth {
+	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
 	}
 	if n.rng.Float64()*float64(len(n.present)) < expectedVerifiers {
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -74,7 +74,7 @@
 }
 
 // step carries out one of nine events: for each of three nodes a tick, or a delivery or loss of the oldest message to it.
-func (w *testNetwork) step(t tb, choice int) {
+func (w *testNetwork) step(t testingT, choice int) {
 	t.Helper()
 	const tick, deliver = 0, 1
 	node, event := choice%3, choice/3
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if len(candidates) > 0 {
-		n.seq++
-		n.send(candidates[n.rng.IntN(len(candidates))], &Message{Kind: Ping, Seq: n.seq})
+		n.lastSeq++
+		n.send(candidates[n.rng.IntN(len(candidates))], &Message{Kind: Ping, Seq: n.lastSeq})
 	}
 }
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tb is what testing.T and rapid.T have in common.
-type tb interface {
+// testingT is what testing.T and rapid.T have in common.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -44,28 +44,28 @@
 }
 
 // tick calls a node's Tick, due or not.
-func (w *testNetwork) tick(t tb, n *Node) {
+func (w *testNetwork) tick(t testingT, n *Node) {
 	t.Helper()
 	n.Tick(w.now)
 	n.NextTick()
-	w.collect(t, n)
+	w.collectAndCheck(t, n)
 }
 
 // deliver delivers the i-th message in transit.
-func (w *testNetwork) deliver(t tb, i int) {
+func (w *testNetwork) deliver(t testingT, i int) {
 	t.Helper()
 	e := w.inTransit[i]
 	w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 	for _, n := range w.nodes {
 		if n.self.Addr == e.To {
 			n.Receive(w.now, e.Message)
-			w.collect(t, n)
+			w.collectAndCheck(t, n)
 		}
 	}
 }
 
-// collect puts what a node sends in transit, and checks the node's view and lists.
-func (w *testNetwork) collect(t tb, n *Node) {
+// collectAndCheck puts what a node sends in transit, and checks the node's view and lists.
+func (w *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
 		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
@@ -89,7 +89,7 @@
 }
 
 // checkMembershipTable compares a node's lists with its members.
-func checkMembershipTable(t tb, n *Node) {
+func checkMembershipTable(t testingT, n *Node) {
 	t.Helper()
 	digest, present, failed := n.self.digest(), 0, 0
 	for name, m := range n.members {
@@ -126,13 +126,13 @@
 
 // runUntil calls the ticks that are due and delivers all messages in order, for a duration or until isDone. It returns
 // what isDone returned last.
-func (w *testNetwork) runUntil(t tb, d time.Duration, isDone func() bool) bool {
+func (w *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
 	t.Helper()
 	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
 		for _, n := range w.nodes {
 			if w.now >= n.NextTick() {
 				n.Tick(w.now)
-				w.collect(t, n)
+				w.collectAndCheck(t, n)
 			}
 		}
 		for len(w.inTransit) > 0 {
@@ -146,13 +146,13 @@
 }
 
 // run is runUntil for the whole of a duration.
-func (w *testNetwork) run(t tb, d time.Duration) {
+func (w *testNetwork) run(t testingT, d time.Duration) {
 	t.Helper()
 	w.runUntil(t, d, func() bool { return false })
 }
 
 // requireConvergence fails the test unless all views are equal and complete within a minute without further faults.
-func (w *testNetwork) requireConvergence(t tb) {
+func (w *testNetwork) requireConvergence(t testingT) {
 	t.Helper()
 	if !w.runUntil(t, time.Minute, w.isConverged) {
 		t.Fatalf("a minute after the last fault views differ: %+v and %+v", w.nodes[0].View(), w.nodes[1].View())
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -65,7 +65,7 @@
 	}
 	v.Members = append(v.Members, Member{n.self, n.startedAt})
 	for _, m := range n.members {
-		v.Members = append(v.Members, Member{m.Update, m.since})
+		v.Members = append(v.Members, Member{m.Update, m.stateSince})
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return v
@@ -100,11 +100,11 @@
 		n.connectivity, n.improvedSince = current, -1
 		n.viewNumber++
 		return
-	case n.improvedSince < 0 || current < n.improvedTo:
-		n.improvedSince, n.improvedTo = now, current
+	case n.improvedSince < 0 || current < n.improvedConnectivity:
+		n.improvedSince, n.improvedConnectivity = now, current
 	}
 	if now-n.improvedSince >= connectivityHoldIntervals*n.options.ProbeInterval {
-		n.connectivity, n.improvedSince = n.improvedTo, -1
+		n.connectivity, n.improvedSince = n.improvedConnectivity, -1
 		n.viewNumber++
 	}
 }
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -37,7 +37,7 @@
 type packet struct {
 	swimMessage *swim.Message
 	message     *Message
-	runID       uint64
+	generation  uint64
 	sequence    uint64
 }
 
@@ -106,13 +106,13 @@
 		if p.message, err = parseMessage(message); err != nil {
 			return packet{}, err
 		}
-		p.runID = p.message.RunID
+		p.generation = p.message.RunID
 		return p, nil
 	}
 	if p.swimMessage, err = parseSwimMessage(swimMessage, maxUpdates); err != nil {
 		return packet{}, err
 	}
-	p.runID = p.swimMessage.From.Generation
+	p.generation = p.swimMessage.From.Generation
 	return p, nil
 }
 
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -12,5 +12,5 @@
 
 // Now returns the reading of the failure detector's clock, with which Since of a member in a View compares.
 func (t *Transport) Now() time.Duration {
-	return clockOrigin + scaledByClockRate(time.Since(t.startedAt))
+	return clockOrigin + scaleByClockRate(time.Since(t.clockStart))
 }
--- a/internal/cluster/transport/clock_norace.go
+++ b/internal/cluster/transport/clock_norace.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// scaledByClockRate returns d unchanged: see clock_race.go.
-func scaledByClockRate(d time.Duration) time.Duration { return d }
+// scaleByClockRate returns d unchanged: see clock_race.go.
+func scaleByClockRate(d time.Duration) time.Duration { return d }
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -16,7 +16,7 @@
 	return 1
 }()
 
-// scaledByClockRate returns how much time the failure detector's clock counts for d of real time.
-func scaledByClockRate(d time.Duration) time.Duration {
+// scaleByClockRate returns how much time the failure detector's clock counts for d of real time.
+func scaleByClockRate(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * clockRate)
 }
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -22,7 +22,7 @@
 	if !ok {
 		return fmt.Errorf("%s: %w", name, ErrUnknownMember)
 	}
-	m := Message{From: options.Name, RunID: t.runID, Kind: kind, Body: body}
+	m := Message{From: options.Name, RunID: t.generation, Kind: kind, Body: body}
 	b := appendMessagePacket(make([]byte, streamHeaderBytes, MaxDatagramBytes), options, t.sequence.Add(1), &m)
 	size := len(b) - streamHeaderBytes
 	switch {
@@ -75,7 +75,7 @@
 func (t *Transport) isFirstReceipt(p packet) bool {
 	t.replaysMu.Lock()
 	defer t.replaysMu.Unlock()
-	return t.replays.accept(p.runID, p.sequence)
+	return t.replays.accept(p.generation, p.sequence)
 }
 
 // enqueue puts a value in a queue without waiting.
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/eventloop.go
@@ -11,8 +11,8 @@
 	// members. Smaller ones publish each change at once.
 	minViewInterval     = time.Second / 10
 	smallClusterMembers = 100
-	// maxOwnerSleep bounds a timer for which the detector has nothing due.
-	maxOwnerSleep = time.Hour
+	// maxSleep bounds a timer for which the detector has nothing due.
+	maxSleep = time.Hour
 	// noContactWarningDelay is after the start, while none of the addresses to join has answered.
 	noContactWarningDelay = 10 * time.Second
 	// maxChangeLogLines bounds the log lines about members in each changeLogInterval.
@@ -20,22 +20,22 @@
 	changeLogInterval = time.Second
 )
 
-// owner is the state of the goroutine that owns the failure detector. Nothing else may use its fields.
-type owner struct {
+// eventLoop is the state of the goroutine that owns the failure detector. Nothing else may use its fields.
+type eventLoop struct {
 	transport    *Transport
 	node         *swim.Node
 	publishedAt  time.Duration // when the latest view was published
 	packetBuffer []byte        // reused for each datagram
 
 	logWindowStart     time.Duration // start of the running changeLogInterval
-	loggedChanges      int           // since then, those left out included
+	changesInLogWindow int           // since then, those left out included
 	hasWarnedNoContact bool
-	reportedConflict   swim.Peer // the latest holder of this daemon's name that was logged
+	loggedConflict     swim.Peer // the latest holder of this daemon's name that was logged
 }
 
-// runOwner feeds the failure detector messages, calls and ticks, until the transport ends.
-func (t *Transport) runOwner(node *swim.Node) {
-	o := &owner{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
+// runEventLoop feeds the failure detector messages, calls and ticks, until the transport ends.
+func (t *Transport) runEventLoop(node *swim.Node) {
+	o := &eventLoop{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -44,23 +44,23 @@
 			return
 		case m := <-t.inbox:
 			node.Receive(t.Now(), m)
-		case call := <-t.ownerCalls:
+		case call := <-t.eventLoopCalls:
 			call(t.Now(), node)
 		case <-timer.C:
 			if now := t.Now(); now >= node.NextTick() {
 				node.Tick(now)
 			}
 		}
-		o.applyEffects(t.Now())
+		o.handleOutput(t.Now())
 		timer.Reset(o.sleepTime(t.Now()))
 	}
 }
 
-// callOwner runs a function on the owner's goroutine. It returns when that is done, or the transport has ended.
-func (t *Transport) callOwner(call func(now time.Duration, node *swim.Node)) {
+// callOnEventLoop runs a function on the owner's goroutine. It returns when that is done, or the transport has ended.
+func (t *Transport) callOnEventLoop(call func(now time.Duration, node *swim.Node)) {
 	done := make(chan struct{})
 	select {
-	case t.ownerCalls <- func(now time.Duration, node *swim.Node) { call(now, node); close(done) }:
+	case t.eventLoopCalls <- func(now time.Duration, node *swim.Node) { call(now, node); close(done) }:
 		<-done
 	case <-t.ctx.Done():
 	}
@@ -77,18 +77,20 @@
 }
 
 // sleepTime returns for how long the owner has nothing to do, unless a message or a call arrives.
-func (o *owner) sleepTime(now time.Duration) time.Duration {
+func (o *eventLoop) sleepTime(now time.Duration) time.Duration {
 	next := o.node.NextTick()
 	if o.hasUnpublishedView() {
 		next = min(next, o.publishedAt+minViewInterval)
 	}
-	return min(max(next-now, 0), maxOwnerSleep)
+	return min(max(next-now, 0), maxSleep)
 }
 
-func (o *owner) hasUnpublishedView() bool { return o.node.ViewNumber() != o.transport.View().Number }
+func (o *eventLoop) hasUnpublishedView() bool {
+	return o.node.ViewNumber() != o.transport.View().Number
+}
 
-// applyEffects sends, logs and publishes what the detector's latest step resulted in.
-func (o *owner) applyEffects(now time.Duration) {
+// handleOutput sends, logs and publishes what the detector's latest step resulted in.
+func (o *eventLoop) handleOutput(now time.Duration) {
 	for _, e := range o.node.TakeMessages() {
 		o.send(&e)
 	}
@@ -105,7 +107,7 @@
 }
 
 // send sends a message of the detector, in a datagram where it fits.
-func (o *owner) send(e *swim.Envelope) {
+func (o *eventLoop) send(e *swim.Envelope) {
 	t, options := o.transport, o.transport.options.Load()
 	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
 		o.packetBuffer = appendSwimPacket(o.packetBuffer[:0], options, t.sequence.Add(1), e.Message)
@@ -119,15 +121,15 @@
 }
 
 // logChange logs a member's change of state, within maxChangeLogLines.
-func (o *owner) logChange(now time.Duration, c swim.Change) {
+func (o *eventLoop) logChange(now time.Duration, c swim.Change) {
 	log := o.transport.options.Load().Log
 	if now-o.logWindowStart >= changeLogInterval {
-		if o.loggedChanges > maxChangeLogLines {
-			log.Warn("member state changes left out of the log", "count", o.loggedChanges-maxChangeLogLines)
+		if o.changesInLogWindow > maxChangeLogLines {
+			log.Warn("member state changes left out of the log", "count", o.changesInLogWindow-maxChangeLogLines)
 		}
-		o.logWindowStart, o.loggedChanges = now, 0
+		o.logWindowStart, o.changesInLogWindow = now, 0
 	}
-	if o.loggedChanges++; o.loggedChanges > maxChangeLogLines {
+	if o.changesInLogWindow++; o.changesInLogWindow > maxChangeLogLines {
 		return
 	}
 	was := c.From.String()
@@ -139,12 +141,12 @@
 }
 
 // logNameConflict logs another process that uses this daemon's name, once for each.
-func (o *owner) logNameConflict() {
+func (o *eventLoop) logNameConflict() {
 	other, answers, yields := o.node.NameConflict()
-	if !answers || other == o.reportedConflict {
+	if !answers || other == o.loggedConflict {
 		return
 	}
-	o.reportedConflict = other
+	o.loggedConflict = other
 	log := o.transport.options.Load().Log.With("address", other.Addr)
 	if yields {
 		log.Error("an elder daemon of this name is in the fleet: this one stays out of it until that one has gone")
@@ -154,7 +156,7 @@
 }
 
 // warnNoContact logs once that none of the addresses to join has answered.
-func (o *owner) warnNoContact(now time.Duration) {
+func (o *eventLoop) warnNoContact(now time.Duration) {
 	options := o.transport.options.Load()
 	if !o.hasWarnedNoContact && !o.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
 		o.hasWarnedNoContact = true
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -26,7 +26,7 @@
 	updateFieldName protowire.Number = iota + 1
 	updateFieldIP
 	updateFieldPort
-	updateFieldRunID
+	updateFieldGeneration
 	updateFieldState
 	updateFieldIncarnation
 	updateFieldSuspectedBy
@@ -35,7 +35,7 @@
 // The fields of a Message.
 const (
 	messageFieldFrom protowire.Number = iota + 1
-	messageFieldRunID
+	messageFieldGeneration
 	messageFieldKind
 	messageFieldBody
 )
@@ -50,7 +50,7 @@
 
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
-	b = appendFixed64(b, messageFieldRunID, m.RunID)
+	b = appendFixed64(b, messageFieldGeneration, m.RunID)
 	b = appendVarint(b, messageFieldKind, uint64(m.Kind))
 	return appendBytes(b, messageFieldBody, m.Body)
 }
@@ -62,7 +62,7 @@
 		switch f.id {
 		case messageFieldFrom:
 			m.From = string(f.bytes)
-		case messageFieldRunID:
+		case messageFieldGeneration:
 			m.RunID = f.number
 		case messageFieldKind:
 			m.Kind = byte(f.number)
@@ -108,7 +108,7 @@
 		update = appendBytes(update, updateFieldIP, ip[:])
 	}
 	update = appendVarint(update, updateFieldPort, uint64(u.Addr.Port()))
-	update = appendFixed64(update, updateFieldRunID, u.Generation)
+	update = appendFixed64(update, updateFieldGeneration, u.Generation)
 	if u.State != swim.Alive {
 		update = appendVarint(update, updateFieldState, uint64(u.State))
 	}
@@ -173,7 +173,7 @@
 			ip, ok = netip.AddrFromSlice(f.bytes)
 		case updateFieldPort:
 			port, ok = f.number, f.number < 1<<16
-		case updateFieldRunID:
+		case updateFieldGeneration:
 			u.Generation = f.number
 		case updateFieldState:
 			u.State = swim.State(f.number)
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -23,7 +23,7 @@
 // swimOptions returns what the failure detector of this process is configured with.
 func (t *Transport) swimOptions(options *Options) swim.Options {
 	o := options.Timing
-	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Generation: t.runID}
-	o.Join, o.Voters, o.Seed = options.Join, options.Voters, t.runID
+	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Generation: t.generation}
+	o.Join, o.Voters, o.Seed = options.Join, options.Voters, t.generation
 	return o
 }
--- a/internal/cluster/transport/replay.go
+++ b/internal/cluster/transport/replay.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ { // the ring's bits are reused
-		w.clear(w.highest + 1)
+		w.clearBit(w.highest + 1)
 	}
 	if w.highest < sequence { // it is ahead by more than a window
 		*w = replayWindow{highest: sequence}
@@ -32,28 +32,28 @@
 	return isFirst
 }
 
-func (w *replayWindow) clear(sequence uint64) {
+func (w *replayWindow) clearBit(sequence uint64) {
 	w.seen[sequence/64%replayWindowWords] &^= 1 << (sequence % 64)
 }
 
-// maxTrackedRuns bounds each generation of a replayFilter. A full cluster in which each daemon was restarted fits.
-const maxTrackedRuns = 2 * swim.MaxMembers
+// maxTrackedProcesses bounds each generation of a replayFilter. A full cluster in which each daemon was restarted fits.
+const maxTrackedProcesses = 2 * swim.MaxMembers
 
 // replayFilter has the replay windows of all senders by run ID. They are kept in two generations, of which the older one
 // is discarded when the younger is full, so that memory is bounded.
 type replayFilter struct{ current, previous map[uint64]*replayWindow }
 
 // accept reports whether a packet is received for the first time, as far back as its sender's window reaches.
-func (f *replayFilter) accept(runID, sequence uint64) bool {
-	w := f.current[runID]
+func (f *replayFilter) accept(generation, sequence uint64) bool {
+	w := f.current[generation]
 	if w == nil {
-		if w = f.previous[runID]; w == nil {
+		if w = f.previous[generation]; w == nil {
 			w = &replayWindow{}
 		}
-		if len(f.current) >= maxTrackedRuns || f.current == nil {
+		if len(f.current) >= maxTrackedProcesses || f.current == nil {
 			f.current, f.previous = map[uint64]*replayWindow{}, f.current
 		}
-		f.current[runID] = w
+		f.current[generation] = w
 	}
 	return w.accept(sequence)
 }
--- a/internal/cluster/transport/replay_test.go
+++ b/internal/cluster/transport/replay_test.go
@@ -22,10 +22,10 @@
 	if f.accept(1, overtaken) {
 		t.Error("a packet that others overtook is accepted twice")
 	}
-	for runID := uint64(2); runID < 3*maxTrackedRuns; runID++ {
-		f.accept(runID, 1)
+	for generation := uint64(2); generation < 3*maxTrackedProcesses; generation++ {
+		f.accept(generation, 1)
 	}
-	if n := len(f.current) + len(f.previous); n > 2*maxTrackedRuns {
+	if n := len(f.current) + len(f.previous); n > 2*maxTrackedProcesses {
 		t.Errorf("%d runs are tracked", n)
 	}
 }
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -32,8 +32,8 @@
 	inboxCapacity = 512
 	// messageQueueCapacity is how many messages may wait in Messages.
 	messageQueueCapacity = 256
-	// leaveSpreadTime is for how long Close keeps running after it has announced the departure, so that it spreads.
-	leaveSpreadTime = 300 * time.Millisecond
+	// leaveGossipTime is for how long Close keeps running after it has announced the departure, so that it spreads.
+	leaveGossipTime = 300 * time.Millisecond
 	// receiveBufferBytes is the size of the UDP socket's buffer. It holds what arrives while the process is stopped for a
 	// moment.
 	receiveBufferBytes = 1 << 20
@@ -44,18 +44,18 @@
 	options     atomic.Pointer[Options]
 	udpConn     *net.UDPConn
 	tcpListener *net.TCPListener
-	runID       uint64    // of this process; see newRunID
-	startedAt   time.Time // origin of the failure detector's clock
+	generation  uint64    // of this process; see newRunID
+	clockStart  time.Time // origin of the failure detector's clock
 
 	ctx        context.Context // ends with Abort
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	inbox      chan *swim.Message // from the readers to the owner
-	ownerCalls chan func(now time.Duration, node *swim.Node)
-	messages   chan Message // for the users of Messages
-	view       atomic.Pointer[swim.View]
-	changed    chan struct{}
+	inbox          chan *swim.Message // from the readers to the owner
+	eventLoopCalls chan func(now time.Duration, node *swim.Node)
+	messages       chan Message // for the users of Messages
+	view           atomic.Pointer[swim.View]
+	changed        chan struct{}
 
 	sequence        atomic.Uint64 // of the latest packet that was signed
 	outboundStreams chan struct{} // holds a value for each stream being sent
@@ -90,10 +90,10 @@
 	t := &Transport{
 		udpConn:         udpConn,
 		tcpListener:     tcpListener,
-		runID:           newRunID(),
-		startedAt:       time.Now(),
+		generation:      newGeneration(),
+		clockStart:      time.Now(),
 		inbox:           make(chan *swim.Message, inboxCapacity),
-		ownerCalls:      make(chan func(time.Duration, *swim.Node)),
+		eventLoopCalls:  make(chan func(time.Duration, *swim.Node)),
 		messages:        make(chan Message, messageQueueCapacity),
 		changed:         make(chan struct{}, 1),
 		outboundStreams: make(chan struct{}, maxStreams),
@@ -104,13 +104,13 @@
 	t.publish(node)
 	t.goroutines.Go(t.readDatagrams)
 	t.goroutines.Go(t.acceptStreams)
-	t.goroutines.Go(func() { t.runOwner(node) })
+	t.goroutines.Go(func() { t.runEventLoop(node) })
 	return t, nil
 }
 
-// newRunID returns the identifier of this run of the daemon. A process that is started later has a greater one, as far as
+// newGeneration returns the identifier of this run of the daemon. A process that is started later has a greater one, as far as
 // the clocks of the machines agree; the random part distinguishes processes that start in the same millisecond.
-func newRunID() uint64 {
+func newGeneration() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never returns an error
 	return uint64(time.Now().UnixMilli())<<16 | uint64(binary.LittleEndian.Uint16(b[:]))
@@ -130,14 +130,14 @@
 	next := *t.options.Load()
 	next.Keys, next.Join, next.Voters, next.Timing = options.Keys, options.Join, options.Voters, options.Timing
 	t.options.Store(&next)
-	t.callOwner(func(now time.Duration, node *swim.Node) { node.Reconfigure(now, t.swimOptions(&next)) })
+	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Reconfigure(now, t.swimOptions(&next)) })
 }
 
 // Close announces to the cluster that this daemon leaves, and then does what Abort does. It takes leaveSpreadTime.
 func (t *Transport) Close() error {
-	t.callOwner(func(now time.Duration, node *swim.Node) { node.Leave(now) })
+	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Leave(now) })
 	select {
-	case <-time.After(leaveSpreadTime):
+	case <-time.After(leaveGossipTime):
 	case <-t.ctx.Done():
 	}
 	return t.Abort()
