--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// indirectProbeFanout is the number of members that are asked to probe a target that has not responded.
+	// indirectProbeFanout is the number of members that are requested to probe a target that has not responded.
 	indirectProbeFanout = 3
 
-	// maxIndirectProbes bounds the indirect probes that this node carries out for others at once.
+	// maxIndirectProbes is the maximum number of probes on behalf of other members that this node has in flight at once.
 	maxIndirectProbes = 256
 )
 
-// indirectProbe is a probe that this node carries out for another member.
+// indirectProbe is a probe in flight that this node sent on behalf of another member.
 type indirectProbe struct {
-	requesterAddr netip.AddrPort
-	requesterSeq  uint64 // sequence number of the PingReq
-	targetName    string // name of the member that is probed
-	nackAt        time.Duration
+	requesterAddr netip.AddrPort // address of the member that sent the PingReq
+	requesterSeq  uint64         // sequence number of the PingReq
+	targetName    string         // name of the member that is probed
+	nackAt        time.Duration  // instant at which the requester gets a Nack if the target has not responded
 }
 
-// sendIndirectProbes asks other members to probe a target that has not responded in time. The one that reached the target
-// last is among them.
+// sendIndirectProbes requests other members to probe a target that has not responded in time. The member whose indirect
+// probe of this target succeeded last is among them.
 func (n *Node) sendIndirectProbes(seq uint64, p *probe) {
 	p.hasSentIndirect = true
-	helpers := n.randomPresent(indirectProbeFanout, p.target)
+	probers := n.randomPresent(indirectProbeFanout, p.target)
 	last := p.target.lastIndirectProber
-	if last != nil && last.State.IsPresent() && last != p.target && len(helpers) > 0 && !slices.Contains(helpers, last) {
-		helpers[0] = last
+	if last != nil && last.State.IsPresent() && last != p.target && len(probers) > 0 && !slices.Contains(probers, last) {
+		probers[0] = last
 	}
-	for _, m := range helpers {
+	for _, m := range probers {
 		p.expectedNacks++
 		n.send(m.Addr, &Message{Kind: PingReq, Seq: seq, Target: p.target.Peer})
 	}
 }
 
-// receivePingReq probes a target for the sender.
+// receivePingReq probes the target of a PingReq on behalf of the sender.
 func (n *Node) receivePingReq(now time.Duration, m *Message) {
 	if m.Target.Name == "" || !m.Target.Addr.IsValid() || len(n.indirectProbes) >= maxIndirectProbes {
 		return
@@ -51,7 +51,7 @@
 }
 
 // sendNacks responds to the PingReqs whose targets have not responded in time. A Nack shows the requester that its own
-// network works (Lifeguard, section IV-A).
+// network connection works (Lifeguard, section IV-A).
 func (n *Node) sendNacks(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) { // sorted, so that a seed determines the run
 		if p := n.indirectProbes[seq]; now >= p.nackAt {
--- a/internal/cluster/swim/localhealth.go
+++ b/internal/cluster/swim/localhealth.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// maxHealthScore is the worst score of local health. A maximum of 8 gave no fewer false verdicts, and a last survivor
-// that took 13 s to find out about the others.
+// maxHealthScore is the worst local health score. With a maximum of 8 there were no fewer false failure detections, and
+// the last remaining member of a cluster took 13 s to detect the failure of the others.
 const maxHealthScore = 4
 
-// HealthScore returns the node's score of its own health (Lifeguard's local health multiplier): 0 is healthy, and each
-// step lengthens the timeouts of probes by their base value.
+// HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy, and each
+// increment lengthens the timeouts of probes by their base value.
 func (n *Node) HealthScore() int { return n.healthScore }
 
-// adjustHealthScore adds evidence that this node is slow, or, below 0, that it is not.
-func (n *Node) adjustHealthScore(by int) {
+// adjustHealthScore changes the health score by delta, which is positive if there is evidence that this node is slow.
+func (n *Node) adjustHealthScore(delta int) {
 	if !n.options.DisableLocalHealth {
-		n.healthScore = max(0, min(n.healthScore+by, maxHealthScore))
+		n.healthScore = max(0, min(n.healthScore+delta, maxHealthScore))
 	}
 }
 
-// scaleByHealthScore returns a timeout lengthened by the local health multiplier.
+// scaleByHealthScore returns a timeout multiplied by the health score plus one.
 func (n *Node) scaleByHealthScore(d time.Duration) time.Duration {
 	return d * time.Duration(n.healthScore+1)
 }
 
-// detectPause notices that the process did not run when Tick was due. What it did not receive meanwhile is no evidence
-// against other members: probes are abandoned, and suspicions last longer by the pause.
+// detectPause detects that the process did not run when Tick was due. Responses missed during such a pause are not
+// evidence against other members: probes in flight are discarded, and suspicion timeouts are extended by the pause.
 func (n *Node) detectPause(now time.Duration) {
-	late := now - n.expectedTick
-	if late <= n.options.ProbeTimeout || n.options.DisableLocalHealth {
+	pause := now - n.expectedTick
+	if pause <= n.options.ProbeTimeout || n.options.DisableLocalHealth {
 		return
 	}
 	n.expectedTick = now
@@ -36,9 +36,9 @@
 		n.nextProbe = now
 	}
 	for _, m := range n.suspects {
-		m.suspicion.start += late
+		m.suspicion.start += pause
 	}
 	if n.nextSuspicionEnd != noDeadline {
-		n.nextSuspicionEnd += late
+		n.nextSuspicionEnd += pause
 	}
 }
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// MaxMembers bounds the membership table, this node included.
+	// MaxMembers is the maximum number of members that a node knows, itself included.
 	MaxMembers = 10_000
 
-	// reapAfter is the time for which a member that failed or left is remembered.
+	// reapAfter is the time after which a member that failed or left is removed from the membership table.
 	reapAfter = 10 * time.Minute
 )
 
-// member is an entry of the membership table.
+// member is an entry of the membership table: the latest update about another member, and what this node keeps about it.
 type member struct {
 	Update
-	stateSince         time.Duration // instant at which this node took up the state
-	index              int           // in Node.present while it is present, in Node.failed while it is failed
-	suspicion          *suspicion    // while it is suspect
-	lastIndirectProber *member       // who reached it last when this node could not; nil: nobody
+	stateSince         time.Duration // instant at which this node learned that the member had entered its state
+	index              int           // the member's index in Node.present or Node.failed, while it is in one of them
+	suspicion          *suspicion    // pending suspicion of the member; nil unless its state is Suspect
+	lastIndirectProber *member       // member whose indirect probe of this one succeeded last; nil: none did
 }
 
 // PresentCount returns the number of other members that are present, suspects included.
@@ -28,13 +28,14 @@
 // SuspectCount returns the number of members that are suspect.
 func (n *Node) SuspectCount() int { return len(n.suspects) }
 
-// Digest returns a number that is the same for all nodes that hold the same processes for present, in the same
-// incarnations.
+// Digest returns a hash of the present members' names, generations and incarnations, this node included. Nodes that know
+// the same present members have the same digest.
 func (n *Node) Digest() uint64 { return n.digest }
 
-// applyUpdate takes up a statement about a member. In an exchange of full states, isExchange, a failure is old and perhaps
-// from the other side of a partition: the member becomes suspect instead, so that it can refute.
-func (n *Node) applyUpdate(now time.Duration, u Update, isExchange bool) {
+// applyUpdate applies an update about a member, if it overrides what this node knows. isFullState says that the update
+// comes from a full state exchange. A failure in it may be old or from the other side of a partition; therefore the member
+// becomes suspect instead of failed, so that it can refute the suspicion.
+func (n *Node) applyUpdate(now time.Duration, u Update, isFullState bool) {
 	if u.Name == n.self.Name {
 		n.applyUpdateAboutSelf(now, u)
 		return
@@ -50,7 +51,7 @@
 		n.confirmSuspicion(m, u)
 		return
 	}
-	if isExchange && u.State == Failed && m.State.IsPresent() {
+	if isFullState && u.State == Failed && m.State.IsPresent() {
 		u.State, u.By = Suspect, n.self.Name
 	}
 	if !u.overrides(&m.Update) {
@@ -63,7 +64,7 @@
 	n.changeState(now, m, u)
 }
 
-// addMember adds a member that was not known: as alive, and then as suspect where the update says so.
+// addMember adds a member that was unknown. The member is alive first, and then becomes suspect if the update says so.
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
 	alive.State, alive.By = Alive, ""
@@ -79,30 +80,30 @@
 	}
 }
 
-// changeState replaces what is held of a member by an update that overrides it, and gossips that.
+// changeState replaces the latest update about a member by one that overrides it, and gossips the new one.
 func (n *Node) changeState(now time.Duration, m *member, u Update) {
-	was := m.Update
+	previous := m.Update
 	m.suspicion = nil
 	delete(n.suspects, m.Name)
-	if was.State.IsPresent() {
+	if previous.State.IsPresent() {
 		n.uncountPresent(m)
 	}
-	if u.State != was.State || u.Generation != was.Generation {
+	if u.State != previous.State || u.Generation != previous.Generation {
 		m.stateSince = now
 	}
 	m.Update = u
 	if u.State.IsPresent() {
 		n.countPresent(m)
 	}
-	n.moveBetweenLists(m, was.State)
-	if u.State != was.State {
-		n.recordChange(Change{Name: u.Name, Addr: u.Addr, From: was.State, To: u.State, Incarnation: u.Incarnation})
+	n.moveBetweenLists(m, previous.State)
+	if u.State != previous.State {
+		n.recordChange(Change{Name: u.Name, Addr: u.Addr, From: previous.State, To: u.State, Incarnation: u.Incarnation})
 	}
 	n.viewNumber++
 	n.broadcasts.enqueue(u)
 }
 
-// reap drops members that failed or left long ago.
+// reap removes the members that failed or left at least reapAfter ago.
 func (n *Node) reap(now time.Duration) {
 	for name, m := range n.members {
 		if m.State.IsPresent() || now-m.stateSince < reapAfter {
@@ -116,13 +117,13 @@
 	}
 }
 
-// countPresent adds a present member to the digest and its address to those in use.
+// countPresent adds a present member to the digest and to presentAddrs.
 func (n *Node) countPresent(m *member) {
 	n.digest ^= m.digest()
 	n.presentAddrs[m.Addr]++
 }
 
-// uncountPresent undoes countPresent. The member's update must be the same as then.
+// uncountPresent undoes countPresent. The member's update must not have changed since countPresent.
 func (n *Node) uncountPresent(m *member) {
 	n.digest ^= m.digest()
 	if n.presentAddrs[m.Addr]--; n.presentAddrs[m.Addr] == 0 {
@@ -130,14 +131,14 @@
 	}
 }
 
-// moveBetweenLists moves a member whose state was another to the list of its state now.
-func (n *Node) moveBetweenLists(m *member, was State) {
+// moveBetweenLists moves a member from the list of its previous state to the list of its current state.
+func (n *Node) moveBetweenLists(m *member, previous State) {
 	switch {
-	case was.IsPresent() && m.State.IsPresent():
+	case previous.IsPresent() && m.State.IsPresent():
 		return
-	case was.IsPresent():
+	case previous.IsPresent():
 		n.removePresent(m)
-	case was == Failed:
+	case previous == Failed:
 		n.failed = removeMember(n.failed, m)
 	}
 	switch {
@@ -149,15 +150,16 @@
 	}
 }
 
-// insertPresent puts a member at a random place in the rest of the probe round.
+// insertPresent adds a member to the present ones, at a random position in the rest of the current probe round.
 func (n *Node) insertPresent(m *member) {
 	m.index = len(n.present)
 	n.present = append(n.present, m)
-	from := min(n.probeIndex, m.index)
-	swapMembers(n.present, from+n.rng.IntN(len(n.present)-from), m.index)
+	first := min(n.probeIndex, m.index)
+	swapMembers(n.present, first+n.rng.IntN(len(n.present)-first), m.index)
 }
 
-// removePresent undoes insertPresent. Members that were probed in this round stay before probeIndex.
+// removePresent removes a member from the present ones. Members that were already probed in this round stay before
+// probeIndex.
 func (n *Node) removePresent(m *member) {
 	if m.index < n.probeIndex {
 		n.probeIndex--
@@ -166,18 +168,18 @@
 	n.present = removeMember(n.present, m)
 }
 
-// randomPresent returns up to count distinct present members at random, without excluded.
+// randomPresent returns up to count distinct random present members other than excluded.
 func (n *Node) randomPresent(count int, excluded *member) []*member {
-	out := make([]*member, 0, count)
-	for attempts := 0; len(out) < count && attempts < 4*count && len(n.present) > 0; attempts++ {
-		if m := n.present[n.rng.IntN(len(n.present))]; m != excluded && !slices.Contains(out, m) {
-			out = append(out, m)
+	chosen := make([]*member, 0, count)
+	for draws := 0; len(chosen) < count && draws < 4*count && len(n.present) > 0; draws++ {
+		if m := n.present[n.rng.IntN(len(n.present))]; m != excluded && !slices.Contains(chosen, m) {
+			chosen = append(chosen, m)
 		}
 	}
-	return out
+	return chosen
 }
 
-// removeMember removes a member from the list in which its place is m.index. The last member takes its place.
+// removeMember removes the member at m.index from a list, and moves the last member of the list to that position.
 func removeMember(list []*member, m *member) []*member {
 	last := len(list) - 1
 	swapMembers(list, m.index, last)
@@ -185,7 +187,7 @@
 	return list[:last]
 }
 
-// swapMembers swaps two members of a list and keeps their indices right.
+// swapMembers swaps two members of a list and updates their index fields.
 func swapMembers(list []*member, i, j int) {
 	list[i], list[j] = list[j], list[i]
 	list[i].index, list[j].index = i, j
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -3,13 +3,13 @@
 import "net/netip"
 
 const (
-	// MaxPiggyback is the number of updates that are piggybacked on one message.
+	// MaxPiggyback is the maximum number of updates piggybacked on one message.
 	MaxPiggyback = 24
 
-	// maxPiggybackBytes bounds the piggybacked updates, so that a message stays within a datagram of 1,200 bytes.
+	// maxPiggybackBytes bounds the encoded size of the piggybacked updates, so that a message fits a datagram of 1,200 bytes.
 	maxPiggybackBytes = 800
 
-	// updateOverheadBytes bounds an encoded update without its names: numbers, address and their tags.
+	// updateOverheadBytes bounds the encoded size of an update without its names: numbers, address and field tags.
 	updateOverheadBytes = 60
 )
 
@@ -18,31 +18,31 @@
 
 // The kinds of messages.
 const (
-	Ping      Kind = iota + 1 // a probe of Target, or of whoever is at the address where Target has no name
-	PingReq                   // a request to probe Target for the sender
-	Ack                       // the response to a Ping, or to a PingReq once Target has responded
-	Nack                      // the response to a PingReq while Target has not responded
-	Gossip                    // updates alone; no response is expected
-	Sync                      // the sender's full state; a SyncReply is expected
-	SyncReply                 // the sender's full state
-	kindEnd
+	Ping      Kind = iota + 1 // probes Target, or whichever node has the destination address if Target has no name
+	PingReq                   // asks the receiver to probe Target on behalf of the sender
+	Ack                       // response to a Ping, or to a PingReq after Target has responded
+	Nack                      // response to a PingReq if Target did not respond in time
+	Gossip                    // contains only updates; no response is expected
+	Sync                      // contains the sender's full state; a SyncReply is expected
+	SyncReply                 // contains the sender's full state, in response to a Sync
+	kindEnd                   // one more than the last kind
 )
 
-// Valid reports whether k is one of the kinds.
+// Valid reports whether k is one of the declared kinds.
 func (k Kind) Valid() bool { return k >= Ping && k < kindEnd }
 
 // Message is what nodes send to one another.
 type Message struct {
-	Kind    Kind
-	From    Update   // the sender as it sees itself
-	Seq     uint64   // sequence number of a Ping or PingReq, repeated in the responses to it
-	Target  Peer     // of a Ping, a PingReq and the Ack of an indirect probe
+	Kind    Kind     // purpose of the message
+	From    Update   // the sender's assertion about itself
+	Seq     uint64   // sequence number of a Ping or PingReq, which the responses repeat
+	Target  Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
 	Digest  uint64   // the sender's Node.Digest
-	Quiet   bool     // the sender has no updates left to gossip
-	Updates []Update // MaxPiggyback at most, unless in a Sync or SyncReply
+	Quiet   bool     // whether the sender has no updates left to gossip
+	Updates []Update // gossiped updates, at most MaxPiggyback; the sender's full state in a Sync or SyncReply
 }
 
-// isValid reports whether a message can be acted on.
+// isValid reports whether a message's fields are within their bounds.
 func (m *Message) isValid() bool {
 	if !m.Kind.Valid() || !m.From.isValid() || m.From.Name == "" {
 		return false
@@ -57,7 +57,7 @@
 
 // Envelope is a message to be sent, with its destination.
 type Envelope struct {
-	To      netip.AddrPort
-	Stream  bool // the message may be too long for a datagram
-	Message *Message
+	To      netip.AddrPort // address of the receiver
+	Stream  bool           // whether the message may be too long for a datagram
+	Message *Message       // message to send
 }
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// conflictProbeAttempts is the number of probes that another process with this node's name leaves without a response
-// before this node takes the name.
+// conflictProbeAttempts is the number of probes without a response after which another process with this node's name
+// counts as ended, so that this node takes over the name.
 const conflictProbeAttempts = 3
 
-// nameConflict is another process with this node's name: one that has ended, an elder to which this node yields, or a
-// younger that will yield.
+// nameConflict is another process with this node's name. It has ended, or it is older and this node yields to it, or it is
+// younger and will yield to this node. A node that yields only responds to messages, and sends no updates and no probes of
+// members.
 type nameConflict struct {
 	Peer
-	lastSeq          uint64 // sequence number of the latest probe
-	unansweredProbes int
-	nextProbe        time.Duration
-	incarnation      uint64 // the highest one received
-	hasAnswered      bool
-	isYielding       bool // the other is the elder and responds: this node sends nothing of its own
+	lastSeq          uint64        // sequence number of the latest probe of the other process
+	unansweredProbes int           // number of probes since the other process last responded
+	nextProbe        time.Duration // instant of the next probe of the other process
+	incarnation      uint64        // highest incarnation of the other process that was received
+	hasAnswered      bool          // whether the other process has responded to a probe
+	isYielding       bool          // whether this node yields, because the other process is older and responds
 }
 
-// NameConflict returns another process with this node's name, whether it has responded, and whether this node yields
-// to it. Without a conflict it returns zero values.
+// NameConflict returns another process with this node's name, whether it has responded, and whether this node yields to
+// it. Without a conflict it returns zero values.
 func (n *Node) NameConflict() (other Peer, answers, yields bool) {
 	if n.conflict == nil {
 		return Peer{}, false, false
@@ -27,22 +28,23 @@
 	return n.conflict.Peer, n.conflict.hasAnswered, n.conflict.isYielding
 }
 
-// isYielding reports whether the node sends nothing of its own because it yields to an elder process with its name.
+// isYielding reports whether this node yields to an older process with its name: it only responds, and sends no updates.
 func (n *Node) isYielding() bool { return n.conflict != nil && n.conflict.isYielding }
 
-// applyUpdateAboutSelf takes up what others state about this node, which alone may raise its incarnation.
+// applyUpdateAboutSelf handles an update about this node's name: it refutes one about this process or about an earlier
+// process that has ended, and records another process that uses the name.
 func (n *Node) applyUpdateAboutSelf(now time.Duration, u Update) {
 	c := n.conflict
 	if n.isYielding() && u.Generation == c.Generation {
 		c.incarnation = max(c.incarnation, u.Incarnation)
-		if u.State == Left { // the elder gave up the name
+		if u.State == Left { // the older process has given up the name
 			c.unansweredProbes, c.nextProbe = conflictProbeAttempts, now
 		}
 		return
 	}
 	isThisProcess := u.Generation == n.self.Generation
 	switch {
-	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // about this process, or one that has ended
+	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // about this process, or about an earlier one that has ended
 		isKnown := isThisProcess && u.State == n.self.State && u.Incarnation == n.self.Incarnation
 		if u.Incarnation < n.self.Incarnation || isKnown || n.hasLeft || n.isYielding() {
 			return
@@ -58,16 +60,16 @@
 	}
 }
 
-// refute overrides what others hold of this node by an incarnation above theirs.
-func (n *Node) refute(theirs uint64) {
+// refute overrides the updates of others about this node, up to an incarnation, by a higher incarnation.
+func (n *Node) refute(incarnation uint64) {
 	n.digest ^= n.self.digest()
-	n.self.Incarnation = max(n.self.Incarnation, theirs) + 1
+	n.self.Incarnation = max(n.self.Incarnation, incarnation) + 1
 	n.digest ^= n.self.digest()
 	n.viewNumber++
 	n.broadcasts.enqueue(n.self)
 }
 
-// tickNameConflict probes the other process with this node's name, and takes the name when it is gone.
+// tickNameConflict probes the other process with this node's name, and takes over the name when that process is gone.
 func (n *Node) tickNameConflict(now time.Duration) {
 	c := n.conflict
 	if c == nil || now < c.nextProbe {
@@ -86,8 +88,8 @@
 	n.send(c.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: c.Peer})
 }
 
-// receiveConflictAck handles the response of the other process with this node's name. The younger of the two yields for as
-// long as the elder responds; the elder makes its own updates override the other's.
+// receiveConflictAck handles the response of the other process with this node's name. The younger process yields for as
+// long as the older one responds. The older process makes its own updates override those of the younger one.
 func (n *Node) receiveConflictAck(now time.Duration) {
 	c := n.conflict
 	c.unansweredProbes = 0
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// noDeadline is later than every instant.
+// noDeadline is an instant later than all others: it stands for an event that is not scheduled.
 const noDeadline = time.Duration(math.MaxInt64)
 
-// Node is one daemon's failure detector. The instants that a caller passes in never go back. A Node is not safe for
-// concurrent use.
+// Node is the failure detector of one daemon. The instants that a caller passes to its methods must never decrease. A Node
+// is not safe for concurrent use.
 type Node struct {
 	options      Options
 	rng          *rand.Rand
 	self         Update
 	startedAt    time.Duration
-	hasLeft      bool          // Leave was called
-	hasContact   bool          // a message of another node has been received since the start
-	expectedTick time.Duration // what NextTick returned last
+	hasLeft      bool          // whether Leave was called
+	hasContact   bool          // whether a message of another node has been received since the start
+	expectedTick time.Duration // latest result of NextTick
 
 	// The membership table: see membership.go.
 	members      map[string]*member     // all other members by name
-	present      []*member              // those that are present, in the shuffled order of the probe round
-	failed       []*member              // those that have failed
-	suspects     map[string]*member     // those that are suspect, by name
-	presentAddrs map[netip.AddrPort]int // how many present members have an address
-	digest       uint64                 // of all present members and this node
-	nextReap     time.Duration
+	present      []*member              // other members that are present, in the shuffled order of the probe round
+	failed       []*member              // members that have failed
+	suspects     map[string]*member     // suspect members by name
+	presentAddrs map[netip.AddrPort]int // number of present members by address
+	digest       uint64                 // digest of all present members and this node; see Digest
+	nextReap     time.Duration          // instant of the next call of reap
 
 	// Probing: see probe.go and indirectprobe.go.
-	lastSeq        uint64            // the latest sequence number of a Ping
-	probes         map[uint64]*probe // by sequence number; see startProbe for their bound
-	indirectProbes map[uint64]*indirectProbe
-	probeIndex     int       // next place in present to be probed
-	urgentTargets  []*member // suspects of other members that are probed next; maxLocalHealth at most
-	healthScore    int       // 0: healthy; up to maxLocalHealth
-	nextProbe      time.Duration
+	lastSeq        uint64                    // sequence number of the latest Ping that this node sent
+	probes         map[uint64]*probe         // probes without a response, by sequence number; at most maxHealthScore+1
+	indirectProbes map[uint64]*indirectProbe // probes on behalf of other members, by sequence number; at most maxIndirectProbes
+	probeIndex     int                       // index in present of the member to probe next
+	urgentTargets  []*member                 // members that others suspect and that this node probes next; at most maxHealthScore
+	healthScore    int                       // local health of this node: 0 is healthy, maxHealthScore is worst
+	nextProbe      time.Duration             // instant at which the next probe starts
 
-	nextSuspicionEnd time.Duration // no suspicion ends before; noDeadline: there is none
+	nextSuspicionEnd time.Duration // lower bound of the deadlines of all suspicions; noDeadline: no member is suspect
 
 	// Gossip and full state exchange: see gossip.go and sync.go.
-	broadcasts broadcastQueue
-	nextGossip time.Duration
-	nextRejoin time.Duration
-	lastSync   time.Duration // instant at which this node last began an exchange; 0: never
-	outbox     []Envelope
+	broadcasts broadcastQueue // updates to be gossiped
+	nextGossip time.Duration  // earliest instant of the next round of gossip
+	nextRejoin time.Duration  // instant of the next call of rejoin
+	lastSync   time.Duration  // instant at which this node last started a full state exchange; 0: never
+	outbox     []Envelope     // messages to be sent, which TakeMessages returns
 
-	conflict *nameConflict // another process with this node's name; nil: none
+	conflict *nameConflict // another process with this node's name; nil: none is known
 
 	// The view: see view.go.
-	connectivity         Connectivity
-	improvedSince        time.Duration // instant since which a better connectivity has lasted; negative: it does not
-	improvedConnectivity Connectivity  // the lowest one since improvedSince
-	viewNumber           uint64
-	changes              []Change
+	connectivity         Connectivity  // connectivity that View reports
+	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
+	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
+	viewNumber           uint64        // Number of the current View
+	changes              []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
 }
 
-// New returns a Node that starts at now. It contacts the addresses in Options.Join with its first Tick.
+// New returns a Node that starts at the instant now. Its first Tick pings one of the addresses in Options.Join.
 func New(now time.Duration, o Options) *Node {
 	o.setDefaults()
 	n := &Node{
@@ -81,7 +81,7 @@
 	}
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
-	n.lastSeq = n.rng.Uint64() >> 16 // so that a response to an earlier process does not count for this one
+	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to an earlier process is not taken for a response to this one
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
 	for _, u := range o.InitialMembers {
@@ -89,7 +89,7 @@
 			n.addMember(now, u)
 		}
 	}
-	if len(o.InitialMembers) > 0 { // the known members need no gossip of one another, and have this node already
+	if len(o.InitialMembers) > 0 { // the initial members already know one another and this node
 		n.broadcasts.reset()
 		n.changes, n.options.InitialMembers = nil, nil
 	}
@@ -97,7 +97,7 @@
 	return n
 }
 
-// NextTick returns the instant at which Tick is due, if no message is received before.
+// NextTick returns the instant at which Tick must be called if no message is received before.
 func (n *Node) NextTick() time.Duration {
 	next := min(n.nextProbe, n.nextRejoin, n.nextReap, n.nextSuspicionEnd)
 	if n.canGossip() {
@@ -122,7 +122,7 @@
 	return next
 }
 
-// Tick does what is due at now.
+// Tick runs all timers that have expired at the instant now.
 func (n *Node) Tick(now time.Duration) {
 	n.detectPause(now)
 	n.sendNacks(now)
@@ -144,23 +144,23 @@
 	n.updateConnectivity(now)
 }
 
-// Receive takes in a message. The caller has verified that it was sent by a member of this cluster. A message that is not
-// valid is ignored.
+// Receive handles a message. The caller must have verified that a daemon of this cluster sent it. An invalid message is
+// ignored.
 func (n *Node) Receive(now time.Duration, m *Message) {
 	n.detectPause(now)
 	if !m.isValid() {
 		return
 	}
 	if m.From.Name == n.self.Name && m.From.Generation == n.self.Generation {
-		return // this node's own message, reflected
+		return // this process sent the message itself
 	}
 	n.hasContact = true
 	sender := n.members[m.From.Name]
-	wasAbsent := sender == nil || !sender.State.IsPresent()
+	senderWasAbsent := sender == nil || !sender.State.IsPresent()
 	n.applyUpdate(now, m.From, false)
-	isExchange := m.Kind == Sync || m.Kind == SyncReply
+	isFullState := m.Kind == Sync || m.Kind == SyncReply
 	for _, u := range m.Updates {
-		n.applyUpdate(now, u, isExchange)
+		n.applyUpdate(now, u, isFullState)
 	}
 	switch m.Kind {
 	case Ping:
@@ -169,7 +169,7 @@
 		n.receivePingReq(now, m)
 	case Ack:
 		n.receiveAck(now, m)
-		n.syncIfViewsDiffer(now, m, wasAbsent)
+		n.syncIfViewsDiffer(now, m, senderWasAbsent)
 	case Nack:
 		if p := n.probes[m.Seq]; p != nil {
 			p.receivedNacks = min(p.receivedNacks+1, p.expectedNacks)
@@ -180,18 +180,18 @@
 	n.updateConnectivity(now)
 }
 
-// TakeMessages returns the messages to be sent, and forgets them.
+// TakeMessages returns the messages to be sent and removes them from the Node.
 func (n *Node) TakeMessages() []Envelope {
-	out := n.outbox
+	messages := n.outbox
 	n.outbox = nil
-	return out
+	return messages
 }
 
-// HasContact reports whether a message of another member has been received since the start.
+// HasContact reports whether a message of another node has been received since the start.
 func (n *Node) HasContact() bool { return n.hasContact }
 
-// Leave announces that this node leaves the cluster. The caller should send what TakeMessages returns then. From now on
-// the node probes nobody, and only responds.
+// Leave announces that this node leaves the cluster. The caller should then send what TakeMessages returns. From now on
+// the node sends no probes and only responds to messages.
 func (n *Node) Leave(_ time.Duration) {
 	n.hasLeft = true
 	clear(n.probes)
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of the times in Options. docs/design/026-peers.md has the measurements behind them.
+// Defaults of the times in Options; docs/design/026-peers.md explains them.
 const (
 	DefaultProbeInterval    = 500 * time.Millisecond
 	DefaultProbeTimeout     = 200 * time.Millisecond
@@ -14,23 +14,23 @@
 
 // Options configure a Node. A time of 0 or less means its default.
 type Options struct {
-	Self           Peer             // this node; fixed for the life of the Node
-	Join           []netip.AddrPort // addresses at which a node looks for the cluster while nobody is known there
-	Voters         []string         // the members whose presence determines Connectivity; empty: all known members
-	InitialMembers []Update         // members that are known at the start, and that know this node
-	Seed           uint64           // of the random numbers; fixed for the life of the Node
+	Self           Peer             // identity of this node, which cannot be reconfigured
+	Join           []netip.AddrPort // addresses to which a node sends pings to join the cluster while no present member has the address
+	Voters         []string         // names of the members whose presence determines Connectivity; empty: all known members
+	InitialMembers []Update         // members that are known at the start, and that already know this node
+	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
 
 	ProbeInterval    time.Duration // interval between two probes
-	ProbeTimeout     time.Duration // time after which an unanswered probe becomes indirect; half of ProbeInterval at most
+	ProbeTimeout     time.Duration // time after which a probe without a response becomes indirect; at most half of ProbeInterval
 	SuspicionTimeout time.Duration // minimum suspicion timeout for up to ten members; it grows with the logarithm of their number
 
-	// Switches by which a measurement leaves parts of Lifeguard out. The daemon sets none of them.
-	DisableLocalHealth     bool // no local health multiplier: timeouts do not grow when this node is slow
-	DisableSuspicionShrink bool // suspicion has its minimum timeout from the start, and no other member verifies it at once
-	DisableBuddySystem     bool // probes do not carry the suspicion to the suspect itself
+	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
+	DisableLocalHealth     bool // turns off the local health multiplier: timeouts do not grow when this node is slow
+	DisableSuspicionShrink bool // suspicions have the minimum timeout from the start, and other members do not verify them at once
+	DisableBuddySystem     bool // a Ping to a suspect does not tell the suspect that it is suspected
 }
 
-// setDefaults replaces times that are not set, and keeps ProbeTimeout within its bound.
+// setDefaults replaces times that are not set by their defaults, and limits ProbeTimeout to half of ProbeInterval.
 func (o *Options) setDefaults() {
 	o.ProbeInterval = positiveOr(o.ProbeInterval, DefaultProbeInterval)
 	o.ProbeTimeout = positiveOr(o.ProbeTimeout, DefaultProbeTimeout)
@@ -38,7 +38,7 @@
 	o.ProbeTimeout = min(o.ProbeTimeout, o.ProbeInterval/2)
 }
 
-// positiveOr returns d, or fallback where d is not positive.
+// positiveOr returns d if it is positive, and fallback otherwise.
 func positiveOr(d, fallback time.Duration) time.Duration {
 	if d <= 0 {
 		return fallback
@@ -46,7 +46,7 @@
 	return d
 }
 
-// Reconfigure replaces the options from now on. Self and Seed stay as New got them.
+// Reconfigure replaces the options, except Self and Seed, which stay as they were passed to New.
 func (n *Node) Reconfigure(now time.Duration, o Options) {
 	o.Self, o.Seed = n.options.Self, n.options.Seed
 	o.setDefaults()
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -8,15 +8,16 @@
 
 // probe is a Ping of this node that has no response yet.
 type probe struct {
-	target          *member
-	indirectAt      time.Duration // instant at which other members are asked for indirect probes
-	hasSentIndirect bool
-	deadline        time.Duration // instant at which the probe has failed
-	expectedNacks   int           // members that were asked, each of which responds with a Nack at least
-	receivedNacks   int
+	target          *member       // member that is probed
+	indirectAt      time.Duration // instant at which other members are requested to probe the target
+	hasSentIndirect bool          // whether other members were requested to probe the target
+	deadline        time.Duration // instant at which the probe fails if there is no Ack
+	expectedNacks   int           // number of members that were requested to probe the target; each sends an Ack or a Nack
+	receivedNacks   int           // number of Nacks that were received, at most expectedNacks
 }
 
-// tickProbes ends the probes that are overdue, begins indirect ones, and probes the next member.
+// tickProbes handles probes whose deadline has passed, requests indirect probes for those whose indirectAt has passed, and
+// starts the next probe when it is due.
 func (n *Node) tickProbes(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.probes)) { // sorted, so that a seed determines the run
 		p := n.probes[seq]
@@ -28,13 +29,13 @@
 		}
 	}
 	if now >= n.nextProbe {
-		n.nextProbe = now + n.options.ProbeInterval // local health lengthens the timeouts, not the interval
+		n.nextProbe = now + n.options.ProbeInterval // the health score lengthens the timeouts, but not the interval
 		n.startProbe(now)
 	}
 }
 
-// startProbe sends a Ping to the next target. A member is probed again only when its response is overdue for good, so that
-// maxLocalHealth+1 probes are out at most.
+// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight: at the worst health
+// score a probe fails only after that many probe intervals.
 func (n *Node) startProbe(now time.Duration) {
 	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
@@ -52,7 +53,8 @@
 	n.send(target.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: target.Peer})
 }
 
-// nextProbeTarget returns an urgent target, or else the next member of the round, which is shuffled anew at its end.
+// nextProbeTarget returns an urgent target if there is one, and otherwise the next member of the round. After each round
+// the order is shuffled again.
 func (n *Node) nextProbeTarget() *member {
 	for len(n.urgentTargets) > 0 {
 		m := n.urgentTargets[0]
@@ -73,8 +75,8 @@
 	return m
 }
 
-// handleFailedProbe suspects the target of a probe without a response. Nacks that were expected and did not arrive are
-// evidence against this node's own health.
+// handleFailedProbe marks the target of a probe without a response as suspect. Nacks that were expected and did not arrive
+// are evidence that this node itself is slow or disconnected.
 func (n *Node) handleFailedProbe(now time.Duration, p *probe) {
 	if p.expectedNacks > 0 {
 		n.adjustHealthScore(p.expectedNacks - p.receivedNacks)
@@ -86,25 +88,25 @@
 	}
 	u := p.target.Update
 	u.State, u.By = Suspect, n.self.Name
-	n.applyUpdate(now, u, false) // confirms the suspicion where another member began it
+	n.applyUpdate(now, u, false) // confirms the suspicion if another member already suspects the target
 }
 
-// receivePing responds with an Ack, unless the Ping is for another member that had this address before.
+// receivePing responds with an Ack, unless the Ping is meant for another member that had this address before.
 func (n *Node) receivePing(m *Message) {
 	if m.Target.Name != "" && m.Target.Name != n.self.Name {
-		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From says which member is at this address now
+		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From field tells the sender which member has this address now
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
-	// A sender that is not held for alive has to learn of that before it can refute it.
+	// The sender must learn that this node believes it suspect, failed or left before it can refute that.
 	if sender := n.members[m.From.Name]; sender != nil && sender.State != Alive && !n.isYielding() {
 		ack.Updates = n.broadcasts.collect(n.retransmitLimit(), []Update{sender.Update})
 	}
 	n.send(m.From.Addr, ack)
 }
 
-// receiveAck ends what the Ack responds to: a probe of a process with this node's name, an indirect probe for another
-// member, or a probe of this node's own.
+// receiveAck completes the probe to which the Ack responds: one of another process with this node's name, an indirect one
+// on behalf of another member, or one of this node's own.
 func (n *Node) receiveAck(now time.Duration, m *Message) {
 	if c := n.conflict; c != nil && m.Seq == c.lastSeq && m.From.Generation == c.Generation {
 		n.receiveConflictAck(now)
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// maxSuspicionMultiplier is the maximum suspicion timeout, which holds without confirmations, in minimum ones.
+	// maxSuspicionMultiplier is the ratio of the maximum suspicion timeout, which applies while no other member has
+	// confirmed the suspicion, to the minimum one.
 	maxSuspicionMultiplier = 3
 
 	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the timeout to its minimum.
 	confirmationsForMinTimeout = 3
 
-	// expectedVerifiers is the mean number of members that at once probe a suspect of another member.
+	// expectedVerifiers is the mean number of members that probe a suspect at once when they learn of the suspicion.
 	expectedVerifiers = 6
 )
 
-// suspicion is the time that a suspect has to refute: long while one member alone suspects it, shorter with each member
-// that confirms (Lifeguard, section IV-B).
+// suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
+// member suspects it, and shrinks with each other member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
-	start                  time.Duration
-	minTimeout, maxTimeout time.Duration
-	neededConfirmations    int      // the number that brings the timeout to minTimeout
-	suspectors             []string // names of those who suspect; 1+expectedConfirmations at most
+	start                  time.Duration // instant at which the suspicion started, plus the length of pauses since then
+	minTimeout, maxTimeout time.Duration // timeouts with neededConfirmations and with no confirmations
+	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
+	suspectors             []string      // names of the members that suspect this one; at most 1+neededConfirmations
 }
 
 // confirm adds a member that suspects, and reports whether that shrinks the timeout.
-func (s *suspicion) confirm(by string) bool {
-	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, by) {
+func (s *suspicion) confirm(suspector string) bool {
+	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, suspector) {
 		return false
 	}
-	s.suspectors = append(s.suspectors, by)
+	s.suspectors = append(s.suspectors, suspector)
 	return true
 }
 
-// deadline returns the instant at which the suspect has failed.
+// deadline returns the instant at which the suspect is declared failed.
 func (s *suspicion) deadline() time.Duration {
 	if s.neededConfirmations == 0 {
 		return s.start + s.minTimeout
@@ -46,7 +47,7 @@
 	return s.start + max(s.minTimeout, shrunk)
 }
 
-// startSuspicion makes a present member suspect.
+// startSuspicion changes the state of a present member to suspect and starts its suspicion timeout.
 func (n *Node) startSuspicion(now time.Duration, m *member, u Update) {
 	if !m.State.IsPresent() || m.State == Suspect && m.Incarnation == u.Incarnation {
 		return
@@ -69,9 +70,9 @@
 	n.nextSuspicionEnd = min(n.nextSuspicionEnd, s.deadline())
 }
 
-// verifySuspicion decides at random whether this node probes a suspect of another member at once. A member of a large
-// cluster is otherwise probed by about one other in a ProbeInterval, and the confirmations would take as many of these as
-// are needed.
+// verifySuspicion decides at random whether this node at once probes a member that another one suspects. Otherwise only
+// about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be confirmed
+// too slowly.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
 	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
@@ -82,7 +83,7 @@
 	}
 }
 
-// confirmSuspicion counts another member's suspicion of a suspect, and gossips it where it shrinks the timeout.
+// confirmSuspicion adds another member's suspicion to that of a suspect, and gossips it if it shrinks the timeout.
 func (n *Node) confirmSuspicion(m *member, u Update) {
 	if m.suspicion.confirm(u.By) {
 		n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
@@ -90,7 +91,7 @@
 	}
 }
 
-// expireSuspicions fails the suspects that did not refute in time.
+// expireSuspicions declares the suspects failed that did not refute the suspicion in time.
 func (n *Node) expireSuspicions(now time.Duration) {
 	if now < n.nextSuspicionEnd {
 		return
@@ -108,6 +109,6 @@
 	}
 }
 
-// suspicionScale returns the factor by which the size of the cluster stretches suspicion: its decimal logarithm, 1 at
-// least.
+// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: its decimal
+// logarithm, but at least 1.
 func (n *Node) suspicionScale() float64 { return max(1, math.Log10(float64(len(n.present)+1))) }
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// membersPerSyncInterval is the number of members up to which an exchange may begin in every ProbeInterval. Above it the
-// interval grows in proportion, so that what a node sends does not grow with the cluster.
+// membersPerSyncInterval is the size of the cluster up to which a node may start a full state exchange in every
+// ProbeInterval. In a larger cluster the interval grows in proportion, so that a node's traffic does not grow with the
+// cluster.
 const membersPerSyncInterval = 32
 
-// syncIfViewsDiffer begins an exchange of full states with the sender of an Ack whose digest differs, if both have nothing
-// left to gossip or the sender was not present before this message (wasAbsent).
-func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, wasAbsent bool) {
+// syncIfViewsDiffer starts a full state exchange with the sender of an Ack whose digest differs from this node's, if
+// neither has updates left to gossip, or if the sender was not present before this message.
+func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, senderWasAbsent bool) {
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
 	}
-	if !wasAbsent && (!m.Quiet || n.broadcasts.hasPending()) {
+	if !senderWasAbsent && (!m.Quiet || n.broadcasts.hasPending()) {
 		return
 	}
 	interval := n.options.ProbeInterval
@@ -31,7 +32,7 @@
 	n.sendFullState(m.From, Sync)
 }
 
-// sendFullState sends all that the node holds, in a Sync or a SyncReply.
+// sendFullState sends the latest update about each known member, in a Sync or a SyncReply.
 func (n *Node) sendFullState(to Update, k Kind) {
 	updates := make([]Update, 0, len(n.members)+1)
 	if !n.isYielding() {
@@ -43,8 +44,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to.Addr, Stream: true, Message: m})
 }
 
-// rejoin pings one address, at random, at which a member failed or Options.Join expects one and nobody is known to be
-// present. By this a partition heals.
+// rejoin pings one random address at which no member is present: that of a failed member, or one of Options.Join. This
+// reconnects the parts of a cluster after a network partition.
 func (n *Node) rejoin() {
 	if n.hasLeft || n.isYielding() {
 		return
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -8,27 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxNameBytes is the length of the longest name of a daemon or a cluster.
+// MaxNameBytes is the maximum length of the name of a daemon or a cluster.
 const MaxNameBytes = 63
 
-// State is what a node holds of a member. Within one incarnation a greater state overrides a smaller one.
+// State is the state of a member as a node knows it. Within one incarnation a greater state overrides a smaller one.
 type State uint8
 
 // The states of a member.
 const (
-	Alive   State = iota // it responds, or is believed to
-	Suspect              // a probe of it failed; it can still refute that
-	Failed               // it did not refute the suspicion in time
-	Left                 // it announced that it leaves; that is no failure
-	stateCount
+	Alive      State = iota // the member is not suspected of having failed
+	Suspect                 // a probe of the member failed; the member can still refute the suspicion
+	Failed                  // the member did not refute a suspicion in time
+	Left                    // the member announced that it leaves the cluster, which is not a failure
+	stateCount              // number of states
 )
 
 var stateNames = [stateCount]string{"alive", "suspect", "failed", "left"}
 
-// Valid reports whether s is one of the states.
+// Valid reports whether s is one of the declared states.
 func (s State) Valid() bool { return s < stateCount }
 
-// String returns the name of the state as operators and reports read it.
+// String returns the name of the state that reports to operators contain.
 func (s State) String() string {
 	if !s.Valid() {
 		return "unknown"
@@ -39,23 +39,23 @@
 // IsPresent reports whether a member in this state counts as present: alive or suspect.
 func (s State) IsPresent() bool { return s <= Suspect }
 
-// Peer identifies one process of a daemon: a process that was started again under the same name has another Run.
+// Peer identifies one process of a daemon. A daemon that restarts keeps its name and gets another Generation.
 type Peer struct {
-	Name       string
-	Addr       netip.AddrPort // where other nodes send to
-	Generation uint64         // of two processes with one name, the one with the greater Run counts as the younger
+	Name       string         // name of the daemon, unique in the cluster
+	Addr       netip.AddrPort // address to which other nodes send messages
+	Generation uint64         // number of the process: of two processes with one name, the one that started later has the greater one
 }
 
-// Update is a statement about the state of a member.
+// Update is an assertion about the state of a member, which nodes gossip.
 type Update struct {
 	Peer
-	State       State
-	Incarnation uint64 // raised by the member alone, to refute; the update with the greater one overrides
-	By          string // of a Suspect: the member whose probe failed
+	State       State  // asserted state of the member
+	Incarnation uint64 // counter that only the member itself increments, to refute assertions with a smaller one
+	By          string // name of the member whose probe failed, if State is Suspect
 }
 
-// overrides reports whether u replaces v, which is held so far. Where two processes with one name differ in nothing else,
-// every node believes the elder.
+// overrides reports whether u replaces the earlier update v about the same member. If two processes with one name differ
+// only in their generation, all nodes prefer the older process.
 func (u *Update) overrides(v *Update) bool {
 	switch {
 	case u.Incarnation != v.Incarnation:
@@ -66,15 +66,17 @@
 	return u.Generation < v.Generation
 }
 
+// isValid reports whether the update's fields are within their bounds.
 func (u *Update) isValid() bool {
 	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.By) <= MaxNameBytes && u.Addr.IsValid() &&
 		u.Incarnation > 0 && u.Incarnation < 1<<62
 }
 
-// maxEncodedBytes is an upper bound of the update's length in a message.
+// maxEncodedBytes returns an upper bound of the update's encoded length in a message.
 func (u *Update) maxEncodedBytes() int { return updateOverheadBytes + len(u.Name) + len(u.By) }
 
-// digest is the member's part in Node.Digest. It leaves out suspicion, which passes.
+// digest returns the member's contribution to Node.Digest. It does not depend on whether the member is suspect, because a
+// suspicion is temporary.
 func (u *Update) digest() uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], u.Generation)
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// connectivityHoldIntervals is the number of ProbeInterval for which a better connectivity must last to count.
+	// connectivityHoldIntervals is the number of probe intervals for which an improved connectivity must last before a View
+	// reports it.
 	connectivityHoldIntervals = 2
 
-	// maxPendingChanges bounds the changes that wait for TakeChanges.
+	// maxPendingChanges bounds the number of changes that are kept for TakeChanges.
 	maxPendingChanges = 1024
 )
 
-// Connectivity is a node's opinion on how much of the cluster it can reach.
+// Connectivity is a node's estimate of how much of the cluster it can reach. A greater value is better.
 type Connectivity uint8
 
-// The levels of connectivity. A greater one is better.
+// The levels of connectivity. A node counts itself as present.
 const (
-	CutOff          Connectivity = iota // fewer than half of the voters are present, this node included where it is one
-	PartlyConnected                     // half of the voters at least are present, but not all, or a member is failed
-	FullyConnected                      // all voters are present and no member is failed
+	CutOff          Connectivity = iota // fewer than half of the voters are present
+	PartlyConnected                     // at least half of the voters are present, but not all, or some member has failed
+	FullyConnected                      // all voters are present and no member has failed
 )
 
 var connectivityNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
 
-// String returns the name of the connectivity as operators and reports read it.
+// String returns the name of the connectivity that reports to operators contain.
 func (c Connectivity) String() string { return connectivityNames[c] }
 
 // Member is an entry of a View.
 type Member struct {
 	Update
-	Since time.Duration // instant at which this node took up the state
+	Since time.Duration // instant at which this node learned that the member had entered its state
 }
 
-// View is what a node holds at an instant. It is an opinion: see the package comment.
+// View is the membership of the cluster as one node knows it at an instant. It is an estimate: see the package comment.
 type View struct {
-	Number       uint64 // raised with every change; it never goes back in the life of a process
-	Self         string
-	Connectivity Connectivity
-	Rival        string   // address of an elder daemon with this name, to which this one yields; empty: none
-	Members      []Member // by name, this node included
+	Number       uint64       // number that grows with every change of the view within a process
+	Self         string       // name of the node whose view this is
+	Connectivity Connectivity // how much of the cluster the node can reach
+	Rival        string       // address of the older process with this node's name, to which the node yields; empty: none
+	Members      []Member     // all known members, sorted by name, the node itself included
 }
 
-// Change is the step of a member from one state to another, for the log.
+// Change is a member's transition from one state to another, for the log.
 type Change struct {
-	Name        string
-	Addr        netip.AddrPort
-	From, To    State
-	IsNew       bool // the member was not known before
-	Incarnation uint64
+	Name        string         // name of the member
+	Addr        netip.AddrPort // address of the member
+	From, To    State          // states before and after the change; From is meaningless if IsNew is set
+	IsNew       bool           // whether the member was unknown before
+	Incarnation uint64         // incarnation of the member after the change
 }
 
-// View returns what the node holds now.
+// View returns the node's current view.
 func (n *Node) View() View {
 	v := View{
 		Number: n.viewNumber, Self: n.self.Name, Connectivity: n.connectivity,
@@ -71,25 +72,27 @@
 	return v
 }
 
-// ViewNumber returns the Number of the View, without making one.
+// ViewNumber returns the Number of the current View without building the View.
 func (n *Node) ViewNumber() uint64 { return n.viewNumber }
 
-// TakeChanges returns the changes of state since the last call, and forgets them. Where there were very many, those after
-// the first maxPendingChanges are lost.
+// TakeChanges returns the member state changes since the previous call. At most the first maxPendingChanges of them are
+// kept.
 func (n *Node) TakeChanges() []Change {
-	c := n.changes
+	changes := n.changes
 	n.changes = nil
-	return c
+	return changes
 }
 
+// recordChange keeps a member state change for TakeChanges.
 func (n *Node) recordChange(c Change) {
 	if len(n.changes) < maxPendingChanges {
 		n.changes = append(n.changes, c)
 	}
 }
 
-// updateConnectivity takes up a worse connectivity at once, for what led to it has lasted as long as a suspicion. A better
-// one has to last for connectivityHoldIntervals.
+// updateConnectivity updates the connectivity that View reports. A decline is reported at once, because it follows from
+// failures that were confirmed by a suspicion timeout. An improvement is reported after it has lasted for
+// connectivityHoldIntervals.
 func (n *Node) updateConnectivity(now time.Duration) {
 	current := n.currentConnectivity()
 	switch {
@@ -109,6 +112,7 @@
 	}
 }
 
+// currentConnectivity returns the connectivity that follows from the members' states at this instant.
 func (n *Node) currentConnectivity() Connectivity {
 	present, total := n.countVoters()
 	switch {
@@ -120,8 +124,8 @@
 	return PartlyConnected
 }
 
-// countVoters returns how many voters are present, and how many there are. Without configured voters all known members
-// count but those that left.
+// countVoters returns how many voters are present, and how many there are. Without configured voters, all known members
+// except those that left are counted.
 func (n *Node) countVoters() (present, total int) {
 	if len(n.options.Voters) == 0 {
 		return len(n.present) + 1, len(n.present) + len(n.failed) + 1
