--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -20,7 +20,7 @@
 // times. The updates that were sent least often are sent first.
 type broadcastQueue struct {
 	byName          map[string]*broadcast // pending broadcasts by the name of the member
-	byTransmitCount [][]*broadcast        // lists of broadcasts by transmitCount; a replaced broadcast stays in its list until collect removes it
+	byTransmitCount [][]*broadcast        // broadcasts by transmitCount; a replaced one stays until collect removes it
 	lowestLevel     int                   // index in byTransmitCount below which all lists are empty
 }
 
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -44,7 +44,7 @@
 	}
 	isThisProcess := u.Generation == n.self.Generation
 	switch {
-	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // about this process, or about an earlier one that has ended
+	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // this process, or an earlier one that has ended
 		isKnown := isThisProcess && u.State == n.self.State && u.Incarnation == n.self.Incarnation
 		if u.Incarnation < n.self.Incarnation || isKnown || n.hasLeft || n.isYielding() {
 			return
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -52,7 +52,7 @@
 
 	// The view: see view.go.
 	connectivity         Connectivity  // connectivity that View reports
-	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
+	improvedSince        time.Duration // instant since which the actual connectivity exceeds the reported one; negative: it does not
 	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
 	viewNumber           uint64        // Number of the current View
 	changes              []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -15,7 +15,7 @@
 // Options configure a Node. A time of 0 or less means its default.
 type Options struct {
 	Self           Peer             // identity of this node, which cannot be reconfigured
-	Join           []netip.AddrPort // addresses to which a node sends pings to join the cluster while no present member has the address
+	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each while no present member has it
 	Voters         []string         // names of the members whose presence determines Connectivity; empty: all known members
 	InitialMembers []Update         // members that are known at the start, and that already know this node
 	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -8,14 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, delayed, duplicated or reordered, and whoever restarts: incarnations never go back, a member that left
-// stays so, a node's lists agree, and once all messages are delivered all views become equal.
+// Guards the invariants of a node while messages are lost, delayed, duplicated and reordered and nodes restart:
+// incarnations never decrease, a member that left does not come back in the same incarnation, and a node's lists agree with
+// its members. Once all messages are delivered again, all views become equal.
 func TestNodesConvergeAfterLossReorderingAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
-		lastRun := uint64(100)
+		lastGeneration := uint64(100)
 		t.Repeat(map[string]func(*rapid.T){
-			"time": func(t *rapid.T) {
+			"advance time": func(t *rapid.T) {
 				w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 				w.tick(t, rapid.SampledFrom(w.nodes).Draw(t, "node"))
 			},
@@ -36,45 +37,45 @@
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
-				lastRun++
+				lastGeneration++
 				self := testPeer(i)
-				self.Generation = lastRun
+				self.Generation = lastGeneration
 				join := []netip.AddrPort{testPeer((i + 1) % len(w.nodes)).Addr}
-				w.nodes[i] = New(w.now, Options{Self: self, Join: join, Seed: lastRun})
+				w.nodes[i] = New(w.now, Options{Self: self, Join: join, Seed: lastGeneration})
 			},
 		})
 		w.requireConvergence(t)
 	})
 }
 
-// All orders of five events among three nodes are tried. An event is a tick of a node, or the delivery or loss of the oldest
-// message to it.
+// Checks the invariants of a node in all sequences of five events among three nodes. An event is a tick of a node, or the
+// delivery or loss of the oldest message to it.
 func TestInvariantsHoldInEveryOrderOfFiveEvents(t *testing.T) {
 	const depth, choices = 5, 9
 	orders := 1
 	for range depth {
 		orders *= choices
 	}
-	tried := 0
+	checkedOrders := 0
 	for order := range orders {
 		w := newTestNetwork(3)
 		w.now += 400 * time.Millisecond
-		rest := order
+		remainingEvents := order // the events as digits of a number in base choices
 		for range depth {
 			w.now += 350 * time.Millisecond
-			w.step(t, rest%choices)
-			rest /= choices
+			w.runEvent(t, remainingEvents%choices)
+			remainingEvents /= choices
 		}
-		if order%97 == 0 { // convergence after every order would take minutes
+		if order%97 == 0 { // to check convergence after every order would take minutes
 			w.requireConvergence(t)
 		}
-		tried++
+		checkedOrders++
 	}
-	t.Logf("%d orders", tried)
+	t.Logf("checked %d orders of events", checkedOrders)
 }
 
-// step carries out one of nine events: for each of three nodes a tick, or a delivery or loss of the oldest message to it.
-func (w *testNetwork) step(t testingT, choice int) {
+// runEvent runs one of nine events: for each of three nodes a tick, or the delivery or loss of the oldest message to it.
+func (w *testNetwork) runEvent(t testingT, choice int) {
 	t.Helper()
 	const tick, deliver = 0, 1
 	node, event := choice%3, choice/3
@@ -95,11 +96,11 @@
 	}
 }
 
-// Of two processes with one name the younger sends nothing of its own for as long as the elder responds, and takes the name
-// once the elder is gone.
-func TestYoungerProcessOfOneNameYieldsUntilElderIsGone(t *testing.T) {
+// Guards against two processes with one name that override each other's updates in turn: the younger one sends no updates
+// for as long as the older one responds, and takes over the name once the older one is gone.
+func TestYoungerProcessOfOneNameYieldsUntilOlderOneIsGone(t *testing.T) {
 	w := newTestNetwork(3)
-	elder := w.nodes[1]
+	older := w.nodes[1]
 	youngerPeer := testPeer(1)
 	youngerPeer.Addr, youngerPeer.Generation = testPeer(9).Addr, 1000
 	younger := New(w.now, Options{Self: youngerPeer, Join: []netip.AddrPort{testPeer(0).Addr}})
@@ -108,21 +109,22 @@
 
 	view := younger.View()
 	if _, answers, yields := younger.NameConflict(); !answers || !yields || view.Rival == "" || view.Connectivity != CutOff {
-		t.Fatalf("the younger: answers %v, yields %v, view %+v", answers, yields, view)
+		t.Fatalf("younger process: other answers %v, yields %v, view %+v; want true, true, and a cut-off view with a rival",
+			answers, yields, view)
 	}
-	if _, answers, yields := elder.NameConflict(); yields {
-		t.Fatalf("the elder: answers %v, yields %v", answers, yields)
+	if _, answers, yields := older.NameConflict(); yields {
+		t.Fatalf("older process yields, want that it does not; other answers %v", answers)
 	}
-	younger.nextGossip = w.now // it has updates to gossip, and must not
+	younger.nextGossip = w.now // a round of gossip is due, and the younger process has updates
 	younger.Tick(w.now)
 	for _, e := range younger.TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
-			t.Errorf("the younger sends %+v", e.Message)
+			t.Errorf("the younger process sent %+v, want no gossip and no updates", e.Message)
 		}
 	}
 	for _, n := range w.nodes[:3] {
 		if n.self.Name != "s1" && n.members["s1"].Addr != testPeer(1).Addr {
-			t.Errorf("%s holds the younger", n.self.Name)
+			t.Errorf("%s has %v as the address of s1, want that of the older process", n.self.Name, n.members["s1"].Addr)
 		}
 	}
 
@@ -130,7 +132,7 @@
 	w.run(t, 10*time.Second)
 	for _, n := range w.nodes[:2] {
 		if m := n.members["s1"]; m.Addr != youngerPeer.Addr || m.State != Alive {
-			t.Errorf("%s holds %+v", n.self.Name, m.Update)
+			t.Errorf("%s has %+v of s1, want the younger process as alive", n.self.Name, m.Update)
 		}
 	}
 }
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// testingT is what testing.T and rapid.T have in common.
+// testingT is the common interface of testing.T and rapid.T that the helpers use.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// testPeer returns the first process of the i-th daemon.
+// testPeer returns the first process of the daemon with number i.
 func testPeer(i int) Peer {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7)
 	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Generation: uint64(i + 1)}
 }
 
-// testNetwork is nodes in virtual time and the messages in transit between them, which a test delivers, drops, duplicates
-// or reorders.
+// testNetwork consists of nodes in virtual time and the messages in transit between them, which a test delivers, drops,
+// duplicates or reorders.
 type testNetwork struct {
-	now       time.Duration
-	nodes     []*Node
-	inTransit []Envelope
+	now       time.Duration // current instant
+	nodes     []*Node       // running nodes
+	inTransit []Envelope    // messages that were sent and neither delivered nor lost, in the order of sending
 
-	// What a node held of a member, by the node's Run and the member's name.
-	maxIncarnation  map[string]uint64
-	leftIncarnation map[string]uint64 // the incarnation in which the member left
+	// The keys of both maps are the generation of a node and the name of a member that it knows.
+	maxIncarnation  map[string]uint64 // highest incarnation of the member in the node's views
+	leftIncarnation map[string]uint64 // incarnation in which the member left according to the node's views
 }
 
-// newTestNetwork returns a network of nodes that know one another.
+// newTestNetwork returns a network of size nodes that all know one another.
 func newTestNetwork(size int) *testNetwork {
 	w := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
 	var known []Update
@@ -43,7 +43,7 @@
 	return w
 }
 
-// tick calls a node's Tick, due or not.
+// tick calls a node's Tick, even if it is not due.
 func (w *testNetwork) tick(t testingT, n *Node) {
 	t.Helper()
 	n.Tick(w.now)
@@ -51,7 +51,7 @@
 	w.collectAndCheck(t, n)
 }
 
-// deliver delivers the i-th message in transit.
+// deliver delivers the message at index i of inTransit.
 func (w *testNetwork) deliver(t testingT, i int) {
 	t.Helper()
 	e := w.inTransit[i]
@@ -64,40 +64,41 @@
 	}
 }
 
-// collectAndCheck puts what a node sends in transit, and checks the node's view and lists.
+// collectAndCheck adds the messages that a node sends to those in transit, and checks the invariants of the node's view and
+// lists.
 func (w *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
 		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
-			t.Fatalf("%d updates piggybacked on a message", len(e.Message.Updates))
+			t.Fatalf("%d updates are piggybacked on a message, want at most %d", len(e.Message.Updates), MaxPiggyback+1)
 		}
 		w.inTransit = append(w.inTransit, e)
 	}
 	for _, m := range n.View().Members {
 		key := fmt.Sprint(n.self.Generation, " ", m.Name)
 		if m.Incarnation < w.maxIncarnation[key] {
-			t.Fatalf("%s held incarnation %d of %s, and now %d", n.self.Name, w.maxIncarnation[key], m.Name, m.Incarnation)
+			t.Fatalf("%s had incarnation %d of %s in its view, and now has %d", n.self.Name, w.maxIncarnation[key], m.Name, m.Incarnation)
 		}
 		w.maxIncarnation[key] = m.Incarnation
 		if m.State == Left {
 			w.leftIncarnation[key] = m.Incarnation
 		} else if left, ok := w.leftIncarnation[key]; ok && m.Incarnation <= left {
-			t.Fatalf("%s holds %s for %v in the incarnation in which it left", n.self.Name, m.Name, m.State)
+			t.Fatalf("%s considers %s %v in incarnation %d, after it left in incarnation %d", n.self.Name, m.Name, m.State, m.Incarnation, left)
 		}
 	}
 	checkMembershipTable(t, n)
 }
 
-// checkMembershipTable compares a node's lists with its members.
+// checkMembershipTable checks that a node's lists, counts and digest agree with its members.
 func checkMembershipTable(t testingT, n *Node) {
 	t.Helper()
 	digest, present, failed := n.self.digest(), 0, 0
 	for name, m := range n.members {
 		if m.Name != name {
-			t.Fatalf("%s is listed as %s", m.Name, name)
+			t.Fatalf("members has %s under the name %s", m.Name, name)
 		}
 		if (m.State == Suspect) != (m.suspicion != nil) || (n.suspects[name] == m) != (m.State == Suspect) {
-			t.Fatalf("%s is %v, which its suspicion contradicts", name, m.State)
+			t.Fatalf("%s is %v, but its suspicion is %v and suspects has it: %v", name, m.State, m.suspicion, n.suspects[name] == m)
 		}
 		switch {
 		case m.State.IsPresent():
@@ -119,13 +120,14 @@
 	}
 	if present != len(n.present) || failed != len(n.failed) || addrs != present || digest != n.digest ||
 		n.probeIndex > len(n.present) {
-		t.Fatalf("%d present of %d, %d failed of %d, %d addresses, digest %x of %x, probe index %d",
-			present, len(n.present), failed, len(n.failed), addrs, digest, n.digest, n.probeIndex)
+		t.Fatalf("lists have %d present and %d failed members, want %d and %d; %d addresses, want %d; digest %x, want %x; "+
+			"probe index %d, want at most %d",
+			len(n.present), len(n.failed), present, failed, addrs, present, n.digest, digest, n.probeIndex, len(n.present))
 	}
 }
 
-// runUntil calls the ticks that are due and delivers all messages in order, for a duration or until isDone. It returns
-// what isDone returned last.
+// runUntil calls the ticks that are due and delivers all messages in order until isDone returns true, at most for a
+// duration. It reports whether isDone returned true.
 func (w *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
 	t.Helper()
 	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
@@ -145,7 +147,7 @@
 	return false
 }
 
-// run is runUntil for the whole of a duration.
+// run calls the ticks that are due and delivers all messages in order for a duration.
 func (w *testNetwork) run(t testingT, d time.Duration) {
 	t.Helper()
 	w.runUntil(t, d, func() bool { return false })
@@ -155,11 +157,11 @@
 func (w *testNetwork) requireConvergence(t testingT) {
 	t.Helper()
 	if !w.runUntil(t, time.Minute, w.isConverged) {
-		t.Fatalf("a minute after the last fault views differ: %+v and %+v", w.nodes[0].View(), w.nodes[1].View())
+		t.Fatalf("views still differ a minute after the last fault: %+v and %+v", w.nodes[0].View(), w.nodes[1].View())
 	}
 }
 
-// isConverged reports whether all nodes hold one another for alive, in the same incarnations.
+// isConverged reports whether all nodes consider one another alive, in the same incarnations.
 func (w *testNetwork) isConverged() bool {
 	for _, n := range w.nodes {
 		if n.digest != w.nodes[0].digest || len(n.present) != len(w.nodes)-1 || len(n.suspects) > 0 {
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -43,7 +43,7 @@
 type Peer struct {
 	Name       string         // name of the daemon, unique in the cluster
 	Addr       netip.AddrPort // address to which other nodes send messages
-	Generation uint64         // number of the process: of two processes with one name, the one that started later has the greater one
+	Generation uint64         // identifies the process; of two processes with one name, the younger has the greater one
 }
 
 // Update is an assertion about the state of a member, which nodes gossip.
