--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -16,7 +16,7 @@
 		w := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
 		lastGeneration := uint64(100)
 		t.Repeat(map[string]func(*rapid.T){
-			"advance time": func(t *rapid.T) {
+			"tick after a delay": func(t *rapid.T) {
 				w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 				w.tick(t, rapid.SampledFrom(w.nodes).Draw(t, "node"))
 			},
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -9,36 +9,37 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// A packet is a header, a message authentication code and a body. The header is two letters, the version, and the ID of
-// the key that signed it. The code is an HMAC-SHA256 of header and body; it is left out where the key ID is zero, which
-// stands for no key. The body has the fields below, in protocol buffers' wire format.
+// A packet consists of a header, a message authentication code and a body. The header consists of packetMagic, the version
+// and the ID of the key that signed the packet. The code is the HMAC-SHA256 of header and body; a packet with the key ID
+// zero is unsigned and has no code. The body has the fields below, in the wire format of Protocol Buffers.
 const (
 	packetMagic   = "TR"
 	packetVersion = 1
 
-	versionOffset = 2 // behind packetMagic
+	versionOffset = 2 // length of packetMagic
 	keyIDOffset   = versionOffset + 1
 	headerBytes   = keyIDOffset + keyIDBytes
 	macBytes      = sha256.Size
 )
 
+// The field numbers of a packet's body. A packet has either packetFieldSwimMessage or packetFieldMessage.
 const (
 	packetFieldCluster protowire.Number = iota + 1
 	packetFieldSequence
-	packetFieldSwimMessage // either this one
-	packetFieldMessage     // or this one
+	packetFieldSwimMessage
+	packetFieldMessage
 )
 
-// MaxOverheadBytes is the most bytes that a packet has besides the message of the failure detector in it.
+// MaxOverheadBytes is the maximum length of a signed packet without the message of the failure detector in it: header,
+// authentication code, cluster name, sequence number, and the tag and length of the message.
 const MaxOverheadBytes = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
 
-// packet is what an authenticated packet carries: one of swimMessage and message, and the number that identifies it among
-// the packets of its sender's process.
+// packet is the content of an authenticated packet. Either swimMessage or message is set.
 type packet struct {
-	swimMessage *swim.Message
-	message     *Message
-	generation  uint64
-	sequence    uint64
+	swimMessage *swim.Message // message of the failure detector
+	message     *Message      // message of Send
+	generation  uint64        // generation of the sending process; see swim.Peer
+	sequence    uint64        // sequence number of the packet among those of the sending process
 }
 
 // appendSwimPacket appends a packet with a message of the failure detector to b.
@@ -51,7 +52,7 @@
 	return appendPacket(b, options, sequence, packetFieldMessage, m.marshal())
 }
 
-// appendPacket appends a packet to b, for the cluster and signed with the first of the keys of options.
+// appendPacket appends a packet to b, for the cluster of options and signed with the first key of options.
 func appendPacket(b []byte, options *Options, sequence uint64, payloadField protowire.Number, payload []byte) []byte {
 	start := len(b)
 	b = append(b, packetMagic...)
@@ -73,8 +74,8 @@
 	return b
 }
 
-// openPacket authenticates and parses a packet that appendPacket made. An error is the reason to drop it. What it returns
-// refers to nothing in b.
+// openPacket authenticates and parses a packet that appendPacket encoded. An error is the reason to drop the packet. The
+// result does not refer to b.
 func openPacket(b []byte, options *Options, maxUpdates int) (packet, error) {
 	body, err := authenticate(b, options.Keys)
 	if err != nil {
@@ -82,11 +83,11 @@
 	}
 	var p packet
 	var swimMessage, message []byte
-	var sentFor string
+	var cluster string
 	err = forEachField(body, func(f field) error {
 		switch f.id {
 		case packetFieldCluster:
-			sentFor = string(f.bytes)
+			cluster = string(f.bytes)
 		case packetFieldSequence:
 			p.sequence = f.number
 		case packetFieldSwimMessage:
@@ -99,7 +100,7 @@
 	if err != nil {
 		return packet{}, err
 	}
-	if sentFor != options.Cluster {
+	if cluster != options.Cluster {
 		return packet{}, errClusterMismatch
 	}
 	if message != nil {
@@ -116,7 +117,7 @@
 	return p, nil
 }
 
-// authenticate returns the body of a packet that one of the keys has signed. Without keys, only unsigned packets pass.
+// authenticate returns the body of a packet that one of the keys has signed. Without keys it accepts only unsigned packets.
 func authenticate(b []byte, keys Keys) ([]byte, error) {
 	if len(b) < headerBytes || string(b[:versionOffset]) != packetMagic {
 		return nil, errMalformed
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// ClockRate names the environment variable that sets how fast the failure detector's clock runs, as a factor of real time.
-// Only test builds, which are those with the race detector, read it; in all others it has no effect.
+// ClockRate is the name of the environment variable that sets the rate of the failure detector's clock, as a factor of real
+// time. Only builds with the race detector, which are for tests, read it.
 const ClockRate = "TULIPROCK_TEST_CLOCK_RATE"
 
-// clockOrigin is the reading of the failure detector's clock at the start, well above zero so that the detector may
-// subtract any of its intervals from an instant.
+// clockOrigin is the reading of the failure detector's clock at the start. It is well above zero, so that the failure
+// detector may subtract any of its intervals from an instant.
 const clockOrigin = 24 * time.Hour
 
-// Now returns the reading of the failure detector's clock, with which Since of a member in a View compares.
+// Now returns the current reading of the failure detector's clock, to which Since of a member in a View refers.
 func (t *Transport) Now() time.Duration {
 	return clockOrigin + scaleByClockRate(time.Since(t.clockStart))
 }
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -7,8 +7,8 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// MaxDatagramBytes is the greatest length of a datagram. It passes unfragmented where a network's packets may have 1,280
-// bytes, the minimum of IPv6 (RFC 8200, section 5).
+// MaxDatagramBytes is the maximum length of a datagram. With it no datagram is fragmented, since the minimum MTU of IPv6 is
+// 1,280 bytes (RFC 8200, section 5).
 const MaxDatagramBytes = 1200
 
 // sendDatagram sends a packet that is no longer than MaxDatagramBytes.
@@ -20,14 +20,14 @@
 
 // readDatagrams receives datagrams until the transport ends.
 func (t *Transport) readDatagrams() {
-	b := make([]byte, MaxDatagramBytes+1) // a longer datagram is truncated to this, and so recognized
+	b := make([]byte, MaxDatagramBytes+1) // one byte more than allowed, so that a longer datagram is recognized
 	limiter := sourceLimiter{counts: map[netip.Addr]int{}}
 	for {
 		n, from, err := t.udpConn.ReadFromUDPAddrPort(b)
 		switch {
 		case t.ctx.Err() != nil:
 			return
-		case err != nil: // an ICMP error that a sent datagram caused; truncation is not reported as an error
+		case err != nil: // an ICMP error caused by an earlier datagram that was sent; truncation is no error
 			continue
 		case !limiter.allow(time.Now(), from.Addr()):
 			t.dropped.count(errRateLimited)
@@ -40,19 +40,21 @@
 }
 
 const (
-	// maxDatagramsPerSource is a source address's limit in each second. A member sends some tens.
+	// maxDatagramsPerSource is the maximum number of datagrams per second from one source address. A member sends some tens
+	// per second.
 	maxDatagramsPerSource = 1000
-	// maxTrackedSources is how many addresses are counted separately; all others share one count, so that memory is bounded.
+	// maxTrackedSources is the number of source addresses with a count of their own, which bounds the memory. All other
+	// addresses share one count.
 	maxTrackedSources = 4096
 )
 
-// sourceLimiter limits the datagrams of each source address in a fixed window of one second.
+// sourceLimiter limits the number of datagrams from each source address in consecutive windows of one second.
 type sourceLimiter struct {
-	windowStart time.Time
-	counts      map[netip.Addr]int
+	windowStart time.Time          // start of the current window
+	counts      map[netip.Addr]int // datagrams in the current window by source address; the zero address counts the others
 }
 
-// allow counts a datagram, and reports whether its source is within its limit.
+// allow counts a datagram, and reports whether its source is within maxDatagramsPerSource.
 func (s *sourceLimiter) allow(now time.Time, source netip.Addr) bool {
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart = now
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -8,14 +8,15 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Messages returns the channel of messages that other daemons sent with Send. At most messageQueueCapacity wait in it; what
-// arrives beyond that is dropped and counted. A message is delivered only if the view has its sender's very process as
-// the member of that name: a second process of the same name is ignored.
+// Messages returns the channel of messages that other daemons sent with Send. The channel holds at most
+// messageQueueCapacity messages; further ones are dropped and counted. A message is delivered only if the view has the
+// sending process as the member of that name: messages of a second process with the same name are dropped.
 func (t *Transport) Messages() <-chan Message { return t.messages }
 
-// Send sends a message to the member of a name. An error means that it was not sent, ErrUnknownMember that the view has no
-// such member. No error does not mean that it arrives: a sender who needs to know must have it acknowledged. Send does not
-// wait for the receiver, and body may be reused when it has returned.
+// Send sends a message to the member with the given name. An error means that the message was not sent; it is
+// ErrUnknownMember if the view has no such member. A nil error does not mean that the message arrives: a caller that needs
+// delivery must have the receiver acknowledge the message. Send does not wait for the receiver, and body may be reused when
+// Send has returned.
 func (t *Transport) Send(name string, kind byte, body []byte) error {
 	options := t.options.Load()
 	receiver, ok := t.member(name)
@@ -34,7 +35,7 @@
 	return t.startStream(options, receiver.Addr, b)
 }
 
-// member looks up a name in the latest view.
+// member returns the member with a name from the latest view, whose members are sorted by name.
 func (t *Transport) member(name string) (swim.Member, bool) {
 	members := t.View().Members
 	i, ok := slices.BinarySearchFunc(members, name, func(m swim.Member, name string) int { return strings.Compare(m.Name, name) })
@@ -44,7 +45,8 @@
 	return members[i], true
 }
 
-// receive counts a packet and delivers what it carries, or drops it. b may be reused when it has returned.
+// receive delivers the message in a packet or drops the packet, and counts the packet. b may be reused when receive has
+// returned.
 func (t *Transport) receive(b []byte, maxUpdates int) {
 	if err := t.deliver(b, maxUpdates); err != nil {
 		t.dropped.count(err)
@@ -53,7 +55,7 @@
 	t.received.Add(1)
 }
 
-// deliver authenticates a packet and queues what it carries. The error is the reason to drop it.
+// deliver authenticates a packet and queues the message in it. An error is the reason to drop the packet.
 func (t *Transport) deliver(b []byte, maxUpdates int) error {
 	p, err := openPacket(b, t.options.Load(), maxUpdates)
 	if err != nil {
@@ -71,14 +73,14 @@
 	return enqueue(t.messages, *p.message)
 }
 
-// isFirstReceipt notes a packet and reports whether it had not been received before.
+// isFirstReceipt records a packet in the replay filter, and reports whether it is received for the first time.
 func (t *Transport) isFirstReceipt(p packet) bool {
 	t.replaysMu.Lock()
 	defer t.replaysMu.Unlock()
 	return t.replays.accept(p.generation, p.sequence)
 }
 
-// enqueue puts a value in a queue without waiting.
+// enqueue adds a value to a queue without waiting. It returns errQueueFull if the queue is full.
 func enqueue[T any](queue chan<- T, value T) error {
 	select {
 	case queue <- value:
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// minViewInterval is between two views in a cluster of smallClusterMembers and more, where each view is a copy of many
-	// members. Smaller ones publish each change at once.
+	// minViewInterval is the minimum time between two published views in a cluster of smallClusterMembers or more members,
+	// because building a view copies all members. In a smaller cluster each change is published at once.
 	minViewInterval     = time.Second / 10
-	smallClusterMembers = 100
-	// maxSleep bounds a timer for which the detector has nothing due.
+	smallClusterMembers = 100 // number of members from which minViewInterval applies
+	// maxSleep is the longest time for which the event loop waits when the failure detector has no timer running.
 	maxSleep = time.Hour
-	// noContactWarningDelay is after the start, while none of the addresses to join has answered.
+	// noContactWarningDelay is the time after the start at which a warning is logged if no daemon of the cluster has been
+	// heard from.
 	noContactWarningDelay = 10 * time.Second
-	// maxChangeLogLines bounds the log lines about members in each changeLogInterval.
+	// maxChangeLogLines is the maximum number of log lines about member state changes in each changeLogInterval.
 	maxChangeLogLines = 20
-	changeLogInterval = time.Second
+	changeLogInterval = time.Second // window in which maxChangeLogLines applies
 )
 
-// eventLoop is the state of the goroutine that owns the failure detector. Nothing else may use its fields.
+// eventLoop is the state of the goroutine that owns the failure detector. No other goroutine may use its fields.
 type eventLoop struct {
 	transport    *Transport
-	node         *swim.Node
-	publishedAt  time.Duration // when the latest view was published
-	packetBuffer []byte        // reused for each datagram
+	node         *swim.Node    // failure detector
+	publishedAt  time.Duration // instant at which the latest view was published
+	packetBuffer []byte        // buffer that is reused for each datagram
 
-	logWindowStart     time.Duration // start of the running changeLogInterval
-	changesInLogWindow int           // since then, those left out included
-	hasWarnedNoContact bool
-	loggedConflict     swim.Peer // the latest holder of this daemon's name that was logged
+	logWindowStart     time.Duration // start of the current changeLogInterval
+	changesInLogWindow int           // member state changes since logWindowStart, whether logged or not
+	hasWarnedNoContact bool          // whether the warning that no daemon of the cluster responds was logged
+	loggedConflict     swim.Peer     // process with this daemon's name that was logged last
 }
 
-// runEventLoop feeds the failure detector messages, calls and ticks, until the transport ends.
+// runEventLoop passes messages, calls and ticks to the failure detector until the transport ends.
 func (t *Transport) runEventLoop(node *swim.Node) {
-	o := &eventLoop{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
+	l := &eventLoop{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -51,12 +52,13 @@
 				node.Tick(now)
 			}
 		}
-		o.handleOutput(t.Now())
-		timer.Reset(o.sleepTime(t.Now()))
+		l.handleOutput(t.Now())
+		timer.Reset(l.sleepTime(t.Now()))
 	}
 }
 
-// callOnEventLoop runs a function on the owner's goroutine. It returns when that is done, or the transport has ended.
+// callOnEventLoop runs a function on the event loop's goroutine. It returns when the function has returned or the transport
+// has ended.
 func (t *Transport) callOnEventLoop(call func(now time.Duration, node *swim.Node)) {
 	done := make(chan struct{})
 	select {
@@ -66,7 +68,7 @@
 	}
 }
 
-// publish makes the detector's view the one that View returns.
+// publish makes the failure detector's current view the one that View returns.
 func (t *Transport) publish(node *swim.Node) {
 	view := node.View()
 	t.view.Store(&view)
@@ -76,78 +78,79 @@
 	}
 }
 
-// sleepTime returns for how long the owner has nothing to do, unless a message or a call arrives.
-func (o *eventLoop) sleepTime(now time.Duration) time.Duration {
-	next := o.node.NextTick()
-	if o.hasUnpublishedView() {
-		next = min(next, o.publishedAt+minViewInterval)
+// sleepTime returns the time until the event loop must run again if no message or call arrives.
+func (l *eventLoop) sleepTime(now time.Duration) time.Duration {
+	next := l.node.NextTick()
+	if l.hasUnpublishedView() {
+		next = min(next, l.publishedAt+minViewInterval)
 	}
 	return min(max(next-now, 0), maxSleep)
 }
 
-func (o *eventLoop) hasUnpublishedView() bool {
-	return o.node.ViewNumber() != o.transport.View().Number
+// hasUnpublishedView reports whether the failure detector's view has changed since the last publish.
+func (l *eventLoop) hasUnpublishedView() bool {
+	return l.node.ViewNumber() != l.transport.View().Number
 }
 
-// handleOutput sends, logs and publishes what the detector's latest step resulted in.
-func (o *eventLoop) handleOutput(now time.Duration) {
-	for _, e := range o.node.TakeMessages() {
-		o.send(&e)
+// handleOutput sends the messages, logs the changes and publishes the view that resulted from the failure detector's latest step.
+func (l *eventLoop) handleOutput(now time.Duration) {
+	for _, e := range l.node.TakeMessages() {
+		l.send(&e)
 	}
-	for _, c := range o.node.TakeChanges() {
-		o.logChange(now, c)
+	for _, c := range l.node.TakeChanges() {
+		l.logChange(now, c)
 	}
-	isDue := now-o.publishedAt >= minViewInterval || len(o.transport.View().Members) < smallClusterMembers
-	if o.hasUnpublishedView() && isDue {
-		o.publishedAt = now
-		o.transport.publish(o.node)
+	isDue := now-l.publishedAt >= minViewInterval || len(l.transport.View().Members) < smallClusterMembers
+	if l.hasUnpublishedView() && isDue {
+		l.publishedAt = now
+		l.transport.publish(l.node)
 	}
-	o.logNameConflict()
-	o.warnNoContact(now)
+	l.logNameConflict()
+	l.warnNoContact(now)
 }
 
-// send sends a message of the detector, in a datagram where it fits.
-func (o *eventLoop) send(e *swim.Envelope) {
-	t, options := o.transport, o.transport.options.Load()
+// send sends a message of the failure detector, in a datagram if it fits and otherwise in a stream.
+func (l *eventLoop) send(e *swim.Envelope) {
+	t, options := l.transport, l.transport.options.Load()
 	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
-		o.packetBuffer = appendSwimPacket(o.packetBuffer[:0], options, t.sequence.Add(1), e.Message)
-		if len(o.packetBuffer) <= MaxDatagramBytes {
-			_ = t.sendDatagram(e.To, o.packetBuffer) // the detector notices what is lost
+		l.packetBuffer = appendSwimPacket(l.packetBuffer[:0], options, t.sequence.Add(1), e.Message)
+		if len(l.packetBuffer) <= MaxDatagramBytes {
+			_ = t.sendDatagram(e.To, l.packetBuffer) // the failure detector tolerates lost messages
 			return
 		}
 	}
 	b := appendSwimPacket(make([]byte, streamHeaderBytes, 4096), options, t.sequence.Add(1), e.Message)
-	_ = t.startStream(options, e.To, b) // likewise
+	_ = t.startStream(options, e.To, b) // the failure detector tolerates lost messages
 }
 
-// logChange logs a member's change of state, within maxChangeLogLines.
-func (o *eventLoop) logChange(now time.Duration, c swim.Change) {
-	log := o.transport.options.Load().Log
-	if now-o.logWindowStart >= changeLogInterval {
-		if o.changesInLogWindow > maxChangeLogLines {
-			log.Warn("member state changes left out of the log", "count", o.changesInLogWindow-maxChangeLogLines)
+// logChange logs a member state change, unless maxChangeLogLines have been logged in this changeLogInterval.
+func (l *eventLoop) logChange(now time.Duration, c swim.Change) {
+	log := l.transport.options.Load().Log
+	if now-l.logWindowStart >= changeLogInterval {
+		if l.changesInLogWindow > maxChangeLogLines {
+			log.Warn("member state changes left out of the log", "count", l.changesInLogWindow-maxChangeLogLines)
 		}
-		o.logWindowStart, o.changesInLogWindow = now, 0
+		l.logWindowStart, l.changesInLogWindow = now, 0
 	}
-	if o.changesInLogWindow++; o.changesInLogWindow > maxChangeLogLines {
+	if l.changesInLogWindow++; l.changesInLogWindow > maxChangeLogLines {
 		return
 	}
-	was := c.From.String()
+	previous := c.From.String()
 	if c.IsNew {
-		was = "unknown"
+		previous = "unknown"
 	}
-	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", was, "to", c.To.String(),
+	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", previous, "to", c.To.String(),
 		"incarnation", c.Incarnation)
 }
 
-// logNameConflict logs another process that uses this daemon's name, once for each.
-func (o *eventLoop) logNameConflict() {
-	other, answers, yields := o.node.NameConflict()
-	if !answers || other == o.loggedConflict {
+// logNameConflict logs another process that uses this daemon's name, unless it was the last one logged.
+func (l *eventLoop) logNameConflict() {
+	other, answers, yields := l.node.NameConflict()
+	if !answers || other == l.loggedConflict {
 		return
 	}
-	o.loggedConflict = other
-	log := o.transport.options.Load().Log.With("address", other.Addr)
+	l.loggedConflict = other
+	log := l.transport.options.Load().Log.With("address", other.Addr)
 	if yields {
 		log.Error("an elder daemon of this name is in the fleet: this one stays out of it until that one has gone")
 	} else {
@@ -155,11 +158,11 @@
 	}
 }
 
-// warnNoContact logs once that none of the addresses to join has answered.
-func (o *eventLoop) warnNoContact(now time.Duration) {
-	options := o.transport.options.Load()
-	if !o.hasWarnedNoContact && !o.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
-		o.hasWarnedNoContact = true
+// warnNoContact logs once that no message has been received from any daemon of the cluster.
+func (l *eventLoop) warnNoContact(now time.Duration) {
+	options := l.transport.options.Load()
+	if !l.hasWarnedNoContact && !l.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
+		l.hasWarnedNoContact = true
 		options.Log.Warn("nobody of the fleet answers", "join", options.Join)
 	}
 }
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -11,28 +11,29 @@
 	"strings"
 )
 
-// Keys authenticate packets: the first one signs, and packets signed with any of them are accepted, so that operators can
-// replace a key in steps.
+// Keys authenticate packets: the first key signs, and packets signed with any of the keys are accepted, so that operators
+// can rotate keys without an interruption.
 type Keys []Key
 
 // Key is a secret with which packets are signed (HMAC-SHA256).
 type Key struct {
-	id     [keyIDBytes]byte // tells the receiver which key was used; never zero, which stands for no key
-	secret []byte
+	id     [keyIDBytes]byte // identifies the key in packets that it signs; never zero, which stands for no key
+	secret []byte           // HMAC key, of minKeyBytes to maxKeyBytes
 }
 
 const (
-	keyIDBytes = 4
-	maxKeys    = 2
-	// minKeyBytes is half of what HMAC-SHA256 can use, and far beyond guessing.
-	minKeyBytes   = 16
-	maxKeyBytes   = 64
+	keyIDBytes = 4 // length of a key's ID in a packet
+	maxKeys    = 2 // maximum number of keys in a key file
+	// minKeyBytes is half of the output of HMAC-SHA256, and too long to guess.
+	minKeyBytes = 16
+	maxKeyBytes = 64 // block size of SHA-256; HMAC hashes longer keys
+	// keyFileFormat is the error text for a malformed key file.
 	keyFileFormat = "must hold one or two lines of 32 to 128 hexadecimal digits"
 )
 
-// ReadKeys reads a key file: one key a line in hexadecimal digits, two at most; empty lines and lines that begin with #
-// are skipped. A file that others than its owner may access is rejected. An error names the file and, for a malformed
-// key, the line, and never quotes its content.
+// ReadKeys reads a key file with one or two lines, each of which contains a key in hexadecimal digits. Empty lines and
+// lines that begin with # are skipped. A file that users other than its owner may access is rejected. An error names the
+// file and, for a malformed key, the line, and never quotes the content.
 func ReadKeys(path string) (Keys, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -64,6 +65,7 @@
 	return keys, nil
 }
 
+// newKey returns the key with a secret. The key's ID is derived from the secret, so that all daemons use the same one.
 func newKey(secret []byte) Key {
 	sum := sha256.Sum256(append([]byte("tuliprock key id\x00"), secret...))
 	k := Key{id: [keyIDBytes]byte(sum[:]), secret: secret}
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// The fields of messages, in protocol buffers' wire format. Fields that are not known are skipped, so that a later version
-// may add some.
+// The field numbers of a swim.Message in the wire format of Protocol Buffers. Parsers skip unknown fields, so that a later
+// version may add some.
 const (
 	swimFieldKind protowire.Number = iota + 1
 	swimFieldFrom
@@ -21,7 +21,7 @@
 	swimFieldUpdate
 )
 
-// The fields of an update.
+// The field numbers of a swim.Update.
 const (
 	updateFieldName protowire.Number = iota + 1
 	updateFieldIP
@@ -32,7 +32,7 @@
 	updateFieldSuspectedBy
 )
 
-// The fields of a Message.
+// The field numbers of a Message.
 const (
 	messageFieldFrom protowire.Number = iota + 1
 	messageFieldGeneration
@@ -40,14 +40,15 @@
 	messageFieldBody
 )
 
-// Message is what a part of a daemon sends to the same part of another daemon. Kind tells which part that is.
+// Message is a message from a component of a daemon to the same component of another daemon.
 type Message struct {
-	From  string // the sender's name
-	RunID uint64 // identifies the sender's process
-	Kind  byte
-	Body  []byte
+	From  string // name of the sending daemon
+	RunID uint64 // generation of the sending process; see swim.Peer
+	Kind  byte   // purpose of the message, from which the receiver knows the component
+	Body  []byte // content, which the transport does not interpret
 }
 
+// marshal returns the encoding of the message.
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
 	b = appendFixed64(b, messageFieldGeneration, m.RunID)
@@ -55,7 +56,7 @@
 	return appendBytes(b, messageFieldBody, m.Body)
 }
 
-// parseMessage parses what marshal made. The result refers to nothing in b.
+// parseMessage parses the encoding that marshal returns. The result does not refer to b.
 func parseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := forEachField(b, func(f field) error {
@@ -98,8 +99,9 @@
 	return b
 }
 
+// appendUpdate appends an update as a length-delimited field to b.
 func appendUpdate(b []byte, id protowire.Number, u *swim.Update) []byte {
-	var buffer [160]byte // holds nearly every update; append grows it for the longest ones
+	var buffer [160]byte // long enough for nearly all updates; append allocates for longer ones
 	ip := u.Addr.Addr().As16()
 	update := appendBytes(buffer[:0], updateFieldName, u.Name)
 	if u.Addr.Addr().Is4() {
@@ -119,8 +121,8 @@
 	return appendBytes(b, id, update)
 }
 
-// parseSwimMessage parses what Marshal made, of which it accepts maxUpdates updates at most. The result refers to nothing
-// in b.
+// parseSwimMessage parses the encoding that AppendSwimMessage appends. It rejects a message with more than maxUpdates
+// updates. The result does not refer to b.
 func parseSwimMessage(b []byte, maxUpdates int) (*swim.Message, error) {
 	m := &swim.Message{}
 	err := forEachField(b, func(f field) (err error) {
@@ -160,6 +162,7 @@
 	return m, nil
 }
 
+// parseUpdate parses the encoding of an update that appendUpdate appends.
 func parseUpdate(b []byte) (swim.Update, error) {
 	var u swim.Update
 	var ip netip.Addr
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -5,21 +5,20 @@
 	"sync/atomic"
 )
 
-// Metrics are counts since the start. Received and Sent count packets, Bytes the bytes of those that were sent; the rest
-// count packets that were dropped, by reason.
+// Metrics contains counts since the start of the transport.
 type Metrics struct {
-	Received        uint64
-	Sent            uint64
-	BytesSent       uint64
-	Malformed       uint64 // malformed, too long or cut off
-	Foreign         uint64 // of another format version or cluster, or of a process that is not the member of its name
-	Unauthenticated uint64 // signed with an unknown key, or altered
-	Replayed        uint64 // received before, or too old to tell
-	RateLimited     uint64 // their source exceeded its rate
-	QueueFull       uint64 // a queue, or the limit on outgoing streams, was exhausted
+	Received        uint64 // packets received and not dropped
+	Sent            uint64 // packets sent
+	BytesSent       uint64 // total length of the packets sent, in bytes
+	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
+	Foreign         uint64 // packets dropped because of another format version or cluster, or because their sender is not the member of its name
+	Unauthenticated uint64 // packets dropped because they were signed with an unknown key, or altered
+	Replayed        uint64 // packets dropped because they were received before, or too old to tell
+	RateLimited     uint64 // packets dropped because their source address exceeded its rate limit
+	QueueFull       uint64 // packets dropped because a queue was full or maxStreams outgoing streams were open
 }
 
-// Metrics returns the counts. Each is exact; together they are no snapshot of one instant.
+// Metrics returns the counts. Each count is exact, but they are not read at the same instant.
 func (t *Transport) Metrics() Metrics {
 	return Metrics{
 		Received:        t.received.Load(),
@@ -34,8 +33,8 @@
 	}
 }
 
-// countSent counts a packet of n bytes if it was sent. One that was not needs no handling: the failure detector tolerates
-// lost packets, and so must those who use Send.
+// countSent counts a packet of n bytes if it was sent without error. An error needs no handling: the failure detector
+// tolerates lost packets, and so must the users of Send.
 func (t *Transport) countSent(n int, err error) {
 	if err == nil {
 		t.sent.Add(1)
@@ -48,8 +47,8 @@
 	malformed, foreign, unauthenticated, replayed, rateLimited, queueFull atomic.Uint64
 }
 
-// count counts a packet that was dropped with err. What has no counter of its own, such as a stream that was cut off,
-// counts as malformed.
+// count counts a packet that was dropped because of err. An error without a counter of its own, such as that of a truncated
+// stream, counts as malformed.
 func (d *dropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errVersionMismatch), errors.Is(err, errClusterMismatch), errors.Is(err, errUnknownSender):
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -9,18 +9,18 @@
 
 // Options configure a Transport. Cluster, Name and Listen are required.
 type Options struct {
-	Cluster   string           // messages of another cluster are dropped
-	Name      string           // this daemon's, unique in the cluster
-	Listen    netip.AddrPort   // UDP and TCP; port 0 leaves the choice to the system
-	Advertise netip.AddrPort   // where the others send to; the zero value stands for the address it listens at
-	Keys      Keys             // without one, Listen must be a loopback address
-	Join      []netip.AddrPort // contacted for as long as no other member is known
+	Cluster   string           // name of the cluster; messages of other clusters are dropped
+	Name      string           // name of this daemon, unique in the cluster
+	Listen    netip.AddrPort   // address of the UDP and the TCP socket; with port 0 the system chooses a port
+	Advertise netip.AddrPort   // address to which the other daemons send messages; zero value: the address of Listen
+	Keys      Keys             // keys that sign and authenticate packets; without a key, Listen must be a loopback address
+	Join      []netip.AddrPort // addresses to contact to join the cluster, each while no present member has it
 	Voters    []string         // names of the voters; see swim.Options
-	Timing    swim.Options     // only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
-	Log       *slog.Logger
+	Timing    swim.Options     // times of the failure detector; only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
+	Log       *slog.Logger     // log of member state changes and of failures to join
 }
 
-// swimOptions returns what the failure detector of this process is configured with.
+// swimOptions returns the options of the failure detector of this process.
 func (t *Transport) swimOptions(options *Options) swim.Options {
 	o := options.Timing
 	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Generation: t.generation}
--- a/internal/cluster/transport/replay.go
+++ b/internal/cluster/transport/replay.go
@@ -2,7 +2,8 @@
 
 import "tuliprock/internal/cluster/swim"
 
-// A packet in a stream may arrive after datagrams that were sent after it. The window is as long as some seconds of them.
+// The size of a replayWindow. A packet in a stream may arrive later than datagrams that were sent after it; the window
+// covers the datagrams of some seconds.
 const (
 	replayWindowWords = 16
 	replayWindowBits  = 64 * replayWindowWords
@@ -10,20 +11,20 @@
 
 // replayWindow is a sliding window over the sequence numbers of one process (cf. RFC 4303, section 3.4.3).
 type replayWindow struct {
-	highest uint64                    // the highest number received
-	seen    [replayWindowWords]uint64 // a ring of bits: numbers received among the latest replayWindowBits
+	highest uint64                    // highest sequence number received
+	seen    [replayWindowWords]uint64 // ring of bits: whether each of the latest replayWindowBits numbers was received
 }
 
-// accept marks a sequence number as received, and reports whether it is so for the first time. One that is too old to tell
-// is not accepted.
+// accept marks a sequence number as received, and reports whether it is received for the first time. A number that is older
+// than the window is not accepted.
 func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence+replayWindowBits <= w.highest {
 		return false
 	}
-	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ { // the ring's bits are reused
+	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ { // forget the number that had this bit before
 		w.clearBit(w.highest + 1)
 	}
-	if w.highest < sequence { // it is ahead by more than a window
+	if w.highest < sequence { // more than a window ahead: all bits are outdated
 		*w = replayWindow{highest: sequence}
 	}
 	word, bit := &w.seen[sequence/64%replayWindowWords], uint64(1)<<(sequence%64)
@@ -32,18 +33,20 @@
 	return isFirst
 }
 
+// clearBit marks a sequence number as not received.
 func (w *replayWindow) clearBit(sequence uint64) {
 	w.seen[sequence/64%replayWindowWords] &^= 1 << (sequence % 64)
 }
 
-// maxTrackedProcesses bounds each generation of a replayFilter. A full cluster in which each daemon was restarted fits.
+// maxTrackedProcesses is the maximum number of replay windows in each map of a replayFilter: enough for the largest cluster
+// in which each daemon was restarted once.
 const maxTrackedProcesses = 2 * swim.MaxMembers
 
-// replayFilter has the replay windows of all senders by run ID. They are kept in two generations, of which the older one
-// is discarded when the younger is full, so that memory is bounded.
+// replayFilter contains the replay windows of all sending processes, by their generation. New windows are added to current.
+// When current is full, it becomes previous, and the former previous is discarded, so that memory is bounded.
 type replayFilter struct{ current, previous map[uint64]*replayWindow }
 
-// accept reports whether a packet is received for the first time, as far back as its sender's window reaches.
+// accept reports whether a packet is received for the first time, as far as its sender's replay window can tell.
 func (f *replayFilter) accept(generation, sequence uint64) bool {
 	w := f.current[generation]
 	if w == nil {
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxStreams is how many streams may be open in each direction.
+	// maxStreams is the maximum number of open streams in each direction.
 	maxStreams = 8
-	// streamTimeout is from the dial or the accept to the last byte.
+	// streamTimeout is the maximum time of a stream, from the dial or the accept to the last byte.
 	streamTimeout = 2 * time.Second
-	// maxStreamBytes bounds a stream's packet. A snapshot of the replicated state has 7 MiB at most, swim.MaxMembers
-	// updates have 1.9 MB.
+	// maxStreamBytes is the maximum length of a packet in a stream. A snapshot of the replicated state has at most 7 MiB,
+	// and swim.MaxMembers updates have 1.9 MB.
 	maxStreamBytes = 8 << 20
-	// streamHeaderBytes is the length, as a big-endian number, that precedes the packet.
+	// streamHeaderBytes is the length of a stream's header, which is the length of the packet as a big-endian number.
 	streamHeaderBytes = 4
-	// acceptRetryDelay is between attempts to accept while the process is out of descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example while the process is out of file descriptors.
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// startStream sends a packet on a connection and a goroutine of its own. b begins with streamHeaderBytes that are free
-// for the length. An error means that maxStreams are open; that a started stream failed is not reported.
+// startStream sends a packet on a new connection, in a goroutine. b begins with streamHeaderBytes unused bytes for the
+// length. An error means that maxStreams streams are open; later errors of the stream are not reported.
 func (t *Transport) startStream(options *Options, to netip.AddrPort, b []byte) error {
 	select {
 	case t.outboundStreams <- struct{}{}:
@@ -43,12 +43,12 @@
 	return nil
 }
 
-// writeStream dials and writes b, within streamTimeout and until the transport ends.
+// writeStream dials and writes b. It is canceled after streamTimeout or when the transport ends.
 func (t *Transport) writeStream(options *Options, to netip.AddrPort, b []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, streamTimeout)
 	defer cancel()
 	dialer := net.Dialer{}
-	if ip := options.Listen.Addr(); !ip.IsUnspecified() { // the receiver sees the address that this member listens at
+	if ip := options.Listen.Addr(); !ip.IsUnspecified() { // the receiver sees the address of Options.Listen as the source
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", to.String())
@@ -60,7 +60,8 @@
 	return conn.Write(b)
 }
 
-// acceptStreams receives streams, maxStreams at a time, until the transport ends. Others wait in the system's queue.
+// acceptStreams receives streams until the transport ends, at most maxStreams at a time. Further connections wait in the
+// listener's backlog.
 func (t *Transport) acceptStreams() {
 	inboundStreams := make(chan struct{}, maxStreams)
 	for {
@@ -85,7 +86,7 @@
 	}
 }
 
-// receiveStream receives the packet of one connection and closes it.
+// receiveStream receives one packet from a connection and closes the connection.
 func (t *Transport) receiveStream(conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(t.ctx, func() { conn.Close() })()
@@ -98,7 +99,7 @@
 	t.receive(b, swim.MaxMembers)
 }
 
-// readStream reads one packet. Memory grows with the bytes that arrive, not with the length that the sender announces.
+// readStream reads one packet. It allocates memory in proportion to the bytes received, not to the length in the header.
 func readStream(r io.Reader) ([]byte, error) {
 	var header [streamHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -1,15 +1,16 @@
-// Package transport carries the messages of a cluster's daemons to one another and derives from them a view of who is a
-// member. It sends and receives signed packets, in UDP datagrams where they fit and else in TCP streams, both on one
-// port.
+// Package transport exchanges messages between the daemons of a cluster and maintains the view of which daemons are
+// members. It sends and receives signed packets, in UDP datagrams if they fit and in TCP streams otherwise, both on the
+// same port number.
 //
-// A Transport owns its sockets and the failure detector (swim.Node). Its goroutines are: the owner, which alone uses the
-// detector; one reader of datagrams; one acceptor of streams; and for streams at most maxStreams goroutines in each
-// direction, each of which lives for streamTimeout at most. All of them end before Abort or Close returns. Nothing of this
-// is on a request's path, and no request waits for it.
+// A Transport owns its sockets and the failure detector (swim.Node). Its goroutines are: the event loop, which alone uses
+// the detector; one that receives datagrams; one that accepts streams; and at most maxStreams goroutines for streams in
+// each direction, each of which runs for at most streamTimeout. All of them end before Abort or Close returns. No client
+// request waits for any of them.
 //
-// The methods of a Transport may be called concurrently, but Reconfigure only by one goroutine at a time, and Close and Abort
-// once. View, Now, Metrics, Changed, Messages and Addr never block. Delivery is not guaranteed: packets are dropped, and
-// counted by reason, when they can't be authenticated, are replayed, exceed their source's rate or find a full queue.
+// The methods of a Transport may be called concurrently, but Reconfigure by only one goroutine at a time, and Close and
+// Abort only once. View, Now, Metrics, Changed, Messages and Addr never block. Delivery is not guaranteed: packets that
+// can't be authenticated, are replayed, exceed the rate limit of their source or meet a full queue are dropped, and counted
+// by reason.
 package transport
 
 import (
@@ -28,47 +29,49 @@
 )
 
 const (
-	// inboxCapacity is how many messages may wait for the detector: a tick's worth in a cluster that changes as a whole.
+	// inboxCapacity is the number of messages that may wait for the failure detector: as many as arrive between two ticks
+	// while all members of a cluster change their state.
 	inboxCapacity = 512
-	// messageQueueCapacity is how many messages may wait in Messages.
+	// messageQueueCapacity is the number of messages that may wait in the channel of Messages.
 	messageQueueCapacity = 256
-	// leaveGossipTime is for how long Close keeps running after it has announced the departure, so that it spreads.
+	// leaveGossipTime is how long Close keeps the transport running after it has announced that the daemon leaves, so that
+	// the announcement reaches the other members by gossip.
 	leaveGossipTime = 300 * time.Millisecond
-	// receiveBufferBytes is the size of the UDP socket's buffer. It holds what arrives while the process is stopped for a
-	// moment.
+	// receiveBufferBytes is the size of the UDP socket's receive buffer, which holds the datagrams that arrive during a short
+	// pause of the process.
 	receiveBufferBytes = 1 << 20
 )
 
-// Transport is a daemon's membership in a cluster. Start creates it; it must be ended with Close or Abort.
+// Transport is a daemon's connection to its cluster. Start creates it, and Close or Abort must end it.
 type Transport struct {
-	options     atomic.Pointer[Options]
-	udpConn     *net.UDPConn
-	tcpListener *net.TCPListener
-	generation  uint64    // of this process; see newRunID
-	clockStart  time.Time // origin of the failure detector's clock
-
-	ctx        context.Context // ends with Abort
-	stop       context.CancelFunc
-	goroutines sync.WaitGroup
-
-	inbox          chan *swim.Message // from the readers to the owner
-	eventLoopCalls chan func(now time.Duration, node *swim.Node)
-	messages       chan Message // for the users of Messages
-	view           atomic.Pointer[swim.View]
-	changed        chan struct{}
-
-	sequence        atomic.Uint64 // of the latest packet that was signed
+	options     atomic.Pointer[Options] // current options; Reconfigure replaces them
+	udpConn     *net.UDPConn            // socket of the datagrams
+	tcpListener *net.TCPListener        // socket of the incoming streams
+	generation  uint64                  // identifier of this process; see newGeneration
+	clockStart  time.Time               // instant at which the failure detector's clock read clockOrigin
+
+	ctx        context.Context    // ends when Abort is called
+	stop       context.CancelFunc // ends ctx
+	goroutines sync.WaitGroup     // all goroutines of the transport
+
+	inbox          chan *swim.Message                            // received messages of the failure detector, for the event loop
+	eventLoopCalls chan func(now time.Duration, node *swim.Node) // functions that the event loop is to call
+	messages       chan Message                                  // received messages of Send, for the users of Messages
+	view           atomic.Pointer[swim.View]                     // latest published view
+	changed        chan struct{}                                 // holds a value if the view has changed since the last receive
+
+	sequence        atomic.Uint64 // sequence number of the latest packet that was signed
 	outboundStreams chan struct{} // holds a value for each stream being sent
 	replaysMu       sync.Mutex    // guards replays
-	replays         replayFilter
+	replays         replayFilter  // packets that were received recently
 
-	received  atomic.Uint64
-	sent      atomic.Uint64
-	bytesSent atomic.Uint64
-	dropped   dropCounters
+	received  atomic.Uint64 // number of packets received and not dropped
+	sent      atomic.Uint64 // number of packets sent
+	bytesSent atomic.Uint64 // total length of the packets sent, in bytes
+	dropped   dropCounters  // numbers of dropped packets by reason
 }
 
-// Start opens the sockets and joins the cluster. An error names the field at fault.
+// Start opens the sockets and starts to join the cluster. An error names the configuration field that caused it.
 func Start(options Options) (*Transport, error) {
 	if len(options.Keys) == 0 && !options.Listen.Addr().IsLoopback() {
 		return nil, fmt.Errorf("fleet.listen: %v is no loopback address, and there is no key_file", options.Listen)
@@ -77,13 +80,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	options.Listen = tcpListener.Addr().(*net.TCPAddr).AddrPort() // the port may have been left to the system
+	options.Listen = tcpListener.Addr().(*net.TCPAddr).AddrPort() // with the port that the system chose, if it was 0
 	udpConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
 		tcpListener.Close()
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	_ = udpConn.SetReadBuffer(receiveBufferBytes) // as much as the system grants
+	_ = udpConn.SetReadBuffer(receiveBufferBytes) // the system may grant less
 	if !options.Advertise.IsValid() {
 		options.Advertise = options.Listen
 	}
@@ -108,24 +111,24 @@
 	return t, nil
 }
 
-// newGeneration returns the identifier of this run of the daemon. A process that is started later has a greater one, as far as
-// the clocks of the machines agree; the random part distinguishes processes that start in the same millisecond.
+// newGeneration returns an identifier for this process. A process that starts later gets a greater one, as far as the clocks
+// of the machines agree; the random part distinguishes processes that start in the same millisecond.
 func newGeneration() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never returns an error
 	return uint64(time.Now().UnixMilli())<<16 | uint64(binary.LittleEndian.Uint16(b[:]))
 }
 
-// Addr returns the address that the sockets are bound to.
+// Addr returns the address to which the sockets are bound.
 func (t *Transport) Addr() netip.AddrPort { return t.options.Load().Listen }
 
-// View returns the latest view. It is shared and must not be modified.
+// View returns the latest view. The caller must not modify it, because it is shared.
 func (t *Transport) View() *swim.View { return t.view.Load() }
 
-// Changed returns a channel that holds a value when the view has changed since the last receive from it.
+// Changed returns a channel that holds a value if the view has changed since the last receive from the channel.
 func (t *Transport) Changed() <-chan struct{} { return t.changed }
 
-// Reconfigure replaces Keys, Join, Voters and Times. The other options stay as they were given to Start.
+// Reconfigure replaces Keys, Join, Voters and Timing. The other options stay as they were passed to Start.
 func (t *Transport) Reconfigure(options Options) {
 	next := *t.options.Load()
 	next.Keys, next.Join, next.Voters, next.Timing = options.Keys, options.Join, options.Voters, options.Timing
@@ -133,7 +136,7 @@
 	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Reconfigure(now, t.swimOptions(&next)) })
 }
 
-// Close announces to the cluster that this daemon leaves, and then does what Abort does. It takes leaveSpreadTime.
+// Close announces to the cluster that this daemon leaves, waits for leaveGossipTime, and then does what Abort does.
 func (t *Transport) Close() error {
 	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Leave(now) })
 	select {
@@ -143,8 +146,8 @@
 	return t.Abort()
 }
 
-// Abort closes the sockets without an announcement, so that the other members take this daemon for failed. It returns when
-// all goroutines have ended.
+// Abort closes the sockets without an announcement, so that the other members detect this daemon as failed. It returns
+// when all goroutines have ended.
 func (t *Transport) Abort() error {
 	t.stop()
 	err := errors.Join(t.udpConn.Close(), t.tcpListener.Close())
--- a/internal/cluster/transport/wire.go
+++ b/internal/cluster/transport/wire.go
@@ -2,30 +2,33 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// The functions below write and parse single fields of protocol buffers' wire format. There is no generated code: messages are
-// parsed field by field, with a bound on what each may hold.
+// The functions below encode and parse single fields of the wire format of Protocol Buffers. There is no generated code, so
+// that the parsers can check the bounds of each field while they read it.
 
+// appendVarint appends a field of the wire type varint to b.
 func appendVarint(b []byte, id protowire.Number, v uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, id, protowire.VarintType), v)
 }
 
+// appendFixed64 appends a field of the wire type fixed64 to b.
 func appendFixed64(b []byte, id protowire.Number, v uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, id, protowire.Fixed64Type), v)
 }
 
+// appendBytes appends a length-delimited field to b.
 func appendBytes[T string | []byte](b []byte, id protowire.Number, v T) []byte {
 	b = protowire.AppendVarint(protowire.AppendTag(b, id, protowire.BytesType), uint64(len(v)))
 	return append(b, v...)
 }
 
-// field is a parsed field: a number, or bytes that are part of what was parsed.
+// field is a parsed field. Its wire type determines which of number and bytes has its value.
 type field struct {
-	id     protowire.Number
-	number uint64
-	bytes  []byte
+	id     protowire.Number // number of the field in its message
+	number uint64           // value of a varint or fixed64 field
+	bytes  []byte           // value of a length-delimited field, a subslice of the parsed message
 }
 
-// forEachField calls visit with each field of b in turn, until it returns an error.
+// forEachField calls visit with each field of b in order, and stops with the first error.
 func forEachField(b []byte, visit func(f field) error) error {
 	for len(b) > 0 {
 		id, wireType, n := protowire.ConsumeTag(b)
@@ -42,7 +45,7 @@
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return errMalformed // no version sends other types
+			return errMalformed // no version of the daemon sends other wire types
 		}
 		if n < 0 {
 			return errMalformed
