--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// sampleSwimMessage has a value in each field.
+// sampleSwimMessage returns a message with a nonzero value in each field.
 func sampleSwimMessage() *swim.Message {
 	return &swim.Message{
 		Kind:   swim.Ping,
@@ -27,7 +27,7 @@
 	}
 }
 
-// Daemons of different builds exchange packets: the bytes are fixed.
+// Guards against a change of the encoding, because daemons of different builds exchange packets.
 func TestPacketEncodingIsFixed(t *testing.T) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	message := &Message{From: "a", RunID: 5, Kind: 'r', Body: []byte("body")}
@@ -37,14 +37,14 @@
 		want string
 	}{
 		{
-			"unsigned message of the detector",
+			"unsigned message of the failure detector",
 			appendSwimPacket(nil, unsigned, 1, sampleSwimMessage()),
 			"545201000000000a01631101000000000000001a68080112160a016112047f0000011807210500000000000000300118" +
 				"0322220a0162121000000000000000000000000000000001180921060000000000000030002909000000000000003001" +
 				"3a1b0a016312040a0000011807210700000000000000280130043a0161",
 		},
 		{
-			"signed message of the detector",
+			"signed message of the failure detector",
 			appendSwimPacket(nil, signed, 1, sampleSwimMessage()),
 			"5452014d0605b38ebe56c6b86e6008d64361a03f820754edc6b6c71fc6c24964d28b4312329ba00a0163110100000000" +
 				"0000001a68080112160a016112047f00000118072105000000000000003001180322220a016212100000000000000000" +
@@ -52,7 +52,7 @@
 				"000000000000280130043a0161",
 		},
 		{
-			"signed message",
+			"signed message of Send",
 			appendMessagePacket(nil, signed, 2, message),
 			"5452014d0605b3b4b5ab67f80597fa425fbc4cbc0f1b08d09d0ad317fcd1dc0dc167e79640d3130a0163110200000000" +
 				"00000022140a016111050000000000000018722204626f6479",
@@ -66,7 +66,8 @@
 	}
 }
 
-func TestLongestMessageOfTheDetectorFitsADatagram(t *testing.T) {
+// Guards the bounds on piggybacked updates: messages with the longest names, numbers and addresses must still fit a datagram.
+func TestLongestMessageOfTheFailureDetectorFitsADatagram(t *testing.T) {
 	longName := strings.Repeat("n", swim.MaxNameBytes)
 	addr := netip.MustParseAddrPort("[2001:db8:1:2:3:4:5:6]:65535")
 	longest := swim.Update{
@@ -98,11 +99,12 @@
 		}
 	}
 	if maxBytes > MaxDatagramBytes || maxBytes < MaxDatagramBytes/2 {
-		t.Errorf("the longest has %d bytes", maxBytes)
+		t.Errorf("longest datagram has %d bytes, want %d to %d", maxBytes, MaxDatagramBytes/2, MaxDatagramBytes)
 	}
 }
 
-// Any input is parsed or rejected, and what was parsed survives another round of encoding and parsing.
+// Checks that openPacket parses or rejects any input, that a parsed message stays the same when it is encoded and parsed
+// again, and that a Node can receive it.
 func FuzzOpenPacket(f *testing.F) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	f.Add(appendSwimPacket(nil, unsigned, 1, sampleSwimMessage())[headerBytes:])
@@ -117,13 +119,13 @@
 		if got.message != nil {
 			again, err := openPacket(appendMessagePacket(nil, signed, got.sequence, got.message), signed, 0)
 			if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", *got.message) != fmt.Sprintf("%+v", *again.message) {
-				t.Errorf("parsed as %+v, and then as %+v: %v", got.message, again.message, err)
+				t.Errorf("parsed again as %+v, want %+v; error %v", again.message, got.message, err)
 			}
 			return
 		}
 		again, err := openPacket(appendSwimPacket(nil, signed, got.sequence, got.swimMessage), signed, swim.MaxPiggyback)
 		if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", again.swimMessage) {
-			t.Errorf("parsed as %+v, and then as %+v: %v", got.swimMessage, again.swimMessage, err)
+			t.Errorf("parsed again as %+v, want %+v; error %v", again.swimMessage, got.swimMessage, err)
 		}
 		node := swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Generation: 1}})
 		node.Receive(time.Second, got.swimMessage)
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -21,13 +21,14 @@
 				t.Fatal(err)
 			}
 			if m := <-b.Messages(); m.From != "a" || m.Kind != 'x' || !bytes.Equal(m.Body, body) {
-				t.Errorf("received from %s, kind %c, %d bytes", m.From, m.Kind, len(m.Body))
+				t.Errorf("received kind %c with %d bytes from %s, want kind x with the %d bytes sent from a", m.Kind, len(m.Body), m.From, size)
 			}
 		})
 	}
 }
 
-func TestMessageOfAnotherProcessOfTheNameIsDropped(t *testing.T) {
+// A second process with the name of a member must not be able to send messages in the member's place.
+func TestMessageOfAnotherProcessWithAMembersNameIsDropped(t *testing.T) {
 	_, b := startPair(t)
 	before := b.Metrics().Foreign
 	conn, err := net.Dial("udp", b.Addr().String())
@@ -37,21 +38,21 @@
 	defer conn.Close()
 	options := testOptions("a")
 	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", RunID: 5, Kind: 'x'}))
-	testpeer.Until(t, "it is counted", func() bool { return b.Metrics().Foreign == before+1 })
+	testpeer.Until(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == before+1 })
 	select {
 	case m := <-b.Messages():
-		t.Errorf("delivered: %+v", m)
+		t.Errorf("delivered %+v, want no message", m)
 	default:
 	}
 }
 
-func TestSendReportsWhatIsNotSent(t *testing.T) {
+func TestSendReturnsAnErrorForAnUnknownMemberAndATooLongMessage(t *testing.T) {
 	a, _ := startPair(t)
 	if err := a.Send("nobody", 'x', nil); !errors.Is(err, ErrUnknownMember) {
-		t.Errorf("to an unknown member: %v", err)
+		t.Errorf("Send to an unknown member: error %v, want ErrUnknownMember", err)
 	}
 	if err := a.Send("b", 'x', make([]byte, maxStreamBytes+1)); err == nil {
-		t.Error("a message over maxStreamBytes is sent")
+		t.Error("Send of more than maxStreamBytes: no error, want one")
 	}
 }
 
@@ -80,43 +81,44 @@
 		datagram []byte
 		count    func(Metrics) uint64
 	}{
-		"empty":           {nil, func(m Metrics) uint64 { return m.Malformed }},
-		"cut off":         {valid[:20], func(m Metrics) uint64 { return m.Unauthenticated }},
-		"a bit flipped":   {altered, func(m Metrics) uint64 { return m.Unauthenticated }},
-		"too long":        {make([]byte, 9000), func(m Metrics) uint64 { return m.Malformed }},
-		"another version": {laterVersion, func(m Metrics) uint64 { return m.Foreign }},
-		"another cluster": {signed("d", key), func(m Metrics) uint64 { return m.Foreign }},
-		"another key":     {signed("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Unauthenticated }},
-		"no key":          {signed("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
+		"empty":                           {nil, func(m Metrics) uint64 { return m.Malformed }},
+		"truncated":                       {valid[:20], func(m Metrics) uint64 { return m.Unauthenticated }},
+		"one bit flipped":                 {altered, func(m Metrics) uint64 { return m.Unauthenticated }},
+		"longer than MaxDatagramBytes":    {make([]byte, 9000), func(m Metrics) uint64 { return m.Malformed }},
+		"later format version":            {laterVersion, func(m Metrics) uint64 { return m.Foreign }},
+		"packet of another cluster":       {signed("d", key), func(m Metrics) uint64 { return m.Foreign }},
+		"signed with an unknown key":      {signed("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Unauthenticated }},
+		"unsigned though keys are in use": {signed("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := row.count(a.Metrics())
 			send(row.datagram)
-			testpeer.Until(t, "it is counted", func() bool { return row.count(a.Metrics()) == before+1 })
+			testpeer.Until(t, "the packet is counted", func() bool { return row.count(a.Metrics()) == before+1 })
 		})
 	}
-	if stateOf(a, "x") != "unknown" {
-		t.Error("a dropped packet had an effect")
+	if state := stateOf(a, "x"); state != "unknown" {
+		t.Errorf("after dropped packets about x its state is %s, want unknown", state)
 	}
 
 	send(valid)
-	testpeer.Until(t, "the valid one has an effect", func() bool { return stateOf(a, "x") != "unknown" })
+	testpeer.Until(t, "a valid packet makes x a member", func() bool { return stateOf(a, "x") != "unknown" })
 	send(valid)
-	testpeer.Until(t, "its replay is counted", func() bool { return a.Metrics().Replayed == 1 })
-	testpeer.Until(t, "a source over its rate is dropped", func() bool {
+	testpeer.Until(t, "the replay of the valid packet is counted", func() bool { return a.Metrics().Replayed == 1 })
+	testpeer.Until(t, "packets over the rate limit of their source are dropped", func() bool {
 		for range 500 {
 			send(altered)
 		}
 		return a.Metrics().RateLimited > 1000
 	})
 	before := a.Metrics().Received
-	testpeer.Until(t, "b is received meanwhile", func() bool {
+	testpeer.Until(t, "packets of b are still received", func() bool {
 		send(altered)
 		return a.Metrics().Received > before+5 && stateOf(a, "b") == "alive"
 	})
 }
 
-func TestStreamThatAnnouncesTooMuchIsDropped(t *testing.T) {
+// Guards against a stream whose header announces more than maxStreamBytes.
+func TestStreamWithATooLargeLengthIsDropped(t *testing.T) {
 	a := start(t, testOptions("a"))
 	conn, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
@@ -125,5 +127,5 @@
 	defer conn.Close()
 	before := a.Metrics().Malformed
 	conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	testpeer.Until(t, "it is counted", func() bool { return a.Metrics().Malformed > before })
+	testpeer.Until(t, "the stream is counted as malformed", func() bool { return a.Metrics().Malformed > before })
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -16,9 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// secret is the secret of the key that all members in the tests share.
 var secret = bytes.Repeat([]byte{7}, 32)
 
-// testOptions are those of a member that detects failures fast, and signs with secret.
+// testOptions returns the options of a member that detects failures fast and signs with secret.
 func testOptions(name string, join ...netip.AddrPort) Options {
 	return Options{
 		Cluster: "c",
@@ -38,22 +39,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = tr.Abort() }) // a test may have aborted it before: then its sockets are closed already
+	t.Cleanup(func() { _ = tr.Abort() }) // fails if the test has already closed or aborted the transport
 	return tr
 }
 
-// startPair starts members a and b, and waits until each has the other for alive.
+// startPair starts members a and b, and waits until each considers the other alive.
 func startPair(t *testing.T) (a, b *Transport) {
 	t.Helper()
 	a = start(t, testOptions("a"))
 	b = start(t, testOptions("b", a.Addr()))
-	testpeer.Until(t, "a and b are alive to one another", func() bool {
+	testpeer.Until(t, "a and b consider each other alive", func() bool {
 		return stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 	})
 	return a, b
 }
 
-// stateOf returns a member's state in the view of a transport.
+// stateOf returns a member's state in the view of a transport, or "unknown" if the view does not have the member.
 func stateOf(tr *Transport, name string) string {
 	for _, m := range tr.View().Members {
 		if m.Name == name {
@@ -63,36 +64,36 @@
 	return "unknown"
 }
 
-func TestMembersFindOneAnotherAndNoticeLeavingAndFailure(t *testing.T) {
+func TestMembersJoinAndDetectThatOthersLeaveOrFail(t *testing.T) {
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
 	c := start(t, testOptions("c", a.Addr()))
-	testpeer.Until(t, "all have three members", func() bool {
+	testpeer.Until(t, "all views have three members", func() bool {
 		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 &&
 			b.View().Connectivity == swim.FullyConnected
 	})
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
+	testpeer.Until(t, "a and b see that c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
 	if err := b.Abort(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "b has failed", func() bool { return stateOf(a, "b") == "failed" })
+	testpeer.Until(t, "a detects that b has failed", func() bool { return stateOf(a, "b") == "failed" })
 }
 
 func TestKeyRotationKeepsMembersConnected(t *testing.T) {
-	oldKey, nextKey := newKey(secret), newKey(bytes.Repeat([]byte{8}, 32))
+	oldKey, newerKey := newKey(secret), newKey(bytes.Repeat([]byte{8}, 32))
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
 	for _, step := range []struct {
 		name string
 		a, b Keys
 	}{
-		{"a accepts the new key", Keys{oldKey, nextKey}, Keys{oldKey}},
-		{"b signs with the new key", Keys{oldKey, nextKey}, Keys{nextKey, oldKey}},
-		{"a has the new key alone", Keys{nextKey}, Keys{nextKey, oldKey}},
-		{"both have the new key alone", Keys{nextKey}, Keys{nextKey}},
+		{"a accepts the new key too", Keys{oldKey, newerKey}, Keys{oldKey}},
+		{"b signs with the new key", Keys{oldKey, newerKey}, Keys{newerKey, oldKey}},
+		{"a has only the new key", Keys{newerKey}, Keys{newerKey, oldKey}},
+		{"both have only the new key", Keys{newerKey}, Keys{newerKey}},
 	} {
 		for tr, keys := range map[*Transport]Keys{a: step.a, b: step.b} {
 			options := *tr.options.Load()
@@ -100,21 +101,21 @@
 			tr.Reconfigure(options)
 		}
 		before := a.Metrics().Received
-		testpeer.Until(t, step.name+": they exchange packets", func() bool {
+		testpeer.Until(t, step.name+": a and b exchange packets", func() bool {
 			return a.Metrics().Received > before+3 && stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 		})
 	}
 }
 
-func TestStartNamesTheFieldAtFault(t *testing.T) {
+func TestStartErrorNamesTheConfigurationField(t *testing.T) {
 	unsigned := testOptions("a")
 	unsigned.Keys, unsigned.Listen = nil, netip.MustParseAddrPort("0.0.0.0:0")
 	inUse := testOptions("a")
 	inUse.Listen = start(t, testOptions("b")).Addr()
-	for name, options := range map[string]Options{"without a key beyond loopback": unsigned, "address in use": inUse} {
+	for name, options := range map[string]Options{"no key and no loopback address": unsigned, "address in use": inUse} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Start(options); err == nil || !strings.Contains(err.Error(), "fleet.listen") {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want one that contains \"fleet.listen\"", err)
 			}
 		})
 	}
