--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -1,10 +1,11 @@
-// Package ordinal gives a daemon its ordinal among the daemons of its cluster and their count, by which they divide a whole
-// among themselves, from a view that may flap.
+// Package ordinal derives from the view of a cluster how many daemons it has, and the ordinal of this daemon among them.
+// The daemons use both to divide something among themselves, for example a quota. Both stay stable while members fail and
+// return within a short time.
 //
-// The package is pure: views and instants come in. A Tracker has one owner, and there is no goroutine.
+// The package is pure: its input is views and instants. It has no goroutine, and one caller owns a Tracker.
 //
-// The result is an opinion, as the view is: while daemons come, go or are cut off, the parts that they take of a whole may
-// sum to more than it for a while.
+// The result is an estimate, as the view is: while daemons join, leave, fail or are cut off, the parts that all daemons take
+// may temporarily add up to more than the whole.
 package ordinal
 
 import (
@@ -14,29 +15,31 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// FailureHold is how long a member must be failed before the others divide its part among themselves. It is longer than
-// a restart takes, and than a link that comes and goes every two seconds leaves the member failed.
+// FailureHold is how long a member must be failed before it no longer counts, so that the others divide its part among
+// themselves. It is longer than a restart takes, and longer than a member stays failed because of a network link that is
+// interrupted every two seconds.
 const FailureHold = 10 * time.Second
 
-// notMissing is the value in Tracker.missingSince of a member that is present.
+// notMissing is the value in Tracker.missingSince for a member that is present.
 const notMissing = time.Duration(-1)
 
-// Tracker determines the ordinal and the count. The zero value counts nobody yet. It is not safe for concurrent use.
+// Tracker determines the count of members and the ordinal. The zero value is ready to use and counts no member. It is not
+// safe for concurrent use.
 type Tracker struct {
-	missingSince map[string]time.Duration // of each member that counts: instant since which it is failed, or notMissing
+	missingSince map[string]time.Duration // by name of each counted member: instant since which it is failed or unknown, or notMissing
 }
 
-// Update takes in a view at the instant now, which never goes back. It returns how many members count, the ordinal (from
-// 0, by name) of the view's owner among them, and the instant at which Update is due again though no other view has come;
-// 0: it is not.
+// Update processes a view at the instant now, which must never decrease. It returns the number of counted members; the
+// ordinal, from 0 and in the order of names, of the view's own daemon among them; and the instant at which Update must be
+// called again even if the view does not change, or 0 if there is none.
 //
-// A member counts from the view in which it is first present until it has left, or has been failed or unknown for
-// FailureHold. A daemon that is cut off drops nobody that has failed: it cannot tell who has.
+// A member is counted from the first view in which it is present until it has left, or has been failed or unknown for
+// FailureHold. A daemon that is cut off keeps counting failed members, since it cannot tell which of them have failed.
 func (t *Tracker) Update(now time.Duration, v *swim.View) (count, ordinal int, nextUpdate time.Duration) {
 	if t.missingSince == nil {
 		t.missingSince = map[string]time.Duration{}
 	}
-	t.takeView(now, v)
+	t.recordView(now, v)
 	names := make([]string, 0, len(t.missingSince))
 	for name, since := range t.missingSince {
 		switch {
@@ -53,8 +56,8 @@
 	return len(names), max(slices.Index(names, v.Self), 0), nextUpdate
 }
 
-// takeView notes which members are present, which have left, and since when the others are missing.
-func (t *Tracker) takeView(now time.Duration, v *swim.View) {
+// recordView records which members are present, which have left, and since when the others are missing.
+func (t *Tracker) recordView(now time.Duration, v *swim.View) {
 	isKnown := make(map[string]bool, len(v.Members))
 	for _, m := range v.Members {
 		isKnown[m.Name] = true
@@ -74,9 +77,9 @@
 	}
 }
 
-// markMissing notes that a member that counts is missing, if it was present so far.
+// markMissing records that a counted member is missing, if it was present until now.
 func (t *Tracker) markMissing(now time.Duration, name string) {
-	if since, counts := t.missingSince[name]; counts && since == notMissing {
+	if since, isCounted := t.missingSince[name]; isCounted && since == notMissing {
 		t.missingSince[name] = now
 	}
 }
