--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -1,6 +1,6 @@
 // Package ordinal derives from the view of a cluster how many daemons it has, and the ordinal of this daemon among them.
-// The daemons use both to divide something among themselves, for example a quota. Both stay stable while members fail and
-// return within a short time.
+// The daemons use both to divide limits among themselves, such as the initial concurrency limit of a pool. Both numbers
+// stay stable while a member fails and returns within a short time.
 //
 // The package is pure: its input is views and instants. It has no goroutine, and one caller owns a Tracker.
 //
--- a/internal/cluster/status/call_test.go
+++ b/internal/cluster/status/call_test.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// serveResponses listens as a daemon does on its operators' address. It responds to each connection with the next text,
-// and to those after the last with the last. The requests' first lines come out of the channel.
+// serveResponses starts a server in place of a daemon's operators' address. It responds to each connection with the next of
+// responses, and repeats the last one. It sends the first line of each request to the channel requests.
 func serveResponses(t *testing.T, responses ...string) (addr string, requests <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,32 +40,33 @@
 	return listener.Addr().String(), received
 }
 
+// Guards against a retry that differs from the first request: the daemons recognize a repeated command only by its ID.
 func TestCallRepeatsTheSameRequestWhileNoMajorityResponds(t *testing.T) {
 	indeterminate := "FAILURE wrapped: " + consensus.ErrIndeterminate.Error() + "\n"
 	addr, requests := serveResponses(t, indeterminate, indeterminate, "answer version=7 same=false\nEOT\n")
 	got, err := Call(addr, []string{"put", "id", "-", "x", "0"}, nil, 10*time.Second)
 	if err != nil || got.Version != 7 || got.Format != 1 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got %+v, error %v; want version 7 and format 1", got, err)
 	}
 	for range 3 {
 		if line := <-requests; line != "settings put id - x 0\n" {
-			t.Errorf("request %q", line)
+			t.Errorf("got request %q, want %q", line, "settings put id - x 0\n")
 		}
 	}
 	if len(requests) > 0 {
-		t.Errorf("another request %q", <-requests)
+		t.Errorf("got another request %q, want three requests", <-requests)
 	}
 }
 
-func TestCallReturnsIndeterminateErrorAfterItsTime(t *testing.T) {
+func TestCallReturnsIndeterminateErrorAfterRetryFor(t *testing.T) {
 	addr, requests := serveResponses(t, "FAILURE "+consensus.ErrIndeterminate.Error()+"\n")
 	_, err := Call(addr, []string{"history"}, nil, 0)
 	var indeterminate IndeterminateError
 	if !errors.As(err, &indeterminate) || err.Error() != addr+": "+consensus.ErrIndeterminate.Error() {
-		t.Errorf("%T %v", err, err)
+		t.Errorf("got error %T %v, want an IndeterminateError with the address and ErrIndeterminate", err, err)
 	}
 	if len(requests) != 1 {
-		t.Errorf("%d requests", len(requests))
+		t.Errorf("got %d requests, want 1", len(requests))
 	}
 }
 
@@ -74,9 +75,9 @@
 	_, err := Call(addr, []string{"show", "x"}, nil, 10*time.Second)
 	var indeterminate IndeterminateError
 	if err == nil || errors.As(err, &indeterminate) || !strings.HasSuffix(err.Error(), ": no such document") {
-		t.Errorf("%T %v", err, err)
+		t.Errorf("got error %T %v, want one that ends with \": no such document\" and is no IndeterminateError", err, err)
 	}
 	if len(requests) != 1 {
-		t.Errorf("%d requests", len(requests))
+		t.Errorf("got %d requests, want 1", len(requests))
 	}
 }
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// bodyBytesPerLine is how many bytes of a body are on one line, in base64.
+	// bodyBytesPerLine is the number of bytes of a document's body that are encoded on one line.
 	bodyBytesPerLine = 6000
 
-	// callTimeout bounds one request of Call: a daemon has to respond within a second.
+	// callTimeout bounds one request of Call. A daemon must respond within a second.
 	callTimeout = 2 * time.Second
 
 	// retryInterval is the pause between two requests of Call.
 	retryInterval = 100 * time.Millisecond
 )
 
-// HistoryEntry is an entry of the history of the agreed documents.
+// HistoryEntry is a change in the history of the agreed documents.
 type HistoryEntry struct {
-	Version         uint64 `json:"version"`
-	Name            string `json:"name"`
-	Bytes           int    `json:"bytes"`
-	SHA256          string `json:"sha256"` // in hexadecimal; zeros: the document was removed
-	By              string `json:"by"`
-	AtMs            int64  `json:"at_ms"`          // Unix milliseconds, by the clock of the daemon that was called
-	RestoredVersion uint64 `json:"back,omitempty"` // the version whose document was restored
+	Version         uint64 `json:"version"`        // version of the settings that the change created
+	Name            string `json:"name"`           // name of the changed document
+	Bytes           int    `json:"bytes"`          // length of the document's body
+	SHA256          string `json:"sha256"`         // SHA-256 of the body, in hexadecimal; zeros: the document was removed
+	By              string `json:"by"`             // name of the daemon that proposed the change
+	AtMs            int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
+	RestoredVersion uint64 `json:"back,omitempty"` // version to which the change reverts the document; 0: no revert
 }
 
-// IsRemoval reports whether the document was removed.
+// IsRemoval reports whether the change removed the document.
 func (h *HistoryEntry) IsRemoval() bool { return strings.Trim(h.SHA256, "0") == "" }
 
 // CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
 type CommandResult struct {
-	Format      int            `json:"format"`         // 1
-	Version     uint64         `json:"version"`        // the version that a change made, or else the agreed one
-	IsUnchanged bool           `json:"same,omitempty"` // there was nothing to change
-	Name        string         `json:"name,omitempty"` // name of the requested document
-	PutVersion  uint64         `json:"put,omitempty"`  // the version in which the requested document was put
-	Body        []byte         `json:"body,omitempty"` // of the requested document
-	History     []HistoryEntry `json:"history,omitempty"`
+	Format      int            `json:"format"`            // version of the JSON format: 1
+	Version     uint64         `json:"version"`           // version that the command created, or else the committed version
+	IsUnchanged bool           `json:"same,omitempty"`    // whether the command had nothing to change
+	Name        string         `json:"name,omitempty"`    // name of the requested document
+	PutVersion  uint64         `json:"put,omitempty"`     // version in which the requested document was put
+	Body        []byte         `json:"body,omitempty"`    // body of the requested document
+	History     []HistoryEntry `json:"history,omitempty"` // requested history
 }
 
-// WriteResult writes the lines of a command's result, but no end of the response.
+// WriteResult writes the lines of a command's result, but not the line that ends the response.
 func WriteResult(w io.Writer, r consensus.CommandResult) error {
 	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", r.Version, r.Unchanged); err != nil {
 		return err
@@ -74,6 +74,7 @@
 	return nil
 }
 
+// parseLine parses a line that WriteResult wrote.
 func (r *CommandResult) parseLine(line string) error {
 	var h HistoryEntry
 	var encodedBody string
@@ -97,21 +98,21 @@
 	return err
 }
 
-// IndeterminateError is returned for a command that may have been carried out, or may be yet.
+// IndeterminateError is the error of a command that may or may not have been carried out, or may still be carried out.
 type IndeterminateError struct{ error }
 
 // Unwrap returns the error of the last attempt.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
-// Call sends a command on the agreed documents to the daemon whose operators' address is addr: the words that follow
-// "settings" on the request line, and the body of a put. While no majority of the voters responds it retries with the same
-// words, which must carry an ID where a command may not be carried out twice. It returns an IndeterminateError when
-// retryFor has passed without success, and any other error at once.
-func Call(addr string, words []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
+// Call sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
+// arguments that follow "settings" on the request line, and the body of a put. While no majority of the voters responds,
+// Call retries with the same arguments, which must contain an ID if the command must not be carried out twice. It returns
+// an IndeterminateError if there is no result within retryFor, and any other error at once.
+func Call(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
 	deadline := time.Now().Add(retryFor)
 	for {
 		r := &CommandResult{Format: 1}
-		err := query(addr, "settings "+strings.Join(words, " "), body, callTimeout, r.parseLine)
+		err := query(addr, "settings "+strings.Join(args, " "), body, callTimeout, r.parseLine)
 		if err == nil {
 			return r, nil
 		}
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -8,28 +8,28 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Fleet is what one daemon holds of its cluster. Its JSON form is documented for operators.
+// Fleet is the view of one daemon of its cluster. Its JSON form is documented for operators.
 type Fleet struct {
-	Format       int    `json:"format"` // 1
-	Self         string `json:"self"`
-	Connectivity string `json:"standing"`        // the swim.Connectivity: whole, partial or cut-off
-	Elder        string `json:"elder,omitempty"` // address of an elder daemon with this name, to which this one yields
-	View         uint64 `json:"view"`            // number of the view
-	Daemons      int    `json:"daemons"`         // number of daemons that share what is divided
-	Ordinal      int    `json:"index"`           // ordinal of this daemon among them, from 0
-	Peers        []Peer `json:"peers"`           // members by name, this daemon included
+	Format       int    `json:"format"`          // version of the JSON format: 1
+	Self         string `json:"self"`            // name of the daemon
+	Connectivity string `json:"standing"`        // swim.Connectivity of the daemon: whole, partial or cut-off
+	Elder        string `json:"elder,omitempty"` // address of the older process with this daemon's name, to which the daemon yields
+	View         uint64 `json:"view"`            // number of the view, which grows with each change
+	Daemons      int    `json:"daemons"`         // number of daemons that divide limits among themselves; see package ordinal
+	Ordinal      int    `json:"index"`           // ordinal of this daemon among those counted in "daemons", from 0
+	Peers        []Peer `json:"peers"`           // members sorted by name, this daemon included
 }
 
 // Peer is a member of a Fleet.
 type Peer struct {
-	Name        string `json:"name"`
-	Address     string `json:"address"`
-	State       string `json:"state"` // alive, suspect, failed or left
-	Incarnation uint64 `json:"incarnation"`
-	SinceMs     int64  `json:"since_ms"` // milliseconds for which it has been in the state
+	Name        string `json:"name"`        // name of the member
+	Address     string `json:"address"`     // address and port to which other daemons send messages
+	State       string `json:"state"`       // state of the member: alive, suspect, failed or left
+	Incarnation uint64 `json:"incarnation"` // incarnation of the member; see swim.Update
+	SinceMs     int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
-// FleetFromView returns the report of a view at the instant now, on the clock of the view's node.
+// FleetFromView returns the report of a view at the instant now of the failure detector's clock.
 func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
 	f := &Fleet{
 		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), Elder: v.Rival, View: v.Number,
@@ -44,13 +44,13 @@
 	return f
 }
 
-// FetchFleet gets the Fleet of the daemon whose operators' address is addr. All of it takes no longer than timeout.
+// FetchFleet requests the Fleet of the daemon whose operators' address is addr, within timeout.
 func FetchFleet(addr string, timeout time.Duration) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, query(addr, "peers", nil, timeout, f.parseLine)
 }
 
-// Write writes a line for the daemon and one for each member, but no end of the response.
+// Write writes a line for the daemon and one for each member, but not the line that ends the response.
 func (f *Fleet) Write(w io.Writer) error {
 	elder := ""
 	if f.Elder != "" {
@@ -69,6 +69,7 @@
 	return nil
 }
 
+// parseLine parses a line that Write wrote.
 func (f *Fleet) parseLine(line string) error {
 	var p Peer
 	err := parseFields(line, lineFields{
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -19,25 +19,28 @@
 	// endOfResponse is the line that ends a response. The server of the operators' address writes it.
 	endOfResponse = "EOT"
 
-	// failurePrefix begins the line that takes the place of a response when the daemon could not carry out the request.
+	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request.
 	failurePrefix = "FAILURE "
 
-	// maxResponseLines bounds a response: a line for each member of the largest cluster, one for the daemon, and the end.
+	// maxResponseLines is the maximum number of lines of a response: one for each member of the largest cluster, one for the
+	// daemon, and the end.
 	maxResponseLines = swim.MaxMembers + 2
 )
 
-// failureError is the reason that a daemon gives for not carrying out a request.
+// failureError is the reason that a daemon reports for not carrying out a request.
 type failureError string
 
+// Error returns the reason as the daemon reported it.
 func (e failureError) Error() string { return string(e) }
 
-// Is reports whether the failure is consensus.ErrIndeterminate at the daemon: the protocol carries nothing but its text.
+// Is reports whether the daemon's error was consensus.ErrIndeterminate. It compares the text, because the protocol
+// transfers only the text of an error.
 func (e failureError) Is(target error) bool {
 	return target == consensus.ErrIndeterminate && strings.Contains(string(e), target.Error())
 }
 
-// query sends a request line, with a body behind it, to a daemon's operators' address, and passes the lines of the
-// response to parseLine. All of it takes no longer than timeout.
+// query sends a request line and a body to a daemon's operators' address, and passes the lines of the response to parseLine.
+// It returns within timeout.
 func query(addr, request string, body []byte, timeout time.Duration, parseLine func(line string) error) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -54,8 +57,8 @@
 	return nil
 }
 
-// readResponse passes the lines of a response to parseLine, up to endOfResponse. It returns a failureError where the
-// daemon reports a failure, and an error where the response is cut short.
+// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a failureError if the daemon
+// reports a failure, and another error if the response is truncated.
 func readResponse(r io.Reader, parseLine func(line string) error) error {
 	scanner := bufio.NewScanner(r)
 	for n := 0; scanner.Scan() && n < maxResponseLines; n++ {
@@ -76,12 +79,12 @@
 	return errors.New("the answer has no end")
 }
 
-// lineFields holds, by the first word of a line and the key of a field, the pointers to which parseFields assigns the
-// values.
+// lineFields maps the first word of a line and the key of a field to the pointer through which parseFields assigns the
+// field's value.
 type lineFields map[string]map[string]any
 
-// parseFields parses a line: its first word, and fields of the form key=value. It ignores words and keys that fields does
-// not have.
+// parseFields parses a line, which consists of a first word and fields of the form key=value. It ignores first words and
+// keys that are not in fields.
 func parseFields(line string, fields lineFields) error {
 	kind, rest, _ := strings.Cut(line, " ")
 	for _, field := range strings.Fields(rest) {
@@ -93,10 +96,11 @@
 	return nil
 }
 
-// escapedText is a text that is query-escaped on a line, since a value cannot contain spaces.
+// escapedText is a text that is query-escaped on a line, because a field's value cannot contain spaces.
 type escapedText string
 
-// parseValue parses value into what the pointer target points to. A nil target ignores it.
+// parseValue parses a value according to the type of the pointer target, and assigns it through the pointer. It ignores the
+// value if target is nil.
 func parseValue(target any, value string) (err error) {
 	switch target := target.(type) {
 	case *string:
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// Settings is what one daemon holds of the agreed settings. Its JSON form is documented for operators.
+// Settings is the state of the agreed settings at one daemon. Its JSON form is documented for operators.
 type Settings struct {
-	Format           int        `json:"format"`  // 1
-	Version          uint64     `json:"version"` // the version that this daemon acts on
-	HasLease         bool       `json:"acting"`  // its lease is valid
-	LeaseMs          int64      `json:"lease_ms"`
-	IsVoter          bool       `json:"votes"`              // it is a voter
-	IsLeader         bool       `json:"leads"`              // it is the leader
+	Format           int        `json:"format"`             // version of the JSON format: 1
+	Version          uint64     `json:"version"`            // version of the settings that this daemon acts on
+	HasLease         bool       `json:"acting"`             // whether this daemon has a valid lease
+	LeaseMs          int64      `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds
+	IsVoter          bool       `json:"votes"`              // whether this daemon is a voter
+	IsLeader         bool       `json:"leads"`              // whether this daemon's voter is the leader
 	Leader           string     `json:"leader"`             // name of the daemon that granted the latest lease
-	Committed        uint64     `json:"committed"`          // the latest committed version, as far as a voter here knows
-	NextVersion      uint64     `json:"coming"`             // the version that is to be acted on next
-	Term             uint64     `json:"term"`               // of the voters, where this daemon is one
-	MinActingVersion uint64     `json:"all"`                // no daemon acts on an earlier version; 0: not known
-	RejectedVersion  uint64     `json:"declined,omitempty"` // the version that this daemon cannot act on
-	RejectionReason  string     `json:"why,omitempty"`      // the reason for Declined
-	RejectedRequests uint64     `json:"refused"`            // requests that were rejected for lack of a valid lease
-	LeaseVoters      string     `json:"voters"`             // names from which it may acquire a lease, separated by commas
-	CurrentVoters    string     `json:"sitting"`            // names of the voters, as the leader reported last, separated by commas
-	Lags             []Lag      `json:"lags"`               // the daemons that the leader waits for
-	Documents        []Document `json:"documents"`
+	Committed        uint64     `json:"committed"`          // latest committed version, if this daemon is a voter; 0 otherwise
+	NextVersion      uint64     `json:"coming"`             // version that is activated next, if this daemon is a voter; 0 otherwise
+	Term             uint64     `json:"term"`               // Raft term, if this daemon is a voter; 0 otherwise
+	MinActingVersion uint64     `json:"all"`                // version before which no daemon acts any more; 0: unknown
+	RejectedVersion  uint64     `json:"declined,omitempty"` // version on which this daemon cannot act
+	RejectionReason  string     `json:"why,omitempty"`      // why this daemon cannot act on RejectedVersion
+	RejectedRequests uint64     `json:"refused"`            // number of requests that were rejected for lack of a valid lease
+	LeaseVoters      string     `json:"voters"`             // names of the voters that may grant a lease, separated by commas
+	CurrentVoters    string     `json:"sitting"`            // names of the voters that the leader reported last, separated by commas
+	Lags             []Lag      `json:"lags"`               // daemons for which the leader waits
+	Documents        []Document `json:"documents"`          // agreed documents
 }
 
-// Lag is a daemon that the leader waits for.
+// Lag is a daemon for which the leader waits, because it does not act on the latest version yet.
 type Lag struct {
-	Daemon string `json:"daemon"`
-	Reason string `json:"why"`
+	Daemon string `json:"daemon"` // name of the daemon
+	Reason string `json:"why"`    // why the leader waits for the daemon
 }
 
-// Document is an agreed document.
+// Document describes an agreed document, without its body.
 type Document struct {
-	Name    string `json:"name"`
-	Version uint64 `json:"version"` // the version in which it was put
-	By      string `json:"by"`      // name of the daemon that put it
-	Bytes   int    `json:"bytes"`
-	SHA256  string `json:"sha256"` // in hexadecimal
+	Name    string `json:"name"`    // name of the document
+	Version uint64 `json:"version"` // version of the settings in which the document was put
+	By      string `json:"by"`      // name of the daemon that proposed the document
+	Bytes   int    `json:"bytes"`   // length of the document's body
+	SHA256  string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
 }
 
-// FetchSettings gets the Settings of the daemon whose operators' address is addr. All of it takes no longer than timeout.
+// FetchSettings requests the Settings of the daemon whose operators' address is addr, within timeout.
 func FetchSettings(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "settings", timeout)
 }
 
-// FetchVersions is FetchSettings without the documents.
+// FetchVersions requests the Settings without the documents.
 func FetchVersions(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "versions", timeout)
 }
 
+// fetchSettings requests the Settings with a request line.
 func fetchSettings(addr, request string, timeout time.Duration) (*Settings, error) {
 	s := &Settings{Format: 1, Lags: []Lag{}, Documents: []Document{}}
 	return s, query(addr, request, nil, timeout, s.parseLine)
 }
 
-// Write writes a line for the daemon, one for each that the leader waits for, and one for each document, but no end of the
+// Write writes a line for the daemon, one for each lagging daemon, and one for each document, but not the line that ends the
 // response.
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
@@ -82,6 +83,7 @@
 	return nil
 }
 
+// parseLine parses a line that Write wrote.
 func (s *Settings) parseLine(line string) error {
 	var d Document
 	var l Lag
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -13,7 +13,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-func TestSettingsSurviveWriteAndRead(t *testing.T) {
+func TestSettingsAreTheSameAfterWriteAndParse(t *testing.T) {
 	want := &Settings{
 		Format: 1, Version: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", Committed: 5, NextVersion: 4, Term: 9, MinActingVersion: 2,
 		RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, LeaseVoters: "a,b,c", CurrentVoters: "a,b",
@@ -27,11 +27,11 @@
 	got := &Settings{Format: 1}
 	err := readResponse(strings.NewReader(text.String()+endOfResponse+"\n"), got.parseLine)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, error %v; want %+v", got, err, want)
 	}
 }
 
-func TestFleetSurvivesWriteAndRead(t *testing.T) {
+func TestFleetIsTheSameAfterWriteAndParse(t *testing.T) {
 	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, Rival: "127.0.0.9:1", Members: []swim.Member{
 		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
 		testMember("s2", "127.0.0.1:8", swim.Failed, 9, 2*time.Second),
@@ -41,26 +41,27 @@
 	if err := want.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	// A later version may send more fields and more lines.
-	later := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
-	got, err := readFleet(strings.NewReader(later))
+	// A daemon of a later version may send more fields and more lines, which the parser must ignore.
+	extended := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
+	got, err := readFleet(strings.NewReader(extended))
 	if err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
-		t.Errorf("%+v, %v; want %+v", got, err, want)
+		t.Errorf("got %+v, error %v; want %+v, with 1000 ms since s2 failed", got, err, want)
 	}
 	for _, test := range []struct{ name, response, wantError string }{
-		{"response without its end", text.String(), "no end"},
+		{"response without an end line", text.String(), "no end"},
 		{"failure of the daemon", "FAILURE this daemon is in no fleet\n", "no fleet"},
-		{"value that is no number", "fleet view=x\n" + endOfResponse, "view=x"},
+		{"value that is not a number", "fleet view=x\n" + endOfResponse, "view=x"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := readFleet(strings.NewReader(test.response))
 			if err == nil || !strings.Contains(err.Error(), test.wantError) {
-				t.Errorf("%q: %v", test.response, err)
+				t.Errorf("%q: got error %v, want one that contains %q", test.response, err, test.wantError)
 			}
 		})
 	}
 }
 
+// testMember returns a member that has been in a state since an instant.
 func testMember(name, addr string, state swim.State, incarnation uint64, since time.Duration) swim.Member {
 	return swim.Member{
 		Update: swim.Update{
@@ -70,13 +71,13 @@
 	}
 }
 
-// readFleet reads a response as FetchFleet does.
+// readFleet parses a response in the same way as FetchFleet.
 func readFleet(r io.Reader) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, readResponse(r, f.parseLine)
 }
 
-func TestCommandResultSurvivesWriteAndRead(t *testing.T) {
+func TestCommandResultIsTheSameAfterWriteAndParse(t *testing.T) {
 	body := bytes.Repeat([]byte("all bytes \x00\xff\n"), 2*bodyBytesPerLine/10)
 	sent := consensus.CommandResult{Version: 9, Doc: &consensus.Document{Name: "shared", Version: 7, Body: body},
 		History: []consensus.HistoryEntry{
@@ -92,10 +93,10 @@
 		t.Fatal(err)
 	}
 	if got.Version != 9 || got.Name != "shared" || got.PutVersion != 7 || !bytes.Equal(got.Body, body) {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want version 9 and the document shared of version 7 with its body of %d bytes", got, len(body))
 	}
 	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].RestoredVersion != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("got history %+v, want two changes: one that reverts to version 3, and a removal", h)
 	}
 	if err := (&CommandResult{}).parseLine("body text=!!"); err == nil {
 		t.Error("a body that is not base64 was accepted")
