--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -29,7 +29,7 @@
 	for i := range 6 {
 		file.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, in.listen)
 	}
-	in.awaitReport(t, "seven are there", func(f *status.Fleet) bool { return f.Daemons == 7 })
+	in.awaitReport(t, "seven are there", func(f *status.Fleet) bool { return f.DaemonCount == 7 })
 	alone := file.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons",
-			what, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.Daemons)
+			what, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.DaemonCount)
 	}
 	measure("alone")
 	keys, err := transport.ReadKeys(key)
@@ -79,7 +79,7 @@
 		defer func() { _ = l.Abort() }() // what it says at its end is no part of the measurement
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.FetchFleet(d.admin, reportTimeout); err == nil && f.Daemons == n+1 {
+		if f, err := status.FetchFleet(d.admin, reportTimeout); err == nil && f.DaemonCount == n+1 {
 			break
 		}
 	}
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -97,7 +97,7 @@
 		s.isUp[i] = true
 	}
 	// In builds with the race detector clocks differ by as much as is tolerated; all daemons start with one rate.
-	t.Setenv(transport.ClockRate, "0.99")
+	t.Setenv(transport.ClockRateEnv, "0.99")
 	s.testCluster = newTestCluster(t, clusterSpec{
 		daemons: daemons, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
 	})
@@ -243,7 +243,7 @@
 
 // start starts a daemon again, with a clock rate within the tolerance, and does not wait until it is ready.
 func (s *faultSchedule) start(d int) {
-	s.t.Setenv(transport.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
+	s.t.Setenv(transport.ClockRateEnv, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnations[d]++
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -22,9 +22,9 @@
 
 func writePeers(w io.Writer, f *status.Fleet) error {
 	var rows strings.Builder
-	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Connectivity, f.View, f.Daemons)
-	if f.Elder != "" {
-		fmt.Fprintf(&rows, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.Elder)
+	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount)
+	if f.ElderAddr != "" {
+		fmt.Fprintf(&rows, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.ElderAddr)
 	}
 	for _, p := range f.Peers {
 		since := (time.Duration(p.SinceMs) * time.Millisecond).Round(100 * time.Millisecond)
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -22,11 +22,11 @@
 	a := startClusterDaemon(t, "a", "c", freeClusterAddress(t, 1), key)
 	b := startClusterDaemon(t, "b", "c", freeClusterAddress(t, 2), key, a.listen)
 	elder := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), key, a.listen)
-	a.awaitReport(t, "three are there", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
+	a.awaitReport(t, "three are there", func(f *status.Fleet) bool { return f.DaemonCount == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
 	younger := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 4), key, b.listen)
 	stranger := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.listen)
 	forger := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.listen)
-	younger.awaitReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.Elder == elder.listen && f.Connectivity == "cut-off" })
+	younger.awaitReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.ElderAddr == elder.listen && f.Connectivity == "cut-off" })
 	younger.awaitText(t, "an elder daemon of this name is in the fleet")
 	elder.awaitText(t, "a younger daemon of this name is about")
 	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "elder": elder, "younger": younger, "stranger": stranger, "forger": forger} {
@@ -38,7 +38,7 @@
 	}
 	for _, d := range []*clusterDaemon{a, b, elder} {
 		d.awaitReport(t, "the three hold one another", func(f *status.Fleet) bool {
-			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.listen && f.Connectivity == "whole"
+			return f.DaemonCount == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.listen && f.Connectivity == "whole"
 		})
 	}
 	elder.signal(t, syscall.SIGKILL)
@@ -49,7 +49,7 @@
 	if err := b.wait(); err != nil {
 		t.Errorf("b ended with %v: %s", err, b)
 	}
-	a.awaitReport(t, "b has left", func(f *status.Fleet) bool { return peerOf(f, "b").State == "left" && f.Daemons == 2 })
+	a.awaitReport(t, "b has left", func(f *status.Fleet) bool { return peerOf(f, "b").State == "left" && f.DaemonCount == 2 })
 
 	// A second key is added to the key file; what cannot change without a restart is logged.
 	if err := os.WriteFile(key, fmt.Appendf(nil, "%x\n%x\n", bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)), 0o600); err != nil {
@@ -62,7 +62,7 @@
 	a.write(t, strings.Replace(a.text, key, "/nowhere", 1))
 	a.signal(t, syscall.SIGHUP)
 	a.awaitText(t, "fleet.key_file")
-	younger.awaitReport(t, "they still hear one another", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
+	younger.awaitReport(t, "they still hear one another", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.ElderAddr == "" })
 	if code, out, _ := runProgram(t, programCommand("peers", "--at", a.admin)); code != exitOK || !strings.Contains(out, "a is ") {
 		t.Errorf("peers: %d %s", code, out)
 	}
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -36,8 +36,8 @@
 		if h.RestoredVersion > 0 {
 			what += fmt.Sprintf(", as at version %d", h.RestoredVersion)
 		}
-		at := time.UnixMilli(h.AtMs).UTC().Format(time.DateTime)
-		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.By, at)
+		at := time.UnixMilli(h.AtUnixMilli).UTC().Format(time.DateTime)
+		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.ProposedBy, at)
 	}
 	return writeColumns(w, rows.String())
 }
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -16,12 +16,12 @@
 
 // changeResult is the result of a change as JSON.
 type changeResult struct {
-	Format        int          `json:"format"` // 1
-	ID            string       `json:"id"`
-	Version       uint64       `json:"version"`
-	IsUnchanged   bool         `json:"same,omitempty"` // there was nothing to change
-	IsActiveOnAll bool         `json:"all_act"`        // no daemon acts on an earlier version any more
-	Lags          []status.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
+	Format        int                    `json:"format"` // 1
+	ID            string                 `json:"id"`
+	Version       uint64                 `json:"version"`
+	IsUnchanged   bool                   `json:"same,omitempty"` // there was nothing to change
+	IsActiveOnAll bool                   `json:"all_act"`        // no daemon acts on an earlier version any more
+	Lags          []status.LaggingDaemon `json:"lags,omitempty"` // who is waited for, where that is not so
 }
 
 // await waits until all daemons act on the version that was agreed on, and reports how far that came: in lines, as it
@@ -46,7 +46,7 @@
 		printf("all act on version %d, %v later", result.Version, time.Since(began).Round(time.Millisecond))
 	}
 	for _, l := range result.Lags {
-		printf("waited for: %s: %s", l.Daemon, l.Reason)
+		printf("waited for: %s: %s", l.Name, l.Reason)
 	}
 	if f.JSON != "" {
 		err = errors.Join(err, writeJSON(f.JSON, result))
@@ -57,7 +57,7 @@
 func (f *rolloutFlags) awaitActiveOnAll(result *changeResult) error {
 	// An error of the last poll says no more than that the daemon did not answer then; what counts is that time is up.
 	_, ok, _ := f.pollUntil(f.Wait, func(s *status.Settings) bool {
-		result.IsActiveOnAll, result.Lags = s.MinActingVersion >= result.Version, s.Lags
+		result.IsActiveOnAll, result.Lags = s.FullyActiveVersion >= result.Version, s.LaggingDaemons
 		return result.IsActiveOnAll
 	})
 	if !ok {
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -40,15 +40,15 @@
 	if !s.HasLease {
 		lease = "it has no lease"
 	}
-	fmt.Fprintf(&rows, "version %d; %s; granted by %s\n", s.Version, lease, s.Leader)
+	fmt.Fprintf(&rows, "version %d; %s; granted by %s\n", s.ActiveVersion, lease, s.Leader)
 	if s.RejectedVersion > 0 {
 		fmt.Fprintf(&rows, "it can't act on version %d: %s\n", s.RejectedVersion, s.RejectionReason)
 	}
-	for _, l := range s.Lags {
-		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Daemon, l.Reason)
+	for _, l := range s.LaggingDaemons {
+		fmt.Fprintf(&rows, "waited for: %s: %s\n", l.Name, l.Reason)
 	}
 	for _, d := range s.Documents {
-		fmt.Fprintf(&rows, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.By, d.Bytes)
+		fmt.Fprintf(&rows, "%s\tversion %d\tby %s\t%d bytes\n", d.Name, d.Version, d.ProposedBy, d.Bytes)
 	}
 	return writeColumns(w, rows.String())
 }
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -61,7 +61,7 @@
 	for _, d := range ds {
 		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
 			s, err := status.FetchVersions(d.admin, reportTimeout)
-			return err == nil && s.HasLease && s.Version >= version
+			return err == nil && s.HasLease && s.ActiveVersion >= version
 		})
 	}
 	c.t.Logf("after %v all act on version %d", time.Since(began).Round(time.Millisecond), version)
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -31,10 +31,10 @@
 	}
 	settings, ok, err := c.pollUntil(c.Wait, func(s *status.Settings) bool { return c.Change == "" || c.isDone(s) })
 	if !ok {
-		return errors.Join(verdictError{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.goal(), settings.LeaseVoters)}, err)
+		return errors.Join(verdictError{fmt.Errorf("after %v it is not so that %s: voters %s", c.Wait, c.goal(), settings.KnownVoters)}, err)
 	}
 	return c.printResult(settings, func(w io.Writer) error {
-		_, err := fmt.Fprintln(w, strings.ReplaceAll(settings.CurrentVoters, ",", " "))
+		_, err := fmt.Fprintln(w, strings.ReplaceAll(settings.ActiveVoters, ",", " "))
 		return err
 	})
 }
@@ -50,5 +50,5 @@
 // isDone says whether the daemon that is asked sees the change made. Sitting lists those who vote now, while Voters may
 // list more.
 func (c *settingsVoters) isDone(s *status.Settings) bool {
-	return slices.Contains(strings.Split(s.CurrentVoters, ","), c.Name) == (c.Change == "add")
+	return slices.Contains(strings.Split(s.ActiveVoters, ","), c.Name) == (c.Change == "add")
 }
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -28,8 +28,8 @@
 	Name            string `json:"name"`           // name of the changed document
 	Bytes           int    `json:"bytes"`          // length of the document's body
 	SHA256          string `json:"sha256"`         // SHA-256 of the body, in hexadecimal; zeros: the document was removed
-	By              string `json:"by"`             // name of the daemon that proposed the change
-	AtMs            int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
+	ProposedBy      string `json:"by"`             // name of the daemon that proposed the change
+	AtUnixMilli     int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
 	RestoredVersion uint64 `json:"back,omitempty"` // version to which the change reverts the document; 0: no revert
 }
 
@@ -81,8 +81,8 @@
 	err := parseFields(line, lineFields{
 		"answer": {"version": &r.Version, "same": &r.IsUnchanged},
 		"change": {
-			"version": &h.Version, "name": &h.Name, "bytes": &h.Bytes, "sha256": &h.SHA256, "by": &h.By,
-			"at_ms": &h.AtMs, "back": &h.RestoredVersion,
+			"version": &h.Version, "name": &h.Name, "bytes": &h.Bytes, "sha256": &h.SHA256, "by": &h.ProposedBy,
+			"at_ms": &h.AtUnixMilli, "back": &h.RestoredVersion,
 		},
 		"document": {"name": &r.Name, "version": &r.PutVersion},
 		"body":     {"text": &encodedBody},
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -13,9 +13,9 @@
 	Format       int    `json:"format"`          // version of the JSON format: 1
 	Self         string `json:"self"`            // name of the daemon
 	Connectivity string `json:"standing"`        // swim.Connectivity of the daemon: whole, partial or cut-off
-	Elder        string `json:"elder,omitempty"` // address of the older process with this daemon's name, to which the daemon yields
-	View         uint64 `json:"view"`            // number of the view, which grows with each change
-	Daemons      int    `json:"daemons"`         // number of daemons that divide limits among themselves; see package ordinal
+	ElderAddr    string `json:"elder,omitempty"` // address of the older process with this daemon's name, to which the daemon yields
+	ViewNumber   uint64 `json:"view"`            // number of the view, which grows with each change
+	DaemonCount  int    `json:"daemons"`         // number of daemons that divide limits among themselves; see package ordinal
 	Ordinal      int    `json:"index"`           // ordinal of this daemon among those counted in "daemons", from 0
 	Peers        []Peer `json:"peers"`           // members sorted by name, this daemon included
 }
@@ -32,13 +32,13 @@
 // FleetFromView returns the report of a view at the instant now of the failure detector's clock.
 func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
 	f := &Fleet{
-		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), Elder: v.Rival, View: v.Number,
-		Daemons: daemons, Ordinal: index,
+		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), ElderAddr: v.ElderAddr, ViewNumber: v.Number,
+		DaemonCount: daemons, Ordinal: index,
 	}
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{
 			Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation,
-			SinceMs: max(now-m.Since, 0).Milliseconds(),
+			SinceMs: max(now-m.StateSince, 0).Milliseconds(),
 		})
 	}
 	return f
@@ -53,11 +53,11 @@
 // Write writes a line for the daemon and one for each member, but not the line that ends the response.
 func (f *Fleet) Write(w io.Writer) error {
 	elder := ""
-	if f.Elder != "" {
-		elder = " elder=" + f.Elder
+	if f.ElderAddr != "" {
+		elder = " elder=" + f.ElderAddr
 	}
 	if _, err := fmt.Fprintf(w, "fleet self=%s standing=%s view=%d daemons=%d index=%d%s\n",
-		f.Self, f.Connectivity, f.View, f.Daemons, f.Ordinal, elder); err != nil {
+		f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount, f.Ordinal, elder); err != nil {
 		return err
 	}
 	for _, p := range f.Peers {
@@ -74,7 +74,7 @@
 	var p Peer
 	err := parseFields(line, lineFields{
 		"fleet": {
-			"self": &f.Self, "standing": &f.Connectivity, "elder": &f.Elder, "view": &f.View, "daemons": &f.Daemons,
+			"self": &f.Self, "standing": &f.Connectivity, "elder": &f.ElderAddr, "view": &f.ViewNumber, "daemons": &f.DaemonCount,
 			"index": &f.Ordinal,
 		},
 		"peer": {
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -9,39 +9,39 @@
 
 // Settings is the state of the agreed settings at one daemon. Its JSON form is documented for operators.
 type Settings struct {
-	Format           int        `json:"format"`             // version of the JSON format: 1
-	Version          uint64     `json:"version"`            // version of the settings that this daemon acts on
-	HasLease         bool       `json:"acting"`             // whether this daemon has a valid lease
-	LeaseMs          int64      `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds
-	IsVoter          bool       `json:"votes"`              // whether this daemon is a voter
-	IsLeader         bool       `json:"leads"`              // whether this daemon's voter is the leader
-	Leader           string     `json:"leader"`             // name of the daemon that granted the latest lease
-	Committed        uint64     `json:"committed"`          // latest committed version, if this daemon is a voter; 0 otherwise
-	NextVersion      uint64     `json:"coming"`             // version that is activated next, if this daemon is a voter; 0 otherwise
-	Term             uint64     `json:"term"`               // Raft term, if this daemon is a voter; 0 otherwise
-	MinActingVersion uint64     `json:"all"`                // version before which no daemon acts any more; 0: unknown
-	RejectedVersion  uint64     `json:"declined,omitempty"` // version on which this daemon cannot act
-	RejectionReason  string     `json:"why,omitempty"`      // why this daemon cannot act on RejectedVersion
-	RejectedRequests uint64     `json:"refused"`            // number of requests that were rejected for lack of a valid lease
-	LeaseVoters      string     `json:"voters"`             // names of the voters that may grant a lease, separated by commas
-	CurrentVoters    string     `json:"sitting"`            // names of the voters that the leader reported last, separated by commas
-	Lags             []Lag      `json:"lags"`               // daemons for which the leader waits
-	Documents        []Document `json:"documents"`          // agreed documents
+	Format             int             `json:"format"`             // version of the JSON format: 1
+	ActiveVersion      uint64          `json:"version"`            // version of the settings that this daemon acts on
+	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease
+	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds
+	IsVoter            bool            `json:"votes"`              // whether this daemon is a voter
+	IsLeader           bool            `json:"leads"`              // whether this daemon's voter is the leader
+	Leader             string          `json:"leader"`             // name of the daemon that granted the latest lease
+	CommittedVersion   uint64          `json:"committed"`          // latest committed version, if this daemon is a voter; 0 otherwise
+	PendingVersion     uint64          `json:"coming"`             // version that is activated next, if this daemon is a voter; 0 otherwise
+	Term               uint64          `json:"term"`               // Raft term, if this daemon is a voter; 0 otherwise
+	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon acts any more; 0: unknown
+	RejectedVersion    uint64          `json:"declined,omitempty"` // version on which this daemon cannot act
+	RejectionReason    string          `json:"why,omitempty"`      // why this daemon cannot act on RejectedVersion
+	RejectedRequests   uint64          `json:"refused"`            // number of requests that were rejected for lack of a valid lease
+	KnownVoters        string          `json:"voters"`             // names of the voters that may grant a lease, separated by commas
+	ActiveVoters       string          `json:"sitting"`            // names of the voters that the leader reported last, separated by commas
+	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons for which the leader waits
+	Documents          []Document      `json:"documents"`          // agreed documents
 }
 
-// Lag is a daemon for which the leader waits, because it does not act on the latest version yet.
-type Lag struct {
-	Daemon string `json:"daemon"` // name of the daemon
+// LaggingDaemon is a daemon for which the leader waits, because it does not act on the latest version yet.
+type LaggingDaemon struct {
+	Name   string `json:"daemon"` // name of the daemon
 	Reason string `json:"why"`    // why the leader waits for the daemon
 }
 
 // Document describes an agreed document, without its body.
 type Document struct {
-	Name    string `json:"name"`    // name of the document
-	Version uint64 `json:"version"` // version of the settings in which the document was put
-	By      string `json:"by"`      // name of the daemon that proposed the document
-	Bytes   int    `json:"bytes"`   // length of the document's body
-	SHA256  string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
+	Name       string `json:"name"`    // name of the document
+	Version    uint64 `json:"version"` // version of the settings in which the document was put
+	ProposedBy string `json:"by"`      // name of the daemon that proposed the document
+	Bytes      int    `json:"bytes"`   // length of the document's body
+	SHA256     string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
 }
 
 // FetchSettings requests the Settings of the daemon whose operators' address is addr, within timeout.
@@ -56,7 +56,7 @@
 
 // fetchSettings requests the Settings with a request line.
 func fetchSettings(addr, request string, timeout time.Duration) (*Settings, error) {
-	s := &Settings{Format: 1, Lags: []Lag{}, Documents: []Document{}}
+	s := &Settings{Format: 1, LaggingDaemons: []LaggingDaemon{}, Documents: []Document{}}
 	return s, query(addr, request, nil, timeout, s.parseLine)
 }
 
@@ -65,18 +65,18 @@
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
 		"coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n",
-		s.Version, s.HasLease, s.LeaseMs, s.IsVoter, s.IsLeader, s.Leader, s.Term, s.Committed,
-		s.NextVersion, s.MinActingVersion, s.RejectedVersion, url.QueryEscape(s.RejectionReason), s.RejectedRequests, s.LeaseVoters, s.CurrentVoters); err != nil {
+		s.ActiveVersion, s.HasLease, s.LeaseMs, s.IsVoter, s.IsLeader, s.Leader, s.Term, s.CommittedVersion,
+		s.PendingVersion, s.FullyActiveVersion, s.RejectedVersion, url.QueryEscape(s.RejectionReason), s.RejectedRequests, s.KnownVoters, s.ActiveVoters); err != nil {
 		return err
 	}
-	for _, l := range s.Lags {
-		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Daemon, url.QueryEscape(l.Reason)); err != nil {
+	for _, l := range s.LaggingDaemons {
+		if _, err := fmt.Fprintf(w, "lag daemon=%s why=%s\n", l.Name, url.QueryEscape(l.Reason)); err != nil {
 			return err
 		}
 	}
 	for _, d := range s.Documents {
 		if _, err := fmt.Fprintf(w, "document name=%s version=%d by=%s bytes=%d sha256=%s\n",
-			d.Name, d.Version, d.By, d.Bytes, d.SHA256); err != nil {
+			d.Name, d.Version, d.ProposedBy, d.Bytes, d.SHA256); err != nil {
 			return err
 		}
 	}
@@ -86,22 +86,22 @@
 // parseLine parses a line that Write wrote.
 func (s *Settings) parseLine(line string) error {
 	var d Document
-	var l Lag
+	var l LaggingDaemon
 	err := parseFields(line, lineFields{
 		"settings": {
-			"version": &s.Version, "acting": &s.HasLease, "lease_ms": &s.LeaseMs, "votes": &s.IsVoter, "leads": &s.IsLeader,
-			"leader": &s.Leader, "term": &s.Term, "committed": &s.Committed, "coming": &s.NextVersion, "all": &s.MinActingVersion,
-			"declined": &s.RejectedVersion, "why": (*escapedText)(&s.RejectionReason), "refused": &s.RejectedRequests, "voters": &s.LeaseVoters,
-			"sitting": &s.CurrentVoters,
+			"version": &s.ActiveVersion, "acting": &s.HasLease, "lease_ms": &s.LeaseMs, "votes": &s.IsVoter, "leads": &s.IsLeader,
+			"leader": &s.Leader, "term": &s.Term, "committed": &s.CommittedVersion, "coming": &s.PendingVersion, "all": &s.FullyActiveVersion,
+			"declined": &s.RejectedVersion, "why": (*escapedText)(&s.RejectionReason), "refused": &s.RejectedRequests, "voters": &s.KnownVoters,
+			"sitting": &s.ActiveVoters,
 		},
-		"lag":      {"daemon": &l.Daemon, "why": (*escapedText)(&l.Reason)},
-		"document": {"name": &d.Name, "version": &d.Version, "by": &d.By, "bytes": &d.Bytes, "sha256": &d.SHA256},
+		"lag":      {"daemon": &l.Name, "why": (*escapedText)(&l.Reason)},
+		"document": {"name": &d.Name, "version": &d.Version, "by": &d.ProposedBy, "bytes": &d.Bytes, "sha256": &d.SHA256},
 	})
 	if err == nil && d.Name != "" {
 		s.Documents = append(s.Documents, d)
 	}
-	if err == nil && l.Daemon != "" {
-		s.Lags = append(s.Lags, l)
+	if err == nil && l.Name != "" {
+		s.LaggingDaemons = append(s.LaggingDaemons, l)
 	}
 	return err
 }
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -15,10 +15,10 @@
 
 func TestSettingsAreTheSameAfterWriteAndParse(t *testing.T) {
 	want := &Settings{
-		Format: 1, Version: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", Committed: 5, NextVersion: 4, Term: 9, MinActingVersion: 2,
-		RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, LeaseVoters: "a,b,c", CurrentVoters: "a,b",
-		Lags:      []Lag{{"a", "it can't act: 50 %"}, {"b", ""}},
-		Documents: []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}},
+		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", CommittedVersion: 5, PendingVersion: 4, Term: 9, FullyActiveVersion: 2,
+		RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, KnownVoters: "a,b,c", ActiveVoters: "a,b",
+		LaggingDaemons: []LaggingDaemon{{"a", "it can't act: 50 %"}, {"b", ""}},
+		Documents:      []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}},
 	}
 	var text strings.Builder
 	if err := want.Write(&text); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func TestFleetIsTheSameAfterWriteAndParse(t *testing.T) {
-	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, Rival: "127.0.0.9:1", Members: []swim.Member{
+	v := &swim.View{Number: 7, Self: "s1", Connectivity: swim.PartlyConnected, ElderAddr: "127.0.0.9:1", Members: []swim.Member{
 		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
 		testMember("s2", "127.0.0.1:8", swim.Failed, 9, 2*time.Second),
 	}}
@@ -67,7 +67,7 @@
 		Update: swim.Update{
 			Peer: swim.Peer{Name: name, Addr: netip.MustParseAddrPort(addr)}, State: state, Incarnation: incarnation,
 		},
-		Since: since,
+		StateSince: since,
 	}
 }
 
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -12,19 +12,19 @@
 
 // Guards against changes of the lines and JSON keys, which operators and their scripts read.
 func TestWrittenLinesAndJSONStayTheSame(t *testing.T) {
-	view := &swim.View{Number: 7, Self: "s1", Connectivity: swim.CutOff, Rival: "127.0.0.9:1", Members: []swim.Member{
+	view := &swim.View{Number: 7, Self: "s1", Connectivity: swim.CutOff, ElderAddr: "127.0.0.9:1", Members: []swim.Member{
 		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
 		testMember("s2", "127.0.0.1:8", swim.Left, 9, 9*time.Second),
 	}}
 	fleet := FleetFromView(view, 3*time.Second, 2, 1)
 	settings := &Settings{
-		Format: 1, Version: 3, HasLease: true, LeaseMs: 70, IsVoter: true, IsLeader: true, Leader: "s0", Committed: 5, NextVersion: 4,
-		Term: 9, MinActingVersion: 2, RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, LeaseVoters: "a,b,c", CurrentVoters: "a,b",
-		Lags: []Lag{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
+		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, IsLeader: true, Leader: "s0", CommittedVersion: 5, PendingVersion: 4,
+		Term: 9, FullyActiveVersion: 2, RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, KnownVoters: "a,b,c", ActiveVoters: "a,b",
+		LaggingDaemons: []LaggingDaemon{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
 	}
 	result := &CommandResult{
 		Format: 1, Version: 9, IsUnchanged: true, Name: "shared", PutVersion: 7, Body: []byte("\x00a"),
-		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", By: "s", AtMs: 12, RestoredVersion: 3}},
+		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", ProposedBy: "s", AtUnixMilli: 12, RestoredVersion: 3}},
 	}
 	sent := consensus.CommandResult{
 		Version: 9, Unchanged: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -103,7 +103,7 @@
 
 // send adds a message to the outbox, with queued updates piggybacked on it.
 func (n *Node) send(to netip.AddrPort, m *Message) {
-	m.From, m.Digest, m.Quiet = n.self, n.digest, !n.broadcasts.hasPending()
+	m.From, m.Digest, m.GossipQueueEmpty = n.self, n.digest, !n.broadcasts.hasPending()
 	if m.Updates == nil && !n.isYielding() {
 		m.Updates = n.broadcasts.collect(n.retransmitLimit(), n.buddyUpdates(m, to))
 	}
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -52,7 +52,7 @@
 		return
 	}
 	if isFullState && u.State == Failed && m.State.IsPresent() {
-		u.State, u.By = Suspect, n.self.Name
+		u.State, u.SuspectedBy = Suspect, n.self.Name
 	}
 	if !u.overrides(&m.Update) {
 		return
@@ -67,7 +67,7 @@
 // addMember adds a member that was unknown. The member is alive first, and then becomes suspect if the update says so.
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
-	alive.State, alive.By = Alive, ""
+	alive.State, alive.SuspectedBy = Alive, ""
 	m := &member{Update: alive, stateSince: now}
 	n.members[u.Name] = m
 	n.countPresent(m)
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -33,13 +33,13 @@
 
 // Message is what nodes send to one another.
 type Message struct {
-	Kind    Kind     // purpose of the message
-	From    Update   // the sender's assertion about itself
-	Seq     uint64   // sequence number of a Ping or PingReq, which the responses repeat
-	Target  Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
-	Digest  uint64   // the sender's Node.Digest
-	Quiet   bool     // whether the sender has no updates left to gossip
-	Updates []Update // gossiped updates, at most MaxPiggyback; the sender's full state in a Sync or SyncReply
+	Kind             Kind     // purpose of the message
+	From             Update   // the sender's assertion about itself
+	Seq              uint64   // sequence number of a Ping or PingReq, which the responses repeat
+	Target           Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
+	Digest           uint64   // the sender's Node.Digest
+	GossipQueueEmpty bool     // whether the sender has no updates left to gossip
+	Updates          []Update // gossiped updates, at most MaxPiggyback; the sender's full state in a Sync or SyncReply
 }
 
 // isValid reports whether a message's fields are within their bounds.
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -87,7 +87,7 @@
 		return
 	}
 	u := p.target.Update
-	u.State, u.By = Suspect, n.self.Name
+	u.State, u.SuspectedBy = Suspect, n.self.Name
 	n.applyUpdate(now, u, false) // confirms the suspicion if another member already suspects the target
 }
 
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -59,7 +59,7 @@
 		minTimeout:          minTimeout,
 		maxTimeout:          maxSuspicionMultiplier * minTimeout,
 		neededConfirmations: min(confirmationsForMinTimeout, max(len(n.present)-2, 0)),
-		suspectors:          []string{u.By},
+		suspectors:          []string{u.SuspectedBy},
 	}
 	if n.options.DisableSuspicionShrink {
 		s.maxTimeout = minTimeout
@@ -74,7 +74,7 @@
 // about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be confirmed
 // too slowly.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
-	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
+	if n.options.DisableSuspicionShrink || m.SuspectedBy == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
 	}
 	if n.rng.Float64()*float64(len(n.present)) < expectedVerifiers {
@@ -85,7 +85,7 @@
 
 // confirmSuspicion adds another member's suspicion to that of a suspect, and gossips it if it shrinks the timeout.
 func (n *Node) confirmSuspicion(m *member, u Update) {
-	if m.suspicion.confirm(u.By) {
+	if m.suspicion.confirm(u.SuspectedBy) {
 		n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
 		n.broadcasts.enqueue(u)
 	}
@@ -104,7 +104,7 @@
 			continue
 		}
 		u := m.Update
-		u.State, u.By = Failed, ""
+		u.State, u.SuspectedBy = Failed, ""
 		n.changeState(now, m, u)
 	}
 }
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -108,7 +108,7 @@
 	w.run(t, 10*time.Second)
 
 	view := younger.View()
-	if _, answers, yields := younger.NameConflict(); !answers || !yields || view.Rival == "" || view.Connectivity != CutOff {
+	if _, answers, yields := younger.NameConflict(); !answers || !yields || view.ElderAddr == "" || view.Connectivity != CutOff {
 		t.Fatalf("younger process: other answers %v, yields %v, view %+v; want true, true, and a cut-off view with a rival",
 			answers, yields, view)
 	}
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -18,7 +18,7 @@
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
 	}
-	if !senderWasAbsent && (!m.Quiet || n.broadcasts.hasPending()) {
+	if !senderWasAbsent && (!m.GossipQueueEmpty || n.broadcasts.hasPending()) {
 		return
 	}
 	interval := n.options.ProbeInterval
@@ -40,7 +40,7 @@
 			updates = append(updates, n.members[name].Update)
 		}
 	}
-	m := &Message{Kind: k, From: n.self, Digest: n.digest, Quiet: !n.broadcasts.hasPending(), Updates: updates}
+	m := &Message{Kind: k, From: n.self, Digest: n.digest, GossipQueueEmpty: !n.broadcasts.hasPending(), Updates: updates}
 	n.outbox = append(n.outbox, Envelope{To: to.Addr, Stream: true, Message: m})
 }
 
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -51,7 +51,7 @@
 	Peer
 	State       State  // asserted state of the member
 	Incarnation uint64 // counter that only the member itself increments, to refute assertions with a smaller one
-	By          string // name of the member whose probe failed, if State is Suspect
+	SuspectedBy string // name of the member whose probe failed, if State is Suspect
 }
 
 // overrides reports whether u replaces the earlier update v about the same member. If two processes with one name differ
@@ -68,12 +68,12 @@
 
 // isValid reports whether the update's fields are within their bounds.
 func (u *Update) isValid() bool {
-	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.By) <= MaxNameBytes && u.Addr.IsValid() &&
+	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.SuspectedBy) <= MaxNameBytes && u.Addr.IsValid() &&
 		u.Incarnation > 0 && u.Incarnation < 1<<62
 }
 
 // maxEncodedBytes returns an upper bound of the update's encoded length in a message.
-func (u *Update) maxEncodedBytes() int { return updateOverheadBytes + len(u.Name) + len(u.By) }
+func (u *Update) maxEncodedBytes() int { return updateOverheadBytes + len(u.Name) + len(u.SuspectedBy) }
 
 // digest returns the member's contribution to Node.Digest. It does not depend on whether the member is suspect, because a
 // suspicion is temporary.
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -34,7 +34,7 @@
 // Member is an entry of a View.
 type Member struct {
 	Update
-	Since time.Duration // instant at which this node learned that the member had entered its state
+	StateSince time.Duration // instant at which this node learned that the member had entered its state
 }
 
 // View is the membership of the cluster as one node knows it at an instant. It is an estimate: see the package comment.
@@ -42,7 +42,7 @@
 	Number       uint64       // number that grows with every change of the view within a process
 	Self         string       // name of the node whose view this is
 	Connectivity Connectivity // how much of the cluster the node can reach
-	Rival        string       // address of the older process with this node's name, to which the node yields; empty: none
+	ElderAddr    string       // address of the older process with this node's name, to which the node yields; empty: none
 	Members      []Member     // all known members, sorted by name, the node itself included
 }
 
@@ -62,7 +62,7 @@
 		Members: make([]Member, 0, len(n.members)+1),
 	}
 	if n.isYielding() {
-		v.Rival = n.conflict.Addr.String()
+		v.ElderAddr = n.conflict.Addr.String()
 	}
 	v.Members = append(v.Members, Member{n.self, n.startedAt})
 	for _, m := range n.members {
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -107,7 +107,7 @@
 		if p.message, err = parseMessage(message); err != nil {
 			return packet{}, err
 		}
-		p.generation = p.message.RunID
+		p.generation = p.message.Generation
 		return p, nil
 	}
 	if p.swimMessage, err = parseSwimMessage(swimMessage, maxUpdates); err != nil {
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -14,15 +14,15 @@
 // sampleSwimMessage returns a message with a nonzero value in each field.
 func sampleSwimMessage() *swim.Message {
 	return &swim.Message{
-		Kind:   swim.Ping,
-		From:   swim.Update{Peer: swim.Peer{Name: "a", Addr: netip.MustParseAddrPort("127.0.0.1:7"), Generation: 5}, Incarnation: 1},
-		Seq:    3,
-		Target: swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Generation: 6},
-		Digest: 9,
-		Quiet:  true,
+		Kind:             swim.Ping,
+		From:             swim.Update{Peer: swim.Peer{Name: "a", Addr: netip.MustParseAddrPort("127.0.0.1:7"), Generation: 5}, Incarnation: 1},
+		Seq:              3,
+		Target:           swim.Peer{Name: "b", Addr: netip.MustParseAddrPort("[::1]:9"), Generation: 6},
+		Digest:           9,
+		GossipQueueEmpty: true,
 		Updates: []swim.Update{{
 			Peer:  swim.Peer{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Generation: 7},
-			State: swim.Suspect, Incarnation: 4, By: "a",
+			State: swim.Suspect, Incarnation: 4, SuspectedBy: "a",
 		}},
 	}
 }
@@ -30,7 +30,7 @@
 // Guards against a change of the encoding, because daemons of different builds exchange packets.
 func TestPacketEncodingIsFixed(t *testing.T) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
-	message := &Message{From: "a", RunID: 5, Kind: 'r', Body: []byte("body")}
+	message := &Message{From: "a", Generation: 5, Kind: 'r', Body: []byte("body")}
 	for _, row := range []struct {
 		name string
 		got  []byte
@@ -74,7 +74,7 @@
 		Peer:        swim.Peer{Name: longName, Addr: addr, Generation: 1<<64 - 1},
 		State:       swim.Suspect,
 		Incarnation: 1<<62 - 1,
-		By:          longName,
+		SuspectedBy: longName,
 	}
 	node := swim.New(0, swim.Options{Self: longest.Peer, Seed: 1})
 	var updates []swim.Update
@@ -108,7 +108,7 @@
 func FuzzOpenPacket(f *testing.F) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	f.Add(appendSwimPacket(nil, unsigned, 1, sampleSwimMessage())[headerBytes:])
-	f.Add(appendMessagePacket(nil, unsigned, 2, &Message{From: "a", RunID: 5, Kind: 'r', Body: []byte("body")})[headerBytes:])
+	f.Add(appendMessagePacket(nil, unsigned, 2, &Message{From: "a", Generation: 5, Kind: 'r', Body: []byte("body")})[headerBytes:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		header := append([]byte(packetMagic), packetVersion, 0, 0, 0, 0)
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ClockRate is the name of the environment variable that sets the rate of the failure detector's clock, as a factor of real
+// ClockRateEnv is the name of the environment variable that sets the rate of the failure detector's clock, as a factor of real
 // time. Only builds with the race detector, which are for tests, read it.
-const ClockRate = "TULIPROCK_TEST_CLOCK_RATE"
+const ClockRateEnv = "TULIPROCK_TEST_CLOCK_RATE"
 
 // clockOrigin is the reading of the failure detector's clock at the start. It is well above zero, so that the failure
 // detector may subtract any of its intervals from an instant.
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -11,7 +11,7 @@
 // clockRate is the rate of the failure detector's clock as a factor of real time. It is read only once, so that the clock
 // never jumps.
 var clockRate = func() float64 {
-	if rate, err := strconv.ParseFloat(os.Getenv(ClockRate), 64); err == nil && rate > 0 {
+	if rate, err := strconv.ParseFloat(os.Getenv(ClockRateEnv), 64); err == nil && rate > 0 {
 		return rate
 	}
 	return 1
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -23,7 +23,7 @@
 	if !ok {
 		return fmt.Errorf("%s: %w", name, ErrUnknownMember)
 	}
-	m := Message{From: options.Name, RunID: t.generation, Kind: kind, Body: body}
+	m := Message{From: options.Name, Generation: t.generation, Kind: kind, Body: body}
 	b := appendMessagePacket(make([]byte, streamHeaderBytes, MaxDatagramBytes), options, t.sequence.Add(1), &m)
 	size := len(b) - streamHeaderBytes
 	switch {
@@ -67,7 +67,7 @@
 	if p.message == nil {
 		return enqueue(t.inbox, p.swimMessage)
 	}
-	if m, ok := t.member(p.message.From); !ok || m.Generation != p.message.RunID {
+	if m, ok := t.member(p.message.From); !ok || m.Generation != p.message.Generation {
 		return errUnknownSender
 	}
 	return enqueue(t.messages, *p.message)
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -37,7 +37,7 @@
 	}
 	defer conn.Close()
 	options := testOptions("a")
-	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", RunID: 5, Kind: 'x'}))
+	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", Generation: 5, Kind: 'x'}))
 	testpeer.Until(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == before+1 })
 	select {
 	case m := <-b.Messages():
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -42,16 +42,16 @@
 
 // Message is a message from a component of a daemon to the same component of another daemon.
 type Message struct {
-	From  string // name of the sending daemon
-	RunID uint64 // generation of the sending process; see swim.Peer
-	Kind  byte   // purpose of the message, from which the receiver knows the component
-	Body  []byte // content, which the transport does not interpret
+	From       string // name of the sending daemon
+	Generation uint64 // generation of the sending process; see swim.Peer
+	Kind       byte   // purpose of the message, from which the receiver knows the component
+	Body       []byte // content, which the transport does not interpret
 }
 
 // marshal returns the encoding of the message.
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
-	b = appendFixed64(b, messageFieldGeneration, m.RunID)
+	b = appendFixed64(b, messageFieldGeneration, m.Generation)
 	b = appendVarint(b, messageFieldKind, uint64(m.Kind))
 	return appendBytes(b, messageFieldBody, m.Body)
 }
@@ -64,7 +64,7 @@
 		case messageFieldFrom:
 			m.From = string(f.bytes)
 		case messageFieldGeneration:
-			m.RunID = f.number
+			m.Generation = f.number
 		case messageFieldKind:
 			m.Kind = byte(f.number)
 		case messageFieldBody:
@@ -90,7 +90,7 @@
 		b = appendUpdate(b, swimFieldTarget, &swim.Update{Peer: m.Target})
 	}
 	b = appendFixed64(b, swimFieldDigest, m.Digest)
-	if m.Quiet {
+	if m.GossipQueueEmpty {
 		b = appendVarint(b, swimFieldQuiet, 1)
 	}
 	for i := range m.Updates {
@@ -115,8 +115,8 @@
 		update = appendVarint(update, updateFieldState, uint64(u.State))
 	}
 	update = appendVarint(update, updateFieldIncarnation, u.Incarnation)
-	if u.By != "" {
-		update = appendBytes(update, updateFieldSuspectedBy, u.By)
+	if u.SuspectedBy != "" {
+		update = appendBytes(update, updateFieldSuspectedBy, u.SuspectedBy)
 	}
 	return appendBytes(b, id, update)
 }
@@ -142,7 +142,7 @@
 		case swimFieldDigest:
 			m.Digest = f.number
 		case swimFieldQuiet:
-			m.Quiet = f.number != 0
+			m.GossipQueueEmpty = f.number != 0
 		case swimFieldUpdate:
 			if len(m.Updates) >= maxUpdates {
 				return fmt.Errorf("%w: over %d updates", errMalformed, maxUpdates)
@@ -184,7 +184,7 @@
 		case updateFieldIncarnation:
 			u.Incarnation = f.number
 		case updateFieldSuspectedBy:
-			u.By, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
+			u.SuspectedBy, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
 		}
 		if !ok {
 			return fmt.Errorf("%w: update's field %d", errMalformed, f.id)
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -47,12 +47,12 @@
 func (n *clusterNode) settingsGauges() []metrics.Sample {
 	s, _ := n.settingsStatus()
 	return []metrics.Sample{
-		{Name: "settings_version", Value: int64(s.Version)},
-		{Name: "settings_all", Value: int64(s.MinActingVersion)},
+		{Name: "settings_version", Value: int64(s.ActiveVersion)},
+		{Name: "settings_all", Value: int64(s.FullyActiveVersion)},
 		{Name: "settings_lease_ms", Value: s.LeaseMs},
 		{Name: "settings_term", Value: int64(s.Term)},
 		{Name: "settings_leads", Value: boolGauge(s.IsLeader)},
-		{Name: "settings_lagging", Value: int64(len(s.Lags))},
+		{Name: "settings_lagging", Value: int64(len(s.LaggingDaemons))},
 		{Name: "settings_refused", Value: int64(s.RejectedRequests), IsCounter: true},
 	}
 }
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -154,7 +154,7 @@
 	for _, name := range slices.Sorted(maps.Keys(agreed.Docs)) {
 		d := agreed.Docs[name]
 		s.Documents = append(s.Documents, status.Document{
-			Name: name, Version: d.Version, By: d.ProposedBy, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest),
+			Name: name, Version: d.Version, ProposedBy: d.ProposedBy, Bytes: len(d.Body), SHA256: fmt.Sprintf("%x", d.Digest),
 		})
 	}
 	return s.Write(w)
@@ -173,24 +173,24 @@
 	agreed, _ := n.raft.Valid()
 	node := n.raft.Status()
 	s := &status.Settings{
-		Version:          agreed.Version,
-		HasLease:         n.raft.CoversVersion(agreed.Version),
-		LeaseMs:          n.raft.LeaseRemaining().Milliseconds(),
-		IsVoter:          node.IsVoter,
-		IsLeader:         node.IsLeader,
-		Leader:           node.Leader,
-		Term:             node.Term,
-		Committed:        node.CommittedVersion,
-		NextVersion:      node.PendingVersion,
-		MinActingVersion: node.FullyActiveVersion,
-		RejectedVersion:  node.RejectedVersion,
-		RejectionReason:  node.RejectionReason,
-		RejectedRequests: n.rejectedRequests.Load(),
-		LeaseVoters:      strings.Join(node.KnownVoters, ","),
-		CurrentVoters:    strings.Join(node.ActiveVoters, ","),
+		ActiveVersion:      agreed.Version,
+		HasLease:           n.raft.CoversVersion(agreed.Version),
+		LeaseMs:            n.raft.LeaseRemaining().Milliseconds(),
+		IsVoter:            node.IsVoter,
+		IsLeader:           node.IsLeader,
+		Leader:             node.Leader,
+		Term:               node.Term,
+		CommittedVersion:   node.CommittedVersion,
+		PendingVersion:     node.PendingVersion,
+		FullyActiveVersion: node.FullyActiveVersion,
+		RejectedVersion:    node.RejectedVersion,
+		RejectionReason:    node.RejectionReason,
+		RejectedRequests:   n.rejectedRequests.Load(),
+		KnownVoters:        strings.Join(node.KnownVoters, ","),
+		ActiveVoters:       strings.Join(node.ActiveVoters, ","),
 	}
 	for _, l := range node.Lagging {
-		s.Lags = append(s.Lags, status.Lag{Daemon: l.Daemon, Reason: l.Reason})
+		s.LaggingDaemons = append(s.LaggingDaemons, status.LaggingDaemon{Name: l.Daemon, Reason: l.Reason})
 	}
 	return s, agreed
 }
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -84,7 +84,7 @@
 			strings.Join(voters, ", "))
 		member := &clusterMember{config: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
 		if config.ClockRate.Hi > 0 {
-			member.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRate, config.ClockRate.At(r.drawShare("clock", name)))
+			member.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawShare("clock", name)))
 		}
 		c.members[name] = member
 	}
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		act := clusterinvariant.Act{Asked: sentAt, Said: c.rehearsal.recorder.Now(), By: name, Life: incarnation,
-			Version: s.Version, Digest: fmt.Sprint(s.Documents)}
+			Version: s.ActiveVersion, Digest: fmt.Sprint(s.Documents)}
 		c.mu.Lock()
 		if incarnation == member.incarnation && len(c.acts) < maxClusterEvents {
 			c.acts = append(c.acts, act)
