--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -27,8 +27,8 @@
 	stranger := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.listen)
 	forger := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.listen)
 	younger.awaitReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.ElderAddr == elder.listen && f.Connectivity == "cut-off" })
-	younger.awaitText(t, "an elder daemon of this name is in the fleet")
-	elder.awaitText(t, "a younger daemon of this name is about")
+	younger.awaitText(t, "a daemon of this name that started earlier is in the fleet")
+	elder.awaitText(t, "a daemon of this name that started later tried to join the fleet")
 	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "elder": elder, "younger": younger, "stranger": stranger, "forger": forger} {
 		resp, err := http.Get("http://" + d.http + "/_health")
 		if err != nil || resp.StatusCode != http.StatusOK {
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -76,7 +76,7 @@
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	return errors.New("the answer has no end")
+	return errors.New("the response has no end line")
 }
 
 // lineFields maps the first word of a line and the key of a field to the pointer through which parseFields assigns the
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -128,7 +128,7 @@
 	log := l.transport.options.Load().Log
 	if now-l.logWindowStart >= changeLogInterval {
 		if l.changesInLogWindow > maxChangeLogLines {
-			log.Warn("member state changes left out of the log", "count", l.changesInLogWindow-maxChangeLogLines)
+			log.Warn("member state changes omitted from the log", "count", l.changesInLogWindow-maxChangeLogLines)
 		}
 		l.logWindowStart, l.changesInLogWindow = now, 0
 	}
@@ -152,9 +152,9 @@
 	l.loggedConflict = other
 	log := l.transport.options.Load().Log.With("address", other.Addr)
 	if yields {
-		log.Error("an elder daemon of this name is in the fleet: this one stays out of it until that one has gone")
+		log.Error("a daemon of this name that started earlier is in the fleet; this daemon stays out of the fleet until the other one is gone")
 	} else {
-		log.Error("a younger daemon of this name is about: it is to stay out of the fleet")
+		log.Error("a daemon of this name that started later tried to join the fleet; it has to stay out of the fleet")
 	}
 }
 
@@ -163,6 +163,6 @@
 	options := l.transport.options.Load()
 	if !l.hasWarnedNoContact && !l.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
 		l.hasWarnedNoContact = true
-		options.Log.Warn("nobody of the fleet answers", "join", options.Join)
+		options.Log.Warn("no member of the fleet responds", "join", options.Join)
 	}
 }
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -28,7 +28,7 @@
 	minKeyBytes = 16
 	maxKeyBytes = 64 // block size of SHA-256; HMAC hashes longer keys
 	// keyFileFormat is the error text for a malformed key file.
-	keyFileFormat = "must hold one or two lines of 32 to 128 hexadecimal digits"
+	keyFileFormat = "must contain one or two keys, each on a line of 32 to 128 hexadecimal digits"
 )
 
 // ReadKeys reads a key file with one or two lines, each of which contains a key in hexadecimal digits. Empty lines and
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: may be read by others than its owner (mode %v)", path, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: must not be accessible to others than its owner (mode %v)", path, info.Mode().Perm())
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -74,7 +74,7 @@
 // Start opens the sockets and starts to join the cluster. An error names the configuration field that caused it.
 func Start(options Options) (*Transport, error) {
 	if len(options.Keys) == 0 && !options.Listen.Addr().IsLoopback() {
-		return nil, fmt.Errorf("fleet.listen: %v is no loopback address, and there is no key_file", options.Listen)
+		return nil, fmt.Errorf("fleet.listen: %v is not a loopback address, so key_file must be set", options.Listen)
 	}
 	tcpListener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(options.Listen))
 	if err != nil {
