--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -33,8 +33,8 @@
 		if h.IsRemoval() {
 			what = "taken out"
 		}
-		if h.RestoredVersion > 0 {
-			what += fmt.Sprintf(", as at version %d", h.RestoredVersion)
+		if h.RevertedTo > 0 {
+			what += fmt.Sprintf(", as at version %d", h.RevertedTo)
 		}
 		at := time.UnixMilli(h.AtUnixMilli).UTC().Format(time.DateTime)
 		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.ProposedBy, at)
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -24,13 +24,13 @@
 
 // HistoryEntry is a change in the history of the agreed documents.
 type HistoryEntry struct {
-	Version         uint64 `json:"version"`        // version of the settings that the change created
-	Name            string `json:"name"`           // name of the changed document
-	Bytes           int    `json:"bytes"`          // length of the document's body
-	SHA256          string `json:"sha256"`         // SHA-256 of the body, in hexadecimal; zeros: the document was removed
-	ProposedBy      string `json:"by"`             // name of the daemon that proposed the change
-	AtUnixMilli     int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
-	RestoredVersion uint64 `json:"back,omitempty"` // version to which the change reverts the document; 0: no revert
+	Version     uint64 `json:"version"`        // version of the settings that the change created
+	Name        string `json:"name"`           // name of the changed document
+	Bytes       int    `json:"bytes"`          // length of the document's body
+	SHA256      string `json:"sha256"`         // SHA-256 of the body, in hexadecimal; zeros: the document was removed
+	ProposedBy  string `json:"by"`             // name of the daemon that proposed the change
+	AtUnixMilli int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
+	RevertedTo  uint64 `json:"back,omitempty"` // version to which the change reverts the document; 0: no revert
 }
 
 // IsRemoval reports whether the change removed the document.
@@ -82,7 +82,7 @@
 		"answer": {"version": &r.Version, "same": &r.IsUnchanged},
 		"change": {
 			"version": &h.Version, "name": &h.Name, "bytes": &h.Bytes, "sha256": &h.SHA256, "by": &h.ProposedBy,
-			"at_ms": &h.AtUnixMilli, "back": &h.RestoredVersion,
+			"at_ms": &h.AtUnixMilli, "back": &h.RevertedTo,
 		},
 		"document": {"name": &r.Name, "version": &r.PutVersion},
 		"body":     {"text": &encodedBody},
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -95,7 +95,7 @@
 	if got.Version != 9 || got.Name != "shared" || got.PutVersion != 7 || !bytes.Equal(got.Body, body) {
 		t.Errorf("got %+v, want version 9 and the document shared of version 7 with its body of %d bytes", got, len(body))
 	}
-	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].RestoredVersion != 3 {
+	if h := got.History; len(h) != 2 || h[0].IsRemoval() || !h[1].IsRemoval() || h[0].RevertedTo != 3 {
 		t.Errorf("got history %+v, want two changes: one that reverts to version 3, and a removal", h)
 	}
 	if err := (&CommandResult{}).parseLine("body text=!!"); err == nil {
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -24,7 +24,7 @@
 	}
 	result := &CommandResult{
 		Format: 1, Version: 9, IsUnchanged: true, Name: "shared", PutVersion: 7, Body: []byte("\x00a"),
-		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", ProposedBy: "s", AtUnixMilli: 12, RestoredVersion: 3}},
+		History: []HistoryEntry{{Version: 1, Name: "a", Bytes: 5, SHA256: "01", ProposedBy: "s", AtUnixMilli: 12, RevertedTo: 3}},
 	}
 	sent := consensus.CommandResult{
 		Version: 9, Unchanged: true, Doc: &consensus.Document{Name: "shared", Version: 7, Body: []byte(strings.Repeat("a", 6001))},
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -15,17 +15,17 @@
 	unansweredProbes int           // number of probes since the other process last responded
 	nextProbe        time.Duration // instant of the next probe of the other process
 	incarnation      uint64        // highest incarnation of the other process that was received
-	hasAnswered      bool          // whether the other process has responded to a probe
+	hasResponded     bool          // whether the other process has responded to a probe
 	isYielding       bool          // whether this node yields, because the other process is older and responds
 }
 
 // NameConflict returns another process with this node's name, whether it has responded, and whether this node yields to
 // it. Without a conflict it returns zero values.
-func (n *Node) NameConflict() (other Peer, answers, yields bool) {
+func (n *Node) NameConflict() (other Peer, responds, yields bool) {
 	if n.conflict == nil {
 		return Peer{}, false, false
 	}
-	return n.conflict.Peer, n.conflict.hasAnswered, n.conflict.isYielding
+	return n.conflict.Peer, n.conflict.hasResponded, n.conflict.isYielding
 }
 
 // isYielding reports whether this node yields to an older process with its name: it only responds, and sends no updates.
@@ -93,8 +93,8 @@
 func (n *Node) receiveConflictAck(now time.Duration) {
 	c := n.conflict
 	c.unansweredProbes = 0
-	if !c.hasAnswered {
-		c.hasAnswered = true
+	if !c.hasResponded {
+		c.hasResponded = true
 		n.viewNumber++
 	}
 	if c.isYielding = n.self.Generation > c.Generation; c.isYielding {
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -13,10 +13,10 @@
 // Node is the failure detector of one daemon. The instants that a caller passes to its methods must never decrease. A Node
 // is not safe for concurrent use.
 type Node struct {
-	options      Options
-	rng          *rand.Rand
-	self         Update
-	startedAt    time.Duration
+	options      Options       // options with their defaults; Reconfigure replaces them
+	rng          *rand.Rand    // source of all random decisions
+	self         Update        // this node's assertion about itself
+	startedAt    time.Duration // instant at which the node was created
 	hasLeft      bool          // whether Leave was called
 	hasContact   bool          // whether a message of another node has been received since the start
 	expectedTick time.Duration // latest result of NextTick
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -22,7 +22,7 @@
 // suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
 // member suspects it, and shrinks with each other member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
-	start                  time.Duration // instant at which the suspicion started, plus the length of pauses since then
+	start                  time.Duration // instant at which the suspicion started, moved forward by later pauses of the process
 	minTimeout, maxTimeout time.Duration // timeouts with neededConfirmations and with no confirmations
 	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
 	suspectors             []string      // names of the members that suspect this one; at most 1+neededConfirmations
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -13,38 +13,38 @@
 // its members. Once all messages are delivered again, all views become equal.
 func TestNodesConvergeAfterLossReorderingAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
+		network := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
 		lastGeneration := uint64(100)
 		t.Repeat(map[string]func(*rapid.T){
 			"tick after a delay": func(t *rapid.T) {
-				w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
-				w.tick(t, rapid.SampledFrom(w.nodes).Draw(t, "node"))
+				network.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
+				network.tick(t, rapid.SampledFrom(network.nodes).Draw(t, "node"))
 			},
 			"deliver": func(t *rapid.T) {
-				if len(w.inTransit) > 0 {
-					w.deliver(t, rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "which"))
+				if len(network.inTransit) > 0 {
+					network.deliver(t, rapid.IntRange(0, len(network.inTransit)-1).Draw(t, "which"))
 				}
 			},
 			"lose": func(_ *rapid.T) {
-				if len(w.inTransit) > 0 {
-					w.inTransit = w.inTransit[1:]
+				if len(network.inTransit) > 0 {
+					network.inTransit = network.inTransit[1:]
 				}
 			},
 			"duplicate": func(t *rapid.T) {
-				if len(w.inTransit) > 0 && len(w.inTransit) < 200 {
-					w.inTransit = append(w.inTransit, rapid.SampledFrom(w.inTransit).Draw(t, "which"))
+				if len(network.inTransit) > 0 && len(network.inTransit) < 200 {
+					network.inTransit = append(network.inTransit, rapid.SampledFrom(network.inTransit).Draw(t, "which"))
 				}
 			},
 			"restart": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
+				i := rapid.IntRange(0, len(network.nodes)-1).Draw(t, "node")
 				lastGeneration++
 				self := testPeer(i)
 				self.Generation = lastGeneration
-				join := []netip.AddrPort{testPeer((i + 1) % len(w.nodes)).Addr}
-				w.nodes[i] = New(w.now, Options{Self: self, Join: join, Seed: lastGeneration})
+				join := []netip.AddrPort{testPeer((i + 1) % len(network.nodes)).Addr}
+				network.nodes[i] = New(network.now, Options{Self: self, Join: join, Seed: lastGeneration})
 			},
 		})
-		w.requireConvergence(t)
+		network.requireConvergence(t)
 	})
 }
 
@@ -58,16 +58,16 @@
 	}
 	checkedOrders := 0
 	for order := range orders {
-		w := newTestNetwork(3)
-		w.now += 400 * time.Millisecond
+		network := newTestNetwork(3)
+		network.now += 400 * time.Millisecond
 		remainingEvents := order // the events as digits of a number in base choices
 		for range depth {
-			w.now += 350 * time.Millisecond
-			w.runEvent(t, remainingEvents%choices)
+			network.now += 350 * time.Millisecond
+			network.runEvent(t, remainingEvents%choices)
 			remainingEvents /= choices
 		}
-		if order%97 == 0 { // to check convergence after every order would take minutes
-			w.requireConvergence(t)
+		if order%97 == 0 { // checking convergence after every order would take minutes
+			network.requireConvergence(t)
 		}
 		checkedOrders++
 	}
@@ -75,22 +75,22 @@
 }
 
 // runEvent runs one of nine events: for each of three nodes a tick, or the delivery or loss of the oldest message to it.
-func (w *testNetwork) runEvent(t testingT, choice int) {
+func (network *testNetwork) runEvent(t testingT, choice int) {
 	t.Helper()
 	const tick, deliver = 0, 1
 	node, event := choice%3, choice/3
 	if event == tick {
-		w.tick(t, w.nodes[node])
+		network.tick(t, network.nodes[node])
 		return
 	}
-	for i, e := range w.inTransit {
+	for i, e := range network.inTransit {
 		if e.To != testPeer(node).Addr {
 			continue
 		}
 		if event == deliver {
-			w.deliver(t, i)
+			network.deliver(t, i)
 		} else {
-			w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
+			network.inTransit = append(network.inTransit[:i], network.inTransit[i+1:]...)
 		}
 		return
 	}
@@ -99,38 +99,38 @@
 // Guards against two processes with one name that override each other's updates in turn: the younger one sends no updates
 // for as long as the older one responds, and takes over the name once the older one is gone.
 func TestYoungerProcessOfOneNameYieldsUntilOlderOneIsGone(t *testing.T) {
-	w := newTestNetwork(3)
-	older := w.nodes[1]
+	network := newTestNetwork(3)
+	older := network.nodes[1]
 	youngerPeer := testPeer(1)
 	youngerPeer.Addr, youngerPeer.Generation = testPeer(9).Addr, 1000
-	younger := New(w.now, Options{Self: youngerPeer, Join: []netip.AddrPort{testPeer(0).Addr}})
-	w.nodes = append(w.nodes, younger)
-	w.run(t, 10*time.Second)
+	younger := New(network.now, Options{Self: youngerPeer, Join: []netip.AddrPort{testPeer(0).Addr}})
+	network.nodes = append(network.nodes, younger)
+	network.run(t, 10*time.Second)
 
 	view := younger.View()
-	if _, answers, yields := younger.NameConflict(); !answers || !yields || view.ElderAddr == "" || view.Connectivity != CutOff {
-		t.Fatalf("younger process: other answers %v, yields %v, view %+v; want true, true, and a cut-off view with a rival",
-			answers, yields, view)
+	if _, responds, yields := younger.NameConflict(); !responds || !yields || view.ElderAddr == "" || view.Connectivity != CutOff {
+		t.Fatalf("younger process: other responds %v, yields %v, view %+v; want true, true, and a cut-off view with an ElderAddr",
+			responds, yields, view)
 	}
-	if _, answers, yields := older.NameConflict(); yields {
-		t.Fatalf("older process yields, want that it does not; other answers %v", answers)
+	if _, responds, yields := older.NameConflict(); yields {
+		t.Fatalf("older process yields, want that it does not; other responds %v", responds)
 	}
-	younger.nextGossip = w.now // a round of gossip is due, and the younger process has updates
-	younger.Tick(w.now)
+	younger.nextGossip = network.now // a round of gossip is due, and the younger process has updates
+	younger.Tick(network.now)
 	for _, e := range younger.TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
 			t.Errorf("the younger process sent %+v, want no gossip and no updates", e.Message)
 		}
 	}
-	for _, n := range w.nodes[:3] {
+	for _, n := range network.nodes[:3] {
 		if n.self.Name != "s1" && n.members["s1"].Addr != testPeer(1).Addr {
 			t.Errorf("%s has %v as the address of s1, want that of the older process", n.self.Name, n.members["s1"].Addr)
 		}
 	}
 
-	w.nodes = []*Node{w.nodes[0], w.nodes[2], younger}
-	w.run(t, 10*time.Second)
-	for _, n := range w.nodes[:2] {
+	network.nodes = []*Node{network.nodes[0], network.nodes[2], younger}
+	network.run(t, 10*time.Second)
+	for _, n := range network.nodes[:2] {
 		if m := n.members["s1"]; m.Addr != youngerPeer.Addr || m.State != Alive {
 			t.Errorf("%s has %+v of s1, want the younger process as alive", n.self.Name, m.Update)
 		}
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -32,57 +32,57 @@
 
 // newTestNetwork returns a network of size nodes that all know one another.
 func newTestNetwork(size int) *testNetwork {
-	w := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
+	network := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
 	var known []Update
 	for i := range size {
 		known = append(known, Update{Peer: testPeer(i), Incarnation: 1})
 	}
 	for i := range size {
-		w.nodes = append(w.nodes, New(w.now, Options{Self: testPeer(i), InitialMembers: known, Seed: uint64(i)}))
+		network.nodes = append(network.nodes, New(network.now, Options{Self: testPeer(i), InitialMembers: known, Seed: uint64(i)}))
 	}
-	return w
+	return network
 }
 
 // tick calls a node's Tick, even if it is not due.
-func (w *testNetwork) tick(t testingT, n *Node) {
+func (network *testNetwork) tick(t testingT, n *Node) {
 	t.Helper()
-	n.Tick(w.now)
+	n.Tick(network.now)
 	n.NextTick()
-	w.collectAndCheck(t, n)
+	network.collectAndCheck(t, n)
 }
 
 // deliver delivers the message at index i of inTransit.
-func (w *testNetwork) deliver(t testingT, i int) {
+func (network *testNetwork) deliver(t testingT, i int) {
 	t.Helper()
-	e := w.inTransit[i]
-	w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
-	for _, n := range w.nodes {
+	e := network.inTransit[i]
+	network.inTransit = append(network.inTransit[:i], network.inTransit[i+1:]...)
+	for _, n := range network.nodes {
 		if n.self.Addr == e.To {
-			n.Receive(w.now, e.Message)
-			w.collectAndCheck(t, n)
+			n.Receive(network.now, e.Message)
+			network.collectAndCheck(t, n)
 		}
 	}
 }
 
 // collectAndCheck adds the messages that a node sends to those in transit, and checks the invariants of the node's view and
 // lists.
-func (w *testNetwork) collectAndCheck(t testingT, n *Node) {
+func (network *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
 		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
 			t.Fatalf("%d updates are piggybacked on a message, want at most %d", len(e.Message.Updates), MaxPiggyback+1)
 		}
-		w.inTransit = append(w.inTransit, e)
+		network.inTransit = append(network.inTransit, e)
 	}
 	for _, m := range n.View().Members {
 		key := fmt.Sprint(n.self.Generation, " ", m.Name)
-		if m.Incarnation < w.maxIncarnation[key] {
-			t.Fatalf("%s had incarnation %d of %s in its view, and now has %d", n.self.Name, w.maxIncarnation[key], m.Name, m.Incarnation)
+		if m.Incarnation < network.maxIncarnation[key] {
+			t.Fatalf("%s had incarnation %d of %s in its view, and now has %d", n.self.Name, network.maxIncarnation[key], m.Name, m.Incarnation)
 		}
-		w.maxIncarnation[key] = m.Incarnation
+		network.maxIncarnation[key] = m.Incarnation
 		if m.State == Left {
-			w.leftIncarnation[key] = m.Incarnation
-		} else if left, ok := w.leftIncarnation[key]; ok && m.Incarnation <= left {
+			network.leftIncarnation[key] = m.Incarnation
+		} else if left, ok := network.leftIncarnation[key]; ok && m.Incarnation <= left {
 			t.Fatalf("%s considers %s %v in incarnation %d, after it left in incarnation %d", n.self.Name, m.Name, m.State, m.Incarnation, left)
 		}
 	}
@@ -128,17 +128,17 @@
 
 // runUntil calls the ticks that are due and delivers all messages in order until isDone returns true, at most for a
 // duration. It reports whether isDone returned true.
-func (w *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
+func (network *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
 	t.Helper()
-	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
-		for _, n := range w.nodes {
-			if w.now >= n.NextTick() {
-				n.Tick(w.now)
-				w.collectAndCheck(t, n)
+	for end := network.now + d; network.now < end; network.now += 10 * time.Millisecond {
+		for _, n := range network.nodes {
+			if network.now >= n.NextTick() {
+				n.Tick(network.now)
+				network.collectAndCheck(t, n)
 			}
 		}
-		for len(w.inTransit) > 0 {
-			w.deliver(t, 0)
+		for len(network.inTransit) > 0 {
+			network.deliver(t, 0)
 		}
 		if isDone() {
 			return true
@@ -148,23 +148,23 @@
 }
 
 // run calls the ticks that are due and delivers all messages in order for a duration.
-func (w *testNetwork) run(t testingT, d time.Duration) {
+func (network *testNetwork) run(t testingT, d time.Duration) {
 	t.Helper()
-	w.runUntil(t, d, func() bool { return false })
+	network.runUntil(t, d, func() bool { return false })
 }
 
 // requireConvergence fails the test unless all views are equal and complete within a minute without further faults.
-func (w *testNetwork) requireConvergence(t testingT) {
+func (network *testNetwork) requireConvergence(t testingT) {
 	t.Helper()
-	if !w.runUntil(t, time.Minute, w.isConverged) {
-		t.Fatalf("views still differ a minute after the last fault: %+v and %+v", w.nodes[0].View(), w.nodes[1].View())
+	if !network.runUntil(t, time.Minute, network.isConverged) {
+		t.Fatalf("views still differ a minute after the last fault: %+v and %+v", network.nodes[0].View(), network.nodes[1].View())
 	}
 }
 
 // isConverged reports whether all nodes consider one another alive, in the same incarnations.
-func (w *testNetwork) isConverged() bool {
-	for _, n := range w.nodes {
-		if n.digest != w.nodes[0].digest || len(n.present) != len(w.nodes)-1 || len(n.suspects) > 0 {
+func (network *testNetwork) isConverged() bool {
+	for _, n := range network.nodes {
+		if n.digest != network.nodes[0].digest || len(n.present) != len(network.nodes)-1 || len(n.suspects) > 0 {
 			return false
 		}
 	}
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -23,6 +23,7 @@
 	stateCount              // number of states
 )
 
+// stateNames contains the names of the states by state.
 var stateNames = [stateCount]string{"alive", "suspect", "failed", "left"}
 
 // Valid reports whether s is one of the declared states.
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -19,13 +19,14 @@
 // Connectivity is a node's estimate of how much of the cluster it can reach. A greater value is better.
 type Connectivity uint8
 
-// The levels of connectivity. A node counts itself as present.
+// The levels of connectivity. A node that is a voter counts itself as present.
 const (
 	CutOff          Connectivity = iota // fewer than half of the voters are present
 	PartlyConnected                     // at least half of the voters are present, but not all, or some member has failed
 	FullyConnected                      // all voters are present and no member has failed
 )
 
+// connectivityNames contains the names of the levels by level.
 var connectivityNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
 
 // String returns the name of the connectivity that reports to operators contain.
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -13,8 +13,8 @@
 	smallClusterMembers = 100 // number of members from which minViewInterval applies
 	// maxSleep is the longest time for which the event loop waits when the failure detector has no timer running.
 	maxSleep = time.Hour
-	// noContactWarningDelay is the time after the start at which a warning is logged if no daemon of the cluster has been
-	// heard from.
+	// noContactWarningDelay is the time after the start at which a warning is logged if no message of another daemon has
+	// been received.
 	noContactWarningDelay = 10 * time.Second
 	// maxChangeLogLines is the maximum number of log lines about member state changes in each changeLogInterval.
 	maxChangeLogLines = 20
@@ -23,7 +23,7 @@
 
 // eventLoop is the state of the goroutine that owns the failure detector. No other goroutine may use its fields.
 type eventLoop struct {
-	transport    *Transport
+	transport    *Transport    // transport to which the event loop belongs
 	node         *swim.Node    // failure detector
 	publishedAt  time.Duration // instant at which the latest view was published
 	packetBuffer []byte        // buffer that is reused for each datagram
@@ -92,7 +92,8 @@
 	return l.node.ViewNumber() != l.transport.View().Number
 }
 
-// handleOutput sends the messages, logs the changes and publishes the view that resulted from the failure detector's latest step.
+// handleOutput sends the messages, logs the changes and publishes the view that resulted from the failure detector's latest
+// step.
 func (l *eventLoop) handleOutput(now time.Duration) {
 	for _, e := range l.node.TakeMessages() {
 		l.send(&e)
@@ -145,8 +146,8 @@
 
 // logNameConflict logs another process that uses this daemon's name, unless it was the last one logged.
 func (l *eventLoop) logNameConflict() {
-	other, answers, yields := l.node.NameConflict()
-	if !answers || other == l.loggedConflict {
+	other, responds, yields := l.node.NameConflict()
+	if !responds || other == l.loggedConflict {
 		return
 	}
 	l.loggedConflict = other
