--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -8,56 +8,56 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Fleet is what one daemon holds of its cluster. Its JSON form is documented for operators.
+// Fleet is the view of one daemon of its cluster. Its JSON form is documented for operators.
 type Fleet struct {
-	Format       int    `json:"format"` // 1
-	Self         string `json:"self"`
-	Connectivity string `json:"standing"`        // the swim.Connectivity: whole, partial or cut-off
-	Elder        string `json:"elder,omitempty"` // address of an elder daemon with this name, to which this one yields
-	View         uint64 `json:"view"`            // number of the view
-	Daemons      int    `json:"daemons"`         // number of daemons that share what is divided
-	Ordinal      int    `json:"index"`           // ordinal of this daemon among them, from 0
-	Peers        []Peer `json:"peers"`           // members by name, this daemon included
+	Format       int    `json:"format"`          // version of the JSON format: 1
+	Self         string `json:"self"`            // name of the daemon
+	Connectivity string `json:"standing"`        // swim.Connectivity of the daemon: whole, partial or cut-off
+	ElderAddr    string `json:"elder,omitempty"` // address of the older process with this daemon's name, to which the daemon yields
+	ViewNumber   uint64 `json:"view"`            // number of the view, which grows with each change
+	DaemonCount  int    `json:"daemons"`         // number of daemons that divide limits among themselves; see package ordinal
+	Ordinal      int    `json:"index"`           // ordinal of this daemon among those counted in "daemons", from 0
+	Peers        []Peer `json:"peers"`           // members sorted by name, this daemon included
 }
 
 // Peer is a member of a Fleet.
 type Peer struct {
-	Name        string `json:"name"`
-	Address     string `json:"address"`
-	State       string `json:"state"` // alive, suspect, failed or left
-	Incarnation uint64 `json:"incarnation"`
-	SinceMs     int64  `json:"since_ms"` // milliseconds for which it has been in the state
+	Name        string `json:"name"`        // name of the member
+	Address     string `json:"address"`     // address and port to which other daemons send messages
+	State       string `json:"state"`       // state of the member: alive, suspect, failed or left
+	Incarnation uint64 `json:"incarnation"` // incarnation of the member; see swim.Update
+	SinceMs     int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
-// FleetFromView returns the report of a view at the instant now, on the clock of the view's node.
+// FleetFromView returns the report of a view at the instant now of the failure detector's clock.
 func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
 	f := &Fleet{
-		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), Elder: v.Rival, View: v.Number,
-		Daemons: daemons, Ordinal: index,
+		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), ElderAddr: v.ElderAddr, ViewNumber: v.Number,
+		DaemonCount: daemons, Ordinal: index,
 	}
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{
 			Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation,
-			SinceMs: max(now-m.Since, 0).Milliseconds(),
+			SinceMs: max(now-m.StateSince, 0).Milliseconds(),
 		})
 	}
 	return f
 }
 
-// FetchFleet gets the Fleet of the daemon whose operators' address is addr. All of it takes no longer than timeout.
+// FetchFleet requests the Fleet of the daemon whose operators' address is addr, within timeout.
 func FetchFleet(addr string, timeout time.Duration) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, query(addr, "peers", nil, timeout, f.parseLine)
 }
 
-// Write writes a line for the daemon and one for each member, but no end of the response.
+// Write writes a line for the daemon and one for each member, but not the line that ends the response.
 func (f *Fleet) Write(w io.Writer) error {
 	elder := ""
-	if f.Elder != "" {
-		elder = " elder=" + f.Elder
+	if f.ElderAddr != "" {
+		elder = " elder=" + f.ElderAddr
 	}
 	if _, err := fmt.Fprintf(w, "fleet self=%s standing=%s view=%d daemons=%d index=%d%s\n",
-		f.Self, f.Connectivity, f.View, f.Daemons, f.Ordinal, elder); err != nil {
+		f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount, f.Ordinal, elder); err != nil {
 		return err
 	}
 	for _, p := range f.Peers {
@@ -69,11 +69,12 @@
 	return nil
 }
 
+// parseLine parses a line that Write wrote.
 func (f *Fleet) parseLine(line string) error {
 	var p Peer
 	err := parseFields(line, lineFields{
 		"fleet": {
-			"self": &f.Self, "standing": &f.Connectivity, "elder": &f.Elder, "view": &f.View, "daemons": &f.Daemons,
+			"self": &f.Self, "standing": &f.Connectivity, "elder": &f.ElderAddr, "view": &f.ViewNumber, "daemons": &f.DaemonCount,
 			"index": &f.Ordinal,
 		},
 		"peer": {
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -8,51 +8,53 @@
 
 // probe is a Ping of this node that has no response yet.
 type probe struct {
-	target        *member
-	indirectAt    time.Duration // instant at which other members are asked for indirect probes
-	indirectSent  bool
-	deadline      time.Duration // instant at which the probe has failed
-	expectedNacks int           // members that were asked, each of which responds with a Nack at least
-	nacks         int
+	target          *member       // member that is probed
+	indirectAt      time.Duration // instant at which other members are requested to probe the target
+	hasSentIndirect bool          // whether other members were requested to probe the target
+	deadline        time.Duration // instant at which the probe fails if there is no Ack
+	expectedNacks   int           // number of members that were requested to probe the target; each sends an Ack or a Nack
+	receivedNacks   int           // number of Nacks that were received, at most expectedNacks
 }
 
-// tickProbes ends the probes that are overdue, begins indirect ones, and probes the next member.
+// tickProbes handles probes whose deadline has passed, requests indirect probes for those whose indirectAt has passed, and
+// starts the next probe when it is due.
 func (n *Node) tickProbes(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.probes)) { // sorted, so that a seed determines the run
 		p := n.probes[seq]
 		if now >= p.deadline {
 			delete(n.probes, seq)
-			n.probeFailed(now, p)
-		} else if !p.indirectSent && now >= p.indirectAt {
+			n.handleFailedProbe(now, p)
+		} else if !p.hasSentIndirect && now >= p.indirectAt {
 			n.sendIndirectProbes(seq, p)
 		}
 	}
 	if now >= n.nextProbe {
-		n.nextProbe = now + n.options.ProbeInterval // local health lengthens the timeouts, not the interval
+		n.nextProbe = now + n.options.ProbeInterval // the health score lengthens the timeouts, but not the interval
 		n.startProbe(now)
 	}
 }
 
-// startProbe sends a Ping to the next target. A member is probed again only when its response is overdue for good, so that
-// maxLocalHealth+1 probes are out at most.
+// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight: at the worst health
+// score a probe fails only after that many probe intervals.
 func (n *Node) startProbe(now time.Duration) {
-	if n.isYielding() || n.hasLeft || len(n.probes) > maxLocalHealth {
+	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
 	}
 	target := n.nextProbeTarget()
 	if target == nil {
 		return
 	}
-	n.seq++
-	n.probes[n.seq] = &probe{
+	n.lastSeq++
+	n.probes[n.lastSeq] = &probe{
 		target:     target,
-		indirectAt: now + n.scaleByLocalHealth(n.options.ProbeTimeout),
-		deadline:   now + n.scaleByLocalHealth(n.options.ProbeInterval),
+		indirectAt: now + n.scaleByHealthScore(n.options.ProbeTimeout),
+		deadline:   now + n.scaleByHealthScore(n.options.ProbeInterval),
 	}
-	n.send(target.Addr, &Message{Kind: Ping, Seq: n.seq, Target: target.Peer})
+	n.send(target.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: target.Peer})
 }
 
-// nextProbeTarget returns an urgent target, or else the next member of the round, which is shuffled anew at its end.
+// nextProbeTarget returns an urgent target if there is one, and otherwise the next member of the round. After each round
+// the order is shuffled again.
 func (n *Node) nextProbeTarget() *member {
 	for len(n.urgentTargets) > 0 {
 		m := n.urgentTargets[0]
@@ -73,53 +75,53 @@
 	return m
 }
 
-// probeFailed suspects the target of a probe without a response. Nacks that were expected and did not arrive are
-// evidence against this node's own health.
-func (n *Node) probeFailed(now time.Duration, p *probe) {
+// handleFailedProbe marks the target of a probe without a response as suspect. Nacks that were expected and did not arrive
+// are evidence that this node itself is slow or disconnected.
+func (n *Node) handleFailedProbe(now time.Duration, p *probe) {
 	if p.expectedNacks > 0 {
-		n.adjustLocalHealth(p.expectedNacks - p.nacks)
+		n.adjustHealthScore(p.expectedNacks - p.receivedNacks)
 	} else {
-		n.adjustLocalHealth(1)
+		n.adjustHealthScore(1)
 	}
 	if n.members[p.target.Name] != p.target || !p.target.State.IsPresent() {
 		return
 	}
 	u := p.target.Update
-	u.State, u.By = Suspect, n.self.Name
-	n.applyUpdate(now, u, false) // confirms the suspicion where another member began it
+	u.State, u.SuspectedBy = Suspect, n.self.Name
+	n.applyUpdate(now, u, false) // confirms the suspicion if another member already suspects the target
 }
 
-// receivePing responds with an Ack, unless the Ping is for another member that had this address before.
+// receivePing responds with an Ack, unless the Ping is meant for another member that had this address before.
 func (n *Node) receivePing(m *Message) {
 	if m.Target.Name != "" && m.Target.Name != n.self.Name {
-		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From says which member is at this address now
+		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From field tells the sender which member has this address now
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
-	// A sender that is not held for alive has to learn of that before it can refute it.
+	// The sender must learn that this node believes it suspect, failed or left before it can refute that.
 	if sender := n.members[m.From.Name]; sender != nil && sender.State != Alive && !n.isYielding() {
 		ack.Updates = n.broadcasts.collect(n.retransmitLimit(), []Update{sender.Update})
 	}
 	n.send(m.From.Addr, ack)
 }
 
-// receiveAck ends what the Ack responds to: a probe of a process with this node's name, an indirect probe for another
-// member, or a probe of this node's own.
+// receiveAck completes the probe to which the Ack responds: one of another process with this node's name, an indirect one
+// on behalf of another member, or one of this node's own.
 func (n *Node) receiveAck(now time.Duration, m *Message) {
-	if c := n.conflict; c != nil && m.Seq == c.seq && m.From.Generation == c.Generation {
+	if c := n.conflict; c != nil && m.Seq == c.lastSeq && m.From.Generation == c.Generation {
 		n.receiveConflictAck(now)
 		return
 	}
-	if p := n.indirectProbes[m.Seq]; p != nil && m.From.Name == p.target {
+	if p := n.indirectProbes[m.Seq]; p != nil && m.From.Name == p.targetName {
 		delete(n.indirectProbes, m.Seq)
-		n.send(p.requester, &Message{Kind: Ack, Seq: p.requesterSeq, Target: m.From.Peer})
+		n.send(p.requesterAddr, &Message{Kind: Ack, Seq: p.requesterSeq, Target: m.From.Peer})
 		return
 	}
 	if p := n.probes[m.Seq]; p != nil && (m.From.Name == p.target.Name || m.Target.Name == p.target.Name) {
 		delete(n.probes, m.Seq)
-		n.adjustLocalHealth(-1)
+		n.adjustHealthScore(-1)
 		if m.From.Name != p.target.Name {
-			p.target.lastHelper = n.members[m.From.Name]
+			p.target.lastIndirectProber = n.members[m.From.Name]
 		}
 	}
 }
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// maxSuspicionMultiplier is the maximum suspicion timeout, which holds without confirmations, in minimum ones.
+	// maxSuspicionMultiplier is the ratio of the maximum suspicion timeout, which applies while no other member has
+	// confirmed the suspicion, to the minimum one.
 	maxSuspicionMultiplier = 3
 
-	// neededConfirmations is the number of confirmations by other members that shrink the timeout to its minimum.
-	neededConfirmations = 3
+	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the timeout to its minimum.
+	confirmationsForMinTimeout = 3
 
-	// expectedVerifiers is the mean number of members that at once probe a suspect of another member.
+	// expectedVerifiers is the mean number of members that probe a suspect at once when they learn of the suspicion.
 	expectedVerifiers = 6
 )
 
-// suspicion is the time that a suspect has to refute: long while one member alone suspects it, shorter with each member
-// that confirms (Lifeguard, section IV-B).
+// suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
+// member suspects it, and shrinks with each other member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
-	start                  time.Duration
-	minTimeout, maxTimeout time.Duration
-	expectedConfirmations  int      // the number that brings the timeout to minTimeout
-	suspectedBy            []string // names of those who suspect; 1+expectedConfirmations at most
+	start                  time.Duration // instant at which the suspicion started, moved forward by later pauses of the process
+	minTimeout, maxTimeout time.Duration // timeouts with neededConfirmations and with no confirmations
+	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
+	suspectors             []string      // names of the members that suspect this one; at most 1+neededConfirmations
 }
 
 // confirm adds a member that suspects, and reports whether that shrinks the timeout.
-func (s *suspicion) confirm(by string) bool {
-	if len(s.suspectedBy) > s.expectedConfirmations || slices.Contains(s.suspectedBy, by) {
+func (s *suspicion) confirm(suspector string) bool {
+	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, suspector) {
 		return false
 	}
-	s.suspectedBy = append(s.suspectedBy, by)
+	s.suspectors = append(s.suspectors, suspector)
 	return true
 }
 
-// deadline returns the instant at which the suspect has failed.
+// deadline returns the instant at which the suspect is declared failed.
 func (s *suspicion) deadline() time.Duration {
-	if s.expectedConfirmations == 0 {
+	if s.neededConfirmations == 0 {
 		return s.start + s.minTimeout
 	}
-	fraction := math.Log(float64(len(s.suspectedBy))) / math.Log(float64(s.expectedConfirmations+1))
+	fraction := math.Log(float64(len(s.suspectors))) / math.Log(float64(s.neededConfirmations+1))
 	shrunk := s.maxTimeout - time.Duration(fraction*float64(s.maxTimeout-s.minTimeout))
 	return s.start + max(s.minTimeout, shrunk)
 }
 
-// startSuspicion makes a present member suspect.
+// startSuspicion changes the state of a present member to suspect and starts its suspicion timeout.
 func (n *Node) startSuspicion(now time.Duration, m *member, u Update) {
 	if !m.State.IsPresent() || m.State == Suspect && m.Incarnation == u.Incarnation {
 		return
@@ -54,11 +55,11 @@
 	n.changeState(now, m, u)
 	minTimeout := time.Duration(float64(n.options.SuspicionTimeout) * n.suspicionScale())
 	s := &suspicion{
-		start:                 now,
-		minTimeout:            minTimeout,
-		maxTimeout:            maxSuspicionMultiplier * minTimeout,
-		expectedConfirmations: min(neededConfirmations, max(len(n.present)-2, 0)),
-		suspectedBy:           []string{u.By},
+		start:               now,
+		minTimeout:          minTimeout,
+		maxTimeout:          maxSuspicionMultiplier * minTimeout,
+		neededConfirmations: min(confirmationsForMinTimeout, max(len(n.present)-2, 0)),
+		suspectors:          []string{u.SuspectedBy},
 	}
 	if n.options.DisableSuspicionShrink {
 		s.maxTimeout = minTimeout
@@ -69,11 +70,11 @@
 	n.nextSuspicionEnd = min(n.nextSuspicionEnd, s.deadline())
 }
 
-// verifySuspicion decides at random whether this node probes a suspect of another member at once. A member of a large
-// cluster is otherwise probed by about one other in a ProbeInterval, and the confirmations would take as many of these as
-// are needed.
+// verifySuspicion decides at random whether this node at once probes a member that another one suspects. Otherwise only
+// about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be confirmed
+// too slowly.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
-	if n.options.DisableSuspicionShrink || m.By == n.self.Name || len(n.urgentTargets) >= maxLocalHealth {
+	if n.options.DisableSuspicionShrink || m.SuspectedBy == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
 	}
 	if n.rng.Float64()*float64(len(n.present)) < expectedVerifiers {
@@ -82,15 +83,15 @@
 	}
 }
 
-// confirmSuspicion counts another member's suspicion of a suspect, and gossips it where it shrinks the timeout.
+// confirmSuspicion adds another member's suspicion to that of a suspect, and gossips it if it shrinks the timeout.
 func (n *Node) confirmSuspicion(m *member, u Update) {
-	if m.suspicion.confirm(u.By) {
+	if m.suspicion.confirm(u.SuspectedBy) {
 		n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
 		n.broadcasts.enqueue(u)
 	}
 }
 
-// expireSuspicions fails the suspects that did not refute in time.
+// expireSuspicions declares the suspects failed that did not refute the suspicion in time.
 func (n *Node) expireSuspicions(now time.Duration) {
 	if now < n.nextSuspicionEnd {
 		return
@@ -103,11 +104,11 @@
 			continue
 		}
 		u := m.Update
-		u.State, u.By = Failed, ""
+		u.State, u.SuspectedBy = Failed, ""
 		n.changeState(now, m, u)
 	}
 }
 
-// suspicionScale returns the factor by which the size of the cluster stretches suspicion: its decimal logarithm, 1 at
-// least.
+// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: its decimal
+// logarithm, but at least 1.
 func (n *Node) suspicionScale() float64 { return max(1, math.Log10(float64(len(n.present)+1))) }
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// clockRate is read once, so that the clock never jumps.
+// clockRate is the rate of the failure detector's clock as a factor of real time. It is read only once, so that the clock
+// never jumps.
 var clockRate = func() float64 {
-	if rate, err := strconv.ParseFloat(os.Getenv(ClockRate), 64); err == nil && rate > 0 {
+	if rate, err := strconv.ParseFloat(os.Getenv(ClockRateEnv), 64); err == nil && rate > 0 {
 		return rate
 	}
 	return 1
 }()
 
-// scaledByClockRate returns how much time the failure detector's clock counts for d of real time.
-func scaledByClockRate(d time.Duration) time.Duration {
+// scaleByClockRate returns the time by which the failure detector's clock advances in d of real time.
+func scaleByClockRate(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * clockRate)
 }
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// The fields of messages, in protocol buffers' wire format. Fields that are not known are skipped, so that a later version
-// may add some.
+// The field numbers of a swim.Message in the wire format of Protocol Buffers. Parsers skip unknown fields, so that a later
+// version may add some.
 const (
 	swimFieldKind protowire.Number = iota + 1
 	swimFieldFrom
@@ -21,49 +21,50 @@
 	swimFieldUpdate
 )
 
-// The fields of an update.
+// The field numbers of a swim.Update.
 const (
 	updateFieldName protowire.Number = iota + 1
 	updateFieldIP
 	updateFieldPort
-	updateFieldRunID
+	updateFieldGeneration
 	updateFieldState
 	updateFieldIncarnation
 	updateFieldSuspectedBy
 )
 
-// The fields of a Message.
+// The field numbers of a Message.
 const (
 	messageFieldFrom protowire.Number = iota + 1
-	messageFieldRunID
+	messageFieldGeneration
 	messageFieldKind
 	messageFieldBody
 )
 
-// Message is what a part of a daemon sends to the same part of another daemon. Kind tells which part that is.
+// Message is a message from a component of a daemon to the same component of another daemon.
 type Message struct {
-	From  string // the sender's name
-	RunID uint64 // identifies the sender's process
-	Kind  byte
-	Body  []byte
+	From       string // name of the sending daemon
+	Generation uint64 // generation of the sending process; see swim.Peer
+	Kind       byte   // purpose of the message, from which the receiver knows the component
+	Body       []byte // content, which the transport does not interpret
 }
 
+// marshal returns the encoding of the message.
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
-	b = appendFixed64(b, messageFieldRunID, m.RunID)
+	b = appendFixed64(b, messageFieldGeneration, m.Generation)
 	b = appendVarint(b, messageFieldKind, uint64(m.Kind))
 	return appendBytes(b, messageFieldBody, m.Body)
 }
 
-// parseMessage parses what marshal made. The result refers to nothing in b.
+// parseMessage parses the encoding that marshal returns. The result does not refer to b.
 func parseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := forEachField(b, func(f field) error {
 		switch f.id {
 		case messageFieldFrom:
 			m.From = string(f.bytes)
-		case messageFieldRunID:
-			m.RunID = f.number
+		case messageFieldGeneration:
+			m.Generation = f.number
 		case messageFieldKind:
 			m.Kind = byte(f.number)
 		case messageFieldBody:
@@ -89,7 +90,7 @@
 		b = appendUpdate(b, swimFieldTarget, &swim.Update{Peer: m.Target})
 	}
 	b = appendFixed64(b, swimFieldDigest, m.Digest)
-	if m.Quiet {
+	if m.GossipQueueEmpty {
 		b = appendVarint(b, swimFieldQuiet, 1)
 	}
 	for i := range m.Updates {
@@ -98,8 +99,9 @@
 	return b
 }
 
+// appendUpdate appends an update as a length-delimited field to b.
 func appendUpdate(b []byte, id protowire.Number, u *swim.Update) []byte {
-	var buffer [160]byte // holds nearly every update; append grows it for the longest ones
+	var buffer [160]byte // long enough for nearly all updates; append allocates for longer ones
 	ip := u.Addr.Addr().As16()
 	update := appendBytes(buffer[:0], updateFieldName, u.Name)
 	if u.Addr.Addr().Is4() {
@@ -108,19 +110,19 @@
 		update = appendBytes(update, updateFieldIP, ip[:])
 	}
 	update = appendVarint(update, updateFieldPort, uint64(u.Addr.Port()))
-	update = appendFixed64(update, updateFieldRunID, u.Generation)
+	update = appendFixed64(update, updateFieldGeneration, u.Generation)
 	if u.State != swim.Alive {
 		update = appendVarint(update, updateFieldState, uint64(u.State))
 	}
 	update = appendVarint(update, updateFieldIncarnation, u.Incarnation)
-	if u.By != "" {
-		update = appendBytes(update, updateFieldSuspectedBy, u.By)
+	if u.SuspectedBy != "" {
+		update = appendBytes(update, updateFieldSuspectedBy, u.SuspectedBy)
 	}
 	return appendBytes(b, id, update)
 }
 
-// parseSwimMessage parses what Marshal made, of which it accepts maxUpdates updates at most. The result refers to nothing
-// in b.
+// parseSwimMessage parses the encoding that AppendSwimMessage appends. It rejects a message with more than maxUpdates
+// updates. The result does not refer to b.
 func parseSwimMessage(b []byte, maxUpdates int) (*swim.Message, error) {
 	m := &swim.Message{}
 	err := forEachField(b, func(f field) (err error) {
@@ -140,7 +142,7 @@
 		case swimFieldDigest:
 			m.Digest = f.number
 		case swimFieldQuiet:
-			m.Quiet = f.number != 0
+			m.GossipQueueEmpty = f.number != 0
 		case swimFieldUpdate:
 			if len(m.Updates) >= maxUpdates {
 				return fmt.Errorf("%w: over %d updates", errMalformed, maxUpdates)
@@ -160,6 +162,7 @@
 	return m, nil
 }
 
+// parseUpdate parses the encoding of an update that appendUpdate appends.
 func parseUpdate(b []byte) (swim.Update, error) {
 	var u swim.Update
 	var ip netip.Addr
@@ -173,7 +176,7 @@
 			ip, ok = netip.AddrFromSlice(f.bytes)
 		case updateFieldPort:
 			port, ok = f.number, f.number < 1<<16
-		case updateFieldRunID:
+		case updateFieldGeneration:
 			u.Generation = f.number
 		case updateFieldState:
 			u.State = swim.State(f.number)
@@ -181,7 +184,7 @@
 		case updateFieldIncarnation:
 			u.Incarnation = f.number
 		case updateFieldSuspectedBy:
-			u.By, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
+			u.SuspectedBy, ok = string(f.bytes), swim.IsValidName(string(f.bytes))
 		}
 		if !ok {
 			return fmt.Errorf("%w: update's field %d", errMalformed, f.id)
