--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -154,7 +154,7 @@
 
 // laggingDaemons returns the daemons for which the leader waits, sorted by name. While a version is pending these are the
 // daemons that delay its activation, otherwise the ones that do not act on the active version yet. The leader does not
-// wait for daemons that certainly hold no lease.
+// wait for daemons that certainly hold no lease. Clients of the operators' address may match the text of the reasons.
 func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []LaggingDaemon) {
 	for name, d := range m.daemons {
 		reason := ""
@@ -164,7 +164,7 @@
 		case state.hasPendingVersion():
 			reason = m.activationWaitReason(now, state, d)
 		case d.request.InstalledVersion < state.Active:
-			reason = fmt.Sprintf("it still acts on version %d", d.request.InstalledVersion)
+			reason = fmt.Sprintf("it acts on version %d yet", d.request.InstalledVersion)
 		}
 		if reason != "" {
 			lagging = append(lagging, LaggingDaemon{name, reason})
@@ -175,20 +175,20 @@
 }
 
 // activationWaitReason describes why the activation of the pending version waits for a daemon. It is empty if the
-// activation does not wait for that daemon.
+// activation does not wait for that daemon. Clients of the operators' address may match this text.
 func (m *LeaseManager) activationWaitReason(now time.Duration, state *State, d *daemonLeases) string {
 	expiresAt := d.expiresAt()
 	switch {
 	case now >= expiresAt:
 		return ""
 	case isExcludedByForce(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d, which was forced: its lease must expire first", state.Pending)
+		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.Pending)
 	case rejectsPending(state, &d.request):
 		return fmt.Sprintf("it can't act on version %d: %s", state.Pending, d.request.RejectReason)
 	case d.request.ReadyVersion < state.Pending:
-		return fmt.Sprintf("it does not have version %d yet", state.Pending)
+		return fmt.Sprintf("it has not got version %d", state.Pending)
 	case expiresAt > now+m.config.expiryWait(m.config.ShortDuration):
-		return "it may still hold a long lease"
+		return "it may have a long lease"
 	}
 	return ""
 }
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -62,20 +62,20 @@
 	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: shortDuration}
 }
 
-// String describes the cluster in one line, as the command check prints it.
+// String describes the cluster in one line, as the command check prints it. Scripts that run check may match this text.
 func (s *ClusterSpec) String() string {
 	parts := []string{fmt.Sprintf("%s in %s", s.Name, s.ClusterName), fmt.Sprintf("%d addresses to join by", len(s.Join))}
 	if len(s.Voters) > 0 {
 		parts = append(parts, "voters "+strings.Join(s.Voters, " "))
 	}
 	if s.DividesByMembership {
-		parts = append(parts, "daemons and index by membership")
+		parts = append(parts, "daemons and index by who is there")
 	}
 	if s.Consensus != nil {
-		parts = append(parts, fmt.Sprintf("settings by consensus, contradicting for %v at most", s.Consensus.LeaseConfig.MaxOverlap()))
+		parts = append(parts, fmt.Sprintf("settings agreed on, contradicting for %v at most", s.Consensus.LeaseConfig.MaxOverlap()))
 	}
 	if s.KeyFile == "" {
-		parts = append(parts, "not authenticated")
+		parts = append(parts, "no key")
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -44,7 +44,8 @@
 }
 
 var (
-	// errNoCluster is the response to a command about the cluster on a daemon that is in none.
+	// errNoCluster is the response to a command about the cluster on a daemon that is in none. Clients of the operators'
+	// address may match this text.
 	errNoCluster = errors.New("this daemon is in no fleet")
 	// errClusterNeedsRestart is the error of a reload that adds or removes the section [fleet].
 	errClusterNeedsRestart = errors.New("fleet: adding or removing this section needs a restart")
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -17,8 +17,9 @@
 	"tuliprock/internal/config"
 )
 
-// errNoConsensus is the response to a command about agreed settings on a daemon without them.
-var errNoConsensus = errors.New("this daemon is in no cluster that agrees on settings")
+// errNoConsensus is the response to a command about agreed settings on a daemon without them. Clients of the operators'
+// address may match this text.
+var errNoConsensus = errors.New("nothing is agreed on here")
 
 // argumentCount is the range of the number of arguments that a settings command takes.
 type argumentCount struct{ least, most int }
@@ -76,7 +77,8 @@
 	return status.WriteResult(w, result)
 }
 
-// parseSettingsCommand parses a command and its arguments. The operator sees its errors.
+// parseSettingsCommand parses a command and its arguments. Clients of the operators' address may match the texts of its
+// errors.
 func (n *clusterNode) parseSettingsCommand(name string, args []string, body []byte) (*consensus.Command, error) {
 	count, isKnown := settingsCommands[name]
 	if !isKnown {
@@ -84,7 +86,7 @@
 			"settings %.40q is none of put, remove, back, force, voters-add, voters-remove, history, show", name)
 	}
 	if len(args) < count.least || len(args) > count.most {
-		return nil, fmt.Errorf("settings %s: got %d arguments, want %d", name, len(args), count.least)
+		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.least)
 	}
 	c := &consensus.Command{ProposedBy: n.spec.Name, AtUnixMilli: time.Now().UnixMilli()}
 	var err error
@@ -112,7 +114,8 @@
 	return c, err
 }
 
-// parseDocumentChange parses the arguments of the commands put, remove and back.
+// parseDocumentChange parses the arguments of the commands put, remove and back. Clients of the operators' address may
+// match the texts of its errors.
 func parseDocumentChange(c *consensus.Command, name string, args []string, body []byte) error {
 	if args[1] != "-" {
 		expect, err := strconv.ParseUint(args[1], 10, 64)
