--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -13,8 +13,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// BenchmarkPoolUpdate measures how long a pool with the real decision module and connections takes to apply an endpoint
-// list that differs by one member from the previous one.
+// BenchmarkPoolUpdate measures how long a pool with the real balancer and connections takes to apply an endpoint list that
+// differs by one member from the previous one.
 func BenchmarkPoolUpdate(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -249,8 +249,8 @@
 	return view, others
 }
 
-// countEndpoints returns how many endpoints are listed in all pools together, and how many of them the decision module
-// avoids. The pools count concurrently.
+// countEndpoints returns how many endpoints are listed in all pools together, and how many of them the balancers avoid
+// because they are ejected, manually or as outliers. The pools count concurrently.
 func (o *overrides) countEndpoints(ctx context.Context) (listed, avoided int64) {
 	ctx, cancel := context.WithTimeout(ctx, countTimeout)
 	defer cancel()
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -89,7 +89,7 @@
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
-	s.upstream.SetEjected("a", true) // the decision module is not notified yet and still chooses the endpoint
+	s.upstream.SetEjected("a", true) // the balancer is not notified yet and still chooses the endpoint
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503, since the request was never sent", status)
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -19,8 +19,8 @@
 	"tuliprock/internal/upstream"
 )
 
-// pool is a set of endpoints with a decision module, an event loop and connections of its own, so that overload in one
-// pool can't delay another.
+// pool is a set of endpoints with a balancer, an event loop and connections of its own, so that overload in one pool can't
+// delay another.
 type pool struct {
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
@@ -29,7 +29,7 @@
 	log      *slog.Logger
 
 	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
-	listedCount, avoidedCount atomic.Int64 // numbers of listed and of avoided endpoints at the module's last count
+	listedCount, avoidedCount atomic.Int64 // numbers of listed and of avoided endpoints when they were last counted
 
 	mu         sync.Mutex
 	source     discovery.Source
@@ -39,9 +39,10 @@
 	references int            // number of configurations that may still send requests to this pool; guarded by Sidecar.mu
 }
 
-// newPool starts a pool. The module gets the endpoint list of the configuration before any other event.
+// newPool starts a pool. The balancer gets the endpoint list of the configuration before any other event.
 func newPool(
-	decider eventloop.BalancerFactory, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry, log *slog.Logger,
+	newBalancer eventloop.BalancerFactory, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry,
+	log *slog.Logger,
 ) *pool {
 	p := &pool{spec: spec, log: log, members: discovery.NewMemberCache(endpointset.Options{})}
 	settings := spec.Settings
@@ -65,9 +66,9 @@
 		MaxResponseBody:         spec.MaxResponseBytes,
 		OnRequestSent:           func() { registry.Attempts.Add(1) },
 	})
-	p.loop = eventloop.New(decider, settings, p.upstream, p.subscribe, log)
+	p.loop = eventloop.New(newBalancer, settings, p.upstream, p.subscribe, log)
 	cached := spec.Source.LastUpdate
-	cached.Full = true // a cached list names all endpoints, and the first update for the module must be a full one
+	cached.Full = true // a cached list names all endpoints, and the first update for the balancer must be a full one
 	p.loop.UpdateEndpoints(p.loop.Now(), cached)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -84,7 +85,7 @@
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// subscribe requests watch events from the discovery source. The module subscribes for the first time before there is a
+// subscribe requests watch events from the discovery source. The balancer subscribes for the first time before there is a
 // source; startSource then subscribes again.
 func (p *pool) subscribe() {
 	p.mu.Lock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// updateEndpoints passes an endpoint list to the module ahead of the queued events: an endpoint that the list names as
+// updateEndpoints passes an endpoint list to the balancer ahead of the queued events: an endpoint that the list names as
 // draining must not get the requests that were queued before the list. After the event loop has ended the call does
 // nothing.
 func (p *pool) updateEndpoints(list discovery.ListUpdate) {
@@ -104,8 +105,8 @@
 	})
 }
 
-// discoveryFailed notifies the module that the discovery source can't be reached. After the event loop has ended the call
-// does nothing.
+// discoveryFailed notifies the balancer that the discovery source can't be reached. After the event loop has ended the
+// call does nothing.
 func (p *pool) discoveryFailed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
 
 // startSource replaces the running discovery source. The current endpoint list stays in use until the new source delivers
@@ -116,7 +117,7 @@
 	}
 	p.members.SetOptions(endpointset.Options{HoldLastGood: spec.HoldLastGood, FlapDamping: spec.FlapDamping})
 	source := p.newSource(spec)
-	if p.spec.Settings.MustSubscribe { // the module subscribed at its start, when there was no source yet
+	if p.spec.Settings.MustSubscribe { // the balancer subscribed at its start, when there was no source yet
 		source.Subscribe()
 	}
 	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil { // a local list can be read without delay
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -27,9 +27,9 @@
 }
 
 // Reload installs another configuration. If it returns an error it has changed nothing. Unchanged parts are reused:
-// listeners keep their connections, and pools keep the state of their decision module. A request is served to its end by
-// the configuration that accepted it; removed listeners and pools end when their last request has its response. Reload
-// may be called at any time and by several goroutines; after the shutdown has begun it fails.
+// listeners keep their connections, and pools keep the state of their balancer. A request is served to its end by the
+// configuration that accepted it; removed listeners and pools end when their last request has its response. Reload may be
+// called at any time and by several goroutines; after the shutdown has begun it fails.
 //
 // In a cluster that agrees on settings the agreed settings override those of the configuration.
 func (s *Sidecar) Reload(c config.Service) error {
@@ -125,7 +125,7 @@
 
 // startPool starts a pool with the current manual ejections and connection limit. s.mu is held.
 func (s *Sidecar) startPool(spec config.PoolSpec) *pool {
-	p := newPool(s.decider, spec, s.bodyMemory, s.metrics, s.log.With("pool", spec.Name))
+	p := newPool(s.newBalancer, spec, s.bodyMemory, s.metrics, s.log.With("pool", spec.Name))
 	s.runningPools[p] = true
 	if s.connectionLimit > 0 {
 		p.upstream.SetMaxConnections(s.connectionLimit)
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -147,12 +147,12 @@
 	for header, want := range map[string]bool{"": false, "Req-Retry": true} {
 		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
 		isRetry := make(chan bool, 1)
-		decider := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+		newBalancer := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return &recordingEvents{Events: eventloop.NewBalancer(now, s, h), isRetry: isRetry}
 		}
 		c := parseService(t, listenerOne+poolSection("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
-		s, err := StartWith(decider, c, slog.New(slog.DiscardHandler))
+		s, err := StartWith(newBalancer, c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,7 +168,7 @@
 	}
 }
 
-// recordingEvents passes all events to the decision module, and reports whether each request is treated as a retry.
+// recordingEvents passes all events to a balancer, and reports whether each request is treated as a retry.
 type recordingEvents struct {
 	balance.Events
 	isRetry chan bool // receives IsRetry of each request
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,6 +1,6 @@
 // Package sidecar runs the load balancer on real sockets: it builds listeners, pools and routes from a configuration,
-// reloads them, and shuts them down without losing a request. The decision module (package balance, run by package
-// eventloop) chooses the endpoints; this package executes its decisions and makes none about endpoints itself.
+// reloads them, and shuts them down without losing a request. Each pool has a balancer (package balance, run by package
+// eventloop), which chooses the endpoint of each attempt; this package never chooses one.
 //
 // A Sidecar owns every goroutine that it starts. Its mutex guards which configuration is installed; a reload holds the
 // mutex from beginning to end. Each listener has a goroutine that accepts connections, in addition to those of net/http;
@@ -33,7 +33,7 @@
 // Sidecar is a running daemon: its listeners, its pools, and the routes from listeners to pools. Its methods may be
 // called by several goroutines.
 type Sidecar struct {
-	decider          eventloop.BalancerFactory
+	newBalancer      eventloop.BalancerFactory // creates the balancer of each pool
 	log              *slog.Logger
 	currentService   frontend.ActiveRouteConfig
 	listenerFailed   chan error       // holds the error of the first listener that failed
@@ -70,11 +70,11 @@
 	return StartWith(eventloop.NewBalancer, c, log)
 }
 
-// StartWith is Start with a decider of the caller's choice in place of the decision module. Benchmarks and tests compare
-// the module with other load balancing algorithms that way.
-func StartWith(decider eventloop.BalancerFactory, c config.Service, log *slog.Logger) (*Sidecar, error) {
+// StartWith is Start with balancers that newBalancer creates, in place of those of package balance. Benchmarks and tests
+// use it to run other load balancing algorithms, which they compare with package balance.
+func StartWith(newBalancer eventloop.BalancerFactory, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		decider:           decider,
+		newBalancer:       newBalancer,
 		log:               log,
 		listenerFailed:    make(chan error, 1),
 		streamTimeout:     c.DrainTimeout,
