--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -27,7 +27,7 @@
 	transport    *transport.Transport
 	log          *slog.Logger
 	spec         config.ClusterSpec // the cluster's configuration when this daemon was started
-	dividesPools bool               // whether pools learn how many members share their endpoints
+	dividesPools bool               // whether pools are told how many daemons divide their endpoints
 	stop         func()             // stops the cluster's goroutines
 	goroutines   sync.WaitGroup
 
@@ -39,7 +39,7 @@
 	agreedEjections map[string]bool
 
 	mu             sync.Mutex
-	daemons, index int            // number of members that share the pools, and this one's position; 0: not known yet
+	daemons, index int            // number of daemons that divide the endpoints, and this one's position; 0: not known yet
 	pools          map[*pool]bool // running pools
 }
 
@@ -132,7 +132,7 @@
 }
 
 // prepareReconfigure reads the cluster settings, among them the keys, that a reload may change. The returned function
-// commit applies them and can't fail.
+// commit applies them and can't fail; it logs changes that are ignored until a restart.
 func (n *clusterNode) prepareReconfigure(spec *config.ClusterSpec) (commit func(), _ error) {
 	switch {
 	case n == nil && spec == nil:
@@ -159,7 +159,7 @@
 	}, nil
 }
 
-// watchMembers follows the cluster's membership and passes the number of members that share the pools to the pools.
+// watchMembers follows the cluster's membership and passes to the pools the number of daemons that divide the endpoints.
 func (n *clusterNode) watchMembers(ctx context.Context) {
 	var tracker ordinal.Tracker
 	timer := time.NewTimer(0)
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -18,23 +18,23 @@
 	sidecar      *Sidecar
 	directory    *hotrestart.Directory
 	log          *slog.Logger
-	config       config.Service
-	memoryLimit  int64         // memory limit of the Go runtime, in bytes, while no other process runs
-	stopPolling  chan struct{} // closed by the method close, to stop run
-	pollingEnded chan struct{} // closed when the method run has returned
-	finished     chan struct{} // closed when another process takes clients and this one has no client left
+	config       config.Service // configuration at the start, whose descriptor limit all processes share
+	memoryLimit  int64          // memory limit of the Go runtime, in bytes, while no other process runs; math.MaxInt64: none
+	stopPolling  chan struct{}  // closed by the method close, to stop run
+	pollingEnded chan struct{}  // closed when the method run has returned
+	finished     chan struct{}  // closed when another process takes clients and this one has no client left
 
 	mu              sync.Mutex // held by one poll at a time
 	startedAt       time.Time
 	lifecycle       *hotrestart.Lifecycle
 	descriptorLimit int  // number of descriptors that this process may use now
-	isShuttingDown  bool // the shutdown has begun: poll no longer changes the lifecycle
-	isPolling       bool // the method run was started
+	isShuttingDown  bool // whether the shutdown has begun; poll no longer changes the lifecycle then
+	isPolling       bool // whether the method run was started
 }
 
 // joinHotRestart registers this process in the directory that the processes share. It returns nil if no directory is
-// configured or the directory can't be used: then this process has no successor, and manual ejections are only kept in
-// memory.
+// configured or the directory can't be used: then no other process can replace this one, and manual ejections are kept in
+// memory only.
 func joinHotRestart(s *Sidecar, c config.Service, log *slog.Logger) *hotRestart {
 	if c.SharedDir == "" {
 		return nil
@@ -57,9 +57,9 @@
 		lifecycle:       hotrestart.NewLifecycle(0),
 		descriptorLimit: c.Limits.Sockets,
 	}
-	state, view, others := directory.Poll(0)
+	state, view, othersDescriptors := directory.Poll(0)
 	s.overrides.attach(directory, state.Ejections)
-	r.applyLimits(view, others)
+	r.applyLimits(view, othersDescriptors)
 	if len(view.Others) > 0 {
 		log.Info("hot restart begins", "number", directory.Number(), "others", view.Others)
 	}
@@ -94,8 +94,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	usage := r.sidecar.usage()
-	view, others := r.sidecar.overrides.syncDirectory(usage.descriptors)
-	r.applyLimits(view, others)
+	view, othersDescriptors := r.sidecar.overrides.syncDirectory(usage.descriptors)
+	r.applyLimits(view, othersDescriptors)
 	if r.isShuttingDown || !r.lifecycle.Update(time.Since(r.startedAt), view, usage.hasEndpointLists, usage.clients) {
 		return
 	}
@@ -118,8 +118,9 @@
 }
 
 // applyLimits sets this process's part of the descriptors and of the memory that all processes of the sidecar share.
-func (r *hotRestart) applyLimits(view hotrestart.View, others int) {
-	limit := hotrestart.DescriptorLimit(r.config.Limits.Sockets, view, others)
+// othersDescriptors is how many descriptors the other processes have reported as open.
+func (r *hotRestart) applyLimits(view hotrestart.View, othersDescriptors int) {
+	limit := hotrestart.DescriptorLimit(r.config.Limits.Sockets, view, othersDescriptors)
 	if limit == r.descriptorLimit {
 		return
 	}
@@ -184,8 +185,8 @@
 		u.clients += l.connections.ConnectionCount()
 	}
 	for p := range s.runningPools {
-		_, n := p.upstream.ResourceCounts()
-		u.descriptors += n
+		_, connections := p.upstream.ResourceCounts()
+		u.descriptors += connections
 		u.hasEndpointLists = u.hasEndpointLists && p.hasEndpointList.Load()
 	}
 	u.descriptors += u.clients
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -22,14 +22,14 @@
 	frontend      *frontend.Server
 	server        *http.Server
 	acceptEnded   chan struct{} // closed when serve has stopped accepting connections
-	isDraining    atomic.Bool   // the listener is being closed: an error of serve is expected, not a failure
+	isDraining    atomic.Bool   // whether the listener is being closed, so that serve ends with an error that is no failure
 }
 
 // listenerOptions are a listener's dependencies and the settings that it shares with the daemon's other listeners.
 type listenerOptions struct {
 	pseudonym  string
 	socket     *socketHandle
-	current    *frontend.ActiveRouteConfig
+	routes     *frontend.ActiveRouteConfig
 	bodyMemory *body.MemoryPool
 	metrics    *metrics.Registry
 	log        *slog.Logger
@@ -70,7 +70,7 @@
 		BodyMemory:           o.bodyMemory,
 		Metrics:              o.metrics,
 		MinRate:              body.MinimumRate{IdleTimeout: spec.StreamIdleTimeout, BytesPerSecond: spec.MinStreamRate},
-	}, o.current, o.log)
+	}, o.routes, o.log)
 	l.server = l.frontend.HTTPServer(l.connections.Track)
 	return l
 }
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -217,28 +217,29 @@
 
 // syncDirectory applies the ejections that other processes have recorded in the shared directory. It returns the view of
 // those processes and how many descriptors they have reported as open. While a command holds the command slot it only
-// polls the directory, so as not to delay either.
+// polls the directory, so that polls and commands don't wait for each other.
 func (o *overrides) syncDirectory(descriptors int) (hotrestart.View, int) {
 	select {
 	case o.commandSlot <- struct{}{}:
 		defer o.release()
 		return o.applyDirectory(descriptors)
 	default:
-		_, view, others := o.directory.Poll(descriptors)
-		return view, others
+		_, view, othersDescriptors := o.directory.Poll(descriptors)
+		return view, othersDescriptors
 	}
 }
 
 // applyDirectory does the work of syncDirectory; the command slot is held.
 func (o *overrides) applyDirectory(descriptors int) (hotrestart.View, int) {
-	state, view, others := o.directory.Poll(descriptors)
+	state, view, othersDescriptors := o.directory.Poll(descriptors)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
 	defer cancel()
 	isRecorded := make(map[string]bool, len(state.Ejections))
 	for _, e := range state.Ejections {
 		isRecorded[e.ID] = true
 		if local := o.state(e.ID); local.isEjected != e.Ejected {
-			_ = o.apply(ctx, local.pools, e.ID, e.Ejected) // after a timeout a busy event loop still applies the change later
+			// After the timeout, pools whose event loops are still busy miss the change: it counts as recorded from now on.
+			_ = o.apply(ctx, local.pools, e.ID, e.Ejected)
 		}
 	}
 	for _, id := range o.ejectedIDs() {
@@ -246,7 +247,7 @@
 			_ = o.directory.RecordEjection(id, true, time.Now())
 		}
 	}
-	return view, others
+	return view, othersDescriptors
 }
 
 // countEndpoints returns how many endpoints are listed in all pools together, and how many of them the balancers avoid
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -25,18 +25,18 @@
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	members  *discovery.MemberCache
+	members  *discovery.MemberCache // endpoint list and flap histories, kept when the discovery source is replaced
 	log      *slog.Logger
 
 	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
 	listedCount, avoidedCount atomic.Int64 // numbers of listed and of avoided endpoints when they were last counted
 
-	mu         sync.Mutex
-	source     discovery.Source
-	stopSource func()         // stops the discovery source and waits until it has ended
-	stop       func()         // stops the event loop and the connections to endpoints
-	goroutines sync.WaitGroup // goroutines of the event loop and of the connections to endpoints
-	references int            // number of configurations that may still send requests to this pool; guarded by Sidecar.mu
+	mu         sync.Mutex       // guards source, which subscribe reads on the goroutine of the event loop
+	source     discovery.Source // running discovery source; nil while the pool is starting
+	stopSource func()           // stops the discovery source and waits until it has ended
+	stop       func()           // stops the event loop and the connections to endpoints
+	goroutines sync.WaitGroup   // goroutines of the event loop and of the connections to endpoints
+	references int              // number of configurations that may still send requests to this pool; guarded by Sidecar.mu
 }
 
 // newPool starts a pool. The balancer gets the endpoint list of the configuration before any other event.
@@ -135,6 +135,8 @@
 	p.source = source
 }
 
+// newSource creates the discovery source that a configuration names. If it names neither an agent, a file nor DNS, the
+// source delivers the members that the configuration lists.
 func (p *pool) newSource(spec config.SourceSpec) discovery.Source {
 	switch {
 	case spec.Agent != "":
@@ -183,7 +185,7 @@
 	p.startSource(spec)
 }
 
-// close stops the pool. When it returns, at most attempts that are being cancelled still run.
+// close stops the pool. When it returns, no goroutine of the pool runs except those of attempts that are being cancelled.
 func (p *pool) close() {
 	p.stopSource()
 	p.stop()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -13,8 +13,8 @@
 
 // installedConfig is the configuration in use, or an earlier one that still serves requests.
 type installedConfig struct {
-	service *frontend.RouteConfig
-	pools   map[string]*pool // the configuration's pools by name
+	routes *frontend.RouteConfig
+	pools  map[string]*pool // the configuration's pools by name
 }
 
 // preparedReload holds what a reload opens before it changes anything: every step that can fail comes before the first
@@ -43,7 +43,7 @@
 	}
 	if s.cluster.hasConsensus() {
 		s.cluster.ownFile.Store(c.File)
-		s.cluster.raft.Recheck()
+		s.cluster.raft.Recheck() // agreed settings that did not fit the previous file may fit this one
 	}
 	return nil
 }
@@ -60,9 +60,9 @@
 	next := s.buildConfig(c)
 	active := activeSettings{consensus.DigestDocuments(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
 	active.version.Store(agreed.Version)
-	next.service.Guard = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
-	next.service.GuardRetryAfter = indeterminateRetryAfter
-	s.currentService.Swap(next.service)
+	next.routes.Guard = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
+	next.routes.GuardRetryAfter = indeterminateRetryAfter
+	s.activeRoutes.Swap(next.routes)
 	s.ownConfig, s.activeSettings = own, active
 	if s.cluster.hasConsensus() {
 		s.cluster.raft.MarkInstalled(agreed.Version)
@@ -119,7 +119,7 @@
 		p.references++
 		next.pools[spec.Name] = p
 	}
-	next.service = newService(c, next.pools, s.metrics)
+	next.routes = newRouteConfig(c, next.pools, s.metrics)
 	return next
 }
 
@@ -139,7 +139,7 @@
 // pools that no other configuration uses. s.mu is held.
 func (s *Sidecar) retireConfig(old *installedConfig) {
 	s.retiring.Go(func() {
-		old.service.Wait()
+		old.routes.Wait()
 		s.mu.Lock()
 		var unused []*pool
 		for _, p := range old.pools {
@@ -180,7 +180,7 @@
 		l := newListener(spec, listenerOptions{
 			pseudonym:  c.Name,
 			socket:     socket,
-			current:    &s.currentService,
+			routes:     &s.activeRoutes,
 			bodyMemory: s.bodyMemory,
 			metrics:    s.metrics,
 			log:        s.log,
@@ -238,22 +238,22 @@
 	}
 	for key, l := range s.listeners {
 		if next[key] != l {
-			by := noSuccessor
+			replacedBy := noSuccessor
 			if next[key] != nil {
-				by = sameProcess
+				replacedBy = sameProcess
 			}
-			s.retireListener(l, by)
+			s.retireListener(l, replacedBy)
 		}
 	}
 	s.listeners = next
 }
 
-// retireListener drains a listener in the background that is no longer configured. s.mu is held.
-func (s *Sidecar) retireListener(l *listener, by successor) {
+// retireListener drains in the background a listener that is no longer configured. s.mu is held.
+func (s *Sidecar) retireListener(l *listener, replacedBy successor) {
 	s.drainingListeners[l] = true
 	l.isDraining.Store(true)
 	s.retiring.Go(func() {
-		if err := l.drain(by, s.gracePeriod-closeConnectionsMargin); err != nil {
+		if err := l.drain(replacedBy, s.gracePeriod-closeConnectionsMargin); err != nil {
 			s.log.Warn("listener closed with an error", "listener", l.spec.Name, "error", err)
 		}
 		s.mu.Lock()
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -6,10 +6,10 @@
 	"tuliprock/internal/metrics"
 )
 
-// newService converts a configuration's routes for the frontend. Targets of the same class share one frontend.Class.
-func newService(c config.Service, pools map[string]*pool, registry *metrics.Registry) *frontend.RouteConfig {
+// newRouteConfig converts a configuration's routes for the frontend. Targets of the same class share one frontend.Class.
+func newRouteConfig(c config.Service, pools map[string]*pool, registry *metrics.Registry) *frontend.RouteConfig {
 	classes := map[*config.Class]*frontend.Class{}
-	service := &frontend.RouteConfig{Table: c.Table}
+	routes := &frontend.RouteConfig{Table: c.Table}
 	for _, t := range c.Targets {
 		if classes[t.Class] == nil {
 			classes[t.Class] = newClass(t.Class)
@@ -26,12 +26,12 @@
 		for _, h := range t.SetHeaders {
 			target.SetHeaders = append(target.SetHeaders, [2]string{h.Name, h.Value})
 		}
-		service.Targets = append(service.Targets, target)
+		routes.Targets = append(routes.Targets, target)
 	}
-	return service
+	return routes
 }
 
-// newClass converts a request class's settings for the frontend; newService adds the metrics.
+// newClass converts a request class's settings for the frontend; newRouteConfig adds the metrics.
 func newClass(c *config.Class) *frontend.Class {
 	return &frontend.Class{
 		Name:                  c.Name,
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -35,7 +35,7 @@
 
 // shutDown ends all listeners, then the pools and routes, and last what these depend on. It returns when no request is
 // in flight any more.
-func (s *Sidecar) shutDown(by successor) error {
+func (s *Sidecar) shutDown(replacedBy successor) error {
 	s.isReady.Store(false)
 	s.mu.Lock()
 	s.isShuttingDown = true
@@ -49,7 +49,7 @@
 	s.mu.Unlock()
 	errs := make(chan error, len(open))
 	for _, l := range open {
-		go func() { errs <- l.drain(by, s.gracePeriod-closeConnectionsMargin) }()
+		go func() { errs <- l.drain(replacedBy, s.gracePeriod-closeConnectionsMargin) }()
 	}
 	var err error
 	for range open {
@@ -76,12 +76,12 @@
 //
 // With a successor in the same process drain does not wait. With a successor in another process the existing connections
 // are also served for up to serveTime, but each one closes with its next response.
-func (l *listener) drain(by successor, serveTime time.Duration) error {
+func (l *listener) drain(replacedBy successor, serveTime time.Duration) error {
 	startedAt := time.Now()
-	if by == otherProcess {
+	if replacedBy == otherProcess {
 		l.frontend.SetCloseConnections(true)
 	}
-	for l.mustServe(by, time.Since(startedAt), serveTime) {
+	for l.mustServe(replacedBy, time.Since(startedAt), serveTime) {
 		time.Sleep(drainPollInterval)
 	}
 	l.frontend.SetCloseConnections(true)
@@ -91,11 +91,11 @@
 }
 
 // mustServe reports whether a listener that has been draining for the elapsed time still serves as before.
-func (l *listener) mustServe(by successor, elapsed, serveTime time.Duration) bool {
+func (l *listener) mustServe(replacedBy successor, elapsed, serveTime time.Duration) bool {
 	switch {
-	case by == sameProcess:
+	case replacedBy == sameProcess:
 		return false
-	case by == noSuccessor && elapsed < acceptAfterSignal:
+	case replacedBy == noSuccessor && elapsed < acceptAfterSignal:
 		return true
 	}
 	return elapsed < serveTime && l.connections.ConnectionCount() > 0
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -35,12 +35,12 @@
 type Sidecar struct {
 	newBalancer      eventloop.BalancerFactory // creates the balancer of each pool
 	log              *slog.Logger
-	currentService   frontend.ActiveRouteConfig
+	activeRoutes     frontend.ActiveRouteConfig
 	listenerFailed   chan error       // holds the error of the first listener that failed
 	bodyMemory       *body.MemoryPool // memory for streaming bodies; nil: all bodies are buffered; fixed at the start
 	retiring         sync.WaitGroup   // configurations and listeners that a reload removed and that still serve requests
 	metrics          *metrics.Registry
-	overrides        *overrides
+	overrides        *overrides   // manual ejections of endpoints
 	cluster          *clusterNode // nil: this daemon is in no cluster; fixed at the start
 	hotRestart       *hotRestart  // nil: no other process can be a successor
 	isReady          atomic.Bool  // whether this process takes clients
@@ -49,8 +49,8 @@
 	streamTimeout time.Duration // time from the start of the shutdown until streaming bodies are aborted
 	gracePeriod   time.Duration // shortest time from the start of the shutdown until the platform kills the process
 
-	mu                sync.Mutex
-	isShuttingDown    bool
+	mu                sync.Mutex // guards the fields below; a reload holds it from beginning to end
+	isShuttingDown    bool       // whether the shutdown has begun; reloads fail from then on
 	installed         *installedConfig
 	ownConfig         config.Service       // the installed configuration before the agreed settings were added
 	activeSettings    activeSettings       // the agreed settings that are part of the installed configuration
