--- a/cmd/tuliprock/plain.go
+++ b/cmd/tuliprock/baseline.go
@@ -2,12 +2,12 @@
 
 import "tuliprock/internal/testkit/baseline"
 
-type plainCommand struct {
+type baselineCommand struct {
 	Name string `arg:"" help:"random, round-robin or least-outstanding"`
 }
 
 // Run implements kong's command.
-func (c *plainCommand) Run() error {
+func (c *baselineCommand) Run() error {
 	decider, err := baseline.New(c.Name)
 	if err != nil {
 		return err
--- a/cmd/tuliprock/buffering_test.go
+++ b/cmd/tuliprock/buffering_test.go
@@ -33,7 +33,7 @@
 		text[i] = byte(rand.Uint32())
 	}
 	sum := sha256.Sum256(text)
-	p := newHotRestartStage(t, 0)
+	p := newHotRestartHarness(t, 0)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
 		if _, err := io.Copy(h, r.Body); err != nil || !bytes.Equal(h.Sum(nil), sum[:]) {
@@ -44,7 +44,7 @@
 		_, _ = w.Write(text)
 	}))
 	t.Cleanup(e.Close)
-	p.names, p.endpoints = []string{"s-0"}, []*testpeer.Endpoint{{Addr: e.Listener.Addr().String()}}
+	p.endpointIDs, p.endpoints = []string{"s-0"}, []*testpeer.Endpoint{{Addr: e.Listener.Addr().String()}}
 	d := p.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
 	var work sync.WaitGroup
@@ -52,7 +52,7 @@
 	for i := range callers {
 		work.Go(func() {
 			for try := 0; ; try++ {
-				r, _ := http.NewRequest(http.MethodPost, "http://"+p.addr+"/pay", bytes.NewReader(text))
+				r, _ := http.NewRequest(http.MethodPost, "http://"+p.listenAddr+"/pay", bytes.NewReader(text))
 				r.Header.Set("Req-Id", fmt.Sprint(i, "-", try))
 				r.Header.Set("Req-Deadline-Ms", "60000")
 				resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -117,7 +117,7 @@
 		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
 	}
 	for _, p := range f.Pool {
-		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, membersSource(&p), p.Attempts)
+		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, describeMembersSource(&p), p.Attempts)
 	}
 	for i, r := range f.Route {
 		fmt.Fprintf(&rows, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
@@ -126,8 +126,8 @@
 	return rows.String()
 }
 
-// membersSource says where a pool's members come from.
-func membersSource(p *config.Pool) string {
+// describeMembersSource says where a pool's members come from.
+func describeMembersSource(p *config.Pool) string {
 	switch {
 	case p.File != "":
 		return "members in " + p.File
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -16,20 +16,20 @@
 
 // The measurement: requests through a daemon in a cluster of seven beside one without peers, in turns; and the memory and
 // processor time of an idle daemon among many peers. FLEET=turns and PEERS=number run them; see docs/design/026.
-func TestClusterCostInTurns(t *testing.T) {
+func TestThroughputInClusterAgainstDaemonWithoutPeers(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("FLEET"))
 	if turns == 0 {
 		t.Skip("FLEET is not set: a measurement, for a quiet machine")
 	}
 	node := testpeer.FreePort(t)
 	startPeer(t, "node", node)
-	file := clusterDaemonFile{endpoints: []string{node}} // with the intervals that the daemon has by default
+	file := clusterDaemonConfig{endpoints: []string{node}} // with the intervals that the daemon has by default
 	key := writeKeyFile(t, 1)
 	in := file.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
 	for i := range 6 {
-		file.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, in.listen)
+		file.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, in.clusterAddr)
 	}
-	in.awaitReport(t, "seven are there", func(f *status.Fleet) bool { return f.Daemons == 7 })
+	in.awaitPeersReport(t, "seven are there", func(f *status.Fleet) bool { return f.Daemons == 7 })
 	alone := file.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
@@ -38,7 +38,7 @@
 			var p99 [2]time.Duration
 			for k := range 2 {
 				which := (i + k) % 2
-				rate[which], _, p99[which] = closedLoop(t, []string{in.http, alone.http}[which], connections, 3*time.Second)
+				rate[which], _, p99[which] = runClosedLoop(t, []string{in.httpAddr, alone.httpAddr}[which], connections, 3*time.Second)
 			}
 			rates, p99s = append(rates, rate[0]/rate[1]), append(p99s, float64(p99[0])/float64(p99[1]))
 		}
@@ -51,13 +51,13 @@
 	if n == 0 {
 		t.Skip("PEERS is not set: a measurement, for a quiet machine")
 	}
-	file := clusterDaemonFile{endpoints: []string{unreachableEndpoint}} // with the intervals that the daemon has by default
+	file := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // with the intervals that the daemon has by default
 	key := writeKeyFile(t, 1)
 	d := file.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
 	measure := func(what string) {
 		before := processorTime(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
-		f, err := status.FetchFleet(d.admin, reportTimeout)
+		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	join := netip.MustParseAddrPort(d.listen)
+	join := netip.MustParseAddrPort(d.clusterAddr)
 	for i := range n {
 		l, err := transport.Start(transport.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
 			Join: []netip.AddrPort{join}, Log: slog.New(slog.DiscardHandler)})
@@ -79,7 +79,7 @@
 		defer func() { _ = l.Abort() }() // what it says at its end is no part of the measurement
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.FetchFleet(d.admin, reportTimeout); err == nil && f.Daemons == n+1 {
+		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.Daemons == n+1 {
 			break
 		}
 	}
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -16,7 +16,7 @@
 // clusterDaemon is a process of the daemon in a cluster, with its file and its addresses.
 type clusterDaemon struct {
 	*process
-	path, text, admin, http, listen string
+	configPath, configText, adminAddr, httpAddr, clusterAddr string
 }
 
 // fastProbes are intervals of the failure detector that let a test see a failure within a second.
@@ -24,37 +24,37 @@
 
 const unreachableEndpoint = "127.0.0.1:9" // an endpoint that refuses connections
 
-// clusterDaemonFile is what the operators' files of a test's daemons have beyond their own names and addresses.
-type clusterDaemonFile struct {
-	endpoints []string // the members of the pool
-	fleet     string   // more of [fleet], after a comma
-	shared    string   // more of the file
+// clusterDaemonConfig is what the operators' files of a test's daemons have beyond their own names and addresses.
+type clusterDaemonConfig struct {
+	endpoints    []string // the members of the pool
+	fleetOptions string   // more of [fleet], after a comma
+	extraConfig  string   // more of the file
 }
 
 // startClusterDaemon starts a daemon that is named name on a loopback address of its own. Its only endpoint is unreachable.
 func startClusterDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
-	file := clusterDaemonFile{endpoints: []string{unreachableEndpoint}, fleet: fastProbes}
+	file := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}, fleetOptions: fastProbes}
 	return file.startDaemon(t, name, cluster, listen, key, join...)
 }
 
-func (f clusterDaemonFile) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
+func (f clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
 	d := &clusterDaemon{
-		admin:  testpeer.FreePort(t),
-		http:   testpeer.FreePort(t),
-		listen: listen,
-		path:   filepath.Join(t.TempDir(), "ops.toml"),
+		adminAddr:   testpeer.FreePort(t),
+		httpAddr:    testpeer.FreePort(t),
+		clusterAddr: listen,
+		configPath:  filepath.Join(t.TempDir(), "ops.toml"),
 	}
-	d.text = fmt.Sprintf(`format = 1
+	d.configText = fmt.Sprintf(`format = 1
 daemon = { name = "d", admin_addr = %q, drain_timeout = "1s" }
 fleet = { name = %q, cluster = %q, listen = %q, key_file = %q, join = [%s]%s }
 listener = [{ name = "in", address = %q }]
 class = [{ name = "look", effect = "safe" }]
 pool = [{ name = "p", member = [%s] }]
 route = [{ pool = "p", class = "look" }]
-%s`, d.admin, name, cluster, listen, key, quotedList(`%q`, join), f.fleet, d.http, quotedList(`{ address = %q }`, f.endpoints), f.shared)
-	d.write(t, d.text)
+%s`, d.adminAddr, name, cluster, listen, key, quotedList(`%q`, join), f.fleetOptions, d.httpAddr, quotedList(`{ address = %q }`, f.endpoints), f.extraConfig)
+	d.writeConfig(t, d.configText)
 	d.start(t)
 	return d
 }
@@ -71,23 +71,23 @@
 // start starts the process, or starts it again after it has ended.
 func (d *clusterDaemon) start(t *testing.T) {
 	t.Helper()
-	d.process = startProcess(t, "serve", "--config", d.path)
+	d.process = startProcess(t, "serve", "--config", d.configPath)
 	d.awaitText(t, "msg=listening")
 }
 
-func (d *clusterDaemon) write(t *testing.T, text string) {
+func (d *clusterDaemon) writeConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(d.path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(d.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// awaitReport waits until the daemon's report of its peers satisfies ok.
-func (d *clusterDaemon) awaitReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
+// awaitPeersReport waits until the daemon's report of its peers satisfies ok.
+func (d *clusterDaemon) awaitPeersReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
 	t.Helper()
 	var last *status.Fleet
 	testpeer.Until(t, what, func() bool {
-		f, err := status.FetchFleet(d.admin, reportTimeout)
+		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err == nil {
 			last = f
 		}
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -21,29 +21,29 @@
 // their requests.
 type testCluster struct {
 	t         *testing.T
-	net       *faultnet.Net
+	network   *faultnet.Net
 	daemons   []*clusterDaemon
 	nodes     [2]*testpeer.Endpoint
 	requests  [2]atomic.Int64
 	onRequest func(r *http.Request) // called with each request that arrives at a node; may be nil
-	dir       string                // of the daemons' data, by name
+	dataDir   string                // of the daemons' data, by name
 }
 
-// maxConflict bounds for how long daemons may act on different versions.
-const maxConflict = time.Second
+// maxVersionConflict bounds for how long daemons may act on different versions.
+const maxVersionConflict = time.Second
 
 // clusterSpec says which daemons a cluster has.
 type clusterSpec struct {
 	daemons, voters int
-	persist         bool   // all have a data_dir
-	shared          string // what else their files have
+	persistAll      bool   // all have a data_dir
+	extraConfig     string // what else their files have
 	onRequest       func(r *http.Request)
 }
 
 func newTestCluster(t *testing.T, spec clusterSpec) *testCluster {
 	t.Helper()
-	c := &testCluster{t: t, net: faultnet.New(1, func(text string) { t.Log(text) }), dir: t.TempDir(), onRequest: spec.onRequest}
-	t.Cleanup(c.net.Close)
+	c := &testCluster{t: t, network: faultnet.New(1, func(text string) { t.Log(text) }), dataDir: t.TempDir(), onRequest: spec.onRequest}
+	t.Cleanup(c.network.Close)
 	for i := range c.nodes {
 		c.nodes[i] = testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 			if c.requests[i].Add(1); c.onRequest != nil {
@@ -56,7 +56,7 @@
 	advertised, listens, voters := map[string]string{}, []string{}, []string{} // the first by name
 	for i := range spec.daemons {
 		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
-		relay, err := c.net.Relay(name, netip.MustParseAddrPort(listen))
+		relay, err := c.network.Relay(name, netip.MustParseAddrPort(listen))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,11 +69,11 @@
 	key := writeKeyFile(t, 1)
 	for i := range spec.daemons {
 		name := fmt.Sprint("s", i)
-		file := clusterDaemonFile{endpoints: []string{c.nodes[0].Addr, c.nodes[1].Addr}, shared: spec.shared}
-		file.fleet = fastProbes + fmt.Sprintf(`, advertise = %q, agreed = true, voters = [%s], conflict_within = %q, lease = "2s"`,
-			advertised[name], quotedList(`%q`, voters), maxConflict)
-		if spec.persist || slices.Contains(voters, name) {
-			file.fleet += fmt.Sprintf(", data_dir = %q", filepath.Join(c.dir, name))
+		file := clusterDaemonConfig{endpoints: []string{c.nodes[0].Addr, c.nodes[1].Addr}, extraConfig: spec.extraConfig}
+		file.fleetOptions = fastProbes + fmt.Sprintf(`, advertise = %q, agreed = true, voters = [%s], conflict_within = %q, lease = "2s"`,
+			advertised[name], quotedList(`%q`, voters), maxVersionConflict)
+		if spec.persistAll || slices.Contains(voters, name) {
+			file.fleetOptions += fmt.Sprintf(", data_dir = %q", filepath.Join(c.dataDir, name))
 		}
 		c.daemons = append(c.daemons, file.startDaemon(t, name, "c", listens[i], key, advertised["s0"], advertised["s1"], advertised["s2"]))
 	}
@@ -82,7 +82,7 @@
 
 // callAdmin sends a line to the daemon's operators' address and returns the response, or the error's text.
 func (d *clusterDaemon) callAdmin(line string) string {
-	nc, err := net.DialTimeout("tcp", d.admin, reportTimeout)
+	nc, err := net.DialTimeout("tcp", d.adminAddr, reportTimeout)
 	if err != nil {
 		return err.Error()
 	}
@@ -105,7 +105,7 @@
 	c.t.Helper()
 	began := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s holds node %d for out: %v", d.listen, node, out), func() bool {
+		testpeer.Until(c.t, fmt.Sprintf("%s holds node %d for out: %v", d.clusterAddr, node, out), func() bool {
 			text := d.callAdmin("settings")
 			return strings.Contains(text, "acting=true") && strings.Contains(text, "name=out/"+c.nodes[node].Addr+" ") == out
 		})
@@ -119,7 +119,7 @@
 	before := c.requests[node].Load()
 	for _, d := range ds {
 		for range 20 {
-			resp, err := http.Get("http://" + d.http + "/x")
+			resp, err := http.Get("http://" + d.httpAddr + "/x")
 			if err != nil {
 				c.t.Fatal(err)
 			}
--- a/cmd/tuliprock/command_test.go
+++ b/cmd/tuliprock/command_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWithoutArgumentsThePlatformDaemonRuns(t *testing.T) {
+func TestPlatformDaemonRunsWithoutArguments(t *testing.T) {
 	cmd := programCommand()
 	cmd.Env = append(cmd.Env, "ROUTER_CONFIG=")
 	if code, _, errs := runProgram(t, cmd); code != 1 || errs != "tuliprock: ROUTER_CONFIG: not set\n" {
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -14,9 +14,9 @@
 	"tuliprock/internal/sidecar"
 )
 
-// heapLimitShare is the share of the memory limit that the Go runtime is told as its own limit: from there on it collects
+// heapLimitFraction is the share of the memory limit that the Go runtime is told as its own limit: from there on it collects
 // more often. The rest is for memory that the runtime does not count.
-const heapLimitShare = 0.7
+const heapLimitFraction = 0.7
 
 // The garbage collector's target, in percent of the live heap, which is small. On the platform, where memory is watched,
 // rare collections look like growth: 300 put off the first one for a minute. Elsewhere frequent ones cost a sixth of the
@@ -80,7 +80,7 @@
 	}
 	setRuntimeLimits(service.Limits, gcPercent)
 	log = log.With("name", service.Name)
-	warnOfFewDescriptors(&service, log)
+	warnIfFewDescriptors(&service, log)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -98,11 +98,11 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapLimitShare * float64(limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(limits.MemoryMB) * (1 << 20)))
 	}
 }
 
-func warnOfFewDescriptors(service *config.Service, log *slog.Logger) {
+func warnIfFewDescriptors(service *config.Service, log *slog.Logger) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(service.MaxDescriptors()) {
 		log.Warn("the system grants fewer descriptors than the connections that the configuration allows",
--- a/cmd/tuliprock/daemonflags.go
+++ b/cmd/tuliprock/daemonflags.go
@@ -17,13 +17,13 @@
 
 // daemonFlags are the flags of a command that asks a running daemon.
 type daemonFlags struct {
-	At   string `required:"" placeholder:"ADDR" help:"The daemon's operators' address (admin_addr)."`
-	JSON string `name:"json" placeholder:"FILE" help:"Write the whole answer here; '-': standard output."`
+	AdminAddr string `name:"at" required:"" placeholder:"ADDR" help:"The daemon's operators' address (admin_addr)."`
+	JSON      string `name:"json" placeholder:"FILE" help:"Write the whole answer here; '-': standard output."`
 }
 
 // call sends a cluster command with its arguments and body to the daemon.
 func (f *daemonFlags) call(body []byte, words ...string) (*status.CommandResult, error) {
-	return status.Call(f.At, words, body, agreementTimeout)
+	return status.Call(f.AdminAddr, words, body, agreementTimeout)
 }
 
 // printResult writes a result as JSON where the flags ask for that, and else to standard output as print does.
--- a/cmd/tuliprock/faultschedule_judge_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -12,22 +12,22 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// judge checks the observations against the guarantees.
-func (s *faultSchedule) judge(version uint64) {
+// checkGuarantees checks the observations against the guarantees.
+func (s *faultSchedule) checkGuarantees(version uint64) {
 	t := s.t
-	history, err := status.Call(s.daemons[0].admin, []string{"history"}, nil, putTimeout)
+	history, err := status.Call(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	versions := s.versions(history)
-	acts := s.acts(versions)
-	v := clusterinvariant.JudgeVersions(acts, maxConflict)
+	versions := s.versionsByMark(history)
+	acts := s.versionReports(versions)
+	v := clusterinvariant.JudgeVersions(acts, maxVersionConflict)
 	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
 	for id := range s.requestsShed {
 		if a, ok := s.requestsArrived[id]; ok {
-			t.Errorf("%s was refused, and came to a node at %v", id, a.at)
+			t.Errorf("%s was refused, and came to a node at %v", id, a.arrivedAt)
 		}
 	}
 	for _, text := range s.violations[:min(len(s.violations), 5)] {
@@ -41,7 +41,7 @@
 	}
 	t.Logf("SCHEDULE %d versions of %d acted on in %d requests, the longest contradiction %v of %v; %d refused, "+
 		"%d without an answer; %d operations on the flag; refused by trouble %v",
-		v.Versions, version, len(acts), v.Longest.Round(time.Millisecond), maxConflict, len(s.requestsShed),
+		v.Versions, version, len(acts), v.Longest.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
 		s.unansweredCount, len(s.flagOperations), s.shedByFault())
 }
 
@@ -51,7 +51,7 @@
 	for id := range s.requestsShed {
 		name := "start"
 		for _, t := range s.faults {
-			if t.from <= s.requestsSent[id].at {
+			if t.startedAt <= s.requestsSent[id].sentAt {
 				name = t.name
 			}
 		}
@@ -60,21 +60,21 @@
 	return by
 }
 
-// versions are those of the settings texts, by mark. Each version that the response to a put named must be in the history.
-func (s *faultSchedule) versions(history *status.CommandResult) map[string]uint64 {
+// versionsByMark are those of the settings texts, by mark. Each version that the response to a put named must be in the history.
+func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions, known := map[string]uint64{}, map[uint64]string{}
 	for _, c := range history.History {
 		if _, twice := known[c.Version]; twice {
 			s.t.Errorf("version %d is there twice", c.Version)
 		}
 		known[c.Version] = c.SHA256
-		for digest, mark := range s.marks {
+		for digest, mark := range s.markByDigest {
 			if c.SHA256 == fmt.Sprintf("%x", digest) {
 				versions[mark] = c.Version
 			}
 		}
 	}
-	for version, digest := range s.versionDigests {
+	for version, digest := range s.digestByVersion {
 		if known[version] != fmt.Sprintf("%x", digest) {
 			s.t.Errorf("a put was told that it made version %d, which is another's, or lost", version)
 		}
@@ -82,24 +82,24 @@
 	return versions
 }
 
-// acts are the requests that arrived at nodes, as acts of the daemons. One that was sent to a daemon while that was paused
+// versionReports are the requests that arrived at nodes, as acts of the daemons. One that was sent to a daemon while that was paused
 // was decided after it resumed.
-func (s *faultSchedule) acts(versions map[string]uint64) (acts []clusterinvariant.Act) {
+func (s *faultSchedule) versionReports(versions map[string]uint64) (acts []clusterinvariant.Act) {
 	for id, a := range s.requestsArrived {
 		from := s.requestsSent[id]
 		if a.mark == "" { // decided by the daemon's own file, before the first agreement
 			continue
 		}
-		for _, p := range s.pauses[from.daemon] {
-			if from.at > p.from && from.at < p.to {
-				from.at = p.to
+		for _, p := range s.pausesByDaemon[from.daemon] {
+			if from.sentAt > p.from && from.sentAt < p.to {
+				from.sentAt = p.to
 			}
 		}
 		if versions[a.mark] == 0 {
 			s.t.Errorf("%s was decided by %q, which was never agreed on", id, a.mark)
 		}
 		acts = append(acts, clusterinvariant.Act{
-			Asked: from.at, Said: a.at, By: fmt.Sprint("s", from.daemon), Life: from.incarnation,
+			Asked: from.sentAt, Said: a.arrivedAt, By: fmt.Sprint("s", from.daemon), Life: from.incarnation,
 			Version: versions[a.mark], Digest: a.mark,
 		})
 	}
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -18,13 +18,13 @@
 func (s *faultSchedule) putText(d int, mark string, pad int) (*status.CommandResult, error) {
 	text := s.settingsText(mark, pad)
 	s.mu.Lock()
-	s.marks[sha256.Sum256(text)] = mark
+	s.markByDigest[sha256.Sum256(text)] = mark
 	s.mu.Unlock()
-	a, err := s.daemons[d].put(mark, "shared", text, putTimeout)
+	a, err := s.daemons[d].putDocument(mark, "shared", text, putTimeout)
 	if err == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.versionDigests[a.Version] = sha256.Sum256(text)
+		s.digestByVersion[a.Version] = sha256.Sum256(text)
 	}
 	return a, err
 }
@@ -47,15 +47,15 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// unknownReturn is when an operation returns whose outcome is not known: after all others.
-const unknownReturn = time.Hour
+// indeterminateReturnTime is when an operation returns whose outcome is not known: after all others.
+const indeterminateReturnTime = time.Hour
 
 func (s *faultSchedule) putFlag(d int, value string) {
-	began := s.now()
-	_, err := s.daemons[d].put(value, flagName, []byte(value), putTimeout)
-	ends := s.now()
+	began := s.elapsed()
+	_, err := s.daemons[d].putDocument(value, flagName, []byte(value), putTimeout)
+	ends := s.elapsed()
 	if err != nil {
-		ends = unknownReturn
+		ends = indeterminateReturnTime
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +65,8 @@
 }
 
 func (s *faultSchedule) readFlag(d int) {
-	began := s.now()
-	a, err := status.Call(s.daemons[d].admin, []string{"show", flagName}, nil, putTimeout)
+	began := s.elapsed()
+	a, err := status.Call(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
 	value := ""
 	if err == nil {
 		value = string(a.Body)
@@ -76,6 +76,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flagOperations = append(s.flagOperations, porcupine.Operation{
-		ClientId: len(s.flagOperations), Input: flagInput{}, Call: int64(began), Return: int64(s.now()), Output: value,
+		ClientId: len(s.flagOperations), Input: flagInput{}, Call: int64(began), Return: int64(s.elapsed()), Output: value,
 	})
 }
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -29,7 +29,7 @@
 	*testCluster
 	rng       *rand.Rand
 	startedAt time.Time
-	load      sync.WaitGroup
+	clients   sync.WaitGroup
 	isOver    atomic.Bool
 
 	mu              sync.Mutex
@@ -39,10 +39,10 @@
 	unansweredCount int                       // requests without a response: their daemon was killed
 	violations      []string                  // what contradicts a guarantee by itself
 	incarnations    []int                     // of each daemon
-	pauses          [][]pause                 // of each daemon
-	isUp            []bool
-	marks           map[[32]byte]string // the mark of each settings text, by its digest
-	versionDigests  map[uint64][32]byte // the digest of the text that made a version, by the response to its put
+	pausesByDaemon  [][]daemonPause           // of each daemon
+	isRunning       []bool
+	markByDigest    map[[32]byte]string // the mark of each settings text, by its digest
+	digestByVersion map[uint64][32]byte // the digest of the text that made a version, by the response to its put
 	flagOperations  []porcupine.Operation
 
 	faults []injectedFault
@@ -50,22 +50,22 @@
 
 // injectedFault is a fault that was injected; its effect lasts until the next one begins.
 type injectedFault struct {
-	name string
-	from time.Duration
+	name      string
+	startedAt time.Duration
 }
 
 type sentRequest struct {
 	daemon, incarnation int
-	at                  time.Duration
+	sentAt              time.Duration
 }
 
 type arrivedRequest struct {
-	mark string
-	at   time.Duration
+	mark      string
+	arrivedAt time.Duration
 }
 
-// pause is for how long a daemon was stopped by SIGSTOP.
-type pause struct{ from, to time.Duration }
+// daemonPause is for how long a daemon was stopped by SIGSTOP.
+type daemonPause struct{ from, to time.Duration }
 
 const (
 	maxFaultDuration  = 2500 * time.Millisecond // added to the least, 200 ms
@@ -76,8 +76,8 @@
 	flagName          = "flag/x"                // the document that is checked for linearizability
 )
 
-// now is the time since the schedule was created, by which all observations are dated.
-func (s *faultSchedule) now() time.Duration { return time.Since(s.startedAt) }
+// elapsed is the time since the schedule was created, by which all observations are dated.
+func (s *faultSchedule) elapsed() time.Duration { return time.Since(s.startedAt) }
 
 func newFaultSchedule(t *testing.T, seed uint64, daemons int) *faultSchedule {
 	t.Helper()
@@ -88,18 +88,18 @@
 		requestsArrived: map[string]arrivedRequest{},
 		requestsShed:    map[string]bool{},
 		incarnations:    make([]int, daemons),
-		pauses:          make([][]pause, daemons),
-		isUp:            make([]bool, daemons),
-		marks:           map[[32]byte]string{},
-		versionDigests:  map[uint64][32]byte{},
+		pausesByDaemon:  make([][]daemonPause, daemons),
+		isRunning:       make([]bool, daemons),
+		markByDigest:    map[[32]byte]string{},
+		digestByVersion: map[uint64][32]byte{},
 	}
-	for i := range s.isUp {
-		s.isUp[i] = true
+	for i := range s.isRunning {
+		s.isRunning[i] = true
 	}
 	// In builds with the race detector clocks differ by as much as is tolerated; all daemons start with one rate.
 	t.Setenv(transport.ClockRate, "0.99")
 	s.testCluster = newTestCluster(t, clusterSpec{
-		daemons: daemons, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
+		daemons: daemons, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
 	})
 	return s
 }
@@ -112,7 +112,7 @@
 	if was, ok := s.requestsArrived[id]; ok && was.mark != r.Header.Get(markHeader) {
 		s.violations = append(s.violations, fmt.Sprintf("%s came by %q and by %q", id, was.mark, r.Header.Get(markHeader)))
 	}
-	s.requestsArrived[id] = arrivedRequest{r.Header.Get(markHeader), s.now()}
+	s.requestsArrived[id] = arrivedRequest{r.Header.Get(markHeader), s.elapsed()}
 }
 
 // sendRequests sends requests through a daemon, one after another, until the schedule is over.
@@ -121,10 +121,10 @@
 	for n := 0; !s.isOver.Load(); n++ {
 		id := fmt.Sprintf("s%d-%d", daemon, n)
 		s.mu.Lock()
-		up := s.isUp[daemon]
-		s.requestsSent[id] = sentRequest{daemon, s.incarnations[daemon], s.now()}
+		up := s.isRunning[daemon]
+		s.requestsSent[id] = sentRequest{daemon, s.incarnations[daemon], s.elapsed()}
 		s.mu.Unlock()
-		status, after, err := s.daemons[daemon].get(client, id)
+		status, after, err := s.daemons[daemon].sendRequest(client, id)
 		s.mu.Lock()
 		switch {
 		case err != nil:
@@ -149,7 +149,7 @@
 	for n := 0; !s.isOver.Load(); n++ {
 		s.mu.Lock()
 		d := rng.IntN(len(s.daemons))
-		up := s.isUp[d]
+		up := s.isRunning[d]
 		s.mu.Unlock()
 		if up {
 			value := fmt.Sprintf("%d-%d", client, n)
@@ -182,73 +182,73 @@
 	}
 	switch which := s.rng.IntN(8); which {
 	case 0:
-		s.net.Between(some, others, faultnet.Link{Cut: true})
+		s.network.Between(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length)
-		s.net.Heal()
+		s.network.Heal()
 		return "cut"
 	case 1: // two partitions in a row, so that a new leader is lost at once
-		s.net.Between(some, others, faultnet.Link{Cut: true})
+		s.network.Between(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length / 2)
-		s.net.Heal()
-		s.net.Between(others[:1], names, faultnet.Link{Cut: true})
+		s.network.Heal()
+		s.network.Between(others[:1], names, faultnet.Link{Cut: true})
 		time.Sleep(length / 2)
-		s.net.Heal()
+		s.network.Heal()
 		return "cuts"
 	case 2:
-		s.net.OneWay(some, others, faultnet.Link{Cut: true})
+		s.network.OneWay(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length)
-		s.net.Heal()
+		s.network.Heal()
 		return "one way"
 	case 3:
-		s.net.Between(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
+		s.network.Between(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
 		time.Sleep(length)
-		s.net.Heal()
+		s.network.Heal()
 		return "loss"
 	case 4, 5:
 		s.daemons[d].signal(s.t, syscall.SIGSTOP)
-		from := s.now()
+		from := s.elapsed()
 		time.Sleep(length)
-		to := s.now()
+		to := s.elapsed()
 		s.mu.Lock()
-		s.pauses[d] = append(s.pauses[d], pause{from, to})
+		s.pausesByDaemon[d] = append(s.pausesByDaemon[d], daemonPause{from, to})
 		s.mu.Unlock()
 		s.daemons[d].signal(s.t, syscall.SIGCONT)
 		return "stop"
 	case 6:
-		s.kill(d)
+		s.killDaemon(d)
 		time.Sleep(length / 2)
 		if s.rng.IntN(3) == 0 && d >= 3 { // a daemon that does not vote may lose its disk
-			_ = os.RemoveAll(filepath.Join(s.dir, fmt.Sprint("s", d)))
+			_ = os.RemoveAll(filepath.Join(s.dataDir, fmt.Sprint("s", d)))
 		}
-		s.start(d)
+		s.startDaemon(d)
 		return "kill"
 	default:
 		for i := range s.daemons {
-			s.kill(i)
+			s.killDaemon(i)
 		}
 		for i := range s.daemons {
-			s.start(i)
+			s.startDaemon(i)
 		}
 		return "kill all"
 	}
 }
 
-func (s *faultSchedule) kill(d int) {
+func (s *faultSchedule) killDaemon(d int) {
 	s.mu.Lock()
-	s.isUp[d] = false
+	s.isRunning[d] = false
 	s.mu.Unlock()
 	s.daemons[d].signal(s.t, syscall.SIGKILL)
 	_ = s.daemons[d].wait()
 }
 
-// start starts a daemon again, with a clock rate within the tolerance, and does not wait until it is ready.
-func (s *faultSchedule) start(d int) {
+// startDaemon starts a daemon again, with a clock rate within the tolerance, and does not wait until it is ready.
+func (s *faultSchedule) startDaemon(d int) {
 	s.t.Setenv(transport.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnations[d]++
-	s.isUp[d] = true
-	s.daemons[d].process = startProcess(s.t, "serve", "--config", s.daemons[d].path)
+	s.isRunning[d] = true
+	s.daemons[d].process = startProcess(s.t, "serve", "--config", s.daemons[d].configPath)
 }
 
 // run injects faults, and then checks the observations against the guarantees.
@@ -256,18 +256,18 @@
 	t := s.t
 	_, _ = s.putText(0, "first", 0)
 	for d := range s.daemons {
-		s.load.Go(func() { s.sendRequests(d) })
+		s.clients.Go(func() { s.sendRequests(d) })
 	}
 	for i := range 3 {
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), uint64(i)))
-		s.load.Go(func() { s.sendOperations(i, rng) })
+		s.clients.Go(func() { s.sendOperations(i, rng) })
 	}
-	for s.now() < faultsDuration {
-		from := s.now()
+	for s.elapsed() < faultsDuration {
+		from := s.elapsed()
 		what := s.injectFault()
 		s.faults = append(s.faults, injectedFault{what, from})
 		rest := minFaultGap + time.Duration(s.rng.Int64N(int64(time.Second)))
-		t.Logf("%v: %s is over", s.now().Round(time.Millisecond), what)
+		t.Logf("%v: %s is over", s.elapsed().Round(time.Millisecond), what)
 		time.Sleep(rest)
 	}
 	var last *status.CommandResult
@@ -278,8 +278,8 @@
 	})
 	s.awaitActive(s.daemons, last.Version)
 	s.isOver.Store(true)
-	s.load.Wait()
-	s.judge(last.Version)
+	s.clients.Wait()
+	s.checkGuarantees(last.Version)
 }
 
 // SCHEDULES=number runs more of them, from SCHEDULE=seed on; every second one has seven daemons instead of five.
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -12,13 +12,13 @@
 )
 
 type fleetCommand struct {
-	Troubles []string      `arg:"" optional:"" help:"What goes wrong: calm, roll, herd, zone, split, join; none: each of them, one day after another."`
-	Sidecars int           `default:"300" help:"Sidecars of all tiers together."`
-	Seed     uint64        `default:"1" help:"The same seed draws the same day."`
-	Length   time.Duration `default:"20s" help:"For how long requests are asked for, in virtual time."`
-	Use      float64       `default:"0.6" help:"Of what the fleet can do, by the work that is asked for."`
-	Against  string        `placeholder:"NAME" help:"A plain picker in the module's place: random, round-robin, least-outstanding."`
-	JSON     string        `name:"json" placeholder:"FILE" help:"Write the results as JSON; -: standard output."`
+	Scenarios   []string      `name:"troubles" arg:"" optional:"" help:"What goes wrong: calm, roll, herd, zone, split, join; none: each of them, one day after another."`
+	Sidecars    int           `default:"300" help:"Sidecars of all tiers together."`
+	Seed        uint64        `default:"1" help:"The same seed draws the same day."`
+	Length      time.Duration `default:"20s" help:"For how long requests are asked for, in virtual time."`
+	Utilization float64       `name:"use" default:"0.6" help:"Of what the fleet can do, by the work that is asked for."`
+	Baseline    string        `name:"against" placeholder:"NAME" help:"A plain picker in the module's place: random, round-robin, least-outstanding."`
+	JSON        string        `name:"json" placeholder:"FILE" help:"Write the results as JSON; -: standard output."`
 }
 
 // Help implements kong's HelpProvider.
@@ -29,16 +29,16 @@
 // Run implements kong's command.
 func (c *fleetCommand) Run() error {
 	decider := eventloop.NewBalancer
-	if c.Against != "" {
+	if c.Baseline != "" {
 		var err error
-		if decider, err = baseline.New(c.Against); err != nil {
+		if decider, err = baseline.New(c.Baseline); err != nil {
 			return err
 		}
 	}
-	if len(c.Troubles) == 0 {
-		c.Troubles = fleetsim.Troubles()
+	if len(c.Scenarios) == 0 {
+		c.Scenarios = fleetsim.Troubles()
 	}
-	results, err := c.playAll(decider)
+	results, err := c.simulateAll(decider)
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 	return nil
 }
 
-// playAll plays the days at the same time. Each has a goroutine and a state of its own; all have ended when it returns.
-func (c *fleetCommand) playAll(decider eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
-	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
+// simulateAll plays the days at the same time. Each has a goroutine and a state of its own; all have ended when it returns.
+func (c *fleetCommand) simulateAll(decider eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
+	results, errs := make([]*fleetsim.Result, len(c.Scenarios)), make([]error, len(c.Scenarios))
 	var days sync.WaitGroup
-	for i, trouble := range c.Troubles {
-		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use}
+	for i, trouble := range c.Scenarios {
+		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Utilization}
 		days.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
 	}
 	days.Wait()
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -19,7 +19,7 @@
 // are answered, and the daemon keeps to its limit of descriptors.
 func TestHalfOpenConnectionsDoNotBlockClientsOrOperators(t *testing.T) {
 	const limit, half = 512, 2000
-	p := newHotRestartStage(t, 1)
+	p := newHotRestartHarness(t, 1)
 	d := p.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
 	var open []net.Conn
@@ -39,7 +39,7 @@
 		}
 	}
 	for i := range half {
-		nc, err := net.Dial("tcp", p.addr)
+		nc, err := net.Dial("tcp", p.listenAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 		}
 		answered("check", "SUCCESS")
 		answered("vars", "edge_router.")
-		r, _ := http.NewRequest(http.MethodGet, "http://"+p.addr+"/look", nil)
+		r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look", nil)
 		r.Header.Set("Req-Id", fmt.Sprint("real-", i))
 		r.Header.Set("Req-Deadline-Ms", "20000")
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
@@ -68,7 +68,7 @@
 }
 
 // descriptorCount is how many descriptors the process has open; 0 if it has exited.
-func (p *stagedDaemon) descriptorCount() int {
+func (p *harnessDaemon) descriptorCount() int {
 	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(files)
 }
@@ -77,7 +77,7 @@
 // together keep to the limit of descriptors, and no request is lost.
 func TestHotRestartAmongHalfOpenConnectionsKeepsDescriptorLimit(t *testing.T) {
 	const limit = 512
-	p := newHotRestartStage(t, 2)
+	p := newHotRestartHarness(t, 2)
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
 	callers := p.startLoad(4)
@@ -88,7 +88,7 @@
 		crowd.Go(func() {
 			var open []net.Conn
 			for i := 0; ctx.Err() == nil; i++ {
-				nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.addr)
+				nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.listenAddr)
 				if err != nil {
 					break
 				}
@@ -106,14 +106,14 @@
 	}
 	most := 0
 	watched := make(chan struct{})
-	var others []*stagedDaemon
+	var others []*harnessDaemon
 	var mu sync.Mutex
 	go func() {
 		defer close(watched)
 		for ctx.Err() == nil {
 			sum := 0
 			mu.Lock()
-			for _, d := range append([]*stagedDaemon{first}, others...) {
+			for _, d := range append([]*harnessDaemon{first}, others...) {
 				sum += d.descriptorCount()
 			}
 			mu.Unlock()
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -17,7 +17,7 @@
 // Under load a process is replaced twice: no request is lost or sent twice, and an endpoint that operators ejected stays
 // ejected until they readmit it, whichever process they call.
 func TestHotRestartUnderLoadLosesNoRequest(t *testing.T) {
-	p := newHotRestartStage(t, 3)
+	p := newHotRestartHarness(t, 3)
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
 	callers := p.startLoad(12)
@@ -43,7 +43,7 @@
 
 // The predecessor resumes when its successor dies, both before and after the successor was ready.
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
-	p := newHotRestartStage(t, 2)
+	p := newHotRestartHarness(t, 2)
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
 	callers := p.startLoad(6)
@@ -53,8 +53,8 @@
 	_ = second.wait()
 	callers.awaitServed(t, 50)
 	callers.stop() // requests in flight at a SIGKILL are lost
-	callers.work.Wait()
-	stays, err := net.Dial("tcp", p.addr) // a client that keeps its connection: the first process must not exit
+	callers.clients.Wait()
+	stays, err := net.Dial("tcp", p.listenAddr) // a client that keeps its connection: the first process must not exit
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,13 +72,13 @@
 	again := p.startLoad(6)
 	again.awaitServed(t, 50)
 	again.stop()
-	again.work.Wait()
+	again.clients.Wait()
 	first.terminate(t)
 }
 
 // A predecessor exits without a signal when its last connection is closed.
 func TestPredecessorExitsAfterItsLastConnection(t *testing.T) {
-	p := newHotRestartStage(t, 1)
+	p := newHotRestartHarness(t, 1)
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
 	second := p.startDaemon()
@@ -93,13 +93,13 @@
 // With long responses in flight, and a SIGHUP to both processes during the hot restart: all responses are complete, and the
 // predecessor waits for them.
 func TestHotRestartWaitsForLongResponses(t *testing.T) {
-	p := newHotRestartStage(t, 2)
+	p := newHotRestartHarness(t, 2)
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
 	var work sync.WaitGroup
 	for i := range 6 {
 		work.Go(func() {
-			r, _ := http.NewRequest(http.MethodGet, "http://"+p.addr+"/look/long", nil)
+			r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look/long", nil)
 			r.Header.Set("Req-Id", fmt.Sprint("long-", i))
 			r.Header.Set("Req-Deadline-Ms", "5000")
 			resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
@@ -129,7 +129,7 @@
 // Where discovery is silent a successor uses, after a while, the endpoint list that it was started with. One that gets
 // SIGTERM before that has accepted no connection.
 func TestHotRestartWithSilentDiscovery(t *testing.T) {
-	p := newHotRestartStage(t, 1)
+	p := newHotRestartHarness(t, 1)
 	p.isDiscoverySilent = true
 	first := p.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
@@ -149,8 +149,8 @@
 
 // A descriptor that is not the socket of the listen address is reported in one line, and the daemon does not start.
 func TestWrongListenDescriptorIsRejected(t *testing.T) {
-	p := newHotRestartStage(t, 1)
-	p.addr = testpeer.FreePort(t)
+	p := newHotRestartHarness(t, 1)
+	p.listenAddr = testpeer.FreePort(t)
 	d := p.startDaemon()
 	if err := d.wait(); err == nil {
 		t.Error("it started")
--- a/cmd/tuliprock/hotrestartstage_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -19,15 +19,15 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// hotRestartStage is the fake of what restarts a daemon: it owns the listening socket and the directory that its processes
+// hotRestartHarness is the fake of what restarts a daemon: it owns the listening socket and the directory that its processes
 // share, and runs a discovery and endpoints that count the requests by id.
-type hotRestartStage struct {
+type hotRestartHarness struct {
 	t                 *testing.T
-	socket            *os.File
-	addr              string
-	dir               string
-	discovery         string
-	names             []string
+	listenSocket      *os.File
+	listenAddr        string
+	sharedDir         string
+	discoveryAddr     string
+	endpointIDs       []string
 	endpoints         []*testpeer.Endpoint
 	startCount        int
 	isDiscoverySilent bool // discovery accepts requests and responds to none
@@ -36,7 +36,7 @@
 	requestsByID map[string]int
 }
 
-func newHotRestartStage(t *testing.T, endpoints int) *hotRestartStage {
+func newHotRestartHarness(t *testing.T, endpoints int) *hotRestartHarness {
 	t.Helper()
 	var plain net.ListenConfig
 	plain.SetMultipathTCP(false) // as a platform's are
@@ -45,13 +45,13 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &hotRestartStage{t: t, addr: l.Addr().String(), dir: t.TempDir(), requestsByID: map[string]int{}}
-	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
+	p := &hotRestartHarness{t: t, listenAddr: l.Addr().String(), sharedDir: t.TempDir(), requestsByID: map[string]int{}}
+	if p.listenSocket, err = l.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.socket.Close() })
+	t.Cleanup(func() { p.listenSocket.Close() })
 	for i := range endpoints {
-		p.names = append(p.names, fmt.Sprint("s-", i))
+		p.endpointIDs = append(p.endpointIDs, fmt.Sprint("s-", i))
 		p.endpoints = append(p.endpoints, testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 			p.mu.Lock()
 			p.requestsByID[r.Header.Get("Req-Id")]++
@@ -80,7 +80,7 @@
 		d.CloseClientConnections()
 		d.Close()
 	})
-	p.discovery = d.Listener.Addr().String()
+	p.discoveryAddr = d.Listener.Addr().String()
 	return p
 }
 
@@ -88,7 +88,7 @@
 const longResponseParts = 40
 
 // writeSlowly writes a long response within some 1.2 s.
-func (p *hotRestartStage) writeSlowly(nc net.Conn) bool {
+func (p *hotRestartHarness) writeSlowly(nc net.Conn) bool {
 	part := strings.Repeat("z", 32<<10)
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longResponseParts*len(part))
 	for i := 0; i < longResponseParts && err == nil; i++ {
@@ -98,46 +98,46 @@
 	return err == nil
 }
 
-func (p *hotRestartStage) memberList() string {
+func (p *hotRestartHarness) memberList() string {
 	var members []string
 	for i, e := range p.endpoints {
-		members = append(members, testpeer.Member(p.names[i], e.Addr, "Ready"))
+		members = append(members, testpeer.Member(p.endpointIDs[i], e.Addr, "Ready"))
 	}
 	return testpeer.Members(7, true, members...)
 }
 
-// stagedDaemon is a process of the daemon and its operators' address.
-type stagedDaemon struct {
+// harnessDaemon is a process of the daemon and its operators' address.
+type harnessDaemon struct {
 	*process
-	admin string
+	adminAddr string
 }
 
-func (p *hotRestartStage) startDaemon() *stagedDaemon {
+func (p *hotRestartHarness) startDaemon() *harnessDaemon {
 	p.t.Helper()
 	p.startCount++
-	out := &stagedDaemon{admin: testpeer.FreePort(p.t)}
+	out := &harnessDaemon{adminAddr: testpeer.FreePort(p.t)}
 	// The endpoint list that it is started with is stale: it is empty.
 	known := testpeer.Members(1, true)
 	if p.isDiscoverySilent {
 		known = p.memberList()
 	}
 	config := fmt.Sprintf(`{"name":"n1","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":96,"sockets":512},"known":%s,"settings":%s}`,
-		p.addr, out.admin, p.discovery, known, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
+		p.listenAddr, out.adminAddr, p.discoveryAddr, known, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
 	path := filepath.Join(p.t.TempDir(), fmt.Sprint(p.startCount, ".json"))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 	cmd := programCommand()
-	cmd.ExtraFiles = []*os.File{p.socket}
-	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+path, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.dir)
+	cmd.ExtraFiles = []*os.File{p.listenSocket}
+	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+path, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.sharedDir)
 	out.process = &process{cmd: cmd}
 	out.start(p.t)
 	return out
 }
 
-func (p *stagedDaemon) callAdmin(t *testing.T, line string) string {
+func (p *harnessDaemon) callAdmin(t *testing.T, line string) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", p.admin)
+	nc, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		return ""
 	}
@@ -148,7 +148,7 @@
 	return string(text)
 }
 
-func (p *stagedDaemon) awaitAdmin(t *testing.T, line, want string) {
+func (p *harnessDaemon) awaitAdmin(t *testing.T, line, want string) {
 	t.Helper()
 	testpeer.Until(t, line+" is answered with "+want, func() bool { return strings.HasPrefix(p.callAdmin(t, line), want) })
 }
@@ -156,22 +156,22 @@
 // backgroundLoad is clients that send requests all the time: two of three each on a persistent connection, the others on
 // a new one for each request.
 type backgroundLoad struct {
-	stop   context.CancelFunc
-	work   sync.WaitGroup
-	served atomic.Int64
+	stop        context.CancelFunc
+	clients     sync.WaitGroup
+	servedCount atomic.Int64
 }
 
-func (p *hotRestartStage) startLoad(callers int) *backgroundLoad {
+func (p *hotRestartHarness) startLoad(callers int) *backgroundLoad {
 	l := &backgroundLoad{}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
 	for c := range callers {
-		l.work.Go(func() {
+		l.clients.Go(func() {
 			transport := &http.Transport{DisableKeepAlives: c%3 == 0}
 			defer transport.CloseIdleConnections()
 			client := http.Client{Transport: transport}
 			for i := 0; ctx.Err() == nil; i++ {
-				r, _ := http.NewRequest(http.MethodGet, "http://"+p.addr+"/look", nil)
+				r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look", nil)
 				r.Header.Set("Req-Id", fmt.Sprint(c, "-", i))
 				r.Header.Set("Req-Deadline-Ms", "5000")
 				resp, err := client.Do(r)
@@ -185,7 +185,7 @@
 					p.t.Errorf("caller %d, request %d: %d %q %v", c, i, resp.StatusCode, text, err)
 					return
 				}
-				l.served.Add(1)
+				l.servedCount.Add(1)
 				time.Sleep(time.Duration(1+c%7) * time.Millisecond)
 			}
 		})
@@ -196,13 +196,13 @@
 // awaitServed waits until n more requests were served.
 func (l *backgroundLoad) awaitServed(t *testing.T, n int64) {
 	t.Helper()
-	want := l.served.Load() + n
-	testpeer.Until(t, fmt.Sprint(n, " more requests are served"), func() bool { return t.Failed() || l.served.Load() >= want })
+	want := l.servedCount.Load() + n
+	testpeer.Until(t, fmt.Sprint(n, " more requests are served"), func() bool { return t.Failed() || l.servedCount.Load() >= want })
 }
 
-func (p *hotRestartStage) stopLoad(l *backgroundLoad) {
+func (p *hotRestartHarness) stopLoad(l *backgroundLoad) {
 	l.stop()
-	l.work.Wait()
+	l.clients.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, n := range p.requestsByID {
@@ -214,7 +214,7 @@
 
 // awaitExit waits until the process exits without error. One that does not exit in time gets SIGQUIT, and so prints the
 // stacks of its goroutines.
-func (p *stagedDaemon) awaitExit(t *testing.T) {
+func (p *harnessDaemon) awaitExit(t *testing.T) {
 	t.Helper()
 	stuck := time.AfterFunc(testpeer.Patience, func() { _ = p.cmd.Process.Signal(syscall.SIGQUIT) })
 	defer stuck.Stop()
@@ -224,7 +224,7 @@
 }
 
 // terminate sends SIGTERM and waits until the process exits without error.
-func (p *stagedDaemon) terminate(t *testing.T) {
+func (p *harnessDaemon) terminate(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGTERM)
 	p.awaitExit(t)
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -30,18 +30,18 @@
 )
 
 type loadSendCommand struct {
-	Target      string        `required:"" placeholder:"URL" help:"Where to; {n} in it is the request's number."`
-	Rate        float64       `default:"100" help:"Requests a second."`
-	For         time.Duration `default:"10s" help:"How long to send."`
-	Gaps        string        `default:"poisson" enum:"poisson,even,pareto,on-off" help:"How requests follow one another: ${enum}."`
-	Wait        time.Duration `default:"5s" help:"How long an answer is waited for, from when its request was due."`
-	Connections int           `default:"1000" help:"Requests out at once; those beyond are counted as not sent."`
-	Seed        uint64        `default:"1" help:"Draws the schedule."`
-	Method      string        `default:"GET" help:"Of the requests."`
-	Headers     []string      `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of the requests; may be repeated."`
-	Body        string        `help:"Of the requests."`
-	MayLoad     string        `name:"i-may-load" placeholder:"HOST" help:"The host of the target, in full, if it is not on loopback."`
-	JSON        string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
+	Target          string        `required:"" placeholder:"URL" help:"Where to; {n} in it is the request's number."`
+	Rate            float64       `default:"100" help:"Requests a second."`
+	Duration        time.Duration `name:"for" default:"10s" help:"How long to send."`
+	Gaps            string        `default:"poisson" enum:"poisson,even,pareto,on-off" help:"How requests follow one another: ${enum}."`
+	ResponseTimeout time.Duration `name:"wait" default:"5s" help:"How long an answer is waited for, from when its request was due."`
+	Connections     int           `default:"1000" help:"Requests out at once; those beyond are counted as not sent."`
+	Seed            uint64        `default:"1" help:"Draws the schedule."`
+	Method          string        `default:"GET" help:"Of the requests."`
+	Headers         []string      `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of the requests; may be repeated."`
+	Body            string        `help:"Of the requests."`
+	AllowedHost     string        `name:"i-may-load" placeholder:"HOST" help:"The host of the target, in full, if it is not on loopback."`
+	JSON            string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
 }
 
 var gapsByName = map[string]schedule.Gaps{
@@ -90,7 +90,7 @@
 		Process: schedule.Process{
 			Rate: schedule.Steady(c.Rate), Gaps: gapsByName[c.Gaps], Tail: 1.5, On: time.Second, Off: time.Second,
 		},
-		Seed: c.Seed, For: c.For, Wait: c.Wait, Connections: c.Connections,
+		Seed: c.Seed, For: c.Duration, Wait: c.ResponseTimeout, Connections: c.Connections,
 	}
 }
 
@@ -99,13 +99,13 @@
 	switch {
 	case err != nil || u.Scheme != "http" || u.Host == "":
 		return fmt.Errorf("--target: %q is no http:// URL", c.Target)
-	case !isLoopback(u.Hostname()) && c.MayLoad != u.Hostname():
+	case !isLoopback(u.Hostname()) && c.AllowedHost != u.Hostname():
 		return fmt.Errorf("--target: %s is not on loopback: say --i-may-load %s if you may", u.Hostname(), u.Hostname())
 	case !(c.Rate > 0 && c.Rate <= maxLoadRate):
 		return fmt.Errorf("--rate: must be over 0, and %d at most", maxLoadRate)
-	case c.For <= 0 || c.For > maxLoadDuration:
+	case c.Duration <= 0 || c.Duration > maxLoadDuration:
 		return fmt.Errorf("--for: must be over 0, and %v at most", maxLoadDuration)
-	case c.Wait <= 0 || c.Wait > maxLoadDuration:
+	case c.ResponseTimeout <= 0 || c.ResponseTimeout > maxLoadDuration:
 		return fmt.Errorf("--wait: must be over 0, and %v at most", maxLoadDuration)
 	case c.Connections < 1 || c.Connections > maxLoadConnections:
 		return fmt.Errorf("--connections: must be from 1 to %d", maxLoadConnections)
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -20,13 +20,13 @@
 		t.Errorf("%d requests came to what is out", n)
 	}
 
-	code, out, errs := runProgram(t, programCommand("settings", "--at", c.daemons[0].admin, "--json", "-"))
+	code, out, errs := runProgram(t, programCommand("settings", "--at", c.daemons[0].adminAddr, "--json", "-"))
 	if code != exitOK || !strings.Contains(out, `"format":1,"version":`) || !strings.Contains(out, `"name":"out/`+first) {
 		t.Errorf("settings: %d %s %s", code, out, errs)
 	}
 
 	away := c.daemons[4]
-	c.net.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
+	c.network.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
 	testpeer.Until(t, "who is cut off has no lease", func() bool { return strings.Contains(away.callAdmin("settings"), "acting=false") })
 	c.callUntilOnAll(c.daemons[0], "set-up "+first)
 	c.awaitEjection(c.daemons[:4], 0, false)
@@ -40,7 +40,7 @@
 	if n := c.countRequestsAt([]*clusterDaemon{away}, 1); n > 0 {
 		t.Errorf("%d requests came to what was taken out here", n)
 	}
-	c.net.Heal()
+	c.network.Heal()
 	c.awaitEjection(c.daemons, 0, false)
 	c.callUntilOnAll(away, "set-up "+second)
 
@@ -81,7 +81,7 @@
 		_ = d.wait()
 	}
 	for _, d := range c.daemons {
-		d.process = startProcess(t, "serve", "--config", d.path)
+		d.process = startProcess(t, "serve", "--config", d.configPath)
 	}
 	for _, d := range c.daemons {
 		d.awaitText(t, "msg=listening")
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -13,7 +13,7 @@
 
 // Run implements kong's command.
 func (c *peersCommand) Run() error {
-	fleet, err := status.FetchFleet(c.At, reportTimeout)
+	fleet, err := status.FetchFleet(c.AdminAddr, reportTimeout)
 	if err != nil {
 		return err
 	}
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -20,16 +20,16 @@
 )
 
 type rehearseCommand struct {
-	Day     string        `arg:"" optional:"" help:"A day's file, or the name of one that ships (${days}); none: ${day}."`
-	Seeds   []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Draw the day by these seeds, one after another, instead of its own."`
-	Demand  []float64     `sep:"," default:"1" help:"Times the day's demand; several are played one after another."`
-	Against []string      `sep:"," placeholder:"NAME,..." help:"Play the same with plain pickers too: random, round-robin, least-outstanding."`
-	Length  time.Duration `help:"Cut the day to this length; its troubles move along."`
-	Serve   bool          `help:"Start the sidecars with 'serve' on operators' files, in place of what the platform tells."`
-	Plan    bool          `help:"Print the drawn schedule, fleet and troubles as lines of JSON, and play nothing."`
-	JSON    string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
-	Report  string        `placeholder:"FILE.html" help:"Write a page that opens offline."`
-	Logs    string        `placeholder:"DIR" help:"Keep the sidecars' logs."`
+	Day             string        `arg:"" optional:"" help:"A day's file, or the name of one that ships (${days}); none: ${day}."`
+	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Draw the day by these seeds, one after another, instead of its own."`
+	DemandFactors   []float64     `name:"demand" sep:"," default:"1" help:"Times the day's demand; several are played one after another."`
+	Baselines       []string      `name:"against" sep:"," placeholder:"NAME,..." help:"Play the same with plain pickers too: random, round-robin, least-outstanding."`
+	Length          time.Duration `help:"Cut the day to this length; its troubles move along."`
+	UseServeCommand bool          `name:"serve" help:"Start the sidecars with 'serve' on operators' files, in place of what the platform tells."`
+	PrintPlan       bool          `name:"plan" help:"Print the drawn schedule, fleet and troubles as lines of JSON, and play nothing."`
+	JSON            string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
+	Report          string        `placeholder:"FILE.html" help:"Write a page that opens offline."`
+	LogDir          string        `name:"logs" placeholder:"DIR" help:"Keep the sidecars' logs."`
 }
 
 // Help implements kong's HelpProvider.
@@ -65,10 +65,10 @@
 	if err != nil {
 		return err
 	}
-	if c.Plan {
+	if c.PrintPlan {
 		return printPlans(plans)
 	}
-	for _, name := range c.Against {
+	for _, name := range c.Baselines {
 		if _, err := baseline.New(name); err != nil {
 			return fmt.Errorf("--against: %w", err)
 		}
@@ -80,7 +80,7 @@
 	defer files.discard()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	results, err := c.playAll(ctx, plans)
+	results, err := c.runAll(ctx, plans)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 		seeds = []uint64{day.Seed}
 	}
 	var plans []*rehearse.Plan
-	for _, demand := range c.Demand {
+	for _, demand := range c.DemandFactors {
 		if demand <= 0 || demand > 100 {
 			return nil, fmt.Errorf("--demand: %v is not over 0 and 100 at most", demand)
 		}
@@ -118,14 +118,14 @@
 	return nil
 }
 
-// playAll plays each plan with the module and with the plain pickers, one after another: side by side they would compete
+// runAll plays each plan with the module and with the plain pickers, one after another: side by side they would compete
 // for the machine.
-func (c *rehearseCommand) playAll(ctx context.Context, plans []*rehearse.Plan) ([]*rehearse.Result, error) {
+func (c *rehearseCommand) runAll(ctx context.Context, plans []*rehearse.Plan) ([]*rehearse.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	balancers := append([]string{rehearse.Module}, c.Against...)
+	balancers := append([]string{rehearse.Module}, c.Baselines...)
 	var results []*rehearse.Result
 	for _, plan := range plans {
 		for _, balancer := range balancers {
@@ -150,12 +150,12 @@
 // options are those of a play whose sidecars are this program.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
 	isModule := balancer == rehearse.Module
-	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, Serve: c.Serve && isModule}
+	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, Serve: c.UseServeCommand && isModule}
 	if !isModule {
 		options.Command = func() *exec.Cmd { return exec.Command(executable, "plain", balancer) }
 	}
-	if c.Logs != "" {
-		options.Logs = filepath.Join(c.Logs, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.Demand, balancer))
+	if c.LogDir != "" {
+		options.Logs = filepath.Join(c.LogDir, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.Demand, balancer))
 	}
 	return options
 }
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -146,7 +146,7 @@
 }
 
 // When the result cannot be written after the day was played, one line says so, and the exit code is 1.
-func TestRehearseReportsAFullDisk(t *testing.T) {
+func TestRehearseReportsFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip("no /dev/full here")
 	}
@@ -171,7 +171,7 @@
 }
 
 // A rehearsal that was stopped for a while says that its result is not valid, and does not blame the sidecars.
-func TestRehearsalThatWasStoppedIsNotValid(t *testing.T) {
+func TestPausedRehearsalIsNotValid(t *testing.T) {
 	cmd, errs := startRehearsal(t, writeTinyDay(t))
 	for _, s := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGCONT} {
 		if err := cmd.Process.Signal(s); err != nil {
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -18,9 +18,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// closedLoop sends requests on so many connections, each as fast as it is answered. It returns the requests per second and
+// runClosedLoop sends requests on so many connections, each as fast as it is answered. It returns the requests per second and
 // the median and the p99 of the latencies.
-func closedLoop(t *testing.T, addr string, connections int, length time.Duration) (rate float64, p50, p99 time.Duration) {
+func runClosedLoop(t *testing.T, addr string, connections int, length time.Duration) (rate float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
 	var took []time.Duration
@@ -88,7 +88,7 @@
 			var p50, p99 [2]time.Duration
 			for k := range 2 {
 				which := (i + k) % 2
-				rate[which], p50[which], p99[which] = closedLoop(t, []string{own, proxy}[which], connections, 3*time.Second)
+				rate[which], p50[which], p99[which] = runClosedLoop(t, []string{own, proxy}[which], connections, 3*time.Second)
 			}
 			t.Logf("%d connections: %.0f and %.0f a second, p50 %v and %v, p99 %v and %v", connections, rate[0], rate[1], p50[0], p50[1], p99[0], p99[1])
 			rates, p50s, p99s = append(rates, rate[0]/rate[1]), append(p50s, float64(p50[0])/float64(p50[1])), append(p99s, float64(p99[0])/float64(p99[1]))
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -8,14 +8,14 @@
 )
 
 type settingsCommand struct {
-	Show    settingsShow    `cmd:"" default:"withargs" help:"What this daemon acts on; with a name: a document as it is agreed on."`
-	Put     settingsPut     `cmd:"" help:"Have the shared part of an operators' file agreed on, or another document."`
-	Remove  settingsRemove  `cmd:"" help:"Have a document taken out."`
-	Back    settingsBack    `cmd:"" help:"Have a document put as it was at a version."`
-	Force   settingsForce   `cmd:"" help:"Activate a version that some daemons can't act on: they go without a lease."`
-	Voters  settingsVoters  `cmd:"" help:"Who votes; have a daemon vote, or vote no longer."`
-	History settingsHistory `cmd:"" help:"What was changed, when and by whom."`
-	Diff    settingsDiff    `cmd:"" help:"What differs between two versions of a document, or between what is agreed on and a file."`
+	Show    settingsShowCommand    `cmd:"" default:"withargs" help:"What this daemon acts on; with a name: a document as it is agreed on."`
+	Put     settingsPutCommand     `cmd:"" help:"Have the shared part of an operators' file agreed on, or another document."`
+	Remove  settingsRemoveCommand  `cmd:"" help:"Have a document taken out."`
+	Revert  settingsRevertCommand  `name:"back" cmd:"" help:"Have a document put as it was at a version."`
+	Force   settingsForceCommand   `cmd:"" help:"Activate a version that some daemons can't act on: they go without a lease."`
+	Voters  settingsVotersCommand  `cmd:"" help:"Who votes; have a daemon vote, or vote no longer."`
+	History settingsHistoryCommand `cmd:"" help:"What was changed, when and by whom."`
+	Diff    settingsDiffCommand    `cmd:"" help:"What differs between two versions of a document, or between what is agreed on and a file."`
 }
 
 // document fetches a document as it was at a version; version 0 is the latest.
@@ -34,7 +34,7 @@
 // what the last poll read and its error.
 func (f *daemonFlags) pollUntil(timeout time.Duration, isDone func(*status.Settings) bool) (last *status.Settings, ok bool, err error) {
 	for began := time.Now(); ; time.Sleep(versionPollInterval) {
-		last, err = status.FetchVersions(f.At, reportTimeout)
+		last, err = status.FetchVersions(f.AdminAddr, reportTimeout)
 		if err == nil && isDone(last) {
 			return last, true, nil
 		}
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -15,8 +15,8 @@
 // changeFlags are the flags of a command that changes a document.
 type changeFlags struct {
 	rolloutFlags
-	Expect string `placeholder:"VERSION" help:"Change nothing unless this is the latest version."`
-	ID     string `help:"Of this change: made again with the same one it is done once. Left out: drawn."`
+	ExpectedVersion string `name:"expect" placeholder:"VERSION" help:"Change nothing unless this is the latest version."`
+	ID              string `help:"Of this change: made again with the same one it is done once. Left out: drawn."`
 }
 
 // propose has a change of a document agreed on, and waits until all daemons act on it. The id makes the change idempotent:
@@ -26,8 +26,8 @@
 		f.ID = rand.Text()
 	}
 	expect := "-"
-	if f.Expect != "" {
-		expect = f.Expect
+	if f.ExpectedVersion != "" {
+		expect = f.ExpectedVersion
 	}
 	agreed, err := f.call(body, append([]string{verb, f.ID, expect, document}, more...)...)
 	if indeterminate := (status.IndeterminateError{}); errors.As(err, &indeterminate) {
@@ -39,14 +39,14 @@
 	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
 }
 
-type settingsPut struct {
+type settingsPutCommand struct {
 	changeFlags
 	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: the document."`
 	Name string `help:"Put the file as this document: members/POOL (a list of members) or flag/NAME." placeholder:"NAME"`
 }
 
 // Run implements kong's command.
-func (c *settingsPut) Run() error {
+func (c *settingsPutCommand) Run() error {
 	body, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -65,32 +65,32 @@
 	return c.propose("put", name, body, strconv.Itoa(len(body)))
 }
 
-type settingsRemove struct {
+type settingsRemoveCommand struct {
 	changeFlags
 	Name string `arg:"" help:"Of the document."`
 }
 
 // Run implements kong's command.
-func (c *settingsRemove) Run() error { return c.propose("remove", c.Name, nil) }
+func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
-type settingsBack struct {
+type settingsRevertCommand struct {
 	changeFlags
 	Version uint64 `arg:"" help:"The version at which the document was as it is to be."`
 	Name    string `default:"shared" help:"Of the document."`
 }
 
 // Run implements kong's command.
-func (c *settingsBack) Run() error {
+func (c *settingsRevertCommand) Run() error {
 	return c.propose("back", c.Name, nil, strconv.FormatUint(c.Version, 10))
 }
 
-type settingsForce struct {
+type settingsForceCommand struct {
 	rolloutFlags
 	Version uint64 `arg:"" help:"The version that is to come."`
 }
 
 // Run implements kong's command.
-func (c *settingsForce) Run() error {
+func (c *settingsForceCommand) Run() error {
 	agreed, err := c.call(nil, "force", rand.Text(), strconv.FormatUint(c.Version, 10))
 	if err != nil {
 		return err
--- a/cmd/tuliprock/settings_diff.go
+++ b/cmd/tuliprock/settings_diff.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/config"
 )
 
-type settingsDiff struct {
+type settingsDiffCommand struct {
 	daemonFlags
 	Name string `default:"shared" help:"Of the document."`
 	From uint64 `help:"A version; 0: the latest."`
@@ -20,7 +20,7 @@
 }
 
 // Run implements kong's command. It ends with exitFailure where there is a difference.
-func (c *settingsDiff) Run() error {
+func (c *settingsDiffCommand) Run() error {
 	from, err := c.document(c.Name, c.From)
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 }
 
 // target returns what the document is compared with, and the label that the diff gives it.
-func (c *settingsDiff) target() (body []byte, label string, err error) {
+func (c *settingsDiffCommand) target() (body []byte, label string, err error) {
 	if c.File == "" {
 		to, err := c.document(c.Name, c.To)
 		if err != nil {
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -9,13 +9,13 @@
 	"tuliprock/internal/cluster/status"
 )
 
-type settingsHistory struct {
+type settingsHistoryCommand struct {
 	daemonFlags
 	Name string `arg:"" optional:"" help:"Of a document; left out: all."`
 }
 
 // Run implements kong's command.
-func (c *settingsHistory) Run() error {
+func (c *settingsHistoryCommand) Run() error {
 	result, err := c.call(nil, "history")
 	if err != nil {
 		return err
@@ -23,7 +23,7 @@
 	return c.printResult(result, func(w io.Writer) error { return c.writeHistory(w, result.History) })
 }
 
-func (c *settingsHistory) writeHistory(w io.Writer, history []status.HistoryEntry) error {
+func (c *settingsHistoryCommand) writeHistory(w io.Writer, history []status.HistoryEntry) error {
 	var rows strings.Builder
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -9,14 +9,14 @@
 	"tuliprock/internal/cluster/status"
 )
 
-type settingsShow struct {
+type settingsShowCommand struct {
 	daemonFlags
 	Name    string `arg:"" optional:"" help:"Of a document: shared, members/POOL, out/ID, flag/NAME."`
 	Version uint64 `help:"As it was at this version; 0: the latest."`
 }
 
 // Run implements kong's command.
-func (c *settingsShow) Run() error {
+func (c *settingsShowCommand) Run() error {
 	if c.Name != "" {
 		document, err := c.document(c.Name, c.Version)
 		if err != nil {
@@ -27,7 +27,7 @@
 			return err
 		})
 	}
-	settings, err := status.FetchSettings(c.At, reportTimeout)
+	settings, err := status.FetchSettings(c.AdminAddr, reportTimeout)
 	if err != nil {
 		return err
 	}
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -31,14 +31,14 @@
 `, c.nodes[0].Addr, c.nodes[1].Addr, markHeader, mark, strings.Repeat("x", pad))
 }
 
-// put puts a document by way of the daemon.
-func (d *clusterDaemon) put(id, name string, body []byte, within time.Duration) (*status.CommandResult, error) {
-	return status.Call(d.admin, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, within)
+// putDocument puts a document by way of the daemon.
+func (d *clusterDaemon) putDocument(id, name string, body []byte, within time.Duration) (*status.CommandResult, error) {
+	return status.Call(d.adminAddr, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, within)
 }
 
-// get sends a request through the daemon, and returns the response's status and Retry-After.
-func (d *clusterDaemon) get(client *http.Client, id string) (int, string, error) {
-	req, err := http.NewRequest(http.MethodGet, "http://"+d.http+"/x", nil)
+// sendRequest sends a request through the daemon, and returns the response's status and Retry-After.
+func (d *clusterDaemon) sendRequest(client *http.Client, id string) (int, string, error) {
+	req, err := http.NewRequest(http.MethodGet, "http://"+d.httpAddr+"/x", nil)
 	if err != nil {
 		return 0, "", err
 	}
@@ -59,8 +59,8 @@
 	c.t.Helper()
 	began := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
-			s, err := status.FetchVersions(d.admin, reportTimeout)
+		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.clusterAddr, version), func() bool {
+			s, err := status.FetchVersions(d.adminAddr, reportTimeout)
 			return err == nil && s.HasLease && s.Version >= version
 		})
 	}
@@ -73,7 +73,7 @@
 func TestSettingsCommandsOnFiveDaemons(t *testing.T) {
 	var mu sync.Mutex
 	marks := map[string]int{}
-	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
+	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		marks[r.Header.Get(markHeader)]++
@@ -85,7 +85,7 @@
 		clear(marks)
 		mu.Unlock()
 		testpeer.Until(t, "a request marked "+want, func() bool {
-			status, _, err := d.get(client, "")
+			status, _, err := d.sendRequest(client, "")
 			mu.Lock()
 			defer mu.Unlock()
 			return err == nil && status == http.StatusOK && marks[want] > 0
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 	}
-	at := func(i int) string { return "--at=" + c.daemons[i].admin }
+	at := func(i int) string { return "--at=" + c.daemons[i].adminAddr }
 
 	// A put of a complete operators' file, by way of a daemon that does not vote.
 	write(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
@@ -140,7 +140,7 @@
 	if err := os.WriteFile(filepath.Join(elsewhere, "members.json"), []byte(`{"format":1,"members":[{"address":"`+c.nodes[0].Addr+`"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.daemons[3].process = startProcessIn(t, elsewhere, "serve", "--config", c.daemons[3].path)
+	c.daemons[3].process = startProcessIn(t, elsewhere, "serve", "--config", c.daemons[3].configPath)
 	c.daemons[3].awaitText(t, "msg=listening")
 	marked(c.daemons[3], "two")
 	write([]byte(lacks))
@@ -153,7 +153,7 @@
 	cli(exitFailure, "can't act on version 5", "put", file, at(3), "--wait=2s")
 	cli(exitOK, "all act on version 5", "force", "5", at(3))
 	marked(c.daemons[3], "three")
-	if status, after, err := c.daemons[0].get(client, ""); err != nil || status != http.StatusServiceUnavailable || after == "" {
+	if status, after, err := c.daemons[0].sendRequest(client, ""); err != nil || status != http.StatusServiceUnavailable || after == "" {
 		t.Errorf("who can't act on what others do: %d, Retry-After %q, %v", status, after, err)
 	}
 	cli(exitOK, "all act on version 6", "back", "2", at(0))
@@ -194,7 +194,7 @@
 		_ = d.wait()
 	}
 	for _, d := range c.daemons[1:] {
-		d.process = startProcessIn(t, map[*clusterDaemon]string{c.daemons[3]: elsewhere}[d], "serve", "--config", d.path)
+		d.process = startProcessIn(t, map[*clusterDaemon]string{c.daemons[3]: elsewhere}[d], "serve", "--config", d.configPath)
 	}
 	for _, d := range c.daemons[1:] {
 		marked(d, "ten")
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -15,18 +15,18 @@
 	if err != nil {
 		t.Skip("SOAK is not set: a measurement")
 	}
-	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persist: true, shared: `shared = { unsure = "refuse" }`})
+	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`})
 	began, look, puts, failed := time.Now(), time.Duration(0), 0, 0
 	for time.Since(began) < length {
 		puts++
-		if _, err := c.daemons[puts%5].put(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTimeout); err != nil {
+		if _, err := c.daemons[puts%5].putDocument(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTimeout); err != nil {
 			failed++
 		}
 		if since := time.Since(began); since >= look {
 			text := ""
 			for i, d := range c.daemons {
 				text += fmt.Sprintf("  %d KiB, disk %d KiB",
-					processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), directorySize(t, filepath.Join(c.dir, fmt.Sprint("s", i)))>>10)
+					processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), directorySize(t, filepath.Join(c.dataDir, fmt.Sprint("s", i)))>>10)
 			}
 			t.Logf("%v: %d puts, %d failed:%s", since.Round(time.Second), puts, failed, text)
 			look += length / 10
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -91,7 +91,7 @@
 	} {
 		for _, way := range []string{"up", "down"} {
 			h := sha256.New()
-			_, _ = io.Copy(h, bodyOf(true, row.size))
+			_, _ = io.Copy(h, newBody(true, row.size))
 			want := fmt.Sprintf("%x", h.Sum(nil))
 			began := time.Now()
 			var busy sync.WaitGroup
@@ -260,7 +260,7 @@
 			}
 			defer nc.Close()
 			_, _ = fmt.Fprintf(nc, "PUT /bulk HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", 1<<30)
-			go func() { _, _ = io.Copy(nc, bodyOf(false, 1<<30)) }()
+			go func() { _, _ = io.Copy(nc, newBody(false, 1<<30)) }()
 			if resp, err := http.ReadResponse(bufio.NewReader(nc), nil); err == nil {
 				got = resp.Status
 			}
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -25,7 +25,7 @@
 	}
 	if n, err := strconv.ParseInt(query.Get("give"), 10, 64); err == nil {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
-		_, _ = io.CopyBuffer(struct{ io.Writer }{w}, pace(bodyOf(query.Get("hash") != "", n)), make([]byte, 256<<10))
+		_, _ = io.CopyBuffer(struct{ io.Writer }{w}, pace(newBody(query.Get("hash") != "", n)), make([]byte, 256<<10))
 		return
 	}
 	if query.Get("hash") == "" {
@@ -41,30 +41,30 @@
 // pacedReader reads at a rate of bytes per second.
 type pacedReader struct {
 	io.Reader
-	rate  int
-	began time.Time
-	got   int
+	bytesPerSecond int
+	startedAt      time.Time
+	bytesRead      int
 }
 
 func (s *pacedReader) Read(to []byte) (int, error) {
-	due := s.began.Add(time.Duration(float64(s.got) / float64(s.rate) * float64(time.Second)))
+	due := s.startedAt.Add(time.Duration(float64(s.bytesRead) / float64(s.bytesPerSecond) * float64(time.Second)))
 	time.Sleep(time.Until(due))
 	n, err := s.Reader.Read(to)
-	s.got += n
+	s.bytesRead += n
 	return n, err
 }
 
-// bodyOf is a body of n bytes: random ones, or undefined ones where their values do not matter.
-func bodyOf(noise bool, n int64) io.Reader {
+// newBody is a body of n bytes: random ones, or undefined ones where their values do not matter.
+func newBody(noise bool, n int64) io.Reader {
 	if noise {
 		return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
 	}
-	return io.LimitReader(zeroReader{}, n)
+	return io.LimitReader(undefinedBytesReader{}, n)
 }
 
-type zeroReader struct{}
+type undefinedBytesReader struct{}
 
-func (zeroReader) Read(to []byte) (int, error) { return len(to), nil }
+func (undefinedBytesReader) Read(to []byte) (int, error) { return len(to), nil }
 
 // serveSplice forwards connections with io.Copy alone: the most that the system can do.
 func serveSplice(at, to string) error {
@@ -99,7 +99,7 @@
 	}
 	defer nc.Close()
 	in := bufio.NewReaderSize(nc, 256<<10)
-	source := bodyOf(noise, n)
+	source := newBody(noise, n)
 	if rate > 0 {
 		source = &pacedReader{source, rate, time.Now(), 0}
 	}
