--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -13,10 +13,11 @@
 	"tuliprock/internal/route"
 )
 
+// checkCommand validates an operators' file, and explains which route a request takes.
 type checkCommand struct {
 	File    string   `arg:"" help:"An operators' file."`
-	Route   string   `placeholder:"'METHOD URL'" help:"Say which route takes this request, and why the ones before it don't."`
-	Headers []string `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of that request; may be repeated."`
+	Route   string   `placeholder:"'METHOD URL'" help:"Print which route matches this request, and why the routes before it do not."`
+	Headers []string `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of the request of --route; may be repeated."`
 }
 
 // Run implements kong's command.
@@ -40,16 +41,16 @@
 	return explainRoute(os.Stdout, f, r)
 }
 
-// parseRequest reads the request that --route and --header describe.
+// parseRequest parses the request that the flags --route and --header describe.
 func (c *checkCommand) parseRequest() (*route.Request, error) {
 	method, target, ok := strings.Cut(c.Route, " ")
 	u, err := url.Parse(target)
 	if !ok || err != nil || u.Host == "" {
-		return nil, fmt.Errorf("--route: %q is no method and URL", c.Route)
+		return nil, fmt.Errorf("--route: %q is not of the form 'METHOD URL'", c.Route)
 	}
 	path, query, err := route.Normalize(u.RequestURI())
 	if err != nil {
-		return nil, fmt.Errorf("--route: the daemon answers 400: %w", err)
+		return nil, fmt.Errorf("--route: the daemon responds with status 400: %w", err)
 	}
 	header, err := parseHeaders(c.Headers)
 	if err != nil {
@@ -58,23 +59,23 @@
 	return &route.Request{Host: route.Host(u.Host), Path: path, RawQuery: query, Method: method, Header: header}, nil
 }
 
-// explainRoute prints which route takes a request, and why each one before it does not.
+// explainRoute prints which route matches a request, and why each route before it does not.
 func explainRoute(w io.Writer, f *config.File, r *route.Request) error {
 	matched, ok := f.Table().Match(r)
 	for i := range f.Route {
 		if ok && i == matched {
-			to := f.Route[i]
-			_, err := fmt.Fprintf(w, "%s takes it: pool %s, class %s\n", routeName(f, i), to.Pool, to.Class)
+			matchedRoute := f.Route[i]
+			_, err := fmt.Fprintf(w, "%s takes it: pool %s, class %s\n", routeName(f, i), matchedRoute.Pool, matchedRoute.Class)
 			return err
 		}
 		if _, err := fmt.Fprintf(w, "%s does not: %s\n", routeName(f, i), f.Table().Mismatch(i, r)); err != nil {
 			return err
 		}
 	}
-	return verdictError{errors.New("no route takes it: the daemon answers 404")}
+	return verdictError{errors.New("no route matches: the daemon responds with status 404")}
 }
 
-// routeName is the route's place in the file, and its name if it has one.
+// routeName identifies a route by its index in the file, and by its name if it has one.
 func routeName(f *config.File, i int) string {
 	if name := f.Route[i].Name; name != "" {
 		return fmt.Sprintf("route[%d] (%s)", i, name)
@@ -82,14 +83,15 @@
 	return fmt.Sprintf("route[%d]", i)
 }
 
-// writeSummary prints what was understood of a file, and what looks like a mistake in it.
+// writeSummary prints what a file configures, with warnings about routes that cannot match and notes about members that
+// share an address.
 func writeSummary(w io.Writer, f *config.File) error {
 	var text strings.Builder
 	if err := writeColumns(&text, summaryRows(f)); err != nil {
 		return err
 	}
-	for _, s := range f.Table().Unreachable() {
-		fmt.Fprintf(&text, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, s.Rule), routeName(f, s.ShadowedBy))
+	for _, u := range f.Table().Unreachable() {
+		fmt.Fprintf(&text, "warning: %s takes nothing: %s takes all that it would\n", routeName(f, u.Rule), routeName(f, u.ShadowedBy))
 	}
 	for _, note := range sharedAddressNotes(f) {
 		fmt.Fprintf(&text, "note: %s\n", note)
@@ -98,6 +100,7 @@
 	return err
 }
 
+// summaryRows returns the tab-separated rows of the summary.
 func summaryRows(f *config.File) string {
 	var rows strings.Builder
 	for _, l := range f.Listener {
@@ -126,7 +129,7 @@
 	return rows.String()
 }
 
-// describeMembersSource says where a pool's members come from.
+// describeMembersSource describes where the members of a pool come from.
 func describeMembersSource(p *config.Pool) string {
 	switch {
 	case p.File != "":
@@ -142,10 +145,10 @@
 	}
 }
 
-// sharedAddressNotes names the members that have one address under two names or in two pools. Each pool knows only its own
-// requests, so that such an endpoint gets more than each pool takes it for able to serve.
+// sharedAddressNotes names the members that share an address with another member, of the same pool or of another. Each
+// member's load is counted on its own, so the endpoint behind both gets more load than either count allows it.
 func sharedAddressNotes(f *config.File) (notes []string) {
-	firstAt := map[string]string{} // the first member at an address
+	firstAt := map[string]string{} // the first member found at an address, by the address
 	for _, p := range f.Pool {
 		for _, m := range p.Member {
 			member := fmt.Sprintf("%s in pool %s", m.ID, p.Name)
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -11,34 +11,34 @@
 	"tuliprock/deploy/rehearsals"
 )
 
-// commandLine is what the arguments are parsed into. The names of verbs, flags and arguments come from the names of the
-// fields of the commands.
+// commandLine is the struct that kong parses the arguments into. A command, flag or argument is named after its field,
+// unless a name tag says otherwise.
 type commandLine struct {
-	Rehearse           rehearseCommand           `cmd:"" help:"Play a day on this machine, with stand-ins and real sidecars, and say whether each rule held."`
-	Fleet              fleetCommand              `cmd:"" help:"Play a fleet of hundreds of sidecars in virtual time, and say whether each rule held."`
-	Serve              serveCommand              `cmd:"" help:"Serve as an operators' file says, until SIGTERM. SIGHUP reads the file again."`
-	Check              checkCommand              `cmd:"" help:"Check an operators' file, and say what was understood."`
-	Peers              peersCommand              `cmd:"" help:"Who of its fleet a running daemon holds to be there."`
-	Settings           settingsCommand           `cmd:"" help:"What a running daemon's fleet has agreed on, and what of it the daemon acts on."`
-	ConsensusSim       consensusSimCommand       `name:"council" cmd:"" hidden:"" help:"Measures agreement on fleets in virtual time."`
-	FailureDetectorSim failureDetectorSimCommand `name:"detector" cmd:"" hidden:"" help:"Measures the failure detector on fleets in virtual time."`
-	Load               loadCommand               `cmd:"" help:"Send load on an open-loop schedule, and count latency from when each request was due."`
-	StandIn            standInCommand            `cmd:"" name:"stand-in" help:"Nodes on loopback that say which request came to them, to try a daemon with."`
-	Baseline           baselineCommand           `name:"plain" cmd:"" hidden:"" help:"The daemon with a textbook picker in the module's place, for rehearsals."`
+	Rehearse           rehearseCommand           `cmd:"" help:"Run a day on this machine, with stand-in nodes and real sidecars, and report whether each rule held."`
+	Fleet              fleetCommand              `cmd:"" help:"Simulate a fleet of hundreds of sidecars in virtual time, and report whether each rule held."`
+	Serve              serveCommand              `cmd:"" help:"Run the daemon on an operators' file, until SIGTERM. SIGHUP reloads the file."`
+	Check              checkCommand              `cmd:"" help:"Check an operators' file, and print a summary of it."`
+	Peers              peersCommand              `cmd:"" help:"List the members of its fleet that a running daemon knows, and their states."`
+	Settings           settingsCommand           `cmd:"" help:"Show and change the settings that a running daemon's fleet has agreed on."`
+	ConsensusSim       consensusSimCommand       `cmd:"" name:"council" hidden:"" help:"Measure consensus on settings in simulated fleets, in virtual time."`
+	FailureDetectorSim failureDetectorSimCommand `cmd:"" name:"detector" hidden:"" help:"Measure the failure detector in simulated fleets, in virtual time."`
+	Load               loadCommand               `cmd:"" help:"Send load on an open-loop schedule, and measure latency from the time each request was due."`
+	StandIn            standInCommand            `cmd:"" name:"stand-in" help:"Run stand-in nodes on loopback that echo each request, to try a daemon with."`
+	Baseline           baselineCommand           `cmd:"" name:"plain" hidden:"" help:"Run the daemon with a baseline picker instead of the decision module, for rehearsals."`
 }
 
-// verdictError is an error that ends the process with exitFailure: the work was done, and its result is bad. All other
-// errors of a command end it with exitUsage.
+// verdictError wraps an error that ends the process with exitFailure: the command ran, and its result is bad. Every other
+// error of a command ends the process with exitUsage.
 type verdictError struct{ error }
 
-// runCommand runs the command that the arguments name, prints its error and returns the exit code.
+// runCommand runs the command that the arguments name, prints the error if it fails, and returns the exit code.
 func runCommand(args []string) int {
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("tuliprock"),
 		kong.Description("A load-balancing sidecar. With no argument: the daemon, as ROUTER_CONFIG says."),
 		kong.Vars{"day": rehearsals.Default, "days": strings.Join(rehearsals.Names(), ", ")})
 	if err != nil {
-		panic(err) // the struct above is wrong
+		panic(err) // a tag of commandLine is malformed
 	}
 	ctx, err := parser.Parse(args)
 	if err == nil {
@@ -48,7 +48,7 @@
 		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "tuliprock:", err)
-	if bad := (verdictError{}); errors.As(err, &bad) {
+	if verdict := (verdictError{}); errors.As(err, &verdict) {
 		return exitFailure
 	}
 	return exitUsage
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -14,24 +14,25 @@
 	"tuliprock/internal/sidecar"
 )
 
-// heapLimitFraction is the share of the memory limit that the Go runtime is told as its own limit: from there on it collects
-// more often. The rest is for memory that the runtime does not count.
+// heapLimitFraction is the fraction of the configured memory limit that is set as the soft limit of the Go runtime, above
+// which it collects garbage more often. The rest is for memory that the runtime does not count.
 const heapLimitFraction = 0.7
 
-// The garbage collector's target, in percent of the live heap, which is small. On the platform, where memory is watched,
-// rare collections look like growth: 300 put off the first one for a minute. Elsewhere frequent ones cost a sixth of the
-// rate that one core serves to one client.
+// The garbage collector's target as for GOGC: how much the heap may grow until the next collection, in percent of the live
+// heap, which is small. The platform monitors memory, and rare collections look like a leak there: 300 delayed the first
+// collection by a minute. On an operators' file frequent collections would cost a sixth of the request rate that one core
+// serves to one client.
 const (
 	platformGCPercent = 50
 	fileGCPercent     = 400
 )
 
-// configSource returns what the daemon is to serve. It reads the configuration anew at each call, and is called by one
-// goroutine at a time.
+// configSource reads the configuration and returns the service that it describes. It reads the configuration again on every
+// call, and must not be called concurrently.
 type configSource func() (config.Service, error)
 
-// platformConfig reads the configuration that ROUTER_CONFIG names. Of all but the first one only what can change without a
-// restart is taken.
+// platformConfig returns the source that reads the file that ROUTER_CONFIG names. The first call applies the complete file;
+// later calls apply only the fields that can change without a restart.
 func platformConfig(log *slog.Logger) configSource {
 	var current *config.Config
 	return func() (config.Service, error) {
@@ -43,7 +44,7 @@
 			current = &c
 			return c.Service()
 		}
-		log.Info("configuration read again", "discovery", c.Discovery, "moves", c.Discovery != current.Discovery)
+		log.Info("configuration file read again", "discovery", c.Discovery, "moves", c.Discovery != current.Discovery)
 		if c.Listen != current.Listen || c.Limits != current.Limits {
 			log.Warn("listen and limits change with a restart only")
 		}
@@ -52,7 +53,7 @@
 	}
 }
 
-// fileConfig reads an operators' file.
+// fileConfig returns the source that reads the operators' file at path.
 func fileConfig(path string) configSource {
 	return func() (config.Service, error) {
 		f, err := config.Read(path)
@@ -69,10 +70,10 @@
 	return serve(decider, platformConfig(log), platformGCPercent, log)
 }
 
-// serve runs the daemon until SIGTERM or SIGINT and then until all accepted requests are answered. SIGHUP reloads the
-// configuration; a bad one is logged and changes nothing.
+// serve runs the daemon until SIGTERM or SIGINT, and then shuts it down gracefully: it returns when all accepted requests
+// have got their responses. SIGHUP reloads the configuration; an invalid configuration is logged and changes nothing.
 func serve(decider eventloop.BalancerFactory, source configSource, gcPercent int, log *slog.Logger) error {
-	hangups := make(chan os.Signal, 1) // before all else: uncaught, the signal ends the process
+	hangups := make(chan os.Signal, 1) // registered first, since an uncaught SIGHUP ends the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	service, err := source()
 	if err != nil {
@@ -88,10 +89,12 @@
 	if err != nil {
 		return err
 	}
-	go reloadOnHangup(s, hangups, source, log) // until the process ends
+	go reloadOnHangup(s, hangups, source, log) // runs until the process ends
 	return s.Serve(ctx)
 }
 
+// setRuntimeLimits applies the processor and memory limits, where they are set, and the garbage collector's target to the
+// Go runtime.
 func setRuntimeLimits(limits config.Limits, gcPercent int) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(limits.Cores), 1))
@@ -102,15 +105,16 @@
 	}
 }
 
+// warnIfFewDescriptors logs a warning if the process may open fewer file descriptors than the configured connections need.
 func warnIfFewDescriptors(service *config.Service, log *slog.Logger) {
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(service.MaxDescriptors()) {
-		log.Warn("the system grants fewer descriptors than the connections that the configuration allows",
-			"granted", files.Cur, "allowed", service.MaxDescriptors())
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(service.MaxDescriptors()) {
+		log.Warn("the file descriptor limit is lower than what the configured connections need",
+			"granted", limit.Cur, "allowed", service.MaxDescriptors())
 	}
 }
 
-// reloadOnHangup reloads the configuration after each signal, for as long as the process runs.
+// reloadOnHangup reloads the configuration after each SIGHUP. It never returns, since hangups is never closed.
 func reloadOnHangup(s *sidecar.Sidecar, hangups <-chan os.Signal, source configSource, log *slog.Logger) {
 	for range hangups {
 		service, err := source()
@@ -118,7 +122,7 @@
 			err = s.Reload(service)
 		}
 		if err != nil {
-			log.Error("the new configuration is not taken up", "error", err) // the text is read by .ci/run
+			log.Error("the new configuration is not taken up", "error", err) // .ci/run searches the log for this message
 			continue
 		}
 		log.Info("configuration reloaded")
--- a/cmd/tuliprock/daemonflags.go
+++ b/cmd/tuliprock/daemonflags.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// reportTimeout bounds a call that the daemon answers from its own state, which takes it less than a second.
+	// reportTimeout is for calls that the daemon answers from its own state, in less than a second.
 	reportTimeout = 2 * time.Second
-	// agreementTimeout bounds a call that a majority of the voters must answer: an election takes one or two seconds.
+	// agreementTimeout is for calls that need a majority of the voters, which may first hold an election of 1 to 2 s.
 	agreementTimeout = 10 * time.Second
 )
 
-// daemonFlags are the flags of a command that asks a running daemon.
+// daemonFlags are the flags of the commands that query a running daemon.
 type daemonFlags struct {
 	AdminAddr string `name:"at" required:"" placeholder:"ADDR" help:"The daemon's operators' address (admin_addr)."`
-	JSON      string `name:"json" placeholder:"FILE" help:"Write the whole answer here; '-': standard output."`
+	JSON      string `name:"json" placeholder:"FILE" help:"Write the complete result as JSON to this file; '-': standard output."`
 }
 
-// call sends a cluster command with its arguments and body to the daemon.
+// call sends a cluster command to the daemon: words are its name and arguments, body is the document that it carries.
 func (f *daemonFlags) call(body []byte, words ...string) (*status.CommandResult, error) {
 	return status.Call(f.AdminAddr, words, body, agreementTimeout)
 }
 
-// printResult writes a result as JSON where the flags ask for that, and else to standard output as print does.
+// printResult writes a result as JSON if the flag --json is given; otherwise it calls print with standard output.
 func (f *daemonFlags) printResult(result any, print func(w io.Writer) error) error {
 	if f.JSON != "" {
 		return writeJSON(f.JSON, result)
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -12,62 +12,66 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// checkGuarantees checks the observations against the guarantees.
+// checkGuarantees checks the observations of the run: daemons act on different versions for no longer than
+// maxVersionConflict, shed requests never reach a node, no agreed put is lost, and operations on the flag are linearizable.
+// version is that of the last put.
 func (s *faultSchedule) checkGuarantees(version uint64) {
 	t := s.t
 	history, err := status.Call(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	versions := s.versionsByMark(history)
-	acts := s.versionReports(versions)
-	v := clusterinvariant.JudgeVersions(acts, maxVersionConflict)
-	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
+	versionsByMark := s.versionsByMark(history)
+	reports := s.versionReports(versionsByMark)
+	verdict := clusterinvariant.JudgeVersions(reports, maxVersionConflict)
+	for _, b := range verdict.Breaches[:min(len(verdict.Breaches), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
 	for id := range s.requestsShed {
 		if a, ok := s.requestsArrived[id]; ok {
-			t.Errorf("%s was refused, and came to a node at %v", id, a.arrivedAt)
+			t.Errorf("request %s was shed, but arrived at a node at %v", id, a.arrivedAt)
 		}
 	}
 	for _, text := range s.violations[:min(len(s.violations), 5)] {
 		t.Error(text)
 	}
-	if v.Versions < 2 {
-		t.Errorf("%d versions were acted on: nothing was put to the test", v.Versions)
+	if verdict.Versions < 2 {
+		t.Errorf("the daemons acted on %d versions, want at least 2: nothing was tested", verdict.Versions)
 	}
 	if result := porcupine.CheckOperationsTimeout(flagModel, s.flagOperations, 20*time.Second); result != porcupine.Ok {
-		t.Errorf("the flag's history of %d operations is linearizable: %v", len(s.flagOperations), result)
+		t.Errorf("check of the %d operations on the flag for linearizability: %v, want %v", len(s.flagOperations), result, porcupine.Ok)
 	}
-	t.Logf("SCHEDULE %d versions of %d acted on in %d requests, the longest contradiction %v of %v; %d refused, "+
-		"%d without an answer; %d operations on the flag; refused by trouble %v",
-		v.Versions, version, len(acts), v.Longest.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
+	t.Logf("daemons acted on %d of %d versions in %d requests; daemons conflicted for at most %v, %v allowed; %d requests shed, "+
+		"%d without a response; %d operations on the flag; requests shed by fault: %v",
+		verdict.Versions, version, len(reports), verdict.Longest.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
 		s.unansweredCount, len(s.flagOperations), s.shedByFault())
 }
 
-// shedByFault counts the shed requests by the fault during or after which they were sent.
+// shedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
 func (s *faultSchedule) shedByFault() map[string]int {
-	by := map[string]int{}
+	counts := map[string]int{}
 	for id := range s.requestsShed {
 		name := "start"
-		for _, t := range s.faults {
-			if t.startedAt <= s.requestsSent[id].sentAt {
-				name = t.name
+		for _, fault := range s.faults {
+			if fault.startedAt <= s.requestsSent[id].sentAt {
+				name = fault.name
 			}
 		}
-		by[name]++
+		counts[name]++
 	}
-	return by
+	return counts
 }
 
-// versionsByMark are those of the settings texts, by mark. Each version that the response to a put named must be in the history.
+// versionsByMark returns the version that each settings text made according to the history, by the mark of the text. It
+// checks that versions are unique, and that each version that a put was told of is in the history with that put's text.
 func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
-	versions, known := map[string]uint64{}, map[uint64]string{}
+	versions := map[string]uint64{}
+	digests := map[uint64]string{} // SHA-256 digest of the change that made a version, by the version
 	for _, c := range history.History {
-		if _, twice := known[c.Version]; twice {
-			s.t.Errorf("version %d is there twice", c.Version)
+		if _, isDuplicate := digests[c.Version]; isDuplicate {
+			s.t.Errorf("the history has version %d twice, want it once", c.Version)
 		}
-		known[c.Version] = c.SHA256
+		digests[c.Version] = c.SHA256
 		for digest, mark := range s.markByDigest {
 			if c.SHA256 == fmt.Sprintf("%x", digest) {
 				versions[mark] = c.Version
@@ -75,34 +79,34 @@
 		}
 	}
 	for version, digest := range s.digestByVersion {
-		if known[version] != fmt.Sprintf("%x", digest) {
-			s.t.Errorf("a put was told that it made version %d, which is another's, or lost", version)
+		if digests[version] != fmt.Sprintf("%x", digest) {
+			s.t.Errorf("the response to a put named version %d, but the history lacks that version or has another change for it", version)
 		}
 	}
 	return versions
 }
 
-// versionReports are the requests that arrived at nodes, as acts of the daemons. One that was sent to a daemon while that was paused
-// was decided after it resumed.
-func (s *faultSchedule) versionReports(versions map[string]uint64) (acts []clusterinvariant.Act) {
+// versionReports returns what each request that arrived at a node shows: that its daemon acted on the version of the mark, at
+// some time between sending and arrival. If the daemon was paused when the request was sent, that time begins when it resumed.
+func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.Act) {
 	for id, a := range s.requestsArrived {
-		from := s.requestsSent[id]
-		if a.mark == "" { // decided by the daemon's own file, before the first agreement
+		sent := s.requestsSent[id]
+		if a.mark == "" { // forwarded by the daemon's own file, before the first agreement
 			continue
 		}
-		for _, p := range s.pausesByDaemon[from.daemon] {
-			if from.sentAt > p.from && from.sentAt < p.to {
-				from.sentAt = p.to
+		for _, p := range s.pausesByDaemon[sent.daemon] {
+			if sent.sentAt > p.from && sent.sentAt < p.to {
+				sent.sentAt = p.to
 			}
 		}
-		if versions[a.mark] == 0 {
-			s.t.Errorf("%s was decided by %q, which was never agreed on", id, a.mark)
+		if versionsByMark[a.mark] == 0 {
+			s.t.Errorf("request %s has the mark %q, whose settings were never agreed on", id, a.mark)
 		}
-		acts = append(acts, clusterinvariant.Act{
-			Asked: from.sentAt, Said: a.arrivedAt, By: fmt.Sprint("s", from.daemon), Life: from.incarnation,
-			Version: versions[a.mark], Digest: a.mark,
+		reports = append(reports, clusterinvariant.Act{
+			Asked: sent.sentAt, Said: a.arrivedAt, By: fmt.Sprint("s", sent.daemon), Life: sent.incarnation,
+			Version: versionsByMark[a.mark], Digest: a.mark,
 		})
 	}
-	slices.SortFunc(acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
-	return acts
+	slices.SortFunc(reports, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
+	return reports
 }
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -11,13 +11,14 @@
 	"tuliprock/internal/testkit/fleetsim"
 )
 
+// fleetCommand simulates fleets of sidecars, each through one fault scenario.
 type fleetCommand struct {
-	Scenarios   []string      `name:"troubles" arg:"" optional:"" help:"What goes wrong: calm, roll, herd, zone, split, join; none: each of them, one day after another."`
-	Sidecars    int           `default:"300" help:"Sidecars of all tiers together."`
-	Seed        uint64        `default:"1" help:"The same seed draws the same day."`
-	Length      time.Duration `default:"20s" help:"For how long requests are asked for, in virtual time."`
-	Utilization float64       `name:"use" default:"0.6" help:"Of what the fleet can do, by the work that is asked for."`
-	Baseline    string        `name:"against" placeholder:"NAME" help:"A plain picker in the module's place: random, round-robin, least-outstanding."`
+	Scenarios   []string      `arg:"" optional:"" name:"troubles" help:"Fault scenarios to simulate: calm, roll, herd, zone, split, join; default: all of them."`
+	Sidecars    int           `default:"300" help:"Number of sidecars in all tiers together."`
+	Seed        uint64        `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
+	Length      time.Duration `default:"20s" help:"How long clients send requests, in virtual time."`
+	Utilization float64       `name:"use" default:"0.6" help:"Offered load as a fraction of the capacity of the fleet."`
+	Baseline    string        `name:"against" placeholder:"NAME" help:"Use a baseline picker instead of the decision module: random, round-robin, least-outstanding."`
 	JSON        string        `name:"json" placeholder:"FILE" help:"Write the results as JSON; -: standard output."`
 }
 
@@ -61,15 +62,16 @@
 	return nil
 }
 
-// simulateAll plays the days at the same time. Each has a goroutine and a state of its own; all have ended when it returns.
+// simulateAll simulates all scenarios in parallel, each in a goroutine with a state of its own, and returns when all have
+// ended.
 func (c *fleetCommand) simulateAll(decider eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
 	results, errs := make([]*fleetsim.Result, len(c.Scenarios)), make([]error, len(c.Scenarios))
-	var days sync.WaitGroup
-	for i, trouble := range c.Scenarios {
-		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Utilization}
-		days.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
+	var simulations sync.WaitGroup
+	for i, scenario := range c.Scenarios {
+		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: scenario, Length: c.Length, Use: c.Utilization}
+		simulations.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
 	}
-	days.Wait()
+	simulations.Wait()
 	return results, errors.Join(errs...)
 }
 
--- a/cmd/tuliprock/headers.go
+++ b/cmd/tuliprock/headers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// parseHeaders reads the values of --header, each of the form "NAME: VALUE".
+// parseHeaders parses the values of the flag --header, each of the form "NAME: VALUE".
 func parseHeaders(lines []string) (http.Header, error) {
 	header := http.Header{}
 	for _, line := range lines {
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -17,33 +17,36 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
+// loadCommand generates load, or merges the results of earlier load runs.
 type loadCommand struct {
 	Send  loadSendCommand  `cmd:"" default:"withargs" help:"Send load (the default)."`
-	Merge loadMergeCommand `cmd:"" help:"Join the results of several runs, exactly."`
+	Merge loadMergeCommand `cmd:"" help:"Merge the results of several runs into one, without loss of precision."`
 }
 
-// Bounds of a run, so that a mistyped flag cannot send more than was meant.
+// Upper bounds of the flags, so that a typing error cannot send far more load than was meant.
 const (
 	maxLoadRate        = 100_000 // requests per second
 	maxLoadDuration    = 24 * time.Hour
 	maxLoadConnections = 20_000
 )
 
+// loadSendCommand sends requests to a target on an open-loop schedule and measures their latencies.
 type loadSendCommand struct {
-	Target          string        `required:"" placeholder:"URL" help:"Where to; {n} in it is the request's number."`
-	Rate            float64       `default:"100" help:"Requests a second."`
-	Duration        time.Duration `name:"for" default:"10s" help:"How long to send."`
-	Gaps            string        `default:"poisson" enum:"poisson,even,pareto,on-off" help:"How requests follow one another: ${enum}."`
-	ResponseTimeout time.Duration `name:"wait" default:"5s" help:"How long an answer is waited for, from when its request was due."`
-	Connections     int           `default:"1000" help:"Requests out at once; those beyond are counted as not sent."`
-	Seed            uint64        `default:"1" help:"Draws the schedule."`
-	Method          string        `default:"GET" help:"Of the requests."`
-	Headers         []string      `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of the requests; may be repeated."`
-	Body            string        `help:"Of the requests."`
-	AllowedHost     string        `name:"i-may-load" placeholder:"HOST" help:"The host of the target, in full, if it is not on loopback."`
+	Target          string        `required:"" placeholder:"URL" help:"URL to send requests to; {n} in it is replaced by the number of the request."`
+	Rate            float64       `default:"100" help:"Requests per second."`
+	Duration        time.Duration `name:"for" default:"10s" help:"How long to send requests."`
+	Gaps            string        `default:"poisson" enum:"poisson,even,pareto,on-off" help:"Distribution of the gaps between requests: ${enum}."`
+	ResponseTimeout time.Duration `name:"wait" default:"5s" help:"How long to wait for a response, from the time the request was due."`
+	Connections     int           `default:"1000" help:"Maximum number of requests in flight; requests beyond it are counted as not sent."`
+	Seed            uint64        `default:"1" help:"Seed of the random schedule."`
+	Method          string        `default:"GET" help:"Method of the requests."`
+	Headers         []string      `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"Header to add to each request; may be repeated."`
+	Body            string        `help:"Body of the requests."`
+	AllowedHost     string        `name:"i-may-load" placeholder:"HOST" help:"Host of the target, which must be confirmed if it is not on loopback."`
 	JSON            string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
 }
 
+// gapsByName maps the values of --gaps to the distributions of the gaps between requests.
 var gapsByName = map[string]schedule.Gaps{
 	"poisson": schedule.Exponential,
 	"even":    schedule.Even,
@@ -51,7 +54,8 @@
 	"on-off":  schedule.OnOff,
 }
 
-// Run implements kong's command. Exit code 0: the run is valid; 1: it is not, or was interrupted; 2: nothing was sent.
+// Run implements kong's command. The exit code is 0 if the run is valid, 1 if it is not valid or was interrupted, and 2 if
+// no request was sent.
 func (c *loadSendCommand) Run() error {
 	if err := c.validate(); err != nil {
 		return err
@@ -64,12 +68,12 @@
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
-	log.SetOutput(io.Discard) // net/http logs there when a server sends what was not requested
+	log.SetOutput(io.Discard) // net/http logs unsolicited responses on idle connections there
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	send := loadgen.NewHTTP(request, c.Connections, nil)
-	defer send.Close()
-	result, err := loadgen.Run(ctx, c.options(), send)
+	sender := loadgen.NewHTTP(request, c.Connections, nil)
+	defer sender.Close()
+	result, err := loadgen.Run(ctx, c.options(), sender)
 	if err != nil {
 		return err
 	}
@@ -98,30 +102,30 @@
 	u, err := url.Parse(c.Target)
 	switch {
 	case err != nil || u.Scheme != "http" || u.Host == "":
-		return fmt.Errorf("--target: %q is no http:// URL", c.Target)
+		return fmt.Errorf("--target: %q is not an http:// URL", c.Target)
 	case !isLoopback(u.Hostname()) && c.AllowedHost != u.Hostname():
-		return fmt.Errorf("--target: %s is not on loopback: say --i-may-load %s if you may", u.Hostname(), u.Hostname())
+		return fmt.Errorf("--target: %s is not on loopback; confirm with --i-may-load %s that it may be loaded", u.Hostname(), u.Hostname())
 	case !(c.Rate > 0 && c.Rate <= maxLoadRate):
-		return fmt.Errorf("--rate: must be over 0, and %d at most", maxLoadRate)
+		return fmt.Errorf("--rate: must be greater than 0 and at most %d", maxLoadRate)
 	case c.Duration <= 0 || c.Duration > maxLoadDuration:
-		return fmt.Errorf("--for: must be over 0, and %v at most", maxLoadDuration)
+		return fmt.Errorf("--for: must be greater than 0 and at most %v", maxLoadDuration)
 	case c.ResponseTimeout <= 0 || c.ResponseTimeout > maxLoadDuration:
-		return fmt.Errorf("--wait: must be over 0, and %v at most", maxLoadDuration)
+		return fmt.Errorf("--wait: must be greater than 0 and at most %v", maxLoadDuration)
 	case c.Connections < 1 || c.Connections > maxLoadConnections:
 		return fmt.Errorf("--connections: must be from 1 to %d", maxLoadConnections)
 	}
 	return nil
 }
 
-// isLoopback says whether a host is this machine. Names other than localhost are not resolved: what they resolve to may
-// change.
+// isLoopback reports whether a host is localhost or a loopback IP address. Other names are not resolved, since their
+// addresses may change.
 func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// writeLoadResult prints a result as a table, and writes it as JSON to path unless that is empty; with "-" the JSON goes to
-// standard output and the table to standard error.
+// writeLoadResult prints a result as a table, and writes it as JSON to path unless path is empty. If path is "-", the JSON
+// goes to standard output and the table to standard error.
 func writeLoadResult(result *loadgen.Result, path string) error {
 	table := io.Writer(os.Stdout)
 	if path == "-" {
--- a/cmd/tuliprock/load_merge.go
+++ b/cmd/tuliprock/load_merge.go
@@ -9,9 +9,10 @@
 	"tuliprock/internal/testkit/loadgen"
 )
 
+// loadMergeCommand merges the results of several load runs into one.
 type loadMergeCommand struct {
-	Files []string `arg:"" help:"Results that 'load --json' has written."`
-	JSON  string   `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
+	Files []string `arg:"" help:"Result files written by 'load --json'."`
+	JSON  string   `name:"json" placeholder:"FILE" help:"Write the merged result as JSON; -: standard output."`
 }
 
 // Run implements kong's command.
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -1,11 +1,12 @@
 // Tuliprock is a load-balancing sidecar: it accepts requests from clients and forwards each to the endpoint that the
 // decision module chooses.
 //
-// Started without an argument it is the platform's daemon and reads the configuration that ROUTER_CONFIG names. All else
-// is a command with a file of its own here: serve runs the daemon on an operators' file, check reads such a file, peers
-// and settings ask a running daemon, and rehearse, fleet, load and stand-in are tools to test daemons with. The package
-// keeps no state: the daemon's is owned by internal/sidecar. Its own goroutines are the one that reloads the configuration,
-// which lasts as long as the process, and those of the tools, which end before their command does.
+// Started without an argument it is the platform's daemon and reads the configuration file that ROUTER_CONFIG names.
+// Everything else is a command in a file of its own in this package: serve runs the daemon on an operators' file, check
+// validates such a file, peers and settings query a running daemon, and rehearse, fleet, load and stand-in are tools to
+// test daemons with. The package keeps no state: the daemon's state is owned by internal/sidecar. The package starts two
+// kinds of goroutines: one that reloads the configuration and lasts as long as the process, and those of the tools, which
+// end before their command returns.
 package main
 
 import (
@@ -17,9 +18,9 @@
 
 // Exit codes, the same for all commands.
 const (
-	exitOK      = iota // the work was done, and its result is good
-	exitFailure        // the work was done, and its result is bad; or the platform's daemon ended with an error
-	exitUsage          // nothing was done
+	exitOK      = iota // the command ran, and its result is good
+	exitFailure        // the command ran, and its result is bad; or the platform's daemon ended with an error
+	exitUsage          // the command did nothing, because of a usage or input error
 )
 
 func main() {
--- a/cmd/tuliprock/output.go
+++ b/cmd/tuliprock/output.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// writeJSON writes the result of a command as one line of JSON to a file; "-" is standard output.
+// writeJSON writes the result of a command as one line of JSON to the file at path, or to standard output if path is "-".
 func writeJSON(path string, result any) error {
 	text, err := json.Marshal(result)
 	if err != nil {
@@ -21,11 +21,11 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// writeColumns writes rows whose cells are separated by tabs, and aligns the cells.
+// writeColumns writes tab-separated rows as a table with aligned columns.
 func writeColumns(w io.Writer, rows string) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	if _, err := io.WriteString(t, rows); err != nil {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(table, rows); err != nil {
 		return err
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -9,6 +9,7 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// peersCommand prints the members of a daemon's cluster as the daemon sees them.
 type peersCommand struct{ daemonFlags }
 
 // Run implements kong's command.
@@ -20,6 +21,7 @@
 	return c.printResult(fleet, func(w io.Writer) error { return writePeers(w, fleet) })
 }
 
+// writePeers prints the state of a daemon in its cluster, and its view of each member.
 func writePeers(w io.Writer, f *status.Fleet) error {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Connectivity, f.View, f.Daemons)
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -19,17 +19,18 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
+// rehearseCommand runs a day: real sidecars serve generated load with stand-in nodes, while faults are injected.
 type rehearseCommand struct {
-	Day             string        `arg:"" optional:"" help:"A day's file, or the name of one that ships (${days}); none: ${day}."`
-	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Draw the day by these seeds, one after another, instead of its own."`
-	DemandFactors   []float64     `name:"demand" sep:"," default:"1" help:"Times the day's demand; several are played one after another."`
-	Baselines       []string      `name:"against" sep:"," placeholder:"NAME,..." help:"Play the same with plain pickers too: random, round-robin, least-outstanding."`
-	Length          time.Duration `help:"Cut the day to this length; its troubles move along."`
-	UseServeCommand bool          `name:"serve" help:"Start the sidecars with 'serve' on operators' files, in place of what the platform tells."`
-	PrintPlan       bool          `name:"plan" help:"Print the drawn schedule, fleet and troubles as lines of JSON, and play nothing."`
+	Day             string        `arg:"" optional:"" help:"A day's file, or the name of a day that ships (${days}); default: ${day}."`
+	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Run the day once with each of these seeds, instead of its own seed."`
+	DemandFactors   []float64     `name:"demand" sep:"," default:"1" help:"Factors to multiply the day's demand by; the day is run once with each."`
+	Baselines       []string      `name:"against" sep:"," placeholder:"NAME,..." help:"Also run the day with baseline pickers, to compare: random, round-robin, least-outstanding."`
+	Length          time.Duration `help:"Shorten the day to this length; the times of its faults are scaled with it."`
+	UseServeCommand bool          `name:"serve" help:"Start the sidecars with 'serve' on operators' files, instead of on platform configurations."`
+	PrintPlan       bool          `name:"plan" help:"Print the drawn schedule, fleet and faults as lines of JSON, and run nothing."`
 	JSON            string        `name:"json" placeholder:"FILE" help:"Write the whole result as JSON; -: standard output."`
-	Report          string        `placeholder:"FILE.html" help:"Write a page that opens offline."`
-	LogDir          string        `name:"logs" placeholder:"DIR" help:"Keep the sidecars' logs."`
+	Report          string        `placeholder:"FILE.html" help:"Write the result as an HTML page that needs no network."`
+	LogDir          string        `name:"logs" placeholder:"DIR" help:"Keep the sidecars' logs in this directory."`
 }
 
 // Help implements kong's HelpProvider.
@@ -38,7 +39,7 @@
 		". Exit code 0: every rule held; 1: one was broken, or the day was not valid; 2: nothing was played."
 }
 
-// loadDay reads the day: one that ships, by its name, or a file.
+// loadDay reads the day that the argument gives: the name of a day that ships, or else the path of a file.
 func (c *rehearseCommand) loadDay() (*rehearse.Day, error) {
 	name := c.Day
 	if name == "" {
@@ -87,7 +88,7 @@
 	return c.writeResults(results, files)
 }
 
-// drawPlans draws a plan for each demand and seed.
+// drawPlans draws a plan from the day for each combination of demand factor and seed.
 func (c *rehearseCommand) drawPlans(day *rehearse.Day) ([]*rehearse.Plan, error) {
 	seeds := c.Seeds
 	if len(seeds) == 0 {
@@ -96,7 +97,7 @@
 	var plans []*rehearse.Plan
 	for _, demand := range c.DemandFactors {
 		if demand <= 0 || demand > 100 {
-			return nil, fmt.Errorf("--demand: %v is not over 0 and 100 at most", demand)
+			return nil, fmt.Errorf("--demand: %v is not greater than 0 and at most 100", demand)
 		}
 		for _, seed := range seeds {
 			plan, err := rehearse.NewPlan(day, seed, demand)
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// runAll plays each plan with the module and with the plain pickers, one after another: side by side they would compete
-// for the machine.
+// runAll runs each plan with the decision module and with each baseline picker. The runs are sequential, since parallel
+// ones would compete for the processors.
 func (c *rehearseCommand) runAll(ctx context.Context, plans []*rehearse.Plan) ([]*rehearse.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -147,7 +148,8 @@
 	return results, nil
 }
 
-// options are those of a play whose sidecars are this program.
+// options returns the options of a run whose sidecars are processes of this program. The balancer is rehearse.Module or the
+// name of a baseline picker.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
 	isModule := balancer == rehearse.Module
 	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, Serve: c.UseServeCommand && isModule}
@@ -160,8 +162,8 @@
 	return options
 }
 
-// writeResults prints the results and writes them to the files that are wanted. The error is the verdict on the module's
-// plays; the plain pickers have none.
+// writeResults prints the results and writes the files of --json and --report. It returns a verdictError if a run with the
+// decision module is not valid or broke a rule; runs with baseline pickers are not judged.
 func (c *rehearseCommand) writeResults(results []*rehearse.Result, files *outputFiles) error {
 	table := io.Writer(os.Stdout)
 	if c.JSON == "-" {
@@ -173,8 +175,8 @@
 	if err := files.write(results); err != nil {
 		return verdictError{err}
 	}
-	ofModule := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.Module })
-	for _, r := range ofModule {
+	moduleResults := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.Module })
+	for _, r := range moduleResults {
 		switch {
 		case !r.Valid:
 			return verdictError{fmt.Errorf("%s is not valid: %s", r.Day, r.Invalid[0])}
--- a/cmd/tuliprock/rehearse_output.go
+++ b/cmd/tuliprock/rehearse_output.go
@@ -9,16 +9,17 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
-// outputFiles are the files that are written at the end. They are opened before the day is played, so that a path that
-// cannot be written fails at once, and each appears complete or not at all.
+// outputFiles are the files that results are written to. They are opened before the day is run, so that the command fails
+// at once if a path is not writable. Each file appears complete or not at all.
 type outputFiles struct {
 	files []*outputFile
 }
 
+// outputFile is a file that is being written, and the function that formats results for it.
 type outputFile struct {
 	path        string
 	file        *os.File
-	isTemporary bool // file stands beside path, to be renamed
+	isTemporary bool // whether file is a temporary file in the directory of path, which finish renames to path
 	write       func(io.Writer, []*rehearse.Result) error
 }
 
@@ -38,7 +39,7 @@
 	return outputs, nil
 }
 
-// write writes the results to each file and puts it in its place.
+// write writes the results to each file and renames temporary files to their paths.
 func (o *outputFiles) write(results []*rehearse.Result) error {
 	for _, f := range o.files {
 		if err := f.write(f.file, results); err != nil {
@@ -51,18 +52,18 @@
 	return nil
 }
 
-// discard removes the files that were not finished.
+// discard removes the temporary files that were not renamed to their paths.
 func (o *outputFiles) discard() {
 	for _, f := range o.files {
 		if f.isTemporary {
-			_ = f.file.Close()           // its contents are removed, or it was closed by finish
-			_ = os.Remove(f.file.Name()) // there is none after finish has renamed it
+			_ = f.file.Close()           // an error does not matter: the file is removed next, or finish has closed it already
+			_ = os.Remove(f.file.Name()) // fails if finish has renamed the file
 		}
 	}
 }
 
-// open creates a temporary file beside the one wanted, so that no incomplete one is ever found there. A device, a pipe or
-// standard output ("-") is written to directly.
+// open creates a temporary file in the directory of the path, so that no incomplete file is ever found at the path. A
+// device, a pipe or standard output ("-") is written to directly.
 func (f *outputFile) open() (err error) {
 	if f.path == "-" {
 		f.file = os.Stdout
@@ -77,7 +78,7 @@
 	return err
 }
 
-// finish closes the file and puts it in its place.
+// finish closes the file and, if it is temporary, renames it to its path.
 func (f *outputFile) finish() error {
 	if f.file == os.Stdout {
 		return nil
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -10,14 +10,16 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
-// progressBar shows on standard error how far a play has come. It does nothing where that is no terminal.
-type progressBar struct{ bar *progressbar.ProgressBar }
+// progressBar shows the progress of a run on standard error. It shows nothing if standard error is not a terminal.
+type progressBar struct {
+	bar *progressbar.ProgressBar // nil if standard error is not a terminal
+}
 
 func newProgressBar(plan *rehearse.Plan, balancer string) *progressBar {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return &progressBar{}
 	}
-	return &progressBar{progressbar.NewOptions64(plan.Day.Length.Milliseconds(),
+	return &progressBar{bar: progressbar.NewOptions64(plan.Day.Length.Milliseconds(),
 		progressbar.OptionSetWriter(os.Stderr),
 		progressbar.OptionSetWidth(30),
 		progressbar.OptionSetDescription(fmt.Sprintf("%s, %s", plan.Day.Name, balancer)),
@@ -26,20 +28,22 @@
 		progressbar.OptionShowElapsedTimeOnFinish())}
 }
 
+// show updates the bar to a snapshot of the run.
 func (b *progressBar) show(s rehearse.Snapshot) {
 	if b.bar == nil {
 		return
 	}
-	worth := 1.0
+	servedFraction := 1.0 // value served in time over value offered so far
 	if s.Offered > 0 {
-		worth = s.InTime / s.Offered
+		servedFraction = s.InTime / s.Offered
 	}
-	b.bar.Describe(fmt.Sprintf("worth %.3f, %3d in flight, %3.0f s", worth, s.InFlight, s.At.Seconds()))
-	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds()) // a bar that is not drawn harms nothing
+	b.bar.Describe(fmt.Sprintf("worth %.3f, %3d in flight, %3.0f s", servedFraction, s.InFlight, s.At.Seconds()))
+	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds()) // an error only means that the bar is not drawn
 }
 
+// finish clears the bar.
 func (b *progressBar) finish() {
 	if b.bar != nil {
-		_ = b.bar.Finish() // a bar that is not cleared harms nothing
+		_ = b.bar.Finish() // an error only means that the bar is not cleared
 	}
 }
--- a/cmd/tuliprock/serve.go
+++ b/cmd/tuliprock/serve.go
@@ -7,8 +7,9 @@
 	"tuliprock/internal/eventloop"
 )
 
+// serveCommand runs the daemon on an operators' file.
 type serveCommand struct {
-	Config string `required:"" placeholder:"FILE" help:"An operators' file; 'tuliprock check' says what is understood of it."`
+	Config string `required:"" placeholder:"FILE" help:"An operators' file; 'tuliprock check' prints a summary of it."`
 }
 
 // Run implements kong's command.
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -7,18 +7,19 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// settingsCommand groups the commands that show and change the documents on which a cluster has agreed.
 type settingsCommand struct {
-	Show    settingsShowCommand    `cmd:"" default:"withargs" help:"What this daemon acts on; with a name: a document as it is agreed on."`
-	Put     settingsPutCommand     `cmd:"" help:"Have the shared part of an operators' file agreed on, or another document."`
-	Remove  settingsRemoveCommand  `cmd:"" help:"Have a document taken out."`
-	Revert  settingsRevertCommand  `name:"back" cmd:"" help:"Have a document put as it was at a version."`
-	Force   settingsForceCommand   `cmd:"" help:"Activate a version that some daemons can't act on: they go without a lease."`
-	Voters  settingsVotersCommand  `cmd:"" help:"Who votes; have a daemon vote, or vote no longer."`
-	History settingsHistoryCommand `cmd:"" help:"What was changed, when and by whom."`
-	Diff    settingsDiffCommand    `cmd:"" help:"What differs between two versions of a document, or between what is agreed on and a file."`
+	Show    settingsShowCommand    `cmd:"" default:"withargs" help:"Show which version of the settings this daemon acts on, or with a name the body of a document (the default)."`
+	Put     settingsPutCommand     `cmd:"" help:"Put the shared part of an operators' file, or another document, into the agreed settings."`
+	Remove  settingsRemoveCommand  `cmd:"" help:"Remove a document from the agreed settings."`
+	Revert  settingsRevertCommand  `cmd:"" name:"back" help:"Revert a document to what it was at a version."`
+	Force   settingsForceCommand   `cmd:"" help:"Activate a version that some daemons can't act on; these daemons lose their lease."`
+	Voters  settingsVotersCommand  `cmd:"" help:"List the voters, or add or remove a voter."`
+	History settingsHistoryCommand `cmd:"" help:"List the changes of the settings, with time and author."`
+	Diff    settingsDiffCommand    `cmd:"" help:"Show the differences between two versions of a document, or between a version and a file."`
 }
 
-// document fetches a document as it was at a version; version 0 is the latest.
+// document fetches a document as it was at a version of the settings; version 0 is the latest.
 func (f *daemonFlags) document(name string, version uint64) (*status.CommandResult, error) {
 	words := []string{"show", name}
 	if version > 0 {
@@ -27,18 +28,18 @@
 	return f.call(nil, words...)
 }
 
-// versionPollInterval is how often a daemon is asked whether it has come to a version.
+// versionPollInterval is the interval of the polls that wait for a daemon to reach a version.
 const versionPollInterval = 100 * time.Millisecond
 
-// pollUntil polls a daemon's versions until they satisfy isDone. When that takes longer than timeout it returns false, with
-// what the last poll read and its error.
+// pollUntil polls the versions of a daemon until isDone accepts them. After timeout it returns ok == false, with the result
+// and the error of the last poll.
 func (f *daemonFlags) pollUntil(timeout time.Duration, isDone func(*status.Settings) bool) (last *status.Settings, ok bool, err error) {
-	for began := time.Now(); ; time.Sleep(versionPollInterval) {
+	for start := time.Now(); ; time.Sleep(versionPollInterval) {
 		last, err = status.FetchVersions(f.AdminAddr, reportTimeout)
 		if err == nil && isDone(last) {
 			return last, true, nil
 		}
-		if time.Since(began) > timeout {
+		if time.Since(start) > timeout {
 			return last, false, err
 		}
 	}
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -12,15 +12,16 @@
 	"tuliprock/internal/config"
 )
 
-// changeFlags are the flags of a command that changes a document.
+// changeFlags are the flags of the commands that change a document.
 type changeFlags struct {
 	rolloutFlags
 	ExpectedVersion string `name:"expect" placeholder:"VERSION" help:"Change nothing unless this is the latest version."`
-	ID              string `help:"Of this change: made again with the same one it is done once. Left out: drawn."`
+	ID              string `help:"Idempotency key of this change: a repeated change with the same key takes effect once. Default: a random key."`
 }
 
-// propose has a change of a document agreed on, and waits until all daemons act on it. The id makes the change idempotent:
-// where the outcome is indeterminate the error names the id to repeat it with.
+// propose sends a change of a document to the daemon, which gets the cluster's agreement, and waits until all daemons act on
+// it. The id makes the change idempotent: if the outcome is indeterminate, the error names the id to retry with. verb is the
+// cluster command, and more are its arguments after the document's name.
 func (f *changeFlags) propose(verb, document string, body []byte, more ...string) error {
 	if f.ID == "" {
 		f.ID = rand.Text()
@@ -31,7 +32,7 @@
 	}
 	agreed, err := f.call(body, append([]string{verb, f.ID, expect, document}, more...)...)
 	if indeterminate := (status.IndeterminateError{}); errors.As(err, &indeterminate) {
-		return verdictError{fmt.Errorf("%w; ask again with --id %s", err, f.ID)}
+		return verdictError{fmt.Errorf("%w; retry with --id %s", err, f.ID)}
 	}
 	if err != nil {
 		return err
@@ -39,9 +40,10 @@
 	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
 }
 
+// settingsPutCommand puts the contents of a file as a document.
 type settingsPutCommand struct {
 	changeFlags
-	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: the document."`
+	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: a file with the contents of that document."`
 	Name string `help:"Put the file as this document: members/POOL (a list of members) or flag/NAME." placeholder:"NAME"`
 }
 
@@ -53,30 +55,32 @@
 	}
 	name := c.Name
 	if name == "" {
-		var left []string // the parts that each daemon has for itself
+		var localTables []string // names of the tables that each daemon configures for itself
 		name = config.SharedDocument
-		if body, left, err = config.ExtractShared(c.File, body); err != nil {
+		if body, localTables, err = config.ExtractShared(c.File, body); err != nil {
 			return err
 		}
-		if len(left) > 0 {
-			fmt.Fprintf(os.Stderr, "left out, as it is each daemon's own: %s\n", strings.Join(left, ", "))
+		if len(localTables) > 0 {
+			fmt.Fprintf(os.Stderr, "left out, as it is each daemon's own: %s\n", strings.Join(localTables, ", "))
 		}
 	}
 	return c.propose("put", name, body, strconv.Itoa(len(body)))
 }
 
+// settingsRemoveCommand removes a document.
 type settingsRemoveCommand struct {
 	changeFlags
-	Name string `arg:"" help:"Of the document."`
+	Name string `arg:"" help:"Name of the document."`
 }
 
 // Run implements kong's command.
 func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
+// settingsRevertCommand puts a document as it was at an earlier version. Its command line name is back.
 type settingsRevertCommand struct {
 	changeFlags
-	Version uint64 `arg:"" help:"The version at which the document was as it is to be."`
-	Name    string `default:"shared" help:"Of the document."`
+	Version uint64 `arg:"" help:"Version whose contents of the document are restored."`
+	Name    string `default:"shared" help:"Name of the document."`
 }
 
 // Run implements kong's command.
@@ -84,9 +88,10 @@
 	return c.propose("back", c.Name, nil, strconv.FormatUint(c.Version, 10))
 }
 
+// settingsForceCommand activates a pending version without waiting for the daemons that cannot act on it.
 type settingsForceCommand struct {
 	rolloutFlags
-	Version uint64 `arg:"" help:"The version that is to come."`
+	Version uint64 `arg:"" help:"The pending version to activate."`
 }
 
 // Run implements kong's command.
--- a/cmd/tuliprock/settings_diff.go
+++ b/cmd/tuliprock/settings_diff.go
@@ -11,15 +11,16 @@
 	"tuliprock/internal/config"
 )
 
+// settingsDiffCommand prints the differences between two versions of a document, or between a document and a file.
 type settingsDiffCommand struct {
 	daemonFlags
-	Name string `default:"shared" help:"Of the document."`
-	From uint64 `help:"A version; 0: the latest."`
-	To   uint64 `help:"Another; 0: the latest."`
-	File string `placeholder:"FILE" help:"In place of --to: an operators' file, of which the shared part counts."`
+	Name string `default:"shared" help:"Name of the document."`
+	From uint64 `help:"Version to compare from; 0: the latest."`
+	To   uint64 `help:"Version to compare to; 0: the latest."`
+	File string `placeholder:"FILE" help:"Compare to this file instead of a version. Of an operators' file only the shared part is compared."`
 }
 
-// Run implements kong's command. It ends with exitFailure where there is a difference.
+// Run implements kong's command. The exit code is exitFailure if there is a difference.
 func (c *settingsDiffCommand) Run() error {
 	from, err := c.document(c.Name, c.From)
 	if err != nil {
@@ -39,12 +40,12 @@
 		return err
 	})
 	if err == nil && text != "" {
-		err = verdictError{errors.New("they differ")}
+		err = verdictError{errors.New("the documents differ")}
 	}
 	return err
 }
 
-// target returns what the document is compared with, and the label that the diff gives it.
+// target returns the text that the document is compared with, from --file or --to, and its label in the diff.
 func (c *settingsDiffCommand) target() (body []byte, label string, err error) {
 	if c.File == "" {
 		to, err := c.document(c.Name, c.To)
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -9,9 +9,10 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// settingsHistoryCommand lists the changes of all documents, or of one.
 type settingsHistoryCommand struct {
 	daemonFlags
-	Name string `arg:"" optional:"" help:"Of a document; left out: all."`
+	Name string `arg:"" optional:"" help:"Name of a document; if omitted, the changes of all documents are listed."`
 }
 
 // Run implements kong's command.
@@ -23,21 +24,22 @@
 	return c.printResult(result, func(w io.Writer) error { return c.writeHistory(w, result.History) })
 }
 
+// writeHistory prints the changes that the command's document name selects, one per line.
 func (c *settingsHistoryCommand) writeHistory(w io.Writer, history []status.HistoryEntry) error {
 	var rows strings.Builder
 	for _, h := range history {
 		if c.Name != "" && h.Name != c.Name {
 			continue
 		}
-		what := fmt.Sprintf("%d bytes, %.12s", h.Bytes, h.SHA256)
+		change := fmt.Sprintf("%d bytes, %.12s", h.Bytes, h.SHA256)
 		if h.IsRemoval() {
-			what = "taken out"
+			change = "taken out"
 		}
 		if h.RestoredVersion > 0 {
-			what += fmt.Sprintf(", as at version %d", h.RestoredVersion)
+			change += fmt.Sprintf(", as at version %d", h.RestoredVersion)
 		}
 		at := time.UnixMilli(h.AtMs).UTC().Format(time.DateTime)
-		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, what, h.By, at)
+		fmt.Fprintf(&rows, "%d\t%s\t%s\tby %s\t%s\n", h.Version, h.Name, change, h.By, at)
 	}
 	return writeColumns(w, rows.String())
 }
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -8,24 +8,24 @@
 	"tuliprock/internal/cluster/status"
 )
 
-// rolloutFlags are the flags of a command that waits until all daemons act on a version.
+// rolloutFlags are the flags of the commands that wait until all daemons act on a version.
 type rolloutFlags struct {
 	daemonFlags
-	WaitTimeout time.Duration `name:"wait" default:"60s" help:"How long to wait until all daemons act on it; 0s: until it is agreed on."`
+	WaitTimeout time.Duration `name:"wait" default:"60s" help:"How long to wait until all daemons act on the version; 0s: return when it is agreed on."`
 }
 
-// changeResult is the result of a change as JSON.
+// changeResult is the result of a change of the settings, as written by --json.
 type changeResult struct {
-	Format         int          `json:"format"` // 1
-	ID             string       `json:"id"`
-	Version        uint64       `json:"version"`
-	IsUnchanged    bool         `json:"same,omitempty"` // there was nothing to change
-	IsActiveOnAll  bool         `json:"all_act"`        // no daemon acts on an earlier version any more
-	LaggingDaemons []status.Lag `json:"lags,omitempty"` // who is waited for, where that is not so
+	Format         int          `json:"format"`         // version of this JSON format, always 1
+	ID             string       `json:"id"`             // idempotency key of the change
+	Version        uint64       `json:"version"`        // version that the change made
+	IsUnchanged    bool         `json:"same,omitempty"` // the change left the document as it was
+	IsActiveOnAll  bool         `json:"all_act"`        // all daemons act on this version or a later one
+	LaggingDaemons []status.Lag `json:"lags,omitempty"` // daemons that delay the version, if not all act on it
 }
 
-// await waits until all daemons act on the version that was agreed on, and reports how far that came: in lines, as it
-// goes, or at the end in JSON.
+// await waits until all daemons act on the version that was agreed on. It prints the progress line by line, and writes the
+// result as JSON at the end if --json is given; if the JSON goes to standard output, no lines are printed.
 func (f *rolloutFlags) await(result *changeResult) error {
 	printf := func(format string, args ...any) {
 		if f.JSON != "-" {
@@ -37,13 +37,13 @@
 	} else {
 		printf("version %d is agreed on", result.Version)
 	}
-	began := time.Now()
+	start := time.Now()
 	var err error
 	if f.WaitTimeout > 0 {
 		err = f.awaitActiveOnAll(result)
 	}
 	if result.IsActiveOnAll {
-		printf("all act on version %d, %v later", result.Version, time.Since(began).Round(time.Millisecond))
+		printf("all act on version %d, %v later", result.Version, time.Since(start).Round(time.Millisecond))
 	}
 	for _, l := range result.LaggingDaemons {
 		printf("waited for: %s: %s", l.Daemon, l.Reason)
@@ -54,14 +54,16 @@
 	return err
 }
 
+// awaitActiveOnAll polls the daemon until all daemons act on the version of result, and records in result how far that is.
+// It returns a verdictError on timeout.
 func (f *rolloutFlags) awaitActiveOnAll(result *changeResult) error {
-	// An error of the last poll says no more than that the daemon did not answer then; what counts is that time is up.
+	// The error of the last poll is dropped: after a timeout it adds nothing, and after a success there is none.
 	_, ok, _ := f.pollUntil(f.WaitTimeout, func(s *status.Settings) bool {
 		result.IsActiveOnAll, result.LaggingDaemons = s.MinActingVersion >= result.Version, s.Lags
 		return result.IsActiveOnAll
 	})
 	if !ok {
-		return verdictError{fmt.Errorf("version %d is agreed on, but after %v not all act on it", result.Version, f.WaitTimeout)}
+		return verdictError{fmt.Errorf("version %d is agreed on, but after %v not all daemons act on it", result.Version, f.WaitTimeout)}
 	}
 	result.LaggingDaemons = nil
 	return nil
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -9,10 +9,11 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// settingsShowCommand prints which settings a daemon acts on, or the body of one document.
 type settingsShowCommand struct {
 	daemonFlags
-	Name    string `arg:"" optional:"" help:"Of a document: shared, members/POOL, out/ID, flag/NAME."`
-	Version uint64 `help:"As it was at this version; 0: the latest."`
+	Name    string `arg:"" optional:"" help:"Name of a document to print: shared, members/POOL, out/ID, flag/NAME."`
+	Version uint64 `help:"Print the document as it was at this version; 0: the latest."`
 }
 
 // Run implements kong's command.
@@ -34,6 +35,7 @@
 	return c.printResult(settings, func(w io.Writer) error { return writeSettings(w, settings) })
 }
 
+// writeSettings prints the version that a daemon acts on, its lease, the daemons that delay a version, and the documents.
 func writeSettings(w io.Writer, s *status.Settings) error {
 	var rows strings.Builder
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -12,17 +12,18 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// settingsVotersCommand lists the voters of a cluster, or adds or removes a voter.
 type settingsVotersCommand struct {
 	daemonFlags
-	Change      string        `arg:"" optional:"" enum:"add,remove," default:"" help:"add or remove; left out: says who votes."`
-	Name        string        `arg:"" optional:"" help:"Of the daemon. It needs a data_dir, empty where it is added."`
-	WaitTimeout time.Duration `name:"wait" default:"30s" help:"How long to wait until it is so."`
+	Change      string        `arg:"" optional:"" enum:"add,remove," default:"" help:"add or remove; if omitted, the voters are listed."`
+	Name        string        `arg:"" optional:"" help:"Name of the daemon to add or remove. A daemon that is added needs an empty data_dir."`
+	WaitTimeout time.Duration `name:"wait" default:"30s" help:"How long to wait until the change has taken effect."`
 }
 
 // Run implements kong's command.
 func (c *settingsVotersCommand) Run() error {
 	if (c.Change == "") != (c.Name == "") {
-		return errors.New("settings voters: add NAME or remove NAME")
+		return errors.New("settings voters: needs both add or remove and the NAME of a daemon, or neither")
 	}
 	if c.Change != "" {
 		if _, err := c.call(nil, "voters-"+c.Change, rand.Text(), c.Name); err != nil {
@@ -31,7 +32,7 @@
 	}
 	settings, ok, err := c.pollUntil(c.WaitTimeout, func(s *status.Settings) bool { return c.Change == "" || c.isDone(s) })
 	if !ok {
-		return errors.Join(verdictError{fmt.Errorf("after %v it is not so that %s: voters %s", c.WaitTimeout, c.goal(), settings.LeaseVoters)}, err)
+		return errors.Join(verdictError{fmt.Errorf("after %v, %s: voters %s", c.WaitTimeout, c.unmetGoal(), settings.LeaseVoters)}, err)
 	}
 	return c.printResult(settings, func(w io.Writer) error {
 		_, err := fmt.Fprintln(w, strings.ReplaceAll(settings.CurrentVoters, ",", " "))
@@ -39,16 +40,16 @@
 	})
 }
 
-// goal is what the command waits for.
-func (c *settingsVotersCommand) goal() string {
+// unmetGoal describes, for the error message, that the change has not taken effect.
+func (c *settingsVotersCommand) unmetGoal() string {
 	if c.Change == "add" {
-		return c.Name + " votes"
+		return c.Name + " does not vote yet"
 	}
-	return c.Name + " votes no longer"
+	return c.Name + " still votes"
 }
 
-// isDone says whether the daemon that is asked sees the change made. Sitting lists those who vote now, while Voters may
-// list more.
+// isDone reports whether the queried daemon sees the change in effect. It looks at the daemons that vote now; the list of
+// voters that may grant leases can be longer.
 func (c *settingsVotersCommand) isDone(s *status.Settings) bool {
 	return slices.Contains(strings.Split(s.CurrentVoters, ","), c.Name) == (c.Change == "add")
 }
--- a/cmd/tuliprock/simulations.go
+++ b/cmd/tuliprock/simulations.go
@@ -7,19 +7,19 @@
 	"tuliprock/internal/testkit/swimsim"
 )
 
-// consensusSimCommand measures the consensus among the cluster's voters in simulation.
+// consensusSimCommand measures how fast simulated clusters agree on changes of settings. Its command line name is council.
 type consensusSimCommand struct {
-	Daemons []int  `sep:"," default:"3,7,50,300" help:"Sizes of the fleets, three voters each."`
-	Seed    uint64 `default:"1" help:"What chance decides is drawn from it."`
+	Daemons []int  `sep:"," default:"3,7,50,300" help:"Numbers of daemons in the simulated fleets, each with three voters."`
+	Seed    uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 }
 
 // Run implements kong's command.
 func (c *consensusSimCommand) Run() error { return raftsim.Tables(os.Stdout, c.Daemons, c.Seed) }
 
-// failureDetectorSimCommand measures the cluster's failure detector in simulation.
+// failureDetectorSimCommand measures the failure detector of simulated clusters. Its command line name is detector.
 type failureDetectorSimCommand struct {
-	Nodes []int  `sep:"," default:"10,100,1000" help:"Sizes of the fleets."`
-	Seed  uint64 `default:"1" help:"What chance decides is drawn from it."`
+	Nodes []int  `sep:"," default:"10,100,1000" help:"Numbers of daemons in the simulated fleets."`
+	Seed  uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 }
 
 // Run implements kong's command.
--- a/cmd/tuliprock/stand_in.go
+++ b/cmd/tuliprock/stand_in.go
@@ -13,18 +13,19 @@
 	"tuliprock/internal/testkit/fake"
 )
 
+// standInCommand runs fake nodes that echo each request that they receive.
 type standInCommand struct {
-	Addresses []string `arg:"" name:"address" help:"Loopback addresses (host:port) to answer at, one node each."`
+	Addresses []string `arg:"" name:"address" help:"Loopback addresses (host:port), one for each stand-in node."`
 }
 
 // Run implements kong's command. It serves until SIGINT or SIGTERM.
 func (c *standInCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	var servers []*http.Server // each is served by a goroutine until it is closed
+	var servers []*http.Server // running servers, each with a goroutine that ends when the server is closed
 	defer func() {
 		for _, s := range servers {
-			_ = s.Close() // the process ends, and its listeners with it
+			_ = s.Close() // an error does not matter, since the process ends now
 		}
 	}()
 	failed := make(chan error, len(c.Addresses))
@@ -50,10 +51,11 @@
 	}
 }
 
+// listenOnLoopback listens at a host:port whose host must be a loopback IP address.
 func listenOnLoopback(address string) (net.Listener, error) {
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("%q is no loopback address", address)
+		return nil, fmt.Errorf("%q is not a loopback address", address)
 	}
 	return net.Listen("tcp", address)
 }
