--- a/cmd/tuliprock/buffering_test.go
+++ b/cmd/tuliprock/buffering_test.go
@@ -18,79 +18,79 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Long buffered bodies both ways at once stay under the daemon's memory limit and arrive complete. BODIES=50x32 sets how
-// many, and of how many MB; the small default is for every run of the tests.
+// Large buffered bodies, of requests and responses at the same time, arrive complete while the daemon stays under its memory
+// limit. TULIPROCK_TEST_BUFFERED_BODIES=50x32 sends 50 concurrent requests of 32 MiB instead of 16 of 4 MiB.
 func TestBufferedBodiesStayUnderMemoryLimit(t *testing.T) {
-	callers, size := 16, 4
-	if given := os.Getenv("BODIES"); given != "" {
-		if _, err := fmt.Sscanf(given, "%dx%d", &callers, &size); err != nil {
+	clients, sizeMiB := 16, 4
+	if given := os.Getenv("TULIPROCK_TEST_BUFFERED_BODIES"); given != "" {
+		if _, err := fmt.Sscanf(given, "%dx%d", &clients, &sizeMiB); err != nil {
 			t.Fatal(err)
 		}
 	}
-	const limit = 96 << 10 // kB
-	text := make([]byte, size<<20)
-	for i := range text {
-		text[i] = byte(rand.Uint32())
+	const memoryLimitKiB = 96 << 10 // memory limit of the daemon, as the harness configures it
+	body := make([]byte, sizeMiB<<20)
+	for i := range body {
+		body[i] = byte(rand.Uint32())
 	}
-	sum := sha256.Sum256(text)
-	p := newHotRestartHarness(t, 0)
-	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h := sha256.New()
-		if _, err := io.Copy(h, r.Body); err != nil || !bytes.Equal(h.Sum(nil), sum[:]) {
+	sum := sha256.Sum256(body)
+	h := newHotRestartHarness(t, 0)
+	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		received := sha256.New()
+		if _, err := io.Copy(received, r.Body); err != nil || !bytes.Equal(received.Sum(nil), sum[:]) {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-		_, _ = w.Write(text)
+		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
+		_, _ = w.Write(body)
 	}))
-	t.Cleanup(e.Close)
-	p.endpointIDs, p.endpoints = []string{"s-0"}, []*testpeer.Endpoint{{Addr: e.Listener.Addr().String()}}
-	d := p.startDaemon()
+	t.Cleanup(node.Close)
+	h.endpointIDs, h.endpoints = []string{"s-0"}, []*testpeer.Endpoint{{Addr: node.Listener.Addr().String()}}
+	d := h.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
-	var work sync.WaitGroup
-	var refused atomic.Int32
-	for i := range callers {
-		work.Go(func() {
-			for try := 0; ; try++ {
-				r, _ := http.NewRequest(http.MethodPost, "http://"+p.listenAddr+"/pay", bytes.NewReader(text))
-				r.Header.Set("Req-Id", fmt.Sprint(i, "-", try))
+	var running sync.WaitGroup
+	var shedCount atomic.Int32
+	for i := range clients {
+		running.Go(func() {
+			for attempt := 0; ; attempt++ {
+				r, _ := http.NewRequest(http.MethodPost, "http://"+h.listenAddr+"/pay", bytes.NewReader(body))
+				r.Header.Set("Req-Id", fmt.Sprint(i, "-", attempt))
 				r.Header.Set("Req-Deadline-Ms", "60000")
 				resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
-				if err != nil { // a rejection may come before the body was sent, and close the connection
-					refused.Add(1)
+				if err != nil { // a shed request's connection may be closed before its body was sent
+					shedCount.Add(1)
 				} else {
-					h := sha256.New()
-					n, err := io.Copy(h, resp.Body)
+					received := sha256.New()
+					n, err := io.Copy(received, resp.Body)
 					resp.Body.Close()
 					if resp.StatusCode == http.StatusOK {
-						if err != nil || n != int64(len(text)) || !bytes.Equal(h.Sum(nil), sum[:]) {
-							t.Errorf("%d: %d bytes, %v", i, n, err)
+						if err != nil || n != int64(len(body)) || !bytes.Equal(received.Sum(nil), sum[:]) {
+							t.Errorf("client %d: response body of %d bytes, error %v, want the %d bytes that were sent", i, n, err, len(body))
 						}
 						return
 					}
 					if resp.StatusCode != http.StatusServiceUnavailable {
-						t.Errorf("%d: %d", i, resp.StatusCode)
+						t.Errorf("client %d: response status %d, want 200 or 503", i, resp.StatusCode)
 						return
 					}
-					refused.Add(1)
+					shedCount.Add(1)
 				}
-				if try > 100 {
-					t.Errorf("%d: never served", i)
+				if attempt > 100 {
+					t.Errorf("client %d: more than 100 attempts were shed", i)
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
 	}
-	work.Wait()
+	running.Wait()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(status), "VmHWM:")
-	peak := 0
-	if _, err := fmt.Sscan(rest, &peak); err != nil || peak > limit {
-		t.Errorf("peak %d kB of %d, %v", peak, limit, err)
+	peakKiB := 0
+	if _, err := fmt.Sscan(rest, &peakKiB); err != nil || peakKiB > memoryLimitKiB {
+		t.Errorf("peak memory %d KiB, error %v, want at most %d KiB", peakKiB, err, memoryLimitKiB)
 	}
-	t.Logf("%d bodies of %d MB each way at once: peak %d kB, %d refused at first", callers, size, peak, refused.Load())
+	t.Logf("%d concurrent bodies of %d MiB in each direction: peak memory %d KiB, %d attempts shed", clients, sizeMiB, peakKiB, shedCount.Load())
 }
--- a/cmd/tuliprock/check_test.go
+++ b/cmd/tuliprock/check_test.go
@@ -44,9 +44,9 @@
 		"malformed header":               {[]string{example, "--route", "GET http://a/x", "-H", "x"}, 2, "", "no colon"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			code, out, errs := runProgram(t, programCommand(append([]string{"check"}, c.args...)...))
-			if code != c.code || !strings.Contains(out, c.stdout) || !strings.Contains(errs, c.stderr) || (c.stderr == "") != (errs == "") {
-				t.Errorf("exit code %d, stdout %q, stderr %q, want %d, %q and %q", code, out, errs, c.code, c.stdout, c.stderr)
+			code, stdout, stderr := runProgram(t, programCommand(append([]string{"check"}, c.args...)...))
+			if code != c.code || !strings.Contains(stdout, c.stdout) || !strings.Contains(stderr, c.stderr) || (c.stderr == "") != (stderr == "") {
+				t.Errorf("exit code %d, stdout %q, stderr %q, want %d, %q and %q", code, stdout, stderr, c.code, c.stdout, c.stderr)
 			}
 		})
 	}
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -14,23 +14,24 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// The measurement: requests through a daemon in a cluster of seven beside one without peers, in turns; and the memory and
-// processor time of an idle daemon among many peers. FLEET=turns and PEERS=number run them; see docs/design/026.
+// A measurement: throughput and p99 latency of a daemon in a cluster of seven, relative to a daemon without peers. The two
+// are measured alternately, TULIPROCK_TEST_CLUSTER_COST_TURNS times; without that variable the test is skipped. See
+// docs/design/026.
 func TestThroughputInClusterAgainstDaemonWithoutPeers(t *testing.T) {
-	turns, _ := strconv.Atoi(os.Getenv("FLEET"))
+	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_CLUSTER_COST_TURNS"))
 	if turns == 0 {
-		t.Skip("FLEET is not set: a measurement, for a quiet machine")
+		t.Skip("TULIPROCK_TEST_CLUSTER_COST_TURNS is not set: this is a measurement, for an idle machine")
 	}
 	node := testpeer.FreePort(t)
 	startPeer(t, "node", node)
-	file := clusterDaemonConfig{endpoints: []string{node}} // with the intervals that the daemon has by default
+	config := clusterDaemonConfig{endpoints: []string{node}} // with the daemon's default probe intervals
 	key := writeKeyFile(t, 1)
-	in := file.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
+	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
 	for i := range 6 {
-		file.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, in.clusterAddr)
+		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, member.clusterAddr)
 	}
-	in.awaitPeersReport(t, "seven are there", func(f *status.Fleet) bool { return f.Daemons == 7 })
-	alone := file.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
+	member.awaitPeersReport(t, "the member sees seven daemons", func(f *status.Fleet) bool { return f.Daemons == 7 })
+	alone := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
 		for i := range turns {
@@ -38,23 +39,25 @@
 			var p99 [2]time.Duration
 			for k := range 2 {
 				which := (i + k) % 2
-				rate[which], _, p99[which] = runClosedLoop(t, []string{in.httpAddr, alone.httpAddr}[which], connections, 3*time.Second)
+				rate[which], _, p99[which] = runClosedLoop(t, []string{member.httpAddr, alone.httpAddr}[which], connections, 3*time.Second)
 			}
 			rates, p99s = append(rates, rate[0]/rate[1]), append(p99s, float64(p99[0])/float64(p99[1]))
 		}
-		t.Logf("%d connections, in a fleet of seven beside alone: rate %s, p99 %s", connections, formatRatios(rates), formatRatios(p99s))
+		t.Logf("%d connections, member of seven relative to a daemon without peers: request rate %s, p99 latency %s", connections, formatRatios(rates), formatRatios(p99s))
 	}
 }
 
+// A measurement: memory and processor time of an idle daemon without peers, and with TULIPROCK_TEST_IDLE_PEERS peers; without
+// that variable the test is skipped. See docs/design/026.
 func TestIdleDaemonCostAmongManyPeers(t *testing.T) {
-	n, _ := strconv.Atoi(os.Getenv("PEERS"))
-	if n == 0 {
-		t.Skip("PEERS is not set: a measurement, for a quiet machine")
+	peers, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_IDLE_PEERS"))
+	if peers == 0 {
+		t.Skip("TULIPROCK_TEST_IDLE_PEERS is not set: this is a measurement, for an idle machine")
 	}
-	file := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // with the intervals that the daemon has by default
+	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // with the daemon's default probe intervals
 	key := writeKeyFile(t, 1)
-	d := file.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
-	measure := func(what string) {
+	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
+	measure := func(situation string) {
 		before := processorTime(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
@@ -62,26 +65,26 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons",
-			what, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.Daemons)
+			situation, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.Daemons)
 	}
-	measure("alone")
+	measure("without peers")
 	keys, err := transport.ReadKeys(key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	join := netip.MustParseAddrPort(d.clusterAddr)
-	for i := range n {
-		l, err := transport.Start(transport.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
+	for i := range peers {
+		peer, err := transport.Start(transport.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
 			Join: []netip.AddrPort{join}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = l.Abort() }() // what it says at its end is no part of the measurement
+		defer func() { _ = peer.Abort() }() // without leaving the cluster: the measurement is over
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.Daemons == n+1 {
+		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.Daemons == peers+1 {
 			break
 		}
 	}
-	measure(fmt.Sprintf("among %d", n))
+	measure(fmt.Sprintf("with %d peers", peers))
 }
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -13,32 +13,39 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// clusterDaemon is a process of the daemon in a cluster, with its file and its addresses.
+// clusterDaemon is a process of the daemon in a cluster.
 type clusterDaemon struct {
 	*process
-	configPath, configText, adminAddr, httpAddr, clusterAddr string
+	configPath  string // path of its operators' file
+	configText  string // contents that the file was first written with
+	adminAddr   string // operators' address
+	httpAddr    string // address of its listener for requests
+	clusterAddr string // address at which other daemons reach it, unless it advertises another
 }
 
-// fastProbes are intervals of the failure detector that let a test see a failure within a second.
+// fastProbes are keys of the table fleet: intervals of the failure detector that detect a failure within a second.
 const fastProbes = `, probe_every = "100ms", probe_timeout = "50ms", suspicion = "300ms"`
 
-const unreachableEndpoint = "127.0.0.1:9" // an endpoint that refuses connections
+const unreachableEndpoint = "127.0.0.1:9" // address that refuses connections
 
-// clusterDaemonConfig is what the operators' files of a test's daemons have beyond their own names and addresses.
+// clusterDaemonConfig is the part of the operators' files that all daemons of a test have in common.
 type clusterDaemonConfig struct {
-	endpoints    []string // the members of the pool
-	fleetOptions string   // more of [fleet], after a comma
-	extraConfig  string   // more of the file
+	endpoints    []string // addresses of the members of the pool
+	fleetOptions string   // more keys of the inline table fleet, starting with a comma
+	extraConfig  string   // more lines at the end of the file
 }
 
-// startClusterDaemon starts a daemon that is named name on a loopback address of its own. Its only endpoint is unreachable.
+// startClusterDaemon starts a daemon of a cluster with fast probes and an unreachable endpoint. It listens for other daemons
+// at listen, reads its keys from the file key, and joins the cluster by the addresses join.
 func startClusterDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
-	file := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}, fleetOptions: fastProbes}
-	return file.startDaemon(t, name, cluster, listen, key, join...)
+	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}, fleetOptions: fastProbes}
+	return config.startDaemon(t, name, cluster, listen, key, join...)
 }
 
-func (f clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
+// startDaemon writes an operators' file for a daemon, starts the daemon and waits until it listens. The arguments are those
+// of startClusterDaemon.
+func (c clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
 	d := &clusterDaemon{
 		adminAddr:   testpeer.FreePort(t),
@@ -53,13 +60,13 @@
 class = [{ name = "look", effect = "safe" }]
 pool = [{ name = "p", member = [%s] }]
 route = [{ pool = "p", class = "look" }]
-%s`, d.adminAddr, name, cluster, listen, key, quotedList(`%q`, join), f.fleetOptions, d.httpAddr, quotedList(`{ address = %q }`, f.endpoints), f.extraConfig)
+%s`, d.adminAddr, name, cluster, listen, key, quotedList(`%q`, join), c.fleetOptions, d.httpAddr, quotedList(`{ address = %q }`, c.endpoints), c.extraConfig)
 	d.writeConfig(t, d.configText)
 	d.start(t)
 	return d
 }
 
-// quotedList formats each value and joins them as the elements of a TOML array.
+// quotedList formats each value by the format and joins the results with commas, as the elements of a TOML array.
 func quotedList(format string, values []string) string {
 	var elements []string
 	for _, v := range values {
@@ -68,13 +75,14 @@
 	return strings.Join(elements, ", ")
 }
 
-// start starts the process, or starts it again after it has ended.
+// start starts the process, also again after it has exited, and waits until it listens.
 func (d *clusterDaemon) start(t *testing.T) {
 	t.Helper()
 	d.process = startProcess(t, "serve", "--config", d.configPath)
 	d.awaitText(t, "msg=listening")
 }
 
+// writeConfig replaces the contents of the operators' file. A running daemon reads it after SIGHUP.
 func (d *clusterDaemon) writeConfig(t *testing.T, text string) {
 	t.Helper()
 	if err := os.WriteFile(d.configPath, []byte(text), 0o600); err != nil {
@@ -82,7 +90,7 @@
 	}
 }
 
-// awaitPeersReport waits until the daemon's report of its peers satisfies ok.
+// awaitPeersReport polls the daemon until its view of the cluster satisfies ok. what names the condition in the log.
 func (d *clusterDaemon) awaitPeersReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
 	t.Helper()
 	var last *status.Fleet
@@ -96,7 +104,7 @@
 	t.Logf("%s: %+v", what, last)
 }
 
-// peerOf is what a report says of a member; the zero value if that is not in it.
+// peerOf returns the entry of a member in a daemon's view of the cluster, or the zero value if there is none.
 func peerOf(f *status.Fleet, name string) (p status.Peer) {
 	for _, p := range f.Peers {
 		if p.Name == name {
@@ -106,6 +114,7 @@
 	return p
 }
 
+// writeKeyFile writes a key file with a key of 32 equal bytes for each argument, and returns its path.
 func writeKeyFile(t *testing.T, keys ...byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "key")
@@ -119,8 +128,8 @@
 	return path
 }
 
-// freeClusterAddress is an address with a port that is free for TCP and UDP, at a loopback IP of this process's own: a port
-// that is free at 127.0.0.1 may be that of a connection that another daemon has dialed from there.
+// freeClusterAddress returns an address whose port is free for both TCP and UDP. Its IP, which ends in i, is a loopback IP
+// that other test processes do not use: at 127.0.0.1 another daemon could take the port for an outgoing connection.
 func freeClusterAddress(t *testing.T, i int) string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.9.%d", 100+os.Getpid()%100, i)
@@ -129,14 +138,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := l.Addr().String()
-		u, err := net.ListenPacket("udp", at)
+		address := l.Addr().String()
+		u, err := net.ListenPacket("udp", address)
 		l.Close()
 		if err == nil {
 			u.Close()
-			return at
+			return address
 		}
 	}
-	t.Fatalf("%s has no port that is free", ip)
+	t.Fatalf("%s has no port that is free for TCP and UDP", ip)
 	return ""
 }
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -17,29 +17,31 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// testCluster is a cluster of daemons on links that can be made faulty, the first of them voters, and two nodes that count
-// their requests.
+// testCluster is a cluster of daemon processes, whose links faults can be injected into, with two nodes that count the
+// requests that they get. Daemon i is named s<i>; the first ones are the voters.
 type testCluster struct {
 	t         *testing.T
 	network   *faultnet.Net
 	daemons   []*clusterDaemon
 	nodes     [2]*testpeer.Endpoint
-	requests  [2]atomic.Int64
-	onRequest func(r *http.Request) // called with each request that arrives at a node; may be nil
-	dataDir   string                // of the daemons' data, by name
+	requests  [2]atomic.Int64       // number of requests that arrived at each node
+	onRequest func(r *http.Request) // called concurrently with each request that arrives at a node; may be nil
+	dataDir   string                // directory with a data_dir for each daemon, under the daemon's name
 }
 
-// maxVersionConflict bounds for how long daemons may act on different versions.
+// maxVersionConflict is the configured upper bound (conflict_within) for how long daemons may act on different versions.
 const maxVersionConflict = time.Second
 
-// clusterSpec says which daemons a cluster has.
+// clusterSpec specifies the daemons of a testCluster.
 type clusterSpec struct {
-	daemons, voters int
-	persistAll      bool   // all have a data_dir
-	extraConfig     string // what else their files have
-	onRequest       func(r *http.Request)
+	daemons     int                   // number of daemons
+	voters      int                   // number of voters among them
+	persistAll  bool                  // whether all daemons have a data_dir, not only the voters
+	extraConfig string                // more lines at the end of each daemon's operators' file
+	onRequest   func(r *http.Request) // called with each request that arrives at a node; may be nil
 }
 
+// newTestCluster starts the nodes and the daemons, and returns when all daemons listen.
 func newTestCluster(t *testing.T, spec clusterSpec) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t, network: faultnet.New(1, func(text string) { t.Log(text) }), dataDir: t.TempDir(), onRequest: spec.onRequest}
@@ -53,7 +55,8 @@
 			return err == nil
 		})
 	}
-	advertised, listens, voters := map[string]string{}, []string{}, []string{} // the first by name
+	advertised := map[string]string{} // address of the relay in front of each daemon, by the daemon's name
+	listens, voters := []string{}, []string{}
 	for i := range spec.daemons {
 		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
 		relay, err := c.network.Relay(name, netip.MustParseAddrPort(listen))
@@ -69,18 +72,18 @@
 	key := writeKeyFile(t, 1)
 	for i := range spec.daemons {
 		name := fmt.Sprint("s", i)
-		file := clusterDaemonConfig{endpoints: []string{c.nodes[0].Addr, c.nodes[1].Addr}, extraConfig: spec.extraConfig}
-		file.fleetOptions = fastProbes + fmt.Sprintf(`, advertise = %q, agreed = true, voters = [%s], conflict_within = %q, lease = "2s"`,
+		config := clusterDaemonConfig{endpoints: []string{c.nodes[0].Addr, c.nodes[1].Addr}, extraConfig: spec.extraConfig}
+		config.fleetOptions = fastProbes + fmt.Sprintf(`, advertise = %q, agreed = true, voters = [%s], conflict_within = %q, lease = "2s"`,
 			advertised[name], quotedList(`%q`, voters), maxVersionConflict)
 		if spec.persistAll || slices.Contains(voters, name) {
-			file.fleetOptions += fmt.Sprintf(", data_dir = %q", filepath.Join(c.dataDir, name))
+			config.fleetOptions += fmt.Sprintf(", data_dir = %q", filepath.Join(c.dataDir, name))
 		}
-		c.daemons = append(c.daemons, file.startDaemon(t, name, "c", listens[i], key, advertised["s0"], advertised["s1"], advertised["s2"]))
+		c.daemons = append(c.daemons, config.startDaemon(t, name, "c", listens[i], key, advertised["s0"], advertised["s1"], advertised["s2"]))
 	}
 	return c
 }
 
-// callAdmin sends a line to the daemon's operators' address and returns the response, or the error's text.
+// callAdmin sends a command line to the daemon's operators' address and returns the response, or the text of the error.
 func (d *clusterDaemon) callAdmin(line string) string {
 	nc, err := net.DialTimeout("tcp", d.adminAddr, reportTimeout)
 	if err != nil {
@@ -93,27 +96,28 @@
 	return string(text)
 }
 
-// callUntilOnAll repeats a call until the response says that all daemons act on it: during an election nothing is agreed on.
+// callUntilOnAll repeats a command until the response says that all daemons act on it. It may fail at first, since nothing
+// can be agreed on during an election.
 func (c *testCluster) callUntilOnAll(d *clusterDaemon, line string) {
 	c.t.Helper()
 	const want = "on all daemons with version"
 	testpeer.Until(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
 }
 
-// awaitEjection waits until the daemons act on a node being manually ejected, or not ejected.
-func (c *testCluster) awaitEjection(ds []*clusterDaemon, node int, out bool) {
+// awaitEjection waits until the daemons act on settings in which a node is manually ejected, or on such in which it is not.
+func (c *testCluster) awaitEjection(ds []*clusterDaemon, node int, ejected bool) {
 	c.t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s holds node %d for out: %v", d.clusterAddr, node, out), func() bool {
+		testpeer.Until(c.t, fmt.Sprintf("%s has node %d ejected: %v", d.clusterAddr, node, ejected), func() bool {
 			text := d.callAdmin("settings")
-			return strings.Contains(text, "acting=true") && strings.Contains(text, "name=out/"+c.nodes[node].Addr+" ") == out
+			return strings.Contains(text, "acting=true") && strings.Contains(text, "name=out/"+c.nodes[node].Addr+" ") == ejected
 		})
 	}
-	c.t.Logf("after %v all hold node %d for out: %v", time.Since(began).Round(time.Millisecond), node, out)
+	c.t.Logf("after %v all daemons have node %d ejected: %v", time.Since(start).Round(time.Millisecond), node, ejected)
 }
 
-// countRequestsAt sends requests through the daemons, and returns how many requests arrived at a node meanwhile.
+// countRequestsAt sends 20 requests through each of the daemons, and returns how many requests arrived at a node meanwhile.
 func (c *testCluster) countRequestsAt(ds []*clusterDaemon, node int) int64 {
 	c.t.Helper()
 	before := c.requests[node].Load()
@@ -129,7 +133,7 @@
 	return c.requests[node].Load() - before
 }
 
-// leader is the index of the daemon that leads; -1 if none does.
+// leader returns the index of the voter that is the leader, or -1 if there is none. It expects three voters.
 func (c *testCluster) leader() int {
 	for i, d := range c.daemons[:3] {
 		if strings.Contains(d.callAdmin("settings"), "leads=true") {
--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -13,23 +13,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const module = "tuliprock/"
+const modulePrefix = "tuliprock/" // prefix of the import paths of this module's packages
 
-// daemonImports are the packages of this module that daemon.go imports, directly or not; those of tests and tools are not
-// followed.
+// daemonImports returns the folders of the packages of this module that daemon.go imports, directly or indirectly. The
+// imports of test files and of the other commands are not followed.
 func daemonImports(t *testing.T, root string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "cmd/tuliprock/daemon.go"), nil, parser.ImportsOnly)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var todo, found []string
+	var queue, found []string
 	for _, i := range parsed.Imports {
-		todo = append(todo, strings.Trim(i.Path.Value, `"`))
+		queue = append(queue, strings.Trim(i.Path.Value, `"`))
 	}
-	for len(todo) > 0 {
-		folder, ours := strings.CutPrefix(todo[0], module)
-		if todo = todo[1:]; !ours || slices.Contains(found, folder) {
+	for len(queue) > 0 {
+		folder, inModule := strings.CutPrefix(queue[0], modulePrefix)
+		if queue = queue[1:]; !inModule || slices.Contains(found, folder) {
 			continue
 		}
 		found = append(found, folder)
@@ -37,13 +37,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		todo = append(todo, p.Imports...)
+		queue = append(queue, p.Imports...)
 	}
 	return found
 }
 
-// The operators' programs read the folders that "node" lists: one that was missing ended their full fleet score four times
-// ("the len is 13 but the index is 13").
+// The operators' programs read the folders that "node" in deploy/balancer.toml lists. A folder that was missing from the
+// list crashed their full fleet score four times ("the len is 13 but the index is 13").
 func TestDeployFileListsTheDaemonsPackages(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -54,8 +54,8 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	// The policy's folder has a line of its own in the file, and simwire is the simulator's: the daemon uses only its decoder
-	// of settings.
+	// The folder of the decision module is listed under "policy" instead, and internal/simwire belongs to the simulator: the
+	// daemon uses only its decoder of settings.
 	want := []string{"cmd/tuliprock"}
 	for _, folder := range daemonImports(t, root) {
 		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/simwire" {
@@ -64,6 +64,6 @@
 	}
 	slices.Sort(want)
 	if !slices.Equal(deploy.Node, want) {
-		t.Errorf("node names %q, the daemon imports %q", deploy.Node, want)
+		t.Errorf("node lists %q, want the daemon's imports %q", deploy.Node, want)
 	}
 }
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -11,31 +11,31 @@
 	"tuliprock/internal/cluster/status"
 )
 
-// putTimeout bounds a put, which may have to wait for an election.
+// putTimeout is the timeout of a put, which may have to wait for an election.
 const putTimeout = 4 * time.Second
 
-// putText puts a settings text with a mark, padded by pad bytes, by way of a daemon.
+// putText puts the settings text of a mark, with a comment of pad bytes, through a daemon. It records the digest of the text.
 func (s *faultSchedule) putText(d int, mark string, pad int) (*status.CommandResult, error) {
 	text := s.settingsText(mark, pad)
 	s.mu.Lock()
 	s.markByDigest[sha256.Sum256(text)] = mark
 	s.mu.Unlock()
-	a, err := s.daemons[d].putDocument(mark, "shared", text, putTimeout)
+	result, err := s.daemons[d].putDocument(mark, "shared", text, putTimeout)
 	if err == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.digestByVersion[a.Version] = sha256.Sum256(text)
+		s.digestByVersion[result.Version] = sha256.Sum256(text)
 	}
-	return a, err
+	return result, err
 }
 
-// flagInput is an operation on the flag: a put of a value, or a read.
+// flagInput is an operation on the flag: a put of a value, or a read if isPut is false.
 type flagInput struct {
 	isPut bool
-	value string
+	value string // value to put; empty for a read
 }
 
-// flagModel is the flag as a register, for the check of linearizability.
+// flagModel models the flag as a register, for the check of linearizability. A flag that was never put reads as empty.
 var flagModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -47,35 +47,38 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// indeterminateReturnTime is when an operation returns whose outcome is not known: after all others.
+// indeterminateReturnTime is the return time that is recorded for a put with an error: it is later than all others, since the
+// put may still take effect at any time.
 const indeterminateReturnTime = time.Hour
 
+// putFlag puts a value of the flag through a daemon, and records the operation.
 func (s *faultSchedule) putFlag(d int, value string) {
-	began := s.elapsed()
+	calledAt := s.elapsed()
 	_, err := s.daemons[d].putDocument(value, flagName, []byte(value), putTimeout)
-	ends := s.elapsed()
+	returnedAt := s.elapsed()
 	if err != nil {
-		ends = indeterminateReturnTime
+		returnedAt = indeterminateReturnTime
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flagOperations = append(s.flagOperations, porcupine.Operation{
-		ClientId: len(s.flagOperations), Input: flagInput{true, value}, Call: int64(began), Return: int64(ends), Output: "",
+		ClientId: len(s.flagOperations), Input: flagInput{true, value}, Call: int64(calledAt), Return: int64(returnedAt), Output: "",
 	})
 }
 
+// readFlag reads the flag through a daemon, and records the operation. A read that fails is not recorded.
 func (s *faultSchedule) readFlag(d int) {
-	began := s.elapsed()
-	a, err := status.Call(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
+	calledAt := s.elapsed()
+	result, err := status.Call(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
 	value := ""
 	if err == nil {
-		value = string(a.Body)
+		value = string(result.Body)
 	} else if !strings.Contains(err.Error(), "no such document") {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flagOperations = append(s.flagOperations, porcupine.Operation{
-		ClientId: len(s.flagOperations), Input: flagInput{}, Call: int64(began), Return: int64(s.elapsed()), Output: value,
+		ClientId: len(s.flagOperations), Input: flagInput{}, Call: int64(calledAt), Return: int64(s.elapsed()), Output: value,
 	})
 }
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -23,62 +23,66 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// faultSchedule is one run of random faults on real processes, with requests through all of them and operations on the
-// settings all the time, and what was observed.
+// faultSchedule is one run of random faults on a cluster of daemon processes. During the run clients send requests through
+// all daemons and change the settings; what they observe is recorded, and checked at the end.
 type faultSchedule struct {
 	*testCluster
-	rng       *rand.Rand
-	startedAt time.Time
-	clients   sync.WaitGroup
-	isOver    atomic.Bool
+	rng       *rand.Rand     // draws the faults
+	startedAt time.Time      // start of the schedule
+	clients   sync.WaitGroup // goroutines that send requests and change settings
+	isOver    atomic.Bool    // tells the clients to stop
 
-	mu              sync.Mutex
-	requestsSent    map[string]sentRequest    // by id
-	requestsArrived map[string]arrivedRequest // by id
-	requestsShed    map[string]bool           // ids of requests that were answered with 503
-	unansweredCount int                       // requests without a response: their daemon was killed
-	violations      []string                  // what contradicts a guarantee by itself
-	incarnations    []int                     // of each daemon
-	pausesByDaemon  [][]daemonPause           // of each daemon
-	isRunning       []bool
-	markByDigest    map[[32]byte]string // the mark of each settings text, by its digest
-	digestByVersion map[uint64][32]byte // the digest of the text that made a version, by the response to its put
-	flagOperations  []porcupine.Operation
+	mu              sync.Mutex                // guards the following fields, up to flagOperations
+	requestsSent    map[string]sentRequest    // requests that clients sent, by request id
+	requestsArrived map[string]arrivedRequest // latest arrival of each request at a node, by request id
+	requestsShed    map[string]bool           // set of the ids of requests whose response had status 503
+	unansweredCount int                       // requests without a response, since their daemon was killed
+	violations      []string                  // descriptions of single observations that break a guarantee
+	incarnations    []int                     // how often each daemon was restarted
+	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP
+	isRunning       []bool                    // whether each daemon is running, as opposed to killed
+	markByDigest    map[[32]byte]string       // mark of each settings text, by the SHA-256 digest of the text
+	digestByVersion map[uint64][32]byte       // digest of the settings text that made a version, as the response to its put tells
+	flagOperations  []porcupine.Operation     // puts and reads of the document flagName
 
-	faults []injectedFault
+	faults []injectedFault // in the order of their start
 }
 
-// injectedFault is a fault that was injected; its effect lasts until the next one begins.
+// injectedFault records a fault. Requests that are shed between its start and that of the next fault are attributed to it.
 type injectedFault struct {
-	name      string
-	startedAt time.Duration
+	name      string        // name that injectFault returned
+	startedAt time.Duration // since the start of the schedule
 }
 
+// sentRequest records a request when it was sent.
 type sentRequest struct {
-	daemon, incarnation int
-	sentAt              time.Duration
+	daemon      int           // index of the daemon that it was sent to
+	incarnation int           // how often that daemon had been restarted
+	sentAt      time.Duration // since the start of the schedule
 }
 
+// arrivedRequest records a request when it arrived at a node.
 type arrivedRequest struct {
-	mark      string
-	arrivedAt time.Duration
+	mark      string        // value of markHeader; empty if it was forwarded before the first settings were active
+	arrivedAt time.Duration // since the start of the schedule
 }
 
-// daemonPause is for how long a daemon was stopped by SIGSTOP.
+// daemonPause is an interval in which a daemon was paused by SIGSTOP, in time since the start of the schedule.
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	maxFaultDuration  = 2500 * time.Millisecond // added to the least, 200 ms
-	faultsDuration    = 12 * time.Second        // for how long faults are injected
-	minFaultGap       = 500 * time.Millisecond  // between two faults
-	requestInterval   = 8 * time.Millisecond    // between two requests through a daemon
-	operationInterval = 150 * time.Millisecond  // between two operations of a client on the settings
-	flagName          = "flag/x"                // the document that is checked for linearizability
+	maxFaultDuration  = 2500 * time.Millisecond // upper bound of the random part, which is added to 200 ms
+	faultsDuration    = 12 * time.Second        // how long faults are injected
+	minFaultGap       = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
+	requestInterval   = 8 * time.Millisecond    // time between two requests of a client
+	operationInterval = 150 * time.Millisecond  // time between two operations of a client on the settings
+	flagName          = "flag/x"                // name of the document whose puts and reads are checked for linearizability
 )
 
-// elapsed is the time since the schedule was created, by which all observations are dated.
+// elapsed returns the time since the start of the schedule, which is the time of all observations.
 func (s *faultSchedule) elapsed() time.Duration { return time.Since(s.startedAt) }
 
+// newFaultSchedule starts a cluster with three voters. The seed decides which faults are drawn.
 func newFaultSchedule(t *testing.T, seed uint64, daemons int) *faultSchedule {
 	t.Helper()
 	s := &faultSchedule{
@@ -96,7 +100,8 @@
 	for i := range s.isRunning {
 		s.isRunning[i] = true
 	}
-	// In builds with the race detector clocks differ by as much as is tolerated; all daemons start with one rate.
+	// The variable is read only by builds with the race detector. In these, restarted daemons have clock rates that differ by
+	// as much as is tolerated; at first all daemons have the same rate.
 	t.Setenv(transport.ClockRate, "0.99")
 	s.testCluster = newTestCluster(t, clusterSpec{
 		daemons: daemons, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
@@ -104,54 +109,56 @@
 	return s
 }
 
-// recordArrival is called with each request that arrives at a node. A request must not arrive by two versions.
+// recordArrival records a request that arrives at a node. It is a violation if attempts of one request have different marks,
+// since a request must be handled by a single version of the settings.
 func (s *faultSchedule) recordArrival(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := r.Header.Get("Req-Id")
-	if was, ok := s.requestsArrived[id]; ok && was.mark != r.Header.Get(markHeader) {
-		s.violations = append(s.violations, fmt.Sprintf("%s came by %q and by %q", id, was.mark, r.Header.Get(markHeader)))
+	if earlier, ok := s.requestsArrived[id]; ok && earlier.mark != r.Header.Get(markHeader) {
+		s.violations = append(s.violations, fmt.Sprintf("request %s arrived with the marks %q and %q, want only one", id, earlier.mark, r.Header.Get(markHeader)))
 	}
 	s.requestsArrived[id] = arrivedRequest{r.Header.Get(markHeader), s.elapsed()}
 }
 
-// sendRequests sends requests through a daemon, one after another, until the schedule is over.
+// sendRequests sends requests through a daemon, one after another, until the schedule is over. It is slower while the daemon
+// is down.
 func (s *faultSchedule) sendRequests(daemon int) {
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; !s.isOver.Load(); n++ {
 		id := fmt.Sprintf("s%d-%d", daemon, n)
 		s.mu.Lock()
-		up := s.isRunning[daemon]
+		isRunning := s.isRunning[daemon]
 		s.requestsSent[id] = sentRequest{daemon, s.incarnations[daemon], s.elapsed()}
 		s.mu.Unlock()
-		status, after, err := s.daemons[daemon].sendRequest(client, id)
+		status, retryAfter, err := s.daemons[daemon].sendRequest(client, id)
 		s.mu.Lock()
 		switch {
 		case err != nil:
 			s.unansweredCount++
 		case status == http.StatusServiceUnavailable:
 			s.requestsShed[id] = true
-			if after == "" {
-				s.violations = append(s.violations, id+" was refused without advice")
+			if retryAfter == "" {
+				s.violations = append(s.violations, "request "+id+" was shed without Retry-After")
 			}
 		case status != http.StatusOK:
-			s.violations = append(s.violations, fmt.Sprintf("%s was answered with %d", id, status))
+			s.violations = append(s.violations, fmt.Sprintf("request %s got status %d, want 200 or 503", id, status))
 		}
 		s.mu.Unlock()
-		if time.Sleep(requestInterval); !up {
+		if time.Sleep(requestInterval); !isRunning {
 			time.Sleep(10 * requestInterval)
 		}
 	}
 }
 
-// sendOperations puts settings and a flag, and reads the flag, by way of random daemons, until the schedule is over.
+// sendOperations puts settings, puts the flag or reads the flag, through random daemons, until the schedule is over.
 func (s *faultSchedule) sendOperations(client int, rng *rand.Rand) {
 	for n := 0; !s.isOver.Load(); n++ {
 		s.mu.Lock()
 		d := rng.IntN(len(s.daemons))
-		up := s.isRunning[d]
+		isRunning := s.isRunning[d]
 		s.mu.Unlock()
-		if up {
+		if isRunning {
 			value := fmt.Sprintf("%d-%d", client, n)
 			switch rng.IntN(3) {
 			case 0:
@@ -166,48 +173,49 @@
 	}
 }
 
-// injectFault draws a fault, injects it for a random time, ends it, and returns its name.
+// injectFault draws a fault, keeps it up for a random time, ends it and returns its name. The order of the random draws is
+// what makes a seed's schedule.
 func (s *faultSchedule) injectFault() string {
-	length := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
 	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
 	}
 	s.rng.Shuffle(len(names), func(i, k int) { names[i], names[k] = names[k], names[i] })
 	n := 1 + s.rng.IntN(len(names)-1)
-	some, others := names[:n], names[n:]
+	groupA, groupB := names[:n], names[n:]
 	d := s.rng.IntN(len(s.daemons))
-	if leads := s.leader(); leads >= 0 && s.rng.IntN(2) == 0 {
-		d = leads
+	if leader := s.leader(); leader >= 0 && s.rng.IntN(2) == 0 {
+		d = leader
 	}
 	switch which := s.rng.IntN(8); which {
 	case 0:
-		s.network.Between(some, others, faultnet.Link{Cut: true})
-		time.Sleep(length)
+		s.network.Between(groupA, groupB, faultnet.Link{Cut: true})
+		time.Sleep(duration)
 		s.network.Heal()
 		return "cut"
-	case 1: // two partitions in a row, so that a new leader is lost at once
-		s.network.Between(some, others, faultnet.Link{Cut: true})
-		time.Sleep(length / 2)
+	case 1: // two partitions in a row: a leader that was elected during the first one may be cut off at once
+		s.network.Between(groupA, groupB, faultnet.Link{Cut: true})
+		time.Sleep(duration / 2)
 		s.network.Heal()
-		s.network.Between(others[:1], names, faultnet.Link{Cut: true})
-		time.Sleep(length / 2)
+		s.network.Between(groupB[:1], names, faultnet.Link{Cut: true})
+		time.Sleep(duration / 2)
 		s.network.Heal()
 		return "cuts"
 	case 2:
-		s.network.OneWay(some, others, faultnet.Link{Cut: true})
-		time.Sleep(length)
+		s.network.OneWay(groupA, groupB, faultnet.Link{Cut: true})
+		time.Sleep(duration)
 		s.network.Heal()
 		return "one way"
 	case 3:
 		s.network.Between(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
-		time.Sleep(length)
+		time.Sleep(duration)
 		s.network.Heal()
 		return "loss"
 	case 4, 5:
 		s.daemons[d].signal(s.t, syscall.SIGSTOP)
 		from := s.elapsed()
-		time.Sleep(length)
+		time.Sleep(duration)
 		to := s.elapsed()
 		s.mu.Lock()
 		s.pausesByDaemon[d] = append(s.pausesByDaemon[d], daemonPause{from, to})
@@ -216,8 +224,8 @@
 		return "stop"
 	case 6:
 		s.killDaemon(d)
-		time.Sleep(length / 2)
-		if s.rng.IntN(3) == 0 && d >= 3 { // a daemon that does not vote may lose its disk
+		time.Sleep(duration / 2)
+		if s.rng.IntN(3) == 0 && d >= 3 { // a daemon that is not a voter may lose its data_dir
 			_ = os.RemoveAll(filepath.Join(s.dataDir, fmt.Sprint("s", d)))
 		}
 		s.startDaemon(d)
@@ -233,6 +241,7 @@
 	}
 }
 
+// killDaemon kills a daemon and waits until its process has exited.
 func (s *faultSchedule) killDaemon(d int) {
 	s.mu.Lock()
 	s.isRunning[d] = false
@@ -241,7 +250,7 @@
 	_ = s.daemons[d].wait()
 }
 
-// startDaemon starts a daemon again, with a clock rate within the tolerance, and does not wait until it is ready.
+// startDaemon restarts a daemon with a clock rate within the configured tolerance. It does not wait until the daemon is ready.
 func (s *faultSchedule) startDaemon(d int) {
 	s.t.Setenv(transport.ClockRate, []string{"0.99", "1", "1.01"}[s.rng.IntN(3)])
 	s.mu.Lock()
@@ -251,7 +260,8 @@
 	s.daemons[d].process = startProcess(s.t, "serve", "--config", s.daemons[d].configPath)
 }
 
-// run injects faults, and then checks the observations against the guarantees.
+// run starts the clients, injects faults, waits until the cluster agrees on a last put, and then checks all observations
+// against the guarantees.
 func (s *faultSchedule) run() {
 	t := s.t
 	_, _ = s.putText(0, "first", 0)
@@ -263,15 +273,15 @@
 		s.clients.Go(func() { s.sendOperations(i, rng) })
 	}
 	for s.elapsed() < faultsDuration {
-		from := s.elapsed()
-		what := s.injectFault()
-		s.faults = append(s.faults, injectedFault{what, from})
-		rest := minFaultGap + time.Duration(s.rng.Int64N(int64(time.Second)))
-		t.Logf("%v: %s is over", s.elapsed().Round(time.Millisecond), what)
-		time.Sleep(rest)
+		startedAt := s.elapsed()
+		fault := s.injectFault()
+		s.faults = append(s.faults, injectedFault{fault, startedAt})
+		gap := minFaultGap + time.Duration(s.rng.Int64N(int64(time.Second)))
+		t.Logf("%v: fault %q has ended", s.elapsed().Round(time.Millisecond), fault)
+		time.Sleep(gap)
 	}
 	var last *status.CommandResult
-	testpeer.Until(t, "a last put is agreed on", func() bool {
+	testpeer.Until(t, "the last put is agreed on", func() bool {
 		var err error
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
 		return err == nil
@@ -282,15 +292,16 @@
 	s.checkGuarantees(last.Version)
 }
 
-// SCHEDULES=number runs more of them, from SCHEDULE=seed on; every second one has seven daemons instead of five.
+// Clusters of five daemons, or of seven for every second seed, go through random faults. TULIPROCK_TEST_FAULT_SCHEDULES is the
+// number of schedules, 1 by default, and TULIPROCK_TEST_FAULT_SCHEDULE_SEED the seed of the first one.
 func TestRandomFaultSchedules(t *testing.T) {
-	n, err := strconv.Atoi(cmp.Or(os.Getenv("SCHEDULES"), "1"))
-	first, err2 := strconv.ParseUint(cmp.Or(os.Getenv("SCHEDULE"), "1"), 10, 64)
-	if err := errors.Join(err, err2); err != nil {
+	count, err := strconv.Atoi(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULES"), "1"))
+	firstSeed, seedErr := strconv.ParseUint(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULE_SEED"), "1"), 10, 64)
+	if err := errors.Join(err, seedErr); err != nil {
 		t.Fatal(err)
 	}
-	for i := range uint64(n) {
-		seed := first + i
+	for i := range uint64(count) {
+		seed := firstSeed + i
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			newFaultSchedule(t, seed, 5+2*int((seed+1)%2)).run()
 		})
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -15,12 +15,15 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Thousands of clients that connect and send half a request or none do not block others: operators and complete requests
-// are answered, and the daemon keeps to its limit of descriptors.
+// Thousands of connections with an incomplete request or none do not block others: commands of operators and complete requests
+// get their responses, and the daemon does not exceed its limit of descriptors.
 func TestHalfOpenConnectionsDoNotBlockClientsOrOperators(t *testing.T) {
-	const limit, half = 512, 2000
-	p := newHotRestartHarness(t, 1)
-	d := p.startDaemon()
+	const (
+		maxDescriptors = 512 // as the harness configures it
+		connections    = 2000
+	)
+	h := newHotRestartHarness(t, 1)
+	d := h.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
 	var open []net.Conn
 	defer func() {
@@ -28,18 +31,18 @@
 			nc.Close()
 		}
 	}()
-	answered := func(line, want string) {
+	checkAdmin := func(line, want string) {
 		t.Helper()
-		began := time.Now()
+		start := time.Now()
 		if got := d.callAdmin(t, line); !strings.HasPrefix(got, want) {
-			t.Errorf("%s with %d half open: %q", line, len(open), got)
+			t.Errorf("response to %s with %d half-open connections: %q, want it to begin with %q", line, len(open), got, want)
 		}
-		if took := time.Since(began); took > time.Second {
-			t.Errorf("%s with %d half open: answered after %v", line, len(open), took)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("response to %s with %d half-open connections came after %v, want at most 1 s", line, len(open), took)
 		}
 	}
-	for i := range half {
-		nc, err := net.Dial("tcp", p.listenAddr)
+	for i := range connections {
+		nc, err := net.Dial("tcp", h.listenAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,9 +51,9 @@
 		if i%400 != 399 {
 			continue
 		}
-		answered("check", "SUCCESS")
-		answered("vars", "edge_router.")
-		r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look", nil)
+		checkAdmin("check", "SUCCESS")
+		checkAdmin("vars", "edge_router.")
+		r, _ := http.NewRequest(http.MethodGet, "http://"+h.listenAddr+"/look", nil)
 		r.Header.Set("Req-Id", fmt.Sprint("real-", i))
 		r.Header.Set("Req-Deadline-Ms", "20000")
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
@@ -58,37 +61,37 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != http.StatusOK {
-			t.Errorf("a caller that asks, with %d half open: %d", len(open), resp.StatusCode)
+			t.Errorf("complete request with %d half-open connections: status %d, want 200", len(open), resp.StatusCode)
 		}
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
-		if err != nil || len(files) > limit {
-			t.Errorf("%d descriptors of %d, %v", len(files), limit, err)
+		if err != nil || len(files) > maxDescriptors {
+			t.Errorf("the daemon has %d open descriptors, error %v, want at most %d", len(files), err, maxDescriptors)
 		}
 	}
 }
 
-// descriptorCount is how many descriptors the process has open; 0 if it has exited.
-func (p *harnessDaemon) descriptorCount() int {
-	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+// descriptorCount returns the number of open descriptors of the process; it is 0 after the process has exited.
+func (d *harnessDaemon) descriptorCount() int {
+	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	return len(files)
 }
 
-// A hot restart among clients that connect and send half a request, with complete requests beside them: both processes
-// together keep to the limit of descriptors, and no request is lost.
+// A hot restart while some clients keep opening connections with an incomplete request and others send complete requests: the
+// two processes together do not exceed the limit of descriptors, and no request is lost.
 func TestHotRestartAmongHalfOpenConnectionsKeepsDescriptorLimit(t *testing.T) {
-	const limit = 512
-	p := newHotRestartHarness(t, 2)
-	first := p.startDaemon()
+	const maxDescriptors = 512 // for both processes together
+	h := newHotRestartHarness(t, 2)
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	callers := p.startLoad(4)
-	callers.awaitServed(t, 20)
+	load := h.startLoad(4)
+	load.awaitServed(t, 20)
 	ctx, stop := context.WithCancel(t.Context())
-	var crowd sync.WaitGroup
+	var halfOpenClients sync.WaitGroup
 	for range 8 {
-		crowd.Go(func() {
+		halfOpenClients.Go(func() {
 			var open []net.Conn
 			for i := 0; ctx.Err() == nil; i++ {
-				nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.listenAddr)
+				nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", h.listenAddr)
 				if err != nil {
 					break
 				}
@@ -104,37 +107,37 @@
 			}
 		})
 	}
-	most := 0
-	watched := make(chan struct{})
-	var others []*harnessDaemon
+	peakDescriptors := 0
+	watcherDone := make(chan struct{})
+	var successors []*harnessDaemon // guarded by mu
 	var mu sync.Mutex
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		for ctx.Err() == nil {
 			sum := 0
 			mu.Lock()
-			for _, d := range append([]*harnessDaemon{first}, others...) {
+			for _, d := range append([]*harnessDaemon{first}, successors...) {
 				sum += d.descriptorCount()
 			}
 			mu.Unlock()
-			most = max(most, sum)
+			peakDescriptors = max(peakDescriptors, sum)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	testpeer.Until(t, "the crowd fills the first process", func() bool { return first.descriptorCount() > 200 })
-	second := p.startDaemon()
+	testpeer.Until(t, "the first process has more than 200 open descriptors", func() bool { return first.descriptorCount() > 200 })
+	second := h.startDaemon()
 	mu.Lock()
-	others = append(others, second)
+	successors = append(successors, second)
 	mu.Unlock()
 	second.awaitAdmin(t, "check", "SUCCESS")
 	first.terminate(t)
-	callers.awaitServed(t, 50)
+	load.awaitServed(t, 50)
 	stop()
-	crowd.Wait()
-	<-watched
-	p.stopLoad(callers)
-	if most > limit {
-		t.Errorf("%d descriptors of %d at once", most, limit)
+	halfOpenClients.Wait()
+	<-watcherDone
+	h.stopLoad(load)
+	if peakDescriptors > maxDescriptors {
+		t.Errorf("the processes had up to %d open descriptors together, want at most %d", peakDescriptors, maxDescriptors)
 	}
 	second.terminate(t)
 }
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -14,92 +14,92 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Under load a process is replaced twice: no request is lost or sent twice, and an endpoint that operators ejected stays
-// ejected until they readmit it, whichever process they call.
+// Under load a process is hot-restarted twice: no request is lost or sent twice. An endpoint that operators ejected stays
+// ejected in the successors, and can be readmitted by a call to any of the processes.
 func TestHotRestartUnderLoadLosesNoRequest(t *testing.T) {
-	p := newHotRestartHarness(t, 3)
-	first := p.startDaemon()
+	h := newHotRestartHarness(t, 3)
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	callers := p.startLoad(12)
-	callers.awaitServed(t, 50)
+	load := h.startLoad(12)
+	load.awaitServed(t, 50)
 	first.awaitAdmin(t, "set-down s-1", "SUCCESS")
-	time.Sleep(50 * time.Millisecond) // requests in flight have ended
-	out := p.endpoints[1].Requests.Load()
-	second := p.startDaemon()
+	time.Sleep(50 * time.Millisecond) // until requests in flight at the endpoint have ended
+	requestsWhenEjected := h.endpoints[1].Requests.Load()
+	second := h.startDaemon()
 	second.awaitAdmin(t, "check", "SUCCESS")
 	first.terminate(t)
-	callers.awaitServed(t, 200)
-	third := p.startDaemon()
+	load.awaitServed(t, 200)
+	third := h.startDaemon()
 	third.awaitAdmin(t, "check", "SUCCESS")
-	if came := p.endpoints[1].Requests.Load() - out; came > 0 {
-		t.Errorf("%d requests came to the one that is out", came)
+	if n := h.endpoints[1].Requests.Load() - requestsWhenEjected; n > 0 {
+		t.Errorf("the ejected endpoint got %d requests, want none", n)
 	}
-	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // by the draining process: its successor is notified
+	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // at the draining process, which notifies its successor
 	second.terminate(t)
-	testpeer.Until(t, "s-1 is used again", func() bool { return t.Failed() || p.endpoints[1].Requests.Load() > out })
-	p.stopLoad(callers)
+	testpeer.Until(t, "s-1 gets requests again", func() bool { return t.Failed() || h.endpoints[1].Requests.Load() > requestsWhenEjected })
+	h.stopLoad(load)
 	third.terminate(t)
 }
 
-// The predecessor resumes when its successor dies, both before and after the successor was ready.
+// The predecessor serves again when its successor is killed, both before and after the successor was ready.
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
-	p := newHotRestartHarness(t, 2)
-	first := p.startDaemon()
+	h := newHotRestartHarness(t, 2)
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	callers := p.startLoad(6)
-	callers.awaitServed(t, 20)
-	second := p.startDaemon()
-	second.signal(t, syscall.SIGKILL) // at its start
+	load := h.startLoad(6)
+	load.awaitServed(t, 20)
+	second := h.startDaemon()
+	second.signal(t, syscall.SIGKILL) // before it is ready
 	_ = second.wait()
-	callers.awaitServed(t, 50)
-	callers.stop() // requests in flight at a SIGKILL are lost
-	callers.clients.Wait()
-	stays, err := net.Dial("tcp", p.listenAddr) // a client that keeps its connection: the first process must not exit
+	load.awaitServed(t, 50)
+	load.stop() // before the next SIGKILL, which loses requests in flight
+	load.clients.Wait()
+	idleClient, err := net.Dial("tcp", h.listenAddr) // while this connection is open, the first process does not exit
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stays.Close()
-	_, _ = io.WriteString(stays, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := stays.Read(make([]byte, 1)); err != nil {
+	defer idleClient.Close()
+	_, _ = io.WriteString(idleClient, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+	if _, err := idleClient.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	third := p.startDaemon()
+	third := h.startDaemon()
 	third.awaitAdmin(t, "check", "SUCCESS")
 	first.awaitAdmin(t, "check", "FAILURE")
 	third.signal(t, syscall.SIGKILL)
 	_ = third.wait()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	again := p.startLoad(6)
-	again.awaitServed(t, 50)
-	again.stop()
-	again.clients.Wait()
+	secondLoad := h.startLoad(6)
+	secondLoad.awaitServed(t, 50)
+	secondLoad.stop()
+	secondLoad.clients.Wait()
 	first.terminate(t)
 }
 
-// A predecessor exits without a signal when its last connection is closed.
+// A predecessor needs no signal to exit: it exits when its last connection is closed.
 func TestPredecessorExitsAfterItsLastConnection(t *testing.T) {
-	p := newHotRestartHarness(t, 1)
-	first := p.startDaemon()
+	h := newHotRestartHarness(t, 1)
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	second := p.startDaemon()
+	second := h.startDaemon()
 	second.awaitAdmin(t, "check", "SUCCESS")
 	first.awaitExit(t)
-	callers := p.startLoad(3)
-	callers.awaitServed(t, 20)
-	p.stopLoad(callers)
+	load := h.startLoad(3)
+	load.awaitServed(t, 20)
+	h.stopLoad(load)
 	second.terminate(t)
 }
 
-// With long responses in flight, and a SIGHUP to both processes during the hot restart: all responses are complete, and the
-// predecessor waits for them.
+// A hot restart while long responses are in flight, with a SIGHUP to both processes: the predecessor exits only when all
+// responses are complete.
 func TestHotRestartWaitsForLongResponses(t *testing.T) {
-	p := newHotRestartHarness(t, 2)
-	first := p.startDaemon()
+	h := newHotRestartHarness(t, 2)
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	var work sync.WaitGroup
+	var requests sync.WaitGroup
 	for i := range 6 {
-		work.Go(func() {
-			r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look/long", nil)
+		requests.Go(func() {
+			r, _ := http.NewRequest(http.MethodGet, "http://"+h.listenAddr+"/look/long", nil)
 			r.Header.Set("Req-Id", fmt.Sprint("long-", i))
 			r.Header.Set("Req-Deadline-Ms", "5000")
 			resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
@@ -109,53 +109,53 @@
 			}
 			defer resp.Body.Close()
 			if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != longResponseParts*32<<10 {
-				t.Errorf("%d bytes, %v", n, err)
+				t.Errorf("response body of %d bytes, error %v, want %d bytes", n, err, longResponseParts*32<<10)
 			}
 		})
 	}
-	testpeer.Until(t, "all are under way", func() bool { return p.endpoints[0].Requests.Load()+p.endpoints[1].Requests.Load() == 6 })
-	second := p.startDaemon()
+	testpeer.Until(t, "all requests have arrived at the endpoints", func() bool { return h.endpoints[0].Requests.Load()+h.endpoints[1].Requests.Load() == 6 })
+	second := h.startDaemon()
 	first.signal(t, syscall.SIGHUP)
 	second.awaitAdmin(t, "check", "SUCCESS")
 	second.signal(t, syscall.SIGHUP)
 	first.terminate(t)
-	work.Wait()
-	callers := p.startLoad(3)
-	callers.awaitServed(t, 20)
-	p.stopLoad(callers)
+	requests.Wait()
+	load := h.startLoad(3)
+	load.awaitServed(t, 20)
+	h.stopLoad(load)
 	second.terminate(t)
 }
 
-// Where discovery is silent a successor uses, after a while, the endpoint list that it was started with. One that gets
-// SIGTERM before that has accepted no connection.
+// If the discovery service does not respond, a successor uses the endpoint list of its configuration after a while. A
+// successor that gets SIGTERM before that has not accepted any connection, so no request is lost.
 func TestHotRestartWithSilentDiscovery(t *testing.T) {
-	p := newHotRestartHarness(t, 1)
-	p.isDiscoverySilent = true
-	first := p.startDaemon()
+	h := newHotRestartHarness(t, 1)
+	h.isDiscoverySilent = true
+	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
-	callers := p.startLoad(3)
-	callers.awaitServed(t, 20)
-	second := p.startDaemon()
-	testpeer.Until(t, "the second one listens to operators", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
+	load := h.startLoad(3)
+	load.awaitServed(t, 20)
+	second := h.startDaemon()
+	testpeer.Until(t, "the second process listens at its operators' address", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
 	second.terminate(t)
 	first.awaitAdmin(t, "check", "SUCCESS")
-	callers.awaitServed(t, 20)
-	third := p.startDaemon()
+	load.awaitServed(t, 20)
+	third := h.startDaemon()
 	third.awaitAdmin(t, "check", "SUCCESS")
 	first.terminate(t)
-	callers.awaitServed(t, 20)
-	p.stopLoad(callers)
+	load.awaitServed(t, 20)
+	h.stopLoad(load)
 }
 
-// A descriptor that is not the socket of the listen address is reported in one line, and the daemon does not start.
+// If the inherited descriptor is not the socket of the listen address, the daemon reports that in one line and does not start.
 func TestWrongListenDescriptorIsRejected(t *testing.T) {
-	p := newHotRestartHarness(t, 1)
-	p.listenAddr = testpeer.FreePort(t)
-	d := p.startDaemon()
+	h := newHotRestartHarness(t, 1)
+	h.listenAddr = testpeer.FreePort(t)
+	d := h.startDaemon()
 	if err := d.wait(); err == nil {
-		t.Error("it started")
+		t.Error("the daemon exited without error, want an error")
 	}
-	if said := d.String(); strings.Count(said, "\n") != 1 || !strings.Contains(said, "listens at") {
-		t.Errorf("%s", said)
+	if stderr := d.String(); strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "listens at") {
+		t.Errorf("stderr %q, want one line that says where the descriptor listens", stderr)
 	}
 }
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -19,76 +19,77 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// hotRestartHarness is the fake of what restarts a daemon: it owns the listening socket and the directory that its processes
-// share, and runs a discovery and endpoints that count the requests by id.
+// hotRestartHarness plays the platform that hot-restarts a daemon. It owns the listening socket and the directory that the
+// daemon's processes share, and runs a fake discovery service and endpoints that count their requests by id.
 type hotRestartHarness struct {
 	t                 *testing.T
-	listenSocket      *os.File
-	listenAddr        string
-	sharedDir         string
-	discoveryAddr     string
-	endpointIDs       []string
+	listenSocket      *os.File // listening socket that each process inherits
+	listenAddr        string   // address of listenSocket
+	sharedDir         string   // TMPDIR of all processes
+	discoveryAddr     string   // address of the fake discovery service
+	endpointIDs       []string // id of each endpoint, by its index in endpoints
 	endpoints         []*testpeer.Endpoint
-	startCount        int
-	isDiscoverySilent bool // discovery accepts requests and responds to none
+	startCount        int  // number of processes started
+	isDiscoverySilent bool // whether the discovery service accepts requests but does not respond
 
 	mu           sync.Mutex
-	requestsByID map[string]int
+	requestsByID map[string]int // number of requests that arrived at any endpoint, by Req-Id; guarded by mu
 }
 
+// newHotRestartHarness starts the discovery service and so many endpoints, but no daemon.
 func newHotRestartHarness(t *testing.T, endpoints int) *hotRestartHarness {
 	t.Helper()
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // as a platform's are
-	l, err := plain.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	var listenConfig net.ListenConfig
+	listenConfig.SetMultipathTCP(false) // the platform's sockets are plain TCP
+	l, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &hotRestartHarness{t: t, listenAddr: l.Addr().String(), sharedDir: t.TempDir(), requestsByID: map[string]int{}}
-	if p.listenSocket, err = l.(*net.TCPListener).File(); err != nil {
+	h := &hotRestartHarness{t: t, listenAddr: l.Addr().String(), sharedDir: t.TempDir(), requestsByID: map[string]int{}}
+	if h.listenSocket, err = l.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.listenSocket.Close() })
+	t.Cleanup(func() { h.listenSocket.Close() })
 	for i := range endpoints {
-		p.endpointIDs = append(p.endpointIDs, fmt.Sprint("s-", i))
-		p.endpoints = append(p.endpoints, testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
-			p.mu.Lock()
-			p.requestsByID[r.Header.Get("Req-Id")]++
-			p.mu.Unlock()
+		h.endpointIDs = append(h.endpointIDs, fmt.Sprint("s-", i))
+		h.endpoints = append(h.endpoints, testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+			h.mu.Lock()
+			h.requestsByID[r.Header.Get("Req-Id")]++
+			h.mu.Unlock()
 			if strings.HasPrefix(r.URL.Path, "/look/long") {
-				return p.writeSlowly(nc)
+				return h.writeSlowly(nc)
 			}
-			time.Sleep(2 * time.Millisecond) // its work
+			time.Sleep(2 * time.Millisecond) // simulated work
 			_, err := io.WriteString(nc, testpeer.Served)
 			return err == nil
 		}))
 	}
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if p.isDiscoverySilent {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if h.isDiscoverySilent {
 			<-r.Context().Done()
 			return
 		}
 		if r.URL.Query().Get("watch") == "" {
-			_, _ = io.WriteString(w, p.memberList())
+			_, _ = io.WriteString(w, h.memberList())
 			return
 		}
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() {
-		d.CloseClientConnections()
-		d.Close()
+		discovery.CloseClientConnections()
+		discovery.Close()
 	})
-	p.discoveryAddr = d.Listener.Addr().String()
-	return p
+	h.discoveryAddr = discovery.Listener.Addr().String()
+	return h
 }
 
-// longResponseParts is of how many parts a long response is, of 32 KiB each.
+// longResponseParts is the number of parts of a long response. Each part has 32 KiB.
 const longResponseParts = 40
 
-// writeSlowly writes a long response within some 1.2 s.
-func (p *hotRestartHarness) writeSlowly(nc net.Conn) bool {
+// writeSlowly writes a long response, which takes about 1.2 s.
+func (h *hotRestartHarness) writeSlowly(nc net.Conn) bool {
 	part := strings.Repeat("z", 32<<10)
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longResponseParts*len(part))
 	for i := 0; i < longResponseParts && err == nil; i++ {
@@ -98,46 +99,49 @@
 	return err == nil
 }
 
-func (p *hotRestartHarness) memberList() string {
+// memberList returns the endpoint list as the discovery service sends it.
+func (h *hotRestartHarness) memberList() string {
 	var members []string
-	for i, e := range p.endpoints {
-		members = append(members, testpeer.Member(p.endpointIDs[i], e.Addr, "Ready"))
+	for i, e := range h.endpoints {
+		members = append(members, testpeer.Member(h.endpointIDs[i], e.Addr, "Ready"))
 	}
 	return testpeer.Members(7, true, members...)
 }
 
-// harnessDaemon is a process of the daemon and its operators' address.
+// harnessDaemon is a process of the daemon that the harness started.
 type harnessDaemon struct {
 	*process
-	adminAddr string
+	adminAddr string // operators' address
 }
 
-func (p *hotRestartHarness) startDaemon() *harnessDaemon {
-	p.t.Helper()
-	p.startCount++
-	out := &harnessDaemon{adminAddr: testpeer.FreePort(p.t)}
-	// The endpoint list that it is started with is stale: it is empty.
-	known := testpeer.Members(1, true)
-	if p.isDiscoverySilent {
-		known = p.memberList()
+// startDaemon starts a process of the daemon, which takes over from a running one. It does not wait until it is ready.
+func (h *hotRestartHarness) startDaemon() *harnessDaemon {
+	h.t.Helper()
+	h.startCount++
+	d := &harnessDaemon{adminAddr: testpeer.FreePort(h.t)}
+	// The endpoint list of the configuration is out of date: it is empty.
+	knownList := testpeer.Members(1, true)
+	if h.isDiscoverySilent {
+		knownList = h.memberList()
 	}
 	config := fmt.Sprintf(`{"name":"n1","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":96,"sockets":512},"known":%s,"settings":%s}`,
-		p.listenAddr, out.adminAddr, p.discoveryAddr, known, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
-	path := filepath.Join(p.t.TempDir(), fmt.Sprint(p.startCount, ".json"))
+		h.listenAddr, d.adminAddr, h.discoveryAddr, knownList, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
+	path := filepath.Join(h.t.TempDir(), fmt.Sprint(h.startCount, ".json"))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		p.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	cmd := programCommand()
-	cmd.ExtraFiles = []*os.File{p.listenSocket}
-	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+path, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.sharedDir)
-	out.process = &process{cmd: cmd}
-	out.start(p.t)
-	return out
+	cmd.ExtraFiles = []*os.File{h.listenSocket}
+	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+path, "ROUTER_LISTEN_FD=3", "TMPDIR="+h.sharedDir)
+	d.process = &process{cmd: cmd}
+	d.start(h.t)
+	return d
 }
 
-func (p *harnessDaemon) callAdmin(t *testing.T, line string) string {
+// callAdmin sends a command line to the operators' address and returns the response; if nothing listens there, it is empty.
+func (d *harnessDaemon) callAdmin(t *testing.T, line string) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", p.adminAddr)
+	nc, err := net.Dial("tcp", d.adminAddr)
 	if err != nil {
 		return ""
 	}
@@ -148,41 +152,43 @@
 	return string(text)
 }
 
-func (p *harnessDaemon) awaitAdmin(t *testing.T, line, want string) {
+// awaitAdmin repeats a command until the response begins with want.
+func (d *harnessDaemon) awaitAdmin(t *testing.T, line, want string) {
 	t.Helper()
-	testpeer.Until(t, line+" is answered with "+want, func() bool { return strings.HasPrefix(p.callAdmin(t, line), want) })
+	testpeer.Until(t, "the response to "+line+" begins with "+want, func() bool { return strings.HasPrefix(d.callAdmin(t, line), want) })
 }
 
-// backgroundLoad is clients that send requests all the time: two of three each on a persistent connection, the others on
-// a new one for each request.
+// backgroundLoad is a set of clients that send requests until they are stopped. Two of three clients use a persistent
+// connection, the others a new connection for each request.
 type backgroundLoad struct {
 	stop        context.CancelFunc
 	clients     sync.WaitGroup
 	servedCount atomic.Int64
 }
 
-func (p *hotRestartHarness) startLoad(callers int) *backgroundLoad {
+// startLoad starts so many clients. A response other than the endpoint's fails the test.
+func (h *hotRestartHarness) startLoad(clients int) *backgroundLoad {
 	l := &backgroundLoad{}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	for c := range callers {
+	for c := range clients {
 		l.clients.Go(func() {
 			transport := &http.Transport{DisableKeepAlives: c%3 == 0}
 			defer transport.CloseIdleConnections()
 			client := http.Client{Transport: transport}
 			for i := 0; ctx.Err() == nil; i++ {
-				r, _ := http.NewRequest(http.MethodGet, "http://"+p.listenAddr+"/look", nil)
+				r, _ := http.NewRequest(http.MethodGet, "http://"+h.listenAddr+"/look", nil)
 				r.Header.Set("Req-Id", fmt.Sprint(c, "-", i))
 				r.Header.Set("Req-Deadline-Ms", "5000")
 				resp, err := client.Do(r)
 				if err != nil {
-					p.t.Errorf("caller %d, request %d: %v", c, i, err)
+					h.t.Errorf("client %d, request %d: %v", c, i, err)
 					return
 				}
 				text, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != http.StatusOK || string(text) != "hi" {
-					p.t.Errorf("caller %d, request %d: %d %q %v", c, i, resp.StatusCode, text, err)
+					h.t.Errorf("client %d, request %d: status %d, body %q, error %v, want 200 and the body \"hi\"", c, i, resp.StatusCode, text, err)
 					return
 				}
 				l.servedCount.Add(1)
@@ -193,39 +199,40 @@
 	return l
 }
 
-// awaitServed waits until n more requests were served.
+// awaitServed waits until n more requests have been served, or the test has failed.
 func (l *backgroundLoad) awaitServed(t *testing.T, n int64) {
 	t.Helper()
 	want := l.servedCount.Load() + n
-	testpeer.Until(t, fmt.Sprint(n, " more requests are served"), func() bool { return t.Failed() || l.servedCount.Load() >= want })
+	testpeer.Until(t, fmt.Sprint(n, " more requests have been served"), func() bool { return t.Failed() || l.servedCount.Load() >= want })
 }
 
-func (p *hotRestartHarness) stopLoad(l *backgroundLoad) {
+// stopLoad stops the clients, and checks that each request arrived at the endpoints exactly once.
+func (h *hotRestartHarness) stopLoad(l *backgroundLoad) {
 	l.stop()
 	l.clients.Wait()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id, n := range p.requestsByID {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, n := range h.requestsByID {
 		if n != 1 {
-			p.t.Errorf("%s came %d times", id, n)
+			h.t.Errorf("request %s arrived at the endpoints %d times, want once", id, n)
 		}
 	}
 }
 
-// awaitExit waits until the process exits without error. One that does not exit in time gets SIGQUIT, and so prints the
-// stacks of its goroutines.
-func (p *harnessDaemon) awaitExit(t *testing.T) {
+// awaitExit waits until the process exits, and requires that it exits without error. If it does not exit in time it gets
+// SIGQUIT, so that it prints the stacks of its goroutines.
+func (d *harnessDaemon) awaitExit(t *testing.T) {
 	t.Helper()
-	stuck := time.AfterFunc(testpeer.Patience, func() { _ = p.cmd.Process.Signal(syscall.SIGQUIT) })
-	defer stuck.Stop()
-	if err := p.wait(); err != nil {
-		t.Fatalf("a process ends with %v: %s", err, &p.outputBuffer)
+	timer := time.AfterFunc(testpeer.Patience, func() { _ = d.cmd.Process.Signal(syscall.SIGQUIT) })
+	defer timer.Stop()
+	if err := d.wait(); err != nil {
+		t.Fatalf("the process exited with %v, want no error: %s", err, &d.outputBuffer)
 	}
 }
 
-// terminate sends SIGTERM and waits until the process exits without error.
-func (p *harnessDaemon) terminate(t *testing.T) {
+// terminate sends SIGTERM, waits until the process exits, and requires that it exits without error.
+func (d *harnessDaemon) terminate(t *testing.T) {
 	t.Helper()
-	p.signal(t, syscall.SIGTERM)
-	p.awaitExit(t)
+	d.signal(t, syscall.SIGTERM)
+	d.awaitExit(t)
 }
--- a/cmd/tuliprock/load_test.go
+++ b/cmd/tuliprock/load_test.go
@@ -9,21 +9,21 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Two runs of load against a stand-in node, and the merge of their results.
+// Two load runs against a stand-in node write results that "load merge" adds up.
 func TestLoadWritesResultsThatMerge(t *testing.T) {
 	addr, dir := testpeer.FreePort(t), t.TempDir()
 	startProcess(t, "stand-in", addr).awaitText(t, addr)
 	files := []string{filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}
-	for i, f := range files {
-		// Exit code 1 is a busy machine's: the result is there all the same.
-		code, out, errs := runProgram(t, programCommand("load", "--target", "http://"+addr+"/{n}", "--rate", "50", "--for", "1s",
-			"--gaps", "even", "--seed", fmt.Sprint(i), "--json", f))
-		if code > 1 || !strings.Contains(out, "due 50 in") || !strings.Contains(out, "from when due") {
-			t.Fatalf("%d\n%s\n%s", code, out, errs)
+	for i, file := range files {
+		// Exit code 1 is accepted: on a busy machine a run may be not valid, but it writes its result all the same.
+		code, stdout, stderr := runProgram(t, programCommand("load", "--target", "http://"+addr+"/{n}", "--rate", "50", "--for", "1s",
+			"--gaps", "even", "--seed", fmt.Sprint(i), "--json", file))
+		if code > 1 || !strings.Contains(stdout, "due 50 in") || !strings.Contains(stdout, "from when due") {
+			t.Fatalf("load: exit code %d, want at most 1 and 50 due requests\n%s\n%s", code, stdout, stderr)
 		}
 	}
-	code, out, errs := runProgram(t, programCommand(append([]string{"load", "merge"}, files...)...))
-	if code > 1 || !strings.Contains(out, "due 100 in") || !strings.Contains(out, "2 runs together") {
-		t.Errorf("%d\n%s\n%s", code, out, errs)
+	code, stdout, stderr := runProgram(t, programCommand(append([]string{"load", "merge"}, files...)...))
+	if code > 1 || !strings.Contains(stdout, "due 100 in") || !strings.Contains(stdout, "2 runs together") {
+		t.Errorf("load merge: exit code %d, want at most 1 and 100 due requests of 2 runs\n%s\n%s", code, stdout, stderr)
 	}
 }
--- a/cmd/tuliprock/measurementpeer_test.go
+++ b/cmd/tuliprock/measurementpeer_test.go
@@ -15,13 +15,13 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runAsPeerEnv makes the test binary a peer of a measurement: "node", "bulk", "splice" or "proxy", followed by the address
-// that it listens at and those that it forwards to.
+// runAsPeerEnv is the environment variable that makes the test binary a server for a measurement. Its value is the kind of
+// server ("node", "bulk", "splice" or "proxy"), the address that it listens at, and the addresses that it forwards to, if any.
 const runAsPeerEnv = "TULIPROCK_TEST_PEER"
 
-// runPeer runs such a peer until it fails.
-func runPeer(what string) {
-	words := strings.Fields(what)
+// runPeer runs the server that a value of runAsPeerEnv describes. It returns only when the server fails.
+func runPeer(description string) {
+	words := strings.Fields(description)
 	var handler http.Handler
 	switch words[0] {
 	case "node":
@@ -36,11 +36,11 @@
 		fmt.Fprintln(os.Stderr, serveSplice(words[1], words[2]))
 		return
 	case "proxy":
-		var turn atomic.Uint64
+		var nextTarget atomic.Uint64
 		targets := words[2:]
 		handler = &httputil.ReverseProxy{
 			Rewrite: func(r *httputil.ProxyRequest) {
-				r.SetURL(&url.URL{Scheme: "http", Host: targets[turn.Add(1)%uint64(len(targets))]})
+				r.SetURL(&url.URL{Scheme: "http", Host: targets[nextTarget.Add(1)%uint64(len(targets))]})
 				r.SetXForwarded()
 			},
 			Transport: &http.Transport{MaxIdleConnsPerHost: 500},
@@ -49,17 +49,18 @@
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(words[1], handler))
 }
 
-// startPeer starts a peer as a process on one core, waits until it accepts connections, and returns its process id.
+// startPeer starts a server, described as for runAsPeerEnv, as a process on one core. It waits until the server accepts
+// connections and returns the process id.
 func startPeer(t *testing.T, words ...string) int {
 	t.Helper()
-	s := &process{cmd: programCommand()}
-	s.cmd.Env = append(s.cmd.Env, runAsPeerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
-	s.start(t)
+	p := &process{cmd: programCommand()}
+	p.cmd.Env = append(p.cmd.Env, runAsPeerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
+	p.start(t)
 	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(5 * time.Millisecond) {
 		nc, err := net.Dial("tcp", words[1])
 		if err == nil {
 			nc.Close()
-			return s.cmd.Process.Pid
+			return p.cmd.Process.Pid
 		}
 		if time.Now().After(end) {
 			t.Fatal(err)
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -9,71 +9,71 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Five processes: an endpoint that operators eject at one daemon is ejected on all. Through a partition, a killed leader, a
-// stopped leader and all processes killed at once, no agreed change is lost, and no request goes to an ejected endpoint.
+// An endpoint that operators eject at one of five daemons is ejected on all. The daemons go through a partition, a killed
+// leader, a paused leader, and a kill of all at once: no agreed change is lost, and no request goes to an ejected endpoint.
 func TestEjectionHoldsOnAllDaemonsThroughFaults(t *testing.T) {
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3})
-	first, second := c.nodes[0].Addr, c.nodes[1].Addr
-	c.callUntilOnAll(c.daemons[3], "set-down "+first)
+	firstNode, secondNode := c.nodes[0].Addr, c.nodes[1].Addr
+	c.callUntilOnAll(c.daemons[3], "set-down "+firstNode)
 	c.awaitEjection(c.daemons, 0, true)
 	if n := c.countRequestsAt(c.daemons, 0); n > 0 {
-		t.Errorf("%d requests came to what is out", n)
+		t.Errorf("an ejected node got %d requests, want none", n)
 	}
 
-	code, out, errs := runProgram(t, programCommand("settings", "--at", c.daemons[0].adminAddr, "--json", "-"))
-	if code != exitOK || !strings.Contains(out, `"format":1,"version":`) || !strings.Contains(out, `"name":"out/`+first) {
-		t.Errorf("settings: %d %s %s", code, out, errs)
+	code, stdout, stderr := runProgram(t, programCommand("settings", "--at", c.daemons[0].adminAddr, "--json", "-"))
+	if code != exitOK || !strings.Contains(stdout, `"format":1,"version":`) || !strings.Contains(stdout, `"name":"out/`+firstNode) {
+		t.Errorf("settings: exit code %d, stdout %s, stderr %s, want 0 and the ejection of %s", code, stdout, stderr, firstNode)
 	}
 
-	away := c.daemons[4]
+	partitioned := c.daemons[4]
 	c.network.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
-	testpeer.Until(t, "who is cut off has no lease", func() bool { return strings.Contains(away.callAdmin("settings"), "acting=false") })
-	c.callUntilOnAll(c.daemons[0], "set-up "+first)
+	testpeer.Until(t, "the partitioned daemon has no lease", func() bool { return strings.Contains(partitioned.callAdmin("settings"), "acting=false") })
+	c.callUntilOnAll(c.daemons[0], "set-up "+firstNode)
 	c.awaitEjection(c.daemons[:4], 0, false)
-	if n := c.countRequestsAt([]*clusterDaemon{away}, 0); n > 0 {
-		t.Errorf("%d requests by who was cut off came to what is out for it", n)
+	if n := c.countRequestsAt([]*clusterDaemon{partitioned}, 0); n > 0 {
+		t.Errorf("a node that is still ejected for the partitioned daemon got %d requests from it, want none", n)
 	}
-	said := away.callAdmin("set-down " + second)
-	if !strings.HasPrefix(said, "SUCCESS") || !strings.Contains(said, "here; for the others: no majority") {
-		t.Errorf("a call at who is cut off: %q", said)
+	reply := partitioned.callAdmin("set-down " + secondNode)
+	if !strings.HasPrefix(reply, "SUCCESS") || !strings.Contains(reply, "here; for the others: no majority") {
+		t.Errorf("set-down at the partitioned daemon: %q, want success there and an error for the others", reply)
 	}
-	if n := c.countRequestsAt([]*clusterDaemon{away}, 1); n > 0 {
-		t.Errorf("%d requests came to what was taken out here", n)
+	if n := c.countRequestsAt([]*clusterDaemon{partitioned}, 1); n > 0 {
+		t.Errorf("a node ejected only at the partitioned daemon got %d requests from it, want none", n)
 	}
 	c.network.Heal()
 	c.awaitEjection(c.daemons, 0, false)
-	c.callUntilOnAll(away, "set-up "+second)
+	c.callUntilOnAll(partitioned, "set-up "+secondNode)
 
-	leads := c.leader()
-	if leads < 0 {
-		t.Fatal("nobody leads")
+	leader := c.leader()
+	if leader < 0 {
+		t.Fatal("no daemon is the leader")
 	}
-	killed := c.daemons[leads]
+	killed := c.daemons[leader]
 	killed.signal(t, syscall.SIGKILL)
 	_ = killed.wait()
-	c.callUntilOnAll(c.daemons[3], "set-down "+second)
-	var rest []*clusterDaemon
+	c.callUntilOnAll(c.daemons[3], "set-down "+secondNode)
+	var survivors []*clusterDaemon
 	for _, d := range c.daemons {
 		if d != killed {
-			rest = append(rest, d)
+			survivors = append(survivors, d)
 		}
 	}
-	c.awaitEjection(rest, 1, true)
+	c.awaitEjection(survivors, 1, true)
 	killed.start(t)
 	if n := c.countRequestsAt([]*clusterDaemon{killed}, 1); n > 0 {
-		t.Errorf("%d requests came to what is out by who was away", n)
+		t.Errorf("a node that was ejected while a daemon was down got %d requests from that daemon, want none", n)
 	}
 
-	if leads = c.leader(); leads < 0 {
-		t.Fatal("nobody leads")
+	if leader = c.leader(); leader < 0 {
+		t.Fatal("no daemon is the leader")
 	}
-	stopped := c.daemons[leads]
-	stopped.signal(t, syscall.SIGSTOP)
-	other := c.daemons[(leads+1)%3]
-	c.callUntilOnAll(other, "set-up "+second)
-	stopped.signal(t, syscall.SIGCONT)
+	paused := c.daemons[leader]
+	paused.signal(t, syscall.SIGSTOP)
+	otherVoter := c.daemons[(leader+1)%3]
+	c.callUntilOnAll(otherVoter, "set-up "+secondNode)
+	paused.signal(t, syscall.SIGCONT)
 	c.awaitEjection(c.daemons, 1, false)
-	c.callUntilOnAll(stopped, "set-down "+first)
+	c.callUntilOnAll(paused, "set-down "+firstNode)
 	c.awaitEjection(c.daemons, 0, true)
 
 	for _, d := range c.daemons {
@@ -88,6 +88,6 @@
 	}
 	c.awaitEjection(c.daemons, 0, true)
 	if n := c.countRequestsAt(c.daemons, 0); n > 0 {
-		t.Errorf("%d requests came to what was out before all were killed", n)
+		t.Errorf("a node that was ejected before all daemons were killed got %d requests, want none", n)
 	}
 }
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -15,72 +15,73 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Two processes with one name, one of another cluster and one with another key: each reports that, and the others serve on.
-// Then the elder is killed and the younger takes its name, one leaves gracefully, and keys are rotated.
+// Two daemons with the same name, a daemon of another cluster and one with another key do not disturb the cluster of the
+// others, and all serve requests. Then the older of the two is killed and the younger joins under their name, another daemon
+// shuts down gracefully, and a second key is added.
 func TestClusterSeparatesDuplicateNamesClustersAndKeys(t *testing.T) {
 	key := writeKeyFile(t, 1)
 	a := startClusterDaemon(t, "a", "c", freeClusterAddress(t, 1), key)
 	b := startClusterDaemon(t, "b", "c", freeClusterAddress(t, 2), key, a.clusterAddr)
-	elder := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), key, a.clusterAddr)
-	a.awaitPeersReport(t, "three are there", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
+	older := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), key, a.clusterAddr)
+	a.awaitPeersReport(t, "a sees three daemons", func(f *status.Fleet) bool { return f.Daemons == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
 	younger := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 4), key, b.clusterAddr)
-	stranger := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.clusterAddr)
-	forger := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.clusterAddr)
-	younger.awaitPeersReport(t, "the younger stays out", func(f *status.Fleet) bool { return f.Elder == elder.clusterAddr && f.Connectivity == "cut-off" })
+	otherCluster := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.clusterAddr)
+	otherKey := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.clusterAddr)
+	younger.awaitPeersReport(t, "the younger daemon is not admitted", func(f *status.Fleet) bool { return f.Elder == older.clusterAddr && f.Connectivity == "cut-off" })
 	younger.awaitText(t, "an elder daemon of this name is in the fleet")
-	elder.awaitText(t, "a younger daemon of this name is about")
-	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "elder": elder, "younger": younger, "stranger": stranger, "forger": forger} {
+	older.awaitText(t, "a younger daemon of this name is about")
+	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "older": older, "younger": younger, "other cluster": otherCluster, "other key": otherKey} {
 		resp, err := http.Get("http://" + d.httpAddr + "/_health")
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s does not serve: %v", name, err)
+			t.Fatalf("daemon %s: health check response %v, error %v, want status 200", name, resp, err)
 		}
 		resp.Body.Close()
 	}
-	for _, d := range []*clusterDaemon{a, b, elder} {
-		d.awaitPeersReport(t, "the three hold one another", func(f *status.Fleet) bool {
-			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == elder.clusterAddr && f.Connectivity == "whole"
+	for _, d := range []*clusterDaemon{a, b, older} {
+		d.awaitPeersReport(t, "each of the three daemons sees all three", func(f *status.Fleet) bool {
+			return f.Daemons == 3 && len(f.Peers) == 3 && peerOf(f, "x").Address == older.clusterAddr && f.Connectivity == "whole"
 		})
 	}
-	elder.signal(t, syscall.SIGKILL)
-	a.awaitPeersReport(t, "the younger has the name", func(f *status.Fleet) bool {
+	older.signal(t, syscall.SIGKILL)
+	a.awaitPeersReport(t, "the younger daemon has joined under the name", func(f *status.Fleet) bool {
 		return peerOf(f, "x").Address == younger.clusterAddr && peerOf(f, "x").State == "alive"
 	})
 	b.signal(t, syscall.SIGTERM)
 	if err := b.wait(); err != nil {
-		t.Errorf("b ended with %v: %s", err, b)
+		t.Errorf("b exited with %v, want no error: %s", err, b)
 	}
 	a.awaitPeersReport(t, "b has left", func(f *status.Fleet) bool { return peerOf(f, "b").State == "left" && f.Daemons == 2 })
 
-	// A second key is added to the key file; what cannot change without a restart is logged.
+	// A second key is added to the key file. A change of the cluster's name, which needs a restart, is logged and ignored.
 	if err := os.WriteFile(key, fmt.Appendf(nil, "%x\n%x\n", bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a.writeConfig(t, strings.Replace(a.configText, `cluster = "c"`, `cluster = "d"`, 1))
 	a.signal(t, syscall.SIGHUP)
 	a.awaitText(t, "change with a restart only")
-	a.awaitPeersReport(t, "it still is in its fleet", func(f *status.Fleet) bool { return peerOf(f, "x").State == "alive" })
+	a.awaitPeersReport(t, "a is still in its cluster", func(f *status.Fleet) bool { return peerOf(f, "x").State == "alive" })
 	a.writeConfig(t, strings.Replace(a.configText, key, "/nowhere", 1))
 	a.signal(t, syscall.SIGHUP)
 	a.awaitText(t, "fleet.key_file")
-	younger.awaitPeersReport(t, "they still hear one another", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
-	if code, out, _ := runProgram(t, programCommand("peers", "--at", a.adminAddr)); code != exitOK || !strings.Contains(out, "a is ") {
-		t.Errorf("peers: %d %s", code, out)
+	younger.awaitPeersReport(t, "the younger daemon still sees a", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.Elder == "" })
+	if code, stdout, _ := runProgram(t, programCommand("peers", "--at", a.adminAddr)); code != exitOK || !strings.Contains(stdout, "a is ") {
+		t.Errorf("peers: exit code %d, stdout %s, want 0 and the state of a", code, stdout)
 	}
-	forger.awaitPeersReport(t, "with both keys the forger is heard", func(f *status.Fleet) bool {
+	otherKey.awaitPeersReport(t, "a accepts messages of the daemon with the other key, after both keys are in its file", func(f *status.Fleet) bool {
 		return peerOf(f, "a").State == "" || peerOf(f, "a").State == "alive"
 	})
 }
 
-// The command ends with exitUsage where the daemon is in no cluster.
+// The command peers exits with exitUsage if the daemon is not in a cluster.
 func TestPeersCommandFailsWithoutCluster(t *testing.T) {
 	d := &clusterDaemon{adminAddr: testpeer.FreePort(t), configPath: filepath.Join(t.TempDir(), "ops.toml")}
 	d.writeConfig(t, fmt.Sprintf("format = 1\ndaemon = { admin_addr = %q }\nlistener = [{ name = \"in\", address = \"127.0.0.1:0\" }]\nclass = [{ name = \"look\", effect = \"safe\" }]\n"+
 		"pool = [{ name = \"p\", member = [{ address = \"127.0.0.1:9\" }] }]\nroute = [{ pool = \"p\", class = \"look\" }]\n", d.adminAddr))
 	d.process = startProcess(t, "serve", "--config", d.configPath)
 	d.awaitText(t, "msg=listening")
-	began := time.Now()
-	code, out, errs := runProgram(t, programCommand("peers", "--at", d.adminAddr, "--json", "-"))
-	if code != exitUsage || out != "" || !strings.Contains(errs, "in no fleet") {
-		t.Errorf("%d %q %q after %v", code, out, errs, time.Since(began))
+	start := time.Now()
+	code, stdout, stderr := runProgram(t, programCommand("peers", "--at", d.adminAddr, "--json", "-"))
+	if code != exitUsage || stdout != "" || !strings.Contains(stderr, "in no fleet") {
+		t.Errorf("exit code %d, stdout %q, stderr %q after %v, want %d and that the daemon is in no fleet", code, stdout, stderr, time.Since(start), exitUsage)
 	}
 }
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -14,12 +14,13 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runAsProgramEnv makes the test binary the program itself: a rehearsal starts it as its sidecars, without an argument.
+// runAsProgramEnv is the environment variable that makes the test binary run main instead of the tests. It is inherited by
+// the sidecars that a rehearsal starts.
 const runAsProgramEnv = "TULIPROCK_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if what := os.Getenv(runAsPeerEnv); what != "" {
-		runPeer(what)
+	if peer := os.Getenv(runAsPeerEnv); peer != "" {
+		runPeer(peer)
 		os.Exit(1)
 	}
 	if os.Getenv(runAsProgramEnv) != "" {
@@ -29,14 +30,14 @@
 	os.Exit(m.Run())
 }
 
-// programCommand returns the command that runs the program with these arguments.
+// programCommand returns a command that runs the program, as a process of the test binary, with these arguments.
 func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	return cmd
 }
 
-// runProgram runs the command until it ends.
+// runProgram runs the command to its end and returns its exit code and output.
 func runProgram(t *testing.T, cmd *exec.Cmd) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs strings.Builder
@@ -48,73 +49,73 @@
 	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
 }
 
-// outputBuffer collects what a process writes while it runs.
+// outputBuffer collects the output of a process, and can be read while the process runs.
 type outputBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (s *outputBuffer) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(b)
+func (b *outputBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-func (s *outputBuffer) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.String()
+func (b *outputBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
 
-// awaitText waits until the process has written a text.
-func (s *outputBuffer) awaitText(t *testing.T, want string) {
+// awaitText waits until the output contains a text.
+func (b *outputBuffer) awaitText(t *testing.T, want string) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !strings.Contains(s.String(), want); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Patience); !strings.Contains(b.String(), want); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never said %q: %s", want, s)
+			t.Fatalf("the output lacks %q: %s", want, b)
 		}
 	}
 }
 
-// process is a running process of the program. It is killed at the end of the test.
+// process is a running process of the program with its standard error. It is killed at the end of the test.
 type process struct {
 	outputBuffer
 	cmd  *exec.Cmd
-	wait func() error // waits for its end; may be called more than once
+	wait func() error // waits until the process exits and returns its exit error; may be called more than once
 }
 
-// startProcess runs the program with these arguments.
+// startProcess starts the program with these arguments.
 func startProcess(t *testing.T, args ...string) *process {
 	t.Helper()
 	return startProcessIn(t, "", args...)
 }
 
-// startProcessIn is startProcess in a working directory; empty: that of the test.
+// startProcessIn is like startProcess, but with a working directory; if dir is empty, it is that of the test.
 func startProcessIn(t *testing.T, dir string, args ...string) *process {
 	t.Helper()
-	s := &process{cmd: programCommand(args...)}
-	s.cmd.Dir = dir
-	s.start(t)
-	return s
+	p := &process{cmd: programCommand(args...)}
+	p.cmd.Dir = dir
+	p.start(t)
+	return p
 }
 
-func (s *process) start(t *testing.T) {
+func (p *process) start(t *testing.T) {
 	t.Helper()
-	s.cmd.Stderr = &s.outputBuffer
-	if err := s.cmd.Start(); err != nil {
+	p.cmd.Stderr = &p.outputBuffer
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.wait = sync.OnceValue(s.cmd.Wait)
+	p.wait = sync.OnceValue(p.cmd.Wait)
 	t.Cleanup(func() {
-		_ = s.cmd.Process.Kill()
-		_ = s.wait()
+		_ = p.cmd.Process.Kill()
+		_ = p.wait()
 	})
 }
 
-func (s *process) signal(t *testing.T, sig syscall.Signal) {
+func (p *process) signal(t *testing.T, sig syscall.Signal) {
 	t.Helper()
-	if err := s.cmd.Process.Signal(sig); err != nil {
+	if err := p.cmd.Process.Signal(sig); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// tinyDay is a day of two nodes without faults.
+// tinyDay is the file of a day of 2 s with two nodes and no faults.
 const tinyDay = `format = 1
 name = "tiny"
 seed = 1
@@ -45,29 +45,30 @@
 usage = 1
 `
 
-// writeTinyDay writes tinyDay with replacements, and returns its path.
-func writeTinyDay(t *testing.T, change ...string) string {
+// writeTinyDay writes tinyDay to a file and returns its path. changes are pairs of a text and its replacement.
+func writeTinyDay(t *testing.T, changes ...string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tiny.toml")
-	text := strings.NewReplacer(change...).Replace(tinyDay)
+	text := strings.NewReplacer(changes...).Replace(tinyDay)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
+// A rehearsal writes its result as JSON and as a complete HTML page, and leaves no temporary files behind.
 func TestRehearseWritesResultAndReport(t *testing.T) {
 	dir := t.TempDir()
-	report, result := filepath.Join(dir, "r.html"), filepath.Join(dir, "r.json")
-	code, out, errs := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--json", result, "--report", report))
-	if code != 0 || !strings.Contains(out, "rule 1") || errs != "" {
-		t.Fatalf("%d\n%s\n%s", code, out, errs)
+	reportFile, resultFile := filepath.Join(dir, "r.html"), filepath.Join(dir, "r.json")
+	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--json", resultFile, "--report", reportFile))
+	if code != 0 || !strings.Contains(stdout, "rule 1") || stderr != "" {
+		t.Fatalf("exit code %d, want 0, a table with a line on rule 1 and no errors\n%s\n%s", code, stdout, stderr)
 	}
-	text, err := os.ReadFile(result)
+	text, err := os.ReadFile(resultFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r struct {
+	var result struct {
 		Format int
 		Kind   string
 		Runs   []struct {
@@ -77,120 +78,124 @@
 			Referee     struct{ Rules []struct{ Verdict string } }
 		}
 	}
-	if err := json.Unmarshal(text, &r); err != nil {
+	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	if r.Format != 1 || r.Kind != "rehearsal" || len(r.Runs) != 1 || !r.Runs[0].Held || r.Runs[0].Whole < 0.9 || r.Runs[0].Requests.Asked < 50 ||
-		r.Runs[0].Referee.Rules[0].Verdict != "held" || r.Runs[0].Referee.Rules[3].Verdict != "not put to the test" {
-		t.Errorf("%+v", r)
+	if result.Format != 1 || result.Kind != "rehearsal" || len(result.Runs) != 1 || !result.Runs[0].Held || result.Runs[0].Whole < 0.9 || result.Runs[0].Requests.Asked < 50 ||
+		result.Runs[0].Referee.Rules[0].Verdict != "held" || result.Runs[0].Referee.Rules[3].Verdict != "not put to the test" {
+		t.Errorf("result %+v, want one run of at least 50 requests that held the rule on final responses and did not test the one on warming endpoints", result)
 	}
-	page, err := os.ReadFile(report)
+	page, err := os.ReadFile(reportFile)
 	if err != nil || !strings.Contains(string(page), "<svg") || strings.Contains(string(page), "http") {
-		t.Errorf("the page is not whole, or loads something: %v", err)
+		t.Errorf("the HTML page has no chart or loads something from the network; error %v", err)
 	}
-	left, _ := filepath.Glob(filepath.Join(dir, ".*"))
-	if len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+	temporaryFiles, _ := filepath.Glob(filepath.Join(dir, ".*"))
+	if len(temporaryFiles) > 0 {
+		t.Errorf("temporary files %v remain, want none", temporaryFiles)
 	}
 }
 
-// The same day with sidecars that serve operators' files has the same verdict.
+// A day holds all rules also if its sidecars run with operators' files (--serve).
 func TestRehearseServeGivesTheSameVerdict(t *testing.T) {
-	code, out, errs := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
+	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
 	if code != 0 {
-		t.Fatalf("%d\n%s\n%s", code, out, errs)
+		t.Fatalf("exit code %d, want 0\n%s\n%s", code, stdout, stderr)
 	}
-	var r struct {
+	var result struct {
 		Runs []struct {
 			Held, Valid bool
 			Whole       float64
 		}
 	}
-	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Runs) != 1 || !r.Runs[0].Held || !r.Runs[0].Valid || r.Runs[0].Whole < 0.9 {
-		t.Errorf("%v: %+v", err, r)
+	if err := json.Unmarshal([]byte(stdout), &result); err != nil || len(result.Runs) != 1 || !result.Runs[0].Held || !result.Runs[0].Valid || result.Runs[0].Whole < 0.9 {
+		t.Errorf("result %+v, error %v, want one valid run that held all rules", result, err)
 	}
 }
 
 func TestRehearseRejectsBadUsage(t *testing.T) {
-	bad := writeTinyDay(t, "cores = 2", "cores = 0")
+	invalidDay := writeTinyDay(t, "cores = 2", "cores = 0")
 	for name, c := range map[string]struct {
 		args []string
-		want string
+		want string // expected part of standard error
 	}{
-		"a bad day":           {[]string{"rehearse", bad}, ":15: tier[0].kind[0].cores: must be"},
-		"no such day":         {[]string{"rehearse", "nowhere.toml"}, "nowhere.toml"},
-		"an unknown picker":   {[]string{"rehearse", "--against", "best"}, "--against"},
-		"an unknown command":  {[]string{"rehearsal"}, "unexpected argument"},
-		"an unknown flag":     {[]string{"rehearse", "--loud"}, "--loud"},
-		"no demand":           {[]string{"rehearse", "--demand", "0"}, "--demand"},
-		"no such folder":      {[]string{"rehearse", "--json", "/nowhere/r.json"}, "/nowhere"},
-		"a length of nothing": {[]string{"rehearse", "--length", "1ms"}, "1ms"},
+		"invalid day":              {[]string{"rehearse", invalidDay}, ":15: tier[0].kind[0].cores: must be"},
+		"missing day":              {[]string{"rehearse", "nowhere.toml"}, "nowhere.toml"},
+		"unknown baseline picker":  {[]string{"rehearse", "--against", "best"}, "--against"},
+		"unknown command":          {[]string{"rehearsal"}, "unexpected argument"},
+		"unknown flag":             {[]string{"rehearse", "--loud"}, "--loud"},
+		"zero demand":              {[]string{"rehearse", "--demand", "0"}, "--demand"},
+		"missing output directory": {[]string{"rehearse", "--json", "/nowhere/r.json"}, "/nowhere"},
+		"too short length":         {[]string{"rehearse", "--length", "1ms"}, "1ms"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			code, out, errs := runProgram(t, programCommand(c.args...))
-			if code != 2 || out != "" || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
-				t.Errorf("%d, %q, %q", code, out, errs)
+			code, stdout, stderr := runProgram(t, programCommand(c.args...))
+			if code != 2 || stdout != "" || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
+				t.Errorf("exit code %d, stdout %q, stderr %q, want 2, nothing and one line with %q", code, stdout, stderr, c.want)
 			}
 		})
 	}
 }
 
+// The printed plan of a day is the same for the same seed, and differs for another seed.
 func TestRehearsePlanIsDeterministicBySeed(t *testing.T) {
 	path := writeTinyDay(t)
 	code, first, _ := runProgram(t, programCommand("rehearse", path, "--plan"))
 	_, again, _ := runProgram(t, programCommand("rehearse", path, "--plan"))
 	_, other, _ := runProgram(t, programCommand("rehearse", path, "--plan", "--seed", "2"))
 	if code != 0 || first != again || first == other || strings.Count(first, "\n") < 50 {
-		t.Errorf("%d, same %v, %d lines", code, first == again, strings.Count(first, "\n"))
+		t.Errorf("exit code %d, same plan for the same seed: %v, same for another seed: %v, %d lines; want 0, true, false, at least 50",
+			code, first == again, first == other, strings.Count(first, "\n"))
 	}
 }
 
-// When the result cannot be written after the day was played, one line says so, and the exit code is 1.
+// If the result cannot be written after the day was run, the command reports that in one line and exits with 1.
 func TestRehearseReportsFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip("no /dev/full here")
 	}
-	code, _, errs := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--json", "/dev/full"))
-	if code != 1 || !strings.Contains(errs, "no space left") || strings.Count(errs, "\n") != 1 {
-		t.Errorf("%d %q", code, errs)
+	code, _, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--json", "/dev/full"))
+	if code != 1 || !strings.Contains(stderr, "no space left") || strings.Count(stderr, "\n") != 1 {
+		t.Errorf("exit code %d, stderr %q, want 1 and one line that no space is left", code, stderr)
 	}
 }
 
+// Two baseline pickers and two demand factors give six runs, all in the printed table.
 func TestRehearseComparesBaselinesAndDemands(t *testing.T) {
 	var code int
-	var out, errs string
-	for range 3 { // a play on a machine too busy for it says that it is not valid, which is no verdict
-		code, out, errs = runProgram(t, programCommand("rehearse", writeTinyDay(t), "--against", "random,least-outstanding", "--demand", "0.5,1"))
-		if !strings.Contains(out, "NOT VALID") {
+	var stdout, stderr string
+	for range 3 { // a run on a machine that is too busy is reported as not valid, which is no verdict, and is repeated
+		code, stdout, stderr = runProgram(t, programCommand("rehearse", writeTinyDay(t), "--against", "random,least-outstanding", "--demand", "0.5,1"))
+		if !strings.Contains(stdout, "NOT VALID") {
 			break
 		}
 	}
-	if code != 0 || strings.Count(out, "\ntiny ") != 6 || strings.Count(out, "least-outstanding") != 2 || strings.Count(out, "held") != 6 {
-		t.Errorf("%d\n%s\n%s", code, out, errs)
+	if code != 0 || strings.Count(stdout, "\ntiny ") != 6 || strings.Count(stdout, "least-outstanding") != 2 || strings.Count(stdout, "held") != 6 {
+		t.Errorf("exit code %d, want 0 and six runs that held\n%s\n%s", code, stdout, stderr)
 	}
 }
 
-// A rehearsal that was stopped for a while says that its result is not valid, and does not blame the sidecars.
+// A rehearsal whose process was paused reports that its result is not valid, instead of a broken rule.
 func TestPausedRehearsalIsNotValid(t *testing.T) {
-	cmd, errs := startRehearsal(t, writeTinyDay(t))
+	cmd, stderr := startRehearsal(t, writeTinyDay(t))
 	for _, s := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGCONT} {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(700 * time.Millisecond) // longer than the 500 ms that a valid rehearsal may stand still: the fault under test
+		time.Sleep(700 * time.Millisecond) // a rehearsal that is paused for over 500 ms is not valid
 	}
 	_ = cmd.Wait()
-	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(errs.String(), "tiny is not valid") {
-		t.Errorf("%d %q", cmd.ProcessState.ExitCode(), errs.String())
+	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(stderr.String(), "tiny is not valid") {
+		t.Errorf("exit code %d, stderr %q, want 1 and that the day is not valid", cmd.ProcessState.ExitCode(), stderr.String())
 	}
 }
 
-// startRehearsal starts a rehearsal and waits until its clients send requests.
+// startRehearsal starts a rehearsal, waits until its clients send requests, and returns its command and standard error. The
+// standard error must not be read before the command has ended.
 func startRehearsal(t *testing.T, day string) (*exec.Cmd, *strings.Builder) {
 	t.Helper()
-	logs, errs := t.TempDir(), &strings.Builder{}
+	logs, stderr := t.TempDir(), &strings.Builder{}
 	cmd := programCommand("rehearse", day, "--logs", logs)
-	cmd.Stderr = errs
+	cmd.Stderr = stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -202,20 +207,21 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("never started")
+			t.Fatal("no sidecar of the rehearsal was listening after 20 s")
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // from the sidecar's start to the first request, which nothing reports
-	return cmd, errs
+	time.Sleep(200 * time.Millisecond) // until the first request is sent, which is not logged
+	return cmd, stderr
 }
 
+// SIGINT ends a rehearsal and the processes that it started.
 func TestInterruptEndsRehearsalAndItsProcesses(t *testing.T) {
-	cmd, errs := startRehearsal(t, writeTinyDay(t, `"2s"`, `"60s"`))
+	cmd, stderr := startRehearsal(t, writeTinyDay(t, `"2s"`, `"60s"`))
 	if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
 	}
 	_ = cmd.Wait()
-	if cmd.ProcessState.ExitCode() != 1 || errs.String() != "tuliprock: interrupted; everything that was started has ended\n" {
-		t.Errorf("%d %q", cmd.ProcessState.ExitCode(), errs.String())
+	if cmd.ProcessState.ExitCode() != 1 || stderr.String() != "tuliprock: interrupted; everything that was started has ended\n" {
+		t.Errorf("exit code %d, stderr %q, want 1 and that the rehearsal was interrupted", cmd.ProcessState.ExitCode(), stderr.String())
 	}
 }
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -18,16 +18,16 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runClosedLoop sends requests on so many connections, each as fast as it is answered. It returns the requests per second and
-// the median and the p99 of the latencies.
-func runClosedLoop(t *testing.T, addr string, connections int, length time.Duration) (rate float64, p50, p99 time.Duration) {
+// runClosedLoop sends requests for a duration on so many connections: on each connection the next request follows as soon as
+// the response has arrived. It returns the requests per second, and the median and the p99 of the latencies.
+func runClosedLoop(t *testing.T, addr string, connections int, duration time.Duration) (rate float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
-	var took []time.Duration
-	var busy sync.WaitGroup
-	end := time.Now().Add(length)
+	var latencies []time.Duration
+	var clients sync.WaitGroup
+	end := time.Now().Add(duration)
 	for range connections {
-		busy.Go(func() {
+		clients.Go(func() {
 			nc, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Error(err)
@@ -35,52 +35,53 @@
 			}
 			defer nc.Close()
 			in := bufio.NewReader(nc)
-			var mine []time.Duration
+			var own []time.Duration
 			for time.Now().Before(end) {
-				began := time.Now()
+				start := time.Now()
 				_, _ = io.WriteString(nc, "GET /item/1 HTTP/1.1\r\nHost: h\r\n\r\n")
 				resp, err := http.ReadResponse(in, nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
-					t.Errorf("%v, %v", resp, err)
+					t.Errorf("response %v, error %v, want status 200", resp, err)
 					return
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
-				mine = append(mine, time.Since(began))
+				own = append(own, time.Since(start))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, mine...)
+			latencies = append(latencies, own...)
 		})
 	}
-	busy.Wait()
-	slices.Sort(took)
-	return float64(len(took)) / length.Seconds(), took[len(took)/2], took[len(took)*99/100]
+	clients.Wait()
+	slices.Sort(latencies)
+	return float64(len(latencies)) / duration.Seconds(), latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 }
 
-// The measurement: this daemon on one core beside httputil.ReverseProxy on one core, with the same four nodes, in turns.
-// PROXY=turns runs it; see docs/design/012.
+// A measurement: throughput and latency of this daemon relative to httputil.ReverseProxy, each on one core and with the same
+// four nodes. The two are measured alternately, TULIPROCK_TEST_PROXY_TURNS times; without that variable the test is skipped.
+// See docs/design/012.
 func TestThroughputAgainstReverseProxy(t *testing.T) {
-	turns, _ := strconv.Atoi(os.Getenv("PROXY"))
+	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_PROXY_TURNS"))
 	if turns == 0 {
-		t.Skip("PROXY is not set: a measurement, for a quiet machine")
+		t.Skip("TULIPROCK_TEST_PROXY_TURNS is not set: this is a measurement, for an idle machine")
 	}
 	var nodes []string
-	file := "format = 1\n[daemon]\ncores = 1\n[[listener]]\nname = \"l\"\naddress = \"LISTEN\"\n[[class]]\nname = \"look\"\neffect = \"safe\"\n[[pool]]\nname = \"p\"\n"
+	config := "format = 1\n[daemon]\ncores = 1\n[[listener]]\nname = \"l\"\naddress = \"LISTEN\"\n[[class]]\nname = \"look\"\neffect = \"safe\"\n[[pool]]\nname = \"p\"\n"
 	for range 4 {
 		addr := testpeer.FreePort(t)
 		startPeer(t, "node", addr)
 		nodes = append(nodes, addr)
-		file += fmt.Sprintf("[[pool.member]]\naddress = %q\n", addr)
+		config += fmt.Sprintf("[[pool.member]]\naddress = %q\n", addr)
 	}
-	file += "[[route]]\npool = \"p\"\nclass = \"look\"\n"
-	own, proxy := testpeer.FreePort(t), testpeer.FreePort(t)
+	config += "[[route]]\npool = \"p\"\nclass = \"look\"\n"
+	daemonAddr, proxyAddr := testpeer.FreePort(t), testpeer.FreePort(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
-	if err := os.WriteFile(path, []byte(strings.Replace(file, "LISTEN", own, 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(config, "LISTEN", daemonAddr, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	daemon := startProcess(t, "serve", "--config", path)
 	daemon.awaitText(t, "msg=listening")
-	startPeer(t, append([]string{"proxy", proxy}, nodes...)...)
+	startPeer(t, append([]string{"proxy", proxyAddr}, nodes...)...)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p50s, p99s []float64
 		for i := range turns {
@@ -88,18 +89,18 @@
 			var p50, p99 [2]time.Duration
 			for k := range 2 {
 				which := (i + k) % 2
-				rate[which], p50[which], p99[which] = runClosedLoop(t, []string{own, proxy}[which], connections, 3*time.Second)
+				rate[which], p50[which], p99[which] = runClosedLoop(t, []string{daemonAddr, proxyAddr}[which], connections, 3*time.Second)
 			}
-			t.Logf("%d connections: %.0f and %.0f a second, p50 %v and %v, p99 %v and %v", connections, rate[0], rate[1], p50[0], p50[1], p99[0], p99[1])
+			t.Logf("%d connections, daemon and ReverseProxy: %.0f and %.0f requests per second, p50 %v and %v, p99 %v and %v", connections, rate[0], rate[1], p50[0], p50[1], p99[0], p99[1])
 			rates, p50s, p99s = append(rates, rate[0]/rate[1]), append(p50s, float64(p50[0])/float64(p50[1])), append(p99s, float64(p99[0])/float64(p99[1]))
 		}
-		t.Logf("the daemon's memory at its peak: %d KiB", processMemoryKiB(daemon.cmd.Process.Pid, "VmHWM"))
-		t.Logf("%d connections, of ReverseProxy's: rate %s, p50 %s, p99 %s", connections, formatRatios(rates), formatRatios(p50s), formatRatios(p99s))
+		t.Logf("peak memory of the daemon: %d KiB", processMemoryKiB(daemon.cmd.Process.Pid, "VmHWM"))
+		t.Logf("%d connections, daemon relative to ReverseProxy: request rate %s, p50 %s, p99 %s", connections, formatRatios(rates), formatRatios(p50s), formatRatios(p99s))
 	}
 }
 
-// formatRatios gives the median of the values, and the least and the largest. It sorts them.
-func formatRatios(v []float64) string {
-	slices.Sort(v)
-	return fmt.Sprintf("%.2f (%.2f to %.2f)", v[len(v)/2], v[0], v[len(v)-1])
+// formatRatios formats the median, the minimum and the maximum of the values. It sorts the values.
+func formatRatios(values []float64) string {
+	slices.Sort(values)
+	return fmt.Sprintf("%.2f (%.2f to %.2f)", values[len(values)/2], values[0], values[len(values)-1])
 }
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -17,10 +17,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// markHeader is set by the agreed settings, so that each request carries the mark of the version that it was decided by.
+// markHeader is a header that a route of the agreed settings sets on each request: its value, the mark, tells which text of
+// the settings the request was forwarded by.
 const markHeader = "X-Settings"
 
-// settingsText is a shared part that marks requests, padded by pad bytes. A daemon without a lease on it sheds all requests.
+// settingsText returns the text of a shared document that marks requests, with a comment of pad bytes to make it longer. By
+// it a daemon without a lease sheds all requests.
 func (c *testCluster) settingsText(mark string, pad int) []byte {
 	return fmt.Appendf(nil, `format = 1
 shared = { unsure = "refuse" }
@@ -31,13 +33,14 @@
 `, c.nodes[0].Addr, c.nodes[1].Addr, markHeader, mark, strings.Repeat("x", pad))
 }
 
-// putDocument puts a document by way of the daemon.
-func (d *clusterDaemon) putDocument(id, name string, body []byte, within time.Duration) (*status.CommandResult, error) {
-	return status.Call(d.adminAddr, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, within)
+// putDocument puts a document through the daemon, with an idempotency key and a timeout.
+func (d *clusterDaemon) putDocument(id, name string, body []byte, timeout time.Duration) (*status.CommandResult, error) {
+	return status.Call(d.adminAddr, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, timeout)
 }
 
-// sendRequest sends a request through the daemon, and returns the response's status and Retry-After.
-func (d *clusterDaemon) sendRequest(client *http.Client, id string) (int, string, error) {
+// sendRequest sends a GET request through the daemon, with a request id unless id is empty, and returns the response's status
+// and its header Retry-After.
+func (d *clusterDaemon) sendRequest(client *http.Client, id string) (status int, retryAfter string, err error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+d.httpAddr+"/x", nil)
 	if err != nil {
 		return 0, "", err
@@ -54,150 +57,151 @@
 	return resp.StatusCode, resp.Header.Get("Retry-After"), err
 }
 
-// awaitActive waits until all of the daemons act on a version or a later one.
+// awaitActive waits until each of the daemons acts on this version of the settings or a later one.
 func (c *testCluster) awaitActive(ds []*clusterDaemon, version uint64) {
 	c.t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for _, d := range ds {
 		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.clusterAddr, version), func() bool {
 			s, err := status.FetchVersions(d.adminAddr, reportTimeout)
 			return err == nil && s.HasLease && s.Version >= version
 		})
 	}
-	c.t.Logf("after %v all act on version %d", time.Since(began).Round(time.Millisecond), version)
+	c.t.Logf("after %v all daemons act on version %d", time.Since(start).Round(time.Millisecond), version)
 }
 
-// The commands as operators use them, on five processes: a document that is put is active on all. A version that some daemons
-// cannot act on waits, is superseded by the next one, or is forced. A daemon without a lease sheds requests, and one that is
-// restarted resumes with what it persisted.
+// The settings commands against a cluster of five daemons: a document that is put becomes active on all. A version that some
+// daemons cannot act on stays pending until it is superseded by the next one or is forced. A daemon without a lease sheds
+// requests, and a restarted one resumes with the settings that it persisted.
 func TestSettingsCommandsOnFiveDaemons(t *testing.T) {
 	var mu sync.Mutex
-	marks := map[string]int{}
+	requestsByMark := map[string]int{}
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		marks[r.Header.Get(markHeader)]++
+		requestsByMark[r.Header.Get(markHeader)]++
 	}})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	marked := func(d *clusterDaemon, want string) {
+	awaitMark := func(d *clusterDaemon, want string) {
 		t.Helper()
 		mu.Lock()
-		clear(marks)
+		clear(requestsByMark)
 		mu.Unlock()
-		testpeer.Until(t, "a request marked "+want, func() bool {
+		testpeer.Until(t, "a request arrives with the mark "+want, func() bool {
 			status, _, err := d.sendRequest(client, "")
 			mu.Lock()
 			defer mu.Unlock()
-			return err == nil && status == http.StatusOK && marks[want] > 0
+			return err == nil && status == http.StatusOK && requestsByMark[want] > 0
 		})
 	}
 	file := filepath.Join(t.TempDir(), "new.toml")
-	cli := func(code int, want string, args ...string) string {
+	runSettings := func(wantCode int, want string, args ...string) string {
 		t.Helper()
-		got, out, errs := runProgram(t, programCommand(append([]string{"settings"}, args...)...))
-		if got != code || !strings.Contains(out+errs, want) {
-			t.Fatalf("settings %v: %d\n%s%s\nwanted %d and %q", args, got, out, errs, code, want)
+		code, stdout, stderr := runProgram(t, programCommand(append([]string{"settings"}, args...)...))
+		if code != wantCode || !strings.Contains(stdout+stderr, want) {
+			t.Fatalf("settings %v: exit code %d, want %d; output without %q:\n%s%s", args, code, wantCode, want, stdout, stderr)
 		}
-		return out
+		return stdout
 	}
-	write := func(text []byte) {
+	writeFile := func(text []byte) {
 		t.Helper()
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	at := func(i int) string { return "--at=" + c.daemons[i].adminAddr }
+	atFlag := func(i int) string { return "--at=" + c.daemons[i].adminAddr }
 
-	// A put of a complete operators' file, by way of a daemon that does not vote.
-	write(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
-	out := cli(exitOK, "left out, as it is each daemon's own: daemon, listener", "put", file, at(4))
-	if !strings.Contains(out, "version 1 is agreed on") || !strings.Contains(out, "all act on version 1") {
-		t.Errorf("%s", out)
+	// A complete operators' file is put through a daemon that is not a voter: only its shared part is taken.
+	writeFile(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
+	stdout := runSettings(exitOK, "left out, as it is each daemon's own: daemon, listener", "put", file, atFlag(4))
+	if !strings.Contains(stdout, "version 1 is agreed on") || !strings.Contains(stdout, "all act on version 1") {
+		t.Errorf("put: output %s, want that version 1 is agreed on and active on all", stdout)
 	}
 	for _, d := range c.daemons {
-		marked(d, "one")
-	}
-	// A fault in the file is reported with its line and changes nothing, and neither does an unexpected version.
-	write([]byte(strings.Replace(string(c.settingsText("bad", 0)), `effect = "safe"`, `effect = "odd"`, 1)))
-	cli(exitUsage, "new.toml:3: class[0].effect", "put", file, at(0))
-	write(c.settingsText("two", 1<<18))
-	cli(exitUsage, "another version is there than was expected", "put", file, at(1), "--expect=7")
-	cli(exitOK, "all act on version 2", "put", file, at(1), "--expect=1", "--id=mine")
-	cli(exitOK, "version 2 is agreed on", "put", file, at(2), "--expect=1", "--id=mine") // a retry after its response was lost
-	marked(c.daemons[3], "two")
-	cli(exitFailure, "+route = [{ pool = \"p\", class = \"look\", set_header = [{ name = \"X-Settings\", value = \"two\" }] }]", "diff", at(3), "--from=1")
-	cli(exitOK, "\"differs\":false", "diff", at(3), "--json=-", "--file="+file)
-	cli(exitOK, "\"format\":1,\"version\":2,", at(3), "--json=-")
-	cli(exitOK, "value = \"one\"", "show", "shared", "--version=1", at(4))
+		awaitMark(d, "one")
+	}
+	// An invalid file is reported with the line of the error, and changes nothing. A put that expects another version than the
+	// latest changes nothing either.
+	writeFile([]byte(strings.Replace(string(c.settingsText("bad", 0)), `effect = "safe"`, `effect = "odd"`, 1)))
+	runSettings(exitUsage, "new.toml:3: class[0].effect", "put", file, atFlag(0))
+	writeFile(c.settingsText("two", 1<<18))
+	runSettings(exitUsage, "another version is there than was expected", "put", file, atFlag(1), "--expect=7")
+	runSettings(exitOK, "all act on version 2", "put", file, atFlag(1), "--expect=1", "--id=mine")
+	runSettings(exitOK, "version 2 is agreed on", "put", file, atFlag(2), "--expect=1", "--id=mine") // a retry, as if the response had been lost
+	awaitMark(c.daemons[3], "two")
+	runSettings(exitFailure, "+route = [{ pool = \"p\", class = \"look\", set_header = [{ name = \"X-Settings\", value = \"two\" }] }]", "diff", atFlag(3), "--from=1")
+	runSettings(exitOK, "\"differs\":false", "diff", atFlag(3), "--json=-", "--file="+file)
+	runSettings(exitOK, "\"format\":1,\"version\":2,", atFlag(3), "--json=-")
+	runSettings(exitOK, "value = \"one\"", "show", "shared", "--version=1", atFlag(4))
 
-	// A version that some cannot act on, since they lack its file of members, waits and is superseded.
-	lacks := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
+	// A version that all daemons but s3 reject, since only s3 has its file of members, stays pending and is superseded.
+	needsMembersFile := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
 	c.daemons[3].signal(t, syscall.SIGTERM)
 	if err := c.daemons[3].wait(); err != nil {
-		t.Fatalf("%v: %s", err, c.daemons[3])
+		t.Fatalf("s3 exited with %v, want no error: %s", err, c.daemons[3])
 	}
-	elsewhere := t.TempDir()
-	if err := os.WriteFile(filepath.Join(elsewhere, "members.json"), []byte(`{"format":1,"members":[{"address":"`+c.nodes[0].Addr+`"}]}`), 0o600); err != nil {
+	dirWithMembersFile := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dirWithMembersFile, "members.json"), []byte(`{"format":1,"members":[{"address":"`+c.nodes[0].Addr+`"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.daemons[3].process = startProcessIn(t, elsewhere, "serve", "--config", c.daemons[3].configPath)
+	c.daemons[3].process = startProcessIn(t, dirWithMembersFile, "serve", "--config", c.daemons[3].configPath)
 	c.daemons[3].awaitText(t, "msg=listening")
-	marked(c.daemons[3], "two")
-	write([]byte(lacks))
-	cli(exitFailure, "can't act on version 3: shared: pool[0].file", "put", file, at(3), "--wait=3s")
-	marked(c.daemons[0], "two")
-	cli(exitOK, "all act on version 4", "back", "1", at(0))
+	awaitMark(c.daemons[3], "two")
+	writeFile([]byte(needsMembersFile))
+	runSettings(exitFailure, "can't act on version 3: shared: pool[0].file", "put", file, atFlag(3), "--wait=3s")
+	awaitMark(c.daemons[0], "two")
+	runSettings(exitOK, "all act on version 4", "back", "1", atFlag(0))
 	for _, d := range c.daemons {
-		marked(d, "one")
+		awaitMark(d, "one")
 	}
-	cli(exitFailure, "can't act on version 5", "put", file, at(3), "--wait=2s")
-	cli(exitOK, "all act on version 5", "force", "5", at(3))
-	marked(c.daemons[3], "three")
-	if status, after, err := c.daemons[0].sendRequest(client, ""); err != nil || status != http.StatusServiceUnavailable || after == "" {
-		t.Errorf("who can't act on what others do: %d, Retry-After %q, %v", status, after, err)
+	runSettings(exitFailure, "can't act on version 5", "put", file, atFlag(3), "--wait=2s")
+	runSettings(exitOK, "all act on version 5", "force", "5", atFlag(3))
+	awaitMark(c.daemons[3], "three")
+	if status, retryAfter, err := c.daemons[0].sendRequest(client, ""); err != nil || status != http.StatusServiceUnavailable || retryAfter == "" {
+		t.Errorf("a daemon that cannot act on the active version: status %d, Retry-After %q, error %v, want 503 with a Retry-After", status, retryAfter, err)
 	}
-	cli(exitOK, "all act on version 6", "back", "2", at(0))
-	marked(c.daemons[0], "two")
-	cli(exitOK, "as at version 2", "history", at(4))
+	runSettings(exitOK, "all act on version 6", "back", "2", atFlag(0))
+	awaitMark(c.daemons[0], "two")
+	runSettings(exitOK, "as at version 2", "history", atFlag(4))
 
-	// An agreed list of members.
-	write([]byte(strings.Replace(string(c.settingsText("seven", 0)), `name = "p", member = [{ address = "`+c.nodes[0].Addr+`" }, { address = "`+c.nodes[1].Addr+`" }]`, `name = "p", members = "agreed"`, 1)))
-	cli(exitOK, "all act on version 7", "put", file, at(0))
-	list := filepath.Join(elsewhere, "list.json")
-	if err := os.WriteFile(list, []byte(`{"format":1,"members":[{"address":"`+c.nodes[1].Addr+`"}]}`), 0o600); err != nil {
+	// The members of a pool are put as a document of their own.
+	writeFile([]byte(strings.Replace(string(c.settingsText("seven", 0)), `name = "p", member = [{ address = "`+c.nodes[0].Addr+`" }, { address = "`+c.nodes[1].Addr+`" }]`, `name = "p", members = "agreed"`, 1)))
+	runSettings(exitOK, "all act on version 7", "put", file, atFlag(0))
+	membersFile := filepath.Join(dirWithMembersFile, "list.json")
+	if err := os.WriteFile(membersFile, []byte(`{"format":1,"members":[{"address":"`+c.nodes[1].Addr+`"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cli(exitOK, "all act on version 8", "put", list, "--name=members/p", at(1))
-	marked(c.daemons[4], "seven")
+	runSettings(exitOK, "all act on version 8", "put", membersFile, "--name=members/p", atFlag(1))
+	awaitMark(c.daemons[4], "seven")
 	if n := c.countRequestsAt(c.daemons, 0); n > 0 {
-		t.Errorf("%d requests came to a node that is not on the list", n)
+		t.Errorf("a node that is not on the endpoint list got %d requests, want none", n)
 	}
-	write([]byte(`{"format":1,"members":[]}`))
-	cli(exitUsage, "one at least is wanted", "put", file, "--name=members/p", at(1))
-	cli(exitUsage, "knows no such document", "put", file, "--name=other", at(1))
-	cli(exitOK, "all act on version 9", "remove", "members/p", at(1))
+	writeFile([]byte(`{"format":1,"members":[]}`))
+	runSettings(exitUsage, "one at least is wanted", "put", file, "--name=members/p", atFlag(1))
+	runSettings(exitUsage, "knows no such document", "put", file, "--name=other", atFlag(1))
+	runSettings(exitOK, "all act on version 9", "remove", "members/p", atFlag(1))
 
-	// A voter that is lost for good is replaced by a daemon that did not vote.
+	// A voter that does not come back is replaced by a daemon that was not a voter.
 	c.daemons[0].signal(t, syscall.SIGKILL)
 	_ = c.daemons[0].wait()
-	cli(exitOK, "s0 s1 s2 s3", "voters", "add", "s3", at(4))
-	cli(exitOK, "s1 s2 s3", "voters", "remove", "s0", at(3))
-	cli(exitUsage, "is no name of a daemon", "voters", "add", "s/3", at(4))
-	write(c.settingsText("ten", 0))
-	cli(exitOK, "all act on version 10", "put", file, at(4))
+	runSettings(exitOK, "s0 s1 s2 s3", "voters", "add", "s3", atFlag(4))
+	runSettings(exitOK, "s1 s2 s3", "voters", "remove", "s0", atFlag(3))
+	runSettings(exitUsage, "is no name of a daemon", "voters", "add", "s/3", atFlag(4))
+	writeFile(c.settingsText("ten", 0))
+	runSettings(exitOK, "all act on version 10", "put", file, atFlag(4))
 	for _, d := range c.daemons[1:] {
-		marked(d, "ten")
+		awaitMark(d, "ten")
 	}
-	// All are killed at once: nothing is lost, and the new voter still votes.
+	// After a kill of all daemons at once no settings are lost, and the new voter is still a voter.
 	for _, d := range c.daemons[1:] {
 		d.signal(t, syscall.SIGKILL)
 		_ = d.wait()
 	}
 	for _, d := range c.daemons[1:] {
-		d.process = startProcessIn(t, map[*clusterDaemon]string{c.daemons[3]: elsewhere}[d], "serve", "--config", d.configPath)
+		d.process = startProcessIn(t, map[*clusterDaemon]string{c.daemons[3]: dirWithMembersFile}[d], "serve", "--config", d.configPath)
 	}
 	for _, d := range c.daemons[1:] {
-		marked(d, "ten")
+		awaitMark(d, "ten")
 	}
-	cli(exitOK, "s1 s2 s3", "voters", at(4))
+	runSettings(exitOK, "s1 s2 s3", "voters", atFlag(4))
 }
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// The measurement: continuous puts for the duration SOAK, and how large the daemons' memory and data_dirs become. See
-// docs/design/027.
+// A measurement: how large the memory and the data_dirs of daemons become while the shared document is put again and again,
+// for the duration TULIPROCK_TEST_SETTINGS_SOAK (such as 10m); without that variable the test is skipped. See docs/design/027.
 func TestSettingsSoakMemoryAndDisk(t *testing.T) {
-	length, err := time.ParseDuration(os.Getenv("SOAK"))
+	duration, err := time.ParseDuration(os.Getenv("TULIPROCK_TEST_SETTINGS_SOAK"))
 	if err != nil {
-		t.Skip("SOAK is not set: a measurement")
+		t.Skip("TULIPROCK_TEST_SETTINGS_SOAK is not set: this is a measurement")
 	}
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`})
-	began, look, puts, failed := time.Now(), time.Duration(0), 0, 0
-	for time.Since(began) < length {
+	start, nextReport, puts, failures := time.Now(), time.Duration(0), 0, 0
+	for time.Since(start) < duration {
 		puts++
 		if _, err := c.daemons[puts%5].putDocument(fmt.Sprint("soak-", puts), "shared", c.settingsText(fmt.Sprint(puts), 10_000), putTimeout); err != nil {
-			failed++
+			failures++
 		}
-		if since := time.Since(began); since >= look {
-			text := ""
+		if elapsed := time.Since(start); elapsed >= nextReport {
+			sizes := ""
 			for i, d := range c.daemons {
-				text += fmt.Sprintf("  %d KiB, disk %d KiB",
+				sizes += fmt.Sprintf("  memory %d KiB, disk %d KiB",
 					processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), directorySize(t, filepath.Join(c.dataDir, fmt.Sprint("s", i)))>>10)
 			}
-			t.Logf("%v: %d puts, %d failed:%s", since.Round(time.Second), puts, failed, text)
-			look += length / 10
+			t.Logf("%v: %d puts, %d failed:%s", elapsed.Round(time.Second), puts, failures, sizes)
+			nextReport += duration / 10
 		}
 	}
 }
 
-// directorySize is the sum of the sizes of a directory's files.
+// directorySize returns the sum of the sizes of the files in a directory.
 func directorySize(t *testing.T, dir string) (bytes int64) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil { // else it was removed meanwhile
+		if info, err := e.Info(); err == nil { // on an error the file was removed meanwhile
 			bytes += info.Size()
 		}
 	}
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -24,259 +24,269 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// startStreamingDaemon starts a daemon on one core, and a node on a core of its own.
-func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, own, node string) {
+// startStreamingDaemon starts a daemon on one core with its only node, which serves large bodies on one core. daemonSettings
+// are more lines of the table daemon. It returns the daemon and the addresses of the daemon and of the node.
+func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, daemonAddr, nodeAddr string) {
 	t.Helper()
-	node = testpeer.FreePort(t)
-	startPeer(t, "bulk", node)
-	own = testpeer.FreePort(t)
+	nodeAddr = testpeer.FreePort(t)
+	startPeer(t, "bulk", nodeAddr)
+	daemonAddr = testpeer.FreePort(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	text := fmt.Sprintf("format = 1\n[daemon]\ncores = 1\n%s\n[[listener]]\nname = \"l\"\naddress = %q\nbody_bytes = 4294967296\n[[class]]\nname = \"put\"\neffect = \"unsafe\"\ndeadline = \"30s\"\n"+
-		"[[pool]]\nname = \"p\"\n[[pool.member]]\naddress = %q\n[[route]]\npool = \"p\"\nclass = \"put\"\n", daemonSettings, own, node)
+		"[[pool]]\nname = \"p\"\n[[pool.member]]\naddress = %q\n[[route]]\npool = \"p\"\nclass = \"put\"\n", daemonSettings, daemonAddr, nodeAddr)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	daemon = startProcess(t, "serve", "--config", path)
 	daemon.awaitText(t, "msg=listening")
-	return daemon, own, node
+	return daemon, daemonAddr, nodeAddr
 }
 
-// processMemoryKiB reads a value of a process's memory, such as VmRSS or VmHWM.
-func processMemoryKiB(pid int, what string) int {
+// processMemoryKiB returns a value of /proc/PID/status in KiB, such as VmRSS, the resident memory, or VmHWM, its peak.
+func processMemoryKiB(pid int, key string) int {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	_, rest, _ := strings.Cut(string(status), what+":")
+	_, rest, _ := strings.Cut(string(status), key+":")
 	line, _, _ := strings.Cut(rest, "\n")
-	kb, _ := strconv.Atoi(strings.Fields(line)[0])
-	return kb
+	kib, _ := strconv.Atoi(strings.Fields(line)[0])
+	return kib
 }
 
-// processorTime is the processor time that a process has used.
+// processorTime returns the processor time, of user and system mode, that a process has used.
 func processorTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	user, _ := strconv.Atoi(f[11])
-	system, _ := strconv.Atoi(f[12])
+	fields := strings.Fields(rest) // those after the command's name, which begin with field 3 of proc(5)
+	user, _ := strconv.Atoi(fields[11])
+	system, _ := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 wherever Go runs on Linux
 }
 
-// Long streaming bodies stay under a fixed ceiling of memory, however fast or slow both sides are, and arrive complete.
-// BODIES=gigabytes runs the measurement of docs/design/016; without it the test is a small form of the same.
+// Large streaming bodies arrive complete, and the daemon's memory stays under a fixed limit whichever side is slow.
+// TULIPROCK_TEST_STREAMED_GIB sets the size of the bodies in GiB, for the measurement of docs/design/016; without it the bodies
+// are smaller.
 func TestStreamingBodiesStayUnderMemoryCeiling(t *testing.T) {
-	gigabytes, _ := strconv.Atoi(os.Getenv("BODIES"))
-	alone, each, rate := int64(256<<20), int64(1<<20), 4 // a single body is larger than the ceiling: one that is buffered fails
-	if gigabytes > 0 {
-		alone, each, rate = int64(gigabytes)<<30, int64(gigabytes)<<30/50, 20
+	gib, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_STREAMED_GIB"))
+	// The single body is larger than memoryLimitKiB, so that the test fails if the daemon buffers it. The slow sides transfer
+	// slowMiBPerSecond MiB per second.
+	singleSize, concurrentSize, slowMiBPerSecond := int64(256<<20), int64(1<<20), 4
+	if gib > 0 {
+		singleSize, concurrentSize, slowMiBPerSecond = int64(gib)<<30, int64(gib)<<30/50, 20
 	}
-	ceiling := 32 << 10   // KiB over the idle daemon's
-	if isRaceDetectorOn { // whose shadow memory is several times as large as the program's
-		ceiling = 128 << 10
+	memoryLimitKiB := 32 << 10 // over the memory of the idle daemon
+	if isRaceDetectorOn {      // its shadow memory is several times as large as the memory of the program
+		memoryLimitKiB = 128 << 10
 	}
-	daemon, own, _ := startStreamingDaemon(t, "")
+	daemon, daemonAddr, _ := startStreamingDaemon(t, "")
 	pid := daemon.cmd.Process.Pid
-	if _, err := transfer(own, "down", "", 1, false, 0); err != nil {
+	if _, err := transfer(daemonAddr, "down", "", 1, false, 0); err != nil {
 		t.Fatal(err)
 	}
-	idle := processMemoryKiB(pid, "VmRSS")
+	idleKiB := processMemoryKiB(pid, "VmRSS")
 	for _, row := range []struct {
 		name       string
-		at         int
-		size       int64
-		query      string
-		callerRate int
+		count      int    // number of concurrent transfers
+		size       int64  // bytes of each body
+		query      string // query for the node
+		clientRate int    // bytes per second of each client; 0: not limited
 	}{
-		{"alone", 1, alone, "", 0}, {"50 at once", 50, each, "", 0},
-		{"50, slow node", 50, each, fmt.Sprintf("mbs=%d", rate), 0}, {"50, slow caller", 50, each, "", rate << 20},
-		{"50, both slow", 50, each, fmt.Sprintf("mbs=%d", rate), rate << 20},
+		{"1 transfer", 1, singleSize, "", 0}, {"50 transfers", 50, concurrentSize, "", 0},
+		{"50 transfers, slow node", 50, concurrentSize, fmt.Sprintf("mbs=%d", slowMiBPerSecond), 0},
+		{"50 transfers, slow client", 50, concurrentSize, "", slowMiBPerSecond << 20},
+		{"50 transfers, both slow", 50, concurrentSize, fmt.Sprintf("mbs=%d", slowMiBPerSecond), slowMiBPerSecond << 20},
 	} {
-		for _, way := range []string{"up", "down"} {
+		for _, direction := range []string{"up", "down"} {
 			h := sha256.New()
 			_, _ = io.Copy(h, newBody(true, row.size))
 			want := fmt.Sprintf("%x", h.Sum(nil))
-			began := time.Now()
-			var busy sync.WaitGroup
-			var refusals atomic.Int32
-			for range row.at {
-				busy.Go(func() {
-					got, refused, err := transferUntilAdmitted(own, way, "hash=1&"+row.query, row.size, true, row.callerRate)
-					refusals.Add(int32(refused))
+			start := time.Now()
+			var transfers sync.WaitGroup
+			var shedCount atomic.Int32
+			for range row.count {
+				transfers.Go(func() {
+					got, shed, err := transferUntilAdmitted(daemonAddr, direction, "hash=1&"+row.query, row.size, true, row.clientRate)
+					shedCount.Add(int32(shed))
 					if err != nil || got != want {
-						t.Errorf("%s, %s: %q, %v, want %q", row.name, way, got, err, want)
+						t.Errorf("%s, %s: hash %q, error %v, want %q", row.name, direction, got, err, want)
 					}
 				})
 			}
-			busy.Wait()
-			took, peak := time.Since(began), processMemoryKiB(pid, "VmHWM")
-			t.Logf("%s, %s: %d x %d MiB in %.1f s, refused first %d times; idle %d KiB, at the peak %d KiB more",
-				row.name, way, row.at, row.size>>20, took.Seconds(), refusals.Load(), idle, peak-idle)
-			if peak-idle > ceiling {
-				t.Errorf("%s, %s: %d KiB over the idle daemon's, %d allowed", row.name, way, peak-idle, ceiling)
+			transfers.Wait()
+			duration, peakKiB := time.Since(start), processMemoryKiB(pid, "VmHWM")
+			t.Logf("%s, %s: %d x %d MiB in %.1f s, %d attempts shed; memory of the idle daemon %d KiB, at the peak %d KiB more",
+				row.name, direction, row.count, row.size>>20, duration.Seconds(), shedCount.Load(), idleKiB, peakKiB-idleKiB)
+			if peakKiB-idleKiB > memoryLimitKiB {
+				t.Errorf("%s, %s: peak memory is %d KiB over that of the idle daemon, want at most %d", row.name, direction, peakKiB-idleKiB, memoryLimitKiB)
 			}
 		}
 	}
 }
 
-// The measurement: long bodies through this daemon on one core, through httputil.ReverseProxy on one core, and through
-// bare io.Copy on one core, in turns. THROUGH=turns runs it; see docs/design/016.
+// A measurement: throughput and processor time of large bodies through this daemon, through httputil.ReverseProxy and through
+// a loop of io.Copy, each on one core. The three are measured alternately, TULIPROCK_TEST_THROUGHPUT_TURNS times; without that
+// variable the test is skipped. See docs/design/016.
 func TestStreamingThroughputAgainstReverseProxyAndSplice(t *testing.T) {
-	turns, _ := strconv.Atoi(os.Getenv("THROUGH"))
+	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_THROUGHPUT_TURNS"))
 	if turns == 0 {
-		t.Skip("THROUGH is not set: a measurement, for a quiet machine")
+		t.Skip("TULIPROCK_TEST_THROUGHPUT_TURNS is not set: this is a measurement, for an idle machine")
 	}
-	daemon, own, node := startStreamingDaemon(t, "")
-	addrs := []string{own, testpeer.FreePort(t), testpeer.FreePort(t)}
-	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], node), startPeer(t, "splice", addrs[2], node)}
-	const total = 2 << 30
-	for _, way := range []string{"up", "down"} {
-		for _, at := range []int{1, 8} {
-			var rates, cpus [2][]float64 // of ours, over the proxy's and over the splice's
+	daemon, daemonAddr, nodeAddr := startStreamingDaemon(t, "")
+	addrs := []string{daemonAddr, testpeer.FreePort(t), testpeer.FreePort(t)}
+	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], nodeAddr), startPeer(t, "splice", addrs[2], nodeAddr)}
+	const totalBytes = 2 << 30
+	for _, direction := range []string{"up", "down"} {
+		for _, count := range []int{1, 8} {
+			var rates, cpus [2][]float64 // ratios of the daemon's to ReverseProxy's and to the io.Copy loop's, one per turn
 			for i := range turns {
-				var rate, used [3]float64
+				var rate, cpu [3]float64 // MiB per second, and seconds of processor time per GiB
 				for k := range 3 {
 					which := (i + k) % 3
-					began, spent := time.Now(), processorTime(pids[which])
-					var busy sync.WaitGroup
-					for range at {
-						busy.Go(func() {
-							if _, err := transfer(addrs[which], way, "", total/int64(at), false, 0); err != nil {
+					start, cpuBefore := time.Now(), processorTime(pids[which])
+					var transfers sync.WaitGroup
+					for range count {
+						transfers.Go(func() {
+							if _, err := transfer(addrs[which], direction, "", totalBytes/int64(count), false, 0); err != nil {
 								t.Error(err)
 							}
 						})
 					}
-					busy.Wait()
-					rate[which] = total / time.Since(began).Seconds() / (1 << 20)
-					used[which] = (processorTime(pids[which]) - spent).Seconds() / (float64(total) / (1 << 30))
+					transfers.Wait()
+					rate[which] = totalBytes / time.Since(start).Seconds() / (1 << 20)
+					cpu[which] = (processorTime(pids[which]) - cpuBefore).Seconds() / (float64(totalBytes) / (1 << 30))
 				}
-				t.Logf("%s, %d: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor for each GiB",
-					way, at, rate[0], rate[1], rate[2], used[0], used[1], used[2])
+				t.Logf("%s, %d concurrent; daemon, ReverseProxy and io.Copy: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor time per GiB",
+					direction, count, rate[0], rate[1], rate[2], cpu[0], cpu[1], cpu[2])
 				for k := range 2 {
-					rates[k], cpus[k] = append(rates[k], rate[0]/rate[k+1]), append(cpus[k], used[0]/used[k+1])
+					rates[k], cpus[k] = append(rates[k], rate[0]/rate[k+1]), append(cpus[k], cpu[0]/cpu[k+1])
 				}
 			}
-			t.Logf("%s, %d at once: rate %s of ReverseProxy's, %s of the splice loop's; processor %s and %s",
-				way, at, formatRatios(rates[0]), formatRatios(rates[1]), formatRatios(cpus[0]), formatRatios(cpus[1]))
+			t.Logf("%s, %d concurrent; daemon relative to ReverseProxy and to io.Copy: rate %s and %s, processor time %s and %s",
+				direction, count, formatRatios(rates[0]), formatRatios(rates[1]), formatRatios(cpus[0]), formatRatios(cpus[1]))
 		}
 	}
 }
 
-// measureLookups sends short requests at a steady rate. It returns the median and the p99 of the latencies, in µs from when
-// each was due, and the share of requests that were shed.
-func measureLookups(t *testing.T, addr string, length time.Duration) (p50, p99, refused float64) {
+// measureLookups sends small requests at a steady rate. It returns the median and the p99 of the latencies, in µs from the time
+// each request was due, and the fraction of requests that were shed.
+func measureLookups(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
 	t.Helper()
 	const connections = 500
 	request, err := loadgen.Simple(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := loadgen.NewHTTP(request, connections, nil)
-	defer send.Close()
-	r, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, For: length,
-		Wait: testpeer.Patience, Connections: connections}, send)
+	sender := loadgen.NewHTTP(request, connections, nil)
+	defer sender.Close()
+	result, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, For: duration,
+		Wait: testpeer.Patience, Connections: connections}, sender)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Invalid != "" {
-		t.Log("not valid:", r.Invalid)
+	if result.Invalid != "" {
+		t.Log("the load run is not valid:", result.Invalid)
 	}
-	ended := r.Ended()
-	for how, n := range ended {
-		if how != "200" && how != "503" {
-			t.Errorf("%d lookups: %s", n, how)
+	outcomes := result.Ended()
+	for outcome, n := range outcomes {
+		if outcome != "200" && outcome != "503" {
+			t.Errorf("%d lookups had the outcome %s, want 200 or 503", n, outcome)
 		}
 	}
-	us := func(share float64) float64 { return float64(r.All.At(share).Microseconds()) }
-	return us(0.5), us(0.99), float64(ended["503"]) / float64(r.Due)
+	quantileUs := func(q float64) float64 { return float64(result.All.At(q).Microseconds()) }
+	return quantileUs(0.5), quantileUs(0.99), float64(outcomes["503"]) / float64(result.Due)
 }
 
-// The measurement: lookups alone, beside 50 long transfers through the same daemon and pool, and beside the same ones that go past the
-// daemon, in turns. LOOKUPS=turns runs it, with RATE MiB a second for each transfer; see docs/design/016.
+// A measurement: latency of small requests without other load, during 50 large transfers through the same daemon and pool, and
+// during 50 transfers that bypass the daemon. The three are measured alternately, TULIPROCK_TEST_LOOKUP_TURNS times, with
+// TULIPROCK_TEST_TRANSFER_MIB_PER_S MiB per second for each transfer; without both variables the test is skipped. See
+// docs/design/016.
 func TestLookupLatencyBesideTransfers(t *testing.T) {
-	turns, _ := strconv.Atoi(os.Getenv("LOOKUPS"))
-	rate, _ := strconv.Atoi(os.Getenv("RATE"))
+	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOOKUP_TURNS"))
+	rate, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_TRANSFER_MIB_PER_S"))
 	if turns == 0 || rate == 0 {
-		t.Skip("LOOKUPS and RATE are not set: a measurement, for a quiet machine")
+		t.Skip("TULIPROCK_TEST_LOOKUP_TURNS and TULIPROCK_TEST_TRANSFER_MIB_PER_S are not both set: this is a measurement, for an idle machine")
 	}
-	_, own, node := startStreamingDaemon(t, "")
-	const length = 4 * time.Second
-	transfers := func(addr string) *sync.WaitGroup {
-		var busy sync.WaitGroup
+	_, daemonAddr, nodeAddr := startStreamingDaemon(t, "")
+	const duration = 4 * time.Second
+	startTransfers := func(addr string) *sync.WaitGroup {
+		var transfers sync.WaitGroup
 		for i := range 50 {
-			busy.Go(func() {
-				way := []string{"up", "down"}[i%2]
-				if _, _, err := transferUntilAdmitted(addr, way, "", int64(rate)<<20*6, false, rate<<20); err != nil {
+			transfers.Go(func() {
+				direction := []string{"up", "down"}[i%2]
+				if _, _, err := transferUntilAdmitted(addr, direction, "", int64(rate)<<20*6, false, rate<<20); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		time.Sleep(time.Second)
-		return &busy
+		return &transfers
 	}
-	var through, past []float64
+	var throughRatios, bypassRatios []float64 // p99 with transfers to p99 without, one per turn
 	for i := range turns {
 		var p99 [3]float64
 		for k := range 3 {
 			which := (i + k) % 3
-			var busy *sync.WaitGroup
+			var transfers *sync.WaitGroup
 			if which > 0 {
-				busy = transfers([]string{"", own, node}[which])
+				transfers = startTransfers([]string{"", daemonAddr, nodeAddr}[which])
 			}
-			var p50, refused float64
-			p50, p99[which], refused = measureLookups(t, own, length)
-			if busy != nil {
-				busy.Wait()
+			var p50, shedFraction float64
+			p50, p99[which], shedFraction = measureLookups(t, daemonAddr, duration)
+			if transfers != nil {
+				transfers.Wait()
 			}
-			t.Logf("%s: p50 %.0f us, p99 %.0f us, %.3f refused",
-				[]string{"alone", "beside transfers", "beside transfers past the daemon"}[which], p50, p99[which], refused)
+			t.Logf("%s: p50 %.0f us, p99 %.0f us, fraction shed %.3f",
+				[]string{"without transfers", "with transfers through the daemon", "with transfers that bypass the daemon"}[which], p50, p99[which], shedFraction)
 		}
-		through, past = append(through, p99[1]/p99[0]), append(past, p99[2]/p99[0])
+		throughRatios, bypassRatios = append(throughRatios, p99[1]/p99[0]), append(bypassRatios, p99[2]/p99[0])
 	}
-	t.Logf("p99 of lookups over the quiet one: %s beside 50 transfers of %d MiB/s, %s where these go past the daemon",
-		formatRatios(through), rate, formatRatios(past))
+	t.Logf("p99 of lookups relative to that without transfers: %s with 50 transfers of %d MiB/s through the daemon, %s if they bypass it",
+		formatRatios(throughRatios), rate, formatRatios(bypassRatios))
 }
 
-// 500 concurrent uploads of a gigabyte each, with 192 MB and 1,024 descriptors: most wait or are shed, all are answered when
-// the daemon gets SIGTERM, and lookups are served meanwhile. UPLOADS=seconds runs it.
+// 500 concurrent uploads of 1 GiB each, to a daemon with a memory limit of 192 MB and 1,024 descriptors: most wait or are shed,
+// small requests are served meanwhile, and all uploads have got a response when the daemon has shut down. The daemon gets SIGTERM
+// after TULIPROCK_TEST_UPLOAD_SECONDS; without that variable the test is skipped.
 func TestManyConcurrentUploadsAreAllAnswered(t *testing.T) {
-	seconds, _ := strconv.Atoi(os.Getenv("UPLOADS"))
+	seconds, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_UPLOAD_SECONDS"))
 	if seconds == 0 {
-		t.Skip("UPLOADS is not set: a measurement, for a quiet machine")
+		t.Skip("TULIPROCK_TEST_UPLOAD_SECONDS is not set: this is a measurement, for an idle machine")
 	}
-	daemon, own, _ := startStreamingDaemon(t, "memory_mb = 192\nbody_memory_mb = 64\ndrain_timeout = \"1s\"")
+	daemon, daemonAddr, _ := startStreamingDaemon(t, "memory_mb = 192\nbody_memory_mb = 64\ndrain_timeout = \"1s\"")
 	pid := daemon.cmd.Process.Pid
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1024, Max: 1024}, nil); err != nil {
 		t.Fatal(err)
 	}
+	const noResponse = "no response"
 	var mu sync.Mutex
-	answers := map[string]int{}
-	var busy sync.WaitGroup
+	outcomes := map[string]int{} // number of uploads by response status or error
+	var uploads sync.WaitGroup
 	for range 500 {
-		busy.Go(func() {
-			got := "ended without an answer"
-			defer func() { mu.Lock(); defer mu.Unlock(); answers[got]++ }()
-			nc, err := net.Dial("tcp", own)
+		uploads.Go(func() {
+			outcome := noResponse
+			defer func() { mu.Lock(); defer mu.Unlock(); outcomes[outcome]++ }()
+			nc, err := net.Dial("tcp", daemonAddr)
 			if err != nil {
-				got = err.Error()
+				outcome = err.Error()
 				return
 			}
 			defer nc.Close()
 			_, _ = fmt.Fprintf(nc, "PUT /bulk HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", 1<<30)
 			go func() { _, _ = io.Copy(nc, newBody(false, 1<<30)) }()
 			if resp, err := http.ReadResponse(bufio.NewReader(nc), nil); err == nil {
-				got = resp.Status
+				outcome = resp.Status
 			}
 		})
 	}
 	time.Sleep(time.Duration(seconds) * time.Second)
-	p50, p99, refused := measureLookups(t, own, 2*time.Second)
-	t.Logf("lookups meanwhile (aim 15 s): p50 %.0f us, p99 %.0f us, %.3f refused; the daemon's memory at its peak %d KiB",
-		p50, p99, refused, processMemoryKiB(pid, "VmHWM"))
+	p50, p99, shedFraction := measureLookups(t, daemonAddr, 2*time.Second)
+	t.Logf("lookups meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
+		p50, p99, shedFraction, processMemoryKiB(pid, "VmHWM"))
 	_ = daemon.cmd.Process.Signal(syscall.SIGTERM)
-	busy.Wait()
-	t.Logf("answers: %v", answers)
-	if answers["ended without an answer"] > 0 {
-		t.Error("some were not answered")
+	uploads.Wait()
+	t.Logf("outcomes of the uploads: %v", outcomes)
+	if outcomes[noResponse] > 0 {
+		t.Errorf("%d uploads got no response, want none", outcomes[noResponse])
 	}
-	if peak := processMemoryKiB(pid, "VmHWM"); peak > 192<<10 {
-		t.Errorf("%d KiB", peak)
+	if peakKiB := processMemoryKiB(pid, "VmHWM"); peakKiB > 192<<10 {
+		t.Errorf("peak memory %d KiB, want at most %d KiB", peakKiB, 192<<10)
 	}
 }
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -15,8 +15,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// serveBulk handles the requests of a node for long bodies: the response to an upload is its hash, or "ok" without hash=1,
-// and give=N is answered with N bytes. mbs=N limits the rate to N MiB per second.
+// serveBulk handles requests with large bodies. The query give=N asks for a response body of N bytes, which are random if hash=1
+// is given too. Any other request is an upload: the response to it is the SHA-256 hash of its body if hash=1 is given, else
+// "ok". mbs=N limits the rate to N MiB per second; it has no effect on an upload without hash=1.
 func serveBulk(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pace := func(in io.Reader) io.Reader { return in }
@@ -35,40 +36,42 @@
 	}
 	h := sha256.New()
 	_, _ = io.CopyBuffer(h, pace(r.Body), make([]byte, 256<<10))
-	_, _ = fmt.Fprintf(w, "%x", h.Sum(nil)) // the client notices what is missing
+	_, _ = fmt.Fprintf(w, "%x", h.Sum(nil)) // an incomplete body gives another hash, which the client detects
 }
 
-// pacedReader reads at a rate of bytes per second.
+// pacedReader limits the rate at which an io.Reader is read.
 type pacedReader struct {
 	io.Reader
-	bytesPerSecond int
-	startedAt      time.Time
-	bytesRead      int
+	bytesPerSecond int       // maximum average rate
+	startedAt      time.Time // when the first byte was due
+	bytesRead      int       // bytes read so far
 }
 
-func (s *pacedReader) Read(to []byte) (int, error) {
-	due := s.startedAt.Add(time.Duration(float64(s.bytesRead) / float64(s.bytesPerSecond) * float64(time.Second)))
+// Read implements io.Reader. It sleeps until the bytes read so far are due by the rate.
+func (r *pacedReader) Read(p []byte) (int, error) {
+	due := r.startedAt.Add(time.Duration(float64(r.bytesRead) / float64(r.bytesPerSecond) * float64(time.Second)))
 	time.Sleep(time.Until(due))
-	n, err := s.Reader.Read(to)
-	s.bytesRead += n
+	n, err := r.Reader.Read(p)
+	r.bytesRead += n
 	return n, err
 }
 
-// newBody is a body of n bytes: random ones, or undefined ones where their values do not matter.
-func newBody(noise bool, n int64) io.Reader {
-	if noise {
+// newBody returns a body of n bytes: pseudo-random ones, always the same, or bytes of any value if isRandom is false.
+func newBody(isRandom bool, n int64) io.Reader {
+	if isRandom {
 		return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
 	}
 	return io.LimitReader(undefinedBytesReader{}, n)
 }
 
+// undefinedBytesReader is an endless source of arbitrary bytes: it leaves the buffer as it is, so that it takes no time.
 type undefinedBytesReader struct{}
 
-func (undefinedBytesReader) Read(to []byte) (int, error) { return len(to), nil }
+func (undefinedBytesReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// serveSplice forwards connections with io.Copy alone: the most that the system can do.
-func serveSplice(at, to string) error {
-	l, err := net.Listen("tcp", at)
+// serveSplice forwards connections with io.Copy, which uses splice: the upper bound of what a proxy on this system can do.
+func serveSplice(listenAddr, targetAddr string) error {
+	l, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return err
 	}
@@ -77,33 +80,33 @@
 		if err != nil {
 			return err
 		}
-		out, err := net.Dial("tcp", to)
+		out, err := net.Dial("tcp", targetAddr)
 		if err != nil {
 			return err
 		}
-		for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
+		for _, pair := range [][2]net.Conn{{in, out}, {out, in}} {
 			go func() {
-				_, _ = io.Copy(way[0], way[1])
-				_ = way[0].(*net.TCPConn).CloseWrite()
+				_, _ = io.Copy(pair[0], pair[1])
+				_ = pair[0].(*net.TCPConn).CloseWrite()
 			}()
 		}
 	}
 }
 
-// transfer uploads (way "up") or downloads n bytes, at a rate of bytes per second (0: without limit). It returns the
-// response's body after an upload, and the hash of the body after a download.
-func transfer(addr, way, query string, n int64, noise bool, rate int) (string, error) {
+// transfer uploads (direction "up") or downloads ("down") n bytes, random ones if isRandom. rate is in bytes per second; 0 means
+// no limit. It returns the response's body after an upload, and the hash of a random body after a download.
+func transfer(addr, direction, query string, n int64, isRandom bool, rate int) (string, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	defer nc.Close()
 	in := bufio.NewReaderSize(nc, 256<<10)
-	source := newBody(noise, n)
+	source := newBody(isRandom, n)
 	if rate > 0 {
 		source = &pacedReader{source, rate, time.Now(), 0}
 	}
-	if way == "up" {
+	if direction == "up" {
 		_, _ = fmt.Fprintf(nc, "PUT /bulk?%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", query, n)
 		if _, err := io.CopyBuffer(struct{ io.Writer }{nc}, source, make([]byte, 256<<10)); err != nil {
 			return "", err
@@ -119,9 +122,9 @@
 		return "", errShed
 	}
 	if resp.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("answered %s", resp.Status)
+		return "", fmt.Errorf("response status %s, want 200", resp.Status)
 	}
-	if way == "up" {
+	if direction == "up" {
 		text, err := io.ReadAll(resp.Body)
 		return string(text), err
 	}
@@ -129,28 +132,28 @@
 	if rate > 0 {
 		body = &pacedReader{body, rate, time.Now(), 0}
 	}
-	var into io.Writer = struct{ io.Writer }{io.Discard}
+	var sink io.Writer = struct{ io.Writer }{io.Discard}
 	h := sha256.New()
-	if noise {
-		into = h
+	if isRandom {
+		sink = h
 	}
-	got, err := io.CopyBuffer(into, body, make([]byte, 256<<10))
+	got, err := io.CopyBuffer(sink, body, make([]byte, 256<<10))
 	if err == nil && got != n {
-		err = fmt.Errorf("%d bytes of %d came", got, n)
+		err = fmt.Errorf("response body of %d bytes, want %d", got, n)
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)), err
 }
 
-var errShed = errors.New("refused")
+var errShed = errors.New("shed with status 503")
 
-// transferUntilAdmitted is transfer, retried while the request is shed: the module admits no more requests at once than its
-// endpoints serve well. It returns how often the request was shed.
-func transferUntilAdmitted(addr, way, query string, n int64, noise bool, rate int) (got string, refused int, err error) {
+// transferUntilAdmitted is like transfer, but retries while the request is shed, since the decision module admits no more
+// concurrent requests than the endpoints have capacity for. It also returns how often the request was shed.
+func transferUntilAdmitted(addr, direction, query string, n int64, isRandom bool, rate int) (got string, shedCount int, err error) {
 	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(100 * time.Millisecond) {
-		got, err = transfer(addr, way, query, n, noise, rate)
+		got, err = transfer(addr, direction, query, n, isRandom, rate)
 		if !errors.Is(err, errShed) || time.Now().After(end) {
-			return got, refused, err
+			return got, shedCount, err
 		}
-		refused++
+		shedCount++
 	}
 }
