--- a/deploy/rehearsals/rehearsals.go
+++ b/deploy/rehearsals/rehearsals.go
@@ -1,4 +1,5 @@
-// Package rehearsals holds the days that ship with the program.
+// Package rehearsals embeds the files of the days that ship with the program. A day is a scenario of load and faults that
+// "tuliprock rehearse" runs.
 package rehearsals
 
 import (
@@ -11,22 +12,22 @@
 //go:embed *.toml
 var files embed.FS
 
-// Default is the name of the day that is played when none is named.
+// Default is the name of the day that is run if none is given.
 const Default = "mini"
 
-// Text is the file of a day by its name.
+// Text returns the contents of the file of a day that ships, and whether there is a day of this name.
 func Text(name string) ([]byte, bool) {
 	text, err := files.ReadFile(name + ".toml")
 	return text, err == nil
 }
 
-// Names are the days, in order.
+// Names returns the names of the days that ship, sorted.
 func Names() []string {
-	var out []string
-	entries, _ := fs.ReadDir(files, ".") // embedded: can't fail
+	var names []string
+	entries, _ := fs.ReadDir(files, ".") // reading the root of embedded files does not fail
 	for _, e := range entries {
-		out = append(out, strings.TrimSuffix(e.Name(), ".toml"))
+		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
--- a/tools/rename/main.go
+++ b/tools/rename/main.go
@@ -1,4 +1,4 @@
-// Command rename renames declared identifiers of this repository by their types, never by their text.
+// Command rename renames declared identifiers of this repository. It finds uses with the type checker, not by text search.
 //
 //	go run -C tools ./rename TABLE
 //
@@ -7,9 +7,9 @@
 //	internal/route ErrNotPath ErrNotAbsolutePath
 //	balance Events.Bar SetEjected
 //
-// An identifier is a package-level object, or a field or method of a type. Every use follows, in tests of all packages too, and so
-// does the first word of a doc comment. Not renamed: struct tags, strings, other comments, and files that a build tag leaves out. Run
-// gofmt afterwards, since alignment changes.
+// An identifier is a package-level object, or a field or method of a type, written TYPE.MEMBER. The command rewrites every use of
+// it in all packages and their tests, and the first word of its doc comment. It does not change struct tags, strings, other
+// comments, or files that a build tag excludes. Run gofmt afterwards, since the alignment of code changes.
 package main
 
 import (
@@ -29,28 +29,30 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// module is the path of the module that is rewritten, and root its folder as seen from tools.
 const (
-	module = "tuliprock"
-	root   = ".."
+	modulePath = "tuliprock" // path of the module that is rewritten
+	moduleDir  = ".."        // directory of that module, relative to tools, where the command runs
 )
 
-// rule is a line of the table.
+// rule is a line of the table: one identifier to rename.
 type rule struct {
-	pkg, identifier, newName string
+	pkgPath    string // import path of the package that declares the identifier
+	identifier string // NAME or TYPE.MEMBER
+	newName    string
 }
 
-// edit replaces the bytes from start to end of a file.
+// edit is the replacement of a piece of a file.
 type edit struct {
-	start, end int
-	text       string
+	start, end int    // byte offsets in the file; end is exclusive
+	text       string // new text of the piece
 }
 
-// renamer collects the edits that follow from where the renamed objects are declared.
+// renamer collects the edits of all files. It identifies an object by the position of its declaration, since a package and its
+// test variants are type-checked separately and so have different objects for the same identifier.
 type renamer struct {
-	files   *token.FileSet
-	targets map[string]string            // the new name by the position of the declaration
-	edits   map[string]map[edit]struct{} // by file; a file is seen once for each variant of its package
+	files   *token.FileSet               // positions of all loaded files
+	targets map[string]string            // new names, by the position of the declaration
+	edits   map[string]map[edit]struct{} // edits by file; a set, since a file is visited once for each test variant of its package
 }
 
 func main() {
@@ -64,8 +66,9 @@
 	}
 }
 
-func run(table string) error {
-	file, err := os.Open(table)
+// run renames by the table in the file at tablePath.
+func run(tablePath string) error {
+	file, err := os.Open(tablePath)
 	if err != nil {
 		return err
 	}
@@ -74,7 +77,7 @@
 		return err
 	}
 	r := &renamer{files: token.NewFileSet(), targets: map[string]string{}, edits: map[string]map[edit]struct{}{}}
-	loaded, err := packages.Load(&packages.Config{Mode: packages.LoadAllSyntax, Tests: true, Fset: r.files, Dir: root}, "./...")
+	loaded, err := packages.Load(&packages.Config{Mode: packages.LoadAllSyntax, Tests: true, Fset: r.files, Dir: moduleDir}, "./...")
 	if err != nil {
 		return err
 	}
@@ -94,7 +97,7 @@
 	return r.write()
 }
 
-// readTable reads the rules; empty lines and those that begin with # are left out.
+// readTable parses the rules of a table. It skips empty lines and lines that begin with #.
 func readTable(in io.Reader) ([]rule, error) {
 	var rules []rule
 	lines := bufio.NewScanner(in)
@@ -105,19 +108,20 @@
 		case len(fields) != 3:
 			return nil, fmt.Errorf("not of the form PACKAGE IDENTIFIER NEWNAME: %q", lines.Text())
 		default:
-			rules = append(rules, rule{module + "/" + fields[0], fields[1], fields[2]})
+			rules = append(rules, rule{modulePath + "/" + fields[0], fields[1], fields[2]})
 		}
 	}
 	return rules, lines.Err()
 }
 
-// findTargets notes where the rules' objects are declared; each must be there.
+// findTargets records the declaration of each rule's identifier. It returns an error that names all identifiers that do not
+// exist.
 func (r *renamer) findTargets(loaded []*packages.Package, rules []rule) error {
 	var missing error
 	for _, rule := range rules {
 		found := false
 		for _, p := range loaded {
-			if p.PkgPath != rule.pkg {
+			if p.PkgPath != rule.pkgPath {
 				continue
 			}
 			if object := lookup(p.Types, rule.identifier); object != nil {
@@ -126,13 +130,14 @@
 			}
 		}
 		if !found {
-			missing = errors.Join(missing, fmt.Errorf("%s has no %s", rule.pkg, rule.identifier))
+			missing = errors.Join(missing, fmt.Errorf("%s has no %s", rule.pkgPath, rule.identifier))
 		}
 	}
 	return missing
 }
 
-// lookup finds a package-level object, or a field or method written TYPE.MEMBER; nil: there is none.
+// lookup returns the package-level object, or the field or method written TYPE.MEMBER, that an identifier names, or nil if it
+// does not exist.
 func lookup(p *types.Package, identifier string) types.Object {
 	name, member, isMember := strings.Cut(identifier, ".")
 	object := p.Scope().Lookup(name)
@@ -143,14 +148,15 @@
 	return found
 }
 
+// position returns the file, line and column at which an object is declared.
 func (r *renamer) position(o types.Object) string { return r.files.Position(o.Pos()).String() }
 
-// renameIn adds the edits of one file.
+// renameIn collects the edits of one file.
 func (r *renamer) renameIn(info *types.Info, file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.Ident:
-			if newName := cmpOr(r.newName(info.Defs[n]), r.newName(info.Uses[n])); newName != "" {
+			if newName := firstNonEmpty(r.newName(info.Defs[n]), r.newName(info.Uses[n])); newName != "" {
 				r.replace(n.Pos(), n.End(), newName)
 			}
 		case *ast.FuncDecl:
@@ -171,14 +177,15 @@
 	})
 }
 
-func cmpOr(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// newName is what an object is to be called; empty: it keeps its name. An embedded field goes by its type's name.
+// newName returns the new name of an object, or an empty string if the object keeps its name. An embedded field is renamed
+// with its type.
 func (r *renamer) newName(o types.Object) string {
 	switch v := o.(type) {
 	case nil:
@@ -196,7 +203,7 @@
 	return r.targets[r.position(o)]
 }
 
-// typeName is the declared name of a type or of what a pointer leads to; nil: it has none.
+// typeName returns the object that declares a named type or alias, or the one a pointer points to; otherwise it returns nil.
 func typeName(t types.Type) types.Object {
 	if pointer, ok := t.(*types.Pointer); ok {
 		t = pointer.Elem()
@@ -210,7 +217,7 @@
 	return nil
 }
 
-// renameInDoc renames the first word of a doc comment, if it is the identifier.
+// renameInDoc renames the first word of a doc comment if that word is the identifier.
 func (r *renamer) renameInDoc(info *types.Info, doc *ast.CommentGroup, identifier *ast.Ident) {
 	if doc == nil {
 		return
@@ -222,6 +229,7 @@
 	}
 }
 
+// replace adds an edit that replaces the source between two positions.
 func (r *renamer) replace(begin, end token.Pos, text string) {
 	from, to := r.files.Position(begin), r.files.Position(end)
 	if r.edits[from.Filename] == nil {
@@ -230,15 +238,15 @@
 	r.edits[from.Filename][edit{from.Offset, to.Offset, text}] = struct{}{}
 }
 
-// write carries the edits out, from the end of each file to its beginning so that offsets hold.
+// write applies the edits to the files. In each file it begins with the last edit, so that the offsets of the others stay valid.
 func (r *renamer) write() error {
 	count := 0
-	for name, set := range r.edits {
+	for name, fileEdits := range r.edits {
 		text, err := os.ReadFile(filepath.Clean(name))
 		if err != nil {
 			return err
 		}
-		edits := slices.SortedFunc(maps.Keys(set), func(a, b edit) int { return b.start - a.start })
+		edits := slices.SortedFunc(maps.Keys(fileEdits), func(a, b edit) int { return b.start - a.start })
 		for _, e := range edits {
 			text = slices.Replace(text, e.start, e.end, []byte(e.text)...)
 		}
