--- a/cmd/tuliprock/baseline.go
+++ b/cmd/tuliprock/baseline.go
@@ -9,9 +9,9 @@
 
 // Run implements kong's command.
 func (c *baselineCommand) Run() error {
-	decider, err := baseline.New(c.Name)
+	newBalancer, err := baseline.New(c.Name)
 	if err != nil {
 		return err
 	}
-	return servePlatform(decider)
+	return servePlatform(newBalancer)
 }
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -64,15 +64,15 @@
 	}
 }
 
-// servePlatform runs the daemon as the platform configures it.
-func servePlatform(decider eventloop.BalancerFactory) error {
+// servePlatform runs the daemon on the configuration that the platform provides, with the balancer that newBalancer creates.
+func servePlatform(newBalancer eventloop.BalancerFactory) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	return serve(decider, platformConfig(log), platformGCPercent, log)
+	return serve(newBalancer, platformConfig(log), platformGCPercent, log)
 }
 
 // serve runs the daemon until SIGTERM or SIGINT, and then shuts it down gracefully: it returns when all accepted requests
 // have got their responses. SIGHUP reloads the configuration; an invalid configuration is logged and changes nothing.
-func serve(decider eventloop.BalancerFactory, source configSource, gcPercent int, log *slog.Logger) error {
+func serve(newBalancer eventloop.BalancerFactory, source configSource, gcPercent int, log *slog.Logger) error {
 	hangups := make(chan os.Signal, 1) // registered first, since an uncaught SIGHUP ends the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	service, err := source()
@@ -85,7 +85,7 @@
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	s, err := sidecar.StartWith(decider, service, log)
+	s, err := sidecar.StartWith(newBalancer, service, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -29,17 +29,17 @@
 
 // Run implements kong's command.
 func (c *fleetCommand) Run() error {
-	decider := eventloop.NewBalancer
+	newBalancer := eventloop.NewBalancer
 	if c.Baseline != "" {
 		var err error
-		if decider, err = baseline.New(c.Baseline); err != nil {
+		if newBalancer, err = baseline.New(c.Baseline); err != nil {
 			return err
 		}
 	}
 	if len(c.Scenarios) == 0 {
 		c.Scenarios = fleetsim.Troubles()
 	}
-	results, err := c.simulateAll(decider)
+	results, err := c.simulateAll(newBalancer)
 	if err != nil {
 		return err
 	}
@@ -64,12 +64,12 @@
 
 // simulateAll simulates all scenarios in parallel, each in a goroutine with a state of its own, and returns when all have
 // ended.
-func (c *fleetCommand) simulateAll(decider eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
+func (c *fleetCommand) simulateAll(newBalancer eventloop.BalancerFactory) ([]*fleetsim.Result, error) {
 	results, errs := make([]*fleetsim.Result, len(c.Scenarios)), make([]error, len(c.Scenarios))
 	var simulations sync.WaitGroup
 	for i, scenario := range c.Scenarios {
 		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: scenario, Length: c.Length, Use: c.Utilization}
-		simulations.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
+		simulations.Go(func() { results[i], errs[i] = fleetsim.PlayWith(newBalancer, day) })
 	}
 	simulations.Wait()
 	return results, errors.Join(errs...)
