--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -63,7 +63,7 @@
 }
 
 // versionsByMark returns the version that each settings text made according to the history, by the mark of the text. It
-// checks that versions are unique, and that each version that a put was told of is in the history with that put's text.
+// checks that versions are unique, and that each version that the response to a put named is in the history with its text.
 func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
 	digests := map[uint64]string{} // SHA-256 digest of the change that made a version, by the version
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -19,7 +19,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// hotRestartHarness plays the platform that hot-restarts a daemon. It owns the listening socket and the directory that the
+// hotRestartHarness stands in for the platform that hot-restarts a daemon. It owns the listening socket and the directory that the
 // daemon's processes share, and runs a fake discovery service and endpoints that count their requests by id.
 type hotRestartHarness struct {
 	t                 *testing.T
