--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -9,17 +9,19 @@
 	"tuliprock/internal/cluster/status"
 )
 
+// peersCommand prints the members of a daemon's cluster as the daemon sees them.
 type peersCommand struct{ daemonFlags }
 
 // Run implements kong's command.
 func (c *peersCommand) Run() error {
-	fleet, err := status.FetchFleet(c.At, reportTimeout)
+	fleet, err := status.FetchFleet(c.AdminAddr, reportTimeout)
 	if err != nil {
 		return err
 	}
 	return c.printResult(fleet, func(w io.Writer) error { return writePeers(w, fleet) })
 }
 
+// writePeers prints the state of a daemon in its cluster, and its view of each member.
 func writePeers(w io.Writer, f *status.Fleet) error {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "%s is %s (view %d), one of %d\n", f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount)
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -9,14 +9,15 @@
 	"tuliprock/internal/cluster/status"
 )
 
-type settingsShow struct {
+// settingsShowCommand prints which settings a daemon acts on, or the body of one document.
+type settingsShowCommand struct {
 	daemonFlags
-	Name    string `arg:"" optional:"" help:"Of a document: shared, members/POOL, out/ID, flag/NAME."`
-	Version uint64 `help:"As it was at this version; 0: the latest."`
+	Name    string `arg:"" optional:"" help:"Name of a document to print: shared, members/POOL, out/ID, flag/NAME."`
+	Version uint64 `help:"Print the document as it was at this version; 0: the latest."`
 }
 
 // Run implements kong's command.
-func (c *settingsShow) Run() error {
+func (c *settingsShowCommand) Run() error {
 	if c.Name != "" {
 		document, err := c.document(c.Name, c.Version)
 		if err != nil {
@@ -27,13 +28,14 @@
 			return err
 		})
 	}
-	settings, err := status.FetchSettings(c.At, reportTimeout)
+	settings, err := status.FetchSettings(c.AdminAddr, reportTimeout)
 	if err != nil {
 		return err
 	}
 	return c.printResult(settings, func(w io.Writer) error { return writeSettings(w, settings) })
 }
 
+// writeSettings prints the version that a daemon acts on, its lease, the daemons that delay a version, and the documents.
 func writeSettings(w io.Writer, s *status.Settings) error {
 	var rows strings.Builder
 	lease := fmt.Sprintf("its lease lasts %v yet", time.Duration(s.LeaseMs)*time.Millisecond)
