--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("the next version is %d, want %d", third, second+1)
 	}
 
-	c.disks[1].Fail(0)
+	c.disks[1].InjectFailure(0)
 	fourth := c.put(2, "d", "four")
 	c.waitAllActing(fourth, "four")
 	testpeer.Until(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -45,7 +45,7 @@
 	if v, _ := (&Node{options: rejecting}).loadCachedVersion(); v != 0 {
 		t.Errorf("loaded version %d, want none: the daemon's check rejects it", v)
 	}
-	d.Fail(0)
+	d.InjectFailure(0)
 	n.cacheVersion(consensus.LeasedVersion{Version: 8}, nil) // logs the error and returns
 	if v, _ := (&Node{options: n.options}).loadCachedVersion(); v == 8 {
 		t.Error("loaded version 8, which was written after the disk had failed")
--- a/internal/testkit/eventqueue/agenda.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Agenda holds what is to happen. Its zero value is empty.
-type Agenda[T any] struct {
+// Queue holds what is to happen. Its zero value is empty.
+type Queue[T any] struct {
 	entries entries[T]
 	seq     uint64
 }
 
 // Entry is something that is to happen.
 type Entry[T any] struct {
-	At   time.Duration
-	Seq  uint64 // of all that was put, from 1
-	What T
+	At    time.Duration
+	Seq   uint64 // of all that was put, from 1
+	Event T
 }
 
-// Put plans something, and gives its Seq.
-func (a *Agenda[T]) Put(at time.Duration, what T) uint64 {
+// Schedule plans something, and gives its Seq.
+func (a *Queue[T]) Schedule(at time.Duration, what T) uint64 {
 	a.seq++
 	heap.Push(&a.entries, Entry[T]{at, a.seq, what})
 	return a.seq
 }
 
-// Later puts an entry that was taken back, for another instant: among what is due then it keeps its place.
-func (a *Agenda[T]) Later(at time.Duration, e Entry[T]) {
+// Reschedule puts an entry that was taken back, for another instant: among what is due then it keeps its place.
+func (a *Queue[T]) Reschedule(at time.Duration, e Entry[T]) {
 	e.At = at
 	heap.Push(&a.entries, e)
 }
 
-// Take gives what comes first, if that is due at an instant.
-func (a *Agenda[T]) Take(until time.Duration) (e Entry[T], ok bool) {
+// PopDue gives what comes first, if that is due at an instant.
+func (a *Queue[T]) PopDue(until time.Duration) (e Entry[T], ok bool) {
 	if len(a.entries) == 0 || a.entries[0].At > until {
 		return e, false
 	}
--- a/internal/testkit/fleetsim/world.go
+++ b/internal/testkit/fleetsim/world.go
@@ -20,7 +20,7 @@
 	decide   eventloop.BalancerFactory
 	rng      *rand.Rand
 	now      time.Duration
-	agenda   eventqueue.Agenda[func()]
+	agenda   eventqueue.Queue[func()]
 	tiers    [][]*endpoint // those that were ever listed, by tier
 	front    []*sidecar
 	sidecars []*sidecar
@@ -34,14 +34,14 @@
 
 // in plans something.
 func (w *world) in(d time.Duration, do func()) {
-	w.agenda.Put(w.now+max(d, 0), do)
+	w.agenda.Schedule(w.now+max(d, 0), do)
 }
 
 // run plays until nothing is left to happen, or the instant given.
 func (w *world) run(until time.Duration) {
-	for e, ok := w.agenda.Take(until); ok; e, ok = w.agenda.Take(until) {
+	for e, ok := w.agenda.PopDue(until); ok; e, ok = w.agenda.PopDue(until) {
 		w.now = e.At
-		e.What()
+		e.Event()
 	}
 	w.now = until
 }
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -9,8 +9,8 @@
 
 // Checker looks at what voters commit and daemons act on. Its zero value has seen nothing.
 type Checker struct {
-	Broken  []string
-	Overlap time.Duration // the longest that somebody acted on a version after another had begun to act on a later one
+	Violations []string
+	MaxOverlap time.Duration // the longest that somebody acted on a version after another had begun to act on a later one
 
 	digests map[uint64][32]byte // of what was acted on, by version
 	first   []began             // versions in order, and when each was acted on first
@@ -25,8 +25,8 @@
 }
 
 func (c *Checker) broken(format string, args ...any) {
-	if len(c.Broken) < 100 {
-		c.Broken = append(c.Broken, fmt.Sprintf(format, args...))
+	if len(c.Violations) < 100 {
+		c.Violations = append(c.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	for _, b := range c.first { // the earliest begin of a later version
 		if b.version > version {
-			c.Overlap = max(c.Overlap, now-b.at)
+			c.MaxOverlap = max(c.MaxOverlap, now-b.at)
 			break
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // settled wants all to act on the latest version, and all voters to have it.
-func (c *Checker) settled(w *World) {
+func (c *Checker) settled(w *Simulation) {
 	var leader *Node
 	for _, n := range w.voters() {
 		if n.voter.IsLeader() && (leader == nil || n.voter.Term() > leader.voter.Term()) {
--- a/internal/testkit/raftsim/council.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -20,15 +20,15 @@
 	"tuliprock/internal/wal"
 )
 
-// Options of a World.
+// Options of a Simulation.
 type Options struct {
-	Voters, Followers int
-	Seed              uint64
-	Terms             consensus.LeaseConfig
-	Drift             float64       // by which clocks really differ; 0: as Terms allow
-	Forgets           bool          // disks lie about syncs
-	Puts              time.Duration // one comes so often
-	Seats             time.Duration // voters are changed so often, and disks of some are lost; 0: they are not
+	Voters, NonVoters       int
+	Seed                    uint64
+	LeaseConfig             consensus.LeaseConfig
+	ClockDrift              float64       // by which clocks really differ; 0: as Terms allow
+	DisksIgnoreSync         bool          // disks lie about syncs
+	PutInterval             time.Duration // one comes so often
+	ReconfigurationInterval time.Duration // voters are changed so often, and disks of some are lost; 0: they are not
 }
 
 const (
@@ -47,17 +47,17 @@
 	hardEvery = 16
 )
 
-// World is a council that is being played.
-type World struct {
-	Now     time.Duration
-	Nodes   []*Node
-	Checker Checker
-	Refused int // acts for which there was no lease
-	Acts    int
+// Simulation is a council that is being played.
+type Simulation struct {
+	Now                   time.Duration
+	Nodes                 []*Node
+	Checker               Checker
+	DecisionsWithoutLease int // acts for which there was no lease
+	Decisions             int
 
 	o      Options
 	rng    *rand.Rand
-	agenda eventqueue.Agenda[event]
+	agenda eventqueue.Queue[event]
 	cut    map[[2]int]bool
 	loss   float64
 	slow   time.Duration // that messages take on top, at most
@@ -106,13 +106,13 @@
 }
 
 // New makes a world in which all are up.
-func New(o Options) *World {
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]int]bool{}, puts: map[string]*put{}}
-	drift := o.Drift
+func New(o Options) *Simulation {
+	w := &Simulation{o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]int]bool{}, puts: map[string]*put{}}
+	drift := o.ClockDrift
 	if drift == 0 {
-		drift = o.Terms.MaxClockDrift
+		drift = o.LeaseConfig.MaxClockDrift
 	}
-	for i := range o.Voters + o.Followers {
+	for i := range o.Voters + o.NonVoters {
 		n := &Node{place: i, rate: 1 - drift + 2*drift*w.rng.Float64()}
 		if i < o.Voters {
 			n.id = uint64(i + 1)
@@ -121,21 +121,21 @@
 		w.Nodes = append(w.Nodes, n)
 		w.begin(n)
 	}
-	w.at(nil, o.Puts, w.put)
-	if o.Seats > 0 {
-		w.at(nil, o.Seats, w.reseat)
+	w.at(nil, o.PutInterval, w.put)
+	if o.ReconfigurationInterval > 0 {
+		w.at(nil, o.ReconfigurationInterval, w.reseat)
 	}
 	return w
 }
 
-func (w *World) newDisk(n *Node) {
+func (w *Simulation) newDisk(n *Node) {
 	n.disk = simdisk.New()
-	n.disk.Forgets = w.o.Forgets
+	n.disk.IgnoresSync = w.o.DisksIgnoreSync
 	n.mark = fmt.Sprint("m", w.rng.Uint64())
 }
 
 // voters are the nodes that vote, or learn to.
-func (w *World) voters() (out []*Node) {
+func (w *Simulation) voters() (out []*Node) {
 	for _, n := range w.Nodes {
 		if n.voter != nil && !n.down {
 			out = append(out, n)
@@ -145,7 +145,7 @@
 }
 
 // aVoter is one of them; nil: none is up.
-func (w *World) aVoter() *Node {
+func (w *Simulation) aVoter() *Node {
 	if all := w.voters(); len(all) > 0 {
 		return all[w.rng.IntN(len(all))]
 	}
@@ -161,36 +161,36 @@
 }
 
 // at has something done at an instant: by a node, if it lives on and when it runs, or by the world.
-func (w *World) at(n *Node, at time.Duration, do func()) {
+func (w *Simulation) at(n *Node, at time.Duration, do func()) {
 	e := event{node: n, do: do}
 	if n != nil {
 		e.life = n.life
 	}
-	w.agenda.Put(max(at, w.Now), e)
+	w.agenda.Schedule(max(at, w.Now), e)
 }
 
 // Run plays until an instant.
-func (w *World) Run(until time.Duration) {
-	for e, ok := w.agenda.Take(until); ok; e, ok = w.agenda.Take(until) {
+func (w *Simulation) Run(until time.Duration) {
+	for e, ok := w.agenda.PopDue(until); ok; e, ok = w.agenda.PopDue(until) {
 		w.Now = e.At
-		switch n := e.What.node; {
+		switch n := e.Event.node; {
 		case n == nil:
-			e.What.do()
-		case n.down || n.life != e.What.life:
+			e.Event.do()
+		case n.down || n.life != e.Event.life:
 		case n.paused > w.Now:
-			w.agenda.Later(n.paused, e)
+			w.agenda.Reschedule(n.paused, e)
 		default:
-			e.What.do()
+			e.Event.do()
 		}
 	}
 	w.Now = until
 }
 
 // begin starts a node's process, with what its disk has.
-func (w *World) begin(n *Node) {
+func (w *Simulation) begin(n *Node) {
 	n.life++
 	n.down, n.busy, n.later, n.paused, n.installed = false, false, nil, 0, 0
-	n.holder = consensus.NewLeaseHolder(fmt.Sprint("d", n.place), w.o.Terms, 0, nil)
+	n.holder = consensus.NewLeaseHolder(fmt.Sprint("d", n.place), w.o.LeaseConfig, 0, nil)
 	n.names, n.asks = map[uint64]int{}, slices.Clone(n.kept)
 	for i := range w.o.Voters {
 		n.asks = append(n.asks, i)
@@ -202,7 +202,7 @@
 	}
 	if n.id != 0 {
 		if err := w.open(n); err != nil {
-			w.Checker.Broken = append(w.Checker.Broken, fmt.Sprintf("%v: voter %d does not start: %v", w.Now, n.place, err))
+			w.Checker.Violations = append(w.Checker.Violations, fmt.Sprintf("%v: voter %d does not start: %v", w.Now, n.place, err))
 			n.down = true
 			return
 		}
@@ -212,7 +212,7 @@
 	w.at(n, w.Now, func() { w.act(n) })
 }
 
-func (w *World) open(n *Node) error {
+func (w *Simulation) open(n *Node) error {
 	var names []string
 	for i := range w.o.Voters {
 		if n.id <= uint64(w.o.Voters) {
@@ -228,12 +228,12 @@
 	if err != nil {
 		return err
 	}
-	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, HeartbeatInterval: beat, Seed: w.rng.Uint64(), Lease: w.o.Terms}, d)
+	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, HeartbeatInterval: beat, Seed: w.rng.Uint64(), Lease: w.o.LeaseConfig}, d)
 	return err
 }
 
 // Crash ends a node's process, and takes the power from its disk.
-func (w *World) Crash(n *Node) {
+func (w *Simulation) Crash(n *Node) {
 	if n.down {
 		return
 	}
@@ -242,15 +242,15 @@
 }
 
 // leave ends a node's part in the voting.
-func (w *World) leave(n *Node) { n.voter, n.left, n.later, n.busy = nil, true, nil, false }
+func (w *Simulation) leave(n *Node) { n.voter, n.left, n.later, n.busy = nil, true, nil, false }
 
 // reseat changes the voters: who has lost its disk is taken out, one is put in where there are few, and one taken out where there are
 // many. Now and then a voter loses its disk, while all others are there.
-func (w *World) reseat() {
+func (w *Simulation) reseat() {
 	if w.calm {
 		return
 	}
-	w.at(nil, w.Now+w.o.Seats, w.reseat)
+	w.at(nil, w.Now+w.o.ReconfigurationInterval, w.reseat)
 	by := w.aVoter()
 	if by == nil {
 		return
@@ -284,7 +284,7 @@
 }
 
 // lose takes a voter's disk away, where all the others are there and have theirs.
-func (w *World) lose(n *Node) {
+func (w *Simulation) lose(n *Node) {
 	var by *Node // who knows most
 	for _, v := range w.voters() {
 		if by == nil || v.voter.AppliedIndex() > by.voter.AppliedIndex() {
@@ -313,7 +313,7 @@
 	})
 }
 
-func (w *World) named(name string) *Node { return w.Nodes[placeOf(name)] }
+func (w *Simulation) named(name string) *Node { return w.Nodes[placeOf(name)] }
 
 // placeOf is the place of the node of a name. All names here are "d" and a place: another one is this package's mistake.
 func placeOf(name string) (place int) {
@@ -324,7 +324,7 @@
 }
 
 // use has a voter's process do something, when its disk is done with what was before.
-func (w *World) use(n *Node, do func()) {
+func (w *Simulation) use(n *Node, do func()) {
 	if n.voter == nil {
 		return
 	}
@@ -340,13 +340,13 @@
 }
 
 // stopped takes up that a voter can't go on, which no disk that keeps its word is a cause for.
-func (w *World) stopped(n *Node) {
+func (w *Simulation) stopped(n *Node) {
 	w.Checker.broken("%v: voter %d stops: %v", w.Now, n.place, n.voter.StopReason)
 	w.Crash(n)
 }
 
 // output carries out what a voter wants: records first, then, when they are sure, messages and answers.
-func (w *World) output(n *Node) {
+func (w *Simulation) output(n *Node) {
 	if n.voter == nil {
 		return
 	}
@@ -412,7 +412,7 @@
 }
 
 // learnVoters takes up whom a daemon may ask, and whether it votes.
-func (w *World) learnVoters(n *Node, g consensus.LeaseGrant) {
+func (w *Simulation) learnVoters(n *Node, g consensus.LeaseGrant) {
 	n.asks = nil
 	for _, name := range g.SlotHolders {
 		n.asks = append(n.asks, w.named(name).place)
@@ -450,7 +450,7 @@
 }
 
 // send carries something from one node to another, if it gets there.
-func (w *World) send(from, to int, do func(n *Node)) {
+func (w *Simulation) send(from, to int, do func(n *Node)) {
 	if w.cut[[2]int{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
@@ -458,7 +458,7 @@
 	w.at(n, w.Now+leastDelay+time.Duration(w.rng.Int64N(int64(moreDelay+w.slow))), func() { do(n) })
 }
 
-func (w *World) sendRaft(n *Node, m *raftpb.Message) {
+func (w *Simulation) sendRaft(n *Node, m *raftpb.Message) {
 	to, known := n.names[m.GetTo()]
 	if name := n.voter.State().VoterName(m.GetTo()); name != "" {
 		to, known = w.named(name).place, true
@@ -473,7 +473,7 @@
 }
 
 // hear takes a message, as chamber does.
-func (w *World) hear(n *Node, from int, m *raftpb.Message) {
+func (w *Simulation) hear(n *Node, from int, m *raftpb.Message) {
 	if n.voter == nil || n.id != m.GetTo() {
 		return
 	}
@@ -483,7 +483,7 @@
 	})
 }
 
-func (w *World) sendGrant(n *Node, t consensus.AddressedGrant) {
+func (w *Simulation) sendGrant(n *Node, t consensus.AddressedGrant) {
 	w.send(n.place, placeOf(t.Recipient), func(d *Node) {
 		d.heard, d.leader = true, n.place
 		w.learnVoters(d, t.Grant)
@@ -499,7 +499,7 @@
 	})
 }
 
-func (w *World) tick(n *Node) {
+func (w *Simulation) tick(n *Node) {
 	w.use(n, func() { n.voter.Tick(n.local(w.Now)) })
 	if !n.down && n.voter != nil {
 		w.at(n, max(n.world(n.voter.NextTick()), w.Now+time.Millisecond), func() { w.tick(n) })
@@ -507,7 +507,7 @@
 }
 
 // ask sends a request for a lease to whom the last answer came from, or to the next.
-func (w *World) ask(n *Node) {
+func (w *Simulation) ask(n *Node) {
 	if !n.heard {
 		n.leader = n.asks[(slices.Index(n.asks, n.leader)+1)%len(n.asks)]
 	}
@@ -538,19 +538,19 @@
 }
 
 // act is a request that a daemon decides by the version that it has.
-func (w *World) act(n *Node) {
-	w.Acts++
+func (w *Simulation) act(n *Node) {
+	w.Decisions++
 	a := n.holder.Leased()
-	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.Terms.SkipExpiryCheck) {
+	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.LeaseConfig.SkipExpiryCheck) {
 		w.Checker.acts(w.Now, n, n.installed, n.digest)
 	} else {
-		w.Refused++
+		w.DecisionsWithoutLease++
 	}
 	w.at(n, w.Now+actEvery, func() { w.act(n) })
 }
 
 // install has a daemon's other parts change over to what it is to act on, which takes them a while.
-func (w *World) install(n *Node) {
+func (w *Simulation) install(n *Node) {
 	a := n.holder.Leased()
 	w.at(n, w.Now+time.Duration(w.rng.Int64N(int64(installMost))), func() {
 		if a.Version > n.installed {
@@ -561,7 +561,7 @@
 }
 
 // put has something put, and asks again for what has not been heard of.
-func (w *World) put() {
+func (w *Simulation) put() {
 	if !w.calm {
 		w.next++
 		id := fmt.Sprint("put-", w.next)
@@ -576,7 +576,7 @@
 		}
 		w.puts[id] = &put{c: c}
 		if w.next%(2*hardEvery) == 0 { // every second time somebody insists
-			w.at(nil, w.Now+w.o.Puts/2, w.force)
+			w.at(nil, w.Now+w.o.PutInterval/2, w.force)
 		}
 	}
 	for i := max(1, w.next-20); i <= w.next; i++ {
@@ -586,11 +586,11 @@
 			}
 		}
 	}
-	w.at(nil, w.Now+w.o.Puts, w.put)
+	w.at(nil, w.Now+w.o.PutInterval, w.put)
 }
 
 // force has what comes activated though some can't act on it, as far as some voter knows.
-func (w *World) force() {
+func (w *Simulation) force() {
 	to := w.aVoter()
 	if to == nil {
 		return
@@ -604,8 +604,8 @@
 	})
 }
 
-// Trouble plays drawn faults for a while, and heals all.
-func (w *World) Trouble(until time.Duration) {
+// InjectFaults plays drawn faults for a while, and heals all.
+func (w *Simulation) InjectFaults(until time.Duration) {
 	for w.Now < until {
 		n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 		if w.rng.IntN(2) == 0 {
@@ -615,7 +615,7 @@
 		}
 		length := time.Duration(w.rng.Int64N(int64(6 * time.Second)))
 		kinds := 8
-		if w.o.Seats > 0 {
+		if w.o.ReconfigurationInterval > 0 {
 			kinds++
 		}
 		switch w.rng.IntN(kinds) {
@@ -656,7 +656,7 @@
 }
 
 // partition cuts the nodes into two parts for a while, in one direction at times.
-func (w *World) partition(length time.Duration) {
+func (w *Simulation) partition(length time.Duration) {
 	oneWay := w.rng.IntN(3) == 0
 	side := map[int]bool{}
 	for i := range w.Nodes {
@@ -674,8 +674,8 @@
 	w.at(nil, w.Now+length, func() { w.cut = map[[2]int]bool{} })
 }
 
-// Settle lets all be well until all that was put is acted on by all, and says what is missing.
-func (w *World) Settle(within time.Duration) {
+// Converge lets all be well until all that was put is acted on by all, and says what is missing.
+func (w *Simulation) Converge(within time.Duration) {
 	w.calm = true
 	for _, n := range w.Nodes {
 		if n.left {
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -11,11 +11,11 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// Figures are what a quiet council showed, and one whose leader is killed.
-type Figures struct {
-	Committed, Acted []time.Duration // of a put: until it is agreed on, and until all act on it; sorted
-	Leaderless       []time.Duration // from a leader's death until a put is agreed on again
-	Overlap          time.Duration
+// Measurements are what a quiet council showed, and one whose leader is killed.
+type Measurements struct {
+	CommitLatency, ActivationLatency []time.Duration // of a put: until it is agreed on, and until all act on it; sorted
+	FailoverTime                     []time.Duration // from a leader's death until a put is agreed on again
+	MaxOverlap                       time.Duration
 }
 
 const (
@@ -26,37 +26,37 @@
 )
 
 // Measure plays a council of three voters and so many daemons in all.
-func Measure(daemons int, seed uint64, terms consensus.LeaseConfig) Figures {
-	var f Figures
-	w := New(Options{Voters: 3, Followers: daemons - 3, Seed: seed, Terms: terms, Puts: 10 * time.Millisecond})
+func Measure(daemons int, seed uint64, terms consensus.LeaseConfig) Measurements {
+	var f Measurements
+	w := New(Options{Voters: 3, NonVoters: daemons - 3, Seed: seed, LeaseConfig: terms, PutInterval: 10 * time.Millisecond})
 	w.calm = true
 	w.Run(5*time.Second + 2*terms.Duration)
 	for range measured {
 		committed, acted := w.measurePut()
-		f.Committed, f.Acted = append(f.Committed, committed), append(f.Acted, acted)
+		f.CommitLatency, f.ActivationLatency = append(f.CommitLatency, committed), append(f.ActivationLatency, acted)
 		w.Run(w.Now + restAfter)
 	}
-	f.Overlap = w.Checker.Overlap
+	f.MaxOverlap = w.Checker.MaxOverlap
 	for range deaths {
 		for _, n := range w.Nodes[:3] {
 			if !n.down && n.voter.IsLeader() {
 				w.Crash(n)
 				committed, _ := w.measurePut()
-				f.Leaderless = append(f.Leaderless, committed)
+				f.FailoverTime = append(f.FailoverTime, committed)
 				w.begin(n)
 				break
 			}
 		}
 		w.Run(w.Now + 3*terms.Duration)
 	}
-	slices.Sort(f.Committed)
-	slices.Sort(f.Acted)
-	slices.Sort(f.Leaderless)
+	slices.Sort(f.CommitLatency)
+	slices.Sort(f.ActivationLatency)
+	slices.Sort(f.FailoverTime)
 	return f
 }
 
 // measurePut has something put, and gives how long it took until it was agreed on and until all who run acted on it.
-func (w *World) measurePut() (committed, acted time.Duration) {
+func (w *Simulation) measurePut() (committed, acted time.Duration) {
 	began, was := w.Now, w.Checker.latest
 	w.next++
 	id := fmt.Sprint("put-", w.next)
@@ -73,7 +73,7 @@
 	return committed, time.Minute
 }
 
-func (w *World) allAct(version uint64) bool {
+func (w *Simulation) allAct(version uint64) bool {
 	return !slices.ContainsFunc(w.Nodes, func(n *Node) bool {
 		if n.down {
 			return false
@@ -90,8 +90,8 @@
 	fmt.Fprintln(&rows, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
 		f := Measure(n, seed, terms)
-		fmt.Fprintf(&rows, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, at(f.Committed, 0.5), at(f.Committed, 1), at(f.Acted, 0.5), at(f.Acted, 1), f.Overlap.Round(time.Millisecond),
-			at(f.Leaderless, 0.5), at(f.Leaderless, 1))
+		fmt.Fprintf(&rows, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, at(f.CommitLatency, 0.5), at(f.CommitLatency, 1), at(f.ActivationLatency, 0.5), at(f.ActivationLatency, 1), f.MaxOverlap.Round(time.Millisecond),
+			at(f.FailoverTime, 0.5), at(f.FailoverTime, 1))
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(t, rows.String()); err != nil {
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -13,8 +13,8 @@
 	"tuliprock/internal/wal"
 )
 
-// Sector is what a disk writes as a whole.
-const Sector = 512
+// SectorSize is what a disk writes as a whole.
+const SectorSize = 512
 
 // Errors that are injected.
 var (
@@ -31,10 +31,10 @@
 	locked  bool
 	life    int // of the system; handles of an earlier one are dead
 
-	FailAfter int   // operations that change something, until all fail with ErrIO; 0: never
-	Space     int64 // bytes that all files may have; 0: any
-	Forgets   bool  // syncs do nothing: a disk that lies
-	Changes   int   // operations that changed something
+	FailAfter   int   // operations that change something, until all fail with ErrIO; 0: never
+	Capacity    int64 // bytes that all files may have; 0: any
+	IgnoresSync bool  // syncs do nothing: a disk that lies
+	ChangeCount int   // operations that changed something
 }
 
 // inode is a file's bytes, as they are seen and as they are sure to be.
@@ -56,18 +56,18 @@
 
 // change counts an operation, and says whether it fails. d.mu is held.
 func (d *Disk) change() error {
-	d.Changes++
-	if d.FailAfter > 0 && d.Changes > d.FailAfter {
+	d.ChangeCount++
+	if d.FailAfter > 0 && d.ChangeCount > d.FailAfter {
 		return ErrIO
 	}
 	return nil
 }
 
-// Fail makes all changes fail after so many more.
-func (d *Disk) Fail(after int) {
+// InjectFailure makes all changes fail after so many more.
+func (d *Disk) InjectFailure(after int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.FailAfter = max(d.Changes+after, 1)
+	d.FailAfter = max(d.ChangeCount+after, 1)
 }
 
 // Crash takes the power away: what was not synced is there by halves, as chance will have it, and the locks are gone.
@@ -91,7 +91,7 @@
 	for name, i := range d.durable {
 		d.names[name] = i
 	}
-	d.locked, d.FailAfter, d.Space = false, 0, 0
+	d.locked, d.FailAfter, d.Capacity = false, 0, 0
 	d.life++
 }
 
@@ -106,7 +106,7 @@
 			continue
 		}
 		for at := 0; at < len(w.b); {
-			end := min(len(w.b), at+Sector-int((w.at+int64(at))%Sector))
+			end := min(len(w.b), at+SectorSize-int((w.at+int64(at))%SectorSize))
 			if rng.IntN(3) > 0 {
 				if size := w.at + int64(end); int64(len(b)) < size {
 					b = resize(b, size) // what lies between is zeros
@@ -228,7 +228,7 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil || d.Forgets {
+	if err := d.change(); err != nil || d.IgnoresSync {
 		return err
 	}
 	for _, change := range d.pending {
@@ -302,12 +302,12 @@
 		return 0, err
 	}
 	var err error
-	if h.d.Space > 0 {
+	if h.d.Capacity > 0 {
 		used := int64(0)
 		for _, i := range h.d.names {
 			used += int64(len(i.seen))
 		}
-		if room := max(h.d.Space-used, 0); int64(len(p)) > room {
+		if room := max(h.d.Capacity-used, 0); int64(len(p)) > room {
 			p, err = p[:room], ErrFull
 		}
 	}
@@ -339,7 +339,7 @@
 func (h *handle) Sync() error {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	if err := errors.Join(h.alive(), h.d.change()); err != nil || h.d.Forgets {
+	if err := errors.Join(h.alive(), h.d.change()); err != nil || h.d.IgnoresSync {
 		return err
 	}
 	h.i.sure, h.i.writes = slices.Clone(h.i.seen), nil
--- a/internal/testkit/swimsim/swarm.go
+++ b/internal/testkit/swimsim/swarm.go
@@ -36,7 +36,7 @@
 
 	o      Options
 	rng    *rand.Rand
-	agenda eventqueue.Agenda[event]
+	agenda eventqueue.Queue[event]
 	at     map[netip.AddrPort]*Node
 
 	Messages, Bytes uint64 // sent
@@ -82,7 +82,7 @@
 		if i == 0 {
 			n.Began = 0
 		}
-		w.agenda.Put(n.Began, event{node: n})
+		w.agenda.Schedule(n.Began, event{node: n})
 	}
 	return w
 }
@@ -134,12 +134,12 @@
 
 // wake asks for the next tick of a node; one that was asked for before is void.
 func (w *World) wake(n *Node) {
-	n.woken = w.agenda.Put(max(n.world(n.NextTick()), w.Now), event{node: n})
+	n.woken = w.agenda.Schedule(max(n.world(n.NextTick()), w.Now), event{node: n})
 }
 
 // Run plays until an instant, or until done says so: it is asked after each event in which a view changed.
 func (w *World) Run(until time.Duration, done func() bool) bool {
-	for e, ok := w.agenda.Take(until); ok; e, ok = w.agenda.Take(until) {
+	for e, ok := w.agenda.PopDue(until); ok; e, ok = w.agenda.PopDue(until) {
 		w.Now = e.At
 		if w.step(e) && done != nil && done() {
 			return true
@@ -150,7 +150,7 @@
 }
 
 func (w *World) step(e eventqueue.Entry[event]) (changed bool) {
-	n, m := e.What.node, e.What.m
+	n, m := e.Event.node, e.Event.m
 	if n.Node == nil {
 		w.Begin(n, nil)
 		return false
@@ -159,7 +159,7 @@
 		return false
 	}
 	if w.blocked(n) {
-		w.agenda.Later(n.Paused, e)
+		w.agenda.Reschedule(n.Paused, e)
 		return false
 	}
 	was := n.ViewNumber()
@@ -211,7 +211,7 @@
 		case w.rng.Float64() < w.o.Loss:
 			continue
 		}
-		w.agenda.Put(w.Now+delay, event{to, e.Message})
+		w.agenda.Schedule(w.Now+delay, event{to, e.Message})
 	}
 }
 
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -112,10 +112,10 @@
 		m.synced = l.NextIndex() - 1 // recovered records are durable
 		disk.FailAfter = 0
 		if rng.IntN(2) == 0 {
-			disk.FailAfter = disk.Changes + 1 + rng.IntN(20)
+			disk.FailAfter = disk.ChangeCount + 1 + rng.IntN(20)
 		}
 		if rng.IntN(4) == 0 {
-			disk.Space = int64(2000 + rng.IntN(3000))
+			disk.Capacity = int64(2000 + rng.IntN(3000))
 		}
 		for range steps {
 			if err := m.step(l, rng); err != nil {
@@ -153,7 +153,7 @@
 func TestHistoriesDetectDiskWithoutSync(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := simdisk.New()
-		disk.Forgets = true
+		disk.IgnoresSync = true
 		if checkHistory(disk, rand.New(rand.NewPCG(seed, 1)), 40) != nil {
 			return
 		}
