--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -1,4 +1,5 @@
-// Package eventqueue is what is to happen in virtual time: earliest first, and of what is due at one instant what was put first.
+// Package eventqueue provides a queue of events in virtual time. The earliest event comes first, and events of the same instant come
+// in the order in which they were scheduled.
 package eventqueue
 
 import (
@@ -6,40 +7,42 @@
 	"time"
 )
 
-// Queue holds what is to happen. Its zero value is empty.
+// Queue holds scheduled events. Its zero value is an empty queue.
 type Queue[T any] struct {
 	entries entries[T]
-	seq     uint64
+	lastSeq uint64 // Seq of the entry that was scheduled last
 }
 
-// Entry is something that is to happen.
+// Entry is a scheduled event.
 type Entry[T any] struct {
-	At    time.Duration
-	Seq   uint64 // of all that was put, from 1
+	At    time.Duration // virtual time at which the event is due
+	Seq   uint64        // number of the event in the order of scheduling, from 1
 	Event T
 }
 
-// Schedule plans something, and gives its Seq.
-func (a *Queue[T]) Schedule(at time.Duration, what T) uint64 {
-	a.seq++
-	heap.Push(&a.entries, Entry[T]{at, a.seq, what})
-	return a.seq
+// Schedule adds an event that is due at an instant, and returns the Seq of its entry.
+func (q *Queue[T]) Schedule(at time.Duration, event T) uint64 {
+	q.lastSeq++
+	heap.Push(&q.entries, Entry[T]{at, q.lastSeq, event})
+	return q.lastSeq
 }
 
-// Reschedule puts an entry that was taken back, for another instant: among what is due then it keeps its place.
-func (a *Queue[T]) Reschedule(at time.Duration, e Entry[T]) {
+// Reschedule adds a popped entry again, due at another instant. The entry keeps its Seq, and with it its order among the events of
+// that instant.
+func (q *Queue[T]) Reschedule(at time.Duration, e Entry[T]) {
 	e.At = at
-	heap.Push(&a.entries, e)
+	heap.Push(&q.entries, e)
 }
 
-// PopDue gives what comes first, if that is due at an instant.
-func (a *Queue[T]) PopDue(until time.Duration) (e Entry[T], ok bool) {
-	if len(a.entries) == 0 || a.entries[0].At > until {
+// PopDue removes and returns the first entry. ok is false if no entry is due at until or earlier.
+func (q *Queue[T]) PopDue(until time.Duration) (e Entry[T], ok bool) {
+	if len(q.entries) == 0 || q.entries[0].At > until {
 		return e, false
 	}
-	return heap.Pop(&a.entries).(Entry[T]), true
+	return heap.Pop(&q.entries).(Entry[T]), true
 }
 
+// entries implements heap.Interface, ordered by instant and then by Seq.
 type entries[T any] []Entry[T]
 
 func (e entries[T]) Len() int { return len(e) }
@@ -51,7 +54,7 @@
 func (e *entries[T]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = Entry[T]{}
+	old[len(old)-1] = Entry[T]{} // so that the backing array does not keep the event alive
 	*e = old[:len(old)-1]
 	return last
 }
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -6,29 +6,29 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-type put struct {
-	c    *consensus.Command
-	done bool
+type proposal struct {
+	command     *consensus.Command
+	isCommitted bool
 }
 
-// reseat changes the voters: who has lost its disk is taken out, one is put in where there are few, and one taken out where there are
+// reconfigure changes the voters: who has lost its disk is taken out, one is put in where there are few, and one taken out where there are
 // many. Now and then a voter loses its disk, while all others are there.
-func (w *Simulation) reseat() {
-	if w.calm {
+func (s *Simulation) reconfigure() {
+	if s.isQuiescent {
 		return
 	}
-	w.at(nil, w.Now+w.o.ReconfigurationInterval, w.reseat)
-	by := w.aVoter()
+	s.schedule(nil, s.Now+s.options.ReconfigurationInterval, s.reconfigure)
+	by := s.randomVoter()
 	if by == nil {
 		return
 	}
 	seats := by.voter.State().VoterSlots
 	var lost, in, out []*Node
-	for _, n := range w.Nodes {
-		switch id := by.voter.State().VoterID(fmt.Sprint("d", n.place)); {
+	for _, n := range s.Nodes {
+		switch id := by.voter.State().VoterID(fmt.Sprint("d", n.index)); {
 		case id == 0:
 			out = append(out, n)
-		case n.id != id:
+		case n.voterID != id:
 			lost = append(lost, n)
 		default:
 			in = append(in, n)
@@ -37,56 +37,56 @@
 	c := &consensus.VoterChange{Remove: true}
 	switch {
 	case len(lost) > 0:
-		c.Name = fmt.Sprint("d", lost[0].place)
-	case len(seats) <= w.o.Voters && len(out) > 0:
-		n := out[w.rng.IntN(len(out))]
-		if c.Name, c.Remove = fmt.Sprint("d", n.place), false; n.left { // its directory is emptied, and it is started again
-			w.Crash(n)
-			w.begin(n)
+		c.Name = fmt.Sprint("d", lost[0].index)
+	case len(seats) <= s.options.Voters && len(out) > 0:
+		n := out[s.rng.IntN(len(out))]
+		if c.Name, c.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // its directory is emptied, and it is started again
+			s.Crash(n)
+			s.startNode(n)
 		}
 	case len(in) > 0:
-		c.Name = fmt.Sprint("d", in[w.rng.IntN(len(in))].place)
+		c.Name = fmt.Sprint("d", in[s.rng.IntN(len(in))].index)
 	}
-	w.at(by, w.Now, func() { w.use(by, func() { _ = by.voter.Propose(&consensus.Command{ChangeVoter: c}) }) })
+	s.schedule(by, s.Now, func() { s.callVoter(by, func() { _ = by.voter.Propose(&consensus.Command{ChangeVoter: c}) }) })
 }
 
-// put has something put, and asks again for what has not been heard of.
-func (w *Simulation) put() {
-	if !w.calm {
-		w.next++
-		id := fmt.Sprint("put-", w.next)
-		c := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", w.rng.IntN(3)), Body: []byte(id)}}
-		switch w.next % hardEvery {
+// proposePuts has something put, and asks again for what has not been heard of.
+func (s *Simulation) proposePuts() {
+	if !s.isQuiescent {
+		s.lastPut++
+		id := fmt.Sprint("put-", s.lastPut)
+		c := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", s.rng.IntN(3)), Body: []byte(id)}}
+		switch s.lastPut % rejectedPutPeriod {
 		case 0:
-			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id + hardEnd)}
-		case hardEvery / 4:
-			c.Put = &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}
-		case hardEvery / 2:
-			c.Put, c.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: w.Checker.latest / 2}
+			c.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id + rejectedSuffix)}
+		case rejectedPutPeriod / 4:
+			c.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}
+		case rejectedPutPeriod / 2:
+			c.Put, c.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
 		}
-		w.puts[id] = &put{c: c}
-		if w.next%(2*hardEvery) == 0 { // every second time somebody insists
-			w.at(nil, w.Now+w.o.PutInterval/2, w.force)
+		s.proposals[id] = &proposal{command: c}
+		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second time somebody insists
+			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
 		}
 	}
-	for i := max(1, w.next-20); i <= w.next; i++ {
-		if p := w.puts[fmt.Sprint("put-", i)]; !p.done {
-			if to := w.aVoter(); to != nil {
-				w.at(to, w.Now, func() { w.use(to, func() { _ = to.voter.Propose(p.c) }) })
+	for i := max(1, s.lastPut-20); i <= s.lastPut; i++ {
+		if p := s.proposals[fmt.Sprint("put-", i)]; !p.isCommitted {
+			if to := s.randomVoter(); to != nil {
+				s.schedule(to, s.Now, func() { s.callVoter(to, func() { _ = to.voter.Propose(p.command) }) })
 			}
 		}
 	}
-	w.at(nil, w.Now+w.o.PutInterval, w.put)
+	s.schedule(nil, s.Now+s.options.PutInterval, s.proposePuts)
 }
 
-// force has what comes activated though some can't act on it, as far as some voter knows.
-func (w *Simulation) force() {
-	to := w.aVoter()
+// forcePendingVersion has what comes activated though some can't act on it, as far as some voter knows.
+func (s *Simulation) forcePendingVersion() {
+	to := s.randomVoter()
 	if to == nil {
 		return
 	}
-	w.at(to, w.Now, func() {
-		w.use(to, func() {
+	s.schedule(to, s.Now, func() {
+		s.callVoter(to, func() {
 			if st := to.voter.State(); st.Pending > st.Active {
 				_ = to.voter.Propose(&consensus.Command{Force: st.Pending})
 			}
--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -10,81 +10,81 @@
 
 // event is something that a node does, in one life; a nil node: the world.
 type event struct {
-	node *Node
-	life int
-	do   func()
+	node        *Node
+	incarnation int
+	run         func()
 }
 
-// at has something done at an instant: by a node, if it lives on and when it runs, or by the world.
-func (w *Simulation) at(n *Node, at time.Duration, do func()) {
-	e := event{node: n, do: do}
+// schedule has something done at an instant: by a node, if it lives on and when it runs, or by the world.
+func (s *Simulation) schedule(n *Node, at time.Duration, do func()) {
+	e := event{node: n, run: do}
 	if n != nil {
-		e.life = n.life
+		e.incarnation = n.incarnation
 	}
-	w.agenda.Schedule(max(at, w.Now), e)
+	s.queue.Schedule(max(at, s.Now), e)
 }
 
 // Run plays until an instant.
-func (w *Simulation) Run(until time.Duration) {
-	for e, ok := w.agenda.PopDue(until); ok; e, ok = w.agenda.PopDue(until) {
-		w.Now = e.At
+func (s *Simulation) Run(until time.Duration) {
+	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
+		s.Now = e.At
 		switch n := e.Event.node; {
 		case n == nil:
-			e.Event.do()
-		case n.down || n.life != e.Event.life:
-		case n.paused > w.Now:
-			w.agenda.Reschedule(n.paused, e)
+			e.Event.run()
+		case n.isDown || n.incarnation != e.Event.incarnation:
+		case n.pausedUntil > s.Now:
+			s.queue.Reschedule(n.pausedUntil, e)
 		default:
-			e.Event.do()
+			e.Event.run()
 		}
 	}
-	w.Now = until
+	s.Now = until
 }
 
 // send carries something from one node to another, if it gets there.
-func (w *Simulation) send(from, to int, do func(n *Node)) {
-	if w.cut[[2]int{from, to}] || w.rng.Float64() < w.loss {
+func (s *Simulation) send(from, to int, do func(n *Node)) {
+	if s.cutLinks[[2]int{from, to}] || s.rng.Float64() < s.lossRate {
 		return
 	}
-	n := w.Nodes[to]
-	w.at(n, w.Now+leastDelay+time.Duration(w.rng.Int64N(int64(moreDelay+w.slow))), func() { do(n) })
+	n := s.Nodes[to]
+	s.schedule(n, s.Now+minDelay+time.Duration(s.rng.Int64N(int64(delaySpread+s.extraDelay))), func() { do(n) })
 }
 
-func (w *Simulation) sendRaft(n *Node, m *raftpb.Message) {
-	to, known := n.names[m.GetTo()]
+func (s *Simulation) sendRaftMessage(n *Node, m *raftpb.Message) {
+	to, known := n.peerIndexes[m.GetTo()]
 	if name := n.voter.State().VoterName(m.GetTo()); name != "" {
-		to, known = w.named(name).place, true
+		to, known = s.nodeNamed(name).index, true
 	}
 	if !known {
 		return
 	}
 	if m.GetType() == raftpb.MsgSnap { // over a stream: whether it arrives is known
-		w.at(n, w.Now+2*moreDelay, func() { w.use(n, func() { n.voter.ReportSnapshot(m.GetTo(), !w.cut[[2]int{n.place, to}]) }) })
+		s.schedule(n, s.Now+2*delaySpread, func() { s.callVoter(n, func() { n.voter.ReportSnapshot(m.GetTo(), !s.cutLinks[[2]int{n.index, to}]) }) })
 	}
-	w.send(n.place, to, func(other *Node) { w.hear(other, n.place, m) })
+	s.send(n.index, to, func(other *Node) { s.receiveRaftMessage(other, n.index, m) })
 }
 
-// hear takes a message, as chamber does.
-func (w *Simulation) hear(n *Node, from int, m *raftpb.Message) {
-	if n.voter == nil || n.id != m.GetTo() {
+// receiveRaftMessage takes a message, as chamber does.
+func (s *Simulation) receiveRaftMessage(n *Node, from int, m *raftpb.Message) {
+	if n.voter == nil || n.voterID != m.GetTo() {
 		return
 	}
-	w.use(n, func() {
-		n.names[m.GetFrom()] = from
-		n.voter.Receive(n.local(w.Now), m)
+	s.callVoter(n, func() {
+		n.peerIndexes[m.GetFrom()] = from
+		n.voter.Receive(n.localTime(s.Now), m)
 	})
 }
 
-func (w *Simulation) sendGrant(n *Node, t consensus.AddressedGrant) {
-	w.send(n.place, placeOf(t.Recipient), func(d *Node) {
-		d.heard, d.leader = true, n.place
-		w.learnVoters(d, t.Grant)
-		d.holder.HandleGrant(d.local(w.Now), t.Grant)
-		w.install(d)
-		if version, docs := d.holder.PendingCheck(); version > 0 { // looked at for a while, beside all else
-			w.at(d, w.Now+checkTime, func() {
-				if now, _ := d.holder.PendingCheck(); now == version {
-					d.holder.CompleteCheck(version, d.canAct(docs))
+func (s *Simulation) sendGrant(n *Node, t consensus.AddressedGrant) {
+	s.send(n.index, indexOf(t.Recipient), func(d *Node) {
+		d.isAnswered, d.leaseTarget = true, n.index
+		s.handleSlotStatus(d, t.Grant)
+		d.leaseHolder.HandleGrant(d.localTime(s.Now), t.Grant)
+		s.installLeasedVersion(d)
+		if version, docs := d.leaseHolder.PendingCheck(); version > 0 { // looked at for a while, beside all else
+			s.schedule(d, s.Now+checkTime, func() {
+				if now, _ := d.leaseHolder.PendingCheck(); now == version {
+					d.leaseHolder.CompleteCheck(version, d.checkDocuments(docs))
 				}
 			})
 		}
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -15,69 +15,69 @@
 
 // Node is a daemon: the first ones vote, too.
 type Node struct {
-	place  int
-	rate   float64
-	paused time.Duration
-	down   bool
-	life   int
+	index       int
+	clockRate   float64
+	pausedUntil time.Duration
+	isDown      bool
+	incarnation int
 
-	id     uint64 // of its seat, as its disk has it; 0: it does not vote
-	left   bool   // its seat was taken out: with its next start its disk is empty
-	names  map[uint64]int
-	asks   []int  // whom it may ask
-	mark   string // of its disk
-	kept   []int  // whom it knew to vote, over restarts
-	disk   *simdisk.Disk
-	log    *wal.Log
-	voter  *consensus.Voter
-	busy   bool     // the disk syncs
-	later  []func() // what came meanwhile
-	holder *consensus.LeaseHolder
-	leader int // whom it asks
-	heard  bool
+	voterID         uint64 // of its seat, as its disk has it; 0: it does not vote
+	wasRemoved      bool   // its seat was taken out: with its next start its disk is empty
+	peerIndexes     map[uint64]int
+	knownVoters     []int  // whom it may ask
+	diskID          string // of its disk
+	persistedVoters []int  // whom it knew to vote, over restarts
+	disk            *simdisk.Disk
+	log             *wal.Log
+	voter           *consensus.Voter
+	isSyncing       bool     // the disk syncs
+	deferredCalls   []func() // what came meanwhile
+	leaseHolder     *consensus.LeaseHolder
+	leaseTarget     int // whom it asks
+	isAnswered      bool
 
-	installed uint64 // the version that its other parts act on
-	digest    [32]byte
+	installedVersion uint64 // the version that its other parts act on
+	installedDigest  [32]byte
 }
 
-func (n *Node) local(now time.Duration) time.Duration {
-	return time.Hour + time.Duration(float64(now)*n.rate)
+func (n *Node) localTime(now time.Duration) time.Duration {
+	return time.Hour + time.Duration(float64(now)*n.clockRate)
 }
 
-func (n *Node) world(local time.Duration) time.Duration {
-	return time.Duration(float64(local-time.Hour)/n.rate) + 1
+func (n *Node) virtualTime(local time.Duration) time.Duration {
+	return time.Duration(float64(local-time.Hour)/n.clockRate) + 1
 }
 
-// begin starts a node's process, with what its disk has.
-func (w *Simulation) begin(n *Node) {
-	n.life++
-	n.down, n.busy, n.later, n.paused, n.installed = false, false, nil, 0, 0
-	n.holder = consensus.NewLeaseHolder(fmt.Sprint("d", n.place), w.o.LeaseConfig, 0, nil)
-	n.names, n.asks = map[uint64]int{}, slices.Clone(n.kept)
-	for i := range w.o.Voters {
-		n.asks = append(n.asks, i)
+// startNode starts a node's process, with what its disk has.
+func (s *Simulation) startNode(n *Node) {
+	n.incarnation++
+	n.isDown, n.isSyncing, n.deferredCalls, n.pausedUntil, n.installedVersion = false, false, nil, 0, 0
+	n.leaseHolder = consensus.NewLeaseHolder(fmt.Sprint("d", n.index), s.options.LeaseConfig, 0, nil)
+	n.peerIndexes, n.knownVoters = map[uint64]int{}, slices.Clone(n.persistedVoters)
+	for i := range s.options.Voters {
+		n.knownVoters = append(n.knownVoters, i)
 	}
-	n.leader = n.asks[w.rng.IntN(len(n.asks))]
-	if n.left {
-		n.left, n.id = false, 0
-		w.newDisk(n)
+	n.leaseTarget = n.knownVoters[s.rng.IntN(len(n.knownVoters))]
+	if n.wasRemoved {
+		n.wasRemoved, n.voterID = false, 0
+		s.replaceDisk(n)
 	}
-	if n.id != 0 {
-		if err := w.open(n); err != nil {
-			w.Checker.Violations = append(w.Checker.Violations, fmt.Sprintf("%v: voter %d does not start: %v", w.Now, n.place, err))
-			n.down = true
+	if n.voterID != 0 {
+		if err := s.openVoter(n); err != nil {
+			s.Checker.Violations = append(s.Checker.Violations, fmt.Sprintf("%v: voter %d does not start: %v", s.Now, n.index, err))
+			n.isDown = true
 			return
 		}
-		w.at(n, w.Now, func() { w.tick(n) })
+		s.schedule(n, s.Now, func() { s.tickVoter(n) })
 	}
-	w.at(n, w.Now, func() { w.ask(n) })
-	w.at(n, w.Now, func() { w.act(n) })
+	s.schedule(n, s.Now, func() { s.requestLease(n) })
+	s.schedule(n, s.Now, func() { s.decide(n) })
 }
 
-func (w *Simulation) open(n *Node) error {
+func (s *Simulation) openVoter(n *Node) error {
 	var names []string
-	for i := range w.o.Voters {
-		if n.id <= uint64(w.o.Voters) {
+	for i := range s.options.Voters {
+		if n.voterID <= uint64(s.options.Voters) {
 			names = append(names, fmt.Sprint("d", i))
 		}
 	}
@@ -90,61 +90,63 @@
 	if err != nil {
 		return err
 	}
-	n.voter, err = consensus.NewVoter(n.local(w.Now), consensus.Config{ID: n.id, HeartbeatInterval: beat, Seed: w.rng.Uint64(), Lease: w.o.LeaseConfig}, d)
+	n.voter, err = consensus.NewVoter(n.localTime(s.Now), consensus.Config{ID: n.voterID, HeartbeatInterval: heartbeatInterval, Seed: s.rng.Uint64(), Lease: s.options.LeaseConfig}, d)
 	return err
 }
 
 // Crash ends a node's process, and takes the power from its disk.
-func (w *Simulation) Crash(n *Node) {
-	if n.down {
+func (s *Simulation) Crash(n *Node) {
+	if n.isDown {
 		return
 	}
-	n.down, n.voter = true, nil
-	n.disk.Crash(w.rng)
+	n.isDown, n.voter = true, nil
+	n.disk.Crash(s.rng)
 }
 
-// leave ends a node's part in the voting.
-func (w *Simulation) leave(n *Node) { n.voter, n.left, n.later, n.busy = nil, true, nil, false }
+// endVoter ends a node's part in the voting.
+func (s *Simulation) endVoter(n *Node) {
+	n.voter, n.wasRemoved, n.deferredCalls, n.isSyncing = nil, true, nil, false
+}
 
-// placeOf is the place of the node of a name. All names here are "d" and a place: another one is this package's mistake.
-func placeOf(name string) (place int) {
+// indexOf is the place of the node of a name. All names here are "d" and a place: another one is this package's mistake.
+func indexOf(name string) (place int) {
 	if _, err := fmt.Sscanf(name, "d%d", &place); err != nil {
 		panic(fmt.Sprintf("raftsim: %q is no node's name: %v", name, err))
 	}
 	return place
 }
 
-// use has a voter's process do something, when its disk is done with what was before.
-func (w *Simulation) use(n *Node, do func()) {
+// callVoter has a voter's process do something, when its disk is done with what was before.
+func (s *Simulation) callVoter(n *Node, do func()) {
 	if n.voter == nil {
 		return
 	}
-	if n.busy {
-		n.later = append(n.later, do)
+	if n.isSyncing {
+		n.deferredCalls = append(n.deferredCalls, do)
 		return
 	}
 	if do(); n.voter.StopReason != nil {
-		w.stopped(n)
+		s.handleVoterStop(n)
 		return
 	}
-	w.output(n)
+	s.processOutput(n)
 }
 
-// stopped takes up that a voter can't go on, which no disk that keeps its word is a cause for.
-func (w *Simulation) stopped(n *Node) {
-	w.Checker.broken("%v: voter %d stops: %v", w.Now, n.place, n.voter.StopReason)
-	w.Crash(n)
+// handleVoterStop takes up that a voter can't go on, which no disk that keeps its word is a cause for.
+func (s *Simulation) handleVoterStop(n *Node) {
+	s.Checker.addViolation("%v: voter %d stops: %v", s.Now, n.index, n.voter.StopReason)
+	s.Crash(n)
 }
 
-// output carries out what a voter wants: records first, then, when they are sure, messages and answers.
-func (w *Simulation) output(n *Node) {
+// processOutput carries out what a voter wants: records first, then, when they are sure, messages and answers.
+func (s *Simulation) processOutput(n *Node) {
 	if n.voter == nil {
 		return
 	}
 	v := n.voter
-	out := v.Output(n.local(w.Now))
+	out := v.Output(n.localTime(s.Now))
 	if n.voter.StopReason != nil {
-		w.stopped(n)
+		s.handleVoterStop(n)
 		return
 	}
 	if out == nil && len(n.voter.Grants) == 0 && len(n.voter.Results) == 0 {
@@ -155,7 +157,7 @@
 	}
 	for _, r := range out.Records {
 		if _, err := n.log.Append(r.Type, r.Payload); err != nil {
-			w.Crash(n)
+			s.Crash(n)
 			return
 		}
 	}
@@ -163,105 +165,105 @@
 	n.voter.Grants, n.voter.Results = nil, nil
 	wait := time.Duration(0)
 	if len(out.Records) > 0 || out.Snapshot != nil {
-		wait = syncLeast + time.Duration(w.rng.Int64N(int64(syncMore)))
+		wait = minSyncTime + time.Duration(s.rng.Int64N(int64(syncTimeSpread)))
 	}
-	n.busy = true // until that has been done: a stop in the middle lets nothing overtake it
-	w.at(n, w.Now+wait, func() {
+	n.isSyncing = true // until that has been done: a stop in the middle lets nothing overtake it
+	s.schedule(n, s.Now+wait, func() {
 		if n.voter != v { // its seat was taken out meanwhile
 			return
 		}
 		if err := n.log.Sync(); err != nil {
-			w.Crash(n)
+			s.Crash(n)
 			return
 		}
 		if out.Snapshot != nil && n.log.SyncedIndex() > n.log.SnapshotIndex() {
 			if err := n.log.WriteSnapshot(n.log.SyncedIndex(), out.Snapshot.Body); err != nil {
-				w.Crash(n)
+				s.Crash(n)
 				return
 			}
 		}
 		for _, m := range out.Messages {
-			w.sendRaft(n, m)
+			s.sendRaftMessage(n, m)
 		}
 		for _, r := range results {
-			w.Checker.committed(w.Now, n, r)
-			if p := w.puts[r.ID]; p != nil {
-				p.done = true
+			s.Checker.observeResult(s.Now, n, r)
+			if p := s.proposals[r.ID]; p != nil {
+				p.isCommitted = true
 			}
 		}
 		for _, g := range grants {
-			w.sendGrant(n, g)
+			s.sendGrant(n, g)
 		}
-		n.busy = false
-		todo := n.later
-		n.later = nil
-		w.output(n)
+		n.isSyncing = false
+		todo := n.deferredCalls
+		n.deferredCalls = nil
+		s.processOutput(n)
 		for _, do := range todo {
-			w.use(n, do)
+			s.callVoter(n, do)
 		}
 	})
 }
 
-// learnVoters takes up whom a daemon may ask, and whether it votes.
-func (w *Simulation) learnVoters(n *Node, g consensus.LeaseGrant) {
-	n.asks = nil
+// handleSlotStatus takes up whom a daemon may ask, and whether it votes.
+func (s *Simulation) handleSlotStatus(n *Node, g consensus.LeaseGrant) {
+	n.knownVoters = nil
 	for _, name := range g.SlotHolders {
-		n.asks = append(n.asks, w.named(name).place)
+		n.knownVoters = append(n.knownVoters, s.nodeNamed(name).index)
 	}
-	n.kept = n.asks
+	n.persistedVoters = n.knownVoters
 	seat := uint64(0)
 	if n.voter != nil {
-		seat = n.id
+		seat = n.voterID
 	}
-	switch g.VoterAction(fmt.Sprint("d", n.place), seat) {
+	switch g.VoterAction(fmt.Sprint("d", n.index), seat) {
 	case consensus.StopVoter:
-		w.leave(n)
+		s.endVoter(n)
 	case consensus.StartVoter:
-		if n.left {
+		if n.wasRemoved {
 			return
 		}
-		n.id = g.VoterID
-		if err := w.open(n); err != nil {
-			w.Checker.broken("%v: daemon %d can't take a seat: %v", w.Now, n.place, err)
+		n.voterID = g.VoterID
+		if err := s.openVoter(n); err != nil {
+			s.Checker.addViolation("%v: daemon %d can't take a seat: %v", s.Now, n.index, err)
 			return
 		}
-		w.at(n, w.Now, func() { w.tick(n) })
+		s.schedule(n, s.Now, func() { s.tickVoter(n) })
 	}
 }
 
-// errOld is why some daemons can't act on some versions.
-var errOld = errors.New("this program knows no such setting")
+// errUnsupportedSetting is why some daemons can't act on some versions.
+var errUnsupportedSetting = errors.New("this program knows no such setting")
 
-// canAct tells whether a daemon can act on documents: every second one is of a program that can't read some.
-func (n *Node) canAct(docs map[string]consensus.Document) error {
-	if n.place%2 == 1 && strings.HasSuffix(string(docs[hardDoc].Body), hardEnd) {
-		return errOld
+// checkDocuments tells whether a daemon can act on documents: every second one is of a program that can't read some.
+func (n *Node) checkDocuments(docs map[string]consensus.Document) error {
+	if n.index%2 == 1 && strings.HasSuffix(string(docs[rejectableDoc].Body), rejectedSuffix) {
+		return errUnsupportedSetting
 	}
 	return nil
 }
 
-func (w *Simulation) tick(n *Node) {
-	w.use(n, func() { n.voter.Tick(n.local(w.Now)) })
-	if !n.down && n.voter != nil {
-		w.at(n, max(n.world(n.voter.NextTick()), w.Now+time.Millisecond), func() { w.tick(n) })
+func (s *Simulation) tickVoter(n *Node) {
+	s.callVoter(n, func() { n.voter.Tick(n.localTime(s.Now)) })
+	if !n.isDown && n.voter != nil {
+		s.schedule(n, max(n.virtualTime(n.voter.NextTick()), s.Now+time.Millisecond), func() { s.tickVoter(n) })
 	}
 }
 
-// ask sends a request for a lease to whom the last answer came from, or to the next.
-func (w *Simulation) ask(n *Node) {
-	if !n.heard {
-		n.leader = n.asks[(slices.Index(n.asks, n.leader)+1)%len(n.asks)]
+// requestLease sends a request for a lease to whom the last answer came from, or to the next.
+func (s *Simulation) requestLease(n *Node) {
+	if !n.isAnswered {
+		n.leaseTarget = n.knownVoters[(slices.Index(n.knownVoters, n.leaseTarget)+1)%len(n.knownVoters)]
 	}
-	n.heard = false
-	r, again := n.holder.NextRequest(n.local(w.Now))
-	if n.voter == nil && !n.left {
-		r.DiskID = n.mark
+	n.isAnswered = false
+	r, again := n.leaseHolder.NextRequest(n.localTime(s.Now))
+	if n.voter == nil && !n.wasRemoved {
+		r.DiskID = n.diskID
 	}
-	w.send(n.place, n.leader, func(v *Node) {
+	s.send(n.index, n.leaseTarget, func(v *Node) {
 		hint := func() { // it says whom to ask
-			w.send(v.place, n.place, func(d *Node) {
-				if !d.heard {
-					d.asks = slices.Compact(slices.Sorted(slices.Values(slices.Concat(d.asks, v.asks))))
+			s.send(v.index, n.index, func(d *Node) {
+				if !d.isAnswered {
+					d.knownVoters = slices.Compact(slices.Sorted(slices.Values(slices.Concat(d.knownVoters, v.knownVoters))))
 				}
 			})
 		}
@@ -269,34 +271,34 @@
 			hint()
 			return
 		}
-		w.use(v, func() {
+		s.callVoter(v, func() {
 			if v.voter.RequestLease(r) != nil {
 				hint()
 			}
 		})
 	})
-	w.at(n, n.world(again), func() { w.ask(n) })
+	s.schedule(n, n.virtualTime(again), func() { s.requestLease(n) })
 }
 
-// act is a request that a daemon decides by the version that it has.
-func (w *Simulation) act(n *Node) {
-	w.Decisions++
-	a := n.holder.Leased()
-	if n.installed > 0 && (a.CoversVersion(n.installed, n.local(w.Now)) || w.o.LeaseConfig.SkipExpiryCheck) {
-		w.Checker.acts(w.Now, n, n.installed, n.digest)
+// decide is a request that a daemon decides by the version that it has.
+func (s *Simulation) decide(n *Node) {
+	s.Decisions++
+	a := n.leaseHolder.Leased()
+	if n.installedVersion > 0 && (a.CoversVersion(n.installedVersion, n.localTime(s.Now)) || s.options.LeaseConfig.SkipExpiryCheck) {
+		s.Checker.observeDecision(s.Now, n, n.installedVersion, n.installedDigest)
 	} else {
-		w.DecisionsWithoutLease++
+		s.DecisionsWithoutLease++
 	}
-	w.at(n, w.Now+actEvery, func() { w.act(n) })
+	s.schedule(n, s.Now+decisionInterval, func() { s.decide(n) })
 }
 
-// install has a daemon's other parts change over to what it is to act on, which takes them a while.
-func (w *Simulation) install(n *Node) {
-	a := n.holder.Leased()
-	w.at(n, w.Now+time.Duration(w.rng.Int64N(int64(installMost))), func() {
-		if a.Version > n.installed {
-			n.installed, n.digest = a.Version, consensus.DigestDocuments(a.Docs)
-			n.holder.MarkInstalled(a.Version)
+// installLeasedVersion has a daemon's other parts change over to what it is to act on, which takes them a while.
+func (s *Simulation) installLeasedVersion(n *Node) {
+	a := n.leaseHolder.Leased()
+	s.schedule(n, s.Now+time.Duration(s.rng.Int64N(int64(maxInstallTime))), func() {
+		if a.Version > n.installedVersion {
+			n.installedVersion, n.installedDigest = a.Version, consensus.DigestDocuments(a.Docs)
+			n.leaseHolder.MarkInstalled(a.Version)
 		}
 	})
 }
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -25,19 +25,19 @@
 }
 
 const (
-	beat        = 50 * time.Millisecond
-	actEvery    = 25 * time.Millisecond
-	leastDelay  = 500 * time.Microsecond
-	moreDelay   = 4 * time.Millisecond
-	syncLeast   = time.Millisecond
-	syncMore    = 6 * time.Millisecond
-	checkTime   = 2 * time.Millisecond
-	installMost = 300 * time.Millisecond
+	heartbeatInterval = 50 * time.Millisecond
+	decisionInterval  = 25 * time.Millisecond
+	minDelay          = 500 * time.Microsecond
+	delaySpread       = 4 * time.Millisecond
+	minSyncTime       = time.Millisecond
+	syncTimeSpread    = 6 * time.Millisecond
+	checkTime         = 2 * time.Millisecond
+	maxInstallTime    = 300 * time.Millisecond
 
 	// A document that every second daemon can't act on while it ends so; one of hardEvery puts makes it so, and another mends it.
-	hardDoc   = "doc-hard"
-	hardEnd   = "!"
-	hardEvery = 16
+	rejectableDoc     = "doc-hard"
+	rejectedSuffix    = "!"
+	rejectedPutPeriod = 16
 )
 
 // Simulation is a council that is being played.
@@ -48,68 +48,68 @@
 	DecisionsWithoutLease int // acts for which there was no lease
 	Decisions             int
 
-	o      Options
-	rng    *rand.Rand
-	agenda eventqueue.Queue[event]
-	cut    map[[2]int]bool
-	loss   float64
-	slow   time.Duration // that messages take on top, at most
-	puts   map[string]*put
-	next   int
-	calm   bool // no more puts are begun
+	options     Options
+	rng         *rand.Rand
+	queue       eventqueue.Queue[event]
+	cutLinks    map[[2]int]bool
+	lossRate    float64
+	extraDelay  time.Duration // that messages take on top, at most
+	proposals   map[string]*proposal
+	lastPut     int
+	isQuiescent bool // no more puts are begun
 }
 
 // New makes a world in which all are up.
 func New(o Options) *Simulation {
-	w := &Simulation{o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]int]bool{}, puts: map[string]*put{}}
+	s := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cutLinks: map[[2]int]bool{}, proposals: map[string]*proposal{}}
 	drift := o.ClockDrift
 	if drift == 0 {
 		drift = o.LeaseConfig.MaxClockDrift
 	}
 	for i := range o.Voters + o.NonVoters {
-		n := &Node{place: i, rate: 1 - drift + 2*drift*w.rng.Float64()}
+		n := &Node{index: i, clockRate: 1 - drift + 2*drift*s.rng.Float64()}
 		if i < o.Voters {
-			n.id = uint64(i + 1)
+			n.voterID = uint64(i + 1)
 		}
-		w.newDisk(n)
-		w.Nodes = append(w.Nodes, n)
-		w.begin(n)
+		s.replaceDisk(n)
+		s.Nodes = append(s.Nodes, n)
+		s.startNode(n)
 	}
-	w.at(nil, o.PutInterval, w.put)
+	s.schedule(nil, o.PutInterval, s.proposePuts)
 	if o.ReconfigurationInterval > 0 {
-		w.at(nil, o.ReconfigurationInterval, w.reseat)
+		s.schedule(nil, o.ReconfigurationInterval, s.reconfigure)
 	}
-	return w
+	return s
 }
 
-func (w *Simulation) newDisk(n *Node) {
+func (s *Simulation) replaceDisk(n *Node) {
 	n.disk = simdisk.New()
-	n.disk.IgnoresSync = w.o.DisksIgnoreSync
-	n.mark = fmt.Sprint("m", w.rng.Uint64())
+	n.disk.IgnoresSync = s.options.DisksIgnoreSync
+	n.diskID = fmt.Sprint("m", s.rng.Uint64())
 }
 
-// voters are the nodes that vote, or learn to.
-func (w *Simulation) voters() (out []*Node) {
-	for _, n := range w.Nodes {
-		if n.voter != nil && !n.down {
+// runningVoters are the nodes that vote, or learn to.
+func (s *Simulation) runningVoters() (out []*Node) {
+	for _, n := range s.Nodes {
+		if n.voter != nil && !n.isDown {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// aVoter is one of them; nil: none is up.
-func (w *Simulation) aVoter() *Node {
-	if all := w.voters(); len(all) > 0 {
-		return all[w.rng.IntN(len(all))]
+// randomVoter is one of them; nil: none is up.
+func (s *Simulation) randomVoter() *Node {
+	if all := s.runningVoters(); len(all) > 0 {
+		return all[s.rng.IntN(len(all))]
 	}
 	return nil
 }
 
-// lose takes a voter's disk away, where all the others are there and have theirs.
-func (w *Simulation) lose(n *Node) {
+// loseDisk takes a voter's disk away, where all the others are there and have theirs.
+func (s *Simulation) loseDisk(n *Node) {
 	var by *Node // who knows most
-	for _, v := range w.voters() {
+	for _, v := range s.runningVoters() {
 		if by == nil || v.voter.AppliedIndex() > by.voter.AppliedIndex() {
 			by = v
 		}
@@ -119,108 +119,108 @@
 	}
 	st := by.voter.State()
 	for id, name := range st.VoterSlots {
-		if v := w.named(name); v.down || v.id != id || v.left || !st.ActiveVoters[id] {
+		if v := s.nodeNamed(name); v.isDown || v.voterID != id || v.wasRemoved || !st.ActiveVoters[id] {
 			return
 		}
 	}
 	if len(st.DepartingVoters) > 0 {
 		return
 	}
-	w.Crash(n)
-	n.id, n.kept = 0, nil
-	w.newDisk(n)
-	w.at(nil, w.Now+time.Second, func() {
-		if n.down {
-			w.begin(n)
+	s.Crash(n)
+	n.voterID, n.persistedVoters = 0, nil
+	s.replaceDisk(n)
+	s.schedule(nil, s.Now+time.Second, func() {
+		if n.isDown {
+			s.startNode(n)
 		}
 	})
 }
 
-func (w *Simulation) named(name string) *Node { return w.Nodes[placeOf(name)] }
+func (s *Simulation) nodeNamed(name string) *Node { return s.Nodes[indexOf(name)] }
 
 // InjectFaults plays drawn faults for a while, and heals all.
-func (w *Simulation) InjectFaults(until time.Duration) {
-	for w.Now < until {
-		n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-		if w.rng.IntN(2) == 0 {
-			if v := w.aVoter(); v != nil {
+func (s *Simulation) InjectFaults(until time.Duration) {
+	for s.Now < until {
+		n := s.Nodes[s.rng.IntN(len(s.Nodes))]
+		if s.rng.IntN(2) == 0 {
+			if v := s.randomVoter(); v != nil {
 				n = v
 			}
 		}
-		length := time.Duration(w.rng.Int64N(int64(6 * time.Second)))
+		length := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
 		kinds := 8
-		if w.o.ReconfigurationInterval > 0 {
+		if s.options.ReconfigurationInterval > 0 {
 			kinds++
 		}
-		switch w.rng.IntN(kinds) {
+		switch s.rng.IntN(kinds) {
 		case 0, 1:
-			w.partition(length)
+			s.partition(length)
 		case 2:
-			n.paused = w.Now + length
+			n.pausedUntil = s.Now + length
 		case 3, 4:
-			w.Crash(n)
-			w.at(nil, w.Now+length, func() {
-				if n.down {
-					w.begin(n)
+			s.Crash(n)
+			s.schedule(nil, s.Now+length, func() {
+				if n.isDown {
+					s.startNode(n)
 				}
 			})
 		case 5:
-			w.loss = 0.3 * w.rng.Float64()
-			w.at(nil, w.Now+length, func() { w.loss = 0 })
+			s.lossRate = 0.3 * s.rng.Float64()
+			s.schedule(nil, s.Now+length, func() { s.lossRate = 0 })
 		case 6:
-			w.slow = 400 * time.Millisecond
-			w.at(nil, w.Now+length, func() { w.slow = 0 })
+			s.extraDelay = 400 * time.Millisecond
+			s.schedule(nil, s.Now+length, func() { s.extraDelay = 0 })
 		case 7: // the leader, whatever it is doing
-			for _, l := range w.voters() {
+			for _, l := range s.runningVoters() {
 				if l.voter.IsLeader() {
-					l.paused = w.Now + length
+					l.pausedUntil = s.Now + length
 				}
 			}
 		case 8:
-			w.lose(n)
+			s.loseDisk(n)
 		}
-		w.Run(w.Now + time.Duration(w.rng.Int64N(int64(2*time.Second))))
+		s.Run(s.Now + time.Duration(s.rng.Int64N(int64(2*time.Second))))
 	}
-	w.cut, w.loss, w.slow = map[[2]int]bool{}, 0, 0
-	for _, n := range w.Nodes {
-		if n.down {
-			w.begin(n)
+	s.cutLinks, s.lossRate, s.extraDelay = map[[2]int]bool{}, 0, 0
+	for _, n := range s.Nodes {
+		if n.isDown {
+			s.startNode(n)
 		}
 	}
 }
 
 // partition cuts the nodes into two parts for a while, in one direction at times.
-func (w *Simulation) partition(length time.Duration) {
-	oneWay := w.rng.IntN(3) == 0
+func (s *Simulation) partition(length time.Duration) {
+	oneWay := s.rng.IntN(3) == 0
 	side := map[int]bool{}
-	for i := range w.Nodes {
-		side[i] = w.rng.IntN(2) == 0
+	for i := range s.Nodes {
+		side[i] = s.rng.IntN(2) == 0
 	}
 	cut := map[[2]int]bool{}
-	for i := range w.Nodes {
-		for k := range w.Nodes {
+	for i := range s.Nodes {
+		for k := range s.Nodes {
 			if side[i] != side[k] && (!oneWay || side[i]) {
 				cut[[2]int{i, k}] = true
 			}
 		}
 	}
-	w.cut = cut
-	w.at(nil, w.Now+length, func() { w.cut = map[[2]int]bool{} })
+	s.cutLinks = cut
+	s.schedule(nil, s.Now+length, func() { s.cutLinks = map[[2]int]bool{} })
 }
 
 // Converge lets all be well until all that was put is acted on by all, and says what is missing.
-func (w *Simulation) Converge(within time.Duration) {
-	w.calm = true
-	for _, n := range w.Nodes {
-		if n.left {
-			w.Crash(n)
-			w.begin(n)
+func (s *Simulation) Converge(within time.Duration) {
+	s.isQuiescent = true
+	for _, n := range s.Nodes {
+		if n.wasRemoved {
+			s.Crash(n)
+			s.startNode(n)
 		}
 	}
-	w.Run(w.Now + within/2)
-	w.next++ // the last one mends what some can't act on
-	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: hardDoc, Body: []byte(id)}}}
-	w.Run(w.Now + within/2)
-	w.Checker.settled(w)
+	s.Run(s.Now + within/2)
+	s.lastPut++ // the last one mends what some can't act on
+	id := fmt.Sprint("put-", s.lastPut)
+	s.proposals[id] = &proposal{command: &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}}}
+	s.Run(s.Now + within/2)
+	s.Checker.checkConverged(s)
 }
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -50,7 +50,7 @@
 				if w.Checker.MaxOverlap > terms.MaxOverlap() {
 					t.Errorf("seed %d: contradicting versions for %v, %v are allowed", seed, w.Checker.MaxOverlap, terms.MaxOverlap())
 				}
-				longest, acts, refused, versions = max(longest, w.Checker.MaxOverlap), acts+w.Decisions, refused+w.DecisionsWithoutLease, versions+w.Checker.latest
+				longest, acts, refused, versions = max(longest, w.Checker.MaxOverlap), acts+w.Decisions, refused+w.DecisionsWithoutLease, versions+w.Checker.latestVersion
 				mu.Unlock()
 			}
 		})
@@ -90,7 +90,7 @@
 // The same seed gives the same play.
 func TestThePlayIsTheSeeds(t *testing.T) {
 	a, b := play(Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: terms}), play(Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: terms})
-	if a.Decisions != b.Decisions || a.DecisionsWithoutLease != b.DecisionsWithoutLease || a.Checker.MaxOverlap != b.Checker.MaxOverlap || a.Checker.latest != b.Checker.latest {
+	if a.Decisions != b.Decisions || a.DecisionsWithoutLease != b.DecisionsWithoutLease || a.Checker.MaxOverlap != b.Checker.MaxOverlap || a.Checker.latestVersion != b.Checker.latestVersion {
 		t.Errorf("%d, %d, %v and %d, %d, %v", a.Decisions, a.DecisionsWithoutLease, a.Checker.MaxOverlap, b.Decisions, b.DecisionsWithoutLease, b.Checker.MaxOverlap)
 	}
 }
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -19,35 +19,35 @@
 }
 
 const (
-	measured  = 20 // puts
-	deaths    = 10
-	lookEvery = 2 * time.Millisecond
-	restAfter = 3 * time.Second
+	measuredPuts  = 20 // puts
+	leaderCrashes = 10
+	pollInterval  = 2 * time.Millisecond
+	pauseAfterPut = 3 * time.Second
 )
 
 // Measure plays a council of three voters and so many daemons in all.
 func Measure(daemons int, seed uint64, terms consensus.LeaseConfig) Measurements {
 	var f Measurements
-	w := New(Options{Voters: 3, NonVoters: daemons - 3, Seed: seed, LeaseConfig: terms, PutInterval: 10 * time.Millisecond})
-	w.calm = true
-	w.Run(5*time.Second + 2*terms.Duration)
-	for range measured {
-		committed, acted := w.measurePut()
+	s := New(Options{Voters: 3, NonVoters: daemons - 3, Seed: seed, LeaseConfig: terms, PutInterval: 10 * time.Millisecond})
+	s.isQuiescent = true
+	s.Run(5*time.Second + 2*terms.Duration)
+	for range measuredPuts {
+		committed, acted := s.measurePut()
 		f.CommitLatency, f.ActivationLatency = append(f.CommitLatency, committed), append(f.ActivationLatency, acted)
-		w.Run(w.Now + restAfter)
+		s.Run(s.Now + pauseAfterPut)
 	}
-	f.MaxOverlap = w.Checker.MaxOverlap
-	for range deaths {
-		for _, n := range w.Nodes[:3] {
-			if !n.down && n.voter.IsLeader() {
-				w.Crash(n)
-				committed, _ := w.measurePut()
+	f.MaxOverlap = s.Checker.MaxOverlap
+	for range leaderCrashes {
+		for _, n := range s.Nodes[:3] {
+			if !n.isDown && n.voter.IsLeader() {
+				s.Crash(n)
+				committed, _ := s.measurePut()
 				f.FailoverTime = append(f.FailoverTime, committed)
-				w.begin(n)
+				s.startNode(n)
 				break
 			}
 		}
-		w.Run(w.Now + 3*terms.Duration)
+		s.Run(s.Now + 3*terms.Duration)
 	}
 	slices.Sort(f.CommitLatency)
 	slices.Sort(f.ActivationLatency)
@@ -56,29 +56,29 @@
 }
 
 // measurePut has something put, and gives how long it took until it was agreed on and until all who run acted on it.
-func (w *Simulation) measurePut() (committed, acted time.Duration) {
-	began, was := w.Now, w.Checker.latest
-	w.next++
-	id := fmt.Sprint("put-", w.next)
-	w.puts[id] = &put{c: &consensus.Command{ID: id, Put: &consensus.DocumentPut{Name: "doc", Body: []byte(id)}}}
-	for w.Now < began+time.Minute {
-		w.Run(w.Now + lookEvery)
-		if committed == 0 && w.Checker.latest > was {
-			committed = w.Now - began
+func (s *Simulation) measurePut() (committed, acted time.Duration) {
+	began, was := s.Now, s.Checker.latestVersion
+	s.lastPut++
+	id := fmt.Sprint("put-", s.lastPut)
+	s.proposals[id] = &proposal{command: &consensus.Command{ID: id, Put: &consensus.DocumentPut{Name: "doc", Body: []byte(id)}}}
+	for s.Now < began+time.Minute {
+		s.Run(s.Now + pollInterval)
+		if committed == 0 && s.Checker.latestVersion > was {
+			committed = s.Now - began
 		}
-		if committed > 0 && w.allAct(w.Checker.latest) {
-			return committed, w.Now - began
+		if committed > 0 && s.allActOn(s.Checker.latestVersion) {
+			return committed, s.Now - began
 		}
 	}
 	return committed, time.Minute
 }
 
-func (w *Simulation) allAct(version uint64) bool {
-	return !slices.ContainsFunc(w.Nodes, func(n *Node) bool {
-		if n.down {
+func (s *Simulation) allActOn(version uint64) bool {
+	return !slices.ContainsFunc(s.Nodes, func(n *Node) bool {
+		if n.isDown {
 			return false
 		}
-		v, _, ok := n.holder.Valid(n.local(w.Now))
+		v, _, ok := n.leaseHolder.Valid(n.localTime(s.Now))
 		return !ok || v < version
 	})
 }
@@ -90,8 +90,8 @@
 	fmt.Fprintln(&rows, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
 		f := Measure(n, seed, terms)
-		fmt.Fprintf(&rows, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, at(f.CommitLatency, 0.5), at(f.CommitLatency, 1), at(f.ActivationLatency, 0.5), at(f.ActivationLatency, 1), f.MaxOverlap.Round(time.Millisecond),
-			at(f.FailoverTime, 0.5), at(f.FailoverTime, 1))
+		fmt.Fprintf(&rows, "%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n", n, quantile(f.CommitLatency, 0.5), quantile(f.CommitLatency, 1), quantile(f.ActivationLatency, 0.5), quantile(f.ActivationLatency, 1), f.MaxOverlap.Round(time.Millisecond),
+			quantile(f.FailoverTime, 0.5), quantile(f.FailoverTime, 1))
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(t, rows.String()); err != nil {
@@ -100,7 +100,7 @@
 	return t.Flush()
 }
 
-func at(d []time.Duration, q float64) time.Duration {
+func quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
 	}
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -1,5 +1,5 @@
-// Package simdisk is a disk in memory that does what disks may do: after a crash it has what was synced, and of the rest any
-// sectors, in any order. It fails and fills up when it is told to.
+// Package simdisk provides an in-memory disk that simulates power loss, write errors and a full disk. After a power loss the disk holds
+// everything that was synced, and an arbitrary subset of the sectors that were written since.
 package simdisk
 
 import (
@@ -13,10 +13,10 @@
 	"tuliprock/internal/wal"
 )
 
-// SectorSize is what a disk writes as a whole.
+// SectorSize is the number of bytes that a disk writes atomically.
 const SectorSize = 512
 
-// Errors that are injected.
+// Errors that a Disk injects.
 var (
 	ErrIO   = errors.New("input/output error")
 	ErrFull = errors.New("no space left on device")
@@ -24,38 +24,39 @@
 
 // Disk is a directory on a simulated disk. It implements wal.FS, and is safe for concurrent use.
 type Disk struct {
-	mu      sync.Mutex
-	names   map[string]*inode // as the running system sees them
-	durable map[string]*inode // as they are after a crash, but for what is pending
-	pending []func(map[string]*inode)
-	locked  bool
-	life    int // of the system; handles of an earlier one are dead
-
-	FailAfter   int   // operations that change something, until all fail with ErrIO; 0: never
-	Capacity    int64 // bytes that all files may have; 0: any
-	IgnoresSync bool  // syncs do nothing: a disk that lies
-	ChangeCount int   // operations that changed something
+	mu              sync.Mutex
+	files           map[string]*inode         // files by name, as the running system sees them
+	durableFiles    map[string]*inode         // files by name that certainly survive a crash
+	unsyncedChanges []func(map[string]*inode) // changes of file names since the latest SyncDir, in order
+	locked          bool
+	incarnation     int // number of crashes so far; a file or lock of an earlier incarnation is stale
+
+	FailAfter   int   // value of ChangeCount after which all changes fail with ErrIO; 0: they never fail
+	Capacity    int64 // bytes that all files may have together; 0: unlimited
+	IgnoresSync bool  // injected fault: syncs succeed without making anything durable
+	ChangeCount int   // changes so far: writes, truncations, syncs, and files created, renamed or removed; failed ones included
 }
 
-// inode is a file's bytes, as they are seen and as they are sure to be.
+// inode is the content of a file, as the running system sees it and as it certainly survives a crash.
 type inode struct {
-	seen, sure []byte
-	writes     []write // since the last sync
+	content  []byte          // bytes as the running system sees them
+	durable  []byte          // bytes as of the latest sync
+	unsynced []contentChange // changes of the content since the latest sync, in order
 }
 
-// write is a change that is not sure: bytes at an offset, or a cut.
-type write struct {
-	at   int64
-	b    []byte
-	cut  bool
-	size int64
+// contentChange is a change of a file's content: a write of data at an offset, or a truncation to a size.
+type contentChange struct {
+	offset       int64
+	data         []byte
+	isTruncation bool
+	size         int64 // bytes that a truncation leaves
 }
 
-// New makes an empty disk.
-func New() *Disk { return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}} }
+// New returns an empty disk.
+func New() *Disk { return &Disk{files: map[string]*inode{}, durableFiles: map[string]*inode{}} }
 
-// change counts an operation, and says whether it fails. d.mu is held.
-func (d *Disk) change() error {
+// countChange counts a change, and returns ErrIO if it is to fail. The caller holds d.mu.
+func (d *Disk) countChange() error {
 	d.ChangeCount++
 	if d.FailAfter > 0 && d.ChangeCount > d.FailAfter {
 		return ErrIO
@@ -63,62 +64,66 @@
 	return nil
 }
 
-// InjectFailure makes all changes fail after so many more.
-func (d *Disk) InjectFailure(after int) {
+// InjectFailure makes all changes fail with ErrIO once this many more have succeeded. On a disk that has never been changed, at least
+// one succeeds.
+func (d *Disk) InjectFailure(remainingChanges int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.FailAfter = max(d.ChangeCount+after, 1)
+	d.FailAfter = max(d.ChangeCount+remainingChanges, 1)
 }
 
-// Crash takes the power away: what was not synced is there by halves, as chance will have it, and the locks are gone.
+// Crash simulates a power loss. rng decides which of the unsynced sectors and changes of names survive. Files that were opened before
+// can no longer be changed, the lock is released, and Capacity and FailAfter are reset.
 func (d *Disk) Crash(rng *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	seen := map[*inode]bool{}
-	for _, all := range []map[string]*inode{d.names, d.durable} {
-		for _, i := range all {
-			if !seen[i] {
-				seen[i] = true
-				i.crash(rng)
+	visited := map[*inode]bool{}
+	for _, files := range []map[string]*inode{d.files, d.durableFiles} {
+		for _, file := range files {
+			if !visited[file] {
+				visited[file] = true
+				file.crash(rng)
 			}
 		}
 	}
-	for _, change := range d.pending[:rng.IntN(len(d.pending)+1)] { // names change in order: journals of file systems see to that
-		change(d.durable)
+	// Names survive as a prefix of their changes, in order, since file systems keep a journal of them.
+	for _, apply := range d.unsyncedChanges[:rng.IntN(len(d.unsyncedChanges)+1)] {
+		apply(d.durableFiles)
 	}
-	d.pending = nil
-	d.names = map[string]*inode{}
-	for name, i := range d.durable {
-		d.names[name] = i
+	d.unsyncedChanges = nil
+	d.files = map[string]*inode{}
+	for name, file := range d.durableFiles {
+		d.files[name] = file
 	}
 	d.locked, d.FailAfter, d.Capacity = false, 0, 0
-	d.life++
+	d.incarnation++
 }
 
-// crash applies some sectors of what was not sure.
+// crash leaves the durable content with a random selection of the unsynced truncations and sectors applied to it.
 func (i *inode) crash(rng *rand.Rand) {
-	b := slices.Clone(i.sure)
-	for _, w := range i.writes {
-		if w.cut {
+	b := slices.Clone(i.durable)
+	for _, c := range i.unsynced {
+		if c.isTruncation {
 			if rng.IntN(2) == 0 {
-				b = resize(b, w.size)
+				b = resize(b, c.size)
 			}
 			continue
 		}
-		for at := 0; at < len(w.b); {
-			end := min(len(w.b), at+SectorSize-int((w.at+int64(at))%SectorSize))
+		for start := 0; start < len(c.data); {
+			end := min(len(c.data), start+SectorSize-int((c.offset+int64(start))%SectorSize))
 			if rng.IntN(3) > 0 {
-				if size := w.at + int64(end); int64(len(b)) < size {
-					b = resize(b, size) // what lies between is zeros
+				if size := c.offset + int64(end); int64(len(b)) < size {
+					b = resize(b, size) // sectors before it that did not survive read as zeros
 				}
-				copy(b[w.at+int64(at):], w.b[at:end])
+				copy(b[c.offset+int64(start):], c.data[start:end])
 			}
-			at = end
+			start = end
 		}
 	}
-	i.seen, i.sure, i.writes = b, slices.Clone(b), nil
+	i.content, i.durable, i.unsynced = b, slices.Clone(b), nil
 }
 
+// resize truncates b to a size, or extends it with zeros.
 func resize(b []byte, size int64) []byte {
 	if int64(len(b)) >= size {
 		return b[:size:size]
@@ -126,25 +131,25 @@
 	return append(b, make([]byte, size-int64(len(b)))...)
 }
 
-// Bytes gives a file as it is, to be looked at or damaged with SetBytes.
+// Bytes returns a copy of a file's content; nil if there is no such file.
 func (d *Disk) Bytes(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if i := d.names[name]; i != nil {
-		return slices.Clone(i.seen)
+	if i := d.files[name]; i != nil {
+		return slices.Clone(i.content)
 	}
 	return nil
 }
 
-// SetBytes makes a file what is given, for sure.
+// SetBytes replaces a file, or creates it, with durable content. Tests damage files with it.
 func (d *Disk) SetBytes(name string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	i := &inode{seen: slices.Clone(b), sure: slices.Clone(b)}
-	d.names[name], d.durable[name] = i, i
+	i := &inode{content: slices.Clone(b), durable: slices.Clone(b)}
+	d.files[name], d.durableFiles[name] = i, i
 }
 
-// Copy gives a disk with the same files, all of them sure.
+// Copy returns a disk with the same files, all of them durable.
 func (d *Disk) Copy() *Disk {
 	out := New()
 	names, _ := d.List()
@@ -159,7 +164,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []string
-	for name := range d.names {
+	for name := range d.files {
 		out = append(out, name)
 	}
 	slices.Sort(out)
@@ -170,43 +175,43 @@
 func (d *Disk) Open(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	i := d.names[name]
+	i := d.files[name]
 	if i == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &handle{d, i, d.life}, nil
+	return &handle{d, i, d.incarnation}, nil
 }
 
 // Create implements wal.FS.
 func (d *Disk) Create(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return nil, err
 	}
 	i := &inode{}
-	d.set(func(names map[string]*inode) { names[name] = i })
-	return &handle{d, i, d.life}, nil
+	d.changeFiles(func(files map[string]*inode) { files[name] = i })
+	return &handle{d, i, d.incarnation}, nil
 }
 
-// set changes names, now and after the next SyncDir. d.mu is held.
-func (d *Disk) set(change func(map[string]*inode)) {
-	change(d.names)
-	d.pending = append(d.pending, change)
+// changeFiles changes file names, for the running system now and durably with the next SyncDir. The caller holds d.mu.
+func (d *Disk) changeFiles(apply func(map[string]*inode)) {
+	apply(d.files)
+	d.unsyncedChanges = append(d.unsyncedChanges, apply)
 }
 
 // Rename implements wal.FS.
-func (d *Disk) Rename(old, new string) error {
+func (d *Disk) Rename(oldName, newName string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return err
 	}
-	i := d.names[old]
+	i := d.files[oldName]
 	if i == nil {
-		return &fs.PathError{Op: "rename", Path: old, Err: fs.ErrNotExist}
+		return &fs.PathError{Op: "rename", Path: oldName, Err: fs.ErrNotExist}
 	}
-	d.set(func(names map[string]*inode) { delete(names, old); names[new] = i })
+	d.changeFiles(func(files map[string]*inode) { delete(files, oldName); files[newName] = i })
 	return nil
 }
 
@@ -214,13 +219,13 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return err
 	}
-	if d.names[name] == nil {
+	if d.files[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	d.set(func(names map[string]*inode) { delete(names, name) })
+	d.changeFiles(func(files map[string]*inode) { delete(files, name) })
 	return nil
 }
 
@@ -228,13 +233,13 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.change(); err != nil || d.IgnoresSync {
+	if err := d.countChange(); err != nil || d.IgnoresSync {
 		return err
 	}
-	for _, change := range d.pending {
-		change(d.durable)
+	for _, apply := range d.unsyncedChanges {
+		apply(d.durableFiles)
 	}
-	d.pending = nil
+	d.unsyncedChanges = nil
 	return nil
 }
 
@@ -246,103 +251,106 @@
 		return nil, wal.ErrLocked
 	}
 	d.locked = true
-	return unlock{d, d.life}, nil
+	return directoryLock{d, d.incarnation}, nil
 }
 
-type unlock struct {
-	d    *Disk
-	life int
+// directoryLock is a held lock of a disk's directory.
+type directoryLock struct {
+	disk        *Disk
+	incarnation int // Disk.incarnation when the lock was taken
 }
 
-// Close implements io.Closer.
-func (u unlock) Close() error {
-	u.d.mu.Lock()
-	defer u.d.mu.Unlock()
-	if u.d.life == u.life {
-		u.d.locked = false
+// Close implements io.Closer. It releases the lock, unless a crash has done so already.
+func (l directoryLock) Close() error {
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	if l.disk.incarnation == l.incarnation {
+		l.disk.locked = false
 	}
 	return nil
 }
 
 // handle is an open file.
 type handle struct {
-	d    *Disk
-	i    *inode
-	life int
+	disk        *Disk
+	inode       *inode
+	incarnation int // Disk.incarnation when the file was opened
 }
 
-var errDead = errors.New("the system that had it open is no more")
+// errStaleHandle is returned for a file that was opened before a crash.
+var errStaleHandle = errors.New("the file was opened before the latest crash of the disk")
 
-func (h *handle) alive() error {
-	if h.life != h.d.life {
-		return errDead
+// checkCurrent returns errStaleHandle if the disk has crashed since the file was opened. The caller holds the disk's mu.
+func (h *handle) checkCurrent() error {
+	if h.incarnation != h.disk.incarnation {
+		return errStaleHandle
 	}
 	return nil
 }
 
 // ReadAt implements wal.File.
 func (h *handle) ReadAt(p []byte, off int64) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if off >= int64(len(h.i.seen)) {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if off >= int64(len(h.inode.content)) {
 		return 0, io.EOF
 	}
-	n := copy(p, h.i.seen[off:])
+	n := copy(p, h.inode.content[off:])
 	if n < len(p) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-// Write implements wal.File. A disk that is full takes what it has room for.
+// Write implements wal.File. If the disk has too little space left, Write stores the bytes that fit and returns ErrFull.
 func (h *handle) Write(p []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := errors.Join(h.alive(), h.d.change()); err != nil {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil {
 		return 0, err
 	}
 	var err error
-	if h.d.Capacity > 0 {
+	if h.disk.Capacity > 0 {
 		used := int64(0)
-		for _, i := range h.d.names {
-			used += int64(len(i.seen))
+		for _, i := range h.disk.files {
+			used += int64(len(i.content))
 		}
-		if room := max(h.d.Capacity-used, 0); int64(len(p)) > room {
-			p, err = p[:room], ErrFull
+		if free := max(h.disk.Capacity-used, 0); int64(len(p)) > free {
+			p, err = p[:free], ErrFull
 		}
 	}
-	h.i.writes = append(h.i.writes, write{at: int64(len(h.i.seen)), b: slices.Clone(p)})
-	h.i.seen = append(h.i.seen, p...)
+	h.inode.unsynced = append(h.inode.unsynced, contentChange{offset: int64(len(h.inode.content)), data: slices.Clone(p)})
+	h.inode.content = append(h.inode.content, p...)
 	return len(p), err
 }
 
 // Size implements wal.File.
 func (h *handle) Size() (int64, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	return int64(len(h.i.seen)), h.alive()
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	return int64(len(h.inode.content)), h.checkCurrent()
 }
 
 // Truncate implements wal.File.
 func (h *handle) Truncate(size int64) error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := errors.Join(h.alive(), h.d.change()); err != nil {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil {
 		return err
 	}
-	h.i.writes = append(h.i.writes, write{cut: true, size: size})
-	h.i.seen = resize(h.i.seen, size)
+	h.inode.unsynced = append(h.inode.unsynced, contentChange{isTruncation: true, size: size})
+	h.inode.content = resize(h.inode.content, size)
 	return nil
 }
 
 // Sync implements wal.File.
 func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := errors.Join(h.alive(), h.d.change()); err != nil || h.d.IgnoresSync {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil || h.disk.IgnoresSync {
 		return err
 	}
-	h.i.sure, h.i.writes = slices.Clone(h.i.seen), nil
+	h.inode.durable, h.inode.unsynced = slices.Clone(h.inode.content), nil
 	return nil
 }
 
