--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -7,44 +7,48 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// Checker looks at what voters commit and daemons act on. Its zero value has seen nothing.
+// maxViolations bounds the violations that a Checker reports.
+const maxViolations = 100
+
+// Checker verifies what voters commit and which versions daemons act on. Its zero value is ready for use.
 type Checker struct {
-	Violations []string
-	MaxOverlap time.Duration // the longest that somebody acted on a version after another had begun to act on a later one
+	Violations []string      // descriptions of violations; later ones than the first maxViolations are dropped
+	MaxOverlap time.Duration // longest time for which a daemon acted on a version after another had begun to act on a later one
 
-	digestByVersion map[uint64][32]byte // of what was acted on, by version
-	firstDecisions  []firstDecision     // versions in order, and when each was acted on first
-	versionByID     map[string]uint64   // versions of puts, by id
-	idByVersion     map[uint64]string   // and the other way round
-	latestVersion   uint64
+	digestByVersion map[uint64][32]byte // digests of the documents that daemons acted on
+	firstDecisions  []firstDecision     // first decision by each version, in ascending order of versions, without the oldest ones
+	versionByID     map[string]uint64   // versions that committed commands made, by command ID
+	idByVersion     map[uint64]string   // IDs of the commands that made the versions
+	latestVersion   uint64              // latest version that was committed
 }
 
+// firstDecision is the first time that any daemon acted on a version.
 type firstDecision struct {
 	version uint64
-	at      time.Duration
+	at      time.Duration // virtual time
 }
 
 func (c *Checker) addViolation(format string, args ...any) {
-	if len(c.Violations) < 100 {
+	if len(c.Violations) < maxViolations {
 		c.Violations = append(c.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// observeDecision takes up that a daemon acts on a version.
+// observeDecision records that a daemon acts on a version, and verifies that all daemons have the same documents of that version.
 func (c *Checker) observeDecision(now time.Duration, n *Node, version uint64, digest [32]byte) {
 	if c.digestByVersion == nil {
 		c.digestByVersion = map[uint64][32]byte{}
 	}
-	if was, ok := c.digestByVersion[version]; ok && was != digest {
-		c.addViolation("%v: daemon %d acts on another version %d than others", now, n.index, version)
+	if known, ok := c.digestByVersion[version]; ok && known != digest {
+		c.addViolation("%v: daemon %d acts on other documents of version %d than another daemon", now, n.index, version)
 	}
 	c.digestByVersion[version] = digest
 	if last := len(c.firstDecisions) - 1; last < 0 || version > c.firstDecisions[last].version {
 		c.firstDecisions = append(c.firstDecisions, firstDecision{version, now})
 	}
-	for _, b := range c.firstDecisions { // the earliest begin of a later version
-		if b.version > version {
-			c.MaxOverlap = max(c.MaxOverlap, now-b.at)
+	for _, first := range c.firstDecisions { // finds the earliest decision by any later version
+		if first.version > version {
+			c.MaxOverlap = max(c.MaxOverlap, now-first.at)
 			break
 		}
 	}
@@ -53,7 +57,8 @@
 	}
 }
 
-// observeResult takes up that a voter has applied a command.
+// observeResult records that a voter has applied a committed command, and verifies that all voters make the same version of a command
+// and that a version is made by one command only.
 func (c *Checker) observeResult(now time.Duration, n *Node, r consensus.Result) {
 	if r.ID == "" || r.Err != nil {
 		return
@@ -61,21 +66,21 @@
 	if c.versionByID == nil {
 		c.versionByID, c.idByVersion = map[string]uint64{}, map[uint64]string{}
 	}
-	if was, ok := c.versionByID[r.ID]; ok && was != r.Version {
-		c.addViolation("%v: voter %d has made version %d of %s, which was version %d", now, n.index, r.Version, r.ID, was)
+	if known, ok := c.versionByID[r.ID]; ok && known != r.Version {
+		c.addViolation("%v: voter %d made version %d of command %s, which had made version %d before", now, n.index, r.Version, r.ID, known)
 	}
 	c.versionByID[r.ID] = r.Version
 	if r.Unchanged {
 		return
 	}
-	if was, ok := c.idByVersion[r.Version]; ok && was != r.ID {
-		c.addViolation("%v: voter %d has made version %d of %s, others of %s", now, n.index, r.Version, r.ID, was)
+	if known, ok := c.idByVersion[r.Version]; ok && known != r.ID {
+		c.addViolation("%v: voter %d made version %d of command %s, another voter made it of %s", now, n.index, r.Version, r.ID, known)
 	}
 	c.idByVersion[r.Version] = r.ID
 	c.latestVersion = max(c.latestVersion, r.Version)
 }
 
-// checkConverged wants all to act on the latest version, and all voters to have it.
+// checkConverged verifies that a voter leads, that all daemons run and act on the latest version, and that all active voters have it.
 func (c *Checker) checkConverged(s *Simulation) {
 	var leader *Node
 	for _, n := range s.runningVoters() {
@@ -84,7 +89,7 @@
 		}
 	}
 	if leader == nil {
-		c.addViolation("%v: nobody leads", s.Now)
+		c.addViolation("%v: no voter is the leader", s.Now)
 		return
 	}
 	for _, n := range s.Nodes {
@@ -93,10 +98,10 @@
 			continue
 		}
 		if version, _, ok := n.leaseHolder.Valid(n.localTime(s.Now)); !ok || version != c.latestVersion {
-			c.addViolation("%v: daemon %d acts on version %d (%v), %d is the latest", s.Now, n.index, version, ok, c.latestVersion)
+			c.addViolation("%v: daemon %d has version %d (valid lease: %v), want the latest version %d", s.Now, n.index, version, ok, c.latestVersion)
 		}
 		if n.voter != nil && leader.voter.State().ActiveVoters[n.voterID] && n.voter.State().Version != c.latestVersion {
-			c.addViolation("%v: voter %d has version %d, %d was committed", s.Now, n.index, n.voter.State().Version, c.latestVersion)
+			c.addViolation("%v: voter %d has version %d, want the latest version %d", s.Now, n.index, n.voter.State().Version, c.latestVersion)
 		}
 	}
 }
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -6,89 +6,94 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
+// proposal is a change of a document that is proposed until it is committed.
 type proposal struct {
 	command     *consensus.Command
-	isCommitted bool
+	isCommitted bool // some voter has applied the command
 }
 
-// reconfigure changes the voters: who has lost its disk is taken out, one is put in where there are few, and one taken out where there are
-// many. Now and then a voter loses its disk, while all others are there.
+// reconfigure proposes a change of the voters, by the state of a random voter. It removes the slot of a daemon whose disk is not bound to
+// that slot, if there is one: the disk was lost, or the voter has not started yet. Otherwise it adds a random daemon if there are at
+// most Options.Voters slots, and removes a random voter if there are more.
 func (s *Simulation) reconfigure() {
 	if s.isQuiescent {
 		return
 	}
 	s.schedule(nil, s.Now+s.options.ReconfigurationInterval, s.reconfigure)
-	by := s.randomVoter()
-	if by == nil {
+	proposer := s.randomVoter()
+	if proposer == nil {
 		return
 	}
-	seats := by.voter.State().VoterSlots
-	var lost, in, out []*Node
+	slots := proposer.voter.State().VoterSlots
+	var withUnusedSlot, withSlot, withoutSlot []*Node
 	for _, n := range s.Nodes {
-		switch id := by.voter.State().VoterID(fmt.Sprint("d", n.index)); {
+		switch id := proposer.voter.State().VoterID(fmt.Sprint("d", n.index)); {
 		case id == 0:
-			out = append(out, n)
+			withoutSlot = append(withoutSlot, n)
 		case n.voterID != id:
-			lost = append(lost, n)
+			withUnusedSlot = append(withUnusedSlot, n)
 		default:
-			in = append(in, n)
+			withSlot = append(withSlot, n)
 		}
 	}
-	c := &consensus.VoterChange{Remove: true}
+	change := &consensus.VoterChange{Remove: true}
 	switch {
-	case len(lost) > 0:
-		c.Name = fmt.Sprint("d", lost[0].index)
-	case len(seats) <= s.options.Voters && len(out) > 0:
-		n := out[s.rng.IntN(len(out))]
-		if c.Name, c.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // its directory is emptied, and it is started again
+	case len(withUnusedSlot) > 0:
+		change.Name = fmt.Sprint("d", withUnusedSlot[0].index)
+	case len(slots) <= s.options.Voters && len(withoutSlot) > 0:
+		n := withoutSlot[s.rng.IntN(len(withoutSlot))]
+		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // it can vote again only after a restart with an empty disk
 			s.Crash(n)
 			s.startNode(n)
 		}
-	case len(in) > 0:
-		c.Name = fmt.Sprint("d", in[s.rng.IntN(len(in))].index)
+	case len(withSlot) > 0:
+		change.Name = fmt.Sprint("d", withSlot[s.rng.IntN(len(withSlot))].index)
 	}
-	s.schedule(by, s.Now, func() { s.callVoter(by, func() { _ = by.voter.Propose(&consensus.Command{ChangeVoter: c}) }) })
+	s.schedule(proposer, s.Now, func() {
+		s.callVoter(proposer, func() { _ = proposer.voter.Propose(&consensus.Command{ChangeVoter: change}) })
+	})
 }
 
-// proposePuts has something put, and asks again for what has not been heard of.
+// proposePuts begins a change of a document, unless the simulation is quiescent, and proposes each recent change that is not committed
+// to a random voter, as a client does that retries without a response.
 func (s *Simulation) proposePuts() {
 	if !s.isQuiescent {
 		s.lastPut++
 		id := fmt.Sprint("put-", s.lastPut)
-		c := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", s.rng.IntN(3)), Body: []byte(id)}}
+		command := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", s.rng.IntN(3)), Body: []byte(id)}}
 		switch s.lastPut % rejectedPutPeriod {
 		case 0:
-			c.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id + rejectedSuffix)}
+			command.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id + rejectedSuffix)}
 		case rejectedPutPeriod / 4:
-			c.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}
+			command.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}
 		case rejectedPutPeriod / 2:
-			c.Put, c.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
+			command.Put, command.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
 		}
-		s.proposals[id] = &proposal{command: c}
-		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second time somebody insists
+		s.proposals[id] = &proposal{command: command}
+		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second rejected put is activated by force
 			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
 		}
 	}
 	for i := max(1, s.lastPut-20); i <= s.lastPut; i++ {
 		if p := s.proposals[fmt.Sprint("put-", i)]; !p.isCommitted {
-			if to := s.randomVoter(); to != nil {
-				s.schedule(to, s.Now, func() { s.callVoter(to, func() { _ = to.voter.Propose(p.command) }) })
+			if proposer := s.randomVoter(); proposer != nil {
+				s.schedule(proposer, s.Now, func() { s.callVoter(proposer, func() { _ = proposer.voter.Propose(p.command) }) })
 			}
 		}
 	}
 	s.schedule(nil, s.Now+s.options.PutInterval, s.proposePuts)
 }
 
-// forcePendingVersion has what comes activated though some can't act on it, as far as some voter knows.
+// forcePendingVersion proposes that the pending version, as a random voter knows it, be activated although some daemons reject it.
 func (s *Simulation) forcePendingVersion() {
-	to := s.randomVoter()
-	if to == nil {
+	proposer := s.randomVoter()
+	if proposer == nil {
 		return
 	}
-	s.schedule(to, s.Now, func() {
-		s.callVoter(to, func() {
-			if st := to.voter.State(); st.Pending > st.Active {
-				_ = to.voter.Propose(&consensus.Command{Force: st.Pending})
+	s.schedule(proposer, s.Now, func() {
+		s.callVoter(proposer, func() {
+			if state := proposer.voter.State(); state.Pending > state.Active {
+				_ = proposer.voter.Propose(&consensus.Command{Force: state.Pending})
 			}
 		})
 	})
--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -8,23 +8,25 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// event is something that a node does, in one life; a nil node: the world.
+// event is a call that is due at an instant. If it belongs to a node, it runs only in the incarnation that scheduled it, and waits
+// while the node is paused.
 type event struct {
-	node        *Node
-	incarnation int
+	node        *Node // nil: the event does not depend on a node
+	incarnation int   // incarnation of the node that scheduled the event
 	run         func()
 }
 
-// schedule has something done at an instant: by a node, if it lives on and when it runs, or by the world.
-func (s *Simulation) schedule(n *Node, at time.Duration, do func()) {
-	e := event{node: n, run: do}
+// schedule adds an event at an instant, or now if the instant has passed. n is the node of the event; nil: none.
+func (s *Simulation) schedule(n *Node, at time.Duration, run func()) {
+	e := event{node: n, run: run}
 	if n != nil {
 		e.incarnation = n.incarnation
 	}
 	s.queue.Schedule(max(at, s.Now), e)
 }
 
-// Run plays until an instant.
+// Run processes all events up to an instant, which becomes Now. Events of nodes that are down or have restarted since are dropped; those of paused nodes
+// are rescheduled for the end of the pause.
 func (s *Simulation) Run(until time.Duration) {
 	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
 		s.Now = e.At
@@ -41,15 +43,17 @@
 	s.Now = until
 }
 
-// send carries something from one node to another, if it gets there.
-func (s *Simulation) send(from, to int, do func(n *Node)) {
+// send delivers a message between two nodes, given by index, after a random delay, unless the network loses it. deliver is called with
+// the receiving node.
+func (s *Simulation) send(from, to int, deliver func(n *Node)) {
 	if s.cutLinks[[2]int{from, to}] || s.rng.Float64() < s.lossRate {
 		return
 	}
 	n := s.Nodes[to]
-	s.schedule(n, s.Now+minDelay+time.Duration(s.rng.Int64N(int64(delaySpread+s.extraDelay))), func() { do(n) })
+	s.schedule(n, s.Now+minDelay+time.Duration(s.rng.Int64N(int64(delaySpread+s.extraDelay))), func() { deliver(n) })
 }
 
+// sendRaftMessage sends a raft message of a node's voter, if the node knows the daemon of the receiver's raft id.
 func (s *Simulation) sendRaftMessage(n *Node, m *raftpb.Message) {
 	to, known := n.peerIndexes[m.GetTo()]
 	if name := n.voter.State().VoterName(m.GetTo()); name != "" {
@@ -58,13 +62,14 @@
 	if !known {
 		return
 	}
-	if m.GetType() == raftpb.MsgSnap { // over a stream: whether it arrives is known
+	if m.GetType() == raftpb.MsgSnap { // sent over a stream: the sender learns whether it arrives
 		s.schedule(n, s.Now+2*delaySpread, func() { s.callVoter(n, func() { n.voter.ReportSnapshot(m.GetTo(), !s.cutLinks[[2]int{n.index, to}]) }) })
 	}
 	s.send(n.index, to, func(other *Node) { s.receiveRaftMessage(other, n.index, m) })
 }
 
-// receiveRaftMessage takes a message, as chamber does.
+// receiveRaftMessage passes a message to the node's voter if it is addressed to that voter, and remembers the sender's index, as
+// package raftnode remembers its name.
 func (s *Simulation) receiveRaftMessage(n *Node, from int, m *raftpb.Message) {
 	if n.voter == nil || n.voterID != m.GetTo() {
 		return
@@ -75,15 +80,17 @@
 	})
 }
 
-func (s *Simulation) sendGrant(n *Node, t consensus.AddressedGrant) {
-	s.send(n.index, indexOf(t.Recipient), func(d *Node) {
-		d.isAnswered, d.leaseTarget = true, n.index
-		s.handleSlotStatus(d, t.Grant)
-		d.leaseHolder.HandleGrant(d.localTime(s.Now), t.Grant)
+// sendGrant sends a lease grant of a node's voter. The receiving daemon handles the grant and then checks, without delaying anything
+// else, the pending version that the grant may offer.
+func (s *Simulation) sendGrant(n *Node, g consensus.AddressedGrant) {
+	s.send(n.index, indexOf(g.Recipient), func(d *Node) {
+		d.gotGrant, d.leaseTarget = true, n.index
+		s.handleSlotStatus(d, g.Grant)
+		d.leaseHolder.HandleGrant(d.localTime(s.Now), g.Grant)
 		s.installLeasedVersion(d)
-		if version, docs := d.leaseHolder.PendingCheck(); version > 0 { // looked at for a while, beside all else
-			s.schedule(d, s.Now+checkTime, func() {
-				if now, _ := d.leaseHolder.PendingCheck(); now == version {
+		if version, docs := d.leaseHolder.PendingCheck(); version > 0 {
+			s.schedule(d, s.Now+checkDuration, func() {
+				if current, _ := d.leaseHolder.PendingCheck(); current == version {
 					d.leaseHolder.CompleteCheck(version, d.checkDocuments(docs))
 				}
 			})
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -13,42 +13,44 @@
 	"tuliprock/internal/wal"
 )
 
-// Node is a daemon: the first ones vote, too.
+// Node is a simulated daemon, named "d" and its index. It may run a voter, too.
 type Node struct {
-	index       int
-	clockRate   float64
-	pausedUntil time.Duration
+	index       int           // position in Simulation.Nodes
+	clockRate   float64       // speed of the node's clock relative to virtual time
+	pausedUntil time.Duration // virtual time until which the process does not run
 	isDown      bool
-	incarnation int
+	incarnation int // number of starts of the process; events of earlier ones are dropped
 
-	voterID         uint64 // of its seat, as its disk has it; 0: it does not vote
-	wasRemoved      bool   // its seat was taken out: with its next start its disk is empty
-	peerIndexes     map[uint64]int
-	knownVoters     []int  // whom it may ask
-	diskID          string // of its disk
-	persistedVoters []int  // whom it knew to vote, over restarts
+	voterID         uint64         // raft id of the voter slot that the disk belongs to; 0: none
+	wasRemoved      bool           // the voter was removed; the next start is with an empty disk
+	peerIndexes     map[uint64]int // indexes of voters by raft id, learned from their messages
+	knownVoters     []int          // indexes of the nodes that may be asked for a lease
+	diskID          string         // random id of the disk
+	persistedVoters []int          // knownVoters as of the latest grant, which survive a restart
 	disk            *simdisk.Disk
 	log             *wal.Log
-	voter           *consensus.Voter
-	isSyncing       bool     // the disk syncs
-	deferredCalls   []func() // what came meanwhile
+	voter           *consensus.Voter // nil: the node runs no voter
+	isSyncing       bool             // output of the voter is being made durable; its method calls are deferred
+	deferredCalls   []func()         // calls of the voter that wait for the end of the sync, in order
 	leaseHolder     *consensus.LeaseHolder
-	leaseTarget     int // whom it asks
-	isAnswered      bool
+	leaseTarget     int  // index of the node that lease requests are sent to
+	gotGrant        bool // a grant has arrived since the latest lease request
 
-	installedVersion uint64 // the version that its other parts act on
-	installedDigest  [32]byte
+	installedVersion uint64   // version that all parts of the daemon act on; 0: none
+	installedDigest  [32]byte // digest of the documents of installedVersion
 }
 
+// localTime converts virtual time to the time of the node's clock, which shows one hour at the start.
 func (n *Node) localTime(now time.Duration) time.Duration {
 	return time.Hour + time.Duration(float64(now)*n.clockRate)
 }
 
+// virtualTime converts a time of the node's clock to virtual time, rounded up so that the node's clock has reached it then.
 func (n *Node) virtualTime(local time.Duration) time.Duration {
 	return time.Duration(float64(local-time.Hour)/n.clockRate) + 1
 }
 
-// startNode starts a node's process, with what its disk has.
+// startNode starts a node's process from the content of its disk. A node whose voter was removed gets an empty disk first.
 func (s *Simulation) startNode(n *Node) {
 	n.incarnation++
 	n.isDown, n.isSyncing, n.deferredCalls, n.pausedUntil, n.installedVersion = false, false, nil, 0, 0
@@ -74,27 +76,31 @@
 	s.schedule(n, s.Now, func() { s.decide(n) })
 }
 
+// openVoter recovers a node's voter from its disk. Only initial voters, whose ids are the lowest, start from the initial set of
+// voters; others receive the set from the leader.
 func (s *Simulation) openVoter(n *Node) error {
-	var names []string
+	var initialVoters []string
 	for i := range s.options.Voters {
 		if n.voterID <= uint64(s.options.Voters) {
-			names = append(names, fmt.Sprint("d", i))
+			initialVoters = append(initialVoters, fmt.Sprint("d", i))
 		}
 	}
-	d, err := consensus.NewRecoveredState(names)
+	recovered, err := consensus.NewRecoveredState(initialVoters)
 	if err != nil {
 		return err
 	}
-	n.log, err = wal.Open(n.disk, wal.Options{SegmentBytes: 64 << 10}, func(index uint64, r io.Reader) error { return d.Restore(index, r) },
-		func(r wal.Record) error { return d.Replay(r.Type, r.Payload) })
+	n.log, err = wal.Open(n.disk, wal.Options{SegmentBytes: 64 << 10},
+		func(index uint64, r io.Reader) error { return recovered.Restore(index, r) },
+		func(r wal.Record) error { return recovered.Replay(r.Type, r.Payload) })
 	if err != nil {
 		return err
 	}
-	n.voter, err = consensus.NewVoter(n.localTime(s.Now), consensus.Config{ID: n.voterID, HeartbeatInterval: heartbeatInterval, Seed: s.rng.Uint64(), Lease: s.options.LeaseConfig}, d)
+	config := consensus.Config{ID: n.voterID, HeartbeatInterval: heartbeatInterval, Seed: s.rng.Uint64(), Lease: s.options.LeaseConfig}
+	n.voter, err = consensus.NewVoter(n.localTime(s.Now), config, recovered)
 	return err
 }
 
-// Crash ends a node's process, and takes the power from its disk.
+// Crash ends a node's process and simulates a power loss of its disk. A node that is down is left as it is.
 func (s *Simulation) Crash(n *Node) {
 	if n.isDown {
 		return
@@ -103,59 +109,62 @@
 	n.disk.Crash(s.rng)
 }
 
-// endVoter ends a node's part in the voting.
+// endVoter stops a node's voter, whose slot was removed. The node continues as a daemon.
 func (s *Simulation) endVoter(n *Node) {
 	n.voter, n.wasRemoved, n.deferredCalls, n.isSyncing = nil, true, nil, false
 }
 
-// indexOf is the place of the node of a name. All names here are "d" and a place: another one is this package's mistake.
-func indexOf(name string) (place int) {
-	if _, err := fmt.Sscanf(name, "d%d", &place); err != nil {
-		panic(fmt.Sprintf("raftsim: %q is no node's name: %v", name, err))
+// indexOf returns the index of the node of a name. All names of a simulation are "d" and an index: another one is a bug of this
+// package.
+func indexOf(name string) (index int) {
+	if _, err := fmt.Sscanf(name, "d%d", &index); err != nil {
+		panic(fmt.Sprintf("raftsim: %q is not the name of a node: %v", name, err))
 	}
-	return place
+	return index
 }
 
-// callVoter has a voter's process do something, when its disk is done with what was before.
-func (s *Simulation) callVoter(n *Node, do func()) {
+// callVoter calls a method of a node's voter and processes the voter's output. While earlier output is being synced, the call is
+// deferred. Without a voter it is dropped.
+func (s *Simulation) callVoter(n *Node, call func()) {
 	if n.voter == nil {
 		return
 	}
 	if n.isSyncing {
-		n.deferredCalls = append(n.deferredCalls, do)
+		n.deferredCalls = append(n.deferredCalls, call)
 		return
 	}
-	if do(); n.voter.StopReason != nil {
+	if call(); n.voter.StopReason != nil {
 		s.handleVoterStop(n)
 		return
 	}
 	s.processOutput(n)
 }
 
-// handleVoterStop takes up that a voter can't go on, which no disk that keeps its word is a cause for.
+// handleVoterStop reports a violation, since no voter stops on a disk that makes durable what was synced, and crashes the node.
 func (s *Simulation) handleVoterStop(n *Node) {
 	s.Checker.addViolation("%v: voter %d stops: %v", s.Now, n.index, n.voter.StopReason)
 	s.Crash(n)
 }
 
-// processOutput carries out what a voter wants: records first, then, when they are sure, messages and answers.
+// processOutput processes the output of a node's voter. Its records are appended to the log and synced first; only then are messages
+// and grants sent and results reported, since they rest on the records.
 func (s *Simulation) processOutput(n *Node) {
 	if n.voter == nil {
 		return
 	}
-	v := n.voter
-	out := v.Output(n.localTime(s.Now))
+	voter := n.voter
+	output := voter.Output(n.localTime(s.Now))
 	if n.voter.StopReason != nil {
 		s.handleVoterStop(n)
 		return
 	}
-	if out == nil && len(n.voter.Grants) == 0 && len(n.voter.Results) == 0 {
+	if output == nil && len(n.voter.Grants) == 0 && len(n.voter.Results) == 0 {
 		return
 	}
-	if out == nil {
-		out = &consensus.VoterOutput{}
+	if output == nil {
+		output = &consensus.VoterOutput{}
 	}
-	for _, r := range out.Records {
+	for _, r := range output.Records {
 		if _, err := n.log.Append(r.Type, r.Payload); err != nil {
 			s.Crash(n)
 			return
@@ -163,26 +172,26 @@
 	}
 	grants, results := n.voter.Grants, n.voter.Results
 	n.voter.Grants, n.voter.Results = nil, nil
-	wait := time.Duration(0)
-	if len(out.Records) > 0 || out.Snapshot != nil {
-		wait = minSyncTime + time.Duration(s.rng.Int64N(int64(syncTimeSpread)))
+	syncTime := time.Duration(0)
+	if len(output.Records) > 0 || output.Snapshot != nil {
+		syncTime = minSyncTime + time.Duration(s.rng.Int64N(int64(syncTimeSpread)))
 	}
-	n.isSyncing = true // until that has been done: a stop in the middle lets nothing overtake it
-	s.schedule(n, s.Now+wait, func() {
-		if n.voter != v { // its seat was taken out meanwhile
+	n.isSyncing = true // until the event below has run, also if the process is paused: nothing may overtake the sync
+	s.schedule(n, s.Now+syncTime, func() {
+		if n.voter != voter { // it was removed during the sync
 			return
 		}
 		if err := n.log.Sync(); err != nil {
 			s.Crash(n)
 			return
 		}
-		if out.Snapshot != nil && n.log.SyncedIndex() > n.log.SnapshotIndex() {
-			if err := n.log.WriteSnapshot(n.log.SyncedIndex(), out.Snapshot.Body); err != nil {
+		if output.Snapshot != nil && n.log.SyncedIndex() > n.log.SnapshotIndex() {
+			if err := n.log.WriteSnapshot(n.log.SyncedIndex(), output.Snapshot.Body); err != nil {
 				s.Crash(n)
 				return
 			}
 		}
-		for _, m := range out.Messages {
+		for _, m := range output.Messages {
 			s.sendRaftMessage(n, m)
 		}
 		for _, r := range results {
@@ -195,27 +204,27 @@
 			s.sendGrant(n, g)
 		}
 		n.isSyncing = false
-		todo := n.deferredCalls
+		calls := n.deferredCalls
 		n.deferredCalls = nil
 		s.processOutput(n)
-		for _, do := range todo {
-			s.callVoter(n, do)
+		for _, call := range calls {
+			s.callVoter(n, call)
 		}
 	})
 }
 
-// handleSlotStatus takes up whom a daemon may ask, and whether it votes.
+// handleSlotStatus updates, from a grant, the voters that a daemon knows, and stops or starts the daemon's own voter.
 func (s *Simulation) handleSlotStatus(n *Node, g consensus.LeaseGrant) {
 	n.knownVoters = nil
 	for _, name := range g.SlotHolders {
 		n.knownVoters = append(n.knownVoters, s.nodeNamed(name).index)
 	}
 	n.persistedVoters = n.knownVoters
-	seat := uint64(0)
+	runningID := uint64(0) // id of the voter that the node runs; 0: none
 	if n.voter != nil {
-		seat = n.voterID
+		runningID = n.voterID
 	}
-	switch g.VoterAction(fmt.Sprint("d", n.index), seat) {
+	switch g.VoterAction(fmt.Sprint("d", n.index), runningID) {
 	case consensus.StopVoter:
 		s.endVoter(n)
 	case consensus.StartVoter:
@@ -224,17 +233,18 @@
 		}
 		n.voterID = g.VoterID
 		if err := s.openVoter(n); err != nil {
-			s.Checker.addViolation("%v: daemon %d can't take a seat: %v", s.Now, n.index, err)
+			s.Checker.addViolation("%v: daemon %d can't start its voter: %v", s.Now, n.index, err)
 			return
 		}
 		s.schedule(n, s.Now, func() { s.tickVoter(n) })
 	}
 }
 
-// errUnsupportedSetting is why some daemons can't act on some versions.
-var errUnsupportedSetting = errors.New("this program knows no such setting")
+// errUnsupportedSetting is the reason for which some daemons reject versions with a certain body of rejectableDoc.
+var errUnsupportedSetting = errors.New("this build does not support the setting")
 
-// checkDocuments tells whether a daemon can act on documents: every second one is of a program that can't read some.
+// checkDocuments returns an error if the daemon can't act on documents. Daemons with an odd index simulate an older build, which
+// does not support some bodies of rejectableDoc.
 func (n *Node) checkDocuments(docs map[string]consensus.Document) error {
 	if n.index%2 == 1 && strings.HasSuffix(string(docs[rejectableDoc].Body), rejectedSuffix) {
 		return errUnsupportedSetting
@@ -242,6 +252,7 @@
 	return nil
 }
 
+// tickVoter calls the voter's Tick, and schedules the next call for when it is due, but at least a millisecond later.
 func (s *Simulation) tickVoter(n *Node) {
 	s.callVoter(n, func() { n.voter.Tick(n.localTime(s.Now)) })
 	if !n.isDown && n.voter != nil {
@@ -249,42 +260,44 @@
 	}
 }
 
-// requestLease sends a request for a lease to whom the last answer came from, or to the next.
+// requestLease sends a lease request to the voter that sent the latest grant, or to the next known voter if the request before got no
+// grant, and schedules the next request. A node that can't grant a lease returns the voters that it knows.
 func (s *Simulation) requestLease(n *Node) {
-	if !n.isAnswered {
+	if !n.gotGrant {
 		n.leaseTarget = n.knownVoters[(slices.Index(n.knownVoters, n.leaseTarget)+1)%len(n.knownVoters)]
 	}
-	n.isAnswered = false
-	r, again := n.leaseHolder.NextRequest(n.localTime(s.Now))
+	n.gotGrant = false
+	request, nextAt := n.leaseHolder.NextRequest(n.localTime(s.Now))
 	if n.voter == nil && !n.wasRemoved {
-		r.DiskID = n.diskID
+		request.DiskID = n.diskID
 	}
 	s.send(n.index, n.leaseTarget, func(v *Node) {
-		hint := func() { // it says whom to ask
+		sendKnownVoters := func() {
 			s.send(v.index, n.index, func(d *Node) {
-				if !d.isAnswered {
+				if !d.gotGrant {
 					d.knownVoters = slices.Compact(slices.Sorted(slices.Values(slices.Concat(d.knownVoters, v.knownVoters))))
 				}
 			})
 		}
 		if v.voter == nil {
-			hint()
+			sendKnownVoters()
 			return
 		}
 		s.callVoter(v, func() {
-			if v.voter.RequestLease(r) != nil {
-				hint()
+			if v.voter.RequestLease(request) != nil {
+				sendKnownVoters()
 			}
 		})
 	})
-	s.schedule(n, n.virtualTime(again), func() { s.requestLease(n) })
+	s.schedule(n, n.virtualTime(nextAt), func() { s.requestLease(n) })
 }
 
-// decide is a request that a daemon decides by the version that it has.
+// decide simulates a decision for which a daemon needs a version: it acts on the installed one if a lease covers that. It also
+// schedules the next decision.
 func (s *Simulation) decide(n *Node) {
 	s.Decisions++
-	a := n.leaseHolder.Leased()
-	if n.installedVersion > 0 && (a.CoversVersion(n.installedVersion, n.localTime(s.Now)) || s.options.LeaseConfig.SkipExpiryCheck) {
+	leased := n.leaseHolder.Leased()
+	if n.installedVersion > 0 && (leased.CoversVersion(n.installedVersion, n.localTime(s.Now)) || s.options.LeaseConfig.SkipExpiryCheck) {
 		s.Checker.observeDecision(s.Now, n, n.installedVersion, n.installedDigest)
 	} else {
 		s.DecisionsWithoutLease++
@@ -292,13 +305,13 @@
 	s.schedule(n, s.Now+decisionInterval, func() { s.decide(n) })
 }
 
-// installLeasedVersion has a daemon's other parts change over to what it is to act on, which takes them a while.
+// installLeasedVersion has all parts of a daemon act on the leased version after a random time.
 func (s *Simulation) installLeasedVersion(n *Node) {
-	a := n.leaseHolder.Leased()
+	leased := n.leaseHolder.Leased()
 	s.schedule(n, s.Now+time.Duration(s.rng.Int64N(int64(maxInstallTime))), func() {
-		if a.Version > n.installedVersion {
-			n.installedVersion, n.installedDigest = a.Version, consensus.DigestDocuments(a.Docs)
-			n.leaseHolder.MarkInstalled(a.Version)
+		if leased.Version > n.installedVersion {
+			n.installedVersion, n.installedDigest = leased.Version, consensus.DigestDocuments(leased.Docs)
+			n.leaseHolder.MarkInstalled(leased.Version)
 		}
 	})
 }
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -1,6 +1,8 @@
-// Package raftsim plays voters, their disks and the daemons that act under leases on one heap of events in virtual time: cuts,
-// losses, stops, crashes in the middle of a write, clocks that differ. A checker looks at every act. The same seed gives the
-// same play.
+// Package raftsim simulates voters with their disks, and daemons that act under leases, as events in virtual time. It injects
+// partitions, message loss, delays, paused processes, crashes during writes, lost disks and clocks of different rates. A checker
+// observes every version that a daemon acts on.
+//
+// The same seed gives the same run, except for runs that reconfigure voters: package consensus iterates over maps there.
 package raftsim
 
 import (
@@ -13,53 +15,55 @@
 	"tuliprock/internal/testkit/simdisk"
 )
 
-// Options of a Simulation.
+// Options configures a Simulation.
 type Options struct {
-	Voters, NonVoters       int
-	Seed                    uint64
+	Voters                  int    // number of nodes that vote from the start
+	NonVoters               int    // number of nodes that start without a voter
+	Seed                    uint64 // seed of all random choices
 	LeaseConfig             consensus.LeaseConfig
-	ClockDrift              float64       // by which clocks really differ; 0: as Terms allow
-	DisksIgnoreSync         bool          // disks lie about syncs
-	PutInterval             time.Duration // one comes so often
-	ReconfigurationInterval time.Duration // voters are changed so often, and disks of some are lost; 0: they are not
+	ClockDrift              float64       // greatest relative error of a node's clock rate, 0.01 for 1 %; 0: LeaseConfig.MaxClockDrift
+	DisksIgnoreSync         bool          // injected fault: syncs succeed without making anything durable
+	PutInterval             time.Duration // time between two puts of a document
+	ReconfigurationInterval time.Duration // time between two proposals to change the voters; 0: voters neither change nor lose their disks
 }
 
 const (
-	heartbeatInterval = 50 * time.Millisecond
-	decisionInterval  = 25 * time.Millisecond
-	minDelay          = 500 * time.Microsecond
-	delaySpread       = 4 * time.Millisecond
-	minSyncTime       = time.Millisecond
-	syncTimeSpread    = 6 * time.Millisecond
-	checkTime         = 2 * time.Millisecond
-	maxInstallTime    = 300 * time.Millisecond
-
-	// A document that every second daemon can't act on while it ends so; one of hardEvery puts makes it so, and another mends it.
+	heartbeatInterval = 50 * time.Millisecond  // interval of the raft leader's heartbeats
+	decisionInterval  = 25 * time.Millisecond  // time between two decisions of a daemon
+	minDelay          = 500 * time.Microsecond // shortest one-way delay of a message
+	delaySpread       = 4 * time.Millisecond   // random part of a one-way delay, on top of minDelay
+	minSyncTime       = time.Millisecond       // shortest sync of a voter's log
+	syncTimeSpread    = 6 * time.Millisecond   // random part of a sync's duration, on top of minSyncTime
+	checkDuration     = 2 * time.Millisecond   // time that a daemon takes to check a pending version
+	maxInstallTime    = 300 * time.Millisecond // longest time until all parts of a daemon act on a newly leased version
+
+	// Daemons with an odd index reject rejectableDoc while its body ends with rejectedSuffix. One of rejectedPutPeriod puts gives it
+	// such a body, and another one a body that all daemons accept.
 	rejectableDoc     = "doc-hard"
 	rejectedSuffix    = "!"
 	rejectedPutPeriod = 16
 )
 
-// Simulation is a council that is being played.
+// Simulation is a simulated cluster of voters and daemons in virtual time.
 type Simulation struct {
-	Now                   time.Duration
+	Now                   time.Duration // virtual time since the start
 	Nodes                 []*Node
 	Checker               Checker
-	DecisionsWithoutLease int // acts for which there was no lease
-	Decisions             int
+	Decisions             int // attempts of daemons to act on a version, with or without a lease
+	DecisionsWithoutLease int // decisions that were denied, since the daemon had no valid lease
 
 	options     Options
 	rng         *rand.Rand
 	queue       eventqueue.Queue[event]
-	cutLinks    map[[2]int]bool
-	lossRate    float64
-	extraDelay  time.Duration // that messages take on top, at most
-	proposals   map[string]*proposal
-	lastPut     int
-	isQuiescent bool // no more puts are begun
+	cutLinks    map[[2]int]bool      // links that lose all messages, by the indexes of sender and receiver
+	lossRate    float64              // probability that a message on any link is lost
+	extraDelay  time.Duration        // greatest random delay of a message in addition to minDelay and delaySpread
+	proposals   map[string]*proposal // puts and reverts by command ID
+	lastPut     int                  // number in the ID of the latest proposal
+	isQuiescent bool                 // no new puts or reconfigurations are proposed
 }
 
-// New makes a world in which all are up.
+// New returns a simulation in which all nodes have started.
 func New(o Options) *Simulation {
 	s := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cutLinks: map[[2]int]bool{}, proposals: map[string]*proposal{}}
 	drift := o.ClockDrift
@@ -82,23 +86,24 @@
 	return s
 }
 
+// replaceDisk gives a node an empty disk with a new id.
 func (s *Simulation) replaceDisk(n *Node) {
 	n.disk = simdisk.New()
 	n.disk.IgnoresSync = s.options.DisksIgnoreSync
 	n.diskID = fmt.Sprint("m", s.rng.Uint64())
 }
 
-// runningVoters are the nodes that vote, or learn to.
-func (s *Simulation) runningVoters() (out []*Node) {
+// runningVoters returns the nodes whose voter runs, learners included.
+func (s *Simulation) runningVoters() (voters []*Node) {
 	for _, n := range s.Nodes {
 		if n.voter != nil && !n.isDown {
-			out = append(out, n)
+			voters = append(voters, n)
 		}
 	}
-	return out
+	return voters
 }
 
-// randomVoter is one of them; nil: none is up.
+// randomVoter returns a random node among the runningVoters; nil if there are none.
 func (s *Simulation) randomVoter() *Node {
 	if all := s.runningVoters(); len(all) > 0 {
 		return all[s.rng.IntN(len(all))]
@@ -106,24 +111,26 @@
 	return nil
 }
 
-// loseDisk takes a voter's disk away, where all the others are there and have theirs.
+// loseDisk replaces a voter's disk by an empty one and restarts the node after a second. It does so only if there are at least three
+// active voters, none of them departing, and each holder of a voter slot runs as an active voter with the disk of its slot. Thus no two
+// disks are lost at a time.
 func (s *Simulation) loseDisk(n *Node) {
-	var by *Node // who knows most
+	var mostAdvanced *Node // the running voter that has applied the most
 	for _, v := range s.runningVoters() {
-		if by == nil || v.voter.AppliedIndex() > by.voter.AppliedIndex() {
-			by = v
+		if mostAdvanced == nil || v.voter.AppliedIndex() > mostAdvanced.voter.AppliedIndex() {
+			mostAdvanced = v
 		}
 	}
-	if by == nil || n.voter == nil || len(by.voter.State().ActiveVoters) < 3 {
+	if mostAdvanced == nil || n.voter == nil || len(mostAdvanced.voter.State().ActiveVoters) < 3 {
 		return
 	}
-	st := by.voter.State()
-	for id, name := range st.VoterSlots {
-		if v := s.nodeNamed(name); v.isDown || v.voterID != id || v.wasRemoved || !st.ActiveVoters[id] {
+	state := mostAdvanced.voter.State()
+	for id, name := range state.VoterSlots {
+		if v := s.nodeNamed(name); v.isDown || v.voterID != id || v.wasRemoved || !state.ActiveVoters[id] {
 			return
 		}
 	}
-	if len(st.DepartingVoters) > 0 {
+	if len(state.DepartingVoters) > 0 {
 		return
 	}
 	s.Crash(n)
@@ -136,9 +143,11 @@
 	})
 }
 
+// nodeNamed returns the node of a daemon's name.
 func (s *Simulation) nodeNamed(name string) *Node { return s.Nodes[indexOf(name)] }
 
-// InjectFaults plays drawn faults for a while, and heals all.
+// InjectFaults injects random faults until an instant, and then ends network faults and restarts the nodes that are down. Voters lose
+// their disks only if Options.ReconfigurationInterval is set, since only a reconfiguration replaces such a voter.
 func (s *Simulation) InjectFaults(until time.Duration) {
 	for s.Now < until {
 		n := s.Nodes[s.rng.IntN(len(s.Nodes))]
@@ -147,33 +156,33 @@
 				n = v
 			}
 		}
-		length := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
+		duration := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
 		kinds := 8
 		if s.options.ReconfigurationInterval > 0 {
 			kinds++
 		}
 		switch s.rng.IntN(kinds) {
 		case 0, 1:
-			s.partition(length)
+			s.partition(duration)
 		case 2:
-			n.pausedUntil = s.Now + length
+			n.pausedUntil = s.Now + duration
 		case 3, 4:
 			s.Crash(n)
-			s.schedule(nil, s.Now+length, func() {
+			s.schedule(nil, s.Now+duration, func() {
 				if n.isDown {
 					s.startNode(n)
 				}
 			})
 		case 5:
 			s.lossRate = 0.3 * s.rng.Float64()
-			s.schedule(nil, s.Now+length, func() { s.lossRate = 0 })
+			s.schedule(nil, s.Now+duration, func() { s.lossRate = 0 })
 		case 6:
 			s.extraDelay = 400 * time.Millisecond
-			s.schedule(nil, s.Now+length, func() { s.extraDelay = 0 })
-		case 7: // the leader, whatever it is doing
+			s.schedule(nil, s.Now+duration, func() { s.extraDelay = 0 })
+		case 7: // pauses the leader
 			for _, l := range s.runningVoters() {
 				if l.voter.IsLeader() {
-					l.pausedUntil = s.Now + length
+					l.pausedUntil = s.Now + duration
 				}
 			}
 		case 8:
@@ -189,26 +198,28 @@
 	}
 }
 
-// partition cuts the nodes into two parts for a while, in one direction at times.
-func (s *Simulation) partition(length time.Duration) {
+// partition splits the nodes at random into two sides that can't reach each other for a duration. In one of three partitions only
+// messages of one direction are lost.
+func (s *Simulation) partition(duration time.Duration) {
 	oneWay := s.rng.IntN(3) == 0
 	side := map[int]bool{}
 	for i := range s.Nodes {
 		side[i] = s.rng.IntN(2) == 0
 	}
-	cut := map[[2]int]bool{}
+	links := map[[2]int]bool{}
 	for i := range s.Nodes {
-		for k := range s.Nodes {
-			if side[i] != side[k] && (!oneWay || side[i]) {
-				cut[[2]int{i, k}] = true
+		for j := range s.Nodes {
+			if side[i] != side[j] && (!oneWay || side[i]) {
+				links[[2]int{i, j}] = true
 			}
 		}
 	}
-	s.cutLinks = cut
-	s.schedule(nil, s.Now+length, func() { s.cutLinks = map[[2]int]bool{} })
+	s.cutLinks = links
+	s.schedule(nil, s.Now+duration, func() { s.cutLinks = map[[2]int]bool{} })
 }
 
-// Converge lets all be well until all that was put is acted on by all, and says what is missing.
+// Converge ends puts and reconfigurations, restarts the daemons whose voter was removed, and runs the simulation for a duration
+// without faults, with a last put in the middle. The checker then verifies that all daemons act on the latest version.
 func (s *Simulation) Converge(within time.Duration) {
 	s.isQuiescent = true
 	for _, n := range s.Nodes {
@@ -218,7 +229,7 @@
 		}
 	}
 	s.Run(s.Now + within/2)
-	s.lastPut++ // the last one mends what some can't act on
+	s.lastPut++ // this put gives rejectableDoc a body that all daemons accept
 	id := fmt.Sprint("put-", s.lastPut)
 	s.proposals[id] = &proposal{command: &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}}}
 	s.Run(s.Now + within/2)
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -11,86 +11,95 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-var terms = consensus.LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
+var leaseConfig = consensus.LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
 
-// play is one drawn schedule of faults.
-func play(o Options) *Simulation {
+// runWithFaults simulates random faults and then a recovery, at the end of which the checker verifies that the cluster has converged.
+func runWithFaults(o Options) *Simulation {
 	if o.PutInterval == 0 {
 		o.PutInterval = 400 * time.Millisecond
 	}
-	w := New(o)
-	w.Run(3 * time.Second)
-	w.InjectFaults(25 * time.Second)
-	w.Converge(30 * time.Second)
-	return w
+	s := New(o)
+	s.Run(3 * time.Second)
+	s.InjectFaults(25 * time.Second)
+	s.Converge(30 * time.Second)
+	return s
 }
 
-// TULIPROCK_TEST_RAFTSIM_SCHEDULES=number plays more schedules.
-func TestDrawnSchedules(t *testing.T) {
-	n := 20
-	if more, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_RAFTSIM_SCHEDULES")); err == nil {
-		n = more
+// Under random faults voters agree on every version, no two daemons act on different versions for longer than the leases allow, and
+// the cluster converges afterwards. TULIPROCK_TEST_RAFTSIM_SCHEDULES sets the number of seeds that are run.
+func TestRandomFaultSchedules(t *testing.T) {
+	schedules := 20
+	if n, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_RAFTSIM_SCHEDULES")); err == nil {
+		schedules = n
 	}
 	var mu sync.Mutex
-	var busy sync.WaitGroup
-	longest, acts, refused, versions := time.Duration(0), 0, 0, uint64(0)
+	var workers sync.WaitGroup
+	maxOverlap, decisions, withoutLease, versions := time.Duration(0), 0, 0, uint64(0)
 	seeds := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
-		busy.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				o := Options{Voters: 3 + 2*int(seed%2), NonVoters: 4 * int(1+seed%10/9*11), Seed: seed, LeaseConfig: terms}
+				// Three or five voters; 4 other nodes, or 48 for one seed in ten.
+				o := Options{Voters: 3 + 2*int(seed%2), NonVoters: 4 * int(1+seed%10/9*11), Seed: seed, LeaseConfig: leaseConfig}
 				if seed%3 == 0 {
 					o.ReconfigurationInterval = 2 * time.Second
 				}
-				w := play(o)
+				s := runWithFaults(o)
 				mu.Lock()
-				for _, b := range w.Checker.Violations[:min(len(w.Checker.Violations), 3)] {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, violation := range s.Checker.Violations[:min(len(s.Checker.Violations), 3)] {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
-				if w.Checker.MaxOverlap > terms.MaxOverlap() {
-					t.Errorf("seed %d: contradicting versions for %v, %v are allowed", seed, w.Checker.MaxOverlap, terms.MaxOverlap())
+				if s.Checker.MaxOverlap > leaseConfig.MaxOverlap() {
+					t.Errorf("seed %d: daemons acted on different versions for %v, want at most %v", seed, s.Checker.MaxOverlap, leaseConfig.MaxOverlap())
 				}
-				longest, acts, refused, versions = max(longest, w.Checker.MaxOverlap), acts+w.Decisions, refused+w.DecisionsWithoutLease, versions+w.Checker.latestVersion
+				maxOverlap = max(maxOverlap, s.Checker.MaxOverlap)
+				decisions += s.Decisions
+				withoutLease += s.DecisionsWithoutLease
+				versions += s.Checker.latestVersion
 				mu.Unlock()
 			}
 		})
 	}
-	for seed := range uint64(n) {
+	for seed := range uint64(schedules) {
 		seeds <- seed + 1
 	}
 	close(seeds)
-	busy.Wait()
-	t.Logf("%d schedules: longest overlap %v of %v; %d acts, %d without a lease; %d versions", n, longest, terms.MaxOverlap(), acts, refused, versions)
+	workers.Wait()
+	t.Logf("%d schedules: longest overlap %v of %v; %d decisions, %d without a lease; %d versions",
+		schedules, maxOverlap, leaseConfig.MaxOverlap(), decisions, withoutLease, versions)
 }
 
-// What makes the promise, left out one by one, is missed by the checker's word.
-func TestWhatIsLeftOutIsMissed(t *testing.T) {
-	for name, spoil := range map[string]func(*Options){
-		"an activation does not wait for leases":      func(o *Options) { o.LeaseConfig.SkipActivationWait = true },
-		"a daemon acts before it looks":               func(o *Options) { o.LeaseConfig.SkipExpiryCheck = true },
-		"a log without sync":                          func(o *Options) { o.DisksIgnoreSync = true },
-		"clocks that differ by more than they are to": func(o *Options) { o.ClockDrift = 0.3 },
+// The checker detects, in one of 300 schedules at least, each defect that breaks a guarantee of the leases or of the log.
+func TestCheckerDetectsInjectedDefects(t *testing.T) {
+	for name, inject := range map[string]func(*Options){
+		"activation without waiting for leases to expire": func(o *Options) { o.LeaseConfig.SkipActivationWait = true },
+		"daemons that do not check their lease":           func(o *Options) { o.LeaseConfig.SkipExpiryCheck = true },
+		"disks that ignore syncs":                         func(o *Options) { o.DisksIgnoreSync = true },
+		"clocks that drift more than leases allow for":    func(o *Options) { o.ClockDrift = 0.3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(300) {
-				o := Options{Voters: 3, NonVoters: 4, Seed: seed + 1, LeaseConfig: terms}
-				spoil(&o)
-				w := play(o)
-				if len(w.Checker.Violations) > 0 || w.Checker.MaxOverlap > terms.MaxOverlap() {
-					t.Logf("seed %d: overlap %v, %d broken", seed+1, w.Checker.MaxOverlap, len(w.Checker.Violations))
+				o := Options{Voters: 3, NonVoters: 4, Seed: seed + 1, LeaseConfig: leaseConfig}
+				inject(&o)
+				s := runWithFaults(o)
+				if len(s.Checker.Violations) > 0 || s.Checker.MaxOverlap > leaseConfig.MaxOverlap() {
+					t.Logf("seed %d: overlap %v, %d violations", seed+1, s.Checker.MaxOverlap, len(s.Checker.Violations))
 					return
 				}
 			}
-			t.Error("300 schedules, and nothing was missed")
+			t.Error("the checker detected nothing in 300 schedules")
 		})
 	}
 }
 
-// The same seed gives the same play.
-func TestThePlayIsTheSeeds(t *testing.T) {
-	a, b := play(Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: terms}), play(Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: terms})
+// Runs with the same seed make the same decisions.
+func TestSameSeedGivesSameRun(t *testing.T) {
+	o := Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: leaseConfig}
+	a, b := runWithFaults(o), runWithFaults(o)
 	if a.Decisions != b.Decisions || a.DecisionsWithoutLease != b.DecisionsWithoutLease || a.Checker.MaxOverlap != b.Checker.MaxOverlap || a.Checker.latestVersion != b.Checker.latestVersion {
-		t.Errorf("%d, %d, %v and %d, %d, %v", a.Decisions, a.DecisionsWithoutLease, a.Checker.MaxOverlap, b.Decisions, b.DecisionsWithoutLease, b.Checker.MaxOverlap)
+		t.Errorf("first run: %d decisions, %d without a lease, overlap %v, version %d; second run: %d, %d, %v, %d",
+			a.Decisions, a.DecisionsWithoutLease, a.Checker.MaxOverlap, a.Checker.latestVersion,
+			b.Decisions, b.DecisionsWithoutLease, b.Checker.MaxOverlap, b.Checker.latestVersion)
 	}
 }
