--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -50,7 +50,7 @@
 	Nodes                 []*Node
 	Checker               Checker
 	Decisions             int // attempts of daemons to act on a version, with or without a lease
-	DecisionsWithoutLease int // decisions that were denied, since the daemon had no valid lease
+	DecisionsWithoutLease int // decisions that were denied, since no lease covered the installed version
 
 	options     Options
 	rng         *rand.Rand
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -97,7 +97,8 @@
 func TestSameSeedGivesSameRun(t *testing.T) {
 	o := Options{Voters: 3, NonVoters: 2, Seed: 9, LeaseConfig: leaseConfig}
 	a, b := runWithFaults(o), runWithFaults(o)
-	if a.Decisions != b.Decisions || a.DecisionsWithoutLease != b.DecisionsWithoutLease || a.Checker.MaxOverlap != b.Checker.MaxOverlap || a.Checker.latestVersion != b.Checker.latestVersion {
+	if a.Decisions != b.Decisions || a.DecisionsWithoutLease != b.DecisionsWithoutLease ||
+		a.Checker.MaxOverlap != b.Checker.MaxOverlap || a.Checker.latestVersion != b.Checker.latestVersion {
 		t.Errorf("first run: %d decisions, %d without a lease, overlap %v, version %d; second run: %d, %d, %v, %d",
 			a.Decisions, a.DecisionsWithoutLease, a.Checker.MaxOverlap, a.Checker.latestVersion,
 			b.Decisions, b.DecisionsWithoutLease, b.Checker.MaxOverlap, b.Checker.latestVersion)
