--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -25,8 +25,8 @@
 	s.queue.Schedule(max(at, s.Now), e)
 }
 
-// Run processes all events up to an instant, which becomes Now. Events of nodes that are down or have restarted since are dropped; those of paused nodes
-// are rescheduled for the end of the pause.
+// Run processes all events up to an instant, which becomes Now. Events of nodes that are down or have restarted since are dropped;
+// events of paused nodes are rescheduled for the end of the pause.
 func (s *Simulation) Run(until time.Duration) {
 	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
 		s.Now = e.At
