--- /dev/null
+++ b/internal/testkit/raftsim/client.go
@@ -0,0 +1,100 @@
+package raftsim
+
+import (
+	"fmt"
+
+	"tuliprock/internal/cluster/consensus"
+)
+
+// proposal is a change of a document that is proposed until it is committed.
+type proposal struct {
+	command     *consensus.Command
+	isCommitted bool // some voter has applied the command
+}
+
+// reconfigure proposes a change of the voters, by the state of a random voter. It removes the slot of a daemon whose disk is not bound to
+// that slot, if there is one: the disk was lost, or the voter has not started yet. Otherwise it adds a random daemon if there are at
+// most Options.Voters slots, and removes a random voter if there are more.
+func (s *Simulation) reconfigure() {
+	if s.isQuiescent {
+		return
+	}
+	s.schedule(nil, s.Now+s.options.ReconfigurationInterval, s.reconfigure)
+	proposer := s.randomVoter()
+	if proposer == nil {
+		return
+	}
+	slots := proposer.voter.State().VoterSlots
+	var withUnusedSlot, withSlot, withoutSlot []*Node
+	for _, n := range s.Nodes {
+		switch id := proposer.voter.State().VoterID(fmt.Sprint("d", n.index)); {
+		case id == 0:
+			withoutSlot = append(withoutSlot, n)
+		case n.voterID != id:
+			withUnusedSlot = append(withUnusedSlot, n)
+		default:
+			withSlot = append(withSlot, n)
+		}
+	}
+	change := &consensus.VoterChange{Remove: true}
+	switch {
+	case len(withUnusedSlot) > 0:
+		change.Name = fmt.Sprint("d", withUnusedSlot[0].index)
+	case len(slots) <= s.options.Voters && len(withoutSlot) > 0:
+		n := withoutSlot[s.rng.IntN(len(withoutSlot))]
+		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // it can vote again only after a restart with an empty disk
+			s.Crash(n)
+			s.startNode(n)
+		}
+	case len(withSlot) > 0:
+		change.Name = fmt.Sprint("d", withSlot[s.rng.IntN(len(withSlot))].index)
+	}
+	s.schedule(proposer, s.Now, func() {
+		s.callVoter(proposer, func() { _ = proposer.voter.Propose(&consensus.Command{ChangeVoter: change}) })
+	})
+}
+
+// proposePuts begins a change of a document, unless the simulation is quiescent, and proposes each recent change that is not committed
+// to a random voter, as a client does that retries without a response.
+func (s *Simulation) proposePuts() {
+	if !s.isQuiescent {
+		s.lastPut++
+		id := fmt.Sprint("put-", s.lastPut)
+		command := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", s.rng.IntN(3)), Body: []byte(id)}}
+		switch s.lastPut % rejectedPutPeriod {
+		case 0:
+			command.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id + rejectedSuffix)}
+		case rejectedPutPeriod / 4:
+			command.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}
+		case rejectedPutPeriod / 2:
+			command.Put, command.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
+		}
+		s.proposals[id] = &proposal{command: command}
+		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second rejected put is activated by force
+			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
+		}
+	}
+	for i := max(1, s.lastPut-20); i <= s.lastPut; i++ {
+		if p := s.proposals[fmt.Sprint("put-", i)]; !p.isCommitted {
+			if proposer := s.randomVoter(); proposer != nil {
+				s.schedule(proposer, s.Now, func() { s.callVoter(proposer, func() { _ = proposer.voter.Propose(p.command) }) })
+			}
+		}
+	}
+	s.schedule(nil, s.Now+s.options.PutInterval, s.proposePuts)
+}
+
+// forcePendingVersion proposes that the pending version, as a random voter knows it, be activated although some daemons reject it.
+func (s *Simulation) forcePendingVersion() {
+	proposer := s.randomVoter()
+	if proposer == nil {
+		return
+	}
+	s.schedule(proposer, s.Now, func() {
+		s.callVoter(proposer, func() {
+			if state := proposer.voter.State(); state.Pending > state.Active {
+				_ = proposer.voter.Propose(&consensus.Command{Force: state.Pending})
+			}
+		})
+	})
+}
