--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -86,7 +86,7 @@
 func (d *clusterDaemon) awaitReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
 	t.Helper()
 	var last *status.Fleet
-	testpeer.Until(t, what, func() bool {
+	testpeer.Eventually(t, what, func() bool {
 		f, err := status.FetchFleet(d.admin, reportTimeout)
 		if err == nil {
 			last = f
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -21,7 +21,7 @@
 // their requests.
 type testCluster struct {
 	t         *testing.T
-	net       *faultnet.Net
+	net       *faultnet.Network
 	daemons   []*clusterDaemon
 	nodes     [2]*testpeer.Endpoint
 	requests  [2]atomic.Int64
@@ -49,14 +49,14 @@
 			if c.requests[i].Add(1); c.onRequest != nil {
 				c.onRequest(r)
 			}
-			_, err := io.WriteString(nc, testpeer.Served)
+			_, err := io.WriteString(nc, testpeer.ResponseOK)
 			return err == nil
 		})
 	}
 	advertised, listens, voters := map[string]string{}, []string{}, []string{} // the first by name
 	for i := range spec.daemons {
 		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
-		relay, err := c.net.Relay(name, netip.MustParseAddrPort(listen))
+		relay, err := c.net.AddRelay(name, netip.MustParseAddrPort(listen))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 func (c *testCluster) callUntilOnAll(d *clusterDaemon, line string) {
 	c.t.Helper()
 	const want = "on all daemons with version"
-	testpeer.Until(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
+	testpeer.Eventually(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
 }
 
 // awaitEjection waits until the daemons act on a node being manually ejected, or not ejected.
@@ -105,7 +105,7 @@
 	c.t.Helper()
 	began := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s holds node %d for out: %v", d.listen, node, out), func() bool {
+		testpeer.Eventually(c.t, fmt.Sprintf("%s holds node %d for out: %v", d.listen, node, out), func() bool {
 			text := d.callAdmin("settings")
 			return strings.Contains(text, "acting=true") && strings.Contains(text, "name=out/"+c.nodes[node].Addr+" ") == out
 		})
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -271,7 +271,7 @@
 		time.Sleep(rest)
 	}
 	var last *status.CommandResult
-	testpeer.Until(t, "a last put is agreed on", func() bool {
+	testpeer.Eventually(t, "a last put is agreed on", func() bool {
 		var err error
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
 		return err == nil
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -121,7 +121,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	testpeer.Until(t, "the crowd fills the first process", func() bool { return first.descriptorCount() > 200 })
+	testpeer.Eventually(t, "the crowd fills the first process", func() bool { return first.descriptorCount() > 200 })
 	second := p.startDaemon()
 	mu.Lock()
 	others = append(others, second)
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -36,7 +36,7 @@
 	}
 	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // by the draining process: its successor is notified
 	second.terminate(t)
-	testpeer.Until(t, "s-1 is used again", func() bool { return t.Failed() || p.endpoints[1].Requests.Load() > out })
+	testpeer.Eventually(t, "s-1 is used again", func() bool { return t.Failed() || p.endpoints[1].Requests.Load() > out })
 	p.stopLoad(callers)
 	third.terminate(t)
 }
@@ -113,7 +113,7 @@
 			}
 		})
 	}
-	testpeer.Until(t, "all are under way", func() bool { return p.endpoints[0].Requests.Load()+p.endpoints[1].Requests.Load() == 6 })
+	testpeer.Eventually(t, "all are under way", func() bool { return p.endpoints[0].Requests.Load()+p.endpoints[1].Requests.Load() == 6 })
 	second := p.startDaemon()
 	first.signal(t, syscall.SIGHUP)
 	second.awaitAdmin(t, "check", "SUCCESS")
@@ -136,7 +136,7 @@
 	callers := p.startLoad(3)
 	callers.awaitServed(t, 20)
 	second := p.startDaemon()
-	testpeer.Until(t, "the second one listens to operators", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
+	testpeer.Eventually(t, "the second one listens to operators", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
 	second.terminate(t)
 	first.awaitAdmin(t, "check", "SUCCESS")
 	callers.awaitServed(t, 20)
--- a/cmd/tuliprock/hotrestartstage_test.go
+++ b/cmd/tuliprock/hotrestartstage_test.go
@@ -60,7 +60,7 @@
 				return p.writeSlowly(nc)
 			}
 			time.Sleep(2 * time.Millisecond) // its work
-			_, err := io.WriteString(nc, testpeer.Served)
+			_, err := io.WriteString(nc, testpeer.ResponseOK)
 			return err == nil
 		}))
 	}
@@ -142,7 +142,7 @@
 		return ""
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	_, _ = io.WriteString(nc, line+"\n")
 	text, _ := io.ReadAll(nc)
 	return string(text)
@@ -150,7 +150,7 @@
 
 func (p *stagedDaemon) awaitAdmin(t *testing.T, line, want string) {
 	t.Helper()
-	testpeer.Until(t, line+" is answered with "+want, func() bool { return strings.HasPrefix(p.callAdmin(t, line), want) })
+	testpeer.Eventually(t, line+" is answered with "+want, func() bool { return strings.HasPrefix(p.callAdmin(t, line), want) })
 }
 
 // backgroundLoad is clients that send requests all the time: two of three each on a persistent connection, the others on
@@ -197,7 +197,7 @@
 func (l *backgroundLoad) awaitServed(t *testing.T, n int64) {
 	t.Helper()
 	want := l.served.Load() + n
-	testpeer.Until(t, fmt.Sprint(n, " more requests are served"), func() bool { return t.Failed() || l.served.Load() >= want })
+	testpeer.Eventually(t, fmt.Sprint(n, " more requests are served"), func() bool { return t.Failed() || l.served.Load() >= want })
 }
 
 func (p *hotRestartStage) stopLoad(l *backgroundLoad) {
@@ -216,7 +216,7 @@
 // stacks of its goroutines.
 func (p *stagedDaemon) awaitExit(t *testing.T) {
 	t.Helper()
-	stuck := time.AfterFunc(testpeer.Patience, func() { _ = p.cmd.Process.Signal(syscall.SIGQUIT) })
+	stuck := time.AfterFunc(testpeer.Timeout, func() { _ = p.cmd.Process.Signal(syscall.SIGQUIT) })
 	defer stuck.Stop()
 	if err := p.wait(); err != nil {
 		t.Fatalf("a process ends with %v: %s", err, &p.outputBuffer)
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -90,7 +90,7 @@
 		Process: schedule.Process{
 			Rate: schedule.Steady(c.Rate), Gaps: gapsByName[c.Gaps], Tail: 1.5, On: time.Second, Off: time.Second,
 		},
-		Seed: c.Seed, For: c.For, Wait: c.Wait, Connections: c.Connections,
+		Seed: c.Seed, Duration: c.For, ResponseTimeout: c.Wait, Connections: c.Connections,
 	}
 }
 
--- a/cmd/tuliprock/measurementpeer_test.go
+++ b/cmd/tuliprock/measurementpeer_test.go
@@ -55,7 +55,7 @@
 	s := &process{cmd: programCommand()}
 	s.cmd.Env = append(s.cmd.Env, runAsPeerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
 	s.start(t)
-	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(5 * time.Millisecond) {
 		nc, err := net.Dial("tcp", words[1])
 		if err == nil {
 			nc.Close()
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -27,7 +27,7 @@
 
 	away := c.daemons[4]
 	c.net.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
-	testpeer.Until(t, "who is cut off has no lease", func() bool { return strings.Contains(away.callAdmin("settings"), "acting=false") })
+	testpeer.Eventually(t, "who is cut off has no lease", func() bool { return strings.Contains(away.callAdmin("settings"), "acting=false") })
 	c.callUntilOnAll(c.daemons[0], "set-up "+first)
 	c.awaitEjection(c.daemons[:4], 0, false)
 	if n := c.countRequestsAt([]*clusterDaemon{away}, 0); n > 0 {
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -70,7 +70,7 @@
 // awaitText waits until the process has written a text.
 func (s *outputBuffer) awaitText(t *testing.T, want string) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !strings.Contains(s.String(), want); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); !strings.Contains(s.String(), want); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never said %q: %s", want, s)
 		}
--- a/cmd/tuliprock/serve_test.go
+++ b/cmd/tuliprock/serve_test.go
@@ -33,7 +33,7 @@
 	said.awaitText(t, "msg=listening")
 	ask := func() {
 		t.Helper()
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testpeer.Patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testpeer.Timeout}
 		resp, err := client.Get("http://" + listen + "/item/42")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -59,7 +59,7 @@
 	c.t.Helper()
 	began := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
+		testpeer.Eventually(c.t, fmt.Sprintf("%s acts on version %d", d.listen, version), func() bool {
 			s, err := status.FetchVersions(d.admin, reportTimeout)
 			return err == nil && s.HasLease && s.Version >= version
 		})
@@ -84,7 +84,7 @@
 		mu.Lock()
 		clear(marks)
 		mu.Unlock()
-		testpeer.Until(t, "a request marked "+want, func() bool {
+		testpeer.Eventually(t, "a request marked "+want, func() bool {
 			status, _, err := d.get(client, "")
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -170,8 +170,8 @@
 	}
 	send := loadgen.NewHTTP(request, connections, nil)
 	defer send.Close()
-	r, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, For: length,
-		Wait: testpeer.Patience, Connections: connections}, send)
+	r, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, Duration: length,
+		ResponseTimeout: testpeer.Timeout, Connections: connections}, send)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -146,7 +146,7 @@
 // transferUntilAdmitted is transfer, retried while the request is shed: the module admits no more requests at once than its
 // endpoints serve well. It returns how often the request was shed.
 func transferUntilAdmitted(addr, way, query string, n int64, noise bool, rate int) (got string, refused int, err error) {
-	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(100 * time.Millisecond) {
 		got, err = transfer(addr, way, query, n, noise, rate)
 		if !errors.Is(err, errShed) || time.Now().After(end) {
 			return got, refused, err
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -100,7 +100,7 @@
 // put proposes at node i to write the test document, and returns the version that this made.
 func (c *testCluster) put(i int, id, body string) uint64 {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Patience)
+	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Timeout)
 	defer cancel()
 	put := &consensus.DocumentPut{Name: testDocument, Body: []byte(body)}
 	version, err := c.nodes[i].ProposeVersion(ctx, consensus.Command{ID: id, ProposedBy: "test", Put: put})
@@ -119,7 +119,7 @@
 // waitActing does what waitAllActing does for some of the nodes.
 func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
 	c.t.Helper()
-	testpeer.Until(c.t, fmt.Sprint("all act on version ", version), func() bool {
+	testpeer.Eventually(c.t, fmt.Sprint("all act on version ", version), func() bool {
 		for _, n := range nodes {
 			leased, ok := n.Valid()
 			if !ok || leased.Version < version || string(leased.Docs[testDocument].Body) != body {
@@ -139,11 +139,11 @@
 // changeVotersWhenFree repeats changeVoters until it succeeds, that is until no earlier change is in progress.
 func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
 	c.t.Helper()
-	testpeer.Until(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
+	testpeer.Eventually(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
 
 // waitVotes waits until node i votes, or until it does not.
 func (c *testCluster) waitVotes(i int, votes bool) {
 	c.t.Helper()
-	testpeer.Until(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
+	testpeer.Eventually(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
 }
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -254,13 +254,13 @@
 				c.transports, c.nodes = append(c.transports, l), append(c.nodes, n)
 			}
 			for _, n := range c.nodes {
-				testpeer.Until(t, fmt.Sprint("the node acts on version ", f.version), func() bool {
+				testpeer.Eventually(t, fmt.Sprint("the node acts on version ", f.version), func() bool {
 					leased, ok := n.Valid()
 					return ok && leased.Version == f.version
 				})
 				leased, _ := n.Valid()
 				f.checkDocuments(t, leased.Docs)
-				testpeer.Until(t, "the node votes, and its voter has applied the stored version", func() bool {
+				testpeer.Eventually(t, "the node votes, and its voter has applied the stored version", func() bool {
 					s := n.Status()
 					return s.IsVoter && s.CommittedVersion == f.version && s.PendingVersion == f.version && s.FullyActiveVersion == f.version
 				})
@@ -280,7 +280,7 @@
 // checkHistory fails the test unless a node returns the history that the earlier build's daemons returned.
 func (f *earlierFixture) checkHistory(t *testing.T, n *Node) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testpeer.Timeout)
 	defer cancel()
 	r, err := n.Propose(ctx, consensus.Command{Read: &consensus.DocumentVersion{}})
 	if err != nil {
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -48,14 +48,14 @@
 	}
 	waitActing := func(n *Node, version uint64) {
 		t.Helper()
-		testpeer.Until(t, fmt.Sprint("the node acts on version ", version), func() bool {
+		testpeer.Eventually(t, fmt.Sprint("the node acts on version ", version), func() bool {
 			leased, ok := n.Valid()
 			return ok && leased.Version == version
 		})
 	}
 	waitActing(other, put("good"))
 	bad := put("bad")
-	testpeer.Until(t, "both daemons report why the version is rejected", func() bool {
+	testpeer.Eventually(t, "both daemons report why the version is rejected", func() bool {
 		leader, rejecting := voter.Status(), other.Status()
 		return len(leader.Lagging) == 1 && leader.Lagging[0].Daemon == "o" &&
 			strings.Contains(leader.Lagging[0].Reason, "it is bad") &&
@@ -65,10 +65,10 @@
 		t.Fatal(err)
 	}
 	waitActing(voter, bad)
-	testpeer.Until(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := other.Valid(); return !ok })
+	testpeer.Eventually(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := other.Valid(); return !ok })
 	good := put("better")
 	waitActing(other, good)
-	testpeer.Until(t, "both daemons report that all act on the latest version", func() bool {
+	testpeer.Eventually(t, "both daemons report that all act on the latest version", func() bool {
 		return other.Status().FullyActiveVersion == good && voter.Status().FullyActiveVersion == good
 	})
 }
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -49,7 +49,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			testpeer.Until(t, c.daemon+" votes", func() bool { return n.Status().IsVoter })
+			testpeer.Eventually(t, c.daemon+" votes", func() bool { return n.Status().IsVoter })
 			if err := n.Close(); err != nil {
 				t.Error(err)
 			}
@@ -63,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Until(t, "the daemon gives up starting a voter", func() bool {
+		testpeer.Eventually(t, "the daemon gives up starting a voter", func() bool {
 			hasGivenUp := make(chan bool, 1)
 			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.localVoter == nil })
 			return <-hasGivenUp
@@ -136,7 +136,7 @@
 	c.changeVotersWhenFree(3, "s5", false)
 	c.waitVotes(5, true)
 	c.waitAllActing(c.put(5, "d", "four"), "four")
-	testpeer.Until(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
+	testpeer.Eventually(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
 			return strings.Join(n.Status().ActiveVoters, " ") != "s3 s4 s5"
 		})
@@ -151,7 +151,7 @@
 	c.nodes[1].Close()
 	c.disks[1] = simdisk.New()
 	c.start(1)
-	testpeer.Until(t, "s1 learns that its disk is lost", func() bool {
+	testpeer.Eventually(t, "s1 learns that its disk is lost", func() bool {
 		isLost := make(chan bool, 1)
 		c.nodes[1].submit(t.Context(), func() { isLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
 		return <-isLost
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -44,10 +44,10 @@
 	c.disks[1].Fail(0)
 	fourth := c.put(2, "d", "four")
 	c.waitAllActing(fourth, "four")
-	testpeer.Until(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
+	testpeer.Eventually(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
 
 	abort(t, c.transports[2]) // of the three voters, only s0 is left
-	testpeer.Until(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
+	testpeer.Eventually(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	put := consensus.Command{Put: &consensus.DocumentPut{Name: testDocument}}
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -37,7 +37,7 @@
 	defer conn.Close()
 	options := testOptions("a")
 	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", RunID: 5, Kind: 'x'}))
-	testpeer.Until(t, "it is counted", func() bool { return b.Metrics().Foreign == before+1 })
+	testpeer.Eventually(t, "it is counted", func() bool { return b.Metrics().Foreign == before+1 })
 	select {
 	case m := <-b.Messages():
 		t.Errorf("delivered: %+v", m)
@@ -58,7 +58,7 @@
 func TestDroppedPacketsAreCountedByReasonAndHaveNoEffect(t *testing.T) {
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
-	testpeer.Until(t, "a and b are members", func() bool { return len(a.View().Members) == 2 })
+	testpeer.Eventually(t, "a and b are members", func() bool { return len(a.View().Members) == 2 })
 	conn, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)}, net.UDPAddrFromAddrPort(a.Addr()))
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 		t.Run(name, func(t *testing.T) {
 			before := row.count(a.Metrics())
 			send(row.datagram)
-			testpeer.Until(t, "it is counted", func() bool { return row.count(a.Metrics()) == before+1 })
+			testpeer.Eventually(t, "it is counted", func() bool { return row.count(a.Metrics()) == before+1 })
 		})
 	}
 	if stateOf(a, "x") != "unknown" {
@@ -100,17 +100,17 @@
 	}
 
 	send(valid)
-	testpeer.Until(t, "the valid one has an effect", func() bool { return stateOf(a, "x") != "unknown" })
+	testpeer.Eventually(t, "the valid one has an effect", func() bool { return stateOf(a, "x") != "unknown" })
 	send(valid)
-	testpeer.Until(t, "its replay is counted", func() bool { return a.Metrics().Replayed == 1 })
-	testpeer.Until(t, "a source over its rate is dropped", func() bool {
+	testpeer.Eventually(t, "its replay is counted", func() bool { return a.Metrics().Replayed == 1 })
+	testpeer.Eventually(t, "a source over its rate is dropped", func() bool {
 		for range 500 {
 			send(altered)
 		}
 		return a.Metrics().RateLimited > 1000
 	})
 	before := a.Metrics().Received
-	testpeer.Until(t, "b is received meanwhile", func() bool {
+	testpeer.Eventually(t, "b is received meanwhile", func() bool {
 		send(altered)
 		return a.Metrics().Received > before+5 && stateOf(a, "b") == "alive"
 	})
@@ -125,5 +125,5 @@
 	defer conn.Close()
 	before := a.Metrics().Malformed
 	conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	testpeer.Until(t, "it is counted", func() bool { return a.Metrics().Malformed > before })
+	testpeer.Eventually(t, "it is counted", func() bool { return a.Metrics().Malformed > before })
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	a = start(t, testOptions("a"))
 	b = start(t, testOptions("b", a.Addr()))
-	testpeer.Until(t, "a and b are alive to one another", func() bool {
+	testpeer.Eventually(t, "a and b are alive to one another", func() bool {
 		return stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 	})
 	return a, b
@@ -67,18 +67,18 @@
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
 	c := start(t, testOptions("c", a.Addr()))
-	testpeer.Until(t, "all have three members", func() bool {
+	testpeer.Eventually(t, "all have three members", func() bool {
 		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 &&
 			b.View().Connectivity == swim.FullyConnected
 	})
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
+	testpeer.Eventually(t, "c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
 	if err := b.Abort(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "b has failed", func() bool { return stateOf(a, "b") == "failed" })
+	testpeer.Eventually(t, "b has failed", func() bool { return stateOf(a, "b") == "failed" })
 }
 
 func TestKeyRotationKeepsMembersConnected(t *testing.T) {
@@ -100,7 +100,7 @@
 			tr.Reconfigure(options)
 		}
 		before := a.Metrics().Received
-		testpeer.Until(t, step.name+": they exchange packets", func() bool {
+		testpeer.Eventually(t, step.name+": they exchange packets", func() bool {
 			return a.Metrics().Received > before+3 && stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 		})
 	}
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -27,7 +27,7 @@
 	f := &clientFixture{updates: make(chan ListUpdate, 100), failures: make(chan bool, 100), queries: queries}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
 	f.OnUpdate, f.OnWatchEnd = func(m ListUpdate) { f.updates <- m }, func() { f.failures <- true }
-	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
+	f.idleTimeout, f.firstByteTimeout = testpeer.Timeout, testpeer.Timeout
 	if change != nil {
 		change(f.AgentClient)
 	}
@@ -39,7 +39,7 @@
 // serveScript runs an agent that responds to each request with the next step, and sends nothing once there is none.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
-	s := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	s := &testpeer.ScriptedAgent{Steps: steps, Calls: make(chan string, 100)}
 	return serveHandler(t, s), s.Calls
 }
 
@@ -61,7 +61,7 @@
 			if got != want {
 				t.Errorf("query %q, want %q", got, want)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatalf("query %q was not received", want)
 		}
 	}
@@ -75,7 +75,7 @@
 			if *update.Version != want {
 				t.Errorf("version %d, want %d", *update.Version, want)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatalf("version %d was not delivered", want)
 		}
 	}
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -105,7 +105,7 @@
 			server.SetFault(fault, 0)
 			if fault == fake.DNSEmpty { // a valid response, and no failure
 				before := server.Queries.Load()
-				testpeer.Until(t, "further queries arrive", func() bool { return server.Queries.Load() > before+4 })
+				testpeer.Eventually(t, "further queries arrive", func() bool { return server.Queries.Load() > before+4 })
 			} else {
 				f.expectFailure(t)
 			}
@@ -136,14 +136,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { source.Run(ctx); close(ended) }()
-	testpeer.Until(t, "a query arrives", func() bool { return server.Queries.Load() > 0 })
+	testpeer.Eventually(t, "a query arrives", func() bool { return server.Queries.Load() > 0 })
 	cancel()
 	select {
 	case <-ended:
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("Run has not ended")
 	}
-	testpeer.Until(t, "the resolver's own goroutines end", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
+	testpeer.Eventually(t, "the resolver's own goroutines end", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
 }
 
 func TestIsDNSName(t *testing.T) {
--- a/internal/discovery/polling_test.go
+++ b/internal/discovery/polling_test.go
@@ -54,7 +54,7 @@
 		if !update.Full || !slices.Equal(got, want) {
 			t.Fatalf("update %v, want %v", got, want)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Fatalf("no update, want %v", want)
 	}
 }
@@ -65,7 +65,7 @@
 	case <-f.failures:
 	case update := <-f.updates:
 		t.Fatalf("update %+v, want a failure", update)
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Fatal("no failure was reported")
 	}
 }
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -26,9 +26,9 @@
 	if arrived, isDisconnected := s.arrivalTime(r, now); isDisconnected || arrived != now {
 		t.Errorf("a request that arrived just now: arrival %v ago, disconnected %v, want 0 and false", now.Sub(arrived), isDisconnected)
 	}
-	testpeer.Until(t, "the kernel reports that the last bytes are as old as a stall", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
+	testpeer.Eventually(t, "the kernel reports that the last bytes are as old as a stall", func() bool { age, _ := sinceLastReceive(r); return age >= stallThreshold })
 	idle.client.Close()
-	testpeer.Until(t, "the kernel reports the disconnect", func() bool {
+	testpeer.Eventually(t, "the kernel reports the disconnect", func() bool {
 		_, isDisconnected := sinceLastReceive(r)
 		return isDisconnected
 	})
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -13,7 +13,7 @@
 
 // A request that waits for body memory must be shed by its own deadline, which is shorter than BodyTimeout.
 func TestWaitForBodyMemoryEndsBeforeTheRequestsDeadline(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	pool := body.NewMemoryPool(body.BufferSize)
 	p := startProxy(t, proxyOptions{bodyMemory: pool}, e.Addr)
 	if err := pool.Acquire(t.Context(), body.Size{Bytes: body.BufferSize}); err != nil {
@@ -25,8 +25,8 @@
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	elapsed := time.Since(sentAt)
 	isShed := err == nil && resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
-	if !isShed || elapsed > testpeer.Patience/2 {
-		t.Errorf("response %v, error %v after %v, want status 503 with a Retry-After within %v", resp, err, elapsed, testpeer.Patience/2)
+	if !isShed || elapsed > testpeer.Timeout/2 {
+		t.Errorf("response %v, error %v after %v, want status 503 with a Retry-After within %v", resp, err, elapsed, testpeer.Timeout/2)
 	}
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d requests were forwarded, want 0", n)
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -47,7 +47,7 @@
 		a.mu.Lock()
 		a.arrivedAt[r.Header.Get("Req-Id")] = arrivedAt
 		a.mu.Unlock()
-		io.WriteString(conn, testpeer.Served)
+		io.WriteString(conn, testpeer.ResponseOK)
 	}
 }
 
@@ -71,13 +71,13 @@
 		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
 	}}
 	p := startProxy(t, options, addrs...)
-	descriptorsBefore := testpeer.Descriptors()
+	descriptorsBefore := testpeer.OpenDescriptors()
 	disconnectedAt := disconnectMany(t, p.addr, clientsPerClass)
 	p.awaitNoCalls(t)
-	testpeer.Until(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
-	testpeer.Until(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
+	testpeer.Eventually(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
+	testpeer.Eventually(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
 		_, idle := p.upstream.ResourceCounts()
-		return testpeer.Descriptors() <= descriptorsBefore+2*idle
+		return testpeer.OpenDescriptors() <= descriptorsBefore+2*idle
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -52,7 +52,7 @@
 	var forwarded atomic.Int64 // bytes that the endpoint received
 	endpoint := testpeer.Accept(t, func(conn net.Conn) {
 		defer conn.Close()
-		for b := make([]byte, 1<<10); ; io.WriteString(conn, testpeer.Served) {
+		for b := make([]byte, 1<<10); ; io.WriteString(conn, testpeer.ResponseOK) {
 			n, err := conn.Read(b)
 			if forwarded.Add(int64(n)); err != nil {
 				return
--- a/internal/frontend/dispatch_test.go
+++ b/internal/frontend/dispatch_test.go
@@ -20,7 +20,7 @@
 			received <- true
 			<-respond
 		}
-		io.WriteString(conn, testpeer.Served)
+		io.WriteString(conn, testpeer.ResponseOK)
 		return true
 	})
 	p := startProxy(t, proxyOptions{}, e.Addr)
@@ -39,7 +39,7 @@
 func TestRequestIsNotForwardedToEndpointRemovedDuringDial(t *testing.T) {
 	for _, state := range []string{"Terminating", "Gone"} {
 		t.Run(state, func(t *testing.T) {
-			e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+			e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 			mayDial := make(chan struct{})
 			p := startProxy(t, proxyOptions{canCancel: true, beforeDial: func() { <-mayDial }}, e.Addr)
 			client := p.dialClient(t)
@@ -78,7 +78,7 @@
 	io.WriteString(client, requestText("book", "r1", ""))
 	p.awaitDial(t)
 	p.awaitDial(t)
-	testpeer.Until(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
+	testpeer.Eventually(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
 	close(mayDialAgain)
 	if got := responseStatus(client); got != http.StatusServiceUnavailable { // all endpoints share the keys they have seen
 		t.Errorf("status %d, want 503", got)
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("the pending read returned %v, want io.EOF and no bytes", err)
 	}
 	// net/http sets a read deadline after its ConnState hook has run.
-	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Patience)); err != nil {
+	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(idle.conn); err != nil || len(rest) > 0 {
@@ -162,7 +162,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the request is received", func() (isReceived bool) {
+	testpeer.Eventually(t, "the request is received", func() (isReceived bool) {
 		_ = socket.Control(func(fd uintptr) {
 			n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			isReceived = n > 0
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -56,12 +56,12 @@
 	t.Helper()
 	p := &testProxy{dials: make(chan string, 100)}
 	log := slog.New(slog.DiscardHandler)
-	minimumRate := body.MinimumRate{IdleTimeout: testpeer.Patience}
+	minimumRate := body.MinimumRate{IdleTimeout: testpeer.Timeout}
 	p.upstream = upstream.New(upstream.Options{
 		IdleTimeout:    time.Minute,
 		BodyMemory:     options.bodyMemory,
 		MinimumRate:    minimumRate,
-		DialTimeout:    testpeer.Patience,
+		DialTimeout:    testpeer.Timeout,
 		MaxConnections: 200,
 		OnlyOK:         true,
 		Connect:        p.dialer(options.beforeDial),
@@ -76,9 +76,9 @@
 	serverOptions := Options{
 		MaxHeaderBytes: 16 << 10,
 		MaxBodyBytes:   1 << 20,
-		HeadTimeout:    testpeer.Patience,
-		BodyTimeout:    testpeer.Patience,
-		WriteTimeout:   testpeer.Patience,
+		HeadTimeout:    testpeer.Timeout,
+		BodyTimeout:    testpeer.Timeout,
+		WriteTimeout:   testpeer.Timeout,
 		BodyMemory:     options.bodyMemory,
 		MinRate:        minimumRate,
 		Metrics:        registry,
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	p.addr = socket.Addr().String()
-	listener := NewListener(NewLimitListener(socket, 1000), 1000, testpeer.Patience)
+	listener := NewListener(NewLimitListener(socket, 1000), 1000, testpeer.Timeout)
 	server := p.server.HTTPServer(listener.Track)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -213,15 +213,15 @@
 	t.Helper()
 	select {
 	case <-p.dials:
-	case <-time.After(testpeer.Patience):
-		t.Fatalf("no endpoint was dialed within %v", testpeer.Patience)
+	case <-time.After(testpeer.Timeout):
+		t.Fatalf("no endpoint was dialed within %v", testpeer.Timeout)
 	}
 }
 
 // awaitNoCalls waits until the event loop holds no calls.
 func (p *testProxy) awaitNoCalls(t *testing.T) {
 	t.Helper()
-	testpeer.Until(t, "the event loop holds no calls", func() bool {
+	testpeer.Eventually(t, "the event loop holds no calls", func() bool {
 		calls, _ := p.resourceCounts()
 		return calls == 0
 	})
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -158,10 +158,10 @@
 	t.Helper()
 	endpoint := &recordingEndpoint{response: c.response}
 	if endpoint.response == "" {
-		endpoint.response = testpeer.Served
+		endpoint.response = testpeer.ResponseOK
 	}
 	options := proxyOptions{canCancel: true, bodyMemory: c.bodyMemory, configure: c.configure, configureClass: func(class *Class) {
-		class.MaxStreamDuration = testpeer.Patience
+		class.MaxStreamDuration = testpeer.Timeout
 		if c.configureClass != nil {
 			c.configureClass(class)
 		}
@@ -169,7 +169,7 @@
 	p := startProxy(t, options, testpeer.Accept(t, endpoint.serve).Addr().String())
 	p.server.SetCloseConnections(c.closesConnections)
 	client := p.dialClient(t)
-	_ = client.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = client.SetDeadline(time.Now().Add(testpeer.Timeout))
 	written := make(chan struct{})
 	go func() { // the daemon may not read a rejected request to its end, which would block this write
 		defer close(written)
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	if _, err := io.WriteString(nc, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -79,9 +79,9 @@
 			return false
 		case "slow":
 			time.Sleep(50 * time.Millisecond)
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		default:
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		}
 		return true
 	}
@@ -159,11 +159,11 @@
 	}
 	work.Wait()
 	var got map[string]int64
-	testpeer.Until(t, "it is quiet", func() bool {
+	testpeer.Eventually(t, "it is quiet", func() bool {
 		got = parseMetrics(t, s.adminCommand(t, "vars"))
 		return got["active"] == 0
 	})
-	testpeer.Until(t, "all attempts have come", func() bool { return wrote.Load() >= got["tries"] })
+	testpeer.Eventually(t, "all attempts have come", func() bool { return wrote.Load() >= got["tries"] })
 	for _, class := range []string{"look", "pay", "book"} {
 		sum, want := int64(0), seen["gone "+class]
 		for _, how := range []string{"ok.", "shed.", "errors."} {
@@ -191,7 +191,7 @@
 	release := make(chan struct{})
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		<-release
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
@@ -199,15 +199,15 @@
 	for i := range 5 {
 		work.Go(func() { send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
 	}
-	testpeer.Until(t, "five are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
+	testpeer.Eventually(t, "five are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
 	close(release)
 	work.Wait()
-	testpeer.Until(t, "none is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
+	testpeer.Eventually(t, "none is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
 }
 
 // The response to a command does not wait in the queue of a pool's events, and is bounded in time where the loop hangs.
 func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	jam, jammed := make(chan struct{}), make(chan struct{})
 	s.loop.Post(func(time.Duration) { close(jammed); <-jam })
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	next, err := s.platformConfig.Service()
 	if err != nil {
@@ -259,7 +259,7 @@
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the address is closed", func() bool {
+	testpeer.Eventually(t, "the address is closed", func() bool {
 		nc, err := net.Dial("tcp", was)
 		if err == nil {
 			nc.Close()
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -37,7 +37,7 @@
 
 // One request after another on one connection, through the daemon and an endpoint.
 func BenchmarkServe(b *testing.B) {
-	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(b, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startFromFile(b, parseService(b, listen1+poolOf("a", e.Addr)+lookRoute))
 	nc, in, _ := openConnection(b, s.addressOf("one"))
 	b.ReportAllocs()
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -38,7 +38,7 @@
 		defer d.cluster.mu.Unlock()
 		return d.cluster.daemons == 2
 	}
-	testpeer.Until(t, "two share", func() bool { return shared(s) && shared(other) })
+	testpeer.Eventually(t, "two share", func() bool { return shared(s) && shared(other) })
 	if resp, _ := sendGet(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
 		t.Errorf("%s", resp.Status)
 	}
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -162,7 +162,7 @@
 	var clients sync.WaitGroup
 	for i, addr := range addrs {
 		clients.Go(func() {
-			client := http.Client{Timeout: testpeer.Patience, Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
+			client := http.Client{Timeout: testpeer.Timeout, Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
 			defer client.CloseIdleConnections()
 			for n := range requests {
 				r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/look/x", nil)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -14,7 +14,7 @@
 
 // Idle connections are closed for new clients when connections run short, and no request is lost.
 func TestIdleConnectionsYieldToNewClients(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 100 { // far over the limit
 		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
@@ -26,7 +26,7 @@
 
 // Connections that send nothing, by hundreds, must not block clients that send requests.
 func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 200 {
 		nc, err := net.Dial("tcp", s.addr)
@@ -46,7 +46,7 @@
 
 // A long day brings ever new endpoint IDs at old addresses, request IDs and connections; the state of old ones must go.
 func TestStateOfDepartedEndpointsIsReleased(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
 		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
@@ -54,7 +54,7 @@
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
-	testpeer.Until(t, "clients' connections end", func() bool { return s.connections.ConnectionCount() == 0 })
+	testpeer.Eventually(t, "clients' connections end", func() bool { return s.connections.ConnectionCount() == 0 })
 	left := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
@@ -86,7 +86,7 @@
 			}
 			idle[nc] = true
 			time.Sleep(4 * time.Millisecond) // so that all requests take about the same time
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 			return true
 		})
 		all, addrs = append(all, e), append(addrs, e.Addr)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,8 +17,8 @@
 )
 
 func TestDrainingOrRemovedEndpointGetsNoNewRequests(t *testing.T) {
-	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
 	calls := func() (int32, int32) {
@@ -54,7 +54,7 @@
 		first <- status
 	}()
 	<-came
-	fresh := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	fresh := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	c := s.platformConfig
 	var calls chan string
 	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", fresh.Addr, "Ready")), "SILENT")
@@ -80,7 +80,7 @@
 	}
 	s.terminate()
 	c.Discovery, _ = startDiscovery(t)
-	testpeer.Until(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
+	testpeer.Eventually(t, "the end begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
 		t.Errorf("in flight: %d", status)
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	asked := names.Queries.Load()
-	testpeer.Until(t, "DNS fails", func() bool { return names.Queries.Load() > asked+1 })
+	testpeer.Eventually(t, "DNS fails", func() bool { return names.Queries.Load() > asked+1 })
 	for _, path := range []string{"/file", "/dns"} {
 		if !served(path, "A") {
 			t.Errorf("%s is not served by A any more", path)
@@ -179,6 +179,6 @@
 	write(b)
 	point(b)
 	for _, path := range []string{"/file", "/dns"} {
-		testpeer.Until(t, path+" is served by B", func() bool { return served(path, "B") })
+		testpeer.Eventually(t, path+" is served by B", func() bool { return served(path, "B") })
 	}
 }
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -27,7 +27,7 @@
 	}
 	defer nc.Close()
 	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
-	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Timeout))
 	chunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
 	method, framing, sends := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), textOf(c.size)
 	switch {
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -278,13 +278,13 @@
 		}
 	}
 	t.Logf("%d cells, %d not as the page has them", len(cells), bad.Load())
-	testpeer.Until(t, "all body memory is released", func() bool {
+	testpeer.Eventually(t, "all body memory is released", func() bool {
 		held, waiting := s.bodyMemory.InUse()
 		return held == 0 && waiting == 0
 	})
 	// Idle connections to nodes may stay open: two a pool at most, with a goroutine at the node each.
-	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= before+2*len(cells) })
-	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= files+4*len(cells) })
+	testpeer.Eventually(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= before+2*len(cells) })
+	testpeer.Eventually(t, "descriptors are closed", func() bool { return measureResources().descriptors <= files+4*len(cells) })
 }
 
 func (c *cell) String() string {
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -130,7 +130,7 @@
 // sendOn sends a request on an open connection and reads the response.
 func sendOn(tb testing.TB, nc net.Conn, in *bufio.Reader) *http.Response {
 	tb.Helper()
-	nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -51,7 +51,7 @@
 // startPlatformWith is startPlatform with limits, in JSON, and changes of the configuration.
 func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
-	silent := httptest.NewServer(&testpeer.Discovery{Calls: make(chan string, 100)})
+	silent := httptest.NewServer(&testpeer.ScriptedAgent{Calls: make(chan string, 100)})
 	t.Cleanup(silent.Close)
 	var list []string
 	for i, addr := range addrs {
@@ -153,7 +153,7 @@
 	in := bufio.NewReader(nc)
 	err = r.Write(nc)
 	if err == nil {
-		nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
 		var resp *http.Response
 		if resp, err = http.ReadResponse(in, r); err == nil {
 			io.Copy(io.Discard, resp.Body)
@@ -177,7 +177,7 @@
 // startDiscovery starts a discovery that plays the steps and reports the calls to it.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
-	d := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	d := &testpeer.ScriptedAgent{Steps: steps, Calls: make(chan string, 100)}
 	server := httptest.NewServer(d)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
@@ -193,7 +193,7 @@
 	e = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		arrivals <- true
 		<-release
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	return e, arrivals, release
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -79,7 +79,7 @@
 	for range 4 {
 		e := testpeer.NewEndpoint(tb, func(nc net.Conn, _ *http.Request, _ int) bool {
 			if os.Getenv("CONTROL") != "" { // the same load on nodes that are well
-				io.WriteString(nc, testpeer.Served)
+				io.WriteString(nc, testpeer.ResponseOK)
 				return true
 			}
 			_, _ = nc.Read(make([]byte, 1)) // until the daemon gives it up
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -13,8 +13,8 @@
 
 // A manually ejected endpoint gets no new request until the ejection ends.
 func TestManuallyEjectedEndpointGetsNoRequests(t *testing.T) {
-	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
 	served := func(want int) {
@@ -62,7 +62,7 @@
 
 // A pool that a reload makes has the ejections of before.
 func TestManualEjectionOutlivesReload(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	s.adminCommand(t, "set-down a")
 	next, err := s.platformConfig.Service()
@@ -86,7 +86,7 @@
 
 // A connection that is established after its endpoint was ejected carries nothing; the request is retried elsewhere.
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	s.upstream.SetEjected("a", true) // the module does not know yet
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
@@ -99,8 +99,8 @@
 
 // An endpoint whose ejection ends while it drains, or after it was removed, gets nothing until discovery lists it as ready.
 func TestRestoredEndpointThatIsNotReadyGetsNoRequests(t *testing.T) {
-	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
 	n := 0
 	burst := func(what string) {
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		text := fmt.Appendf(nil, row.text, i)
 		go func() {
 			if !row.pieces {
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	_, _ = fmt.Fprintf(nc, "POST /pay%sReq-Id: e\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", fields)
 	in := bufio.NewReader(nc)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
@@ -117,7 +117,7 @@
 		"it does not say so":   {"HTTP/1.1 200 OK\r\n\r\nhello", 502, ""},
 		"it says another word": {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
 	} {
-		e := testpeer.NewEndpoint(t, testpeer.Says(row.text, false))
+		e := testpeer.NewEndpoint(t, testpeer.RespondWith(row.text, false))
 		s := startPlatform(t, e.Addr)
 		status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
 		if status != row.status || status == 200 && body != row.body {
@@ -176,7 +176,7 @@
 		})
 	}
 	work.Wait()
-	testpeer.Until(t, "no memory is reserved", func() bool {
+	testpeer.Eventually(t, "no memory is reserved", func() bool {
 		held, waiting := s.bodyMemory.InUse()
 		return held == 0 && waiting == 0
 	})
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -97,7 +97,7 @@
 			}
 			c.nc, c.in, c.isNew = nc, bufio.NewReader(nc), true
 		}
-		c.nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		c.nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		_, err := io.WriteString(c.nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+this+"\r\n\r\n")
 		var resp *http.Response
 		if err == nil {
@@ -177,7 +177,7 @@
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return resourceLevels{runtime.NumGoroutine(), testpeer.Descriptors(), m.HeapAlloc}
+	return resourceLevels{runtime.NumGoroutine(), testpeer.OpenDescriptors(), m.HeapAlloc}
 }
 
 const (
@@ -197,7 +197,7 @@
 	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
 	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
 	quiet := func() resourceLevels {
-		testpeer.Until(t, "removed listeners have ended", func() bool {
+		testpeer.Eventually(t, "removed listeners have ended", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return len(s.drainingListeners) == 0
@@ -260,7 +260,7 @@
 	s.reload(t, stormFile(0, places, nodes))
 	seen.Clear()
 	var after resourceLevels
-	testpeer.Until(t, "goroutines and descriptors are as before", func() bool {
+	testpeer.Eventually(t, "goroutines and descriptors are as before", func() bool {
 		after = quiet()
 		return after.goroutines <= before.goroutines && after.descriptors <= before.descriptors
 	})
@@ -292,8 +292,8 @@
 	c.drop()
 	for name, serve := range map[string]func(net.Conn, *http.Request, int) bool{
 		"taken and dropped": func(_ net.Conn, r *http.Request, _ int) bool { seen.Store(r.Header.Get("Req-Id"), true); return false },
-		"another's answer":  testpeer.Says(testpeer.Served, true),
-		"an error":          testpeer.Says("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
+		"another's answer":  testpeer.RespondWith(testpeer.ResponseOK, true),
+		"an error":          testpeer.RespondWith("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
 	} {
 		c := &stormClient{seen: &seen}
 		c.send(testpeer.NewEndpoint(t, serve).Addr, "x")
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -65,7 +65,7 @@
 	}
 	select {
 	case <-old.loop.Done():
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("the pool never ended")
 	}
 }
@@ -160,14 +160,14 @@
 			t.Errorf("back at %s: %s", here, resp.Status)
 		}
 	}
-	testpeer.Until(t, "the old address is closed", func() bool {
+	testpeer.Eventually(t, "the old address is closed", func() bool {
 		nc, err := net.Dial("tcp", there)
 		if err == nil {
 			nc.Close()
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "no listener is draining", func() bool {
+	testpeer.Eventually(t, "no listener is draining", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.drainingListeners) == 0
@@ -194,7 +194,7 @@
 	}
 	busy.Wait()
 	s.terminate()
-	testpeer.Until(t, "the end begins", func() bool {
+	testpeer.Eventually(t, "the end begins", func() bool {
 		return errors.Is(s.Reload(parseService(t, listen1+poolOf("a", a)+lookRoute)), errShuttingDown)
 	})
 	if err := <-s.serveResult; err != nil {
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -46,7 +46,7 @@
 
 // A request that can't have run may be shed; one that may have run fails, and is sent only once.
 func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says("", false))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	s := startPlatform(t, e.Addr, e.Addr, e.Addr)
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
 		t.Errorf("may have run: %d", status)
@@ -54,7 +54,7 @@
 	if n := e.Requests.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	closed := testpeer.NewEndpoint(t, testpeer.Says("", false))
+	closed := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	closed.Listener.Close()
 	s = startPlatform(t, closed.Addr)
 	status, _, h := send(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
@@ -91,7 +91,7 @@
 	}
 	select {
 	case <-left:
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("the endpoint was left waiting")
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 func TestInvalidRequestReachesNoEndpoint(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
@@ -176,7 +176,7 @@
 
 // A body that never ends must not hold its connection, whatever else is wrong with the request.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	shortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
 	s := startPlatformWith(t, "{}", []func(*config.Service){shortTimeout}, e.Addr)
 	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
@@ -185,7 +185,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
-		nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
 		text, err := io.ReadAll(nc) // to the end of the connection
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
 			t.Errorf("%s: %q, %v", name, text, err)
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -142,7 +142,7 @@
 // A request that its client declares a retry spares its tenant's quota: that is believed only where the class says so.
 func TestRetryHeaderIsTrustedOnlyWhereConfigured(t *testing.T) {
 	for header, want := range map[string]bool{"": false, "Req-Retry": true} {
-		e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+		e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 		repeats := make(chan bool, 1)
 		decide := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return &recordingEvents{Events: eventloop.NewBalancer(now, s, h), isRetry: repeats}
@@ -178,7 +178,7 @@
 
 // A target that two readers could understand differently is rejected before routing.
 func TestAmbiguousTargetsAreRejected(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startFromFile(t, parseService(t, listen1+poolOf("a", e.Addr)+lookRoute))
 	for name, text := range map[string]string{
 		"two hosts":          "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
@@ -202,7 +202,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		io.WriteString(nc, text)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode > 499 || resp.StatusCode == http.StatusTooManyRequests {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -70,7 +70,7 @@
 	before, after := []*bufio.Reader{hung("1", "look"), hung("2", "pay")}, []*bufio.Reader(nil)
 	began := time.Now()
 	s.terminate()
-	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
+	testpeer.Eventually(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
 	after = append(after, hung("3", "look"), hung("4", "pay"))
 	for i, in := range append(before, after...) {
 		resp, err := http.ReadResponse(in, nil)
@@ -120,7 +120,7 @@
 			came <- true
 			<-release
 		}
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startPlatform(t, e.Addr)
@@ -146,7 +146,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
-	testpeer.Until(t, "the listener closes", func() bool {
+	testpeer.Eventually(t, "the listener closes", func() bool {
 		nc, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			nc.Close()
@@ -165,7 +165,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("never ended")
 	}
 }
@@ -174,14 +174,14 @@
 func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("Req-Id") != "long" {
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		}
 		return true
 	})
 	s := startPlatform(t, e.Addr)
 	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
 	s.terminate()
-	testpeer.Until(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
+	testpeer.Eventually(t, "the end is near", func() bool { return s.frontend.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -28,7 +28,7 @@
 			hidden[r.Host]++
 		}
 		mu.Unlock()
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+poolOf("a", e.Addr)+payRoute))
@@ -76,7 +76,7 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(testpeer.Patience))
+			nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 			io.WriteString(nc, strings.ReplaceAll(shape.text, "Host: h\r", "Host: "+host(i)+"\r"))
 			// A client that closes its side looks like one that has disconnected: before the response, only a body that
 			// waits for more is ended so.
@@ -115,7 +115,7 @@
 // A regression test: net/http drops Content-Length beside Transfer-Encoding, and the bytes of the body behind the last
 // chunk were forwarded to endpoints as a request of their own.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 60000\r\n"
 	hidden := "0\r\n\r\nPOST /pay" + fields + "Req-Id: hidden\r\nContent-Length: 0\r\n\r\n"
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		_, _ = fmt.Fprintf(nc, "POST /pay"+fields+"Req-Id: outer\r\n"+framing+"\r\n%s", len(hidden), hidden)
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -58,7 +58,7 @@
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("a closed handle ended with %v", err)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("a closed handle still accepts")
 		}
 		h, ended = next, nextEnded
@@ -66,7 +66,7 @@
 	for range clients {
 		select {
 		case <-accepted:
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("a connection was lost")
 		}
 	}
@@ -98,7 +98,7 @@
 		go func() { _, err := h.Accept(); ended <- err }()
 	}
 	for _, h := range handles {
-		testpeer.Until(t, "it accepts", func() bool { return h.accepting.Load() > 0 })
+		testpeer.Eventually(t, "it accepts", func() bool { return h.accepting.Load() > 0 })
 	}
 	for i, h := range handles {
 		if i%4 == 3 { // two at once
@@ -113,7 +113,7 @@
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("ended with %v", err)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("one still accepts")
 		}
 	}
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
+	nc.SetDeadline(time.Now().Add(2 * testpeer.Timeout))
 	_, _ = fmt.Fprintf(nc, "POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", size)
 	answer = make(chan string, 1)
 	go func() {
@@ -173,7 +173,7 @@
 		if r.Method == http.MethodPost {
 			reached.Add(1)
 		}
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+"flow_idle = \"1s\"\n"+poolOf("a", e.Addr)+payRoute))
--- a/internal/testkit/baseline/plain.go
+++ b/internal/testkit/baseline/baseline.go
@@ -22,14 +22,14 @@
 	"least-outstanding": leastOutstanding,
 }
 
-// Names are the pickers, in order.
-func Names() []string { return []string{"random", "round-robin", "least-outstanding"} }
+// PolicyNames are the pickers, in order.
+func PolicyNames() []string { return []string{"random", "round-robin", "least-outstanding"} }
 
 // New gives the BalancerFactory of a name.
 func New(name string) (eventloop.BalancerFactory, error) {
 	p, ok := picks[name]
 	if !ok {
-		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(PolicyNames(), ", "))
 	}
 	return func(_ time.Duration, s balance.Settings, h balance.Host) balance.Events {
 		b := &balancer{host: h, s: s, pick: p, rng: rand.New(rand.NewPCG(s.Seed, 0x706c61696e)), effects: map[string]balance.Idempotency{},
--- a/internal/testkit/baseline/plain_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -68,7 +68,7 @@
 }
 
 func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		for _, c := range []struct {
 			class           string
 			result          balance.Result
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -77,7 +77,7 @@
 	if l := a.NotifiedList(); len(l.Servers) != 1 || l.Servers[0].ID != "b" {
 		t.Errorf("notified list: %+v", l)
 	}
-	testpeer.Until(t, "notified that a is gone", func() bool {
+	testpeer.Eventually(t, "notified that a is gone", func() bool {
 		events, _ := rec.Events()
 		for _, e := range events {
 			if e.Kind == invariant.NodeStateNotified && e.Node == "a" && e.State == invariant.Gone && e.Sidecar == "s1" {
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -44,11 +44,11 @@
 			id := fmt.Sprint("r", b.n+1)
 			b.rec.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
 			b.write(t, nc, readClass, "", 100*time.Millisecond)
-			testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
+			testpeer.Eventually(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
 		}
 		fell := n == 60
 		if fell {
-			testpeer.Until(t, "down", func() bool { return !b.IsUp() })
+			testpeer.Eventually(t, "down", func() bool { return !b.IsUp() })
 			if _, err := b.Start(true); err == nil {
 				t.Error("the collapsed node starts again")
 			}
@@ -70,11 +70,11 @@
 	for range 20 {
 		b.write(t, b.dial(t), readClass, "", 30*time.Millisecond)
 	}
-	testpeer.Until(t, "slow", func() bool { return b.WasOverloaded() })
+	testpeer.Eventually(t, "slow", func() bool { return b.WasOverloaded() })
 	if got := b.coreSpeed(b.incarnation); got != 1.0/3 {
 		t.Errorf("core speed %v", got)
 	}
-	testpeer.Until(t, "recovered", func() bool { return b.coreSpeed(b.incarnation) == 1 })
+	testpeer.Eventually(t, "recovered", func() bool { return b.coreSpeed(b.incarnation) == 1 })
 	if b.count(invariant.AttemptCompleted, "") != 20 {
 		t.Error("the node recovered before it was idle")
 	}
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
+	nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
 	return nc
 }
 
@@ -128,11 +128,11 @@
 		lines = append(lines, nc)
 		n := b.count(invariant.AttemptReceived, "")
 		b.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, "") > n })
-		testpeer.Until(t, "in flight", func() bool { return b.InFlight() > n })
+		testpeer.Eventually(t, "received", func() bool { return b.count(invariant.AttemptReceived, "") > n })
+		testpeer.Eventually(t, "in flight", func() bool { return b.InFlight() > n })
 	}
 	third := b.dial(t)
-	testpeer.Until(t, "one request waits", func() bool {
+	testpeer.Eventually(t, "one request waits", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.incarnation.slots.mu.Lock()
@@ -155,7 +155,7 @@
 	b := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := b.dial(t), b.dial(t)
 	id := b.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
+	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
 	b.Drain()
 	b.write(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := read(t, second); status != 503 || !rejected {
@@ -246,10 +246,10 @@
 	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	id := b.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
+	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Until(t, "drop recorded", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
-	testpeer.Until(t, "request completed", func() bool { return b.count(invariant.AttemptCompleted, id) == 1 })
+	testpeer.Eventually(t, "drop recorded", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Eventually(t, "request completed", func() bool { return b.count(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
@@ -257,13 +257,13 @@
 	b.SetHangShare(1)
 	nc := b.dial(t)
 	id := b.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
+	testpeer.Eventually(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 0 {
 		t.Errorf("hang fault: %v", err)
 	}
 	nc.Close()
-	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Eventually(t, "dropped", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
 	b.SetHangShare(0)
 	b.SetResetShare(1)
 	nc = b.dial(t)
@@ -285,7 +285,7 @@
 	b := newNodeFixture(t, nil)
 	nc := b.dial(t)
 	b.write(t, nc, readClass, "", time.Minute)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, "") == 1 })
+	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, "") == 1 })
 	addr := b.Addr
 	b.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -37,8 +37,8 @@
 	stall       = 5 * time.Millisecond // between two looks at a link that is cut
 )
 
-// Net is relays and the links between them.
-type Net struct {
+// Network is relays and the links between them.
+type Network struct {
 	ctx   context.Context
 	stop  context.CancelFunc
 	parts sync.WaitGroup
@@ -54,19 +54,19 @@
 
 type pair struct{ from, to string }
 
-// New makes a Net without relays. What chance decides is drawn from the seed; note is told of each change of a link and
+// New makes a Network without relays. What chance decides is drawn from the seed; note is told of each change of a link and
 // may be nil.
-func New(seed uint64, note func(text string)) *Net {
+func New(seed uint64, note func(text string)) *Network {
 	if note == nil {
 		note = func(string) {}
 	}
-	n := &Net{rng: rand.New(rand.NewPCG(seed, 2)), links: map[pair]Link{}, names: map[netip.Addr]string{}, conns: map[net.Conn]pair{}, note: note}
+	n := &Network{rng: rand.New(rand.NewPCG(seed, 2)), links: map[pair]Link{}, names: map[netip.Addr]string{}, conns: map[net.Conn]pair{}, note: note}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
 
 // Close ends all relays and returns when nothing of them runs any more.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.stop()
 	n.mu.Lock()
 	for nc := range n.conns {
@@ -76,9 +76,9 @@
 	n.parts.Wait()
 }
 
-// Relay makes a relay for the process of a name, which sends from the address of at and is heard there. What others
+// AddRelay makes a relay for the process of a name, which sends from the address of at and is heard there. What others
 // are to be told is given back.
-func (n *Net) Relay(name string, at netip.AddrPort) (netip.AddrPort, error) {
+func (n *Network) AddRelay(name string, at netip.AddrPort) (netip.AddrPort, error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -102,7 +102,7 @@
 }
 
 // Set makes the link from one process to another what it is from now on.
-func (n *Net) Set(from, to string, l Link) {
+func (n *Network) Set(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[pair{from, to}] = l
@@ -117,13 +117,13 @@
 }
 
 // Between sets the links between all of one group and all of the other, both ways.
-func (n *Net) Between(some, others []string, l Link) {
+func (n *Network) Between(some, others []string, l Link) {
 	n.OneWay(some, others, l)
 	n.OneWay(others, some, l)
 }
 
 // OneWay sets the links from all of one group to all of the other.
-func (n *Net) OneWay(some, others []string, l Link) {
+func (n *Network) OneWay(some, others []string, l Link) {
 	for _, a := range some {
 		for _, b := range others {
 			if a != b {
@@ -134,7 +134,7 @@
 }
 
 // Heal makes all links pass everything on at once.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.links)
@@ -155,7 +155,7 @@
 	delay       time.Duration
 }
 
-func (n *Net) draw(p pair) way {
+func (n *Network) draw(p pair) way {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	w := way{Link: n.links[p]}
@@ -167,14 +167,14 @@
 	return w
 }
 
-func (n *Net) nameOf(a netip.Addr) string {
+func (n *Network) nameOf(a netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.names[a.Unmap()]
 }
 
 // datagrams passes on what comes for a process. It goes on from the relay's own socket: who sent it stands in it.
-func (n *Net) datagrams(udp *net.UDPConn, to string, at netip.AddrPort) {
+func (n *Network) datagrams(udp *net.UDPConn, to string, at netip.AddrPort) {
 	b := make([]byte, 64<<10)
 	for {
 		size, from, err := udp.ReadFromUDPAddrPort(b)
@@ -195,7 +195,7 @@
 	}
 }
 
-func (n *Net) pass(udp *net.UDPConn, to netip.AddrPort, b []byte, delay time.Duration) {
+func (n *Network) pass(udp *net.UDPConn, to netip.AddrPort, b []byte, delay time.Duration) {
 	if delay <= 0 {
 		_, _ = udp.WriteToUDPAddrPort(b, to) // a process that is gone is a loss
 		return
@@ -215,7 +215,7 @@
 }
 
 // streams passes connections on to a process.
-func (n *Net) streams(l net.Listener, to string, at netip.AddrPort) {
+func (n *Network) streams(l net.Listener, to string, at netip.AddrPort) {
 	room := make(chan struct{}, mostConns)
 	for {
 		in, err := l.Accept()
@@ -236,7 +236,7 @@
 	}
 }
 
-func (n *Net) connection(in net.Conn, p pair, at netip.AddrPort) {
+func (n *Network) connection(in net.Conn, p pair, at netip.AddrPort) {
 	defer in.Close()
 	n.hold(in, p)
 	defer n.let(in)
@@ -259,7 +259,7 @@
 	both.Wait()
 }
 
-func (n *Net) hold(nc net.Conn, p pair) {
+func (n *Network) hold(nc net.Conn, p pair) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[nc] = p
@@ -268,14 +268,14 @@
 	}
 }
 
-func (n *Net) let(nc net.Conn) {
+func (n *Network) let(nc net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, nc)
 }
 
 // copy passes one direction of a connection on, to its end.
-func (n *Net) copy(to, from net.Conn, p pair) {
+func (n *Network) copy(to, from net.Conn, p pair) {
 	b := make([]byte, piece)
 	for {
 		size, err := from.Read(b)
@@ -305,7 +305,7 @@
 	}
 }
 
-func (n *Net) wait(d time.Duration) {
+func (n *Network) wait(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -315,7 +315,7 @@
 	}
 }
 
-func (n *Net) waitWhileCut(p pair) {
+func (n *Network) waitWhileCut(p pair) {
 	for n.ctx.Err() == nil && n.draw(p).Cut {
 		n.wait(stall)
 	}
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -36,10 +36,10 @@
 	}
 	a, _, atA := listen("127.0.3.1")
 	b, tcpB, atB := listen("127.0.3.2")
-	if _, err := n.Relay("a", atA); err != nil {
+	if _, err := n.AddRelay("a", atA); err != nil {
 		t.Fatal(err)
 	}
-	toB, err := n.Relay("b", atB)
+	toB, err := n.AddRelay("b", atB)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return nc, nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		return nc, nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	}
 	echo := func(nc net.Conn) error {
 		if _, err := io.WriteString(nc, "x"); err != nil {
@@ -129,7 +129,7 @@
 	if err := echo(nc); err == nil {
 		t.Error("a stream goes on through a cut")
 	}
-	nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	n.Heal()
 	if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil {
 		t.Errorf("what was on its way when the link was cut: %v", err)
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -56,7 +56,7 @@
 }
 
 // Send implements Sender. Its own time to write is that at which the request's head was handed to the connection.
-func (h *HTTP) Send(ctx context.Context, n int64) (a Answer) {
+func (h *HTTP) Send(ctx context.Context, n int64) (a Response) {
 	// The transport calls these from goroutines of its own, also after it has returned.
 	var connections atomic.Int32
 	var wrote atomic.Pointer[time.Time]
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -60,8 +60,8 @@
 // Write writes the result in its versioned form.
 func (r *Result) Write(w io.Writer) error {
 	f := file{Format: Format, Kind: "load", Runs: r.Runs, Valid: r.Invalid == "", Invalid: r.Invalid, Interrupted: r.Interrupted, SentSeconds: r.Sent.Seconds(),
-		Due: r.Due, NotSent: r.NotSent, Resent: r.Resent, Ended: r.Ended(), Latency: r.Latency, All: r.All, Service: r.Service, Own: r.Own,
-		Percentiles: map[string]map[string]string{"all": percentiles(r.All), "service": percentiles(r.Service), "own": percentiles(r.Own)}}
+		Due: r.Due, NotSent: r.NotSent, Resent: r.Resent, Ended: r.Ended(), Latency: r.Latency, All: r.All, Service: r.Service, Own: r.SendLateness,
+		Percentiles: map[string]map[string]string{"all": percentiles(r.All), "service": percentiles(r.Service), "own": percentiles(r.SendLateness)}}
 	for _, s := range r.Seconds {
 		f.Seconds = append(f.Seconds, second{Due: s.Due, NotSent: s.NotSent, Answered: s.Latency.Count(), Latency: s.Latency})
 	}
@@ -85,7 +85,7 @@
 			return nil, fmt.Errorf("a distribution is missing")
 		}
 	}
-	r.All, r.Service, r.Own = f.All, f.Service, f.Own
+	r.All, r.Service, r.SendLateness = f.All, f.Service, f.Own
 	for name, l := range f.Latency {
 		if l == nil {
 			return nil, fmt.Errorf("latency.%s is missing", name)
@@ -119,7 +119,7 @@
 	}
 	r.All.Merge(o.All)
 	r.Service.Merge(o.Service)
-	r.Own.Merge(o.Own)
+	r.SendLateness.Merge(o.SendLateness)
 	for i, s := range o.Seconds {
 		into := r.second(time.Duration(i) * time.Second)
 		into.Due, into.NotSent = into.Due+s.Due, into.NotSent+s.NotSent
@@ -154,7 +154,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Latency)) {
 		row(name, r.Latency[name])
 	}
-	row("own lateness", r.Own)
+	row("own lateness", r.SendLateness)
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = io.WriteString(t, rows.String()) // a Builder takes all that is written to it
 	_ = t.Flush()
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -27,7 +27,7 @@
 		for _, s := range all {
 			at := time.Duration(s.at) * time.Millisecond
 			due := start.Add(at)
-			a := Answer{Status: s.status, Wrote: due.Add(time.Duration(s.late) * time.Millisecond)}
+			a := Response{Status: s.status, Wrote: due.Add(time.Duration(s.late) * time.Millisecond)}
 			if s.status == 0 {
 				a.Failed = FailedBroken
 			}
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -18,7 +18,7 @@
 	Latency              map[string]*schedule.Latency // from when each request was due to its end, by status or by why there is none
 	All                  *schedule.Latency            // of whole answers
 	Service              *schedule.Latency            // of the same, from the first byte written
-	Own                  *schedule.Latency            // our own lateness: from when a request was due to its first byte
+	SendLateness         *schedule.Latency            // our own lateness: from when a request was due to its first byte
 	Seconds              []Second
 
 	Interrupted bool
@@ -42,7 +42,7 @@
 
 func newResult(o Options) *Result {
 	r := &Result{Options: o, Runs: 1, Latency: map[string]*schedule.Latency{}, All: schedule.NewLatency(),
-		Service: schedule.NewLatency(), Own: schedule.NewLatency()}
+		Service: schedule.NewLatency(), SendLateness: schedule.NewLatency()}
 	return r
 }
 
@@ -63,12 +63,12 @@
 }
 
 // take counts a request that has ended.
-func (r *Result) take(at time.Duration, due, done time.Time, a Answer) {
+func (r *Result) take(at time.Duration, due, done time.Time, a Response) {
 	r.Due++
 	s := r.second(at)
 	s.Due++
 	if !a.Wrote.IsZero() {
-		r.Own.Record(a.Wrote.Sub(due))
+		r.SendLateness.Record(a.Wrote.Sub(due))
 	}
 	if a.Resent {
 		r.Resent++
@@ -90,7 +90,7 @@
 
 // judge says whether the figures are the server's.
 func (r *Result) judge() {
-	if late := r.Own.At(0.99); late > r.Options.Late {
-		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", late.Round(10*time.Microsecond), r.Options.Late)
+	if late := r.SendLateness.At(0.99); late > r.Options.MaxSendLateness {
+		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", late.Round(10*time.Microsecond), r.Options.MaxSendLateness)
 	}
 }
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -15,11 +15,11 @@
 // Sender makes one request. It is called from many goroutines at once.
 type Sender interface {
 	// Send sends request n and returns when its answer has come whole, or can't come any more, at the latest when ctx ends.
-	Send(ctx context.Context, n int64) Answer
+	Send(ctx context.Context, n int64) Response
 }
 
-// Answer is what became of a request.
-type Answer struct {
+// Response is what became of a request.
+type Response struct {
 	Wrote  time.Time // its first byte; zero: none was
 	Status int       // 0: no whole answer came
 	Failed string    // why not, in one of a few words
@@ -35,12 +35,12 @@
 
 // Options say what is sent. Zero values are not legal but where said.
 type Options struct {
-	Process     schedule.Process
-	Seed        uint64
-	For         time.Duration
-	Wait        time.Duration // for an answer, from when the request was due
-	Connections int           // requests out at once, each on a connection of its own; those beyond are not sent
-	Late        time.Duration // p99 of our own lateness from which a run is not valid; 0: 10 ms
+	Process         schedule.Process
+	Seed            uint64
+	Duration        time.Duration
+	ResponseTimeout time.Duration // for an answer, from when the request was due
+	Connections     int           // requests out at once, each on a connection of its own; those beyond are not sent
+	MaxSendLateness time.Duration // p99 of our own lateness from which a run is not valid; 0: 10 ms
 }
 
 // defaultLate is the generator's own lateness that still leaves latencies of tens of milliseconds what they are.
@@ -53,11 +53,11 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case o.For <= 0 || o.Wait <= 0 || o.Connections <= 0:
+	case o.Duration <= 0 || o.ResponseTimeout <= 0 || o.Connections <= 0:
 		return nil, errors.New("length, time to wait and connections must be over 0")
 	}
-	if o.Late == 0 {
-		o.Late = defaultLate
+	if o.MaxSendLateness == 0 {
+		o.MaxSendLateness = defaultLate
 	}
 	r := newResult(o)
 	var mu sync.Mutex // r
@@ -67,7 +67,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n := int64(0); ; n++ {
-		at, ok := stream.Next(o.For)
+		at, ok := stream.Next(o.Duration)
 		if !ok || !wait(ctx, timer, start.Add(at)) {
 			break
 		}
@@ -82,7 +82,7 @@
 		}
 		busy.Go(func() {
 			defer func() { <-slots }()
-			out, cancel := context.WithDeadline(context.Background(), due.Add(o.Wait))
+			out, cancel := context.WithDeadline(context.Background(), due.Add(o.ResponseTimeout))
 			defer cancel()
 			a := send.Send(out, n)
 			done := time.Now()
@@ -91,7 +91,7 @@
 			r.take(at, due, done, a)
 		})
 	}
-	r.Sent = min(time.Since(start), o.For)
+	r.Sent = min(time.Since(start), o.Duration)
 	r.Interrupted = ctx.Err() != nil
 	busy.Wait()
 	r.judge()
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -121,7 +121,7 @@
 	}
 	var all []time.Duration
 	for n := int64(0); ; n++ {
-		due, ok := s.Next(o.For)
+		due, ok := s.Next(o.Duration)
 		if !ok {
 			break
 		}
@@ -151,8 +151,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := Options{Process: schedule.Process{Rate: schedule.Steady(100), Gaps: schedule.Exponential}, Seed: 4, For: 20 * time.Second,
-					Wait: 10 * time.Second, Connections: 1000}
+				o := Options{Process: schedule.Process{Rate: schedule.Steady(100), Gaps: schedule.Exponential}, Seed: 4, Duration: 20 * time.Second,
+					ResponseTimeout: 10 * time.Second, Connections: 1000}
 				r := measured(t, o, d)
 				want := expected(t, o, d)
 				for _, s := range shares {
@@ -161,11 +161,11 @@
 						t.Errorf("p%v: %v, want %v to %v", 100*s, got, lo, hi)
 					}
 				}
-				if r.Due != r.Ended()["200"] || r.All.Count() != r.Due || r.NotSent != 0 || r.Invalid != "" || r.Own.Most() > time.Millisecond {
-					t.Errorf("of %d due: %v, not sent %d, %q, late by %v", r.Due, r.Ended(), r.NotSent, r.Invalid, r.Own.Most())
+				if r.Due != r.Ended()["200"] || r.All.Count() != r.Due || r.NotSent != 0 || r.Invalid != "" || r.SendLateness.Most() > time.Millisecond {
+					t.Errorf("of %d due: %v, not sent %d, %q, late by %v", r.Due, r.Ended(), r.NotSent, r.Invalid, r.SendLateness.Most())
 				}
 				if name == "a stall" {
-					closed := closedLoop(t, o.For, d)
+					closed := closedLoop(t, o.Duration, d)
 					t.Logf("p99 with a stall: %v from when requests were due, %v in a closed loop", r.All.At(0.99), closed.At(0.99))
 					if closed.At(0.99) > 20*time.Millisecond || r.All.At(0.99) < time.Second {
 						t.Errorf("p99: %v in a closed loop, %v here", closed.At(0.99), r.All.At(0.99))
@@ -192,11 +192,11 @@
 // Beyond its connections the generator neither waits nor hides what it could not send.
 func TestWhatFindsNoConnectionIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, For: 10 * time.Second, Wait: 2 * time.Second, Connections: 10}
+		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: 10 * time.Second, ResponseTimeout: 2 * time.Second, Connections: 10}
 		r := measured(t, o, delays{each: func(int64) time.Duration { return 500 * time.Millisecond }})
 		// 10 connections serve 20 a second.
-		if r.Due != 1000 || r.NotSent < 790 || r.NotSent > 810 || r.Ended()["200"] != r.Due-r.NotSent || r.Own.Most() > time.Millisecond {
-			t.Errorf("of %d due %d not sent, %v, late by %v", r.Due, r.NotSent, r.Ended(), r.Own.Most())
+		if r.Due != 1000 || r.NotSent < 790 || r.NotSent > 810 || r.Ended()["200"] != r.Due-r.NotSent || r.SendLateness.Most() > time.Millisecond {
+			t.Errorf("of %d due %d not sent, %v, late by %v", r.Due, r.NotSent, r.Ended(), r.SendLateness.Most())
 		}
 	})
 }
@@ -245,7 +245,7 @@
 				}()
 				request, _ := Simple(http.MethodGet, "http://server/", nil, nil)
 				h := NewHTTP(request, 100, m.dial)
-				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, For: time.Second, Wait: 3 * time.Second, Connections: 100}
+				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, Duration: time.Second, ResponseTimeout: 3 * time.Second, Connections: 100}
 				r, err := Run(t.Context(), o, h)
 				if err != nil {
 					t.Fatal(err)
@@ -264,14 +264,14 @@
 // late is a sender that is slow to write.
 type late struct{ by time.Duration }
 
-func (l late) Send(context.Context, int64) Answer {
+func (l late) Send(context.Context, int64) Response {
 	time.Sleep(l.by)
-	return Answer{Wrote: time.Now(), Status: 200}
+	return Response{Wrote: time.Now(), Status: 200}
 }
 
 func TestARunThatIsItselfLateIsNotValid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, For: time.Second, Wait: time.Second, Connections: 100}
+		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 100}
 		for by, valid := range map[time.Duration]bool{time.Millisecond: true, 50 * time.Millisecond: false} {
 			r, err := Run(t.Context(), o, late{by})
 			if err != nil || (r.Invalid == "") != valid {
@@ -285,7 +285,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		o := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, For: time.Hour, Wait: time.Second, Connections: 10}
+		o := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Hour, ResponseTimeout: time.Second, Connections: 10}
 		r, err := Run(ctx, o, late{time.Millisecond})
 		if err != nil || !r.Interrupted || r.Due < 29 || r.Due > 31 || r.Ended()["200"] != r.Due || r.Sent != 3*time.Second {
 			t.Errorf("%v: %+v", err, r)
@@ -294,9 +294,9 @@
 }
 
 func TestOptionsThatCannotBe(t *testing.T) {
-	good := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, For: time.Second, Wait: time.Second, Connections: 1}
-	for name, change := range map[string]func(*Options){"no rate": func(o *Options) { o.Process.Rate = nil }, "no length": func(o *Options) { o.For = 0 },
-		"no wait": func(o *Options) { o.Wait = 0 }, "no connections": func(o *Options) { o.Connections = 0 }} {
+	good := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 1}
+	for name, change := range map[string]func(*Options){"no rate": func(o *Options) { o.Process.Rate = nil }, "no length": func(o *Options) { o.Duration = 0 },
+		"no wait": func(o *Options) { o.ResponseTimeout = 0 }, "no connections": func(o *Options) { o.Connections = 0 }} {
 		o := good
 		change(&o)
 		if _, err := Run(t.Context(), o, late{}); err == nil {
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -92,6 +92,6 @@
 
 // costHint is a client's guess at the work, from half to twice of it.
 func costHint(request *Request) time.Duration {
-	rng := rand.New(rand.NewPCG(request.Draw, sourceJobs))
+	rng := rand.New(rand.NewPCG(request.Seed, sourceJobs))
 	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
 }
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -30,7 +30,7 @@
 // cluster is a cluster of sidecars that is being rehearsed. Its methods do nothing for nil, which is a day without one.
 type cluster struct {
 	rehearsal *rehearsal
-	net       *faultnet.Net
+	net       *faultnet.Network
 	members   map[string]*clusterMember // by the sidecar's name; not written to after buildCluster
 	pollers   sync.WaitGroup
 
@@ -64,7 +64,7 @@
 			return err
 		}
 		listen := netip.MustParseAddrPort(addr)
-		relay, err := c.net.Relay(sidecarName(i), listen)
+		relay, err := c.net.AddRelay(sidecarName(i), listen)
 		if err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestBaselineBalancersAreKnownByName(t *testing.T) {
-	for _, name := range baseline.Names() {
+	for _, name := range baseline.PolicyNames() {
 		if _, err := baseline.New(name); err != nil {
 			t.Error(err)
 		}
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -88,7 +88,7 @@
 		return p.Print
 	}
 	full := filled[Plan]()
-	full.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Draw: 4}
+	full.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Seed: 4}
 	withPeers := exampleResult(Module, 1, 1, 80)
 	withPeers.Cluster = filled[ClusterResult]()
 	withPeers.Invariants.Rules[0].Verdict = invariant.Untested
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -81,7 +81,7 @@
 	rate := schedule.Rate{PerSecond: p.Rate}
 	for _, fault := range p.Faults {
 		if fault.Kind == "surge" {
-			rate.Surges = append(rate.Surges, schedule.Surge{At: fault.At, For: fault.For,
+			rate.Bursts = append(rate.Bursts, schedule.Burst{At: fault.At, For: fault.For,
 				Ramp: time.Duration(surgeRampShare * float64(fault.For)), Factor: fault.Magnitude})
 		}
 	}
@@ -90,7 +90,7 @@
 		shares = append(shares, c.Share)
 	}
 	arrivals, err := schedule.Draw(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenant: usage,
-		Most: maxRequests})
+		MaxArrivals: maxRequests})
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 
 // drawRequest draws a request from the arrival's own source, without its worth.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
-	rng := newSource(a.Draw, sourceJobs)
+	rng := newSource(a.Seed, sourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
 	request := Request{Arrival: a, Retries: b.retries, AttemptTimeout: time.Duration(b.attemptTimeoutShare * float64(deadline))}
 	request.Job = p.drawJob(rng, a.Class, 0, mean)
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -242,7 +242,7 @@
 	for i, request := range r.plan.Requests {
 		arrivals[i] = request.Arrival
 	}
-	schedule.Due(start, arrivals, r.ctx.Done(), func(i int, due time.Time) {
+	schedule.Dispatch(start, arrivals, r.ctx.Done(), func(i int, due time.Time) {
 		r.sendLateness.Record(time.Since(due))
 		r.requests.Add(1)
 		r.inFlight.Add(1)
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Surge multiplies a rate for a while. It rises and falls evenly over Ramp at either end.
-type Surge struct {
+// Burst multiplies a rate for a while. It rises and falls evenly over Ramp at either end.
+type Burst struct {
 	At, For, Ramp time.Duration
 	Factor        float64
 }
 
 // factor is what the surge makes of the rate at an instant.
-func (s Surge) factor(at time.Duration) float64 {
+func (s Burst) factor(at time.Duration) float64 {
 	in, left := at-s.At, s.At+s.For-at
 	switch {
 	case in < 0 || left <= 0:
@@ -28,16 +28,16 @@
 	return 1 + (s.Factor-1)*share
 }
 
-// Rate is a rate of arrivals over time. Surges that overlap multiply.
+// Rate is a rate of arrivals over time. Bursts that overlap multiply.
 type Rate struct {
 	PerSecond float64
-	Surges    []Surge
+	Bursts    []Burst
 }
 
 // At is the rate at an instant, in arrivals a second.
 func (r Rate) At(at time.Duration) float64 {
 	rate := r.PerSecond
-	for _, s := range r.Surges {
+	for _, s := range r.Bursts {
 		rate *= s.factor(at)
 	}
 	return rate
@@ -46,7 +46,7 @@
 // peak is a bound that At never passes.
 func (r Rate) peak() float64 {
 	peak := r.PerSecond
-	for _, s := range r.Surges {
+	for _, s := range r.Bursts {
 		peak *= max(s.Factor, 1)
 	}
 	return peak
@@ -57,7 +57,7 @@
 	At     time.Duration // since the start of the run
 	Class  int
 	Tenant int
-	Draw   uint64 // seeds whatever else is drawn for this arrival, so that order does not matter there
+	Seed   uint64 // seeds whatever else is drawn for this arrival, so that order does not matter there
 }
 
 // Mix says what arrives. Shares are relative weights, of one class or tenant at least.
@@ -65,7 +65,7 @@
 	Rate            Rate
 	Length          time.Duration
 	Classes, Tenant []float64
-	Most            int // arrivals; more are an error, so that memory has a bound
+	MaxArrivals     int // arrivals; more are an error, so that memory has a bound
 }
 
 // Draw draws a Poisson process of the given rate by thinning (Lewis and Shedler, 1979). The same source gives the same
@@ -75,8 +75,8 @@
 	if peak <= 0 || math.IsInf(peak, 0) || math.IsNaN(peak) {
 		return nil, fmt.Errorf("a rate of %v a second can't be drawn", peak)
 	}
-	if expect := peak * m.Length.Seconds(); expect > 4*float64(m.Most) {
-		return nil, fmt.Errorf("up to %.0f arrivals, at most %d are drawn", expect, m.Most)
+	if expect := peak * m.Length.Seconds(); expect > 4*float64(m.MaxArrivals) {
+		return nil, fmt.Errorf("up to %.0f arrivals, at most %d are drawn", expect, m.MaxArrivals)
 	}
 	var out []Arrival
 	for at := 0.0; ; {
@@ -88,10 +88,10 @@
 		if rng.Float64()*peak >= m.Rate.At(instant) {
 			continue
 		}
-		if len(out) == m.Most {
-			return nil, fmt.Errorf("more than %d arrivals", m.Most)
+		if len(out) == m.MaxArrivals {
+			return nil, fmt.Errorf("more than %d arrivals", m.MaxArrivals)
 		}
-		out = append(out, Arrival{At: instant, Class: Pick(rng, m.Classes), Tenant: Pick(rng, m.Tenant), Draw: rng.Uint64()})
+		out = append(out, Arrival{At: instant, Class: Pick(rng, m.Classes), Tenant: Pick(rng, m.Tenant), Seed: rng.Uint64()})
 	}
 }
 
@@ -110,9 +110,9 @@
 	return max(len(weights)-1, 0)
 }
 
-// Due says when each arrival is due, to a function that must not block, until all have been handed over or stop is
+// Dispatch says when each arrival is due, to a function that must not block, until all have been handed over or stop is
 // closed. It never waits for anything but the clock: what became of the ones before does not matter.
-func Due(start time.Time, arrivals []Arrival, stop <-chan struct{}, send func(i int, due time.Time)) {
+func Dispatch(start time.Time, arrivals []Arrival, stop <-chan struct{}, send func(i int, due time.Time)) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for i, a := range arrivals {
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -12,8 +12,8 @@
 )
 
 func mix() Mix {
-	return Mix{Rate: Rate{PerSecond: 200, Surges: []Surge{{At: 10 * time.Second, For: 10 * time.Second, Factor: 3}}},
-		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenant: []float64{1, 1}, Most: 100000}
+	return Mix{Rate: Rate{PerSecond: 200, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Factor: 3}}},
+		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenant: []float64{1, 1}, MaxArrivals: 100000}
 }
 
 func TestTheSameSeedDrawsTheSame(t *testing.T) {
@@ -65,7 +65,7 @@
 }
 
 func TestARampIsEven(t *testing.T) {
-	r := Rate{PerSecond: 100, Surges: []Surge{{At: 10 * time.Second, For: 10 * time.Second, Ramp: 4 * time.Second, Factor: 2}}}
+	r := Rate{PerSecond: 100, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Ramp: 4 * time.Second, Factor: 2}}}
 	for at, want := range map[time.Duration]float64{9: 100, 10: 100, 12: 150, 15: 200, 18: 150, 20: 100, 25: 100} {
 		if got := r.At(at * time.Second); math.Abs(got-want) > 1e-9 {
 			t.Errorf("at %v s: %v, want %v", int(at), got, want)
@@ -75,7 +75,7 @@
 
 func TestWhatIsTooMuchIsAnError(t *testing.T) {
 	for name, change := range map[string]func(*Mix){
-		"too many":   func(m *Mix) { m.Most = 100 },
+		"too many":   func(m *Mix) { m.MaxArrivals = 100 },
 		"far beyond": func(m *Mix) { m.Rate.PerSecond = 1e12 },
 		"no rate":    func(m *Mix) { m.Rate.PerSecond = 0 },
 		"no number":  func(m *Mix) { m.Rate.PerSecond = math.NaN() },
@@ -98,7 +98,7 @@
 		}
 		stall := make(chan struct{})
 		var sent []time.Duration
-		Due(start, arrivals, nil, func(i int, due time.Time) {
+		Dispatch(start, arrivals, nil, func(i int, due time.Time) {
 			sent = append(sent, time.Since(start))
 			go func() { <-stall }() // a server that answers nothing
 		})
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
 		n := 0
-		Due(time.Now(), []Arrival{{}, {At: time.Second}, {At: time.Hour}}, stop, func(i int, _ time.Time) {
+		Dispatch(time.Now(), []Arrival{{}, {At: time.Second}, {At: time.Hour}}, stop, func(i int, _ time.Time) {
 			if n++; i == 1 {
 				close(stop)
 			}
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// Patience is a time that no test should come near.
-const Patience = 20 * time.Second
+// Timeout is a time that no test should come near.
+const Timeout = 20 * time.Second
 
-// Served is an endpoint's good answer.
-const Served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+// ResponseOK is an endpoint's good answer.
+const ResponseOK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 // Endpoint accepts connections and hands each request that comes whole to a function, which returns false to close.
 type Endpoint struct {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Says answers every request with the same bytes, and keeps the connection or not.
-func Says(text string, stay bool) func(net.Conn, *http.Request, int) bool {
+// RespondWith answers every request with the same bytes, and keeps the connection or not.
+func RespondWith(text string, stay bool) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(nc, text) // a client that has left fails, or not, by its own test
 		return stay
@@ -96,18 +96,18 @@
 	return l.Addr().String()
 }
 
-// Until waits for a condition.
-func Until(tb testing.TB, what string, ok func() bool) {
+// Eventually waits for a condition.
+func Eventually(tb testing.TB, what string, ok func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			tb.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// Descriptors is how many files and sockets this process has open.
-func Descriptors() int {
+// OpenDescriptors is how many files and sockets this process has open.
+func OpenDescriptors() int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		panic(err)
@@ -125,14 +125,14 @@
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-// Discovery answers each call with its next step and reports the call. Past the last step it says nothing.
-type Discovery struct {
+// ScriptedAgent answers each call with its next step and reports the call. Past the last step it says nothing.
+type ScriptedAgent struct {
 	Steps []string // lines; "SILENT" at the end holds the connection open
 	Calls chan string
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.Calls <- r.URL.RawQuery
 	if len(s.Steps) == 0 {
 		<-r.Context().Done()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -18,7 +18,7 @@
 // newTestClient returns a Client with one accepting endpoint for each address. Their IDs are a, b and so on.
 func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
-	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: 100, OnlyOK: true})
+	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Timeout, MaxConnections: 100, OnlyOK: true})
 	for i, addr := range addrs {
 		client.SetEndpoint(string(rune('a'+i)), addr, true)
 	}
@@ -42,7 +42,7 @@
 // attempt makes an attempt without hooks and returns its result.
 func attempt(t *testing.T, client *Client, id string, req *Request) balance.Result {
 	t.Helper()
-	r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), id, req, AttemptHooks{})
+	r, _, _ := client.Attempt(contextFor(t, testpeer.Timeout), id, req, AttemptHooks{})
 	return r
 }
 
@@ -53,9 +53,9 @@
 		want     balance.Result // expected result of the attempt
 		keepOpen bool           // the endpoint keeps the connection open after that
 	}{
-		"200":                       {testpeer.Served, balance.OK, true},
+		"200":                       {testpeer.ResponseOK, balance.OK, true},
 		"200 chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.OK, true},
-		"200 after interim":         {"HTTP/1.1 103 Early Hints\r\n\r\n" + testpeer.Served, balance.OK, true},
+		"200 after interim":         {"HTTP/1.1 103 Early Hints\r\n\r\n" + testpeer.ResponseOK, balance.OK, true},
 		"500":                       {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balance.ErrorResponse, true},
 		"503 declined":              {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
 		"504 declined":              {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
@@ -77,15 +77,15 @@
 		"two lengths":               {head + "2\r\nContent-Length: 3\r\n\r\nhi", balance.ErrorResponse, true},
 		"bare line feeds":           {"HTTP/1.1 200 OK\nContent-Length: 2\n\r\n\r\nhi", balance.ErrorResponse, true},
 		"folded field":              {"HTTP/1.1 200 OK\r\nX: y\r\n Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balance.ErrorResponse, true},
-		"another protocol":          {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testpeer.Served, balance.ErrorResponse, true},
-		"only interim responses":    {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 9) + testpeer.Served, balance.ErrorResponse, true},
+		"another protocol":          {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testpeer.ResponseOK, balance.ErrorResponse, true},
+		"only interim responses":    {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 9) + testpeer.ResponseOK, balance.ErrorResponse, true},
 		"unreadable load report":    {"HTTP/1.1 200 OK\r\nSrv-Load: \xff;=,,inflight\r\nContent-Length: 2\r\n\r\nhi", balance.OK, true},
 		"corrupt bytes":             {"\x00\x01\r\n\r\n", balance.ErrorResponse, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := testpeer.NewEndpoint(t, testpeer.Says(row.text, row.keepOpen))
+			e := testpeer.NewEndpoint(t, testpeer.RespondWith(row.text, row.keepOpen))
 			client := newTestClient(t, e.Addr)
-			result, _, response := client.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), AttemptHooks{})
+			result, _, response := client.Attempt(contextFor(t, testpeer.Timeout), "a", getRequest("/c"), AttemptHooks{})
 			if result != row.want {
 				t.Errorf("result %v, want %v", result, row.want)
 			}
@@ -100,14 +100,14 @@
 }
 
 func TestAttemptWithoutConnectionIsConnectFailedOrNotSent(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr)
 	client.dialTimeout = time.Nanosecond
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.ConnectFailed {
 		t.Errorf("dial timeout: result %v, want %v", r, balance.ConnectFailed)
 	}
 	e.Listener.Close()
-	client.dialTimeout = testpeer.Patience
+	client.dialTimeout = testpeer.Timeout
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.ConnectFailed {
 		t.Errorf("connection refused: result %v, want %v", r, balance.ConnectFailed)
 	}
@@ -159,7 +159,7 @@
 				return false
 			})
 			client := newTestClient(t, e.Addr)
-			ctx, cancel := context.WithTimeout(context.Background(), testpeer.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testpeer.Timeout)
 			if want == balance.TimedOut {
 				ctx, cancel = context.WithTimeout(context.Background(), 300*time.Millisecond)
 			} else {
@@ -189,7 +189,7 @@
 				if n > 1 {
 					return false
 				}
-				io.WriteString(nc, testpeer.Served)
+				io.WriteString(nc, testpeer.ResponseOK)
 				return true
 			})
 			client := newTestClient(t, e.Addr)
@@ -199,7 +199,7 @@
 			if r := attempt(t, client, "a", req); r != balance.OK {
 				t.Fatalf("first attempt: result %v, want %v", r, balance.OK)
 			}
-			r, reused, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", req, AttemptHooks{})
+			r, reused, _ := client.Attempt(contextFor(t, testpeer.Timeout), "a", req, AttemptHooks{})
 			if r != balance.Reset || !reused {
 				t.Errorf("second attempt: result %v, reused %v, want %v, true", r, reused, balance.Reset)
 			}
@@ -216,14 +216,14 @@
 	header := make(chan string, 1)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		header <- r.Header.Get("Req-Deadline-Ms")
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	began := time.Now()
 	client := newTestClient(t, e.Addr)
 	connect := client.options.Connect
 	client.options.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		testpeer.Until(t, "dialTime has passed", func() bool { return time.Since(began) > dialTime })
+		testpeer.Eventually(t, "dialTime has passed", func() bool { return time.Since(began) > dialTime })
 		return connect(ctx, network, addr)
 	}
 	req := getRequest("/c")
@@ -248,7 +248,7 @@
 
 // A request must not be sent if its deadline has passed while the process was suspended, be it on a new connection or on an idle one.
 func TestNothingIsSentPastDeadlineAfterProcessPause(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr)
 	for _, row := range []struct {
 		connection string // kind of connection that the attempt uses
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			responded := make(chan bool, 1)
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-				io.WriteString(nc, testpeer.Served)
+				io.WriteString(nc, testpeer.ResponseOK)
 				if n == 1 {
 					<-responded
 					io.WriteString(nc, trailing)
@@ -28,7 +28,7 @@
 				t.Fatalf("first attempt: result %v, want %v", r, balance.OK)
 			}
 			responded <- true
-			testpeer.Until(t, name, func() bool { idle := client.pools["a"].idle; return len(idle) == 0 || !idle[0].hasNoInput() })
+			testpeer.Eventually(t, name, func() bool { idle := client.pools["a"].idle; return len(idle) == 0 || !idle[0].hasNoInput() })
 			if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
 				t.Errorf("second attempt: result %v, want %v", r, balance.OK)
 			}
@@ -40,8 +40,8 @@
 }
 
 func TestConnectionsAreReusedUntilStaleOrAddressChangesOrDraining(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	other := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	other := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr)
 	wantConnections := func(want int32) {
 		t.Helper()
@@ -68,8 +68,8 @@
 }
 
 func TestOldestIdleConnectionIsEvictedAtLimit(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	f := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	f := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr, f.Addr)
 	client.options.MaxConnections = 1
 	for _, id := range []string{"a", "b", "a"} {
@@ -100,7 +100,7 @@
 	for _, id := range []string{"r1", "r2"} {
 		req := getRequest("/c")
 		req.Header.Set("Req-Id", id)
-		r, _, response := client.Attempt(contextFor(t, testpeer.Patience), "a", req, AttemptHooks{})
+		r, _, response := client.Attempt(contextFor(t, testpeer.Timeout), "a", req, AttemptHooks{})
 		if r != balance.OK || string(response.Body) != id {
 			t.Errorf("request %s: result %v, body %q, want %v, %q", id, r, response.Body, balance.OK, id)
 		}
@@ -122,7 +122,7 @@
 		if lastRequest = time.Now(); n == 1 {
 			firstRequest = lastRequest
 		}
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	client := newTestClient(t, e.Addr)
@@ -139,21 +139,21 @@
 // A connection that was acquired for a request that was not sent must keep its idleSince. The endpoint's idle timeout was not reset,
 // and could expire while the next request is on its way.
 func TestUnusedConnectionKeepsItsIdleAge(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr)
 	client.maxIdleAge = 200 * time.Millisecond
 	wantResult := func(isWanted bool, want balance.Result) {
 		t.Helper()
 		hooks := AttemptHooks{IsWanted: func() bool { return isWanted }}
-		if r, _, _ := client.Attempt(contextFor(t, testpeer.Patience), "a", getRequest("/c"), hooks); r != want {
+		if r, _, _ := client.Attempt(contextFor(t, testpeer.Timeout), "a", getRequest("/c"), hooks); r != want {
 			t.Fatalf("result %v, want %v", r, want)
 		}
 	}
 	wantResult(true, balance.OK)
 	responded := time.Now()
-	testpeer.Until(t, "half of maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge/2 })
+	testpeer.Eventually(t, "half of maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge/2 })
 	wantResult(false, balance.NotSent)
-	testpeer.Until(t, "maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge })
+	testpeer.Eventually(t, "maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge })
 	wantResult(true, balance.OK)
 	if n := e.Connections.Load(); n != 2 {
 		t.Errorf("the endpoint accepted %d connections, want 2", n)
@@ -163,7 +163,7 @@
 func TestHasIdleDetectsClosedConnection(t *testing.T) {
 	release := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		<-release
 		return false
 	})
@@ -178,7 +178,7 @@
 		t.Error("HasIdle is false after a response, want true")
 	}
 	close(release)
-	testpeer.Until(t, "HasIdle is false after the endpoint has closed the connection", func() bool { return !client.HasIdle("a") })
+	testpeer.Eventually(t, "HasIdle is false after the endpoint has closed the connection", func() bool { return !client.HasIdle("a") })
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if client.openCount != 0 {
@@ -189,9 +189,9 @@
 // With Options.DialInsteadOfWaiting, a request does not wait for the reuse delay of a connection while fewer than MaxConnections are
 // open.
 func TestClientDialsInsteadOfWaitingForReuseDelay(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	for _, limit := range []int{1, 2} {
-		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Patience, MaxConnections: limit, DialInsteadOfWaiting: true})
+		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Timeout, MaxConnections: limit, DialInsteadOfWaiting: true})
 		client.reuseDelay = 30 * time.Millisecond
 		client.SetEndpoint("a", e.Addr, true)
 		for range 2 {
