--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline has textbook pickers that run behind the daemon's own sockets, to set beside the decision module. They
-// keep the rule on effects, and know nothing of load, cold starts or room.
+// Package baseline implements textbook load-balancing policies as balancers that the daemon can run in place of package
+// balance, so that results can be compared. Like balance they never resend non-idempotent work that may have run, but they
+// take no account of load, slow start or concurrency limits.
 package baseline
 
 import (
@@ -13,65 +14,70 @@
 	"tuliprock/internal/eventloop"
 )
 
-// pick chooses among endpoints that may be called; there is one at least.
-type pick func(b *balancer, among []string) string
+// policy chooses the endpoint of an attempt from a sorted, non-empty list of endpoint IDs.
+type policy func(b *balancer, candidates []string) string
 
-var picks = map[string]pick{
-	"random":            func(b *balancer, among []string) string { return among[b.rng.IntN(len(among))] },
+var policies = map[string]policy{
+	"random":            func(b *balancer, candidates []string) string { return candidates[b.rng.IntN(len(candidates))] },
 	"round-robin":       roundRobin,
 	"least-outstanding": leastOutstanding,
 }
 
-// PolicyNames are the pickers, in order.
+// PolicyNames returns the names of all policies, in a fixed order.
 func PolicyNames() []string { return []string{"random", "round-robin", "least-outstanding"} }
 
-// New gives the BalancerFactory of a name.
+// New returns a factory of balancers that use the policy of the given name.
 func New(name string) (eventloop.BalancerFactory, error) {
-	p, ok := picks[name]
+	p, ok := policies[name]
 	if !ok {
 		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(PolicyNames(), ", "))
 	}
 	return func(_ time.Duration, s balance.Settings, h balance.Host) balance.Events {
-		b := &balancer{host: h, s: s, pick: p, rng: rand.New(rand.NewPCG(s.Seed, 0x706c61696e)), effects: map[string]balance.Idempotency{},
-			states: map[string]balance.State{}, barred: map[string]bool{}, out: map[string]int{}, requests: map[string]*request{}}
+		b := &balancer{host: h, settings: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, randStream)), idempotency: map[string]balance.Idempotency{},
+			states: map[string]balance.State{}, ejected: map[string]bool{}, inFlight: map[string]int{}, requests: map[string]*request{}}
 		for _, c := range s.Classes {
-			b.effects[c.Name] = c.Idempotency
+			b.idempotency[c.Name] = c.Idempotency
 		}
 		return b
 	}, nil
 }
 
-type balancer struct {
-	host     balance.Host
-	s        balance.Settings
-	pick     pick
-	rng      *rand.Rand
-	effects  map[string]balance.Idempotency
-	states   map[string]balance.State
-	barred   map[string]bool
-	ready    []string // sorted
-	out      map[string]int
-	turn     int
-	requests map[string]*request
-}
+// randStream separates the random numbers of this package from others that are drawn with the same seed.
+const randStream = 0x706c61696e // "plain" in ASCII
 
+// balancer implements balance.Events with a textbook policy.
+type balancer struct {
+	host        balance.Host
+	settings    balance.Settings
+	policy      policy
+	rng         *rand.Rand
+	idempotency map[string]balance.Idempotency // by the name of the class
+	states      map[string]balance.State       // of the endpoint list, by endpoint ID
+	ejected     map[string]bool                // IDs of the manually ejected endpoints, listed or not
+	ready       []string                       // sorted IDs of the endpoints that are ready and not ejected
+	inFlight    map[string]int                 // attempts in flight by endpoint ID; endpoints without any are absent
+	lastTurn    int                            // requests that round robin has assigned so far
+	requests    map[string]*request            // by ID, until their final response is sent and no attempt is in flight
+}
+
+// request is a client's request and the state of its attempts.
 type request struct {
 	balance.Request
-	tried  []string
-	out    bool
-	over   bool
-	mayRun bool
+	attempted  []string // IDs of the endpoints that attempts were sent to, in order
+	inFlight   bool     // whether an attempt is in flight
+	finished   bool     // whether the client has got its final response or has disconnected
+	mayHaveRun bool     // whether the endpoint of an earlier attempt may have executed the request
 }
 
-func roundRobin(b *balancer, among []string) string {
-	b.turn++
-	return among[b.turn%len(among)]
+func roundRobin(b *balancer, candidates []string) string {
+	b.lastTurn++
+	return candidates[b.lastTurn%len(candidates)]
 }
 
-func leastOutstanding(b *balancer, among []string) string {
-	least := among[b.rng.IntN(len(among))] // so that ties are not always the first one's
-	for _, id := range among {
-		if b.out[id] < b.out[least] {
+func leastOutstanding(b *balancer, candidates []string) string {
+	least := candidates[b.rng.IntN(len(candidates))] // a random start, so that the first endpoint does not win all ties
+	for _, id := range candidates {
+		if b.inFlight[id] < b.inFlight[least] {
 			least = id
 		}
 	}
@@ -92,14 +98,14 @@
 			delete(b.states, e.ID)
 		}
 	}
-	b.choose()
+	b.updateReady()
 }
 
-// choose lists who may be called.
-func (b *balancer) choose() {
+// updateReady recomputes the list of endpoints that new attempts may be sent to.
+func (b *balancer) updateReady() {
 	b.ready = b.ready[:0]
 	for id, s := range b.states {
-		if s == balance.Ready && !b.barred[id] {
+		if s == balance.Ready && !b.ejected[id] {
 			b.ready = append(b.ready, id)
 		}
 	}
@@ -113,31 +119,35 @@
 	b.send(now, q)
 }
 
-// send makes the next attempt, at an endpoint not tried yet, or gives the final answer.
+// send makes the next attempt, at an endpoint that the request has not been sent to yet. If there is none, or if the attempts
+// or the time are used up, it finishes the request.
 func (b *balancer) send(now time.Duration, q *request) {
-	among := slices.DeleteFunc(slices.Clone(b.ready), func(id string) bool { return slices.Contains(q.tried, id) })
-	if len(among) == 0 || b.s.MaxAttempts > 0 && len(q.tried) >= b.s.MaxAttempts || now >= q.Deadline {
-		b.end(q)
+	candidates := slices.DeleteFunc(slices.Clone(b.ready), func(id string) bool { return slices.Contains(q.attempted, id) })
+	if len(candidates) == 0 || b.settings.MaxAttempts > 0 && len(q.attempted) >= b.settings.MaxAttempts || now >= q.Deadline {
+		b.finish(q)
 		return
 	}
-	id := b.pick(b, among)
-	q.tried, q.out = append(q.tried, id), true
-	b.out[id]++
+	id := b.policy(b, candidates)
+	q.attempted, q.inFlight = append(q.attempted, id), true
+	b.inFlight[id]++
 	b.host.Send(q.ID, id, q.Deadline-now)
 }
 
-func (b *balancer) end(q *request) {
-	if q.mayRun && b.effects[q.Class] != balance.Idempotent {
+// finish gives a request without a successful attempt its final response: a failure if the request may have run and must not
+// run twice, otherwise a rejection, after which the client may send it again.
+func (b *balancer) finish(q *request) {
+	if q.mayHaveRun && b.idempotency[q.Class] != balance.Idempotent {
 		b.host.Fail(q.ID)
 	} else {
 		b.host.Reject(q.ID, 0)
 	}
-	q.over = true
-	b.forget(q)
+	q.finished = true
+	b.discardIfDone(q)
 }
 
-func (b *balancer) forget(q *request) {
-	if q.over && !q.out {
+// discardIfDone removes a request that has its final response and no attempt in flight.
+func (b *balancer) discardIfDone(q *request) {
+	if q.finished && !q.inFlight {
 		delete(b.requests, q.ID)
 	}
 }
@@ -148,18 +158,17 @@
 	if q == nil {
 		return
 	}
-	q.out = false
-	if b.out[o.Endpoint]--; b.out[o.Endpoint] <= 0 {
-		delete(b.out, o.Endpoint)
+	q.inFlight = false
+	if b.inFlight[o.Endpoint]--; b.inFlight[o.Endpoint] <= 0 {
+		delete(b.inFlight, o.Endpoint)
 	}
-	ran := o.Result.MayHaveRun()
-	q.mayRun = q.mayRun || ran
+	q.mayHaveRun = q.mayHaveRun || o.Result.MayHaveRun()
 	switch {
-	case o.IsFinal || q.over || o.Result == balance.OK:
-		q.over = true
-		b.forget(q)
-	case q.mayRun && b.effects[q.Class] != balance.Idempotent:
-		b.end(q)
+	case o.IsFinal || q.finished || o.Result == balance.OK:
+		q.finished = true
+		b.discardIfDone(q)
+	case q.mayHaveRun && b.idempotency[q.Class] != balance.Idempotent:
+		b.finish(q)
 	default:
 		b.send(now, q)
 	}
@@ -168,8 +177,8 @@
 // ClientDisconnected implements balance.Events.
 func (b *balancer) ClientDisconnected(_ time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
-		q.over = true
-		b.forget(q)
+		q.finished = true
+		b.discardIfDone(q)
 	}
 }
 
@@ -179,31 +188,31 @@
 // BodySent implements balance.Events.
 func (b *balancer) BodySent(time.Duration, string, int, time.Duration) {}
 
-// SetBalancerCount implements balance.Events: a textbook picker knows nothing of others.
+// SetBalancerCount implements balance.Events. The policies take no account of other balancers.
 func (b *balancer) SetBalancerCount(time.Duration, int, int) {}
 
 // SetEjected implements balance.Events.
-func (b *balancer) SetEjected(_ time.Duration, id string, out bool) {
-	if delete(b.barred, id); out {
-		b.barred[id] = true
+func (b *balancer) SetEjected(_ time.Duration, id string, ejected bool) {
+	if delete(b.ejected, id); ejected {
+		b.ejected[id] = true
 	}
-	b.choose()
+	b.updateReady()
 }
 
 // IsKnown implements balance.Events.
 func (b *balancer) IsKnown(id string) bool {
 	_, listed := b.states[id]
-	return listed || b.barred[id]
+	return listed || b.ejected[id]
 }
 
 // EndpointCounts implements balance.Events.
-func (b *balancer) EndpointCounts() (listed, avoided int) {
+func (b *balancer) EndpointCounts() (listed, ejected int) {
 	for id := range b.states {
-		if b.barred[id] {
-			avoided++
+		if b.ejected[id] {
+			ejected++
 		}
 	}
-	return len(b.states), avoided
+	return len(b.states), ejected
 }
 
 // Timer implements balance.Events.
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -8,25 +8,36 @@
 	"tuliprock/balance"
 )
 
-// host notes what a picker asks for.
-type host struct {
+// recordingHost records the calls of a balancer.
+type recordingHost struct {
 	balance.Host
-	sent            []string // endpoint by send
-	refused, failed []string
+	sent             []string // IDs of the endpoints that attempts were sent to, in order
+	rejected, failed []string // request IDs
 }
 
-func (h *host) Send(id, endpoint string, _ time.Duration) { h.sent = append(h.sent, endpoint) }
-func (h *host) Reject(id string, _ time.Duration)         { h.refused = append(h.refused, id) }
-func (h *host) Fail(id string)                            { h.failed = append(h.failed, id) }
+func (h *recordingHost) Send(id, endpoint string, _ time.Duration) {
+	h.sent = append(h.sent, endpoint)
+}
+func (h *recordingHost) Reject(id string, _ time.Duration) { h.rejected = append(h.rejected, id) }
+func (h *recordingHost) Fail(id string)                    { h.failed = append(h.failed, id) }
+
+// The request classes of the tests, one for each kind of idempotency.
+const (
+	idempotentClass    = "idempotent"
+	keyClass           = "idempotency-key"
+	nonIdempotentClass = "non-idempotent"
+)
 
-func start(t *testing.T, name string, endpoints ...string) (balance.Events, *host) {
+// newBalancer returns a balancer of the named policy, whose endpoint list has the given endpoints, all ready.
+func newBalancer(t *testing.T, policyName string, endpoints ...string) (balance.Events, *recordingHost) {
 	t.Helper()
-	decide, err := New(name)
+	factory, err := New(policyName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{}
-	b := decide(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "look"}, {Name: "book", Idempotency: balance.IdempotencyKey}, {Name: "pay", Idempotency: balance.NonIdempotent}}}, h)
+	h := &recordingHost{}
+	b := factory(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: idempotentClass},
+		{Name: keyClass, Idempotency: balance.IdempotencyKey}, {Name: nonIdempotentClass, Idempotency: balance.NonIdempotent}}}, h)
 	l := balance.EndpointUpdate{Complete: true}
 	for _, id := range endpoints {
 		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
@@ -35,91 +46,95 @@
 	return b, h
 }
 
-func ask(id, class string) balance.Request {
+func newRequest(id, class string) balance.Request {
 	return balance.Request{ID: id, Class: class, Deadline: time.Minute}
 }
 
-func TestRoundRobinTakesTurns(t *testing.T) {
-	b, h := start(t, "round-robin", "a", "b", "c")
+func TestRoundRobinSpreadsEvenly(t *testing.T) {
+	b, h := newBalancer(t, "round-robin", "a", "b", "c")
 	for i := range 6 {
-		b.Request(0, ask(fmt.Sprint(i), "look"))
+		b.Request(0, newRequest(fmt.Sprint(i), idempotentClass))
 	}
 	count := map[string]int{}
 	for _, e := range h.sent {
 		count[e]++
 	}
 	if count["a"] != 2 || count["b"] != 2 || count["c"] != 2 {
-		t.Errorf("%v", h.sent)
+		t.Errorf("6 requests were sent to %v, want 2 to each of a, b and c", h.sent)
 	}
 }
 
-func TestLeastOutstandingTakesTheIdlest(t *testing.T) {
-	b, h := start(t, "least-outstanding", "a", "b")
-	b.Request(0, ask("1", "look"))
-	b.Request(0, ask("2", "look"))
+func TestLeastOutstandingPicksTheFewestInFlight(t *testing.T) {
+	b, h := newBalancer(t, "least-outstanding", "a", "b")
+	b.Request(0, newRequest("1", idempotentClass))
+	b.Request(0, newRequest("2", idempotentClass))
 	if h.sent[0] == h.sent[1] {
-		t.Errorf("%v", h.sent)
+		t.Errorf("both requests were sent to %s, want one to each endpoint", h.sent[0])
 	}
 	b.Outcome(0, balance.Outcome{ID: "1", Endpoint: h.sent[0], Result: balance.OK})
-	b.Request(0, ask("3", "look"))
+	b.Request(0, newRequest("3", idempotentClass))
 	if h.sent[2] != h.sent[0] {
-		t.Errorf("%v", h.sent)
+		t.Errorf("the third request was sent to %s, want the endpoint without an attempt in flight, %s", h.sent[2], h.sent[0])
 	}
 }
 
-func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
+// An attempt that may have run is followed by another only if the request's class is idempotent. Attempts that can't have run
+// are followed by others for every class, up to MaxAttempts.
+func TestNoRetryOfNonIdempotentWorkThatMayHaveRun(t *testing.T) {
 	for _, name := range PolicyNames() {
 		for _, c := range []struct {
-			class           string
-			result          balance.Result
-			sent            int
-			refused, failed int
+			class            string
+			result           balance.Result // of each attempt
+			sent             int            // attempts wanted
+			rejected, failed int            // final responses wanted
 		}{
-			{"look", balance.Reset, 3, 1, 0},
-			{"pay", balance.Reset, 1, 0, 1},
-			{"book", balance.TimedOut, 1, 0, 1},
-			{"pay", balance.Rejected, 3, 1, 0},
-			{"book", balance.ConnectFailed, 3, 1, 0},
+			{idempotentClass, balance.Reset, 3, 1, 0},
+			{nonIdempotentClass, balance.Reset, 1, 0, 1},
+			{keyClass, balance.TimedOut, 1, 0, 1},
+			{nonIdempotentClass, balance.Rejected, 3, 1, 0},
+			{keyClass, balance.ConnectFailed, 3, 1, 0},
 		} {
-			b, h := start(t, name, "a", "b", "c", "d")
-			b.Request(0, ask("r", c.class))
+			b, h := newBalancer(t, name, "a", "b", "c", "d")
+			b.Request(0, newRequest("r", c.class))
 			for i := 0; i < len(h.sent) && i < 9; i++ {
 				b.Outcome(0, balance.Outcome{ID: "r", Attempt: i, Endpoint: h.sent[i], Result: c.result})
 			}
-			if len(h.sent) != c.sent || len(h.refused) != c.refused || len(h.failed) != c.failed {
-				t.Errorf("%s, %s after %v: sent %d, refused %d, failed %d", name, c.class, c.result, len(h.sent), len(h.refused), len(h.failed))
+			if len(h.sent) != c.sent || len(h.rejected) != c.rejected || len(h.failed) != c.failed {
+				t.Errorf("%s: %s request with result %v: %d attempts, %d rejections, %d failures, want %d, %d, %d",
+					name, c.class, c.result, len(h.sent), len(h.rejected), len(h.failed), c.sent, c.rejected, c.failed)
 			}
-			if p := b.(*balancer); len(p.requests) != 0 || len(p.out) != 0 {
-				t.Errorf("%s: %d requests and %d counts are left", name, len(p.requests), len(p.out))
+			if b := b.(*balancer); len(b.requests) != 0 || len(b.inFlight) != 0 {
+				t.Errorf("%s: after the final response the balancer holds %d requests and %d in-flight counts, want none", name, len(b.requests), len(b.inFlight))
 			}
 		}
 	}
 }
 
-func TestNothingGoesToWhatDrains(t *testing.T) {
-	b, h := start(t, "random", "a", "b")
+func TestNoRequestsToDrainingEndpoints(t *testing.T) {
+	b, h := newBalancer(t, "random", "a", "b")
 	b.EndpointList(0, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}})
 	for i := range 20 {
-		b.Request(0, ask(fmt.Sprint(i), "look"))
+		b.Request(0, newRequest(fmt.Sprint(i), idempotentClass))
 	}
 	b.EndpointList(0, balance.EndpointUpdate{Complete: true})
-	b.Request(0, ask("last", "look"))
+	b.Request(0, newRequest("last", idempotentClass))
 	for _, e := range h.sent {
 		if e != "b" {
-			t.Errorf("sent to %s", e)
+			t.Errorf("an attempt was sent to %s, which is draining", e)
 		}
 	}
-	if len(h.sent) != 20 || len(h.refused) != 1 {
-		t.Errorf("%d sent, %d refused", len(h.sent), len(h.refused))
+	if len(h.sent) != 20 || len(h.rejected) != 1 {
+		t.Errorf("%d attempts sent and %d requests rejected, want 20 and 1", len(h.sent), len(h.rejected))
 	}
 }
 
-func TestACallerThatLeftIsForgotten(t *testing.T) {
-	b, h := start(t, "random", "a", "b")
-	b.Request(0, ask("r", "look"))
+func TestNoRetryAfterTheClientDisconnects(t *testing.T) {
+	b, h := newBalancer(t, "random", "a", "b")
+	b.Request(0, newRequest("r", idempotentClass))
 	b.ClientDisconnected(0, "r")
 	b.Outcome(0, balance.Outcome{ID: "r", Endpoint: h.sent[0], Result: balance.Reset})
-	if len(h.sent) != 1 || len(h.refused)+len(h.failed) != 0 || len(b.(*balancer).requests) != 0 {
-		t.Errorf("%+v", h)
+	if len(h.sent) != 1 || len(h.rejected)+len(h.failed) != 0 || len(b.(*balancer).requests) != 0 {
+		t.Errorf("after a disconnect: attempts %v, rejected %v, failed %v, %d requests held, want one attempt and nothing else",
+			h.sent, h.rejected, h.failed, len(b.(*balancer).requests))
 	}
 }
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -1,9 +1,10 @@
-// Package faultnet puts links that break between real processes on loopback: for each process a relay for UDP and TCP, at
-// the address that the others are told. A process is known by the loopback address that it sends from, so each pair of
-// processes and each direction has a link of its own.
+// Package faultnet injects network faults between real processes on loopback. Each process has a relay for UDP and TCP, and
+// the other processes are given the relay's address in place of the process's own. A relay tells the senders apart by the
+// loopback IP address that they send from, so each ordered pair of processes has a link with faults of its own.
 //
-// Bounds: a relay has one goroutine for datagrams, one that accepts, and three for each connection, mostConns at most;
-// mostDelayed datagrams wait at once, what is beyond is lost.
+// Bounds: a relay has one goroutine that forwards datagrams, one that accepts connections, and three for each connection, of
+// which there are up to maxConnections. Up to maxDelayedDatagrams datagrams of a network are delayed at once; further ones
+// are lost.
 package faultnet
 
 import (
@@ -18,54 +19,59 @@
 	"time"
 )
 
-// Link says what becomes of what goes from one process to another. The zero value passes all on at once.
+// Link holds the faults of what one process sends to another. The zero value forwards everything at once.
 type Link struct {
-	Cut       bool          // datagrams vanish, streams stall: half-open, as a cable that was pulled
-	Reset     bool          // streams are reset, those that are open and those that come; datagrams pass
-	Loss      float64       // of datagrams; a stream waits for what TCP would send again
-	Duplicate float64       // of datagrams, which come twice
-	Delay     time.Duration // of each datagram, and of each piece of a stream
-	Jitter    time.Duration // on top, drawn for each datagram: later ones may overtake
-	Rate      int           // bytes a second of a stream; 0: any
+	Cut       bool          // datagrams are lost and open TCP connections stall without an error, as if a cable were unplugged
+	Reset     bool          // open and new TCP connections are reset; datagrams are forwarded
+	Loss      float64       // probability that a datagram is lost, or that a piece of a TCP stream is delayed by a retransmission
+	Duplicate float64       // probability that a datagram is delivered twice
+	Delay     time.Duration // delay of each datagram and of each piece of a TCP stream
+	Jitter    time.Duration // bound of a random delay on top of Delay; it may reorder datagrams
+	Rate      int           // throughput of a TCP stream in bytes per second; 0: unlimited
 }
 
 const (
-	mostConns   = 64
-	mostDelayed = 4096
-	resend      = 200 * time.Millisecond // TCP's least time to send again (Linux)
-	piece       = 16 << 10
-	stall       = 5 * time.Millisecond // between two looks at a link that is cut
+	maxConnections      = 64                     // open TCP connections of one relay
+	maxDelayedDatagrams = 4096                   // datagrams of one network that wait for their delay
+	retransmissionDelay = 200 * time.Millisecond // the minimum retransmission timeout of TCP on Linux
+	maxPieceSize        = 16 << 10               // bytes of a TCP stream that are forwarded, and delayed, together
+	cutPollInterval     = 5 * time.Millisecond   // time between two checks whether a link is still cut
 )
 
-// Network is relays and the links between them.
+// Network consists of relays and the links between them.
 type Network struct {
-	ctx   context.Context
-	stop  context.CancelFunc
-	parts sync.WaitGroup
+	ctx        context.Context // done when Close is called
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	links   map[pair]Link
-	names   map[netip.Addr]string // of processes, by the address that they send from
-	conns   map[net.Conn]pair
-	delayed int
-	note    func(text string)
+	mu           sync.Mutex // guards the fields below
+	rng          *rand.Rand
+	links        map[linkKey]Link         // links that were set; all others have no faults
+	processNames map[netip.Addr]string    // process names by the IP address that the process sends from
+	conns        map[net.Conn]linkKey     // open TCP connections of all relays, with the link from the client's process to the server's
+	delayed      int                      // datagrams that wait for their delay
+	onLinkChange func(description string) // called under mu
 }
 
-type pair struct{ from, to string }
+// linkKey identifies a link by the names of its processes.
+type linkKey struct{ from, to string }
 
-// New makes a Network without relays. What chance decides is drawn from the seed; note is told of each change of a link and
-// may be nil.
-func New(seed uint64, note func(text string)) *Network {
-	if note == nil {
-		note = func(string) {}
+// randStream separates the random numbers of this package from others that are drawn with the same seed.
+const randStream = 2
+
+// New returns a Network without relays. Random faults are drawn from the seed. onLinkChange, which may be nil, is called with
+// a description of each change of a link; it must not call the Network.
+func New(seed uint64, onLinkChange func(description string)) *Network {
+	if onLinkChange == nil {
+		onLinkChange = func(string) {}
 	}
-	n := &Network{rng: rand.New(rand.NewPCG(seed, 2)), links: map[pair]Link{}, names: map[netip.Addr]string{}, conns: map[net.Conn]pair{}, note: note}
+	n := &Network{rng: rand.New(rand.NewPCG(seed, randStream)), links: map[linkKey]Link{}, processNames: map[netip.Addr]string{},
+		conns: map[net.Conn]linkKey{}, onLinkChange: onLinkChange}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
 
-// Close ends all relays and returns when nothing of them runs any more.
+// Close closes all relays and their connections, and returns when their goroutines have ended.
 func (n *Network) Close() {
 	n.stop()
 	n.mu.Lock()
@@ -73,136 +79,142 @@
 		nc.Close()
 	}
 	n.mu.Unlock()
-	n.parts.Wait()
+	n.goroutines.Wait()
 }
 
-// AddRelay makes a relay for the process of a name, which sends from the address of at and is heard there. What others
-// are to be told is given back.
-func (n *Network) AddRelay(name string, at netip.AddrPort) (netip.AddrPort, error) {
+// AddRelay starts a relay to the process of the given name, which listens on processAddr for UDP and TCP and sends from the
+// same IP address. It returns the address of the relay, to which other processes are to send.
+func (n *Network) AddRelay(name string, processAddr netip.AddrPort) (relayAddr netip.AddrPort, err error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	addr := tcp.Addr().(*net.TCPAddr).AddrPort()
-	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
+	relayAddr = tcp.Addr().(*net.TCPAddr).AddrPort()
+	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(relayAddr))
 	if err != nil {
 		tcp.Close()
 		return netip.AddrPort{}, err
 	}
 	n.mu.Lock()
-	n.names[at.Addr()] = name
+	n.processNames[processAddr.Addr()] = name
 	n.mu.Unlock()
 	context.AfterFunc(n.ctx, func() {
 		tcp.Close()
-		_ = udp.Close() // a socket that is given up
+		_ = udp.Close() // nothing is left to do if it fails
 	})
-	n.parts.Go(func() { n.datagrams(udp, name, at) })
-	n.parts.Go(func() { n.streams(tcp, name, at) })
-	return addr, nil
+	n.goroutines.Go(func() { n.relayDatagrams(udp, name, processAddr) })
+	n.goroutines.Go(func() { n.acceptConnections(tcp, name, processAddr) })
+	return relayAddr, nil
 }
 
-// Set makes the link from one process to another what it is from now on.
+// Set replaces the faults of the link from one process to another. If they include Reset, it also resets the connections that
+// are open between the two processes, whichever of them opened the connection.
 func (n *Network) Set(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[pair{from, to}] = l
+	n.links[linkKey{from, to}] = l
 	if l.Reset {
-		for nc, p := range n.conns {
-			if p == (pair{from, to}) || p == (pair{to, from}) {
-				abort(nc)
+		for nc, key := range n.conns {
+			if key == (linkKey{from, to}) || key == (linkKey{to, from}) {
+				resetConn(nc)
 			}
 		}
 	}
-	n.note(fmt.Sprintf("%s to %s: %+v", from, to, l))
+	n.onLinkChange(fmt.Sprintf("link from %s to %s: %+v", from, to, l))
 }
 
-// Between sets the links between all of one group and all of the other, both ways.
-func (n *Network) Between(some, others []string, l Link) {
-	n.OneWay(some, others, l)
-	n.OneWay(others, some, l)
+// Between sets the links between every process of one group and every process of the other, in both directions.
+func (n *Network) Between(group, others []string, l Link) {
+	n.OneWay(group, others, l)
+	n.OneWay(others, group, l)
 }
 
-// OneWay sets the links from all of one group to all of the other.
-func (n *Network) OneWay(some, others []string, l Link) {
-	for _, a := range some {
-		for _, b := range others {
-			if a != b {
-				n.Set(a, b, l)
+// OneWay sets the links from every process of one group to every process of the other.
+func (n *Network) OneWay(senders, receivers []string, l Link) {
+	for _, from := range senders {
+		for _, to := range receivers {
+			if from != to {
+				n.Set(from, to, l)
 			}
 		}
 	}
 }
 
-// Heal makes all links pass everything on at once.
+// Heal removes the faults of all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.links)
-	n.note("all links pass")
+	n.onLinkChange("all links: no faults")
 }
 
-func abort(nc net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	nc.Close()
 }
 
-// way is a link as it is now, and chance for one datagram or piece.
-type way struct {
+// faults holds what a link does to one datagram, or to one piece of a TCP stream.
+type faults struct {
 	Link
-	lost, twice bool
-	delay       time.Duration
+	lost, duplicated bool
+	delay            time.Duration
 }
 
-func (n *Network) draw(p pair) way {
+// drawFaults draws the random faults of one datagram or piece of a stream.
+func (n *Network) drawFaults(key linkKey) faults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := way{Link: n.links[p]}
-	w.lost = n.rng.Float64() < w.Loss
-	w.twice = n.rng.Float64() < w.Duplicate
-	if w.delay = w.Delay; w.Jitter > 0 {
-		w.delay += time.Duration(n.rng.Int64N(int64(w.Jitter)))
+	f := faults{Link: n.links[key]}
+	f.lost = n.rng.Float64() < f.Loss
+	f.duplicated = n.rng.Float64() < f.Duplicate
+	if f.delay = f.Delay; f.Jitter > 0 {
+		f.delay += time.Duration(n.rng.Int64N(int64(f.Jitter)))
 	}
-	return w
+	return f
 }
 
-func (n *Network) nameOf(a netip.Addr) string {
+// processName returns the name of the process that sends from an IP address, or "" if no relay belongs to such a process.
+func (n *Network) processName(a netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.names[a.Unmap()]
+	return n.processNames[a.Unmap()]
 }
 
-// datagrams passes on what comes for a process. It goes on from the relay's own socket: who sent it stands in it.
-func (n *Network) datagrams(udp *net.UDPConn, to string, at netip.AddrPort) {
+// relayDatagrams forwards the datagrams that reach a relay to its process. They are sent from the relay's own socket, so the
+// process sees the relay as their source: a datagram's content has to name its sender.
+func (n *Network) relayDatagrams(udp *net.UDPConn, process string, processAddr netip.AddrPort) {
 	b := make([]byte, 64<<10)
 	for {
-		size, from, err := udp.ReadFromUDPAddrPort(b)
+		size, sender, err := udp.ReadFromUDPAddrPort(b)
 		if n.ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		w := n.draw(pair{n.nameOf(from.Addr()), to})
-		if w.Cut || w.lost {
+		f := n.drawFaults(linkKey{n.processName(sender.Addr()), process})
+		if f.Cut || f.lost {
 			continue
 		}
-		n.pass(udp, at, append([]byte(nil), b[:size]...), w.delay)
-		if w.twice {
-			n.pass(udp, at, append([]byte(nil), b[:size]...), w.delay+w.Jitter)
+		n.forwardDatagram(udp, processAddr, append([]byte(nil), b[:size]...), f.delay)
+		if f.duplicated {
+			n.forwardDatagram(udp, processAddr, append([]byte(nil), b[:size]...), f.delay+f.Jitter)
 		}
 	}
 }
 
-func (n *Network) pass(udp *net.UDPConn, to netip.AddrPort, b []byte, delay time.Duration) {
+// forwardDatagram sends a datagram to a process after a delay, or drops it if too many datagrams are delayed.
+func (n *Network) forwardDatagram(udp *net.UDPConn, to netip.AddrPort, b []byte, delay time.Duration) {
 	if delay <= 0 {
-		_, _ = udp.WriteToUDPAddrPort(b, to) // a process that is gone is a loss
+		_, _ = udp.WriteToUDPAddrPort(b, to) // an error, such as that the process has ended, loses the datagram
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.delayed >= mostDelayed {
+	if n.delayed >= maxDelayedDatagrams {
 		return
 	}
 	n.delayed++
@@ -214,80 +226,86 @@
 	})
 }
 
-// streams passes connections on to a process.
-func (n *Network) streams(l net.Listener, to string, at netip.AddrPort) {
-	room := make(chan struct{}, mostConns)
+// acceptConnections accepts the TCP connections that reach a relay and forwards each one to the relay's process. Connections
+// beyond maxConnections are closed.
+func (n *Network) acceptConnections(l net.Listener, process string, processAddr netip.AddrPort) {
+	slots := make(chan struct{}, maxConnections)
 	for {
-		in, err := l.Accept()
+		client, err := l.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			in.Close()
+			client.Close()
 			continue
 		}
-		from := n.nameOf(in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-		n.parts.Go(func() {
-			defer func() { <-room }()
-			n.connection(in, pair{from, to}, at)
+		from := n.processName(client.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
+		n.goroutines.Go(func() {
+			defer func() { <-slots }()
+			n.relayConnection(client, linkKey{from, process}, processAddr)
 		})
 	}
 }
 
-func (n *Network) connection(in net.Conn, p pair, at netip.AddrPort) {
-	defer in.Close()
-	n.hold(in, p)
-	defer n.let(in)
-	if n.draw(p).Reset {
-		abort(in)
+// relayConnection forwards a client's connection to a process until both directions have ended. key is the link from the
+// client's process to the other.
+func (n *Network) relayConnection(client net.Conn, key linkKey, processAddr netip.AddrPort) {
+	defer client.Close()
+	n.track(client, key)
+	defer n.untrack(client)
+	if n.drawFaults(key).Reset {
+		resetConn(client)
 		return
 	}
-	n.waitWhileCut(p)
-	out, err := (&net.Dialer{}).DialContext(n.ctx, "tcp", at.String())
+	n.waitWhileCut(key)
+	server, err := (&net.Dialer{}).DialContext(n.ctx, "tcp", processAddr.String())
 	if err != nil {
-		abort(in)
+		resetConn(client)
 		return
 	}
-	defer out.Close()
-	n.hold(out, p)
-	defer n.let(out)
-	var both sync.WaitGroup
-	both.Go(func() { n.copy(out, in, p) })
-	both.Go(func() { n.copy(in, out, pair{p.to, p.from}) })
-	both.Wait()
+	defer server.Close()
+	n.track(server, key)
+	defer n.untrack(server)
+	var directions sync.WaitGroup
+	directions.Go(func() { n.relayStream(server, client, key) })
+	directions.Go(func() { n.relayStream(client, server, linkKey{key.to, key.from}) })
+	directions.Wait()
 }
 
-func (n *Network) hold(nc net.Conn, p pair) {
+// track registers a connection so that Set can reset it and Close can close it. It closes the connection if the Network is
+// closed already.
+func (n *Network) track(nc net.Conn, key linkKey) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns[nc] = p
+	n.conns[nc] = key
 	if n.ctx.Err() != nil {
 		nc.Close()
 	}
 }
 
-func (n *Network) let(nc net.Conn) {
+func (n *Network) untrack(nc net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, nc)
 }
 
-// copy passes one direction of a connection on, to its end.
-func (n *Network) copy(to, from net.Conn, p pair) {
-	b := make([]byte, piece)
+// relayStream forwards one direction of a connection until its end. The end of the stream is forwarded as a half-close, and a
+// read error as a reset.
+func (n *Network) relayStream(to, from net.Conn, key linkKey) {
+	b := make([]byte, maxPieceSize)
 	for {
 		size, err := from.Read(b)
-		w := n.draw(p)
-		if w.lost {
-			w.delay += resend
+		f := n.drawFaults(key)
+		if f.lost {
+			f.delay += retransmissionDelay
 		}
-		if w.Rate > 0 {
-			w.delay += time.Duration(size) * time.Second / time.Duration(w.Rate)
+		if f.Rate > 0 {
+			f.delay += time.Duration(size) * time.Second / time.Duration(f.Rate)
 		}
-		n.wait(w.delay)
-		n.waitWhileCut(p)
+		n.sleep(f.delay)
+		n.waitWhileCut(key)
 		if size > 0 {
 			if _, werr := to.Write(b[:size]); werr != nil {
 				from.Close()
@@ -295,17 +313,18 @@
 			}
 		}
 		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = half.CloseWrite()
+			if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
+				_ = tcp.CloseWrite()
 			} else {
-				abort(to)
+				resetConn(to)
 			}
 			return
 		}
 	}
 }
 
-func (n *Network) wait(d time.Duration) {
+// sleep returns after a duration, or when the Network is closed.
+func (n *Network) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -315,8 +334,10 @@
 	}
 }
 
-func (n *Network) waitWhileCut(p pair) {
-	for n.ctx.Err() == nil && n.draw(p).Cut {
-		n.wait(stall)
+// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws random faults, which count for
+// nothing else.
+func (n *Network) waitWhileCut(key linkKey) {
+	for n.ctx.Err() == nil && n.drawFaults(key).Cut {
+		n.sleep(cutPollInterval)
 	}
 }
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Each fault does what it says, in the direction in which it is set, and no more when the links are healed.
+// Each fault takes effect in the direction in which it is set, and no longer after the links are healed.
 func TestFaults(t *testing.T) {
 	n := New(1, nil)
 	defer n.Close()
@@ -26,70 +26,77 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { tcp.Close() })
-		at := tcp.Addr().(*net.TCPAddr).AddrPort()
-		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+		addr := tcp.Addr().(*net.TCPAddr).AddrPort()
+		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { udp.Close() })
-		return udp, tcp, at
+		return udp, tcp, addr
 	}
-	a, _, atA := listen("127.0.3.1")
-	b, tcpB, atB := listen("127.0.3.2")
-	if _, err := n.AddRelay("a", atA); err != nil {
+	udpA, _, addrA := listen("127.0.3.1")
+	udpB, tcpB, addrB := listen("127.0.3.2")
+	if _, err := n.AddRelay("a", addrA); err != nil {
 		t.Fatal(err)
 	}
-	toB, err := n.AddRelay("b", atB)
+	relayToB, err := n.AddRelay("b", addrB)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan string, 1000)
+	received := make(chan string, 1000) // content of the datagrams that reach process b
 	go func() {
 		buf := make([]byte, 100)
 		for {
-			size, _, err := b.ReadFromUDPAddrPort(buf)
+			size, _, err := udpB.ReadFromUDPAddrPort(buf)
 			if err != nil {
 				return
 			}
-			got <- string(buf[:size])
+			received <- string(buf[:size])
 		}
 	}()
-	// A mark comes from an address that no link is set for, through the same socket of the relay: what was sent before it, and
-	// was not delayed, has come or gone by when it comes.
-	mark, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(toB))
+	// An end marker is sent from an address that no link is set for, through the same socket of the relay. When it arrives, every
+	// datagram that was sent before it without a delay has been delivered or dropped.
+	marker, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(relayToB))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mark.Close()
-	arrive := func(l Link, count, least int) (came int) {
+	defer marker.Close()
+	// sendAndCount sends datagrams from a to b over a link and returns how many are delivered. It waits for minDelivered of them
+	// before it sends the end marker, since the marker overtakes delayed datagrams.
+	sendAndCount := func(l Link, count, minDelivered int) (delivered int) {
 		t.Helper()
 		n.Set("a", "b", l)
 		for range count {
-			if _, err := a.WriteToUDPAddrPort([]byte("x"), toB); err != nil {
+			if _, err := udpA.WriteToUDPAddrPort([]byte("x"), relayToB); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for ; came < least; came++ {
-			<-got
+		for ; delivered < minDelivered; delivered++ {
+			<-received
 		}
-		mark.Write([]byte("end"))
-		for text := <-got; text != "end"; text = <-got {
-			came++
+		marker.Write([]byte("end"))
+		for text := <-received; text != "end"; text = <-received {
+			delivered++
 		}
-		return came
-	}
-	for what, c := range map[string]struct {
-		l           Link
-		least, most int
-	}{"well": {Link{}, 100, 100}, "cut": {Link{Cut: true}, 0, 0}, "loss": {Link{Loss: 0.3}, 50, 90}, "twice": {Link{Duplicate: 1}, 200, 200},
-		"late": {Link{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond}, 100, 100}} {
-		if came := arrive(c.l, 100, c.least); came < c.least || came > c.most {
-			t.Errorf("%s: %d of 100 came", what, came)
+		return delivered
+	}
+	for name, c := range map[string]struct {
+		link        Link
+		least, most int // bounds of the number of datagrams delivered, of 100 sent
+	}{
+		"no faults":        {Link{}, 100, 100},
+		"cut":              {Link{Cut: true}, 0, 0},
+		"loss":             {Link{Loss: 0.3}, 50, 90},
+		"duplicates":       {Link{Duplicate: 1}, 200, 200},
+		"delay and jitter": {Link{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond}, 100, 100},
+	} {
+		if delivered := sendAndCount(c.link, 100, c.least); delivered < c.least || delivered > c.most {
+			t.Errorf("%s: %d deliveries of 100 datagrams, want %d to %d", name, delivered, c.least, c.most)
 		}
 	}
 	n.Set("b", "a", Link{Cut: true})
-	if came := arrive(Link{}, 10, 10); came != 10 {
-		t.Errorf("cut the other way: %d of 10 came", came)
+	if delivered := sendAndCount(Link{}, 10, 10); delivered != 10 {
+		t.Errorf("with only the opposite direction cut, %d of 10 datagrams were delivered, want all", delivered)
 	}
 	n.Heal()
 
@@ -103,7 +110,7 @@
 		}
 	}()
 	dial := func() (net.Conn, error) {
-		nc, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 3, 1)}}).Dial("tcp", toB.String())
+		nc, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 3, 1)}}).Dial("tcp", relayToB.String())
 		if err != nil {
 			return nil, err
 		}
@@ -122,29 +129,29 @@
 	}
 	defer nc.Close()
 	if err := echo(nc); err != nil {
-		t.Errorf("a stream: %v", err)
+		t.Errorf("echo over a connection without faults: %v", err)
 	}
 	n.Set("a", "b", Link{Cut: true})
 	nc.SetDeadline(time.Now().Add(100 * time.Millisecond))
 	if err := echo(nc); err == nil {
-		t.Error("a stream goes on through a cut")
+		t.Error("echo over a cut link succeeded, want a timeout")
 	}
 	nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	n.Heal()
 	if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil {
-		t.Errorf("what was on its way when the link was cut: %v", err)
+		t.Errorf("echo of the byte that was sent while the link was cut, after it was healed: %v", err)
 	}
 	n.Set("a", "b", Link{Reset: true})
 	if err := echo(nc); err == nil {
-		t.Error("a stream outlives a reset")
+		t.Error("echo over a connection that was reset succeeded, want an error")
 	}
-	again, err := dial()
+	newConn, err := dial()
 	if err == nil {
-		defer again.Close()
-		err = echo(again)
+		defer newConn.Close()
+		err = echo(newConn)
 	}
-	// The relay resets as soon as it has accepted: that is seen by the dial itself, or else by the write or the read.
+	// The relay resets a connection right after it has accepted it, so the error is returned by the dial, the write or the read.
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a new stream is not reset: %v", err)
+		t.Errorf("new connection over a link with Reset: error %v, want ECONNRESET", err)
 	}
 }
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -1,4 +1,5 @@
-// Package testpeer has scripted peers for tests: endpoints and a discovery on loopback. Only tests import it.
+// Package testpeer provides scripted peers on loopback for tests: HTTP/1.1 endpoints and a discovery agent. Only tests
+// import it.
 package testpeer
 
 import (
@@ -14,33 +15,35 @@
 	"time"
 )
 
-// Timeout is a time that no test should come near.
+// Timeout is how long a test waits for an event before it fails: far longer than any event should take.
 const Timeout = 20 * time.Second
 
-// ResponseOK is an endpoint's good answer.
+// ResponseOK is a complete, successful HTTP/1.1 response, with the body "hi".
 const ResponseOK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// Endpoint accepts connections and hands each request that comes whole to a function, which returns false to close.
+// Endpoint is an HTTP/1.1 server that reads each request completely and lets a test's function write the response.
 type Endpoint struct {
-	Addr        string
-	Listener    net.Listener
-	Connections atomic.Int32
-	Requests    atomic.Int32
+	Addr        string       // host:port that the endpoint listens on
+	Listener    net.Listener // the endpoint's TCP listener, closed when the test ends
+	Connections atomic.Int32 // connections accepted so far
+	Requests    atomic.Int32 // complete requests received so far, over all connections
 }
 
-// NewEndpoint starts an Endpoint that ends with the test. serve is told how many requests have come so far.
+// NewEndpoint starts an Endpoint whose listener is closed when the test ends. For each complete request serve writes the
+// response to nc; n is the number of requests received so far, this one included. If serve returns false, the connection is
+// closed.
 func NewEndpoint(tb testing.TB, serve func(nc net.Conn, r *http.Request, n int) bool) *Endpoint {
 	tb.Helper()
 	e := &Endpoint{}
 	e.Listener = Accept(tb, func(nc net.Conn) {
 		e.Connections.Add(1)
-		e.run(nc, serve)
+		e.serveConn(nc, serve)
 	})
 	e.Addr = e.Listener.Addr().String()
 	return e
 }
 
-// Accept starts a listener that ends with the test, and hands over each connection on a goroutine of its own.
+// Accept listens on a free loopback port until the test ends and calls serve for each connection on a goroutine of its own.
 func Accept(tb testing.TB, serve func(net.Conn)) net.Listener {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,11 +63,12 @@
 	return l
 }
 
-func (e *Endpoint) run(nc net.Conn, serve func(net.Conn, *http.Request, int) bool) {
+// serveConn reads requests from nc and passes each one to serve, until serve returns false or a request can't be read.
+func (e *Endpoint) serveConn(nc net.Conn, serve func(net.Conn, *http.Request, int) bool) {
 	defer nc.Close()
-	in := bufio.NewReader(nc)
+	reader := bufio.NewReader(nc)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -77,15 +81,17 @@
 	}
 }
 
-// RespondWith answers every request with the same bytes, and keeps the connection or not.
-func RespondWith(text string, stay bool) func(net.Conn, *http.Request, int) bool {
+// RespondWith returns a function for NewEndpoint that writes the same bytes in response to every request, and then keeps
+// the connection open if keepAlive is set.
+func RespondWith(response string, keepAlive bool) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(nc, text) // a client that has left fails, or not, by its own test
-		return stay
+		_, _ = io.WriteString(nc, response) // if the client has disconnected, its test decides whether that is a failure
+		return keepAlive
 	}
 }
 
-// FreePort is a loopback address at which nobody listens just now.
+// FreePort returns a loopback address, host:port, on which nothing listens at the moment. Another process may take the port
+// before the test does.
 func FreePort(tb testing.TB) string {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,54 +102,57 @@
 	return l.Addr().String()
 }
 
-// Eventually waits for a condition.
-func Eventually(tb testing.TB, what string, ok func() bool) {
+// Eventually checks a condition every millisecond and fails the test if it is still false after Timeout. The failure message
+// names the condition by what.
+func Eventually(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			tb.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			tb.Fatalf("condition not met within %v: %s", Timeout, what)
 		}
 	}
 }
 
-// OpenDescriptors is how many files and sockets this process has open.
+// OpenDescriptors returns the number of file descriptors that this process has open, sockets included.
 func OpenDescriptors() int {
-	list, err := os.ReadDir("/proc/self/fd")
+	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		panic(err)
 	}
-	return len(list)
+	return len(descriptors)
 }
 
-// Members is a message from discovery.
+// Members encodes a discovery agent's message: an endpoint list if full is set, else an update of the endpoints in it.
+// Entries are those that Member encodes.
 func Members(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// Member is an entry of Members.
+// Member encodes one endpoint of a message that Members encodes.
 func Member(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-// ScriptedAgent answers each call with its next step and reports the call. Past the last step it says nothing.
+// ScriptedAgent is a discovery agent that writes one of its steps in response to each request. After the last step it
+// leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
-	Steps []string // lines; "SILENT" at the end holds the connection open
-	Calls chan string
+	Steps []string    // response bodies, in order; one that ends in "SILENT" is written without it, and its response stays open
+	Calls chan string // receives the raw query of each request, before the response is written
 }
 
 // ServeHTTP implements http.Handler.
-func (s *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.Calls <- r.URL.RawQuery
-	if len(s.Steps) == 0 {
+func (a *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	a.Calls <- r.URL.RawQuery
+	if len(a.Steps) == 0 {
 		<-r.Context().Done()
 		return
 	}
-	step := s.Steps[0]
-	s.Steps = s.Steps[1:]
-	text, silent := strings.CutSuffix(step, "SILENT")
-	_, _ = io.WriteString(w, text) // a sidecar that has left polls again
+	step := a.Steps[0]
+	a.Steps = a.Steps[1:]
+	body, holdOpen := strings.CutSuffix(step, "SILENT")
+	_, _ = io.WriteString(w, body) // a sidecar that has disconnected polls again
 	w.(http.Flusher).Flush()
-	if silent {
+	if holdOpen {
 		<-r.Context().Done()
 	}
 }
