--- a/internal/testkit/schedule/latency_json.go
+++ b/internal/testkit/schedule/latency_json.go
@@ -7,22 +7,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// MarshalJSON implements json.Marshaler: the whole distribution, in HdrHistogram's own compressed form (V2, base64).
+// MarshalJSON implements json.Marshaler. It encodes the complete histogram as a string, in HdrHistogram's compressed format V2
+// with base64.
 func (l *Latency) MarshalJSON() ([]byte, error) {
-	text, err := l.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	text, err := l.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		return nil, fmt.Errorf("latency: %w", err)
 	}
 	return json.Marshal(string(text))
 }
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler. It rejects a histogram with another range or resolution than NewLatency's, since
+// the two could not be merged exactly.
 func (l *Latency) UnmarshalJSON(text []byte) (err error) {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	defer func() { // the decoder trusts lengths that it reads
+	defer func() { // the decoder doesn't validate the lengths in its input and panics if they are wrong
 		if r := recover(); r != nil {
 			err = fmt.Errorf("latency: %v", r)
 		}
@@ -31,10 +33,11 @@
 	if err != nil {
 		return fmt.Errorf("latency: %w", err)
 	}
-	whole := NewLatency()
-	if h.HighestTrackableValue() != whole.h.HighestTrackableValue() || h.LowestTrackableValue() != whole.h.LowestTrackableValue() || h.SignificantFigures() != digits {
-		return fmt.Errorf("latency: another range than from %v to %v", leastLatency, mostLatency)
+	want := NewLatency().histogram
+	if h.HighestTrackableValue() != want.HighestTrackableValue() || h.LowestTrackableValue() != want.LowestTrackableValue() ||
+		h.SignificantFigures() != significantDigits {
+		return fmt.Errorf("latency: the range is not %v to %v with %d significant digits", minLatency, maxLatency, significantDigits)
 	}
-	l.h = h
+	l.histogram = h
 	return nil
 }
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -1,5 +1,7 @@
-// Package schedule draws open-loop arrivals ahead of a run and counts latency from the instant at which each was due:
-// a stalled server must not hide its own queue (Tene, "How NOT to Measure Latency").
+// Package schedule draws the instants at which the requests of an open-loop load test are due, and records latencies in
+// histograms. Instants don't depend on responses, so latency can be measured from the instant at which a request was due. A
+// closed loop instead stops sending while the server stalls, and so misses the time that requests would have waited (Tene,
+// "How NOT to Measure Latency").
 package schedule
 
 import (
@@ -9,109 +11,113 @@
 	"time"
 )
 
-// Burst multiplies a rate for a while. It rises and falls evenly over Ramp at either end.
+// Burst multiplies an arrival rate for a limited time.
 type Burst struct {
-	At, For, Ramp time.Duration
-	Factor        float64
+	At     time.Duration // start, from the start of the run
+	For    time.Duration // duration, both ramps included
+	Ramp   time.Duration // time of the linear rise at the start, and of the linear fall at the end
+	Factor float64       // factor of the rate between the two ramps
 }
 
-// factor is what the surge makes of the rate at an instant.
-func (s Burst) factor(at time.Duration) float64 {
-	in, left := at-s.At, s.At+s.For-at
+// factorAt returns the factor that the burst multiplies the rate by at an instant; 1 outside the burst.
+func (b Burst) factorAt(instant time.Duration) float64 {
+	elapsed, remaining := instant-b.At, b.At+b.For-instant
 	switch {
-	case in < 0 || left <= 0:
+	case elapsed < 0 || remaining <= 0:
 		return 1
-	case s.Ramp <= 0:
-		return s.Factor
+	case b.Ramp <= 0:
+		return b.Factor
 	}
-	share := min(float64(in)/float64(s.Ramp), float64(left)/float64(s.Ramp), 1)
-	return 1 + (s.Factor-1)*share
+	rampFraction := min(float64(elapsed)/float64(b.Ramp), float64(remaining)/float64(b.Ramp), 1)
+	return 1 + (b.Factor-1)*rampFraction
 }
 
-// Rate is a rate of arrivals over time. Bursts that overlap multiply.
+// Rate is an arrival rate over time: a constant rate, multiplied by the factors of all bursts that are under way.
 type Rate struct {
-	PerSecond float64
-	Bursts    []Burst
+	PerSecond float64 // rate without bursts
+	Bursts    []Burst // may overlap
 }
 
-// At is the rate at an instant, in arrivals a second.
-func (r Rate) At(at time.Duration) float64 {
+// At returns the rate at an instant, in arrivals per second.
+func (r Rate) At(instant time.Duration) float64 {
 	rate := r.PerSecond
-	for _, s := range r.Bursts {
-		rate *= s.factor(at)
+	for _, b := range r.Bursts {
+		rate *= b.factorAt(instant)
 	}
 	return rate
 }
 
-// peak is a bound that At never passes.
-func (r Rate) peak() float64 {
-	peak := r.PerSecond
-	for _, s := range r.Bursts {
-		peak *= max(s.Factor, 1)
+// upperBound returns a rate, in arrivals per second, that At never exceeds.
+func (r Rate) upperBound() float64 {
+	bound := r.PerSecond
+	for _, b := range r.Bursts {
+		bound *= max(b.Factor, 1)
 	}
-	return peak
+	return bound
 }
 
-// Arrival is one request that is due.
+// Arrival is a request that is due at a given instant.
 type Arrival struct {
-	At     time.Duration // since the start of the run
-	Class  int
-	Tenant int
-	Seed   uint64 // seeds whatever else is drawn for this arrival, so that order does not matter there
+	At     time.Duration // instant at which the request is due, from the start of the run
+	Class  int           // index into Mix.Classes
+	Tenant int           // index into Mix.Tenant
+	Seed   uint64        // seed for other random properties of the request, which then don't depend on the order of drawing
 }
 
-// Mix says what arrives. Shares are relative weights, of one class or tenant at least.
+// Mix describes the arrivals of a run.
 type Mix struct {
-	Rate            Rate
-	Length          time.Duration
-	Classes, Tenant []float64
-	MaxArrivals     int // arrivals; more are an error, so that memory has a bound
+	Rate        Rate
+	Length      time.Duration // duration of the run
+	Classes     []float64     // relative frequency of each request class
+	Tenant      []float64     // relative frequency of each tenant
+	MaxArrivals int           // number of arrivals above which Draw returns an error, to bound memory
 }
 
-// Draw draws a Poisson process of the given rate by thinning (Lewis and Shedler, 1979). The same source gives the same
-// arrivals, in order of their instants.
+// Draw draws the arrivals of a run as a Poisson process by thinning (Lewis and Shedler, 1979), in order of time. Sources in
+// the same state give the same arrivals.
 func Draw(rng *rand.Rand, m Mix) ([]Arrival, error) {
-	peak := m.Rate.peak()
-	if peak <= 0 || math.IsInf(peak, 0) || math.IsNaN(peak) {
-		return nil, fmt.Errorf("a rate of %v a second can't be drawn", peak)
+	bound := m.Rate.upperBound()
+	if bound <= 0 || math.IsInf(bound, 0) || math.IsNaN(bound) {
+		return nil, fmt.Errorf("an arrival rate of up to %v per second is not positive and finite", bound)
 	}
-	if expect := peak * m.Length.Seconds(); expect > 4*float64(m.MaxArrivals) {
-		return nil, fmt.Errorf("up to %.0f arrivals, at most %d are drawn", expect, m.MaxArrivals)
+	// bound may far exceed the mean rate, so only a schedule that is much too long is rejected before it is drawn.
+	if candidates := bound * m.Length.Seconds(); candidates > 4*float64(m.MaxArrivals) {
+		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", candidates, m.MaxArrivals)
 	}
-	var out []Arrival
-	for at := 0.0; ; {
-		at += rng.ExpFloat64() / peak
-		instant := time.Duration(at * float64(time.Second))
+	var arrivals []Arrival
+	for seconds := 0.0; ; {
+		seconds += rng.ExpFloat64() / bound
+		instant := time.Duration(seconds * float64(time.Second))
 		if instant >= m.Length {
-			return out, nil
+			return arrivals, nil
 		}
-		if rng.Float64()*peak >= m.Rate.At(instant) {
-			continue
+		if rng.Float64()*bound >= m.Rate.At(instant) {
+			continue // thinning: a candidate is accepted with the probability rate/bound
 		}
-		if len(out) == m.MaxArrivals {
-			return nil, fmt.Errorf("more than %d arrivals", m.MaxArrivals)
+		if len(arrivals) == m.MaxArrivals {
+			return nil, fmt.Errorf("the schedule has more arrivals than the limit of %d", m.MaxArrivals)
 		}
-		out = append(out, Arrival{At: instant, Class: Pick(rng, m.Classes), Tenant: Pick(rng, m.Tenant), Seed: rng.Uint64()})
+		arrivals = append(arrivals, Arrival{At: instant, Class: Pick(rng, m.Classes), Tenant: Pick(rng, m.Tenant), Seed: rng.Uint64()})
 	}
 }
 
-// Pick draws an index by weight.
+// Pick draws an index of weights, each with a probability in proportion to its weight. It returns 0 if weights is empty.
 func Pick(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
-	at := rng.Float64() * sum
+	remaining := rng.Float64() * sum
 	for i, w := range weights {
-		if at -= w; at < 0 {
+		if remaining -= w; remaining < 0 {
 			return i
 		}
 	}
-	return max(len(weights)-1, 0)
+	return max(len(weights)-1, 0) // rounding errors can leave a remainder after the last weight
 }
 
-// Dispatch says when each arrival is due, to a function that must not block, until all have been handed over or stop is
-// closed. It never waits for anything but the clock: what became of the ones before does not matter.
+// Dispatch calls send for each arrival at the instant at which it is due, until all are sent or stop is closed. i is the
+// arrival's index. send must not block: the schedule must not depend on the outcome of earlier requests.
 func Dispatch(start time.Time, arrivals []Arrival, stop <-chan struct{}, send func(i int, due time.Time)) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -11,110 +11,111 @@
 	"pgregory.net/rapid"
 )
 
-func mix() Mix {
+// burstMix returns the arrivals of 30 s, with three times the rate during the second 10 s.
+func burstMix() Mix {
 	return Mix{Rate: Rate{PerSecond: 200, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Factor: 3}}},
 		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenant: []float64{1, 1}, MaxArrivals: 100000}
 }
 
-func TestTheSameSeedDrawsTheSame(t *testing.T) {
+func TestArrivalsAreReproducible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		m := mix()
+		m := burstMix()
 		m.Length = time.Second
 		m.Rate.PerSecond = rapid.Float64Range(1, 500).Draw(t, "rate")
 		draw := func(seed uint64) []Arrival {
-			a, err := Draw(rand.New(rand.NewPCG(seed, 1)), m)
+			arrivals, err := Draw(rand.New(rand.NewPCG(seed, 1)), m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return a
+			return arrivals
 		}
-		a := draw(seed)
-		if !slices.Equal(a, draw(seed)) {
-			t.Fatal("two draws differ")
+		arrivals := draw(seed)
+		if !slices.Equal(arrivals, draw(seed)) {
+			t.Fatal("two draws with the same seed differ")
 		}
-		if !slices.IsSortedFunc(a, func(x, y Arrival) int { return int(x.At - y.At) }) {
-			t.Fatal("not in order")
+		if !slices.IsSortedFunc(arrivals, func(x, y Arrival) int { return int(x.At - y.At) }) {
+			t.Fatal("the arrivals are not in order of time")
 		}
-		if len(a) > 0 && slices.Equal(a, draw(seed+1)) {
-			t.Fatal("another seed draws the same")
+		if len(arrivals) > 0 && slices.Equal(arrivals, draw(seed+1)) {
+			t.Fatal("two draws with different seeds are the same")
 		}
 	})
 }
 
-func TestASurgeComesWhenItIsDue(t *testing.T) {
-	a, err := Draw(rand.New(rand.NewPCG(7, 1)), mix())
+func TestBurstAndClassFrequencies(t *testing.T) {
+	arrivals, err := Draw(rand.New(rand.NewPCG(7, 1)), burstMix())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var third [3]float64
-	class := 0.0
-	for _, x := range a {
-		third[x.At/(10*time.Second)]++
-		class += float64(1 - x.Class)
+	var perThird [3]float64 // arrivals in each 10 s
+	firstClass := 0.0       // arrivals of class 0
+	for _, a := range arrivals {
+		perThird[a.At/(10*time.Second)]++
+		firstClass += float64(1 - a.Class)
 	}
-	// 2000, 6000 and 2000 are expected; five standard deviations of a Poisson count are allowed.
+	// The tolerance is five standard deviations of a Poisson count.
 	for i, want := range []float64{2000, 6000, 2000} {
-		if math.Abs(third[i]-want) > 5*math.Sqrt(want) {
-			t.Errorf("third %d: %v arrivals, want about %v", i, third[i], want)
+		if math.Abs(perThird[i]-want) > 5*math.Sqrt(want) {
+			t.Errorf("%v arrivals from %d s to %d s, want about %v", perThird[i], 10*i, 10*i+10, want)
 		}
 	}
-	if share := class / float64(len(a)); math.Abs(share-0.75) > 0.03 {
-		t.Errorf("%v of the first class", share)
+	if fraction := firstClass / float64(len(arrivals)); math.Abs(fraction-0.75) > 0.03 {
+		t.Errorf("a fraction of %v of the arrivals is of class 0, want 0.75 within 0.03", fraction)
 	}
 }
 
-func TestARampIsEven(t *testing.T) {
+func TestBurstRampIsLinear(t *testing.T) {
 	r := Rate{PerSecond: 100, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Ramp: 4 * time.Second, Factor: 2}}}
 	for at, want := range map[time.Duration]float64{9: 100, 10: 100, 12: 150, 15: 200, 18: 150, 20: 100, 25: 100} {
 		if got := r.At(at * time.Second); math.Abs(got-want) > 1e-9 {
-			t.Errorf("at %v s: %v, want %v", int(at), got, want)
+			t.Errorf("rate at %v s: %v, want %v", int(at), got, want)
 		}
 	}
 }
 
-func TestWhatIsTooMuchIsAnError(t *testing.T) {
+func TestDrawRejectsExcessiveAndInvalidRates(t *testing.T) {
 	for name, change := range map[string]func(*Mix){
-		"too many":   func(m *Mix) { m.MaxArrivals = 100 },
-		"far beyond": func(m *Mix) { m.Rate.PerSecond = 1e12 },
-		"no rate":    func(m *Mix) { m.Rate.PerSecond = 0 },
-		"no number":  func(m *Mix) { m.Rate.PerSecond = math.NaN() },
+		"more arrivals than MaxArrivals":     func(m *Mix) { m.MaxArrivals = 100 },
+		"far more arrivals than MaxArrivals": func(m *Mix) { m.Rate.PerSecond = 1e12 },
+		"rate of 0":                          func(m *Mix) { m.Rate.PerSecond = 0 },
+		"rate is NaN":                        func(m *Mix) { m.Rate.PerSecond = math.NaN() },
 	} {
-		m := mix()
+		m := burstMix()
 		change(&m)
-		if a, err := Draw(rand.New(rand.NewPCG(7, 1)), m); err == nil {
-			t.Errorf("%s: drew %d", name, len(a))
+		if arrivals, err := Draw(rand.New(rand.NewPCG(7, 1)), m); err == nil {
+			t.Errorf("%s: drew %d arrivals, want an error", name, len(arrivals))
 		}
 	}
 }
 
-// A receiver that stalls must not move what is due later.
-func TestAStallDoesNotMoveTheSchedule(t *testing.T) {
+// Arrivals are dispatched on time even if the server responds to none of the earlier ones.
+func TestDispatchIsOnTimeWhileTheServerStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var arrivals []Arrival
 		for i := range 50 {
 			arrivals = append(arrivals, Arrival{At: time.Duration(i) * 100 * time.Millisecond})
 		}
-		stall := make(chan struct{})
-		var sent []time.Duration
+		serverStalls := make(chan struct{}) // closed at the end of the stall
+		var sent []time.Duration            // instants of the calls, from start
 		Dispatch(start, arrivals, nil, func(i int, due time.Time) {
 			sent = append(sent, time.Since(start))
-			go func() { <-stall }() // a server that answers nothing
+			go func() { <-serverStalls }() // a request that waits for its response
 		})
-		close(stall)
+		close(serverStalls)
 		for i, at := range sent {
 			if at != arrivals[i].At {
-				t.Errorf("arrival %d sent at %v, due %v", i, at, arrivals[i].At)
+				t.Errorf("arrival %d dispatched at %v, want %v", i, at, arrivals[i].At)
 			}
 		}
 		if len(sent) != 50 {
-			t.Errorf("%d sent", len(sent))
+			t.Errorf("%d arrivals dispatched, want 50", len(sent))
 		}
 	})
 }
 
-func TestDueEndsWhenStopped(t *testing.T) {
+func TestDispatchStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
 		n := 0
@@ -124,12 +125,13 @@
 			}
 		})
 		if n != 2 {
-			t.Errorf("%d sent", n)
+			t.Errorf("%d arrivals dispatched, want the 2 that were due before stop was closed", n)
 		}
 	})
 }
 
-func TestLatenciesMergeExactly(t *testing.T) {
+// Merging the histograms of two parts gives the histogram of all latencies, for latencies inside and outside its range.
+func TestLatencyMergeIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, a, b := NewLatency(), NewLatency(), NewLatency()
 		for i, ms := range rapid.SliceOfN(rapid.IntRange(0, 700_000), 1, 50).Draw(t, "ms") {
@@ -142,25 +144,25 @@
 			}
 		}
 		a.Merge(b)
-		for _, share := range []float64{0.5, 0.9, 0.99, 1} {
-			if a.At(share) != all.At(share) || a.Count() != all.Count() {
-				t.Fatalf("%v: %v merged, %v together", share, a.At(share), all.At(share))
+		for _, fraction := range []float64{0.5, 0.9, 0.99, 1} {
+			if a.At(fraction) != all.At(fraction) || a.Count() != all.Count() {
+				t.Fatalf("quantile %v: %v of %d latencies after the merge, want %v of %d", fraction, a.At(fraction), a.Count(), all.At(fraction), all.Count())
 			}
 		}
 	})
 }
 
-func TestAPercentileIsWithinATenthOfAPercent(t *testing.T) {
+func TestLatencyQuantilePrecision(t *testing.T) {
 	l := NewLatency()
 	if l.At(0.5) != 0 {
-		t.Error("something in an empty distribution")
+		t.Error("the median of an empty histogram is not 0")
 	}
 	for ms := range 1000 {
 		l.Record(time.Duration(ms+1) * time.Millisecond)
 	}
-	for share, want := range map[float64]time.Duration{0.5: 500, 0.99: 990, 1: 1000} {
-		if got := l.At(share); math.Abs(float64(got-want*time.Millisecond)) > 0.001*float64(want*time.Millisecond) {
-			t.Errorf("%v: %v, want %v ms", share, got, int(want))
+	for fraction, want := range map[float64]time.Duration{0.5: 500, 0.99: 990, 1: 1000} {
+		if got := l.At(fraction); math.Abs(float64(got-want*time.Millisecond)) > 0.001*float64(want*time.Millisecond) {
+			t.Errorf("quantile %v: %v, want %v ms within 0.1 %%", fraction, got, int(want))
 		}
 	}
 }
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -8,184 +8,191 @@
 	"time"
 )
 
-// Point is a rate that holds at an instant. Between two points the rate goes straight from one to the other.
+// Point is the arrival rate at one instant of a Curve.
 type Point struct {
-	At        time.Duration
-	PerSecond float64
+	At        time.Duration // instant from the start of the run
+	PerSecond float64       // arrivals per second
 }
 
-// Curve is a rate over time, by points in order of their instants; two at one instant make a step. Before the first and
-// after the last point it is theirs.
+// Curve is an arrival rate over time, given by points in order of time. Between two points the rate is interpolated linearly;
+// two points at the same instant make a step. Before the first point the rate is that of the first, and after the last point
+// that of the last.
 type Curve []Point
 
-// Steady is a rate that never changes.
+// Steady returns the curve of a constant rate.
 func Steady(perSecond float64) Curve { return Curve{{0, perSecond}} }
 
-func (c Curve) check() error {
+func (c Curve) validate() error {
 	if len(c) == 0 {
-		return errors.New("a rate has no points")
+		return errors.New("the rate curve has no points")
 	}
 	for i, p := range c {
 		switch {
-		case math.IsNaN(p.PerSecond) || p.PerSecond < 0 || p.PerSecond > mostRate:
-			return fmt.Errorf("point %d: a rate of %v is not from 0 to %v a second", i, p.PerSecond, float64(mostRate))
+		case math.IsNaN(p.PerSecond) || p.PerSecond < 0 || p.PerSecond > maxRate:
+			return fmt.Errorf("point %d of the rate curve: a rate of %v is not from 0 to %v per second", i, p.PerSecond, float64(maxRate))
 		case p.At < 0 || i > 0 && p.At < c[i-1].At:
-			return fmt.Errorf("point %d: %v is not in order", i, p.At)
+			return fmt.Errorf("point %d of the rate curve: the points are not in order of time at %v", i, p.At)
 		}
 	}
 	return nil
 }
 
-// Gaps says how arrivals follow one another at a given rate.
+// Gaps is the distribution of the times between arrivals at a given rate.
 type Gaps uint8
 
-// The kinds.
+// The distributions of the times between arrivals.
 const (
-	Even        Gaps = iota // all alike
-	Exponential             // a Poisson process
-	Pareto                  // a heavy tail: few long silences and crowds between them; Tail is the exponent
-	OnOff                   // a Poisson process that is on and off by turns of exponential lengths, with On and Off for means
+	Even        Gaps = iota // all gaps have the same length
+	Exponential             // gaps have exponential lengths: a Poisson process
+	Pareto                  // gaps have Pareto lengths, a heavy-tailed distribution: few long gaps, with many arrivals close together between them
+	OnOff                   // a Poisson process that is switched on and off, each time for an exponentially distributed time
 )
 
-// Process is a process of arrivals. Its rate over time is the Curve's, whatever its gaps.
+// Process is a random process of arrivals. Its mean rate follows Rate, whatever the distribution of the gaps.
 type Process struct {
-	Rate    Curve
-	Gaps    Gaps
-	Tail    float64       // of Pareto: over 1; the nearer to 1, the wilder
-	On, Off time.Duration // of OnOff
+	Rate Curve
+	Gaps Gaps
+	Tail float64       // exponent of the Pareto distribution, over 1; lower values give more extreme gaps
+	On   time.Duration // mean length of the phases with arrivals of OnOff
+	Off  time.Duration // mean length of the phases without arrivals of OnOff
 }
 
-const mostRate = 1_000_000 // arrivals a second; beyond it instants of whole nanoseconds crowd
+// maxRate is the highest rate of a Curve, in arrivals per second. At higher rates too many arrivals would fall on the same
+// nanosecond, in which instants are counted.
+const maxRate = 1_000_000
 
-// Stream gives a process's arrivals one by one, in order, and holds none of them.
+// Stream generates the arrivals of a Process one by one, in order of time, without storing them.
 type Stream struct {
-	p   Process
-	rng *rand.Rand
-
-	begun bool
-	at    float64 // seconds
-	next  int     // point of the curve that comes next
-	// Of OnOff:
-	on    bool
-	until float64 // seconds: the phase ends
+	process Process
+	rng     *rand.Rand
+
+	begun     bool    // whether the first gap of Even has been drawn
+	now       float64 // seconds from the start of the run up to which arrivals have been generated
+	nextPoint int     // index of the first point of the rate curve that is later than now
+	on        bool    // whether a phase with arrivals of OnOff is under way
+	phaseEnd  float64 // seconds from the start of the run to the end of the OnOff phase; infinite for other gaps
 }
 
-// NewStream starts a process. The same source gives the same arrivals.
+// NewStream returns a Stream that starts at instant 0. Sources in the same state give the same arrivals.
 func NewStream(rng *rand.Rand, p Process) (*Stream, error) {
-	if err := p.Rate.check(); err != nil {
+	if err := p.Rate.validate(); err != nil {
 		return nil, err
 	}
-	s := &Stream{p: p, rng: rng, until: math.Inf(1)}
+	s := &Stream{process: p, rng: rng, phaseEnd: math.Inf(1)}
 	switch p.Gaps {
 	case Pareto:
 		if !(p.Tail > 1) || math.IsInf(p.Tail, 1) {
-			return nil, fmt.Errorf("a tail of %v is not over 1", p.Tail)
+			return nil, fmt.Errorf("a Pareto exponent of %v is not finite and over 1", p.Tail)
 		}
 	case OnOff:
 		if p.On <= 0 || p.Off <= 0 {
-			return nil, fmt.Errorf("phases of %v and %v are not both over 0", p.On, p.Off)
+			return nil, fmt.Errorf("mean on and off phases of %v and %v are not both over 0", p.On, p.Off)
 		}
-		// The first phase is one that an observer would meet, so that the rate holds from the start on.
-		s.on = rng.Float64() < share(p.On, p.Off)
-		s.until = s.phase()
+		// The first phase is drawn from the stationary distribution, so that the mean rate is right from the start.
+		s.on = rng.Float64() < onFraction(p.On, p.Off)
+		s.phaseEnd = s.drawPhaseEnd()
 	}
 	return s, nil
 }
 
-func share(on, off time.Duration) float64 { return on.Seconds() / (on + off).Seconds() }
+// onFraction returns the fraction of time that an OnOff process spends in phases with arrivals.
+func onFraction(on, off time.Duration) float64 { return on.Seconds() / (on + off).Seconds() }
 
-// phase draws the end of the phase that begins now. Exponential lengths have no memory: that of one met on its way is the
-// same.
-func (s *Stream) phase() float64 {
-	mean := s.p.Off
+// drawPhaseEnd draws the end of the current phase of OnOff. Exponential lengths are memoryless, so it makes no difference
+// whether the phase begins now or is under way.
+func (s *Stream) drawPhaseEnd() float64 {
+	mean := s.process.Off
 	if s.on {
-		mean = s.p.On
+		mean = s.process.On
 	}
-	return s.at + mean.Seconds()*s.rng.ExpFloat64()
+	return s.now + mean.Seconds()*s.rng.ExpFloat64()
 }
 
-// gap draws how many arrivals at the mean rate would fit until the next one; its mean is 1.
-func (s *Stream) gap() float64 {
-	switch s.p.Gaps {
+// drawGap draws the gap to the next arrival, in units of the mean gap at the current rate.
+func (s *Stream) drawGap() float64 {
+	switch s.process.Gaps {
 	case Exponential, OnOff:
 		return s.rng.ExpFloat64()
 	case Pareto:
-		least := (s.p.Tail - 1) / s.p.Tail
-		return least / math.Pow(1-s.rng.Float64(), 1/s.p.Tail)
+		minGap := (s.process.Tail - 1) / s.process.Tail // gives a mean of 1
+		return minGap / math.Pow(1-s.rng.Float64(), 1/s.process.Tail)
 	}
-	if !s.begun { // in the middle of a gap, so that a whole number of them is as many arrivals
+	if !s.begun { // half a gap at the start, so that a run as long as n gaps has n arrivals
 		s.begun = true
 		return 0.5
 	}
 	return 1
 }
 
-// Next gives the next arrival; ok is false where none is to come before the instant given.
-func (s *Stream) Next(end time.Duration) (at time.Duration, ok bool) {
-	left := s.gap()
+// Next returns the instant of the next arrival; ok is false if there is none before end.
+func (s *Stream) Next(end time.Duration) (instant time.Duration, ok bool) {
+	// The integral of the rate from now to the next arrival equals the gap. It is evaluated segment by segment.
+	remaining := s.drawGap()
 	for {
-		until, from, to := s.segment(end.Seconds())
-		if until <= s.at && until >= end.Seconds() {
+		segmentEnd, rateNow, rateAtEnd := s.segment(end.Seconds())
+		if segmentEnd <= s.now && segmentEnd >= end.Seconds() {
 			return 0, false
 		}
-		d := until - s.at
-		area := (from + to) / 2 * d
-		if area > left {
-			s.at += solve(left, from, (to-from)/d)
-			return time.Duration(s.at * float64(time.Second)), s.at < end.Seconds()
+		length := segmentEnd - s.now
+		integral := (rateNow + rateAtEnd) / 2 * length
+		if integral > remaining {
+			s.now += timeToArrivals(remaining, rateNow, (rateAtEnd-rateNow)/length)
+			return time.Duration(s.now * float64(time.Second)), s.now < end.Seconds()
 		}
-		left -= area
-		s.pass(until)
-		if s.at >= end.Seconds() {
+		remaining -= integral
+		s.advance(segmentEnd)
+		if s.now >= end.Seconds() {
 			return 0, false
 		}
 	}
 }
 
-// segment is the time from now over which the rate goes straight from one value to another, up to an end.
-func (s *Stream) segment(end float64) (until, from, to float64) {
-	c := s.p.Rate
-	for s.next < len(c) && c[s.next].At.Seconds() <= s.at {
-		s.next++
+// segment returns the longest time from now, at most until limit, during which the rate is linear: its end in seconds, and the
+// rates now and at its end.
+func (s *Stream) segment(limit float64) (end, rateNow, rateAtEnd float64) {
+	curve := s.process.Rate
+	for s.nextPoint < len(curve) && curve[s.nextPoint].At.Seconds() <= s.now {
+		s.nextPoint++
 	}
-	until = min(end, s.until)
+	end = min(limit, s.phaseEnd)
 	switch {
-	case s.next == len(c):
-		from = c[len(c)-1].PerSecond
-		to = from
-	case s.next == 0:
-		from = c[0].PerSecond
-		to, until = from, min(until, c[0].At.Seconds())
+	case s.nextPoint == len(curve):
+		rateNow = curve[len(curve)-1].PerSecond
+		rateAtEnd = rateNow
+	case s.nextPoint == 0:
+		rateNow = curve[0].PerSecond
+		rateAtEnd, end = rateNow, min(end, curve[0].At.Seconds())
 	default:
-		a, b := c[s.next-1], c[s.next]
-		until = min(until, b.At.Seconds())
+		a, b := curve[s.nextPoint-1], curve[s.nextPoint]
+		end = min(end, b.At.Seconds())
 		slope := (b.PerSecond - a.PerSecond) / (b.At - a.At).Seconds()
-		from = a.PerSecond + slope*(s.at-a.At.Seconds())
-		to = a.PerSecond + slope*(until-a.At.Seconds())
+		rateNow = a.PerSecond + slope*(s.now-a.At.Seconds())
+		rateAtEnd = a.PerSecond + slope*(end-a.At.Seconds())
 	}
-	if s.p.Gaps == OnOff {
+	if s.process.Gaps == OnOff {
 		factor := 0.0
 		if s.on {
-			factor = 1 / share(s.p.On, s.p.Off)
+			factor = 1 / onFraction(s.process.On, s.process.Off)
 		}
-		from, to = from*factor, to*factor
+		rateNow, rateAtEnd = rateNow*factor, rateAtEnd*factor
 	}
-	return until, max(from, 0), max(to, 0)
+	return end, max(rateNow, 0), max(rateAtEnd, 0)
 }
 
-// pass goes to the end of a segment.
-func (s *Stream) pass(until float64) {
-	s.at = until
-	for s.at >= s.until {
+// advance moves now to an instant, in seconds, and begins the OnOff phases that are due by then.
+func (s *Stream) advance(instant float64) {
+	s.now = instant
+	for s.now >= s.phaseEnd {
 		s.on = !s.on
-		s.until = s.phase()
+		s.phaseEnd = s.drawPhaseEnd()
 	}
 }
 
-// solve gives the time in which a rate that begins at from and rises by slope brings n arrivals.
-func solve(n, from, slope float64) float64 {
-	if math.Abs(slope)*n < 1e-12*from*from { // straight, for all that can be told
-		return n / from
+// timeToArrivals returns the seconds in which n arrivals are expected if the rate per second begins at rate and changes by
+// slope in each second.
+func timeToArrivals(n, rate, slope float64) float64 {
+	if math.Abs(slope)*n < 1e-12*rate*rate { // constant within the precision of a float64
+		return n / rate
 	}
-	return 2 * n / (from + math.Sqrt(max(from*from+2*slope*n, 0)))
+	return 2 * n / (rate + math.Sqrt(max(rate*rate+2*slope*n, 0)))
 }
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -10,33 +10,36 @@
 	"pgregory.net/rapid"
 )
 
-func drawn(tb testing.TB, seed uint64, p Process, length time.Duration) (at []float64) {
+// drawStream returns the instants of all arrivals of a process in a run of the given length, in seconds.
+func drawStream(tb testing.TB, seed uint64, p Process, length time.Duration) (instants []float64) {
 	tb.Helper()
 	s, err := NewStream(rand.New(rand.NewPCG(seed, 3)), p)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	for {
-		a, ok := s.Next(length)
+		instant, ok := s.Next(length)
 		if !ok {
-			return at
+			return instants
 		}
-		at = append(at, a.Seconds())
+		instants = append(instants, instant.Seconds())
 	}
 }
 
-func gapsOf(at []float64) (out []float64) {
-	for i := 1; i < len(at); i++ {
-		out = append(out, at[i]-at[i-1])
+// gapsBetween returns the times between successive instants.
+func gapsBetween(instants []float64) (gaps []float64) {
+	for i := 1; i < len(instants); i++ {
+		gaps = append(gaps, instants[i]-instants[i-1])
 	}
-	return out
+	return gaps
 }
 
-// dispersion is the index of dispersion of counts: the variance of the counts in windows over their mean.
-func dispersion(at []float64, length, window float64) float64 {
+// dispersion returns the index of dispersion of counts: the ratio of the variance to the mean of the number of arrivals per
+// window. length and window are in seconds.
+func dispersion(instants []float64, length, window float64) float64 {
 	counts := make([]float64, int(length/window))
-	for _, a := range at {
-		if i := int(a / window); i < len(counts) {
+	for _, instant := range instants {
+		if i := int(instant / window); i < len(counts) {
 			counts[i]++
 		}
 	}
@@ -50,152 +53,161 @@
 	return variance / mean
 }
 
-// distance is that of Kolmogorov and Smirnov between values and a distribution.
-func distance(values []float64, below func(float64) float64) (most float64) {
+// ksStatistic returns the Kolmogorov-Smirnov statistic of values against a cumulative distribution function.
+func ksStatistic(values []float64, cdf func(float64) float64) (maxDistance float64) {
 	values = slices.Sorted(slices.Values(values))
 	n := float64(len(values))
 	for i, v := range values {
-		p := below(v)
-		most = max(most, math.Abs(p-float64(i)/n), math.Abs(float64(i+1)/n-p))
+		p := cdf(v)
+		maxDistance = max(maxDistance, math.Abs(p-float64(i)/n), math.Abs(float64(i+1)/n-p))
 	}
-	return most
+	return maxDistance
 }
 
-func TestEachKindKeepsItsStatistics(t *testing.T) {
+// ksCritical returns the value that the Kolmogorov-Smirnov statistic of n samples exceeds by chance once in a thousand times.
+func ksCritical(n int) float64 { return 1.95 / math.Sqrt(float64(n)) }
+
+// Every distribution of gaps gives the right number of arrivals, the right dispersion of their counts, and gaps that pass a
+// Kolmogorov-Smirnov test.
+func TestStreamStatistics(t *testing.T) {
 	const rate, length = 400.0, 500 * time.Second
-	const expect = rate * 500
-	exponential := func(x float64) float64 { return 1 - math.Exp(-rate*x) }
+	const wantCount = rate * 500
+	exponentialCDF := func(x float64) float64 { return 1 - math.Exp(-rate*x) }
 	for name, c := range map[string]struct {
-		p                 Process
-		counted           float64 // how far the number of arrivals may be off, in shares: five deviations
-		dispersed, within float64 // index of dispersion in windows of a second, and how far it may be off
-		gaps              func(float64) float64
+		process             Process
+		countTolerance      float64               // allowed deviation of the number of arrivals, as a fraction: five standard deviations
+		dispersion          float64               // expected index of dispersion in windows of one second
+		dispersionTolerance float64               // allowed deviation of the index of dispersion
+		gapCDF              func(float64) float64 // cumulative distribution of the gaps in seconds; nil: not tested
 	}{
-		"even": {Process{Gaps: Even}, 1 / expect, 0, 1e-3, func(x float64) float64 {
+		"even": {Process{Gaps: Even}, 1 / wantCount, 0, 1e-3, func(x float64) float64 {
 			if x < 1/rate-1e-8 {
 				return 0
 			}
 			return 1
 		}},
-		"exponential": {Process{Gaps: Exponential}, 5 / math.Sqrt(expect), 1, 0.35, exponential},
-		// With an exponent over 2 the gaps have a variance, a/(a-2)(a-1)^2 of least squared; dispersion tends to it over the mean squared.
-		"pareto": {Process{Gaps: Pareto, Tail: 3}, 5 * math.Sqrt(1.0/3/expect), 1.0 / 3, 0.25, func(x float64) float64 {
-			least := 2.0 / 3 / rate
-			if x <= least {
+		"exponential": {Process{Gaps: Exponential}, 5 / math.Sqrt(wantCount), 1, 0.35, exponentialCDF},
+		// The gaps have a variance if the exponent a is over 2: minGap^2 * a / ((a-2) * (a-1)^2). The index of dispersion tends to the
+		// variance divided by the square of the mean gap, which is 1 / (a * (a-2)).
+		"pareto": {Process{Gaps: Pareto, Tail: 3}, 5 * math.Sqrt(1.0/3/wantCount), 1.0 / 3, 0.25, func(x float64) float64 {
+			minGap := 2.0 / 3 / rate
+			if x <= minGap {
 				return 0
 			}
-			beyond := least / x
-			return 1 - beyond*beyond*beyond
+			ratio := minGap / x
+			return 1 - ratio*ratio*ratio
 		}},
-		// Phases of 0.1 s in windows of 1 s: 1 + 2 r (off/on) tau (1 - tau (1 - e^(-1/tau))) with tau = on off / (on + off).
-		"on and off": {Process{Gaps: OnOff, On: 100 * time.Millisecond, Off: 100 * time.Millisecond}, 5 * math.Sqrt(40/expect),
+		// With rate r and phases of 0.1 s in windows of 1 s the index of dispersion is
+		// 1 + 2 * r * (off/on) * tau * (1 - tau * (1 - e^(-1/tau))), with tau = on * off / (on + off).
+		"on-off": {Process{Gaps: OnOff, On: 100 * time.Millisecond, Off: 100 * time.Millisecond}, 5 * math.Sqrt(40/wantCount),
 			1 + 2*rate*0.05*(1-0.05*(1-math.Exp(-20))), 12, nil},
 	} {
-		c.p.Rate = Steady(rate)
-		at := drawn(t, 11, c.p, length)
-		if off := math.Abs(float64(len(at))/expect - 1); off > c.counted+1e-9 {
-			t.Errorf("%s: %d arrivals, %.0f expected", name, len(at), expect)
+		c.process.Rate = Steady(rate)
+		instants := drawStream(t, 11, c.process, length)
+		if deviation := math.Abs(float64(len(instants))/wantCount - 1); deviation > c.countTolerance+1e-9 {
+			t.Errorf("%s: %d arrivals, want about %.0f", name, len(instants), wantCount)
 		}
-		d := dispersion(at, length.Seconds(), 1)
-		if math.Abs(d-c.dispersed) > c.within {
-			t.Errorf("%s: dispersion %.3f, want %.3f", name, d, c.dispersed)
+		d := dispersion(instants, length.Seconds(), 1)
+		if math.Abs(d-c.dispersion) > c.dispersionTolerance {
+			t.Errorf("%s: index of dispersion %.3f, want %.3f within %.3f", name, d, c.dispersion, c.dispersionTolerance)
 		}
-		t.Logf("%s: %d arrivals, dispersion %.3f (%.3f expected)", name, len(at), d, c.dispersed)
-		if c.gaps == nil {
+		t.Logf("%s: %d arrivals, index of dispersion %.3f (expected: %.3f)", name, len(instants), d, c.dispersion)
+		if c.gapCDF == nil {
 			continue
 		}
-		gaps := gapsOf(at)
-		// Instants are whole nanoseconds. 1.95/sqrt(n) is passed by chance once in a thousand.
+		gaps := gapsBetween(instants)
 		if name != "even" {
-			if ks := distance(gaps, c.gaps); ks > 1.95/math.Sqrt(float64(len(gaps))) {
-				t.Errorf("%s: gaps are %.5f away from what they should be", name, ks)
+			if ks := ksStatistic(gaps, c.gapCDF); ks > ksCritical(len(gaps)) {
+				t.Errorf("%s: the Kolmogorov-Smirnov statistic of the gaps is %.5f, want at most %.5f", name, ks, ksCritical(len(gaps)))
 			}
-		} else if lo, hi := slices.Min(gaps), slices.Max(gaps); hi-lo > 3e-9 {
-			t.Errorf("even gaps from %v to %v", lo, hi)
+		} else if lo, hi := slices.Min(gaps), slices.Max(gaps); hi-lo > 3e-9 { // instants are rounded to nanoseconds
+			t.Errorf("even gaps are from %v s to %v s, want a difference of 3 ns at most", lo, hi)
 		}
 	}
 }
 
-// The checks above must see a process that is not what it is called.
-func TestTheStatisticsTellKindsApart(t *testing.T) {
-	even := drawn(t, 1, Process{Rate: Steady(400), Gaps: Even}, 100*time.Second)
-	poisson := drawn(t, 1, Process{Rate: Steady(400), Gaps: Exponential}, 100*time.Second)
+// The statistics of TestStreamStatistics detect a process with another distribution or rate than expected.
+func TestStreamStatisticsDetectOtherProcesses(t *testing.T) {
+	even := drawStream(t, 1, Process{Rate: Steady(400), Gaps: Even}, 100*time.Second)
+	poisson := drawStream(t, 1, Process{Rate: Steady(400), Gaps: Exponential}, 100*time.Second)
 	if d := dispersion(even, 100, 1); d > 0.5 {
-		t.Errorf("even: %v", d)
+		t.Errorf("even gaps have an index of dispersion of %v, want at most 0.5 (a Poisson process has 1)", d)
 	}
-	wrong := func(x float64) float64 { return 1 - math.Exp(-380*x) } // 5 % off
-	if ks := distance(gapsOf(poisson), wrong); ks < 1.95/math.Sqrt(float64(len(poisson)-1)) {
-		t.Errorf("a rate 5 %% off is not seen: %v", ks)
+	cdfOfLowerRate := func(x float64) float64 { return 1 - math.Exp(-380*x) } // the rate drawn is 400 per second
+	if ks := ksStatistic(gapsBetween(poisson), cdfOfLowerRate); ks < ksCritical(len(poisson)-1) {
+		t.Errorf("a rate that is 5 %% too high is not detected: Kolmogorov-Smirnov statistic %v, want at least %v", ks, ksCritical(len(poisson)-1))
 	}
 }
 
-// Ramps and steps: as many arrivals in each part as the curve has area there.
-func TestACurveIsFollowed(t *testing.T) {
-	c := Curve{{0, 0}, {10 * time.Second, 1000}, {10 * time.Second, 100}, {20 * time.Second, 100}, {30 * time.Second, 0}}
-	for _, kind := range []Gaps{Even, Exponential, Pareto} {
-		at := drawn(t, 5, Process{Rate: c, Gaps: kind, Tail: 3}, 40*time.Second)
-		var got [8]float64
-		for _, a := range at {
-			got[int(a/5)]++
+// On ramps and steps, the number of arrivals in each interval is the integral of the rate curve over it.
+func TestStreamFollowsTheRateCurve(t *testing.T) {
+	curve := Curve{{0, 0}, {10 * time.Second, 1000}, {10 * time.Second, 100}, {20 * time.Second, 100}, {30 * time.Second, 0}}
+	for _, gaps := range []Gaps{Even, Exponential, Pareto} {
+		instants := drawStream(t, 5, Process{Rate: curve, Gaps: gaps, Tail: 3}, 40*time.Second)
+		var counts [8]float64 // arrivals in each interval of 5 s
+		for _, instant := range instants {
+			counts[int(instant/5)]++
 		}
 		for i, want := range []float64{1250, 3750, 500, 500, 375, 125, 0, 0} {
-			most := 5 * math.Sqrt(want)
-			if kind == Even {
-				most = 1
+			tolerance := 5 * math.Sqrt(want) // five standard deviations of a Poisson count
+			if gaps == Even {
+				tolerance = 1
 			}
-			if math.Abs(got[i]-want) > most {
-				t.Errorf("kind %d, from %d s: %v arrivals, want %v", kind, 5*i, got[i], want)
+			if math.Abs(counts[i]-want) > tolerance {
+				t.Errorf("gaps %d, from %d s to %d s: %v arrivals, want %v within %v", gaps, 5*i, 5*i+5, counts[i], want, tolerance)
 			}
 		}
 	}
 }
 
-func TestStreamsAreInOrderAndEnd(t *testing.T) {
+// The arrivals of any valid process are in order and within the run, and the same seed gives the same arrivals.
+func TestStreamIsOrderedBoundedAndReproducible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Curve
+		var curve Curve
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 6).Draw(t, "points") {
-			c = append(c, Point{at, rapid.SampledFrom([]float64{0, 0.5, 10, 300}).Draw(t, "rate")})
+			curve = append(curve, Point{at, rapid.SampledFrom([]float64{0, 0.5, 10, 300}).Draw(t, "rate")})
 			at += time.Duration(rapid.IntRange(0, 2000).Draw(t, "gap")) * time.Millisecond
 		}
-		p := Process{Rate: c, Gaps: Gaps(rapid.IntRange(0, 3).Draw(t, "kind")), Tail: rapid.Float64Range(1.1, 4).Draw(t, "tail"),
+		p := Process{Rate: curve, Gaps: Gaps(rapid.IntRange(0, 3).Draw(t, "gaps")), Tail: rapid.Float64Range(1.1, 4).Draw(t, "tail"),
 			On: time.Duration(rapid.IntRange(1, 300).Draw(t, "on")) * time.Millisecond, Off: time.Duration(rapid.IntRange(1, 300).Draw(t, "off")) * time.Millisecond}
 		seed, length := rapid.Uint64().Draw(t, "seed"), 5*time.Second
-		draw := func() (out []time.Duration) {
+		draw := func() (instants []time.Duration) {
 			s, err := NewStream(rand.New(rand.NewPCG(seed, 0)), p)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for {
-				at, ok := s.Next(length)
+				instant, ok := s.Next(length)
 				if !ok {
-					return out
+					return instants
 				}
-				if at < 0 || at >= length || len(out) > 0 && at < out[len(out)-1] {
-					t.Fatalf("%v after %v", at, out[max(len(out)-3, 0):])
+				if instant < 0 || instant >= length || len(instants) > 0 && instant < instants[len(instants)-1] {
+					t.Fatalf("an arrival at %v follows those at %v in a run of %v, want ascending instants within the run",
+						instant, instants[max(len(instants)-3, 0):], length)
 				}
-				out = append(out, at)
+				instants = append(instants, instant)
 			}
 		}
 		if !slices.Equal(draw(), draw()) {
-			t.Fatal("two draws differ")
+			t.Fatal("two streams with the same seed have different arrivals")
 		}
 	})
 }
 
-func TestProcessesThatCannotBe(t *testing.T) {
+func TestNewStreamRejectsInvalidProcesses(t *testing.T) {
 	for name, p := range map[string]Process{
-		"no points":     {},
-		"no rate":       {Rate: Steady(math.NaN())},
-		"negative":      {Rate: Steady(-1)},
-		"too much":      {Rate: Steady(2 * mostRate)},
-		"out of order":  {Rate: Curve{{time.Second, 1}, {0, 1}}},
-		"no tail":       {Rate: Steady(1), Gaps: Pareto, Tail: 1},
-		"a tail of NaN": {Rate: Steady(1), Gaps: Pareto, Tail: math.NaN()},
-		"no phases":     {Rate: Steady(1), Gaps: OnOff, On: time.Second},
+		"no points":              {},
+		"rate is NaN":            {Rate: Steady(math.NaN())},
+		"negative rate":          {Rate: Steady(-1)},
+		"rate over maxRate":      {Rate: Steady(2 * maxRate)},
+		"points out of order":    {Rate: Curve{{time.Second, 1}, {0, 1}}},
+		"Pareto exponent of 1":   {Rate: Steady(1), Gaps: Pareto, Tail: 1},
+		"Pareto exponent is NaN": {Rate: Steady(1), Gaps: Pareto, Tail: math.NaN()},
+		"no mean off phase":      {Rate: Steady(1), Gaps: OnOff, On: time.Second},
 	} {
 		if _, err := NewStream(rand.New(rand.NewPCG(1, 1)), p); err == nil {
-			t.Errorf("%s: drawn all the same", name)
+			t.Errorf("%s: NewStream succeeded, want an error", name)
 		}
 	}
 }
@@ -208,7 +220,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := s.Next(1000 * time.Hour); !ok {
-			b.Fatal("it ended")
+			b.Fatal("the stream ended before 1000 h of arrivals were drawn")
 		}
 	}
 }
