--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -178,14 +178,14 @@
 	if r.Invalid != "" {
 		t.Log("not valid:", r.Invalid)
 	}
-	ended := r.Ended()
+	ended := r.CountByOutcome()
 	for how, n := range ended {
 		if how != "200" && how != "503" {
 			t.Errorf("%d lookups: %s", n, how)
 		}
 	}
-	us := func(share float64) float64 { return float64(r.All.At(share).Microseconds()) }
-	return us(0.5), us(0.99), float64(ended["503"]) / float64(r.Due)
+	us := func(share float64) float64 { return float64(r.Latency.At(share).Microseconds()) }
+	return us(0.5), us(0.99), float64(ended["503"]) / float64(r.Scheduled)
 }
 
 // The measurement: lookups alone, beside 50 long transfers through the same daemon and pool, and beside the same ones that go past the
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -14,26 +14,27 @@
 	"time"
 )
 
-// bodyMost is how much of an answer is read: more than any that a request is answered with on purpose.
-const bodyMost = 64 << 20
+// maxBodySize is the number of bytes of a response body that are read at most. It exceeds the size of any body that a load
+// test would request.
+const maxBodySize = 64 << 20
 
-// HTTP sends requests over HTTP/1.1. NewHTTP makes one.
+// HTTP is a Sender that uses HTTP/1.1.
 type HTTP struct {
-	request func(n int64) *http.Request
-	client  *http.Transport
+	newRequest func(n int64) *http.Request
+	transport  *http.Transport
 }
 
-// NewHTTP makes a sender that keeps up to as many connections as given. request makes the n-th request; dial is the
-// network, nil: the machine's.
-func NewHTTP(request func(n int64) *http.Request, connections int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTP {
-	return &HTTP{request: request, client: &http.Transport{DialContext: dial, MaxIdleConns: connections, MaxIdleConnsPerHost: connections,
+// NewHTTP returns a sender that keeps up to maxIdle idle connections open. newRequest makes the n-th request, and dial opens
+// connections; if dial is nil, the network of the operating system is used.
+func NewHTTP(newRequest func(n int64) *http.Request, maxIdle int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTP {
+	return &HTTP{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout: time.Minute, DisableCompression: true, MaxResponseHeaderBytes: 1 << 20}}
 }
 
-// Close ends the connections that are kept.
-func (h *HTTP) Close() { h.client.CloseIdleConnections() }
+// Close closes all idle connections.
+func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
 
-// Simple gives requests that are all alike but for the number, which takes the place of "{n}" in the URL.
+// Simple returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
 func Simple(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
 	makeRequest := func(n int64) (*http.Request, error) {
 		r, err := http.NewRequest(method, strings.ReplaceAll(url, "{n}", fmt.Sprint(n)), bytes.NewReader(body))
@@ -46,7 +47,7 @@
 		}
 		return r, nil
 	}
-	if _, err := makeRequest(0); err != nil { // numbers change nothing in what is legal
+	if _, err := makeRequest(0); err != nil { // a request is valid for every number if it is valid for one
 		return nil, err
 	}
 	return func(n int64) *http.Request {
@@ -55,47 +56,48 @@
 	}, nil
 }
 
-// Send implements Sender. Its own time to write is that at which the request's head was handed to the connection.
-func (h *HTTP) Send(ctx context.Context, n int64) (a Response) {
-	// The transport calls these from goroutines of its own, also after it has returned.
-	var connections atomic.Int32
-	var wrote atomic.Pointer[time.Time]
+// Send implements Sender. WrittenAt of its responses is the instant at which the request's header was written to the connection.
+func (h *HTTP) Send(ctx context.Context, n int64) (response Response) {
+	// The transport calls the trace's functions on its own goroutines, possibly after the round trip has returned.
+	var connections atomic.Int32 // connections used, more than one if the transport sent the request again
+	var headerWritten atomic.Pointer[time.Time]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connections.Add(1) },
 		WroteHeaders: func() {
 			now := time.Now()
-			wrote.CompareAndSwap(nil, &now)
+			headerWritten.CompareAndSwap(nil, &now)
 		},
 	})
-	status, err := h.exchange(h.request(n).WithContext(ctx))
-	if at := wrote.Load(); at != nil {
-		a.Wrote = *at
+	status, err := h.roundTrip(h.newRequest(n).WithContext(ctx))
+	if instant := headerWritten.Load(); instant != nil {
+		response.WrittenAt = *instant
 	}
-	a.Status, a.Resent = status, connections.Load() > 1
+	response.Status, response.Resent = status, connections.Load() > 1
 	if err != nil {
-		a.Status, a.Failed = 0, why(ctx, err, int(connections.Load()))
+		response.Status, response.Failure = 0, classifyFailure(ctx, err, int(connections.Load()))
 	}
-	return a
+	return response
 }
 
-func (h *HTTP) exchange(r *http.Request) (status int, err error) {
-	resp, err := h.client.RoundTrip(r)
+// roundTrip sends a request and reads the response completely, up to maxBodySize bytes of the body.
+func (h *HTTP) roundTrip(r *http.Request) (status int, err error) {
+	resp, err := h.transport.RoundTrip(r)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodySize))
 	return resp.StatusCode, err
 }
 
-// why puts a failure into one of a few words.
-func why(ctx context.Context, err error, connections int) string {
-	var timeout net.Error
+// classifyFailure returns the Failure of a request that got the error err after it used the given number of connections.
+func classifyFailure(ctx context.Context, err error, connections int) string {
+	var netErr net.Error
 	switch {
-	case ctx.Err() != nil || errors.As(err, &timeout) && timeout.Timeout():
-		return FailedTimeout
+	case ctx.Err() != nil || errors.As(err, &netErr) && netErr.Timeout():
+		return FailureTimeout
 	case connections == 0:
-		return FailedDial
+		return FailureNotConnected
 	}
-	return FailedBroken
+	return FailureBrokenOff
 }
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -13,151 +13,156 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Format is the version of the JSON form.
+// Format is the version of the JSON format that Write writes and Read reads.
 const Format = 1
 
-// file is a Result as it is written. Distributions are whole, so that runs can be joined exactly.
-type file struct {
-	Format      int                          `json:"format"`
-	Kind        string                       `json:"kind"` // "load"
-	Runs        int                          `json:"runs"`
-	Valid       bool                         `json:"valid"`
-	Invalid     string                       `json:"invalid,omitempty"`
-	Interrupted bool                         `json:"interrupted"`
-	SentSeconds float64                      `json:"sent_s"`
-	Due         int64                        `json:"due"`
-	NotSent     int64                        `json:"not_sent"`
-	Resent      int64                        `json:"resent"`
-	Ended       map[string]int64             `json:"ended"`
-	Percentiles map[string]map[string]string `json:"percentiles"`
-	Latency     map[string]*schedule.Latency `json:"latency"`
-	All         *schedule.Latency            `json:"all"`
-	Service     *schedule.Latency            `json:"service"`
-	Own         *schedule.Latency            `json:"own"`
-	Seconds     []second                     `json:"seconds"`
+// resultFile is the JSON form of a Result. It holds complete histograms, so that results can be merged without loss of precision.
+type resultFile struct {
+	Format           int                          `json:"format"`
+	Kind             string                       `json:"kind"` // always "load"
+	Runs             int                          `json:"runs"`
+	Valid            bool                         `json:"valid"`
+	Invalid          string                       `json:"invalid,omitempty"` // reason why the result is not valid
+	Interrupted      bool                         `json:"interrupted"`
+	SendSeconds      float64                      `json:"sent_s"` // Result.SendDuration in seconds
+	Scheduled        int64                        `json:"due"`
+	NotSent          int64                        `json:"not_sent"`
+	Resent           int64                        `json:"resent"`
+	CountByOutcome   map[string]int64             `json:"ended"`
+	Percentiles      map[string]map[string]string `json:"percentiles"` // durations by histogram (all, service, own) and percentile, for human readers
+	LatencyByOutcome map[string]*schedule.Latency `json:"latency"`
+	Latency          *schedule.Latency            `json:"all"`
+	ServiceTime      *schedule.Latency            `json:"service"`
+	SendLateness     *schedule.Latency            `json:"own"`
+	Seconds          []secondInFile               `json:"seconds"`
 }
 
-type second struct {
-	Due      int64             `json:"due"`
-	NotSent  int64             `json:"not_sent"`
-	Answered int64             `json:"answered"`
-	Latency  *schedule.Latency `json:"latency"`
+// secondInFile is the JSON form of a Second.
+type secondInFile struct {
+	Scheduled int64             `json:"due"`
+	NotSent   int64             `json:"not_sent"`
+	Responses int64             `json:"answered"` // complete responses
+	Latency   *schedule.Latency `json:"latency"`
 }
 
-var told = []struct {
-	name  string
-	share float64
+// reportedPercentiles are the percentiles that Write and WriteTable print.
+var reportedPercentiles = []struct {
+	name     string
+	fraction float64
 }{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}, {"p99.99", 0.9999}}
 
-func percentiles(l *schedule.Latency) map[string]string {
-	out := map[string]string{"most": l.Most().String()}
-	for _, p := range told {
-		out[p.name] = l.At(p.share).String()
+// formatPercentiles returns the percentiles and the maximum of a histogram as texts, by name.
+func formatPercentiles(l *schedule.Latency) map[string]string {
+	byName := map[string]string{"most": l.Most().String()}
+	for _, p := range reportedPercentiles {
+		byName[p.name] = l.At(p.fraction).String()
 	}
-	return out
+	return byName
 }
 
-// Write writes the result in its versioned form.
+// Write writes the result as JSON in the format of version Format.
 func (r *Result) Write(w io.Writer) error {
-	f := file{Format: Format, Kind: "load", Runs: r.Runs, Valid: r.Invalid == "", Invalid: r.Invalid, Interrupted: r.Interrupted, SentSeconds: r.Sent.Seconds(),
-		Due: r.Due, NotSent: r.NotSent, Resent: r.Resent, Ended: r.Ended(), Latency: r.Latency, All: r.All, Service: r.Service, Own: r.SendLateness,
-		Percentiles: map[string]map[string]string{"all": percentiles(r.All), "service": percentiles(r.Service), "own": percentiles(r.SendLateness)}}
+	f := resultFile{Format: Format, Kind: "load", Runs: r.Runs, Valid: r.Invalid == "", Invalid: r.Invalid, Interrupted: r.Interrupted,
+		SendSeconds: r.SendDuration.Seconds(), Scheduled: r.Scheduled, NotSent: r.NotSent, Resent: r.Resent, CountByOutcome: r.CountByOutcome(),
+		LatencyByOutcome: r.LatencyByOutcome, Latency: r.Latency, ServiceTime: r.ServiceTime, SendLateness: r.SendLateness,
+		Percentiles: map[string]map[string]string{"all": formatPercentiles(r.Latency), "service": formatPercentiles(r.ServiceTime),
+			"own": formatPercentiles(r.SendLateness)}}
 	for _, s := range r.Seconds {
-		f.Seconds = append(f.Seconds, second{Due: s.Due, NotSent: s.NotSent, Answered: s.Latency.Count(), Latency: s.Latency})
+		f.Seconds = append(f.Seconds, secondInFile{Scheduled: s.Scheduled, NotSent: s.NotSent, Responses: s.Latency.Count(), Latency: s.Latency})
 	}
 	return json.NewEncoder(w).Encode(f)
 }
 
-// Read reads a result that Write has written.
+// Read decodes a result that Write has written.
 func Read(text []byte) (*Result, error) {
-	var f file
+	var f resultFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
 	if f.Format != Format || f.Kind != "load" {
-		return nil, fmt.Errorf("format %d of kind %q is not %d of kind \"load\"", f.Format, f.Kind, Format)
+		return nil, fmt.Errorf("the file has format %d and kind %q, want format %d and kind \"load\"", f.Format, f.Kind, Format)
 	}
 	r := newResult(Options{})
-	r.Runs, r.Invalid, r.Interrupted, r.Sent = f.Runs, f.Invalid, f.Interrupted, time.Duration(f.SentSeconds*float64(time.Second))
-	r.Due, r.NotSent, r.Resent = f.Due, f.NotSent, f.Resent
-	for _, l := range []*schedule.Latency{f.All, f.Service, f.Own} {
+	r.Runs, r.Invalid, r.Interrupted, r.SendDuration = f.Runs, f.Invalid, f.Interrupted, time.Duration(f.SendSeconds*float64(time.Second))
+	r.Scheduled, r.NotSent, r.Resent = f.Scheduled, f.NotSent, f.Resent
+	for _, l := range []*schedule.Latency{f.Latency, f.ServiceTime, f.SendLateness} {
 		if l == nil {
-			return nil, fmt.Errorf("a distribution is missing")
+			return nil, fmt.Errorf("one of the histograms all, service and own is missing")
 		}
 	}
-	r.All, r.Service, r.SendLateness = f.All, f.Service, f.Own
-	for name, l := range f.Latency {
+	r.Latency, r.ServiceTime, r.SendLateness = f.Latency, f.ServiceTime, f.SendLateness
+	for outcome, l := range f.LatencyByOutcome {
 		if l == nil {
-			return nil, fmt.Errorf("latency.%s is missing", name)
+			return nil, fmt.Errorf("latency.%s is missing", outcome)
 		}
-		r.Latency[name] = l
+		r.LatencyByOutcome[outcome] = l
 	}
 	for i, s := range f.Seconds {
 		if s.Latency == nil {
 			return nil, fmt.Errorf("seconds[%d].latency is missing", i)
 		}
-		r.Seconds = append(r.Seconds, Second{Due: s.Due, NotSent: s.NotSent, Latency: s.Latency})
+		r.Seconds = append(r.Seconds, Second{Scheduled: s.Scheduled, NotSent: s.NotSent, Latency: s.Latency})
 	}
 	return r, nil
 }
 
-// Merge joins another run into this one, exactly: as if one generator had seen both. Seconds are laid over one another
-// from their starts. The whole is valid if both are.
+// Merge adds the results of other runs to this one, as if a single load generator had sent the requests of all runs at the same
+// time. The n-th seconds of the runs are added up. The merged result is valid if both results are.
 func (r *Result) Merge(o *Result) {
 	r.Runs += o.Runs
-	r.Due, r.NotSent, r.Resent = r.Due+o.Due, r.NotSent+o.NotSent, r.Resent+o.Resent
-	r.Sent = max(r.Sent, o.Sent)
+	r.Scheduled, r.NotSent, r.Resent = r.Scheduled+o.Scheduled, r.NotSent+o.NotSent, r.Resent+o.Resent
+	r.SendDuration = max(r.SendDuration, o.SendDuration)
 	r.Interrupted = r.Interrupted || o.Interrupted
 	if r.Invalid == "" {
 		r.Invalid = o.Invalid
 	}
-	for name, l := range o.Latency {
-		if r.Latency[name] == nil {
-			r.Latency[name] = schedule.NewLatency()
+	for outcome, l := range o.LatencyByOutcome {
+		if r.LatencyByOutcome[outcome] == nil {
+			r.LatencyByOutcome[outcome] = schedule.NewLatency()
 		}
-		r.Latency[name].Merge(l)
+		r.LatencyByOutcome[outcome].Merge(l)
 	}
-	r.All.Merge(o.All)
-	r.Service.Merge(o.Service)
+	r.Latency.Merge(o.Latency)
+	r.ServiceTime.Merge(o.ServiceTime)
 	r.SendLateness.Merge(o.SendLateness)
 	for i, s := range o.Seconds {
-		into := r.second(time.Duration(i) * time.Second)
-		into.Due, into.NotSent = into.Due+s.Due, into.NotSent+s.NotSent
-		into.Latency.Merge(s.Latency)
+		sum := r.secondAt(time.Duration(i) * time.Second)
+		sum.Scheduled, sum.NotSent = sum.Scheduled+s.Scheduled, sum.NotSent+s.NotSent
+		sum.Latency.Merge(s.Latency)
 	}
 }
 
-// WriteTable prints the result for people.
+// WriteTable writes the result as a table for human readers.
 func (r *Result) WriteTable(w io.Writer) error {
 	var b strings.Builder
-	sent := max(r.Sent.Seconds(), 1e-9)
-	fmt.Fprintf(&b, "due %d in %.1f s (%.1f a second), answered %d, not sent for lack of connections %d", r.Due, sent, float64(r.Due)/sent, r.All.Count(), r.NotSent)
+	sendSeconds := max(r.SendDuration.Seconds(), 1e-9) // avoids a division by zero
+	fmt.Fprintf(&b, "due %d in %.1f s (%.1f a second), answered %d, not sent for lack of connections %d", r.Scheduled, sendSeconds, float64(r.Scheduled)/sendSeconds, r.Latency.Count(), r.NotSent)
 	if r.Runs > 1 {
 		fmt.Fprintf(&b, "; %d runs together", r.Runs)
 	}
 	b.WriteString("\n\n")
 	var rows strings.Builder
 	fmt.Fprint(&rows, "ms\tcount\t")
-	for _, p := range told {
+	for _, p := range reportedPercentiles {
 		fmt.Fprint(&rows, p.name, "\t")
 	}
 	fmt.Fprintln(&rows, "most\t")
 	row := func(name string, l *schedule.Latency) {
 		fmt.Fprintf(&rows, "%s\t%d\t", name, l.Count())
-		for _, p := range told {
-			fmt.Fprintf(&rows, "%.2f\t", ms(l.At(p.share)))
+		for _, p := range reportedPercentiles {
+			fmt.Fprintf(&rows, "%.2f\t", milliseconds(l.At(p.fraction)))
 		}
-		fmt.Fprintf(&rows, "%.2f\t\n", ms(l.Most()))
+		fmt.Fprintf(&rows, "%.2f\t\n", milliseconds(l.Most()))
 	}
-	row("latency, from when due", r.All)
-	row("service, from the write", r.Service)
-	for _, name := range slices.Sorted(maps.Keys(r.Latency)) {
-		row(name, r.Latency[name])
+	row("latency, from when due", r.Latency)
+	row("service, from the write", r.ServiceTime)
+	for _, outcome := range slices.Sorted(maps.Keys(r.LatencyByOutcome)) {
+		row(outcome, r.LatencyByOutcome[outcome])
 	}
 	row("own lateness", r.SendLateness)
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = io.WriteString(t, rows.String()) // a Builder takes all that is written to it
-	_ = t.Flush()
+	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
+	_, _ = io.WriteString(table, rows.String()) // writing to a strings.Builder does not fail
+	_ = table.Flush()
 	if r.Resent > 0 {
 		fmt.Fprintf(&b, "\n%d were sent a second time, since a kept connection had ended\n", r.Resent)
 	}
@@ -171,4 +176,4 @@
 	return err
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -10,33 +10,34 @@
 	"pgregory.net/rapid"
 )
 
-// Runs that are joined are what one run would have been that saw both, whatever they saw; and writing changes nothing.
-func TestJoinedRunsAreOne(t *testing.T) {
-	type seen struct {
-		at, took, late int
-		status         int
-		which          bool
+// Merging two results gives the result of a single run with the requests of both, and writing and reading a result does not
+// change it.
+func TestMergeEqualsASingleRun(t *testing.T) {
+	type request struct {
+		due, duration, lateness int  // milliseconds: instant in the run, time from the write to the end, time from due to the write
+		status                  int  // HTTP status; 0: the request failed
+		isInSecondPart          bool // which of the two results it is counted in
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOf(rapid.Custom(func(t *rapid.T) seen {
-			return seen{rapid.IntRange(0, 5000).Draw(t, "at"), rapid.IntRange(0, 100000).Draw(t, "took"), rapid.IntRange(0, 50).Draw(t, "late"),
-				rapid.SampledFrom([]int{0, 200, 503}).Draw(t, "status"), rapid.Bool().Draw(t, "which")}
-		})).Draw(t, "all")
-		one, parts := newResult(Options{}), [2]*Result{newResult(Options{}), newResult(Options{})}
+		requests := rapid.SliceOf(rapid.Custom(func(t *rapid.T) request {
+			return request{rapid.IntRange(0, 5000).Draw(t, "due"), rapid.IntRange(0, 100000).Draw(t, "duration"), rapid.IntRange(0, 50).Draw(t, "lateness"),
+				rapid.SampledFrom([]int{0, 200, 503}).Draw(t, "status"), rapid.Bool().Draw(t, "isInSecondPart")}
+		})).Draw(t, "requests")
+		single, parts := newResult(Options{}), [2]*Result{newResult(Options{}), newResult(Options{})}
 		start := time.Now()
-		for _, s := range all {
-			at := time.Duration(s.at) * time.Millisecond
-			due := start.Add(at)
-			a := Response{Status: s.status, Wrote: due.Add(time.Duration(s.late) * time.Millisecond)}
-			if s.status == 0 {
-				a.Failed = FailedBroken
+		for _, q := range requests {
+			instant := time.Duration(q.due) * time.Millisecond
+			due := start.Add(instant)
+			response := Response{Status: q.status, WrittenAt: due.Add(time.Duration(q.lateness) * time.Millisecond)}
+			if q.status == 0 {
+				response.Failure = FailureBrokenOff
 			}
-			into := parts[0]
-			if s.which {
-				into = parts[1]
+			part := parts[0]
+			if q.isInSecondPart {
+				part = parts[1]
 			}
-			for _, r := range []*Result{one, into} {
-				r.take(at, due, due.Add(time.Duration(s.took+s.late)*time.Millisecond), a)
+			for _, r := range []*Result{single, part} {
+				r.record(instant, due, due.Add(time.Duration(q.duration+q.lateness)*time.Millisecond), response)
 			}
 		}
 		for i, r := range parts {
@@ -44,21 +45,22 @@
 			if err := r.Write(&text); err != nil {
 				t.Fatal(err)
 			}
-			back, err := Read(text.Bytes())
+			decoded, err := Read(text.Bytes())
 			if err != nil {
 				t.Fatal(err)
 			}
-			parts[i] = back
+			parts[i] = decoded
 		}
 		parts[0].Merge(parts[1])
-		one.Runs = 2
-		if got, want := written(t, parts[0]), written(t, one); !reflect.DeepEqual(got, want) {
-			t.Fatalf("joined:\n%s\none:\n%s", got, want)
+		single.Runs = 2 // as Merge counts
+		if got, want := formatResult(t, parts[0]), formatResult(t, single); !reflect.DeepEqual(got, want) {
+			t.Fatalf("merged:\n%s\nwant the result of a single run:\n%s", got, want)
 		}
 	})
 }
 
-func written(t *rapid.T, r *Result) string {
+// formatResult returns the table of a result and the 90th percentile of each second's latency, for comparison.
+func formatResult(t *rapid.T, r *Result) string {
 	var b bytes.Buffer
 	if err := r.WriteTable(&b); err != nil {
 		t.Fatal(err)
@@ -69,31 +71,31 @@
 	return b.String()
 }
 
-func TestFilesThatAreNoResult(t *testing.T) {
-	var good bytes.Buffer
-	if err := newResult(Options{}).Write(&good); err != nil {
+func TestReadRejectsInvalidFiles(t *testing.T) {
+	var valid bytes.Buffer
+	if err := newResult(Options{}).Write(&valid); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
-		"empty":        "",
-		"another kind": strings.Replace(good.String(), `"load"`, `"rehearsal"`, 1),
-		"another form": strings.Replace(good.String(), `"format":1`, `"format":2`, 1),
-		"no own":       strings.Replace(good.String(), `"own":"`, `"other":"`, 1),
-		"damaged":      strings.Replace(good.String(), `"own":"`, `"own":"AAAA`, 1),
-		"no numbers":   strings.Replace(good.String(), `"due":0`, `"due":"x"`, 1),
+		"empty":                     "",
+		"unknown kind":              strings.Replace(valid.String(), `"load"`, `"rehearsal"`, 1),
+		"unknown format version":    strings.Replace(valid.String(), `"format":1`, `"format":2`, 1),
+		"missing histogram":         strings.Replace(valid.String(), `"own":"`, `"other":"`, 1),
+		"corrupted histogram":       strings.Replace(valid.String(), `"own":"`, `"own":"AAAA`, 1),
+		"text in place of a number": strings.Replace(valid.String(), `"due":0`, `"due":"x"`, 1),
 	} {
 		if _, err := Read([]byte(text)); err == nil {
-			t.Errorf("%s: read all the same", name)
+			t.Errorf("%s: Read succeeded, want an error", name)
 		}
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	var good bytes.Buffer
-	if err := newResult(Options{}).Write(&good); err != nil {
+	var valid bytes.Buffer
+	if err := newResult(Options{}).Write(&valid); err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good.Bytes())
+	f.Add(valid.Bytes())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if r, err := Read(text); err == nil {
 			r.Merge(r)
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -8,89 +8,96 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Result is what a run showed.
+// Result holds the measurements of a run, or of several runs that were merged.
 type Result struct {
-	Options Options
-	Runs    int           // joined into this one
-	Sent    time.Duration // for which requests were sent
+	Options      Options       // of the run; zero for a result that was read from a file
+	Runs         int           // number of runs that were merged into this result, itself included
+	SendDuration time.Duration // time during which requests were sent; the longest one of merged runs
 
-	Due, NotSent, Resent int64                        // NotSent: for lack of connections
-	Latency              map[string]*schedule.Latency // from when each request was due to its end, by status or by why there is none
-	All                  *schedule.Latency            // of whole answers
-	Service              *schedule.Latency            // of the same, from the first byte written
-	SendLateness         *schedule.Latency            // our own lateness: from when a request was due to its first byte
-	Seconds              []Second
+	Scheduled int64 // requests that were due during the run, sent or not
+	NotSent   int64 // requests that were not sent, since all connections were in use
+	Resent    int64 // requests that the transport sent again, since a reused connection had been closed
 
-	Interrupted bool
-	Invalid     string // why the figures are ours and not the server's; empty: they aren't
+	// LatencyByOutcome holds the times from when a request was due to its end, by HTTP status ("200"), or by Response.Failure
+	// for requests without a complete response.
+	LatencyByOutcome map[string]*schedule.Latency
+	Latency          *schedule.Latency // times from when a request was due to its complete response, whatever the status
+	ServiceTime      *schedule.Latency // times from when a request was written to its complete response
+	SendLateness     *schedule.Latency // times from when a request was due to when the generator had written it
+	Seconds          []Second          // measurements by the second of the run in which requests were due
+
+	Interrupted bool   // whether the run was ended before its time
+	Invalid     string // why the measurements are not those of the server but of the generator; empty if they are valid
 }
 
-// Ended counts requests by status or by why there is none.
-func (r *Result) Ended() map[string]int64 {
-	out := make(map[string]int64, len(r.Latency))
-	for name, l := range r.Latency {
-		out[name] = l.Count()
+// CountByOutcome returns the number of requests by HTTP status, or by Response.Failure for requests without a complete response.
+func (r *Result) CountByOutcome() map[string]int64 {
+	counts := make(map[string]int64, len(r.LatencyByOutcome))
+	for outcome, l := range r.LatencyByOutcome {
+		counts[outcome] = l.Count()
 	}
-	return out
+	return counts
 }
 
-// Second is one second of a run, by when requests were due.
+// Second holds the measurements of the requests that were due during one second of a run.
 type Second struct {
-	Due, NotSent int64
-	Latency      *schedule.Latency // of whole answers
+	Scheduled int64             // requests that were due, sent or not
+	NotSent   int64             // requests that were not sent, since all connections were in use
+	Latency   *schedule.Latency // times from when a request was due to its complete response
 }
 
 func newResult(o Options) *Result {
-	r := &Result{Options: o, Runs: 1, Latency: map[string]*schedule.Latency{}, All: schedule.NewLatency(),
-		Service: schedule.NewLatency(), SendLateness: schedule.NewLatency()}
+	r := &Result{Options: o, Runs: 1, LatencyByOutcome: map[string]*schedule.Latency{}, Latency: schedule.NewLatency(),
+		ServiceTime: schedule.NewLatency(), SendLateness: schedule.NewLatency()}
 	return r
 }
 
-// second is that of an instant. There are as many as the run is long.
-func (r *Result) second(at time.Duration) *Second {
-	for int(at/time.Second) >= len(r.Seconds) {
+// secondAt returns the measurements of the second that contains an instant of the run, and appends seconds up to it as needed.
+func (r *Result) secondAt(instant time.Duration) *Second {
+	for int(instant/time.Second) >= len(r.Seconds) {
 		r.Seconds = append(r.Seconds, Second{Latency: schedule.NewLatency()})
 	}
-	return &r.Seconds[at/time.Second]
+	return &r.Seconds[instant/time.Second]
 }
 
-func (r *Result) notSent(at time.Duration) {
-	r.Due++
+// countNotSent counts a request that was due at an instant of the run and was not sent.
+func (r *Result) countNotSent(instant time.Duration) {
+	r.Scheduled++
 	r.NotSent++
-	s := r.second(at)
-	s.Due++
+	s := r.secondAt(instant)
+	s.Scheduled++
 	s.NotSent++
 }
 
-// take counts a request that has ended.
-func (r *Result) take(at time.Duration, due, done time.Time, a Response) {
-	r.Due++
-	s := r.second(at)
-	s.Due++
-	if !a.Wrote.IsZero() {
-		r.SendLateness.Record(a.Wrote.Sub(due))
+// record counts a request that was sent and has ended. instant is the time from the start of the run to due.
+func (r *Result) record(instant time.Duration, due, done time.Time, response Response) {
+	r.Scheduled++
+	s := r.secondAt(instant)
+	s.Scheduled++
+	if !response.WrittenAt.IsZero() {
+		r.SendLateness.Record(response.WrittenAt.Sub(due))
 	}
-	if a.Resent {
+	if response.Resent {
 		r.Resent++
 	}
-	name := a.Failed
-	if a.Status != 0 {
-		name = strconv.Itoa(a.Status)
+	outcome := response.Failure
+	if response.Status != 0 {
+		outcome = strconv.Itoa(response.Status)
 		s.Latency.Record(done.Sub(due))
-		r.All.Record(done.Sub(due))
-		if !a.Wrote.IsZero() {
-			r.Service.Record(done.Sub(a.Wrote))
+		r.Latency.Record(done.Sub(due))
+		if !response.WrittenAt.IsZero() {
+			r.ServiceTime.Record(done.Sub(response.WrittenAt))
 		}
 	}
-	if r.Latency[name] == nil {
-		r.Latency[name] = schedule.NewLatency()
+	if r.LatencyByOutcome[outcome] == nil {
+		r.LatencyByOutcome[outcome] = schedule.NewLatency()
 	}
-	r.Latency[name].Record(done.Sub(due))
+	r.LatencyByOutcome[outcome].Record(done.Sub(due))
 }
 
-// judge says whether the figures are the server's.
-func (r *Result) judge() {
-	if late := r.SendLateness.At(0.99); late > r.Options.MaxSendLateness {
-		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", late.Round(10*time.Microsecond), r.Options.MaxSendLateness)
+// checkSendLateness marks the result as invalid if the generator sent requests too late to measure the server.
+func (r *Result) checkSendLateness() {
+	if p99 := r.SendLateness.At(0.99); p99 > r.Options.MaxSendLateness {
+		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
 	}
 }
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -1,5 +1,6 @@
-// Package loadgen sends requests at the instants at which they are due, whatever became of the ones before, and counts
-// latency from those instants: a server that stalls must not hide its own queue (Tene, "How NOT to Measure Latency").
+// Package loadgen is an open-loop load generator: it sends each request at the instant at which it is due, whatever the outcome
+// of earlier requests, and measures latency from that instant. A closed loop would send less while the server stalls, and so
+// miss the time that requests would have waited (Tene, "How NOT to Measure Latency").
 package loadgen
 
 import (
@@ -12,95 +13,99 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Sender makes one request. It is called from many goroutines at once.
+// Sender sends the requests of a run. Its method is called concurrently.
 type Sender interface {
-	// Send sends request n and returns when its answer has come whole, or can't come any more, at the latest when ctx ends.
+	// Send sends the n-th request. It returns when the response is complete or has failed, and at the latest when ctx is done.
 	Send(ctx context.Context, n int64) Response
 }
 
-// Response is what became of a request.
+// Response is the outcome of a request.
 type Response struct {
-	Wrote  time.Time // its first byte; zero: none was
-	Status int       // 0: no whole answer came
-	Failed string    // why not, in one of a few words
-	Resent bool      // sent again by itself, since a kept connection had ended
+	WrittenAt time.Time // instant at which the request was written; zero if it was not
+	Status    int       // HTTP status of the complete response; 0 if there is none
+	Failure   string    // one of the Failure constants if there is no complete response
+	Resent    bool      // whether the transport sent the request again, since a reused connection had been closed
 }
 
-// What a request without a whole answer failed of.
+// Reasons why a request got no complete response. Results have them as keys.
 const (
-	FailedDial    = "not connected"
-	FailedTimeout = "out of time"
-	FailedBroken  = "broken off"
+	FailureNotConnected = "not connected" // no connection to the server could be opened
+	FailureTimeout      = "out of time"   // Options.ResponseTimeout passed
+	FailureBrokenOff    = "broken off"    // the exchange failed after a connection was opened
 )
 
-// Options say what is sent. Zero values are not legal but where said.
+// Options configure a run. Every field must be set unless its comment gives a default.
 type Options struct {
-	Process         schedule.Process
-	Seed            uint64
-	Duration        time.Duration
-	ResponseTimeout time.Duration // for an answer, from when the request was due
-	Connections     int           // requests out at once, each on a connection of its own; those beyond are not sent
-	MaxSendLateness time.Duration // p99 of our own lateness from which a run is not valid; 0: 10 ms
+	Process         schedule.Process // arrival process of the requests
+	Seed            uint64           // seed of the schedule; may be 0
+	Duration        time.Duration    // time during which requests are sent
+	ResponseTimeout time.Duration    // longest time from when a request is due to the end of its response
+	Connections     int              // highest number of requests in flight, each on its own connection; requests beyond it are not sent
+	MaxSendLateness time.Duration    // highest p99 of Result.SendLateness of a valid run; 0: defaultMaxSendLateness
 }
 
-// defaultLate is the generator's own lateness that still leaves latencies of tens of milliseconds what they are.
-const defaultLate = 10 * time.Millisecond
+// defaultMaxSendLateness is short enough to leave measured latencies of tens of milliseconds meaningful.
+const defaultMaxSendLateness = 10 * time.Millisecond
 
-// Run sends the load until it is over or ctx ends, and waits for the answers that are still due. The result is that of
-// what was sent. Memory is bounded by Connections and by the length of the run in seconds.
-func Run(ctx context.Context, o Options, send Sender) (*Result, error) {
-	stream, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process)
+// randStream separates the schedule's random numbers from others that are drawn with the same seed.
+const randStream = 0x6c6f6164 // "load" in ASCII
+
+// Run sends requests until the run's duration has passed or ctx is done, and then waits for the responses of those in flight. The
+// result covers all requests that were due by then. Memory use is bounded by Connections and by the run's duration in seconds.
+func Run(ctx context.Context, o Options, sender Sender) (*Result, error) {
+	stream, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, randStream)), o.Process)
 	switch {
 	case err != nil:
 		return nil, err
 	case o.Duration <= 0 || o.ResponseTimeout <= 0 || o.Connections <= 0:
-		return nil, errors.New("length, time to wait and connections must be over 0")
+		return nil, errors.New("duration, response timeout and connections must be over 0")
 	}
 	if o.MaxSendLateness == 0 {
-		o.MaxSendLateness = defaultLate
+		o.MaxSendLateness = defaultMaxSendLateness
 	}
-	r := newResult(o)
-	var mu sync.Mutex // r
-	var busy sync.WaitGroup
+	result := newResult(o)
+	var mu sync.Mutex // guards result
+	var inFlight sync.WaitGroup
 	slots := make(chan struct{}, o.Connections)
 	start := time.Now()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n := int64(0); ; n++ {
-		at, ok := stream.Next(o.Duration)
-		if !ok || !wait(ctx, timer, start.Add(at)) {
+		instant, ok := stream.Next(o.Duration)
+		if !ok || !waitUntil(ctx, timer, start.Add(instant)) {
 			break
 		}
-		due := start.Add(at)
+		due := start.Add(instant)
 		select {
 		case slots <- struct{}{}:
 		default:
 			mu.Lock()
-			r.notSent(at)
+			result.countNotSent(instant)
 			mu.Unlock()
 			continue
 		}
-		busy.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-slots }()
-			out, cancel := context.WithDeadline(context.Background(), due.Add(o.ResponseTimeout))
+			// The context is not derived from ctx: an interrupted run waits for its responses.
+			requestCtx, cancel := context.WithDeadline(context.Background(), due.Add(o.ResponseTimeout))
 			defer cancel()
-			a := send.Send(out, n)
+			response := sender.Send(requestCtx, n)
 			done := time.Now()
 			mu.Lock()
 			defer mu.Unlock()
-			r.take(at, due, done, a)
+			result.record(instant, due, done, response)
 		})
 	}
-	r.Sent = min(time.Since(start), o.Duration)
-	r.Interrupted = ctx.Err() != nil
-	busy.Wait()
-	r.judge()
-	return r, nil
+	result.SendDuration = min(time.Since(start), o.Duration)
+	result.Interrupted = ctx.Err() != nil
+	inFlight.Wait()
+	result.checkSendLateness()
+	return result, nil
 }
 
-// wait passes the time until an instant; it is false if ctx ends before.
-func wait(ctx context.Context, timer *time.Timer, until time.Time) bool {
-	if d := time.Until(until); d > 0 {
+// waitUntil waits until an instant. It returns false if ctx is done before.
+func waitUntil(ctx context.Context, timer *time.Timer, instant time.Time) bool {
+	if d := time.Until(instant); d > 0 {
 		timer.Reset(d)
 		select {
 		case <-ctx.Done():
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -18,157 +18,167 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// memory is a network in memory, so that time can be virtual.
-type memory struct {
-	conns  chan net.Conn
-	closed chan struct{}
+// pipeNetwork is a net.Listener and the dialer of its connections, which are in memory so that tests can use virtual time.
+type pipeNetwork struct {
+	pending chan net.Conn // server sides of the connections that wait for Accept
+	closed  chan struct{}
 }
 
-func newMemory() *memory { return &memory{make(chan net.Conn), make(chan struct{})} }
+func newPipeNetwork() *pipeNetwork {
+	return &pipeNetwork{make(chan net.Conn), make(chan struct{})}
+}
 
-func (m *memory) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+func (p *pipeNetwork) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	client, server := net.Pipe()
 	select {
-	case m.conns <- theirs:
-		return ours, nil
-	case <-m.closed:
+	case p.pending <- server:
+		return client, nil
+	case <-p.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (m *memory) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	select {
-	case c := <-m.conns:
-		return c, nil
-	case <-m.closed:
+	case nc := <-p.pending:
+		return nc, nil
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (m *memory) Close() error {
+
+func (p *pipeNetwork) Close() error {
 	select {
-	case <-m.closed:
+	case <-p.closed:
 	default:
-		close(m.closed)
+		close(p.closed)
 	}
 	return nil
 }
-func (m *memory) Addr() net.Addr { return &net.TCPAddr{} }
 
-// delays are injected: how long request n is worked on, and from when on the server does nothing for how long, every so often.
-type delays struct {
-	each               func(n int64) time.Duration
-	stallEvery, stalls time.Duration
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
+
+// serverDelays are the processing times of a simulated server, which stalls at the end of every stallPeriod if that is not 0.
+type serverDelays struct {
+	processing  func(n int64) time.Duration // processing time of request n, without the stall
+	stallPeriod time.Duration               // time from the end of one stall to the end of the next
+	stallLength time.Duration               // time during which requests that arrive are only waiting
 }
 
-// at is what a request that comes at an instant takes.
-func (d delays) at(at time.Duration, n int64) (took time.Duration) {
-	if d.stallEvery > 0 {
-		if in := at % d.stallEvery; in >= d.stallEvery-d.stalls {
-			took = d.stallEvery - in
+// delayOf returns the time that request n takes if it arrives at an instant of the run.
+func (d serverDelays) delayOf(instant time.Duration, n int64) (delay time.Duration) {
+	if d.stallPeriod > 0 {
+		if offset := instant % d.stallPeriod; offset >= d.stallPeriod-d.stallLength {
+			delay = d.stallPeriod - offset
 		}
 	}
-	return took + d.each(n)
+	return delay + d.processing(n)
 }
 
-// draw gives each request a number of its own from 0 to 1.
-func draw(n int64) float64 {
+// requestFraction returns a pseudo-random number from 0 to 1 that depends on the request's number alone.
+func requestFraction(n int64) float64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, n) // a hash takes all that is written to it
+	_, _ = fmt.Fprint(h, n) // writing to a hash does not fail
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).Float64()
 }
 
-// measured runs the generator before a server with the delays, in virtual time.
-func measured(t *testing.T, o Options, d delays) (r *Result) {
+// measure runs the generator in virtual time against a server with the given delays.
+func measure(t *testing.T, o Options, d serverDelays) *Result {
 	t.Helper()
-	m := newMemory()
+	network := newPipeNetwork()
 	start := time.Now()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var n int64
 		if _, err := fmt.Sscan(q.URL.Path[1:], &n); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(d.at(time.Since(start), n))
+		time.Sleep(d.delayOf(time.Since(start), n))
 		io.WriteString(w, "done")
 	})}
 	go func() {
-		if err := server.Serve(m); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(network); !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 	}()
-	request, err := Simple(http.MethodGet, "http://server/{n}", nil, nil)
+	newRequest, err := Simple(http.MethodGet, "http://server/{n}", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := NewHTTP(request, o.Connections, m.dial)
-	r, err = Run(t.Context(), o, h)
+	sender := NewHTTP(newRequest, o.Connections, network.dial)
+	result, err := Run(t.Context(), o, sender)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Close()
+	sender.Close()
 	server.Close()
-	return r
+	return result
 }
 
-// expected is what the schedule and the delays come to, by arithmetic alone.
-// Ranks of percentiles are counted in more ways than one: the bounds are those of the ranks beside.
-func expected(t *testing.T, o Options, d delays) (at func(share float64) (lo, hi time.Duration)) {
+// expectedLatency computes the latencies from the schedule and the delays, without sending requests. The function that it
+// returns gives the bounds of a quantile: the latencies of the ranks just below and above, since there are several ways to
+// round a rank.
+func expectedLatency(t *testing.T, o Options, d serverDelays) (quantile func(fraction float64) (lo, hi time.Duration)) {
 	t.Helper()
-	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process)
+	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process) // the source that Run uses
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []time.Duration
+	var latencies []time.Duration
 	for n := int64(0); ; n++ {
 		due, ok := s.Next(o.Duration)
 		if !ok {
 			break
 		}
-		all = append(all, d.at(due, n))
+		latencies = append(latencies, d.delayOf(due, n))
 	}
-	slices.Sort(all)
-	return func(share float64) (lo, hi time.Duration) {
-		rank := int(math.Ceil(share*float64(len(all)))) - 1
-		return all[max(rank-1, 0)], all[min(rank+1, len(all)-1)]
+	slices.Sort(latencies)
+	return func(fraction float64) (lo, hi time.Duration) {
+		rank := int(math.Ceil(fraction*float64(len(latencies)))) - 1
+		return latencies[max(rank-1, 0)], latencies[min(rank+1, len(latencies)-1)]
 	}
 }
 
-var shares = []float64{0.5, 0.9, 0.99, 0.999}
-
-// What is measured is what the delays come to, within 1 % or 1 ms. In particular a stall shows in full.
-func TestAgainstKnownDelays(t *testing.T) {
-	for name, d := range map[string]delays{
-		"constant":    {each: func(int64) time.Duration { return 10 * time.Millisecond }},
-		"exponential": {each: func(n int64) time.Duration { return time.Duration(-math.Log(1-draw(n)) * float64(20*time.Millisecond)) }},
-		"bimodal": {each: func(n int64) time.Duration {
-			if draw(n) < 0.95 {
+// Measured quantiles are those that follow from the server's delays, within 1 % or 1 ms. In particular a stall of the server
+// shows in full, while a closed loop misses it.
+func TestLatencyMatchesServerDelays(t *testing.T) {
+	for name, d := range map[string]serverDelays{
+		"constant": {processing: func(int64) time.Duration { return 10 * time.Millisecond }},
+		"exponential": {processing: func(n int64) time.Duration {
+			return time.Duration(-math.Log(1-requestFraction(n)) * float64(20*time.Millisecond))
+		}},
+		"bimodal": {processing: func(n int64) time.Duration {
+			if requestFraction(n) < 0.95 {
 				return 5 * time.Millisecond
 			}
 			return 300 * time.Millisecond
 		}},
-		"a stall": {each: func(int64) time.Duration { return 10 * time.Millisecond }, stallEvery: 10 * time.Second, stalls: 2 * time.Second},
+		"stall": {processing: func(int64) time.Duration { return 10 * time.Millisecond }, stallPeriod: 10 * time.Second, stallLength: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(100), Gaps: schedule.Exponential}, Seed: 4, Duration: 20 * time.Second,
 					ResponseTimeout: 10 * time.Second, Connections: 1000}
-				r := measured(t, o, d)
-				want := expected(t, o, d)
-				for _, s := range shares {
-					lo, hi := want(s)
-					if got := r.All.At(s); got < lo-max(lo/100, time.Millisecond) || got > hi+max(hi/100, time.Millisecond) {
-						t.Errorf("p%v: %v, want %v to %v", 100*s, got, lo, hi)
+				result := measure(t, o, d)
+				expected := expectedLatency(t, o, d)
+				for _, fraction := range []float64{0.5, 0.9, 0.99, 0.999} {
+					lo, hi := expected(fraction)
+					if got := result.Latency.At(fraction); got < lo-max(lo/100, time.Millisecond) || got > hi+max(hi/100, time.Millisecond) {
+						t.Errorf("p%v: %v, want %v to %v", 100*fraction, got, lo, hi)
 					}
 				}
-				if r.Due != r.Ended()["200"] || r.All.Count() != r.Due || r.NotSent != 0 || r.Invalid != "" || r.SendLateness.Most() > time.Millisecond {
-					t.Errorf("of %d due: %v, not sent %d, %q, late by %v", r.Due, r.Ended(), r.NotSent, r.Invalid, r.SendLateness.Most())
+				if result.Scheduled != result.CountByOutcome()["200"] || result.Latency.Count() != result.Scheduled || result.NotSent != 0 ||
+					result.Invalid != "" || result.SendLateness.Most() > time.Millisecond {
+					t.Errorf("%d requests were scheduled, outcomes: %v, %d not sent, invalid: %q, sent late by up to %v; want all sent on time with status 200",
+						result.Scheduled, result.CountByOutcome(), result.NotSent, result.Invalid, result.SendLateness.Most())
 				}
-				if name == "a stall" {
-					closed := closedLoop(t, o.Duration, d)
-					t.Logf("p99 with a stall: %v from when requests were due, %v in a closed loop", r.All.At(0.99), closed.At(0.99))
-					if closed.At(0.99) > 20*time.Millisecond || r.All.At(0.99) < time.Second {
-						t.Errorf("p99: %v in a closed loop, %v here", closed.At(0.99), r.All.At(0.99))
+				if name == "stall" {
+					closed := measureClosedLoop(t, o.Duration, d)
+					t.Logf("p99 with a stall: %v in an open loop, %v in a closed loop", result.Latency.At(0.99), closed.At(0.99))
+					if closed.At(0.99) > 20*time.Millisecond || result.Latency.At(0.99) < time.Second {
+						t.Errorf("p99 with a stall: %v in an open loop, want at least 1s; %v in a closed loop, want at most 20ms",
+							result.Latency.At(0.99), closed.At(0.99))
 					}
 				}
 			})
@@ -176,131 +186,138 @@
 	}
 }
 
-// closedLoop is the measurement that misses a stall: one request after another.
-func closedLoop(t *testing.T, length time.Duration, d delays) *schedule.Latency {
+// measureClosedLoop measures the server's delays with one request after another, which misses most of a stall.
+func measureClosedLoop(t *testing.T, length time.Duration, d serverDelays) *schedule.Latency {
 	t.Helper()
 	l := schedule.NewLatency()
 	start := time.Now()
 	for n := int64(0); time.Since(start) < length; n++ {
-		began := time.Now()
-		time.Sleep(d.at(time.Since(start), n))
-		l.Record(time.Since(began))
+		sentAt := time.Now()
+		time.Sleep(d.delayOf(time.Since(start), n))
+		l.Record(time.Since(sentAt))
 	}
 	return l
 }
 
-// Beyond its connections the generator neither waits nor hides what it could not send.
-func TestWhatFindsNoConnectionIsNotSent(t *testing.T) {
+// If all connections are in use, requests are counted as not sent, and later ones are not delayed.
+func TestRequestsWithoutAConnectionAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: 10 * time.Second, ResponseTimeout: 2 * time.Second, Connections: 10}
-		r := measured(t, o, delays{each: func(int64) time.Duration { return 500 * time.Millisecond }})
-		// 10 connections serve 20 a second.
-		if r.Due != 1000 || r.NotSent < 790 || r.NotSent > 810 || r.Ended()["200"] != r.Due-r.NotSent || r.SendLateness.Most() > time.Millisecond {
-			t.Errorf("of %d due %d not sent, %v, late by %v", r.Due, r.NotSent, r.Ended(), r.SendLateness.Most())
+		result := measure(t, o, serverDelays{processing: func(int64) time.Duration { return 500 * time.Millisecond }})
+		// With 500 ms per request, 10 connections serve 20 requests per second of 100.
+		if result.Scheduled != 1000 || result.NotSent < 790 || result.NotSent > 810 || result.CountByOutcome()["200"] != result.Scheduled-result.NotSent ||
+			result.SendLateness.Most() > time.Millisecond {
+			t.Errorf("%d requests were scheduled, %d not sent, outcomes: %v, sent late by up to %v; want 1000 scheduled, 790 to 810 not sent, the others on time with status 200",
+				result.Scheduled, result.NotSent, result.CountByOutcome(), result.SendLateness.Most())
 		}
 	})
 }
 
-func TestServersThatGoWrong(t *testing.T) {
-	const head = "HTTP/1.1 200 OK\r\n"
+func TestServerFaults(t *testing.T) {
+	const statusLine = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
-		talk func(net.Conn)
-		want string
+		serve       func(net.Conn) // handles one connection, which is closed when it returns
+		wantOutcome string         // of all requests
 	}{
-		"accepts and never answers": {func(nc net.Conn) { io.Copy(io.Discard, nc) }, FailedTimeout},
-		"answers a byte a second": {func(nc net.Conn) {
+		"never responds": {func(nc net.Conn) { io.Copy(io.Discard, nc) }, FailureTimeout},
+		"responds with a byte per second": {func(nc net.Conn) {
 			go io.Copy(io.Discard, nc)
-			for _, b := range []byte(head + "Content-Length: 2\r\n\r\nhi") {
+			for _, b := range []byte(statusLine + "Content-Length: 2\r\n\r\nhi") {
 				time.Sleep(time.Second)
 				if _, err := nc.Write([]byte{b}); err != nil {
 					return
 				}
 			}
-		}, FailedTimeout},
-		"sends half an answer": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
-			io.WriteString(nc, head+"Content-Length: 100\r\n\r\nhalf")
-		}, FailedBroken},
-		"closes at once": {func(net.Conn) {}, FailedBroken},
-		"closes after each": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
-			io.WriteString(nc, head+"Content-Length: 2\r\nConnection: close\r\n\r\nhi")
+		}, FailureTimeout},
+		"closes in the middle of a response": {func(nc net.Conn) {
+			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			io.WriteString(nc, statusLine+"Content-Length: 100\r\n\r\nhalf")
+		}, FailureBrokenOff},
+		"closes at once": {func(net.Conn) {}, FailureBrokenOff},
+		"closes after each response": {func(nc net.Conn) {
+			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			io.WriteString(nc, statusLine+"Content-Length: 2\r\nConnection: close\r\n\r\nhi")
 		}, "200"},
-		"sends more than asked": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // whatever came, it answers
-			io.WriteString(nc, head+"Content-Length: 2\r\n\r\nhi"+head+"Content-Length: 1\r\n\r\nx")
+		"sends a second response without a request": {func(nc net.Conn) {
+			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			io.WriteString(nc, statusLine+"Content-Length: 2\r\n\r\nhi"+statusLine+"Content-Length: 1\r\n\r\nx")
 		}, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMemory()
+				network := newPipeNetwork()
 				go func() {
 					for {
-						nc, err := m.Accept()
+						nc, err := network.Accept()
 						if err != nil {
 							return
 						}
-						go func() { defer nc.Close(); c.talk(nc) }()
+						go func() { defer nc.Close(); c.serve(nc) }()
 					}
 				}()
-				request, _ := Simple(http.MethodGet, "http://server/", nil, nil)
-				h := NewHTTP(request, 100, m.dial)
+				newRequest, _ := Simple(http.MethodGet, "http://server/", nil, nil)
+				sender := NewHTTP(newRequest, 100, network.dial)
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, Duration: time.Second, ResponseTimeout: 3 * time.Second, Connections: 100}
-				r, err := Run(t.Context(), o, h)
+				result, err := Run(t.Context(), o, sender)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.Due != 20 || r.Ended()[c.want] != 20 {
-					t.Errorf("of %d due: %v, want %q", r.Due, r.Ended(), c.want)
+				if result.Scheduled != 20 || result.CountByOutcome()[c.wantOutcome] != 20 {
+					t.Errorf("%d requests were scheduled, outcomes: %v, want 20 with outcome %q", result.Scheduled, result.CountByOutcome(), c.wantOutcome)
 				}
-				h.Close()
-				m.Close()
-				time.Sleep(time.Minute) // the server's goroutines end
+				sender.Close()
+				network.Close()
+				time.Sleep(time.Minute) // lets the server's goroutines end before the synctest bubble does
 			})
 		})
 	}
 }
 
-// late is a sender that is slow to write.
-type late struct{ by time.Duration }
+// lateSender writes each request late by a fixed time and gets its response at once.
+type lateSender struct{ lateness time.Duration }
 
-func (l late) Send(context.Context, int64) Response {
-	time.Sleep(l.by)
-	return Response{Wrote: time.Now(), Status: 200}
+func (s lateSender) Send(context.Context, int64) Response {
+	time.Sleep(s.lateness)
+	return Response{WrittenAt: time.Now(), Status: 200}
 }
 
-func TestARunThatIsItselfLateIsNotValid(t *testing.T) {
+func TestResultIsInvalidIfTheGeneratorIsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 100}
-		for by, valid := range map[time.Duration]bool{time.Millisecond: true, 50 * time.Millisecond: false} {
-			r, err := Run(t.Context(), o, late{by})
-			if err != nil || (r.Invalid == "") != valid {
-				t.Errorf("late by %v: %v, %q", by, err, r.Invalid)
+		for lateness, wantValid := range map[time.Duration]bool{time.Millisecond: true, 50 * time.Millisecond: false} {
+			result, err := Run(t.Context(), o, lateSender{lateness})
+			if err != nil || (result.Invalid == "") != wantValid {
+				t.Errorf("generator late by %v: error %v, invalid: %q, want valid: %v", lateness, err, result.Invalid, wantValid)
 			}
 		}
 	})
 }
 
-func TestAnInterruptedRunHasAResult(t *testing.T) {
+func TestInterruptedRunHasAResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Hour, ResponseTimeout: time.Second, Connections: 10}
-		r, err := Run(ctx, o, late{time.Millisecond})
-		if err != nil || !r.Interrupted || r.Due < 29 || r.Due > 31 || r.Ended()["200"] != r.Due || r.Sent != 3*time.Second {
-			t.Errorf("%v: %+v", err, r)
+		result, err := Run(ctx, o, lateSender{time.Millisecond})
+		if err != nil || !result.Interrupted || result.Scheduled < 29 || result.Scheduled > 31 || result.CountByOutcome()["200"] != result.Scheduled ||
+			result.SendDuration != 3*time.Second {
+			t.Errorf("run interrupted after 3s at 10 requests per second: error %v, result %+v, want 29 to 31 requests, all with status 200, in 3s", err, result)
 		}
 	})
 }
 
-func TestOptionsThatCannotBe(t *testing.T) {
-	good := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 1}
-	for name, change := range map[string]func(*Options){"no rate": func(o *Options) { o.Process.Rate = nil }, "no length": func(o *Options) { o.Duration = 0 },
-		"no wait": func(o *Options) { o.ResponseTimeout = 0 }, "no connections": func(o *Options) { o.Connections = 0 }} {
-		o := good
+func TestRunRejectsInvalidOptions(t *testing.T) {
+	valid := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 1}
+	for name, change := range map[string]func(*Options){
+		"no rate":             func(o *Options) { o.Process.Rate = nil },
+		"no duration":         func(o *Options) { o.Duration = 0 },
+		"no response timeout": func(o *Options) { o.ResponseTimeout = 0 },
+		"no connections":      func(o *Options) { o.Connections = 0 },
+	} {
+		o := valid
 		change(&o)
-		if _, err := Run(t.Context(), o, late{}); err == nil {
-			t.Errorf("%s: run all the same", name)
+		if _, err := Run(t.Context(), o, lateSender{}); err == nil {
+			t.Errorf("%s: Run succeeded, want an error", name)
 		}
 	}
 }
