--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -21,7 +21,7 @@
 	if turns == 0 {
 		t.Skip("FLEET is not set: a measurement, for a quiet machine")
 	}
-	node := testpeer.FreePort(t)
+	node := testpeer.FreeAddress(t)
 	startPeer(t, "node", node)
 	file := clusterDaemonFile{endpoints: []string{node}} // with the intervals that the daemon has by default
 	key := writeKeyFile(t, 1)
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -41,8 +41,8 @@
 func (f clusterDaemonFile) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
 	d := &clusterDaemon{
-		admin:  testpeer.FreePort(t),
-		http:   testpeer.FreePort(t),
+		admin:  testpeer.FreeAddress(t),
+		http:   testpeer.FreeAddress(t),
 		listen: listen,
 		path:   filepath.Join(t.TempDir(), "ops.toml"),
 	}
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -182,25 +182,25 @@
 	}
 	switch which := s.rng.IntN(8); which {
 	case 0:
-		s.net.Between(some, others, faultnet.Link{Cut: true})
+		s.net.SetLinksBetween(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length)
 		s.net.Heal()
 		return "cut"
 	case 1: // two partitions in a row, so that a new leader is lost at once
-		s.net.Between(some, others, faultnet.Link{Cut: true})
+		s.net.SetLinksBetween(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length / 2)
 		s.net.Heal()
-		s.net.Between(others[:1], names, faultnet.Link{Cut: true})
+		s.net.SetLinksBetween(others[:1], names, faultnet.Link{Cut: true})
 		time.Sleep(length / 2)
 		s.net.Heal()
 		return "cuts"
 	case 2:
-		s.net.OneWay(some, others, faultnet.Link{Cut: true})
+		s.net.SetLinksOneWay(some, others, faultnet.Link{Cut: true})
 		time.Sleep(length)
 		s.net.Heal()
 		return "one way"
 	case 3:
-		s.net.Between(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
+		s.net.SetLinksBetween(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
 		time.Sleep(length)
 		s.net.Heal()
 		return "loss"
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -150,7 +150,7 @@
 // A descriptor that is not the socket of the listen address is reported in one line, and the daemon does not start.
 func TestWrongListenDescriptorIsRejected(t *testing.T) {
 	p := newHotRestartStage(t, 1)
-	p.addr = testpeer.FreePort(t)
+	p.addr = testpeer.FreeAddress(t)
 	d := p.startDaemon()
 	if err := d.wait(); err == nil {
 		t.Error("it started")
--- a/cmd/tuliprock/hotrestartstage_test.go
+++ b/cmd/tuliprock/hotrestartstage_test.go
@@ -115,7 +115,7 @@
 func (p *hotRestartStage) startDaemon() *stagedDaemon {
 	p.t.Helper()
 	p.startCount++
-	out := &stagedDaemon{admin: testpeer.FreePort(p.t)}
+	out := &stagedDaemon{admin: testpeer.FreeAddress(p.t)}
 	// The endpoint list that it is started with is stale: it is empty.
 	known := testpeer.Members(1, true)
 	if p.isDiscoverySilent {
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := loadgen.Simple(c.Method, c.Target, header, []byte(c.Body))
+	request, err := loadgen.RequestTemplate(c.Method, c.Target, header, []byte(c.Body))
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
--- a/cmd/tuliprock/load_test.go
+++ b/cmd/tuliprock/load_test.go
@@ -11,7 +11,7 @@
 
 // Two runs of load against a stand-in node, and the merge of their results.
 func TestLoadWritesResultsThatMerge(t *testing.T) {
-	addr, dir := testpeer.FreePort(t), t.TempDir()
+	addr, dir := testpeer.FreeAddress(t), t.TempDir()
 	startProcess(t, "stand-in", addr).awaitText(t, addr)
 	files := []string{filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}
 	for i, f := range files {
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -26,7 +26,7 @@
 	}
 
 	away := c.daemons[4]
-	c.net.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
+	c.net.SetLinksBetween([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
 	testpeer.Eventually(t, "who is cut off has no lease", func() bool { return strings.Contains(away.callAdmin("settings"), "acting=false") })
 	c.callUntilOnAll(c.daemons[0], "set-up "+first)
 	c.awaitEjection(c.daemons[:4], 0, false)
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -73,7 +73,7 @@
 
 // The command ends with exitUsage where the daemon is in no cluster.
 func TestPeersOfADaemonWithoutClusterFails(t *testing.T) {
-	d := &clusterDaemon{admin: testpeer.FreePort(t), path: filepath.Join(t.TempDir(), "ops.toml")}
+	d := &clusterDaemon{admin: testpeer.FreeAddress(t), path: filepath.Join(t.TempDir(), "ops.toml")}
 	d.write(t, fmt.Sprintf("format = 1\ndaemon = { admin_addr = %q }\nlistener = [{ name = \"in\", address = \"127.0.0.1:0\" }]\nclass = [{ name = \"look\", effect = \"safe\" }]\n"+
 		"pool = [{ name = \"p\", member = [{ address = \"127.0.0.1:9\" }] }]\nroute = [{ pool = \"p\", class = \"look\" }]\n", d.admin))
 	d.process = startProcess(t, "serve", "--config", d.path)
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -67,13 +67,13 @@
 	var nodes []string
 	file := "format = 1\n[daemon]\ncores = 1\n[[listener]]\nname = \"l\"\naddress = \"LISTEN\"\n[[class]]\nname = \"look\"\neffect = \"safe\"\n[[pool]]\nname = \"p\"\n"
 	for range 4 {
-		addr := testpeer.FreePort(t)
+		addr := testpeer.FreeAddress(t)
 		startPeer(t, "node", addr)
 		nodes = append(nodes, addr)
 		file += fmt.Sprintf("[[pool.member]]\naddress = %q\n", addr)
 	}
 	file += "[[route]]\npool = \"p\"\nclass = \"look\"\n"
-	own, proxy := testpeer.FreePort(t), testpeer.FreePort(t)
+	own, proxy := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	if err := os.WriteFile(path, []byte(strings.Replace(file, "LISTEN", own, 1)), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/tuliprock/serve_test.go
+++ b/cmd/tuliprock/serve_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen, a, b := testpeer.FreePort(t), testpeer.FreePort(t), testpeer.FreePort(t)
+	listen, a, b := testpeer.FreeAddress(t), testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	example := strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:9001", a, "127.0.0.1:9002", b).Replace(string(text))
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	write := func(text string) {
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -27,9 +27,9 @@
 // startStreamingDaemon starts a daemon on one core, and a node on a core of its own.
 func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, own, node string) {
 	t.Helper()
-	node = testpeer.FreePort(t)
+	node = testpeer.FreeAddress(t)
 	startPeer(t, "bulk", node)
-	own = testpeer.FreePort(t)
+	own = testpeer.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	text := fmt.Sprintf("format = 1\n[daemon]\ncores = 1\n%s\n[[listener]]\nname = \"l\"\naddress = %q\nbody_bytes = 4294967296\n[[class]]\nname = \"put\"\neffect = \"unsafe\"\ndeadline = \"30s\"\n"+
 		"[[pool]]\nname = \"p\"\n[[pool.member]]\naddress = %q\n[[route]]\npool = \"p\"\nclass = \"put\"\n", daemonSettings, own, node)
@@ -124,7 +124,7 @@
 		t.Skip("THROUGH is not set: a measurement, for a quiet machine")
 	}
 	daemon, own, node := startStreamingDaemon(t, "")
-	addrs := []string{own, testpeer.FreePort(t), testpeer.FreePort(t)}
+	addrs := []string{own, testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
 	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], node), startPeer(t, "splice", addrs[2], node)}
 	const total = 2 << 30
 	for _, way := range []string{"up", "down"} {
@@ -164,7 +164,7 @@
 func measureLookups(t *testing.T, addr string, length time.Duration) (p50, p99, refused float64) {
 	t.Helper()
 	const connections = 500
-	request, err := loadgen.Simple(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
+	request, err := loadgen.RequestTemplate(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 			t.Errorf("%d lookups: %s", n, how)
 		}
 	}
-	us := func(share float64) float64 { return float64(r.Latency.At(share).Microseconds()) }
+	us := func(share float64) float64 { return float64(r.Latency.Quantile(share).Microseconds()) }
 	return us(0.5), us(0.99), float64(ended["503"]) / float64(r.Scheduled)
 }
 
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -39,8 +39,8 @@
 // serveScript runs an agent that responds to each request with the next step, and sends nothing once there is none.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
-	s := &testpeer.ScriptedAgent{Steps: steps, Calls: make(chan string, 100)}
-	return serveHandler(t, s), s.Calls
+	s := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
+	return serveHandler(t, s), s.Queries
 }
 
 func serveHandler(t *testing.T, h http.Handler) (addr string) {
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -65,7 +65,7 @@
 	recorder := &arrivalRecorder{arrivedAt: map[string]time.Time{}}
 	var addrs []string
 	for range 3 {
-		addrs = append(addrs, testpeer.Accept(t, recorder.serve).Addr().String())
+		addrs = append(addrs, testpeer.ServeTCP(t, recorder.serve).Addr().String())
 	}
 	options := proxyOptions{canCancel: true, bodyMemory: body.NewMemoryPool(256 << 10), beforeDial: func() {
 		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -50,7 +50,7 @@
 func checkNotForwarded(t *testing.T, class string, request [2]string, disconnectMode string, wantStatus int) {
 	t.Helper()
 	var forwarded atomic.Int64 // bytes that the endpoint received
-	endpoint := testpeer.Accept(t, func(conn net.Conn) {
+	endpoint := testpeer.ServeTCP(t, func(conn net.Conn) {
 		defer conn.Close()
 		for b := make([]byte, 1<<10); ; io.WriteString(conn, testpeer.ResponseOK) {
 			n, err := conn.Read(b)
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -166,7 +166,7 @@
 			c.configureClass(class)
 		}
 	}}
-	p := startProxy(t, options, testpeer.Accept(t, endpoint.serve).Addr().String())
+	p := startProxy(t, options, testpeer.ServeTCP(t, endpoint.serve).Addr().String())
 	p.server.SetCloseConnections(c.closesConnections)
 	client := p.dialClient(t)
 	_ = client.SetDeadline(time.Now().Add(testpeer.Timeout))
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -24,7 +24,7 @@
 // start returns the address of an endpoint that serves all cells.
 func (n *matrixNode) start(t *testing.T) string {
 	t.Helper()
-	return testpeer.Accept(t, func(nc net.Conn) {
+	return testpeer.ServeTCP(t, func(nc net.Conn) {
 		_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10) // so that most of what is not read does not go out
 		n.serve(nc)
 	}).Addr().String()
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -51,7 +51,7 @@
 // startPlatformWith is startPlatform with limits, in JSON, and changes of the configuration.
 func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
-	silent := httptest.NewServer(&testpeer.ScriptedAgent{Calls: make(chan string, 100)})
+	silent := httptest.NewServer(&testpeer.ScriptedAgent{Queries: make(chan string, 100)})
 	t.Cleanup(silent.Close)
 	var list []string
 	for i, addr := range addrs {
@@ -177,13 +177,13 @@
 // startDiscovery starts a discovery that plays the steps and reports the calls to it.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
-	d := &testpeer.ScriptedAgent{Steps: steps, Calls: make(chan string, 100)}
+	d := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
 	server := httptest.NewServer(d)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
 		server.Close()
 	})
-	return server.Listener.Addr().String(), d.Calls
+	return server.Listener.Addr().String(), d.Queries
 }
 
 // newHeldEndpoint starts an endpoint that says of each request that it has come, and responds once release is closed.
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -194,7 +194,7 @@
 	for range 5 {
 		nodes = append(nodes, newStormNode(t, &seen))
 	}
-	places := [2]string{testpeer.FreePort(t), testpeer.FreePort(t)}
+	places := [2]string{testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
 	s := startFromFile(t, parseService(t, stormFile(0, places, nodes)))
 	quiet := func() resourceLevels {
 		testpeer.Eventually(t, "removed listeners have ended", func() bool {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -140,7 +140,7 @@
 // don't know yet. Back again, and with other limits at the same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
 	a := echoEndpoint(t, "A")
-	here, there := testpeer.FreePort(t), testpeer.FreePort(t)
+	here, there := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	at := func(addr string, more string) string {
 		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, more) + poolOf("a", a) + lookRoute
 	}
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -151,7 +151,7 @@
 // A response that comes before the body's end is forwarded at once, and the rest of the body is discarded.
 func TestEarlyResponseIsForwardedAtOnce(t *testing.T) {
 	for _, status := range []int{200, 403, 413} {
-		l := testpeer.Accept(t, func(nc net.Conn) {
+		l := testpeer.ServeTCP(t, func(nc net.Conn) {
 			_, _ = nc.Read(make([]byte, 1<<10))
 			_, _ = fmt.Fprintf(nc, "HTTP/1.1 %d Early\r\nContent-Length: 5\r\n\r\nearly", status)
 		})
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -107,9 +107,9 @@
 	return relayAddr, nil
 }
 
-// Set replaces the faults of the link from one process to another. If they include Reset, it also resets the connections that
+// SetLink replaces the faults of the link from one process to another. If they include Reset, it also resets the connections that
 // are open between the two processes, whichever of them opened the connection.
-func (n *Network) Set(from, to string, l Link) {
+func (n *Network) SetLink(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[linkKey{from, to}] = l
@@ -123,18 +123,18 @@
 	n.onLinkChange(fmt.Sprintf("link from %s to %s: %+v", from, to, l))
 }
 
-// Between sets the links between every process of one group and every process of the other, in both directions.
-func (n *Network) Between(group, others []string, l Link) {
-	n.OneWay(group, others, l)
-	n.OneWay(others, group, l)
+// SetLinksBetween sets the links between every process of one group and every process of the other, in both directions.
+func (n *Network) SetLinksBetween(group, others []string, l Link) {
+	n.SetLinksOneWay(group, others, l)
+	n.SetLinksOneWay(others, group, l)
 }
 
-// OneWay sets the links from every process of one group to every process of the other.
-func (n *Network) OneWay(senders, receivers []string, l Link) {
+// SetLinksOneWay sets the links from every process of one group to every process of the other.
+func (n *Network) SetLinksOneWay(senders, receivers []string, l Link) {
 	for _, from := range senders {
 		for _, to := range receivers {
 			if from != to {
-				n.Set(from, to, l)
+				n.SetLink(from, to, l)
 			}
 		}
 	}
@@ -274,7 +274,7 @@
 	directions.Wait()
 }
 
-// track registers a connection so that Set can reset it and Close can close it. It closes the connection if the Network is
+// track registers a connection so that SetLink can reset it and Close can close it. It closes the connection if the Network is
 // closed already.
 func (n *Network) track(nc net.Conn, key linkKey) {
 	n.mu.Lock()
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -65,7 +65,7 @@
 	// before it sends the end marker, since the marker overtakes delayed datagrams.
 	sendAndCount := func(l Link, count, minDelivered int) (delivered int) {
 		t.Helper()
-		n.Set("a", "b", l)
+		n.SetLink("a", "b", l)
 		for range count {
 			if _, err := udpA.WriteToUDPAddrPort([]byte("x"), relayToB); err != nil {
 				t.Fatal(err)
@@ -94,7 +94,7 @@
 			t.Errorf("%s: %d deliveries of 100 datagrams, want %d to %d", name, delivered, c.least, c.most)
 		}
 	}
-	n.Set("b", "a", Link{Cut: true})
+	n.SetLink("b", "a", Link{Cut: true})
 	if delivered := sendAndCount(Link{}, 10, 10); delivered != 10 {
 		t.Errorf("with only the opposite direction cut, %d of 10 datagrams were delivered, want all", delivered)
 	}
@@ -131,7 +131,7 @@
 	if err := echo(nc); err != nil {
 		t.Errorf("echo over a connection without faults: %v", err)
 	}
-	n.Set("a", "b", Link{Cut: true})
+	n.SetLink("a", "b", Link{Cut: true})
 	nc.SetDeadline(time.Now().Add(100 * time.Millisecond))
 	if err := echo(nc); err == nil {
 		t.Error("echo over a cut link succeeded, want a timeout")
@@ -141,7 +141,7 @@
 	if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil {
 		t.Errorf("echo of the byte that was sent while the link was cut, after it was healed: %v", err)
 	}
-	n.Set("a", "b", Link{Reset: true})
+	n.SetLink("a", "b", Link{Reset: true})
 	if err := echo(nc); err == nil {
 		t.Error("echo over a connection that was reset succeeded, want an error")
 	}
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -34,8 +34,8 @@
 // Close closes all idle connections.
 func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
 
-// Simple returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
-func Simple(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
+// RequestTemplate returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
+func RequestTemplate(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
 	makeRequest := func(n int64) (*http.Request, error) {
 		r, err := http.NewRequest(method, strings.ReplaceAll(url, "{n}", fmt.Sprint(n)), bytes.NewReader(body))
 		if err != nil {
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -18,31 +18,31 @@
 
 // resultFile is the JSON form of a Result. It holds complete histograms, so that results can be merged without loss of precision.
 type resultFile struct {
-	Format           int                          `json:"format"`
-	Kind             string                       `json:"kind"` // always "load"
-	Runs             int                          `json:"runs"`
-	Valid            bool                         `json:"valid"`
-	Invalid          string                       `json:"invalid,omitempty"` // reason why the result is not valid
-	Interrupted      bool                         `json:"interrupted"`
-	SendSeconds      float64                      `json:"sent_s"` // Result.SendDuration in seconds
-	Scheduled        int64                        `json:"due"`
-	NotSent          int64                        `json:"not_sent"`
-	Resent           int64                        `json:"resent"`
-	CountByOutcome   map[string]int64             `json:"ended"`
-	Percentiles      map[string]map[string]string `json:"percentiles"` // durations by histogram (all, service, own) and percentile, for human readers
-	LatencyByOutcome map[string]*schedule.Latency `json:"latency"`
-	Latency          *schedule.Latency            `json:"all"`
-	ServiceTime      *schedule.Latency            `json:"service"`
-	SendLateness     *schedule.Latency            `json:"own"`
-	Seconds          []secondInFile               `json:"seconds"`
+	Format           int                                   `json:"format"`
+	Kind             string                                `json:"kind"` // always "load"
+	Runs             int                                   `json:"runs"`
+	Valid            bool                                  `json:"valid"`
+	Invalid          string                                `json:"invalid,omitempty"` // reason why the result is not valid
+	Interrupted      bool                                  `json:"interrupted"`
+	SendSeconds      float64                               `json:"sent_s"` // Result.SendDuration in seconds
+	Scheduled        int64                                 `json:"due"`
+	NotSent          int64                                 `json:"not_sent"`
+	Resent           int64                                 `json:"resent"`
+	CountByOutcome   map[string]int64                      `json:"ended"`
+	Percentiles      map[string]map[string]string          `json:"percentiles"` // durations by histogram (all, service, own) and percentile, for human readers
+	LatencyByOutcome map[string]*schedule.LatencyHistogram `json:"latency"`
+	Latency          *schedule.LatencyHistogram            `json:"all"`
+	ServiceTime      *schedule.LatencyHistogram            `json:"service"`
+	SendLateness     *schedule.LatencyHistogram            `json:"own"`
+	Seconds          []secondInFile                        `json:"seconds"`
 }
 
 // secondInFile is the JSON form of a Second.
 type secondInFile struct {
-	Scheduled int64             `json:"due"`
-	NotSent   int64             `json:"not_sent"`
-	Responses int64             `json:"answered"` // complete responses
-	Latency   *schedule.Latency `json:"latency"`
+	Scheduled int64                      `json:"due"`
+	NotSent   int64                      `json:"not_sent"`
+	Responses int64                      `json:"answered"` // complete responses
+	Latency   *schedule.LatencyHistogram `json:"latency"`
 }
 
 // reportedPercentiles are the percentiles that Write and WriteTable print.
@@ -52,10 +52,10 @@
 }{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}, {"p99.99", 0.9999}}
 
 // formatPercentiles returns the percentiles and the maximum of a histogram as texts, by name.
-func formatPercentiles(l *schedule.Latency) map[string]string {
-	byName := map[string]string{"most": l.Most().String()}
+func formatPercentiles(l *schedule.LatencyHistogram) map[string]string {
+	byName := map[string]string{"most": l.Max().String()}
 	for _, p := range reportedPercentiles {
-		byName[p.name] = l.At(p.fraction).String()
+		byName[p.name] = l.Quantile(p.fraction).String()
 	}
 	return byName
 }
@@ -85,7 +85,7 @@
 	r := newResult(Options{})
 	r.Runs, r.Invalid, r.Interrupted, r.SendDuration = f.Runs, f.Invalid, f.Interrupted, time.Duration(f.SendSeconds*float64(time.Second))
 	r.Scheduled, r.NotSent, r.Resent = f.Scheduled, f.NotSent, f.Resent
-	for _, l := range []*schedule.Latency{f.Latency, f.ServiceTime, f.SendLateness} {
+	for _, l := range []*schedule.LatencyHistogram{f.Latency, f.ServiceTime, f.SendLateness} {
 		if l == nil {
 			return nil, fmt.Errorf("one of the histograms all, service and own is missing")
 		}
@@ -118,7 +118,7 @@
 	}
 	for outcome, l := range o.LatencyByOutcome {
 		if r.LatencyByOutcome[outcome] == nil {
-			r.LatencyByOutcome[outcome] = schedule.NewLatency()
+			r.LatencyByOutcome[outcome] = schedule.NewLatencyHistogram()
 		}
 		r.LatencyByOutcome[outcome].Merge(l)
 	}
@@ -147,12 +147,12 @@
 		fmt.Fprint(&rows, p.name, "\t")
 	}
 	fmt.Fprintln(&rows, "most\t")
-	row := func(name string, l *schedule.Latency) {
+	row := func(name string, l *schedule.LatencyHistogram) {
 		fmt.Fprintf(&rows, "%s\t%d\t", name, l.Count())
 		for _, p := range reportedPercentiles {
-			fmt.Fprintf(&rows, "%.2f\t", milliseconds(l.At(p.fraction)))
+			fmt.Fprintf(&rows, "%.2f\t", milliseconds(l.Quantile(p.fraction)))
 		}
-		fmt.Fprintf(&rows, "%.2f\t\n", milliseconds(l.Most()))
+		fmt.Fprintf(&rows, "%.2f\t\n", milliseconds(l.Max()))
 	}
 	row("latency, from when due", r.Latency)
 	row("service, from the write", r.ServiceTime)
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	for _, s := range r.Seconds {
-		b.WriteString(s.Latency.At(0.9).String())
+		b.WriteString(s.Latency.Quantile(0.9).String())
 	}
 	return b.String()
 }
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -20,11 +20,11 @@
 
 	// LatencyByOutcome holds the times from when a request was due to its end, by HTTP status ("200"), or by Response.Failure
 	// for requests without a complete response.
-	LatencyByOutcome map[string]*schedule.Latency
-	Latency          *schedule.Latency // times from when a request was due to its complete response, whatever the status
-	ServiceTime      *schedule.Latency // times from when a request was written to its complete response
-	SendLateness     *schedule.Latency // times from when a request was due to when the generator had written it
-	Seconds          []Second          // measurements by the second of the run in which requests were due
+	LatencyByOutcome map[string]*schedule.LatencyHistogram
+	Latency          *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
+	ServiceTime      *schedule.LatencyHistogram // times from when a request was written to its complete response
+	SendLateness     *schedule.LatencyHistogram // times from when a request was due to when the generator had written it
+	Seconds          []Second                   // measurements by the second of the run in which requests were due
 
 	Interrupted bool   // whether the run was ended before its time
 	Invalid     string // why the measurements are not those of the server but of the generator; empty if they are valid
@@ -41,21 +41,21 @@
 
 // Second holds the measurements of the requests that were due during one second of a run.
 type Second struct {
-	Scheduled int64             // requests that were due, sent or not
-	NotSent   int64             // requests that were not sent, since all connections were in use
-	Latency   *schedule.Latency // times from when a request was due to its complete response
+	Scheduled int64                      // requests that were due, sent or not
+	NotSent   int64                      // requests that were not sent, since all connections were in use
+	Latency   *schedule.LatencyHistogram // times from when a request was due to its complete response
 }
 
 func newResult(o Options) *Result {
-	r := &Result{Options: o, Runs: 1, LatencyByOutcome: map[string]*schedule.Latency{}, Latency: schedule.NewLatency(),
-		ServiceTime: schedule.NewLatency(), SendLateness: schedule.NewLatency()}
+	r := &Result{Options: o, Runs: 1, LatencyByOutcome: map[string]*schedule.LatencyHistogram{}, Latency: schedule.NewLatencyHistogram(),
+		ServiceTime: schedule.NewLatencyHistogram(), SendLateness: schedule.NewLatencyHistogram()}
 	return r
 }
 
 // secondAt returns the measurements of the second that contains an instant of the run, and appends seconds up to it as needed.
 func (r *Result) secondAt(instant time.Duration) *Second {
 	for int(instant/time.Second) >= len(r.Seconds) {
-		r.Seconds = append(r.Seconds, Second{Latency: schedule.NewLatency()})
+		r.Seconds = append(r.Seconds, Second{Latency: schedule.NewLatencyHistogram()})
 	}
 	return &r.Seconds[instant/time.Second]
 }
@@ -90,14 +90,14 @@
 		}
 	}
 	if r.LatencyByOutcome[outcome] == nil {
-		r.LatencyByOutcome[outcome] = schedule.NewLatency()
+		r.LatencyByOutcome[outcome] = schedule.NewLatencyHistogram()
 	}
 	r.LatencyByOutcome[outcome].Record(done.Sub(due))
 }
 
 // checkSendLateness marks the result as invalid if the generator sent requests too late to measure the server.
 func (r *Result) checkSendLateness() {
-	if p99 := r.SendLateness.At(0.99); p99 > r.Options.MaxSendLateness {
+	if p99 := r.SendLateness.Quantile(0.99); p99 > r.Options.MaxSendLateness {
 		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
 	}
 }
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -102,7 +102,7 @@
 			t.Error(err)
 		}
 	}()
-	newRequest, err := Simple(http.MethodGet, "http://server/{n}", nil, nil)
+	newRequest, err := RequestTemplate(http.MethodGet, "http://server/{n}", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,21 +164,21 @@
 				expected := expectedLatency(t, o, d)
 				for _, fraction := range []float64{0.5, 0.9, 0.99, 0.999} {
 					lo, hi := expected(fraction)
-					if got := result.Latency.At(fraction); got < lo-max(lo/100, time.Millisecond) || got > hi+max(hi/100, time.Millisecond) {
+					if got := result.Latency.Quantile(fraction); got < lo-max(lo/100, time.Millisecond) || got > hi+max(hi/100, time.Millisecond) {
 						t.Errorf("p%v: %v, want %v to %v", 100*fraction, got, lo, hi)
 					}
 				}
 				if result.Scheduled != result.CountByOutcome()["200"] || result.Latency.Count() != result.Scheduled || result.NotSent != 0 ||
-					result.Invalid != "" || result.SendLateness.Most() > time.Millisecond {
+					result.Invalid != "" || result.SendLateness.Max() > time.Millisecond {
 					t.Errorf("%d requests were scheduled, outcomes: %v, %d not sent, invalid: %q, sent late by up to %v; want all sent on time with status 200",
-						result.Scheduled, result.CountByOutcome(), result.NotSent, result.Invalid, result.SendLateness.Most())
+						result.Scheduled, result.CountByOutcome(), result.NotSent, result.Invalid, result.SendLateness.Max())
 				}
 				if name == "stall" {
 					closed := measureClosedLoop(t, o.Duration, d)
-					t.Logf("p99 with a stall: %v in an open loop, %v in a closed loop", result.Latency.At(0.99), closed.At(0.99))
-					if closed.At(0.99) > 20*time.Millisecond || result.Latency.At(0.99) < time.Second {
+					t.Logf("p99 with a stall: %v in an open loop, %v in a closed loop", result.Latency.Quantile(0.99), closed.Quantile(0.99))
+					if closed.Quantile(0.99) > 20*time.Millisecond || result.Latency.Quantile(0.99) < time.Second {
 						t.Errorf("p99 with a stall: %v in an open loop, want at least 1s; %v in a closed loop, want at most 20ms",
-							result.Latency.At(0.99), closed.At(0.99))
+							result.Latency.Quantile(0.99), closed.Quantile(0.99))
 					}
 				}
 			})
@@ -187,9 +187,9 @@
 }
 
 // measureClosedLoop measures the server's delays with one request after another, which misses most of a stall.
-func measureClosedLoop(t *testing.T, length time.Duration, d serverDelays) *schedule.Latency {
+func measureClosedLoop(t *testing.T, length time.Duration, d serverDelays) *schedule.LatencyHistogram {
 	t.Helper()
-	l := schedule.NewLatency()
+	l := schedule.NewLatencyHistogram()
 	start := time.Now()
 	for n := int64(0); time.Since(start) < length; n++ {
 		sentAt := time.Now()
@@ -206,9 +206,9 @@
 		result := measure(t, o, serverDelays{processing: func(int64) time.Duration { return 500 * time.Millisecond }})
 		// With 500 ms per request, 10 connections serve 20 requests per second of 100.
 		if result.Scheduled != 1000 || result.NotSent < 790 || result.NotSent > 810 || result.CountByOutcome()["200"] != result.Scheduled-result.NotSent ||
-			result.SendLateness.Most() > time.Millisecond {
+			result.SendLateness.Max() > time.Millisecond {
 			t.Errorf("%d requests were scheduled, %d not sent, outcomes: %v, sent late by up to %v; want 1000 scheduled, 790 to 810 not sent, the others on time with status 200",
-				result.Scheduled, result.NotSent, result.CountByOutcome(), result.SendLateness.Most())
+				result.Scheduled, result.NotSent, result.CountByOutcome(), result.SendLateness.Max())
 		}
 	})
 }
@@ -255,7 +255,7 @@
 						go func() { defer nc.Close(); c.serve(nc) }()
 					}
 				}()
-				newRequest, _ := Simple(http.MethodGet, "http://server/", nil, nil)
+				newRequest, _ := RequestTemplate(http.MethodGet, "http://server/", nil, nil)
 				sender := NewHTTP(newRequest, 100, network.dial)
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, Duration: time.Second, ResponseTimeout: 3 * time.Second, Connections: 100}
 				result, err := Run(t.Context(), o, sender)
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -190,9 +190,9 @@
 func (c *cluster) setLinks(fault LinkFault, link faultnet.Link) {
 	for i, part := range fault.Parts {
 		for _, other := range fault.Parts[i+1:] {
-			c.net.OneWay(part, other, link)
+			c.net.SetLinksOneWay(part, other, link)
 			if !fault.IsOneWay {
-				c.net.OneWay(other, part, link)
+				c.net.SetLinksOneWay(other, part, link)
 			}
 		}
 	}
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -65,10 +65,10 @@
 	result.addService()
 	now := resourceUsage()
 	result.Harness = HarnessMetrics{
-		LateP50:       r.sendLateness.At(0.5).Seconds(),
-		LateP99:       r.sendLateness.At(0.99).Seconds(),
-		LateMax:       r.sendLateness.Most().Seconds(),
-		TimerP99:      m.timerLateness.At(0.99).Seconds(),
+		LateP50:       r.sendLateness.Quantile(0.5).Seconds(),
+		LateP99:       r.sendLateness.Quantile(0.99).Seconds(),
+		LateMax:       r.sendLateness.Max().Seconds(),
+		TimerP99:      m.timerLateness.Quantile(0.99).Seconds(),
 		WorstStall:    m.worstStall.Seconds(),
 		CPU:           (now.own - before.own).Seconds(),
 		DroppedEvents: dropped,
@@ -79,11 +79,11 @@
 
 // addWorth measures what clients got: shares of worth served in time, latencies and counts.
 func (r *rehearsal) addWorth(result *Result) {
-	byName := map[string]*schedule.Latency{"all": schedule.NewLatency()}
-	bySecond := make([]*schedule.Latency, int(math.Ceil(r.plan.Day.Length.Seconds())))
+	byName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
+	bySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
 	result.BySecond = make([]Second, len(bySecond))
 	for i := range bySecond {
-		bySecond[i] = schedule.NewLatency()
+		bySecond[i] = schedule.NewLatencyHistogram()
 	}
 	var overall Share
 	lateFailWorth, attempts := 0.0, 0
@@ -103,7 +103,7 @@
 		if o.isServed {
 			for _, name := range []string{"all", class.Name} {
 				if byName[name] == nil {
-					byName[name] = schedule.NewLatency()
+					byName[name] = schedule.NewLatencyHistogram()
 				}
 				byName[name].Record(o.duration)
 			}
@@ -113,11 +113,11 @@
 		}
 	}
 	for name, l := range byName {
-		result.Latency[name] = Latency{P50: l.At(0.5).Seconds(), P90: l.At(0.9).Seconds(), P99: l.At(0.99).Seconds(),
-			P999: l.At(0.999).Seconds(), Max: l.Most().Seconds()}
+		result.Latency[name] = Latency{P50: l.Quantile(0.5).Seconds(), P90: l.Quantile(0.9).Seconds(), P99: l.Quantile(0.99).Seconds(),
+			P999: l.Quantile(0.999).Seconds(), Max: l.Max().Seconds()}
 	}
 	for i, l := range bySecond {
-		result.BySecond[i].P50, result.BySecond[i].P99 = l.At(0.5).Seconds(), l.At(0.99).Seconds()
+		result.BySecond[i].P50, result.BySecond[i].P99 = l.Quantile(0.5).Seconds(), l.Quantile(0.99).Seconds()
 	}
 	result.WorthShare, result.WorstWindow = overall.Share, worstWindowShare(result.BySecond)
 	result.ClientAttempts = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -21,7 +21,7 @@
 
 	inFlight [][]int // by sample, by node of the plan
 
-	timerLateness *schedule.Latency
+	timerLateness *schedule.LatencyHistogram
 	worstStall    time.Duration
 }
 
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -81,7 +81,7 @@
 	rate := schedule.Rate{PerSecond: p.Rate}
 	for _, fault := range p.Faults {
 		if fault.Kind == "surge" {
-			rate.Bursts = append(rate.Bursts, schedule.Burst{At: fault.At, For: fault.For,
+			rate.Bursts = append(rate.Bursts, schedule.Burst{Start: fault.At, Duration: fault.For,
 				Ramp: time.Duration(surgeRampShare * float64(fault.For)), Factor: fault.Magnitude})
 		}
 	}
@@ -89,7 +89,7 @@
 	for _, c := range p.Day.Classes {
 		shares = append(shares, c.Share)
 	}
-	arrivals, err := schedule.Draw(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenant: usage,
+	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenants: usage,
 		MaxArrivals: maxRequests})
 	if err != nil {
 		return nil, err
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/play.go
@@ -58,10 +58,10 @@
 
 	requests     sync.WaitGroup
 	inFlight     atomic.Int64
-	outcomes     []outcome         // by request of the plan; each belongs to the goroutine of its client
-	offeredWorth atomic.Int64      // thousandths of worth
-	inTimeWorth  atomic.Int64      // thousandths of worth
-	sendLateness *schedule.Latency // of the dispatcher's goroutine only
+	outcomes     []outcome                  // by request of the plan; each belongs to the goroutine of its client
+	offeredWorth atomic.Int64               // thousandths of worth
+	inTimeWorth  atomic.Int64               // thousandths of worth
+	sendLateness *schedule.LatencyHistogram // of the dispatcher's goroutine only
 
 	mu  sync.Mutex
 	err error // why the day could not be played
@@ -117,7 +117,7 @@
 		frontLayer:    &fake.FrontLayer{},
 		notifications: map[*fake.Agent]chan notification{},
 		outcomes:      make([]outcome, len(plan.Requests)),
-		sendLateness:  schedule.NewLatency(),
+		sendLateness:  schedule.NewLatencyHistogram(),
 	}
 	r.clients = fake.NewClient(plan.Classes, r.registry, r.recorder, plan.Day.Rules.Slack, maxClientIdleConnections)
 	if lifetime := plan.Day.Clients.ConnectionLifetime; lifetime.Hi > 0 {
@@ -187,7 +187,7 @@
 func (r *rehearsal) play(before resources) (*Result, error) {
 	start := time.Now()
 	dayStart := r.recorder.Now()
-	monitor := &monitor{rehearsal: r, start: start, timerLateness: schedule.NewLatency()}
+	monitor := &monitor{rehearsal: r, start: start, timerLateness: schedule.NewLatencyHistogram()}
 	done := make(chan struct{})
 	var monitoring sync.WaitGroup
 	monitoring.Go(func() { monitor.sampleInFlight(done) })
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -11,7 +11,7 @@
 
 // A rehearsal that was not scheduled must not blame a sidecar.
 func TestHarnessStallsMakeADayInvalid(t *testing.T) {
-	r := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatency()}
+	r := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
 		t.Helper()
 		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
--- a/internal/testkit/schedule/latency_json.go
+++ b/internal/testkit/schedule/latency_json.go
@@ -9,7 +9,7 @@
 
 // MarshalJSON implements json.Marshaler. It encodes the complete histogram as a string, in HdrHistogram's compressed format V2
 // with base64.
-func (l *Latency) MarshalJSON() ([]byte, error) {
+func (l *LatencyHistogram) MarshalJSON() ([]byte, error) {
 	text, err := l.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		return nil, fmt.Errorf("latency: %w", err)
@@ -17,9 +17,9 @@
 	return json.Marshal(string(text))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. It rejects a histogram with another range or resolution than NewLatency's, since
+// UnmarshalJSON implements json.Unmarshaler. It rejects a histogram with another range or resolution than NewLatencyHistogram's, since
 // the two could not be merged exactly.
-func (l *Latency) UnmarshalJSON(text []byte) (err error) {
+func (l *LatencyHistogram) UnmarshalJSON(text []byte) (err error) {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
@@ -33,7 +33,7 @@
 	if err != nil {
 		return fmt.Errorf("latency: %w", err)
 	}
-	want := NewLatency().histogram
+	want := NewLatencyHistogram().histogram
 	if h.HighestTrackableValue() != want.HighestTrackableValue() || h.LowestTrackableValue() != want.LowestTrackableValue() ||
 		h.SignificantFigures() != significantDigits {
 		return fmt.Errorf("latency: the range is not %v to %v with %d significant digits", minLatency, maxLatency, significantDigits)
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -13,15 +13,15 @@
 
 // Burst multiplies an arrival rate for a limited time.
 type Burst struct {
-	At     time.Duration // start, from the start of the run
-	For    time.Duration // duration, both ramps included
-	Ramp   time.Duration // time of the linear rise at the start, and of the linear fall at the end
-	Factor float64       // factor of the rate between the two ramps
+	Start    time.Duration // start, from the start of the run
+	Duration time.Duration // duration, both ramps included
+	Ramp     time.Duration // time of the linear rise at the start, and of the linear fall at the end
+	Factor   float64       // factor of the rate between the two ramps
 }
 
 // factorAt returns the factor that the burst multiplies the rate by at an instant; 1 outside the burst.
 func (b Burst) factorAt(instant time.Duration) float64 {
-	elapsed, remaining := instant-b.At, b.At+b.For-instant
+	elapsed, remaining := instant-b.Start, b.Start+b.Duration-instant
 	switch {
 	case elapsed < 0 || remaining <= 0:
 		return 1
@@ -38,8 +38,8 @@
 	Bursts    []Burst // may overlap
 }
 
-// At returns the rate at an instant, in arrivals per second.
-func (r Rate) At(instant time.Duration) float64 {
+// PerSecondAt returns the rate at an instant, in arrivals per second.
+func (r Rate) PerSecondAt(instant time.Duration) float64 {
 	rate := r.PerSecond
 	for _, b := range r.Bursts {
 		rate *= b.factorAt(instant)
@@ -47,7 +47,7 @@
 	return rate
 }
 
-// upperBound returns a rate, in arrivals per second, that At never exceeds.
+// upperBound returns a rate, in arrivals per second, that PerSecondAt never exceeds.
 func (r Rate) upperBound() float64 {
 	bound := r.PerSecond
 	for _, b := range r.Bursts {
@@ -60,7 +60,7 @@
 type Arrival struct {
 	At     time.Duration // instant at which the request is due, from the start of the run
 	Class  int           // index into Mix.Classes
-	Tenant int           // index into Mix.Tenant
+	Tenant int           // index into Mix.Tenants
 	Seed   uint64        // seed for other random properties of the request, which then don't depend on the order of drawing
 }
 
@@ -69,18 +69,18 @@
 	Rate        Rate
 	Length      time.Duration // duration of the run
 	Classes     []float64     // relative frequency of each request class
-	Tenant      []float64     // relative frequency of each tenant
-	MaxArrivals int           // number of arrivals above which Draw returns an error, to bound memory
+	Tenants     []float64     // relative frequency of each tenant
+	MaxArrivals int           // number of arrivals above which DrawArrivals returns an error, to bound memory
 }
 
-// Draw draws the arrivals of a run as a Poisson process by thinning (Lewis and Shedler, 1979), in order of time. Sources in
-// the same state give the same arrivals.
-func Draw(rng *rand.Rand, m Mix) ([]Arrival, error) {
+// DrawArrivals draws the arrivals of a run as a Poisson process by thinning (Lewis and Shedler, 1979), in order of time. Random
+// number generators in the same state give the same arrivals.
+func DrawArrivals(rng *rand.Rand, m Mix) ([]Arrival, error) {
 	bound := m.Rate.upperBound()
 	if bound <= 0 || math.IsInf(bound, 0) || math.IsNaN(bound) {
 		return nil, fmt.Errorf("an arrival rate of up to %v per second is not positive and finite", bound)
 	}
-	// bound may far exceed the mean rate, so only a schedule that is much too long is rejected before it is drawn.
+	// bound may exceed the mean rate by far, so that only schedules far beyond the limit are rejected without drawing them.
 	if candidates := bound * m.Length.Seconds(); candidates > 4*float64(m.MaxArrivals) {
 		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", candidates, m.MaxArrivals)
 	}
@@ -91,18 +91,19 @@
 		if instant >= m.Length {
 			return arrivals, nil
 		}
-		if rng.Float64()*bound >= m.Rate.At(instant) {
+		if rng.Float64()*bound >= m.Rate.PerSecondAt(instant) {
 			continue // thinning: a candidate is accepted with the probability rate/bound
 		}
 		if len(arrivals) == m.MaxArrivals {
 			return nil, fmt.Errorf("the schedule has more arrivals than the limit of %d", m.MaxArrivals)
 		}
-		arrivals = append(arrivals, Arrival{At: instant, Class: Pick(rng, m.Classes), Tenant: Pick(rng, m.Tenant), Seed: rng.Uint64()})
+		arrivals = append(arrivals, Arrival{At: instant, Class: PickWeighted(rng, m.Classes), Tenant: PickWeighted(rng, m.Tenants), Seed: rng.Uint64()})
 	}
 }
 
-// Pick draws an index of weights, each with a probability in proportion to its weight. It returns 0 if weights is empty.
-func Pick(rng *rand.Rand, weights []float64) int {
+// PickWeighted draws an index of weights, each with a probability in proportion to its weight. It returns 0 if weights is
+// empty.
+func PickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -13,8 +13,8 @@
 
 // burstMix returns the arrivals of 30 s, with three times the rate during the second 10 s.
 func burstMix() Mix {
-	return Mix{Rate: Rate{PerSecond: 200, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Factor: 3}}},
-		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenant: []float64{1, 1}, MaxArrivals: 100000}
+	return Mix{Rate: Rate{PerSecond: 200, Bursts: []Burst{{Start: 10 * time.Second, Duration: 10 * time.Second, Factor: 3}}},
+		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenants: []float64{1, 1}, MaxArrivals: 100000}
 }
 
 func TestArrivalsAreReproducible(t *testing.T) {
@@ -24,7 +24,7 @@
 		m.Length = time.Second
 		m.Rate.PerSecond = rapid.Float64Range(1, 500).Draw(t, "rate")
 		draw := func(seed uint64) []Arrival {
-			arrivals, err := Draw(rand.New(rand.NewPCG(seed, 1)), m)
+			arrivals, err := DrawArrivals(rand.New(rand.NewPCG(seed, 1)), m)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -44,7 +44,7 @@
 }
 
 func TestBurstAndClassFrequencies(t *testing.T) {
-	arrivals, err := Draw(rand.New(rand.NewPCG(7, 1)), burstMix())
+	arrivals, err := DrawArrivals(rand.New(rand.NewPCG(7, 1)), burstMix())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,15 +66,15 @@
 }
 
 func TestBurstRampIsLinear(t *testing.T) {
-	r := Rate{PerSecond: 100, Bursts: []Burst{{At: 10 * time.Second, For: 10 * time.Second, Ramp: 4 * time.Second, Factor: 2}}}
+	r := Rate{PerSecond: 100, Bursts: []Burst{{Start: 10 * time.Second, Duration: 10 * time.Second, Ramp: 4 * time.Second, Factor: 2}}}
 	for at, want := range map[time.Duration]float64{9: 100, 10: 100, 12: 150, 15: 200, 18: 150, 20: 100, 25: 100} {
-		if got := r.At(at * time.Second); math.Abs(got-want) > 1e-9 {
+		if got := r.PerSecondAt(at * time.Second); math.Abs(got-want) > 1e-9 {
 			t.Errorf("rate at %v s: %v, want %v", int(at), got, want)
 		}
 	}
 }
 
-func TestDrawRejectsExcessiveAndInvalidRates(t *testing.T) {
+func TestDrawArrivalsRejectsExcessiveAndInvalidRates(t *testing.T) {
 	for name, change := range map[string]func(*Mix){
 		"more arrivals than MaxArrivals":     func(m *Mix) { m.MaxArrivals = 100 },
 		"far more arrivals than MaxArrivals": func(m *Mix) { m.Rate.PerSecond = 1e12 },
@@ -83,7 +83,7 @@
 	} {
 		m := burstMix()
 		change(&m)
-		if arrivals, err := Draw(rand.New(rand.NewPCG(7, 1)), m); err == nil {
+		if arrivals, err := DrawArrivals(rand.New(rand.NewPCG(7, 1)), m); err == nil {
 			t.Errorf("%s: drew %d arrivals, want an error", name, len(arrivals))
 		}
 	}
@@ -131,9 +131,9 @@
 }
 
 // Merging the histograms of two parts gives the histogram of all latencies, for latencies inside and outside its range.
-func TestLatencyMergeIsExact(t *testing.T) {
+func TestLatencyHistogramMergeIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, a, b := NewLatency(), NewLatency(), NewLatency()
+		all, a, b := NewLatencyHistogram(), NewLatencyHistogram(), NewLatencyHistogram()
 		for i, ms := range rapid.SliceOfN(rapid.IntRange(0, 700_000), 1, 50).Draw(t, "ms") {
 			d := time.Duration(ms) * time.Millisecond
 			all.Record(d)
@@ -145,23 +145,23 @@
 		}
 		a.Merge(b)
 		for _, fraction := range []float64{0.5, 0.9, 0.99, 1} {
-			if a.At(fraction) != all.At(fraction) || a.Count() != all.Count() {
-				t.Fatalf("quantile %v: %v of %d latencies after the merge, want %v of %d", fraction, a.At(fraction), a.Count(), all.At(fraction), all.Count())
+			if a.Quantile(fraction) != all.Quantile(fraction) || a.Count() != all.Count() {
+				t.Fatalf("quantile %v: %v of %d latencies after the merge, want %v of %d", fraction, a.Quantile(fraction), a.Count(), all.Quantile(fraction), all.Count())
 			}
 		}
 	})
 }
 
-func TestLatencyQuantilePrecision(t *testing.T) {
-	l := NewLatency()
-	if l.At(0.5) != 0 {
+func TestLatencyHistogramPrecision(t *testing.T) {
+	l := NewLatencyHistogram()
+	if l.Quantile(0.5) != 0 {
 		t.Error("the median of an empty histogram is not 0")
 	}
 	for ms := range 1000 {
 		l.Record(time.Duration(ms+1) * time.Millisecond)
 	}
 	for fraction, want := range map[float64]time.Duration{0.5: 500, 0.99: 990, 1: 1000} {
-		if got := l.At(fraction); math.Abs(float64(got-want*time.Millisecond)) > 0.001*float64(want*time.Millisecond) {
+		if got := l.Quantile(fraction); math.Abs(float64(got-want*time.Millisecond)) > 0.001*float64(want*time.Millisecond) {
 			t.Errorf("quantile %v: %v, want %v ms within 0.1 %%", fraction, got, int(want))
 		}
 	}
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -73,7 +73,8 @@
 	phaseEnd  float64 // seconds from the start of the run to the end of the OnOff phase; infinite for other gaps
 }
 
-// NewStream returns a Stream that starts at instant 0. Sources in the same state give the same arrivals.
+// NewStream returns a Stream that starts at instant 0. Random number generators in the same state give the same
+// arrivals.
 func NewStream(rng *rand.Rand, p Process) (*Stream, error) {
 	if err := p.Rate.validate(); err != nil {
 		return nil, err
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -35,7 +35,7 @@
 func NewEndpoint(tb testing.TB, serve func(nc net.Conn, r *http.Request, n int) bool) *Endpoint {
 	tb.Helper()
 	e := &Endpoint{}
-	e.Listener = Accept(tb, func(nc net.Conn) {
+	e.Listener = ServeTCP(tb, func(nc net.Conn) {
 		e.Connections.Add(1)
 		e.serveConn(nc, serve)
 	})
@@ -43,8 +43,8 @@
 	return e
 }
 
-// Accept listens on a free loopback port until the test ends and calls serve for each connection on a goroutine of its own.
-func Accept(tb testing.TB, serve func(net.Conn)) net.Listener {
+// ServeTCP listens on a free loopback port until the test ends and calls serve for each connection on a goroutine of its own.
+func ServeTCP(tb testing.TB, serve func(net.Conn)) net.Listener {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,9 +90,9 @@
 	}
 }
 
-// FreePort returns a loopback address, host:port, on which nothing listens at the moment. Another process may take the port
+// FreeAddress returns a loopback address, host:port, on which nothing listens at the moment. Another process may take the port
 // before the test does.
-func FreePort(tb testing.TB) string {
+func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,13 +136,13 @@
 // ScriptedAgent is a discovery agent that writes one of its steps in response to each request. After the last step it
 // leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
-	Steps []string    // response bodies, in order; one that ends in "SILENT" is written without it, and its response stays open
-	Calls chan string // receives the raw query of each request, before the response is written
+	Steps   []string    // response bodies, in order; one that ends in "SILENT" is written without it, and its response stays open
+	Queries chan string // receives the raw query of each request, before the response is written
 }
 
 // ServeHTTP implements http.Handler.
 func (a *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.Calls <- r.URL.RawQuery
+	a.Queries <- r.URL.RawQuery
 	if len(a.Steps) == 0 {
 		<-r.Context().Done()
 		return
