--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -56,12 +56,13 @@
 	return bound
 }
 
-// Arrival is a request that is due at a given instant.
+// Arrival is a request that is due at a given instant. Plan files of rehearsals store it as JSON.
 type Arrival struct {
 	At     time.Duration // instant at which the request is due, from the start of the run
 	Class  int           // index into Mix.Classes
 	Tenant int           // index into Mix.Tenants
-	Seed   uint64        // seed for other random properties of the request, which then don't depend on the order of drawing
+	// Seed is the seed for other random properties of the request, which then don't depend on the order of drawing.
+	Seed uint64 `json:"Draw"`
 }
 
 // Mix describes the arrivals of a run.
