--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -17,6 +17,7 @@
 // policy chooses the endpoint of an attempt from a sorted, non-empty list of endpoint IDs.
 type policy func(b *balancer, candidates []string) string
 
+// policies holds all policies by the name that New expects.
 var policies = map[string]policy{
 	"random":            func(b *balancer, candidates []string) string { return candidates[b.rng.IntN(len(candidates))] },
 	"round-robin":       roundRobin,
@@ -51,13 +52,13 @@
 	settings    balance.Settings
 	policy      policy
 	rng         *rand.Rand
-	idempotency map[string]balance.Idempotency // by the name of the class
-	states      map[string]balance.State       // of the endpoint list, by endpoint ID
-	ejected     map[string]bool                // IDs of the manually ejected endpoints, listed or not
+	idempotency map[string]balance.Idempotency // idempotency of the requests of each class, by class name
+	states      map[string]balance.State       // states of the listed endpoints, by endpoint ID
+	ejected     map[string]bool                // manually ejected endpoints by ID, listed or not
 	ready       []string                       // sorted IDs of the endpoints that are ready and not ejected
-	inFlight    map[string]int                 // attempts in flight by endpoint ID; endpoints without any are absent
-	lastTurn    int                            // requests that round robin has assigned so far
-	requests    map[string]*request            // by ID, until their final response is sent and no attempt is in flight
+	inFlight    map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
+	turns       int                            // number of attempts that round robin has assigned so far
+	requests    map[string]*request            // requests by ID, removed when their final response is sent and no attempt is in flight
 }
 
 // request is a client's request and the state of its attempts.
@@ -69,11 +70,13 @@
 	mayHaveRun bool     // whether the endpoint of an earlier attempt may have executed the request
 }
 
+// roundRobin chooses the candidates in turn.
 func roundRobin(b *balancer, candidates []string) string {
-	b.lastTurn++
-	return candidates[b.lastTurn%len(candidates)]
+	b.turns++
+	return candidates[b.turns%len(candidates)]
 }
 
+// leastOutstanding chooses a candidate with the fewest attempts in flight.
 func leastOutstanding(b *balancer, candidates []string) string {
 	least := candidates[b.rng.IntN(len(candidates))] // a random start, so that the first endpoint does not win all ties
 	for _, id := range candidates {
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -21,7 +21,7 @@
 
 // Link holds the faults of what one process sends to another. The zero value forwards everything at once.
 type Link struct {
-	Cut       bool          // datagrams are lost and open TCP connections stall without an error, as if a cable were unplugged
+	Cut       bool          // datagrams are lost and TCP connections stall without an error, as if a cable were unplugged
 	Reset     bool          // open and new TCP connections are reset; datagrams are forwarded
 	Loss      float64       // probability that a datagram is lost, or that a piece of a TCP stream is delayed by a retransmission
 	Duplicate float64       // probability that a datagram is delivered twice
@@ -285,6 +285,7 @@
 	}
 }
 
+// untrack removes a connection that has ended.
 func (n *Network) untrack(nc net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -10,7 +10,7 @@
 
 // Result holds the measurements of a run, or of several runs that were merged.
 type Result struct {
-	Options      Options       // of the run; zero for a result that was read from a file
+	Options      Options       // options of the run; zero in a result that was read from a file
 	Runs         int           // number of runs that were merged into this result, itself included
 	SendDuration time.Duration // time during which requests were sent; the longest one of merged runs
 
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -44,14 +44,14 @@
 const (
 	Even        Gaps = iota // all gaps have the same length
 	Exponential             // gaps have exponential lengths: a Poisson process
-	Pareto                  // gaps have Pareto lengths, a heavy-tailed distribution: few long gaps, with many arrivals close together between them
+	Pareto                  // gaps have Pareto-distributed lengths, with a heavy tail: few long gaps, and clusters of arrivals between them
 	OnOff                   // a Poisson process that is switched on and off, each time for an exponentially distributed time
 )
 
 // Process is a random process of arrivals. Its mean rate follows Rate, whatever the distribution of the gaps.
 type Process struct {
-	Rate Curve
-	Gaps Gaps
+	Rate Curve         // mean arrival rate over time
+	Gaps Gaps          // distribution of the times between arrivals
 	Tail float64       // exponent of the Pareto distribution, over 1; lower values give more extreme gaps
 	On   time.Duration // mean length of the phases with arrivals of OnOff
 	Off  time.Duration // mean length of the phases without arrivals of OnOff
