--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -22,7 +22,7 @@
 	if turns == 0 {
 		t.Skip("TULIPROCK_TEST_CLUSTER_COST_TURNS is not set: this is a measurement, for an idle machine")
 	}
-	node := testpeer.FreePort(t)
+	node := testpeer.FreeAddress(t)
 	startPeer(t, "node", node)
 	config := clusterDaemonConfig{endpoints: []string{node}} // with the daemon's default probe intervals
 	key := writeKeyFile(t, 1)
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -48,8 +48,8 @@
 func (c clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
 	t.Helper()
 	d := &clusterDaemon{
-		adminAddr:   testpeer.FreePort(t),
-		httpAddr:    testpeer.FreePort(t),
+		adminAddr:   testpeer.FreeAddress(t),
+		httpAddr:    testpeer.FreeAddress(t),
 		clusterAddr: listen,
 		configPath:  filepath.Join(t.TempDir(), "ops.toml"),
 	}
@@ -94,7 +94,7 @@
 func (d *clusterDaemon) awaitPeersReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
 	t.Helper()
 	var last *status.Fleet
-	testpeer.Until(t, what, func() bool {
+	testpeer.Eventually(t, what, func() bool {
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err == nil {
 			last = f
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -21,7 +21,7 @@
 // requests that they get. Daemon i is named s<i>; the first ones are the voters.
 type testCluster struct {
 	t         *testing.T
-	network   *faultnet.Net
+	network   *faultnet.Network
 	daemons   []*clusterDaemon
 	nodes     [2]*testpeer.Endpoint
 	requests  [2]atomic.Int64       // number of requests that arrived at each node
@@ -51,7 +51,7 @@
 			if c.requests[i].Add(1); c.onRequest != nil {
 				c.onRequest(r)
 			}
-			_, err := io.WriteString(nc, testpeer.Served)
+			_, err := io.WriteString(nc, testpeer.ResponseOK)
 			return err == nil
 		})
 	}
@@ -59,7 +59,7 @@
 	listens, voters := []string{}, []string{}
 	for i := range spec.daemons {
 		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
-		relay, err := c.network.Relay(name, netip.MustParseAddrPort(listen))
+		relay, err := c.network.AddRelay(name, netip.MustParseAddrPort(listen))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 func (c *testCluster) callUntilOnAll(d *clusterDaemon, line string) {
 	c.t.Helper()
 	const want = "on all daemons with version"
-	testpeer.Until(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
+	testpeer.Eventually(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
 }
 
 // awaitEjection waits until the daemons act on settings in which a node is manually ejected, or on such in which it is not.
@@ -109,7 +109,7 @@
 	c.t.Helper()
 	start := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s has node %d ejected: %v", d.clusterAddr, node, ejected), func() bool {
+		testpeer.Eventually(c.t, fmt.Sprintf("%s has node %d ejected: %v", d.clusterAddr, node, ejected), func() bool {
 			text := d.callAdmin("settings")
 			return strings.Contains(text, "acting=true") && strings.Contains(text, "name=out/"+c.nodes[node].Addr+" ") == ejected
 		})
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -190,25 +190,25 @@
 	}
 	switch which := s.rng.IntN(8); which {
 	case 0:
-		s.network.Between(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "cut"
 	case 1: // two partitions in a row: a leader that was elected during the first one may be cut off at once
-		s.network.Between(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
 		time.Sleep(duration / 2)
 		s.network.Heal()
-		s.network.Between(groupB[:1], names, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupB[:1], names, faultnet.Link{Cut: true})
 		time.Sleep(duration / 2)
 		s.network.Heal()
 		return "cuts"
 	case 2:
-		s.network.OneWay(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksOneWay(groupA, groupB, faultnet.Link{Cut: true})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "one way"
 	case 3:
-		s.network.Between(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
+		s.network.SetLinksBetween(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "loss"
@@ -281,7 +281,7 @@
 		time.Sleep(gap)
 	}
 	var last *status.CommandResult
-	testpeer.Until(t, "the last put is agreed on", func() bool {
+	testpeer.Eventually(t, "the last put is agreed on", func() bool {
 		var err error
 		last, err = s.putText(s.rng.IntN(3), "last", 0)
 		return err == nil
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -124,7 +124,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	testpeer.Until(t, "the first process has more than 200 open descriptors", func() bool { return first.descriptorCount() > 200 })
+	testpeer.Eventually(t, "the first process has more than 200 open descriptors", func() bool { return first.descriptorCount() > 200 })
 	second := h.startDaemon()
 	mu.Lock()
 	successors = append(successors, second)
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -36,7 +36,7 @@
 	}
 	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // at the draining process, which notifies its successor
 	second.terminate(t)
-	testpeer.Until(t, "s-1 gets requests again", func() bool { return t.Failed() || h.endpoints[1].Requests.Load() > requestsWhenEjected })
+	testpeer.Eventually(t, "s-1 gets requests again", func() bool { return t.Failed() || h.endpoints[1].Requests.Load() > requestsWhenEjected })
 	h.stopLoad(load)
 	third.terminate(t)
 }
@@ -113,7 +113,7 @@
 			}
 		})
 	}
-	testpeer.Until(t, "all requests have arrived at the endpoints", func() bool { return h.endpoints[0].Requests.Load()+h.endpoints[1].Requests.Load() == 6 })
+	testpeer.Eventually(t, "all requests have arrived at the endpoints", func() bool { return h.endpoints[0].Requests.Load()+h.endpoints[1].Requests.Load() == 6 })
 	second := h.startDaemon()
 	first.signal(t, syscall.SIGHUP)
 	second.awaitAdmin(t, "check", "SUCCESS")
@@ -136,7 +136,7 @@
 	load := h.startLoad(3)
 	load.awaitServed(t, 20)
 	second := h.startDaemon()
-	testpeer.Until(t, "the second process listens at its operators' address", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
+	testpeer.Eventually(t, "the second process listens at its operators' address", func() bool { return strings.HasPrefix(second.callAdmin(t, "check"), "FAILURE") })
 	second.terminate(t)
 	first.awaitAdmin(t, "check", "SUCCESS")
 	load.awaitServed(t, 20)
@@ -150,7 +150,7 @@
 // If the inherited descriptor is not the socket of the listen address, the daemon reports that in one line and does not start.
 func TestWrongListenDescriptorIsRejected(t *testing.T) {
 	h := newHotRestartHarness(t, 1)
-	h.listenAddr = testpeer.FreePort(t)
+	h.listenAddr = testpeer.FreeAddress(t)
 	d := h.startDaemon()
 	if err := d.wait(); err == nil {
 		t.Error("the daemon exited without error, want an error")
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -61,7 +61,7 @@
 				return h.writeSlowly(nc)
 			}
 			time.Sleep(2 * time.Millisecond) // simulated work
-			_, err := io.WriteString(nc, testpeer.Served)
+			_, err := io.WriteString(nc, testpeer.ResponseOK)
 			return err == nil
 		}))
 	}
@@ -118,7 +118,7 @@
 func (h *hotRestartHarness) startDaemon() *harnessDaemon {
 	h.t.Helper()
 	h.startCount++
-	d := &harnessDaemon{adminAddr: testpeer.FreePort(h.t)}
+	d := &harnessDaemon{adminAddr: testpeer.FreeAddress(h.t)}
 	// The endpoint list of the configuration is out of date: it is empty.
 	knownList := testpeer.Members(1, true)
 	if h.isDiscoverySilent {
@@ -146,7 +146,7 @@
 		return ""
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	_, _ = io.WriteString(nc, line+"\n")
 	text, _ := io.ReadAll(nc)
 	return string(text)
@@ -155,7 +155,7 @@
 // awaitAdmin repeats a command until the response begins with want.
 func (d *harnessDaemon) awaitAdmin(t *testing.T, line, want string) {
 	t.Helper()
-	testpeer.Until(t, "the response to "+line+" begins with "+want, func() bool { return strings.HasPrefix(d.callAdmin(t, line), want) })
+	testpeer.Eventually(t, "the response to "+line+" begins with "+want, func() bool { return strings.HasPrefix(d.callAdmin(t, line), want) })
 }
 
 // backgroundLoad is a set of clients that send requests until they are stopped. Two of three clients use a persistent
@@ -203,7 +203,7 @@
 func (l *backgroundLoad) awaitServed(t *testing.T, n int64) {
 	t.Helper()
 	want := l.servedCount.Load() + n
-	testpeer.Until(t, fmt.Sprint(n, " more requests have been served"), func() bool { return t.Failed() || l.servedCount.Load() >= want })
+	testpeer.Eventually(t, fmt.Sprint(n, " more requests have been served"), func() bool { return t.Failed() || l.servedCount.Load() >= want })
 }
 
 // stopLoad stops the clients, and checks that each request arrived at the endpoints exactly once.
@@ -223,7 +223,7 @@
 // SIGQUIT, so that it prints the stacks of its goroutines.
 func (d *harnessDaemon) awaitExit(t *testing.T) {
 	t.Helper()
-	timer := time.AfterFunc(testpeer.Patience, func() { _ = d.cmd.Process.Signal(syscall.SIGQUIT) })
+	timer := time.AfterFunc(testpeer.Timeout, func() { _ = d.cmd.Process.Signal(syscall.SIGQUIT) })
 	defer timer.Stop()
 	if err := d.wait(); err != nil {
 		t.Fatalf("the process exited with %v, want no error: %s", err, &d.outputBuffer)
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := loadgen.Simple(c.Method, c.Target, header, []byte(c.Body))
+	request, err := loadgen.RequestTemplate(c.Method, c.Target, header, []byte(c.Body))
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
@@ -94,7 +94,7 @@
 		Process: schedule.Process{
 			Rate: schedule.Steady(c.Rate), Gaps: gapsByName[c.Gaps], Tail: 1.5, On: time.Second, Off: time.Second,
 		},
-		Seed: c.Seed, For: c.Duration, Wait: c.ResponseTimeout, Connections: c.Connections,
+		Seed: c.Seed, Duration: c.Duration, ResponseTimeout: c.ResponseTimeout, Connections: c.Connections,
 	}
 }
 
--- a/cmd/tuliprock/measurementpeer_test.go
+++ b/cmd/tuliprock/measurementpeer_test.go
@@ -56,7 +56,7 @@
 	p := &process{cmd: programCommand()}
 	p.cmd.Env = append(p.cmd.Env, runAsPeerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
 	p.start(t)
-	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(5 * time.Millisecond) {
 		nc, err := net.Dial("tcp", words[1])
 		if err == nil {
 			nc.Close()
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -26,8 +26,8 @@
 	}
 
 	partitioned := c.daemons[4]
-	c.network.Between([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
-	testpeer.Until(t, "the partitioned daemon has no lease", func() bool { return strings.Contains(partitioned.callAdmin("settings"), "acting=false") })
+	c.network.SetLinksBetween([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
+	testpeer.Eventually(t, "the partitioned daemon has no lease", func() bool { return strings.Contains(partitioned.callAdmin("settings"), "acting=false") })
 	c.callUntilOnAll(c.daemons[0], "set-up "+firstNode)
 	c.awaitEjection(c.daemons[:4], 0, false)
 	if n := c.countRequestsAt([]*clusterDaemon{partitioned}, 0); n > 0 {
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -74,7 +74,7 @@
 
 // The command peers exits with exitUsage if the daemon is not in a cluster.
 func TestPeersCommandFailsWithoutCluster(t *testing.T) {
-	d := &clusterDaemon{adminAddr: testpeer.FreePort(t), configPath: filepath.Join(t.TempDir(), "ops.toml")}
+	d := &clusterDaemon{adminAddr: testpeer.FreeAddress(t), configPath: filepath.Join(t.TempDir(), "ops.toml")}
 	d.writeConfig(t, fmt.Sprintf("format = 1\ndaemon = { admin_addr = %q }\nlistener = [{ name = \"in\", address = \"127.0.0.1:0\" }]\nclass = [{ name = \"look\", effect = \"safe\" }]\n"+
 		"pool = [{ name = \"p\", member = [{ address = \"127.0.0.1:9\" }] }]\nroute = [{ pool = \"p\", class = \"look\" }]\n", d.adminAddr))
 	d.process = startProcess(t, "serve", "--config", d.configPath)
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -71,7 +71,7 @@
 // awaitText waits until the output contains a text.
 func (b *outputBuffer) awaitText(t *testing.T, want string) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !strings.Contains(b.String(), want); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); !strings.Contains(b.String(), want); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the output lacks %q: %s", want, b)
 		}
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -68,13 +68,13 @@
 	var nodes []string
 	config := "format = 1\n[daemon]\ncores = 1\n[[listener]]\nname = \"l\"\naddress = \"LISTEN\"\n[[class]]\nname = \"look\"\neffect = \"safe\"\n[[pool]]\nname = \"p\"\n"
 	for range 4 {
-		addr := testpeer.FreePort(t)
+		addr := testpeer.FreeAddress(t)
 		startPeer(t, "node", addr)
 		nodes = append(nodes, addr)
 		config += fmt.Sprintf("[[pool.member]]\naddress = %q\n", addr)
 	}
 	config += "[[route]]\npool = \"p\"\nclass = \"look\"\n"
-	daemonAddr, proxyAddr := testpeer.FreePort(t), testpeer.FreePort(t)
+	daemonAddr, proxyAddr := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	if err := os.WriteFile(path, []byte(strings.Replace(config, "LISTEN", daemonAddr, 1)), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/tuliprock/serve_test.go
+++ b/cmd/tuliprock/serve_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listenAddr, nodeA, nodeB := testpeer.FreePort(t), testpeer.FreePort(t), testpeer.FreePort(t)
+	listenAddr, nodeA, nodeB := testpeer.FreeAddress(t), testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	example := strings.NewReplacer("127.0.0.1:8080", listenAddr, "127.0.0.1:9001", nodeA, "127.0.0.1:9002", nodeB).Replace(string(text))
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	writeConfig := func(text string) {
@@ -33,7 +33,7 @@
 	daemon.awaitText(t, "msg=listening")
 	checkRequest := func() {
 		t.Helper()
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testpeer.Patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testpeer.Timeout}
 		resp, err := client.Get("http://" + listenAddr + "/item/42")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -62,7 +62,7 @@
 	c.t.Helper()
 	start := time.Now()
 	for _, d := range ds {
-		testpeer.Until(c.t, fmt.Sprintf("%s acts on version %d", d.clusterAddr, version), func() bool {
+		testpeer.Eventually(c.t, fmt.Sprintf("%s acts on version %d", d.clusterAddr, version), func() bool {
 			s, err := status.FetchVersions(d.adminAddr, reportTimeout)
 			return err == nil && s.HasLease && s.ActiveVersion >= version
 		})
@@ -87,7 +87,7 @@
 		mu.Lock()
 		clear(requestsByMark)
 		mu.Unlock()
-		testpeer.Until(t, "a request arrives with the mark "+want, func() bool {
+		testpeer.Eventually(t, "a request arrives with the mark "+want, func() bool {
 			status, _, err := d.sendRequest(client, "")
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -28,9 +28,9 @@
 // are more lines of the table daemon. It returns the daemon and the addresses of the daemon and of the node.
 func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, daemonAddr, nodeAddr string) {
 	t.Helper()
-	nodeAddr = testpeer.FreePort(t)
+	nodeAddr = testpeer.FreeAddress(t)
 	startPeer(t, "bulk", nodeAddr)
-	daemonAddr = testpeer.FreePort(t)
+	daemonAddr = testpeer.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	text := fmt.Sprintf("format = 1\n[daemon]\ncores = 1\n%s\n[[listener]]\nname = \"l\"\naddress = %q\nbody_bytes = 4294967296\n[[class]]\nname = \"put\"\neffect = \"unsafe\"\ndeadline = \"30s\"\n"+
 		"[[pool]]\nname = \"p\"\n[[pool.member]]\naddress = %q\n[[route]]\npool = \"p\"\nclass = \"put\"\n", daemonSettings, daemonAddr, nodeAddr)
@@ -130,7 +130,7 @@
 		t.Skip("TULIPROCK_TEST_THROUGHPUT_TURNS is not set: this is a measurement, for an idle machine")
 	}
 	daemon, daemonAddr, nodeAddr := startStreamingDaemon(t, "")
-	addrs := []string{daemonAddr, testpeer.FreePort(t), testpeer.FreePort(t)}
+	addrs := []string{daemonAddr, testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
 	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], nodeAddr), startPeer(t, "splice", addrs[2], nodeAddr)}
 	const totalBytes = 2 << 30
 	for _, direction := range []string{"up", "down"} {
@@ -170,28 +170,28 @@
 func measureLookups(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
 	t.Helper()
 	const connections = 500
-	request, err := loadgen.Simple(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
+	request, err := loadgen.RequestTemplate(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sender := loadgen.NewHTTP(request, connections, nil)
 	defer sender.Close()
-	result, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, For: duration,
-		Wait: testpeer.Patience, Connections: connections}, sender)
+	result, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, Duration: duration,
+		ResponseTimeout: testpeer.Timeout, Connections: connections}, sender)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Invalid != "" {
 		t.Log("the load run is not valid:", result.Invalid)
 	}
-	outcomes := result.Ended()
+	outcomes := result.CountByOutcome()
 	for outcome, n := range outcomes {
 		if outcome != "200" && outcome != "503" {
 			t.Errorf("%d lookups had the outcome %s, want 200 or 503", n, outcome)
 		}
 	}
-	quantileUs := func(q float64) float64 { return float64(result.All.At(q).Microseconds()) }
-	return quantileUs(0.5), quantileUs(0.99), float64(outcomes["503"]) / float64(result.Due)
+	quantileUs := func(q float64) float64 { return float64(result.Latency.Quantile(q).Microseconds()) }
+	return quantileUs(0.5), quantileUs(0.99), float64(outcomes["503"]) / float64(result.Scheduled)
 }
 
 // A measurement: latency of small requests without other load, during 50 large transfers through the same daemon and pool, and
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -149,7 +149,7 @@
 // transferUntilAdmitted is like transfer, but retries while the request is shed, since the decision module admits no more
 // concurrent requests than the endpoints have capacity for. It also returns how often the request was shed.
 func transferUntilAdmitted(addr, direction, query string, n int64, isRandom bool, rate int) (got string, shedCount int, err error) {
-	for end := time.Now().Add(testpeer.Patience); ; time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(100 * time.Millisecond) {
 		got, err = transfer(addr, direction, query, n, isRandom, rate)
 		if !errors.Is(err, errShed) || time.Now().After(end) {
 			return got, shedCount, err
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -38,7 +38,7 @@
 	defer conn.Close()
 	options := testOptions("a")
 	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", Generation: 5, Kind: 'x'}))
-	testpeer.Until(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == before+1 })
+	testpeer.Eventually(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == before+1 })
 	select {
 	case m := <-b.Messages():
 		t.Errorf("delivered %+v, want no message", m)
@@ -59,7 +59,7 @@
 func TestDroppedPacketsAreCountedByReasonAndHaveNoEffect(t *testing.T) {
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
-	testpeer.Until(t, "a and b are members", func() bool { return len(a.View().Members) == 2 })
+	testpeer.Eventually(t, "a and b are members", func() bool { return len(a.View().Members) == 2 })
 	conn, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)}, net.UDPAddrFromAddrPort(a.Addr()))
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			before := row.count(a.Metrics())
 			send(row.datagram)
-			testpeer.Until(t, "the packet is counted", func() bool { return row.count(a.Metrics()) == before+1 })
+			testpeer.Eventually(t, "the packet is counted", func() bool { return row.count(a.Metrics()) == before+1 })
 		})
 	}
 	if state := stateOf(a, "x"); state != "unknown" {
@@ -101,17 +101,17 @@
 	}
 
 	send(valid)
-	testpeer.Until(t, "a valid packet makes x a member", func() bool { return stateOf(a, "x") != "unknown" })
+	testpeer.Eventually(t, "a valid packet makes x a member", func() bool { return stateOf(a, "x") != "unknown" })
 	send(valid)
-	testpeer.Until(t, "the replay of the valid packet is counted", func() bool { return a.Metrics().Replayed == 1 })
-	testpeer.Until(t, "packets over the rate limit of their source are dropped", func() bool {
+	testpeer.Eventually(t, "the replay of the valid packet is counted", func() bool { return a.Metrics().Replayed == 1 })
+	testpeer.Eventually(t, "packets over the rate limit of their source are dropped", func() bool {
 		for range 500 {
 			send(altered)
 		}
 		return a.Metrics().RateLimited > 1000
 	})
 	before := a.Metrics().Received
-	testpeer.Until(t, "packets of b are still received", func() bool {
+	testpeer.Eventually(t, "packets of b are still received", func() bool {
 		send(altered)
 		return a.Metrics().Received > before+5 && stateOf(a, "b") == "alive"
 	})
@@ -127,5 +127,5 @@
 	defer conn.Close()
 	before := a.Metrics().Malformed
 	conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	testpeer.Until(t, "the stream is counted as malformed", func() bool { return a.Metrics().Malformed > before })
+	testpeer.Eventually(t, "the stream is counted as malformed", func() bool { return a.Metrics().Malformed > before })
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	a = start(t, testOptions("a"))
 	b = start(t, testOptions("b", a.Addr()))
-	testpeer.Until(t, "a and b consider each other alive", func() bool {
+	testpeer.Eventually(t, "a and b consider each other alive", func() bool {
 		return stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 	})
 	return a, b
@@ -68,18 +68,18 @@
 	a := start(t, testOptions("a"))
 	b := start(t, testOptions("b", a.Addr()))
 	c := start(t, testOptions("c", a.Addr()))
-	testpeer.Until(t, "all views have three members", func() bool {
+	testpeer.Eventually(t, "all views have three members", func() bool {
 		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 &&
 			b.View().Connectivity == swim.FullyConnected
 	})
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "a and b see that c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
+	testpeer.Eventually(t, "a and b see that c has left", func() bool { return stateOf(a, "c") == "left" && stateOf(b, "c") == "left" })
 	if err := b.Abort(); err != nil {
 		t.Error(err)
 	}
-	testpeer.Until(t, "a detects that b has failed", func() bool { return stateOf(a, "b") == "failed" })
+	testpeer.Eventually(t, "a detects that b has failed", func() bool { return stateOf(a, "b") == "failed" })
 }
 
 func TestKeyRotationKeepsMembersConnected(t *testing.T) {
@@ -101,7 +101,7 @@
 			tr.Reconfigure(options)
 		}
 		before := a.Metrics().Received
-		testpeer.Until(t, step.name+": a and b exchange packets", func() bool {
+		testpeer.Eventually(t, step.name+": a and b exchange packets", func() bool {
 			return a.Metrics().Received > before+3 && stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 		})
 	}
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -27,7 +27,7 @@
 	f := &clientFixture{updates: make(chan ListUpdate, 100), watchEnds: make(chan bool, 100), queries: queries}
 	f.AgentClient = NewAgentClient(addr, &version, false, slog.New(slog.DiscardHandler))
 	f.OnUpdate, f.OnWatchEnd = func(update ListUpdate) { f.updates <- update }, func() { f.watchEnds <- true }
-	f.idleTimeout, f.firstByteTimeout = testpeer.Patience, testpeer.Patience
+	f.idleTimeout, f.firstByteTimeout = testpeer.Timeout, testpeer.Timeout
 	if configure != nil {
 		configure(f.AgentClient)
 	}
@@ -39,8 +39,8 @@
 // serveScript starts an agent that responds to each request with the next step, and sends nothing once all steps are used up.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
-	agent := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
-	return serveHandler(t, agent), agent.Calls
+	agent := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
+	return serveHandler(t, agent), agent.Queries
 }
 
 func serveHandler(t *testing.T, h http.Handler) (addr string) {
@@ -61,7 +61,7 @@
 			if got != want {
 				t.Errorf("the agent received the query %q, want %q", got, want)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatalf("the agent did not receive the query %q", want)
 		}
 	}
@@ -75,7 +75,7 @@
 			if *update.Version != want {
 				t.Errorf("the client delivered version %d, want %d", *update.Version, want)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatalf("the client did not deliver version %d", want)
 		}
 	}
--- a/internal/discovery/polling_test.go
+++ b/internal/discovery/polling_test.go
@@ -56,7 +56,7 @@
 		if !update.Full || !slices.Equal(got, want) {
 			t.Fatalf("update %v (complete: %v), want the complete list %v", got, update.Full, want)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Fatalf("no update was delivered, want the list %v", want)
 	}
 }
@@ -67,7 +67,7 @@
 	case <-f.failures:
 	case update := <-f.updates:
 		t.Fatalf("update %+v was delivered, want a failure", update)
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Fatal("no failure was reported")
 	}
 }
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -47,7 +47,7 @@
 		a.mu.Lock()
 		a.arrivedAt[r.Header.Get("Req-Id")] = arrivedAt
 		a.mu.Unlock()
-		io.WriteString(conn, testpeer.Served)
+		io.WriteString(conn, testpeer.ResponseOK)
 	}
 }
 
@@ -65,19 +65,19 @@
 	recorder := &arrivalRecorder{arrivedAt: map[string]time.Time{}}
 	var addrs []string
 	for range 3 {
-		addrs = append(addrs, testpeer.Accept(t, recorder.serve).Addr().String())
+		addrs = append(addrs, testpeer.ServeTCP(t, recorder.serve).Addr().String())
 	}
 	options := proxyOptions{canCancel: true, bodyMemory: body.NewMemoryPool(256 << 10), beforeDial: func() {
 		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
 	}}
 	p := startProxy(t, options, addrs...)
-	descriptorsBefore := testpeer.Descriptors()
+	descriptorsBefore := testpeer.OpenDescriptors()
 	disconnectedAt := disconnectMany(t, p.addr, clientsPerClass)
 	p.awaitNoCalls(t)
-	testpeer.Until(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
-	testpeer.Until(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
+	testpeer.Eventually(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
+	testpeer.Eventually(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
 		_, idle := p.upstream.ResourceCounts()
-		return testpeer.Descriptors() <= descriptorsBefore+2*idle
+		return testpeer.OpenDescriptors() <= descriptorsBefore+2*idle
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	if _, err := io.WriteString(nc, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -82,9 +82,9 @@
 			return false
 		case "slow":
 			time.Sleep(50 * time.Millisecond)
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		default:
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		}
 		return true
 	}
@@ -164,11 +164,11 @@
 	}
 	running.Wait()
 	var got map[string]int64
-	testpeer.Until(t, "no request is active", func() bool {
+	testpeer.Eventually(t, "no request is active", func() bool {
 		got = parseMetrics(t, s.adminCommand(t, "vars"))
 		return got["active"] == 0
 	})
-	testpeer.Until(t, "all counted attempts have reached an endpoint", func() bool { return attempts.Load() >= got["tries"] })
+	testpeer.Eventually(t, "all counted attempts have reached an endpoint", func() bool { return attempts.Load() >= got["tries"] })
 	for _, class := range []string{"look", "pay", "book"} {
 		disconnected := outcomes["gone "+class]
 		sum, want := int64(0), disconnected
@@ -198,7 +198,7 @@
 	release := make(chan struct{})
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		<-release
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
@@ -206,16 +206,16 @@
 	for i := range 5 {
 		running.Go(func() { send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
 	}
-	testpeer.Until(t, "five requests are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
+	testpeer.Eventually(t, "five requests are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
 	close(release)
 	running.Wait()
-	testpeer.Until(t, "no request is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
+	testpeer.Eventually(t, "no request is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
 }
 
 // The response to a command does not wait behind the queued events of a pool, and comes in time even if the pool's event
 // loop hangs.
 func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
 	unblock, blocked := make(chan struct{}), make(chan struct{})
 	s.loop.Post(func(time.Duration) { close(blocked); <-unblock })
@@ -245,7 +245,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	next, err := s.platformConfig.Service()
 	if err != nil {
@@ -267,7 +267,7 @@
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the address is closed", func() bool {
+	testpeer.Eventually(t, "the address is closed", func() bool {
 		nc, err := net.Dial("tcp", addr)
 		if err == nil {
 			nc.Close()
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -38,7 +38,7 @@
 
 // BenchmarkServe measures requests sent one after another on one connection, through the daemon to an endpoint.
 func BenchmarkServe(b *testing.B) {
-	e := testpeer.NewEndpoint(b, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(b, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startFromFile(b, parseService(b, listenerOne+poolSection("a", e.Addr)+lookRoute))
 	nc, in, _ := openConnection(b, s.addressOf("one"))
 	b.ReportAllocs()
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -39,7 +39,7 @@
 		defer d.cluster.mu.Unlock()
 		return d.cluster.daemons == 2
 	}
-	testpeer.Until(t, "both daemons count two members", func() bool { return seesBoth(s) && seesBoth(other) })
+	testpeer.Eventually(t, "both daemons count two members", func() bool { return seesBoth(s) && seesBoth(other) })
 	if resp, _ := sendGet(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %s, want 200", resp.Status)
 	}
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -14,7 +14,7 @@
 
 // When the connection limit is reached, idle connections are closed to make room for new clients, and no request is lost.
 func TestIdleConnectionsYieldToNewClients(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 100 { // far more connections than the limit allows
 		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
@@ -26,7 +26,7 @@
 
 // Hundreds of connections that send no request, or only its beginning, must not block clients that send requests.
 func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 200 {
 		nc, err := net.Dial("tcp", s.addr)
@@ -47,7 +47,7 @@
 // A daemon that runs for long sees ever new endpoint IDs at the same addresses, new request IDs and new connections. The
 // state that it keeps about old ones must be released.
 func TestStateOfDepartedEndpointsIsReleased(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
 		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
@@ -55,7 +55,7 @@
 			t.Fatalf("request %d: status %d, want 200", i, status)
 		}
 	}
-	testpeer.Until(t, "clients' connections are closed", func() bool { return s.connections.ConnectionCount() == 0 })
+	testpeer.Eventually(t, "clients' connections are closed", func() bool { return s.connections.ConnectionCount() == 0 })
 	counts := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
@@ -88,7 +88,7 @@
 			}
 			idle[nc] = true
 			time.Sleep(4 * time.Millisecond) // makes all requests take about the same time
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 			return true
 		})
 		endpoints, addrs = append(endpoints, e), append(addrs, e.Addr)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,8 +17,8 @@
 )
 
 func TestDrainingOrRemovedEndpointGetsNoNewRequests(t *testing.T) {
-	a := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
-	b := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
+	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
 	sendEight := func() (atA, atB int32) {
@@ -55,7 +55,7 @@
 		first <- status
 	}()
 	<-arrived
-	newEndpoint := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	newEndpoint := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	c := s.platformConfig
 	var calls chan string
 	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", newEndpoint.Addr, "Ready")), "SILENT")
@@ -81,7 +81,7 @@
 	}
 	s.terminate()
 	c.Discovery, _ = startDiscovery(t)
-	testpeer.Until(t, "the shutdown begins", func() bool { return errors.Is(reload(), errShuttingDown) })
+	testpeer.Eventually(t, "the shutdown begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
 	if status := <-first; status != http.StatusOK {
 		t.Errorf("the request in flight: status %d, want 200", status)
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	queriesBefore := dns.Queries.Load()
-	testpeer.Until(t, "DNS queries fail", func() bool { return dns.Queries.Load() > queriesBefore+1 })
+	testpeer.Eventually(t, "DNS queries fail", func() bool { return dns.Queries.Load() > queriesBefore+1 })
 	for _, path := range []string{"/file", "/dns"} {
 		if !isServedBy(path, "A") {
 			t.Errorf("%s is not served by A while the sources fail", path)
@@ -182,6 +182,6 @@
 	writeMembersFile(b)
 	setDNSRecords(b)
 	for _, path := range []string{"/file", "/dns"} {
-		testpeer.Until(t, path+" is served by B", func() bool { return isServedBy(path, "B") })
+		testpeer.Eventually(t, path+" is served by B", func() bool { return isServedBy(path, "B") })
 	}
 }
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -28,7 +28,7 @@
 	}
 	defer nc.Close()
 	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
-	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Timeout))
 	chunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
 	method, framing, requestBody := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), longBody(c.size)
 	switch {
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -24,7 +24,7 @@
 // start starts an endpoint and returns its address. It may be called several times.
 func (n *matrixEndpoint) start(t *testing.T) string {
 	t.Helper()
-	return testpeer.Accept(t, func(nc net.Conn) {
+	return testpeer.ServeTCP(t, func(nc net.Conn) {
 		_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10) // a small buffer, so that the daemon notices that a body is not read
 		n.serve(nc)
 	}).Addr().String()
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -290,13 +290,13 @@
 		}
 	}
 	t.Logf("%d cells, of which %d are not as the table promises", len(cells), failedCells.Load())
-	testpeer.Until(t, "all body memory is released", func() bool {
+	testpeer.Eventually(t, "all body memory is released", func() bool {
 		reserved, waiting := s.bodyMemory.InUse()
 		return reserved == 0 && waiting == 0
 	})
 	// Idle connections to endpoints may stay open: at most two for each pool, each with a goroutine at the endpoint.
-	testpeer.Until(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= goroutinesBefore+2*len(cells) })
-	testpeer.Until(t, "descriptors are closed", func() bool { return measureResources().descriptors <= descriptorsBefore+4*len(cells) })
+	testpeer.Eventually(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= goroutinesBefore+2*len(cells) })
+	testpeer.Eventually(t, "descriptors are closed", func() bool { return measureResources().descriptors <= descriptorsBefore+4*len(cells) })
 }
 
 // String returns the cell's coordinates, for failure messages.
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -53,7 +53,7 @@
 // startPlatformWith does the same as startPlatform with resource limits, as JSON, and with changes to the configuration.
 func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
-	silentAgent := httptest.NewServer(&testpeer.Discovery{Calls: make(chan string, 100)})
+	silentAgent := httptest.NewServer(&testpeer.ScriptedAgent{Queries: make(chan string, 100)})
 	t.Cleanup(silentAgent.Close)
 	var members []string
 	for i, addr := range addrs {
@@ -156,7 +156,7 @@
 	in := bufio.NewReader(nc)
 	err = r.Write(nc)
 	if err == nil {
-		nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
 		var resp *http.Response
 		if resp, err = http.ReadResponse(in, r); err == nil {
 			io.Copy(io.Discard, resp.Body)
@@ -180,13 +180,13 @@
 // startDiscovery starts a fake discovery agent that responds to each call with the next step, and reports the calls.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
-	agent := &testpeer.Discovery{Steps: steps, Calls: make(chan string, 100)}
+	agent := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
 	server := httptest.NewServer(agent)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
 		server.Close()
 	})
-	return server.Listener.Addr().String(), agent.Calls
+	return server.Listener.Addr().String(), agent.Queries
 }
 
 // newBlockingEndpoint starts an endpoint that reports the arrival of each request, and responds once release is closed.
@@ -196,7 +196,7 @@
 	e = testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		arrivals <- true
 		<-release
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	return e, arrivals, release
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -82,7 +82,7 @@
 	for range 4 {
 		e := testpeer.NewEndpoint(tb, func(nc net.Conn, _ *http.Request, _ int) bool {
 			if os.Getenv("TULIPROCK_TEST_HEALTHY_CONTROL") != "" {
-				io.WriteString(nc, testpeer.Served)
+				io.WriteString(nc, testpeer.ResponseOK)
 				return true
 			}
 			_, _ = nc.Read(make([]byte, 1)) // returns when the daemon cancels the attempt
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		text := fmt.Appendf(nil, row.text, i)
 		go func() {
 			if !row.sentBytewise {
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(testpeer.Patience))
+	_ = nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 	_, _ = fmt.Fprintf(nc, "POST /pay%sReq-Id: e\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", fields)
 	in := bufio.NewReader(nc)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
@@ -120,7 +120,7 @@
 		"no Connection header": {"HTTP/1.1 200 OK\r\n\r\nhello", 502, ""},
 		"another token":        {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
 	} {
-		e := testpeer.NewEndpoint(t, testpeer.Says(row.text, false))
+		e := testpeer.NewEndpoint(t, testpeer.RespondWith(row.text, false))
 		s := startPlatform(t, e.Addr)
 		status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
 		if status != row.status || status == 200 && body != row.body {
@@ -179,7 +179,7 @@
 		})
 	}
 	running.Wait()
-	testpeer.Until(t, "no body memory is reserved", func() bool {
+	testpeer.Eventually(t, "no body memory is reserved", func() bool {
 		reserved, waiting := s.bodyMemory.InUse()
 		return reserved == 0 && waiting == 0
 	})
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -65,7 +65,7 @@
 	}
 	select {
 	case <-old.loop.Done():
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("the removed pool has not ended after its last request")
 	}
 }
@@ -141,7 +141,7 @@
 // same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
 	a := echoEndpoint(t, "A")
-	first, second := testpeer.FreePort(t), testpeer.FreePort(t)
+	first, second := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	fileWith := func(addr string, listenerSettings string) string {
 		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, listenerSettings) + poolSection("a", a) + lookRoute
 	}
@@ -161,14 +161,14 @@
 			t.Errorf("after the move back, at %s: status %s, want 200", first, resp.Status)
 		}
 	}
-	testpeer.Until(t, "the second address is closed", func() bool {
+	testpeer.Eventually(t, "the second address is closed", func() bool {
 		nc, err := net.Dial("tcp", second)
 		if err == nil {
 			nc.Close()
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "no listener is draining", func() bool {
+	testpeer.Eventually(t, "no listener is draining", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.drainingListeners) == 0
@@ -195,7 +195,7 @@
 	}
 	running.Wait()
 	s.terminate()
-	testpeer.Until(t, "the shutdown begins", func() bool {
+	testpeer.Eventually(t, "the shutdown begins", func() bool {
 		return errors.Is(s.Reload(parseService(t, listenerOne+poolSection("a", a)+lookRoute)), errShuttingDown)
 	})
 	if err := <-s.serveResult; err != nil {
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -47,7 +47,7 @@
 // A non-idempotent request that an endpoint may have run fails with 502 and is sent only once; one that never reached an
 // endpoint is shed with 503 and Retry-After.
 func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says("", false))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	s := startPlatform(t, e.Addr, e.Addr, e.Addr)
 	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
 		t.Errorf("a request that may have run: status %d, want 502", status)
@@ -55,7 +55,7 @@
 	if n := e.Requests.Load(); n != 1 {
 		t.Errorf("the request was sent %d times, want once", n)
 	}
-	closed := testpeer.NewEndpoint(t, testpeer.Says("", false))
+	closed := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	closed.Listener.Close()
 	s = startPlatform(t, closed.Addr)
 	status, _, h := send(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
@@ -93,7 +93,7 @@
 	}
 	select {
 	case <-canceled:
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("the attempt was not cancelled")
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 func TestInvalidRequestReachesNoEndpoint(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
@@ -179,7 +179,7 @@
 // A request whose body stays incomplete is rejected after the body timeout and its connection is closed, also if the
 // request has other defects.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	shortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
 	s := startPlatformWith(t, "{}", []func(*config.Service){shortTimeout}, e.Addr)
 	for name, fields := range map[string]string{"valid headers": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
@@ -188,7 +188,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
-		nc.SetReadDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
 		text, err := io.ReadAll(nc) // returns when the daemon has closed the connection
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
 			t.Errorf("%s: response %q, error %v, want status 400", name, text, err)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -74,7 +74,7 @@
 	before := []*bufio.Reader{sendHangingRequest("1", "look"), sendHangingRequest("2", "pay")}
 	terminatedAt := time.Now()
 	s.terminate()
-	testpeer.Until(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
+	testpeer.Eventually(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
 	after := []*bufio.Reader{sendHangingRequest("3", "look"), sendHangingRequest("4", "pay")}
 	for i, in := range append(before, after...) {
 		resp, err := http.ReadResponse(in, nil)
@@ -126,7 +126,7 @@
 			arrived <- true
 			<-release
 		}
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startPlatform(t, e.Addr)
@@ -152,7 +152,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("reading from the idle connection: error %v, want EOF", err)
 	}
-	testpeer.Until(t, "the listener closes", func() bool {
+	testpeer.Eventually(t, "the listener closes", func() bool {
 		nc, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			nc.Close()
@@ -171,7 +171,7 @@
 		if err != nil {
 			t.Errorf("Serve: %v", err)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.Timeout):
 		t.Error("Serve has not returned")
 	}
 }
@@ -180,14 +180,14 @@
 func TestClientsAreServedAfterShutdownBegins(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("Req-Id") != "long" {
-			io.WriteString(nc, testpeer.Served)
+			io.WriteString(nc, testpeer.ResponseOK)
 		}
 		return true
 	})
 	s := startPlatform(t, e.Addr)
 	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
 	s.terminate()
-	testpeer.Until(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
+	testpeer.Eventually(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -29,7 +29,7 @@
 			hidden[r.Host]++
 		}
 		mu.Unlock()
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", e.Addr)+payRoute))
@@ -77,7 +77,7 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(testpeer.Patience))
+			nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 			io.WriteString(nc, strings.ReplaceAll(c.text, "Host: h\r", "Host: "+host(i)+"\r"))
 			// The daemon treats a client that closes its sending side as disconnected, so the side is closed before the
 			// response only if the body is incomplete and the daemon would wait for the rest.
@@ -116,7 +116,7 @@
 // A regression test: net/http drops Content-Length if Transfer-Encoding is also present, and the bytes after the last chunk
 // were forwarded to endpoints as a request of their own.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
-	e := testpeer.NewEndpoint(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 60000\r\n"
 	hidden := "0\r\n\r\nPOST /pay" + fields + "Req-Id: hidden\r\nContent-Length: 0\r\n\r\n"
@@ -134,7 +134,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testpeer.Patience))
+		nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		_, _ = fmt.Fprintf(nc, "POST /pay"+fields+"Req-Id: outer\r\n"+framing+"\r\n%s", len(hidden), hidden)
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -58,7 +58,7 @@
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("Accept of a closed handle: error %v, want %v", err, net.ErrClosed)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("Accept of a closed handle does not return")
 		}
 		h, ended = next, nextEnded
@@ -66,7 +66,7 @@
 	for range clients {
 		select {
 		case <-accepted:
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("a connection was lost")
 		}
 	}
@@ -99,7 +99,7 @@
 		go func() { _, err := h.Accept(); ended <- err }()
 	}
 	for _, h := range handles {
-		testpeer.Until(t, "the handle accepts", func() bool { return h.accepting.Load() > 0 })
+		testpeer.Eventually(t, "the handle accepts", func() bool { return h.accepting.Load() > 0 })
 	}
 	for i, h := range handles {
 		if i%4 == 3 { // close this handle and the next one concurrently
@@ -114,7 +114,7 @@
 			if !errors.Is(err, net.ErrClosed) {
 				t.Errorf("Accept of a closed handle: error %v, want %v", err, net.ErrClosed)
 			}
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.Timeout):
 			t.Fatal("Accept of a closed handle does not return")
 		}
 	}
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(2 * testpeer.Patience))
+	nc.SetDeadline(time.Now().Add(2 * testpeer.Timeout))
 	_, _ = fmt.Fprintf(nc, "POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", size)
 	response = make(chan string, 1)
 	go func() {
@@ -153,7 +153,7 @@
 // A response that comes before the end of the request's body is forwarded at once, and the rest of the body is discarded.
 func TestEarlyResponseIsForwardedAtOnce(t *testing.T) {
 	for _, status := range []int{200, 403, 413} {
-		l := testpeer.Accept(t, func(nc net.Conn) {
+		l := testpeer.ServeTCP(t, func(nc net.Conn) {
 			_, _ = nc.Read(make([]byte, 1<<10))
 			_, _ = fmt.Fprintf(nc, "HTTP/1.1 %d Early\r\nContent-Length: 5\r\n\r\nearly", status)
 		})
@@ -175,7 +175,7 @@
 		if r.Method == http.MethodPost {
 			reached.Add(1)
 		}
-		io.WriteString(nc, testpeer.Served)
+		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+"flow_idle = \"1s\"\n"+poolSection("a", e.Addr)+payRoute))
--- /dev/null
+++ b/internal/testkit/baseline/baseline.go
@@ -0,0 +1,225 @@
+// Package baseline implements textbook load-balancing policies as balancers that the daemon can run in place of package
+// balance, so that results can be compared. Like balance they never resend non-idempotent work that may have run, but they
+// take no account of load, slow start or concurrency limits.
+package baseline
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"tuliprock/balance"
+	"tuliprock/internal/eventloop"
+)
+
+// policy chooses the endpoint of an attempt from a sorted, non-empty list of endpoint IDs.
+type policy func(b *balancer, candidates []string) string
+
+// policies holds all policies by the name that New expects.
+var policies = map[string]policy{
+	"random":            func(b *balancer, candidates []string) string { return candidates[b.rng.IntN(len(candidates))] },
+	"round-robin":       roundRobin,
+	"least-outstanding": leastOutstanding,
+}
+
+// PolicyNames returns the names of all policies, in a fixed order.
+func PolicyNames() []string { return []string{"random", "round-robin", "least-outstanding"} }
+
+// New returns a factory of balancers that use the policy of the given name.
+func New(name string) (eventloop.BalancerFactory, error) {
+	p, ok := policies[name]
+	if !ok {
+		return nil, fmt.Errorf("%q is none of %s", name, strings.Join(PolicyNames(), ", "))
+	}
+	return func(_ time.Duration, s balance.Settings, h balance.Host) balance.Events {
+		b := &balancer{host: h, settings: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, randStream)), idempotency: map[string]balance.Idempotency{},
+			states: map[string]balance.State{}, ejected: map[string]bool{}, inFlight: map[string]int{}, requests: map[string]*request{}}
+		for _, c := range s.Classes {
+			b.idempotency[c.Name] = c.Idempotency
+		}
+		return b
+	}, nil
+}
+
+// randStream separates the random numbers of this package from others that are drawn with the same seed.
+const randStream = 0x706c61696e // "plain" in ASCII
+
+// balancer implements balance.Events with a textbook policy.
+type balancer struct {
+	host        balance.Host
+	settings    balance.Settings
+	policy      policy
+	rng         *rand.Rand
+	idempotency map[string]balance.Idempotency // idempotency of the requests of each class, by class name
+	states      map[string]balance.State       // states of the listed endpoints, by endpoint ID
+	ejected     map[string]bool                // manually ejected endpoints by ID, listed or not
+	ready       []string                       // sorted IDs of the endpoints that are ready and not ejected
+	inFlight    map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
+	turns       int                            // number of attempts that round robin has assigned so far
+	requests    map[string]*request            // requests by ID, removed when their final response is sent and no attempt is in flight
+}
+
+// request is a client's request and the state of its attempts.
+type request struct {
+	balance.Request
+	attempted  []string // IDs of the endpoints that attempts were sent to, in order
+	inFlight   bool     // whether an attempt is in flight
+	finished   bool     // whether the client has got its final response or has disconnected
+	mayHaveRun bool     // whether the endpoint of an earlier attempt may have executed the request
+}
+
+// roundRobin chooses the candidates in turn.
+func roundRobin(b *balancer, candidates []string) string {
+	b.turns++
+	return candidates[b.turns%len(candidates)]
+}
+
+// leastOutstanding chooses a candidate with the fewest attempts in flight.
+func leastOutstanding(b *balancer, candidates []string) string {
+	least := candidates[b.rng.IntN(len(candidates))] // a random start, so that the first endpoint does not win all ties
+	for _, id := range candidates {
+		if b.inFlight[id] < b.inFlight[least] {
+			least = id
+		}
+	}
+	return least
+}
+
+// EndpointList implements balance.Events.
+func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
+	if l.Failed {
+		b.host.Subscribe()
+		return
+	}
+	if l.Complete {
+		clear(b.states)
+	}
+	for _, e := range l.Endpoints {
+		if b.states[e.ID] = e.State; e.State == balance.Gone {
+			delete(b.states, e.ID)
+		}
+	}
+	b.updateReady()
+}
+
+// updateReady recomputes the list of endpoints that new attempts may be sent to.
+func (b *balancer) updateReady() {
+	b.ready = b.ready[:0]
+	for id, s := range b.states {
+		if s == balance.Ready && !b.ejected[id] {
+			b.ready = append(b.ready, id)
+		}
+	}
+	slices.Sort(b.ready)
+}
+
+// Request implements balance.Events.
+func (b *balancer) Request(now time.Duration, r balance.Request) {
+	q := &request{Request: r}
+	b.requests[r.ID] = q
+	b.send(now, q)
+}
+
+// send makes the next attempt, at an endpoint that the request has not been sent to yet. If there is none, or if the attempts
+// or the time are used up, it finishes the request.
+func (b *balancer) send(now time.Duration, q *request) {
+	candidates := slices.DeleteFunc(slices.Clone(b.ready), func(id string) bool { return slices.Contains(q.attempted, id) })
+	if len(candidates) == 0 || b.settings.MaxAttempts > 0 && len(q.attempted) >= b.settings.MaxAttempts || now >= q.Deadline {
+		b.finish(q)
+		return
+	}
+	id := b.policy(b, candidates)
+	q.attempted, q.inFlight = append(q.attempted, id), true
+	b.inFlight[id]++
+	b.host.Send(q.ID, id, q.Deadline-now)
+}
+
+// finish gives a request without a successful attempt its final response: a failure if the request may have run and must not
+// run twice, otherwise a rejection, after which the client may send it again.
+func (b *balancer) finish(q *request) {
+	if q.mayHaveRun && b.idempotency[q.Class] != balance.Idempotent {
+		b.host.Fail(q.ID)
+	} else {
+		b.host.Reject(q.ID, 0)
+	}
+	q.finished = true
+	b.discardIfDone(q)
+}
+
+// discardIfDone removes a request that has its final response and no attempt in flight.
+func (b *balancer) discardIfDone(q *request) {
+	if q.finished && !q.inFlight {
+		delete(b.requests, q.ID)
+	}
+}
+
+// Outcome implements balance.Events.
+func (b *balancer) Outcome(now time.Duration, o balance.Outcome) {
+	q := b.requests[o.ID]
+	if q == nil {
+		return
+	}
+	q.inFlight = false
+	if b.inFlight[o.Endpoint]--; b.inFlight[o.Endpoint] <= 0 {
+		delete(b.inFlight, o.Endpoint)
+	}
+	q.mayHaveRun = q.mayHaveRun || o.Result.MayHaveRun()
+	switch {
+	case o.IsFinal || q.finished || o.Result == balance.OK:
+		q.finished = true
+		b.discardIfDone(q)
+	case q.mayHaveRun && b.idempotency[q.Class] != balance.Idempotent:
+		b.finish(q)
+	default:
+		b.send(now, q)
+	}
+}
+
+// ClientDisconnected implements balance.Events.
+func (b *balancer) ClientDisconnected(_ time.Duration, id string) {
+	if q := b.requests[id]; q != nil {
+		q.finished = true
+		b.discardIfDone(q)
+	}
+}
+
+// StreamStarted implements balance.Events.
+func (b *balancer) StreamStarted(time.Duration, string, int) {}
+
+// BodySent implements balance.Events.
+func (b *balancer) BodySent(time.Duration, string, int, time.Duration) {}
+
+// SetBalancerCount implements balance.Events. The policies take no account of other balancers.
+func (b *balancer) SetBalancerCount(time.Duration, int, int) {}
+
+// SetEjected implements balance.Events.
+func (b *balancer) SetEjected(_ time.Duration, id string, ejected bool) {
+	if delete(b.ejected, id); ejected {
+		b.ejected[id] = true
+	}
+	b.updateReady()
+}
+
+// IsKnown implements balance.Events.
+func (b *balancer) IsKnown(id string) bool {
+	_, listed := b.states[id]
+	return listed || b.ejected[id]
+}
+
+// EndpointCounts implements balance.Events.
+func (b *balancer) EndpointCounts() (listed, ejected int) {
+	for id := range b.states {
+		if b.ejected[id] {
+			ejected++
+		}
+	}
+	return len(b.states), ejected
+}
+
+// Timer implements balance.Events.
+func (b *balancer) Timer(time.Duration) {}
+
+// Probed implements balance.Events.
+func (b *balancer) Probed(time.Duration, balance.ProbeResult) {}
