--- a/cmd/tuliprock/faultschedule_judge_test.go
+++ b/cmd/tuliprock/faultschedule_judge_test.go
@@ -21,7 +21,7 @@
 	}
 	versions := s.versions(history)
 	acts := s.acts(versions)
-	v := clusterinvariant.JudgeVersions(acts, maxConflict)
+	v := clusterinvariant.CheckVersions(acts, maxConflict)
 	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
@@ -84,7 +84,7 @@
 
 // acts are the requests that arrived at nodes, as acts of the daemons. One that was sent to a daemon while that was paused
 // was decided after it resumed.
-func (s *faultSchedule) acts(versions map[string]uint64) (acts []clusterinvariant.Act) {
+func (s *faultSchedule) acts(versions map[string]uint64) (acts []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		from := s.requestsSent[id]
 		if a.mark == "" { // decided by the daemon's own file, before the first agreement
@@ -98,11 +98,11 @@
 		if versions[a.mark] == 0 {
 			s.t.Errorf("%s was decided by %q, which was never agreed on", id, a.mark)
 		}
-		acts = append(acts, clusterinvariant.Act{
-			Asked: from.at, Said: a.at, By: fmt.Sprint("s", from.daemon), Life: from.incarnation,
+		acts = append(acts, clusterinvariant.VersionReport{
+			RequestedAt: from.at, ReportedAt: a.at, Daemon: fmt.Sprint("s", from.daemon), Incarnation: from.incarnation,
 			Version: versions[a.mark], Digest: a.mark,
 		})
 	}
-	slices.SortFunc(acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
+	slices.SortFunc(acts, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
 	return acts
 }
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(c.Troubles) == 0 {
-		c.Troubles = fleetsim.Troubles()
+		c.Troubles = fleetsim.Scenarios()
 	}
 	results, err := c.playAll(decider)
 	if err != nil {
@@ -48,7 +48,7 @@
 		if c.JSON == "-" {
 			continue
 		}
-		if err := r.Tell(os.Stdout); err != nil {
+		if err := r.WriteSummary(os.Stdout); err != nil {
 			return err
 		}
 	}
@@ -66,8 +66,8 @@
 	results, errs := make([]*fleetsim.Result, len(c.Troubles)), make([]error, len(c.Troubles))
 	var days sync.WaitGroup
 	for i, trouble := range c.Troubles {
-		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: trouble, Length: c.Length, Use: c.Use}
-		days.Go(func() { results[i], errs[i] = fleetsim.PlayWith(decider, day) })
+		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Scenario: trouble, Length: c.Length, Utilization: c.Use}
+		days.Go(func() { results[i], errs[i] = fleetsim.RunWith(decider, day) })
 	}
 	days.Wait()
 	return results, errors.Join(errs...)
--- /dev/null
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -0,0 +1,85 @@
+package clusterinvariant
+
+import (
+	"testing"
+	"time"
+)
+
+const second = time.Second
+
+func saw(at time.Duration, by, of, state string, incarnation uint64) Event {
+	return Event{At: at, Kind: StateObserved, Observer: by, Subject: of, State: state, Incarnation: incarnation}
+}
+
+func fact(at time.Duration, k Kind, of string) Event { return Event{At: at, Kind: k, Subject: of} }
+
+// three are daemons that know one another.
+func three() (events []Event) {
+	for _, name := range []string{"a", "b", "c"} {
+		events = append(events, fact(0, Started, name))
+	}
+	for _, by := range []string{"a", "b", "c"} {
+		for _, of := range []string{"a", "b", "c"} {
+			events = append(events, saw(1, by, of, "alive", 1))
+		}
+	}
+	return events
+}
+
+func TestJudgeVersions(t *testing.T) {
+	act := func(at time.Duration, by string, version uint64, digest string) VersionReport {
+		return VersionReport{RequestedAt: at - second/10, ReportedAt: at, Daemon: by, Version: version, Digest: digest}
+	}
+	for name, c := range map[string]struct {
+		then []VersionReport
+		rule Rule // empty: none is broken
+	}{
+		"one after another":       {[]VersionReport{act(2*second, "a", 2, "y"), act(3*second, "b", 1, "x"), act(4*second, "b", 2, "y")}, ""},
+		"for too long":            {[]VersionReport{act(2*second, "a", 2, "y"), act(5*second, "b", 1, "x")}, NoContradiction},
+		"too long for the first":  {[]VersionReport{act(2*second, "a", 2, "y"), act(4*second, "a", 3, "z"), act(5*second, "b", 1, "x")}, NoContradiction},
+		"two texts":               {[]VersionReport{act(2*second, "a", 2, "y"), act(2*second, "b", 2, "z")}, VersionsConsistent},
+		"back":                    {[]VersionReport{act(2*second, "a", 2, "y"), act(3*second, "a", 1, "x")}, VersionsConsistent},
+		"a new life, within time": {[]VersionReport{act(2*second, "a", 2, "y"), {RequestedAt: 3 * second, ReportedAt: 3 * second, Daemon: "a", Incarnation: 1, Version: 1, Digest: "x"}}, ""},
+	} {
+		v := CheckVersions(append([]VersionReport{act(second, "a", 1, "x"), act(second, "b", 1, "x")}, c.then...), 2*second)
+		if (len(v.Breaches) > 0) != (c.rule != "") || c.rule != "" && v.Breaches[0].Rule != c.rule {
+			t.Errorf("%s: %+v", name, v.Breaches)
+		}
+	}
+}
+
+// Timelines written by hand: each breaks one rule, or none.
+func TestJudge(t *testing.T) {
+	for name, c := range map[string]struct {
+		then []Event
+		rule Rule // empty: none is broken
+		must Rule // was put to the test
+	}{
+		"quiet":                    {nil, "", ViewsConverge},
+		"found out in time":        {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1), saw(23*second, "b", "c", "failed", 1)}, "", FailureDetected},
+		"found out late":           {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1), saw(27*second, "b", "c", "failed", 1)}, FailureDetected, FailureDetected},
+		"never found out":          {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1)}, FailureDetected, FailureDetected},
+		"a false verdict":          {[]Event{saw(20*second, "a", "c", "failed", 1), saw(21*second, "a", "c", "alive", 2)}, NoFalsePositive, ViewsConverge},
+		"one that is excused":      {[]Event{fact(20*second, FaultBegan, ""), saw(21*second, "a", "c", "failed", 1), fact(22*second, FaultsEnded, ""), saw(24*second, "a", "c", "alive", 2)}, "", NoFalsePositive},
+		"one that lasts":           {[]Event{fact(20*second, FaultBegan, ""), saw(21*second, "a", "c", "failed", 1), fact(22*second, FaultsEnded, "")}, NoFalsePositive, NoFalsePositive},
+		"an incarnation goes back": {[]Event{saw(20*second, "a", "c", "alive", 3), saw(21*second, "a", "c", "alive", 2)}, IncarnationsMonotonic, IncarnationsMonotonic},
+		"a new life knows less": {[]Event{saw(20*second, "a", "c", "alive", 3), fact(21*second, Killed, "a"), saw(22*second, "b", "a", "failed", 1), saw(22*second, "c", "a", "failed", 1), fact(23*second, Started, "a"),
+			saw(24*second, "a", "a", "alive", 2), saw(24*second, "a", "b", "alive", 1), saw(24*second, "a", "c", "alive", 2), saw(24*second, "b", "a", "alive", 2), saw(24*second, "c", "a", "alive", 2)}, "", ViewsConverge},
+		"left, and held for failed": {[]Event{fact(20*second, ShutdownBegan, "c"), fact(21*second, Left, "c"), saw(22*second, "a", "c", "failed", 1), saw(22*second, "b", "c", "left", 1)}, LeftIsNotFailed, ViewsConverge},
+		"left, and comes back as it was": {[]Event{fact(20*second, ShutdownBegan, "c"), saw(20*second, "a", "c", "left", 1), saw(20*second, "b", "c", "left", 1), fact(21*second, Left, "c"), fact(22*second, Started, "c"),
+			saw(23*second, "a", "c", "alive", 1), saw(23*second, "b", "c", "alive", 2), saw(23*second, "c", "a", "alive", 1), saw(23*second, "c", "b", "alive", 1), saw(23*second, "c", "c", "alive", 2)}, LeftIsNotFailed, LeftIsNotFailed},
+		"not known in time": {[]Event{fact(20*second, Started, "d"), saw(21*second, "a", "d", "alive", 1)}, ViewsConverge, ViewsConverge},
+	} {
+		v := CheckMembership(append(three(), c.then...), Limits{DetectWithin: 6 * second, SettleWithin: 3 * second, End: 40 * second})
+		broken := map[Rule]bool{}
+		for _, b := range v.Breaches {
+			broken[b.Rule] = true
+		}
+		if len(broken) > 1 && c.rule == "" || len(v.Breaches) > 0 != (c.rule != "") || c.rule != "" && !broken[c.rule] {
+			t.Errorf("%s: %+v", name, v.Breaches)
+		}
+		if c.must != c.rule && v.Tested[c.must] == 0 {
+			t.Errorf("%s: %q was not put to the test", name, c.must)
+		}
+	}
+}
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -13,27 +13,27 @@
 
 // Day says what is played.
 type Day struct {
-	Seed     uint64
-	Sidecars int           // of all tiers together
-	Trouble  string        // one of Troubles
-	Length   time.Duration // requests are asked for so long
-	Use      float64       // of what the fleet can do, by the work that is asked for on the mean
-	Cold     Cold          // how endpoints start; the zero value: as the shire's do
+	Seed        uint64
+	Sidecars    int           // of all tiers together
+	Scenario    string        // one of Troubles
+	Length      time.Duration // requests are asked for so long
+	Utilization float64       // of what the fleet can do, by the work that is asked for on the mean
+	SlowStart   SlowStart     // how endpoints start; the zero value: as the shire's do
 }
 
-// Cold says how endpoints warm up, and what overloads one that is cold.
-type Cold struct {
-	From         float64       // share of its capacity with which an endpoint starts
-	For          time.Duration // after which it has all of it
-	FallMultiple float64       // of its present capacity, sent for FallAfter
-	FallAfter    time.Duration
+// SlowStart says how endpoints warm up, and what overloads one that is cold.
+type SlowStart struct {
+	InitialCapacity float64       // share of its capacity with which an endpoint starts
+	Duration        time.Duration // after which it has all of it
+	OverloadFactor  float64       // of its present capacity, sent for FallAfter
+	OverloadWindow  time.Duration
 }
 
 // shireCold is how the shire's endpoints start.
-var shireCold = Cold{From: 0.31, For: 9 * time.Second, FallMultiple: 4, FallAfter: 3 * time.Second}
+var shireCold = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
 
-// Troubles are what may happen, in the order in which they are told.
-func Troubles() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
+// Scenarios are what may happen, in the order in which they are told.
+func Scenarios() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
 // What bounds a Day: below, there are no tiers to speak of; above, a play takes minutes.
 const (
@@ -44,15 +44,15 @@
 // Check says what is wrong with a Day.
 func (d Day) Check() error {
 	switch {
-	case !slices.Contains(Troubles(), d.Trouble):
-		return fmt.Errorf("trouble: %q is none of %s", d.Trouble, strings.Join(Troubles(), ", "))
+	case !slices.Contains(Scenarios(), d.Scenario):
+		return fmt.Errorf("trouble: %q is none of %s", d.Scenario, strings.Join(Scenarios(), ", "))
 	case d.Sidecars < leastSidecars || d.Sidecars > mostSidecars:
 		return fmt.Errorf("sidecars: from %d to %d", leastSidecars, mostSidecars)
 	case d.Length <= 0 || d.Length > mostLength:
 		return fmt.Errorf("length: over 0, and %v at most", mostLength)
-	case d.Use <= 0 || d.Use > 2:
+	case d.Utilization <= 0 || d.Utilization > 2:
 		return errors.New("use: over 0, and 2 at most")
-	case d.Cold != Cold{} && (d.Cold.From <= 0 || d.Cold.From > 1 || d.Cold.For <= 0 || d.Cold.FallMultiple <= 0 || d.Cold.FallAfter <= 0):
+	case d.SlowStart != SlowStart{} && (d.SlowStart.InitialCapacity <= 0 || d.SlowStart.InitialCapacity > 1 || d.SlowStart.Duration <= 0 || d.SlowStart.OverloadFactor <= 0 || d.SlowStart.OverloadWindow <= 0):
 		return errors.New("cold: all of it over 0, and from at most 1")
 	}
 	return nil
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -50,7 +50,7 @@
 func (e *endpoint) noteStart() {
 	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: cores * e.speed, ColdCapacityShare: 1}
 	if e.startedAt > 0 {
-		n.ColdCapacityShare, n.WarmUpDuration = e.w.day.Cold.From, e.w.day.Cold.For
+		n.ColdCapacityShare, n.WarmUpDuration = e.w.day.SlowStart.InitialCapacity, e.w.day.SlowStart.Duration
 	}
 	e.w.note(n)
 }
@@ -71,10 +71,10 @@
 }
 
 func (e *endpoint) warmth() float64 {
-	if e.startedAt == 0 || e.w.now-e.startedAt >= e.w.day.Cold.For {
+	if e.startedAt == 0 || e.w.now-e.startedAt >= e.w.day.SlowStart.Duration {
 		return 1
 	}
-	return e.w.day.Cold.From + (1-e.w.day.Cold.From)*float64(e.w.now-e.startedAt)/float64(e.w.day.Cold.For)
+	return e.w.day.SlowStart.InitialCapacity + (1-e.w.day.SlowStart.InitialCapacity)*float64(e.w.now-e.startedAt)/float64(e.w.day.SlowStart.Duration)
 }
 
 // die ends the process: what it has is gone, its connections are reset.
@@ -206,15 +206,15 @@
 		return
 	}
 	e.pressure = append(e.pressure, pressed{e.w.now, work})
-	for len(e.pressure) > 0 && e.pressure[0].at <= e.w.now-e.w.day.Cold.FallAfter {
+	for len(e.pressure) > 0 && e.pressure[0].at <= e.w.now-e.w.day.SlowStart.OverloadWindow {
 		e.pressure = e.pressure[1:]
 	}
 	sum := 0.0
 	for _, p := range e.pressure {
 		sum += p.work
 	}
-	limit := e.w.day.Cold.FallMultiple * e.warmth() * cores * e.speed * e.w.day.Cold.FallAfter.Seconds()
-	e.w.result.ColdMost = max(e.w.result.ColdMost, sum/limit)
+	limit := e.w.day.SlowStart.OverloadFactor * e.warmth() * cores * e.speed * e.w.day.SlowStart.OverloadWindow.Seconds()
+	e.w.result.PeakColdLoad = max(e.w.result.PeakColdLoad, sum/limit)
 	if sum > limit*(1+fallSlack) && !e.fell {
 		e.fell = true
 		e.w.note(invariant.Event{Kind: invariant.NodeCollapsed, Node: e.id})
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -14,12 +14,12 @@
 
 // small is a day that takes a second or two under the race detector.
 func small(trouble string) Day {
-	return Day{Seed: 3, Sidecars: 40, Trouble: trouble, Length: 14 * time.Second, Use: 0.6}
+	return Day{Seed: 3, Sidecars: 40, Scenario: trouble, Length: 14 * time.Second, Utilization: 0.6}
 }
 
 func play(t *testing.T, decide eventloop.BalancerFactory, d Day) *Result {
 	t.Helper()
-	r, err := PlayWith(decide, d)
+	r, err := RunWith(decide, d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,16 +29,16 @@
 // The module keeps the rules in a fleet, whatever happens, and the same day ends the same.
 func TestTheModuleKeepsTheRulesInAFleet(t *testing.T) {
 	tested := [4]bool{}
-	for _, trouble := range Troubles() {
+	for _, trouble := range Scenarios() {
 		t.Run(trouble, func(t *testing.T) {
 			r := play(t, eventloop.NewBalancer, small(trouble))
 			if !r.Rules.Held() {
 				var b strings.Builder
-				_ = r.Tell(&b)
+				_ = r.WriteSummary(&b)
 				t.Error(b.String())
 			}
-			if r.Asked < 500 || r.InTime+r.Late+r.Refused+r.Failed+r.Lost != r.Asked {
-				t.Errorf("%d asked, %d in time, %d late, %d refused, %d failed, %d lost", r.Asked, r.InTime, r.Late, r.Refused, r.Failed, r.Lost)
+			if r.Requests < 500 || r.InTime+r.Late+r.Rejected+r.Failed+r.Lost != r.Requests {
+				t.Errorf("%d asked, %d in time, %d late, %d refused, %d failed, %d lost", r.Requests, r.InTime, r.Late, r.Rejected, r.Failed, r.Lost)
 			}
 			for i, rule := range r.Rules.Rules {
 				tested[i] = tested[i] || rule.Verdict != invariant.Untested
@@ -58,8 +58,8 @@
 // A calm day at three fifths of what the fleet can do is served nearly whole, and each call is made once.
 func TestACalmDayIsServed(t *testing.T) {
 	r := play(t, eventloop.NewBalancer, small("calm"))
-	if r.Share() < 0.97 {
-		t.Errorf("%.3f of the worth is served in time", r.Share())
+	if r.ServedFraction() < 0.97 {
+		t.Errorf("%.3f of the worth is served in time", r.ServedFraction())
 	}
 	for tier := range tiers {
 		if a := r.Amplification(tier); a < 0.95 || a > 1.02 {
@@ -176,11 +176,11 @@
 func TestDaysAreChecked(t *testing.T) {
 	good := small("calm")
 	for field, spoil := range map[string]func(*Day){
-		"trouble": func(d *Day) { d.Trouble = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Use = -1 }, "cold": func(d *Day) { d.Cold.From = 0.5 },
+		"trouble": func(d *Day) { d.Scenario = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Utilization = -1 }, "cold": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
 	} {
 		d := good
 		spoil(&d)
-		if _, err := Play(d); err == nil || !strings.HasPrefix(err.Error(), field) {
+		if _, err := Run(d); err == nil || !strings.HasPrefix(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -193,10 +193,10 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(trouble, seed), func(t *testing.T) {
 				d := small(trouble)
-				d.Seed, d.Use, d.Cold = 5+seed, 1, Cold{From: 0.14, For: 24 * time.Second, FallMultiple: 3, FallAfter: time.Second}
+				d.Seed, d.Utilization, d.SlowStart = 5+seed, 1, SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
 				r := play(t, eventloop.NewBalancer, d)
 				if rule := r.Rules.Rules[3]; rule.Verdict != invariant.Held {
-					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.ColdMost)
+					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.PeakColdLoad)
 				}
 			})
 		}
--- a/internal/testkit/fleetsim/play.go
+++ b/internal/testkit/fleetsim/run.go
@@ -17,50 +17,50 @@
 
 // Result is what became of a day.
 type Result struct {
-	Format      int               `json:"format"` // 1
-	Day         string            `json:"day"`
-	Sidecars    int               `json:"sidecars"`
-	Endpoints   int               `json:"endpoints"`
-	Asked       int               `json:"asked"`   // requests from outside
-	Tries       int               `json:"tries"`   // with what clients sent again
-	InTime      int               `json:"in_time"` // answered within their aim
-	Late        int               `json:"late"`    // served, after it
-	Refused     int               `json:"refused"`
-	Failed      int               `json:"failed"`
-	Lost        int               `json:"lost"`        // went under with a sidecar, the last try too
-	Worth       float64           `json:"worth"`       // asked for
-	Served      float64           `json:"served"`      // of it, within its aim
-	Attempts    [3]int            `json:"attempts"`    // that came to endpoints, by tier
-	Connections int               `json:"connections"` // opened, in all tiers
-	Lists       int               `json:"lists"`       // messages of discovery
-	ColdMost    float64           `json:"cold_most"`   // most work on a cold endpoint within the window, in what pushes it over
-	Rules       *invariant.Report `json:"rules"`
+	Format            int               `json:"format"` // 1
+	Day               string            `json:"day"`
+	Sidecars          int               `json:"sidecars"`
+	Endpoints         int               `json:"endpoints"`
+	Requests          int               `json:"asked"`   // requests from outside
+	ClientAttempts    int               `json:"tries"`   // with what clients sent again
+	InTime            int               `json:"in_time"` // answered within their aim
+	Late              int               `json:"late"`    // served, after it
+	Rejected          int               `json:"refused"`
+	Failed            int               `json:"failed"`
+	Lost              int               `json:"lost"`        // went under with a sidecar, the last try too
+	OfferedValue      float64           `json:"worth"`       // asked for
+	ServedValue       float64           `json:"served"`      // of it, within its aim
+	Attempts          [3]int            `json:"attempts"`    // that came to endpoints, by tier
+	Connections       int               `json:"connections"` // opened, in all tiers
+	DiscoveryMessages int               `json:"lists"`       // messages of discovery
+	PeakColdLoad      float64           `json:"cold_most"`   // most work on a cold endpoint within the window, in what pushes it over
+	Rules             *invariant.Report `json:"rules"`
 }
 
-// Share is the part of the worth that was served in time.
-func (r *Result) Share() float64 { return r.Served / max(r.Worth, 1) }
+// ServedFraction is the part of the worth that was served in time.
+func (r *Result) ServedFraction() float64 { return r.ServedValue / max(r.OfferedValue, 1) }
 
 // Amplification is attempts at a tier for each that its callers needed: 1 where nothing was sent again.
 func (r *Result) Amplification(tier int) float64 {
-	need := float64(r.Asked)
+	need := float64(r.Requests)
 	for t := range tier {
 		need *= float64(tiers[t].calls)
 	}
 	return float64(r.Attempts[tier]) / max(need, 1)
 }
 
-// Play plays a day with the decision module. The same Day gives the same Result, to the last figure.
-func Play(d Day) (*Result, error) { return PlayWith(eventloop.NewBalancer, d) }
+// Run plays a day with the decision module. The same Day gives the same Result, to the last figure.
+func Run(d Day) (*Result, error) { return RunWith(eventloop.NewBalancer, d) }
 
-// PlayWith is Play with another decider in the module's place.
-func PlayWith(decide eventloop.BalancerFactory, d Day) (*Result, error) {
+// RunWith is Play with another decider in the module's place.
+func RunWith(decide eventloop.BalancerFactory, d Day) (*Result, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	if d.Cold == (Cold{}) {
-		d.Cold = shireCold
+	if d.SlowStart == (SlowStart{}) {
+		d.SlowStart = shireCold
 	}
-	w := &world{day: d, decide: decide, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, seen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Trouble, Sidecars: d.Sidecars}}
+	w := &world{day: d, decide: decide, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, seen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Scenario, Sidecars: d.Sidecars}}
 	w.build()
 	for _, t := range w.tiers {
 		w.result.Endpoints += len(t)
@@ -70,12 +70,12 @@
 	w.run(epoch + d.Length)
 	w.closing = true
 	w.run(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
-	w.result.Rules = invariant.Check(rules(d.Cold), w.timeline)
+	w.result.Rules = invariant.Check(rules(d.SlowStart), w.timeline)
 	return w.result, nil
 }
 
-func rules(cold Cold) invariant.Rules {
-	r := invariant.Rules{MaxAttempts: maxAttempts, Tolerance: slack, DrainGrace: drainGrace, ColdOverloadFactor: cold.FallMultiple, ColdOverloadWindow: cold.FallAfter, ColdOverloadTolerance: fallSlack}
+func rules(cold SlowStart) invariant.Rules {
+	r := invariant.Rules{MaxAttempts: maxAttempts, Tolerance: slack, DrainGrace: drainGrace, ColdOverloadFactor: cold.OverloadFactor, ColdOverloadWindow: cold.OverloadWindow, ColdOverloadTolerance: fallSlack}
 	for _, c := range classes {
 		effect := invariant.Safe
 		if c.keyed {
@@ -101,7 +101,7 @@
 		rate = min(rate, capacity/(work*tiers[t].work*calls))
 		calls *= float64(tiers[t].calls)
 	}
-	rate *= w.day.Use
+	rate *= w.day.Utilization
 	weights, sum := make([]float64, len(w.front)), 0.0
 	for i := range weights {
 		weights[i] = math.Pow(unevenness, w.rng.Float64()*2-1)
@@ -147,7 +147,7 @@
 // trouble plans what goes wrong. It begins after a quarter of the day.
 func (w *world) trouble() {
 	begin, third := w.day.Length/4, w.day.Length/3
-	switch w.day.Trouble {
+	switch w.day.Scenario {
 	case "roll":
 		w.replace(some(w, w.all(), 0.5), begin, third)
 		for i, s := range w.front {
@@ -211,13 +211,13 @@
 	slices.SortFunc(calls, func(a, b *call) int { return cmp.Or(cmp.Compare(len(a.id), len(b.id)), strings.Compare(a.id, b.id)) })
 }
 
-// Tell writes a Result for people.
-func (r *Result) Tell(out io.Writer) error {
+// WriteSummary writes a Result for people.
+func (r *Result) WriteSummary(out io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-6s %4d sidecars %4d endpoints %6d asked   in time %5.1f %% of the worth   late %d refused %d failed %d lost %d\n",
-		r.Day, r.Sidecars, r.Endpoints, r.Asked, 100*r.Share(), r.Late, r.Refused, r.Failed, r.Lost)
+		r.Day, r.Sidecars, r.Endpoints, r.Requests, 100*r.ServedFraction(), r.Late, r.Rejected, r.Failed, r.Lost)
 	fmt.Fprintf(&b, "       attempts for each needed %.2f %.2f %.2f   connections %.3f a call   lists %d   cold endpoints at most %.2f of what pushes them over\n",
-		r.Amplification(0), r.Amplification(1), r.Amplification(2), float64(r.Connections)/max(float64(r.Attempts[0]+r.Attempts[1]+r.Attempts[2]), 1), r.Lists, r.ColdMost)
+		r.Amplification(0), r.Amplification(1), r.Amplification(2), float64(r.Connections)/max(float64(r.Attempts[0]+r.Attempts[1]+r.Attempts[2]), 1), r.DiscoveryMessages, r.PeakColdLoad)
 	for _, rule := range r.Rules.Rules {
 		fmt.Fprintf(&b, "       rule %d %-40s %s (%d times put to the test, %d broken)\n", rule.Number, rule.Name, rule.Verdict, rule.TestedOccasions, rule.ViolationCount)
 		for _, breach := range rule.Breaches[:min(len(rule.Breaches), 3)] {
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -60,7 +60,7 @@
 	s.up, s.calls, s.idle, s.view = true, map[string]*call{}, map[string][]time.Duration{}, map[string]*endpoint{}
 	w.note(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
 	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callers(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
-		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: w.day.Cold.From, SlowStartDuration: w.day.Cold.For}
+		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: w.day.SlowStart.InitialCapacity, SlowStartDuration: w.day.SlowStart.Duration}
 	for _, c := range classes {
 		m := balance.Class{Name: c.name, LatencyObjective: c.aim}
 		if c.keyed {
@@ -92,7 +92,7 @@
 
 // tell gives a list to the module.
 func (s *sidecar) tell(l balance.EndpointUpdate) {
-	s.w.result.Lists++
+	s.w.result.DiscoveryMessages++
 	for _, in := range l.Endpoints {
 		for _, e := range s.w.tiers[s.tier] {
 			if e.id == in.ID {
--- a/internal/testkit/fleetsim/world.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -98,7 +98,7 @@
 		if w.closing {
 			return
 		}
-		w.result.Asked++
+		w.result.Requests++
 		w.ask(s, gap)
 		w.client(s, w.draw())
 	})
@@ -116,7 +116,7 @@
 func (w *world) client(s *sidecar, class int) {
 	c := classes[class]
 	asked, key := w.now, w.name("k")
-	w.result.Worth += c.worth
+	w.result.OfferedValue += c.worth
 	var attempt func(try int)
 	attempt = func(try int) {
 		to := s
@@ -126,18 +126,18 @@
 			}
 			to = w.front[w.rng.IntN(len(w.front))]
 		}
-		w.result.Tries++
+		w.result.ClientAttempts++
 		to.take(class, key, asked+c.deadline, func(status int) {
 			switch {
 			case status == 200 && w.now-asked <= c.aim:
-				w.result.Served += c.worth
+				w.result.ServedValue += c.worth
 				w.result.InTime++
 			case status == 200:
 				w.result.Late++
 			case try < clientTries && w.now+clientRetry < asked+c.deadline:
 				w.in(clientRetry, func() { attempt(try + 1) })
 			case status == 503:
-				w.result.Refused++
+				w.result.Rejected++
 			case status == 0:
 				w.result.Lost++
 			default:
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -36,7 +36,7 @@
 
 	mu           sync.Mutex
 	events       []clusterinvariant.Event
-	acts         []clusterinvariant.Act
+	acts         []clusterinvariant.VersionReport
 	activeFaults int
 }
 
@@ -127,10 +127,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if kind == clusterinvariant.Up {
+	if kind == clusterinvariant.Started {
 		c.members[sidecar].incarnation++
 	}
-	c.record(clusterinvariant.Event{Kind: kind, Of: sidecar})
+	c.record(clusterinvariant.Event{Kind: kind, Subject: sidecar})
 }
 
 // record adds an event at this instant. c.mu is held.
@@ -155,9 +155,9 @@
 	c.activeFaults += change
 	switch {
 	case before == 0:
-		c.record(clusterinvariant.Event{Kind: clusterinvariant.Trouble})
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.FaultBegan})
 	case c.activeFaults == 0:
-		c.record(clusterinvariant.Event{Kind: clusterinvariant.Calm})
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.FaultsEnded})
 	}
 }
 
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		known[p.Name] = p
-		c.record(clusterinvariant.Event{Kind: clusterinvariant.Saw, By: name, Of: p.Name, State: p.State,
+		c.record(clusterinvariant.Event{Kind: clusterinvariant.StateObserved, Observer: name, Subject: p.Name, State: p.State,
 			Incarnation: p.Incarnation})
 	}
 }
@@ -74,7 +74,7 @@
 		if err != nil || !s.HasLease {
 			continue
 		}
-		act := clusterinvariant.Act{Asked: sentAt, Said: c.rehearsal.recorder.Now(), By: name, Life: incarnation,
+		act := clusterinvariant.VersionReport{RequestedAt: sentAt, ReportedAt: c.rehearsal.recorder.Now(), Daemon: name, Incarnation: incarnation,
 			Version: s.Version, Digest: fmt.Sprint(s.Documents)}
 		c.mu.Lock()
 		if incarnation == member.incarnation && len(c.acts) < maxClusterEvents {
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -28,10 +28,10 @@
 
 // ClusterRuleResult is the finding on one rule of a cluster.
 type ClusterRuleResult struct {
-	Name       string                    `json:"name"`
-	Verdict    string                    `json:"verdict"` // held, broken or not put to the test
-	Tests      int                       `json:"tests"`
-	Violations []clusterinvariant.Breach `json:"breaches"`
+	Name       string                       `json:"name"`
+	Verdict    string                       `json:"verdict"` // held, broken or not put to the test
+	Tests      int                          `json:"tests"`
+	Violations []clusterinvariant.Violation `json:"breaches"`
 }
 
 // check checks the timeline of the cluster against its rules; nil: the day has no cluster. Instants are relative to the
@@ -44,14 +44,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	config := c.rehearsal.plan.Day.Cluster
-	verdict := clusterinvariant.Judge(c.events, clusterinvariant.Limits{Detect: config.DetectWithin,
-		Settle: config.SettleWithin, End: end})
+	verdict := clusterinvariant.CheckMembership(c.events, clusterinvariant.Limits{DetectWithin: config.DetectWithin,
+		SettleWithin: config.SettleWithin, End: end})
 	result := &ClusterResult{DetectionSeconds: verdict.Detect.Seconds(), SettleSeconds: verdict.Settle.Seconds(),
 		Events: len(c.events)}
 	rules := clusterinvariant.Rules
 	if config.HasConsensus {
-		slices.SortStableFunc(c.acts, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
-		versions := clusterinvariant.JudgeVersions(c.acts, maxConflictDuration)
+		slices.SortStableFunc(c.acts, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
+		versions := clusterinvariant.CheckVersions(c.acts, maxConflictDuration)
 		result.Acts, result.Versions = versions.Acts, versions.Versions
 		result.ContradictionSeconds = versions.Longest.Seconds()
 		verdict.Breaches = append(verdict.Breaches, versions.Breaches...)
@@ -63,7 +63,7 @@
 	result.Held = len(verdict.Breaches) == 0
 	for _, rule := range rules {
 		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: verdict.Tested[rule],
-			Violations: []clusterinvariant.Breach{}}
+			Violations: []clusterinvariant.Violation{}}
 		for _, violation := range verdict.Breaches {
 			if violation.Rule == rule && len(finding.Violations) < maxReportedViolations {
 				violation.At -= dayStart
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -156,17 +156,17 @@
 		}
 	})
 	if isPlanned {
-		r.cluster.recordFact(clusterinvariant.Leaving, p.name)
+		r.cluster.recordFact(clusterinvariant.ShutdownBegan, p.name)
 		p.terminate(min(r.plan.longestDeadline(), maxDeadlineWait) + termGrace)
-		r.cluster.recordFact(clusterinvariant.Leaves, p.name)
+		r.cluster.recordFact(clusterinvariant.Left, p.name)
 	} else {
 		p.kill()
-		r.cluster.recordFact(clusterinvariant.Down, p.name)
+		r.cluster.recordFact(clusterinvariant.Killed, p.name)
 	}
 	if !sleep(ctx, fault.DownFor) {
 		return
 	}
-	r.cluster.recordFact(clusterinvariant.Up, p.name) // before the start: its views from now on are of the new incarnation
+	r.cluster.recordFact(clusterinvariant.Started, p.name) // before the start: its views from now on are of the new incarnation
 	if err := p.start(); err != nil {
 		r.fail(err)
 		return
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -104,7 +104,7 @@
 	}
 	for _, p := range r.frontSidecars {
 		r.frontLayer.Add(p.name, p.addr)
-		r.cluster.recordFact(clusterinvariant.Up, p.name)
+		r.cluster.recordFact(clusterinvariant.Started, p.name)
 	}
 	return first
 }
--- a/internal/testkit/swimsim/swarm.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -14,12 +14,12 @@
 
 // Options of a World.
 type Options struct {
-	Nodes   int
-	Seed    uint64
-	Settled bool    // all know one another at the start
-	Loss    float64 // of datagrams
-	Slow    float64 // share of nodes that stop and go: blocked and running for a second by turns, on average
-	Swim    swim.Options
+	Nodes          int
+	Seed           uint64
+	StartConverged bool    // all know one another at the start
+	LossFraction   float64 // of datagrams
+	SlowFraction   float64 // share of nodes that stop and go: blocked and running for a second by turns, on average
+	Swim           swim.Options
 }
 
 const (
@@ -28,11 +28,11 @@
 	slowTurn   = time.Second
 )
 
-// World is nodes, and the network between them. It is not safe for concurrent use.
-type World struct {
+// Simulation is nodes, and the network between them. It is not safe for concurrent use.
+type Simulation struct {
 	Now   time.Duration
 	Nodes []*Node
-	Cut   func(from, to int) bool // what is sent over a link that is cut is lost; nil: none is
+	IsCut func(from, to int) bool // what is sent over a link that is cut is lost; nil: none is
 
 	o      Options
 	rng    *rand.Rand
@@ -41,20 +41,20 @@
 
 	Messages, Bytes uint64 // sent
 	OnChange        func(by *Node, c swim.Change)
-	Tamper          func(to *Node, m swim.Message) swim.Message // what a node hears in place of a message: so detectors are made bad; nil: nothing
+	TamperMessage   func(to *Node, m swim.Message) swim.Message // what a node hears in place of a message: so detectors are made bad; nil: nothing
 }
 
 // Node is a node and its process.
 type Node struct {
 	*swim.Node
-	Place  int
-	Peer   swim.Peer
-	Dead   bool
-	Paused time.Duration // instant until which it does not run
-	Rate   float64       // of its clock
-	Began  time.Duration
-	slow   bool
-	woken  uint64 // the event that will wake it
+	Index       int
+	Peer        swim.Peer
+	IsDown      bool
+	PausedUntil time.Duration // instant until which it does not run
+	ClockRate   float64       // of its clock
+	StartedAt   time.Duration
+	slow        bool
+	woken       uint64 // the event that will wake it
 }
 
 // event is a message that comes to a node, or (nil) a tick.
@@ -64,25 +64,25 @@
 }
 
 // New makes a world. Where it is not settled, nodes begin within its first second and join by the first of them.
-func New(o Options) *World {
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), at: map[netip.AddrPort]*Node{}}
+func New(o Options) *Simulation {
+	w := &Simulation{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), at: map[netip.AddrPort]*Node{}}
 	var known []swim.Update
 	for i := range o.Nodes {
-		n := &Node{Place: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, Rate: 1, slow: w.rng.Float64() < o.Slow}
+		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, slow: w.rng.Float64() < o.SlowFraction}
 		w.Nodes = append(w.Nodes, n)
 		known = append(known, swim.Update{Peer: n.Peer, Incarnation: 1})
 	}
 	for i, n := range w.Nodes {
-		if o.Settled {
-			w.Begin(n, known)
+		if o.StartConverged {
+			w.StartNode(n, known)
 			continue
 		}
-		n.Dead = true
-		n.Began = time.Duration(w.rng.Int64N(int64(time.Second)))
+		n.IsDown = true
+		n.StartedAt = time.Duration(w.rng.Int64N(int64(time.Second)))
 		if i == 0 {
-			n.Began = 0
+			n.StartedAt = 0
 		}
-		w.agenda.Put(n.Began, event{node: n})
+		w.agenda.Put(n.StartedAt, event{node: n})
 	}
 	return w
 }
@@ -102,22 +102,22 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
 }
 
-// Begin starts a node's process with the Peer that it has now.
-func (w *World) Begin(n *Node, known []swim.Update) {
+// StartNode starts a node's process with the Peer that it has now.
+func (w *Simulation) StartNode(n *Node, known []swim.Update) {
 	o := w.o.Swim
 	o.Self, o.Seed, o.InitialMembers = n.Peer, w.rng.Uint64(), known
 	if o.Join == nil {
 		o.Join = []netip.AddrPort{Addr(0), Addr(w.o.Nodes / 2)}
 	}
-	n.Dead, n.Began, n.Paused = false, w.Now, 0
+	n.IsDown, n.StartedAt, n.PausedUntil = false, w.Now, 0
 	n.Node = swim.New(n.local(w.Now), o)
 	w.at[n.Peer.Addr] = n
 	w.wake(n)
 }
 
 // Kill ends a node's process without a word.
-func (w *World) Kill(n *Node) {
-	n.Dead = true
+func (w *Simulation) Kill(n *Node) {
+	n.IsDown = true
 	if w.at[n.Peer.Addr] == n {
 		delete(w.at, n.Peer.Addr)
 	}
@@ -125,20 +125,20 @@
 
 // local is a node's clock.
 func (n *Node) local(now time.Duration) time.Duration {
-	return time.Hour + time.Duration(float64(now)*n.Rate)
+	return time.Hour + time.Duration(float64(now)*n.ClockRate)
 }
 
 func (n *Node) world(local time.Duration) time.Duration {
-	return time.Duration(float64(local-time.Hour)/n.Rate) + 1
+	return time.Duration(float64(local-time.Hour)/n.ClockRate) + 1
 }
 
 // wake asks for the next tick of a node; one that was asked for before is void.
-func (w *World) wake(n *Node) {
+func (w *Simulation) wake(n *Node) {
 	n.woken = w.agenda.Put(max(n.world(n.NextTick()), w.Now), event{node: n})
 }
 
 // Run plays until an instant, or until done says so: it is asked after each event in which a view changed.
-func (w *World) Run(until time.Duration, done func() bool) bool {
+func (w *Simulation) Run(until time.Duration, done func() bool) bool {
 	for e, ok := w.agenda.Take(until); ok; e, ok = w.agenda.Take(until) {
 		w.Now = e.At
 		if w.step(e) && done != nil && done() {
@@ -149,17 +149,17 @@
 	return false
 }
 
-func (w *World) step(e eventqueue.Entry[event]) (changed bool) {
+func (w *Simulation) step(e eventqueue.Entry[event]) (changed bool) {
 	n, m := e.What.node, e.What.m
 	if n.Node == nil {
-		w.Begin(n, nil)
+		w.StartNode(n, nil)
 		return false
 	}
-	if n.Dead || m == nil && e.Seq != n.woken {
+	if n.IsDown || m == nil && e.Seq != n.woken {
 		return false
 	}
 	if w.blocked(n) {
-		w.agenda.Later(n.Paused, e)
+		w.agenda.Later(n.PausedUntil, e)
 		return false
 	}
 	was := n.ViewNumber()
@@ -167,8 +167,8 @@
 		n.Tick(n.local(w.Now))
 	} else {
 		heard := *m
-		if w.Tamper != nil {
-			heard = w.Tamper(n, heard)
+		if w.TamperMessage != nil {
+			heard = w.TamperMessage(n, heard)
 		}
 		n.Receive(n.local(w.Now), &heard)
 	}
@@ -183,50 +183,50 @@
 }
 
 // blocked tells whether a node does not run now.
-func (w *World) blocked(n *Node) bool {
-	if n.Paused > w.Now {
+func (w *Simulation) blocked(n *Node) bool {
+	if n.PausedUntil > w.Now {
 		return true
 	}
-	if n.slow && w.Now-n.Paused > time.Duration(w.rng.ExpFloat64()*float64(slowTurn)) && w.Now > n.Paused+slowTurn/4 {
-		n.Paused = w.Now + time.Duration(w.rng.ExpFloat64()*float64(slowTurn))
+	if n.slow && w.Now-n.PausedUntil > time.Duration(w.rng.ExpFloat64()*float64(slowTurn)) && w.Now > n.PausedUntil+slowTurn/4 {
+		n.PausedUntil = w.Now + time.Duration(w.rng.ExpFloat64()*float64(slowTurn))
 		return true
 	}
 	return false
 }
 
 // carry sends what a node wants to send.
-func (w *World) carry(n *Node) {
+func (w *Simulation) carry(n *Node) {
 	var room [transport.MaxDatagramBytes]byte
 	for _, e := range n.TakeMessages() {
 		w.Messages++
 		w.Bytes += uint64(len(transport.AppendSwimMessage(room[:0], e.Message))) + transport.MaxOverheadBytes
 		to := w.at[e.To]
-		if to == nil || to.Dead || w.Cut != nil && w.Cut(n.Place, to.Place) {
+		if to == nil || to.IsDown || w.IsCut != nil && w.IsCut(n.Index, to.Index) {
 			continue
 		}
 		delay := leastDelay + time.Duration(w.rng.Int64N(int64(moreDelay)))
 		switch {
-		case e.Stream && w.rng.Float64() < w.o.Loss:
+		case e.Stream && w.rng.Float64() < w.o.LossFraction:
 			delay += 200 * time.Millisecond // TCP sends it again
-		case w.rng.Float64() < w.o.Loss:
+		case w.rng.Float64() < w.o.LossFraction:
 			continue
 		}
 		w.agenda.Put(w.Now+delay, event{to, e.Message})
 	}
 }
 
-// Living are the nodes whose processes run.
-func (w *World) Living() (out []*Node) {
+// RunningNodes are the nodes whose processes run.
+func (w *Simulation) RunningNodes() (out []*Node) {
 	for _, n := range w.Nodes {
-		if !n.Dead && n.Node != nil {
+		if !n.IsDown && n.Node != nil {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// Agree tells whether all of these hold exactly one another for here, and nobody for suspect.
-func Agree(nodes []*Node) bool {
+// HaveConverged tells whether all of these hold exactly one another for here, and nobody for suspect.
+func HaveConverged(nodes []*Node) bool {
 	for _, n := range nodes {
 		if n.PresentCount() != len(nodes)-1 || n.Digest() != nodes[0].Digest() || n.SuspectCount() > 0 {
 			return false
--- a/internal/testkit/swimsim/swarm_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -13,7 +13,7 @@
 
 // play is a world whose views are held against what is done to it.
 type play struct {
-	*World
+	*Simulation
 	t      *testing.T
 	events []clusterinvariant.Event
 }
@@ -25,10 +25,10 @@
 
 func newPlay(t *testing.T, o Options) *play {
 	t.Helper()
-	p := &play{World: New(o), t: t}
+	p := &play{Simulation: New(o), t: t}
 	for _, n := range p.Nodes {
-		p.fact(clusterinvariant.Up, n)
-		if o.Settled {
+		p.fact(clusterinvariant.Started, n)
+		if o.StartConverged {
 			for _, other := range p.Nodes {
 				p.saw(n, other.Peer.Name, swim.Alive, 1)
 			}
@@ -39,44 +39,44 @@
 }
 
 func (p *play) saw(by *Node, of string, s swim.State, incarnation uint64) {
-	p.events = append(p.events, clusterinvariant.Event{At: p.Now, Kind: clusterinvariant.Saw, By: by.Peer.Name, Of: of, State: s.String(), Incarnation: incarnation})
+	p.events = append(p.events, clusterinvariant.Event{At: p.Now, Kind: clusterinvariant.StateObserved, Observer: by.Peer.Name, Subject: of, State: s.String(), Incarnation: incarnation})
 }
 
 func (p *play) fact(k clusterinvariant.Kind, n *Node) {
 	e := clusterinvariant.Event{At: p.Now, Kind: k}
 	if n != nil {
-		e.Of = n.Peer.Name
+		e.Subject = n.Peer.Name
 	}
 	p.events = append(p.events, e)
 }
 
 // during plays a trouble, and the time to settle after it.
 func (p *play) during(d time.Duration, begin, end func()) {
-	p.fact(clusterinvariant.Trouble, nil)
+	p.fact(clusterinvariant.FaultBegan, nil)
 	begin()
 	p.Run(p.Now+d, nil)
 	end()
-	p.fact(clusterinvariant.Calm, nil)
+	p.fact(clusterinvariant.FaultsEnded, nil)
 	p.Run(p.Now+settle+time.Second, nil)
 }
 
 func (p *play) cut(d time.Duration, cut func(from, to int) bool) {
-	p.during(d, func() { p.Cut = cut }, func() { p.Cut = nil })
+	p.during(d, func() { p.IsCut = cut }, func() { p.IsCut = nil })
 }
 
 // restart starts a node's process anew, with nothing that it knew.
 func (p *play) restart(n *Node, as swim.Peer) {
-	if !n.Dead {
+	if !n.IsDown {
 		p.Kill(n)
 	}
 	n.Peer = as
-	p.Begin(n, nil)
-	p.fact(clusterinvariant.Up, n)
+	p.StartNode(n, nil)
+	p.fact(clusterinvariant.Started, n)
 	p.saw(n, as.Name, swim.Alive, 1)
 }
 
 func (p *play) verdict() clusterinvariant.Verdict {
-	return clusterinvariant.Judge(p.events, clusterinvariant.Limits{Detect: detect, Settle: settle, End: p.Now})
+	return clusterinvariant.CheckMembership(p.events, clusterinvariant.Limits{DetectWithin: detect, SettleWithin: settle, End: p.Now})
 }
 
 // seeds are from how many each hard case is drawn; HARD=20 is what docs/design/026 was measured with.
@@ -100,12 +100,14 @@
 	"comes and goes": func(p *play) {
 		p.cut(15*time.Second, func(a, b int) bool { return p.Now/(2*time.Second)%2 == 0 && a < 3 != (b < 3) })
 	},
-	"loss":    func(p *play) { p.during(20*time.Second, func() { p.o.Loss = 0.3 }, func() { p.o.Loss = 0 }) },
+	"loss": func(p *play) {
+		p.during(20*time.Second, func() { p.o.LossFraction = 0.3 }, func() { p.o.LossFraction = 0 })
+	},
 	"stopped": func(p *play) { p.stall(200*time.Millisecond, 1); p.stall(2*time.Second, 1); p.stall(20*time.Second, 2) },
 	"fast and slow clocks": func(p *play) {
 		for i, rate := range []float64{0.8, 1.25} {
 			p.kill(1 + i)
-			p.Nodes[1+i].Rate = rate
+			p.Nodes[1+i].ClockRate = rate
 			p.restart(p.Nodes[1+i], nextLife(p.Nodes[1+i]))
 		}
 		p.Run(p.Now+30*time.Second, nil)
@@ -138,24 +140,24 @@
 	"stale": func(p *play) {
 		p.kill(5, 6)
 		stale := p.Nodes[2]
-		p.fact(clusterinvariant.Trouble, nil)
-		stale.Paused = p.Now + 30*time.Minute
+		p.fact(clusterinvariant.FaultBegan, nil)
+		stale.PausedUntil = p.Now + 30*time.Minute
 		p.Run(p.Now+15*time.Minute, nil)
 		as := nextLife(p.Nodes[1])
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
-		p.Run(stale.Paused+detect, nil) // who it has not heard the end of it finds out about like anybody
-		p.fact(clusterinvariant.Calm, nil)
+		p.Run(stale.PausedUntil+detect, nil) // who it has not heard the end of it finds out about like anybody
+		p.fact(clusterinvariant.FaultsEnded, nil)
 		p.Run(p.Now+settle+time.Second, nil)
 	},
 	"left": func(p *play) {
 		n := p.Nodes[1]
-		p.fact(clusterinvariant.Leaving, n)
+		p.fact(clusterinvariant.ShutdownBegan, n)
 		n.Leave(n.local(p.Now))
 		p.carry(n)
 		p.Run(p.Now+300*time.Millisecond, nil)
 		p.Kill(n)
-		p.fact(clusterinvariant.Leaves, n)
+		p.fact(clusterinvariant.Left, n)
 		p.Run(p.Now+2*settle, nil)
 		p.restart(n, nextLife(n))
 		p.Run(p.Now+2*settle, nil)
@@ -172,14 +174,14 @@
 func (p *play) kill(places ...int) {
 	for _, i := range places {
 		p.Kill(p.Nodes[i])
-		p.fact(clusterinvariant.Down, p.Nodes[i])
+		p.fact(clusterinvariant.Killed, p.Nodes[i])
 	}
 }
 
 func (p *play) stall(d time.Duration, n int) {
 	p.during(d, func() {
 		for _, node := range p.Nodes[1 : 1+n] {
-			node.Paused = p.Now + d
+			node.PausedUntil = p.Now + d
 		}
 	}, func() {})
 }
@@ -188,14 +190,14 @@
 	for name, strike := range hard {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				p := newPlay(t, Options{Nodes: 7, Seed: seed + 1, Settled: true})
+				p := newPlay(t, Options{Nodes: 7, Seed: seed + 1, StartConverged: true})
 				p.Run(5*time.Second, nil)
 				strike(p)
 				v := p.verdict()
 				for _, b := range v.Breaches[:min(len(v.Breaches), 3)] {
 					t.Errorf("seed %d at %v: %s: %s", seed+1, b.At, b.Rule, b.Text)
 				}
-				if v.Tested[clusterinvariant.AgreeInTime] == 0 {
+				if v.Tested[clusterinvariant.ViewsConverge] == 0 {
 					t.Fatalf("seed %d: agreement was not put to the test", seed+1)
 				}
 			}
@@ -239,13 +241,13 @@
 		tamper func(*Node, swim.Message) swim.Message
 	}{
 		{name: "good"},
-		{"never refutes", clusterinvariant.NoFalse, swim.Options{}, deaf},
-		{"believes the first suspicion", clusterinvariant.NoFalse, swim.Options{SuspicionTimeout: 1, DisableSuspicionShrink: true}, nil},
-		{"forgets who left", clusterinvariant.LeftIsLeft, swim.Options{}, rude},
+		{"never refutes", clusterinvariant.NoFalsePositive, swim.Options{}, deaf},
+		{"believes the first suspicion", clusterinvariant.NoFalsePositive, swim.Options{SuspicionTimeout: 1, DisableSuspicionShrink: true}, nil},
+		{"forgets who left", clusterinvariant.LeftIsNotFailed, swim.Options{}, rude},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
-			p := newPlay(t, Options{Nodes: 7, Seed: 1, Settled: true, Loss: 0.05, Swim: bad.swim})
-			p.Tamper = bad.tamper
+			p := newPlay(t, Options{Nodes: 7, Seed: 1, StartConverged: true, LossFraction: 0.05, Swim: bad.swim})
+			p.TamperMessage = bad.tamper
 			caught := false
 			v := day(p)
 			for _, b := range v.Breaches {
@@ -261,7 +263,7 @@
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 7, 100} {
 		w := New(Options{Nodes: n, Seed: 3})
-		if !w.Run(20*time.Second, func() bool { return w.Now > time.Second && Agree(w.Nodes) }) {
+		if !w.Run(20*time.Second, func() bool { return w.Now > time.Second && HaveConverged(w.Nodes) }) {
 			t.Errorf("%d nodes do not find one another", n)
 		}
 		t.Logf("%d daemons that start within a second: all equal after %v", n, w.Now)
@@ -272,7 +274,7 @@
 func TestThePlayIsTheSeeds(t *testing.T) {
 	var was string
 	for range 2 {
-		w := New(Options{Nodes: 30, Seed: 5, Settled: true, Loss: 0.3, Slow: 0.2})
+		w := New(Options{Nodes: 30, Seed: 5, StartConverged: true, LossFraction: 0.3, SlowFraction: 0.2})
 		w.Run(time.Minute, nil)
 		if is := fmt.Sprint(w.Messages, w.Bytes, w.Nodes[3].View()); was != "" && is != was {
 			t.Fatal("two plays of one seed differ")
--- a/internal/testkit/swimsim/table_test.go
+++ b/internal/testkit/swimsim/table_test.go
@@ -8,18 +8,18 @@
 
 // In a small cluster without faults no daemon is taken for failed, and each killed one is known to all within a few probe rounds.
 func TestMeasureOfACaseWithoutFaults(t *testing.T) {
-	m := Case{Nodes: 7, Length: time.Minute, Seed: 1}.Measure(true)
-	if m.False != 0 {
-		t.Errorf("%.1f false verdicts an hour", m.False)
+	m := Case{Nodes: 7, ObservationPeriod: time.Minute, Seed: 1}.Measure(true)
+	if m.FalseFailureRate != 0 {
+		t.Errorf("%.1f false verdicts an hour", m.FalseFailureRate)
 	}
-	if len(m.First) != 2 || len(m.All) != 2 || m.All[0] < m.First[0] || m.All[1] > 15*time.Second {
-		t.Errorf("killed daemons: first known after %v, known to all after %v", m.First, m.All)
+	if len(m.FirstDetections) != 2 || len(m.FullDetections) != 2 || m.FullDetections[0] < m.FirstDetections[0] || m.FullDetections[1] > 15*time.Second {
+		t.Errorf("killed daemons: first known after %v, known to all after %v", m.FirstDetections, m.FullDetections)
 	}
-	if m.Messages <= 0 || m.Bytes <= m.Messages {
-		t.Errorf("%.1f messages and %.1f bytes a second and daemon", m.Messages, m.Bytes)
+	if m.MessageRate <= 0 || m.ByteRate <= m.MessageRate {
+		t.Errorf("%.1f messages and %.1f bytes a second and daemon", m.MessageRate, m.ByteRate)
 	}
-	if m.Heal <= 0 {
-		t.Errorf("views are equal %v after a cut", m.Heal)
+	if m.RecoveryTime <= 0 {
+		t.Errorf("views are equal %v after a cut", m.RecoveryTime)
 	}
 }
 
