--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -69,184 +69,184 @@
 	Settle   time.Duration // the longest after a fault until all views were right
 }
 
-type sight struct {
+type observation struct {
 	state       string
 	incarnation uint64
 }
 
-func here(state string) bool { return state == "alive" || state == "suspect" }
-
-// judge goes through a timeline.
-type judge struct {
-	l       Limits
-	v       Verdict
-	is      map[string]Kind // of each daemon: Up, Down or Leaves
-	since   map[string]time.Duration
-	holds   map[string]map[string]sight // by whom, of whom
-	waiting map[[2]string]time.Duration // who is to find out about whom, by when
-	trouble bool
-	changed time.Duration // instant of the last fact
-	right   bool          // all views have been right since
+func isPresent(state string) bool { return state == "alive" || state == "suspect" }
+
+// checker goes through a timeline.
+type checker struct {
+	limits            Limits
+	verdict           Verdict
+	status            map[string]Kind // of each daemon: Up, Down or Leaves
+	since             map[string]time.Duration
+	views             map[string]map[string]observation // by whom, of whom
+	pendingDetections map[[2]string]time.Duration       // who is to find out about whom, by when
+	faultActive       bool
+	lastFactAt        time.Duration // instant of the last fact
+	converged         bool          // all views have been right since
 }
 
 // CheckMembership holds a timeline, in order of time, against the rules.
 func CheckMembership(events []Event, l Limits) Verdict {
-	j := &judge{l: l, is: map[string]Kind{}, since: map[string]time.Duration{}, holds: map[string]map[string]sight{}, waiting: map[[2]string]time.Duration{}}
-	j.v.Tested = map[Rule]int{}
+	j := &checker{limits: l, status: map[string]Kind{}, since: map[string]time.Duration{}, views: map[string]map[string]observation{}, pendingDetections: map[[2]string]time.Duration{}}
+	j.verdict.Tested = map[Rule]int{}
 	for _, e := range events {
-		j.late(e.At)
+		j.checkDetectionDeadlines(e.At)
 		if e.Kind == StateObserved {
-			j.saw(e)
+			j.applyObservation(e)
 			continue
 		}
-		j.settled(e.At)
-		j.fact(e)
+		j.checkViews(e.At)
+		j.applyFact(e)
 	}
-	j.late(l.End)
-	j.settled(l.End)
-	return j.v
+	j.checkDetectionDeadlines(l.End)
+	j.checkViews(l.End)
+	return j.verdict
 }
 
-func (j *judge) breach(r Rule, at time.Duration, format string, args ...any) {
-	j.v.Breaches = append(j.v.Breaches, Violation{r, at, fmt.Sprintf(format, args...)})
+func (j *checker) addViolation(r Rule, at time.Duration, format string, args ...any) {
+	j.verdict.Breaches = append(j.verdict.Breaches, Violation{r, at, fmt.Sprintf(format, args...)})
 }
 
-// calm tells whether nothing has been wrong for as long as it takes to settle.
-func (j *judge) calm(now time.Duration) bool {
-	return !j.trouble && now-j.changed >= j.l.SettleWithin
+// isSettled tells whether nothing has been wrong for as long as it takes to settle.
+func (j *checker) isSettled(now time.Duration) bool {
+	return !j.faultActive && now-j.lastFactAt >= j.limits.SettleWithin
 }
 
-func (j *judge) fact(e Event) {
-	quiet := !j.trouble
-	j.changed, j.right = e.At, false
+func (j *checker) applyFact(e Event) {
+	quiet := !j.faultActive
+	j.lastFactAt, j.converged = e.At, false
 	switch e.Kind {
 	case FaultBegan, FaultsEnded:
-		j.trouble = e.Kind == FaultBegan
-		clear(j.waiting) // what is found out meanwhile is chance's; afterwards views must agree
+		j.faultActive = e.Kind == FaultBegan
+		clear(j.pendingDetections) // what is found out meanwhile is chance's; afterwards views must agree
 		return
 	case Started:
-		delete(j.holds, e.Subject) // a new life has seen nothing
+		delete(j.views, e.Subject) // a new life has seen nothing
 	}
-	j.is[e.Subject], j.since[e.Subject] = e.Kind, e.At
-	for pair := range j.waiting {
+	j.status[e.Subject], j.since[e.Subject] = e.Kind, e.At
+	for pair := range j.pendingDetections {
 		if pair[0] == e.Subject || pair[1] == e.Subject {
-			delete(j.waiting, pair)
+			delete(j.pendingDetections, pair)
 		}
 	}
 	if e.Kind == Started || e.Kind == ShutdownBegan || !quiet {
 		return
 	}
-	for by, holds := range j.holds {
-		if j.is[by] == Started && here(holds[e.Subject].state) {
-			j.waiting[[2]string{by, e.Subject}] = e.At + j.l.DetectWithin
+	for by, holds := range j.views {
+		if j.status[by] == Started && isPresent(holds[e.Subject].state) {
+			j.pendingDetections[[2]string{by, e.Subject}] = e.At + j.limits.DetectWithin
 		}
 	}
 }
 
-// late finds what was not found out in time.
-func (j *judge) late(now time.Duration) {
-	for pair, until := range j.waiting {
+// checkDetectionDeadlines finds what was not found out in time.
+func (j *checker) checkDetectionDeadlines(now time.Duration) {
+	for pair, until := range j.pendingDetections {
 		if now > until {
-			delete(j.waiting, pair)
-			j.breach(FailureDetected, until, "%s still holds %s for here, %v after it was gone", pair[0], pair[1], j.l.DetectWithin)
+			delete(j.pendingDetections, pair)
+			j.addViolation(FailureDetected, until, "%s still holds %s for here, %v after it was gone", pair[0], pair[1], j.limits.DetectWithin)
 		}
 	}
 }
 
-func (j *judge) saw(e Event) {
-	if j.is[e.Observer] != Started {
+func (j *checker) applyObservation(e Event) {
+	if j.status[e.Observer] != Started {
 		return // its last words
 	}
-	holds := j.holds[e.Observer]
+	holds := j.views[e.Observer]
 	if holds == nil {
-		holds = map[string]sight{}
-		j.holds[e.Observer] = holds
+		holds = map[string]observation{}
+		j.views[e.Observer] = holds
 	}
 	was, known := holds[e.Subject]
-	holds[e.Subject] = sight{e.State, e.Incarnation}
+	holds[e.Subject] = observation{e.State, e.Incarnation}
 	if known {
-		j.v.Tested[IncarnationsMonotonic]++
+		j.verdict.Tested[IncarnationsMonotonic]++
 		if e.Incarnation < was.incarnation {
-			j.breach(IncarnationsMonotonic, e.At, "%s held incarnation %d of %s, and now %d", e.Observer, was.incarnation, e.Subject, e.Incarnation)
+			j.addViolation(IncarnationsMonotonic, e.At, "%s held incarnation %d of %s, and now %d", e.Observer, was.incarnation, e.Subject, e.Incarnation)
 		}
 	}
 	if known && was.state == "left" {
-		j.v.Tested[LeftIsNotFailed]++
-		if here(e.State) && e.Incarnation <= was.incarnation || e.State == "failed" && e.Incarnation <= was.incarnation {
-			j.breach(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
+		j.verdict.Tested[LeftIsNotFailed]++
+		if isPresent(e.State) && e.Incarnation <= was.incarnation || e.State == "failed" && e.Incarnation <= was.incarnation {
+			j.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
 		}
 	}
 	pair := [2]string{e.Observer, e.Subject}
-	if _, waits := j.waiting[pair]; waits && !here(e.State) {
-		delete(j.waiting, pair)
-		j.v.Tested[FailureDetected]++
-		j.v.Detect = max(j.v.Detect, e.At-j.since[e.Subject])
+	if _, waits := j.pendingDetections[pair]; waits && !isPresent(e.State) {
+		delete(j.pendingDetections, pair)
+		j.verdict.Tested[FailureDetected]++
+		j.verdict.Detect = max(j.verdict.Detect, e.At-j.since[e.Subject])
 	}
-	defer j.settling(e.At)
-	if is := j.is[e.Subject]; (is == ShutdownBegan || is == Left) && e.State == "failed" && !j.trouble {
-		j.breach(LeftIsNotFailed, e.At, "%s holds %s, which left, for failed", e.Observer, e.Subject)
+	defer j.noteConvergence(e.At)
+	if is := j.status[e.Subject]; (is == ShutdownBegan || is == Left) && e.State == "failed" && !j.faultActive {
+		j.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for failed", e.Observer, e.Subject)
 	}
-	if e.State == "failed" && j.is[e.Subject] == Started && j.calm(e.At) {
-		j.breach(NoFalsePositive, e.At, "%s holds %s for failed, which answers, %v after the last fault", e.Observer, e.Subject, e.At-j.changed)
+	if e.State == "failed" && j.status[e.Subject] == Started && j.isSettled(e.At) {
+		j.addViolation(NoFalsePositive, e.At, "%s holds %s for failed, which answers, %v after the last fault", e.Observer, e.Subject, e.At-j.lastFactAt)
 	}
 }
 
-// settling notes how long it took until all views were right.
-func (j *judge) settling(now time.Duration) {
-	if j.right || j.trouble {
+// noteConvergence notes how long it took until all views were right.
+func (j *checker) noteConvergence(now time.Duration) {
+	if j.converged || j.faultActive {
 		return
 	}
-	for by, is := range j.is {
-		for of := range j.is {
-			held := j.holds[by][of].state
-			if is == Started && (j.is[of] == Started && !here(held) || (j.is[of] == Killed || j.is[of] == Left) && here(held)) {
+	for by, is := range j.status {
+		for of := range j.status {
+			held := j.views[by][of].state
+			if is == Started && (j.status[of] == Started && !isPresent(held) || (j.status[of] == Killed || j.status[of] == Left) && isPresent(held)) {
 				return
 			}
 		}
 	}
-	j.right = true
-	j.v.Settle = max(j.v.Settle, now-j.changed)
+	j.converged = true
+	j.verdict.Settle = max(j.verdict.Settle, now-j.lastFactAt)
 }
 
-// settled holds all views against what is so, where they have had the time.
-func (j *judge) settled(now time.Duration) {
-	if !j.calm(now) {
+// checkViews holds all views against what is so, where they have had the time.
+func (j *checker) checkViews(now time.Duration) {
+	if !j.isSettled(now) {
 		return
 	}
-	names := make([]string, 0, len(j.is))
-	for name := range j.is {
+	names := make([]string, 0, len(j.status))
+	for name := range j.status {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, by := range names {
-		if j.is[by] != Started {
+		if j.status[by] != Started {
 			continue
 		}
 		for _, of := range names {
-			held, known := j.holds[by][of]
+			held, known := j.views[by][of]
 			if !known {
 				held.state = unknown
 			}
-			j.agrees(now, by, of, held.state)
+			j.checkView(now, by, of, held.state)
 		}
 	}
 }
 
-func (j *judge) agrees(now time.Duration, by, of, state string) {
-	j.v.Tested[ViewsConverge]++
-	switch is := j.is[of]; {
+func (j *checker) checkView(now time.Duration, by, of, state string) {
+	j.verdict.Tested[ViewsConverge]++
+	switch is := j.status[of]; {
 	case is == ShutdownBegan:
 		if state == "failed" {
-			j.breach(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", by, of)
+			j.addViolation(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", by, of)
 		}
 	case is == Started:
-		j.v.Tested[NoFalsePositive]++
+		j.verdict.Tested[NoFalsePositive]++
 		if state == "failed" {
-			j.breach(NoFalsePositive, now, "%s still holds %s for failed, which answers, %v after the last fault", by, of, now-j.changed)
-		} else if !here(state) { // a suspicion is no verdict: it ends by itself, one way or the other
-			j.breach(ViewsConverge, now, "%s holds %s for %s, which answers, %v after the last fault", by, of, state, now-j.changed)
+			j.addViolation(NoFalsePositive, now, "%s still holds %s for failed, which answers, %v after the last fault", by, of, now-j.lastFactAt)
+		} else if !isPresent(state) { // a suspicion is no verdict: it ends by itself, one way or the other
+			j.addViolation(ViewsConverge, now, "%s holds %s for %s, which answers, %v after the last fault", by, of, state, now-j.lastFactAt)
 		}
-	case here(state) && now-j.since[of] >= j.l.DetectWithin:
-		j.breach(ViewsConverge, now, "%s holds %s for %s, which is gone, %v after the last fault", by, of, state, now-j.changed)
+	case isPresent(state) && now-j.since[of] >= j.limits.DetectWithin:
+		j.addViolation(ViewsConverge, now, "%s holds %s for %s, which is gone, %v after the last fault", by, of, state, now-j.lastFactAt)
 	}
 }
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -7,20 +7,20 @@
 
 const second = time.Second
 
-func saw(at time.Duration, by, of, state string, incarnation uint64) Event {
+func observed(at time.Duration, by, of, state string, incarnation uint64) Event {
 	return Event{At: at, Kind: StateObserved, Observer: by, Subject: of, State: state, Incarnation: incarnation}
 }
 
-func fact(at time.Duration, k Kind, of string) Event { return Event{At: at, Kind: k, Subject: of} }
+func factOf(at time.Duration, k Kind, of string) Event { return Event{At: at, Kind: k, Subject: of} }
 
-// three are daemons that know one another.
-func three() (events []Event) {
+// threeKnownDaemons are daemons that know one another.
+func threeKnownDaemons() (events []Event) {
 	for _, name := range []string{"a", "b", "c"} {
-		events = append(events, fact(0, Started, name))
+		events = append(events, factOf(0, Started, name))
 	}
 	for _, by := range []string{"a", "b", "c"} {
 		for _, of := range []string{"a", "b", "c"} {
-			events = append(events, saw(1, by, of, "alive", 1))
+			events = append(events, observed(1, by, of, "alive", 1))
 		}
 	}
 	return events
@@ -56,21 +56,21 @@
 		must Rule // was put to the test
 	}{
 		"quiet":                    {nil, "", ViewsConverge},
-		"found out in time":        {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1), saw(23*second, "b", "c", "failed", 1)}, "", FailureDetected},
-		"found out late":           {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1), saw(27*second, "b", "c", "failed", 1)}, FailureDetected, FailureDetected},
-		"never found out":          {[]Event{fact(20*second, Killed, "c"), saw(22*second, "a", "c", "failed", 1)}, FailureDetected, FailureDetected},
-		"a false verdict":          {[]Event{saw(20*second, "a", "c", "failed", 1), saw(21*second, "a", "c", "alive", 2)}, NoFalsePositive, ViewsConverge},
-		"one that is excused":      {[]Event{fact(20*second, FaultBegan, ""), saw(21*second, "a", "c", "failed", 1), fact(22*second, FaultsEnded, ""), saw(24*second, "a", "c", "alive", 2)}, "", NoFalsePositive},
-		"one that lasts":           {[]Event{fact(20*second, FaultBegan, ""), saw(21*second, "a", "c", "failed", 1), fact(22*second, FaultsEnded, "")}, NoFalsePositive, NoFalsePositive},
-		"an incarnation goes back": {[]Event{saw(20*second, "a", "c", "alive", 3), saw(21*second, "a", "c", "alive", 2)}, IncarnationsMonotonic, IncarnationsMonotonic},
-		"a new life knows less": {[]Event{saw(20*second, "a", "c", "alive", 3), fact(21*second, Killed, "a"), saw(22*second, "b", "a", "failed", 1), saw(22*second, "c", "a", "failed", 1), fact(23*second, Started, "a"),
-			saw(24*second, "a", "a", "alive", 2), saw(24*second, "a", "b", "alive", 1), saw(24*second, "a", "c", "alive", 2), saw(24*second, "b", "a", "alive", 2), saw(24*second, "c", "a", "alive", 2)}, "", ViewsConverge},
-		"left, and held for failed": {[]Event{fact(20*second, ShutdownBegan, "c"), fact(21*second, Left, "c"), saw(22*second, "a", "c", "failed", 1), saw(22*second, "b", "c", "left", 1)}, LeftIsNotFailed, ViewsConverge},
-		"left, and comes back as it was": {[]Event{fact(20*second, ShutdownBegan, "c"), saw(20*second, "a", "c", "left", 1), saw(20*second, "b", "c", "left", 1), fact(21*second, Left, "c"), fact(22*second, Started, "c"),
-			saw(23*second, "a", "c", "alive", 1), saw(23*second, "b", "c", "alive", 2), saw(23*second, "c", "a", "alive", 1), saw(23*second, "c", "b", "alive", 1), saw(23*second, "c", "c", "alive", 2)}, LeftIsNotFailed, LeftIsNotFailed},
-		"not known in time": {[]Event{fact(20*second, Started, "d"), saw(21*second, "a", "d", "alive", 1)}, ViewsConverge, ViewsConverge},
+		"found out in time":        {[]Event{factOf(20*second, Killed, "c"), observed(22*second, "a", "c", "failed", 1), observed(23*second, "b", "c", "failed", 1)}, "", FailureDetected},
+		"found out late":           {[]Event{factOf(20*second, Killed, "c"), observed(22*second, "a", "c", "failed", 1), observed(27*second, "b", "c", "failed", 1)}, FailureDetected, FailureDetected},
+		"never found out":          {[]Event{factOf(20*second, Killed, "c"), observed(22*second, "a", "c", "failed", 1)}, FailureDetected, FailureDetected},
+		"a false verdict":          {[]Event{observed(20*second, "a", "c", "failed", 1), observed(21*second, "a", "c", "alive", 2)}, NoFalsePositive, ViewsConverge},
+		"one that is excused":      {[]Event{factOf(20*second, FaultBegan, ""), observed(21*second, "a", "c", "failed", 1), factOf(22*second, FaultsEnded, ""), observed(24*second, "a", "c", "alive", 2)}, "", NoFalsePositive},
+		"one that lasts":           {[]Event{factOf(20*second, FaultBegan, ""), observed(21*second, "a", "c", "failed", 1), factOf(22*second, FaultsEnded, "")}, NoFalsePositive, NoFalsePositive},
+		"an incarnation goes back": {[]Event{observed(20*second, "a", "c", "alive", 3), observed(21*second, "a", "c", "alive", 2)}, IncarnationsMonotonic, IncarnationsMonotonic},
+		"a new life knows less": {[]Event{observed(20*second, "a", "c", "alive", 3), factOf(21*second, Killed, "a"), observed(22*second, "b", "a", "failed", 1), observed(22*second, "c", "a", "failed", 1), factOf(23*second, Started, "a"),
+			observed(24*second, "a", "a", "alive", 2), observed(24*second, "a", "b", "alive", 1), observed(24*second, "a", "c", "alive", 2), observed(24*second, "b", "a", "alive", 2), observed(24*second, "c", "a", "alive", 2)}, "", ViewsConverge},
+		"left, and held for failed": {[]Event{factOf(20*second, ShutdownBegan, "c"), factOf(21*second, Left, "c"), observed(22*second, "a", "c", "failed", 1), observed(22*second, "b", "c", "left", 1)}, LeftIsNotFailed, ViewsConverge},
+		"left, and comes back as it was": {[]Event{factOf(20*second, ShutdownBegan, "c"), observed(20*second, "a", "c", "left", 1), observed(20*second, "b", "c", "left", 1), factOf(21*second, Left, "c"), factOf(22*second, Started, "c"),
+			observed(23*second, "a", "c", "alive", 1), observed(23*second, "b", "c", "alive", 2), observed(23*second, "c", "a", "alive", 1), observed(23*second, "c", "b", "alive", 1), observed(23*second, "c", "c", "alive", 2)}, LeftIsNotFailed, LeftIsNotFailed},
+		"not known in time": {[]Event{factOf(20*second, Started, "d"), observed(21*second, "a", "d", "alive", 1)}, ViewsConverge, ViewsConverge},
 	} {
-		v := CheckMembership(append(three(), c.then...), Limits{DetectWithin: 6 * second, SettleWithin: 3 * second, End: 40 * second})
+		v := CheckMembership(append(threeKnownDaemons(), c.then...), Limits{DetectWithin: 6 * second, SettleWithin: 3 * second, End: 40 * second})
 		broken := map[Rule]bool{}
 		for _, b := range v.Breaches {
 			broken[b.Rule] = true
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -29,16 +29,16 @@
 	OverloadWindow  time.Duration
 }
 
-// shireCold is how the shire's endpoints start.
-var shireCold = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
+// defaultSlowStart is how the shire's endpoints start.
+var defaultSlowStart = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
 
 // Scenarios are what may happen, in the order in which they are told.
 func Scenarios() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
 // What bounds a Day: below, there are no tiers to speak of; above, a play takes minutes.
 const (
-	leastSidecars, mostSidecars = 20, 2000
-	mostLength                  = 5 * time.Minute
+	minSidecars, maxSidecars = 20, 2000
+	maxLength                = 5 * time.Minute
 )
 
 // Check says what is wrong with a Day.
@@ -46,10 +46,10 @@
 	switch {
 	case !slices.Contains(Scenarios(), d.Scenario):
 		return fmt.Errorf("trouble: %q is none of %s", d.Scenario, strings.Join(Scenarios(), ", "))
-	case d.Sidecars < leastSidecars || d.Sidecars > mostSidecars:
-		return fmt.Errorf("sidecars: from %d to %d", leastSidecars, mostSidecars)
-	case d.Length <= 0 || d.Length > mostLength:
-		return fmt.Errorf("length: over 0, and %v at most", mostLength)
+	case d.Sidecars < minSidecars || d.Sidecars > maxSidecars:
+		return fmt.Errorf("sidecars: from %d to %d", minSidecars, maxSidecars)
+	case d.Length <= 0 || d.Length > maxLength:
+		return fmt.Errorf("length: over 0, and %v at most", maxLength)
 	case d.Utilization <= 0 || d.Utilization > 2:
 		return errors.New("use: over 0, and 2 at most")
 	case d.SlowStart != SlowStart{} && (d.SlowStart.InitialCapacity <= 0 || d.SlowStart.InitialCapacity > 1 || d.SlowStart.Duration <= 0 || d.SlowStart.OverloadFactor <= 0 || d.SlowStart.OverloadWindow <= 0):
@@ -60,12 +60,12 @@
 
 // A class of requests. The figures are the shire's, in the middle of what its brief gives.
 type class struct {
-	name          string
-	keyed         bool
-	share         float64
-	work          float64 // seconds of work on a core at yardstick speed, in all tiers
-	aim, deadline time.Duration
-	worth         float64
+	name                       string
+	isKeyed                    bool
+	fraction                   float64
+	work                       float64 // seconds of work on a core at yardstick speed, in all tiers
+	latencyObjective, deadline time.Duration
+	weight                     float64
 }
 
 var classes = []class{
@@ -81,27 +81,27 @@
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
 const (
-	keyWindow   = 10 * time.Second
-	maxAttempts = 4
-	fallSlack   = 0.25 // for chance, as in rehearsals
-	drainGrace  = 500 * time.Millisecond
-	slack       = 50 * time.Millisecond
-	cellSize    = 4
-	zones       = 3
+	dedupWindow       = 10 * time.Second
+	maxAttempts       = 4
+	overloadTolerance = 0.25 // for chance, as in rehearsals
+	drainGrace        = 500 * time.Millisecond
+	timeTolerance     = 50 * time.Millisecond
+	cellSize          = 4
+	zoneCount         = 3
 
-	cores        = 2
-	slots        = 24                     // requests that an endpoint holds in work
-	queue        = 12                     // and that wait
-	wire         = 500 * time.Microsecond // one way
-	handshake    = 1500 * time.Microsecond
-	connections  = 40 // that an endpoint takes: few
-	idleFor      = 15 * time.Second
-	frontShare   = 1.0 / 6 // of the sidecars
-	unevenness   = 3.0     // times the mean that the busiest front sidecar sees
-	clientRetry  = 100 * time.Millisecond
-	clientTries  = 3
-	listedAfter  = 800 * time.Millisecond // mean time until a sidecar hears of a change
-	slowBy       = 4.0
-	partBad      = 1.0 / 8
-	patienceOver = 500 * time.Millisecond // after a request's time: by then it is lost
+	coresPerEndpoint = 2
+	maxInWork        = 24                     // requests that an endpoint holds in work
+	maxQueued        = 12                     // and that wait
+	wireDelay        = 500 * time.Microsecond // one way
+	handshakeDelay   = 1500 * time.Microsecond
+	maxConnections   = 40 // that an endpoint takes: few
+	idleTimeout      = 15 * time.Second
+	frontFraction    = 1.0 / 6 // of the sidecars
+	loadSkew         = 3.0     // times the mean that the busiest front sidecar sees
+	clientRetryDelay = 100 * time.Millisecond
+	maxClientRetries = 3
+	meanListDelay    = 800 * time.Millisecond // mean time until a sidecar hears of a change
+	faultSlowdown    = 4.0
+	slowFraction     = 1.0 / 8
+	responseGrace    = 500 * time.Millisecond // after a request's time: by then it is lost
 )
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -10,53 +10,53 @@
 
 // endpoint is a model of a server: cores, slots and a queue, cold after a start.
 type endpoint struct {
-	w          *world
-	id         string
-	tier       int
-	cell, zone int
-	kind       string
-	speed      float64
-	slow       float64       // times slower than it is
-	startedAt  time.Duration // 0: long ago
-	up, silent bool
-	fell       bool
-	life       int
-	held       int                 // in work or waiting
-	open       int                 // connections
-	busy       int                 // cores
-	ready      []func(done func()) // what waits for a core
-	pressure   []pressed           // work that came lately, while cold
-	below      *sidecar            // its own; nil in the last tier
-	listed     balance.State
-	gone       bool // replaced: never comes back
+	sim              *simulation
+	id               string
+	tier             int
+	cell, zone       int
+	kind             string
+	speed            float64
+	slowdown         float64       // times slower than it is
+	startedAt        time.Duration // 0: long ago
+	isUp, isIsolated bool
+	isOverloaded     bool
+	incarnation      int
+	inFlight         int                 // in work or waiting
+	openConnections  int                 // connections
+	busyCores        int                 // cores
+	cpuQueue         []func(done func()) // what waits for a core
+	recentColdWork   []timedWork         // work that came lately, while cold
+	ownSidecar       *sidecar            // its own; nil in the last tier
+	listedState      balance.State
+	isGone           bool // replaced: never comes back
 }
 
-type pressed struct {
+type timedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// add makes an endpoint; started is its start, 0: long ago.
-func (w *world) add(tier, i int, started time.Duration) *endpoint {
-	e := &endpoint{w: w, id: fmt.Sprintf("t%d-%s", tier, w.name("e")), tier: tier, cell: i / cellSize, zone: i % zones, kind: "std", speed: 0.95, slow: 1, startedAt: started, up: true}
+// addEndpoint makes an endpoint; started is its start, 0: long ago.
+func (w *simulation) addEndpoint(tier, i int, started time.Duration) *endpoint {
+	e := &endpoint{sim: w, id: fmt.Sprintf("t%d-%s", tier, w.nextName("e")), tier: tier, cell: i / cellSize, zone: i % zoneCount, kind: "std", speed: 0.95, slowdown: 1, startedAt: started, isUp: true}
 	if w.rng.Float64() < 0.66 {
 		e.kind, e.speed = "slow", 0.6
 	}
 	w.tiers[tier] = append(w.tiers[tier], e)
-	e.noteStart()
+	e.recordStart()
 	return e
 }
 
-func (e *endpoint) noteStart() {
-	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: cores * e.speed, ColdCapacityShare: 1}
+func (e *endpoint) recordStart() {
+	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: coresPerEndpoint * e.speed, ColdCapacityShare: 1}
 	if e.startedAt > 0 {
-		n.ColdCapacityShare, n.WarmUpDuration = e.w.day.SlowStart.InitialCapacity, e.w.day.SlowStart.Duration
+		n.ColdCapacityShare, n.WarmUpDuration = e.sim.day.SlowStart.InitialCapacity, e.sim.day.SlowStart.Duration
 	}
-	e.w.note(n)
+	e.sim.record(n)
 }
 
-// beside starts an endpoint's own sidecar, if it calls a further tier.
-func (w *world) beside(e *endpoint) {
+// addOwnSidecar starts an endpoint's own sidecar, if it calls a further tier.
+func (w *simulation) addOwnSidecar(e *endpoint) {
 	if tiers[e.tier].calls == 0 {
 		return
 	}
@@ -66,157 +66,157 @@
 			index = i
 		}
 	}
-	e.below = w.newSidecar("s-"+e.id, e.tier+1, index)
-	e.below.start(balance.EndpointUpdate{})
+	e.ownSidecar = w.newSidecar("s-"+e.id, e.tier+1, index)
+	e.ownSidecar.start(balance.EndpointUpdate{})
 }
 
-func (e *endpoint) warmth() float64 {
-	if e.startedAt == 0 || e.w.now-e.startedAt >= e.w.day.SlowStart.Duration {
+func (e *endpoint) capacityFraction() float64 {
+	if e.startedAt == 0 || e.sim.now-e.startedAt >= e.sim.day.SlowStart.Duration {
 		return 1
 	}
-	return e.w.day.SlowStart.InitialCapacity + (1-e.w.day.SlowStart.InitialCapacity)*float64(e.w.now-e.startedAt)/float64(e.w.day.SlowStart.Duration)
+	return e.sim.day.SlowStart.InitialCapacity + (1-e.sim.day.SlowStart.InitialCapacity)*float64(e.sim.now-e.startedAt)/float64(e.sim.day.SlowStart.Duration)
 }
 
-// die ends the process: what it has is gone, its connections are reset.
-func (e *endpoint) die() {
-	if !e.up {
+// kill ends the process: what it has is gone, its connections are reset.
+func (e *endpoint) kill() {
+	if !e.isUp {
 		return
 	}
-	e.up = false
-	e.life++
-	e.held, e.busy, e.open, e.ready, e.pressure = 0, 0, 0, nil, nil
-	e.w.note(invariant.Event{Kind: invariant.NodeStopped, Node: e.id})
-	if e.below != nil {
-		e.below.kill()
+	e.isUp = false
+	e.incarnation++
+	e.inFlight, e.busyCores, e.openConnections, e.cpuQueue, e.recentColdWork = 0, 0, 0, nil, nil
+	e.sim.record(invariant.Event{Kind: invariant.NodeStopped, Node: e.id})
+	if e.ownSidecar != nil {
+		e.ownSidecar.kill()
 	}
-	for _, s := range e.w.sidecars {
-		s.reset(e)
+	for _, s := range e.sim.sidecars {
+		s.resetAttempts(e)
 	}
 }
 
-// rise starts it again, cold.
-func (e *endpoint) rise() {
-	e.up, e.fell, e.startedAt = true, false, e.w.now
-	e.noteStart()
-	if e.below != nil {
-		e.below.start(e.below.known)
+// restart starts it again, cold.
+func (e *endpoint) restart() {
+	e.isUp, e.isOverloaded, e.startedAt = true, false, e.sim.now
+	e.recordStart()
+	if e.ownSidecar != nil {
+		e.ownSidecar.start(e.ownSidecar.lastList)
 	}
 }
 
-// came takes an attempt whose last byte has come. end is told the result, unless the process dies before.
-func (e *endpoint) came(a *attempt, work float64, key string, end func(balance.Result)) {
-	w, life := e.w, e.life
-	w.note(invariant.Event{Kind: invariant.AttemptReceived, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+// receive takes an attempt whose last byte has come. end is told the result, unless the process dies before.
+func (e *endpoint) receive(a *attempt, work float64, key string, end func(balance.Result)) {
+	w, life := e.sim, e.incarnation
+	w.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
 	w.result.Attempts[e.tier]++
-	e.press(work)
+	e.addColdWork(work)
 	answer := func(r balance.Result, kind invariant.Kind) {
-		if e.life == life && e.up {
-			w.note(invariant.Event{Kind: kind, Request: a.call.id, Node: e.id})
+		if e.incarnation == life && e.isUp {
+			w.record(invariant.Event{Kind: kind, Request: a.request.id, Node: e.id})
 			end(r)
 		}
 	}
-	if e.fell || e.held >= slots+queue {
+	if e.isOverloaded || e.inFlight >= maxInWork+maxQueued {
 		answer(balance.Rejected, invariant.AttemptRejected)
 		return
 	}
-	e.held++
-	repeat := e.repeated(key)
+	e.inFlight++
+	repeat := e.isDuplicate(key)
 	finish := func(r balance.Result) {
-		if e.life == life {
-			e.held--
+		if e.incarnation == life {
+			e.inFlight--
 			answer(r, invariant.AttemptCompleted)
 		}
 	}
-	e.core(func(done func()) {
-		w.note(invariant.Event{Kind: invariant.EffectStarted, Request: a.call.id, Node: e.id, Duplicate: repeat})
+	e.runOnCore(func(done func()) {
+		w.record(invariant.Event{Kind: invariant.EffectStarted, Request: a.request.id, Node: e.id, Duplicate: repeat})
 		if repeat {
 			work = 0
 		}
-		w.in(time.Duration(work*e.slow/(e.speed*e.warmth())*float64(time.Second)), func() {
+		w.schedule(time.Duration(work*e.slowdown/(e.speed*e.capacityFraction())*float64(time.Second)), func() {
 			done()
-			if e.life != life {
+			if e.incarnation != life {
 				return
 			}
-			if repeat || e.below == nil {
+			if repeat || e.ownSidecar == nil {
 				finish(balance.OK)
 				return
 			}
-			e.call(a, key, tiers[e.tier].calls, finish)
+			e.callTierBelow(a, key, tiers[e.tier].calls, finish)
 		})
 	})
 }
 
-// call makes the calls to the tier below, one after another.
-func (e *endpoint) call(a *attempt, key string, left int, finish func(balance.Result)) {
+// callTierBelow makes the calls to the tier below, one after another.
+func (e *endpoint) callTierBelow(a *attempt, key string, left int, finish func(balance.Result)) {
 	if left == 0 {
 		finish(balance.OK)
 		return
 	}
-	w, life := e.w, e.life
-	c := classes[a.call.class]
-	e.below.take(a.call.class, fmt.Sprint(key, ".", left), w.now+c.deadline, func(status int) {
+	w, life := e.sim, e.incarnation
+	c := classes[a.request.class]
+	e.ownSidecar.accept(a.request.class, fmt.Sprint(key, ".", left), w.now+c.deadline, func(status int) {
 		switch {
-		case e.life != life:
+		case e.incarnation != life:
 		case status == 200:
-			e.call(a, key, left-1, finish)
+			e.callTierBelow(a, key, left-1, finish)
 		default:
 			finish(balance.ErrorResponse)
 		}
 	})
 }
 
-// core runs something once a core is free; it must call done.
-func (e *endpoint) core(do func(done func())) {
-	if e.busy >= cores {
-		e.ready = append(e.ready, do)
+// runOnCore runs something once a core is free; it must call done.
+func (e *endpoint) runOnCore(do func(done func())) {
+	if e.busyCores >= coresPerEndpoint {
+		e.cpuQueue = append(e.cpuQueue, do)
 		return
 	}
-	e.busy++
-	life := e.life
+	e.busyCores++
+	life := e.incarnation
 	do(func() {
-		if e.life != life {
+		if e.incarnation != life {
 			return
 		}
-		e.busy--
-		if len(e.ready) > 0 {
-			next := e.ready[0]
-			e.ready = e.ready[1:]
-			e.core(next)
+		e.busyCores--
+		if len(e.cpuQueue) > 0 {
+			next := e.cpuQueue[0]
+			e.cpuQueue = e.cpuQueue[1:]
+			e.runOnCore(next)
 		}
 	})
 }
 
-// repeated tells whether the cell has seen a key within the window, and remembers it.
-func (e *endpoint) repeated(key string) bool {
+// isDuplicate tells whether the cell has seen a key within the window, and remembers it.
+func (e *endpoint) isDuplicate(key string) bool {
 	if key == "" {
 		return false
 	}
 	at := fmt.Sprint(e.tier, " ", e.cell, " ", key)
-	first, seen := e.w.seen[at]
-	if seen && e.w.now <= first+keyWindow {
+	first, seen := e.sim.keysSeen[at]
+	if seen && e.sim.now <= first+dedupWindow {
 		return true
 	}
-	e.w.seen[at] = e.w.now
+	e.sim.keysSeen[at] = e.sim.now
 	return false
 }
 
-// press counts work on a cold endpoint: too much of it pushes it over.
-func (e *endpoint) press(work float64) {
-	if e.warmth() == 1 {
+// addColdWork counts work on a cold endpoint: too much of it pushes it over.
+func (e *endpoint) addColdWork(work float64) {
+	if e.capacityFraction() == 1 {
 		return
 	}
-	e.pressure = append(e.pressure, pressed{e.w.now, work})
-	for len(e.pressure) > 0 && e.pressure[0].at <= e.w.now-e.w.day.SlowStart.OverloadWindow {
-		e.pressure = e.pressure[1:]
+	e.recentColdWork = append(e.recentColdWork, timedWork{e.sim.now, work})
+	for len(e.recentColdWork) > 0 && e.recentColdWork[0].at <= e.sim.now-e.sim.day.SlowStart.OverloadWindow {
+		e.recentColdWork = e.recentColdWork[1:]
 	}
 	sum := 0.0
-	for _, p := range e.pressure {
+	for _, p := range e.recentColdWork {
 		sum += p.work
 	}
-	limit := e.w.day.SlowStart.OverloadFactor * e.warmth() * cores * e.speed * e.w.day.SlowStart.OverloadWindow.Seconds()
-	e.w.result.PeakColdLoad = max(e.w.result.PeakColdLoad, sum/limit)
-	if sum > limit*(1+fallSlack) && !e.fell {
-		e.fell = true
-		e.w.note(invariant.Event{Kind: invariant.NodeCollapsed, Node: e.id})
+	limit := e.sim.day.SlowStart.OverloadFactor * e.capacityFraction() * coresPerEndpoint * e.speed * e.sim.day.SlowStart.OverloadWindow.Seconds()
+	e.sim.result.PeakColdLoad = max(e.sim.result.PeakColdLoad, sum/limit)
+	if sum > limit*(1+overloadTolerance) && !e.isOverloaded {
+		e.isOverloaded = true
+		e.sim.record(invariant.Event{Kind: invariant.NodeCollapsed, Node: e.id})
 	}
 }
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -12,12 +12,12 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// small is a day that takes a second or two under the race detector.
-func small(trouble string) Day {
+// smallDay is a day that takes a second or two under the race detector.
+func smallDay(trouble string) Day {
 	return Day{Seed: 3, Sidecars: 40, Scenario: trouble, Length: 14 * time.Second, Utilization: 0.6}
 }
 
-func play(t *testing.T, decide eventloop.BalancerFactory, d Day) *Result {
+func runDay(t *testing.T, decide eventloop.BalancerFactory, d Day) *Result {
 	t.Helper()
 	r, err := RunWith(decide, d)
 	if err != nil {
@@ -31,7 +31,7 @@
 	tested := [4]bool{}
 	for _, trouble := range Scenarios() {
 		t.Run(trouble, func(t *testing.T) {
-			r := play(t, eventloop.NewBalancer, small(trouble))
+			r := runDay(t, eventloop.NewBalancer, smallDay(trouble))
 			if !r.Rules.Held() {
 				var b strings.Builder
 				_ = r.WriteSummary(&b)
@@ -43,7 +43,7 @@
 			for i, rule := range r.Rules.Rules {
 				tested[i] = tested[i] || rule.Verdict != invariant.Untested
 			}
-			if again := play(t, eventloop.NewBalancer, small(trouble)); !reflect.DeepEqual(r, again) {
+			if again := runDay(t, eventloop.NewBalancer, smallDay(trouble)); !reflect.DeepEqual(r, again) {
 				t.Error("the same day ends in another way")
 			}
 		})
@@ -57,7 +57,7 @@
 
 // A calm day at three fifths of what the fleet can do is served nearly whole, and each call is made once.
 func TestACalmDayIsServed(t *testing.T) {
-	r := play(t, eventloop.NewBalancer, small("calm"))
+	r := runDay(t, eventloop.NewBalancer, smallDay("calm"))
 	if r.ServedFraction() < 0.97 {
 		t.Errorf("%.3f of the worth is served in time", r.ServedFraction())
 	}
@@ -68,27 +68,27 @@
 	}
 }
 
-// deaf is the module, but hears its first list only.
-type deaf struct {
+// firstListOnly is the module, but hears its first list only.
+type firstListOnly struct {
 	balance.Events
-	heard bool
+	hasList bool
 }
 
-func (d *deaf) EndpointList(now time.Duration, l balance.EndpointUpdate) {
-	if !d.heard {
-		d.heard = true
+func (d *firstListOnly) EndpointList(now time.Duration, l balance.EndpointUpdate) {
+	if !d.hasList {
+		d.hasList = true
 		d.Events.EndpointList(now, l)
 	}
 }
 
-// eager sends all that it has to the endpoint that started last.
-type eager struct {
+// newestOnly sends all that it has to the endpoint that started last.
+type newestOnly struct {
 	balance.Events
 	host   balance.Host
 	newest balance.Endpoint
 }
 
-func (e *eager) EndpointList(now time.Duration, l balance.EndpointUpdate) {
+func (e *newestOnly) EndpointList(now time.Duration, l balance.EndpointUpdate) {
 	for _, in := range l.Endpoints {
 		if in.State == balance.Ready && in.Started >= e.newest.Started {
 			e.newest = in
@@ -96,32 +96,32 @@
 	}
 }
 
-func (e *eager) Request(now time.Duration, r balance.Request) {
+func (e *newestOnly) Request(now time.Duration, r balance.Request) {
 	e.host.Send(r.ID, e.newest.ID, r.Deadline-now)
 }
 
-func (e *eager) Outcome(_ time.Duration, o balance.Outcome) {
+func (e *newestOnly) Outcome(_ time.Duration, o balance.Outcome) {
 	if !o.IsFinal && o.Result != balance.OK {
 		e.host.Fail(o.ID)
 	}
 }
 
-func (e *eager) Timer(time.Duration) {}
+func (e *newestOnly) Timer(time.Duration) {}
 
-// silent takes requests and never answers.
-type silent struct{ balance.Events }
+// neverResponds takes requests and never answers.
+type neverResponds struct{ balance.Events }
 
-func (silent) Request(time.Duration, balance.Request) {}
+func (neverResponds) Request(time.Duration, balance.Request) {}
 
-// twice sends what may have run once more, anywhere.
-type twice struct {
+// alwaysRetries sends what may have run once more, anywhere.
+type alwaysRetries struct {
 	balance.Events
-	host  balance.Host
-	ids   []string
-	sends map[string]int
+	host          balance.Host
+	ids           []string
+	attemptCounts map[string]int
 }
 
-func (b *twice) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
+func (b *alwaysRetries) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	for _, in := range l.Endpoints {
 		if in.State == balance.Ready {
 			b.ids = append(b.ids, in.ID)
@@ -129,24 +129,24 @@
 	}
 }
 
-func (b *twice) Request(now time.Duration, r balance.Request) { b.send(r.ID) }
+func (b *alwaysRetries) Request(now time.Duration, r balance.Request) { b.send(r.ID) }
 
-func (b *twice) send(id string) {
-	b.sends[id]++
-	b.host.Send(id, b.ids[(len(id)+b.sends[id]*7+int(id[len(id)-1]))%len(b.ids)], 300*time.Millisecond)
+func (b *alwaysRetries) send(id string) {
+	b.attemptCounts[id]++
+	b.host.Send(id, b.ids[(len(id)+b.attemptCounts[id]*7+int(id[len(id)-1]))%len(b.ids)], 300*time.Millisecond)
 }
 
-func (b *twice) Outcome(_ time.Duration, o balance.Outcome) {
+func (b *alwaysRetries) Outcome(_ time.Duration, o balance.Outcome) {
 	switch {
 	case o.IsFinal || o.Result == balance.OK:
-	case b.sends[o.ID] < maxAttempts:
+	case b.attemptCounts[o.ID] < maxAttempts:
 		b.send(o.ID)
 	default:
 		b.host.Fail(o.ID)
 	}
 }
 
-func (b *twice) Timer(time.Duration) {}
+func (b *alwaysRetries) Timer(time.Duration) {}
 
 // Each rule is seen broken where it is.
 func TestBadDecidersAreSeen(t *testing.T) {
@@ -156,17 +156,17 @@
 		decide        eventloop.BalancerFactory
 	}{
 		{"one that answers nothing", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return silent{eventloop.NewBalancer(now, s, h)}
+			return neverResponds{eventloop.NewBalancer(now, s, h)}
 		}},
 		{"one that sends twice", "split", 2, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
-			return &twice{host: h, sends: map[string]int{}}
+			return &alwaysRetries{host: h, attemptCounts: map[string]int{}}
 		}},
 		{"one that hears nothing", "join", 3, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &deaf{Events: eventloop.NewBalancer(now, s, h)}
+			return &firstListOnly{Events: eventloop.NewBalancer(now, s, h)}
 		}},
-		{"one that floods what is cold", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &eager{host: h} }},
+		{"one that floods what is cold", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &newestOnly{host: h} }},
 	} {
-		r := play(t, row.decide, small(row.trouble))
+		r := runDay(t, row.decide, smallDay(row.trouble))
 		if got := r.Rules.Rules[row.rule-1].Verdict; got != invariant.Broken {
 			t.Errorf("%s: rule %d is %s", row.name, row.rule, got)
 		}
@@ -174,7 +174,7 @@
 }
 
 func TestDaysAreChecked(t *testing.T) {
-	good := small("calm")
+	good := smallDay("calm")
 	for field, spoil := range map[string]func(*Day){
 		"trouble": func(d *Day) { d.Scenario = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Utilization = -1 }, "cold": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
 	} {
@@ -192,9 +192,9 @@
 	for _, trouble := range []string{"roll", "join"} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(trouble, seed), func(t *testing.T) {
-				d := small(trouble)
+				d := smallDay(trouble)
 				d.Seed, d.Utilization, d.SlowStart = 5+seed, 1, SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
-				r := play(t, eventloop.NewBalancer, d)
+				r := runDay(t, eventloop.NewBalancer, d)
 				if rule := r.Rules.Rules[3]; rule.Verdict != invariant.Held {
 					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.PeakColdLoad)
 				}
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -58,45 +58,45 @@
 		return nil, err
 	}
 	if d.SlowStart == (SlowStart{}) {
-		d.SlowStart = shireCold
+		d.SlowStart = defaultSlowStart
 	}
-	w := &world{day: d, decide: decide, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, seen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Scenario, Sidecars: d.Sidecars}}
+	w := &simulation{day: d, decide: decide, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, keysSeen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Scenario, Sidecars: d.Sidecars}}
 	w.build()
 	for _, t := range w.tiers {
 		w.result.Endpoints += len(t)
 	}
-	w.load()
-	w.trouble()
-	w.run(epoch + d.Length)
-	w.closing = true
-	w.run(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
-	w.result.Rules = invariant.Check(rules(d.SlowStart), w.timeline)
+	w.startLoad()
+	w.scheduleFaults()
+	w.runUntil(epoch + d.Length)
+	w.arrivalsStopped = true
+	w.runUntil(epoch + d.Length + 20*time.Second) // the longest deadline, through three tiers, has passed by then
+	w.result.Rules = invariant.Check(invariantRules(d.SlowStart), w.timeline)
 	return w.result, nil
 }
 
-func rules(cold SlowStart) invariant.Rules {
-	r := invariant.Rules{MaxAttempts: maxAttempts, Tolerance: slack, DrainGrace: drainGrace, ColdOverloadFactor: cold.OverloadFactor, ColdOverloadWindow: cold.OverloadWindow, ColdOverloadTolerance: fallSlack}
+func invariantRules(cold SlowStart) invariant.Rules {
+	r := invariant.Rules{MaxAttempts: maxAttempts, Tolerance: timeTolerance, DrainGrace: drainGrace, ColdOverloadFactor: cold.OverloadFactor, ColdOverloadWindow: cold.OverloadWindow, ColdOverloadTolerance: overloadTolerance}
 	for _, c := range classes {
 		effect := invariant.Safe
-		if c.keyed {
+		if c.isKeyed {
 			effect = invariant.IdempotencyKeyed
 		}
-		r.Classes = append(r.Classes, invariant.Class{Name: c.name, Effect: effect, Window: keyWindow})
+		r.Classes = append(r.Classes, invariant.Class{Name: c.name, Effect: effect, Window: dedupWindow})
 	}
 	return r
 }
 
-// load spreads the day's requests unevenly over the front.
-func (w *world) load() {
+// startLoad spreads the day's requests unevenly over the front.
+func (w *simulation) startLoad() {
 	work := 0.0
 	for _, c := range classes {
-		work += c.share * c.work
+		work += c.fraction * c.work
 	}
 	rate, calls := math.Inf(1), 1.0
 	for t := range tiers { // of the tier that runs out first
 		capacity := 0.0
 		for _, e := range w.tiers[t] {
-			capacity += cores * e.speed
+			capacity += coresPerEndpoint * e.speed
 		}
 		rate = min(rate, capacity/(work*tiers[t].work*calls))
 		calls *= float64(tiers[t].calls)
@@ -104,111 +104,111 @@
 	rate *= w.day.Utilization
 	weights, sum := make([]float64, len(w.front)), 0.0
 	for i := range weights {
-		weights[i] = math.Pow(unevenness, w.rng.Float64()*2-1)
+		weights[i] = math.Pow(loadSkew, w.rng.Float64()*2-1)
 		sum += weights[i]
 	}
 	for i, s := range w.front {
-		w.ask(s, time.Duration(float64(time.Second)*sum/(rate*weights[i])))
+		w.scheduleArrivals(s, time.Duration(float64(time.Second)*sum/(rate*weights[i])))
 	}
 }
 
-// changed tells all sidecars that send to an endpoint's tier what discovery says of it now, each in its own time.
-func (w *world) changed(e *endpoint) {
-	entry := e.entry()
-	if e.gone {
+// announce tells all sidecars that send to an endpoint's tier what discovery says of it now, each in its own time.
+func (w *simulation) announce(e *endpoint) {
+	entry := e.listEntry()
+	if e.isGone {
 		entry.State = balance.Gone
 	}
 	for _, s := range w.sidecars {
 		if s.tier != e.tier {
 			continue
 		}
-		w.in(listedAfter/2+w.exp(listedAfter/2), func() {
-			if s.up && (!e.gone || entry.State == balance.Gone) {
-				s.tell(balance.EndpointUpdate{Endpoints: []balance.Endpoint{entry}})
+		w.schedule(meanListDelay/2+w.drawExponential(meanListDelay/2), func() {
+			if s.isUp && (!e.isGone || entry.State == balance.Gone) {
+				s.applyList(balance.EndpointUpdate{Endpoints: []balance.Endpoint{entry}})
 			}
 		})
 	}
 }
 
-// some picks a share of what there is, at random but the same each time.
-func some[T any](w *world, of []T, share float64) []T {
+// sample picks a share of what there is, at random but the same each time.
+func sample[T any](w *simulation, of []T, share float64) []T {
 	out := slices.Clone(of)
 	w.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:int(float64(len(out))*share)]
 }
 
-func (w *world) all() (out []*endpoint) {
+func (w *simulation) allEndpoints() (out []*endpoint) {
 	for _, t := range w.tiers {
 		out = append(out, t...)
 	}
 	return out
 }
 
-// trouble plans what goes wrong. It begins after a quarter of the day.
-func (w *world) trouble() {
+// scheduleFaults plans what goes wrong. It begins after a quarter of the day.
+func (w *simulation) scheduleFaults() {
 	begin, third := w.day.Length/4, w.day.Length/3
 	switch w.day.Scenario {
 	case "roll":
-		w.replace(some(w, w.all(), 0.5), begin, third)
+		w.replaceEndpoints(sample(w, w.allEndpoints(), 0.5), begin, third)
 		for i, s := range w.front {
-			w.in(begin+third*time.Duration(i*10/len(w.front))/10, func() { w.restart(s) })
+			w.schedule(begin+third*time.Duration(i*10/len(w.front))/10, func() { w.restartSidecar(s) })
 		}
 	case "herd":
-		for _, e := range some(w, w.all(), partBad) {
-			w.in(begin, func() { e.slow = slowBy })
-			w.in(begin+third, func() { e.slow = 1 })
+		for _, e := range sample(w, w.allEndpoints(), slowFraction) {
+			w.schedule(begin, func() { e.slowdown = faultSlowdown })
+			w.schedule(begin+third, func() { e.slowdown = 1 })
 		}
-		for _, s := range some(w, w.front, 0.7) {
-			w.in(begin, func() { w.restart(s) })
+		for _, s := range sample(w, w.front, 0.7) {
+			w.schedule(begin, func() { w.restartSidecar(s) })
 		}
 	case "zone":
-		for _, e := range w.all() {
+		for _, e := range w.allEndpoints() {
 			if e.zone == 0 {
-				w.in(begin, func() { e.die() })
-				w.in(begin+5*time.Second, func() {
-					e.rise()
-					w.changed(e)
+				w.schedule(begin, func() { e.kill() })
+				w.schedule(begin+5*time.Second, func() {
+					e.restart()
+					w.announce(e)
 				})
 			}
 		}
 	case "split":
-		for _, e := range some(w, w.all(), 0.2) {
-			w.in(begin, func() { e.silent = true })
-			w.in(begin+6*time.Second, func() { e.silent = false })
+		for _, e := range sample(w, w.allEndpoints(), 0.2) {
+			w.schedule(begin, func() { e.isIsolated = true })
+			w.schedule(begin+6*time.Second, func() { e.isIsolated = false })
 		}
 	case "join":
-		w.replace(some(w, w.all(), 0.6), begin, 7*time.Second)
+		w.replaceEndpoints(sample(w, w.allEndpoints(), 0.6), begin, 7*time.Second)
 	}
 }
 
-// restart ends a front sidecar and starts it again a second later, with its last list.
-func (w *world) restart(s *sidecar) {
-	known := s.known
+// restartSidecar ends a front sidecar and starts it again a second later, with its last list.
+func (w *simulation) restartSidecar(s *sidecar) {
+	known := s.lastList
 	s.kill()
-	w.in(time.Second, func() { s.start(known) })
+	w.schedule(time.Second, func() { s.start(known) })
 }
 
-// replace takes endpoints out one after another, told first, and puts new ones, which are cold, in their place.
-func (w *world) replace(these []*endpoint, begin, over time.Duration) {
+// replaceEndpoints takes endpoints out one after another, told first, and puts new ones, which are cold, in their place.
+func (w *simulation) replaceEndpoints(these []*endpoint, begin, over time.Duration) {
 	for i, old := range these {
-		w.in(begin+over*time.Duration(i)/time.Duration(len(these)), func() {
-			e := w.add(old.tier, len(w.tiers[old.tier]), w.now)
+		w.schedule(begin+over*time.Duration(i)/time.Duration(len(these)), func() {
+			e := w.addEndpoint(old.tier, len(w.tiers[old.tier]), w.now)
 			e.cell, e.zone, e.kind, e.speed = old.cell, old.zone, old.kind, old.speed
-			w.beside(e)
-			w.changed(e)
-			old.listed = balance.Draining
-			w.changed(old)
-			w.in(6*time.Second, func() {
-				old.gone = true
-				w.changed(old)
-				w.in(2*time.Second, old.die)
+			w.addOwnSidecar(e)
+			w.announce(e)
+			old.listedState = balance.Draining
+			w.announce(old)
+			w.schedule(6*time.Second, func() {
+				old.isGone = true
+				w.announce(old)
+				w.schedule(2*time.Second, old.kill)
 			})
 		})
 	}
 }
 
-func sortCalls(calls []*call) {
-	slices.SortFunc(calls, func(a, b *call) int { return cmp.Or(cmp.Compare(len(a.id), len(b.id)), strings.Compare(a.id, b.id)) })
+func sortRequests(calls []*request) {
+	slices.SortFunc(calls, func(a, b *request) int { return cmp.Or(cmp.Compare(len(a.id), len(b.id)), strings.Compare(a.id, b.id)) })
 }
 
 // WriteSummary writes a Result for people.
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	leastDelay = 200 * time.Microsecond // of a message, one way: a network of one site
-	moreDelay  = 800 * time.Microsecond
-	slowTurn   = time.Second
+	minDelay      = 200 * time.Microsecond // of a message, one way: a network of one site
+	delayJitter   = 800 * time.Microsecond
+	meanSlowPhase = time.Second
 )
 
 // Simulation is nodes, and the network between them. It is not safe for concurrent use.
@@ -34,10 +34,10 @@
 	Nodes []*Node
 	IsCut func(from, to int) bool // what is sent over a link that is cut is lost; nil: none is
 
-	o      Options
-	rng    *rand.Rand
-	agenda eventqueue.Agenda[event]
-	at     map[netip.AddrPort]*Node
+	options Options
+	rng     *rand.Rand
+	queue   eventqueue.Agenda[event]
+	byAddr  map[netip.AddrPort]*Node
 
 	Messages, Bytes uint64 // sent
 	OnChange        func(by *Node, c swim.Change)
@@ -53,22 +53,22 @@
 	PausedUntil time.Duration // instant until which it does not run
 	ClockRate   float64       // of its clock
 	StartedAt   time.Duration
-	slow        bool
-	woken       uint64 // the event that will wake it
+	isSlow      bool
+	tickSeq     uint64 // the event that will wake it
 }
 
 // event is a message that comes to a node, or (nil) a tick.
 type event struct {
-	node *Node
-	m    *swim.Message
+	node    *Node
+	message *swim.Message
 }
 
 // New makes a world. Where it is not settled, nodes begin within its first second and join by the first of them.
 func New(o Options) *Simulation {
-	w := &Simulation{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), at: map[netip.AddrPort]*Node{}}
+	w := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
 	var known []swim.Update
 	for i := range o.Nodes {
-		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, slow: w.rng.Float64() < o.SlowFraction}
+		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, isSlow: w.rng.Float64() < o.SlowFraction}
 		w.Nodes = append(w.Nodes, n)
 		known = append(known, swim.Update{Peer: n.Peer, Incarnation: 1})
 	}
@@ -82,7 +82,7 @@
 		if i == 0 {
 			n.StartedAt = 0
 		}
-		w.agenda.Put(n.StartedAt, event{node: n})
+		w.queue.Put(n.StartedAt, event{node: n})
 	}
 	return w
 }
@@ -104,44 +104,44 @@
 
 // StartNode starts a node's process with the Peer that it has now.
 func (w *Simulation) StartNode(n *Node, known []swim.Update) {
-	o := w.o.Swim
+	o := w.options.Swim
 	o.Self, o.Seed, o.InitialMembers = n.Peer, w.rng.Uint64(), known
 	if o.Join == nil {
-		o.Join = []netip.AddrPort{Addr(0), Addr(w.o.Nodes / 2)}
+		o.Join = []netip.AddrPort{Addr(0), Addr(w.options.Nodes / 2)}
 	}
 	n.IsDown, n.StartedAt, n.PausedUntil = false, w.Now, 0
-	n.Node = swim.New(n.local(w.Now), o)
-	w.at[n.Peer.Addr] = n
-	w.wake(n)
+	n.Node = swim.New(n.clockTime(w.Now), o)
+	w.byAddr[n.Peer.Addr] = n
+	w.scheduleTick(n)
 }
 
 // Kill ends a node's process without a word.
 func (w *Simulation) Kill(n *Node) {
 	n.IsDown = true
-	if w.at[n.Peer.Addr] == n {
-		delete(w.at, n.Peer.Addr)
+	if w.byAddr[n.Peer.Addr] == n {
+		delete(w.byAddr, n.Peer.Addr)
 	}
 }
 
-// local is a node's clock.
-func (n *Node) local(now time.Duration) time.Duration {
+// clockTime is a node's clock.
+func (n *Node) clockTime(now time.Duration) time.Duration {
 	return time.Hour + time.Duration(float64(now)*n.ClockRate)
 }
 
-func (n *Node) world(local time.Duration) time.Duration {
+func (n *Node) simulationTime(local time.Duration) time.Duration {
 	return time.Duration(float64(local-time.Hour)/n.ClockRate) + 1
 }
 
-// wake asks for the next tick of a node; one that was asked for before is void.
-func (w *Simulation) wake(n *Node) {
-	n.woken = w.agenda.Put(max(n.world(n.NextTick()), w.Now), event{node: n})
+// scheduleTick asks for the next tick of a node; one that was asked for before is void.
+func (w *Simulation) scheduleTick(n *Node) {
+	n.tickSeq = w.queue.Put(max(n.simulationTime(n.NextTick()), w.Now), event{node: n})
 }
 
 // Run plays until an instant, or until done says so: it is asked after each event in which a view changed.
 func (w *Simulation) Run(until time.Duration, done func() bool) bool {
-	for e, ok := w.agenda.Take(until); ok; e, ok = w.agenda.Take(until) {
+	for e, ok := w.queue.Take(until); ok; e, ok = w.queue.Take(until) {
 		w.Now = e.At
-		if w.step(e) && done != nil && done() {
+		if w.handle(e) && done != nil && done() {
 			return true
 		}
 	}
@@ -149,69 +149,69 @@
 	return false
 }
 
-func (w *Simulation) step(e eventqueue.Entry[event]) (changed bool) {
-	n, m := e.What.node, e.What.m
+func (w *Simulation) handle(e eventqueue.Entry[event]) (changed bool) {
+	n, m := e.What.node, e.What.message
 	if n.Node == nil {
 		w.StartNode(n, nil)
 		return false
 	}
-	if n.IsDown || m == nil && e.Seq != n.woken {
+	if n.IsDown || m == nil && e.Seq != n.tickSeq {
 		return false
 	}
-	if w.blocked(n) {
-		w.agenda.Later(n.PausedUntil, e)
+	if w.isPaused(n) {
+		w.queue.Later(n.PausedUntil, e)
 		return false
 	}
 	was := n.ViewNumber()
 	if m == nil {
-		n.Tick(n.local(w.Now))
+		n.Tick(n.clockTime(w.Now))
 	} else {
 		heard := *m
 		if w.TamperMessage != nil {
 			heard = w.TamperMessage(n, heard)
 		}
-		n.Receive(n.local(w.Now), &heard)
+		n.Receive(n.clockTime(w.Now), &heard)
 	}
-	w.carry(n)
+	w.sendMessages(n)
 	for _, c := range n.TakeChanges() {
 		if w.OnChange != nil {
 			w.OnChange(n, c)
 		}
 	}
-	w.wake(n)
+	w.scheduleTick(n)
 	return n.ViewNumber() != was
 }
 
-// blocked tells whether a node does not run now.
-func (w *Simulation) blocked(n *Node) bool {
+// isPaused tells whether a node does not run now.
+func (w *Simulation) isPaused(n *Node) bool {
 	if n.PausedUntil > w.Now {
 		return true
 	}
-	if n.slow && w.Now-n.PausedUntil > time.Duration(w.rng.ExpFloat64()*float64(slowTurn)) && w.Now > n.PausedUntil+slowTurn/4 {
-		n.PausedUntil = w.Now + time.Duration(w.rng.ExpFloat64()*float64(slowTurn))
+	if n.isSlow && w.Now-n.PausedUntil > time.Duration(w.rng.ExpFloat64()*float64(meanSlowPhase)) && w.Now > n.PausedUntil+meanSlowPhase/4 {
+		n.PausedUntil = w.Now + time.Duration(w.rng.ExpFloat64()*float64(meanSlowPhase))
 		return true
 	}
 	return false
 }
 
-// carry sends what a node wants to send.
-func (w *Simulation) carry(n *Node) {
+// sendMessages sends what a node wants to send.
+func (w *Simulation) sendMessages(n *Node) {
 	var room [transport.MaxDatagramBytes]byte
 	for _, e := range n.TakeMessages() {
 		w.Messages++
 		w.Bytes += uint64(len(transport.AppendSwimMessage(room[:0], e.Message))) + transport.MaxOverheadBytes
-		to := w.at[e.To]
+		to := w.byAddr[e.To]
 		if to == nil || to.IsDown || w.IsCut != nil && w.IsCut(n.Index, to.Index) {
 			continue
 		}
-		delay := leastDelay + time.Duration(w.rng.Int64N(int64(moreDelay)))
+		delay := minDelay + time.Duration(w.rng.Int64N(int64(delayJitter)))
 		switch {
-		case e.Stream && w.rng.Float64() < w.o.LossFraction:
+		case e.Stream && w.rng.Float64() < w.options.LossFraction:
 			delay += 200 * time.Millisecond // TCP sends it again
-		case w.rng.Float64() < w.o.LossFraction:
+		case w.rng.Float64() < w.options.LossFraction:
 			continue
 		}
-		w.agenda.Put(w.Now+delay, event{to, e.Message})
+		w.queue.Put(w.Now+delay, event{to, e.Message})
 	}
 }
 
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -11,38 +11,38 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// play is a world whose views are held against what is done to it.
-type play struct {
+// checkedSimulation is a world whose views are held against what is done to it.
+type checkedSimulation struct {
 	*Simulation
 	t      *testing.T
 	events []clusterinvariant.Event
 }
 
 const (
-	detect = 12 * time.Second // the last of seven that is left finds out about six
-	settle = 3 * time.Second
+	detectWithin = 12 * time.Second // the last of seven that is left finds out about six
+	settleWithin = 3 * time.Second
 )
 
-func newPlay(t *testing.T, o Options) *play {
+func newCheckedSimulation(t *testing.T, o Options) *checkedSimulation {
 	t.Helper()
-	p := &play{Simulation: New(o), t: t}
+	p := &checkedSimulation{Simulation: New(o), t: t}
 	for _, n := range p.Nodes {
-		p.fact(clusterinvariant.Started, n)
+		p.recordFact(clusterinvariant.Started, n)
 		if o.StartConverged {
 			for _, other := range p.Nodes {
-				p.saw(n, other.Peer.Name, swim.Alive, 1)
+				p.recordObservation(n, other.Peer.Name, swim.Alive, 1)
 			}
 		}
 	}
-	p.OnChange = func(by *Node, c swim.Change) { p.saw(by, c.Name, c.To, c.Incarnation) }
+	p.OnChange = func(by *Node, c swim.Change) { p.recordObservation(by, c.Name, c.To, c.Incarnation) }
 	return p
 }
 
-func (p *play) saw(by *Node, of string, s swim.State, incarnation uint64) {
+func (p *checkedSimulation) recordObservation(by *Node, of string, s swim.State, incarnation uint64) {
 	p.events = append(p.events, clusterinvariant.Event{At: p.Now, Kind: clusterinvariant.StateObserved, Observer: by.Peer.Name, Subject: of, State: s.String(), Incarnation: incarnation})
 }
 
-func (p *play) fact(k clusterinvariant.Kind, n *Node) {
+func (p *checkedSimulation) recordFact(k clusterinvariant.Kind, n *Node) {
 	e := clusterinvariant.Event{At: p.Now, Kind: k}
 	if n != nil {
 		e.Subject = n.Peer.Name
@@ -50,37 +50,37 @@
 	p.events = append(p.events, e)
 }
 
-// during plays a trouble, and the time to settle after it.
-func (p *play) during(d time.Duration, begin, end func()) {
-	p.fact(clusterinvariant.FaultBegan, nil)
+// runWithFault plays a trouble, and the time to settle after it.
+func (p *checkedSimulation) runWithFault(d time.Duration, begin, end func()) {
+	p.recordFact(clusterinvariant.FaultBegan, nil)
 	begin()
 	p.Run(p.Now+d, nil)
 	end()
-	p.fact(clusterinvariant.FaultsEnded, nil)
-	p.Run(p.Now+settle+time.Second, nil)
+	p.recordFact(clusterinvariant.FaultsEnded, nil)
+	p.Run(p.Now+settleWithin+time.Second, nil)
 }
 
-func (p *play) cut(d time.Duration, cut func(from, to int) bool) {
-	p.during(d, func() { p.IsCut = cut }, func() { p.IsCut = nil })
+func (p *checkedSimulation) runWithCut(d time.Duration, cut func(from, to int) bool) {
+	p.runWithFault(d, func() { p.IsCut = cut }, func() { p.IsCut = nil })
 }
 
 // restart starts a node's process anew, with nothing that it knew.
-func (p *play) restart(n *Node, as swim.Peer) {
+func (p *checkedSimulation) restart(n *Node, as swim.Peer) {
 	if !n.IsDown {
 		p.Kill(n)
 	}
 	n.Peer = as
 	p.StartNode(n, nil)
-	p.fact(clusterinvariant.Started, n)
-	p.saw(n, as.Name, swim.Alive, 1)
+	p.recordFact(clusterinvariant.Started, n)
+	p.recordObservation(n, as.Name, swim.Alive, 1)
 }
 
-func (p *play) verdict() clusterinvariant.Verdict {
-	return clusterinvariant.CheckMembership(p.events, clusterinvariant.Limits{DetectWithin: detect, SettleWithin: settle, End: p.Now})
+func (p *checkedSimulation) check() clusterinvariant.Verdict {
+	return clusterinvariant.CheckMembership(p.events, clusterinvariant.Limits{DetectWithin: detectWithin, SettleWithin: settleWithin, End: p.Now})
 }
 
-// seeds are from how many each hard case is drawn; HARD=20 is what docs/design/026 was measured with.
-var seeds = func() int {
+// seedCount are from how many each hard case is drawn; HARD=20 is what docs/design/026 was measured with.
+var seedCount = func() int {
 	if more, err := strconv.Atoi(os.Getenv("HARD")); err == nil {
 		return more
 	}
@@ -88,98 +88,111 @@
 }()
 
 // The hard cases, each on fleets of seven that are drawn from several seeds.
-var hard = map[string]func(p *play){
-	"halves":      func(p *play) { p.cut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) }) },
-	"three parts": func(p *play) { p.cut(8*time.Second, func(a, b int) bool { return a%3 != b%3 }) },
-	"one alone":   func(p *play) { p.cut(20*time.Second, func(a, b int) bool { return a != b && (a == 2 || b == 2) }) },
-	"one way":     func(p *play) { p.cut(8*time.Second, func(a, b int) bool { return a == 1 && b == 4 }) },
-	"one deaf":    func(p *play) { p.cut(8*time.Second, func(_, b int) bool { return b == 4 }) },
-	"a bridge": func(p *play) {
-		p.cut(20*time.Second, func(a, b int) bool { return a != 3 && b != 3 && a < 3 != (b < 3) })
+var faultScenarios = map[string]func(p *checkedSimulation){
+	"halves": func(p *checkedSimulation) {
+		p.runWithCut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
 	},
-	"comes and goes": func(p *play) {
-		p.cut(15*time.Second, func(a, b int) bool { return p.Now/(2*time.Second)%2 == 0 && a < 3 != (b < 3) })
+	"three parts": func(p *checkedSimulation) { p.runWithCut(8*time.Second, func(a, b int) bool { return a%3 != b%3 }) },
+	"one alone": func(p *checkedSimulation) {
+		p.runWithCut(20*time.Second, func(a, b int) bool { return a != b && (a == 2 || b == 2) })
 	},
-	"loss": func(p *play) {
-		p.during(20*time.Second, func() { p.o.LossFraction = 0.3 }, func() { p.o.LossFraction = 0 })
+	"one way": func(p *checkedSimulation) {
+		p.runWithCut(8*time.Second, func(a, b int) bool { return a == 1 && b == 4 })
 	},
-	"stopped": func(p *play) { p.stall(200*time.Millisecond, 1); p.stall(2*time.Second, 1); p.stall(20*time.Second, 2) },
-	"fast and slow clocks": func(p *play) {
+	"one deaf": func(p *checkedSimulation) { p.runWithCut(8*time.Second, func(_, b int) bool { return b == 4 }) },
+	"a bridge": func(p *checkedSimulation) {
+		p.runWithCut(20*time.Second, func(a, b int) bool { return a != 3 && b != 3 && a < 3 != (b < 3) })
+	},
+	"comes and goes": func(p *checkedSimulation) {
+		p.runWithCut(15*time.Second, func(a, b int) bool { return p.Now/(2*time.Second)%2 == 0 && a < 3 != (b < 3) })
+	},
+	"loss": func(p *checkedSimulation) {
+		p.runWithFault(20*time.Second, func() { p.options.LossFraction = 0.3 }, func() { p.options.LossFraction = 0 })
+	},
+	"stopped": func(p *checkedSimulation) {
+		p.runWithPausedNodes(200*time.Millisecond, 1)
+		p.runWithPausedNodes(2*time.Second, 1)
+		p.runWithPausedNodes(20*time.Second, 2)
+	},
+	"fast and slow clocks": func(p *checkedSimulation) {
 		for i, rate := range []float64{0.8, 1.25} {
-			p.kill(1 + i)
+			p.killNodes(1 + i)
 			p.Nodes[1+i].ClockRate = rate
-			p.restart(p.Nodes[1+i], nextLife(p.Nodes[1+i]))
+			p.restart(p.Nodes[1+i], nextIncarnation(p.Nodes[1+i]))
 		}
 		p.Run(p.Now+30*time.Second, nil)
-		p.cut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
+		p.runWithCut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
 	},
-	"killed": func(p *play) { p.kill(1); p.Run(p.Now+detect, nil) },
-	"all but one": func(p *play) {
-		p.kill(1, 2, 3, 4, 5, 6)
-		p.Run(p.Now+detect+time.Second, nil)
+	"killed": func(p *checkedSimulation) { p.killNodes(1); p.Run(p.Now+detectWithin, nil) },
+	"all but one": func(p *checkedSimulation) {
+		p.killNodes(1, 2, 3, 4, 5, 6)
+		p.Run(p.Now+detectWithin+time.Second, nil)
 		for _, n := range p.Nodes[1:] {
-			p.restart(n, nextLife(n))
+			p.restart(n, nextIncarnation(n))
 		}
-		p.Run(p.Now+settle+time.Second, nil)
+		p.Run(p.Now+settleWithin+time.Second, nil)
+	},
+	"restarted at once": func(p *checkedSimulation) {
+		p.restart(p.Nodes[1], nextIncarnation(p.Nodes[1]))
+		p.Run(p.Now+2*settleWithin, nil)
 	},
-	"restarted at once": func(p *play) { p.restart(p.Nodes[1], nextLife(p.Nodes[1])); p.Run(p.Now+2*settle, nil) },
-	"moved": func(p *play) {
-		as := nextLife(p.Nodes[1])
+	"moved": func(p *checkedSimulation) {
+		as := nextIncarnation(p.Nodes[1])
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
-		p.Run(p.Now+2*settle, nil)
+		p.Run(p.Now+2*settleWithin, nil)
 	},
-	"another at the old address": func(p *play) {
-		p.kill(1)
-		as := nextLife(p.Nodes[1])
+	"another at the old address": func(p *checkedSimulation) {
+		p.killNodes(1)
+		as := nextIncarnation(p.Nodes[1])
 		as.Name = "new"
 		p.restart(p.Nodes[1], as)
-		p.Run(p.Now+detect+settle, nil)
+		p.Run(p.Now+detectWithin+settleWithin, nil)
 	},
 	// Yesterday's: it was stopped before two others ended for good and one moved, and all but it have forgotten them.
-	"stale": func(p *play) {
-		p.kill(5, 6)
+	"stale": func(p *checkedSimulation) {
+		p.killNodes(5, 6)
 		stale := p.Nodes[2]
-		p.fact(clusterinvariant.FaultBegan, nil)
+		p.recordFact(clusterinvariant.FaultBegan, nil)
 		stale.PausedUntil = p.Now + 30*time.Minute
 		p.Run(p.Now+15*time.Minute, nil)
-		as := nextLife(p.Nodes[1])
+		as := nextIncarnation(p.Nodes[1])
 		as.Addr = Addr(100)
 		p.restart(p.Nodes[1], as)
-		p.Run(stale.PausedUntil+detect, nil) // who it has not heard the end of it finds out about like anybody
-		p.fact(clusterinvariant.FaultsEnded, nil)
-		p.Run(p.Now+settle+time.Second, nil)
+		p.Run(stale.PausedUntil+detectWithin, nil) // who it has not heard the end of it finds out about like anybody
+		p.recordFact(clusterinvariant.FaultsEnded, nil)
+		p.Run(p.Now+settleWithin+time.Second, nil)
 	},
-	"left": func(p *play) {
+	"left": func(p *checkedSimulation) {
 		n := p.Nodes[1]
-		p.fact(clusterinvariant.ShutdownBegan, n)
-		n.Leave(n.local(p.Now))
-		p.carry(n)
+		p.recordFact(clusterinvariant.ShutdownBegan, n)
+		n.Leave(n.clockTime(p.Now))
+		p.sendMessages(n)
 		p.Run(p.Now+300*time.Millisecond, nil)
 		p.Kill(n)
-		p.fact(clusterinvariant.Left, n)
-		p.Run(p.Now+2*settle, nil)
-		p.restart(n, nextLife(n))
-		p.Run(p.Now+2*settle, nil)
+		p.recordFact(clusterinvariant.Left, n)
+		p.Run(p.Now+2*settleWithin, nil)
+		p.restart(n, nextIncarnation(n))
+		p.Run(p.Now+2*settleWithin, nil)
 	},
 }
 
-// nextLife is a node as it is when it is started again.
-func nextLife(n *Node) swim.Peer {
+// nextIncarnation is a node as it is when it is started again.
+func nextIncarnation(n *Node) swim.Peer {
 	as := n.Peer
 	as.Generation += 1000
 	return as
 }
 
-func (p *play) kill(places ...int) {
+func (p *checkedSimulation) killNodes(places ...int) {
 	for _, i := range places {
 		p.Kill(p.Nodes[i])
-		p.fact(clusterinvariant.Killed, p.Nodes[i])
+		p.recordFact(clusterinvariant.Killed, p.Nodes[i])
 	}
 }
 
-func (p *play) stall(d time.Duration, n int) {
-	p.during(d, func() {
+func (p *checkedSimulation) runWithPausedNodes(d time.Duration, n int) {
+	p.runWithFault(d, func() {
 		for _, node := range p.Nodes[1 : 1+n] {
 			node.PausedUntil = p.Now + d
 		}
@@ -187,13 +200,13 @@
 }
 
 func TestHardCases(t *testing.T) {
-	for name, strike := range hard {
+	for name, strike := range faultScenarios {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(seeds) {
-				p := newPlay(t, Options{Nodes: 7, Seed: seed + 1, StartConverged: true})
+			for seed := range uint64(seedCount) {
+				p := newCheckedSimulation(t, Options{Nodes: 7, Seed: seed + 1, StartConverged: true})
 				p.Run(5*time.Second, nil)
 				strike(p)
-				v := p.verdict()
+				v := p.check()
 				for _, b := range v.Breaches[:min(len(v.Breaches), 3)] {
 					t.Errorf("seed %d at %v: %s: %s", seed+1, b.At, b.Rule, b.Text)
 				}
@@ -207,12 +220,12 @@
 
 // A bad detector is caught, by the right rule; a good one on the same day is not.
 func TestABadDetectorIsCaught(t *testing.T) {
-	day := func(p *play) clusterinvariant.Verdict {
+	day := func(p *checkedSimulation) clusterinvariant.Verdict {
 		p.Run(5*time.Second, nil)
-		p.cut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
-		hard["left"](p)
+		p.runWithCut(8*time.Second, func(a, b int) bool { return a < 3 != (b < 3) })
+		faultScenarios["left"](p)
 		p.Run(p.Now+time.Minute, nil)
-		return p.verdict()
+		return p.check()
 	}
 	deaf := func(n *Node, m swim.Message) swim.Message { // it hears nothing of itself, and never refutes
 		var others []swim.Update
@@ -246,7 +259,7 @@
 		{"forgets who left", clusterinvariant.LeftIsNotFailed, swim.Options{}, rude},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
-			p := newPlay(t, Options{Nodes: 7, Seed: 1, StartConverged: true, LossFraction: 0.05, Swim: bad.swim})
+			p := newCheckedSimulation(t, Options{Nodes: 7, Seed: 1, StartConverged: true, LossFraction: 0.05, Swim: bad.swim})
 			p.TamperMessage = bad.tamper
 			caught := false
 			v := day(p)
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -32,9 +32,9 @@
 }
 
 const (
-	warmUp = 20 * time.Second
-	kills  = 5
-	cutFor = 20 * time.Second
+	warmUpPeriod = 20 * time.Second
+	maxKills     = 5
+	cutDuration  = 20 * time.Second
 )
 
 // options are those of a case's world.
@@ -55,32 +55,32 @@
 		incarnation uint64
 	}
 	seen := map[verdict]bool{}
-	w.Run(warmUp, nil)
+	w.Run(warmUpPeriod, nil)
 	sent, bytes := w.Messages, w.Bytes
 	w.OnChange = func(_ *Node, ch swim.Change) {
 		if ch.To == swim.Failed {
 			seen[verdict{ch.Name, ch.Incarnation}] = true
 		}
 	}
-	w.Run(warmUp+c.ObservationPeriod, nil)
+	w.Run(warmUpPeriod+c.ObservationPeriod, nil)
 	w.OnChange = nil
 	m.FalseFailureRate = float64(len(seen)) / c.ObservationPeriod.Hours()
 	perNode := c.ObservationPeriod.Seconds() * float64(c.Nodes)
 	m.MessageRate, m.ByteRate = float64(w.Messages-sent)/perNode, float64(w.Bytes-bytes)/perNode
-	for i := range min(kills, c.Nodes/3) {
-		c.kill(w, w.Nodes[1+i*(c.Nodes-1)/kills], &m)
+	for i := range min(maxKills, c.Nodes/3) {
+		c.measureDetection(w, w.Nodes[1+i*(c.Nodes-1)/maxKills], &m)
 	}
 	if heal {
-		m.RecoveryTime = c.heal()
+		m.RecoveryTime = c.measureRecovery()
 	}
 	slices.Sort(m.FirstDetections)
 	slices.Sort(m.FullDetections)
 	return m
 }
 
-// kill ends a node and waits until all others know.
-func (c Case) kill(w *Simulation, n *Node, m *Measurement) {
-	if n.slow { // its end can't be told from its slowness
+// measureDetection ends a node and waits until all others know.
+func (c Case) measureDetection(w *Simulation, n *Node, m *Measurement) {
+	if n.isSlow { // its end can't be told from its slowness
 		return
 	}
 	at, know := w.Now, map[int]bool{}
@@ -104,12 +104,12 @@
 	w.OnChange = nil
 }
 
-// heal cuts a fleet into halves, heals it, and waits until all agree.
-func (c Case) heal() time.Duration {
+// measureRecovery cuts a fleet into halves, heals it, and waits until all agree.
+func (c Case) measureRecovery() time.Duration {
 	w := New(c.options())
 	w.Run(5*time.Second, nil)
 	w.IsCut = func(a, b int) bool { return a%2 != b%2 }
-	w.Run(w.Now+cutFor, nil)
+	w.Run(w.Now+cutDuration, nil)
 	w.IsCut = nil
 	at := w.Now
 	if !w.Run(at+time.Minute, func() bool { return HaveConverged(w.Nodes) }) {
@@ -130,7 +130,7 @@
 			healed = m.RecoveryTime.Round(100 * time.Millisecond).String()
 		}
 		fmt.Fprintf(&rows, "%d\t%.0f %%\t%.0f %%\t%v\t%.0f\t%s\t%s\t%s\t%s\t%.1f\t%.0f\t%s\n", c.Nodes, 100*c.LossFraction, 100*c.SlowFraction, !c.WithoutLifeguard, m.FalseFailureRate,
-			at(m.FirstDetections, 0.5), at(m.FirstDetections, 1), at(m.FullDetections, 0.5), at(m.FullDetections, 1), m.MessageRate, m.ByteRate, healed)
+			formatQuantile(m.FirstDetections, 0.5), formatQuantile(m.FirstDetections, 1), formatQuantile(m.FullDetections, 0.5), formatQuantile(m.FullDetections, 1), m.MessageRate, m.ByteRate, healed)
 	}
 	for _, n := range sizes {
 		length := 4 * time.Minute
@@ -158,7 +158,7 @@
 				hard.Nodes, hard.ObservationPeriod, hard.Seed = 100, 2*time.Minute, seed
 				hard.Swim = swim.Options{ProbeInterval: every, SuspicionTimeout: suspicion}
 				m := hard.Measure(false)
-				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", every, suspicion, 100*hard.LossFraction, 100*hard.SlowFraction, m.FalseFailureRate, at(m.FullDetections, 0.5), at(m.FullDetections, 1), m.MessageRate)
+				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", every, suspicion, 100*hard.LossFraction, 100*hard.SlowFraction, m.FalseFailureRate, formatQuantile(m.FullDetections, 0.5), formatQuantile(m.FullDetections, 1), m.MessageRate)
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 	return t.Flush()
 }
 
-// at is a quantile of sorted times.
-func at(d []time.Duration, q float64) string {
+// formatQuantile is a quantile of sorted times.
+func formatQuantile(d []time.Duration, q float64) string {
 	if len(d) == 0 {
 		return "-"
 	}
--- a/internal/testkit/swimsim/table_test.go
+++ b/internal/testkit/swimsim/table_test.go
@@ -34,10 +34,10 @@
 }
 
 func TestQuantileOfNoTimesIsADash(t *testing.T) {
-	if got := at(nil, 0.5); got != "-" {
+	if got := formatQuantile(nil, 0.5); got != "-" {
 		t.Errorf("%q", got)
 	}
-	if got := at([]time.Duration{time.Second, 2 * time.Second}, 1); got != "2s" {
+	if got := formatQuantile([]time.Duration{time.Second, 2 * time.Second}, 1); got != "2s" {
 		t.Errorf("%q", got)
 	}
 }
