--- a/cmd/tuliprock/faultschedule_judge_test.go
+++ b/cmd/tuliprock/faultschedule_judge_test.go
@@ -22,7 +22,7 @@
 	versions := s.versions(history)
 	acts := s.acts(versions)
 	v := clusterinvariant.CheckVersions(acts, maxConflict)
-	for _, b := range v.Breaches[:min(len(v.Breaches), 5)] {
+	for _, b := range v.Violations[:min(len(v.Violations), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
 	for id := range s.requestsShed {
@@ -41,7 +41,7 @@
 	}
 	t.Logf("SCHEDULE %d versions of %d acted on in %d requests, the longest contradiction %v of %v; %d refused, "+
 		"%d without an answer; %d operations on the flag; refused by trouble %v",
-		v.Versions, version, len(acts), v.Longest.Round(time.Millisecond), maxConflict, len(s.requestsShed),
+		v.Versions, version, len(acts), v.LongestContradiction.Round(time.Millisecond), maxConflict, len(s.requestsShed),
 		s.unansweredCount, len(s.flagOperations), s.shedByFault())
 }
 
--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -21,8 +21,8 @@
 	ViewsConverge         Rule = "views agree in time after the last fault"
 )
 
-// Rules are all of them.
-var Rules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
+// MembershipRules are all of them.
+var MembershipRules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
 
 // Kind is what a Event tells.
 type Kind int
@@ -63,10 +63,10 @@
 
 // Verdict is what Judge finds. A rule that is not among Tested was not put to the test.
 type Verdict struct {
-	Breaches []Violation
-	Tested   map[Rule]int  // how often
-	Detect   time.Duration // the longest that one that was gone was not found out by all, where nothing else was wrong
-	Settle   time.Duration // the longest after a fault until all views were right
+	Violations []Violation
+	TestedOccasions   map[Rule]int  // how often
+	SlowestDetection   time.Duration // the longest that one that was gone was not found out by all, where nothing else was wrong
+	SlowestConvergence   time.Duration // the longest after a fault until all views were right
 }
 
 type observation struct {
@@ -92,7 +92,7 @@
 // CheckMembership holds a timeline, in order of time, against the rules.
 func CheckMembership(events []Event, l Limits) Verdict {
 	j := &checker{limits: l, status: map[string]Kind{}, since: map[string]time.Duration{}, views: map[string]map[string]observation{}, pendingDetections: map[[2]string]time.Duration{}}
-	j.verdict.Tested = map[Rule]int{}
+	j.verdict.TestedOccasions = map[Rule]int{}
 	for _, e := range events {
 		j.checkDetectionDeadlines(e.At)
 		if e.Kind == StateObserved {
@@ -108,7 +108,7 @@
 }
 
 func (j *checker) addViolation(r Rule, at time.Duration, format string, args ...any) {
-	j.verdict.Breaches = append(j.verdict.Breaches, Violation{r, at, fmt.Sprintf(format, args...)})
+	j.verdict.Violations = append(j.verdict.Violations, Violation{r, at, fmt.Sprintf(format, args...)})
 }
 
 // isSettled tells whether nothing has been wrong for as long as it takes to settle.
@@ -165,13 +165,13 @@
 	was, known := holds[e.Subject]
 	holds[e.Subject] = observation{e.State, e.Incarnation}
 	if known {
-		j.verdict.Tested[IncarnationsMonotonic]++
+		j.verdict.TestedOccasions[IncarnationsMonotonic]++
 		if e.Incarnation < was.incarnation {
 			j.addViolation(IncarnationsMonotonic, e.At, "%s held incarnation %d of %s, and now %d", e.Observer, was.incarnation, e.Subject, e.Incarnation)
 		}
 	}
 	if known && was.state == "left" {
-		j.verdict.Tested[LeftIsNotFailed]++
+		j.verdict.TestedOccasions[LeftIsNotFailed]++
 		if isPresent(e.State) && e.Incarnation <= was.incarnation || e.State == "failed" && e.Incarnation <= was.incarnation {
 			j.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
 		}
@@ -179,8 +179,8 @@
 	pair := [2]string{e.Observer, e.Subject}
 	if _, waits := j.pendingDetections[pair]; waits && !isPresent(e.State) {
 		delete(j.pendingDetections, pair)
-		j.verdict.Tested[FailureDetected]++
-		j.verdict.Detect = max(j.verdict.Detect, e.At-j.since[e.Subject])
+		j.verdict.TestedOccasions[FailureDetected]++
+		j.verdict.SlowestDetection = max(j.verdict.SlowestDetection, e.At-j.since[e.Subject])
 	}
 	defer j.noteConvergence(e.At)
 	if is := j.status[e.Subject]; (is == ShutdownBegan || is == Left) && e.State == "failed" && !j.faultActive {
@@ -205,7 +205,7 @@
 		}
 	}
 	j.converged = true
-	j.verdict.Settle = max(j.verdict.Settle, now-j.lastFactAt)
+	j.verdict.SlowestConvergence = max(j.verdict.SlowestConvergence, now-j.lastFactAt)
 }
 
 // checkViews holds all views against what is so, where they have had the time.
@@ -233,14 +233,14 @@
 }
 
 func (j *checker) checkView(now time.Duration, by, of, state string) {
-	j.verdict.Tested[ViewsConverge]++
+	j.verdict.TestedOccasions[ViewsConverge]++
 	switch is := j.status[of]; {
 	case is == ShutdownBegan:
 		if state == "failed" {
 			j.addViolation(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", by, of)
 		}
 	case is == Started:
-		j.verdict.Tested[NoFalsePositive]++
+		j.verdict.TestedOccasions[NoFalsePositive]++
 		if state == "failed" {
 			j.addViolation(NoFalsePositive, now, "%s still holds %s for failed, which answers, %v after the last fault", by, of, now-j.lastFactAt)
 		} else if !isPresent(state) { // a suspicion is no verdict: it ends by itself, one way or the other
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -42,8 +42,8 @@
 		"a new life, within time": {[]VersionReport{act(2*second, "a", 2, "y"), {RequestedAt: 3 * second, ReportedAt: 3 * second, Daemon: "a", Incarnation: 1, Version: 1, Digest: "x"}}, ""},
 	} {
 		v := CheckVersions(append([]VersionReport{act(second, "a", 1, "x"), act(second, "b", 1, "x")}, c.then...), 2*second)
-		if (len(v.Breaches) > 0) != (c.rule != "") || c.rule != "" && v.Breaches[0].Rule != c.rule {
-			t.Errorf("%s: %+v", name, v.Breaches)
+		if (len(v.Violations) > 0) != (c.rule != "") || c.rule != "" && v.Violations[0].Rule != c.rule {
+			t.Errorf("%s: %+v", name, v.Violations)
 		}
 	}
 }
@@ -72,13 +72,13 @@
 	} {
 		v := CheckMembership(append(threeKnownDaemons(), c.then...), Limits{DetectWithin: 6 * second, SettleWithin: 3 * second, End: 40 * second})
 		broken := map[Rule]bool{}
-		for _, b := range v.Breaches {
+		for _, b := range v.Violations {
 			broken[b.Rule] = true
 		}
-		if len(broken) > 1 && c.rule == "" || len(v.Breaches) > 0 != (c.rule != "") || c.rule != "" && !broken[c.rule] {
-			t.Errorf("%s: %+v", name, v.Breaches)
+		if len(broken) > 1 && c.rule == "" || len(v.Violations) > 0 != (c.rule != "") || c.rule != "" && !broken[c.rule] {
+			t.Errorf("%s: %+v", name, v.Violations)
 		}
-		if c.must != c.rule && v.Tested[c.must] == 0 {
+		if c.must != c.rule && v.TestedOccasions[c.must] == 0 {
 			t.Errorf("%s: %q was not put to the test", name, c.must)
 		}
 	}
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -25,10 +25,10 @@
 
 // VersionVerdict is what JudgeVersions finds.
 type VersionVerdict struct {
-	Breaches []Violation
-	Acts     int
+	Violations []Violation
+	Reports     int
 	Versions int
-	Longest  time.Duration // the longest contradiction that is certain
+	LongestContradiction  time.Duration // the longest contradiction that is certain
 }
 
 // CheckVersions holds acts, in order of Said, against the promise that from the moment at which some daemon acts on a version
@@ -39,7 +39,7 @@
 		version uint64
 		at      time.Duration
 	}
-	v := VersionVerdict{Acts: len(acts)}
+	v := VersionVerdict{Reports: len(acts)}
 	var first []began // ascending in both
 	digests := map[uint64]string{}
 	type life struct {
@@ -56,10 +56,10 @@
 		if was := holds[who]; a.Version >= was.version {
 			holds[who] = held{a.Version, a.ReportedAt}
 		} else if a.RequestedAt > was.said { // else the two may have crossed
-			v.Breaches = append(v.Breaches, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", a.Daemon, was.version, a.Version)})
+			v.Violations = append(v.Violations, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", a.Daemon, was.version, a.Version)})
 		}
 		if was, ok := digests[a.Version]; ok && was != a.Digest {
-			v.Breaches = append(v.Breaches, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s acts on another version %d than others", a.Daemon, a.Version)})
+			v.Violations = append(v.Violations, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s acts on another version %d than others", a.Daemon, a.Version)})
 		}
 		digests[a.Version] = a.Digest
 		for _, b := range first {
@@ -67,9 +67,9 @@
 				continue
 			}
 			if over := a.RequestedAt - b.at; over > 0 {
-				v.Longest = max(v.Longest, over)
+				v.LongestContradiction = max(v.LongestContradiction, over)
 				if over > within {
-					v.Breaches = append(v.Breaches, Violation{NoContradiction, a.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after somebody acted on version %d", a.Daemon, a.Version, over, b.version)})
+					v.Violations = append(v.Violations, Violation{NoContradiction, a.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after somebody acted on version %d", a.Daemon, a.Version, over, b.version)})
 				}
 			}
 			break
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -46,25 +46,25 @@
 	config := c.rehearsal.plan.Day.Cluster
 	verdict := clusterinvariant.CheckMembership(c.events, clusterinvariant.Limits{DetectWithin: config.DetectWithin,
 		SettleWithin: config.SettleWithin, End: end})
-	result := &ClusterResult{DetectionSeconds: verdict.Detect.Seconds(), SettleSeconds: verdict.Settle.Seconds(),
+	result := &ClusterResult{DetectionSeconds: verdict.SlowestDetection.Seconds(), SettleSeconds: verdict.SlowestConvergence.Seconds(),
 		Events: len(c.events)}
-	rules := clusterinvariant.Rules
+	rules := clusterinvariant.MembershipRules
 	if config.HasConsensus {
 		slices.SortStableFunc(c.acts, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
 		versions := clusterinvariant.CheckVersions(c.acts, maxConflictDuration)
-		result.Acts, result.Versions = versions.Acts, versions.Versions
-		result.ContradictionSeconds = versions.Longest.Seconds()
-		verdict.Breaches = append(verdict.Breaches, versions.Breaches...)
+		result.Acts, result.Versions = versions.Reports, versions.Versions
+		result.ContradictionSeconds = versions.LongestContradiction.Seconds()
+		verdict.Violations = append(verdict.Violations, versions.Violations...)
 		rules = append(slices.Clone(rules), clusterinvariant.VersionRules...)
 		for _, rule := range clusterinvariant.VersionRules {
-			verdict.Tested[rule] = max(versions.Versions-1, 0)
+			verdict.TestedOccasions[rule] = max(versions.Versions-1, 0)
 		}
 	}
-	result.Held = len(verdict.Breaches) == 0
+	result.Held = len(verdict.Violations) == 0
 	for _, rule := range rules {
-		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: verdict.Tested[rule],
+		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: verdict.TestedOccasions[rule],
 			Violations: []clusterinvariant.Violation{}}
-		for _, violation := range verdict.Breaches {
+		for _, violation := range verdict.Violations {
 			if violation.Rule == rule && len(finding.Violations) < maxReportedViolations {
 				violation.At -= dayStart
 				finding.Violations = append(finding.Violations, violation)
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -207,10 +207,10 @@
 				p.Run(5*time.Second, nil)
 				strike(p)
 				v := p.check()
-				for _, b := range v.Breaches[:min(len(v.Breaches), 3)] {
+				for _, b := range v.Violations[:min(len(v.Violations), 3)] {
 					t.Errorf("seed %d at %v: %s: %s", seed+1, b.At, b.Rule, b.Text)
 				}
-				if v.Tested[clusterinvariant.ViewsConverge] == 0 {
+				if v.TestedOccasions[clusterinvariant.ViewsConverge] == 0 {
 					t.Fatalf("seed %d: agreement was not put to the test", seed+1)
 				}
 			}
@@ -263,11 +263,11 @@
 			p.TamperMessage = bad.tamper
 			caught := false
 			v := day(p)
-			for _, b := range v.Breaches {
+			for _, b := range v.Violations {
 				caught = caught || b.Rule == bad.rule
 			}
-			if caught != (bad.rule != "") || bad.rule == "" && len(v.Breaches) > 0 {
-				t.Errorf("%d breaches, the first %+v", len(v.Breaches), v.Breaches[:min(len(v.Breaches), 3)])
+			if caught != (bad.rule != "") || bad.rule == "" && len(v.Violations) > 0 {
+				t.Errorf("%d breaches, the first %+v", len(v.Violations), v.Violations[:min(len(v.Violations), 3)])
 			}
 		})
 	}
