--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -63,10 +63,10 @@
 
 // Verdict is what Judge finds. A rule that is not among Tested was not put to the test.
 type Verdict struct {
-	Violations []Violation
-	TestedOccasions   map[Rule]int  // how often
+	Violations         []Violation
+	TestedOccasions    map[Rule]int  // how often
 	SlowestDetection   time.Duration // the longest that one that was gone was not found out by all, where nothing else was wrong
-	SlowestConvergence   time.Duration // the longest after a fault until all views were right
+	SlowestConvergence time.Duration // the longest after a fault until all views were right
 }
 
 type observation struct {
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -25,10 +25,10 @@
 
 // VersionVerdict is what JudgeVersions finds.
 type VersionVerdict struct {
-	Violations []Violation
-	Reports     int
-	Versions int
-	LongestContradiction  time.Duration // the longest contradiction that is certain
+	Violations           []Violation
+	Reports              int
+	Versions             int
+	LongestContradiction time.Duration // the longest contradiction that is certain
 }
 
 // CheckVersions holds acts, in order of Said, against the promise that from the moment at which some daemon acts on a version
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -1,5 +1,5 @@
-// Package swimsim plays hundreds and thousands of swim nodes on one heap of events in virtual time: links that lose, daemons
-// that are slow, stopped or killed, cuts that heal. The same seed gives the same play.
+// Package swimsim runs clusters of up to thousands of swim nodes in virtual time, on one event queue: with links that lose
+// messages, network cuts that heal, and daemons that are slow, paused or killed. The same seed gives the same run.
 package swimsim
 
 import (
@@ -12,84 +12,90 @@
 	"tuliprock/internal/testkit/eventqueue"
 )
 
-// Options of a World.
+// Options configure a Simulation.
 type Options struct {
 	Nodes          int
 	Seed           uint64
-	StartConverged bool    // all know one another at the start
-	LossFraction   float64 // of datagrams
-	SlowFraction   float64 // share of nodes that stop and go: blocked and running for a second by turns, on average
-	Swim           swim.Options
+	StartConverged bool         // every node runs at the start and knows all others
+	LossFraction   float64      // fraction of messages that are lost; the same fraction of stream messages is delayed first
+	SlowFraction   float64      // fraction of nodes that alternate between pauses and running phases of about a second each
+	Swim           swim.Options // options of every node; Self, Seed and InitialMembers are overwritten
 }
 
+// Delays of one message, one way, as in the network of one site: from minDelay up to delayJitter more.
 const (
-	minDelay      = 200 * time.Microsecond // of a message, one way: a network of one site
-	delayJitter   = 800 * time.Microsecond
-	meanSlowPhase = time.Second
+	minDelay    = 200 * time.Microsecond
+	delayJitter = 800 * time.Microsecond
+	resendDelay = 200 * time.Millisecond // added to a stream message whose packet is lost: TCP sends the packet again
 )
 
-// Simulation is nodes, and the network between them. It is not safe for concurrent use.
+// meanSlowPhase is the mean length of a slow node's pauses, and about that of the phases in which it runs.
+const meanSlowPhase = time.Second
+
+// Simulation is a set of nodes and the network between them. It is not safe for concurrent use.
 type Simulation struct {
-	Now   time.Duration
+	Now   time.Duration // virtual time since the start
 	Nodes []*Node
-	IsCut func(from, to int) bool // what is sent over a link that is cut is lost; nil: none is
+	IsCut func(from, to int) bool // reports whether messages between two nodes, given by index, are lost; nil: no link is cut
 
 	options Options
 	rng     *rand.Rand
 	queue   eventqueue.Agenda[event]
-	byAddr  map[netip.AddrPort]*Node
+	byAddr  map[netip.AddrPort]*Node // running node at each address
 
-	Messages, Bytes uint64 // sent
-	OnChange        func(by *Node, c swim.Change)
-	TamperMessage   func(to *Node, m swim.Message) swim.Message // what a node hears in place of a message: so detectors are made bad; nil: nothing
+	Messages, Bytes uint64                                      // totals sent by all nodes, with lost messages
+	OnChange        func(by *Node, c swim.Change)               // called for each state change in a node's view; may be nil
+	TamperMessage   func(to *Node, m swim.Message) swim.Message // replaces each received message, to simulate a faulty detector; may be nil
 }
 
-// Node is a node and its process.
+// Node is a simulated daemon: a swim node, and the state of its process.
 type Node struct {
-	*swim.Node
-	Index       int
-	Peer        swim.Peer
-	IsDown      bool
-	PausedUntil time.Duration // instant until which it does not run
-	ClockRate   float64       // of its clock
-	StartedAt   time.Duration
-	isSlow      bool
-	tickSeq     uint64 // the event that will wake it
-}
-
-// event is a message that comes to a node, or (nil) a tick.
+	*swim.Node                // nil until the first start
+	Index       int           // position in Simulation.Nodes
+	Peer        swim.Peer     // identity with which the process was started, or will be
+	IsDown      bool          // the process does not run
+	PausedUntil time.Duration // virtual time until which the process is paused
+	ClockRate   float64       // speed of the process's clock relative to virtual time
+	StartedAt   time.Duration // virtual time of the latest start
+	isSlow      bool          // the node alternates between pauses and running phases
+	tickSeq     uint64        // sequence number of the only scheduled tick that is valid
+}
+
+// event is the arrival of a message at a node or, if message is nil, a tick or the first start of the node.
 type event struct {
 	node    *Node
 	message *swim.Message
 }
 
-// New makes a world. Where it is not settled, nodes begin within its first second and join by the first of them.
+// New returns a simulation at virtual time 0. Unless the nodes start converged, the first node starts at 0 and the others at
+// random instants within the first second.
 func New(o Options) *Simulation {
-	w := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
-	var known []swim.Update
+	s := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
+	var members []swim.Update
 	for i := range o.Nodes {
-		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, isSlow: w.rng.Float64() < o.SlowFraction}
-		w.Nodes = append(w.Nodes, n)
-		known = append(known, swim.Update{Peer: n.Peer, Incarnation: 1})
+		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, isSlow: s.rng.Float64() < o.SlowFraction}
+		s.Nodes = append(s.Nodes, n)
+		members = append(members, swim.Update{Peer: n.Peer, Incarnation: 1})
 	}
-	for i, n := range w.Nodes {
+	for i, n := range s.Nodes {
 		if o.StartConverged {
-			w.StartNode(n, known)
+			s.StartNode(n, members)
 			continue
 		}
 		n.IsDown = true
-		n.StartedAt = time.Duration(w.rng.Int64N(int64(time.Second)))
+		n.StartedAt = time.Duration(s.rng.Int64N(int64(time.Second)))
 		if i == 0 {
 			n.StartedAt = 0
 		}
-		w.queue.Put(n.StartedAt, event{node: n})
+		s.queue.Put(n.StartedAt, event{node: n})
 	}
-	return w
+	return s
 }
 
-// Name and Addr are a node's, by its place.
+// Name returns the name of the node with index i.
 func Name(i int) string { return "s" + string(appendInt(nil, i)) }
 
+// appendInt appends the decimal digits of i, which is not negative.
 func appendInt(b []byte, i int) []byte {
 	if i >= 10 {
 		b = appendInt(b, i/10)
@@ -97,135 +103,139 @@
 	return append(b, byte('0'+i%10))
 }
 
-// Addr is where the node at a place is.
+// Addr returns the address of the node with index i.
 func Addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
 }
 
-// StartNode starts a node's process with the Peer that it has now.
-func (w *Simulation) StartNode(n *Node, known []swim.Update) {
-	o := w.options.Swim
-	o.Self, o.Seed, o.InitialMembers = n.Peer, w.rng.Uint64(), known
+// StartNode starts a new process of a node, with the identity n.Peer and the initial members given. Unless the options name
+// addresses to join, it joins through the first node and the one in the middle.
+func (s *Simulation) StartNode(n *Node, members []swim.Update) {
+	o := s.options.Swim
+	o.Self, o.Seed, o.InitialMembers = n.Peer, s.rng.Uint64(), members
 	if o.Join == nil {
-		o.Join = []netip.AddrPort{Addr(0), Addr(w.options.Nodes / 2)}
+		o.Join = []netip.AddrPort{Addr(0), Addr(s.options.Nodes / 2)}
 	}
-	n.IsDown, n.StartedAt, n.PausedUntil = false, w.Now, 0
-	n.Node = swim.New(n.clockTime(w.Now), o)
-	w.byAddr[n.Peer.Addr] = n
-	w.scheduleTick(n)
+	n.IsDown, n.StartedAt, n.PausedUntil = false, s.Now, 0
+	n.Node = swim.New(n.clockTime(s.Now), o)
+	s.byAddr[n.Peer.Addr] = n
+	s.scheduleTick(n)
 }
 
-// Kill ends a node's process without a word.
-func (w *Simulation) Kill(n *Node) {
+// Kill ends a node's process without an announcement to its peers.
+func (s *Simulation) Kill(n *Node) {
 	n.IsDown = true
-	if w.byAddr[n.Peer.Addr] == n {
-		delete(w.byAddr, n.Peer.Addr)
+	if s.byAddr[n.Peer.Addr] == n {
+		delete(s.byAddr, n.Peer.Addr)
 	}
 }
 
-// clockTime is a node's clock.
+// clockTime returns what the node's clock shows at a virtual time.
 func (n *Node) clockTime(now time.Duration) time.Duration {
 	return time.Hour + time.Duration(float64(now)*n.ClockRate)
 }
 
-func (n *Node) simulationTime(local time.Duration) time.Duration {
-	return time.Duration(float64(local-time.Hour)/n.ClockRate) + 1
+// simulationTime is the inverse of clockTime, rounded up.
+func (n *Node) simulationTime(clockTime time.Duration) time.Duration {
+	return time.Duration(float64(clockTime-time.Hour)/n.ClockRate) + 1
 }
 
-// scheduleTick asks for the next tick of a node; one that was asked for before is void.
-func (w *Simulation) scheduleTick(n *Node) {
-	n.tickSeq = w.queue.Put(max(n.simulationTime(n.NextTick()), w.Now), event{node: n})
+// scheduleTick schedules the next tick of a node. A tick that was scheduled before becomes invalid.
+func (s *Simulation) scheduleTick(n *Node) {
+	n.tickSeq = s.queue.Put(max(n.simulationTime(n.NextTick()), s.Now), event{node: n})
 }
 
-// Run plays until an instant, or until done says so: it is asked after each event in which a view changed.
-func (w *Simulation) Run(until time.Duration, done func() bool) bool {
-	for e, ok := w.queue.Take(until); ok; e, ok = w.queue.Take(until) {
-		w.Now = e.At
-		if w.handle(e) && done != nil && done() {
+// Run handles events until a virtual time, or until done returns true, and reports whether done did. done may be nil; it is
+// called after each event that changed a node's view.
+func (s *Simulation) Run(until time.Duration, done func() bool) bool {
+	for e, ok := s.queue.Take(until); ok; e, ok = s.queue.Take(until) {
+		s.Now = e.At
+		if s.handle(e) && done != nil && done() {
 			return true
 		}
 	}
-	w.Now = until
+	s.Now = until
 	return false
 }
 
-func (w *Simulation) handle(e eventqueue.Entry[event]) (changed bool) {
+// handle handles one event, and reports whether the node's view changed.
+func (s *Simulation) handle(e eventqueue.Entry[event]) (viewChanged bool) {
 	n, m := e.What.node, e.What.message
 	if n.Node == nil {
-		w.StartNode(n, nil)
+		s.StartNode(n, nil)
 		return false
 	}
 	if n.IsDown || m == nil && e.Seq != n.tickSeq {
 		return false
 	}
-	if w.isPaused(n) {
-		w.queue.Later(n.PausedUntil, e)
+	if s.isPaused(n) {
+		s.queue.Later(n.PausedUntil, e)
 		return false
 	}
-	was := n.ViewNumber()
+	viewBefore := n.ViewNumber()
 	if m == nil {
-		n.Tick(n.clockTime(w.Now))
+		n.Tick(n.clockTime(s.Now))
 	} else {
-		heard := *m
-		if w.TamperMessage != nil {
-			heard = w.TamperMessage(n, heard)
+		received := *m
+		if s.TamperMessage != nil {
+			received = s.TamperMessage(n, received)
 		}
-		n.Receive(n.clockTime(w.Now), &heard)
+		n.Receive(n.clockTime(s.Now), &received)
 	}
-	w.sendMessages(n)
+	s.sendMessages(n)
 	for _, c := range n.TakeChanges() {
-		if w.OnChange != nil {
-			w.OnChange(n, c)
+		if s.OnChange != nil {
+			s.OnChange(n, c)
 		}
 	}
-	w.scheduleTick(n)
-	return n.ViewNumber() != was
+	s.scheduleTick(n)
+	return n.ViewNumber() != viewBefore
 }
 
-// isPaused tells whether a node does not run now.
-func (w *Simulation) isPaused(n *Node) bool {
-	if n.PausedUntil > w.Now {
+// isPaused reports whether a node is paused now. It may begin a pause of a slow node.
+func (s *Simulation) isPaused(n *Node) bool {
+	if n.PausedUntil > s.Now {
 		return true
 	}
-	if n.isSlow && w.Now-n.PausedUntil > time.Duration(w.rng.ExpFloat64()*float64(meanSlowPhase)) && w.Now > n.PausedUntil+meanSlowPhase/4 {
-		n.PausedUntil = w.Now + time.Duration(w.rng.ExpFloat64()*float64(meanSlowPhase))
+	if n.isSlow && s.Now-n.PausedUntil > time.Duration(s.rng.ExpFloat64()*float64(meanSlowPhase)) && s.Now > n.PausedUntil+meanSlowPhase/4 {
+		n.PausedUntil = s.Now + time.Duration(s.rng.ExpFloat64()*float64(meanSlowPhase))
 		return true
 	}
 	return false
 }
 
-// sendMessages sends what a node wants to send.
-func (w *Simulation) sendMessages(n *Node) {
-	var room [transport.MaxDatagramBytes]byte
+// sendMessages takes the messages that a node wants to send, counts them, and schedules the arrival of those that are not lost.
+func (s *Simulation) sendMessages(n *Node) {
+	var buffer [transport.MaxDatagramBytes]byte
 	for _, e := range n.TakeMessages() {
-		w.Messages++
-		w.Bytes += uint64(len(transport.AppendSwimMessage(room[:0], e.Message))) + transport.MaxOverheadBytes
-		to := w.byAddr[e.To]
-		if to == nil || to.IsDown || w.IsCut != nil && w.IsCut(n.Index, to.Index) {
+		s.Messages++
+		s.Bytes += uint64(len(transport.AppendSwimMessage(buffer[:0], e.Message))) + transport.MaxOverheadBytes
+		to := s.byAddr[e.To]
+		if to == nil || to.IsDown || s.IsCut != nil && s.IsCut(n.Index, to.Index) {
 			continue
 		}
-		delay := minDelay + time.Duration(w.rng.Int64N(int64(delayJitter)))
+		delay := minDelay + time.Duration(s.rng.Int64N(int64(delayJitter)))
 		switch {
-		case e.Stream && w.rng.Float64() < w.options.LossFraction:
-			delay += 200 * time.Millisecond // TCP sends it again
-		case w.rng.Float64() < w.options.LossFraction:
+		case e.Stream && s.rng.Float64() < s.options.LossFraction:
+			delay += resendDelay
+		case s.rng.Float64() < s.options.LossFraction: // also for a stream message that was not delayed
 			continue
 		}
-		w.queue.Put(w.Now+delay, event{to, e.Message})
+		s.queue.Put(s.Now+delay, event{to, e.Message})
 	}
 }
 
-// RunningNodes are the nodes whose processes run.
-func (w *Simulation) RunningNodes() (out []*Node) {
-	for _, n := range w.Nodes {
+// RunningNodes returns the nodes whose processes run, also those that are paused.
+func (s *Simulation) RunningNodes() (running []*Node) {
+	for _, n := range s.Nodes {
 		if !n.IsDown && n.Node != nil {
-			out = append(out, n)
+			running = append(running, n)
 		}
 	}
-	return out
+	return running
 }
 
-// HaveConverged tells whether all of these hold exactly one another for here, and nobody for suspect.
+// HaveConverged reports whether each of the nodes sees exactly the others as present members, and none as suspect.
 func HaveConverged(nodes []*Node) bool {
 	for _, n := range nodes {
 		if n.PresentCount() != len(nodes)-1 || n.Digest() != nodes[0].Digest() || n.SuspectCount() > 0 {
