--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -1,4 +1,6 @@
-// Package clusterinvariant holds what daemons of a fleet say of one another against what was done to them. It is pure.
+// Package clusterinvariant checks timelines of a cluster against invariants. CheckMembership compares the membership views that
+// daemons reported with what was done to the daemons and the network; CheckVersions checks the versions of the settings that
+// daemons acted on. The package does no I/O, reads no clock, and starts no goroutine.
 package clusterinvariant
 
 import (
@@ -7,246 +9,258 @@
 	"time"
 )
 
-const unknown = "unknown" // no State of an Event
+// unknown stands in violation texts for the state of a daemon that a view does not contain. It is never the State of an Event.
+const unknown = "unknown"
 
-// Rule is one of the rules of a fleet.
+// Rule is an invariant of a cluster, as results name it.
 type Rule string
 
-// The rules.
+// The rules of membership.
 const (
-	FailureDetected       Rule = "who is gone is found out in time"
-	NoFalsePositive       Rule = "nobody who answers is held for failed"
-	LeftIsNotFailed       Rule = "who left has not failed, and comes back with a new incarnation only"
+	// FailureDetected: all running daemons detect the end of another daemon within Limits.DetectWithin.
+	FailureDetected Rule = "who is gone is found out in time"
+	// NoFalsePositive: no running daemon is seen as failed, except during a fault and until Limits.SettleWithin after it.
+	NoFalsePositive Rule = "nobody who answers is held for failed"
+	// LeftIsNotFailed: a graceful shutdown is not seen as a failure, and only a higher incarnation makes a daemon present again.
+	LeftIsNotFailed Rule = "who left has not failed, and comes back with a new incarnation only"
+	// IncarnationsMonotonic: the incarnation of a daemon in another daemon's view never decreases.
 	IncarnationsMonotonic Rule = "incarnations never go back"
-	ViewsConverge         Rule = "views agree in time after the last fault"
+	// ViewsConverge: once Limits.SettleWithin has passed since the last fault, each view matches which daemons run.
+	ViewsConverge Rule = "views agree in time after the last fault"
 )
 
-// MembershipRules are all of them.
+// MembershipRules are the rules that CheckMembership checks.
 var MembershipRules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
 
-// Kind is what a Event tells.
+// Kind is the kind of an Event.
 type Kind int
 
-// The kinds. All but Saw are facts: what was done.
+// The kinds of events. All but StateObserved are facts: what was done to daemons, links or processes.
 const (
-	Started       Kind = iota // Of was started, and answers
-	Killed                    // Of was ended without a word
-	ShutdownBegan             // Of was told to end, and does so in its own time
-	Left                      // and has ended, with a goodbye
-	FaultBegan                // links or processes are disturbed from now on
-	FaultsEnded               // all that was disturbed is well again, but who is down
-	StateObserved             // By holds Of in State, and did not before
+	Started       Kind = iota // Subject's process was started and responds
+	Killed                    // Subject's process was killed, so that it announced nothing
+	ShutdownBegan             // Subject was told to shut down gracefully, and has not ended yet
+	Left                      // Subject's process has ended after it announced that it leaves the cluster
+	FaultBegan                // at least one fault of links or processes is active from now on
+	FaultsEnded               // no fault is active any more; killed daemons stay down
+	StateObserved             // Observer's view of Subject has changed to State and Incarnation
 )
 
-// Event is a line of a fleet's timeline.
+// Event is one entry of a cluster's timeline.
 type Event struct {
-	At                time.Duration
-	Kind              Kind
-	Subject, Observer string
-	State             string // alive, suspect, failed or left
-	Incarnation       uint64
+	At          time.Duration
+	Kind        Kind
+	Subject     string // name of the daemon that the event is about; empty for FaultBegan and FaultsEnded
+	Observer    string // name of the daemon whose view changed, for StateObserved
+	State       string // new state of Subject, for StateObserved: alive, suspect, failed or left
+	Incarnation uint64 // incarnation of Subject in the view, for StateObserved
 }
 
-// Limits are the times that the rules name.
+// Limits are the time limits of the rules, and the end of the timeline.
 type Limits struct {
-	DetectWithin time.Duration // until all others know of one that is gone, where nothing else is wrong
-	SettleWithin time.Duration // after the last fault, until all views are right
-	End          time.Duration // of the timeline
+	DetectWithin time.Duration // from a daemon's end until all others must have detected it, without other faults
+	SettleWithin time.Duration // from the last fault until all views must be right
+	End          time.Duration // instant at which the timeline ends
 }
 
-// Violation is a rule that was broken.
+// Violation is one breach of a rule. Its fields are written to results under their own names.
 type Violation struct {
 	Rule Rule
 	At   time.Duration
 	Text string
 }
 
-// Verdict is what Judge finds. A rule that is not among Tested was not put to the test.
+// Verdict is the result of CheckMembership.
 type Verdict struct {
 	Violations         []Violation
-	TestedOccasions    map[Rule]int  // how often
-	SlowestDetection   time.Duration // the longest that one that was gone was not found out by all, where nothing else was wrong
-	SlowestConvergence time.Duration // the longest after a fault until all views were right
+	TestedOccasions    map[Rule]int  // occasions on which each rule was tested; a rule that is missing was not tested
+	SlowestDetection   time.Duration // longest time from a daemon's end until the last of the others detected it, without other faults
+	SlowestConvergence time.Duration // longest time from a fact until all views were right
 }
 
+// observation is one daemon's entry in the view of another.
 type observation struct {
 	state       string
 	incarnation uint64
 }
 
+// isPresent reports whether a daemon in this state still counts as a member of the cluster.
 func isPresent(state string) bool { return state == "alive" || state == "suspect" }
 
-// checker goes through a timeline.
+// checker is the state of CheckMembership after the events that it has applied so far.
 type checker struct {
 	limits            Limits
 	verdict           Verdict
-	status            map[string]Kind // of each daemon: Up, Down or Leaves
-	since             map[string]time.Duration
-	views             map[string]map[string]observation // by whom, of whom
-	pendingDetections map[[2]string]time.Duration       // who is to find out about whom, by when
+	status            map[string]Kind                   // latest fact about each daemon: Started, Killed, ShutdownBegan or Left
+	statusSince       map[string]time.Duration          // instant of the latest fact about each daemon
+	views             map[string]map[string]observation // each daemon's view: by observer, then by subject
+	pendingDetections map[[2]string]time.Duration       // deadline by which an observer must detect the end of a subject, by {observer, subject}
 	faultActive       bool
-	lastFactAt        time.Duration // instant of the last fact
-	converged         bool          // all views have been right since
+	lastFactAt        time.Duration // instant of the latest fact about any daemon or fault
+	converged         bool          // all views have been right at some instant since lastFactAt
 }
 
-// CheckMembership holds a timeline, in order of time, against the rules.
-func CheckMembership(events []Event, l Limits) Verdict {
-	j := &checker{limits: l, status: map[string]Kind{}, since: map[string]time.Duration{}, views: map[string]map[string]observation{}, pendingDetections: map[[2]string]time.Duration{}}
-	j.verdict.TestedOccasions = map[Rule]int{}
+// CheckMembership checks a timeline, whose events are in order of their instants, against MembershipRules.
+func CheckMembership(events []Event, limits Limits) Verdict {
+	c := &checker{limits: limits, status: map[string]Kind{}, statusSince: map[string]time.Duration{}, views: map[string]map[string]observation{},
+		pendingDetections: map[[2]string]time.Duration{}}
+	c.verdict.TestedOccasions = map[Rule]int{}
 	for _, e := range events {
-		j.checkDetectionDeadlines(e.At)
+		c.checkDetectionDeadlines(e.At)
 		if e.Kind == StateObserved {
-			j.applyObservation(e)
+			c.applyObservation(e)
 			continue
 		}
-		j.checkViews(e.At)
-		j.applyFact(e)
+		c.checkViews(e.At)
+		c.applyFact(e)
 	}
-	j.checkDetectionDeadlines(l.End)
-	j.checkViews(l.End)
-	return j.verdict
+	c.checkDetectionDeadlines(limits.End)
+	c.checkViews(limits.End)
+	return c.verdict
 }
 
-func (j *checker) addViolation(r Rule, at time.Duration, format string, args ...any) {
-	j.verdict.Violations = append(j.verdict.Violations, Violation{r, at, fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(r Rule, at time.Duration, format string, args ...any) {
+	c.verdict.Violations = append(c.verdict.Violations, Violation{r, at, fmt.Sprintf(format, args...)})
 }
 
-// isSettled tells whether nothing has been wrong for as long as it takes to settle.
-func (j *checker) isSettled(now time.Duration) bool {
-	return !j.faultActive && now-j.lastFactAt >= j.limits.SettleWithin
+// isSettled reports whether no fault is active and no fact is newer than the time that the cluster may take to settle.
+func (c *checker) isSettled(now time.Duration) bool {
+	return !c.faultActive && now-c.lastFactAt >= c.limits.SettleWithin
 }
 
-func (j *checker) applyFact(e Event) {
-	quiet := !j.faultActive
-	j.lastFactAt, j.converged = e.At, false
+// applyFact applies an event of any kind but StateObserved.
+func (c *checker) applyFact(e Event) {
+	c.lastFactAt, c.converged = e.At, false
 	switch e.Kind {
 	case FaultBegan, FaultsEnded:
-		j.faultActive = e.Kind == FaultBegan
-		clear(j.pendingDetections) // what is found out meanwhile is chance's; afterwards views must agree
+		c.faultActive = e.Kind == FaultBegan
+		clear(c.pendingDetections) // a fault may delay detections; ViewsConverge covers them afterwards
 		return
 	case Started:
-		delete(j.views, e.Subject) // a new life has seen nothing
+		delete(c.views, e.Subject) // a new process starts with an empty view
 	}
-	j.status[e.Subject], j.since[e.Subject] = e.Kind, e.At
-	for pair := range j.pendingDetections {
+	c.status[e.Subject], c.statusSince[e.Subject] = e.Kind, e.At
+	for pair := range c.pendingDetections {
 		if pair[0] == e.Subject || pair[1] == e.Subject {
-			delete(j.pendingDetections, pair)
+			delete(c.pendingDetections, pair)
 		}
 	}
-	if e.Kind == Started || e.Kind == ShutdownBegan || !quiet {
+	if e.Kind == Started || e.Kind == ShutdownBegan || c.faultActive {
 		return
 	}
-	for by, holds := range j.views {
-		if j.status[by] == Started && isPresent(holds[e.Subject].state) {
-			j.pendingDetections[[2]string{by, e.Subject}] = e.At + j.limits.DetectWithin
+	for observer, view := range c.views {
+		if c.status[observer] == Started && isPresent(view[e.Subject].state) {
+			c.pendingDetections[[2]string{observer, e.Subject}] = e.At + c.limits.DetectWithin
 		}
 	}
 }
 
-// checkDetectionDeadlines finds what was not found out in time.
-func (j *checker) checkDetectionDeadlines(now time.Duration) {
-	for pair, until := range j.pendingDetections {
-		if now > until {
-			delete(j.pendingDetections, pair)
-			j.addViolation(FailureDetected, until, "%s still holds %s for here, %v after it was gone", pair[0], pair[1], j.limits.DetectWithin)
+// checkDetectionDeadlines adds a violation for each pending detection whose deadline has passed.
+func (c *checker) checkDetectionDeadlines(now time.Duration) {
+	for pair, deadline := range c.pendingDetections {
+		if now > deadline {
+			delete(c.pendingDetections, pair)
+			c.addViolation(FailureDetected, deadline, "%s still holds %s for here, %v after it was gone", pair[0], pair[1], c.limits.DetectWithin)
 		}
 	}
 }
 
-func (j *checker) applyObservation(e Event) {
-	if j.status[e.Observer] != Started {
-		return // its last words
+// applyObservation applies an event of the kind StateObserved.
+func (c *checker) applyObservation(e Event) {
+	if c.status[e.Observer] != Started {
+		return // the observer is shutting down, or does not run any more
 	}
-	holds := j.views[e.Observer]
-	if holds == nil {
-		holds = map[string]observation{}
-		j.views[e.Observer] = holds
+	view := c.views[e.Observer]
+	if view == nil {
+		view = map[string]observation{}
+		c.views[e.Observer] = view
 	}
-	was, known := holds[e.Subject]
-	holds[e.Subject] = observation{e.State, e.Incarnation}
+	previous, known := view[e.Subject]
+	view[e.Subject] = observation{e.State, e.Incarnation}
 	if known {
-		j.verdict.TestedOccasions[IncarnationsMonotonic]++
-		if e.Incarnation < was.incarnation {
-			j.addViolation(IncarnationsMonotonic, e.At, "%s held incarnation %d of %s, and now %d", e.Observer, was.incarnation, e.Subject, e.Incarnation)
+		c.verdict.TestedOccasions[IncarnationsMonotonic]++
+		if e.Incarnation < previous.incarnation {
+			c.addViolation(IncarnationsMonotonic, e.At, "%s held incarnation %d of %s, and now %d", e.Observer, previous.incarnation, e.Subject, e.Incarnation)
 		}
 	}
-	if known && was.state == "left" {
-		j.verdict.TestedOccasions[LeftIsNotFailed]++
-		if isPresent(e.State) && e.Incarnation <= was.incarnation || e.State == "failed" && e.Incarnation <= was.incarnation {
-			j.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
+	if known && previous.state == "left" {
+		c.verdict.TestedOccasions[LeftIsNotFailed]++
+		if isPresent(e.State) && e.Incarnation <= previous.incarnation || e.State == "failed" && e.Incarnation <= previous.incarnation {
+			c.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
 		}
 	}
 	pair := [2]string{e.Observer, e.Subject}
-	if _, waits := j.pendingDetections[pair]; waits && !isPresent(e.State) {
-		delete(j.pendingDetections, pair)
-		j.verdict.TestedOccasions[FailureDetected]++
-		j.verdict.SlowestDetection = max(j.verdict.SlowestDetection, e.At-j.since[e.Subject])
+	if _, pending := c.pendingDetections[pair]; pending && !isPresent(e.State) {
+		delete(c.pendingDetections, pair)
+		c.verdict.TestedOccasions[FailureDetected]++
+		c.verdict.SlowestDetection = max(c.verdict.SlowestDetection, e.At-c.statusSince[e.Subject])
 	}
-	defer j.noteConvergence(e.At)
-	if is := j.status[e.Subject]; (is == ShutdownBegan || is == Left) && e.State == "failed" && !j.faultActive {
-		j.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for failed", e.Observer, e.Subject)
+	defer c.noteConvergence(e.At)
+	if status := c.status[e.Subject]; (status == ShutdownBegan || status == Left) && e.State == "failed" && !c.faultActive {
+		c.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for failed", e.Observer, e.Subject)
 	}
-	if e.State == "failed" && j.status[e.Subject] == Started && j.isSettled(e.At) {
-		j.addViolation(NoFalsePositive, e.At, "%s holds %s for failed, which answers, %v after the last fault", e.Observer, e.Subject, e.At-j.lastFactAt)
+	if e.State == "failed" && c.status[e.Subject] == Started && c.isSettled(e.At) {
+		c.addViolation(NoFalsePositive, e.At, "%s holds %s for failed, which answers, %v after the last fault", e.Observer, e.Subject, e.At-c.lastFactAt)
 	}
 }
 
-// noteConvergence notes how long it took until all views were right.
-func (j *checker) noteConvergence(now time.Duration) {
-	if j.converged || j.faultActive {
+// noteConvergence records the time since the latest fact if all views are right now, for the first time since that fact.
+func (c *checker) noteConvergence(now time.Duration) {
+	if c.converged || c.faultActive {
 		return
 	}
-	for by, is := range j.status {
-		for of := range j.status {
-			held := j.views[by][of].state
-			if is == Started && (j.status[of] == Started && !isPresent(held) || (j.status[of] == Killed || j.status[of] == Left) && isPresent(held)) {
+	for observer, status := range c.status {
+		for subject := range c.status {
+			state := c.views[observer][subject].state
+			if status == Started && (c.status[subject] == Started && !isPresent(state) || (c.status[subject] == Killed || c.status[subject] == Left) && isPresent(state)) {
 				return
 			}
 		}
 	}
-	j.converged = true
-	j.verdict.SlowestConvergence = max(j.verdict.SlowestConvergence, now-j.lastFactAt)
+	c.converged = true
+	c.verdict.SlowestConvergence = max(c.verdict.SlowestConvergence, now-c.lastFactAt)
 }
 
-// checkViews holds all views against what is so, where they have had the time.
-func (j *checker) checkViews(now time.Duration) {
-	if !j.isSettled(now) {
+// checkViews compares the views of all running daemons with the facts, if the cluster must have settled by now.
+func (c *checker) checkViews(now time.Duration) {
+	if !c.isSettled(now) {
 		return
 	}
-	names := make([]string, 0, len(j.status))
-	for name := range j.status {
+	names := make([]string, 0, len(c.status))
+	for name := range c.status {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for _, by := range names {
-		if j.status[by] != Started {
+	for _, observer := range names {
+		if c.status[observer] != Started {
 			continue
 		}
-		for _, of := range names {
-			held, known := j.views[by][of]
+		for _, subject := range names {
+			seen, known := c.views[observer][subject]
 			if !known {
-				held.state = unknown
+				seen.state = unknown
 			}
-			j.checkView(now, by, of, held.state)
+			c.checkView(now, observer, subject, seen.state)
 		}
 	}
 }
 
-func (j *checker) checkView(now time.Duration, by, of, state string) {
-	j.verdict.TestedOccasions[ViewsConverge]++
-	switch is := j.status[of]; {
-	case is == ShutdownBegan:
+// checkView compares the state of a subject in one observer's view with the facts.
+func (c *checker) checkView(now time.Duration, observer, subject, state string) {
+	c.verdict.TestedOccasions[ViewsConverge]++
+	switch status := c.status[subject]; {
+	case status == ShutdownBegan:
 		if state == "failed" {
-			j.addViolation(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", by, of)
+			c.addViolation(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", observer, subject)
 		}
-	case is == Started:
-		j.verdict.TestedOccasions[NoFalsePositive]++
+	case status == Started:
+		c.verdict.TestedOccasions[NoFalsePositive]++
 		if state == "failed" {
-			j.addViolation(NoFalsePositive, now, "%s still holds %s for failed, which answers, %v after the last fault", by, of, now-j.lastFactAt)
-		} else if !isPresent(state) { // a suspicion is no verdict: it ends by itself, one way or the other
-			j.addViolation(ViewsConverge, now, "%s holds %s for %s, which answers, %v after the last fault", by, of, state, now-j.lastFactAt)
+			c.addViolation(NoFalsePositive, now, "%s still holds %s for failed, which answers, %v after the last fault", observer, subject, now-c.lastFactAt)
+		} else if !isPresent(state) { // a suspect is still present: the suspicion ends in alive or failed
+			c.addViolation(ViewsConverge, now, "%s holds %s for %s, which answers, %v after the last fault", observer, subject, state, now-c.lastFactAt)
 		}
-	case isPresent(state) && now-j.since[of] >= j.limits.DetectWithin:
-		j.addViolation(ViewsConverge, now, "%s holds %s for %s, which is gone, %v after the last fault", by, of, state, now-j.lastFactAt)
+	case isPresent(state) && now-c.statusSince[subject] >= c.limits.DetectWithin:
+		c.addViolation(ViewsConverge, now, "%s holds %s for %s, which is gone, %v after the last fault", observer, subject, state, now-c.lastFactAt)
 	}
 }
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -5,79 +5,83 @@
 	"time"
 )
 
-// The rules of what is agreed on.
+// The rules of versions of the settings.
 const (
-	NoContradiction    Rule = "no two daemons contradict one another for longer than is promised"
+	// NoContradiction: once some daemon acts on a version, no daemon acts on an earlier one for longer than the promised time.
+	NoContradiction Rule = "no two daemons contradict one another for longer than is promised"
+	// VersionsConsistent: a version has the same content on all daemons, and no process goes back to an earlier version.
 	VersionsConsistent Rule = "a version is the same everywhere, and no daemon goes back"
 )
 
-// VersionRules are all of them.
+// VersionRules are the rules that CheckVersions checks.
 var VersionRules = []Rule{NoContradiction, VersionsConsistent}
 
-// VersionReport is a daemon's word that it acts on a version, under a lease: at some instant from Asked to Said.
+// VersionReport is a daemon's response that it acts on a version, under a lease. The daemon acted on the version at some instant
+// from RequestedAt to ReportedAt.
 type VersionReport struct {
-	RequestedAt, ReportedAt time.Duration
-	Daemon                  string
-	Incarnation             int // of its process: a new one may begin at an earlier version, but not act on it for longer than is promised
-	Version                 uint64
-	Digest                  string // of all that the version says
+	RequestedAt time.Duration
+	ReportedAt  time.Duration
+	Daemon      string
+	Incarnation int    // number of the daemon's process; a new process may start with an earlier version, but not act on it for longer than promised
+	Version     uint64 // version of the settings that the daemon acted on
+	Digest      string // digest of all settings of the version, to compare between daemons
 }
 
-// VersionVerdict is what JudgeVersions finds.
+// VersionVerdict is the result of CheckVersions.
 type VersionVerdict struct {
 	Violations           []Violation
-	Reports              int
-	Versions             int
-	LongestContradiction time.Duration // the longest contradiction that is certain
+	Reports              int           // reports that were checked
+	Versions             int           // versions that were reported, without those older than one reported before
+	LongestContradiction time.Duration // longest time for which a daemon certainly acted on a version after another daemon acted on a later one
 }
 
-// CheckVersions holds acts, in order of Said, against the promise that from the moment at which some daemon acts on a version
-// nobody acts on an earlier one for longer than within. What can't be told for sure is no breach: the first act on a version lies
-// at Said at the latest, the last one on another at Asked at the earliest.
-func CheckVersions(acts []VersionReport, within time.Duration) VersionVerdict {
-	type began struct {
+// CheckVersions checks reports, in order of ReportedAt, against VersionRules. From the instant at which some daemon acts on a version,
+// no daemon may act on an earlier one for longer than maxContradiction. What is not certain is no violation: the first daemon acts on
+// a version at ReportedAt at the latest, and the last one on an earlier version at RequestedAt at the earliest.
+func CheckVersions(reports []VersionReport, maxContradiction time.Duration) VersionVerdict {
+	type firstReport struct {
 		version uint64
 		at      time.Duration
 	}
-	v := VersionVerdict{Reports: len(acts)}
-	var first []began // ascending in both
+	verdict := VersionVerdict{Reports: len(reports)}
+	var firstReports []firstReport // first report of each version, ascending in version and time
 	digests := map[uint64]string{}
-	type life struct {
-		by   string
-		life int
+	type process struct {
+		daemon      string
+		incarnation int
 	}
-	type held struct {
-		version uint64
-		said    time.Duration
+	type latestReport struct {
+		version    uint64
+		reportedAt time.Duration
 	}
-	holds := map[life]held{}
-	for _, a := range acts {
-		who := life{a.Daemon, a.Incarnation}
-		if was := holds[who]; a.Version >= was.version {
-			holds[who] = held{a.Version, a.ReportedAt}
-		} else if a.RequestedAt > was.said { // else the two may have crossed
-			v.Violations = append(v.Violations, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", a.Daemon, was.version, a.Version)})
+	latest := map[process]latestReport{}
+	for _, report := range reports {
+		p := process{report.Daemon, report.Incarnation}
+		if previous := latest[p]; report.Version >= previous.version {
+			latest[p] = latestReport{report.Version, report.ReportedAt}
+		} else if report.RequestedAt > previous.reportedAt { // otherwise the two polls overlapped, and this response may be the earlier one
+			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", report.Daemon, previous.version, report.Version)})
 		}
-		if was, ok := digests[a.Version]; ok && was != a.Digest {
-			v.Violations = append(v.Violations, Violation{VersionsConsistent, a.ReportedAt, fmt.Sprintf("%s acts on another version %d than others", a.Daemon, a.Version)})
+		if digest, ok := digests[report.Version]; ok && digest != report.Digest {
+			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s acts on another version %d than others", report.Daemon, report.Version)})
 		}
-		digests[a.Version] = a.Digest
-		for _, b := range first {
-			if b.version <= a.Version {
+		digests[report.Version] = report.Digest
+		for _, first := range firstReports {
+			if first.version <= report.Version {
 				continue
 			}
-			if over := a.RequestedAt - b.at; over > 0 {
-				v.LongestContradiction = max(v.LongestContradiction, over)
-				if over > within {
-					v.Violations = append(v.Violations, Violation{NoContradiction, a.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after somebody acted on version %d", a.Daemon, a.Version, over, b.version)})
+			if contradiction := report.RequestedAt - first.at; contradiction > 0 {
+				verdict.LongestContradiction = max(verdict.LongestContradiction, contradiction)
+				if contradiction > maxContradiction {
+					verdict.Violations = append(verdict.Violations, Violation{NoContradiction, report.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after somebody acted on version %d", report.Daemon, report.Version, contradiction, first.version)})
 				}
 			}
 			break
 		}
-		if n := len(first); n == 0 || a.Version > first[n-1].version {
-			first = append(first, began{a.Version, a.ReportedAt})
+		if n := len(firstReports); n == 0 || report.Version > firstReports[n-1].version {
+			firstReports = append(firstReports, firstReport{report.Version, report.ReportedAt})
 		}
 	}
-	v.Versions = len(first)
-	return v
+	verdict.Versions = len(firstReports)
+	return verdict
 }
