--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -1,6 +1,6 @@
-// Package fleetsim plays a fleet of hundreds of sidecars in virtual time: the decision module itself, one balancer for each
-// sidecar, before models of endpoints, in one process and with no clock but its own. What does no harm in one sidecar and
-// does in three hundred shows here in seconds, and the same each time.
+// Package fleetsim simulates a cluster of hundreds of sidecars in virtual time, in one process: for each sidecar a balancer of the
+// decision module, and models of the endpoints, the network, discovery and the clients. It shows in seconds, and reproducibly,
+// faults that arise only from the interplay of many sidecars.
 package fleetsim
 
 import (
@@ -11,37 +11,45 @@
 	"time"
 )
 
-// Day says what is played.
+// Day is the configuration of a simulation.
 type Day struct {
 	Seed        uint64
-	Sidecars    int           // of all tiers together
-	Scenario    string        // one of Troubles
-	Length      time.Duration // requests are asked for so long
-	Utilization float64       // of what the fleet can do, by the work that is asked for on the mean
-	SlowStart   SlowStart     // how endpoints start; the zero value: as the shire's do
+	Sidecars    int           // approximate number of sidecars of all tiers together
+	Scenario    string        // name of the faults, one of Scenarios
+	Length      time.Duration // time during which clients send requests
+	Utilization float64       // mean demand as a fraction of the capacity of the tier with the least
+	SlowStart   SlowStart     // slow start of endpoints; the zero value means that of the default site
 }
 
-// SlowStart says how endpoints warm up, and what overloads one that is cold.
+// SlowStart says how endpoints warm up after a start, and how much work overloads one that is warming up.
 type SlowStart struct {
-	InitialCapacity float64       // share of its capacity with which an endpoint starts
-	Duration        time.Duration // after which it has all of it
-	OverloadFactor  float64       // of its present capacity, sent for FallAfter
-	OverloadWindow  time.Duration
+	InitialCapacity float64       // fraction of its full capacity that an endpoint has at its start; it rises linearly
+	Duration        time.Duration // time from the start until the endpoint has its full capacity
+	OverloadFactor  float64       // multiple of its present capacity that overloads an endpoint when it is sent for OverloadWindow
+	OverloadWindow  time.Duration // length of the sliding window in which the work sent to the endpoint is summed up
 }
 
-// defaultSlowStart is how the shire's endpoints start.
+// defaultSlowStart is the slow start of the default site's endpoints.
 var defaultSlowStart = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
 
-// Scenarios are what may happen, in the order in which they are told.
+// Scenarios returns the names of all scenarios, in the order in which they are reported:
+//
+//	calm   no faults
+//	roll   half of the endpoints are replaced, and all front sidecars restart, one group after another
+//	herd   some endpoints become slow, and most front sidecars restart at the same time
+//	zone   all endpoints of a zone are killed, and restart five seconds later
+//	split  a fifth of the endpoints can't be reached for six seconds, though their processes run
+//	join   most endpoints are replaced within seven seconds
 func Scenarios() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
-// What bounds a Day: below, there are no tiers to speak of; above, a play takes minutes.
+// Bounds of a Day. Fewer sidecars would leave tiers of almost no endpoints; larger simulations would take minutes.
 const (
-	minSidecars, maxSidecars = 20, 2000
-	maxLength                = 5 * time.Minute
+	minSidecars = 20
+	maxSidecars = 2000
+	maxLength   = 5 * time.Minute
 )
 
-// Check says what is wrong with a Day.
+// Check returns an error that names the first field with an invalid value.
 func (d Day) Check() error {
 	switch {
 	case !slices.Contains(Scenarios(), d.Scenario):
@@ -53,55 +61,74 @@
 	case d.Utilization <= 0 || d.Utilization > 2:
 		return errors.New("use: over 0, and 2 at most")
 	case d.SlowStart != SlowStart{} && (d.SlowStart.InitialCapacity <= 0 || d.SlowStart.InitialCapacity > 1 || d.SlowStart.Duration <= 0 || d.SlowStart.OverloadFactor <= 0 || d.SlowStart.OverloadWindow <= 0):
-		return errors.New("cold: all of it over 0, and from at most 1")
+		return errors.New("slow start: all values must be over 0, and the initial capacity at most 1")
 	}
 	return nil
 }
 
-// A class of requests. The figures are the shire's, in the middle of what its brief gives.
+// class is a class of requests.
 type class struct {
-	name                       string
-	isKeyed                    bool
-	fraction                   float64
-	work                       float64 // seconds of work on a core at yardstick speed, in all tiers
-	latencyObjective, deadline time.Duration
-	weight                     float64
+	name             string
+	isKeyed          bool          // requests carry an idempotency key, by which the endpoints of a cell drop duplicates
+	fraction         float64       // fraction of all requests from clients
+	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
+	latencyObjective time.Duration // time within which a response has its full value
+	deadline         time.Duration // time from a request until its deadline
+	weight           float64       // priority weight, which is the value of one request
 }
 
+// classes have figures in the middle of the ranges that the requirements of the default site give.
 var classes = []class{
 	{"item-lookup", false, 0.75, 0.10, 2 * time.Second, 5 * time.Second, 5},
 	{"bag-dispatch", true, 0.25, 0.31, 2500 * time.Millisecond, 6 * time.Second, 3},
 }
 
-// tiers are how a request's work is spread, from the front down.
+// tiers are the tiers of endpoints, from the one that front sidecars call downwards.
 var tiers = []struct {
-	work  float64 // share of a class's work, for each call
-	size  float64 // endpoints, in those of the first tier
-	calls int     // to the tier below, one after another
+	work  float64 // fraction of a class's work that one request causes in the tier
+	size  float64 // number of endpoints, relative to the first tier
+	calls int     // requests to the tier below, one after another, for each request
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
+// Rules that are checked.
 const (
-	dedupWindow       = 10 * time.Second
-	maxAttempts       = 4
-	overloadTolerance = 0.25 // for chance, as in rehearsals
-	drainGrace        = 500 * time.Millisecond
-	timeTolerance     = 50 * time.Millisecond
-	cellSize          = 4
-	zoneCount         = 3
+	dedupWindow       = 10 * time.Second       // time in which the endpoints of a cell drop duplicates of a request with an idempotency key
+	maxAttempts       = 4                      // attempts that a sidecar may send for one request
+	overloadTolerance = 0.25                   // fraction by which random variation may exceed the overload limit
+	drainGrace        = 500 * time.Millisecond // time from a notification of a drain until no new request may follow
+	timeTolerance     = 50 * time.Millisecond  // tolerance added to each time limit
+)
 
+// Topology and endpoints.
+const (
+	cellSize         = 4       // endpoints that drop duplicates together
+	zoneCount        = 3       // zones over which each tier is spread
+	frontFraction    = 1.0 / 6 // fraction of the sidecars that receive requests from clients
 	coresPerEndpoint = 2
-	maxInWork        = 24                     // requests that an endpoint holds in work
-	maxQueued        = 12                     // and that wait
-	wireDelay        = 500 * time.Microsecond // one way
-	handshakeDelay   = 1500 * time.Microsecond
-	maxConnections   = 40 // that an endpoint takes: few
-	idleTimeout      = 15 * time.Second
-	frontFraction    = 1.0 / 6 // of the sidecars
-	loadSkew         = 3.0     // times the mean that the busiest front sidecar sees
-	clientRetryDelay = 100 * time.Millisecond
-	maxClientRetries = 3
-	meanListDelay    = 800 * time.Millisecond // mean time until a sidecar hears of a change
-	faultSlowdown    = 4.0
-	slowFraction     = 1.0 / 8
-	responseGrace    = 500 * time.Millisecond // after a request's time: by then it is lost
+	maxInWork        = 24 // requests that an endpoint works on at the same time
+	maxQueued        = 12 // requests that wait at an endpoint in addition; more are rejected
+)
+
+// Network and discovery.
+const (
+	wireDelay      = 500 * time.Microsecond  // delay of a message in one direction
+	handshakeDelay = 1500 * time.Microsecond // added to the round trip that opens a connection
+	maxConnections = 40                      // connections that an endpoint accepts; few, so that sidecars run into the limit
+	idleTimeout    = 15 * time.Second        // time after which a sidecar closes an idle connection
+	meanListDelay  = 800 * time.Millisecond  // mean time until a sidecar receives a change of the endpoint list
+)
+
+// Clients.
+const (
+	loadSkew         = 3.0                    // relative loads of front sidecars range from 1/loadSkew to loadSkew
+	clientRetryDelay = 100 * time.Millisecond // time from a failed response until the client's retry
+	maxClientRetries = 3                      // retries of one request by its client
+	deadlineMargin   = 10 * time.Millisecond  // time before its deadline by which a sidecar must respond to a request
+	responseGrace    = 500 * time.Millisecond // time after a request's deadline until which its response is awaited
+)
+
+// Faults of the scenario herd.
+const (
+	faultSlowdown = 4.0     // factor by which requests take longer at a slow endpoint
+	slowFraction  = 1.0 / 8 // fraction of the endpoints that become slow
 )
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -8,76 +8,82 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// endpoint is a model of a server: cores, slots and a queue, cold after a start.
+// endpoint is a model of a server that has cores and a queue, and that warms up after a start.
 type endpoint struct {
-	sim              *simulation
-	id               string
-	tier             int
-	cell, zone       int
-	kind             string
-	speed            float64
-	slowdown         float64       // times slower than it is
-	startedAt        time.Duration // 0: long ago
-	isUp, isIsolated bool
-	isOverloaded     bool
-	incarnation      int
-	inFlight         int                 // in work or waiting
-	openConnections  int                 // connections
-	busyCores        int                 // cores
-	cpuQueue         []func(done func()) // what waits for a core
-	recentColdWork   []timedWork         // work that came lately, while cold
-	ownSidecar       *sidecar            // its own; nil in the last tier
-	listedState      balance.State
-	isGone           bool // replaced: never comes back
+	sim             *simulation
+	id              string
+	tier            int
+	cell            int // number of its cell, whose endpoints drop duplicates together
+	zone            int
+	kind            string              // kind of machine, as discovery reports it
+	speed           float64             // speed of a core; 1 is the speed in which work is measured
+	slowdown        float64             // factor by which a fault makes work take longer; 1 without a fault
+	startedAt       time.Duration       // time of the latest start; 0: before the simulation, so that it is fully warmed up
+	isUp            bool                // its process runs
+	isIsolated      bool                // messages to and from it are lost, though its process runs
+	isOverloaded    bool                // it got too much work while it was warming up, and rejects everything until it restarts
+	incarnation     int                 // number of times that its process was killed; tells callbacks of an earlier process apart
+	inFlight        int                 // requests that it works on or has queued
+	openConnections int                 // connections from all sidecars
+	busyCores       int                 // cores in use
+	cpuQueue        []func(done func()) // work that waits for a core
+	recentColdWork  []timedWork         // work received within the overload window while it was warming up
+	ownSidecar      *sidecar            // sidecar through which it calls the tier below; nil in the last tier
+	listedState     balance.State       // state that discovery reports
+	isGone          bool                // it has been replaced and is not listed any more
 }
 
+// timedWork is an amount of work that an endpoint received at a time.
 type timedWork struct {
 	at   time.Duration
-	work float64
+	work float64 // CPU time in seconds of a core of speed 1
 }
 
-// addEndpoint makes an endpoint; started is its start, 0: long ago.
-func (w *simulation) addEndpoint(tier, i int, started time.Duration) *endpoint {
-	e := &endpoint{sim: w, id: fmt.Sprintf("t%d-%s", tier, w.nextName("e")), tier: tier, cell: i / cellSize, zone: i % zoneCount, kind: "std", speed: 0.95, slowdown: 1, startedAt: started, isUp: true}
-	if w.rng.Float64() < 0.66 {
+// addEndpoint adds the endpoint with the given index to a tier. startedAt is the time of its start; 0 means that it is fully warmed up.
+func (sim *simulation) addEndpoint(tier, index int, startedAt time.Duration) *endpoint {
+	e := &endpoint{sim: sim, id: fmt.Sprintf("t%d-%s", tier, sim.nextName("e")), tier: tier, cell: index / cellSize, zone: index % zoneCount, kind: "std", speed: 0.95, slowdown: 1, startedAt: startedAt, isUp: true}
+	if sim.rng.Float64() < 0.66 {
 		e.kind, e.speed = "slow", 0.6
 	}
-	w.tiers[tier] = append(w.tiers[tier], e)
+	sim.tiers[tier] = append(sim.tiers[tier], e)
 	e.recordStart()
 	return e
 }
 
+// recordStart records the start of the endpoint in the timeline.
 func (e *endpoint) recordStart() {
-	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: coresPerEndpoint * e.speed, ColdCapacityShare: 1}
+	event := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: coresPerEndpoint * e.speed, ColdCapacityShare: 1}
 	if e.startedAt > 0 {
-		n.ColdCapacityShare, n.WarmUpDuration = e.sim.day.SlowStart.InitialCapacity, e.sim.day.SlowStart.Duration
+		event.ColdCapacityShare, event.WarmUpDuration = e.sim.day.SlowStart.InitialCapacity, e.sim.day.SlowStart.Duration
 	}
-	e.sim.record(n)
+	e.sim.record(event)
 }
 
-// addOwnSidecar starts an endpoint's own sidecar, if it calls a further tier.
-func (w *simulation) addOwnSidecar(e *endpoint) {
+// addOwnSidecar adds and starts the sidecar of an endpoint, if the endpoint calls a tier below.
+func (sim *simulation) addOwnSidecar(e *endpoint) {
 	if tiers[e.tier].calls == 0 {
 		return
 	}
 	index := 0
-	for i, o := range w.tiers[e.tier] {
-		if o == e {
+	for i, other := range sim.tiers[e.tier] {
+		if other == e {
 			index = i
 		}
 	}
-	e.ownSidecar = w.newSidecar("s-"+e.id, e.tier+1, index)
+	e.ownSidecar = sim.newSidecar("s-"+e.id, e.tier+1, index)
 	e.ownSidecar.start(balance.EndpointUpdate{})
 }
 
+// capacityFraction returns the fraction of its full capacity that the endpoint has now: 1 once it is warmed up.
 func (e *endpoint) capacityFraction() float64 {
-	if e.startedAt == 0 || e.sim.now-e.startedAt >= e.sim.day.SlowStart.Duration {
+	slowStart := e.sim.day.SlowStart
+	if e.startedAt == 0 || e.sim.now-e.startedAt >= slowStart.Duration {
 		return 1
 	}
-	return e.sim.day.SlowStart.InitialCapacity + (1-e.sim.day.SlowStart.InitialCapacity)*float64(e.sim.now-e.startedAt)/float64(e.sim.day.SlowStart.Duration)
+	return slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*float64(e.sim.now-e.startedAt)/float64(slowStart.Duration)
 }
 
-// kill ends the process: what it has is gone, its connections are reset.
+// kill kills the process and that of its sidecar. Its requests are lost and its connections reset.
 func (e *endpoint) kill() {
 	if !e.isUp {
 		return
@@ -94,7 +100,7 @@
 	}
 }
 
-// restart starts it again, cold.
+// restart starts a new process, which has to warm up, and its sidecar, with the endpoint list that the sidecar had.
 func (e *endpoint) restart() {
 	e.isUp, e.isOverloaded, e.startedAt = true, false, e.sim.now
 	e.recordStart()
@@ -103,41 +109,41 @@
 	}
 }
 
-// receive takes an attempt whose last byte has come. end is told the result, unless the process dies before.
-func (e *endpoint) receive(a *attempt, work float64, key string, end func(balance.Result)) {
-	w, life := e.sim, e.incarnation
-	w.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
-	w.result.Attempts[e.tier]++
+// receive handles an attempt that has arrived completely. It calls onResult with the result, unless the process is killed before.
+func (e *endpoint) receive(a *attempt, work float64, key string, onResult func(balance.Result)) {
+	sim, incarnation := e.sim, e.incarnation
+	sim.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+	sim.result.Attempts[e.tier]++
 	e.addColdWork(work)
-	answer := func(r balance.Result, kind invariant.Kind) {
-		if e.incarnation == life && e.isUp {
-			w.record(invariant.Event{Kind: kind, Request: a.request.id, Node: e.id})
-			end(r)
+	respond := func(result balance.Result, kind invariant.Kind) {
+		if e.incarnation == incarnation && e.isUp {
+			sim.record(invariant.Event{Kind: kind, Request: a.request.id, Node: e.id})
+			onResult(result)
 		}
 	}
 	if e.isOverloaded || e.inFlight >= maxInWork+maxQueued {
-		answer(balance.Rejected, invariant.AttemptRejected)
+		respond(balance.Rejected, invariant.AttemptRejected)
 		return
 	}
 	e.inFlight++
-	repeat := e.isDuplicate(key)
-	finish := func(r balance.Result) {
-		if e.incarnation == life {
+	isDuplicate := e.isDuplicate(key)
+	finish := func(result balance.Result) {
+		if e.incarnation == incarnation {
 			e.inFlight--
-			answer(r, invariant.AttemptCompleted)
+			respond(result, invariant.AttemptCompleted)
 		}
 	}
 	e.runOnCore(func(done func()) {
-		w.record(invariant.Event{Kind: invariant.EffectStarted, Request: a.request.id, Node: e.id, Duplicate: repeat})
-		if repeat {
+		sim.record(invariant.Event{Kind: invariant.EffectStarted, Request: a.request.id, Node: e.id, Duplicate: isDuplicate})
+		if isDuplicate {
 			work = 0
 		}
-		w.schedule(time.Duration(work*e.slowdown/(e.speed*e.capacityFraction())*float64(time.Second)), func() {
+		sim.schedule(time.Duration(work*e.slowdown/(e.speed*e.capacityFraction())*float64(time.Second)), func() {
 			done()
-			if e.incarnation != life {
+			if e.incarnation != incarnation {
 				return
 			}
-			if repeat || e.ownSidecar == nil {
+			if isDuplicate || e.ownSidecar == nil {
 				finish(balance.OK)
 				return
 			}
@@ -146,35 +152,36 @@
 	})
 }
 
-// callTierBelow makes the calls to the tier below, one after another.
-func (e *endpoint) callTierBelow(a *attempt, key string, left int, finish func(balance.Result)) {
-	if left == 0 {
+// callTierBelow sends the given number of requests to the tier below, one after another, and then calls finish. The first that fails
+// ends the sequence.
+func (e *endpoint) callTierBelow(a *attempt, key string, callsLeft int, finish func(balance.Result)) {
+	if callsLeft == 0 {
 		finish(balance.OK)
 		return
 	}
-	w, life := e.sim, e.incarnation
+	sim, incarnation := e.sim, e.incarnation
 	c := classes[a.request.class]
-	e.ownSidecar.accept(a.request.class, fmt.Sprint(key, ".", left), w.now+c.deadline, func(status int) {
+	e.ownSidecar.accept(a.request.class, fmt.Sprint(key, ".", callsLeft), sim.now+c.deadline, func(status int) {
 		switch {
-		case e.incarnation != life:
+		case e.incarnation != incarnation:
 		case status == 200:
-			e.callTierBelow(a, key, left-1, finish)
+			e.callTierBelow(a, key, callsLeft-1, finish)
 		default:
 			finish(balance.ErrorResponse)
 		}
 	})
 }
 
-// runOnCore runs something once a core is free; it must call done.
-func (e *endpoint) runOnCore(do func(done func())) {
+// runOnCore calls task once a core is free. The task must call done when it releases the core.
+func (e *endpoint) runOnCore(task func(done func())) {
 	if e.busyCores >= coresPerEndpoint {
-		e.cpuQueue = append(e.cpuQueue, do)
+		e.cpuQueue = append(e.cpuQueue, task)
 		return
 	}
 	e.busyCores++
-	life := e.incarnation
-	do(func() {
-		if e.incarnation != life {
+	incarnation := e.incarnation
+	task(func() {
+		if e.incarnation != incarnation {
 			return
 		}
 		e.busyCores--
@@ -186,34 +193,36 @@
 	})
 }
 
-// isDuplicate tells whether the cell has seen a key within the window, and remembers it.
+// isDuplicate reports whether the endpoint's cell has received a key within the deduplication window, and otherwise stores it. An empty
+// key is never a duplicate.
 func (e *endpoint) isDuplicate(key string) bool {
 	if key == "" {
 		return false
 	}
-	at := fmt.Sprint(e.tier, " ", e.cell, " ", key)
-	first, seen := e.sim.keysSeen[at]
+	scopedKey := fmt.Sprint(e.tier, " ", e.cell, " ", key)
+	first, seen := e.sim.keysSeen[scopedKey]
 	if seen && e.sim.now <= first+dedupWindow {
 		return true
 	}
-	e.sim.keysSeen[at] = e.sim.now
+	e.sim.keysSeen[scopedKey] = e.sim.now
 	return false
 }
 
-// addColdWork counts work on a cold endpoint: too much of it pushes it over.
+// addColdWork counts work that the endpoint receives while it is warming up. Too much work within the overload window overloads it.
 func (e *endpoint) addColdWork(work float64) {
 	if e.capacityFraction() == 1 {
 		return
 	}
+	slowStart := e.sim.day.SlowStart
 	e.recentColdWork = append(e.recentColdWork, timedWork{e.sim.now, work})
-	for len(e.recentColdWork) > 0 && e.recentColdWork[0].at <= e.sim.now-e.sim.day.SlowStart.OverloadWindow {
+	for len(e.recentColdWork) > 0 && e.recentColdWork[0].at <= e.sim.now-slowStart.OverloadWindow {
 		e.recentColdWork = e.recentColdWork[1:]
 	}
 	sum := 0.0
-	for _, p := range e.recentColdWork {
-		sum += p.work
+	for _, recent := range e.recentColdWork {
+		sum += recent.work
 	}
-	limit := e.sim.day.SlowStart.OverloadFactor * e.capacityFraction() * coresPerEndpoint * e.speed * e.sim.day.SlowStart.OverloadWindow.Seconds()
+	limit := slowStart.OverloadFactor * e.capacityFraction() * coresPerEndpoint * e.speed * slowStart.OverloadWindow.Seconds()
 	e.sim.result.PeakColdLoad = max(e.sim.result.PeakColdLoad, sum/limit)
 	if sum > limit*(1+overloadTolerance) && !e.isOverloaded {
 		e.isOverloaded = true
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -176,7 +176,7 @@
 func TestDaysAreChecked(t *testing.T) {
 	good := smallDay("calm")
 	for field, spoil := range map[string]func(*Day){
-		"trouble": func(d *Day) { d.Scenario = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Utilization = -1 }, "cold": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
+		"trouble": func(d *Day) { d.Scenario = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Utilization = -1 }, "slow start": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
 	} {
 		d := good
 		spoil(&d)
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -8,110 +8,112 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// sidecar is one balancer and what carries its decisions out, in virtual time.
+// sidecar is a simulated sidecar: one balancer, and the host that carries out its decisions.
 type sidecar struct {
 	sim         *simulation
 	name        string
-	tier, index int
-	isUp        bool
-	incarnation int
-	balancer    balance.Events
-	lastList    balance.EndpointUpdate // as last told
-	endpoints   map[string]*endpoint
-	requests    map[string]*request
-	idleSince   map[string][]time.Duration // connections to an endpoint that stand idle, and since when
-	deferred    []func()
-	isCutOff    bool // from the endpoints of one zone
-	cutZone     int
+	tier        int                        // index of the tier to which it sends requests
+	index       int                        // index among the sidecars that send to the tier
+	isUp        bool                       // its process runs
+	incarnation int                        // number of times that its process was killed; tells callbacks of an earlier process apart
+	balancer    balance.Events             // balancer of the running process
+	lastList    balance.EndpointUpdate     // complete endpoint list as of the latest update
+	endpoints   map[string]*endpoint       // endpoints that were ever listed to this process, by ID
+	requests    map[string]*request        // requests that have no response yet or an attempt in flight, by ID
+	idleSince   map[string][]time.Duration // for each idle connection, the time since which it has been idle; by endpoint ID
+	deferred    []func()                   // functions to run once the balancer has returned from the present call
+	isCutOff    bool                       // messages between it and the endpoints in cutZone are lost; no scenario sets it
+	cutZone     int                        // zone from which it is cut off if isCutOff is set
 }
 
-// request is a request that was taken.
+// request is a request that a sidecar has accepted.
 type request struct {
 	id               string
-	class            int
-	key              string
-	deadline         time.Duration
-	isDone           bool
-	hadErrorResponse bool // the latest attempt ended by an endpoint's own error
-	onResponse       func(status int)
-	attempts         []*attempt
+	class            int              // index in classes
+	key              string           // idempotency key; empty if its class has none
+	deadline         time.Duration    // virtual time by which the client needs the response
+	isDone           bool             // it has its final response, or is lost
+	hadErrorResponse bool             // its latest attempt ended with an error response of the endpoint
+	onResponse       func(status int) // receives the final status, or 0 if the request is lost
+	attempts         []*attempt       // all attempts, by number
 }
 
-// attempt is one Send.
+// attempt is an attempt of a request at an endpoint.
 type attempt struct {
 	request            *request
-	number             int
-	endpoint           *endpoint
-	sidecarIncarnation int // of the sidecar
-	sentAt             time.Duration
-	isInFlight         bool
-	wasReceived        bool
+	number             int           // number among the request's attempts, from 0
+	endpoint           *endpoint     // endpoint to which it was sent
+	sidecarIncarnation int           // incarnation of the sidecar that sent it
+	sentAt             time.Duration // virtual time at which the balancer sent it
+	isInFlight         bool          // its outcome has not been reported to the balancer
+	wasReceived        bool          // it has arrived at the endpoint
 }
 
-func (w *simulation) newSidecar(name string, tier, index int) *sidecar {
-	s := &sidecar{sim: w, name: name, tier: tier, index: index}
-	w.sidecars = append(w.sidecars, s)
+// newSidecar adds a sidecar that sends requests to a tier. Its process does not run yet.
+func (sim *simulation) newSidecar(name string, tier, index int) *sidecar {
+	s := &sidecar{sim: sim, name: name, tier: tier, index: index}
+	sim.sidecars = append(sim.sidecars, s)
 	return s
 }
 
-// start begins a life with a list; an empty one is filled with what discovery knows.
-func (s *sidecar) start(known balance.EndpointUpdate) {
-	w := s.sim
+// start starts a new process with an endpoint list. If the list is empty, the process gets the present one from discovery.
+func (s *sidecar) start(list balance.EndpointUpdate) {
+	sim := s.sim
 	s.isUp, s.requests, s.idleSince, s.endpoints = true, map[string]*request{}, map[string][]time.Duration{}, map[string]*endpoint{}
-	w.record(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
-	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callerCount(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
-		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: w.day.SlowStart.InitialCapacity, SlowStartDuration: w.day.SlowStart.Duration}
+	sim.record(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
+	settings := balance.Settings{Seed: sim.rng.Uint64() | 1, Balancers: sim.callerCount(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
+		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: sim.day.SlowStart.InitialCapacity, SlowStartDuration: sim.day.SlowStart.Duration}
 	for _, c := range classes {
-		m := balance.Class{Name: c.name, LatencyObjective: c.latencyObjective}
+		class := balance.Class{Name: c.name, LatencyObjective: c.latencyObjective}
 		if c.isKeyed {
-			m.Idempotency, m.DedupScope, m.DedupWindow = balance.IdempotencyKey, balance.ScopeCell, dedupWindow
+			class.Idempotency, class.DedupScope, class.DedupWindow = balance.IdempotencyKey, balance.ScopeCell, dedupWindow
 		}
-		settings.Classes = append(settings.Classes, m)
+		settings.Classes = append(settings.Classes, class)
 	}
-	s.balancer = w.decide(w.now, settings, s)
-	if len(known.Endpoints) == 0 {
-		known = w.endpointList(s.tier)
+	s.balancer = sim.newBalancer(sim.now, settings, s)
+	if len(list.Endpoints) == 0 {
+		list = sim.endpointList(s.tier)
 	}
-	s.applyList(known)
+	s.applyList(list)
 }
 
-// endpointList is what discovery knows of a tier.
-func (w *simulation) endpointList(tier int) balance.EndpointUpdate {
-	l := balance.EndpointUpdate{Complete: true}
-	for _, e := range w.tiers[tier] {
+// endpointList returns the complete list of a tier, as discovery has it now.
+func (sim *simulation) endpointList(tier int) balance.EndpointUpdate {
+	list := balance.EndpointUpdate{Complete: true}
+	for _, e := range sim.tiers[tier] {
 		if !e.isGone {
-			l.Endpoints = append(l.Endpoints, e.listEntry())
+			list.Endpoints = append(list.Endpoints, e.listEntry())
 		}
 	}
-	return l
+	return list
 }
 
+// listEntry returns the entry of the endpoint in the endpoint list.
 func (e *endpoint) listEntry() balance.Endpoint {
 	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, Started: e.startedAt}
 }
 
-// applyList gives a list to the module.
-func (s *sidecar) applyList(l balance.EndpointUpdate) {
+// applyList records the notifications in an update of the endpoint list, and passes the update to the balancer.
+func (s *sidecar) applyList(update balance.EndpointUpdate) {
 	s.sim.result.DiscoveryMessages++
-	for _, in := range l.Endpoints {
+	for _, entry := range update.Endpoints {
 		for _, e := range s.sim.tiers[s.tier] {
-			if e.id == in.ID {
-				s.endpoints[in.ID] = e
+			if e.id == entry.ID {
+				s.endpoints[entry.ID] = e
 			}
 		}
-		n := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: in.ID, State: invariant.State(in.State), StartedAt: in.Started - epoch}
-		s.sim.record(n)
+		s.sim.record(invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: entry.ID, State: invariant.State(entry.State), StartedAt: entry.Started - epoch})
 	}
-	if l.Complete {
-		s.lastList = l
+	if update.Complete {
+		s.lastList = update
 	} else {
 		s.lastList = s.sim.endpointList(s.tier)
 	}
-	s.balancer.EndpointList(s.sim.now, l)
+	s.balancer.EndpointList(s.sim.now, update)
 	s.runDeferred()
 }
 
-// runDeferred does what arose within the module's calls.
+// runDeferred runs the functions that were deferred while the balancer handled an event.
 func (s *sidecar) runDeferred() {
 	for len(s.deferred) > 0 {
 		next := s.deferred[0]
@@ -120,7 +122,7 @@
 	}
 }
 
-// kill ends the process. What it held goes under.
+// kill kills the process. Its requests are lost and its idle connections closed.
 func (s *sidecar) kill() {
 	if !s.isUp {
 		return
@@ -128,11 +130,11 @@
 	s.isUp = false
 	s.incarnation++
 	s.sim.record(invariant.Event{Kind: invariant.SidecarKilled, Sidecar: s.name})
-	for _, c := range s.sortedRequests() {
-		if !c.isDone {
-			c.isDone = true
-			s.sim.record(invariant.Event{Kind: invariant.ConnectionLost, Request: c.id})
-			s.sim.schedule(wireDelay, func() { c.onResponse(0) })
+	for _, req := range s.sortedRequests() {
+		if !req.isDone {
+			req.isDone = true
+			s.sim.record(invariant.Event{Kind: invariant.ConnectionLost, Request: req.id})
+			s.sim.schedule(wireDelay, func() { req.onResponse(0) })
 		}
 	}
 	for _, e := range s.sim.tiers[s.tier] {
@@ -142,158 +144,160 @@
 	s.sim.record(invariant.Event{Kind: invariant.SidecarExited, Sidecar: s.name})
 }
 
-// sortedRequests are the calls in a fixed order.
+// sortedRequests returns the process's requests in the order of their acceptance, so that the simulation is reproducible.
 func (s *sidecar) sortedRequests() []*request {
-	out := make([]*request, 0, len(s.requests))
-	for _, c := range s.requests {
-		out = append(out, c)
+	sorted := make([]*request, 0, len(s.requests))
+	for _, req := range s.requests {
+		sorted = append(sorted, req)
 	}
-	sortRequests(out)
-	return out
+	sortRequests(sorted)
+	return sorted
 }
 
-// accept takes a request. end is told its status, once: 200, 503, 502, or 0 where the sidecar has died.
-func (s *sidecar) accept(class int, key string, deadline time.Duration, end func(status int)) {
-	w := s.sim
-	w.requestCount++
-	c := &request{id: fmt.Sprint("r", w.requestCount), class: class, key: key, deadline: deadline, onResponse: end}
+// accept accepts a request. It calls onResponse once, with the response's status: 200, 502 if the request failed or got no response in
+// time, 503 if it was rejected, or 0 if the sidecar does not run or is killed.
+func (s *sidecar) accept(class int, key string, deadline time.Duration, onResponse func(status int)) {
+	sim := s.sim
+	sim.requestCount++
+	req := &request{id: fmt.Sprint("r", sim.requestCount), class: class, key: key, deadline: deadline, onResponse: onResponse}
 	if !classes[class].isKeyed {
-		c.key = ""
+		req.key = ""
 	}
 	if !s.isUp {
-		w.schedule(wireDelay, func() { end(0) })
+		sim.schedule(wireDelay, func() { onResponse(0) })
 		return
 	}
-	w.record(invariant.Event{Kind: invariant.RequestSent, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
-	s.requests[c.id] = c
-	life := s.incarnation
-	w.schedule(max(deadline-w.now, 0)+responseGrace, func() {
-		if !c.isDone && s.incarnation == life {
-			c.isDone = true
-			w.record(invariant.Event{Kind: invariant.ResponseOverdue, Request: c.id})
-			end(502)
+	sim.record(invariant.Event{Kind: invariant.RequestSent, Request: req.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	s.requests[req.id] = req
+	incarnation := s.incarnation
+	sim.schedule(max(deadline-sim.now, 0)+responseGrace, func() {
+		if !req.isDone && s.incarnation == incarnation {
+			req.isDone = true
+			sim.record(invariant.Event{Kind: invariant.ResponseOverdue, Request: req.id})
+			onResponse(502)
 		}
 	})
-	s.balancer.Request(w.now, balance.Request{ID: c.id, Class: classes[class].name, Tenant: "", Deadline: deadline - 10*time.Millisecond})
+	s.balancer.Request(sim.now, balance.Request{ID: req.id, Class: classes[class].name, Tenant: "", Deadline: deadline - deadlineMargin})
 	s.runDeferred()
 }
 
-// respond gives the final answer.
-func (s *sidecar) respond(c *request, status int) {
-	if c == nil || c.isDone {
+// respond sends the final response of a request, unless it has one.
+func (s *sidecar) respond(req *request, status int) {
+	if req == nil || req.isDone {
 		return
 	}
-	c.isDone = true
-	s.sim.record(invariant.Event{Kind: invariant.ResponseReceived, Request: c.id, Status: status, Genuine: status == 200})
-	s.sim.schedule(wireDelay, func() { c.onResponse(status) })
+	req.isDone = true
+	s.sim.record(invariant.Event{Kind: invariant.ResponseReceived, Request: req.id, Status: status, Genuine: status == 200})
+	s.sim.schedule(wireDelay, func() { req.onResponse(status) })
 }
 
-// resetAttempts ends what is out at an endpoint that died.
+// resetAttempts ends the attempts in flight at an endpoint whose process was killed, and drops the idle connections to it.
 func (s *sidecar) resetAttempts(e *endpoint) {
 	s.idleSince[e.id] = nil
-	for _, c := range s.sortedRequests() {
-		for _, a := range c.attempts {
+	for _, req := range s.sortedRequests() {
+		for _, a := range req.attempts {
 			if a.isInFlight && a.endpoint == e {
-				r := balance.Reset
+				result := balance.Reset
 				if !a.wasReceived {
-					r = balance.ConnectFailed
+					result = balance.ConnectFailed
 				}
-				s.sim.schedule(wireDelay, func() { s.endAttempt(a, r, true) })
+				s.sim.schedule(wireDelay, func() { s.endAttempt(a, result, true) })
 			}
 		}
 	}
 }
 
-// endAttempt reports the end of an attempt, once.
-func (s *sidecar) endAttempt(a *attempt, r balance.Result, reused bool) {
+// endAttempt reports the outcome of an attempt to the balancer, unless the attempt has ended before or the sidecar was killed since.
+func (s *sidecar) endAttempt(a *attempt, result balance.Result, reused bool) {
 	if !a.isInFlight || a.sidecarIncarnation != s.incarnation || !s.isUp {
 		return
 	}
 	a.isInFlight = false
-	c := a.request
-	c.hadErrorResponse = r == balance.ErrorResponse
-	if r == balance.OK || r == balance.ErrorResponse || r == balance.Rejected {
+	req := a.request
+	req.hadErrorResponse = result == balance.ErrorResponse
+	if result == balance.OK || result == balance.ErrorResponse || result == balance.Rejected {
 		s.idleSince[a.endpoint.id] = append(s.idleSince[a.endpoint.id], s.sim.now)
-	} else if a.endpoint.openConnections > 0 && r != balance.ConnectFailed {
+	} else if a.endpoint.openConnections > 0 && result != balance.ConnectFailed {
 		a.endpoint.openConnections--
 	}
-	o := balance.Outcome{ID: c.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: r, Latency: s.sim.now - a.sentAt, IsFinal: c.isDone, ReusedConnection: reused}
-	if r == balance.OK && !c.isDone {
-		o.IsFinal = true
-		s.respond(c, 200)
+	outcome := balance.Outcome{ID: req.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: reused}
+	if result == balance.OK && !req.isDone {
+		outcome.IsFinal = true
+		s.respond(req, 200)
 	}
-	s.balancer.Outcome(s.sim.now, o)
+	s.balancer.Outcome(s.sim.now, outcome)
 	s.runDeferred()
-	s.forgetIfDone(c)
+	s.forgetIfDone(req)
 }
 
-func (s *sidecar) forgetIfDone(c *request) {
-	if !c.isDone {
+// forgetIfDone deletes a request that has its final response and no attempt in flight.
+func (s *sidecar) forgetIfDone(req *request) {
+	if !req.isDone {
 		return
 	}
-	for _, a := range c.attempts {
+	for _, a := range req.attempts {
 		if a.isInFlight {
 			return
 		}
 	}
-	delete(s.requests, c.id)
+	delete(s.requests, req.id)
 }
 
-// closeIdleConnections closes connections that have stood idle too long.
-func (s *sidecar) closeIdleConnections(id string) {
-	kept := s.idleSince[id][:0]
-	for _, since := range s.idleSince[id] {
+// closeIdleConnections closes the connections to an endpoint that have been idle for idleTimeout.
+func (s *sidecar) closeIdleConnections(endpointID string) {
+	kept := s.idleSince[endpointID][:0]
+	for _, since := range s.idleSince[endpointID] {
 		if s.sim.now-since < idleTimeout {
 			kept = append(kept, since)
-		} else if e := s.endpoints[id]; e != nil && e.openConnections > 0 {
+		} else if e := s.endpoints[endpointID]; e != nil && e.openConnections > 0 {
 			e.openConnections--
 		}
 	}
-	s.idleSince[id] = kept
+	s.idleSince[endpointID] = kept
 }
 
-// Send implements balance.Host.
+// Send implements balance.Host. It sends on an idle connection if there is one, and otherwise opens a connection.
 func (s *sidecar) Send(id, endpoint string, timeout time.Duration) {
-	w, c, e := s.sim, s.requests[id], s.endpoints[endpoint]
-	if c == nil || e == nil {
+	sim, req, e := s.sim, s.requests[id], s.endpoints[endpoint]
+	if req == nil || e == nil {
 		return
 	}
-	a := &attempt{request: c, number: len(c.attempts), endpoint: e, sidecarIncarnation: s.incarnation, sentAt: w.now, isInFlight: true}
-	c.attempts = append(c.attempts, a)
+	a := &attempt{request: req, number: len(req.attempts), endpoint: e, sidecarIncarnation: s.incarnation, sentAt: sim.now, isInFlight: true}
+	req.attempts = append(req.attempts, a)
 	s.closeIdleConnections(endpoint)
 	delay, reused := wireDelay, false
 	if n := len(s.idleSince[endpoint]); n > 0 {
 		s.idleSince[endpoint], reused = s.idleSince[endpoint][:n-1], true
 	} else {
 		delay += 2*wireDelay + handshakeDelay
-		w.result.Connections++
+		sim.result.Connections++
 		if !e.isUp || e.openConnections >= maxConnections {
-			w.schedule(2*wireDelay, func() { s.endAttempt(a, balance.ConnectFailed, false) })
+			sim.schedule(2*wireDelay, func() { s.endAttempt(a, balance.ConnectFailed, false) })
 			return
 		}
 		e.openConnections++
 	}
-	w.schedule(timeout, func() {
+	sim.schedule(timeout, func() {
 		if a.isInFlight && a.sidecarIncarnation == s.incarnation && s.isUp {
 			if a.wasReceived {
-				w.record(invariant.Event{Kind: invariant.AttemptAborted, Request: c.id, Node: e.id})
+				sim.record(invariant.Event{Kind: invariant.AttemptAborted, Request: req.id, Node: e.id})
 			}
 			s.endAttempt(a, balance.TimedOut, reused)
 		}
 	})
-	life := e.incarnation
-	w.schedule(delay, func() {
-		unheard := e.isIsolated || s.isCutOff && e.zone == s.cutZone
+	endpointIncarnation := e.incarnation
+	sim.schedule(delay, func() {
+		isLost := e.isIsolated || s.isCutOff && e.zone == s.cutZone
 		switch {
-		case !a.isInFlight || a.sidecarIncarnation != s.incarnation || unheard:
-		case e.incarnation != life || !e.isUp:
+		case !a.isInFlight || a.sidecarIncarnation != s.incarnation || isLost:
+		case e.incarnation != endpointIncarnation || !e.isUp:
 			s.endAttempt(a, balance.ConnectFailed, reused)
 		default:
 			a.wasReceived = true
-			e.receive(a, w.drawWork(c.class, e.tier), c.key, func(r balance.Result) {
-				w.schedule(wireDelay, func() {
+			e.receive(a, sim.drawWork(req.class, e.tier), req.key, func(result balance.Result) {
+				sim.schedule(wireDelay, func() {
 					if !e.isIsolated && (!s.isCutOff || e.zone != s.cutZone) {
-						s.endAttempt(a, r, reused)
+						s.endAttempt(a, result, reused)
 					}
 				})
 			})
@@ -301,58 +305,58 @@
 	})
 }
 
-// drawWork draws what a call costs in a tier.
-func (w *simulation) drawWork(class, tier int) float64 {
-	return w.rng.ExpFloat64() * classes[class].work * tiers[tier].work
+// drawWork draws the work of a request in a tier, in seconds of a core of speed 1.
+func (sim *simulation) drawWork(class, tier int) float64 {
+	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].work
 }
 
-// Cancel implements balance.Host; the settings never allow it.
+// Cancel implements balance.Host. The settings disable what the balancer would need it for.
 func (s *sidecar) Cancel(string, int) {}
 
 // Reject implements balance.Host.
 func (s *sidecar) Reject(id string, _ time.Duration) {
-	c := s.requests[id]
-	if c != nil && c.hadErrorResponse { // as the daemon does: an endpoint's own error promises less
+	req := s.requests[id]
+	if req != nil && req.hadErrorResponse { // as in the daemon: after an error response, a 503 would wrongly promise that a retry is harmless
 		s.Fail(id)
 		return
 	}
-	s.respond(c, 503)
-	if c != nil {
-		s.deferred = append(s.deferred, func() { s.forgetIfDone(c) })
+	s.respond(req, 503)
+	if req != nil {
+		s.deferred = append(s.deferred, func() { s.forgetIfDone(req) })
 	}
 }
 
 // Fail implements balance.Host.
 func (s *sidecar) Fail(id string) {
-	c := s.requests[id]
-	s.respond(c, 502)
-	if c != nil {
-		s.deferred = append(s.deferred, func() { s.forgetIfDone(c) })
+	req := s.requests[id]
+	s.respond(req, 502)
+	if req != nil {
+		s.deferred = append(s.deferred, func() { s.forgetIfDone(req) })
 	}
 }
 
-// Probe implements balance.Host; the settings never allow it.
+// Probe implements balance.Host. The settings disable load probes.
 func (s *sidecar) Probe(string) {}
 
-// HasIdleConnection implements balance.Host.
+// HasIdleConnection implements balance.Host, after closing connections that have been idle for too long.
 func (s *sidecar) HasIdleConnection(endpoint string) bool {
 	s.closeIdleConnections(endpoint)
 	return len(s.idleSince[endpoint]) > 0
 }
 
-// Subscribe implements balance.Host; lists are pushed.
+// Subscribe implements balance.Host. It does nothing, since each sidecar gets all updates without a subscription.
 func (s *sidecar) Subscribe() {}
 
-// Timer implements balance.Host.
+// Timer implements balance.Host. A timer of a process that has been killed does not fire.
 func (s *sidecar) Timer(at time.Duration) {
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.sim.schedule(at-s.sim.now, func() {
-		if s.isUp && s.incarnation == life {
+		if s.isUp && s.incarnation == incarnation {
 			s.balancer.Timer(s.sim.now)
 			s.runDeferred()
 		}
 	})
 }
 
-// Log implements balance.Host.
+// Log implements balance.Host and discards the line.
 func (s *sidecar) Log(string) {}
--- a/internal/testkit/fleetsim/simulation.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -11,139 +11,141 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// epoch is the instant at which a day begins: well above zero, so that starts before it have instants too.
+// epoch is the virtual time at which a day begins. It is far above zero, so that endpoints may have started before it.
 const epoch = 1000 * time.Second
 
-// simulation is a day that is played.
+// simulation is the state of the simulation of one day.
 type simulation struct {
 	day             Day
-	decide          eventloop.BalancerFactory
+	newBalancer     eventloop.BalancerFactory // creates the balancer of each sidecar process
 	rng             *rand.Rand
-	now             time.Duration
-	queue           eventqueue.Agenda[func()]
-	tiers           [][]*endpoint // those that were ever listed, by tier
-	front           []*sidecar
-	sidecars        []*sidecar
-	keysSeen        map[string]time.Duration // keys by cell, and when they were first sent there
-	nameCount       int
-	requestCount    int
-	timeline        []invariant.Event
+	now             time.Duration             // virtual time; the day begins at epoch
+	queue           eventqueue.Agenda[func()] // functions to call at later times
+	tiers           [][]*endpoint             // endpoints of each tier, including those that have been replaced
+	front           []*sidecar                // sidecars that receive requests from clients
+	sidecars        []*sidecar                // all sidecars, including those of endpoints that have been replaced
+	keysSeen        map[string]time.Duration  // time of the first request with an idempotency key, by tier, cell and key
+	nameCount       int                       // names given out by nextName
+	requestCount    int                       // requests that were sent to any sidecar
+	timeline        []invariant.Event         // events for the check of the invariants, in order of time
 	result          *Result
-	arrivalsStopped bool // nothing new is asked for
+	arrivalsStopped bool // clients send no new requests, only retries
 }
 
-// schedule plans something.
-func (w *simulation) schedule(d time.Duration, do func()) {
-	w.queue.Put(w.now+max(d, 0), do)
+// schedule calls f after a delay; a negative delay counts as 0.
+func (sim *simulation) schedule(delay time.Duration, f func()) {
+	sim.queue.Put(sim.now+max(delay, 0), f)
 }
 
-// runUntil plays until nothing is left to happen, or the instant given.
-func (w *simulation) runUntil(until time.Duration) {
-	for e, ok := w.queue.Take(until); ok; e, ok = w.queue.Take(until) {
-		w.now = e.At
+// runUntil handles all events that are due until the given time, and then advances the clock to it.
+func (sim *simulation) runUntil(until time.Duration) {
+	for e, ok := sim.queue.Take(until); ok; e, ok = sim.queue.Take(until) {
+		sim.now = e.At
 		e.What()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// record writes into the timeline.
-func (w *simulation) record(e invariant.Event) {
-	e.At = w.now - epoch
-	w.timeline = append(w.timeline, e)
+// record appends an event to the timeline, at the present time.
+func (sim *simulation) record(e invariant.Event) {
+	e.At = sim.now - epoch
+	sim.timeline = append(sim.timeline, e)
 }
 
-// drawExponential draws a time with the mean given.
-func (w *simulation) drawExponential(mean time.Duration) time.Duration {
-	return time.Duration(w.rng.ExpFloat64() * float64(mean))
+// drawExponential draws an exponentially distributed duration.
+func (sim *simulation) drawExponential(mean time.Duration) time.Duration {
+	return time.Duration(sim.rng.ExpFloat64() * float64(mean))
 }
 
-func (w *simulation) nextName(prefix string) string {
-	w.nameCount++
-	return fmt.Sprint(prefix, w.nameCount)
+// nextName returns the prefix with a number that is unique within the simulation.
+func (sim *simulation) nextName(prefix string) string {
+	sim.nameCount++
+	return fmt.Sprint(prefix, sim.nameCount)
 }
 
-// build makes endpoints and sidecars: the front's, and one beside each endpoint that calls a further tier.
-func (w *simulation) build() {
-	front := max(int(float64(w.day.Sidecars)*frontFraction), 2)
-	first := max(int(float64(w.day.Sidecars-front)/(tiers[0].size+tiers[1].size)), cellSize)
+// build creates the endpoints, a sidecar for each endpoint that calls a tier below, and the front sidecars.
+func (sim *simulation) build() {
+	frontCount := max(int(float64(sim.day.Sidecars)*frontFraction), 2)
+	firstTierSize := max(int(float64(sim.day.Sidecars-frontCount)/(tiers[0].size+tiers[1].size)), cellSize)
 	for t := range tiers {
-		w.tiers = append(w.tiers, nil)
-		for i := range int(float64(first) * tiers[t].size) {
-			w.addEndpoint(t, i, 0)
+		sim.tiers = append(sim.tiers, nil)
+		for i := range int(float64(firstTierSize) * tiers[t].size) {
+			sim.addEndpoint(t, i, 0)
 		}
 	}
 	for t := range tiers {
-		for _, e := range w.tiers[t] {
-			w.addOwnSidecar(e)
+		for _, e := range sim.tiers[t] {
+			sim.addOwnSidecar(e)
 		}
 	}
-	for i := range front {
-		s := w.newSidecar(fmt.Sprint("f", i), 0, i)
-		w.front = append(w.front, s)
+	for i := range frontCount {
+		s := sim.newSidecar(fmt.Sprint("f", i), 0, i)
+		sim.front = append(sim.front, s)
 		s.start(balance.EndpointUpdate{})
 	}
 }
 
-// callerCount is how many sidecars send to a tier.
-func (w *simulation) callerCount(tier int) int {
+// callerCount returns the number of sidecars that send requests to a tier.
+func (sim *simulation) callerCount(tier int) int {
 	if tier == 0 {
-		return max(int(float64(w.day.Sidecars)*frontFraction), 2)
+		return max(int(float64(sim.day.Sidecars)*frontFraction), 2)
 	}
-	return len(w.tiers[tier-1])
+	return len(sim.tiers[tier-1])
 }
 
-// scheduleArrivals plays one front sidecar's callers until the day's end.
-func (w *simulation) scheduleArrivals(s *sidecar, gap time.Duration) {
-	w.schedule(w.drawExponential(gap), func() {
-		if w.arrivalsStopped {
+// scheduleArrivals sends clients' requests to a front sidecar as a Poisson process, until the day ends.
+func (sim *simulation) scheduleArrivals(s *sidecar, meanGap time.Duration) {
+	sim.schedule(sim.drawExponential(meanGap), func() {
+		if sim.arrivalsStopped {
 			return
 		}
-		w.result.Requests++
-		w.scheduleArrivals(s, gap)
-		w.sendClientRequest(s, w.drawClass())
+		sim.result.Requests++
+		sim.scheduleArrivals(s, meanGap)
+		sim.sendClientRequest(s, sim.drawClass())
 	})
 }
 
-func (w *simulation) drawClass() int {
-	if w.rng.Float64() < classes[0].fraction {
+// drawClass draws the index of a class by the classes' fractions.
+func (sim *simulation) drawClass() int {
+	if sim.rng.Float64() < classes[0].fraction {
 		return 0
 	}
 	return 1
 }
 
-// sendClientRequest is one request of a caller from outside: it asks, and if it is refused or failed asks again, elsewhere where its
-// sidecar is down.
-func (w *simulation) sendClientRequest(s *sidecar, class int) {
+// sendClientRequest sends a request of a client to a front sidecar and adds its outcome to the result. The client retries a request
+// that was rejected or failed, and uses a random other front sidecar while its own is down.
+func (sim *simulation) sendClientRequest(s *sidecar, class int) {
 	c := classes[class]
-	asked, key := w.now, w.nextName("k")
-	w.result.OfferedValue += c.weight
-	var attempt func(try int)
-	attempt = func(try int) {
-		to := s
-		for range w.front {
-			if to.isUp {
+	startedAt, key := sim.now, sim.nextName("k")
+	sim.result.OfferedValue += c.weight
+	var send func(retries int)
+	send = func(retries int) {
+		target := s
+		for range sim.front {
+			if target.isUp {
 				break
 			}
-			to = w.front[w.rng.IntN(len(w.front))]
+			target = sim.front[sim.rng.IntN(len(sim.front))]
 		}
-		w.result.ClientAttempts++
-		to.accept(class, key, asked+c.deadline, func(status int) {
+		sim.result.ClientAttempts++
+		target.accept(class, key, startedAt+c.deadline, func(status int) {
 			switch {
-			case status == 200 && w.now-asked <= c.latencyObjective:
-				w.result.ServedValue += c.weight
-				w.result.InTime++
+			case status == 200 && sim.now-startedAt <= c.latencyObjective:
+				sim.result.ServedValue += c.weight
+				sim.result.InTime++
 			case status == 200:
-				w.result.Late++
-			case try < maxClientRetries && w.now+clientRetryDelay < asked+c.deadline:
-				w.schedule(clientRetryDelay, func() { attempt(try + 1) })
+				sim.result.Late++
+			case retries < maxClientRetries && sim.now+clientRetryDelay < startedAt+c.deadline:
+				sim.schedule(clientRetryDelay, func() { send(retries + 1) })
 			case status == 503:
-				w.result.Rejected++
+				sim.result.Rejected++
 			case status == 0:
-				w.result.Lost++
+				sim.result.Lost++
 			default:
-				w.result.Failed++
+				sim.result.Failed++
 			}
 		})
 	}
-	attempt(0)
+	send(0)
 }
