--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -12,125 +12,127 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// smallDay is a day that takes a second or two under the race detector.
-func smallDay(trouble string) Day {
-	return Day{Seed: 3, Sidecars: 40, Scenario: trouble, Length: 14 * time.Second, Utilization: 0.6}
+// smallDay returns a day that takes a second or two to simulate under the race detector.
+func smallDay(scenario string) Day {
+	return Day{Seed: 3, Sidecars: 40, Scenario: scenario, Length: 14 * time.Second, Utilization: 0.6}
 }
 
-func runDay(t *testing.T, decide eventloop.BalancerFactory, d Day) *Result {
+func runDay(t *testing.T, newBalancer eventloop.BalancerFactory, d Day) *Result {
 	t.Helper()
-	r, err := RunWith(decide, d)
+	r, err := RunWith(newBalancer, d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// The module keeps the rules in a fleet, whatever happens, and the same day ends the same.
-func TestTheModuleKeepsTheRulesInAFleet(t *testing.T) {
+// The decision module keeps all invariants in every scenario, and the same day gives the same result. Each invariant must be tested
+// by at least one scenario.
+func TestInvariantsHoldInAllScenarios(t *testing.T) {
 	tested := [4]bool{}
-	for _, trouble := range Scenarios() {
-		t.Run(trouble, func(t *testing.T) {
-			r := runDay(t, eventloop.NewBalancer, smallDay(trouble))
+	for _, scenario := range Scenarios() {
+		t.Run(scenario, func(t *testing.T) {
+			r := runDay(t, eventloop.NewBalancer, smallDay(scenario))
 			if !r.Rules.Held() {
 				var b strings.Builder
 				_ = r.WriteSummary(&b)
 				t.Error(b.String())
 			}
 			if r.Requests < 500 || r.InTime+r.Late+r.Rejected+r.Failed+r.Lost != r.Requests {
-				t.Errorf("%d asked, %d in time, %d late, %d refused, %d failed, %d lost", r.Requests, r.InTime, r.Late, r.Rejected, r.Failed, r.Lost)
+				t.Errorf("got %d requests: %d in time, %d late, %d rejected, %d failed, %d lost; want at least 500, each with one outcome", r.Requests, r.InTime, r.Late, r.Rejected, r.Failed, r.Lost)
 			}
 			for i, rule := range r.Rules.Rules {
 				tested[i] = tested[i] || rule.Verdict != invariant.Untested
 			}
-			if again := runDay(t, eventloop.NewBalancer, smallDay(trouble)); !reflect.DeepEqual(r, again) {
-				t.Error("the same day ends in another way")
+			if again := runDay(t, eventloop.NewBalancer, smallDay(scenario)); !reflect.DeepEqual(r, again) {
+				t.Error("two simulations of the same day have different results")
 			}
 		})
 	}
-	for i, was := range tested {
-		if !was {
-			t.Errorf("rule %d was not put to the test on any day", i+1)
+	for i, wasTested := range tested {
+		if !wasTested {
+			t.Errorf("invariant %d was not tested in any scenario", i+1)
 		}
 	}
 }
 
-// A calm day at three fifths of what the fleet can do is served nearly whole, and each call is made once.
-func TestACalmDayIsServed(t *testing.T) {
+// Without faults, at 60 % of the capacity, nearly all requests are served in time and nearly no attempt is repeated.
+func TestDayWithoutFaultsIsServed(t *testing.T) {
 	r := runDay(t, eventloop.NewBalancer, smallDay("calm"))
 	if r.ServedFraction() < 0.97 {
-		t.Errorf("%.3f of the worth is served in time", r.ServedFraction())
+		t.Errorf("%.3f of the offered value is served in time, want at least 0.97", r.ServedFraction())
 	}
 	for tier := range tiers {
 		if a := r.Amplification(tier); a < 0.95 || a > 1.02 {
-			t.Errorf("tier %d: %.2f attempts for each that is needed", tier, a)
+			t.Errorf("tier %d received %.2f attempts for each that is needed, want 0.95 to 1.02", tier, a)
 		}
 	}
 }
 
-// firstListOnly is the module, but hears its first list only.
+// firstListOnly is the decision module, but ignores all endpoint lists after the first.
 type firstListOnly struct {
 	balance.Events
 	hasList bool
 }
 
-func (d *firstListOnly) EndpointList(now time.Duration, l balance.EndpointUpdate) {
-	if !d.hasList {
-		d.hasList = true
-		d.Events.EndpointList(now, l)
+func (b *firstListOnly) EndpointList(now time.Duration, list balance.EndpointUpdate) {
+	if !b.hasList {
+		b.hasList = true
+		b.Events.EndpointList(now, list)
 	}
 }
 
-// newestOnly sends all that it has to the endpoint that started last.
+// newestOnly sends all requests to the endpoint that started last.
 type newestOnly struct {
 	balance.Events
 	host   balance.Host
-	newest balance.Endpoint
+	newest balance.Endpoint // endpoint that started last of all that were listed as ready
 }
 
-func (e *newestOnly) EndpointList(now time.Duration, l balance.EndpointUpdate) {
-	for _, in := range l.Endpoints {
-		if in.State == balance.Ready && in.Started >= e.newest.Started {
-			e.newest = in
+func (b *newestOnly) EndpointList(now time.Duration, list balance.EndpointUpdate) {
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == balance.Ready && endpoint.Started >= b.newest.Started {
+			b.newest = endpoint
 		}
 	}
 }
 
-func (e *newestOnly) Request(now time.Duration, r balance.Request) {
-	e.host.Send(r.ID, e.newest.ID, r.Deadline-now)
+func (b *newestOnly) Request(now time.Duration, r balance.Request) {
+	b.host.Send(r.ID, b.newest.ID, r.Deadline-now)
 }
 
-func (e *newestOnly) Outcome(_ time.Duration, o balance.Outcome) {
+func (b *newestOnly) Outcome(_ time.Duration, o balance.Outcome) {
 	if !o.IsFinal && o.Result != balance.OK {
-		e.host.Fail(o.ID)
+		b.host.Fail(o.ID)
 	}
 }
 
-func (e *newestOnly) Timer(time.Duration) {}
+func (b *newestOnly) Timer(time.Duration) {}
 
-// neverResponds takes requests and never answers.
+// neverResponds accepts requests and never sends a response.
 type neverResponds struct{ balance.Events }
 
 func (neverResponds) Request(time.Duration, balance.Request) {}
 
-// alwaysRetries sends what may have run once more, anywhere.
+// alwaysRetries retries every failed attempt at some other endpoint, even if the attempt may have taken effect.
 type alwaysRetries struct {
 	balance.Events
 	host          balance.Host
-	ids           []string
-	attemptCounts map[string]int
+	ids           []string       // IDs of all endpoints that were listed as ready
+	attemptCounts map[string]int // attempts sent, by request ID
 }
 
-func (b *alwaysRetries) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
-	for _, in := range l.Endpoints {
-		if in.State == balance.Ready {
-			b.ids = append(b.ids, in.ID)
+func (b *alwaysRetries) EndpointList(_ time.Duration, list balance.EndpointUpdate) {
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == balance.Ready {
+			b.ids = append(b.ids, endpoint.ID)
 		}
 	}
 }
 
 func (b *alwaysRetries) Request(now time.Duration, r balance.Request) { b.send(r.ID) }
 
+// send sends the next attempt of a request to an endpoint that depends on the request's ID and the number of the attempt.
 func (b *alwaysRetries) send(id string) {
 	b.attemptCounts[id]++
 	b.host.Send(id, b.ids[(len(id)+b.attemptCounts[id]*7+int(id[len(id)-1]))%len(b.ids)], 300*time.Millisecond)
@@ -148,55 +150,61 @@
 
 func (b *alwaysRetries) Timer(time.Duration) {}
 
-// Each rule is seen broken where it is.
-func TestBadDecidersAreSeen(t *testing.T) {
+// Each balancer breaks one invariant, and the check of the timeline finds that.
+func TestViolationsOfInvariantsAreFound(t *testing.T) {
 	for _, row := range []struct {
-		name, trouble string
-		rule          int
-		decide        eventloop.BalancerFactory
+		name, scenario string
+		invariant      int // number of the invariant that must be broken, from 1
+		newBalancer    eventloop.BalancerFactory
 	}{
-		{"one that answers nothing", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+		{"never responds", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return neverResponds{eventloop.NewBalancer(now, s, h)}
 		}},
-		{"one that sends twice", "split", 2, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
+		{"retries what may have taken effect", "split", 2, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
 			return &alwaysRetries{host: h, attemptCounts: map[string]int{}}
 		}},
-		{"one that hears nothing", "join", 3, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+		{"ignores that endpoints drain and go", "join", 3, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return &firstListOnly{Events: eventloop.NewBalancer(now, s, h)}
 		}},
-		{"one that floods what is cold", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &newestOnly{host: h} }},
+		{"floods an endpoint that is warming up", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &newestOnly{host: h} }},
 	} {
-		r := runDay(t, row.decide, smallDay(row.trouble))
-		if got := r.Rules.Rules[row.rule-1].Verdict; got != invariant.Broken {
-			t.Errorf("%s: rule %d is %s", row.name, row.rule, got)
+		r := runDay(t, row.newBalancer, smallDay(row.scenario))
+		if rule := r.Rules.Rules[row.invariant-1]; rule.Verdict != invariant.Broken {
+			t.Errorf("%s: the verdict on the rule %q is %s, want %s", row.name, rule.Name, rule.Verdict, invariant.Broken)
 		}
 	}
 }
 
-func TestDaysAreChecked(t *testing.T) {
-	good := smallDay("calm")
-	for field, spoil := range map[string]func(*Day){
-		"trouble": func(d *Day) { d.Scenario = "storm" }, "sidecars": func(d *Day) { d.Sidecars = 3 }, "length": func(d *Day) { d.Length = 0 }, "use": func(d *Day) { d.Utilization = -1 }, "slow start": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
+// The error on an invalid day begins with the name of the invalid field.
+func TestInvalidDaysAreRejected(t *testing.T) {
+	valid := smallDay("calm")
+	for field, invalidate := range map[string]func(*Day){
+		"trouble":    func(d *Day) { d.Scenario = "storm" },
+		"sidecars":   func(d *Day) { d.Sidecars = 3 },
+		"length":     func(d *Day) { d.Length = 0 },
+		"use":        func(d *Day) { d.Utilization = -1 },
+		"slow start": func(d *Day) { d.SlowStart.InitialCapacity = 0.5 },
 	} {
-		d := good
-		spoil(&d)
+		d := valid
+		invalidate(&d)
 		if _, err := Run(d); err == nil || !strings.HasPrefix(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("got error %v, want one that begins with %q", err, field)
 		}
 	}
 }
 
-// Endpoints of another site start at a seventh of their capacity, take 24 s to warm up and fall over within a second. While they are
-// replaced and callers restart, under more requests than the tier can take, the sum of all callers does not overload one.
-func TestColdEndpointsOfAnotherSiteAreNotOverloaded(t *testing.T) {
-	for _, trouble := range []string{"roll", "join"} {
+// At another site, endpoints start at a seventh of their capacity, take 24 s to warm up, and are overloaded by too much work within
+// one second. While endpoints are replaced and sidecars restart, under a demand as high as the full capacity, all sidecars together do
+// not overload an endpoint that is warming up.
+func TestWarmingEndpointsOfAnotherSiteAreNotOverloaded(t *testing.T) {
+	for _, scenario := range []string{"roll", "join"} {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprint(trouble, seed), func(t *testing.T) {
-				d := smallDay(trouble)
+			t.Run(fmt.Sprint(scenario, seed), func(t *testing.T) {
+				d := smallDay(scenario)
 				d.Seed, d.Utilization, d.SlowStart = 5+seed, 1, SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second}
 				r := runDay(t, eventloop.NewBalancer, d)
 				if rule := r.Rules.Rules[3]; rule.Verdict != invariant.Held {
-					t.Errorf("rule 4 is %s, %d times; cold endpoints got at most %.2f of what overloads them", rule.Verdict, rule.ViolationCount, r.PeakColdLoad)
+					t.Errorf("the verdict on the rule %q is %s with %d violations, want %s; warming endpoints received at most %.2f of what overloads them", rule.Name, rule.Verdict, rule.ViolationCount, invariant.Held, r.PeakColdLoad)
 				}
 			})
 		}
