--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -85,7 +85,7 @@
 
 // tiers are the tiers of endpoints, from the one that front sidecars call downwards.
 var tiers = []struct {
-	work  float64 // fraction of a class's work that one request causes in the tier
+	work  float64 // fraction of its class's work that each request to the tier takes
 	size  float64 // number of endpoints, relative to the first tier
 	calls int     // requests to the tier below, one after another, for each request
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
