--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -25,7 +25,7 @@
 	LeftIsNotFailed Rule = "who left has not failed, and comes back with a new incarnation only"
 	// IncarnationsMonotonic: the incarnation of a daemon in another daemon's view never decreases.
 	IncarnationsMonotonic Rule = "incarnations never go back"
-	// ViewsConverge: once Limits.SettleWithin has passed since the last fault, each view matches which daemons run.
+	// ViewsConverge: once Limits.SettleWithin has passed since the last fault, start or end of a daemon, each view matches which daemons run.
 	ViewsConverge Rule = "views agree in time after the last fault"
 )
 
@@ -59,7 +59,7 @@
 // Limits are the time limits of the rules, and the end of the timeline.
 type Limits struct {
 	DetectWithin time.Duration // from a daemon's end until all others must have detected it, without other faults
-	SettleWithin time.Duration // from the last fault until all views must be right
+	SettleWithin time.Duration // from the last fault, start or end of a daemon until all views must be right
 	End          time.Duration // instant at which the timeline ends
 }
 
@@ -75,7 +75,7 @@
 	Violations         []Violation
 	TestedOccasions    map[Rule]int  // occasions on which each rule was tested; a rule that is missing was not tested
 	SlowestDetection   time.Duration // longest time from a daemon's end until the last of the others detected it, without other faults
-	SlowestConvergence time.Duration // longest time from a fact until all views were right
+	SlowestConvergence time.Duration // longest time from a change to a daemon, or from the end of the faults, until all views were right
 }
 
 // observation is one daemon's entry in the view of another.
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -24,7 +24,7 @@
 	Daemon      string
 	Incarnation int    // number of the daemon's process; a new process may start with an earlier version, but not act on it for longer than promised
 	Version     uint64 // version of the settings that the daemon acted on
-	Digest      string // digest of all settings of the version, to compare between daemons
+	Digest      string // text that identifies the content of the version, to compare between daemons
 }
 
 // VersionVerdict is the result of CheckVersions.
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -218,7 +218,7 @@
 		switch {
 		case e.Stream && s.rng.Float64() < s.options.LossFraction:
 			delay += resendDelay
-		case s.rng.Float64() < s.options.LossFraction: // also for a stream message that was not delayed
+		case s.rng.Float64() < s.options.LossFraction: // lost; a stream message can be lost too if it was not delayed
 			continue
 		}
 		s.queue.Put(s.Now+delay, event{to, e.Message})
