--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -23,8 +23,8 @@
 	}
 	versionsByMark := s.versionsByMark(history)
 	reports := s.versionReports(versionsByMark)
-	verdict := clusterinvariant.JudgeVersions(reports, maxVersionConflict)
-	for _, b := range verdict.Breaches[:min(len(verdict.Breaches), 5)] {
+	verdict := clusterinvariant.CheckVersions(reports, maxVersionConflict)
+	for _, b := range verdict.Violations[:min(len(verdict.Violations), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
 	}
 	for id := range s.requestsShed {
@@ -43,7 +43,7 @@
 	}
 	t.Logf("daemons acted on %d of %d versions in %d requests; daemons conflicted for at most %v, %v allowed; %d requests shed, "+
 		"%d without a response; %d operations on the flag; requests shed by fault: %v",
-		verdict.Versions, version, len(reports), verdict.Longest.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
+		verdict.Versions, version, len(reports), verdict.LongestContradiction.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
 		s.unansweredCount, len(s.flagOperations), s.shedByFault())
 }
 
@@ -88,7 +88,7 @@
 
 // versionReports returns what each request that arrived at a node shows: that its daemon acted on the version of the mark, at
 // some time between sending and arrival. If the daemon was paused when the request was sent, that time begins when it resumed.
-func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.Act) {
+func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
 		if a.mark == "" { // forwarded by the daemon's own file, before the first agreement
@@ -102,11 +102,11 @@
 		if versionsByMark[a.mark] == 0 {
 			s.t.Errorf("request %s has the mark %q, whose settings were never agreed on", id, a.mark)
 		}
-		reports = append(reports, clusterinvariant.Act{
-			Asked: sent.sentAt, Said: a.arrivedAt, By: fmt.Sprint("s", sent.daemon), Life: sent.incarnation,
+		reports = append(reports, clusterinvariant.VersionReport{
+			RequestedAt: sent.sentAt, ReportedAt: a.arrivedAt, Daemon: fmt.Sprint("s", sent.daemon), Incarnation: sent.incarnation,
 			Version: versionsByMark[a.mark], Digest: a.mark,
 		})
 	}
-	slices.SortFunc(reports, func(a, b clusterinvariant.Act) int { return cmp.Compare(a.Said, b.Said) })
+	slices.SortFunc(reports, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
 	return reports
 }
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(c.Scenarios) == 0 {
-		c.Scenarios = fleetsim.Troubles()
+		c.Scenarios = fleetsim.Scenarios()
 	}
 	results, err := c.simulateAll(newBalancer)
 	if err != nil {
@@ -49,7 +49,7 @@
 		if c.JSON == "-" {
 			continue
 		}
-		if err := r.Tell(os.Stdout); err != nil {
+		if err := r.WriteSummary(os.Stdout); err != nil {
 			return err
 		}
 	}
@@ -68,8 +68,8 @@
 	results, errs := make([]*fleetsim.Result, len(c.Scenarios)), make([]error, len(c.Scenarios))
 	var simulations sync.WaitGroup
 	for i, scenario := range c.Scenarios {
-		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Trouble: scenario, Length: c.Length, Use: c.Utilization}
-		simulations.Go(func() { results[i], errs[i] = fleetsim.PlayWith(newBalancer, day) })
+		day := fleetsim.Day{Seed: c.Seed, Sidecars: c.Sidecars, Scenario: scenario, Length: c.Length, Utilization: c.Utilization}
+		simulations.Go(func() { results[i], errs[i] = fleetsim.RunWith(newBalancer, day) })
 	}
 	simulations.Wait()
 	return results, errors.Join(errs...)
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -8,292 +8,296 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// sidecar is one balancer and what carries its decisions out, in virtual time.
+// sidecar is a simulated sidecar: one balancer, and the host that carries out its decisions.
 type sidecar struct {
-	w           *world
+	sim         *simulation
 	name        string
-	tier, index int
-	up          bool
-	life        int
-	b           balance.Events
-	known       balance.EndpointUpdate // as last told
-	view        map[string]*endpoint
-	calls       map[string]*call
-	idle        map[string][]time.Duration // connections to an endpoint that stand idle, and since when
-	later       []func()
-	cutOff      bool // from the endpoints of one zone
-	cutZone     int
+	tier        int                        // index of the tier to which it sends requests
+	index       int                        // index among the sidecars that send to the tier
+	isUp        bool                       // its process runs
+	incarnation int                        // number of times that its process was killed; tells callbacks of an earlier process apart
+	balancer    balance.Events             // balancer of the running process
+	lastList    balance.EndpointUpdate     // complete endpoint list as of the latest update
+	endpoints   map[string]*endpoint       // endpoints that were ever listed to this process, by ID
+	requests    map[string]*request        // requests that have no response yet or an attempt in flight, by ID
+	idleSince   map[string][]time.Duration // for each idle connection, the time since which it has been idle; by endpoint ID
+	deferred    []func()                   // functions to run once the balancer has returned from the present call
+	isCutOff    bool                       // messages between it and the endpoints in cutZone are lost; no scenario sets it
+	cutZone     int                        // zone from which it is cut off if isCutOff is set
 }
 
-// call is a request that was taken.
-type call struct {
-	id       string
-	class    int
-	key      string
-	deadline time.Duration
-	over     bool
-	errored  bool // the latest attempt ended by an endpoint's own error
-	end      func(status int)
-	attempts []*attempt
+// request is a request that a sidecar has accepted.
+type request struct {
+	id               string
+	class            int              // index in classes
+	key              string           // idempotency key; empty if its class has none
+	deadline         time.Duration    // virtual time by which the client needs the response
+	isDone           bool             // it has its final response, or is lost
+	hadErrorResponse bool             // its latest attempt ended with an error response of the endpoint
+	onResponse       func(status int) // receives the final status, or 0 if the request is lost
+	attempts         []*attempt       // all attempts, by number
 }
 
-// attempt is one Send.
+// attempt is an attempt of a request at an endpoint.
 type attempt struct {
-	call   *call
-	n      int
-	e      *endpoint
-	life   int // of the sidecar
-	sentAt time.Duration
-	out    bool
-	came   bool
+	request            *request
+	number             int           // number among the request's attempts, from 0
+	endpoint           *endpoint     // endpoint to which it was sent
+	sidecarIncarnation int           // incarnation of the sidecar that sent it
+	sentAt             time.Duration // virtual time at which the balancer sent it
+	isInFlight         bool          // its outcome has not been reported to the balancer
+	wasReceived        bool          // it has arrived at the endpoint
 }
 
-func (w *world) newSidecar(name string, tier, index int) *sidecar {
-	s := &sidecar{w: w, name: name, tier: tier, index: index}
-	w.sidecars = append(w.sidecars, s)
+// newSidecar adds a sidecar that sends requests to a tier. Its process does not run yet.
+func (sim *simulation) newSidecar(name string, tier, index int) *sidecar {
+	s := &sidecar{sim: sim, name: name, tier: tier, index: index}
+	sim.sidecars = append(sim.sidecars, s)
 	return s
 }
 
-// start begins a life with a list; an empty one is filled with what discovery knows.
-func (s *sidecar) start(known balance.EndpointUpdate) {
-	w := s.w
-	s.up, s.calls, s.idle, s.view = true, map[string]*call{}, map[string][]time.Duration{}, map[string]*endpoint{}
-	w.note(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
-	settings := balance.Settings{Seed: w.rng.Uint64() | 1, Balancers: w.callers(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
-		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: w.day.Cold.From, SlowStartDuration: w.day.Cold.For}
+// start starts a new process with an endpoint list. If the list is empty, the process gets the present one from discovery.
+func (s *sidecar) start(list balance.EndpointUpdate) {
+	sim := s.sim
+	s.isUp, s.requests, s.idleSince, s.endpoints = true, map[string]*request{}, map[string][]time.Duration{}, map[string]*endpoint{}
+	sim.record(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
+	settings := balance.Settings{Seed: sim.rng.Uint64() | 1, Balancers: sim.callerCount(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
+		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: sim.day.SlowStart.InitialCapacity, SlowStartDuration: sim.day.SlowStart.Duration}
 	for _, c := range classes {
-		m := balance.Class{Name: c.name, LatencyObjective: c.aim}
-		if c.keyed {
-			m.Idempotency, m.DedupScope, m.DedupWindow = balance.IdempotencyKey, balance.ScopeCell, keyWindow
+		class := balance.Class{Name: c.name, LatencyObjective: c.latencyObjective}
+		if c.isKeyed {
+			class.Idempotency, class.DedupScope, class.DedupWindow = balance.IdempotencyKey, balance.ScopeCell, dedupWindow
 		}
-		settings.Classes = append(settings.Classes, m)
+		settings.Classes = append(settings.Classes, class)
 	}
-	s.b = w.decide(w.now, settings, s)
-	if len(known.Endpoints) == 0 {
-		known = w.list(s.tier)
+	s.balancer = sim.newBalancer(sim.now, settings, s)
+	if len(list.Endpoints) == 0 {
+		list = sim.endpointList(s.tier)
 	}
-	s.tell(known)
+	s.applyList(list)
 }
 
-// list is what discovery knows of a tier.
-func (w *world) list(tier int) balance.EndpointUpdate {
-	l := balance.EndpointUpdate{Complete: true}
-	for _, e := range w.tiers[tier] {
-		if !e.gone {
-			l.Endpoints = append(l.Endpoints, e.entry())
+// endpointList returns the complete list of a tier, as discovery has it now.
+func (sim *simulation) endpointList(tier int) balance.EndpointUpdate {
+	list := balance.EndpointUpdate{Complete: true}
+	for _, e := range sim.tiers[tier] {
+		if !e.isGone {
+			list.Endpoints = append(list.Endpoints, e.listEntry())
 		}
 	}
-	return l
+	return list
 }
 
-func (e *endpoint) entry() balance.Endpoint {
-	return balance.Endpoint{ID: e.id, State: e.listed, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, Started: e.startedAt}
+// listEntry returns the entry of the endpoint in the endpoint list.
+func (e *endpoint) listEntry() balance.Endpoint {
+	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, Started: e.startedAt}
 }
 
-// tell gives a list to the module.
-func (s *sidecar) tell(l balance.EndpointUpdate) {
-	s.w.result.Lists++
-	for _, in := range l.Endpoints {
-		for _, e := range s.w.tiers[s.tier] {
-			if e.id == in.ID {
-				s.view[in.ID] = e
+// applyList records the notifications in an update of the endpoint list, and passes the update to the balancer.
+func (s *sidecar) applyList(update balance.EndpointUpdate) {
+	s.sim.result.DiscoveryMessages++
+	for _, entry := range update.Endpoints {
+		for _, e := range s.sim.tiers[s.tier] {
+			if e.id == entry.ID {
+				s.endpoints[entry.ID] = e
 			}
 		}
-		n := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: in.ID, State: invariant.State(in.State), StartedAt: in.Started - epoch}
-		s.w.note(n)
+		s.sim.record(invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: entry.ID, State: invariant.State(entry.State), StartedAt: entry.Started - epoch})
 	}
-	if l.Complete {
-		s.known = l
+	if update.Complete {
+		s.lastList = update
 	} else {
-		s.known = s.w.list(s.tier)
+		s.lastList = s.sim.endpointList(s.tier)
 	}
-	s.b.EndpointList(s.w.now, l)
-	s.after()
+	s.balancer.EndpointList(s.sim.now, update)
+	s.runDeferred()
 }
 
-// after does what arose within the module's calls.
-func (s *sidecar) after() {
-	for len(s.later) > 0 {
-		next := s.later[0]
-		s.later = s.later[1:]
+// runDeferred runs the functions that were deferred while the balancer handled an event.
+func (s *sidecar) runDeferred() {
+	for len(s.deferred) > 0 {
+		next := s.deferred[0]
+		s.deferred = s.deferred[1:]
 		next()
 	}
 }
 
-// kill ends the process. What it held goes under.
+// kill kills the process. Its requests are lost and its idle connections closed.
 func (s *sidecar) kill() {
-	if !s.up {
+	if !s.isUp {
 		return
 	}
-	s.up = false
-	s.life++
-	s.w.note(invariant.Event{Kind: invariant.SidecarKilled, Sidecar: s.name})
-	for _, c := range s.inOrder() {
-		if !c.over {
-			c.over = true
-			s.w.note(invariant.Event{Kind: invariant.ConnectionLost, Request: c.id})
-			s.w.in(wire, func() { c.end(0) })
+	s.isUp = false
+	s.incarnation++
+	s.sim.record(invariant.Event{Kind: invariant.SidecarKilled, Sidecar: s.name})
+	for _, req := range s.sortedRequests() {
+		if !req.isDone {
+			req.isDone = true
+			s.sim.record(invariant.Event{Kind: invariant.ConnectionLost, Request: req.id})
+			s.sim.schedule(wireDelay, func() { req.onResponse(0) })
 		}
 	}
-	for _, e := range s.w.tiers[s.tier] {
-		e.open -= len(s.idle[e.id])
+	for _, e := range s.sim.tiers[s.tier] {
+		e.openConnections -= len(s.idleSince[e.id])
 	}
-	s.calls, s.idle = map[string]*call{}, map[string][]time.Duration{}
-	s.w.note(invariant.Event{Kind: invariant.SidecarExited, Sidecar: s.name})
+	s.requests, s.idleSince = map[string]*request{}, map[string][]time.Duration{}
+	s.sim.record(invariant.Event{Kind: invariant.SidecarExited, Sidecar: s.name})
 }
 
-// inOrder are the calls in a fixed order.
-func (s *sidecar) inOrder() []*call {
-	out := make([]*call, 0, len(s.calls))
-	for _, c := range s.calls {
-		out = append(out, c)
+// sortedRequests returns the process's requests in the order of their acceptance, so that the simulation is reproducible.
+func (s *sidecar) sortedRequests() []*request {
+	sorted := make([]*request, 0, len(s.requests))
+	for _, req := range s.requests {
+		sorted = append(sorted, req)
 	}
-	sortCalls(out)
-	return out
+	sortRequests(sorted)
+	return sorted
 }
 
-// take takes a request. end is told its status, once: 200, 503, 502, or 0 where the sidecar has died.
-func (s *sidecar) take(class int, key string, deadline time.Duration, end func(status int)) {
-	w := s.w
-	w.calls++
-	c := &call{id: fmt.Sprint("r", w.calls), class: class, key: key, deadline: deadline, end: end}
-	if !classes[class].keyed {
-		c.key = ""
+// accept accepts a request. It calls onResponse once, with the response's status: 200, 502 if the request failed or got no response in
+// time, 503 if it was rejected, or 0 if the sidecar does not run or is killed.
+func (s *sidecar) accept(class int, key string, deadline time.Duration, onResponse func(status int)) {
+	sim := s.sim
+	sim.requestCount++
+	req := &request{id: fmt.Sprint("r", sim.requestCount), class: class, key: key, deadline: deadline, onResponse: onResponse}
+	if !classes[class].isKeyed {
+		req.key = ""
 	}
-	if !s.up {
-		w.in(wire, func() { end(0) })
+	if !s.isUp {
+		sim.schedule(wireDelay, func() { onResponse(0) })
 		return
 	}
-	w.note(invariant.Event{Kind: invariant.RequestSent, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
-	s.calls[c.id] = c
-	life := s.life
-	w.in(max(deadline-w.now, 0)+patienceOver, func() {
-		if !c.over && s.life == life {
-			c.over = true
-			w.note(invariant.Event{Kind: invariant.ResponseOverdue, Request: c.id})
-			end(502)
+	sim.record(invariant.Event{Kind: invariant.RequestSent, Request: req.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	s.requests[req.id] = req
+	incarnation := s.incarnation
+	sim.schedule(max(deadline-sim.now, 0)+responseGrace, func() {
+		if !req.isDone && s.incarnation == incarnation {
+			req.isDone = true
+			sim.record(invariant.Event{Kind: invariant.ResponseOverdue, Request: req.id})
+			onResponse(502)
 		}
 	})
-	s.b.Request(w.now, balance.Request{ID: c.id, Class: classes[class].name, Tenant: "", Deadline: deadline - 10*time.Millisecond})
-	s.after()
+	s.balancer.Request(sim.now, balance.Request{ID: req.id, Class: classes[class].name, Tenant: "", Deadline: deadline - deadlineMargin})
+	s.runDeferred()
 }
 
-// answer gives the final answer.
-func (s *sidecar) answer(c *call, status int) {
-	if c == nil || c.over {
+// respond sends the final response of a request, unless it has one.
+func (s *sidecar) respond(req *request, status int) {
+	if req == nil || req.isDone {
 		return
 	}
-	c.over = true
-	s.w.note(invariant.Event{Kind: invariant.ResponseReceived, Request: c.id, Status: status, Genuine: status == 200})
-	s.w.in(wire, func() { c.end(status) })
+	req.isDone = true
+	s.sim.record(invariant.Event{Kind: invariant.ResponseReceived, Request: req.id, Status: status, Genuine: status == 200})
+	s.sim.schedule(wireDelay, func() { req.onResponse(status) })
 }
 
-// reset ends what is out at an endpoint that died.
-func (s *sidecar) reset(e *endpoint) {
-	s.idle[e.id] = nil
-	for _, c := range s.inOrder() {
-		for _, a := range c.attempts {
-			if a.out && a.e == e {
-				r := balance.Reset
-				if !a.came {
-					r = balance.ConnectFailed
+// resetAttempts ends the attempts in flight at an endpoint whose process was killed, and drops the idle connections to it.
+func (s *sidecar) resetAttempts(e *endpoint) {
+	s.idleSince[e.id] = nil
+	for _, req := range s.sortedRequests() {
+		for _, a := range req.attempts {
+			if a.isInFlight && a.endpoint == e {
+				result := balance.Reset
+				if !a.wasReceived {
+					result = balance.ConnectFailed
 				}
-				s.w.in(wire, func() { s.over(a, r, true) })
+				s.sim.schedule(wireDelay, func() { s.endAttempt(a, result, true) })
 			}
 		}
 	}
 }
 
-// over reports the end of an attempt, once.
-func (s *sidecar) over(a *attempt, r balance.Result, reused bool) {
-	if !a.out || a.life != s.life || !s.up {
+// endAttempt reports the outcome of an attempt to the balancer, unless the attempt has ended before or the sidecar was killed since.
+func (s *sidecar) endAttempt(a *attempt, result balance.Result, reused bool) {
+	if !a.isInFlight || a.sidecarIncarnation != s.incarnation || !s.isUp {
 		return
 	}
-	a.out = false
-	c := a.call
-	c.errored = r == balance.ErrorResponse
-	if r == balance.OK || r == balance.ErrorResponse || r == balance.Rejected {
-		s.idle[a.e.id] = append(s.idle[a.e.id], s.w.now)
-	} else if a.e.open > 0 && r != balance.ConnectFailed {
-		a.e.open--
+	a.isInFlight = false
+	req := a.request
+	req.hadErrorResponse = result == balance.ErrorResponse
+	if result == balance.OK || result == balance.ErrorResponse || result == balance.Rejected {
+		s.idleSince[a.endpoint.id] = append(s.idleSince[a.endpoint.id], s.sim.now)
+	} else if a.endpoint.openConnections > 0 && result != balance.ConnectFailed {
+		a.endpoint.openConnections--
 	}
-	o := balance.Outcome{ID: c.id, Attempt: a.n, Endpoint: a.e.id, Result: r, Latency: s.w.now - a.sentAt, IsFinal: c.over, ReusedConnection: reused}
-	if r == balance.OK && !c.over {
-		o.IsFinal = true
-		s.answer(c, 200)
+	outcome := balance.Outcome{ID: req.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: reused}
+	if result == balance.OK && !req.isDone {
+		outcome.IsFinal = true
+		s.respond(req, 200)
 	}
-	s.b.Outcome(s.w.now, o)
-	s.after()
-	s.forget(c)
+	s.balancer.Outcome(s.sim.now, outcome)
+	s.runDeferred()
+	s.forgetIfDone(req)
 }
 
-func (s *sidecar) forget(c *call) {
-	if !c.over {
+// forgetIfDone deletes a request that has its final response and no attempt in flight.
+func (s *sidecar) forgetIfDone(req *request) {
+	if !req.isDone {
 		return
 	}
-	for _, a := range c.attempts {
-		if a.out {
+	for _, a := range req.attempts {
+		if a.isInFlight {
 			return
 		}
 	}
-	delete(s.calls, c.id)
+	delete(s.requests, req.id)
 }
 
-// sweep closes connections that have stood idle too long.
-func (s *sidecar) sweep(id string) {
-	kept := s.idle[id][:0]
-	for _, since := range s.idle[id] {
-		if s.w.now-since < idleFor {
+// closeIdleConnections closes the connections to an endpoint that have been idle for idleTimeout.
+func (s *sidecar) closeIdleConnections(endpointID string) {
+	kept := s.idleSince[endpointID][:0]
+	for _, since := range s.idleSince[endpointID] {
+		if s.sim.now-since < idleTimeout {
 			kept = append(kept, since)
-		} else if e := s.view[id]; e != nil && e.open > 0 {
-			e.open--
+		} else if e := s.endpoints[endpointID]; e != nil && e.openConnections > 0 {
+			e.openConnections--
 		}
 	}
-	s.idle[id] = kept
+	s.idleSince[endpointID] = kept
 }
 
-// Send implements balance.Host.
+// Send implements balance.Host. It sends on an idle connection if there is one, and otherwise opens a connection.
 func (s *sidecar) Send(id, endpoint string, timeout time.Duration) {
-	w, c, e := s.w, s.calls[id], s.view[endpoint]
-	if c == nil || e == nil {
+	sim, req, e := s.sim, s.requests[id], s.endpoints[endpoint]
+	if req == nil || e == nil {
 		return
 	}
-	a := &attempt{call: c, n: len(c.attempts), e: e, life: s.life, sentAt: w.now, out: true}
-	c.attempts = append(c.attempts, a)
-	s.sweep(endpoint)
-	delay, reused := wire, false
-	if n := len(s.idle[endpoint]); n > 0 {
-		s.idle[endpoint], reused = s.idle[endpoint][:n-1], true
+	a := &attempt{request: req, number: len(req.attempts), endpoint: e, sidecarIncarnation: s.incarnation, sentAt: sim.now, isInFlight: true}
+	req.attempts = append(req.attempts, a)
+	s.closeIdleConnections(endpoint)
+	delay, reused := wireDelay, false
+	if n := len(s.idleSince[endpoint]); n > 0 {
+		s.idleSince[endpoint], reused = s.idleSince[endpoint][:n-1], true
 	} else {
-		delay += 2*wire + handshake
-		w.result.Connections++
-		if !e.up || e.open >= connections {
-			w.in(2*wire, func() { s.over(a, balance.ConnectFailed, false) })
+		delay += 2*wireDelay + handshakeDelay
+		sim.result.Connections++
+		if !e.isUp || e.openConnections >= maxConnections {
+			sim.schedule(2*wireDelay, func() { s.endAttempt(a, balance.ConnectFailed, false) })
 			return
 		}
-		e.open++
+		e.openConnections++
 	}
-	w.in(timeout, func() {
-		if a.out && a.life == s.life && s.up {
-			if a.came {
-				w.note(invariant.Event{Kind: invariant.AttemptAborted, Request: c.id, Node: e.id})
+	sim.schedule(timeout, func() {
+		if a.isInFlight && a.sidecarIncarnation == s.incarnation && s.isUp {
+			if a.wasReceived {
+				sim.record(invariant.Event{Kind: invariant.AttemptAborted, Request: req.id, Node: e.id})
 			}
-			s.over(a, balance.TimedOut, reused)
+			s.endAttempt(a, balance.TimedOut, reused)
 		}
 	})
-	life := e.life
-	w.in(delay, func() {
-		unheard := e.silent || s.cutOff && e.zone == s.cutZone
+	endpointIncarnation := e.incarnation
+	sim.schedule(delay, func() {
+		isLost := e.isIsolated || s.isCutOff && e.zone == s.cutZone
 		switch {
-		case !a.out || a.life != s.life || unheard:
-		case e.life != life || !e.up:
-			s.over(a, balance.ConnectFailed, reused)
+		case !a.isInFlight || a.sidecarIncarnation != s.incarnation || isLost:
+		case e.incarnation != endpointIncarnation || !e.isUp:
+			s.endAttempt(a, balance.ConnectFailed, reused)
 		default:
-			a.came = true
-			e.came(a, w.work(c.class, e.tier), c.key, func(r balance.Result) {
-				w.in(wire, func() {
-					if !e.silent && (!s.cutOff || e.zone != s.cutZone) {
-						s.over(a, r, reused)
+			a.wasReceived = true
+			e.receive(a, sim.drawWork(req.class, e.tier), req.key, func(result balance.Result) {
+				sim.schedule(wireDelay, func() {
+					if !e.isIsolated && (!s.isCutOff || e.zone != s.cutZone) {
+						s.endAttempt(a, result, reused)
 					}
 				})
 			})
@@ -301,58 +305,58 @@
 	})
 }
 
-// work draws what a call costs in a tier.
-func (w *world) work(class, tier int) float64 {
-	return w.rng.ExpFloat64() * classes[class].work * tiers[tier].work
+// drawWork draws the work of a request in a tier, in seconds of a core of speed 1.
+func (sim *simulation) drawWork(class, tier int) float64 {
+	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].work
 }
 
-// Cancel implements balance.Host; the settings never allow it.
+// Cancel implements balance.Host. The settings disable what the balancer would need it for.
 func (s *sidecar) Cancel(string, int) {}
 
 // Reject implements balance.Host.
 func (s *sidecar) Reject(id string, _ time.Duration) {
-	c := s.calls[id]
-	if c != nil && c.errored { // as the daemon does: an endpoint's own error promises less
+	req := s.requests[id]
+	if req != nil && req.hadErrorResponse { // as in the daemon: after an error response, a 503 would wrongly promise that a retry is harmless
 		s.Fail(id)
 		return
 	}
-	s.answer(c, 503)
-	if c != nil {
-		s.later = append(s.later, func() { s.forget(c) })
+	s.respond(req, 503)
+	if req != nil {
+		s.deferred = append(s.deferred, func() { s.forgetIfDone(req) })
 	}
 }
 
 // Fail implements balance.Host.
 func (s *sidecar) Fail(id string) {
-	c := s.calls[id]
-	s.answer(c, 502)
-	if c != nil {
-		s.later = append(s.later, func() { s.forget(c) })
+	req := s.requests[id]
+	s.respond(req, 502)
+	if req != nil {
+		s.deferred = append(s.deferred, func() { s.forgetIfDone(req) })
 	}
 }
 
-// Probe implements balance.Host; the settings never allow it.
+// Probe implements balance.Host. The settings disable load probes.
 func (s *sidecar) Probe(string) {}
 
-// HasIdleConnection implements balance.Host.
+// HasIdleConnection implements balance.Host, after closing connections that have been idle for too long.
 func (s *sidecar) HasIdleConnection(endpoint string) bool {
-	s.sweep(endpoint)
-	return len(s.idle[endpoint]) > 0
+	s.closeIdleConnections(endpoint)
+	return len(s.idleSince[endpoint]) > 0
 }
 
-// Subscribe implements balance.Host; lists are pushed.
+// Subscribe implements balance.Host. It does nothing, since each sidecar gets all updates without a subscription.
 func (s *sidecar) Subscribe() {}
 
-// Timer implements balance.Host.
+// Timer implements balance.Host. A timer of a process that has been killed does not fire.
 func (s *sidecar) Timer(at time.Duration) {
-	life := s.life
-	s.w.in(at-s.w.now, func() {
-		if s.up && s.life == life {
-			s.b.Timer(s.w.now)
-			s.after()
+	incarnation := s.incarnation
+	s.sim.schedule(at-s.sim.now, func() {
+		if s.isUp && s.incarnation == incarnation {
+			s.balancer.Timer(s.sim.now)
+			s.runDeferred()
 		}
 	})
 }
 
-// Log implements balance.Host.
+// Log implements balance.Host and discards the line.
 func (s *sidecar) Log(string) {}
