--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -40,9 +40,9 @@
 var invariantStates = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining,
 	StateGone: invariant.Gone}
 
-// notifiedAfter is when a change that the agent has counts as notified, whether or not its sidecar has fetched it: a
+// assumedNotifiedAfter is when a change that the agent has counts as notified, whether or not its sidecar has fetched it: a
 // sidecar that does not listen must not pass for one that cannot know.
-const notifiedAfter = 6 * time.Second
+const assumedNotifiedAfter = 6 * time.Second
 
 // maxChanges is how many changes an agent can replay to a watch that resumes; one further back gets the full list.
 const maxChanges = 256
@@ -58,13 +58,13 @@
 	mu              sync.Mutex
 	version         int64
 	members         map[string]Member
-	order           []string // of the members in a list
+	memberOrder     []string // of the members in a list
 	changes         []memberChange
-	notified        MemberList    // as the sidecar has it
+	notifiedList    MemberList    // as the sidecar has it
 	notifiedVersion int64         // the latest version written to the sidecar
 	changed         chan struct{} // closed at each change, and when discovery goes down or comes back
-	isDown          bool
-	pending         []Member // changes that came while discovery was down
+	isDiscoveryDown bool
+	pendingChanges  []Member // changes that came while discovery was down
 }
 
 type memberChange struct {
@@ -83,7 +83,7 @@
 	for _, m := range list {
 		a.setMember(m)
 	}
-	a.notified = a.fullList()
+	a.notifiedList = a.fullList()
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headTimeout}
 	// Serve ends by Close. If it ended before, the sidecar would get no response and show that.
 	go func() { _ = a.server.Serve(listener) }()
@@ -103,8 +103,8 @@
 func (a *Agent) Update(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.isDown {
-		a.pending = append(a.pending, m)
+	if a.isDiscoveryDown {
+		a.pendingChanges = append(a.pendingChanges, m)
 		return
 	}
 	a.applyChange(m)
@@ -114,12 +114,12 @@
 func (a *Agent) SetDown(isDown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.isDown = isDown
+	a.isDiscoveryDown = isDown
 	if !isDown {
-		for _, m := range a.pending {
+		for _, m := range a.pendingChanges {
 			a.applyChange(m)
 		}
-		a.pending = nil
+		a.pendingChanges = nil
 	}
 	a.wakeWatches()
 }
@@ -128,7 +128,7 @@
 func (a *Agent) NotifiedList() MemberList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.notified
+	return a.notifiedList
 }
 
 // applyChange makes a change the next version. a.mu is held.
@@ -137,7 +137,7 @@
 	a.setMember(m)
 	a.changes = append(a.changes, memberChange{a.version, m})
 	version := a.version
-	time.AfterFunc(notifiedAfter, func() {
+	time.AfterFunc(assumedNotifiedAfter, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.notifiedVersion < version {
@@ -153,12 +153,12 @@
 // setMember sets a member, or removes it if it is gone. a.mu is held, or the agent is not in use yet.
 func (a *Agent) setMember(m Member) {
 	if _, ok := a.members[m.ID]; !ok {
-		a.order = append(a.order, m.ID)
+		a.memberOrder = append(a.memberOrder, m.ID)
 	}
 	if m.State == StateGone {
 		delete(a.members, m.ID)
-		if i := slices.Index(a.order, m.ID); i >= 0 {
-			a.order = slices.Delete(a.order, i, i+1)
+		if i := slices.Index(a.memberOrder, m.ID); i >= 0 {
+			a.memberOrder = slices.Delete(a.memberOrder, i, i+1)
 		}
 		return
 	}
@@ -174,7 +174,7 @@
 // fullList is the list of all members. a.mu is held.
 func (a *Agent) fullList() MemberList {
 	list := MemberList{Version: a.version, Full: true, Servers: []Member{}}
-	for _, id := range a.order {
+	for _, id := range a.memberOrder {
 		list.Servers = append(list.Servers, a.members[id])
 	}
 	return list
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -119,7 +119,7 @@
 		rec := NewRecorder(time.Now(), 100)
 		a := &Agent{Sidecar: "s1", recorder: rec, version: 1, members: map[string]Member{}, changed: make(chan struct{})}
 		a.Update(Member{ID: "a", State: StateDraining})
-		time.Sleep(notifiedAfter - time.Nanosecond)
+		time.Sleep(assumedNotifiedAfter - time.Nanosecond)
 		synctest.Wait()
 		if events, _ := rec.Events(); len(events) != 0 {
 			t.Error("notified before the limit")
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -62,7 +62,7 @@
 	defer heartbeat.Stop()
 	for {
 		a.mu.Lock()
-		changed, isDown := a.changed, a.isDown
+		changed, isDown := a.changed, a.isDiscoveryDown
 		if !isDown {
 			if list, ok := poll(); ok {
 				a.mu.Unlock()
@@ -108,10 +108,10 @@
 // recordWritten keeps what the sidecar has now, and returns the members that are gone by a full list without them. a.mu is
 // held.
 func (a *Agent) recordWritten(list MemberList) (gone []Member) {
-	previous := a.notified
+	previous := a.notifiedList
 	a.notifiedVersion = max(a.notifiedVersion, list.Version)
 	if list.Version >= previous.Version {
-		a.notified = a.fullList()
+		a.notifiedList = a.fullList()
 	}
 	if !list.Full {
 		return nil
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -162,7 +162,7 @@
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
 		Until: deadline}) // before the write and what follows from it
-	if _, err := io.WriteString(conn, c.encode(r, deadline)); err != nil {
+	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
 			c.recorder.Add(invariant.Event{Kind: invariant.NotAccepted, Request: r.ID})
@@ -227,8 +227,8 @@
 	conn.Close()
 }
 
-// encode is the request as it is written.
-func (c *Client) encode(r Request, deadline time.Duration) string {
+// encodeRequest is the request as it is written.
+func (c *Client) encodeRequest(r Request, deadline time.Duration) string {
 	class := c.classes[r.Class]
 	method := http.MethodGet
 	if class.Effect != invariant.Safe {
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -14,8 +14,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// scriptedSidecar answers the requests of each connection by a script of bytes; "CLOSE" ends the connection.
-func scriptedSidecar(t *testing.T, answers ...string) (connect func() (Target, bool), served *testpeer.Endpoint) {
+// newScriptedSidecar answers the requests of each connection by a script of bytes; "CLOSE" ends the connection.
+func newScriptedSidecar(t *testing.T, answers ...string) (connect func() (Target, bool), served *testpeer.Endpoint) {
 	t.Helper()
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		if n > len(answers) {
@@ -47,7 +47,7 @@
 		{"client left", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ClientLeft}, 20 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			connect, _ := scriptedSidecar(t, c.response)
+			connect, _ := newScriptedSidecar(t, c.response)
 			rec := NewRecorder(time.Now(), 100)
 			client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
 			out := client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: 200 * time.Millisecond,
@@ -69,7 +69,7 @@
 			}
 		})
 	}
-	connect, _ := scriptedSidecar(t, strings.Replace(ok, "ID", "xy", 1))
+	connect, _ := newScriptedSidecar(t, strings.Replace(ok, "ID", "xy", 1))
 	rec := NewRecorder(time.Now(), 100)
 	client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
 	defer client.Close()
@@ -87,7 +87,7 @@
 // A sidecar may close a connection between requests: a request that crosses the close is sent once more, on a new one.
 func TestRequestCrossingAConnectionCloseIsSentOnceMore(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
-	connect, e := scriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
+	connect, e := newScriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
 	rec := NewRecorder(time.Now(), 100)
 	client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
 	defer client.Close()
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -216,7 +216,7 @@
 		}
 		response.Truncated = true
 	default:
-		response.Answers, response.RCode = d.records(question)
+		response.Answers, response.RCode = d.answer(question)
 	}
 	limit := math.MaxInt
 	if !isTCP {
@@ -255,8 +255,8 @@
 	return text
 }
 
-// records are the resources that answer a question, along the chain of aliases.
-func (d *DNS) records(q dnsmessage.Question) (out []dnsmessage.Resource, code dnsmessage.RCode) {
+// answer are the resources that answer a question, along the chain of aliases.
+func (d *DNS) answer(q dnsmessage.Question) (out []dnsmessage.Resource, code dnsmessage.RCode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := q.Name
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -62,8 +62,8 @@
 // incarnation is one run of a node's process.
 type incarnation struct {
 	startedAt    time.Time
-	startedSince time.Duration // startedAt on the recorder's clock
-	isCold       bool          // started without its caches and so warming up
+	startOffset  time.Duration // startedAt on the recorder's clock
+	startedCold  bool          // started without its caches and so warming up
 	done         chan struct{} // closed by Stop
 	listener     net.Listener
 	slots        *semaphore
@@ -73,9 +73,9 @@
 	busyCores    atomic.Int64
 	isOverloaded atomic.Bool
 
-	mu          sync.Mutex
-	connections map[net.Conn]bool
-	recentWork  []workArrival // while warming up
+	mu             sync.Mutex
+	connections    map[net.Conn]bool
+	recentColdWork []coldWork // while warming up
 }
 
 // NewNode makes a node that is down. seed feeds the node's own random draws.
@@ -113,45 +113,45 @@
 		return time.Time{}, fmt.Errorf("node %s: %w", n.ID, err)
 	}
 	n.Addr, n.isDraining = listener.Addr().String(), false
-	run := &incarnation{
-		startedAt:    time.Now(),
-		startedSince: n.recorder.Now(),
-		isCold:       cold,
-		done:         make(chan struct{}),
-		listener:     listener,
-		slots:        &semaphore{free: n.Slots, maxWaiting: n.QueueLimit},
-		cores:        &semaphore{free: n.Cores, maxWaiting: math.MaxInt},
-		connections:  map[net.Conn]bool{},
+	inc := &incarnation{
+		startedAt:   time.Now(),
+		startOffset: n.recorder.Now(),
+		startedCold: cold,
+		done:        make(chan struct{}),
+		listener:    listener,
+		slots:       &semaphore{free: n.Slots, maxWaiting: n.QueueLimit},
+		cores:       &semaphore{free: n.Cores, maxWaiting: math.MaxInt},
+		connections: map[net.Conn]bool{},
 	}
-	n.incarnation = run
+	n.incarnation = inc
 	e := invariant.Event{Kind: invariant.NodeStarted, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
 		e.ColdCapacityShare, e.WarmUpDuration = n.ColdCapacityShare, n.WarmUpDuration
 	}
-	e.At = max(run.startedSince, 1) // 0 would stand for the instant of Add
+	e.At = max(inc.startOffset, 1) // 0 would stand for the instant of Add
 	n.recorder.Add(e)
-	go n.acceptConnections(run)
+	go n.acceptConnections(inc)
 	if n.Overload != nil {
-		go n.monitorOverload(run)
+		go n.monitorOverload(inc)
 	}
-	return run.startedAt, nil
+	return inc.startedAt, nil
 }
 
 // Stop ends the node's process as a crash does: connections are reset and new ones refused.
 func (n *Node) Stop() {
 	n.mu.Lock()
-	run := n.incarnation
+	inc := n.incarnation
 	n.incarnation = nil
 	n.mu.Unlock()
-	if run == nil {
+	if inc == nil {
 		return
 	}
-	run.mu.Lock()
-	defer run.mu.Unlock()
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
 	n.recorder.Add(invariant.Event{Kind: invariant.NodeStopped, Node: n.ID})
-	close(run.done)
-	run.listener.Close()
-	for conn := range run.connections {
+	close(inc.done)
+	inc.listener.Close()
+	for conn := range inc.connections {
 		resetConnection(conn)
 	}
 }
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -21,63 +21,63 @@
 // nodeConnection is one connection to a node. Its goroutine reads; the response is written by that of the request.
 type nodeConnection struct {
 	net.Conn
-	run      *incarnation
-	isExcess bool // beyond MaxConnections
+	incarnation *incarnation
+	isExcess    bool // beyond MaxConnections
 }
 
-// arrival is one request that was read completely.
-type arrival struct {
+// receivedRequest is one request that was read completely.
+type receivedRequest struct {
 	id                  string
 	firstByteAt         time.Duration
 	isFirstOnConnection bool
-	answered            chan bool // receives whether the connection is used further, after the response
+	responded           chan bool // receives whether the connection is used further, after the response
 }
 
 // acceptConnections accepts connections until the listener is closed.
-func (n *Node) acceptConnections(run *incarnation) {
+func (n *Node) acceptConnections(inc *incarnation) {
 	for {
-		conn, err := run.listener.Accept()
+		conn, err := inc.listener.Accept()
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || !sleep(acceptBackoff, run.done) {
+			if errors.Is(err, net.ErrClosed) || !sleep(acceptBackoff, inc.done) {
 				return
 			}
 			continue
 		}
-		run.mu.Lock()
+		inc.mu.Lock()
 		n.openedConnections.Add(1)
-		isExcess := n.MaxConnections > 0 && len(run.connections) >= n.MaxConnections
-		run.connections[conn] = true
-		run.mu.Unlock()
-		go n.serveConnection(&nodeConnection{Conn: conn, run: run, isExcess: isExcess})
+		isExcess := n.MaxConnections > 0 && len(inc.connections) >= n.MaxConnections
+		inc.connections[conn] = true
+		inc.mu.Unlock()
+		go n.serveConnection(&nodeConnection{Conn: conn, incarnation: inc, isExcess: isExcess})
 	}
 }
 
 // serveConnection reads requests from a connection, one at a time, and records when the other side ends it.
 func (n *Node) serveConnection(c *nodeConnection) {
 	defer func() {
-		c.run.mu.Lock()
-		delete(c.run.connections, c.Conn)
-		c.run.mu.Unlock()
+		c.incarnation.mu.Lock()
+		delete(c.incarnation.connections, c.Conn)
+		c.incarnation.mu.Unlock()
 		c.Close()
 	}()
 	in := bufio.NewReader(c)
-	var current arrival // the latest request; answered is nil before the first
+	var current receivedRequest // the latest request; answered is nil before the first
 	n.startIdleTimeout(c)
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
-			if current.answered != nil && len(current.answered) == 0 && !isClosed(c.run.done) {
+			if current.responded != nil && len(current.responded) == 0 && !isClosed(c.incarnation.done) {
 				n.recorder.Add(invariant.Event{Kind: invariant.AttemptAborted, Node: n.ID, Request: current.id})
 			}
 			return
 		}
 		firstByteAt := n.recorder.Now()
-		if current.answered != nil {
+		if current.responded != nil {
 			select {
-			case isKept := <-current.answered:
+			case isKept := <-current.responded:
 				if !isKept {
 					return
 				}
-			case <-c.run.done:
+			case <-c.incarnation.done:
 				return
 			}
 		}
@@ -85,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		current = arrival{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, answered: make(chan bool, 1)}
+		current = receivedRequest{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, responded: make(chan bool, 1)}
 		if !n.handle(c, current) {
 			return
 		}
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -25,18 +25,18 @@
 
 const (
 	overloadCheckInterval = 100 * time.Millisecond
-	// maxOverloadShare of the slots and the queue bounds the threshold, so that a small node can reach it.
-	maxOverloadShare = 0.7
+	// maxThresholdFraction of the slots and the queue bounds the threshold, so that a small node can reach it.
+	maxThresholdFraction = 0.7
 )
 
-// workArrival is work that was sent to a node while it warmed up.
-type workArrival struct {
+// coldWork is work that was sent to a node while it warmed up.
+type coldWork struct {
 	at   time.Duration
 	work float64 // seconds
 }
 
-// warmShare is the share of its capacity that a node has at a time since its start.
-func warmShare(from float64, over, since time.Duration) float64 {
+// warmCapacityFraction is the share of its capacity that a node has at a time since its start.
+func warmCapacityFraction(from float64, over, since time.Duration) float64 {
 	if over <= 0 || since >= over {
 		return 1
 	}
@@ -45,14 +45,14 @@
 
 // recordColdWork counts work sent to a warming node, even where the node rejects it, and lets the node collapse where it
 // is too much.
-func (n *Node) recordColdWork(run *incarnation, work float64) {
+func (n *Node) recordColdWork(inc *incarnation, work float64) {
 	now := n.recorder.Now()
-	if !run.isCold || n.ColdOverloadFactor <= 0 || now >= run.startedSince+n.WarmUpDuration {
+	if !inc.startedCold || n.ColdOverloadFactor <= 0 || now >= inc.startOffset+n.WarmUpDuration {
 		return
 	}
-	share := warmShare(n.ColdCapacityShare, n.WarmUpDuration, now-run.startedSince)
+	share := warmCapacityFraction(n.ColdCapacityShare, n.WarmUpDuration, now-inc.startOffset)
 	capacity := share * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
-	sent := run.addRecentWork(workArrival{now, work}, n.ColdOverloadWindow)
+	sent := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
 	if sent <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
 		return
 	}
@@ -66,43 +66,43 @@
 	}
 }
 
-// addRecentWork adds work and returns the sum of what arrived within the window.
-func (r *incarnation) addRecentWork(arrived workArrival, window time.Duration) (sum float64) {
+// addColdWork adds work and returns the sum of what arrived within the window.
+func (r *incarnation) addColdWork(arrived coldWork, window time.Duration) (sum float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recentWork = append(r.recentWork, arrived)
-	for len(r.recentWork) > 0 && r.recentWork[0].at <= arrived.at-window {
-		r.recentWork = r.recentWork[1:]
+	r.recentColdWork = append(r.recentColdWork, arrived)
+	for len(r.recentColdWork) > 0 && r.recentColdWork[0].at <= arrived.at-window {
+		r.recentColdWork = r.recentColdWork[1:]
 	}
-	for _, w := range r.recentWork {
+	for _, w := range r.recentColdWork {
 		sum += w.work
 	}
 	return sum
 }
 
 // monitorOverload makes an incarnation slow when it is overloaded and ends that state, once.
-func (n *Node) monitorOverload(run *incarnation) {
+func (n *Node) monitorOverload(inc *incarnation) {
 	limit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
-	limit = min(limit, maxOverloadShare*float64(n.Slots+n.QueueLimit))
+	limit = min(limit, maxThresholdFraction*float64(n.Slots+n.QueueLimit))
 	mean, idleFor := 0.0, time.Duration(0)
 	var overloadedAt time.Time
-	for hasRecovered := false; sleep(overloadCheckInterval, run.done); {
+	for hasRecovered := false; sleep(overloadCheckInterval, inc.done); {
 		switch {
-		case run.isOverloaded.Load():
-			if float64(run.busyCores.Load()) < n.Overload.IdleBelow*float64(n.Cores) {
+		case inc.isOverloaded.Load():
+			if float64(inc.busyCores.Load()) < n.Overload.IdleBelow*float64(n.Cores) {
 				idleFor += overloadCheckInterval
 			} else {
 				idleFor = 0
 			}
 			if idleFor >= n.Overload.RecoverAfter || time.Since(overloadedAt) >= n.Overload.MaxDuration {
-				run.isOverloaded.Store(false)
+				inc.isOverloaded.Store(false)
 				hasRecovered = true
 			}
 		case !hasRecovered:
-			mean += (float64(run.runnable.Load()) - mean) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
+			mean += (float64(inc.runnable.Load()) - mean) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
 			if mean > limit {
 				overloadedAt = time.Now()
-				run.isOverloaded.Store(true)
+				inc.isOverloaded.Store(true)
 				n.wasOverloaded.Store(true)
 			}
 		}
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -13,7 +13,7 @@
 
 func TestCapacityRisesLinearlyDuringWarmUp(t *testing.T) {
 	for since, want := range map[time.Duration]float64{0: 0.4, 2: 0.7, 4: 1, 9: 1} {
-		if got := warmShare(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
+		if got := warmCapacityFraction(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
 			t.Errorf("after %d s: %v, want %v", since, got, want)
 		}
 	}
@@ -24,58 +24,58 @@
 	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
 		ColdOverloadTolerance: ColdOverloadTolerance}
 	for _, n := range []int{10, 60} {
-		b := newNodeFixture(t, func(s *NodeSpec) {
+		f := newNodeFixture(t, func(s *NodeSpec) {
 			s.Slots, s.ColdCapacityShare, s.WarmUpDuration = 100, 0.3, time.Minute
 			s.ColdOverloadFactor, s.ColdOverloadWindow = 4, 3*time.Second
 		})
-		b.Stop()
-		if _, err := b.Start(true); err != nil {
+		f.Stop()
+		if _, err := f.Start(true); err != nil {
 			t.Fatal(err)
 		}
-		b.rec.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
+		f.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
-		b.rec.Add(NotificationEvent("s", m, b.rec))
+		f.recorder.Add(NotificationEvent("s", m, f.recorder))
 		for range n { // 0.1 s of work each: at 0.3 of one core the node bears about 4 s
-			nc, err := net.Dial("tcp", b.Addr)
+			nc, err := net.Dial("tcp", f.Addr)
 			if err != nil {
 				break // the node has collapsed
 			}
 			defer nc.Close()
-			id := fmt.Sprint("r", b.n+1)
-			b.rec.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
-			b.write(t, nc, readClass, "", 100*time.Millisecond)
-			testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
+			id := fmt.Sprint("r", f.requestCount+1)
+			f.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
+			f.write(t, nc, readClass, "", 100*time.Millisecond)
+			testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
 		}
 		fell := n == 60
 		if fell {
-			testpeer.Until(t, "down", func() bool { return !b.IsUp() })
-			if _, err := b.Start(true); err == nil {
+			testpeer.Until(t, "down", func() bool { return !f.IsUp() })
+			if _, err := f.Start(true); err == nil {
 				t.Error("the collapsed node starts again")
 			}
 		}
-		events, _ := b.rec.Events()
+		events, _ := f.recorder.Events()
 		r := invariant.Check(rules, events)
-		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || b.IsUp() == fell || (r.Falls > 0) != fell {
-			t.Errorf("%d requests: up %v, rule %s, %d falls", n, b.IsUp(), r.Rules[3].Verdict, r.Falls)
+		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || f.IsUp() == fell || (r.Falls > 0) != fell {
+			t.Errorf("%d requests: up %v, rule %s, %d falls", n, f.IsUp(), r.Rules[3].Verdict, r.Falls)
 		}
 	}
 }
 
 func TestOverloadSlowsNodeUntilItRecovers(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) {
+	f := newNodeFixture(t, func(s *NodeSpec) {
 		s.Slots = 100
 		s.Overload = &OverloadSpec{Threshold: 2, AveragedOver: 200 * time.Millisecond, Slowdown: 3,
 			RecoverAfter: 200 * time.Millisecond, IdleBelow: 0.5, MaxDuration: time.Minute}
 	})
 	for range 20 {
-		b.write(t, b.dial(t), readClass, "", 30*time.Millisecond)
+		f.write(t, f.dial(t), readClass, "", 30*time.Millisecond)
 	}
-	testpeer.Until(t, "slow", func() bool { return b.WasOverloaded() })
-	if got := b.coreSpeed(b.incarnation); got != 1.0/3 {
+	testpeer.Until(t, "slow", func() bool { return f.WasOverloaded() })
+	if got := f.coreSpeed(f.incarnation); got != 1.0/3 {
 		t.Errorf("core speed %v", got)
 	}
-	testpeer.Until(t, "recovered", func() bool { return b.coreSpeed(b.incarnation) == 1 })
-	if b.count(invariant.AttemptCompleted, "") != 20 {
+	testpeer.Until(t, "recovered", func() bool { return f.coreSpeed(f.incarnation) == 1 })
+	if f.count(invariant.AttemptCompleted, "") != 20 {
 		t.Error("the node recovered before it was idle")
 	}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -16,12 +16,12 @@
 // duplicateWorkDivisor is by how much less work a duplicate is that a node drops: it is looked up only.
 const duplicateWorkDivisor = 20
 
-// recordArrival records that a request has arrived completely, unless the node has stopped: a request that a process had
+// recordAttemptReceived records that a request has arrived completely, unless the node has stopped: a request that a process had
 // not read when it died never arrived, and would stay in flight for good in the timeline.
-func (n *Node) recordArrival(run *incarnation, e invariant.Event) bool {
-	run.mu.Lock()
-	defer run.mu.Unlock()
-	if isClosed(run.done) {
+func (n *Node) recordAttemptReceived(inc *incarnation, e invariant.Event) bool {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if isClosed(inc.done) {
 		return false
 	}
 	n.recorder.Add(e)
@@ -30,88 +30,88 @@
 
 // handle receives one request and has it answered by a goroutine of its own, so that serveConnection can watch the
 // connection meanwhile. It reports whether the connection is used further.
-func (n *Node) handle(c *nodeConnection, a arrival) bool {
-	request, ok := n.registry.lookup(a.id)
+func (n *Node) handle(c *nodeConnection, received receivedRequest) bool {
+	request, ok := n.registry.lookup(received.id)
 	if !ok {
-		if n.recordArrival(c.run, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: a.id, First: a.firstByteAt}) {
+		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, First: received.firstByteAt}) {
 			writeResponse(c, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
 	work := request.job.Work.Seconds()
-	if !n.recordArrival(c.run, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: a.id, First: a.firstByteAt,
+	if !n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, First: received.firstByteAt,
 		Work: work, Cell: n.Cell}) {
 		return false
 	}
-	n.recordColdWork(c.run, work)
-	if n.drawFault(&n.faults.hangShare) {
+	n.recordColdWork(c.incarnation, work)
+	if n.drawFault(&n.faults.hangFraction) {
 		return true // received, and never answered
 	}
 	n.mu.Lock()
 	isRejected := c.isExcess || n.isDraining
 	n.mu.Unlock()
-	c.run.inFlight.Add(1)
+	c.incarnation.inFlight.Add(1)
 	go func() {
 		defer func() {
 			n.startIdleTimeout(c)
-			a.answered <- !c.isExcess
+			received.responded <- !c.isExcess
 			if c.isExcess {
 				c.Close()
 			}
 		}()
-		defer c.run.inFlight.Add(-1)
-		n.executeOrReject(c, a, request, isRejected)
+		defer c.incarnation.inFlight.Add(-1)
+		n.executeOrReject(c, received, request, isRejected)
 	}()
 	return true
 }
 
 // executeOrReject executes a request once it has a slot, or rejects it where the queue for slots is full.
-func (n *Node) executeOrReject(c *nodeConnection, a arrival, request registeredRequest, isRejected bool) {
-	c.run.runnable.Add(1)
-	hasSlot := !isRejected && c.run.slots.acquire(c.run.done)
-	c.run.runnable.Add(-1)
+func (n *Node) executeOrReject(c *nodeConnection, received receivedRequest, request registeredRequest, isRejected bool) {
+	c.incarnation.runnable.Add(1)
+	hasSlot := !isRejected && c.incarnation.slots.acquire(c.incarnation.done)
+	c.incarnation.runnable.Add(-1)
 	if hasSlot {
-		defer c.run.slots.release()
-		n.execute(c, a, request)
+		defer c.incarnation.slots.release()
+		n.execute(c, received, request)
 		return
 	}
-	if isClosed(c.run.done) {
+	if isClosed(c.incarnation.done) {
 		return
 	}
-	n.recorder.Add(invariant.Event{Kind: invariant.AttemptRejected, Node: n.ID, Request: a.id})
+	n.recorder.Add(invariant.Event{Kind: invariant.AttemptRejected, Node: n.ID, Request: received.id})
 	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 }
 
 // execute does a request's work and answers it. Only the node's death stops it; the departure of the client does not.
-func (n *Node) execute(c *nodeConnection, a arrival, request registeredRequest) {
+func (n *Node) execute(c *nodeConnection, received receivedRequest, request registeredRequest) {
 	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
 		n.cell.isDuplicate(request.key, time.Now())
-	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: a.id, Duplicate: isDuplicate})
+	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: received.id, Duplicate: isDuplicate})
 	work, calls := request.job.Work, request.job.Calls
 	if isDuplicate {
 		work, calls = work/duplicateWorkDivisor, nil
 	}
-	if a.isFirstOnConnection {
+	if received.isFirstOnConnection {
 		work += n.HandshakeWork
 	}
-	if !n.useCore(c.run, work/2) || !sleep(request.job.Wait, c.run.done) {
+	if !n.useCore(c.incarnation, work/2) || !sleep(request.job.Wait, c.incarnation.done) {
 		return
 	}
 	isServed := n.callNextTier(request, calls)
-	if !n.useCore(c.run, work-work/2) {
+	if !n.useCore(c.incarnation, work-work/2) {
 		return
 	}
 	if isServed && n.ErrorRate > 0 && n.random() < n.ErrorRate {
 		isServed = false
 	}
-	isReset := n.drawFault(&n.faults.resetShare)
+	isReset := n.drawFault(&n.faults.resetFraction)
 	// Recorded before the write and what follows from it.
-	n.recorder.Add(invariant.Event{Kind: invariant.AttemptCompleted, Node: n.ID, Request: a.id})
+	n.recorder.Add(invariant.Event{Kind: invariant.AttemptCompleted, Node: n.ID, Request: received.id})
 	switch {
 	case isReset:
 		resetConnection(c.Conn)
 	case isServed:
-		writeResponse(c, http.StatusOK, "", a.id+" "+n.ID+"\n")
+		writeResponse(c, http.StatusOK, "", received.id+" "+n.ID+"\n")
 	default:
 		writeResponse(c, http.StatusInternalServerError, "", "failed\n")
 	}
@@ -131,30 +131,30 @@
 }
 
 // useCore waits for a core and works on it. It is false where the node stops first.
-func (n *Node) useCore(run *incarnation, work time.Duration) bool {
-	run.runnable.Add(1)
-	defer run.runnable.Add(-1)
-	if !run.cores.acquire(run.done) {
+func (n *Node) useCore(inc *incarnation, work time.Duration) bool {
+	inc.runnable.Add(1)
+	defer inc.runnable.Add(-1)
+	if !inc.cores.acquire(inc.done) {
 		return false
 	}
-	run.busyCores.Add(1)
+	inc.busyCores.Add(1)
 	defer func() {
-		run.busyCores.Add(-1)
-		run.cores.release()
+		inc.busyCores.Add(-1)
+		inc.cores.release()
 	}()
-	return sleep(time.Duration(float64(work)/n.coreSpeed(run)), run.done)
+	return sleep(time.Duration(float64(work)/n.coreSpeed(inc)), inc.done)
 }
 
 // coreSpeed is the present speed of a core.
-func (n *Node) coreSpeed(run *incarnation) float64 {
+func (n *Node) coreSpeed(inc *incarnation) float64 {
 	speed := n.Speed
-	if run.isCold {
-		speed *= warmShare(n.ColdCapacityShare, n.WarmUpDuration, time.Since(run.startedAt))
+	if inc.startedCold {
+		speed *= warmCapacityFraction(n.ColdCapacityShare, n.WarmUpDuration, time.Since(inc.startedAt))
 	}
 	if factor := loadFloat(&n.faults.slowdown); factor > 0 {
 		speed /= factor
 	}
-	if run.isOverloaded.Load() {
+	if inc.isOverloaded.Load() {
 		speed /= n.Overload.Slowdown
 	}
 	return speed
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -33,9 +33,9 @@
 // nodeFixture is a node, and what it takes to send requests to it.
 type nodeFixture struct {
 	*Node
-	desk *Registry
-	rec  *Recorder
-	n    int
+	registry     *Registry
+	recorder     *Recorder
+	requestCount int
 }
 
 func newNodeFixture(t *testing.T, change func(*NodeSpec)) *nodeFixture {
@@ -44,30 +44,30 @@
 	if change != nil {
 		change(&spec)
 	}
-	b := &nodeFixture{desk: &Registry{}, rec: NewRecorder(time.Now(), 10000)}
-	b.Node = NewNode(spec, classes, NewCell(200*time.Millisecond), b.desk, b.rec, 1)
-	if _, err := b.Start(false); err != nil {
+	f := &nodeFixture{registry: &Registry{}, recorder: NewRecorder(time.Now(), 10000)}
+	f.Node = NewNode(spec, classes, NewCell(200*time.Millisecond), f.registry, f.recorder, 1)
+	if _, err := f.Start(false); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Stop)
-	return b
+	t.Cleanup(f.Stop)
+	return f
 }
 
 // write registers a request and sends it on a connection.
-func (b *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
+func (f *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
 	t.Helper()
-	b.n++
-	id = fmt.Sprint("r", b.n)
-	b.desk.register(id, registeredRequest{job: &Job{Work: work}, class: class, key: key})
+	f.requestCount++
+	id = fmt.Sprint("r", f.requestCount)
+	f.registry.register(id, registeredRequest{job: &Job{Work: work}, class: class, key: key})
 	if _, err := io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+id+"\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	return id
 }
 
-func (b *nodeFixture) dial(t *testing.T) net.Conn {
+func (f *nodeFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
-	nc, err := net.Dial("tcp", b.Addr)
+	nc, err := net.Dial("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,8 +88,8 @@
 }
 
 // count is the number of events of a kind for a request; an empty ID stands for all.
-func (b *nodeFixture) count(kind invariant.Kind, id string) (n int) {
-	events, _ := b.rec.Events()
+func (f *nodeFixture) count(kind invariant.Kind, id string) (n int) {
+	events, _ := f.recorder.Events()
 	for _, e := range events {
 		if e.Kind == kind && (id == "" || e.Request == id) {
 			n++
@@ -99,49 +99,49 @@
 }
 
 func TestNodeServesRequestsOnOneConnection(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
 	for range 3 { // on one connection
-		id := b.write(t, nc, readClass, "", time.Millisecond)
+		id := f.write(t, nc, readClass, "", time.Millisecond)
 		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
 			t.Errorf("%d %q", status, body)
 		}
-		if b.count(invariant.AttemptReceived, id) != 1 || b.count(invariant.EffectStarted, id) != 1 || b.count(invariant.AttemptCompleted, id) != 1 ||
-			b.count(invariant.AttemptAborted, id) != 0 {
+		if f.count(invariant.AttemptReceived, id) != 1 || f.count(invariant.EffectStarted, id) != 1 || f.count(invariant.AttemptCompleted, id) != 1 ||
+			f.count(invariant.AttemptAborted, id) != 0 {
 			t.Error("the timeline is not that of one served request")
 		}
 	}
-	if b.OpenedConnections() != 1 {
-		t.Errorf("%d connections", b.OpenedConnections())
+	if f.OpenedConnections() != 1 {
+		t.Errorf("%d connections", f.OpenedConnections())
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
-	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.AttemptReceived, "ghost") != 1 {
+	if status, _, _ := read(t, nc); status != 400 || f.count(invariant.AttemptReceived, "ghost") != 1 {
 		t.Errorf("unknown ID: %d", status)
 	}
 }
 
 func TestNodeWithoutFreeSlotRejects(t *testing.T) {
-	b := newNodeFixture(t, nil) // one slot, one request may wait
+	f := newNodeFixture(t, nil) // one slot, one request may wait
 	var lines []net.Conn
 	for range 2 {
-		nc := b.dial(t)
+		nc := f.dial(t)
 		lines = append(lines, nc)
-		n := b.count(invariant.AttemptReceived, "")
-		b.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, "") > n })
-		testpeer.Until(t, "in flight", func() bool { return b.InFlight() > n })
+		n := f.count(invariant.AttemptReceived, "")
+		f.write(t, nc, readClass, "", 300*time.Millisecond)
+		testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, "") > n })
+		testpeer.Until(t, "in flight", func() bool { return f.InFlight() > n })
 	}
-	third := b.dial(t)
+	third := f.dial(t)
 	testpeer.Until(t, "one request waits", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.incarnation.slots.mu.Lock()
-		defer b.incarnation.slots.mu.Unlock()
-		return len(b.incarnation.slots.queue) == 1
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.incarnation.slots.mu.Lock()
+		defer f.incarnation.slots.mu.Unlock()
+		return len(f.incarnation.slots.waiters) == 1
 	})
-	id := b.write(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, third); status != 503 || !rejected || b.count(invariant.AttemptRejected, id) != 1 ||
-		b.count(invariant.EffectStarted, id) != 0 {
+	id := f.write(t, third, readClass, "", time.Millisecond)
+	if status, rejected, _ := read(t, third); status != 503 || !rejected || f.count(invariant.AttemptRejected, id) != 1 ||
+		f.count(invariant.EffectStarted, id) != 0 {
 		t.Errorf("%d, rejected %v", status, rejected)
 	}
 	for _, nc := range lines {
@@ -152,12 +152,12 @@
 }
 
 func TestDrainingNodeFinishesRequestsAndRejectsNewOnes(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
-	first, second := b.dial(t), b.dial(t)
-	id := b.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
-	b.Drain()
-	b.write(t, second, readClass, "", time.Millisecond)
+	f := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
+	first, second := f.dial(t), f.dial(t)
+	id := f.write(t, first, readClass, "", 50*time.Millisecond)
+	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	f.Drain()
+	f.write(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := read(t, second); status != 503 || !rejected {
 		t.Errorf("new request: %d, rejected %v", status, rejected)
 	}
@@ -167,12 +167,12 @@
 }
 
 func TestRequestsOnExcessConnectionsAreRejected(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
-	first := b.dial(t)
-	b.write(t, first, readClass, "", time.Millisecond)
+	f := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
+	first := f.dial(t)
+	f.write(t, first, readClass, "", time.Millisecond)
 	read(t, first)
-	second := b.dial(t)
-	b.write(t, second, readClass, "", time.Millisecond)
+	second := f.dial(t)
+	f.write(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := read(t, second); status != 503 || !rejected {
 		t.Errorf("%d, rejected %v", status, rejected)
 	}
@@ -182,25 +182,25 @@
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
-	nc := b.dial(t)
-	b.write(t, nc, readClass, "", 60*time.Millisecond) // a request in flight is not idle time
+	f := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
+	nc := f.dial(t)
+	f.write(t, nc, readClass, "", 60*time.Millisecond) // a request in flight is not idle time
 	if status, _, _ := read(t, nc); status != 200 {
 		t.Errorf("%d", status)
 	}
 	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
 		t.Errorf("idle connection: %q, %v", rest, err)
 	}
-	if b.count(invariant.AttemptAborted, "") != 0 {
+	if f.count(invariant.AttemptAborted, "") != 0 {
 		t.Error("the close is recorded as one by the client")
 	}
 }
 
 func TestDuplicatesWithinTheWindowAreDropped(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
 	began := func(id string) (effects, repeats int) {
-		events, _ := b.rec.Events()
+		events, _ := f.recorder.Events()
 		for _, e := range events {
 			if e.Kind == invariant.EffectStarted && e.Request == id && e.Duplicate {
 				repeats++
@@ -215,7 +215,7 @@
 		key     string
 		repeats int
 	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
-		id := b.write(t, nc, row.class, row.key, time.Millisecond)
+		id := f.write(t, nc, row.class, row.key, time.Millisecond)
 		read(t, nc)
 		if effects, repeats := began(id); repeats != row.repeats || effects != 1-row.repeats {
 			t.Errorf("request %d: %d effects, %d duplicates", i, effects, repeats)
@@ -236,58 +236,58 @@
 			time.Sleep(10 * time.Millisecond)
 			c.isDuplicate(fmt.Sprint(i), time.Now())
 		}
-		if len(c.seen) > 202 {
-			t.Errorf("%d keys held for two windows of 100", len(c.seen))
+		if len(c.seenAt) > 202 {
+			t.Errorf("%d keys held for two windows of 100", len(c.seenAt))
 		}
 	})
 }
 
 func TestClientDepartureIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	id := b.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	id := f.write(t, nc, readClass, "", 50*time.Millisecond)
+	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Until(t, "drop recorded", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
-	testpeer.Until(t, "request completed", func() bool { return b.count(invariant.AttemptCompleted, id) == 1 })
+	testpeer.Until(t, "drop recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Until(t, "request completed", func() bool { return f.count(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	b.SetHangShare(1)
-	nc := b.dial(t)
-	id := b.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Until(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
+	f := newNodeFixture(t, nil)
+	f.SetHangShare(1)
+	nc := f.dial(t)
+	id := f.write(t, nc, readClass, "", time.Millisecond)
+	testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 0 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 0 {
 		t.Errorf("hang fault: %v", err)
 	}
 	nc.Close()
-	testpeer.Until(t, "dropped", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
-	b.SetHangShare(0)
-	b.SetResetShare(1)
-	nc = b.dial(t)
-	id = b.write(t, nc, readClass, "", time.Millisecond)
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 1 {
+	testpeer.Until(t, "dropped", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	f.SetHangShare(0)
+	f.SetResetShare(1)
+	nc = f.dial(t)
+	id = f.write(t, nc, readClass, "", time.Millisecond)
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 1 {
 		t.Errorf("reset fault: %v", err)
 	}
-	b.SetResetShare(0)
-	b.SetSlowdown(4)
-	nc = b.dial(t)
+	f.SetResetShare(0)
+	f.SetSlowdown(4)
+	nc = f.dial(t)
 	began := time.Now()
-	b.write(t, nc, readClass, "", 50*time.Millisecond)
+	f.write(t, nc, readClass, "", 50*time.Millisecond)
 	if status, _, _ := read(t, nc); status != 200 || time.Since(began) < 200*time.Millisecond {
 		t.Errorf("slowdown by 4: %d after %v", status, time.Since(began))
 	}
 }
 
 func TestCrashResetsConnectionsAndRestartKeepsTheAddress(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	b.write(t, nc, readClass, "", time.Minute)
-	testpeer.Until(t, "begun", func() bool { return b.count(invariant.EffectStarted, "") == 1 })
-	addr := b.Addr
-	b.Stop()
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	f.write(t, nc, readClass, "", time.Minute)
+	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, "") == 1 })
+	addr := f.Addr
+	f.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
 		t.Errorf("not a reset: %v", err)
 	}
@@ -295,36 +295,36 @@
 		nc.Close()
 		t.Error("the stopped node accepts connections")
 	}
-	if _, err := b.Start(true); err != nil || b.Addr != addr || !b.IsUp() {
-		t.Errorf("%v, at %s, want %s", err, b.Addr, addr)
+	if _, err := f.Start(true); err != nil || f.Addr != addr || !f.IsUp() {
+		t.Errorf("%v, at %s, want %s", err, f.Addr, addr)
 	}
 }
 
 // A request that was in a buffer when its node died must not be recorded: it would stay in flight for good in the timeline,
 // and the next attempt would look like a concurrent one.
 func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	b.mu.Lock()
-	run := b.incarnation
-	b.mu.Unlock()
-	b.desk.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
-	b.Stop()
-	a := arrival{id: "r1", isFirstOnConnection: true, answered: make(chan bool, 1)}
-	if b.handle(&nodeConnection{Conn: nc, run: run}, a) || b.count(invariant.AttemptReceived, "") != 0 {
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	f.mu.Lock()
+	inc := f.incarnation
+	f.mu.Unlock()
+	f.registry.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
+	f.Stop()
+	a := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
+	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, a) || f.count(invariant.AttemptReceived, "") != 0 {
 		t.Error("the request is recorded")
 	}
 }
 
 func TestStartOnAnOccupiedPortNamesTheNode(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	b.Stop()
-	l, err := net.Listen("tcp", b.Addr)
+	f := newNodeFixture(t, nil)
+	f.Stop()
+	l, err := net.Listen("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if _, err := b.Start(true); err == nil || !strings.Contains(err.Error(), "n1") || strings.Contains(err.Error(), "\n") {
+	if _, err := f.Start(true); err == nil || !strings.Contains(err.Error(), "n1") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testkit/fake/semaphore.go
+++ b/internal/testkit/fake/semaphore.go
@@ -10,7 +10,7 @@
 	mu         sync.Mutex
 	free       int
 	maxWaiting int
-	queue      []chan struct{}
+	waiters    []chan struct{}
 }
 
 // acquire waits for a slot. It is false at once where the queue is full, and when done closes first.
@@ -21,12 +21,12 @@
 		s.mu.Unlock()
 		return true
 	}
-	if len(s.queue) >= s.maxWaiting {
+	if len(s.waiters) >= s.maxWaiting {
 		s.mu.Unlock()
 		return false
 	}
 	granted := make(chan struct{})
-	s.queue = append(s.queue, granted)
+	s.waiters = append(s.waiters, granted)
 	s.mu.Unlock()
 	select {
 	case <-granted:
@@ -40,9 +40,9 @@
 func (s *semaphore) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue) > 0 {
-		close(s.queue[0])
-		s.queue = s.queue[1:]
+	if len(s.waiters) > 0 {
+		close(s.waiters[0])
+		s.waiters = s.waiters[1:]
 		return
 	}
 	s.free++
--- a/internal/testkit/fake/semaphore_test.go
+++ b/internal/testkit/fake/semaphore_test.go
@@ -19,8 +19,8 @@
 		for i := range n {
 			s.mu.Lock()
 			mustWait := s.free == 0
-			hasRoom := len(s.queue) < s.maxWaiting
-			before := len(s.queue)
+			hasRoom := len(s.waiters) < s.maxWaiting
+			before := len(s.waiters)
 			s.mu.Unlock()
 			if mustWait && !hasRoom {
 				if s.acquire(nil) {
@@ -36,7 +36,7 @@
 			})
 			for mustWait { // until it is queued, so that the order is known
 				s.mu.Lock()
-				isQueued := len(s.queue) > before
+				isQueued := len(s.waiters) > before
 				s.mu.Unlock()
 				if isQueued {
 					break
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -43,34 +43,34 @@
 		c.apply(&events[i])
 	}
 	c.checkOverlaps()
-	c.report.conclude()
+	c.report.setVerdicts()
 	return c.report
 }
 
 // checker is the state of one check, after the events applied so far.
 type checker struct {
-	rules    Rules
-	report   *Report
-	requests map[string]*requestState
-	order    []*requestState // in the order of their first events
-	nodes    map[string]*nodeState
-	sidecars map[string]*sidecarState
+	rules        Rules
+	report       *Report
+	requests     map[string]*requestState
+	requestOrder []*requestState // in the order of their first events
+	nodes        map[string]*nodeState
+	sidecars     map[string]*sidecarState
 }
 
 // requestState is what is known of one request.
 type requestState struct {
-	asked     Event         // its latest Asked event
-	process   *sidecarState // the process that accepted it; nil before Asked
-	isKnown   bool          // an Asked event has been applied
-	responses int
-	isOver    bool // answered, lost, or abandoned by its client
-	overAt    time.Duration
-	attempts  []*attemptState
+	sent          Event         // its latest Asked event
+	process       *sidecarState // the process that accepted it; nil before Asked
+	wasSent       bool          // an Asked event has been applied
+	responseCount int
+	hasEnded      bool // answered, lost, or abandoned by its client
+	endedAt       time.Duration
+	attempts      []*attemptState
 }
 
 // attemptState is what is known of one attempt at a node.
 type attemptState struct {
-	sent       Event
+	received   Event
 	isRejected bool
 	hasEnded   bool
 	endedAt    time.Duration
@@ -83,40 +83,40 @@
 func (c *checker) apply(e *Event) {
 	switch e.Kind {
 	case RequestSent:
-		c.applyAsked(e)
+		c.applyRequestSent(e)
 	case NotAccepted:
-		c.applyNotAccepted(e)
+		c.applyRequestNotWritten(e)
 	case ResponseReceived, ExtraBytes, ConnectionLost, ResponseOverdue, ClientLeft:
 		c.applyRequestEnd(e)
 	case AttemptReceived:
-		c.applySent(e)
+		c.applyAttemptReceived(e)
 	case AttemptRejected, AttemptCompleted, AttemptAborted:
 		c.applyAttemptEnd(e)
 	case EffectStarted:
-		c.applyBegan(e)
+		c.applyEffectStarted(e)
 	case NodeStateNotified:
-		c.applyTold(e)
+		c.applyNotification(e)
 	case NodeStarted:
 		*c.node(e.Node) = nodeState{started: *e, isUp: true, isCold: e.WarmUpDuration > 0}
 	case NodeStopped:
-		c.applyStopped(e)
+		c.applyNodeStopped(e)
 	case NodeCollapsed:
-		c.applyFell(e)
+		c.applyNodeCollapsed(e)
 	case SidecarStarted, TermSent, SidecarKilled, Paused, Resumed, SidecarExited:
-		c.applyProcess(e)
+		c.applySidecarProcess(e)
 	}
 }
 
-// applySent records an attempt and checks rules 2, 3 and 4 on it.
-func (c *checker) applySent(e *Event) {
+// applyAttemptReceived records an attempt and checks rules 2, 3 and 4 on it.
+func (c *checker) applyAttemptReceived(e *Event) {
 	request := c.request(e.Request)
-	e.Sidecar = request.asked.Sidecar
-	if !request.isKnown {
-		c.violate(ruleNoDoubleEffect, e, "an endpoint got a request that nobody had asked for")
+	e.Sidecar = request.sent.Sidecar
+	if !request.wasSent {
+		c.addViolation(ruleNoDoubleEffect, e, "an endpoint got a request that nobody had asked for")
 		return
 	}
 	c.checkDoubleEffect(request, e)
-	request.attempts = append(request.attempts, &attemptState{sent: *e})
+	request.attempts = append(request.attempts, &attemptState{received: *e})
 	c.checkSentAfterEnd(request, e)
 	c.checkDrain(request.process, e)
 	c.checkColdOverload(request.process, e)
@@ -125,27 +125,27 @@
 // applyAttemptEnd ends the latest attempt of the request at the node that is still in flight.
 func (c *checker) applyAttemptEnd(e *Event) {
 	for _, attempt := range slices.Backward(c.request(e.Request).attempts) {
-		if attempt.sent.Node == e.Node && !attempt.hasEnded {
+		if attempt.received.Node == e.Node && !attempt.hasEnded {
 			attempt.hasEnded, attempt.endedAt, attempt.isRejected = true, e.At, e.Kind == AttemptRejected
 			return
 		}
 	}
 }
 
-// applyStopped ends all attempts at a node whose process died.
-func (c *checker) applyStopped(e *Event) {
+// applyNodeStopped ends all attempts at a node whose process died.
+func (c *checker) applyNodeStopped(e *Event) {
 	c.node(e.Node).isUp = false
-	for _, request := range c.order {
+	for _, request := range c.requestOrder {
 		for _, attempt := range request.attempts {
-			if attempt.sent.Node == e.Node && !attempt.hasEnded {
+			if attempt.received.Node == e.Node && !attempt.hasEnded {
 				attempt.hasEnded, attempt.endedAt = true, e.At
 			}
 		}
 	}
 }
 
-// violate records a violation of a rule; the description goes into the report as it is.
-func (c *checker) violate(rule int, e *Event, format string, args ...any) {
+// addViolation records a violation of a rule; the description goes into the report as it is.
+func (c *checker) addViolation(rule int, e *Event, format string, args ...any) {
 	result := &c.report.Rules[rule-1]
 	result.ViolationCount++
 	if len(result.Breaches) < maxReportedViolations {
@@ -157,8 +157,8 @@
 // countOccasion counts an occasion that says nothing of whether the rule holds.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
-// countTest counts an occasion on which the rule could have been broken.
-func (c *checker) countTest(rule int, name string) {
+// countTestedOccasion counts an occasion on which the rule could have been broken.
+func (c *checker) countTestedOccasion(rule int, name string) {
 	c.countOccasion(rule, name)
 	c.report.Rules[rule-1].TestedOccasions++
 }
@@ -168,7 +168,7 @@
 	if request == nil {
 		request = &requestState{}
 		c.requests[id] = request
-		c.order = append(c.order, request)
+		c.requestOrder = append(c.requestOrder, request)
 	}
 	return request
 }
@@ -193,7 +193,7 @@
 
 // class is the class of a request; one that the rules do not name counts as unsafe.
 func (c *checker) class(request *requestState) Class {
-	if i := request.asked.Class; i >= 0 && i < len(c.rules.Classes) {
+	if i := request.sent.Class; i >= 0 && i < len(c.rules.Classes) {
 		return c.rules.Classes[i]
 	}
 	return Class{Effect: Unsafe}
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -9,8 +9,8 @@
 	isTested bool // the process has sent an attempt, to any node, since the grace ended
 }
 
-// applyTold records a notification. A change from draining to gone does not start the grace anew.
-func (c *checker) applyTold(e *Event) {
+// applyNotification records a notification. A change from draining to gone does not start the grace anew.
+func (c *checker) applyNotification(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
 	if e.State == Ready {
 		delete(sidecar.notifications, e.Node)
@@ -33,10 +33,10 @@
 		}
 		if !n.isTested {
 			n.isTested = true
-			c.countTest(ruleNoDrainedTarget, "notices followed by traffic")
+			c.countTestedOccasion(ruleNoDrainedTarget, "notices followed by traffic")
 		}
 		if node == e.Node {
-			c.violate(ruleNoDrainedTarget, e, "sent %v after the sidecar was told that the node %s",
+			c.addViolation(ruleNoDrainedTarget, e, "sent %v after the sidecar was told that the node %s",
 				(e.First - n.at).Round(time.Millisecond), map[State]string{Draining: "drains", Gone: "is gone"}[n.state])
 		}
 	}
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -72,8 +72,8 @@
 	return r.Crashes == 0 && !slices.ContainsFunc(r.Rules[:], func(u RuleResult) bool { return u.Verdict == Broken })
 }
 
-// conclude sets the verdicts.
-func (r *Report) conclude() {
+// setVerdicts sets the verdicts.
+func (r *Report) setVerdicts() {
 	for i := range r.Rules {
 		rule := &r.Rules[i]
 		switch {
