--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -1,10 +1,15 @@
-// Package invariant checks a timeline of events against the four rules that every day of traffic must keep: one final
-// response in time, no double effect, no new request to a node that drains or is gone, and no overload of a node that is
-// warming up.
+// Package invariant checks a timeline of events against the four rules that every day of traffic must keep:
 //
-// The package is pure: it starts no goroutine, reads no clock and keeps no state between calls. It is fed what the fakes
-// around a sidecar observed, never what the sidecar says of itself, and finds for each rule whether it held, was broken or
-// was not put to the test.
+//  1. Every accepted request gets exactly one final response before its deadline.
+//  2. No request takes effect twice: a request has at most one attempt in flight, and work that is not idempotent is not
+//     sent again if it may have run.
+//  3. No new attempt goes to a node later than Rules.DrainGrace after the sidecar was notified that the node is draining
+//     or gone.
+//  4. A node that is warming up is not overloaded.
+//
+// The package starts no goroutine, reads no clock and keeps no state between calls. A timeline holds what the fakes around
+// a sidecar observed, never what the sidecar reports about itself. For each rule the package finds whether the rule held,
+// was broken or was never put to the test.
 package invariant
 
 import (
@@ -14,27 +19,27 @@
 	"time"
 )
 
-// Class is what the rules say of a class of requests.
+// Class holds the properties of a class of requests that the rules depend on.
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration // for Keyed: the nodes of a cell drop a duplicate that comes within it
+	Window time.Duration // deduplication window of the nodes of a cell, for IdempotencyKeyed classes
 }
 
-// Rules are the limits that the rules set.
+// Rules holds the limits that a timeline is checked against.
 type Rules struct {
 	Classes               []Class
-	MaxAttempts           int           // for one request; 0 is no limit
-	Tolerance             time.Duration // tolerance added to each time limit
-	DrainGrace            time.Duration // from a notification of a drain until no new request may follow
-	ColdOverloadFactor    float64       // a warming node bears this multiple of what it can do
-	ColdOverloadWindow    time.Duration // within a window of this length
-	ColdOverloadTolerance float64       // share of that budget that chance may add
-	TermGrace             time.Duration // after SIGTERM, during which what a sidecar accepts must still be answered
+	MaxAttempts           int           // attempts allowed for a request; 0: unlimited
+	Tolerance             time.Duration // added to each time limit, for delays in observing an event
+	DrainGrace            time.Duration // time after a notification of a draining or gone node in which attempts may still go to it
+	ColdOverloadFactor    float64       // multiple of its present capacity at which a warming node is overloaded
+	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
+	ColdOverloadTolerance float64       // fraction by which that sum may exceed the limit, as arrivals are random
+	TermGrace             time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
 }
 
-// Check checks a timeline against the rules. Events need not be in order of their instants: Judge sorts them in place,
-// since the timeline of a long day is too large to hold twice. Events of one instant keep their order.
+// Check checks a timeline against the rules. Events may be in any order: Check sorts them in place by their instants, since
+// the timeline of a long day is too large to copy. Events of the same instant keep their order.
 func Check(rules Rules, events []Event) *Report {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	c := &checker{rules: rules, report: newReport(), requests: map[string]*requestState{},
@@ -47,39 +52,40 @@
 	return c.report
 }
 
-// checker is the state of one check, after the events applied so far.
+// checker holds what follows from the events applied so far.
 type checker struct {
 	rules        Rules
 	report       *Report
 	requests     map[string]*requestState
-	requestOrder []*requestState // in the order of their first events
+	requestOrder []*requestState // all requests, in the order of their first events
 	nodes        map[string]*nodeState
 	sidecars     map[string]*sidecarState
 }
 
-// requestState is what is known of one request.
+// requestState holds what is known about a request.
 type requestState struct {
-	sent          Event         // its latest Asked event
-	process       *sidecarState // the process that accepted it; nil before Asked
-	wasSent       bool          // an Asked event has been applied
-	responseCount int
-	hasEnded      bool // answered, lost, or abandoned by its client
-	endedAt       time.Duration
+	sent          Event         // the latest RequestSent event of the request
+	process       *sidecarState // sidecar process to which the request was sent last; nil before RequestSent
+	wasSent       bool          // a RequestSent event has been applied
+	responseCount int           // complete responses that the client has received
+	hasEnded      bool          // the client has received a response, lost its connection or given up
+	endedAt       time.Duration // instant at which hasEnded became true
 	attempts      []*attemptState
 }
 
-// attemptState is what is known of one attempt at a node.
+// attemptState holds what is known about an attempt at a node.
 type attemptState struct {
-	received   Event
+	received   Event // the AttemptReceived event
 	isRejected bool
-	hasEnded   bool
-	endedAt    time.Duration
+	hasEnded   bool          // the attempt was completed, rejected or aborted, or its node died
+	endedAt    time.Duration // instant at which hasEnded became true
 }
 
-// mayHaveRun goes by evidence alone: an attempt that arrived completely and was not rejected may have taken effect.
+// mayHaveRun reports whether the attempt may have taken effect. Any attempt that a node received completely and did not
+// reject counts, since the sidecar cannot know more.
 func (a *attemptState) mayHaveRun() bool { return !a.isRejected }
 
-// apply updates the state by one event and checks what the event decides.
+// apply updates the state by an event and checks the rules that the event can break.
 func (c *checker) apply(e *Event) {
 	switch e.Kind {
 	case RequestSent:
@@ -107,7 +113,8 @@
 	}
 }
 
-// applyAttemptReceived records an attempt and checks rules 2, 3 and 4 on it.
+// applyAttemptReceived records an attempt. It checks that the attempt repeats no effect, does not go to a draining or gone
+// node and does not overload a warming node.
 func (c *checker) applyAttemptReceived(e *Event) {
 	request := c.request(e.Request)
 	e.Sidecar = request.sent.Sidecar
@@ -122,7 +129,7 @@
 	c.checkColdOverload(request.process, e)
 }
 
-// applyAttemptEnd ends the latest attempt of the request at the node that is still in flight.
+// applyAttemptEnd marks the latest attempt of the request that is in flight at the node as ended.
 func (c *checker) applyAttemptEnd(e *Event) {
 	for _, attempt := range slices.Backward(c.request(e.Request).attempts) {
 		if attempt.received.Node == e.Node && !attempt.hasEnded {
@@ -132,7 +139,7 @@
 	}
 }
 
-// applyNodeStopped ends all attempts at a node whose process died.
+// applyNodeStopped marks all attempts in flight at a node as ended, since the node's process died.
 func (c *checker) applyNodeStopped(e *Event) {
 	c.node(e.Node).isUp = false
 	for _, request := range c.requestOrder {
@@ -144,7 +151,7 @@
 	}
 }
 
-// addViolation records a violation of a rule; the description goes into the report as it is.
+// addViolation records that the event e violates a rule. The format and its arguments give the violation's description.
 func (c *checker) addViolation(rule int, e *Event, format string, args ...any) {
 	result := &c.report.Rules[rule-1]
 	result.ViolationCount++
@@ -154,15 +161,16 @@
 	}
 }
 
-// countOccasion counts an occasion that says nothing of whether the rule holds.
+// countOccasion counts an occasion that is reported with a rule but does not test it.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
-// countTestedOccasion counts an occasion on which the rule could have been broken.
+// countTestedOccasion counts an occasion on which a sidecar could have broken the rule.
 func (c *checker) countTestedOccasion(rule int, name string) {
 	c.countOccasion(rule, name)
 	c.report.Rules[rule-1].TestedOccasions++
 }
 
+// request returns the state of a request, which it creates at the first call for an ID.
 func (c *checker) request(id string) *requestState {
 	request := c.requests[id]
 	if request == nil {
@@ -173,6 +181,7 @@
 	return request
 }
 
+// node returns the state of a node, which it creates at the first call for an ID.
 func (c *checker) node(id string) *nodeState {
 	node := c.nodes[id]
 	if node == nil {
@@ -182,6 +191,7 @@
 	return node
 }
 
+// sidecar returns the state of a sidecar's process, which it creates at the first call for a name.
 func (c *checker) sidecar(id string) *sidecarState {
 	sidecar := c.sidecars[id]
 	if sidecar == nil {
@@ -191,7 +201,7 @@
 	return sidecar
 }
 
-// class is the class of a request; one that the rules do not name counts as unsafe.
+// class returns the class of a request. A class that the rules do not list counts as Unsafe.
 func (c *checker) class(request *requestState) Class {
 	if i := request.sent.Class; i >= 0 && i < len(c.rules.Classes) {
 		return c.rules.Classes[i]
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// startRounding is how far a start time as discovery states it, in whole milliseconds, may lie before the true one.
+// startRounding is the most by which a start time from discovery, which is in whole milliseconds, may precede the true one.
 const startRounding = 2 * time.Millisecond
 
-// minInformedFraction is the part of the work on a warming node that must come from sidecars notified of its start for the
-// overload to be their doing.
+// minInformedFraction is the fraction of the work on an overloaded warming node that must come from sidecars that were
+// notified of its start for the overload to be a violation. Other sidecars cannot know that the node is warming up.
 const minInformedFraction = 2.0 / 3
 
-// nodeState is what is known of one node since its latest start.
+// nodeState holds what is known about a node since its latest start.
 type nodeState struct {
 	started           Event
 	isUp              bool
 	isCold            bool          // warming up
-	recentAttempts    []coldAttempt // attempts within the window, while warming up
-	overloadFound     bool          // an overload was found; it is reported once for a start
-	receivedWhileCold bool          // an attempt was sent while the node was warming up
+	recentAttempts    []coldAttempt // attempts within the latest ColdOverloadWindow while the node is warming up
+	overloadFound     bool          // an overload since the start was found, so no further one is reported
+	receivedWhileCold bool          // an attempt has reached the node while it was warming up
 }
 
 // coldAttempt is an attempt at a node that is warming up.
 type coldAttempt struct {
-	at         time.Duration
-	work       float64
-	isInformed bool // sent by a process that was notified of the node's start
+	at         time.Duration // arrival of the last byte, since the start of the day
+	work       float64       // seconds on a core of speed 1
+	isInformed bool          // the sidecar had been notified of the node's start
 }
 
-// coldBudget is the work that a warming node may be sent within a window: what it can do at that moment, over the window,
-// times the multiple that it bears.
+// coldBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the given
+// instant: the work that the node could do during the window at its present capacity, times ColdOverloadFactor.
 func coldBudget(rules Rules, started Event, at time.Duration) float64 {
 	warm := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
-	share := started.ColdCapacityShare + (1-started.ColdCapacityShare)*warm
-	return rules.ColdOverloadFactor * share * started.Capacity * rules.ColdOverloadWindow.Seconds()
+	fraction := started.ColdCapacityShare + (1-started.ColdCapacityShare)*warm
+	return rules.ColdOverloadFactor * fraction * started.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
-// checkColdOverload checks rule 4 on an attempt, as a budget for every window. Attempts that the node rejects count too.
+// checkColdOverload checks that the work sent to a warming node within the window that ends with an attempt is within the
+// budget. Attempts that the node rejects count too.
 func (c *checker) checkColdOverload(process *sidecarState, e *Event) {
 	node := c.node(e.Node)
 	if !node.isCold || !node.isUp {
@@ -66,7 +67,8 @@
 	}
 }
 
-// recentWork is the work sent within the window, and the part of it from sidecars notified of the node's start.
+// recentWork returns the work of the recent attempts in seconds, and how much of it came from sidecars that were notified
+// of the node's start.
 func (n *nodeState) recentWork() (sum, informed float64) {
 	for _, s := range n.recentAttempts {
 		sum += s.work
@@ -77,7 +79,8 @@
 	return sum, informed
 }
 
-// causedBySidecars reports whether too much work on a warming node is the sidecars' doing, and counts the occasion if not.
+// causedBySidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified
+// of its start. If not, it counts the occasion.
 func (c *checker) causedBySidecars(node *nodeState) bool {
 	if sum, informed := node.recentWork(); informed < minInformedFraction*sum {
 		c.countOccasion(ruleNoColdOverload, "pushed by sidecars not yet told of the start")
@@ -86,7 +89,8 @@
 	return true
 }
 
-// applyNodeCollapsed checks rule 4 where a node collapsed by its own account.
+// applyNodeCollapsed reports a violation for a warming node that recorded its own collapse, unless an overload of it was
+// found already.
 func (c *checker) applyNodeCollapsed(e *Event) {
 	c.report.Falls++
 	node := c.node(e.Node)
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// checkDoubleEffect checks rule 2 on an attempt after the first.
+// checkDoubleEffect checks that an attempt after the first one cannot repeat the effect of an earlier attempt, and that the
+// request does not have too many attempts.
 func (c *checker) checkDoubleEffect(request *requestState, e *Event) {
 	if len(request.attempts) == 0 {
 		return
@@ -16,32 +17,33 @@
 		if !earlier.mayHaveRun() {
 			continue
 		}
-		sent := &earlier.received
+		first := &earlier.received
 		switch {
 		case class.Effect == Unsafe:
-			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", sent.Node)
+			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", first.Node)
 			return
-		case class.Effect == IdempotencyKeyed && sent.Cell != e.Cell:
+		case class.Effect == IdempotencyKeyed && first.Cell != e.Cell:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d",
-				sent.Node, sent.Cell, e.Cell)
+				first.Node, first.Cell, e.Cell)
 			return
-		case class.Effect == IdempotencyKeyed && e.First > sent.At+class.Window+c.rules.Tolerance:
+		case class.Effect == IdempotencyKeyed && e.First > first.At+class.Window+c.rules.Tolerance:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work sent again %v after the first send, its window is %v",
-				(e.First - sent.At).Round(time.Millisecond), class.Window)
+				(e.First - first.At).Round(time.Millisecond), class.Window)
 			return
 		}
 	}
 }
 
-// checkSentAfterEnd checks that an attempt does not begin after its request has ended. The departure of a client and an
-// attempt may cross each other, which the tolerance allows.
+// checkSentAfterEnd checks that an attempt does not begin after its request has ended. The tolerance allows for an attempt
+// that the sidecar sends while the client is closing its connection.
 func (c *checker) checkSentAfterEnd(request *requestState, e *Event) {
 	if request.hasEnded && e.First > request.endedAt+c.rules.Tolerance {
 		c.addViolation(ruleNoDoubleEffect, e, "sent %v after its end", (e.First - request.endedAt).Round(time.Millisecond))
 	}
 }
 
-// checkOverlaps checks, after the last event, that no two attempts of a request were in flight together.
+// checkOverlaps checks that no two attempts of a request were in flight at once. It is called after the last event, when
+// the end of each attempt is known.
 func (c *checker) checkOverlaps() {
 	for _, request := range c.requestOrder {
 		for i, attempt := range request.attempts {
@@ -56,7 +58,8 @@
 	}
 }
 
-// applyEffectStarted counts duplicates that nodes dropped, which show that retries of keyed work took effect once.
+// applyEffectStarted counts the duplicates that nodes dropped: retries of keyed requests whose first attempt had taken
+// effect.
 func (c *checker) applyEffectStarted(e *Event) {
 	if e.Duplicate {
 		c.countOccasion(ruleNoDoubleEffect, "repeats that nodes dropped")
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// notification is what a process was notified of a node that drains or is gone.
+// notification records that a sidecar's process was notified of a draining or gone node.
 type notification struct {
-	at       time.Duration
-	state    State
-	isTested bool // the process has sent an attempt, to any node, since the grace ended
+	at       time.Duration // instant of the notification
+	state    State         // Draining or Gone
+	isTested bool          // the process has sent an attempt to any node after the grace
 }
 
-// applyNotification records a notification. A change from draining to gone does not start the grace anew.
+// applyNotification records that a sidecar was notified of a node's state. The grace runs from the first notification that
+// the node is draining or gone; a later change from draining to gone does not extend it.
 func (c *checker) applyNotification(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
 	if e.State == Ready {
@@ -23,8 +24,9 @@
 	}
 }
 
-// checkDrain checks rule 3 on an attempt, which counts from its first byte. A notification puts the rule to the test once
-// its process has sent an attempt, to any node, after the grace.
+// checkDrain checks that the first byte of an attempt did not reach its node later than the grace after the process was
+// notified that the node is draining or gone. A notification counts as a test of the rule once the process has sent an
+// attempt to any node after the grace: a process that sends nothing cannot break the rule.
 func (c *checker) checkDrain(process *sidecarState, e *Event) {
 	limit := c.rules.DrainGrace + c.rules.Tolerance
 	for node, n := range process.notifications {
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -5,32 +5,32 @@
 // Kind says what happened in an Event, and so which of its fields are set.
 type Kind uint8
 
-// The kinds of events. A request is known by its ID, which is new for each attempt of a client and for each call that a
-// node makes to a further tier.
+// The kinds of events. Each comment names the fields of Event that the kind sets, beside At and Request. A request is
+// identified by its ID, which is new for each attempt of a client and for each call of a node to the next tier.
 const (
 	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Until are set
-	ResponseReceived              // the client has the complete response, with Status; Genuine if an endpoint made what was served
+	ResponseReceived              // the client has received a complete response; Status and Genuine are set
 	ExtraBytes                    // bytes followed the response on the client's connection
-	ConnectionLost                // the connection ended without a complete response
-	ResponseOverdue               // nothing had come by the deadline and an allowance beyond it
-	ClientLeft                    // the client closed the connection before the response
-	NotAccepted                   // the request could not be written completely, so no response is owed
-	AttemptReceived               // the last byte of an attempt reached Node, its first byte at First; Work and Cell are set
-	AttemptRejected               // Node rejected the attempt: it never runs
-	EffectStarted                 // the effect of the attempt begins at Node; Repeat if Node dropped it as a duplicate
-	AttemptCompleted              // Node writes the response to the attempt
-	AttemptAborted                // the sidecar ended the connection of the attempt
-	NodeStateNotified             // discovery notified Sidecar of the State of Node; Since is the start time it stated
-	NodeStarted                   // Node started, warming up if WarmUpDuration > 0; Capacity and ColdCapacityShare are set
-	NodeStopped                   // Node's process died: its requests are lost and its connections reset
-	NodeCollapsed                 // Node collapsed under overload while warming up
-	SidecarStarted                // Sidecar's process was started; notifications to the process before it are void
-	TermSent                      // Sidecar was sent SIGTERM
-	SidecarKilled                 // Sidecar was sent SIGKILL
-	SidecarExited                 // Sidecar's process ended; Crash if nobody asked it to
-	Paused                        // Sidecar's process was stopped (SIGSTOP)
-	Resumed                       // Sidecar's process runs again after a pause of For
-	HarnessStall                  // the test harness itself was not scheduled for For, up to this instant
+	ConnectionLost                // the client's connection ended before a complete response
+	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
+	ClientLeft                    // the client closed its connection before the response
+	NotAccepted                   // the client could not write the request completely, so no response is owed
+	AttemptReceived               // Node received the last byte of an attempt; First, Work and Cell are set
+	AttemptRejected               // Node rejected an attempt, which therefore never takes effect
+	EffectStarted                 // Node begins to execute an attempt; Duplicate is set if it dropped a duplicate instead
+	AttemptCompleted              // Node is about to write the response to an attempt
+	AttemptAborted                // the sidecar closed the connection of an attempt that Node had not answered
+	NodeStateNotified             // discovery notified Sidecar that Node is in State; StartedAt is set if known
+	NodeStarted                   // Node started; Capacity is set, and ColdCapacityShare and WarmUpDuration if it warms up
+	NodeStopped                   // Node's process died, which ended its requests and reset its connections
+	NodeCollapsed                 // Node collapsed under overload while it was warming up
+	SidecarStarted                // a new process of Sidecar started; it has no notifications of the process before it
+	TermSent                      // Sidecar's process was sent SIGTERM
+	SidecarKilled                 // Sidecar's process was sent SIGKILL
+	SidecarExited                 // Sidecar's process ended; Crash is set if no signal had asked it to
+	Paused                        // Sidecar's process was suspended by SIGSTOP
+	Resumed                       // Sidecar's process runs again after a pause of Duration
+	HarnessStall                  // until this instant the test harness itself was not scheduled for Duration
 )
 
 // State is a node's state as discovery announces it.
@@ -43,37 +43,38 @@
 	Gone
 )
 
-// Effect says what sending a request of a class twice may do.
+// Effect says what happens if a request of a class is executed twice.
 type Effect uint8
 
-// The effects. Safe requests have none, Keyed ones carry an idempotency key by which the nodes of a cell drop duplicates,
-// and Unsafe ones may take effect twice.
+// The effects of executing a request twice. A Safe request changes nothing, however often it is executed. An
+// IdempotencyKeyed request carries a key by which the nodes of a cell recognize and drop duplicates. An Unsafe request
+// takes effect each time.
 const (
 	Safe Effect = iota
 	IdempotencyKeyed
 	Unsafe
 )
 
-// Event is one thing that happened. Only the fields named at its Kind are set.
+// Event is an entry of a timeline. Which fields are set is said at the constants of Kind.
 type Event struct {
-	At                time.Duration // since the start of the day
+	At                time.Duration // instant of the event since the start of the day
 	Kind              Kind
-	Request           string
-	Sidecar           string
-	Node              string
-	Class             int           // index into Rules.Classes
-	Until             time.Duration // the client's deadline
-	First             time.Duration // arrival of the attempt's first byte
-	Work              float64       // seconds of work on a core of speed 1
-	Status            int
-	Genuine           bool
-	Duplicate         bool
-	Crash             bool
-	State             State
-	Cell              int
-	Capacity          float64       // work per second when warm
-	ColdCapacityShare float64       // share of Capacity right after the start
-	WarmUpDuration    time.Duration // time from the start until the full Capacity
-	Duration          time.Duration
-	StartedAt         time.Duration
+	Request           string        // ID of the request
+	Sidecar           string        // name of the sidecar
+	Node              string        // ID of the node
+	Class             int           // index of the request's class in Rules.Classes
+	Until             time.Duration // deadline of the request, since the start of the day
+	First             time.Duration // arrival of the attempt's first byte, since the start of the day
+	Work              float64       // work of the attempt, in seconds on a core of speed 1
+	Status            int           // HTTP status of the response
+	Genuine           bool          // the response is a rejection or error, or its body was written by a node for this request
+	Duplicate         bool          // the node dropped the attempt as a duplicate
+	Crash             bool          // the sidecar's process ended without a signal from the harness
+	State             State         // state of the node that the sidecar was notified of
+	Cell              int           // cell of the node
+	Capacity          float64       // seconds of work that the node does per second when it is warm
+	ColdCapacityShare float64       // fraction of Capacity that the node has right after its start
+	WarmUpDuration    time.Duration // time from the node's start until it has its full Capacity; 0 if it starts warm
+	Duration          time.Duration // length of the pause or of the stall
+	StartedAt         time.Duration // node's start time as discovery stated it, since the start of the day; 0 if not stated
 }
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Names of occasions that are counted in more than one place.
+// The names of occasions that are counted in several places.
 const (
 	occasionAccepted        = "requests taken"
 	occasionLostWithSidecar = "went under with a sidecar that was ended"
 	occasionDelayedByPause  = "held up by a sidecar that was stopped"
 )
 
-// applyRequestSent records a request. A client writes it a second time where its connection ended before anything came: a sidecar
-// may close a connection between requests, but not one whose request it has read.
+// applyRequestSent records a request. A client sends the same request a second time if its reused connection ended before a
+// response. The sidecar may close a connection between two requests, but not after it has read a request from it.
 func (c *checker) applyRequestSent(e *Event) {
 	request := c.request(e.Request)
 	if request.wasSent {
 		if len(request.attempts) > 0 && !c.mayBeLost(request) {
 			c.addViolation(ruleFinalResponse, e, "its first connection was closed, though an attempt had been made")
 		}
-		request.attempts = nil // they belong to a process that has ended
+		request.attempts = nil // attempts by a process that has ended
 	} else {
 		c.countTestedOccasion(ruleFinalResponse, occasionAccepted)
 	}
 	request.sent, request.wasSent, request.process = *e, true, c.sidecar(e.Sidecar)
 }
 
-// applyRequestNotWritten takes back what applyAsked counted, since no response is owed.
+// applyRequestNotWritten ends a request that the client could not write completely. It undoes the count of
+// applyRequestSent, since no response is owed.
 func (c *checker) applyRequestNotWritten(e *Event) {
 	request := c.request(e.Request)
 	request.hasEnded, request.endedAt = true, e.At
@@ -37,7 +38,8 @@
 	result.Occasions[occasionAccepted]--
 }
 
-// applyRequestEnd checks rule 1 on an event that ends a request at its client.
+// applyRequestEnd checks on an event that ends a request at its client that the request got exactly one complete response
+// in time.
 func (c *checker) applyRequestEnd(e *Event) {
 	request := c.request(e.Request)
 	e.Sidecar = request.sent.Sidecar
@@ -75,8 +77,9 @@
 	}
 }
 
-// checkResponse checks the first response to a request: its time and origin by rule 1, and by rule 2 that it does not
-// reject a request that may have taken effect.
+// checkResponse checks the first response to a request: it must come in time, a served body must be from a node, and a
+// request that is not safe must not be rejected if it may have run. A client may retry a rejected request, and its effect
+// would then come twice.
 func (c *checker) checkResponse(request *requestState, e *Event) {
 	if late := e.At - request.sent.Until; late > c.rules.Tolerance && request.sidecarWasPaused() {
 		c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// sidecarState is what is known of one process of a sidecar. A restart begins a new one.
+// sidecarState holds what is known about the current process of a sidecar. A restart replaces it by an empty one.
 type sidecarState struct {
 	sigtermSent   bool
-	sigtermAt     time.Duration
+	sigtermAt     time.Duration // instant of SIGTERM
 	sigkillSent   bool
-	isPaused      bool
-	resumedAt     time.Duration            // the latest resumption; 0: none
-	notifications map[string]*notification // of nodes that drain or are gone, by node
-	knownStarts   map[string]time.Duration // the latest start that the process was notified of, by node
+	isPaused      bool                     // the process is suspended by SIGSTOP
+	resumedAt     time.Duration            // end of the latest pause; 0: never paused
+	notifications map[string]*notification // notifications that a node is draining or gone, by node ID
+	knownStarts   map[string]time.Duration // start time of the node as the process was last notified of it, by node ID
 }
 
 func newSidecarState() *sidecarState {
 	return &sidecarState{notifications: map[string]*notification{}, knownStarts: map[string]time.Duration{}}
 }
 
-// applySidecarProcess records what became of a sidecar's process. A crash breaks rule 1.
+// applySidecarProcess records a change of a sidecar's process. A crash breaks rule 1, that every accepted request gets a
+// response.
 func (c *checker) applySidecarProcess(e *Event) {
 	switch e.Kind {
 	case SidecarStarted:
@@ -39,7 +40,7 @@
 	}
 }
 
-// applySidecarResumed counts notifications that came during a pause as received at its end.
+// applySidecarResumed ends a pause. Notifications that were sent during the pause count as received at its end.
 func (c *checker) applySidecarResumed(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
 	sidecar.isPaused, sidecar.resumedAt = false, e.At
@@ -50,14 +51,14 @@
 	}
 }
 
-// sidecarWasPaused reports whether the process that accepted the request was paused for a part of the request's time. Its
-// response may then be late; there must still be only one, and nothing may take effect twice.
+// sidecarWasPaused reports whether the process that accepted the request was paused at some time since the request was
+// sent. The response may then be late, but there must still be only one, and nothing may take effect twice.
 func (r *requestState) sidecarWasPaused() bool {
 	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.sent.At)
 }
 
-// mayBeLost reports whether a request may be lost with its sidecar: the process was killed outright, or it accepted the
-// request so long after SIGTERM that it need not answer any more.
+// mayBeLost reports whether a request may remain without a response: its sidecar was killed without a SIGTERM, or was
+// killed after it had accepted the request later than SIGTERM and its grace.
 func (c *checker) mayBeLost(request *requestState) bool {
 	process := request.process
 	switch {
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// Verdict is the finding on a rule.
+// Verdict says whether a rule held.
 type Verdict string
 
-// The verdicts. A rule without an occasion to break it is Untested, never Held.
+// The verdicts. A rule that no event of the timeline could have broken is Untested, never Held.
 const (
 	Held     Verdict = "held"
 	Broken   Verdict = "broken"
 	Untested Verdict = "not put to the test"
 )
 
-// Violation is one break of a rule.
+// Violation is one violation of a rule, with the request, sidecar and node that it concerns.
 type Violation struct {
-	Rule        int           `json:"rule"`
-	At          time.Duration `json:"at_ns"`
+	Rule        int           `json:"rule"`  // number of the rule, from 1
+	At          time.Duration `json:"at_ns"` // instant since the start of the day
 	Request     string        `json:"request,omitempty"`
 	Sidecar     string        `json:"sidecar,omitempty"`
 	Node        string        `json:"node,omitempty"`
 	Description string        `json:"what"`
 }
 
-// RuleResult is the finding on one rule.
+// RuleResult is the result of checking one rule.
 type RuleResult struct {
-	Number          int            `json:"number"` // from 1
+	Number          int            `json:"number"` // number of the rule, from 1
 	Name            string         `json:"name"`
 	Verdict         Verdict        `json:"verdict"`
-	TestedOccasions int            `json:"tests"`     // occasions on which the rule could have been broken
-	Occasions       map[string]int `json:"occasions"` // all occasions, by name
-	Breaches        []Violation    `json:"breaches"`  // the first maxReportedViolations
-	ViolationCount  int            `json:"broken"`    // violations in all
+	TestedOccasions int            `json:"tests"`     // number of occasions on which the rule could have been broken
+	Occasions       map[string]int `json:"occasions"` // number of occasions by name, including those that do not test the rule
+	Breaches        []Violation    `json:"breaches"`  // the first violations, at most maxReportedViolations
+	ViolationCount  int            `json:"broken"`    // number of all violations
 }
 
-// maxReportedViolations bounds what a report holds for a rule, since one cause can break it thousands of times.
+// maxReportedViolations bounds the violations listed for a rule, since one cause can break it thousands of times.
 const maxReportedViolations = 100
 
-// The rules by number.
+// The numbers of the rules.
 const (
-	ruleFinalResponse   = 1
-	ruleNoDoubleEffect  = 2
-	ruleNoDrainedTarget = 3
-	ruleNoColdOverload  = 4
+	ruleFinalResponse   = 1 // every accepted request gets exactly one final response before its deadline
+	ruleNoDoubleEffect  = 2 // no request takes effect twice
+	ruleNoDrainedTarget = 3 // no new attempt goes to a draining or gone node
+	ruleNoColdOverload  = 4 // a node that is warming up is not overloaded
 )
 
-// ruleNames are the rules' names in reports, which readers of result files know.
+// ruleNames holds the names of the rules in reports. Result files contain them, so they must not change.
 var ruleNames = [4]string{"one final answer in time", "no double effect", "nothing new to what drains or is gone",
 	"no cold endpoint pushed over"}
 
-// Report is the finding on all rules.
+// Report is the result of checking all rules.
 type Report struct {
 	Rules   [4]RuleResult `json:"rules"`
-	Crashes int           `json:"crashes"` // sidecars that ended by themselves
-	Falls   int           `json:"falls"`   // nodes that collapsed while warming up
+	Crashes int           `json:"crashes"` // number of sidecar processes that ended without a signal from the harness
+	Falls   int           `json:"falls"`   // number of nodes that collapsed under overload while warming up
 }
 
-// newReport makes a report without findings.
+// newReport returns a report without occasions and violations.
 func newReport() *Report {
 	r := &Report{}
 	for i := range r.Rules {
@@ -67,12 +67,12 @@
 	return r
 }
 
-// Held reports whether no rule was broken and no sidecar crashed.
+// Held reports whether no rule was broken and no sidecar crashed. Untested rules count as held.
 func (r *Report) Held() bool {
-	return r.Crashes == 0 && !slices.ContainsFunc(r.Rules[:], func(u RuleResult) bool { return u.Verdict == Broken })
+	return r.Crashes == 0 && !slices.ContainsFunc(r.Rules[:], func(rule RuleResult) bool { return rule.Verdict == Broken })
 }
 
-// setVerdicts sets the verdicts.
+// setVerdicts derives the verdict on each rule from its counts.
 func (r *Report) setVerdicts() {
 	for i := range r.Rules {
 		rule := &r.Rules[i]
