--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -110,8 +110,8 @@
 	a.applyChange(m)
 }
 
-// SetDown makes discovery go down, or come back with all that has changed meanwhile.
-func (a *Agent) SetDown(isDown bool) {
+// SetDiscoveryDown makes discovery go down, or come back with all that has changed meanwhile.
+func (a *Agent) SetDiscoveryDown(isDown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.isDiscoveryDown = isDown
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -92,7 +92,7 @@
 	a, rec := newTestAgent(t)
 	watch := get(t, a, "?watch=1&after=1")
 	message(t, watch)
-	a.SetDown(true)
+	a.SetDiscoveryDown(true)
 	a.Update(Member{ID: "a", State: StateDraining})
 	came := make(chan MemberList, 1)
 	go func() { came <- message(t, watch) }()
@@ -107,7 +107,7 @@
 			t.Error("notification recorded while down")
 		}
 	}
-	a.SetDown(false)
+	a.SetDiscoveryDown(false)
 	if l := <-came; len(l.Servers) != 1 || l.Servers[0].State != StateDraining {
 		t.Errorf("after discovery came back: %+v", l)
 	}
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -18,16 +18,16 @@
 
 // Request is one request of a client.
 type Request struct {
-	ID         string // new for each request, retries included
-	Class      int
-	Tenant     string
-	Key        string // idempotency key; empty: none
-	Retry      bool
-	CostHint   time.Duration // the client's guess at the work; 0: none
-	Job        *Job
-	Timeout    time.Duration // the client's deadline from the start
-	LeaveAfter time.Duration // the client closes the connection after this time; 0: it waits for the deadline
-	Connect    func() (Target, bool)
+	ID             string // new for each request, retries included
+	Class          int
+	Tenant         string
+	IdempotencyKey string // idempotency key; empty: none
+	IsRetry        bool
+	CostHint       time.Duration // the client's guess at the work; 0: none
+	Job            *Job
+	Timeout        time.Duration // the client's deadline from the start
+	LeaveAfter     time.Duration // the client closes the connection after this time; 0: it waits for the deadline
+	Connect        func() (Target, bool)
 }
 
 // Outcome is what became of a request.
@@ -135,7 +135,7 @@
 // request whose kept connection ended before anything came is sent once more on a new one.
 func (c *Client) Do(r Request) Outcome {
 	deadline := c.recorder.Now() + r.Timeout
-	c.registry.register(r.ID, registeredRequest{job: r.Job, class: r.Class, key: r.Key})
+	c.registry.register(r.ID, registeredRequest{job: r.Job, class: r.Class, key: r.IdempotencyKey})
 	var out Outcome
 	for isFirst := true; ; isFirst = false {
 		conn := c.takeIdle()
@@ -161,11 +161,11 @@
 // anything came: a sidecar may close one between requests, and the request may be sent again.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
-		Until: deadline}) // before the write and what follows from it
+		Deadline: deadline}) // before the write and what follows from it
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
-			c.recorder.Add(invariant.Event{Kind: invariant.NotAccepted, Request: r.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.RequestNotWritten, Request: r.ID})
 		}
 		return isNew
 	}
@@ -243,11 +243,11 @@
 	if r.CostHint > 0 {
 		fmt.Fprintf(&b, "Req-Cost: %d\r\n", r.CostHint.Microseconds())
 	}
-	if r.Retry {
+	if r.IsRetry {
 		b.WriteString("Req-Retry: 1\r\n")
 	}
 	if class.Effect == invariant.IdempotencyKeyed {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.IdempotencyKey)
 	}
 	if method == http.MethodPost {
 		b.WriteString("Content-Length: 0\r\n")
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -16,21 +16,21 @@
 // NodeSpec describes a node. Its work is modelled: it takes time on a core that exists only as a count. The tags are the
 // names of printed plans.
 type NodeSpec struct {
-	ID, Zone, Kind     string
-	Tier, Cell         int
-	Cores              int
-	Speed              float64       // of a core; work is stated for a core of speed 1
-	Slots              int           // requests that are executed at a time
-	QueueLimit         int           `json:"Room"`         // requests that wait for a slot; further ones are rejected
-	ColdCapacityShare  float64       `json:"ColdFrom"`     // share of the capacity right after a start
-	WarmUpDuration     time.Duration `json:"ColdFor"`      // over which the share rises linearly to 1
-	ColdOverloadFactor float64       `json:"FallMultiple"` // a warming node collapses under this multiple of what it can do
-	ColdOverloadWindow time.Duration `json:"FallAfter"`    // within a window of this length
-	HandshakeWork      time.Duration `json:"Handshake"`    // work for a new connection
-	IdleTimeout        time.Duration `json:"IdleFor"`      // after which an idle connection is closed; 0: none
-	MaxConnections     int           `json:"Conns"`        // requests on further connections are rejected; 0: no limit
-	ErrorRate          float64       // share of requests that it answers with 500
-	Overload           *OverloadSpec `json:"Choke"` // nil: overload does not slow the node
+	ID, Zone, Kind       string
+	Tier, Cell           int
+	Cores                int
+	Speed                float64       // of a core; work is stated for a core of speed 1
+	Slots                int           // requests that are executed at a time
+	QueueLimit           int           `json:"Room"`         // requests that wait for a slot; further ones are rejected
+	ColdCapacityFraction float64       `json:"ColdFrom"`     // share of the capacity right after a start
+	WarmUpDuration       time.Duration `json:"ColdFor"`      // over which the share rises linearly to 1
+	ColdOverloadFactor   float64       `json:"FallMultiple"` // a warming node collapses under this multiple of what it can do
+	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // within a window of this length
+	HandshakeWork        time.Duration `json:"Handshake"`    // work for a new connection
+	IdleTimeout          time.Duration `json:"IdleFor"`      // after which an idle connection is closed; 0: none
+	MaxConnections       int           `json:"Conns"`        // requests on further connections are rejected; 0: no limit
+	ErrorRate            float64       // share of requests that it answers with 500
+	Overload             *OverloadSpec `json:"Choke"` // nil: overload does not slow the node
 }
 
 // Node is a fake node. It listens on loopback at an address of its own, the same after a restart. Its methods are safe for
@@ -126,7 +126,7 @@
 	n.incarnation = inc
 	e := invariant.Event{Kind: invariant.NodeStarted, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
 	if cold {
-		e.ColdCapacityShare, e.WarmUpDuration = n.ColdCapacityShare, n.WarmUpDuration
+		e.ColdCapacityFraction, e.WarmUpDuration = n.ColdCapacityFraction, n.WarmUpDuration
 	}
 	e.At = max(inc.startOffset, 1) // 0 would stand for the instant of Add
 	n.recorder.Add(e)
--- a/internal/testkit/fake/node_faults.go
+++ b/internal/testkit/fake/node_faults.go
@@ -15,11 +15,11 @@
 // SetSlowdown makes the node's cores slower by a factor; 1 is the usual speed.
 func (n *Node) SetSlowdown(factor float64) { n.faults.slowdown.Store(math.Float64bits(factor)) }
 
-// SetHangShare makes the node receive this share of the requests and never answer them.
-func (n *Node) SetHangShare(share float64) { n.faults.hangFraction.Store(math.Float64bits(share)) }
+// SetHangFraction makes the node receive this share of the requests and never answer them.
+func (n *Node) SetHangFraction(share float64) { n.faults.hangFraction.Store(math.Float64bits(share)) }
 
-// SetResetShare makes the node reset the connection of this share of the requests after it has executed them.
-func (n *Node) SetResetShare(share float64) { n.faults.resetFraction.Store(math.Float64bits(share)) }
+// SetResetFraction makes the node reset the connection of this share of the requests after it has executed them.
+func (n *Node) SetResetFraction(share float64) { n.faults.resetFraction.Store(math.Float64bits(share)) }
 
 func loadFloat(bits *atomic.Uint64) float64 { return math.Float64frombits(bits.Load()) }
 
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -50,7 +50,7 @@
 	if !inc.startedCold || n.ColdOverloadFactor <= 0 || now >= inc.startOffset+n.WarmUpDuration {
 		return
 	}
-	share := warmCapacityFraction(n.ColdCapacityShare, n.WarmUpDuration, now-inc.startOffset)
+	share := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
 	capacity := share * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
 	sent := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
 	if sent <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -25,7 +25,7 @@
 		ColdOverloadTolerance: ColdOverloadTolerance}
 	for _, n := range []int{10, 60} {
 		f := newNodeFixture(t, func(s *NodeSpec) {
-			s.Slots, s.ColdCapacityShare, s.WarmUpDuration = 100, 0.3, time.Minute
+			s.Slots, s.ColdCapacityFraction, s.WarmUpDuration = 100, 0.3, time.Minute
 			s.ColdOverloadFactor, s.ColdOverloadWindow = 4, 3*time.Second
 		})
 		f.Stop()
@@ -55,8 +55,8 @@
 		}
 		events, _ := f.recorder.Events()
 		r := invariant.Check(rules, events)
-		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || f.IsUp() == fell || (r.Falls > 0) != fell {
-			t.Errorf("%d requests: up %v, rule %s, %d falls", n, f.IsUp(), r.Rules[3].Verdict, r.Falls)
+		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || f.IsUp() == fell || (r.Collapses > 0) != fell {
+			t.Errorf("%d requests: up %v, rule %s, %d falls", n, f.IsUp(), r.Rules[3].Verdict, r.Collapses)
 		}
 	}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -33,13 +33,13 @@
 func (n *Node) handle(c *nodeConnection, received receivedRequest) bool {
 	request, ok := n.registry.lookup(received.id)
 	if !ok {
-		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, First: received.firstByteAt}) {
+		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, FirstByteAt: received.firstByteAt}) {
 			writeResponse(c, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
 	work := request.job.Work.Seconds()
-	if !n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, First: received.firstByteAt,
+	if !n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, FirstByteAt: received.firstByteAt,
 		Work: work, Cell: n.Cell}) {
 		return false
 	}
@@ -149,7 +149,7 @@
 func (n *Node) coreSpeed(inc *incarnation) float64 {
 	speed := n.Speed
 	if inc.startedCold {
-		speed *= warmCapacityFraction(n.ColdCapacityShare, n.WarmUpDuration, time.Since(inc.startedAt))
+		speed *= warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, time.Since(inc.startedAt))
 	}
 	if factor := loadFloat(&n.faults.slowdown); factor > 0 {
 		speed /= factor
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -254,7 +254,7 @@
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
 	f := newNodeFixture(t, nil)
-	f.SetHangShare(1)
+	f.SetHangFraction(1)
 	nc := f.dial(t)
 	id := f.write(t, nc, readClass, "", time.Millisecond)
 	testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
@@ -264,14 +264,14 @@
 	}
 	nc.Close()
 	testpeer.Until(t, "dropped", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
-	f.SetHangShare(0)
-	f.SetResetShare(1)
+	f.SetHangFraction(0)
+	f.SetResetFraction(1)
 	nc = f.dial(t)
 	id = f.write(t, nc, readClass, "", time.Millisecond)
 	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 1 {
 		t.Errorf("reset fault: %v", err)
 	}
-	f.SetResetShare(0)
+	f.SetResetFraction(0)
 	f.SetSlowdown(4)
 	nc = f.dial(t)
 	began := time.Now()
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -48,9 +48,9 @@
 }
 
 func (e *endpoint) noteStart() {
-	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: cores * e.speed, ColdCapacityShare: 1}
+	n := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: cores * e.speed, ColdCapacityFraction: 1}
 	if e.startedAt > 0 {
-		n.ColdCapacityShare, n.WarmUpDuration = e.w.day.Cold.From, e.w.day.Cold.For
+		n.ColdCapacityFraction, n.WarmUpDuration = e.w.day.Cold.From, e.w.day.Cold.For
 	}
 	e.w.note(n)
 }
@@ -106,7 +106,7 @@
 // came takes an attempt whose last byte has come. end is told the result, unless the process dies before.
 func (e *endpoint) came(a *attempt, work float64, key string, end func(balance.Result)) {
 	w, life := e.w, e.life
-	w.note(invariant.Event{Kind: invariant.AttemptReceived, Request: a.call.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+	w.note(invariant.Event{Kind: invariant.AttemptReceived, Request: a.call.id, Node: e.id, FirstByteAt: a.sentAt - epoch, Work: work, Cell: e.cell})
 	w.result.Attempts[e.tier]++
 	e.press(work)
 	answer := func(r balance.Result, kind invariant.Kind) {
--- a/internal/testkit/fleetsim/play.go
+++ b/internal/testkit/fleetsim/play.go
@@ -220,7 +220,7 @@
 		r.Amplification(0), r.Amplification(1), r.Amplification(2), float64(r.Connections)/max(float64(r.Attempts[0]+r.Attempts[1]+r.Attempts[2]), 1), r.Lists, r.ColdMost)
 	for _, rule := range r.Rules.Rules {
 		fmt.Fprintf(&b, "       rule %d %-40s %s (%d times put to the test, %d broken)\n", rule.Number, rule.Name, rule.Verdict, rule.TestedOccasions, rule.ViolationCount)
-		for _, breach := range rule.Breaches[:min(len(rule.Breaches), 3)] {
+		for _, breach := range rule.Violations[:min(len(rule.Violations), 3)] {
 			fmt.Fprintf(&b, "         at %v: %s %s %s %s\n", breach.At, breach.Request, breach.Sidecar, breach.Node, breach.Description)
 		}
 	}
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -164,7 +164,7 @@
 		w.in(wire, func() { end(0) })
 		return
 	}
-	w.note(invariant.Event{Kind: invariant.RequestSent, Request: c.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	w.note(invariant.Event{Kind: invariant.RequestSent, Request: c.id, Sidecar: s.name, Class: class, Deadline: deadline - epoch})
 	s.calls[c.id] = c
 	life := s.life
 	w.in(max(deadline-w.now, 0)+patienceOver, func() {
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -35,7 +35,7 @@
 	ColdOverloadFactor    float64       // multiple of its present capacity at which a warming node is overloaded
 	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
 	ColdOverloadTolerance float64       // fraction by which that sum may exceed the limit, as arrivals are random
-	TermGrace             time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
+	SigtermGrace          time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
 }
 
 // Check checks a timeline against the rules. Events may be in any order: Check sorts them in place by their instants, since
@@ -90,7 +90,7 @@
 	switch e.Kind {
 	case RequestSent:
 		c.applyRequestSent(e)
-	case NotAccepted:
+	case RequestNotWritten:
 		c.applyRequestNotWritten(e)
 	case ResponseReceived, ExtraBytes, ConnectionLost, ResponseOverdue, ClientLeft:
 		c.applyRequestEnd(e)
@@ -108,7 +108,7 @@
 		c.applyNodeStopped(e)
 	case NodeCollapsed:
 		c.applyNodeCollapsed(e)
-	case SidecarStarted, TermSent, SidecarKilled, Paused, Resumed, SidecarExited:
+	case SidecarStarted, SigtermSent, SidecarKilled, SidecarPaused, SidecarResumed, SidecarExited:
 		c.applySidecarProcess(e)
 	}
 }
@@ -155,8 +155,8 @@
 func (c *checker) addViolation(rule int, e *Event, format string, args ...any) {
 	result := &c.report.Rules[rule-1]
 	result.ViolationCount++
-	if len(result.Breaches) < maxReportedViolations {
-		result.Breaches = append(result.Breaches, Violation{Rule: rule, At: e.At, Request: e.Request, Sidecar: e.Sidecar,
+	if len(result.Violations) < maxReportedViolations {
+		result.Violations = append(result.Violations, Violation{Rule: rule, At: e.At, Request: e.Request, Sidecar: e.Sidecar,
 			Node: e.Node, Description: fmt.Sprintf(format, args...)})
 	}
 }
@@ -206,5 +206,5 @@
 	if i := request.sent.Class; i >= 0 && i < len(c.rules.Classes) {
 		return c.rules.Classes[i]
 	}
-	return Class{Effect: Unsafe}
+	return Class{Effect: NonIdempotent}
 }
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -19,17 +19,17 @@
 			if c.broken == "" {
 				held[c.rule]++
 				if rule.Verdict != Held {
-					t.Errorf("rule %d is %s: %+v", c.rule, rule.Verdict, rule.Breaches)
+					t.Errorf("rule %d is %s: %+v", c.rule, rule.Verdict, rule.Violations)
 				}
 			} else {
 				broken[c.rule]++
-				if rule.Verdict != Broken || !strings.Contains(rule.Breaches[0].Description, c.broken) || r.Held() {
-					t.Errorf("rule %d is %s, held %v: %+v", c.rule, rule.Verdict, r.Held(), rule.Breaches)
+				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.broken) || r.Held() {
+					t.Errorf("rule %d is %s, held %v: %+v", c.rule, rule.Verdict, r.Held(), rule.Violations)
 				}
 			}
 			for _, other := range r.Rules { // no other rule may be broken
 				if other.Number != c.rule && other.Verdict == Broken {
-					t.Errorf("rule %d as well: %+v", other.Number, other.Breaches)
+					t.Errorf("rule %d as well: %+v", other.Number, other.Violations)
 				}
 			}
 		})
@@ -64,7 +64,7 @@
 	l := newTimeline().notify(s, Draining).start(2*s, "s").request(3*s, "r", readClass).
 		attempt(3*s, "r", "a", 1).end(3*s+ms, AttemptCompleted, "r", "a").respond(3*s+2*ms, "r", 200)
 	if r := Check(rules, l); r.Rules[2].Verdict == Broken {
-		t.Errorf("the new process is bound by a notification to the old one: %+v", r.Rules[2].Breaches)
+		t.Errorf("the new process is bound by a notification to the old one: %+v", r.Rules[2].Violations)
 	}
 	if r := Check(rules, append(l, timeline{}.notify(2*s+ms, Draining)...)); r.Rules[2].Verdict != Broken {
 		t.Errorf("notified after its start: %s", r.Rules[2].Verdict)
@@ -73,7 +73,7 @@
 
 func TestViolationNamesRequestSidecarNodeAndInstant(t *testing.T) {
 	r := Check(rules, newTimeline().notify(s, Gone).request(2*s, "r", readClass).attempt(2*s, "r", "a", 1))
-	b := r.Rules[2].Breaches[0]
+	b := r.Rules[2].Violations[0]
 	if b.Rule != 3 || b.At != 2*s || b.Request != "r" || b.Sidecar != "s" || b.Node != "a" {
 		t.Errorf("%+v", b)
 	}
@@ -85,8 +85,8 @@
 		id := fmt.Sprint("r", i)
 		l = l.request(s, id, readClass).end(2*s, ConnectionLost, id, "")
 	}
-	if r := Check(rules, l).Rules[0]; r.ViolationCount != 1000 || len(r.Breaches) != maxReportedViolations {
-		t.Errorf("%d violations, %d reported", r.ViolationCount, len(r.Breaches))
+	if r := Check(rules, l).Rules[0]; r.ViolationCount != 1000 || len(r.Violations) != maxReportedViolations {
+		t.Errorf("%d violations, %d reported", r.ViolationCount, len(r.Violations))
 	}
 }
 
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -33,7 +33,7 @@
 // instant: the work that the node could do during the window at its present capacity, times ColdOverloadFactor.
 func coldBudget(rules Rules, started Event, at time.Duration) float64 {
 	warm := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
-	fraction := started.ColdCapacityShare + (1-started.ColdCapacityShare)*warm
+	fraction := started.ColdCapacityFraction + (1-started.ColdCapacityFraction)*warm
 	return rules.ColdOverloadFactor * fraction * started.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
@@ -92,7 +92,7 @@
 // applyNodeCollapsed reports a violation for a warming node that recorded its own collapse, unless an overload of it was
 // found already.
 func (c *checker) applyNodeCollapsed(e *Event) {
-	c.report.Falls++
+	c.report.Collapses++
 	node := c.node(e.Node)
 	if !node.overloadFound {
 		node.overloadFound = true
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -19,16 +19,16 @@
 		}
 		first := &earlier.received
 		switch {
-		case class.Effect == Unsafe:
+		case class.Effect == NonIdempotent:
 			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", first.Node)
 			return
 		case class.Effect == IdempotencyKeyed && first.Cell != e.Cell:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d",
 				first.Node, first.Cell, e.Cell)
 			return
-		case class.Effect == IdempotencyKeyed && e.First > first.At+class.Window+c.rules.Tolerance:
+		case class.Effect == IdempotencyKeyed && e.FirstByteAt > first.At+class.Window+c.rules.Tolerance:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work sent again %v after the first send, its window is %v",
-				(e.First - first.At).Round(time.Millisecond), class.Window)
+				(e.FirstByteAt - first.At).Round(time.Millisecond), class.Window)
 			return
 		}
 	}
@@ -37,8 +37,8 @@
 // checkSentAfterEnd checks that an attempt does not begin after its request has ended. The tolerance allows for an attempt
 // that the sidecar sends while the client is closing its connection.
 func (c *checker) checkSentAfterEnd(request *requestState, e *Event) {
-	if request.hasEnded && e.First > request.endedAt+c.rules.Tolerance {
-		c.addViolation(ruleNoDoubleEffect, e, "sent %v after its end", (e.First - request.endedAt).Round(time.Millisecond))
+	if request.hasEnded && e.FirstByteAt > request.endedAt+c.rules.Tolerance {
+		c.addViolation(ruleNoDoubleEffect, e, "sent %v after its end", (e.FirstByteAt - request.endedAt).Round(time.Millisecond))
 	}
 }
 
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -30,7 +30,7 @@
 func (c *checker) checkDrain(process *sidecarState, e *Event) {
 	limit := c.rules.DrainGrace + c.rules.Tolerance
 	for node, n := range process.notifications {
-		if e.First <= n.at+limit {
+		if e.FirstByteAt <= n.at+limit {
 			continue
 		}
 		if !n.isTested {
@@ -39,7 +39,7 @@
 		}
 		if node == e.Node {
 			c.addViolation(ruleNoDrainedTarget, e, "sent %v after the sidecar was told that the node %s",
-				(e.First - n.at).Round(time.Millisecond), map[State]string{Draining: "drains", Gone: "is gone"}[n.state])
+				(e.FirstByteAt - n.at).Round(time.Millisecond), map[State]string{Draining: "drains", Gone: "is gone"}[n.state])
 		}
 	}
 }
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -14,7 +14,7 @@
 	ConnectionLost                // the client's connection ended before a complete response
 	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
 	ClientLeft                    // the client closed its connection before the response
-	NotAccepted                   // the client could not write the request completely, so no response is owed
+	RequestNotWritten             // the client could not write the request completely, so no response is owed
 	AttemptReceived               // Node received the last byte of an attempt; First, Work and Cell are set
 	AttemptRejected               // Node rejected an attempt, which therefore never takes effect
 	EffectStarted                 // Node begins to execute an attempt; Duplicate is set if it dropped a duplicate instead
@@ -25,11 +25,11 @@
 	NodeStopped                   // Node's process died, which ended its requests and reset its connections
 	NodeCollapsed                 // Node collapsed under overload while it was warming up
 	SidecarStarted                // a new process of Sidecar started; it has no notifications of the process before it
-	TermSent                      // Sidecar's process was sent SIGTERM
+	SigtermSent                   // Sidecar's process was sent SIGTERM
 	SidecarKilled                 // Sidecar's process was sent SIGKILL
 	SidecarExited                 // Sidecar's process ended; Crash is set if no signal had asked it to
-	Paused                        // Sidecar's process was suspended by SIGSTOP
-	Resumed                       // Sidecar's process runs again after a pause of Duration
+	SidecarPaused                 // Sidecar's process was suspended by SIGSTOP
+	SidecarResumed                // Sidecar's process runs again after a pause of Duration
 	HarnessStall                  // until this instant the test harness itself was not scheduled for Duration
 )
 
@@ -52,29 +52,29 @@
 const (
 	Safe Effect = iota
 	IdempotencyKeyed
-	Unsafe
+	NonIdempotent
 )
 
 // Event is an entry of a timeline. Which fields are set is said at the constants of Kind.
 type Event struct {
-	At                time.Duration // instant of the event since the start of the day
-	Kind              Kind
-	Request           string        // ID of the request
-	Sidecar           string        // name of the sidecar
-	Node              string        // ID of the node
-	Class             int           // index of the request's class in Rules.Classes
-	Until             time.Duration // deadline of the request, since the start of the day
-	First             time.Duration // arrival of the attempt's first byte, since the start of the day
-	Work              float64       // work of the attempt, in seconds on a core of speed 1
-	Status            int           // HTTP status of the response
-	Genuine           bool          // the response is a rejection or error, or its body was written by a node for this request
-	Duplicate         bool          // the node dropped the attempt as a duplicate
-	Crash             bool          // the sidecar's process ended without a signal from the harness
-	State             State         // state of the node that the sidecar was notified of
-	Cell              int           // cell of the node
-	Capacity          float64       // seconds of work that the node does per second when it is warm
-	ColdCapacityShare float64       // fraction of Capacity that the node has right after its start
-	WarmUpDuration    time.Duration // time from the node's start until it has its full Capacity; 0 if it starts warm
-	Duration          time.Duration // length of the pause or of the stall
-	StartedAt         time.Duration // node's start time as discovery stated it, since the start of the day; 0 if not stated
+	At                   time.Duration // instant of the event since the start of the day
+	Kind                 Kind
+	Request              string        // ID of the request
+	Sidecar              string        // name of the sidecar
+	Node                 string        // ID of the node
+	Class                int           // index of the request's class in Rules.Classes
+	Deadline             time.Duration // deadline of the request, since the start of the day
+	FirstByteAt          time.Duration // arrival of the attempt's first byte, since the start of the day
+	Work                 float64       // work of the attempt, in seconds on a core of speed 1
+	Status               int           // HTTP status of the response
+	Genuine              bool          // the response is a rejection or error, or its body was written by a node for this request
+	Duplicate            bool          // the node dropped the attempt as a duplicate
+	Crash                bool          // the sidecar's process ended without a signal from the harness
+	State                State         // state of the node that the sidecar was notified of
+	Cell                 int           // cell of the node
+	Capacity             float64       // seconds of work that the node does per second when it is warm
+	ColdCapacityFraction float64       // fraction of Capacity that the node has right after its start
+	WarmUpDuration       time.Duration // time from the node's start until it has its full Capacity; 0 if it starts warm
+	Duration             time.Duration // length of the pause or of the stall
+	StartedAt            time.Duration // node's start time as discovery stated it, since the start of the day; 0 if not stated
 }
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -67,7 +67,7 @@
 			c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
 		default:
 			c.addViolation(ruleFinalResponse, e, "no answer %v after its time was up",
-				(e.At - request.sent.Until).Round(time.Millisecond))
+				(e.At - request.sent.Deadline).Round(time.Millisecond))
 		}
 	case ClientLeft:
 		c.countOccasion(ruleFinalResponse, "callers that left")
@@ -81,7 +81,7 @@
 // request that is not safe must not be rejected if it may have run. A client may retry a rejected request, and its effect
 // would then come twice.
 func (c *checker) checkResponse(request *requestState, e *Event) {
-	if late := e.At - request.sent.Until; late > c.rules.Tolerance && request.sidecarWasPaused() {
+	if late := e.At - request.sent.Deadline; late > c.rules.Tolerance && request.sidecarWasPaused() {
 		c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
 	} else if late > c.rules.Tolerance {
 		c.addViolation(ruleFinalResponse, e, "answered %v after its time was up", late.Round(time.Millisecond))
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -23,14 +23,14 @@
 	switch e.Kind {
 	case SidecarStarted:
 		c.sidecars[e.Sidecar] = newSidecarState()
-	case TermSent:
+	case SigtermSent:
 		sidecar := c.sidecar(e.Sidecar)
 		sidecar.sigtermSent, sidecar.sigtermAt = true, e.At
 	case SidecarKilled:
 		c.sidecar(e.Sidecar).sigkillSent = true
-	case Paused:
+	case SidecarPaused:
 		c.sidecar(e.Sidecar).isPaused = true
-	case Resumed:
+	case SidecarResumed:
 		c.applySidecarResumed(e)
 	case SidecarExited:
 		if e.Crash {
@@ -67,7 +67,7 @@
 	case process.sigkillSent && !process.sigtermSent:
 		return true
 	case process.sigtermSent:
-		return process.sigkillSent && request.sent.At > process.sigtermAt+c.rules.TermGrace
+		return process.sigkillSent && request.sent.At > process.sigtermAt+c.rules.SigtermGrace
 	}
 	return false
 }
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -32,7 +32,7 @@
 	Verdict         Verdict        `json:"verdict"`
 	TestedOccasions int            `json:"tests"`     // number of occasions on which the rule could have been broken
 	Occasions       map[string]int `json:"occasions"` // number of occasions by name, including those that do not test the rule
-	Breaches        []Violation    `json:"breaches"`  // the first violations, at most maxReportedViolations
+	Violations      []Violation    `json:"breaches"`  // the first violations, at most maxReportedViolations
 	ViolationCount  int            `json:"broken"`    // number of all violations
 }
 
@@ -53,16 +53,16 @@
 
 // Report is the result of checking all rules.
 type Report struct {
-	Rules   [4]RuleResult `json:"rules"`
-	Crashes int           `json:"crashes"` // number of sidecar processes that ended without a signal from the harness
-	Falls   int           `json:"falls"`   // number of nodes that collapsed under overload while warming up
+	Rules     [4]RuleResult `json:"rules"`
+	Crashes   int           `json:"crashes"` // number of sidecar processes that ended without a signal from the harness
+	Collapses int           `json:"falls"`   // number of nodes that collapsed under overload while warming up
 }
 
 // newReport returns a report without occasions and violations.
 func newReport() *Report {
 	r := &Report{}
 	for i := range r.Rules {
-		r.Rules[i] = RuleResult{Number: i + 1, Name: ruleNames[i], Occasions: map[string]int{}, Breaches: []Violation{}}
+		r.Rules[i] = RuleResult{Number: i + 1, Name: ruleNames[i], Occasions: map[string]int{}, Violations: []Violation{}}
 	}
 	return r
 }
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -11,14 +11,14 @@
 )
 
 var rules = Rules{
-	Classes:               []Class{readClass: {"look", Safe, 0}, keyedClass: {"book", IdempotencyKeyed, 10 * s}, unsafeClass: {"pay", Unsafe, 0}},
+	Classes:               []Class{readClass: {"look", Safe, 0}, keyedClass: {"book", IdempotencyKeyed, 10 * s}, unsafeClass: {"pay", NonIdempotent, 0}},
 	MaxAttempts:           4,
 	Tolerance:             50 * ms,
 	DrainGrace:            500 * ms,
 	ColdOverloadFactor:    4,
 	ColdOverloadWindow:    3 * s,
 	ColdOverloadTolerance: 0.1,
-	TermGrace:             700 * ms,
+	SigtermGrace:          700 * ms,
 }
 
 const (
@@ -35,11 +35,11 @@
 }
 
 func (l timeline) request(at time.Duration, id string, class int) timeline {
-	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Until: at + 2*s})
+	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Deadline: at + 2*s})
 }
 
 func (l timeline) attempt(at time.Duration, id, node string, cell int) timeline {
-	return append(l, Event{At: at, First: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
+	return append(l, Event{At: at, FirstByteAt: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
 
 func (l timeline) end(at time.Duration, kind Kind, id, node string) timeline {
@@ -81,16 +81,16 @@
 		append(newTimeline().request(s, "r", readClass), Event{At: 2 * s, Kind: SidecarKilled, Sidecar: "s"}).
 			end(2*s+ms, ConnectionLost, "r", "")},
 	{"connection lost in a graceful shutdown", 1, "without a whole answer",
-		append(newTimeline().request(s, "r", readClass), Event{At: s + 100*ms, Kind: TermSent, Sidecar: "s"}).
+		append(newTimeline().request(s, "r", readClass), Event{At: s + 100*ms, Kind: SigtermSent, Sidecar: "s"}).
 			end(2*s, ConnectionLost, "r", "")},
 	{"accepted after the grace of SIGTERM and killed", 1, "",
-		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"},
+		append(newTimeline(), Event{At: s, Kind: SigtermSent, Sidecar: "s"},
 			Event{At: 4 * s, Kind: SidecarKilled, Sidecar: "s"}).request(s+800*ms, "r", readClass).end(4*s, ConnectionLost, "r", "")},
 	{"accepted within the grace of SIGTERM and killed", 1, "without a whole answer",
-		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"},
+		append(newTimeline(), Event{At: s, Kind: SigtermSent, Sidecar: "s"},
 			Event{At: 4 * s, Kind: SidecarKilled, Sidecar: "s"}).request(s+700*ms, "r", readClass).end(4*s, ConnectionLost, "r", "")},
 	{"accepted after the grace of SIGTERM and lost without a kill", 1, "without a whole answer",
-		append(newTimeline(), Event{At: s, Kind: TermSent, Sidecar: "s"}).request(s+800*ms, "r", readClass).
+		append(newTimeline(), Event{At: s, Kind: SigtermSent, Sidecar: "s"}).request(s+800*ms, "r", readClass).
 			end(2*s, ConnectionLost, "r", "")},
 	{"response of another request", 1, "no endpoint made",
 		append(newTimeline().request(s, "r", readClass),
@@ -190,7 +190,7 @@
 		l := coldStart(45)
 		for i := range l {
 			if l[i].Kind == AttemptReceived {
-				l[i].At, l[i].First = l[i].At+20*s, l[i].First+20*s
+				l[i].At, l[i].FirstByteAt = l[i].At+20*s, l[i].FirstByteAt+20*s
 			}
 		}
 		return l.attempt(2*s, "r0", "a", 1).end(2*s+ms, AttemptCompleted, "r0", "a")
@@ -200,7 +200,7 @@
 // coldStart is a node that starts with 0.3 of its capacity of 1 and is sent n requests of 0.12 s of work a second later. Its
 // budget is 4 x 0.37 x 3 s and a tenth more, 4.88 s.
 func coldStart(n int) timeline {
-	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityShare: 0.3, WarmUpDuration: 10 * s},
+	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityFraction: 0.3, WarmUpDuration: 10 * s},
 		{At: s + ms, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: Ready, StartedAt: s}}
 	for i := range n {
 		id := fmt.Sprint("r", i)
--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -98,7 +98,7 @@
 // violationMarks draws a line at each violation of a rule.
 func (c *chart) violationMarks(r *Result) {
 	for _, rule := range r.Invariants.Rules {
-		for _, v := range rule.Breaches {
+		for _, v := range rule.Violations {
 			x := c.x(v.At.Seconds())
 			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`,
 				x, x, chartTop, c.height-chartBottom, rule.Number, v.At.Seconds(), html.EscapeString(violationText(v)))
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -72,14 +72,14 @@
 // newAttempt is an attempt at a request after a number of others.
 func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
-		ID:      r.newID("try"),
-		Class:   request.Class,
-		Tenant:  r.plan.Day.Tenants[request.Tenant].Name,
-		Key:     request.Key,
-		Retry:   attempts > 0,
-		Job:     request.Job,
-		Timeout: timeout,
-		Connect: r.frontLayer.Connect,
+		ID:             r.newID("try"),
+		Class:          request.Class,
+		Tenant:         r.plan.Day.Tenants[request.Tenant].Name,
+		IdempotencyKey: request.Key,
+		IsRetry:        attempts > 0,
+		Job:            request.Job,
+		Timeout:        timeout,
+		Connect:        r.frontLayer.Connect,
 	}
 	if r.plan.Day.Load.HasCostHints {
 		attempt.CostHint = costHint(request)
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -24,9 +24,9 @@
 	case "slow":
 		r.injectNodeFault(ctx, fault, (*fake.Node).SetSlowdown, 1)
 	case "hang":
-		r.injectNodeFault(ctx, fault, (*fake.Node).SetHangShare, 0)
+		r.injectNodeFault(ctx, fault, (*fake.Node).SetHangFraction, 0)
 	case "reset":
-		r.injectNodeFault(ctx, fault, (*fake.Node).SetResetShare, 0)
+		r.injectNodeFault(ctx, fault, (*fake.Node).SetResetFraction, 0)
 	case "crash":
 		r.forEachTarget(fault, func(h *host) { r.crashNode(ctx, h, fault) })
 	case "drain":
@@ -112,7 +112,7 @@
 
 func (r *rehearsal) setDiscoveryDown(isDown bool) {
 	for _, p := range r.sidecars {
-		p.agent.SetDown(isDown)
+		p.agent.SetDiscoveryDown(isDown)
 	}
 }
 
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -140,12 +140,12 @@
 	c.host.mu.Unlock()
 	target := fake.Target{Sidecar: sidecar.name, Addr: sidecar.addr}
 	out := client.Do(fake.Request{
-		ID:      c.rehearsal.newID("call"),
-		Class:   class,
-		Key:     fmt.Sprintf("%s-%016x", key, c.rehearsal.sequence.Add(1)),
-		Job:     job,
-		Timeout: c.rehearsal.plan.Classes[class].Deadline,
-		Connect: func() (fake.Target, bool) { return target, true },
+		ID:             c.rehearsal.newID("call"),
+		Class:          class,
+		IdempotencyKey: fmt.Sprintf("%s-%016x", key, c.rehearsal.sequence.Add(1)),
+		Job:            job,
+		Timeout:        c.rehearsal.plan.Classes[class].Deadline,
+		Connect:        func() (fake.Target, bool) { return target, true },
 	})
 	return out.Status == http.StatusOK
 }
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -47,7 +47,7 @@
 				case u.Number == rule && u.Verdict != invariant.Broken:
 					t.Errorf("rule %d is %s: %v", rule, u.Verdict, u.Occasions)
 				case rule == 0 && u.Verdict != invariant.Held:
-					t.Errorf("rule %d is %s: %v, %+v", u.Number, u.Verdict, u.Occasions, u.Breaches)
+					t.Errorf("rule %d is %s: %v, %+v", u.Number, u.Verdict, u.Occasions, u.Violations)
 				}
 			}
 			if r.Held != (rule == 0) {
@@ -99,7 +99,7 @@
 			t.Parallel()
 			r := playValid(t, testPlan(t, day...), Options{Command: sidecarCommand(fault)})
 			if u := r.Invariants.Rules[2]; u.Verdict != want || u.Occasions["drains told"] < 1 {
-				t.Errorf("%s: %v, %+v", u.Verdict, u.Occasions, u.Breaches)
+				t.Errorf("%s: %v, %+v", u.Verdict, u.Occasions, u.Violations)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 `, `notice = "100ms"`, `notice = "2s"`)
 	r := playValid(t, testPlan(t, day...), Options{Command: sidecarCommand("good")})
 	report := r.Invariants
-	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Falls != 0 {
-		t.Errorf("held %v, falls %d: %+v", r.Held, report.Falls, report.Rules)
+	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Collapses != 0 {
+		t.Errorf("held %v, falls %d: %+v", r.Held, report.Collapses, report.Rules)
 	}
 }
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -51,7 +51,7 @@
 	}
 	result.Invariants = invariant.Check(r.plan.Rules(), events)
 	for i := range result.Invariants.Rules {
-		violations := result.Invariants.Rules[i].Breaches
+		violations := result.Invariants.Rules[i].Violations
 		for k := range violations {
 			violations[k].At -= dayStart
 		}
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -37,7 +37,7 @@
 			Occasions: map[string]int{"things": i}}
 	}
 	r.Invariants.Rules[1].ViolationCount = 7
-	r.Invariants.Rules[1].Breaches = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>",
+	r.Invariants.Rules[1].Violations = []invariant.Violation{{Rule: 2, At: 1500 * time.Millisecond, Request: "r<1>",
 		Node: "front-1", Description: "sent <twice>"}}
 	return r
 }
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -89,7 +89,7 @@
 }
 
 // effectsByName are the effects by their names in day files.
-var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.IdempotencyKeyed, "unsafe": invariant.Unsafe}
+var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.IdempotencyKeyed, "unsafe": invariant.NonIdempotent}
 
 // drawInteger draws a whole number from a range, both ends included.
 func drawInteger(r tomlfile.NumberRange, rng *rand.Rand) float64 {
@@ -116,7 +116,7 @@
 		ColdOverloadFactor:    p.Day.Rules.FallMultiple,
 		ColdOverloadWindow:    p.Day.Rules.FallAfter,
 		ColdOverloadTolerance: fake.ColdOverloadTolerance,
-		TermGrace:             termGrace,
+		SigtermGrace:          termGrace,
 	}
 	for _, c := range p.Classes {
 		rules.Classes = append(rules.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -60,7 +60,7 @@
 	spec.Speed = k.Speed.At(rng.Float64())
 	spec.Slots = max(int(k.Slots.At(rng.Float64())*cores), 1)
 	spec.QueueLimit = int(k.QueueLimit.At(rng.Float64()) * cores)
-	spec.ColdCapacityShare = k.ColdCapacityShare.At(rng.Float64())
+	spec.ColdCapacityFraction = k.ColdCapacityShare.At(rng.Float64())
 	spec.WarmUpDuration = k.WarmUpDuration.At(rng.Float64())
 }
 
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -60,7 +60,7 @@
 		count := make([]int, len(d.Tiers))
 		for _, n := range p.Nodes {
 			count[n.Spec.Tier]++
-			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdCapacityShare < 0.31 ||
+			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdCapacityFraction < 0.31 ||
 				n.Spec.WarmUpDuration > 9*time.Second || n.Spec.Slots < 1 {
 				t.Fatalf("%+v", n.Spec)
 			}
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -43,7 +43,7 @@
 
 // semanticsNames are the platform's names of the effects.
 var semanticsNames = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.IdempotencyKeyed: "idempotency_key",
-	invariant.Unsafe: "non_idempotent"}
+	invariant.NonIdempotent: "non_idempotent"}
 
 // timerResolution is how late events and timers of a sidecar may come in a rehearsal: the lateness of a timer on a busy
 // machine.
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -179,11 +179,11 @@
 	}
 	process, exited := p.cmd.Process, p.exited
 	_ = process.Signal(syscall.SIGSTOP) // fails only for a process that has exited
-	p.recorder.Add(invariant.Event{Kind: invariant.Paused, Sidecar: p.name})
+	p.recorder.Add(invariant.Event{Kind: invariant.SidecarPaused, Sidecar: p.name})
 	p.mu.Unlock()
 	pausedAt := time.Now()
 	sleep(ctx, d)
-	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // before its effects
+	p.recorder.Add(invariant.Event{Kind: invariant.SidecarResumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // before its effects
 	select {
 	case <-exited: // it was killed meanwhile
 	default:
@@ -200,7 +200,7 @@
 
 // terminate ends the process as a planned restart does: by SIGTERM, and by SIGKILL where it has not exited in time.
 func (p *sidecarProcess) terminate(timeout time.Duration) {
-	exited := p.signal(syscall.SIGTERM, invariant.TermSent)
+	exited := p.signal(syscall.SIGTERM, invariant.SigtermSent)
 	if exited == nil {
 		return
 	}
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -92,7 +92,7 @@
 	}
 	writeColumns(b, rows.String())
 	for _, rule := range report.Rules {
-		for _, v := range rule.Breaches[:min(len(rule.Breaches), 3)] {
+		for _, v := range rule.Violations[:min(len(rule.Violations), 3)] {
 			fmt.Fprintf(b, "  rule %d, at %.3f s: %s\n", v.Rule, v.At.Seconds(), violationText(v))
 		}
 	}
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -41,7 +41,7 @@
 	harness.Stalls = len(stalls)
 	near := 0
 	for _, rule := range result.Invariants.Rules {
-		for _, violation := range rule.Breaches {
+		for _, violation := range rule.Violations {
 			at := violation.At + dayStart
 			if slices.ContainsFunc(stalls, func(e invariant.Event) bool {
 				return e.At-e.Duration-stallProximity <= at && at <= e.At+stallProximity
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -15,7 +15,7 @@
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
 		t.Helper()
 		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
-		result.Invariants.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
+		result.Invariants.Rules[2].Violations = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
 		r.validate(result, events, time.Minute)
 		if result.Valid != (len(result.Invalid) == 0) {
 			t.Errorf("valid %v, %v", result.Valid, result.Invalid)
