--- a/internal/testkit/fake/doc.go
+++ b/internal/testkit/fake/doc.go
@@ -1,8 +1,9 @@
-// Package fake has servers and clients that stand in on loopback for what surrounds a sidecar: the nodes of a platform,
-// the discovery agent of each sidecar, a name server, the front layer and the clients. They speak the protocol in its
-// published form, have faults that can be injected, and record what they observe. The daemon never imports it.
+// Package fake provides test doubles on loopback for everything that surrounds a sidecar: the nodes of a platform, the
+// discovery agent of each sidecar, a DNS server, the front layer that spreads clients over the sidecars, and the clients.
+// They speak the platform's published protocol, have faults that can be injected, and record what they observe. The daemon
+// does not use this package.
 //
-// Each fake owns its state, is safe for concurrent use and starts goroutines that end with its Stop or Close. All of them
-// record into one Recorder, each event before the bytes that can cause the next one, so that the order of a timeline is an
-// order of cause.
+// Each fake owns its state and is safe for concurrent use. The goroutines that it starts end with its Stop or Close. The
+// nodes, agents and clients of a simulation share one Recorder. Each records an event before it writes the bytes that can
+// cause the next event, so that in a timeline a cause precedes its effects.
 package fake
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-const maxEchoBody = 64 << 10 // bytes
+const maxEchoBody = 64 << 10 // bytes of a request's body
 
-// EchoHandler answers with the request that it received, preceded by the name. It is the simplest node to try a daemon
-// with. A body of more than 64 KiB is answered with 400.
+// EchoHandler returns a handler that responds with a description of the request: its method, URI, body length and headers.
+// Each line begins with the name, or with a header. A body of more than 64 KiB gets status 400. The handler serves as a
+// simple endpoint to try a daemon with.
 func EchoHandler(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
@@ -20,7 +21,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// Write errors are ignored: the client may have left.
+		// Write errors are ignored: the client may have closed the connection.
 		_, _ = fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
 		var names []string
 		for n := range r.Header {
@@ -33,7 +34,7 @@
 	})
 }
 
-// EchoServer is a server with an EchoHandler for an address. It does not listen yet.
+// EchoServer returns a server for an address whose EchoHandler has the address as its name. The caller starts it.
 func EchoServer(addr string) *http.Server {
 	return &http.Server{Addr: addr, Handler: EchoHandler(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 }
--- a/internal/testkit/fake/frontlayer.go
+++ b/internal/testkit/fake/frontlayer.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// Target is a sidecar and the address at which it listens.
+// Target is a sidecar's name and the address on which it listens for clients.
 type Target struct{ Sidecar, Addr string }
 
-// FrontLayer spreads the connections of clients in turn over the sidecars that it considers alive. It is safe for
-// concurrent use, and its zero value has no sidecar.
+// FrontLayer is the load balancer between clients and sidecars. It distributes the clients' connections round-robin over the
+// sidecars that were added. It is safe for concurrent use, and its zero value has no sidecar.
 type FrontLayer struct {
 	mu      sync.Mutex
 	targets []Target
-	next    int
+	next    int // number of connections so far, modulo len(targets) the index of the latest target
 }
 
-// Add adds a sidecar, or changes its address.
+// Add adds a sidecar. If the sidecar is there already, Add changes its address.
 func (f *FrontLayer) Add(sidecar, addr string) {
 	f.Remove(sidecar)
 	f.mu.Lock()
@@ -24,7 +24,7 @@
 	f.targets = append(f.targets, Target{sidecar, addr})
 }
 
-// Remove removes a sidecar, if it is there.
+// Remove removes a sidecar. It does nothing if the sidecar is not there.
 func (f *FrontLayer) Remove(sidecar string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// Connect returns the target of the next connection. It is false where there is no sidecar.
+// Connect returns the sidecar for the next connection. It reports false if there is no sidecar.
 func (f *FrontLayer) Connect() (Target, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -13,72 +13,72 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// NodeSpec describes a node. Its work is modelled: it takes time on a core that exists only as a count. The tags are the
-// names of printed plans.
+// NodeSpec describes a node. Work is simulated: a request occupies one of the node's cores for the time that its work
+// takes. The tags are the names of the fields in printed plans.
 type NodeSpec struct {
 	ID, Zone, Kind       string
 	Tier, Cell           int
-	Cores                int
-	Speed                float64       // of a core; work is stated for a core of speed 1
-	Slots                int           // requests that are executed at a time
-	QueueLimit           int           `json:"Room"`         // requests that wait for a slot; further ones are rejected
-	ColdCapacityFraction float64       `json:"ColdFrom"`     // share of the capacity right after a start
-	WarmUpDuration       time.Duration `json:"ColdFor"`      // over which the share rises linearly to 1
-	ColdOverloadFactor   float64       `json:"FallMultiple"` // a warming node collapses under this multiple of what it can do
-	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // within a window of this length
-	HandshakeWork        time.Duration `json:"Handshake"`    // work for a new connection
-	IdleTimeout          time.Duration `json:"IdleFor"`      // after which an idle connection is closed; 0: none
-	MaxConnections       int           `json:"Conns"`        // requests on further connections are rejected; 0: no limit
-	ErrorRate            float64       // share of requests that it answers with 500
-	Overload             *OverloadSpec `json:"Choke"` // nil: overload does not slow the node
+	Cores                int           // number of simulated cores
+	Speed                float64       // speed of each core; work is stated in seconds on a core of speed 1
+	Slots                int           // number of requests that are executed at once
+	QueueLimit           int           `json:"Room"`         // number of requests that may wait for a slot; further ones are rejected
+	ColdCapacityFraction float64       `json:"ColdFrom"`     // fraction of the full speed that the node has right after a cold start
+	WarmUpDuration       time.Duration `json:"ColdFor"`      // time from a cold start in which the speed rises linearly to the full speed
+	ColdOverloadFactor   float64       `json:"FallMultiple"` // multiple of its present capacity at which a warming node collapses; 0: never
+	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // window over which the work sent to a warming node is summed
+	HandshakeWork        time.Duration `json:"Handshake"`    // extra work of the first request on a connection, on a core of speed 1
+	IdleTimeout          time.Duration `json:"IdleFor"`      // time after which an idle connection is closed; 0: never
+	MaxConnections       int           `json:"Conns"`        // number of connections beyond which requests on a new one are rejected; 0: unlimited
+	ErrorRate            float64       // fraction of the requests that the node answers with status 500
+	Overload             *OverloadSpec `json:"Choke"` // how overload slows the node; nil: not at all
 }
 
-// Node is a fake node. It listens on loopback at an address of its own, the same after a restart. Its methods are safe for
-// concurrent use; the fields must not be written to after the first Start.
+// Node is a fake node. It listens on loopback at an address of its own, which stays the same after a restart. Its methods
+// are safe for concurrent use; its exported fields must not be written to after the first Start.
 //
-// A running node has a goroutine that accepts connections, one for each connection and for each request, and one that
-// monitors overload. Stop makes all of them end.
+// A running node has one goroutine that accepts connections, one for each connection, one for each request in flight, and
+// one that monitors overload if NodeSpec.Overload is set. Stop ends all of them.
 type Node struct {
 	NodeSpec
-	Addr     string   // set by the first Start
-	NextTier NextTier // nil: the node is of the last tier
+	Addr     string   // address that the node listens on; set by the first Start
+	NextTier NextTier // calls to the tier behind the node; nil: the node is of the last tier
 	classes  []Class
 	cell     *Cell
 	registry *Registry
 	recorder *Recorder
-	random   func() float64 // in [0, 1)
+	random   func() float64 // draws a number in [0, 1); safe for concurrent use
 
-	openedConnections atomic.Int64 // in all incarnations
-	wasOverloaded     atomic.Bool
+	openedConnections atomic.Int64 // number of connections accepted since the node was made, restarts included
+	wasOverloaded     atomic.Bool  // overload has slowed the node at least once
 
 	faults nodeFaults
 
 	mu           sync.Mutex
-	incarnation  *incarnation // nil: down
-	isDraining   bool
-	hasCollapsed bool
+	incarnation  *incarnation // the running process; nil while the node is down
+	isDraining   bool         // new requests are rejected
+	hasCollapsed bool         // the node collapsed under overload and cannot be started again
 }
 
-// incarnation is one run of a node's process.
+// incarnation is one process of a node, from its start to its stop.
 type incarnation struct {
 	startedAt    time.Time
-	startOffset  time.Duration // startedAt on the recorder's clock
-	startedCold  bool          // started without its caches and so warming up
+	startOffset  time.Duration // startedAt as the time since the start of the recorder
+	startedCold  bool          // the process started without its caches and so warms up
 	done         chan struct{} // closed by Stop
 	listener     net.Listener
 	slots        *semaphore
 	cores        *semaphore
-	inFlight     atomic.Int64 // requests received and not answered
-	runnable     atomic.Int64 // of those, the ones that run or wait on this node, not on the next tier
-	busyCores    atomic.Int64
-	isOverloaded atomic.Bool
+	inFlight     atomic.Int64 // number of requests received and not answered yet, without those that the hang fault hit
+	runnable     atomic.Int64 // number of requests that wait for a slot or a core or use a core
+	busyCores    atomic.Int64 // number of cores in use
+	isOverloaded atomic.Bool  // overload slows the process at present
 
 	mu             sync.Mutex
-	connections    map[net.Conn]bool
-	recentColdWork []coldWork // while warming up
+	connections    map[net.Conn]bool // open connections
+	recentColdWork []coldWork        // work received within the latest ColdOverloadWindow during the warm-up
 }
 
-// NewNode makes a node that is down. seed feeds the node's own random draws.
+// NewNode returns a node that is down. The seed determines the node's random errors and faults.
 func NewNode(spec NodeSpec, classes []Class, cell *Cell, registry *Registry, recorder *Recorder, seed uint64) *Node {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0x6e6f6465))
@@ -90,11 +90,12 @@
 	return &Node{NodeSpec: spec, classes: classes, cell: cell, registry: registry, recorder: recorder, random: random}
 }
 
-// ErrCollapsed is the error of a start after the node collapsed under overload while warming up.
-var ErrCollapsed = errors.New("it has fallen over and stays down")
+// ErrCollapsed is returned by Start for a node that has collapsed under overload while warming up.
+var ErrCollapsed = errors.New("collapsed under overload and cannot be started again")
 
-// Start starts the node, at its former address if it had one, and returns the instant of the start. It does nothing where
-// the node runs already. The error names the node; it is ErrCollapsed for a node that has collapsed.
+// Start starts the node and returns the time of the start. It listens at the address of its previous start, if there was
+// one. A cold node warms up first. If the node runs already, Start does nothing and returns the time of its start. The error
+// names the node and wraps ErrCollapsed if the node has collapsed.
 func (n *Node) Start(cold bool) (startedAt time.Time, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,7 +129,7 @@
 	if cold {
 		e.ColdCapacityFraction, e.WarmUpDuration = n.ColdCapacityFraction, n.WarmUpDuration
 	}
-	e.At = max(inc.startOffset, 1) // 0 would stand for the instant of Add
+	e.At = max(inc.startOffset, 1) // Add would replace 0 by the time of the call
 	n.recorder.Add(e)
 	go n.acceptConnections(inc)
 	if n.Overload != nil {
@@ -137,7 +138,7 @@
 	return inc.startedAt, nil
 }
 
-// Stop ends the node's process as a crash does: connections are reset and new ones refused.
+// Stop ends the node's process as a crash does: open connections are reset, and new ones are refused.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	inc := n.incarnation
@@ -156,29 +157,29 @@
 	}
 }
 
-// resetConnection closes a connection by a reset, as the death of a process does.
+// resetConnection closes a connection with a TCP reset, as the kernel does when a process dies.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	conn.Close()
 }
 
-// Drain makes the node reject new requests and finish those in flight, until its next start.
+// Drain makes the node reject new requests until its next start. Requests in flight are completed.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isDraining = true
 }
 
-// IsUp reports whether the node runs.
+// IsUp reports whether the node is running.
 func (n *Node) IsUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.incarnation != nil
 }
 
-// InFlight is the number of requests that run or wait on the node.
+// InFlight returns the number of requests that the node executes or that wait on it.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -188,8 +189,8 @@
 	return int(n.incarnation.inFlight.Load())
 }
 
-// OpenedConnections is the number of connections opened to the node in all its incarnations.
+// OpenedConnections returns the number of connections that clients have opened to the node, restarts included.
 func (n *Node) OpenedConnections() int { return int(n.openedConnections.Load()) }
 
-// WasOverloaded reports whether overload has made the node slow at least once.
+// WasOverloaded reports whether overload has slowed the node at least once.
 func (n *Node) WasOverloaded() bool { return n.wasOverloaded.Load() }
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	headTimeout   = 5 * time.Second // for the rest of a request that has begun, and for a write
-	maxBodyBytes  = 64 << 10
-	acceptBackoff = 10 * time.Millisecond // without descriptors Accept fails at once, and the loop would spin
+	headTimeout   = 5 * time.Second       // limit for reading the rest of a request, and for writing a response
+	maxBodyBytes  = 64 << 10              // bytes read of a body
+	acceptBackoff = 10 * time.Millisecond // wait after a failed Accept, which fails at once while the process has no free descriptor
 )
 
-// nodeConnection is one connection to a node. Its goroutine reads; the response is written by that of the request.
+// nodeConnection is one connection to a node. The goroutine of the connection reads requests; the goroutine of a request
+// writes its response.
 type nodeConnection struct {
 	net.Conn
 	incarnation *incarnation
-	isExcess    bool // beyond MaxConnections
+	isExcess    bool // the node had MaxConnections other connections when it accepted this one
 }
 
-// receivedRequest is one request that was read completely.
+// receivedRequest is a request that a node has read completely.
 type receivedRequest struct {
-	id                  string
-	firstByteAt         time.Duration
+	id                  string        // value of the header Req-Id
+	firstByteAt         time.Duration // arrival of the first byte, since the start of the recorder
 	isFirstOnConnection bool
-	responded           chan bool // receives whether the connection is used further, after the response
+	responded           chan bool // receives, after the response, whether the connection stays open
 }
 
-// acceptConnections accepts connections until the listener is closed.
+// acceptConnections accepts connections until the incarnation ends.
 func (n *Node) acceptConnections(inc *incarnation) {
 	for {
 		conn, err := inc.listener.Accept()
@@ -52,7 +53,8 @@
 	}
 }
 
-// serveConnection reads requests from a connection, one at a time, and records when the other side ends it.
+// serveConnection reads requests from a connection, one at a time. If the client closes the connection while a request is
+// in flight, it records that the attempt was aborted.
 func (n *Node) serveConnection(c *nodeConnection) {
 	defer func() {
 		c.incarnation.mu.Lock()
@@ -61,7 +63,7 @@
 		c.Close()
 	}()
 	in := bufio.NewReader(c)
-	var current receivedRequest // the latest request; answered is nil before the first
+	var current receivedRequest // the request read last; its responded is nil before the first request
 	n.startIdleTimeout(c)
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
@@ -73,8 +75,8 @@
 		firstByteAt := n.recorder.Now()
 		if current.responded != nil {
 			select {
-			case isKept := <-current.responded:
-				if !isKept {
+			case staysOpen := <-current.responded:
+				if !staysOpen {
 					return
 				}
 			case <-c.incarnation.done:
@@ -92,7 +94,7 @@
 	}
 }
 
-// readRequest reads one complete request and returns its ID.
+// readRequest reads one complete request and returns its ID, the value of the header Req-Id.
 func readRequest(conn net.Conn, in *bufio.Reader) (id string, err error) {
 	_ = conn.SetReadDeadline(time.Now().Add(headTimeout))
 	r, err := http.ReadRequest(in)
@@ -106,17 +108,17 @@
 	return r.Header.Get("Req-Id"), nil
 }
 
-// startIdleTimeout bounds the wait for the next request.
+// startIdleTimeout makes reads from the connection fail after the node's idle timeout.
 func (n *Node) startIdleTimeout(conn net.Conn) {
 	if n.IdleTimeout > 0 {
 		_ = conn.SetReadDeadline(time.Now().Add(n.IdleTimeout))
 	}
 }
 
-// writeResponse writes a complete response at once. fields are header lines, each with its line end.
-func writeResponse(conn net.Conn, status int, fields, body string) {
+// writeResponse writes a complete response. headerLines holds further header lines, each with its CRLF.
+func writeResponse(conn net.Conn, status int, headerLines, body string) {
 	_ = conn.SetWriteDeadline(time.Now().Add(headTimeout))
-	// Whoever sent the request may have left; the reader of the connection notices that.
-	_, _ = io.WriteString(conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+fields+
+	// The error is ignored: if the client has closed the connection, serveConnection notices it.
+	_, _ = io.WriteString(conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+headerLines+
 		"Content-Type: text/plain\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
--- a/internal/testkit/fake/node_faults.go
+++ b/internal/testkit/fake/node_faults.go
@@ -5,26 +5,32 @@
 	"sync/atomic"
 )
 
-// nodeFaults are the faults that are injected into a node, each as math.Float64bits; 0 is none.
+// nodeFaults holds the faults that are injected into a node. Each value is encoded by math.Float64bits; 0: no fault.
 type nodeFaults struct {
-	slowdown      atomic.Uint64 // factor
-	hangFraction  atomic.Uint64 // of the requests
-	resetFraction atomic.Uint64 // of the requests
+	slowdown      atomic.Uint64 // factor by which the cores are slower
+	hangFraction  atomic.Uint64 // fraction of the requests that are never answered
+	resetFraction atomic.Uint64 // fraction of the requests after which the connection is reset
 }
 
-// SetSlowdown makes the node's cores slower by a factor; 1 is the usual speed.
+// SetSlowdown makes the node's cores slower by a factor; 1 restores their usual speed.
 func (n *Node) SetSlowdown(factor float64) { n.faults.slowdown.Store(math.Float64bits(factor)) }
 
-// SetHangFraction makes the node receive this share of the requests and never answer them.
-func (n *Node) SetHangFraction(share float64) { n.faults.hangFraction.Store(math.Float64bits(share)) }
+// SetHangFraction makes the node receive this fraction of the requests without ever responding.
+func (n *Node) SetHangFraction(fraction float64) {
+	n.faults.hangFraction.Store(math.Float64bits(fraction))
+}
 
-// SetResetFraction makes the node reset the connection of this share of the requests after it has executed them.
-func (n *Node) SetResetFraction(share float64) { n.faults.resetFraction.Store(math.Float64bits(share)) }
+// SetResetFraction makes the node reset the connection instead of responding, for this fraction of the requests, after it
+// has executed them.
+func (n *Node) SetResetFraction(fraction float64) {
+	n.faults.resetFraction.Store(math.Float64bits(fraction))
+}
 
+// loadFloat returns a number that was stored by math.Float64bits.
 func loadFloat(bits *atomic.Uint64) float64 { return math.Float64frombits(bits.Load()) }
 
-// drawFault reports whether a fault with a share hits this request.
+// drawFault decides at random whether a fault, of which bits holds the fraction, hits a request.
 func (n *Node) drawFault(bits *atomic.Uint64) bool {
-	share := loadFloat(bits)
-	return share > 0 && n.random() < share
+	fraction := loadFloat(bits)
+	return fraction > 0 && n.random() < fraction
 }
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -7,51 +7,54 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// OverloadSpec describes the slow state that overload brings a node into. The state is entered once in an incarnation at
-// most. The tags are the names of printed plans.
+// OverloadSpec describes how overload slows a node. A node is overloaded once its load, the mean number of requests that
+// run or wait on it, exceeds Cores + Threshold * sqrt(Cores). It then works slower, and recovers when it was mostly idle for
+// RecoverAfter, or after MaxDuration at the latest. Each incarnation of a node is overloaded once at most. The tags are the
+// names of the fields in printed plans.
 type OverloadSpec struct {
-	// Threshold is how many requests may run or wait on the node beyond its cores, in multiples of the root of the cores,
-	// on average over AveragedOver, until the node turns slow.
-	Threshold    float64       `json:"At"`
-	AveragedOver time.Duration `json:"Over"`
-	Slowdown     float64       `json:"Slower"` // factor by which the node is slower
-	RecoverAfter time.Duration `json:"Rest"`   // the state ends once the node was mostly idle for so long,
-	IdleBelow    float64       `json:"Below"`  // which is when less than this share of its cores was busy,
-	MaxDuration  time.Duration `json:"Most"`   // or after this time
+	Threshold    float64       `json:"At"`     // multiple of the square root of the cores by which the load must exceed the cores
+	AveragedOver time.Duration `json:"Over"`   // time constant of the load's exponential moving average
+	Slowdown     float64       `json:"Slower"` // factor by which an overloaded node is slower
+	RecoverAfter time.Duration `json:"Rest"`   // time that an overloaded node must be mostly idle to recover
+	IdleBelow    float64       `json:"Below"`  // fraction of the cores in use below which a node counts as mostly idle
+	MaxDuration  time.Duration `json:"Most"`   // time after which an overloaded node recovers in any case
 }
 
-// ColdOverloadTolerance is the share by which chance may exceed the work that a warming node bears.
+// ColdOverloadTolerance is the fraction by which the work sent to a warming node may exceed the limit at which it collapses,
+// since requests arrive at random.
 const ColdOverloadTolerance = 0.1
 
 const (
 	overloadCheckInterval = 100 * time.Millisecond
-	// maxThresholdFraction of the slots and the queue bounds the threshold, so that a small node can reach it.
+	// maxThresholdFraction bounds the overload threshold to this fraction of the requests that a node can hold, its slots and
+	// its queue. A small node could not reach the threshold otherwise.
 	maxThresholdFraction = 0.7
 )
 
-// coldWork is work that was sent to a node while it warmed up.
+// coldWork is the work of an attempt that a node received while it was warming up.
 type coldWork struct {
-	at   time.Duration
-	work float64 // seconds
+	at   time.Duration // arrival of the attempt, since the start of the recorder
+	work float64       // seconds on a core of speed 1
 }
 
-// warmCapacityFraction is the share of its capacity that a node has at a time since its start.
-func warmCapacityFraction(from float64, over, since time.Duration) float64 {
-	if over <= 0 || since >= over {
+// warmCapacityFraction returns the fraction of its full capacity that a node has at a time since its start. The fraction
+// rises linearly from initial to 1 during the warm-up.
+func warmCapacityFraction(initial float64, warmUp, since time.Duration) float64 {
+	if warmUp <= 0 || since >= warmUp {
 		return 1
 	}
-	return from + (1-from)*float64(since)/float64(over)
+	return initial + (1-initial)*float64(since)/float64(warmUp)
 }
 
-// recordColdWork counts work sent to a warming node, even where the node rejects it, and lets the node collapse where it
-// is too much.
+// recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node, which collapses if that is
+// too much. It counts attempts that the node rejects too. It does nothing for a node that is not warming up.
 func (n *Node) recordColdWork(inc *incarnation, work float64) {
 	now := n.recorder.Now()
 	if !inc.startedCold || n.ColdOverloadFactor <= 0 || now >= inc.startOffset+n.WarmUpDuration {
 		return
 	}
-	share := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
-	capacity := share * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
+	fraction := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
+	capacity := fraction * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
 	sent := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
 	if sent <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
 		return
@@ -66,25 +69,26 @@
 	}
 }
 
-// addColdWork adds work and returns the sum of what arrived within the window.
-func (r *incarnation) addColdWork(arrived coldWork, window time.Duration) (sum float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.recentColdWork = append(r.recentColdWork, arrived)
-	for len(r.recentColdWork) > 0 && r.recentColdWork[0].at <= arrived.at-window {
-		r.recentColdWork = r.recentColdWork[1:]
+// addColdWork adds the work of an attempt and returns the seconds of work that arrived within the window.
+func (inc *incarnation) addColdWork(added coldWork, window time.Duration) (sum float64) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	inc.recentColdWork = append(inc.recentColdWork, added)
+	for len(inc.recentColdWork) > 0 && inc.recentColdWork[0].at <= added.at-window {
+		inc.recentColdWork = inc.recentColdWork[1:]
 	}
-	for _, w := range r.recentColdWork {
+	for _, w := range inc.recentColdWork {
 		sum += w.work
 	}
 	return sum
 }
 
-// monitorOverload makes an incarnation slow when it is overloaded and ends that state, once.
+// monitorOverload sets isOverloaded of an incarnation when it becomes overloaded and clears it when it has recovered, once
+// at most. It returns when the incarnation ends.
 func (n *Node) monitorOverload(inc *incarnation) {
 	limit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
 	limit = min(limit, maxThresholdFraction*float64(n.Slots+n.QueueLimit))
-	mean, idleFor := 0.0, time.Duration(0)
+	load, idleFor := 0.0, time.Duration(0)
 	var overloadedAt time.Time
 	for hasRecovered := false; sleep(overloadCheckInterval, inc.done); {
 		switch {
@@ -99,8 +103,8 @@
 				hasRecovered = true
 			}
 		case !hasRecovered:
-			mean += (float64(inc.runnable.Load()) - mean) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
-			if mean > limit {
+			load += (float64(inc.runnable.Load()) - load) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
+			if load > limit {
 				overloadedAt = time.Now()
 				inc.isOverloaded.Store(true)
 				n.wasOverloaded.Store(true)
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -9,15 +9,16 @@
 
 // NextTier makes a node's calls to the tier behind it. It must be safe for concurrent use.
 type NextTier interface {
-	// Call makes one call for a request and reports whether it was served.
+	// Call makes one call on behalf of a request of the class, with the request's idempotency key, and reports whether the
+	// call was served.
 	Call(class int, key string, job *Job) bool
 }
 
-// duplicateWorkDivisor is by how much less work a duplicate is that a node drops: it is looked up only.
+// duplicateWorkDivisor divides the work of a duplicate, for which a node only looks up its key.
 const duplicateWorkDivisor = 20
 
-// recordAttemptReceived records that a request has arrived completely, unless the node has stopped: a request that a process had
-// not read when it died never arrived, and would stay in flight for good in the timeline.
+// recordAttemptReceived records e, an AttemptReceived event, and reports true. If the incarnation has stopped, it reports
+// false without recording: the attempt would remain in flight in the timeline, since NodeStopped was recorded already.
 func (n *Node) recordAttemptReceived(inc *incarnation, e invariant.Event) bool {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -28,24 +29,25 @@
 	return true
 }
 
-// handle receives one request and has it answered by a goroutine of its own, so that serveConnection can watch the
-// connection meanwhile. It reports whether the connection is used further.
+// handle records a request and starts a goroutine that responds to it, so that serveConnection can notice meanwhile if the
+// client closes the connection. It reports whether serveConnection is to go on reading.
 func (n *Node) handle(c *nodeConnection, received receivedRequest) bool {
 	request, ok := n.registry.lookup(received.id)
 	if !ok {
-		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, FirstByteAt: received.firstByteAt}) {
+		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID,
+			Request: received.id, FirstByteAt: received.firstByteAt}) {
 			writeResponse(c, http.StatusBadRequest, "", "")
 		}
 		return false
 	}
 	work := request.job.Work.Seconds()
-	if !n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID, Request: received.id, FirstByteAt: received.firstByteAt,
-		Work: work, Cell: n.Cell}) {
+	if !n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID,
+		Request: received.id, FirstByteAt: received.firstByteAt, Work: work, Cell: n.Cell}) {
 		return false
 	}
 	n.recordColdWork(c.incarnation, work)
 	if n.drawFault(&n.faults.hangFraction) {
-		return true // received, and never answered
+		return true // the hang fault: no response is ever written
 	}
 	n.mu.Lock()
 	isRejected := c.isExcess || n.isDraining
@@ -65,7 +67,8 @@
 	return true
 }
 
-// executeOrReject executes a request once it has a slot, or rejects it where the queue for slots is full.
+// executeOrReject waits for a slot and executes the request. It rejects the request if isRejected is set or the queue for
+// slots is full.
 func (n *Node) executeOrReject(c *nodeConnection, received receivedRequest, request registeredRequest, isRejected bool) {
 	c.incarnation.runnable.Add(1)
 	hasSlot := !isRejected && c.incarnation.slots.acquire(c.incarnation.done)
@@ -82,7 +85,8 @@
 	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 }
 
-// execute does a request's work and answers it. Only the node's death stops it; the departure of the client does not.
+// execute does a request's work and writes the response. It goes on if the client closes the connection, and ends early
+// only if the node stops.
 func (n *Node) execute(c *nodeConnection, received receivedRequest, request registeredRequest) {
 	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
 		n.cell.isDuplicate(request.key, time.Now())
@@ -105,7 +109,7 @@
 		isServed = false
 	}
 	isReset := n.drawFault(&n.faults.resetFraction)
-	// Recorded before the write and what follows from it.
+	// Recorded before the response, since the response causes further events.
 	n.recorder.Add(invariant.Event{Kind: invariant.AttemptCompleted, Node: n.ID, Request: received.id})
 	switch {
 	case isReset:
@@ -117,7 +121,7 @@
 	}
 }
 
-// callNextTier makes a request's calls in turn, up to the first that fails.
+// callNextTier makes a request's calls one after another until one fails, and reports whether all were served.
 func (n *Node) callNextTier(request registeredRequest, calls []*Job) bool {
 	if n.NextTier == nil {
 		return true
@@ -130,7 +134,7 @@
 	return true
 }
 
-// useCore waits for a core and works on it. It is false where the node stops first.
+// useCore waits for a core and occupies it for the time that the work takes. It reports false if the node stops first.
 func (n *Node) useCore(inc *incarnation, work time.Duration) bool {
 	inc.runnable.Add(1)
 	defer inc.runnable.Add(-1)
@@ -145,7 +149,7 @@
 	return sleep(time.Duration(float64(work)/n.coreSpeed(inc)), inc.done)
 }
 
-// coreSpeed is the present speed of a core.
+// coreSpeed returns the present speed of each core, reduced by warm-up, by the slowdown fault and by overload.
 func (n *Node) coreSpeed(inc *incarnation) float64 {
 	speed := n.Speed
 	if inc.startedCold {
--- a/internal/testkit/fake/recorder.go
+++ b/internal/testkit/fake/recorder.go
@@ -7,29 +7,30 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Recorder keeps the timeline of a day. It is safe for concurrent use.
+// Recorder records the events of a simulated day as a timeline. It is safe for concurrent use.
 type Recorder struct {
 	start     time.Time
-	maxEvents int
+	maxEvents int // number of events that are kept; further ones are dropped
 
 	mu      sync.Mutex
 	events  []invariant.Event
-	dropped int
+	dropped int // number of events that were not kept
 }
 
-// NewRecorder starts a timeline that holds at most maxEvents events; further ones are only counted.
+// NewRecorder returns a recorder of a timeline that begins at start. It keeps at most maxEvents events and only counts
+// further ones.
 func NewRecorder(start time.Time, maxEvents int) *Recorder {
 	return &Recorder{start: start, maxEvents: maxEvents}
 }
 
-// Now is the monotonic time since the start.
+// Now returns the time since the start of the timeline, by the monotonic clock.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// Add records an event, at this instant unless the event has one.
+// Add records an event. If e.At is 0, it is set to the present instant.
 func (r *Recorder) Add(e invariant.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.At == 0 { // under the lock, so that the order of events is that of their instants
+	if e.At == 0 { // read under the lock, so that events are in the order of their instants
 		e.At = r.Now()
 	}
 	if len(r.events) >= r.maxEvents {
@@ -39,14 +40,15 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns the timeline so far and the number of events beyond its bound. The slice must not be written to.
+// Events returns the events so far and the number of dropped events. The slice must not be written to.
 func (r *Recorder) Events() (events []invariant.Event, dropped int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events[:len(r.events):len(r.events)], r.dropped
 }
 
-// Take is Events at the end of a day: the slice belongs to the caller, and no further event is recorded.
+// Take ends the recording and returns the events and the number of dropped events. The slice belongs to the caller. Later
+// events are dropped.
 func (r *Recorder) Take() (events []invariant.Event, dropped int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testkit/fake/registry.go
+++ b/internal/testkit/fake/registry.go
@@ -7,22 +7,23 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Class is a class of requests as clients and nodes use it.
+// Class holds the properties of a class of requests that clients and nodes need.
 type Class struct {
 	Name     string
 	Effect   invariant.Effect
-	Window   time.Duration // for keyed ones: the nodes of a cell drop duplicates within it
-	Deadline time.Duration
+	Window   time.Duration // deduplication window of the nodes of a cell, for IdempotencyKeyed classes
+	Deadline time.Duration // time from the start of a request until its response is due
 }
 
-// Job is the work of one request, drawn ahead: at its own tier, and the calls that it makes to the next one, in turn.
+// Job is the work of one request, which is drawn before the simulation starts: its work on the node that receives it, and
+// its calls to the next tier, which are made one after another.
 type Job struct {
-	Work  time.Duration // on a core of speed 1
-	Wait  time.Duration // on others: holds a slot but no core
-	Calls []*Job
+	Work  time.Duration // work on the node, as time on a core of speed 1
+	Wait  time.Duration // time in which the request waits for other systems and occupies a slot but no core
+	Calls []*Job        // work of the calls to the next tier
 }
 
-// TotalWork is the work in the whole chain of calls.
+// TotalWork returns the work of the job and of all its direct and indirect calls, as time on a core of speed 1.
 func (j *Job) TotalWork() time.Duration {
 	sum := j.Work
 	for _, c := range j.Calls {
@@ -31,15 +32,16 @@
 	return sum
 }
 
-// registeredRequest is what nodes know of a request that a client has sent.
+// registeredRequest holds the properties of a sent request that nodes need to execute it.
 type registeredRequest struct {
-	job   *Job
-	class int
+	job   *Job   // work of the request
+	class int    // index of the request's class
 	key   string // idempotency key; empty: none
 }
 
-// Registry knows every request that clients have sent, by its ID. Requests stay to the end of the day, since a late attempt
-// must still be known; the schedule bounds how many there are. It is safe for concurrent use, and its zero value is empty.
+// Registry maps the ID of every request that clients have sent to its properties. It keeps requests until the end of the
+// simulation, since an attempt may reach a node long after its request ended; the schedule of requests bounds their number.
+// It is safe for concurrent use, and its zero value is empty.
 type Registry struct{ requests sync.Map }
 
 func (r *Registry) register(id string, request registeredRequest) { r.requests.Store(id, request) }
--- a/internal/testkit/fake/semaphore.go
+++ b/internal/testkit/fake/semaphore.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// semaphore grants slots in the order of the acquisitions, which wait in a bounded queue.
+// semaphore grants a number of slots to goroutines in the order in which they ask. The queue of waiting goroutines is
+// bounded.
 type semaphore struct {
 	mu         sync.Mutex
-	free       int
-	maxWaiting int
-	waiters    []chan struct{}
+	free       int             // number of free slots
+	maxWaiting int             // number of goroutines that may wait
+	waiters    []chan struct{} // one channel for each waiting goroutine, in order; closed to grant it a slot
 }
 
-// acquire waits for a slot. It is false at once where the queue is full, and when done closes first.
+// acquire waits for a slot and reports whether it got one. It returns false at once if the queue is full, and when done is
+// closed first.
 func (s *semaphore) acquire(done <-chan struct{}) bool {
 	s.mu.Lock()
 	if s.free > 0 {
@@ -31,12 +33,12 @@
 	select {
 	case <-granted:
 		return true
-	case <-done: // everything that waits here ends with done, so a slot granted meanwhile is not missed
+	case <-done: // all users of the semaphore end with done, so a slot granted meanwhile need not be released
 		return false
 	}
 }
 
-// release passes a slot to the first that waits, or frees it.
+// release passes a slot to the goroutine that has waited longest, or frees it if none waits.
 func (s *semaphore) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +50,7 @@
 	s.free++
 }
 
-// sleep waits for d, or is false when done closes first.
+// sleep waits for d. It reports false if done is closed first.
 func sleep(d time.Duration, done <-chan struct{}) bool {
 	if d <= 0 {
 		return true
@@ -63,6 +65,7 @@
 	}
 }
 
+// isClosed reports whether done is closed.
 func isClosed(done <-chan struct{}) bool {
 	select {
 	case <-done:
