--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -11,22 +11,22 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Member is an entry of the endpoint list as it goes to sidecars. Its tags are the platform's protocol.
+// Member is a node as the endpoint list that sidecars receive describes it. The tags are the platform's protocol.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
+	State     string  `json:"state"` // StateReady, StateDraining or StateGone
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"started_ms"` // since the Unix epoch; 0: not stated
+	StartedMs int64   `json:"started_ms"` // time of the node's start in milliseconds since the Unix epoch; 0: not stated
 }
 
-// MemberList is a message of discovery: all members, or those that have changed.
+// MemberList is a message from discovery. It holds all members, or only those that have changed.
 type MemberList struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
+	Version int64    `json:"version"` // increases with each change
+	Full    bool     `json:"full"`    // Servers holds all members; otherwise, those that have changed since an earlier version
 	Servers []Member `json:"servers"`
 }
 
@@ -37,42 +37,45 @@
 	StateGone     = "Gone"
 )
 
+// invariantStates maps the states of a Member to those of the invariant checker.
 var invariantStates = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining,
 	StateGone: invariant.Gone}
 
-// assumedNotifiedAfter is when a change that the agent has counts as notified, whether or not its sidecar has fetched it: a
-// sidecar that does not listen must not pass for one that cannot know.
+// assumedNotifiedAfter is the time after a change at which the timeline counts the sidecar as notified even if it has not
+// fetched the change. Otherwise a sidecar that does not poll its agent could not break the rule on draining nodes.
 const assumedNotifiedAfter = 6 * time.Second
 
-// maxChanges is how many changes an agent can replay to a watch that resumes; one further back gets the full list.
+// maxChanges is the number of changes that an agent keeps for watches that resume. A watch that resumes from an older
+// version gets the full list.
 const maxChanges = 256
 
-// Agent is the discovery agent on a sidecar's own machine. It answers at once from the changes that it has, and sends
-// nothing while discovery is down. It is safe for concurrent use; its HTTP server's goroutines end with Close.
+// Agent is a fake of the discovery agent that runs on the machine of a sidecar. It responds at once from the changes that it
+// has, and sends nothing while discovery is down. It is safe for concurrent use. Close ends its goroutines.
 type Agent struct {
-	Sidecar  string
-	Addr     string
+	Sidecar  string // name of the sidecar that the agent serves
+	Addr     string // address that the agent listens on
 	recorder *Recorder
 	server   *http.Server
 
 	mu              sync.Mutex
-	version         int64
-	members         map[string]Member
-	memberOrder     []string // of the members in a list
-	changes         []memberChange
-	notifiedList    MemberList    // as the sidecar has it
-	notifiedVersion int64         // the latest version written to the sidecar
-	changed         chan struct{} // closed at each change, and when discovery goes down or comes back
+	version         int64             // version of the latest change
+	members         map[string]Member // members that are not gone, by ID
+	memberOrder     []string          // IDs of the members in the order of a full list
+	changes         []memberChange    // the latest changes, at most maxChanges, by ascending version
+	notifiedList    MemberList        // full list at the time of the latest message to the sidecar
+	notifiedVersion int64             // highest version written to the sidecar
+	changed         chan struct{}     // closed and replaced at each change, and when discovery goes down or comes back
 	isDiscoveryDown bool
-	pendingChanges  []Member // changes that came while discovery was down
+	pendingChanges  []Member // changes that came while discovery was down, in order
 }
 
+// memberChange is one change of a member.
 type memberChange struct {
-	version int64
-	member  Member
+	version int64  // version of the list that the change led to
+	member  Member // the member after the change
 }
 
-// NewAgent starts an agent with a list of members.
+// NewAgent starts an agent of a sidecar. The list holds its members at version 1.
 func NewAgent(sidecar string, list []Member, recorder *Recorder) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,12 +88,13 @@
 	}
 	a.notifiedList = a.fullList()
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headTimeout}
-	// Serve ends by Close. If it ended before, the sidecar would get no response and show that.
+	// The error is ignored: Serve returns when Close is called. If it failed earlier, the sidecar would get no responses,
+	// which tests would notice.
 	go func() { _ = a.server.Serve(listener) }()
 	return a, nil
 }
 
-// Close ends the agent and all watches.
+// Close stops the agent and ends all watches.
 func (a *Agent) Close() error {
 	err := a.server.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -99,7 +103,7 @@
 	return err
 }
 
-// Update brings a change to the agent; while discovery is down it is pending.
+// Update changes a member. While discovery is down, the change remains pending.
 func (a *Agent) Update(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +114,7 @@
 	a.applyChange(m)
 }
 
-// SetDiscoveryDown makes discovery go down, or come back with all that has changed meanwhile.
+// SetDiscoveryDown makes discovery fail or recover. On recovery the pending changes are applied.
 func (a *Agent) SetDiscoveryDown(isDown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,14 +128,14 @@
 	a.wakeWatches()
 }
 
-// NotifiedList is the list that the sidecar was last notified of.
+// NotifiedList returns the full list as it was at the latest message to the sidecar.
 func (a *Agent) NotifiedList() MemberList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.notifiedList
 }
 
-// applyChange makes a change the next version. a.mu is held.
+// applyChange applies a change as the next version and wakes the watches. a.mu must be held.
 func (a *Agent) applyChange(m Member) {
 	a.version++
 	a.setMember(m)
@@ -150,7 +154,8 @@
 	a.wakeWatches()
 }
 
-// setMember sets a member, or removes it if it is gone. a.mu is held, or the agent is not in use yet.
+// setMember adds or replaces a member, or removes it if its state is StateGone. a.mu must be held unless the agent is not in
+// use yet.
 func (a *Agent) setMember(m Member) {
 	if _, ok := a.members[m.ID]; !ok {
 		a.memberOrder = append(a.memberOrder, m.ID)
@@ -165,13 +170,13 @@
 	a.members[m.ID] = m
 }
 
-// wakeWatches makes all watches look for changes. a.mu is held.
+// wakeWatches makes all watches check for changes. a.mu must be held.
 func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// fullList is the list of all members. a.mu is held.
+// fullList returns the list of all members. a.mu must be held.
 func (a *Agent) fullList() MemberList {
 	list := MemberList{Version: a.version, Full: true, Servers: []Member{}}
 	for _, id := range a.memberOrder {
@@ -180,9 +185,10 @@
 	return list
 }
 
-// changesSince is what has changed after a version, or the full list where the agent cannot tell. a.mu is held.
+// changesSince returns the changes after a version. It returns the full list if the agent does not keep all of these changes
+// any more, or if the version is unknown. a.mu must be held.
 func (a *Agent) changesSince(version int64) MemberList {
-	oldest := a.version + 1 // of the changes that the agent has
+	oldest := a.version + 1 // version of the oldest change that the agent keeps
 	if len(a.changes) > 0 {
 		oldest = a.changes[0].version
 	}
@@ -198,11 +204,11 @@
 	return list
 }
 
-// NotificationEvent is the event that a sidecar has been notified of a member, without an instant.
+// NotificationEvent returns the event that a sidecar is notified of a member's state. Its instant is not set.
 func NotificationEvent(sidecar string, m Member, recorder *Recorder) invariant.Event {
 	e := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: sidecar, Node: m.ID, State: invariantStates[m.State]}
 	if m.StartedMs > 0 {
-		e.StartedAt = time.UnixMilli(m.StartedMs).Sub(recorder.start.Round(0)) // both by the wall clock
+		e.StartedAt = time.UnixMilli(m.StartedMs).Sub(recorder.start.Round(0)) // Round(0) makes Sub compare wall clocks
 	}
 	return e
 }
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// heartbeatInterval is how often an empty line comes on a watch.
+// heartbeatInterval is the time after which a watch without changes gets an empty line.
 const heartbeatInterval = 2 * time.Second
 
-// ServeHTTP implements http.Handler: the full list, or with the parameter watch a stream of the changes after a version.
+// ServeHTTP implements http.Handler. It responds with the full list. If the query has the parameter watch, it responds with
+// a stream of the changes after the version in the parameter after.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
@@ -30,8 +31,8 @@
 	a.serveWatch(w, r, after)
 }
 
-// serveWatch writes the changes after a version as they come, and a heartbeat in between, until the client leaves. The
-// first message comes at once, even if nothing has changed.
+// serveWatch writes the changes after a version as they come, and heartbeats in between, until the client closes the
+// connection. It writes the first message at once, even if nothing has changed.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, after int64) {
 	for isFirst := true; ; isFirst = false {
 		list, ok := a.awaitList(r, func() (MemberList, bool) {
@@ -50,13 +51,13 @@
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
-			_ = http.NewResponseController(w).Flush() // the next write shows an error
+			_ = http.NewResponseController(w).Flush() // the error is ignored: the next write fails as well
 		}
 	}
 }
 
-// awaitList waits until discovery is up and poll, which is called with a.mu held, has a list. It is false after the
-// heartbeat interval, and when the request has ended.
+// awaitList waits until discovery is up and poll returns a list, and returns that list. It reports false when the heartbeat
+// is due, and when the request has ended. poll is called with a.mu held.
 func (a *Agent) awaitList(r *http.Request, poll func() (MemberList, bool)) (MemberList, bool) {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -72,7 +73,7 @@
 		a.mu.Unlock()
 		tick := heartbeat.C
 		if isDown {
-			tick = nil // nothing is sent
+			tick = nil // no heartbeat is sent while discovery is down
 		}
 		select {
 		case <-r.Context().Done():
@@ -84,13 +85,14 @@
 	}
 }
 
-// writeList writes a message, and records what the sidecar was notified of by it. It is false where the write failed.
+// writeList writes a list and records which states of members it notified the sidecar of. It reports whether the write
+// succeeded.
 func (a *Agent) writeList(w http.ResponseWriter, list MemberList) bool {
-	text, err := json.Marshal(list)
+	encoded, err := json.Marshal(list)
 	if err != nil {
 		return false
 	}
-	if _, err := w.Write(append(text, '\n')); err != nil {
+	if _, err := w.Write(append(encoded, '\n')); err != nil {
 		return false
 	}
 	if err := http.NewResponseController(w).Flush(); err != nil {
@@ -105,8 +107,8 @@
 	return true
 }
 
-// recordWritten keeps what the sidecar has now, and returns the members that are gone by a full list without them. a.mu is
-// held.
+// recordWritten updates what the sidecar was notified of after a list was written. If the list is full, it returns the
+// members of the sidecar's previous list that are not in it, in StateGone. a.mu must be held.
 func (a *Agent) recordWritten(list MemberList) (gone []Member) {
 	previous := a.notifiedList
 	a.notifiedVersion = max(a.notifiedVersion, list.Version)
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -16,68 +16,70 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Request is one request of a client.
+// Request is one request that a client sends.
 type Request struct {
-	ID             string // new for each request, retries included
-	Class          int
-	Tenant         string
-	IdempotencyKey string // idempotency key; empty: none
-	IsRetry        bool
-	CostHint       time.Duration // the client's guess at the work; 0: none
-	Job            *Job
-	Timeout        time.Duration // the client's deadline from the start
-	LeaveAfter     time.Duration // the client closes the connection after this time; 0: it waits for the deadline
-	Connect        func() (Target, bool)
+	ID             string                // unique for each request, retries included
+	Class          int                   // index of the request's class in the classes given to NewClient
+	Tenant         string                // value of the header Req-Owner; empty: none
+	IdempotencyKey string                // idempotency key, which is sent if the class is IdempotencyKeyed; empty: none
+	IsRetry        bool                  // the request repeats one that failed; sent as the header Req-Retry
+	CostHint       time.Duration         // the client's estimate of the work, sent as the header Req-Cost; 0: none
+	Job            *Job                  // work that the nodes do for the request
+	Timeout        time.Duration         // time from the call of Do until the deadline
+	LeaveAfter     time.Duration         // time after which the client closes the connection; 0: it waits for the deadline
+	Connect        func() (Target, bool) // chooses the sidecar for a new connection; reports false if there is none
 }
 
-// Outcome is what became of a request.
+// Outcome describes how a request ended for its client.
 type Outcome struct {
-	Status     int           // 0: no response
+	Status     int           // HTTP status; 0: no complete response
 	IsAccepted bool          // the request was written to a sidecar completely
-	RetryAfter time.Duration // as the response advises; 0: not at all
+	RetryAfter time.Duration // value of the response's header Retry-After; 0: none
 	HasDialed  bool          // a connection was opened for the request
-	HasLeft    bool          // the client left on purpose
+	HasLeft    bool          // the client closed the connection after LeaveAfter
 }
 
-// Client sends requests over connections that it keeps, and records what it observes. It is safe for concurrent use and
-// has no goroutine of its own.
+// Client sends requests over connections that it reuses, and records what it observes. It is safe for concurrent use and
+// starts no goroutine.
 type Client struct {
 	classes            []Class
 	registry           *Registry
 	recorder           *Recorder
-	tolerance          time.Duration        // after the deadline, within which a response is not late
-	maxIdle            int                  // idle connections kept
-	connectionLifetime func() time.Duration // of a new connection; nil: unlimited
+	tolerance          time.Duration        // time after the deadline within which a response does not count as late
+	maxIdle            int                  // number of idle connections that are kept for reuse
+	connectionLifetime func() time.Duration // draws how long a new connection is used; nil: unlimited
 
 	mu   sync.Mutex
-	idle []*clientConn // the one used last is at the end
+	idle []*clientConn // idle connections in the order of their last use, the latest at the end
 }
 
 // clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	sidecar     string
-	usableUntil time.Time // zero: unlimited
+	sidecar     string    // name of the sidecar at the other end
+	usableUntil time.Time // time after which the connection is not reused; zero: unlimited
 }
 
 const (
-	dialTimeout    = 500 * time.Millisecond // the front layer notices a dead sidecar after seconds, a client should sooner
-	extraBytesWait = time.Millisecond       // for bytes after a response
-	// lateAllowance is how much later than the rules allow a client gives up, so that a late response is seen as such.
+	dialTimeout    = 500 * time.Millisecond // short, since the front layer removes a dead sidecar only after seconds
+	extraBytesWait = time.Millisecond       // how long a client waits for surplus bytes after a response
+	// lateAllowance is the time after the deadline and its tolerance at which a client stops waiting for a response. A
+	// response within it is recorded, and the invariant checker reports it as late rather than as missing.
 	lateAllowance = 100 * time.Millisecond
 )
 
-// errNoSidecar is the error of a dial while the front layer has no sidecar.
-var errNoSidecar = errors.New("no sidecar is in the front layer")
+// errNoSidecar is returned by dial if Request.Connect finds no sidecar.
+var errNoSidecar = errors.New("the front layer has no sidecar")
 
-// NewClient makes a client that keeps at most maxIdle idle connections. tolerance is that of the rules on a deadline.
+// NewClient returns a client that keeps at most maxIdle idle connections. A response does not count as late within the
+// tolerance after its deadline.
 func NewClient(classes []Class, registry *Registry, recorder *Recorder, tolerance time.Duration, maxIdle int) *Client {
 	return &Client{classes: classes, registry: registry, recorder: recorder, tolerance: tolerance, maxIdle: maxIdle}
 }
 
-// SetConnectionLifetime makes each new connection be used for a time that the function draws. It must be called before the
-// first request; the function may be called from many goroutines.
+// SetConnectionLifetime limits how long each new connection is used to a time that draw returns. It must be called before
+// the first request. draw must be safe for concurrent use.
 func (c *Client) SetConnectionLifetime(draw func() time.Duration) { c.connectionLifetime = draw }
 
 // Close closes the idle connections.
@@ -90,7 +92,8 @@
 	c.idle = nil
 }
 
-// takeIdle returns the idle connection used last, or nil.
+// takeIdle removes and returns the idle connection that was used last; nil: there is none. It closes connections that have
+// exceeded their lifetime.
 func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,6 +108,7 @@
 	return nil
 }
 
+// putIdle keeps a connection for reuse, or closes it if there are enough idle ones.
 func (c *Client) putIdle(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,6 +119,7 @@
 	c.idle = append(c.idle, conn)
 }
 
+// dial opens a connection to the sidecar that the request's Connect chooses.
 func (c *Client) dial(r Request) (*clientConn, error) {
 	target, ok := r.Connect()
 	if !ok {
@@ -131,8 +136,8 @@
 	return opened, nil
 }
 
-// Do sends one request. It returns when the response has come, the deadline has passed or the connection has ended. A
-// request whose kept connection ended before anything came is sent once more on a new one.
+// Do sends one request. It returns when the response has come, the wait for it has timed out or the connection has ended. If
+// a reused connection ends before any byte of the response, the request is sent once more on a new connection.
 func (c *Client) Do(r Request) Outcome {
 	deadline := c.recorder.Now() + r.Timeout
 	c.registry.register(r.ID, registeredRequest{job: r.Job, class: r.Class, key: r.IdempotencyKey})
@@ -140,7 +145,7 @@
 	for isFirst := true; ; isFirst = false {
 		conn := c.takeIdle()
 		if conn != nil && !isFirst {
-			conn.Close() // the second time on a new connection
+			conn.Close() // the request is sent the second time on a new connection only
 			continue
 		}
 		if conn == nil {
@@ -157,11 +162,11 @@
 	}
 }
 
-// exchange sends a request on a connection and reads the response. It is false where a kept connection ended before
-// anything came: a sidecar may close one between requests, and the request may be sent again.
+// exchange sends a request on a connection and reads the response. It reports false if a reused connection ended before any
+// byte of the response: a sidecar may close a connection between requests, so the request may be sent again.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
-		Deadline: deadline}) // before the write and what follows from it
+		Deadline: deadline}) // recorded before the write, which causes further events
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
@@ -170,15 +175,15 @@
 		return isNew
 	}
 	out.IsAccepted = true
-	limit, leaves := deadline+c.tolerance+lateAllowance, false
-	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < limit {
-		limit, leaves = deadline-r.Timeout+r.LeaveAfter, true
+	giveUpAt, leavesEarly := deadline+c.tolerance+lateAllowance, false
+	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < giveUpAt {
+		giveUpAt, leavesEarly = deadline-r.Timeout+r.LeaveAfter, true
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(limit - c.recorder.Now()))
+	_ = conn.SetReadDeadline(time.Now().Add(giveUpAt - c.recorder.Now()))
 	if _, err := conn.reader.Peek(1); err != nil {
 		conn.Close()
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded) && leaves:
+		case errors.Is(err, os.ErrDeadlineExceeded) && leavesEarly:
 			out.HasLeft = true
 			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -194,7 +199,7 @@
 	return true
 }
 
-// readResponse reads a response of which the first byte has come.
+// readResponse reads a response whose first byte has come, and keeps the connection if it can be reused.
 func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, out *Outcome) {
 	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
 	resp, err := http.ReadResponse(conn.reader, nil)
@@ -227,7 +232,7 @@
 	conn.Close()
 }
 
-// encodeRequest is the request as it is written.
+// encodeRequest returns the request as HTTP/1.1 text.
 func (c *Client) encodeRequest(r Request, deadline time.Duration) string {
 	class := c.classes[r.Class]
 	method := http.MethodGet
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -14,58 +14,58 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNSFault is a fault that is injected into a fake name server.
+// DNSFault is a fault that is injected into a fake DNS server.
 type DNSFault int
 
-// The faults.
+// The faults of a DNS server.
 const (
-	DNSHealthy     DNSFault = iota // none
-	DNSSilent                      // no response
-	DNSServfail                    // SERVFAIL
-	DNSGarbage                     // bytes that are no message
-	DNSHalfMessage                 // half a message
-	DNSTruncated                   // truncated over UDP, and nothing over TCP
-	DNSEmpty                       // no error and no records
+	DNSHealthy     DNSFault = iota // no fault
+	DNSSilent                      // queries get no response
+	DNSServfail                    // responses have the code SERVFAIL and no records
+	DNSGarbage                     // responses have the query's ID followed by bytes that are not a DNS message
+	DNSHalfMessage                 // responses end after half of their bytes
+	DNSTruncated                   // responses over UDP are marked as truncated, and queries over TCP get no response
+	DNSEmpty                       // responses have no error code and no records
 )
 
-// DNSRecord is one record of a name: an address, an alias or a service, whichever is set.
+// DNSRecord is one record of a name. One of Address, Alias and Service is set.
 type DNSRecord struct {
-	Address  netip.Addr
-	Alias    string // CNAME
-	Service  string // SRV
-	Port     uint16 // of the service
-	Priority uint16 // of the service
-	TTL      uint32 // seconds
+	Address  netip.Addr // IP address, for an A or AAAA record
+	Alias    string     // target name of a CNAME record
+	Service  string     // target name of an SRV record
+	Port     uint16     // port of an SRV record
+	Priority uint16     // priority of an SRV record
+	TTL      uint32     // time to live in seconds
 }
 
-// DNS is a name server on loopback over UDP and TCP (RFC 1035), which knows the records that Set gave it. Like a recursive
-// server it follows chains of aliases in its responses, up to a bound: of a loop it returns as much. It is safe for
-// concurrent use. It has a goroutine for each protocol, connection and query in flight; Close ends them.
+// DNS is a DNS server on loopback over UDP and TCP (RFC 1035) that serves the records given to Set. Like a recursive server
+// it follows chains of aliases, up to dnsMaxAliases names, which also ends a loop of aliases. It is safe for concurrent use.
+// It has a goroutine for each protocol, TCP connection and UDP query in flight; Close ends them.
 type DNS struct {
-	Addr       string
-	Queries    atomic.Int64 // queries received
-	TCPQueries atomic.Int64 // queries received over TCP
+	Addr       string       // address of the server for UDP and TCP
+	Queries    atomic.Int64 // number of queries received over UDP and TCP
+	TCPQueries atomic.Int64 // number of queries received over TCP
 
 	udp net.PacketConn
 	tcp net.Listener
 
 	mu    sync.Mutex
-	names map[string][]DNSRecord
+	names map[string][]DNSRecord // records by canonicalName
 	fault DNSFault
-	delay time.Duration
+	delay time.Duration // wait before each response
 
 	handlers sync.WaitGroup
-	stopped  chan struct{}
+	stopped  chan struct{} // closed by Close
 }
 
 const (
-	dnsMinPayload        = 512 // bytes of a response over UDP to a query that states no payload size
-	dnsMaxAliases        = 8   // followed for one response
-	dnsPortAttempts      = 20  // to find a port that is free for UDP and TCP
+	dnsMinPayload        = 512 // bytes of the longest UDP response to a query that states no payload size
+	dnsMaxAliases        = 8   // number of names in a chain of aliases that are looked up for one response
+	dnsPortAttempts      = 20  // attempts to find a port that is free for both UDP and TCP
 	dnsConnectionTimeout = 10 * time.Second
 )
 
-// NewDNS starts a name server. Close ends it.
+// NewDNS starts a DNS server, which Close ends.
 func NewDNS() (*DNS, error) {
 	var err error
 	d := &DNS{names: map[string][]DNSRecord{}, stopped: make(chan struct{})}
@@ -87,15 +87,15 @@
 	return d, nil
 }
 
-// Close ends the server and the queries in flight. It must be called once.
+// Close ends the server and the queries in flight. It must not be called twice.
 func (d *DNS) Close() {
 	close(d.stopped)
-	_ = d.udp.Close() // nothing follows from the error: the socket is not used any more
+	_ = d.udp.Close() // the error does not matter: the socket is not used any more
 	d.tcp.Close()
 	d.handlers.Wait()
 }
 
-// Set sets the records of a name; without records the name does not exist.
+// Set replaces the records of a name. Without records the name does not exist any more.
 func (d *DNS) Set(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,16 +105,17 @@
 	}
 }
 
-// SetFault injects a fault from now on, and delays each response.
+// SetFault injects a fault into all further responses and delays each of them. DNSHealthy ends the fault.
 func (d *DNS) SetFault(fault DNSFault, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault, d.delay = fault, delay
 }
 
-// canonicalName is a name in lower case with its final dot.
+// canonicalName returns a name in lower case and with a final dot.
 func canonicalName(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) + "." }
 
+// serveUDP responds to UDP queries until Close.
 func (d *DNS) serveUDP() {
 	b := make([]byte, 4096)
 	for {
@@ -125,13 +126,14 @@
 		query := append([]byte(nil), b[:n]...)
 		d.Queries.Add(1)
 		d.handlers.Go(func() {
-			if text := d.respond(query, false); text != nil {
-				_, _ = d.udp.WriteTo(text, from) // a datagram may be lost as well
+			if message := d.respond(query, false); message != nil {
+				_, _ = d.udp.WriteTo(message, from) // the error is ignored: a datagram may be lost in any case
 			}
 		})
 	}
 }
 
+// serveTCP accepts TCP connections until Close.
 func (d *DNS) serveTCP() {
 	for {
 		nc, err := d.tcp.Accept()
@@ -142,7 +144,8 @@
 	}
 }
 
-// serveConnection answers the queries of a connection, where each message follows its length (RFC 1035, 4.2.2).
+// serveConnection responds to the queries of a TCP connection, on which each message is preceded by its length (RFC 1035,
+// 4.2.2).
 func (d *DNS) serveConnection(nc net.Conn) {
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(dnsConnectionTimeout))
@@ -166,17 +169,17 @@
 		}
 		d.Queries.Add(1)
 		d.TCPQueries.Add(1)
-		text := d.respond(query, true)
-		if text == nil {
+		message := d.respond(query, true)
+		if message == nil {
 			return
 		}
-		if _, err := nc.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(text))), text...)); err != nil {
+		if _, err := nc.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(message))), message...)); err != nil {
 			return
 		}
 	}
 }
 
-// respond returns the response to a query; nil: there is none.
+// respond returns the response to a query after the delay; nil: the query gets no response.
 func (d *DNS) respond(query []byte, isTCP bool) []byte {
 	d.mu.Lock()
 	fault, delay := d.fault, d.delay
@@ -222,15 +225,15 @@
 	if !isTCP {
 		limit = payloadLimit(&parser)
 	}
-	text := packResponse(&response, limit)
+	message := packResponse(&response, limit)
 	if fault == DNSHalfMessage {
-		text = text[:len(text)/2]
+		message = message[:len(message)/2]
 	}
-	return text
+	return message
 }
 
-// payloadLimit is the size of a response over UDP that the sender of a query accepts (RFC 6891, 6.2.3). The parser is
-// behind the first question.
+// payloadLimit returns the size in bytes of the longest UDP response that the sender of a query accepts (RFC 6891, 6.2.3).
+// The parser must have parsed the first question of the query.
 func payloadLimit(p *dnsmessage.Parser) int {
 	if p.SkipAllQuestions() == nil && p.SkipAllAnswers() == nil && p.SkipAllAuthorities() == nil {
 		if header, err := p.AdditionalHeader(); err == nil && header.Type == dnsmessage.TypeOPT {
@@ -240,28 +243,29 @@
 	return dnsMinPayload
 }
 
-// packResponse encodes a response, truncated without its answers where it is longer than the limit; nil: it cannot.
+// packResponse encodes a response. If it is longer than limit bytes, it is sent without answers and marked as truncated. nil:
+// the response cannot be encoded.
 func packResponse(response *dnsmessage.Message, limit int) []byte {
-	text, err := response.Pack()
+	message, err := response.Pack()
 	if err != nil {
 		return nil
 	}
-	if len(text) > limit {
+	if len(message) > limit {
 		response.Answers, response.Truncated = nil, true
-		if text, err = response.Pack(); err != nil {
+		if message, err = response.Pack(); err != nil {
 			return nil
 		}
 	}
-	return text
+	return message
 }
 
-// answer are the resources that answer a question, along the chain of aliases.
+// answer returns the resources that answer a question, including each alias on the way, and the response code.
 func (d *DNS) answer(q dnsmessage.Question) (out []dnsmessage.Resource, code dnsmessage.RCode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := q.Name
+	name := q.Name
 	for range dnsMaxAliases {
-		records, ok := d.names[canonicalName(at.String())]
+		records, ok := d.names[canonicalName(name.String())]
 		if !ok {
 			return out, dnsmessage.RCodeNameError
 		}
@@ -272,7 +276,7 @@
 				continue
 			}
 			out = append(out, dnsmessage.Resource{
-				Header: dnsmessage.ResourceHeader{Name: at, Class: dnsmessage.ClassINET, TTL: r.TTL},
+				Header: dnsmessage.ResourceHeader{Name: name, Class: dnsmessage.ClassINET, TTL: r.TTL},
 				Body:   resource,
 			})
 			if cname, ok := resource.(*dnsmessage.CNAMEResource); ok {
@@ -282,12 +286,12 @@
 		if alias.Length == 0 {
 			break
 		}
-		at = alias
+		name = alias
 	}
 	return out, dnsmessage.RCodeSuccess
 }
 
-// resource is the record's data if it answers a question of the type; nil: it does not.
+// resource returns the record's data for a question of type t; nil: the record does not answer it.
 func (r *DNSRecord) resource(t dnsmessage.Type) dnsmessage.ResourceBody {
 	switch {
 	case r.Alias != "":
--- a/internal/testkit/fake/frontlayer.go
+++ b/internal/testkit/fake/frontlayer.go
@@ -11,9 +11,9 @@
 // FrontLayer is the load balancer between clients and sidecars. It distributes the clients' connections round-robin over the
 // sidecars that were added. It is safe for concurrent use, and its zero value has no sidecar.
 type FrontLayer struct {
-	mu      sync.Mutex
-	targets []Target
-	next    int // number of connections so far, modulo len(targets) the index of the latest target
+	mu              sync.Mutex
+	targets         []Target
+	connectionCount int // number of calls of Connect that returned a target; it selects the next target
 }
 
 // Add adds a sidecar. If the sidecar is there already, Add changes its address.
@@ -43,6 +43,6 @@
 	if len(f.targets) == 0 {
 		return Target{}, false
 	}
-	f.next++
-	return f.targets[f.next%len(f.targets)], true
+	f.connectionCount++
+	return f.targets[f.connectionCount%len(f.targets)], true
 }
