--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -13,22 +13,23 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// newTestAgent is an agent with one member.
+// newTestAgent starts an agent of the sidecar s1 with one member, a.
 func newTestAgent(t *testing.T) (*Agent, *Recorder) {
 	t.Helper()
-	rec := NewRecorder(time.Now(), 1000)
-	a, err := NewAgent("s1", []Member{{ID: "a", Addr: "127.0.0.1:1", State: StateReady, Weight: 1}}, rec)
+	recorder := NewRecorder(time.Now(), 1000)
+	agent, err := NewAgent("s1", []Member{{ID: "a", Addr: "127.0.0.1:1", State: StateReady, Weight: 1}}, recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Close() })
-	return a, rec
+	t.Cleanup(func() { agent.Close() })
+	return agent, recorder
 }
 
-func get(t *testing.T, a *Agent, query string) *bufio.Reader {
+// get requests the list of members with a query, such as "?watch=1&after=1", and returns the response's body.
+func get(t *testing.T, agent *Agent, query string) *bufio.Reader {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + a.Addr + "/catalog/members" + query)
+	resp, err := client.Get("http://" + agent.Addr + "/catalog/members" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,49 +37,50 @@
 	return bufio.NewReader(resp.Body)
 }
 
-func message(t *testing.T, in *bufio.Reader) (l MemberList) {
+// readList reads the next list from the body of a response and skips heartbeats.
+func readList(t *testing.T, in *bufio.Reader) (list MemberList) {
 	t.Helper()
 	for {
-		text, err := in.ReadString('\n')
+		line, err := in.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.TrimSpace(text) == "" {
+		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		if err := json.Unmarshal([]byte(text), &l); err != nil {
+		if err := json.Unmarshal([]byte(line), &list); err != nil {
 			t.Fatal(err)
 		}
-		return l
+		return list
 	}
 }
 
 func TestAgentSendsChangesToWatch(t *testing.T) {
-	a, rec := newTestAgent(t)
-	if l := message(t, get(t, a, "")); !l.Full || l.Version != 1 || len(l.Servers) != 1 || l.Servers[0].ID != "a" {
-		t.Errorf("full list: %+v", l)
+	agent, recorder := newTestAgent(t)
+	if list := readList(t, get(t, agent, "")); !list.Full || list.Version != 1 || len(list.Servers) != 1 || list.Servers[0].ID != "a" {
+		t.Errorf("full list is %+v, want version 1 with member a only", list)
 	}
-	watch := get(t, a, "?watch=1&after=1")
-	if l := message(t, watch); l.Full || len(l.Servers) != 0 {
-		t.Errorf("watch without changes: %+v", l)
+	watch := get(t, agent, "?watch=1&after=1")
+	if list := readList(t, watch); list.Full || len(list.Servers) != 0 {
+		t.Errorf("watch without changes got %+v, want an empty list of changes", list)
 	}
-	a.Update(Member{ID: "b", Addr: "127.0.0.1:2", State: StateReady})
-	if l := message(t, watch); l.Full || l.Version != 2 || len(l.Servers) != 1 || l.Servers[0].ID != "b" {
-		t.Errorf("member added: %+v", l)
+	agent.Update(Member{ID: "b", Addr: "127.0.0.1:2", State: StateReady})
+	if list := readList(t, watch); list.Full || list.Version != 2 || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+		t.Errorf("watch got %+v after b was added, want version 2 with the change of b", list)
 	}
-	a.Update(Member{ID: "a", State: StateGone})
-	message(t, watch)
-	if l := message(t, get(t, a, "?watch=1&after=0")); !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "b" {
-		t.Errorf("watch from a version before the changes: %+v", l)
+	agent.Update(Member{ID: "a", State: StateGone})
+	readList(t, watch)
+	if list := readList(t, get(t, agent, "?watch=1&after=0")); !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+		t.Errorf("watch from a version before the kept changes got %+v, want the full list with b only", list)
 	}
-	if l := message(t, get(t, a, "?watch=1&after=2")); l.Full || len(l.Servers) != 1 || l.Servers[0].State != StateGone {
-		t.Errorf("resumed watch: %+v", l)
+	if list := readList(t, get(t, agent, "?watch=1&after=2")); list.Full || len(list.Servers) != 1 || list.Servers[0].State != StateGone {
+		t.Errorf("watch resumed at version 2 got %+v, want the change of a to Gone", list)
 	}
-	if l := a.NotifiedList(); len(l.Servers) != 1 || l.Servers[0].ID != "b" {
-		t.Errorf("notified list: %+v", l)
+	if list := agent.NotifiedList(); len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+		t.Errorf("notified list is %+v, want b only", list)
 	}
-	testpeer.Until(t, "notified that a is gone", func() bool {
-		events, _ := rec.Events()
+	testpeer.Until(t, "a notification that a is gone", func() bool {
+		events, _ := recorder.Events()
 		for _, e := range events {
 			if e.Kind == invariant.NodeStateNotified && e.Node == "a" && e.State == invariant.Gone && e.Sidecar == "s1" {
 				return true
@@ -89,45 +91,45 @@
 }
 
 func TestAgentSendsNothingWhileDiscoveryIsDown(t *testing.T) {
-	a, rec := newTestAgent(t)
-	watch := get(t, a, "?watch=1&after=1")
-	message(t, watch)
-	a.SetDiscoveryDown(true)
-	a.Update(Member{ID: "a", State: StateDraining})
-	came := make(chan MemberList, 1)
-	go func() { came <- message(t, watch) }()
+	agent, recorder := newTestAgent(t)
+	watch := get(t, agent, "?watch=1&after=1")
+	readList(t, watch)
+	agent.SetDiscoveryDown(true)
+	agent.Update(Member{ID: "a", State: StateDraining})
+	received := make(chan MemberList, 1)
+	go func() { received <- readList(t, watch) }()
 	select {
-	case l := <-came:
-		t.Fatalf("message while down: %+v", l)
+	case list := <-received:
+		t.Fatalf("watch got %+v while discovery was down", list)
 	case <-time.After(50 * time.Millisecond):
 	}
-	events, _ := rec.Events()
+	events, _ := recorder.Events()
 	for _, e := range events {
 		if e.Kind == invariant.NodeStateNotified && e.State == invariant.Draining {
-			t.Error("notification recorded while down")
+			t.Error("a notification was recorded while discovery was down")
 		}
 	}
-	a.SetDiscoveryDown(false)
-	if l := <-came; len(l.Servers) != 1 || l.Servers[0].State != StateDraining {
-		t.Errorf("after discovery came back: %+v", l)
+	agent.SetDiscoveryDown(false)
+	if list := <-received; len(list.Servers) != 1 || list.Servers[0].State != StateDraining {
+		t.Errorf("watch got %+v after discovery came back, want the change of a to Terminating", list)
 	}
 }
 
-// A sidecar that does not listen must not pass for one that cannot know.
-func TestUnfetchedChangeCountsAsNotifiedAfterTheLimit(t *testing.T) {
+// A sidecar that does not poll its agent must count as notified, or it could not break the rule on draining nodes.
+func TestUnfetchedChangeCountsAsNotifiedAfterAssumedDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rec := NewRecorder(time.Now(), 100)
-		a := &Agent{Sidecar: "s1", recorder: rec, version: 1, members: map[string]Member{}, changed: make(chan struct{})}
-		a.Update(Member{ID: "a", State: StateDraining})
+		recorder := NewRecorder(time.Now(), 100)
+		agent := &Agent{Sidecar: "s1", recorder: recorder, version: 1, members: map[string]Member{}, changed: make(chan struct{})}
+		agent.Update(Member{ID: "a", State: StateDraining})
 		time.Sleep(assumedNotifiedAfter - time.Nanosecond)
 		synctest.Wait()
-		if events, _ := rec.Events(); len(events) != 0 {
-			t.Error("notified before the limit")
+		if events, _ := recorder.Events(); len(events) != 0 {
+			t.Errorf("%d events before assumedNotifiedAfter, want 0", len(events))
 		}
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		if events, _ := rec.Events(); len(events) != 1 || events[0].Kind != invariant.NodeStateNotified {
-			t.Errorf("%+v", events)
+		if events, _ := recorder.Events(); len(events) != 1 || events[0].Kind != invariant.NodeStateNotified {
+			t.Errorf("events after assumedNotifiedAfter are %+v, want one notification", events)
 		}
 	})
 }
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -14,16 +14,17 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// newScriptedSidecar answers the requests of each connection by a script of bytes; "CLOSE" ends the connection.
-func newScriptedSidecar(t *testing.T, answers ...string) (connect func() (Target, bool), served *testpeer.Endpoint) {
+// newScriptedSidecar starts a sidecar that writes responses[n-1] to its nth request, with "ID" replaced by the request's ID.
+// It closes the connection after a response that ends with "CLOSE", and when no response is left.
+func newScriptedSidecar(t *testing.T, responses ...string) (connect func() (Target, bool), sidecar *testpeer.Endpoint) {
 	t.Helper()
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
-		if n > len(answers) {
+		if n > len(responses) {
 			return false
 		}
-		text, ends := strings.CutSuffix(answers[n-1], "CLOSE")
-		io.WriteString(nc, strings.ReplaceAll(text, "ID", r.Header.Get("Req-Id")))
-		return !ends
+		response, closes := strings.CutSuffix(responses[n-1], "CLOSE")
+		io.WriteString(nc, strings.ReplaceAll(response, "ID", r.Header.Get("Req-Id")))
+		return !closes
 	})
 	return func() (Target, bool) { return Target{"s1", e.Addr}, true }, e
 }
@@ -48,81 +49,82 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			connect, _ := newScriptedSidecar(t, c.response)
-			rec := NewRecorder(time.Now(), 100)
-			client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
+			recorder := NewRecorder(time.Now(), 100)
+			client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 			out := client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: 200 * time.Millisecond,
 				LeaveAfter: c.leaveAfter, Connect: connect})
 			client.Close()
-			events, _ := rec.Events()
+			events, _ := recorder.Events()
 			var kinds []invariant.Kind
 			for _, e := range events {
 				kinds = append(kinds, e.Kind)
 			}
 			if out.Status != c.status || !slices.Equal(kinds, c.kinds) || !out.HasDialed || out.HasLeft != (c.leaveAfter > 0) {
-				t.Errorf("%+v, %v", out, kinds)
+				t.Errorf("outcome %+v and events %v, want status %d and events %v", out, kinds, c.status, c.kinds)
 			}
 			if c.name == "rejected" && out.RetryAfter != 250*time.Millisecond {
-				t.Errorf("retry after %v", out.RetryAfter)
+				t.Errorf("RetryAfter is %v, want 250ms", out.RetryAfter)
 			}
 			if c.name == "served" && !events[1].Genuine {
-				t.Error("the response to the request is not genuine")
+				t.Error("the response made for the request is not recorded as genuine")
 			}
 		})
 	}
 	connect, _ := newScriptedSidecar(t, strings.Replace(ok, "ID", "xy", 1))
-	rec := NewRecorder(time.Now(), 100)
-	client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
+	recorder := NewRecorder(time.Now(), 100)
+	client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 	defer client.Close()
 	client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: time.Second, Connect: connect})
-	if events, _ := rec.Events(); events[1].Genuine {
-		t.Error("the response to another request is genuine")
+	if events, _ := recorder.Events(); events[1].Genuine {
+		t.Error("a response made for another request is recorded as genuine")
 	}
 	client.Close()
 	noSidecar := func() (Target, bool) { return Target{}, false }
 	if out := client.Do(Request{ID: "cd", Job: &Job{}, Connect: noSidecar}); out.IsAccepted {
-		t.Errorf("no sidecar: %+v", out)
+		t.Errorf("outcome without a sidecar is %+v, want a request that was not accepted", out)
 	}
 }
 
-// A sidecar may close a connection between requests: a request that crosses the close is sent once more, on a new one.
+// A sidecar may close an idle connection at the moment at which the client sends a request on it. The client then sends the
+// request once more on a new connection, but not a third time.
 func TestRequestCrossingAConnectionCloseIsSentOnceMore(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
-	connect, e := newScriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
-	rec := NewRecorder(time.Now(), 100)
-	client := NewClient(classes, &Registry{}, rec, 50*time.Millisecond, 4)
+	connect, sidecar := newScriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
+	recorder := NewRecorder(time.Now(), 100)
+	client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 	defer client.Close()
 	for i, want := range []int{200, 200, 0} {
 		out := client.Do(Request{ID: fmt.Sprint("r", i), Class: readClass, Job: &Job{}, Timeout: time.Second, Connect: connect})
 		if out.Status != want {
-			t.Errorf("request %d: %+v", i, out)
+			t.Errorf("request %d: outcome %+v, want status %d", i, out, want)
 		}
 	}
-	if n := e.Requests.Load(); n != 5 {
-		t.Errorf("%d requests received", n)
+	if n := sidecar.Requests.Load(); n != 5 {
+		t.Errorf("the sidecar received %d requests, want 5", n)
 	}
 }
 
 func TestFrontLayerUsesSidecarsInTurn(t *testing.T) {
 	f := &FrontLayer{}
 	if _, ok := f.Connect(); ok {
-		t.Error("a target without sidecars")
+		t.Error("Connect returned a target though there is no sidecar")
 	}
 	f.Add("a", "1")
 	f.Add("b", "2")
-	f.Add("a", "1") // a second time
+	f.Add("a", "1") // adding a sidecar twice must not give it more connections
 	got := map[string]int{}
 	for range 10 {
 		target, _ := f.Connect()
 		got[target.Sidecar]++
 	}
 	if got["a"] != 5 || got["b"] != 5 {
-		t.Errorf("%v", got)
+		t.Errorf("connections by sidecar: %v, want 5 each", got)
 	}
 	f.Remove("a")
 	f.Remove("nobody")
 	for range 3 {
 		if target, ok := f.Connect(); target != (Target{"b", "2"}) || !ok {
-			t.Error(target)
+			t.Errorf("Connect returned %v, %v, want the sidecar b at address 2", target, ok)
 		}
 	}
 }
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -14,14 +14,14 @@
 func TestCapacityRisesLinearlyDuringWarmUp(t *testing.T) {
 	for since, want := range map[time.Duration]float64{0: 0.4, 2: 0.7, 4: 1, 9: 1} {
 		if got := warmCapacityFraction(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
-			t.Errorf("after %d s: %v, want %v", since, got, want)
+			t.Errorf("fraction of the capacity after %d s is %v, want %v", since, got, want)
 		}
 	}
 }
 
-// The fake node and the invariant must agree on what a warming node bears.
-func TestNodeCollapsesWhereTheInvariantIsBroken(t *testing.T) {
-	rules := invariant.Rules{Classes: []invariant.Class{{Name: "look"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
+// A fake node must collapse under the same load that the invariant checker counts as an overload.
+func TestNodeCollapsesWhenInvariantIsBroken(t *testing.T) {
+	rules := invariant.Rules{Classes: []invariant.Class{{Name: "read"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
 		ColdOverloadTolerance: ColdOverloadTolerance}
 	for _, n := range []int{10, 60} {
 		f := newNodeFixture(t, func(s *NodeSpec) {
@@ -35,7 +35,7 @@
 		f.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
 		f.recorder.Add(NotificationEvent("s", m, f.recorder))
-		for range n { // 0.1 s of work each: at 0.3 of one core the node bears about 4 s
+		for range n { // 0.1 s of work each; at 0.3 of one core the node collapses beyond 4 * 0.3 * 3 s = 3.6 s of work and a tenth more
 			nc, err := net.Dial("tcp", f.Addr)
 			if err != nil {
 				break // the node has collapsed
@@ -44,19 +44,19 @@
 			id := fmt.Sprint("r", f.requestCount+1)
 			f.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
 			f.write(t, nc, readClass, "", 100*time.Millisecond)
-			testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
+			testpeer.Until(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
 		}
-		fell := n == 60
-		if fell {
-			testpeer.Until(t, "down", func() bool { return !f.IsUp() })
+		wantCollapse := n == 60
+		if wantCollapse {
+			testpeer.Until(t, "the node down", func() bool { return !f.IsUp() })
 			if _, err := f.Start(true); err == nil {
-				t.Error("the collapsed node starts again")
+				t.Error("the collapsed node could be started again")
 			}
 		}
 		events, _ := f.recorder.Events()
 		r := invariant.Check(rules, events)
-		if got := r.Rules[3].Verdict == invariant.Broken; got != fell || f.IsUp() == fell || (r.Collapses > 0) != fell {
-			t.Errorf("%d requests: up %v, rule %s, %d falls", n, f.IsUp(), r.Rules[3].Verdict, r.Collapses)
+		if got := r.Rules[3].Verdict == invariant.Broken; got != wantCollapse || f.IsUp() == wantCollapse || (r.Collapses > 0) != wantCollapse {
+			t.Errorf("%d requests: node up %v, rule 4 %s, %d collapses; want collapse %v", n, f.IsUp(), r.Rules[3].Verdict, r.Collapses, wantCollapse)
 		}
 	}
 }
@@ -70,12 +70,12 @@
 	for range 20 {
 		f.write(t, f.dial(t), readClass, "", 30*time.Millisecond)
 	}
-	testpeer.Until(t, "slow", func() bool { return f.WasOverloaded() })
+	testpeer.Until(t, "the node overloaded", func() bool { return f.WasOverloaded() })
 	if got := f.coreSpeed(f.incarnation); got != 1.0/3 {
-		t.Errorf("core speed %v", got)
+		t.Errorf("core speed of the overloaded node is %v, want 1/3", got)
 	}
-	testpeer.Until(t, "recovered", func() bool { return f.coreSpeed(f.incarnation) == 1 })
+	testpeer.Until(t, "the node recovered", func() bool { return f.coreSpeed(f.incarnation) == 1 })
 	if f.count(invariant.AttemptCompleted, "") != 20 {
-		t.Error("the node recovered before it was idle")
+		t.Error("the node recovered before it had completed all 20 requests")
 	}
 }
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -23,21 +23,22 @@
 )
 
 var classes = []Class{
-	readClass:  {"look", invariant.Safe, 0, 3 * time.Second},
-	keyedClass: {"book", invariant.IdempotencyKeyed, 200 * time.Millisecond, 3 * time.Second},
+	readClass:  {"read", invariant.Safe, 0, 3 * time.Second},
+	keyedClass: {"keyed", invariant.IdempotencyKeyed, 200 * time.Millisecond, 3 * time.Second},
 }
 
-// Whatever a fake starts must end with it.
+// TestMain checks that no goroutine of a fake outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// nodeFixture is a node, and what it takes to send requests to it.
+// nodeFixture is a running node with the registry and the recorder that it uses.
 type nodeFixture struct {
 	*Node
 	registry     *Registry
 	recorder     *Recorder
-	requestCount int
+	requestCount int // number of requests that write has sent
 }
 
+// newNodeFixture starts a node with one core, one slot and one place in the queue. change, if not nil, changes that.
 func newNodeFixture(t *testing.T, change func(*NodeSpec)) *nodeFixture {
 	t.Helper()
 	spec := NodeSpec{ID: "n1", Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}
@@ -53,7 +54,7 @@
 	return f
 }
 
-// write registers a request and sends it on a connection.
+// write registers a request with an amount of work, sends it on a connection and returns its ID.
 func (f *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
 	t.Helper()
 	f.requestCount++
@@ -65,6 +66,7 @@
 	return id
 }
 
+// dial opens a connection to the node that is closed at the end of the test.
 func (f *nodeFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.Addr)
@@ -76,7 +78,8 @@
 	return nc
 }
 
-func read(t *testing.T, nc net.Conn) (status int, rejected bool, body string) {
+// readResponse reads a complete response. rejected reports whether the node marked it as a rejection.
+func readResponse(t *testing.T, nc net.Conn) (status int, rejected bool, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
@@ -87,7 +90,7 @@
 	return resp.StatusCode, resp.Header.Get("Srv-Declined") == "1", string(text)
 }
 
-// count is the number of events of a kind for a request; an empty ID stands for all.
+// count returns the number of recorded events of a kind for a request; an empty ID stands for all requests.
 func (f *nodeFixture) count(kind invariant.Kind, id string) (n int) {
 	events, _ := f.recorder.Events()
 	for _, e := range events {
@@ -101,38 +104,38 @@
 func TestNodeServesRequestsOnOneConnection(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
-	for range 3 { // on one connection
+	for range 3 {
 		id := f.write(t, nc, readClass, "", time.Millisecond)
-		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
-			t.Errorf("%d %q", status, body)
+		if status, _, body := readResponse(t, nc); status != 200 || body != id+" n1\n" {
+			t.Errorf("status %d and body %q, want 200 and the ID of the request with that of the node", status, body)
 		}
 		if f.count(invariant.AttemptReceived, id) != 1 || f.count(invariant.EffectStarted, id) != 1 || f.count(invariant.AttemptCompleted, id) != 1 ||
 			f.count(invariant.AttemptAborted, id) != 0 {
-			t.Error("the timeline is not that of one served request")
+			t.Error("the timeline does not have one received, started and completed attempt for the request, without an abort")
 		}
 	}
 	if f.OpenedConnections() != 1 {
-		t.Errorf("%d connections", f.OpenedConnections())
+		t.Errorf("%d connections were opened, want 1", f.OpenedConnections())
 	}
-	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
-	if status, _, _ := read(t, nc); status != 400 || f.count(invariant.AttemptReceived, "ghost") != 1 {
-		t.Errorf("unknown ID: %d", status)
+	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: unknown\r\n\r\n")
+	if status, _, _ := readResponse(t, nc); status != 400 || f.count(invariant.AttemptReceived, "unknown") != 1 {
+		t.Errorf("request with an unknown ID got status %d, want 400 and one received attempt", status)
 	}
 }
 
 func TestNodeWithoutFreeSlotRejects(t *testing.T) {
-	f := newNodeFixture(t, nil) // one slot, one request may wait
-	var lines []net.Conn
+	f := newNodeFixture(t, nil) // one request gets the slot and one waits for it
+	var connections []net.Conn
 	for range 2 {
 		nc := f.dial(t)
-		lines = append(lines, nc)
+		connections = append(connections, nc)
 		n := f.count(invariant.AttemptReceived, "")
 		f.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, "") > n })
-		testpeer.Until(t, "in flight", func() bool { return f.InFlight() > n })
+		testpeer.Until(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, "") > n })
+		testpeer.Until(t, "the request in flight", func() bool { return f.InFlight() > n })
 	}
 	third := f.dial(t)
-	testpeer.Until(t, "one request waits", func() bool {
+	testpeer.Until(t, "one request waiting for the slot", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.incarnation.slots.mu.Lock()
@@ -140,13 +143,13 @@
 		return len(f.incarnation.slots.waiters) == 1
 	})
 	id := f.write(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, third); status != 503 || !rejected || f.count(invariant.AttemptRejected, id) != 1 ||
+	if status, rejected, _ := readResponse(t, third); status != 503 || !rejected || f.count(invariant.AttemptRejected, id) != 1 ||
 		f.count(invariant.EffectStarted, id) != 0 {
-		t.Errorf("%d, rejected %v", status, rejected)
+		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, rejected)
 	}
-	for _, nc := range lines {
-		if status, _, _ := read(t, nc); status != 200 {
-			t.Errorf("accepted request: %d", status)
+	for _, nc := range connections {
+		if status, _, _ := readResponse(t, nc); status != 200 {
+			t.Errorf("accepted request got status %d, want 200", status)
 		}
 	}
 }
@@ -155,14 +158,14 @@
 	f := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := f.dial(t), f.dial(t)
 	id := f.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	testpeer.Until(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
 	f.Drain()
 	f.write(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, second); status != 503 || !rejected {
-		t.Errorf("new request: %d, rejected %v", status, rejected)
+	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
+		t.Errorf("new request got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
-	if status, _, _ := read(t, first); status != 200 {
-		t.Errorf("request in flight: %d", status)
+	if status, _, _ := readResponse(t, first); status != 200 {
+		t.Errorf("request in flight got status %d, want 200", status)
 	}
 }
 
@@ -170,40 +173,40 @@
 	f := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
 	first := f.dial(t)
 	f.write(t, first, readClass, "", time.Millisecond)
-	read(t, first)
+	readResponse(t, first)
 	second := f.dial(t)
 	f.write(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, second); status != 503 || !rejected {
-		t.Errorf("%d, rejected %v", status, rejected)
+	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
+		t.Errorf("request on the second connection got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
 	if rest, err := io.ReadAll(second); err != nil || len(rest) > 0 {
-		t.Errorf("the connection stays open: %q, %v", rest, err)
+		t.Errorf("read %q and error %v after the rejection, want the end of the connection", rest, err)
 	}
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
 	nc := f.dial(t)
-	f.write(t, nc, readClass, "", 60*time.Millisecond) // a request in flight is not idle time
-	if status, _, _ := read(t, nc); status != 200 {
-		t.Errorf("%d", status)
+	f.write(t, nc, readClass, "", 60*time.Millisecond) // longer than the idle timeout, which must not run while a request is in flight
+	if status, _, _ := readResponse(t, nc); status != 200 {
+		t.Errorf("request in flight for longer than the idle timeout got status %d, want 200", status)
 	}
 	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
-		t.Errorf("idle connection: %q, %v", rest, err)
+		t.Errorf("read %q and error %v on the idle connection, want the end of the connection", rest, err)
 	}
 	if f.count(invariant.AttemptAborted, "") != 0 {
-		t.Error("the close is recorded as one by the client")
+		t.Error("the close by the node is recorded as an abort by the client")
 	}
 }
 
 func TestDuplicatesWithinTheWindowAreDropped(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
-	began := func(id string) (effects, repeats int) {
+	countStarts := func(id string) (effects, duplicates int) {
 		events, _ := f.recorder.Events()
 		for _, e := range events {
 			if e.Kind == invariant.EffectStarted && e.Request == id && e.Duplicate {
-				repeats++
+				duplicates++
 			} else if e.Kind == invariant.EffectStarted && e.Request == id {
 				effects++
 			}
@@ -211,14 +214,14 @@
 		return
 	}
 	for i, row := range []struct {
-		class   int
-		key     string
-		repeats int
+		class      int
+		key        string
+		duplicates int
 	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
 		id := f.write(t, nc, row.class, row.key, time.Millisecond)
-		read(t, nc)
-		if effects, repeats := began(id); repeats != row.repeats || effects != 1-row.repeats {
-			t.Errorf("request %d: %d effects, %d duplicates", i, effects, repeats)
+		readResponse(t, nc)
+		if effects, duplicates := countStarts(id); duplicates != row.duplicates || effects != 1-row.duplicates {
+			t.Errorf("request %d: %d effects and %d duplicates, want %d and %d", i, effects, duplicates, 1-row.duplicates, row.duplicates)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -226,18 +229,18 @@
 		c.isDuplicate("k", time.Now())
 		time.Sleep(time.Second)
 		if !c.isDuplicate("k", time.Now()) {
-			t.Error("key forgotten at the end of the window")
+			t.Error("the key is forgotten at the end of the window, want it remembered")
 		}
 		time.Sleep(time.Nanosecond)
 		if c.isDuplicate("k", time.Now()) {
-			t.Error("key remembered after the window")
+			t.Error("the key is remembered after the window, want it forgotten")
 		}
 		for i := range 1000 {
 			time.Sleep(10 * time.Millisecond)
 			c.isDuplicate(fmt.Sprint(i), time.Now())
 		}
 		if len(c.seenAt) > 202 {
-			t.Errorf("%d keys held for two windows of 100", len(c.seenAt))
+			t.Errorf("%d keys remembered, want at most 202, those of two windows", len(c.seenAt))
 		}
 	})
 }
@@ -246,10 +249,10 @@
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
 	id := f.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	testpeer.Until(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Until(t, "drop recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
-	testpeer.Until(t, "request completed", func() bool { return f.count(invariant.AttemptCompleted, id) == 1 })
+	testpeer.Until(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Until(t, "the request completed", func() bool { return f.count(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
@@ -257,27 +260,27 @@
 	f.SetHangFraction(1)
 	nc := f.dial(t)
 	id := f.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Until(t, "received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
+	testpeer.Until(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 0 {
-		t.Errorf("hang fault: %v", err)
+		t.Errorf("read error is %v with the hang fault, want one, and no effect started", err)
 	}
 	nc.Close()
-	testpeer.Until(t, "dropped", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Until(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
 	f.SetHangFraction(0)
 	f.SetResetFraction(1)
 	nc = f.dial(t)
 	id = f.write(t, nc, readClass, "", time.Millisecond)
 	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 1 {
-		t.Errorf("reset fault: %v", err)
+		t.Errorf("read error is %v with the reset fault, want one after the effect started", err)
 	}
 	f.SetResetFraction(0)
 	f.SetSlowdown(4)
 	nc = f.dial(t)
-	began := time.Now()
+	startedAt := time.Now()
 	f.write(t, nc, readClass, "", 50*time.Millisecond)
-	if status, _, _ := read(t, nc); status != 200 || time.Since(began) < 200*time.Millisecond {
-		t.Errorf("slowdown by 4: %d after %v", status, time.Since(began))
+	if status, _, _ := readResponse(t, nc); status != 200 || time.Since(startedAt) < 200*time.Millisecond {
+		t.Errorf("status %d after %v for 50ms of work slowed by 4, want 200 after at least 200ms", status, time.Since(startedAt))
 	}
 }
 
@@ -285,23 +288,23 @@
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
 	f.write(t, nc, readClass, "", time.Minute)
-	testpeer.Until(t, "begun", func() bool { return f.count(invariant.EffectStarted, "") == 1 })
+	testpeer.Until(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, "") == 1 })
 	addr := f.Addr
 	f.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
-		t.Errorf("not a reset: %v", err)
+		t.Errorf("read error is %v after the stop, want a reset", err)
 	}
 	if nc, err := net.Dial("tcp", addr); err == nil {
 		nc.Close()
 		t.Error("the stopped node accepts connections")
 	}
 	if _, err := f.Start(true); err != nil || f.Addr != addr || !f.IsUp() {
-		t.Errorf("%v, at %s, want %s", err, f.Addr, addr)
+		t.Errorf("restart at %s, error %v, want %s without an error", f.Addr, err, addr)
 	}
 }
 
-// A request that was in a buffer when its node died must not be recorded: it would stay in flight for good in the timeline,
-// and the next attempt would look like a concurrent one.
+// A request that the node reads from its buffer after it has stopped must not be recorded. It would remain in flight in the
+// timeline, and the next attempt would look like a concurrent one.
 func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
@@ -310,9 +313,9 @@
 	f.mu.Unlock()
 	f.registry.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	f.Stop()
-	a := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
-	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, a) || f.count(invariant.AttemptReceived, "") != 0 {
-		t.Error("the request is recorded")
+	received := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
+	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.count(invariant.AttemptReceived, "") != 0 {
+		t.Error("a request read after the stop was handled or recorded")
 	}
 }
 
@@ -325,6 +328,6 @@
 	}
 	defer l.Close()
 	if _, err := f.Start(true); err == nil || !strings.Contains(err.Error(), "n1") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("error is %v, want one line that names the node n1", err)
 	}
 }
--- a/internal/testkit/fake/plan_format_test.go
+++ b/internal/testkit/fake/plan_format_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A printed plan holds nodes and jobs under the names that its readers know, whatever the fields are called in Go.
+// Other tools read printed plans, so the names of the fields of nodes and jobs in them must not change with the Go names.
 func TestNodeSpecAndJobKeepFieldNamesInPrintedPlans(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -26,7 +26,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.value)
 			if err != nil || string(got) != c.want {
-				t.Errorf("%v\n%s, want\n%s", err, got, c.want)
+				t.Errorf("got %s, error %v, want\n%s", got, err, c.want)
 			}
 		})
 	}
--- a/internal/testkit/fake/recorder_test.go
+++ b/internal/testkit/fake/recorder_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestRecorderIsBounded(t *testing.T) {
-	rec := NewRecorder(time.Now(), 2)
+	recorder := NewRecorder(time.Now(), 2)
 	for range 5 {
-		rec.Add(invariant.Event{})
+		recorder.Add(invariant.Event{})
 	}
-	if events, lost := rec.Events(); len(events) != 2 || lost != 3 {
-		t.Errorf("%d kept, %d dropped", len(events), lost)
+	if events, dropped := recorder.Events(); len(events) != 2 || dropped != 3 {
+		t.Errorf("%d events kept and %d dropped, want 2 and 3", len(events), dropped)
 	}
 }
--- a/internal/testkit/fake/semaphore_test.go
+++ b/internal/testkit/fake/semaphore_test.go
@@ -14,37 +14,37 @@
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		s := &semaphore{free: free, maxWaiting: maxWaiting}
 		granted := make(chan int, n)
-		var all sync.WaitGroup
+		var acquisitions sync.WaitGroup
 		rejected := 0
 		for i := range n {
 			s.mu.Lock()
 			mustWait := s.free == 0
-			hasRoom := len(s.waiters) < s.maxWaiting
-			before := len(s.waiters)
+			canWait := len(s.waiters) < s.maxWaiting
+			waitersBefore := len(s.waiters)
 			s.mu.Unlock()
-			if mustWait && !hasRoom {
+			if mustWait && !canWait {
 				if s.acquire(nil) {
-					t.Fatal("more waiting than allowed")
+					t.Fatalf("acquisition %d got a slot though the queue was full", i)
 				}
 				rejected++
 				continue
 			}
-			all.Go(func() {
+			acquisitions.Go(func() {
 				if s.acquire(nil) {
 					granted <- i
 				}
 			})
-			for mustWait { // until it is queued, so that the order is known
+			for mustWait { // until the goroutine is in the queue, so that the order of the queue is known
 				s.mu.Lock()
-				isQueued := len(s.waiters) > before
+				isQueued := len(s.waiters) > waitersBefore
 				s.mu.Unlock()
 				if isQueued {
 					break
 				}
 			}
 			if !mustWait {
-				if <-granted != i {
-					t.Fatal("a free slot is not granted at once")
+				if got := <-granted; got != i {
+					t.Fatalf("the free slot was granted to acquisition %d, want %d", got, i)
 				}
 			}
 		}
@@ -52,14 +52,14 @@
 		for range min(n, free+maxWaiting) - min(n, free) {
 			s.release()
 			if i := <-granted; i < last {
-				t.Fatalf("%d after %d", i, last)
+				t.Fatalf("acquisition %d got a slot after acquisition %d", i, last)
 			} else {
 				last = i
 			}
 		}
-		all.Wait()
+		acquisitions.Wait()
 		if rejected != max(n-free-maxWaiting, 0) {
-			t.Fatalf("%d rejected", rejected)
+			t.Fatalf("%d acquisitions rejected, want %d", rejected, max(n-free-maxWaiting, 0))
 		}
 	})
 }
