--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -10,33 +10,35 @@
 	"pgregory.net/rapid"
 )
 
+// Each rule must have timelines that break it and one that it holds on, and none of them may break another rule.
 func TestEachRuleIsBrokenAndHeldByItsTimelines(t *testing.T) {
 	broken, held := map[int]int{}, map[int]int{}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := Check(rules, slices.Clone(c.events))
-			rule := r.Rules[c.rule-1]
+			report := Check(rules, slices.Clone(c.events))
+			rule := report.Rules[c.rule-1]
 			if c.broken == "" {
 				held[c.rule]++
 				if rule.Verdict != Held {
-					t.Errorf("rule %d is %s: %+v", c.rule, rule.Verdict, rule.Violations)
+					t.Errorf("rule %d is %s, want held; violations: %+v", c.rule, rule.Verdict, rule.Violations)
 				}
 			} else {
 				broken[c.rule]++
-				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.broken) || r.Held() {
-					t.Errorf("rule %d is %s, held %v: %+v", c.rule, rule.Verdict, r.Held(), rule.Violations)
+				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.broken) || report.Held() {
+					t.Errorf("rule %d is %s and the report held %v, want a violation %q; violations: %+v",
+						c.rule, rule.Verdict, report.Held(), c.broken, rule.Violations)
 				}
 			}
-			for _, other := range r.Rules { // no other rule may be broken
+			for _, other := range report.Rules {
 				if other.Number != c.rule && other.Verdict == Broken {
-					t.Errorf("rule %d as well: %+v", other.Number, other.Violations)
+					t.Errorf("rule %d is broken as well: %+v", other.Number, other.Violations)
 				}
 			}
 		})
 	}
 	for rule := 1; rule <= 4; rule++ {
 		if broken[rule] < 2 || held[rule] < 1 {
-			t.Errorf("rule %d: broken by %d timelines, held by %d", rule, broken[rule], held[rule])
+			t.Errorf("rule %d is broken by %d timelines and held by %d, want at least 2 and 1", rule, broken[rule], held[rule])
 		}
 	}
 }
@@ -46,17 +48,17 @@
 		respond(2*s, "r", 200))
 	for i, want := range []Verdict{Held, Untested, Untested, Untested} {
 		if r.Rules[i].Verdict != want {
-			t.Errorf("rule %d: %s", i+1, r.Rules[i].Verdict)
+			t.Errorf("rule %d is %s, want %s", i+1, r.Rules[i].Verdict, want)
 		}
 	}
-	// A notification after which nothing was sent does not test the rule.
+	// A notification does not test the rule on draining nodes if no attempt was sent after its grace.
 	r = Check(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).
 		respond(2*s, "r", 200))
 	if r.Rules[2].Verdict != Untested || r.Rules[2].Occasions["drains told"] != 1 {
-		t.Errorf("%+v", r.Rules[2])
+		t.Errorf("rule 3 is %+v, want untested with one notification of a drain", r.Rules[2])
 	}
 	if r := Check(rules, nil); r.Rules[0].Verdict != Untested {
-		t.Errorf("empty timeline: %s", r.Rules[0].Verdict)
+		t.Errorf("rule 1 is %s on an empty timeline, want untested", r.Rules[0].Verdict)
 	}
 }
 
@@ -64,18 +66,18 @@
 	l := newTimeline().notify(s, Draining).start(2*s, "s").request(3*s, "r", readClass).
 		attempt(3*s, "r", "a", 1).end(3*s+ms, AttemptCompleted, "r", "a").respond(3*s+2*ms, "r", 200)
 	if r := Check(rules, l); r.Rules[2].Verdict == Broken {
-		t.Errorf("the new process is bound by a notification to the old one: %+v", r.Rules[2].Violations)
+		t.Errorf("rule 3 is broken by a notification to the previous process: %+v", r.Rules[2].Violations)
 	}
 	if r := Check(rules, append(l, timeline{}.notify(2*s+ms, Draining)...)); r.Rules[2].Verdict != Broken {
-		t.Errorf("notified after its start: %s", r.Rules[2].Verdict)
+		t.Errorf("rule 3 is %s after a notification to the new process, want broken", r.Rules[2].Verdict)
 	}
 }
 
 func TestViolationNamesRequestSidecarNodeAndInstant(t *testing.T) {
 	r := Check(rules, newTimeline().notify(s, Gone).request(2*s, "r", readClass).attempt(2*s, "r", "a", 1))
-	b := r.Rules[2].Violations[0]
-	if b.Rule != 3 || b.At != 2*s || b.Request != "r" || b.Sidecar != "s" || b.Node != "a" {
-		t.Errorf("%+v", b)
+	v := r.Rules[2].Violations[0]
+	if v.Rule != 3 || v.At != 2*s || v.Request != "r" || v.Sidecar != "s" || v.Node != "a" {
+		t.Errorf("violation is %+v, want rule 3 at 2s for request r, sidecar s and node a", v)
 	}
 }
 
@@ -86,43 +88,35 @@
 		l = l.request(s, id, readClass).end(2*s, ConnectionLost, id, "")
 	}
 	if r := Check(rules, l).Rules[0]; r.ViolationCount != 1000 || len(r.Violations) != maxReportedViolations {
-		t.Errorf("%d violations, %d reported", r.ViolationCount, len(r.Violations))
+		t.Errorf("%d violations of which %d are listed, want 1000 and %d", r.ViolationCount, len(r.Violations), maxReportedViolations)
 	}
 }
 
-// Recorders may add events of different instants in any order.
+// Events of different instants may be recorded in any order.
 func TestVerdictsDoNotDependOnRecordingOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.SampledFrom(cases).Draw(t, "case")
 		want := Check(rules, slices.Clone(c.events))
-		type key struct {
-			at   time.Duration
-			kind Kind
-		}
-		seen := map[key]bool{}
-		for _, e := range c.events {
-			seen[key{e.At, e.Kind}] = true
-		}
 		order := rapid.Permutation(c.events).Draw(t, "order")
-		slices.SortStableFunc(order, func(a, b Event) int { // events of one instant keep their order
+		slices.SortStableFunc(order, func(a, b Event) int { // events of the same instant keep their order
 			if a.At != b.At {
 				return 0
 			}
-			index := func(of Event) int {
-				return slices.IndexFunc(c.events, func(e Event) bool { return e == of })
+			index := func(wanted Event) int {
+				return slices.IndexFunc(c.events, func(e Event) bool { return e == wanted })
 			}
 			return index(a) - index(b)
 		})
 		got := Check(rules, order)
 		for i := range got.Rules {
 			if got.Rules[i].Verdict != want.Rules[i].Verdict && haveDistinctInstants(c.events) {
-				t.Fatalf("%s: rule %d is %s, was %s", c.name, i+1, got.Rules[i].Verdict, want.Rules[i].Verdict)
+				t.Fatalf("%s: rule %d is %s after the permutation, want %s", c.name, i+1, got.Rules[i].Verdict, want.Rules[i].Verdict)
 			}
 		}
 	})
 }
 
-// haveDistinctInstants reports whether no two events share an instant.
+// haveDistinctInstants reports whether no two events have the same instant.
 func haveDistinctInstants(l timeline) bool {
 	seen := map[time.Duration]bool{}
 	for _, e := range l {
@@ -134,7 +128,7 @@
 	return true
 }
 
-// Judge must neither panic on any timeline nor hold a rule without an occasion to break it.
+// Check must not panic on any timeline, and no rule may be held unless an event could have broken it.
 func TestArbitraryTimelineNeverHoldsAnUntestedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"", "a", "b", "s"})
@@ -154,13 +148,13 @@
 		})).Draw(t, "events")
 		for _, r := range Check(rules, events).Rules {
 			if r.Verdict == Held && r.TestedOccasions <= 0 {
-				t.Fatalf("rule %d held without an occasion to break it", r.Number)
+				t.Fatalf("rule %d is held with %d tested occasions, want untested", r.Number, r.TestedOccasions)
 			}
 		}
 	})
 }
 
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkCheck(b *testing.B) {
 	var l timeline
 	for i := range 20000 {
 		id, at := fmt.Sprint("r", i), time.Duration(i)*ms
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -11,7 +11,7 @@
 )
 
 var rules = Rules{
-	Classes:               []Class{readClass: {"look", Safe, 0}, keyedClass: {"book", IdempotencyKeyed, 10 * s}, unsafeClass: {"pay", NonIdempotent, 0}},
+	Classes:               []Class{readClass: {"read", Safe, 0}, keyedClass: {"keyed", IdempotencyKeyed, 10 * s}, nonIdempotentClass: {"non-idempotent", NonIdempotent, 0}},
 	MaxAttempts:           4,
 	Tolerance:             50 * ms,
 	DrainGrace:            500 * ms,
@@ -24,44 +24,50 @@
 const (
 	readClass = iota
 	keyedClass
-	unsafeClass
+	nonIdempotentClass
 )
 
-// timeline is a list of events that its methods extend.
+// timeline is a list of events. Its methods append an event and return the longer list.
 type timeline []Event
 
+// start appends the start of a sidecar.
 func (l timeline) start(at time.Duration, sidecar string) timeline {
 	return append(l, Event{At: at, Kind: SidecarStarted, Sidecar: sidecar})
 }
 
+// request appends a request to the sidecar s with a deadline 2 s later.
 func (l timeline) request(at time.Duration, id string, class int) timeline {
 	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Deadline: at + 2*s})
 }
 
+// attempt appends an attempt with 0.1 s of work that arrives within 1 ms.
 func (l timeline) attempt(at time.Duration, id, node string, cell int) timeline {
 	return append(l, Event{At: at, FirstByteAt: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
 
+// end appends an event of a kind that ends a request, or an attempt if the node is given.
 func (l timeline) end(at time.Duration, kind Kind, id, node string) timeline {
 	return append(l, Event{At: at, Kind: kind, Request: id, Node: node})
 }
 
+// respond appends a genuine response to a request.
 func (l timeline) respond(at time.Duration, id string, status int) timeline {
 	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, Genuine: true})
 }
 
-// notify notifies the sidecar s of the state of the node a.
+// notify appends a notification to the sidecar s of the state of the node a.
 func (l timeline) notify(at time.Duration, state State) timeline {
 	return append(l, Event{At: at, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: state})
 }
 
+// newTimeline returns a timeline that begins with the start of the sidecar s.
 func newTimeline() timeline { return timeline{}.start(1, "s") }
 
-// cases hold for each rule timelines that break it, one for each thing it guards against, and close misses that do not.
+// cases holds timelines for each rule: one for each fault that the rule guards against, and some that only just keep it.
 var cases = []struct {
 	name   string
-	rule   int
-	broken string // part of the description of the violation; empty: the rule holds
+	rule   int    // number of the rule that the timeline tests
+	broken string // part of the expected violation's description; empty: the rule must be held
 	events timeline
 }{
 	{"response after the deadline", 1, "after its time was up",
@@ -98,7 +104,7 @@
 	{"sidecar crash", 1, "ended by itself",
 		append(newTimeline().request(s, "r", readClass).respond(2*s, "r", 200),
 			Event{At: 3 * s, Kind: SidecarExited, Sidecar: "s", Crash: true})},
-	{"connection closed on a request that was read", 1, "first connection was closed",
+	{"connection closed after its request was read", 1, "first connection was closed",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).request(s+2*ms, "r", readClass).
 			respond(2*s, "r", 200)},
 	{"connection closed between requests", 1, "",
@@ -112,30 +118,30 @@
 	{"attempts in sequence", 2, "",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
 			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
-	{"end of an attempt seen within the tolerance", 2, "",
+	{"end of an attempt observed within the tolerance", 2, "",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).attempt(s+10*ms, "r", "b", 1).
 			end(s+60*ms, AttemptAborted, "r", "a").end(s+70*ms, AttemptCompleted, "r", "b").respond(s+80*ms, "r", 200)},
 	{"retry after the node died", 2, "",
 		append(newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1),
 			Event{At: s + 5*ms, Kind: NodeStopped, Node: "a"}).attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").
 			respond(s+21*ms, "r", 200)},
-	{"unsafe request retried", 2, "unsafe work sent again",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+	{"non-idempotent request retried", 2, "unsafe work sent again",
+		newTimeline().request(s, "r", nonIdempotentClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
 			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
-	{"unsafe request retried after a rejection", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
+	{"non-idempotent request retried after a rejection", 2, "",
+		newTimeline().request(s, "r", nonIdempotentClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
 			attempt(s+10*ms, "r", "b", 1).end(s+20*ms, AttemptCompleted, "r", "b").respond(s+21*ms, "r", 200)},
-	{"unsafe request rejected though it may have run", 2, "refused",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
+	{"non-idempotent request rejected though it may have run", 2, "refused",
+		newTimeline().request(s, "r", nonIdempotentClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
 			respond(s+21*ms, "r", 503)},
 	{"keyed request rejected with 429 though it ran", 2, "refused",
 		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptCompleted, "r", "a").
 			respond(s+21*ms, "r", 429)},
-	{"unsafe request failed after it may have run", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
+	{"non-idempotent request failed after it may have run", 2, "",
+		newTimeline().request(s, "r", nonIdempotentClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
 			attempt(s+10*ms, "r", "b", 1).end(s+19*ms, AttemptAborted, "r", "b").respond(s+21*ms, "r", 502)},
-	{"unsafe request rejected after a rejected attempt", 2, "",
-		newTimeline().request(s, "r", unsafeClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
+	{"non-idempotent request rejected after a rejected attempt", 2, "",
+		newTimeline().request(s, "r", nonIdempotentClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptRejected, "r", "a").
 			respond(s+21*ms, "r", 503)},
 	{"keyed request retried in another cell", 2, "cell 2",
 		newTimeline().request(s, "r", keyedClass).attempt(s+ms, "r", "a", 1).end(s+9*ms, AttemptAborted, "r", "a").
@@ -171,7 +177,7 @@
 	{"second notification does not restart the grace", 3, "node drains",
 		newTimeline().notify(s, Draining).notify(s+400*ms, Gone).request(s, "r", readClass).
 			attempt(s+552*ms, "r", "a", 1)},
-	{"attempt within the grace and later one at another node", 3, "",
+	{"attempt within the grace, and a later one at another node", 3, "",
 		newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+551*ms, "r", "a", 1).
 			end(s+560*ms, AttemptCompleted, "r", "a").request(2*s, "q", readClass).attempt(2*s, "q", "b", 1)},
 	{"node is ready again", 3, "",
@@ -181,9 +187,9 @@
 	{"burst on a warming node", 4, "started", coldStart(45)},
 	{"warming node collapsed", 4, "pushed over", append(coldStart(10), Event{At: 2*s + 20*ms, Kind: NodeCollapsed, Node: "a"})},
 	{"burst within the budget of a warming node", 4, "", coldStart(30)},
-	{"burst from sidecars not notified of the start", 4, "", func() timeline {
+	{"burst from a sidecar that was not notified of the start", 4, "", func() timeline {
 		l := coldStart(45)
-		l[1].StartedAt = 0 // the start of an earlier incarnation
+		l[1].StartedAt = 0 // the sidecar was notified of the start of an earlier incarnation only
 		return l
 	}()},
 	{"burst on a warm node", 4, "", func() timeline {
@@ -197,8 +203,9 @@
 	}()},
 }
 
-// coldStart is a node that starts with 0.3 of its capacity of 1 and is sent n requests of 0.12 s of work a second later. Its
-// budget is 4 x 0.37 x 3 s and a tenth more, 4.88 s.
+// coldStart returns a timeline in which a node starts at 1 s with 0.3 of its capacity of 1 and receives n attempts of 0.12 s
+// of work each from 2 s on. The node has 0.37 of its capacity then, so the limit is 4 * 0.37 * 3 s of work and a tenth more,
+// 4.88 s.
 func coldStart(n int) timeline {
 	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityFraction: 0.3, WarmUpDuration: 10 * s},
 		{At: s + ms, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: Ready, StartedAt: s}}
