--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -87,7 +87,7 @@
 		a.setMember(m)
 	}
 	a.notifiedList = a.fullList()
-	a.server = &http.Server{Handler: a, ReadHeaderTimeout: headTimeout}
+	a.server = &http.Server{Handler: a, ReadHeaderTimeout: messageTimeout}
 	// The error is ignored: Serve returns when Close is called. If it failed earlier, the sidecar would get no responses,
 	// which tests would notice.
 	go func() { _ = a.server.Serve(listener) }()
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -16,8 +16,11 @@
 // NodeSpec describes a node. Work is simulated: a request occupies one of the node's cores for the time that its work
 // takes. The tags are the names of the fields in printed plans.
 type NodeSpec struct {
-	ID, Zone, Kind       string
-	Tier, Cell           int
+	ID                   string // unique name of the node
+	Zone                 string
+	Kind                 string        // name of the node's kind; nodes of a kind have similar properties
+	Tier                 int           // index of the node's tier; requests enter at tier 0, and each tier calls the next one
+	Cell                 int           // index of the node's cell in its tier
 	Cores                int           // number of simulated cores
 	Speed                float64       // speed of each core; work is stated in seconds on a core of speed 1
 	Slots                int           // number of requests that are executed at once
@@ -93,9 +96,9 @@
 // ErrCollapsed is returned by Start for a node that has collapsed under overload while warming up.
 var ErrCollapsed = errors.New("collapsed under overload and cannot be started again")
 
-// Start starts the node and returns the time of the start. It listens at the address of its previous start, if there was
-// one. A cold node warms up first. If the node runs already, Start does nothing and returns the time of its start. The error
-// names the node and wraps ErrCollapsed if the node has collapsed.
+// Start starts the node and returns the time of the start. The node listens at the address of its previous start, if there
+// was one, and warms up if cold is set. If the node runs already, Start does nothing and returns the time of its start. The
+// error names the node and wraps ErrCollapsed if the node has collapsed.
 func (n *Node) Start(cold bool) (startedAt time.Time, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	headTimeout   = 5 * time.Second       // limit for reading the rest of a request, and for writing a response
-	maxBodyBytes  = 64 << 10              // bytes read of a body
-	acceptBackoff = 10 * time.Millisecond // wait after a failed Accept, which fails at once while the process has no free descriptor
+	messageTimeout = 5 * time.Second       // limit for reading the rest of a request, and for writing a response
+	maxBodyBytes   = 64 << 10              // bytes read of a body
+	acceptBackoff  = 10 * time.Millisecond // wait after a failed Accept, which fails at once while the process has no free descriptor
 )
 
 // nodeConnection is one connection to a node. The goroutine of the connection reads requests; the goroutine of a request
@@ -96,7 +96,7 @@
 
 // readRequest reads one complete request and returns its ID, the value of the header Req-Id.
 func readRequest(conn net.Conn, in *bufio.Reader) (id string, err error) {
-	_ = conn.SetReadDeadline(time.Now().Add(headTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(messageTimeout))
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return "", err
@@ -117,7 +117,7 @@
 
 // writeResponse writes a complete response. headerLines holds further header lines, each with its CRLF.
 func writeResponse(conn net.Conn, status int, headerLines, body string) {
-	_ = conn.SetWriteDeadline(time.Now().Add(headTimeout))
+	_ = conn.SetWriteDeadline(time.Now().Add(messageTimeout))
 	// The error is ignored: if the client has closed the connection, serveConnection notices it.
 	_, _ = io.WriteString(conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+headerLines+
 		"Content-Type: text/plain\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -82,7 +82,7 @@
 }
 
 // mayHaveRun reports whether the attempt may have taken effect. Any attempt that a node received completely and did not
-// reject counts, since the sidecar cannot know more.
+// reject counts, whether or not an EffectStarted event was recorded for it.
 func (a *attemptState) mayHaveRun() bool { return !a.isRejected }
 
 // apply updates the state by an event and checks the rules that the event can break.
@@ -201,7 +201,7 @@
 	return sidecar
 }
 
-// class returns the class of a request. A class that the rules do not list counts as Unsafe.
+// class returns the class of a request. A class that the rules do not list counts as NonIdempotent.
 func (c *checker) class(request *requestState) Class {
 	if i := request.sent.Class; i >= 0 && i < len(c.rules.Classes) {
 		return c.rules.Classes[i]
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -14,9 +14,9 @@
 
 // nodeState holds what is known about a node since its latest start.
 type nodeState struct {
-	started           Event
+	started           Event // the NodeStarted event
 	isUp              bool
-	isCold            bool          // warming up
+	isCold            bool          // the node is warming up
 	recentAttempts    []coldAttempt // attempts within the latest ColdOverloadWindow while the node is warming up
 	overloadFound     bool          // an overload since the start was found, so no further one is reported
 	receivedWhileCold bool          // an attempt has reached the node while it was warming up
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -17,18 +17,18 @@
 		if !earlier.mayHaveRun() {
 			continue
 		}
-		first := &earlier.received
+		previous := &earlier.received
 		switch {
 		case class.Effect == NonIdempotent:
-			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", first.Node)
+			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", previous.Node)
 			return
-		case class.Effect == IdempotencyKeyed && first.Cell != e.Cell:
+		case class.Effect == IdempotencyKeyed && previous.Cell != e.Cell:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work that may have run at %s (cell %d) sent to cell %d",
-				first.Node, first.Cell, e.Cell)
+				previous.Node, previous.Cell, e.Cell)
 			return
-		case class.Effect == IdempotencyKeyed && e.FirstByteAt > first.At+class.Window+c.rules.Tolerance:
+		case class.Effect == IdempotencyKeyed && e.FirstByteAt > previous.At+class.Window+c.rules.Tolerance:
 			c.addViolation(ruleNoDoubleEffect, e, "keyed work sent again %v after the first send, its window is %v",
-				(e.FirstByteAt - first.At).Round(time.Millisecond), class.Window)
+				(e.FirstByteAt - previous.At).Round(time.Millisecond), class.Window)
 			return
 		}
 	}
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -5,23 +5,23 @@
 // Kind says what happened in an Event, and so which of its fields are set.
 type Kind uint8
 
-// The kinds of events. Each comment names the fields of Event that the kind sets, beside At and Request. A request is
-// identified by its ID, which is new for each attempt of a client and for each call of a node to the next tier.
+// The kinds of events. Each comment names the fields of Event that are set beside At and, for events of a request, Request.
+// A request is identified by its ID, which is new for each attempt of a client and for each call of a node to the next tier.
 const (
-	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Until are set
+	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
 	ResponseReceived              // the client has received a complete response; Status and Genuine are set
 	ExtraBytes                    // bytes followed the response on the client's connection
 	ConnectionLost                // the client's connection ended before a complete response
 	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
 	ClientLeft                    // the client closed its connection before the response
 	RequestNotWritten             // the client could not write the request completely, so no response is owed
-	AttemptReceived               // Node received the last byte of an attempt; First, Work and Cell are set
+	AttemptReceived               // Node received the last byte of an attempt; FirstByteAt, Work and Cell are set
 	AttemptRejected               // Node rejected an attempt, which therefore never takes effect
 	EffectStarted                 // Node begins to execute an attempt; Duplicate is set if it dropped a duplicate instead
 	AttemptCompleted              // Node is about to write the response to an attempt
 	AttemptAborted                // the sidecar closed the connection of an attempt that Node had not answered
 	NodeStateNotified             // discovery notified Sidecar that Node is in State; StartedAt is set if known
-	NodeStarted                   // Node started; Capacity is set, and ColdCapacityShare and WarmUpDuration if it warms up
+	NodeStarted                   // Node started; Capacity is set, and ColdCapacityFraction and WarmUpDuration if it warms up
 	NodeStopped                   // Node's process died, which ended its requests and reset its connections
 	NodeCollapsed                 // Node collapsed under overload while it was warming up
 	SidecarStarted                // a new process of Sidecar started; it has no notifications of the process before it
@@ -47,15 +47,15 @@
 type Effect uint8
 
 // The effects of executing a request twice. A Safe request changes nothing, however often it is executed. An
-// IdempotencyKeyed request carries a key by which the nodes of a cell recognize and drop duplicates. An Unsafe request
-// takes effect each time.
+// IdempotencyKeyed request carries a key by which the nodes of a cell recognize and drop duplicates. A
+// NonIdempotent request takes effect each time.
 const (
 	Safe Effect = iota
 	IdempotencyKeyed
 	NonIdempotent
 )
 
-// Event is an entry of a timeline. Which fields are set is said at the constants of Kind.
+// Event is an entry of a timeline. The comments on the constants of Kind say which fields are set.
 type Event struct {
 	At                   time.Duration // instant of the event since the start of the day
 	Kind                 Kind
