--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -13,71 +13,73 @@
 )
 
 const (
-	headTimeout   = 5 * time.Second // for the rest of a request that has begun, and for a write
-	maxBodyBytes  = 64 << 10
-	acceptBackoff = 10 * time.Millisecond // without descriptors Accept fails at once, and the loop would spin
+	messageTimeout = 5 * time.Second       // limit for reading the rest of a request, and for writing a response
+	maxBodyBytes   = 64 << 10              // bytes read of a body
+	acceptBackoff  = 10 * time.Millisecond // wait after a failed Accept, which fails at once while the process has no free descriptor
 )
 
-// nodeConnection is one connection to a node. Its goroutine reads; the response is written by that of the request.
+// nodeConnection is one connection to a node. The goroutine of the connection reads requests; the goroutine of a request
+// writes its response.
 type nodeConnection struct {
 	net.Conn
-	run      *incarnation
-	isExcess bool // beyond MaxConnections
+	incarnation *incarnation
+	isExcess    bool // the node had MaxConnections other connections when it accepted this one
 }
 
-// arrival is one request that was read completely.
-type arrival struct {
-	id                  string
-	firstByteAt         time.Duration
+// receivedRequest is a request that a node has read completely.
+type receivedRequest struct {
+	id                  string        // value of the header Req-Id
+	firstByteAt         time.Duration // arrival of the first byte, since the start of the recorder
 	isFirstOnConnection bool
-	answered            chan bool // receives whether the connection is used further, after the response
+	responded           chan bool // receives, after the response, whether the connection stays open
 }
 
-// acceptConnections accepts connections until the listener is closed.
-func (n *Node) acceptConnections(run *incarnation) {
+// acceptConnections accepts connections until the incarnation ends.
+func (n *Node) acceptConnections(inc *incarnation) {
 	for {
-		conn, err := run.listener.Accept()
+		conn, err := inc.listener.Accept()
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || !sleep(acceptBackoff, run.done) {
+			if errors.Is(err, net.ErrClosed) || !sleep(acceptBackoff, inc.done) {
 				return
 			}
 			continue
 		}
-		run.mu.Lock()
+		inc.mu.Lock()
 		n.openedConnections.Add(1)
-		isExcess := n.MaxConnections > 0 && len(run.connections) >= n.MaxConnections
-		run.connections[conn] = true
-		run.mu.Unlock()
-		go n.serveConnection(&nodeConnection{Conn: conn, run: run, isExcess: isExcess})
+		isExcess := n.MaxConnections > 0 && len(inc.connections) >= n.MaxConnections
+		inc.connections[conn] = true
+		inc.mu.Unlock()
+		go n.serveConnection(&nodeConnection{Conn: conn, incarnation: inc, isExcess: isExcess})
 	}
 }
 
-// serveConnection reads requests from a connection, one at a time, and records when the other side ends it.
+// serveConnection reads requests from a connection, one at a time. If the client closes the connection while a request is
+// in flight, it records that the attempt was aborted.
 func (n *Node) serveConnection(c *nodeConnection) {
 	defer func() {
-		c.run.mu.Lock()
-		delete(c.run.connections, c.Conn)
-		c.run.mu.Unlock()
+		c.incarnation.mu.Lock()
+		delete(c.incarnation.connections, c.Conn)
+		c.incarnation.mu.Unlock()
 		c.Close()
 	}()
 	in := bufio.NewReader(c)
-	var current arrival // the latest request; answered is nil before the first
+	var current receivedRequest // the request read last; its responded is nil before the first request
 	n.startIdleTimeout(c)
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
-			if current.answered != nil && len(current.answered) == 0 && !isClosed(c.run.done) {
+			if current.responded != nil && len(current.responded) == 0 && !isClosed(c.incarnation.done) {
 				n.recorder.Add(invariant.Event{Kind: invariant.AttemptAborted, Node: n.ID, Request: current.id})
 			}
 			return
 		}
 		firstByteAt := n.recorder.Now()
-		if current.answered != nil {
+		if current.responded != nil {
 			select {
-			case isKept := <-current.answered:
-				if !isKept {
+			case staysOpen := <-current.responded:
+				if !staysOpen {
 					return
 				}
-			case <-c.run.done:
+			case <-c.incarnation.done:
 				return
 			}
 		}
@@ -85,16 +87,16 @@
 		if err != nil {
 			return
 		}
-		current = arrival{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, answered: make(chan bool, 1)}
+		current = receivedRequest{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, responded: make(chan bool, 1)}
 		if !n.handle(c, current) {
 			return
 		}
 	}
 }
 
-// readRequest reads one complete request and returns its ID.
+// readRequest reads one complete request and returns its ID, the value of the header Req-Id.
 func readRequest(conn net.Conn, in *bufio.Reader) (id string, err error) {
-	_ = conn.SetReadDeadline(time.Now().Add(headTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(messageTimeout))
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return "", err
@@ -106,17 +108,17 @@
 	return r.Header.Get("Req-Id"), nil
 }
 
-// startIdleTimeout bounds the wait for the next request.
+// startIdleTimeout makes reads from the connection fail after the node's idle timeout.
 func (n *Node) startIdleTimeout(conn net.Conn) {
 	if n.IdleTimeout > 0 {
 		_ = conn.SetReadDeadline(time.Now().Add(n.IdleTimeout))
 	}
 }
 
-// writeResponse writes a complete response at once. fields are header lines, each with its line end.
-func writeResponse(conn net.Conn, status int, fields, body string) {
-	_ = conn.SetWriteDeadline(time.Now().Add(headTimeout))
-	// Whoever sent the request may have left; the reader of the connection notices that.
-	_, _ = io.WriteString(conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+fields+
+// writeResponse writes a complete response. headerLines holds further header lines, each with its CRLF.
+func writeResponse(conn net.Conn, status int, headerLines, body string) {
+	_ = conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	// The error is ignored: if the client has closed the connection, serveConnection notices it.
+	_, _ = io.WriteString(conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"+headerLines+
 		"Content-Type: text/plain\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -23,51 +23,53 @@
 )
 
 var classes = []Class{
-	readClass:  {"look", invariant.Safe, 0, 3 * time.Second},
-	keyedClass: {"book", invariant.IdempotencyKeyed, 200 * time.Millisecond, 3 * time.Second},
+	readClass:  {"read", invariant.Safe, 0, 3 * time.Second},
+	keyedClass: {"keyed", invariant.IdempotencyKeyed, 200 * time.Millisecond, 3 * time.Second},
 }
 
-// Whatever a fake starts must end with it.
+// TestMain checks that no goroutine of a fake outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// nodeFixture is a node, and what it takes to send requests to it.
+// nodeFixture is a running node with the registry and the recorder that it uses.
 type nodeFixture struct {
 	*Node
-	desk *Registry
-	rec  *Recorder
-	n    int
+	registry     *Registry
+	recorder     *Recorder
+	requestCount int // number of requests that write has sent
 }
 
+// newNodeFixture starts a node with one core, one slot and one place in the queue. change, if not nil, changes that.
 func newNodeFixture(t *testing.T, change func(*NodeSpec)) *nodeFixture {
 	t.Helper()
 	spec := NodeSpec{ID: "n1", Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}
 	if change != nil {
 		change(&spec)
 	}
-	b := &nodeFixture{desk: &Registry{}, rec: NewRecorder(time.Now(), 10000)}
-	b.Node = NewNode(spec, classes, NewCell(200*time.Millisecond), b.desk, b.rec, 1)
-	if _, err := b.Start(false); err != nil {
+	f := &nodeFixture{registry: &Registry{}, recorder: NewRecorder(time.Now(), 10000)}
+	f.Node = NewNode(spec, classes, NewCell(200*time.Millisecond), f.registry, f.recorder, 1)
+	if _, err := f.Start(false); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Stop)
-	return b
+	t.Cleanup(f.Stop)
+	return f
 }
 
-// write registers a request and sends it on a connection.
-func (b *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
+// write registers a request with an amount of work, sends it on a connection and returns its ID.
+func (f *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
 	t.Helper()
-	b.n++
-	id = fmt.Sprint("r", b.n)
-	b.desk.register(id, registeredRequest{job: &Job{Work: work}, class: class, key: key})
+	f.requestCount++
+	id = fmt.Sprint("r", f.requestCount)
+	f.registry.register(id, registeredRequest{job: &Job{Work: work}, class: class, key: key})
 	if _, err := io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+id+"\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	return id
 }
 
-func (b *nodeFixture) dial(t *testing.T) net.Conn {
+// dial opens a connection to the node that is closed at the end of the test.
+func (f *nodeFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
-	nc, err := net.Dial("tcp", b.Addr)
+	nc, err := net.Dial("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +78,8 @@
 	return nc
 }
 
-func read(t *testing.T, nc net.Conn) (status int, rejected bool, body string) {
+// readResponse reads a complete response. rejected reports whether the node marked it as a rejection.
+func readResponse(t *testing.T, nc net.Conn) (status int, rejected bool, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
@@ -87,9 +90,9 @@
 	return resp.StatusCode, resp.Header.Get("Srv-Declined") == "1", string(text)
 }
 
-// count is the number of events of a kind for a request; an empty ID stands for all.
-func (b *nodeFixture) count(kind invariant.Kind, id string) (n int) {
-	events, _ := b.rec.Events()
+// count returns the number of recorded events of a kind for a request; an empty ID stands for all requests.
+func (f *nodeFixture) count(kind invariant.Kind, id string) (n int) {
+	events, _ := f.recorder.Events()
 	for _, e := range events {
 		if e.Kind == kind && (id == "" || e.Request == id) {
 			n++
@@ -99,111 +102,111 @@
 }
 
 func TestNodeServesRequestsOnOneConnection(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	for range 3 { // on one connection
-		id := b.write(t, nc, readClass, "", time.Millisecond)
-		if status, _, body := read(t, nc); status != 200 || body != id+" n1\n" {
-			t.Errorf("%d %q", status, body)
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	for range 3 {
+		id := f.write(t, nc, readClass, "", time.Millisecond)
+		if status, _, body := readResponse(t, nc); status != 200 || body != id+" n1\n" {
+			t.Errorf("status %d and body %q, want 200 and the ID of the request with that of the node", status, body)
 		}
-		if b.count(invariant.AttemptReceived, id) != 1 || b.count(invariant.EffectStarted, id) != 1 || b.count(invariant.AttemptCompleted, id) != 1 ||
-			b.count(invariant.AttemptAborted, id) != 0 {
-			t.Error("the timeline is not that of one served request")
+		if f.count(invariant.AttemptReceived, id) != 1 || f.count(invariant.EffectStarted, id) != 1 || f.count(invariant.AttemptCompleted, id) != 1 ||
+			f.count(invariant.AttemptAborted, id) != 0 {
+			t.Error("the timeline does not have one received, started and completed attempt for the request, without an abort")
 		}
 	}
-	if b.OpenedConnections() != 1 {
-		t.Errorf("%d connections", b.OpenedConnections())
+	if f.OpenedConnections() != 1 {
+		t.Errorf("%d connections were opened, want 1", f.OpenedConnections())
 	}
-	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: ghost\r\n\r\n")
-	if status, _, _ := read(t, nc); status != 400 || b.count(invariant.AttemptReceived, "ghost") != 1 {
-		t.Errorf("unknown ID: %d", status)
+	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: unknown\r\n\r\n")
+	if status, _, _ := readResponse(t, nc); status != 400 || f.count(invariant.AttemptReceived, "unknown") != 1 {
+		t.Errorf("request with an unknown ID got status %d, want 400 and one received attempt", status)
 	}
 }
 
 func TestNodeWithoutFreeSlotRejects(t *testing.T) {
-	b := newNodeFixture(t, nil) // one slot, one request may wait
-	var lines []net.Conn
+	f := newNodeFixture(t, nil) // one request gets the slot and one waits for it
+	var connections []net.Conn
 	for range 2 {
-		nc := b.dial(t)
-		lines = append(lines, nc)
-		n := b.count(invariant.AttemptReceived, "")
-		b.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Eventually(t, "received", func() bool { return b.count(invariant.AttemptReceived, "") > n })
-		testpeer.Eventually(t, "in flight", func() bool { return b.InFlight() > n })
+		nc := f.dial(t)
+		connections = append(connections, nc)
+		n := f.count(invariant.AttemptReceived, "")
+		f.write(t, nc, readClass, "", 300*time.Millisecond)
+		testpeer.Eventually(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, "") > n })
+		testpeer.Eventually(t, "the request in flight", func() bool { return f.InFlight() > n })
 	}
-	third := b.dial(t)
-	testpeer.Eventually(t, "one request waits", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.incarnation.slots.mu.Lock()
-		defer b.incarnation.slots.mu.Unlock()
-		return len(b.incarnation.slots.queue) == 1
+	third := f.dial(t)
+	testpeer.Eventually(t, "one request waiting for the slot", func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.incarnation.slots.mu.Lock()
+		defer f.incarnation.slots.mu.Unlock()
+		return len(f.incarnation.slots.waiters) == 1
 	})
-	id := b.write(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, third); status != 503 || !rejected || b.count(invariant.AttemptRejected, id) != 1 ||
-		b.count(invariant.EffectStarted, id) != 0 {
-		t.Errorf("%d, rejected %v", status, rejected)
+	id := f.write(t, third, readClass, "", time.Millisecond)
+	if status, rejected, _ := readResponse(t, third); status != 503 || !rejected || f.count(invariant.AttemptRejected, id) != 1 ||
+		f.count(invariant.EffectStarted, id) != 0 {
+		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, rejected)
 	}
-	for _, nc := range lines {
-		if status, _, _ := read(t, nc); status != 200 {
-			t.Errorf("accepted request: %d", status)
+	for _, nc := range connections {
+		if status, _, _ := readResponse(t, nc); status != 200 {
+			t.Errorf("accepted request got status %d, want 200", status)
 		}
 	}
 }
 
 func TestDrainingNodeFinishesRequestsAndRejectsNewOnes(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
-	first, second := b.dial(t), b.dial(t)
-	id := b.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
-	b.Drain()
-	b.write(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, second); status != 503 || !rejected {
-		t.Errorf("new request: %d, rejected %v", status, rejected)
+	f := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
+	first, second := f.dial(t), f.dial(t)
+	id := f.write(t, first, readClass, "", 50*time.Millisecond)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	f.Drain()
+	f.write(t, second, readClass, "", time.Millisecond)
+	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
+		t.Errorf("new request got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
-	if status, _, _ := read(t, first); status != 200 {
-		t.Errorf("request in flight: %d", status)
+	if status, _, _ := readResponse(t, first); status != 200 {
+		t.Errorf("request in flight got status %d, want 200", status)
 	}
 }
 
 func TestRequestsOnExcessConnectionsAreRejected(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
-	first := b.dial(t)
-	b.write(t, first, readClass, "", time.Millisecond)
-	read(t, first)
-	second := b.dial(t)
-	b.write(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := read(t, second); status != 503 || !rejected {
-		t.Errorf("%d, rejected %v", status, rejected)
+	f := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
+	first := f.dial(t)
+	f.write(t, first, readClass, "", time.Millisecond)
+	readResponse(t, first)
+	second := f.dial(t)
+	f.write(t, second, readClass, "", time.Millisecond)
+	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
+		t.Errorf("request on the second connection got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
 	if rest, err := io.ReadAll(second); err != nil || len(rest) > 0 {
-		t.Errorf("the connection stays open: %q, %v", rest, err)
+		t.Errorf("read %q and error %v after the rejection, want the end of the connection", rest, err)
 	}
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	b := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
-	nc := b.dial(t)
-	b.write(t, nc, readClass, "", 60*time.Millisecond) // a request in flight is not idle time
-	if status, _, _ := read(t, nc); status != 200 {
-		t.Errorf("%d", status)
+	f := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
+	nc := f.dial(t)
+	f.write(t, nc, readClass, "", 60*time.Millisecond) // longer than the idle timeout, which must not run while a request is in flight
+	if status, _, _ := readResponse(t, nc); status != 200 {
+		t.Errorf("request in flight for longer than the idle timeout got status %d, want 200", status)
 	}
 	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
-		t.Errorf("idle connection: %q, %v", rest, err)
+		t.Errorf("read %q and error %v on the idle connection, want the end of the connection", rest, err)
 	}
-	if b.count(invariant.AttemptAborted, "") != 0 {
-		t.Error("the close is recorded as one by the client")
+	if f.count(invariant.AttemptAborted, "") != 0 {
+		t.Error("the close by the node is recorded as an abort by the client")
 	}
 }
 
 func TestDuplicatesWithinTheWindowAreDropped(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	began := func(id string) (effects, repeats int) {
-		events, _ := b.rec.Events()
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	countStarts := func(id string) (effects, duplicates int) {
+		events, _ := f.recorder.Events()
 		for _, e := range events {
 			if e.Kind == invariant.EffectStarted && e.Request == id && e.Duplicate {
-				repeats++
+				duplicates++
 			} else if e.Kind == invariant.EffectStarted && e.Request == id {
 				effects++
 			}
@@ -211,14 +214,14 @@
 		return
 	}
 	for i, row := range []struct {
-		class   int
-		key     string
-		repeats int
+		class      int
+		key        string
+		duplicates int
 	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
-		id := b.write(t, nc, row.class, row.key, time.Millisecond)
-		read(t, nc)
-		if effects, repeats := began(id); repeats != row.repeats || effects != 1-row.repeats {
-			t.Errorf("request %d: %d effects, %d duplicates", i, effects, repeats)
+		id := f.write(t, nc, row.class, row.key, time.Millisecond)
+		readResponse(t, nc)
+		if effects, duplicates := countStarts(id); duplicates != row.duplicates || effects != 1-row.duplicates {
+			t.Errorf("request %d: %d effects and %d duplicates, want %d and %d", i, effects, duplicates, 1-row.duplicates, row.duplicates)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -226,105 +229,105 @@
 		c.isDuplicate("k", time.Now())
 		time.Sleep(time.Second)
 		if !c.isDuplicate("k", time.Now()) {
-			t.Error("key forgotten at the end of the window")
+			t.Error("the key is forgotten at the end of the window, want it remembered")
 		}
 		time.Sleep(time.Nanosecond)
 		if c.isDuplicate("k", time.Now()) {
-			t.Error("key remembered after the window")
+			t.Error("the key is remembered after the window, want it forgotten")
 		}
 		for i := range 1000 {
 			time.Sleep(10 * time.Millisecond)
 			c.isDuplicate(fmt.Sprint(i), time.Now())
 		}
-		if len(c.seen) > 202 {
-			t.Errorf("%d keys held for two windows of 100", len(c.seen))
+		if len(c.seenAt) > 202 {
+			t.Errorf("%d keys remembered, want at most 202, those of two windows", len(c.seenAt))
 		}
 	})
 }
 
 func TestClientDepartureIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	id := b.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, id) == 1 })
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	id := f.write(t, nc, readClass, "", 50*time.Millisecond)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Eventually(t, "drop recorded", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
-	testpeer.Eventually(t, "request completed", func() bool { return b.count(invariant.AttemptCompleted, id) == 1 })
+	testpeer.Eventually(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Eventually(t, "the request completed", func() bool { return f.count(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	b.SetHangShare(1)
-	nc := b.dial(t)
-	id := b.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Eventually(t, "received", func() bool { return b.count(invariant.AttemptReceived, id) == 1 })
+	f := newNodeFixture(t, nil)
+	f.SetHangFraction(1)
+	nc := f.dial(t)
+	id := f.write(t, nc, readClass, "", time.Millisecond)
+	testpeer.Eventually(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 0 {
-		t.Errorf("hang fault: %v", err)
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 0 {
+		t.Errorf("read error is %v with the hang fault, want one, and no effect started", err)
 	}
 	nc.Close()
-	testpeer.Eventually(t, "dropped", func() bool { return b.count(invariant.AttemptAborted, id) == 1 })
-	b.SetHangShare(0)
-	b.SetResetShare(1)
-	nc = b.dial(t)
-	id = b.write(t, nc, readClass, "", time.Millisecond)
-	if _, err := nc.Read(make([]byte, 1)); err == nil || b.count(invariant.EffectStarted, id) != 1 {
-		t.Errorf("reset fault: %v", err)
+	testpeer.Eventually(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	f.SetHangFraction(0)
+	f.SetResetFraction(1)
+	nc = f.dial(t)
+	id = f.write(t, nc, readClass, "", time.Millisecond)
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 1 {
+		t.Errorf("read error is %v with the reset fault, want one after the effect started", err)
 	}
-	b.SetResetShare(0)
-	b.SetSlowdown(4)
-	nc = b.dial(t)
-	began := time.Now()
-	b.write(t, nc, readClass, "", 50*time.Millisecond)
-	if status, _, _ := read(t, nc); status != 200 || time.Since(began) < 200*time.Millisecond {
-		t.Errorf("slowdown by 4: %d after %v", status, time.Since(began))
+	f.SetResetFraction(0)
+	f.SetSlowdown(4)
+	nc = f.dial(t)
+	startedAt := time.Now()
+	f.write(t, nc, readClass, "", 50*time.Millisecond)
+	if status, _, _ := readResponse(t, nc); status != 200 || time.Since(startedAt) < 200*time.Millisecond {
+		t.Errorf("status %d after %v for 50ms of work slowed by 4, want 200 after at least 200ms", status, time.Since(startedAt))
 	}
 }
 
 func TestCrashResetsConnectionsAndRestartKeepsTheAddress(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	b.write(t, nc, readClass, "", time.Minute)
-	testpeer.Eventually(t, "begun", func() bool { return b.count(invariant.EffectStarted, "") == 1 })
-	addr := b.Addr
-	b.Stop()
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	f.write(t, nc, readClass, "", time.Minute)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, "") == 1 })
+	addr := f.Addr
+	f.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
-		t.Errorf("not a reset: %v", err)
+		t.Errorf("read error is %v after the stop, want a reset", err)
 	}
 	if nc, err := net.Dial("tcp", addr); err == nil {
 		nc.Close()
 		t.Error("the stopped node accepts connections")
 	}
-	if _, err := b.Start(true); err != nil || b.Addr != addr || !b.IsUp() {
-		t.Errorf("%v, at %s, want %s", err, b.Addr, addr)
+	if _, err := f.Start(true); err != nil || f.Addr != addr || !f.IsUp() {
+		t.Errorf("restart at %s, error %v, want %s without an error", f.Addr, err, addr)
 	}
 }
 
-// A request that was in a buffer when its node died must not be recorded: it would stay in flight for good in the timeline,
-// and the next attempt would look like a concurrent one.
+// A request that the node reads from its buffer after it has stopped must not be recorded. It would remain in flight in the
+// timeline, and the next attempt would look like a concurrent one.
 func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	nc := b.dial(t)
-	b.mu.Lock()
-	run := b.incarnation
-	b.mu.Unlock()
-	b.desk.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
-	b.Stop()
-	a := arrival{id: "r1", isFirstOnConnection: true, answered: make(chan bool, 1)}
-	if b.handle(&nodeConnection{Conn: nc, run: run}, a) || b.count(invariant.AttemptReceived, "") != 0 {
-		t.Error("the request is recorded")
+	f := newNodeFixture(t, nil)
+	nc := f.dial(t)
+	f.mu.Lock()
+	inc := f.incarnation
+	f.mu.Unlock()
+	f.registry.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
+	f.Stop()
+	received := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
+	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.count(invariant.AttemptReceived, "") != 0 {
+		t.Error("a request read after the stop was handled or recorded")
 	}
 }
 
 func TestStartOnAnOccupiedPortNamesTheNode(t *testing.T) {
-	b := newNodeFixture(t, nil)
-	b.Stop()
-	l, err := net.Listen("tcp", b.Addr)
+	f := newNodeFixture(t, nil)
+	f.Stop()
+	l, err := net.Listen("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if _, err := b.Start(true); err == nil || !strings.Contains(err.Error(), "n1") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+	if _, err := f.Start(true); err == nil || !strings.Contains(err.Error(), "n1") || strings.Contains(err.Error(), "\n") {
+		t.Errorf("error is %v, want one line that names the node n1", err)
 	}
 }
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -52,9 +52,9 @@
 
 // recordStart records the start of the endpoint in the timeline.
 func (e *endpoint) recordStart() {
-	event := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: coresPerEndpoint * e.speed, ColdCapacityShare: 1}
+	event := invariant.Event{Kind: invariant.NodeStarted, Node: e.id, Capacity: coresPerEndpoint * e.speed, ColdCapacityFraction: 1}
 	if e.startedAt > 0 {
-		event.ColdCapacityShare, event.WarmUpDuration = e.sim.day.SlowStart.InitialCapacity, e.sim.day.SlowStart.Duration
+		event.ColdCapacityFraction, event.WarmUpDuration = e.sim.day.SlowStart.InitialCapacity, e.sim.day.SlowStart.Duration
 	}
 	e.sim.record(event)
 }
@@ -112,7 +112,7 @@
 // receive handles an attempt that has arrived completely. It calls onResult with the result, unless the process is killed before.
 func (e *endpoint) receive(a *attempt, work float64, key string, onResult func(balance.Result)) {
 	sim, incarnation := e.sim, e.incarnation
-	sim.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, First: a.sentAt - epoch, Work: work, Cell: e.cell})
+	sim.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, FirstByteAt: a.sentAt - epoch, Work: work, Cell: e.cell})
 	sim.result.Attempts[e.tier]++
 	e.addColdWork(work)
 	respond := func(result balance.Result, kind invariant.Kind) {
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -167,7 +167,7 @@
 		sim.schedule(wireDelay, func() { onResponse(0) })
 		return
 	}
-	sim.record(invariant.Event{Kind: invariant.RequestSent, Request: req.id, Sidecar: s.name, Class: class, Until: deadline - epoch})
+	sim.record(invariant.Event{Kind: invariant.RequestSent, Request: req.id, Sidecar: s.name, Class: class, Deadline: deadline - epoch})
 	s.requests[req.id] = req
 	incarnation := s.incarnation
 	sim.schedule(max(deadline-sim.now, 0)+responseGrace, func() {
