--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	if c.Length > 0 {
-		if err := day.Cut(c.Length); err != nil {
+		if err := day.SetLength(c.Length); err != nil {
 			return err
 		}
 	}
@@ -126,14 +126,14 @@
 	if err != nil {
 		return nil, err
 	}
-	balancers := append([]string{rehearse.Module}, c.Baselines...)
+	balancers := append([]string{rehearse.OwnBalancer}, c.Baselines...)
 	var results []*rehearse.Result
 	for _, plan := range plans {
 		for _, balancer := range balancers {
 			options := c.options(plan, balancer, executable)
 			bar := newProgressBar(plan, balancer)
 			options.Progress = bar.show
-			result, err := rehearse.Play(ctx, plan, options)
+			result, err := rehearse.Run(ctx, plan, options)
 			bar.finish()
 			if errors.Is(err, context.Canceled) {
 				return nil, verdictError{errors.New("interrupted; everything that was started has ended")}
@@ -151,13 +151,13 @@
 // options returns the options of a run whose sidecars are processes of this program. The balancer is rehearse.Module or the
 // name of a baseline picker.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
-	isModule := balancer == rehearse.Module
-	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, Serve: c.UseServeCommand && isModule}
+	isModule := balancer == rehearse.OwnBalancer
+	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, UsesOperatorsFile: c.UseServeCommand && isModule}
 	if !isModule {
 		options.Command = func() *exec.Cmd { return exec.Command(executable, "plain", balancer) }
 	}
 	if c.LogDir != "" {
-		options.Logs = filepath.Join(c.LogDir, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.Demand, balancer))
+		options.LogDir = filepath.Join(c.LogDir, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.DemandFactor, balancer))
 	}
 	return options
 }
@@ -175,7 +175,7 @@
 	if err := files.write(results); err != nil {
 		return verdictError{err}
 	}
-	moduleResults := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.Module })
+	moduleResults := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.OwnBalancer })
 	for _, r := range moduleResults {
 		switch {
 		case !r.Valid:
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -34,11 +34,11 @@
 		return
 	}
 	servedFraction := 1.0 // value served in time over value offered so far
-	if s.Offered > 0 {
-		servedFraction = s.InTime / s.Offered
+	if s.OfferedValue > 0 {
+		servedFraction = s.InTimeValue / s.OfferedValue
 	}
-	b.bar.Describe(fmt.Sprintf("worth %.3f, %3d in flight, %3.0f s", servedFraction, s.InFlight, s.At.Seconds()))
-	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds()) // an error only means that the bar is not drawn
+	b.bar.Describe(fmt.Sprintf("worth %.3f, %3d in flight, %3.0f s", servedFraction, s.InFlight, s.Elapsed.Seconds()))
+	_ = b.bar.Set64(min(s.Elapsed, s.Length).Milliseconds()) // an error only means that the bar is not drawn
 }
 
 // finish clears the bar.
--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -89,7 +89,7 @@
 // faultBands draws a band behind the plot for each fault.
 func (c *chart) faultBands(r *Result) {
 	for _, fault := range r.Faults {
-		x, end := c.x(fault.At.Seconds()), c.x((fault.At + fault.For).Seconds())
+		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
 		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`,
 			fault.Kind, x, max(end-x, 1), chartTop, c.height-chartTop-chartBottom)
 	}
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -37,9 +37,9 @@
 	deadline := due.Add(class.Deadline)
 	defer func() {
 		o.duration = time.Since(due)
-		r.offeredWorth.Add(int64(1000 * request.Worth))
+		r.offeredWorth.Add(int64(1000 * request.Value))
 		if o.isInTime(r.plan.Day.Classes[request.Class].LatencyObjective) {
-			r.inTimeWorth.Add(int64(1000 * request.Worth))
+			r.inTimeWorth.Add(int64(1000 * request.Value))
 		}
 	}()
 	for {
@@ -56,7 +56,7 @@
 		}
 		isRejected := isRejection(out.Status)
 		mayHaveRun := class.Effect != invariant.Safe && out.IsAccepted && !isRejected
-		if out.HasLeft || o.attempts > request.Retries || mayHaveRun {
+		if out.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
 			return
 		}
 		pause := request.Backoff
@@ -75,7 +75,7 @@
 		ID:      r.newID("try"),
 		Class:   request.Class,
 		Tenant:  r.plan.Day.Tenants[request.Tenant].Name,
-		Key:     request.Key,
+		Key:     request.IdempotencyKey,
 		Retry:   attempts > 0,
 		Job:     request.Job,
 		Timeout: timeout,
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -34,18 +34,18 @@
 	members   map[string]*clusterMember // by the sidecar's name; not written to after buildCluster
 	pollers   sync.WaitGroup
 
-	mu           sync.Mutex
-	events       []clusterinvariant.Event
-	acts         []clusterinvariant.VersionReport
-	activeFaults int
+	mu             sync.Mutex
+	events         []clusterinvariant.Event
+	versionReports []clusterinvariant.VersionReport
+	activeFaults   int
 }
 
 // clusterMember is what a sidecar needs to be a member of the cluster.
 type clusterMember struct {
-	clockEnv    string // sets the rate of its clock in the environment; empty: it is the machine's
-	incarnation int    // of its process; guarded by cluster.mu
-	config      string // the part of its operators' file: admin_addr and [fleet]
-	adminAddr   string
+	clockRateEnv string // sets the rate of its clock in the environment; empty: it is the machine's
+	incarnation  int    // of its process; guarded by cluster.mu
+	configText   string // the part of its operators' file: admin_addr and [fleet]
+	adminAddr    string
 }
 
 // buildCluster makes the sidecars before the first tier members of a cluster, if the day has one.
@@ -58,7 +58,7 @@
 	r.cluster = c
 	var listens, advertised []netip.AddrPort
 	var voters []string
-	for i := range r.plan.Sidecars {
+	for i := range r.plan.SidecarCount {
 		addr, err := freeLoopbackAddr(firstClusterAddr + i)
 		if err != nil {
 			return err
@@ -73,7 +73,7 @@
 			voters = append(voters, fmt.Sprintf("%q", sidecarName(i)))
 		}
 	}
-	for i := range r.plan.Sidecars {
+	for i := range r.plan.SidecarCount {
 		name := sidecarName(i)
 		admin, err := freeLoopbackAddr(firstClusterAddr + i)
 		if err != nil {
@@ -82,9 +82,9 @@
 		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
 			admin, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2],
 			strings.Join(voters, ", "))
-		member := &clusterMember{config: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
+		member := &clusterMember{configText: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
 		if config.ClockRate.Hi > 0 {
-			member.clockEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawShare("clock", name)))
+			member.clockRateEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawFractionFor("clock", name)))
 		}
 		c.members[name] = member
 	}
@@ -120,8 +120,8 @@
 	return c.members[name]
 }
 
-// recordFact records what was done to a sidecar's process.
-func (c *cluster) recordFact(kind clusterinvariant.Kind, sidecar string) {
+// recordProcessEvent records what was done to a sidecar's process.
+func (c *cluster) recordProcessEvent(kind clusterinvariant.Kind, sidecar string) {
 	if c == nil {
 		return
 	}
@@ -142,10 +142,10 @@
 }
 
 // beginFault records that a fault of links or processes is active, and endFault that it is over.
-func (c *cluster) beginFault() { c.countFault(1) }
-func (c *cluster) endFault()   { c.countFault(-1) }
+func (c *cluster) beginFault() { c.changeActiveFaults(1) }
+func (c *cluster) endFault()   { c.changeActiveFaults(-1) }
 
-func (c *cluster) countFault(change int) {
+func (c *cluster) changeActiveFaults(change int) {
 	if c == nil {
 		return
 	}
@@ -163,12 +163,12 @@
 
 // inject injects a fault of links when it is due. When ctx ends, the links are well again.
 func (c *cluster) inject(ctx context.Context, start time.Time, fault LinkFault) {
-	if !sleep(ctx, time.Until(start.Add(fault.At))) {
+	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
 		return
 	}
 	c.beginFault()
 	defer c.endFault()
-	end := time.Now().Add(fault.For)
+	end := time.Now().Add(fault.Duration)
 	for isActive := true; time.Until(end) > 0; isActive = !isActive {
 		link := faultnet.Link{}
 		if isActive {
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -32,8 +32,8 @@
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file gives it.
 type LinkFaultSpec struct {
 	Kind        string                 `toml:"kind"`
-	At          tomlfile.DurationRange `toml:"at"`
-	For         tomlfile.DurationRange `toml:"for"`
+	Start       tomlfile.DurationRange `toml:"at"`
+	Duration    tomlfile.DurationRange `toml:"for"`
 	Parts       int                    `toml:"parts"`  // of the sidecars, drawn; the fault hits what passes between them
 	IsolatesOne bool                   `toml:"alone"`  // one sidecar against all others, in place of Parts
 	HasBridge   bool                   `toml:"bridge"` // one sidecar reaches all others
@@ -54,7 +54,8 @@
 // LinkFault is a LinkFaultSpec with all that it draws. The tags are the names of printed plans.
 type LinkFault struct {
 	Kind      string
-	At, For   time.Duration
+	Start     time.Duration `json:"At"`
+	Duration  time.Duration `json:"For"`
 	Parts     [][]string
 	IsOneWay  bool          `json:"OneWay"`
 	Period    time.Duration `json:"Every"` // 0: without a break
@@ -89,8 +90,8 @@
 		if err := f.Check(fmt.Sprintf("link_trouble[%d]", i), []tomlfile.Requirement{
 			tomlfile.Require("kind", isKnown, "cut, reset, loss, duplicate or delay"),
 			tomlfile.Require("kind", d.Cluster != nil, "of a day with a fleet"),
-			tomlfile.Require("at", spec.At.Hi < d.Length, "before the day's end"),
-			tomlfile.Require("for", spec.For.Lo > 0, "over 0"),
+			tomlfile.Require("at", spec.Start.Hi < d.Length, "before the day's end"),
+			tomlfile.Require("for", spec.Duration.Lo > 0, "over 0"),
 			tomlfile.Require("parts", hasValidParts, "2 at least, one sidecar each, and not beside alone"),
 			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 where the trouble has a size, and only there"),
 			tomlfile.Require("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a share"),
@@ -102,9 +103,9 @@
 }
 
 func (p *Plan) drawLinkFaults() {
-	rng := newSource(p.Seed, sourceLinkFaults)
+	rng := newRand(p.Seed, sourceLinkFaults)
 	for _, spec := range p.Day.LinkFaults {
-		fault := LinkFault{Kind: spec.Kind, At: spec.At.At(rng.Float64()), For: spec.For.At(rng.Float64()),
+		fault := LinkFault{Kind: spec.Kind, Start: spec.Start.At(rng.Float64()), Duration: spec.Duration.At(rng.Float64()),
 			IsOneWay: spec.IsOneWay, Period: spec.Period.At(rng.Float64()), Magnitude: spec.Magnitude.At(rng.Float64())}
 		fault.Parts = p.partition(rng, spec)
 		p.LinkFaults = append(p.LinkFaults, fault)
@@ -114,7 +115,7 @@
 // partition divides the sidecars into the parts of a link fault; where it names none, each sidecar is a part.
 func (p *Plan) partition(rng *rand.Rand, spec LinkFaultSpec) [][]string {
 	var names []string
-	for _, i := range rng.Perm(p.Sidecars) {
+	for _, i := range rng.Perm(p.SidecarCount) {
 		names = append(names, sidecarName(i))
 	}
 	if spec.HasBridge {
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -77,8 +77,8 @@
 		act := clusterinvariant.VersionReport{RequestedAt: sentAt, ReportedAt: c.rehearsal.recorder.Now(), Daemon: name, Incarnation: incarnation,
 			Version: s.ActiveVersion, Digest: fmt.Sprint(s.Documents)}
 		c.mu.Lock()
-		if incarnation == member.incarnation && len(c.acts) < maxClusterEvents {
-			c.acts = append(c.acts, act)
+		if incarnation == member.incarnation && len(c.versionReports) < maxClusterEvents {
+			c.versionReports = append(c.versionReports, act)
 		}
 		c.mu.Unlock()
 	}
@@ -90,7 +90,7 @@
 	hosts := c.rehearsal.hosts[0]
 	endpoint := hosts[len(hosts)-1].plan.Spec.ID
 	for n := 0; c.sleep(done, overrideInterval); n++ {
-		drawn := int(c.rehearsal.drawHash("hands", fmt.Sprint(n)) % uint64(len(c.members)))
+		drawn := int(c.rehearsal.drawUint64For("hands", fmt.Sprint(n)) % uint64(len(c.members)))
 		command := []string{"set-down", "set-up"}[n%2]
 		if conn, err := net.DialTimeout("tcp", c.members[sidecarName(drawn)].adminAddr, clusterPollTimeout); err == nil {
 			_ = conn.SetDeadline(time.Now().Add(clusterPollTimeout))
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -15,23 +15,23 @@
 
 // ClusterResult is what a day with a cluster showed of it.
 type ClusterResult struct {
-	Held             bool                `json:"held"`
-	Rules            []ClusterRuleResult `json:"rules"`
-	DetectionSeconds float64             `json:"detect_s"` // the longest until all others knew of a failure
-	SettleSeconds    float64             `json:"settle_s"` // the longest after the last fault until all views were right
-	Events           int                 `json:"events"`
+	Held                      bool                `json:"held"`
+	Rules                     []ClusterRuleResult `json:"rules"`
+	SlowestDetectionSeconds   float64             `json:"detect_s"` // the longest until all others knew of a failure
+	SlowestConvergenceSeconds float64             `json:"settle_s"` // the longest after the last fault until all views were right
+	Events                    int                 `json:"events"`
 
-	Acts                 int     `json:"acts,omitempty"`            // polls of a sidecar that held a lease on a version
-	Versions             int     `json:"versions,omitempty"`        // that were acted on
-	ContradictionSeconds float64 `json:"contradiction_s,omitempty"` // the longest that is certain
+	VersionReports              int     `json:"acts,omitempty"`            // polls of a sidecar that held a lease on a version
+	Versions                    int     `json:"versions,omitempty"`        // that were acted on
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // the longest that is certain
 }
 
 // ClusterRuleResult is the finding on one rule of a cluster.
 type ClusterRuleResult struct {
-	Name       string                       `json:"name"`
-	Verdict    string                       `json:"verdict"` // held, broken or not put to the test
-	Tests      int                          `json:"tests"`
-	Violations []clusterinvariant.Violation `json:"breaches"`
+	Name            string                       `json:"name"`
+	Verdict         string                       `json:"verdict"` // held, broken or not put to the test
+	TestedOccasions int                          `json:"tests"`
+	Violations      []clusterinvariant.Violation `json:"breaches"`
 }
 
 // check checks the timeline of the cluster against its rules; nil: the day has no cluster. Instants are relative to the
@@ -46,14 +46,14 @@
 	config := c.rehearsal.plan.Day.Cluster
 	verdict := clusterinvariant.CheckMembership(c.events, clusterinvariant.Limits{DetectWithin: config.DetectWithin,
 		SettleWithin: config.SettleWithin, End: end})
-	result := &ClusterResult{DetectionSeconds: verdict.SlowestDetection.Seconds(), SettleSeconds: verdict.SlowestConvergence.Seconds(),
+	result := &ClusterResult{SlowestDetectionSeconds: verdict.SlowestDetection.Seconds(), SlowestConvergenceSeconds: verdict.SlowestConvergence.Seconds(),
 		Events: len(c.events)}
 	rules := clusterinvariant.MembershipRules
 	if config.HasConsensus {
-		slices.SortStableFunc(c.acts, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
-		versions := clusterinvariant.CheckVersions(c.acts, maxConflictDuration)
-		result.Acts, result.Versions = versions.Reports, versions.Versions
-		result.ContradictionSeconds = versions.LongestContradiction.Seconds()
+		slices.SortStableFunc(c.versionReports, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
+		versions := clusterinvariant.CheckVersions(c.versionReports, maxConflictDuration)
+		result.VersionReports, result.Versions = versions.Reports, versions.Versions
+		result.LongestContradictionSeconds = versions.LongestContradiction.Seconds()
 		verdict.Violations = append(verdict.Violations, versions.Violations...)
 		rules = append(slices.Clone(rules), clusterinvariant.VersionRules...)
 		for _, rule := range clusterinvariant.VersionRules {
@@ -62,7 +62,7 @@
 	}
 	result.Held = len(verdict.Violations) == 0
 	for _, rule := range rules {
-		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", Tests: verdict.TestedOccasions[rule],
+		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", TestedOccasions: verdict.TestedOccasions[rule],
 			Violations: []clusterinvariant.Violation{}}
 		for _, violation := range verdict.Violations {
 			if violation.Rule == rule && len(finding.Violations) < maxReportedViolations {
@@ -73,7 +73,7 @@
 		switch {
 		case len(finding.Violations) > 0:
 			finding.Verdict = "broken"
-		case finding.Tests == 0:
+		case finding.TestedOccasions == 0:
 			finding.Verdict = "not put to the test"
 		}
 		result.Rules = append(result.Rules, finding)
@@ -87,16 +87,16 @@
 		return
 	}
 	for _, rule := range r.Rules {
-		fmt.Fprintf(b, "fleet   %s: %s (%d)\n", rule.Name, rule.Verdict, rule.Tests)
+		fmt.Fprintf(b, "fleet   %s: %s (%d)\n", rule.Name, rule.Verdict, rule.TestedOccasions)
 		for _, violation := range rule.Violations[:min(len(rule.Violations), 3)] {
 			fmt.Fprintf(b, "  at %.3f s: %s\n", violation.At.Seconds(), violation.Text)
 		}
 	}
-	if r.Acts > 0 {
+	if r.VersionReports > 0 {
 		fmt.Fprintf(b, "fleet   %d versions acted on, %d acts; the longest contradiction that is certain %.2f s of %v\n",
-			r.Versions, r.Acts, r.ContradictionSeconds, maxConflictDuration)
+			r.Versions, r.VersionReports, r.LongestContradictionSeconds, maxConflictDuration)
 	}
 	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, "+
 		"until views were right after the last fault %.1f s\n",
-		r.DetectionSeconds, r.SettleSeconds)
+		r.SlowestDetectionSeconds, r.SlowestConvergenceSeconds)
 }
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -25,10 +25,10 @@
 	Length time.Duration `toml:"length"` // of the arrivals; the day ends when the last request is decided
 
 	Load struct {
-		Utilization    tomlfile.NumberRange `toml:"use"`              // share of the nodes' capacity that is asked for
-		OverQuotaWorth float64              `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
-		Quota          tomlfile.NumberRange `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
-		HasCostHints   bool                 `toml:"hints"`            // clients send a rough guess at the work
+		Utilization          tomlfile.NumberRange `toml:"use"`              // share of the nodes' capacity that is asked for
+		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
+		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
+		HasCostHints         bool                 `toml:"hints"`            // clients send a rough guess at the work
 	} `toml:"load"`
 	Sidecars struct {
 		Count    tomlfile.NumberRange `toml:"count"` // before the first tier; each node of a tier with one behind has its own
@@ -36,31 +36,31 @@
 		MemoryMB int                  `toml:"memory_mb"`
 		Sockets  int                  `toml:"sockets"`
 	} `toml:"sidecars"`
-	Front struct {
-		Notice tomlfile.DurationRange `toml:"notice"` // the front layer sends to a dead sidecar for so long
+	FrontLayer struct {
+		RemovalDelay tomlfile.DurationRange `toml:"notice"` // the front layer sends to a dead sidecar for so long
 	} `toml:"front"`
 	Discovery struct {
-		Notice tomlfile.DurationRange `toml:"notice"` // until a sidecar is notified that a node drains or is gone
-		Add    tomlfile.DurationRange `toml:"add"`    // until it is notified that a node has started
-		Spread tomlfile.DurationRange `toml:"spread"` // added for each sidecar
+		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // until a sidecar is notified that a node drains or is gone
+		AdditionDelay tomlfile.DurationRange `toml:"add"`    // until it is notified that a node has started
+		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // added for each sidecar
 	} `toml:"roster"`
 	Clients struct {
-		Retries               tomlfile.NumberRange   `toml:"retries"`
-		AttemptTimeoutShare   tomlfile.NumberRange   `toml:"try_share"` // of the class's deadline, after which an attempt is given up
-		ImmediateRetryShare   float64                `toml:"at_once"`   // of clients that retry at once; the others after Backoff
-		Backoff               tomlfile.DurationRange `toml:"backoff"`
-		HonourRetryAfterShare tomlfile.NumberRange   `toml:"honour"`  // of clients that honour Retry-After
-		LeaveShare            tomlfile.NumberRange   `toml:"hang_up"` // of requests whose client leaves early
-		ConnectionLifetime    tomlfile.DurationRange `toml:"keep"`    // of a client's connection; 0: unlimited
+		Retries                  tomlfile.NumberRange   `toml:"retries"`
+		AttemptTimeoutFraction   tomlfile.NumberRange   `toml:"try_share"` // of the class's deadline, after which an attempt is given up
+		ImmediateRetryFraction   float64                `toml:"at_once"`   // of clients that retry at once; the others after Backoff
+		Backoff                  tomlfile.DurationRange `toml:"backoff"`
+		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`  // of clients that honour Retry-After
+		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"` // of requests whose client leaves early
+		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`    // of a client's connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
-		Attempts      int           `toml:"attempts"`
-		MaxRetryAfter time.Duration `toml:"max_retry_after"`
-		Slack         time.Duration `toml:"slack"` // tolerance of each time limit
-		DrainGrace    time.Duration `toml:"drain_grace"`
-		FallMultiple  float64       `toml:"fall_multiple"` // of what a warming node can do, beyond which it collapses,
-		FallAfter     time.Duration `toml:"fall_after"`    // over this time
-		DialTimeout   time.Duration `toml:"dial_timeout"`
+		MaxAttempts        int           `toml:"attempts"`
+		MaxRetryAfter      time.Duration `toml:"max_retry_after"`
+		Tolerance          time.Duration `toml:"slack"` // tolerance of each time limit
+		DrainGrace         time.Duration `toml:"drain_grace"`
+		ColdOverloadFactor float64       `toml:"fall_multiple"` // of what a warming node can do, beyond which it collapses,
+		ColdOverloadWindow time.Duration `toml:"fall_after"`    // over this time
+		DialTimeout        time.Duration `toml:"dial_timeout"`
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
 	Classes []Class     `toml:"class"`
@@ -73,29 +73,29 @@
 
 // Tier is a tier of nodes. A request at one tier calls the next, one call after another.
 type Tier struct {
-	Name           string                 `toml:"name"`
-	Nodes          tomlfile.NumberRange   `toml:"nodes"`
-	WorkShare      float64                `toml:"work"`  // share of a class's work that one call takes here
-	Calls          tomlfile.NumberRange   `toml:"calls"` // that a request of the tier before makes here, on average
-	CellSize       tomlfile.NumberRange   `toml:"cell"`  // nodes that drop duplicates together
-	MaxConnections int                    `toml:"conns"` // of a node; 0: no limit
-	HandshakeWork  tomlfile.DurationRange `toml:"handshake"`
-	IdleTimeout    tomlfile.DurationRange `toml:"idle"`
-	ErrorRate      tomlfile.NumberRange   `toml:"errors"` // share of requests that a node answers with 500
-	Kinds          []NodeKind             `toml:"kind"`
-	Overload       *OverloadRange         `toml:"choke"` // nil: overload does not slow the nodes
+	Name            string                 `toml:"name"`
+	Nodes           tomlfile.NumberRange   `toml:"nodes"`
+	WorkFraction    float64                `toml:"work"`  // share of a class's work that one call takes here
+	CallsPerRequest tomlfile.NumberRange   `toml:"calls"` // that a request of the tier before makes here, on average
+	CellSize        tomlfile.NumberRange   `toml:"cell"`  // nodes that drop duplicates together
+	MaxConnections  int                    `toml:"conns"` // of a node; 0: no limit
+	HandshakeWork   tomlfile.DurationRange `toml:"handshake"`
+	IdleTimeout     tomlfile.DurationRange `toml:"idle"`
+	ErrorRate       tomlfile.NumberRange   `toml:"errors"` // share of requests that a node answers with 500
+	Kinds           []NodeKind             `toml:"kind"`
+	Overload        *OverloadRange         `toml:"choke"` // nil: overload does not slow the nodes
 }
 
 // NodeKind is a kind of node, from which the nodes of a tier are drawn.
 type NodeKind struct {
-	Name              string                 `toml:"name"`
-	Share             float64                `toml:"share"` // of the tier's nodes, as a relative weight
-	Cores             int                    `toml:"cores"`
-	Speed             tomlfile.NumberRange   `toml:"speed"` // of a core
-	Slots             tomlfile.NumberRange   `toml:"slots"` // for each core
-	QueueLimit        tomlfile.NumberRange   `toml:"room"`  // for each core
-	ColdCapacityShare tomlfile.NumberRange   `toml:"cold_from"`
-	WarmUpDuration    tomlfile.DurationRange `toml:"cold_for"`
+	Name                 string                 `toml:"name"`
+	Proportion           float64                `toml:"share"` // of the tier's nodes, as a relative weight
+	Cores                int                    `toml:"cores"`
+	Speed                tomlfile.NumberRange   `toml:"speed"` // of a core
+	Slots                tomlfile.NumberRange   `toml:"slots"` // for each core
+	QueueLimit           tomlfile.NumberRange   `toml:"room"`  // for each core
+	ColdCapacityFraction tomlfile.NumberRange   `toml:"cold_from"`
+	WarmUpDuration       tomlfile.DurationRange `toml:"cold_for"`
 }
 
 // OverloadRange is the range of a fake.OverloadSpec.
@@ -113,49 +113,49 @@
 	Name             string                 `toml:"name"`
 	Effect           string                 `toml:"effect"` // safe, keyed or unsafe
 	Window           time.Duration          `toml:"window"` // for keyed: the nodes of a cell drop a duplicate within it
-	Share            float64                `toml:"share"`  // of the requests, as a relative weight
+	Proportion       float64                `toml:"share"`  // of the requests, as a relative weight
 	Work             tomlfile.DurationRange `toml:"work"`   // on a core of speed 1, on average
-	Wait             tomlfile.DurationRange `toml:"wait"`   // on others, at each node that a request comes to
+	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // on others, at each node that a request comes to
 	WorkVariation    float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
 	LatencyObjective time.Duration          `toml:"aim"`
 	Deadline         time.Duration          `toml:"deadline"`
-	Worth            float64                `toml:"worth"` // for each second of work
+	PriorityWeight   float64                `toml:"worth"` // for each second of work
 }
 
 // Tenant is one of the parties that share the nodes.
 type Tenant struct {
-	Name  string               `toml:"name"`
-	Share float64              `toml:"share"` // of the quota, as a relative weight
-	Usage tomlfile.NumberRange `toml:"usage"` // of its share that it asks for
+	Name           string               `toml:"name"`
+	Proportion     float64              `toml:"share"` // of the quota, as a relative weight
+	DemandFraction tomlfile.NumberRange `toml:"usage"` // of its share that it asks for
 }
 
 // FaultSpec is a fault, as a day's file gives it.
 type FaultSpec struct {
-	Kind      string                 `toml:"kind"`
-	At        tomlfile.DurationRange `toml:"at"`
-	For       tomlfile.DurationRange `toml:"for"`
-	Share     tomlfile.NumberRange   `toml:"share"` // of the nodes or sidecars that are hit, at least one
-	Magnitude tomlfile.NumberRange   `toml:"size"`  // see faultKinds
-	Tier      string                 `toml:"tier"`  // empty: the first
-	Mode      string                 `toml:"how"`   // see faultModes
-	DownFor   tomlfile.DurationRange `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
+	Kind           string                 `toml:"kind"`
+	Start          tomlfile.DurationRange `toml:"at"`
+	Duration       tomlfile.DurationRange `toml:"for"`
+	TargetFraction tomlfile.NumberRange   `toml:"share"` // of the nodes or sidecars that are hit, at least one
+	Magnitude      tomlfile.NumberRange   `toml:"size"`  // see faultKinds
+	Tier           string                 `toml:"tier"`  // empty: the first
+	Mode           string                 `toml:"how"`   // see faultModes
+	Downtime       tomlfile.DurationRange `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
 }
 
-// faultNeeds says what a kind of fault hits, and which of its optional fields it has.
-type faultNeeds struct{ nodes, sidecars, magnitude, down bool }
+// faultTraits says what a kind of fault hits, and which of its optional fields it has.
+type faultTraits struct{ hitsNodes, hitsSidecars, hasMagnitude, hasDowntime bool }
 
 // faultKinds are the kinds of faults. The magnitude has a meaning of its own with each.
-var faultKinds = map[string]faultNeeds{
-	"slow":        {nodes: true, magnitude: true}, // magnitude: factor by which nodes are slower
-	"crash":       {nodes: true},                  // nodes die together, and come back cold after For
-	"drain":       {nodes: true, down: true},      // nodes drain, stop after For, and come back cold after DownFor
-	"hang":        {nodes: true, magnitude: true}, // magnitude: share of requests received and never answered
-	"reset":       {nodes: true, magnitude: true}, // magnitude: share of requests executed and the connection reset
-	"restart":     {sidecars: true, down: true},   // sidecars before the first tier restart, one after another over For
-	"stall":       {sidecars: true},               // sidecars before the first tier are paused
-	"roster-late": {magnitude: true},              // magnitude: seconds added to the delay of notifications
-	"roster-down": {},                             // discovery is down
-	"surge":       {magnitude: true},              // magnitude: factor on the demand
+var faultKinds = map[string]faultTraits{
+	"slow":        {hitsNodes: true, hasMagnitude: true},   // magnitude: factor by which nodes are slower
+	"crash":       {hitsNodes: true},                       // nodes die together, and come back cold after For
+	"drain":       {hitsNodes: true, hasDowntime: true},    // nodes drain, stop after For, and come back cold after DownFor
+	"hang":        {hitsNodes: true, hasMagnitude: true},   // magnitude: share of requests received and never answered
+	"reset":       {hitsNodes: true, hasMagnitude: true},   // magnitude: share of requests executed and the connection reset
+	"restart":     {hitsSidecars: true, hasDowntime: true}, // sidecars before the first tier restart, one after another over For
+	"stall":       {hitsSidecars: true},                    // sidecars before the first tier are paused
+	"roster-late": {hasMagnitude: true},                    // magnitude: seconds added to the delay of notifications
+	"roster-down": {},                                      // discovery is down
+	"surge":       {hasMagnitude: true},                    // magnitude: factor on the demand
 }
 
 // faultModes are the modes of the kinds that have one. A node comes back under the same ID, which is the default, or renamed
@@ -194,17 +194,17 @@
 // defaults is a day with what a file may leave out: the limits of the rules, and the resources of a small sidecar.
 func defaults() *Day {
 	d := &Day{}
-	d.Load.OverQuotaWorth = 0.05
-	d.Load.Quota = tomlfile.NumberRange{Lo: 0.8, Hi: 0.8}
+	d.Load.OverQuotaValueFactor = 0.05
+	d.Load.TotalQuotaFraction = tomlfile.NumberRange{Lo: 0.8, Hi: 0.8}
 	d.Sidecars.Count = tomlfile.NumberRange{Lo: 1, Hi: 1}
 	d.Sidecars.Cores, d.Sidecars.MemoryMB, d.Sidecars.Sockets = 1, 192, 1024
-	d.Clients.AttemptTimeoutShare = tomlfile.NumberRange{Lo: 0.5, Hi: 0.5}
-	d.Rules.Attempts = 4
+	d.Clients.AttemptTimeoutFraction = tomlfile.NumberRange{Lo: 0.5, Hi: 0.5}
+	d.Rules.MaxAttempts = 4
 	d.Rules.MaxRetryAfter = 2 * time.Second
-	d.Rules.Slack = 50 * time.Millisecond
+	d.Rules.Tolerance = 50 * time.Millisecond
 	d.Rules.DrainGrace = 500 * time.Millisecond
-	d.Rules.FallMultiple = 4
-	d.Rules.FallAfter = 3 * time.Second
+	d.Rules.ColdOverloadFactor = 4
+	d.Rules.ColdOverloadWindow = 3 * time.Second
 	d.Rules.DialTimeout = 200 * time.Millisecond
 	return d
 }
@@ -219,8 +219,8 @@
 	return -1
 }
 
-// Cut makes the day shorter or longer, from a second to an hour. Its faults keep their places, as shares of its length.
-func (d *Day) Cut(length time.Duration) error {
+// SetLength makes the day shorter or longer, from a second to an hour. Its faults keep their places, as shares of its length.
+func (d *Day) SetLength(length time.Duration) error {
 	if length < time.Second || length > maxLength {
 		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
 	}
@@ -230,11 +230,11 @@
 	}
 	for i := range d.Faults {
 		fault := &d.Faults[i]
-		fault.At, fault.For = stretch(fault.At), stretch(fault.For)
+		fault.Start, fault.Duration = stretch(fault.Start), stretch(fault.Duration)
 	}
 	for i := range d.LinkFaults {
 		fault := &d.LinkFaults[i]
-		fault.At, fault.For = stretch(fault.At), stretch(fault.For)
+		fault.Start, fault.Duration = stretch(fault.Start), stretch(fault.Duration)
 	}
 	d.Length = length
 	return nil
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -15,8 +15,8 @@
 	maxTiers  = 5
 )
 
-// isShare reports whether a range lies within 0 and 1.
-func isShare(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
+// isFraction reports whether a range lies within 0 and 1.
+func isFraction(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
 func (d *Day) checkHead(f *tomlfile.File) error {
 	return f.Check("", []tomlfile.Requirement{
@@ -24,22 +24,22 @@
 		tomlfile.Require("name", d.Name != "", "a name"),
 		tomlfile.Require("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
 		tomlfile.Require("load.use", d.Load.Utilization.Lo > 0 && d.Load.Utilization.Hi <= 10, "over 0, and 10 at most"),
-		tomlfile.Require("load.quota", d.Load.Quota.Lo > 0, "over 0"),
-		tomlfile.Require("load.over_share_worth", d.Load.OverQuotaWorth >= 0 && d.Load.OverQuotaWorth <= 1, "from 0 to 1"),
+		tomlfile.Require("load.quota", d.Load.TotalQuotaFraction.Lo > 0, "over 0"),
+		tomlfile.Require("load.over_share_worth", d.Load.OverQuotaValueFactor >= 0 && d.Load.OverQuotaValueFactor <= 1, "from 0 to 1"),
 		tomlfile.Require("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
 		tomlfile.Require("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
 		tomlfile.Require("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
 		tomlfile.Require("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
 		tomlfile.Require("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
-		tomlfile.Require("clients.try_share", d.Clients.AttemptTimeoutShare.Lo > 0 && isShare(d.Clients.AttemptTimeoutShare),
+		tomlfile.Require("clients.try_share", d.Clients.AttemptTimeoutFraction.Lo > 0 && isFraction(d.Clients.AttemptTimeoutFraction),
 			"over 0, and 1 at most"),
-		tomlfile.Require("clients.at_once", d.Clients.ImmediateRetryShare >= 0 && d.Clients.ImmediateRetryShare <= 1, "from 0 to 1"),
-		tomlfile.Require("clients.honour", isShare(d.Clients.HonourRetryAfterShare), "from 0 to 1"),
-		tomlfile.Require("clients.hang_up", isShare(d.Clients.LeaveShare), "from 0 to 1"),
-		tomlfile.Require("rules.attempts", d.Rules.Attempts >= 1, "1 at least"),
+		tomlfile.Require("clients.at_once", d.Clients.ImmediateRetryFraction >= 0 && d.Clients.ImmediateRetryFraction <= 1, "from 0 to 1"),
+		tomlfile.Require("clients.honour", isFraction(d.Clients.HonourRetryAfterFraction), "from 0 to 1"),
+		tomlfile.Require("clients.hang_up", isFraction(d.Clients.EarlyLeaveFraction), "from 0 to 1"),
+		tomlfile.Require("rules.attempts", d.Rules.MaxAttempts >= 1, "1 at least"),
 		tomlfile.Require("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
-		tomlfile.Require("rules.fall_multiple", d.Rules.FallMultiple > 0, "over 0"),
-		tomlfile.Require("rules.fall_after", d.Rules.FallAfter > 0, "over 0"),
+		tomlfile.Require("rules.fall_multiple", d.Rules.ColdOverloadFactor > 0, "over 0"),
+		tomlfile.Require("rules.fall_after", d.Rules.ColdOverloadWindow > 0, "over 0"),
 	})
 }
 
@@ -51,8 +51,8 @@
 	for i := range d.Tiers {
 		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
 		sum += t.Nodes.Hi
-		if t.Calls.Hi == 0 {
-			t.Calls = tomlfile.NumberRange{Lo: 1, Hi: 1}
+		if t.CallsPerRequest.Hi == 0 {
+			t.CallsPerRequest = tomlfile.NumberRange{Lo: 1, Hi: 1}
 		}
 		if t.CellSize.Hi == 0 {
 			t.CellSize = tomlfile.NumberRange{Lo: 4, Hi: 4}
@@ -61,10 +61,10 @@
 			tomlfile.Require("name", t.Name != "", "a name"),
 			tomlfile.Require("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes,
 				fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
-			tomlfile.Require("work", t.WorkShare > 0, "over 0"),
-			tomlfile.Require("calls", t.Calls.Lo >= 1 && t.Calls.Hi <= 10, "from 1 to 10"),
+			tomlfile.Require("work", t.WorkFraction > 0, "over 0"),
+			tomlfile.Require("calls", t.CallsPerRequest.Lo >= 1 && t.CallsPerRequest.Hi <= 10, "from 1 to 10"),
 			tomlfile.Require("cell", t.CellSize.Lo >= 1, "1 at least"),
-			tomlfile.Require("errors", isShare(t.ErrorRate), "from 0 to 1"),
+			tomlfile.Require("errors", isFraction(t.ErrorRate), "from 0 to 1"),
 			tomlfile.Require("kind", len(t.Kinds) > 0, "given"),
 		}); err != nil {
 			return err
@@ -80,7 +80,7 @@
 				tomlfile.Require("at", c.Threshold.Lo > 0, "over 0"),
 				tomlfile.Require("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
 				tomlfile.Require("slower", c.Slowdown.Lo >= 1, "1 at least"),
-				tomlfile.Require("below", isShare(c.IdleBelow), "from 0 to 1"),
+				tomlfile.Require("below", isFraction(c.IdleBelow), "from 0 to 1"),
 				tomlfile.Require("most", c.MaxDuration.Lo > 0, "over 0"),
 			}); err != nil {
 				return err
@@ -93,12 +93,12 @@
 func (k *NodeKind) check(f *tomlfile.File, at string) error {
 	return f.Check(at, []tomlfile.Requirement{
 		tomlfile.Require("name", k.Name != "", "a name"),
-		tomlfile.Require("share", k.Share > 0, "over 0"),
+		tomlfile.Require("share", k.Proportion > 0, "over 0"),
 		tomlfile.Require("cores", k.Cores >= 1 && k.Cores <= 1024, "from 1 to 1024"),
 		tomlfile.Require("speed", k.Speed.Lo > 0, "over 0"),
 		tomlfile.Require("slots", k.Slots.Lo > 0, "over 0"),
 		tomlfile.Require("room", k.QueueLimit.Lo >= 0, "0 at least"),
-		tomlfile.Require("cold_from", k.ColdCapacityShare.Lo > 0 && isShare(k.ColdCapacityShare), "over 0, and 1 at most"),
+		tomlfile.Require("cold_from", k.ColdCapacityFraction.Lo > 0 && isFraction(k.ColdCapacityFraction), "over 0, and 1 at most"),
 	})
 }
 
@@ -114,12 +114,12 @@
 			tomlfile.Require("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
 			tomlfile.Require("effect", hasEffect, "safe, keyed or unsafe"),
 			tomlfile.Require("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
-			tomlfile.Require("share", c.Share > 0, "over 0"),
+			tomlfile.Require("share", c.Proportion > 0, "over 0"),
 			tomlfile.Require("work", c.Work.Lo > 0, "over 0"),
 			tomlfile.Require("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
 			tomlfile.Require("aim", c.LatencyObjective > 0 && c.LatencyObjective <= c.Deadline, "over 0, and the deadline at most"),
 			tomlfile.Require("deadline", c.Deadline <= time.Minute, "1m at most"),
-			tomlfile.Require("worth", c.Worth > 0, "over 0"),
+			tomlfile.Require("worth", c.PriorityWeight > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -132,8 +132,8 @@
 		at := fmt.Sprintf("tenant[%d]", i)
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("name", isPlainName(t.Name), "a name, of letters, digits and -"),
-			tomlfile.Require("share", t.Share > 0, "over 0"),
-			tomlfile.Require("usage", t.Usage.Lo > 0, "over 0"),
+			tomlfile.Require("share", t.Proportion > 0, "over 0"),
+			tomlfile.Require("usage", t.DemandFraction.Lo > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -156,19 +156,19 @@
 		at := fmt.Sprintf("trouble[%d]", i)
 		needs, isKnown := faultKinds[spec.Kind]
 		modes := faultModes[spec.Kind]
-		hitsTargets := needs.nodes || needs.sidecars
+		hitsTargets := needs.hitsNodes || needs.hitsSidecars
 		hitsRequests := spec.Kind == "hang" || spec.Kind == "reset"
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
-			tomlfile.Require("at", f.Has(at+".at") && spec.At.Hi < d.Length, "given, and before the day's end"),
-			tomlfile.Require("for", spec.For.Lo > 0, "over 0"),
-			tomlfile.Require("share", isShare(spec.Share) && (spec.Share.Hi > 0) == hitsTargets,
+			tomlfile.Require("at", f.Has(at+".at") && spec.Start.Hi < d.Length, "given, and before the day's end"),
+			tomlfile.Require("for", spec.Duration.Lo > 0, "over 0"),
+			tomlfile.Require("share", isFraction(spec.TargetFraction) && (spec.TargetFraction.Hi > 0) == hitsTargets,
 				"over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == needs.magnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == needs.hasMagnitude, "over 0 where the trouble has a size, and only there"),
 			tomlfile.Require("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
-			tomlfile.Require("down", (spec.DownFor.Hi > 0) == needs.down, "over 0 for drain and restart, and only there"),
+			tomlfile.Require("down", (spec.Downtime.Hi > 0) == needs.hasDowntime, "over 0 for drain and restart, and only there"),
 			tomlfile.Require("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
-			tomlfile.Require("tier", spec.Tier == "" || needs.nodes && d.tierIndex(spec.Tier) >= 0,
+			tomlfile.Require("tier", spec.Tier == "" || needs.hitsNodes && d.tierIndex(spec.Tier) >= 0,
 				"the name of a tier, for a trouble of nodes"),
 		}); err != nil {
 			return err
--- a/internal/testkit/rehearse/day_test.go
+++ b/internal/testkit/rehearse/day_test.go
@@ -58,16 +58,16 @@
 	})
 }
 
-func TestCutMovesFaultsWithTheLength(t *testing.T) {
+func TestSetLengthScalesFaults(t *testing.T) {
 	d, err := Parse("test.toml", []byte(testDayText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Cut(4 * time.Second); err != nil || d.Length != 4*time.Second || d.Faults[1].At.Lo != time.Second ||
-		d.Faults[1].For.Lo != 750*time.Millisecond {
+	if err := d.SetLength(4 * time.Second); err != nil || d.Length != 4*time.Second || d.Faults[1].Start.Lo != time.Second ||
+		d.Faults[1].Duration.Lo != 750*time.Millisecond {
 		t.Errorf("%v: %+v", err, d.Faults[1])
 	}
-	if d.Cut(0) == nil || d.Cut(48*time.Hour) == nil {
+	if d.SetLength(0) == nil || d.SetLength(48*time.Hour) == nil {
 		t.Error("a length out of bounds is accepted")
 	}
 }
--- a/internal/testkit/rehearse/discovery.go
+++ b/internal/testkit/rehearse/discovery.go
@@ -6,35 +6,35 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxPendingNotifications is how many changes may be on their way to one agent.
-const maxPendingNotifications = 1024
+// maxPendingUpdates is how many changes may be on their way to one agent.
+const maxPendingUpdates = 1024
 
-// notification is a change on its way to an agent.
-type notification struct {
+// memberUpdate is a change on its way to an agent.
+type memberUpdate struct {
 	dueAt  time.Time
 	member fake.Member
 }
 
-// announce sends a change to the agents of all sidecars that send to the node's tier. Each has its own delay, and gets its
+// announceUpdate sends a change to the agents of all sidecars that send to the node's tier. Each has its own delay, and gets its
 // changes in order.
-func (r *rehearsal) announce(h *host, m fake.Member, isAdded bool) {
-	span := r.plan.Day.Discovery.Notice
+func (r *rehearsal) announceUpdate(h *host, m fake.Member, isAdded bool) {
+	span := r.plan.Day.Discovery.RemovalDelay
 	if isAdded {
-		span = r.plan.Day.Discovery.Add
+		span = r.plan.Day.Discovery.AdditionDelay
 	}
-	delay := span.At(r.drawShare("notice", m.ID, m.State)) + time.Duration(r.extraNotice.Load())
+	delay := span.At(r.drawFractionFor("notice", m.ID, m.State)) + time.Duration(r.extraNotificationDelay.Load())
 	for _, agent := range r.agentsOf(h.plan.Spec.Tier) {
-		dueAt := time.Now().Add(delay + r.plan.Day.Discovery.Spread.At(r.drawShare("spread", m.ID, m.State, agent.Sidecar)))
+		dueAt := time.Now().Add(delay + r.plan.Day.Discovery.SidecarDelay.At(r.drawFractionFor("spread", m.ID, m.State, agent.Sidecar)))
 		select {
-		case r.notifications[agent] <- notification{dueAt, m}:
+		case r.pendingUpdates[agent] <- memberUpdate{dueAt, m}:
 		case <-r.ctx.Done():
 		}
 	}
 }
 
-// deliver brings an agent its changes in the order in which they happened, each no sooner than it is due, until the
+// updateAgent brings an agent its changes in the order in which they happened, each no sooner than it is due, until the
 // rehearsal's context ends.
-func (r *rehearsal) deliver(agent *fake.Agent, notifications <-chan notification) {
+func (r *rehearsal) updateAgent(agent *fake.Agent, notifications <-chan memberUpdate) {
 	for {
 		select {
 		case <-r.ctx.Done():
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	frontNoticeAfterTerm = 300 * time.Millisecond // the front layer sends new connections for so long after SIGTERM
-	maxDeadlineWait      = 3 * time.Second        // the longest that the platform waits for deadlines before SIGKILL
+	frontRemovalDelayAfterTerm = 300 * time.Millisecond // the front layer sends new connections for so long after SIGTERM
+	maxDeadlineWait            = 3 * time.Second        // the longest that the platform waits for deadlines before SIGKILL
 )
 
 // inject injects one fault when it is due, and returns when it is over. When ctx ends, the rest of it is left out.
 func (r *rehearsal) inject(ctx context.Context, start time.Time, fault Fault) {
-	if !sleep(ctx, time.Until(start.Add(fault.At))) {
+	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
 		return
 	}
 	switch fault.Kind {
@@ -37,12 +37,12 @@
 		r.pauseSidecars(ctx, fault)
 	case "roster-late":
 		delay := int64(fault.Magnitude * float64(time.Second))
-		r.extraNotice.Add(delay)
-		sleep(ctx, fault.For)
-		r.extraNotice.Add(-delay)
+		r.extraNotificationDelay.Add(delay)
+		sleep(ctx, fault.Duration)
+		r.extraNotificationDelay.Add(-delay)
 	case "roster-down":
 		r.setDiscoveryDown(true)
-		sleep(ctx, fault.For)
+		sleep(ctx, fault.Duration)
 		r.setDiscoveryDown(false)
 	}
 }
@@ -79,14 +79,14 @@
 		}
 	}
 	setAll(fault.Magnitude)
-	sleep(ctx, fault.For)
+	sleep(ctx, fault.Duration)
 	setAll(none)
 }
 
 // crashNode kills a node with its sidecar, and restarts both cold.
 func (r *rehearsal) crashNode(ctx context.Context, h *host, fault Fault) {
 	r.stopNode(h)
-	if !sleep(ctx, fault.For) {
+	if !sleep(ctx, fault.Duration) {
 		return
 	}
 	r.restartNode(ctx, h, fault.Mode)
@@ -99,12 +99,12 @@
 	h.member.State = fake.StateDraining
 	m := h.member
 	h.mu.Unlock()
-	r.announce(h, m, false)
-	if !sleep(ctx, fault.For) {
+	r.announceUpdate(h, m, false)
+	if !sleep(ctx, fault.Duration) {
 		return
 	}
 	r.stopNode(h)
-	if !sleep(ctx, fault.DownFor) {
+	if !sleep(ctx, fault.Downtime) {
 		return
 	}
 	r.restartNode(ctx, h, fault.Mode)
@@ -123,7 +123,7 @@
 	var all sync.WaitGroup
 	for _, p := range r.frontSidecars {
 		if slices.Contains(fault.Targets, p.name) {
-			all.Go(func() { p.pause(ctx, fault.For) })
+			all.Go(func() { p.pause(ctx, fault.Duration) })
 		}
 	}
 	all.Wait()
@@ -135,7 +135,7 @@
 	for i, name := range fault.Targets {
 		for _, p := range r.frontSidecars {
 			if p.name == name {
-				after := time.Duration(i) * fault.For / time.Duration(len(fault.Targets))
+				after := time.Duration(i) * fault.Duration / time.Duration(len(fault.Targets))
 				all.Go(func() { r.restartSidecar(ctx, p, fault, after) })
 			}
 		}
@@ -151,22 +151,22 @@
 	var noticed sync.WaitGroup
 	defer noticed.Wait()
 	noticed.Go(func() { // the front layer goes on sending to a dead sidecar for a while
-		if sleep(ctx, r.frontNotice(p, fault)) {
+		if sleep(ctx, r.frontRemovalDelay(p, fault)) {
 			r.frontLayer.Remove(p.name)
 		}
 	})
 	if isPlanned {
-		r.cluster.recordFact(clusterinvariant.ShutdownBegan, p.name)
+		r.cluster.recordProcessEvent(clusterinvariant.ShutdownBegan, p.name)
 		p.terminate(min(r.plan.longestDeadline(), maxDeadlineWait) + termGrace)
-		r.cluster.recordFact(clusterinvariant.Left, p.name)
+		r.cluster.recordProcessEvent(clusterinvariant.Left, p.name)
 	} else {
 		p.kill()
-		r.cluster.recordFact(clusterinvariant.Killed, p.name)
+		r.cluster.recordProcessEvent(clusterinvariant.Killed, p.name)
 	}
-	if !sleep(ctx, fault.DownFor) {
+	if !sleep(ctx, fault.Downtime) {
 		return
 	}
-	r.cluster.recordFact(clusterinvariant.Started, p.name) // before the start: its views from now on are of the new incarnation
+	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name) // before the start: its views from now on are of the new incarnation
 	if err := p.start(); err != nil {
 		r.fail(err)
 		return
@@ -181,10 +181,10 @@
 	r.frontLayer.Add(p.name, p.addr)
 }
 
-// frontNotice is how long the front layer sends new connections to a sidecar that ends.
-func (r *rehearsal) frontNotice(p *sidecarProcess, fault Fault) time.Duration {
+// frontRemovalDelay is how long the front layer sends new connections to a sidecar that ends.
+func (r *rehearsal) frontRemovalDelay(p *sidecarProcess, fault Fault) time.Duration {
 	if fault.Mode == "planned" {
-		return frontNoticeAfterTerm
+		return frontRemovalDelayAfterTerm
 	}
-	return r.plan.Day.Front.Notice.At(r.drawShare("front", p.name, fault.At.String()))
+	return r.plan.Day.FrontLayer.RemovalDelay.At(r.drawFractionFor("front", p.name, fault.Start.String()))
 }
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -90,7 +90,7 @@
 		sidecar.kill()
 		client.Close()
 	}
-	r.announce(h, m, false)
+	r.announceUpdate(h, m, false)
 }
 
 // restartNode starts a node cold at its old address, under its old ID or, in the mode "renamed", a new one. Its sidecar is
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	r.announce(h, m, true)
+	r.announceUpdate(h, m, true)
 }
 
 // nextTierClient makes a node's calls through its own sidecar, each with an ID and an idempotency key of its own. A call has
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -8,14 +8,14 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// playValid plays a plan, up to three times where the day is not valid: what a busy machine shows says nothing about a
+// runValid plays a plan, up to three times where the day is not valid: what a busy machine shows says nothing about a
 // sidecar.
-func playValid(t *testing.T, plan *Plan, opt Options) *Result {
+func runValid(t *testing.T, plan *Plan, opt Options) *Result {
 	t.Helper()
 	var r *Result
 	for range 3 {
 		var err error
-		if r, err = Play(t.Context(), plan, opt); err != nil {
+		if r, err = Run(t.Context(), plan, opt); err != nil {
 			t.Fatal(err)
 		}
 		if r.Valid {
@@ -41,7 +41,7 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := playValid(t, testPlan(t), Options{Command: sidecarCommand(fault)})
+			r := runValid(t, newTestPlan(t), Options{Command: sidecarCommand(fault)})
 			for _, u := range r.Invariants.Rules {
 				switch {
 				case u.Number == rule && u.Verdict != invariant.Broken:
@@ -97,7 +97,7 @@
 	for fault, want := range map[string]invariant.Verdict{"good": invariant.Held, "sends to draining nodes": invariant.Broken} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := playValid(t, testPlan(t, day...), Options{Command: sidecarCommand(fault)})
+			r := runValid(t, newTestPlan(t, day...), Options{Command: sidecarCommand(fault)})
 			if u := r.Invariants.Rules[2]; u.Verdict != want || u.Occasions["drains told"] < 1 {
 				t.Errorf("%s: %v, %+v", u.Verdict, u.Occasions, u.Breaches)
 			}
@@ -122,7 +122,7 @@
 how = "renamed"
 tier = "back"
 `, `notice = "100ms"`, `notice = "2s"`)
-	r := playValid(t, testPlan(t, day...), Options{Command: sidecarCommand("good")})
+	r := runValid(t, newTestPlan(t, day...), Options{Command: sidecarCommand("good")})
 	report := r.Invariants
 	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Falls != 0 {
 		t.Errorf("held %v, falls %d: %+v", r.Held, report.Falls, report.Rules)
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -37,9 +37,9 @@
 		Format:   1,
 		Day:      r.plan.Day.Name,
 		Seed:     r.plan.Seed,
-		Demand:   r.plan.Demand,
-		ByClass:  map[string]Share{},
-		ByTenant: map[string]Share{},
+		Demand:   r.plan.DemandFactor,
+		ByClass:  map[string]ServedValue{},
+		ByTenant: map[string]ServedValue{},
 		Latency:  map[string]Latency{},
 		Faults:   r.plan.Faults,
 		InFlight: m.inFlight,
@@ -60,46 +60,46 @@
 	if result.Cluster = r.cluster.check(dayStart, end); result.Cluster != nil {
 		result.Held = result.Held && result.Cluster.Held
 	}
-	r.addWorth(result)
+	r.addClientMetrics(result)
 	r.addNodeMetrics(result, events, dayStart)
 	result.addService()
 	now := resourceUsage()
 	result.Harness = HarnessMetrics{
-		LateP50:       r.sendLateness.Quantile(0.5).Seconds(),
-		LateP99:       r.sendLateness.Quantile(0.99).Seconds(),
-		LateMax:       r.sendLateness.Max().Seconds(),
-		TimerP99:      m.timerLateness.Quantile(0.99).Seconds(),
-		WorstStall:    m.worstStall.Seconds(),
-		CPU:           (now.own - before.own).Seconds(),
-		DroppedEvents: dropped,
+		SendLatenessP50:  r.sendLateness.Quantile(0.5).Seconds(),
+		SendLatenessP99:  r.sendLateness.Quantile(0.99).Seconds(),
+		SendLatenessMax:  r.sendLateness.Max().Seconds(),
+		TimerLatenessP99: m.timerLateness.Quantile(0.99).Seconds(),
+		LongestStall:     m.worstStall.Seconds(),
+		CPUSeconds:       (now.own - before.own).Seconds(),
+		DroppedEvents:    dropped,
 	}
 	r.validate(result, events, dayStart)
 	return result
 }
 
-// addWorth measures what clients got: shares of worth served in time, latencies and counts.
-func (r *rehearsal) addWorth(result *Result) {
+// addClientMetrics measures what clients got: shares of worth served in time, latencies and counts.
+func (r *rehearsal) addClientMetrics(result *Result) {
 	byName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
 	bySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
 	result.BySecond = make([]Second, len(bySecond))
 	for i := range bySecond {
 		bySecond[i] = schedule.NewLatencyHistogram()
 	}
-	var overall Share
+	var overall ServedValue
 	lateFailWorth, attempts := 0.0, 0
 	for i := range r.plan.Requests {
 		request, o := &r.plan.Requests[i], &r.outcomes[i]
 		class := r.plan.Day.Classes[request.Class]
 		isInTime := o.isInTime(class.LatencyObjective)
 		second := min(int(request.At.Seconds()), len(bySecond)-1)
-		overall.add(request, isInTime)
-		result.BySecond[second].add(request, isInTime)
-		addToShare(result.ByClass, class.Name, request, isInTime)
+		overall.addRequest(request, isInTime)
+		result.BySecond[second].addRequest(request, isInTime)
+		addToServedValue(result.ByClass, class.Name, request, isInTime)
 		if !request.IsOverQuota {
-			addToShare(result.ByTenant, r.plan.Day.Tenants[request.Tenant].Name, request, isInTime)
+			addToServedValue(result.ByTenant, r.plan.Day.Tenants[request.Tenant].Name, request, isInTime)
 		}
 		attempts += o.attempts
-		result.Requests.count(o, class.LatencyObjective)
+		result.Requests.addOutcome(o, class.LatencyObjective)
 		if o.isServed {
 			for _, name := range []string{"all", class.Name} {
 				if byName[name] == nil {
@@ -109,7 +109,7 @@
 			}
 			bySecond[second].Record(o.duration)
 		} else if o.duration > class.LatencyObjective {
-			lateFailWorth += request.Worth
+			lateFailWorth += request.Value
 		}
 	}
 	for name, l := range byName {
@@ -119,9 +119,9 @@
 	for i, l := range bySecond {
 		result.BySecond[i].P50, result.BySecond[i].P99 = l.Quantile(0.5).Seconds(), l.Quantile(0.99).Seconds()
 	}
-	result.WorthShare, result.WorstWindow = overall.Share, worstWindowShare(result.BySecond)
-	result.ClientAttempts = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
-	result.Penalties.LateFails = penaltyLateFails * ratio(lateFailWorth, overall.Offered, 0)
+	result.InTimeFraction, result.WorstWindowFraction = overall.Fraction, worstWindowFraction(result.BySecond)
+	result.ClientAttemptsPerRequest = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
+	result.Penalties.LateFailures = penaltyLateFails * ratio(lateFailWorth, overall.Offered, 0)
 }
 
 // addNodeMetrics measures what nodes observed: attempts, connections, rejections, wasted work and overload.
@@ -165,9 +165,9 @@
 		}
 	}
 	n := float64(len(r.plan.Requests))
-	result.Attempts = ratio(float64(firstTier), n, 0)
-	result.Calls = ratio(float64(allTiers), n, 0)
-	result.Connections = ratio(float64(connections), n, 0)
+	result.AttemptsPerRequest = ratio(float64(firstTier), n, 0)
+	result.CallsPerRequest = ratio(float64(allTiers), n, 0)
+	result.ConnectionsPerRequest = ratio(float64(connections), n, 0)
 	offered, useful := 0.0, 0.0
 	for i := range r.plan.Requests {
 		total := r.plan.Requests[i].Job.TotalWork().Seconds()
@@ -176,35 +176,35 @@
 			useful += total
 		}
 	}
-	result.Penalties.Connections = penaltyConnections * result.Connections
+	result.Penalties.Connections = penaltyConnections * result.ConnectionsPerRequest
 	result.Penalties.Waste = penaltyWaste * ratio(max(workDone-useful, 0), offered, 0)
 	result.Penalties.Overload = penaltyOverload * ratio(float64(overloaded), float64(len(r.plan.Nodes)), 0)
 }
 
 // addService sums the weighted shares, less the penalties, to points of 100.
 func (r *Result) addService() {
-	r.Service = 100*(weightOverall*r.WorthShare+weightWorstWindow*r.WorstWindow+weightWorstClass*minShare(r.ByClass)+
-		weightWorstTenant*minShare(r.ByTenant)) -
-		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFails - r.Penalties.Overload
+	r.Service = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
+		weightWorstTenant*minFraction(r.ByTenant)) -
+		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
 
-// add counts a request.
-func (s *Share) add(request *Request, isInTime bool) {
-	s.Offered += request.Worth
+// addRequest counts a request.
+func (s *ServedValue) addRequest(request *Request, isInTime bool) {
+	s.Offered += request.Value
 	if isInTime {
-		s.InTime += request.Worth
+		s.InTime += request.Value
 	}
-	s.Share = ratio(s.InTime, s.Offered, 1)
+	s.Fraction = ratio(s.InTime, s.Offered, 1)
 }
 
-func addToShare(shares map[string]Share, name string, request *Request, isInTime bool) {
+func addToServedValue(shares map[string]ServedValue, name string, request *Request, isInTime bool) {
 	s := shares[name]
-	s.add(request, isInTime)
+	s.addRequest(request, isInTime)
 	shares[name] = s
 }
 
-// count counts a request by its outcome.
-func (c *Counts) count(o *outcome, objective time.Duration) {
+// addOutcome counts a request by its outcome.
+func (c *Counts) addOutcome(o *outcome, objective time.Duration) {
 	c.Total++
 	switch {
 	case o.isServed:
@@ -221,12 +221,12 @@
 	}
 }
 
-// worstWindowShare is the least share of a window of worstWindowSeconds, or of all where the day is shorter.
-func worstWindowShare(seconds []Second) float64 {
+// worstWindowFraction is the least share of a window of worstWindowSeconds, or of all where the day is shorter.
+func worstWindowFraction(seconds []Second) float64 {
 	least := 1.0
 	length := min(worstWindowSeconds, len(seconds))
 	for i := 0; i+length <= len(seconds); i++ {
-		var sum Share
+		var sum ServedValue
 		for _, s := range seconds[i : i+length] {
 			sum.Offered += s.Offered
 			sum.InTime += s.InTime
@@ -236,11 +236,11 @@
 	return least
 }
 
-// minShare is the least share of all, 1 without any.
-func minShare(shares map[string]Share) float64 {
+// minFraction is the least share of all, 1 without any.
+func minFraction(shares map[string]ServedValue) float64 {
 	least := 1.0
 	for _, s := range shares {
-		least = min(least, s.Share)
+		least = min(least, s.Fraction)
 	}
 	return least
 }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -17,7 +17,7 @@
 // scheduled. Each of its two goroutines has fields of its own, which are read once both have ended.
 type monitor struct {
 	rehearsal *rehearsal
-	start     time.Time
+	startedAt time.Time
 
 	inFlight [][]int // by sample, by node of the plan
 
@@ -47,11 +47,11 @@
 		m.inFlight = append(m.inFlight, sample)
 		if r.options.Progress != nil {
 			r.options.Progress(Snapshot{
-				At:       time.Since(m.start),
-				Length:   r.plan.Day.Length,
-				Offered:  float64(r.offeredWorth.Load()) / 1000,
-				InTime:   float64(r.inTimeWorth.Load()) / 1000,
-				InFlight: int(r.inFlight.Load()),
+				Elapsed:      time.Since(m.startedAt),
+				Length:       r.plan.Day.Length,
+				OfferedValue: float64(r.offeredWorth.Load()) / 1000,
+				InTimeValue:  float64(r.inTimeWorth.Load()) / 1000,
+				InFlight:     int(r.inFlight.Load()),
 			})
 		}
 	}
@@ -71,7 +71,7 @@
 		last = now
 		m.timerLateness.Record(late)
 		m.worstStall = max(m.worstStall, late)
-		if late >= m.rehearsal.plan.Day.Rules.Slack {
+		if late >= m.rehearsal.plan.Day.Rules.Tolerance {
 			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, Duration: late})
 		}
 	}
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -21,7 +21,7 @@
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
-		b.WriteString(member.config)
+		b.WriteString(member.configText)
 	} else {
 		fmt.Fprintf(&b, "daemons = %d\nindex = %d\n", role.count, role.index)
 	}
@@ -42,7 +42,7 @@
 	coldShare, warmUp := p.coldStart()
 	fmt.Fprintf(&b, "[[pool]]\nname = %q\nagent = %q\nconnections = %d\ntier = %d\ntiers_below = %d\nattempts = %d\n"+
 		"retry_after_most = %q\ncold_from = %v\ncold_for = %q\n", tier.Name, agent, connections, role.tier,
-		len(day.Tiers)-1-role.tier, rules.Attempts, rules.MaxRetryAfter, coldShare, warmUp)
+		len(day.Tiers)-1-role.tier, rules.MaxAttempts, rules.MaxRetryAfter, coldShare, warmUp)
 	if rules.DialTimeout > 0 {
 		fmt.Fprintf(&b, "dial_timeout = %q\n", rules.DialTimeout)
 	}
@@ -60,7 +60,7 @@
 	share = 1
 	for _, t := range p.Day.Tiers {
 		for _, k := range t.Kinds {
-			share, warmUp = min(share, k.ColdCapacityShare.Lo), max(warmUp, k.WarmUpDuration.Hi)
+			share, warmUp = min(share, k.ColdCapacityFraction.Lo), max(warmUp, k.WarmUpDuration.Hi)
 		}
 	}
 	return share, warmUp
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -67,11 +67,11 @@
 
 // smallResults is one result that the charts can draw.
 func smallResults() []*Result {
-	return []*Result{exampleResult(Module, 1, 1, 80)}
+	return []*Result{exampleResult(OwnBalancer, 1, 1, 80)}
 }
 
 func severalResults() []*Result {
-	several := []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
+	several := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
 	several[1].Valid, several[1].Invalid = false, []string{"the machine was too busy"}
 	several[2].Invariants.Crashes = 1
 	return several
@@ -89,7 +89,7 @@
 	}
 	full := filled[Plan]()
 	full.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Seed: 4}
-	withPeers := exampleResult(Module, 1, 1, 80)
+	withPeers := exampleResult(OwnBalancer, 1, 1, 80)
 	withPeers.Cluster = filled[ClusterResult]()
 	withPeers.Invariants.Rules[0].Verdict = invariant.Untested
 	for name, write := range map[string]func(io.Writer) error{
@@ -97,15 +97,15 @@
 		"one.txt":       write(WriteTable, smallResults()),
 		"cluster.txt":   write(WriteTable, []*Result{withPeers}),
 		"several.txt":   write(WriteTable, severalResults()),
-		"plan.json":     printed(testPlan(t)),
+		"plan.json":     printed(newTestPlan(t)),
 		"fullplan.json": printed(full),
 		"operators.toml": func(w io.Writer) error {
-			text := testPlan(t).operatorsFile(sidecarRole{"sidecar-1", 1, 2, 3}, "127.0.0.1:1", "127.0.0.1:2", 4, nil)
+			text := newTestPlan(t).operatorsFile(sidecarRole{"sidecar-1", 1, 2, 3}, "127.0.0.1:1", "127.0.0.1:2", 4, nil)
 			_, err := io.WriteString(w, text)
 			return err
 		},
 		"settings.json": func(w io.Writer) error {
-			text, err := testPlan(t).settingsFor(sidecarRole{"sidecar-1", 1, 2, 3})
+			text, err := newTestPlan(t).settingsFor(sidecarRole{"sidecar-1", 1, 2, 3})
 			if err != nil {
 				return err
 			}
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -13,23 +13,23 @@
 // exampleResult is a result with a broken rule, and names that must be escaped in HTML.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
 	r := &Result{
-		Format:     1,
-		Day:        "d<b>ay",
-		Balancer:   balancer,
-		Seed:       seed,
-		Demand:     demand,
-		Valid:      true,
-		Service:    service,
-		WorthShare: service / 100,
-		ByClass:    map[string]Share{"look": {Offered: 2, InTime: 1, Share: 0.5}},
-		ByTenant:   map[string]Share{"t": {Share: 1}},
-		Latency:    map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
-		BySecond:   make([]Second, 20),
-		Rejections: make([]float64, 20),
-		Nodes:      []string{"front-1", "front-2"},
-		InFlight:   [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
-		Faults:     []Fault{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
-		Invariants: &invariant.Report{},
+		Format:         1,
+		Day:            "d<b>ay",
+		Balancer:       balancer,
+		Seed:           seed,
+		Demand:         demand,
+		Valid:          true,
+		Service:        service,
+		InTimeFraction: service / 100,
+		ByClass:        map[string]ServedValue{"look": {Offered: 2, InTime: 1, Fraction: 0.5}},
+		ByTenant:       map[string]ServedValue{"t": {Fraction: 1}},
+		Latency:        map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
+		BySecond:       make([]Second, 20),
+		Rejections:     make([]float64, 20),
+		Nodes:          []string{"front-1", "front-2"},
+		InFlight:       [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
+		Faults:         []Fault{{Kind: "slow", Start: 2 * time.Second, Duration: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
+		Invariants:     &invariant.Report{},
 	}
 	verdicts := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
 	for i := range r.Invariants.Rules {
@@ -44,7 +44,7 @@
 
 func TestTableOfOneResult(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
+	if err := WriteTable(&b, []*Result{exampleResult(OwnBalancer, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"BROKEN 7 times", "not put to the test",
@@ -58,7 +58,7 @@
 func TestTableOfSeveralResultsHasTheirSpread(t *testing.T) {
 	var b bytes.Buffer
 	results := []*Result{
-		exampleResult(Module, 1, 1, 80), exampleResult(Module, 2, 1, 60), exampleResult(Module, 3, 1, 70),
+		exampleResult(OwnBalancer, 1, 1, 80), exampleResult(OwnBalancer, 2, 1, 60), exampleResult(OwnBalancer, 3, 1, 70),
 		exampleResult("random", 1, 1, 30), exampleResult("random", 2, 1, 40), exampleResult("random", 3, 1, 20),
 	}
 	if err := WriteTable(&b, results); err != nil {
@@ -80,7 +80,7 @@
 
 func TestReportIsCompleteAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
-	results := []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
+	results := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
 	if err := WriteReport(&b, results); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 
 func TestJSONResultCanBeReadBack(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteJSON(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
+	if err := WriteJSON(&b, []*Result{exampleResult(OwnBalancer, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	var out struct {
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -19,11 +19,11 @@
 type Plan struct {
 	Day             *Day
 	Seed            uint64
-	Demand          float64 // factor on the day's own demand
+	DemandFactor    float64 // factor on the day's own demand
 	Capacity        float64 // requests per second, without retries, that the nodes can serve when warm and without faults
 	Rate            float64 // requests per second, without retries, that are due outside surges
 	Nodes           []NodePlan
-	Sidecars        int // before the first tier
+	SidecarCount    int // before the first tier
 	Classes         []fake.Class
 	Quotas          []float64 // requests per second, by tenant
 	Requests        []Request // in the order due
@@ -42,10 +42,10 @@
 type Request struct {
 	schedule.Arrival
 	Job               *fake.Job
-	Key               string  // idempotency key
-	IsOverQuota       bool    `json:"Over"`
-	Worth             float64 // of a response within the latency objective
-	Retries           int
+	IdempotencyKey    string        `json:"Key"` // sent with each attempt
+	IsOverQuota       bool          `json:"Over"`
+	Value             float64       `json:"Worth"`   // value of a response within the latency objective
+	MaxRetries        int           `json:"Retries"` // retries that the client sends at most
 	AttemptTimeout    time.Duration `json:"Wait"`
 	Backoff           time.Duration // before a retry; 0: it is sent at once
 	HonoursRetryAfter bool          `json:"Honours"`
@@ -54,7 +54,7 @@
 
 // The sources of random numbers. Each draws for one matter, so that a change in one does not shift the others.
 const (
-	sourceFleet = iota + 1
+	sourceNodes = iota + 1
 	sourceArrivals
 	sourceFaults
 	sourceTenants
@@ -62,13 +62,13 @@
 	sourceLinkFaults
 )
 
-// newSource is one of the sources for a seed.
-func newSource(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
+// newRand is one of the sources for a seed.
+func newRand(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
 
 // NewPlan draws a plan of a day. An error means that the day would be too large; it names the day.
 func NewPlan(d *Day, seed uint64, demand float64) (*Plan, error) {
-	p := &Plan{Day: d, Seed: seed, Demand: demand}
-	rng := newSource(seed, sourceFleet)
+	p := &Plan{Day: d, Seed: seed, DemandFactor: demand}
+	rng := newRand(seed, sourceNodes)
 	for _, c := range d.Classes {
 		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effectsByName[c.Effect], Window: c.Window,
 			Deadline: c.Deadline})
@@ -76,7 +76,7 @@
 	work := p.drawClassWork(rng)
 	p.drawCalls(rng)
 	p.drawNodes(rng)
-	p.Sidecars = int(drawInteger(d.Sidecars.Count, rng))
+	p.SidecarCount = int(drawInteger(d.Sidecars.Count, rng))
 	p.computeCapacity(work)
 	p.Rate = p.Capacity * d.Load.Utilization.At(rng.Float64()) * demand
 	usage := p.drawTenants()
@@ -110,11 +110,11 @@
 // Rules are the limits of the invariants for the day.
 func (p *Plan) Rules() invariant.Rules {
 	rules := invariant.Rules{
-		MaxAttempts:           p.Day.Rules.Attempts,
-		Tolerance:             p.Day.Rules.Slack,
+		MaxAttempts:           p.Day.Rules.MaxAttempts,
+		Tolerance:             p.Day.Rules.Tolerance,
 		DrainGrace:            p.Day.Rules.DrainGrace,
-		ColdOverloadFactor:    p.Day.Rules.FallMultiple,
-		ColdOverloadWindow:    p.Day.Rules.FallAfter,
+		ColdOverloadFactor:    p.Day.Rules.ColdOverloadFactor,
+		ColdOverloadWindow:    p.Day.Rules.ColdOverloadWindow,
 		ColdOverloadTolerance: fake.ColdOverloadTolerance,
 		TermGrace:             termGrace,
 	}
@@ -139,7 +139,7 @@
 		Nodes          []NodePlan
 		Strikes        []Fault
 		Links          []LinkFault `json:",omitempty"`
-	}{1, p.Day.Name, p.Seed, p.Demand, p.Capacity, p.Rate, p.Sidecars, p.Quotas, p.Nodes, p.Faults, p.LinkFaults}
+	}{1, p.Day.Name, p.Seed, p.DemandFactor, p.Capacity, p.Rate, p.SidecarCount, p.Quotas, p.Nodes, p.Faults, p.LinkFaults}
 	if err := out.Encode(head); err != nil {
 		return err
 	}
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -9,27 +9,28 @@
 // Fault is a FaultSpec with all that it draws. The tags are its names in results and printed plans.
 type Fault struct {
 	Kind      string
-	At, For   time.Duration
+	Start     time.Duration `json:"At"`
+	Duration  time.Duration `json:"For"`
 	Tier      int
 	Targets   []string      // IDs of nodes, or names of sidecars
 	Magnitude float64       `json:"Size"`
 	Mode      string        `json:"How"`
-	DownFor   time.Duration `json:"Down"`
+	Downtime  time.Duration `json:"Down"`
 }
 
 func (p *Plan) drawFaults() {
-	rng := newSource(p.Seed, sourceFaults)
+	rng := newRand(p.Seed, sourceFaults)
 	for _, spec := range p.Day.Faults {
 		fault := Fault{
 			Kind:      spec.Kind,
-			At:        spec.At.At(rng.Float64()),
-			For:       spec.For.At(rng.Float64()),
+			Start:     spec.Start.At(rng.Float64()),
+			Duration:  spec.Duration.At(rng.Float64()),
 			Tier:      max(p.Day.tierIndex(spec.Tier), 0),
 			Magnitude: spec.Magnitude.At(rng.Float64()),
 			Mode:      spec.Mode,
-			DownFor:   spec.DownFor.At(rng.Float64()),
+			Downtime:  spec.Downtime.At(rng.Float64()),
 		}
-		fault.Targets = drawTargets(rng, p.candidates(fault), spec.Share.At(rng.Float64()))
+		fault.Targets = drawTargets(rng, p.candidates(fault), spec.TargetFraction.At(rng.Float64()))
 		p.Faults = append(p.Faults, fault)
 	}
 }
@@ -38,14 +39,14 @@
 func (p *Plan) candidates(fault Fault) []string {
 	var out []string
 	switch needs := faultKinds[fault.Kind]; {
-	case needs.nodes:
+	case needs.hitsNodes:
 		for _, n := range p.Nodes {
 			if n.Spec.Tier == fault.Tier {
 				out = append(out, n.Spec.ID)
 			}
 		}
-	case needs.sidecars:
-		for i := range p.Sidecars {
+	case needs.hitsSidecars:
+		for i := range p.SidecarCount {
 			out = append(out, sidecarName(i))
 		}
 	}
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -13,14 +13,14 @@
 		cellSize := int(drawInteger(tier.CellSize, rng))
 		var shares []float64
 		for _, kind := range tier.Kinds {
-			shares = append(shares, kind.Share)
+			shares = append(shares, kind.Proportion)
 		}
 		// Fields of a literal are evaluated in order, and so are the draws: their order is part of what a seed means.
 		shared := fake.NodeSpec{
 			Zone:               "here",
 			Tier:               i,
-			ColdOverloadFactor: p.Day.Rules.FallMultiple,
-			ColdOverloadWindow: p.Day.Rules.FallAfter,
+			ColdOverloadFactor: p.Day.Rules.ColdOverloadFactor,
+			ColdOverloadWindow: p.Day.Rules.ColdOverloadWindow,
 			MaxConnections:     tier.MaxConnections,
 			Overload:           tier.Overload.draw(rng),
 			HandshakeWork:      tier.HandshakeWork.At(rng.Float64()),
@@ -60,7 +60,7 @@
 	spec.Speed = k.Speed.At(rng.Float64())
 	spec.Slots = max(int(k.Slots.At(rng.Float64())*cores), 1)
 	spec.QueueLimit = int(k.QueueLimit.At(rng.Float64()) * cores)
-	spec.ColdCapacityShare = k.ColdCapacityShare.At(rng.Float64())
+	spec.ColdCapacityShare = k.ColdCapacityFraction.At(rng.Float64())
 	spec.WarmUpDuration = k.WarmUpDuration.At(rng.Float64())
 }
 
@@ -89,8 +89,8 @@
 func (p *Plan) computeCapacity(work []classWork) {
 	mean, shares := 0.0, 0.0
 	for i, c := range p.Day.Classes {
-		mean += c.Share * work[i].work.Seconds()
-		shares += c.Share
+		mean += c.Proportion * work[i].work.Seconds()
+		shares += c.Proportion
 	}
 	mean /= shares
 	p.Capacity = math.Inf(1)
@@ -103,6 +103,6 @@
 				capacity += float64(n.Spec.Cores) * n.Spec.Speed
 			}
 		}
-		p.Capacity = min(p.Capacity, capacity/(mean*tier.WorkShare*calls))
+		p.Capacity = min(p.Capacity, capacity/(mean*tier.WorkFraction*calls))
 	}
 }
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -17,8 +17,8 @@
 	maxCalls = maxEvents / 5
 	// maxWorkFactor bounds one draw of work, in means: a lognormal distribution has no bound of its own.
 	maxWorkFactor = 10
-	// surgeRampShare is the share of its length over which a surge rises, and over which it falls.
-	surgeRampShare = 0.1
+	// surgeRampFraction is the share of its length over which a surge rises, and over which it falls.
+	surgeRampFraction = 0.1
 )
 
 // classWork is the mean work of a class on the day, and its mean wait on others.
@@ -27,14 +27,14 @@
 func (p *Plan) drawClassWork(rng *rand.Rand) []classWork {
 	var out []classWork
 	for _, c := range p.Day.Classes {
-		out = append(out, classWork{c.Work.At(rng.Float64()), c.Wait.At(rng.Float64())})
+		out = append(out, classWork{c.Work.At(rng.Float64()), c.ExternalWait.At(rng.Float64())})
 	}
 	return out
 }
 
 func (p *Plan) drawCalls(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
-		calls := tier.Calls.At(rng.Float64())
+		calls := tier.CallsPerRequest.At(rng.Float64())
 		if i == 0 {
 			calls = 1
 		}
@@ -44,21 +44,21 @@
 
 // drawTenants draws the quota of each tenant, and returns each one's relative weight in the traffic.
 func (p *Plan) drawTenants() (usage []float64) {
-	rng := newSource(p.Seed, sourceTenants)
+	rng := newRand(p.Seed, sourceTenants)
 	shares := 0.0
 	for _, t := range p.Day.Tenants {
-		shares += t.Share
+		shares += t.Proportion
 	}
-	quota := p.Capacity * p.Day.Load.Quota.At(rng.Float64())
+	quota := p.Capacity * p.Day.Load.TotalQuotaFraction.At(rng.Float64())
 	for _, t := range p.Day.Tenants {
-		p.Quotas = append(p.Quotas, quota*t.Share/shares)
-		usage = append(usage, t.Share*t.Usage.At(rng.Float64()))
+		p.Quotas = append(p.Quotas, quota*t.Proportion/shares)
+		usage = append(usage, t.Proportion*t.DemandFraction.At(rng.Float64()))
 	}
 	return usage
 }
 
 func (p *Plan) drawRequests(work []classWork, usage []float64) error {
-	rng := newSource(p.Seed, sourceArrivals)
+	rng := newRand(p.Seed, sourceArrivals)
 	arrivals, err := p.drawArrivals(rng, usage)
 	if err != nil {
 		return err
@@ -67,9 +67,9 @@
 	quotas := newQuotaBuckets(p.Quotas)
 	for _, a := range arrivals {
 		request := p.drawRequest(a, work[a.Class], behaviour)
-		request.Worth = p.Day.Classes[a.Class].Worth * request.Job.TotalWork().Seconds()
-		if request.IsOverQuota = !quotas.take(a.Tenant, a.At); request.IsOverQuota {
-			request.Worth *= p.Day.Load.OverQuotaWorth
+		request.Value = p.Day.Classes[a.Class].PriorityWeight * request.Job.TotalWork().Seconds()
+		if request.IsOverQuota = !quotas.takeToken(a.Tenant, a.At); request.IsOverQuota {
+			request.Value *= p.Day.Load.OverQuotaValueFactor
 		}
 		p.Requests = append(p.Requests, request)
 	}
@@ -81,13 +81,13 @@
 	rate := schedule.Rate{PerSecond: p.Rate}
 	for _, fault := range p.Faults {
 		if fault.Kind == "surge" {
-			rate.Bursts = append(rate.Bursts, schedule.Burst{Start: fault.At, Duration: fault.For,
-				Ramp: time.Duration(surgeRampShare * float64(fault.For)), Factor: fault.Magnitude})
+			rate.Bursts = append(rate.Bursts, schedule.Burst{Start: fault.Start, Duration: fault.Duration,
+				Ramp: time.Duration(surgeRampFraction * float64(fault.Duration)), Factor: fault.Magnitude})
 		}
 	}
 	var shares []float64
 	for _, c := range p.Day.Classes {
-		shares = append(shares, c.Share)
+		shares = append(shares, c.Proportion)
 	}
 	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenants: usage,
 		MaxArrivals: maxRequests})
@@ -107,36 +107,36 @@
 
 // clientBehaviour is how the clients of the day behave.
 type clientBehaviour struct {
-	retries               int
-	attemptTimeoutShare   float64
-	backoff               time.Duration
-	honourRetryAfterShare float64
-	leaveShare            float64
+	maxRetries               int
+	attemptTimeoutFraction   float64
+	backoff                  time.Duration
+	honourRetryAfterFraction float64
+	earlyLeaveFraction       float64
 }
 
 // drawClientBehaviour draws in an order that is part of what a seed means.
 func (p *Plan) drawClientBehaviour(rng *rand.Rand) (b clientBehaviour) {
 	clients := &p.Day.Clients
-	b.retries = int(drawInteger(clients.Retries, rng))
-	b.attemptTimeoutShare = clients.AttemptTimeoutShare.At(rng.Float64())
+	b.maxRetries = int(drawInteger(clients.Retries, rng))
+	b.attemptTimeoutFraction = clients.AttemptTimeoutFraction.At(rng.Float64())
 	b.backoff = clients.Backoff.At(rng.Float64())
-	b.honourRetryAfterShare = clients.HonourRetryAfterShare.At(rng.Float64())
-	b.leaveShare = clients.LeaveShare.At(rng.Float64())
+	b.honourRetryAfterFraction = clients.HonourRetryAfterFraction.At(rng.Float64())
+	b.earlyLeaveFraction = clients.EarlyLeaveFraction.At(rng.Float64())
 	return b
 }
 
 // drawRequest draws a request from the arrival's own source, without its worth.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
-	rng := newSource(a.Seed, sourceJobs)
+	rng := newRand(a.Seed, sourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
-	request := Request{Arrival: a, Retries: b.retries, AttemptTimeout: time.Duration(b.attemptTimeoutShare * float64(deadline))}
+	request := Request{Arrival: a, MaxRetries: b.maxRetries, AttemptTimeout: time.Duration(b.attemptTimeoutFraction * float64(deadline))}
 	request.Job = p.drawJob(rng, a.Class, 0, mean)
-	request.Key = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
-	if rng.Float64() >= p.Day.Clients.ImmediateRetryShare {
+	request.IdempotencyKey = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
+	if rng.Float64() >= p.Day.Clients.ImmediateRetryFraction {
 		request.Backoff = b.backoff
 	}
-	request.HonoursRetryAfter = rng.Float64() < b.honourRetryAfterShare
-	if rng.Float64() < b.leaveShare {
+	request.HonoursRetryAfter = rng.Float64() < b.honourRetryAfterFraction
+	if rng.Float64() < b.earlyLeaveFraction {
 		request.LeaveAfter = time.Duration(rng.Float64() * float64(request.AttemptTimeout))
 	}
 	return request
@@ -144,24 +144,24 @@
 
 // quotaBuckets are a token bucket for each tenant, which holds the requests of a second.
 type quotaBuckets struct {
-	quotas []float64 // per second
-	tokens []float64
-	at     []time.Duration // when tokens was right
+	quotas    []float64 // per second
+	tokens    []float64
+	updatedAt []time.Duration // when tokens was right
 }
 
 func newQuotaBuckets(quotas []float64) *quotaBuckets {
-	b := &quotaBuckets{quotas: quotas, tokens: make([]float64, len(quotas)), at: make([]time.Duration, len(quotas))}
+	b := &quotaBuckets{quotas: quotas, tokens: make([]float64, len(quotas)), updatedAt: make([]time.Duration, len(quotas))}
 	for i, quota := range quotas {
 		b.tokens[i] = max(quota, 1)
 	}
 	return b
 }
 
-// take takes a token of a tenant, and is false where there is none.
-func (b *quotaBuckets) take(tenant int, at time.Duration) bool {
+// takeToken takes a token of a tenant, and is false where there is none.
+func (b *quotaBuckets) takeToken(tenant int, at time.Duration) bool {
 	quota := b.quotas[tenant]
-	b.tokens[tenant] = min(b.tokens[tenant]+quota*(at-b.at[tenant]).Seconds(), max(quota, 1))
-	b.at[tenant] = at
+	b.tokens[tenant] = min(b.tokens[tenant]+quota*(at-b.updatedAt[tenant]).Seconds(), max(quota, 1))
+	b.updatedAt[tenant] = at
 	if b.tokens[tenant] < 1 {
 		return false
 	}
@@ -171,7 +171,7 @@
 
 // drawJob draws a request's work at a tier and at those behind it.
 func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
-	share := p.Day.Tiers[tier].WorkShare
+	share := p.Day.Tiers[tier].WorkFraction
 	job := &fake.Job{
 		Work: time.Duration(float64(mean.work) * share * lognormal(rng, p.Day.Classes[class].WorkVariation)),
 		Wait: time.Duration(float64(mean.wait) * share),
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Cut(5 * time.Second); err != nil {
+	if err := d.SetLength(5 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,7 +74,7 @@
 			t.Fatalf("asks for %v of the capacity", share)
 		}
 		for i, s := range p.Faults {
-			if s.At < d.Faults[i].At.Lo || s.At > d.Faults[i].At.Hi || (len(s.Targets) == 0) != (d.Faults[i].Share.Hi == 0) {
+			if s.Start < d.Faults[i].Start.Lo || s.Start > d.Faults[i].Start.Hi || (len(s.Targets) == 0) != (d.Faults[i].TargetFraction.Hi == 0) {
 				t.Fatalf("%+v", s)
 			}
 		}
@@ -83,7 +83,7 @@
 
 // The work drawn must be that from which the rate was computed, or a utilization would mean nothing.
 func TestPlannedWorkMatchesTheUtilization(t *testing.T) {
-	p := testPlan(t, `length = "8s"`, `length = "600s"`)
+	p := newTestPlan(t, `length = "8s"`, `length = "600s"`)
 	byTier := make([]float64, len(p.Day.Tiers))
 	for _, q := range p.Requests {
 		byTier[0] += q.Job.Work.Seconds()
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Cut(45 * time.Minute); err != nil {
+	if err := d.SetLength(45 * time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := NewPlan(d, 1, 3); err == nil || !strings.Contains(err.Error(), "calls in all tiers") {
--- a/internal/testkit/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -31,7 +31,7 @@
 		"violation":      violationText,
 		"verdict":        verdictText,
 		"verdictSummary": verdictSummary,
-		"sortedNames":    sortedKeys[Share],
+		"sortedNames":    sortedKeys[ServedValue],
 		"seconds":        func(v float64) string { return fmt.Sprintf("%.3f s", v) },
 		"ms":             func(v float64) string { return fmt.Sprintf("%.1f ms", 1000*v) },
 		"three":          func(v float64) string { return fmt.Sprintf("%.3f", v) },
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -32,7 +32,7 @@
 	c.faultBands(r)
 	c.scale("%.2f")
 	c.timeAxis()
-	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.Share.Share }))
+	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.ServedValue.Fraction }))
 	c.violationMarks(r)
 	return c.end()
 }
@@ -66,7 +66,7 @@
 	const row = 20.0
 	c := newChart(chartTop+row*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
 	for i, fault := range r.Faults {
-		x, end := c.x(fault.At.Seconds()), c.x((fault.At + fault.For).Seconds())
+		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
 		y := chartTop + row*float64(i)
 		label := fault.Kind
 		if fault.Magnitude > 0 {
@@ -142,7 +142,7 @@
 		if by[r.Balancer] == nil {
 			order = append(order, r.Balancer)
 		}
-		by[r.Balancer] = append(by[r.Balancer], point{r.Demand, r.WorthShare})
+		by[r.Balancer] = append(by[r.Balancer], point{r.Demand, r.InTimeFraction})
 	}
 	if lowest == highest {
 		return ""
--- a/internal/testkit/rehearse/play.go
+++ b/internal/testkit/rehearse/run.go
@@ -17,17 +17,17 @@
 
 // Options say how a plan is played.
 type Options struct {
-	Command  func() *exec.Cmd   // runs one sidecar
-	Serve    bool               // the command gets "serve --config FILE" and an operators' file; else ROUTER_CONFIG is set
-	Logs     string             // folder that keeps the sidecars' logs; empty: none are kept
-	Progress func(now Snapshot) // called some times a second, from one goroutine; nil: none
+	Command           func() *exec.Cmd   // runs one sidecar
+	UsesOperatorsFile bool               // the command gets "serve --config FILE" and an operators' file; else ROUTER_CONFIG is set
+	LogDir            string             // folder that keeps the sidecars' logs; empty: none are kept
+	Progress          func(now Snapshot) // called some times a second, from one goroutine; nil: none
 }
 
 // Snapshot is how far a day has come.
 type Snapshot struct {
-	At, Length      time.Duration
-	Offered, InTime float64 // worth of the requests that are decided, and of those served in time
-	InFlight        int
+	Elapsed, Length           time.Duration
+	OfferedValue, InTimeValue float64 // worth of the requests that are decided, and of those served in time
+	InFlight                  int
 }
 
 // maxEvents bounds a timeline: 40 events for each request that a plan may have; a quiet day with three tiers has about 20.
@@ -52,9 +52,9 @@
 	sidecars      []*sidecarProcess // all
 	cluster       *cluster          // nil: the day has none
 
-	notifications map[*fake.Agent]chan notification // on their way; not written to after buildHosts
-	deliveries    sync.WaitGroup
-	extraNotice   atomic.Int64 // nanoseconds added to the delay of notifications
+	pendingUpdates         map[*fake.Agent]chan memberUpdate // on their way; not written to after buildHosts
+	agentUpdaters          sync.WaitGroup
+	extraNotificationDelay atomic.Int64 // nanoseconds added to the delay of notifications
 
 	requests     sync.WaitGroup
 	inFlight     atomic.Int64
@@ -67,12 +67,12 @@
 	err error // why the day could not be played
 }
 
-// Play plays a plan. When it returns, everything that it started has ended. An error means that the day could not be
+// Run plays a plan. When it returns, everything that it started has ended. An error means that the day could not be
 // played; what the day showed is in the Result.
-func Play(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
+func Run(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dir := opt.Logs
+	dir := opt.LogDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "tuliprock-rehearse-"); err != nil {
@@ -91,13 +91,13 @@
 	if err := r.startSidecars(); err != nil {
 		return nil, err
 	}
-	result, err := r.play(before)
+	result, err := r.run(before)
 	if err != nil {
 		return nil, err
 	}
 	r.close() // the sidecars' use of resources is known once they have ended
 	after := resourceUsage()
-	result.Harness.SidecarsCPU = (after.sidecars - before.sidecars).Seconds()
+	result.Harness.SidecarsCPUSeconds = (after.sidecars - before.sidecars).Seconds()
 	result.Harness.MemoryMB = after.ownMB
 	for _, p := range r.sidecars {
 		result.Harness.SidecarMemoryMB = max(result.Harness.SidecarMemoryMB, p.peakMemoryMB)
@@ -107,22 +107,22 @@
 
 func newRehearsal(ctx context.Context, cancel context.CancelFunc, plan *Plan, opt Options, dir string) *rehearsal {
 	r := &rehearsal{
-		plan:          plan,
-		options:       opt,
-		ctx:           ctx,
-		cancel:        cancel,
-		workDir:       dir,
-		recorder:      fake.NewRecorder(time.Now(), maxEvents),
-		registry:      &fake.Registry{},
-		frontLayer:    &fake.FrontLayer{},
-		notifications: map[*fake.Agent]chan notification{},
-		outcomes:      make([]outcome, len(plan.Requests)),
-		sendLateness:  schedule.NewLatencyHistogram(),
+		plan:           plan,
+		options:        opt,
+		ctx:            ctx,
+		cancel:         cancel,
+		workDir:        dir,
+		recorder:       fake.NewRecorder(time.Now(), maxEvents),
+		registry:       &fake.Registry{},
+		frontLayer:     &fake.FrontLayer{},
+		pendingUpdates: map[*fake.Agent]chan memberUpdate{},
+		outcomes:       make([]outcome, len(plan.Requests)),
+		sendLateness:   schedule.NewLatencyHistogram(),
 	}
-	r.clients = fake.NewClient(plan.Classes, r.registry, r.recorder, plan.Day.Rules.Slack, maxClientIdleConnections)
+	r.clients = fake.NewClient(plan.Classes, r.registry, r.recorder, plan.Day.Rules.Tolerance, maxClientIdleConnections)
 	if lifetime := plan.Day.Clients.ConnectionLifetime; lifetime.Hi > 0 {
 		r.clients.SetConnectionLifetime(func() time.Duration {
-			return lifetime.At(r.drawShare("keep", fmt.Sprint(r.sequence.Add(1))))
+			return lifetime.At(r.drawFractionFor("keep", fmt.Sprint(r.sequence.Add(1))))
 		})
 	}
 	return r
@@ -143,8 +143,8 @@
 	return fmt.Sprintf("%s-%016x", prefix, r.sequence.Add(1))
 }
 
-// drawHash draws a number from the seed and names, so that it does not depend on the order of events.
-func (r *rehearsal) drawHash(names ...string) uint64 {
+// drawUint64For draws a number from the seed and names, so that it does not depend on the order of events.
+func (r *rehearsal) drawUint64For(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
 		_, _ = fmt.Fprintf(h, "%s\x00", name) // a hash takes all that is written to it
@@ -152,15 +152,15 @@
 	return rand.New(rand.NewPCG(r.plan.Seed, h.Sum64())).Uint64()
 }
 
-// drawShare is drawHash in [0, 1).
-func (r *rehearsal) drawShare(names ...string) float64 {
-	return float64(r.drawHash(names...)>>11) / (1 << 53)
+// drawFractionFor is drawHash in [0, 1).
+func (r *rehearsal) drawFractionFor(names ...string) float64 {
+	return float64(r.drawUint64For(names...)>>11) / (1 << 53)
 }
 
 // close ends everything that the rehearsal started. It may be called twice.
 func (r *rehearsal) close() {
 	r.cancel()
-	r.deliveries.Wait()
+	r.agentUpdaters.Wait()
 	r.cluster.close()
 	var stopping sync.WaitGroup
 	for _, p := range r.sidecars {
@@ -183,11 +183,11 @@
 	}
 }
 
-// play sends the requests of the plan when they are due, injects its faults, and checks what came of it.
-func (r *rehearsal) play(before resources) (*Result, error) {
+// run sends the requests of the plan when they are due, injects its faults, and checks what came of it.
+func (r *rehearsal) run(before resources) (*Result, error) {
 	start := time.Now()
 	dayStart := r.recorder.Now()
-	monitor := &monitor{rehearsal: r, start: start, timerLateness: schedule.NewLatencyHistogram()}
+	monitor := &monitor{rehearsal: r, startedAt: start, timerLateness: schedule.NewLatencyHistogram()}
 	done := make(chan struct{})
 	var monitoring sync.WaitGroup
 	monitoring.Go(func() { monitor.sampleInFlight(done) })
--- a/internal/testkit/rehearse/play_test.go
+++ b/internal/testkit/rehearse/run_test.go
@@ -16,17 +16,17 @@
 )
 
 // Everything that a play starts must end with it, also when it is interrupted.
-func TestInterruptedPlayLeavesNothingBehind(t *testing.T) {
+func TestInterruptedRunLeavesNothingBehind(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
 	ctx, interrupt := context.WithCancel(context.Background())
 	defer interrupt()
-	opt := Options{Logs: dir, Command: sidecarCommand("good"), Progress: func(s Snapshot) {
-		if s.At > 500*time.Millisecond {
+	opt := Options{LogDir: dir, Command: sidecarCommand("good"), Progress: func(s Snapshot) {
+		if s.Elapsed > 500*time.Millisecond {
 			interrupt()
 		}
 	}}
-	if _, err := Play(ctx, testPlan(t), opt); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, newTestPlan(t), opt); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended with %v", err)
 	}
 	configs, err := filepath.Glob(filepath.Join(dir, "*.json"))
@@ -49,14 +49,14 @@
 	}
 }
 
-func TestSidecarThatDoesNotStartEndsThePlay(t *testing.T) {
+func TestSidecarThatDoesNotStartEndsTheRun(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for name, command := range map[string]func() *exec.Cmd{
 		"no such program": func() *exec.Cmd { return exec.Command(filepath.Join(t.TempDir(), "nothing")) },
 		"port in use":     sidecarCommand("occupies its own port"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Play(context.Background(), testPlan(t), Options{Command: command})
+			_, err := Run(context.Background(), newTestPlan(t), Options{Command: command})
 			if err == nil || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v", err)
 			}
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -61,19 +61,19 @@
 	for i, c := range day.Classes {
 		s.Lanes = append(s.Lanes, classSettings{Name: c.Name, Semantics: semanticsNames[p.Classes[i].Effect], Group: "cell",
 			OnTimeUs: c.LatencyObjective.Microseconds(), DeadlineUs: c.Deadline.Microseconds(),
-			WindowUs: c.Window.Microseconds(), Worth: c.Worth})
+			WindowUs: c.Window.Microseconds(), Worth: c.PriorityWeight})
 	}
 	for i, t := range day.Tenants {
 		s.Accounts = append(s.Accounts, tenantSettings{t.Name, p.Quotas[i]})
 	}
 	s.Permissions.MayCancel, s.Permissions.RetryAfter = true, rules.MaxRetryAfter > 0
-	s.Permissions.TryLimit = rules.Attempts
+	s.Permissions.TryLimit = rules.MaxAttempts
 	s.Permissions.MaxRetryAfterUs = rules.MaxRetryAfter.Microseconds()
 	s.Permissions.ConnIdleUs = day.Tiers[role.tier].IdleTimeout.Lo.Microseconds()
 	s.Permissions.DialTimeoutUs = rules.DialTimeout.Microseconds()
 	s.Report.How = "silent"
-	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Slack.Microseconds(), rules.DrainGrace.Microseconds()
-	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.FallAfter.Microseconds(), rules.FallMultiple
+	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Tolerance.Microseconds(), rules.DrainGrace.Microseconds()
+	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.ColdOverloadWindow.Microseconds(), rules.ColdOverloadFactor
 	coldShare, warmUp := p.coldStart() // of all kinds of nodes, as the platform states them
 	s.Rules.ColdFrom, s.Rules.ColdUs = coldShare, warmUp.Microseconds()
 	return json.Marshal(s)
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -19,8 +19,8 @@
 
 // buildSidecars makes the sidecars before the first tier, and those of the hosts with a tier behind them.
 func (r *rehearsal) buildSidecars() error {
-	for i := range r.plan.Sidecars {
-		p, err := r.newSidecar(sidecarRole{sidecarName(i), 0, i, r.plan.Sidecars})
+	for i := range r.plan.SidecarCount {
+		p, err := r.newSidecar(sidecarRole{sidecarName(i), 0, i, r.plan.SidecarCount})
 		if err != nil {
 			return err
 		}
@@ -34,7 +34,7 @@
 			}
 			h.mu.Lock()
 			h.sidecar = p
-			h.client = fake.NewClient(r.plan.Classes, r.registry, r.recorder, r.plan.Day.Rules.Slack, maxNodeIdleConnections)
+			h.client = fake.NewClient(r.plan.Classes, r.registry, r.recorder, r.plan.Day.Rules.Tolerance, maxNodeIdleConnections)
 			h.mu.Unlock()
 		}
 	}
@@ -51,9 +51,9 @@
 	if err != nil {
 		return nil, err
 	}
-	notifications := make(chan notification, maxPendingNotifications)
-	r.notifications[agent] = notifications
-	r.deliveries.Go(func() { r.deliver(agent, notifications) })
+	notifications := make(chan memberUpdate, maxPendingUpdates)
+	r.pendingUpdates[agent] = notifications
+	r.agentUpdaters.Go(func() { r.updateAgent(agent, notifications) })
 	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
 		command: r.options.Command, day: r.plan.Day}
 	r.sidecars = append(r.sidecars, p) // from here on close ends it
@@ -64,9 +64,9 @@
 		return nil, err
 	}
 	member := r.cluster.member(role.name)
-	if r.options.Serve || member != nil {
-		if member != nil && member.clockEnv != "" {
-			p.env = append(p.env, member.clockEnv)
+	if r.options.UsesOperatorsFile || member != nil {
+		if member != nil && member.clockRateEnv != "" {
+			p.env = append(p.env, member.clockRateEnv)
 		}
 		p.operatorsFile = func(seed uint64) string {
 			return r.plan.operatorsFile(role, p.addr, agent.Addr, seed, member)
@@ -75,7 +75,7 @@
 	incarnation := uint64(0)
 	p.nextSeed = func() uint64 {
 		incarnation++
-		return r.drawHash(role.name, fmt.Sprint(incarnation))
+		return r.drawUint64For(role.name, fmt.Sprint(incarnation))
 	}
 	p.onCrash = func(p *sidecarProcess) { r.frontLayer.Remove(p.name) }
 	return p, nil
@@ -104,7 +104,7 @@
 	}
 	for _, p := range r.frontSidecars {
 		r.frontLayer.Add(p.name, p.addr)
-		r.cluster.recordFact(clusterinvariant.Started, p.name)
+		r.cluster.recordProcessEvent(clusterinvariant.Started, p.name)
 	}
 	return first
 }
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Module is the name of this program's own balancer in results.
-const Module = "tuliprock"
+// OwnBalancer is the name of this program's own balancer in results.
+const OwnBalancer = "tuliprock"
 
 // WriteJSON writes results in their documented form.
 func WriteJSON(w io.Writer, results []*Result) error {
@@ -28,7 +28,7 @@
 func WriteTable(w io.Writer, results []*Result) error {
 	var b strings.Builder
 	if len(results) == 1 {
-		writeOne(&b, results[0])
+		writeResult(&b, results[0])
 	} else {
 		writeComparison(&b, results)
 	}
@@ -43,8 +43,8 @@
 	_ = t.Flush()
 }
 
-// writeOne writes one result in full.
-func writeOne(b *strings.Builder, r *Result) {
+// writeResult writes one result in full.
+func writeResult(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
 	writeMeasures(b, r)
@@ -54,7 +54,7 @@
 	h := &r.Harness
 	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; "+
 		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*h.LateP99, 1000*h.LateMax, h.Stalls, defaults().Rules.Slack, h.CPU, h.MemoryMB, h.SidecarsCPU, h.SidecarMemoryMB)
+		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaults().Rules.Tolerance, h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
 	for _, why := range r.Invalid {
 		fmt.Fprintf(b, "NOT VALID: %s\n", why)
 	}
@@ -63,19 +63,19 @@
 // writeMeasures writes what clients and nodes measured.
 func writeMeasures(b *strings.Builder, r *Result) {
 	var rows strings.Builder
-	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.WorthShare, r.WorstWindow)
-	for _, by := range []map[string]Share{r.ByClass, r.ByTenant} {
+	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.InTimeFraction, r.WorstWindowFraction)
+	for _, by := range []map[string]ServedValue{r.ByClass, r.ByTenant} {
 		for _, name := range sortedKeys(by) {
-			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
+			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Fraction)
 		}
 	}
 	p, c := &r.Penalties, &r.Requests
 	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n",
-		r.Service, p.Connections, p.Waste, p.LateFails, p.Overload)
+		r.Service, p.Connections, p.Waste, p.LateFailures, p.Overload)
 	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n",
 		c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
 	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n",
-		r.Attempts, r.Calls, r.Connections)
+		r.AttemptsPerRequest, r.CallsPerRequest, r.ConnectionsPerRequest)
 	for _, name := range sortedKeys(r.Latency) {
 		l := r.Latency[name]
 		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n",
@@ -138,7 +138,7 @@
 	for _, r := range results {
 		c := r.Requests
 		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n",
-			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.WorthShare, r.WorstWindow, minShare(r.ByTenant),
+			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.InTimeFraction, r.WorstWindowFraction, minFraction(r.ByTenant),
 			percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total),
 			r.Latency["all"].P99, verdictSummary(r))
 	}
--- a/internal/testkit/rehearse/testday_test.go
+++ b/internal/testkit/rehearse/testday_test.go
@@ -104,8 +104,8 @@
 down = "300ms"
 `
 
-// testPlan draws a plan of the test's day, after replacing in its text each odd one of the changes by the next.
-func testPlan(tb testing.TB, change ...string) *Plan {
+// newTestPlan draws a plan of the test's day, after replacing in its text each odd one of the changes by the next.
+func newTestPlan(tb testing.TB, change ...string) *Plan {
 	tb.Helper()
 	text := testDayText
 	for i := 0; i+1 < len(change); i += 2 {
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -11,9 +11,9 @@
 // Bounds of the rehearsal's own lateness, past which a day is not valid. The rules allow 50 ms on each limit: sends that
 // are later than half of that, or a stall as long as the grace for drains, could pass for a sidecar's fault.
 const (
-	maxLateShare   = 0.5         // of the rules' tolerance, for 99 of 100 sends
-	maxStallShare  = 1.0         // of the grace for drains, for each stall
-	stallProximity = time.Second // within which a violation may be due to a stall
+	maxSendLatenessFraction = 0.5         // of the rules' tolerance, for 99 of 100 sends
+	maxStallFraction        = 1.0         // of the grace for drains, for each stall
+	stallProximity          = time.Second // within which a violation may be due to a stall
 )
 
 // validate decides whether the day says something about the sidecars, and if not, why.
@@ -22,12 +22,12 @@
 	invalidate := func(format string, args ...any) {
 		result.Invalid = append(result.Invalid, fmt.Sprintf(format, args...))
 	}
-	if limit := maxLateShare * rules.Slack.Seconds(); harness.LateP99 > limit {
+	if limit := maxSendLatenessFraction * rules.Tolerance.Seconds(); harness.SendLatenessP99 > limit {
 		invalidate("1 send of 100 was %.0f ms late or more, %.0f ms are allowed: "+
-			"this machine is too busy, or the day too large for it", 1000*harness.LateP99, 1000*limit)
+			"this machine is too busy, or the day too large for it", 1000*harness.SendLatenessP99, 1000*limit)
 	}
-	if limit := maxStallShare * rules.DrainGrace.Seconds(); harness.WorstStall > limit {
-		invalidate("the rehearsal itself stood still for %.0f ms, %.0f ms are allowed", 1000*harness.WorstStall, 1000*limit)
+	if limit := maxStallFraction * rules.DrainGrace.Seconds(); harness.LongestStall > limit {
+		invalidate("the rehearsal itself stood still for %.0f ms, %.0f ms are allowed", 1000*harness.LongestStall, 1000*limit)
 	}
 	if harness.DroppedEvents > 0 {
 		invalidate("%d events had no room in the timeline: the day is too long", harness.DroppedEvents)
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -11,7 +11,7 @@
 
 // A rehearsal that was not scheduled must not blame a sidecar.
 func TestHarnessStallsMakeADayInvalid(t *testing.T) {
-	r := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatencyHistogram()}
+	r := &rehearsal{plan: newTestPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
 		t.Helper()
 		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
@@ -31,9 +31,9 @@
 		events  []invariant.Event
 		want    string
 	}{
-		{"within the limits", HarnessMetrics{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
-		{"late sends", HarnessMetrics{LateP99: 0.026}, nil, "late"},
-		{"long stall", HarnessMetrics{WorstStall: 0.51}, nil, "stood still"},
+		{"within the limits", HarnessMetrics{SendLatenessP99: 0.024, LongestStall: 0.49}, nil, ""},
+		{"late sends", HarnessMetrics{SendLatenessP99: 0.026}, nil, "late"},
+		{"long stall", HarnessMetrics{LongestStall: 0.51}, nil, "stood still"},
 		{"dropped events", HarnessMetrics{DroppedEvents: 1}, nil, "no room"},
 		{"stall next to a violation", HarnessMetrics{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
 		{"stalls away from a violation", HarnessMetrics{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWorstWindowShare(t *testing.T) {
+func TestWorstWindowFraction(t *testing.T) {
 	by := make([]Second, 30)
 	for i := range by {
 		by[i].Offered, by[i].InTime = 10, 10
@@ -55,13 +55,13 @@
 	for i := 12; i < 17; i++ {
 		by[i].InTime = 0
 	}
-	if got := worstWindowShare(by); got != 0.5 {
+	if got := worstWindowFraction(by); got != 0.5 {
 		t.Errorf("%v", got)
 	}
-	if got := worstWindowShare(by[12:17]); got != 0 {
+	if got := worstWindowFraction(by[12:17]); got != 0 {
 		t.Errorf("day shorter than the window: %v", got)
 	}
-	if got := worstWindowShare(nil); got != 1 {
+	if got := worstWindowFraction(nil); got != 1 {
 		t.Errorf("empty day: %v", got)
 	}
 }
