--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -148,7 +148,7 @@
 	return results, nil
 }
 
-// options returns the options of a run whose sidecars are processes of this program. The balancer is rehearse.Module or the
+// options returns the options of a run whose sidecars are processes of this program. The balancer is rehearse.OwnBalancer or the
 // name of a baseline picker.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
 	isModule := balancer == rehearse.OwnBalancer
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -9,15 +9,15 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// maxClientIdleConnections is how many idle connections all clients together keep.
+// maxClientIdleConnections is the number of idle connections that all clients together keep open.
 const maxClientIdleConnections = 256
 
-// outcome is what became of a client's request over all its attempts.
+// outcome is the outcome of a client's request after all its attempts.
 type outcome struct {
-	isServed bool
+	isServed bool          // whether the last response had status 200
 	duration time.Duration // from the instant at which the request was due to the last response
-	status   int           // of the last response; 0: none
-	attempts int
+	status   int           // HTTP status of the last response; 0: there was none
+	attempts int           // number of attempts that the client sent
 }
 
 // isInTime reports whether the request was served within the latency objective.
@@ -25,12 +25,12 @@
 	return o.isServed && o.duration <= objective
 }
 
-// isRejection reports whether a status means that the request was not accepted, so that it may be sent again.
+// isRejection reports whether an HTTP status means that the request was rejected before it ran, so that it may be retried.
 func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runClient sends request i of the plan and its retries, and sets its outcome.
+// runClient sends request i of the plan, which is due at an instant, and its retries. It sets the outcome of the request.
 func (r *rehearsal) runClient(i int, due time.Time) {
 	request, o := &r.plan.Requests[i], &r.outcomes[i]
 	class := r.plan.Classes[request.Class]
@@ -59,17 +59,17 @@
 		if out.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
 			return
 		}
-		pause := request.Backoff
+		delay := request.Backoff
 		if isRejected && request.HonoursRetryAfter {
-			pause = max(pause, out.RetryAfter)
+			delay = max(delay, out.RetryAfter)
 		}
-		if !sleep(r.ctx, pause) {
+		if !sleep(r.ctx, delay) {
 			return
 		}
 	}
 }
 
-// newAttempt is an attempt at a request after a number of others.
+// newAttempt returns the next attempt at a request, of which a number of attempts have been sent.
 func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
 		ID:      r.newID("try"),
@@ -90,7 +90,7 @@
 	return attempt
 }
 
-// costHint is a client's guess at the work, from half to twice of it.
+// costHint returns a client's estimate of a request's work, which is from half the work to twice the work.
 func costHint(request *Request) time.Duration {
 	rng := rand.New(rand.NewPCG(request.Seed, sourceJobs))
 	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -1,9 +1,9 @@
-// Package rehearse plays a season on one machine: it draws a plan of a day from its file and a seed, starts fakes and real
-// sidecars, sends the plan's requests, injects its faults, and checks what was served in time and whether each invariant
-// held.
+// Package rehearse runs a day of traffic on one machine. It draws a plan of the day from the day's file and a seed, starts fake
+// nodes and real sidecars, sends the requests of the plan, injects its faults, and reports how much was served in time and
+// whether each invariant held.
 //
-// A Day, a Plan and a Result are plain values that belong to their caller; a Plan is not written to while it is played. Play
-// owns everything that it starts, processes and goroutines included, and returns once all of it has ended.
+// A Day, a Plan and a Result are plain values that belong to their caller; a Plan is not modified while it is run. Run owns all
+// processes and goroutines that it starts, and returns once all of them have ended.
 package rehearse
 
 import (
@@ -14,159 +14,159 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Day is a day as its file gives it. What is a range is drawn by the seed. Durations are strings such as "1.5s". The tags
-// are the words of day files, which partly differ from the names here: a fault is a trouble, the cluster a fleet, discovery
-// the roster.
+// Day is the content of a day's file: the traffic, the nodes and the faults. The seed decides which value is drawn from each
+// range. Durations are written as strings such as "1.5s". The tags are the keys of day files, which partly differ from the names
+// here: a fault is a trouble, the cluster a fleet, discovery the roster.
 type Day struct {
-	Format int           `toml:"format"` // 1
+	Format int           `toml:"format"` // version of the file format, always 1
 	Name   string        `toml:"name"`
-	About  string        `toml:"about"`
-	Seed   uint64        `toml:"seed"`
-	Length time.Duration `toml:"length"` // of the arrivals; the day ends when the last request is decided
+	About  string        `toml:"about"`  // description of the day in one sentence
+	Seed   uint64        `toml:"seed"`   // seed that is used unless the command names others
+	Length time.Duration `toml:"length"` // time over which requests arrive; the day ends when the last of them has its outcome
 
 	Load struct {
-		Utilization          tomlfile.NumberRange `toml:"use"`              // share of the nodes' capacity that is asked for
-		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the worth of requests beyond a tenant's quota
-		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // quotas of all tenants together, as a share of the capacity
-		HasCostHints         bool                 `toml:"hints"`            // clients send a rough guess at the work
+		Utilization          tomlfile.NumberRange `toml:"use"`              // demand, as a fraction of the capacity of the nodes
+		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the value of requests beyond their tenant's quota
+		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // sum of all tenants' quotas, as a fraction of the capacity
+		HasCostHints         bool                 `toml:"hints"`            // whether clients send an estimate of the work of a request
 	} `toml:"load"`
 	Sidecars struct {
-		Count    tomlfile.NumberRange `toml:"count"` // before the first tier; each node of a tier with one behind has its own
-		Cores    float64              `toml:"cores"`
-		MemoryMB int                  `toml:"memory_mb"`
-		Sockets  int                  `toml:"sockets"`
+		Count    tomlfile.NumberRange `toml:"count"`     // sidecars before the first tier; each node that calls a further tier has its own
+		Cores    float64              `toml:"cores"`     // CPU limit of one sidecar, in cores
+		MemoryMB int                  `toml:"memory_mb"` // memory limit of one sidecar
+		Sockets  int                  `toml:"sockets"`   // descriptors that one sidecar may have open
 	} `toml:"sidecars"`
 	FrontLayer struct {
-		RemovalDelay tomlfile.DurationRange `toml:"notice"` // the front layer sends to a dead sidecar for so long
+		RemovalDelay tomlfile.DurationRange `toml:"notice"` // time for which the front layer still connects to a dead sidecar
 	} `toml:"front"`
 	Discovery struct {
-		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // until a sidecar is notified that a node drains or is gone
-		AdditionDelay tomlfile.DurationRange `toml:"add"`    // until it is notified that a node has started
-		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // added for each sidecar
+		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // time until sidecars are notified that a node drains or is gone
+		AdditionDelay tomlfile.DurationRange `toml:"add"`    // time until sidecars are notified that a node has started
+		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // further delay, drawn for each sidecar and notification
 	} `toml:"roster"`
 	Clients struct {
-		Retries                  tomlfile.NumberRange   `toml:"retries"`
-		AttemptTimeoutFraction   tomlfile.NumberRange   `toml:"try_share"` // of the class's deadline, after which an attempt is given up
-		ImmediateRetryFraction   float64                `toml:"at_once"`   // of clients that retry at once; the others after Backoff
-		Backoff                  tomlfile.DurationRange `toml:"backoff"`
-		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`  // of clients that honour Retry-After
-		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"` // of requests whose client leaves early
-		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`    // of a client's connection; 0: unlimited
+		MaxRetries               tomlfile.NumberRange   `toml:"retries"`   // retries that a client sends at most
+		AttemptTimeoutFraction   tomlfile.NumberRange   `toml:"try_share"` // timeout of an attempt, as a fraction of the class's deadline
+		ImmediateRetryFraction   float64                `toml:"at_once"`   // fraction of requests that are retried without a backoff
+		Backoff                  tomlfile.DurationRange `toml:"backoff"`   // delay of all other retries
+		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`    // fraction of requests whose client honours Retry-After
+		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client leaves early
+		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`      // time after which a client closes a connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
-		MaxAttempts        int           `toml:"attempts"`
-		MaxRetryAfter      time.Duration `toml:"max_retry_after"`
-		Tolerance          time.Duration `toml:"slack"` // tolerance of each time limit
-		DrainGrace         time.Duration `toml:"drain_grace"`
-		ColdOverloadFactor float64       `toml:"fall_multiple"` // of what a warming node can do, beyond which it collapses,
-		ColdOverloadWindow time.Duration `toml:"fall_after"`    // over this time
-		DialTimeout        time.Duration `toml:"dial_timeout"`
+		MaxAttempts        int           `toml:"attempts"`        // attempts at one request that a sidecar sends at most
+		MaxRetryAfter      time.Duration `toml:"max_retry_after"` // longest Retry-After that a sidecar sends; 0: it sends none
+		Tolerance          time.Duration `toml:"slack"`           // time by which each time limit may be exceeded
+		DrainGrace         time.Duration `toml:"drain_grace"`     // time from a notification of a drain until nothing new may be sent
+		ColdOverloadFactor float64       `toml:"fall_multiple"`   // multiple of its capacity at which a warming node collapses
+		ColdOverloadWindow time.Duration `toml:"fall_after"`      // time over which the load of a warming node is averaged
+		DialTimeout        time.Duration `toml:"dial_timeout"`    // time that a sidecar waits for a connection to a node
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
 	Classes []Class     `toml:"class"`
 	Tenants []Tenant    `toml:"tenant"`
 	Faults  []FaultSpec `toml:"trouble"`
 
-	Cluster    *ClusterConfig  `toml:"fleet"` // nil: the sidecars do not know one another
-	LinkFaults []LinkFaultSpec `toml:"link_trouble"`
+	Cluster    *ClusterConfig  `toml:"fleet"`        // cluster of the sidecars; nil: they do not know one another
+	LinkFaults []LinkFaultSpec `toml:"link_trouble"` // faults of the links between the sidecars of the cluster
 }
 
-// Tier is a tier of nodes. A request at one tier calls the next, one call after another.
+// Tier is a tier of nodes. A request at a node of one tier makes its calls to the next tier one after another.
 type Tier struct {
 	Name            string                 `toml:"name"`
-	Nodes           tomlfile.NumberRange   `toml:"nodes"`
-	WorkFraction    float64                `toml:"work"`  // share of a class's work that one call takes here
-	CallsPerRequest tomlfile.NumberRange   `toml:"calls"` // that a request of the tier before makes here, on average
-	CellSize        tomlfile.NumberRange   `toml:"cell"`  // nodes that drop duplicates together
-	MaxConnections  int                    `toml:"conns"` // of a node; 0: no limit
-	HandshakeWork   tomlfile.DurationRange `toml:"handshake"`
-	IdleTimeout     tomlfile.DurationRange `toml:"idle"`
-	ErrorRate       tomlfile.NumberRange   `toml:"errors"` // share of requests that a node answers with 500
-	Kinds           []NodeKind             `toml:"kind"`
-	Overload        *OverloadRange         `toml:"choke"` // nil: overload does not slow the nodes
+	Nodes           tomlfile.NumberRange   `toml:"nodes"`     // number of nodes
+	WorkFraction    float64                `toml:"work"`      // fraction of a class's work that one call takes in this tier
+	CallsPerRequest tomlfile.NumberRange   `toml:"calls"`     // mean number of calls to this tier by a request of the tier before
+	CellSize        tomlfile.NumberRange   `toml:"cell"`      // number of nodes of a cell, which drop duplicates together
+	MaxConnections  int                    `toml:"conns"`     // connections that a node serves; 0: no limit
+	HandshakeWork   tomlfile.DurationRange `toml:"handshake"` // work of a node for each new connection
+	IdleTimeout     tomlfile.DurationRange `toml:"idle"`      // time after which a node closes an idle connection; 0: never
+	ErrorRate       tomlfile.NumberRange   `toml:"errors"`    // fraction of requests that a node answers with status 500
+	Kinds           []NodeKind             `toml:"kind"`      // kinds of nodes that the tier consists of
+	Overload        *OverloadRange         `toml:"choke"`     // slow state that overload causes; nil: overload does not slow the nodes
 }
 
-// NodeKind is a kind of node, from which the nodes of a tier are drawn.
+// NodeKind is a kind of node. Each node of a tier is of one of the tier's kinds.
 type NodeKind struct {
 	Name                 string                 `toml:"name"`
-	Proportion           float64                `toml:"share"` // of the tier's nodes, as a relative weight
+	Proportion           float64                `toml:"share"` // number of nodes of this kind, relative to the tier's other kinds
 	Cores                int                    `toml:"cores"`
-	Speed                tomlfile.NumberRange   `toml:"speed"` // of a core
-	Slots                tomlfile.NumberRange   `toml:"slots"` // for each core
-	QueueLimit           tomlfile.NumberRange   `toml:"room"`  // for each core
-	ColdCapacityFraction tomlfile.NumberRange   `toml:"cold_from"`
-	WarmUpDuration       tomlfile.DurationRange `toml:"cold_for"`
+	Speed                tomlfile.NumberRange   `toml:"speed"`     // speed of a core; work is stated for a core of speed 1
+	Slots                tomlfile.NumberRange   `toml:"slots"`     // requests that run at a time, for each core
+	QueueLimit           tomlfile.NumberRange   `toml:"room"`      // requests that may wait for a slot, for each core
+	ColdCapacityFraction tomlfile.NumberRange   `toml:"cold_from"` // fraction of its capacity that a node has right after a start
+	WarmUpDuration       tomlfile.DurationRange `toml:"cold_for"`  // time from a start until a node has its full capacity
 }
 
-// OverloadRange is the range of a fake.OverloadSpec.
+// OverloadRange holds the ranges from which the fields of a fake.OverloadSpec are drawn.
 type OverloadRange struct {
-	Threshold    tomlfile.NumberRange   `toml:"at"`
-	AveragedOver tomlfile.DurationRange `toml:"over"`
-	Slowdown     tomlfile.NumberRange   `toml:"slower"`
-	RecoverAfter tomlfile.DurationRange `toml:"rest"`
-	IdleBelow    tomlfile.NumberRange   `toml:"below"`
-	MaxDuration  tomlfile.DurationRange `toml:"most"`
+	Threshold    tomlfile.NumberRange   `toml:"at"`     // see fake.OverloadSpec.Threshold
+	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which the requests at a node are averaged
+	Slowdown     tomlfile.NumberRange   `toml:"slower"` // factor by which an overloaded node is slower
+	RecoverAfter tomlfile.DurationRange `toml:"rest"`   // time that a node must be mostly idle to leave the slow state
+	IdleBelow    tomlfile.NumberRange   `toml:"below"`  // fraction of its cores; a node is mostly idle while fewer are busy
+	MaxDuration  tomlfile.DurationRange `toml:"most"`   // time after which the slow state ends in any case
 }
 
-// Class is a class of requests.
+// Class is a class of requests, which have the same effect, deadline and distribution of work.
 type Class struct {
 	Name             string                 `toml:"name"`
-	Effect           string                 `toml:"effect"` // safe, keyed or unsafe
-	Window           time.Duration          `toml:"window"` // for keyed: the nodes of a cell drop a duplicate within it
-	Proportion       float64                `toml:"share"`  // of the requests, as a relative weight
-	Work             tomlfile.DurationRange `toml:"work"`   // on a core of speed 1, on average
-	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // on others, at each node that a request comes to
+	Effect           string                 `toml:"effect"` // "safe", "keyed" (it has an idempotency key) or "unsafe"
+	Window           time.Duration          `toml:"window"` // deduplication window of the cells; set for "keyed" only
+	Proportion       float64                `toml:"share"`  // number of requests of this class, relative to the other classes
+	Work             tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1, which the tiers divide
+	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems, which the tiers divide
 	WorkVariation    float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
 	LatencyObjective time.Duration          `toml:"aim"`
 	Deadline         time.Duration          `toml:"deadline"`
-	PriorityWeight   float64                `toml:"worth"` // for each second of work
+	PriorityWeight   float64                `toml:"worth"` // value of a request for each second of its work
 }
 
-// Tenant is one of the parties that share the nodes.
+// Tenant is one of the parties that share the nodes. Each has a quota of requests.
 type Tenant struct {
 	Name           string               `toml:"name"`
-	Proportion     float64              `toml:"share"` // of the quota, as a relative weight
-	DemandFraction tomlfile.NumberRange `toml:"usage"` // of its share that it asks for
+	Proportion     float64              `toml:"share"` // quota, relative to the quotas of the other tenants
+	RelativeDemand tomlfile.NumberRange `toml:"usage"` // demand relative to the quota; it only decides how tenants divide the traffic
 }
 
-// FaultSpec is a fault, as a day's file gives it.
+// FaultSpec is a fault as a day's file describes it.
 type FaultSpec struct {
-	Kind           string                 `toml:"kind"`
-	Start          tomlfile.DurationRange `toml:"at"`
-	Duration       tomlfile.DurationRange `toml:"for"`
-	TargetFraction tomlfile.NumberRange   `toml:"share"` // of the nodes or sidecars that are hit, at least one
-	Magnitude      tomlfile.NumberRange   `toml:"size"`  // see faultKinds
-	Tier           string                 `toml:"tier"`  // empty: the first
-	Mode           string                 `toml:"how"`   // see faultModes
-	Downtime       tomlfile.DurationRange `toml:"down"`  // until a restarted sidecar, or a drained node, is started again
+	Kind           string                 `toml:"kind"`  // a key of faultKinds
+	Start          tomlfile.DurationRange `toml:"at"`    // time from the start of the day
+	Duration       tomlfile.DurationRange `toml:"for"`   // time for which the fault is active
+	TargetFraction tomlfile.NumberRange   `toml:"share"` // fraction of the nodes or sidecars that the fault hits, at least one of them
+	Magnitude      tomlfile.NumberRange   `toml:"size"`  // strength of the fault, whose unit depends on its kind; see faultKinds
+	Tier           string                 `toml:"tier"`  // name of the tier whose nodes are hit; empty: the first tier
+	Mode           string                 `toml:"how"`   // variant of the kind; see faultModes
+	Downtime       tomlfile.DurationRange `toml:"down"`  // time until a restarted sidecar or a drained node is started again
 }
 
-// faultTraits says what a kind of fault hits, and which of its optional fields it has.
+// faultTraits describes a kind of fault: what it hits, and which optional fields of a FaultSpec it uses.
 type faultTraits struct{ hitsNodes, hitsSidecars, hasMagnitude, hasDowntime bool }
 
-// faultKinds are the kinds of faults. The magnitude has a meaning of its own with each.
+// faultKinds are the kinds of faults. The comment of each kind says what Magnitude means for it.
 var faultKinds = map[string]faultTraits{
-	"slow":        {hitsNodes: true, hasMagnitude: true},   // magnitude: factor by which nodes are slower
-	"crash":       {hitsNodes: true},                       // nodes die together, and come back cold after For
-	"drain":       {hitsNodes: true, hasDowntime: true},    // nodes drain, stop after For, and come back cold after DownFor
-	"hang":        {hitsNodes: true, hasMagnitude: true},   // magnitude: share of requests received and never answered
-	"reset":       {hitsNodes: true, hasMagnitude: true},   // magnitude: share of requests executed and the connection reset
-	"restart":     {hitsSidecars: true, hasDowntime: true}, // sidecars before the first tier restart, one after another over For
+	"slow":        {hitsNodes: true, hasMagnitude: true},   // nodes are slower by the factor Magnitude
+	"crash":       {hitsNodes: true},                       // nodes are killed together, and start cold after Duration
+	"drain":       {hitsNodes: true, hasDowntime: true},    // nodes drain, stop after Duration, and start cold after Downtime
+	"hang":        {hitsNodes: true, hasMagnitude: true},   // nodes never answer the fraction Magnitude of their requests
+	"reset":       {hitsNodes: true, hasMagnitude: true},   // nodes run the fraction Magnitude of requests, then reset the connection
+	"restart":     {hitsSidecars: true, hasDowntime: true}, // sidecars before the first tier restart one after another over Duration
 	"stall":       {hitsSidecars: true},                    // sidecars before the first tier are paused
-	"roster-late": {hasMagnitude: true},                    // magnitude: seconds added to the delay of notifications
+	"roster-late": {hasMagnitude: true},                    // notifications of discovery are late by Magnitude, in seconds
 	"roster-down": {},                                      // discovery is down
-	"surge":       {hasMagnitude: true},                    // magnitude: factor on the demand
+	"surge":       {hasMagnitude: true},                    // the demand rises by the factor Magnitude
 }
 
-// faultModes are the modes of the kinds that have one. A node comes back under the same ID, which is the default, or renamed
-// at its old address.
+// faultModes lists the values of Mode for the kinds that use it. A sidecar restarts after SIGKILL ("kill") or SIGTERM
+// ("planned"). A node starts again at its old address under the same ID, which is the default, or under a new one ("renamed").
 var faultModes = map[string][]string{
 	"restart": {"kill", "planned"},
 	"crash":   {"", "same", "renamed"},
 	"drain":   {"", "same", "renamed"},
 }
 
-// Load reads and checks a day's file. An error names file, line and field.
+// Load reads and checks a day's file. An error names the file, the line and the field.
 func Load(path string) (*Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -175,7 +175,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Load for a text that has been read from the file of that name.
+// Parse decodes and checks the text of a day's file. Its errors name the file as name.
 func Parse(name string, text []byte) (*Day, error) {
 	d := defaults()
 	f, err := tomlfile.Decode(name, text, d)
@@ -191,7 +191,7 @@
 	return d, nil
 }
 
-// defaults is a day with what a file may leave out: the limits of the rules, and the resources of a small sidecar.
+// defaults returns a day with the default values of the keys that a file may omit.
 func defaults() *Day {
 	d := &Day{}
 	d.Load.OverQuotaValueFactor = 0.05
@@ -209,7 +209,7 @@
 	return d
 }
 
-// tierIndex is the index of a tier by its name, where an empty name is the first; -1: there is none.
+// tierIndex returns the index of the tier with a name, or -1 if there is none. An empty name is the first tier.
 func (d *Day) tierIndex(name string) int {
 	for i, t := range d.Tiers {
 		if t.Name == name || name == "" {
@@ -219,22 +219,23 @@
 	return -1
 }
 
-// SetLength makes the day shorter or longer, from a second to an hour. Its faults keep their places, as shares of its length.
+// SetLength makes the day shorter or longer, from one second to one hour. The starts and durations of its faults are scaled by the
+// same factor.
 func (d *Day) SetLength(length time.Duration) error {
 	if length < time.Second || length > maxLength {
 		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
 	}
 	scale := float64(length) / float64(d.Length)
-	stretch := func(s tomlfile.DurationRange) tomlfile.DurationRange {
-		return tomlfile.DurationRange{Lo: time.Duration(float64(s.Lo) * scale), Hi: time.Duration(float64(s.Hi) * scale)}
+	scaled := func(r tomlfile.DurationRange) tomlfile.DurationRange {
+		return tomlfile.DurationRange{Lo: time.Duration(float64(r.Lo) * scale), Hi: time.Duration(float64(r.Hi) * scale)}
 	}
 	for i := range d.Faults {
 		fault := &d.Faults[i]
-		fault.Start, fault.Duration = stretch(fault.Start), stretch(fault.Duration)
+		fault.Start, fault.Duration = scaled(fault.Start), scaled(fault.Duration)
 	}
 	for i := range d.LinkFaults {
 		fault := &d.LinkFaults[i]
-		fault.Start, fault.Duration = stretch(fault.Start), stretch(fault.Duration)
+		fault.Start, fault.Duration = scaled(fault.Start), scaled(fault.Duration)
 	}
 	d.Length = length
 	return nil
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -8,16 +8,17 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Bounds of what one machine is asked to play.
+// Bounds of a day, which keep it small enough to run on one machine.
 const (
 	maxLength = time.Hour
-	maxNodes  = 400
+	maxNodes  = 400 // nodes in all tiers together
 	maxTiers  = 5
 )
 
-// isFraction reports whether a range lies within 0 and 1.
+// isFraction reports whether both bounds of a range lie in [0, 1].
 func isFraction(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
+// checkHead checks the keys that precede the tiers, in the order of a day's file.
 func (d *Day) checkHead(f *tomlfile.File) error {
 	return f.Check("", []tomlfile.Requirement{
 		tomlfile.Require("format", d.Format == 1, "1"),
@@ -30,7 +31,7 @@
 		tomlfile.Require("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
 		tomlfile.Require("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
 		tomlfile.Require("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
-		tomlfile.Require("clients.retries", d.Clients.Retries.Lo >= 0 && d.Clients.Retries.Hi < 10, "from 0 to under 10"),
+		tomlfile.Require("clients.retries", d.Clients.MaxRetries.Lo >= 0 && d.Clients.MaxRetries.Hi < 10, "from 0 to under 10"),
 		tomlfile.Require("clients.try_share", d.Clients.AttemptTimeoutFraction.Lo > 0 && isFraction(d.Clients.AttemptTimeoutFraction),
 			"over 0, and 1 at most"),
 		tomlfile.Require("clients.at_once", d.Clients.ImmediateRetryFraction >= 0 && d.Clients.ImmediateRetryFraction <= 1, "from 0 to 1"),
@@ -43,14 +44,15 @@
 	})
 }
 
+// checkTiers checks the tiers with their kinds of nodes, and sets the defaults of a tier.
 func (d *Day) checkTiers(f *tomlfile.File) error {
 	if n := len(d.Tiers); n < 1 || n > maxTiers {
 		return f.Errorf("tier", "must be from 1 to %d of them", maxTiers)
 	}
-	sum := 0.0
+	maxNodeCount := 0.0 // highest possible number of nodes in the tiers that were checked
 	for i := range d.Tiers {
 		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
-		sum += t.Nodes.Hi
+		maxNodeCount += t.Nodes.Hi
 		if t.CallsPerRequest.Hi == 0 {
 			t.CallsPerRequest = tomlfile.NumberRange{Lo: 1, Hi: 1}
 		}
@@ -59,7 +61,7 @@
 		}
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("name", t.Name != "", "a name"),
-			tomlfile.Require("nodes", t.Nodes.Lo >= 1 && sum <= maxNodes,
+			tomlfile.Require("nodes", t.Nodes.Lo >= 1 && maxNodeCount <= maxNodes,
 				fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
 			tomlfile.Require("work", t.WorkFraction > 0, "over 0"),
 			tomlfile.Require("calls", t.CallsPerRequest.Lo >= 1 && t.CallsPerRequest.Hi <= 10, "from 1 to 10"),
@@ -74,14 +76,14 @@
 				return err
 			}
 		}
-		if c := t.Overload; c != nil {
+		if o := t.Overload; o != nil {
 			at += ".choke"
 			if err := f.Check(at, []tomlfile.Requirement{
-				tomlfile.Require("at", c.Threshold.Lo > 0, "over 0"),
-				tomlfile.Require("over", c.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
-				tomlfile.Require("slower", c.Slowdown.Lo >= 1, "1 at least"),
-				tomlfile.Require("below", isFraction(c.IdleBelow), "from 0 to 1"),
-				tomlfile.Require("most", c.MaxDuration.Lo > 0, "over 0"),
+				tomlfile.Require("at", o.Threshold.Lo > 0, "over 0"),
+				tomlfile.Require("over", o.AveragedOver.Lo >= 100*time.Millisecond, "100ms at least"),
+				tomlfile.Require("slower", o.Slowdown.Lo >= 1, "1 at least"),
+				tomlfile.Require("below", isFraction(o.IdleBelow), "from 0 to 1"),
+				tomlfile.Require("most", o.MaxDuration.Lo > 0, "over 0"),
 			}); err != nil {
 				return err
 			}
@@ -90,6 +92,7 @@
 	return nil
 }
 
+// check checks a kind of node, whose place in the file is at.
 func (k *NodeKind) check(f *tomlfile.File, at string) error {
 	return f.Check(at, []tomlfile.Requirement{
 		tomlfile.Require("name", k.Name != "", "a name"),
@@ -102,6 +105,7 @@
 	})
 }
 
+// checkClassesAndTenants checks that there are classes and tenants, and the keys of each.
 func (d *Day) checkClassesAndTenants(f *tomlfile.File) error {
 	if len(d.Classes) == 0 {
 		return f.Errorf("class", "must be given")
@@ -133,7 +137,7 @@
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("name", isPlainName(t.Name), "a name, of letters, digits and -"),
 			tomlfile.Require("share", t.Proportion > 0, "over 0"),
-			tomlfile.Require("usage", t.DemandFraction.Lo > 0, "over 0"),
+			tomlfile.Require("usage", t.RelativeDemand.Lo > 0, "over 0"),
 		}); err != nil {
 			return err
 		}
@@ -141,7 +145,7 @@
 	return nil
 }
 
-// isPlainName reports whether a name can stand in a path and a header as it is.
+// isPlainName reports whether a name can be used in a URL path and a header without escaping.
 func isPlainName(s string) bool {
 	for _, c := range s {
 		if c != '-' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
@@ -151,12 +155,13 @@
 	return s != ""
 }
 
+// checkFaults checks that each fault has the keys that its kind uses, and no others.
 func (d *Day) checkFaults(f *tomlfile.File) error {
 	for i, spec := range d.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		needs, isKnown := faultKinds[spec.Kind]
+		traits, isKnown := faultKinds[spec.Kind]
 		modes := faultModes[spec.Kind]
-		hitsTargets := needs.hitsNodes || needs.hitsSidecars
+		hitsTargets := traits.hitsNodes || traits.hitsSidecars
 		hitsRequests := spec.Kind == "hang" || spec.Kind == "reset"
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
@@ -164,11 +169,11 @@
 			tomlfile.Require("for", spec.Duration.Lo > 0, "over 0"),
 			tomlfile.Require("share", isFraction(spec.TargetFraction) && (spec.TargetFraction.Hi > 0) == hitsTargets,
 				"over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == needs.hasMagnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == traits.hasMagnitude, "over 0 where the trouble has a size, and only there"),
 			tomlfile.Require("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
-			tomlfile.Require("down", (spec.Downtime.Hi > 0) == needs.hasDowntime, "over 0 for drain and restart, and only there"),
+			tomlfile.Require("down", (spec.Downtime.Hi > 0) == traits.hasDowntime, "over 0 for drain and restart, and only there"),
 			tomlfile.Require("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
-			tomlfile.Require("tier", spec.Tier == "" || needs.hitsNodes && d.tierIndex(spec.Tier) >= 0,
+			tomlfile.Require("tier", spec.Tier == "" || traits.hitsNodes && d.tierIndex(spec.Tier) >= 0,
 				"the name of a tier, for a trouble of nodes"),
 		}); err != nil {
 			return err
@@ -177,7 +182,7 @@
 	return nil
 }
 
-// isAllowedMode reports whether a kind of fault with these modes may have the mode; without modes it must be empty.
+// isAllowedMode reports whether a mode is one of the modes of a kind of fault. For a kind without modes it must be empty.
 func isAllowedMode(mode string, modes []string) bool {
 	return slices.Contains(modes, mode) || mode == "" && len(modes) == 0
 }
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	frontRemovalDelayAfterTerm = 300 * time.Millisecond // the front layer sends new connections for so long after SIGTERM
-	maxDeadlineWait            = 3 * time.Second        // the longest that the platform waits for deadlines before SIGKILL
+	frontRemovalDelayAfterTerm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections
+	maxDeadlineWait            = 3 * time.Second        // longest time that the platform waits for deadlines before SIGKILL
 )
 
-// inject injects one fault when it is due, and returns when it is over. When ctx ends, the rest of it is left out.
+// inject injects one fault when it is due and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
 func (r *rehearsal) inject(ctx context.Context, start time.Time, fault Fault) {
 	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// targets are the hosts of the nodes that a fault hits.
+// targets returns the hosts of the nodes that a fault hits.
 func (r *rehearsal) targets(fault Fault) []*host {
 	var out []*host
 	for _, h := range r.hosts[fault.Tier] {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// forEachTarget calls do for all targets concurrently, and waits for all.
+// forEachTarget calls do concurrently for all hosts that a fault hits, and waits for all calls.
 func (r *rehearsal) forEachTarget(fault Fault, do func(*host)) {
 	var all sync.WaitGroup
 	for _, h := range r.targets(fault) {
@@ -69,7 +69,7 @@
 	all.Wait()
 }
 
-// injectNodeFault sets a fault of nodes to its magnitude, and to the value without a fault when it is over.
+// injectNodeFault sets a property of the nodes that a fault hits to its magnitude, and to none when the fault is over.
 func (r *rehearsal) injectNodeFault(ctx context.Context, fault Fault, set func(*fake.Node, float64), none float64) {
 	setAll := func(magnitude float64) {
 		for _, h := range r.targets(fault) {
@@ -83,7 +83,7 @@
 	setAll(none)
 }
 
-// crashNode kills a node with its sidecar, and restarts both cold.
+// crashNode kills a node and its sidecar, and starts both again, the node cold.
 func (r *rehearsal) crashNode(ctx context.Context, h *host, fault Fault) {
 	r.stopNode(h)
 	if !sleep(ctx, fault.Duration) {
@@ -92,7 +92,7 @@
 	r.restartNode(ctx, h, fault.Mode)
 }
 
-// drainNode drains a node, stops it after a while, and restarts it cold.
+// drainNode drains a node, stops it after the fault's duration, and starts it cold after the downtime.
 func (r *rehearsal) drainNode(ctx context.Context, h *host, fault Fault) {
 	h.mu.Lock()
 	h.node.Drain()
@@ -110,13 +110,14 @@
 	r.restartNode(ctx, h, fault.Mode)
 }
 
+// setDiscoveryDown stops or resumes the discovery agents of all sidecars.
 func (r *rehearsal) setDiscoveryDown(isDown bool) {
 	for _, p := range r.sidecars {
 		p.agent.SetDown(isDown)
 	}
 }
 
-// pauseSidecars stops the processes of sidecars for a while, all at once.
+// pauseSidecars pauses the processes of the sidecars that a fault hits, all at once, for the fault's duration.
 func (r *rehearsal) pauseSidecars(ctx context.Context, fault Fault) {
 	r.cluster.beginFault()
 	defer r.cluster.endFault()
@@ -129,28 +130,30 @@
 	all.Wait()
 }
 
-// restartSidecars ends sidecars one after another and starts each again with nothing but its last endpoint list.
+// restartSidecars restarts the sidecars that a fault hits, at equal intervals over the fault's duration. Of its state, a sidecar
+// gets back only its last endpoint list.
 func (r *rehearsal) restartSidecars(ctx context.Context, fault Fault) {
 	var all sync.WaitGroup
 	for i, name := range fault.Targets {
 		for _, p := range r.frontSidecars {
 			if p.name == name {
-				after := time.Duration(i) * fault.Duration / time.Duration(len(fault.Targets))
-				all.Go(func() { r.restartSidecar(ctx, p, fault, after) })
+				delay := time.Duration(i) * fault.Duration / time.Duration(len(fault.Targets))
+				all.Go(func() { r.restartSidecar(ctx, p, fault, delay) })
 			}
 		}
 	}
 	all.Wait()
 }
 
-func (r *rehearsal) restartSidecar(ctx context.Context, p *sidecarProcess, fault Fault, after time.Duration) {
-	if !sleep(ctx, after) {
+// restartSidecar ends a sidecar after a delay, and starts it again after the fault's downtime.
+func (r *rehearsal) restartSidecar(ctx context.Context, p *sidecarProcess, fault Fault, delay time.Duration) {
+	if !sleep(ctx, delay) {
 		return
 	}
 	isPlanned := fault.Mode == "planned"
-	var noticed sync.WaitGroup
-	defer noticed.Wait()
-	noticed.Go(func() { // the front layer goes on sending to a dead sidecar for a while
+	var removal sync.WaitGroup
+	defer removal.Wait()
+	removal.Go(func() { // the front layer opens connections to a dead sidecar until it notices
 		if sleep(ctx, r.frontRemovalDelay(p, fault)) {
 			r.frontLayer.Remove(p.name)
 		}
@@ -166,7 +169,7 @@
 	if !sleep(ctx, fault.Downtime) {
 		return
 	}
-	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name) // before the start: its views from now on are of the new incarnation
+	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name) // recorded before the start, so that all polls of the new process count for its incarnation
 	if err := p.start(); err != nil {
 		r.fail(err)
 		return
@@ -177,11 +180,11 @@
 		}
 		return
 	}
-	noticed.Wait()
+	removal.Wait()
 	r.frontLayer.Add(p.name, p.addr)
 }
 
-// frontRemovalDelay is how long the front layer sends new connections to a sidecar that ends.
+// frontRemovalDelay returns how long the front layer still opens connections to a sidecar that is killed or told to shut down.
 func (r *rehearsal) frontRemovalDelay(p *sidecarProcess, fault Fault) time.Duration {
 	if fault.Mode == "planned" {
 		return frontRemovalDelayAfterTerm
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -10,7 +10,7 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// The weights of a day's shares in the points of service, which together are 1.
+// The weights of the fractions of value that make up the points of service. Their sum is 1.
 const (
 	weightOverall     = 0.55
 	weightWorstWindow = 0.15
@@ -18,19 +18,20 @@
 	weightWorstTenant = 0.25
 )
 
-// The points of service that are taken off, of 100; see Penalties.
+// The factors of the penalties, in points of service out of 100; see Penalties.
 const (
-	penaltyConnections = 8
-	penaltyWaste       = 4
-	penaltyLateFails   = 3
-	penaltyOverload    = 6
+	penaltyConnections  = 8
+	penaltyWaste        = 4
+	penaltyLateFailures = 3
+	penaltyOverload     = 6
 )
 
-// worstWindowSeconds is the length of the window with the least share that counts for itself.
+// worstWindowSeconds is the length of the windows of which the worst has its own weight in the points of service.
 const worstWindowSeconds = 10
 
-// newResult measures and checks the day that was played, up to the instant end of the recorder's clock.
-func (r *rehearsal) newResult(m *monitor, dayStart, end time.Duration, before resources) *Result {
+// newResult returns the measurements and verdicts of a day that started at dayStart. It ignores events after end. Both instants
+// are of the recorder's clock.
+func (r *rehearsal) newResult(m *monitor, dayStart, end time.Duration, usageBefore resources) *Result {
 	events, dropped := r.recorder.Take()
 	events = slices.DeleteFunc(events, func(e invariant.Event) bool { return e.At > end })
 	result := &Result{
@@ -63,35 +64,35 @@
 	r.addClientMetrics(result)
 	r.addNodeMetrics(result, events, dayStart)
 	result.addService()
-	now := resourceUsage()
+	usage := resourceUsage()
 	result.Harness = HarnessMetrics{
 		SendLatenessP50:  r.sendLateness.Quantile(0.5).Seconds(),
 		SendLatenessP99:  r.sendLateness.Quantile(0.99).Seconds(),
 		SendLatenessMax:  r.sendLateness.Max().Seconds(),
 		TimerLatenessP99: m.timerLateness.Quantile(0.99).Seconds(),
-		LongestStall:     m.worstStall.Seconds(),
-		CPUSeconds:       (now.own - before.own).Seconds(),
+		LongestStall:     m.longestStall.Seconds(),
+		CPUSeconds:       (usage.own - usageBefore.own).Seconds(),
 		DroppedEvents:    dropped,
 	}
 	r.validate(result, events, dayStart)
 	return result
 }
 
-// addClientMetrics measures what clients got: shares of worth served in time, latencies and counts.
+// addClientMetrics measures the outcomes of the clients' requests: the value served in time, latencies and counts.
 func (r *rehearsal) addClientMetrics(result *Result) {
-	byName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
-	bySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
-	result.BySecond = make([]Second, len(bySecond))
-	for i := range bySecond {
-		bySecond[i] = schedule.NewLatencyHistogram()
+	latencyByName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
+	latencyBySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
+	result.BySecond = make([]Second, len(latencyBySecond))
+	for i := range latencyBySecond {
+		latencyBySecond[i] = schedule.NewLatencyHistogram()
 	}
 	var overall ServedValue
-	lateFailWorth, attempts := 0.0, 0
+	lateFailureValue, attempts := 0.0, 0
 	for i := range r.plan.Requests {
 		request, o := &r.plan.Requests[i], &r.outcomes[i]
 		class := r.plan.Day.Classes[request.Class]
 		isInTime := o.isInTime(class.LatencyObjective)
-		second := min(int(request.At.Seconds()), len(bySecond)-1)
+		second := min(int(request.At.Seconds()), len(latencyBySecond)-1)
 		overall.addRequest(request, isInTime)
 		result.BySecond[second].addRequest(request, isInTime)
 		addToServedValue(result.ByClass, class.Name, request, isInTime)
@@ -102,32 +103,32 @@
 		result.Requests.addOutcome(o, class.LatencyObjective)
 		if o.isServed {
 			for _, name := range []string{"all", class.Name} {
-				if byName[name] == nil {
-					byName[name] = schedule.NewLatencyHistogram()
+				if latencyByName[name] == nil {
+					latencyByName[name] = schedule.NewLatencyHistogram()
 				}
-				byName[name].Record(o.duration)
+				latencyByName[name].Record(o.duration)
 			}
-			bySecond[second].Record(o.duration)
+			latencyBySecond[second].Record(o.duration)
 		} else if o.duration > class.LatencyObjective {
-			lateFailWorth += request.Value
+			lateFailureValue += request.Value
 		}
 	}
-	for name, l := range byName {
-		result.Latency[name] = Latency{P50: l.Quantile(0.5).Seconds(), P90: l.Quantile(0.9).Seconds(), P99: l.Quantile(0.99).Seconds(),
-			P999: l.Quantile(0.999).Seconds(), Max: l.Max().Seconds()}
+	for name, h := range latencyByName {
+		result.Latency[name] = Latency{P50: h.Quantile(0.5).Seconds(), P90: h.Quantile(0.9).Seconds(), P99: h.Quantile(0.99).Seconds(),
+			P999: h.Quantile(0.999).Seconds(), Max: h.Max().Seconds()}
 	}
-	for i, l := range bySecond {
-		result.BySecond[i].P50, result.BySecond[i].P99 = l.Quantile(0.5).Seconds(), l.Quantile(0.99).Seconds()
+	for i, h := range latencyBySecond {
+		result.BySecond[i].P50, result.BySecond[i].P99 = h.Quantile(0.5).Seconds(), h.Quantile(0.99).Seconds()
 	}
 	result.InTimeFraction, result.WorstWindowFraction = overall.Fraction, worstWindowFraction(result.BySecond)
 	result.ClientAttemptsPerRequest = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
-	result.Penalties.LateFailures = penaltyLateFails * ratio(lateFailWorth, overall.Offered, 0)
+	result.Penalties.LateFailures = penaltyLateFailures * ratio(lateFailureValue, overall.Offered, 0)
 }
 
 // addNodeMetrics measures what nodes observed: attempts, connections, rejections, wasted work and overload.
 func (r *rehearsal) addNodeMetrics(result *Result, events []invariant.Event, dayStart time.Duration) {
 	tierOf := map[string]int{}
-	connections, overloaded := 0, 0
+	connections, overloadedNodes := 0, 0
 	for _, hosts := range r.hosts {
 		for _, h := range hosts {
 			h.mu.Lock()
@@ -138,25 +139,25 @@
 				wasOverloaded = wasOverloaded || n.WasOverloaded()
 			}
 			if wasOverloaded {
-				overloaded++
+				overloadedNodes++
 			}
 			h.mu.Unlock()
 		}
 	}
-	firstTier, allTiers, workDone := 0, 0, 0.0
-	work := map[string]float64{} // by request
+	firstTierAttempts, allAttempts, workDone := 0, 0, 0.0
+	workOf := map[string]float64{} // work of each request, in seconds
 	result.Rejections = make([]float64, len(result.BySecond))
 	for _, e := range events {
 		switch e.Kind {
 		case invariant.AttemptReceived:
-			allTiers++
+			allAttempts++
 			if tierOf[e.Node] == 0 {
-				firstTier++
+				firstTierAttempts++
 			}
-			work[e.Request] = e.Work
+			workOf[e.Request] = e.Work
 		case invariant.EffectStarted:
 			if !e.Duplicate {
-				workDone += work[e.Request]
+				workDone += workOf[e.Request]
 			}
 		case invariant.ResponseReceived:
 			if s := int((e.At - dayStart).Seconds()); isRejection(e.Status) && s >= 0 && s < len(result.Rejections) {
@@ -165,30 +166,30 @@
 		}
 	}
 	n := float64(len(r.plan.Requests))
-	result.AttemptsPerRequest = ratio(float64(firstTier), n, 0)
-	result.CallsPerRequest = ratio(float64(allTiers), n, 0)
+	result.AttemptsPerRequest = ratio(float64(firstTierAttempts), n, 0)
+	result.CallsPerRequest = ratio(float64(allAttempts), n, 0)
 	result.ConnectionsPerRequest = ratio(float64(connections), n, 0)
-	offered, useful := 0.0, 0.0
+	offeredWork, usefulWork := 0.0, 0.0
 	for i := range r.plan.Requests {
 		total := r.plan.Requests[i].Job.TotalWork().Seconds()
-		offered += total
+		offeredWork += total
 		if r.outcomes[i].isServed {
-			useful += total
+			usefulWork += total
 		}
 	}
 	result.Penalties.Connections = penaltyConnections * result.ConnectionsPerRequest
-	result.Penalties.Waste = penaltyWaste * ratio(max(workDone-useful, 0), offered, 0)
-	result.Penalties.Overload = penaltyOverload * ratio(float64(overloaded), float64(len(r.plan.Nodes)), 0)
+	result.Penalties.Waste = penaltyWaste * ratio(max(workDone-usefulWork, 0), offeredWork, 0)
+	result.Penalties.Overload = penaltyOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
 }
 
-// addService sums the weighted shares, less the penalties, to points of 100.
+// addService sets the points of service: the weighted fractions of value, on a scale of 100, minus the penalties.
 func (r *Result) addService() {
 	r.Service = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
 		weightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
 
-// addRequest counts a request.
+// addRequest adds the value of a request.
 func (s *ServedValue) addRequest(request *Request, isInTime bool) {
 	s.Offered += request.Value
 	if isInTime {
@@ -197,10 +198,11 @@
 	s.Fraction = ratio(s.InTime, s.Offered, 1)
 }
 
-func addToServedValue(shares map[string]ServedValue, name string, request *Request, isInTime bool) {
-	s := shares[name]
+// addToServedValue adds the value of a request to the entry of a class or tenant.
+func addToServedValue(byName map[string]ServedValue, name string, request *Request, isInTime bool) {
+	s := byName[name]
 	s.addRequest(request, isInTime)
-	shares[name] = s
+	byName[name] = s
 }
 
 // addOutcome counts a request by its outcome.
@@ -221,9 +223,10 @@
 	}
 }
 
-// worstWindowFraction is the least share of a window of worstWindowSeconds, or of all where the day is shorter.
+// worstWindowFraction returns the lowest fraction of value that was served in time in any window of worstWindowSeconds. If the day
+// is shorter, the window is the whole day.
 func worstWindowFraction(seconds []Second) float64 {
-	least := 1.0
+	lowest := 1.0
 	length := min(worstWindowSeconds, len(seconds))
 	for i := 0; i+length <= len(seconds); i++ {
 		var sum ServedValue
@@ -231,21 +234,21 @@
 			sum.Offered += s.Offered
 			sum.InTime += s.InTime
 		}
-		least = min(least, ratio(sum.InTime, sum.Offered, 1))
+		lowest = min(lowest, ratio(sum.InTime, sum.Offered, 1))
 	}
-	return least
+	return lowest
 }
 
-// minFraction is the least share of all, 1 without any.
-func minFraction(shares map[string]ServedValue) float64 {
-	least := 1.0
-	for _, s := range shares {
-		least = min(least, s.Fraction)
+// minFraction returns the lowest fraction of all entries, or 1 if there are none.
+func minFraction(byName map[string]ServedValue) float64 {
+	lowest := 1.0
+	for _, s := range byName {
+		lowest = min(lowest, s.Fraction)
 	}
-	return least
+	return lowest
 }
 
-// ratio is a over b, or a value of its own where b is not positive.
+// ratio returns a divided by b, or empty if b is not positive.
 func ratio(a, b, empty float64) float64 {
 	if b <= 0 {
 		return empty
@@ -253,4 +256,5 @@
 	return a / b
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	sampleInterval     = 250 * time.Millisecond // of the requests in flight; result files and charts count on it
-	stallCheckInterval = 5 * time.Millisecond
+	sampleInterval     = 250 * time.Millisecond // interval between two samples of the requests in flight, which result files and charts rely on
+	stallCheckInterval = 5 * time.Millisecond   // interval of the timer whose lateness shows stalls of the rehearsal
 )
 
-// monitor observes a day while it is played: the requests in flight at each node, and whether the rehearsal itself is
-// scheduled. Each of its two goroutines has fields of its own, which are read once both have ended.
+// monitor observes a rehearsal while it runs: the requests in flight at each node, and stalls of the rehearsal's own process. Its
+// two goroutines write to different fields, which are read after both have ended.
 type monitor struct {
 	rehearsal *rehearsal
 	startedAt time.Time
 
-	inFlight [][]int // by sample, by node of the plan
+	inFlight [][]int // for each sample, the requests in flight at each node of the plan; written by sampleInFlight
 
-	timerLateness *schedule.LatencyHistogram
-	worstStall    time.Duration
+	timerLateness *schedule.LatencyHistogram // lateness of the timer of stallCheckInterval; written by watchStalls
+	longestStall  time.Duration              // greatest lateness of that timer; written by watchStalls
 }
 
-// sampleInFlight samples the requests in flight, and reports the progress, until done closes.
+// sampleInFlight samples the requests in flight at the nodes and reports the progress of the run until done closes.
 func (m *monitor) sampleInFlight(done <-chan struct{}) {
 	r := m.rehearsal
 	ticker := time.NewTicker(sampleInterval)
@@ -57,8 +57,8 @@
 	}
 }
 
-// watchStalls measures how late a timer of the rehearsal fires, until done closes. It records stalls as long as the rules'
-// tolerance: a limit that is exceeded next to one may not be the sidecar's doing.
+// watchStalls measures how late a timer of the rehearsal fires until done closes. It records each stall that is at least as long as
+// the tolerance of the rules, since a violation near such a stall need not be the sidecar's fault.
 func (m *monitor) watchStalls(done <-chan struct{}) {
 	for last := time.Now(); ; {
 		select {
@@ -70,29 +70,30 @@
 		late := now.Sub(last) - stallCheckInterval
 		last = now
 		m.timerLateness.Record(late)
-		m.worstStall = max(m.worstStall, late)
+		m.longestStall = max(m.longestStall, late)
 		if late >= m.rehearsal.plan.Day.Rules.Tolerance {
 			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, Duration: late})
 		}
 	}
 }
 
-// resources are what the rehearsal and its sidecars have used: CPU time, and the rehearsal's peak of resident memory.
+// resources holds the CPU time that the rehearsal and its sidecars have used, and the rehearsal's peak resident memory.
 type resources struct {
-	own, sidecars time.Duration
-	ownMB         float64
+	own, sidecars time.Duration // CPU time of the rehearsal's process, and of sidecars that have ended
+	ownMB         float64       // peak resident memory of the rehearsal's process
 }
 
-// resourceUsage reads the use of resources so far. Sidecars count once they have ended; what the system does not state is 0.
+// resourceUsage reads the resources used so far. Sidecars are included after they have ended. A value that the system does not
+// provide is 0.
 func resourceUsage() (r resources) {
-	read := func(who int) (time.Duration, float64) {
+	usageOf := func(who int) (time.Duration, float64) {
 		var u syscall.Rusage
 		if syscall.Getrusage(who, &u) != nil {
 			return 0, 0
 		}
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano()), float64(u.Maxrss) / 1024
 	}
-	r.own, r.ownMB = read(syscall.RUSAGE_SELF)
-	r.sidecars, _ = read(syscall.RUSAGE_CHILDREN)
+	r.own, r.ownMB = usageOf(syscall.RUSAGE_SELF)
+	r.sidecars, _ = usageOf(syscall.RUSAGE_CHILDREN)
 	return r
 }
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -14,58 +14,58 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Plan is a day drawn from its file: all that is decided before it is played. The same day, seed and demand give the same
-// plan.
+// Plan is everything that is drawn before a day is run. The same day, seed and demand factor give the same plan.
 type Plan struct {
 	Day             *Day
 	Seed            uint64
-	DemandFactor    float64 // factor on the day's own demand
-	Capacity        float64 // requests per second, without retries, that the nodes can serve when warm and without faults
-	Rate            float64 // requests per second, without retries, that are due outside surges
+	DemandFactor    float64 // factor on the demand that the day's file states
+	Capacity        float64 // requests per second that the nodes can serve when warmed up and without faults; retries do not count
+	Rate            float64 // requests per second that are due outside surges; retries do not count
 	Nodes           []NodePlan
-	SidecarCount    int // before the first tier
+	SidecarCount    int // number of sidecars before the first tier
 	Classes         []fake.Class
-	Quotas          []float64 // requests per second, by tenant
-	Requests        []Request // in the order due
+	Quotas          []float64 // quota of each tenant, in requests per second
+	Requests        []Request // all requests, ordered by the instant at which they are due
 	Faults          []Fault
 	LinkFaults      []LinkFault
-	callsPerRequest []float64 // by tier: calls for each one of the tier before, on average
+	callsPerRequest []float64 // for each tier, the mean number of calls to it by a request of the tier before
 }
 
-// NodePlan is a node that the day has from its start.
+// NodePlan is a node that runs from the start of the day. Its fields are written to printed plans under their own names.
 type NodePlan struct {
 	Spec fake.NodeSpec
-	Seed uint64
+	Seed uint64 // seed of the random decisions of the node
 }
 
-// Request is a request that is due, and how its client behaves. The tags are the names of printed plans.
+// Request is a request that a client sends at a planned instant, and how the client behaves. The tags are the names of the
+// fields in printed plans.
 type Request struct {
 	schedule.Arrival
-	Job               *fake.Job
-	IdempotencyKey    string        `json:"Key"` // sent with each attempt
-	IsOverQuota       bool          `json:"Over"`
+	Job               *fake.Job     // work at each tier
+	IdempotencyKey    string        `json:"Key"`     // sent with each attempt
+	IsOverQuota       bool          `json:"Over"`    // whether the request exceeds its tenant's quota
 	Value             float64       `json:"Worth"`   // value of a response within the latency objective
 	MaxRetries        int           `json:"Retries"` // retries that the client sends at most
-	AttemptTimeout    time.Duration `json:"Wait"`
-	Backoff           time.Duration // before a retry; 0: it is sent at once
-	HonoursRetryAfter bool          `json:"Honours"`
-	LeaveAfter        time.Duration `json:"HangUp"` // the client leaves its first attempt after this; 0: it stays
+	AttemptTimeout    time.Duration `json:"Wait"`    // time after which the client gives up an attempt
+	Backoff           time.Duration // delay before a retry; 0: retries are sent at once
+	HonoursRetryAfter bool          `json:"Honours"` // whether the client waits for the time that Retry-After states
+	LeaveAfter        time.Duration `json:"HangUp"`  // time after which the client leaves its first attempt; 0: it stays
 }
 
-// The sources of random numbers. Each draws for one matter, so that a change in one does not shift the others.
+// The sources of random numbers. Each part of a plan has its own, so that a change to one part does not change the others.
 const (
-	sourceNodes = iota + 1
-	sourceArrivals
-	sourceFaults
-	sourceTenants
-	sourceJobs
-	sourceLinkFaults
+	sourceNodes      = iota + 1 // nodes, sidecars, and the means of work and calls
+	sourceArrivals              // arrivals of requests, and the behaviour that all clients have in common
+	sourceFaults                // faults of nodes, sidecars, discovery and demand
+	sourceTenants               // quotas and demand of tenants
+	sourceJobs                  // one request, seeded by its arrival: its work and its client's behaviour
+	sourceLinkFaults            // faults of the links between sidecars
 )
 
-// newRand is one of the sources for a seed.
+// newRand returns one of the sources of random numbers, started with a seed.
 func newRand(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
 
-// NewPlan draws a plan of a day. An error means that the day would be too large; it names the day.
+// NewPlan draws the plan of a day. An error means that the day has too many requests or calls; it names the day.
 func NewPlan(d *Day, seed uint64, demand float64) (*Plan, error) {
 	p := &Plan{Day: d, Seed: seed, DemandFactor: demand}
 	rng := newRand(seed, sourceNodes)
@@ -79,27 +79,27 @@
 	p.SidecarCount = int(drawInteger(d.Sidecars.Count, rng))
 	p.computeCapacity(work)
 	p.Rate = p.Capacity * d.Load.Utilization.At(rng.Float64()) * demand
-	usage := p.drawTenants()
+	tenantWeights := p.drawTenants()
 	p.drawFaults()
 	p.drawLinkFaults()
-	if err := p.drawRequests(work, usage); err != nil {
+	if err := p.drawRequests(work, tenantWeights); err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
 	return p, nil
 }
 
-// effectsByName are the effects by their names in day files.
+// effectsByName maps the names of effects in day files to the effects.
 var effectsByName = map[string]invariant.Effect{"safe": invariant.Safe, "keyed": invariant.IdempotencyKeyed, "unsafe": invariant.Unsafe}
 
-// drawInteger draws a whole number from a range, both ends included.
+// drawInteger draws an integer from a range that includes both bounds.
 func drawInteger(r tomlfile.NumberRange, rng *rand.Rand) float64 {
 	return min(math.Floor(r.Lo+(r.Hi-r.Lo+1)*rng.Float64()), math.Floor(r.Hi))
 }
 
-// sidecarName is the name of a sidecar before the first tier.
+// sidecarName returns the name of the sidecar with index i before the first tier.
 func sidecarName(i int) string { return fmt.Sprintf("sidecar-%d", i+1) }
 
-// longestDeadline is the longest deadline of all classes.
+// longestDeadline returns the longest deadline of all classes.
 func (p *Plan) longestDeadline() (longest time.Duration) {
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline)
@@ -107,7 +107,7 @@
 	return longest
 }
 
-// Rules are the limits of the invariants for the day.
+// Rules returns the limits with which the invariants are checked.
 func (p *Plan) Rules() invariant.Rules {
 	rules := invariant.Rules{
 		MaxAttempts:           p.Day.Rules.MaxAttempts,
@@ -124,8 +124,8 @@
 	return rules
 }
 
-// Print writes the whole plan as lines of JSON: the nodes and faults, then each request in the order due. The names are
-// those that readers of printed plans know: strikes are faults, links the faults of links.
+// Print writes the plan as lines of JSON: first a line with the nodes and the faults, then a line for each request in the order
+// in which they are due. The names are part of the output format: Strikes are faults, Links the faults of links.
 func (p *Plan) Print(w io.Writer) error {
 	out := json.NewEncoder(w)
 	head := struct {
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Fault is a FaultSpec with all that it draws. The tags are its names in results and printed plans.
+// Fault is a fault of the plan, drawn from its FaultSpec. The tags are the names of the fields in results and printed plans.
 type Fault struct {
-	Kind      string
-	Start     time.Duration `json:"At"`
-	Duration  time.Duration `json:"For"`
-	Tier      int
-	Targets   []string      // IDs of nodes, or names of sidecars
-	Magnitude float64       `json:"Size"`
-	Mode      string        `json:"How"`
-	Downtime  time.Duration `json:"Down"`
+	Kind      string        // a key of faultKinds
+	Start     time.Duration `json:"At"`  // time from the start of the day
+	Duration  time.Duration `json:"For"` // time for which the fault is active
+	Tier      int           // index of the tier whose nodes are hit
+	Targets   []string      // IDs of the nodes or names of the sidecars that are hit
+	Magnitude float64       `json:"Size"` // strength of the fault; see faultKinds
+	Mode      string        `json:"How"`  // variant of the kind; see faultModes
+	Downtime  time.Duration `json:"Down"` // time until a restarted sidecar or a drained node is started again
 }
 
+// drawFaults draws the faults of nodes, sidecars, discovery and demand.
 func (p *Plan) drawFaults() {
 	rng := newRand(p.Seed, sourceFaults)
 	for _, spec := range p.Day.Faults {
@@ -35,17 +36,17 @@
 	}
 }
 
-// candidates are the nodes or sidecars that a fault may hit.
+// candidates returns the IDs of the nodes or the names of the sidecars that a fault may hit.
 func (p *Plan) candidates(fault Fault) []string {
 	var out []string
-	switch needs := faultKinds[fault.Kind]; {
-	case needs.hitsNodes:
+	switch traits := faultKinds[fault.Kind]; {
+	case traits.hitsNodes:
 		for _, n := range p.Nodes {
 			if n.Spec.Tier == fault.Tier {
 				out = append(out, n.Spec.ID)
 			}
 		}
-	case needs.hitsSidecars:
+	case traits.hitsSidecars:
 		for i := range p.SidecarCount {
 			out = append(out, sidecarName(i))
 		}
@@ -53,13 +54,13 @@
 	return out
 }
 
-// drawTargets draws a share of the candidates, at least one if there is any.
-func drawTargets(rng *rand.Rand, candidates []string, share float64) []string {
+// drawTargets draws a fraction of the candidates, at least one unless there are none.
+func drawTargets(rng *rand.Rand, candidates []string, fraction float64) []string {
 	order := rng.Perm(len(candidates))
 	if len(candidates) == 0 {
 		return nil
 	}
-	n := min(max(int(math.Round(share*float64(len(candidates)))), 1), len(candidates))
+	n := min(max(int(math.Round(fraction*float64(len(candidates)))), 1), len(candidates))
 	var targets []string
 	for _, i := range order[:n] {
 		targets = append(targets, candidates[i])
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -8,14 +8,15 @@
 	"tuliprock/internal/testkit/fake"
 )
 
+// drawNodes draws the nodes of all tiers.
 func (p *Plan) drawNodes(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
 		cellSize := int(drawInteger(tier.CellSize, rng))
-		var shares []float64
+		var proportions []float64
 		for _, kind := range tier.Kinds {
-			shares = append(shares, kind.Proportion)
+			proportions = append(proportions, kind.Proportion)
 		}
-		// Fields of a literal are evaluated in order, and so are the draws: their order is part of what a seed means.
+		// The fields of this literal are evaluated in order, each with its draw. A change of the order changes the plan of a seed.
 		shared := fake.NodeSpec{
 			Zone:               "here",
 			Tier:               i,
@@ -28,7 +29,7 @@
 			ErrorRate:          tier.ErrorRate.At(rng.Float64()),
 		}
 		n := int(drawInteger(tier.Nodes, rng))
-		for j, kind := range apportion(shares, n) {
+		for j, kind := range assignKinds(proportions, n) {
 			node := NodePlan{Seed: rng.Uint64(), Spec: shared}
 			node.Spec.ID = fmt.Sprintf("%s-%d", tier.Name, j+1)
 			node.Spec.Cell = j / cellSize
@@ -38,7 +39,7 @@
 	}
 }
 
-// draw draws the slow state after overload; nil: the range is nil.
+// draw draws a spec of the slow state that overload causes. It returns nil for a nil range.
 func (o *OverloadRange) draw(rng *rand.Rand) *fake.OverloadSpec {
 	if o == nil {
 		return nil
@@ -53,7 +54,7 @@
 	}
 }
 
-// draw draws what the kind says of a node.
+// draw draws the fields of a node's spec that depend on its kind.
 func (k *NodeKind) draw(rng *rand.Rand, spec *fake.NodeSpec) {
 	cores := float64(k.Cores)
 	spec.Kind, spec.Cores = k.Name, k.Cores
@@ -64,18 +65,18 @@
 	spec.WarmUpDuration = k.WarmUpDuration.At(rng.Float64())
 }
 
-// apportion gives each of n places a kind, by index, as evenly as the shares of the kinds allow, so that each tier has its
-// mix whatever the seed.
-func apportion(shares []float64, n int) []int {
+// assignKinds returns the index of a kind for each of n nodes. The kinds are mixed as evenly as their proportions allow, and do
+// not depend on the seed.
+func assignKinds(proportions []float64, n int) []int {
 	sum := 0.0
-	for _, share := range shares {
-		sum += share
+	for _, proportion := range proportions {
+		sum += proportion
 	}
-	assigned, kinds := make([]float64, len(shares)), make([]int, n)
+	assigned, kinds := make([]float64, len(proportions)), make([]int, n)
 	for i := range kinds {
 		best := 0
-		for k := range shares {
-			if shares[k]/sum*float64(i+1)-assigned[k] > shares[best]/sum*float64(i+1)-assigned[best] {
+		for k := range proportions {
+			if proportions[k]/sum*float64(i+1)-assigned[k] > proportions[best]/sum*float64(i+1)-assigned[best] {
 				best = k
 			}
 		}
@@ -85,16 +86,16 @@
 	return kinds
 }
 
-// computeCapacity computes what the nodes can serve together: the capacity of the tier that runs out first.
+// computeCapacity sets the capacity of all nodes together, which is that of the tier with the smallest capacity.
 func (p *Plan) computeCapacity(work []classWork) {
-	mean, shares := 0.0, 0.0
+	meanWork, proportions := 0.0, 0.0
 	for i, c := range p.Day.Classes {
-		mean += c.Proportion * work[i].work.Seconds()
-		shares += c.Proportion
+		meanWork += c.Proportion * work[i].work.Seconds()
+		proportions += c.Proportion
 	}
-	mean /= shares
+	meanWork /= proportions
 	p.Capacity = math.Inf(1)
-	calls := 1.0 // at the tier, for each request
+	calls := 1.0 // mean number of calls to the tier for each request of a client
 	for i, tier := range p.Day.Tiers {
 		calls *= p.callsPerRequest[i]
 		capacity := 0.0
@@ -103,6 +104,6 @@
 				capacity += float64(n.Spec.Cores) * n.Spec.Speed
 			}
 		}
-		p.Capacity = min(p.Capacity, capacity/(mean*tier.WorkFraction*calls))
+		p.Capacity = min(p.Capacity, capacity/(meanWork*tier.WorkFraction*calls))
 	}
 }
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// maxRequests bounds a plan: with three tiers a request was seen to take 24 kB of memory, its timeline included.
+	// maxRequests bounds the memory of a run: with three tiers a request takes 24 kB, including its events in the timeline.
 	maxRequests = 100_000
-	// maxCalls bounds the requests of all tiers together: each has at least five events in the timeline.
+	// maxCalls bounds the requests to all tiers together: each has at least five events in the timeline.
 	maxCalls = maxEvents / 5
-	// maxWorkFactor bounds one draw of work, in means: a lognormal distribution has no bound of its own.
+	// maxWorkFactor bounds one draw of work, as a multiple of the mean, since a lognormal distribution is unbounded.
 	maxWorkFactor = 10
-	// surgeRampFraction is the share of its length over which a surge rises, and over which it falls.
+	// surgeRampFraction is the fraction of a surge's duration over which it rises, and over which it falls.
 	surgeRampFraction = 0.1
 )
 
-// classWork is the mean work of a class on the day, and its mean wait on others.
+// classWork holds the mean work of a request of a class, and its mean wait for other systems.
 type classWork struct{ work, wait time.Duration }
 
+// drawClassWork draws the mean work and wait of each class.
 func (p *Plan) drawClassWork(rng *rand.Rand) []classWork {
 	var out []classWork
 	for _, c := range p.Day.Classes {
@@ -32,6 +33,7 @@
 	return out
 }
 
+// drawCalls draws for each tier how many calls to it a request of the tier before makes on average.
 func (p *Plan) drawCalls(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
 		calls := tier.CallsPerRequest.At(rng.Float64())
@@ -42,33 +44,34 @@
 	}
 }
 
-// drawTenants draws the quota of each tenant, and returns each one's relative weight in the traffic.
-func (p *Plan) drawTenants() (usage []float64) {
+// drawTenants draws the quota of each tenant, and returns the relative number of requests of each tenant.
+func (p *Plan) drawTenants() (tenantWeights []float64) {
 	rng := newRand(p.Seed, sourceTenants)
-	shares := 0.0
+	proportions := 0.0
 	for _, t := range p.Day.Tenants {
-		shares += t.Proportion
+		proportions += t.Proportion
 	}
-	quota := p.Capacity * p.Day.Load.TotalQuotaFraction.At(rng.Float64())
+	totalQuota := p.Capacity * p.Day.Load.TotalQuotaFraction.At(rng.Float64())
 	for _, t := range p.Day.Tenants {
-		p.Quotas = append(p.Quotas, quota*t.Proportion/shares)
-		usage = append(usage, t.Proportion*t.DemandFraction.At(rng.Float64()))
+		p.Quotas = append(p.Quotas, totalQuota*t.Proportion/proportions)
+		tenantWeights = append(tenantWeights, t.Proportion*t.RelativeDemand.At(rng.Float64()))
 	}
-	return usage
+	return tenantWeights
 }
 
-func (p *Plan) drawRequests(work []classWork, usage []float64) error {
+// drawRequests draws all requests of the day. Its error is that of drawArrivals.
+func (p *Plan) drawRequests(work []classWork, tenantWeights []float64) error {
 	rng := newRand(p.Seed, sourceArrivals)
-	arrivals, err := p.drawArrivals(rng, usage)
+	arrivals, err := p.drawArrivals(rng, tenantWeights)
 	if err != nil {
 		return err
 	}
 	behaviour := p.drawClientBehaviour(rng)
-	quotas := newQuotaBuckets(p.Quotas)
+	buckets := newQuotaBuckets(p.Quotas)
 	for _, a := range arrivals {
 		request := p.drawRequest(a, work[a.Class], behaviour)
 		request.Value = p.Day.Classes[a.Class].PriorityWeight * request.Job.TotalWork().Seconds()
-		if request.IsOverQuota = !quotas.takeToken(a.Tenant, a.At); request.IsOverQuota {
+		if request.IsOverQuota = !buckets.takeToken(a.Tenant, a.At); request.IsOverQuota {
 			request.Value *= p.Day.Load.OverQuotaValueFactor
 		}
 		p.Requests = append(p.Requests, request)
@@ -76,8 +79,8 @@
 	return nil
 }
 
-// drawArrivals draws when requests are due. An error means that there are too many of them, or of calls in all tiers.
-func (p *Plan) drawArrivals(rng *rand.Rand, usage []float64) ([]schedule.Arrival, error) {
+// drawArrivals draws when requests are due. An error means that there are too many requests, or too many calls in all tiers.
+func (p *Plan) drawArrivals(rng *rand.Rand, tenantWeights []float64) ([]schedule.Arrival, error) {
 	rate := schedule.Rate{PerSecond: p.Rate}
 	for _, fault := range p.Faults {
 		if fault.Kind == "surge" {
@@ -85,27 +88,27 @@
 				Ramp: time.Duration(surgeRampFraction * float64(fault.Duration)), Factor: fault.Magnitude})
 		}
 	}
-	var shares []float64
+	var classWeights []float64
 	for _, c := range p.Day.Classes {
-		shares = append(shares, c.Proportion)
+		classWeights = append(classWeights, c.Proportion)
 	}
-	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: shares, Tenants: usage,
+	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: classWeights, Tenants: tenantWeights,
 		MaxArrivals: maxRequests})
 	if err != nil {
 		return nil, err
 	}
-	perRequest, calls := 0.0, 1.0
+	callsInAllTiers, callsInTier := 0.0, 1.0 // for one request of a client, on average
 	for _, n := range p.callsPerRequest {
-		calls *= n
-		perRequest += calls
+		callsInTier *= n
+		callsInAllTiers += callsInTier
 	}
-	if all := perRequest * float64(len(arrivals)); all > maxCalls {
+	if all := callsInAllTiers * float64(len(arrivals)); all > maxCalls {
 		return nil, fmt.Errorf("%.0f calls in all tiers, %d are the most that a day may have", all, maxCalls)
 	}
 	return arrivals, nil
 }
 
-// clientBehaviour is how the clients of the day behave.
+// clientBehaviour holds what all clients of the day have in common; see Day.Clients.
 type clientBehaviour struct {
 	maxRetries               int
 	attemptTimeoutFraction   float64
@@ -114,10 +117,10 @@
 	earlyLeaveFraction       float64
 }
 
-// drawClientBehaviour draws in an order that is part of what a seed means.
+// drawClientBehaviour draws the behaviour of the clients. A change of the order of its draws changes the plan of a seed.
 func (p *Plan) drawClientBehaviour(rng *rand.Rand) (b clientBehaviour) {
 	clients := &p.Day.Clients
-	b.maxRetries = int(drawInteger(clients.Retries, rng))
+	b.maxRetries = int(drawInteger(clients.MaxRetries, rng))
 	b.attemptTimeoutFraction = clients.AttemptTimeoutFraction.At(rng.Float64())
 	b.backoff = clients.Backoff.At(rng.Float64())
 	b.honourRetryAfterFraction = clients.HonourRetryAfterFraction.At(rng.Float64())
@@ -125,7 +128,7 @@
 	return b
 }
 
-// drawRequest draws a request from the arrival's own source, without its worth.
+// drawRequest draws a request from a source of random numbers that the arrival seeds. It does not set the value.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
 	rng := newRand(a.Seed, sourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
@@ -142,11 +145,11 @@
 	return request
 }
 
-// quotaBuckets are a token bucket for each tenant, which holds the requests of a second.
+// quotaBuckets holds a token bucket for each tenant, with a capacity of one second's quota and at least one request.
 type quotaBuckets struct {
-	quotas    []float64 // per second
-	tokens    []float64
-	updatedAt []time.Duration // when tokens was right
+	quotas    []float64       // quota of each tenant, in requests per second
+	tokens    []float64       // tokens of each tenant at the instant updatedAt; a request within the quota takes one
+	updatedAt []time.Duration // instant at which the tokens of each tenant were last updated
 }
 
 func newQuotaBuckets(quotas []float64) *quotaBuckets {
@@ -157,11 +160,11 @@
 	return b
 }
 
-// takeToken takes a token of a tenant, and is false where there is none.
-func (b *quotaBuckets) takeToken(tenant int, at time.Duration) bool {
+// takeToken takes a token of a tenant at an instant, and returns false if there is none.
+func (b *quotaBuckets) takeToken(tenant int, now time.Duration) bool {
 	quota := b.quotas[tenant]
-	b.tokens[tenant] = min(b.tokens[tenant]+quota*(at-b.updatedAt[tenant]).Seconds(), max(quota, 1))
-	b.updatedAt[tenant] = at
+	b.tokens[tenant] = min(b.tokens[tenant]+quota*(now-b.updatedAt[tenant]).Seconds(), max(quota, 1))
+	b.updatedAt[tenant] = now
 	if b.tokens[tenant] < 1 {
 		return false
 	}
@@ -169,12 +172,12 @@
 	return true
 }
 
-// drawJob draws a request's work at a tier and at those behind it.
+// drawJob draws the work of one call to a tier, and its calls to the next tier with their work.
 func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
-	share := p.Day.Tiers[tier].WorkFraction
+	fraction := p.Day.Tiers[tier].WorkFraction
 	job := &fake.Job{
-		Work: time.Duration(float64(mean.work) * share * lognormal(rng, p.Day.Classes[class].WorkVariation)),
-		Wait: time.Duration(float64(mean.wait) * share),
+		Work: time.Duration(float64(mean.work) * fraction * lognormal(rng, p.Day.Classes[class].WorkVariation)),
+		Wait: time.Duration(float64(mean.wait) * fraction),
 	}
 	if tier+1 < len(p.Day.Tiers) {
 		calls := p.callsPerRequest[tier+1]
@@ -189,7 +192,7 @@
 	return job
 }
 
-// lognormal draws from a lognormal distribution with mean 1 and the given coefficient of variation, up to a bound.
+// lognormal draws from a lognormal distribution with mean 1 and the coefficient of variation cv. It cuts values at maxWorkFactor.
 func lognormal(rng *rand.Rand, cv float64) float64 {
 	variance := math.Log(1 + cv*cv)
 	return min(math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2), maxWorkFactor)
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -2,78 +2,78 @@
 
 import "tuliprock/internal/testkit/invariant"
 
-// Result is what a day showed. Shares are of worth: that of the requests served in time over that of all. The tags are the
-// documented form of results, whose words partly differ from the names here.
+// Result is the outcome of a run. The value of a request is its class's priority weight times its work in seconds; requests beyond
+// a tenant's quota have a lower value. The tags are the documented keys of result files, which partly differ from the names here.
 type Result struct {
-	Format   int     `json:"format"` // 1
+	Format   int     `json:"format"` // version of the format, always 1
 	Day      string  `json:"day"`
-	Balancer string  `json:"balancer"`
+	Balancer string  `json:"balancer"` // OwnBalancer, or the name of a baseline policy
 	Seed     uint64  `json:"seed"`
-	Demand   float64 `json:"demand"`
+	Demand   float64 `json:"demand"` // factor on the demand that the day's file states
 
-	Valid   bool     `json:"valid"`
-	Invalid []string `json:"invalid,omitempty"` // why the day says nothing about the sidecars
-	Held    bool     `json:"held"`              // no rule broken, no sidecar crashed
+	Valid   bool     `json:"valid"`             // whether the measurements say something about the sidecars
+	Invalid []string `json:"invalid,omitempty"` // reasons why the run is not valid
+	Held    bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
 
-	InTimeFraction      float64                `json:"whole"`
-	WorstWindowFraction float64                `json:"worst_10s"`
+	InTimeFraction      float64                `json:"whole"`     // fraction of all value that was served in time
+	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction served in time in any 10 seconds
 	BySecond            []Second               `json:"by_second"`
 	ByClass             map[string]ServedValue `json:"by_class"`
-	ByTenant            map[string]ServedValue `json:"by_tenant"` // of the requests within its quota
-	Service             float64                `json:"service"`   // points of 100: the weighted shares less the penalties
+	ByTenant            map[string]ServedValue `json:"by_tenant"` // value of the requests within each tenant's quota
+	Service             float64                `json:"service"`   // weighted fractions of value minus the penalties, in points out of 100
 	Penalties           Penalties              `json:"prices"`
 
 	Requests                 Counts             `json:"requests"`
-	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // to nodes of the first tier
-	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts in all tiers
-	ConnectionsPerRequest    float64            `json:"connections_per_request"` // opened to nodes
-	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // of the clients themselves
-	Latency                  map[string]Latency `json:"latency"`                 // of what was served, from when due, by class and "all"
+	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // attempts at nodes of the first tier for each client request
+	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts at nodes of all tiers for each client request
+	ConnectionsPerRequest    float64            `json:"connections_per_request"` // connections opened to nodes for each client request
+	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // attempts by clients for each client request
+	Latency                  map[string]Latency `json:"latency"`                 // latency of served requests by class, and of "all"
 
 	Invariants *invariant.Report `json:"referee"`
 	Faults     []Fault           `json:"troubles"`
-	Nodes      []string          `json:"nodes"`
-	InFlight   [][]int           `json:"in_hand"` // by sample of sampleInterval, by node
+	Nodes      []string          `json:"nodes"`   // IDs of all nodes
+	InFlight   [][]int           `json:"in_hand"` // for each sample of sampleInterval, the requests in flight at each node
 
 	Fleet      FleetSize      `json:"fleet"`
-	Cluster    *ClusterResult `json:"peers,omitempty"` // nil: the day has no cluster
+	Cluster    *ClusterResult `json:"peers,omitempty"` // verdicts on the cluster; nil: the day has no cluster
 	Harness    HarnessMetrics `json:"own"`
-	Rejections []float64      `json:"refusals_by_second"` // responses per second that reject, in all tiers
+	Rejections []float64      `json:"refusals_by_second"` // for each second, the rejections that clients and nodes received
 }
 
-// ServedValue is the worth of requests served in time, of that of all.
+// ServedValue is the value of a set of requests, and the part of it that was served in time.
 type ServedValue struct {
-	Offered  float64 `json:"asked"`
-	InTime   float64 `json:"answered"`
-	Fraction float64 `json:"share"`
+	Offered  float64 `json:"asked"`    // value of all requests
+	InTime   float64 `json:"answered"` // value of the requests served within their latency objective
+	Fraction float64 `json:"share"`    // InTime divided by Offered, or 1 without requests
 }
 
-// Second is one second of the day, by the instants at which requests were due.
+// Second holds the value and the latency of the requests that were due in one second of the day.
 type Second struct {
 	ServedValue
-	P50 float64 `json:"p50_s"`
-	P99 float64 `json:"p99_s"`
+	P50 float64 `json:"p50_s"` // median latency of the requests that were served, in seconds
+	P99 float64 `json:"p99_s"` // 99th percentile of their latency, in seconds
 }
 
-// Penalties are what is taken off the points of service, in points of 100.
+// Penalties are subtracted from the points of service, which are out of 100.
 type Penalties struct {
-	Connections  float64 `json:"connections"` // 8 for a new connection for each request
-	Waste        float64 `json:"waste"`       // 4 for as much wasted work as was offered
-	LateFailures float64 `json:"late_fails"`  // 3 where all requests fail, and only after their latency objective
-	Overload     float64 `json:"choked"`      // 6 where all nodes turned slow by overload
+	Connections  float64 `json:"connections"` // 8 points for each connection opened to a node per client request
+	Waste        float64 `json:"waste"`       // 4 points if nodes waste as much work as the clients' requests need
+	LateFailures float64 `json:"late_fails"`  // 3 points if all requests fail after their latency objective
+	Overload     float64 `json:"choked"`      // 6 points if all nodes become slow by overload
 }
 
-// Counts are requests, without their retries, by how they ended.
+// Counts are the numbers of client requests by outcome. Retries are not counted.
 type Counts struct {
 	Total      int `json:"asked"`
-	Served     int `json:"served"`
-	Late       int `json:"late"` // served after the latency objective
-	Rejected   int `json:"refused"`
-	Failed     int `json:"failed"`
-	Unanswered int `json:"no_answer"` // the client left, or the request was lost with a killed sidecar or never reached one
+	Served     int `json:"served"`    // requests that were answered with status 200, in time or late
+	Late       int `json:"late"`      // requests that were served after their latency objective
+	Rejected   int `json:"refused"`   // requests whose last attempt was rejected
+	Failed     int `json:"failed"`    // requests whose last response had another status
+	Unanswered int `json:"no_answer"` // requests without a response: the client left, or the sidecar was killed or not reached
 }
 
-// Latency is a distribution in seconds.
+// Latency is a distribution of latencies. All fields are in seconds.
 type Latency struct {
 	P50  float64 `json:"p50_s"`
 	P90  float64 `json:"p90_s"`
@@ -82,25 +82,25 @@
 	Max  float64 `json:"most_s"`
 }
 
-// FleetSize is the size of what was rehearsed. Capacity and rate are in requests per second.
+// FleetSize is the size of the rehearsed system.
 type FleetSize struct {
 	Nodes    int     `json:"nodes"`
-	Sidecars int     `json:"sidecars"`
-	Capacity float64 `json:"capacity_per_s"`
-	Rate     float64 `json:"rate_per_s"`
+	Sidecars int     `json:"sidecars"`       // sidecars before all tiers
+	Capacity float64 `json:"capacity_per_s"` // requests per second that the nodes can serve; see Plan.Capacity
+	Rate     float64 `json:"rate_per_s"`     // requests per second that are due outside surges
 }
 
-// HarnessMetrics are the rehearsal's own lateness and use of resources.
+// HarnessMetrics are the lateness and the use of resources of the rehearsal itself. Times are in seconds.
 type HarnessMetrics struct {
-	SendLatenessP50    float64 `json:"late_p50_s"` // sends after their due instants
-	SendLatenessP99    float64 `json:"late_p99_s"`
-	SendLatenessMax    float64 `json:"late_most_s"`
-	TimerLatenessP99   float64 `json:"timer_p99_s"`
-	Stalls             int     `json:"stalls"`
-	LongestStall       float64 `json:"worst_stall_s"`
-	CPUSeconds         float64 `json:"cpu_s"`
-	SidecarsCPUSeconds float64 `json:"sidecars_cpu_s"`
-	MemoryMB           float64 `json:"memory_mb"`         // peak of all days in this run so far
-	SidecarMemoryMB    float64 `json:"sidecar_memory_mb"` // peak of the largest sidecar
-	DroppedEvents      int     `json:"events_without_room"`
+	SendLatenessP50    float64 `json:"late_p50_s"`          // median time from when a request was due until it was sent
+	SendLatenessP99    float64 `json:"late_p99_s"`          // 99th percentile of the time from when a request was due until it was sent
+	SendLatenessMax    float64 `json:"late_most_s"`         // longest time from when a request was due until it was sent
+	TimerLatenessP99   float64 `json:"timer_p99_s"`         // 99th percentile of the lateness of a timer in the rehearsal's process
+	Stalls             int     `json:"stalls"`              // stalls at least as long as the tolerance of the rules
+	LongestStall       float64 `json:"worst_stall_s"`       // greatest lateness of a timer in the rehearsal's process
+	CPUSeconds         float64 `json:"cpu_s"`               // CPU time of the rehearsal's process
+	SidecarsCPUSeconds float64 `json:"sidecars_cpu_s"`      // CPU time of all sidecars together
+	MemoryMB           float64 `json:"memory_mb"`           // peak resident memory of the process, over all runs so far
+	SidecarMemoryMB    float64 `json:"sidecar_memory_mb"`   // highest peak of the resident memory of a sidecar
+	DroppedEvents      int     `json:"events_without_room"` // events that the timeline had no capacity for
 }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -15,60 +15,61 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Options say how a plan is played.
+// Options configure a run of a plan.
 type Options struct {
-	Command           func() *exec.Cmd   // runs one sidecar
-	UsesOperatorsFile bool               // the command gets "serve --config FILE" and an operators' file; else ROUTER_CONFIG is set
-	LogDir            string             // folder that keeps the sidecars' logs; empty: none are kept
-	Progress          func(now Snapshot) // called some times a second, from one goroutine; nil: none
+	Command           func() *exec.Cmd   // returns a command that runs one sidecar; called for each start
+	UsesOperatorsFile bool               // whether sidecars get "serve --config FILE" with an operators' file; else ROUTER_CONFIG is set
+	LogDir            string             // directory in which the sidecars' logs and configurations stay; empty: they are deleted
+	Progress          func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
 }
 
-// Snapshot is how far a day has come.
+// Snapshot is the progress of a run.
 type Snapshot struct {
-	Elapsed, Length           time.Duration
-	OfferedValue, InTimeValue float64 // worth of the requests that are decided, and of those served in time
-	InFlight                  int
+	Elapsed, Length           time.Duration // time since the start of the day, and the time over which requests arrive
+	OfferedValue, InTimeValue float64       // value of the requests that have their outcome, and of those served in time
+	InFlight                  int           // client requests without an outcome
 }
 
-// maxEvents bounds a timeline: 40 events for each request that a plan may have; a quiet day with three tiers has about 20.
+// maxEvents bounds the events of a timeline. It allows 40 for each request that a plan may have; a day without faults and with
+// three tiers has about 20 for each request.
 const maxEvents = 4_000_000
 
-// rehearsal is a day that is being played. It owns everything that runs for the day: nodes, agents, sidecars, clients and
-// the goroutines that inject faults. All of them end with close.
+// rehearsal is one run of a plan. It owns the nodes, discovery agents, sidecars and clients, and the goroutines that inject faults.
+// close ends all of them.
 type rehearsal struct {
 	plan       *Plan
 	options    Options
-	ctx        context.Context // ends with the play, and when it fails
-	cancel     context.CancelFunc
-	workDir    string // of the sidecars' configurations and logs
+	ctx        context.Context    // ends with the run, or when the run fails
+	cancel     context.CancelFunc // ends ctx
+	workDir    string             // directory of the sidecars' configurations and logs
 	recorder   *fake.Recorder
 	registry   *fake.Registry
 	frontLayer *fake.FrontLayer
 	clients    *fake.Client
-	sequence   atomic.Uint64 // numbers the IDs of requests
+	sequence   atomic.Uint64 // last number that was used in the ID of a request or call
 
-	hosts         [][]*host         // by tier
-	frontSidecars []*sidecarProcess // those before the first tier
-	sidecars      []*sidecarProcess // all
-	cluster       *cluster          // nil: the day has none
+	hosts         [][]*host         // machines of each tier
+	frontSidecars []*sidecarProcess // sidecars before the first tier
+	sidecars      []*sidecarProcess // all sidecars, of all tiers
+	cluster       *cluster          // cluster of the front sidecars; nil: the day has none
 
-	pendingUpdates         map[*fake.Agent]chan memberUpdate // on their way; not written to after buildHosts
-	agentUpdaters          sync.WaitGroup
-	extraNotificationDelay atomic.Int64 // nanoseconds added to the delay of notifications
+	pendingUpdates         map[*fake.Agent]chan memberUpdate // updates that are due to be sent to each agent; the map is not modified after buildHosts
+	agentUpdaters          sync.WaitGroup                    // goroutines that send updates to agents
+	extraNotificationDelay atomic.Int64                      // nanoseconds that faults of discovery add to the delay of notifications
 
-	requests     sync.WaitGroup
-	inFlight     atomic.Int64
-	outcomes     []outcome                  // by request of the plan; each belongs to the goroutine of its client
-	offeredWorth atomic.Int64               // thousandths of worth
-	inTimeWorth  atomic.Int64               // thousandths of worth
-	sendLateness *schedule.LatencyHistogram // of the dispatcher's goroutine only
+	requests     sync.WaitGroup             // goroutines of clients, one for each request
+	inFlight     atomic.Int64               // client requests without an outcome
+	outcomes     []outcome                  // outcome of each request of the plan; each is written by the goroutine of its client only
+	offeredWorth atomic.Int64               // value of the requests that have their outcome, in thousandths
+	inTimeWorth  atomic.Int64               // value of the requests that were served in time, in thousandths
+	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent; used by the goroutine that sends them only
 
 	mu  sync.Mutex
-	err error // why the day could not be played
+	err error // first error that made the run fail
 }
 
-// Run plays a plan. When it returns, everything that it started has ended. An error means that the day could not be
-// played; what the day showed is in the Result.
+// Run runs a plan. When it returns, every process and goroutine that it started has ended. An error means that the day could not
+// be run as planned; violations and failed requests are no errors, but part of the Result.
 func Run(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -78,11 +79,11 @@
 		if dir, err = os.MkdirTemp("", "tuliprock-rehearse-"); err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // nobody asked for these logs, and a rest of them harms no result
+		defer func() { _ = os.RemoveAll(dir) }() // a file that is left behind affects no result
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	before := resourceUsage()
+	usageBefore := resourceUsage()
 	r := newRehearsal(ctx, cancel, plan, opt, dir)
 	defer r.close()
 	if err := r.buildHosts(); err != nil {
@@ -91,20 +92,21 @@
 	if err := r.startSidecars(); err != nil {
 		return nil, err
 	}
-	result, err := r.run(before)
+	result, err := r.run(usageBefore)
 	if err != nil {
 		return nil, err
 	}
-	r.close() // the sidecars' use of resources is known once they have ended
-	after := resourceUsage()
-	result.Harness.SidecarsCPUSeconds = (after.sidecars - before.sidecars).Seconds()
-	result.Harness.MemoryMB = after.ownMB
+	r.close() // the system counts the CPU time of sidecars only after they have ended
+	usageAfter := resourceUsage()
+	result.Harness.SidecarsCPUSeconds = (usageAfter.sidecars - usageBefore.sidecars).Seconds()
+	result.Harness.MemoryMB = usageAfter.ownMB
 	for _, p := range r.sidecars {
 		result.Harness.SidecarMemoryMB = max(result.Harness.SidecarMemoryMB, p.peakMemoryMB)
 	}
 	return result, nil
 }
 
+// newRehearsal returns a rehearsal that has not started anything yet.
 func newRehearsal(ctx context.Context, cancel context.CancelFunc, plan *Plan, opt Options, dir string) *rehearsal {
 	r := &rehearsal{
 		plan:           plan,
@@ -128,7 +130,7 @@
 	return r
 }
 
-// fail ends the play with an error, since the day is no longer the one that was drawn. Only the first error counts.
+// fail ends the run with an error that keeps the day from following its plan. Later errors are ignored.
 func (r *rehearsal) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,26 +140,26 @@
 	}
 }
 
-// newID makes an ID that is unique in the play.
+// newID returns an ID that is unique in the run.
 func (r *rehearsal) newID(prefix string) string {
 	return fmt.Sprintf("%s-%016x", prefix, r.sequence.Add(1))
 }
 
-// drawUint64For draws a number from the seed and names, so that it does not depend on the order of events.
+// drawUint64For draws a number that depends only on the seed and the names, and not on the order of events.
 func (r *rehearsal) drawUint64For(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
-		_, _ = fmt.Fprintf(h, "%s\x00", name) // a hash takes all that is written to it
+		_, _ = fmt.Fprintf(h, "%s\x00", name) // writes to a hash do not fail
 	}
 	return rand.New(rand.NewPCG(r.plan.Seed, h.Sum64())).Uint64()
 }
 
-// drawFractionFor is drawHash in [0, 1).
+// drawFractionFor draws a number in [0, 1) that depends only on the seed and the names.
 func (r *rehearsal) drawFractionFor(names ...string) float64 {
 	return float64(r.drawUint64For(names...)>>11) / (1 << 53)
 }
 
-// close ends everything that the rehearsal started. It may be called twice.
+// close ends every process and goroutine that the rehearsal started. It may be called more than once.
 func (r *rehearsal) close() {
 	r.cancel()
 	r.agentUpdaters.Wait()
@@ -166,7 +168,7 @@
 	for _, p := range r.sidecars {
 		stopping.Go(func() {
 			p.stop()
-			_ = p.agent.Close() // its only client has ended
+			_ = p.agent.Close() // the sidecar, its only client, has ended
 		})
 	}
 	stopping.Wait()
@@ -183,8 +185,9 @@
 	}
 }
 
-// run sends the requests of the plan when they are due, injects its faults, and checks what came of it.
-func (r *rehearsal) run(before resources) (*Result, error) {
+// run sends the requests of the plan when they are due, injects its faults, and returns the measured result. The use of resources
+// before the start is subtracted.
+func (r *rehearsal) run(usageBefore resources) (*Result, error) {
 	start := time.Now()
 	dayStart := r.recorder.Now()
 	monitor := &monitor{rehearsal: r, startedAt: start, timerLateness: schedule.NewLatencyHistogram()}
@@ -194,7 +197,7 @@
 	monitoring.Go(func() { monitor.watchStalls(done) })
 	endFaults := r.startFaults(start, done)
 	r.sendRequests(start)
-	cancelStop := context.AfterFunc(r.ctx, func() { // an interrupt must not wait for responses
+	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, do not wait for responses
 		for _, p := range r.sidecars {
 			p.stop()
 		}
@@ -215,11 +218,11 @@
 	if err := r.ctx.Err(); err != nil {
 		return nil, err
 	}
-	return r.newResult(monitor, dayStart, end, before), nil
+	return r.newResult(monitor, dayStart, end, usageBefore), nil
 }
 
-// startFaults starts a goroutine for each fault, and the pollers of the cluster, which done ends. The function that it
-// returns ends all faults and waits for them.
+// startFaults starts a goroutine for each fault, and the pollers of the cluster, which stop when done closes. The function that it
+// returns ends all faults and waits for their goroutines.
 func (r *rehearsal) startFaults(start time.Time, done <-chan struct{}) (end func()) {
 	var faults sync.WaitGroup
 	ctx, cancel := context.WithCancel(r.ctx)
@@ -236,7 +239,7 @@
 	}
 }
 
-// sendRequests starts a goroutine for each request when it is due, and returns after the last or when the play is cancelled.
+// sendRequests starts a goroutine for each request when it is due. It returns after the last one, or when ctx ends.
 func (r *rehearsal) sendRequests(start time.Time) {
 	arrivals := make([]schedule.Arrival, len(r.plan.Requests))
 	for i, request := range r.plan.Requests {
@@ -254,8 +257,8 @@
 	})
 }
 
-// awaitIdleNodes waits until the nodes have finished their requests, for the longest deadline at most, so that the rules
-// are checked to the end.
+// awaitIdleNodes waits until no node has a request in flight, at most for the longest deadline, so that the invariants are checked
+// for the last requests too.
 func (r *rehearsal) awaitIdleNodes() {
 	for end := time.Now().Add(r.plan.longestDeadline()); time.Now().Before(end); {
 		inFlight := 0
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -7,49 +7,51 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// settings is the settings object of a sidecar's configuration, as far as sidecars read it. Its names and units are the
-// platform's: a lane is a class, an account a tenant.
+// settings is the part of the settings object in a sidecar's configuration that sidecars read. It is encoded under the names
+// of its fields, which are the platform's: a lane is a class, an account a tenant. Fields that end in Us are in microseconds.
 type settings struct {
-	NInstances   int
-	Me           int
-	Tier         int
-	Tiers        []string
-	Lanes        []classSettings
-	Accounts     []tenantSettings
-	Discovery    string
-	ResolutionUs int64
+	NInstances   int              // number of sidecars that send to the same tier
+	Me           int              // index of this sidecar among them
+	Tier         int              // index of the tier that the sidecar sends to
+	Tiers        []string         // names of all tiers
+	Lanes        []classSettings  // classes of requests
+	Accounts     []tenantSettings // tenants with their quotas
+	Discovery    string           // how the endpoint list is kept up to date, here always "automatic"
+	ResolutionUs int64            // lateness that timers and events may have
 	Permissions  struct {
-		MayCancel, MayProbe, RetryAfter            bool
-		TryLimit                                   int
-		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64
+		MayCancel, MayProbe, RetryAfter            bool  // whether it may cancel requests, probe nodes and send Retry-After
+		TryLimit                                   int   // attempts at one request
+		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64 // longest Retry-After, idle timeout and dial timeout of connections to nodes
 	}
-	Report struct{ How string }
+	Report struct{ How string } // how nodes send load reports, here always "silent": they send none
 	Rules  struct {
-		AnswerSlackUs, DrainGraceUs, TipAfterUs, ColdUs int64
-		FallMultiple, ColdFrom                          float64
+		AnswerSlackUs, DrainGraceUs, TipAfterUs, ColdUs int64   // see Day.Rules; ColdUs is the longest warm-up
+		FallMultiple, ColdFrom                          float64 // see Day.Rules; ColdFrom is the smallest capacity after a start
 	}
 }
 
+// classSettings is a class of requests in the settings object.
 type classSettings struct {
-	Name, Semantics, Group         string
-	OnTimeUs, DeadlineUs, WindowUs int64
-	Worth                          float64
+	Name, Semantics, Group         string  // Semantics is a value of semanticsNames; Group says who drops duplicates together
+	OnTimeUs, DeadlineUs, WindowUs int64   // latency objective, deadline and deduplication window
+	Worth                          float64 // value of a request for each second of its work
 }
 
+// tenantSettings is a tenant in the settings object.
 type tenantSettings struct {
 	Name      string
-	QuotaPerS float64
+	QuotaPerS float64 // requests per second
 }
 
-// semanticsNames are the platform's names of the effects.
+// semanticsNames are the platform's names for the effects of requests.
 var semanticsNames = map[invariant.Effect]string{invariant.Safe: "read_like", invariant.IdempotencyKeyed: "idempotency_key",
 	invariant.Unsafe: "non_idempotent"}
 
-// timerResolution is how late events and timers of a sidecar may come in a rehearsal: the lateness of a timer on a busy
+// timerResolution is how late timers and events of a sidecar may be in a rehearsal. It is the lateness of a timer on a busy
 // machine.
 const timerResolution = 5 * time.Millisecond
 
-// settingsFor is the settings object of a sidecar.
+// settingsFor returns the encoded settings object of a sidecar.
 func (p *Plan) settingsFor(role sidecarRole) (json.RawMessage, error) {
 	day, rules := p.Day, p.Day.Rules
 	var s settings
@@ -74,7 +76,7 @@
 	s.Report.How = "silent"
 	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Tolerance.Microseconds(), rules.DrainGrace.Microseconds()
 	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.ColdOverloadWindow.Microseconds(), rules.ColdOverloadFactor
-	coldShare, warmUp := p.coldStart() // of all kinds of nodes, as the platform states them
+	coldShare, warmUp := p.coldStart() // the platform states one value for all kinds of nodes
 	s.Rules.ColdFrom, s.Rules.ColdUs = coldShare, warmUp.Microseconds()
 	return json.Marshal(s)
 }
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -7,17 +7,17 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxConcurrentStarts is how many sidecars start at once.
+// maxConcurrentStarts is the number of sidecars that start at the same time.
 const maxConcurrentStarts = 8
 
-// sidecarRole is a sidecar's place among those that send to the same tier.
+// sidecarRole identifies a sidecar among those that send to the same tier.
 type sidecarRole struct {
 	name         string
-	tier         int
-	index, count int
+	tier         int // index of the tier that the sidecar sends to
+	index, count int // position among the sidecars that send to this tier, and their number
 }
 
-// buildSidecars makes the sidecars before the first tier, and those of the hosts with a tier behind them.
+// buildSidecars creates the sidecars before the first tier, and one for each node that calls a further tier.
 func (r *rehearsal) buildSidecars() error {
 	for i := range r.plan.SidecarCount {
 		p, err := r.newSidecar(sidecarRole{sidecarName(i), 0, i, r.plan.SidecarCount})
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// newSidecar makes a sidecar that is not started, with a discovery agent that runs.
+// newSidecar creates a sidecar and starts its discovery agent, but not the sidecar.
 func (r *rehearsal) newSidecar(role sidecarRole) (*sidecarProcess, error) {
-	var list []fake.Member
+	var members []fake.Member
 	for _, h := range r.hosts[role.tier] {
-		list = append(list, h.member)
+		members = append(members, h.member)
 	}
-	agent, err := fake.NewAgent(role.name, list, r.recorder)
+	agent, err := fake.NewAgent(role.name, members, r.recorder)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	r.agentUpdaters.Go(func() { r.updateAgent(agent, notifications) })
 	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
 		command: r.options.Command, day: r.plan.Day}
-	r.sidecars = append(r.sidecars, p) // from here on close ends it
+	r.sidecars = append(r.sidecars, p) // close stops all sidecars in this list, with their agents
 	if p.addr, err = freeLoopbackAddr(len(r.sidecars)); err != nil {
 		return nil, err
 	}
@@ -81,14 +81,15 @@
 	return p, nil
 }
 
-// startSidecars starts all sidecars, waits until they are ready, and opens the front layer. It returns the first error.
+// startSidecars starts all sidecars, waits until they are ready, and adds the front sidecars to the front layer. It returns the
+// first error.
 func (r *rehearsal) startSidecars() error {
-	starting := make(chan struct{}, maxConcurrentStarts)
+	startSlots := make(chan struct{}, maxConcurrentStarts)
 	errs := make(chan error, len(r.sidecars))
 	for _, p := range r.sidecars {
-		starting <- struct{}{}
+		startSlots <- struct{}{}
 		go func() {
-			defer func() { <-starting }()
+			defer func() { <-startSlots }()
 			err := p.start()
 			if err == nil {
 				err = p.awaitReady(r.ctx)
@@ -96,15 +97,15 @@
 			errs <- err
 		}()
 	}
-	var first error
+	var firstErr error
 	for range r.sidecars {
-		if err := <-errs; err != nil && first == nil {
-			first = err
+		if err := <-errs; err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
 	for _, p := range r.frontSidecars {
 		r.frontLayer.Add(p.name, p.addr)
 		r.cluster.recordProcessEvent(clusterinvariant.Started, p.name)
 	}
-	return first
+	return firstErr
 }
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -8,15 +8,15 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Bounds of the rehearsal's own lateness, past which a day is not valid. The rules allow 50 ms on each limit: sends that
-// are later than half of that, or a stall as long as the grace for drains, could pass for a sidecar's fault.
+// Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. The rules tolerate 50 ms on each limit: sends
+// that are later than half of that, or a stall as long as the drain grace, could be mistaken for a fault of a sidecar.
 const (
-	maxSendLatenessFraction = 0.5         // of the rules' tolerance, for 99 of 100 sends
-	maxStallFraction        = 1.0         // of the grace for drains, for each stall
-	stallProximity          = time.Second // within which a violation may be due to a stall
+	maxSendLatenessFraction = 0.5         // fraction of the rules' tolerance by which 99 of 100 sends may be late
+	maxStallFraction        = 1.0         // fraction of the drain grace that each stall may last
+	stallProximity          = time.Second // time before or after a stall in which a violation may be due to it
 )
 
-// validate decides whether the day says something about the sidecars, and if not, why.
+// validate sets whether the result is valid, which it is if the rehearsal itself was on time, and the reasons if it is not.
 func (r *rehearsal) validate(result *Result, events []invariant.Event, dayStart time.Duration) {
 	rules, harness := r.plan.Day.Rules, &result.Harness
 	invalidate := func(format string, args ...any) {
@@ -39,19 +39,19 @@
 		}
 	}
 	harness.Stalls = len(stalls)
-	near := 0
+	violationsNearStalls := 0
 	for _, rule := range result.Invariants.Rules {
 		for _, violation := range rule.Breaches {
 			at := violation.At + dayStart
 			if slices.ContainsFunc(stalls, func(e invariant.Event) bool {
 				return e.At-e.Duration-stallProximity <= at && at <= e.At+stallProximity
 			}) {
-				near++
+				violationsNearStalls++
 			}
 		}
 	}
-	if near > 0 {
-		invalidate("%d breaks of a rule lie within %v of a pause of the rehearsal's own", near, stallProximity)
+	if violationsNearStalls > 0 {
+		invalidate("%d breaks of a rule lie within %v of a pause of the rehearsal's own", violationsNearStalls, stallProximity)
 	}
 	result.Valid = len(result.Invalid) == 0
 }
