--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// The charts are SVG written by hand: a plot library would read its fonts at the start of every daemon (gonum/plot takes
-// 4 MB of resident memory as soon as it is linked in).
+// The charts are written as SVG without a plot library, since such a library would be linked into the daemon and load its fonts at
+// every start (gonum/plot takes 4 MB of resident memory as soon as it is linked in).
 
 // chart is a plot over the time of a day, written as SVG.
 type chart struct {
 	strings.Builder
-	height   float64
-	length   float64 // seconds
-	scaleMax float64 // the value at the top of the scale
+	height   float64 // height of the view box
+	length   float64 // length of the time axis in seconds
+	scaleMax float64 // value at the top of the vertical scale
 }
 
-// The size of a plot and its margins, in units of the view box.
+// The width of a chart and its margins, in units of the view box.
 const (
 	chartWidth  = 1000.0
 	chartLeft   = 56.0
@@ -28,23 +28,24 @@
 	chartBottom = 22.0
 )
 
-// newChart begins a plot over a length in seconds.
+// newChart starts a chart with a height in units of the view box, and a time axis with a length in seconds.
 func newChart(height, length, scaleMax float64) *chart {
 	c := &chart{height: height, length: max(length, 1), scaleMax: scaleMax}
 	fmt.Fprintf(&c.Builder, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
 	return c
 }
 
-// x is the position of an instant, and y that of a value, both kept within the plot.
+// x returns the horizontal position of an instant. Instants outside the time axis are moved to its ends.
 func (c *chart) x(seconds float64) float64 {
 	return chartLeft + (chartWidth-chartLeft-chartRight)*min(max(seconds, 0), c.length)/c.length
 }
 
+// y returns the vertical position of a value. Values outside the scale are moved to its ends.
 func (c *chart) y(value float64) float64 {
 	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
 
-// scale draws a grid with the values of the scale, in a format.
+// scale draws horizontal grid lines with their values, which format formats.
 func (c *chart) scale(format string) {
 	for i := range 5 {
 		v := c.scaleMax * float64(i) / 4
@@ -54,7 +55,7 @@
 	}
 }
 
-// timeAxis writes the seconds below the plot.
+// timeAxis writes the labels of the time axis below the plot.
 func (c *chart) timeAxis() {
 	step := niceStep(c.length)
 	for s := 0.0; s <= c.length; s += step {
@@ -62,7 +63,7 @@
 	}
 }
 
-// niceStep is the distance of ticks, of which there are about ten.
+// niceStep returns a round distance in seconds between the labels of a time axis, of which there are about ten.
 func niceStep(length float64) float64 {
 	for _, step := range []float64{1, 2, 5, 10, 15, 30, 60, 120, 300, 600} {
 		if length/step <= 12 {
@@ -72,7 +73,7 @@
 	return 1200
 }
 
-// niceMax is the top of a scale, a round value that is at least v.
+// niceMax returns a round value that is at least v, for the top of a scale.
 func niceMax(v float64) float64 {
 	if v <= 0 {
 		return 1
@@ -86,7 +87,7 @@
 	return 10 * unit
 }
 
-// faultBands draws a band behind the plot for each fault.
+// faultBands draws a vertical band for the time of each fault, behind what is drawn later.
 func (c *chart) faultBands(r *Result) {
 	for _, fault := range r.Faults {
 		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
@@ -95,7 +96,7 @@
 	}
 }
 
-// violationMarks draws a line at each violation of a rule.
+// violationMarks draws a vertical line at the instant of each violation of an invariant.
 func (c *chart) violationMarks(r *Result) {
 	for _, rule := range r.Invariants.Rules {
 		for _, v := range rule.Breaches {
@@ -106,7 +107,7 @@
 	}
 }
 
-// line draws a value for each second, at its middle.
+// line draws a line through the values of successive seconds, each in the middle of its second.
 func (c *chart) line(class string, values []float64) {
 	var points []string
 	for i, v := range values {
@@ -115,7 +116,7 @@
 	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, class, strings.Join(points, " "))
 }
 
-// columns draws a column for each second with a positive value.
+// columns draws a column for each second whose value is positive.
 func (c *chart) columns(class string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
@@ -126,7 +127,7 @@
 	}
 }
 
-// end closes the plot and returns it. All text in it was escaped before.
+// end returns the finished chart. All text in it has been escaped.
 func (c *chart) end() template.HTML {
 	c.WriteString("</svg>")
 	return template.HTML(c.String())
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -14,41 +14,43 @@
 	"tuliprock/internal/testkit/faultnet"
 )
 
-// The lease config of a day whose sidecars agree on operator overrides.
+// The lease config of clusters with consensus, which the sidecars' configuration contains.
 const (
-	maxClockDrift       = 0.1
-	maxConflictDuration = 2 * time.Second
+	maxClockDrift       = 0.1             // fraction by which the rate of a clock may differ from real time
+	maxConflictDuration = 2 * time.Second // time for which two sidecars may act on different versions
 	leaseDuration       = 6 * time.Second
 )
 
-// firstClusterAddr is the number of a cluster's first loopback address, beyond those of the sidecars.
+// firstClusterAddr is the argument of freeLoopbackAddr for the first member of a cluster. Arguments below it are used for the
+// addresses at which sidecars listen for clients.
 const firstClusterAddr = 2000
 
-// maxClusterEvents bounds the events of a cluster's timeline, and the acts.
+// maxClusterEvents bounds the events of a cluster's timeline, and separately its version reports.
 const maxClusterEvents = maxEvents / 10
 
-// cluster is a cluster of sidecars that is being rehearsed. Its methods do nothing for nil, which is a day without one.
+// cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that a
+// rehearsal calls do nothing then.
 type cluster struct {
 	rehearsal *rehearsal
-	net       *faultnet.Network
-	members   map[string]*clusterMember // by the sidecar's name; not written to after buildCluster
-	pollers   sync.WaitGroup
+	net       *faultnet.Network         // network between the members, which injects the faults of links
+	members   map[string]*clusterMember // members by the name of the sidecar; not modified after buildCluster
+	pollers   sync.WaitGroup            // goroutines that poll the members and toggle an override
 
 	mu             sync.Mutex
-	events         []clusterinvariant.Event
-	versionReports []clusterinvariant.VersionReport
-	activeFaults   int
+	events         []clusterinvariant.Event         // timeline of the members, their views and the faults
+	versionReports []clusterinvariant.VersionReport // responses of members that act on a version
+	activeFaults   int                              // number of faults of links or processes that are active
 }
 
-// clusterMember is what a sidecar needs to be a member of the cluster.
+// clusterMember is a sidecar of the cluster.
 type clusterMember struct {
-	clockRateEnv string // sets the rate of its clock in the environment; empty: it is the machine's
-	incarnation  int    // of its process; guarded by cluster.mu
-	configText   string // the part of its operators' file: admin_addr and [fleet]
-	adminAddr    string
+	clockRateEnv string // environment variable that sets the rate of the sidecar's clock; empty: the clock is that of the machine
+	incarnation  int    // number of times that the sidecar's process was started; guarded by cluster.mu
+	configText   string // part of the sidecar's operators' file: admin_addr and [fleet]
+	adminAddr    string // address of the sidecar's admin listener, which answers the polls
 }
 
-// buildCluster makes the sidecars before the first tier members of a cluster, if the day has one.
+// buildCluster creates the cluster, if the day has one, and the configuration of its members.
 func (r *rehearsal) buildCluster() error {
 	config := r.plan.Day.Cluster
 	if config == nil {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// operatorsFile is the rest of [fleet] in a sidecar's operators' file: the times of the failure detector and consensus.
+// operatorsFile returns the keys of [fleet] that configure the failure detector and consensus, in the format of an operators' file.
 func (c *ClusterConfig) operatorsFile(workDir, name string, isVoter bool) string {
 	var b strings.Builder
 	for _, field := range []struct {
@@ -112,7 +114,7 @@
 	return b.String()
 }
 
-// member is the sidecar's membership; nil: it is not a member.
+// member returns the member of a name, or nil if the sidecar is not in the cluster.
 func (c *cluster) member(name string) *clusterMember {
 	if c == nil {
 		return nil
@@ -120,7 +122,7 @@
 	return c.members[name]
 }
 
-// recordProcessEvent records what was done to a sidecar's process.
+// recordProcessEvent records that a sidecar's process was started or ended.
 func (c *cluster) recordProcessEvent(kind clusterinvariant.Kind, sidecar string) {
 	if c == nil {
 		return
@@ -133,7 +135,7 @@
 	c.record(clusterinvariant.Event{Kind: kind, Subject: sidecar})
 }
 
-// record adds an event at this instant. c.mu is held.
+// record adds an event at the current instant, unless the timeline is full. The caller holds c.mu.
 func (c *cluster) record(e clusterinvariant.Event) {
 	e.At = c.rehearsal.recorder.Now()
 	if len(c.events) < maxClusterEvents {
@@ -141,10 +143,13 @@
 	}
 }
 
-// beginFault records that a fault of links or processes is active, and endFault that it is over.
+// beginFault records that a fault of links or processes begins.
 func (c *cluster) beginFault() { c.changeActiveFaults(1) }
-func (c *cluster) endFault()   { c.changeActiveFaults(-1) }
 
+// endFault records that a fault of links or processes is over.
+func (c *cluster) endFault() { c.changeActiveFaults(-1) }
+
+// changeActiveFaults changes the number of active faults. It records the start of the first and the end of the last fault.
 func (c *cluster) changeActiveFaults(change int) {
 	if c == nil {
 		return
@@ -161,7 +166,7 @@
 	}
 }
 
-// inject injects a fault of links when it is due. When ctx ends, the links are well again.
+// inject injects a fault of links when it is due and returns when the fault is over. When ctx ends, it removes the fault.
 func (c *cluster) inject(ctx context.Context, start time.Time, fault LinkFault) {
 	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
 		return
@@ -186,7 +191,7 @@
 	c.setLinks(fault, faultnet.Link{})
 }
 
-// setLinks sets the state of all links between the parts of a fault.
+// setLinks sets the state of all links between sidecars in different parts of a fault.
 func (c *cluster) setLinks(fault LinkFault, link faultnet.Link) {
 	for i, part := range fault.Parts {
 		for _, other := range fault.Parts[i+1:] {
@@ -198,7 +203,7 @@
 	}
 }
 
-// close waits for the pollers, which the end of the rehearsal's context stops, and closes the links.
+// close waits for the pollers, which stop when the rehearsal's context ends, and closes the network.
 func (c *cluster) close() {
 	if c == nil {
 		return
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -10,58 +10,60 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// The bounds that a cluster with the daemon's default times must keep.
+// The default time limits of the rules, which suit a failure detector with the daemon's default times.
 const (
 	defaultDetectWithin = 6 * time.Second
 	defaultSettleWithin = 3 * time.Second
 )
 
-// ClusterConfig makes a cluster of the sidecars before the first tier, which are then started on operators' files. In a
-// day's file the cluster is called a fleet.
+// ClusterConfig configures a cluster of the sidecars before the first tier. Members of a cluster are started with operators'
+// files. In a day's file, the cluster is called a fleet.
 type ClusterConfig struct {
-	Voters           int                  `toml:"voters"`
-	ProbeInterval    time.Duration        `toml:"probe_every"`   // 0: the daemon's default
-	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // 0: the daemon's default
-	SuspicionTimeout time.Duration        `toml:"suspicion"`     // 0: the daemon's default
-	ClockRate        tomlfile.NumberRange `toml:"clock"`         // drawn for each sidecar; needs a program built with the race detector
-	DetectWithin     time.Duration        `toml:"detect"`        // until all others know of a failure, while no fault is active
-	SettleWithin     time.Duration        `toml:"settle"`        // after the last fault, until all views are right
-	HasConsensus     bool                 `toml:"agreed"`        // on operator overrides, of which one is toggled all day
+	Voters           int                  `toml:"voters"`        // number of sidecars that vote, 0 or odd
+	ProbeInterval    time.Duration        `toml:"probe_every"`   // interval of the failure detector's probes; 0: the daemon's default
+	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // timeout of a probe; 0: the daemon's default
+	SuspicionTimeout time.Duration        `toml:"suspicion"`     // time from suspicion to failure of a peer; 0: the daemon's default
+	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock as a factor of real time; needs a build with -race
+	DetectWithin     time.Duration        `toml:"detect"`        // longest time until all others have detected a failure, while no fault is active
+	SettleWithin     time.Duration        `toml:"settle"`        // longest time after the last fault until all views are right
+	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on operator overrides, one of which is then toggled
 }
 
-// LinkFaultSpec is a fault of the links between sidecars, as a day's file gives it.
+// LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
 type LinkFaultSpec struct {
-	Kind        string                 `toml:"kind"`
-	Start       tomlfile.DurationRange `toml:"at"`
-	Duration    tomlfile.DurationRange `toml:"for"`
-	Parts       int                    `toml:"parts"`  // of the sidecars, drawn; the fault hits what passes between them
-	IsolatesOne bool                   `toml:"alone"`  // one sidecar against all others, in place of Parts
-	HasBridge   bool                   `toml:"bridge"` // one sidecar reaches all others
-	IsOneWay    bool                   `toml:"one_way"`
-	Period      tomlfile.DurationRange `toml:"every"` // the fault comes and goes, each for so long; 0: it stays
-	Magnitude   tomlfile.NumberRange   `toml:"size"`
+	Kind        string                 `toml:"kind"`    // a key of linkFaultHasMagnitude
+	Start       tomlfile.DurationRange `toml:"at"`      // time from the start of the day
+	Duration    tomlfile.DurationRange `toml:"for"`     // time until the fault is over
+	Parts       int                    `toml:"parts"`   // number of parts with random sidecars; the fault hits links between parts
+	IsolatesOne bool                   `toml:"alone"`   // whether one sidecar is separated from all others; replaces Parts
+	HasBridge   bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
+	IsOneWay    bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
+	Period      tomlfile.DurationRange `toml:"every"`   // time for which the fault is alternately active and inactive; 0: it stays active
+	Magnitude   tomlfile.NumberRange   `toml:"size"`    // strength of the fault; see linkFaultHasMagnitude
 }
 
-// linkFaultHasMagnitude says for each kind of link fault whether it has a magnitude.
+// linkFaultHasMagnitude holds the kinds of link faults, and whether each has a magnitude. The comment of each kind says what
+// Magnitude means for it.
 var linkFaultHasMagnitude = map[string]bool{
-	"cut":       false, // datagrams are lost, streams stall
-	"reset":     false, // streams are reset
-	"loss":      true,  // share of datagrams that are lost
-	"duplicate": true,  // share of datagrams that arrive twice
-	"delay":     true,  // seconds added, and as much jitter, so that datagrams overtake each other
+	"cut":       false, // datagrams are lost and TCP streams stall
+	"reset":     false, // TCP streams are reset
+	"loss":      true,  // the fraction Magnitude of the datagrams is lost
+	"duplicate": true,  // the fraction Magnitude of the datagrams arrives twice
+	"delay":     true,  // everything is late by Magnitude in seconds, and by a random delay up to as long again, which reorders datagrams
 }
 
-// LinkFault is a LinkFaultSpec with all that it draws. The tags are the names of printed plans.
+// LinkFault is a link fault of the plan, drawn from its LinkFaultSpec. The tags are the names of the fields in printed plans.
 type LinkFault struct {
-	Kind      string
-	Start     time.Duration `json:"At"`
-	Duration  time.Duration `json:"For"`
-	Parts     [][]string
-	IsOneWay  bool          `json:"OneWay"`
-	Period    time.Duration `json:"Every"` // 0: without a break
-	Magnitude float64       `json:"Size"`
+	Kind      string        // a key of linkFaultHasMagnitude
+	Start     time.Duration `json:"At"`  // time from the start of the day
+	Duration  time.Duration `json:"For"` // time until the fault is over
+	Parts     [][]string    // names of the sidecars in each part; the fault hits links between parts
+	IsOneWay  bool          `json:"OneWay"` // whether only links from a part to later parts are hit
+	Period    time.Duration `json:"Every"`  // time for which the fault is alternately active and inactive; 0: it stays active
+	Magnitude float64       `json:"Size"`   // strength of the fault; see linkFaultHasMagnitude
 }
 
+// checkCluster checks the cluster and the faults of its links, and sets the default time limits of a cluster.
 func (d *Day) checkCluster(f *tomlfile.File) error {
 	if c := d.Cluster; c != nil {
 		if c.DetectWithin == 0 {
@@ -102,6 +104,7 @@
 	return nil
 }
 
+// drawLinkFaults draws the faults of the links between the sidecars.
 func (p *Plan) drawLinkFaults() {
 	rng := newRand(p.Seed, sourceLinkFaults)
 	for _, spec := range p.Day.LinkFaults {
@@ -112,7 +115,7 @@
 	}
 }
 
-// partition divides the sidecars into the parts of a link fault; where it names none, each sidecar is a part.
+// partition divides the sidecars into the parts of a link fault. If the fault states no number of parts, each sidecar is a part.
 func (p *Plan) partition(rng *rand.Rand, spec LinkFaultSpec) [][]string {
 	var names []string
 	for _, i := range rng.Perm(p.SidecarCount) {
@@ -138,7 +141,7 @@
 	return parts
 }
 
-// linkState is the state of a link while the fault is active.
+// linkState returns the state of a link that the fault hits while it is active.
 func (f *LinkFault) linkState() faultnet.Link {
 	switch f.Kind {
 	case "cut":
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	clusterPollInterval = 50 * time.Millisecond // between two polls of one sidecar
-	clusterPollTimeout  = time.Second
-	overrideInterval    = 1500 * time.Millisecond // between two changes of the operator override
+	clusterPollInterval = 50 * time.Millisecond   // interval between two polls of the same sidecar
+	clusterPollTimeout  = time.Second             // timeout of a poll or command
+	overrideInterval    = 1500 * time.Millisecond // interval between two changes of the operator override
 )
 
-// startPollers starts goroutines that poll what the sidecars hold of one another, until done closes.
+// startPollers starts goroutines that poll the sidecars' views of one another, and with consensus their active versions, until done
+// closes. With consensus, another goroutine toggles an operator override.
 func (c *cluster) startPollers(done <-chan struct{}) {
 	if c == nil {
 		return
@@ -34,36 +35,36 @@
 	}
 }
 
-// pollMembership polls a sidecar's view of the members, and records each change in it.
+// pollMembership polls a sidecar's view of the cluster and records each change of the view.
 func (c *cluster) pollMembership(name string, member *clusterMember, done <-chan struct{}) {
-	known := map[string]status.Peer{}
+	lastView := map[string]status.Peer{}
 	for c.sleep(done, clusterPollInterval) {
 		fleet, err := status.FetchFleet(member.adminAddr, clusterPollTimeout)
 		if err != nil {
 			if failed := (*net.OpError)(nil); errors.As(err, &failed) && failed.Op != "read" {
-				clear(known) // no process listens, and a restarted one holds nothing of its former incarnation
+				clear(lastView) // no process listens, and a restarted process has lost its view
 			}
 			continue
 		}
-		c.recordView(name, fleet, known)
+		c.recordView(name, fleet, lastView)
 	}
 }
 
-// recordView records what has changed in a sidecar's view since the one known.
-func (c *cluster) recordView(name string, fleet *status.Fleet, known map[string]status.Peer) {
+// recordView records each difference between a sidecar's view and its last view, and updates the last view.
+func (c *cluster) recordView(name string, fleet *status.Fleet, lastView map[string]status.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range fleet.Peers {
-		if previous, ok := known[p.Name]; ok && previous.State == p.State && previous.Incarnation == p.Incarnation {
+		if previous, ok := lastView[p.Name]; ok && previous.State == p.State && previous.Incarnation == p.Incarnation {
 			continue
 		}
-		known[p.Name] = p
+		lastView[p.Name] = p
 		c.record(clusterinvariant.Event{Kind: clusterinvariant.StateObserved, Observer: name, Subject: p.Name, State: p.State,
 			Incarnation: p.Incarnation})
 	}
 }
 
-// pollVersion polls the version that a sidecar acts on. A response that a restart overlaps is not used.
+// pollVersion polls the version that a sidecar acts on. It ignores a response if the sidecar was restarted during the poll.
 func (c *cluster) pollVersion(name string, member *clusterMember, done <-chan struct{}) {
 	for c.sleep(done, clusterPollInterval) {
 		c.mu.Lock()
@@ -74,25 +75,25 @@
 		if err != nil || !s.HasLease {
 			continue
 		}
-		act := clusterinvariant.VersionReport{RequestedAt: sentAt, ReportedAt: c.rehearsal.recorder.Now(), Daemon: name, Incarnation: incarnation,
-			Version: s.ActiveVersion, Digest: fmt.Sprint(s.Documents)}
+		report := clusterinvariant.VersionReport{RequestedAt: sentAt, ReportedAt: c.rehearsal.recorder.Now(), Daemon: name,
+			Incarnation: incarnation, Version: s.ActiveVersion, Digest: fmt.Sprint(s.Documents)}
 		c.mu.Lock()
 		if incarnation == member.incarnation && len(c.versionReports) < maxClusterEvents {
-			c.versionReports = append(c.versionReports, act)
+			c.versionReports = append(c.versionReports, report)
 		}
 		c.mu.Unlock()
 	}
 }
 
-// toggleOverride ejects an endpoint manually and brings it back, again and again, at a sidecar that is drawn each time.
-// The commands may fail: the versions that are acted on show what became of them.
+// toggleOverride alternately ejects an endpoint manually and ends the ejection. It sends each command to a random sidecar. Commands
+// may fail: the checker only compares the versions on which sidecars act.
 func (c *cluster) toggleOverride(done <-chan struct{}) {
 	hosts := c.rehearsal.hosts[0]
 	endpoint := hosts[len(hosts)-1].plan.Spec.ID
 	for n := 0; c.sleep(done, overrideInterval); n++ {
-		drawn := int(c.rehearsal.drawUint64For("hands", fmt.Sprint(n)) % uint64(len(c.members)))
+		i := int(c.rehearsal.drawUint64For("hands", fmt.Sprint(n)) % uint64(len(c.members)))
 		command := []string{"set-down", "set-up"}[n%2]
-		if conn, err := net.DialTimeout("tcp", c.members[sidecarName(drawn)].adminAddr, clusterPollTimeout); err == nil {
+		if conn, err := net.DialTimeout("tcp", c.members[sidecarName(i)].adminAddr, clusterPollTimeout); err == nil {
 			_ = conn.SetDeadline(time.Now().Add(clusterPollTimeout))
 			_, _ = fmt.Fprintf(conn, "%s %s\n", command, endpoint)
 			_, _ = io.Copy(io.Discard, conn)
@@ -101,7 +102,7 @@
 	}
 }
 
-// sleep waits for d, or is false when done closes or the rehearsal's context ends first.
+// sleep waits for d and returns true, or returns false as soon as done closes or the rehearsal's context ends.
 func (c *cluster) sleep(done <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-done:
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -10,32 +10,32 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// maxReportedViolations bounds the violations of one rule of a cluster in a result.
+// maxReportedViolations bounds the violations that a result lists for each rule of a cluster.
 const maxReportedViolations = 20
 
-// ClusterResult is what a day with a cluster showed of it.
+// ClusterResult holds the verdicts on the cluster and its measured times.
 type ClusterResult struct {
-	Held                      bool                `json:"held"`
-	Rules                     []ClusterRuleResult `json:"rules"`
-	SlowestDetectionSeconds   float64             `json:"detect_s"` // the longest until all others knew of a failure
-	SlowestConvergenceSeconds float64             `json:"settle_s"` // the longest after the last fault until all views were right
-	Events                    int                 `json:"events"`
+	Held                      bool                `json:"held"`     // whether no rule was violated
+	Rules                     []ClusterRuleResult `json:"rules"`    // result of each rule
+	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all others had detected a failure
+	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time after the last fault until all views were right
+	Events                    int                 `json:"events"`   // events in the timeline of the cluster
 
-	VersionReports              int     `json:"acts,omitempty"`            // polls of a sidecar that held a lease on a version
-	Versions                    int     `json:"versions,omitempty"`        // that were acted on
-	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // the longest that is certain
+	VersionReports              int     `json:"acts,omitempty"`            // polls in which a sidecar held a lease on a version
+	Versions                    int     `json:"versions,omitempty"`        // number of versions that sidecars acted on
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest time for which a sidecar certainly acted on a superseded version
 }
 
-// ClusterRuleResult is the finding on one rule of a cluster.
+// ClusterRuleResult is the verdict on one rule of a cluster.
 type ClusterRuleResult struct {
 	Name            string                       `json:"name"`
-	Verdict         string                       `json:"verdict"` // held, broken or not put to the test
-	TestedOccasions int                          `json:"tests"`
-	Violations      []clusterinvariant.Violation `json:"breaches"`
+	Verdict         string                       `json:"verdict"`  // "held", "broken" or "not put to the test"
+	TestedOccasions int                          `json:"tests"`    // occasions on which the rule could have been violated
+	Violations      []clusterinvariant.Violation `json:"breaches"` // the first violations, at most maxReportedViolations
 }
 
-// check checks the timeline of the cluster against its rules; nil: the day has no cluster. Instants are relative to the
-// start of the day.
+// check checks the timeline of the cluster up to an instant. It returns nil for a nil cluster. The instants of violations are
+// relative to dayStart.
 func (c *cluster) check(dayStart, end time.Duration) *ClusterResult {
 	if c == nil {
 		return nil
@@ -46,11 +46,13 @@
 	config := c.rehearsal.plan.Day.Cluster
 	verdict := clusterinvariant.CheckMembership(c.events, clusterinvariant.Limits{DetectWithin: config.DetectWithin,
 		SettleWithin: config.SettleWithin, End: end})
-	result := &ClusterResult{SlowestDetectionSeconds: verdict.SlowestDetection.Seconds(), SlowestConvergenceSeconds: verdict.SlowestConvergence.Seconds(),
-		Events: len(c.events)}
+	result := &ClusterResult{SlowestDetectionSeconds: verdict.SlowestDetection.Seconds(),
+		SlowestConvergenceSeconds: verdict.SlowestConvergence.Seconds(), Events: len(c.events)}
 	rules := clusterinvariant.MembershipRules
 	if config.HasConsensus {
-		slices.SortStableFunc(c.versionReports, func(a, b clusterinvariant.VersionReport) int { return cmp.Compare(a.ReportedAt, b.ReportedAt) })
+		slices.SortStableFunc(c.versionReports, func(a, b clusterinvariant.VersionReport) int {
+			return cmp.Compare(a.ReportedAt, b.ReportedAt)
+		})
 		versions := clusterinvariant.CheckVersions(c.versionReports, maxConflictDuration)
 		result.VersionReports, result.Versions = versions.Reports, versions.Versions
 		result.LongestContradictionSeconds = versions.LongestContradiction.Seconds()
@@ -62,26 +64,26 @@
 	}
 	result.Held = len(verdict.Violations) == 0
 	for _, rule := range rules {
-		finding := ClusterRuleResult{Name: string(rule), Verdict: "held", TestedOccasions: verdict.TestedOccasions[rule],
+		ruleResult := ClusterRuleResult{Name: string(rule), Verdict: "held", TestedOccasions: verdict.TestedOccasions[rule],
 			Violations: []clusterinvariant.Violation{}}
 		for _, violation := range verdict.Violations {
-			if violation.Rule == rule && len(finding.Violations) < maxReportedViolations {
+			if violation.Rule == rule && len(ruleResult.Violations) < maxReportedViolations {
 				violation.At -= dayStart
-				finding.Violations = append(finding.Violations, violation)
+				ruleResult.Violations = append(ruleResult.Violations, violation)
 			}
 		}
 		switch {
-		case len(finding.Violations) > 0:
-			finding.Verdict = "broken"
-		case finding.TestedOccasions == 0:
-			finding.Verdict = "not put to the test"
+		case len(ruleResult.Violations) > 0:
+			ruleResult.Verdict = "broken"
+		case ruleResult.TestedOccasions == 0:
+			ruleResult.Verdict = "not put to the test"
 		}
-		result.Rules = append(result.Rules, finding)
+		result.Rules = append(result.Rules, ruleResult)
 	}
 	return result
 }
 
-// writeText writes the finding as lines of text; nothing for nil.
+// writeText writes the result as lines of text. It writes nothing for nil.
 func (r *ClusterResult) writeText(b *strings.Builder) {
 	if r == nil {
 		return
--- a/internal/testkit/rehearse/discovery.go
+++ b/internal/testkit/rehearse/discovery.go
@@ -6,23 +6,23 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxPendingUpdates is how many changes may be on their way to one agent.
+// maxPendingUpdates is the number of updates that may wait for one agent.
 const maxPendingUpdates = 1024
 
-// memberUpdate is a change on its way to an agent.
+// memberUpdate is a change of a member of the endpoint list, to be sent to an agent when it is due.
 type memberUpdate struct {
 	dueAt  time.Time
 	member fake.Member
 }
 
-// announceUpdate sends a change to the agents of all sidecars that send to the node's tier. Each has its own delay, and gets its
-// changes in order.
+// announceUpdate queues a change of a node's entry for the agents of all sidecars that send to the node's tier. Each agent has its
+// own delay, and receives its updates in order.
 func (r *rehearsal) announceUpdate(h *host, m fake.Member, isAdded bool) {
-	span := r.plan.Day.Discovery.RemovalDelay
+	delays := r.plan.Day.Discovery.RemovalDelay
 	if isAdded {
-		span = r.plan.Day.Discovery.AdditionDelay
+		delays = r.plan.Day.Discovery.AdditionDelay
 	}
-	delay := span.At(r.drawFractionFor("notice", m.ID, m.State)) + time.Duration(r.extraNotificationDelay.Load())
+	delay := delays.At(r.drawFractionFor("notice", m.ID, m.State)) + time.Duration(r.extraNotificationDelay.Load())
 	for _, agent := range r.agentsOf(h.plan.Spec.Tier) {
 		dueAt := time.Now().Add(delay + r.plan.Day.Discovery.SidecarDelay.At(r.drawFractionFor("spread", m.ID, m.State, agent.Sidecar)))
 		select {
@@ -32,23 +32,23 @@
 	}
 }
 
-// updateAgent brings an agent its changes in the order in which they happened, each no sooner than it is due, until the
+// updateAgent sends an agent its updates in the order in which they were announced, each no earlier than it is due, until the
 // rehearsal's context ends.
-func (r *rehearsal) updateAgent(agent *fake.Agent, notifications <-chan memberUpdate) {
+func (r *rehearsal) updateAgent(agent *fake.Agent, updates <-chan memberUpdate) {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case n := <-notifications:
-			if !sleep(r.ctx, time.Until(n.dueAt)) {
+		case u := <-updates:
+			if !sleep(r.ctx, time.Until(u.dueAt)) {
 				return
 			}
-			agent.Update(n.member)
+			agent.Update(u.member)
 		}
 	}
 }
 
-// agentsOf are the agents of the sidecars that send to a tier.
+// agentsOf returns the agents of the sidecars that send to a tier.
 func (r *rehearsal) agentsOf(tier int) []*fake.Agent {
 	var out []*fake.Agent
 	if tier == 0 {
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -12,35 +12,36 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxNodeIdleConnections is how many idle connections a node keeps to its sidecar; its slots bound those in use.
+// maxNodeIdleConnections is the number of idle connections that a node keeps open to its sidecar. The slots of the node bound the
+// number of connections in use.
 const maxNodeIdleConnections = 64
 
-// host is a machine of the rehearsal: its own sidecar, and the node that runs there now.
+// host is a simulated machine with its own sidecar and the current incarnation of its node.
 type host struct {
 	plan    NodePlan
-	cell    *fake.Cell
-	sidecar *sidecarProcess // nil in the last tier
-	client  *fake.Client    // of the node, to its sidecar
+	cell    *fake.Cell      // cell whose nodes drop duplicates together
+	sidecar *sidecarProcess // sidecar through which the node calls the next tier; nil in the last tier
+	client  *fake.Client    // client that sends the node's calls to its sidecar; nil in the last tier
 
 	mu           sync.Mutex
-	node         *fake.Node
-	member       fake.Member  // the node's entry in the endpoint list
-	renames      int          // how often the node came back under a new ID
-	incarnations []*fake.Node // all that have run here
+	node         *fake.Node   // current incarnation of the node, which may be stopped
+	member       fake.Member  // current entry of the node in the endpoint list
+	renames      int          // number of restarts of the node under a new ID
+	incarnations []*fake.Node // all incarnations of the node, including the current one
 }
 
-// buildHosts makes nodes, agents and sidecars. The nodes run when it returns, the sidecars do not yet.
+// buildHosts starts the nodes and the discovery agents, and creates the sidecars without starting them.
 func (r *rehearsal) buildHosts() error {
-	cells := map[[2]int]*fake.Cell{} // by tier and cell
-	window := time.Duration(0)
+	cells := map[[2]int]*fake.Cell{} // by the indices of tier and cell
+	longestWindow := time.Duration(0)
 	for _, c := range r.plan.Classes {
-		window = max(window, c.Window)
+		longestWindow = max(longestWindow, c.Window)
 	}
 	r.hosts = make([][]*host, len(r.plan.Day.Tiers))
 	for _, p := range r.plan.Nodes {
 		key := [2]int{p.Spec.Tier, p.Spec.Cell}
 		if cells[key] == nil {
-			cells[key] = fake.NewCell(window)
+			cells[key] = fake.NewCell(longestWindow)
 		}
 		h := &host{plan: p, cell: cells[key]}
 		h.newNode(r, p.Spec.ID, "")
@@ -56,7 +57,7 @@
 	return r.buildSidecars()
 }
 
-// newNode makes a node that is down the host's node, under an ID.
+// newNode replaces the host's node by a new one that is not started. An empty address is chosen at the start.
 func (h *host) newNode(r *rehearsal, id, addr string) {
 	spec := h.plan.Spec
 	spec.ID = id
@@ -69,7 +70,7 @@
 	h.incarnations = append(h.incarnations, node)
 }
 
-// memberOf is a node's entry in the endpoint list; a zero start time is not stated there.
+// memberOf returns a node's entry in the endpoint list. The entry omits a start time that is zero.
 func memberOf(n *fake.Node, state string, startedAt time.Time) fake.Member {
 	m := fake.Member{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: state, Weight: 1}
 	if !startedAt.IsZero() {
@@ -93,8 +94,8 @@
 	r.announceUpdate(h, m, false)
 }
 
-// restartNode starts a node cold at its old address, under its old ID or, in the mode "renamed", a new one. Its sidecar is
-// started first.
+// restartNode starts a node cold at its old address, under its old ID or, in the mode "renamed", under a new one. It starts the
+// node's sidecar first.
 func (r *rehearsal) restartNode(ctx context.Context, h *host, mode string) {
 	if h.sidecar != nil {
 		err := h.sidecar.start()
@@ -118,7 +119,7 @@
 	m := h.member
 	h.mu.Unlock()
 	if err != nil {
-		if !errors.Is(err, fake.ErrCollapsed) { // its port is taken, so the day is not the one that was drawn
+		if !errors.Is(err, fake.ErrCollapsed) { // the port is in use, so the day can't follow its plan
 			r.fail(err)
 		}
 		return
@@ -126,20 +127,20 @@
 	r.announceUpdate(h, m, true)
 }
 
-// nextTierClient makes a node's calls through its own sidecar, each with an ID and an idempotency key of its own. A call has
-// the full deadline of its class, not the rest of its request's.
+// nextTierClient sends a node's calls to the next tier through the node's sidecar. Each call has its own ID, its own idempotency
+// key and the full deadline of its class, rather than the remaining time of the request that makes it.
 type nextTierClient struct {
 	rehearsal *rehearsal
 	host      *host
 }
 
-// Call implements fake.NextTier.
+// Call implements fake.NextTier. It reports whether the call was answered with status 200.
 func (c *nextTierClient) Call(class int, key string, job *fake.Job) bool {
 	c.host.mu.Lock()
 	sidecar, client := c.host.sidecar, c.host.client
 	c.host.mu.Unlock()
 	target := fake.Target{Sidecar: sidecar.name, Addr: sidecar.addr}
-	out := client.Do(fake.Request{
+	outcome := client.Do(fake.Request{
 		ID:      c.rehearsal.newID("call"),
 		Class:   class,
 		Key:     fmt.Sprintf("%s-%016x", key, c.rehearsal.sequence.Add(1)),
@@ -147,5 +148,5 @@
 		Timeout: c.rehearsal.plan.Classes[class].Deadline,
 		Connect: func() (fake.Target, bool) { return target, true },
 	})
-	return out.Status == http.StatusOK
+	return outcome.Status == http.StatusOK
 }
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -8,16 +8,17 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// reservedSockets is how many of a sidecar's descriptors the platform's daemon keeps for other things than connections.
+// reservedSockets is the number of a sidecar's descriptors that are not used for connections. It is the number that a sidecar
+// with the platform's configuration reserves itself.
 const reservedSockets = 40
 
-// operatorsFile is the configuration of a sidecar as operators write it, in place of what the platform provides. The agent
-// is the address of its discovery agent; member is nil for a sidecar that is not in a cluster.
-func (p *Plan) operatorsFile(role sidecarRole, listen, agent string, seed uint64, member *clusterMember) string {
+// operatorsFile returns the operators' file of a sidecar, which replaces the platform's configuration. agentAddr is the address of
+// the sidecar's discovery agent; member is nil for a sidecar that is in no cluster.
+func (p *Plan) operatorsFile(role sidecarRole, listen, agentAddr string, seed uint64, member *clusterMember) string {
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
 	tier := day.Tiers[role.tier]
-	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // on each side
+	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // with clients, and as many with nodes
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
@@ -39,10 +40,10 @@
 			fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota = %v\n", t.Name, p.Quotas[i])
 		}
 	}
-	coldShare, warmUp := p.coldStart()
+	coldCapacityFraction, warmUp := p.coldStart()
 	fmt.Fprintf(&b, "[[pool]]\nname = %q\nagent = %q\nconnections = %d\ntier = %d\ntiers_below = %d\nattempts = %d\n"+
-		"retry_after_most = %q\ncold_from = %v\ncold_for = %q\n", tier.Name, agent, connections, role.tier,
-		len(day.Tiers)-1-role.tier, rules.MaxAttempts, rules.MaxRetryAfter, coldShare, warmUp)
+		"retry_after_most = %q\ncold_from = %v\ncold_for = %q\n", tier.Name, agentAddr, connections, role.tier,
+		len(day.Tiers)-1-role.tier, rules.MaxAttempts, rules.MaxRetryAfter, coldCapacityFraction, warmUp)
 	if rules.DialTimeout > 0 {
 		fmt.Fprintf(&b, "dial_timeout = %q\n", rules.DialTimeout)
 	}
@@ -55,13 +56,13 @@
 	return b.String()
 }
 
-// coldStart is the least share of its capacity that a node of any kind starts with, and the longest warm-up.
-func (p *Plan) coldStart() (share float64, warmUp time.Duration) {
-	share = 1
+// coldStart returns the smallest fraction of its capacity that a node of any kind has after a start, and the longest warm-up.
+func (p *Plan) coldStart() (capacityFraction float64, warmUp time.Duration) {
+	capacityFraction = 1
 	for _, t := range p.Day.Tiers {
 		for _, k := range t.Kinds {
-			share, warmUp = min(share, k.ColdCapacityFraction.Lo), max(warmUp, k.WarmUpDuration.Hi)
+			capacityFraction, warmUp = min(capacityFraction, k.ColdCapacityFraction.Lo), max(warmUp, k.WarmUpDuration.Hi)
 		}
 	}
-	return share, warmUp
+	return capacityFraction, warmUp
 }
--- a/internal/testkit/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -15,11 +15,13 @@
 //go:embed report.html
 var reportTemplate string
 
-// reportPage is parsed on first use: the daemon starts from the same program and must not pay for it.
+// reportPage returns the parsed template of the report. It is parsed on first use, since the daemon runs in the same program and
+// must not spend time and memory on it.
 var reportPage = sync.OnceValue(func() *template.Template {
 	return template.Must(template.New("report").Funcs(reportFunctions()).Parse(reportTemplate))
 })
 
+// reportFunctions returns the functions that report.html calls.
 func reportFunctions() template.FuncMap {
 	return template.FuncMap{
 		"worthChart":     worthChart,
@@ -44,7 +46,7 @@
 	}
 }
 
-// WriteReport writes results as an HTML page that opens offline: one file that loads nothing.
+// WriteReport writes results as a self-contained HTML page, which loads no other resources.
 func WriteReport(w io.Writer, results []*Result) error {
 	var balancers []string
 	for _, r := range results {
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// valuesBySecond are values of the seconds of a day.
-func valuesBySecond(r *Result, of func(Second) float64) (out []float64) {
+// valuesBySecond returns what valueOf returns for each second of the day.
+func valuesBySecond(r *Result, valueOf func(Second) float64) (values []float64) {
 	for _, s := range r.BySecond {
-		out = append(out, of(s))
+		values = append(values, valueOf(s))
 	}
-	return out
+	return values
 }
 
-// maxOf is the greatest of the values, or 0.
+// maxOf returns the greatest of the values, and at least 0.
 func maxOf(values []float64) float64 {
 	m := 0.0
 	for _, v := range values {
@@ -26,7 +26,7 @@
 	return m
 }
 
-// worthChart draws the share of worth that was served in time.
+// worthChart draws the fraction of value that was served in time.
 func worthChart(r *Result) template.HTML {
 	c := newChart(190, float64(len(r.BySecond)), 1)
 	c.faultBands(r)
@@ -37,7 +37,7 @@
 	return c.end()
 }
 
-// latencyChart draws the median and the 99th percentile of the latency.
+// latencyChart draws the median and the 99th percentile of the latency of served requests.
 func latencyChart(r *Result) template.HTML {
 	p99 := valuesBySecond(r, func(s Second) float64 { return s.P99 })
 	c := newChart(170, float64(len(r.BySecond)), niceMax(maxOf(p99)))
@@ -50,7 +50,7 @@
 	return c.end()
 }
 
-// rejectionChart draws the rejections per second.
+// rejectionChart draws the number of rejections in each second, in all tiers.
 func rejectionChart(r *Result) template.HTML {
 	c := newChart(120, float64(len(r.BySecond)), niceMax(maxOf(r.Rejections)))
 	c.faultBands(r)
@@ -61,13 +61,13 @@
 	return c.end()
 }
 
-// faultChart draws each fault as a bar in a row of its own.
+// faultChart draws a bar for each fault, one below the other.
 func faultChart(r *Result) template.HTML {
-	const row = 20.0
-	c := newChart(chartTop+row*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
+	const rowHeight = 20.0
+	c := newChart(chartTop+rowHeight*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
 	for i, fault := range r.Faults {
 		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
-		y := chartTop + row*float64(i)
+		y := chartTop + rowHeight*float64(i)
 		label := fault.Kind
 		if fault.Magnitude > 0 {
 			label += fmt.Sprintf(" ×%.2g", fault.Magnitude)
@@ -80,50 +80,50 @@
 			anchor, labelX = "end", x-4
 		}
 		fmt.Fprintf(&c.Builder, `<rect class="trouble %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f" rx="3"/>`,
-			fault.Kind, x, max(end-x, 3), y+2, row-4)
+			fault.Kind, x, max(end-x, 3), y+2, rowHeight-4)
 		fmt.Fprintf(&c.Builder, `<text class="label" x="%.1f" y="%.1f" text-anchor="%s">%s</text>`,
-			labelX, y+row-6, anchor, html.EscapeString(label))
+			labelX, y+rowHeight-6, anchor, html.EscapeString(label))
 	}
 	c.timeAxis()
 	return c.end()
 }
 
-// inFlightChart draws the requests in flight at each node, a row for each, darker for more.
+// inFlightChart draws a row for each node, which is the darker the more requests are in flight at the node.
 func inFlightChart(r *Result) template.HTML {
-	const row = 9.0
-	c := newChart(chartTop+row*float64(max(len(r.Nodes), 1))+chartBottom, float64(len(r.BySecond)), 1)
-	perSecond := int(time.Second / sampleInterval)
-	seconds := min(len(r.InFlight)/perSecond, len(r.BySecond))
-	most := 1
+	const rowHeight = 9.0
+	c := newChart(chartTop+rowHeight*float64(max(len(r.Nodes), 1))+chartBottom, float64(len(r.BySecond)), 1)
+	samplesPerSecond := int(time.Second / sampleInterval)
+	seconds := min(len(r.InFlight)/samplesPerSecond, len(r.BySecond))
+	highest := 1
 	for _, sample := range r.InFlight {
 		for _, n := range sample {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
 	}
 	for node, name := range r.Nodes {
-		y := chartTop + row*float64(node)
+		y := chartTop + rowHeight*float64(node)
 		if node == 0 || tierName(name) != tierName(r.Nodes[node-1]) {
-			fmt.Fprintf(&c.Builder, `<text class="tick" x="2" y="%.1f">%s</text>`, y+row-1, html.EscapeString(tierName(name)))
+			fmt.Fprintf(&c.Builder, `<text class="tick" x="2" y="%.1f">%s</text>`, y+rowHeight-1, html.EscapeString(tierName(name)))
 		}
 		for s := range seconds {
 			n := 0
-			for _, sample := range r.InFlight[s*perSecond : (s+1)*perSecond] {
+			for _, sample := range r.InFlight[s*samplesPerSecond : (s+1)*samplesPerSecond] {
 				n = max(n, sample[node])
 			}
 			if n == 0 {
 				continue
 			}
 			x, end := c.x(float64(s)), c.x(float64(s+1))
-			opacity := 0.08 + 0.92*math.Sqrt(float64(n)/float64(most))
+			opacity := 0.08 + 0.92*math.Sqrt(float64(n)/float64(highest))
 			fmt.Fprintf(&c.Builder, `<rect class="hand" opacity="%.2f" x="%.1f" width="%.2f" y="%.1f" height="%.1f">`+
-				`<title>%s, %d s: %d in hand</title></rect>`, opacity, x, end-x, y, row-1, html.EscapeString(name), s, n)
+				`<title>%s, %d s: %d in hand</title></rect>`, opacity, x, end-x, y, rowHeight-1, html.EscapeString(name), s, n)
 		}
 	}
 	c.timeAxis()
 	return c.end()
 }
 
-// tierName is the name of a node's tier, which its ID begins with.
+// tierName returns the name of a node's tier, which is the ID of the node up to its last hyphen.
 func tierName(node string) string {
 	if i := strings.LastIndexByte(node, '-'); i > 0 {
 		return node[:i]
@@ -131,35 +131,36 @@
 	return node
 }
 
-// sweepChart draws worth against demand, a series for each balancer; empty: all demands are the same.
+// sweepChart draws the fraction of value that was served in time against the demand, with a series for each balancer. It returns
+// an empty text if all results have the same demand.
 func sweepChart(results []*Result) template.HTML {
 	lowest, highest := math.Inf(1), 0.0
-	type point struct{ demand, worth float64 }
-	by := map[string][]point{}
-	var order []string
+	type point struct{ demand, inTimeFraction float64 }
+	pointsByBalancer := map[string][]point{}
+	var balancers []string // in the order of their first results
 	for _, r := range results {
 		lowest, highest = min(lowest, r.Demand), max(highest, r.Demand)
-		if by[r.Balancer] == nil {
-			order = append(order, r.Balancer)
+		if pointsByBalancer[r.Balancer] == nil {
+			balancers = append(balancers, r.Balancer)
 		}
-		by[r.Balancer] = append(by[r.Balancer], point{r.Demand, r.InTimeFraction})
+		pointsByBalancer[r.Balancer] = append(pointsByBalancer[r.Balancer], point{r.Demand, r.InTimeFraction})
 	}
 	if lowest == highest {
 		return ""
 	}
 	c := newChart(220, 1, 1)
 	c.scale("%.2f")
-	ticked := map[float64]bool{}
-	at := func(demand float64) float64 { return c.x(0.03 + 0.94*(demand-lowest)/(highest-lowest)) }
-	for i, name := range order {
-		for _, p := range by[name] {
-			if !ticked[p.demand] {
-				ticked[p.demand] = true
+	isLabelled := map[float64]bool{} // by demand
+	xOf := func(demand float64) float64 { return c.x(0.03 + 0.94*(demand-lowest)/(highest-lowest)) }
+	for i, name := range balancers {
+		for _, p := range pointsByBalancer[name] {
+			if !isLabelled[p.demand] {
+				isLabelled[p.demand] = true
 				fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">×%v</text>`,
-					at(p.demand), c.height-6, p.demand)
+					xOf(p.demand), c.height-6, p.demand)
 			}
 			fmt.Fprintf(&c.Builder, `<circle class="series%d" cx="%.1f" cy="%.1f" r="4"><title>%s, demand ×%v: worth %.3f</title></circle>`,
-				i%5, at(p.demand), c.y(p.worth), html.EscapeString(name), p.demand, p.worth)
+				i%5, xOf(p.demand), c.y(p.inTimeFraction), html.EscapeString(name), p.demand, p.inTimeFraction)
 		}
 	}
 	return c.end()
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -76,7 +76,7 @@
 	s.Report.How = "silent"
 	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Tolerance.Microseconds(), rules.DrainGrace.Microseconds()
 	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.ColdOverloadWindow.Microseconds(), rules.ColdOverloadFactor
-	coldShare, warmUp := p.coldStart() // the platform states one value for all kinds of nodes
-	s.Rules.ColdFrom, s.Rules.ColdUs = coldShare, warmUp.Microseconds()
+	coldCapacityFraction, warmUp := p.coldStart() // the platform states one value for all kinds of nodes
+	s.Rules.ColdFrom, s.Rules.ColdUs = coldCapacityFraction, warmUp.Microseconds()
 	return json.Marshal(s)
 }
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second // as the platform waits
-	readyPollInterval = 10 * time.Millisecond
-	termGrace         = 700 * time.Millisecond // after SIGTERM, in which new requests must still be answered
-	maxLogTail        = 2000                   // bytes of a sidecar's log of which an error quotes the last line
+	readyTimeout      = 30 * time.Second       // time that the platform, too, waits until a sidecar is ready
+	readyPollInterval = 10 * time.Millisecond  // interval between two polls of a starting sidecar's health
+	termGrace         = 700 * time.Millisecond // time after SIGTERM in which new requests must still be answered
+	maxLogTail        = 2000                   // bytes at the end of a sidecar's log in which its last line is looked for
 )
 
-// sidecarProcess is a sidecar that runs as a real process, which can be ended and started again under its name and address.
-// Its methods are safe for concurrent use. While a process runs, a goroutine waits for its exit.
+// sidecarProcess is a sidecar that runs as a real process, which can be ended and started again with the same name and address.
+// Its methods are safe for concurrent use. While the process runs, a goroutine waits for its exit.
 type sidecarProcess struct {
 	name          string
-	addr          string
-	agent         *fake.Agent
+	addr          string      // address at which the sidecar listens for clients
+	agent         *fake.Agent // discovery agent of this sidecar alone
 	recorder      *fake.Recorder
-	workDir       string
-	command       func() *exec.Cmd
-	settings      json.RawMessage
-	operatorsFile func(seed uint64) string // in place of the platform's configuration; nil: none
-	env           []string                 // added to the environment of the rehearsal
+	workDir       string                   // directory of the configuration and the log
+	command       func() *exec.Cmd         // returns a command that runs one sidecar
+	settings      json.RawMessage          // settings object of the platform's configuration
+	operatorsFile func(seed uint64) string // text of the operators' file; nil: the platform's configuration is used
+	env           []string                 // variables that are added to the environment of the rehearsal
 	day           *Day
-	nextSeed      func() uint64 // of each incarnation; called with mu held
-	onCrash       func(*sidecarProcess)
+	nextSeed      func() uint64         // returns the seed of the next incarnation; called with mu held
+	onCrash       func(*sidecarProcess) // called after an exit that was not requested
 
 	mu             sync.Mutex
-	cmd            *exec.Cmd     // nil: no process runs
-	exited         chan struct{} // of the present process; closed after its exit
-	isExitExpected bool
-	peakMemoryMB   float64 // of all processes that were ended; 0 where the system does not state it
-	isStopped      bool    // no process is started any more
+	cmd            *exec.Cmd     // command of the running process; nil: no process runs
+	exited         chan struct{} // closed after the exit of the running process
+	isExitExpected bool          // whether a signal that ends the running process was sent
+	peakMemoryMB   float64       // highest peak resident memory of the processes that were ended; 0 if the system does not provide it
+	isStopped      bool          // whether stop was called, after which no process is started
 }
 
-// freeLoopbackAddr finds a free port on a loopback address that depends on i. On an address of its own no outgoing
-// connection of this machine can take the port while the sidecar is down.
+// freeLoopbackAddr returns a free port on a loopback address that depends on i. Since no other sidecar uses this IP address, no
+// outgoing connection can take the port while the sidecar is down.
 func freeLoopbackAddr(i int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, 1+i/200, 1+i%200)
 	listener, err := net.Listen("tcp", host+":0")
-	if err != nil { // a machine with only the first address of the loopback network
+	if err != nil { // the machine has only 127.0.0.1 of the loopback network
 		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return "", err
 		}
@@ -64,19 +64,20 @@
 	return listener.Addr().String(), nil
 }
 
-// routerConfig is the file that ROUTER_CONFIG names, as the platform writes it.
-func (p *sidecarProcess) routerConfig(known fake.MemberList) ([]byte, error) {
+// routerConfig returns the content of the file that ROUTER_CONFIG names, in the format of the platform. It contains the endpoint
+// list of which the sidecar was last notified.
+func (p *sidecarProcess) routerConfig(lastList fake.MemberList) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.nextSeed()),
 		"limits": map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB,
 			"sockets": p.day.Sidecars.Sockets},
-		"known":    known,
+		"known":    lastList,
 		"settings": p.settings,
 	})
 }
 
 // newCommand writes the configuration of the next process and returns its command.
-func (p *sidecarProcess) newCommand(known fake.MemberList) (*exec.Cmd, error) {
+func (p *sidecarProcess) newCommand(lastList fake.MemberList) (*exec.Cmd, error) {
 	cmd := p.command()
 	cmd.Env = append(cmd.Environ(), p.env...)
 	if p.operatorsFile != nil {
@@ -84,7 +85,7 @@
 		cmd.Args = append(cmd.Args, "serve", "--config", path)
 		return cmd, os.WriteFile(path, []byte(p.operatorsFile(p.nextSeed())), 0o600)
 	}
-	text, err := p.routerConfig(known)
+	text, err := p.routerConfig(lastList)
 	if err != nil {
 		return nil, err
 	}
@@ -94,16 +95,16 @@
 	return cmd, os.WriteFile(path, text, 0o600)
 }
 
-// start starts a process with the endpoint list that the former one was last notified of, and nothing else of its state. It
-// does nothing while a process runs, and after stop.
+// start starts a process. Of the state of the previous process, it gets only the endpoint list of which that was last notified.
+// start does nothing while a process runs or after stop.
 func (p *sidecarProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isStopped || p.cmd != nil {
 		return nil
 	}
-	known := p.agent.NotifiedList()
-	cmd, err := p.newCommand(known)
+	lastList := p.agent.NotifiedList()
+	cmd, err := p.newCommand(lastList)
 	if err != nil {
 		return err
 	}
@@ -111,11 +112,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // nothing was written through it: the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // closing loses no data: only the process writes, through its own descriptor
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal must not reach the process
 	p.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: p.name})
-	for _, m := range known.Servers {
+	for _, m := range lastList.Servers {
 		p.recorder.Add(fake.NotificationEvent(p.name, m, p.recorder))
 	}
 	if err := cmd.Start(); err != nil {
@@ -126,9 +127,9 @@
 	return nil
 }
 
-// awaitExit waits for the exit of a process and records it.
+// awaitExit waits for the exit of a process and records it. An exit that no signal requested is a crash.
 func (p *sidecarProcess) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
-	_ = cmd.Wait() // whether it was asked to exit matters, not its status
+	_ = cmd.Wait() // the exit status does not matter, only whether the exit was requested
 	p.mu.Lock()
 	isCrash := !p.isExitExpected
 	p.cmd = nil
@@ -140,8 +141,8 @@
 	}
 }
 
-// signal sends a signal that ends the present process, and returns the channel that closes after its exit; nil: no process
-// runs.
+// signal sends the running process a signal that ends it, and records an event of the given kind. It returns the channel that
+// closes after the exit, or nil if no process runs.
 func (p *sidecarProcess) signal(s syscall.Signal, kind invariant.Kind) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,8 +156,8 @@
 	return p.exited
 }
 
-// peakResidentMB is the peak of a process's resident memory, 0 where the system does not state it. The usage of ended
-// children will not do: it counts what their parent had when it forked.
+// peakResidentMB returns the peak resident memory of a process, or 0 if the system does not provide it. The resource usage of
+// ended children can't be used, since it includes the memory that the parent had when it forked.
 func peakResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -170,7 +171,7 @@
 	return kb / 1024
 }
 
-// pause stops the process for d or until ctx ends, and resumes it.
+// pause stops the process with SIGSTOP for d or until ctx ends, and resumes it.
 func (p *sidecarProcess) pause(ctx context.Context, d time.Duration) {
 	p.mu.Lock()
 	if p.cmd == nil {
@@ -183,22 +184,22 @@
 	p.mu.Unlock()
 	pausedAt := time.Now()
 	sleep(ctx, d)
-	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // before its effects
+	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // recorded before the process can act again
 	select {
-	case <-exited: // it was killed meanwhile
+	case <-exited: // the process was killed during the pause
 	default:
 		_ = process.Signal(syscall.SIGCONT)
 	}
 }
 
-// kill ends the process by SIGKILL and waits for its exit.
+// kill ends the process with SIGKILL and waits for its exit.
 func (p *sidecarProcess) kill() {
 	if exited := p.signal(syscall.SIGKILL, invariant.SidecarKilled); exited != nil {
 		<-exited
 	}
 }
 
-// terminate ends the process as a planned restart does: by SIGTERM, and by SIGKILL where it has not exited in time.
+// terminate ends the process as in a planned restart: with SIGTERM, and after the timeout with SIGKILL.
 func (p *sidecarProcess) terminate(timeout time.Duration) {
 	exited := p.signal(syscall.SIGTERM, invariant.TermSent)
 	if exited == nil {
@@ -211,7 +212,7 @@
 	}
 }
 
-// stop kills the process, and no other is started any more.
+// stop kills the process and prevents further starts.
 func (p *sidecarProcess) stop() {
 	p.mu.Lock()
 	p.isStopped = true
@@ -219,7 +220,7 @@
 	p.kill()
 }
 
-// awaitReady polls the sidecar's health until it is ready. The error names the sidecar and quotes the end of its log.
+// awaitReady polls the sidecar's health until it is ready. An error names the sidecar and quotes the last line of its log.
 func (p *sidecarProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -246,7 +247,7 @@
 	}
 }
 
-// lastLogLine is the last line of the sidecar's log, or why it cannot be read.
+// lastLogLine returns the last line of the sidecar's log, or the error that reading it returned.
 func (p *sidecarProcess) lastLogLine() string {
 	text, err := os.ReadFile(filepath.Join(p.workDir, p.name+".log"))
 	if err != nil {
@@ -257,7 +258,7 @@
 	return lines[len(lines)-1]
 }
 
-// sleep waits for d, or is false when ctx ends first.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -51,9 +51,9 @@
 	if err != nil {
 		return nil, err
 	}
-	notifications := make(chan memberUpdate, maxPendingUpdates)
-	r.pendingUpdates[agent] = notifications
-	r.agentUpdaters.Go(func() { r.updateAgent(agent, notifications) })
+	updates := make(chan memberUpdate, maxPendingUpdates)
+	r.pendingUpdates[agent] = updates
+	r.agentUpdaters.Go(func() { r.updateAgent(agent, updates) })
 	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
 		command: r.options.Command, day: r.plan.Day}
 	r.sidecars = append(r.sidecars, p) // close stops all sidecars in this list, with their agents
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -11,10 +11,10 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// OwnBalancer is the name of this program's own balancer in results.
+// OwnBalancer is the name in results of the balancer that this program implements, as opposed to a baseline policy.
 const OwnBalancer = "tuliprock"
 
-// WriteJSON writes results in their documented form.
+// WriteJSON writes results in the documented format of result files.
 func WriteJSON(w io.Writer, results []*Result) error {
 	out := json.NewEncoder(w)
 	return out.Encode(struct {
@@ -24,7 +24,7 @@
 	}{1, "rehearsal", results})
 }
 
-// WriteTable writes results as text: one in full, several beside each other.
+// WriteTable writes results as text: a single result in full, several results as a table with a row for each.
 func WriteTable(w io.Writer, results []*Result) error {
 	var b strings.Builder
 	if len(results) == 1 {
@@ -36,10 +36,10 @@
 	return err
 }
 
-// writeColumns aligns the tab-separated cells of rows.
+// writeColumns writes rows of tab-separated cells, aligned in columns.
 func writeColumns(b *strings.Builder, rows string) {
 	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	_, _ = io.WriteString(t, rows) // neither fails: a Builder takes all that is written to it
+	_, _ = io.WriteString(t, rows) // a write to a strings.Builder does not fail
 	_ = t.Flush()
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// writeMeasures writes what clients and nodes measured.
+// writeMeasures writes the measurements of clients and nodes.
 func writeMeasures(b *strings.Builder, r *Result) {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.InTimeFraction, r.WorstWindowFraction)
@@ -84,7 +84,7 @@
 	writeColumns(b, rows.String())
 }
 
-// writeInvariants writes the finding on each invariant, with the first violations.
+// writeInvariants writes the verdict on each invariant, and its first violations.
 func writeInvariants(b *strings.Builder, report *invariant.Report) {
 	var rows strings.Builder
 	for _, rule := range report.Rules {
@@ -101,7 +101,7 @@
 	}
 }
 
-// verdictText is the verdict on a rule.
+// verdictText returns the verdict on an invariant, with the number of violations if it was broken.
 func verdictText(rule invariant.RuleResult) string {
 	if rule.Verdict == invariant.Broken {
 		return fmt.Sprintf("BROKEN %d times", rule.ViolationCount)
@@ -109,7 +109,7 @@
 	return string(rule.Verdict)
 }
 
-// occasionsText lists the occasions of a rule in the order of their names.
+// occasionsText lists the kinds of occasions on which an invariant was tested, by name, with their numbers.
 func occasionsText(rule invariant.RuleResult) string {
 	var out []string
 	for name, n := range rule.Occasions {
@@ -119,7 +119,7 @@
 	return strings.Join(out, ", ")
 }
 
-// violationText describes a violation with whom it concerns.
+// violationText describes a violation, and names the request, sidecar and node that it concerns.
 func violationText(v invariant.Violation) string {
 	out := v.Description
 	for _, part := range []struct{ name, value string }{{"request", v.Request}, {"sidecar", v.Sidecar}, {"node", v.Node}} {
@@ -130,7 +130,7 @@
 	return out
 }
 
-// writeComparison writes several results beside each other, a row each.
+// writeComparison writes a table with a row for each result.
 func writeComparison(b *strings.Builder, results []*Result) {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99"+
@@ -151,10 +151,10 @@
 	}
 }
 
-// percent is a of b in percent; 0 where b is 0.
+// percent returns a as a percentage of b, or 0 if b is 0.
 func percent(a, b int) float64 { return 100 * ratio(float64(a), float64(b), 0) }
 
-// verdictSummary is the verdict on a result in few words.
+// verdictSummary returns the verdict on a result in a few words, with the numbers of the invariants that were broken.
 func verdictSummary(r *Result) string {
 	var broken []string
 	for _, rule := range r.Invariants.Rules {
@@ -173,31 +173,32 @@
 	return "held"
 }
 
-// writeSpread writes minimum, median and maximum by balancer and demand, where there are several seeds.
+// writeSpread writes the minimum, median and maximum of the points of service for each balancer and demand. It writes nothing if
+// no balancer and demand has several results.
 func writeSpread(b *strings.Builder, results []*Result) {
-	type key struct {
+	type group struct {
 		balancer string
 		demand   float64
 	}
-	var order []key
-	by := map[key][]float64{}
+	var groups []group // in the order of their first results
+	serviceByGroup := map[group][]float64{}
 	for _, r := range results {
-		k := key{r.Balancer, r.Demand}
-		if by[k] == nil {
-			order = append(order, k)
+		g := group{r.Balancer, r.Demand}
+		if serviceByGroup[g] == nil {
+			groups = append(groups, g)
 		}
-		by[k] = append(by[k], r.Service)
+		serviceByGroup[g] = append(serviceByGroup[g], r.Service)
 	}
-	if len(by) == len(results) {
+	if len(serviceByGroup) == len(results) {
 		return
 	}
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nservice\tdemand\tleast\tmedian\tmost\truns")
-	for _, k := range order {
-		v := by[k]
+	for _, g := range groups {
+		v := serviceByGroup[g]
 		sort.Float64s(v)
 		median := (v[(len(v)-1)/2] + v[len(v)/2]) / 2
-		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], median, v[len(v)-1], len(v))
+		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", g.balancer, g.demand, v[0], median, v[len(v)-1], len(v))
 	}
 	writeColumns(b, rows.String())
 }
