--- a/internal/testkit/rehearse/day_test.go
+++ b/internal/testkit/rehearse/day_test.go
@@ -8,8 +8,9 @@
 	"tuliprock/deploy/rehearsals"
 )
 
+// TestInvalidDayNamesLineAndField replaces one piece of a valid day's file at a time. The keys are parts of the expected errors.
 func TestInvalidDayNamesLineAndField(t *testing.T) {
-	for want, swap := range map[string][2]string{
+	for want, change := range map[string][2]string{
 		"test.toml:1: format: must be 1":               {"format = 1", "format = 2"},
 		"test.toml:4: length: must be":                 {`"8s"`, `"0s"`},
 		"test.toml:6: load.use: must be":               {"use = 0.5", "use = 0"},
@@ -26,14 +27,14 @@
 		"trouble[0].share: must be":                    {"share = 0.5\nsize", "size"},
 		"unknown field":                                {"retries = 1", "retires = 1"},
 	} {
-		text := strings.Replace(testDayText, swap[0], swap[1], 1)
+		text := strings.Replace(testDayText, change[0], change[1], 1)
 		if text == testDayText {
 			t.Fatalf("%s: the text to replace is missing", want)
 		}
 		_, err := Parse("test.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") ||
 			!strings.HasPrefix(err.Error(), "test.toml:") {
-			t.Errorf("want %s, got %v", want, err)
+			t.Errorf("got error %v, want one line that contains %q and begins with the file's name", err, want)
 		}
 	}
 }
@@ -48,11 +49,11 @@
 		d, err := Parse("day.toml", text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "day.toml") {
-				t.Errorf("%q", err)
+				t.Errorf("error %q is not one line that begins with the file's name", err)
 			}
 			return
 		}
-		if d.Length <= 10*time.Second && d.Load.Utilization.Hi <= 1 { // a valid day can be drawn, or the error says why not
+		if d.Length <= 10*time.Second && d.Load.Utilization.Hi <= 1 { // NewPlan must not panic, but may return an error
 			_, _ = NewPlan(d, 1, 1)
 		}
 	})
@@ -65,9 +66,9 @@
 	}
 	if err := d.SetLength(4 * time.Second); err != nil || d.Length != 4*time.Second || d.Faults[1].Start.Lo != time.Second ||
 		d.Faults[1].Duration.Lo != 750*time.Millisecond {
-		t.Errorf("%v: %+v", err, d.Faults[1])
+		t.Errorf("SetLength returned %v; length %v and fault %+v, want 4s and a fault from 1s for 750ms", err, d.Length, d.Faults[1])
 	}
 	if d.SetLength(0) == nil || d.SetLength(48*time.Hour) == nil {
-		t.Error("a length out of bounds is accepted")
+		t.Error("SetLength accepted a length of 0 or of 48 hours")
 	}
 }
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -21,9 +21,11 @@
 	"tuliprock/internal/sidecar"
 )
 
-// faultEnv makes the test binary a sidecar: a good one, or one with a fault that an invariant must find.
+// faultEnv is an environment variable that makes the test binary run a sidecar: "good" without a fault, or the name of a fault that
+// an invariant must detect.
 const faultEnv = "REHEARSE_TEST_SIDECAR"
 
+// TestMain runs the tests, or a sidecar in the processes that the tests start.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv(faultEnv); fault != "" {
 		if err := runSidecar(fault); err != nil {
@@ -35,20 +37,20 @@
 	os.Exit(m.Run())
 }
 
-// runSidecar runs a sidecar with a fault; "good" is none.
+// runSidecar runs a sidecar with a fault until SIGTERM. The fault "good" is a sidecar without one.
 func runSidecar(fault string) error {
 	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	decide := eventloop.NewBalancer
+	newBalancer := eventloop.NewBalancer
 	switch fault {
 	case "good":
 	case "sends responses twice":
 		if c.Listen, err = duplicateResponses(c.Listen); err != nil {
 			return err
 		}
-	case "sends to draining nodes": // neither its module nor its connections are notified of a drain
+	case "sends to draining nodes": // no part of the sidecar is notified of a drain
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
@@ -59,8 +61,8 @@
 	case "crashes":
 		time.AfterFunc(2*time.Second, func() { os.Exit(3) })
 	default:
-		decide = func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &faultyDecider{fault: fault, host: h, requests: map[string]*pendingRequest{},
+		newBalancer = func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
+			return &faultyBalancer{fault: fault, host: h, requests: map[string]*pendingRequest{},
 				ready: map[string]balance.Endpoint{}}
 		}
 	}
@@ -70,89 +72,92 @@
 	if err != nil {
 		return err
 	}
-	s, err := sidecar.StartWith(decide, service, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	s, err := sidecar.StartWith(newBalancer, service, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
 	}
 	return s.Serve(ctx)
 }
 
-// duplicateResponses accepts clients at the sidecar's address, and sends the sidecar's responses to them twice. It returns the
-// address at which the sidecar must listen.
+// duplicateResponses starts a relay at the sidecar's address, which sends clients each response with status 200 to
+// one of their attempts twice. It returns the address at which the sidecar must listen instead.
 func duplicateResponses(listen string) (string, error) {
-	hidden, err := freeLoopbackAddr(250)
+	sidecarAddr, err := freeLoopbackAddr(250)
 	if err != nil {
 		return "", err
 	}
-	_, err = relay(listen, hidden, func(text []byte) []byte {
+	_, err = relay(listen, sidecarAddr, func(text []byte) []byte {
 		if strings.Contains(string(text), " 200 OK") && strings.Contains(string(text), "try-") {
 			return append(slices.Clone(text), text...)
 		}
 		return text
 	})
-	return hidden, err
+	return sidecarAddr, err
 }
 
-// hideDrains returns the address of a relay to discovery that turns draining nodes into ready ones.
+// hideDrains starts a relay to discovery that replaces the state of draining nodes by ready, and returns the relay's address.
 func hideDrains(discovery string) (string, error) {
 	return relay("127.0.0.1:0", discovery, func(text []byte) []byte {
-		return bytes.ReplaceAll(text, []byte(`"Terminating"`), []byte(`"Ready"      `)) // of the same length
+		return bytes.ReplaceAll(text, []byte(`"Terminating"`), []byte(`"Ready"      `)) // padded to the same length
 	})
 }
 
-// relay accepts connections at an address, forwards them to another, and changes what comes back. It returns the address.
+// relay starts a relay that accepts connections at listen, forwards them to another address, and passes what it receives from there
+// through change. It returns the address at which it listens. Its goroutines run until the process ends.
 func relay(listen, to string, change func([]byte) []byte) (string, error) {
-	front, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", err
 	}
 	go func() {
 		for {
-			caller, err := front.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer caller.Close()
-				behind, err := net.Dial("tcp", to)
+				defer client.Close()
+				server, err := net.Dial("tcp", to)
 				if err != nil {
 					return
 				}
-				defer behind.Close()
-				go io.Copy(behind, caller)
+				defer server.Close()
+				go io.Copy(server, client)
 				b := make([]byte, 64<<10)
 				for {
-					n, err := behind.Read(b)
+					n, err := server.Read(b)
 					if err != nil {
 						return
 					}
-					if _, err := caller.Write(change(b[:n])); err != nil {
+					if _, err := client.Write(change(b[:n])); err != nil {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	return front.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-// faultyDecider sends each request to the next endpoint, and has a fault in how it does that or in what follows.
-type faultyDecider struct {
-	balance.Events // nil: the other events are not used
-	fault          string
+// faultyBalancer is a balancer that selects endpoints in rotation. It has a fault in its selection, or in how it handles a failed
+// attempt.
+type faultyBalancer struct {
+	balance.Events        // nil: the events without a method below are not used
+	fault          string // name of the fault; see runSidecar
 	host           balance.Host
-	ready          map[string]balance.Endpoint
-	endpoints      []string
-	requests       map[string]*pendingRequest
-	nextIndex      int
+	ready          map[string]balance.Endpoint // endpoints that accept new requests, by ID
+	endpoints      []string                    // IDs of the ready endpoints, sorted
+	requests       map[string]*pendingRequest  // by ID of the request
+	nextIndex      int                         // number of attempts sent; selects the endpoint of the next attempt
 }
 
+// pendingRequest is a request without a final response.
 type pendingRequest struct {
 	balance.Request
-	attempts int
+	attempts int // attempts sent
 }
 
-func (b *faultyDecider) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
+func (b *faultyBalancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Complete {
 		clear(b.ready)
 	}
@@ -170,13 +175,13 @@
 	slices.Sort(b.endpoints)
 }
 
-func (b *faultyDecider) Request(now time.Duration, r balance.Request) {
+func (b *faultyBalancer) Request(now time.Duration, r balance.Request) {
 	q := &pendingRequest{Request: r}
 	b.requests[r.ID] = q
 	b.send(now, q)
 }
 
-func (b *faultyDecider) send(now time.Duration, q *pendingRequest) {
+func (b *faultyBalancer) send(now time.Duration, q *pendingRequest) {
 	if len(b.endpoints) == 0 || q.attempts == 3 {
 		delete(b.requests, q.ID)
 		b.host.Fail(q.ID)
@@ -184,18 +189,18 @@
 	}
 	q.attempts++
 	b.nextIndex++
-	to := b.endpoints[b.nextIndex%len(b.endpoints)]
+	endpoint := b.endpoints[b.nextIndex%len(b.endpoints)]
 	if b.fault == "overloads warming nodes" {
 		for id, e := range b.ready {
-			if e.Started > b.ready[to].Started {
-				to = id
+			if e.Started > b.ready[endpoint].Started {
+				endpoint = id
 			}
 		}
 	}
-	b.host.Send(q.ID, to, q.Deadline-now)
+	b.host.Send(q.ID, endpoint, q.Deadline-now)
 }
 
-func (b *faultyDecider) Outcome(now time.Duration, o balance.Outcome) {
+func (b *faultyBalancer) Outcome(now time.Duration, o balance.Outcome) {
 	q := b.requests[o.ID]
 	switch {
 	case q == nil:
@@ -213,20 +218,21 @@
 	}
 }
 
-func (b *faultyDecider) ClientLeft(_ time.Duration, id string) { delete(b.requests, id) }
+func (b *faultyBalancer) ClientLeft(_ time.Duration, id string) { delete(b.requests, id) }
 
-func (b *faultyDecider) StreamStarted(time.Duration, string, int) {}
+func (b *faultyBalancer) StreamStarted(time.Duration, string, int) {}
 
-func (b *faultyDecider) BodySent(time.Duration, string, int, time.Duration) {}
+func (b *faultyBalancer) BodySent(time.Duration, string, int, time.Duration) {}
 
-func (b *faultyDecider) Timer(time.Duration) {}
+func (b *faultyBalancer) Timer(time.Duration) {}
 
-func (b *faultyDecider) Probed(time.Duration, balance.ProbeResult) {}
+func (b *faultyBalancer) Probed(time.Duration, balance.ProbeResult) {}
 
-func sidecarCommand(kind string) func() *exec.Cmd {
+// sidecarCommand returns an Options.Command that runs this test binary as a sidecar with a fault.
+func sidecarCommand(fault string) func() *exec.Cmd {
 	return func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), faultEnv+"="+kind)
+		cmd.Env = append(os.Environ(), faultEnv+"="+fault)
 		return cmd
 	}
 }
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -8,8 +8,8 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// runValid plays a plan, up to three times where the day is not valid: what a busy machine shows says nothing about a
-// sidecar.
+// runValid runs a plan until its result is valid, at most three times. On a busy machine a result is not valid, and says nothing
+// about the sidecars; the test is then skipped.
 func runValid(t *testing.T, plan *Plan, opt Options) *Result {
 	t.Helper()
 	var r *Result
@@ -21,13 +21,14 @@
 		if r.Valid {
 			return r
 		}
-		t.Logf("not valid: %v", r.Invalid)
+		t.Logf("the result is not valid: %v", r.Invalid)
 	}
 	t.Skipf("this machine is too busy for a rehearsal: %v", r.Invalid)
 	return nil
 }
 
-// The invariants must hold for the daemon, and that of its rule must be broken by a faulty sidecar.
+// TestFaultySidecarBreaksItsRule guards against invariants that miss a violation, or report one for a correct sidecar. Each fault must
+// break the rule with its number; 0 means that all rules must hold.
 func TestFaultySidecarBreaksItsRule(t *testing.T) {
 	for fault, rule := range map[string]int{
 		"good":                          0,
@@ -42,24 +43,26 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			r := runValid(t, newTestPlan(t), Options{Command: sidecarCommand(fault)})
-			for _, u := range r.Invariants.Rules {
+			for _, ruleResult := range r.Invariants.Rules {
 				switch {
-				case u.Number == rule && u.Verdict != invariant.Broken:
-					t.Errorf("rule %d is %s: %v", rule, u.Verdict, u.Occasions)
-				case rule == 0 && u.Verdict != invariant.Held:
-					t.Errorf("rule %d is %s: %v, %+v", u.Number, u.Verdict, u.Occasions, u.Breaches)
+				case ruleResult.Number == rule && ruleResult.Verdict != invariant.Broken:
+					t.Errorf("verdict on rule %d is %q, want broken; occasions %v", rule, ruleResult.Verdict, ruleResult.Occasions)
+				case rule == 0 && ruleResult.Verdict != invariant.Held:
+					t.Errorf("verdict on rule %d is %q, want held; occasions %v, violations %+v", ruleResult.Number, ruleResult.Verdict,
+						ruleResult.Occasions, ruleResult.Breaches)
 				}
 			}
 			if r.Held != (rule == 0) {
-				t.Errorf("held: %v", r.Held)
+				t.Errorf("result has Held = %v, want %v", r.Held, rule == 0)
 			}
 			if fault == "crashes" && r.Invariants.Crashes == 0 {
-				t.Error("no crash was counted")
+				t.Error("the result has no crash, want at least 1")
 			}
 		})
 	}
 }
 
+// TestBaselineBalancersAreKnownByName checks that the error for an unknown name lists the known ones.
 func TestBaselineBalancersAreKnownByName(t *testing.T) {
 	for _, name := range baseline.PolicyNames() {
 		if _, err := baseline.New(name); err != nil {
@@ -67,20 +70,20 @@
 		}
 	}
 	if _, err := baseline.New("best"); err == nil || !strings.Contains(err.Error(), "random") {
-		t.Errorf("unknown name: %v", err)
+		t.Errorf("got error %v for an unknown name, want one that lists random", err)
 	}
 }
 
-// withFaults replaces the faults of the test's day, for testPlan.
-func withFaults(faults string, change ...string) []string {
-	from := strings.Index(testDayText, "[[trouble]]")
-	return append([]string{testDayText[from:], faults}, change...)
+// withFaults returns changes for newTestPlan that replace all faults of the test's day, followed by further changes.
+func withFaults(faults string, changes ...string) []string {
+	start := strings.Index(testDayText, "[[trouble]]")
+	return append([]string{testDayText[start:], faults}, changes...)
 }
 
-// A drain that is announced while a sidecar restarts reaches it only by its watch, once it is back: its last list still has the
-// node as ready.
+// TestDrainAnnouncedDuringARestart covers a drain that is announced while a sidecar restarts. The sidecar starts with a list in which
+// the node is still ready, and is notified of the drain only after it has subscribed again.
 func TestDrainAnnouncedDuringARestart(t *testing.T) {
-	day := withFaults(`[[trouble]]
+	changes := withFaults(`[[trouble]]
 kind = "restart"
 at = "1500ms"
 for = "1s"
@@ -97,18 +100,20 @@
 	for fault, want := range map[string]invariant.Verdict{"good": invariant.Held, "sends to draining nodes": invariant.Broken} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := runValid(t, newTestPlan(t, day...), Options{Command: sidecarCommand(fault)})
-			if u := r.Invariants.Rules[2]; u.Verdict != want || u.Occasions["drains told"] < 1 {
-				t.Errorf("%s: %v, %+v", u.Verdict, u.Occasions, u.Breaches)
+			r := runValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand(fault)})
+			if rule := r.Invariants.Rules[2]; rule.Verdict != want || rule.Occasions["drains told"] < 1 {
+				t.Errorf("verdict on rule 3 is %q, want %q with a drain; occasions %v, violations %+v", rule.Verdict, want,
+					rule.Occasions, rule.Breaches)
 			}
 		})
 	}
 }
 
-// Delayed discovery lists a dead node as ready while another one, cold, listens at its address under a new ID.
+// TestDelayedDiscoveryAndRenamedNodeAtAnOldAddress covers late notifications of discovery: a dead node is still listed as ready while
+// a cold node with a new ID listens at its address. The cold node must not be overloaded.
 func TestDelayedDiscoveryAndRenamedNodeAtAnOldAddress(t *testing.T) {
 	t.Parallel()
-	day := withFaults(`[[trouble]]
+	changes := withFaults(`[[trouble]]
 kind = "crash"
 at = "1s"
 for = "500ms"
@@ -122,9 +127,10 @@
 how = "renamed"
 tier = "back"
 `, `notice = "100ms"`, `notice = "2s"`)
-	r := runValid(t, newTestPlan(t, day...), Options{Command: sidecarCommand("good")})
+	r := runValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand("good")})
 	report := r.Invariants
 	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Falls != 0 {
-		t.Errorf("held %v, falls %d: %+v", r.Held, report.Falls, report.Rules)
+		t.Errorf("held %v with %d collapsed nodes, want true and 0, with rules 3 and 4 tested at least twice: %+v", r.Held, report.Falls,
+			report.Rules)
 	}
 }
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -13,8 +13,8 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// fill sets every exported field, map and slice below a value to numbers and names in the order of declaration, so that
-// an encoding of it shows every name and no zero that could be left out.
+// fill sets all exported fields, map entries and slice elements of a value to numbers and texts, which follow from the order of the
+// fields. An encoding of the value then contains each name, since no field is zero and omitted.
 func fill(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -29,7 +29,7 @@
 		}
 	case reflect.Slice:
 		if *next > 100_000 || v.Type().Elem().Kind() == reflect.Pointer {
-			return // a type that contains itself
+			return // the type may contain itself, so the slice stays nil
 		}
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
@@ -59,17 +59,19 @@
 	}
 }
 
+// filled returns a value that fill has set.
 func filled[T any]() *T {
 	out, next := new(T), 0
 	fill(reflect.ValueOf(out).Elem(), &next)
 	return out
 }
 
-// smallResults is one result that the charts can draw.
+// smallResults returns one result.
 func smallResults() []*Result {
 	return []*Result{exampleResult(OwnBalancer, 1, 1, 80)}
 }
 
+// severalResults returns results of two balancers and two demands, one of them not valid and one with a crash.
 func severalResults() []*Result {
 	several := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
 	several[1].Valid, several[1].Invalid = false, []string{"the machine was too busy"}
@@ -77,28 +79,28 @@
 	return several
 }
 
-// What others read of a play must stay as it is, byte for byte: results, tables, printed plans and the
-// configuration of sidecars.
+// TestOutputKeepsItsFormat compares what other programs and operators read with golden files: results, tables, printed plans and the
+// configuration of sidecars. A difference of one byte may break a reader.
 func TestOutputKeepsItsFormat(t *testing.T) {
-	write := func(write func(io.Writer, []*Result) error, results []*Result) func(io.Writer) error {
+	resultWriter := func(write func(io.Writer, []*Result) error, results []*Result) func(io.Writer) error {
 		return func(w io.Writer) error { return write(w, results) }
 	}
-	printed := func(p *Plan) func(io.Writer) error {
+	planWriter := func(p *Plan) func(io.Writer) error {
 		p.Requests = p.Requests[:min(len(p.Requests), 2)]
 		return p.Print
 	}
-	full := filled[Plan]()
-	full.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Seed: 4}
-	withPeers := exampleResult(OwnBalancer, 1, 1, 80)
-	withPeers.Cluster = filled[ClusterResult]()
-	withPeers.Invariants.Rules[0].Verdict = invariant.Untested
+	filledPlan := filled[Plan]()
+	filledPlan.Requests[0].Arrival = schedule.Arrival{At: 1, Class: 2, Tenant: 3, Seed: 4}
+	clusterExample := exampleResult(OwnBalancer, 1, 1, 80)
+	clusterExample.Cluster = filled[ClusterResult]()
+	clusterExample.Invariants.Rules[0].Verdict = invariant.Untested
 	for name, write := range map[string]func(io.Writer) error{
-		"result.json":   write(WriteJSON, []*Result{filled[Result]()}),
-		"one.txt":       write(WriteTable, smallResults()),
-		"cluster.txt":   write(WriteTable, []*Result{withPeers}),
-		"several.txt":   write(WriteTable, severalResults()),
-		"plan.json":     printed(newTestPlan(t)),
-		"fullplan.json": printed(full),
+		"result.json":   resultWriter(WriteJSON, []*Result{filled[Result]()}),
+		"one.txt":       resultWriter(WriteTable, smallResults()),
+		"cluster.txt":   resultWriter(WriteTable, []*Result{clusterExample}),
+		"several.txt":   resultWriter(WriteTable, severalResults()),
+		"plan.json":     planWriter(newTestPlan(t)),
+		"fullplan.json": planWriter(filledPlan),
 		"operators.toml": func(w io.Writer) error {
 			text := newTestPlan(t).operatorsFile(sidecarRole{"sidecar-1", 1, 2, 3}, "127.0.0.1:1", "127.0.0.1:2", 4, nil)
 			_, err := io.WriteString(w, text)
@@ -123,7 +125,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got.Bytes(), want) {
-				t.Errorf("%s has changed; it is now\n%s", name, got.Bytes())
+				t.Errorf("output differs from testdata/%s; it is now\n%s", name, got.Bytes())
 			}
 		})
 	}
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -10,7 +10,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// exampleResult is a result with a broken rule, and names that must be escaped in HTML.
+// exampleResult returns a result with a broken rule and with names that must be escaped in HTML.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
 	r := &Result{
 		Format:         1,
@@ -50,7 +50,7 @@
 	for _, want := range []string{"BROKEN 7 times", "not put to the test",
 		"rule 2, at 1.500 s: sent <twice>, request r<1>, node front-1", "look", "0.500", "things 1"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, b.String())
+			t.Errorf("table lacks %q:\n%s", want, b.String())
 		}
 	}
 }
@@ -70,14 +70,15 @@
 	}
 	for _, want := range []string{"tuliprock 1 60.0 70.0 80.0 3", "random 1 20.0 30.0 40.0 3"} {
 		if !rows[want] {
-			t.Errorf("%q is missing in\n%s", want, b.String())
+			t.Errorf("table lacks the row %q:\n%s", want, b.String())
 		}
 	}
 	if !strings.Contains(b.String(), "BROKEN: 2") {
-		t.Error("the broken rule is not named")
+		t.Error("the table does not name the broken rule")
 	}
 }
 
+// TestReportIsCompleteAndLoadsNothing also checks that names are escaped, and that html/template rejected no value (ZgotmplZ).
 func TestReportIsCompleteAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
 	results := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
@@ -87,13 +88,13 @@
 	page := b.String()
 	for _, bad := range []string{"http:", "https:", "<script", "d<b>ay", "<twice>", "r<1>", "NaN", "ZgotmplZ"} {
 		if strings.Contains(page, bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("page contains %q", bad)
 		}
 	}
 	for _, want := range []string{"</html>", `class="breach"`, "sent &lt;twice&gt;", "BROKEN 7 times", "worth against demand",
 		`class="band slow"`, "not-put-to-the-test"} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("page lacks %q", want)
 		}
 	}
 }
@@ -109,6 +110,6 @@
 	}
 	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 ||
 		out.Runs[0].Invariants.Rules[1].ViolationCount != 7 {
-		t.Errorf("%v: %+v", err, out)
+		t.Errorf("decoded %+v with error %v, want format 1 and one result whose rule 2 has 7 violations", out, err)
 	}
 }
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -32,13 +32,13 @@
 		}
 		first := printed(5, 1)
 		if first != printed(5, 1) {
-			t.Errorf("%s: two plans of one seed differ", name)
+			t.Errorf("%s: two plans with the same seed differ", name)
 		}
 		if first == printed(6, 1) {
-			t.Errorf("%s: another seed gives the same plan", name)
+			t.Errorf("%s: plans with different seeds are the same", name)
 		}
 		if len(printed(5, 2)) < len(first)*3/2 {
-			t.Errorf("%s: twice the demand makes the plan hardly longer", name)
+			t.Errorf("%s: with twice the demand, the plan is less than 1.5 times as long", name)
 		}
 	}
 }
@@ -57,54 +57,56 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		count := make([]int, len(d.Tiers))
+		nodesInTier := make([]int, len(d.Tiers))
 		for _, n := range p.Nodes {
-			count[n.Spec.Tier]++
+			nodesInTier[n.Spec.Tier]++
 			if n.Spec.Speed < 0.51 || n.Spec.Speed > 1.1 || n.Spec.ColdCapacityShare < 0.31 ||
 				n.Spec.WarmUpDuration > 9*time.Second || n.Spec.Slots < 1 {
-				t.Fatalf("%+v", n.Spec)
+				t.Fatalf("node is outside the ranges of the day: %+v", n.Spec)
 			}
 		}
 		for i, tier := range d.Tiers {
-			if float64(count[i]) < tier.Nodes.Lo || float64(count[i]) > tier.Nodes.Hi {
-				t.Fatalf("%d nodes in %s", count[i], tier.Name)
+			if float64(nodesInTier[i]) < tier.Nodes.Lo || float64(nodesInTier[i]) > tier.Nodes.Hi {
+				t.Fatalf("tier %s has %d nodes, want %v to %v", tier.Name, nodesInTier[i], tier.Nodes.Lo, tier.Nodes.Hi)
 			}
 		}
-		if share := p.Rate / p.Capacity; share < d.Load.Utilization.Lo-1e-9 || share > d.Load.Utilization.Hi+1e-9 {
-			t.Fatalf("asks for %v of the capacity", share)
+		if utilization := p.Rate / p.Capacity; utilization < d.Load.Utilization.Lo-1e-9 || utilization > d.Load.Utilization.Hi+1e-9 {
+			t.Fatalf("utilization is %v, want %v to %v", utilization, d.Load.Utilization.Lo, d.Load.Utilization.Hi)
 		}
-		for i, s := range p.Faults {
-			if s.Start < d.Faults[i].Start.Lo || s.Start > d.Faults[i].Start.Hi || (len(s.Targets) == 0) != (d.Faults[i].TargetFraction.Hi == 0) {
-				t.Fatalf("%+v", s)
+		for i, fault := range p.Faults {
+			if fault.Start < d.Faults[i].Start.Lo || fault.Start > d.Faults[i].Start.Hi || (len(fault.Targets) == 0) != (d.Faults[i].TargetFraction.Hi == 0) {
+				t.Fatalf("fault is outside the ranges of the day: %+v", fault)
 			}
 		}
 	})
 }
 
-// The work drawn must be that from which the rate was computed, or a utilization would mean nothing.
+// TestPlannedWorkMatchesTheUtilization guards against work that is drawn from another distribution than the one that NewPlan uses
+// to compute the rate of requests. The utilization of the nodes would then not be that of the day.
 func TestPlannedWorkMatchesTheUtilization(t *testing.T) {
 	p := newTestPlan(t, `length = "8s"`, `length = "600s"`)
-	byTier := make([]float64, len(p.Day.Tiers))
-	for _, q := range p.Requests {
-		byTier[0] += q.Job.Work.Seconds()
-		for _, c := range q.Job.Calls {
-			byTier[1] += c.Work.Seconds()
+	workByTier := make([]float64, len(p.Day.Tiers))
+	for _, request := range p.Requests {
+		workByTier[0] += request.Job.Work.Seconds()
+		for _, c := range request.Job.Calls {
+			workByTier[1] += c.Work.Seconds()
 		}
 	}
-	for i, work := range byTier {
-		can := 0.0
+	for i, work := range workByTier {
+		capacity := 0.0 // seconds of work per second
 		for _, n := range p.Nodes {
 			if n.Spec.Tier == i {
-				can += float64(n.Spec.Cores) * n.Spec.Speed
+				capacity += float64(n.Spec.Cores) * n.Spec.Speed
 			}
 		}
-		if use := work / (can * 600); math.Abs(use-0.5) > 0.03 {
-			t.Errorf("tier %d: %.3f of its capacity is asked for, want 0.5", i, use)
+		if utilization := work / (capacity * 600); math.Abs(utilization-0.5) > 0.03 {
+			t.Errorf("utilization of tier %d is %.3f, want 0.5 +- 0.03", i, utilization)
 		}
 	}
 }
 
-// Five tiers with ten calls each are 11,111 calls for each request: drawing and holding them would not end.
+// TestDayWithTooManyCallsIsRejected guards against days whose plans take too much time and memory: five tiers with ten calls each
+// have 11,111 calls for each request.
 func TestDayWithTooManyCallsIsRejected(t *testing.T) {
 	d, err := Parse("test.toml", []byte(strings.Replace(testDayText, `name = "back"`, `name = "back"`+"\ncalls = 10", 1)))
 	if err != nil {
@@ -114,6 +116,6 @@
 		t.Fatal(err)
 	}
 	if _, err := NewPlan(d, 1, 3); err == nil || !strings.Contains(err.Error(), "calls in all tiers") {
-		t.Errorf("%v", err)
+		t.Errorf("NewPlan returned error %v, want one about the calls in all tiers", err)
 	}
 }
--- a/internal/testkit/rehearse/run_test.go
+++ b/internal/testkit/rehearse/run_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 )
 
-// Everything that a play starts must end with it, also when it is interrupted.
+// TestInterruptedRunLeavesNothingBehind guards against processes and goroutines that outlive an interrupted run.
 func TestInterruptedRunLeavesNothingBehind(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
@@ -27,11 +27,11 @@
 		}
 	}}
 	if _, err := Run(ctx, newTestPlan(t), opt); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned error %v, want context.Canceled", err)
 	}
 	configs, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil || len(configs) != 6 {
-		t.Fatalf("%v, %v", configs, err)
+		t.Fatalf("found the configurations %v (error %v), want one for each of 6 sidecars", configs, err)
 	}
 	for _, path := range configs {
 		text, err := os.ReadFile(path)
@@ -42,13 +42,14 @@
 		if err := json.Unmarshal(text, &c); err != nil {
 			t.Fatal(err)
 		}
-		if nc, err := net.DialTimeout("tcp", c.Listen, time.Second); err == nil {
-			nc.Close()
-			t.Errorf("something still listens at %s", c.Listen)
+		if conn, err := net.DialTimeout("tcp", c.Listen, time.Second); err == nil {
+			conn.Close()
+			t.Errorf("a process still listens at %s after the run", c.Listen)
 		}
 	}
 }
 
+// TestSidecarThatDoesNotStartEndsTheRun checks that the error is one line, which quotes the log if the sidecar wrote one.
 func TestSidecarThatDoesNotStartEndsTheRun(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for name, command := range map[string]func() *exec.Cmd{
@@ -58,10 +59,10 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Run(context.Background(), newTestPlan(t), Options{Command: command})
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v", err)
+				t.Errorf("Run returned error %v, want one of a single line", err)
 			}
 			if name == "port in use" && (err == nil || !strings.Contains(err.Error(), "address already in use")) {
-				t.Errorf("the log is not quoted: %v", err)
+				t.Errorf("Run returned error %v, want one that quotes the sidecar's log", err)
 			}
 		})
 	}
--- a/internal/testkit/rehearse/testday_test.go
+++ b/internal/testkit/rehearse/testday_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testDayText is a small day with the faults under which each rule can be broken.
+// testDayText is a day's file of a small day. Its faults create the occasions on which each invariant can be violated.
 const testDayText = `format = 1
 name = "test"
 seed = 3
@@ -104,15 +104,15 @@
 down = "300ms"
 `
 
-// newTestPlan draws a plan of the test's day, after replacing in its text each odd one of the changes by the next.
-func newTestPlan(tb testing.TB, change ...string) *Plan {
+// newTestPlan draws a plan of the test's day. The changes are pairs of a text in the day's file and its replacement.
+func newTestPlan(tb testing.TB, changes ...string) *Plan {
 	tb.Helper()
 	text := testDayText
-	for i := 0; i+1 < len(change); i += 2 {
-		if !strings.Contains(text, change[i]) {
-			tb.Fatalf("the test's day has no %q", change[i])
+	for i := 0; i+1 < len(changes); i += 2 {
+		if !strings.Contains(text, changes[i]) {
+			tb.Fatalf("the test's day has no %q", changes[i])
 		}
-		text = strings.Replace(text, change[i], change[i+1], 1)
+		text = strings.Replace(text, changes[i], changes[i+1], 1)
 	}
 	d, err := Parse("test.toml", []byte(text))
 	if err != nil {
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// A rehearsal that was not scheduled must not blame a sidecar.
+// TestHarnessStallsMakeADayInvalid guards against verdicts on the sidecars from a run in which the rehearsal itself was late.
 func TestHarnessStallsMakeADayInvalid(t *testing.T) {
 	r := &rehearsal{plan: newTestPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
@@ -18,7 +18,7 @@
 		result.Invariants.Rules[2].Breaches = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
 		r.validate(result, events, time.Minute)
 		if result.Valid != (len(result.Invalid) == 0) {
-			t.Errorf("valid %v, %v", result.Valid, result.Invalid)
+			t.Errorf("result has Valid = %v with the reasons %v", result.Valid, result.Invalid)
 		}
 		return result.Invalid
 	}
@@ -41,27 +41,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := validate(t, c.harness, c.events...)
 			if (c.want == "") != (len(got) == 0) || c.want != "" && !strings.Contains(got[0], c.want) {
-				t.Errorf("%v", got)
+				t.Errorf("got the reasons %q, want %q in the first; empty means no reason", got, c.want)
 			}
 		})
 	}
 }
 
 func TestWorstWindowFraction(t *testing.T) {
-	by := make([]Second, 30)
-	for i := range by {
-		by[i].Offered, by[i].InTime = 10, 10
+	seconds := make([]Second, 30)
+	for i := range seconds {
+		seconds[i].Offered, seconds[i].InTime = 10, 10
 	}
 	for i := 12; i < 17; i++ {
-		by[i].InTime = 0
+		seconds[i].InTime = 0
 	}
-	if got := worstWindowFraction(by); got != 0.5 {
-		t.Errorf("%v", got)
+	if got := worstWindowFraction(seconds); got != 0.5 {
+		t.Errorf("worst window of the day has the fraction %v, want 0.5", got)
 	}
-	if got := worstWindowFraction(by[12:17]); got != 0 {
-		t.Errorf("day shorter than the window: %v", got)
+	if got := worstWindowFraction(seconds[12:17]); got != 0 {
+		t.Errorf("worst window of a day of 5 seconds has the fraction %v, want 0", got)
 	}
 	if got := worstWindowFraction(nil); got != 1 {
-		t.Errorf("empty day: %v", got)
+		t.Errorf("worst window of an empty day has the fraction %v, want 1", got)
 	}
 }
