--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -12,10 +12,10 @@
 // maxClientIdleConnections is the number of idle connections that all clients together keep open.
 const maxClientIdleConnections = 256
 
-// outcome is the outcome of a client's request after all its attempts.
+// outcome is the result of a client's request after all its attempts.
 type outcome struct {
 	isServed bool          // whether the last response had status 200
-	duration time.Duration // from the instant at which the request was due to the last response
+	duration time.Duration // time from when the request was due until its last attempt ended
 	status   int           // HTTP status of the last response; 0: there was none
 	attempts int           // number of attempts that the client sent
 }
@@ -37,9 +37,9 @@
 	deadline := due.Add(class.Deadline)
 	defer func() {
 		o.duration = time.Since(due)
-		r.offeredWorth.Add(int64(1000 * request.Value))
+		r.offeredValue.Add(int64(1000 * request.Value))
 		if o.isInTime(r.plan.Day.Classes[request.Class].LatencyObjective) {
-			r.inTimeWorth.Add(int64(1000 * request.Value))
+			r.inTimeValue.Add(int64(1000 * request.Value))
 		}
 	}()
 	for {
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -23,10 +23,10 @@
 	ProbeInterval    time.Duration        `toml:"probe_every"`   // interval of the failure detector's probes; 0: the daemon's default
 	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // timeout of a probe; 0: the daemon's default
 	SuspicionTimeout time.Duration        `toml:"suspicion"`     // time from suspicion to failure of a peer; 0: the daemon's default
-	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock as a factor of real time; needs a build with -race
-	DetectWithin     time.Duration        `toml:"detect"`        // longest time until all others have detected a failure, while no fault is active
+	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock; needs a build with -race
+	DetectWithin     time.Duration        `toml:"detect"`        // limit until all others have detected a failure
 	SettleWithin     time.Duration        `toml:"settle"`        // longest time after the last fault until all views are right
-	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on operator overrides, one of which is then toggled
+	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides; one is then toggled
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
@@ -34,7 +34,7 @@
 	Kind        string                 `toml:"kind"`    // a key of linkFaultHasMagnitude
 	Start       tomlfile.DurationRange `toml:"at"`      // time from the start of the day
 	Duration    tomlfile.DurationRange `toml:"for"`     // time until the fault is over
-	Parts       int                    `toml:"parts"`   // number of parts with random sidecars; the fault hits links between parts
+	Parts       int                    `toml:"parts"`   // number of random parts; links between parts are hit
 	IsolatesOne bool                   `toml:"alone"`   // whether one sidecar is separated from all others; replaces Parts
 	HasBridge   bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
 	IsOneWay    bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -23,7 +23,7 @@
 
 	VersionReports              int     `json:"acts,omitempty"`            // polls in which a sidecar held a lease on a version
 	Versions                    int     `json:"versions,omitempty"`        // number of versions that sidecars acted on
-	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest time for which a sidecar certainly acted on a superseded version
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest certain use of a superseded version
 }
 
 // ClusterRuleResult is the verdict on one rule of a cluster.
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -169,7 +169,8 @@
 	if !sleep(ctx, fault.Downtime) {
 		return
 	}
-	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name) // recorded before the start, so that all polls of the new process count for its incarnation
+	// Recorded before the start, so that all polls of the new process count for its incarnation.
+	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name)
 	if err := p.start(); err != nil {
 		r.fail(err)
 		return
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	sampleInterval     = 250 * time.Millisecond // interval between two samples of the requests in flight, which result files and charts rely on
+	sampleInterval     = 250 * time.Millisecond // interval of the samples in Result.InFlight, which its readers know
 	stallCheckInterval = 5 * time.Millisecond   // interval of the timer whose lateness shows stalls of the rehearsal
 )
 
@@ -49,8 +49,8 @@
 			r.options.Progress(Snapshot{
 				Elapsed:      time.Since(m.startedAt),
 				Length:       r.plan.Day.Length,
-				OfferedValue: float64(r.offeredWorth.Load()) / 1000,
-				InTimeValue:  float64(r.inTimeWorth.Load()) / 1000,
+				OfferedValue: float64(r.offeredValue.Load()) / 1000,
+				InTimeValue:  float64(r.inTimeValue.Load()) / 1000,
 				InFlight:     int(r.inFlight.Load()),
 			})
 		}
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -71,7 +71,7 @@
 	return []*Result{exampleResult(OwnBalancer, 1, 1, 80)}
 }
 
-// severalResults returns results of two balancers and two demands, one of them not valid and one with a crash.
+// severalResults returns results of two balancers and two demands. One result is not valid, and one has a crash.
 func severalResults() []*Result {
 	several := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
 	several[1].Valid, several[1].Invalid = false, []string{"the machine was too busy"}
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -92,8 +92,8 @@
 	for _, c := range p.Day.Classes {
 		classWeights = append(classWeights, c.Proportion)
 	}
-	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: classWeights, Tenants: tenantWeights,
-		MaxArrivals: maxRequests})
+	arrivals, err := schedule.DrawArrivals(rng, schedule.Mix{Rate: rate, Length: p.Day.Length, Classes: classWeights,
+		Tenants: tenantWeights, MaxArrivals: maxRequests})
 	if err != nil {
 		return nil, err
 	}
@@ -152,6 +152,7 @@
 	updatedAt []time.Duration // instant at which the tokens of each tenant were last updated
 }
 
+// newQuotaBuckets returns full buckets for the quotas of all tenants.
 func newQuotaBuckets(quotas []float64) *quotaBuckets {
 	b := &quotaBuckets{quotas: quotas, tokens: make([]float64, len(quotas)), updatedAt: make([]time.Duration, len(quotas))}
 	for i, quota := range quotas {
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -74,7 +74,8 @@
 			t.Fatalf("utilization is %v, want %v to %v", utilization, d.Load.Utilization.Lo, d.Load.Utilization.Hi)
 		}
 		for i, fault := range p.Faults {
-			if fault.Start < d.Faults[i].Start.Lo || fault.Start > d.Faults[i].Start.Hi || (len(fault.Targets) == 0) != (d.Faults[i].TargetFraction.Hi == 0) {
+			if fault.Start < d.Faults[i].Start.Lo || fault.Start > d.Faults[i].Start.Hi ||
+				(len(fault.Targets) == 0) != (d.Faults[i].TargetFraction.Hi == 0) {
 				t.Fatalf("fault is outside the ranges of the day: %+v", fault)
 			}
 		}
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -20,15 +20,15 @@
 	BySecond            []Second               `json:"by_second"`
 	ByClass             map[string]ServedValue `json:"by_class"`
 	ByTenant            map[string]ServedValue `json:"by_tenant"` // value of the requests within each tenant's quota
-	Service             float64                `json:"service"`   // weighted fractions of value minus the penalties, in points out of 100
+	Service             float64                `json:"service"`   // weighted fractions of value minus Penalties, in points out of 100
 	Penalties           Penalties              `json:"prices"`
 
 	Requests                 Counts             `json:"requests"`
-	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // attempts at nodes of the first tier for each client request
-	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts at nodes of all tiers for each client request
-	ConnectionsPerRequest    float64            `json:"connections_per_request"` // connections opened to nodes for each client request
-	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // attempts by clients for each client request
-	Latency                  map[string]Latency `json:"latency"`                 // latency of served requests by class, and of "all"
+	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // attempts at nodes of the first tier
+	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts at nodes of all tiers
+	ConnectionsPerRequest    float64            `json:"connections_per_request"` // connections opened to nodes
+	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // attempts by clients
+	Latency                  map[string]Latency `json:"latency"`                 // latency of served requests, by class and for "all"
 
 	Invariants *invariant.Report `json:"referee"`
 	Faults     []Fault           `json:"troubles"`
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -32,7 +32,7 @@
 	c.faultBands(r)
 	c.scale("%.2f")
 	c.timeAxis()
-	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.ServedValue.Fraction }))
+	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.Fraction }))
 	c.violationMarks(r)
 	return c.end()
 }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -42,27 +42,27 @@
 	ctx        context.Context    // ends with the run, or when the run fails
 	cancel     context.CancelFunc // ends ctx
 	workDir    string             // directory of the sidecars' configurations and logs
-	recorder   *fake.Recorder
-	registry   *fake.Registry
-	frontLayer *fake.FrontLayer
-	clients    *fake.Client
-	sequence   atomic.Uint64 // last number that was used in the ID of a request or call
+	recorder   *fake.Recorder     // timeline of events that the invariants are checked on
+	registry   *fake.Registry     // requests that clients and nodes have sent, by ID
+	frontLayer *fake.FrontLayer   // selects a front sidecar for each connection of a client
+	clients    *fake.Client       // sends the attempts of all clients
+	sequence   atomic.Uint64      // last number that was used in the ID of a request or call
 
 	hosts         [][]*host         // machines of each tier
 	frontSidecars []*sidecarProcess // sidecars before the first tier
 	sidecars      []*sidecarProcess // all sidecars, of all tiers
 	cluster       *cluster          // cluster of the front sidecars; nil: the day has none
 
-	pendingUpdates         map[*fake.Agent]chan memberUpdate // updates that are due to be sent to each agent; the map is not modified after buildHosts
+	pendingUpdates         map[*fake.Agent]chan memberUpdate // updates not yet due, by agent; the map is not modified after buildHosts
 	agentUpdaters          sync.WaitGroup                    // goroutines that send updates to agents
 	extraNotificationDelay atomic.Int64                      // nanoseconds that faults of discovery add to the delay of notifications
 
 	requests     sync.WaitGroup             // goroutines of clients, one for each request
 	inFlight     atomic.Int64               // client requests without an outcome
-	outcomes     []outcome                  // outcome of each request of the plan; each is written by the goroutine of its client only
-	offeredWorth atomic.Int64               // value of the requests that have their outcome, in thousandths
-	inTimeWorth  atomic.Int64               // value of the requests that were served in time, in thousandths
-	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent; used by the goroutine that sends them only
+	outcomes     []outcome                  // outcome of each request; written by the goroutine of its client
+	offeredValue atomic.Int64               // value of the requests that have their outcome, in thousandths
+	inTimeValue  atomic.Int64               // value of the requests that were served in time, in thousandths
+	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent
 
 	mu  sync.Mutex
 	err error // first error that made the run fail
@@ -130,7 +130,8 @@
 	return r
 }
 
-// fail ends the run with an error that keeps the day from following its plan. Later errors are ignored.
+// fail ends the run with an error, after which the day no longer follows its plan. It ignores errors after the first one and after
+// the end of the run.
 func (r *rehearsal) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,10 +211,10 @@
 	close(done)
 	monitoring.Wait()
 	r.mu.Lock()
-	failed := r.err
+	runErr := r.err
 	r.mu.Unlock()
-	if failed != nil {
-		return nil, failed
+	if runErr != nil {
+		return nil, runErr
 	}
 	if err := r.ctx.Err(); err != nil {
 		return nil, err
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -184,7 +184,8 @@
 	p.mu.Unlock()
 	pausedAt := time.Now()
 	sleep(ctx, d)
-	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)}) // recorded before the process can act again
+	// Recorded before the process can act again.
+	p.recorder.Add(invariant.Event{Kind: invariant.Resumed, Sidecar: p.name, Duration: time.Since(pausedAt)})
 	select {
 	case <-exited: // the process was killed during the pause
 	default:
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -54,7 +54,8 @@
 	h := &r.Harness
 	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; "+
 		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaults().Rules.Tolerance, h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
+		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaults().Rules.Tolerance,
+		h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
 	for _, why := range r.Invalid {
 		fmt.Fprintf(b, "NOT VALID: %s\n", why)
 	}
