--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -18,7 +18,7 @@
 // isFraction reports whether both bounds of a range lie in [0, 1].
 func isFraction(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
-// checkHead checks the keys that precede the tiers, in the order of a day's file.
+// checkHead checks the keys outside the lists of tiers, classes, tenants and faults.
 func (d *Day) checkHead(f *tomlfile.File) error {
 	return f.Check("", []tomlfile.Requirement{
 		tomlfile.Require("format", d.Format == 1, "1"),
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -28,7 +28,8 @@
 }
 
 // TestFaultySidecarBreaksItsRule guards against invariants that miss a violation, or report one for a correct sidecar. Each fault must
-// break the rule with its number; 0 means that all rules must hold.
+// break one rule, given by its number: 1 demands one final response in time, 2 no double effect, 3 no new requests to draining nodes,
+// and 4 no overload of warming nodes. 0 means that all rules must hold.
 func TestFaultySidecarBreaksItsRule(t *testing.T) {
 	for fault, rule := range map[string]int{
 		"good":                          0,
@@ -81,7 +82,7 @@
 }
 
 // TestDrainAnnouncedDuringARestart covers a drain that is announced while a sidecar restarts. The sidecar starts with a list in which
-// the node is still ready, and is notified of the drain only after it has subscribed again.
+// the node is still ready, and is notified of the drain only after it has subscribed again. Rules[2] is the rule on draining nodes.
 func TestDrainAnnouncedDuringARestart(t *testing.T) {
 	changes := withFaults(`[[trouble]]
 kind = "restart"
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -205,7 +205,7 @@
 	byName[name] = s
 }
 
-// addOutcome counts a request by its outcome.
+// addOutcome counts a request by its outcome. A served request is late if it exceeded the latency objective.
 func (c *Counts) addOutcome(o *outcome, objective time.Duration) {
 	c.Total++
 	switch {
