--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -9,15 +9,15 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// maxClientIdleConnections is how many idle connections all clients together keep.
+// maxClientIdleConnections is the number of idle connections that all clients together keep open.
 const maxClientIdleConnections = 256
 
-// outcome is what became of a client's request over all its attempts.
+// outcome is the result of a client's request after all its attempts.
 type outcome struct {
-	isServed bool
-	duration time.Duration // from the instant at which the request was due to the last response
-	status   int           // of the last response; 0: none
-	attempts int
+	isServed bool          // whether the last response had status 200
+	duration time.Duration // time from when the request was due until its last attempt ended
+	status   int           // HTTP status of the last response; 0: there was none
+	attempts int           // number of attempts that the client sent
 }
 
 // isInTime reports whether the request was served within the latency objective.
@@ -25,21 +25,21 @@
 	return o.isServed && o.duration <= objective
 }
 
-// isRejection reports whether a status means that the request was not accepted, so that it may be sent again.
+// isRejection reports whether an HTTP status means that the request was rejected before it ran, so that it may be retried.
 func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runClient sends request i of the plan and its retries, and sets its outcome.
+// runClient sends request i of the plan, which is due at an instant, and its retries. It sets the outcome of the request.
 func (r *rehearsal) runClient(i int, due time.Time) {
 	request, o := &r.plan.Requests[i], &r.outcomes[i]
 	class := r.plan.Classes[request.Class]
 	deadline := due.Add(class.Deadline)
 	defer func() {
 		o.duration = time.Since(due)
-		r.offeredWorth.Add(int64(1000 * request.Worth))
+		r.offeredValue.Add(int64(1000 * request.Value))
 		if o.isInTime(r.plan.Day.Classes[request.Class].LatencyObjective) {
-			r.inTimeWorth.Add(int64(1000 * request.Worth))
+			r.inTimeValue.Add(int64(1000 * request.Value))
 		}
 	}()
 	for {
@@ -56,26 +56,26 @@
 		}
 		isRejected := isRejection(out.Status)
 		mayHaveRun := class.Effect != invariant.Safe && out.IsAccepted && !isRejected
-		if out.HasLeft || o.attempts > request.Retries || mayHaveRun {
+		if out.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
 			return
 		}
-		pause := request.Backoff
+		delay := request.Backoff
 		if isRejected && request.HonoursRetryAfter {
-			pause = max(pause, out.RetryAfter)
+			delay = max(delay, out.RetryAfter)
 		}
-		if !sleep(r.ctx, pause) {
+		if !sleep(r.ctx, delay) {
 			return
 		}
 	}
 }
 
-// newAttempt is an attempt at a request after a number of others.
+// newAttempt returns the next attempt at a request, of which a number of attempts have been sent.
 func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
 		ID:             r.newID("try"),
 		Class:          request.Class,
 		Tenant:         r.plan.Day.Tenants[request.Tenant].Name,
-		IdempotencyKey: request.Key,
+		IdempotencyKey: request.IdempotencyKey,
 		IsRetry:        attempts > 0,
 		Job:            request.Job,
 		Timeout:        timeout,
@@ -90,7 +90,7 @@
 	return attempt
 }
 
-// costHint is a client's guess at the work, from half to twice of it.
+// costHint returns a client's estimate of a request's work, which is from half the work to twice the work.
 func costHint(request *Request) time.Duration {
 	rng := rand.New(rand.NewPCG(request.Seed, sourceJobs))
 	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -10,26 +10,26 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// exampleResult is a result with a broken rule, and names that must be escaped in HTML.
+// exampleResult returns a result with a broken rule and with names that must be escaped in HTML.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
 	r := &Result{
-		Format:     1,
-		Day:        "d<b>ay",
-		Balancer:   balancer,
-		Seed:       seed,
-		Demand:     demand,
-		Valid:      true,
-		Service:    service,
-		WorthShare: service / 100,
-		ByClass:    map[string]Share{"look": {Offered: 2, InTime: 1, Share: 0.5}},
-		ByTenant:   map[string]Share{"t": {Share: 1}},
-		Latency:    map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
-		BySecond:   make([]Second, 20),
-		Rejections: make([]float64, 20),
-		Nodes:      []string{"front-1", "front-2"},
-		InFlight:   [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
-		Faults:     []Fault{{Kind: "slow", At: 2 * time.Second, For: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
-		Invariants: &invariant.Report{},
+		Format:         1,
+		Day:            "d<b>ay",
+		Balancer:       balancer,
+		Seed:           seed,
+		Demand:         demand,
+		Valid:          true,
+		Service:        service,
+		InTimeFraction: service / 100,
+		ByClass:        map[string]ServedValue{"look": {Offered: 2, InTime: 1, Fraction: 0.5}},
+		ByTenant:       map[string]ServedValue{"t": {Fraction: 1}},
+		Latency:        map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
+		BySecond:       make([]Second, 20),
+		Rejections:     make([]float64, 20),
+		Nodes:          []string{"front-1", "front-2"},
+		InFlight:       [][]int{{1, 0}, {2, 1}, {0, 0}, {4, 3}},
+		Faults:         []Fault{{Kind: "slow", Start: 2 * time.Second, Duration: 3 * time.Second, Targets: []string{"front-1"}, Magnitude: 4}},
+		Invariants:     &invariant.Report{},
 	}
 	verdicts := []invariant.Verdict{invariant.Held, invariant.Broken, invariant.Untested, invariant.Held}
 	for i := range r.Invariants.Rules {
@@ -44,13 +44,13 @@
 
 func TestTableOfOneResult(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteTable(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
+	if err := WriteTable(&b, []*Result{exampleResult(OwnBalancer, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"BROKEN 7 times", "not put to the test",
 		"rule 2, at 1.500 s: sent <twice>, request r<1>, node front-1", "look", "0.500", "things 1"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, b.String())
+			t.Errorf("table lacks %q:\n%s", want, b.String())
 		}
 	}
 }
@@ -58,7 +58,7 @@
 func TestTableOfSeveralResultsHasTheirSpread(t *testing.T) {
 	var b bytes.Buffer
 	results := []*Result{
-		exampleResult(Module, 1, 1, 80), exampleResult(Module, 2, 1, 60), exampleResult(Module, 3, 1, 70),
+		exampleResult(OwnBalancer, 1, 1, 80), exampleResult(OwnBalancer, 2, 1, 60), exampleResult(OwnBalancer, 3, 1, 70),
 		exampleResult("random", 1, 1, 30), exampleResult("random", 2, 1, 40), exampleResult("random", 3, 1, 20),
 	}
 	if err := WriteTable(&b, results); err != nil {
@@ -70,37 +70,38 @@
 	}
 	for _, want := range []string{"tuliprock 1 60.0 70.0 80.0 3", "random 1 20.0 30.0 40.0 3"} {
 		if !rows[want] {
-			t.Errorf("%q is missing in\n%s", want, b.String())
+			t.Errorf("table lacks the row %q:\n%s", want, b.String())
 		}
 	}
 	if !strings.Contains(b.String(), "BROKEN: 2") {
-		t.Error("the broken rule is not named")
+		t.Error("the table does not name the broken rule")
 	}
 }
 
+// TestReportIsCompleteAndLoadsNothing also checks that names are escaped, and that html/template rejected no value (ZgotmplZ).
 func TestReportIsCompleteAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
-	results := []*Result{exampleResult(Module, 1, 0.8, 80), exampleResult(Module, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
+	results := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
 	if err := WriteReport(&b, results); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
 	for _, bad := range []string{"http:", "https:", "<script", "d<b>ay", "<twice>", "r<1>", "NaN", "ZgotmplZ"} {
 		if strings.Contains(page, bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("page contains %q", bad)
 		}
 	}
 	for _, want := range []string{"</html>", `class="breach"`, "sent &lt;twice&gt;", "BROKEN 7 times", "worth against demand",
 		`class="band slow"`, "not-put-to-the-test"} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("page lacks %q", want)
 		}
 	}
 }
 
 func TestJSONResultCanBeReadBack(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteJSON(&b, []*Result{exampleResult(Module, 1, 1, 80)}); err != nil {
+	if err := WriteJSON(&b, []*Result{exampleResult(OwnBalancer, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
 	}
 	var out struct {
@@ -109,6 +110,6 @@
 	}
 	if err := json.Unmarshal(b.Bytes(), &out); err != nil || out.Format != 1 || len(out.Runs) != 1 ||
 		out.Runs[0].Invariants.Rules[1].ViolationCount != 7 {
-		t.Errorf("%v: %+v", err, out)
+		t.Errorf("decoded %+v with error %v, want format 1 and one result whose rule 2 has 7 violations", out, err)
 	}
 }
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -11,10 +11,10 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Module is the name of this program's own balancer in results.
-const Module = "tuliprock"
+// OwnBalancer is the name in results of the balancer that this program implements, as opposed to a baseline policy.
+const OwnBalancer = "tuliprock"
 
-// WriteJSON writes results in their documented form.
+// WriteJSON writes results in the documented format of result files.
 func WriteJSON(w io.Writer, results []*Result) error {
 	out := json.NewEncoder(w)
 	return out.Encode(struct {
@@ -24,11 +24,11 @@
 	}{1, "rehearsal", results})
 }
 
-// WriteTable writes results as text: one in full, several beside each other.
+// WriteTable writes results as text: a single result in full, several results as a table with a row for each.
 func WriteTable(w io.Writer, results []*Result) error {
 	var b strings.Builder
 	if len(results) == 1 {
-		writeOne(&b, results[0])
+		writeResult(&b, results[0])
 	} else {
 		writeComparison(&b, results)
 	}
@@ -36,15 +36,15 @@
 	return err
 }
 
-// writeColumns aligns the tab-separated cells of rows.
+// writeColumns writes rows of tab-separated cells, aligned in columns.
 func writeColumns(b *strings.Builder, rows string) {
 	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
-	_, _ = io.WriteString(t, rows) // neither fails: a Builder takes all that is written to it
+	_, _ = io.WriteString(t, rows) // a write to a strings.Builder does not fail
 	_ = t.Flush()
 }
 
-// writeOne writes one result in full.
-func writeOne(b *strings.Builder, r *Result) {
+// writeResult writes one result in full.
+func writeResult(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
 	writeMeasures(b, r)
@@ -54,28 +54,29 @@
 	h := &r.Harness
 	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; "+
 		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*h.LateP99, 1000*h.LateMax, h.Stalls, defaults().Rules.Slack, h.CPU, h.MemoryMB, h.SidecarsCPU, h.SidecarMemoryMB)
+		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaults().Rules.Tolerance,
+		h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
 	for _, why := range r.Invalid {
 		fmt.Fprintf(b, "NOT VALID: %s\n", why)
 	}
 }
 
-// writeMeasures writes what clients and nodes measured.
+// writeMeasures writes the measurements of clients and nodes.
 func writeMeasures(b *strings.Builder, r *Result) {
 	var rows strings.Builder
-	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.WorthShare, r.WorstWindow)
-	for _, by := range []map[string]Share{r.ByClass, r.ByTenant} {
+	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.InTimeFraction, r.WorstWindowFraction)
+	for _, by := range []map[string]ServedValue{r.ByClass, r.ByTenant} {
 		for _, name := range sortedKeys(by) {
-			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Share)
+			fmt.Fprintf(&rows, "  %s\t%.3f\n", name, by[name].Fraction)
 		}
 	}
 	p, c := &r.Penalties, &r.Requests
 	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n",
-		r.Service, p.Connections, p.Waste, p.LateFails, p.Overload)
+		r.Service, p.Connections, p.Waste, p.LateFailures, p.Overload)
 	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n",
 		c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
 	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n",
-		r.Attempts, r.Calls, r.Connections)
+		r.AttemptsPerRequest, r.CallsPerRequest, r.ConnectionsPerRequest)
 	for _, name := range sortedKeys(r.Latency) {
 		l := r.Latency[name]
 		fmt.Fprintf(&rows, "latency, %s\t%.3f s\tp90 %.3f, p99 %.3f, p99.9 %.3f, most %.3f\n",
@@ -84,7 +85,7 @@
 	writeColumns(b, rows.String())
 }
 
-// writeInvariants writes the finding on each invariant, with the first violations.
+// writeInvariants writes the verdict on each invariant, and its first violations.
 func writeInvariants(b *strings.Builder, report *invariant.Report) {
 	var rows strings.Builder
 	for _, rule := range report.Rules {
@@ -101,7 +102,7 @@
 	}
 }
 
-// verdictText is the verdict on a rule.
+// verdictText returns the verdict on an invariant, with the number of violations if it was broken.
 func verdictText(rule invariant.RuleResult) string {
 	if rule.Verdict == invariant.Broken {
 		return fmt.Sprintf("BROKEN %d times", rule.ViolationCount)
@@ -109,7 +110,7 @@
 	return string(rule.Verdict)
 }
 
-// occasionsText lists the occasions of a rule in the order of their names.
+// occasionsText lists the kinds of occasions on which an invariant was tested, by name, with their numbers.
 func occasionsText(rule invariant.RuleResult) string {
 	var out []string
 	for name, n := range rule.Occasions {
@@ -119,7 +120,7 @@
 	return strings.Join(out, ", ")
 }
 
-// violationText describes a violation with whom it concerns.
+// violationText describes a violation, and names the request, sidecar and node that it concerns.
 func violationText(v invariant.Violation) string {
 	out := v.Description
 	for _, part := range []struct{ name, value string }{{"request", v.Request}, {"sidecar", v.Sidecar}, {"node", v.Node}} {
@@ -130,7 +131,7 @@
 	return out
 }
 
-// writeComparison writes several results beside each other, a row each.
+// writeComparison writes a table with a row for each result.
 func writeComparison(b *strings.Builder, results []*Result) {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nday\tseed\tdemand\tbalancer\tservice\tworth\tworst 10 s\tworst tenant\tserved\trefused\tfailed\tp99"+
@@ -138,7 +139,7 @@
 	for _, r := range results {
 		c := r.Requests
 		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n",
-			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.WorthShare, r.WorstWindow, minShare(r.ByTenant),
+			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.InTimeFraction, r.WorstWindowFraction, minFraction(r.ByTenant),
 			percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total),
 			r.Latency["all"].P99, verdictSummary(r))
 	}
@@ -151,10 +152,10 @@
 	}
 }
 
-// percent is a of b in percent; 0 where b is 0.
+// percent returns a as a percentage of b, or 0 if b is 0.
 func percent(a, b int) float64 { return 100 * ratio(float64(a), float64(b), 0) }
 
-// verdictSummary is the verdict on a result in few words.
+// verdictSummary returns the verdict on a result in a few words, with the numbers of the invariants that were broken.
 func verdictSummary(r *Result) string {
 	var broken []string
 	for _, rule := range r.Invariants.Rules {
@@ -173,31 +174,32 @@
 	return "held"
 }
 
-// writeSpread writes minimum, median and maximum by balancer and demand, where there are several seeds.
+// writeSpread writes the minimum, median and maximum of the points of service for each balancer and demand. It writes nothing if
+// no balancer and demand has several results.
 func writeSpread(b *strings.Builder, results []*Result) {
-	type key struct {
+	type group struct {
 		balancer string
 		demand   float64
 	}
-	var order []key
-	by := map[key][]float64{}
+	var groups []group // in the order of their first results
+	serviceByGroup := map[group][]float64{}
 	for _, r := range results {
-		k := key{r.Balancer, r.Demand}
-		if by[k] == nil {
-			order = append(order, k)
+		g := group{r.Balancer, r.Demand}
+		if serviceByGroup[g] == nil {
+			groups = append(groups, g)
 		}
-		by[k] = append(by[k], r.Service)
+		serviceByGroup[g] = append(serviceByGroup[g], r.Service)
 	}
-	if len(by) == len(results) {
+	if len(serviceByGroup) == len(results) {
 		return
 	}
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nservice\tdemand\tleast\tmedian\tmost\truns")
-	for _, k := range order {
-		v := by[k]
+	for _, g := range groups {
+		v := serviceByGroup[g]
 		sort.Float64s(v)
 		median := (v[(len(v)-1)/2] + v[len(v)/2]) / 2
-		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", k.balancer, k.demand, v[0], median, v[len(v)-1], len(v))
+		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", g.balancer, g.demand, v[0], median, v[len(v)-1], len(v))
 	}
 	writeColumns(b, rows.String())
 }
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -9,16 +9,16 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// A rehearsal that was not scheduled must not blame a sidecar.
+// TestHarnessStallsMakeADayInvalid guards against verdicts on the sidecars from a run in which the rehearsal itself was late.
 func TestHarnessStallsMakeADayInvalid(t *testing.T) {
-	r := &rehearsal{plan: testPlan(t), sendLateness: schedule.NewLatencyHistogram()}
+	r := &rehearsal{plan: newTestPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
 		t.Helper()
 		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
 		result.Invariants.Rules[2].Violations = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
 		r.validate(result, events, time.Minute)
 		if result.Valid != (len(result.Invalid) == 0) {
-			t.Errorf("valid %v, %v", result.Valid, result.Invalid)
+			t.Errorf("result has Valid = %v with the reasons %v", result.Valid, result.Invalid)
 		}
 		return result.Invalid
 	}
@@ -31,9 +31,9 @@
 		events  []invariant.Event
 		want    string
 	}{
-		{"within the limits", HarnessMetrics{LateP99: 0.024, WorstStall: 0.49}, nil, ""},
-		{"late sends", HarnessMetrics{LateP99: 0.026}, nil, "late"},
-		{"long stall", HarnessMetrics{WorstStall: 0.51}, nil, "stood still"},
+		{"within the limits", HarnessMetrics{SendLatenessP99: 0.024, LongestStall: 0.49}, nil, ""},
+		{"late sends", HarnessMetrics{SendLatenessP99: 0.026}, nil, "late"},
+		{"long stall", HarnessMetrics{LongestStall: 0.51}, nil, "stood still"},
 		{"dropped events", HarnessMetrics{DroppedEvents: 1}, nil, "no room"},
 		{"stall next to a violation", HarnessMetrics{}, []invariant.Event{stall(5500 * time.Millisecond)}, "1 breaks of a rule"},
 		{"stalls away from a violation", HarnessMetrics{}, []invariant.Event{stall(2 * time.Second), stall(8 * time.Second)}, ""},
@@ -41,27 +41,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := validate(t, c.harness, c.events...)
 			if (c.want == "") != (len(got) == 0) || c.want != "" && !strings.Contains(got[0], c.want) {
-				t.Errorf("%v", got)
+				t.Errorf("got the reasons %q, want %q in the first; empty means no reason", got, c.want)
 			}
 		})
 	}
 }
 
-func TestWorstWindowShare(t *testing.T) {
-	by := make([]Second, 30)
-	for i := range by {
-		by[i].Offered, by[i].InTime = 10, 10
+func TestWorstWindowFraction(t *testing.T) {
+	seconds := make([]Second, 30)
+	for i := range seconds {
+		seconds[i].Offered, seconds[i].InTime = 10, 10
 	}
 	for i := 12; i < 17; i++ {
-		by[i].InTime = 0
+		seconds[i].InTime = 0
 	}
-	if got := worstWindowShare(by); got != 0.5 {
-		t.Errorf("%v", got)
+	if got := worstWindowFraction(seconds); got != 0.5 {
+		t.Errorf("worst window of the day has the fraction %v, want 0.5", got)
 	}
-	if got := worstWindowShare(by[12:17]); got != 0 {
-		t.Errorf("day shorter than the window: %v", got)
+	if got := worstWindowFraction(seconds[12:17]); got != 0 {
+		t.Errorf("worst window of a day of 5 seconds has the fraction %v, want 0", got)
 	}
-	if got := worstWindowShare(nil); got != 1 {
-		t.Errorf("empty day: %v", got)
+	if got := worstWindowFraction(nil); got != 1 {
+		t.Errorf("worst window of an empty day has the fraction %v, want 1", got)
 	}
 }
