--- a/balance/admission.go
+++ b/balance/admission.go
@@ -31,10 +31,10 @@
 // spread of clients.
 func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
 	exceedsQuota := b.chargeQuota(now, req)
-	isSlow := b.recentStretch > shedStretch
+	areResponsesSlow := b.recentStretch > shedStretch
 	isCapacityShort := len(b.queue) > 0 ||
-		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && isSlow ||
-		isSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
+		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && areResponsesSlow ||
+		areResponsesSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
 	return now >= req.giveUpAt || b.allManuallyEjected() || isCapacityShort && exceedsQuota ||
 		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
 }
@@ -52,7 +52,7 @@
 	if t.tokens < 1 {
 		return true
 	}
-	if !req.IsRetry { // the client's first request has paid for its retries
+	if !req.IsRetry { // a client's retry costs no token, as its first request has cost one
 		t.tokens--
 	}
 	return false
--- a/balance/api.go
+++ b/balance/api.go
@@ -91,11 +91,11 @@
 // DedupScope says which endpoints recognize one another's requests with an idempotency key, and so drop duplicates of them.
 type DedupScope int
 
-// The scopes of deduplication, from wide to narrow.
+// The scopes of deduplication, from wide to narrow. Each names the endpoints that drop duplicates together.
 const (
-	ScopeAll  DedupScope = iota // all endpoints
-	ScopeZone                   // the endpoints of one zone
-	ScopeCell                   // the endpoints of one cell
+	ScopeAll  DedupScope = iota // all endpoints drop duplicates of one another's requests
+	ScopeZone                   // only endpoints of the same zone do so
+	ScopeCell                   // only endpoints of the same cell do so
 )
 
 // Class holds the properties that all requests of one class have in common.
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -36,8 +36,8 @@
 		}
 		return maxInFlight
 	}
-	run(200*ms, 40)
-	run(1200*ms, 4) // two seconds of responses six times as slow
+	run(200*ms, 40) // 20 s in which responses take 200 ms
+	run(1200*ms, 4) // 2 s in which responses take 1200 ms, six times as long as before
 	if got := run(1200*ms, 2); got > 3 {
 		t.Errorf("%d attempts are in flight after two seconds of slow responses, want 3 at most", got)
 	}
--- a/balance/deploy_test.go
+++ b/balance/deploy_test.go
@@ -11,13 +11,14 @@
 	"unicode/utf8"
 )
 
-// The width of a line in the files that the deploy file lists as policy.
+// Limits of the line width in the files that the key policy of the deploy file lists.
 const (
 	maxPolicyColumns = 110
 	tabColumns       = 4 // columns that a tab counts for
 )
 
-// filesOutsidePolicy are the files without decisions: api.go declares the interface of the package.
+// filesOutsidePolicy are the files that the key policy of the deploy file must not list, because they make no load-balancing
+// decisions: api.go only declares the interface of the package.
 var filesOutsidePolicy = []string{"api.go"}
 
 // readDeployFile returns the text of the deploy file.
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -34,11 +34,11 @@
 
 // spreadOf returns the mean number of requests of the slow or of the other endpoints, and the standard deviation and the
 // largest deviation from the mean as fractions of it.
-func spreadOf(got map[string]float64, n int, slow bool) (mean, deviation, maxDeviation float64) {
+func spreadOf(requestCounts map[string]float64, n int, slow bool) (mean, deviation, maxDeviation float64) {
 	var counts []float64
 	for i := range n {
 		if (i%10 == 0) == slow {
-			counts = append(counts, got[fmt.Sprintf("n%05d", i)])
+			counts = append(counts, requestCounts[fmt.Sprintf("n%05d", i)])
 		}
 	}
 	for _, c := range counts {
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -34,7 +34,7 @@
 	if listed, ejected := h.balancer.EndpointCounts(); listed != 2 || ejected != 1 {
 		t.Errorf("%d endpoints are listed and %d ejected, want 2 and 1", listed, ejected)
 	}
-	h.balancer.SetEjected(h.now, "a", false) // undoes both ejections
+	h.balancer.SetEjected(h.now, "a", false) // one call restores a, which was ejected twice
 	isUsed := false
 	for range 300 {
 		id, ep := h.request("read")
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -19,7 +19,8 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
-// rehearseCommand runs a day: real sidecars serve generated load with stand-in nodes, while faults are injected.
+// rehearseCommand runs a day, which is a scenario of load and faults: real sidecars forward generated requests to simulated
+// endpoints while faults are injected.
 type rehearseCommand struct {
 	Day             string        `arg:"" optional:"" help:"A day's file, or the name of a day that ships (${days}); default: ${day}."`
 	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Run the day once with each of these seeds, instead of its own seed."`
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// If the result cannot be written after the day was run, the command reports that in one line and exits with 1.
+// If the rehearsal has run but its result cannot be written, the command reports that in one line and exits with 1.
 func TestRehearseReportsFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip("no /dev/full here")
@@ -210,7 +210,7 @@
 			t.Fatal("no sidecar of the rehearsal was listening after 20 s")
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // until the first request is sent, which is not logged
+	time.Sleep(200 * time.Millisecond) // the first request, whose sending is not logged, is sent in this time
 	return cmd, stderr
 }
 
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -105,12 +105,12 @@
 func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
 	state, now := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
-	const last = maxOutstandingGrants + 8
-	for seq := range uint64(last) {
+	const acceptedSeq = maxOutstandingGrants + 8
+	for seq := range uint64(acceptedSeq) {
 		m.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, withoutPendingVersion(state))
 	}
 	// The grant that answers this request and would shorten the lease is lost.
-	m.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, state)
+	m.Grant(now, LeaseRequest{Daemon: "d", Seq: acceptedSeq + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: acceptedSeq}, state)
 	if m.VersionToActivate(now+time.Second, state) != 0 {
 		t.Error("the leader activates the version though the daemon may hold the long lease that it accepted")
 	}
--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -19,7 +19,7 @@
 // daemon did not do so before with another disk (consensus.Bootstrap).
 type bootstrap struct {
 	*consensus.Bootstrap
-	startedAt    time.Duration // instant of Start
+	startedAt    time.Duration // instant at which the node began to collect votes
 	nextRoundAt  time.Duration // instant at which the next round of requests is due
 	isWaitLogged bool          // the warning about missing votes is logged
 }
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -113,8 +113,8 @@
 	return lines.String()
 }
 
-// earlierLines returns the lines that begin with a word in a file with answers of the earlier build.
-func earlierLines(t *testing.T, file, word string) []string {
+// earlierBuildLines returns those lines that begin with the given word from a file of recorded responses of the earlier build.
+func earlierBuildLines(t *testing.T, file, word string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(earlierBuild, file))
 	if err != nil {
@@ -127,7 +127,7 @@
 // checkDocuments fails the test unless the documents are those on which the earlier build's daemons acted.
 func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
-	if got, want := documentLines(docs), strings.Join(earlierLines(t, f.name+".settings.txt", "document"), ""); got != want {
+	if got, want := documentLines(docs), strings.Join(earlierBuildLines(t, f.name+".settings.txt", "document"), ""); got != want {
 		t.Errorf("documents\n%swant\n%s", got, want)
 	}
 	for name, d := range docs {
@@ -286,7 +286,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Join(earlierLines(t, "history.txt", "change")[:f.version], "")
+	want := strings.Join(earlierBuildLines(t, "history.txt", "change")[:f.version], "")
 	if got := historyLines(r.History); r.Version != f.version || got != want {
 		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
 	}
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -27,15 +27,15 @@
 	maxResponseLines = swim.MaxMembers + 2
 )
 
-// failureError is the reason that a daemon reports for not carrying out a request.
-type failureError string
+// daemonError is an error that a daemon has reported: the reason why it did not carry out a request.
+type daemonError string
 
 // Error returns the reason as the daemon reported it.
-func (e failureError) Error() string { return string(e) }
+func (e daemonError) Error() string { return string(e) }
 
 // Is reports whether the daemon's error was consensus.ErrIndeterminate. It compares the text, because the protocol
 // transfers only the text of an error.
-func (e failureError) Is(target error) bool {
+func (e daemonError) Is(target error) bool {
 	return target == consensus.ErrIndeterminate && strings.Contains(string(e), target.Error())
 }
 
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a failureError if the daemon
+// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a daemonError if the daemon
 // reports a failure, and another error if the response is truncated.
 func readResponse(r io.Reader, parseLine func(line string) error) error {
 	scanner := bufio.NewScanner(r)
@@ -67,7 +67,7 @@
 			return nil
 		}
 		if reason, ok := strings.CutPrefix(line, failurePrefix); ok {
-			return failureError(reason)
+			return daemonError(reason)
 		}
 		if err := parseLine(line); err != nil {
 			return err
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -11,12 +11,12 @@
 // members.
 type nameConflict struct {
 	Peer
-	lastSeq          uint64        // sequence number of the latest probe of the other process
-	unansweredProbes int           // number of probes since the other process last responded
-	nextProbe        time.Duration // instant of the next probe of the other process
+	lastSeq          uint64        // sequence number of the latest probe that this node sent to the other process
+	unansweredProbes int           // number of probes sent to the other process since it last responded
+	nextProbe        time.Duration // instant at which the next probe is sent to the other process
 	incarnation      uint64        // highest incarnation of the other process that was received
-	hasResponded     bool          // whether the other process has responded to a probe
-	isYielding       bool          // whether this node yields, because the other process is older and responds
+	hasResponded     bool          // whether the other process has ever responded to a probe
+	isYielding       bool          // whether this node leaves the name to the other process, which is older and responds
 }
 
 // NameConflict returns another process with this node's name, whether it has responded, and whether this node yields to
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -81,7 +81,7 @@
 
 // sourceSpec returns where a pool's endpoints come from.
 func (f *File) sourceSpec(p *Pool) SourceSpec {
-	if p.Members == membersAgreed { // consensus has confirmed the list, so HoldLastGood and FlapDamping do not apply
+	if p.Members == membersAgreedByCluster { // consensus has confirmed the list, so HoldLastGood and FlapDamping do not apply
 		return SourceSpec{Members: f.agreedMembers[p.Name]}
 	}
 	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, HoldLastGood: p.HoldLastGood, FlapDamping: p.FlapDamping}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -67,8 +67,8 @@
 	startAtLastByte = "last_byte" // an endpoint starts only once it has the complete request
 )
 
-// membersAgreed is the only value of the field members: the list is a document that the cluster agrees on.
-const membersAgreed = "agreed"
+// membersAgreedByCluster is the only value of the field members: the list is a document that the cluster agrees on.
+const membersAgreedByCluster = "agreed"
 
 // Values of the field state of a member.
 const (
@@ -170,7 +170,7 @@
 	if sourceCount != 1 {
 		return tomlFile.Errorf(table, "must have exactly one of member, agent, file, dns and members")
 	}
-	if p.Members != "" && p.Members != membersAgreed {
+	if p.Members != "" && p.Members != membersAgreedByCluster {
 		return tomlFile.Errorf(table+".members", `must be "agreed"`)
 	}
 	if p.DNS == nil {
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -58,13 +58,13 @@
 	log := slog.New(slog.DiscardHandler)
 	minimumRate := body.MinimumRate{IdleTimeout: testpeer.Timeout}
 	p.upstream = upstream.New(upstream.Options{
-		IdleTimeout:    time.Minute,
-		BodyMemory:     options.bodyMemory,
-		MinimumRate:    minimumRate,
-		DialTimeout:    testpeer.Timeout,
-		MaxConnections: 200,
-		OnlyOK:         true,
-		Connect:        p.dialer(options.beforeDial),
+		IdleTimeout:        time.Minute,
+		BodyMemory:         options.bodyMemory,
+		MinimumRate:        minimumRate,
+		DialTimeout:        testpeer.Timeout,
+		MaxConnections:     200,
+		AcceptOnlyStatusOK: true,
+		Connect:            p.dialer(options.beforeDial),
 	})
 	settings := balance.Settings{Seed: 7, CanCancel: options.canCancel, MaxAttempts: 4, Classes: testClasses}
 	p.loop = eventloop.New(eventloop.NewBalancer, settings, p.upstream, func() {}, log)
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -122,8 +122,8 @@
 	pattern  [5]string
 	outcomes []string     // outcomes that the client may get, as classifyResponse names them
 	maxRuns  int          // how often the request may run at an endpoint
-	row      int          // number of the row in the table
-	matches  atomic.Int32 // number of cells that the row applies to
+	row      int          // number of this row in the table of long-bodies.md, for failure messages
+	matches  atomic.Int32 // number of matrix cells to which this row applied
 }
 
 // readExpectations reads the table in docs/operators/long-bodies.md.
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// A regression test: the time limit of short responses applied while the beginning of a long response was buffered, and 28
-// long responses that arrived in pieces were cut off.
+// The time limit of short responses must not apply while the beginning of a long response is buffered: it has cut off 28 long
+// responses that arrived in pieces.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -58,7 +58,7 @@
 		DialTimeout:             spec.DialTimeout,
 		MaxConnections:          spec.Connections,
 		DialInsteadOfWaiting:    spec.DialsRatherThanWaits,
-		OnlyOK:                  spec.AcceptsOnlyStatusOK,
+		AcceptOnlyStatusOK:      spec.AcceptsOnlyStatusOK,
 		RequestStart:            requestStart,
 		BodyMemory:              bodyMemory,
 		MinimumRate:             spec.StreamPace,
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -74,15 +74,15 @@
 }
 
 // requestGuard returns a function that decides whether a request is served. The function rejects requests unless this
-// daemon's lease covers the configuration's version, so that no daemon serves with an old version for longer than the
-// cluster guarantees. requestGuard returns nil, which means that all requests are served, if isWanted is false or the
-// cluster does not agree on settings.
-func (n *clusterNode) requestGuard(isWanted bool, version *atomic.Uint64) func() bool {
+// daemon's lease covers servedVersion, the version of the settings with which it serves requests. So no daemon serves with
+// an old version for longer than the cluster guarantees. requestGuard returns nil, which means that all requests are
+// served, if isWanted is false or the cluster does not agree on settings.
+func (n *clusterNode) requestGuard(isWanted bool, servedVersion *atomic.Uint64) func() bool {
 	if !n.hasConsensus() || !isWanted {
 		return nil
 	}
 	return func() bool {
-		isCovered := n.raft.CoversVersion(version.Load())
+		isCovered := n.raft.CoversVersion(servedVersion.Load())
 		if !isCovered {
 			n.rejectedRequests.Add(1)
 		}
--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -32,7 +32,7 @@
 // MembershipRules are the rules that CheckMembership checks.
 var MembershipRules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
 
-// Kind is the kind of an Event.
+// Kind says what an Event records: a change to a daemon or to the network, or a daemon's observation of another one.
 type Kind int
 
 // The kinds of events. All but StateObserved are facts: what was done to daemons, links or processes.
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -53,11 +53,11 @@
 
 // formatPercentiles returns the percentiles and the maximum of a histogram as texts, by name.
 func formatPercentiles(l *schedule.LatencyHistogram) map[string]string {
-	byName := map[string]string{"most": l.Max().String()}
+	textByStatistic := map[string]string{"most": l.Max().String()}
 	for _, p := range reportedPercentiles {
-		byName[p.name] = l.Quantile(p.fraction).String()
+		textByStatistic[p.name] = l.Quantile(p.fraction).String()
 	}
-	return byName
+	return textByStatistic
 }
 
 // Write writes the result as JSON in the format of version Format.
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -115,7 +115,8 @@
 	})
 }
 
-func TestDispatchStops(t *testing.T) {
+// Dispatch must return once its channel stop is closed, without waiting for the arrivals that are left.
+func TestDispatchEndsWhenStopIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
 		n := 0
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -18,10 +18,10 @@
 	events []clusterinvariant.Event
 }
 
-// Limits of the membership rules for clusters of seven nodes.
+// Time limits within which the views of all nodes must be right, in simulations of seven nodes.
 const (
 	detectWithin = 12 * time.Second // enough for the only surviving node to detect the failure of the other six
-	settleWithin = 3 * time.Second
+	settleWithin = 3 * time.Second  // time from the last fault, start or end of a node until all views must be right
 )
 
 func newCheckedSimulation(t *testing.T, o Options) *checkedSimulation {
--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -25,7 +25,7 @@
 	for p.NextExpression() {
 		e := p.Expression()
 		if e.Kind == unstable.KeyValue && isTable {
-			continue // the key belongs to the current table's block
+			continue // a key in a table is kept or removed together with the table
 		}
 		isTable = e.Kind != unstable.KeyValue
 		key := e.Key()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -18,7 +18,7 @@
 // newTestClient returns a Client with one accepting endpoint for each address. Their IDs are a, b and so on.
 func newTestClient(t *testing.T, addrs ...string) *Client {
 	t.Helper()
-	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Timeout, MaxConnections: 100, OnlyOK: true})
+	client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Timeout, MaxConnections: 100, AcceptOnlyStatusOK: true})
 	for i, addr := range addrs {
 		client.SetEndpoint(string(rune('a'+i)), addr, true)
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -56,10 +56,10 @@
 	OnRequestSent func()
 	// Connect establishes connections, each of which must be a *net.TCPConn; nil means that a net.Dialer does so.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OnlyOK accepts only responses with status 200. Without it, every status below 500 except 429 is accepted, and Attempt
+	// AcceptOnlyStatusOK accepts only responses with status 200. Without it, every status below 500 except 429 is accepted, and Attempt
 	// returns the endpoint's response even if the attempt failed, unless the status is 429 or 503: a client would take these for
 	// a promise that its request has not run.
-	OnlyOK bool
+	AcceptOnlyStatusOK bool
 }
 
 // Client makes attempts over its own connections. It is safe for concurrent use. It does not use net/http's Transport, which
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -20,8 +20,8 @@
 // endpointPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
 type endpointPool struct {
 	address             string
-	isListedAsAccepting bool    // the last SetEndpoint said that the endpoint accepts requests
-	acceptsRequests     bool    // isListedAsAccepting, and the endpoint is not ejected
+	isListedAsAccepting bool    // whether the endpoint accepts requests according to the endpoint list
+	acceptsRequests     bool    // whether requests may be sent: the endpoint list says so, and the endpoint is not ejected
 	idle                []*conn // idle connections by idleSince, the most recently used one last
 }
 
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -118,7 +118,7 @@
 		return outcome{balance.OK, response, isReusable}
 	case isUnavailable(resp.StatusCode) && resp.Header.Get(declinedHeader) == "1":
 		return outcome{balance.Rejected, Response{}, isReusable}
-	case x.client.options.OnlyOK || promisesNotRun(resp.StatusCode):
+	case x.client.options.AcceptOnlyStatusOK || promisesNotRun(resp.StatusCode):
 		return outcome{balance.ErrorResponse, Response{}, isReusable}
 	}
 	return outcome{balance.ErrorResponse, response, isReusable}
@@ -132,7 +132,7 @@
 // isAcceptable reports whether a status means that the endpoint has processed the request, be it with success or by rejecting it as
 // invalid.
 func (cl *Client) isAcceptable(status int) bool {
-	return status == http.StatusOK || !cl.options.OnlyOK && status < http.StatusInternalServerError && !promisesNotRun(status)
+	return status == http.StatusOK || !cl.options.AcceptOnlyStatusOK && status < http.StatusInternalServerError && !promisesNotRun(status)
 }
 
 // promisesNotRun reports whether a client would take the status for a promise that its request has not run. Such a response of one
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -17,7 +17,7 @@
 	trailerLengthOffset       = 0  // length of the body in bytes
 	trailerBodyChecksumOffset = 8  // CRC-32C of the body
 	trailerChecksumOffset     = 12 // CRC-32C of the trailer's bytes before this field
-	snapshotTrailerBytes      = 16 // size of the trailer
+	snapshotTrailerBytes      = 16 // size of the complete trailer in bytes
 )
 
 // WriteSnapshot stores a snapshot that replaces all records up to index, and removes the files that are obsolete then. The records must
