--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -170,11 +170,11 @@
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	h := newHarness(t, s, names...)
-	broken := 0
+	toFailing := 0 // number of requests sent to the failing endpoint
 	for range 400 {
 		id, ep := h.request("read")
 		if ep == "broken" {
-			broken++
+			toFailing++
 			h.advance(2 * ms)
 			h.finish(id, balance.ErrorResponse)
 			continue
@@ -182,8 +182,8 @@
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if broken > 30 {
-		t.Errorf("the endpoint that fails got %d of 400 requests, want 30 at most", broken)
+	if toFailing > 30 {
+		t.Errorf("the endpoint that fails got %d of 400 requests, want 30 at most", toFailing)
 	}
 }
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -40,8 +40,8 @@
 	sampleCount     float64       // number of responses so far
 	baselineLatency float64       // latency without load, in seconds
 	meanLatency     float64       // smoothed latency of recent responses, in seconds
-	firstResponseAt time.Duration // instant of the first response
-	lastResponseAt  time.Duration // instant of the last response
+	firstResponseAt time.Duration // instant at which a response of the class was first received
+	lastResponseAt  time.Duration // instant at which a response of the class was last received
 }
 
 // weight returns the stretch expected at the endpoint, the paper's w: the weight of its kind, corrected by
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -151,17 +151,18 @@
 // probeCandidates sends load probes to the endpoints with the lowest deficits and reports whether it sent
 // any.
 func (b *Balancer) probeCandidates(now time.Duration, req *request) bool {
-	var next [probesPerRequest + 1]*endpoint // endpoints in order of deficit; the last one is dropped
+	// The endpoints with the lowest deficits, in ascending order. The last one gets no probe.
+	var byDeficit [probesPerRequest + 1]*endpoint
 	for _, ep := range b.subset {
 		if b.canSend(now, req, ep) && (ep.active || !ep.trialInFlight && now >= ep.nextTrialAt) {
 			i := probesPerRequest
-			for ; i > 0 && (next[i-1] == nil || ep.deficit < next[i-1].deficit); i-- {
-				next[i] = next[i-1]
+			for ; i > 0 && (byDeficit[i-1] == nil || ep.deficit < byDeficit[i-1].deficit); i-- {
+				byDeficit[i] = byDeficit[i-1]
 			}
-			next[i] = ep
+			byDeficit[i] = ep
 		}
 	}
-	for _, ep := range next[:probesPerRequest] {
+	for _, ep := range byDeficit[:probesPerRequest] {
 		if ep != nil {
 			b.host.Probe(ep.ID)
 			req.pendingProbes = append(req.pendingProbes, ep)
--- a/balance/request.go
+++ b/balance/request.go
@@ -12,8 +12,8 @@
 	sentAt            time.Duration // instant of Host.Send
 	waitingSince      time.Duration // instant of Host.Send, or of the last byte of a streaming request body
 	overdueAt         time.Duration // instant of the next check whether the attempt takes too long
-	inFlight          bool          // whether its Outcome has not been reported yet
-	mayHaveRun        bool          // whether it has ended, and the request may have taken effect
+	inFlight          bool          // whether the attempt's Outcome has not been reported yet
+	mayHaveRun        bool          // whether the attempt has ended, and the request may have taken effect
 	isTrial           bool          // whether the endpoint was not active when the attempt was sent
 	wasOverdue        bool          // whether overdueAt has passed at least once
 	responseStreaming bool          // whether its response is streaming to the client
@@ -27,11 +27,11 @@
 	arrivedAt       time.Duration // instant of Events.Request
 	giveUpAt        time.Duration // last instant at which a response reaches the client before the deadline
 	attempts        []attempt     // all attempts so far, in the order in which they were sent
-	isFinished      bool          // whether it has its final response, or its client has disconnected
-	isQueued        bool          // whether it waits in Balancer.queue
-	pendingProbes   []*endpoint   // endpoints whose load reports it waits for
-	probeDeadline   time.Duration // instant at which it stops waiting for load reports
-	unfinishedIndex int           // its index in Balancer.unfinished
+	isFinished      bool          // whether the request has a final response, or its client has disconnected
+	isQueued        bool          // whether the request waits in Balancer.queue
+	pendingProbes   []*endpoint   // endpoints whose load reports the request waits for
+	probeDeadline   time.Duration // instant after which no load report is awaited any more
+	unfinishedIndex int           // index of this request in Balancer.unfinished
 	bodyConsumed    bool          // whether bytes of a streaming body were consumed: no retry is possible
 }
 
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -63,7 +63,7 @@
 
 // arrivedRequest records a request when it arrived at a node.
 type arrivedRequest struct {
-	mark      string        // value of markHeader; empty if it was forwarded before the first settings were active
+	mark      string        // value of settingsMarkHeader; empty if it was forwarded before the first settings were active
 	arrivedAt time.Duration // since the start of the schedule
 }
 
@@ -115,10 +115,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := r.Header.Get("Req-Id")
-	if earlier, ok := s.requestsArrived[id]; ok && earlier.mark != r.Header.Get(markHeader) {
-		s.violations = append(s.violations, fmt.Sprintf("request %s arrived with the marks %q and %q, want only one", id, earlier.mark, r.Header.Get(markHeader)))
+	if earlier, ok := s.requestsArrived[id]; ok && earlier.mark != r.Header.Get(settingsMarkHeader) {
+		s.violations = append(s.violations, fmt.Sprintf("request %s arrived with the marks %q and %q, want only one", id, earlier.mark, r.Header.Get(settingsMarkHeader)))
 	}
-	s.requestsArrived[id] = arrivedRequest{r.Header.Get(markHeader), s.elapsed()}
+	s.requestsArrived[id] = arrivedRequest{r.Header.Get(settingsMarkHeader), s.elapsed()}
 }
 
 // sendRequests sends requests through a daemon, one after another, until the schedule is over. It is slower while the daemon
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -40,7 +40,7 @@
 	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
 }
 
-// settingsPutCommand puts the contents of a file as a document.
+// settingsPutCommand adds a document with the contents of a file to the settings that the cluster agrees on, or replaces it.
 type settingsPutCommand struct {
 	changeFlags
 	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: a file with the contents of that document."`
@@ -67,7 +67,7 @@
 	return c.propose("put", name, body, strconv.Itoa(len(body)))
 }
 
-// settingsRemoveCommand removes a document.
+// settingsRemoveCommand removes a document from the settings that the cluster agrees on.
 type settingsRemoveCommand struct {
 	changeFlags
 	Name string `arg:"" help:"Name of the document."`
@@ -76,7 +76,7 @@
 // Run implements kong's command.
 func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
-// settingsRevertCommand puts a document as it was at an earlier version. Its command line name is back.
+// settingsRevertCommand restores the contents that a document had at an earlier version. Its command line name is back.
 type settingsRevertCommand struct {
 	changeFlags
 	Version uint64 `arg:"" help:"Version whose contents of the document are restored."`
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -17,12 +17,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// markHeader is a header that a route of the agreed settings sets on each request: its value, the mark, tells which text of
-// the settings the request was forwarded by.
-const markHeader = "X-Settings"
+// settingsMarkHeader is a header that a route of the agreed settings sets on each request. Its value, the mark, tells under
+// which text of the settings the request was forwarded.
+const settingsMarkHeader = "X-Settings"
 
-// settingsText returns the text of a shared document that marks requests, with a comment of pad bytes to make it longer. By
-// it a daemon without a lease sheds all requests.
+// settingsText returns the text of a shared document whose route sets the header settingsMarkHeader to mark, with a comment of
+// pad bytes to make it longer. With these settings a daemon without a lease sheds all requests.
 func (c *testCluster) settingsText(mark string, pad int) []byte {
 	return fmt.Appendf(nil, `format = 1
 shared = { unsure = "refuse" }
@@ -30,7 +30,7 @@
 pool = [{ name = "p", member = [{ address = %q }, { address = %q }] }]
 route = [{ pool = "p", class = "look", set_header = [{ name = %q, value = %q }] }]
 # %s
-`, c.nodes[0].Addr, c.nodes[1].Addr, markHeader, mark, strings.Repeat("x", pad))
+`, c.nodes[0].Addr, c.nodes[1].Addr, settingsMarkHeader, mark, strings.Repeat("x", pad))
 }
 
 // putDocument puts a document through the daemon, with an idempotency key and a timeout.
@@ -75,23 +75,23 @@
 // requests, and a restarted one resumes with the settings that it persisted.
 func TestSettingsCommandsOnFiveDaemons(t *testing.T) {
 	var mu sync.Mutex
-	requestsByMark := map[string]int{}
+	requestsBySettingsMark := map[string]int{}
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		requestsByMark[r.Header.Get(markHeader)]++
+		requestsBySettingsMark[r.Header.Get(settingsMarkHeader)]++
 	}})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	awaitMark := func(d *clusterDaemon, want string) {
 		t.Helper()
 		mu.Lock()
-		clear(requestsByMark)
+		clear(requestsBySettingsMark)
 		mu.Unlock()
 		testpeer.Eventually(t, "a request arrives with the mark "+want, func() bool {
 			status, _, err := d.sendRequest(client, "")
 			mu.Lock()
 			defer mu.Unlock()
-			return err == nil && status == http.StatusOK && requestsByMark[want] > 0
+			return err == nil && status == http.StatusOK && requestsBySettingsMark[want] > 0
 		})
 	}
 	file := filepath.Join(t.TempDir(), "new.toml")
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -219,7 +219,7 @@
 		time.Sleep(time.Second)
 		return &transfers
 	}
-	var throughRatios, bypassRatios []float64 // p99 with transfers to p99 without, one per turn
+	var throughRatios, bypassRatios []float64 // for each turn, the p99 latency of lookups during transfers divided by the one without transfers
 	for i := range turns {
 		var p99 [3]float64
 		for k := range 3 {
--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -8,11 +8,11 @@
 type MemoryBudget struct {
 	total           int                   // bytes to divide
 	bufferedReserve int                   // bytes of total that streaming bodies can't get
-	used            int                   // bytes granted to bodies of both kinds
+	used            int                   // bytes granted to buffered and streaming bodies together
 	usedByStreaming int                   // bytes granted to streaming bodies
 	bufferedQueue   list.List             // waitingRequests for buffered bodies, oldest first
 	streamingQueue  list.List             // waitingRequests for streaming bodies, oldest first
-	waiting         map[int]*list.Element // entries of both queues, by request ID
+	waiting         map[int]*list.Element // entries of bufferedQueue and streamingQueue, by request ID
 	lastID          int                   // ID of the most recent request
 }
 
--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -54,7 +54,7 @@
 	return b.round
 }
 
-// Vote returns the vote of this voter, which has not begun.
+// Vote returns the vote of this voter, which reports that it has not created its log yet.
 func (b *Bootstrap) Vote() BootstrapVote { return BootstrapVote{DiskID: b.diskID} }
 
 // ReceiveVote records the vote of another initial voter. It drops votes of earlier rounds and those of other daemons.
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -140,8 +140,8 @@
 	return overlap
 }
 
-// explore does all orders of depth steps after the steps in prefix. It calls visit after each step of each prefix that
-// it does, and returns the number of orders.
+// explore runs all sequences that consist of the steps in prefix and depth more steps. It calls visit after each step of
+// prefix, at each level of its recursion, and returns the number of complete sequences.
 func explore(tb testing.TB, depth int, prefix []int, visit func(x *interleaving)) (orders int) {
 	tb.Helper()
 	x := newInterleaving(tb)
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -47,8 +47,8 @@
 	rejectedVersion uint64              // latest version that failed its check; 0: none
 	rejectReason    string              // why rejectedVersion failed its check
 
-	fullyActive uint64          // version before which no daemon acts, by the latest grant; 0: not known
-	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest grant
+	fullyActive uint64          // version before which no daemon acts, according to the latest grant; 0: not known
+	lagging     []LaggingDaemon // daemons for which the leader waits, according to the latest grant
 }
 
 // NewLeaseHolder returns a holder without a lease. version and docs are what the daemon acted on before a restart, if it
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -212,7 +212,7 @@
 	for _, daemons := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			state, m, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
-			const requestsPerHeartbeat = 100 // 300 daemons send a thousand requests a second
+			const requestsPerHeartbeat = 100 // 1000 requests per second, as 300 daemons send them, at a heartbeat interval of 100 ms
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
 				if i%requestsPerHeartbeat == 0 {
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -25,7 +25,7 @@
 	FlagPrefix = "flag/"
 )
 
-// maxDocumentNameBytes is the maximum length of a document's name.
+// maxDocumentNameBytes is the maximum length of a document's complete name, including a prefix such as MembersPrefix.
 const maxDocumentNameBytes = 300
 
 // localSections are the sections of an operators' file that may differ between daemons. All other sections are shared.
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -33,7 +33,7 @@
 // Options of a Set. With zero values every response takes effect at once.
 type Options struct {
 	HoldLastGood time.Duration // how long the last list with members is kept while responses are empty or failed
-	FlapDamping  time.Duration // how long a member must be listed after its second departure; doubles with each further departure
+	FlapDamping  time.Duration // how long a member that returns after its second departure must be listed before it is active; doubles with each further departure
 }
 
 // Set holds the active endpoints. It is not safe for concurrent use. Instants are durations since an epoch that the caller chooses,
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -88,13 +88,13 @@
 	}
 }
 
-// View is what a State implies for one process.
+// View tells one process which other processes of its sidecar are alive, and whether a newer one has taken over from it.
 type View struct {
 	Superseded bool  // whether a newer live process accepts connections
 	Others     []int // numbers of the other live processes, in ascending order
 }
 
-// View returns what the state implies for the process with this number. isAlive is called for the other processes only.
+// View returns the View of the process with this number. isAlive is called for the other processes only.
 func (s State) View(number int, isAlive func(number int) bool) View {
 	var v View
 	for _, p := range s.Processes {
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -88,7 +88,7 @@
 // serveWatch is the discovery agent's handler: it sends heartbeats, and all list updates as they are added.
 func (s *coldStartSite) serveWatch(w http.ResponseWriter, r *http.Request) {
 	write := func(text string) {
-		_, _ = io.WriteString(w, text) // a sidecar that has disconnected shows in the test's result
+		_, _ = io.WriteString(w, text) // an error is not checked: the test's own checks fail if a sidecar gets no list updates
 		w.(http.Flusher).Flush()
 	}
 	write("\n")
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -53,7 +53,7 @@
 
 // After SIGTERM the platform waits for the grace period and then kills the process. Every request that was accepted before
 // or after the signal must have its response by then, although its own deadline is later and its endpoint hangs.
-func TestShutdownAnswersEveryRequestBeforeTheKill(t *testing.T) {
+func TestEveryRequestGetsResponseWithinGracePeriod(t *testing.T) {
 	const grace = 1200 * time.Millisecond
 	arrived := make(chan bool, 10)
 	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { arrived <- true; return true })
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -23,9 +23,9 @@
 
 // The request classes of the tests, one for each kind of idempotency.
 const (
-	idempotentClass    = "idempotent"
-	keyClass           = "idempotency-key"
-	nonIdempotentClass = "non-idempotent"
+	idempotentClass     = "idempotent"
+	idempotencyKeyClass = "idempotency-key"
+	nonIdempotentClass  = "non-idempotent"
 )
 
 // newBalancer returns a balancer of the named policy, whose endpoint list has the given endpoints, all ready.
@@ -37,7 +37,7 @@
 	}
 	h := &recordingHost{}
 	b := factory(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: idempotentClass},
-		{Name: keyClass, Idempotency: balance.IdempotencyKey}, {Name: nonIdempotentClass, Idempotency: balance.NonIdempotent}}}, h)
+		{Name: idempotencyKeyClass, Idempotency: balance.IdempotencyKey}, {Name: nonIdempotentClass, Idempotency: balance.NonIdempotent}}}, h)
 	l := balance.EndpointUpdate{Complete: true}
 	for _, id := range endpoints {
 		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
@@ -90,9 +90,9 @@
 		}{
 			{idempotentClass, balance.Reset, 3, 1, 0},
 			{nonIdempotentClass, balance.Reset, 1, 0, 1},
-			{keyClass, balance.TimedOut, 1, 0, 1},
+			{idempotencyKeyClass, balance.TimedOut, 1, 0, 1},
 			{nonIdempotentClass, balance.Rejected, 3, 1, 0},
-			{keyClass, balance.ConnectFailed, 3, 1, 0},
+			{idempotencyKeyClass, balance.ConnectFailed, 3, 1, 0},
 		} {
 			b, h := newBalancer(t, name, "a", "b", "c", "d")
 			b.Request(0, newRequest("r", c.class))
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -121,7 +121,8 @@
 // round a rank.
 func expectedLatency(t *testing.T, o Options, d serverDelays) (quantile func(fraction float64) (lo, hi time.Duration)) {
 	t.Helper()
-	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process) // the source that Run uses
+	// Run draws its schedule from a random source with the same seeds.
+	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -16,9 +16,9 @@
 	MaxOverlap time.Duration // longest time for which a daemon acted on a version after another had begun to act on a later one
 
 	digestByVersion map[uint64][32]byte // digests of the documents that daemons acted on
-	firstDecisions  []firstDecision     // first decision by each version, in ascending order of versions, without the oldest ones
-	versionByID     map[string]uint64   // versions that committed commands made, by command ID
-	idByVersion     map[uint64]string   // IDs of the commands that made the versions
+	firstDecisions  []firstDecision     // first time that a daemon acted on each version, in ascending order of versions, without the oldest ones
+	versionByID     map[string]uint64   // version that each committed command made, by command ID
+	idByVersion     map[uint64]string   // ID of the committed command that made each version
 	latestVersion   uint64              // latest version that was committed
 }
 
@@ -46,7 +46,8 @@
 	if last := len(c.firstDecisions) - 1; last < 0 || version > c.firstDecisions[last].version {
 		c.firstDecisions = append(c.firstDecisions, firstDecision{version, now})
 	}
-	for _, first := range c.firstDecisions { // finds the earliest decision by any later version
+	// The overlap has lasted since a daemon first acted on a version later than this one's.
+	for _, first := range c.firstDecisions {
 		if first.version > version {
 			c.MaxOverlap = max(c.MaxOverlap, now-first.at)
 			break
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -12,7 +12,7 @@
 	isCommitted bool // some voter has applied the command
 }
 
-// reconfigure proposes a change of the voters, by the state of a random voter. It removes the slot of a daemon whose disk is not bound to
+// reconfigure proposes a change of the voters, which it derives from the state of a random voter. It removes the slot of a daemon whose disk is not bound to
 // that slot, if there is one: the disk was lost, or the voter has not started yet. Otherwise it adds a random daemon if there are at
 // most Options.Voters slots, and removes a random voter if there are more.
 func (s *Simulation) reconfigure() {
@@ -42,7 +42,8 @@
 		change.Name = fmt.Sprint("d", withUnusedSlot[0].index)
 	case len(slots) <= s.options.Voters && len(withoutSlot) > 0:
 		n := withoutSlot[s.rng.IntN(len(withoutSlot))]
-		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // it can vote again only after a restart with an empty disk
+		// A daemon whose voter was removed can become a voter again only after a restart with an empty disk.
+		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved {
 			s.Crash(n)
 			s.startNode(n)
 		}
--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -14,7 +14,7 @@
 	var p unstable.Parser
 	p.Reset(text)
 	// A block is a top-level key with its value, or a table header with the table's keys.
-	var isRemoved, isTable bool // properties of the current block
+	var isRemoved, isTable bool // whether the block that begins at currentStart is removed, and whether it is a table
 	currentStart := 0           // offset of the current block in text
 	endBlock := func(end int) {
 		if !isRemoved {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -21,11 +21,11 @@
 	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP" // first bytes of a file, which identify its kind
 	formatVersion               = 1                      // version of the format; files with another version are rejected
 
-	fileVersionOffset  = 8  // version of the format
-	fileIndexOffset    = 16 // index that the file is named after
-	fileChecksumOffset = 24 // CRC-32C of all bytes before it
-	fileReservedOffset = 28 // four zero bytes that are not part of the checksum
-	fileHeaderBytes    = 32 // size of the header
+	fileVersionOffset  = 8  // offset of the format's version
+	fileIndexOffset    = 16 // offset of the record index that is also in the file's name
+	fileChecksumOffset = 24 // offset of the CRC-32C of all bytes before it
+	fileReservedOffset = 28 // offset of four zero bytes that the checksum does not cover
+	fileHeaderBytes    = 32 // size of the complete header in bytes
 )
 
 // segmentName returns the name of the segment that begins with the record at firstIndex.
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -14,9 +14,9 @@
 // Offsets, in bytes, of the fields of the trailer that follows the body of a snapshot (docs/wal-format.md). Numbers are
 // little-endian.
 const (
-	trailerLengthOffset       = 0  // length of the body in bytes
-	trailerBodyChecksumOffset = 8  // CRC-32C of the body
-	trailerChecksumOffset     = 12 // CRC-32C of the trailer's bytes before this field
+	trailerLengthOffset       = 0  // offset of the body's length in bytes
+	trailerBodyChecksumOffset = 8  // offset of the body's CRC-32C
+	trailerChecksumOffset     = 12 // offset of the CRC-32C of the trailer's bytes before this field
 	snapshotTrailerBytes      = 16 // size of the complete trailer in bytes
 )
 
