--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -4,11 +4,11 @@
 
 // endpoint is the state of one listed endpoint.
 type endpoint struct {
-	Endpoint       // its entry in the endpoint list
-	kind     *kind // pooled weight of the endpoints of its kind
+	Endpoint       // the endpoint's entry in the endpoint list
+	kind     *kind // pooled weight of all endpoints of the same kind
 
-	active         bool          // whether it is in the paper's active list; if not, it gets only trials
-	deficit        float64       // the paper's Δ: sum of the weights charged for its requests
+	active         bool          // whether the endpoint gets more than trials (the paper's active list)
+	deficit        float64       // sum of the weights charged for the endpoint's requests (Δ of the paper)
 	sampleSum      float64       // decayed sum of samples, each a stretch over the kind's weight
 	sampleCount    float64       // decayed number of the samples in sampleSum
 	errorRate      float64       // fraction of error responses among the endpoint's recent results
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -39,7 +39,7 @@
 	index        int              // index of the balancer in the fleet, from 0
 	incarnation  int              // number of times that the balancer has been started
 	requestCount int              // requests that the balancer has got
-	credit       float64          // fraction of the next request that is due
+	credit       float64          // part of a request that has come due since the last one was sent; at 1 the next one is sent
 	pending      []pendingOutcome // outcomes that have not been reported, by time
 	timers       []time.Duration  // instants of the timers that have not fired
 }
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -24,7 +24,7 @@
 	}
 	node := testpeer.FreeAddress(t)
 	startPeer(t, "node", node)
-	config := clusterDaemonConfig{endpoints: []string{node}} // with the daemon's default probe intervals
+	config := clusterDaemonConfig{endpoints: []string{node}} // the probe intervals are the daemon's defaults
 	key := writeKeyFile(t, 1)
 	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
 	for i := range 6 {
@@ -54,7 +54,7 @@
 	if peers == 0 {
 		t.Skip("TULIPROCK_TEST_IDLE_PEERS is not set: this is a measurement, for an idle machine")
 	}
-	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // with the daemon's default probe intervals
+	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // the probe intervals are the daemon's defaults
 	key := writeKeyFile(t, 1)
 	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
 	measure := func(situation string) {
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// A day holds all rules also if its sidecars run with operators' files (--serve).
+// A rehearsal whose sidecars run with operators' files (--serve) also breaks no rule.
 func TestRehearseServeGivesTheSameVerdict(t *testing.T) {
 	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
 	if code != 0 {
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -19,8 +19,8 @@
 	leaderSince time.Duration            // instant at which the term began, by the leader's clock
 	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
-	fullyActive uint64          // version before which no daemon acts, by the latest Refresh; 0: not known
-	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest Refresh, sorted by name
+	fullyActive uint64          // version before which no daemon acts, according to the latest Refresh; 0: not known
+	lagging     []LaggingDaemon // daemons for which the leader waits, according to the latest Refresh, sorted by name
 }
 
 // daemonLeases is what the leader knows about one daemon's leases.
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -29,15 +29,15 @@
 
 // Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
 type Reader struct {
-	in         *bufio.Reader
-	longLine   []byte  // the last line that was longer than the buffer of in
-	lineNumber int     // number of the last line read, from 1
-	message    message // parsed form of that line
+	in         *bufio.Reader // input, with a buffer of readBufferBytes
+	longLine   []byte        // the last line that was longer than readBufferBytes
+	lineNumber int           // number of the last line read, from 1
+	message    message       // parsed form of the last line read
 
 	isBatchOpen bool          // whether the batch of the last CLOCK has not ended yet
 	now         time.Duration // time of the last CLOCK
 	instance    int           // instance of the last SWITCH_TO, which gets the events that follow
-	hasInstance bool          // whether the batch has had a SWITCH_TO
+	hasInstance bool          // whether the open batch has had a SWITCH_TO
 	lists       endpointLists
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -42,7 +42,7 @@
 	}
 	Report struct { // load reports of endpoints
 		Fields []string // names of the values in a report
-		How    string   // how reports are sent; silent: there are none
+		How    string   // how endpoints send load reports; silent: they send none
 	}
 	Rules struct {
 		AskWithinUs, ColdUs int64   // longest time without a subscription or poll; duration of the slow start
--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -43,8 +43,9 @@
 	}, nil
 }
 
-// randStream separates the random numbers of this package from others that are drawn with the same seed.
-const randStream = 0x706c61696e // "plain" in ASCII
+// randStream separates the random numbers of this package from others that are drawn with the same seed. Its bytes are
+// "plain" in ASCII.
+const randStream = 0x706c61696e
 
 // balancer implements balance.Events with a textbook policy.
 type balancer struct {
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -47,8 +47,9 @@
 // defaultMaxSendLateness is short enough to leave measured latencies of tens of milliseconds meaningful.
 const defaultMaxSendLateness = 10 * time.Millisecond
 
-// randStream separates the schedule's random numbers from others that are drawn with the same seed.
-const randStream = 0x6c6f6164 // "load" in ASCII
+// randStream separates the schedule's random numbers from others that are drawn with the same seed. Its bytes are "load" in
+// ASCII.
+const randStream = 0x6c6f6164
 
 // Run sends requests until the run's duration has passed or ctx is done, and then waits for the responses of those in flight. The
 // result covers all requests that were due by then. Memory use is bounded by Connections and by the run's duration in seconds.
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -40,7 +40,7 @@
 // inode is the content of a file, as the running system sees it and as it certainly survives a crash.
 type inode struct {
 	content  []byte          // bytes as the running system sees them
-	durable  []byte          // bytes as of the latest sync
+	durable  []byte          // bytes that the latest sync made durable
 	unsynced []contentChange // changes of the content since the latest sync, in order
 }
 
@@ -49,7 +49,7 @@
 	offset       int64
 	data         []byte
 	isTruncation bool
-	size         int64 // bytes that a truncation leaves
+	size         int64 // size of the file after the change, if it is a truncation
 }
 
 // New returns an empty disk.
@@ -113,7 +113,7 @@
 			end := min(len(c.data), start+SectorSize-int((c.offset+int64(start))%SectorSize))
 			if rng.IntN(3) > 0 {
 				if size := c.offset + int64(end); int64(len(b)) < size {
-					b = resize(b, size) // sectors before it that did not survive read as zeros
+					b = resize(b, size) // earlier sectors that did not survive read as zeros
 				}
 				copy(b[c.offset+int64(start):], c.data[start:end])
 			}
