--- a/balance/admission.go
+++ b/balance/admission.go
@@ -79,7 +79,7 @@
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // it was not the concurrency limit that kept it queued
+		b.admittedCounter.add(now) // the request was queued for another reason than the limit
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
--- a/balance/api.go
+++ b/balance/api.go
@@ -101,7 +101,7 @@
 // Class holds the properties that all requests of one class have in common.
 type Class struct {
 	Name             string
-	Idempotency      Idempotency   // whether its requests may run more than once
+	Idempotency      Idempotency   // whether requests of the class may run more than once
 	DedupScope       DedupScope    // endpoints that drop duplicates together; for IdempotencyKey only
 	DedupWindow      time.Duration // time from the first attempt in which duplicates are dropped; for IdempotencyKey only
 	LatencyObjective time.Duration // time within which a response is wanted
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -18,8 +18,8 @@
 	endpoint       balance.Endpoint
 	sentAt, endsAt time.Duration
 	result         balance.Result // result that the attempt has at endsAt
-	inFlight       bool           // whether the balancer has not got its outcome yet
-	mayHaveRun     bool           // whether it has ended and its result does not prove that it did not run
+	inFlight       bool           // whether the balancer has not got the attempt's outcome yet
+	mayHaveRun     bool           // whether the attempt has ended and its result does not prove that the endpoint did not run it
 	isCanceled     bool           // whether the balancer has cancelled it
 }
 
@@ -28,7 +28,7 @@
 	balance.Request
 	class            balance.Class
 	attempts         []*simAttempt
-	isFinished       bool // whether it has its final response, or its client has disconnected
+	isFinished       bool // whether the request has a final response, or its client has disconnected
 	balancerKnowsEnd bool // whether the balancer knows that the request is finished
 }
 
@@ -50,11 +50,11 @@
 	timers           []time.Duration             // instants of the timers that have not fired
 	probes           []string                    // IDs of endpoints whose load probes have no result yet
 	slowStartSends   map[string][]time.Duration  // instants of attempts at endpoints that are warming up, by ID
-	requestCount     int
-	isDraining       bool     // whether no new requests, lists or ejections are simulated any more
-	sends            int      // attempts sent so far
-	responseCounts   [3]int   // final responses so far: successes, rejections and failures
-	actions          []string // instants and arguments of Send, Reject and Fail, in order
+	requestCount     int                         // requests simulated so far
+	isDraining       bool                        // whether no new requests, lists or ejections are simulated any more
+	sends            int                         // attempts sent so far
+	responseCounts   [3]int                      // final responses so far: successes, rejections and failures
+	actions          []string                    // instants and arguments of Send, Reject and Fail, in order
 }
 
 func (sim *simulation) Send(id, ep string, timeout time.Duration) {
--- a/balance/request.go
+++ b/balance/request.go
@@ -16,8 +16,8 @@
 	mayHaveRun        bool          // whether the attempt has ended, and the request may have taken effect
 	isTrial           bool          // whether the endpoint was not active when the attempt was sent
 	wasOverdue        bool          // whether overdueAt has passed at least once
-	responseStreaming bool          // whether its response is streaming to the client
-	bodyStreaming     bool          // whether its request or response body is streaming
+	responseStreaming bool          // whether the response is streaming to the client
+	bodyStreaming     bool          // whether the request or response body is streaming
 }
 
 // request is the state of one request.
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -73,7 +73,7 @@
 		singleSize, concurrentSize, slowMiBPerSecond = int64(gib)<<30, int64(gib)<<30/50, 20
 	}
 	memoryLimitKiB := 32 << 10 // over the memory of the idle daemon
-	if isRaceDetectorOn {      // its shadow memory is several times as large as the memory of the program
+	if isRaceDetectorOn {      // the detector's shadow memory is several times as large as the memory of the program
 		memoryLimitKiB = 128 << 10
 	}
 	daemon, daemonAddr, _ := startStreamingDaemon(t, "")
@@ -86,7 +86,7 @@
 		name       string
 		count      int    // number of concurrent transfers
 		size       int64  // bytes of each body
-		query      string // query for the node
+		query      string // URL query parameters that the node obeys, in addition to hash
 		clientRate int    // bytes per second of each client; 0: not limited
 	}{
 		{"1 transfer", 1, singleSize, "", 0}, {"50 transfers", 50, concurrentSize, "", 0},
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -94,7 +94,7 @@
 // receivePing responds with an Ack, unless the Ping is meant for another member that had this address before.
 func (n *Node) receivePing(m *Message) {
 	if m.Target.Name != "" && m.Target.Name != n.self.Name {
-		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From field tells the sender which member has this address now
+		n.send(m.From.Addr, &Message{Kind: Gossip}) // From of the Gossip tells the sender which member has this address now
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -75,7 +75,7 @@
 	if source := s.Pools[0].Source; len(source.Members) != 1 || source.Members[0].State != "draining" || source.HoldLastGood != 0 {
 		t.Errorf("source %+v, want the one draining member of the agreed list, and no hold time", source)
 	}
-	if without, err := file.WithDocuments(map[string][]byte{SharedDocument: shared}); err != nil || len(without.Service().Pools[0].Source.Members) != 0 {
+	if withoutMembers, err := file.WithDocuments(map[string][]byte{SharedDocument: shared}); err != nil || len(withoutMembers.Service().Pools[0].Source.Members) != 0 {
 		t.Errorf("the pool has members without an agreed list, or error %v", err)
 	}
 	if unchanged, err := file.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -56,7 +56,7 @@
 			return
 		}
 		s.addProcess(func(int) bool { return true })
-		_ = s.recordEjection(Ejection{"x", true, 1}) // the state may have MaxEjections already
+		_ = s.recordEjection(Ejection{"x", true, 1}) // the error is expected if the state has MaxEjections already
 		changedText, err := s.encode()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -215,23 +215,24 @@
 	return current
 }
 
-// syncDirectory applies the ejections that other processes have recorded in the shared directory. It returns the view of
-// those processes and how many descriptors they have reported as open. While a command holds the command slot it only
-// polls the directory, so that polls and commands don't wait for each other.
-func (o *overrides) syncDirectory(descriptors int) (hotrestart.View, int) {
+// syncDirectory applies the ejections that other processes have recorded in the shared directory, and reports to them that
+// this process has descriptorCount open descriptors (see hotrestart.Directory.Poll). It returns the view of those processes
+// and how many descriptors they have reported as open. While a command holds the command slot it only polls the directory,
+// so that polls and commands don't wait for each other.
+func (o *overrides) syncDirectory(descriptorCount int) (hotrestart.View, int) {
 	select {
 	case o.commandSlot <- struct{}{}:
 		defer o.release()
-		return o.applyDirectory(descriptors)
+		return o.applyDirectory(descriptorCount)
 	default:
-		_, view, othersDescriptors := o.directory.Poll(descriptors)
+		_, view, othersDescriptors := o.directory.Poll(descriptorCount)
 		return view, othersDescriptors
 	}
 }
 
 // applyDirectory does the work of syncDirectory; the command slot is held.
-func (o *overrides) applyDirectory(descriptors int) (hotrestart.View, int) {
-	state, view, othersDescriptors := o.directory.Poll(descriptors)
+func (o *overrides) applyDirectory(descriptorCount int) (hotrestart.View, int) {
+	state, view, othersDescriptors := o.directory.Poll(descriptorCount)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
 	defer cancel()
 	isRecorded := make(map[string]bool, len(state.Ejections))
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -51,7 +51,7 @@
 
 // decodedRecord is a record that was read from a segment.
 type decodedRecord struct {
-	Record              // its payload shares memory with the bytes of the segment
+	Record              // the record, whose payload shares memory with the bytes of the segment
 	syncedIndex  uint64 // index of the last record that was durable when this one was appended
 	encodedBytes int    // size of the encoded record in bytes, including the header
 }
