--- a/balance/pick.go
+++ b/balance/pick.go
@@ -12,7 +12,7 @@
 	inFlightCharge         = 1.0 // weights added to a deficit per request at the endpoint: hangs show at once
 	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
 	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe others next
-	maxDeficitLag          = 2.0 // weights that a deficit may be below the picked one, to bound bursts
+	maxDeficitLag          = 2.0 // weights by which a deficit may lag that of the pick, to bound bursts
 	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
 
 	// maxEndpointUsageMultiple is the largest number of attempts in flight that one endpoint counts for, as a
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -45,38 +45,38 @@
 	digestByVersion map[uint64][32]byte       // digest of the settings text that made a version, as the response to its put tells
 	flagOperations  []porcupine.Operation     // puts and reads of the document flagName
 
-	faults []injectedFault // in the order of their start
+	faults []injectedFault // faults injected so far, in the order of their start
 }
 
 // injectedFault records a fault. Requests that are shed between its start and that of the next fault are attributed to it.
 type injectedFault struct {
 	name      string        // name that injectFault returned
-	startedAt time.Duration // since the start of the schedule
+	startedAt time.Duration // time from the start of the schedule to the start of the fault
 }
 
 // sentRequest records a request when it was sent.
 type sentRequest struct {
-	daemon      int           // index of the daemon that it was sent to
+	daemon      int           // index of the daemon that the request was sent to
 	incarnation int           // how often that daemon had been restarted
-	sentAt      time.Duration // since the start of the schedule
+	sentAt      time.Duration // time from the start of the schedule until the request was sent
 }
 
 // arrivedRequest records a request when it arrived at a node.
 type arrivedRequest struct {
-	mark      string        // value of settingsMarkHeader; empty if it was forwarded before the first settings were active
-	arrivedAt time.Duration // since the start of the schedule
+	mark      string        // value of settingsMarkHeader; empty if the request was forwarded before the first settings were active
+	arrivedAt time.Duration // time from the start of the schedule until the request arrived
 }
 
 // daemonPause is an interval in which a daemon was paused by SIGSTOP, in time since the start of the schedule.
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	maxFaultDuration  = 2500 * time.Millisecond // upper bound of the random part, which is added to 200 ms
-	faultsDuration    = 12 * time.Second        // how long faults are injected
-	minFaultGap       = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
-	requestInterval   = 8 * time.Millisecond    // time between two requests of a client
-	operationInterval = 150 * time.Millisecond  // time between two operations of a client on the settings
-	flagName          = "flag/x"                // name of the document whose puts and reads are checked for linearizability
+	maxRandomFaultDuration = 2500 * time.Millisecond // upper bound of the random time by which a fault lasts longer than 200 ms
+	faultsDuration         = 12 * time.Second        // how long faults are injected
+	minFaultGap            = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
+	requestInterval        = 8 * time.Millisecond    // time between two requests of a client
+	operationInterval      = 150 * time.Millisecond  // time between two operations of a client on the settings
+	flagName               = "flag/x"                // name of the document whose puts and reads are checked for linearizability
 )
 
 // elapsed returns the time since the start of the schedule, which is the time of all observations.
@@ -176,7 +176,7 @@
 // injectFault draws a fault, keeps it up for a random time, ends it and returns its name. The order of the random draws is
 // what makes a seed's schedule.
 func (s *faultSchedule) injectFault() string {
-	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxRandomFaultDuration)))
 	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
--- a/internal/discovery/membercache.go
+++ b/internal/discovery/membercache.go
@@ -10,7 +10,7 @@
 // for concurrent use; the PollingSource that is running owns it.
 type MemberCache struct {
 	endpoints *endpointset.Set
-	epoch     time.Time // time that corresponds to instant 0 of endpoints
+	epoch     time.Time // time from which the instants passed to endpoints are counted
 }
 
 // NewMemberCache returns an empty MemberCache.
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -90,7 +90,7 @@
 	calls int     // requests to the tier below, one after another, for each request
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
-// Rules that are checked.
+// Limits that the simulation checks, for duplicates, attempts, overload and draining endpoints.
 const (
 	dedupWindow       = 10 * time.Second       // time in which the endpoints of a cell drop duplicates of a request with an idempotency key
 	maxAttempts       = 4                      // attempts that a sidecar may send for one request
