--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -22,7 +22,7 @@
 	name          string            // name of the voter's daemon
 	initialVoters []string          // names of the cluster's initial voters, sorted; empty: this voter was added later
 	id            uint64            // raft id of the voter
-	clusterID     clusterID         // id of the cluster
+	clusterID     clusterID         // digest that identifies the cluster in raft messages
 	diskIDs       map[string]string // disk ids of the initial voters, by name, when the first of them created its log
 }
 
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -31,7 +31,7 @@
 
 // LaggingDaemon is a daemon for which the leader waits, because it does not act on the latest version yet.
 type LaggingDaemon struct {
-	Name   string `json:"daemon"` // name of the daemon
+	Name   string `json:"daemon"` // name of the daemon that delays the version
 	Reason string `json:"why"`    // why the leader waits for the daemon
 }
 
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -34,7 +34,7 @@
 	*Sidecar
 	platformConfig config.Config
 	addr           string             // address of the listener
-	connections    *frontend.Listener // connections of the listener
+	connections    *frontend.Listener // wraps the listener's socket and tracks the clients' connections
 	frontend       *frontend.Server   // server of the listener
 	loop           *eventloop.Loop    // event loop of the pool
 	upstream       *upstream.Client   // connections of the pool to its endpoints
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,7 +16,7 @@
 	rawConn             syscall.RawConn
 	byteLimit           *io.LimitedReader // limits the bytes that are read for one response
 	reader              *bufio.Reader     // reads from byteLimit
-	pool                *endpointPool     // pool of the endpoint
+	pool                *endpointPool     // pool that takes the connection back when it is idle
 	address             string            // address that was dialed
 	idleSince           time.Time         // time of the last response, or of the first return to the pool without one; zero before that
 	closesAfterResponse bool              // the last response head had the option "Connection: close"
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -14,12 +14,12 @@
 // Offsets, in bytes, of the fields of an encoded record, whose payload follows the header (docs/wal-format.md). Numbers are
 // little-endian.
 const (
-	recordChecksumOffset    = 0  // CRC-32C of all bytes of the record after the checksum
-	recordLengthOffset      = 4  // length of the payload in bytes
-	recordTypeOffset        = 8  // one byte, defined by the user of the log
-	recordIndexOffset       = 9  // index of the record
-	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
-	recordHeaderBytes       = 25 // size of the header, with all fields above
+	recordChecksumOffset    = 0  // offset of the CRC-32C of all bytes of the record after the checksum
+	recordLengthOffset      = 4  // offset of the payload's length in bytes
+	recordTypeOffset        = 8  // offset of the record's type, one byte that the user of the log defines
+	recordIndexOffset       = 9  // offset of the record's index
+	recordSyncedIndexOffset = 17 // offset of the index of the last record that was durable when this one was appended
+	recordHeaderBytes       = 25 // size of the complete header in bytes
 )
 
 // crc32c is the table of the CRC-32C checksum.
@@ -28,7 +28,7 @@
 // checksum returns the CRC-32C of b.
 func checksum(b []byte) uint32 { return crc32.Checksum(b, crc32c) }
 
-// Record is an entry of the log.
+// Record is an entry of the log, which stores its payload under an index.
 type Record struct {
 	Index   uint64 // position in the log; the first record has 1, and there are no gaps
 	Type    byte   // kind of the payload, defined by the user of the log
