--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -15,8 +15,8 @@
 // the log before the snapshot is retained for voters that are a little behind, which would otherwise need the complete
 // snapshot.
 const (
-	snapshotEntries  = 1000                // entries applied since the latest snapshot
-	snapshotLogBytes = 8 << 20             // bytes of entries applied since the latest snapshot: several of the longest commands
+	snapshotEntries  = 1000                // number of applied entries after which a snapshot is due
+	snapshotLogBytes = 8 << 20             // bytes of applied entries after which a snapshot is due; several of the longest commands
 	retainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
 	retainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
 )
@@ -28,7 +28,7 @@
 // snapshot.
 const snapshotHeaderParts = 2
 
-// Snapshot replaces all records before it in the durable log.
+// Snapshot is a voter's snapshot, which replaces all records before it in the durable log.
 type Snapshot struct {
 	Body []byte // raft's hard state, raft's snapshot and the entries after that, as joinParts encodes them
 }
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -145,15 +145,15 @@
 		return nil, err
 	}
 	return func() {
-		started := n.spec
-		if started.Name != spec.Name || started.ClusterName != spec.ClusterName || started.Listen != spec.Listen ||
-			started.Advertise != spec.Advertise || started.DividesByMembership != spec.DividesByMembership {
+		startSpec := n.spec
+		if startSpec.Name != spec.Name || startSpec.ClusterName != spec.ClusterName || startSpec.Listen != spec.Listen ||
+			startSpec.Advertise != spec.Advertise || startSpec.DividesByMembership != spec.DividesByMembership {
 			n.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, " +
 				"change with a restart only")
 		}
-		if n.raft != nil && !slices.Equal(started.Voters, spec.Voters) {
+		if n.raft != nil && !slices.Equal(startSpec.Voters, spec.Voters) {
 			n.log.Warn("fleet: the change of voters is ignored: where settings are agreed on, voters are changed by command")
-			options.Voters = started.Voters
+			options.Voters = startSpec.Voters
 		}
 		n.transport.Reconfigure(options) // even if all options are equal: the key file's content may have changed
 	}, nil
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -44,12 +44,12 @@
 }
 
 // newColdStartSite starts the discovery agent and a number of warm endpoints.
-func newColdStartSite(t *testing.T, sidecars, warm int) *coldStartSite {
+func newColdStartSite(t *testing.T, sidecars, warmEndpoints int) *coldStartSite {
 	t.Helper()
 	s := &coldStartSite{t: t, sidecars: sidecars, changed: make(chan struct{}), arrived: map[string][]time.Time{}}
 	s.agent = httptest.NewServer(http.HandlerFunc(s.serveWatch))
 	t.Cleanup(s.agent.Close)
-	for i := range warm {
+	for i := range warmEndpoints {
 		s.warm = append(s.warm, s.startEndpoint(fmt.Sprintf("warm%02d", i), 0))
 	}
 	return s
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -35,7 +35,7 @@
 // Rate is an arrival rate over time: a constant rate, multiplied by the factors of all bursts that are under way.
 type Rate struct {
 	PerSecond float64 // rate without bursts
-	Bursts    []Burst // may overlap
+	Bursts    []Burst // bursts in any order; the factors of bursts that overlap are multiplied
 }
 
 // PerSecondAt returns the rate at an instant, in arrivals per second.
