--- a/balance/admission.go
+++ b/balance/admission.go
@@ -31,10 +31,10 @@
 // spread of clients.
 func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
 	exceedsQuota := b.chargeQuota(now, req)
-	isSlow := b.recentStretch > shedStretch
+	areResponsesSlow := b.recentStretch > shedStretch
 	isCapacityShort := len(b.queue) > 0 ||
-		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && isSlow ||
-		isSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
+		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && areResponsesSlow ||
+		areResponsesSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
 	return now >= req.giveUpAt || b.allManuallyEjected() || isCapacityShort && exceedsQuota ||
 		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
 }
@@ -52,7 +52,7 @@
 	if t.tokens < 1 {
 		return true
 	}
-	if !req.IsRetry { // the client's first request has paid for its retries
+	if !req.IsRetry { // a client's retry costs no token, as its first request has cost one
 		t.tokens--
 	}
 	return false
@@ -79,7 +79,7 @@
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // it was not the concurrency limit that kept it queued
+		b.admittedCounter.add(now) // the request was queued for another reason than the limit
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -12,7 +12,7 @@
 	inFlightCharge         = 1.0 // weights added to a deficit per request at the endpoint: hangs show at once
 	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
 	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe others next
-	maxDeficitLag          = 2.0 // weights that a deficit may be below the picked one, to bound bursts
+	maxDeficitLag          = 2.0 // weights by which a deficit may lag that of the pick, to bound bursts
 	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
 
 	// maxEndpointUsageMultiple is the largest number of attempts in flight that one endpoint counts for, as a
@@ -151,17 +151,18 @@
 // probeCandidates sends load probes to the endpoints with the lowest deficits and reports whether it sent
 // any.
 func (b *Balancer) probeCandidates(now time.Duration, req *request) bool {
-	var next [probesPerRequest + 1]*endpoint // endpoints in order of deficit; the last one is dropped
+	// The endpoints with the lowest deficits, in ascending order. The last one gets no probe.
+	var byDeficit [probesPerRequest + 1]*endpoint
 	for _, ep := range b.subset {
 		if b.canSend(now, req, ep) && (ep.active || !ep.trialInFlight && now >= ep.nextTrialAt) {
 			i := probesPerRequest
-			for ; i > 0 && (next[i-1] == nil || ep.deficit < next[i-1].deficit); i-- {
-				next[i] = next[i-1]
+			for ; i > 0 && (byDeficit[i-1] == nil || ep.deficit < byDeficit[i-1].deficit); i-- {
+				byDeficit[i] = byDeficit[i-1]
 			}
-			next[i] = ep
+			byDeficit[i] = ep
 		}
 	}
-	for _, ep := range next[:probesPerRequest] {
+	for _, ep := range byDeficit[:probesPerRequest] {
 		if ep != nil {
 			b.host.Probe(ep.ID)
 			req.pendingProbes = append(req.pendingProbes, ep)
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -44,12 +44,12 @@
 }
 
 // newColdStartSite starts the discovery agent and a number of warm endpoints.
-func newColdStartSite(t *testing.T, sidecars, warm int) *coldStartSite {
+func newColdStartSite(t *testing.T, sidecars, warmEndpoints int) *coldStartSite {
 	t.Helper()
 	s := &coldStartSite{t: t, sidecars: sidecars, changed: make(chan struct{}), arrived: map[string][]time.Time{}}
 	s.agent = httptest.NewServer(http.HandlerFunc(s.serveWatch))
 	t.Cleanup(s.agent.Close)
-	for i := range warm {
+	for i := range warmEndpoints {
 		s.warm = append(s.warm, s.startEndpoint(fmt.Sprintf("warm%02d", i), 0))
 	}
 	return s
@@ -88,7 +88,7 @@
 // serveWatch is the discovery agent's handler: it sends heartbeats, and all list updates as they are added.
 func (s *coldStartSite) serveWatch(w http.ResponseWriter, r *http.Request) {
 	write := func(text string) {
-		_, _ = io.WriteString(w, text) // a sidecar that has disconnected shows in the test's result
+		_, _ = io.WriteString(w, text) // an error is not checked: the test's own checks fail if a sidecar gets no list updates
 		w.(http.Flusher).Flush()
 	}
 	write("\n")
