--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -141,7 +141,7 @@
 	}
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
 	var mu sync.Mutex
-	outcomes := map[string]int64{} // numbers of outcomes that the clients counted
+	outcomes := map[string]int64{} // number of requests by outcome, as the clients counted them
 	const clients, requestsPerClient = 12, 150
 	var running sync.WaitGroup
 	for w := range clients {
@@ -178,7 +178,7 @@
 				t.Errorf("the metric %s%s is %d; clients counted %d, and %d clients had disconnected", kind, class, n, counted, disconnected)
 			}
 		}
-		// A request whose client disconnected may never have been accepted, and is not counted then.
+		// A request whose client disconnected may never have been accepted; the metrics do not count it in this case.
 		if missing := want - sum; missing < 0 || missing > disconnected {
 			t.Errorf("%s: the metrics count %d requests, clients counted %d, of which %d had disconnected", class, sum, want, disconnected)
 		}
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -27,20 +27,22 @@
 	transport    *transport.Transport
 	log          *slog.Logger
 	spec         config.ClusterSpec // the cluster's configuration when this daemon was started
-	dividesPools bool               // whether pools are told how many daemons divide their endpoints
+	dividesPools bool               // whether pools are notified of how many daemons divide their endpoints
 	stop         func()             // stops the cluster's goroutines
 	goroutines   sync.WaitGroup
 
-	raft             *raftnode.Node              // nil: the cluster does not agree on settings
+	raft             *raftnode.Node              // consensus node; nil: the cluster does not agree on settings
 	ownFile          atomic.Pointer[config.File] // this daemon's own configuration file as last read
 	rejectedRequests atomic.Uint64               // number of requests rejected because this daemon had no valid lease
 	// agreedEjections are the IDs of the endpoints that the cluster has agreed to eject and that were ejected here
 	// because of that. Only the goroutine of watchAgreement uses the field after the start.
 	agreedEjections map[string]bool
 
-	mu             sync.Mutex
-	daemons, index int            // number of daemons that divide the endpoints, and this one's position; 0: not known yet
-	pools          map[*pool]bool // running pools
+	mu sync.Mutex
+	// daemons is the number of daemons that divide the endpoints, 0 until it is known; index is this daemon's position
+	// among them.
+	daemons, index int
+	pools          map[*pool]bool // running pools, which are notified of daemons and index
 }
 
 var (
@@ -180,7 +182,8 @@
 	}
 }
 
-// setBalancerCount passes the number of members to all pools, if it has changed.
+// setBalancerCount records how many daemons divide the endpoints and this daemon's index among them, and passes the two
+// numbers to all pools if either has changed.
 func (n *clusterNode) setBalancerCount(daemons, index int) {
 	n.mu.Lock()
 	isChanged := daemons != n.daemons || index != n.index
@@ -194,12 +197,12 @@
 		return
 	}
 	n.log.Info("cluster size changed", "daemons", daemons, "index", index)
-	for _, p := range pools { // one after another on this goroutine: a busy pool delays only this event for the others
+	for _, p := range pools { // Post blocks while a queue is full: that delays only this event
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
 
-// addPool passes the number of members to a new pool, now and whenever the number changes.
+// addPool passes the number of daemons and this daemon's index to a new pool, now and whenever either changes.
 func (n *clusterNode) addPool(p *pool) {
 	if n == nil {
 		return
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -18,9 +18,10 @@
 // clusterPackages is the common prefix of the import paths of the cluster's packages.
 const clusterPackages = "tuliprock/internal/cluster/"
 
-// On the platform sidecars can't reach one another, so a daemon on the platform's configuration must not open sockets or
-// start goroutines for a cluster. A daemon on an operators' file with the section [fleet] does, which shows that the check
-// can fail. All pools of such a daemon get the number of members, also pools that a reload adds.
+// On the platform sidecars can't reach one another, so a daemon on the platform's configuration must not open sockets
+// or start goroutines for a cluster. A daemon on an operators' file with the section [fleet] does, which shows that the
+// test would detect sockets and goroutines. All pools of such a daemon get the number of members, also pools that a
+// reload adds.
 func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
 	a := echoEndpoint(t, "A")
 	platform := startPlatform(t, a)
@@ -34,12 +35,12 @@
 	}
 	join := "name = \"r\"\njoin = [\"" + s.cluster.transport.Addr().String() + "\"]"
 	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", join, 1)))
-	seesBoth := func(d *fileSidecar) bool {
+	seesTwoMembers := func(d *fileSidecar) bool {
 		d.cluster.mu.Lock()
 		defer d.cluster.mu.Unlock()
 		return d.cluster.daemons == 2
 	}
-	testpeer.Eventually(t, "both daemons count two members", func() bool { return seesBoth(s) && seesBoth(other) })
+	testpeer.Eventually(t, "both daemons count two members", func() bool { return seesTwoMembers(s) && seesTwoMembers(other) })
 	if resp, _ := sendGet(t, s.addressOf("one"), "h", "/x"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %s, want 200", resp.Status)
 	}
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -18,15 +18,15 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// The platform's rules for cold endpoints in these tests, and the load.
+// Parameters of the cold-start tests: how endpoints warm up, when an endpoint is overloaded, and the clients' load.
 const (
-	coldFrom             = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
+	coldInitialFraction  = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
 	coldWarmup           = 24 * time.Second       // time until a cold endpoint has its full capacity
 	coldOverloadMultiple = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
 	coldOverloadWindow   = time.Second            // time over which an endpoint's requests are counted
-	coldResponseTime     = 200 * time.Millisecond // response time of every endpoint: a client sends five requests a second
+	coldResponseTime     = 200 * time.Millisecond // response time of each endpoint: a client sends 5 requests/s
 	coldRequests         = 10                     // number of requests that each client sends in one call of sendRequests
-	coldLoadFactor       = 1.6                    // ratio of the load to what the endpoints can serve: they are overloaded
+	coldLoadFactor       = 1.6                    // ratio of the load to the endpoints' capacity
 )
 
 // coldStartSite has many sidecars in front of one tier on loopback, one discovery agent, and cold endpoints whose requests
@@ -68,7 +68,8 @@
 		defer responseTimer.Stop()
 		select {
 		case <-responseTimer.C:
-			_, _ = io.WriteString(w, "ok") // the client itself reports an error if it has disconnected
+			// The write fails only if the sidecar has disconnected; then the client reports a failed request.
+			_, _ = io.WriteString(w, "ok")
 		case <-r.Context().Done():
 		}
 	}))
@@ -88,7 +89,7 @@
 // serveWatch is the discovery agent's handler: it sends heartbeats, and all list updates as they are added.
 func (s *coldStartSite) serveWatch(w http.ResponseWriter, r *http.Request) {
 	write := func(text string) {
-		_, _ = io.WriteString(w, text) // a sidecar that has disconnected shows in the test's result
+		_, _ = io.WriteString(w, text) // the write fails only if the sidecar has disconnected
 		w.(http.Flusher).Flush()
 	}
 	write("\n")
@@ -134,7 +135,7 @@
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"%d","limits":{},"known":%s,
 			"settings":{"NInstances":%d,"Me":%d,"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000}],
 			"Permissions":{"MayCancel":true,"TryLimit":4},"Rules":{"ColdFrom":%g,"ColdUs":%d}}}`,
-			s.agent.Listener.Addr(), i+1, testpeer.Members(1, true, entries...), s.sidecars, i, coldFrom, coldWarmup.Microseconds())
+			s.agent.Listener.Addr(), i+1, testpeer.Members(1, true, entries...), s.sidecars, i, coldInitialFraction, coldWarmup.Microseconds())
 		c, err := config.Parse([]byte(text), func(string) string { return "" })
 		if err != nil {
 			s.t.Fatal(err)
@@ -190,29 +191,30 @@
 	clients.Wait()
 }
 
-// checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within the window. N is
-// coldOverloadMultiple times the requests that a cold endpoint can serve within the window.
+// checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within
+// coldOverloadWindow. N is coldOverloadMultiple times the requests that a cold endpoint can serve within the window.
 func (s *coldStartSite) checkColdEndpoints(endpoints int) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	warmCapacity := float64(s.sidecars) / coldResponseTime.Seconds() / float64(endpoints) / coldLoadFactor // requests per second
-	// At most a tenth of the warm-up is over when the test ends.
-	overload := coldOverloadMultiple * (coldFrom + (1-coldFrom)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
+	// warmCapacity is how many requests per second one warm endpoint can serve.
+	warmCapacity := float64(s.sidecars) / coldResponseTime.Seconds() / float64(endpoints) / coldLoadFactor
+	// The capacity of a cold endpoint is taken after a tenth of its warm-up: the test ends before that.
+	overload := coldOverloadMultiple * (coldInitialFraction + (1-coldInitialFraction)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
 	limit := overload + 2*math.Sqrt(overload) + 2
-	most, first := 0, 0
+	maxRequests, windowStart := 0, 0
 	for _, arrivals := range s.arrived {
-		first = 0
+		windowStart = 0
 		for i, at := range arrivals {
-			for at.Sub(arrivals[first]) > coldOverloadWindow {
-				first++
+			for at.Sub(arrivals[windowStart]) > coldOverloadWindow {
+				windowStart++
 			}
-			most = max(most, i-first+1)
+			maxRequests = max(maxRequests, i-windowStart+1)
 		}
 	}
-	s.t.Logf("at most %d requests at a cold endpoint within %v, %.1f allowed", most, coldOverloadWindow, limit)
-	if float64(most) > limit {
-		s.t.Errorf("a cold endpoint got %d requests within %v, want at most %.1f", most, coldOverloadWindow, limit)
+	s.t.Logf("at most %d requests at a cold endpoint within %v, %.1f allowed", maxRequests, coldOverloadWindow, limit)
+	if float64(maxRequests) > limit {
+		s.t.Errorf("a cold endpoint got %d requests within %v, want at most %.1f", maxRequests, coldOverloadWindow, limit)
 	}
 }
 
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -21,7 +21,7 @@
 	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, a.Addr, b.Addr)
 	n := 0
-	sendEight := func() (atA, atB int32) {
+	sendEightRequests := func() (atA, atB int32) {
 		for range 8 {
 			n++
 			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
@@ -30,22 +30,23 @@
 		}
 		return a.Requests.Swap(0), b.Requests.Swap(0)
 	}
-	if atA, atB := sendEight(); atA == 0 || atB == 0 {
+	if atA, atB := sendEightRequests(); atA == 0 || atB == 0 {
 		t.Errorf("with both endpoints ready: %d requests at a and %d at b, want some at each", atA, atB)
 	}
 	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
-	if atA, atB := sendEight(); atA != 0 || atB != 8 {
+	if atA, atB := sendEightRequests(); atA != 0 || atB != 8 {
 		t.Errorf("with a draining: %d requests at a and %d at b, want 0 and 8", atA, atB)
 	}
 	// The endpoint a is removed, and the endpoint b gets the address that a had.
 	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready")))
-	if atNew, atOld := sendEight(); atNew != 8 || atOld != 0 {
+	if atNew, atOld := sendEightRequests(); atNew != 8 || atOld != 0 {
 		t.Errorf("with b at a new address: %d requests there and %d at the old one, want 8 and 0", atNew, atOld)
 	}
 }
 
-// A regression test: SIGHUP ended the program. After a reload with another discovery agent the agent's endpoints serve,
-// the request in flight gets its response, and further reloads do no harm, also during the shutdown.
+// SIGHUP reloads the configuration; a fault once made it end the program. After a reload with another discovery agent
+// the agent's endpoints serve, the request in flight gets its response, and further reloads do no harm, also during the
+// shutdown.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
 	oldEndpoint, arrived, release := newBlockingEndpoint(t)
 	s := startPlatform(t, oldEndpoint.Addr)
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -68,8 +68,8 @@
 			}
 		})
 	}
-	// If the endpoint fails early, send the rest of the body only after the fault: kernel buffers would take the whole body
-	// before it otherwise.
+	// If the endpoint fails early, send the rest of the body only after the fault: otherwise kernel buffers would take
+	// the complete body before the fault.
 	go func() {
 		first := len(requestBody)
 		if c.moment == "head" || c.moment == "first byte" {
@@ -180,10 +180,10 @@
 // errUnexpectedBody is the error of readExpected for a body that differs from the expected one.
 var errUnexpectedBody = errors.New("unexpected body")
 
-// readExpected reads to the end of a body and returns how many of the expected bytes it has read, and errUnexpectedBody at
-// the first difference. A body that is a prefix of the expected bytes is no error. It reads into a small buffer: allocating
-// one of 48 MB took a reader up to 1.47 s under the race detector, with four readers on two cores, and the daemon cuts off
-// a client that does not read for 1.5 s.
+// readExpected reads to the end of a body and returns how many of the expected bytes it has read, and errUnexpectedBody
+// at the first difference. A body that is a prefix of the expected bytes is no error. It reads into a small buffer,
+// since allocating a buffer of 48 MB can take 1.47 s under the race detector with four readers on two cores, and the
+// daemon cuts off a client that does not read for 1.5 s.
 func readExpected(body io.Reader, want []byte) (n int, err error) {
 	for buffer := make([]byte, 64<<10); err == nil; {
 		var k int
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -25,9 +25,9 @@
 var (
 	matrixDirections   = []string{"up", "down"}                                         // direction of the long body
 	matrixFailingSides = []string{"caller", "node", "both"}                             // client, endpoint, or both of them
-	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"} // what was sent when the fault occurs
+	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"} // part of the message sent last before the fault
 	matrixFaults       = []string{"close", "reset", "silence", "garbage", "slow"}       // what the failing side does
-	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // effect of the request class
+	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // idempotent; with an idempotency key; not idempotent
 )
 
 // matrixCell is one cell of the fault matrix: one request with its fault, and what the endpoints observed of it.
@@ -115,14 +115,14 @@
 	nc.Close()
 }
 
-// expectation is a row of the table in docs/operators/long-bodies.md, which promises an outcome for some cells.
+// expectation is one row of the table in docs/operators/long-bodies.md, which promises an outcome for some cells.
 type expectation struct {
 	// pattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
 	// values, or a list of values separated by commas.
 	pattern  [5]string
 	outcomes []string     // outcomes that the client may get, as classifyResponse names them
 	maxRuns  int          // how often the request may run at an endpoint
-	row      int          // number of the row in the table
+	row      int          // position of the row in the table; the first row has 2
 	matches  atomic.Int32 // number of cells that the row applies to
 }
 
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -177,7 +177,8 @@
 	s.pool.updateEndpoints(list)
 }
 
-// startDiscovery starts a fake discovery agent that responds to each call with the next step, and reports the calls.
+// startDiscovery starts a fake discovery agent that responds to each call with the next element of steps, and sends
+// each call to the channel calls.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
 	agent := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -66,7 +66,8 @@
 	return r
 }
 
-// start polls once, so that a process without others takes clients at once, and then in the background until close.
+// start polls the shared directory once, so that the only process of a sidecar takes clients at once. It then polls in
+// the background until close.
 func (r *hotRestart) start() {
 	r.poll()
 	r.isPolling = true
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -15,8 +15,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// measureP99 runs clients that each send one request per interval for some time, each client on a connection of its own.
-// It returns the 99th percentile of the latency, counted from when each request was due.
+// measureP99 runs clients that each send one request per interval until total has passed, each client on a connection
+// of its own. It returns the 99th percentile of the latency, counted from when each request was due.
 func measureP99(tb testing.TB, addr string, clients int, interval time.Duration, total time.Duration) time.Duration {
 	tb.Helper()
 	var mu sync.Mutex
@@ -107,7 +107,7 @@
 	for _, separateListeners := range []bool{false, true} {
 		healthyAddr, hungAddr := startWithHungPool(t, separateListeners)
 		stop := make(chan bool)
-		load := startLoad(hungAddr, 16, stop) // with 64 clients the load itself took all cores of a busy machine
+		load := startLoad(hungAddr, 16, stop) // 64 clients would take all cores of a busy machine
 		// The limit is generous for busy machines: a request that waited for the hung pool would wait for a deadline of 1 s.
 		if p99 := measureP99(t, healthyAddr, 4, 20*time.Millisecond, 2*time.Second); p99 > 700*time.Millisecond {
 			t.Errorf("separate listeners %v: p99 is %v while the other pool hangs, want at most 700ms", separateListeners, p99)
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -31,8 +31,8 @@
 // overrides records which endpoints operators have ejected manually, and applies the ejections to all pools. The
 // ejections outlive endpoint lists and reloads, and with a shared directory also processes.
 type overrides struct {
-	commandSlot chan struct{}         // semaphore of size one: held while ejections are changed
-	directory   *hotrestart.Directory // directory shared with other processes of this sidecar; nil: there are no others
+	commandSlot chan struct{}         // semaphore of size one, held while ejections are changed
+	directory   *hotrestart.Directory // shared with other processes; nil: hot restart is not in use
 	// recentlyRestored are the IDs of endpoints whose ejection ended shortly before this process started. It is fixed
 	// before the first pool starts.
 	recentlyRestored []string
@@ -82,7 +82,8 @@
 		for _, id := range ejected {
 			p.loop.SetEjected(now, id, true)
 		}
-		for _, id := range o.recentlyRestored { // ejecting and restoring them makes them warm up in this process too
+		// Ejecting and restoring an endpoint makes it warm up in this process too.
+		for _, id := range o.recentlyRestored {
 			p.loop.SetEjected(now, id, true)
 			p.loop.SetEjected(now, id, false)
 		}
@@ -172,7 +173,8 @@
 		return "", errUnconfirmed
 	}
 	outcome := describeOutcome(id, before.isEjected, isEjected)
-	if o.directory != nil { // even if nothing has changed in this process: the other processes may not have the record
+	// The record is written even if nothing has changed in this process: the shared directory may lack it.
+	if o.directory != nil {
 		if err := o.directory.RecordEjection(id, isEjected, time.Now()); err != nil {
 			return "", fmt.Errorf("%s, but here alone, for other processes can't be told: %w", outcome, err)
 		}
@@ -238,12 +240,14 @@
 	for _, e := range state.Ejections {
 		isRecorded[e.ID] = true
 		if local := o.state(e.ID); local.isEjected != e.Ejected {
-			// After the timeout, pools whose event loops are still busy miss the change: it counts as recorded from now on.
+			// Pools whose event loops are still busy after catchUpTimeout miss the change: o.apply has recorded the
+			// change, so later polls do not apply it again.
 			_ = o.apply(ctx, local.pools, e.ID, e.Ejected)
 		}
 	}
 	for _, id := range o.ejectedIDs() {
-		if !isRecorded[id] { // the record was lost with a damaged file; if this fails, the next poll records it
+		// The ejection's record was lost with a damaged file. If recording it again fails, the next poll retries.
+		if !isRecorded[id] {
 			_ = o.directory.RecordEjection(id, true, time.Now())
 		}
 	}
@@ -259,7 +263,7 @@
 	var pending sync.WaitGroup
 	for _, p := range pools {
 		pending.Go(func() {
-			_ = p.loop.Do(ctx, func(time.Duration) { // after an error the pool's previous count is used
+			_ = p.loop.Do(ctx, func(time.Duration) { // if Do fails, the pool's previous count is used
 				l, a := p.loop.EndpointCounts()
 				p.listedCount.Store(int64(l))
 				p.avoidedCount.Store(int64(a))
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -105,7 +105,7 @@
 }
 
 // The end of the connection may delimit a response without a length (RFC 9112, 6.3), but only if the response says
-// Connection: close: otherwise it could have been truncated.
+// Connection: close: otherwise the response could have been truncated.
 func TestResponsesDelimitedByConnectionClose(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
@@ -190,8 +190,8 @@
 	}
 }
 
-// A regression test: the time limit of short responses applied while the beginning of a long response was buffered, and 28
-// long responses that arrived in pieces were cut off.
+// The time limit of short responses must not apply while the beginning of a long response is buffered, since it would
+// cut off long responses that arrive in pieces.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -25,7 +25,7 @@
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	members  *discovery.MemberCache // endpoint list and flap histories, kept when the discovery source is replaced
+	members  *discovery.MemberCache // endpoint list and flap histories; outlive the discovery source
 	log      *slog.Logger
 
 	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
@@ -78,7 +78,7 @@
 	return p
 }
 
-// randomSeed returns a seed that is not zero.
+// randomSeed returns a seed for a balancer: a random number that is not 0.
 func randomSeed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
@@ -120,7 +120,8 @@
 	if p.spec.Settings.MustSubscribe { // the balancer subscribed at its start, when there was no source yet
 		source.Subscribe()
 	}
-	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil { // a local list can be read without delay
+	// A list in a file or in the configuration can be read at once.
+	if polled, ok := source.(*discovery.PollingSource); ok && spec.DNS == nil {
 		polled.PollOnce(context.Background())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -213,7 +213,8 @@
 		return listen(spec.Address)
 	}
 	h, err := listenInherited(spec.Descriptor, spec.Address)
-	if err == nil && s.hotRestart != nil { // the first poll of hotRestart decides whether this process takes clients
+	// The socket stays paused until the first poll of hotRestart, which decides whether this process takes clients.
+	if err == nil && s.hotRestart != nil {
 		h.SetPaused(true)
 	}
 	return h, err
@@ -231,7 +232,7 @@
 			if err := l.serve(); !l.isDraining.Load() {
 				select {
 				case s.listenerFailed <- fmt.Errorf("listener %s: %w", l.spec.Name, err):
-				default: // another listener failed earlier, and Serve returns its error
+				default: // another listener failed earlier, and Serve returns the error of that listener
 				}
 			}
 		}()
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -20,22 +20,22 @@
 // stormNode is an endpoint that records the requests that arrive too late after a reload has made it draining or removed
 // it.
 type stormNode struct {
-	server *httptest.Server
-	addr   string
-	seen   *sync.Map // IDs of the requests that have arrived at any endpoint
+	server     *httptest.Server
+	addr       string
+	arrivedIDs *sync.Map // IDs of the requests that have arrived at any endpoint
 
 	mu            sync.Mutex
 	drainingSince time.Time       // when the endpoint was configured as draining or removed; zero: it is configured as ready
-	late          []time.Duration // delays after drainingSince of the requests that arrived later than lateAfter
+	lateDelays    []time.Duration // delays after drainingSince of the requests that arrived later than lateAfter
 }
 
 // lateAfter is how long the daemon may still send requests to a member after a reload has made it draining or removed it.
 const lateAfter = 500 * time.Millisecond
 
-// newStormNode starts an endpoint that is configured as ready. seen is shared by all endpoints.
-func newStormNode(t *testing.T, seen *sync.Map) *stormNode {
+// newStormNode starts an endpoint that is configured as ready. arrivedIDs is shared by all endpoints.
+func newStormNode(t *testing.T, arrivedIDs *sync.Map) *stormNode {
 	t.Helper()
-	n := &stormNode{seen: seen}
+	n := &stormNode{arrivedIDs: arrivedIDs}
 	n.server = httptest.NewServer(n)
 	n.addr = n.server.Listener.Addr().String()
 	t.Cleanup(n.server.Close)
@@ -47,12 +47,12 @@
 	n.mu.Lock()
 	if !n.drainingSince.IsZero() {
 		if delay := time.Since(n.drainingSince); delay > lateAfter {
-			n.late = append(n.late, delay)
+			n.lateDelays = append(n.lateDelays, delay)
 		}
 	}
 	n.mu.Unlock()
 	id := r.Header.Get("Req-Id")
-	n.seen.Store(id, true)
+	n.arrivedIDs.Store(id, true)
 	io.WriteString(w, id)
 }
 
@@ -71,10 +71,10 @@
 // stormClient sends requests one after another on a connection that it keeps until the daemon closes it, and expects one
 // response to each.
 type stormClient struct {
-	seen  *sync.Map     // IDs of the requests that have arrived at any endpoint
-	nc    net.Conn      // the open connection; nil: there is none
-	in    *bufio.Reader // reads from the connection
-	isNew bool          // no response has come on the connection yet
+	arrivedIDs *sync.Map     // IDs of the requests that have arrived at any endpoint
+	nc         net.Conn      // connection to the daemon; nil: none is open
+	in         *bufio.Reader // buffered reader of nc
+	isNew      bool          // whether no response has come on nc yet
 
 	served int      // number of requests with the expected response
 	shed   int      // number of requests with status 503
@@ -110,7 +110,7 @@
 			resp, err = http.ReadResponse(c.in, nil)
 		}
 		if err != nil {
-			_, hasArrived := c.seen.Load(attemptID)
+			_, hasArrived := c.arrivedIDs.Load(attemptID)
 			mayResend := !c.isNew && !hasArrived
 			c.drop()
 			if !mayResend || attempt > 5 {
@@ -136,7 +136,7 @@
 		c.served++
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		c.shed++
-		if _, ran := c.seen.Load(id); ran && resp.Header.Get("Retry-After") == "" {
+		if _, ran := c.arrivedIDs.Load(id); ran && resp.Header.Get("Retry-After") == "" {
 			c.lost = append(c.lost, id+": status 503 without Retry-After")
 		}
 	default:
@@ -198,10 +198,10 @@
 
 // Two hundred reloads under load lose no request, send none to a member that has long been draining, and leak nothing.
 func TestReloadStorm(t *testing.T) {
-	var seen sync.Map
+	var arrivedIDs sync.Map
 	var nodes []*stormNode
 	for range 5 {
-		nodes = append(nodes, newStormNode(t, &seen))
+		nodes = append(nodes, newStormNode(t, &arrivedIDs))
 	}
 	addrs := [2]string{testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
 	s := startFromFile(t, parseService(t, stormFile(0, addrs, nodes)))
@@ -216,7 +216,8 @@
 		}
 		return measureResources()
 	}
-	for round := range 4 { // the first reloads allocate what later reloads reuse
+	// The first four reloads allocate memory that later reloads reuse, so resources are measured after them.
+	for round := range 4 {
 		s.reload(t, stormFile(round, addrs, nodes))
 	}
 	s.reload(t, stormFile(0, addrs, nodes))
@@ -228,7 +229,7 @@
 	clients := make([]*stormClient, stormClients)
 	var running sync.WaitGroup
 	for i := range clients {
-		c := &stormClient{seen: &seen}
+		c := &stormClient{arrivedIDs: &arrivedIDs}
 		clients[i] = c
 		running.Go(func() {
 			defer c.drop()
@@ -255,9 +256,9 @@
 		total.lost = append(total.lost, c.lost...)
 	}
 	for _, n := range nodes {
-		if len(n.late) > 0 {
+		if len(n.lateDelays) > 0 {
 			t.Errorf("%d requests reached a member later than %v after it began to drain or was removed, the first ones after %v",
-				len(n.late), lateAfter, n.late[:min(len(n.late), 5)])
+				len(n.lateDelays), lateAfter, n.lateDelays[:min(len(n.lateDelays), 5)])
 		}
 	}
 	if len(total.lost) > 0 {
@@ -267,7 +268,7 @@
 		t.Error("no request was served")
 	}
 	s.reload(t, stormFile(0, addrs, nodes))
-	seen.Clear()
+	arrivedIDs.Clear()
 	var after resourceLevels
 	testpeer.Eventually(t, "goroutines and descriptors are as before", func() bool {
 		after = measureIdle()
@@ -283,28 +284,31 @@
 
 // The reload storm's own checks must detect late requests and lost requests, and nothing else.
 func TestReloadStormDetectsViolations(t *testing.T) {
-	var seen sync.Map
-	n := newStormNode(t, &seen)
+	var arrivedIDs sync.Map
+	n := newStormNode(t, &arrivedIDs)
 	n.setReady(false)
 	n.drainingSince = n.drainingSince.Add(-2 * lateAfter)
-	c := &stormClient{seen: &seen}
+	c := &stormClient{arrivedIDs: &arrivedIDs}
 	c.send(n.addr, "late")
-	if len(n.late) != 1 || c.served != 1 {
-		t.Errorf("after a late request: late %v, served %d, want one of each", n.late, c.served)
+	if len(n.lateDelays) != 1 || c.served != 1 {
+		t.Errorf("after a late request: late %v, served %d, want one of each", n.lateDelays, c.served)
 	}
 	n.setReady(true)
 	n.setReady(false)
 	c.send(n.addr, "in time")
-	if len(n.late) != 1 {
-		t.Errorf("after a request in time: late %v, want only the earlier one", n.late)
+	if len(n.lateDelays) != 1 {
+		t.Errorf("after a request in time: late %v, want only the earlier one", n.lateDelays)
 	}
 	c.drop()
 	for name, serve := range map[string]func(net.Conn, *http.Request, int) bool{
-		"no response after arrival": func(_ net.Conn, r *http.Request, _ int) bool { seen.Store(r.Header.Get("Req-Id"), true); return false },
-		"another response":          testpeer.RespondWith(testpeer.ResponseOK, true),
-		"an error":                  testpeer.RespondWith("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
+		"no response after arrival": func(_ net.Conn, r *http.Request, _ int) bool {
+			arrivedIDs.Store(r.Header.Get("Req-Id"), true)
+			return false
+		},
+		"another response": testpeer.RespondWith(testpeer.ResponseOK, true),
+		"an error":         testpeer.RespondWith("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", true),
 	} {
-		c := &stormClient{seen: &seen}
+		c := &stormClient{arrivedIDs: &arrivedIDs}
 		c.send(testpeer.NewEndpoint(t, serve).Addr, "x")
 		if len(c.lost) != 1 {
 			t.Errorf("%s: lost %v, want one request", name, c.lost)
@@ -314,11 +318,11 @@
 	// A request without a response on a connection that has served an earlier request is lost only if it has arrived at an
 	// endpoint.
 	for arrived := range 2 {
-		c := &stormClient{seen: &seen}
+		c := &stormClient{arrivedIDs: &arrivedIDs}
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, count int) bool {
 			if count == 2 {
 				if arrived == 1 {
-					seen.Store(r.Header.Get("Req-Id"), true)
+					arrivedIDs.Store(r.Header.Get("Req-Id"), true)
 				}
 				return false
 			}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -154,8 +154,10 @@
 		}
 	}
 	sendOn(t, nc, in)
-	s.reload(t, fileWith(first, ""))                        // the listener that was there first is still draining
-	s.reload(t, fileWith(first, "idle_timeout = \"1s\"\n")) // a new server takes over the same socket
+	// The listener that had this address at the start is still draining.
+	s.reload(t, fileWith(first, ""))
+	// The changed timeout needs a new server, which takes over the same socket.
+	s.reload(t, fileWith(first, "idle_timeout = \"1s\"\n"))
 	for range 50 {
 		if resp, _ := sendGet(t, first, "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("after the move back, at %s: status %s, want 200", first, resp.Status)
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// An endpoint's responses are forwarded unchanged, except for the statuses 503 and 429, which become 502: a client takes
-// them for a promise that its request has not run, and an endpoint can't promise that for attempts at other endpoints.
+// An endpoint's responses are forwarded unchanged, except for the statuses 503 and 429, which become 502: a client
+// concludes from 503 and 429 that its request has not run, but an endpoint knows nothing of attempts at other
+// endpoints.
 func TestResponsesAreForwardedUnchanged(t *testing.T) {
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Own", "1")
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -13,7 +13,7 @@
 )
 
 // firstGrantTimeout is how long a starting daemon waits for its first lease before it takes clients. Two elections of a
-// leader fit into it.
+// leader fit into this time.
 const firstGrantTimeout = 2 * time.Second
 
 // indeterminateRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. A
@@ -75,10 +75,10 @@
 
 // requestGuard returns a function that decides whether a request is served. The function rejects requests unless this
 // daemon's lease covers the configuration's version, so that no daemon serves with an old version for longer than the
-// cluster guarantees. requestGuard returns nil, which means that all requests are served, if isWanted is false or the
-// cluster does not agree on settings.
-func (n *clusterNode) requestGuard(isWanted bool, version *atomic.Uint64) func() bool {
-	if !n.hasConsensus() || !isWanted {
+// cluster guarantees. requestGuard returns nil, which means that all requests are served, if rejectsWhenIndeterminate
+// is false or the cluster does not agree on settings.
+func (n *clusterNode) requestGuard(rejectsWhenIndeterminate bool, version *atomic.Uint64) func() bool {
+	if !n.hasConsensus() || !rejectsWhenIndeterminate {
 		return nil
 	}
 	return func() bool {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -28,7 +28,7 @@
 type successor int
 
 const (
-	noSuccessor  successor = iota // the socket is closed
+	noSuccessor  successor = iota // no listener accepts from the socket, which is closed
 	sameProcess                   // another listener in this process accepts from the socket
 	otherProcess                  // a process that has replaced this one by hot restart accepts from the socket
 )
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -41,8 +41,8 @@
 	retiring         sync.WaitGroup   // configurations and listeners that a reload removed and that still serve requests
 	metrics          *metrics.Registry
 	overrides        *overrides   // manual ejections of endpoints
-	cluster          *clusterNode // nil: this daemon is in no cluster; fixed at the start
-	hotRestart       *hotRestart  // nil: no other process can be a successor
+	cluster          *clusterNode // this daemon's membership in a cluster; nil: it is in none; fixed at the start
+	hotRestart       *hotRestart  // nil: hot restart with other processes is not in use
 	isReady          atomic.Bool  // whether this process takes clients
 	fixedDescriptors int          // number of descriptors that are neither clients' nor endpoints' connections
 
@@ -64,8 +64,9 @@
 	connectionLimit int
 }
 
-// Start opens the listeners and starts the pools. They serve from then on; the caller must call Serve, which stops them
-// in the end. An error names the setting or address at fault; nothing keeps running after an error.
+// Start opens the listeners and starts the pools. Listeners and pools serve as soon as Start returns; the caller must
+// then call Serve, which stops them when its context ends. The error of a failed start names the setting or address at
+// fault, and nothing that Start began keeps running.
 func Start(c config.Service, log *slog.Logger) (*Sidecar, error) {
 	return StartWith(eventloop.NewBalancer, c, log)
 }
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -14,13 +14,14 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request of whose end two parsers could disagree must not smuggle a second request to the endpoint.
+// A request whose end two parsers could place differently must not smuggle a second request to the endpoint.
 //
-// Each test case has a host of its own, by which the requests that reach the endpoint are counted. The counts are checked
-// after the daemon has ended, so that a request that arrives late counts for its own case.
+// Each test case has a host of its own, by which the requests that reach the endpoint are counted. The counts are
+// checked after the daemon has ended, so that a request that arrives late counts for its own case.
 func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
 	var mu sync.Mutex
-	outer, hidden := map[string]int{}, map[string]int{} // numbers of outer and of smuggled requests by host
+	// Numbers of outer requests, and of requests hidden in their bodies, that reached the endpoint, by host.
+	outer, hidden := map[string]int{}, map[string]int{}
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		mu.Lock()
 		if r.URL.Path == "/x" {
@@ -33,12 +34,12 @@
 		return true
 	})
 	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", e.Addr)+payRoute))
-	const unfinished = "a chunk size of 16 digits" // name of the case whose body is never complete
+	const unfinishedCase = "a chunk size of 16 digits" // name of the case whose body is never complete
 	const smuggled = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	post := func(headers, body string) string { return "POST /x HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + body }
 	cases := []struct {
 		name, text  string
-		isForwarded bool // the outer request is forwarded; otherwise nothing is
+		isForwarded bool // whether the outer request is forwarded; false: neither request is
 	}{
 		{"CL.TE", post("Content-Length: 39\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+smuggled), true},
 		{"TE.CL", post("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", "21\r\n"+smuggled+"\r\n0\r\n\r\n"), true},
@@ -58,7 +59,7 @@
 		{"a negative length", post("Content-Length: -1\r\n", smuggled), false},
 		{"a length in hex", post("Content-Length: 0x5\r\n", "abcde"+smuggled), false},
 		{"a huge length", post("Content-Length: 99999999999999999999\r\n", smuggled), false},
-		{unfinished, post("Transfer-Encoding: chunked\r\n", "FFFFFFFFFFFFFFFF\r\n"+smuggled), false},
+		{unfinishedCase, post("Transfer-Encoding: chunked\r\n", "FFFFFFFFFFFFFFFF\r\n"+smuggled), false},
 		{"a chunk size of 17 digits", post("Transfer-Encoding: chunked\r\n", "00000000000000000\r\n\r\n"+smuggled), false},
 		{"a negative chunk size", post("Transfer-Encoding: chunked\r\n", "-1\r\n"+smuggled), false},
 		{"a chunk size with 0x", post("Transfer-Encoding: chunked\r\n", "0x5\r\nabcde\r\n0\r\n\r\n"+smuggled), false},
@@ -81,7 +82,7 @@
 			io.WriteString(nc, strings.ReplaceAll(c.text, "Host: h\r", "Host: "+host(i)+"\r"))
 			// The daemon treats a client that closes its sending side as disconnected, so the side is closed before the
 			// response only if the body is incomplete and the daemon would wait for the rest.
-			if c.name == unfinished {
+			if c.name == unfinishedCase {
 				_ = nc.(*net.TCPConn).CloseWrite()
 			}
 			in := bufio.NewReader(nc)
@@ -95,7 +96,8 @@
 				t.Errorf("got a second response: %q", rest)
 			}
 			isOK := resp.StatusCode == http.StatusOK
-			isRejected := resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusNotImplemented // RFC 9112, 6.1
+			// A rejection has status 400, or 501 for an unknown transfer coding (RFC 9112, 6.1).
+			isRejected := resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusNotImplemented
 			if isOK != c.isForwarded || !isOK && !isRejected {
 				t.Errorf("status %d %q, want 200 if forwarded (%v), else 400 or 501", resp.StatusCode, body, c.isForwarded)
 			}
@@ -113,8 +115,9 @@
 	}
 }
 
-// A regression test: net/http drops Content-Length if Transfer-Encoding is also present, and the bytes after the last chunk
-// were forwarded to endpoints as a request of their own.
+// A request with ambiguous framing is rejected, and the bytes after its last chunk are not forwarded as a request of
+// their own. The daemon must check the framing itself: net/http drops Content-Length without an error if
+// Transfer-Encoding is also present.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -39,8 +39,8 @@
 	accepting atomic.Int32 // number of Accept calls in progress
 }
 
-// past is a deadline that interrupts an Accept call at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past that interrupts an Accept call at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // listen opens a socket and returns its first handle.
 func listen(address string) (*socketHandle, error) {
@@ -73,7 +73,7 @@
 	defer s.mu.Unlock()
 	s.isPaused = isPaused
 	if isPaused {
-		_ = s.tcp.SetDeadline(past)
+		_ = s.tcp.SetDeadline(expiredDeadline)
 	} else {
 		s.clearDeadline()
 	}
@@ -158,7 +158,7 @@
 	isLast = h.handles == 0
 	if !isLast {
 		h.closing++
-		_ = h.tcp.SetDeadline(past)
+		_ = h.tcp.SetDeadline(expiredDeadline)
 	}
 	h.changed.Broadcast()
 	return isLast
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// A regression test: while one of two handles of a socket was closing, the other one cleared the past deadline that was to
-// interrupt the closing handle's Accept call, again and again before that call had noticed it. On two busy cores that
-// went on for 20 s.
+// While one handle of a socket closes, another open handle must not clear the past deadline that interrupts the closing
+// handle's Accept call. If it does so again and again before the Accept call has noticed the deadline, closing can take
+// 20 s on two busy cores.
 func TestConcurrentHandlesCloseIndependently(t *testing.T) {
 	first, err := listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -34,8 +34,8 @@
 	return nc, response
 }
 
-// After SIGTERM streaming bodies may still complete; one that has not completed by the drain timeout is aborted in such a
-// way that its client notices.
+// After SIGTERM streaming bodies may still complete; a body that has not completed by the drain timeout is aborted in
+// such a way that its client notices.
 func TestShutdownAbortsStreamsAfterDrainTimeout(t *testing.T) {
 	arrived := make(chan bool, 10)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,7 +61,8 @@
 	quick.Write(longBody(64 << 10))
 	stuck, stuckResponse := startUpload(t, addr, 1<<20)
 	stuck.Write(longBody(64 << 10))
-	buffered, bufferedResponse := startUpload(t, addr, 1<<20) // the daemon still buffers its first bytes
+	// The daemon still buffers the first bytes of this upload when the shutdown begins.
+	buffered, bufferedResponse := startUpload(t, addr, 1<<20)
 	buffered.Write(longBody(100))
 	download := make(chan error, 1)
 	go func() {
@@ -108,7 +109,8 @@
 	nc, response := startUpload(t, s.addressOf("one"), 1<<20)
 	nc.Write(longBody(64 << 10))
 	<-arrived
-	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1)) // a new server takes over the socket
+	// The changed limit needs a new server, which takes over the socket.
+	s.reload(t, strings.Replace(file, "body_bytes = 1073741824", "body_bytes = 100", 1))
 	nc.Write(longBody(1 << 20)[64<<10:])
 	// The old server may close the connection with the response or later; the response must be complete in both cases.
 	if got := <-response; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "1048576") {
@@ -160,7 +162,7 @@
 		s := startFromFile(t, parseService(t, streamingListener+poolSection("a", l.Addr().String())+payRoute))
 		nc, response := startUpload(t, s.addressOf("one"), 1<<30)
 		nc.Write(longBody(64 << 10))
-		got := <-response // comes although the body never ends: the daemon closes the connection
+		got := <-response // the response comes although the body never ends, since the daemon closes the connection
 		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") ||
 			!strings.Contains(got, "Connection: close") {
 			t.Errorf("response %q, want status %d, \"early\" and Connection: close", got, status)
