--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -12,19 +12,21 @@
 	// stallThreshold is the length from which a pause between requests is taken for a stall of the process. It is far below
 	// the shortest deadline that clients set in service (480 ms).
 	stallThreshold = 100 * time.Millisecond
-	// stallSuspicionPeriod is how long after a stall the arrival of requests is checked. The backlog is read by then.
+	// stallSuspicionPeriod is how long after a stall the arrival of requests is checked. By then the requests that waited in
+	// sockets during the stall have been read.
 	stallSuspicionPeriod = 2 * time.Second
 )
 
-// stallDetector detects when requests may have waited in their sockets. It is safe for concurrent use.
+// stallDetector detects pauses in which the process did not run, so that requests may have waited in their sockets. It is safe
+// for concurrent use.
 type stallDetector struct {
 	startedAt    time.Time    // when the detector was created; never changes
 	lastRequest  atomic.Int64 // when the latest request was read, in nanoseconds since startedAt
-	suspectUntil atomic.Int64 // end of the suspicion after the latest stall, in nanoseconds since startedAt
+	suspectUntil atomic.Int64 // until when requests may have waited, in nanoseconds since startedAt
 }
 
-// observeRequest records that a request is read now, and reports whether it may have waited in its socket. With little load every
-// request is suspect, which costs one system call each.
+// observeRequest records that a request is read now, and reports whether it may have waited in its socket. Under little load the
+// pauses between requests are as long as a stall, so every request is suspect, which costs one system call each.
 func (d *stallDetector) observeRequest(now time.Time) (isSuspect bool) {
 	sinceStart := now.Sub(d.startedAt).Nanoseconds()
 	if sinceStart-d.lastRequest.Swap(sinceStart) >= int64(stallThreshold) {
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -9,11 +9,11 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Guards against late forwarding after a stall: in a rehearsal a sidecar that was stopped for 20 s forwarded requests from its sockets
-// 16 s after their clients had disconnected.
+// After a stall of the process the deadline of a request counts from its arrival, and its client may have disconnected. Otherwise
+// a sidecar that was stopped for 20 s forwards requests from its sockets 16 s after their clients have disconnected.
 func TestRequestThatWaitedInItsSocketCountsFromItsArrival(t *testing.T) {
 	idle := acceptIdleConn(t)
-	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // the response that acceptIdleConn wrote
+	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // read the response that acceptIdleConn wrote
 		t.Fatal(err)
 	}
 	r := (&http.Request{}).WithContext(withConn(t.Context(), idle.conn))
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -35,7 +35,7 @@
 	queuedAt        time.Time     // when the connection was added to queue
 	awaitsFirstByte bool          // no byte was received since the last write: the next byte begins a request
 	isEvicted       bool          // the next read ends the connection, unless bytes are received first
-	isCounted       bool          // the connection is counted in listener.open
+	isCounted       bool          // the connection is counted in listener.openCount
 }
 
 // Read implements net.Conn.
@@ -81,7 +81,7 @@
 func (c *clientConn) readAgain(b []byte) (n int, err error) {
 	for range maxFinalReads {
 		startedAt := time.Now()
-		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // if this fails, the read fails, too
+		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // if SetReadDeadline fails, the read fails, too
 		n, err = c.Conn.Read(b)
 		if n > 0 {
 			return n, c.Conn.SetReadDeadline(time.Now().Add(c.listener.headTimeout))
@@ -129,8 +129,8 @@
 	splicer
 }
 
-// ReadFrom implements io.ReaderFrom. It splices a splicedReader if the connection has a writeMeter; otherwise it copies nothing
-// from it and returns no error.
+// ReadFrom implements io.ReaderFrom. It splices a splicedReader if the connection has a writeMeter. Without a writeMeter it
+// copies nothing from a splicedReader and returns no error. The bytes of any other reader are copied.
 func (c *clientConn) ReadFrom(r io.Reader) (int64, error) {
 	source, isSpliced := r.(splicedReader)
 	to, isTCP := c.Conn.(*limitedConn)
@@ -157,7 +157,7 @@
 	return c
 }
 
-// setWriteMeter enforces a minimum rate on writes to the client of a request; nil removes it.
+// setWriteMeter enforces a minimum rate on writes to the client of a request; a nil meter removes the minimum.
 func setWriteMeter(r *http.Request, meter *body.Meter) {
 	if c := connOf(r); c != nil {
 		c.writeMeter.Store(meter)
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -12,10 +12,10 @@
 	net.Listener
 
 	mu             sync.Mutex // guards the fields below
-	changed        sync.Cond  // signaled when open, maxConnections or closed has changed
-	open           int        // connections that are open or about to be accepted
+	changed        sync.Cond  // signaled when openCount, maxConnections or isClosed has changed
+	openCount      int        // connections that are open or about to be accepted
 	maxConnections int
-	closed         bool // Close was called
+	isClosed       bool // whether Close was called
 }
 
 // NewLimitListener wraps a listener for TCP connections, so that at most maxConnections of them are open at once.
@@ -49,7 +49,7 @@
 // Close implements net.Listener. Accepted connections stay open.
 func (l *LimitListener) Close() error {
 	l.mu.Lock()
-	l.closed = true
+	l.isClosed = true
 	l.changed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
@@ -59,20 +59,20 @@
 func (l *LimitListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.open >= l.maxConnections && !l.closed {
+	for l.openCount >= l.maxConnections && !l.isClosed {
 		l.changed.Wait()
 	}
-	if !l.closed {
-		l.open++
+	if !l.isClosed {
+		l.openCount++
 	}
-	return !l.closed
+	return !l.isClosed
 }
 
-// release no longer counts a connection that was closed or not accepted, so that another one can be accepted.
+// release stops counting a connection that was closed or could not be accepted, so that another one can be accepted.
 func (l *LimitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.openCount--
 	l.changed.Broadcast()
 }
 
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -61,7 +61,8 @@
 		clientsPerClass, _ = strconv.Atoi(value)
 	}
 	goroutinesBefore := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, goroutinesBefore) }) // registered first, so that it runs after all other cleanups
+	// The leak check is registered first, so that it runs after all other cleanups.
+	t.Cleanup(func() { goleak.VerifyNone(t, goroutinesBefore) })
 	recorder := &arrivalRecorder{arrivedAt: map[string]time.Time{}}
 	var addrs []string
 	for range 3 {
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -14,14 +14,15 @@
 )
 
 // A request whose client disconnects while its attempt dials must not be written once the connection is established, even though
-// net/http does not notice the disconnect. It does not if further bytes follow the request, or if the rest of a streaming body has not
-// been read yet. A client that closes only its sending side before the end of its body must get status 400. The connection that was
+// net/http does not notice the disconnect, because further bytes follow the request or the rest of a streaming body has not been
+// read yet. A client that closes only its sending side before the end of its body must get status 400. The connection that was
 // dialed must serve the next request.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", body.BufferSize+1<<10)
 	for _, class := range []string{"look", "book", "pay"} {
 		short := requestText(class, "r1", "")
-		requests := map[string][2]string{ // the bytes that are sent before the dial begins, and after that
+		// Bytes that the client sends before the dial begins and after that, by the name of the case.
+		requests := map[string][2]string{
 			"short":                        {short},
 			"short, then a stray line end": {short, "\r\n"},
 			"short, then a second request": {short, requestText(class, "next", "")},
@@ -84,9 +85,9 @@
 	}
 }
 
-// Guards against forwarding a request after its handler has noticed the disconnect and closed the connection: the kernel's state of a
-// closed connection can't be read, which must not count as connected. On a machine short of processor time 1 of 30,000 requests was
-// forwarded 0.7 s after its client had disconnected.
+// The client of a connection that this process has closed must not count as connected, although the kernel's state of a closed
+// connection can't be read. Otherwise a request may be forwarded after its handler has noticed the disconnect and closed the
+// connection: on a machine short of processor time 1 of 30,000 requests is forwarded 0.7 s after its client has disconnected.
 func TestClientOfClosedConnectionIsNotConnected(t *testing.T) {
 	conn := acceptIdleConn(t).conn
 	r, err := http.NewRequestWithContext(withConn(t.Context(), conn), http.MethodGet, "/look", nil)
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -11,7 +11,7 @@
 // dispatch submits a request to its pool's event loop and writes the response, unless the client has disconnected. The metrics count
 // the request as active from the call of dispatch to its return.
 func (s *Server) dispatch(w *responseWriter, r *http.Request, request *routedRequest) {
-	outcome := metrics.Failed // overwritten if a reply is written
+	outcome := metrics.Failed // outcome of a request without a reply; overwritten if a reply is written
 	request.target.Class.Metrics.Begin()
 	defer func() { request.target.Class.Metrics.End(outcome) }()
 	pool, call := request.target.Pool, request.call
--- a/internal/frontend/dispatch_test.go
+++ b/internal/frontend/dispatch_test.go
@@ -80,7 +80,9 @@
 	p.awaitDial(t)
 	testpeer.Eventually(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
 	close(mayDialAgain)
-	if got := responseStatus(client); got != http.StatusServiceUnavailable { // all endpoints share the keys they have seen
+	// The balancer sheds the request, since a retry by the client is harmless: all endpoints drop duplicates by the request's
+	// key.
+	if got := responseStatus(client); got != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", got)
 	}
 	if n := e.Requests.Load(); n != 1 {
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// minSilentAge is how long a new connection may send nothing before it is evicted first. Clients normally send at once.
+	// minSilentAge is how long a new connection may send nothing before it is the first candidate for eviction. Clients normally
+	// send at once.
 	minSilentAge = 100 * time.Millisecond
 	// minPartialAge is how long the rest of a request's head may take before its connection can be evicted.
 	minPartialAge = 300 * time.Millisecond
 )
 
-// evictIfOverLimit evicts one connection if there are more than maxConnections. It prefers a new connection that has sent nothing for
-// minSilentAge, then the connection that has been idle for longest, then any new one without a byte received, then one on which a
-// request's head has been incomplete for minPartialAge. If all connections have an open request, none is evicted; a LimitListener
-// keeps further ones from being accepted. l.mu is held.
+// evictIfOverLimit evicts one connection if there are more than maxConnections. It prefers a new connection that has sent nothing
+// for minSilentAge, then the connection that has been idle for longest, then any new connection without a byte received, then a
+// connection on which a request's head has been incomplete for minPartialAge. If all connections have an open request, none is
+// evicted; a LimitListener keeps further connections from being accepted. l.mu is held.
 func (l *Listener) evictIfOverLimit() {
-	if l.open-l.evicting <= l.maxConnections {
+	if l.openCount-l.evictingCount <= l.maxConnections {
 		return
 	}
 	for _, candidates := range []struct {
@@ -63,7 +64,7 @@
 			c.evict()
 		}
 	}
-	return l.open
+	return l.openCount
 }
 
 // evict makes the read that waits for a request time out, so that net/http closes the connection, unless a request is received first.
@@ -71,7 +72,7 @@
 func (c *clientConn) evict() {
 	c.moveTo(nil)
 	c.isEvicted = true
-	c.listener.evicting++
+	c.listener.evictingCount++
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // this fails only on a closed connection, on which the read returns anyway
 }
 
@@ -80,7 +81,7 @@
 func (c *clientConn) cancelEviction(deadline time.Time) {
 	if c.isEvicted {
 		c.isEvicted = false
-		c.listener.evicting--
+		c.listener.evictingCount--
 		_ = c.Conn.SetReadDeadline(deadline) // this fails only on a closed connection, on which the next read fails, too
 	}
 }
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -47,8 +47,8 @@
 	return idleConn{listener, conn, client}
 }
 
-// Guards against closing a connection between the read of a request's first bytes and the moment when net/http reports the connection
-// as active. This happened under overload with few file descriptors.
+// Guards against closing a connection between the read of a request's first bytes and the moment when net/http reports the
+// connection as active. That can happen under overload with few file descriptors.
 func TestConnectionWithPartlyReadRequestIsNotEvicted(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "re")
@@ -148,13 +148,13 @@
 	if n, err := idle.conn.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Errorf("net/http's background read returned %d bytes, error %v, want 1 byte and no error", n, err)
 	}
-	if idle.listener.evicting != 0 || idle.listener.open != 1 {
-		t.Errorf("%d connections are being evicted and %d are open, want 0 and 1", idle.listener.evicting, idle.listener.open)
+	if idle.listener.evictingCount != 0 || idle.listener.openCount != 1 {
+		t.Errorf("%d connections are being evicted and %d are open, want 0 and 1", idle.listener.evictingCount, idle.listener.openCount)
 	}
 }
 
-// Guards against losing a request that the kernel has received but the process has not read yet when its connection is evicted. This
-// happened under overload on half a core.
+// Guards against losing a request that the kernel has received but the process has not read yet when its connection is evicted.
+// That can happen under overload on half a core.
 func TestReceivedRequestIsReadDespiteEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "request")
@@ -175,15 +175,15 @@
 	}
 }
 
-// Guards against a connection without a read deadline: after a partial head had cancelled the connection's eviction, no deadline was
-// left. Enough such connections kept all other clients from being accepted.
+// After a partial head has cancelled the eviction of its connection, the connection must have a read deadline again. Enough
+// connections without a read deadline keep all other clients from being accepted.
 func TestPartialRequestHasReadDeadlineAfterCancelledEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "GET /lo")
 	idle.listener.evictIdle()
 	for {
 		if _, err := idle.conn.Read(make([]byte, 16)); err != nil {
-			return // the read timed out before the test did
+			return // the read timed out before the test did, so it had a deadline
 		}
 	}
 }
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -111,7 +111,7 @@
 			h.hasTransferEncoding = true
 		}
 		h.nameLength = -1
-	case h.nameLength == len(h.name): // longer than both names that are looked for
+	case h.nameLength == len(h.name): // longer than Content-Length and Transfer-Encoding
 		h.nameLength = -1
 	default:
 		if c >= 'A' && c <= 'Z' {
--- a/internal/frontend/framing_test.go
+++ b/internal/frontend/framing_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// The result must not depend on how the bytes of a head are split into reads, nor on earlier requests.
+// The result of a headScanner must not depend on how the bytes of a head are split into reads, nor on earlier requests.
 func TestHeadScannerResultIsIndependentOfReadBoundaries(t *testing.T) {
 	fields := []string{"Transfer-Encoding: chunked", "Content-Length: 5", "X: y", "Host: h", " folded: z", "x:"}
 	previous := []string{"", "GET / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", "half a"}
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -11,7 +11,7 @@
 // Forwarded (RFC 7239) and the customary X-Forwarded-*.
 type ForwardedMode string
 
-// The values of ForwardedMode.
+// Values of ForwardedMode, as the setting "forwarded" of a listener names them.
 const (
 	ForwardedSet    ForwardedMode = "set"    // replace the client's forwarding headers by the daemon's
 	ForwardedAppend ForwardedMode = "append" // append the daemon's values to the client's forwarding headers: clients are trusted
@@ -39,7 +39,8 @@
 	}
 }
 
-// endToEndHeader returns a copy of a header without the hop-by-hop headers. The preserved ones stay even if Connection names them.
+// endToEndHeader returns a copy of a header without the hop-by-hop headers. The preserved headers stay even if Connection names
+// them.
 func endToEndHeader(in http.Header, preserved ...string) http.Header {
 	out := in.Clone()
 	removeHopByHop(out)
@@ -51,7 +52,8 @@
 	return out
 }
 
-// upstreamHeader returns the header with which a request is forwarded.
+// upstreamHeader returns the header with which a request is forwarded: its end-to-end headers with the target's changes and the
+// forwarding headers.
 func (s *Server) upstreamHeader(r *http.Request, target *Target) http.Header {
 	class := target.Class
 	h := endToEndHeader(r.Header, class.IDHeader, class.KeyHeader, class.TenantHeader)
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -22,15 +22,15 @@
 // The methods of Listener are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
 type Listener struct {
 	net.Listener
-	headTimeout time.Duration // for reading the rest of a request's head whose connection was about to be evicted
+	headTimeout time.Duration // timeout for the rest of a request's head on a connection that was about to be evicted
 
 	mu                 sync.Mutex // guards the fields below, and the tracking fields of all clientConns
 	maxConnections     int        // number of connections beyond which those without an open request are evicted
-	open               int        // number of connections that are accepted and not yet closed
-	evicting           int        // number of connections that are marked for eviction and not yet closed
+	openCount          int        // number of connections that are accepted and not yet closed
+	evictingCount      int        // number of connections that are marked for eviction and not yet closed
 	isRecheckScheduled bool       // a timer will call evictIfOverLimit
 
-	// The queues hold the connections without an open request, the one that was queued first at the front.
+	// The queues hold the connections without an open request, the connection that was queued first at the front.
 	silent  list.List // new connections on which no byte was received
 	idle    list.List // connections on which no byte was received since a response was written
 	partial list.List // connections on which a part of a request's head was received
@@ -51,7 +51,7 @@
 	c := &clientConn{Conn: conn, listener: l, awaitsFirstByte: true, isCounted: true}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open++
+	l.openCount++
 	c.moveTo(&l.silent)
 	l.evictIfOverLimit()
 	return c, nil
@@ -63,7 +63,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
-	case http.StateActive: // the head of a request is complete, which may be a pipelined one: the request will be served
+	case http.StateActive: // the head of a request, possibly a pipelined one, is complete: the request will be served
 		c.moveTo(nil)
 		c.cancelEviction(time.Time{})
 	case http.StateIdle:
@@ -77,11 +77,11 @@
 		c.moveTo(nil)
 		if c.isEvicted {
 			c.isEvicted = false
-			l.evicting--
+			l.evictingCount--
 		}
 		if c.isCounted {
 			c.isCounted = false
-			l.open--
+			l.openCount--
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConnections = maxConnections
-	for before := -1; before != l.evicting; {
-		before = l.evicting
+	for before := -1; before != l.evictingCount; {
+		before = l.evictingCount
 		l.evictIfOverLimit()
 	}
 }
@@ -101,7 +101,7 @@
 func (l *Listener) ConnectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open
+	return l.openCount
 }
 
 // Shutdown closes the listener, evicts connections as they become idle, and returns when all connections are closed. Each is closed
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// awaitNoCalls waits until the event loop holds no calls.
+// awaitNoCalls waits until the event loop holds no calls, that is, no unfinished requests.
 func (p *testProxy) awaitNoCalls(t *testing.T) {
 	t.Helper()
 	testpeer.Eventually(t, "the event loop holds no calls", func() bool {
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -17,10 +17,10 @@
 
 // rejection is the response to a request that reaches no endpoint. The text of err becomes the response's body.
 type rejection struct {
-	status     int
-	err        error
-	allow      []string      // methods for the header Allow, if the request's method is not allowed
-	retryAfter time.Duration // value of the header Retry-After, in whole seconds; 0: no such header
+	status         int
+	err            error
+	allowedMethods []string      // methods for the header Allow, if the request's method is not allowed
+	retryAfter     time.Duration // value of the header Retry-After, in whole seconds; 0: no such header
 }
 
 // newRejection returns a rejection whose text is formatted as by fmt.Errorf.
@@ -58,8 +58,8 @@
 // client that sends the same request again must open a new connection.
 func (r *rejection) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	if len(r.allow) > 0 {
-		w.Header().Set("Allow", strings.Join(r.allow, ", "))
+	if len(r.allowedMethods) > 0 {
+		w.Header().Set("Allow", strings.Join(r.allowedMethods, ", "))
 	}
 	if r.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(r.retryAfter.Seconds())))
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -75,7 +75,7 @@
 	switch {
 	case len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method):
 		rejected := newRejection(http.StatusMethodNotAllowed, "method %.40q is not served here", r.Method)
-		rejected.allow = c.Methods
+		rejected.allowedMethods = c.Methods
 		return rejected
 	case c.ForbidsBody && hasBody:
 		return newRejection(http.StatusBadRequest, "a body is not wanted here")
@@ -91,7 +91,7 @@
 func (c *Class) requestID(h http.Header) (string, *rejection) {
 	if !c.RequiresID && len(h.Values(c.IDHeader)) == 0 {
 		var id [16]byte
-		_, _ = rand.Read(id[:]) // never returns an error, according to its documentation
+		_, _ = rand.Read(id[:]) // rand.Read never returns an error, according to its documentation
 		return hex.EncodeToString(id[:]), nil
 	}
 	id, err := singleValue(h, c.IDHeader)
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -18,7 +18,7 @@
 const (
 	statusShed      = http.StatusServiceUnavailable
 	statusFailed    = http.StatusBadGateway
-	statusDuplicate = http.StatusConflict // a request with the same id is not finished
+	statusDuplicate = http.StatusConflict // another request with the same id is in flight
 )
 
 var statusByVerdict = map[eventloop.Verdict]int{
@@ -37,7 +37,7 @@
 // responseWriter is a ResponseWriter that sets Connection: close if the connection can't serve another request.
 type responseWriter struct {
 	http.ResponseWriter
-	closesConnections *atomic.Bool // closesConnections of the Server: every response closes its connection
+	closesConnections *atomic.Bool // the Server's field: whether every response closes its connection
 	upload            *body.Upload // streaming body of the request; nil: the body is not streamed
 	mustClose         bool         // the bytes that follow on the connection can't be trusted to begin a new request
 	wroteHeader       bool
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -41,7 +41,7 @@
 	HeadTimeout  time.Duration // timeout for reading a request's head
 	BodyTimeout  time.Duration // timeout for reading a buffered body
 	IdleTimeout  time.Duration // how long a connection may be idle between two requests
-	WriteTimeout time.Duration // timeout for writing a buffered response, or the end of a streaming one
+	WriteTimeout time.Duration // timeout for writing a buffered response, or the last chunk of a streaming response
 
 	Forwarded            ForwardedMode
 	Pseudonym            string // the daemon's pseudonym in the header Via
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -17,8 +17,9 @@
 	lingerBytes = 256 << 10
 )
 
-// isStreaming reports whether a request's body is streamed to the endpoint. Long bodies and those of unknown length are. With Expect:
-// 100-continue bodies of any length are, since the endpoint decides whether the client should send them.
+// isStreaming reports whether a request's body is streamed to the endpoint. Bodies that are longer than body.BufferSize or of
+// unknown length are streamed. With Expect: 100-continue bodies of any length are streamed, since the endpoint decides whether
+// the client should send them.
 func (s *Server) isStreaming(r *http.Request) bool {
 	isLong := r.ContentLength < 0 || r.ContentLength > body.BufferSize
 	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
@@ -54,8 +55,8 @@
 	w.upload = upload
 	defer func() {
 		if w.wroteHeader && !upload.IsComplete() {
-			// The client must get the response before the rest of the body is read. Without a response there is nothing to
-			// flush: net/http would write an empty one.
+			// The client must get the response before the rest of the body is read. Without a response there is nothing to flush:
+			// net/http would write an empty response.
 			_ = control.Flush()
 		}
 		upload.Close(lingerTime, lingerBytes)
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -13,8 +13,8 @@
 	requestTarget string // request target with which the request is forwarded
 }
 
-// resolveTarget returns the target of a request's route. A request that matches no route is rejected: it must reach neither the balancer
-// nor an endpoint, since it is not known whether it is idempotent.
+// resolveTarget returns the target of a request's route. A request that matches no route is rejected: it must reach neither the
+// balancer nor an endpoint, since the daemon does not know whether the request is idempotent.
 func (s *Server) resolveTarget(routes *RouteConfig, r *http.Request) (resolvedTarget, *rejection) {
 	query := route.Request{Method: r.Method, Header: r.Header, Host: route.Host(r.Host)}
 	raw := originForm(r.RequestURI)
@@ -44,8 +44,8 @@
 	return resolvedTarget{target, rewritten}, nil
 }
 
-// rewritePath replaces Prefix at the beginning of the path by PrefixRewrite. Where both the replacement and the rest of the path have
-// a slash, one is dropped.
+// rewritePath replaces Prefix at the beginning of the path by PrefixRewrite. Where both the replacement and the rest of the path
+// have a slash, one slash is dropped.
 func (t *Target) rewritePath(path string) string {
 	if t.PrefixRewrite == "" {
 		return path
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -171,7 +171,7 @@
 	client := p.dialClient(t)
 	_ = client.SetDeadline(time.Now().Add(testpeer.Timeout))
 	written := make(chan struct{})
-	go func() { // the daemon may not read a rejected request to its end, which would block this write
+	go func() { // concurrent with the reads: the daemon may not read a rejected request to its end, and the write then blocks
 		defer close(written)
 		io.WriteString(client, c.request)
 	}()
