--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -2,17 +2,17 @@
 
 import "container/list"
 
-// MemoryBudget divides a fixed number of bytes among bodies. A part of them is reserved for buffered bodies, which never wait
-// behind streaming ones. Requests for the same kind of body are granted in the order in which they were made. A MemoryBudget
-// does no I/O, reads no clock, starts no goroutine, and is not safe for concurrent use.
+// MemoryBudget divides a fixed number of bytes among bodies. A part of the bytes is reserved for buffered bodies, which never
+// wait behind streaming ones. Requests for the same kind of body are granted in the order in which they were made. A
+// MemoryBudget does no I/O, reads no clock, starts no goroutine, and is not safe for concurrent use.
 type MemoryBudget struct {
-	total           int                   // bytes to divide
+	total           int                   // bytes to divide among bodies
 	bufferedReserve int                   // bytes of total that streaming bodies can't get
 	used            int                   // bytes granted to bodies of both kinds
 	usedByStreaming int                   // bytes granted to streaming bodies
 	bufferedQueue   list.List             // waitingRequests for buffered bodies, oldest first
 	streamingQueue  list.List             // waitingRequests for streaming bodies, oldest first
-	waiting         map[int]*list.Element // entries of both queues, by request ID
+	waiting         map[int]*list.Element // entries of bufferedQueue and streamingQueue, by request ID
 	lastID          int                   // ID of the most recent request
 }
 
@@ -49,7 +49,7 @@
 	return b.lastID, false
 }
 
-// Release releases granted memory, and returns the IDs of the queued requests that this lets it grant.
+// Release releases granted memory, grants queued requests as far as they fit now, and returns their IDs.
 func (b *MemoryBudget) Release(s Size) []int {
 	b.used -= s.Bytes
 	if s.Streaming {
@@ -58,7 +58,7 @@
 	return b.grantWaiting()
 }
 
-// Cancel removes a queued request, and returns the IDs of the other queued requests that this lets it grant. ok is false if
+// Cancel removes a queued request, grants other queued requests as far as they fit now, and returns their IDs. ok is false if
 // the request is not queued any more.
 func (b *MemoryBudget) Cancel(id int) (granted []int, ok bool) {
 	e := b.waiting[id]
@@ -83,7 +83,7 @@
 	return &b.bufferedQueue
 }
 
-// tryGrant grants the memory if it is free. A streaming body gets none while a buffered one waits.
+// tryGrant grants the memory if it is free. A streaming body gets no memory while a buffered body waits.
 func (b *MemoryBudget) tryGrant(s Size) bool {
 	if b.used+s.Bytes > b.total {
 		return false
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -10,7 +10,7 @@
 // budgetModel applies random operations to a MemoryBudget and tracks the requests that are granted and those that wait.
 type budgetModel struct {
 	budget           *MemoryBudget
-	total, reserve   int          // arguments of NewMemoryBudget
+	total, reserve   int          // arguments of NewMemoryBudget, in bytes
 	sizes            map[int]Size // sizes of all requests, by ID
 	waiting, granted []int        // IDs of requests, the waiting ones in the order in which they were made
 }
@@ -103,8 +103,8 @@
 	})
 }
 
-// A streaming body gets no memory, even if enough is free, while a buffered one waits: the buffered one would have to wait
-// longer.
+// A streaming body gets no memory, even if enough is free, while a buffered body waits: otherwise the buffered body would
+// have to wait longer.
 func TestStreamingBodyWaitsWhileBufferedOneWaits(t *testing.T) {
 	b := NewMemoryBudget(100, 0)
 	inUse, buffered, streaming := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, Streaming: true}
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -24,7 +24,7 @@
 type MemoryPool struct {
 	mu      sync.Mutex
 	budget  *MemoryBudget
-	granted map[int]chan struct{} // by ID of a queued request; each is closed when its request is granted
+	granted map[int]chan struct{} // channels by the ID of a queued request, each closed when its request is granted
 	buffers sync.Pool             // unused buffers, each a *[]byte of BufferSize bytes
 }
 
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -54,7 +54,7 @@
 	Source
 	pool   *MemoryPool
 	buffer *[]byte       // BufferSize bytes: the prefix, then the parts after it
-	meter  Meter         // of the client's MinimumRate
+	meter  Meter         // checks that the client keeps its MinimumRate
 	failed chan struct{} // closed when the body could not be read
 
 	mu          sync.Mutex
@@ -66,7 +66,7 @@
 	isComplete  bool      // the body's end has arrived
 	isConsumed  bool      // the body can't be sent again: bytes beyond the prefix were returned, or the buffer was taken
 	isStopped   bool      // no more reads are allowed
-	err         error     // why the body could not be read
+	err         error     // why a read of the body failed; nil: none has failed
 }
 
 // NewUpload returns an Upload with a buffer from the pool. It waits for the buffer until ctx ends, and fails as
--- a/internal/body/upload_reader.go
+++ b/internal/body/upload_reader.go
@@ -9,7 +9,7 @@
 type UploadReader struct {
 	upload   *Upload
 	offset   int  // bytes of the upload's prefix that were returned, guarded by upload.mu
-	isClosed bool // guarded by upload.mu
+	isClosed bool // whether Close was called, guarded by upload.mu
 }
 
 // NewReader returns a reader that begins with the body's first byte. ok is false if the body can't be sent again.
--- a/internal/body/upload_receive.go
+++ b/internal/body/upload_receive.go
@@ -56,7 +56,7 @@
 		r.offset = u.prefixLen
 		return part, nil
 	}
-	if part := u.pendingPart; part != nil { // the next read overwrites the prefix
+	if part := u.pendingPart; part != nil { // returning a part beyond the prefix makes the next read overwrite the prefix
 		u.pendingPart, u.isConsumed = nil, true
 		return part, nil
 	}
@@ -66,7 +66,7 @@
 	to := (*u.buffer)[u.prefixLen:PrefixSize]
 	isBeyondPrefix := len(to) == 0
 	switch {
-	case u.isConsumed: // the prefix is not needed any more
+	case u.isConsumed: // the prefix is not needed any more, so the whole buffer is free
 		to = *u.buffer
 	case isBeyondPrefix:
 		to = (*u.buffer)[PrefixSize:]
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -15,7 +15,7 @@
 type scriptedBody struct {
 	parts    [][]byte      // parts that have not been read yet
 	end      error         // error that a read returns after the last part
-	deadline time.Time     // read deadline
+	deadline time.Time     // read deadline that SetReadDeadline has set; zero: none
 	arrivals chan struct{} // each value received lets one read return; if nil, reads do not wait
 }
 
--- a/internal/body/write.go
+++ b/internal/body/write.go
@@ -10,7 +10,7 @@
 var (
 	// ErrTooSlow is returned if the peer does not keep its MinimumRate. The text is sent to clients.
 	ErrTooSlow = errors.New("the peer is too slow")
-	// ErrStopped is returned by a Write that was stopped.
+	// ErrStopped is returned by a Write whose isStopped has returned true.
 	ErrStopped = errors.New("stopped")
 )
 
