--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -85,7 +85,7 @@
 				io.WriteString(nc, testpeer.ResponseOK)
 				return true
 			}
-			_, _ = nc.Read(make([]byte, 1)) // returns when the daemon cancels the attempt
+			_, _ = nc.Read(make([]byte, 1)) // the read returns when the daemon cancels the attempt
 			return false
 		})
 		hung = append(hung, e.Addr)
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -39,7 +39,7 @@
 
 	mu      sync.Mutex
 	ejected map[string]bool // IDs of the manually ejected endpoints
-	pools   map[*pool]bool  // running pools
+	pools   map[*pool]bool  // running pools, to which ejections are applied
 }
 
 // newOverrides returns overrides without ejections and without a shared directory.
@@ -99,7 +99,7 @@
 
 // ejectionState is a snapshot of the overrides with regard to one endpoint.
 type ejectionState struct {
-	pools     []*pool // running pools
+	pools     []*pool // pools that were running at the time of the snapshot
 	isEjected bool    // whether the endpoint is manually ejected
 	count     int     // number of all manually ejected endpoints
 }
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -85,7 +85,7 @@
 }
 
 // A connection that is established after its endpoint was ejected carries no request. The request may be retried at
-// another endpoint; here there is none, and it is shed as never sent.
+// another endpoint; here there is no other endpoint, and the request is shed as never sent.
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -189,7 +189,7 @@
 		}
 		io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
 		nc.SetReadDeadline(time.Now().Add(testpeer.Timeout))
-		text, err := io.ReadAll(nc) // returns when the daemon has closed the connection
+		text, err := io.ReadAll(nc) // the read ends when the daemon has closed the connection
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
 			t.Errorf("%s: response %q, error %v, want status 400", name, text, err)
 		}
