--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -105,7 +105,7 @@
 }
 
 // The end of the connection may delimit a response without a length (RFC 9112, 6.3), but only if the response says
-// Connection: close: otherwise it could have been truncated.
+// Connection: close: otherwise the response could have been truncated.
 func TestResponsesDelimitedByConnectionClose(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -13,7 +13,7 @@
 )
 
 // firstGrantTimeout is how long a starting daemon waits for its first lease before it takes clients. Two elections of a
-// leader fit into it.
+// leader fit into this time.
 const firstGrantTimeout = 2 * time.Second
 
 // indeterminateRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. A
