--- a/balance/admission.go
+++ b/balance/admission.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Admission control: tenant quotas, load shedding, and the final response to requests that are not served.
+// Constants of admission control, which limits tenants to their quotas and sheds load when capacity is short.
 const (
 	quotaBurstSeconds     = 1.0  // size of a tenant's token bucket, in seconds of its quota
 	shedStretch           = 1.2  // recentStretch above which requests over quota may be shed
-	highRateQuotaMultiple = 1.3  // request rate, as a multiple of totalQuota, above which it is high
+	highRateQuotaMultiple = 1.3  // multiple of totalQuota above which a request rate counts as high
 	maxQueueTimeFraction  = 0.05 // longest time in the queue, as a fraction of meanLatencyObjective
-	minTimeLeftFraction   = 0.6  // least time to the deadline, in expected latencies, if others are queued
+	minTimeLeftFraction   = 0.6  // while requests are queued: least time to a deadline, in expected latencies
 
 	meanRetryAfter = 300 * time.Millisecond // mean Retry-After of rejected requests
 )
 
-// tenant is the token bucket of a tenant's quota.
+// tenant holds a tenant's quota and the token bucket that enforces the quota.
 type tenant struct {
 	Tenant
-	tokens     float64       // requests that the tenant could send at refilledAt
+	tokens     float64       // requests that the tenant could send within its quota at refilledAt
 	refilledAt time.Duration // instant at which tokens was last updated
 }
 
@@ -31,10 +31,10 @@
 // spread of clients.
 func (b *Balancer) shouldShed(now time.Duration, req *request) bool {
 	exceedsQuota := b.chargeQuota(now, req)
-	isSlow := b.recentStretch > shedStretch
+	areResponsesSlow := b.recentStretch > shedStretch
 	isCapacityShort := len(b.queue) > 0 ||
-		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && isSlow ||
-		isSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
+		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && areResponsesSlow ||
+		areResponsesSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
 	return now >= req.giveUpAt || b.allManuallyEjected() || isCapacityShort && exceedsQuota ||
 		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
 }
@@ -52,7 +52,7 @@
 	if t.tokens < 1 {
 		return true
 	}
-	if !req.IsRetry { // the client's first request has paid for its retries
+	if !req.IsRetry { // a retry takes no token, as the client's first request took one
 		t.tokens--
 	}
 	return false
@@ -64,7 +64,7 @@
 	switch {
 	case len(req.attempts) > 0:
 		return req.giveUpAt
-	case b.availableCount == 0: // wait as long as an endpoint that becomes available could respond in time
+	case b.availableCount == 0: // wait until no endpoint could respond in time any more
 		return req.giveUpAt - seconds(b.baselineSeconds(req))
 	}
 	return min(req.giveUpAt, req.arrivedAt+seconds(maxQueueTimeFraction*b.meanLatencyObjective))
@@ -79,7 +79,7 @@
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // it was not the concurrency limit that kept it queued
+		b.admittedCounter.add(now) // the request was queued for lack of an endpoint
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
@@ -89,9 +89,8 @@
 	b.removeRequest(req)
 }
 
-// canReject reports whether a retry by the client is harmless. It is if no attempt can have run. With a
-// buffered body it also is if the request is idempotent, or has an idempotency key by which all endpoints
-// drop duplicates.
+// canReject reports whether a retry by the client is harmless: either no attempt can have run, or the body is
+// buffered and the request is idempotent or has an idempotency key by which all endpoints drop duplicates.
 func (r *request) canReject() bool {
 	c := r.class
 	isIdempotent := c.Idempotency == Idempotent || c.Idempotency == IdempotencyKey && c.DedupScope == ScopeAll
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -10,11 +10,12 @@
 	"tuliprock/balance"
 )
 
-// In an overload endpoints were saturated within two seconds, before a balancer with few attempts in flight reached its
-// concurrency limit (incident i35432f, site tartu). A request rate above the sum of all quotas shows the overload earlier:
-// once responses are slow as well, requests over quota are shed. They must not be shed while responses are fast: on a day
-// without load, 15 of 55 balancers got several times the mean rate and shed 40,000 requests, and the clients' retries,
-// while endpoints had capacity (site kigali).
+// A balancer with few attempts in flight does not reach its concurrency limit before an overload saturates the endpoints,
+// which takes at most two seconds (incident i35432f, site tartu). A request rate above the sum of all quotas shows the
+// overload earlier, so requests over quota are then shed if responses are slow as well. They must not be shed while
+// responses are fast: clients are spread unevenly over balancers, and a balancer may get several times the mean rate while
+// endpoints have capacity. In one case, 15 of 55 balancers shed 40,000 requests, and the clients' retries, without an
+// overload (site kigali).
 func TestRequestsOverQuotaAreShedWhenResponsesAreSlowAndRateExceedsAllQuotas(t *testing.T) {
 	for _, row := range []struct {
 		name       string
@@ -30,7 +31,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			s := defaultSettings()
 			s.Balancers = 10
-			// This balancer's part of all quotas is 8 requests per second.
+			// All quotas allow 80 requests per second, of which this balancer may admit 8.
 			s.Tenants = []balance.Tenant{{Name: "over quota", Quota: 20}, {Name: "within quota", Quota: 60}}
 			h := newHarness(t, s, "a", "b", "c")
 			served := 0
@@ -93,7 +94,7 @@
 func TestRequestsOverQuotaMayUseTheLimitWhileResponsesAreFast(t *testing.T) {
 	for _, row := range []struct {
 		name       string
-		latency    time.Duration // latency of the later responses; that of the earlier ones is 100 ms
+		latency    time.Duration // latency of the responses after the first 100, which take 100 ms
 		wantReject bool
 	}{
 		{"responses at the baseline", 100 * ms, false},
@@ -106,7 +107,7 @@
 			h.serve(100, map[string]time.Duration{"a": 100 * ms, "b": 100 * ms})
 			h.serve(30, map[string]time.Duration{"a": row.latency, "b": row.latency})
 			sent := 0
-			for h.countActions("reject") == 0 && sent < 11 { // the limit is 12 at least
+			for h.countActions("reject") == 0 && sent < 11 { // the concurrency limit is at least 12
 				h.requestForTenant("read", "t")
 				sent++
 			}
@@ -124,7 +125,7 @@
 	h := newHarness(t, s, "a")
 	served, finished := map[string]int{}, []string{}
 	class := map[string]string{}
-	for i := range 1500 { // 100 requests per second and 25 responses per second
+	for i := range 1500 { // simulates 100 requests and 25 responses per second
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
--- a/balance/api.go
+++ b/balance/api.go
@@ -11,7 +11,7 @@
 // Instants are readings of any monotonic clock, as a time.Duration since an arbitrary zero. The same settings, and the same
 // events at the same instants, give the same calls of the host.
 //
-// api.go declares the interface. All other files hold the decisions and their state; deploy/balancer.toml lists them as
+// File api.go declares the interface. All other files hold the decisions and their state; deploy/balancer.toml lists them as
 // policy.
 package balance
 
@@ -19,7 +19,7 @@
 
 // Events are the events that a host reports to a balancer, in the order in which they happen. *Balancer implements it.
 type Events interface {
-	// EndpointList reports an update by service discovery. The host reports the first one directly after New.
+	// EndpointList reports an update by service discovery. The host must report the first update directly after New.
 	EndpointList(now time.Duration, l EndpointUpdate)
 	// Request reports a new request. The request gets exactly one final response: that of a successful attempt, or the one
 	// that Host.Reject or Host.Fail sends.
@@ -29,7 +29,8 @@
 	BodySent(now time.Duration, id string, n int, deadline time.Duration)
 	// StreamStarted reports that attempt n of a request has begun to stream its response to the client.
 	StreamStarted(now time.Duration, id string, n int)
-	// Outcome reports the end of an attempt. The host reports exactly one per attempt sent; further ones are ignored.
+	// Outcome reports the end of an attempt. The host reports exactly one outcome per attempt sent; the balancer ignores
+	// further ones.
 	Outcome(now time.Duration, o Outcome)
 	// ClientDisconnected reports that the client of a request has disconnected, so that the request needs no response.
 	ClientDisconnected(now time.Duration, id string)
@@ -81,7 +82,7 @@
 // Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
-// The kinds of idempotency, from harmless to harmful retries.
+// Values of Idempotency, ordered from harmless to harmful retries.
 const (
 	Idempotent     Idempotency = iota // the request may run any number of times
 	IdempotencyKey                    // endpoints drop duplicates by the request's key, within DedupScope and DedupWindow
@@ -91,19 +92,19 @@
 // DedupScope says which endpoints recognize one another's requests with an idempotency key, and so drop duplicates of them.
 type DedupScope int
 
-// The scopes of deduplication, from wide to narrow.
+// Values of DedupScope, ordered from wide to narrow.
 const (
-	ScopeAll  DedupScope = iota // all endpoints
-	ScopeZone                   // the endpoints of one zone
-	ScopeCell                   // the endpoints of one cell
+	ScopeAll  DedupScope = iota // any endpoint drops duplicates of requests that any other endpoint has received
+	ScopeZone                   // only endpoints of the same zone drop duplicates of one another's requests
+	ScopeCell                   // only endpoints of the same cell drop duplicates of one another's requests
 )
 
 // Class holds the properties that all requests of one class have in common.
 type Class struct {
 	Name             string
-	Idempotency      Idempotency   // whether its requests may run more than once
-	DedupScope       DedupScope    // endpoints that drop duplicates together; for IdempotencyKey only
-	DedupWindow      time.Duration // time from the first attempt in which duplicates are dropped; for IdempotencyKey only
+	Idempotency      Idempotency   // whether requests of the class may run more than once
+	DedupScope       DedupScope    // which endpoints drop duplicates of one another's requests; for IdempotencyKey only
+	DedupWindow      time.Duration // how long after the first attempt duplicates are dropped; for IdempotencyKey only
 	LatencyObjective time.Duration // time within which a response is wanted
 }
 
@@ -118,7 +119,7 @@
 type Settings struct {
 	Seed       uint64   // seed of the random choices, which should differ between balancers
 	Balancers  int      // number of balancers that send to these endpoints, this one included
-	Index      int      // index of this balancer among them, from 0
+	Index      int      // index of this balancer among all Balancers, from 0
 	Tier       int      // number of tiers of balancers between the clients and this one
 	TiersBelow int      // number of tiers that the endpoints depend on to serve a request
 	Classes    []Class  // classes of requests; a request of any other class counts as NonIdempotent
@@ -132,7 +133,7 @@
 	CanProbe      bool          // whether the host may send load probes, and their results carry a load report
 	MaxRetryAfter time.Duration // longest Retry-After that clients honour; 0: Retry-After does not reach them
 
-	TimerResolution   time.Duration // longest delay of events and timers
+	TimerResolution   time.Duration // longest delay with which the host reports events and timers
 	SlowStartCapacity float64       // least fraction of its full capacity that an endpoint has when it starts
 	SlowStartDuration time.Duration // time after its start at which an endpoint has its full capacity
 }
@@ -149,7 +150,7 @@
 
 // Endpoint is an entry of an endpoint list.
 type Endpoint struct {
-	ID      string        // identifies the endpoint in lists and in calls of the Host
+	ID      string        // name of the endpoint in lists and in calls of the Host
 	State   State         // state according to discovery
 	Zone    string        // zone in which the endpoint runs
 	Kind    string        // endpoints of one kind have the same size and speed, as far as discovery knows
@@ -160,20 +161,20 @@
 // EndpointUpdate is an update of the endpoint list by discovery.
 type EndpointUpdate struct {
 	Failed    bool       // a poll failed or a subscription broke, so that the update has no endpoints
-	Complete  bool       // endpoints that are not in Endpoints are gone; if false, they are unchanged
+	Complete  bool       // whether endpoints that are missing in Endpoints are gone; if false, they are unchanged
 	Endpoints []Endpoint // new and changed endpoints; all of them if Complete
 }
 
-// Request is a client's request.
+// Request describes a request that the host has received from a client.
 type Request struct {
 	ID       string
 	Class    string        // name of a class in Settings.Classes; an unknown one counts as NonIdempotent
 	Tenant   string        // name of a tenant in Settings.Tenants; an unknown one has no quota
 	Deadline time.Duration // instant at which the client stops waiting
 	IsRetry  bool          // whether the client says that it has sent the request before
-	// StreamUntil is 0 for a request whose body is buffered. Otherwise the body streams in while an attempt is in flight, until
-	// this instant at the latest. The time that this takes is not part of the endpoint's latency, and the deadline applies
-	// only before and after it.
+	// StreamUntil is 0 for a request whose body is buffered. Otherwise the body streams in while an attempt is in flight,
+	// until this instant at the latest. The time that the body takes is not part of the endpoint's latency, and the deadline
+	// does not apply while the body streams.
 	StreamUntil time.Duration
 }
 
@@ -187,7 +188,7 @@
 	Rejected                    // the endpoint rejected the request without reading it
 	TimedOut                    // no response came before the timeout
 	ConnectFailed               // no connection was established
-	Reset                       // the connection broke
+	Reset                       // an established connection broke
 	Canceled                    // the Balancer cancelled the attempt
 	NotSent                     // the host did not send the attempt
 )
@@ -195,13 +196,13 @@
 // MayHaveRun reports whether an attempt with this result may have taken effect.
 func (r Result) MayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
 
-// Load is an endpoint's load report.
+// Load is the load that an endpoint has reported in its response to a load probe.
 type Load struct {
 	Known    bool    // whether there is a load report; if not, Requests has no meaning
 	Requests float64 // requests that the endpoint serves or has queued
 }
 
-// Outcome is the end of an attempt.
+// Outcome describes how an attempt ended, as the host reports it.
 type Outcome struct {
 	ID               string        // ID of the request
 	Attempt          int           // number of the attempt, from 0
@@ -215,7 +216,7 @@
 
 // ProbeResult is the result of a load probe.
 type ProbeResult struct {
-	Endpoint string // ID of the endpoint
-	Result   Result // OK if the endpoint responded
-	Load     Load   // load report in the response
+	Endpoint string // ID of the endpoint that got the load probe
+	Result   Result // how the load probe ended; OK if the endpoint responded
+	Load     Load   // load report in the endpoint's response
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -24,7 +24,7 @@
 	host     Host
 	rng      *rand.Rand // source of all random choices, seeded by Settings.Seed
 
-	startedAt       time.Duration        // instant of New
+	startedAt       time.Duration        // instant at which New was called; request rates count from then on
 	wakeupAt        time.Duration        // instant of the earliest timer set; 0: no timer is set
 	classes         map[string]*class    // classes of Settings, by name
 	tenants         map[string]*tenant   // tenants of Settings, by name
@@ -35,13 +35,13 @@
 	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
 	subset               []*endpoint // endpoints that this balancer uses
-	subsetSizeByRate     float64     // subset size required by the request rate when it last changed by half
+	subsetSizeByRate     float64     // subset size for the request rate; set when that size differs by half
 	pickSample           []*endpoint // candidates of the last pick from a large subset
 	recentlyUsed         []*endpoint // endpoints of a large subset that were used last, oldest first
 	cachedSmallestWeight float64     // smallest weight of the active endpoints of a large subset
 	cachedWeightUses     int         // number of times that cachedSmallestWeight may still be used
 
-	requests   map[string]*request // by ID: requests without a final response or with an attempt in flight
+	requests   map[string]*request // requests without a final response or with an attempt in flight, by ID
 	unfinished []*request          // requests without a final response, in no particular order
 	queue      []*request          // requests that wait for an endpoint with capacity, in order of arrival
 
@@ -61,8 +61,8 @@
 	meanLatencyObjective float64 // mean latency objective of the classes, in seconds
 	totalQuota           float64 // this balancer's part of the quotas of all tenants, in requests per second
 
-	requestCounter  decayingCounter          // all requests
-	admittedCounter decayingCounter          // requests sent, or rejected only for lack of an endpoint
+	requestCounter  decayingCounter          // number of all requests, rejected ones included
+	admittedCounter decayingCounter          // number of requests sent, or rejected for lack of an endpoint
 	lastLoggedAt    map[string]time.Duration // instant of the last log line, by its kind
 }
 
@@ -96,7 +96,7 @@
 
 // EndpointList implements Events. An endpoint that is draining or gone gets no attempt after this event.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
-	if l.Failed { // jitter spreads the subscriptions of the balancers
+	if l.Failed { // jitter keeps balancers from subscribing all at once
 		if b.settings.MustSubscribe {
 			longest := max(b.settings.SubscribeWithin/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
@@ -120,7 +120,7 @@
 // endpoints has changed. availableBefore is their number before the change.
 func (b *Balancer) availabilityChanged(now time.Duration, availableBefore int) {
 	b.rebuildSubset(now)
-	if availableBefore > 0 && b.availableCount > 0 { // the remaining endpoints must not get the load of all
+	if availableBefore > 0 && b.availableCount > 0 { // remaining endpoints must not be overloaded
 		b.concurrencyLimit *= float64(b.availableCount) / float64(availableBefore)
 	}
 	b.sendQueued(now)
@@ -188,7 +188,7 @@
 		} else {
 			ep = b.pickBelowFairUsage(now, req)
 		}
-		if ep == nil && isRetry { // the endpoints that drop duplicates of its key may be outside the subset
+		if ep == nil && isRetry { // endpoints that drop duplicates of the request may be outside the subset
 			ep = b.pick(now, req, b.endpoints)
 		}
 		if ep != nil {
@@ -303,8 +303,8 @@
 	b.sendQueued(now)
 }
 
-// SetBalancerCount implements Events. A change gives no tenant a burst: its saved tokens shrink if this
-// balancer's part of the quota does, but do not grow with it.
+// SetBalancerCount implements Events. A change gives no tenant a burst: the tokens that a tenant has saved
+// shrink if this balancer's part of the quota does, but do not grow with it.
 func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
 	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
 	if before == after && b.settings.Index == index {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkEndpointList measures a complete list that differs by one endpoint from the last one.
+// BenchmarkEndpointList measures a complete list that differs by one endpoint from the previous list.
 func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// The adaptive concurrency limit bounds the attempts in flight at all endpoints, streaming bodies excluded.
+// Constants of the adaptive concurrency limit, which bounds the attempts in flight at all endpoints,
+// streaming bodies excluded.
 const (
-	initialLimitPerEndpoint = 6.0             // attempts in flight per endpoint before any response
-	stretchTimeConstant     = 2 * time.Second // time after which a response has 1/e of its weight
-	maxLimitStretch         = 3.0             // largest stretch that one response, maybe an outlier, adds
+	initialLimitPerEndpoint = 6.0             // limit before any response, in attempts per endpoint
+	stretchTimeConstant     = 2 * time.Second // time in which a response's weight falls to 1/e
+	maxLimitStretch         = 3.0             // largest stretch counted, as a response may be an outlier
 	congestionStretch       = 1.6             // recentStretch above which a used limit is reduced
 	limitGrowthStretch      = 1.5             // recentStretch below which a limit that is reached grows
 	limitGrowthGain         = 0.2             // growth per response, times limitGrowthStretch - recentStretch
 	usedLimitFraction       = 0.6             // fraction of the limit in flight above which it counts as used
 
-	// limitReductionFloor is the least factor of a reduction. There is at most one per half a response time.
+	// limitReductionFloor is the least factor by which a reduction multiplies the limit. At least half a
+	// response time passes between two reductions.
 	limitReductionFloor = 0.5
 
 	// In the first tier clients are spread unevenly over balancers, so that some soon need a higher limit.
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -10,14 +10,14 @@
 	"tuliprock/balance"
 )
 
-// A burst saturated the endpoints while balancers with a few requests per second smoothed twenty responses before any of
-// them reduced its limit (found day h36c04c).
+// A balancer with a few requests per second must reduce its limit within two seconds. If it averages over twenty responses
+// first, a burst saturates the endpoints meanwhile (found by simulation h36c04c).
 func TestLowTrafficBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
 	s := defaultSettings()
 	s.Balancers = 10
 	h := newHarness(t, s, "a", "b", "c", "d")
 	finishAt := map[string]time.Duration{}
-	// Sends four requests per second for a time of n half seconds, and returns the most attempts in flight.
+	// run sends four requests per second for n half seconds, and returns the largest number of attempts in flight at once.
 	run := func(latency time.Duration, n int) (maxInFlight int) {
 		for range n * 50 {
 			if h.now%(250*ms) < 10*ms {
@@ -37,7 +37,7 @@
 		return maxInFlight
 	}
 	run(200*ms, 40)
-	run(1200*ms, 4) // two seconds of responses six times as slow
+	run(1200*ms, 4) // the latency is six times the baseline for two seconds
 	if got := run(1200*ms, 2); got > 3 {
 		t.Errorf("%d attempts are in flight after two seconds of slow responses, want 3 at most", got)
 	}
@@ -47,8 +47,8 @@
 // serviceTime. It returns the most requests that an endpoint had at once in the second half of the duration, and the number
 // of requests served.
 func (h *harness) offerLoad(interval, serviceTime, duration time.Duration, endpoints ...string) (maxQueued, served int) {
-	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
-	for h.now < begun+duration {
+	queue, serviceProgress, startedAt := map[string][]string{}, map[string]time.Duration{}, h.now
+	for h.now < startedAt+duration {
 		if id, ep := h.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
 		}
@@ -56,8 +56,8 @@
 			sent := len(h.actions)
 			h.advance(ms)
 			for _, ep := range endpoints {
-				if busy[ep] += ms; busy[ep] >= serviceTime || len(queue[ep]) == 0 {
-					busy[ep] = 0
+				if serviceProgress[ep] += ms; serviceProgress[ep] >= serviceTime || len(queue[ep]) == 0 {
+					serviceProgress[ep] = 0
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
 						queue[ep] = queue[ep][1:]
@@ -72,7 +72,7 @@
 				}
 			}
 			for _, ep := range endpoints {
-				if h.now > begun+duration/2 {
+				if h.now > startedAt+duration/2 {
 					maxQueued = max(maxQueued, len(queue[ep]))
 				}
 			}
@@ -81,7 +81,7 @@
 	return maxQueued, served
 }
 
-// In overload the limit must not grow so far that endpoints become slow (incident i2b2df6 and many overloaded days).
+// In overload the limit must not grow so far that endpoints become slow (incident i2b2df6 and many simulated overloads).
 func TestOverloadDoesNotFillEndpointQueues(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.offerLoad(30*ms, 20*ms, 3*time.Second, "a", "b")
@@ -100,8 +100,8 @@
 	}
 }
 
-// First-tier balancers that each admitted the capacity of all endpoints saturated them in two seconds (incidents i72d39d and
-// i2623e0).
+// First-tier balancers must divide the initial limit. When each of them admitted the capacity of all endpoints, they
+// saturated the endpoints in two seconds (incidents i72d39d and i2623e0).
 func TestFirstTierBalancersDivideTheInitialConcurrencyLimit(t *testing.T) {
 	initialSends := func(balancers, tier int) int {
 		s := defaultSettings()
@@ -112,12 +112,12 @@
 		}
 		return h.countActions("send")
 	}
-	single, oneOfFour, secondTier := initialSends(1, 0), initialSends(4, 0), initialSends(4, 1)
-	if oneOfFour > single/4+1 || oneOfFour < single/4-1 {
-		t.Errorf("one of four balancers sends %d requests at once, want a quarter of the %d of a single one", oneOfFour, single)
+	sendsAlone, sendsOfOneInFour, sendsInSecondTier := initialSends(1, 0), initialSends(4, 0), initialSends(4, 1)
+	if sendsOfOneInFour > sendsAlone/4+1 || sendsOfOneInFour < sendsAlone/4-1 {
+		t.Errorf("one of four balancers sends %d requests at once, want a quarter of the %d of a single one", sendsOfOneInFour, sendsAlone)
 	}
-	if secondTier != single {
-		t.Errorf("one of four balancers in the second tier sends %d requests at once, want %d as a single one", secondTier, single)
+	if sendsInSecondTier != sendsAlone {
+		t.Errorf("one of four balancers in the second tier sends %d requests at once, want %d as a single one", sendsInSecondTier, sendsAlone)
 	}
 }
 
@@ -144,8 +144,9 @@
 	return most
 }
 
-// On days without overload the first tier rejected a sixth of the requests while latencies were at their baseline: clients
-// are spread unevenly, and the limit of a balancer with several times the mean rate grew too slowly.
+// Clients are spread unevenly, so the limit of a first-tier balancer with several times the mean rate must grow quickly
+// while responses are fast. When it grew too slowly, the first tier rejected a sixth of the requests while latencies were at
+// their baseline.
 func TestFirstTierLimitGrowsFasterWhileResponsesAreFast(t *testing.T) {
 	limitAfterGrowth := func(tier int) int {
 		s := defaultSettings()
@@ -158,12 +159,12 @@
 	}
 }
 
-// The first responses are those of the cheapest requests. When they were taken as the baseline, all later responses seemed
-// slow, and requests were rejected although endpoints had capacity (start of the standard days).
+// The first responses are those of the cheapest requests. If they were taken as the baseline, all later responses would seem
+// slow, and a balancer that has just started would reject requests although endpoints have capacity.
 func TestFastFirstResponsesDoNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	finishAt := map[string]time.Duration{}
-	seen, sentCount, begun := 0, 0, h.now
+	actionsSeen, sentCount, begun := 0, 0, h.now
 	for ; h.now < begun+6*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
 			if h.now >= finishAt[id] {
@@ -176,8 +177,8 @@
 				t.Fatalf("request %d was queued %v after the start, want it sent at once after 3 s", h.requestCount, h.now-begun)
 			}
 		}
-		for ; seen < len(h.actions); seen++ {
-			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
+		for ; actionsSeen < len(h.actions); actionsSeen++ {
+			if f := strings.Fields(h.actions[actionsSeen]); f[0] == "send" {
 				sentCount++
 				finishAt[f[1]] = h.now + []time.Duration{20, 50, 90, 150, 250, 400}[sentCount%6]*ms
 			}
@@ -197,11 +198,11 @@
 	}
 }
 
-// The limit still grew while latencies were 1.5 times their baseline (incident i2b2df6).
+// The limit must not grow while latencies are 1.5 times their baseline (incident i2b2df6).
 func TestLimitStopsGrowingWhileResponsesAreSlow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	finishAt, most, seen := map[string]time.Duration{}, 0, len(h.actions)
+	finishAt, maxInFlight, actionsSeen := map[string]time.Duration{}, 0, len(h.actions)
 	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
 			if h.now >= finishAt[id] {
@@ -210,19 +211,20 @@
 			}
 		}
 		h.request("read")
-		for ; seen < len(h.actions); seen++ {
-			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
+		for ; actionsSeen < len(h.actions); actionsSeen++ {
+			if f := strings.Fields(h.actions[actionsSeen]); f[0] == "send" {
 				finishAt[f[1]] = h.now + 77*ms
 			}
 		}
-		most = max(most, len(finishAt))
+		maxInFlight = max(maxInFlight, len(finishAt))
 	}
-	if most < 8 || most > 24 {
-		t.Errorf("%d attempts were in flight at most, want 8 to 24; the initial limit is 12", most)
+	if maxInFlight < 8 || maxInFlight > 24 {
+		t.Errorf("%d attempts were in flight at most, want 8 to 24; the initial limit is 12", maxInFlight)
 	}
 }
 
-// When three of four endpoints were replaced, the fourth one got the requests of all of them and responded too late.
+// When three of four endpoints are draining, the limit must shrink to a quarter, or the remaining endpoint gets the requests
+// of all four and responds too late.
 func TestLimitIsProportionalToTheNumberOfReadyEndpoints(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	var l balance.EndpointUpdate
--- a/balance/deploy_test.go
+++ b/balance/deploy_test.go
@@ -11,16 +11,17 @@
 	"unicode/utf8"
 )
 
-// The width of a line in the files that the deploy file lists as policy.
+// Limit on the width of lines in the files that deploy/balancer.toml lists as policy.
 const (
 	maxPolicyColumns = 110
 	tabColumns       = 4 // columns that a tab counts for
 )
 
-// filesOutsidePolicy are the files without decisions: api.go declares the interface of the package.
+// filesOutsidePolicy are the source files that deploy/balancer.toml must not list as policy, because they make no balancing
+// decision: api.go only declares the interface of the package.
 var filesOutsidePolicy = []string{"api.go"}
 
-// readDeployFile returns the text of the deploy file.
+// readDeployFile returns the text of deploy/balancer.toml.
 func readDeployFile(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
@@ -30,7 +31,7 @@
 	return string(text)
 }
 
-// policyFiles returns the file names that the deploy file lists as policy, without their folder.
+// policyFiles returns the names of the files that deploy/balancer.toml lists as policy, without their folder.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	match := regexp.MustCompile(`(?m)^policy = \[("[^"]+"(?:, "[^"]+")*)\]$`).FindStringSubmatch(readDeployFile(t))
@@ -80,7 +81,8 @@
 	}
 }
 
-// TestPolicyListsEveryFileButTheInterface fails if a file with decisions is missing in the policy list.
+// TestPolicyListsEveryFileButTheInterface fails if deploy/balancer.toml does not list each source file of the package,
+// except for api.go, as policy.
 func TestPolicyListsEveryFileButTheInterface(t *testing.T) {
 	listed := policyFiles(t)
 	if listed[0] != "balancer.go" {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor times the
-// smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or backs off
-// for twice as long.
+// Constants of outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor
+// times the smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or
+// backs off for twice as long.
 const (
 	activeFactor         = 2.0                    // largest active weight, as a multiple of the smallest one
 	minBackoff           = 500 * time.Millisecond // least backoff before the first trial: the paper's b_min
-	maxBackoffMultiple   = 8                      // longest backoff, in initial backoffs: recovery must show
-	outlierErrorMultiple = 1.5                    // error rate of an outlier, in error rates of all endpoints
+	maxBackoffMultiple   = 8                      // longest backoff, in initial ones, to notice a recovery
+	outlierErrorMultiple = 1.5                    // error rate of an outlier, as a multiple of b.errorRate
 	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
 )
 
@@ -47,12 +47,12 @@
 		ep.errorRate += recentMeanGain
 		hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > outlierErrorMultiple*b.errorRate
 		if !hasFailed {
-			r = NotSent // the tier below fails for all endpoints: no information on this one
+			r = NotSent // the tier below fails for all endpoints, which says nothing about this endpoint
 		}
-	case Reset: // the endpoint is taken to restart, and to warm up afterwards
+	case Reset: // the endpoint is assumed to restart and to warm up afterwards
 		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // no latency sample, but an overdue trial has failed
+	if r == Canceled || r == NotSent { // the attempt gives no latency sample, but an overdue trial has failed
 		if att.isTrial {
 			ep.trialInFlight = false
 			b.scheduleTrial(now, ep, att.wasOverdue)
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -28,18 +28,18 @@
 	h := newHarness(t, defaultSettings(), "fast", "b", "c", "d", "e", "f")
 	latency := map[string]time.Duration{"fast": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
 	h.serve(200, latency)
-	others := 0
+	othersInUse := 0
 	for ep, n := range h.serve(600, latency) {
 		if ep != "fast" && n > 1 {
-			others++
+			othersInUse++
 		}
 	}
-	if others < 2 {
-		t.Errorf("%d endpoints other than the fast one are in use, want at least 2", others)
+	if othersInUse < 2 {
+		t.Errorf("%d endpoints other than the fast one are in use, want at least 2", othersInUse)
 	}
 }
 
-// An endpoint that hangs must not get requests until the first of them times out.
+// An endpoint that hangs must be ejected well before the first attempt at it times out.
 func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
@@ -71,7 +71,7 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // beyond three times 50 ms (overdueMultiple); one sample of 3 leaves its weight within activeFactor
+	h.advance(200 * ms) // more than overdueMultiple (3) times 50 ms; one sample of stretch 3 keeps d's weight within activeFactor
 	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
 		t.Errorf("the endpoint that does not respond got %d of 6 requests, want none", counts["d"])
 	}
@@ -96,7 +96,7 @@
 	if len(attempts) < 4 || len(attempts) > 12 {
 		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attempts))
 	}
-	for i := 3; i < len(attempts); i++ { // the backoff grows to its limit
+	for i := 3; i < len(attempts); i++ { // the backoff between trials doubles up to its limit
 		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came %v after the one before, want at least 500 ms", i, wait)
 		}
@@ -106,7 +106,7 @@
 func TestNextTrialIsTakenWhenNoEndpointIsActive(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "only")
 	id, _ := h.request("read")
-	h.finish(id, balance.ConnectFailed) // ejected; no endpoint is active for the retry
+	h.finish(id, balance.ConnectFailed) // ejects the only endpoint, so that none is active for the retry
 	if len(h.sentTo[id]) != 2 {
 		t.Fatalf("actions are %v, want two attempts of %s", h.actions, id)
 	}
@@ -117,7 +117,8 @@
 	}
 }
 
-// The trials of many balancers with little traffic overloaded an ejected endpoint (day big-1 of site regina).
+// The trials of many balancers with little traffic must not overload an ejected endpoint (found by simulation big-1 of site
+// regina).
 func TestTrialsOfALowTrafficBalancerStayBelowAnEvenPart(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -127,7 +128,7 @@
 	}
 	h := newHarness(t, defaultSettings(), names...)
 	slow := 0
-	for range 400 { // two requests per second, so each of 20 endpoints would get one every 10 s
+	for range 400 { // two requests per second; an even part is one request per endpoint every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -160,8 +161,8 @@
 	}
 }
 
-// The fast errors of an endpoint in a middle tier were attributed to the tier below, and the endpoint seemed fast and got
-// more requests (incident i40577d).
+// The fast errors of an endpoint in a middle tier must count for this endpoint. When they were attributed to the tier below,
+// the endpoint seemed fast and got more requests (incident i40577d).
 func TestEndpointThatFailsFastGetsFewRequests(t *testing.T) {
 	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
@@ -170,11 +171,11 @@
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	h := newHarness(t, s, names...)
-	broken := 0
+	brokenCount := 0
 	for range 400 {
 		id, ep := h.request("read")
 		if ep == "broken" {
-			broken++
+			brokenCount++
 			h.advance(2 * ms)
 			h.finish(id, balance.ErrorResponse)
 			continue
@@ -182,8 +183,8 @@
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if broken > 30 {
-		t.Errorf("the endpoint that fails got %d of 400 requests, want 30 at most", broken)
+	if brokenCount > 30 {
+		t.Errorf("the endpoint that fails got %d of 400 requests, want 30 at most", brokenCount)
 	}
 }
 
@@ -213,8 +214,8 @@
 	}
 }
 
-// On a day with endpoints that close idle connections early, each reset was taken as a restart and as a latency sample of a
-// timeout, and healthy endpoints were ejected. The request is still retried if it is idempotent.
+// An endpoint may close an idle connection while a request is being sent on it. If such a reset counted as a restart, and as
+// a latency sample of a timeout, healthy endpoints would be ejected. The request is still retried if it is idempotent.
 func TestResetOnAReusedConnectionIsNoLatencySample(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -222,15 +223,15 @@
 	}{{"reused connection", true}, {"new connection", false}} {
 		t.Run(row.name, func(t *testing.T) {
 			h := newHarness(t, defaultSettings(), "a", "b", "c")
-			all := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
-			h.serve(30, all)
+			latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
+			h.serve(30, latency)
 			id, ep := h.request("read")
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 2 || h.sentTo[id][1] == ep {
 				t.Fatalf("the idempotent request was sent to %v, want a retry at another endpoint than %s", h.sentTo[id], ep)
 			}
 			h.finish(id, balance.OK)
-			if counts := h.serve(9, all); (counts[ep] >= 2) != row.isReused {
+			if counts := h.serve(9, latency); (counts[ep] >= 2) != row.isReused {
 				t.Errorf("%s then got %d of 9 requests, want at least 2: %v", ep, counts[ep], row.isReused)
 			}
 			id, ep = h.request("bill")
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -4,33 +4,33 @@
 
 // endpoint is the state of one listed endpoint.
 type endpoint struct {
-	Endpoint       // its entry in the endpoint list
-	kind     *kind // pooled weight of the endpoints of its kind
+	Endpoint       // entry of the endpoint in the endpoint list
+	kind     *kind // estimate that all endpoints of the same kind share
 
-	active         bool          // whether it is in the paper's active list; if not, it gets only trials
-	deficit        float64       // the paper's Δ: sum of the weights charged for its requests
-	sampleSum      float64       // decayed sum of samples, each a stretch over the kind's weight
+	active         bool          // in the paper's active list; other endpoints get only trials
+	deficit        float64       // the paper's Δ: sum of the weights charged for the endpoint's requests
+	sampleSum      float64       // decayed sum of samples, each a stretch divided by the kind's weight
 	sampleCount    float64       // decayed number of the samples in sampleSum
 	errorRate      float64       // fraction of error responses among the endpoint's recent results
 	lastSampleAt   time.Duration // instant of the last latency sample
 	lastResponseAt time.Duration // instant of the last response without an error
 
-	ejected       bool          // whether latency, missing responses or a failed trial made it inactive
+	ejected       bool          // inactive because of latency, missing responses or a failed trial
 	backoff       time.Duration // time between trials, without jitter
 	nextTrialAt   time.Duration // instant from which a trial may be sent while the endpoint is not active
-	trialInFlight bool          // whether a trial is in flight; there is one at a time
+	trialInFlight bool          // whether a trial is in flight; an endpoint gets one trial at a time
 
 	manuallyEjected bool          // whether operators have ejected the endpoint
 	restoredAt      time.Duration // instant at which operators restored the endpoint; 0: never
 	incarnation     int           // number of times that operators have restored the endpoint
 
 	inFlight        int // attempts of this balancer that wait for a response of the endpoint
-	streamsInFlight int // attempts with a streaming request or response body
+	streamsInFlight int // attempts at the endpoint with a streaming request or response body
 
 	slowStartNextAt time.Duration // earliest instant of the next attempt while the endpoint is warming up
 	wasInSubset     bool          // whether the endpoint was in the subset at its last rebuild
 
-	reportedLoad   float64       // requests in the last load report
+	reportedLoad   float64       // number of requests in the last load report
 	reportedLoadAt time.Duration // instant of the last load report; 0: there is none
 }
 
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -16,7 +16,7 @@
 			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
 			b.endpointByID[entry.ID], b.endpoints = ep, append(b.endpoints, ep)
 		}
-		entry.Started = max(entry.Started, ep.restoredAt) // the list may not show the restoration yet
+		entry.Started = max(entry.Started, ep.restoredAt) // the list may not yet show a manual restoration
 		if ep.kind == nil || entry.Started > ep.Started {
 			started = append(started, ep)
 		}
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -16,8 +16,8 @@
 	c.count, c.updatedAt = c.count*ewmaDecay(now-c.updatedAt)+1, now
 }
 
-// perSecond returns the recent rate of events. It divides by the weight of the time since startedAt, because
-// there were no events before.
+// perSecond returns the recent rate of events. It divides by the weight of the time since startedAt, the
+// instant at which the counting began.
 func (c *decayingCounter) perSecond(now, startedAt time.Duration) float64 {
 	return c.count * ewmaDecay(now-c.updatedAt) /
 		((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -20,9 +20,9 @@
 	now             time.Duration
 	balancer        *balance.Balancer
 	actions         []string                 // calls of the host in order, without Timer and Log
-	sentTo          map[string][]string      // IDs of the endpoints of a request's attempts, by request ID
+	sentTo          map[string][]string      // IDs of the endpoints that a request's attempts were sent to, by request ID
 	sentAt          map[string]time.Duration // instant of a request's last attempt, by request ID
-	timers          []time.Duration          // instants of the timers that have not fired
+	timers          []time.Duration          // instants of the timers that have not fired yet
 	requestCount    int                      // requests sent so far; the last one has the ID "r" and this number
 	idleConnections map[string]bool          // whether an idle connection to an endpoint exists, by endpoint ID
 }
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -17,10 +17,10 @@
 type simAttempt struct {
 	endpoint       balance.Endpoint
 	sentAt, endsAt time.Duration
-	result         balance.Result // result that the attempt has at endsAt
-	inFlight       bool           // whether the balancer has not got its outcome yet
-	mayHaveRun     bool           // whether it has ended and its result does not prove that it did not run
-	isCanceled     bool           // whether the balancer has cancelled it
+	result         balance.Result // result with which the attempt ends at endsAt
+	inFlight       bool           // whether the attempt's outcome has not been reported to the balancer yet
+	mayHaveRun     bool           // whether the attempt has ended with a result that does not exclude that it ran
+	isCanceled     bool           // whether the balancer has cancelled the attempt
 }
 
 // simRequest is the state of a request in the simulation.
@@ -28,7 +28,7 @@
 	balance.Request
 	class            balance.Class
 	attempts         []*simAttempt
-	isFinished       bool // whether it has its final response, or its client has disconnected
+	isFinished       bool // whether the request has its final response, or its client has disconnected
 	balancerKnowsEnd bool // whether the balancer knows that the request is finished
 }
 
@@ -47,9 +47,9 @@
 	ejectionChanges  int                         // manual ejections and restorations so far
 	requests         map[string]*simRequest      // requests since the last restart of the balancer, by ID
 	openIDs          []string                    // IDs of requests that are not finished or have an attempt in flight
-	timers           []time.Duration             // instants of the timers that have not fired
+	timers           []time.Duration             // instants of the timers that have not fired yet
 	probes           []string                    // IDs of endpoints whose load probes have no result yet
-	slowStartSends   map[string][]time.Duration  // instants of attempts at endpoints that are warming up, by ID
+	slowStartSends   map[string][]time.Duration  // instants of attempts at endpoints that are warming up, by endpoint ID
 	requestCount     int
 	isDraining       bool     // whether no new requests, lists or ejections are simulated any more
 	sends            int      // attempts sent so far
@@ -119,7 +119,7 @@
 	}
 	if att := req.attempts[n]; att.inFlight && !att.isCanceled {
 		att.isCanceled = true
-		if sim.rng.IntN(4) > 0 || att.endsAt > sim.now+50*ms { // else the attempt ends before the host cancels it
+		if sim.rng.IntN(4) > 0 || att.endsAt > sim.now+50*ms { // otherwise the attempt ends before the host cancels it
 			att.result, att.endsAt = balance.Canceled, sim.now
 		}
 	}
@@ -141,7 +141,7 @@
 	sim.responseCounts[2]++
 }
 
-// recordResponse records the final response by Reject or Fail.
+// recordResponse records that the request has got its final response, by Reject or Fail.
 func (sim *simulation) recordResponse(id string) *simRequest {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v final response %s", sim.now, id))
 	req := sim.requests[id]
@@ -169,7 +169,7 @@
 func (sim *simulation) Timer(at time.Duration)        { sim.timers = append(sim.timers, at) }
 func (sim *simulation) Log(string)                    {}
 
-// restart replaces the balancer. The requests of the balancer before are lost.
+// restart replaces the balancer. The new balancer does not know the requests of the replaced one.
 func (sim *simulation) restart(seed uint64) {
 	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
 	sim.settings.Seed = seed
@@ -277,7 +277,7 @@
 		if sim.rng.IntN(6) == 0 {
 			p.Result, p.Load.Known = balance.ConnectFailed, false
 		}
-		if sim.rng.IntN(20) > 0 { // else the result is lost
+		if sim.rng.IntN(20) > 0 { // one load probe in 20 gets no result
 			sim.balancer.Probed(sim.now, p)
 		}
 	}
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -10,8 +10,8 @@
 )
 
 // requestsPerEndpoint sends requests one at a time to a balancer of n endpoints, and returns the number of requests by
-// endpoint. The latency of every tenth endpoint is slower times that of the others.
-func requestsPerEndpoint(n, requests int, slower float64) map[string]float64 {
+// endpoint. The latency of every tenth endpoint is the product of slowdown and the latency of the others.
+func requestsPerEndpoint(n, requests int, slowdown float64) map[string]float64 {
 	m, h := newSingleBalancer(n)
 	now := time.Hour
 	got := map[string]float64{}
@@ -21,7 +21,7 @@
 		for _, s := range h.sent {
 			latency := 20 * time.Millisecond
 			if s.endpoint[len(s.endpoint)-1] == '0' {
-				latency = time.Duration(slower * float64(latency))
+				latency = time.Duration(slowdown * float64(latency))
 			}
 			got[s.endpoint]++
 			m.Outcome(now+latency, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Latency: latency, IsFinal: true})
@@ -32,13 +32,13 @@
 	return got
 }
 
-// spreadOf returns the mean number of requests of the slow or of the other endpoints, and the standard deviation and the
-// largest deviation from the mean as fractions of it.
-func spreadOf(got map[string]float64, n int, slow bool) (mean, deviation, maxDeviation float64) {
+// spreadOf returns the mean number of requests per endpoint, of the slow endpoints or of all others. It also returns the
+// standard deviation and the largest deviation from the mean, as fractions of the mean.
+func spreadOf(requests map[string]float64, n int, slow bool) (mean, deviation, maxDeviation float64) {
 	var counts []float64
 	for i := range n {
 		if (i%10 == 0) == slow {
-			counts = append(counts, got[fmt.Sprintf("n%05d", i)])
+			counts = append(counts, requests[fmt.Sprintf("n%05d", i)])
 		}
 	}
 	for _, c := range counts {
@@ -55,7 +55,7 @@
 // fewer to slower ones.
 func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
 	const requestsPerEndpointMean = 40
-	for _, n := range []int{200, 400, 2000} { // 200 endpoints are scanned, 400 and 2000 sampled
+	for _, n := range []int{200, 400, 2000} { // a pick scans 200 endpoints, and samples 400 or 2000
 		got := requestsPerEndpoint(n, n*requestsPerEndpointMean, 1.4)
 		fast, deviation, maxDeviation := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Latency estimates: the baseline latency of each class, and the weights of endpoints and of their kinds.
+// Constants of the latency estimates: the baseline latency of each class, and the weights of endpoints and of
+// their kinds.
 const (
-	ewmaAlpha        = 0.95             // the paper's α: most that a sample leaves of the old weight
+	ewmaAlpha        = 0.95             // the paper's α: largest part of an old weight that is kept
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
-	kindPriorSamples = 3.0              // samples that the kind's weight counts for in an endpoint's weight
+	kindPriorSamples = 3.0              // number of samples as which the kind's weight counts for an endpoint
 	kindWeightGain   = 0.03             // least gain of a kind's weight per response
-	recentMeanGain   = 0.05             // least gain per sample of all other smoothed means
+	recentMeanGain   = 0.05             // least gain per sample of smoothed means other than weights
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
 	// At first the baseline is the mean latency, because the first responses are those of the fastest
 	// requests. Then it follows a lower mean fast and a higher one slowly, since the latency of an overload
 	// is not normal.
-	baselineLearningSeconds = 1.5              // seconds after the first response: baseline is the mean
+	baselineLearningSeconds = 1.5              // first seconds, in which the baseline is the mean latency
 	baselineFallGain        = 0.02             // gain of the baseline towards a lower mean, per response
 	baselineRiseTime        = 60 * time.Second // time in which the baseline rises to a higher mean
 )
@@ -55,7 +56,7 @@
 // exceeds activeFactor times the smallest active weight.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
 	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
-	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old samples that is left
+	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of old samples kept
 	ep.sampleSum = ep.sampleSum*retained + stretch/ep.kind.weight
 	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*retained+1, now
 	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -12,7 +12,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
 	h.balancer.SetEjected(h.now, "a", true)
-	h.balancer.SetEjected(h.now, "a", true) // has no effect, as a is already ejected
+	h.balancer.SetEjected(h.now, "a", true) // endpoint a is already ejected, so this has no effect
 	lists := []balance.EndpointUpdate{
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
@@ -34,7 +34,7 @@
 	if listed, ejected := h.balancer.EndpointCounts(); listed != 2 || ejected != 1 {
 		t.Errorf("%d endpoints are listed and %d ejected, want 2 and 1", listed, ejected)
 	}
-	h.balancer.SetEjected(h.now, "a", false) // undoes both ejections
+	h.balancer.SetEjected(h.now, "a", false) // one restoration undoes the two ejections of a
 	isUsed := false
 	for range 300 {
 		id, ep := h.request("read")
@@ -74,7 +74,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{
 		{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
-	queued := h.requestForTenant("read", "") // stays queued, as discovery may list other endpoints
+	queued := h.requestForTenant("read", "") // the request stays queued, as discovery may list other endpoints
 	if h.countActions("reject") > 0 {
 		t.Fatal("a request was rejected while all endpoints are draining, want it queued")
 	}
@@ -108,7 +108,7 @@
 		}
 	}
 	h.balancer.SetEjected(h.now, "a", true)
-	h.finish(read, balance.NotSent) // the host had not sent it before the ejection
+	h.finish(read, balance.NotSent) // the host had not sent the attempt before the ejection
 	h.finish(bill, balance.Reset)
 	if got := h.sentTo[read]; len(got) != 2 || got[1] != "b" {
 		t.Errorf("the request that had not been sent got attempts at %v, want a retry at b", got)
@@ -123,17 +123,17 @@
 func TestRestoredEndpointCountsAsRestarted(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	earlier, ep := h.request("read")
-	for ; ep != "a"; earlier, ep = h.request("read") {
-		h.finish(earlier, balance.OK)
+	requestAtA, ep := h.request("read")
+	for ; ep != "a"; requestAtA, ep = h.request("read") {
+		h.finish(requestAtA, balance.OK)
 	}
 	h.balancer.SetEjected(h.now, "a", true)
 	h.advance(100 * ms)
 	h.balancer.SetEjected(h.now, "a", false)
-	// This list does not show the restart.
+	// This list does not show that endpoint a has restarted.
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	h.finish(earlier, balance.Reset) // result of the earlier incarnation of a
-	h.finish(earlier, balance.OK)    // result of the retry at b
+	h.finish(requestAtA, balance.Reset) // outcome of the attempt sent before a was ejected
+	h.finish(requestAtA, balance.OK)    // outcome of the retry at b
 	since, sent := h.now, 0
 	for h.now < since+2*time.Second {
 		id, ep := h.request("read")
@@ -143,8 +143,8 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 	}
-	// At full capacity it would get half of 500 requests per second. It starts with 0.3 of that capacity, and gets 1.5 times
-	// (slowStartLoadMultiple) as many requests.
+	// At full capacity, endpoint a would get half of 500 requests per second. It starts with 0.3 of that capacity, and
+	// slowStartLoadMultiple gives it 1.5 times as many requests.
 	if sent == 0 || sent > 400 {
 		t.Errorf("%d of 1000 requests were sent to the restored endpoint within 2 s, want 1 to 400", sent)
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// The pick is a deficit round robin over the active endpoints. Loads, idle connections and load reports
-// modify the paper's deficit.
+// Constants of the pick, a deficit round robin over the active endpoints. Loads, idle connections and load
+// reports modify the paper's deficit.
 const (
-	inFlightCharge         = 1.0 // weights added to a deficit per request at the endpoint: hangs show at once
+	inFlightCharge         = 1.0 // weights added to a deficit per request in flight, to avoid hung endpoints
 	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
-	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe others next
-	maxDeficitLag          = 2.0 // weights that a deficit may be below the picked one, to bound bursts
+	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe other endpoints
+	maxDeficitLag          = 2.0 // weights that a deficit may be below that of the pick, to bound bursts
 	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
 
-	// maxEndpointUsageMultiple is the largest number of attempts in flight that one endpoint counts for, as a
-	// multiple of an even part of the concurrency limit.
+	// maxEndpointUsageMultiple is the largest number of attempts in flight that pickBelowFairUsage counts for
+	// one endpoint, as a multiple of an even part of the concurrency limit.
 	maxEndpointUsageMultiple = 1.4
 
 	fullScanLimit       = 256 // largest subset scanned by each pick; larger ones are sampled
@@ -49,8 +49,8 @@
 }
 
 // pick returns the endpoint whose trial has been due for longest, else the active endpoint with the lowest
-// sum of deficit and load. Without active endpoints it returns the one with the next trial. It returns nil if
-// the request has to wait.
+// sum of deficit and load. Without active endpoints it returns the endpoint with the next trial. It returns
+// nil if the request has to wait.
 func (b *Balancer) pick(now time.Duration, req *request, candidates []*endpoint) *endpoint {
 	var dueTrial, lowest, nextTrial *endpoint
 	lowestDeficit, hasActive := math.Inf(1), false
@@ -171,8 +171,8 @@
 	return len(req.pendingProbes) > 0
 }
 
-// Probed implements Events: it stores the load report and dispatches the requests that waited only for this
-// one. An active endpoint whose load probe failed is ejected.
+// Probed implements Events: it stores the load report and dispatches the requests that waited for no other
+// report. An active endpoint whose load probe failed is ejected.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
 	ep := b.endpointByID[p.Endpoint]
 	if ep == nil {
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Machines with a third of the speed got half as many requests as fast ones, and were saturated: most of the latency was
-// that of the tiers below, which is the same for all endpoints (found day ha74963). With tiers below, the balancer therefore
-// charges only the latency that the endpoint adds.
+// With tiers below, most of the latency is that of the tiers below, which is the same for all endpoints. The balancer must
+// charge only the latency that the endpoint adds, or machines with a third of the speed get half as many requests as fast
+// ones and are saturated (found by simulation ha74963).
 func TestLatencyOfTiersBelowDoesNotHideSlowEndpoints(t *testing.T) {
 	for _, row := range []struct {
 		name               string
@@ -62,8 +62,8 @@
 	}
 }
 
-// A balancer with little traffic sends to an endpoint only every few seconds. Until it has samples, the weight of the kind
-// applies.
+// A balancer with little traffic sends to an endpoint only every few seconds. Until the endpoint has latency samples, the
+// weight of its kind applies.
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
@@ -90,7 +90,7 @@
 	}
 }
 
-// Attempts at an endpoint that hung used up the concurrency limit, and a new endpoint got no requests.
+// Attempts at an endpoint that hangs must not use up the concurrency limit, or a new endpoint gets no requests.
 func TestHungEndpointDoesNotUseUpTheLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for range 6 {
@@ -126,7 +126,7 @@
 	const requests = 400
 	for range requests {
 		id, ep := h.request("read")
-		if ep != last { // the endpoint used before closes its connection
+		if ep != last { // the endpoint of the last request closes its idle connection
 			h.idleConnections[last], last = false, ep
 			changes++
 		}
@@ -166,8 +166,8 @@
 	}
 }
 
-// The endpoints of a zone hung, but still responded to load probes, with a load of 8 requests. As they were never picked, they
-// kept the lowest deficits and got all load probes, and requests went to endpoints without a load report (incident i392ed2).
+// Endpoints that hang, but still respond to load probes with a load of 8 requests, are never picked. They must not keep the
+// lowest deficits and get all load probes, or requests go to endpoints without a load report (incident i392ed2).
 func TestLoadedEndpointsDoNotGetAllLoadProbes(t *testing.T) {
 	s := defaultSettings()
 	s.CanProbe = true
@@ -175,9 +175,9 @@
 	h := newHarness(t, s, eps...)
 	probes, hungProbes, hungRequests := 0, 0, 0
 	for range 200 {
-		seen := len(h.actions)
+		actionsSeen := len(h.actions)
 		id, _ := h.request("read")
-		for _, action := range h.actions[seen:] {
+		for _, action := range h.actions[actionsSeen:] {
 			ep, ok := strings.CutPrefix(action, "probe ")
 			if !ok {
 				continue
--- a/balance/request.go
+++ b/balance/request.go
@@ -9,29 +9,29 @@
 type attempt struct {
 	endpoint          *endpoint
 	incarnation       int           // incarnation of the endpoint to which the attempt was sent
-	sentAt            time.Duration // instant of Host.Send
-	waitingSince      time.Duration // instant of Host.Send, or of the last byte of a streaming request body
+	sentAt            time.Duration // instant at which Host.Send was called
+	waitingSince      time.Duration // sentAt, or the instant of a streaming request body's last byte
 	overdueAt         time.Duration // instant of the next check whether the attempt takes too long
-	inFlight          bool          // whether its Outcome has not been reported yet
-	mayHaveRun        bool          // whether it has ended, and the request may have taken effect
+	inFlight          bool          // whether the attempt's Outcome has not been reported yet
+	mayHaveRun        bool          // whether the attempt has ended, and the request may have taken effect
 	isTrial           bool          // whether the endpoint was not active when the attempt was sent
 	wasOverdue        bool          // whether overdueAt has passed at least once
-	responseStreaming bool          // whether its response is streaming to the client
-	bodyStreaming     bool          // whether its request or response body is streaming
+	responseStreaming bool          // whether the response is streaming to the client
+	bodyStreaming     bool          // whether the request body or the response body is streaming
 }
 
 // request is the state of one request.
 type request struct {
 	Request
 	class           *class
-	arrivedAt       time.Duration // instant of Events.Request
+	arrivedAt       time.Duration // instant at which Events.Request reported the request
 	giveUpAt        time.Duration // last instant at which a response reaches the client before the deadline
 	attempts        []attempt     // all attempts so far, in the order in which they were sent
-	isFinished      bool          // whether it has its final response, or its client has disconnected
-	isQueued        bool          // whether it waits in Balancer.queue
-	pendingProbes   []*endpoint   // endpoints whose load reports it waits for
-	probeDeadline   time.Duration // instant at which it stops waiting for load reports
-	unfinishedIndex int           // its index in Balancer.unfinished
+	isFinished      bool          // whether the client has its final response or has disconnected
+	isQueued        bool          // whether the request waits in Balancer.queue
+	pendingProbes   []*endpoint   // endpoints whose load reports the request waits for
+	probeDeadline   time.Duration // instant at which the request stops waiting for load reports
+	unfinishedIndex int           // index of the request in Balancer.unfinished
 	bodyConsumed    bool          // whether bytes of a streaming body were consumed: no retry is possible
 }
 
@@ -43,7 +43,7 @@
 	return &r.attempts[n]
 }
 
-// setDeadline sets the instant at which the request's client stops waiting.
+// setDeadline sets the instant at which the request's client stops waiting, and giveUpAt accordingly.
 func (b *Balancer) setDeadline(req *request, deadline time.Duration) {
 	req.Deadline, req.giveUpAt = deadline, deadline-max(b.settings.TimerResolution, time.Millisecond)
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The retry budget. It prevents the retries of several tiers from multiplying.
+// Constants of the retry budget, which prevents the retries of several tiers from multiplying.
 const (
 	retryBudgetRatio = 0.1  // retries that each request adds to the budget
 	maxRetryBudget   = 10.0 // largest number of retries in the budget
@@ -15,9 +15,9 @@
 		b.retryBudget >= 1 && b.canMeetDeadline(now, req, 1)
 }
 
-// isSafeToSend reports whether the request cannot take effect twice if it is sent to the endpoint now. That
-// is so if no attempt is in flight, and if any attempt may have run, the request is idempotent or the
-// endpoint drops it as a duplicate.
+// isSafeToSend reports whether the request cannot take effect twice if it is sent to the endpoint now. No
+// attempt may be in flight. If an attempt may have run, the request must be idempotent, or the endpoint must
+// drop it as a duplicate.
 func (b *Balancer) isSafeToSend(now time.Duration, req *request, ep *endpoint) bool {
 	for i := range req.attempts {
 		att, c := &req.attempts[i], req.class
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -19,7 +19,7 @@
 	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
 	overloadMultiple     = 3.0              // load, in capacities, that overloads an endpoint
 	overloadWindow       = time.Second      // time over which the load of an endpoint is measured
-	warmUtilization      = 1.3              // even part of the requests, in full capacities; above 1 due to clients' retries
+	warmUtilization      = 1.3              // even part of the requests, in an endpoint's full capacity; above 1 due to clients' retries
 	fleetServiceTime     = 50 * ms          // latency of all attempts
 )
 
@@ -29,7 +29,7 @@
 	now     time.Duration
 	members []*fleetMember
 	listed  map[string]balance.Endpoint // ready endpoints, by ID
-	sends   map[string][]time.Duration  // instants of the attempts at endpoints that are warming up, by ID
+	sends   map[string][]time.Duration  // instants of the attempts at endpoints that are warming up, by endpoint ID
 }
 
 // fleetMember is one balancer with its host; every attempt succeeds after fleetServiceTime.
@@ -39,9 +39,9 @@
 	index        int              // index of the balancer in the fleet, from 0
 	incarnation  int              // number of times that the balancer has been started
 	requestCount int              // requests that the balancer has got
-	credit       float64          // fraction of the next request that is due
-	pending      []pendingOutcome // outcomes that have not been reported, by time
-	timers       []time.Duration  // instants of the timers that have not fired
+	fractionDue  float64          // fraction of the next request that is due already
+	pending      []pendingOutcome // outcomes not yet reported to the balancer, in order of time
+	timers       []time.Duration  // instants of the timers that have not fired yet
 }
 
 // pendingOutcome is an outcome to be reported at the given instant.
@@ -79,7 +79,7 @@
 		fleet.listed[id] = balance.Endpoint{ID: id}
 	}
 	for i := range fleetBalancers {
-		member := &fleetMember{fleet: fleet, index: i, credit: float64(i) / fleetBalancers}
+		member := &fleetMember{fleet: fleet, index: i, fractionDue: float64(i) / fleetBalancers}
 		fleet.members = append(fleet.members, member)
 		fleet.restart(member)
 	}
@@ -150,8 +150,8 @@
 	if due {
 		member.balancer.Timer(now)
 	}
-	if member.credit += fleetRequestRate * ms.Seconds(); member.credit >= 1 {
-		member.credit--
+	if member.fractionDue += fleetRequestRate * ms.Seconds(); member.fractionDue >= 1 {
+		member.fractionDue--
 		member.requestCount++
 		id := fmt.Sprint(member.incarnation, "-", member.requestCount)
 		member.balancer.Request(now, balance.Request{ID: id, Class: "read", Deadline: now + 5*time.Second})
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	evenRate := balancers * perSecond / 10 // requests per second at each of ten endpoints with full capacity
-	for at := range 11 {                   // includes the end of the slow start after 9 s (incident id93449)
+	for at := range 11 {                   // includes the end of the slow start, which is after 9 s (incident id93449)
 		capacity := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(requests[at]); n > evenRate*capacity*2+4 {
 			t.Errorf("in second %d the endpoint got %v requests, want %v at most", at, n, evenRate*capacity*2+4)
@@ -68,8 +68,8 @@
 	}
 }
 
-// An endpoint that resets a connection is taken to have failed: it warms up when it responds again, whatever start the list
-// gives.
+// An endpoint that resets a connection is assumed to have restarted: it warms up when it responds again, whatever start time
+// the list gives.
 func TestEndpointWarmsUpAfterAReset(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// The deadline of an upload is set when its last byte has been sent; it waits for its response until then.
+// The deadline of an upload is set when its last byte has been sent; the balancer waits for the response until this
+// deadline.
 func TestDeadlineOfAStreamingBodyAppliesAfterItsLastByte(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	id := h.upload("bill")
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// The subset has the largest size that any of the first three constants demands. Each endpoint is in many
+// Constants of the subset, which holds the endpoints that this balancer uses. The subset has the largest size
+// that subsetRequestInterval, balancersPerEndpoint or minSubsetSize demands. Each endpoint is in many
 // subsets, so that one more or less matters little for its load.
 const (
-	subsetRequestInterval = time.Second // time between requests at an endpoint, to know its weight
+	subsetRequestInterval = time.Second // time between requests to one endpoint that keeps its weight current
 	balancersPerEndpoint  = 12.0        // least number of subsets that contain an endpoint
-	minSubsetSize         = 4.0         // least number of endpoints, so that a retry finds another one
+	minSubsetSize         = 4.0         // least number of endpoints, so that a retry finds another endpoint
 
 	minRequestRate = 0.2 // requests per second that a balancer is assumed to have at least
 )
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -32,14 +32,14 @@
 	h.balancer.SetBalancerCount(h.now, 60, 0) // has no effect: the index is 0 already
 	h.balancer.SetBalancerCount(h.now, 60, 30)
 	after := usedEndpoints(h)
-	same := 0
+	sameCount := 0
 	for ep := range after {
 		if before[ep] {
-			same++
+			sameCount++
 		}
 	}
-	if same == len(before) {
-		t.Errorf("with another index the balancer uses the same %d endpoints as before, want others", same)
+	if sameCount == len(before) {
+		t.Errorf("with another index the balancer uses the same %d endpoints as before, want others", sameCount)
 	}
 	h.balancer.SetBalancerCount(h.now, 60, 0)
 	if listed, ejected := h.balancer.EndpointCounts(); listed != 100 || ejected != 0 {
@@ -76,8 +76,9 @@
 	return users, smallest, largest
 }
 
-// Each of 420 balancers with two requests per second used each of 80 endpoints every 40 s: no balancer detected a slow
-// endpoint, and nearly every request opened a connection (full-size days of site tartu).
+// Balancers with little traffic must use only a subset of the endpoints. When each of 420 balancers with two requests per
+// second used each of 80 endpoints every 40 s, no balancer detected a slow endpoint, and nearly every request opened a
+// connection (simulations of site tartu at full size).
 func TestManyLowTrafficBalancersUseSubsets(t *testing.T) {
 	users, smallest, largest := measureSubsets(t, 200, 60)
 	if smallest < 4 || largest > 12 {
@@ -92,7 +93,8 @@
 	}
 }
 
-// With few balancers all use all endpoints: with subsets, one balancer more or less per endpoint would be an imbalance.
+// If there are few balancers, each must use all endpoints: with subsets, one balancer more or less per endpoint would be an
+// imbalance.
 func TestFewBalancersUseAllEndpoints(t *testing.T) {
 	if users, smallest, _ := measureSubsets(t, 6, 12); len(users) != 12 || smallest != 12 {
 		t.Errorf("a balancer uses %d of 12 endpoints and all balancers together use %d, want 12", smallest, len(users))
