--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -12,15 +12,15 @@
 // endpointLists holds the lists that the simulator defines by a LEDGER and its ENDPOINT messages. REGISTRY messages refer to
 // them by number, in the same batch or in later ones.
 type endpointLists struct {
-	byNumber   [maxLists]*endpointList // list that was last defined for each number; nil: none
-	current    *endpointList           // list of the last LEDGER
+	byNumber   [maxLists]*endpointList // list that was last defined for each number; nil: no list has the number yet
+	current    *endpointList           // list that the last LEDGER began
 	entriesDue int                     // number of ENDPOINT messages that are still due for the current list
 }
 
-// endpointList is a list of endpoints with a number.
+// endpointList is a list of endpoints that a LEDGER began and ENDPOINT messages filled.
 type endpointList struct{ entries []balance.Endpoint }
 
-// begin decodes a LEDGER, which begins a new list. The list replaces the one that had its number.
+// begin decodes a LEDGER, which begins a new list. The new list replaces any earlier list with the same number.
 func (l *endpointLists) begin(m *message) error {
 	number, count := m.integer("Ref", required), m.integer("Hosts", required)
 	if m.err != nil {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -5,24 +5,24 @@
 // attrClientRetry is the bit of a CALL's Attrs that is set if the client has sent the request before.
 const attrClientRetry = 2
 
-// eventDecoders maps the name of a message to the function that decodes the Reader's message and reports it as an event to an
-// instance's balancer. A message with an error is not reported.
+// eventDecoders maps the name of a message to the function that decodes the Reader's current message and reports it as an
+// event to an instance's balancer. An event with a malformed field is not reported.
 var eventDecoders = map[string]func(*Reader, balance.Events){
 	"REGISTRY":    (*Reader).endpointListReceived,
 	"CALL":        (*Reader).requestReceived,
 	"FLOWING":     (*Reader).streamStarted,
 	"ATTEMPT_END": (*Reader).attemptEnded,
-	"LEFT":        (*Reader).clientLeft,
+	"LEFT":        (*Reader).clientDisconnected,
 	"BELL":        (*Reader).timerFired,
-	"CHECKED":     (*Reader).healthCheckEnded,
-	"MESSAGE":     func(*Reader, balance.Events) {}, // a balancer does not use it
+	"CHECKED":     (*Reader).loadProbeEnded,
+	"MESSAGE":     func(*Reader, balance.Events) {}, // a MESSAGE has no meaning for a balancer
 }
 
 func (r *Reader) endpointListReceived(to balance.Events) {
 	m := &r.message
 	var list balance.EndpointUpdate
 	mode := m.text("Mode", required)
-	m.integer("Gen", optional) // validated but not used: lists come in the order of the messages
+	m.integer("Gen", optional) // validated but not used, since lists come in the order of the messages
 	switch mode {
 	case "X":
 		list.Failed = true
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *Reader) clientLeft(to balance.Events) {
+func (r *Reader) clientDisconnected(to balance.Events) {
 	m := &r.message
 	if id := m.requestID(); m.err == nil {
 		to.ClientDisconnected(r.now, id)
@@ -83,13 +83,13 @@
 
 func (r *Reader) timerFired(to balance.Events) {
 	m := &r.message
-	m.integer("Mark", required) // validated but not used: all timers have the mark 0
+	m.integer("Mark", required) // validated but not used, since Host.Timer gives all timers the mark 0
 	if m.err == nil {
 		to.Timer(r.now)
 	}
 }
 
-func (r *Reader) healthCheckEnded(to balance.Events) {
+func (r *Reader) loadProbeEnded(to balance.Events) {
 	m := &r.message
 	result := balance.ProbeResult{
 		Endpoint: m.internedText("Endpoint", required),
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,7 +10,7 @@
 	"tuliprock/balance"
 )
 
-// maxInterned bounds the number of distinct values that a message caches. A fleet has far fewer names.
+// maxInterned is the largest number of distinct strings that a message caches. A fleet has far fewer names.
 const maxInterned = 1 << 16
 
 // maxMicros is the largest number of microseconds that a time.Duration can represent.
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// fail stores an error in err unless there already is one.
+// fail stores an error in err, which keeps only the first error of a line.
 func (m *message) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf(format, args...)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -20,7 +20,7 @@
 	Stop(instance int) error
 	// Instance returns the balancer that receives the events of an instance.
 	Instance(instance int) (balance.Events, error)
-	// EndBatch is called after the last message of a batch, when its reply is due.
+	// EndBatch is called after the last message of a batch, when the simulator expects the reply.
 	EndBatch() error
 }
 
@@ -30,14 +30,14 @@
 // Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
-	longLine   []byte  // the last line that was longer than the buffer of in
+	longLine   []byte  // copy of the last line that was longer than the buffer of the field in
 	lineNumber int     // number of the last line read, from 1
-	message    message // parsed form of that line
+	message    message // parsed form of the last line read
 
-	isBatchOpen bool          // whether the batch of the last CLOCK has not ended yet
+	isBatchOpen bool          // whether the batch that the last CLOCK began has not ended yet
 	now         time.Duration // time of the last CLOCK
 	instance    int           // instance of the last SWITCH_TO, which gets the events that follow
-	hasInstance bool          // whether the batch has had a SWITCH_TO
+	hasInstance bool          // whether the current batch has had a SWITCH_TO
 	lists       endpointLists
 }
 
@@ -46,7 +46,7 @@
 	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), message: message{interned: map[string]string{}}}
 }
 
-// Now returns the time of the current batch.
+// Now returns the simulated time of the current batch, which its CLOCK gives; 0 before the first batch.
 func (r *Reader) Now() time.Duration { return r.now }
 
 // Run reads batches and calls h until the input ends. It returns nil if the input ends after a complete batch, and otherwise
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -13,14 +13,14 @@
 // recordedEvent is a recorded call of a method of balance.Events.
 type recordedEvent struct {
 	now  time.Duration
-	name string // short name of the method
-	args any    // the argument after now, or a []any of several
+	name string // short name of the method, as the methods of recorder give it
+	args any    // argument of the method after now; a []any if there are several
 }
 
 // recorder is a Handler that records the events for all instances.
 type recorder struct {
 	events  []recordedEvent
-	started map[int]balance.Settings // settings of the running instances, by instance
+	started map[int]balance.Settings // settings of the running instances, by instance number
 	batches int                      // number of complete batches
 }
 
@@ -63,7 +63,7 @@
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
-// openBatch is the beginning of a batch. It starts an instance.
+// openBatch is the beginning of a batch, which starts instance 3. The batch has no end.
 const openBatch = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
 
 func TestReaderReportsEvents(t *testing.T) {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -14,7 +14,8 @@
 	instance int    // instance of the last action
 }
 
-// Bytes ends the reply and returns its encoding, which is valid until the next action. That action begins a new reply.
+// Bytes ends the reply and returns its encoding, which is valid until the next action is written. The next action begins a new
+// reply.
 func (r *Reply) Bytes() []byte {
 	r.encoded = append(r.encoded, "FINISHED\n"...)
 	encoded := r.encoded
@@ -31,7 +32,7 @@
 	instance int
 }
 
-// begin writes the name of an action. If the last action was another instance's, it first writes an ON_BEHALF line.
+// begin writes the name of an action. If the last action was that of another instance, begin writes an ON_BEHALF line first.
 func (h *Host) begin(action string) *Host {
 	r := h.reply
 	if !r.isBegun || r.instance != h.instance {
@@ -113,7 +114,7 @@
 	h.begin("SET_TIMER").number("InstantUs", ceilMicroseconds(at)).number("Mark", 0).end()
 }
 
-// separatorsToSpaces replaces line breaks and tabs by spaces, so that a text stays within its field.
+// separatorsToSpaces replaces line breaks and tabs by spaces, so that a log line stays within its field.
 var separatorsToSpaces = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // Log writes a DEBUG, which is a line for the log.
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The lines of the reply must also be valid for the parser of the Reader: parsed and joined again they must be the same.
+// The Reader's parser must accept the lines of a reply: parsed and joined again, they must be unchanged.
 func TestReplyEncodesActionsByInstance(t *testing.T) {
 	var r Reply
 	a, b := r.Host(3), r.Host(5)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,7 +9,7 @@
 	"tuliprock/balance"
 )
 
-// Settings are the contents of the settings object that a host of balancers uses.
+// Settings holds the contents of the settings object that a host of balancers uses.
 type Settings struct {
 	balance.Settings                // settings for balance.New
 	ConnIdle          time.Duration // time after which an endpoint closes an idle connection; 0: unknown
@@ -20,29 +20,29 @@
 // settings is the settings object of the wire, without the members that are not used; the decoder ignores these. Its fields
 // have the names and types of the wire and no tags, because encoding/json prints these in its errors.
 type settings struct {
-	NInstances int        // number of balancers of the tier
-	Me         int        // index of this balancer among them, from 0
+	NInstances int        // number of balancers in this balancer's tier
+	Me         int        // index of this balancer among the balancers of its tier, from 0
 	Tier       int        // index of this balancer's tier in Tiers
-	Tiers      []string   // names of all tiers, from the one that clients use
-	Lanes      []struct { // classes of requests
+	Tiers      []string   // names of all tiers; clients send to the first tier
+	Lanes      []struct { // classes of requests; see balance.Class
 		Name, Semantics, Group string
-		OnTimeUs, WindowUs     int64 // latency objective; time in which duplicates are recognized
-		HardLimitUs            int64 // longest time that a client waits
+		OnTimeUs, WindowUs     int64 // latency objective; how long endpoints drop duplicates
+		HardLimitUs            int64 // longest time that a client waits for the final response
 	}
-	Accounts []struct { // tenants
+	Accounts []struct { // tenants; see balance.Tenant
 		Name      string
-		QuotaPerS float64 // requests per second
+		QuotaPerS float64 // requests per second that the tenant may send
 	}
 	Discovery    string // how endpoint lists come: automatic or subscribe
-	ResolutionUs int64  // longest delay of events and timers
+	ResolutionUs int64  // longest delay of events and timers; see balance.Settings.TimerResolution
 	Permissions  struct {
 		MayCancel, MayProbe, RetryAfter            bool
 		TryLimit                                   int // attempts allowed per request
 		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64
 	}
-	Report struct { // load reports of endpoints
-		Fields []string // names of the values in a report
-		How    string   // how reports are sent; silent: there are none
+	Report struct { // how endpoints report their load
+		Fields []string // names of the values in a load report
+		How    string   // how load reports are sent; silent: endpoints send none
 	}
 	Rules struct {
 		AskWithinUs, ColdUs int64   // longest time without a subscription or poll; duration of the slow start
@@ -96,14 +96,15 @@
 	return s, nil
 }
 
-// idempotencies maps the values of Semantics on the wire.
+// idempotencies maps the wire's values of Semantics, a field of a class, to those of package balance.
 var idempotencies = map[string]balance.Idempotency{
 	"read_like":       balance.Idempotent,
 	"idempotency_key": balance.IdempotencyKey,
 	"non_idempotent":  balance.NonIdempotent,
 }
 
-// dedupScopes maps the values of Group on the wire. Without a value the scope is all endpoints.
+// dedupScopes maps the wire's values of Group, a field of a class, to those of package balance. Without a value the scope is
+// all endpoints.
 var dedupScopes = map[string]balance.DedupScope{
 	"":     balance.ScopeAll,
 	"all":  balance.ScopeAll,
