--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,7 +1,7 @@
 // Simhost hosts balancers for the fleet simulator. It reads batches of events from standard input, passes each event to the
-// balancer it is for, and writes one reply per batch, with the balancers' actions, to standard output. It makes no
-// balancing decision itself. The balancers share no state, and the program uses one goroutine. It exits with code 0 at the end of input. At a malformed line it writes the
-// reason to standard error and exits with code 1.
+// balancer of the instance that the event names, and writes one reply per batch, with the balancers' actions, to standard
+// output. It makes no balancing decision itself. The balancers share no state, and the program uses one goroutine. It exits
+// with code 0 at the end of input. At a malformed line it writes the reason to standard error and exits with code 1.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	}
 }
 
-// run reads batches from in until it ends and writes their replies to out.
+// run reads batches from in until the input ends and writes the reply to each batch to out.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	return reader.Run(&host{out: out, reader: reader, balancers: map[int]*balance.Balancer{}})
@@ -36,8 +36,8 @@
 type host struct {
 	out       io.Writer
 	reader    *simwire.Reader
-	reply     simwire.Reply             // actions of the current batch
-	balancers map[int]*balance.Balancer // running balancers, by instance
+	reply     simwire.Reply             // actions that the balancers have requested in the current batch
+	balancers map[int]*balance.Balancer // running balancers, by instance number
 }
 
 // Start implements simwire.Handler.
