--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if outcome.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
-		c.Replies <- Reply{Verdict: ClientGone} // the goroutine that waits for the reply may not have noticed the disconnect
+		c.Replies <- Reply{Verdict: ClientGone} // the receiver of Replies may not have noticed the disconnect yet
 	}
 	if c.mayHaveRunAt == 0 && outcome.Result.MayHaveRun() {
 		c.mayHaveRunAt = sentAt
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -12,7 +12,7 @@
 // Verdict is how a request ended.
 type Verdict int
 
-// The verdicts on a request.
+// Values of Verdict, one for each way in which a request can end.
 const (
 	// Served means that an endpoint's response is the reply.
 	Served Verdict = iota
@@ -29,7 +29,7 @@
 // Reply is the final result of a request.
 type Reply struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // when the client should retry; 0: no advice
+	RetryAfter time.Duration // time after which the client should retry; 0: no Retry-After is sent
 	// Response is the endpoint's response if the verdict is Served. If the verdict is Failed, it is the error response to the
 	// last attempt, if there was one.
 	Response upstream.Response
@@ -40,10 +40,10 @@
 type Call struct {
 	balance.Request
 	Message *upstream.Request
-	Replies chan Reply // receives the only Reply; it needs a buffer of one, since the loop must not block
+	Replies chan Reply // receives the request's only Reply; the channel needs a buffer of one, since the loop must not block
 
-	// ResponseTimeout is how long to wait for the response to a request with a streaming body, from the last byte of the body;
-	// 0: until the deadline.
+	// ResponseTimeout is how long to wait for the response to a request with a streaming body, from the last byte of the body; 0
+	// means until the deadline.
 	ResponseTimeout time.Duration
 
 	// Guard, if not nil, is called by Submit before the balancer decides on the request. If it returns false, the request is
@@ -51,9 +51,9 @@
 	Guard           func() bool
 	GuardRetryAfter time.Duration // Retry-After of a request that Guard sheds
 
-	// IsClientConnected reports whether the client is still connected; nil: it always is. It must be safe to call from any
-	// goroutine. An attempt calls it right before its first byte is written, since the loop may be notified of a disconnect
-	// later.
+	// IsClientConnected reports whether the client is still connected; nil means that the client never disconnects. The function
+	// must be safe to call from any goroutine. An attempt calls it right before its first byte is written, since the loop may be
+	// notified of a disconnect later.
 	IsClientConnected func() bool
 
 	// isFinished means that the request has its reply or that its client has disconnected. Only the loop sets it; attempts read
@@ -105,7 +105,8 @@
 	l.removeIfFinished(c)
 }
 
-// removeIfFinished removes a finished call that has no attempt in flight: no more events can concern it, and its id is free again.
+// removeIfFinished removes a finished call that has no attempt in flight: no more events can concern the call, and its id is free
+// again.
 func (l *Loop) removeIfFinished(c *Call) {
 	if c.isFinished.Load() && c.attemptsInFlight == 0 && l.calls[c.ID] == c {
 		delete(l.calls, c.ID)
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -45,7 +45,7 @@
 
 // SetEjected ejects an endpoint by an operator's override, or restores it. It is called from an event.
 func (l *Loop) SetEjected(now time.Duration, id string, isEjected bool) {
-	l.upstream.SetEjected(id, isEjected) // before the balancer, which may send an attempt to a restored endpoint at once
+	l.upstream.SetEjected(id, isEjected) // the upstream is notified first, since the balancer may send an attempt to a restored endpoint at once
 	l.balancer.SetEjected(now, id, isEjected)
 }
 
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Probe implements balance.Host. This host has no health checks of endpoints: the balancer's settings never allow them. Should the
-// balancer call for one nevertheless, its result is NotSent.
+// Probe implements balance.Host. This host sends no load probes, and the balancer's settings never allow them. If the balancer
+// requests a load probe nevertheless, the result that it gets is NotSent.
 func (h host) Probe(endpoint string) {
 	h.deferred = append(h.deferred, func(now time.Duration) {
 		h.balancer.Probed(now, balance.ProbeResult{Endpoint: endpoint, Result: balance.NotSent})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -69,7 +69,7 @@
 // BalancerFactory creates the balancer that a Loop owns. It must not call the host before it returns.
 type BalancerFactory func(now time.Duration, s balance.Settings, h balance.Host) balance.Events
 
-// NewBalancer is the BalancerFactory of the daemon.
+// NewBalancer is the BalancerFactory that the daemon uses. It returns a *balance.Balancer.
 func NewBalancer(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 	return balance.New(now, s, h)
 }
@@ -108,7 +108,7 @@
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
 // ResourceCounts returns how many calls, endpoints, deferred events and timers the Loop holds. It is called from an event.
-func (l *Loop) ResourceCounts() (calls, members, events, timers int) {
+func (l *Loop) ResourceCounts() (calls, endpoints, events, timers int) {
 	return len(l.calls), len(l.endpoints), len(l.deferred), len(l.timers)
 }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,7 +8,7 @@
 	"tuliprock/balance"
 )
 
-// The balancer would take an endpoint for restarted if the same start time gave different instants.
+// The same start time must always give the same instant, or the balancer would take the endpoint for restarted.
 func TestEndpointStartTimeMapsToOneInstant(t *testing.T) {
 	c := clock{time.Now()}
 	startedMs := c.started.UnixMilli()
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -26,8 +26,8 @@
 	endpoint  string
 	connected chan struct{}       // closed when the dial succeeds
 	results   chan balance.Result // receives the result from the script
-	writtenAt time.Time           // when the request was written; zero: it was not
-	endedAt   time.Time           // zero: the attempt is in flight
+	writtenAt time.Time           // when the request was written; zero: the request was not written
+	endedAt   time.Time           // when the attempt ended; zero: the attempt is in flight
 	result    balance.Result
 }
 
@@ -38,7 +38,7 @@
 // scriptedUpstream is an Upstream for one request. Like *upstream.Client it writes nothing once ctx has ended, IsWanted returns
 // false or the endpoint accepts no requests. It records what violates the rules for attempts.
 type scriptedUpstream struct {
-	idempotency balance.Idempotency // of the request's class
+	idempotency balance.Idempotency // idempotency of the request's class
 
 	mu             sync.Mutex
 	accepting      map[string]bool // whether an endpoint accepts new requests, by its id
@@ -46,7 +46,7 @@
 	inFlight       int
 	violations     []string
 	replies        []Reply
-	disconnectedAt time.Time // when the client disconnected; zero: it is connected
+	disconnectedAt time.Time // when the client disconnected; zero: the client is connected
 }
 
 func (u *scriptedUpstream) Attempt(
@@ -230,17 +230,17 @@
 		case endpointsReturn:
 			l.Post(updateEndpoints(""))
 		case shortWait:
-			time.Sleep(40 * time.Millisecond) // in virtual time
+			time.Sleep(40 * time.Millisecond) // advances the virtual time only
 		case longWait:
-			time.Sleep(scriptDedupWindow) // in virtual time
+			time.Sleep(scriptDedupWindow) // advances the virtual time only
 		case waitUntilNearDeadline:
-			time.Sleep(time.Until(startedAt.Add(scriptDeadline - 2*time.Millisecond))) // in virtual time
+			time.Sleep(time.Until(startedAt.Add(scriptDeadline - 2*time.Millisecond))) // advances the virtual time only
 		case loopStops:
 			stopLoop()
 		}
 		collectReplies()
 	}
-	time.Sleep(2 * scriptDeadline) // in virtual time
+	time.Sleep(2 * scriptDeadline) // advances the virtual time only
 	collectReplies()
 	isLoopStopped := ctx.Err() != nil
 	if !isLoopStopped {
@@ -272,8 +272,8 @@
 	return violations
 }
 
-// raceScripts are scripts in which an event that ends the request coincides with another one, such as a disconnect right before the
-// dial succeeds. Random scripts rarely contain these orders.
+// raceScripts are scripts in which an event that ends the request coincides with another event, such as a disconnect right before
+// the dial succeeds. Random scripts rarely contain these orders.
 var raceScripts = [][]int{
 	{clientDisconnects, dialSucceeds},
 	{clientDisconnects, loopNotifiedOfDisconnect, dialSucceeds},
@@ -310,9 +310,10 @@
 	}
 }
 
-// Runs one request in virtual time through random orders of events. It must get at most one reply, and exactly one if its client
-// stays connected. There must never be two attempts in flight. Nothing may be written after the disconnect, after the reply, to an
-// endpoint that accepts no requests, or against the class's rule on retries. Nothing may be left over afterwards.
+// The test runs one request in virtual time through random orders of events. The request must get at most one reply, and exactly
+// one if its client stays connected. There must never be two attempts in flight. Nothing may be written after the disconnect,
+// after the reply, to an endpoint that accepts no requests, or against the class's rule on retries. The loop may hold no call and
+// no deferred event in the end.
 func TestOneRequestGetsOneReplyInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		idempotency := rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent}).Draw(rt, "idempotency")
