--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// The index narrows a lookup least if no rule has a host.
+// BenchmarkMatchWithoutHosts measures the case in which the index narrows a lookup least: no rule has a host.
 func BenchmarkMatchWithoutHosts(b *testing.B) {
 	for _, kind := range []PathKind{Prefix, Segments, Pattern} {
 		for _, n := range []int{10, 1000, 10000} {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -11,8 +11,8 @@
 
 // Limits on a rule's path, which bound the memory of a table that is compiled from an operator's file.
 const (
-	maxSegments     = 64   // segments of a path of kind Segments
-	maxPatternBytes = 1024 // bytes of a regular expression
+	maxSegments     = 64   // maximum number of segments in a path of kind Segments
+	maxPatternBytes = 1024 // maximum length of a regular expression, in bytes
 )
 
 // Wildcards in a path of kind Segments.
@@ -39,7 +39,7 @@
 	pattern             *regexp.Regexp // path of a rule of kind Pattern, anchored at both ends
 	literalPrefix       string         // literal text that every match of pattern begins with
 	segments            []string       // segments of the path of a rule of kind Segments, without a trailing "**"
-	hasTrailingWildcard bool           // the path of a rule of kind Segments ends with "**"
+	hasTrailingWildcard bool           // whether the path of a rule of kind Segments ends with "**"
 }
 
 func compile(r Rule) (compiledRule, error) {
--- a/internal/route/condition.go
+++ b/internal/route/condition.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-// isImpliedBy reports whether every request that meets the other condition meets this one, too. It may miss an implication,
-// but never reports a wrong one.
+// isImpliedBy reports whether every request that meets the other condition meets this condition, too. It returns true only if
+// this is certain, and so may return false for an implication.
 func (c Condition) isImpliedBy(other Condition) bool {
 	switch {
 	case c == other:
@@ -67,7 +67,8 @@
 	return c.Operator == HasPrefix && other.Operator != Present && strings.HasPrefix(other.Value, c.Value)
 }
 
-// unescapeQuery decodes a name or value of a query like a form's: "+" is a space. A malformed one is returned unchanged.
+// unescapeQuery decodes a name or value of a query like a form's: "+" is a space. A malformed name or value is returned
+// unchanged.
 func unescapeQuery(s string) string {
 	if !strings.ContainsAny(s, "%+") {
 		return s
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -8,7 +8,7 @@
 	any      []int            // rules of kind AnyPath
 	exact    map[string][]int // rules of kind Exact, by their path
 	prefixes prefixIndex      // rules of kind Prefix, by their path
-	segments *segmentNode     // rules of kind Segments: the root of their tree
+	segments *segmentNode     // root of the tree that holds the rules of kind Segments
 	patterns prefixIndex      // rules of kind Pattern, by the literal prefix of their expression
 }
 
@@ -56,7 +56,7 @@
 type segmentNode struct {
 	children              map[string]*segmentNode // child nodes by their literal segment
 	wildcard              *segmentNode            // child node for the segment "*"
-	rules                 []int                   // rules whose path ends at this node
+	rules                 []int                   // rules whose path ends at this node, without a "**"
 	trailingWildcardRules []int                   // rules whose path ends with "**" after this node
 }
 
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -73,8 +73,8 @@
 			normal = false
 		case c == '/' && i > 0 && path[i-1] == '/', c == ';':
 			return false, ErrInvalidSegment
-		case c == '.' && path[i-1] == '/': // i > 0, since the first byte is a slash
-			normal = false // this may be a dot segment
+		case c == '.' && path[i-1] == '/': // i-1 is not negative, since the first byte is a slash
+			normal = false // the dot may begin a dot segment
 		case !isPathByte(c):
 			return false, ErrUnencodedCharacter
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -10,24 +10,24 @@
 // PathKind says how a rule's path is compared with the path of a request.
 type PathKind uint8
 
-// The kinds of paths in rules.
+// Values of PathKind. A rule without a path has the zero value, AnyPath.
 const (
 	AnyPath  PathKind = iota // every path matches
-	Exact                    // the request's path must be equal to the rule's
-	Prefix                   // the request's path must begin with the rule's
-	Segments                 // compared segment by segment: "*" matches one non-empty segment, "**" at the end any number, even none
+	Exact                    // the request's path must be equal to the rule's path
+	Prefix                   // the request's path must begin with the rule's path
+	Segments                 // paths are compared by segment: "*" matches one non-empty segment, "**" at the end any number, even none
 	Pattern                  // the rule's path is a regular expression (RE2) that must match the complete path
 )
 
 // Operator says how a condition compares the value of a header or query parameter.
 type Operator uint8
 
-// The operators of a Condition. If a name occurs several times in a request, one value that matches is enough.
+// Values of Operator. If a name occurs several times in a request, one value that matches is enough.
 const (
 	Present   Operator = iota // the request has the name, with any value
 	Absent                    // the request does not have the name
-	Equal                     // the value is equal to the condition's
-	HasPrefix                 // the value begins with the condition's
+	Equal                     // the request has the name with a value equal to Condition.Value
+	HasPrefix                 // the request has the name with a value that begins with Condition.Value
 )
 
 // Condition is a requirement on a header or a query parameter of a request.
@@ -41,7 +41,7 @@
 // part that is empty matches every request.
 type Rule struct {
 	Name    string
-	Hosts   []string // alternatives: "a.example", or "*.example" for all names below it, at any depth
+	Hosts   []string // alternative hosts: "a.example", or "*.example" for all names below example, at any depth
 	Kind    PathKind
 	Path    string
 	Methods []string    // alternative request methods
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -24,8 +24,8 @@
 	return shadows
 }
 
-// covers reports whether the rule matches every request that another rule matches. It may miss such a pair, but never reports a
-// wrong one.
+// covers reports whether the rule matches every request that another rule matches. It returns true only if this is certain, and
+// so may return false although the rule does.
 func (c *compiledRule) covers(other *compiledRule) bool {
 	isImplied := func(conditions []Condition) func(Condition) bool {
 		return func(implied Condition) bool { return slices.ContainsFunc(conditions, implied.isImpliedBy) }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// Guards against lookups that take exponential time: a segment tree with both a literal and a wildcard child at each level, where
-// one path leads to 2^10 leaves, and a pattern that a backtracking matcher would need exponential time for.
+// Lookups must not take exponential time. The table has a segment tree with both a literal and a wildcard child at each level,
+// where one path leads to 2^10 leaves, and a pattern that a backtracking matcher would need exponential time for.
 func TestLookupOfAdversarialRulesIsBounded(t *testing.T) {
 	var rules []Rule
 	for i := range 1 << 10 {
