--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,12 +16,12 @@
 // Outcome is how an accepted request ended.
 type Outcome int
 
-// The outcomes of a request.
+// Values of Outcome. Every accepted request has exactly one of them.
 const (
 	OK           Outcome = iota // the request was served
 	Shed                        // the request was rejected to shed load
 	Failed                      // the request failed, or its client disconnected before the response
-	outcomeCount                // number of outcomes
+	outcomeCount                // number of values of Outcome; not an outcome itself
 )
 
 // outcomeNames are the parts of metric names that stand for the outcomes. Dashboards depend on them.
@@ -30,11 +30,11 @@
 // namePrefix is the first part of every metric's name.
 const namePrefix = "edge_router."
 
-// Class names come from the configuration, never from clients. Their number is limited since each reload of the configuration
-// may add new names.
+// Class names come from the configuration, never from clients. The number of classes is limited since each reload of the
+// configuration may add new names.
 const (
-	maxClasses    = 1024    // classes of a registry, without the overflow class
-	overflowClass = "other" // name of the class that counts the requests of all further names
+	maxClasses    = 1024    // maximum number of classes in a Registry, the overflow class not counted
+	overflowClass = "other" // name of the class that counts the requests of all classes above maxClasses
 )
 
 // Registry holds the metrics of one process. The zero value is ready to use, and it is safe for concurrent use.
@@ -44,7 +44,7 @@
 	// RejectedInput counts inputs that were rejected before they became requests. They are not counted in any class.
 	RejectedInput atomic.Uint64
 
-	active  atomic.Int64 // requests of all classes between Begin and End
+	active  atomic.Int64 // number of requests of all classes for which Begin was called, but not End
 	mu      sync.Mutex   // guards classes; not taken while a request is served
 	classes map[string]*Class
 }
