--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -11,14 +11,14 @@
 // Verb is the first word of a command. The texts must not change, since operators' scripts send them.
 type Verb string
 
-// The verbs of the protocol.
+// Values of Verb, which are all commands of the operators' protocol.
 const (
 	VerbCheck    Verb = "check"    // reports whether this process accepts clients
 	VerbVars     Verb = "vars"     // prints all metrics
 	VerbSetDown  Verb = "set-down" // ejects an endpoint manually
 	VerbSetUp    Verb = "set-up"   // ends an endpoint's manual ejection
 	VerbPeers    Verb = "peers"    // prints the members of the cluster
-	VerbSettings Verb = "settings" // prints or changes the cluster's settings, depending on its arguments
+	VerbSettings Verb = "settings" // prints or changes the cluster's settings, depending on the command's arguments
 	VerbVersions Verb = "versions" // prints the version of the settings that is in force
 )
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -32,8 +32,8 @@
 // After the response, the server waits for the client to close the connection and discards what the client still sends. Closing
 // a connection with unread bytes makes the kernel send a reset, which can destroy the response before the client reads it.
 const (
-	lingerTimeout  = 200 * time.Millisecond // time for the client to close
-	maxLingerBytes = 64 << 10               // bytes that are discarded at most
+	lingerTimeout  = 200 * time.Millisecond // maximum time to wait until the client closes the connection
+	maxLingerBytes = 64 << 10               // maximum number of bytes that are read and discarded
 )
 
 // Server accepts connections and executes their commands. The number of open connections is limited: at the limit, a new
@@ -47,11 +47,11 @@
 	mu              sync.Mutex
 	openConnections int
 	changed         sync.Cond // signaled when a connection has ended or become idle
-	idle            list.List // net.Conns that may be closed to make room for others, the next one to close in front
+	idle            list.List // connections (net.Conn) that may be closed in favor of new ones; the first element is closed first
 	isClosed        bool
 }
 
-// connection is a client's connection.
+// connection is a client's connection, for one command.
 type connection struct {
 	net.Conn
 	idleEntry *list.Element // entry in Server.idle, from which it may have been removed
@@ -117,7 +117,7 @@
 	defer s.mu.Unlock()
 	for s.openConnections >= s.maxConnections && !s.isClosed {
 		if oldest := s.idle.Front(); oldest != nil {
-			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine fails, and it calls release
+			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine then fails, and the goroutine calls release
 		}
 		s.changed.Wait()
 	}
@@ -213,5 +213,5 @@
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // an error does not matter: the command was executed
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // an error is ignored, since the command was executed and its response was written
 }
