--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -108,14 +108,14 @@
 	// detachContext prevents the end of the attempt's context from closing the connection. It returns false if the context had
 	// already ended.
 	detachContext func() bool
-	isHandedOver  atomic.Bool // AttemptHooks.ResponseStarted has accepted the response
+	isHandedOver  atomic.Bool // whether AttemptHooks.ResponseStarted has accepted the response
 }
 
 // outcome is how an exchange ended.
 type outcome struct {
 	result     balance.Result
 	response   Response
-	isReusable bool // the connection may carry another exchange
+	isReusable bool // whether the connection may carry another exchange
 }
 
 // run writes the encoded request, or its head if the body streams, and reads the response.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -51,7 +51,7 @@
 	for name, row := range map[string]struct {
 		text     string         // bytes that the endpoint writes
 		want     balance.Result // expected result of the attempt
-		keepOpen bool           // the endpoint keeps the connection open after that
+		keepOpen bool           // whether the endpoint keeps the connection open after it has written text
 	}{
 		"200":                       {testpeer.ResponseOK, balance.OK, true},
 		"200 chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.OK, true},
@@ -136,7 +136,7 @@
 			if _, err := io.ReadFull(nc, make([]byte, 10)); err != nil {
 				t.Error(err)
 			}
-			nc.Close() // sends a reset, since bytes are unread
+			nc.Close() // closing a connection with unread bytes sends a reset
 		}
 	}()
 	req := getRequest("/c")
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,10 +16,10 @@
 	rawConn             syscall.RawConn
 	byteLimit           *io.LimitedReader // limits the bytes that are read for one response
 	reader              *bufio.Reader     // reads from byteLimit
-	pool                *endpointPool     // pool of the endpoint
+	pool                *endpointPool     // pool to which the connection returns after an attempt
 	address             string            // address that was dialed
 	idleSince           time.Time         // time of the last response, or of the first return to the pool without one; zero before that
-	closesAfterResponse bool              // the last response head had the option "Connection: close"
+	closesAfterResponse bool              // whether the last response head had the option "Connection: close"
 }
 
 func newConn(nc net.Conn, p *endpointPool, address string) (*conn, error) {
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -20,8 +20,8 @@
 // endpointPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
 type endpointPool struct {
 	address             string
-	isListedAsAccepting bool    // the last SetEndpoint said that the endpoint accepts requests
-	acceptsRequests     bool    // isListedAsAccepting, and the endpoint is not ejected
+	isListedAsAccepting bool    // whether the last call of SetEndpoint said that the endpoint accepts requests
+	acceptsRequests     bool    // whether isListedAsAccepting is set and the endpoint is not ejected
 	idle                []*conn // idle connections by idleSince, the most recently used one last
 }
 
@@ -59,12 +59,13 @@
 type reservation struct {
 	pool    *endpointPool
 	address string // address to dial
-	conn    *conn  // idle connection; nil if a new one may be dialed
+	conn    *conn  // idle connection; nil if a new connection may be dialed
 }
 
 // reserve takes an idle connection from the endpoint's pool: of those whose reuse delay has passed, the most recently used one.
 // If there is none, it takes the connection that has been idle longest or, if the pool is empty or Options.DialInsteadOfWaiting
-// says so, counts a new connection as open. At Options.MaxConnections, an idle connection to any endpoint is closed for that.
+// says so, counts a new connection as open. If that would exceed Options.MaxConnections, it first closes an idle connection to
+// any endpoint.
 func (cl *Client) reserve(id string) (reservation, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -54,9 +54,9 @@
 	}
 	wantConnections(1)
 	wantConnections(1)
-	client.pools["a"].idle[0].idleSince = time.Now().Add(-client.maxIdleAge) // so old that the endpoint may close it at any moment
+	client.pools["a"].idle[0].idleSince = time.Now().Add(-client.maxIdleAge) // the connection is then so old that the endpoint may close it at any moment
 	wantConnections(2)
-	client.SetEndpoint("a", other.Addr, true) // the idle connection still leads to the old address
+	client.SetEndpoint("a", other.Addr, true) // the idle connection still leads to the endpoint's old address
 	wantConnections(2)
 	if c := other.Connections.Load(); c != 1 || client.openCount != 1 {
 		t.Errorf("%d connections to the new address and %d open in total, want 1 and 1", c, client.openCount)
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -51,8 +51,8 @@
 type exchangeResult struct {
 	status     int
 	body       []byte
-	isOK       bool // the result is balance.OK
-	isReusable bool // the connection may carry another exchange
+	isOK       bool // whether the result is balance.OK
+	isReusable bool // whether the connection may carry another exchange
 	unread     int  // bytes of the text that were not consumed
 }
 
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -27,17 +27,17 @@
 type bodySender struct {
 	exchange    *exchange
 	reader      *body.UploadReader
-	meter       body.Meter    // of the endpoint's minimum rate
+	meter       body.Meter    // meter of the rate at which the endpoint reads the body
 	bodyAllowed chan struct{} // closed when the body may be sent, or the sender was stopped
-	allowOnce   sync.Once     // closes bodyAllowed
+	allowOnce   sync.Once     // ensures that bodyAllowed is closed only once
 	done        chan struct{} // closed when run returns
-	isStopped   atomic.Bool   // nothing more may be written
+	isStopped   atomic.Bool   // whether the sender was stopped, so that nothing more may be written
 
 	mu             sync.Mutex // held during each write to the endpoint; guards the fields below
 	written        int64      // bytes of the request that were written
-	isSent         bool       // the request's last byte was written
-	isTooSlow      bool       // the endpoint fell below its minimum rate
-	isUploadBroken bool       // the client's body could not be read
+	isSent         bool       // whether the request's last byte was written
+	isTooSlow      bool       // whether the endpoint fell below its minimum rate
+	isUploadBroken bool       // whether the client's body could not be read
 }
 
 // runUpload sends a request whose body streams, and at the same time waits for the response, which may come before the body's end.
@@ -75,14 +75,14 @@
 	}
 }
 
-// allowBody lets run send the body.
+// allowBody lets run send the body. It may be called several times.
 func (s *bodySender) allowBody() { s.allowOnce.Do(func() { close(s.bodyAllowed) }) }
 
 // stop stops the sender, unless the request was sent completely, and returns when nothing more will be written. It does not wait
 // for a read from the client. With closesConn it also closes the connection.
 func (s *bodySender) stop(closesConn bool) {
 	s.isStopped.Store(true)
-	s.reader.Close() // before allowBody, since a client that waits for 100 Continue must not be asked for a body that is not needed
+	s.reader.Close() // Close precedes allowBody, since a client that waits for 100 Continue must not be asked for a body that is not needed
 	s.allowBody()
 	if closesConn {
 		s.exchange.conn.Close()
@@ -93,7 +93,7 @@
 	isSent := s.isSent
 	s.mu.Unlock()
 	if isSent {
-		<-s.done // AttemptHooks.RequestSent must be called before Attempt returns
+		<-s.done // run calls AttemptHooks.RequestSent, which must happen before Attempt returns
 		_ = s.exchange.conn.SetWriteDeadline(time.Time{})
 	}
 }
@@ -110,10 +110,11 @@
 	case s.isTooSlow || ctx.Err() != nil:
 		return balance.TimedOut
 	}
-	return balance.ErrorResponse // not Reset, since an endpoint that rejects an upload by closing the connection is not down
+	return balance.ErrorResponse // the result is not Reset, since an endpoint that rejects an upload by closing the connection is not down
 }
 
-// run sends the head and the body.
+// run sends the head and the body. If the client expects 100 Continue, run waits for allowBody before it sends the body, but at
+// most for expectContinueTimeout.
 func (s *bodySender) run(head []byte) {
 	defer close(s.done)
 	if s.write(false, head) != nil {
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -28,16 +28,16 @@
 	conn      *conn
 	response  *http.Response
 	maxBytes  int64       // maximum length of the body in bytes; 0 means no maximum
-	meter     body.Meter  // of the endpoint's minimum rate
-	closed    chan error  // receives the argument of Close
-	isClaimed atomic.Bool // handed over to AttemptHooks.ResponseStarted, or read completely before that
+	meter     body.Meter  // meter of the rate at which the endpoint sends the body
+	closed    chan error  // receives the argument of the only call of Close
+	isClaimed atomic.Bool // whether the stream was handed over to AttemptHooks.ResponseStarted, or read completely before the handover
 
 	mu        sync.Mutex
 	readEnded sync.Cond // signaled when a read from the endpoint has ended
 	buffer    []byte
 	filled    int   // bytes of buffer that hold data
 	consumed  int   // bytes of buffer that Next has returned
-	isReading bool  // a read from the endpoint is in progress
+	isReading bool  // whether a read from the endpoint is in progress
 	received  int64 // bytes of the body that were read or spliced
 	err       error // error of the last read; no read follows once it is set
 }
@@ -61,7 +61,7 @@
 func (x *exchange) streamResponse(ctx context.Context, resp *http.Response) outcome {
 	buffer, release, err := x.acquireBuffer(ctx)
 	if err != nil {
-		return outcome{result: balance.Canceled} // a result that does not count against the endpoint
+		return outcome{result: balance.Canceled} // balance.Canceled does not count against the endpoint
 	}
 	defer release()
 	x.conn.byteLimit.N = math.MaxInt64 // Stream.maxBytes limits a streaming body instead
@@ -186,7 +186,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.consumed == s.filled && s.err == nil {
-		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait())) // also applies to a read that is in progress
+		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait())) // the new deadline also applies to a read that is in progress
 		if s.isReading {
 			s.readEnded.Wait()
 			continue
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -44,7 +44,7 @@
 	case err == nil:
 		clientMeter.Record(int(n), took)
 		s.meter.Record(int(n), 0)
-	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint's read deadline, not the client's
+	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint's read deadline has passed, not the client's write deadline
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
