--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -69,8 +69,8 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 		h.balancer.ClientDisconnected(h.now, h.requestForTenant("read", fmt.Sprint("tenant", i)))
-		if last := fmt.Sprint("r", h.requestCount); len(h.sentTo[last]) > 0 {
-			h.finish(last, balance.Canceled)
+		if lastID := fmt.Sprint("r", h.requestCount); len(h.sentTo[lastID]) > 0 {
+			h.finish(lastID, balance.Canceled)
 		}
 	}
 	want := map[string]int{"classes": 2, "tenants": 0, "kinds": 1, "names": 2, "endpoints": 2, "subset": 2,
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -53,7 +53,7 @@
 			queue[ep] = append(queue[ep], id)
 		}
 		for next := h.now + interval; h.now < next; {
-			sent := len(h.actions)
+			actionsBefore := len(h.actions)
 			h.advance(ms)
 			for _, ep := range endpoints {
 				if serviceProgress[ep] += ms; serviceProgress[ep] >= serviceTime || len(queue[ep]) == 0 {
@@ -66,7 +66,7 @@
 					}
 				}
 			}
-			for _, d := range h.actions[sent:] { // requests that the balancer had queued and sent in this millisecond
+			for _, d := range h.actions[actionsBefore:] { // requests that the balancer had queued and sent in this millisecond
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
@@ -125,8 +125,8 @@
 // most attempts in flight at once.
 func (h *harness) maxInFlight(duration time.Duration) (most int) {
 	var inFlight []string
-	seen := 0
-	for begun := h.now; h.now < begun+duration; h.advance(ms) {
+	actionsSeen := 0
+	for startedAt := h.now; h.now < startedAt+duration; h.advance(ms) {
 		for len(inFlight) > 0 && h.now >= h.sentAt[inFlight[0]]+100*ms {
 			h.finish(inFlight[0], balance.OK)
 			inFlight = inFlight[1:]
@@ -134,8 +134,8 @@
 		if h.requestCount%2 == 0 || h.now%(3*ms) == 0 {
 			h.request("read")
 		}
-		for ; seen < len(h.actions); seen++ {
-			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
+		for ; actionsSeen < len(h.actions); actionsSeen++ {
+			if f := strings.Fields(h.actions[actionsSeen]); f[0] == "send" {
 				inFlight = append(inFlight, f[1])
 			}
 		}
@@ -153,9 +153,9 @@
 		s.Tier = tier
 		return newHarness(t, s, "a", "b").maxInFlight(900 * ms)
 	}
-	first, second := limitAfterGrowth(0), limitAfterGrowth(1)
-	if first < second+(second-12)/2 { // 12 is the initial limit in both tiers
-		t.Errorf("after 0.9 s the limit of 12 is %d in the first tier, want 1.5 times the growth to %d in the second", first, second)
+	firstTierLimit, secondTierLimit := limitAfterGrowth(0), limitAfterGrowth(1)
+	if firstTierLimit < secondTierLimit+(secondTierLimit-12)/2 { // 12 is the initial limit in both tiers
+		t.Errorf("after 0.9 s the limit of 12 is %d in the first tier, want 1.5 times the growth to %d in the second", firstTierLimit, secondTierLimit)
 	}
 }
 
@@ -164,8 +164,8 @@
 func TestFastFirstResponsesDoNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	finishAt := map[string]time.Duration{}
-	actionsSeen, sentCount, begun := 0, 0, h.now
-	for ; h.now < begun+6*time.Second; h.advance(ms) {
+	actionsSeen, sentCount, startedAt := 0, 0, h.now
+	for ; h.now < startedAt+6*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
 			if h.now >= finishAt[id] {
 				delete(finishAt, id)
@@ -173,8 +173,8 @@
 			}
 		}
 		for requested := 0; len(finishAt)+requested < 22; requested++ {
-			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
-				t.Fatalf("request %d was queued %v after the start, want it sent at once after 3 s", h.requestCount, h.now-begun)
+			if _, ep := h.request("read"); ep == "" && h.now > startedAt+3*time.Second {
+				t.Fatalf("request %d was queued %v after the start, want it sent at once after 3 s", h.requestCount, h.now-startedAt)
 			}
 		}
 		for ; actionsSeen < len(h.actions); actionsSeen++ {
@@ -203,7 +203,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
 	finishAt, maxInFlight, actionsSeen := map[string]time.Duration{}, 0, len(h.actions)
-	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
+	for startedAt := h.now; h.now < startedAt+4*time.Second; h.advance(ms) {
 		for _, id := range slices.Sorted(maps.Keys(finishAt)) {
 			if h.now >= finishAt[id] {
 				delete(finishAt, id)
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -127,18 +127,18 @@
 		latency[names[i+1]] = 50 * ms
 	}
 	h := newHarness(t, defaultSettings(), names...)
-	slow := 0
+	slowCount := 0
 	for range 400 { // two requests per second; an even part is one request per endpoint every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
-			slow++
+			slowCount++
 		}
 		h.advance(latency[ep])
 		h.finish(id, balance.OK)
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
-	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slow)
+	if slowCount > 14 {
+		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slowCount)
 	}
 }
 
@@ -193,21 +193,21 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, latency)
-	canceled := 0
+	canceledCount := 0
 	for range 40 { // attempts at b are cancelled after 1 ms, those at a succeed
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
 			h.balancer.ClientDisconnected(h.now, id)
 			h.finish(id, balance.Canceled)
-			canceled++
+			canceledCount++
 			continue
 		}
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if canceled == 0 || canceled > 24 {
-		t.Errorf("b got %d of 40 requests, want 1 to 24: cancellation must make it seem neither fast nor slow", canceled)
+	if canceledCount == 0 || canceledCount > 24 {
+		t.Errorf("b got %d of 40 requests, want 1 to 24: cancellation must make it seem neither fast nor slow", canceledCount)
 	}
 	if counts := h.serve(60, latency); counts["b"] < 20 {
 		t.Errorf("after the cancellations b got %d of 60 requests, want at least 20", counts["b"])
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -77,14 +77,14 @@
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += ms
-		due := 0
+		dueTimers := 0
 		h.timers = slices.DeleteFunc(h.timers, func(at time.Duration) bool {
 			if at <= h.now {
-				due++
+				dueTimers++
 			}
 			return at <= h.now
 		})
-		for range due {
+		for range dueTimers {
 			h.balancer.Timer(h.now)
 		}
 	}
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -215,11 +215,11 @@
 	if sim.rng.IntN(3) > 0 {
 		e.State = balance.Ready
 	}
-	old, known := sim.listed[e.ID]
-	if e.State == balance.Ready && (!known || old.State == balance.Gone || sim.rng.IntN(3) == 0) {
+	oldEntry, isListed := sim.listed[e.ID]
+	if e.State == balance.Ready && (!isListed || oldEntry.State == balance.Gone || sim.rng.IntN(3) == 0) {
 		e.Started = sim.now
 	} else {
-		e.Started = old.Started
+		e.Started = oldEntry.Started
 	}
 	if e.State == balance.Ready {
 		delete(sim.unavailableSince, e.ID)
@@ -258,16 +258,16 @@
 	if !sim.isDraining && sim.rng.IntN(60) == 0 {
 		sim.changeEjection()
 	}
-	due := 0
+	dueTimers := 0
 	for i := 0; i < len(sim.timers); i++ {
 		if sim.timers[i] <= sim.now {
 			sim.timers[i] = sim.timers[len(sim.timers)-1]
 			sim.timers = sim.timers[:len(sim.timers)-1]
 			i--
-			due++
+			dueTimers++
 		}
 	}
-	for range due {
+	for range dueTimers {
 		sim.balancer.Timer(sim.now)
 	}
 	probes := sim.probes
@@ -281,7 +281,7 @@
 			sim.balancer.Probed(sim.now, p)
 		}
 	}
-	stillOpen := sim.openIDs[:0]
+	remainingIDs := sim.openIDs[:0]
 	for _, id := range sim.openIDs {
 		req := sim.requests[id]
 		if !sim.isDraining && !req.isFinished && sim.rng.IntN(400) == 0 {
@@ -312,10 +312,10 @@
 			sim.t.Fatalf("%v: no final response to %s, want it by its deadline %v", sim.now, id, req.Deadline)
 		}
 		if !req.isFinished || hasAttemptInFlight {
-			stillOpen = append(stillOpen, id)
+			remainingIDs = append(remainingIDs, id)
 		}
 	}
-	sim.openIDs = stillOpen
+	sim.openIDs = remainingIDs
 }
 
 // newSimulation returns a simulation whose settings and events depend only on the seed.
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -134,8 +134,8 @@
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
 	h.finish(requestAtA, balance.Reset) // outcome of the attempt sent before a was ejected
 	h.finish(requestAtA, balance.OK)    // outcome of the retry at b
-	since, sent := h.now, 0
-	for h.now < since+2*time.Second {
+	restoredAt, sent := h.now, 0
+	for h.now < restoredAt+2*time.Second {
 		id, ep := h.request("read")
 		if ep == "a" {
 			sent++
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -79,14 +79,14 @@
 	}
 	h.balancer.EndpointList(h.now, l)
 	h.serve(60, latency)
-	slow := 0
+	slowCount := 0
 	for ep, n := range h.serve(60, latency) {
 		if ep[0] == 's' {
-			slow += n
+			slowCount += n
 		}
 	}
-	if slow > 20 {
-		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slow)
+	if slowCount > 20 {
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slowCount)
 	}
 }
 
@@ -98,22 +98,22 @@
 	}
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	h.advance(time.Second)
-	var trial string
+	var trialID string
 	for range 6 {
 		if id, ep := h.request("read"); ep == "b" {
-			trial = id
+			trialID = id
 		}
 	}
-	if trial == "" {
+	if trialID == "" {
 		t.Fatal("the new endpoint got no trial")
 	}
 	h.advance(100 * ms)
-	h.finish(trial, balance.OK)
-	before := h.countActions("send")
+	h.finish(trialID, balance.OK)
+	sendsBefore := h.countActions("send")
 	for range 6 {
 		h.requestForTenant("read", "")
 	}
-	if n := h.countActions("send") - before; n < 4 {
+	if n := h.countActions("send") - sendsBefore; n < 4 {
 		t.Errorf("%d of 6 requests were sent while one endpoint hangs, want at least 4", n)
 	}
 }
@@ -122,21 +122,21 @@
 func TestIdleConnectionIsUsedForAFewRequestsInARow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.idleConnections = map[string]bool{}
-	counts, changes, last := map[string]int{}, 0, ""
+	counts, endpointChanges, lastEndpoint := map[string]int{}, 0, ""
 	const requests = 400
 	for range requests {
 		id, ep := h.request("read")
-		if ep != last { // the endpoint of the last request closes its idle connection
-			h.idleConnections[last], last = false, ep
-			changes++
+		if ep != lastEndpoint { // the endpoint of the last request closes its idle connection
+			h.idleConnections[lastEndpoint], lastEndpoint = false, ep
+			endpointChanges++
 		}
 		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 		h.idleConnections[ep] = true
 	}
-	if changes > requests/2 {
-		t.Errorf("the endpoint changed %d times in %d requests, want half of them at most", changes, requests)
+	if endpointChanges > requests/2 {
+		t.Errorf("the endpoint changed %d times in %d requests, want half of them at most", endpointChanges, requests)
 	}
 	for ep, n := range counts {
 		if n < requests/4-5 || n > requests/4+5 {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -32,7 +32,7 @@
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
-	before, requests := h.countActions("send"), 200
+	sendsBefore, requests := h.countActions("send"), 200
 	for range requests {
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
@@ -41,7 +41,7 @@
 				Latency: 10 * ms})
 		}
 	}
-	if retries := h.countActions("send") - before - requests; retries > requests/10+10 || retries < 5 {
+	if retries := h.countActions("send") - sendsBefore - requests; retries > requests/10+10 || retries < 5 {
 		t.Errorf("%d requests that all failed got %d retries, want 5 to %d", requests, retries, requests/10+10)
 	}
 }
@@ -53,21 +53,21 @@
 	h := newHarness(t, s, "fast", "slow")
 	latency := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
 	h.serve(200, latency)
-	retried := 0
+	retriedCount := 0
 	for range 30 {
 		h.serve(11, latency) // these requests add a retry to the budget, and change the order of the deficits
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.ErrorResponse)
 		if to := h.sentTo[id]; len(to) == 2 {
-			if retried++; to[0] == to[1] {
+			if retriedCount++; to[0] == to[1] {
 				t.Fatalf("%s was sent to %v, want two different endpoints", id, to)
 			}
 			h.advance(latency[to[1]])
 			h.finish(id, balance.OK)
 		}
 	}
-	if retried < 10 {
-		t.Errorf("%d of 30 requests were retried, want at least 10", retried)
+	if retriedCount < 10 {
+		t.Errorf("%d of 30 requests were retried, want at least 10", retriedCount)
 	}
 }
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -135,19 +135,19 @@
 func (member *fleetMember) step() {
 	now := member.fleet.now
 	for len(member.pending) > 0 && member.pending[0].at <= now {
-		next := member.pending[0]
+		nextOutcome := member.pending[0]
 		member.pending = member.pending[1:]
-		member.balancer.Outcome(now, next.outcome)
+		member.balancer.Outcome(now, nextOutcome.outcome)
 	}
-	due := false
+	isTimerDue := false
 	for i := len(member.timers) - 1; i >= 0; i-- {
 		if member.timers[i] <= now {
 			member.timers[i] = member.timers[len(member.timers)-1]
 			member.timers = member.timers[:len(member.timers)-1]
-			due = true
+			isTimerDue = true
 		}
 	}
-	if due {
+	if isTimerDue {
 		member.balancer.Timer(now)
 	}
 	if member.fractionDue += fleetRequestRate * ms.Seconds(); member.fractionDue >= 1 {
@@ -164,16 +164,16 @@
 func (fleet *balancerFleet) worstLoad() (worst float64, sends int) {
 	for id, at := range fleet.sends {
 		sends += len(at)
-		first := 0
+		windowStart := 0
 		for i, end := range at {
-			for at[first] <= end-overloadWindow {
-				first++
+			for at[windowStart] <= end-overloadWindow {
+				windowStart++
 			}
 			progress := min(float64(end-fleet.listed[id].Started)/float64(fleetSlowStart), 1)
 			capacity := fleetInitialCapacity + (1-fleetInitialCapacity)*progress
 			evenRate := fleetBalancers * fleetRequestRate / fleetEndpoints
 			allowed := overloadMultiple * capacity * evenRate / warmUtilization * overloadWindow.Seconds()
-			worst = max(worst, float64(i-first+1)/(allowed+2*math.Sqrt(allowed)+2))
+			worst = max(worst, float64(i-windowStart+1)/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
 	return worst, sends
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -36,10 +36,10 @@
 		for range 30 {
 			step()
 		}
-		start := h.now
-		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: start}}})
-		for h.now < start+11*time.Second {
-			if at := (h.now - start) / time.Second; step() == "new" {
+		startedAt := h.now
+		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: startedAt}}})
+		for h.now < startedAt+11*time.Second {
+			if at := (h.now - startedAt) / time.Second; step() == "new" {
 				requests[at]++
 			}
 		}
