--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -12,9 +12,9 @@
 // endpointLists holds the lists that the simulator defines by a LEDGER and its ENDPOINT messages. REGISTRY messages refer to
 // them by number, in the same batch or in later ones.
 type endpointLists struct {
-	byNumber   [maxLists]*endpointList // list that was last defined for each number; nil: no list has the number yet
-	current    *endpointList           // list that the last LEDGER began
-	entriesDue int                     // number of ENDPOINT messages that are still due for the current list
+	byNumber    [maxLists]*endpointList // list that was last defined for each number; nil: no list has the number yet
+	currentList *endpointList           // list that the last LEDGER began
+	entriesDue  int                     // number of ENDPOINT messages that are still due for the current list
 }
 
 // endpointList is a list of endpoints that a LEDGER began and ENDPOINT messages filled.
@@ -29,8 +29,8 @@
 	if number < 0 || number >= maxLists || count < 0 {
 		return errors.New("LEDGER has a Ref or Hosts out of range")
 	}
-	l.current = &endpointList{entries: []balance.Endpoint{}}
-	l.byNumber[number], l.entriesDue = l.current, count
+	l.currentList = &endpointList{entries: []balance.Endpoint{}}
+	l.byNumber[number], l.entriesDue = l.currentList, count
 	return nil
 }
 
@@ -57,7 +57,7 @@
 		m.fail("ENDPOINT has an unknown Phase %q", phase)
 	}
 	l.entriesDue--
-	l.current.entries = append(l.current.entries, endpoint)
+	l.currentList.entries = append(l.currentList.entries, endpoint)
 	return m.err
 }
 
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -9,9 +9,9 @@
 // Reply collects the actions of one batch. Its method Host returns a balance.Host that writes the actions of one instance to
 // it. The zero value is an empty reply. A Reply is not safe for concurrent use.
 type Reply struct {
-	encoded  []byte // encoded actions so far
-	isBegun  bool   // whether the reply has any action
-	instance int    // instance of the last action
+	encoded    []byte // encoded actions so far
+	hasActions bool   // whether the reply has any action
+	instance   int    // instance of the last action
 }
 
 // Bytes ends the reply and returns its encoding, which is valid until the next action is written. The next action begins a new
@@ -19,7 +19,7 @@
 func (r *Reply) Bytes() []byte {
 	r.encoded = append(r.encoded, "FINISHED\n"...)
 	encoded := r.encoded
-	r.encoded, r.isBegun = encoded[:0], false
+	r.encoded, r.hasActions = encoded[:0], false
 	return encoded
 }
 
@@ -35,8 +35,8 @@
 // begin writes the name of an action. If the last action was that of another instance, begin writes an ON_BEHALF line first.
 func (h *Host) begin(action string) *Host {
 	r := h.reply
-	if !r.isBegun || r.instance != h.instance {
-		r.isBegun, r.instance = true, h.instance
+	if !r.hasActions || r.instance != h.instance {
+		r.hasActions, r.instance = true, h.instance
 		r.encoded = append(r.encoded, "ON_BEHALF\tSidecar="...)
 		r.encoded = strconv.AppendInt(r.encoded, int64(h.instance), 10)
 		r.encoded = append(r.encoded, '\n')
