--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -4,7 +4,7 @@
 
 // clock converts times to the instants that the balancer takes: the monotonic time since the start of the loop, plus clockStart.
 // It is immutable and may be read from any goroutine.
-type clock struct{ started time.Time }
+type clock struct{ startedAt time.Time }
 
 // clockStart is the instant at which a clock starts. It is well above zero because 0 means "long ago", and because endpoints
 // that started before this sidecar need instants, too.
@@ -12,7 +12,7 @@
 
 func (c clock) now() time.Duration { return c.at(time.Now()) }
 
-func (c clock) at(t time.Time) time.Duration { return clockStart + t.Sub(c.started) }
+func (c clock) at(t time.Time) time.Duration { return clockStart + t.Sub(c.startedAt) }
 
 // fromUnixMillis converts wall-clock time to an instant; 0 or less means "long ago". The offset between the clocks is fixed: the
 // same start time of an endpoint must always give the same instant, or the balancer would take the endpoint for restarted.
@@ -20,5 +20,5 @@
 	if unixMs <= 0 {
 		return 0
 	}
-	return max(clockStart+time.Duration(unixMs-c.started.UnixMilli())*time.Millisecond, 0)
+	return max(clockStart+time.Duration(unixMs-c.startedAt.UnixMilli())*time.Millisecond, 0)
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -60,4 +60,4 @@
 
 // EndpointCounts returns how many endpoints are listed, and how many of them the balancer avoids because they are ejected, manually
 // or as outliers. It is called from an event.
-func (l *Loop) EndpointCounts() (listed, avoided int) { return l.balancer.EndpointCounts() }
+func (l *Loop) EndpointCounts() (listed, ejected int) { return l.balancer.EndpointCounts() }
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -28,7 +28,7 @@
 	c.attemptsInFlight++
 	if c.isFinished.Load() {
 		outcome.Result = balance.NotSent
-		h.deferred = append(h.deferred, func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
+		h.deferredEvents = append(h.deferredEvents, func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
 		return
 	}
 	hooks := h.attemptHooks(c, outcome.Attempt)
@@ -68,7 +68,7 @@
 // Probe implements balance.Host. This host sends no load probes, and the balancer's settings never allow them. If the balancer
 // requests a load probe nevertheless, the result that it gets is NotSent.
 func (h host) Probe(endpoint string) {
-	h.deferred = append(h.deferred, func(now time.Duration) {
+	h.deferredEvents = append(h.deferredEvents, func(now time.Duration) {
 		h.balancer.Probed(now, balance.ProbeResult{Endpoint: endpoint, Result: balance.NotSent})
 	})
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -34,7 +34,7 @@
 	clock        clock
 	balancer     balance.Events
 	events       chan func(now time.Duration) // queue of events posted with Post
-	urgent       chan func(now time.Duration) // events posted with Do, which bypass the queue
+	urgentEvents chan func(now time.Duration) // events posted with Do, which bypass the queue
 	done         chan struct{}                // closed when Run returns
 	upstream     Upstream
 	requestWatch func() // makes discovery watch the endpoint list instead of polling it
@@ -44,7 +44,7 @@
 	calls              map[string]*Call          // calls that are unfinished or have attempts in flight, by request id
 	endpoints          map[string]bool           // set of the ids of listed endpoints
 	timers             []time.Duration           // instants of the balancer's timers, ascending
-	deferred           []func(now time.Duration) // events that methods of host caused, to be handled after the current event
+	deferredEvents     []func(now time.Duration) // events that methods of host caused, to be handled after the current event
 }
 
 // Upstream makes attempts at endpoints. *upstream.Client implements it.
@@ -80,7 +80,7 @@
 	l := &Loop{
 		clock:              clock{time.Now()},
 		events:             make(chan func(time.Duration), eventQueueLength),
-		urgent:             make(chan func(time.Duration)),
+		urgentEvents:       make(chan func(time.Duration)),
 		done:               make(chan struct{}),
 		upstream:           u,
 		requestWatch:       requestWatch,
@@ -109,7 +109,7 @@
 
 // ResourceCounts returns how many calls, endpoints, deferred events and timers the Loop holds. It is called from an event.
 func (l *Loop) ResourceCounts() (calls, endpoints, events, timers int) {
-	return len(l.calls), len(l.endpoints), len(l.deferred), len(l.timers)
+	return len(l.calls), len(l.endpoints), len(l.deferredEvents), len(l.timers)
 }
 
 // Post queues an event, and blocks while the queue is full. The event is dropped if the loop has stopped. Post must not be called
@@ -126,7 +126,7 @@
 func (l *Loop) Do(ctx context.Context, event func(now time.Duration)) error {
 	handled := make(chan struct{})
 	select {
-	case l.urgent <- func(now time.Duration) { event(now); close(handled) }:
+	case l.urgentEvents <- func(now time.Duration) { event(now); close(handled) }:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.done:
@@ -155,7 +155,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case event := <-l.urgent:
+		case event := <-l.urgentEvents:
 			l.handle(event)
 		case event := <-l.events:
 			l.handle(event)
@@ -176,19 +176,19 @@
 // handle handles an event, and then the deferred events that it caused.
 func (l *Loop) handle(event func(now time.Duration)) {
 	event(l.clock.now())
-	for len(l.deferred) > 0 {
-		next := l.deferred[0]
-		l.deferred = l.deferred[1:]
-		next(l.clock.now())
+	for len(l.deferredEvents) > 0 {
+		nextEvent := l.deferredEvents[0]
+		l.deferredEvents = l.deferredEvents[1:]
+		nextEvent(l.clock.now())
 	}
 }
 
 // fireTimers reports the due timers to the balancer. A timer that the balancer sets meanwhile fires only after Run has had a chance
 // to handle another event, so that timers that are due at once cannot starve other events.
 func (l *Loop) fireTimers(now time.Duration) {
-	due, _ := slices.BinarySearch(l.timers, now+1)
-	l.timers = slices.Delete(l.timers, 0, due)
-	for range due {
+	dueCount, _ := slices.BinarySearch(l.timers, now+1)
+	l.timers = slices.Delete(l.timers, 0, dueCount)
+	for range dueCount {
 		l.balancer.Timer(now)
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -11,7 +11,7 @@
 // The same start time must always give the same instant, or the balancer would take the endpoint for restarted.
 func TestEndpointStartTimeMapsToOneInstant(t *testing.T) {
 	c := clock{time.Now()}
-	startedMs := c.started.UnixMilli()
+	startedMs := c.startedAt.UnixMilli()
 	if got := c.fromUnixMillis(0); got != 0 {
 		t.Errorf("the unknown start time 0 gives instant %v, want 0", got)
 	}
@@ -70,9 +70,9 @@
 	newCall := func() *Call {
 		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return guardResult }, GuardRetryAfter: time.Second}
 	}
-	first := newCall()
-	l.Submit(clockStart, first)
-	if r := <-first.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(balancer.ids) > 0 {
+	firstCall := newCall()
+	l.Submit(clockStart, firstCall)
+	if r := <-firstCall.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(balancer.ids) > 0 {
 		t.Errorf("the guard returned false: reply %+v, balancer was given %v, want verdict Shed, a Retry-After of 1 s and no request", r, balancer.ids)
 	}
 	guardResult = true
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -55,7 +55,7 @@
 	a := &scriptedAttempt{endpoint: id, connected: make(chan struct{}), results: make(chan balance.Result, 1)}
 	u.mu.Lock()
 	if n := len(u.attempts); n > 0 && !u.disconnectedAt.IsZero() {
-		if last := u.attempts[n-1]; last.result == balance.NotSent && !last.endedAt.Before(u.disconnectedAt) {
+		if lastAttempt := u.attempts[n-1]; lastAttempt.result == balance.NotSent && !lastAttempt.endedAt.Before(u.disconnectedAt) {
 			u.violations = append(u.violations, "an attempt starts after an earlier one has found the client disconnected")
 		}
 	}
@@ -171,12 +171,12 @@
 	settings := balance.Settings{Seed: 3, CanCancel: canCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
 		Classes: []balance.Class{{Name: "c", Idempotency: idempotency, DedupScope: balance.ScopeCell, DedupWindow: scriptDedupWindow, LatencyObjective: scriptDeadline / 2}}}
 	l := New(NewBalancer, settings, u, func() {}, slog.New(slog.DiscardHandler))
-	updateEndpoints := func(draining string) func(time.Duration) {
+	updateEndpoints := func(drainingID string) func(time.Duration) {
 		return func(now time.Duration) {
 			update := discovery.ListUpdate{Full: true}
 			for id, cell := range cellOf {
 				member := discovery.Member{ID: id, Addr: "h:1", Cell: cell}
-				if id == draining {
+				if id == drainingID {
 					member.State = balance.Draining
 				}
 				update.Members = append(update.Members, member)
