--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -5,7 +5,7 @@
 // pathIndex indexes the rules of one host by their paths. It refers to a rule by its index in the table; all lists of rules are
 // in ascending order.
 type pathIndex struct {
-	any      []int            // rules of kind AnyPath
+	anyPath  []int            // rules of kind AnyPath
 	exact    map[string][]int // rules of kind Exact, by their path
 	prefixes prefixIndex      // rules of kind Prefix, by their path
 	segments *segmentNode     // root of the tree that holds the rules of kind Segments
@@ -24,7 +24,7 @@
 func (p *pathIndex) add(rule int, c *compiledRule) {
 	switch c.Kind {
 	case AnyPath:
-		p.any = append(p.any, rule)
+		p.anyPath = append(p.anyPath, rule)
 	case Exact:
 		p.exact[c.Path] = append(p.exact[c.Path], rule)
 	case Prefix:
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -41,15 +41,15 @@
 		if err != nil {
 			return
 		}
-		again, _, err := Normalize(path)
-		if err != nil || again != path {
-			t.Errorf("%q is normalized to %q, which is normalized again to %q, error %v", target, path, again, err)
+		normalizedTwice, _, err := Normalize(path)
+		if err != nil || normalizedTwice != path {
+			t.Errorf("%q is normalized to %q, which is normalized again to %q, error %v", target, path, normalizedTwice, err)
 		}
 		if strings.Contains(path, "//") || strings.Contains(path+"/", "/../") || strings.Contains(path+"/", "/./") || strings.ContainsAny(path, "?;\\# ") || path[0] != '/' {
 			t.Errorf("%q is normalized to %q, which is not in normal form", target, path)
 		}
-		if _, raw, _ := strings.Cut(target, "?"); raw != query {
-			t.Errorf("Normalize returned query %q for %q, want %q", query, target, raw)
+		if _, rawQuery, _ := strings.Cut(target, "?"); rawQuery != query {
+			t.Errorf("Normalize returned query %q for %q, want %q", query, target, rawQuery)
 		}
 	})
 }
--- a/internal/route/shadow_test.go
+++ b/internal/route/shadow_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestUnreachableRuleIsNeverMatched(t *testing.T) {
-	found := 0
+	unreachableCount := 0
 	rapid.Check(t, func(t *rapid.T) {
 		table, err := New(rapid.SliceOfN(rapid.Custom(drawRule), 2, 8).Draw(t, "rules"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		shadows := table.Unreachable()
-		found += len(shadows)
+		unreachableCount += len(shadows)
 		for range 20 {
 			got, _ := table.Match(drawRequest(t))
 			for _, s := range shadows {
@@ -24,7 +24,7 @@
 			}
 		}
 	})
-	if found == 0 {
+	if unreachableCount == 0 {
 		t.Error("Unreachable found no rule in any of the tables")
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -54,9 +54,9 @@
 
 // Match returns the index of the first rule that matches a request, and whether there is one.
 func (t *Table) Match(r *Request) (index int, ok bool) {
-	best := noRule
+	bestRule := noRule
 	if p := t.exactHosts[r.Host]; p != nil {
-		best = t.firstMatchOfHost(p, r, best)
+		bestRule = t.firstMatchOfHost(p, r, bestRule)
 	}
 	for parent := r.Host; len(t.wildcardHosts) > 0; {
 		dot := strings.IndexByte(parent, '.')
@@ -65,83 +65,84 @@
 		}
 		parent = parent[dot+1:]
 		if p := t.wildcardHosts[parent]; p != nil && dot > 0 {
-			best = t.firstMatchOfHost(p, r, best)
+			bestRule = t.firstMatchOfHost(p, r, bestRule)
 		}
 	}
-	best = t.firstMatchOfHost(t.anyHost, r, best)
-	return best, best != noRule
+	bestRule = t.firstMatchOfHost(t.anyHost, r, bestRule)
+	return bestRule, bestRule != noRule
 }
 
-// firstMatchOfHost returns the first rule of a host that matches the request if it comes before best, and best otherwise. Kinds
-// of paths are looked up from cheap to expensive: each match lowers best, which leaves fewer expensive rules to check.
-func (t *Table) firstMatchOfHost(p *pathIndex, r *Request, best int) int {
-	best = t.firstMatch(p.any, r, best)
-	best = t.firstMatch(p.exact[r.Path], r, best)
+// firstMatchOfHost returns the first rule of a host that matches the request if it comes before bestRule, and bestRule
+// otherwise. Kinds of paths are looked up from cheap to expensive: each match lowers bestRule, which leaves fewer expensive
+// rules to check.
+func (t *Table) firstMatchOfHost(p *pathIndex, r *Request, bestRule int) int {
+	bestRule = t.firstMatch(p.anyPath, r, bestRule)
+	bestRule = t.firstMatch(p.exact[r.Path], r, bestRule)
 	for _, length := range p.prefixes.lengths {
 		if length > len(r.Path) {
 			break
 		}
-		best = t.firstMatch(p.prefixes.rulesByPrefix[r.Path[:length]], r, best)
+		bestRule = t.firstMatch(p.prefixes.rulesByPrefix[r.Path[:length]], r, bestRule)
 	}
 	if !p.segments.isEmptyRoot() {
-		best = t.firstMatchBySegments(p.segments, r.Path, r, best)
+		bestRule = t.firstMatchBySegments(p.segments, r.Path, r, bestRule)
 	}
 	for _, length := range p.patterns.lengths {
 		if length > len(r.Path) {
 			break
 		}
-		best = t.firstPatternMatch(p.patterns.rulesByPrefix[r.Path[:length]], r, best)
+		bestRule = t.firstPatternMatch(p.patterns.rulesByPrefix[r.Path[:length]], r, bestRule)
 	}
-	return best
+	return bestRule
 }
 
 // firstMatchBySegments is firstMatch for the rules below a node of the segment tree. path is the part of the request's path that
 // is not matched yet: it begins with the slash before the next segment, or is empty at the end. Each node has one parent and so
 // is visited at most once: the work is bounded by the size of the tree, whatever the path is.
-func (t *Table) firstMatchBySegments(n *segmentNode, path string, r *Request, best int) int {
-	best = t.firstMatch(n.trailingWildcardRules, r, best)
+func (t *Table) firstMatchBySegments(n *segmentNode, path string, r *Request, bestRule int) int {
+	bestRule = t.firstMatch(n.trailingWildcardRules, r, bestRule)
 	if path == "" {
-		return t.firstMatch(n.rules, r, best)
+		return t.firstMatch(n.rules, r, bestRule)
 	}
 	segment, rest := path[1:], ""
 	if i := strings.IndexByte(segment, '/'); i >= 0 {
 		segment, rest = segment[:i], segment[i:]
 	}
 	if child := n.children[segment]; child != nil {
-		best = t.firstMatchBySegments(child, rest, r, best)
+		bestRule = t.firstMatchBySegments(child, rest, r, bestRule)
 	}
 	if n.wildcard != nil && segment != "" {
-		best = t.firstMatchBySegments(n.wildcard, rest, r, best)
+		bestRule = t.firstMatchBySegments(n.wildcard, rest, r, bestRule)
 	}
-	return best
+	return bestRule
 }
 
-// firstMatch returns the first rule of a list that matches the request if it comes before best, and best otherwise. The hosts
-// and paths of these rules are known to match.
-func (t *Table) firstMatch(rules []int, r *Request, best int) int {
+// firstMatch returns the first rule of a list that matches the request if it comes before bestRule, and bestRule otherwise. The
+// hosts and paths of these rules are known to match.
+func (t *Table) firstMatch(rules []int, r *Request, bestRule int) int {
 	for _, i := range rules {
-		if i >= best {
-			return best
+		if i >= bestRule {
+			return bestRule
 		}
 		if t.rules[i].matchesMethodAndConditions(r) {
 			return i
 		}
 	}
-	return best
+	return bestRule
 }
 
 // firstPatternMatch is firstMatch for rules of kind Pattern, whose paths are not known to match. The regular expression is
 // matched last, since it costs more than all other parts.
-func (t *Table) firstPatternMatch(rules []int, r *Request, best int) int {
+func (t *Table) firstPatternMatch(rules []int, r *Request, bestRule int) int {
 	for _, i := range rules {
-		if i >= best {
-			return best
+		if i >= bestRule {
+			return bestRule
 		}
 		if t.rules[i].matchesMethodAndConditions(r) && t.rules[i].pattern.MatchString(r.Path) {
 			return i
 		}
 	}
-	return best
+	return bestRule
 }
 
 // matchesMethodAndConditions reports whether every part of the rule other than host and path matches the request.
