--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -120,11 +120,11 @@
 	fmt.Fprintf(&text, "%sbad:%d|c\n", namePrefix, r.RejectedInput.Load())
 	fmt.Fprintf(&text, "%sactive:%d|g\n", namePrefix, r.active.Load())
 	for _, s := range samples {
-		kind := "g"
+		metricType := "g"
 		if s.IsCounter {
-			kind = "c"
+			metricType = "c"
 		}
-		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, s.Name, s.Value, kind)
+		fmt.Fprintf(&text, "%s%s:%d|%s\n", namePrefix, s.Name, s.Value, metricType)
 	}
 	_, err := io.WriteString(w, text.String())
 	return err
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -49,8 +49,8 @@
 	if n := len(r.classes); n > maxClasses+1 {
 		t.Errorf("registry has %d classes, want at most %d", n, maxClasses+1)
 	}
-	if got, limit := strings.Count(writeToString(t, &r), "\n"), 3*(maxClasses+1)+3; got > limit {
-		t.Errorf("Write wrote %d lines, want at most %d", got, limit)
+	if got, maxLines := strings.Count(writeToString(t, &r), "\n"), 3*(maxClasses+1)+3; got > maxLines {
+		t.Errorf("Write wrote %d lines, want at most %d", got, maxLines)
 	}
 }
 
@@ -70,13 +70,13 @@
 		})
 	}
 	counters.Wait()
-	ended := uint64(0)
+	endedCount := uint64(0)
 	for _, c := range r.classes {
 		for i := range c.outcomes {
-			ended += c.outcomes[i].Load()
+			endedCount += c.outcomes[i].Load()
 		}
 	}
-	if ended != 8000 || r.active.Load() != 0 {
-		t.Errorf("%d requests have ended and %d are active, want 8000 and 0", ended, r.active.Load())
+	if endedCount != 8000 || r.active.Load() != 0 {
+		t.Errorf("%d requests have ended and %d are active, want 8000 and 0", endedCount, r.active.Load())
 	}
 }
