--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -46,7 +46,7 @@
 
 	mu              sync.Mutex
 	openConnections int
-	changed         sync.Cond // signaled when a connection has ended or become idle
+	stateChanged    sync.Cond // signaled when a connection has ended or become idle
 	idle            list.List // connections (net.Conn) that may be closed in favor of new ones; the first element is closed first
 	isClosed        bool
 }
@@ -61,7 +61,7 @@
 // the same time. The Server does nothing until Serve is called.
 func New(l net.Listener, maxConnections int, handlers Handlers, log *slog.Logger) *Server {
 	s := &Server{listener: l, handlers: handlers, maxConnections: max(maxConnections, 1), log: log}
-	s.changed.L = &s.mu
+	s.stateChanged.L = &s.mu
 	return s
 }
 
@@ -70,15 +70,15 @@
 
 // Serve accepts connections and returns after Close.
 func (s *Server) Serve() {
-	var lastLogged time.Time
+	var lastLoggedAt time.Time
 	for {
 		nc, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			if time.Since(lastLogged) > acceptLogInterval {
-				lastLogged = time.Now()
+			if time.Since(lastLoggedAt) > acceptLogInterval {
+				lastLoggedAt = time.Now()
 				s.log.Warn("admin accept failed", "error", err)
 			}
 			time.Sleep(acceptRetryDelay)
@@ -104,7 +104,7 @@
 		e.Value.(net.Conn).Close()
 	}
 	for s.openConnections > 0 {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	return err
 }
@@ -119,7 +119,7 @@
 		if oldest := s.idle.Front(); oldest != nil {
 			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine then fails, and the goroutine calls release
 		}
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	if s.isClosed {
 		return nil, false
@@ -135,7 +135,7 @@
 	s.idle.Remove(c.idleEntry)
 	c.Close()
 	s.openConnections--
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 }
 
 // markBusy removes a connection whose command was received from the idle ones. It returns false if the connection has just been
@@ -143,9 +143,9 @@
 func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	countBefore := s.idle.Len()
+	idleBefore := s.idle.Len()
 	s.idle.Remove(c.idleEntry)
-	return s.idle.Len() < countBefore
+	return s.idle.Len() < idleBefore
 }
 
 // serveConnection reads one command, executes it and writes the response.
@@ -207,7 +207,7 @@
 	s.mu.Lock()
 	c.idleEntry = s.idle.PushFront(c.Conn)
 	isClosed := s.isClosed
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 	s.mu.Unlock()
 	if isClosed {
 		return
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -145,8 +145,8 @@
 		_, _ = io.WriteString(nc, []string{"", "che", "\n\n", "set-down s-1"}[i%4])
 		idle = append(idle, nc)
 	}
-	busy := dial(t, s)
-	_, _ = io.WriteString(busy, "set-down slow\n")
+	busyConn := dial(t, s)
+	_, _ = io.WriteString(busyConn, "set-down slow\n")
 	for range 5 {
 		startedAt := time.Now()
 		if got := exchange(t, s, "check\n"); !strings.HasPrefix(got, "SUCCESS") {
@@ -156,20 +156,20 @@
 			t.Errorf("the response took %v, want at most 1s", took)
 		}
 	}
-	if response, err := io.ReadAll(busy); err != nil || !strings.HasPrefix(string(response), "FAILURE") {
+	if response, err := io.ReadAll(busyConn); err != nil || !strings.HasPrefix(string(response), "FAILURE") {
 		t.Errorf("slow command: response %q, error %v, want one that begins with FAILURE", response, err)
 	}
-	closed := 0
+	closedCount := 0
 	for _, nc := range idle {
 		_ = nc.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := nc.Read(make([]byte, 1)); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 			if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
-				closed++
+				closedCount++
 			}
 		}
 	}
-	if closed < 19*testConnections {
-		t.Errorf("%d of %d idle connections were closed to make room, want at least %d", closed, len(idle), 19*testConnections)
+	if closedCount < 19*testConnections {
+		t.Errorf("%d of %d idle connections were closed to make room, want at least %d", closedCount, len(idle), 19*testConnections)
 	}
 }
 
