--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -151,11 +151,11 @@
 func TestConnectionIsClosedBeforeTimeoutOrCancelIsReported(t *testing.T) {
 	for _, want := range []balance.Result{balance.TimedOut, balance.Canceled} {
 		t.Run(fmt.Sprint(want), func(t *testing.T) {
-			received, closed := make(chan bool, 1), make(chan error, 1)
+			received, closeError := make(chan bool, 1), make(chan error, 1)
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 				received <- true
 				_, err := nc.Read(make([]byte, 1))
-				closed <- err
+				closeError <- err
 				return false
 			})
 			client := newTestClient(t, e.Addr)
@@ -173,7 +173,7 @@
 			if client.openCount != 0 {
 				t.Error("the connection is still open")
 			}
-			if err := <-closed; err == nil {
+			if err := <-closeError; err == nil {
 				t.Error("the endpoint read a byte, want an error because the connection was closed")
 			}
 		})
@@ -213,17 +213,17 @@
 // The deadline header must have the time that is left when the request is written, not when the dialing of its connection began.
 func TestDeadlineHeaderExcludesTimeSpentDialing(t *testing.T) {
 	const timeout, dialTime = 10 * time.Second, 50 * time.Millisecond
-	header := make(chan string, 1)
+	deadlineHeader := make(chan string, 1)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
-		header <- r.Header.Get("Req-Deadline-Ms")
+		deadlineHeader <- r.Header.Get("Req-Deadline-Ms")
 		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	client := newTestClient(t, e.Addr)
 	connect := client.options.Connect
 	client.options.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		testpeer.Eventually(t, "dialTime has passed", func() bool { return time.Since(began) > dialTime })
+		testpeer.Eventually(t, "dialTime has passed", func() bool { return time.Since(startedAt) > dialTime })
 		return connect(ctx, network, addr)
 	}
 	req := getRequest("/c")
@@ -231,10 +231,10 @@
 	if r, _, _ := client.Attempt(contextFor(t, timeout), "a", req, AttemptHooks{}); r != balance.OK {
 		t.Fatalf("result %v, want %v", r, balance.OK)
 	}
-	const maxLeft = timeout - dialTime + time.Millisecond
-	if ms, err := strconv.Atoi(<-header); err != nil || time.Duration(ms)*time.Millisecond > maxLeft {
+	const maxTimeLeft = timeout - dialTime + time.Millisecond
+	if ms, err := strconv.Atoi(<-deadlineHeader); err != nil || time.Duration(ms)*time.Millisecond > maxTimeLeft {
 		t.Errorf("the deadline header has %d ms (error %v), want at most %v, since dialing took %v of %v",
-			ms, err, maxLeft, dialTime, timeout)
+			ms, err, maxTimeLeft, dialTime, timeout)
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -103,14 +103,14 @@
 
 // Run regularly closes the idle connections that can't be used any more. When ctx ends, it closes all idle connections and returns.
 func (cl *Client) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			cl.sweep(func(*conn) bool { return false })
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			cl.sweep(cl.isUsable)
 		}
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -58,11 +58,11 @@
 // hasNoInput reports whether nothing was received on an idle connection: no bytes, no end of file and no reset. If a request were
 // sent on a connection that the endpoint has closed, it would end as balance.Reset, after which a retry may not be safe.
 func (c *conn) hasNoInput() bool {
-	isEmpty := false
+	nothingReceived := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isEmpty = errors.Is(err, syscall.EAGAIN)
+		nothingReceived = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && isEmpty
+	return err == nil && nothingReceived
 }
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -135,17 +135,17 @@
 // evictOldest closes the connection that has been idle longest, among those to all endpoints, and reports whether there was an
 // idle connection. cl.mu is held.
 func (cl *Client) evictOldest() bool {
-	var oldest *endpointPool
+	var oldestPool *endpointPool
 	for _, p := range cl.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
-			oldest = p
+		if len(p.idle) > 0 && (oldestPool == nil || p.idle[0].idleSince.Before(oldestPool.idle[0].idleSince)) {
+			oldestPool = p
 		}
 	}
-	if oldest == nil {
+	if oldestPool == nil {
 		return false
 	}
-	cl.closeLocked(oldest.idle[0])
-	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
+	cl.closeLocked(oldestPool.idle[0])
+	oldestPool.idle = append(oldestPool.idle[:0], oldestPool.idle[1:]...)
 	return true
 }
 
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -117,10 +117,10 @@
 // request on the connection must not be written before then.
 func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
 	const latestDuplicate = 6 * time.Millisecond // rounded-up delay of the latest duplicate that was observed, see reuseDelay
-	var firstRequest, lastRequest time.Time
+	var firstRequestAt, lastRequestAt time.Time
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-		if lastRequest = time.Now(); n == 1 {
-			firstRequest = lastRequest
+		if lastRequestAt = time.Now(); n == 1 {
+			firstRequestAt = lastRequestAt
 		}
 		io.WriteString(nc, testpeer.ResponseOK)
 		return true
@@ -131,8 +131,8 @@
 			t.Fatalf("result %v, want %v", r, balance.OK)
 		}
 	}
-	if e.Connections.Load() == 1 && lastRequest.Sub(firstRequest) < latestDuplicate {
-		t.Errorf("the second request came %v after the first one, want at least %v", lastRequest.Sub(firstRequest), latestDuplicate)
+	if e.Connections.Load() == 1 && lastRequestAt.Sub(firstRequestAt) < latestDuplicate {
+		t.Errorf("the second request came %v after the first one, want at least %v", lastRequestAt.Sub(firstRequestAt), latestDuplicate)
 	}
 }
 
@@ -150,10 +150,10 @@
 		}
 	}
 	wantResult(true, balance.OK)
-	responded := time.Now()
-	testpeer.Eventually(t, "half of maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge/2 })
+	respondedAt := time.Now()
+	testpeer.Eventually(t, "half of maxIdleAge has passed", func() bool { return time.Since(respondedAt) > client.maxIdleAge/2 })
 	wantResult(false, balance.NotSent)
-	testpeer.Eventually(t, "maxIdleAge has passed", func() bool { return time.Since(responded) > client.maxIdleAge })
+	testpeer.Eventually(t, "maxIdleAge has passed", func() bool { return time.Since(respondedAt) > client.maxIdleAge })
 	wantResult(true, balance.OK)
 	if n := e.Connections.Load(); n != 2 {
 		t.Errorf("the endpoint accepted %d connections, want 2", n)
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -104,15 +104,15 @@
 // For a response that Client accepts, net/http must read the same status and body, and must find the response's end at the same
 // byte.
 func FuzzResponseIsReadAsNetHTTPReadsIt(f *testing.F) {
-	long := string(bytes.Repeat([]byte("x"), 70_000))
+	longBody := string(bytes.Repeat([]byte("x"), 70_000))
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + long,
+		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + longBody,
 		"HTTP/1.1 204 No\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nhi\r\n0\r\nX-T: 1\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + long + "\r\n0\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 70001\r\n\r\n" + long,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + longBody + "\r\n0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 70001\r\n\r\n" + longBody,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nFFFFFFFFFFFFFFFF\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n",
@@ -123,9 +123,9 @@
 	} {
 		f.Add([]byte(seed), false)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, head bool) {
+	f.Fuzz(func(t *testing.T, text []byte, isHead bool) {
 		method := http.MethodGet
-		if head {
+		if isHead {
 			method = http.MethodHead
 		}
 		got := exchangeWith(text, method)
@@ -133,11 +133,11 @@
 			return
 		}
 		in := bytes.NewReader(text)
-		reference := bufio.NewReader(in)
+		referenceReader := bufio.NewReader(in)
 		var resp *http.Response
 		var err error
-		for resp, err = http.ReadResponse(reference, &http.Request{Method: method}); err == nil && resp.StatusCode < 200; {
-			resp, err = http.ReadResponse(reference, &http.Request{Method: method})
+		for resp, err = http.ReadResponse(referenceReader, &http.Request{Method: method}); err == nil && resp.StatusCode < 200; {
+			resp, err = http.ReadResponse(referenceReader, &http.Request{Method: method})
 		}
 		if err != nil {
 			t.Fatalf("the client accepted a response with status %d that net/http rejects: %v", got.status, err)
@@ -147,7 +147,7 @@
 			t.Fatalf("read status %d with %d bytes, net/http: status %d with %d bytes, error %v",
 				got.status, len(got.body), resp.StatusCode, len(want), err)
 		}
-		if rest := in.Len() + reference.Buffered(); got.isReusable && (rest != 0 || got.unread != 0) {
+		if rest := in.Len() + referenceReader.Buffered(); got.isReusable && (rest != 0 || got.unread != 0) {
 			t.Fatalf("the connection is reusable with %d bytes unread (net/http: %d), want 0", got.unread, rest)
 		}
 	})
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -43,10 +43,10 @@
 func (r *Request) encode(ctx context.Context) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	skip := map[string]bool{"Content-Length": true, "Host": true}
-	if left, ok := r.responseTimeout(ctx); ok && r.DeadlineHeader != "" {
-		skip[http.CanonicalHeaderKey(r.DeadlineHeader)] = true
-		fmt.Fprintf(&text, "%s: %d\r\n", r.DeadlineHeader, max(left.Milliseconds(), 1))
+	excludedFields := map[string]bool{"Content-Length": true, "Host": true}
+	if timeLeft, ok := r.responseTimeout(ctx); ok && r.DeadlineHeader != "" {
+		excludedFields[http.CanonicalHeaderKey(r.DeadlineHeader)] = true
+		fmt.Fprintf(&text, "%s: %d\r\n", r.DeadlineHeader, max(timeLeft.Milliseconds(), 1))
 	}
 	switch {
 	case r.Upload != nil:
@@ -54,7 +54,7 @@
 	case len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead:
 		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.Body))
 	}
-	_ = r.Header.WriteSubset(&text, skip) // writing to a bytes.Buffer never fails
+	_ = r.Header.WriteSubset(&text, excludedFields) // writing to a bytes.Buffer never fails
 	text.WriteString("\r\n")
 	text.Write(r.Body)
 	return text.Bytes()
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -164,9 +164,9 @@
 		to = to[:min(int64(len(to)), s.Length-s.received)]
 	}
 	s.mu.Unlock()
-	began := time.Now()
+	startedAt := time.Now()
 	n, err := body.Read(s.response.Body, to)
-	waited := time.Since(began)
+	waited := time.Since(startedAt)
 	s.mu.Lock()
 	s.meter.Record(n, waited)
 	s.filled += n
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -23,28 +23,28 @@
 func (s *Stream) Splice(to *net.TCPConn, clientMeter *body.Meter) (n int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from, ok := s.conn.Conn.(*net.TCPConn)
+	endpointConn, ok := s.conn.Conn.(*net.TCPConn)
 	if !ok || !s.canSplice() {
 		return 0, nil
 	}
-	began := time.Now()
-	_ = from.SetReadDeadline(began.Add(spliceReadTimeout))
-	if deadline, changed := clientMeter.Deadline(began); changed {
+	startedAt := time.Now()
+	_ = endpointConn.SetReadDeadline(startedAt.Add(spliceReadTimeout))
+	if deadline, changed := clientMeter.Deadline(startedAt); changed {
 		if err := to.SetWriteDeadline(deadline); err != nil {
 			return 0, err
 		}
 	}
 	size := min(s.Length-s.received, maxSpliceBytes)
-	n, err = to.ReadFrom(&io.LimitedReader{R: from, N: size})
-	took := time.Since(began)
+	n, err = to.ReadFrom(&io.LimitedReader{R: endpointConn, N: size})
+	duration := time.Since(startedAt)
 	s.received += n
 	switch {
 	case err == nil && n < size:
 		s.err = io.ErrUnexpectedEOF
 	case err == nil:
-		clientMeter.Record(int(n), took)
+		clientMeter.Record(int(n), duration)
 		s.meter.Record(int(n), 0)
-	case errors.Is(err, os.ErrDeadlineExceeded) && took < clientMeter.MinWait(): // the endpoint's read deadline has passed, not the client's write deadline
+	case errors.Is(err, os.ErrDeadlineExceeded) && duration < clientMeter.MinWait(): // the read deadline of the endpoint has passed
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
