--- a/balance/api.go
+++ b/balance/api.go
@@ -43,8 +43,8 @@
 	// not be listed; the host bounds the number of ejected endpoints.
 	SetEjected(now time.Duration, id string, ejected bool)
 
-	// SetBalancerCount reports how many balancers send to these endpoints from now on, this one included, and the index of
-	// this one among them, from 0. Latency estimates, ejections and the other state of the endpoints stay.
+	// SetBalancerCount reports how many balancers send to these endpoints from now on, this balancer included, and the index
+	// of this balancer among all of them, from 0. Latency estimates, ejections and the other state of the endpoints stay.
 	SetBalancerCount(now time.Duration, balancers, index int)
 
 	// IsKnown reports whether an endpoint is listed or ejected by operators. It changes nothing.
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -14,8 +14,8 @@
 )
 
 // resetEndpoint resets the state of a new or restarted endpoint, which becomes active by a trial. The instant
-// of the trial is random within one round, since all balancers receive the list at the same time. On the
-// first list, an endpoint that is not warming up is active at once.
+// of the trial is random within one round (see roundDuration), since all balancers receive the list at the
+// same time. On the first list, an endpoint that is not warming up is active at once.
 func (b *Balancer) resetEndpoint(now time.Duration, ep *endpoint, isFirstList bool) {
 	ep.active = isFirstList && b.capacityFraction(now, ep) == 1
 	ep.backoff = b.initialBackoff(now)
@@ -87,8 +87,8 @@
 }
 
 // handleOverdue adds the time for which overdue attempt i has waited to the latency samples. It ejects an
-// endpoint that has not responded to any attempt in that time, so that one that hangs is detected after a few
-// response times and not only after a timeout.
+// endpoint that has not responded to any attempt in that time, so that an endpoint that hangs is detected
+// after a few response times and not only after a timeout.
 func (b *Balancer) handleOverdue(now time.Duration, req *request, i int) {
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
@@ -143,8 +143,8 @@
 	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
 
-// initialBackoff returns the backoff before the first trial. It is at least one round, so that an inactive
-// endpoint gets no more requests from this balancer than an active one.
+// initialBackoff returns the backoff before the first trial. It is at least one round (see roundDuration), so
+// that an inactive endpoint gets no more requests from this balancer than an active one.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
 	return max(minBackoff, b.roundDuration(now))
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -51,7 +51,7 @@
 
 func (h *harness) Log(string) {}
 
-// defaultSettings returns settings with one class of idempotent requests, read, and one of others, bill.
+// defaultSettings returns settings with two classes: read, whose requests are idempotent, and bill, whose requests are not.
 func defaultSettings() balance.Settings {
 	return balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: []balance.Class{
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -46,8 +46,8 @@
 }
 
 // weight returns the stretch expected at the endpoint, the paper's w: the weight of its kind, corrected by
-// its own samples. The kind counts because the few samples of a balancer with little traffic do not show
-// whether the machine is slow or the requests were expensive.
+// the endpoint's own samples. The kind counts because the few samples of a balancer with little traffic do
+// not show whether the machine is slow or the requests were expensive.
 func (e *endpoint) weight() float64 {
 	return e.kind.weight * (kindPriorSamples + e.sampleSum) / (kindPriorSamples + e.sampleCount)
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -36,9 +36,9 @@
 }
 
 // pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
-// grow with the number of endpoints. Samples contain each endpoint many times per round, so that requests are
-// still spread evenly. The whole subset is scanned only if the sample has neither an active endpoint nor a
-// due trial.
+// grow with the number of endpoints. Samples contain each endpoint many times per round (see roundDuration),
+// so that requests are still spread evenly. The whole subset is scanned only if the sample has neither an
+// active endpoint nor a due trial.
 func (b *Balancer) pickFromSubset(now time.Duration, req *request) *endpoint {
 	candidates := b.pickCandidates()
 	ep := b.pick(now, req, candidates)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -9,9 +9,9 @@
 
 // paceSlowStart updates the slow start after a rebuild of the subset. An endpoint that is warming up gets its
 // first request at a random instant of its interval: after a list update or a restart of balancers, many
-// subsets take it in at once, and their first requests alone would overload it. Waits in progress are scaled
-// with the length of a round, which a restarted balancer estimates from its first requests. Without an active
-// endpoint nothing is delayed.
+// subsets take the endpoint in at once, and their first requests alone would overload it. Waits in progress
+// are scaled with the length of a round (see roundDuration), which a restarted balancer estimates from its
+// first requests. Without an active endpoint nothing is delayed.
 func (b *Balancer) paceSlowStart(now time.Duration) {
 	round := b.slowStartRoundSeconds(now)
 	for _, ep := range b.endpoints {
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -179,8 +179,8 @@
 	return worst, sends
 }
 
-// Many balancers that each send few requests must not overload an endpoint that is warming up, also if an event makes all of
-// them use it at once. The endpoint must still get requests.
+// Many balancers that each send few requests must not overload an endpoint that is warming up, not even if an event makes
+// all balancers use the endpoint at once. The endpoint must still get requests.
 func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
 	startingEndpoints := func(fleet *balancerFleet, n int) (endpoints []balance.Endpoint) {
 		for i := range n {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -9,7 +9,7 @@
 
 // Constants of the subset, which holds the endpoints that this balancer uses. The subset has the largest size
 // that subsetRequestInterval, balancersPerEndpoint or minSubsetSize demands. Each endpoint is in many
-// subsets, so that one more or less matters little for its load.
+// subsets, so that one subset more or less matters little for the load of the endpoint.
 const (
 	subsetRequestInterval = time.Second // time between requests to one endpoint that keeps its weight current
 	balancersPerEndpoint  = 12.0        // least number of subsets that contain an endpoint
