--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -2,7 +2,7 @@
 // endpoint, and which response was received.
 //
 // A Client owns all connections to the endpoints of one pool, and keeps track of which endpoints accept requests. Its mutex guards
-// both and is never held while a method waits for the network. Client.Run, which its caller starts and ends, closes idle
+// this state and is never held while a method waits for the network. Client.Run, which its caller starts and ends, closes idle
 // connections that endpoints have closed or may close soon. An attempt runs on the goroutine of its caller. If a request's body
 // streams, one more goroutine sends it (see bodySender).
 //
@@ -56,9 +56,9 @@
 	OnRequestSent func()
 	// Connect establishes connections, each of which must be a *net.TCPConn; nil means that a net.Dialer does so.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OnlyOK accepts only responses with status 200. Without it, every status below 500 except 429 is accepted, and Attempt
-	// returns the endpoint's response even if the attempt failed, unless the status is 429 or 503: a client would take these for
-	// a promise that its request has not run.
+	// OnlyOK makes 200 the only status of a response that is accepted. Without it, every status below 500 except 429 is accepted,
+	// and Attempt returns the endpoint's response even if the attempt failed, unless the status is 429 or 503: a client would
+	// take these for a promise that its request has not run.
 	OnlyOK bool
 }
 
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -123,7 +123,7 @@
 }
 
 // acquireBuffer returns the buffer for a response, and a function that releases it. If the request's upload no longer needs its
-// buffer, that one is used, so that an exchange which already has a buffer does not wait for a second one.
+// buffer, the response gets that buffer, so that an exchange which already has a buffer does not wait for a second one.
 func (x *exchange) acquireBuffer(ctx context.Context) (buffer []byte, release func(), err error) {
 	if upload := x.request.Upload; upload != nil {
 		if buffer = upload.TakeBuffer(); buffer != nil {
