--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// lineTimeout is the maximum time for a client to send its command. A connection may be closed earlier to make room for
-	// another one.
+	// lineTimeout is the maximum time for a client to send its command. At the limit of open connections, a connection may be
+	// closed earlier in favor of a new one.
 	lineTimeout = 10 * time.Second
 	// acceptRetryDelay is the delay after a failed accept, for example when the process has no file descriptors left.
 	acceptRetryDelay = 5 * time.Millisecond
@@ -138,8 +138,8 @@
 	s.stateChanged.Broadcast()
 }
 
-// markBusy removes a connection whose command was received from the idle ones. It returns false if the connection has just been
-// closed to make room for another one.
+// markBusy removes a connection whose command was received from the idle connections. It returns false if the connection has just
+// been closed in favor of a new one.
 func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,8 +197,8 @@
 	return c, body, nil
 }
 
-// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed to
-// make room for another one.
+// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed in
+// favor of a new one.
 func (s *Server) linger(c *connection) {
 	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || writeCloser.CloseWrite() != nil {
