--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor times the
-// smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or backs off
-// for twice as long.
+// Constants of outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor
+// times the smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or
+// backs off for twice as long.
 const (
 	activeFactor         = 2.0                    // largest active weight, as a multiple of the smallest one
 	minBackoff           = 500 * time.Millisecond // least backoff before the first trial: the paper's b_min
-	maxBackoffMultiple   = 8                      // longest backoff, in initial backoffs: recovery must show
-	outlierErrorMultiple = 1.5                    // error rate of an outlier, in error rates of all endpoints
+	maxBackoffMultiple   = 8                      // longest backoff, in initial ones, to notice a recovery
+	outlierErrorMultiple = 1.5                    // error rate of an outlier, as a multiple of b.errorRate
 	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
 )
 
 // resetEndpoint resets the state of a new or restarted endpoint, which becomes active by a trial. The instant
-// of the trial is random within one round, since all balancers receive the list at the same time. On the
-// first list, an endpoint that is not warming up is active at once.
+// of the trial is random within one round (see roundDuration), since all balancers receive the list at the
+// same time. On the first list, an endpoint that is not warming up is active at once.
 func (b *Balancer) resetEndpoint(now time.Duration, ep *endpoint, isFirstList bool) {
 	ep.active = isFirstList && b.capacityFraction(now, ep) == 1
 	ep.backoff = b.initialBackoff(now)
@@ -47,12 +47,12 @@
 		ep.errorRate += recentMeanGain
 		hasFailed = b.settings.TiersBelow == 0 || ep.errorRate > outlierErrorMultiple*b.errorRate
 		if !hasFailed {
-			r = NotSent // the tier below fails for all endpoints: no information on this one
+			r = NotSent // the tier below fails for all endpoints, which says nothing about this endpoint
 		}
-	case Reset: // the endpoint is taken to restart, and to warm up afterwards
+	case Reset: // the endpoint is assumed to restart and to warm up afterwards
 		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // no latency sample, but an overdue trial has failed
+	if r == Canceled || r == NotSent { // the attempt gives no latency sample, but an overdue trial has failed
 		if att.isTrial {
 			ep.trialInFlight = false
 			b.scheduleTrial(now, ep, att.wasOverdue)
@@ -87,8 +87,8 @@
 }
 
 // handleOverdue adds the time for which overdue attempt i has waited to the latency samples. It ejects an
-// endpoint that has not responded to any attempt in that time, so that one that hangs is detected after a few
-// response times and not only after a timeout.
+// endpoint that has not responded to any attempt in that time, so that an endpoint that hangs is detected
+// after a few response times and not only after a timeout.
 func (b *Balancer) handleOverdue(now time.Duration, req *request, i int) {
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
@@ -143,8 +143,8 @@
 	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
 
-// initialBackoff returns the backoff before the first trial. It is at least one round, so that an inactive
-// endpoint gets no more requests from this balancer than an active one.
+// initialBackoff returns the backoff before the first trial. It is at least one round (see roundDuration), so
+// that an inactive endpoint gets no more requests from this balancer than an active one.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
 	return max(minBackoff, b.roundDuration(now))
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -28,18 +28,18 @@
 	h := newHarness(t, defaultSettings(), "fast", "b", "c", "d", "e", "f")
 	latency := map[string]time.Duration{"fast": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
 	h.serve(200, latency)
-	others := 0
+	othersInUse := 0
 	for ep, n := range h.serve(600, latency) {
 		if ep != "fast" && n > 1 {
-			others++
+			othersInUse++
 		}
 	}
-	if others < 2 {
-		t.Errorf("%d endpoints other than the fast one are in use, want at least 2", others)
+	if othersInUse < 2 {
+		t.Errorf("%d endpoints other than the fast one are in use, want at least 2", othersInUse)
 	}
 }
 
-// An endpoint that hangs must not get requests until the first of them times out.
+// An endpoint that hangs must be ejected well before the first attempt at it times out.
 func TestHungEndpointIsEjectedWithinAFewResponseTimes(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
@@ -71,7 +71,7 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // beyond three times 50 ms (overdueMultiple); one sample of 3 leaves its weight within activeFactor
+	h.advance(200 * ms) // more than overdueMultiple (3) times 50 ms; one sample of stretch 3 keeps d's weight within activeFactor
 	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
 		t.Errorf("the endpoint that does not respond got %d of 6 requests, want none", counts["d"])
 	}
@@ -96,7 +96,7 @@
 	if len(attempts) < 4 || len(attempts) > 12 {
 		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attempts))
 	}
-	for i := 3; i < len(attempts); i++ { // the backoff grows to its limit
+	for i := 3; i < len(attempts); i++ { // the backoff between trials doubles up to its limit
 		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came %v after the one before, want at least 500 ms", i, wait)
 		}
@@ -106,7 +106,7 @@
 func TestNextTrialIsTakenWhenNoEndpointIsActive(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "only")
 	id, _ := h.request("read")
-	h.finish(id, balance.ConnectFailed) // ejected; no endpoint is active for the retry
+	h.finish(id, balance.ConnectFailed) // ejects the only endpoint, so that none is active for the retry
 	if len(h.sentTo[id]) != 2 {
 		t.Fatalf("actions are %v, want two attempts of %s", h.actions, id)
 	}
@@ -117,7 +117,8 @@
 	}
 }
 
-// The trials of many balancers with little traffic overloaded an ejected endpoint (day big-1 of site regina).
+// The trials of many balancers with little traffic must not overload an ejected endpoint (found by simulation big-1 of site
+// regina).
 func TestTrialsOfALowTrafficBalancerStayBelowAnEvenPart(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -126,18 +127,18 @@
 		latency[names[i+1]] = 50 * ms
 	}
 	h := newHarness(t, defaultSettings(), names...)
-	slow := 0
-	for range 400 { // two requests per second, so each of 20 endpoints would get one every 10 s
+	slowCount := 0
+	for range 400 { // two requests per second; an even part is one request per endpoint every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
-			slow++
+			slowCount++
 		}
 		h.advance(latency[ep])
 		h.finish(id, balance.OK)
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
-	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slow)
+	if slowCount > 14 {
+		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slowCount)
 	}
 }
 
@@ -160,8 +161,8 @@
 	}
 }
 
-// The fast errors of an endpoint in a middle tier were attributed to the tier below, and the endpoint seemed fast and got
-// more requests (incident i40577d).
+// The fast errors of an endpoint in a middle tier must count for this endpoint. When they were attributed to the tier below,
+// the endpoint seemed fast and got more requests (incident i40577d).
 func TestEndpointThatFailsFastGetsFewRequests(t *testing.T) {
 	s := defaultSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
@@ -192,29 +193,29 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, latency)
-	canceled := 0
+	canceledCount := 0
 	for range 40 { // attempts at b are cancelled after 1 ms, those at a succeed
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
 			h.balancer.ClientDisconnected(h.now, id)
 			h.finish(id, balance.Canceled)
-			canceled++
+			canceledCount++
 			continue
 		}
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 	}
-	if canceled == 0 || canceled > 24 {
-		t.Errorf("b got %d of 40 requests, want 1 to 24: cancellation must make it seem neither fast nor slow", canceled)
+	if canceledCount == 0 || canceledCount > 24 {
+		t.Errorf("b got %d of 40 requests, want 1 to 24: cancellation must make it seem neither fast nor slow", canceledCount)
 	}
 	if counts := h.serve(60, latency); counts["b"] < 20 {
 		t.Errorf("after the cancellations b got %d of 60 requests, want at least 20", counts["b"])
 	}
 }
 
-// On a day with endpoints that close idle connections early, each reset was taken as a restart and as a latency sample of a
-// timeout, and healthy endpoints were ejected. The request is still retried if it is idempotent.
+// An endpoint may close an idle connection while a request is being sent on it. If such a reset counted as a restart, and as
+// a latency sample of a timeout, healthy endpoints would be ejected. The request is still retried if it is idempotent.
 func TestResetOnAReusedConnectionIsNoLatencySample(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -222,15 +223,15 @@
 	}{{"reused connection", true}, {"new connection", false}} {
 		t.Run(row.name, func(t *testing.T) {
 			h := newHarness(t, defaultSettings(), "a", "b", "c")
-			all := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
-			h.serve(30, all)
+			latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}
+			h.serve(30, latency)
 			id, ep := h.request("read")
 			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Endpoint: ep, Result: balance.Reset, Latency: ms, ReusedConnection: row.isReused})
 			if len(h.sentTo[id]) != 2 || h.sentTo[id][1] == ep {
 				t.Fatalf("the idempotent request was sent to %v, want a retry at another endpoint than %s", h.sentTo[id], ep)
 			}
 			h.finish(id, balance.OK)
-			if counts := h.serve(9, all); (counts[ep] >= 2) != row.isReused {
+			if counts := h.serve(9, latency); (counts[ep] >= 2) != row.isReused {
 				t.Errorf("%s then got %d of 9 requests, want at least 2: %v", ep, counts[ep], row.isReused)
 			}
 			id, ep = h.request("bill")
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -20,9 +20,9 @@
 	now             time.Duration
 	balancer        *balance.Balancer
 	actions         []string                 // calls of the host in order, without Timer and Log
-	sentTo          map[string][]string      // IDs of the endpoints of a request's attempts, by request ID
+	sentTo          map[string][]string      // IDs of the endpoints that a request's attempts were sent to, by request ID
 	sentAt          map[string]time.Duration // instant of a request's last attempt, by request ID
-	timers          []time.Duration          // instants of the timers that have not fired
+	timers          []time.Duration          // instants of the timers that have not fired yet
 	requestCount    int                      // requests sent so far; the last one has the ID "r" and this number
 	idleConnections map[string]bool          // whether an idle connection to an endpoint exists, by endpoint ID
 }
@@ -51,7 +51,7 @@
 
 func (h *harness) Log(string) {}
 
-// defaultSettings returns settings with one class of idempotent requests, read, and one of others, bill.
+// defaultSettings returns settings with two classes: read, whose requests are idempotent, and bill, whose requests are not.
 func defaultSettings() balance.Settings {
 	return balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: []balance.Class{
@@ -77,14 +77,14 @@
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += ms
-		due := 0
+		dueTimers := 0
 		h.timers = slices.DeleteFunc(h.timers, func(at time.Duration) bool {
 			if at <= h.now {
-				due++
+				dueTimers++
 			}
 			return at <= h.now
 		})
-		for range due {
+		for range dueTimers {
 			h.balancer.Timer(h.now)
 		}
 	}
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -10,8 +10,8 @@
 )
 
 // requestsPerEndpoint sends requests one at a time to a balancer of n endpoints, and returns the number of requests by
-// endpoint. The latency of every tenth endpoint is slower times that of the others.
-func requestsPerEndpoint(n, requests int, slower float64) map[string]float64 {
+// endpoint. The latency of every tenth endpoint is the product of slowdown and the latency of the others.
+func requestsPerEndpoint(n, requests int, slowdown float64) map[string]float64 {
 	m, h := newSingleBalancer(n)
 	now := time.Hour
 	got := map[string]float64{}
@@ -21,7 +21,7 @@
 		for _, s := range h.sent {
 			latency := 20 * time.Millisecond
 			if s.endpoint[len(s.endpoint)-1] == '0' {
-				latency = time.Duration(slower * float64(latency))
+				latency = time.Duration(slowdown * float64(latency))
 			}
 			got[s.endpoint]++
 			m.Outcome(now+latency, balance.Outcome{ID: s.id, Endpoint: s.endpoint, Result: balance.OK, Latency: latency, IsFinal: true})
@@ -55,7 +55,7 @@
 // fewer to slower ones.
 func TestLargeSubsetIsPickedFromEvenly(t *testing.T) {
 	const requestsPerEndpointMean = 40
-	for _, n := range []int{200, 400, 2000} { // 200 endpoints are scanned, 400 and 2000 sampled
+	for _, n := range []int{200, 400, 2000} { // a pick scans 200 endpoints, and samples 400 or 2000
 		got := requestsPerEndpoint(n, n*requestsPerEndpointMean, 1.4)
 		fast, deviation, maxDeviation := spreadOf(got, n, false)
 		slow, _, _ := spreadOf(got, n, true)
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Machines with a third of the speed got half as many requests as fast ones, and were saturated: most of the latency was
-// that of the tiers below, which is the same for all endpoints (found day ha74963). With tiers below, the balancer therefore
-// charges only the latency that the endpoint adds.
+// With tiers below, most of the latency is that of the tiers below, which is the same for all endpoints. The balancer must
+// charge only the latency that the endpoint adds, or machines with a third of the speed get half as many requests as fast
+// ones and are saturated (found by simulation ha74963).
 func TestLatencyOfTiersBelowDoesNotHideSlowEndpoints(t *testing.T) {
 	for _, row := range []struct {
 		name               string
@@ -62,8 +62,8 @@
 	}
 }
 
-// A balancer with little traffic sends to an endpoint only every few seconds. Until it has samples, the weight of the kind
-// applies.
+// A balancer with little traffic sends to an endpoint only every few seconds. Until the endpoint has latency samples, the
+// weight of its kind applies.
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
@@ -79,18 +79,18 @@
 	}
 	h.balancer.EndpointList(h.now, l)
 	h.serve(60, latency)
-	slow := 0
+	slowCount := 0
 	for ep, n := range h.serve(60, latency) {
 		if ep[0] == 's' {
-			slow += n
+			slowCount += n
 		}
 	}
-	if slow > 20 {
-		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slow)
+	if slowCount > 20 {
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slowCount)
 	}
 }
 
-// Attempts at an endpoint that hung used up the concurrency limit, and a new endpoint got no requests.
+// Attempts at an endpoint that hangs must not use up the concurrency limit, or a new endpoint gets no requests.
 func TestHungEndpointDoesNotUseUpTheLimit(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a")
 	for range 6 {
@@ -98,22 +98,22 @@
 	}
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "b"}}})
 	h.advance(time.Second)
-	var trial string
+	var trialID string
 	for range 6 {
 		if id, ep := h.request("read"); ep == "b" {
-			trial = id
+			trialID = id
 		}
 	}
-	if trial == "" {
+	if trialID == "" {
 		t.Fatal("the new endpoint got no trial")
 	}
 	h.advance(100 * ms)
-	h.finish(trial, balance.OK)
-	before := h.countActions("send")
+	h.finish(trialID, balance.OK)
+	sendsBefore := h.countActions("send")
 	for range 6 {
 		h.requestForTenant("read", "")
 	}
-	if n := h.countActions("send") - before; n < 4 {
+	if n := h.countActions("send") - sendsBefore; n < 4 {
 		t.Errorf("%d of 6 requests were sent while one endpoint hangs, want at least 4", n)
 	}
 }
@@ -122,21 +122,21 @@
 func TestIdleConnectionIsUsedForAFewRequestsInARow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.idleConnections = map[string]bool{}
-	counts, changes, last := map[string]int{}, 0, ""
+	counts, endpointChanges, lastEndpoint := map[string]int{}, 0, ""
 	const requests = 400
 	for range requests {
 		id, ep := h.request("read")
-		if ep != last { // the endpoint used before closes its connection
-			h.idleConnections[last], last = false, ep
-			changes++
+		if ep != lastEndpoint { // the endpoint of the last request closes its idle connection
+			h.idleConnections[lastEndpoint], lastEndpoint = false, ep
+			endpointChanges++
 		}
 		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balance.OK)
 		h.idleConnections[ep] = true
 	}
-	if changes > requests/2 {
-		t.Errorf("the endpoint changed %d times in %d requests, want half of them at most", changes, requests)
+	if endpointChanges > requests/2 {
+		t.Errorf("the endpoint changed %d times in %d requests, want half of them at most", endpointChanges, requests)
 	}
 	for ep, n := range counts {
 		if n < requests/4-5 || n > requests/4+5 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// The endpoints of a zone hung, but still responded to load probes, with a load of 8 requests. As they were never picked, they
-// kept the lowest deficits and got all load probes, and requests went to endpoints without a load report (incident i392ed2).
+// Endpoints that hang, but still respond to load probes with a load of 8 requests, are never picked. They must not keep the
+// lowest deficits and get all load probes, or requests go to endpoints without a load report (incident i392ed2).
 func TestLoadedEndpointsDoNotGetAllLoadProbes(t *testing.T) {
 	s := defaultSettings()
 	s.CanProbe = true
@@ -175,9 +175,9 @@
 	h := newHarness(t, s, eps...)
 	probes, hungProbes, hungRequests := 0, 0, 0
 	for range 200 {
-		seen := len(h.actions)
+		actionsSeen := len(h.actions)
 		id, _ := h.request("read")
-		for _, action := range h.actions[seen:] {
+		for _, action := range h.actions[actionsSeen:] {
 			ep, ok := strings.CutPrefix(action, "probe ")
 			if !ok {
 				continue
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// lineTimeout is the maximum time for a client to send its command. A connection may be closed earlier to make room for
-	// another one.
+	// lineTimeout is the maximum time for a client to send its command. At the limit of open connections, a connection may be
+	// closed earlier in favor of a new one.
 	lineTimeout = 10 * time.Second
 	// acceptRetryDelay is the delay after a failed accept, for example when the process has no file descriptors left.
 	acceptRetryDelay = 5 * time.Millisecond
@@ -32,8 +32,8 @@
 // After the response, the server waits for the client to close the connection and discards what the client still sends. Closing
 // a connection with unread bytes makes the kernel send a reset, which can destroy the response before the client reads it.
 const (
-	lingerTimeout  = 200 * time.Millisecond // time for the client to close
-	maxLingerBytes = 64 << 10               // bytes that are discarded at most
+	lingerTimeout  = 200 * time.Millisecond // maximum time to wait until the client closes the connection
+	maxLingerBytes = 64 << 10               // maximum number of bytes that are read and discarded
 )
 
 // Server accepts connections and executes their commands. The number of open connections is limited: at the limit, a new
@@ -46,12 +46,12 @@
 
 	mu              sync.Mutex
 	openConnections int
-	changed         sync.Cond // signaled when a connection has ended or become idle
-	idle            list.List // net.Conns that may be closed to make room for others, the next one to close in front
+	stateChanged    sync.Cond // signaled when a connection has ended or become idle
+	idle            list.List // connections (net.Conn) that may be closed in favor of new ones; the first element is closed first
 	isClosed        bool
 }
 
-// connection is a client's connection.
+// connection is a client's connection, for one command.
 type connection struct {
 	net.Conn
 	idleEntry *list.Element // entry in Server.idle, from which it may have been removed
@@ -61,7 +61,7 @@
 // the same time. The Server does nothing until Serve is called.
 func New(l net.Listener, maxConnections int, handlers Handlers, log *slog.Logger) *Server {
 	s := &Server{listener: l, handlers: handlers, maxConnections: max(maxConnections, 1), log: log}
-	s.changed.L = &s.mu
+	s.stateChanged.L = &s.mu
 	return s
 }
 
@@ -70,15 +70,15 @@
 
 // Serve accepts connections and returns after Close.
 func (s *Server) Serve() {
-	var lastLogged time.Time
+	var lastLoggedAt time.Time
 	for {
 		nc, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			if time.Since(lastLogged) > acceptLogInterval {
-				lastLogged = time.Now()
+			if time.Since(lastLoggedAt) > acceptLogInterval {
+				lastLoggedAt = time.Now()
 				s.log.Warn("admin accept failed", "error", err)
 			}
 			time.Sleep(acceptRetryDelay)
@@ -104,7 +104,7 @@
 		e.Value.(net.Conn).Close()
 	}
 	for s.openConnections > 0 {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	return err
 }
@@ -117,9 +117,9 @@
 	defer s.mu.Unlock()
 	for s.openConnections >= s.maxConnections && !s.isClosed {
 		if oldest := s.idle.Front(); oldest != nil {
-			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine fails, and it calls release
+			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine then fails, and the goroutine calls release
 		}
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	if s.isClosed {
 		return nil, false
@@ -135,17 +135,17 @@
 	s.idle.Remove(c.idleEntry)
 	c.Close()
 	s.openConnections--
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 }
 
-// markBusy removes a connection whose command was received from the idle ones. It returns false if the connection has just been
-// closed to make room for another one.
+// markBusy removes a connection whose command was received from the idle connections. It returns false if the connection has just
+// been closed in favor of a new one.
 func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	countBefore := s.idle.Len()
+	idleBefore := s.idle.Len()
 	s.idle.Remove(c.idleEntry)
-	return s.idle.Len() < countBefore
+	return s.idle.Len() < idleBefore
 }
 
 // serveConnection reads one command, executes it and writes the response.
@@ -197,8 +197,8 @@
 	return c, body, nil
 }
 
-// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed to
-// make room for another one.
+// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed in
+// favor of a new one.
 func (s *Server) linger(c *connection) {
 	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || writeCloser.CloseWrite() != nil {
@@ -207,11 +207,11 @@
 	s.mu.Lock()
 	c.idleEntry = s.idle.PushFront(c.Conn)
 	isClosed := s.isClosed
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 	s.mu.Unlock()
 	if isClosed {
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // an error does not matter: the command was executed
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes)) // an error is ignored, since the command was executed and its response was written
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -45,8 +45,7 @@
 
 // SetEjected ejects an endpoint by an operator's override, or restores it. It is called from an event.
 func (l *Loop) SetEjected(now time.Duration, id string, isEjected bool) {
-	// The upstream is notified first, because the balancer may send an attempt to a restored endpoint at once.
-	l.upstream.SetEjected(id, isEjected)
+	l.upstream.SetEjected(id, isEjected) // the upstream is notified first, since the balancer may send an attempt to a restored endpoint at once
 	l.balancer.SetEjected(now, id, isEjected)
 }
 
@@ -61,4 +60,4 @@
 
 // EndpointCounts returns how many endpoints are listed, and how many of them the balancer avoids because they are ejected, manually
 // or as outliers. It is called from an event.
-func (l *Loop) EndpointCounts() (listed, avoided int) { return l.balancer.EndpointCounts() }
+func (l *Loop) EndpointCounts() (listed, ejected int) { return l.balancer.EndpointCounts() }
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -5,10 +5,10 @@
 // pathIndex indexes the rules of one host by their paths. It refers to a rule by its index in the table; all lists of rules are
 // in ascending order.
 type pathIndex struct {
-	any      []int            // rules of kind AnyPath
+	anyPath  []int            // rules of kind AnyPath
 	exact    map[string][]int // rules of kind Exact, by their path
 	prefixes prefixIndex      // rules of kind Prefix, by their path
-	segments *segmentNode     // rules of kind Segments: the root of their tree
+	segments *segmentNode     // root of the tree that holds the rules of kind Segments
 	patterns prefixIndex      // rules of kind Pattern, by the literal prefix of their expression
 }
 
@@ -24,7 +24,7 @@
 func (p *pathIndex) add(rule int, c *compiledRule) {
 	switch c.Kind {
 	case AnyPath:
-		p.any = append(p.any, rule)
+		p.anyPath = append(p.anyPath, rule)
 	case Exact:
 		p.exact[c.Path] = append(p.exact[c.Path], rule)
 	case Prefix:
@@ -56,7 +56,7 @@
 type segmentNode struct {
 	children              map[string]*segmentNode // child nodes by their literal segment
 	wildcard              *segmentNode            // child node for the segment "*"
-	rules                 []int                   // rules whose path ends at this node
+	rules                 []int                   // rules whose path ends at this node, without a "**"
 	trailingWildcardRules []int                   // rules whose path ends with "**" after this node
 }
 
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -9,16 +9,17 @@
 // Reply collects the actions of one batch. Its method Host returns a balance.Host that writes the actions of one instance to
 // it. The zero value is an empty reply. A Reply is not safe for concurrent use.
 type Reply struct {
-	encoded  []byte // encoded actions so far
-	isBegun  bool   // whether the reply has any action
-	instance int    // instance of the last action
+	encoded    []byte // encoded actions so far
+	hasActions bool   // whether the reply has any action
+	instance   int    // instance of the last action
 }
 
-// Bytes ends the reply and returns its encoding, which is valid until the next action. That action begins a new reply.
+// Bytes ends the reply and returns its encoding, which is valid until the next action is written. The next action begins a new
+// reply.
 func (r *Reply) Bytes() []byte {
 	r.encoded = append(r.encoded, "FINISHED\n"...)
 	encoded := r.encoded
-	r.encoded, r.isBegun = encoded[:0], false
+	r.encoded, r.hasActions = encoded[:0], false
 	return encoded
 }
 
@@ -31,11 +32,11 @@
 	instance int
 }
 
-// begin writes the name of an action. If the last action was another instance's, it first writes an ON_BEHALF line.
+// begin writes the name of an action. If the last action was that of another instance, begin writes an ON_BEHALF line first.
 func (h *Host) begin(action string) *Host {
 	r := h.reply
-	if !r.isBegun || r.instance != h.instance {
-		r.isBegun, r.instance = true, h.instance
+	if !r.hasActions || r.instance != h.instance {
+		r.hasActions, r.instance = true, h.instance
 		r.encoded = append(r.encoded, "ON_BEHALF\tSidecar="...)
 		r.encoded = strconv.AppendInt(r.encoded, int64(h.instance), 10)
 		r.encoded = append(r.encoded, '\n')
@@ -113,7 +114,7 @@
 	h.begin("SET_TIMER").number("InstantUs", ceilMicroseconds(at)).number("Mark", 0).end()
 }
 
-// separatorsToSpaces replaces line breaks and tabs by spaces, so that a text stays within its field.
+// separatorsToSpaces replaces line breaks and tabs by spaces, so that a log line stays within its field.
 var separatorsToSpaces = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // Log writes a DEBUG, which is a line for the log.
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -2,7 +2,7 @@
 // endpoint, and which response was received.
 //
 // A Client owns all connections to the endpoints of one pool, and keeps track of which endpoints accept requests. Its mutex guards
-// both and is never held while a method waits for the network. Client.Run, which its caller starts and ends, closes idle
+// this state and is never held while a method waits for the network. Client.Run, which its caller starts and ends, closes idle
 // connections that endpoints have closed or may close soon. An attempt runs on the goroutine of its caller. If a request's body
 // streams, one more goroutine sends it (see bodySender).
 //
@@ -103,14 +103,14 @@
 
 // Run regularly closes the idle connections that can't be used any more. When ctx ends, it closes all idle connections and returns.
 func (cl *Client) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			cl.sweep(func(*conn) bool { return false })
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			cl.sweep(cl.isUsable)
 		}
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,10 +16,10 @@
 	rawConn             syscall.RawConn
 	byteLimit           *io.LimitedReader // limits the bytes that are read for one response
 	reader              *bufio.Reader     // reads from byteLimit
-	pool                *endpointPool     // pool that takes the connection back when it is idle
+	pool                *endpointPool     // pool to which the connection returns after an attempt
 	address             string            // address that was dialed
 	idleSince           time.Time         // time of the last response, or of the first return to the pool without one; zero before that
-	closesAfterResponse bool              // the last response head had the option "Connection: close"
+	closesAfterResponse bool              // whether the last response head had the option "Connection: close"
 }
 
 func newConn(nc net.Conn, p *endpointPool, address string) (*conn, error) {
@@ -58,11 +58,11 @@
 // hasNoInput reports whether nothing was received on an idle connection: no bytes, no end of file and no reset. If a request were
 // sent on a connection that the endpoint has closed, it would end as balance.Reset, after which a retry may not be safe.
 func (c *conn) hasNoInput() bool {
-	isEmpty := false
+	nothingReceived := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isEmpty = errors.Is(err, syscall.EAGAIN)
+		nothingReceived = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && isEmpty
+	return err == nil && nothingReceived
 }
