--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -98,19 +98,19 @@
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
 	if l.Failed { // jitter keeps balancers from subscribing all at once
 		if b.settings.MustSubscribe {
-			longest := max(b.settings.SubscribeWithin/2, minBackoff)
-			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longest)
+			longestBackoff := max(b.settings.SubscribeWithin/2, minBackoff)
+			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longestBackoff)
 			b.resubscribeAt = now + b.jitter(b.resubscribeBackoff)
 			b.wakeAt(b.resubscribeAt)
 		}
 		return
 	}
 	b.resubscribeBackoff, b.resubscribeAt = 0, 0
-	isFirst, availableBefore := len(b.endpoints) == 0, b.availableCount
+	isFirstList, availableBefore := len(b.endpoints) == 0, b.availableCount
 	for _, ep := range b.mergeList(l) {
-		b.resetEndpoint(now, ep, isFirst)
+		b.resetEndpoint(now, ep, isFirstList)
 	}
-	if isFirst {
+	if isFirstList {
 		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointsPerBalancer(), 0
 	}
 	b.availabilityChanged(now, availableBefore)
@@ -210,11 +210,11 @@
 // sendQueued dispatches the queued requests, oldest first. Once no endpoint has capacity for a first attempt,
 // it dispatches only retries.
 func (b *Balancer) sendQueued(now time.Duration) {
-	isFull := false
+	hasNoCapacity := false
 	for _, req := range b.queue {
-		if req.isQueued && (!isFull || len(req.attempts) > 0) {
+		if req.isQueued && (!hasNoCapacity || len(req.attempts) > 0) {
 			b.dispatch(now, req)
-			isFull = isFull || req.isQueued && len(req.attempts) == 0
+			hasNoCapacity = hasNoCapacity || req.isQueued && len(req.attempts) == 0
 		}
 	}
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.isQueued })
@@ -306,14 +306,14 @@
 // SetBalancerCount implements Events. A change gives no tenant a burst: the tokens that a tenant has saved
 // shrink if this balancer's part of the quota does, but do not grow with it.
 func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
-	before, after := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
-	if before == after && b.settings.Index == index {
+	oldCount, newCount := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
+	if oldCount == newCount && b.settings.Index == index {
 		return
 	}
 	b.settings.Balancers, b.settings.Index = balancers, index
-	b.totalQuota *= before / after
+	b.totalQuota *= oldCount / newCount
 	for _, t := range b.tenants {
-		t.tokens = (t.tokens + t.Quota/before*(now-t.refilledAt).Seconds()) * min(before/after, 1)
+		t.tokens = (t.tokens + t.Quota/oldCount*(now-t.refilledAt).Seconds()) * min(oldCount/newCount, 1)
 		t.refilledAt = now
 	}
 	b.rebuildSubset(now)
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -33,9 +33,9 @@
 	gain := 1 - math.Exp(-(now-b.limitUpdatedAt).Seconds()/stretchTimeConstant.Seconds())
 	b.limitUpdatedAt = now
 	b.recentStretch += (min(stretch, maxLimitStretch) - b.recentStretch) * max(gain, recentMeanGain)
-	isUsed := float64(b.inFlight+1) > usedLimitFraction*b.concurrencyLimit
+	isLimitUsed := float64(b.inFlight+1) > usedLimitFraction*b.concurrencyLimit
 	switch {
-	case b.recentStretch > congestionStretch && isUsed && now >= b.nextReductionAt:
+	case b.recentStretch > congestionStretch && isLimitUsed && now >= b.nextReductionAt:
 		inUse := min(b.concurrencyLimit, float64(b.inFlight+1))
 		reduction := max(limitReductionFloor, congestionStretch/b.recentStretch)
 		b.concurrencyLimit = max(inUse*reduction, b.endpointsPerBalancer())
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -4,7 +4,7 @@
 
 // mergeList applies an update to the listed endpoints and returns those that are new or have restarted.
 func (b *Balancer) mergeList(l EndpointUpdate) []*endpoint {
-	var started []*endpoint
+	var startedEndpoints []*endpoint
 	if l.Complete {
 		for _, ep := range b.endpoints {
 			ep.State = Gone
@@ -18,7 +18,7 @@
 		}
 		entry.Started = max(entry.Started, ep.restoredAt) // the list may not yet show a manual restoration
 		if ep.kind == nil || entry.Started > ep.Started {
-			started = append(started, ep)
+			startedEndpoints = append(startedEndpoints, ep)
 		}
 		ep.Endpoint = entry
 		if ep.kind = b.kinds[entry.Kind]; ep.kind == nil {
@@ -33,7 +33,7 @@
 		return ep.State == Gone
 	})
 	b.countAvailable()
-	return started
+	return startedEndpoints
 }
 
 // countAvailable sets availableCount to the number of listed endpoints that may get new attempts.
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -100,13 +100,13 @@
 // meanBaselineSeconds returns the mean baseline latency of the classes, weighted by their responses, in
 // seconds; 1 before any response.
 func (b *Balancer) meanBaselineSeconds() float64 {
-	sum, count := 0.0, 0.0
+	weightedSum, sampleCount := 0.0, 0.0
 	for i := range b.settings.Classes {
 		c := b.classes[b.settings.Classes[i].Name]
-		sum, count = sum+c.baselineLatency*c.sampleCount, count+c.sampleCount
+		weightedSum, sampleCount = weightedSum+c.baselineLatency*c.sampleCount, sampleCount+c.sampleCount
 	}
-	if sum <= 0 {
+	if weightedSum <= 0 {
 		return 1
 	}
-	return sum / count
+	return weightedSum / sampleCount
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -52,7 +52,7 @@
 // sum of deficit and load. Without active endpoints it returns the endpoint with the next trial. It returns
 // nil if the request has to wait.
 func (b *Balancer) pick(now time.Duration, req *request, candidates []*endpoint) *endpoint {
-	var dueTrial, lowest, nextTrial *endpoint
+	var dueTrial, lowestActive, nextTrial *endpoint
 	lowestDeficit, hasActive := math.Inf(1), false
 	for _, ep := range candidates {
 		hasActive = hasActive || ep.active
@@ -64,7 +64,7 @@
 				deficit += maxSampleStretch
 			}
 			if deficit < lowestDeficit {
-				lowest, lowestDeficit = ep, deficit
+				lowestActive, lowestDeficit = ep, deficit
 			}
 		case !ep.trialInFlight:
 			if nextTrial == nil || ep.nextTrialAt < nextTrial.nextTrialAt {
@@ -80,7 +80,7 @@
 	case dueTrial != nil:
 		return dueTrial
 	case hasActive:
-		return lowest
+		return lowestActive
 	}
 	return nextTrial
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -72,11 +72,11 @@
 func (b *Balancer) removeRequest(req *request) {
 	if !req.isFinished {
 		req.isFinished, req.isQueued, req.pendingProbes = true, false, nil
-		last := len(b.unfinished) - 1
-		b.unfinished[req.unfinishedIndex] = b.unfinished[last]
+		lastIndex := len(b.unfinished) - 1
+		b.unfinished[req.unfinishedIndex] = b.unfinished[lastIndex]
 		b.unfinished[req.unfinishedIndex].unfinishedIndex = req.unfinishedIndex
-		b.unfinished[last] = nil
-		b.unfinished = b.unfinished[:last]
+		b.unfinished[lastIndex] = nil
+		b.unfinished = b.unfinished[:lastIndex]
 		for i := range req.attempts {
 			if att := &req.attempts[i]; att.inFlight && !att.responseStreaming && b.settings.CanCancel {
 				b.host.Cancel(req.ID, i)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -13,13 +13,13 @@
 // are scaled with the length of a round (see roundDuration), which a restarted balancer estimates from its
 // first requests. Without an active endpoint nothing is delayed.
 func (b *Balancer) paceSlowStart(now time.Duration) {
-	round := b.slowStartRoundSeconds(now)
+	roundSeconds := b.slowStartRoundSeconds(now)
 	for _, ep := range b.endpoints {
 		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.pacedRoundSeconds > 0 {
-			ep.slowStartNextAt = now + seconds(wait*round/b.pacedRoundSeconds)
+			ep.slowStartNextAt = now + seconds(wait*roundSeconds/b.pacedRoundSeconds)
 		}
 	}
-	b.pacedRoundSeconds = round
+	b.pacedRoundSeconds = roundSeconds
 	hasActive := b.summarizeActive().count > 0
 	for _, ep := range b.subset {
 		if hasActive && !ep.wasInSubset && b.capacityFraction(now, ep) < 1 {
@@ -53,6 +53,6 @@
 	if ep.Started <= 0 || now-ep.Started >= b.settings.SlowStartDuration {
 		return 1
 	}
-	age := float64(max(now-ep.Started, 0)) / float64(b.settings.SlowStartDuration)
-	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*age, 0.05)
+	warmedFraction := float64(max(now-ep.Started, 0)) / float64(b.settings.SlowStartDuration)
+	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*warmedFraction, 0.05)
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -40,18 +40,18 @@
 	isUnavailable := func(ep *endpoint) bool { return !ep.isAvailable() }
 	b.subset = slices.DeleteFunc(slices.Clone(b.endpoints), isUnavailable)
 	n, balancers := float64(len(b.subset)), float64(max(b.settings.Balancers, 1))
-	size := math.Floor(max(b.subsetSizeByRate, minSubsetSize, balancersPerEndpoint*n/balancers))
-	if 2*size >= n {
+	subsetSize := math.Floor(max(b.subsetSizeByRate, minSubsetSize, balancersPerEndpoint*n/balancers))
+	if 2*subsetSize >= n {
 		return
 	}
 	slices.SortFunc(b.subset, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
 	})
-	start := min(float64(max(b.settings.Index, 0))/balancers, 1-1/balancers)
-	for i := range int(size) {
-		b.subset[i] = b.subset[int((float64(i)+start)/size*n)]
+	startFraction := min(float64(max(b.settings.Index, 0))/balancers, 1-1/balancers)
+	for i := range int(subsetSize) {
+		b.subset[i] = b.subset[int((float64(i)+startFraction)/subsetSize*n)]
 	}
-	b.subset = b.subset[:int(size)]
+	b.subset = b.subset[:int(subsetSize)]
 }
 
 // roundDuration returns the length of a round: the time in which each endpoint of the subset gets one request
