--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -140,12 +140,12 @@
 
 // longestHardLimit returns the largest HardLimitUs of all classes; 0 if a class has none.
 func (w *settings) longestHardLimit() time.Duration {
-	longest := time.Duration(0)
+	longestWait := time.Duration(0)
 	for _, lane := range w.Lanes {
 		if lane.HardLimitUs <= 0 {
 			return 0
 		}
-		longest = max(longest, microseconds(lane.HardLimitUs))
+		longestWait = max(longestWait, microseconds(lane.HardLimitUs))
 	}
-	return longest
+	return longestWait
 }
