--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -15,17 +15,17 @@
 	Violations []string      // descriptions of violations; later ones than the first maxViolations are dropped
 	MaxOverlap time.Duration // longest time for which a daemon acted on a version after another had begun to act on a later one
 
-	digestByVersion map[uint64][32]byte // digests of the documents that daemons acted on
-	firstDecisions  []firstDecision     // first decision by each version, in ascending order of versions, without the oldest ones
+	digestByVersion map[uint64][32]byte // digest of the documents that daemons acted on, by version
+	firstDecisions  []firstDecision     // first decision of any daemon under each version, in ascending order of versions; the oldest ones are dropped
 	versionByID     map[string]uint64   // versions that committed commands made, by command ID
-	idByVersion     map[uint64]string   // IDs of the commands that made the versions
-	latestVersion   uint64              // latest version that was committed
+	idByVersion     map[uint64]string   // ID of the committed command that made each version, by version
+	latestVersion   uint64              // highest version that a committed command made
 }
 
 // firstDecision is the first time that any daemon acted on a version.
 type firstDecision struct {
 	version uint64
-	at      time.Duration // virtual time
+	at      time.Duration // virtual time of the decision
 }
 
 func (c *Checker) addViolation(format string, args ...any) {
@@ -46,7 +46,8 @@
 	if last := len(c.firstDecisions) - 1; last < 0 || version > c.firstDecisions[last].version {
 		c.firstDecisions = append(c.firstDecisions, firstDecision{version, now})
 	}
-	for _, first := range c.firstDecisions { // finds the earliest decision by any later version
+	// The first entry with a later version is the earliest decision of any daemon under a version later than this one.
+	for _, first := range c.firstDecisions {
 		if first.version > version {
 			c.MaxOverlap = max(c.MaxOverlap, now-first.at)
 			break
@@ -80,7 +81,8 @@
 	c.latestVersion = max(c.latestVersion, r.Version)
 }
 
-// checkConverged verifies that a voter leads, that all daemons run and act on the latest version, and that all active voters have it.
+// checkConverged verifies that a voter leads, that all daemons run and act on the latest version, and that all active voters have applied
+// that version.
 func (c *Checker) checkConverged(s *Simulation) {
 	var leader *Node
 	for _, n := range s.runningVoters() {
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -6,15 +6,15 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// proposal is a change of a document that is proposed until it is committed.
+// proposal is a put or a revert of a document. proposePuts proposes it again until a voter has applied it.
 type proposal struct {
 	command     *consensus.Command
 	isCommitted bool // some voter has applied the command
 }
 
-// reconfigure proposes a change of the voters, by the state of a random voter. It removes the slot of a daemon whose disk is not bound to
-// that slot, if there is one: the disk was lost, or the voter has not started yet. Otherwise it adds a random daemon if there are at
-// most Options.Voters slots, and removes a random voter if there are more.
+// reconfigure proposes to a random voter a change of the voter slots that the voter's state lists. If a slot belongs to a daemon whose
+// disk is not bound to the slot, since the disk was lost or the daemon's voter has not started yet, the change removes the slot.
+// Otherwise it adds a random daemon if there are at most Options.Voters slots, and removes a random voter if there are more.
 func (s *Simulation) reconfigure() {
 	if s.isQuiescent {
 		return
@@ -42,7 +42,8 @@
 		change.Name = fmt.Sprint("d", withUnusedSlot[0].index)
 	case len(slots) <= s.options.Voters && len(withoutSlot) > 0:
 		n := withoutSlot[s.rng.IntN(len(withoutSlot))]
-		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved { // it can vote again only after a restart with an empty disk
+		// A daemon whose voter was removed can run a voter again only after a restart with an empty disk.
+		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved {
 			s.Crash(n)
 			s.startNode(n)
 		}
@@ -55,7 +56,7 @@
 }
 
 // proposePuts begins a change of a document, unless the simulation is quiescent, and proposes each recent change that is not committed
-// to a random voter, as a client does that retries without a response.
+// to a random voter, like a client that got no response and retries.
 func (s *Simulation) proposePuts() {
 	if !s.isQuiescent {
 		s.lastPut++
@@ -70,7 +71,7 @@
 			command.Put, command.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
 		}
 		s.proposals[id] = &proposal{command: command}
-		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second rejected put is activated by force
+		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second put that daemons reject is activated by force
 			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
 		}
 	}
--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -8,15 +8,16 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// event is a call that is due at an instant. If it belongs to a node, it runs only in the incarnation that scheduled it, and waits
-// while the node is paused.
+// event is a function call at a scheduled virtual time. The event of a node waits while the node is paused, and is dropped if the
+// node has crashed or restarted since the event was scheduled.
 type event struct {
-	node        *Node // nil: the event does not depend on a node
+	node        *Node // node to which the event belongs; nil: none
 	incarnation int   // incarnation of the node that scheduled the event
 	run         func()
 }
 
-// schedule adds an event at an instant, or now if the instant has passed. n is the node of the event; nil: none.
+// schedule has run called at an instant of virtual time, or now if the instant has passed. The event belongs to node n, or to no node
+// if n is nil.
 func (s *Simulation) schedule(n *Node, at time.Duration, run func()) {
 	e := event{node: n, run: run}
 	if n != nil {
@@ -53,7 +54,8 @@
 	s.schedule(n, s.Now+minDelay+time.Duration(s.rng.Int64N(int64(delaySpread+s.extraDelay))), func() { deliver(n) })
 }
 
-// sendRaftMessage sends a raft message of a node's voter, if the node knows the daemon of the receiver's raft id.
+// sendRaftMessage sends a raft message of a node's voter to the daemon whose voter has the receiver's raft id. The message is dropped
+// if the node does not know that daemon.
 func (s *Simulation) sendRaftMessage(n *Node, m *raftpb.Message) {
 	to, known := n.peerIndexes[m.GetTo()]
 	if name := n.voter.State().VoterName(m.GetTo()); name != "" {
@@ -62,14 +64,14 @@
 	if !known {
 		return
 	}
-	if m.GetType() == raftpb.MsgSnap { // sent over a stream: the sender learns whether it arrives
+	if m.GetType() == raftpb.MsgSnap { // snapshots are sent over a stream, so the sender learns whether one arrives
 		s.schedule(n, s.Now+2*delaySpread, func() { s.callVoter(n, func() { n.voter.ReportSnapshot(m.GetTo(), !s.cutLinks[[2]int{n.index, to}]) }) })
 	}
 	s.send(n.index, to, func(other *Node) { s.receiveRaftMessage(other, n.index, m) })
 }
 
 // receiveRaftMessage passes a message to the node's voter if it is addressed to that voter, and remembers the sender's index, as
-// package raftnode remembers its name.
+// package raftnode remembers the sender's name.
 func (s *Simulation) receiveRaftMessage(n *Node, from int, m *raftpb.Message) {
 	if n.voter == nil || n.voterID != m.GetTo() {
 		return
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -19,18 +19,18 @@
 	clockRate   float64       // speed of the node's clock relative to virtual time
 	pausedUntil time.Duration // virtual time until which the process does not run
 	isDown      bool
-	incarnation int // number of starts of the process; events of earlier ones are dropped
+	incarnation int // number of starts of the process; events that were scheduled before the latest start are dropped
 
 	voterID         uint64         // raft id of the voter slot that the disk belongs to; 0: none
-	wasRemoved      bool           // the voter was removed; the next start is with an empty disk
+	wasRemoved      bool           // the node's voter was removed from the cluster; the node's next start uses an empty disk
 	peerIndexes     map[uint64]int // indexes of voters by raft id, learned from their messages
 	knownVoters     []int          // indexes of the nodes that may be asked for a lease
 	diskID          string         // random id of the disk
-	persistedVoters []int          // knownVoters as of the latest grant, which survive a restart
+	persistedVoters []int          // knownVoters that the latest lease grant listed; they survive a restart of the node
 	disk            *simdisk.Disk
 	log             *wal.Log
 	voter           *consensus.Voter // nil: the node runs no voter
-	isSyncing       bool             // output of the voter is being made durable; its method calls are deferred
+	isSyncing       bool             // the voter's output is being made durable; calls of the voter are deferred until the sync has ended
 	deferredCalls   []func()         // calls of the voter that wait for the end of the sync, in order
 	leaseHolder     *consensus.LeaseHolder
 	leaseTarget     int  // index of the node that lease requests are sent to
@@ -114,8 +114,8 @@
 	n.voter, n.wasRemoved, n.deferredCalls, n.isSyncing = nil, true, nil, false
 }
 
-// indexOf returns the index of the node of a name. All names of a simulation are "d" and an index: another one is a bug of this
-// package.
+// indexOf returns the index of the node with the given name. Every node's name is "d" and its index; indexOf panics on any other
+// name, which would be a bug of this package.
 func indexOf(name string) (index int) {
 	if _, err := fmt.Sscanf(name, "d%d", &index); err != nil {
 		panic(fmt.Sprintf("raftsim: %q is not the name of a node: %v", name, err))
@@ -140,14 +140,15 @@
 	s.processOutput(n)
 }
 
-// handleVoterStop reports a violation, since no voter stops on a disk that makes durable what was synced, and crashes the node.
+// handleVoterStop reports a violation and crashes the node. No voter may stop itself unless its disk has lost data that was
+// synced.
 func (s *Simulation) handleVoterStop(n *Node) {
 	s.Checker.addViolation("%v: voter %d stops: %v", s.Now, n.index, n.voter.StopReason)
 	s.Crash(n)
 }
 
 // processOutput processes the output of a node's voter. Its records are appended to the log and synced first; only then are messages
-// and grants sent and results reported, since they rest on the records.
+// and grants sent and results reported, since a crash that lost the records would make them wrong.
 func (s *Simulation) processOutput(n *Node) {
 	if n.voter == nil {
 		return
@@ -176,9 +177,11 @@
 	if len(output.Records) > 0 || output.Snapshot != nil {
 		syncTime = minSyncTime + time.Duration(s.rng.Int64N(int64(syncTimeSpread)))
 	}
-	n.isSyncing = true // until the event below has run, also if the process is paused: nothing may overtake the sync
+	// isSyncing stays set until the event scheduled here has run, even if the process is paused: no call of the voter may overtake the
+	// sync.
+	n.isSyncing = true
 	s.schedule(n, s.Now+syncTime, func() {
-		if n.voter != voter { // it was removed during the sync
+		if n.voter != voter { // the voter was removed during the sync
 			return
 		}
 		if err := n.log.Sync(); err != nil {
@@ -240,7 +243,7 @@
 	}
 }
 
-// errUnsupportedSetting is the reason for which some daemons reject versions with a certain body of rejectableDoc.
+// errUnsupportedSetting is the error with which daemons of odd index reject a version whose rejectableDoc ends with rejectedSuffix.
 var errUnsupportedSetting = errors.New("this build does not support the setting")
 
 // checkDocuments returns an error if the daemon can't act on documents. Daemons with an odd index simulate an older build, which
@@ -260,8 +263,8 @@
 	}
 }
 
-// requestLease sends a lease request to the voter that sent the latest grant, or to the next known voter if the request before got no
-// grant, and schedules the next request. A node that can't grant a lease returns the voters that it knows.
+// requestLease sends a lease request to the voter that sent the latest grant, or to the next known voter if the previous request got no
+// grant, and schedules the next request. A receiver that can't grant a lease responds with the voters that it knows.
 func (s *Simulation) requestLease(n *Node) {
 	if !n.gotGrant {
 		n.leaseTarget = n.knownVoters[(slices.Index(n.knownVoters, n.leaseTarget)+1)%len(n.knownVoters)]
@@ -292,8 +295,8 @@
 	s.schedule(n, n.virtualTime(nextAt), func() { s.requestLease(n) })
 }
 
-// decide simulates a decision for which a daemon needs a version: it acts on the installed one if a lease covers that. It also
-// schedules the next decision.
+// decide simulates a decision for which a daemon needs the settings: the daemon acts on its installed version if a lease covers this
+// version. decide also schedules the daemon's next decision.
 func (s *Simulation) decide(n *Node) {
 	s.Decisions++
 	leased := n.leaseHolder.Leased()
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -31,14 +31,14 @@
 	heartbeatInterval = 50 * time.Millisecond  // interval of the raft leader's heartbeats
 	decisionInterval  = 25 * time.Millisecond  // time between two decisions of a daemon
 	minDelay          = 500 * time.Microsecond // shortest one-way delay of a message
-	delaySpread       = 4 * time.Millisecond   // random part of a one-way delay, on top of minDelay
+	delaySpread       = 4 * time.Millisecond   // upper bound of the random time added to minDelay for each message
 	minSyncTime       = time.Millisecond       // shortest sync of a voter's log
-	syncTimeSpread    = 6 * time.Millisecond   // random part of a sync's duration, on top of minSyncTime
+	syncTimeSpread    = 6 * time.Millisecond   // upper bound of the random time added to minSyncTime for each sync
 	checkDuration     = 2 * time.Millisecond   // time that a daemon takes to check a pending version
 	maxInstallTime    = 300 * time.Millisecond // longest time until all parts of a daemon act on a newly leased version
 
-	// Daemons with an odd index reject rejectableDoc while its body ends with rejectedSuffix. One of rejectedPutPeriod puts gives it
-	// such a body, and another one a body that all daemons accept.
+	// Daemons with an odd index reject rejectableDoc while its body ends with rejectedSuffix. One put in
+	// rejectedPutPeriod gives the document such a body, and another one a body that all daemons accept.
 	rejectableDoc     = "doc-hard"
 	rejectedSuffix    = "!"
 	rejectedPutPeriod = 16
@@ -115,7 +115,7 @@
 // active voters, none of them departing, and each holder of a voter slot runs as an active voter with the disk of its slot. Thus no two
 // disks are lost at a time.
 func (s *Simulation) loseDisk(n *Node) {
-	var mostAdvanced *Node // the running voter that has applied the most
+	var mostAdvanced *Node // running voter with the highest applied index
 	for _, v := range s.runningVoters() {
 		if mostAdvanced == nil || v.voter.AppliedIndex() > mostAdvanced.voter.AppliedIndex() {
 			mostAdvanced = v
@@ -143,7 +143,7 @@
 	})
 }
 
-// nodeNamed returns the node of a daemon's name.
+// nodeNamed returns the node with the given name. It panics if the name is not "d" and the index of a node.
 func (s *Simulation) nodeNamed(name string) *Node { return s.Nodes[indexOf(name)] }
 
 // InjectFaults injects random faults until an instant, and then ends network faults and restarts the nodes that are down. Voters lose
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -39,7 +39,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for seed := range seeds {
-				// Three or five voters; 4 other nodes, or 48 for one seed in ten.
+				// Even seeds have three voters and odd seeds five. One seed in ten has 48 other nodes, all others have 4.
 				o := Options{Voters: 3 + 2*int(seed%2), NonVoters: 4 * int(1+seed%10/9*11), Seed: seed, LeaseConfig: leaseConfig}
 				if seed%3 == 0 {
 					o.ReconfigurationInterval = 2 * time.Second
