--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -17,19 +17,19 @@
 	Nodes          int
 	Seed           uint64
 	StartConverged bool         // every node runs at the start and knows all others
-	LossFraction   float64      // fraction of messages that are lost; the same fraction of stream messages is delayed first
+	LossFraction   float64      // fraction of messages that are lost; of stream messages, this fraction is delayed by resendDelay and the same fraction of the rest is lost
 	SlowFraction   float64      // fraction of nodes that alternate between pauses and running phases of about a second each
 	Swim           swim.Options // options of every node; Self, Seed and InitialMembers are overwritten
 }
 
-// Delays of one message, one way, as in the network of one site: from minDelay up to delayJitter more.
+// One-way delays of a message, as in the network of one site: a message takes from minDelay to minDelay+delayJitter.
 const (
 	minDelay    = 200 * time.Microsecond
 	delayJitter = 800 * time.Microsecond
-	resendDelay = 200 * time.Millisecond // added to a stream message whose packet is lost: TCP sends the packet again
+	resendDelay = 200 * time.Millisecond // added to the delay of a stream message whose packet is lost, since TCP sends the packet again
 )
 
-// meanSlowPhase is the mean length of a slow node's pauses, and about that of the phases in which it runs.
+// meanSlowPhase is the mean length of a slow node's pauses, and roughly the mean length of the phases in which the node runs.
 const meanSlowPhase = time.Second
 
 // Simulation is a set of nodes and the network between them. It is not safe for concurrent use.
@@ -41,9 +41,9 @@
 	options Options
 	rng     *rand.Rand
 	queue   eventqueue.Queue[event]
-	byAddr  map[netip.AddrPort]*Node // running node at each address
+	byAddr  map[netip.AddrPort]*Node // running node by the address it listens on
 
-	Messages, Bytes uint64                                      // totals sent by all nodes, with lost messages
+	Messages, Bytes uint64                                      // totals sent by all nodes, lost messages included
 	OnChange        func(by *Node, c swim.Change)               // called for each state change in a node's view; may be nil
 	TamperMessage   func(to *Node, m swim.Message) swim.Message // replaces each received message, to simulate a faulty detector; may be nil
 }
@@ -52,16 +52,16 @@
 type Node struct {
 	*swim.Node                // nil until the first start
 	Index       int           // position in Simulation.Nodes
-	Peer        swim.Peer     // identity with which the process was started, or will be
+	Peer        swim.Peer     // identity of the running process or, if the process is down, of its next start
 	IsDown      bool          // the process does not run
 	PausedUntil time.Duration // virtual time until which the process is paused
 	ClockRate   float64       // speed of the process's clock relative to virtual time
 	StartedAt   time.Duration // virtual time of the latest start
 	isSlow      bool          // the node alternates between pauses and running phases
-	tickSeq     uint64        // sequence number of the only scheduled tick that is valid
+	tickSeq     uint64        // sequence number of the node's latest scheduled tick; earlier ticks are dropped
 }
 
-// event is the arrival of a message at a node or, if message is nil, a tick or the first start of the node.
+// event is the arrival of a message at a node. Without a message it is the node's first start or a tick, at which timers of swim are due.
 type event struct {
 	node    *Node
 	message *swim.Message
@@ -130,17 +130,17 @@
 	}
 }
 
-// clockTime returns what the node's clock shows at a virtual time.
+// clockTime converts a virtual time to the time that the node's clock shows then; the clock shows one hour at virtual time 0.
 func (n *Node) clockTime(now time.Duration) time.Duration {
 	return time.Hour + time.Duration(float64(now)*n.ClockRate)
 }
 
-// simulationTime is the inverse of clockTime, rounded up.
+// simulationTime converts a time of the node's clock to virtual time, rounded up so that the node's clock has reached it then.
 func (n *Node) simulationTime(clockTime time.Duration) time.Duration {
 	return time.Duration(float64(clockTime-time.Hour)/n.ClockRate) + 1
 }
 
-// scheduleTick schedules the next tick of a node. A tick that was scheduled before becomes invalid.
+// scheduleTick schedules the next tick of a node. A tick that was scheduled for the node earlier is dropped when it comes due.
 func (s *Simulation) scheduleTick(n *Node) {
 	n.tickSeq = s.queue.Schedule(max(n.simulationTime(n.NextTick()), s.Now), event{node: n})
 }
@@ -158,7 +158,7 @@
 	return false
 }
 
-// handle handles one event, and reports whether the node's view changed.
+// handle processes one event at its node, sends the resulting messages, and reports whether the node's view of the cluster changed.
 func (s *Simulation) handle(e eventqueue.Entry[event]) (viewChanged bool) {
 	n, m := e.Event.node, e.Event.message
 	if n.Node == nil {
@@ -192,7 +192,7 @@
 	return n.ViewNumber() != viewBefore
 }
 
-// isPaused reports whether a node is paused now. It may begin a pause of a slow node.
+// isPaused reports whether a node is paused now. If the node is slow and runs, isPaused may begin a pause at random.
 func (s *Simulation) isPaused(n *Node) bool {
 	if n.PausedUntil > s.Now {
 		return true
@@ -218,14 +218,14 @@
 		switch {
 		case e.Stream && s.rng.Float64() < s.options.LossFraction:
 			delay += resendDelay
-		case s.rng.Float64() < s.options.LossFraction: // lost; a stream message can be lost too if it was not delayed
+		case s.rng.Float64() < s.options.LossFraction: // the message is lost, which can happen to a stream message as well
 			continue
 		}
 		s.queue.Schedule(s.Now+delay, event{to, e.Message})
 	}
 }
 
-// RunningNodes returns the nodes whose processes run, also those that are paused.
+// RunningNodes returns the nodes whose processes run, paused ones included.
 func (s *Simulation) RunningNodes() (running []*Node) {
 	for _, n := range s.Nodes {
 		if !n.IsDown && n.Node != nil {
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -43,7 +43,7 @@
 	s.events = append(s.events, clusterinvariant.Event{At: s.Now, Kind: clusterinvariant.StateObserved, Observer: observer.Peer.Name, Subject: subject, State: state.String(), Incarnation: incarnation})
 }
 
-// recordFact records what was done to a node or, if n is nil, to the network or to several nodes.
+// recordFact records a start, shutdown or end of node n or, if n is nil, the begin or end of a fault.
 func (s *checkedSimulation) recordFact(kind clusterinvariant.Kind, n *Node) {
 	e := clusterinvariant.Event{At: s.Now, Kind: kind}
 	if n != nil {
@@ -81,8 +81,8 @@
 	return clusterinvariant.CheckMembership(s.events, clusterinvariant.Limits{DetectWithin: detectWithin, SettleWithin: settleWithin, End: s.Now})
 }
 
-// seedCount is the number of seeds with which each fault scenario runs. TULIPROCK_TEST_SWIM_SEEDS overrides it; the figures in
-// docs/design/026 were measured with 20.
+// seedCount is the number of seeds with which each fault scenario is simulated. TULIPROCK_TEST_SWIM_SEEDS overrides the default of 8;
+// the figures in docs/design/026 were measured with 20 seeds.
 var seedCount = func() int {
 	if n, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_SWIM_SEEDS")); err == nil {
 		return n
@@ -153,7 +153,8 @@
 		s.Run(s.Now+detectWithin+settleWithin, nil)
 	},
 	// While one node is paused, two killed nodes are detected and forgotten by the others, and another restarts at a new address.
-	// The paused node still lists all three as they were, and must not convince the others.
+	// After its pause the paused node's view still lists all three as alive at their old addresses. It must not convince the other
+	// nodes of that.
 	"one node paused for half an hour": func(s *checkedSimulation) {
 		s.killNodes(5, 6)
 		paused := s.Nodes[2]
@@ -163,7 +164,7 @@
 		identity := nextIdentity(s.Nodes[1])
 		identity.Addr = Addr(100)
 		s.restart(s.Nodes[1], identity)
-		s.Run(paused.PausedUntil+detectWithin, nil) // enough for the paused node to detect for itself that the killed nodes are gone
+		s.Run(paused.PausedUntil+detectWithin, nil) // detectWithin is enough for the paused node to detect that the killed nodes are gone
 		s.recordFact(clusterinvariant.FaultsEnded, nil)
 		s.Run(s.Now+settleWithin+time.Second, nil)
 	},
@@ -181,7 +182,7 @@
 	},
 }
 
-// nextIdentity returns the identity of a node for its next start: that of its latest start with a higher generation.
+// nextIdentity returns the identity of a node for its next start: the name and address of its latest start, and a higher generation.
 func nextIdentity(n *Node) swim.Peer {
 	identity := n.Peer
 	identity.Generation += 1000
@@ -255,7 +256,7 @@
 	}
 	for _, detector := range []struct {
 		name   string
-		rule   clusterinvariant.Rule // rule that must be violated; empty: none may be
+		rule   clusterinvariant.Rule // rule that the checker must find violated; empty: it must find no violation
 		swim   swim.Options
 		tamper func(*Node, swim.Message) swim.Message
 	}{
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -16,9 +16,9 @@
 	Nodes             int
 	LossFraction      float64 // fraction of messages that are lost
 	SlowFraction      float64 // fraction of nodes that alternate between pauses and running phases
-	WithoutLifeguard  bool    // disables swim's local health, suspicion shrinking and buddy system
+	WithoutLifeguard  bool    // disables swim's Lifeguard extensions: local health, suspicion shrinking and the buddy system
 	Swim              swim.Options
-	ObservationPeriod time.Duration // time without kills and cuts, in which every detected failure is false
+	ObservationPeriod time.Duration // measured time without kills and cuts, so that every failure detected in it is false
 	Seed              uint64
 }
 
@@ -29,16 +29,16 @@
 	FullDetections   []time.Duration // times from a kill until all other daemons had detected it, ascending
 	MessageRate      float64         // messages sent per second and daemon in the observation period
 	ByteRate         float64         // bytes sent per second and daemon in the observation period
-	RecoveryTime     time.Duration   // time from the end of a cut until all views were equal; 0: not measured, negative: not within a minute
+	RecoveryTime     time.Duration   // time from the end of a network cut until all views were equal; 0: not measured, negative: more than a minute
 }
 
 const (
 	warmUpPeriod = 20 * time.Second // time before the observation period
 	maxKills     = 5                // nodes killed per case
-	cutDuration  = 20 * time.Second
+	cutDuration  = 20 * time.Second // length of the cut after which RecoveryTime is measured
 )
 
-// options returns the options of the case's simulations.
+// options returns the options of the case's simulations, which start with converged views.
 func (c Case) options() Options {
 	o := Options{Nodes: c.Nodes, Seed: c.Seed, StartConverged: true, LossFraction: c.LossFraction, SlowFraction: c.SlowFraction, Swim: c.Swim}
 	if c.WithoutLifeguard {
@@ -82,7 +82,7 @@
 
 // measureDetection kills a node, waits at most two minutes until all others have detected its failure, and adds the times to m.
 func (c Case) measureDetection(sim *Simulation, n *Node, m *Measurement) {
-	if n.isSlow { // its failure can't be told from one of its pauses
+	if n.isSlow { // the kill of a slow node can't be told from a pause of the node
 		return
 	}
 	killedAt, detectedBy := sim.Now, map[int]bool{}
--- a/internal/testkit/swimsim/table_test.go
+++ b/internal/testkit/swimsim/table_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// In a small cluster without network faults no false failure is detected, and all daemons detect each killed one soon.
+// In a cluster of seven daemons without network faults no false failure is detected, and all daemons detect each killed one within 15 s.
 func TestMeasureWithoutFaults(t *testing.T) {
 	m := Case{Nodes: 7, ObservationPeriod: time.Minute, Seed: 1}.Measure(true)
 	if m.FalseFailureRate != 0 {
