--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -27,12 +27,12 @@
 	mu              sync.Mutex
 	files           map[string]*inode         // files by name, as the running system sees them
 	durableFiles    map[string]*inode         // files by name that certainly survive a crash
-	unsyncedChanges []func(map[string]*inode) // changes of file names since the latest SyncDir, in order
+	unsyncedChanges []func(map[string]*inode) // functions that apply the changes of file names since the latest SyncDir to a map of files, in order
 	locked          bool
-	incarnation     int // number of crashes so far; a file or lock of an earlier incarnation is stale
+	incarnation     int // number of crashes so far; files opened and locks taken in an earlier incarnation are stale
 
 	FailAfter   int   // value of ChangeCount after which all changes fail with ErrIO; 0: they never fail
-	Capacity    int64 // bytes that all files may have together; 0: unlimited
+	Capacity    int64 // largest total size of all files, in bytes; 0: unlimited
 	IgnoresSync bool  // injected fault: syncs succeed without making anything durable
 	ChangeCount int   // changes so far: writes, truncations, syncs, and files created, renamed or removed; failed ones included
 }
@@ -40,7 +40,7 @@
 // inode is the content of a file, as the running system sees it and as it certainly survives a crash.
 type inode struct {
 	content  []byte          // bytes as the running system sees them
-	durable  []byte          // bytes as of the latest sync
+	durable  []byte          // bytes that certainly survive a crash: the content at the latest sync
 	unsynced []contentChange // changes of the content since the latest sync, in order
 }
 
@@ -49,13 +49,13 @@
 	offset       int64
 	data         []byte
 	isTruncation bool
-	size         int64 // bytes that a truncation leaves
+	size         int64 // length of the file after a truncation, in bytes; unused for a write
 }
 
 // New returns an empty disk.
 func New() *Disk { return &Disk{files: map[string]*inode{}, durableFiles: map[string]*inode{}} }
 
-// countChange counts a change, and returns ErrIO if it is to fail. The caller holds d.mu.
+// countChange counts a change of the disk, and returns ErrIO if FailAfter demands that this change fail. The caller holds d.mu.
 func (d *Disk) countChange() error {
 	d.ChangeCount++
 	if d.FailAfter > 0 && d.ChangeCount > d.FailAfter {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// InjectFailure makes all changes fail with ErrIO once this many more have succeeded. On a disk that has never been changed, at least
-// one succeeds.
+// InjectFailure makes all changes fail with ErrIO once remainingChanges more changes have succeeded. On a disk that has never been
+// changed, at least one change succeeds.
 func (d *Disk) InjectFailure(remainingChanges int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	// Names survive as a prefix of their changes, in order, since file systems keep a journal of them.
+	// The first changes of file names survive, up to a random one, and no later ones, since file systems journal such changes in order.
 	for _, apply := range d.unsyncedChanges[:rng.IntN(len(d.unsyncedChanges)+1)] {
 		apply(d.durableFiles)
 	}
@@ -99,7 +99,7 @@
 	d.incarnation++
 }
 
-// crash leaves the durable content with a random selection of the unsynced truncations and sectors applied to it.
+// crash sets the content of the file to the durable content, changed by a random selection of the unsynced truncations and sectors.
 func (i *inode) crash(rng *rand.Rand) {
 	b := slices.Clone(i.durable)
 	for _, c := range i.unsynced {
@@ -113,7 +113,7 @@
 			end := min(len(c.data), start+SectorSize-int((c.offset+int64(start))%SectorSize))
 			if rng.IntN(3) > 0 {
 				if size := c.offset + int64(end); int64(len(b)) < size {
-					b = resize(b, size) // sectors before it that did not survive read as zeros
+					b = resize(b, size) // earlier sectors of the file that did not survive read as zeros
 				}
 				copy(b[c.offset+int64(start):], c.data[start:end])
 			}
@@ -194,7 +194,8 @@
 	return &handle{d, i, d.incarnation}, nil
 }
 
-// changeFiles changes file names, for the running system now and durably with the next SyncDir. The caller holds d.mu.
+// changeFiles applies a change of file names for the running system. The change becomes durable with the next SyncDir. The caller holds
+// d.mu.
 func (d *Disk) changeFiles(apply func(map[string]*inode)) {
 	apply(d.files)
 	d.unsyncedChanges = append(d.unsyncedChanges, apply)
@@ -254,7 +255,7 @@
 	return directoryLock{d, d.incarnation}, nil
 }
 
-// directoryLock is a held lock of a disk's directory.
+// directoryLock is the lock of a disk's directory, as Disk.Lock returns it. A crash of the disk releases the lock.
 type directoryLock struct {
 	disk        *Disk
 	incarnation int // Disk.incarnation when the lock was taken
@@ -270,14 +271,14 @@
 	return nil
 }
 
-// handle is an open file.
+// handle is an open file of a Disk. After a crash of the disk it is stale, and only its ReadAt and Close succeed.
 type handle struct {
 	disk        *Disk
 	inode       *inode
 	incarnation int // Disk.incarnation when the file was opened
 }
 
-// errStaleHandle is returned for a file that was opened before a crash.
+// errStaleHandle is returned for a write, truncation, sync or size of a file that was opened before the latest crash.
 var errStaleHandle = errors.New("the file was opened before the latest crash of the disk")
 
 // checkCurrent returns errStaleHandle if the disk has crashed since the file was opened. The caller holds the disk's mu.
