--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Queue holds scheduled events. Its zero value is an empty queue.
+// Queue holds scheduled events of type T. Its zero value is an empty queue. It is not safe for concurrent use.
 type Queue[T any] struct {
 	entries entries[T]
 	lastSeq uint64 // Seq of the entry that was scheduled last
 }
 
-// Entry is a scheduled event.
+// Entry is an event of a Queue, with the time at which it is due and its rank among events of the same time.
 type Entry[T any] struct {
 	At    time.Duration // virtual time at which the event is due
-	Seq   uint64        // number of the event in the order of scheduling, from 1
+	Seq   uint64        // number of the event in the order of Schedule calls, from 1; events of the same time are popped in this order
 	Event T
 }
 
@@ -54,7 +54,7 @@
 func (e *entries[T]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = Entry[T]{} // so that the backing array does not keep the event alive
+	old[len(old)-1] = Entry[T]{} // cleared, so that the backing array does not keep the popped event alive
 	*e = old[:len(old)-1]
 	return last
 }
