--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -12,10 +12,10 @@
 // unknown stands in violation texts for the state of a daemon that a view does not contain. It is never the State of an Event.
 const unknown = "unknown"
 
-// Rule is an invariant of a cluster, as results name it.
+// Rule identifies an invariant of a cluster by the name that results give it.
 type Rule string
 
-// The rules of membership.
+// The rules that CheckMembership checks.
 const (
 	// FailureDetected: all running daemons detect the end of another daemon within Limits.DetectWithin.
 	FailureDetected Rule = "who is gone is found out in time"
@@ -29,13 +29,13 @@
 	ViewsConverge Rule = "views agree in time after the last fault"
 )
 
-// MembershipRules are the rules that CheckMembership checks.
+// MembershipRules lists the rules that CheckMembership checks, in the order in which they are reported.
 var MembershipRules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
 
-// Kind is the kind of an Event.
+// Kind says which fact or observation an Event records.
 type Kind int
 
-// The kinds of events. All but StateObserved are facts: what was done to daemons, links or processes.
+// The kinds of events. StateObserved records what a daemon reported. All others are facts: what was done to daemons, links or processes.
 const (
 	Started       Kind = iota // Subject's process was started and responds
 	Killed                    // Subject's process was killed, so that it announced nothing
@@ -58,8 +58,8 @@
 
 // Limits are the time limits of the rules, and the end of the timeline.
 type Limits struct {
-	DetectWithin time.Duration // from a daemon's end until all others must have detected it, without other faults
-	SettleWithin time.Duration // from the last fault, start or end of a daemon until all views must be right
+	DetectWithin time.Duration // longest time from the end of a daemon until all others must have detected the end, if no other fault is active
+	SettleWithin time.Duration // longest time from the last fault, start or end of a daemon until all views must match which daemons run
 	End          time.Duration // instant at which the timeline ends
 }
 
@@ -74,11 +74,11 @@
 type Verdict struct {
 	Violations         []Violation
 	TestedOccasions    map[Rule]int  // occasions on which each rule was tested; a rule that is missing was not tested
-	SlowestDetection   time.Duration // longest time from a daemon's end until the last of the others detected it, without other faults
-	SlowestConvergence time.Duration // longest time from a change to a daemon, or from the end of the faults, until all views were right
+	SlowestDetection   time.Duration // longest time from the end of a daemon until the last of the others detected the end, without other faults
+	SlowestConvergence time.Duration // longest time from a change to a daemon, or from the end of the faults, until all views matched which daemons run
 }
 
-// observation is one daemon's entry in the view of another.
+// observation is the latest state of a daemon that another daemon, the observer, has reported.
 type observation struct {
 	state       string
 	incarnation uint64
@@ -97,7 +97,7 @@
 	pendingDetections map[[2]string]time.Duration       // deadline by which an observer must detect the end of a subject, by {observer, subject}
 	faultActive       bool
 	lastFactAt        time.Duration // instant of the latest fact about any daemon or fault
-	converged         bool          // all views have been right at some instant since lastFactAt
+	converged         bool          // whether all views have matched which daemons run at some instant since lastFactAt
 }
 
 // CheckMembership checks a timeline, whose events are in order of their instants, against MembershipRules.
@@ -123,7 +123,7 @@
 	c.verdict.Violations = append(c.verdict.Violations, Violation{r, at, fmt.Sprintf(format, args...)})
 }
 
-// isSettled reports whether no fault is active and no fact is newer than the time that the cluster may take to settle.
+// isSettled reports whether no fault is active and Limits.SettleWithin has passed since the latest fact.
 func (c *checker) isSettled(now time.Duration) bool {
 	return !c.faultActive && now-c.lastFactAt >= c.limits.SettleWithin
 }
@@ -134,7 +134,7 @@
 	switch e.Kind {
 	case FaultBegan, FaultsEnded:
 		c.faultActive = e.Kind == FaultBegan
-		clear(c.pendingDetections) // a fault may delay detections; ViewsConverge covers them afterwards
+		clear(c.pendingDetections) // a fault may delay detections; after the fault, the rule ViewsConverge checks the views
 		return
 	case Started:
 		delete(c.views, e.Subject) // a new process starts with an empty view
@@ -168,7 +168,7 @@
 // applyObservation applies an event of the kind StateObserved.
 func (c *checker) applyObservation(e Event) {
 	if c.status[e.Observer] != Started {
-		return // the observer is shutting down, or does not run any more
+		return // views of an observer that is shutting down or has ended are not checked
 	}
 	view := c.views[e.Observer]
 	if view == nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-// noteConvergence records the time since the latest fact if all views are right now, for the first time since that fact.
+// noteConvergence records the time since the latest fact if all views match which daemons run for the first time since that fact.
 func (c *checker) noteConvergence(now time.Duration) {
 	if c.converged || c.faultActive {
 		return
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const second = time.Second // short name for the timelines below
+const second = time.Second // short name, since the timelines of the tests are tables of many instants
 
 func observed(at time.Duration, observer, subject, state string, incarnation uint64) Event {
 	return Event{At: at, Kind: StateObserved, Observer: observer, Subject: subject, State: state, Incarnation: incarnation}
@@ -28,14 +28,15 @@
 	return events
 }
 
-// Each case appends reports to those of two daemons that act on version 1, and breaks one rule or none. A contradiction may last 2s.
+// CheckVersions finds the one rule that the reports of a case break, or none. Each case appends its reports to those of two daemons that
+// act on version 1, and maxContradiction is 2 s.
 func TestCheckVersions(t *testing.T) {
 	report := func(at time.Duration, daemon string, version uint64, digest string) VersionReport {
 		return VersionReport{RequestedAt: at - second/10, ReportedAt: at, Daemon: daemon, Version: version, Digest: digest}
 	}
 	for name, c := range map[string]struct {
 		reports []VersionReport
-		broken  Rule // rule that is broken; empty: none is
+		broken  Rule // rule that the reports break; empty: no rule
 	}{
 		"one daemon follows the other in time":                                      {[]VersionReport{report(2*second, "a", 2, "y"), report(3*second, "b", 1, "x"), report(4*second, "b", 2, "y")}, ""},
 		"an earlier version is used for too long":                                   {[]VersionReport{report(2*second, "a", 2, "y"), report(5*second, "b", 1, "x")}, NoContradiction},
@@ -51,12 +52,13 @@
 	}
 }
 
-// Each case appends events to those of a converged cluster. The timeline breaks one rule or none.
+// CheckMembership finds the one rule that the timeline of a case breaks, or none. Each case appends its events to those of a converged
+// cluster of three daemons.
 func TestCheckMembership(t *testing.T) {
 	for name, c := range map[string]struct {
 		events []Event
-		broken Rule // rule that is broken; empty: none is
-		tested Rule // rule that must be tested at least once
+		broken Rule // rule that the timeline breaks; empty: no rule
+		tested Rule // rule that must be broken or must have been tested on at least one occasion
 	}{
 		"no fault":                                        {nil, "", ViewsConverge},
 		"end detected in time":                            {[]Event{fact(20*second, Killed, "c"), observed(22*second, "a", "c", "failed", 1), observed(23*second, "b", "c", "failed", 1)}, "", FailureDetected},
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// The rules of versions of the settings.
+// The rules that CheckVersions checks.
 const (
-	// NoContradiction: once some daemon acts on a version, no daemon acts on an earlier one for longer than the promised time.
+	// NoContradiction: once some daemon acts on a version, no daemon acts on an earlier one for longer than
+	// CheckVersions' maxContradiction.
 	NoContradiction Rule = "no two daemons contradict one another for longer than is promised"
 	// VersionsConsistent: a version has the same content on all daemons, and no process goes back to an earlier version.
 	VersionsConsistent Rule = "a version is the same everywhere, and no daemon goes back"
 )
 
-// VersionRules are the rules that CheckVersions checks.
+// VersionRules lists the rules that CheckVersions checks, in the order in which they are reported.
 var VersionRules = []Rule{NoContradiction, VersionsConsistent}
 
 // VersionReport is a daemon's response that it acts on a version, under a lease. The daemon acted on the version at some instant
@@ -30,14 +31,14 @@
 // VersionVerdict is the result of CheckVersions.
 type VersionVerdict struct {
 	Violations           []Violation
-	Reports              int           // reports that were checked
-	Versions             int           // versions that were reported, without those older than one reported before
+	Reports              int           // number of reports that were checked
+	Versions             int           // number of reported versions, without those that were first reported after a later version
 	LongestContradiction time.Duration // longest time for which a daemon certainly acted on a version after another daemon acted on a later one
 }
 
 // CheckVersions checks reports, in order of ReportedAt, against VersionRules. From the instant at which some daemon acts on a version,
-// no daemon may act on an earlier one for longer than maxContradiction. What is not certain is no violation: the first daemon acts on
-// a version at ReportedAt at the latest, and the last one on an earlier version at RequestedAt at the earliest.
+// no daemon may act on an earlier one for longer than maxContradiction. Only the part of a contradiction that is certain counts: it
+// begins at the ReportedAt of the first report of the later version, and ends at the RequestedAt of a report of the earlier version.
 func CheckVersions(reports []VersionReport, maxContradiction time.Duration) VersionVerdict {
 	type firstReport struct {
 		version uint64
@@ -59,7 +60,7 @@
 		p := process{report.Daemon, report.Incarnation}
 		if previous := latest[p]; report.Version >= previous.version {
 			latest[p] = latestReport{report.Version, report.ReportedAt}
-		} else if report.RequestedAt > previous.reportedAt { // otherwise the two polls overlapped, and this response may be the earlier one
+		} else if report.RequestedAt > previous.reportedAt { // otherwise the two polls of the process overlapped, and it may have sent this response before the previous one
 			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", report.Daemon, previous.version, report.Version)})
 		}
 		if digest, ok := digests[report.Version]; ok && digest != report.Digest {
