--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -1,5 +1,5 @@
-// Package fleetsim simulates a cluster of hundreds of sidecars in virtual time, in one process: for each sidecar a balancer of the
-// decision module, and models of the endpoints, the network, discovery and the clients. It shows in seconds, and reproducibly,
+// Package fleetsim simulates a cluster of hundreds of sidecars in virtual time, in one process: for each sidecar a balancer of
+// package balance, and models of the endpoints, the network, discovery and the clients. It shows in seconds, and reproducibly,
 // faults that arise only from the interplay of many sidecars.
 package fleetsim
 
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Day is the configuration of a simulation.
+// Day configures a simulation: its size, its faults, and the load and its duration.
 type Day struct {
 	Seed        uint64
 	Sidecars    int           // approximate number of sidecars of all tiers together
 	Scenario    string        // name of the faults, one of Scenarios
 	Length      time.Duration // time during which clients send requests
-	Utilization float64       // mean demand as a fraction of the capacity of the tier with the least
-	SlowStart   SlowStart     // slow start of endpoints; the zero value means that of the default site
+	Utilization float64       // mean demand as a fraction of the highest demand that all tiers have the capacity for
+	SlowStart   SlowStart     // slow start of endpoints; the zero value stands for defaultSlowStart
 }
 
 // SlowStart says how endpoints warm up after a start, and how much work overloads one that is warming up.
 type SlowStart struct {
-	InitialCapacity float64       // fraction of its full capacity that an endpoint has at its start; it rises linearly
+	InitialCapacity float64       // fraction of its full capacity that an endpoint has at its start, from where the capacity rises linearly
 	Duration        time.Duration // time from the start until the endpoint has its full capacity
-	OverloadFactor  float64       // multiple of its present capacity that overloads an endpoint when it is sent for OverloadWindow
-	OverloadWindow  time.Duration // length of the sliding window in which the work sent to the endpoint is summed up
+	OverloadFactor  float64       // work within OverloadWindow that overloads a warming endpoint, as a multiple of what its present capacity can process in that time
+	OverloadWindow  time.Duration // length of the sliding window over which the work sent to a warming endpoint is added up
 }
 
-// defaultSlowStart is the slow start of the default site's endpoints.
+// defaultSlowStart holds the slow start that endpoints have if Day.SlowStart is not set.
 var defaultSlowStart = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
 
 // Scenarios returns the names of all scenarios, in the order in which they are reported:
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// class is a class of requests.
+// class holds the properties that all requests of a class share.
 type class struct {
 	name             string
-	isKeyed          bool          // requests carry an idempotency key, by which the endpoints of a cell drop duplicates
+	isKeyed          bool          // whether requests carry an idempotency key, by which the endpoints of a cell drop duplicates
 	fraction         float64       // fraction of all requests from clients
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
 	latencyObjective time.Duration // time within which a response has its full value
@@ -77,57 +77,58 @@
 	weight           float64       // priority weight, which is the value of one request
 }
 
-// classes have figures in the middle of the ranges that the requirements of the default site give.
+// classes are the request classes of every simulation. Their figures are from the middle of the ranges in the requirements of the
+// default site.
 var classes = []class{
 	{"item-lookup", false, 0.75, 0.10, 2 * time.Second, 5 * time.Second, 5},
 	{"bag-dispatch", true, 0.25, 0.31, 2500 * time.Millisecond, 6 * time.Second, 3},
 }
 
-// tiers are the tiers of endpoints, from the one that front sidecars call downwards.
+// tiers are the tiers of endpoints. Front sidecars send to the first tier, and each tier calls the next one.
 var tiers = []struct {
-	work  float64 // fraction of its class's work that each request to the tier takes
-	size  float64 // number of endpoints, relative to the first tier
-	calls int     // requests to the tier below, one after another, for each request
+	work  float64 // mean work of each request to the tier, as a fraction of class.work
+	size  float64 // number of endpoints of the tier, relative to the first tier
+	calls int     // requests that an endpoint sends to the next tier, one after another, for each request that it serves
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
-// Rules that are checked.
+// Limits that sidecars and endpoints must keep, and the tolerances with which package invariant checks them.
 const (
 	dedupWindow       = 10 * time.Second       // time in which the endpoints of a cell drop duplicates of a request with an idempotency key
 	maxAttempts       = 4                      // attempts that a sidecar may send for one request
-	overloadTolerance = 0.25                   // fraction by which random variation may exceed the overload limit
+	overloadTolerance = 0.25                   // fraction by which the work of a warming endpoint may exceed the overload limit, since work varies at random
 	drainGrace        = 500 * time.Millisecond // time from a notification of a drain until no new request may follow
-	timeTolerance     = 50 * time.Millisecond  // tolerance added to each time limit
+	timeTolerance     = 50 * time.Millisecond  // tolerance that the check adds to each time limit
 )
 
-// Topology and endpoints.
+// Properties of the topology and of each endpoint.
 const (
-	cellSize         = 4       // endpoints that drop duplicates together
-	zoneCount        = 3       // zones over which each tier is spread
+	cellSize         = 4       // number of endpoints in a cell, each of which drops duplicates of requests that any of them received
+	zoneCount        = 3       // number of zones over which each tier is spread
 	frontFraction    = 1.0 / 6 // fraction of the sidecars that receive requests from clients
 	coresPerEndpoint = 2
-	maxInWork        = 24 // requests that an endpoint works on at the same time
-	maxQueued        = 12 // requests that wait at an endpoint in addition; more are rejected
+	maxInWork        = 24 // highest number of requests that an endpoint works on at the same time
+	maxQueued        = 12 // highest number of requests that wait at an endpoint, in addition to maxInWork; further ones are rejected
 )
 
-// Network and discovery.
+// Delays and limits of the network and of discovery.
 const (
 	wireDelay      = 500 * time.Microsecond  // delay of a message in one direction
-	handshakeDelay = 1500 * time.Microsecond // added to the round trip that opens a connection
-	maxConnections = 40                      // connections that an endpoint accepts; few, so that sidecars run into the limit
+	handshakeDelay = 1500 * time.Microsecond // time that opening a connection takes in addition to a round trip
+	maxConnections = 40                      // highest number of connections that an endpoint accepts, low enough for sidecars to run into it
 	idleTimeout    = 15 * time.Second        // time after which a sidecar closes an idle connection
 	meanListDelay  = 800 * time.Millisecond  // mean time until a sidecar receives a change of the endpoint list
 )
 
-// Clients.
+// Behaviour of the clients, and the time limits of responses to them.
 const (
 	loadSkew         = 3.0                    // relative loads of front sidecars range from 1/loadSkew to loadSkew
 	clientRetryDelay = 100 * time.Millisecond // time from a failed response until the client's retry
 	maxClientRetries = 3                      // retries of one request by its client
-	deadlineMargin   = 10 * time.Millisecond  // time before its deadline by which a sidecar must respond to a request
-	responseGrace    = 500 * time.Millisecond // time after a request's deadline until which its response is awaited
+	deadlineMargin   = 10 * time.Millisecond  // time by which the deadline that the balancer gets is earlier than the request's deadline
+	responseGrace    = 500 * time.Millisecond // time after a request's deadline at which a missing response is recorded as overdue
 )
 
-// Faults of the scenario herd.
+// Extent of the faults in the scenario herd.
 const (
 	faultSlowdown = 4.0     // factor by which requests take longer at a slow endpoint
 	slowFraction  = 1.0 / 8 // fraction of the endpoints that become slow
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -13,27 +13,27 @@
 	sim             *simulation
 	id              string
 	tier            int
-	cell            int // number of its cell, whose endpoints drop duplicates together
+	cell            int // number of the endpoint's cell, whose endpoints drop duplicates of requests that any of them received
 	zone            int
 	kind            string              // kind of machine, as discovery reports it
-	speed           float64             // speed of a core; 1 is the speed in which work is measured
+	speed           float64             // speed of each core; work is given in seconds of a core of speed 1
 	slowdown        float64             // factor by which a fault makes work take longer; 1 without a fault
-	startedAt       time.Duration       // time of the latest start; 0: before the simulation, so that it is fully warmed up
-	isUp            bool                // its process runs
-	isIsolated      bool                // messages to and from it are lost, though its process runs
-	isOverloaded    bool                // it got too much work while it was warming up, and rejects everything until it restarts
-	incarnation     int                 // number of times that its process was killed; tells callbacks of an earlier process apart
-	inFlight        int                 // requests that it works on or has queued
-	openConnections int                 // connections from all sidecars
-	busyCores       int                 // cores in use
-	cpuQueue        []func(done func()) // work that waits for a core
-	recentColdWork  []timedWork         // work received within the overload window while it was warming up
-	ownSidecar      *sidecar            // sidecar through which it calls the tier below; nil in the last tier
-	listedState     balance.State       // state that discovery reports
-	isGone          bool                // it has been replaced and is not listed any more
+	startedAt       time.Duration       // virtual time of the latest start; 0: before the simulation, so that the endpoint is fully warmed up
+	isUp            bool                // whether the endpoint's process runs
+	isIsolated      bool                // whether messages to and from the endpoint are lost, though its process runs
+	isOverloaded    bool                // whether too much work while warming up has overloaded the endpoint, which then rejects all requests until it restarts
+	incarnation     int                 // number of times that the endpoint's process was killed; a callback with an older number belongs to an earlier process
+	inFlight        int                 // requests that the endpoint works on or has queued
+	openConnections int                 // number of open connections from all sidecars
+	busyCores       int                 // number of cores in use, at most coresPerEndpoint
+	cpuQueue        []func(done func()) // tasks that wait for a core, in order; see runOnCore
+	recentColdWork  []timedWork         // work received within the latest overload window while the endpoint was warming up
+	ownSidecar      *sidecar            // sidecar through which the endpoint calls the tier below; nil in the last tier
+	listedState     balance.State       // state of the endpoint that discovery lists
+	isGone          bool                // whether the endpoint has been replaced, so that discovery does not list it any more
 }
 
-// timedWork is an amount of work that an endpoint received at a time.
+// timedWork is the work of one attempt, with the virtual time at which the endpoint received it.
 type timedWork struct {
 	at   time.Duration
 	work float64 // CPU time in seconds of a core of speed 1
@@ -83,7 +83,7 @@
 	return slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*float64(e.sim.now-e.startedAt)/float64(slowStart.Duration)
 }
 
-// kill kills the process and that of its sidecar. Its requests are lost and its connections reset.
+// kill kills the processes of the endpoint and of its sidecar. The endpoint's requests are lost and its connections reset.
 func (e *endpoint) kill() {
 	if !e.isUp {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// restart starts a new process, which has to warm up, and its sidecar, with the endpoint list that the sidecar had.
+// restart starts a new process of the endpoint, which has to warm up, and of its sidecar, which keeps its endpoint list.
 func (e *endpoint) restart() {
 	e.isUp, e.isOverloaded, e.startedAt = true, false, e.sim.now
 	e.recordStart()
@@ -109,7 +109,8 @@
 	}
 }
 
-// receive handles an attempt that has arrived completely. It calls onResult with the result, unless the process is killed before.
+// receive handles an attempt that has arrived completely. It calls onResult with the result, unless the endpoint's process
+// is killed before.
 func (e *endpoint) receive(a *attempt, work float64, key string, onResult func(balance.Result)) {
 	sim, incarnation := e.sim, e.incarnation
 	sim.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, FirstByteAt: a.sentAt - epoch, Work: work, Cell: e.cell})
@@ -152,8 +153,8 @@
 	})
 }
 
-// callTierBelow sends the given number of requests to the tier below, one after another, and then calls finish. The first that fails
-// ends the sequence.
+// callTierBelow sends callsLeft requests to the tier below, one after another, and then calls finish. After the first request that fails
+// no more are sent.
 func (e *endpoint) callTierBelow(a *attempt, key string, callsLeft int, finish func(balance.Result)) {
 	if callsLeft == 0 {
 		finish(balance.OK)
@@ -208,7 +209,8 @@
 	return false
 }
 
-// addColdWork counts work that the endpoint receives while it is warming up. Too much work within the overload window overloads it.
+// addColdWork counts work that the endpoint receives while it is warming up. Too much work within the overload window
+// overloads the endpoint.
 func (e *endpoint) addColdWork(work float64) {
 	if e.capacityFraction() == 1 {
 		return
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// The decision module keeps all invariants in every scenario, and the same day gives the same result. Each invariant must be tested
-// by at least one scenario.
+// The balancer of package balance keeps all invariants in every scenario, and the same day gives the same result. Each invariant must be
+// tested by at least one scenario.
 func TestInvariantsHoldInAllScenarios(t *testing.T) {
 	tested := [4]bool{}
 	for _, scenario := range Scenarios() {
@@ -56,7 +56,8 @@
 	}
 }
 
-// Without faults, at 60 % of the capacity, nearly all requests are served in time and nearly no attempt is repeated.
+// Without faults, at 60 % of the capacity, nearly all requests are served in time and nearly no request needs a second
+// attempt.
 func TestDayWithoutFaultsIsServed(t *testing.T) {
 	r := runDay(t, eventloop.NewBalancer, smallDay("calm"))
 	if r.ServedFraction() < 0.97 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// firstListOnly is the decision module, but ignores all endpoint lists after the first.
+// firstListOnly is the balancer of package balance, but ignores all endpoint lists and updates after the first list.
 type firstListOnly struct {
 	balance.Events
 	hasList bool
@@ -82,7 +83,7 @@
 	}
 }
 
-// newestOnly sends all requests to the endpoint that started last.
+// newestOnly is a balancer that sends all requests to the endpoint that started last.
 type newestOnly struct {
 	balance.Events
 	host   balance.Host
@@ -109,17 +110,17 @@
 
 func (b *newestOnly) Timer(time.Duration) {}
 
-// neverResponds accepts requests and never sends a response.
+// neverResponds is a balancer that accepts requests and never has a response sent.
 type neverResponds struct{ balance.Events }
 
 func (neverResponds) Request(time.Duration, balance.Request) {}
 
-// alwaysRetries retries every failed attempt at some other endpoint, even if the attempt may have taken effect.
+// alwaysRetries is a balancer that retries every failed attempt at some other endpoint, even if the attempt may have taken effect.
 type alwaysRetries struct {
 	balance.Events
 	host          balance.Host
 	ids           []string       // IDs of all endpoints that were listed as ready
-	attemptCounts map[string]int // attempts sent, by request ID
+	attemptCounts map[string]int // number of attempts sent, by request ID
 }
 
 func (b *alwaysRetries) EndpointList(_ time.Duration, list balance.EndpointUpdate) {
@@ -150,11 +151,11 @@
 
 func (b *alwaysRetries) Timer(time.Duration) {}
 
-// Each balancer breaks one invariant, and the check of the timeline finds that.
+// Each case uses a balancer that breaks one invariant of package invariant, and the check of the timeline must find the violation.
 func TestViolationsOfInvariantsAreFound(t *testing.T) {
 	for _, row := range []struct {
 		name, scenario string
-		invariant      int // number of the invariant that must be broken, from 1
+		invariant      int // number of the invariant that the balancer breaks, from 1 to 4
 		newBalancer    eventloop.BalancerFactory
 	}{
 		{"never responds", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
@@ -175,7 +176,7 @@
 	}
 }
 
-// The error on an invalid day begins with the name of the invalid field.
+// For an invalid day Run returns an error that begins with the outer name of the invalid field.
 func TestInvalidDaysAreRejected(t *testing.T) {
 	valid := smallDay("calm")
 	for field, invalidate := range map[string]func(*Day){
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -18,9 +18,9 @@
 // Result is the outcome of a simulated day.
 type Result struct {
 	Format            int               `json:"format"`      // version of the format, always 1
-	Day               string            `json:"day"`         // scenario of the day
-	Sidecars          int               `json:"sidecars"`    // sidecars of all tiers, as configured
-	Endpoints         int               `json:"endpoints"`   // endpoints at the start of the day
+	Day               string            `json:"day"`         // name of the day's scenario, one of Scenarios
+	Sidecars          int               `json:"sidecars"`    // number of sidecars, as configured in Day.Sidecars
+	Endpoints         int               `json:"endpoints"`   // number of endpoints at the start of the day
 	Requests          int               `json:"asked"`       // requests from clients, each counted once
 	ClientAttempts    int               `json:"tries"`       // requests from clients, each of their retries counted too
 	InTime            int               `json:"in_time"`     // requests served within the latency objective
@@ -32,7 +32,7 @@
 	ServedValue       float64           `json:"served"`      // sum of the priority weights of the requests served in time
 	Attempts          [3]int            `json:"attempts"`    // attempts that arrived at endpoints, by tier
 	Connections       int               `json:"connections"` // connections that sidecars opened to endpoints, in all tiers
-	DiscoveryMessages int               `json:"lists"`       // endpoint lists and updates that sidecars received
+	DiscoveryMessages int               `json:"lists"`       // number of endpoint lists and updates that sidecars received
 	PeakColdLoad      float64           `json:"cold_most"`   // most work on a warming endpoint within the overload window, as a multiple of what overloads it
 	Rules             *invariant.Report `json:"rules"`       // which of the four invariants of traffic held
 }
@@ -49,10 +49,11 @@
 	return float64(r.Attempts[tier]) / max(needed, 1)
 }
 
-// Run simulates a day with the decision module. The same Day always gives exactly the same Result.
+// Run simulates a day with balancers of package balance. The same Day always gives exactly the same Result.
 func Run(d Day) (*Result, error) { return RunWith(eventloop.NewBalancer, d) }
 
-// RunWith simulates a day with balancers that newBalancer creates.
+// RunWith simulates a day with balancers that newBalancer creates, one for each start of a sidecar. It returns the error of Day.Check if
+// the day is invalid.
 func RunWith(newBalancer eventloop.BalancerFactory, d Day) (*Result, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	sim.scheduleFaults()
 	sim.runUntil(epoch + d.Length)
 	sim.arrivalsStopped = true
-	sim.runUntil(epoch + d.Length + 20*time.Second) // by then, the deadlines of all requests in all three tiers have passed
+	sim.runUntil(epoch + d.Length + 20*time.Second) // 20 s after the last arrival, the deadlines of all requests in all three tiers have passed
 	sim.result.Rules = invariant.Check(invariantRules(d.SlowStart), sim.timeline)
 	return sim.result, nil
 }
@@ -95,7 +96,7 @@
 		work += c.fraction * c.work
 	}
 	rate, callsPerRequest := math.Inf(1), 1.0
-	for t := range tiers { // the tier with the least capacity for its part of the work limits the rate
+	for t := range tiers { // the tier whose capacity allows the lowest rate of clients' requests limits the rate
 		capacity := 0.0
 		for _, e := range sim.tiers[t] {
 			capacity += coresPerEndpoint * e.speed
@@ -211,12 +212,12 @@
 	}
 }
 
-// sortRequests sorts requests by the number in their IDs.
+// sortRequests sorts requests by the number in their IDs, which is the order in which they were sent.
 func sortRequests(requests []*request) {
 	slices.SortFunc(requests, func(a, b *request) int { return cmp.Or(cmp.Compare(len(a.id), len(b.id)), strings.Compare(a.id, b.id)) })
 }
 
-// WriteSummary writes the result as text for people to read.
+// WriteSummary writes the result as a few lines of text for human readers, with up to three violations of each rule.
 func (r *Result) WriteSummary(out io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-6s %4d sidecars %4d endpoints %6d asked   in time %5.1f %% of the worth   late %d refused %d failed %d lost %d\n",
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -12,41 +12,41 @@
 type sidecar struct {
 	sim         *simulation
 	name        string
-	tier        int                        // index of the tier to which it sends requests
-	index       int                        // index among the sidecars that send to the tier
-	isUp        bool                       // its process runs
-	incarnation int                        // number of times that its process was killed; tells callbacks of an earlier process apart
+	tier        int                        // index of the tier to which the sidecar sends requests
+	index       int                        // index of the sidecar among those that send to the same tier
+	isUp        bool                       // whether the sidecar's process runs
+	incarnation int                        // number of times that the sidecar's process was killed; a callback with an older number belongs to an earlier process
 	balancer    balance.Events             // balancer of the running process
 	lastList    balance.EndpointUpdate     // complete endpoint list as of the latest update
 	endpoints   map[string]*endpoint       // endpoints that were ever listed to this process, by ID
 	requests    map[string]*request        // requests that have no response yet or an attempt in flight, by ID
 	idleSince   map[string][]time.Duration // for each idle connection, the time since which it has been idle; by endpoint ID
-	deferred    []func()                   // functions to run once the balancer has returned from the present call
-	isCutOff    bool                       // messages between it and the endpoints in cutZone are lost; no scenario sets it
-	cutZone     int                        // zone from which it is cut off if isCutOff is set
+	deferred    []func()                   // functions to run once the balancer has returned from the event that it handles now
+	isCutOff    bool                       // whether messages between the sidecar and the endpoints in cutZone are lost; no scenario sets isCutOff
+	cutZone     int                        // zone whose endpoints the sidecar can't reach if isCutOff is set
 }
 
-// request is a request that a sidecar has accepted.
+// request is a request that a sidecar has accepted, with all of its attempts.
 type request struct {
 	id               string
 	class            int              // index in classes
 	key              string           // idempotency key; empty if its class has none
 	deadline         time.Duration    // virtual time by which the client needs the response
-	isDone           bool             // it has its final response, or is lost
-	hadErrorResponse bool             // its latest attempt ended with an error response of the endpoint
-	onResponse       func(status int) // receives the final status, or 0 if the request is lost
-	attempts         []*attempt       // all attempts, by number
+	isDone           bool             // whether the request has its final response or is lost
+	hadErrorResponse bool             // whether the latest attempt that ended got an error response from the endpoint
+	onResponse       func(status int) // called once, with the status that sidecar.accept describes
+	attempts         []*attempt       // all attempts of the request, in the order in which they were sent
 }
 
 // attempt is an attempt of a request at an endpoint.
 type attempt struct {
 	request            *request
 	number             int           // number among the request's attempts, from 0
-	endpoint           *endpoint     // endpoint to which it was sent
-	sidecarIncarnation int           // incarnation of the sidecar that sent it
-	sentAt             time.Duration // virtual time at which the balancer sent it
-	isInFlight         bool          // its outcome has not been reported to the balancer
-	wasReceived        bool          // it has arrived at the endpoint
+	endpoint           *endpoint     // endpoint to which the attempt was sent
+	sidecarIncarnation int           // sidecar.incarnation at the time of sending
+	sentAt             time.Duration // virtual time at which the balancer sent the attempt
+	isInFlight         bool          // whether the attempt's outcome is still to be reported to the balancer
+	wasReceived        bool          // whether the attempt has arrived at the endpoint
 }
 
 // newSidecar adds a sidecar that sends requests to a tier. Its process does not run yet.
@@ -56,7 +56,8 @@
 	return s
 }
 
-// start starts a new process with an endpoint list. If the list is empty, the process gets the present one from discovery.
+// start starts a new process of the sidecar, which begins with the given endpoint list or, if that is empty, with the list that
+// discovery has now.
 func (s *sidecar) start(list balance.EndpointUpdate) {
 	sim := s.sim
 	s.isUp, s.requests, s.idleSince, s.endpoints = true, map[string]*request{}, map[string][]time.Duration{}, map[string]*endpoint{}
@@ -93,7 +94,8 @@
 	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, Started: e.startedAt}
 }
 
-// applyList records the notifications in an update of the endpoint list, and passes the update to the balancer.
+// applyList passes an update of the endpoint list to the balancer, after recording in the timeline which states of endpoints the sidecar
+// is notified of.
 func (s *sidecar) applyList(update balance.EndpointUpdate) {
 	s.sim.result.DiscoveryMessages++
 	for _, entry := range update.Endpoints {
@@ -122,7 +124,7 @@
 	}
 }
 
-// kill kills the process. Its requests are lost and its idle connections closed.
+// kill kills the sidecar's process. The requests that it has accepted are lost and its idle connections closed.
 func (s *sidecar) kill() {
 	if !s.isUp {
 		return
@@ -144,7 +146,7 @@
 	s.sim.record(invariant.Event{Kind: invariant.SidecarExited, Sidecar: s.name})
 }
 
-// sortedRequests returns the process's requests in the order of their acceptance, so that the simulation is reproducible.
+// sortedRequests returns the entries of s.requests in the order of their acceptance; the order of a map would not be reproducible.
 func (s *sidecar) sortedRequests() []*request {
 	sorted := make([]*request, 0, len(s.requests))
 	for _, req := range s.requests {
@@ -310,13 +312,13 @@
 	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].work
 }
 
-// Cancel implements balance.Host. The settings disable what the balancer would need it for.
+// Cancel implements balance.Host. It does nothing: the settings disable hedged requests, so the balancer cancels no attempt.
 func (s *sidecar) Cancel(string, int) {}
 
 // Reject implements balance.Host.
 func (s *sidecar) Reject(id string, _ time.Duration) {
 	req := s.requests[id]
-	if req != nil && req.hadErrorResponse { // as in the daemon: after an error response, a 503 would wrongly promise that a retry is harmless
+	if req != nil && req.hadErrorResponse { // as in the daemon: a 503 after an error response would wrongly promise that a retry is harmless
 		s.Fail(id)
 		return
 	}
--- a/internal/testkit/fleetsim/simulation.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -17,7 +17,7 @@
 // simulation is the state of the simulation of one day.
 type simulation struct {
 	day             Day
-	newBalancer     eventloop.BalancerFactory // creates the balancer of each sidecar process
+	newBalancer     eventloop.BalancerFactory // called at each start of a sidecar to create its balancer
 	rng             *rand.Rand
 	now             time.Duration            // virtual time; the day begins at epoch
 	queue           eventqueue.Queue[func()] // functions to call at later times
@@ -25,14 +25,14 @@
 	front           []*sidecar               // sidecars that receive requests from clients
 	sidecars        []*sidecar               // all sidecars, including those of endpoints that have been replaced
 	keysSeen        map[string]time.Duration // time of the first request with an idempotency key, by tier, cell and key
-	nameCount       int                      // names given out by nextName
-	requestCount    int                      // requests that were sent to any sidecar
+	nameCount       int                      // number of names that nextName has returned
+	requestCount    int                      // number of requests that were sent to any sidecar, retries of clients included
 	timeline        []invariant.Event        // events for the check of the invariants, in order of time
 	result          *Result
-	arrivalsStopped bool // clients send no new requests, only retries
+	arrivalsStopped bool // whether the day has ended, so that clients send no new requests but only retries
 }
 
-// schedule calls f after a delay; a negative delay counts as 0.
+// schedule has f called after a delay of virtual time; a negative delay counts as 0.
 func (sim *simulation) schedule(delay time.Duration, f func()) {
 	sim.queue.Schedule(sim.now+max(delay, 0), f)
 }
@@ -52,7 +52,7 @@
 	sim.timeline = append(sim.timeline, e)
 }
 
-// drawExponential draws an exponentially distributed duration.
+// drawExponential draws an exponentially distributed duration with the given mean.
 func (sim *simulation) drawExponential(mean time.Duration) time.Duration {
 	return time.Duration(sim.rng.ExpFloat64() * float64(mean))
 }
