--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -150,17 +150,17 @@
 
 // scheduleFaults schedules the faults of the day's scenario, which begin after a quarter of the day.
 func (sim *simulation) scheduleFaults() {
-	begin, third := sim.day.Length/4, sim.day.Length/3
+	begin, faultPeriod := sim.day.Length/4, sim.day.Length/3
 	switch sim.day.Scenario {
 	case "roll":
-		sim.replaceEndpoints(sample(sim, sim.allEndpoints(), 0.5), begin, third)
+		sim.replaceEndpoints(sample(sim, sim.allEndpoints(), 0.5), begin, faultPeriod)
 		for i, s := range sim.front {
-			sim.schedule(begin+third*time.Duration(i*10/len(sim.front))/10, func() { sim.restartSidecar(s) })
+			sim.schedule(begin+faultPeriod*time.Duration(i*10/len(sim.front))/10, func() { sim.restartSidecar(s) })
 		}
 	case "herd":
 		for _, e := range sample(sim, sim.allEndpoints(), slowFraction) {
 			sim.schedule(begin, func() { e.slowdown = faultSlowdown })
-			sim.schedule(begin+third, func() { e.slowdown = 1 })
+			sim.schedule(begin+faultPeriod, func() { e.slowdown = 1 })
 		}
 		for _, s := range sample(sim, sim.front, 0.7) {
 			sim.schedule(begin, func() { sim.restartSidecar(s) })
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -312,7 +312,7 @@
 	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].work
 }
 
-// Cancel implements balance.Host. It does nothing: the settings disable hedged requests, so the balancer cancels no attempt.
+// Cancel implements balance.Host. It does nothing: the settings leave CanCancel unset, so the balancer cancels no attempt.
 func (s *sidecar) Cancel(string, int) {}
 
 // Reject implements balance.Host.
