--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// maxBodySize is the number of bytes of a response body that are read at most. It exceeds the size of any body that a load
-// test would request.
+// maxBodySize is the highest number of bytes that are read of a response body; the rest of a longer body is ignored. It exceeds
+// the size of any body that a load test would request.
 const maxBodySize = 64 << 20
 
-// HTTP is a Sender that uses HTTP/1.1.
+// HTTP is a Sender that sends HTTP/1.1 requests and reuses idle connections. It is safe for concurrent use.
 type HTTP struct {
 	newRequest func(n int64) *http.Request
 	transport  *http.Transport
 }
 
-// NewHTTP returns a sender that keeps up to maxIdle idle connections open. newRequest makes the n-th request, and dial opens
-// connections; if dial is nil, the network of the operating system is used.
+// NewHTTP returns a sender that keeps up to maxIdle idle connections open. newRequest makes request number n, counted from 0.
+// dial opens connections; if it is nil, they are opened over the network of the operating system.
 func NewHTTP(newRequest func(n int64) *http.Request, maxIdle int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTP {
 	return &HTTP{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout: time.Minute, DisableCompression: true, MaxResponseHeaderBytes: 1 << 20}}
 }
 
-// Close closes all idle connections.
+// Close closes all idle connections. Connections with a request in flight stay open.
 func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
 
 // RequestTemplate returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
@@ -47,7 +47,7 @@
 		}
 		return r, nil
 	}
-	if _, err := makeRequest(0); err != nil { // a request is valid for every number if it is valid for one
+	if _, err := makeRequest(0); err != nil { // the number does not affect whether a request is valid, so one check is enough
 		return nil, err
 	}
 	return func(n int64) *http.Request {
@@ -59,7 +59,7 @@
 // Send implements Sender. WrittenAt of its responses is the instant at which the request's header was written to the connection.
 func (h *HTTP) Send(ctx context.Context, n int64) (response Response) {
 	// The transport calls the trace's functions on its own goroutines, possibly after the round trip has returned.
-	var connections atomic.Int32 // connections used, more than one if the transport sent the request again
+	var connections atomic.Int32 // number of connections used; more than one if the transport sent the request again
 	var headerWritten atomic.Pointer[time.Time]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connections.Add(1) },
@@ -90,7 +90,7 @@
 	return resp.StatusCode, err
 }
 
-// classifyFailure returns the Failure of a request that got the error err after it used the given number of connections.
+// classifyFailure returns the Failure constant for a request that ended with err after it used the given number of connections.
 func classifyFailure(ctx context.Context, err error, connections int) string {
 	var netErr net.Error
 	switch {
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -19,17 +19,17 @@
 // resultFile is the JSON form of a Result. It holds complete histograms, so that results can be merged without loss of precision.
 type resultFile struct {
 	Format           int                                   `json:"format"`
-	Kind             string                                `json:"kind"` // always "load"
+	Kind             string                                `json:"kind"` // always "load", which tells a load test's file from other results
 	Runs             int                                   `json:"runs"`
 	Valid            bool                                  `json:"valid"`
-	Invalid          string                                `json:"invalid,omitempty"` // reason why the result is not valid
+	Invalid          string                                `json:"invalid,omitempty"` // Result.Invalid: the reason why the measurements are not valid; absent if they are
 	Interrupted      bool                                  `json:"interrupted"`
 	SendSeconds      float64                               `json:"sent_s"` // Result.SendDuration in seconds
 	Scheduled        int64                                 `json:"due"`
 	NotSent          int64                                 `json:"not_sent"`
 	Resent           int64                                 `json:"resent"`
 	CountByOutcome   map[string]int64                      `json:"ended"`
-	Percentiles      map[string]map[string]string          `json:"percentiles"` // durations by histogram (all, service, own) and percentile, for human readers
+	Percentiles      map[string]map[string]string          `json:"percentiles"` // formatted durations by name of the histogram (all, service, own) and percentile, for human readers; Read ignores them
 	LatencyByOutcome map[string]*schedule.LatencyHistogram `json:"latency"`
 	Latency          *schedule.LatencyHistogram            `json:"all"`
 	ServiceTime      *schedule.LatencyHistogram            `json:"service"`
@@ -37,30 +37,30 @@
 	Seconds          []secondInFile                        `json:"seconds"`
 }
 
-// secondInFile is the JSON form of a Second.
+// secondInFile is the JSON form of a Second: the requests that were due during one second of a run.
 type secondInFile struct {
 	Scheduled int64                      `json:"due"`
 	NotSent   int64                      `json:"not_sent"`
-	Responses int64                      `json:"answered"` // complete responses
+	Responses int64                      `json:"answered"` // number of complete responses, whatever the status; Read ignores it
 	Latency   *schedule.LatencyHistogram `json:"latency"`
 }
 
-// reportedPercentiles are the percentiles that Write and WriteTable print.
+// reportedPercentiles are the percentiles that Write and WriteTable write for each histogram.
 var reportedPercentiles = []struct {
 	name     string
 	fraction float64
 }{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}, {"p99.99", 0.9999}}
 
-// formatPercentiles returns the percentiles and the maximum of a histogram as texts, by name.
+// formatPercentiles returns the formatted durations of a histogram by percentile name ("p99"), and the longest one as "most".
 func formatPercentiles(l *schedule.LatencyHistogram) map[string]string {
-	byName := map[string]string{"most": l.Max().String()}
+	durationByPercentile := map[string]string{"most": l.Max().String()}
 	for _, p := range reportedPercentiles {
-		byName[p.name] = l.Quantile(p.fraction).String()
+		durationByPercentile[p.name] = l.Quantile(p.fraction).String()
 	}
-	return byName
+	return durationByPercentile
 }
 
-// Write writes the result as JSON in the format of version Format.
+// Write writes the result as a JSON object, which Read decodes. Options are not written.
 func (r *Result) Write(w io.Writer) error {
 	f := resultFile{Format: Format, Kind: "load", Runs: r.Runs, Valid: r.Invalid == "", Invalid: r.Invalid, Interrupted: r.Interrupted,
 		SendSeconds: r.SendDuration.Seconds(), Scheduled: r.Scheduled, NotSent: r.NotSent, Resent: r.Resent, CountByOutcome: r.CountByOutcome(),
@@ -73,7 +73,7 @@
 	return json.NewEncoder(w).Encode(f)
 }
 
-// Read decodes a result that Write has written.
+// Read decodes a result that Write has written. It returns an error if the text has another version than Format, or lacks a histogram.
 func Read(text []byte) (*Result, error) {
 	var f resultFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -106,8 +106,8 @@
 	return r, nil
 }
 
-// Merge adds the results of other runs to this one, as if a single load generator had sent the requests of all runs at the same
-// time. The n-th seconds of the runs are added up. The merged result is valid if both results are.
+// Merge adds the result o of one or more other runs to r, as if a single load generator had sent the requests of all runs at the same
+// time. The measurements of the same second of each run are added up. The merged result is valid if r and o are valid.
 func (r *Result) Merge(o *Result) {
 	r.Runs += o.Runs
 	r.Scheduled, r.NotSent, r.Resent = r.Scheduled+o.Scheduled, r.NotSent+o.NotSent, r.Resent+o.Resent
@@ -132,7 +132,7 @@
 	}
 }
 
-// WriteTable writes the result as a table for human readers.
+// WriteTable writes a summary of the result and a table of its histograms, in milliseconds, for human readers.
 func (r *Result) WriteTable(w io.Writer) error {
 	var b strings.Builder
 	sendSeconds := max(r.SendDuration.Seconds(), 1e-9) // avoids a division by zero
@@ -147,19 +147,19 @@
 		fmt.Fprint(&rows, p.name, "\t")
 	}
 	fmt.Fprintln(&rows, "most\t")
-	row := func(name string, l *schedule.LatencyHistogram) {
+	writeRow := func(name string, l *schedule.LatencyHistogram) {
 		fmt.Fprintf(&rows, "%s\t%d\t", name, l.Count())
 		for _, p := range reportedPercentiles {
 			fmt.Fprintf(&rows, "%.2f\t", milliseconds(l.Quantile(p.fraction)))
 		}
 		fmt.Fprintf(&rows, "%.2f\t\n", milliseconds(l.Max()))
 	}
-	row("latency, from when due", r.Latency)
-	row("service, from the write", r.ServiceTime)
+	writeRow("latency, from when due", r.Latency)
+	writeRow("service, from the write", r.ServiceTime)
 	for _, outcome := range slices.Sorted(maps.Keys(r.LatencyByOutcome)) {
-		row(outcome, r.LatencyByOutcome[outcome])
+		writeRow(outcome, r.LatencyByOutcome[outcome])
 	}
-	row("own lateness", r.SendLateness)
+	writeRow("own lateness", r.SendLateness)
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = io.WriteString(table, rows.String()) // writing to a strings.Builder does not fail
 	_ = table.Flush()
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -14,9 +14,9 @@
 // change it.
 func TestMergeEqualsASingleRun(t *testing.T) {
 	type request struct {
-		due, duration, lateness int  // milliseconds: instant in the run, time from the write to the end, time from due to the write
+		due, duration, lateness int  // in milliseconds: instant in the run at which the request is due, time from its write to its end, time from due to its write
 		status                  int  // HTTP status; 0: the request failed
-		isInSecondPart          bool // which of the two results it is counted in
+		isInSecondPart          bool // whether the request is counted in the second of the two merged results
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		requests := rapid.SliceOf(rapid.Custom(func(t *rapid.T) request {
@@ -52,7 +52,7 @@
 			parts[i] = decoded
 		}
 		parts[0].Merge(parts[1])
-		single.Runs = 2 // as Merge counts
+		single.Runs = 2 // Merge counts the runs of the merged results
 		if got, want := formatResult(t, parts[0]), formatResult(t, single); !reflect.DeepEqual(got, want) {
 			t.Fatalf("merged:\n%s\nwant the result of a single run:\n%s", got, want)
 		}
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -10,9 +10,9 @@
 
 // Result holds the measurements of a run, or of several runs that were merged.
 type Result struct {
-	Options      Options       // options of the run; zero in a result that was read from a file
-	Runs         int           // number of runs that were merged into this result, itself included
-	SendDuration time.Duration // time during which requests were sent; the longest one of merged runs
+	Options      Options       // options of the run; the zero value in a result that Read has decoded
+	Runs         int           // number of runs that the result holds: 1 unless results were merged
+	SendDuration time.Duration // time during which requests were sent; of merged runs, the longest such time
 
 	Scheduled int64 // requests that were due during the run, sent or not
 	NotSent   int64 // requests that were not sent, since all connections were in use
@@ -24,10 +24,10 @@
 	Latency          *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
 	ServiceTime      *schedule.LatencyHistogram // times from when a request was written to its complete response
 	SendLateness     *schedule.LatencyHistogram // times from when a request was due to when the generator had written it
-	Seconds          []Second                   // measurements by the second of the run in which requests were due
+	Seconds          []Second                   // measurements by the second of the run in which requests were due; the index is the second's number from 0
 
-	Interrupted bool   // whether the run was ended before its time
-	Invalid     string // why the measurements are not those of the server but of the generator; empty if they are valid
+	Interrupted bool   // whether the run was ended before Options.Duration had passed
+	Invalid     string // reason why the generator was too slow to measure the server; empty if the measurements are valid
 }
 
 // CountByOutcome returns the number of requests by HTTP status, or by Response.Failure for requests without a complete response.
@@ -42,8 +42,8 @@
 // Second holds the measurements of the requests that were due during one second of a run.
 type Second struct {
 	Scheduled int64                      // requests that were due, sent or not
-	NotSent   int64                      // requests that were not sent, since all connections were in use
-	Latency   *schedule.LatencyHistogram // times from when a request was due to its complete response
+	NotSent   int64                      // requests that were due but not sent, since all connections were in use
+	Latency   *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
 }
 
 func newResult(o Options) *Result {
@@ -69,7 +69,7 @@
 	s.NotSent++
 }
 
-// record counts a request that was sent and has ended. instant is the time from the start of the run to due.
+// record counts a request that was sent and has ended at done. instant is the time from the start of the run to the time due.
 func (r *Result) record(instant time.Duration, due, done time.Time, response Response) {
 	r.Scheduled++
 	s := r.secondAt(instant)
@@ -95,7 +95,7 @@
 	r.LatencyByOutcome[outcome].Record(done.Sub(due))
 }
 
-// checkSendLateness marks the result as invalid if the generator sent requests too late to measure the server.
+// checkSendLateness sets r.Invalid if the p99 of SendLateness exceeds Options.MaxSendLateness.
 func (r *Result) checkSendLateness() {
 	if p99 := r.SendLateness.Quantile(0.99); p99 > r.Options.MaxSendLateness {
 		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -13,45 +13,48 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Sender sends the requests of a run. Its method is called concurrently.
+// Sender sends the requests of a run. Run calls its method concurrently.
 type Sender interface {
-	// Send sends the n-th request. It returns when the response is complete or has failed, and at the latest when ctx is done.
+	// Send sends request number n, counted from 0. It returns when the response is complete or the request has failed, and at the
+	// latest when ctx is done.
 	Send(ctx context.Context, n int64) Response
 }
 
 // Response is the outcome of a request.
 type Response struct {
-	WrittenAt time.Time // instant at which the request was written; zero if it was not
+	WrittenAt time.Time // instant at which the request was written to a connection; zero if the request was not written
 	Status    int       // HTTP status of the complete response; 0 if there is none
-	Failure   string    // one of the Failure constants if there is no complete response
+	Failure   string    // one of the Failure constants if there is no complete response, else empty
 	Resent    bool      // whether the transport sent the request again, since a reused connection had been closed
 }
 
-// Reasons why a request got no complete response. Results have them as keys.
+// Reasons why a request got no complete response. They are keys of Result.LatencyByOutcome.
 const (
 	FailureNotConnected = "not connected" // no connection to the server could be opened
-	FailureTimeout      = "out of time"   // Options.ResponseTimeout passed
+	FailureTimeout      = "out of time"   // Options.ResponseTimeout passed before the response was complete
 	FailureBrokenOff    = "broken off"    // the exchange failed after a connection was opened
 )
 
 // Options configure a run. Every field must be set unless its comment gives a default.
 type Options struct {
 	Process         schedule.Process // arrival process of the requests
-	Seed            uint64           // seed of the schedule; may be 0
+	Seed            uint64           // seed of the instants at which requests are due; may be 0
 	Duration        time.Duration    // time during which requests are sent
 	ResponseTimeout time.Duration    // longest time from when a request is due to the end of its response
-	Connections     int              // highest number of requests in flight, each on its own connection; requests beyond it are not sent
-	MaxSendLateness time.Duration    // highest p99 of Result.SendLateness of a valid run; 0: defaultMaxSendLateness
+	Connections     int              // highest number of requests in flight, each on its own connection; requests that are due at that number are not sent
+	MaxSendLateness time.Duration    // p99 of Result.SendLateness above which the result is invalid; 0: defaultMaxSendLateness
 }
 
-// defaultMaxSendLateness is short enough to leave measured latencies of tens of milliseconds meaningful.
+// defaultMaxSendLateness is used if Options.MaxSendLateness is 0. It is short enough for latencies of tens of milliseconds to be
+// measured.
 const defaultMaxSendLateness = 10 * time.Millisecond
 
-// randStream separates the schedule's random numbers from others that are drawn with the same seed.
-const randStream = 0x6c6f6164 // "load" in ASCII
+// randStream is the second half of the random generator's seed, so that the schedule differs from other random numbers that are drawn
+// with the same Options.Seed. Its value is "load" in ASCII.
+const randStream = 0x6c6f6164
 
-// Run sends requests until the run's duration has passed or ctx is done, and then waits for the responses of those in flight. The
-// result covers all requests that were due by then. Memory use is bounded by Connections and by the run's duration in seconds.
+// Run sends requests until Options.Duration has passed or ctx is done, and then waits for the responses of the requests in flight. The
+// result covers all requests that were due before sending ended. Memory use is bounded by Connections and by the run's duration in seconds.
 func Run(ctx context.Context, o Options, sender Sender) (*Result, error) {
 	stream, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, randStream)), o.Process)
 	switch {
@@ -86,7 +89,7 @@
 		}
 		inFlight.Go(func() {
 			defer func() { <-slots }()
-			// The context is not derived from ctx: an interrupted run waits for its responses.
+			// The context is not derived from ctx, since an interrupted run still waits for the responses of its requests in flight.
 			requestCtx, cancel := context.WithDeadline(context.Background(), due.Add(o.ResponseTimeout))
 			defer cancel()
 			response := sender.Send(requestCtx, n)
@@ -103,7 +106,7 @@
 	return result, nil
 }
 
-// waitUntil waits until an instant. It returns false if ctx is done before.
+// waitUntil waits until an instant. It returns false as soon as ctx is done, and true otherwise. It resets timer, which has no other use.
 func waitUntil(ctx context.Context, timer *time.Timer, instant time.Time) bool {
 	if d := time.Until(instant); d > 0 {
 		timer.Reset(d)
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -60,14 +60,14 @@
 
 func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serverDelays are the processing times of a simulated server, which stalls at the end of every stallPeriod if that is not 0.
+// serverDelays are the processing times of a simulated server, which stalls at the end of every stallPeriod if stallPeriod is not 0.
 type serverDelays struct {
-	processing  func(n int64) time.Duration // processing time of request n, without the stall
+	processing  func(n int64) time.Duration // returns the processing time of request n, without the wait for the end of a stall
 	stallPeriod time.Duration               // time from the end of one stall to the end of the next
-	stallLength time.Duration               // time during which requests that arrive are only waiting
+	stallLength time.Duration               // length of each stall, at the end of which the processing of the requests that have arrived begins
 }
 
-// delayOf returns the time that request n takes if it arrives at an instant of the run.
+// delayOf returns the time from the arrival of request n, at an instant of the run, to its response.
 func (d serverDelays) delayOf(instant time.Duration, n int64) (delay time.Duration) {
 	if d.stallPeriod > 0 {
 		if offset := instant % d.stallPeriod; offset >= d.stallPeriod-d.stallLength {
@@ -121,7 +121,7 @@
 // round a rank.
 func expectedLatency(t *testing.T, o Options, d serverDelays) (quantile func(fraction float64) (lo, hi time.Duration)) {
 	t.Helper()
-	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process) // the source that Run uses
+	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process) // the same seed, and thus the same schedule, as in Run
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-// Measured quantiles are those that follow from the server's delays, within 1 % or 1 ms. In particular a stall of the server
+// The quantiles that Run measures are those that follow from the server's delays, within 1 % or 1 ms. In particular a stall of the server
 // shows in full, while a closed loop misses it.
 func TestLatencyMatchesServerDelays(t *testing.T) {
 	for name, d := range map[string]serverDelays{
@@ -199,12 +199,12 @@
 	return l
 }
 
-// If all connections are in use, requests are counted as not sent, and later ones are not delayed.
+// A request that is due while all connections are in use is counted as not sent, and does not delay later requests.
 func TestRequestsWithoutAConnectionAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: 10 * time.Second, ResponseTimeout: 2 * time.Second, Connections: 10}
 		result := measure(t, o, serverDelays{processing: func(int64) time.Duration { return 500 * time.Millisecond }})
-		// With 500 ms per request, 10 connections serve 20 requests per second of 100.
+		// With 500 ms per request, 10 connections serve 20 of the 100 requests that are due per second.
 		if result.Scheduled != 1000 || result.NotSent < 790 || result.NotSent > 810 || result.CountByOutcome()["200"] != result.Scheduled-result.NotSent ||
 			result.SendLateness.Max() > time.Millisecond {
 			t.Errorf("%d requests were scheduled, %d not sent, outcomes: %v, sent late by up to %v; want 1000 scheduled, 790 to 810 not sent, the others on time with status 200",
@@ -217,7 +217,7 @@
 	const statusLine = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
 		serve       func(net.Conn) // handles one connection, which is closed when it returns
-		wantOutcome string         // of all requests
+		wantOutcome string         // outcome that all requests must have
 	}{
 		"never responds": {func(nc net.Conn) { io.Copy(io.Discard, nc) }, FailureTimeout},
 		"responds with a byte per second": {func(nc net.Conn) {
