--- a/internal/testkit/schedule/latency.go
+++ b/internal/testkit/schedule/latency.go
@@ -6,25 +6,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range and resolution of a LatencyHistogram.
+// The range and resolution of every LatencyHistogram. Latencies outside the range are counted as the nearest bound.
 const (
 	minLatency        = 10 * time.Microsecond
 	maxLatency        = 10 * time.Minute
-	significantDigits = 3 // a resolution of about 0.1 %
+	significantDigits = 3 // decimal digits to which latencies are exact, which makes a resolution of about 0.1 %
 )
 
 // LatencyHistogram counts latencies by their duration. Merging two histograms loses no precision, which averaging their
 // percentiles would. It is not safe for concurrent use.
 type LatencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// NewLatencyHistogram returns an empty histogram.
+// NewLatencyHistogram returns an empty histogram for latencies from 10 µs to 10 min.
 func NewLatencyHistogram() *LatencyHistogram {
 	return &LatencyHistogram{hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigits)}
 }
 
 // Record counts one latency. A latency outside the histogram's range is counted as minLatency or maxLatency.
 func (l *LatencyHistogram) Record(d time.Duration) {
-	_ = l.histogram.RecordValue(min(max(d, minLatency), maxLatency).Microseconds()) // an error means out of range, which can't happen here
+	_ = l.histogram.RecordValue(min(max(d, minLatency), maxLatency).Microseconds()) // RecordValue fails only for a value out of range, which min and max exclude
 }
 
 // Merge adds the counts of another histogram to this one.
--- a/internal/testkit/schedule/latency_json.go
+++ b/internal/testkit/schedule/latency_json.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	defer func() { // the decoder doesn't validate the lengths in its input and panics if they are wrong
+	defer func() { // hdrhistogram.Decode doesn't validate the lengths in its input and panics if they are wrong
 		if r := recover(); r != nil {
 			err = fmt.Errorf("latency: %v", r)
 		}
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -13,13 +13,13 @@
 
 // Burst multiplies an arrival rate for a limited time.
 type Burst struct {
-	Start    time.Duration // start, from the start of the run
-	Duration time.Duration // duration, both ramps included
-	Ramp     time.Duration // time of the linear rise at the start, and of the linear fall at the end
-	Factor   float64       // factor of the rate between the two ramps
+	Start    time.Duration // time from the start of the run to the start of the burst
+	Duration time.Duration // duration of the burst, both ramps included
+	Ramp     time.Duration // time in which the rate rises linearly at the start of the burst, and falls linearly at its end; 0: the rate jumps
+	Factor   float64       // factor by which the rate is multiplied between the two ramps
 }
 
-// factorAt returns the factor that the burst multiplies the rate by at an instant; 1 outside the burst.
+// factorAt returns the factor by which the burst multiplies the rate at an instant of the run; 1 before and after the burst.
 func (b Burst) factorAt(instant time.Duration) float64 {
 	elapsed, remaining := instant-b.Start, b.Start+b.Duration-instant
 	switch {
@@ -34,11 +34,11 @@
 
 // Rate is an arrival rate over time: a constant rate, multiplied by the factors of all bursts that are under way.
 type Rate struct {
-	PerSecond float64 // rate without bursts
-	Bursts    []Burst // may overlap
+	PerSecond float64 // arrivals per second while no burst is under way
+	Bursts    []Burst // bursts in any order; the factors of bursts that overlap are multiplied
 }
 
-// PerSecondAt returns the rate at an instant, in arrivals per second.
+// PerSecondAt returns the rate at an instant of the run, in arrivals per second, with the bursts that are under way then.
 func (r Rate) PerSecondAt(instant time.Duration) float64 {
 	rate := r.PerSecond
 	for _, b := range r.Bursts {
@@ -59,18 +59,18 @@
 // Arrival is a request that is due at a given instant. Plan files of rehearsals store it as JSON.
 type Arrival struct {
 	At     time.Duration // instant at which the request is due, from the start of the run
-	Class  int           // index into Mix.Classes
-	Tenant int           // index into Mix.Tenants
-	// Seed is the seed for other random properties of the request, which then don't depend on the order of drawing.
+	Class  int           // index of the request's class in Mix.Classes
+	Tenant int           // index of the request's tenant in Mix.Tenants
+	// Seed is the seed for other random properties of the request. They thus don't depend on the order in which requests are handled.
 	Seed uint64 `json:"Draw"`
 }
 
-// Mix describes the arrivals of a run.
+// Mix describes the arrivals of a run: their rate over time, and how they are divided among classes and tenants.
 type Mix struct {
 	Rate        Rate
 	Length      time.Duration // duration of the run
-	Classes     []float64     // relative frequency of each request class
-	Tenants     []float64     // relative frequency of each tenant
+	Classes     []float64     // relative frequency of each request class; empty: all arrivals have class 0
+	Tenants     []float64     // relative frequency of each tenant; empty: all arrivals have tenant 0
 	MaxArrivals int           // number of arrivals above which DrawArrivals returns an error, to bound memory
 }
 
@@ -81,7 +81,7 @@
 	if bound <= 0 || math.IsInf(bound, 0) || math.IsNaN(bound) {
 		return nil, fmt.Errorf("an arrival rate of up to %v per second is not positive and finite", bound)
 	}
-	// bound may exceed the mean rate by far, so that only schedules far beyond the limit are rejected without drawing them.
+	// The bound may exceed the mean rate by far, so a schedule is rejected here only if the bound allows over four times MaxArrivals.
 	if candidates := bound * m.Length.Seconds(); candidates > 4*float64(m.MaxArrivals) {
 		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", candidates, m.MaxArrivals)
 	}
@@ -115,7 +115,7 @@
 			return i
 		}
 	}
-	return max(len(weights)-1, 0) // rounding errors can leave a remainder after the last weight
+	return max(len(weights)-1, 0) // rounding errors can leave a remainder after the last weight; then the last index is drawn
 }
 
 // Dispatch calls send for each arrival at the instant at which it is due, until all are sent or stop is closed. i is the
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -48,19 +48,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var perThird [3]float64 // arrivals in each 10 s
-	firstClass := 0.0       // arrivals of class 0
+	var countPer10s [3]float64 // number of arrivals in each 10 s of the 30 s
+	firstClassCount := 0.0     // number of arrivals of class 0
 	for _, a := range arrivals {
-		perThird[a.At/(10*time.Second)]++
-		firstClass += float64(1 - a.Class)
+		countPer10s[a.At/(10*time.Second)]++
+		firstClassCount += float64(1 - a.Class)
 	}
 	// The tolerance is five standard deviations of a Poisson count.
 	for i, want := range []float64{2000, 6000, 2000} {
-		if math.Abs(perThird[i]-want) > 5*math.Sqrt(want) {
-			t.Errorf("%v arrivals from %d s to %d s, want about %v", perThird[i], 10*i, 10*i+10, want)
+		if math.Abs(countPer10s[i]-want) > 5*math.Sqrt(want) {
+			t.Errorf("%v arrivals from %d s to %d s, want about %v", countPer10s[i], 10*i, 10*i+10, want)
 		}
 	}
-	if fraction := firstClass / float64(len(arrivals)); math.Abs(fraction-0.75) > 0.03 {
+	if fraction := firstClassCount / float64(len(arrivals)); math.Abs(fraction-0.75) > 0.03 {
 		t.Errorf("a fraction of %v of the arrivals is of class 0, want 0.75 within 0.03", fraction)
 	}
 }
@@ -98,10 +98,10 @@
 			arrivals = append(arrivals, Arrival{At: time.Duration(i) * 100 * time.Millisecond})
 		}
 		serverStalls := make(chan struct{}) // closed at the end of the stall
-		var sent []time.Duration            // instants of the calls, from start
+		var sent []time.Duration            // times from start to the calls of send
 		Dispatch(start, arrivals, nil, func(i int, due time.Time) {
 			sent = append(sent, time.Since(start))
-			go func() { <-serverStalls }() // a request that waits for its response
+			go func() { <-serverStalls }() // stands for a request that waits for its response until the stall ends
 		})
 		close(serverStalls)
 		for i, at := range sent {
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestDispatchStops(t *testing.T) {
+func TestDispatchEndsWhenStopIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
 		n := 0
@@ -130,7 +130,7 @@
 	})
 }
 
-// Merging the histograms of two parts gives the histogram of all latencies, for latencies inside and outside its range.
+// Merging the histograms of two sets of latencies gives the histogram of both sets, for latencies inside and outside its range.
 func TestLatencyHistogramMergeIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, a, b := NewLatencyHistogram(), NewLatencyHistogram(), NewLatencyHistogram()
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -10,8 +10,8 @@
 
 // Point is the arrival rate at one instant of a Curve.
 type Point struct {
-	At        time.Duration // instant from the start of the run
-	PerSecond float64       // arrivals per second
+	At        time.Duration // time from the start of the run
+	PerSecond float64       // arrivals per second at that time, from 0 to maxRate
 }
 
 // Curve is an arrival rate over time, given by points in order of time. Between two points the rate is interpolated linearly;
@@ -43,8 +43,8 @@
 // The distributions of the times between arrivals.
 const (
 	Even        Gaps = iota // all gaps have the same length
-	Exponential             // gaps have exponential lengths: a Poisson process
-	Pareto                  // gaps have Pareto-distributed lengths, with a heavy tail: few long gaps, and clusters of arrivals between them
+	Exponential             // gaps have exponentially distributed lengths, as in a Poisson process
+	Pareto                  // gaps have Pareto-distributed lengths: a few long gaps, and clusters of arrivals between them
 	OnOff                   // a Poisson process that is switched on and off, each time for an exponentially distributed time
 )
 
@@ -52,9 +52,9 @@
 type Process struct {
 	Rate Curve         // mean arrival rate over time
 	Gaps Gaps          // distribution of the times between arrivals
-	Tail float64       // exponent of the Pareto distribution, over 1; lower values give more extreme gaps
-	On   time.Duration // mean length of the phases with arrivals of OnOff
-	Off  time.Duration // mean length of the phases without arrivals of OnOff
+	Tail float64       // exponent of the distribution Pareto, over 1; lower values give more extreme gaps; unused otherwise
+	On   time.Duration // mean length of OnOff's phases with arrivals; unused for other gaps
+	Off  time.Duration // mean length of OnOff's phases without arrivals; unused for other gaps
 }
 
 // maxRate is the highest rate of a Curve, in arrivals per second. At higher rates too many arrivals would fall on the same
@@ -66,11 +66,11 @@
 	process Process
 	rng     *rand.Rand
 
-	begun     bool    // whether the first gap of Even has been drawn
-	now       float64 // seconds from the start of the run up to which arrivals have been generated
-	nextPoint int     // index of the first point of the rate curve that is later than now
-	on        bool    // whether a phase with arrivals of OnOff is under way
-	phaseEnd  float64 // seconds from the start of the run to the end of the OnOff phase; infinite for other gaps
+	hasDrawnFirstGap bool    // whether the first gap of Even has been drawn
+	now              float64 // seconds from the start of the run up to which arrivals have been generated
+	nextPoint        int     // index of the first point of the rate curve that is later than now
+	isOn             bool    // whether the present phase of OnOff is one with arrivals
+	phaseEnd         float64 // seconds from the start of the run to the end of the OnOff phase; infinite for other gaps
 }
 
 // NewStream returns a Stream that starts at instant 0. Random number generators in the same state give the same
@@ -90,7 +90,7 @@
 			return nil, fmt.Errorf("mean on and off phases of %v and %v are not both over 0", p.On, p.Off)
 		}
 		// The first phase is drawn from the stationary distribution, so that the mean rate is right from the start.
-		s.on = rng.Float64() < onFraction(p.On, p.Off)
+		s.isOn = rng.Float64() < onFraction(p.On, p.Off)
 		s.phaseEnd = s.drawPhaseEnd()
 	}
 	return s, nil
@@ -103,7 +103,7 @@
 // whether the phase begins now or is under way.
 func (s *Stream) drawPhaseEnd() float64 {
 	mean := s.process.Off
-	if s.on {
+	if s.isOn {
 		mean = s.process.On
 	}
 	return s.now + mean.Seconds()*s.rng.ExpFloat64()
@@ -115,19 +115,20 @@
 	case Exponential, OnOff:
 		return s.rng.ExpFloat64()
 	case Pareto:
-		minGap := (s.process.Tail - 1) / s.process.Tail // gives a mean of 1
+		minGap := (s.process.Tail - 1) / s.process.Tail // the shortest gap for which the mean gap is 1
 		return minGap / math.Pow(1-s.rng.Float64(), 1/s.process.Tail)
 	}
-	if !s.begun { // half a gap at the start, so that a run as long as n gaps has n arrivals
-		s.begun = true
+	if !s.hasDrawnFirstGap { // the first gap of Even is half a gap, so that a run as long as n gaps has n arrivals
+		s.hasDrawnFirstGap = true
 		return 0.5
 	}
 	return 1
 }
 
-// Next returns the instant of the next arrival; ok is false if there is none before end.
+// Next returns the next arrival's time from the start of the run; ok is false if there is none before end.
 func (s *Stream) Next(end time.Duration) (instant time.Duration, ok bool) {
-	// The integral of the rate from now to the next arrival equals the gap. It is evaluated segment by segment.
+	// The integral of the rate from now to the next arrival equals the drawn gap, in mean gaps. It is evaluated one linear segment of
+	// the rate after another.
 	remaining := s.drawGap()
 	for {
 		segmentEnd, rateNow, rateAtEnd := s.segment(end.Seconds())
@@ -148,8 +149,8 @@
 	}
 }
 
-// segment returns the longest time from now, at most until limit, during which the rate is linear: its end in seconds, and the
-// rates now and at its end.
+// segment finds the longest time from now, at most until limit, during which the rate is linear. It returns the end of that time in
+// seconds from the start of the run, and the rates now and at that end.
 func (s *Stream) segment(limit float64) (end, rateNow, rateAtEnd float64) {
 	curve := s.process.Rate
 	for s.nextPoint < len(curve) && curve[s.nextPoint].At.Seconds() <= s.now {
@@ -172,7 +173,7 @@
 	}
 	if s.process.Gaps == OnOff {
 		factor := 0.0
-		if s.on {
+		if s.isOn {
 			factor = 1 / onFraction(s.process.On, s.process.Off)
 		}
 		rateNow, rateAtEnd = rateNow*factor, rateAtEnd*factor
@@ -180,11 +181,11 @@
 	return end, max(rateNow, 0), max(rateAtEnd, 0)
 }
 
-// advance moves now to an instant, in seconds, and begins the OnOff phases that are due by then.
+// advance sets s.now to an instant in seconds from the start of the run, and begins the OnOff phases that are due by then.
 func (s *Stream) advance(instant float64) {
 	s.now = instant
 	for s.now >= s.phaseEnd {
-		s.on = !s.on
+		s.isOn = !s.isOn
 		s.phaseEnd = s.drawPhaseEnd()
 	}
 }
@@ -192,7 +193,7 @@
 // timeToArrivals returns the seconds in which n arrivals are expected if the rate per second begins at rate and changes by
 // slope in each second.
 func timeToArrivals(n, rate, slope float64) float64 {
-	if math.Abs(slope)*n < 1e-12*rate*rate { // constant within the precision of a float64
+	if math.Abs(slope)*n < 1e-12*rate*rate { // the rate is constant within the precision of a float64
 		return n / rate
 	}
 	return 2 * n / (rate + math.Sqrt(max(rate*rate+2*slope*n, 0)))
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -120,7 +120,7 @@
 			if ks := ksStatistic(gaps, c.gapCDF); ks > ksCritical(len(gaps)) {
 				t.Errorf("%s: the Kolmogorov-Smirnov statistic of the gaps is %.5f, want at most %.5f", name, ks, ksCritical(len(gaps)))
 			}
-		} else if lo, hi := slices.Min(gaps), slices.Max(gaps); hi-lo > 3e-9 { // instants are rounded to nanoseconds
+		} else if lo, hi := slices.Min(gaps), slices.Max(gaps); hi-lo > 3e-9 { // gaps may differ a little, since instants are rounded to nanoseconds
 			t.Errorf("even gaps are from %v s to %v s, want a difference of 3 ns at most", lo, hi)
 		}
 	}
@@ -133,7 +133,7 @@
 	if d := dispersion(even, 100, 1); d > 0.5 {
 		t.Errorf("even gaps have an index of dispersion of %v, want at most 0.5 (a Poisson process has 1)", d)
 	}
-	cdfOfLowerRate := func(x float64) float64 { return 1 - math.Exp(-380*x) } // the rate drawn is 400 per second
+	cdfOfLowerRate := func(x float64) float64 { return 1 - math.Exp(-380*x) } // expects a rate of 380 per second, while that of the arrivals is 400
 	if ks := ksStatistic(gapsBetween(poisson), cdfOfLowerRate); ks < ksCritical(len(poisson)-1) {
 		t.Errorf("a rate that is 5 %% too high is not detected: Kolmogorov-Smirnov statistic %v, want at least %v", ks, ksCritical(len(poisson)-1))
 	}
@@ -144,7 +144,7 @@
 	curve := Curve{{0, 0}, {10 * time.Second, 1000}, {10 * time.Second, 100}, {20 * time.Second, 100}, {30 * time.Second, 0}}
 	for _, gaps := range []Gaps{Even, Exponential, Pareto} {
 		instants := drawStream(t, 5, Process{Rate: curve, Gaps: gaps, Tail: 3}, 40*time.Second)
-		var counts [8]float64 // arrivals in each interval of 5 s
+		var counts [8]float64 // number of arrivals in each interval of 5 s
 		for _, instant := range instants {
 			counts[int(instant/5)]++
 		}
