--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -19,26 +19,26 @@
 	"time"
 )
 
-// Link holds the faults of what one process sends to another. The zero value forwards everything at once.
+// Link holds the faults of the datagrams and TCP streams that one process sends to another. The zero value has no faults.
 type Link struct {
 	Cut       bool          // datagrams are lost and TCP connections stall without an error, as if a cable were unplugged
 	Reset     bool          // open and new TCP connections are reset; datagrams are forwarded
 	Loss      float64       // probability that a datagram is lost, or that a piece of a TCP stream is delayed by a retransmission
 	Duplicate float64       // probability that a datagram is delivered twice
 	Delay     time.Duration // delay of each datagram and of each piece of a TCP stream
-	Jitter    time.Duration // bound of a random delay on top of Delay; it may reorder datagrams
+	Jitter    time.Duration // upper bound of a random delay that is added to Delay; datagrams may overtake one another
 	Rate      int           // throughput of a TCP stream in bytes per second; 0: unlimited
 }
 
 const (
-	maxConnections      = 64                     // open TCP connections of one relay
-	maxDelayedDatagrams = 4096                   // datagrams of one network that wait for their delay
-	retransmissionDelay = 200 * time.Millisecond // the minimum retransmission timeout of TCP on Linux
-	maxPieceSize        = 16 << 10               // bytes of a TCP stream that are forwarded, and delayed, together
+	maxConnections      = 64                     // highest number of open TCP connections of one relay; further ones are closed
+	maxDelayedDatagrams = 4096                   // highest number of datagrams of a Network that are delayed at the same time; further ones are lost
+	retransmissionDelay = 200 * time.Millisecond // delay of a lost piece of a TCP stream: the minimum retransmission timeout of Linux
+	maxPieceSize        = 16 << 10               // highest number of bytes of a TCP stream that are forwarded, and delayed, together
 	cutPollInterval     = 5 * time.Millisecond   // time between two checks whether a link is still cut
 )
 
-// Network consists of relays and the links between them.
+// Network consists of one relay for each process, and of the links between the processes. It is safe for concurrent use.
 type Network struct {
 	ctx        context.Context // done when Close is called
 	stop       context.CancelFunc
@@ -46,17 +46,18 @@
 
 	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
-	links        map[linkKey]Link         // links that were set; all others have no faults
-	processNames map[netip.Addr]string    // process names by the IP address that the process sends from
-	conns        map[net.Conn]linkKey     // open TCP connections of all relays, with the link from the client's process to the server's
-	delayed      int                      // datagrams that wait for their delay
-	onLinkChange func(description string) // called under mu
+	links        map[linkKey]Link         // links that were set since the latest Heal; all others have no faults
+	processNames map[netip.Addr]string    // name of the process that sends from each IP address
+	conns        map[net.Conn]linkKey     // open TCP connections of all relays; the value is the link from the client's process to the server's process
+	delayedCount int                      // number of datagrams that are delayed now, at most maxDelayedDatagrams
+	onLinkChange func(description string) // called with mu held at each change of a link; may be nil
 }
 
-// linkKey identifies a link by the names of its processes.
+// linkKey identifies a link by the names of the sending and the receiving process.
 type linkKey struct{ from, to string }
 
-// randStream separates the random numbers of this package from others that are drawn with the same seed.
+// randStream is the second half of the random generator's seed, so that the faults differ from other random numbers that are drawn with
+// the same seed.
 const randStream = 2
 
 // New returns a Network without relays. Random faults are drawn from the seed. onLinkChange, which may be nil, is called with
@@ -100,7 +101,7 @@
 	n.mu.Unlock()
 	context.AfterFunc(n.ctx, func() {
 		tcp.Close()
-		_ = udp.Close() // nothing is left to do if it fails
+		_ = udp.Close() // the Network is being closed, and nothing is left to do if closing this socket fails
 	})
 	n.goroutines.Go(func() { n.relayDatagrams(udp, name, processAddr) })
 	n.goroutines.Go(func() { n.acceptConnections(tcp, name, processAddr) })
@@ -123,13 +124,13 @@
 	n.onLinkChange(fmt.Sprintf("link from %s to %s: %+v", from, to, l))
 }
 
-// SetLinksBetween sets the links between every process of one group and every process of the other, in both directions.
+// SetLinksBetween sets the links between every process of group and every process of others, in both directions.
 func (n *Network) SetLinksBetween(group, others []string, l Link) {
 	n.SetLinksOneWay(group, others, l)
 	n.SetLinksOneWay(others, group, l)
 }
 
-// SetLinksOneWay sets the links from every process of one group to every process of the other.
+// SetLinksOneWay sets the links from every process of senders to every process of receivers.
 func (n *Network) SetLinksOneWay(senders, receivers []string, l Link) {
 	for _, from := range senders {
 		for _, to := range receivers {
@@ -148,7 +149,7 @@
 	n.onLinkChange("all links: no faults")
 }
 
-// resetConn closes a connection with a TCP reset.
+// resetConn closes a TCP connection with a reset instead of a regular end of the stream.
 func resetConn(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -163,7 +164,7 @@
 	delay            time.Duration
 }
 
-// drawFaults draws the random faults of one datagram or piece of a stream.
+// drawFaults draws the faults of one datagram or piece of a TCP stream from the probabilities of its link.
 func (n *Network) drawFaults(key linkKey) faults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,20 +210,20 @@
 // forwardDatagram sends a datagram to a process after a delay, or drops it if too many datagrams are delayed.
 func (n *Network) forwardDatagram(udp *net.UDPConn, to netip.AddrPort, b []byte, delay time.Duration) {
 	if delay <= 0 {
-		_, _ = udp.WriteToUDPAddrPort(b, to) // an error, such as that the process has ended, loses the datagram
+		_, _ = udp.WriteToUDPAddrPort(b, to) // a datagram whose write fails, for example since the process has ended, is lost
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.delayed >= maxDelayedDatagrams {
+	if n.delayedCount >= maxDelayedDatagrams {
 		return
 	}
-	n.delayed++
+	n.delayedCount++
 	time.AfterFunc(delay, func() {
 		_, _ = udp.WriteToUDPAddrPort(b, to)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.delayed--
+		n.delayedCount--
 	})
 }
 
@@ -250,7 +251,7 @@
 }
 
 // relayConnection forwards a client's connection to a process until both directions have ended. key is the link from the
-// client's process to the other.
+// client's process to that process.
 func (n *Network) relayConnection(client net.Conn, key linkKey, processAddr netip.AddrPort) {
 	defer client.Close()
 	n.track(client, key)
@@ -285,7 +286,7 @@
 	}
 }
 
-// untrack removes a connection that has ended.
+// untrack removes a connection that has ended from those that track has registered.
 func (n *Network) untrack(nc net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -335,8 +336,8 @@
 	}
 }
 
-// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws random faults, which count for
-// nothing else.
+// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws
+// faults at random, of which only the cut is used.
 func (n *Network) waitWhileCut(key linkKey) {
 	for n.ctx.Err() == nil && n.drawFaults(key).Cut {
 		n.sleep(cutPollInterval)
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Each fault takes effect in the direction in which it is set, and no longer after the links are healed.
+// Each fault of a link takes effect in the direction in which it is set, and no fault takes effect after Heal.
 func TestFaults(t *testing.T) {
 	n := New(1, nil)
 	defer n.Close()
@@ -82,7 +82,7 @@
 	}
 	for name, c := range map[string]struct {
 		link        Link
-		least, most int // bounds of the number of datagrams delivered, of 100 sent
+		least, most int // bounds of the number of deliveries if 100 datagrams are sent
 	}{
 		"no faults":        {Link{}, 100, 100},
 		"cut":              {Link{Cut: true}, 0, 0},
@@ -150,7 +150,7 @@
 		defer newConn.Close()
 		err = echo(newConn)
 	}
-	// The relay resets a connection right after it has accepted it, so the error is returned by the dial, the write or the read.
+	// The relay resets a connection right after accepting the connection, so the error is returned by the dial, the write or the read.
 	if !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("new connection over a link with Reset: error %v, want ECONNRESET", err)
 	}
