--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -1,6 +1,6 @@
 // Package baseline implements textbook load-balancing policies as balancers that the daemon can run in place of package
-// balance, so that results can be compared. Like balance they never resend non-idempotent work that may have run, but they
-// take no account of load, slow start or concurrency limits.
+// balance, so that results can be compared. Like the balancer of package balance, the policies never resend non-idempotent
+// work that may have run, but they take no account of load reports, slow start or concurrency limits.
 package baseline
 
 import (
@@ -43,8 +43,9 @@
 	}, nil
 }
 
-// randStream separates the random numbers of this package from others that are drawn with the same seed.
-const randStream = 0x706c61696e // "plain" in ASCII
+// randStream is the second half of the random generator's seed, so that the policies' random choices differ from other random numbers
+// that are drawn with the same seed. Its value is "plain" in ASCII.
+const randStream = 0x706c61696e
 
 // balancer implements balance.Events with a textbook policy.
 type balancer struct {
@@ -53,12 +54,12 @@
 	policy      policy
 	rng         *rand.Rand
 	idempotency map[string]balance.Idempotency // idempotency of the requests of each class, by class name
-	states      map[string]balance.State       // states of the listed endpoints, by endpoint ID
+	states      map[string]balance.State       // state of each listed endpoint, by endpoint ID
 	ejected     map[string]bool                // manually ejected endpoints by ID, listed or not
 	ready       []string                       // sorted IDs of the endpoints that are ready and not ejected
 	inFlight    map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
 	turns       int                            // number of attempts that round robin has assigned so far
-	requests    map[string]*request            // requests by ID, removed when their final response is sent and no attempt is in flight
+	requests    map[string]*request            // requests by ID that have no final response yet or an attempt in flight
 }
 
 // request is a client's request and the state of its attempts.
@@ -66,19 +67,19 @@
 	balance.Request
 	attempted  []string // IDs of the endpoints that attempts were sent to, in order
 	inFlight   bool     // whether an attempt is in flight
-	finished   bool     // whether the client has got its final response or has disconnected
+	isFinished bool     // whether the request has its final response, or its client has disconnected
 	mayHaveRun bool     // whether the endpoint of an earlier attempt may have executed the request
 }
 
-// roundRobin chooses the candidates in turn.
+// roundRobin chooses one candidate after another, by the number of attempts that it has assigned so far.
 func roundRobin(b *balancer, candidates []string) string {
 	b.turns++
 	return candidates[b.turns%len(candidates)]
 }
 
-// leastOutstanding chooses a candidate with the fewest attempts in flight.
+// leastOutstanding chooses a candidate with the fewest attempts in flight; ties are decided at random.
 func leastOutstanding(b *balancer, candidates []string) string {
-	least := candidates[b.rng.IntN(len(candidates))] // a random start, so that the first endpoint does not win all ties
+	least := candidates[b.rng.IntN(len(candidates))] // a random candidate to begin with, so that the first one does not win all ties
 	for _, id := range candidates {
 		if b.inFlight[id] < b.inFlight[least] {
 			least = id
@@ -87,7 +88,7 @@
 	return least
 }
 
-// EndpointList implements balance.Events.
+// EndpointList implements balance.Events. It subscribes again if a poll failed or the subscription broke.
 func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Failed {
 		b.host.Subscribe()
@@ -104,7 +105,7 @@
 	b.updateReady()
 }
 
-// updateReady recomputes the list of endpoints that new attempts may be sent to.
+// updateReady recomputes b.ready from b.states and b.ejected.
 func (b *balancer) updateReady() {
 	b.ready = b.ready[:0]
 	for id, s := range b.states {
@@ -115,7 +116,7 @@
 	slices.Sort(b.ready)
 }
 
-// Request implements balance.Events.
+// Request implements balance.Events. It sends the first attempt at once, or finishes the request if no endpoint is ready.
 func (b *balancer) Request(now time.Duration, r balance.Request) {
 	q := &request{Request: r}
 	b.requests[r.ID] = q
@@ -144,18 +145,18 @@
 	} else {
 		b.host.Reject(q.ID, 0)
 	}
-	q.finished = true
+	q.isFinished = true
 	b.discardIfDone(q)
 }
 
-// discardIfDone removes a request that has its final response and no attempt in flight.
+// discardIfDone removes a request from b.requests if the request is finished and has no attempt in flight.
 func (b *balancer) discardIfDone(q *request) {
-	if q.finished && !q.inFlight {
+	if q.isFinished && !q.inFlight {
 		delete(b.requests, q.ID)
 	}
 }
 
-// Outcome implements balance.Events.
+// Outcome implements balance.Events. It retries the request unless it is finished, or may have run and is not idempotent.
 func (b *balancer) Outcome(now time.Duration, o balance.Outcome) {
 	q := b.requests[o.ID]
 	if q == nil {
@@ -167,8 +168,8 @@
 	}
 	q.mayHaveRun = q.mayHaveRun || o.Result.MayHaveRun()
 	switch {
-	case o.IsFinal || q.finished || o.Result == balance.OK:
-		q.finished = true
+	case o.IsFinal || q.isFinished || o.Result == balance.OK:
+		q.isFinished = true
 		b.discardIfDone(q)
 	case q.mayHaveRun && b.idempotency[q.Class] != balance.Idempotent:
 		b.finish(q)
@@ -177,24 +178,24 @@
 	}
 }
 
-// ClientDisconnected implements balance.Events.
+// ClientDisconnected implements balance.Events. An attempt in flight is not canceled, but no further one is sent.
 func (b *balancer) ClientDisconnected(_ time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
-		q.finished = true
+		q.isFinished = true
 		b.discardIfDone(q)
 	}
 }
 
-// StreamStarted implements balance.Events.
+// StreamStarted implements balance.Events. It does nothing, since the policies treat streaming responses like all others.
 func (b *balancer) StreamStarted(time.Duration, string, int) {}
 
-// BodySent implements balance.Events.
+// BodySent implements balance.Events. It does nothing, since the policies don't measure latency.
 func (b *balancer) BodySent(time.Duration, string, int, time.Duration) {}
 
 // SetBalancerCount implements balance.Events. The policies take no account of other balancers.
 func (b *balancer) SetBalancerCount(time.Duration, int, int) {}
 
-// SetEjected implements balance.Events.
+// SetEjected implements balance.Events. The manual ejection of an endpoint persists while the endpoint is not listed.
 func (b *balancer) SetEjected(_ time.Duration, id string, ejected bool) {
 	if delete(b.ejected, id); ejected {
 		b.ejected[id] = true
@@ -202,13 +203,13 @@
 	b.updateReady()
 }
 
-// IsKnown implements balance.Events.
+// IsKnown implements balance.Events. An endpoint is known if it is listed or manually ejected.
 func (b *balancer) IsKnown(id string) bool {
 	_, listed := b.states[id]
 	return listed || b.ejected[id]
 }
 
-// EndpointCounts implements balance.Events.
+// EndpointCounts implements balance.Events. It counts the ejected endpoints among the listed ones.
 func (b *balancer) EndpointCounts() (listed, ejected int) {
 	for id := range b.states {
 		if b.ejected[id] {
@@ -218,8 +219,8 @@
 	return len(b.states), ejected
 }
 
-// Timer implements balance.Events.
+// Timer implements balance.Events. It does nothing, since the policies set no timers.
 func (b *balancer) Timer(time.Duration) {}
 
-// Probed implements balance.Events.
+// Probed implements balance.Events. It does nothing, since the policies request no load probes.
 func (b *balancer) Probed(time.Duration, balance.ProbeResult) {}
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -8,11 +8,11 @@
 	"tuliprock/balance"
 )
 
-// recordingHost records the calls of a balancer.
+// recordingHost is a balance.Host that records which attempts and final responses a balancer decides on.
 type recordingHost struct {
 	balance.Host
 	sent             []string // IDs of the endpoints that attempts were sent to, in order
-	rejected, failed []string // request IDs
+	rejected, failed []string // IDs of the requests that got such a final response, in order
 }
 
 func (h *recordingHost) Send(id, endpoint string, _ time.Duration) {
@@ -21,11 +21,11 @@
 func (h *recordingHost) Reject(id string, _ time.Duration) { h.rejected = append(h.rejected, id) }
 func (h *recordingHost) Fail(id string)                    { h.failed = append(h.failed, id) }
 
-// The request classes of the tests, one for each kind of idempotency.
+// The names of the tests' request classes, one for each kind of idempotency.
 const (
-	idempotentClass    = "idempotent"
-	keyClass           = "idempotency-key"
-	nonIdempotentClass = "non-idempotent"
+	idempotentClass     = "idempotent"
+	idempotencyKeyClass = "idempotency-key"
+	nonIdempotentClass  = "non-idempotent"
 )
 
 // newBalancer returns a balancer of the named policy, whose endpoint list has the given endpoints, all ready.
@@ -37,7 +37,7 @@
 	}
 	h := &recordingHost{}
 	b := factory(0, balance.Settings{Seed: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: idempotentClass},
-		{Name: keyClass, Idempotency: balance.IdempotencyKey}, {Name: nonIdempotentClass, Idempotency: balance.NonIdempotent}}}, h)
+		{Name: idempotencyKeyClass, Idempotency: balance.IdempotencyKey}, {Name: nonIdempotentClass, Idempotency: balance.NonIdempotent}}}, h)
 	l := balance.EndpointUpdate{Complete: true}
 	for _, id := range endpoints {
 		l.Endpoints = append(l.Endpoints, balance.Endpoint{ID: id})
@@ -84,15 +84,15 @@
 	for _, name := range PolicyNames() {
 		for _, c := range []struct {
 			class            string
-			result           balance.Result // of each attempt
-			sent             int            // attempts wanted
-			rejected, failed int            // final responses wanted
+			result           balance.Result // result of each attempt
+			sent             int            // number of attempts that the balancer must send
+			rejected, failed int            // number of final responses of each kind that the balancer must send
 		}{
 			{idempotentClass, balance.Reset, 3, 1, 0},
 			{nonIdempotentClass, balance.Reset, 1, 0, 1},
-			{keyClass, balance.TimedOut, 1, 0, 1},
+			{idempotencyKeyClass, balance.TimedOut, 1, 0, 1},
 			{nonIdempotentClass, balance.Rejected, 3, 1, 0},
-			{keyClass, balance.ConnectFailed, 3, 1, 0},
+			{idempotencyKeyClass, balance.ConnectFailed, 3, 1, 0},
 		} {
 			b, h := newBalancer(t, name, "a", "b", "c", "d")
 			b.Request(0, newRequest("r", c.class))
