--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// Timeout is how long a test waits for an event before it fails: far longer than any event should take.
+// Timeout is the time for which Eventually and other waits of tests wait for an event before the test fails. It is far longer than any
+// event should take.
 const Timeout = 20 * time.Second
 
 // ResponseOK is a complete, successful HTTP/1.1 response, with the body "hi".
@@ -23,10 +24,10 @@
 
 // Endpoint is an HTTP/1.1 server that reads each request completely and lets a test's function write the response.
 type Endpoint struct {
-	Addr        string       // host:port that the endpoint listens on
+	Addr        string       // address that the endpoint listens on, as host:port
 	Listener    net.Listener // the endpoint's TCP listener, closed when the test ends
-	Connections atomic.Int32 // connections accepted so far
-	Requests    atomic.Int32 // complete requests received so far, over all connections
+	Connections atomic.Int32 // number of connections accepted so far
+	Requests    atomic.Int32 // number of complete requests received so far, over all connections
 }
 
 // NewEndpoint starts an Endpoint whose listener is closed when the test ends. For each complete request serve writes the
@@ -85,7 +86,7 @@
 // the connection open if keepAlive is set.
 func RespondWith(response string, keepAlive bool) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(nc, response) // if the client has disconnected, its test decides whether that is a failure
+		_, _ = io.WriteString(nc, response) // an error means that the client has disconnected, and the test decides whether that is a failure
 		return keepAlive
 	}
 }
@@ -103,7 +104,7 @@
 }
 
 // Eventually checks a condition every millisecond and fails the test if it is still false after Timeout. The failure message
-// names the condition by what.
+// contains what, a description of the condition.
 func Eventually(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
@@ -122,21 +123,21 @@
 	return len(descriptors)
 }
 
-// Members encodes a discovery agent's message: an endpoint list if full is set, else an update of the endpoints in it.
-// Entries are those that Member encodes.
+// Members encodes a discovery agent's message of the given list version. The message is a complete endpoint list if full is set, else an
+// update of the endpoints in entries. Each entry is a result of Member.
 func Members(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// Member encodes one endpoint of a message that Members encodes.
+// Member encodes one endpoint, as an entry for Members. The endpoint is in zone "z" and cell 3, and is of kind "k" and weight 1.
 func Member(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-// ScriptedAgent is a discovery agent that writes one of its steps in response to each request. After the last step it
+// ScriptedAgent is a discovery agent that writes the next of its steps in response to each request. After the last step it
 // leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
-	Steps   []string    // response bodies, in order; one that ends in "SILENT" is written without it, and its response stays open
+	Steps   []string    // response bodies, in order; the suffix "SILENT" is not written, but keeps the response open until the client disconnects
 	Queries chan string // receives the raw query of each request, before the response is written
 }
 
@@ -150,7 +151,7 @@
 	step := a.Steps[0]
 	a.Steps = a.Steps[1:]
 	body, holdOpen := strings.CutSuffix(step, "SILENT")
-	_, _ = io.WriteString(w, body) // a sidecar that has disconnected polls again
+	_, _ = io.WriteString(w, body) // an error means that the sidecar has disconnected; it polls again
 	w.(http.Flusher).Flush()
 	if holdOpen {
 		<-r.Context().Done()
