--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -108,7 +108,7 @@
 	return relayAddr, nil
 }
 
-// SetLink replaces the faults of the link from one process to another. If they include Reset, it also resets the connections that
+// SetLink replaces the faults of the link from one process to another. If l.Reset is set, SetLink also resets the connections that
 // are open between the two processes, whichever of them opened the connection.
 func (n *Network) SetLink(from, to string, l Link) {
 	n.mu.Lock()
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -72,8 +72,8 @@
 	isKeyed          bool          // whether requests carry an idempotency key, by which the endpoints of a cell drop duplicates
 	fraction         float64       // fraction of all requests from clients
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
-	latencyObjective time.Duration // time within which a response has its full value
-	deadline         time.Duration // time from a request until its deadline
+	latencyObjective time.Duration // time from a request within which its response counts as in time
+	deadline         time.Duration // time from a client's first attempt to send a request until the request's deadline
 	weight           float64       // priority weight, which is the value of one request
 }
 
@@ -94,7 +94,7 @@
 // Limits that sidecars and endpoints must keep, and the tolerances with which package invariant checks them.
 const (
 	dedupWindow       = 10 * time.Second       // time in which the endpoints of a cell drop duplicates of a request with an idempotency key
-	maxAttempts       = 4                      // attempts that a sidecar may send for one request
+	maxAttempts       = 4                      // highest number of attempts that a sidecar may send for one request
 	overloadTolerance = 0.25                   // fraction by which the work of a warming endpoint may exceed the overload limit, since work varies at random
 	drainGrace        = 500 * time.Millisecond // time from a notification of a drain until no new request may follow
 	timeTolerance     = 50 * time.Millisecond  // tolerance that the check adds to each time limit
@@ -123,7 +123,7 @@
 const (
 	loadSkew         = 3.0                    // relative loads of front sidecars range from 1/loadSkew to loadSkew
 	clientRetryDelay = 100 * time.Millisecond // time from a failed response until the client's retry
-	maxClientRetries = 3                      // retries of one request by its client
+	maxClientRetries = 3                      // highest number of retries of a request by its client
 	deadlineMargin   = 10 * time.Millisecond  // time by which the deadline that the balancer gets is earlier than the request's deadline
 	responseGrace    = 500 * time.Millisecond // time after a request's deadline at which a missing response is recorded as overdue
 )
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -153,7 +153,7 @@
 
 // Each case uses a balancer that breaks one invariant of package invariant, and the check of the timeline must find the violation.
 func TestViolationsOfInvariantsAreFound(t *testing.T) {
-	for _, row := range []struct {
+	for _, testCase := range []struct {
 		name, scenario string
 		invariant      int // number of the invariant that the balancer breaks, from 1 to 4
 		newBalancer    eventloop.BalancerFactory
@@ -169,9 +169,9 @@
 		}},
 		{"floods an endpoint that is warming up", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &newestOnly{host: h} }},
 	} {
-		r := runDay(t, row.newBalancer, smallDay(row.scenario))
-		if rule := r.Rules.Rules[row.invariant-1]; rule.Verdict != invariant.Broken {
-			t.Errorf("%s: the verdict on the rule %q is %s, want %s", row.name, rule.Name, rule.Verdict, invariant.Broken)
+		r := runDay(t, testCase.newBalancer, smallDay(testCase.scenario))
+		if rule := r.Rules.Rules[testCase.invariant-1]; rule.Verdict != invariant.Broken {
+			t.Errorf("%s: the verdict on the rule %q is %s, want %s", testCase.name, rule.Name, rule.Verdict, invariant.Broken)
 		}
 	}
 }
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -41,7 +41,7 @@
 	Seed            uint64           // seed of the instants at which requests are due; may be 0
 	Duration        time.Duration    // time during which requests are sent
 	ResponseTimeout time.Duration    // longest time from when a request is due to the end of its response
-	Connections     int              // highest number of requests in flight, each on its own connection; requests that are due at that number are not sent
+	Connections     int              // highest number of requests in flight, each on its own connection; requests that become due while so many are in flight are not sent
 	MaxSendLateness time.Duration    // p99 of Result.SendLateness above which the result is invalid; 0: defaultMaxSendLateness
 }
 
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -124,7 +124,7 @@
 }
 
 // callVoter calls a method of a node's voter and processes the voter's output. While earlier output is being synced, the call is
-// deferred. Without a voter it is dropped.
+// deferred. If the node runs no voter, the call is dropped.
 func (s *Simulation) callVoter(n *Node, call func()) {
 	if n.voter == nil {
 		return
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -57,8 +57,8 @@
 	return m
 }
 
-// measurePut proposes a put, and returns the time until it is committed and the time until all running daemons act on its version. It
-// gives up after a minute; commitLatency is then 0 if the put was not committed.
+// measurePut proposes a put, and returns the time until it is committed and the time until all running daemons act on its version.
+// measurePut gives up after a minute; commitLatency is then 0 if the put was not committed.
 func (s *Simulation) measurePut() (commitLatency, activationLatency time.Duration) {
 	startedAt, versionBefore := s.Now, s.Checker.latestVersion
 	s.lastPut++
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -25,8 +25,8 @@
 // Measurement is the result of measuring a Case.
 type Measurement struct {
 	FalseFailureRate float64         // false failures per hour in the whole cluster; a failure that several daemons detect counts once
-	FirstDetections  []time.Duration // times from a kill until the first daemon detected it, ascending
-	FullDetections   []time.Duration // times from a kill until all other daemons had detected it, ascending
+	FirstDetections  []time.Duration // times from the kill of a node until the first other node detected the failure, ascending
+	FullDetections   []time.Duration // times from the kill of a node until all other nodes had detected the failure, ascending
 	MessageRate      float64         // messages sent per second and daemon in the observation period
 	ByteRate         float64         // bytes sent per second and daemon in the observation period
 	RecoveryTime     time.Duration   // time from the end of a network cut until all views were equal; 0: not measured, negative: more than a minute
@@ -126,7 +126,7 @@
 func Tables(out io.Writer, sizes []int, seed uint64) error {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
-	row := func(c Case, withCut bool) {
+	writeRow := func(c Case, withCut bool) {
 		m := c.Measure(withCut)
 		recoveryTime := "-"
 		if withCut {
@@ -140,14 +140,14 @@
 		if n > 100 {
 			period = time.Minute
 		}
-		row(Case{Nodes: n, ObservationPeriod: period, Seed: seed}, true)
+		writeRow(Case{Nodes: n, ObservationPeriod: period, Seed: seed}, true)
 	}
 	for _, withoutLifeguard := range []bool{false, true} {
 		for _, loss := range []float64{0.05, 0.1, 0.2, 0.3, 0.4} {
-			row(Case{Nodes: 100, LossFraction: loss, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, loss == 0.2)
+			writeRow(Case{Nodes: 100, LossFraction: loss, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, loss == 0.2)
 		}
 		for _, slow := range []float64{0.05, 0.1, 0.2} {
-			row(Case{Nodes: 100, SlowFraction: slow, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
+			writeRow(Case{Nodes: 100, SlowFraction: slow, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
 		}
 	}
 	if err := writeColumns(out, rows.String()); err != nil {
