--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -70,7 +70,7 @@
 type class struct {
 	name             string
 	isKeyed          bool          // whether requests carry an idempotency key, by which the endpoints of a cell drop duplicates
-	fraction         float64       // fraction of all requests from clients
+	fraction         float64       // fraction of clients' requests that belong to the class
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
 	latencyObjective time.Duration // time from a request within which its response counts as in time
 	deadline         time.Duration // time from a client's first attempt to send a request until the request's deadline
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -22,7 +22,7 @@
 	Sidecars          int               `json:"sidecars"`    // number of sidecars, as configured in Day.Sidecars
 	Endpoints         int               `json:"endpoints"`   // number of endpoints at the start of the day
 	Requests          int               `json:"asked"`       // requests from clients, each counted once
-	ClientAttempts    int               `json:"tries"`       // requests from clients, each of their retries counted too
+	ClientAttempts    int               `json:"tries"`       // requests that clients sent, retries included
 	InTime            int               `json:"in_time"`     // requests served within the latency objective
 	Late              int               `json:"late"`        // requests served after the latency objective
 	Rejected          int               `json:"refused"`     // requests whose last attempt by the client was rejected (status 503)
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -315,7 +315,7 @@
 // Cancel implements balance.Host. It does nothing: the settings leave CanCancel unset, so the balancer cancels no attempt.
 func (s *sidecar) Cancel(string, int) {}
 
-// Reject implements balance.Host.
+// Reject implements balance.Host. It responds with status 503, or with 502 after an error response of an endpoint.
 func (s *sidecar) Reject(id string, _ time.Duration) {
 	req := s.requests[id]
 	if req != nil && req.hadErrorResponse { // as in the daemon: a 503 after an error response would wrongly promise that a retry is harmless
@@ -328,7 +328,7 @@
 	}
 }
 
-// Fail implements balance.Host.
+// Fail implements balance.Host. It responds with status 502.
 func (s *sidecar) Fail(id string) {
 	req := s.requests[id]
 	s.respond(req, 502)
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -230,16 +230,16 @@
 			}
 		}, FailureTimeout},
 		"closes in the middle of a response": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 100\r\n\r\nhalf")
 		}, FailureBrokenOff},
 		"closes at once": {func(net.Conn) {}, FailureBrokenOff},
 		"closes after each response": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 2\r\nConnection: close\r\n\r\nhi")
 		}, "200"},
 		"sends a second response without a request": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response does not depend on the request
+			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 2\r\n\r\nhi"+statusLine+"Content-Length: 1\r\n\r\nx")
 		}, "200"},
 	} {
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -17,7 +17,7 @@
 
 	digestByVersion map[uint64][32]byte // digest of the documents that daemons acted on, by version
 	firstDecisions  []firstDecision     // first decision of any daemon under each version, in ascending order of versions; the oldest ones are dropped
-	versionByID     map[string]uint64   // versions that committed commands made, by command ID
+	versionByID     map[string]uint64   // version that each committed command made, by command ID
 	idByVersion     map[uint64]string   // ID of the committed command that made each version, by version
 	latestVersion   uint64              // highest version that a committed command made
 }
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -30,7 +30,7 @@
 	disk            *simdisk.Disk
 	log             *wal.Log
 	voter           *consensus.Voter // nil: the node runs no voter
-	isSyncing       bool             // the voter's output is being made durable; calls of the voter are deferred until the sync has ended
+	isSyncing       bool             // whether the voter's output is being made durable; calls of the voter are deferred until the sync has ended
 	deferredCalls   []func()         // calls of the voter that wait for the end of the sync, in order
 	leaseHolder     *consensus.LeaseHolder
 	leaseTarget     int  // index of the node that lease requests are sent to
@@ -308,7 +308,7 @@
 	s.schedule(n, s.Now+decisionInterval, func() { s.decide(n) })
 }
 
-// installLeasedVersion has all parts of a daemon act on the leased version after a random time.
+// installLeasedVersion has all parts of a daemon act on the leased version after a random time of less than maxInstallTime.
 func (s *Simulation) installLeasedVersion(n *Node) {
 	leased := n.leaseHolder.Leased()
 	s.schedule(n, s.Now+time.Duration(s.rng.Int64N(int64(maxInstallTime))), func() {
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -70,7 +70,7 @@
 	now              float64 // seconds from the start of the run up to which arrivals have been generated
 	nextPoint        int     // index of the first point of the rate curve that is later than now
 	isOn             bool    // whether the present phase of OnOff is one with arrivals
-	phaseEnd         float64 // seconds from the start of the run to the end of the OnOff phase; infinite for other gaps
+	phaseEnd         float64 // seconds from the start of the run to the end of the present OnOff phase; infinite for other gaps
 }
 
 // NewStream returns a Stream that starts at instant 0. Random number generators in the same state give the same
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -159,7 +159,7 @@
 	return out
 }
 
-// List implements wal.FS.
+// List implements wal.FS. The names are in ascending order.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +171,7 @@
 	return out, nil
 }
 
-// Open implements wal.FS.
+// Open implements wal.FS. It returns fs.ErrNotExist if there is no such file.
 func (d *Disk) Open(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,7 +182,7 @@
 	return &handle{d, i, d.incarnation}, nil
 }
 
-// Create implements wal.FS.
+// Create implements wal.FS. It replaces an existing file of that name. The new name is durable after the next SyncDir.
 func (d *Disk) Create(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -201,7 +201,7 @@
 	d.unsyncedChanges = append(d.unsyncedChanges, apply)
 }
 
-// Rename implements wal.FS.
+// Rename implements wal.FS. It replaces an existing file of the new name. The change is durable after the next SyncDir.
 func (d *Disk) Rename(oldName, newName string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// Remove implements wal.FS.
+// Remove implements wal.FS. The removal is durable after the next SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// SyncDir implements wal.FS.
+// SyncDir implements wal.FS. It makes all changes of file names durable, unless IgnoresSync is set.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// Lock implements wal.FS.
+// Lock implements wal.FS. It returns wal.ErrLocked while the lock is held. A crash releases the lock.
 func (d *Disk) Lock() (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -289,7 +289,7 @@
 	return nil
 }
 
-// ReadAt implements wal.File.
+// ReadAt implements wal.File. It reads the content as the running system sees it, and also works on a stale handle.
 func (h *handle) ReadAt(p []byte, off int64) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -325,14 +325,14 @@
 	return len(p), err
 }
 
-// Size implements wal.File.
+// Size implements wal.File. It returns errStaleHandle on a stale handle.
 func (h *handle) Size() (int64, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	return int64(len(h.inode.content)), h.checkCurrent()
 }
 
-// Truncate implements wal.File.
+// Truncate implements wal.File. The truncation is durable after the next Sync.
 func (h *handle) Truncate(size int64) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -344,7 +344,7 @@
 	return nil
 }
 
-// Sync implements wal.File.
+// Sync implements wal.File. It makes the content durable, unless Disk.IgnoresSync is set.
 func (h *handle) Sync() error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -355,5 +355,5 @@
 	return nil
 }
 
-// Close implements wal.File.
+// Close implements wal.File. It does nothing and always succeeds.
 func (h *handle) Close() error { return nil }
