--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -16,29 +16,29 @@
 	Nodes             int
 	LossFraction      float64 // fraction of messages that are lost
 	SlowFraction      float64 // fraction of nodes that alternate between pauses and running phases
-	WithoutLifeguard  bool    // disables swim's local health, suspicion shrinking and buddy system
+	WithoutLifeguard  bool    // disables swim's Lifeguard extensions: local health, suspicion shrinking and the buddy system
 	Swim              swim.Options
-	ObservationPeriod time.Duration // time without kills and cuts, in which every detected failure is false
+	ObservationPeriod time.Duration // measured time without kills and cuts, so that every failure detected in it is false
 	Seed              uint64
 }
 
 // Measurement is the result of measuring a Case.
 type Measurement struct {
 	FalseFailureRate float64         // false failures per hour in the whole cluster; a failure that several daemons detect counts once
-	FirstDetections  []time.Duration // times from a kill until the first daemon detected it, ascending
-	FullDetections   []time.Duration // times from a kill until all other daemons had detected it, ascending
+	FirstDetections  []time.Duration // times from the kill of a node until the first other node detected the failure, ascending
+	FullDetections   []time.Duration // times from the kill of a node until all other nodes had detected the failure, ascending
 	MessageRate      float64         // messages sent per second and daemon in the observation period
 	ByteRate         float64         // bytes sent per second and daemon in the observation period
-	RecoveryTime     time.Duration   // time from the end of a cut until all views were equal; 0: not measured, negative: not within a minute
+	RecoveryTime     time.Duration   // time from the end of a network cut until all views were equal; 0: not measured, negative: more than a minute
 }
 
 const (
 	warmUpPeriod = 20 * time.Second // time before the observation period
 	maxKills     = 5                // nodes killed per case
-	cutDuration  = 20 * time.Second
+	cutDuration  = 20 * time.Second // length of the cut after which RecoveryTime is measured
 )
 
-// options returns the options of the case's simulations.
+// options returns the options of the case's simulations, which start with converged views.
 func (c Case) options() Options {
 	o := Options{Nodes: c.Nodes, Seed: c.Seed, StartConverged: true, LossFraction: c.LossFraction, SlowFraction: c.SlowFraction, Swim: c.Swim}
 	if c.WithoutLifeguard {
@@ -82,7 +82,7 @@
 
 // measureDetection kills a node, waits at most two minutes until all others have detected its failure, and adds the times to m.
 func (c Case) measureDetection(sim *Simulation, n *Node, m *Measurement) {
-	if n.isSlow { // its failure can't be told from one of its pauses
+	if n.isSlow { // the kill of a slow node can't be told from a pause of the node
 		return
 	}
 	killedAt, detectedBy := sim.Now, map[int]bool{}
@@ -126,7 +126,7 @@
 func Tables(out io.Writer, sizes []int, seed uint64) error {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
-	row := func(c Case, withCut bool) {
+	writeRow := func(c Case, withCut bool) {
 		m := c.Measure(withCut)
 		recoveryTime := "-"
 		if withCut {
@@ -140,14 +140,14 @@
 		if n > 100 {
 			period = time.Minute
 		}
-		row(Case{Nodes: n, ObservationPeriod: period, Seed: seed}, true)
+		writeRow(Case{Nodes: n, ObservationPeriod: period, Seed: seed}, true)
 	}
 	for _, withoutLifeguard := range []bool{false, true} {
 		for _, loss := range []float64{0.05, 0.1, 0.2, 0.3, 0.4} {
-			row(Case{Nodes: 100, LossFraction: loss, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, loss == 0.2)
+			writeRow(Case{Nodes: 100, LossFraction: loss, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, loss == 0.2)
 		}
 		for _, slow := range []float64{0.05, 0.1, 0.2} {
-			row(Case{Nodes: 100, SlowFraction: slow, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
+			writeRow(Case{Nodes: 100, SlowFraction: slow, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
 		}
 	}
 	if err := writeColumns(out, rows.String()); err != nil {
