--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -25,12 +25,12 @@
 
 // BootstrapVote is an initial voter's report on whether it has begun.
 type BootstrapVote struct {
-	HasBegun bool              `json:"begun"` // the voter has created its log
+	HasBegun bool              `json:"begun"` // whether the voter has created its log
 	DiskID   string            `json:"mark"`  // id of the voter's disk; may be empty if HasBegun
-	DiskIDs  map[string]string `json:"marks"` // if HasBegun: the disk ids of all initial voters, by name, with which it began
+	DiskIDs  map[string]string `json:"marks"` // disk ids of all initial voters, by name, when the voter created its log; nil unless HasBegun
 }
 
-// isReceived distinguishes a vote from the zero value, which stands for a missing one.
+// isReceived reports whether the vote has arrived; the zero BootstrapVote stands for a vote that has not.
 func (v *BootstrapVote) isReceived() bool { return v.HasBegun || v.DiskID != "" }
 
 // NewBootstrap returns the bootstrap of the initial voter with this name, whose disk has an id but no log.
@@ -54,10 +54,11 @@
 	return b.round
 }
 
-// Vote returns the vote of this voter, which has not begun.
+// Vote returns the vote of this voter, which has not created its log.
 func (b *Bootstrap) Vote() BootstrapVote { return BootstrapVote{DiskID: b.diskID} }
 
-// ReceiveVote records the vote of another initial voter. It drops votes of earlier rounds and those of other daemons.
+// ReceiveVote records the vote of another initial voter. It drops votes of earlier rounds, and votes of daemons that are
+// not initial voters.
 func (b *Bootstrap) ReceiveVote(from string, round uint64, vote BootstrapVote) {
 	if _, isInitial := b.votes[from]; isInitial && round == b.round && vote.isReceived() {
 		b.votes[from] = vote
@@ -75,10 +76,11 @@
 	return names
 }
 
-// Decide returns the disk ids of all initial voters, by name, if this voter may begin now, and else nil. isLost means
-// that this voter must never begin: another one began when this voter had another disk, which is lost.
-func (b *Bootstrap) Decide() (diskIDs map[string]string, isLost bool) {
-	all := map[string]string{b.name: b.diskID}
+// Decide returns the disk ids of all initial voters, by name, if this voter may create its log now, and else nil.
+// isDiskLost means that this voter must never create a log: another initial voter created its log when this voter had
+// another disk, which is lost.
+func (b *Bootstrap) Decide() (diskIDs map[string]string, isDiskLost bool) {
+	ownAndReceived := map[string]string{b.name: b.diskID}
 	for name, vote := range b.votes {
 		if vote.HasBegun {
 			if vote.DiskIDs[b.name] != b.diskID {
@@ -86,7 +88,7 @@
 			}
 			diskIDs = vote.DiskIDs
 		}
-		all[name] = vote.DiskID
+		ownAndReceived[name] = vote.DiskID
 	}
 	switch {
 	case diskIDs != nil:
@@ -94,5 +96,5 @@
 	case len(b.MissingVotes()) > 0:
 		return nil, false
 	}
-	return all, false
+	return ownAndReceived, false
 }
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -13,19 +13,19 @@
 // bootstrapDisk is the disk of an initial voter.
 type bootstrapDisk struct {
 	id   string        // disk id
-	vote BootstrapVote // vote of the voter once it has begun; before that the zero value
+	vote BootstrapVote // vote of the voter once it has created its log; until then the zero value
 }
 
-// bootstrapRun is a cluster whose initial voters restart, lose disks and exchange votes in any order.
-type bootstrapRun struct {
-	disks        map[string]*bootstrapDisk // present disks, by the voter's name
-	bootstrap    map[string]*Bootstrap     // running bootstraps, by the voter's name
-	lost         map[string]bool           // names of voters that lost their disk after a majority had begun
-	drawnDiskIDs int                       // number of disk ids drawn so far
+// bootstrapCluster is a cluster whose initial voters restart, lose disks and exchange votes in any order.
+type bootstrapCluster struct {
+	disks             map[string]*bootstrapDisk // disk that each voter has now, by the voter's name
+	bootstraps        map[string]*Bootstrap     // bootstrap of each running voter, by the voter's name
+	lostAfterMajority map[string]bool           // names of voters that lost their disk after a majority had begun
+	drawnDiskIDs      int                       // number of disk ids drawn so far
 }
 
-func newBootstrapRun() *bootstrapRun {
-	r := &bootstrapRun{disks: map[string]*bootstrapDisk{}, bootstrap: map[string]*Bootstrap{}, lost: map[string]bool{}}
+func newBootstrapCluster() *bootstrapCluster {
+	r := &bootstrapCluster{disks: map[string]*bootstrapDisk{}, bootstraps: map[string]*Bootstrap{}, lostAfterMajority: map[string]bool{}}
 	for _, name := range bootstrapNames {
 		r.replaceDisk(name)
 	}
@@ -33,33 +33,33 @@
 }
 
 // replaceDisk restarts a voter with an empty disk, which has a new id.
-func (r *bootstrapRun) replaceDisk(name string) {
+func (r *bootstrapCluster) replaceDisk(name string) {
 	r.drawnDiskIDs++
 	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawnDiskIDs)}
 	r.restart(name)
 }
 
 // restart restarts a voter with the disk that it has.
-func (r *bootstrapRun) restart(name string) {
-	r.bootstrap[name] = NewBootstrap(name, r.disks[name].id, bootstrapNames)
+func (r *bootstrapCluster) restart(name string) {
+	r.bootstraps[name] = NewBootstrap(name, r.disks[name].id, bootstrapNames)
 }
 
-// voteOf returns the vote with which a voter answers a request.
-func (r *bootstrapRun) voteOf(name string) BootstrapVote {
+// voteOf returns the vote that a voter sends when another voter requests it.
+func (r *bootstrapCluster) voteOf(name string) BootstrapVote {
 	vote := r.disks[name].vote
 	if vote.DiskID = r.disks[name].id; !vote.HasBegun {
-		vote = r.bootstrap[name].Vote()
+		vote = r.bootstraps[name].Vote()
 	}
 	return vote
 }
 
 // hasMajority reports whether a majority of the voters has begun with the same disk ids.
-func (r *bootstrapRun) hasMajority() bool {
+func (r *bootstrapCluster) hasMajority() bool {
 	counts := map[string]int{}
 	for _, disk := range r.disks {
 		if disk.vote.HasBegun {
-			key := fmt.Sprint(disk.vote.DiskIDs)
-			if counts[key]++; counts[key] > len(bootstrapNames)/2 {
+			diskIDsText := fmt.Sprint(disk.vote.DiskIDs)
+			if counts[diskIDsText]++; counts[diskIDsText] > len(bootstrapNames)/2 {
 				return true
 			}
 		}
@@ -68,23 +68,23 @@
 }
 
 // Votes arrive and disks are lost in random order. Once a majority has begun with the same disk ids, a voter that loses
-// its disk must not begin again. The run ends when a majority has lost its disks, since the others can't know any more
-// who had begun.
+// its disk must not begin again. A simulation ends when a majority has lost its disks: the remaining voters can't know
+// any more which of the others had begun.
 func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, hadMajority := newBootstrapRun(), false
+		r, hadMajority := newBootstrapCluster(), false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(bootstrapNames).Draw(t, "voter")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				if hadMajority {
-					r.lost[name] = true
+					r.lostAfterMajority[name] = true
 				}
-				if len(r.lost) > len(bootstrapNames)/2 {
+				if len(r.lostAfterMajority) > len(bootstrapNames)/2 {
 					return
 				}
 				r.replaceDisk(name)
-				for _, b := range r.bootstrap { // Bootstrap assumes that no disk is replaced within one round
+				for _, b := range r.bootstraps { // a new round for each voter, since Bootstrap assumes that no disk is replaced within a round
 					b.StartRound()
 				}
 				continue
@@ -96,12 +96,12 @@
 			if disk.vote.HasBegun || other == name {
 				continue
 			}
-			r.bootstrap[name].ReceiveVote(other, r.bootstrap[name].round, r.voteOf(other))
-			diskIDs, isLost := r.bootstrap[name].Decide()
-			if diskIDs == nil || isLost {
+			r.bootstraps[name].ReceiveVote(other, r.bootstraps[name].round, r.voteOf(other))
+			diskIDs, isDiskLost := r.bootstraps[name].Decide()
+			if diskIDs == nil || isDiskLost {
 				continue
 			}
-			if r.lost[name] {
+			if r.lostAfterMajority[name] {
 				t.Fatalf("%s begins with disk ids %v, though its disk was lost after others had begun", name, diskIDs)
 			}
 			if diskIDs[name] != disk.id || len(diskIDs) != len(bootstrapNames) {
@@ -116,13 +116,13 @@
 func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
 	b := NewBootstrap("a", "1", bootstrapNames)
 	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
-	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // x is no initial voter
-	if diskIDs, isLost := b.Decide(); diskIDs != nil || isLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
+	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // must be dropped: x is not an initial voter
+	if diskIDs, isDiskLost := b.Decide(); diskIDs != nil || isDiskLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
 		t.Errorf("without the vote of c: disk ids %v, lost %v, missing votes %v; want none, false, [c]",
-			diskIDs, isLost, b.MissingVotes())
+			diskIDs, isDiskLost, b.MissingVotes())
 	}
 	b.ReceiveVote("c", 0, BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "0"}})
-	if _, isLost := b.Decide(); !isLost {
+	if _, isDiskLost := b.Decide(); !isDiskLost {
 		t.Error("c began when this voter had another disk, but Decide does not report the disk as lost")
 	}
 }
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -15,8 +15,8 @@
 // ClaimSlot) or Read is set.
 type Command struct {
 	Format          int              `json:"format"`             // format number, set by Encode
-	ID              string           `json:"id,omitempty"`       // id of a document change; a duplicate with the same id has no effect
-	ExpectedVersion *uint64          `json:"expect,omitempty"`   // latest version that the requester has seen; nil: any
+	ID              string           `json:"id,omitempty"`       // id of a document change; a second command with the same id has no effect
+	ExpectedVersion *uint64          `json:"expect,omitempty"`   // the command is rejected unless this is the latest version; nil: any version
 	ProposedBy      string           `json:"by,omitempty"`       // name of the daemon that proposed the command
 	AtUnixMilli     int64            `json:"at,omitempty"`       // Unix milliseconds by the clock of the proposing daemon
 	Put             *DocumentPut     `json:"put,omitempty"`      // document to write
@@ -26,7 +26,7 @@
 	Skip            uint64           `json:"skip,omitempty"`     // pending version to replace by the latest one
 	ChangeVoter     *VoterChange     `json:"seat,omitempty"`     // voter slot to add or remove
 	ClaimSlot       *SlotClaim       `json:"mark,omitempty"`     // voter slot to bind to a disk
-	Read            *DocumentVersion `json:"read,omitempty"`     // document to read; without a name: the history
+	Read            *DocumentVersion `json:"read,omitempty"`     // document to read; with an empty Name: the history of all documents is read
 	Activate        uint64           `json:"activate,omitempty"` // pending version to make the active one
 }
 
@@ -38,8 +38,8 @@
 
 // CommandResult is the outcome of a command that was applied without an error.
 type CommandResult struct {
-	Version   uint64         `json:"version"`           // version that the command made, or the latest one for a read
-	Unchanged bool           `json:"same,omitempty"`    // the command had nothing to change and made no version
+	Version   uint64         `json:"version"`           // version that the command made; for a read the latest version
+	Unchanged bool           `json:"same,omitempty"`    // whether the command had nothing to change and made no version
 	Doc       *Document      `json:"doc,omitempty"`     // document that was read
 	History   []HistoryEntry `json:"history,omitempty"` // history that was read, oldest entry first
 }
@@ -55,7 +55,7 @@
 )
 
 // ErrVoterChangeRejected is returned for a change of the voters that is impossible, or that has to wait for another one.
-// Its text is sent like those above and must not change.
+// Its text is sent to the daemon that proposed the command and must not change.
 var ErrVoterChangeRejected = errors.New("the voters stay as they are")
 
 // ErrIndeterminate means that the requester gave up waiting: the command may have been committed, or may be committed
@@ -63,5 +63,6 @@
 // its text in the responses of other processes, also of other builds.
 var ErrIndeterminate = errors.New("no majority of the voters has answered in time; it may come to pass yet")
 
-// ErrUnknownCommand means that the log has a command of a later build, which this voter can't apply.
+// ErrUnknownCommand is returned for a command of the log whose format number is above commandFormat. The voter stops,
+// since it can't derive the same State as voters of the later build.
 var ErrUnknownCommand = errors.New("the log has a command of a later build, which this build can't apply")
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -10,9 +10,9 @@
 // Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active),
 // and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
 const (
-	MaxDocumentBytes = 1 << 20                  // bytes in the body of one document
-	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // bytes in the bodies of all documents of a version
-	MaxDocuments     = 1000                     // documents in one version
+	MaxDocumentBytes = 1 << 20                  // greatest size of a document's body in bytes
+	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // greatest total size of the bodies of one version's documents in bytes
+	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
 // Document is a named text as it was last written.
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Bounds of what the State retains of earlier versions.
+// Bounds of the documents and history entries that the State retains of earlier versions.
 const (
-	maxRetainedBytes  = 1 << 20 // bytes in the bodies of retained documents, which were replaced or removed
-	maxHistoryEntries = 1000    // entries in the history, and at most as many retained documents
+	maxRetainedBytes  = 1 << 20 // greatest total size, in bytes, of the bodies of documents that were replaced or removed
+	maxHistoryEntries = 1000    // greatest number of entries in the history, and of retained documents
 )
 
-// applyDocumentChange puts, removes or reverts a document. A duplicate of an earlier command gets that one's result and
-// changes nothing.
+// applyDocumentChange puts, removes or reverts a document. A duplicate of an earlier command changes nothing and gets the
+// earlier command's result.
 func (s *State) applyDocumentChange(c *Command) (CommandResult, error) {
 	if result, isDuplicate := s.duplicateResult(c.ID); isDuplicate {
 		return result, nil
@@ -40,7 +40,7 @@
 		}
 		change.Digest, change.Bytes = sha256.Sum256(put.Body), len(put.Body)
 		docs[name] = Document{name, change.Version, change.Digest, c.ProposedBy, put.Body}
-	case !exists: // there is nothing to remove
+	case !exists: // the document to be removed does not exist
 		return s.recordResult(c.ID, CommandResult{Version: s.Version, Unchanged: true}), nil
 	default:
 		delete(docs, name)
@@ -76,7 +76,7 @@
 	return name, put, nil
 }
 
-// fitsLimits reports whether the documents stay within their bounds if this one is written.
+// fitsLimits reports whether the documents stay within MaxDocumentBytes, MaxTotalBytes and MaxDocuments if put is applied.
 func (s *State) fitsLimits(put *DocumentPut) bool {
 	replaced, exists := s.Docs[put.Name]
 	return len(put.Body) <= MaxDocumentBytes &&
@@ -126,7 +126,7 @@
 		return &s.RetainedDocs[i], nil
 	}
 	if len(s.History) > 0 && s.History[0].Version > 1 && s.History[0].Version > at.Version {
-		return nil, unavailable(ErrCompacted) // the history does not go back that far
+		return nil, unavailable(ErrCompacted) // the requested version is older than the oldest entry of the history
 	}
 	return nil, unavailable(ErrDocumentNotFound)
 }
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -10,15 +10,15 @@
 	MaxClockDrift float64       // greatest relative error of a clock's rate, 0.01 for 1 %
 
 	// Faults that tests inject to verify that they are detected. All are off in the daemon.
-	CountFromGrant     bool // a lease counts from the arrival of its grant instead of from the request
-	SkipActivationWait bool // a version is activated without regard to outstanding leases
-	SkipExpiryCheck    bool // a daemon acts without checking that its lease has not expired
+	CountFromGrant     bool // whether a lease counts from the arrival of its grant instead of from the request
+	SkipActivationWait bool // whether a version is activated without regard to outstanding leases
+	SkipExpiryCheck    bool // whether a daemon acts without checking that its lease has not expired
 }
 
 // expiryWait returns how long to wait by this daemon's clock until a lease that another daemon counts by its own clock
 // has certainly expired.
-func (c LeaseConfig) expiryWait(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
+func (c LeaseConfig) expiryWait(leaseDuration time.Duration) time.Duration {
+	return time.Duration(float64(leaseDuration) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
 }
 
 // MaxOverlap returns the longest true time for which some daemon may still act on a version after another daemon has
@@ -33,9 +33,9 @@
 	Seq              uint64 `json:"Seq"`                // sequence number of the request, which the grant repeats
 	ReadyVersion     uint64 `json:"Has"`                // latest version whose documents the daemon has and can act on
 	InstalledVersion uint64 `json:"Acts"`               // version on which all parts of the daemon act
-	AcceptedSeq      uint64 `json:"Took"`               // Seq of the latest grant that the daemon accepted; it uses no earlier one
+	AcceptedSeq      uint64 `json:"Took"`               // Seq of the latest grant that the daemon accepted; the daemon uses no earlier grant
 	RejectedVersion  uint64 `json:"Declines,omitempty"` // latest version on which the daemon can't act; 0: none
-	RejectReason     string `json:"Why,omitempty"`      // why the daemon can't act on RejectedVersion, at most maxReasonRunes
+	RejectReason     string `json:"Why,omitempty"`      // why the daemon can't act on RejectedVersion, at most maxReasonRunes Unicode characters
 	DiskID           string `json:"Mark,omitempty"`     // disk id of a daemon that could run a voter but runs none; else empty
 }
 
@@ -51,9 +51,9 @@
 	SlotHolders   []string `json:"Voters"`  // names of the daemons with a voter slot, which may grant leases
 	ActiveVoters  []string `json:"Sitting"` // names of the daemons that vote in raft's configuration
 	VoterID       uint64   `json:"Seat"`    // raft id of the requesting daemon's voter slot; 0: none
-	MayStartVoter bool     `json:"Begins"`  // the daemon may start its voter on the disk that the request named
+	MayStartVoter bool     `json:"Begins"`  // whether the daemon may start its voter on the disk that the request named
 	InitialVoters []string `json:"First"`   // names of the cluster's initial voters; set with MayStartVoter only
-	DiskLost      bool     `json:"Lost"`    // the daemon's voter slot is bound to another disk than the request named
+	DiskLost      bool     `json:"Lost"`    // whether the daemon's voter slot is bound to another disk than the request named
 
 	FullyActive uint64          `json:"All"`  // version before which no daemon acts; 0: not known yet
 	Lagging     []LaggingDaemon `json:"Lags"` // daemons for which the leader waits, at most maxLagging
@@ -68,6 +68,6 @@
 
 // Bounds of lease requests and grants.
 const (
-	maxLagging     = 16  // daemons in LeaseGrant.Lagging
-	maxReasonRunes = 300 // Unicode characters in LeaseRequest.RejectReason
+	maxLagging     = 16  // greatest number of daemons in LeaseGrant.Lagging
+	maxReasonRunes = 300 // greatest number of Unicode characters in LeaseRequest.RejectReason
 )
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	requestsPerLease          = 4 // requests in the duration of the shorter lease, so that some may be lost
-	activationIntervalDivisor = 4 // divides the interval between requests while a version is being activated
+	requestsPerLease          = 4 // number of requests in LeaseConfig.ShortDuration, so that a lease stays valid though some requests are lost
+	activationIntervalDivisor = 4 // number by which the interval between requests is divided while a version is being activated
 )
 
-// LeasedVersion is what a daemon may act on: a version until its lease expires and, while parts of the daemon still act
-// on the previous version, that one until its own lease expires. It is a value that may be copied and read by other
-// goroutines.
+// LeasedVersion has the version on which a daemon may act until the lease on it expires, and the previous version, on
+// which parts of the daemon may still act until the lease on that version expires. A LeasedVersion may be copied and read
+// by other goroutines.
 type LeasedVersion struct {
 	Version           uint64              // version on which the daemon is to act; 0: none
 	Docs              map[string]Document // documents of Version by name, never modified
@@ -40,19 +40,19 @@
 	leased           LeasedVersion
 	installedVersion uint64 // version on which all parts of the daemon act, as reported to MarkInstalled
 
-	readyVersion    uint64              // latest version that passed its check
+	readyVersion    uint64              // latest version whose documents the daemon has checked and accepted
 	readyDocs       map[string]Document // documents of readyVersion
 	offeredVersion  uint64              // version that the daemon is to check; 0: none
 	offeredDocs     map[string]Document // documents of offeredVersion
-	rejectedVersion uint64              // latest version that failed its check; 0: none
-	rejectReason    string              // why rejectedVersion failed its check
+	rejectedVersion uint64              // latest version whose documents the daemon has checked and rejected; 0: none
+	rejectReason    string              // why the daemon rejected rejectedVersion
 
 	fullyActive uint64          // version before which no daemon acts, by the latest grant; 0: not known
 	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest grant
 }
 
-// NewLeaseHolder returns a holder without a lease. version and docs are what the daemon acted on before a restart, if it
-// persisted them; otherwise version is 0.
+// NewLeaseHolder returns a holder without a lease. version and docs are the version on which the daemon acted before a
+// restart and its documents, if the daemon persisted them; otherwise version is 0.
 func NewLeaseHolder(name string, config LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
 	return &LeaseHolder{
 		config:          config,
@@ -70,7 +70,7 @@
 	h.seq++
 	h.requestedAt = now
 	nextAt = now + h.requestInterval
-	if h.readyVersion > h.leased.Version || len(h.lagging) > 0 { // an activation waits for these requests
+	if h.readyVersion > h.leased.Version || len(h.lagging) > 0 { // the leader may wait for this daemon's requests before it activates a version
 		nextAt = now + h.requestInterval/activationIntervalDivisor
 	}
 	return LeaseRequest{
@@ -106,7 +106,7 @@
 			PreviousExpiresAt: h.leased.ExpiresAt,
 		}
 	default:
-		return // the daemon does not have the documents of this version, or has not checked them
+		return // the daemon does not have the documents of the granted version, or has not checked them
 	}
 	start := h.requestedAt
 	if h.config.CountFromGrant {
@@ -116,7 +116,7 @@
 	h.leased.ExpiresAt, h.acceptedSeq = start+g.Duration, g.Seq
 }
 
-// offerForCheck has PendingCheck return a version, unless the daemon has its documents or has rejected it.
+// offerForCheck has PendingCheck return a version, unless the daemon has the version's documents or has rejected it.
 func (h *LeaseHolder) offerForCheck(version uint64, docs map[string]Document) {
 	if docs != nil && version > h.readyVersion && version != h.rejectedVersion && version != h.offeredVersion {
 		h.offeredVersion, h.offeredDocs = version, docs
@@ -158,7 +158,7 @@
 // still acts on the version that was recorded before.
 func (h *LeaseHolder) MarkInstalled(version uint64) { h.installedVersion = version }
 
-// Leased returns what the daemon may act on.
+// Leased returns the versions on which the daemon may act, with the instants at which the leases on them expire.
 func (h *LeaseHolder) Leased() LeasedVersion { return h.leased }
 
 // Valid returns the version on which the daemon may act at an instant, with its documents; ok is false if the daemon has
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -23,13 +23,13 @@
 	lagging     []LaggingDaemon // daemons for which the leader waits, by the latest Refresh, sorted by name
 }
 
-// daemonLeases is what the leader knows about one daemon's leases.
+// daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
 type daemonLeases struct {
 	request LeaseRequest       // latest request of the daemon
 	grants  []outstandingGrant // grants that the daemon may use, in the order of seq, at most maxOutstandingGrants
 }
 
-// outstandingGrant is a grant that its daemon may use.
+// outstandingGrant is a grant that the leader has sent, and on which the daemon may act until it has expired.
 type outstandingGrant struct {
 	seq       uint64        // sequence number of the request that the grant answered
 	expiresAt time.Duration // instant, by the leader's clock, at which the lease has certainly expired
@@ -85,7 +85,7 @@
 
 // recordGrant records a request and the grant that answers it. It drops the grants before the one that the daemon has
 // accepted, since the daemon does not use them again.
-func (m *LeaseManager) recordGrant(now time.Duration, r LeaseRequest, lease time.Duration) {
+func (m *LeaseManager) recordGrant(now time.Duration, r LeaseRequest, leaseDuration time.Duration) {
 	d := m.daemons[r.Daemon]
 	if d == nil {
 		d = &daemonLeases{}
@@ -95,7 +95,7 @@
 	d.grants = slices.DeleteFunc(d.grants, func(grant outstandingGrant) bool {
 		return grant.seq < r.AcceptedSeq || now >= grant.expiresAt
 	})
-	expiresAt := now + m.config.expiryWait(lease)
+	expiresAt := now + m.config.expiryWait(leaseDuration)
 	if n := len(d.grants); n >= maxOutstandingGrants {
 		d.grants[n-1] = outstandingGrant{r.Seq, max(d.grants[n-1].expiresAt, expiresAt)}
 	} else {
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// testLeaseConfig is the lease configuration of the tests that do not set their own.
+// testLeaseConfig is the lease configuration of tests that do not need a particular one.
 var testLeaseConfig = LeaseConfig{Duration: 6 * time.Second, ShortDuration: 1500 * time.Millisecond, MaxClockDrift: 0.01}
 
 // stateWithPendingVersion returns a State whose version 1 is active and whose version 2 is pending.
@@ -50,8 +50,8 @@
 			r, _ := h.NextRequest(now)
 			return m.Grant(now, r, state)
 		}
-		// The grants have the active documents, then a lease and the pending documents, then a lease again. The last
-		// request reports that the daemon has the pending documents.
+		// The first grant has the active documents, the second one a lease and the pending documents, the third one a lease
+		// again. The third request reports that the daemon has the pending documents.
 		for range 3 {
 			h.HandleGrant(start, request(start))
 			completeCheckAndInstall(h)
@@ -105,12 +105,13 @@
 func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
 	state, now := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
-	const last = maxOutstandingGrants + 8
-	for seq := range uint64(last) {
+	const lastSeq = maxOutstandingGrants + 8
+	for seq := range uint64(lastSeq) {
 		m.Grant(now, LeaseRequest{Daemon: "d", Seq: seq + 1, ReadyVersion: 2, InstalledVersion: 1}, withoutPendingVersion(state))
 	}
-	// The grant that answers this request and would shorten the lease is lost.
-	m.Grant(now, LeaseRequest{Daemon: "d", Seq: last + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: last}, state)
+	// The grant that answers this request and would shorten the daemon's lease is lost: no later request reports the grant
+	// as accepted.
+	m.Grant(now, LeaseRequest{Daemon: "d", Seq: lastSeq + 1, ReadyVersion: 2, InstalledVersion: 1, AcceptedSeq: lastSeq}, state)
 	if m.VersionToActivate(now+time.Second, state) != 0 {
 		t.Error("the leader activates the version though the daemon may hold the long lease that it accepted")
 	}
@@ -126,8 +127,8 @@
 	m := NewLeaseManager(0, testLeaseConfig)
 	errNoSuchField := errors.New("no such field")
 	accepting, rejecting := NewLeaseHolder("d", testLeaseConfig, 0, nil), NewLeaseHolder("old", testLeaseConfig, 0, nil)
-	rounds := func(n int) {
-		for range n {
+	requestLeases := func(rounds int) {
+		for range rounds {
 			m.Refresh(now, state)
 			for _, h := range []*LeaseHolder{accepting, rejecting} {
 				r, _ := h.NextRequest(now)
@@ -142,7 +143,7 @@
 			}
 		}
 	}
-	rounds(4)
+	requestLeases(4)
 	want := LaggingDaemon{"old", "it can't act on version 2: no such field"}
 	if got := m.laggingDaemons(now, state); len(got) != 1 || got[0] != want ||
 		m.VersionToActivate(now, state) != 0 || m.VersionToSkip(now, state) != 0 {
@@ -157,19 +158,19 @@
 		t.Error("the rejected version is not skipped though a later one exists")
 	}
 	mustApply(t, state, Command{Skip: 2})
-	rounds(2)
+	requestLeases(2)
 	mustApply(t, state, Command{Force: 3})
-	rounds(1)
+	requestLeases(1)
 	if _, _, ok := rejecting.Valid(now); ok {
 		t.Error("the daemon that rejects the forced version has a lease")
 	}
-	rounds(1) // the daemon reports that it has accepted the grant without a lease
+	requestLeases(1) // the rejecting daemon's request reports that it has accepted the grant without a lease
 	if m.VersionToActivate(now, state) != 3 {
 		t.Errorf("version to activate %d, want the forced version 3; lagging: %v",
 			m.VersionToActivate(now, state), m.laggingDaemons(now, state))
 	}
 	mustApply(t, state, Command{Activate: 3})
-	rounds(1)
+	requestLeases(1)
 	if version, _, ok := accepting.Valid(now); version != 3 || !ok {
 		t.Errorf("the other daemon acts on %d, valid %v; want 3, true", version, ok)
 	}
@@ -182,9 +183,9 @@
 		t.Error("the daemon that rejects the active version has a lease")
 	}
 	mustApply(t, state, putCommand("x", "4"))
-	rounds(3)
+	requestLeases(3)
 	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
-	rounds(3)
+	requestLeases(3)
 	if version, _, ok := rejecting.Valid(now); version != 4 || !ok {
 		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
 			version, ok, m.laggingDaemons(now, state))
@@ -194,7 +195,7 @@
 	}
 }
 
-// BenchmarkLeaseValid measures LeaseHolder.Valid, which runs for each request of a client: it takes no lock, and far
+// BenchmarkLeaseValid measures LeaseHolder.Valid, which is called for each request of a client. It must take no lock, and
 // less than 50 ns.
 func BenchmarkLeaseValid(b *testing.B) {
 	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
@@ -212,7 +213,7 @@
 	for _, daemons := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			state, m, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
-			const requestsPerHeartbeat = 100 // 300 daemons send a thousand requests a second
+			const requestsPerHeartbeat = 100 // 300 daemons send 1000 lease requests a second, and a leader has ten heartbeats a second
 			for i := uint64(0); b.Loop(); i++ {
 				now += time.Millisecond
 				if i%requestsPerHeartbeat == 0 {
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -23,7 +23,7 @@
 // VoterChange assigns a voter slot to a daemon, or removes it.
 type VoterChange struct {
 	Name   string `json:"name"`          // name of the daemon
-	Remove bool   `json:"out,omitempty"` // the daemon's slot is removed; false: a slot is assigned
+	Remove bool   `json:"out,omitempty"` // whether the daemon's slot is removed; false: a slot is assigned to the daemon
 }
 
 // SlotClaim binds a voter slot to the disk of its daemon.
@@ -70,7 +70,8 @@
 	}
 }
 
-// applyVoterChange assigns or removes a voter slot. A change that has been made already has no effect.
+// applyVoterChange assigns a voter slot to a daemon, or removes the daemon's slot. A change that has been made already
+// has no effect.
 func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
 	hasSlot := id != 0
@@ -100,7 +101,7 @@
 	return CommandResult{Version: s.Version}, nil
 }
 
-// checkVoterChange returns an error if a change of the voters can't be made now, which says why.
+// checkVoterChange returns an error that says why a change of the voters can't be made now, or nil if it can be made.
 func (s *State) checkVoterChange(c *VoterChange) error {
 	switch reason := s.voterChangeInProgress(); {
 	case reason != "":
@@ -114,8 +115,8 @@
 }
 
 // voterChangeInProgress describes the change of voters that raft's configuration does not have yet. It is empty if there is
-// none. The texts are part of what operators are answered and must not change: a new voter "has yet to learn" while it
-// receives the log, and a removed one "has yet to leave".
+// none. The texts are part of responses to operators and must not change: a new voter "has yet to learn" while it
+// receives the log, and a removed voter "has yet to leave".
 func (s *State) voterChangeInProgress() string {
 	for id, name := range s.VoterSlots {
 		if !s.ActiveVoters[id] {
@@ -128,7 +129,7 @@
 	return ""
 }
 
-// applySlotClaim binds a slot whose voter is not active to a disk. Claims after the first have no effect.
+// applySlotClaim binds a slot whose voter is not active to a disk. Only the first claim of a slot has an effect.
 func (s *State) applySlotClaim(c *SlotClaim) CommandResult {
 	if s.VoterSlots[c.VoterID] == "" || s.ActiveVoters[c.VoterID] || s.DiskIDs[c.VoterID] != "" {
 		return CommandResult{Version: s.Version, Unchanged: true}
@@ -146,15 +147,15 @@
 
 // The possible values of a VoterAction.
 const (
-	KeepVoterRole VoterAction = iota // the daemon goes on as before, with or without a voter
+	KeepVoterRole VoterAction = iota // the daemon changes nothing: it continues to run its voter, or to run none
 	StopVoter                        // the daemon stops its voter, whose slot was removed
 	StartVoter                       // the daemon starts the voter that has LeaseGrant.VoterID
-	VoterDiskLost                    // the daemon must not vote: its voter slot is bound to another disk than it has
+	VoterDiskLost                    // the daemon must not vote: its voter slot is bound to another disk than the one that the daemon has
 )
 
-// VoterAction returns what the daemon that received the grant has to do with its voter. name is the daemon's, and
-// voterID the raft id of the voter that it runs, 0 for none. A voter whose slot was removed continues until raft's
-// configuration drops it, since a majority may need its vote.
+// VoterAction returns what the daemon that received the grant has to do with its voter. name is the daemon's name, and
+// voterID the raft id of the voter that the daemon runs; 0: it runs none. A voter whose slot was removed continues until
+// raft's configuration drops it, since a majority may need its vote.
 func (g *LeaseGrant) VoterAction(name string, voterID uint64) VoterAction {
 	switch {
 	case voterID != 0 && g.VoterID != voterID && !slices.Contains(g.ActiveVoters, name):
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newSingleVoter returns a voter that is the only one of its cluster and leads it, and the present instant.
+// newSingleVoter returns the leading voter of a cluster that has no other voter, and the present instant.
 func newSingleVoter(t *testing.T) (v *Voter, now time.Duration) {
 	t.Helper()
 	d, err := NewRecoveredState([]string{"v"})
@@ -27,7 +27,8 @@
 	return v, now
 }
 
-// drainOutput discards a voter's output, as if its work were done, and returns the number of snapshots in it.
+// drainOutput calls Output until it returns nil, does none of the returned work, and returns the number of snapshots in
+// the output.
 func drainOutput(v *Voter, now time.Duration) (snapshots int) {
 	for out := v.Output(now); out != nil; out = v.Output(now) {
 		if out.Snapshot != nil {
@@ -148,7 +149,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v, now := newSingleVoter(t)
 			body := make([]byte, c.size)
-			maxHeldBytes, snapshots, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/c.size)
+			maxLogBytes, snapshots, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/c.size)
 			for range puts {
 				if err := v.Propose(&Command{Put: &DocumentPut{"a", body}}); err != nil {
 					t.Fatal(err)
@@ -160,20 +161,20 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				heldBytes := 0
+				logBytes := 0
 				for _, entry := range entries {
-					heldBytes += len(entry.GetData())
+					logBytes += len(entry.GetData())
 				}
-				maxHeldBytes = max(maxHeldBytes, heldBytes)
+				maxLogBytes = max(maxLogBytes, logBytes)
 				if len(entries) > 2*snapshotEntries {
-					t.Fatalf("%d entries are held, want at most %d", len(entries), 2*snapshotEntries)
+					t.Fatalf("%d entries are in the log in memory, want at most %d", len(entries), 2*snapshotEntries)
 				}
 			}
-			if maxHeldBytes > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
-				t.Errorf("up to %d bytes are held, with %d snapshots; want at most %d, and some",
-					maxHeldBytes, snapshots, snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes)
+			if maxLogBytes > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
+				t.Errorf("up to %d bytes are in the log in memory, with %d snapshots; want at most %d, and some",
+					maxLogBytes, snapshots, snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes)
 			}
-			t.Logf("up to %d bytes are held, with %d snapshots and %d puts", maxHeldBytes, snapshots, puts)
+			t.Logf("up to %d bytes are in the log in memory, with %d snapshots and %d puts", maxLogBytes, snapshots, puts)
 		})
 	}
 }
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -12,7 +12,7 @@
 )
 
 // VoterOutput is the work that a voter has for its owner, in this order: append the records to the durable log and sync
-// it, store the snapshot, and only then send the messages.
+// the log, store the snapshot, and only then send the messages.
 type VoterOutput struct {
 	Records  []Record          // records for the durable log
 	Snapshot *Snapshot         // snapshot for the durable log; nil: none
@@ -21,9 +21,9 @@
 
 // Result is the outcome of a command that was committed.
 type Result struct {
-	ID string // the command's ID; empty: it has none
+	ID string // the command's ID; empty: the command has none
 	CommandResult
-	Err error // why the command changed nothing; nil: it was applied
+	Err error // why the command changed nothing; nil: the command was applied
 }
 
 // Output returns the work that is to be done now, or nil if there is none. The owner calls it in a loop until it returns
@@ -49,7 +49,7 @@
 	}
 	for _, entry := range ready.CommittedEntries {
 		if v.applyEntry(entry); v.StopReason != nil {
-			return nil // no output may depend on an entry that was not applied
+			return nil // the voter has stopped at an entry that it can't apply, and no output may depend on that entry
 		}
 	}
 	if v.isLeader && v.leaseManager == nil && v.hasAppliedOwnTerm() {
@@ -57,9 +57,9 @@
 	}
 	v.grantConfirmedLeases(now)
 	if hasSnapshot {
-		// The snapshot taken below includes the hard state and the entries that raft delivered with the received one. As
-		// records they would become durable before the snapshot, and a loss of power in between would leave a gap in the
-		// log.
+		// The snapshot that takeSnapshot returns has the hard state and the entries that raft delivered together with the
+		// received snapshot. If they were records, they would become durable before the snapshot, and a loss of power
+		// between the two would leave a gap in the log.
 		out.Records = []Record{{recordSnapshotMarker, nil}}
 	}
 	if hasSnapshot || v.needsSnapshot() {
@@ -84,7 +84,7 @@
 		records = append(records, Record{recordEntry, mustMarshal(entry)})
 	}
 	if err := v.storage.Append(ready.Entries); err != nil {
-		panic(fmt.Sprintf("append entries of raft: %v", err)) // raft's entries always continue its own log
+		panic(fmt.Sprintf("append entries of raft: %v", err)) // can't happen: raft's new entries always continue its log
 	}
 	if hardState := ready.HardState; hardState != nil && !raft.IsEmptyHardState(hardState) {
 		v.term = hardState.GetTerm()
@@ -102,7 +102,7 @@
 		v.applyConfChange(entry)
 		return
 	}
-	if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 { // a new leader commits an empty entry
+	if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 { // no command: the empty entry that a new leader commits
 		return
 	}
 	id, result, err := v.state.applyEncoded(entry.GetData())
@@ -120,7 +120,7 @@
 	return err == nil && term == v.Term()
 }
 
-// mustMarshal encodes a message of raft. That can't fail for a message that this process made or decoded.
+// mustMarshal encodes a message of raft. Encoding can't fail for a message that this process made or decoded.
 func mustMarshal(message proto.Message) []byte {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// raftPanic is the value with which raft panics, through its logger, if its log contradicts messages of other voters.
-// That happens if the disk has lost what this voter had acknowledged, or was replaced by an older copy of itself.
+// raftPanic is the value with which raft panics, through its logger, if the voter's log contradicts messages of other
+// voters. The cause is a disk that has lost entries which this voter had acknowledged, or that was replaced by an older
+// copy of itself.
 type raftPanic string
 
 // stopOnRaftPanic is deferred around calls into raft. On a raftPanic it stops this voter instead of the daemon, which can
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -15,14 +15,14 @@
 
 // AddressedGrant is a grant and the daemon to which it is to be sent.
 type AddressedGrant struct {
-	Recipient string // name of the daemon
+	Recipient string // name of the daemon to which the grant is sent
 	Grant     LeaseGrant
 }
 
 // pendingLease is a lease request that is not answered yet. It waits until a majority has confirmed the leadership, and
 // then until the State is as recent as the log was at that time.
 type pendingLease struct {
-	round     uint64 // number of the earliest round of ReadIndex that covers the request
+	round     uint64 // number of the earliest round of ReadIndex that was started after the request had arrived
 	readIndex uint64 // log index that must be applied before the request is answered; set when the round is confirmed
 	request   LeaseRequest
 }
@@ -53,7 +53,8 @@
 	}
 }
 
-// completeReadIndex moves the requests that a confirmed round covers from the unconfirmed to the confirmed ones.
+// completeReadIndex moves the requests that arrived before a confirmed round was started from unconfirmedLeases to
+// confirmedLeases. index is the log index that must be applied before they are answered.
 func (v *Voter) completeReadIndex(round, index uint64) {
 	unconfirmed := v.unconfirmedLeases[:0]
 	for _, lease := range v.unconfirmedLeases {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is the number of log entries by which a learner may be behind when it is promoted to a voter. It
-// receives so few with the next messages.
+// maxLearnerLag is the number of log entries by which a learner may be behind when it is promoted to a voter. The learner
+// receives the missing entries with the next messages.
 const maxLearnerLag = 16
 
 // IsLearner reports whether this voter receives the log but does not vote in raft's configuration.
@@ -45,8 +45,8 @@
 	}
 }
 
-// learners returns the raft ids of the learners in raft's configuration, and the id of one that may be promoted, which
-// is 0 if there is none.
+// learners returns the raft ids of the learners in raft's configuration, and the raft id of a learner that may be
+// promoted to a voter, which is 0 if there is none.
 func (v *Voter) learners() (learners map[uint64]bool, promotable uint64) {
 	learners = map[uint64]bool{}
 	last, _ := v.storage.LastIndex() // never fails: the storage is in memory
@@ -113,7 +113,7 @@
 		return // the daemon has no slot, or no disk on which it could start a voter
 	}
 	if v.state.ActiveVoters[grant.VoterID] {
-		grant.DiskLost = true // the voter is active in raft, but the daemon has a disk without it
+		grant.DiskLost = true // raft counts on the voter, but the daemon's present disk has no voter
 		return
 	}
 	switch v.state.DiskIDs[grant.VoterID] {
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -14,7 +14,7 @@
 const (
 	recordHardState      byte = 'h' // raft's term, vote and commit index
 	recordEntry          byte = 'e' // an entry of raft's log
-	recordSnapshotMarker byte = 'm' // no payload; another voter's snapshot, stored next, replaces all records up to here
+	recordSnapshotMarker byte = 'm' // no payload; all records up to this one are replaced by another voter's snapshot, which is stored next
 )
 
 // Record is one record for the durable log.
@@ -86,7 +86,8 @@
 	return fmt.Errorf("unknown record type %q", recordType)
 }
 
-// appendEntry appends an encoded entry. It replaces an earlier entry with the same index and drops those after that.
+// appendEntry appends an encoded entry. The entry replaces an earlier one with the same index, and all entries with
+// higher indexes are dropped.
 func (d *RecoveredState) appendEntry(encoded []byte) error {
 	entry := &raftpb.Entry{}
 	if err := proto.Unmarshal(encoded, entry); err != nil {
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -15,8 +15,8 @@
 // the log before the snapshot is retained for voters that are a little behind, which would otherwise need the complete
 // snapshot.
 const (
-	snapshotEntries  = 1000                // entries applied since the latest snapshot
-	snapshotLogBytes = 8 << 20             // bytes of entries applied since the latest snapshot: several of the longest commands
+	snapshotEntries  = 1000                // number of entries, applied since the latest snapshot, after which a snapshot is due
+	snapshotLogBytes = 8 << 20             // bytes of entries, applied since the latest snapshot, after which one is due: several of the longest commands
 	retainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
 	retainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
 )
@@ -30,7 +30,7 @@
 
 // Snapshot replaces all records before it in the durable log.
 type Snapshot struct {
-	Body []byte // raft's hard state, raft's snapshot and the entries after that, as joinParts encodes them
+	Body []byte // raft's hard state, raft's snapshot and the log entries after the snapshot, as joinParts encodes them
 }
 
 // initialSnapshot returns the snapshot from which the logs of the initial voters start. It is the same for all of them.
@@ -39,7 +39,7 @@
 	state.setInitialVoters(names)
 	data, err := state.Encode()
 	if err != nil {
-		panic(err) // plain data of this package always encodes
+		panic(err) // can't happen: every State can be encoded as JSON
 	}
 	index, term := uint64(initialIndex), uint64(1)
 	var ids []uint64
@@ -80,25 +80,25 @@
 func (v *Voter) takeSnapshot() *Snapshot {
 	data, err := v.state.Encode()
 	if err != nil {
-		panic(err) // plain data of this package always encodes
+		panic(err) // can't happen: every State can be encoded as JSON
 	}
 	if v.appliedIndex > v.snapshotIndex {
 		if _, err := v.storage.CreateSnapshot(v.appliedIndex, v.confState, data); err != nil {
 			panic(fmt.Sprintf("create snapshot at index %d: %v", v.appliedIndex, err))
 		}
 		if index := v.compactionIndex(); index > 0 {
-			_ = v.storage.Compact(index) // fails only if the log is compacted that far already
+			_ = v.storage.Compact(index) // fails only if the log is already compacted up to index
 		}
 		v.snapshotIndex, v.bytesSinceSnapshot = v.appliedIndex, 0
 	}
-	// These calls never fail: the storage is in memory.
+	// Snapshot and InitialState never fail: the storage is in memory.
 	snapshot, _ := v.storage.Snapshot()
 	hardState, _, _ := v.storage.InitialState()
 	parts := [][]byte{mustMarshal(hardState), mustMarshal(snapshot)}
 	if last, err := v.storage.LastIndex(); err == nil && last > v.appliedIndex {
 		entries, err := v.storage.Entries(v.appliedIndex+1, last+1, math.MaxUint64)
 		if err != nil {
-			panic(err) // the log in memory has all entries after the snapshot
+			panic(err) // can't happen: the log in memory has all entries after the snapshot
 		}
 		for _, entry := range entries {
 			parts = append(parts, mustMarshal(entry))
@@ -108,7 +108,7 @@
 }
 
 // compactionIndex returns the index of the last entry that the log in memory may drop once a snapshot covers all applied
-// entries. It is 0 if there is none.
+// entries. It is 0 if the log may drop no entry.
 func (v *Voter) compactionIndex() uint64 {
 	first, err := v.storage.FirstIndex()
 	if err != nil || first > v.appliedIndex {
@@ -127,8 +127,8 @@
 	return 0
 }
 
-// ReportSnapshot tells raft whether a snapshot was sent to another voter. It must be called for each message of type
-// MsgSnap.
+// ReportSnapshot notifies raft whether a snapshot was sent to the voter with the raft id to. It must be called for each
+// message of type MsgSnap.
 func (v *Voter) ReportSnapshot(to uint64, isSent bool) {
 	status := raft.SnapshotFailure
 	if isSent {
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -10,26 +10,26 @@
 // in which far fewer commands are committed.
 const maxRecentResults = 1024
 
-// State is what the commands of the log have produced. It depends on nothing else: voters that have applied the same
-// commands have equal States. The JSON names are stored in snapshots and must not change. The maps are replaced and
-// never modified, so that callers may keep them.
+// State is the result of the commands in the log. It depends on nothing else: voters that have applied the same commands
+// have equal States. The JSON names are stored in snapshots and must not change. The maps are replaced and never
+// modified, so that callers may keep them.
 type State struct {
 	Version       uint64              `json:"version"` // latest version of the documents
-	Pending       uint64              `json:"coming"`  // version to be activated next; equal to Active if none is pending
+	Pending       uint64              `json:"coming"`  // version to be activated next; equal to Active if no version is pending
 	Active        uint64              `json:"active"`  // version on which the daemons act
 	Forced        uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
 	Docs          map[string]Document `json:"docs"`    // documents of Version, by name
 	PendingDocs   map[string]Document `json:"next"`    // documents of the pending version, by name
 	ActiveDocs    map[string]Document `json:"acted"`   // documents of the active version, by name
 	History       []HistoryEntry      `json:"history"` // latest changes, oldest first, at most maxHistoryEntries
-	RetainedDocs  []Document          `json:"kept"`    // replaced and removed documents, to read or revert to; oldest first
+	RetainedDocs  []Document          `json:"kept"`    // documents that were replaced or removed and can still be read or reverted to, oldest first
 	RecentResults []recentResult      `json:"ids"`     // results of commands with an ID, oldest first, at most maxRecentResults
 
 	VoterSlots      map[uint64]string `json:"seats"`     // names of the daemons with a voter slot, by raft id
-	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids that vote in raft's configuration
+	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids of the voters in raft's configuration, without learners
 	DepartingVoters map[uint64]string `json:"leaving"`   // names, by raft id, of voters without a slot that raft has yet to drop
-	DiskIDs         map[uint64]string `json:"marks"`     // disk ids by raft id, each set once before the slot's voter is active
-	LastVoterID     uint64            `json:"last_seat"` // highest raft id assigned so far; ids are not reused
+	DiskIDs         map[uint64]string `json:"marks"`     // ids of the disks to which voter slots are bound, by raft id; each is set once, before the slot's voter is active
+	LastVoterID     uint64            `json:"last_seat"` // highest raft id assigned so far; a raft id is never assigned twice
 	InitialVoters   []string          `json:"first"`     // names of the cluster's initial voters, sorted
 }
 
@@ -118,7 +118,7 @@
 // hasPendingVersion reports whether a version waits to be activated.
 func (s *State) hasPendingVersion() bool { return s.Pending > s.Active }
 
-// recordResult records the result of a command, if it has an ID, so that duplicates get the same one. It returns the
+// recordResult records the result of a command that has an ID, so that duplicates get the same result. It returns the
 // result.
 func (s *State) recordResult(id string, result CommandResult) CommandResult {
 	if id != "" {
--- a/internal/cluster/consensus/state_encoding.go
+++ b/internal/cluster/consensus/state_encoding.go
@@ -6,7 +6,7 @@
 )
 
 // snapshotState is the encoded form of a State in a snapshot. Documents are encoded without their bodies, so that a body
-// that several of them share is stored once.
+// that several documents share is stored once.
 type snapshotState struct {
 	State
 	Bodies map[string][]byte `json:"bodies"` // bodies of the documents, by bodyKey
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -20,7 +20,7 @@
 	return state.Apply(encoded)
 }
 
-// mustApply does what apply does with a command that must succeed.
+// mustApply encodes a command and applies it to a State. It fails the test if the command returns an error.
 func mustApply(tb testing.TB, state *State, c Command) CommandResult {
 	tb.Helper()
 	result, err := apply(tb, state, c)
@@ -70,7 +70,8 @@
 	})
 }
 
-// drawCommand draws an activation, a removal, or a put, which may expect a version.
+// drawCommand draws a command that activates a version, removes a document, or puts a document with or without an
+// ExpectedVersion.
 func drawCommand(t *rapid.T) Command {
 	c := Command{ID: fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "id"))}
 	names := rapid.SampledFrom([]string{"x", "y"})
@@ -88,8 +89,8 @@
 	return c
 }
 
-// A document can be read as it was at any retained version, and reverted to that. The errors for a document that is no
-// longer retained and for one that never existed differ.
+// A document can be read as it was at any retained version, and reverted to that version. The errors for a document that
+// is no longer retained and for a document that never existed differ.
 func TestDocumentsAreReadAndRevertedByVersion(t *testing.T) {
 	state := NewState()
 	for _, c := range []Command{
@@ -159,14 +160,14 @@
 	if state.Active != 3 || state.Pending != 4 || string(state.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("after the activation of version 3: %+v; want version 3 active and 4 pending", state)
 	}
-	later := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
-	if _, err := state.Apply(later); !errors.Is(err, ErrUnknownCommand) || state.Version != 4 {
+	laterFormatCommand := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
+	if _, err := state.Apply(laterFormatCommand); !errors.Is(err, ErrUnknownCommand) || state.Version != 4 {
 		t.Errorf("command of a later build: error %v, version %d; want %v, 4", err, state.Version, ErrUnknownCommand)
 	}
 }
 
-// A State that is encoded for a snapshot and decoded again is the same. A body is encoded once, even if the latest, the
-// pending and the active version have it.
+// A State that is encoded for a snapshot and decoded again is the same. A document's body is encoded once, even if the
+// latest, the pending and the active version have the document.
 func TestStateSurvivesSnapshotEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState()
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -15,15 +15,15 @@
 
 // Bounds of raft's messages and of its uncommitted log.
 const (
-	maxInflightMessages = 64      // append messages to one voter that it has not acknowledged
-	maxMessageBytes     = 1 << 20 // bytes of entries in one message; a longer entry is sent alone
-	maxUncommittedBytes = 8 << 20 // bytes of proposed entries that are not committed: several of the longest commands
+	maxInflightMessages = 64      // greatest number of append messages to one voter that the voter has not acknowledged
+	maxMessageBytes     = 1 << 20 // greatest number of bytes of entries in one message; a longer entry is sent alone
+	maxUncommittedBytes = 8 << 20 // greatest number of bytes of proposed entries that are not committed: several of the longest commands
 )
 
 // Config is the configuration of a voter, fixed for its lifetime.
 type Config struct {
 	ID                uint64        // raft id of this voter; never 0
-	HeartbeatInterval time.Duration // the leader's heartbeat interval; an election timeout is five to ten of them
+	HeartbeatInterval time.Duration // time between two heartbeats of the leader; an election timeout is five to ten times as long
 	Seed              uint64        // seed of the random election timeouts
 	Lease             LeaseConfig   // durations of the leases that this voter grants while it leads
 }
@@ -35,34 +35,35 @@
 // method it calls Output until that returns nil, and takes Results and Grants.
 type Voter struct {
 	config  Config
-	rng     *rand.Rand          // draws the election timeouts
+	rng     *rand.Rand          // random numbers for the election timeouts, from Config.Seed
 	rawNode *raft.RawNode       // raft's state machine
 	storage *raft.MemoryStorage // raft's log in memory
 
-	state                *State            // result of the applied commands
+	state                *State            // State that the applied commands have produced
 	confState            *raftpb.ConfState // raft's configuration at appliedIndex
 	appliedIndex         uint64            // log index of the last applied entry
 	snapshotIndex        uint64            // log index of the latest snapshot
 	bytesSinceSnapshot   int               // bytes of the entries applied since the latest snapshot
-	needsLearnerSnapshot bool              // a learner was added that the latest snapshot does not name
+	needsLearnerSnapshot bool              // whether a learner was added that the latest snapshot does not name
 
 	term            uint64        // raft's term in the latest hard state
-	isLeader        bool          // raft's node takes itself for the leader
+	isLeader        bool          // whether rawNode takes itself for the leader
 	nextHeartbeatAt time.Duration // instant of the next heartbeat, while this voter leads
-	leaderHeardAt   time.Duration // instant of the latest message of a leader
+	leaderMessageAt time.Duration // instant of the latest message of a leader
 	campaignAt      time.Duration // instant at which this voter campaigns, while it follows
 
-	leaseManager      *LeaseManager  // nil unless this voter leads and has applied all that its predecessors committed
+	leaseManager      *LeaseManager  // manager of the leases; nil unless this voter leads and has applied all that earlier leaders committed
 	readRound         uint64         // number of the latest round of raft's ReadIndex that was started
-	unconfirmedLeases []pendingLease // requests whose round of ReadIndex is not confirmed yet
-	confirmedLeases   []pendingLease // requests whose round is confirmed, but whose read index may not be applied yet
+	unconfirmedLeases []pendingLease // lease requests whose round of ReadIndex is not confirmed yet
+	confirmedLeases   []pendingLease // lease requests whose round of ReadIndex is confirmed, but whose read index may not be applied yet
 	proposedVersion   uint64         // latest version that this leader proposed to activate or skip in this term
 
-	// Results are those of committed commands, in the order of the log. The owner takes them and sets the field to nil.
+	// Results are the results of committed commands, in the order of the log. The owner takes them and sets the field to
+	// nil.
 	Results []Result
-	// Grants are to be sent. The owner takes them and sets the field to nil.
+	// Grants are the grants that the owner is to send to daemons. The owner takes them and sets the field to nil.
 	Grants []AddressedGrant
-	// StopReason is why this voter must not continue, nil if it may. Once it is set, the owner uses none of the voter's
+	// StopReason is why this voter must not continue; nil: it may. Once StopReason is set, the owner uses none of the voter's
 	// output and closes its log.
 	StopReason error
 }
@@ -75,7 +76,7 @@
 		storage:         recovered.storage,
 		state:           NewState(),
 		rng:             rand.New(rand.NewPCG(config.Seed, config.ID)),
-		leaderHeardAt:   now,
+		leaderMessageAt: now,
 		nextHeartbeatAt: now,
 	}
 	defer func() { err = errors.Join(err, v.StopReason) }()
@@ -146,17 +147,17 @@
 		return
 	}
 	if now >= v.leaderExpiresAt() {
-		_ = v.rawNode.ForgetLeader() // otherwise raft would reject the vote requests of other voters
-		v.leaderHeardAt = now
+		_ = v.rawNode.ForgetLeader() // while raft knows a leader, it would reject the vote requests of other voters
+		v.leaderMessageAt = now
 	}
 	if now >= v.campaignAt {
 		v.resetElectionTimer(now)
-		_ = v.rawNode.Campaign() // raft ignores it for a learner
+		_ = v.rawNode.Campaign() // raft ignores the call if this voter is a learner
 	}
 }
 
-// heartbeat has raft send its heartbeats, repeats requests whose messages may have been lost, and proposes what has
-// become possible since the previous heartbeat.
+// heartbeat has raft send its heartbeats, repeats requests whose messages may have been lost, and proposes changes of the
+// voters, and to activate or skip a version, if that has become possible since the previous heartbeat.
 func (v *Voter) heartbeat(now time.Duration) {
 	v.nextHeartbeatAt = now + v.config.HeartbeatInterval
 	v.rawNode.Tick()
@@ -190,14 +191,14 @@
 	}
 	v.isLeader, v.leaseManager, v.proposedVersion = isLeader, nil, 0
 	v.unconfirmedLeases, v.confirmedLeases = nil, nil
-	v.leaderHeardAt, v.nextHeartbeatAt = now, now
+	v.leaderMessageAt, v.nextHeartbeatAt = now, now
 	v.resetElectionTimer(now)
 }
 
 // leaderExpiresAt returns the instant until which a follower assumes that the leader is alive, counted from the leader's
 // latest message.
 func (v *Voter) leaderExpiresAt() time.Duration {
-	return v.leaderHeardAt + electionHeartbeats*v.config.HeartbeatInterval
+	return v.leaderMessageAt + electionHeartbeats*v.config.HeartbeatInterval
 }
 
 // resetElectionTimer sets the instant at which this voter campaigns unless it receives a message of a leader before. The
@@ -214,7 +215,7 @@
 	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if message.GetTerm() >= v.term {
-			v.leaderHeardAt = now
+			v.leaderMessageAt = now
 			v.resetElectionTimer(now)
 		}
 	}
@@ -231,7 +232,7 @@
 	return v.ProposeEncoded(encoded)
 }
 
-// ProposeEncoded does what Propose does with a command that Command.Encode has encoded.
+// ProposeEncoded proposes a command that Command.Encode has encoded, with the same errors as Propose.
 func (v *Voter) ProposeEncoded(command []byte) error {
 	defer v.stopOnRaftPanic()
 	return v.rawNode.Propose(command)
