--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -18,7 +18,7 @@
 // testLeaseConfig is the lease configuration of all nodes in the tests.
 var testLeaseConfig = consensus.LeaseConfig{Duration: 2 * time.Second, ShortDuration: 500 * time.Millisecond, MaxClockDrift: 0.01}
 
-// startTestTransport starts a transport on the loopback interface, which is aborted when the test ends.
+// startTestTransport starts a transport on the loopback interface. The transport is aborted when the test ends.
 func startTestTransport(t *testing.T, o transport.Options) *transport.Transport {
 	t.Helper()
 	o.Cluster, o.Listen, o.Log = "c", netip.MustParseAddrPort("127.0.0.1:0"), slog.New(slog.DiscardHandler)
@@ -50,7 +50,7 @@
 // testDocument is the name of the only document that tests of a testCluster change.
 const testDocument = "doc"
 
-// newTestCluster starts a cluster with this number of nodes, which are closed when the test ends.
+// newTestCluster starts a cluster of size nodes, which are closed when the test ends.
 func newTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t}
@@ -79,7 +79,7 @@
 	return c
 }
 
-// start starts node i with its present disk and its transport.
+// start starts node i on disk i and transport i of the cluster.
 func (c *testCluster) start(i int) {
 	c.t.Helper()
 	node, err := Start(Options{
@@ -97,7 +97,8 @@
 	c.nodes[i] = node
 }
 
-// put proposes at node i to write the test document, and returns the version that this made.
+// put proposes at node i a command with this id that writes the test document, and returns the version that the command
+// made.
 func (c *testCluster) put(i int, id, body string) uint64 {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testpeer.Timeout)
@@ -116,7 +117,7 @@
 	c.waitActing(c.nodes, version, body)
 }
 
-// waitActing does what waitAllActing does for some of the nodes.
+// waitActing waits until the given nodes act on this version or a later one, in which the test document has this body.
 func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, fmt.Sprint("all act on version ", version), func() bool {
@@ -142,7 +143,7 @@
 	testpeer.Eventually(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
 
-// waitVotes waits until node i votes, or until it does not.
+// waitVotes waits until node i is a voter (votes is true), or until it is none (votes is false).
 func (c *testCluster) waitVotes(i int, votes bool) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -22,8 +22,9 @@
 	"tuliprock/internal/wal"
 )
 
-// earlierBuild is the directory with data directories that daemons of an earlier build wrote (testdata/README.md).
-const earlierBuild = "testdata/build-94b9de8"
+// earlierBuildDir is the path of a directory with data directories and responses to operators that daemons of an earlier
+// build wrote (testdata/README.md).
+const earlierBuildDir = "testdata/build-94b9de8"
 
 // earlierInitialVoters are the initial voters of the earlier build's cluster.
 var earlierInitialVoters = []string{"bay-1", "bay-2", "bay-3"}
@@ -36,19 +37,19 @@
 	"bay-4": "MXVAGED2ZUPVRM3N4KMNALE22T",
 }
 
-// earlierFixture has the data directories of the earlier build's daemons at a moment when all of them were killed, and
-// what is expected of a start from the data.
+// earlierFixture names the data directories that the earlier build's daemons left when all of them were killed at some
+// moment, and has the state that daemons of this build must find in the data.
 type earlierFixture struct {
-	name          string            // name of the directory below earlierBuild
-	version       uint64            // version on which all daemons acted
-	bodies        map[string]string // bodies of the documents other than "shared", by name
-	voters        []string          // names of the voters in the daemons' cache files
-	knownVoters   []string          // names of the voters and of the initial voters
-	term          uint64            // raft's term on the voters' disks
-	snapshotIndex map[string]uint64 // index of the snapshot in the daemon's log, by the daemon's name; nil: there are none
+	name            string            // name of the directory below earlierBuildDir
+	version         uint64            // version on which all daemons acted
+	bodies          map[string]string // body of each document, other than the document "shared", by the document's name
+	voters          []string          // names of the voters in the daemons' cache files
+	knownVoters     []string          // names of all voters and initial voters, from which a daemon may request a lease
+	term            uint64            // raft's term on the voters' disks
+	snapshotIndexes map[string]uint64 // index of the snapshot in the daemon's durable log, by the daemon's name; nil: the logs have no snapshots
 }
 
-// earlierFixtures are the two moments at which the earlier build's daemons were killed.
+// earlierFixtures are the fixtures of two moments: before and after the voters of the earlier build's cluster changed.
 var earlierFixtures = []earlierFixture{
 	{
 		name:    "first-voters",
@@ -72,10 +73,10 @@
 			"flag/e":              "seven, when bay-3 is out",
 			"out/127.0.0.1:21040": "",
 		},
-		voters:        []string{"bay-1", "bay-2", "bay-4"},
-		knownVoters:   []string{"bay-1", "bay-2", "bay-3", "bay-4"},
-		term:          2,
-		snapshotIndex: map[string]uint64{"bay-1": 80, "bay-2": 80, "bay-3": 80, "bay-4": 2},
+		voters:          []string{"bay-1", "bay-2", "bay-4"},
+		knownVoters:     []string{"bay-1", "bay-2", "bay-3", "bay-4"},
+		term:            2,
+		snapshotIndexes: map[string]uint64{"bay-1": 80, "bay-2": 80, "bay-3": 80, "bay-4": 2},
 	},
 }
 
@@ -83,7 +84,7 @@
 func (f *earlierFixture) copyData(t *testing.T, daemon string) wal.FS {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), daemon)
-	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuild, f.name, daemon))); err != nil {
+	if err := os.CopyFS(path, os.DirFS(filepath.Join(earlierBuildDir, f.name, daemon))); err != nil {
 		t.Fatal(err)
 	}
 	disk, err := wal.OpenDir(path)
@@ -113,21 +114,22 @@
 	return lines.String()
 }
 
-// earlierLines returns the lines that begin with a word in a file with answers of the earlier build.
-func earlierLines(t *testing.T, file, word string) []string {
+// earlierResponseLines returns the lines whose first word is firstWord in a file below earlierBuildDir, which has a response
+// that a daemon of the earlier build sent to an operator.
+func earlierResponseLines(t *testing.T, file, firstWord string) []string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(earlierBuild, file))
+	text, err := os.ReadFile(filepath.Join(earlierBuildDir, file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := slices.Collect(strings.Lines(string(text)))
-	return slices.DeleteFunc(lines, func(line string) bool { return !strings.HasPrefix(line, word+" ") })
+	return slices.DeleteFunc(lines, func(line string) bool { return !strings.HasPrefix(line, firstWord+" ") })
 }
 
 // checkDocuments fails the test unless the documents are those on which the earlier build's daemons acted.
 func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
-	if got, want := documentLines(docs), strings.Join(earlierLines(t, f.name+".settings.txt", "document"), ""); got != want {
+	if got, want := documentLines(docs), strings.Join(earlierResponseLines(t, f.name+".settings.txt", "document"), ""); got != want {
 		t.Errorf("documents\n%swant\n%s", got, want)
 	}
 	for name, d := range docs {
@@ -140,8 +142,8 @@
 	}
 }
 
-// earlierTransport starts a transport with the name of one of the earlier build's daemons.
-func earlierTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
+// startReplacementTransport starts a transport of this build with the name of a daemon of the earlier build.
+func startReplacementTransport(t *testing.T, daemon string, join ...netip.AddrPort) *transport.Transport {
 	t.Helper()
 	return startTestTransport(t, transport.Options{
 		Name:   daemon,
@@ -150,8 +152,8 @@
 	})
 }
 
-// startEarlierNode starts a node of this build in place of a daemon of the earlier build.
-func startEarlierNode(t *testing.T, daemon string, disk wal.FS, l *transport.Transport) *Node {
+// startReplacementNode starts a node of this build with the name and the disk of a daemon of the earlier build.
+func startReplacementNode(t *testing.T, daemon string, disk wal.FS, l *transport.Transport) *Node {
 	t.Helper()
 	n, err := Start(Options{
 		Name:          daemon,
@@ -178,7 +180,7 @@
 				if text, err := readFile(disk, diskIDFile, maxIdentityBytes); err != nil || string(text) != earlierDiskIDs[daemon]+"\n" {
 					t.Errorf("disk id %q, error %v; want %q", text, err, earlierDiskIDs[daemon]+"\n")
 				}
-				n := startEarlierNode(t, daemon, disk, earlierTransport(t, daemon))
+				n := startReplacementNode(t, daemon, disk, startReplacementTransport(t, daemon))
 				leased, ok := n.Valid()
 				if leased.Version != f.version || ok {
 					t.Errorf("the node starts with version %d, leased %t; want %d without a lease", leased.Version, ok, f.version)
@@ -203,7 +205,7 @@
 // checkVoter fails the test unless a closed node has the voter that the daemon of the earlier build had.
 func (f *earlierFixture) checkVoter(t *testing.T, daemon string, n *Node) {
 	t.Helper()
-	if daemon == "bay-4" && f.snapshotIndex == nil { // bay-4 was not a voter yet
+	if daemon == "bay-4" && f.snapshotIndexes == nil { // when this fixture was made, bay-4 was not a voter yet
 		if n.localVoter != nil || n.diskID != earlierDiskIDs[daemon] {
 			t.Errorf("voter %+v, disk id %q; want none, %q", n.localVoter, n.diskID, earlierDiskIDs[daemon])
 		}
@@ -212,16 +214,16 @@
 	if n.localVoter == nil {
 		t.Fatal("the node has no voter")
 	}
-	const cluster = "ef8b6c92f1d49007" // cluster id in the identity file of bay-4
-	want := identity{name: daemon, id: 4, diskIDs: map[string]string{}}
+	const wantClusterID = "ef8b6c92f1d49007" // cluster id in the identity file of bay-4
+	want := identity{name: daemon, voterID: 4, diskIDs: map[string]string{}}
 	if daemon != "bay-4" {
-		want.initialVoters, want.id = earlierInitialVoters, uint64(slices.Index(earlierInitialVoters, daemon)+1)
+		want.initialVoters, want.voterID = earlierInitialVoters, uint64(slices.Index(earlierInitialVoters, daemon)+1)
 		want.diskIDs = maps.Clone(earlierDiskIDs)
 		delete(want.diskIDs, "bay-4")
 	}
 	got := n.localVoter.identity
-	if fmt.Sprintf("%x", got.clusterID) != cluster {
-		t.Errorf("cluster id %x, want %s", got.clusterID, cluster)
+	if fmt.Sprintf("%x", got.clusterID) != wantClusterID {
+		t.Errorf("cluster id %x, want %s", got.clusterID, wantClusterID)
 	}
 	got.clusterID = clusterID{}
 	if !reflect.DeepEqual(got, want) {
@@ -230,8 +232,8 @@
 	if term := n.localVoter.voter.Term(); term != f.term {
 		t.Errorf("term %d, want %d", term, f.term)
 	}
-	if index := n.localVoter.log.SnapshotIndex(); index != f.snapshotIndex[daemon] {
-		t.Errorf("the log has a snapshot at index %d, want %d", index, f.snapshotIndex[daemon])
+	if index := n.localVoter.log.SnapshotIndex(); index != f.snapshotIndexes[daemon] {
+		t.Errorf("the log has a snapshot at index %d, want %d", index, f.snapshotIndexes[daemon])
 	}
 }
 
@@ -243,9 +245,9 @@
 			c := &testCluster{t: t}
 			var join []netip.AddrPort
 			for _, daemon := range f.voters {
-				l := earlierTransport(t, daemon, join...)
+				l := startReplacementTransport(t, daemon, join...)
 				join = append(join, l.Addr())
-				n := startEarlierNode(t, daemon, f.copyData(t, daemon), l)
+				n := startReplacementNode(t, daemon, f.copyData(t, daemon), l)
 				t.Cleanup(func() {
 					if err := n.Close(); err != nil {
 						t.Error(err)
@@ -286,7 +288,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Join(earlierLines(t, "history.txt", "change")[:f.version], "")
+	want := strings.Join(earlierResponseLines(t, "history.txt", "change")[:f.version], "")
 	if got := historyLines(r.History); r.Version != f.version || got != want {
 		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
 	}
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -24,7 +24,8 @@
 	return diskID, wal.ReplaceFile(n.options.Disk, diskIDFile, []byte(diskID+"\n"))
 }
 
-// readFile returns the contents of a file, at most its first maxBytes, or nil without an error if there is no such file.
+// readFile returns the contents of a file, at most its first maxBytes bytes, or nil without an error if no file has this
+// name.
 func readFile(fs wal.FS, name string, maxBytes int64) ([]byte, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -37,7 +38,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
-	defer func() { _ = f.Close() }() // the file was only read, so an error loses nothing
+	defer func() { _ = f.Close() }() // an error of Close is harmless: the file is only read
 	size, err := f.Size()
 	if err != nil {
 		return nil, fmt.Errorf("size of %s: %w", name, err)
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -56,7 +56,7 @@
 }
 
 // handleMessage dispatches a message by its kind. A message that can't be decoded is dropped: the transport has verified
-// that a daemon of the cluster sent it, so that daemon runs another build.
+// that a daemon of the cluster sent the message, so the sending daemon runs another build.
 func (n *Node) handleMessage(m transport.Message) {
 	now := n.options.Now()
 	switch m.Kind {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -12,18 +12,18 @@
 
 const (
 	identityFile     = "IDENTITY" // name of the file that holds a voter's identity
-	maxIdentityBytes = 4096       // greatest size of the file that is read; with seven names it has about 500 bytes
+	maxIdentityBytes = 4096       // greatest number of bytes that are read of an identity file, which has about 500 with seven names
 )
 
-// identity says which voter of which cluster owns a data directory. It is stored in a file beside the durable log, which
-// is written once. The identity of an initial voter has the names of all initial voters, from which their raft ids
-// follow; that of a voter that was added later has its assigned raft id and the cluster's id.
+// identity says which voter of which cluster owns a data directory. It is stored in a file (identityFile) beside the
+// durable log, and the file is written once. The identity of an initial voter has the names of all initial voters, from
+// which their raft ids follow; the identity of a voter that was added later has its assigned raft id and the cluster's id.
 type identity struct {
 	name          string            // name of the voter's daemon
 	initialVoters []string          // names of the cluster's initial voters, sorted; empty: this voter was added later
-	id            uint64            // raft id of the voter
+	voterID       uint64            // raft id of the voter
 	clusterID     clusterID         // id of the cluster
-	diskIDs       map[string]string // disk ids of the initial voters, by name, when the first of them created its log
+	diskIDs       map[string]string // for an initial voter: disk ids of all initial voters, by name, when the first of them created its log
 }
 
 // clusterID is a digest of the names of a cluster's initial voters. With it, a voter recognizes and drops raft messages
@@ -45,7 +45,7 @@
 	return &identity{
 		name:          name,
 		initialVoters: initialVoters,
-		id:            uint64(slices.Index(initialVoters, name) + 1),
+		voterID:       uint64(slices.Index(initialVoters, name) + 1),
 		clusterID:     newClusterID(initialVoters),
 		diskIDs:       diskIDs,
 	}
@@ -54,7 +54,7 @@
 // String returns the contents of the identity file, without the final newline.
 func (i *identity) String() string {
 	if len(i.initialVoters) == 0 {
-		return fmt.Sprintf("%s joined as %d in %x", i.name, i.id, i.clusterID)
+		return fmt.Sprintf("%s joined as %d in %x", i.name, i.voterID, i.clusterID)
 	}
 	text := i.name + " of " + strings.Join(i.initialVoters, " ")
 	for _, name := range slices.Sorted(maps.Keys(i.diskIDs)) {
@@ -74,14 +74,14 @@
 	}
 	switch {
 	case len(words) > 2 && words[1] == "of":
-		if i := newInitialVoterIdentity(words[0], words[2:], diskIDs); i.id > 0 {
+		if i := newInitialVoterIdentity(words[0], words[2:], diskIDs); i.voterID > 0 {
 			return i, nil
 		}
 	case len(words) == 6 && words[1] == "joined" && words[4] == "in":
 		cluster, err := hex.DecodeString(words[5])
 		id, idErr := strconv.ParseUint(words[3], 10, 64)
 		if err == nil && idErr == nil && len(cluster) == clusterIDSize && id > 0 {
-			return &identity{name: words[0], id: id, clusterID: clusterID(cluster), diskIDs: diskIDs}, nil
+			return &identity{name: words[0], voterID: id, clusterID: clusterID(cluster), diskIDs: diskIDs}, nil
 		}
 	}
 	return nil, fmt.Errorf("%s: not the identity of a voter: %.100q", identityFile, text)
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -11,7 +11,7 @@
 // The identity files of running voters were written by earlier builds: they must be parsed, and written again byte for
 // byte.
 func TestIdentityKeepsItsFormat(t *testing.T) {
-	const clusterOfABC = "0e9f64031fcb2bc7" // the first 8 bytes of SHA-256 of "a b c"
+	const clusterOfABC = "0e9f64031fcb2bc7" // id of the cluster with the initial voters a, b and c: the first 8 bytes of SHA-256 of "a b c"
 	for _, c := range []struct {
 		name string
 		text string
@@ -20,18 +20,18 @@
 		{
 			name: "initial voter that began before there were disk ids",
 			text: "b of a b c",
-			want: identity{name: "b", initialVoters: []string{"a", "b", "c"}, id: 2},
+			want: identity{name: "b", initialVoters: []string{"a", "b", "c"}, voterID: 2},
 		},
 		{
 			name: "initial voter with the disk ids of all",
 			text: "c of a b c\na MA\nb MB\nc MC",
-			want: identity{name: "c", initialVoters: []string{"a", "b", "c"}, id: 3,
+			want: identity{name: "c", initialVoters: []string{"a", "b", "c"}, voterID: 3,
 				diskIDs: map[string]string{"a": "MA", "b": "MB", "c": "MC"}},
 		},
 		{
 			name: "voter that was added later",
 			text: "d joined as 4 in " + clusterOfABC,
-			want: identity{name: "d", id: 4},
+			want: identity{name: "d", voterID: 4},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.name != c.want.name || got.id != c.want.id ||
+			if got.name != c.want.name || got.voterID != c.want.voterID ||
 				!slices.Equal(got.initialVoters, c.want.initialVoters) || !maps.Equal(got.diskIDs, c.want.diskIDs) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -9,41 +9,41 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// leaseClient is a daemon's side of its lease, and what the daemon knows about the voters that may grant one.
+// leaseClient requests a daemon's leases, applies the grants, and knows the voters that may grant a lease.
 type leaseClient struct {
-	holder          *consensus.LeaseHolder
-	nextRequestAt   time.Duration // instant at which a lease is requested again
-	knownVoters     []string      // names, sorted, of the initial voters and of all voters known since: they may grant leases
-	activeVoters    []string      // names of the daemons that vote, as a leader last reported them
-	leader          string        // name of the voter that granted the latest lease, or from which one was requested last
-	isLatestGranted bool          // leader granted the latest request
-	hasFirstGrant   bool          // Node.firstGrant is closed
-	checkingVersion uint64        // version whose check is running; 0: none
+	holder                 *consensus.LeaseHolder
+	nextRequestAt          time.Duration // instant of the next lease request
+	knownVoters            []string      // names of the initial voters and of other daemons known to have a voter slot, which may grant leases; sorted
+	activeVoters           []string      // names of the daemons that vote, as a leader last reported them
+	leader                 string        // name of the voter from which the latest grant came, or from which a lease was requested since
+	isLatestRequestGranted bool          // whether a grant has answered the latest lease request
+	hasFirstGrant          bool          // whether Node.firstGrant is closed
+	checkingVersion        uint64        // version for which Options.Check is running; 0: none
 }
 
-// requestLease requests a lease from the voter that granted the latest one. If that voter did not answer the latest
-// request, it requests the lease from the next voter by name.
+// requestLease requests a lease from the voter that sent the latest grant. If that voter did not answer the latest
+// request, requestLease requests the lease from the voter whose name follows in sorted order.
 func (n *Node) requestLease(now time.Duration) {
 	c := &n.client
-	if !c.isLatestGranted {
+	if !c.isLatestRequestGranted {
 		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // the first name after leader in sorted order
 		c.leader = c.knownVoters[i%len(c.knownVoters)]
 	}
-	c.isLatestGranted = false
+	c.isLatestRequestGranted = false
 	r, next := c.holder.NextRequest(now)
 	if n.localVoter == nil && !n.hasStoppedVoting {
 		r.DiskID = n.diskID
 	}
 	c.nextRequestAt = next
 	if n.localVoter != nil && n.localVoter.voter.IsLeader() {
-		_ = n.localVoter.voter.RequestLease(r) // if it fails, the next request is due soon
+		_ = n.localVoter.voter.RequestLease(r) // if RequestLease fails, the daemon repeats the request at nextRequestAt
 		return
 	}
 	n.sendJSON(c.leader, kindLeaseRequest, r)
 }
 
-// handleLeaseRequest passes a request to this daemon's voter. If that is not the leader, it sends the names of the known
-// voters to the requesting daemon, whose own names may be out of date.
+// handleLeaseRequest passes another daemon's request to this daemon's voter. If this daemon does not lead, it sends the
+// names of the voters that it knows to the requesting daemon, which may know only earlier voters.
 func (n *Node) handleLeaseRequest(m transport.Message) {
 	var r consensus.LeaseRequest
 	if json.Unmarshal(m.Body, &r) != nil || r.Daemon != m.From {
@@ -66,7 +66,7 @@
 // voters and the versions.
 func (n *Node) applyGrant(now time.Duration, leader string, g consensus.LeaseGrant) {
 	c := &n.client
-	c.isLatestGranted, c.leader = true, leader
+	c.isLatestRequestGranted, c.leader = true, leader
 	if len(g.SlotHolders) > 0 {
 		c.setVoters(g.SlotHolders, n.options.InitialVoters)
 		c.activeVoters = g.ActiveVoters
@@ -88,7 +88,7 @@
 	}
 	if !c.hasFirstGrant {
 		c.hasFirstGrant = true
-		n.publish() // so that Valid returns this version to whoever waits for firstGrant
+		n.publish() // Valid must return the granted version before firstGrant is closed
 		close(n.firstGrant)
 	}
 }
@@ -114,24 +114,24 @@
 			}
 			c.holder.CompleteCheck(version, err)
 			c.nextRequestAt = 0
-			n.startCheck() // another version may have been offered meanwhile
+			n.startCheck() // the leader may have offered another version while the check was running
 		})
 	})
 }
 
-// handleVoterNames adds the names of voters that a daemon sent because its voter does not lead. It ignores them if a
-// leader has granted the latest request meanwhile.
+// handleVoterNames adds to the known voters the names that a daemon sent because it does not lead. It ignores the names
+// if a grant has already answered the latest lease request.
 func (n *Node) handleVoterNames(m transport.Message) {
 	var names []string
-	if json.Unmarshal(m.Body, &names) == nil && !n.client.isLatestGranted {
+	if json.Unmarshal(m.Body, &names) == nil && !n.client.isLatestRequestGranted {
 		n.client.addVoters(names)
 	}
 }
 
-// maxKnownVoters bounds the known voters if names come from daemons other than the leader.
+// maxKnownVoters is the greatest number of known voters to which names from daemons other than the leader may add.
 const maxKnownVoters = 4 * consensus.MaxVoters
 
-// setVoters sets the known voters to those that a leader reported and the initial voters.
+// setVoters sets the known voters to the voters that a leader reported and the initial voters.
 func (c *leaseClient) setVoters(names, initialVoters []string) {
 	c.knownVoters = sortedUnion(names, initialVoters)
 }
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -31,8 +31,8 @@
 		t.Cleanup(func() { n.Close() })
 		return n, l
 	}
-	voter, l := start("v", nil)
-	other, _ := start("o", func(docs map[string]consensus.Document) error {
+	voterNode, l := start("v", nil)
+	rejectingNode, _ := start("o", func(docs map[string]consensus.Document) error {
 		if strings.Contains(string(docs["a"].Body), "bad") {
 			return errors.New("it is bad")
 		}
@@ -40,7 +40,7 @@
 	}, l.Addr())
 	put := func(body string) uint64 {
 		t.Helper()
-		v, err := other.ProposeVersion(t.Context(), consensus.Command{Put: &consensus.DocumentPut{Name: "a", Body: []byte(body)}})
+		v, err := rejectingNode.ProposeVersion(t.Context(), consensus.Command{Put: &consensus.DocumentPut{Name: "a", Body: []byte(body)}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,22 +53,22 @@
 			return ok && leased.Version == version
 		})
 	}
-	waitActing(other, put("good"))
-	bad := put("bad")
+	waitActing(rejectingNode, put("good"))
+	badVersion := put("bad")
 	testpeer.Eventually(t, "both daemons report why the version is rejected", func() bool {
-		leader, rejecting := voter.Status(), other.Status()
-		return len(leader.Lagging) == 1 && leader.Lagging[0].Daemon == "o" &&
-			strings.Contains(leader.Lagging[0].Reason, "it is bad") &&
-			rejecting.RejectedVersion == bad && rejecting.RejectionReason == "it is bad"
+		leaderStatus, rejectingStatus := voterNode.Status(), rejectingNode.Status()
+		return len(leaderStatus.Lagging) == 1 && leaderStatus.Lagging[0].Daemon == "o" &&
+			strings.Contains(leaderStatus.Lagging[0].Reason, "it is bad") &&
+			rejectingStatus.RejectedVersion == badVersion && rejectingStatus.RejectionReason == "it is bad"
 	})
-	if _, err := other.Propose(t.Context(), consensus.Command{Force: bad}); err != nil {
+	if _, err := rejectingNode.Propose(t.Context(), consensus.Command{Force: badVersion}); err != nil {
 		t.Fatal(err)
 	}
-	waitActing(voter, bad)
-	testpeer.Eventually(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := other.Valid(); return !ok })
-	good := put("better")
-	waitActing(other, good)
+	waitActing(voterNode, badVersion)
+	testpeer.Eventually(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := rejectingNode.Valid(); return !ok })
+	goodVersion := put("better")
+	waitActing(rejectingNode, goodVersion)
 	testpeer.Eventually(t, "both daemons report that all act on the latest version", func() bool {
-		return other.Status().FullyActiveVersion == good && voter.Status().FullyActiveVersion == good
+		return rejectingNode.Status().FullyActiveVersion == goodVersion && voterNode.Status().FullyActiveVersion == goodVersion
 	})
 }
--- a/internal/cluster/raftnode/localvoter.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -14,7 +14,7 @@
 )
 
 // heartbeatInterval is the time between two heartbeats of the leader. The voters elect another leader when they have
-// received none for five to ten intervals.
+// received no heartbeat for five to ten intervals.
 const heartbeatInterval = 100 * time.Millisecond
 
 // localVoter is the voter that a daemon runs, with its identity and its durable log.
@@ -22,7 +22,7 @@
 	identity
 	voter     *consensus.Voter
 	log       *wal.Log          // durable log of the voter
-	peerNames map[uint64]string // names by raft id, from the messages of voters that the replicated State does not name yet
+	peerNames map[uint64]string // names, by raft id, of voters that have sent messages and that the replicated State does not name yet
 }
 
 // errVoterDiskLost is why a daemon with a voter slot does not vote. The votes and entries that its voter acknowledged
@@ -31,22 +31,22 @@
 	"remove this daemon from the voters and then add it again")
 
 // startVoter starts the voter that is stored on this daemon's disk. If none is stored, an initial voter starts the
-// bootstrap instead. It returns nil without an error if this daemon runs no voter, or none yet.
+// bootstrap instead. It returns nil without an error if this daemon runs no voter, or has to bootstrap its voter first.
 func (n *Node) startVoter(now time.Duration) (*localVoter, error) {
 	text, err := readFile(n.options.Disk, identityFile, maxIdentityBytes)
 	if err != nil {
 		return nil, err
 	}
 	if text != nil {
-		own, err := parseIdentity(string(text))
+		ownIdentity, err := parseIdentity(string(text))
 		if err != nil {
 			return nil, err
 		}
-		if own.name != n.options.Name {
+		if ownIdentity.name != n.options.Name {
 			return nil, fmt.Errorf("it belongs to the voter %q, but this daemon is %s", strings.TrimSpace(string(text)), n.options.Name)
 		}
-		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: own.diskIDs}
-		return n.openVoter(now, own)
+		n.bootstrapVote = &consensus.BootstrapVote{HasBegun: true, DiskIDs: ownIdentity.diskIDs}
+		return n.openVoter(now, ownIdentity)
 	}
 	if n.diskID, err = n.loadDiskID(); err != nil {
 		return nil, err
@@ -57,9 +57,9 @@
 	return nil, nil
 }
 
-// createVoter writes the identity of a new voter to the data directory, which must not have a voter, and starts the
-// voter.
-func (n *Node) createVoter(now time.Duration, own *identity) (*localVoter, error) {
+// createVoter writes the identity of a new voter to the data directory and starts the voter. It fails if the directory
+// already has files of a voter.
+func (n *Node) createVoter(now time.Duration, ownIdentity *identity) (*localVoter, error) {
 	names, err := n.options.Disk.List()
 	if err != nil {
 		return nil, fmt.Errorf("list the voter's directory: %w", err)
@@ -71,15 +71,15 @@
 	if len(names) > 0 {
 		return nil, fmt.Errorf("the directory belongs to no voter: it has %d other files but no %s", len(names), identityFile)
 	}
-	if err := wal.ReplaceFile(n.options.Disk, identityFile, []byte(own.String()+"\n")); err != nil {
+	if err := wal.ReplaceFile(n.options.Disk, identityFile, []byte(ownIdentity.String()+"\n")); err != nil {
 		return nil, fmt.Errorf("write %s: %w", identityFile, err)
 	}
-	return n.openVoter(now, own)
+	return n.openVoter(now, ownIdentity)
 }
 
 // openVoter opens the durable log, which may be empty, and starts the voter from the log's contents.
-func (n *Node) openVoter(now time.Duration, own *identity) (*localVoter, error) {
-	state, err := consensus.NewRecoveredState(own.initialVoters)
+func (n *Node) openVoter(now time.Duration, ownIdentity *identity) (*localVoter, error) {
+	state, err := consensus.NewRecoveredState(ownIdentity.initialVoters)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	var seed [8]byte
 	_, _ = rand.Read(seed[:]) // crypto/rand.Read never returns an error
 	voter, err := consensus.NewVoter(now, consensus.Config{
-		ID:                own.id,
+		ID:                ownIdentity.voterID,
 		HeartbeatInterval: heartbeatInterval,
 		Seed:              binary.LittleEndian.Uint64(seed[:]),
 		Lease:             n.options.Lease,
@@ -100,10 +100,10 @@
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	return &localVoter{identity: *own, voter: voter, log: log, peerNames: map[uint64]string{}}, nil
+	return &localVoter{identity: *ownIdentity, voter: voter, log: log, peerNames: map[uint64]string{}}, nil
 }
 
-// stopVoter stops this daemon's voter. The process starts none again.
+// stopVoter stops this daemon's voter. The process does not start a voter again.
 func (n *Node) stopVoter() {
 	if err := n.localVoter.log.Close(); err != nil {
 		n.options.Log.Warn("durable log not closed cleanly", "error", err)
@@ -111,12 +111,12 @@
 	n.localVoter, n.hasStoppedVoting = nil, true
 }
 
-// applyVoterAction starts or stops this daemon's voter if a grant requires it. A majority has confirmed the leader that
-// sent the grant.
+// applyVoterAction starts or stops this daemon's voter if a grant requires that. The daemon may rely on the grant: a
+// majority has confirmed that its sender leads.
 func (n *Node) applyVoterAction(now time.Duration, g *consensus.LeaseGrant) {
 	var id uint64
 	if n.localVoter != nil {
-		id = n.localVoter.id
+		id = n.localVoter.voterID
 	}
 	switch g.VoterAction(n.options.Name, id) {
 	case consensus.StopVoter:
@@ -125,7 +125,7 @@
 		n.stopVoter()
 	case consensus.StartVoter:
 		if !n.hasStoppedVoting {
-			n.startAddedVoter(now, &identity{name: n.options.Name, id: g.VoterID, clusterID: newClusterID(g.InitialVoters)})
+			n.startAddedVoter(now, &identity{name: n.options.Name, voterID: g.VoterID, clusterID: newClusterID(g.InitialVoters)})
 		}
 	case consensus.VoterDiskLost:
 		if !n.isDiskLossLogged && !n.hasStoppedVoting {
@@ -135,15 +135,15 @@
 	}
 }
 
-// startAddedVoter starts the voter of a daemon that was added to the voters. If that fails it is not attempted again, as
-// each grant would repeat it.
-func (n *Node) startAddedVoter(now time.Duration, own *identity) {
-	voter, err := n.createVoter(now, own)
+// startAddedVoter starts the voter of a daemon that was added to the voters. A failed start is not attempted again by this
+// process: otherwise each grant would cause another attempt.
+func (n *Node) startAddedVoter(now time.Duration, ownIdentity *identity) {
+	voter, err := n.createVoter(now, ownIdentity)
 	if err != nil {
 		n.hasStoppedVoting = true
 		n.options.Log.Error("this daemon was added to the voters, but its voter can't start", "error", err)
 		return
 	}
-	n.options.Log.Info("voter started", "voter_id", own.id)
+	n.options.Log.Info("voter started", "voter_id", ownIdentity.voterID)
 	n.localVoter, n.bootstrap = voter, nil
 }
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -28,7 +28,7 @@
 		name       string
 		daemon     string   // name of the daemon that starts on the disk
 		voters     []string // initial voters in the daemon's options
-		isRejected bool     // Start returns an error
+		isRejected bool     // whether Start must return an error
 	}{
 		{"its own voter", "a", []string{"b", "a", "c"}, false},
 		{"its own voter, with other initial voters in its options than on its disk", "a", []string{"a", "b", "d"}, false},
@@ -75,7 +75,7 @@
 }
 
 // A voter starts on an older copy of its disk, and so lacks entries that it had acknowledged. The cluster continues, and
-// so does the voter's daemon, even if raft detects this and stops the voter.
+// so does the voter's daemon, even if raft detects that entries are missing and stops the voter.
 func TestVoterWithAnOlderDiskDoesNotStopTheCluster(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
@@ -91,11 +91,11 @@
 		}
 	}
 	c.start(1)
-	var last uint64
+	var lastVersion uint64
 	for i := range 5 {
-		last = c.put(1, fmt.Sprint("b", i), fmt.Sprint(i))
+		lastVersion = c.put(1, fmt.Sprint("b", i), fmt.Sprint(i))
 	}
-	c.waitAllActing(last, "4")
+	c.waitAllActing(lastVersion, "4")
 	c.nodes[1].Close()
 	newerNames, _ := c.disks[1].List()
 	for _, name := range newerNames {
@@ -107,12 +107,12 @@
 		c.disks[1].SetBytes(name, text)
 	}
 	c.start(1)
-	c.waitAllActing(c.put(2, "c", "five"), "five") // whether or not the voter on the older disk still votes
+	c.waitAllActing(c.put(2, "c", "five"), "five") // must succeed whether or not raft has stopped the voter on the older disk
 }
 
-// The initial voters are replaced one by one, including the leader, and later voters have all that earlier ones
-// committed. A voter that was added votes again after a restart. A daemon that lost its disk is removed and added as a
-// new voter.
+// The initial voters are replaced one by one, including the leader, and the new voters have everything that the initial
+// voters committed. A voter that was added votes again after a restart. A daemon that lost its disk is removed and added
+// as a new voter.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
 	c := newTestCluster(t, 6)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
@@ -143,8 +143,8 @@
 	})
 }
 
-// An initial voter that lost its disk learns that from the others and does not vote, though the options of all daemons
-// name it. It votes after it was removed from the voters and added again.
+// An initial voter that lost its disk learns of the loss from the other voters and does not vote, though the options of
+// all daemons name it as a voter. It votes after it was removed from the voters and added again.
 func TestInitialVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitAllActing(c.put(0, "a", "one"), "one")
@@ -152,9 +152,9 @@
 	c.disks[1] = simdisk.New()
 	c.start(1)
 	testpeer.Eventually(t, "s1 learns that its disk is lost", func() bool {
-		isLost := make(chan bool, 1)
-		c.nodes[1].submit(t.Context(), func() { isLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
-		return <-isLost
+		isDiskLost := make(chan bool, 1)
+		c.nodes[1].submit(t.Context(), func() { isDiskLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
+		return <-isDiskLost
 	})
 	c.waitAllActing(c.put(1, "b", "two"), "two")
 	if c.nodes[1].Status().IsVoter {
@@ -166,7 +166,7 @@
 	c.nodes[1].Close()
 	c.start(1)
 	c.waitVotes(1, true)
-	c.nodes[2].Close() // without s1 there is no majority
+	c.nodes[2].Close() // s0, s1 and s2 are the voters: only with the vote of s1 is there a majority now
 	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
@@ -174,7 +174,7 @@
 func TestInvalidVoterChangesAreRejected(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.put(0, "a", "one")
-	if err := c.changeVoters(1, "nobody", false); err != nil { // no daemon has this name
+	if err := c.changeVoters(1, "nobody", false); err != nil { // accepted though no daemon is called nobody
 		t.Fatal(err)
 	}
 	if err := c.changeVoters(1, "s3", false); err == nil || !strings.Contains(err.Error(), "nobody has yet to learn") {
--- a/internal/cluster/raftnode/messages.go
+++ b/internal/cluster/raftnode/messages.go
@@ -2,16 +2,16 @@
 
 import "encoding/json"
 
-// Kinds of messages between nodes, with what their bodies hold, in JSON unless said otherwise. The values are on the
-// wire and must not change.
+// Kinds of messages between nodes. The comment of a kind says what the body holds, encoded as JSON unless the comment
+// names another encoding. The values are on the wire and must not change.
 const (
-	kindRaft           = 'r' // a clusterID, followed by a raft message in protobuf's encoding
-	kindLeaseRequest   = 'q' // a consensus.LeaseRequest
-	kindLeaseGrant     = 'g' // a consensus.LeaseGrant
-	kindProposal       = 'p' // a consensus.Command, as its Encode method returns it
-	kindProposalResult = 's' // a proposalResult
-	kindVoterNames     = 'v' // names of the voters that the sender knows, as a []string
-	kindBootstrap      = 'f' // a bootstrapMessage
+	kindRaft           = 'r' // body: a clusterID, followed by a raft message in protobuf's encoding
+	kindLeaseRequest   = 'q' // body: a consensus.LeaseRequest
+	kindLeaseGrant     = 'g' // body: a consensus.LeaseGrant
+	kindProposal       = 'p' // body: a consensus.Command, as its Encode method returns it
+	kindProposalResult = 's' // body: a proposalResult
+	kindVoterNames     = 'v' // body: names of the voters that the sender knows, as a []string
+	kindBootstrap      = 'f' // body: a bootstrapMessage
 )
 
 // send sends a message and ignores errors: a message that is not sent is lost as if the network had dropped it, and
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -1,6 +1,6 @@
 // Package raftnode connects a daemon to the replicated documents of package consensus. It runs the daemon's voter, if
-// the daemon has one, with the voter's durable log (package wal), keeps the daemon's lease, and carries their messages
-// over a transport.
+// the daemon has one, with the voter's durable log (package wal), keeps the daemon's lease, and carries the messages of
+// the voter and of the lease over a transport.
 //
 // # State and goroutines
 //
@@ -13,8 +13,8 @@
 //
 // All methods of Node are safe for concurrent use. The daemon may act on a version only under a lease, which the leader
 // grants after a majority of the voters has confirmed its leadership. A proposal returns when it is committed or
-// rejected. If that is not known in time it fails with consensus.ErrIndeterminate; a command is applied once, however
-// often it is proposed with the same ID.
+// rejected. If the outcome is not known in time the proposal fails with consensus.ErrIndeterminate; a command is applied
+// once, however often it is proposed with the same ID.
 //
 // A voter whose disk fails stops until the process is restarted and logs an error; its daemon continues under leases of
 // the other voters. At most maxPendingProposals commands are pending. The transport bounds the size of messages.
@@ -33,10 +33,10 @@
 	"tuliprock/internal/wal"
 )
 
-// Transport carries messages between the daemons; *transport.Transport is one.
+// Transport carries messages between the daemons. It is implemented by *transport.Transport.
 type Transport interface {
 	// Send sends a message to the daemon with a name and returns at once. An error means that the message was not sent;
-	// without an error it may still be lost.
+	// a message that was sent may still be lost.
 	Send(name string, kind byte, body []byte) error
 	// Messages returns the channel of the messages that other daemons sent to this one.
 	Messages() <-chan transport.Message
@@ -47,7 +47,7 @@
 	// Name is the name of this daemon, unique in the cluster.
 	Name string
 	// InitialVoters are the names of the cluster's initial voters, in any order. All daemons of a cluster have the same
-	// ones, which stay the same when the voters change.
+	// initial voters, which stay the same when the voters change.
 	InitialVoters []string
 	// Disk holds the voter's durable log, and the version on which the daemon acted last. If it is nil, nothing outlasts
 	// a restart, and this daemon can't run a voter.
@@ -58,10 +58,10 @@
 	Transport Transport
 	// Now is this daemon's monotonic clock.
 	Now func() time.Duration
-	// Log gets the messages for operators.
+	// Log gets log messages for operators.
 	Log *slog.Logger
-	// Check returns an error if this daemon can't act on the documents of a version. If it is nil, the daemon can act on
-	// all versions. Start calls it for the cached version; after that it runs on a goroutine of its own, one call at a
+	// Check returns an error if this daemon can't act on the documents of a version. If Check is nil, the daemon can act
+	// on all versions. Start calls Check for the cached version; later calls are made on a separate goroutine, one at a
 	// time.
 	Check func(docs map[string]consensus.Document) error
 	// ReportsInstalled means that the daemon calls MarkInstalled for each version that it has installed. Otherwise a
@@ -69,33 +69,33 @@
 	ReportsInstalled bool
 }
 
-// Node connects a daemon to the replicated documents. Start returns a running one.
+// Node connects a daemon to the replicated documents. Start returns a running Node, which Close must end.
 type Node struct {
 	options        Options
 	leased         atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act, for all goroutines
 	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
 	firstGrant     chan struct{}                           // closed at the first grant that this daemon can act on
-	versionChanged chan struct{}                           // has a value when leased has another version than before
+	versionChanged chan struct{}                           // holds a value if the leased version has changed since the last receive
 	submitted      chan func()                             // functions that the event loop is to run
 	ctx            context.Context                         // canceled by Close
 	cancel         context.CancelFunc                      // cancels ctx
-	goroutines     sync.WaitGroup                          // event loop and running check
+	goroutines     sync.WaitGroup                          // event loop, and running call of Options.Check
 
 	// The fields below are owned by the event loop (run).
 
 	localVoter       *localVoter              // this daemon's voter; nil: it runs none
-	hasStoppedVoting bool                     // this process starts no voter any more
-	isDiskLossLogged bool                     // the log has the error that the disk of this daemon's voter is lost
+	hasStoppedVoting bool                     // whether this process must not start a voter any more
+	isDiskLossLogged bool                     // whether the error that the disk of this daemon's voter is lost was logged
 	diskID           string                   // id of this daemon's disk if it had no voter at Start; else empty
-	bootstrap        *bootstrap               // set while this daemon is an initial voter that has not created its log; else nil
-	bootstrapVote    *consensus.BootstrapVote // vote of a voter that has created its log, for the other initial voters; else nil
+	bootstrap        *bootstrap               // bootstrap of an initial voter that has not created its log; nil in all other cases
+	bootstrapVote    *consensus.BootstrapVote // vote that other initial voters get from a voter that has created its log; nil: no log was created
 	client           leaseClient              // this daemon's lease, and the voters that may grant it
-	proposals        pendingProposals         // commands whose result is not known, or not fetched, yet
+	proposals        pendingProposals         // commands whose result is not known yet, or has not been passed to a caller yet
 	cached           cacheEntry               // contents of the cache file, without the documents
 }
 
-// Start loads the state on the disk and starts the event loop. An error names the damaged file, or says what is wrong
-// with the directory.
+// Start loads the state on Options.Disk and starts the event loop. An error names the damaged file, or says what is wrong
+// with the data directory.
 func Start(o Options) (*Node, error) {
 	n := &Node{
 		options:        o,
@@ -130,21 +130,21 @@
 	return nil
 }
 
-// Valid returns the version on which this daemon acts, which the caller must not modify, and whether the lease on it is
-// valid now. It is not valid before the first grant and after the lease has expired. The caller bounds the time between
-// this check and what it does under the lease. Valid takes no lock.
+// Valid returns the version on which this daemon acts, which the caller must not modify, and whether the lease on that
+// version is valid now. The lease is not valid before the first grant and after it has expired. The caller must bound the
+// time between the call and the last action under the lease. Valid takes no lock.
 func (n *Node) Valid() (*consensus.LeasedVersion, bool) {
 	leased := n.leased.Load()
 	return leased, leased.Version > 0 && n.options.Now() < leased.ExpiresAt
 }
 
-// CoversVersion reports whether this daemon may act on a version now: the leased version, or the previous one until the
-// lease on that has expired. It takes no lock.
+// CoversVersion reports whether this daemon may act on a version now: on the leased version, and on the previous version
+// until the lease on that version has expired. It takes no lock.
 func (n *Node) CoversVersion(version uint64) bool {
 	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
 
-// LeaseRemaining returns the time until the lease expires, 0 if it has expired.
+// LeaseRemaining returns the time until the lease expires, or 0 if the lease has expired.
 func (n *Node) LeaseRemaining() time.Duration {
 	return max(n.leased.Load().ExpiresAt-n.options.Now(), 0)
 }
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -19,34 +19,34 @@
 // whose disk fails stops, and the others continue. Without a majority nothing is committed, and leases expire.
 func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
 	c := newTestCluster(t, 5)
-	first := c.put(0, "a", "one")
-	c.waitAllActing(first, "one")
-	if duplicate := c.put(4, "a", "one"); duplicate != first {
-		t.Errorf("a duplicate of the command returns version %d, want %d", duplicate, first)
+	firstVersion := c.put(0, "a", "one")
+	c.waitAllActing(firstVersion, "one")
+	if duplicate := c.put(4, "a", "one"); duplicate != firstVersion {
+		t.Errorf("a duplicate of the command returns version %d, want %d", duplicate, firstVersion)
 	}
-	second := c.put(4, "b", "two") // s4 does not vote
-	c.waitAllActing(second, "two")
-	outdated := first
+	secondVersion := c.put(4, "b", "two") // must succeed though s4 does not vote
+	c.waitAllActing(secondVersion, "two")
+	outdated := firstVersion
 	removal := consensus.Command{ExpectedVersion: &outdated, Remove: testDocument}
 	if _, err := c.nodes[3].ProposeVersion(t.Context(), removal); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
-		t.Errorf("command that expects version %d after %d: error %v, want a rejection", first, second, err)
+		t.Errorf("command that expects version %d after %d: error %v, want a rejection", firstVersion, secondVersion, err)
 	}
 
 	c.nodes[0].Close()
 	c.disks[0].Crash(rand.New(rand.NewPCG(1, 1)))
 	c.start(0)
-	third := c.put(0, "c", "three")
-	c.waitAllActing(third, "three")
-	if third != second+1 {
-		t.Errorf("the next version is %d, want %d", third, second+1)
+	thirdVersion := c.put(0, "c", "three")
+	c.waitAllActing(thirdVersion, "three")
+	if thirdVersion != secondVersion+1 {
+		t.Errorf("the next version is %d, want %d", thirdVersion, secondVersion+1)
 	}
 
 	c.disks[1].InjectFailure(0)
-	fourth := c.put(2, "d", "four")
-	c.waitAllActing(fourth, "four")
+	fourthVersion := c.put(2, "d", "four")
+	c.waitAllActing(fourthVersion, "four")
 	testpeer.Eventually(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
 
-	abort(t, c.transports[2]) // of the three voters, only s0 is left
+	abort(t, c.transports[2]) // of the three voters s0, s1 and s2, only s0 is left
 	testpeer.Eventually(t, "leases expire", func() bool { _, ok := c.nodes[3].Valid(); return !ok })
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
@@ -57,7 +57,7 @@
 }
 
 // BenchmarkCoversVersion measures Node.CoversVersion, which runs for each request that is rejected while no lease is
-// valid. It takes 56 ns, nearly all of it for reading the clock, and no lock.
+// valid. A call takes 56 ns, nearly all of them for reading the clock, and no lock.
 func BenchmarkCoversVersion(b *testing.B) {
 	start := time.Now()
 	n := &Node{options: Options{Now: func() time.Duration { return time.Since(start) }}}
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPendingProposals and maxPendingProposalBytes bound the commands that a node holds. The bytes are as many as
-	// raft allows to be uncommitted.
+	// maxPendingProposals and maxPendingProposalBytes bound the number and the total size of the commands that a node
+	// holds. raft allows as many bytes of uncommitted commands.
 	maxPendingProposals     = 64
 	maxPendingProposalBytes = 8 << 20
 
@@ -33,19 +33,19 @@
 // proposal is a command that was proposed at this node, or that another daemon forwarded to this node's voter.
 type proposal struct {
 	body          []byte              // encoded command; nil once result is set
-	waiter        chan proposalResult // channel on which a caller of this node waits for the result; nil: none waits
-	forwarder     string              // name of the daemon that forwarded the command; empty: it was proposed here
+	waiter        chan proposalResult // channel on which a caller of Node.Propose waits for the result; nil: no caller waits
+	forwarder     string              // name of the daemon that forwarded the command; empty: the command was proposed at this node
 	nextAttemptAt time.Duration       // instant at which the command is proposed to raft or forwarded again
 	backoff       time.Duration       // time between the next attempt and the one after that
 	expiresAt     time.Duration       // instant at which the proposal is dropped
-	result        *proposalResult     // result for a caller that proposes the command again; nil: it is not known yet
+	result        *proposalResult     // result for a caller that proposes the command again; nil: the result is not known yet
 }
 
 // proposalResult is the result of a command. Its JSON names are on the wire and must not change.
 type proposalResult struct {
-	ID string `json:"ID"` // the command's ID
+	ID string `json:"ID"` // ID of the command (consensus.Command)
 	consensus.CommandResult
-	Error string `json:"Err"` // why the command was rejected; empty: it was committed
+	Error string `json:"Err"` // why the command was rejected; empty: the command was committed and applied
 }
 
 // pendingProposals holds proposals by the IDs of their commands.
@@ -59,7 +59,7 @@
 	return len(p) < maxPendingProposals && size <= maxPendingProposalBytes
 }
 
-// ProposeVersion does what Propose does, and returns only the version that the command made.
+// ProposeVersion proposes a command in the same way as Propose, and returns only the version that the command made.
 func (n *Node) ProposeVersion(ctx context.Context, cmd consensus.Command) (uint64, error) {
 	r, err := n.Propose(ctx, cmd)
 	return r.Version, err
@@ -67,7 +67,7 @@
 
 // Propose proposes a command and waits until it is committed or rejected. A command without an ID gets a random one;
 // with the same ID a command is applied once. The error is consensus.ErrIndeterminate if ctx or the node ended before
-// the result was known: the command may have been committed, or may be later.
+// the result was known: the command may have been committed, or may be committed later.
 func (n *Node) Propose(ctx context.Context, cmd consensus.Command) (consensus.CommandResult, error) {
 	if cmd.ID == "" {
 		cmd.ID = rand.Text()
@@ -88,7 +88,7 @@
 	select {
 	case r := <-result:
 		if r.Error != "" {
-			return r.CommandResult, errors.New(r.Error) // a message carries only the text of an error
+			return r.CommandResult, errors.New(r.Error) // a proposalResult has only the text of the error
 		}
 		return r.CommandResult, nil
 	case <-ctx.Done():
@@ -102,8 +102,8 @@
 	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
-// addProposal has the result of a command sent to waiter: at once if it is known, otherwise when it arrives. It returns
-// false if the command is new and there is no capacity for it.
+// addProposal has the result of a command sent to waiter: at once if the result is known, otherwise when it arrives. It
+// returns false if the command is new and the node holds as many commands as the bounds allow.
 func (n *Node) addProposal(id string, body []byte, waiter chan proposalResult) bool {
 	p := n.proposals[id]
 	switch {
@@ -120,8 +120,8 @@
 	return true
 }
 
-// handleProposal handles a command that another daemon forwarded to this node's voter. If there is no capacity for the
-// command it is dropped, and the other daemon retries.
+// handleProposal handles a command that another daemon forwarded to this node's voter. A command that exceeds the bounds
+// of the held commands is dropped, and the other daemon retries.
 func (n *Node) handleProposal(now time.Duration, m transport.Message) {
 	var cmd struct {
 		ID string `json:"id"`
@@ -146,8 +146,8 @@
 	}
 }
 
-// attemptProposals drops expired proposals and attempts those that are due: a node with a voter proposes the command to
-// raft, any other one forwards it to the leader that it knows.
+// attemptProposals drops expired proposals and makes an attempt for each proposal that is due: a node with a voter
+// proposes the command to raft, and a node without one forwards the command to the leader that it knows.
 func (n *Node) attemptProposals(now time.Duration) {
 	for id, p := range n.proposals {
 		switch {
@@ -156,7 +156,7 @@
 		case now < p.nextAttemptAt || p.result != nil:
 		case n.localVoter != nil:
 			if n.localVoter.voter.ProposeEncoded(p.body) != nil {
-				p.nextAttemptAt = now + heartbeatInterval // raft knows no leader, and nothing was proposed
+				p.nextAttemptAt = now + heartbeatInterval // raft knows no leader, so nothing was proposed
 				continue
 			}
 			p.scheduleRetry(now)
@@ -167,7 +167,7 @@
 	}
 }
 
-// scheduleRetry sets the next attempt, with exponential backoff.
+// scheduleRetry schedules the next attempt after the current backoff, and doubles the backoff up to maxRetryBackoff.
 func (p *proposal) scheduleRetry(now time.Duration) {
 	p.nextAttemptAt = now + p.backoff
 	p.backoff = min(2*p.backoff, maxRetryBackoff)
@@ -181,8 +181,8 @@
 	}
 }
 
-// completeProposal passes a result to the caller or the daemon that waits for it. If none does, the result is held until
-// the proposal expires.
+// completeProposal passes a result to the caller or the daemon that waits for it. If neither waits, the result is held
+// until the proposal expires.
 func (n *Node) completeProposal(r proposalResult) {
 	p := n.proposals[r.ID]
 	if p == nil || p.result != nil {
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -8,16 +8,16 @@
 
 // Status describes the cluster's voters and the replicated documents as far as this daemon knows.
 type Status struct {
-	IsVoter            bool                      // this daemon runs a voter that is not a learner
-	IsLeader           bool                      // this daemon's voter takes itself for the leader
-	Leader             string                    // voter that granted the latest lease, or from which one was requested last
-	KnownVoters        []string                  // names of the daemons from which this one may request a lease, sorted
+	IsVoter            bool                      // whether this daemon runs a voter that is not a learner
+	IsLeader           bool                      // whether this daemon's voter takes itself for the leader
+	Leader             string                    // name of the voter from which the latest grant came, or from which a lease was requested since
+	KnownVoters        []string                  // names of the daemons from which this daemon may request a lease, sorted
 	ActiveVoters       []string                  // names of the daemons that vote, as a leader last reported them
-	Term               uint64                    // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: it runs no voter
-	PendingVersion     uint64                    // version to be activated next, by this daemon's voter; 0: it runs no voter
+	Term               uint64                    // latest raft term that this daemon's voter has seen; 0: the daemon runs no voter
+	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: none, or the daemon runs no voter
+	PendingVersion     uint64                    // version to be activated next, as far as this daemon's voter knows; 0: none, or it runs no voter
 	FullyActiveVersion uint64                    // version before which no daemon acts; 0: not known
-	Lagging            []consensus.LaggingDaemon // daemons for which the leader waits
+	Lagging            []consensus.LaggingDaemon // daemons for which the leader waits before it activates a version, or until all act on the active one
 	RejectedVersion    uint64                    // latest version on which this daemon can't act; 0: none
 	RejectionReason    string                    // why this daemon can't act on RejectedVersion
 }
@@ -28,9 +28,9 @@
 // publish makes the leased version and the status available to other goroutines if they have changed.
 func (n *Node) publish() {
 	leased := n.client.holder.Leased()
-	if before := n.leased.Load(); leased.Version != before.Version || leased.ExpiresAt != before.ExpiresAt {
+	if published := n.leased.Load(); leased.Version != published.Version || leased.ExpiresAt != published.ExpiresAt {
 		n.leased.Store(&leased)
-		if leased.Version != before.Version {
+		if leased.Version != published.Version {
 			select {
 			case n.versionChanged <- struct{}{}:
 			default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// currentStatus returns the status by the state of the lease client and the voter.
+// currentStatus returns the status that the lease client and this daemon's voter have now.
 func (n *Node) currentStatus() Status {
 	s := Status{Leader: n.client.leader, KnownVoters: n.client.knownVoters, ActiveVoters: n.client.activeVoters}
 	s.FullyActiveVersion, s.Lagging = n.client.holder.FullyActive()
--- a/internal/cluster/raftnode/storedformat_test.go
+++ b/internal/cluster/raftnode/storedformat_test.go
@@ -17,10 +17,10 @@
 	"tuliprock/internal/wal"
 )
 
-// The data that an earlier build stored is decoded without loss: encoded again it is the same, byte for byte. If a field
-// had another JSON name by now, its value would be missing or have another name.
+// The data that an earlier build stored is decoded without loss: encoded again it is the same, byte for byte. Guards
+// against a field whose JSON name has changed since: its value would be missing or have another name.
 func TestStoredDataOfEarlierBuildEncodesUnchanged(t *testing.T) {
-	fields := map[string]int{} // number of commands in which a field is set, by the field's JSON name
+	commandsByField := map[string]int{} // number of commands in which a field is set, by the field's JSON name
 	snapshots := 0
 	for _, f := range earlierFixtures {
 		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
@@ -32,29 +32,29 @@
 					t.Fatal(err)
 				}
 				if text == nil {
-					return // this daemon was not a voter
+					return // a daemon without an identity file was not a voter
 				}
-				own, err := parseIdentity(string(text))
+				ownIdentity, err := parseIdentity(string(text))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if own.String()+"\n" != string(text) {
-					t.Errorf("identity is encoded as %q, want %q", own.String()+"\n", text)
+				if ownIdentity.String()+"\n" != string(text) {
+					t.Errorf("identity is encoded as %q, want %q", ownIdentity.String()+"\n", text)
 				}
 				replayNothing := func(wal.Record) error { return nil }
 				openAndClose(t, disk, func(r io.Reader) error {
 					snapshots++
 					return checkSnapshotEncodesUnchanged(t, r)
 				}, replayNothing)
-				// Without the snapshot, the records before it are replayed, too.
+				// Without the snapshots, the log is replayed from its first record.
 				removeSnapshots(t, disk)
-				openAndClose(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, fields) })
+				openAndClose(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, commandsByField) })
 			})
 		}
 	}
 	for _, field := range []string{"put", "remove", "back", "force", "skip", "seat", "mark", "read", "activate"} {
-		if fields[field] == 0 {
-			t.Errorf("no command in the logs sets the field %q, want some; fields: %v", field, fields)
+		if commandsByField[field] == 0 {
+			t.Errorf("no command in the logs sets the field %q, want some; fields: %v", field, commandsByField)
 		}
 	}
 	if snapshots != len(earlierDiskIDs) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// removeSnapshots removes the snapshots of a durable log, which must have all records from the first one on.
+// removeSnapshots removes the snapshots of a durable log. The log must still have its first record.
 func removeSnapshots(t *testing.T, disk wal.FS) {
 	t.Helper()
 	names, err := disk.List()
@@ -105,11 +105,12 @@
 	checkSameJSON(t, cacheFile, text[checksumSize:], entry)
 }
 
-// checkSameJSON fails the test unless the JSON encoding of a value is the text from which the value was decoded.
-func checkSameJSON(t *testing.T, what string, text []byte, value any) {
+// checkSameJSON fails the test unless the JSON encoding of value is text, from which the value was decoded. subject
+// describes the value in the failure message.
+func checkSameJSON(t *testing.T, subject string, text []byte, value any) {
 	t.Helper()
 	if encoded, err := json.Marshal(value); err != nil || !bytes.Equal(encoded, text) {
-		t.Errorf("%s is encoded as\n%s\nwith error %v, want\n%s", what, encoded, err, text)
+		t.Errorf("%s is encoded as\n%s\nwith error %v, want\n%s", subject, encoded, err, text)
 	}
 }
 
@@ -145,8 +146,8 @@
 }
 
 // checkEntryEncodesUnchanged fails the test unless the decoded command of a raft entry is encoded as the same bytes
-// again. It counts the command in fields under each field that the command sets. Records of other types pass.
-func checkEntryEncodesUnchanged(t *testing.T, r wal.Record, fields map[string]int) error {
+// again. It counts the command in commandsByField under each field that the command sets. Records of other types pass.
+func checkEntryEncodesUnchanged(t *testing.T, r wal.Record, commandsByField map[string]int) error {
 	t.Helper()
 	if r.Type != 'e' {
 		return nil
@@ -169,7 +170,7 @@
 		return err
 	}
 	for field := range setFields {
-		fields[field]++
+		commandsByField[field]++
 	}
 	checkSameJSON(t, "a command", entry.GetData(), command)
 	return nil
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -11,12 +11,12 @@
 
 const (
 	// cacheFile is the name of the file that holds the version on which a daemon acted last: a line with the SHA-256 of
-	// the rest of the file, and then a cacheEntry in JSON. The file is replaced atomically. It is no lease: a daemon
-	// that starts and reaches no voter uses the cached version as if the lease on it had expired.
+	// the rest of the file, and then a cacheEntry in JSON. The file is replaced atomically. It does not replace a lease:
+	// a daemon that starts and reaches no voter uses the cached version as if the lease on that version had expired.
 	cacheFile = "ACTED"
 
-	checksumSize  = 2*sha256.Size + 1           // bytes of the checksum line: hexadecimal digits and a newline
-	maxCacheBytes = 2 * consensus.MaxTotalBytes // greatest size of the cache file: bodies in base64, and names
+	checksumSize  = 2*sha256.Size + 1           // length of the cache file's checksum line in bytes: hexadecimal digits and a newline
+	maxCacheBytes = 2 * consensus.MaxTotalBytes // greatest size of the cache file in bytes: bodies in base64, and names
 )
 
 // cacheEntry is the version and the voters that the cache file holds. Its JSON names are stored and must not change.
@@ -27,7 +27,7 @@
 }
 
 // cacheVersion writes the version on which this daemon acts, and the names of the voters, to the cache file. If the disk
-// fails, the write is not repeated and the daemon continues: it only lacks the version at its next start.
+// fails, the write is not repeated and the daemon continues: it only lacks the cached version at its next start.
 func (n *Node) cacheVersion(leased consensus.LeasedVersion, voters []string) {
 	n.cached = cacheEntry{Version: leased.Version, Voters: voters}
 	if n.options.Disk == nil {
@@ -64,7 +64,7 @@
 	return entry.Version, entry.Docs
 }
 
-// readCacheEntry reads the cache file. It returns nil without an error if there is none.
+// readCacheEntry reads the cache file. It returns nil without an error if the disk has no cache file.
 func readCacheEntry(fs wal.FS) (*cacheEntry, error) {
 	text, err := readFile(fs, cacheFile, maxCacheBytes)
 	if text == nil || err != nil {
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("loaded version %d, want none: the daemon's check rejects it", v)
 	}
 	d.InjectFailure(0)
-	n.cacheVersion(consensus.LeasedVersion{Version: 8}, nil) // logs the error and returns
+	n.cacheVersion(consensus.LeasedVersion{Version: 8}, nil) // the write fails: cacheVersion must log the error and return
 	if v, _ := (&Node{options: n.options}).loadCachedVersion(); v == 8 {
 		t.Error("loaded version 8, which was written after the disk had failed")
 	}
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -11,8 +11,9 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxPeerNames bounds the names of voters that are taken from messages. As raft ids are never assigned twice, a voter
-// may meet more ids than that only if it is far behind; it then receives the log from the voters whose names it knows.
+// maxPeerNames bounds the names in localVoter.peerNames, which are taken from messages of voters. As raft ids are never
+// assigned twice, a voter may receive messages of more than maxPeerNames unknown ids only if its log is far behind; the
+// voter then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
 // peerName returns the name of the voter with a raft id, or an empty string if it is not known.
@@ -31,12 +32,12 @@
 		return
 	}
 	v := n.localVoter
-	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.id {
+	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.voterID {
 		return
 	}
 	switch known := v.peerName(message.GetFrom()); {
 	case known == "" && len(v.peerNames) < maxPeerNames:
-		// The sender may have been added while this voter was down, and may be the leader by now.
+		// The replicated State does not name the sender: it may have been added while this voter was down, and may lead.
 		v.peerNames[message.GetFrom()] = m.From
 	case known != m.From:
 		return
@@ -44,8 +45,8 @@
 	v.voter.Receive(now, message)
 }
 
-// processVoterOutput does the work that the voter has, until there is no more: it persists records and snapshots, and
-// then sends the messages, grants and results that depend on them.
+// processVoterOutput does the work that the voter's Output returns, until no work is left: it persists records and
+// snapshots, and then sends the messages, grants and results that depend on them.
 func (n *Node) processVoterOutput() {
 	for n.localVoter != nil {
 		voter := n.localVoter.voter
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// sendRaft sends a raft message to its recipient. raft must be notified whether a snapshot was sent; it resends other
-// messages without that.
+// sendRaft sends a raft message to its recipient. raft is notified whether a snapshot was sent, and resends all other
+// messages without a notification.
 func (n *Node) sendRaft(message *raftpb.Message) {
 	name := n.localVoter.peerName(message.GetTo())
 	if name == "" {
@@ -110,7 +111,7 @@
 	}
 }
 
-// deliverGrants sends the grants of this daemon's voter to other daemons, and applies the one for this daemon.
+// deliverGrants sends the grants of this daemon's voter to other daemons, and applies the grant for this daemon.
 func (n *Node) deliverGrants(grants []consensus.AddressedGrant) {
 	for _, g := range grants {
 		if g.Recipient == n.options.Name {
