--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -15,9 +15,9 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// FailureHold is how long a member must be failed before it no longer counts, so that the others divide its part among
-// themselves. It is longer than a restart takes, and longer than a member stays failed because of a network link that is
-// interrupted every two seconds.
+// FailureHold is how long a member must be failed before it is no longer counted, so that the other daemons divide its
+// part of the limits among themselves. It is longer than a restart takes, and longer than a member stays failed because
+// of a network link that is interrupted every two seconds.
 const FailureHold = 10 * time.Second
 
 // notMissing is the value in Tracker.missingSince for a member that is present.
@@ -56,7 +56,8 @@
 	return len(names), max(slices.Index(names, v.Self), 0), nextUpdate
 }
 
-// recordView records which members are present, which have left, and since when the others are missing.
+// recordView records which members of a view are present, drops those that have left, and records since when all other
+// counted members are missing.
 func (t *Tracker) recordView(now time.Duration, v *swim.View) {
 	isKnown := make(map[string]bool, len(v.Members))
 	for _, m := range v.Members {
--- a/internal/cluster/ordinal/ordinal_test.go
+++ b/internal/cluster/ordinal/ordinal_test.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// viewOfB returns a view of member b that contains the members of a, b and c that states has.
+// viewOfB returns the view of member b with the members and states in states, whose names are among a, b and c.
 func viewOfB(connectivity swim.Connectivity, states map[string]swim.State) *swim.View {
 	v := &swim.View{Self: "b", Connectivity: connectivity}
 	for _, name := range []string{"a", "b", "c"} {
@@ -18,8 +18,8 @@
 	return v
 }
 
-// Guards against parts that are divided anew whenever a member fails for a moment. The steps build on one another: each
-// passes another view to the same Tracker.
+// Guards against limits that are divided anew whenever a member fails for a moment. The cases build on one another: each
+// case passes another view to the same Tracker.
 func TestMemberIsCountedUntilItLeftOrFailedForFailureHold(t *testing.T) {
 	allPresent := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Suspect}
 	aFailed := map[string]swim.State{"a": swim.Failed, "b": swim.Alive, "c": swim.Alive}
