--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -12,34 +12,35 @@
 	// gossipsPerProbeInterval is the number of rounds of gossip in a ProbeInterval.
 	gossipsPerProbeInterval = 4
 
-	// retransmitFactor is how often an update is sent, relative to half of the binary logarithm of the cluster's size.
+	// retransmitFactor is the ratio of the number of times that a node sends an update to half of the binary logarithm of
+	// the cluster's size.
 	retransmitFactor = 4
 )
 
-// broadcastQueue contains the updates to be gossiped, at most one about each member. Each is sent a limited number of
-// times. The updates that were sent least often are sent first.
+// broadcastQueue contains the updates to be gossiped, at most one about each member. Each update is sent a limited number
+// of times. The updates that were sent least often are sent first.
 type broadcastQueue struct {
-	byName          map[string]*broadcast // pending broadcasts by the name of the member
-	byTransmitCount [][]*broadcast        // broadcasts by transmitCount; a replaced one stays until collect removes it
-	lowestLevel     int                   // index in byTransmitCount below which all lists are empty
+	byMemberName        map[string]*broadcast // pending broadcasts by the name of the member
+	byTransmitCount     [][]*broadcast        // broadcasts by transmitCount; a broadcast that was replaced stays until collect removes it
+	lowestTransmitCount int                   // index in byTransmitCount below which all lists are empty
 }
 
-// broadcast is an update to be gossiped.
+// broadcast is an update to be gossiped, with the number of times that it was sent.
 type broadcast struct {
 	Update
 	transmitCount int // number of messages that have contained the update
 }
 
 // reset empties the queue.
-func (q *broadcastQueue) reset() { *q = broadcastQueue{byName: map[string]*broadcast{}} }
+func (q *broadcastQueue) reset() { *q = broadcastQueue{byMemberName: map[string]*broadcast{}} }
 
 // hasPending reports whether there are updates to be sent.
-func (q *broadcastQueue) hasPending() bool { return len(q.byName) > 0 }
+func (q *broadcastQueue) hasPending() bool { return len(q.byMemberName) > 0 }
 
-// enqueue adds an update. It replaces an earlier one about the same member.
+// enqueue adds an update to the queue, in place of an earlier update about the same member.
 func (q *broadcastQueue) enqueue(u Update) {
 	b := &broadcast{Update: u}
-	q.byName[u.Name] = b
+	q.byMemberName[u.Name] = b
 	q.insert(b)
 }
 
@@ -49,44 +50,44 @@
 		q.byTransmitCount = append(q.byTransmitCount, nil)
 	}
 	q.byTransmitCount[b.transmitCount] = append(q.byTransmitCount[b.transmitCount], b)
-	q.lowestLevel = min(q.lowestLevel, b.transmitCount)
+	q.lowestTransmitCount = min(q.lowestTransmitCount, b.transmitCount)
 }
 
-// collect appends queued updates to those that a message must contain anyway, within MaxPiggyback and maxPiggybackBytes.
-// An update that has been sent transmitLimit times is removed from the queue.
+// collect appends queued updates to updates, which a message must contain, and returns the result, which is within
+// MaxPiggyback and maxPiggybackBytes. An update that has been sent transmitLimit times is removed from the queue.
 func (q *broadcastQueue) collect(transmitLimit int, updates []Update) []Update {
 	freeBytes := maxPiggybackBytes
 	for i := range updates {
 		freeBytes -= updates[i].maxEncodedBytes()
 	}
 	var requeued []*broadcast
-	for q.lowestLevel < len(q.byTransmitCount) && len(updates) < MaxPiggyback {
-		level := q.byTransmitCount[q.lowestLevel]
-		if len(level) == 0 {
-			q.lowestLevel++
+	for q.lowestTransmitCount < len(q.byTransmitCount) && len(updates) < MaxPiggyback {
+		leastSent := q.byTransmitCount[q.lowestTransmitCount]
+		if len(leastSent) == 0 {
+			q.lowestTransmitCount++
 			continue
 		}
-		b := level[0]
-		if q.byName[b.Name] == b {
+		b := leastSent[0]
+		if q.byMemberName[b.Name] == b {
 			if b.maxEncodedBytes() > freeBytes {
 				break
 			}
 			freeBytes -= b.maxEncodedBytes()
 			updates = append(updates, b.Update)
 			if b.transmitCount++; b.transmitCount < transmitLimit {
-				requeued = append(requeued, b) // inserted after the loop, so that a message contains each update only once
+				requeued = append(requeued, b) // b is inserted again after the loop, so that a message contains each update only once
 			} else {
-				delete(q.byName, b.Name)
+				delete(q.byMemberName, b.Name)
 			}
 		}
-		level[0] = nil
-		q.byTransmitCount[q.lowestLevel] = level[1:]
+		leastSent[0] = nil
+		q.byTransmitCount[q.lowestTransmitCount] = leastSent[1:]
 	}
 	for _, b := range requeued {
 		q.insert(b)
 	}
-	if len(q.byName) == 0 {
-		q.byTransmitCount, q.lowestLevel = nil, 0
+	if len(q.byMemberName) == 0 {
+		q.byTransmitCount, q.lowestTransmitCount = nil, 0
 	}
 	return updates
 }
@@ -110,8 +111,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to, Message: m})
 }
 
-// buddyUpdates returns the update that must be piggybacked on a Ping if its target is not alive as far as this node knows:
-// the target learns of it with the Ping, so that it can refute it soon (Lifeguard's buddy system).
+// buddyUpdates returns the update that must be piggybacked on a Ping if the Ping's target is not alive as far as this node
+// knows: the target learns of the update with the Ping, so that it can refute the update soon (Lifeguard's buddy system).
 func (n *Node) buddyUpdates(m *Message, to netip.AddrPort) []Update {
 	if n.options.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
 		return nil
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -53,7 +53,7 @@
 // sendNacks responds to the PingReqs whose targets have not responded in time. A Nack shows the requester that its own
 // network connection works (Lifeguard, section IV-A).
 func (n *Node) sendNacks(now time.Duration) {
-	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) { // sorted, so that a seed determines the run
+	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) { // sorted, so that the same seed gives the same order of messages
 		if p := n.indirectProbes[seq]; now >= p.nackAt {
 			delete(n.indirectProbes, seq)
 			n.send(p.requesterAddr, &Message{Kind: Nack, Seq: p.requesterSeq})
--- a/internal/cluster/swim/localhealth.go
+++ b/internal/cluster/swim/localhealth.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxHealthScore is the worst local health score. With a maximum of 8 there were no fewer false failure detections, and
-// the last remaining member of a cluster took 13 s to detect the failure of the others.
+// maxHealthScore is the worst local health score. A maximum of 8 does not reduce the number of false failure detections,
+// and the last remaining member of a cluster then takes 13 s to detect the failure of all others.
 const maxHealthScore = 4
 
-// HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy, and each
-// increment lengthens the timeouts of probes by their base value.
+// HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy,
+// maxHealthScore is worst, and each increment lengthens the timeouts of probes by their base value.
 func (n *Node) HealthScore() int { return n.healthScore }
 
 // adjustHealthScore changes the health score by delta, which is positive if there is evidence that this node is slow.
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -13,13 +13,13 @@
 	reapAfter = 10 * time.Minute
 )
 
-// member is an entry of the membership table: the latest update about another member, and what this node keeps about it.
+// member is an entry of the membership table: the latest update about another member, and this node's own state for it.
 type member struct {
 	Update
 	stateSince         time.Duration // instant at which this node learned that the member had entered its state
-	index              int           // the member's index in Node.present or Node.failed, while it is in one of them
+	index              int           // the member's index in Node.present or Node.failed, while one of these lists contains the member
 	suspicion          *suspicion    // pending suspicion of the member; nil unless its state is Suspect
-	lastIndirectProber *member       // member whose indirect probe of this one succeeded last; nil: none did
+	lastIndirectProber *member       // member that last probed this member successfully on behalf of the node; nil: none
 }
 
 // PresentCount returns the number of other members that are present, suspects included.
@@ -32,9 +32,9 @@
 // the same present members have the same digest.
 func (n *Node) Digest() uint64 { return n.digest }
 
-// applyUpdate applies an update about a member, if it overrides what this node knows. isFullState says that the update
-// comes from a full state exchange. A failure in it may be old or from the other side of a partition; therefore the member
-// becomes suspect instead of failed, so that it can refute the suspicion.
+// applyUpdate applies an update about a member, if it overrides what this node knows. isFullState means that the update
+// comes from a full state exchange. A failure that such an update reports may be old or from the other side of a network
+// partition; therefore the member becomes suspect instead of failed, so that it can refute the suspicion.
 func (n *Node) applyUpdate(now time.Duration, u Update, isFullState bool) {
 	if u.Name == n.self.Name {
 		n.applyUpdateAboutSelf(now, u)
@@ -80,7 +80,7 @@
 	}
 }
 
-// changeState replaces the latest update about a member by one that overrides it, and gossips the new one.
+// changeState replaces the latest update about a member by u, which must override it, and gossips u.
 func (n *Node) changeState(now time.Duration, m *member, u Update) {
 	previous := m.Update
 	m.suspicion = nil
@@ -131,7 +131,8 @@
 	}
 }
 
-// moveBetweenLists moves a member from the list of its previous state to the list of its current state.
+// moveBetweenLists moves a member from the list for its previous state (Node.present, Node.failed or none) to the list
+// for its current state.
 func (n *Node) moveBetweenLists(m *member, previous State) {
 	switch {
 	case previous.IsPresent() && m.State.IsPresent():
@@ -150,7 +151,7 @@
 	}
 }
 
-// insertPresent adds a member to the present ones, at a random position in the rest of the current probe round.
+// insertPresent adds a member to Node.present, at a random position in the rest of the current probe round.
 func (n *Node) insertPresent(m *member) {
 	m.index = len(n.present)
 	n.present = append(n.present, m)
@@ -158,8 +159,8 @@
 	swapMembers(n.present, first+n.rng.IntN(len(n.present)-first), m.index)
 }
 
-// removePresent removes a member from the present ones. Members that were already probed in this round stay before
-// probeIndex.
+// removePresent removes a member from Node.present. Members that were already probed in the current probe round stay
+// before probeIndex.
 func (n *Node) removePresent(m *member) {
 	if m.index < n.probeIndex {
 		n.probeIndex--
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -22,27 +22,28 @@
 	PingReq                   // asks the receiver to probe Target on behalf of the sender
 	Ack                       // response to a Ping, or to a PingReq after Target has responded
 	Nack                      // response to a PingReq if Target did not respond in time
-	Gossip                    // contains only updates; no response is expected
+	Gossip                    // distributes the updates in the message; no response is expected
 	Sync                      // contains the sender's full state; a SyncReply is expected
 	SyncReply                 // contains the sender's full state, in response to a Sync
-	kindEnd                   // one more than the last kind
+	kindEnd                   // one more than the last valid Kind
 )
 
 // Valid reports whether k is one of the declared kinds.
 func (k Kind) Valid() bool { return k >= Ping && k < kindEnd }
 
-// Message is what nodes send to one another.
+// Message is a message of the failure detector from one node to another. Its Kind determines which fields are used.
 type Message struct {
 	Kind             Kind     // purpose of the message
 	From             Update   // the sender's assertion about itself
 	Seq              uint64   // sequence number of a Ping or PingReq, which the responses repeat
 	Target           Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
-	Digest           uint64   // the sender's Node.Digest
+	Digest           uint64   // digest of the members that the sender considers present (Node.Digest)
 	GossipQueueEmpty bool     // whether the sender has no updates left to gossip
 	Updates          []Update // gossiped updates, at most MaxPiggyback; the sender's full state in a Sync or SyncReply
 }
 
-// isValid reports whether a message's fields are within their bounds.
+// isValid reports whether a message's kind is declared, its sender and its updates are valid and have names, and the name
+// of its target is not longer than MaxNameBytes.
 func (m *Message) isValid() bool {
 	if !m.Kind.Valid() || !m.From.isValid() || m.From.Name == "" {
 		return false
@@ -57,7 +58,7 @@
 
 // Envelope is a message to be sent, with its destination.
 type Envelope struct {
-	To      netip.AddrPort // address of the receiver
-	Stream  bool           // whether the message may be too long for a datagram
+	To      netip.AddrPort // address to which the message is sent
+	Stream  bool           // whether the message may be longer than a datagram, so that it must be sent in a stream
 	Message *Message       // message to send
 }
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// conflictProbeAttempts is the number of probes without a response after which another process with this node's name
+// maxUnansweredConflictProbes is the number of probes without a response after which another process with this node's name
 // counts as ended, so that this node takes over the name.
-const conflictProbeAttempts = 3
+const maxUnansweredConflictProbes = 3
 
-// nameConflict is another process with this node's name. It has ended, or it is older and this node yields to it, or it is
-// younger and will yield to this node. A node that yields only responds to messages, and sends no updates and no probes of
-// members.
+// nameConflict describes another process with this node's name. Either that process has ended, or it is older and this
+// node yields to it, or it is younger and will yield to this node. A node that yields only responds to messages, and sends
+// no updates and no probes of members.
 type nameConflict struct {
 	Peer
-	lastSeq          uint64        // sequence number of the latest probe of the other process
-	unansweredProbes int           // number of probes since the other process last responded
-	nextProbe        time.Duration // instant of the next probe of the other process
+	lastSeq          uint64        // sequence number of the latest Ping that this node sent to the other process
+	unansweredProbes int           // number of Pings sent to the other process since it last responded
+	nextProbe        time.Duration // instant at which this node sends the next Ping to the other process
 	incarnation      uint64        // highest incarnation of the other process that was received
-	hasResponded     bool          // whether the other process has responded to a probe
+	hasResponded     bool          // whether the other process has responded to a Ping of this node
 	isYielding       bool          // whether this node yields, because the other process is older and responds
 }
 
@@ -28,17 +28,18 @@
 	return n.conflict.Peer, n.conflict.hasResponded, n.conflict.isYielding
 }
 
-// isYielding reports whether this node yields to an older process with its name: it only responds, and sends no updates.
+// isYielding reports whether this node yields to an older process with the same name. While it yields, the node only
+// responds to messages, and sends no updates and no probes of members.
 func (n *Node) isYielding() bool { return n.conflict != nil && n.conflict.isYielding }
 
-// applyUpdateAboutSelf handles an update about this node's name: it refutes one about this process or about an earlier
-// process that has ended, and records another process that uses the name.
+// applyUpdateAboutSelf handles an update whose member has this node's name. If the update is about this process or about
+// an earlier process that has ended, the node refutes the update; otherwise it records the other process as a conflict.
 func (n *Node) applyUpdateAboutSelf(now time.Duration, u Update) {
 	c := n.conflict
 	if n.isYielding() && u.Generation == c.Generation {
 		c.incarnation = max(c.incarnation, u.Incarnation)
 		if u.State == Left { // the older process has given up the name
-			c.unansweredProbes, c.nextProbe = conflictProbeAttempts, now
+			c.unansweredProbes, c.nextProbe = maxUnansweredConflictProbes, now
 		}
 		return
 	}
@@ -60,7 +61,8 @@
 	}
 }
 
-// refute overrides the updates of others about this node, up to an incarnation, by a higher incarnation.
+// refute raises this node's incarnation above the given one, and gossips an update with it, which overrides the updates
+// of others about this node.
 func (n *Node) refute(incarnation uint64) {
 	n.digest ^= n.self.digest()
 	n.self.Incarnation = max(n.self.Incarnation, incarnation) + 1
@@ -69,14 +71,15 @@
 	n.broadcasts.enqueue(n.self)
 }
 
-// tickNameConflict probes the other process with this node's name, and takes over the name when that process is gone.
+// tickNameConflict sends a Ping to the other process with this node's name when one is due, and takes over the name when
+// that process has not responded to maxUnansweredConflictProbes of them.
 func (n *Node) tickNameConflict(now time.Duration) {
 	c := n.conflict
 	if c == nil || now < c.nextProbe {
 		return
 	}
 	c.nextProbe = now + n.options.ProbeInterval
-	if c.unansweredProbes >= conflictProbeAttempts {
+	if c.unansweredProbes >= maxUnansweredConflictProbes {
 		n.conflict = nil
 		n.viewNumber++
 		n.refute(c.incarnation)
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -19,18 +19,18 @@
 	startedAt    time.Duration // instant at which the node was created
 	hasLeft      bool          // whether Leave was called
 	hasContact   bool          // whether a message of another node has been received since the start
-	expectedTick time.Duration // latest result of NextTick
+	expectedTick time.Duration // instant at which Tick is expected: the latest result of NextTick
 
-	// The membership table: see membership.go.
+	// Fields of the membership table (membership.go).
 	members      map[string]*member     // all other members by name
 	present      []*member              // other members that are present, in the shuffled order of the probe round
 	failed       []*member              // members that have failed
 	suspects     map[string]*member     // suspect members by name
 	presentAddrs map[netip.AddrPort]int // number of present members by address
-	digest       uint64                 // digest of all present members and this node; see Digest
+	digest       uint64                 // hash of all present members and this node, which Digest returns
 	nextReap     time.Duration          // instant of the next call of reap
 
-	// Probing: see probe.go and indirectprobe.go.
+	// Fields of the probes of members (probe.go and indirectprobe.go).
 	lastSeq        uint64                    // sequence number of the latest Ping that this node sent
 	probes         map[uint64]*probe         // probes without a response, by sequence number; at most maxHealthScore+1
 	indirectProbes map[uint64]*indirectProbe // probes on behalf of other members, by sequence number; at most maxIndirectProbes
@@ -41,7 +41,7 @@
 
 	nextSuspicionEnd time.Duration // lower bound of the deadlines of all suspicions; noDeadline: no member is suspect
 
-	// Gossip and full state exchange: see gossip.go and sync.go.
+	// Fields of gossip and of the full state exchange (gossip.go and sync.go).
 	broadcasts broadcastQueue // updates to be gossiped
 	nextGossip time.Duration  // earliest instant of the next round of gossip
 	nextRejoin time.Duration  // instant of the next call of rejoin
@@ -50,11 +50,11 @@
 
 	conflict *nameConflict // another process with this node's name; nil: none is known
 
-	// The view: see view.go.
+	// Fields of the view that the node reports (view.go).
 	connectivity         Connectivity  // connectivity that View reports
-	improvedSince        time.Duration // instant since which the actual connectivity exceeds the reported one; negative: it does not
+	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
 	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
-	viewNumber           uint64        // Number of the current View
+	viewNumber           uint64        // Number of the current View, which grows with each change
 	changes              []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
 }
 
@@ -81,7 +81,7 @@
 	}
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
-	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to an earlier process is not taken for a response to this one
+	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to a Ping of an earlier process is not taken for a response to this process
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
 	for _, u := range o.InitialMembers {
@@ -152,7 +152,7 @@
 		return
 	}
 	if m.From.Name == n.self.Name && m.From.Generation == n.self.Generation {
-		return // this process sent the message itself
+		return // ignored: this process sent the message itself
 	}
 	n.hasContact = true
 	sender := n.members[m.From.Name]
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Defaults of the times in Options; docs/design/026-peers.md explains them.
+// Default values of ProbeInterval, ProbeTimeout and SuspicionTimeout in Options; docs/design/026-peers.md explains them.
 const (
 	DefaultProbeInterval    = 500 * time.Millisecond
 	DefaultProbeTimeout     = 200 * time.Millisecond
 	DefaultSuspicionTimeout = 1500 * time.Millisecond
 )
 
-// Options configure a Node. A time of 0 or less means its default.
+// Options configure a Node. ProbeInterval, ProbeTimeout and SuspicionTimeout get their defaults if they are 0 or less.
 type Options struct {
 	Self           Peer             // identity of this node, which cannot be reconfigured
 	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each while no present member has it
@@ -20,17 +20,18 @@
 	InitialMembers []Update         // members that are known at the start, and that already know this node
 	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
 
-	ProbeInterval    time.Duration // interval between two probes
+	ProbeInterval    time.Duration // time between the starts of two probes by a node
 	ProbeTimeout     time.Duration // time after which a probe without a response becomes indirect; at most half of ProbeInterval
 	SuspicionTimeout time.Duration // minimum suspicion timeout for up to ten members; it grows with the logarithm of their number
 
 	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
-	DisableLocalHealth     bool // turns off the local health multiplier: timeouts do not grow when this node is slow
-	DisableSuspicionShrink bool // suspicions have the minimum timeout from the start, and other members do not verify them at once
-	DisableBuddySystem     bool // a Ping to a suspect does not tell the suspect that it is suspected
+	DisableLocalHealth     bool // whether the local health multiplier is off: timeouts do not grow when this node is slow
+	DisableSuspicionShrink bool // whether suspicions have the minimum timeout from the start, and no member probes a suspect at once
+	DisableBuddySystem     bool // whether a Ping to a suspect does not tell the suspect that it is suspected
 }
 
-// setDefaults replaces times that are not set by their defaults, and limits ProbeTimeout to half of ProbeInterval.
+// setDefaults sets ProbeInterval, ProbeTimeout and SuspicionTimeout to their defaults where they are 0 or less, and limits
+// ProbeTimeout to half of ProbeInterval.
 func (o *Options) setDefaults() {
 	o.ProbeInterval = positiveOr(o.ProbeInterval, DefaultProbeInterval)
 	o.ProbeTimeout = positiveOr(o.ProbeTimeout, DefaultProbeTimeout)
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -13,13 +13,13 @@
 	hasSentIndirect bool          // whether other members were requested to probe the target
 	deadline        time.Duration // instant at which the probe fails if there is no Ack
 	expectedNacks   int           // number of members that were requested to probe the target; each sends an Ack or a Nack
-	receivedNacks   int           // number of Nacks that were received, at most expectedNacks
+	receivedNacks   int           // number of Nacks received for the probe, at most expectedNacks
 }
 
-// tickProbes handles probes whose deadline has passed, requests indirect probes for those whose indirectAt has passed, and
-// starts the next probe when it is due.
+// tickProbes handles probes whose deadline has passed, requests indirect probes for probes whose indirectAt has passed,
+// and starts the next probe when it is due.
 func (n *Node) tickProbes(now time.Duration) {
-	for _, seq := range slices.Sorted(maps.Keys(n.probes)) { // sorted, so that a seed determines the run
+	for _, seq := range slices.Sorted(maps.Keys(n.probes)) { // sorted, so that the same seed gives the same order of messages
 		p := n.probes[seq]
 		if now >= p.deadline {
 			delete(n.probes, seq)
@@ -29,13 +29,13 @@
 		}
 	}
 	if now >= n.nextProbe {
-		n.nextProbe = now + n.options.ProbeInterval // the health score lengthens the timeouts, but not the interval
+		n.nextProbe = now + n.options.ProbeInterval // the health score lengthens the timeouts of probes, but not the interval between them
 		n.startProbe(now)
 	}
 }
 
 // startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight: at the worst health
-// score a probe fails only after that many probe intervals.
+// score a probe fails only after maxHealthScore+1 probe intervals.
 func (n *Node) startProbe(now time.Duration) {
 	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
@@ -88,25 +88,25 @@
 	}
 	u := p.target.Update
 	u.State, u.SuspectedBy = Suspect, n.self.Name
-	n.applyUpdate(now, u, false) // confirms the suspicion if another member already suspects the target
+	n.applyUpdate(now, u, false) // if another member already suspects the target, the update confirms that suspicion
 }
 
 // receivePing responds with an Ack, unless the Ping is meant for another member that had this address before.
 func (n *Node) receivePing(m *Message) {
 	if m.Target.Name != "" && m.Target.Name != n.self.Name {
-		n.send(m.From.Addr, &Message{Kind: Gossip}) // its From field tells the sender which member has this address now
+		n.send(m.From.Addr, &Message{Kind: Gossip}) // the message's From field tells the sender of the Ping which member has this address now
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
-	// The sender must learn that this node believes it suspect, failed or left before it can refute that.
+	// Only if the sender learns that this node considers it suspect, failed or left can it refute that state.
 	if sender := n.members[m.From.Name]; sender != nil && sender.State != Alive && !n.isYielding() {
 		ack.Updates = n.broadcasts.collect(n.retransmitLimit(), []Update{sender.Update})
 	}
 	n.send(m.From.Addr, ack)
 }
 
-// receiveAck completes the probe to which the Ack responds: one of another process with this node's name, an indirect one
-// on behalf of another member, or one of this node's own.
+// receiveAck completes the probe to which the Ack responds: a probe of another process with this node's name, an indirect
+// probe on behalf of another member, or a probe of a member for this node itself.
 func (n *Node) receiveAck(now time.Duration, m *Message) {
 	if c := n.conflict; c != nil && m.Seq == c.lastSeq && m.From.Generation == c.Generation {
 		n.receiveConflictAck(now)
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxSuspicionMultiplier is the ratio of the maximum suspicion timeout, which applies while no other member has
-	// confirmed the suspicion, to the minimum one.
+	// maxSuspicionMultiplier is the ratio of the maximum to the minimum suspicion timeout. The maximum applies while no
+	// other member has confirmed the suspicion.
 	maxSuspicionMultiplier = 3
 
 	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the timeout to its minimum.
@@ -23,12 +23,12 @@
 // member suspects it, and shrinks with each other member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
 	start                  time.Duration // instant at which the suspicion started, moved forward by later pauses of the process
-	minTimeout, maxTimeout time.Duration // timeouts with neededConfirmations and with no confirmations
+	minTimeout, maxTimeout time.Duration // suspicion timeouts with neededConfirmations (minTimeout) and without confirmations (maxTimeout)
 	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
-	suspectors             []string      // names of the members that suspect this one; at most 1+neededConfirmations
+	suspectors             []string      // names of the members that suspect the suspected member; at most 1+neededConfirmations
 }
 
-// confirm adds a member that suspects, and reports whether that shrinks the timeout.
+// confirm adds the name of another member that suspects the suspected one, and reports whether the timeout shrinks.
 func (s *suspicion) confirm(suspector string) bool {
 	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, suspector) {
 		return false
@@ -70,9 +70,9 @@
 	n.nextSuspicionEnd = min(n.nextSuspicionEnd, s.deadline())
 }
 
-// verifySuspicion decides at random whether this node at once probes a member that another one suspects. Otherwise only
-// about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be confirmed
-// too slowly.
+// verifySuspicion decides at random whether this node probes a member at once that another member suspects. Without it
+// only about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be
+// confirmed too slowly.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
 	if n.options.DisableSuspicionShrink || m.SuspectedBy == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
@@ -83,7 +83,8 @@
 	}
 }
 
-// confirmSuspicion adds another member's suspicion to that of a suspect, and gossips it if it shrinks the timeout.
+// confirmSuspicion adds the suspicion of another member to the pending suspicion of m, and gossips the update if the
+// timeout of the suspicion shrinks.
 func (n *Node) confirmSuspicion(m *member, u Update) {
 	if m.suspicion.confirm(u.SuspectedBy) {
 		n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
@@ -91,13 +92,13 @@
 	}
 }
 
-// expireSuspicions declares the suspects failed that did not refute the suspicion in time.
+// expireSuspicions declares the suspects failed whose suspicion timeout has passed without a refutation.
 func (n *Node) expireSuspicions(now time.Duration) {
 	if now < n.nextSuspicionEnd {
 		return
 	}
 	n.nextSuspicionEnd = noDeadline
-	for _, name := range slices.Sorted(maps.Keys(n.suspects)) { // sorted, so that a seed determines the run
+	for _, name := range slices.Sorted(maps.Keys(n.suspects)) { // sorted, so that the same seed gives the same order of messages
 		m := n.suspects[name]
 		if deadline := m.suspicion.deadline(); now < deadline {
 			n.nextSuspicionEnd = min(n.nextSuspicionEnd, deadline)
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -49,7 +49,7 @@
 }
 
 // Checks the invariants of a node in all sequences of five events among three nodes. An event is a tick of a node, or the
-// delivery or loss of the oldest message to it.
+// delivery or loss of the oldest message in transit to that node.
 func TestInvariantsHoldInEveryOrderOfFiveEvents(t *testing.T) {
 	const depth, choices = 5, 9
 	orders := 1
@@ -60,7 +60,7 @@
 	for order := range orders {
 		network := newTestNetwork(3)
 		network.now += 400 * time.Millisecond
-		remainingEvents := order // the events as digits of a number in base choices
+		remainingEvents := order // number whose digits in base choices are the events of this order
 		for range depth {
 			network.now += 350 * time.Millisecond
 			network.runEvent(t, remainingEvents%choices)
@@ -74,11 +74,12 @@
 	t.Logf("checked %d orders of events", checkedOrders)
 }
 
-// runEvent runs one of nine events: for each of three nodes a tick, or the delivery or loss of the oldest message to it.
-func (network *testNetwork) runEvent(t testingT, choice int) {
+// runEvent runs the event with a number from 0 to 8: eventNumber%3 is the index of a node; eventNumber/3 is 0 for a tick
+// of the node, 1 for the delivery and 2 for the loss of the oldest message in transit to the node.
+func (network *testNetwork) runEvent(t testingT, eventNumber int) {
 	t.Helper()
 	const tick, deliver = 0, 1
-	node, event := choice%3, choice/3
+	node, event := eventNumber%3, eventNumber/3
 	if event == tick {
 		network.tick(t, network.nodes[node])
 		return
@@ -96,8 +97,8 @@
 	}
 }
 
-// Guards against two processes with one name that override each other's updates in turn: the younger one sends no updates
-// for as long as the older one responds, and takes over the name once the older one is gone.
+// Guards against two processes with one name that override each other's updates in turn: the younger process must send no
+// updates for as long as the older process responds, and take over the name once the older process is gone.
 func TestYoungerProcessOfOneNameYieldsUntilOlderOneIsGone(t *testing.T) {
 	network := newTestNetwork(3)
 	older := network.nodes[1]
@@ -115,7 +116,7 @@
 	if _, responds, yields := older.NameConflict(); yields {
 		t.Fatalf("older process yields, want that it does not; other responds %v", responds)
 	}
-	younger.nextGossip = network.now // a round of gossip is due, and the younger process has updates
+	younger.nextGossip = network.now // make a round of gossip due, so that the younger process would send its queued updates
 	younger.Tick(network.now)
 	for _, e := range younger.TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -12,8 +12,9 @@
 // cluster.
 const membersPerSyncInterval = 32
 
-// syncIfViewsDiffer starts a full state exchange with the sender of an Ack whose digest differs from this node's, if
-// neither has updates left to gossip, or if the sender was not present before this message.
+// syncIfViewsDiffer starts a full state exchange with the sender of an Ack whose digest differs from this node's digest,
+// if neither the sender nor this node has updates left to gossip, or if senderWasAbsent: the sender was not present before
+// this message.
 func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, senderWasAbsent bool) {
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
@@ -32,7 +33,7 @@
 	n.sendFullState(m.From, Sync)
 }
 
-// sendFullState sends the latest update about each known member, in a Sync or a SyncReply.
+// sendFullState sends the latest update about each known member in a message of kind k, which is Sync or SyncReply.
 func (n *Node) sendFullState(to Update, k Kind) {
 	updates := make([]Update, 0, len(n.members)+1)
 	if !n.isYielding() {
@@ -44,8 +45,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to.Addr, Stream: true, Message: m})
 }
 
-// rejoin pings one random address at which no member is present: that of a failed member, or one of Options.Join. This
-// reconnects the parts of a cluster after a network partition.
+// rejoin pings one random address at which no member is present: the address of a failed member, or an address in
+// Options.Join. The pings reconnect the parts of a cluster after a network partition.
 func (n *Node) rejoin() {
 	if n.hasLeft || n.isYielding() {
 		return
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// testingT is the common interface of testing.T and rapid.T that the helpers use.
+// testingT has the methods of testing.T and rapid.T that the helpers of a testNetwork use.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// testPeer returns the first process of the daemon with number i.
+// testPeer returns the identity of the first process of the daemon with number i: its name, address and generation.
 func testPeer(i int) Peer {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7)
 	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Generation: uint64(i + 1)}
@@ -21,12 +21,13 @@
 // testNetwork consists of nodes in virtual time and the messages in transit between them, which a test delivers, drops,
 // duplicates or reorders.
 type testNetwork struct {
-	now       time.Duration // current instant
+	now       time.Duration // current instant of virtual time
 	nodes     []*Node       // running nodes
 	inTransit []Envelope    // messages that were sent and neither delivered nor lost, in the order of sending
 
-	// The keys of both maps are the generation of a node and the name of a member that it knows.
-	maxIncarnation  map[string]uint64 // highest incarnation of the member in the node's views
+	// The keys of maxIncarnation and leftIncarnation consist of the generation of a node and the name of a member that the
+	// node knows.
+	maxIncarnation  map[string]uint64 // highest incarnation that the member has had in the node's views
 	leftIncarnation map[string]uint64 // incarnation in which the member left according to the node's views
 }
 
@@ -43,7 +44,7 @@
 	return network
 }
 
-// tick calls a node's Tick, even if it is not due.
+// tick calls a node's Tick at the current instant, even if no timer of the node is due.
 func (network *testNetwork) tick(t testingT, n *Node) {
 	t.Helper()
 	n.Tick(network.now)
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -17,19 +17,19 @@
 // The states of a member.
 const (
 	Alive      State = iota // the member is not suspected of having failed
-	Suspect                 // a probe of the member failed; the member can still refute the suspicion
+	Suspect                 // a member's probe of this member failed; this member can still refute the suspicion
 	Failed                  // the member did not refute a suspicion in time
 	Left                    // the member announced that it leaves the cluster, which is not a failure
-	stateCount              // number of states
+	stateCount              // number of declared states
 )
 
-// stateNames contains the names of the states by state.
+// stateNames contains the name of each state, which operators read.
 var stateNames = [stateCount]string{"alive", "suspect", "failed", "left"}
 
 // Valid reports whether s is one of the declared states.
 func (s State) Valid() bool { return s < stateCount }
 
-// String returns the name of the state that reports to operators contain.
+// String returns the name of the state as operators read it.
 func (s State) String() string {
 	if !s.Valid() {
 		return "unknown"
@@ -44,19 +44,19 @@
 type Peer struct {
 	Name       string         // name of the daemon, unique in the cluster
 	Addr       netip.AddrPort // address to which other nodes send messages
-	Generation uint64         // identifies the process; of two processes with one name, the younger has the greater one
+	Generation uint64         // number of the process; of two processes with one name, the younger has the greater number
 }
 
 // Update is an assertion about the state of a member, which nodes gossip.
 type Update struct {
 	Peer
 	State       State  // asserted state of the member
-	Incarnation uint64 // counter that only the member itself increments, to refute assertions with a smaller one
-	SuspectedBy string // name of the member whose probe failed, if State is Suspect
+	Incarnation uint64 // counter that only the member itself increments, to refute assertions with smaller values
+	SuspectedBy string // if State is Suspect: name of the member that suspects, since its probe failed
 }
 
-// overrides reports whether u replaces the earlier update v about the same member. If two processes with one name differ
-// only in their generation, all nodes prefer the older process.
+// overrides reports whether u replaces the earlier update v about the same member. Of updates about two processes with one
+// name that differ only in the generation, all nodes prefer the update about the older process.
 func (u *Update) overrides(v *Update) bool {
 	switch {
 	case u.Incarnation != v.Incarnation:
@@ -67,7 +67,8 @@
 	return u.Generation < v.Generation
 }
 
-// isValid reports whether the update's fields are within their bounds.
+// isValid reports whether the update has a declared state and an address, its names are not longer than MaxNameBytes, and
+// its incarnation is in the range that nodes use, from 1 to 1<<62-1.
 func (u *Update) isValid() bool {
 	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.SuspectedBy) <= MaxNameBytes && u.Addr.IsValid() &&
 		u.Incarnation > 0 && u.Incarnation < 1<<62
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -19,20 +19,20 @@
 // Connectivity is a node's estimate of how much of the cluster it can reach. A greater value is better.
 type Connectivity uint8
 
-// The levels of connectivity. A node that is a voter counts itself as present.
+// The levels of Connectivity, from worst to best. A node that is a voter counts itself as present.
 const (
 	CutOff          Connectivity = iota // fewer than half of the voters are present
 	PartlyConnected                     // at least half of the voters are present, but not all, or some member has failed
 	FullyConnected                      // all voters are present and no member has failed
 )
 
-// connectivityNames contains the names of the levels by level.
+// connectivityNames contains the name of each level of Connectivity, which operators read.
 var connectivityNames = [...]string{CutOff: "cut-off", PartlyConnected: "partial", FullyConnected: "whole"}
 
-// String returns the name of the connectivity that reports to operators contain.
+// String returns the name of the level of connectivity as operators read it.
 func (c Connectivity) String() string { return connectivityNames[c] }
 
-// Member is an entry of a View.
+// Member is a member of the cluster in a View, with the latest update about it that the node knows.
 type Member struct {
 	Update
 	StateSince time.Duration // instant at which this node learned that the member had entered its state
@@ -40,23 +40,23 @@
 
 // View is the membership of the cluster as one node knows it at an instant. It is an estimate: see the package comment.
 type View struct {
-	Number       uint64       // number that grows with every change of the view within a process
+	Number       uint64       // number of the view, which grows with every change of the view while the process runs
 	Self         string       // name of the node whose view this is
-	Connectivity Connectivity // how much of the cluster the node can reach
+	Connectivity Connectivity // node's estimate of how much of the cluster it can reach
 	ElderAddr    string       // address of the older process with this node's name, to which the node yields; empty: none
 	Members      []Member     // all known members, sorted by name, the node itself included
 }
 
-// Change is a member's transition from one state to another, for the log.
+// Change is a member's transition from one state to another, which the transport logs.
 type Change struct {
 	Name        string         // name of the member
 	Addr        netip.AddrPort // address of the member
 	From, To    State          // states before and after the change; From is meaningless if IsNew is set
-	IsNew       bool           // whether the member was unknown before
+	IsNew       bool           // whether the member was unknown before the change
 	Incarnation uint64         // incarnation of the member after the change
 }
 
-// View returns the node's current view.
+// View returns the node's current view, whose Members it copies: the cost grows with the size of the cluster.
 func (n *Node) View() View {
 	v := View{
 		Number: n.viewNumber, Self: n.self.Name, Connectivity: n.connectivity,
@@ -84,7 +84,7 @@
 	return changes
 }
 
-// recordChange keeps a member state change for TakeChanges.
+// recordChange keeps a member state change for TakeChanges, unless maxPendingChanges are kept already.
 func (n *Node) recordChange(c Change) {
 	if len(n.changes) < maxPendingChanges {
 		n.changes = append(n.changes, c)
