--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -9,14 +9,15 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// A packet consists of a header, a message authentication code and a body. The header consists of packetMagic, the version
-// and the ID of the key that signed the packet. The code is the HMAC-SHA256 of header and body; a packet with the key ID
-// zero is unsigned and has no code. The body has the fields below, in the wire format of Protocol Buffers.
+// A packet consists of a header, a message authentication code and a body. The header consists of packetMagic,
+// packetVersion and the ID of the key that signed the packet. The code is the HMAC-SHA256 of header and body; a packet
+// with the key ID zero is unsigned and has no code. The body has the fields whose numbers are packetFieldCluster to
+// packetFieldMessage, in the wire format of Protocol Buffers.
 const (
 	packetMagic   = "TR"
 	packetVersion = 1
 
-	versionOffset = 2 // length of packetMagic
+	versionOffset = 2 // offset of the version byte in a packet: the length of packetMagic
 	keyIDOffset   = versionOffset + 1
 	headerBytes   = keyIDOffset + keyIDBytes
 	macBytes      = sha256.Size
@@ -37,8 +38,8 @@
 // packet is the content of an authenticated packet. Either swimMessage or message is set.
 type packet struct {
 	swimMessage *swim.Message // message of the failure detector
-	message     *Message      // message of Send
-	generation  uint64        // generation of the sending process; see swim.Peer
+	message     *Message      // message that another daemon sent with Send
+	generation  uint64        // swim.Peer.Generation of the sending process
 	sequence    uint64        // sequence number of the packet among those of the sending process
 }
 
@@ -47,14 +48,15 @@
 	return appendPacket(b, options, sequence, packetFieldSwimMessage, AppendSwimMessage(nil, m))
 }
 
-// appendMessagePacket appends a packet with a message of Send to b.
+// appendMessagePacket appends a packet with a message that Transport.Send sends to b.
 func appendMessagePacket(b []byte, options *Options, sequence uint64, m *Message) []byte {
 	return appendPacket(b, options, sequence, packetFieldMessage, m.marshal())
 }
 
-// appendPacket appends a packet to b, for the cluster of options and signed with the first key of options.
+// appendPacket appends a packet to b, with the cluster name in options and signed with the first key in options. Without
+// a key the packet is unsigned. payloadField says what payload holds: packetFieldSwimMessage or packetFieldMessage.
 func appendPacket(b []byte, options *Options, sequence uint64, payloadField protowire.Number, payload []byte) []byte {
-	start := len(b)
+	packetStart := len(b)
 	b = append(b, packetMagic...)
 	b = append(b, packetVersion)
 	isSigned := len(options.Keys) > 0
@@ -64,18 +66,18 @@
 	} else {
 		b = append(b, make([]byte, keyIDBytes)...)
 	}
-	body := len(b)
+	bodyStart := len(b)
 	b = appendBytes(b, packetFieldCluster, options.Cluster)
 	b = appendFixed64(b, packetFieldSequence, sequence)
 	b = appendBytes(b, payloadField, payload)
 	if isSigned {
-		copy(b[start+headerBytes:], options.Keys[0].mac(b[start:start+headerBytes], b[body:]))
+		copy(b[packetStart+headerBytes:], options.Keys[0].mac(b[packetStart:packetStart+headerBytes], b[bodyStart:]))
 	}
 	return b
 }
 
-// openPacket authenticates and parses a packet that appendPacket encoded. An error is the reason to drop the packet. The
-// result does not refer to b.
+// openPacket authenticates and parses a packet that appendPacket encoded. It rejects a message of the failure detector
+// with more than maxUpdates updates. An error is the reason to drop the packet. The result does not refer to b.
 func openPacket(b []byte, options *Options, maxUpdates int) (packet, error) {
 	body, err := authenticate(b, options.Keys)
 	if err != nil {
@@ -117,7 +119,8 @@
 	return p, nil
 }
 
-// authenticate returns the body of a packet that one of the keys has signed. Without keys it accepts only unsigned packets.
+// authenticate returns the body of a packet that one of the keys has signed. If keys is empty, it accepts only unsigned
+// packets.
 func authenticate(b []byte, keys Keys) ([]byte, error) {
 	if len(b) < headerBytes || string(b[:versionOffset]) != packetMagic {
 		return nil, errMalformed
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Guards against a change of the encoding, because daemons of different builds exchange packets.
+// Guards against a change of the encoding of packets, since daemons of different builds exchange them.
 func TestPacketEncodingIsFixed(t *testing.T) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	message := &Message{From: "a", Generation: 5, Kind: 'r', Body: []byte("body")}
@@ -117,9 +117,9 @@
 			return
 		}
 		if got.message != nil {
-			again, err := openPacket(appendMessagePacket(nil, signed, got.sequence, got.message), signed, 0)
-			if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", *got.message) != fmt.Sprintf("%+v", *again.message) {
-				t.Errorf("parsed again as %+v, want %+v; error %v", again.message, got.message, err)
+			reparsed, err := openPacket(appendMessagePacket(nil, signed, got.sequence, got.message), signed, 0)
+			if err != nil || reparsed.sequence != got.sequence || fmt.Sprintf("%+v", *got.message) != fmt.Sprintf("%+v", *reparsed.message) {
+				t.Errorf("parsed again as %+v, want %+v; error %v", reparsed.message, got.message, err)
 			}
 			return
 		}
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -6,11 +6,12 @@
 // time. Only builds with the race detector, which are for tests, read it.
 const ClockRateEnv = "TULIPROCK_TEST_CLOCK_RATE"
 
-// clockOrigin is the reading of the failure detector's clock at the start. It is well above zero, so that the failure
-// detector may subtract any of its intervals from an instant.
+// clockOrigin is the reading of the failure detector's clock when the transport starts. It is well above zero, so that the
+// failure detector may subtract any of its intervals from an instant.
 const clockOrigin = 24 * time.Hour
 
-// Now returns the current reading of the failure detector's clock, to which Since of a member in a View refers.
+// Now returns the current reading of the failure detector's clock, which also gives the instant StateSince of a member in
+// a View.
 func (t *Transport) Now() time.Duration {
 	return clockOrigin + scaleByClockRate(time.Since(t.clockStart))
 }
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// clockRate is the rate of the failure detector's clock as a factor of real time. It is read only once, so that the clock
-// never jumps.
+// clockRate is the rate of the failure detector's clock as a factor of real time. The environment variable is read only
+// once, so that the clock never jumps.
 var clockRate = func() float64 {
 	if rate, err := strconv.ParseFloat(os.Getenv(ClockRateEnv), 64); err == nil && rate > 0 {
 		return rate
@@ -17,7 +17,7 @@
 	return 1
 }()
 
-// scaleByClockRate returns the time by which the failure detector's clock advances in d of real time.
+// scaleByClockRate returns the time by which the failure detector's clock advances while the real time d passes.
 func scaleByClockRate(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * clockRate)
 }
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -7,11 +7,11 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// MaxDatagramBytes is the maximum length of a datagram. With it no datagram is fragmented, since the minimum MTU of IPv6 is
-// 1,280 bytes (RFC 8200, section 5).
+// MaxDatagramBytes is the maximum length of a datagram. No datagram of this length is fragmented, since the minimum MTU of
+// IPv6 is 1,280 bytes (RFC 8200, section 5).
 const MaxDatagramBytes = 1200
 
-// sendDatagram sends a packet that is no longer than MaxDatagramBytes.
+// sendDatagram sends b, a packet that must not be longer than MaxDatagramBytes, and counts it.
 func (t *Transport) sendDatagram(to netip.AddrPort, b []byte) error {
 	_, err := t.udpConn.WriteToUDPAddrPort(b, to)
 	t.countSent(len(b), err)
@@ -20,14 +20,14 @@
 
 // readDatagrams receives datagrams until the transport ends.
 func (t *Transport) readDatagrams() {
-	b := make([]byte, MaxDatagramBytes+1) // one byte more than allowed, so that a longer datagram is recognized
+	b := make([]byte, MaxDatagramBytes+1) // one byte longer than MaxDatagramBytes, so that a too long datagram is recognized
 	limiter := sourceLimiter{counts: map[netip.Addr]int{}}
 	for {
 		n, from, err := t.udpConn.ReadFromUDPAddrPort(b)
 		switch {
 		case t.ctx.Err() != nil:
 			return
-		case err != nil: // an ICMP error caused by an earlier datagram that was sent; truncation is no error
+		case err != nil: // an ICMP error that answers a datagram sent earlier; a truncated datagram gives no error
 			continue
 		case !limiter.allow(time.Now(), from.Addr()):
 			t.dropped.count(errRateLimited)
@@ -43,15 +43,15 @@
 	// maxDatagramsPerSource is the maximum number of datagrams per second from one source address. A member sends some tens
 	// per second.
 	maxDatagramsPerSource = 1000
-	// maxTrackedSources is the number of source addresses with a count of their own, which bounds the memory. All other
-	// addresses share one count.
+	// maxTrackedSources is the maximum number of source addresses with separate counts in a window, which bounds the
+	// memory. All other addresses share one count.
 	maxTrackedSources = 4096
 )
 
 // sourceLimiter limits the number of datagrams from each source address in consecutive windows of one second.
 type sourceLimiter struct {
-	windowStart time.Time          // start of the current window
-	counts      map[netip.Addr]int // datagrams in the current window by source address; the zero address counts the others
+	windowStart time.Time          // start of the current window of one second
+	counts      map[netip.Addr]int // datagrams in the current window by source address; the zero address counts those of untracked sources
 }
 
 // allow counts a datagram, and reports whether its source is within maxDatagramsPerSource.
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -9,7 +9,7 @@
 )
 
 // Messages returns the channel of messages that other daemons sent with Send. The channel holds at most
-// messageQueueCapacity messages; further ones are dropped and counted. A message is delivered only if the view has the
+// messageQueueCapacity messages; further messages are dropped and counted. A message is delivered only if the view has the
 // sending process as the member of that name: messages of a second process with the same name are dropped.
 func (t *Transport) Messages() <-chan Message { return t.messages }
 
@@ -45,8 +45,8 @@
 	return members[i], true
 }
 
-// receive delivers the message in a packet or drops the packet, and counts the packet. b may be reused when receive has
-// returned.
+// receive delivers the message in the packet b, or drops the packet, and counts the packet as received or dropped. b may
+// be reused when receive has returned.
 func (t *Transport) receive(b []byte, maxUpdates int) {
 	if err := t.deliver(b, maxUpdates); err != nil {
 		t.dropped.count(err)
@@ -55,7 +55,8 @@
 	t.received.Add(1)
 }
 
-// deliver authenticates a packet and queues the message in it. An error is the reason to drop the packet.
+// deliver authenticates the packet b and queues the message in it for the event loop or for the users of Messages. An
+// error is the reason to drop the packet.
 func (t *Transport) deliver(b []byte, maxUpdates int) error {
 	p, err := openPacket(b, t.options.Load(), maxUpdates)
 	if err != nil {
@@ -73,11 +74,11 @@
 	return enqueue(t.messages, *p.message)
 }
 
-// isFirstReceipt records a packet in the replay filter, and reports whether it is received for the first time.
+// isFirstReceipt records a packet in the replay filter, and reports whether the packet is received for the first time.
 func (t *Transport) isFirstReceipt(p packet) bool {
-	t.replaysMu.Lock()
-	defer t.replaysMu.Unlock()
-	return t.replays.accept(p.generation, p.sequence)
+	t.replayFilterMu.Lock()
+	defer t.replayFilterMu.Unlock()
+	return t.replayFilter.accept(p.generation, p.sequence)
 }
 
 // enqueue adds a value to a queue without waiting. It returns errQueueFull if the queue is full.
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-// Guards against a stream whose header announces more than maxStreamBytes.
+// A stream whose header announces more than maxStreamBytes must be dropped, so that it can't exhaust the memory.
 func TestStreamWithATooLargeLengthIsDropped(t *testing.T) {
 	a := start(t, testOptions("a"))
 	conn, err := net.Dial("tcp", a.Addr().String())
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -5,7 +5,7 @@
 // ErrUnknownMember is returned by Send if the latest view has no member with the receiver's name.
 var ErrUnknownMember = errors.New("no daemon of this name is known")
 
-// The reasons why a packet is dropped. dropCounters.count maps each to its counter.
+// The reasons why a packet is dropped. dropCounters.count maps each reason to a counter.
 var (
 	errMalformed       = errors.New("malformed packet")
 	errVersionMismatch = errors.New("packet of another format version")
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -10,31 +10,32 @@
 	// minViewInterval is the minimum time between two published views in a cluster of smallClusterMembers or more members,
 	// because building a view copies all members. In a smaller cluster each change is published at once.
 	minViewInterval     = time.Second / 10
-	smallClusterMembers = 100 // number of members from which minViewInterval applies
-	// maxSleep is the longest time for which the event loop waits when the failure detector has no timer running.
+	smallClusterMembers = 100 // number of members of a cluster from which minViewInterval applies
+	// maxSleep is the longest time for which the event loop waits for a message or a call before it runs again.
 	maxSleep = time.Hour
 	// noContactWarningDelay is the time after the start at which a warning is logged if no message of another daemon has
 	// been received.
 	noContactWarningDelay = 10 * time.Second
 	// maxChangeLogLines is the maximum number of log lines about member state changes in each changeLogInterval.
 	maxChangeLogLines = 20
-	changeLogInterval = time.Second // window in which maxChangeLogLines applies
+	changeLogInterval = time.Second // window of time in which at most maxChangeLogLines are logged
 )
 
 // eventLoop is the state of the goroutine that owns the failure detector. No other goroutine may use its fields.
 type eventLoop struct {
 	transport    *Transport    // transport to which the event loop belongs
-	node         *swim.Node    // failure detector
+	node         *swim.Node    // failure detector, which only the event loop may use
 	publishedAt  time.Duration // instant at which the latest view was published
-	packetBuffer []byte        // buffer that is reused for each datagram
+	packetBuffer []byte        // buffer in which each packet to be sent in a datagram is encoded
 
-	logWindowStart     time.Duration // start of the current changeLogInterval
+	logWindowStart     time.Duration // instant at which the current changeLogInterval began
 	changesInLogWindow int           // member state changes since logWindowStart, whether logged or not
 	hasWarnedNoContact bool          // whether the warning that no daemon of the cluster responds was logged
-	loggedConflict     swim.Peer     // process with this daemon's name that was logged last
+	loggedConflict     swim.Peer     // other process with this daemon's name that was logged last; zero value: none was
 }
 
-// runEventLoop passes messages, calls and ticks to the failure detector until the transport ends.
+// runEventLoop passes received messages, calls of callOnEventLoop and due ticks to the failure detector, and handles the
+// output, until the transport ends.
 func (t *Transport) runEventLoop(node *swim.Node) {
 	l := &eventLoop{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
@@ -68,7 +69,7 @@
 	}
 }
 
-// publish makes the failure detector's current view the one that View returns.
+// publish has View return the failure detector's current view, and puts a value into the channel that Changed returns.
 func (t *Transport) publish(node *swim.Node) {
 	view := node.View()
 	t.view.Store(&view)
@@ -92,8 +93,8 @@
 	return l.node.ViewNumber() != l.transport.View().Number
 }
 
-// handleOutput sends the messages, logs the changes and publishes the view that resulted from the failure detector's latest
-// step.
+// handleOutput sends the messages that the failure detector has for other nodes, logs its member state changes, and
+// publishes its view if that has changed and minViewInterval allows it.
 func (l *eventLoop) handleOutput(now time.Duration) {
 	for _, e := range l.node.TakeMessages() {
 		l.send(&e)
@@ -144,7 +145,7 @@
 		"incarnation", c.Incarnation)
 }
 
-// logNameConflict logs another process that uses this daemon's name, unless it was the last one logged.
+// logNameConflict logs another process that uses this daemon's name, unless that process was already logged last.
 func (l *eventLoop) logNameConflict() {
 	other, responds, yields := l.node.NameConflict()
 	if !responds || other == l.loggedConflict {
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -17,18 +17,19 @@
 
 // Key is a secret with which packets are signed (HMAC-SHA256).
 type Key struct {
-	id     [keyIDBytes]byte // identifies the key in packets that it signs; never zero, which stands for no key
-	secret []byte           // HMAC key, of minKeyBytes to maxKeyBytes
+	id     [keyIDBytes]byte // ID of the key in packets that it signs; never zero, which marks an unsigned packet
+	secret []byte           // HMAC key, minKeyBytes to maxKeyBytes long
 }
 
 const (
-	keyIDBytes = 4 // length of a key's ID in a packet
+	keyIDBytes = 4 // length of a key's ID in a packet, in bytes
 	maxKeys    = 2 // maximum number of keys in a key file
-	// minKeyBytes is half of the output of HMAC-SHA256, and too long to guess.
+	// minKeyBytes is the minimum length of a key in bytes. A key of half the length of HMAC-SHA256's output is too long to
+	// guess.
 	minKeyBytes = 16
-	maxKeyBytes = 64 // block size of SHA-256; HMAC hashes longer keys
-	// keyFileFormat is the error text for a malformed key file.
-	keyFileFormat = "must contain one or two keys, each on a line of 32 to 128 hexadecimal digits"
+	maxKeyBytes = 64 // maximum length of a key in bytes: the block size of SHA-256, since HMAC would hash a longer key
+	// malformedKeyFileText is the error text for a malformed key file.
+	malformedKeyFileText = "must contain one or two keys, each on a line of 32 to 128 hexadecimal digits"
 )
 
 // ReadKeys reads a key file with one or two lines, each of which contains a key in hexadecimal digits. Empty lines and
@@ -55,17 +56,17 @@
 		}
 		secret, err := hex.DecodeString(line)
 		if err != nil || len(secret) < minKeyBytes || len(secret) > maxKeyBytes || len(keys) == maxKeys {
-			return nil, fmt.Errorf("%s:%d: %s", path, number, keyFileFormat)
+			return nil, fmt.Errorf("%s:%d: %s", path, number, malformedKeyFileText)
 		}
 		keys = append(keys, newKey(secret))
 	}
 	if err := lines.Err(); err != nil || len(keys) == 0 {
-		return nil, fmt.Errorf("%s: %s", path, keyFileFormat)
+		return nil, fmt.Errorf("%s: %s", path, malformedKeyFileText)
 	}
 	return keys, nil
 }
 
-// newKey returns the key with a secret. The key's ID is derived from the secret, so that all daemons use the same one.
+// newKey returns the key with a secret. The key's ID is derived from the secret, so that it is the same at all daemons.
 func newKey(secret []byte) Key {
 	sum := sha256.Sum256(append([]byte("tuliprock key id\x00"), secret...))
 	k := Key{id: [keyIDBytes]byte(sum[:]), secret: secret}
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -10,18 +10,18 @@
 )
 
 // The field numbers of a swim.Message in the wire format of Protocol Buffers. Parsers skip unknown fields, so that a later
-// version may add some.
+// version of the daemon may add fields.
 const (
 	swimFieldKind protowire.Number = iota + 1
 	swimFieldFrom
 	swimFieldSequence
 	swimFieldTarget
 	swimFieldDigest
-	swimFieldQuiet
+	swimFieldGossipQueueEmpty
 	swimFieldUpdate
 )
 
-// The field numbers of a swim.Update.
+// The field numbers of a swim.Update in the wire format of Protocol Buffers. They must not change.
 const (
 	updateFieldName protowire.Number = iota + 1
 	updateFieldIP
@@ -32,7 +32,7 @@
 	updateFieldSuspectedBy
 )
 
-// The field numbers of a Message.
+// The field numbers of a Message in the wire format of Protocol Buffers. They must not change.
 const (
 	messageFieldFrom protowire.Number = iota + 1
 	messageFieldGeneration
@@ -43,12 +43,12 @@
 // Message is a message from a component of a daemon to the same component of another daemon.
 type Message struct {
 	From       string // name of the sending daemon
-	Generation uint64 // generation of the sending process; see swim.Peer
-	Kind       byte   // purpose of the message, from which the receiver knows the component
-	Body       []byte // content, which the transport does not interpret
+	Generation uint64 // swim.Peer.Generation of the sending process
+	Kind       byte   // purpose of the message, by which the receiver chooses the component that handles it
+	Body       []byte // content of the message, which the transport does not interpret
 }
 
-// marshal returns the encoding of the message.
+// marshal returns the message in the wire format of Protocol Buffers.
 func (m *Message) marshal() []byte {
 	b := appendBytes(make([]byte, 0, len(m.Body)+len(m.From)+32), messageFieldFrom, m.From)
 	b = appendFixed64(b, messageFieldGeneration, m.Generation)
@@ -56,7 +56,7 @@
 	return appendBytes(b, messageFieldBody, m.Body)
 }
 
-// parseMessage parses the encoding that marshal returns. The result does not refer to b.
+// parseMessage parses a Message that marshal encoded. The result does not refer to b.
 func parseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := forEachField(b, func(f field) error {
@@ -91,7 +91,7 @@
 	}
 	b = appendFixed64(b, swimFieldDigest, m.Digest)
 	if m.GossipQueueEmpty {
-		b = appendVarint(b, swimFieldQuiet, 1)
+		b = appendVarint(b, swimFieldGossipQueueEmpty, 1)
 	}
 	for i := range m.Updates {
 		b = appendUpdate(b, swimFieldUpdate, &m.Updates[i])
@@ -101,7 +101,7 @@
 
 // appendUpdate appends an update as a length-delimited field to b.
 func appendUpdate(b []byte, id protowire.Number, u *swim.Update) []byte {
-	var buffer [160]byte // long enough for nearly all updates; append allocates for longer ones
+	var buffer [160]byte // long enough for nearly all updates; appendBytes allocates memory for a longer update
 	ip := u.Addr.Addr().As16()
 	update := appendBytes(buffer[:0], updateFieldName, u.Name)
 	if u.Addr.Addr().Is4() {
@@ -121,7 +121,7 @@
 	return appendBytes(b, id, update)
 }
 
-// parseSwimMessage parses the encoding that AppendSwimMessage appends. It rejects a message with more than maxUpdates
+// parseSwimMessage parses a swim.Message that AppendSwimMessage encoded. It rejects a message with more than maxUpdates
 // updates. The result does not refer to b.
 func parseSwimMessage(b []byte, maxUpdates int) (*swim.Message, error) {
 	m := &swim.Message{}
@@ -141,7 +141,7 @@
 			m.Target = u.Peer
 		case swimFieldDigest:
 			m.Digest = f.number
-		case swimFieldQuiet:
+		case swimFieldGossipQueueEmpty:
 			m.GossipQueueEmpty = f.number != 0
 		case swimFieldUpdate:
 			if len(m.Updates) >= maxUpdates {
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// Metrics contains counts since the start of the transport.
+// Metrics contains the numbers of packets that a transport has sent, received and dropped since its start.
 type Metrics struct {
 	Received        uint64 // packets received and not dropped
-	Sent            uint64 // packets sent
+	Sent            uint64 // packets sent without an error
 	BytesSent       uint64 // total length of the packets sent, in bytes
 	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
-	Foreign         uint64 // packets dropped because of another format version or cluster, or because their sender is not the member of its name
+	Foreign         uint64 // packets dropped since they had another format version or cluster, or their sender was not the member with its name
 	Unauthenticated uint64 // packets dropped because they were signed with an unknown key, or altered
-	Replayed        uint64 // packets dropped because they were received before, or too old to tell
+	Replayed        uint64 // packets dropped because they were received before, or were older than the replay window
 	RateLimited     uint64 // packets dropped because their source address exceeded its rate limit
 	QueueFull       uint64 // packets dropped because a queue was full or maxStreams outgoing streams were open
 }
 
-// Metrics returns the counts. Each count is exact, but they are not read at the same instant.
+// Metrics returns the counts since Start. Each count is exact, but the counts are not read at the same instant.
 func (t *Transport) Metrics() Metrics {
 	return Metrics{
 		Received:        t.received.Load(),
@@ -33,8 +33,8 @@
 	}
 }
 
-// countSent counts a packet of n bytes if it was sent without error. An error needs no handling: the failure detector
-// tolerates lost packets, and so must the users of Send.
+// countSent counts a packet of n bytes if err is nil, which means that it was sent. An error needs no other handling: the
+// failure detector tolerates lost packets, and so must the users of Send.
 func (t *Transport) countSent(n int, err error) {
 	if err == nil {
 		t.sent.Add(1)
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -12,15 +12,15 @@
 	Cluster   string           // name of the cluster; messages of other clusters are dropped
 	Name      string           // name of this daemon, unique in the cluster
 	Listen    netip.AddrPort   // address of the UDP and the TCP socket; with port 0 the system chooses a port
-	Advertise netip.AddrPort   // address to which the other daemons send messages; zero value: the address of Listen
+	Advertise netip.AddrPort   // address to which the other daemons send messages; zero value: the address to which the sockets are bound
 	Keys      Keys             // keys that sign and authenticate packets; without a key, Listen must be a loopback address
 	Join      []netip.AddrPort // addresses to contact to join the cluster, each while no present member has it
-	Voters    []string         // names of the voters; see swim.Options
+	Voters    []string         // names of the members whose presence determines swim.Connectivity; empty: all known members
 	Timing    swim.Options     // times of the failure detector; only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
 	Log       *slog.Logger     // log of member state changes and of failures to join
 }
 
-// swimOptions returns the options of the failure detector of this process.
+// swimOptions returns the options with which the transport's failure detector runs.
 func (t *Transport) swimOptions(options *Options) swim.Options {
 	o := options.Timing
 	o.Self = swim.Peer{Name: options.Name, Addr: options.Advertise, Generation: t.generation}
--- a/internal/cluster/transport/replay.go
+++ b/internal/cluster/transport/replay.go
@@ -2,8 +2,8 @@
 
 import "tuliprock/internal/cluster/swim"
 
-// The size of a replayWindow. A packet in a stream may arrive later than datagrams that were sent after it; the window
-// covers the datagrams of some seconds.
+// The size of a replayWindow in words of 64 bits and in bits. A packet in a stream may arrive later than datagrams that
+// were sent after it; the window covers the datagrams that a process sends in some seconds.
 const (
 	replayWindowWords = 16
 	replayWindowBits  = 64 * replayWindowWords
@@ -11,23 +11,24 @@
 
 // replayWindow is a sliding window over the sequence numbers of one process (cf. RFC 4303, section 3.4.3).
 type replayWindow struct {
-	highest uint64                    // highest sequence number received
-	seen    [replayWindowWords]uint64 // ring of bits: whether each of the latest replayWindowBits numbers was received
+	highest      uint64                    // highest sequence number received from the process
+	receivedBits [replayWindowWords]uint64 // ring of bits: whether each of the replayWindowBits sequence numbers up to highest was received
 }
 
-// accept marks a sequence number as received, and reports whether it is received for the first time. A number that is older
-// than the window is not accepted.
+// accept marks a sequence number as received, and reports whether it is received for the first time. It returns false for
+// a number that is older than the window.
 func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence+replayWindowBits <= w.highest {
 		return false
 	}
-	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ { // forget the number that had this bit before
+	// The bit of each number above highest belonged to a number that is now older than the window.
+	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ {
 		w.clearBit(w.highest + 1)
 	}
-	if w.highest < sequence { // more than a window ahead: all bits are outdated
+	if w.highest < sequence { // sequence is more than a window ahead of highest: all bits are outdated
 		*w = replayWindow{highest: sequence}
 	}
-	word, bit := &w.seen[sequence/64%replayWindowWords], uint64(1)<<(sequence%64)
+	word, bit := &w.receivedBits[sequence/64%replayWindowWords], uint64(1)<<(sequence%64)
 	isFirst := *word&bit == 0
 	*word |= bit
 	return isFirst
@@ -35,18 +36,20 @@
 
 // clearBit marks a sequence number as not received.
 func (w *replayWindow) clearBit(sequence uint64) {
-	w.seen[sequence/64%replayWindowWords] &^= 1 << (sequence % 64)
+	w.receivedBits[sequence/64%replayWindowWords] &^= 1 << (sequence % 64)
 }
 
 // maxTrackedProcesses is the maximum number of replay windows in each map of a replayFilter: enough for the largest cluster
 // in which each daemon was restarted once.
 const maxTrackedProcesses = 2 * swim.MaxMembers
 
-// replayFilter contains the replay windows of all sending processes, by their generation. New windows are added to current.
-// When current is full, it becomes previous, and the former previous is discarded, so that memory is bounded.
+// replayFilter contains the replay windows of all sending processes, by the generation of the process. New windows are
+// added to current. When current is full, it becomes previous, and the former previous is discarded, so that memory is
+// bounded.
 type replayFilter struct{ current, previous map[uint64]*replayWindow }
 
-// accept reports whether a packet is received for the first time, as far as its sender's replay window can tell.
+// accept records the packet with a sequence number of a sending process, and reports whether it is received for the first
+// time, as far as the replay window of the process can tell.
 func (f *replayFilter) accept(generation, sequence uint64) bool {
 	w := f.current[generation]
 	if w == nil {
--- a/internal/cluster/transport/replay_test.go
+++ b/internal/cluster/transport/replay_test.go
@@ -15,11 +15,11 @@
 			t.Fatalf("sequence number %d, older than the window, is accepted after %d", n-replayWindowBits-2, n)
 		}
 	}
-	const reordered = 4999 - 501
-	if !f.accept(1, reordered) {
+	const reorderedSequence = 4999 - 501
+	if !f.accept(1, reorderedSequence) {
 		t.Error("a reordered packet within the window is not accepted")
 	}
-	if f.accept(1, reordered) {
+	if f.accept(1, reorderedSequence) {
 		t.Error("a reordered packet within the window is accepted twice")
 	}
 	for generation := uint64(2); generation < 3*maxTrackedProcesses; generation++ {
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -43,12 +43,13 @@
 	return nil
 }
 
-// writeStream dials and writes b. It is canceled after streamTimeout or when the transport ends.
+// writeStream dials the address to, writes b, and returns the number of bytes written. It is canceled after streamTimeout
+// or when the transport ends.
 func (t *Transport) writeStream(options *Options, to netip.AddrPort, b []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, streamTimeout)
 	defer cancel()
 	dialer := net.Dialer{}
-	if ip := options.Listen.Addr(); !ip.IsUnspecified() { // the receiver sees the address of Options.Listen as the source
+	if ip := options.Listen.Addr(); !ip.IsUnspecified() { // send from the address in Options.Listen, as datagrams do
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", to.String())
@@ -99,7 +100,8 @@
 	t.receive(b, swim.MaxMembers)
 }
 
-// readStream reads one packet. It allocates memory in proportion to the bytes received, not to the length in the header.
+// readStream reads the header and the packet of a stream. It allocates memory in proportion to the bytes received, not to
+// the length that the header announces.
 func readStream(r io.Reader) ([]byte, error) {
 	var header [streamHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -45,25 +45,25 @@
 // Transport is a daemon's connection to its cluster. Start creates it, and Close or Abort must end it.
 type Transport struct {
 	options     atomic.Pointer[Options] // current options; Reconfigure replaces them
-	udpConn     *net.UDPConn            // socket of the datagrams
-	tcpListener *net.TCPListener        // socket of the incoming streams
-	generation  uint64                  // identifier of this process; see newGeneration
+	udpConn     *net.UDPConn            // socket on which datagrams are sent and received
+	tcpListener *net.TCPListener        // socket on which streams of other daemons are accepted
+	generation  uint64                  // identifier of this process (newGeneration)
 	clockStart  time.Time               // instant at which the failure detector's clock read clockOrigin
 
-	ctx        context.Context    // ends when Abort is called
-	stop       context.CancelFunc // ends ctx
-	goroutines sync.WaitGroup     // all goroutines of the transport
+	ctx        context.Context    // canceled by Abort
+	stop       context.CancelFunc // cancels ctx
+	goroutines sync.WaitGroup     // all goroutines of the transport, for which Abort waits
 
 	inbox          chan *swim.Message                            // received messages of the failure detector, for the event loop
 	eventLoopCalls chan func(now time.Duration, node *swim.Node) // functions that the event loop is to call
-	messages       chan Message                                  // received messages of Send, for the users of Messages
+	messages       chan Message                                  // received messages that other daemons sent with Send, for the users of Messages
 	view           atomic.Pointer[swim.View]                     // latest published view
-	changed        chan struct{}                                 // holds a value if the view has changed since the last receive
+	changed        chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
 
-	sequence        atomic.Uint64 // sequence number of the latest packet that was signed
-	outboundStreams chan struct{} // holds a value for each stream being sent
-	replaysMu       sync.Mutex    // guards replays
-	replays         replayFilter  // packets that were received recently
+	sequence        atomic.Uint64 // sequence number of the latest packet that this process encoded
+	outboundStreams chan struct{} // holds a value for each outgoing stream that is open, at most maxStreams
+	replayFilterMu  sync.Mutex    // guards replayFilter
+	replayFilter    replayFilter  // recognizes packets that were received before
 
 	received  atomic.Uint64 // number of packets received and not dropped
 	sent      atomic.Uint64 // number of packets sent
@@ -80,13 +80,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	options.Listen = tcpListener.Addr().(*net.TCPAddr).AddrPort() // with the port that the system chose, if it was 0
+	// If the configured port is 0, Listen now has the port that the system chose.
+	options.Listen = tcpListener.Addr().(*net.TCPAddr).AddrPort()
 	udpConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
 		tcpListener.Close()
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	_ = udpConn.SetReadBuffer(receiveBufferBytes) // the system may grant less
+	_ = udpConn.SetReadBuffer(receiveBufferBytes) // the system may grant a smaller buffer
 	if !options.Advertise.IsValid() {
 		options.Advertise = options.Listen
 	}
@@ -111,18 +112,18 @@
 	return t, nil
 }
 
-// newGeneration returns an identifier for this process. A process that starts later gets a greater one, as far as the clocks
-// of the machines agree; the random part distinguishes processes that start in the same millisecond.
+// newGeneration returns an identifier for this process. A process that starts later gets a greater identifier, as far as
+// the clocks of the machines agree; the random part distinguishes processes that start in the same millisecond.
 func newGeneration() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never returns an error
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return uint64(time.Now().UnixMilli())<<16 | uint64(binary.LittleEndian.Uint16(b[:]))
 }
 
 // Addr returns the address to which the sockets are bound.
 func (t *Transport) Addr() netip.AddrPort { return t.options.Load().Listen }
 
-// View returns the latest view. The caller must not modify it, because it is shared.
+// View returns the latest published view. The caller must not modify the view, which all callers share.
 func (t *Transport) View() *swim.View { return t.view.Load() }
 
 // Changed returns a channel that holds a value if the view has changed since the last receive from the channel.
@@ -136,7 +137,7 @@
 	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Reconfigure(now, t.swimOptions(&next)) })
 }
 
-// Close announces to the cluster that this daemon leaves, waits for leaveGossipTime, and then does what Abort does.
+// Close announces to the cluster that this daemon leaves, waits for leaveGossipTime, and then calls Abort.
 func (t *Transport) Close() error {
 	t.callOnEventLoop(func(now time.Duration, node *swim.Node) { node.Leave(now) })
 	select {
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -32,14 +32,14 @@
 	}
 }
 
-// start starts a transport that is aborted at the end of the test.
+// start starts a transport with options, which is aborted at the end of the test.
 func start(t *testing.T, options Options) *Transport {
 	t.Helper()
 	tr, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = tr.Abort() }) // fails if the test has already closed or aborted the transport
+	t.Cleanup(func() { _ = tr.Abort() }) // Abort fails if the test has already closed or aborted the transport
 	return tr
 }
 
--- a/internal/cluster/transport/wire.go
+++ b/internal/cluster/transport/wire.go
@@ -2,8 +2,8 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// The functions below encode and parse single fields of the wire format of Protocol Buffers. There is no generated code, so
-// that the parsers can check the bounds of each field while they read it.
+// This file encodes and parses single fields of the wire format of Protocol Buffers. There is no generated code, so that
+// the parsers can check the bounds of each field while they read it.
 
 // appendVarint appends a field of the wire type varint to b.
 func appendVarint(b []byte, id protowire.Number, v uint64) []byte {
@@ -21,7 +21,7 @@
 	return append(b, v...)
 }
 
-// field is a parsed field. Its wire type determines which of number and bytes has its value.
+// field is a parsed field of a message. The wire type of the field determines which of number and bytes has its value.
 type field struct {
 	id     protowire.Number // number of the field in its message
 	number uint64           // value of a varint or fixed64 field
@@ -45,7 +45,7 @@
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return errMalformed // no version of the daemon sends other wire types
+			return errMalformed // no version of the daemon sends fields of other wire types
 		}
 		if n < 0 {
 			return errMalformed
