--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -15,36 +15,36 @@
 	// bodyBytesPerLine is the number of bytes of a document's body that are encoded on one line.
 	bodyBytesPerLine = 6000
 
-	// callTimeout bounds one request of Call. A daemon must respond within a second.
+	// callTimeout bounds each request that Call sends. A daemon responds within one second.
 	callTimeout = 2 * time.Second
 
-	// retryInterval is the pause between two requests of Call.
+	// retryInterval is the pause between two requests that Call sends.
 	retryInterval = 100 * time.Millisecond
 )
 
-// HistoryEntry is a change in the history of the agreed documents.
+// HistoryEntry describes one change of the agreed documents. Its JSON form is documented for operators.
 type HistoryEntry struct {
 	Version     uint64 `json:"version"`        // version of the settings that the change created
 	Name        string `json:"name"`           // name of the changed document
-	Bytes       int    `json:"bytes"`          // length of the document's body
-	SHA256      string `json:"sha256"`         // SHA-256 of the body, in hexadecimal; zeros: the document was removed
+	Bytes       int    `json:"bytes"`          // length of the document's body after the change, in bytes
+	SHA256      string `json:"sha256"`         // SHA-256 of the document's new body, in hexadecimal; all zeros: the document was removed
 	ProposedBy  string `json:"by"`             // name of the daemon that proposed the change
 	AtUnixMilli int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
-	RevertedTo  uint64 `json:"back,omitempty"` // version to which the change reverts the document; 0: no revert
+	RevertedTo  uint64 `json:"back,omitempty"` // version to which the change reverted the document; 0: the change was no revert
 }
 
-// IsRemoval reports whether the change removed the document.
+// IsRemoval reports whether the change removed the document, which all zeros in SHA256 mean.
 func (h *HistoryEntry) IsRemoval() bool { return strings.Trim(h.SHA256, "0") == "" }
 
 // CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
 type CommandResult struct {
-	Format      int            `json:"format"`            // version of the JSON format: 1
-	Version     uint64         `json:"version"`           // version that the command created, or else the committed version
-	IsUnchanged bool           `json:"same,omitempty"`    // whether the command had nothing to change
-	Name        string         `json:"name,omitempty"`    // name of the requested document
-	PutVersion  uint64         `json:"put,omitempty"`     // version in which the requested document was put
-	Body        []byte         `json:"body,omitempty"`    // body of the requested document
-	History     []HistoryEntry `json:"history,omitempty"` // requested history
+	Format      int            `json:"format"`            // number of the JSON format, always 1
+	Version     uint64         `json:"version"`           // version that the command made, or the latest committed version if it made none
+	IsUnchanged bool           `json:"same,omitempty"`    // whether the command had nothing to change and so made no version
+	Name        string         `json:"name,omitempty"`    // name of the document that a read requested; empty: no document was read
+	PutVersion  uint64         `json:"put,omitempty"`     // version that was made when the requested document was put
+	Body        []byte         `json:"body,omitempty"`    // body of the document that a read requested
+	History     []HistoryEntry `json:"history,omitempty"` // history that a read without a name requested, oldest change first
 }
 
 // WriteResult writes the lines of a command's result, but not the line that ends the response.
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// parseLine parses a line that WriteResult wrote.
+// parseLine adds the content of a line that WriteResult wrote to the result.
 func (r *CommandResult) parseLine(line string) error {
 	var h HistoryEntry
 	var encodedBody string
@@ -98,10 +98,10 @@
 	return err
 }
 
-// IndeterminateError is the error of a command that may or may not have been carried out, or may still be carried out.
+// IndeterminateError is returned by Call for a command of which it is not known whether it was or will be carried out.
 type IndeterminateError struct{ error }
 
-// Unwrap returns the error of the last attempt.
+// Unwrap returns the error of the last request that Call sent.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
 // Call sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -8,19 +8,19 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Fleet is the view of one daemon of its cluster. Its JSON form is documented for operators.
+// Fleet is the view that one daemon has of its cluster. Its JSON form is documented for operators.
 type Fleet struct {
-	Format       int    `json:"format"`          // version of the JSON format: 1
-	Self         string `json:"self"`            // name of the daemon
-	Connectivity string `json:"standing"`        // swim.Connectivity of the daemon: whole, partial or cut-off
-	ElderAddr    string `json:"elder,omitempty"` // address of the older process with this daemon's name, to which the daemon yields
-	ViewNumber   uint64 `json:"view"`            // number of the view, which grows with each change
+	Format       int    `json:"format"`          // number of the JSON format, always 1
+	Self         string `json:"self"`            // name of the daemon that reports
+	Connectivity string `json:"standing"`        // swim.Connectivity of the reporting daemon: whole, partial or cut-off
+	ElderAddr    string `json:"elder,omitempty"` // address of an older process with this daemon's name, to which the daemon yields; empty: none
+	ViewNumber   uint64 `json:"view"`            // number of the view, which grows with each change while the daemon runs
 	DaemonCount  int    `json:"daemons"`         // number of daemons that divide limits among themselves; see package ordinal
-	Ordinal      int    `json:"index"`           // ordinal of this daemon among those counted in "daemons", from 0
-	Peers        []Peer `json:"peers"`           // members sorted by name, this daemon included
+	Ordinal      int    `json:"index"`           // ordinal, from 0, of this daemon among the DaemonCount daemons
+	Peers        []Peer `json:"peers"`           // all known members, sorted by name, this daemon included
 }
 
-// Peer is a member of a Fleet.
+// Peer is a member of the cluster as the daemon that reports a Fleet knows it.
 type Peer struct {
 	Name        string `json:"name"`        // name of the member
 	Address     string `json:"address"`     // address and port to which other daemons send messages
@@ -29,7 +29,8 @@
 	SinceMs     int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
-// FleetFromView returns the report of a view at the instant now of the failure detector's clock.
+// FleetFromView returns the Fleet for a view. now is the present instant by the failure detector's clock; daemons and
+// index become DaemonCount and Ordinal.
 func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
 	f := &Fleet{
 		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), ElderAddr: v.ElderAddr, ViewNumber: v.Number,
@@ -50,7 +51,7 @@
 	return f, query(addr, "peers", nil, timeout, f.parseLine)
 }
 
-// Write writes a line for the daemon and one for each member, but not the line that ends the response.
+// Write writes a line for the reporting daemon and a line for each member, but not the line that ends the response.
 func (f *Fleet) Write(w io.Writer) error {
 	elder := ""
 	if f.ElderAddr != "" {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// parseLine parses a line that Write wrote.
+// parseLine adds the content of a line that Fleet.Write wrote to the Fleet.
 func (f *Fleet) parseLine(line string) error {
 	var p Peer
 	err := parseFields(line, lineFields{
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -19,7 +19,8 @@
 	// endOfResponse is the line that ends a response. The server of the operators' address writes it.
 	endOfResponse = "EOT"
 
-	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request.
+	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request. The
+	// rest of the line is the reason.
 	failurePrefix = "FAILURE "
 
 	// maxResponseLines is the maximum number of lines of a response: one for each member of the largest cluster, one for the
@@ -27,20 +28,20 @@
 	maxResponseLines = swim.MaxMembers + 2
 )
 
-// failureError is the reason that a daemon reports for not carrying out a request.
-type failureError string
+// daemonError is the reason that a daemon reports for not carrying out a request.
+type daemonError string
 
-// Error returns the reason as the daemon reported it.
-func (e failureError) Error() string { return string(e) }
+// Error returns the reason in the words of the daemon.
+func (e daemonError) Error() string { return string(e) }
 
 // Is reports whether the daemon's error was consensus.ErrIndeterminate. It compares the text, because the protocol
 // transfers only the text of an error.
-func (e failureError) Is(target error) bool {
+func (e daemonError) Is(target error) bool {
 	return target == consensus.ErrIndeterminate && strings.Contains(string(e), target.Error())
 }
 
-// query sends a request line and a body to a daemon's operators' address, and passes the lines of the response to parseLine.
-// It returns within timeout.
+// query sends a request line and a body to addr, the operators' address of a daemon, and passes the lines of the response
+// to parseLine. It returns within timeout.
 func query(addr, request string, body []byte, timeout time.Duration, parseLine func(line string) error) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a failureError if the daemon
+// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a daemonError if the daemon
 // reports a failure, and another error if the response is truncated.
 func readResponse(r io.Reader, parseLine func(line string) error) error {
 	scanner := bufio.NewScanner(r)
@@ -67,7 +68,7 @@
 			return nil
 		}
 		if reason, ok := strings.CutPrefix(line, failurePrefix); ok {
-			return failureError(reason)
+			return daemonError(reason)
 		}
 		if err := parseLine(line); err != nil {
 			return err
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// escapedText is a text that is query-escaped on a line, because a field's value cannot contain spaces.
+// escapedText is a text that is query-escaped (url.QueryEscape) on a line, because a field's value cannot contain spaces.
 type escapedText string
 
 // parseValue parses a value according to the type of the pointer target, and assigns it through the pointer. It ignores the
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Settings is the state of the agreed settings at one daemon. Its JSON form is documented for operators.
+// Settings is the state of the agreed documents at one daemon. Its JSON form is documented for operators.
 type Settings struct {
-	Format             int             `json:"format"`             // version of the JSON format: 1
-	ActiveVersion      uint64          `json:"version"`            // version of the settings that this daemon acts on
+	Format             int             `json:"format"`             // number of the JSON format, always 1
+	ActiveVersion      uint64          `json:"version"`            // version of the documents on which this daemon acts
 	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease
 	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds
 	IsVoter            bool            `json:"votes"`              // whether this daemon is a voter
 	IsLeader           bool            `json:"leads"`              // whether this daemon's voter is the leader
 	Leader             string          `json:"leader"`             // name of the daemon that granted the latest lease
-	CommittedVersion   uint64          `json:"committed"`          // latest committed version, if this daemon is a voter; 0 otherwise
-	PendingVersion     uint64          `json:"coming"`             // version that is activated next, if this daemon is a voter; 0 otherwise
-	Term               uint64          `json:"term"`               // Raft term, if this daemon is a voter; 0 otherwise
-	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon acts any more; 0: unknown
-	RejectedVersion    uint64          `json:"declined,omitempty"` // version on which this daemon cannot act
-	RejectionReason    string          `json:"why,omitempty"`      // why this daemon cannot act on RejectedVersion
-	RejectedRequests   uint64          `json:"refused"`            // number of requests that were rejected for lack of a valid lease
-	KnownVoters        string          `json:"voters"`             // names of the voters that may grant a lease, separated by commas
-	ActiveVoters       string          `json:"sitting"`            // names of the voters that the leader reported last, separated by commas
-	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons for which the leader waits
-	Documents          []Document      `json:"documents"`          // agreed documents
+	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
+	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
+	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
+	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon of the cluster acts; 0: not known
+	RejectedVersion    uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
+	RejectionReason    string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
+	RejectedRequests   uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
+	KnownVoters        string          `json:"voters"`             // names of the voters from which this daemon may request a lease, separated by commas
+	ActiveVoters       string          `json:"sitting"`            // names of the daemons that vote, as a leader last reported them, separated by commas
+	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons for which the leader waits before all act on the latest version
+	Documents          []Document      `json:"documents"`          // agreed documents, without their bodies
 }
 
-// LaggingDaemon is a daemon for which the leader waits, because it does not act on the latest version yet.
+// LaggingDaemon is a daemon for which the leader waits, since the daemon does not act on the latest version yet.
 type LaggingDaemon struct {
 	Name   string `json:"daemon"` // name of the daemon
 	Reason string `json:"why"`    // why the leader waits for the daemon
@@ -38,9 +38,9 @@
 // Document describes an agreed document, without its body.
 type Document struct {
 	Name       string `json:"name"`    // name of the document
-	Version    uint64 `json:"version"` // version of the settings in which the document was put
+	Version    uint64 `json:"version"` // version that was made when the document was put
 	ProposedBy string `json:"by"`      // name of the daemon that proposed the document
-	Bytes      int    `json:"bytes"`   // length of the document's body
+	Bytes      int    `json:"bytes"`   // length of the document's body in bytes
 	SHA256     string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
 }
 
@@ -49,19 +49,20 @@
 	return fetchSettings(addr, "settings", timeout)
 }
 
-// FetchVersions requests the Settings without the documents.
+// FetchVersions requests the Settings without the documents from the daemon whose operators' address is addr, within
+// timeout.
 func FetchVersions(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "versions", timeout)
 }
 
-// fetchSettings requests the Settings with a request line.
+// fetchSettings requests the Settings, with the given request line, from the daemon whose operators' address is addr.
 func fetchSettings(addr, request string, timeout time.Duration) (*Settings, error) {
 	s := &Settings{Format: 1, LaggingDaemons: []LaggingDaemon{}, Documents: []Document{}}
 	return s, query(addr, request, nil, timeout, s.parseLine)
 }
 
-// Write writes a line for the daemon, one for each lagging daemon, and one for each document, but not the line that ends the
-// response.
+// Write writes a line for the reporting daemon, a line for each lagging daemon and a line for each document, but not the
+// line that ends the response.
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
 		"coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n",
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// parseLine parses a line that Write wrote.
+// parseLine adds the content of a line that Settings.Write wrote to the Settings.
 func (s *Settings) parseLine(line string) error {
 	var d Document
 	var l LaggingDaemon
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// testMember returns a member that has been in a state since an instant.
+// testMember returns a member that has been in a state since an instant of the failure detector's clock.
 func testMember(name, addr string, state swim.State, incarnation uint64, since time.Duration) swim.Member {
 	return swim.Member{
 		Update: swim.Update{
