--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -15,8 +15,8 @@
 // the log before the snapshot is retained for voters that are a little behind, which would otherwise need the complete
 // snapshot.
 const (
-	snapshotEntries  = 1000                // number of entries, applied since the latest snapshot, after which a snapshot is due
-	snapshotLogBytes = 8 << 20             // bytes of entries, applied since the latest snapshot, after which one is due: several of the longest commands
+	snapshotEntries  = 1000                // number of applied entries after which a snapshot is due
+	snapshotLogBytes = 8 << 20             // bytes of applied entries after which a snapshot is due: several of the longest commands
 	retainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
 	retainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
 )
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -22,13 +22,13 @@
 	PendingDocs   map[string]Document `json:"next"`    // documents of the pending version, by name
 	ActiveDocs    map[string]Document `json:"acted"`   // documents of the active version, by name
 	History       []HistoryEntry      `json:"history"` // latest changes, oldest first, at most maxHistoryEntries
-	RetainedDocs  []Document          `json:"kept"`    // documents that were replaced or removed and can still be read or reverted to, oldest first
+	RetainedDocs  []Document          `json:"kept"`    // replaced or removed documents that can be read or reverted to, oldest first
 	RecentResults []recentResult      `json:"ids"`     // results of commands with an ID, oldest first, at most maxRecentResults
 
 	VoterSlots      map[uint64]string `json:"seats"`     // names of the daemons with a voter slot, by raft id
 	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids of the voters in raft's configuration, without learners
 	DepartingVoters map[uint64]string `json:"leaving"`   // names, by raft id, of voters without a slot that raft has yet to drop
-	DiskIDs         map[uint64]string `json:"marks"`     // ids of the disks to which voter slots are bound, by raft id; each is set once, before the slot's voter is active
+	DiskIDs         map[uint64]string `json:"marks"`     // disk to which a voter slot is bound, by raft id; set once, before the slot's voter is active
 	LastVoterID     uint64            `json:"last_seat"` // highest raft id assigned so far; a raft id is never assigned twice
 	InitialVoters   []string          `json:"first"`     // names of the cluster's initial voters, sorted
 }
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -13,7 +13,7 @@
 type leaseClient struct {
 	holder                 *consensus.LeaseHolder
 	nextRequestAt          time.Duration // instant of the next lease request
-	knownVoters            []string      // names of the initial voters and of other daemons known to have a voter slot, which may grant leases; sorted
+	knownVoters            []string      // names, sorted, of the initial voters and other known voters, which may grant leases
 	activeVoters           []string      // names of the daemons that vote, as a leader last reported them
 	leader                 string        // name of the voter from which the latest grant came, or from which a lease was requested since
 	isLatestRequestGranted bool          // whether a grant has answered the latest lease request
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -17,7 +17,7 @@
 	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: none, or the daemon runs no voter
 	PendingVersion     uint64                    // version to be activated next, as far as this daemon's voter knows; 0: none, or it runs no voter
 	FullyActiveVersion uint64                    // version before which no daemon acts; 0: not known
-	Lagging            []consensus.LaggingDaemon // daemons for which the leader waits before it activates a version, or until all act on the active one
+	Lagging            []consensus.LaggingDaemon // daemons that delay an activation, or do not act on the active version yet
 	RejectedVersion    uint64                    // latest version on which this daemon can't act; 0: none
 	RejectionReason    string                    // why this daemon can't act on RejectedVersion
 }
