--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -20,10 +20,10 @@
 	round  uint64                   // number of the current round
 	name   string                   // name of this initial voter
 	diskID string                   // id of this voter's disk
-	votes  map[string]BootstrapVote // votes of this round by name of the other initial voter; the zero value if missing
+	votes  map[string]BootstrapVote // vote of each other initial voter in the current round, by its name; zero value: not received
 }
 
-// BootstrapVote is an initial voter's report on whether it has begun.
+// BootstrapVote is an initial voter's report on whether it has created its log, and on which disk.
 type BootstrapVote struct {
 	HasBegun bool              `json:"begun"` // whether the voter has created its log
 	DiskID   string            `json:"mark"`  // id of the voter's disk; may be empty if HasBegun
@@ -45,7 +45,7 @@
 }
 
 // StartRound begins a round and returns its number. The caller requests the votes of all other initial voters and passes
-// them to ReceiveVote with this number.
+// them to ReceiveVote with the returned number.
 func (b *Bootstrap) StartRound() uint64 {
 	b.round++
 	for name := range b.votes {
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -12,7 +12,7 @@
 
 // bootstrapDisk is the disk of an initial voter.
 type bootstrapDisk struct {
-	id   string        // disk id
+	id   string        // id of the disk, which no other disk has
 	vote BootstrapVote // vote of the voter once it has created its log; until then the zero value
 }
 
@@ -20,7 +20,7 @@
 type bootstrapCluster struct {
 	disks             map[string]*bootstrapDisk // disk that each voter has now, by the voter's name
 	bootstraps        map[string]*Bootstrap     // bootstrap of each running voter, by the voter's name
-	lostAfterMajority map[string]bool           // names of voters that lost their disk after a majority had begun
+	lostAfterMajority map[string]bool           // names of voters that lost their disk after a majority had created logs
 	drawnDiskIDs      int                       // number of disk ids drawn so far
 }
 
@@ -53,7 +53,7 @@
 	return vote
 }
 
-// hasMajority reports whether a majority of the voters has begun with the same disk ids.
+// hasMajority reports whether a majority of the voters has created logs with the same disk ids.
 func (r *bootstrapCluster) hasMajority() bool {
 	counts := map[string]int{}
 	for _, disk := range r.disks {
@@ -67,9 +67,9 @@
 	return false
 }
 
-// Votes arrive and disks are lost in random order. Once a majority has begun with the same disk ids, a voter that loses
-// its disk must not begin again. A simulation ends when a majority has lost its disks: the remaining voters can't know
-// any more which of the others had begun.
+// Votes arrive and disks are lost in random order. Once a majority has created logs with the same disk ids, a voter that
+// loses its disk must not create a log again. A simulation ends when a majority has lost its disks: the remaining voters
+// can't know any more which of the others had created a log.
 func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapCluster(), false
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -21,13 +21,13 @@
 	AtUnixMilli     int64            `json:"at,omitempty"`       // Unix milliseconds by the clock of the proposing daemon
 	Put             *DocumentPut     `json:"put,omitempty"`      // document to write
 	Remove          string           `json:"remove,omitempty"`   // name of the document to remove
-	Revert          *DocumentVersion `json:"back,omitempty"`     // document to revert, and the version whose contents it gets
+	Revert          *DocumentVersion `json:"back,omitempty"`     // document to revert, and the version whose body the document gets
 	Force           uint64           `json:"force,omitempty"`    // pending version to activate even if some daemons reject it
 	Skip            uint64           `json:"skip,omitempty"`     // pending version to replace by the latest one
 	ChangeVoter     *VoterChange     `json:"seat,omitempty"`     // voter slot to add or remove
 	ClaimSlot       *SlotClaim       `json:"mark,omitempty"`     // voter slot to bind to a disk
 	Read            *DocumentVersion `json:"read,omitempty"`     // document to read; with an empty Name: the history of all documents is read
-	Activate        uint64           `json:"activate,omitempty"` // pending version to make the active one
+	Activate        uint64           `json:"activate,omitempty"` // pending version that becomes the active version
 }
 
 // Encode returns the command in the form in which the log stores it. It sets the command's Format.
@@ -54,7 +54,7 @@
 	ErrVersionNotPending = errors.New("this version is not to come")
 )
 
-// ErrVoterChangeRejected is returned for a change of the voters that is impossible, or that has to wait for another one.
+// ErrVoterChangeRejected is returned for a change of the voters that is impossible, or that has to wait for another change.
 // Its text is sent to the daemon that proposed the command and must not change.
 var ErrVoterChangeRejected = errors.New("the voters stay as they are")
 
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -15,7 +15,7 @@
 	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
-// Document is a named text as it was last written.
+// Document is a replicated text that has a name, as the latest command that wrote the document left it.
 type Document struct {
 	Name       string   `json:"name"`
 	Version    uint64   `json:"version"`        // version that was made when the document was written
@@ -44,11 +44,11 @@
 	Bytes       int      `json:"bytes"`          // size of the document's new body
 	ProposedBy  string   `json:"by"`             // name of the daemon that proposed the change
 	AtUnixMilli int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the proposing daemon; informational only
-	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: it is no revert
+	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: the change is no revert
 }
 
 // DigestDocuments returns one digest of all documents, independent of the map's order, with which the documents of two
-// daemons can be compared. It covers names and body digests only.
+// daemons can be compared. The digest covers names and body digests only.
 func DigestDocuments(docs map[string]Document) [32]byte {
 	var text []byte
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -57,8 +57,9 @@
 	return s.recordResult(c.ID, CommandResult{Version: s.Version}), nil
 }
 
-// changedDocument returns the name of the document that a command changes, and the document to be written in its place;
-// nil means that it is to be removed. A revert to a version that did not have the document removes it.
+// changedDocument returns the name of the document that a command changes, and the document to be written under that
+// name; a nil put means that the document is to be removed. A revert to a version without the document removes the
+// document.
 func (s *State) changedDocument(c *Command) (name string, put *DocumentPut, _ error) {
 	name, put = c.Remove, c.Put
 	if c.Revert != nil {
@@ -84,8 +85,8 @@
 		totalBodyBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
 }
 
-// retainDocument adds a document that was replaced or removed to the retained ones, and drops the oldest of these that exceed
-// the bounds.
+// retainDocument adds a document that was replaced or removed to RetainedDocs, and drops the oldest retained documents
+// beyond maxRetainedBytes or maxHistoryEntries.
 func (s *State) retainDocument(document Document) {
 	retained := append(slices.Clone(s.RetainedDocs), document)
 	bytes := 0
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -9,7 +9,7 @@
 	ShortDuration time.Duration // duration of a lease by its holder's clock while a version is pending
 	MaxClockDrift float64       // greatest relative error of a clock's rate, 0.01 for 1 %
 
-	// Faults that tests inject to verify that they are detected. All are off in the daemon.
+	// Faults of the lease protocol that tests inject, to verify that the checks detect them. All are off in the daemon.
 	CountFromGrant     bool // whether a lease counts from the arrival of its grant instead of from the request
 	SkipActivationWait bool // whether a version is activated without regard to outstanding leases
 	SkipExpiryCheck    bool // whether a daemon acts without checking that its lease has not expired
@@ -22,7 +22,7 @@
 }
 
 // MaxOverlap returns the longest true time for which some daemon may still act on a version after another daemon has
-// begun to act on a later one.
+// begun to act on a later version.
 func (c LeaseConfig) MaxOverlap() time.Duration {
 	return time.Duration(float64(c.ShortDuration) / (1 - c.MaxClockDrift))
 }
@@ -59,8 +59,8 @@
 	Lagging     []LaggingDaemon `json:"Lags"` // daemons for which the leader waits, at most maxLagging
 }
 
-// LaggingDaemon is a daemon for which the leader waits: before it activates a version, or until all daemons act on the
-// active one.
+// LaggingDaemon is a daemon for which the leader waits: before the leader activates a version, or until all daemons act on
+// the active version.
 type LaggingDaemon struct {
 	Daemon string `json:"Daemon"` // name of the daemon
 	Reason string `json:"Why"`    // why the leader waits for the daemon
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// NextRequest returns a request that is to be sent now, and the instant at which the next one is due. Only a grant that
+// NextRequest returns a request that is to be sent now, and the instant at which the next request is due. Only a grant that
 // answers the latest request is accepted.
 func (h *LeaseHolder) NextRequest(now time.Duration) (r LeaseRequest, nextAt time.Duration) {
 	h.seq++
@@ -146,7 +146,7 @@
 	h.offeredVersion, h.offeredDocs = 0, nil
 }
 
-// Recheck forgets which version was rejected, so that it is checked again when the leader next offers it.
+// Recheck forgets which version was rejected, so that the version is checked again when the leader next offers it.
 func (h *LeaseHolder) Recheck() { h.rejectedVersion, h.rejectReason = 0, "" }
 
 // RejectedVersion returns the version that the daemon rejects and the reason; version 0 means that there is none.
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxOutstandingGrants bounds the grants that are recorded for one daemon. Beyond it the latest two are merged into one
-// with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
+// maxOutstandingGrants bounds the grants that are recorded for one daemon. When there are more, the latest two grants are
+// merged into one with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
 const maxOutstandingGrants = 32
 
 // LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when
-// a pending version may be activated. Each term has a new one. It is not safe for concurrent use.
+// a pending version may be activated. A leader creates a new LeaseManager in each term. It is not safe for concurrent use.
 type LeaseManager struct {
 	config      LeaseConfig
 	leaderSince time.Duration            // instant at which the term began, by the leader's clock
@@ -103,9 +103,9 @@
 	}
 }
 
-// Refresh updates what grants report about all daemons: which ones lag, and the version before which none acts. As it
-// scans all daemons, it is called once a heartbeat and not for each grant. That no daemon acts on a version before the
-// reported one stays true until the next call.
+// Refresh updates what grants report about all daemons: which daemons lag, and the version before which no daemon acts. As
+// Refresh scans all daemons, it is called once a heartbeat and not for each grant. Until the next call it stays true that
+// no daemon acts on a version before the reported one.
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
@@ -132,8 +132,8 @@
 	return state.Pending
 }
 
-// VersionToSkip returns the pending version if the latest version is to take its place, else 0. That is so if some
-// daemon rejects the pending version, it was not forced, and a later version exists. No daemon ever acts on a version
+// VersionToSkip returns the pending version if the latest version is to take its place, else 0. The pending version is to
+// be skipped if some daemon rejects it, it was not forced, and a later version exists. No daemon ever acts on a version
 // that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
 	if !state.hasPendingVersion() || state.Version == state.Pending || state.Forced >= state.Pending {
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -20,7 +20,7 @@
 // MaxVoters is the greatest number of voter slots.
 const MaxVoters = 7
 
-// VoterChange assigns a voter slot to a daemon, or removes it.
+// VoterChange assigns a voter slot to a daemon, or removes the daemon's slot.
 type VoterChange struct {
 	Name   string `json:"name"`          // name of the daemon
 	Remove bool   `json:"out,omitempty"` // whether the daemon's slot is removed; false: a slot is assigned to the daemon
@@ -32,8 +32,8 @@
 	DiskID  string `json:"mark"` // id of the daemon's disk
 }
 
-// VoterID returns the raft id of a daemon's voter slot, whether or not its voter is active. It is 0 if the daemon has no
-// slot.
+// VoterID returns the raft id of a daemon's voter slot, whether or not the slot's voter is active. It returns 0 if the
+// daemon has no slot.
 func (s *State) VoterID(name string) uint64 {
 	for id, holder := range s.VoterSlots {
 		if holder == name {
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// VoterName returns the name of the daemon whose voter has a raft id, including a departing voter's. It is empty if the
-// id is not in use.
+// VoterName returns the name of the daemon whose voter has a raft id, also if that voter is departing. The name is empty
+// if no voter has the id.
 func (s *State) VoterName(id uint64) string { return cmp.Or(s.VoterSlots[id], s.DepartingVoters[id]) }
 
 // Voters returns the names of all daemons with a voter slot, sorted.
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -28,7 +28,7 @@
 
 // Output returns the work that is to be done now, or nil if there is none. The owner calls it in a loop until it returns
 // nil, and does the returned work before it calls any other method. Output also adds to Results and Grants, which may be
-// sent only after that work is done. If Output has set StopReason, none of this may be used.
+// sent only after that work is done. If Output has set StopReason, neither the work nor Results and Grants may be used.
 func (v *Voter) Output(now time.Duration) *VoterOutput {
 	defer v.stopOnRaftPanic()
 	if v.StopReason != nil || !v.rawNode.HasReady() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// appendToLog appends raft's new entries and its hard state to the log in memory, and returns them as records for the
+// appendToLog appends raft's new entries and raft's hard state to the log in memory, and returns both as records for the
 // durable log.
 func (v *Voter) appendToLog(ready *raft.Ready) (records []Record) {
 	for _, entry := range ready.Entries {
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// panickingLogger is the logger of raft. It drops log lines, except that a fatal one panics with a raftPanic.
+// panickingLogger is the logger of raft. It drops log lines, and panics with a raftPanic at a call of Fatal or Panic.
 type panickingLogger struct{}
 
 func (panickingLogger) Debug(...any)            {}
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -19,8 +19,8 @@
 	Grant     LeaseGrant
 }
 
-// pendingLease is a lease request that is not answered yet. It waits until a majority has confirmed the leadership, and
-// then until the State is as recent as the log was at that time.
+// pendingLease is a lease request that is not answered yet. The request waits until a majority has confirmed that this
+// voter leads, and then until all log entries up to readIndex are applied to the State.
 type pendingLease struct {
 	round     uint64 // number of the earliest round of ReadIndex that was started after the request had arrived
 	readIndex uint64 // log index that must be applied before the request is answered; set when the round is confirmed
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// startReadIndex starts a round of raft's ReadIndex. Its confirmation proves that this voter still led after all requests
-// that arrived before the round started.
+// startReadIndex starts a round of raft's ReadIndex. If a majority confirms the round, this voter still led after the
+// arrival of every request that came in before the round started.
 func (v *Voter) startReadIndex() {
 	v.readRound++
 	v.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.readRound))
@@ -54,7 +54,7 @@
 }
 
 // completeReadIndex moves the requests that arrived before a confirmed round was started from unconfirmedLeases to
-// confirmedLeases. index is the log index that must be applied before they are answered.
+// confirmedLeases. index is the log index that must be applied before these requests are answered.
 func (v *Voter) completeReadIndex(round, index uint64) {
 	unconfirmed := v.unconfirmedLeases[:0]
 	for _, lease := range v.unconfirmedLeases {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -55,7 +55,7 @@
 			return
 		}
 		learners[id] = true
-		// raft counts a learner as active as soon as it is added; only a match above 0 shows that its voter runs. The lag
+		// raft counts a learner as active as soon as it is added; only a Match above 0 shows that its voter runs. The lag
 		// alone does not show it, as the log of a young cluster is shorter than maxLearnerLag.
 		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
 			promotable = id
@@ -105,8 +105,8 @@
 }
 
 // addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. If the slot is
-// not bound to a disk yet, it proposes to bind it to the disk that the request names; the daemon gets the outcome with a
-// later grant.
+// not bound to a disk yet, addSlotStatus proposes to bind the slot to the disk that the request names; the daemon gets the
+// outcome with a later grant.
 func (v *Voter) addSlotStatus(request *LeaseRequest, grant *LeaseGrant) {
 	grant.VoterID = v.state.VoterID(request.Daemon)
 	if grant.VoterID == 0 || request.DiskID == "" {
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -10,14 +10,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Types of records in a voter's durable log. They are stored and must not change.
+// Types of records in a voter's durable log. The values are stored and must not change.
 const (
 	recordHardState      byte = 'h' // raft's term, vote and commit index
 	recordEntry          byte = 'e' // an entry of raft's log
 	recordSnapshotMarker byte = 'm' // no payload; all records up to this one are replaced by another voter's snapshot, which is stored next
 )
 
-// Record is one record for the durable log.
+// Record is a record that the owner of a Voter appends to the voter's durable log.
 type Record struct {
 	Type    byte   // one of recordHardState, recordEntry and recordSnapshotMarker
 	Payload []byte // encoded message of raft; nil for recordSnapshotMarker
@@ -28,8 +28,8 @@
 type RecoveredState struct{ storage *raft.MemoryStorage }
 
 // NewRecoveredState returns the state of an empty disk. initialVoters are the names of the cluster's initial voters,
-// whose raft ids are their positions in sorted order, from 1. For a voter that is added later they are empty, and it
-// receives the log from other voters.
+// whose raft ids are their positions in sorted order, from 1. For a voter that is added later initialVoters is empty, and
+// the voter receives the log from other voters.
 func NewRecoveredState(initialVoters []string) (*RecoveredState, error) {
 	d := &RecoveredState{storage: raft.NewMemoryStorage()}
 	if len(initialVoters) == 0 {
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A snapshot is due when so many entries, or so many bytes of entries, have been applied since the latest one. Part of
-// the log before the snapshot is retained for voters that are a little behind, which would otherwise need the complete
-// snapshot.
+// A snapshot is due when snapshotEntries entries, or snapshotLogBytes bytes of entries, have been applied since the latest
+// snapshot. Part of the log before the snapshot is retained for voters that are a little behind, which would otherwise
+// need the complete snapshot.
 const (
 	snapshotEntries  = 1000                // number of applied entries after which a snapshot is due
 	snapshotLogBytes = 8 << 20             // bytes of applied entries after which a snapshot is due: several of the longest commands
@@ -33,7 +33,8 @@
 	Body []byte // raft's hard state, raft's snapshot and the log entries after the snapshot, as joinParts encodes them
 }
 
-// initialSnapshot returns the snapshot from which the logs of the initial voters start. It is the same for all of them.
+// initialSnapshot returns the snapshot from which the logs of the initial voters start. All initial voters make the same
+// snapshot.
 func initialSnapshot(names []string) *raftpb.Snapshot {
 	state := NewState()
 	state.setInitialVoters(names)
@@ -52,7 +53,7 @@
 	}
 }
 
-// restore replaces this voter's State by the one in a snapshot of raft.
+// restore replaces this voter's State by the State in a snapshot of raft.
 func (v *Voter) restore(snapshot *raftpb.Snapshot) error {
 	v.appliedIndex, v.snapshotIndex = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetIndex()
 	v.state, v.confState = NewState(), snapshot.GetMetadata().GetConfState()
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -54,8 +54,8 @@
 	return result, err
 }
 
-// applyEncoded does what Apply does and also returns the command's ID, so that callers need not decode a long command
-// a second time.
+// applyEncoded applies an encoded command of the log, as Apply does, and also returns the command's ID, so that callers
+// need not decode a long command a second time.
 func (s *State) applyEncoded(entry []byte) (id string, _ CommandResult, _ error) {
 	var command Command
 	if err := json.Unmarshal(entry, &command); err != nil {
@@ -86,7 +86,7 @@
 	return s.applyDocumentChange(c)
 }
 
-// applyActivate makes the pending version the active one. A duplicate has no effect.
+// applyActivate makes the pending version the active version. It has no effect if that version is not pending any more.
 func (s *State) applyActivate(version uint64) CommandResult {
 	if version == s.Pending && s.Active < s.Pending {
 		s.Active, s.ActiveDocs = s.Pending, s.PendingDocs
@@ -95,7 +95,7 @@
 	return CommandResult{Version: s.Active}
 }
 
-// applySkip makes the latest version the pending one in place of the given version, unless that one was forced.
+// applySkip makes the latest version the pending version in place of the given version, unless that version was forced.
 func (s *State) applySkip(version uint64) CommandResult {
 	if version == s.Pending && s.Active < s.Pending && s.Forced < s.Pending {
 		s.makeLatestPending()
@@ -112,7 +112,7 @@
 	return CommandResult{Version: version}, nil
 }
 
-// makeLatestPending makes the latest version the pending one.
+// makeLatestPending makes the latest version, with its documents, the pending version.
 func (s *State) makeLatestPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
 
 // hasPendingVersion reports whether a version waits to be activated.
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -184,7 +184,7 @@
 				c = Command{Revert: &DocumentVersion{name, state.Version / 2}}
 			}
 			encoded, _ := c.Encode()
-			_, _ = state.Apply(encoded) // some reverts fail and leave the State as it is
+			_, _ = state.Apply(encoded) // an error of a revert is expected: a command that fails leaves the State as it is
 		}
 		encoded, err := state.Encode()
 		if err != nil {
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -20,7 +20,7 @@
 	maxUncommittedBytes = 8 << 20 // greatest number of bytes of proposed entries that are not committed: several of the longest commands
 )
 
-// Config is the configuration of a voter, fixed for its lifetime.
+// Config is the configuration of a Voter, which does not change after NewVoter.
 type Config struct {
 	ID                uint64        // raft id of this voter; never 0
 	HeartbeatInterval time.Duration // time between two heartbeats of the leader; an election timeout is five to ten times as long
@@ -68,8 +68,8 @@
 	StopReason error
 }
 
-// NewVoter returns a voter that starts from the state recovered from its disk, of which it takes ownership. It fails if
-// the log is not consistent.
+// NewVoter returns a voter that starts from the state recovered from its disk, and takes ownership of recovered. It fails
+// if the recovered log is not consistent.
 func NewVoter(now time.Duration, config Config, recovered *RecoveredState) (_ *Voter, err error) {
 	v := &Voter{
 		config:          config,
@@ -108,10 +108,11 @@
 	return v, nil
 }
 
-// State returns the State after all commands that this voter has applied. The caller must not modify it; Output does.
+// State returns the State after all commands that this voter has applied. The caller must not modify the State, and later
+// calls of Output modify it.
 func (v *Voter) State() *State { return v.state }
 
-// IsLeader reports whether this voter takes itself for the leader. Another one may have been elected meanwhile.
+// IsLeader reports whether this voter takes itself for the leader. Another voter may already have been elected.
 func (v *Voter) IsLeader() bool { return v.isLeader }
 
 // AppliedIndex returns the log index of the last applied entry.
@@ -201,7 +202,7 @@
 	return v.leaderMessageAt + electionHeartbeats*v.config.HeartbeatInterval
 }
 
-// resetElectionTimer sets the instant at which this voter campaigns unless it receives a message of a leader before. The
+// resetElectionTimer sets the instant at which this voter campaigns if no message of a leader arrives before. The
 // instant is random, so that few voters campaign at once. raft's own random timeout can't be seeded; followers therefore
 // do not tick raft, and campaign when this timer expires.
 func (v *Voter) resetElectionTimer(now time.Duration) {
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -30,7 +30,7 @@
 	return l
 }
 
-// abort stops a transport without notifying the others, as if its process had been killed.
+// abort stops a transport without notifying the other members, as if the transport's process had been killed.
 func abort(t *testing.T, l *transport.Transport) {
 	t.Helper()
 	if err := l.Abort(); err != nil {
@@ -137,7 +137,8 @@
 	return err
 }
 
-// changeVotersWhenFree repeats changeVoters until it succeeds, that is until no earlier change is in progress.
+// changeVotersWhenFree repeats changeVoters until the change is accepted, which it is once no earlier change is in
+// progress.
 func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -10,11 +10,11 @@
 )
 
 // diskIDFile is the name of the file that holds the id of a disk, a random text that is drawn at the first start with
-// the disk. It identifies the disk in the bootstrap and when a voter slot is bound to it (consensus.Bootstrap,
+// the disk. The id identifies the disk in the bootstrap, and when a voter slot is bound to the disk (consensus.Bootstrap,
 // consensus.SlotClaim).
 const diskIDFile = "MARK"
 
-// loadDiskID returns the id of this daemon's disk. If the disk has none, it draws one and stores it.
+// loadDiskID returns the id of this daemon's disk. If the disk has no id, loadDiskID draws an id and stores it.
 func (n *Node) loadDiskID() (string, error) {
 	text, err := readFile(n.options.Disk, diskIDFile, maxIdentityBytes)
 	if err != nil || len(text) > 0 {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -40,7 +40,7 @@
 }
 
 // newInitialVoterIdentity returns the identity of the initial voter with a name. The names of the initial voters are
-// sorted. If the name is not among them, the identity's id is 0.
+// sorted. If the name is not among them, the identity's voterID is 0.
 func newInitialVoterIdentity(name string, initialVoters []string, diskIDs map[string]string) *identity {
 	return &identity{
 		name:          name,
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// An identity file that can't be parsed gives an error whose text has one line, even if the file has several.
+// An identity file that can't be parsed gives an error whose text has one line, even if the file has several lines.
 func TestMalformedIdentityIsRejectedInOneLine(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
 		{"empty", ""},
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -49,7 +49,7 @@
 	// InitialVoters are the names of the cluster's initial voters, in any order. All daemons of a cluster have the same
 	// initial voters, which stay the same when the voters change.
 	InitialVoters []string
-	// Disk holds the voter's durable log, and the version on which the daemon acted last. If it is nil, nothing outlasts
+	// Disk holds the voter's durable log, and the version on which the daemon acted last. If Disk is nil, nothing outlasts
 	// a restart, and this daemon can't run a voter.
 	Disk wal.FS
 	// Lease has the durations of leases, the same for all daemons of a cluster.
@@ -83,10 +83,10 @@
 
 	// The fields below are owned by the event loop (run).
 
-	localVoter       *localVoter              // this daemon's voter; nil: it runs none
+	localVoter       *localVoter              // this daemon's voter; nil: the daemon runs none
 	hasStoppedVoting bool                     // whether this process must not start a voter any more
 	isDiskLossLogged bool                     // whether the error that the disk of this daemon's voter is lost was logged
-	diskID           string                   // id of this daemon's disk if it had no voter at Start; else empty
+	diskID           string                   // id of this daemon's disk; empty if the disk had a voter at Start, or there is no disk
 	bootstrap        *bootstrap               // bootstrap of an initial voter that has not created its log; nil in all other cases
 	bootstrapVote    *consensus.BootstrapVote // vote that other initial voters get from a voter that has created its log; nil: no log was created
 	client           leaseClient              // this daemon's lease, and the voters that may grant it
@@ -155,8 +155,8 @@
 	n.submit(n.ctx, func() { n.client.holder.MarkInstalled(version) })
 }
 
-// Recheck has a version that this daemon rejected checked again when the leader offers it next. It is to be called when
-// something changes on which the result of Options.Check depends.
+// Recheck forgets that this daemon rejected a version, so that Options.Check runs again when the leader next offers the
+// version. It must be called when something changes on which the result of Options.Check depends.
 func (n *Node) Recheck() { n.submit(n.ctx, func() { n.client.holder.Recheck() }) }
 
 // FirstGrant returns a channel that is closed at the first grant since Start that this daemon can act on. From then on
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -15,8 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Proposals at any daemon are committed, and all daemons act on them. A voter that lost power recovers its state; a voter
-// whose disk fails stops, and the others continue. Without a majority nothing is committed, and leases expire.
+// Proposals at any daemon are committed, and all daemons act on the resulting versions. A voter that lost power recovers
+// its state; a voter whose disk fails stops, and the other voters continue. Without a majority nothing is committed, and
+// leases expire.
 func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
 	c := newTestCluster(t, 5)
 	firstVersion := c.put(0, "a", "one")
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -25,8 +25,8 @@
 	initialRetryBackoff = time.Second
 	maxRetryBackoff     = orphanRetention
 
-	// orphanRetention is how long a node holds a proposal for which none of its callers waits. A command that is proposed
-	// again within that time is not proposed to raft again.
+	// orphanRetention is how long a node holds a proposal for whose result no caller of Propose waits. A command that is
+	// proposed again within that time is not proposed to raft again.
 	orphanRetention = 8 * time.Second
 )
 
@@ -36,7 +36,7 @@
 	waiter        chan proposalResult // channel on which a caller of Node.Propose waits for the result; nil: no caller waits
 	forwarder     string              // name of the daemon that forwarded the command; empty: the command was proposed at this node
 	nextAttemptAt time.Duration       // instant at which the command is proposed to raft or forwarded again
-	backoff       time.Duration       // time between the next attempt and the one after that
+	backoff       time.Duration       // time between the next attempt and the following attempt
 	expiresAt     time.Duration       // instant at which the proposal is dropped
 	result        *proposalResult     // result for a caller that proposes the command again; nil: the result is not known yet
 }
@@ -51,7 +51,7 @@
 // pendingProposals holds proposals by the IDs of their commands.
 type pendingProposals map[string]*proposal
 
-// hasCapacity reports whether one more command of this size in bytes may be held.
+// hasCapacity reports whether the bounds allow the node to hold one more command, whose encoding has size bytes.
 func (p pendingProposals) hasCapacity(size int) bool {
 	for _, other := range p {
 		size += len(other.body)
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// loadCachedVersion returns the cached version with its documents, and adds the cached voters to the known ones. It
+// loadCachedVersion returns the cached version with its documents, and adds the cached voters to the known voters. It
 // returns version 0 if there is no cache file, or if the file is damaged or Options.Check rejects the version.
 func (n *Node) loadCachedVersion() (uint64, map[string]consensus.Document) {
 	if n.options.Disk == nil {
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -16,7 +16,7 @@
 // voter then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
-// peerName returns the name of the voter with a raft id, or an empty string if it is not known.
+// peerName returns the name of the voter with a raft id, or an empty string if the name is not known.
 func (v *localVoter) peerName(id uint64) string {
 	if name := v.voter.State().VoterName(id); name != "" {
 		return name
@@ -24,8 +24,8 @@
 	return v.peerNames[id]
 }
 
-// handleRaft passes a raft message to this node's voter, if the daemon that sent it is the voter that the message names
-// as its sender.
+// handleRaft passes a raft message to this node's voter, if the message names the voter of the sending daemon as its
+// sender.
 func (n *Node) handleRaft(now time.Duration, m transport.Message) {
 	message := &raftpb.Message{}
 	if len(m.Body) < clusterIDSize || proto.Unmarshal(m.Body[clusterIDSize:], message) != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// persist writes the voter's records and then its snapshot to the durable log, and returns nil when they are durable.
+// persist writes the voter's records and then its snapshot to the durable log, and returns nil when all are durable.
 func (v *localVoter) persist(output *consensus.VoterOutput) error {
 	for _, r := range output.Records {
 		if _, err := v.log.Append(r.Type, r.Payload); err != nil {
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -24,7 +24,7 @@
 
 // HistoryEntry describes one change of the agreed documents. Its JSON form is documented for operators.
 type HistoryEntry struct {
-	Version     uint64 `json:"version"`        // version of the settings that the change created
+	Version     uint64 `json:"version"`        // version of the documents that the change made
 	Name        string `json:"name"`           // name of the changed document
 	Bytes       int    `json:"bytes"`          // length of the document's body after the change, in bytes
 	SHA256      string `json:"sha256"`         // SHA-256 of the document's new body, in hexadecimal; all zeros: the document was removed
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -12,10 +12,10 @@
 	Format             int             `json:"format"`             // number of the JSON format, always 1
 	ActiveVersion      uint64          `json:"version"`            // version of the documents on which this daemon acts
 	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease
-	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds
-	IsVoter            bool            `json:"votes"`              // whether this daemon is a voter
-	IsLeader           bool            `json:"leads"`              // whether this daemon's voter is the leader
-	Leader             string          `json:"leader"`             // name of the daemon that granted the latest lease
+	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
+	IsVoter            bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
+	IsLeader           bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
+	Leader             string          `json:"leader"`             // name of the daemon from which the latest grant came, or from which a lease was requested since
 	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
 	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
 	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -44,7 +44,7 @@
 	q.insert(b)
 }
 
-// insert adds a broadcast to the list of its transmitCount.
+// insert adds a broadcast to byTransmitCount, in the list for the number of times that it was sent.
 func (q *broadcastQueue) insert(b *broadcast) {
 	for len(q.byTransmitCount) <= b.transmitCount {
 		q.byTransmitCount = append(q.byTransmitCount, nil)
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -64,7 +64,8 @@
 	n.changeState(now, m, u)
 }
 
-// addMember adds a member that was unknown. The member is alive first, and then becomes suspect if the update says so.
+// addMember adds a member that was unknown. The member is added as alive, and its state is then changed to suspect if the
+// update asserts that.
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
 	alive.State, alive.SuspectedBy = Alive, ""
@@ -131,8 +132,8 @@
 	}
 }
 
-// moveBetweenLists moves a member from the list for its previous state (Node.present, Node.failed or none) to the list
-// for its current state.
+// moveBetweenLists moves a member from the list for its previous state to the list for its current state: Node.present,
+// Node.failed, or no list for a member that has left.
 func (n *Node) moveBetweenLists(m *member, previous State) {
 	switch {
 	case previous.IsPresent() && m.State.IsPresent():
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -19,8 +19,8 @@
 	isYielding       bool          // whether this node yields, because the other process is older and responds
 }
 
-// NameConflict returns another process with this node's name, whether it has responded, and whether this node yields to
-// it. Without a conflict it returns zero values.
+// NameConflict returns another process with this node's name, whether that process has responded, and whether this node
+// yields to it. If no such process is known, NameConflict returns zero values.
 func (n *Node) NameConflict() (other Peer, responds, yields bool) {
 	if n.conflict == nil {
 		return Peer{}, false, false
@@ -45,7 +45,7 @@
 	}
 	isThisProcess := u.Generation == n.self.Generation
 	switch {
-	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // this process, or an earlier one that has ended
+	case isThisProcess || u.Addr == n.self.Addr || !u.State.IsPresent(): // u is about this process, or about an earlier process that has ended
 		isKnown := isThisProcess && u.State == n.self.State && u.Incarnation == n.self.Incarnation
 		if u.Incarnation < n.self.Incarnation || isKnown || n.hasLeft || n.isYielding() {
 			return
@@ -92,7 +92,7 @@
 }
 
 // receiveConflictAck handles the response of the other process with this node's name. The younger process yields for as
-// long as the older one responds. The older process makes its own updates override those of the younger one.
+// long as the older process responds. The older process makes its updates override the updates of the younger process.
 func (n *Node) receiveConflictAck(now time.Duration) {
 	c := n.conflict
 	c.unansweredProbes = 0
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// noDeadline is an instant later than all others: it stands for an event that is not scheduled.
+// noDeadline is the latest possible instant, which stands for an event that is not scheduled.
 const noDeadline = time.Duration(math.MaxInt64)
 
 // Node is the failure detector of one daemon. The instants that a caller passes to its methods must never decrease. A Node
@@ -81,7 +81,7 @@
 	}
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
-	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to a Ping of an earlier process is not taken for a response to this process
+	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to a Ping of an earlier process matches no Ping of this one
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
 	for _, u := range o.InitialMembers {
@@ -89,7 +89,7 @@
 			n.addMember(now, u)
 		}
 	}
-	if len(o.InitialMembers) > 0 { // the initial members already know one another and this node
+	if len(o.InitialMembers) > 0 { // no join is needed: the initial members already know one another and this node
 		n.broadcasts.reset()
 		n.changes, n.options.InitialMembers = nil, nil
 	}
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -15,14 +15,14 @@
 // Options configure a Node. ProbeInterval, ProbeTimeout and SuspicionTimeout get their defaults if they are 0 or less.
 type Options struct {
 	Self           Peer             // identity of this node, which cannot be reconfigured
-	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each while no present member has it
+	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each as long as no present member has the address
 	Voters         []string         // names of the members whose presence determines Connectivity; empty: all known members
 	InitialMembers []Update         // members that are known at the start, and that already know this node
 	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
 
 	ProbeInterval    time.Duration // time between the starts of two probes by a node
 	ProbeTimeout     time.Duration // time after which a probe without a response becomes indirect; at most half of ProbeInterval
-	SuspicionTimeout time.Duration // minimum suspicion timeout for up to ten members; it grows with the logarithm of their number
+	SuspicionTimeout time.Duration // minimum suspicion timeout in a cluster of up to ten members; in a larger one it grows with the logarithm of the size
 
 	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
 	DisableLocalHealth     bool // whether the local health multiplier is off: timeouts do not grow when this node is slow
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -20,7 +20,7 @@
 )
 
 // suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
-// member suspects it, and shrinks with each other member that confirms the suspicion (Lifeguard, section IV-B).
+// other member suspects it, and shrinks with each further member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
 	start                  time.Duration // instant at which the suspicion started, moved forward by later pauses of the process
 	minTimeout, maxTimeout time.Duration // suspicion timeouts with neededConfirmations (minTimeout) and without confirmations (maxTimeout)
@@ -110,6 +110,6 @@
 	}
 }
 
-// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: its decimal
-// logarithm, but at least 1.
+// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: the decimal
+// logarithm of the number of present members, but at least 1.
 func (n *Node) suspicionScale() float64 { return max(1, math.Log10(float64(len(n.present)+1))) }
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -65,8 +65,7 @@
 	}
 }
 
-// collectAndCheck adds the messages that a node sends to those in transit, and checks the invariants of the node's view and
-// lists.
+// collectAndCheck adds the messages that a node sends to inTransit, and checks the invariants of the node's view and lists.
 func (network *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
@@ -127,8 +126,8 @@
 	}
 }
 
-// runUntil calls the ticks that are due and delivers all messages in order until isDone returns true, at most for a
-// duration. It reports whether isDone returned true.
+// runUntil calls the ticks that are due and delivers all messages in order until isDone returns true, or until d of virtual
+// time has passed. It reports whether isDone returned true.
 func (network *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
 	t.Helper()
 	for end := network.now + d; network.now < end; network.now += 10 * time.Millisecond {
@@ -148,7 +147,7 @@
 	return false
 }
 
-// run calls the ticks that are due and delivers all messages in order for a duration.
+// run calls the ticks that are due and delivers all messages in order until d of virtual time has passed.
 func (network *testNetwork) run(t testingT, d time.Duration) {
 	t.Helper()
 	network.runUntil(t, d, func() bool { return false })
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -14,7 +14,7 @@
 	Listen    netip.AddrPort   // address of the UDP and the TCP socket; with port 0 the system chooses a port
 	Advertise netip.AddrPort   // address to which the other daemons send messages; zero value: the address to which the sockets are bound
 	Keys      Keys             // keys that sign and authenticate packets; without a key, Listen must be a loopback address
-	Join      []netip.AddrPort // addresses to contact to join the cluster, each while no present member has it
+	Join      []netip.AddrPort // addresses that are contacted to join the cluster, each as long as no present member has the address
 	Voters    []string         // names of the members whose presence determines swim.Connectivity; empty: all known members
 	Timing    swim.Options     // times of the failure detector; only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
 	Log       *slog.Logger     // log of member state changes and of failures to join
