--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -17,9 +17,9 @@
 //
 // A Bootstrap is not safe for concurrent use.
 type Bootstrap struct {
-	round  uint64                   // number of the current round
+	round  uint64                   // number of the current round of vote requests; 0: none was started
 	name   string                   // name of this initial voter
-	diskID string                   // id of this voter's disk
+	diskID string                   // id of this voter's present disk
 	votes  map[string]BootstrapVote // vote of each other initial voter in the current round, by its name; zero value: not received
 }
 
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -10,7 +10,7 @@
 // bootstrapNames are the names of the initial voters in these tests.
 var bootstrapNames = []string{"a", "b", "c"}
 
-// bootstrapDisk is the disk of an initial voter.
+// bootstrapDisk has what an initial voter stores on its disk.
 type bootstrapDisk struct {
 	id   string        // id of the disk, which no other disk has
 	vote BootstrapVote // vote of the voter once it has created its log; until then the zero value
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -14,7 +14,7 @@
 // change (Put, Remove, Revert), for the activation of a version (Force, Skip, Activate), for the voters (ChangeVoter,
 // ClaimSlot) or Read is set.
 type Command struct {
-	Format          int              `json:"format"`             // format number, set by Encode
+	Format          int              `json:"format"`             // commandFormat of the build that encoded the command; set by Encode
 	ID              string           `json:"id,omitempty"`       // id of a document change; a second command with the same id has no effect
 	ExpectedVersion *uint64          `json:"expect,omitempty"`   // the command is rejected unless this is the latest version; nil: any version
 	ProposedBy      string           `json:"by,omitempty"`       // name of the daemon that proposed the command
@@ -24,7 +24,7 @@
 	Revert          *DocumentVersion `json:"back,omitempty"`     // document to revert, and the version whose body the document gets
 	Force           uint64           `json:"force,omitempty"`    // pending version to activate even if some daemons reject it
 	Skip            uint64           `json:"skip,omitempty"`     // pending version to replace by the latest one
-	ChangeVoter     *VoterChange     `json:"seat,omitempty"`     // voter slot to add or remove
+	ChangeVoter     *VoterChange     `json:"seat,omitempty"`     // voter slot to assign to a daemon or to remove
 	ClaimSlot       *SlotClaim       `json:"mark,omitempty"`     // voter slot to bind to a disk
 	Read            *DocumentVersion `json:"read,omitempty"`     // document to read; with an empty Name: the history of all documents is read
 	Activate        uint64           `json:"activate,omitempty"` // pending version that becomes the active version
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -19,12 +19,12 @@
 type Document struct {
 	Name       string   `json:"name"`
 	Version    uint64   `json:"version"`        // version that was made when the document was written
-	Digest     [32]byte `json:"digest"`         // SHA-256 of Body
+	Digest     [32]byte `json:"digest"`         // SHA-256 of Body, also in copies that have no Body
 	ProposedBy string   `json:"by"`             // name of the daemon that proposed the document
 	Body       []byte   `json:"body,omitempty"` // complete text of the document
 }
 
-// DocumentPut is a document to be written.
+// DocumentPut has the name and the body of a document that a command writes.
 type DocumentPut struct {
 	Name string `json:"name"`
 	Body []byte `json:"body"` // complete text of the document
@@ -41,7 +41,7 @@
 	Version     uint64   `json:"version"`        // version that the change made
 	Name        string   `json:"name"`           // name of the changed document
 	Digest      [32]byte `json:"digest"`         // SHA-256 of the document's new body; all zeros: the document was removed
-	Bytes       int      `json:"bytes"`          // size of the document's new body
+	Bytes       int      `json:"bytes"`          // size of the document's new body in bytes; 0 if it was removed
 	ProposedBy  string   `json:"by"`             // name of the daemon that proposed the change
 	AtUnixMilli int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the proposing daemon; informational only
 	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: the change is no revert
@@ -57,7 +57,7 @@
 	return sha256.Sum256(text)
 }
 
-// totalBodyBytes returns the size of the bodies of all documents.
+// totalBodyBytes returns the total size of the bodies of all documents in bytes.
 func totalBodyBytes(docs map[string]Document) (total int) {
 	for _, document := range docs {
 		total += len(document.Body)
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -32,7 +32,7 @@
 		change.RevertedTo = c.Revert.Version
 	}
 	replaced, exists := s.Docs[name]
-	docs := maps.Clone(s.Docs) // callers may still read the old map
+	docs := maps.Clone(s.Docs) // a copy: other goroutines may still read the old map
 	switch {
 	case put != nil:
 		if !s.fitsLimits(put) {
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -41,7 +41,7 @@
 
 // LeaseGrant is the leader's response to a LeaseRequest. The JSON names are on the wire and must not change.
 type LeaseGrant struct {
-	Seq            uint64              `json:"Seq"`     // sequence number of the request
+	Seq            uint64              `json:"Seq"`     // sequence number of the request that the grant answers
 	Version        uint64              `json:"Version"` // active version, on which the daemon is to act
 	ActiveDocs     map[string]Document `json:"Docs"`    // documents of Version; nil if the daemon has them or has rejected them
 	PendingVersion uint64              `json:"Next"`    // version whose documents the daemon is to check
@@ -62,11 +62,11 @@
 // LaggingDaemon is a daemon for which the leader waits: before the leader activates a version, or until all daemons act on
 // the active version.
 type LaggingDaemon struct {
-	Daemon string `json:"Daemon"` // name of the daemon
-	Reason string `json:"Why"`    // why the leader waits for the daemon
+	Daemon string `json:"Daemon"` // name of the daemon for which the leader waits
+	Reason string `json:"Why"`    // text for operators that says why the leader waits
 }
 
-// Bounds of lease requests and grants.
+// Bounds of the contents of lease requests and grants.
 const (
 	maxLagging     = 16  // greatest number of daemons in LeaseGrant.Lagging
 	maxReasonRunes = 300 // greatest number of Unicode characters in LeaseRequest.RejectReason
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -31,11 +31,11 @@
 // It is not safe for concurrent use.
 type LeaseHolder struct {
 	config          LeaseConfig
-	name            string        // name of the daemon
-	seq             uint64        // sequence number of the latest request
+	name            string        // name of the daemon, which each request has
+	seq             uint64        // sequence number of the latest request; 0: no request was made
 	requestedAt     time.Duration // instant of the latest request, by the daemon's clock
 	requestInterval time.Duration // time between requests while no version is being activated
-	acceptedSeq     uint64        // sequence number of the latest accepted grant
+	acceptedSeq     uint64        // sequence number of the latest accepted grant; 0: none was accepted
 
 	leased           LeasedVersion
 	installedVersion uint64 // version on which all parts of the daemon act, as reported to MarkInstalled
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -25,7 +25,7 @@
 
 // daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
 type daemonLeases struct {
-	request LeaseRequest       // latest request of the daemon
+	request LeaseRequest       // latest lease request of the daemon in this term
 	grants  []outstandingGrant // grants that the daemon may use, in the order of seq, at most maxOutstandingGrants
 }
 
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -22,14 +22,14 @@
 
 // VoterChange assigns a voter slot to a daemon, or removes the daemon's slot.
 type VoterChange struct {
-	Name   string `json:"name"`          // name of the daemon
+	Name   string `json:"name"`          // name of the daemon whose slot is assigned or removed
 	Remove bool   `json:"out,omitempty"` // whether the daemon's slot is removed; false: a slot is assigned to the daemon
 }
 
 // SlotClaim binds a voter slot to the disk of its daemon.
 type SlotClaim struct {
-	VoterID uint64 `json:"seat"` // raft id of the voter slot
-	DiskID  string `json:"mark"` // id of the daemon's disk
+	VoterID uint64 `json:"seat"` // raft id of the voter slot to be bound
+	DiskID  string `json:"mark"` // id of the disk to which the slot is to be bound
 }
 
 // VoterID returns the raft id of a daemon's voter slot, whether or not the slot's voter is active. It returns 0 if the
@@ -145,7 +145,7 @@
 // VoterAction is what a daemon has to do with its own voter after a grant.
 type VoterAction int
 
-// The possible values of a VoterAction.
+// The values of a VoterAction, which say what the daemon has to do.
 const (
 	KeepVoterRole VoterAction = iota // the daemon changes nothing: it continues to run its voter, or to run none
 	StopVoter                        // the daemon stops its voter, whose slot was removed
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -14,9 +14,9 @@
 // VoterOutput is the work that a voter has for its owner, in this order: append the records to the durable log and sync
 // the log, store the snapshot, and only then send the messages.
 type VoterOutput struct {
-	Records  []Record          // records for the durable log
-	Snapshot *Snapshot         // snapshot for the durable log; nil: none
-	Messages []*raftpb.Message // messages to other voters
+	Records  []Record          // records to append to the durable log, in this order
+	Snapshot *Snapshot         // snapshot to store in the durable log; nil: none
+	Messages []*raftpb.Message // raft messages to send to other voters
 }
 
 // Result is the outcome of a command that was committed.
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -13,7 +13,7 @@
 // Types of records in a voter's durable log. The values are stored and must not change.
 const (
 	recordHardState      byte = 'h' // raft's term, vote and commit index
-	recordEntry          byte = 'e' // an entry of raft's log
+	recordEntry          byte = 'e' // a log entry of raft, which replaces earlier records of entries from its index on
 	recordSnapshotMarker byte = 'm' // no payload; all records up to this one are replaced by another voter's snapshot, which is stored next
 )
 
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -14,9 +14,9 @@
 // have equal States. The JSON names are stored in snapshots and must not change. The maps are replaced and never
 // modified, so that callers may keep them.
 type State struct {
-	Version       uint64              `json:"version"` // latest version of the documents
+	Version       uint64              `json:"version"` // latest version of the documents; 0: no document was ever written
 	Pending       uint64              `json:"coming"`  // version to be activated next; equal to Active if no version is pending
-	Active        uint64              `json:"active"`  // version on which the daemons act
+	Active        uint64              `json:"active"`  // version on which the daemons act; 0: none was activated yet
 	Forced        uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
 	Docs          map[string]Document `json:"docs"`    // documents of Version, by name
 	PendingDocs   map[string]Document `json:"next"`    // documents of the pending version, by name
@@ -35,7 +35,7 @@
 
 // recentResult is the result of a command that had an ID, with which the command's duplicates are answered.
 type recentResult struct {
-	ID string `json:"id"` // the command's ID
+	ID string `json:"id"` // ID of the command that had this result
 	CommandResult
 }
 
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -128,7 +128,7 @@
 	if _, err := apply(t, state, Command{Read: &DocumentVersion{"big", 8}}); !errors.Is(err, ErrCompacted) {
 		t.Errorf("read of a version that is not retained: error %v, want %v", err, ErrCompacted)
 	}
-	mustApply(t, state, Command{Read: &DocumentVersion{"big", 10}}) // version 10 is retained
+	mustApply(t, state, Command{Read: &DocumentVersion{"big", 10}}) // must succeed, since version 10 is retained
 	for name, size := range map[string]int{"all documents": MaxDocumentBytes, "one document": MaxDocumentBytes + 1} {
 		tooLong := Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), size)}}
 		if _, err := apply(t, state, tooLong); !errors.Is(err, ErrLimitExceeded) {
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -24,7 +24,7 @@
 type Config struct {
 	ID                uint64        // raft id of this voter; never 0
 	HeartbeatInterval time.Duration // time between two heartbeats of the leader; an election timeout is five to ten times as long
-	Seed              uint64        // seed of the random election timeouts
+	Seed              uint64        // seed of the random numbers that determine the election timeouts
 	Lease             LeaseConfig   // durations of the leases that this voter grants while it leads
 }
 
@@ -36,26 +36,26 @@
 type Voter struct {
 	config  Config
 	rng     *rand.Rand          // random numbers for the election timeouts, from Config.Seed
-	rawNode *raft.RawNode       // raft's state machine
-	storage *raft.MemoryStorage // raft's log in memory
+	rawNode *raft.RawNode       // raft's protocol state of this voter, without I/O and timers
+	storage *raft.MemoryStorage // raft's log in memory, from the oldest retained entry
 
 	state                *State            // State that the applied commands have produced
 	confState            *raftpb.ConfState // raft's configuration at appliedIndex
 	appliedIndex         uint64            // log index of the last applied entry
-	snapshotIndex        uint64            // log index of the latest snapshot
+	snapshotIndex        uint64            // log index up to which the latest snapshot covers the log
 	bytesSinceSnapshot   int               // bytes of the entries applied since the latest snapshot
 	needsLearnerSnapshot bool              // whether a learner was added that the latest snapshot does not name
 
-	term            uint64        // raft's term in the latest hard state
+	term            uint64        // term in the latest hard state that raft has returned
 	isLeader        bool          // whether rawNode takes itself for the leader
 	nextHeartbeatAt time.Duration // instant of the next heartbeat, while this voter leads
-	leaderMessageAt time.Duration // instant of the latest message of a leader
+	leaderMessageAt time.Duration // instant at which the latest message of a leader arrived
 	campaignAt      time.Duration // instant at which this voter campaigns, while it follows
 
-	leaseManager      *LeaseManager  // manager of the leases; nil unless this voter leads and has applied all that earlier leaders committed
+	leaseManager      *LeaseManager  // manager of leases; nil unless this voter leads and has applied what earlier leaders committed
 	readRound         uint64         // number of the latest round of raft's ReadIndex that was started
 	unconfirmedLeases []pendingLease // lease requests whose round of ReadIndex is not confirmed yet
-	confirmedLeases   []pendingLease // lease requests whose round of ReadIndex is confirmed, but whose read index may not be applied yet
+	confirmedLeases   []pendingLease // lease requests with a confirmed round, whose read index may not be applied yet
 	proposedVersion   uint64         // latest version that this leader proposed to activate or skip in this term
 
 	// Results are the results of committed commands, in the order of the log. The owner takes them and sets the field to
--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -29,7 +29,7 @@
 type bootstrapMessage struct {
 	Round     uint64                  `json:"round"` // number of the round in which the vote is requested, which the answer repeats
 	IsRequest bool                    `json:"asks"`  // whether the sender requests the vote of the recipient; false: the message is an answer
-	Vote      consensus.BootstrapVote `json:"word"`  // vote of the sender
+	Vote      consensus.BootstrapVote `json:"word"`  // vote of the sender on whether it has created its log
 }
 
 // startBootstrapRound starts a round of the bootstrap: it requests the votes of the other initial voters. If votes of
@@ -83,7 +83,7 @@
 		ownIdentity := newInitialVoterIdentity(n.options.Name, initialVoters, diskIDs)
 		var err error
 		if n.localVoter, err = n.createVoter(now, ownIdentity); err != nil {
-			n.hasStoppedVoting = true
+			n.isVoterStartDisabled = true
 			n.options.Log.Error("voter not started after the bootstrap", "error", err)
 		}
 	}
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -46,7 +46,7 @@
 	voters          []string          // names of the voters in the daemons' cache files
 	knownVoters     []string          // names of all voters and initial voters, from which a daemon may request a lease
 	term            uint64            // raft's term on the voters' disks
-	snapshotIndexes map[string]uint64 // index of the snapshot in the daemon's durable log, by the daemon's name; nil: the logs have no snapshots
+	snapshotIndexes map[string]uint64 // index of the snapshot in each daemon's durable log, by the daemon's name; nil: no snapshots
 }
 
 // earlierFixtures are the fixtures of two moments: before and after the voters of the earlier build's cluster changed.
@@ -193,8 +193,8 @@
 				if n.cached.Version != f.version || !slices.Equal(n.cached.Voters, f.voters) {
 					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, f.version, f.voters)
 				}
-				if !slices.Equal(n.client.knownVoters, f.knownVoters) {
-					t.Errorf("the node knows the voters %q, want %q", n.client.knownVoters, f.knownVoters)
+				if !slices.Equal(n.leaseClient.knownVoters, f.knownVoters) {
+					t.Errorf("the node knows the voters %q, want %q", n.leaseClient.knownVoters, f.knownVoters)
 				}
 				f.checkVoter(t, daemon, n)
 			})
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -19,7 +19,7 @@
 			return
 		case m := <-n.options.Transport.Messages():
 			n.handleMessage(m)
-		case call := <-n.submitted:
+		case call := <-n.submittedCalls:
 			call()
 		case <-timer.C:
 		}
@@ -30,7 +30,7 @@
 		if n.bootstrap != nil && now >= n.bootstrap.nextRoundAt {
 			n.startBootstrapRound(now)
 		}
-		if now >= n.client.nextRequestAt {
+		if now >= n.leaseClient.nextRequestAt {
 			n.requestLease(now)
 		}
 		n.attemptProposals(now)
@@ -42,7 +42,7 @@
 
 // untilNextDeadline returns the time until the next work is due, at most maxIdleWait.
 func (n *Node) untilNextDeadline(now time.Duration) time.Duration {
-	next := n.client.nextRequestAt
+	next := n.leaseClient.nextRequestAt
 	if n.bootstrap != nil {
 		next = min(next, n.bootstrap.nextRoundAt)
 	}
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -19,10 +19,10 @@
 // durable log, and the file is written once. The identity of an initial voter has the names of all initial voters, from
 // which their raft ids follow; the identity of a voter that was added later has its assigned raft id and the cluster's id.
 type identity struct {
-	name          string            // name of the voter's daemon
+	name          string            // name of the daemon that runs the voter
 	initialVoters []string          // names of the cluster's initial voters, sorted; empty: this voter was added later
-	voterID       uint64            // raft id of the voter
-	clusterID     clusterID         // id of the cluster
+	voterID       uint64            // raft id of the voter; 0: initialVoters lacks the name
+	clusterID     clusterID         // digest of the initial voters' names, which identifies the cluster
 	diskIDs       map[string]string // for an initial voter: disk ids of all initial voters, by name, when the first of them created its log
 }
 
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -24,14 +24,14 @@
 // requestLease requests a lease from the voter that sent the latest grant. If that voter did not answer the latest
 // request, requestLease requests the lease from the voter whose name follows in sorted order.
 func (n *Node) requestLease(now time.Duration) {
-	c := &n.client
+	c := &n.leaseClient
 	if !c.isLatestRequestGranted {
-		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // the first name after leader in sorted order
+		i, _ := slices.BinarySearch(c.knownVoters, c.leader+"\x00") // index of the first known voter after c.leader
 		c.leader = c.knownVoters[i%len(c.knownVoters)]
 	}
 	c.isLatestRequestGranted = false
 	r, next := c.holder.NextRequest(now)
-	if n.localVoter == nil && !n.hasStoppedVoting {
+	if n.localVoter == nil && !n.isVoterStartDisabled {
 		r.DiskID = n.diskID
 	}
 	c.nextRequestAt = next
@@ -50,14 +50,14 @@
 		return
 	}
 	if n.localVoter == nil || n.localVoter.voter.RequestLease(r) != nil {
-		n.sendJSON(m.From, kindVoterNames, n.client.knownVoters)
+		n.sendJSON(m.From, kindVoterNames, n.leaseClient.knownVoters)
 	}
 }
 
 // handleLeaseGrant applies a grant that another daemon sent.
 func (n *Node) handleLeaseGrant(now time.Duration, m transport.Message) {
 	var g consensus.LeaseGrant
-	if slices.Contains(n.client.knownVoters, m.From) && json.Unmarshal(m.Body, &g) == nil {
+	if slices.Contains(n.leaseClient.knownVoters, m.From) && json.Unmarshal(m.Body, &g) == nil {
 		n.applyGrant(now, m.From, g)
 	}
 }
@@ -65,7 +65,7 @@
 // applyGrant applies a grant of a leader, which may be this daemon's own voter, and what the grant reports about the
 // voters and the versions.
 func (n *Node) applyGrant(now time.Duration, leader string, g consensus.LeaseGrant) {
-	c := &n.client
+	c := &n.leaseClient
 	c.isLatestRequestGranted, c.leader = true, leader
 	if len(g.SlotHolders) > 0 {
 		c.setVoters(g.SlotHolders, n.options.InitialVoters)
@@ -81,7 +81,7 @@
 	n.startCheck()
 	leased := c.holder.Leased()
 	if leased.Version != g.Version {
-		return // this daemon does not act on the active version yet
+		return // this daemon does not act yet on the active version, which the grant names
 	}
 	if leased.Version != n.cached.Version || !slices.Equal(g.SlotHolders, n.cached.Voters) {
 		n.cacheVersion(leased, g.SlotHolders)
@@ -96,7 +96,7 @@
 // startCheck runs Options.Check for the version that the leader offered, unless a check is running. As soon as the check
 // ends the daemon requests a lease, since the leader may wait for the outcome.
 func (n *Node) startCheck() {
-	c := &n.client
+	c := &n.leaseClient
 	version, docs := c.holder.PendingCheck()
 	if version == 0 || c.checkingVersion != 0 {
 		return
@@ -123,8 +123,8 @@
 // if a grant has already answered the latest lease request.
 func (n *Node) handleVoterNames(m transport.Message) {
 	var names []string
-	if json.Unmarshal(m.Body, &names) == nil && !n.client.isLatestRequestGranted {
-		n.client.addVoters(names)
+	if json.Unmarshal(m.Body, &names) == nil && !n.leaseClient.isLatestRequestGranted {
+		n.leaseClient.addVoters(names)
 	}
 }
 
--- a/internal/cluster/raftnode/localvoter.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -21,7 +21,7 @@
 type localVoter struct {
 	identity
 	voter     *consensus.Voter
-	log       *wal.Log          // durable log of the voter
+	log       *wal.Log          // durable log of the voter's records and snapshots
 	peerNames map[uint64]string // names, by raft id, of voters that have sent messages and that the replicated State does not name yet
 }
 
@@ -108,7 +108,7 @@
 	if err := n.localVoter.log.Close(); err != nil {
 		n.options.Log.Warn("durable log not closed cleanly", "error", err)
 	}
-	n.localVoter, n.hasStoppedVoting = nil, true
+	n.localVoter, n.isVoterStartDisabled = nil, true
 }
 
 // applyVoterAction starts or stops this daemon's voter if a grant requires that. The daemon may rely on the grant: a
@@ -124,11 +124,11 @@
 			"empty its data_dir before adding it to the voters again", "voter_id", id)
 		n.stopVoter()
 	case consensus.StartVoter:
-		if !n.hasStoppedVoting {
+		if !n.isVoterStartDisabled {
 			n.startAddedVoter(now, &identity{name: n.options.Name, voterID: g.VoterID, clusterID: newClusterID(g.InitialVoters)})
 		}
 	case consensus.VoterDiskLost:
-		if !n.isDiskLossLogged && !n.hasStoppedVoting {
+		if !n.isDiskLossLogged && !n.isVoterStartDisabled {
 			n.isDiskLossLogged = true
 			n.options.Log.Error("this daemon does not vote", "voter_id", g.VoterID, "error", errVoterDiskLost)
 		}
@@ -140,7 +140,7 @@
 func (n *Node) startAddedVoter(now time.Duration, ownIdentity *identity) {
 	voter, err := n.createVoter(now, ownIdentity)
 	if err != nil {
-		n.hasStoppedVoting = true
+		n.isVoterStartDisabled = true
 		n.options.Log.Error("this daemon was added to the voters, but its voter can't start", "error", err)
 		return
 	}
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -27,7 +27,7 @@
 	for _, c := range []struct {
 		name       string
 		daemon     string   // name of the daemon that starts on the disk
-		voters     []string // initial voters in the daemon's options
+		voters     []string // Options.InitialVoters of the daemon
 		isRejected bool     // whether Start must return an error
 	}{
 		{"its own voter", "a", []string{"b", "a", "c"}, false},
@@ -65,7 +65,7 @@
 		}
 		testpeer.Eventually(t, "the daemon gives up starting a voter", func() bool {
 			hasGivenUp := make(chan bool, 1)
-			n.submit(t.Context(), func() { hasGivenUp <- n.hasStoppedVoting && n.localVoter == nil })
+			n.submit(t.Context(), func() { hasGivenUp <- n.isVoterStartDisabled && n.localVoter == nil })
 			return <-hasGivenUp
 		})
 		if err := n.Close(); err != nil {
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -76,22 +76,22 @@
 	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
 	firstGrant     chan struct{}                           // closed at the first grant that this daemon can act on
 	versionChanged chan struct{}                           // holds a value if the leased version has changed since the last receive
-	submitted      chan func()                             // functions that the event loop is to run
+	submittedCalls chan func()                             // functions that other goroutines pass to the event loop, which runs them
 	ctx            context.Context                         // canceled by Close
 	cancel         context.CancelFunc                      // cancels ctx
 	goroutines     sync.WaitGroup                          // event loop, and running call of Options.Check
 
 	// The fields below are owned by the event loop (run).
 
-	localVoter       *localVoter              // this daemon's voter; nil: the daemon runs none
-	hasStoppedVoting bool                     // whether this process must not start a voter any more
-	isDiskLossLogged bool                     // whether the error that the disk of this daemon's voter is lost was logged
-	diskID           string                   // id of this daemon's disk; empty if the disk had a voter at Start, or there is no disk
-	bootstrap        *bootstrap               // bootstrap of an initial voter that has not created its log; nil in all other cases
-	bootstrapVote    *consensus.BootstrapVote // vote that other initial voters get from a voter that has created its log; nil: no log was created
-	client           leaseClient              // this daemon's lease, and the voters that may grant it
-	proposals        pendingProposals         // commands whose result is not known yet, or has not been passed to a caller yet
-	cached           cacheEntry               // contents of the cache file, without the documents
+	localVoter           *localVoter              // this daemon's voter; nil: the daemon runs none
+	isVoterStartDisabled bool                     // whether this process must not start a voter any more
+	isDiskLossLogged     bool                     // whether the error that the disk of this daemon's voter is lost was logged
+	diskID               string                   // id of this daemon's disk; empty if the disk had a voter at Start, or there is no disk
+	bootstrap            *bootstrap               // bootstrap of an initial voter that has not created its log; nil in all other cases
+	bootstrapVote        *consensus.BootstrapVote // vote that other initial voters get from a voter that has created its log; nil: no log was created
+	leaseClient          leaseClient              // this daemon's lease, and the voters that may grant it
+	proposals            pendingProposals         // commands whose result is not known yet, or has not been passed to a caller yet
+	cached               cacheEntry               // contents of the cache file, without the documents
 }
 
 // Start loads the state on Options.Disk and starts the event loop. An error names the damaged file, or says what is wrong
@@ -101,9 +101,9 @@
 		options:        o,
 		firstGrant:     make(chan struct{}),
 		versionChanged: make(chan struct{}, 1),
-		submitted:      make(chan func()),
+		submittedCalls: make(chan func()),
 		proposals:      pendingProposals{},
-		client:         leaseClient{knownVoters: slices.Sorted(slices.Values(o.InitialVoters)), leader: o.InitialVoters[0]},
+		leaseClient:    leaseClient{knownVoters: slices.Sorted(slices.Values(o.InitialVoters)), leader: o.InitialVoters[0]},
 	}
 	if o.Disk != nil {
 		var err error
@@ -112,7 +112,7 @@
 		}
 	}
 	version, docs := n.loadCachedVersion()
-	n.client.holder = consensus.NewLeaseHolder(o.Name, o.Lease, version, docs)
+	n.leaseClient.holder = consensus.NewLeaseHolder(o.Name, o.Lease, version, docs)
 	n.leased.Store(&consensus.LeasedVersion{Version: version, Docs: docs})
 	n.status.Store(&Status{})
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -152,12 +152,12 @@
 // MarkInstalled records that all parts of this daemon act on a version. It must be called if Options.ReportsInstalled is
 // set, and only then.
 func (n *Node) MarkInstalled(version uint64) {
-	n.submit(n.ctx, func() { n.client.holder.MarkInstalled(version) })
+	n.submit(n.ctx, func() { n.leaseClient.holder.MarkInstalled(version) })
 }
 
 // Recheck forgets that this daemon rejected a version, so that Options.Check runs again when the leader next offers the
 // version. It must be called when something changes on which the result of Options.Check depends.
-func (n *Node) Recheck() { n.submit(n.ctx, func() { n.client.holder.Recheck() }) }
+func (n *Node) Recheck() { n.submit(n.ctx, func() { n.leaseClient.holder.Recheck() }) }
 
 // FirstGrant returns a channel that is closed at the first grant since Start that this daemon can act on. From then on
 // Valid returns the cluster's active version, if there is one.
@@ -171,7 +171,7 @@
 // not run, if ctx or the node ends first.
 func (n *Node) submit(ctx context.Context, call func()) bool {
 	select {
-	case n.submitted <- call:
+	case n.submittedCalls <- call:
 		return true
 	case <-ctx.Done():
 	case <-n.ctx.Done():
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -161,7 +161,7 @@
 			}
 			p.scheduleRetry(now)
 		default:
-			n.send(n.client.leader, kindProposal, p.body)
+			n.send(n.leaseClient.leader, kindProposal, p.body)
 			p.scheduleRetry(now)
 		}
 	}
@@ -176,7 +176,7 @@
 // handleProposalResult handles the result of a command from a voter to which this node forwarded the command.
 func (n *Node) handleProposalResult(m transport.Message) {
 	var r proposalResult
-	if json.Unmarshal(m.Body, &r) == nil && slices.Contains(n.client.knownVoters, m.From) {
+	if json.Unmarshal(m.Body, &r) == nil && slices.Contains(n.leaseClient.knownVoters, m.From) {
 		n.completeProposal(r)
 	}
 }
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -27,7 +27,7 @@
 
 // publish makes the leased version and the status available to other goroutines if they have changed.
 func (n *Node) publish() {
-	leased := n.client.holder.Leased()
+	leased := n.leaseClient.holder.Leased()
 	if published := n.leased.Load(); leased.Version != published.Version || leased.ExpiresAt != published.ExpiresAt {
 		n.leased.Store(&leased)
 		if leased.Version != published.Version {
@@ -44,9 +44,9 @@
 
 // currentStatus returns the status that the lease client and this daemon's voter have now.
 func (n *Node) currentStatus() Status {
-	s := Status{Leader: n.client.leader, KnownVoters: n.client.knownVoters, ActiveVoters: n.client.activeVoters}
-	s.FullyActiveVersion, s.Lagging = n.client.holder.FullyActive()
-	s.RejectedVersion, s.RejectionReason = n.client.holder.RejectedVersion()
+	s := Status{Leader: n.leaseClient.leader, KnownVoters: n.leaseClient.knownVoters, ActiveVoters: n.leaseClient.activeVoters}
+	s.FullyActiveVersion, s.Lagging = n.leaseClient.holder.FullyActive()
+	s.RejectedVersion, s.RejectionReason = n.leaseClient.holder.RejectedVersion()
 	if n.localVoter == nil {
 		return s
 	}
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -23,7 +23,7 @@
 type cacheEntry struct {
 	Version uint64                        `json:"version"` // version on which the daemon acted last
 	Docs    map[string]consensus.Document `json:"docs"`    // documents of Version, by name
-	Voters  []string                      `json:"voters"`  // names of the daemons with a voter slot, sorted
+	Voters  []string                      `json:"voters"`  // names of the daemons with a voter slot, sorted, from which a lease may be requested
 }
 
 // cacheVersion writes the version on which this daemon acts, and the names of the voters, to the cache file. If the disk
@@ -60,7 +60,7 @@
 		return 0, nil
 	}
 	n.cached = cacheEntry{Version: entry.Version, Voters: entry.Voters}
-	n.client.setVoters(entry.Voters, n.options.InitialVoters)
+	n.leaseClient.setVoters(entry.Voters, n.options.InitialVoters)
 	return entry.Version, entry.Docs
 }
 
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -19,30 +19,30 @@
 	n := &Node{options: Options{Disk: d, Log: slog.New(slog.DiscardHandler)}}
 	docs := map[string]consensus.Document{"a": {Name: "a", Version: 5, Body: []byte("text")}}
 	n.cacheVersion(consensus.LeasedVersion{Version: 7, Docs: docs}, []string{"v"})
-	complete, err := readFile(d, cacheFile, maxCacheBytes)
-	if err != nil || len(complete) == 0 {
+	completeFile, err := readFile(d, cacheFile, maxCacheBytes)
+	if err != nil || len(completeFile) == 0 {
 		t.Fatal(err)
 	}
 	load := func(text []byte) (uint64, map[string]consensus.Document) {
 		d.SetBytes(cacheFile, text)
 		return (&Node{options: n.options}).loadCachedVersion()
 	}
-	if v, docs := load(complete); v != 7 || string(docs["a"].Body) != "text" {
+	if v, docs := load(completeFile); v != 7 || string(docs["a"].Body) != "text" {
 		t.Errorf("loaded version %d with documents %v, want 7 with document a", v, docs)
 	}
-	for i := range complete {
-		flipped := slices.Clone(complete)
-		flipped[i] ^= 1
-		for _, damaged := range [][]byte{complete[:i], flipped} {
+	for i := range completeFile {
+		flippedFile := slices.Clone(completeFile)
+		flippedFile[i] ^= 1
+		for _, damaged := range [][]byte{completeFile[:i], flippedFile} {
 			if v, _ := load(damaged); v != 0 {
 				t.Fatalf("a file damaged at byte %d gives version %d, want none", i, v)
 			}
 		}
 	}
-	rejecting := n.options
-	rejecting.Check = func(map[string]consensus.Document) error { return errors.New("no") }
-	d.SetBytes(cacheFile, complete)
-	if v, _ := (&Node{options: rejecting}).loadCachedVersion(); v != 0 {
+	rejectingOptions := n.options
+	rejectingOptions.Check = func(map[string]consensus.Document) error { return errors.New("no") }
+	d.SetBytes(cacheFile, completeFile)
+	if v, _ := (&Node{options: rejectingOptions}).loadCachedVersion(); v != 0 {
 		t.Errorf("loaded version %d, want none: the daemon's check rejects it", v)
 	}
 	d.InjectFailure(0)
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -35,11 +35,11 @@
 	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.voterID {
 		return
 	}
-	switch known := v.peerName(message.GetFrom()); {
-	case known == "" && len(v.peerNames) < maxPeerNames:
+	switch knownName := v.peerName(message.GetFrom()); {
+	case knownName == "" && len(v.peerNames) < maxPeerNames:
 		// The replicated State does not name the sender: it may have been added while this voter was down, and may lead.
 		v.peerNames[message.GetFrom()] = m.From
-	case known != m.From:
+	case knownName != m.From:
 		return
 	}
 	v.voter.Receive(now, message)
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -87,10 +87,10 @@
 // parseFields parses a line, which consists of a first word and fields of the form key=value. It ignores first words and
 // keys that are not in fields.
 func parseFields(line string, fields lineFields) error {
-	kind, rest, _ := strings.Cut(line, " ")
+	firstWord, rest, _ := strings.Cut(line, " ")
 	for _, field := range strings.Fields(rest) {
 		key, value, _ := strings.Cut(field, "=")
-		if err := parseValue(fields[kind][key], value); err != nil {
+		if err := parseValue(fields[firstWord][key], value); err != nil {
 			return fmt.Errorf("%.200q: %w", line, err)
 		}
 	}
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	Format             int             `json:"format"`             // number of the JSON format, always 1
 	ActiveVersion      uint64          `json:"version"`            // version of the documents on which this daemon acts
-	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease
+	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease on ActiveVersion
 	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
 	IsVoter            bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
 	IsLeader           bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
@@ -31,8 +31,8 @@
 
 // LaggingDaemon is a daemon for which the leader waits, since the daemon does not act on the latest version yet.
 type LaggingDaemon struct {
-	Name   string `json:"daemon"` // name of the daemon
-	Reason string `json:"why"`    // why the leader waits for the daemon
+	Name   string `json:"daemon"` // name of the daemon for which the leader waits
+	Reason string `json:"why"`    // text for operators that says why the leader waits
 }
 
 // Document describes an agreed document, without its body.
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -19,7 +19,7 @@
 type indirectProbe struct {
 	requesterAddr netip.AddrPort // address of the member that sent the PingReq
 	requesterSeq  uint64         // sequence number of the PingReq
-	targetName    string         // name of the member that is probed
+	targetName    string         // name of the member that the probe targets
 	nackAt        time.Duration  // instant at which the requester gets a Nack if the target has not responded
 }
 
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -33,8 +33,8 @@
 
 // Message is a message of the failure detector from one node to another. Its Kind determines which fields are used.
 type Message struct {
-	Kind             Kind     // purpose of the message
-	From             Update   // the sender's assertion about itself
+	Kind             Kind     // purpose of the message, which decides how the receiver handles it
+	From             Update   // address, generation, state and incarnation of the sender
 	Seq              uint64   // sequence number of a Ping or PingReq, which the responses repeat
 	Target           Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
 	Digest           uint64   // digest of the members that the sender considers present (Node.Digest)
@@ -60,5 +60,5 @@
 type Envelope struct {
 	To      netip.AddrPort // address to which the message is sent
 	Stream  bool           // whether the message may be longer than a datagram, so that it must be sent in a stream
-	Message *Message       // message to send
+	Message *Message       // message of the failure detector to be sent
 }
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -14,21 +14,21 @@
 // is not safe for concurrent use.
 type Node struct {
 	options      Options       // options with their defaults; Reconfigure replaces them
-	rng          *rand.Rand    // source of all random decisions
-	self         Update        // this node's assertion about itself
+	rng          *rand.Rand    // source of all random decisions, from Options.Seed
+	self         Update        // address, generation, state and incarnation of this node, as it gossips them
 	startedAt    time.Duration // instant at which the node was created
 	hasLeft      bool          // whether Leave was called
 	hasContact   bool          // whether a message of another node has been received since the start
 	expectedTick time.Duration // instant at which Tick is expected: the latest result of NextTick
 
 	// Fields of the membership table (membership.go).
-	members      map[string]*member     // all other members by name
+	members      map[string]*member     // all other known members, in any state, by name
 	present      []*member              // other members that are present, in the shuffled order of the probe round
-	failed       []*member              // members that have failed
-	suspects     map[string]*member     // suspect members by name
+	failed       []*member              // members in the state Failed, in any order
+	suspects     map[string]*member     // members in the state Suspect, by name
 	presentAddrs map[netip.AddrPort]int // number of present members by address
 	digest       uint64                 // hash of all present members and this node, which Digest returns
-	nextReap     time.Duration          // instant of the next call of reap
+	nextReap     time.Duration          // instant at which members that failed or left long ago are next removed
 
 	// Fields of the probes of members (probe.go and indirectprobe.go).
 	lastSeq        uint64                    // sequence number of the latest Ping that this node sent
@@ -37,21 +37,21 @@
 	probeIndex     int                       // index in present of the member to probe next
 	urgentTargets  []*member                 // members that others suspect and that this node probes next; at most maxHealthScore
 	healthScore    int                       // local health of this node: 0 is healthy, maxHealthScore is worst
-	nextProbe      time.Duration             // instant at which the next probe starts
+	nextProbe      time.Duration             // instant at which this node starts its next probe of a member
 
 	nextSuspicionEnd time.Duration // lower bound of the deadlines of all suspicions; noDeadline: no member is suspect
 
 	// Fields of gossip and of the full state exchange (gossip.go and sync.go).
 	broadcasts broadcastQueue // updates to be gossiped
 	nextGossip time.Duration  // earliest instant of the next round of gossip
-	nextRejoin time.Duration  // instant of the next call of rejoin
+	nextRejoin time.Duration  // instant at which an address without a present member is next pinged (rejoin)
 	lastSync   time.Duration  // instant at which this node last started a full state exchange; 0: never
-	outbox     []Envelope     // messages to be sent, which TakeMessages returns
+	outbox     []Envelope     // messages that the next call of TakeMessages returns
 
 	conflict *nameConflict // another process with this node's name; nil: none is known
 
 	// Fields of the view that the node reports (view.go).
-	connectivity         Connectivity  // connectivity that View reports
+	connectivity         Connectivity  // connectivity that View reports, which improves later than the actual one
 	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
 	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
 	viewNumber           uint64        // Number of the current View, which grows with each change
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -8,7 +8,7 @@
 
 // probe is a Ping of this node that has no response yet.
 type probe struct {
-	target          *member       // member that is probed
+	target          *member       // member to which the Ping was sent
 	indirectAt      time.Duration // instant at which other members are requested to probe the target
 	hasSentIndirect bool          // whether other members were requested to probe the target
 	deadline        time.Duration // instant at which the probe fails if there is no Ack
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -22,7 +22,7 @@
 // duplicates or reorders.
 type testNetwork struct {
 	now       time.Duration // current instant of virtual time
-	nodes     []*Node       // running nodes
+	nodes     []*Node       // running nodes; a test replaces one to restart it
 	inTransit []Envelope    // messages that were sent and neither delivered nor lost, in the order of sending
 
 	// The keys of maxIncarnation and leftIncarnation consist of the generation of a node and the name of a member that the
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -50,7 +50,7 @@
 // Update is an assertion about the state of a member, which nodes gossip.
 type Update struct {
 	Peer
-	State       State  // asserted state of the member
+	State       State  // state that the member is asserted to have
 	Incarnation uint64 // counter that only the member itself increments, to refute assertions with smaller values
 	SuspectedBy string // if State is Suspect: name of the member that suspects, since its probe failed
 }
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -49,8 +49,8 @@
 
 // Change is a member's transition from one state to another, which the transport logs.
 type Change struct {
-	Name        string         // name of the member
-	Addr        netip.AddrPort // address of the member
+	Name        string         // name of the member that changed
+	Addr        netip.AddrPort // address of the member after the change
 	From, To    State          // states before and after the change; From is meaningless if IsNew is set
 	IsNew       bool           // whether the member was unknown before the change
 	Incarnation uint64         // incarnation of the member after the change
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -37,7 +37,7 @@
 
 // packet is the content of an authenticated packet. Either swimMessage or message is set.
 type packet struct {
-	swimMessage *swim.Message // message of the failure detector
+	swimMessage *swim.Message // message of the failure detector; nil if message is set
 	message     *Message      // message that another daemon sent with Send
 	generation  uint64        // swim.Peer.Generation of the sending process
 	sequence    uint64        // sequence number of the packet among those of the sending process
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -30,7 +30,7 @@
 // A second process with the name of a member must not be able to send messages in the member's place.
 func TestMessageOfAnotherProcessWithAMembersNameIsDropped(t *testing.T) {
 	_, b := startPair(t)
-	before := b.Metrics().Foreign
+	foreignBefore := b.Metrics().Foreign
 	conn, err := net.Dial("udp", b.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	defer conn.Close()
 	options := testOptions("a")
 	conn.Write(appendMessagePacket(nil, &options, 1, &Message{From: "a", Generation: 5, Kind: 'x'}))
-	testpeer.Eventually(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == before+1 })
+	testpeer.Eventually(t, "the message is counted as foreign", func() bool { return b.Metrics().Foreign == foreignBefore+1 })
 	select {
 	case m := <-b.Messages():
 		t.Errorf("delivered %+v, want no message", m)
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -42,7 +42,7 @@
 
 // Message is a message from a component of a daemon to the same component of another daemon.
 type Message struct {
-	From       string // name of the sending daemon
+	From       string // name of the sending daemon (Options.Name)
 	Generation uint64 // swim.Peer.Generation of the sending process
 	Kind       byte   // purpose of the message, by which the receiver chooses the component that handles it
 	Body       []byte // content of the message, which the transport does not interpret
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -7,7 +7,7 @@
 
 // Metrics contains the numbers of packets that a transport has sent, received and dropped since its start.
 type Metrics struct {
-	Received        uint64 // packets received and not dropped
+	Received        uint64 // packets that were received, authenticated and not dropped
 	Sent            uint64 // packets sent without an error
 	BytesSent       uint64 // total length of the packets sent, in bytes
 	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
@@ -42,7 +42,7 @@
 	}
 }
 
-// dropCounters count dropped packets by reason.
+// dropCounters count dropped packets by the reason for dropping them. They can be read as Metrics.
 type dropCounters struct {
 	malformed, foreign, unauthenticated, replayed, rateLimited, queueFull atomic.Uint64
 }
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxStreams is the maximum number of open streams in each direction.
+	// maxStreams is the maximum number of outgoing streams, and of incoming streams, that are open at once.
 	maxStreams = 8
 	// streamTimeout is the maximum time of a stream, from the dial or the accept to the last byte.
 	streamTimeout = 2 * time.Second
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -57,7 +57,7 @@
 	inbox          chan *swim.Message                            // received messages of the failure detector, for the event loop
 	eventLoopCalls chan func(now time.Duration, node *swim.Node) // functions that the event loop is to call
 	messages       chan Message                                  // received messages that other daemons sent with Send, for the users of Messages
-	view           atomic.Pointer[swim.View]                     // latest published view
+	view           atomic.Pointer[swim.View]                     // latest view that the event loop has published
 	changed        chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
 
 	sequence        atomic.Uint64 // sequence number of the latest packet that this process encoded
@@ -68,7 +68,7 @@
 	received  atomic.Uint64 // number of packets received and not dropped
 	sent      atomic.Uint64 // number of packets sent
 	bytesSent atomic.Uint64 // total length of the packets sent, in bytes
-	dropped   dropCounters  // numbers of dropped packets by reason
+	dropped   dropCounters  // numbers of dropped packets, by the reason for dropping them
 }
 
 // Start opens the sockets and starts to join the cluster. An error names the configuration field that caused it.
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -100,19 +100,19 @@
 			options.Keys = keys
 			tr.Reconfigure(options)
 		}
-		before := a.Metrics().Received
+		receivedBefore := a.Metrics().Received
 		testpeer.Eventually(t, step.name+": a and b exchange packets", func() bool {
-			return a.Metrics().Received > before+3 && stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
+			return a.Metrics().Received > receivedBefore+3 && stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 		})
 	}
 }
 
 func TestStartErrorNamesTheConfigurationField(t *testing.T) {
-	unsigned := testOptions("a")
-	unsigned.Keys, unsigned.Listen = nil, netip.MustParseAddrPort("0.0.0.0:0")
-	inUse := testOptions("a")
-	inUse.Listen = start(t, testOptions("b")).Addr()
-	for name, options := range map[string]Options{"no key and no loopback address": unsigned, "address in use": inUse} {
+	unsignedOptions := testOptions("a")
+	unsignedOptions.Keys, unsignedOptions.Listen = nil, netip.MustParseAddrPort("0.0.0.0:0")
+	inUseOptions := testOptions("a")
+	inUseOptions.Listen = start(t, testOptions("b")).Addr()
+	for name, options := range map[string]Options{"no key and no loopback address": unsignedOptions, "address in use": inUseOptions} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Start(options); err == nil || !strings.Contains(err.Error(), "fleet.listen") {
 				t.Errorf("got error %v, want one that contains \"fleet.listen\"", err)
--- a/internal/cluster/transport/wire.go
+++ b/internal/cluster/transport/wire.go
@@ -23,7 +23,7 @@
 
 // field is a parsed field of a message. The wire type of the field determines which of number and bytes has its value.
 type field struct {
-	id     protowire.Number // number of the field in its message
+	id     protowire.Number // number that identifies the field in its message
 	number uint64           // value of a varint or fixed64 field
 	bytes  []byte           // value of a length-delimited field, a subslice of the parsed message
 }
