--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -10,21 +10,21 @@
 // Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active),
 // and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
 const (
-	MaxDocumentBytes = 1 << 20                  // bytes in the body of one document
-	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // bytes in the bodies of all documents of a version
-	MaxDocuments     = 1000                     // documents in one version
+	MaxDocumentBytes = 1 << 20                  // greatest size of a document's body in bytes
+	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // greatest total size of the bodies of one version's documents in bytes
+	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
-// Document is a named text as it was last written.
+// Document is a replicated text that has a name, as the latest command that wrote the document left it.
 type Document struct {
 	Name       string   `json:"name"`
 	Version    uint64   `json:"version"`        // version that was made when the document was written
-	Digest     [32]byte `json:"digest"`         // SHA-256 of Body
+	Digest     [32]byte `json:"digest"`         // SHA-256 of Body, also in copies that have no Body
 	ProposedBy string   `json:"by"`             // name of the daemon that proposed the document
 	Body       []byte   `json:"body,omitempty"` // complete text of the document
 }
 
-// DocumentPut is a document to be written.
+// DocumentPut has the name and the body of a document that a command writes.
 type DocumentPut struct {
 	Name string `json:"name"`
 	Body []byte `json:"body"` // complete text of the document
@@ -41,14 +41,14 @@
 	Version     uint64   `json:"version"`        // version that the change made
 	Name        string   `json:"name"`           // name of the changed document
 	Digest      [32]byte `json:"digest"`         // SHA-256 of the document's new body; all zeros: the document was removed
-	Bytes       int      `json:"bytes"`          // size of the document's new body
+	Bytes       int      `json:"bytes"`          // size of the document's new body in bytes; 0 if it was removed
 	ProposedBy  string   `json:"by"`             // name of the daemon that proposed the change
 	AtUnixMilli int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the proposing daemon; informational only
-	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: it is no revert
+	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: the change is no revert
 }
 
 // DigestDocuments returns one digest of all documents, independent of the map's order, with which the documents of two
-// daemons can be compared. It covers names and body digests only.
+// daemons can be compared. The digest covers names and body digests only.
 func DigestDocuments(docs map[string]Document) [32]byte {
 	var text []byte
 	for _, name := range slices.Sorted(maps.Keys(docs)) {
@@ -57,7 +57,7 @@
 	return sha256.Sum256(text)
 }
 
-// totalBodyBytes returns the size of the bodies of all documents.
+// totalBodyBytes returns the total size of the bodies of all documents in bytes.
 func totalBodyBytes(docs map[string]Document) (total int) {
 	for _, document := range docs {
 		total += len(document.Body)
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxOutstandingGrants bounds the grants that are recorded for one daemon. Beyond it the latest two are merged into one
-// with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
+// maxOutstandingGrants bounds the grants that are recorded for one daemon. When there are more, the latest two grants are
+// merged into one with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
 const maxOutstandingGrants = 32
 
 // LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when
-// a pending version may be activated. Each term has a new one. It is not safe for concurrent use.
+// a pending version may be activated. A leader creates a new LeaseManager in each term. It is not safe for concurrent use.
 type LeaseManager struct {
 	config      LeaseConfig
 	leaderSince time.Duration            // instant at which the term began, by the leader's clock
@@ -23,13 +23,13 @@
 	lagging     []LaggingDaemon // daemons for which the leader waits, according to the latest Refresh, sorted by name
 }
 
-// daemonLeases is what the leader knows about one daemon's leases.
+// daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
 type daemonLeases struct {
-	request LeaseRequest       // latest request of the daemon
+	request LeaseRequest       // latest lease request of the daemon in this term
 	grants  []outstandingGrant // grants that the daemon may use, in the order of seq, at most maxOutstandingGrants
 }
 
-// outstandingGrant is a grant that its daemon may use.
+// outstandingGrant is a grant that the leader has sent, and on which the daemon may act until it has expired.
 type outstandingGrant struct {
 	seq       uint64        // sequence number of the request that the grant answered
 	expiresAt time.Duration // instant, by the leader's clock, at which the lease has certainly expired
@@ -85,7 +85,7 @@
 
 // recordGrant records a request and the grant that answers it. It drops the grants before the one that the daemon has
 // accepted, since the daemon does not use them again.
-func (m *LeaseManager) recordGrant(now time.Duration, r LeaseRequest, lease time.Duration) {
+func (m *LeaseManager) recordGrant(now time.Duration, r LeaseRequest, leaseDuration time.Duration) {
 	d := m.daemons[r.Daemon]
 	if d == nil {
 		d = &daemonLeases{}
@@ -95,7 +95,7 @@
 	d.grants = slices.DeleteFunc(d.grants, func(grant outstandingGrant) bool {
 		return grant.seq < r.AcceptedSeq || now >= grant.expiresAt
 	})
-	expiresAt := now + m.config.expiryWait(lease)
+	expiresAt := now + m.config.expiryWait(leaseDuration)
 	if n := len(d.grants); n >= maxOutstandingGrants {
 		d.grants[n-1] = outstandingGrant{r.Seq, max(d.grants[n-1].expiresAt, expiresAt)}
 	} else {
@@ -103,9 +103,9 @@
 	}
 }
 
-// Refresh updates what grants report about all daemons: which ones lag, and the version before which none acts. As it
-// scans all daemons, it is called once a heartbeat and not for each grant. That no daemon acts on a version before the
-// reported one stays true until the next call.
+// Refresh updates what grants report about all daemons: which daemons lag, and the version before which no daemon acts. As
+// Refresh scans all daemons, it is called once a heartbeat and not for each grant. Until the next call it stays true that
+// no daemon acts on a version before the reported one.
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
@@ -132,8 +132,8 @@
 	return state.Pending
 }
 
-// VersionToSkip returns the pending version if the latest version is to take its place, else 0. That is so if some
-// daemon rejects the pending version, it was not forced, and a later version exists. No daemon ever acts on a version
+// VersionToSkip returns the pending version if the latest version is to take its place, else 0. The pending version is to
+// be skipped if some daemon rejects it, it was not forced, and a later version exists. No daemon ever acts on a version
 // that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
 	if !state.hasPendingVersion() || state.Version == state.Pending || state.Forced >= state.Pending {
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is the number of log entries by which a learner may be behind when it is promoted to a voter. It
-// receives so few with the next messages.
+// maxLearnerLag is the number of log entries by which a learner may be behind when it is promoted to a voter. The learner
+// receives the missing entries with the next messages.
 const maxLearnerLag = 16
 
 // IsLearner reports whether this voter receives the log but does not vote in raft's configuration.
@@ -45,8 +45,8 @@
 	}
 }
 
-// learners returns the raft ids of the learners in raft's configuration, and the id of one that may be promoted, which
-// is 0 if there is none.
+// learners returns the raft ids of the learners in raft's configuration, and the raft id of a learner that may be
+// promoted to a voter, which is 0 if there is none.
 func (v *Voter) learners() (learners map[uint64]bool, promotable uint64) {
 	learners = map[uint64]bool{}
 	last, _ := v.storage.LastIndex() // never fails: the storage is in memory
@@ -55,7 +55,7 @@
 			return
 		}
 		learners[id] = true
-		// raft counts a learner as active as soon as it is added; only a match above 0 shows that its voter runs. The lag
+		// raft counts a learner as active as soon as it is added; only a Match above 0 shows that its voter runs. The lag
 		// alone does not show it, as the log of a young cluster is shorter than maxLearnerLag.
 		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
 			promotable = id
@@ -105,15 +105,15 @@
 }
 
 // addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. If the slot is
-// not bound to a disk yet, it proposes to bind it to the disk that the request names; the daemon gets the outcome with a
-// later grant.
+// not bound to a disk yet, addSlotStatus proposes to bind the slot to the disk that the request names; the daemon gets the
+// outcome with a later grant.
 func (v *Voter) addSlotStatus(request *LeaseRequest, grant *LeaseGrant) {
 	grant.VoterID = v.state.VoterID(request.Daemon)
 	if grant.VoterID == 0 || request.DiskID == "" {
 		return // the daemon has no slot, or no disk on which it could start a voter
 	}
 	if v.state.ActiveVoters[grant.VoterID] {
-		grant.DiskLost = true // the voter is active in raft, but the daemon has a disk without it
+		grant.DiskLost = true // raft counts on the voter, but the daemon's present disk has no voter
 		return
 	}
 	switch v.state.DiskIDs[grant.VoterID] {
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -10,11 +10,11 @@
 )
 
 // diskIDFile is the name of the file that holds the id of a disk, a random text that is drawn at the first start with
-// the disk. It identifies the disk in the bootstrap and when a voter slot is bound to it (consensus.Bootstrap,
+// the disk. The id identifies the disk in the bootstrap, and when a voter slot is bound to the disk (consensus.Bootstrap,
 // consensus.SlotClaim).
 const diskIDFile = "MARK"
 
-// loadDiskID returns the id of this daemon's disk. If the disk has none, it draws one and stores it.
+// loadDiskID returns the id of this daemon's disk. If the disk has no id, loadDiskID draws an id and stores it.
 func (n *Node) loadDiskID() (string, error) {
 	text, err := readFile(n.options.Disk, diskIDFile, maxIdentityBytes)
 	if err != nil || len(text) > 0 {
@@ -24,7 +24,8 @@
 	return diskID, wal.ReplaceFile(n.options.Disk, diskIDFile, []byte(diskID+"\n"))
 }
 
-// readFile returns the contents of a file, at most its first maxBytes, or nil without an error if there is no such file.
+// readFile returns the contents of a file, at most its first maxBytes bytes, or nil without an error if no file has this
+// name.
 func readFile(fs wal.FS, name string, maxBytes int64) ([]byte, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -37,7 +38,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
-	defer func() { _ = f.Close() }() // the file was only read, so an error loses nothing
+	defer func() { _ = f.Close() }() // an error of Close is harmless: the file is only read
 	size, err := f.Size()
 	if err != nil {
 		return nil, fmt.Errorf("size of %s: %w", name, err)
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -11,11 +11,12 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxPeerNames bounds the names of voters that are taken from messages. As raft ids are never assigned twice, a voter
-// may meet more ids than that only if it is far behind; it then receives the log from the voters whose names it knows.
+// maxPeerNames bounds the names in localVoter.peerNames, which are taken from messages of voters. As raft ids are never
+// assigned twice, a voter may receive messages of more than maxPeerNames unknown ids only if its log is far behind; the
+// voter then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
-// peerName returns the name of the voter with a raft id, or an empty string if it is not known.
+// peerName returns the name of the voter with a raft id, or an empty string if the name is not known.
 func (v *localVoter) peerName(id uint64) string {
 	if name := v.voter.State().VoterName(id); name != "" {
 		return name
@@ -23,29 +24,29 @@
 	return v.peerNames[id]
 }
 
-// handleRaft passes a raft message to this node's voter, if the daemon that sent it is the voter that the message names
-// as its sender.
+// handleRaft passes a raft message to this node's voter, if the message names the voter of the sending daemon as its
+// sender.
 func (n *Node) handleRaft(now time.Duration, m transport.Message) {
 	message := &raftpb.Message{}
 	if len(m.Body) < clusterIDSize || proto.Unmarshal(m.Body[clusterIDSize:], message) != nil {
 		return
 	}
 	v := n.localVoter
-	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.id {
+	if v == nil || clusterID(m.Body[:clusterIDSize]) != v.clusterID || message.GetTo() != v.voterID {
 		return
 	}
-	switch known := v.peerName(message.GetFrom()); {
-	case known == "" && len(v.peerNames) < maxPeerNames:
-		// The sender may have been added while this voter was down, and may be the leader by now.
+	switch knownName := v.peerName(message.GetFrom()); {
+	case knownName == "" && len(v.peerNames) < maxPeerNames:
+		// The replicated State does not name the sender: it may have been added while this voter was down, and may lead.
 		v.peerNames[message.GetFrom()] = m.From
-	case known != m.From:
+	case knownName != m.From:
 		return
 	}
 	v.voter.Receive(now, message)
 }
 
-// processVoterOutput does the work that the voter has, until there is no more: it persists records and snapshots, and
-// then sends the messages, grants and results that depend on them.
+// processVoterOutput does the work that the voter's Output returns, until no work is left: it persists records and
+// snapshots, and then sends the messages, grants and results that depend on them.
 func (n *Node) processVoterOutput() {
 	for n.localVoter != nil {
 		voter := n.localVoter.voter
@@ -75,7 +76,7 @@
 	}
 }
 
-// persist writes the voter's records and then its snapshot to the durable log, and returns nil when they are durable.
+// persist writes the voter's records and then its snapshot to the durable log, and returns nil when all are durable.
 func (v *localVoter) persist(output *consensus.VoterOutput) error {
 	for _, r := range output.Records {
 		if _, err := v.log.Append(r.Type, r.Payload); err != nil {
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// sendRaft sends a raft message to its recipient. raft must be notified whether a snapshot was sent; it resends other
-// messages without that.
+// sendRaft sends a raft message to its recipient. raft is notified whether a snapshot was sent, and resends all other
+// messages without a notification.
 func (n *Node) sendRaft(message *raftpb.Message) {
 	name := n.localVoter.peerName(message.GetTo())
 	if name == "" {
@@ -110,7 +111,7 @@
 	}
 }
 
-// deliverGrants sends the grants of this daemon's voter to other daemons, and applies the one for this daemon.
+// deliverGrants sends the grants of this daemon's voter to other daemons, and applies the grant for this daemon.
 func (n *Node) deliverGrants(grants []consensus.AddressedGrant) {
 	for _, g := range grants {
 		if g.Recipient == n.options.Name {
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -19,7 +19,8 @@
 	// endOfResponse is the line that ends a response. The server of the operators' address writes it.
 	endOfResponse = "EOT"
 
-	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request.
+	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request. The
+	// rest of the line is the reason.
 	failurePrefix = "FAILURE "
 
 	// maxResponseLines is the maximum number of lines of a response: one for each member of the largest cluster, one for the
@@ -27,10 +28,10 @@
 	maxResponseLines = swim.MaxMembers + 2
 )
 
-// daemonError is an error that a daemon has reported: the reason why it did not carry out a request.
+// daemonError is the reason that a daemon reports for not carrying out a request.
 type daemonError string
 
-// Error returns the reason as the daemon reported it.
+// Error returns the reason in the words of the daemon.
 func (e daemonError) Error() string { return string(e) }
 
 // Is reports whether the daemon's error was consensus.ErrIndeterminate. It compares the text, because the protocol
@@ -39,8 +40,8 @@
 	return target == consensus.ErrIndeterminate && strings.Contains(string(e), target.Error())
 }
 
-// query sends a request line and a body to a daemon's operators' address, and passes the lines of the response to parseLine.
-// It returns within timeout.
+// query sends a request line and a body to addr, the operators' address of a daemon, and passes the lines of the response
+// to parseLine. It returns within timeout.
 func query(addr, request string, body []byte, timeout time.Duration, parseLine func(line string) error) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -86,17 +87,17 @@
 // parseFields parses a line, which consists of a first word and fields of the form key=value. It ignores first words and
 // keys that are not in fields.
 func parseFields(line string, fields lineFields) error {
-	kind, rest, _ := strings.Cut(line, " ")
+	firstWord, rest, _ := strings.Cut(line, " ")
 	for _, field := range strings.Fields(rest) {
 		key, value, _ := strings.Cut(field, "=")
-		if err := parseValue(fields[kind][key], value); err != nil {
+		if err := parseValue(fields[firstWord][key], value); err != nil {
 			return fmt.Errorf("%.200q: %w", line, err)
 		}
 	}
 	return nil
 }
 
-// escapedText is a text that is query-escaped on a line, because a field's value cannot contain spaces.
+// escapedText is a text that is query-escaped (url.QueryEscape) on a line, because a field's value cannot contain spaces.
 type escapedText string
 
 // parseValue parses a value according to the type of the pointer target, and assigns it through the pointer. It ignores the
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -19,7 +19,7 @@
 type indirectProbe struct {
 	requesterAddr netip.AddrPort // address of the member that sent the PingReq
 	requesterSeq  uint64         // sequence number of the PingReq
-	targetName    string         // name of the member that is probed
+	targetName    string         // name of the member that the probe targets
 	nackAt        time.Duration  // instant at which the requester gets a Nack if the target has not responded
 }
 
@@ -53,7 +53,7 @@
 // sendNacks responds to the PingReqs whose targets have not responded in time. A Nack shows the requester that its own
 // network connection works (Lifeguard, section IV-A).
 func (n *Node) sendNacks(now time.Duration) {
-	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) { // sorted, so that a seed determines the run
+	for _, seq := range slices.Sorted(maps.Keys(n.indirectProbes)) { // sorted, so that the same seed gives the same order of messages
 		if p := n.indirectProbes[seq]; now >= p.nackAt {
 			delete(n.indirectProbes, seq)
 			n.send(p.requesterAddr, &Message{Kind: Nack, Seq: p.requesterSeq})
