--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// check checks the class. names are those of the classes before it, and check adds its own.
+// check checks the class. names has the names of the classes checked so far; check adds this
+// class's name.
 func (c *Class) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
 	_, isIdempotency := IdempotencyByName[c.Idempotency]
 	_, isDedupScope := dedupScopes[c.DedupScope]
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -64,7 +64,7 @@
 	if len(f.Listener) == 0 && f.Cluster == nil {
 		return nil
 	}
-	// The shared part is for daemons with consensus, even if these local sections configure none.
+	// The shared part may have settings that need consensus, even if the local sections of this text configure no consensus.
 	assumeConsensus := func(*File, *tomlfile.File) error { return nil }
 	_, err := parse(name, text, assumeConsensus)
 	return err
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// localPart and sharedPart together are a complete operators' file, but for the format.
+// localPart and sharedPart together are a complete operators' file, except for the key format.
 const localPart = `[daemon]
 name = "d"
 admin_addr = "127.0.0.1:1"
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -27,7 +27,7 @@
 	Route    []Route    `toml:"route"`
 	Shared   Shared     `toml:"shared"`
 
-	table               *route.Table        // compiled routes
+	table               *route.Table        // routes compiled from the sections [[route]], in their order
 	dividesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
 	agreedMembers       map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
 }
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -8,8 +8,8 @@
 	"tuliprock/internal/body"
 )
 
-// fileOperatorConnections is the maximum number of operators' connections. It is fixed, since an operators' file sets no limit on
-// descriptors from which it could follow.
+// fileOperatorConnections is the maximum number of operators' connections. The number is
+// fixed, since an operators' file sets no limit on file descriptors from which the number could be computed.
 const fileOperatorConnections = 32
 
 // timerResolution is how late events and timers may arrive at the balancer: the delay of a timer on an ordinary, busy machine.
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -33,7 +33,7 @@
 	RawTargets bool
 }
 
-// Bounds and defaults of a listener. The default times and sizes are those that the daemon was measured with on the platform.
+// Bounds and defaults of a listener. The default times and sizes apply on the platform too, unless platformListener sets others.
 const (
 	defaultConnections = 500
 	defaultHeadBytes   = 16 << 10
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// check checks the listener. names and addresses are those of the listeners before it, and check adds its own. Port 0 stands
-// for any free port, so several listeners may have it.
+// check checks the listener. names and addresses have those of the listeners checked so far; check adds this listener's. Port 0
+// stands for any free port, so several listeners may have port 0.
 func (l *Listener) check(tomlFile *tomlfile.File, table string, names, addresses uniqueNames) error {
 	forwardedValues := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
 	isUniqueAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -20,7 +20,7 @@
 	Listen       string               // host:port to listen on for clients
 	Discovery    string               // host:port of the platform's discovery agent
 	AdminAddress string               // host:port to listen on for operators' commands; empty for none
-	Limits       Limits               // resource limits
+	Limits       Limits               // CPU, memory and sockets that the sidecar may use
 	LastUpdate   discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
 
 	ListenDescriptor int    // descriptor of a listening socket that is inherited and may be shared; 0 to open a socket
@@ -52,8 +52,8 @@
 	Seed                    string // random seed of 64 bits, in hexadecimal
 	AdminAddress            string `json:"admin_addr"`
 	Limits                  Limits
-	Known                   json.RawMessage // last update of the discovery agent, see discovery.ListUpdate
-	Settings                json.RawMessage // see simwire.Settings
+	Known                   json.RawMessage // last update of the discovery agent, in the JSON form of discovery.ListUpdate
+	Settings                json.RawMessage // settings of the balancer, in the JSON form of simwire.Settings
 }
 
 // Load reads and checks the file that the environment variable ROUTER_CONFIG names. Other variables replace fields that the
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -17,7 +17,7 @@
 const (
 	platformBodyBytes         = 32 << 20
 	platformHeadTimeout       = 2500 * time.Millisecond
-	platformBodyTimeout       = 2500 * time.Millisecond // for a buffered body of 64 kB in several pieces; at 64 kB per second it takes 1 s
+	platformBodyTimeout       = 2500 * time.Millisecond // enough for a buffered body of 64 kB in several pieces, which takes 1 s at 64 kB per second
 	platformMinStreamRate     = 48 << 10                // bytes per second: 64 kB less a quarter, since the measured rate fluctuates
 	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
 	platformStreamDuration    = 10 * time.Minute        // 32 MB at 64 kB per second take 8.5 minutes
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -28,7 +28,7 @@
 
 	StartAt           string        `toml:"begins"`       // when an endpoint may start on a request: "head" or "last_byte"
 	MaxResponseBytes  int64         `toml:"answer_bytes"` // maximum size of a response body; 0 for no limit
-	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest wait for an endpoint while a body streams
+	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest time that an endpoint may transfer no byte while a body streams
 	MinStreamRate     int64         `toml:"flow_rate"`    // bytes per second that an endpoint must keep up; 0 for no minimum
 
 	Member  []Member `toml:"member"`  // fixed list of endpoints
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// check checks the pool. names are those of the pools before it, and check adds its own.
+// check checks the pool. names has the names of the pools checked so far; check adds this pool's
+// name.
 func (p *Pool) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
 	if err := tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("name", names.add(p.Name), "a unique name"),
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -22,7 +22,7 @@
 	Header  []Condition `toml:"header"`  // conditions on headers
 	Query   []Condition `toml:"query"`   // conditions on query values
 
-	// At most one of the path fields is set. Package route explains the kinds of paths.
+	// At most one of Path, PathPrefix, PathSegments and PathPattern is set. Package route explains the kinds of paths.
 	Path         string `toml:"path"`
 	PathPrefix   string `toml:"path_prefix"`
 	PathSegments string `toml:"path_segments"`
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -20,7 +20,7 @@
 	Limits                   Limits       // resource limits; a value of 0 means the system's own limit
 	Listeners                []Listener
 	Pools                    []PoolSpec
-	Table                    *route.Table // compiled routes
+	Table                    *route.Table // routing table; its rules are compiled from the routes of the configuration
 	Targets                  []Target     // targets of the routes, by index of the rule in Table
 	File                     *File        // operators' file that the Service was converted from; nil for the platform's
 	RejectsWhenIndeterminate bool         // requests are rejected while it is indeterminate which version other daemons act on
@@ -41,7 +41,7 @@
 	StreamPace               body.MinimumRate // slowest pace at which an endpoint may send or receive a streaming body
 
 	// BufferedResponseTimeout limits the time from the first to the last byte of a buffered response; values under 0.5 s are
-	// treated as 0.5 s. On the platform it is 0, since no response there takes nearly as long (23 ms at most, measured).
+	// treated as 0.5 s. On the platform it is 0, since responses there take 23 ms at most.
 	BufferedResponseTimeout time.Duration
 
 	DialsRatherThanWaits bool // a new connection is dialed rather than waiting until a used one may be reused
@@ -56,8 +56,8 @@
 type SourceSpec struct {
 	Agent            string               // host:port of the platform's discovery agent
 	RequestsFullList bool                 // the complete list is requested from the agent even though LastUpdate is known
-	LastUpdate       discovery.ListUpdate // last update that the agent sent before this process started
-	Members          []Member             // fixed or agreed list
+	LastUpdate       discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
+	Members          []Member             // fixed list of endpoints, or the list that the cluster agreed on
 	File             string               // path of a members file
 	DNS              *DNS
 	HoldLastGood     time.Duration // how long the last good list is kept while the source fails or lists no members
@@ -70,20 +70,22 @@
 	Class                     *Class
 	PathPrefix, ReplacePrefix string // prefix of the path and its replacement; the prefix stays if the replacement is empty
 	SetHeaders                []HeaderValue
-	RemoveHeaders             []string // names of headers to remove
+	RemoveHeaders             []string // names of headers to remove from the forwarded request
 }
 
 // SpareConnections is the number of client connections that a listener accepts beyond its limit while it closes an idle one for
 // each.
 const SpareConnections = 16
 
-// Reservations of file descriptors.
+// Numbers of file descriptors that the limits on connections are computed from.
 const (
-	// internalDescriptors is the number reserved for everything that has no reservation of its own.
+	// internalDescriptors is the number of file descriptors reserved for everything that has no reservation of its own.
 	internalDescriptors = 24
-	// clusterDescriptors covers two sockets, eight streams in each direction, and four files of a voter's log.
+	// clusterDescriptors is the number of file descriptors reserved for a cluster: two sockets, eight streams in each
+	// direction, and four files of a voter's log.
 	clusterDescriptors = 2 + 2*8 + 4
-	// minConnections is the minimum number of connections to clients and to endpoints each, even if it exceeds the budget.
+	// minConnections is the minimum number of connections to clients and to endpoints each, even if that exceeds the limit on
+	// descriptors.
 	minConnections = 8
 )
 
