--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(func() {
-		server.CloseClientConnections() // a watch may still be open
+		server.CloseClientConnections() // server.Close would wait for a watch that is still open
 		server.Close()
 	})
 	return server.Listener.Addr().String()
@@ -127,7 +127,8 @@
 	f.expectQueries(t, "watch=1&after=41", "watch=1&after=42")
 }
 
-// The old watch ends at once, and the complete list is fetched from the new agent: its versions do not tell which updates were missed.
+// After SwitchAgent the watch of the old agent ends at once, and the complete list is fetched from the new agent: its versions do
+// not tell which updates were missed.
 func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
 	for name, mustSubscribe := range map[string]bool{"pushed": false, "subscribed": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/discovery/dnsttl.go
+++ b/internal/discovery/dnsttl.go
@@ -19,7 +19,7 @@
 	poller *dnsPoller
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. Over UDP each call reads one complete DNS message, whose times to live it records.
 func (c *udpTTLConn) Read(b []byte) (int, error) {
 	n, err := c.UDPConn.Read(b)
 	if err == nil {
@@ -35,7 +35,8 @@
 	partial []byte // bytes of the current message read so far, including the length prefix
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. Over TCP a call may read part of a DNS message; Read records the times to live once the message is
+// complete.
 func (c *tcpTTLConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if len(c.partial)+n <= maxTCPFrameBytes {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -18,7 +18,7 @@
 	// filePollInterval plus the time to read the file must stay well under 500 ms: no new request may be sent to a member later than
 	// that after it is marked as draining.
 	filePollInterval = 200 * time.Millisecond
-	// maxFileBytes is the largest size of a members file: more than MaxMembers entries of about 100 bytes need.
+	// maxFileBytes is the largest size of a members file. MaxMembers entries of about 100 bytes each need less.
 	maxFileBytes = 16 << 20
 	// mtimeGranularity is an upper bound of the resolution of modification times. A file that changes twice within that resolution
 	// looks unchanged, so a file is read again if its modification time was this recent at the last reading.
--- a/internal/discovery/membercache.go
+++ b/internal/discovery/membercache.go
@@ -13,7 +13,7 @@
 	epoch     time.Time // time that corresponds to instant 0 of endpoints
 }
 
-// NewMemberCache returns an empty MemberCache.
+// NewMemberCache returns an empty MemberCache. o says how long the last good list is held, and how flapping endpoints are damped.
 func NewMemberCache(o endpointset.Options) *MemberCache {
 	// The epoch is in the past so that no member is added at instant 0, which stands for members of the first list.
 	return &MemberCache{endpointset.New(o), time.Now().Add(-time.Second)}
--- a/internal/discovery/messagereader.go
+++ b/internal/discovery/messagereader.go
@@ -25,7 +25,7 @@
 	messageBytes     int         // bytes of the current message that have arrived
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It returns bytes of messages only, and waits through heartbeats.
 func (r *messageReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.Reader.Read(b)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,8 +22,8 @@
 	// requests without a response.
 	watchIdleTimeout = 4300 * time.Millisecond
 
-	// pushedFirstByteTimeout is short since the agent runs on this machine and normally responds at once. After a silence, its updates
-	// count as received as soon as it responds again.
+	// pushedFirstByteTimeout is short since the agent runs on this machine and normally responds at once. After a silence of
+	// the agent, the platform counts updates as received as soon as the agent responds again.
 	pushedFirstByteTimeout = 400 * time.Millisecond
 	// subscribedFirstByteTimeout is longer since an agent that must be subscribed to handles one request at a time.
 	subscribedFirstByteTimeout = 2500 * time.Millisecond
