--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -19,7 +19,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// File maps the fields and tables of a TOML file to their lines, so that errors can name them.
+// File maps the fields and tables of a TOML file to their line numbers, so that errors can name the line.
 type File struct {
 	name  string         // file's name in errors
 	lines map[string]int // line numbers, from 1, by full name of the field or table, as in tier[0].cores
@@ -49,7 +49,7 @@
 func (f *File) Has(field string) bool { return f.lines[field] > 0 }
 
 // Errorf returns an *Error for a field. If the field is not present in the file, the error has the line of the innermost
-// enclosing table that is.
+// enclosing table that is present.
 func (f *File) Errorf(field, format string, args ...any) error {
 	return f.errorAt(field, fmt.Sprintf(format, args...))
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -70,7 +70,7 @@
 	}
 	for field, want := range map[string]string{
 		"tier[1].kind[1].cores": "day.toml:25: tier[1].kind[1].cores: too many",
-		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // not in the file: the line is that of tier[1].kind[1]
+		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // not in the file: the error has the line of tier[1].kind[1]
 		"load.rate":             "day.toml:7: load.rate: too many",
 		"nowhere":               "day.toml: nowhere: too many",
 	} {
