--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -22,7 +22,7 @@
 	Draining bool   // the member must get no new requests
 }
 
-// Endpoint is an active member.
+// Endpoint is an active member: one that the pool's balancer uses, until a list removes it or the last good list expires.
 type Endpoint struct {
 	Member
 	// ActiveSince is the instant at which the member became active or changed its address; 0 if it has been unchanged since the
@@ -49,12 +49,12 @@
 	nextActivationAt time.Duration           // earliest instant at which a damped member becomes active; 0 if no member is damped
 }
 
-// New returns an empty Set.
+// New returns a Set without endpoints. HandleList adds them.
 func New(o Options) *Set {
 	return &Set{options: o, listed: map[string]Member{}, active: map[string]Endpoint{}, flapHistories: map[string]*flapHistory{}}
 }
 
-// SetOptions replaces the options. Subsequent calls use the new ones.
+// SetOptions replaces the options. The active endpoints change only with the next call of another method.
 func (s *Set) SetOptions(o Options) { s.options = o }
 
 // HandleList applies a complete list, and reports whether the active endpoints have changed. Of several members with the same ID the
