--- a/internal/hotrestart/descriptors.go
+++ b/internal/hotrestart/descriptors.go
@@ -13,13 +13,13 @@
 )
 
 // DescriptorLimit returns how many file descriptors a process may use of a limit that all processes of a sidecar have in
-// common. v is the process's view of the others, and othersUse is the total that the others reported.
-func DescriptorLimit(limit int, v View, othersUse int) int {
+// common. v is the process's view of the others, and usedByOthers is the total that the others reported.
+func DescriptorLimit(limit int, v View, usedByOthers int) int {
 	switch {
 	case len(v.Others) == 0:
 		return limit
-	case v.Superseded: // gives up two descriptors for each that the others use, so that it keeps fewer idle connections
-		return min(limit-othersUse-reservedDescriptors, max(limit/supersededLimitDivisor, limit-2*(othersUse+reservedDescriptors)))
+	case v.Superseded: // gives up two descriptors for each that newer processes use, so that fewer idle connections are kept
+		return min(limit-usedByOthers-reservedDescriptors, max(limit/supersededLimitDivisor, limit-2*(usedByOthers+reservedDescriptors)))
 	}
-	return limit - max(othersUse, startupDescriptors) - reservedDescriptors
+	return limit - max(usedByOthers, startupDescriptors) - reservedDescriptors
 }
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -39,7 +39,7 @@
 	KeepReportedDescriptors = -1
 
 	// lockTimeout bounds the wait for the lock on the state. A process holds the lock for one read and one write only, so
-	// one that holds it for longer has been stopped.
+	// one that holds it for longer is suspended, for example by SIGSTOP.
 	lockTimeout = 500 * time.Millisecond
 	// lockRetryInterval is the pause between two attempts to take the lock.
 	lockRetryInterval = 2 * time.Millisecond
@@ -216,7 +216,7 @@
 	return s, nil
 }
 
-// statePath returns the path of the state file.
+// statePath returns the path of the file that holds the shared State.
 func (d *Directory) statePath() string { return d.pathPrefix + ".state" }
 
 // readBoundedFile returns the content of a file, cut off after maxStateBytes.
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -29,7 +29,7 @@
 // simulateKill does to the directory what SIGKILL of the process does: the live file stays, and its lock is released.
 func (d *Directory) simulateKill() { d.liveFile.Close() }
 
-// mustSetReady records that the process accepts connections.
+// mustSetReady records that the process accepts connections, and fails the test if that is not possible.
 func (d *Directory) mustSetReady(t *testing.T) {
 	t.Helper()
 	if err := d.SetReady(true); err != nil {
--- a/internal/hotrestart/ejections.go
+++ b/internal/hotrestart/ejections.go
@@ -15,7 +15,7 @@
 	// restoredEntryRetention is how long the entry of a restored endpoint is kept. It exceeds the duration of an endpoint's
 	// slow start, and the time that a process takes to start.
 	restoredEntryRetention = time.Minute
-	// maxIDBytes bounds the ID of an endpoint.
+	// maxIDBytes is the maximum length of an endpoint's ID.
 	maxIDBytes = 512
 )
 
@@ -37,8 +37,9 @@
 }
 
 // recordEjection adds an entry in place of an earlier one of the same endpoint, and removes entries of endpoints that were
-// restored more than restoredEntryRetention ago. If there are too many of those, the oldest is removed. The error is
-// ErrTooManyEjections.
+// restored more than restoredEntryRetention ago. If maxRestoredEntries entries of restored endpoints are left and latest
+// is another one, the first of them is removed. The error is ErrTooManyEjections if latest ejects an endpoint while
+// MaxEjections others are ejected.
 func (s *State) recordEjection(latest Ejection) error {
 	ejectedCount := 0
 	s.Ejections = slices.DeleteFunc(s.Ejections, func(e Ejection) bool {
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -32,10 +32,10 @@
 	phaseStartedAt time.Duration // clock reading at which the current phase began
 }
 
-// NewLifecycle returns a Lifecycle in phase Starting.
+// NewLifecycle returns a Lifecycle in phase Starting, which begins at now.
 func NewLifecycle(now time.Duration) *Lifecycle { return &Lifecycle{phaseStartedAt: now} }
 
-// Phase returns the current phase.
+// Phase returns the phase that the last Update chose, or Starting before the first Update.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
 // Update moves to the next phase if it is due, and reports whether the phase has changed. v is the result of the latest poll,
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -115,5 +115,5 @@
 	return nil, errNotTCP(fd)
 }
 
-// errNotTCP returns the error for a descriptor that is not a TCP socket.
+// errNotTCP returns the error for a descriptor whose type, protocol or address is not that of a TCP socket.
 func errNotTCP(fd int) error { return fmt.Errorf("descriptor %d is not a TCP socket", fd) }
