--- a/internal/wal/dir.go
+++ b/internal/wal/dir.go
@@ -26,7 +26,7 @@
 // filePath returns the path of a file in the directory.
 func (d osDir) filePath(name string) string { return filepath.Join(string(d), name) }
 
-// List implements FS.
+// List implements FS. It leaves out the lock file and everything that is not a regular file.
 func (d osDir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -41,10 +41,10 @@
 	return names, nil
 }
 
-// Open implements FS.
+// Open implements FS. Every write appends to the end of the file, since the file is opened with O_APPEND.
 func (d osDir) Open(name string) (File, error) { return d.openFile(name, os.O_RDWR|os.O_APPEND) }
 
-// Create implements FS.
+// Create implements FS. It truncates a file that exists.
 func (d osDir) Create(name string) (File, error) {
 	return d.openFile(name, os.O_RDWR|os.O_APPEND|os.O_CREATE|os.O_TRUNC)
 }
@@ -58,15 +58,15 @@
 	return osFile{f}, nil
 }
 
-// Rename implements FS.
+// Rename implements FS. It does not sync the directory, so a crash may undo the renaming until SyncDir has returned.
 func (d osDir) Rename(oldName, newName string) error {
 	return os.Rename(d.filePath(oldName), d.filePath(newName))
 }
 
-// Remove implements FS.
+// Remove implements FS. It does not sync the directory, so a crash may undo the removal until SyncDir has returned.
 func (d osDir) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
-// SyncDir implements FS.
+// SyncDir implements FS. It opens the directory for the call of fsync, and closes it again.
 func (d osDir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -16,7 +16,7 @@
 	Create(name string) (File, error)
 	// Rename renames a file. An existing file with the new name is replaced.
 	Rename(oldName, newName string) error
-	// Remove removes a file.
+	// Remove removes a file. The removal may be undone by a loss of power until SyncDir has returned.
 	Remove(name string) error
 	// SyncDir makes all files that were created, renamed or removed so far durable under their names, or durably absent.
 	SyncDir() error
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -20,7 +20,7 @@
 	maxBufferBytes = 1 << 20
 )
 
-// Options configure a Log.
+// Options configure a Log. The zero value is valid.
 type Options struct {
 	SegmentBytes int64        // size in bytes from which a segment is followed by a new one; 0 means 16 MiB
 	OnRepair     func(string) // called by Open with a one-line message for each file that it truncates or removes; may be nil
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -19,7 +19,7 @@
 	recordTypeOffset        = 8  // one byte, defined by the user of the log
 	recordIndexOffset       = 9  // index of the record
 	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
-	recordHeaderBytes       = 25 // size of the header, with all fields above
+	recordHeaderBytes       = 25 // size of a record's header, which has all fields above
 )
 
 // crc32c is the table of the CRC-32C checksum.
@@ -51,12 +51,12 @@
 
 // decodedRecord is a record that was read from a segment.
 type decodedRecord struct {
-	Record              // its payload shares memory with the bytes of the segment
+	Record              // record, whose payload shares memory with the bytes of the segment
 	syncedIndex  uint64 // index of the last record that was durable when this one was appended
 	encodedBytes int    // size of the encoded record in bytes, including the header
 }
 
-// Errors of decodeRecord.
+// Reasons for which decodeRecord rejects a record.
 var (
 	errRecordHeaderTruncated = errors.New("the record's header is truncated")
 	errRecordExceedsMaximum  = errors.New("the record's length exceeds the maximum")
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -22,7 +22,7 @@
 		e.File, e.Offset, e.Err)
 }
 
-// Unwrap returns Err.
+// Unwrap returns Err, so that errors.Is and errors.As find the cause of the corruption.
 func (e *CorruptionError) Unwrap() error { return e.Err }
 
 // Open opens the log in a directory, or creates it. If there is a snapshot, Open passes its index and a reader of its body to restore.
@@ -177,7 +177,7 @@
 	fileName        string // name of the segment's file
 	firstIndex      uint64 // index of the segment's first record
 	content         []byte // all bytes of the file, including the header
-	isFirst, isLast bool   // position among the segments that are replayed
+	isFirst, isLast bool   // whether the segment is the first, and the last, of those that are replayed
 }
 
 // replaySegment replays the records of a segment that come after the snapshot. It returns the offset in bytes at which the last
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -23,9 +23,9 @@
 
 	fileVersionOffset  = 8  // version of the format
 	fileIndexOffset    = 16 // index that the file is named after
-	fileChecksumOffset = 24 // CRC-32C of all bytes before it
+	fileChecksumOffset = 24 // CRC-32C of the header's bytes before this field
 	fileReservedOffset = 28 // four zero bytes that are not part of the checksum
-	fileHeaderBytes    = 32 // size of the header
+	fileHeaderBytes    = 32 // size in bytes of the header of a segment or a snapshot
 )
 
 // segmentName returns the name of the segment that begins with the record at firstIndex.
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// MaxSnapshotBytes bounds the body of a snapshot. It is in memory as a whole while it is written or read.
+// MaxSnapshotBytes bounds the body of a snapshot, which is in memory as a whole while the snapshot is written or read.
 const MaxSnapshotBytes = 256 << 20
 
 // Offsets, in bytes, of the fields of the trailer that follows the body of a snapshot (docs/wal-format.md). Numbers are
@@ -17,7 +17,7 @@
 	trailerLengthOffset       = 0  // length of the body in bytes
 	trailerBodyChecksumOffset = 8  // CRC-32C of the body
 	trailerChecksumOffset     = 12 // CRC-32C of the trailer's bytes before this field
-	snapshotTrailerBytes      = 16 // size of the trailer
+	snapshotTrailerBytes      = 16 // size in bytes of the trailer that follows a snapshot's body
 )
 
 // WriteSnapshot stores a snapshot that replaces all records up to index, and removes the files that are obsolete then. The records must
