--- a/cmd/tuliprock/baseline.go
+++ b/cmd/tuliprock/baseline.go
@@ -2,12 +2,13 @@
 
 import "tuliprock/internal/testkit/baseline"
 
-// baselineCommand runs the daemon with a baseline picker instead of the decision module. Its command line name is plain.
+// baselineCommand runs the daemon with a baseline picker instead of the decision module. On the
+// command line it is called plain.
 type baselineCommand struct {
 	Name string `arg:"" help:"random, round-robin or least-outstanding"`
 }
 
-// Run implements kong's command.
+// Run executes the command "plain". The parser kong calls it with the flags and arguments set.
 func (c *baselineCommand) Run() error {
 	newBalancer, err := baseline.New(c.Name)
 	if err != nil {
--- a/cmd/tuliprock/buffering_test.go
+++ b/cmd/tuliprock/buffering_test.go
@@ -22,8 +22,8 @@
 // limit. TULIPROCK_TEST_BUFFERED_BODIES=50x32 sends 50 concurrent requests of 32 MiB instead of 16 of 4 MiB.
 func TestBufferedBodiesStayUnderMemoryLimit(t *testing.T) {
 	clients, sizeMiB := 16, 4
-	if given := os.Getenv("TULIPROCK_TEST_BUFFERED_BODIES"); given != "" {
-		if _, err := fmt.Sscanf(given, "%dx%d", &clients, &sizeMiB); err != nil {
+	if bodiesSetting := os.Getenv("TULIPROCK_TEST_BUFFERED_BODIES"); bodiesSetting != "" {
+		if _, err := fmt.Sscanf(bodiesSetting, "%dx%d", &clients, &sizeMiB); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -20,7 +20,7 @@
 	Headers []string `name:"header" short:"H" sep:"none" placeholder:"'NAME: VALUE'" help:"A header of the request of --route; may be repeated."`
 }
 
-// Run implements kong's command.
+// Run executes the command "check". The parser kong calls it with the flags and arguments set.
 func (c *checkCommand) Run() error {
 	f, err := config.Read(c.File)
 	if err != nil {
@@ -145,8 +145,8 @@
 	}
 }
 
-// sharedAddressNotes names the members that share an address with another member, of the same pool or of another. Each
-// member's load is counted on its own, so the endpoint behind both gets more load than either count allows it.
+// sharedAddressNotes names the members that share an address with another member, of the same pool or of another. The balancer
+// counts the load of each member separately, so an endpoint with two members gets more load than the limit of one allows.
 func sharedAddressNotes(f *config.File) (notes []string) {
 	firstAt := map[string]string{} // the first member found at an address, by the address
 	for _, p := range f.Pool {
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -24,22 +24,22 @@
 	}
 	node := testpeer.FreeAddress(t)
 	startPeer(t, "node", node)
-	config := clusterDaemonConfig{endpoints: []string{node}} // with the daemon's default probe intervals
+	config := clusterDaemonConfig{endpoints: []string{node}} // without fleetOptions, so the default probe intervals apply
 	key := writeKeyFile(t, 1)
 	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
 	for i := range 6 {
 		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, member.clusterAddr)
 	}
 	member.awaitPeersReport(t, "the member sees seven daemons", func(f *status.Fleet) bool { return f.DaemonCount == 7 })
-	alone := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
+	withoutPeers := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
 		for i := range turns {
 			var rate [2]float64
 			var p99 [2]time.Duration
 			for k := range 2 {
-				which := (i + k) % 2
-				rate[which], _, p99[which] = runClosedLoop(t, []string{member.httpAddr, alone.httpAddr}[which], connections, 3*time.Second)
+				variant := (i + k) % 2
+				rate[variant], _, p99[variant] = runClosedLoop(t, []string{member.httpAddr, withoutPeers.httpAddr}[variant], connections, 3*time.Second)
 			}
 			rates, p99s = append(rates, rate[0]/rate[1]), append(p99s, float64(p99[0])/float64(p99[1]))
 		}
@@ -54,7 +54,7 @@
 	if peers == 0 {
 		t.Skip("TULIPROCK_TEST_IDLE_PEERS is not set: this is a measurement, for an idle machine")
 	}
-	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // with the daemon's default probe intervals
+	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // without fleetOptions, so the default probe intervals apply
 	key := writeKeyFile(t, 1)
 	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
 	measure := func(situation string) {
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = peer.Abort() }() // without leaving the cluster: the measurement is over
+		defer func() { _ = peer.Abort() }() // the peer does not announce that it leaves, since the measurement is over
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.DaemonCount == peers+1 {
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -16,11 +16,11 @@
 // clusterDaemon is a process of the daemon in a cluster.
 type clusterDaemon struct {
 	*process
-	configPath  string // path of its operators' file
-	configText  string // contents that the file was first written with
-	adminAddr   string // operators' address
-	httpAddr    string // address of its listener for requests
-	clusterAddr string // address at which other daemons reach it, unless it advertises another
+	configPath  string // path of the daemon's operators' file
+	configText  string // contents with which the file at configPath was first written
+	adminAddr   string // address at which the daemon takes operators' commands
+	httpAddr    string // address at which the daemon takes clients' requests
+	clusterAddr string // address at which other daemons reach this one, unless it advertises another
 }
 
 // fastProbes are keys of the table fleet: intervals of the failure detector that detect a failure within a second.
@@ -75,7 +75,7 @@
 	return strings.Join(elements, ", ")
 }
 
-// start starts the process, also again after it has exited, and waits until it listens.
+// start starts the daemon's process, also after an earlier one has exited, and waits until the daemon listens.
 func (d *clusterDaemon) start(t *testing.T) {
 	t.Helper()
 	d.process = startProcess(t, "serve", "--config", d.configPath)
@@ -90,18 +90,18 @@
 	}
 }
 
-// awaitPeersReport polls the daemon until its view of the cluster satisfies ok. what names the condition in the log.
-func (d *clusterDaemon) awaitPeersReport(t *testing.T, what string, ok func(f *status.Fleet) bool) {
+// awaitPeersReport polls the daemon until its view of the cluster satisfies isMet. condition describes that in the log.
+func (d *clusterDaemon) awaitPeersReport(t *testing.T, condition string, isMet func(f *status.Fleet) bool) {
 	t.Helper()
 	var last *status.Fleet
-	testpeer.Eventually(t, what, func() bool {
+	testpeer.Eventually(t, condition, func() bool {
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err == nil {
 			last = f
 		}
-		return err == nil && ok(f)
+		return err == nil && isMet(f)
 	})
-	t.Logf("%s: %+v", what, last)
+	t.Logf("%s: %+v", condition, last)
 }
 
 // peerOf returns the entry of a member in a daemon's view of the cluster, or the zero value if there is none.
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -35,7 +35,7 @@
 // clusterSpec specifies the daemons of a testCluster.
 type clusterSpec struct {
 	daemons     int                   // number of daemons
-	voters      int                   // number of voters among them
+	voters      int                   // number of voters among the daemons
 	persistAll  bool                  // whether all daemons have a data_dir, not only the voters
 	extraConfig string                // more lines at the end of each daemon's operators' file
 	onRequest   func(r *http.Request) // called with each request that arrives at a node; may be nil
@@ -96,15 +96,16 @@
 	return string(text)
 }
 
-// callUntilOnAll repeats a command until the response says that all daemons act on it. It may fail at first, since nothing
-// can be agreed on during an election.
+// callUntilOnAll repeats a command until the response says that all daemons act on the change. The command may fail at first,
+// since nothing can be agreed on during an election.
 func (c *testCluster) callUntilOnAll(d *clusterDaemon, line string) {
 	c.t.Helper()
 	const want = "on all daemons with version"
 	testpeer.Eventually(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
 }
 
-// awaitEjection waits until the daemons act on settings in which a node is manually ejected, or on such in which it is not.
+// awaitEjection waits until the daemons act on settings in which a node is manually ejected, or, if ejected is false, in which
+// the node is not.
 func (c *testCluster) awaitEjection(ds []*clusterDaemon, node int, ejected bool) {
 	c.t.Helper()
 	start := time.Now()
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -19,8 +19,8 @@
 const heapLimitFraction = 0.7
 
 // The garbage collector's target as for GOGC: how much the heap may grow until the next collection, in percent of the live
-// heap, which is small. The platform monitors memory, and rare collections look like a leak there: 300 delayed the first
-// collection by a minute. On an operators' file frequent collections would cost a sixth of the request rate that one core
+// heap, which is small. The platform monitors memory, and rare collections look like a leak there: with 300 the first
+// collection comes a minute later. With an operators' file frequent collections would cost a sixth of the request rate that one core
 // serves to one client.
 const (
 	platformGCPercent = 50
--- a/cmd/tuliprock/daemonflags.go
+++ b/cmd/tuliprock/daemonflags.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// reportTimeout is for calls that the daemon answers from its own state, in less than a second.
+	// reportTimeout is the timeout of calls to which the daemon responds from its own state, in less than a second.
 	reportTimeout = 2 * time.Second
-	// agreementTimeout is for calls that need a majority of the voters, which may first hold an election of 1 to 2 s.
+	// agreementTimeout is the timeout of calls that need a majority of the voters, which may first hold an election of 1 to 2 s.
 	agreementTimeout = 10 * time.Second
 )
 
--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -42,8 +42,9 @@
 	return found
 }
 
-// The operators' programs read the folders that "node" in deploy/balancer.toml lists. A folder that was missing from the
-// list crashed their full fleet score four times ("the len is 13 but the index is 13").
+// The operators' programs read the folders that "node" in deploy/balancer.toml lists, so the list must
+// have all folders that the daemon is built from. If one is missing, the programs' full fleet score crashes ("the len is 13 but
+// the index is 13").
 func TestDeployFileListsTheDaemonsPackages(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -91,7 +91,7 @@
 func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
-		if a.mark == "" { // forwarded by the daemon's own file, before the first agreement
+		if a.mark == "" { // the daemon forwarded the request by its own file, since no settings had been agreed on yet
 			continue
 		}
 		for _, p := range s.pausesByDaemon[sent.daemon] {
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -27,7 +27,7 @@
 // all daemons and change the settings; what they observe is recorded, and checked at the end.
 type faultSchedule struct {
 	*testCluster
-	rng       *rand.Rand     // draws the faults
+	rng       *rand.Rand     // source of the random choice of faults
 	startedAt time.Time      // start of the schedule
 	clients   sync.WaitGroup // goroutines that send requests and change settings
 	isOver    atomic.Bool    // tells the clients to stop
@@ -38,40 +38,40 @@
 	requestsShed    map[string]bool           // set of the ids of requests whose response had status 503
 	unansweredCount int                       // requests without a response, since their daemon was killed
 	violations      []string                  // descriptions of single observations that break a guarantee
-	incarnations    []int                     // how often each daemon was restarted
-	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP
-	isRunning       []bool                    // whether each daemon is running, as opposed to killed
+	incarnations    []int                     // how often each daemon was restarted, by the daemon's index
+	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP, by the daemon's index
+	isRunning       []bool                    // whether each daemon is running, as opposed to killed, by the daemon's index
 	markByDigest    map[[32]byte]string       // mark of each settings text, by the SHA-256 digest of the text
 	digestByVersion map[uint64][32]byte       // digest of the settings text that made a version, as the response to its put tells
 	flagOperations  []porcupine.Operation     // puts and reads of the document flagName
 
-	faults []injectedFault // in the order of their start
+	faults []injectedFault // injected faults, in the order of their start
 }
 
 // injectedFault records a fault. Requests that are shed between its start and that of the next fault are attributed to it.
 type injectedFault struct {
 	name      string        // name that injectFault returned
-	startedAt time.Duration // since the start of the schedule
+	startedAt time.Duration // when the fault started, as a time since the start of the schedule
 }
 
 // sentRequest records a request when it was sent.
 type sentRequest struct {
-	daemon      int           // index of the daemon that it was sent to
-	incarnation int           // how often that daemon had been restarted
-	sentAt      time.Duration // since the start of the schedule
+	daemon      int           // index of the daemon that the request was sent to
+	incarnation int           // how often the daemon had been restarted when the request was sent
+	sentAt      time.Duration // when the request was sent, as a time since the start of the schedule
 }
 
 // arrivedRequest records a request when it arrived at a node.
 type arrivedRequest struct {
-	mark      string        // value of markHeader; empty if it was forwarded before the first settings were active
-	arrivedAt time.Duration // since the start of the schedule
+	mark      string        // value of markHeader; empty if the request was forwarded before the first settings were active
+	arrivedAt time.Duration // when the request arrived, as a time since the start of the schedule
 }
 
 // daemonPause is an interval in which a daemon was paused by SIGSTOP, in time since the start of the schedule.
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	maxFaultDuration  = 2500 * time.Millisecond // upper bound of the random part, which is added to 200 ms
+	maxFaultDuration  = 2500 * time.Millisecond // a fault lasts 200 ms plus a random time below maxFaultDuration
 	faultsDuration    = 12 * time.Second        // how long faults are injected
 	minFaultGap       = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
 	requestInterval   = 8 * time.Millisecond    // time between two requests of a client
@@ -188,7 +188,7 @@
 	if leader := s.leader(); leader >= 0 && s.rng.IntN(2) == 0 {
 		d = leader
 	}
-	switch which := s.rng.IntN(8); which {
+	switch faultKind := s.rng.IntN(8); faultKind {
 	case 0:
 		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
 		time.Sleep(duration)
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -22,12 +22,12 @@
 	JSON        string        `name:"json" placeholder:"FILE" help:"Write the results as JSON; -: standard output."`
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong's HelpProvider: "fleet --help" shows this text with the command's one-line description.
 func (c *fleetCommand) Help() string {
 	return "Exit code 0: every rule held; 1: one was broken; 2: nothing was played."
 }
 
-// Run implements kong's command.
+// Run executes the command "fleet". The parser kong calls it with the flags and arguments set.
 func (c *fleetCommand) Run() error {
 	newBalancer := eventloop.NewBalancer
 	if c.Baseline != "" {
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -19,7 +19,7 @@
 // get their responses, and the daemon does not exceed its limit of descriptors.
 func TestHalfOpenConnectionsDoNotBlockClientsOrOperators(t *testing.T) {
 	const (
-		maxDescriptors = 512 // as the harness configures it
+		maxDescriptors = 512 // limit that the harness configures for the daemon
 		connections    = 2000
 	)
 	h := newHotRestartHarness(t, 1)
@@ -79,7 +79,7 @@
 // A hot restart while some clients keep opening connections with an incomplete request and others send complete requests: the
 // two processes together do not exceed the limit of descriptors, and no request is lost.
 func TestHotRestartAmongHalfOpenConnectionsKeepsDescriptorLimit(t *testing.T) {
-	const maxDescriptors = 512 // for both processes together
+	const maxDescriptors = 512 // limit that the harness configures for both processes together
 	h := newHotRestartHarness(t, 2)
 	first := h.startDaemon()
 	first.awaitAdmin(t, "check", "SUCCESS")
@@ -109,7 +109,7 @@
 	}
 	peakDescriptors := 0
 	watcherDone := make(chan struct{})
-	var successors []*harnessDaemon // guarded by mu
+	var successors []*harnessDaemon // processes that replaced the first one by hot restarts; guarded by mu
 	var mu sync.Mutex
 	go func() {
 		defer close(watcherDone)
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -34,7 +34,7 @@
 	if n := h.endpoints[1].Requests.Load() - requestsWhenEjected; n > 0 {
 		t.Errorf("the ejected endpoint got %d requests, want none", n)
 	}
-	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // at the draining process, which notifies its successor
+	second.awaitAdmin(t, "set-up s-1", "SUCCESS") // the command goes to the draining process, which notifies its successor
 	second.terminate(t)
 	testpeer.Eventually(t, "s-1 gets requests again", func() bool { return t.Failed() || h.endpoints[1].Requests.Load() > requestsWhenEjected })
 	h.stopLoad(load)
@@ -49,10 +49,10 @@
 	load := h.startLoad(6)
 	load.awaitServed(t, 20)
 	second := h.startDaemon()
-	second.signal(t, syscall.SIGKILL) // before it is ready
+	second.signal(t, syscall.SIGKILL) // killed before the process is ready
 	_ = second.wait()
 	load.awaitServed(t, 50)
-	load.stop() // before the next SIGKILL, which loses requests in flight
+	load.stop() // the load must stop before the next SIGKILL, which loses requests in flight
 	load.clients.Wait()
 	idleClient, err := net.Dial("tcp", h.listenAddr) // while this connection is open, the first process does not exit
 	if err != nil {
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -36,7 +36,7 @@
 	requestsByID map[string]int // number of requests that arrived at any endpoint, by Req-Id; guarded by mu
 }
 
-// newHotRestartHarness starts the discovery service and so many endpoints, but no daemon.
+// newHotRestartHarness starts the discovery service and the given number of endpoints, but no daemon.
 func newHotRestartHarness(t *testing.T, endpoints int) *hotRestartHarness {
 	t.Helper()
 	var listenConfig net.ListenConfig
@@ -60,7 +60,7 @@
 			if strings.HasPrefix(r.URL.Path, "/look/long") {
 				return h.writeSlowly(nc)
 			}
-			time.Sleep(2 * time.Millisecond) // simulated work
+			time.Sleep(2 * time.Millisecond) // time that the endpoint works on a request
 			_, err := io.WriteString(nc, testpeer.ResponseOK)
 			return err == nil
 		}))
@@ -111,15 +111,16 @@
 // harnessDaemon is a process of the daemon that the harness started.
 type harnessDaemon struct {
 	*process
-	adminAddr string // operators' address
+	adminAddr string // address at which the process takes operators' commands
 }
 
-// startDaemon starts a process of the daemon, which takes over from a running one. It does not wait until it is ready.
+// startDaemon starts a process of the daemon, which replaces a running one by a hot restart. startDaemon does not wait until the
+// process is ready.
 func (h *hotRestartHarness) startDaemon() *harnessDaemon {
 	h.t.Helper()
 	h.startCount++
 	d := &harnessDaemon{adminAddr: testpeer.FreeAddress(h.t)}
-	// The endpoint list of the configuration is out of date: it is empty.
+	// The configuration has an outdated endpoint list, which is empty, unless the discovery service is silent.
 	knownList := testpeer.Members(1, true)
 	if h.isDiscoverySilent {
 		knownList = h.memberList()
@@ -138,7 +139,7 @@
 	return d
 }
 
-// callAdmin sends a command line to the operators' address and returns the response; if nothing listens there, it is empty.
+// callAdmin sends a command line to the operators' address and returns the response, or "" if nothing listens there.
 func (d *harnessDaemon) callAdmin(t *testing.T, line string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", d.adminAddr)
@@ -166,7 +167,7 @@
 	servedCount atomic.Int64
 }
 
-// startLoad starts so many clients. A response other than the endpoint's fails the test.
+// startLoad starts the given number of clients. A response other than the endpoint's fails the test.
 func (h *hotRestartHarness) startLoad(clients int) *backgroundLoad {
 	l := &backgroundLoad{}
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -54,8 +54,8 @@
 	"on-off":  schedule.OnOff,
 }
 
-// Run implements kong's command. The exit code is 0 if the run is valid, 1 if it is not valid or was interrupted, and 2 if
-// no request was sent.
+// Run executes the command "load send". The parser kong calls it with the flags and arguments set. The
+// exit code is 0 if the load run is valid, 1 if the run is not valid or was interrupted, and 2 if no request was sent.
 func (c *loadSendCommand) Run() error {
 	if err := c.validate(); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
-	log.SetOutput(io.Discard) // net/http logs unsolicited responses on idle connections there
+	log.SetOutput(io.Discard) // discards the lines that net/http logs about unsolicited responses on idle connections
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	sender := loadgen.NewHTTP(request, c.Connections, nil)
--- a/cmd/tuliprock/load_merge.go
+++ b/cmd/tuliprock/load_merge.go
@@ -15,7 +15,7 @@
 	JSON  string   `name:"json" placeholder:"FILE" help:"Write the merged result as JSON; -: standard output."`
 }
 
-// Run implements kong's command.
+// Run executes the command "load merge". The parser kong calls it with the flags and arguments set.
 func (c *loadMergeCommand) Run() error {
 	var merged *loadgen.Result
 	for i, path := range c.Files {
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -12,7 +12,7 @@
 // peersCommand prints the members of a daemon's cluster as the daemon sees them.
 type peersCommand struct{ daemonFlags }
 
-// Run implements kong's command.
+// Run executes the command "peers". The parser kong calls it with the flags and arguments set.
 func (c *peersCommand) Run() error {
 	fleet, err := status.FetchFleet(c.AdminAddr, reportTimeout)
 	if err != nil {
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -55,7 +55,7 @@
 	text bytes.Buffer
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It may be called concurrently with String and awaitText.
 func (b *outputBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 	wait func() error // waits until the process exits and returns its exit error; may be called more than once
 }
 
-// startProcess starts the program with these arguments.
+// startProcess starts the program with these arguments, in the working directory of the test.
 func startProcess(t *testing.T, args ...string) *process {
 	t.Helper()
 	return startProcessIn(t, "", args...)
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -19,7 +19,8 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
-// rehearseCommand runs a day: real sidecars serve generated load with stand-in nodes, while faults are injected.
+// rehearseCommand rehearses a scenario, called a day: real sidecars serve generated load with stand-in nodes, while faults are
+// injected.
 type rehearseCommand struct {
 	Day             string        `arg:"" optional:"" help:"A day's file, or the name of a day that ships (${days}); default: ${day}."`
 	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Run the day once with each of these seeds, instead of its own seed."`
@@ -33,13 +34,13 @@
 	LogDir          string        `name:"logs" placeholder:"DIR" help:"Keep the sidecars' logs in this directory."`
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong's HelpProvider: "rehearse --help" shows this text with the command's one-line description.
 func (c *rehearseCommand) Help() string {
 	return "Days that ship: " + strings.Join(rehearsals.Names(), ", ") +
 		". Exit code 0: every rule held; 1: one was broken, or the day was not valid; 2: nothing was played."
 }
 
-// loadDay reads the day that the argument gives: the name of a day that ships, or else the path of a file.
+// loadDay reads the scenario that the argument gives: the name of a day that ships with the program, or else the path of a file.
 func (c *rehearseCommand) loadDay() (*rehearse.Day, error) {
 	name := c.Day
 	if name == "" {
@@ -51,7 +52,7 @@
 	return rehearse.Load(name)
 }
 
-// Run implements kong's command.
+// Run executes the command "rehearse". The parser kong calls it with the flags and arguments set.
 func (c *rehearseCommand) Run() error {
 	day, err := c.loadDay()
 	if err != nil {
@@ -163,7 +164,7 @@
 }
 
 // writeResults prints the results and writes the files of --json and --report. It returns a verdictError if a run with the
-// decision module is not valid or broke a rule; runs with baseline pickers are not judged.
+// decision module is not valid or broke a rule; the results of baseline pickers cause no error.
 func (c *rehearseCommand) writeResults(results []*rehearse.Result, files *outputFiles) error {
 	table := io.Writer(os.Stdout)
 	if c.JSON == "-" {
--- a/cmd/tuliprock/rehearse_output.go
+++ b/cmd/tuliprock/rehearse_output.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/testkit/rehearse"
 )
 
-// outputFiles are the files that results are written to. They are opened before the day is run, so that the command fails
-// at once if a path is not writable. Each file appears complete or not at all.
+// outputFiles are the files that results are written to. They are opened before the rehearsal starts, so that the
+// command fails at once if a path is not writable. Each file appears complete or not at all.
 type outputFiles struct {
 	files []*outputFile
 }
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -41,9 +41,9 @@
 	_ = b.bar.Set64(min(s.At, s.Length).Milliseconds()) // an error only means that the bar is not drawn
 }
 
-// finish clears the bar.
+// finish removes the bar from the terminal.
 func (b *progressBar) finish() {
 	if b.bar != nil {
-		_ = b.bar.Finish() // an error only means that the bar is not cleared
+		_ = b.bar.Finish() // an error only means that the bar stays on the terminal
 	}
 }
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// tinyDay is the file of a day of 2 s with two nodes and no faults.
+// tinyDay is the text of a file that specifies a day, a scenario to rehearse, of 2 s with two nodes and no faults.
 const tinyDay = `format = 1
 name = "tiny"
 seed = 1
@@ -95,7 +95,7 @@
 	}
 }
 
-// A day holds all rules also if its sidecars run with operators' files (--serve).
+// A rehearsal breaks no rule either if its sidecars run with operators' files (--serve).
 func TestRehearseServeGivesTheSameVerdict(t *testing.T) {
 	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
 	if code != 0 {
@@ -148,7 +148,7 @@
 	}
 }
 
-// If the result cannot be written after the day was run, the command reports that in one line and exits with 1.
+// If the result cannot be written after the rehearsal, the command reports that in one line and exits with 1.
 func TestRehearseReportsFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip("no /dev/full here")
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -18,8 +18,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runClosedLoop sends requests for a duration on so many connections: on each connection the next request follows as soon as
-// the response has arrived. It returns the requests per second, and the median and the p99 of the latencies.
+// runClosedLoop sends requests for a duration on the given number of connections: on each connection the next request follows
+// as soon as the response has arrived. It returns the requests per second, and the median and the p99 of the latencies.
 func runClosedLoop(t *testing.T, addr string, connections int, duration time.Duration) (rate float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
@@ -88,8 +88,8 @@
 			var rate [2]float64
 			var p50, p99 [2]time.Duration
 			for k := range 2 {
-				which := (i + k) % 2
-				rate[which], p50[which], p99[which] = runClosedLoop(t, []string{daemonAddr, proxyAddr}[which], connections, 3*time.Second)
+				variant := (i + k) % 2
+				rate[variant], p50[variant], p99[variant] = runClosedLoop(t, []string{daemonAddr, proxyAddr}[variant], connections, 3*time.Second)
 			}
 			t.Logf("%d connections, daemon and ReverseProxy: %.0f and %.0f requests per second, p50 %v and %v, p99 %v and %v", connections, rate[0], rate[1], p50[0], p50[1], p99[0], p99[1])
 			rates, p50s, p99s = append(rates, rate[0]/rate[1]), append(p50s, float64(p50[0])/float64(p50[1])), append(p99s, float64(p99[0])/float64(p99[1]))
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -19,8 +19,8 @@
 	Diff    settingsDiffCommand    `cmd:"" help:"Show the differences between two versions of a document, or between a version and a file."`
 }
 
-// document fetches a document as it was at a version of the settings; version 0 is the latest.
-func (f *daemonFlags) document(name string, version uint64) (*status.CommandResult, error) {
+// fetchDocument fetches a document as it was at a version of the settings; version 0 is the latest.
+func (f *daemonFlags) fetchDocument(name string, version uint64) (*status.CommandResult, error) {
 	words := []string{"show", name}
 	if version > 0 {
 		words = append(words, strconv.FormatUint(version, 10))
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -21,8 +21,8 @@
 
 // propose sends a change of a document to the daemon, which gets the cluster's agreement, and waits until all daemons act on
 // it. The id makes the change idempotent: if the outcome is indeterminate, the error names the id to retry with. verb is the
-// cluster command, and more are its arguments after the document's name.
-func (f *changeFlags) propose(verb, document string, body []byte, more ...string) error {
+// cluster command, and furtherArgs are its arguments after the document's name.
+func (f *changeFlags) propose(verb, document string, body []byte, furtherArgs ...string) error {
 	if f.ID == "" {
 		f.ID = rand.Text()
 	}
@@ -30,7 +30,7 @@
 	if f.ExpectedVersion != "" {
 		expect = f.ExpectedVersion
 	}
-	agreed, err := f.call(body, append([]string{verb, f.ID, expect, document}, more...)...)
+	agreed, err := f.call(body, append([]string{verb, f.ID, expect, document}, furtherArgs...)...)
 	if indeterminate := (status.IndeterminateError{}); errors.As(err, &indeterminate) {
 		return verdictError{fmt.Errorf("%w; retry with --id %s", err, f.ID)}
 	}
@@ -40,14 +40,14 @@
 	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
 }
 
-// settingsPutCommand puts the contents of a file as a document.
+// settingsPutCommand makes the contents of a file a document of the agreed settings.
 type settingsPutCommand struct {
 	changeFlags
 	File string `arg:"" help:"An operators' file, of which the shared part is put; with --name: a file with the contents of that document."`
 	Name string `help:"Put the file as this document: members/POOL (a list of members) or flag/NAME." placeholder:"NAME"`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings put". The parser kong calls it with the flags and arguments set.
 func (c *settingsPutCommand) Run() error {
 	body, err := os.ReadFile(c.File)
 	if err != nil {
@@ -67,23 +67,23 @@
 	return c.propose("put", name, body, strconv.Itoa(len(body)))
 }
 
-// settingsRemoveCommand removes a document.
+// settingsRemoveCommand removes a document from the agreed settings.
 type settingsRemoveCommand struct {
 	changeFlags
 	Name string `arg:"" help:"Name of the document."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings remove". The parser kong calls it with the flags and arguments set.
 func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
-// settingsRevertCommand puts a document as it was at an earlier version. Its command line name is back.
+// settingsRevertCommand puts a document as it was at an earlier version. On the command line it is called back.
 type settingsRevertCommand struct {
 	changeFlags
 	Version uint64 `arg:"" help:"Version whose contents of the document are restored."`
 	Name    string `default:"shared" help:"Name of the document."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings back". The parser kong calls it with the flags and arguments set.
 func (c *settingsRevertCommand) Run() error {
 	return c.propose("back", c.Name, nil, strconv.FormatUint(c.Version, 10))
 }
@@ -94,7 +94,7 @@
 	Version uint64 `arg:"" help:"The pending version to activate."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings force". The parser kong calls it with the flags and arguments set.
 func (c *settingsForceCommand) Run() error {
 	agreed, err := c.call(nil, "force", rand.Text(), strconv.FormatUint(c.Version, 10))
 	if err != nil {
--- a/cmd/tuliprock/settings_diff.go
+++ b/cmd/tuliprock/settings_diff.go
@@ -20,9 +20,10 @@
 	File string `placeholder:"FILE" help:"Compare to this file instead of a version. Of an operators' file only the shared part is compared."`
 }
 
-// Run implements kong's command. The exit code is exitFailure if there is a difference.
+// Run executes the command "settings diff". The parser kong calls it with the flags and arguments set. The
+// exit code is exitFailure if there is a difference.
 func (c *settingsDiffCommand) Run() error {
-	from, err := c.document(c.Name, c.From)
+	from, err := c.fetchDocument(c.Name, c.From)
 	if err != nil {
 		return err
 	}
@@ -48,7 +49,7 @@
 // target returns the text that the document is compared with, from --file or --to, and its label in the diff.
 func (c *settingsDiffCommand) target() (body []byte, label string, err error) {
 	if c.File == "" {
-		to, err := c.document(c.Name, c.To)
+		to, err := c.fetchDocument(c.Name, c.To)
 		if err != nil {
 			return nil, "", err
 		}
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -15,7 +15,7 @@
 	Name string `arg:"" optional:"" help:"Name of a document; if omitted, the changes of all documents are listed."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings history". The parser kong calls it with the flags and arguments set.
 func (c *settingsHistoryCommand) Run() error {
 	result, err := c.call(nil, "history")
 	if err != nil {
--- a/cmd/tuliprock/settings_show.go
+++ b/cmd/tuliprock/settings_show.go
@@ -16,10 +16,10 @@
 	Version uint64 `help:"Print the document as it was at this version; 0: the latest."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings show". The parser kong calls it with the flags and arguments set.
 func (c *settingsShowCommand) Run() error {
 	if c.Name != "" {
-		document, err := c.document(c.Name, c.Version)
+		document, err := c.fetchDocument(c.Name, c.Version)
 		if err != nil {
 			return err
 		}
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -21,8 +21,8 @@
 // the settings the request was forwarded by.
 const markHeader = "X-Settings"
 
-// settingsText returns the text of a shared document that marks requests, with a comment of pad bytes to make it longer. By
-// it a daemon without a lease sheds all requests.
+// settingsText returns the text of a shared document that marks requests, with a comment of pad bytes to make it longer. With
+// these settings a daemon without a lease sheds all requests.
 func (c *testCluster) settingsText(mark string, pad int) []byte {
 	return fmt.Appendf(nil, `format = 1
 shared = { unsure = "refuse" }
@@ -127,7 +127,7 @@
 	writeFile(c.settingsText("two", 1<<18))
 	runSettings(exitUsage, "another version is there than was expected", "put", file, atFlag(1), "--expect=7")
 	runSettings(exitOK, "all act on version 2", "put", file, atFlag(1), "--expect=1", "--id=mine")
-	runSettings(exitOK, "version 2 is agreed on", "put", file, atFlag(2), "--expect=1", "--id=mine") // a retry, as if the response had been lost
+	runSettings(exitOK, "version 2 is agreed on", "put", file, atFlag(2), "--expect=1", "--id=mine") // retry of the put "mine", as if the response had been lost
 	awaitMark(c.daemons[3], "two")
 	runSettings(exitFailure, "+route = [{ pool = \"p\", class = \"look\", set_header = [{ name = \"X-Settings\", value = \"two\" }] }]", "diff", atFlag(3), "--from=1")
 	runSettings(exitOK, "\"differs\":false", "diff", atFlag(3), "--json=-", "--file="+file)
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -20,7 +20,7 @@
 	WaitTimeout time.Duration `name:"wait" default:"30s" help:"How long to wait until the change has taken effect."`
 }
 
-// Run implements kong's command.
+// Run executes the command "settings voters". The parser kong calls it with the flags and arguments set.
 func (c *settingsVotersCommand) Run() error {
 	if (c.Change == "") != (c.Name == "") {
 		return errors.New("settings voters: needs both add or remove and the NAME of a daemon, or neither")
--- a/cmd/tuliprock/simulations.go
+++ b/cmd/tuliprock/simulations.go
@@ -7,20 +7,22 @@
 	"tuliprock/internal/testkit/swimsim"
 )
 
-// consensusSimCommand measures how fast simulated clusters agree on changes of settings. Its command line name is council.
+// consensusSimCommand measures how fast simulated clusters agree on changes of settings. On the command line it is
+// called council.
 type consensusSimCommand struct {
 	Daemons []int  `sep:"," default:"3,7,50,300" help:"Numbers of daemons in the simulated fleets, each with three voters."`
 	Seed    uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 }
 
-// Run implements kong's command.
+// Run executes the command "council". The parser kong calls it with the flags and arguments set.
 func (c *consensusSimCommand) Run() error { return raftsim.Tables(os.Stdout, c.Daemons, c.Seed) }
 
-// failureDetectorSimCommand measures the failure detector of simulated clusters. Its command line name is detector.
+// failureDetectorSimCommand measures the failure detector of simulated clusters. On the command line it is called
+// detector.
 type failureDetectorSimCommand struct {
 	Nodes []int  `sep:"," default:"10,100,1000" help:"Numbers of daemons in the simulated fleets."`
 	Seed  uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 }
 
-// Run implements kong's command.
+// Run executes the command "detector". The parser kong calls it with the flags and arguments set.
 func (c *failureDetectorSimCommand) Run() error { return swimsim.Tables(os.Stdout, c.Nodes, c.Seed) }
--- a/cmd/tuliprock/stand_in.go
+++ b/cmd/tuliprock/stand_in.go
@@ -18,7 +18,8 @@
 	Addresses []string `arg:"" name:"address" help:"Loopback addresses (host:port), one for each stand-in node."`
 }
 
-// Run implements kong's command. It serves until SIGINT or SIGTERM.
+// Run executes the command "stand-in". The parser kong calls it with the flags and arguments set. Run
+// serves until SIGINT or SIGTERM.
 func (c *standInCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -55,7 +55,7 @@
 func processorTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
-	fields := strings.Fields(rest) // those after the command's name, which begin with field 3 of proc(5)
+	fields := strings.Fields(rest) // fields after the command's name; the first of them is field 3 of proc(5)
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 wherever Go runs on Linux
@@ -72,8 +72,8 @@
 	if gib > 0 {
 		singleSize, concurrentSize, slowMiBPerSecond = int64(gib)<<30, int64(gib)<<30/50, 20
 	}
-	memoryLimitKiB := 32 << 10 // over the memory of the idle daemon
-	if isRaceDetectorOn {      // its shadow memory is several times as large as the memory of the program
+	memoryLimitKiB := 32 << 10 // limit of the memory beyond that of the idle daemon
+	if isRaceDetectorOn {      // the race detector's shadow memory is several times as large as the memory of the program
 		memoryLimitKiB = 128 << 10
 	}
 	daemon, daemonAddr, _ := startStreamingDaemon(t, "")
@@ -86,7 +86,7 @@
 		name       string
 		count      int    // number of concurrent transfers
 		size       int64  // bytes of each body
-		query      string // query for the node
+		query      string // URL query that serveBulk reads
 		clientRate int    // bytes per second of each client; 0: not limited
 	}{
 		{"1 transfer", 1, singleSize, "", 0}, {"50 transfers", 50, concurrentSize, "", 0},
@@ -139,19 +139,19 @@
 			for i := range turns {
 				var rate, cpu [3]float64 // MiB per second, and seconds of processor time per GiB
 				for k := range 3 {
-					which := (i + k) % 3
-					start, cpuBefore := time.Now(), processorTime(pids[which])
+					variant := (i + k) % 3
+					start, cpuBefore := time.Now(), processorTime(pids[variant])
 					var transfers sync.WaitGroup
 					for range count {
 						transfers.Go(func() {
-							if _, err := transfer(addrs[which], direction, "", totalBytes/int64(count), false, 0); err != nil {
+							if _, err := transfer(addrs[variant], direction, "", totalBytes/int64(count), false, 0); err != nil {
 								t.Error(err)
 							}
 						})
 					}
 					transfers.Wait()
-					rate[which] = totalBytes / time.Since(start).Seconds() / (1 << 20)
-					cpu[which] = (processorTime(pids[which]) - cpuBefore).Seconds() / (float64(totalBytes) / (1 << 30))
+					rate[variant] = totalBytes / time.Since(start).Seconds() / (1 << 20)
+					cpu[variant] = (processorTime(pids[variant]) - cpuBefore).Seconds() / (float64(totalBytes) / (1 << 30))
 				}
 				t.Logf("%s, %d concurrent; daemon, ReverseProxy and io.Copy: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor time per GiB",
 					direction, count, rate[0], rate[1], rate[2], cpu[0], cpu[1], cpu[2])
@@ -165,9 +165,9 @@
 	}
 }
 
-// measureLookups sends small requests at a steady rate. It returns the median and the p99 of the latencies, in µs from the time
+// measureSmallRequests sends small requests at a steady rate. It returns the median and the p99 of the latencies, in µs from the time
 // each request was due, and the fraction of requests that were shed.
-func measureLookups(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
+func measureSmallRequests(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
 	t.Helper()
 	const connections = 500
 	request, err := loadgen.RequestTemplate(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
@@ -198,7 +198,7 @@
 // during 50 transfers that bypass the daemon. The three are measured alternately, TULIPROCK_TEST_LOOKUP_TURNS times, with
 // TULIPROCK_TEST_TRANSFER_MIB_PER_S MiB per second for each transfer; without both variables the test is skipped. See
 // docs/design/016.
-func TestLookupLatencyBesideTransfers(t *testing.T) {
+func TestSmallRequestLatencyDuringTransfers(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOOKUP_TURNS"))
 	rate, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_TRANSFER_MIB_PER_S"))
 	if turns == 0 || rate == 0 {
@@ -219,22 +219,22 @@
 		time.Sleep(time.Second)
 		return &transfers
 	}
-	var throughRatios, bypassRatios []float64 // p99 with transfers to p99 without, one per turn
+	var throughRatios, bypassRatios []float64 // ratio of the p99 with transfers to the p99 without, one per turn
 	for i := range turns {
 		var p99 [3]float64
 		for k := range 3 {
-			which := (i + k) % 3
+			variant := (i + k) % 3
 			var transfers *sync.WaitGroup
-			if which > 0 {
-				transfers = startTransfers([]string{"", daemonAddr, nodeAddr}[which])
+			if variant > 0 {
+				transfers = startTransfers([]string{"", daemonAddr, nodeAddr}[variant])
 			}
 			var p50, shedFraction float64
-			p50, p99[which], shedFraction = measureLookups(t, daemonAddr, duration)
+			p50, p99[variant], shedFraction = measureSmallRequests(t, daemonAddr, duration)
 			if transfers != nil {
 				transfers.Wait()
 			}
 			t.Logf("%s: p50 %.0f us, p99 %.0f us, fraction shed %.3f",
-				[]string{"without transfers", "with transfers through the daemon", "with transfers that bypass the daemon"}[which], p50, p99[which], shedFraction)
+				[]string{"without transfers", "with transfers through the daemon", "with transfers that bypass the daemon"}[variant], p50, p99[variant], shedFraction)
 		}
 		throughRatios, bypassRatios = append(throughRatios, p99[1]/p99[0]), append(bypassRatios, p99[2]/p99[0])
 	}
@@ -277,7 +277,7 @@
 		})
 	}
 	time.Sleep(time.Duration(seconds) * time.Second)
-	p50, p99, shedFraction := measureLookups(t, daemonAddr, 2*time.Second)
+	p50, p99, shedFraction := measureSmallRequests(t, daemonAddr, 2*time.Second)
 	t.Logf("lookups meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
 		p50, p99, shedFraction, processMemoryKiB(pid, "VmHWM"))
 	_ = daemon.cmd.Process.Signal(syscall.SIGTERM)
