--- a/tools/rename/main.go
+++ b/tools/rename/main.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	modulePath = "tuliprock" // path of the module that is rewritten
-	moduleDir  = ".."        // directory of that module, relative to tools, where the command runs
+	modulePath = "tuliprock" // path of the module whose identifiers are renamed
+	moduleDir  = ".."        // directory of the module tuliprock, relative to tools, where the command runs
 )
 
 // rule is a line of the table: one identifier to rename.
@@ -41,9 +41,9 @@
 	newName    string
 }
 
-// edit is the replacement of a piece of a file.
+// edit is the replacement of a piece of a source file by a new text.
 type edit struct {
-	start, end int    // byte offsets in the file; end is exclusive
+	start, end int    // byte offsets of the piece in the file; end is exclusive
 	text       string // new text of the piece
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// run renames by the table in the file at tablePath.
+// run renames the identifiers that the table in the file at tablePath lists.
 func run(tablePath string) error {
 	file, err := os.Open(tablePath)
 	if err != nil {
@@ -151,7 +151,7 @@
 // position returns the file, line and column at which an object is declared.
 func (r *renamer) position(o types.Object) string { return r.files.Position(o.Pos()).String() }
 
-// renameIn collects the edits of one file.
+// renameIn collects the edits of one file: one for each use, and one for each doc comment, of an identifier to rename.
 func (r *renamer) renameIn(info *types.Info, file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
