--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -14,7 +14,7 @@
 // ClusterSpec is the section [fleet] in the form that the cluster's packages take.
 type ClusterSpec struct {
 	Name                string           // name of this daemon in the cluster
-	ClusterName         string           // name of the cluster
+	ClusterName         string           // name of the cluster, the same on all of its daemons
 	Listen              netip.AddrPort   // address to listen on, for UDP and TCP
 	Advertise           netip.AddrPort   // address that other daemons send to; the zero value stands for Listen
 	Join                []netip.AddrPort // addresses of other daemons to contact first
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -91,9 +91,9 @@
 }
 
 func (f *File) checkShared(tomlFile *tomlfile.File) error {
-	behavior := f.Shared.OnIndeterminate
+	onIndeterminate := f.Shared.OnIndeterminate
 	return tomlFile.Check("shared", []tomlfile.Requirement{
-		tomlfile.Require("unsure", behavior == keepServing || behavior == rejectRequests, `"keep" or "refuse"`),
+		tomlfile.Require("unsure", onIndeterminate == keepServing || onIndeterminate == rejectRequests, `"keep" or "refuse"`),
 	})
 }
 
@@ -117,16 +117,16 @@
 // the lists of pools with members = "agreed". Without a shared document the file keeps its shared part. An error says in one line
 // why this daemon can't act on the documents.
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
-	out := *f
+	merged := *f
 	if text, ok := docs[SharedDocument]; ok {
 		shared, err := parseShared(SharedDocument, text)
 		if err != nil {
 			return nil, err
 		}
-		out = *shared
-		out.Daemon, out.Cluster, out.Listener, out.dividesByMembership = f.Daemon, f.Cluster, f.Listener, f.dividesByMembership
+		merged = *shared
+		merged.Daemon, merged.Cluster, merged.Listener, merged.dividesByMembership = f.Daemon, f.Cluster, f.Listener, f.dividesByMembership
 	}
-	out.agreedMembers = map[string][]Member{}
+	merged.agreedMembers = map[string][]Member{}
 	for name, body := range docs {
 		if err := checkDocument(name, body); err != nil {
 			return nil, err
@@ -136,10 +136,10 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
-			out.agreedMembers[pool] = members
+			merged.agreedMembers[pool] = members
 		}
 	}
-	return &out, nil
+	return &merged, nil
 }
 
 // CheckDocuments returns an error if this daemon can't act on the documents. It checks everything that WithDocuments does and, if
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -27,7 +27,7 @@
 	Route    []Route    `toml:"route"`
 	Shared   Shared     `toml:"shared"`
 
-	table               *route.Table        // routes compiled from the sections [[route]], in their order
+	table               *route.Table        // routes compiled from the sections [[route]], in the order of the file
 	dividesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
 	agreedMembers       map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
 }
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -49,7 +49,7 @@
 // starts with 1 s and doubles it); the rate is below that of the slowest links in use (GPRS, about 20 kbit/s).
 const (
 	defaultStreamIdleTimeout = 10 * time.Second
-	defaultMinStreamRate     = 1 << 10 // bytes per second
+	defaultMinStreamRate     = 1 << 10 // bytes per second, for a client that sends or receives a body
 )
 
 // Values of the fields forwarded and retry_after.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,7 +16,7 @@
 // Config is the platform's configuration of a sidecar: the file that ROUTER_CONFIG names, with environment variables for
 // fields that the file leaves out. Load and Parse return it checked, with default limits applied.
 type Config struct {
-	Name         string               // sidecar's name
+	Name         string               // name of the sidecar, from the platform's file or else from ROUTER_NAME
 	Listen       string               // host:port to listen on for clients
 	Discovery    string               // host:port of the platform's discovery agent
 	AdminAddress string               // host:port to listen on for operators' commands; empty for none
@@ -31,9 +31,9 @@
 
 // Limits are the resources that a sidecar may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // CPU cores
-	MemoryMB int     `json:"memory_mb"` // memory in MiB
-	Sockets  int     `json:"sockets"`   // open files and connections
+	Cores    float64 `json:"cores"`     // CPU cores that the sidecar may use
+	MemoryMB int     `json:"memory_mb"` // memory that the sidecar may use, in MiB
+	Sockets  int     `json:"sockets"`   // files and connections that the sidecar may have open
 }
 
 // Limits that apply if the platform's file leaves them out, and the smallest ones that a sidecar can work with.
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -51,7 +51,7 @@
 	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
 	connections := s.ConnectionsWithin(c.Limits.Sockets)
 	listener, pool := c.platformListener(connections), c.platformPool(connections, settings)
-	if c.ListenDescriptor > 0 { // several processes of the sidecar may run, and share the socket
+	if c.ListenDescriptor > 0 { // several processes of the sidecar may run at a time and share the inherited socket
 		listener.Descriptor, pool.Source.RequestsFullList, s.SharedDir = c.ListenDescriptor, true, c.SharedDir
 	}
 	s.Listeners, s.Pools = []Listener{listener}, []PoolSpec{pool}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -54,7 +54,7 @@
 // Member is an endpoint in a pool's list.
 type Member struct {
 	ID      string `toml:"id"`      // unique in the pool; defaults to Address
-	Address string `toml:"address"` // host:port
+	Address string `toml:"address"` // host:port at which the endpoint takes requests
 	Zone    string `toml:"zone"`
 	Kind    string `toml:"kind"`  // endpoints of the same kind have the same size and speed
 	Cell    int    `toml:"cell"`  // endpoints of the same cell share the idempotency keys that they have seen
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -19,8 +19,8 @@
 	Name    string      `toml:"name"`
 	Hosts   []string    `toml:"hosts"`   // hosts of which the request must have one; empty for any
 	Methods []string    `toml:"methods"` // methods of which the request must have one; empty for any
-	Header  []Condition `toml:"header"`  // conditions on headers
-	Query   []Condition `toml:"query"`   // conditions on query values
+	Header  []Condition `toml:"header"`  // conditions on headers, which a request must all meet
+	Query   []Condition `toml:"query"`   // conditions on query values, which a request must all meet
 
 	// At most one of Path, PathPrefix, PathSegments and PathPattern is set. Package route explains the kinds of paths.
 	Path         string `toml:"path"`
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -52,11 +52,11 @@
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); client.Run(ctx) }()
-		time.Sleep(d) // in virtual time
+		time.Sleep(d) // sleeps in virtual time, which takes no real time
 		synctest.Wait()
 		stop()
 		<-ended
-		time.Sleep(2 * time.Minute) // in virtual time, until the agent's goroutines have ended
+		time.Sleep(2 * time.Minute) // sleeps in virtual time until the agent's goroutines have ended
 	})
 	return agent
 }
@@ -84,7 +84,7 @@
 func (a *scriptedAgent) sendHeartbeats(w io.Writer, until time.Duration) {
 	for a.elapsed() <= until {
 		writeChunk(w, "\n")
-		time.Sleep(min(2*time.Second, until-a.elapsed()+1)) // in virtual time
+		time.Sleep(min(2*time.Second, until-a.elapsed()+1)) // sleeps in virtual time, which takes no real time
 	}
 }
 
@@ -144,7 +144,7 @@
 				agent.sendHeartbeats(w, downAt)
 				return
 			}
-			time.Sleep(max(upAt-agent.elapsed(), 0)) // in virtual time
+			time.Sleep(max(upAt-agent.elapsed(), 0)) // sleeps in virtual time, which takes no real time
 			openStream(w)
 			writeChunk(w, testpeer.Members(8, false)+"\n")
 		})
@@ -162,7 +162,7 @@
 			return
 		}
 		openStream(w)
-		time.Sleep(2 * time.Second) // in virtual time
+		time.Sleep(2 * time.Second) // sleeps in virtual time, which takes no real time
 		agent.sendHeartbeats(w, time.Minute)
 	})
 	if want := []string{"watch=1&after=7", "", "watch=1&after=8"}; fmt.Sprint(agent.queries) != fmt.Sprint(want) {
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -15,7 +15,7 @@
 // Member is an endpoint as a source lists it.
 type Member struct {
 	ID       string
-	Addr     string // host:port
+	Addr     string // host:port at which the endpoint takes requests
 	Zone     string
 	Kind     string // endpoints of the same kind have the same size and speed
 	Cell     int    // endpoints of the same cell share the idempotency keys that they have seen
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -59,7 +59,7 @@
 	processNumber int      // number that Join assigned to this process
 	liveFile      *os.File // open file whose lock proves to other processes that this one lives
 
-	mu                   sync.Mutex  // guards the fields below
+	mu                   sync.Mutex  // guards lastState and the fields after it
 	lastState            State       // state that was read last
 	lastStateFileInfo    os.FileInfo // identity and modification time of the file that lastState was read from; nil until a state is read
 	reportedDescriptors  int         // descriptor count that this process last wrote to its live file
@@ -199,11 +199,11 @@
 // readState reads and parses the shared state. It returns an empty state if there is no file, and also if the file can't be
 // parsed, which it then renames to end in .bad. The caller must hold the lock.
 func (d *Directory) readState() (State, error) {
-	empty := State{Format: stateFormat, Name: d.sidecarName}
+	emptyState := State{Format: stateFormat, Name: d.sidecarName}
 	text, err := readBoundedFile(d.statePath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return empty, nil
+		return emptyState, nil
 	case err != nil:
 		return State{}, err
 	}
@@ -211,7 +211,7 @@
 	if err != nil {
 		badPath := d.statePath() + ".bad"
 		d.logger.Error("hot restart state is damaged and is set aside", "file", badPath, "error", err)
-		return empty, os.Rename(d.statePath(), badPath)
+		return emptyState, os.Rename(d.statePath(), badPath)
 	}
 	return s, nil
 }
@@ -232,16 +232,16 @@
 // fileNamePart returns the part of the file names that stands for a sidecar's name. Names with characters that are unsafe in
 // a path, and long names, are shortened and get a hash, so that different sidecars use different files.
 func fileNamePart(name string) string {
-	safe := strings.Map(func(r rune) rune {
+	safeName := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
 		}
 		return '_'
 	}, name)
-	if safe == name && len(safe) <= maxNamePartBytes {
-		return safe
+	if safeName == name && len(safeName) <= maxNamePartBytes {
+		return safeName
 	}
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, name) // a hash never returns an error
-	return fmt.Sprintf("%.*s-%x", maxNamePartBytes, safe, hash.Sum64())
+	return fmt.Sprintf("%.*s-%x", maxNamePartBytes, safeName, hash.Sum64())
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -19,7 +19,7 @@
 	snapshot uint64            // index of the restored snapshot; 0: there was none
 	body     string            // body of the restored snapshot
 	records  map[uint64]string // type and payload of each replayed record, by index
-	repairs  []string          // messages passed to OnRepair
+	repairs  []string          // messages that Open passed to Options.OnRepair
 }
 
 // segmentBytes is the size in bytes from which the tests' logs begin a new segment. Such a segment has about ten records.
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -17,7 +17,7 @@
 	recordChecksumOffset    = 0  // CRC-32C of all bytes of the record after the checksum
 	recordLengthOffset      = 4  // length of the payload in bytes
 	recordTypeOffset        = 8  // one byte, defined by the user of the log
-	recordIndexOffset       = 9  // index of the record
+	recordIndexOffset       = 9  // index of the record, in eight bytes
 	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
 	recordHeaderBytes       = 25 // size of a record's header, which has all fields above
 )
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -21,7 +21,7 @@
 	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP" // first bytes of a file, which identify its kind
 	formatVersion               = 1                      // version of the format; files with another version are rejected
 
-	fileVersionOffset  = 8  // version of the format
+	fileVersionOffset  = 8  // formatVersion, in four bytes
 	fileIndexOffset    = 16 // index that the file is named after
 	fileChecksumOffset = 24 // CRC-32C of the header's bytes before this field
 	fileReservedOffset = 28 // four zero bytes that are not part of the checksum
