--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -27,7 +27,7 @@
 // all daemons and change the settings; what they observe is recorded, and checked at the end.
 type faultSchedule struct {
 	*testCluster
-	rng       *rand.Rand     // draws the faults
+	rng       *rand.Rand     // source of the random choice of faults
 	startedAt time.Time      // start of the schedule
 	clients   sync.WaitGroup // goroutines that send requests and change settings
 	isOver    atomic.Bool    // tells the clients to stop
@@ -38,45 +38,45 @@
 	requestsShed    map[string]bool           // set of the ids of requests whose response had status 503
 	unansweredCount int                       // requests without a response, since their daemon was killed
 	violations      []string                  // descriptions of single observations that break a guarantee
-	incarnations    []int                     // how often each daemon was restarted
-	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP
-	isRunning       []bool                    // whether each daemon is running, as opposed to killed
+	incarnations    []int                     // how often each daemon was restarted, by the daemon's index
+	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP, by the daemon's index
+	isRunning       []bool                    // whether each daemon is running, as opposed to killed, by the daemon's index
 	markByDigest    map[[32]byte]string       // mark of each settings text, by the SHA-256 digest of the text
 	digestByVersion map[uint64][32]byte       // digest of the settings text that made a version, as the response to its put tells
 	flagOperations  []porcupine.Operation     // puts and reads of the document flagName
 
-	faults []injectedFault // faults injected so far, in the order of their start
+	faults []injectedFault // injected faults, in the order of their start
 }
 
 // injectedFault records a fault. Requests that are shed between its start and that of the next fault are attributed to it.
 type injectedFault struct {
 	name      string        // name that injectFault returned
-	startedAt time.Duration // time from the start of the schedule to the start of the fault
+	startedAt time.Duration // when the fault started, as a time since the start of the schedule
 }
 
 // sentRequest records a request when it was sent.
 type sentRequest struct {
 	daemon      int           // index of the daemon that the request was sent to
-	incarnation int           // how often that daemon had been restarted
-	sentAt      time.Duration // time from the start of the schedule until the request was sent
+	incarnation int           // how often the daemon had been restarted when the request was sent
+	sentAt      time.Duration // when the request was sent, as a time since the start of the schedule
 }
 
 // arrivedRequest records a request when it arrived at a node.
 type arrivedRequest struct {
-	mark      string        // value of settingsMarkHeader; empty if the request was forwarded before the first settings were active
-	arrivedAt time.Duration // time from the start of the schedule until the request arrived
+	mark      string        // value of markHeader; empty if the request was forwarded before the first settings were active
+	arrivedAt time.Duration // when the request arrived, as a time since the start of the schedule
 }
 
 // daemonPause is an interval in which a daemon was paused by SIGSTOP, in time since the start of the schedule.
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	maxRandomFaultDuration = 2500 * time.Millisecond // upper bound of the random time by which a fault lasts longer than 200 ms
-	faultsDuration         = 12 * time.Second        // how long faults are injected
-	minFaultGap            = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
-	requestInterval        = 8 * time.Millisecond    // time between two requests of a client
-	operationInterval      = 150 * time.Millisecond  // time between two operations of a client on the settings
-	flagName               = "flag/x"                // name of the document whose puts and reads are checked for linearizability
+	maxFaultDuration  = 2500 * time.Millisecond // a fault lasts 200 ms plus a random time below maxFaultDuration
+	faultsDuration    = 12 * time.Second        // how long faults are injected
+	minFaultGap       = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
+	requestInterval   = 8 * time.Millisecond    // time between two requests of a client
+	operationInterval = 150 * time.Millisecond  // time between two operations of a client on the settings
+	flagName          = "flag/x"                // name of the document whose puts and reads are checked for linearizability
 )
 
 // elapsed returns the time since the start of the schedule, which is the time of all observations.
@@ -176,7 +176,7 @@
 // injectFault draws a fault, keeps it up for a random time, ends it and returns its name. The order of the random draws is
 // what makes a seed's schedule.
 func (s *faultSchedule) injectFault() string {
-	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxRandomFaultDuration)))
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
 	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
@@ -188,7 +188,7 @@
 	if leader := s.leader(); leader >= 0 && s.rng.IntN(2) == 0 {
 		d = leader
 	}
-	switch which := s.rng.IntN(8); which {
+	switch faultKind := s.rng.IntN(8); faultKind {
 	case 0:
 		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
 		time.Sleep(duration)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,11 +16,11 @@
 // Config is the platform's configuration of a sidecar: the file that ROUTER_CONFIG names, with environment variables for
 // fields that the file leaves out. Load and Parse return it checked, with default limits applied.
 type Config struct {
-	Name         string               // sidecar's name
+	Name         string               // name of the sidecar, from the platform's file or else from ROUTER_NAME
 	Listen       string               // host:port to listen on for clients
 	Discovery    string               // host:port of the platform's discovery agent
 	AdminAddress string               // host:port to listen on for operators' commands; empty for none
-	Limits       Limits               // resource limits
+	Limits       Limits               // CPU, memory and sockets that the sidecar may use
 	LastUpdate   discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
 
 	ListenDescriptor int    // descriptor of a listening socket that is inherited and may be shared; 0 to open a socket
@@ -31,9 +31,9 @@
 
 // Limits are the resources that a sidecar may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // CPU cores
-	MemoryMB int     `json:"memory_mb"` // memory in MiB
-	Sockets  int     `json:"sockets"`   // open files and connections
+	Cores    float64 `json:"cores"`     // CPU cores that the sidecar may use
+	MemoryMB int     `json:"memory_mb"` // memory that the sidecar may use, in MiB
+	Sockets  int     `json:"sockets"`   // files and connections that the sidecar may have open
 }
 
 // Limits that apply if the platform's file leaves them out, and the smallest ones that a sidecar can work with.
@@ -52,8 +52,8 @@
 	Seed                    string // random seed of 64 bits, in hexadecimal
 	AdminAddress            string `json:"admin_addr"`
 	Limits                  Limits
-	Known                   json.RawMessage // last update of the discovery agent, see discovery.ListUpdate
-	Settings                json.RawMessage // see simwire.Settings
+	Known                   json.RawMessage // last update of the discovery agent, in the JSON form of discovery.ListUpdate
+	Settings                json.RawMessage // settings of the balancer, in the JSON form of simwire.Settings
 }
 
 // Load reads and checks the file that the environment variable ROUTER_CONFIG names. Other variables replace fields that the
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -17,7 +17,7 @@
 const (
 	platformBodyBytes         = 32 << 20
 	platformHeadTimeout       = 2500 * time.Millisecond
-	platformBodyTimeout       = 2500 * time.Millisecond // for a buffered body of 64 kB in several pieces; at 64 kB per second it takes 1 s
+	platformBodyTimeout       = 2500 * time.Millisecond // enough for a buffered body of 64 kB in several pieces, which takes 1 s at 64 kB per second
 	platformMinStreamRate     = 48 << 10                // bytes per second: 64 kB less a quarter, since the measured rate fluctuates
 	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
 	platformStreamDuration    = 10 * time.Minute        // 32 MB at 64 kB per second take 8.5 minutes
@@ -51,7 +51,7 @@
 	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
 	connections := s.ConnectionsWithin(c.Limits.Sockets)
 	listener, pool := c.platformListener(connections), c.platformPool(connections, settings)
-	if c.ListenDescriptor > 0 { // several processes of the sidecar may run, and share the socket
+	if c.ListenDescriptor > 0 { // several processes of the sidecar may run at a time and share the inherited socket
 		listener.Descriptor, pool.Source.RequestsFullList, s.SharedDir = c.ListenDescriptor, true, c.SharedDir
 	}
 	s.Listeners, s.Pools = []Listener{listener}, []PoolSpec{pool}
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -19,10 +19,10 @@
 	Name    string      `toml:"name"`
 	Hosts   []string    `toml:"hosts"`   // hosts of which the request must have one; empty for any
 	Methods []string    `toml:"methods"` // methods of which the request must have one; empty for any
-	Header  []Condition `toml:"header"`  // conditions on headers, all of which must hold
-	Query   []Condition `toml:"query"`   // conditions on query values, all of which must hold
+	Header  []Condition `toml:"header"`  // conditions on headers, which a request must all meet
+	Query   []Condition `toml:"query"`   // conditions on query values, which a request must all meet
 
-	// At most one of the path fields is set. Package route explains the kinds of paths.
+	// At most one of Path, PathPrefix, PathSegments and PathPattern is set. Package route explains the kinds of paths.
 	Path         string `toml:"path"`
 	PathPrefix   string `toml:"path_prefix"`
 	PathSegments string `toml:"path_segments"`
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -14,12 +14,12 @@
 // Offsets, in bytes, of the fields of an encoded record, whose payload follows the header (docs/wal-format.md). Numbers are
 // little-endian.
 const (
-	recordChecksumOffset    = 0  // offset of the CRC-32C of all bytes of the record after the checksum
-	recordLengthOffset      = 4  // offset of the payload's length in bytes
-	recordTypeOffset        = 8  // offset of the record's type, one byte that the user of the log defines
-	recordIndexOffset       = 9  // offset of the record's index
-	recordSyncedIndexOffset = 17 // offset of the index of the last record that was durable when this one was appended
-	recordHeaderBytes       = 25 // size of the complete header in bytes
+	recordChecksumOffset    = 0  // CRC-32C of all bytes of the record after the checksum
+	recordLengthOffset      = 4  // length of the payload in bytes
+	recordTypeOffset        = 8  // one byte, defined by the user of the log
+	recordIndexOffset       = 9  // index of the record, in eight bytes
+	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
+	recordHeaderBytes       = 25 // size of a record's header, which has all fields above
 )
 
 // crc32c is the table of the CRC-32C checksum.
@@ -51,12 +51,12 @@
 
 // decodedRecord is a record that was read from a segment.
 type decodedRecord struct {
-	Record              // the record, whose payload shares memory with the bytes of the segment
+	Record              // record, whose payload shares memory with the bytes of the segment
 	syncedIndex  uint64 // index of the last record that was durable when this one was appended
 	encodedBytes int    // size of the encoded record in bytes, including the header
 }
 
-// Errors of decodeRecord.
+// Reasons for which decodeRecord rejects a record.
 var (
 	errRecordHeaderTruncated = errors.New("the record's header is truncated")
 	errRecordExceedsMaximum  = errors.New("the record's length exceeds the maximum")
