--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -14,12 +14,12 @@
 // chart is a plot over the time of a day, written as SVG.
 type chart struct {
 	strings.Builder
-	height   float64 // height of the view box
+	height   float64 // height of the chart in units of the SVG view box
 	length   float64 // length of the time axis in seconds
 	scaleMax float64 // value at the top of the vertical scale
 }
 
-// The width of a chart and its margins, in units of the view box.
+// The width of a chart and the margins around its plot, in units of the SVG view box.
 const (
 	chartWidth  = 1000.0
 	chartLeft   = 56.0
@@ -35,12 +35,13 @@
 	return c
 }
 
-// x returns the horizontal position of an instant. Instants outside the time axis are moved to its ends.
+// x returns the horizontal position in the view box of an instant, in seconds since the start of the day. Instants outside the time
+// axis are moved to its ends.
 func (c *chart) x(seconds float64) float64 {
 	return chartLeft + (chartWidth-chartLeft-chartRight)*min(max(seconds, 0), c.length)/c.length
 }
 
-// y returns the vertical position of a value. Values outside the scale are moved to its ends.
+// y returns the vertical position in the view box of a value. Values outside the scale are moved to its ends.
 func (c *chart) y(value float64) float64 {
 	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
@@ -108,21 +109,21 @@
 }
 
 // line draws a line through the values of successive seconds, each in the middle of its second.
-func (c *chart) line(class string, values []float64) {
+func (c *chart) line(cssClass string, values []float64) {
 	var points []string
 	for i, v := range values {
 		points = append(points, fmt.Sprintf("%.1f,%.1f", c.x(float64(i)+0.5), c.y(v)))
 	}
-	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, class, strings.Join(points, " "))
+	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, cssClass, strings.Join(points, " "))
 }
 
 // columns draws a column for each second whose value is positive.
-func (c *chart) columns(class string, values []float64) {
+func (c *chart) columns(cssClass string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
 			x, next := c.x(float64(i)), c.x(float64(i+1))
 			fmt.Fprintf(&c.Builder, `<rect class="%s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"><title>%d s: %.4g</title></rect>`,
-				class, x, max(next-x-0.5, 0.5), c.y(v), c.y(0)-c.y(v), i, v)
+				cssClass, x, max(next-x-0.5, 0.5), c.y(v), c.y(0)-c.y(v), i, v)
 		}
 	}
 }
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -9,13 +9,13 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// maxClientIdleConnections is the number of idle connections that all clients together keep open.
+// maxClientIdleConnections bounds the idle connections to sidecars that are kept for all simulated clients together.
 const maxClientIdleConnections = 256
 
 // outcome is the result of a client's request after all its attempts.
 type outcome struct {
 	isServed bool          // whether the last response had status 200
-	duration time.Duration // time from when the request was due until its last attempt ended
+	duration time.Duration // time from when the request was due until the client's last attempt ended
 	status   int           // HTTP status of the last response; 0: there was none
 	attempts int           // number of attempts that the client sent
 }
@@ -30,7 +30,8 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runClient sends request i of the plan, which is due at an instant, and its retries. It sets the outcome of the request.
+// runClient simulates the client of request i of the plan, which is due at an instant: it sends the request and its retries, and
+// sets the outcome of the request.
 func (r *rehearsal) runClient(i int, due time.Time) {
 	request, o := &r.plan.Requests[i], &r.outcomes[i]
 	class := r.plan.Classes[request.Class]
@@ -69,7 +70,8 @@
 	}
 }
 
-// newAttempt returns the next attempt at a request, of which a number of attempts have been sent.
+// newAttempt returns the next attempt of a client at a request. attempts is the number of attempts that the client has sent
+// already, timeout the time limit of the new one.
 func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
 		ID:             r.newID("try"),
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -14,22 +14,22 @@
 	"tuliprock/internal/testkit/faultnet"
 )
 
-// The lease config of clusters with consensus, which the sidecars' configuration contains.
+// The lease config of clusters with consensus. The sidecars' operators' files contain these values.
 const (
 	maxClockDrift       = 0.1             // fraction by which the rate of a clock may differ from real time
-	maxConflictDuration = 2 * time.Second // time for which two sidecars may act on different versions
+	maxConflictDuration = 2 * time.Second // longest time for which two sidecars may act on different versions of the settings
 	leaseDuration       = 6 * time.Second
 )
 
-// firstClusterAddr is the argument of freeLoopbackAddr for the first member of a cluster. Arguments below it are used for the
+// firstClusterAddr is the argument of freeLoopbackAddr for the first member of a cluster. Lower arguments are used for the
 // addresses at which sidecars listen for clients.
 const firstClusterAddr = 2000
 
-// maxClusterEvents bounds the events of a cluster's timeline, and separately its version reports.
+// maxClusterEvents bounds the events in a cluster's timeline. The number of version reports has the same bound of its own.
 const maxClusterEvents = maxEvents / 10
 
-// cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that a
-// rehearsal calls do nothing then.
+// cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that a rehearsal
+// calls do nothing for nil.
 type cluster struct {
 	rehearsal *rehearsal
 	net       *faultnet.Network         // network between the members, which injects the faults of links
@@ -38,7 +38,7 @@
 
 	mu             sync.Mutex
 	events         []clusterinvariant.Event         // timeline of the members, their views and the faults
-	versionReports []clusterinvariant.VersionReport // responses of members that act on a version
+	versionReports []clusterinvariant.VersionReport // responses of members that hold a lease on the version they act on
 	activeFaults   int                              // number of faults of links or processes that are active
 }
 
@@ -46,7 +46,7 @@
 type clusterMember struct {
 	clockRateEnv string // environment variable that sets the rate of the sidecar's clock; empty: the clock is that of the machine
 	incarnation  int    // number of times that the sidecar's process was started; guarded by cluster.mu
-	configText   string // part of the sidecar's operators' file: admin_addr and [fleet]
+	configText   string // admin_addr and the section [fleet] of the sidecar's operators' file
 	adminAddr    string // address of the sidecar's admin listener, which answers the polls
 }
 
@@ -77,14 +77,14 @@
 	}
 	for i := range r.plan.SidecarCount {
 		name := sidecarName(i)
-		admin, err := freeLoopbackAddr(firstClusterAddr + i)
+		adminAddr, err := freeLoopbackAddr(firstClusterAddr + i)
 		if err != nil {
 			return err
 		}
 		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
-			admin, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2],
+			adminAddr, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2],
 			strings.Join(voters, ", "))
-		member := &clusterMember{configText: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: admin}
+		member := &clusterMember{configText: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: adminAddr}
 		if config.ClockRate.Hi > 0 {
 			member.clockRateEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawFractionFor("clock", name)))
 		}
@@ -114,7 +114,7 @@
 	return b.String()
 }
 
-// member returns the member of a name, or nil if the sidecar is not in the cluster.
+// member returns the member with the given name, or nil if the sidecar is not in the cluster.
 func (c *cluster) member(name string) *clusterMember {
 	if c == nil {
 		return nil
@@ -149,17 +149,17 @@
 // endFault records that a fault of links or processes is over.
 func (c *cluster) endFault() { c.changeActiveFaults(-1) }
 
-// changeActiveFaults changes the number of active faults. It records the start of the first and the end of the last fault.
+// changeActiveFaults adds change to the number of active faults. It records an event when the number leaves 0 or returns to 0.
 func (c *cluster) changeActiveFaults(change int) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := c.activeFaults
+	countBefore := c.activeFaults
 	c.activeFaults += change
 	switch {
-	case before == 0:
+	case countBefore == 0:
 		c.record(clusterinvariant.Event{Kind: clusterinvariant.FaultBegan})
 	case c.activeFaults == 0:
 		c.record(clusterinvariant.Event{Kind: clusterinvariant.FaultsEnded})
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -10,7 +10,8 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// The default time limits of the rules, which suit a failure detector with the daemon's default times.
+// The defaults of ClusterConfig.DetectWithin and ClusterConfig.SettleWithin. They suit a failure detector with the daemon's default
+// times.
 const (
 	defaultDetectWithin = 6 * time.Second
 	defaultSettleWithin = 3 * time.Second
@@ -19,14 +20,14 @@
 // ClusterConfig configures a cluster of the sidecars before the first tier. Members of a cluster are started with operators'
 // files. In a day's file, the cluster is called a fleet.
 type ClusterConfig struct {
-	Voters           int                  `toml:"voters"`        // number of sidecars that vote, 0 or odd
+	Voters           int                  `toml:"voters"`        // number of sidecars that are voters, odd or 0
 	ProbeInterval    time.Duration        `toml:"probe_every"`   // interval of the failure detector's probes; 0: the daemon's default
 	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // timeout of a probe; 0: the daemon's default
 	SuspicionTimeout time.Duration        `toml:"suspicion"`     // time from suspicion to failure of a peer; 0: the daemon's default
-	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock; needs a build with -race
-	DetectWithin     time.Duration        `toml:"detect"`        // limit until all others have detected a failure
-	SettleWithin     time.Duration        `toml:"settle"`        // longest time after the last fault until all views are right
-	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides; one is then toggled
+	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock relative to real time; needs a -race build
+	DetectWithin     time.Duration        `toml:"detect"`        // time limit for all others to detect a sidecar's failure
+	SettleWithin     time.Duration        `toml:"settle"`        // time limit after the last fault for all views to be right
+	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides by consensus; one is toggled
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
@@ -34,11 +35,11 @@
 	Kind        string                 `toml:"kind"`    // a key of linkFaultHasMagnitude
 	Start       tomlfile.DurationRange `toml:"at"`      // time from the start of the day
 	Duration    tomlfile.DurationRange `toml:"for"`     // time until the fault is over
-	Parts       int                    `toml:"parts"`   // number of random parts; links between parts are hit
+	Parts       int                    `toml:"parts"`   // parts into which sidecars are divided at random; links between parts are hit
 	IsolatesOne bool                   `toml:"alone"`   // whether one sidecar is separated from all others; replaces Parts
 	HasBridge   bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
 	IsOneWay    bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
-	Period      tomlfile.DurationRange `toml:"every"`   // time for which the fault is alternately active and inactive; 0: it stays active
+	Period      tomlfile.DurationRange `toml:"every"`   // length of the alternating active and inactive phases; 0: always active
 	Magnitude   tomlfile.NumberRange   `toml:"size"`    // strength of the fault; see linkFaultHasMagnitude
 }
 
@@ -59,7 +60,7 @@
 	Duration  time.Duration `json:"For"` // time until the fault is over
 	Parts     [][]string    // names of the sidecars in each part; the fault hits links between parts
 	IsOneWay  bool          `json:"OneWay"` // whether only links from a part to later parts are hit
-	Period    time.Duration `json:"Every"`  // time for which the fault is alternately active and inactive; 0: it stays active
+	Period    time.Duration `json:"Every"`  // length of the alternating active and inactive phases; 0: always active
 	Magnitude float64       `json:"Size"`   // strength of the fault; see linkFaultHasMagnitude
 }
 
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -42,7 +42,7 @@
 		fleet, err := status.FetchFleet(member.adminAddr, clusterPollTimeout)
 		if err != nil {
 			if failed := (*net.OpError)(nil); errors.As(err, &failed) && failed.Op != "read" {
-				clear(lastView) // no process listens, and a restarted process has lost its view
+				clear(lastView) // no process accepted the poll; a process that starts later has no view yet
 			}
 			continue
 		}
@@ -64,7 +64,8 @@
 	}
 }
 
-// pollVersion polls the version that a sidecar acts on. It ignores a response if the sidecar was restarted during the poll.
+// pollVersion polls the version of the settings that a sidecar acts on. It ignores a response if the sidecar was restarted during
+// the poll.
 func (c *cluster) pollVersion(name string, member *clusterMember, done <-chan struct{}) {
 	for c.sleep(done, clusterPollInterval) {
 		c.mu.Lock()
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -15,15 +15,15 @@
 
 // ClusterResult holds the verdicts on the cluster and its measured times.
 type ClusterResult struct {
-	Held                      bool                `json:"held"`     // whether no rule was violated
-	Rules                     []ClusterRuleResult `json:"rules"`    // result of each rule
-	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all others had detected a failure
+	Held                      bool                `json:"held"`     // whether no rule of the cluster was violated
+	Rules                     []ClusterRuleResult `json:"rules"`    // the membership rules, then the version rules, if any
+	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all others had detected a sidecar's failure
 	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time after the last fault until all views were right
 	Events                    int                 `json:"events"`   // events in the timeline of the cluster
 
-	VersionReports              int     `json:"acts,omitempty"`            // polls in which a sidecar held a lease on a version
-	Versions                    int     `json:"versions,omitempty"`        // number of versions that sidecars acted on
-	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest certain use of a superseded version
+	VersionReports              int     `json:"acts,omitempty"`            // polls in which a sidecar held a lease on a settings version
+	Versions                    int     `json:"versions,omitempty"`        // number of versions of the settings that sidecars acted on
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest certain use of a superseded settings version
 }
 
 // ClusterRuleResult is the verdict on one rule of a cluster.
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -41,23 +41,23 @@
 	} `toml:"front"`
 	Discovery struct {
 		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // time until sidecars are notified that a node drains or is gone
-		AdditionDelay tomlfile.DurationRange `toml:"add"`    // time until sidecars are notified that a node has started
+		AdditionDelay tomlfile.DurationRange `toml:"add"`    // delay in addition to RemovalDelay or AdditionDelay, drawn for each sidecar and notification
 		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // further delay, drawn for each sidecar and notification
 	} `toml:"roster"`
 	Clients struct {
 		MaxRetries               tomlfile.NumberRange   `toml:"retries"`   // retries that a client sends at most
 		AttemptTimeoutFraction   tomlfile.NumberRange   `toml:"try_share"` // timeout of an attempt, as a fraction of the class's deadline
-		ImmediateRetryFraction   float64                `toml:"at_once"`   // fraction of requests that are retried without a backoff
-		Backoff                  tomlfile.DurationRange `toml:"backoff"`   // delay of all other retries
+		ImmediateRetryFraction   float64                `toml:"at_once"`   // fraction of requests whose client retries at once, without a backoff
+		Backoff                  tomlfile.DurationRange `toml:"backoff"`   // delay before a retry of a client that does not retry at once
 		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`    // fraction of requests whose client honours Retry-After
-		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client leaves early
+		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client disconnects before the response
 		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`      // time after which a client closes a connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
 		MaxAttempts        int           `toml:"attempts"`        // attempts at one request that a sidecar sends at most
 		MaxRetryAfter      time.Duration `toml:"max_retry_after"` // longest Retry-After that a sidecar sends; 0: it sends none
-		Tolerance          time.Duration `toml:"slack"`           // time by which each time limit may be exceeded
-		DrainGrace         time.Duration `toml:"drain_grace"`     // time from a notification of a drain until nothing new may be sent
+		Tolerance          time.Duration `toml:"slack"`           // time by which an event may exceed any time limit of the rules
+		DrainGrace         time.Duration `toml:"drain_grace"`     // time in which attempts may go to a node after it is known to drain
 		ColdOverloadFactor float64       `toml:"fall_multiple"`   // multiple of its capacity at which a warming node collapses
 		ColdOverloadWindow time.Duration `toml:"fall_after"`      // time over which the load of a warming node is averaged
 		DialTimeout        time.Duration `toml:"dial_timeout"`    // time that a sidecar waits for a connection to a node
@@ -67,7 +67,7 @@
 	Tenants []Tenant    `toml:"tenant"`
 	Faults  []FaultSpec `toml:"trouble"`
 
-	Cluster    *ClusterConfig  `toml:"fleet"`        // cluster of the sidecars; nil: they do not know one another
+	Cluster    *ClusterConfig  `toml:"fleet"`        // cluster of the sidecars before the first tier; nil: the sidecars form no cluster
 	LinkFaults []LinkFaultSpec `toml:"link_trouble"` // faults of the links between the sidecars of the cluster
 }
 
@@ -92,19 +92,19 @@
 	Proportion           float64                `toml:"share"` // number of nodes of this kind, relative to the tier's other kinds
 	Cores                int                    `toml:"cores"`
 	Speed                tomlfile.NumberRange   `toml:"speed"`     // speed of a core; work is stated for a core of speed 1
-	Slots                tomlfile.NumberRange   `toml:"slots"`     // requests that run at a time, for each core
-	QueueLimit           tomlfile.NumberRange   `toml:"room"`      // requests that may wait for a slot, for each core
+	Slots                tomlfile.NumberRange   `toml:"slots"`     // requests that a node runs at the same time, for each core of the node
+	QueueLimit           tomlfile.NumberRange   `toml:"room"`      // requests that may wait at a node for a slot, for each core of the node
 	ColdCapacityFraction tomlfile.NumberRange   `toml:"cold_from"` // fraction of its capacity that a node has right after a start
 	WarmUpDuration       tomlfile.DurationRange `toml:"cold_for"`  // time from a start until a node has its full capacity
 }
 
 // OverloadRange holds the ranges from which the fields of a fake.OverloadSpec are drawn.
 type OverloadRange struct {
-	Threshold    tomlfile.NumberRange   `toml:"at"`     // see fake.OverloadSpec.Threshold
-	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which the requests at a node are averaged
+	Threshold    tomlfile.NumberRange   `toml:"at"`     // load beyond the cores, divided by their square root, that slows a node
+	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which a node's load, its requests, is averaged
 	Slowdown     tomlfile.NumberRange   `toml:"slower"` // factor by which an overloaded node is slower
 	RecoverAfter tomlfile.DurationRange `toml:"rest"`   // time that a node must be mostly idle to leave the slow state
-	IdleBelow    tomlfile.NumberRange   `toml:"below"`  // fraction of its cores; a node is mostly idle while fewer are busy
+	IdleBelow    tomlfile.NumberRange   `toml:"below"`  // fraction of a node's cores; the node is mostly idle while a smaller fraction is busy
 	MaxDuration  tomlfile.DurationRange `toml:"most"`   // time after which the slow state ends in any case
 }
 
@@ -112,7 +112,7 @@
 type Class struct {
 	Name             string                 `toml:"name"`
 	Effect           string                 `toml:"effect"` // "safe", "keyed" (it has an idempotency key) or "unsafe"
-	Window           time.Duration          `toml:"window"` // deduplication window of the cells; set for "keyed" only
+	Window           time.Duration          `toml:"window"` // time for which cells drop duplicates of a request; set for "keyed" only
 	Proportion       float64                `toml:"share"`  // number of requests of this class, relative to the other classes
 	Work             tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1, which the tiers divide
 	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems, which the tiers divide
@@ -137,11 +137,11 @@
 	TargetFraction tomlfile.NumberRange   `toml:"share"` // fraction of the nodes or sidecars that the fault hits, at least one of them
 	Magnitude      tomlfile.NumberRange   `toml:"size"`  // strength of the fault, whose unit depends on its kind; see faultKinds
 	Tier           string                 `toml:"tier"`  // name of the tier whose nodes are hit; empty: the first tier
-	Mode           string                 `toml:"how"`   // variant of the kind; see faultModes
+	Mode           string                 `toml:"how"`   // variant of the kind, one of faultModes; empty: the default
 	Downtime       tomlfile.DurationRange `toml:"down"`  // time until a restarted sidecar or a drained node is started again
 }
 
-// faultTraits describes a kind of fault: what it hits, and which optional fields of a FaultSpec it uses.
+// faultTraits says whether a kind of fault hits nodes or sidecars, and whether its FaultSpec has a Magnitude and a Downtime.
 type faultTraits struct{ hitsNodes, hitsSidecars, hasMagnitude, hasDowntime bool }
 
 // faultKinds are the kinds of faults. The comment of each kind says what Magnitude means for it.
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// check checks a kind of node, whose place in the file is at.
+// check checks the fields of a kind of node. at is the kind's place in the file for errors, such as tier[0].kind[1].
 func (k *NodeKind) check(f *tomlfile.File, at string) error {
 	return f.Check(at, []tomlfile.Requirement{
 		tomlfile.Require("name", k.Name != "", "a name"),
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	frontRemovalDelayAfterTerm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections
-	maxDeadlineWait            = 3 * time.Second        // longest time that the platform waits for deadlines before SIGKILL
+	frontRemovalDelayAfterTerm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections to the sidecar
+	maxDeadlineWait            = 3 * time.Second        // longest wait for requests in flight between SIGTERM and SIGKILL
 )
 
-// inject injects one fault when it is due and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
+// inject waits until a fault is due, injects it and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
 func (r *rehearsal) inject(ctx context.Context, start time.Time, fault Fault) {
 	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
 		return
@@ -69,8 +69,9 @@
 	all.Wait()
 }
 
-// injectNodeFault sets a property of the nodes that a fault hits to its magnitude, and to none when the fault is over.
-func (r *rehearsal) injectNodeFault(ctx context.Context, fault Fault, set func(*fake.Node, float64), none float64) {
+// injectNodeFault calls set with the fault's magnitude for each node that the fault hits, and with noFault, the value without a fault,
+// when the fault is over.
+func (r *rehearsal) injectNodeFault(ctx context.Context, fault Fault, set func(*fake.Node, float64), noFault float64) {
 	setAll := func(magnitude float64) {
 		for _, h := range r.targets(fault) {
 			h.mu.Lock()
@@ -80,7 +81,7 @@
 	}
 	setAll(fault.Magnitude)
 	sleep(ctx, fault.Duration)
-	setAll(none)
+	setAll(noFault)
 }
 
 // crashNode kills a node and its sidecar, and starts both again, the node cold.
@@ -130,8 +131,8 @@
 	all.Wait()
 }
 
-// restartSidecars restarts the sidecars that a fault hits, at equal intervals over the fault's duration. Of its state, a sidecar
-// gets back only its last endpoint list.
+// restartSidecars restarts the sidecars that a fault hits, at equal intervals over the fault's duration. A restarted sidecar gets
+// its last endpoint list back, and no other state.
 func (r *rehearsal) restartSidecars(ctx context.Context, fault Fault) {
 	var all sync.WaitGroup
 	for i, name := range fault.Targets {
@@ -153,7 +154,7 @@
 	isPlanned := fault.Mode == "planned"
 	var removal sync.WaitGroup
 	defer removal.Wait()
-	removal.Go(func() { // the front layer opens connections to a dead sidecar until it notices
+	removal.Go(func() { // the front layer opens connections to a dead sidecar until removal
 		if sleep(ctx, r.frontRemovalDelay(p, fault)) {
 			r.frontLayer.Remove(p.name)
 		}
@@ -169,7 +170,7 @@
 	if !sleep(ctx, fault.Downtime) {
 		return
 	}
-	// Recorded before the start, so that all polls of the new process count for its incarnation.
+	// The event is recorded before the start, so that every poll of the new process counts for its incarnation.
 	r.cluster.recordProcessEvent(clusterinvariant.Started, p.name)
 	if err := p.start(); err != nil {
 		r.fail(err)
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -142,19 +142,19 @@
 // faultyBalancer is a balancer that selects endpoints in rotation. It has a fault in its selection, or in how it handles a failed
 // attempt.
 type faultyBalancer struct {
-	balance.Events        // nil: the events without a method below are not used
+	balance.Events        // nil: a call of a method that is not defined below panics
 	fault          string // name of the fault; see runSidecar
 	host           balance.Host
 	ready          map[string]balance.Endpoint // endpoints that accept new requests, by ID
 	endpoints      []string                    // IDs of the ready endpoints, sorted
-	requests       map[string]*pendingRequest  // by ID of the request
-	nextIndex      int                         // number of attempts sent; selects the endpoint of the next attempt
+	requests       map[string]*pendingRequest  // requests without a final response, by ID
+	nextIndex      int                         // number of attempts sent for all requests; selects the endpoint of the next attempt
 }
 
-// pendingRequest is a request without a final response.
+// pendingRequest is a request that has not had its final response yet.
 type pendingRequest struct {
 	balance.Request
-	attempts int // attempts sent
+	attempts int // number of attempts that were sent for the request, at most 3
 }
 
 func (b *faultyBalancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -32,7 +32,7 @@
 
 // buildHosts starts the nodes and the discovery agents, and creates the sidecars without starting them.
 func (r *rehearsal) buildHosts() error {
-	cells := map[[2]int]*fake.Cell{} // by the indices of tier and cell
+	cells := map[[2]int]*fake.Cell{} // cells created so far, by the indices of tier and cell
 	longestWindow := time.Duration(0)
 	for _, c := range r.plan.Classes {
 		longestWindow = max(longestWindow, c.Window)
@@ -119,7 +119,7 @@
 	m := h.member
 	h.mu.Unlock()
 	if err != nil {
-		if !errors.Is(err, fake.ErrCollapsed) { // the port is in use, so the day can't follow its plan
+		if !errors.Is(err, fake.ErrCollapsed) { // another process uses the port, so the run can't follow its plan
 			r.fail(err)
 		}
 		return
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	sampleInterval     = 250 * time.Millisecond // interval of the samples in Result.InFlight, which its readers know
+	sampleInterval     = 250 * time.Millisecond // interval of the samples in Result.InFlight, which readers of result files assume
 	stallCheckInterval = 5 * time.Millisecond   // interval of the timer whose lateness shows stalls of the rehearsal
 )
 
@@ -19,10 +19,10 @@
 	rehearsal *rehearsal
 	startedAt time.Time
 
-	inFlight [][]int // for each sample, the requests in flight at each node of the plan; written by sampleInFlight
+	inFlight [][]int // for each sample, the requests in flight at each node, in the order of the plan; written by sampleInFlight
 
 	timerLateness *schedule.LatencyHistogram // lateness of the timer of stallCheckInterval; written by watchStalls
-	longestStall  time.Duration              // greatest lateness of that timer; written by watchStalls
+	longestStall  time.Duration              // greatest lateness of the timer of stallCheckInterval; written by watchStalls
 }
 
 // sampleInFlight samples the requests in flight at the nodes and reports the progress of the run until done closes.
@@ -57,29 +57,29 @@
 	}
 }
 
-// watchStalls measures how late a timer of the rehearsal fires until done closes. It records each stall that is at least as long as
-// the tolerance of the rules, since a violation near such a stall need not be the sidecar's fault.
+// watchStalls measures how late a timer of the rehearsal's process fires, until done closes. It records each stall that is at least
+// as long as the tolerance of the rules, since a violation near such a stall need not be the sidecar's fault.
 func (m *monitor) watchStalls(done <-chan struct{}) {
-	for last := time.Now(); ; {
+	for lastCheck := time.Now(); ; {
 		select {
 		case <-done:
 			return
 		case <-time.After(stallCheckInterval):
 		}
 		now := time.Now()
-		late := now.Sub(last) - stallCheckInterval
-		last = now
-		m.timerLateness.Record(late)
-		m.longestStall = max(m.longestStall, late)
-		if late >= m.rehearsal.plan.Day.Rules.Tolerance {
-			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, Duration: late})
+		lateness := now.Sub(lastCheck) - stallCheckInterval
+		lastCheck = now
+		m.timerLateness.Record(lateness)
+		m.longestStall = max(m.longestStall, lateness)
+		if lateness >= m.rehearsal.plan.Day.Rules.Tolerance {
+			m.rehearsal.recorder.Add(invariant.Event{Kind: invariant.HarnessStall, Duration: lateness})
 		}
 	}
 }
 
 // resources holds the CPU time that the rehearsal and its sidecars have used, and the rehearsal's peak resident memory.
 type resources struct {
-	own, sidecars time.Duration // CPU time of the rehearsal's process, and of sidecars that have ended
+	own, sidecars time.Duration // CPU time of the rehearsal's process, and of all sidecar processes that have ended
 	ownMB         float64       // peak resident memory of the rehearsal's process
 }
 
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -18,7 +18,7 @@
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
 	tier := day.Tiers[role.tier]
-	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // with clients, and as many with nodes
+	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // limit for client connections, and for node connections
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -59,15 +59,15 @@
 	}
 }
 
-// filled returns a value that fill has set.
+// filled returns a new value that fill has set.
 func filled[T any]() *T {
 	out, next := new(T), 0
 	fill(reflect.ValueOf(out).Elem(), &next)
 	return out
 }
 
-// smallResults returns one result.
-func smallResults() []*Result {
+// singleResult returns a list of a single result, which WriteTable writes in full.
+func singleResult() []*Result {
 	return []*Result{exampleResult(OwnBalancer, 1, 1, 80)}
 }
 
@@ -96,7 +96,7 @@
 	clusterExample.Invariants.Rules[0].Verdict = invariant.Untested
 	for name, write := range map[string]func(io.Writer) error{
 		"result.json":   resultWriter(WriteJSON, []*Result{filled[Result]()}),
-		"one.txt":       resultWriter(WriteTable, smallResults()),
+		"one.txt":       resultWriter(WriteTable, singleResult()),
 		"cluster.txt":   resultWriter(WriteTable, []*Result{clusterExample}),
 		"several.txt":   resultWriter(WriteTable, severalResults()),
 		"plan.json":     planWriter(newTestPlan(t)),
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// TestReportIsCompleteAndLoadsNothing also checks that names are escaped, and that html/template rejected no value (ZgotmplZ).
+// TestReportIsCompleteAndLoadsNothing checks that a report has all its parts, refers to no other resource and escapes names, and
+// that html/template rejected no value (ZgotmplZ).
 func TestReportIsCompleteAndLoadsNothing(t *testing.T) {
 	var b bytes.Buffer
 	results := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 1, 1.3, 60), exampleResult("random", 1, 1.3, 50)}
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -14,13 +14,14 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Plan is everything that is drawn before a day is run. The same day, seed and demand factor give the same plan.
+// Plan holds all random choices of a run, which are drawn before the run starts. The same day, seed and demand factor give the same
+// plan.
 type Plan struct {
 	Day             *Day
 	Seed            uint64
 	DemandFactor    float64 // factor on the demand that the day's file states
-	Capacity        float64 // requests per second that the nodes can serve when warmed up and without faults; retries do not count
-	Rate            float64 // requests per second that are due outside surges; retries do not count
+	Capacity        float64 // requests of clients per second that the nodes can serve when warmed up and without faults; retries do not count
+	Rate            float64 // requests of clients per second that are due outside surges; retries do not count
 	Nodes           []NodePlan
 	SidecarCount    int // number of sidecars before the first tier
 	Classes         []fake.Class
@@ -41,10 +42,10 @@
 // fields in printed plans.
 type Request struct {
 	schedule.Arrival
-	Job               *fake.Job     // work at each tier
-	IdempotencyKey    string        `json:"Key"`     // sent with each attempt
+	Job               *fake.Job     // work of the request at each tier
+	IdempotencyKey    string        `json:"Key"`     // idempotency key that the client sends with each attempt of a keyed class
 	IsOverQuota       bool          `json:"Over"`    // whether the request exceeds its tenant's quota
-	Value             float64       `json:"Worth"`   // value of a response within the latency objective
+	Value             float64       `json:"Worth"`   // value of serving the request within the latency objective
 	MaxRetries        int           `json:"Retries"` // retries that the client sends at most
 	AttemptTimeout    time.Duration `json:"Wait"`    // time after which the client gives up an attempt
 	Backoff           time.Duration // delay before a retry; 0: retries are sent at once
@@ -52,17 +53,17 @@
 	LeaveAfter        time.Duration `json:"HangUp"`  // time after which the client leaves its first attempt; 0: it stays
 }
 
-// The sources of random numbers. Each part of a plan has its own, so that a change to one part does not change the others.
+// The parts of a plan that have a source of random numbers of their own, so that a change to one part does not change the others.
 const (
 	sourceNodes      = iota + 1 // nodes, sidecars, and the means of work and calls
-	sourceArrivals              // arrivals of requests, and the behaviour that all clients have in common
+	sourceArrivals              // nodes, sidecars, and the mean work and calls of requests
 	sourceFaults                // faults of nodes, sidecars, discovery and demand
 	sourceTenants               // quotas and demand of tenants
-	sourceJobs                  // one request, seeded by its arrival: its work and its client's behaviour
+	sourceJobs                  // work and client's behaviour of a single request, whose arrival is the seed
 	sourceLinkFaults            // faults of the links between sidecars
 )
 
-// newRand returns one of the sources of random numbers, started with a seed.
+// newRand returns the source of random numbers of one part of a plan, one of the constants such as sourceNodes, for a seed.
 func newRand(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
 
 // NewPlan draws the plan of a day. An error means that the day has too many requests or calls; it names the day.
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -95,7 +95,7 @@
 	}
 	meanWork /= proportions
 	p.Capacity = math.Inf(1)
-	calls := 1.0 // mean number of calls to the tier for each request of a client
+	calls := 1.0 // mean number of calls to the tier for each request of a client to the first tier
 	for i, tier := range p.Day.Tiers {
 		calls *= p.callsPerRequest[i]
 		capacity := 0.0
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -17,11 +17,12 @@
 	maxCalls = maxEvents / 5
 	// maxWorkFactor bounds one draw of work, as a multiple of the mean, since a lognormal distribution is unbounded.
 	maxWorkFactor = 10
-	// surgeRampFraction is the fraction of a surge's duration over which it rises, and over which it falls.
+	// surgeRampFraction is the fraction of a surge's duration in which demand rises at the surge's start, and in which it falls at
+	// the end.
 	surgeRampFraction = 0.1
 )
 
-// classWork holds the mean work of a request of a class, and its mean wait for other systems.
+// classWork holds the mean work of the requests of a class, and their mean wait for other systems.
 type classWork struct{ work, wait time.Duration }
 
 // drawClassWork draws the mean work and wait of each class.
@@ -59,7 +60,7 @@
 	return tenantWeights
 }
 
-// drawRequests draws all requests of the day. Its error is that of drawArrivals.
+// drawRequests draws all requests of the day. An error means that there are too many requests or calls; see drawArrivals.
 func (p *Plan) drawRequests(work []classWork, tenantWeights []float64) error {
 	rng := newRand(p.Seed, sourceArrivals)
 	arrivals, err := p.drawArrivals(rng, tenantWeights)
@@ -97,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	callsInAllTiers, callsInTier := 0.0, 1.0 // for one request of a client, on average
+	callsInAllTiers, callsInTier := 0.0, 1.0 // mean numbers of calls that a request of a client causes
 	for _, n := range p.callsPerRequest {
 		callsInTier *= n
 		callsInAllTiers += callsInTier
@@ -128,7 +129,7 @@
 	return b
 }
 
-// drawRequest draws a request from a source of random numbers that the arrival seeds. It does not set the value.
+// drawRequest draws a request from a source of random numbers whose seed is the arrival's. It does not set Request.Value.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
 	rng := newRand(a.Seed, sourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
@@ -148,8 +149,8 @@
 // quotaBuckets holds a token bucket for each tenant, with a capacity of one second's quota and at least one request.
 type quotaBuckets struct {
 	quotas    []float64       // quota of each tenant, in requests per second
-	tokens    []float64       // tokens of each tenant at the instant updatedAt; a request within the quota takes one
-	updatedAt []time.Duration // instant at which the tokens of each tenant were last updated
+	tokens    []float64       // tokens that each tenant had when they were last updated; a request within the quota takes one
+	updatedAt []time.Duration // time from the start of the day at which the tokens of each tenant were last updated
 }
 
 // newQuotaBuckets returns full buckets for the quotas of all tenants.
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for i, work := range workByTier {
-		capacity := 0.0 // seconds of work per second
+		capacity := 0.0 // work that the tier does per second, in seconds on a core of speed 1
 		for _, n := range p.Nodes {
 			if n.Spec.Tier == i {
 				capacity += float64(n.Spec.Cores) * n.Spec.Speed
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -5,14 +5,14 @@
 // Result is the outcome of a run. The value of a request is its class's priority weight times its work in seconds; requests beyond
 // a tenant's quota have a lower value. The tags are the documented keys of result files, which partly differ from the names here.
 type Result struct {
-	Format   int     `json:"format"` // version of the format, always 1
+	Format   int     `json:"format"` // version of the format of result files, always 1
 	Day      string  `json:"day"`
 	Balancer string  `json:"balancer"` // OwnBalancer, or the name of a baseline policy
 	Seed     uint64  `json:"seed"`
 	Demand   float64 `json:"demand"` // factor on the demand that the day's file states
 
 	Valid   bool     `json:"valid"`             // whether the measurements say something about the sidecars
-	Invalid []string `json:"invalid,omitempty"` // reasons why the run is not valid
+	Invalid []string `json:"invalid,omitempty"` // reasons why the run is not valid; empty if it is valid
 	Held    bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
 
 	InTimeFraction      float64                `json:"whole"`     // fraction of all value that was served in time
@@ -24,10 +24,10 @@
 	Penalties           Penalties              `json:"prices"`
 
 	Requests                 Counts             `json:"requests"`
-	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // attempts at nodes of the first tier
-	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts at nodes of all tiers
-	ConnectionsPerRequest    float64            `json:"connections_per_request"` // connections opened to nodes
-	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // attempts by clients
+	AttemptsPerRequest       float64            `json:"attempts_per_request"`    // attempts at first-tier nodes per client request
+	CallsPerRequest          float64            `json:"calls_per_request"`       // attempts at nodes of all tiers per client request
+	ConnectionsPerRequest    float64            `json:"connections_per_request"` // connections opened to nodes per client request
+	ClientAttemptsPerRequest float64            `json:"tries_per_request"`       // attempts that clients sent per request
 	Latency                  map[string]Latency `json:"latency"`                 // latency of served requests, by class and for "all"
 
 	Invariants *invariant.Report `json:"referee"`
@@ -48,19 +48,19 @@
 	Fraction float64 `json:"share"`    // InTime divided by Offered, or 1 without requests
 }
 
-// Second holds the value and the latency of the requests that were due in one second of the day.
+// Second holds the value and the latency of the client requests that were due in one second of the day.
 type Second struct {
 	ServedValue
 	P50 float64 `json:"p50_s"` // median latency of the requests that were served, in seconds
-	P99 float64 `json:"p99_s"` // 99th percentile of their latency, in seconds
+	P99 float64 `json:"p99_s"` // 99th percentile of the latency of the requests that were served, in seconds
 }
 
 // Penalties are subtracted from the points of service, which are out of 100.
 type Penalties struct {
-	Connections  float64 `json:"connections"` // 8 points for each connection opened to a node per client request
-	Waste        float64 `json:"waste"`       // 4 points if nodes waste as much work as the clients' requests need
-	LateFailures float64 `json:"late_fails"`  // 3 points if all requests fail after their latency objective
-	Overload     float64 `json:"choked"`      // 6 points if all nodes become slow by overload
+	Connections  float64 `json:"connections"` // 8 points times the connections opened to nodes per client request
+	Waste        float64 `json:"waste"`       // 4 points if nodes waste as much work as the requests need, else in proportion
+	LateFailures float64 `json:"late_fails"`  // 3 points if all requests fail after their latency objective, else in proportion
+	Overload     float64 `json:"choked"`      // 6 points if overload slows all nodes, else in proportion
 }
 
 // Counts are the numbers of client requests by outcome. Retries are not counted.
@@ -69,8 +69,8 @@
 	Served     int `json:"served"`    // requests that were answered with status 200, in time or late
 	Late       int `json:"late"`      // requests that were served after their latency objective
 	Rejected   int `json:"refused"`   // requests whose last attempt was rejected
-	Failed     int `json:"failed"`    // requests whose last response had another status
-	Unanswered int `json:"no_answer"` // requests without a response: the client left, or the sidecar was killed or not reached
+	Failed     int `json:"failed"`    // requests whose last attempt was rejected before it ran
+	Unanswered int `json:"no_answer"` // requests whose last response was neither a success nor a rejection
 }
 
 // Latency is a distribution of latencies. All fields are in seconds.
@@ -82,10 +82,10 @@
 	Max  float64 `json:"most_s"`
 }
 
-// FleetSize is the size of the rehearsed system.
+// FleetSize holds the number of nodes and sidecars of a rehearsal, and the rate of requests.
 type FleetSize struct {
 	Nodes    int     `json:"nodes"`
-	Sidecars int     `json:"sidecars"`       // sidecars before all tiers
+	Sidecars int     `json:"sidecars"`       // number of sidecars in the rehearsal, of all tiers
 	Capacity float64 `json:"capacity_per_s"` // requests per second that the nodes can serve; see Plan.Capacity
 	Rate     float64 `json:"rate_per_s"`     // requests per second that are due outside surges
 }
@@ -100,7 +100,7 @@
 	LongestStall       float64 `json:"worst_stall_s"`       // greatest lateness of a timer in the rehearsal's process
 	CPUSeconds         float64 `json:"cpu_s"`               // CPU time of the rehearsal's process
 	SidecarsCPUSeconds float64 `json:"sidecars_cpu_s"`      // CPU time of all sidecars together
-	MemoryMB           float64 `json:"memory_mb"`           // peak resident memory of the process, over all runs so far
+	MemoryMB           float64 `json:"memory_mb"`           // peak resident memory of the rehearsal's process, earlier runs included
 	SidecarMemoryMB    float64 `json:"sidecar_memory_mb"`   // highest peak of the resident memory of a sidecar
-	DroppedEvents      int     `json:"events_without_room"` // events that the timeline had no capacity for
+	DroppedEvents      int     `json:"events_without_room"` // events that were not recorded since the timeline was full
 }
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -61,7 +61,7 @@
 	return c.end()
 }
 
-// faultChart draws a bar for each fault, one below the other.
+// faultChart draws a bar over the time of each fault, with one line for each fault.
 func faultChart(r *Result) template.HTML {
 	const rowHeight = 20.0
 	c := newChart(chartTop+rowHeight*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
@@ -137,7 +137,7 @@
 	lowest, highest := math.Inf(1), 0.0
 	type point struct{ demand, inTimeFraction float64 }
 	pointsByBalancer := map[string][]point{}
-	var balancers []string // in the order of their first results
+	var balancers []string // names of the balancers, in the order of their first results
 	for _, r := range results {
 		lowest, highest = min(lowest, r.Demand), max(highest, r.Demand)
 		if pointsByBalancer[r.Balancer] == nil {
@@ -150,7 +150,7 @@
 	}
 	c := newChart(220, 1, 1)
 	c.scale("%.2f")
-	isLabelled := map[float64]bool{} // by demand
+	isLabelled := map[float64]bool{} // whether the label of a demand has been drawn
 	xOf := func(demand float64) float64 { return c.x(0.03 + 0.94*(demand-lowest)/(highest-lowest)) }
 	for i, name := range balancers {
 		for _, p := range pointsByBalancer[name] {
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Command           func() *exec.Cmd   // returns a command that runs one sidecar; called for each start
 	UsesOperatorsFile bool               // whether sidecars get "serve --config FILE" with an operators' file; else ROUTER_CONFIG is set
-	LogDir            string             // directory in which the sidecars' logs and configurations stay; empty: they are deleted
+	LogDir            string             // directory in which sidecars' logs and configurations are kept; empty: they are deleted
 	Progress          func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
 }
 
@@ -40,10 +40,10 @@
 	plan       *Plan
 	options    Options
 	ctx        context.Context    // ends with the run, or when the run fails
-	cancel     context.CancelFunc // ends ctx
+	cancel     context.CancelFunc // cancels ctx
 	workDir    string             // directory of the sidecars' configurations and logs
 	recorder   *fake.Recorder     // timeline of events that the invariants are checked on
-	registry   *fake.Registry     // requests that clients and nodes have sent, by ID
+	registry   *fake.Registry     // requests that clients and nodes have sent, by ID; nodes look up the work of a request here
 	frontLayer *fake.FrontLayer   // selects a front sidecar for each connection of a client
 	clients    *fake.Client       // sends the attempts of all clients
 	sequence   atomic.Uint64      // last number that was used in the ID of a request or call
@@ -79,7 +79,7 @@
 		if dir, err = os.MkdirTemp("", "tuliprock-rehearse-"); err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // a file that is left behind affects no result
+		defer func() { _ = os.RemoveAll(dir) }() // the error is ignored, since remaining files affect no result
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	return result, nil
 }
 
-// newRehearsal returns a rehearsal that has not started anything yet.
+// newRehearsal returns a rehearsal that has started no node, agent, sidecar or client.
 func newRehearsal(ctx context.Context, cancel context.CancelFunc, plan *Plan, opt Options, dir string) *rehearsal {
 	r := &rehearsal{
 		plan:           plan,
@@ -169,7 +169,7 @@
 	for _, p := range r.sidecars {
 		stopping.Go(func() {
 			p.stop()
-			_ = p.agent.Close() // the sidecar, its only client, has ended
+			_ = p.agent.Close() // the error is ignored, since the only client of the agent, the sidecar, has ended
 		})
 	}
 	stopping.Wait()
@@ -186,8 +186,8 @@
 	}
 }
 
-// run sends the requests of the plan when they are due, injects its faults, and returns the measured result. The use of resources
-// before the start is subtracted.
+// run sends the requests of the plan when they are due, injects its faults, and returns the measured result. usageBefore is the use
+// of resources before the run, which is subtracted.
 func (r *rehearsal) run(usageBefore resources) (*Result, error) {
 	start := time.Now()
 	dayStart := r.recorder.Now()
@@ -198,7 +198,7 @@
 	monitoring.Go(func() { monitor.watchStalls(done) })
 	endFaults := r.startFaults(start, done)
 	r.sendRequests(start)
-	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, do not wait for responses
+	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, run does not wait for responses
 		for _, p := range r.sidecars {
 			p.stop()
 		}
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -11,7 +11,7 @@
 // of its fields, which are the platform's: a lane is a class, an account a tenant. Fields that end in Us are in microseconds.
 type settings struct {
 	NInstances   int              // number of sidecars that send to the same tier
-	Me           int              // index of this sidecar among them
+	Me           int              // index of this sidecar among the sidecars that send to the same tier
 	Tier         int              // index of the tier that the sidecar sends to
 	Tiers        []string         // names of all tiers
 	Lanes        []classSettings  // classes of requests
@@ -19,28 +19,30 @@
 	Discovery    string           // how the endpoint list is kept up to date, here always "automatic"
 	ResolutionUs int64            // lateness that timers and events may have
 	Permissions  struct {
-		MayCancel, MayProbe, RetryAfter            bool  // whether it may cancel requests, probe nodes and send Retry-After
-		TryLimit                                   int   // attempts at one request
+		MayCancel, MayProbe, RetryAfter            bool  // whether the sidecar may cancel requests, probe nodes and send Retry-After
+		TryLimit                                   int   // attempts at one request that the sidecar may send at most
 		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64 // longest Retry-After, idle timeout and dial timeout of connections to nodes
 	}
-	Report struct{ How string } // how nodes send load reports, here always "silent": they send none
+	Report struct{ How string } // how nodes send load reports; always "silent", which means that they send none
 	Rules  struct {
-		AnswerSlackUs, DrainGraceUs, TipAfterUs, ColdUs int64   // see Day.Rules; ColdUs is the longest warm-up
-		FallMultiple, ColdFrom                          float64 // see Day.Rules; ColdFrom is the smallest capacity after a start
+		// Tolerance, DrainGrace and ColdOverloadWindow of Day.Rules, and the longest warm-up of a node.
+		AnswerSlackUs, DrainGraceUs, TipAfterUs, ColdUs int64
+		// Day.Rules.ColdOverloadFactor, and the smallest fraction of its capacity that a node has after a start.
+		FallMultiple, ColdFrom float64
 	}
 }
 
 // classSettings is a class of requests in the settings object.
 type classSettings struct {
-	Name, Semantics, Group         string  // Semantics is a value of semanticsNames; Group says who drops duplicates together
-	OnTimeUs, DeadlineUs, WindowUs int64   // latency objective, deadline and deduplication window
+	Name, Semantics, Group         string  // Semantics is one of semanticsNames; Group says which nodes drop duplicates together
+	OnTimeUs, DeadlineUs, WindowUs int64   // latency objective, deadline and deduplication window, in microseconds
 	Worth                          float64 // value of a request for each second of its work
 }
 
-// tenantSettings is a tenant in the settings object.
+// tenantSettings is a tenant and its quota in the settings object.
 type tenantSettings struct {
 	Name      string
-	QuotaPerS float64 // requests per second
+	QuotaPerS float64 // quota of the tenant in requests per second
 }
 
 // semanticsNames are the platform's names for the effects of requests.
@@ -76,7 +78,7 @@
 	s.Report.How = "silent"
 	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Tolerance.Microseconds(), rules.DrainGrace.Microseconds()
 	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.ColdOverloadWindow.Microseconds(), rules.ColdOverloadFactor
-	coldCapacityFraction, warmUp := p.coldStart() // the platform states one value for all kinds of nodes
+	coldCapacityFraction, warmUp := p.coldStart() // the settings have one value for all kinds of nodes
 	s.Rules.ColdFrom, s.Rules.ColdUs = coldCapacityFraction, warmUp.Microseconds()
 	return json.Marshal(s)
 }
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second       // time that the platform, too, waits until a sidecar is ready
+	readyTimeout      = 30 * time.Second       // longest time until a started sidecar must be ready; the platform's limit is the same
 	readyPollInterval = 10 * time.Millisecond  // interval between two polls of a starting sidecar's health
-	termGrace         = 700 * time.Millisecond // time after SIGTERM in which new requests must still be answered
-	maxLogTail        = 2000                   // bytes at the end of a sidecar's log in which its last line is looked for
+	termGrace         = 700 * time.Millisecond // time after SIGTERM in which a sidecar must still answer new requests
+	maxLogTail        = 2000                   // number of bytes at the end of a sidecar's log in which lastLogLine looks for the last line
 )
 
 // sidecarProcess is a sidecar that runs as a real process, which can be ended and started again with the same name and address.
@@ -40,12 +40,12 @@
 	env           []string                 // variables that are added to the environment of the rehearsal
 	day           *Day
 	nextSeed      func() uint64         // returns the seed of the next incarnation; called with mu held
-	onCrash       func(*sidecarProcess) // called after an exit that was not requested
+	onCrash       func(*sidecarProcess) // called after the process exited without a signal from the rehearsal
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd     // command of the running process; nil: no process runs
 	exited         chan struct{} // closed after the exit of the running process
-	isExitExpected bool          // whether a signal that ends the running process was sent
+	isExitExpected bool          // whether the rehearsal has sent the running process a signal that ends it
 	peakMemoryMB   float64       // highest peak resident memory of the processes that were ended; 0 if the system does not provide it
 	isStopped      bool          // whether stop was called, after which no process is started
 }
@@ -55,7 +55,7 @@
 func freeLoopbackAddr(i int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, 1+i/200, 1+i%200)
 	listener, err := net.Listen("tcp", host+":0")
-	if err != nil { // the machine has only 127.0.0.1 of the loopback network
+	if err != nil { // the machine has no loopback address but 127.0.0.1
 		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return "", err
 		}
@@ -95,8 +95,8 @@
 	return cmd, os.WriteFile(path, text, 0o600)
 }
 
-// start starts a process. Of the state of the previous process, it gets only the endpoint list of which that was last notified.
-// start does nothing while a process runs or after stop.
+// start starts a process. Of the state of the previous process, the new one gets only the endpoint list of which the previous one
+// was last notified. start does nothing while a process runs or after stop.
 func (p *sidecarProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// awaitExit waits for the exit of a process and records it. An exit that no signal requested is a crash.
+// awaitExit waits for the exit of a process and records it. An exit without a signal from the rehearsal is a crash.
 func (p *sidecarProcess) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
-	_ = cmd.Wait() // the exit status does not matter, only whether the exit was requested
+	_ = cmd.Wait() // the exit status does not matter, only whether the rehearsal caused the exit
 	p.mu.Lock()
 	isCrash := !p.isExitExpected
 	p.cmd = nil
@@ -163,9 +163,9 @@
 	if err != nil {
 		return 0
 	}
-	_, after, _ := strings.Cut(string(text), "VmHWM:")
+	_, afterLabel, _ := strings.Cut(string(text), "VmHWM:")
 	var kb float64
-	if _, err := fmt.Sscan(after, &kb); err != nil {
+	if _, err := fmt.Sscan(afterLabel, &kb); err != nil {
 		return 0
 	}
 	return kb / 1024
@@ -184,7 +184,7 @@
 	p.mu.Unlock()
 	pausedAt := time.Now()
 	sleep(ctx, d)
-	// Recorded before the process can act again.
+	// The event is recorded before SIGCONT, after which the process can cause further events.
 	p.recorder.Add(invariant.Event{Kind: invariant.SidecarResumed, Sidecar: p.name, Duration: time.Since(pausedAt)})
 	select {
 	case <-exited: // the process was killed during the pause
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// OwnBalancer is the name in results of the balancer that this program implements, as opposed to a baseline policy.
+// OwnBalancer is the name by which results refer to the balancer of this program, as opposed to a baseline policy.
 const OwnBalancer = "tuliprock"
 
 // WriteJSON writes results in the documented format of result files.
@@ -181,7 +181,7 @@
 		balancer string
 		demand   float64
 	}
-	var groups []group // in the order of their first results
+	var groups []group // each pair of balancer and demand, in the order of the first results
 	serviceByGroup := map[group][]float64{}
 	for _, r := range results {
 		g := group{r.Balancer, r.Demand}
--- a/internal/testkit/rehearse/testday_test.go
+++ b/internal/testkit/rehearse/testday_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testDayText is a day's file of a small day. Its faults create the occasions on which each invariant can be violated.
+// testDayText is the text of a small day's file. Its faults create occasions on which each invariant can be violated.
 const testDayText = `format = 1
 name = "test"
 seed = 3
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -9,7 +9,8 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// TestHarnessStallsMakeADayInvalid guards against verdicts on the sidecars from a run in which the rehearsal itself was late.
+// TestHarnessStallsMakeADayInvalid guards against verdicts on the sidecars from a run in which the rehearsal's own process was
+// late.
 func TestHarnessStallsMakeADayInvalid(t *testing.T) {
 	r := &rehearsal{plan: newTestPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
