--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -23,18 +23,18 @@
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration // deduplication window of the nodes of a cell, for IdempotencyKeyed classes
+	Window time.Duration // time after a request in which the nodes of a cell drop its duplicates; set for IdempotencyKeyed classes
 }
 
 // Rules holds the limits that a timeline is checked against.
 type Rules struct {
 	Classes               []Class
 	MaxAttempts           int           // attempts allowed for a request; 0: unlimited
-	Tolerance             time.Duration // added to each time limit, for delays in observing an event
+	Tolerance             time.Duration // time by which an event may exceed each time limit, since events are observed late
 	DrainGrace            time.Duration // time after a notification of a draining or gone node in which attempts may still go to it
 	ColdOverloadFactor    float64       // multiple of its present capacity at which a warming node is overloaded
 	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
-	ColdOverloadTolerance float64       // fraction by which that sum may exceed the limit, as arrivals are random
+	ColdOverloadTolerance float64       // fraction by which the work in the window may exceed the limit, as arrivals are random
 	SigtermGrace          time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
 }
 
@@ -52,7 +52,7 @@
 	return c.report
 }
 
-// checker holds what follows from the events applied so far.
+// checker holds the rules and the state of requests, nodes and sidecars after the events applied so far.
 type checker struct {
 	rules        Rules
 	report       *Report
@@ -62,23 +62,23 @@
 	sidecars     map[string]*sidecarState
 }
 
-// requestState holds what is known about a request.
+// requestState holds what the events applied so far say about a request of a client.
 type requestState struct {
-	sent          Event         // the latest RequestSent event of the request
+	sentEvent     Event         // the latest RequestSent event of the request
 	process       *sidecarState // sidecar process to which the request was sent last; nil before RequestSent
-	wasSent       bool          // a RequestSent event has been applied
+	wasSent       bool          // whether a RequestSent event of the request has been applied
 	responseCount int           // complete responses that the client has received
-	hasEnded      bool          // the client has received a response, lost its connection or given up
-	endedAt       time.Duration // instant at which hasEnded became true
+	hasEnded      bool          // whether the client has received a response, lost its connection or given up
+	endedAt       time.Duration // instant at which the client received a response, lost its connection or gave up, if it did
 	attempts      []*attemptState
 }
 
-// attemptState holds what is known about an attempt at a node.
+// attemptState holds what the events applied so far say about an attempt at a node.
 type attemptState struct {
-	received   Event // the AttemptReceived event
-	isRejected bool
-	hasEnded   bool          // the attempt was completed, rejected or aborted, or its node died
-	endedAt    time.Duration // instant at which hasEnded became true
+	receivedEvent Event // AttemptReceived event of the attempt
+	isRejected    bool
+	hasEnded      bool          // whether the attempt was completed, rejected or aborted, or its node died
+	endedAt       time.Duration // instant at which the attempt was completed, rejected or aborted, or its node died
 }
 
 // mayHaveRun reports whether the attempt may have taken effect. Any attempt that a node received completely and did not
@@ -103,7 +103,7 @@
 	case NodeStateNotified:
 		c.applyNotification(e)
 	case NodeStarted:
-		*c.node(e.Node) = nodeState{started: *e, isUp: true, isCold: e.WarmUpDuration > 0}
+		*c.node(e.Node) = nodeState{startEvent: *e, isUp: true, isCold: e.WarmUpDuration > 0}
 	case NodeStopped:
 		c.applyNodeStopped(e)
 	case NodeCollapsed:
@@ -117,22 +117,22 @@
 // node and does not overload a warming node.
 func (c *checker) applyAttemptReceived(e *Event) {
 	request := c.request(e.Request)
-	e.Sidecar = request.sent.Sidecar
+	e.Sidecar = request.sentEvent.Sidecar
 	if !request.wasSent {
 		c.addViolation(ruleNoDoubleEffect, e, "an endpoint got a request that nobody had asked for")
 		return
 	}
 	c.checkDoubleEffect(request, e)
-	request.attempts = append(request.attempts, &attemptState{received: *e})
+	request.attempts = append(request.attempts, &attemptState{receivedEvent: *e})
 	c.checkSentAfterEnd(request, e)
 	c.checkDrain(request.process, e)
 	c.checkColdOverload(request.process, e)
 }
 
-// applyAttemptEnd marks the latest attempt of the request that is in flight at the node as ended.
+// applyAttemptEnd marks the latest attempt of the event's request that is in flight at the event's node as ended.
 func (c *checker) applyAttemptEnd(e *Event) {
 	for _, attempt := range slices.Backward(c.request(e.Request).attempts) {
-		if attempt.received.Node == e.Node && !attempt.hasEnded {
+		if attempt.receivedEvent.Node == e.Node && !attempt.hasEnded {
 			attempt.hasEnded, attempt.endedAt, attempt.isRejected = true, e.At, e.Kind == AttemptRejected
 			return
 		}
@@ -144,7 +144,7 @@
 	c.node(e.Node).isUp = false
 	for _, request := range c.requestOrder {
 		for _, attempt := range request.attempts {
-			if attempt.received.Node == e.Node && !attempt.hasEnded {
+			if attempt.receivedEvent.Node == e.Node && !attempt.hasEnded {
 				attempt.hasEnded, attempt.endedAt = true, e.At
 			}
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-// countOccasion counts an occasion that is reported with a rule but does not test it.
+// countOccasion counts an occasion by name in a rule's result. The occasion does not count as a test of the rule.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
 // countTestedOccasion counts an occasion on which a sidecar could have broken the rule.
@@ -203,7 +203,7 @@
 
 // class returns the class of a request. A class that the rules do not list counts as NonIdempotent.
 func (c *checker) class(request *requestState) Class {
-	if i := request.sent.Class; i >= 0 && i < len(c.rules.Classes) {
+	if i := request.sentEvent.Class; i >= 0 && i < len(c.rules.Classes) {
 		return c.rules.Classes[i]
 	}
 	return Class{Effect: NonIdempotent}
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -10,23 +10,24 @@
 	"pgregory.net/rapid"
 )
 
-// Each rule must have timelines that break it and one that it holds on, and none of them may break another rule.
+// TestEachRuleIsBrokenAndHeldByItsTimelines checks that each rule has timelines that break it and one that it holds on, and
+// that no timeline breaks another rule than its own.
 func TestEachRuleIsBrokenAndHeldByItsTimelines(t *testing.T) {
 	broken, held := map[int]int{}, map[int]int{}
-	for _, c := range cases {
+	for _, c := range timelineCases {
 		t.Run(c.name, func(t *testing.T) {
 			report := Check(rules, slices.Clone(c.events))
 			rule := report.Rules[c.rule-1]
-			if c.broken == "" {
+			if c.wantViolation == "" {
 				held[c.rule]++
 				if rule.Verdict != Held {
 					t.Errorf("rule %d is %s, want held; violations: %+v", c.rule, rule.Verdict, rule.Violations)
 				}
 			} else {
 				broken[c.rule]++
-				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.broken) || report.Held() {
+				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.wantViolation) || report.Held() {
 					t.Errorf("rule %d is %s and the report held %v, want a violation %q; violations: %+v",
-						c.rule, rule.Verdict, report.Held(), c.broken, rule.Violations)
+						c.rule, rule.Verdict, report.Held(), c.wantViolation, rule.Violations)
 				}
 			}
 			for _, other := range report.Rules {
@@ -92,10 +93,10 @@
 	}
 }
 
-// Events of different instants may be recorded in any order.
+// TestVerdictsDoNotDependOnRecordingOrder checks that events of different instants may be recorded in any order.
 func TestVerdictsDoNotDependOnRecordingOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := rapid.SampledFrom(cases).Draw(t, "case")
+		c := rapid.SampledFrom(timelineCases).Draw(t, "case")
 		want := Check(rules, slices.Clone(c.events))
 		order := rapid.Permutation(c.events).Draw(t, "order")
 		slices.SortStableFunc(order, func(a, b Event) int { // events of the same instant keep their order
@@ -128,7 +129,8 @@
 	return true
 }
 
-// Check must not panic on any timeline, and no rule may be held unless an event could have broken it.
+// TestArbitraryTimelineNeverHoldsAnUntestedRule checks that Check does not panic on any timeline, and that no rule is held
+// unless an event could have broken it.
 func TestArbitraryTimelineNeverHoldsAnUntestedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"", "a", "b", "s"})
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// startRounding is the most by which a start time from discovery, which is in whole milliseconds, may precede the true one.
+// startRounding is the largest amount by which a start time from discovery, which is in whole milliseconds, may precede the
+// true start time.
 const startRounding = 2 * time.Millisecond
 
 // minInformedFraction is the fraction of the work on an overloaded warming node that must come from sidecars that were
 // notified of its start for the overload to be a violation. Other sidecars cannot know that the node is warming up.
 const minInformedFraction = 2.0 / 3
 
-// nodeState holds what is known about a node since its latest start.
+// nodeState holds what the events applied so far say about a node since its latest start.
 type nodeState struct {
-	started           Event // the NodeStarted event
+	startEvent        Event // NodeStarted event of the node's latest start
 	isUp              bool
 	isCold            bool          // the node is warming up
-	recentAttempts    []coldAttempt // attempts within the latest ColdOverloadWindow while the node is warming up
-	overloadFound     bool          // an overload since the start was found, so no further one is reported
-	receivedWhileCold bool          // an attempt has reached the node while it was warming up
+	recentAttempts    []coldAttempt // whether the node is warming up
+	overloadFound     bool          // attempts received within the latest ColdOverloadWindow while the node was warming up
+	receivedWhileCold bool          // whether an overload since the latest start was found, so that no further one is reported
 }
 
-// coldAttempt is an attempt at a node that is warming up.
+// whether the node has received an attempt while it was warming up
 type coldAttempt struct {
 	at         time.Duration // arrival of the last byte, since the start of the day
-	work       float64       // seconds on a core of speed 1
-	isInformed bool          // the sidecar had been notified of the node's start
+	work       float64       // work of the attempt, in seconds on a core of speed 1
+	isInformed bool          // whether the sidecar that sent the attempt had been notified of the node's start
 }
 
-// coldBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the given
-// instant: the work that the node could do during the window at its present capacity, times ColdOverloadFactor.
+// coldBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the instant at:
+// the work that the node could do during the window at its present capacity, times ColdOverloadFactor. started is the node's
+// NodeStarted event.
 func coldBudget(rules Rules, started Event, at time.Duration) float64 {
-	warm := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
-	fraction := started.ColdCapacityFraction + (1-started.ColdCapacityFraction)*warm
-	return rules.ColdOverloadFactor * fraction * started.Capacity * rules.ColdOverloadWindow.Seconds()
+	warmUpFraction := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
+	capacityFraction := started.ColdCapacityFraction + (1-started.ColdCapacityFraction)*warmUpFraction
+	return rules.ColdOverloadFactor * capacityFraction * started.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
-// checkColdOverload checks that the work sent to a warming node within the window that ends with an attempt is within the
-// budget. Attempts that the node rejects count too.
+// checkColdOverload checks that the work sent to a warming node is within coldBudget, for the window that ends with the
+// attempt e of a sidecar's process. Attempts that the node rejects count too.
 func (c *checker) checkColdOverload(process *sidecarState, e *Event) {
 	node := c.node(e.Node)
 	if !node.isCold || !node.isUp {
 		return
 	}
-	if e.At >= node.started.At+node.started.WarmUpDuration {
+	if e.At >= node.startEvent.At+node.startEvent.WarmUpDuration {
 		node.isCold, node.recentAttempts = false, nil
 		return
 	}
@@ -52,35 +54,35 @@
 		node.receivedWhileCold = true
 		c.countTestedOccasion(ruleNoColdOverload, "cold starts with work sent")
 	}
-	isInformed := process.knownStarts[e.Node] >= node.started.At-startRounding
+	isInformed := process.knownStarts[e.Node] >= node.startEvent.At-startRounding
 	node.recentAttempts = slices.DeleteFunc(append(node.recentAttempts, coldAttempt{e.At, e.Work, isInformed}),
 		func(s coldAttempt) bool { return s.at <= e.At-c.rules.ColdOverloadWindow })
 	sum, _ := node.recentWork()
-	limit := coldBudget(c.rules, node.started, e.At) * (1 + c.rules.ColdOverloadTolerance)
+	limit := coldBudget(c.rules, node.startEvent, e.At) * (1 + c.rules.ColdOverloadTolerance)
 	if sum <= limit || node.overloadFound {
 		return
 	}
 	node.overloadFound = true
 	if c.causedBySidecars(node) {
 		c.addViolation(ruleNoColdOverload, e, "sent %.2f s of work within %v, %.2f s is the most for one that started %v ago",
-			sum, c.rules.ColdOverloadWindow, limit, (e.At - node.started.At).Round(time.Millisecond))
+			sum, c.rules.ColdOverloadWindow, limit, (e.At - node.startEvent.At).Round(time.Millisecond))
 	}
 }
 
-// recentWork returns the work of the recent attempts in seconds, and how much of it came from sidecars that were notified
-// of the node's start.
-func (n *nodeState) recentWork() (sum, informed float64) {
+// recentWork returns the work of the recent attempts, in seconds, and the part of it that came from sidecars that were
+// notified of the node's start.
+func (n *nodeState) recentWork() (sum, informedWork float64) {
 	for _, s := range n.recentAttempts {
 		sum += s.work
 		if s.isInformed {
-			informed += s.work
+			informedWork += s.work
 		}
 	}
-	return sum, informed
+	return sum, informedWork
 }
 
-// causedBySidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified
-// of its start. If not, it counts the occasion.
+// causedBySidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified of
+// the node's start. If not, it counts the occasion.
 func (c *checker) causedBySidecars(node *nodeState) bool {
 	if sum, informed := node.recentWork(); informed < minInformedFraction*sum {
 		c.countOccasion(ruleNoColdOverload, "pushed by sidecars not yet told of the start")
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// checkDoubleEffect checks that an attempt after the first one cannot repeat the effect of an earlier attempt, and that the
-// request does not have too many attempts.
+// checkDoubleEffect checks that the attempt e cannot repeat the effect of an earlier attempt at the same request, and that
+// the request does not have too many attempts.
 func (c *checker) checkDoubleEffect(request *requestState, e *Event) {
 	if len(request.attempts) == 0 {
 		return
@@ -17,7 +17,7 @@
 		if !earlier.mayHaveRun() {
 			continue
 		}
-		previous := &earlier.received
+		previous := &earlier.receivedEvent
 		switch {
 		case class.Effect == NonIdempotent:
 			c.addViolation(ruleNoDoubleEffect, e, "unsafe work sent again, though the attempt at %s may have run", previous.Node)
@@ -42,24 +42,24 @@
 	}
 }
 
-// checkOverlaps checks that no two attempts of a request were in flight at once. It is called after the last event, when
+// checkOverlaps checks that no two attempts at a request were in flight at once. It must be called after the last event, when
 // the end of each attempt is known.
 func (c *checker) checkOverlaps() {
 	for _, request := range c.requestOrder {
 		for i, attempt := range request.attempts {
 			for _, earlier := range request.attempts[:i] {
-				if !earlier.hasEnded || earlier.endedAt > attempt.received.At+c.rules.Tolerance {
-					e := attempt.received
-					e.Sidecar = request.sent.Sidecar
-					c.addViolation(ruleNoDoubleEffect, &e, "sent while the attempt at %s was out", earlier.received.Node)
+				if !earlier.hasEnded || earlier.endedAt > attempt.receivedEvent.At+c.rules.Tolerance {
+					e := attempt.receivedEvent
+					e.Sidecar = request.sentEvent.Sidecar
+					c.addViolation(ruleNoDoubleEffect, &e, "sent while the attempt at %s was out", earlier.receivedEvent.Node)
 				}
 			}
 		}
 	}
 }
 
-// applyEffectStarted counts the duplicates that nodes dropped: retries of keyed requests whose first attempt had taken
-// effect.
+// applyEffectStarted counts the duplicates that nodes dropped: attempts at requests with an idempotency key of which an
+// earlier attempt had taken effect.
 func (c *checker) applyEffectStarted(e *Event) {
 	if e.Duplicate {
 		c.countOccasion(ruleNoDoubleEffect, "repeats that nodes dropped")
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// notification records that a sidecar's process was notified of a draining or gone node.
+// notification records that a sidecar's process was notified that a node is draining or gone.
 type notification struct {
-	at       time.Duration // instant of the notification
-	state    State         // Draining or Gone
-	isTested bool          // the process has sent an attempt to any node after the grace
+	at       time.Duration // instant of the notification, or the end of a pause of the process in which it was sent
+	state    State         // state of the node in the first notification, Draining or Gone
+	isTested bool          // whether the process has sent an attempt to any node after the grace
 }
 
-// applyNotification records that a sidecar was notified of a node's state. The grace runs from the first notification that
-// the node is draining or gone; a later change from draining to gone does not extend it.
+// applyNotification records that a sidecar was notified of a node's state. The grace begins with the first notification that
+// the node is draining or gone; a later notification that a draining node is gone does not extend it.
 func (c *checker) applyNotification(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
 	if e.State == Ready {
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -10,27 +10,27 @@
 const (
 	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
 	ResponseReceived              // the client has received a complete response; Status and Genuine are set
-	ExtraBytes                    // bytes followed the response on the client's connection
+	ExtraBytes                    // the client received further bytes on its connection after the complete response
 	ConnectionLost                // the client's connection ended before a complete response
 	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
-	ClientLeft                    // the client closed its connection before the response
+	ClientLeft                    // the client closed its connection before it received a response
 	RequestNotWritten             // the client could not write the request completely, so no response is owed
 	AttemptReceived               // Node received the last byte of an attempt; FirstByteAt, Work and Cell are set
-	AttemptRejected               // Node rejected an attempt, which therefore never takes effect
-	EffectStarted                 // Node begins to execute an attempt; Duplicate is set if it dropped a duplicate instead
+	AttemptRejected               // Node rejected an attempt, which never takes effect
+	EffectStarted                 // Node begins to execute an attempt, or drops it as a duplicate if Duplicate is set
 	AttemptCompleted              // Node is about to write the response to an attempt
 	AttemptAborted                // the sidecar closed the connection of an attempt that Node had not answered
 	NodeStateNotified             // discovery notified Sidecar that Node is in State; StartedAt is set if known
 	NodeStarted                   // Node started; Capacity is set, and ColdCapacityFraction and WarmUpDuration if it warms up
-	NodeStopped                   // Node's process died, which ended its requests and reset its connections
+	NodeStopped                   // Node's process died; its requests in flight ended and its connections were reset
 	NodeCollapsed                 // Node collapsed under overload while it was warming up
-	SidecarStarted                // a new process of Sidecar started; it has no notifications of the process before it
+	SidecarStarted                // a new process of Sidecar started; no notification to an earlier process counts for the new one
 	SigtermSent                   // Sidecar's process was sent SIGTERM
 	SidecarKilled                 // Sidecar's process was sent SIGKILL
-	SidecarExited                 // Sidecar's process ended; Crash is set if no signal had asked it to
+	SidecarExited                 // Sidecar's process ended; Crash is set if the harness had sent no signal that ends it
 	SidecarPaused                 // Sidecar's process was suspended by SIGSTOP
 	SidecarResumed                // Sidecar's process runs again after a pause of Duration
-	HarnessStall                  // until this instant the test harness itself was not scheduled for Duration
+	HarnessStall                  // the test harness itself was not scheduled for Duration, until the instant of the event
 )
 
 // State is a node's state as discovery announces it.
@@ -59,22 +59,22 @@
 type Event struct {
 	At                   time.Duration // instant of the event since the start of the day
 	Kind                 Kind
-	Request              string        // ID of the request
+	Request              string        // ID of the request, which is new for each attempt of a client
 	Sidecar              string        // name of the sidecar
 	Node                 string        // ID of the node
-	Class                int           // index of the request's class in Rules.Classes
+	Class                int           // index in Rules.Classes of the request's class
 	Deadline             time.Duration // deadline of the request, since the start of the day
 	FirstByteAt          time.Duration // arrival of the attempt's first byte, since the start of the day
 	Work                 float64       // work of the attempt, in seconds on a core of speed 1
 	Status               int           // HTTP status of the response
-	Genuine              bool          // the response is a rejection or error, or its body was written by a node for this request
-	Duplicate            bool          // the node dropped the attempt as a duplicate
-	Crash                bool          // the sidecar's process ended without a signal from the harness
+	Genuine              bool          // whether the response is a rejection or an error, or a node wrote its body for this request
+	Duplicate            bool          // whether the node dropped the attempt as a duplicate
+	Crash                bool          // whether the sidecar's process ended without a signal from the harness
 	State                State         // state of the node that the sidecar was notified of
-	Cell                 int           // cell of the node
+	Cell                 int           // index of the node's cell
 	Capacity             float64       // seconds of work that the node does per second when it is warm
 	ColdCapacityFraction float64       // fraction of Capacity that the node has right after its start
 	WarmUpDuration       time.Duration // time from the node's start until it has its full Capacity; 0 if it starts warm
-	Duration             time.Duration // length of the pause or of the stall
+	Duration             time.Duration // length of the sidecar's pause or of the harness's stall
 	StartedAt            time.Duration // node's start time as discovery stated it, since the start of the day; 0 if not stated
 }
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The names of occasions that are counted in several places.
+// The names in reports of occasions that several functions count. Result files contain them, so they must not change.
 const (
 	occasionAccepted        = "requests taken"
 	occasionLostWithSidecar = "went under with a sidecar that was ended"
@@ -14,22 +14,22 @@
 )
 
 // applyRequestSent records a request. A client sends the same request a second time if its reused connection ended before a
-// response. The sidecar may close a connection between two requests, but not after it has read a request from it.
+// response. A sidecar may close a connection between two requests, but not after it has sent an attempt at the request.
 func (c *checker) applyRequestSent(e *Event) {
 	request := c.request(e.Request)
 	if request.wasSent {
 		if len(request.attempts) > 0 && !c.mayBeLost(request) {
 			c.addViolation(ruleFinalResponse, e, "its first connection was closed, though an attempt had been made")
 		}
-		request.attempts = nil // attempts by a process that has ended
+		request.attempts = nil // attempts by an earlier process of the sidecar no longer count
 	} else {
 		c.countTestedOccasion(ruleFinalResponse, occasionAccepted)
 	}
-	request.sent, request.wasSent, request.process = *e, true, c.sidecar(e.Sidecar)
+	request.sentEvent, request.wasSent, request.process = *e, true, c.sidecar(e.Sidecar)
 }
 
-// applyRequestNotWritten ends a request that the client could not write completely. It undoes the count of
-// applyRequestSent, since no response is owed.
+// applyRequestNotWritten ends a request that the client could not write completely. The request no longer counts as an
+// accepted one, since the sidecar owes no response.
 func (c *checker) applyRequestNotWritten(e *Event) {
 	request := c.request(e.Request)
 	request.hasEnded, request.endedAt = true, e.At
@@ -38,11 +38,11 @@
 	result.Occasions[occasionAccepted]--
 }
 
-// applyRequestEnd checks on an event that ends a request at its client that the request got exactly one complete response
-// in time.
+// applyRequestEnd applies an event that ends a request at its client, and checks that the request got exactly one complete
+// response in time.
 func (c *checker) applyRequestEnd(e *Event) {
 	request := c.request(e.Request)
-	e.Sidecar = request.sent.Sidecar
+	e.Sidecar = request.sentEvent.Sidecar
 	switch e.Kind {
 	case ResponseReceived:
 		request.responseCount++
@@ -67,7 +67,7 @@
 			c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
 		default:
 			c.addViolation(ruleFinalResponse, e, "no answer %v after its time was up",
-				(e.At - request.sent.Deadline).Round(time.Millisecond))
+				(e.At - request.sentEvent.Deadline).Round(time.Millisecond))
 		}
 	case ClientLeft:
 		c.countOccasion(ruleFinalResponse, "callers that left")
@@ -78,13 +78,13 @@
 }
 
 // checkResponse checks the first response to a request: it must come in time, a served body must be from a node, and a
-// request that is not safe must not be rejected if it may have run. A client may retry a rejected request, and its effect
-// would then come twice.
+// request that is not safe must not be rejected if it may have run. A client may retry a rejected request, whose effect would
+// then come twice.
 func (c *checker) checkResponse(request *requestState, e *Event) {
-	if late := e.At - request.sent.Deadline; late > c.rules.Tolerance && request.sidecarWasPaused() {
+	if lateness := e.At - request.sentEvent.Deadline; lateness > c.rules.Tolerance && request.sidecarWasPaused() {
 		c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
-	} else if late > c.rules.Tolerance {
-		c.addViolation(ruleFinalResponse, e, "answered %v after its time was up", late.Round(time.Millisecond))
+	} else if lateness > c.rules.Tolerance {
+		c.addViolation(ruleFinalResponse, e, "answered %v after its time was up", lateness.Round(time.Millisecond))
 	}
 	switch e.Status {
 	case http.StatusOK:
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// sidecarState holds what is known about the current process of a sidecar. A restart replaces it by an empty one.
+// sidecarState holds what the events applied so far say about the current process of a sidecar. A restart replaces it by an
+// empty one.
 type sidecarState struct {
 	sigtermSent   bool
-	sigtermAt     time.Duration // instant of SIGTERM
+	sigtermAt     time.Duration // instant at which the process was sent SIGTERM; valid if sigtermSent is set
 	sigkillSent   bool
-	isPaused      bool                     // the process is suspended by SIGSTOP
-	resumedAt     time.Duration            // end of the latest pause; 0: never paused
+	isPaused      bool                     // whether the process is suspended by SIGSTOP
+	resumedAt     time.Duration            // end of the process's latest pause; 0: it was never paused
 	notifications map[string]*notification // notifications that a node is draining or gone, by node ID
-	knownStarts   map[string]time.Duration // start time of the node as the process was last notified of it, by node ID
+	knownStarts   map[string]time.Duration // start time of each node in the latest notification that the node is ready, by node ID
 }
 
 func newSidecarState() *sidecarState {
@@ -18,7 +19,7 @@
 }
 
 // applySidecarProcess records a change of a sidecar's process. A crash breaks rule 1, that every accepted request gets a
-// response.
+// final response.
 func (c *checker) applySidecarProcess(e *Event) {
 	switch e.Kind {
 	case SidecarStarted:
@@ -54,11 +55,11 @@
 // sidecarWasPaused reports whether the process that accepted the request was paused at some time since the request was
 // sent. The response may then be late, but there must still be only one, and nothing may take effect twice.
 func (r *requestState) sidecarWasPaused() bool {
-	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.sent.At)
+	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.sentEvent.At)
 }
 
-// mayBeLost reports whether a request may remain without a response: its sidecar was killed without a SIGTERM, or was
-// killed after it had accepted the request later than SIGTERM and its grace.
+// mayBeLost reports whether a request may remain without a response: its sidecar was killed without a SIGTERM, or was killed
+// after SIGTERM and had accepted the request later than SigtermGrace after SIGTERM.
 func (c *checker) mayBeLost(request *requestState) bool {
 	process := request.process
 	switch {
@@ -67,7 +68,7 @@
 	case process.sigkillSent && !process.sigtermSent:
 		return true
 	case process.sigtermSent:
-		return process.sigkillSent && request.sent.At > process.sigtermAt+c.rules.SigtermGrace
+		return process.sigkillSent && request.sentEvent.At > process.sigtermAt+c.rules.SigtermGrace
 	}
 	return false
 }
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -32,14 +32,14 @@
 	Verdict         Verdict        `json:"verdict"`
 	TestedOccasions int            `json:"tests"`     // number of occasions on which the rule could have been broken
 	Occasions       map[string]int `json:"occasions"` // number of occasions by name, including those that do not test the rule
-	Violations      []Violation    `json:"breaches"`  // the first violations, at most maxReportedViolations
-	ViolationCount  int            `json:"broken"`    // number of all violations
+	Violations      []Violation    `json:"breaches"`  // the first maxReportedViolations violations of the rule
+	ViolationCount  int            `json:"broken"`    // number of all violations of the rule, reported or not
 }
 
 // maxReportedViolations bounds the violations listed for a rule, since one cause can break it thousands of times.
 const maxReportedViolations = 100
 
-// The numbers of the rules.
+// The numbers of the rules, from 1, by which reports and result files refer to them.
 const (
 	ruleFinalResponse   = 1 // every accepted request gets exactly one final response before its deadline
 	ruleNoDoubleEffect  = 2 // no request takes effect twice
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -27,7 +27,7 @@
 	nonIdempotentClass
 )
 
-// timeline is a list of events. Its methods append an event and return the longer list.
+// timeline is a list of events. Its methods append events and return the longer list.
 type timeline []Event
 
 // start appends the start of a sidecar.
@@ -55,7 +55,7 @@
 	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, Genuine: true})
 }
 
-// notify appends a notification to the sidecar s of the state of the node a.
+// notify appends a notification of the sidecar s that the node a is in a state.
 func (l timeline) notify(at time.Duration, state State) timeline {
 	return append(l, Event{At: at, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: state})
 }
@@ -63,12 +63,12 @@
 // newTimeline returns a timeline that begins with the start of the sidecar s.
 func newTimeline() timeline { return timeline{}.start(1, "s") }
 
-// cases holds timelines for each rule: one for each fault that the rule guards against, and some that only just keep it.
-var cases = []struct {
-	name   string
-	rule   int    // number of the rule that the timeline tests
-	broken string // part of the expected violation's description; empty: the rule must be held
-	events timeline
+// timelineCases holds timelines for each rule: one for each fault that the rule guards against, and some that only just keep it.
+var timelineCases = []struct {
+	name          string
+	rule          int    // number of the rule that the timeline holds or breaks
+	wantViolation string // part of the expected violation's description; empty: the rule must be held
+	events        timeline
 }{
 	{"response after the deadline", 1, "after its time was up",
 		newTimeline().request(s, "r", readClass).respond(3*s+51*ms, "r", 200)},
