--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -18,19 +18,19 @@
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // StateReady, StateDraining or StateGone
+	State     string  `json:"state"` // state of the node: StateReady, StateDraining or StateGone
 	Weight    float64 `json:"weight"`
 	StartedMs int64   `json:"started_ms"` // time of the node's start in milliseconds since the Unix epoch; 0: not stated
 }
 
 // MemberList is a message from discovery. It holds all members, or only those that have changed.
 type MemberList struct {
-	Version int64    `json:"version"` // increases with each change
-	Full    bool     `json:"full"`    // Servers holds all members; otherwise, those that have changed since an earlier version
+	Version int64    `json:"version"` // version of the list, which increases with each change of a member
+	Full    bool     `json:"full"`    // whether Servers holds all members; otherwise, the changes since an earlier version
 	Servers []Member `json:"servers"`
 }
 
-// The states of a Member on the wire.
+// The values of Member.State in discovery's messages.
 const (
 	StateReady    = "Ready"
 	StateDraining = "Terminating"
@@ -49,8 +49,8 @@
 // version gets the full list.
 const maxChanges = 256
 
-// Agent is a fake of the discovery agent that runs on the machine of a sidecar. It responds at once from the changes that it
-// has, and sends nothing while discovery is down. It is safe for concurrent use. Close ends its goroutines.
+// Agent is a fake of the discovery agent that runs on the machine of a sidecar. It responds at once with the list or the
+// changes that it has, and sends nothing while discovery is down. It is safe for concurrent use. Close ends its goroutines.
 type Agent struct {
 	Sidecar  string // name of the sidecar that the agent serves
 	Addr     string // address that the agent listens on
@@ -58,24 +58,24 @@
 	server   *http.Server
 
 	mu              sync.Mutex
-	version         int64             // version of the latest change
+	version         int64             // version of the endpoint list after the latest change
 	members         map[string]Member // members that are not gone, by ID
 	memberOrder     []string          // IDs of the members in the order of a full list
 	changes         []memberChange    // the latest changes, at most maxChanges, by ascending version
-	notifiedList    MemberList        // full list at the time of the latest message to the sidecar
-	notifiedVersion int64             // highest version written to the sidecar
+	notifiedList    MemberList        // full endpoint list at the time of the latest message to the sidecar
+	notifiedVersion int64             // highest version of the endpoint list that was written to the sidecar
 	changed         chan struct{}     // closed and replaced at each change, and when discovery goes down or comes back
 	isDiscoveryDown bool
-	pendingChanges  []Member // changes that came while discovery was down, in order
+	pendingChanges  []Member // changes announced while discovery was down, in order; applied on its recovery
 }
 
 // memberChange is one change of a member.
 type memberChange struct {
-	version int64  // version of the list that the change led to
-	member  Member // the member after the change
+	version int64  // version of the endpoint list after the change
+	member  Member // the member after the change, in StateGone if it was removed
 }
 
-// NewAgent starts an agent of a sidecar. The list holds its members at version 1.
+// NewAgent starts an agent of a sidecar. list holds the members of version 1 of the agent's endpoint list.
 func NewAgent(sidecar string, list []Member, recorder *Recorder) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	a.notifiedList = a.fullList()
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: messageTimeout}
-	// The error is ignored: Serve returns when Close is called. If it failed earlier, the sidecar would get no responses,
+	// The error is ignored: Serve returns when Close is called. If Serve failed earlier, the sidecar would get no responses,
 	// which tests would notice.
 	go func() { _ = a.server.Serve(listener) }()
 	return a, nil
@@ -128,7 +128,7 @@
 	a.wakeWatches()
 }
 
-// NotifiedList returns the full list as it was at the latest message to the sidecar.
+// NotifiedList returns the full endpoint list as it was at the latest message to the sidecar.
 func (a *Agent) NotifiedList() MemberList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,10 +185,10 @@
 	return list
 }
 
-// changesSince returns the changes after a version. It returns the full list if the agent does not keep all of these changes
-// any more, or if the version is unknown. a.mu must be held.
+// changesSince returns the changes after a version of the endpoint list. It returns the full list if the agent does not keep
+// all of these changes any more, or if the version is unknown. a.mu must be held.
 func (a *Agent) changesSince(version int64) MemberList {
-	oldest := a.version + 1 // version of the oldest change that the agent keeps
+	oldest := a.version + 1 // version of the oldest change in a.changes; if there is none, the next version
 	if len(a.changes) > 0 {
 		oldest = a.changes[0].version
 	}
@@ -204,7 +204,8 @@
 	return list
 }
 
-// NotificationEvent returns the event that a sidecar is notified of a member's state. Its instant is not set.
+// NotificationEvent returns an event that records that a sidecar is notified of a member's state. The event's instant, At, is
+// not set.
 func NotificationEvent(sidecar string, m Member, recorder *Recorder) invariant.Event {
 	e := invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: sidecar, Node: m.ID, State: invariantStates[m.State]}
 	if m.StartedMs > 0 {
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -13,7 +13,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// newTestAgent starts an agent of the sidecar s1 with one member, a.
+// newTestAgent starts an agent of the sidecar s1 with one member, whose ID is a.
 func newTestAgent(t *testing.T) (*Agent, *Recorder) {
 	t.Helper()
 	recorder := NewRecorder(time.Now(), 1000)
@@ -25,8 +25,8 @@
 	return agent, recorder
 }
 
-// get requests the list of members with a query, such as "?watch=1&after=1", and returns the response's body.
-func get(t *testing.T, agent *Agent, query string) *bufio.Reader {
+// getMembers requests the list of members with a query, such as "?watch=1&after=1", and returns the response's body.
+func getMembers(t *testing.T, agent *Agent, query string) *bufio.Reader {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + agent.Addr + "/catalog/members" + query)
@@ -57,10 +57,10 @@
 
 func TestAgentSendsChangesToWatch(t *testing.T) {
 	agent, recorder := newTestAgent(t)
-	if list := readList(t, get(t, agent, "")); !list.Full || list.Version != 1 || len(list.Servers) != 1 || list.Servers[0].ID != "a" {
+	if list := readList(t, getMembers(t, agent, "")); !list.Full || list.Version != 1 || len(list.Servers) != 1 || list.Servers[0].ID != "a" {
 		t.Errorf("full list is %+v, want version 1 with member a only", list)
 	}
-	watch := get(t, agent, "?watch=1&after=1")
+	watch := getMembers(t, agent, "?watch=1&after=1")
 	if list := readList(t, watch); list.Full || len(list.Servers) != 0 {
 		t.Errorf("watch without changes got %+v, want an empty list of changes", list)
 	}
@@ -70,10 +70,10 @@
 	}
 	agent.Update(Member{ID: "a", State: StateGone})
 	readList(t, watch)
-	if list := readList(t, get(t, agent, "?watch=1&after=0")); !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+	if list := readList(t, getMembers(t, agent, "?watch=1&after=0")); !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
 		t.Errorf("watch from a version before the kept changes got %+v, want the full list with b only", list)
 	}
-	if list := readList(t, get(t, agent, "?watch=1&after=2")); list.Full || len(list.Servers) != 1 || list.Servers[0].State != StateGone {
+	if list := readList(t, getMembers(t, agent, "?watch=1&after=2")); list.Full || len(list.Servers) != 1 || list.Servers[0].State != StateGone {
 		t.Errorf("watch resumed at version 2 got %+v, want the change of a to Gone", list)
 	}
 	if list := agent.NotifiedList(); len(list.Servers) != 1 || list.Servers[0].ID != "b" {
@@ -92,7 +92,7 @@
 
 func TestAgentSendsNothingWhileDiscoveryIsDown(t *testing.T) {
 	agent, recorder := newTestAgent(t)
-	watch := get(t, agent, "?watch=1&after=1")
+	watch := getMembers(t, agent, "?watch=1&after=1")
 	readList(t, watch)
 	agent.SetDiscoveryDown(true)
 	agent.Update(Member{ID: "a", State: StateDraining})
@@ -115,7 +115,8 @@
 	}
 }
 
-// A sidecar that does not poll its agent must count as notified, or it could not break the rule on draining nodes.
+// TestUnfetchedChangeCountsAsNotifiedAfterAssumedDelay checks that a sidecar that does not poll its agent counts as notified
+// of a change. Otherwise it could not break the rule on draining nodes.
 func TestUnfetchedChangeCountsAsNotifiedAfterAssumedDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := NewRecorder(time.Now(), 100)
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// heartbeatInterval is the time after which a watch without changes gets an empty line.
+// heartbeatInterval is the time without changes after which an agent writes an empty line to a watch.
 const heartbeatInterval = 2 * time.Second
 
 // ServeHTTP implements http.Handler. It responds with the full list. If the query has the parameter watch, it responds with
@@ -31,8 +31,8 @@
 	a.serveWatch(w, r, after)
 }
 
-// serveWatch writes the changes after a version as they come, and heartbeats in between, until the client closes the
-// connection. It writes the first message at once, even if nothing has changed.
+// serveWatch writes the changes after a version as they come, and heartbeats while there are none, until the client closes
+// the connection. It writes the first message at once, even if nothing has changed.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, after int64) {
 	for isFirst := true; ; isFirst = false {
 		list, ok := a.awaitList(r, func() (MemberList, bool) {
@@ -51,13 +51,13 @@
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
-			_ = http.NewResponseController(w).Flush() // the error is ignored: the next write fails as well
+			_ = http.NewResponseController(w).Flush() // the error is ignored, since the next write fails as well
 		}
 	}
 }
 
-// awaitList waits until discovery is up and poll returns a list, and returns that list. It reports false when the heartbeat
-// is due, and when the request has ended. poll is called with a.mu held.
+// awaitList waits until discovery is up and poll returns a list, and returns that list. It reports false when a heartbeat is
+// due or the request has ended. poll is called with a.mu held.
 func (a *Agent) awaitList(r *http.Request, poll func() (MemberList, bool)) (MemberList, bool) {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -107,8 +107,8 @@
 	return true
 }
 
-// recordWritten updates what the sidecar was notified of after a list was written. If the list is full, it returns the
-// members of the sidecar's previous list that are not in it, in StateGone. a.mu must be held.
+// recordWritten records that a list was written to the sidecar. If the list is full, recordWritten returns the members of the
+// sidecar's previous list that are not in it, in StateGone. a.mu must be held.
 func (a *Agent) recordWritten(list MemberList) (gone []Member) {
 	previous := a.notifiedList
 	a.notifiedVersion = max(a.notifiedVersion, list.Version)
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -18,25 +18,25 @@
 
 // Request is one request that a client sends.
 type Request struct {
-	ID             string                // unique for each request, retries included
+	ID             string                // unique ID of the request; a retry has a new one
 	Class          int                   // index of the request's class in the classes given to NewClient
 	Tenant         string                // value of the header Req-Owner; empty: none
 	IdempotencyKey string                // idempotency key, which is sent if the class is IdempotencyKeyed; empty: none
-	IsRetry        bool                  // the request repeats one that failed; sent as the header Req-Retry
-	CostHint       time.Duration         // the client's estimate of the work, sent as the header Req-Cost; 0: none
-	Job            *Job                  // work that the nodes do for the request
+	IsRetry        bool                  // whether the request repeats one that failed; sent as the header Req-Retry
+	CostHint       time.Duration         // the client's estimate of the request's work, sent as the header Req-Cost; 0: not sent
+	Job            *Job                  // work that the nodes do for the request, including its calls to further tiers
 	Timeout        time.Duration         // time from the call of Do until the deadline
-	LeaveAfter     time.Duration         // time after which the client closes the connection; 0: it waits for the deadline
+	LeaveAfter     time.Duration         // time from the call of Do until the client disconnects; 0: it waits for the deadline
 	Connect        func() (Target, bool) // chooses the sidecar for a new connection; reports false if there is none
 }
 
 // Outcome describes how a request ended for its client.
 type Outcome struct {
-	Status     int           // HTTP status; 0: no complete response
-	IsAccepted bool          // the request was written to a sidecar completely
+	Status     int           // HTTP status of the response; 0: no complete response came
+	IsAccepted bool          // whether the request was written to a sidecar completely
 	RetryAfter time.Duration // value of the response's header Retry-After; 0: none
-	HasDialed  bool          // a connection was opened for the request
-	HasLeft    bool          // the client closed the connection after LeaveAfter
+	HasDialed  bool          // whether a connection was opened for the request
+	HasLeft    bool          // whether the client closed the connection after Request.LeaveAfter
 }
 
 // Client sends requests over connections that it reuses, and records what it observes. It is safe for concurrent use and
@@ -47,13 +47,13 @@
 	recorder           *Recorder
 	tolerance          time.Duration        // time after the deadline within which a response does not count as late
 	maxIdle            int                  // number of idle connections that are kept for reuse
-	connectionLifetime func() time.Duration // draws how long a new connection is used; nil: unlimited
+	connectionLifetime func() time.Duration // draws the time for which a new connection is used; nil: unlimited
 
 	mu   sync.Mutex
 	idle []*clientConn // idle connections in the order of their last use, the latest at the end
 }
 
-// clientConn is one connection of a client.
+// clientConn is a connection of a client to a sidecar.
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
@@ -62,10 +62,10 @@
 }
 
 const (
-	dialTimeout    = 500 * time.Millisecond // short, since the front layer removes a dead sidecar only after seconds
-	extraBytesWait = time.Millisecond       // how long a client waits for surplus bytes after a response
-	// lateAllowance is the time after the deadline and its tolerance at which a client stops waiting for a response. A
-	// response within it is recorded, and the invariant checker reports it as late rather than as missing.
+	dialTimeout    = 500 * time.Millisecond // short, since the front layer selects a dead sidecar until it removes it, seconds later
+	extraBytesWait = time.Millisecond       // time for which a client waits for surplus bytes after a response
+	// lateAllowance is how long after the deadline and the tolerance a client still waits for a response. A response within
+	// this time is recorded, and the invariant checker reports it as late rather than as missing.
 	lateAllowance = 100 * time.Millisecond
 )
 
@@ -78,7 +78,7 @@
 	return &Client{classes: classes, registry: registry, recorder: recorder, tolerance: tolerance, maxIdle: maxIdle}
 }
 
-// SetConnectionLifetime limits how long each new connection is used to a time that draw returns. It must be called before
+// SetConnectionLifetime makes the client use each new connection only for a time that draw returns. It must be called before
 // the first request. draw must be safe for concurrent use.
 func (c *Client) SetConnectionLifetime(draw func() time.Duration) { c.connectionLifetime = draw }
 
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// putIdle keeps a connection for reuse, or closes it if there are enough idle ones.
+// putIdle keeps a connection for reuse, or closes it if maxIdle connections are idle already.
 func (c *Client) putIdle(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,7 @@
 	for isFirst := true; ; isFirst = false {
 		conn := c.takeIdle()
 		if conn != nil && !isFirst {
-			conn.Close() // the request is sent the second time on a new connection only
+			conn.Close() // the second time, the request is sent on a new connection only
 			continue
 		}
 		if conn == nil {
@@ -163,10 +163,11 @@
 }
 
 // exchange sends a request on a connection and reads the response. It reports false if a reused connection ended before any
-// byte of the response: a sidecar may close a connection between requests, so the request may be sent again.
+// byte of the response: a sidecar may close a connection between requests, so the request may be sent again. isNew reports
+// whether the connection was opened for the request.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
-		Deadline: deadline}) // recorded before the write, which causes further events
+		Deadline: deadline}) // the event is recorded before the write, which causes further events
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
@@ -199,7 +200,7 @@
 	return true
 }
 
-// readResponse reads a response whose first byte has come, and keeps the connection if it can be reused.
+// readResponse reads a response whose first byte has come, and keeps the connection for reuse if possible.
 func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, out *Outcome) {
 	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
 	resp, err := http.ReadResponse(conn.reader, nil)
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// A sidecar may close an idle connection at the moment at which the client sends a request on it. The client then sends the
-// request once more on a new connection, but not a third time.
+// TestRequestCrossingAConnectionCloseIsSentOnceMore covers a sidecar that closes an idle connection at the moment at which
+// the client sends a request on it. The client must send the request once more on a new connection, but not a third time.
 func TestRequestCrossingAConnectionCloseIsSentOnceMore(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
 	connect, sidecar := newScriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -14,10 +14,10 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNSFault is a fault that is injected into a fake DNS server.
+// DNSFault is a fault that DNS.SetFault injects into the responses of a DNS server.
 type DNSFault int
 
-// The faults of a DNS server.
+// The faults of a DNS server, of which one is active at a time.
 const (
 	DNSHealthy     DNSFault = iota // no fault
 	DNSSilent                      // queries get no response
@@ -28,7 +28,7 @@
 	DNSEmpty                       // responses have no error code and no records
 )
 
-// DNSRecord is one record of a name. One of Address, Alias and Service is set.
+// DNSRecord is one record of a name. Exactly one of Address, Alias and Service is set.
 type DNSRecord struct {
 	Address  netip.Addr // IP address, for an A or AAAA record
 	Alias    string     // target name of a CNAME record
@@ -50,17 +50,17 @@
 	tcp net.Listener
 
 	mu    sync.Mutex
-	names map[string][]DNSRecord // records by canonicalName
+	names map[string][]DNSRecord // records of each name, by canonicalName
 	fault DNSFault
-	delay time.Duration // wait before each response
+	delay time.Duration // time to wait before each response
 
 	handlers sync.WaitGroup
 	stopped  chan struct{} // closed by Close
 }
 
 const (
-	dnsMinPayload        = 512 // bytes of the longest UDP response to a query that states no payload size
-	dnsMaxAliases        = 8   // number of names in a chain of aliases that are looked up for one response
+	dnsMinPayload        = 512 // largest size in bytes of a UDP response to a query that states no payload size
+	dnsMaxAliases        = 8   // number of names that are looked up for one response, along a chain of aliases
 	dnsPortAttempts      = 20  // attempts to find a port that is free for both UDP and TCP
 	dnsConnectionTimeout = 10 * time.Second
 )
@@ -90,7 +90,7 @@
 // Close ends the server and the queries in flight. It must not be called twice.
 func (d *DNS) Close() {
 	close(d.stopped)
-	_ = d.udp.Close() // the error does not matter: the socket is not used any more
+	_ = d.udp.Close() // the error does not matter, since the socket is not used any more
 	d.tcp.Close()
 	d.handlers.Wait()
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// SetFault injects a fault into all further responses and delays each of them. DNSHealthy ends the fault.
+// SetFault injects a fault into all further responses, and sets a delay before each of them. DNSHealthy ends the fault.
 func (d *DNS) SetFault(fault DNSFault, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +127,7 @@
 		d.Queries.Add(1)
 		d.handlers.Go(func() {
 			if message := d.respond(query, false); message != nil {
-				_, _ = d.udp.WriteTo(message, from) // the error is ignored: a datagram may be lost in any case
+				_, _ = d.udp.WriteTo(message, from) // the error is ignored, since a datagram may be lost in any case
 			}
 		})
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-// respond returns the response to a query after the delay; nil: the query gets no response.
+// respond waits for the delay and returns the encoded response to a query; nil: the query gets no response.
 func (d *DNS) respond(query []byte, isTCP bool) []byte {
 	d.mu.Lock()
 	fault, delay := d.fault, d.delay
@@ -243,8 +243,8 @@
 	return dnsMinPayload
 }
 
-// packResponse encodes a response. If it is longer than limit bytes, it is sent without answers and marked as truncated. nil:
-// the response cannot be encoded.
+// packResponse encodes a response. A response of more than limit bytes is encoded without answers and marked as truncated.
+// nil: the response cannot be encoded.
 func packResponse(response *dnsmessage.Message, limit int) []byte {
 	message, err := response.Pack()
 	if err != nil {
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const maxEchoBody = 64 << 10 // bytes of a request's body
+const maxEchoBody = 64 << 10 // largest size in bytes of a request's body
 
 // EchoHandler returns a handler that responds with a description of the request: its method, URI, body length and headers.
 // Each line begins with the name, or with a header. A body of more than 64 KiB gets status 400. The handler serves as a
@@ -21,7 +21,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		// Write errors are ignored: the client may have closed the connection.
+		// The error is ignored, since the client may have closed the connection.
 		_, _ = fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
 		var names []string
 		for n := range r.Header {
--- a/internal/testkit/fake/frontlayer.go
+++ b/internal/testkit/fake/frontlayer.go
@@ -16,7 +16,7 @@
 	connectionCount int // number of calls of Connect that returned a target; it selects the next target
 }
 
-// Add adds a sidecar. If the sidecar is there already, Add changes its address.
+// Add adds a sidecar. If the sidecar was added before, Add changes its address.
 func (f *FrontLayer) Add(sidecar, addr string) {
 	f.Remove(sidecar)
 	f.mu.Lock()
@@ -24,7 +24,7 @@
 	f.targets = append(f.targets, Target{sidecar, addr})
 }
 
-// Remove removes a sidecar. It does nothing if the sidecar is not there.
+// Remove removes a sidecar. It does nothing if the sidecar was not added.
 func (f *FrontLayer) Remove(sidecar string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -16,7 +16,7 @@
 // NodeSpec describes a node. Work is simulated: a request occupies one of the node's cores for the time that its work
 // takes. The tags are the names of the fields in printed plans.
 type NodeSpec struct {
-	ID                   string // unique name of the node
+	ID                   string // unique ID of the node
 	Zone                 string
 	Kind                 string        // name of the node's kind; nodes of a kind have similar properties
 	Tier                 int           // index of the node's tier; requests enter at tier 0, and each tier calls the next one
@@ -28,7 +28,7 @@
 	ColdCapacityFraction float64       `json:"ColdFrom"`     // fraction of the full speed that the node has right after a cold start
 	WarmUpDuration       time.Duration `json:"ColdFor"`      // time from a cold start in which the speed rises linearly to the full speed
 	ColdOverloadFactor   float64       `json:"FallMultiple"` // multiple of its present capacity at which a warming node collapses; 0: never
-	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // window over which the work sent to a warming node is summed
+	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // length of the window over which the work sent to a warming node is summed
 	HandshakeWork        time.Duration `json:"Handshake"`    // extra work of the first request on a connection, on a core of speed 1
 	IdleTimeout          time.Duration `json:"IdleFor"`      // time after which an idle connection is closed; 0: never
 	MaxConnections       int           `json:"Conns"`        // number of connections beyond which requests on a new one are rejected; 0: unlimited
@@ -49,35 +49,35 @@
 	cell     *Cell
 	registry *Registry
 	recorder *Recorder
-	random   func() float64 // draws a number in [0, 1); safe for concurrent use
+	random   func() float64 // draws a number in [0, 1), evenly distributed; safe for concurrent use
 
-	openedConnections atomic.Int64 // number of connections accepted since the node was made, restarts included
-	wasOverloaded     atomic.Bool  // overload has slowed the node at least once
+	openedConnections atomic.Int64 // number of connections accepted since NewNode, by all incarnations
+	wasOverloaded     atomic.Bool  // whether overload has slowed the node at least once, in any incarnation
 
 	faults nodeFaults
 
 	mu           sync.Mutex
-	incarnation  *incarnation // the running process; nil while the node is down
-	isDraining   bool         // new requests are rejected
-	hasCollapsed bool         // the node collapsed under overload and cannot be started again
+	incarnation  *incarnation // the running process of the node; nil: the node is down
+	isDraining   bool         // whether the node rejects new requests until its next start
+	hasCollapsed bool         // whether the node collapsed under overload, so that it cannot be started again
 }
 
 // incarnation is one process of a node, from its start to its stop.
 type incarnation struct {
 	startedAt    time.Time
-	startOffset  time.Duration // startedAt as the time since the start of the recorder
-	startedCold  bool          // the process started without its caches and so warms up
-	done         chan struct{} // closed by Stop
+	startOffset  time.Duration // startedAt as time since the start of the recorder
+	startedCold  bool          // whether the process started without its caches and so warms up
+	done         chan struct{} // closed by Node.Stop, which ends the process
 	listener     net.Listener
 	slots        *semaphore
 	cores        *semaphore
 	inFlight     atomic.Int64 // number of requests received and not answered yet, without those that the hang fault hit
-	runnable     atomic.Int64 // number of requests that wait for a slot or a core or use a core
-	busyCores    atomic.Int64 // number of cores in use
-	isOverloaded atomic.Bool  // overload slows the process at present
+	runnable     atomic.Int64 // number of requests that wait for a slot, wait for a core or use a core
+	busyCores    atomic.Int64 // number of cores that execute a request
+	isOverloaded atomic.Bool  // whether overload slows the process at present
 
 	mu             sync.Mutex
-	connections    map[net.Conn]bool // open connections
+	connections    map[net.Conn]bool // open connections of the process; all values are true
 	recentColdWork []coldWork        // work received within the latest ColdOverloadWindow during the warm-up
 }
 
@@ -132,7 +132,7 @@
 	if cold {
 		e.ColdCapacityFraction, e.WarmUpDuration = n.ColdCapacityFraction, n.WarmUpDuration
 	}
-	e.At = max(inc.startOffset, 1) // Add would replace 0 by the time of the call
+	e.At = max(inc.startOffset, 1) // Recorder.Add would replace 0 by the time of the call
 	n.recorder.Add(e)
 	go n.acceptConnections(inc)
 	if n.Overload != nil {
@@ -141,7 +141,8 @@
 	return inc.startedAt, nil
 }
 
-// Stop ends the node's process as a crash does: open connections are reset, and new ones are refused.
+// Stop ends the node's process as a crash does: open connections are reset, and new ones are refused. It does nothing while
+// the node is down.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	inc := n.incarnation
@@ -163,7 +164,7 @@
 // resetConnection closes a connection with a TCP reset, as the kernel does when a process dies.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only if the connection is closed already
+		_ = tcp.SetLinger(0) // the error is ignored: SetLinger fails only if the connection is closed already
 	}
 	conn.Close()
 }
@@ -192,7 +193,7 @@
 	return int(n.incarnation.inFlight.Load())
 }
 
-// OpenedConnections returns the number of connections that clients have opened to the node, restarts included.
+// OpenedConnections returns the number of connections that clients have opened to the node, before and after restarts.
 func (n *Node) OpenedConnections() int { return int(n.openedConnections.Load()) }
 
 // WasOverloaded reports whether overload has slowed the node at least once.
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	messageTimeout = 5 * time.Second       // limit for reading the rest of a request, and for writing a response
-	maxBodyBytes   = 64 << 10              // bytes read of a body
-	acceptBackoff  = 10 * time.Millisecond // wait after a failed Accept, which fails at once while the process has no free descriptor
+	messageTimeout = 5 * time.Second       // time limit for reading the rest of a request, and for writing a response
+	maxBodyBytes   = 64 << 10              // number of bytes that are read of a request's body
+	acceptBackoff  = 10 * time.Millisecond // wait after a failed Accept, which fails at once without a free descriptor
 )
 
 // nodeConnection is one connection to a node. The goroutine of the connection reads requests; the goroutine of a request
@@ -23,7 +23,7 @@
 type nodeConnection struct {
 	net.Conn
 	incarnation *incarnation
-	isExcess    bool // the node had MaxConnections other connections when it accepted this one
+	isExcess    bool // whether the node had MaxConnections other connections when it accepted this one
 }
 
 // receivedRequest is a request that a node has read completely.
@@ -31,7 +31,7 @@
 	id                  string        // value of the header Req-Id
 	firstByteAt         time.Duration // arrival of the first byte, since the start of the recorder
 	isFirstOnConnection bool
-	responded           chan bool // receives, after the response, whether the connection stays open
+	responded           chan bool // receives one value after the response was written: whether the connection stays open
 }
 
 // acceptConnections accepts connections until the incarnation ends.
@@ -53,8 +53,8 @@
 	}
 }
 
-// serveConnection reads requests from a connection, one at a time. If the client closes the connection while a request is
-// in flight, it records that the attempt was aborted.
+// serveConnection reads requests from a connection, one at a time. If the client closes the connection while a request is in
+// flight, serveConnection records that the attempt was aborted.
 func (n *Node) serveConnection(c *nodeConnection) {
 	defer func() {
 		c.incarnation.mu.Lock()
@@ -63,7 +63,7 @@
 		c.Close()
 	}()
 	in := bufio.NewReader(c)
-	var current receivedRequest // the request read last; its responded is nil before the first request
+	var current receivedRequest // the latest request; its responded is nil before the first request
 	n.startIdleTimeout(c)
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
--- a/internal/testkit/fake/node_faults.go
+++ b/internal/testkit/fake/node_faults.go
@@ -5,11 +5,12 @@
 	"sync/atomic"
 )
 
-// nodeFaults holds the faults that are injected into a node. Each value is encoded by math.Float64bits; 0: no fault.
+// nodeFaults holds the faults that are injected into a node. Each value is a float64 that math.Float64bits has encoded; 0: no
+// fault.
 type nodeFaults struct {
-	slowdown      atomic.Uint64 // factor by which the cores are slower
-	hangFraction  atomic.Uint64 // fraction of the requests that are never answered
-	resetFraction atomic.Uint64 // fraction of the requests after which the connection is reset
+	slowdown      atomic.Uint64 // factor by which the node's cores are slower
+	hangFraction  atomic.Uint64 // fraction of the requests that the node never answers
+	resetFraction atomic.Uint64 // fraction of the requests after whose execution the node resets the connection
 }
 
 // SetSlowdown makes the node's cores slower by a factor; 1 restores their usual speed.
@@ -29,7 +30,8 @@
 // loadFloat returns a number that was stored by math.Float64bits.
 func loadFloat(bits *atomic.Uint64) float64 { return math.Float64frombits(bits.Load()) }
 
-// drawFault decides at random whether a fault, of which bits holds the fraction, hits a request.
+// drawFault decides at random whether a fault hits a request. bits holds the encoded fraction of the requests that the fault
+// hits.
 func (n *Node) drawFault(bits *atomic.Uint64) bool {
 	fraction := loadFloat(bits)
 	return fraction > 0 && n.random() < fraction
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -14,8 +14,8 @@
 type OverloadSpec struct {
 	Threshold    float64       `json:"At"`     // multiple of the square root of the cores by which the load must exceed the cores
 	AveragedOver time.Duration `json:"Over"`   // time constant of the load's exponential moving average
-	Slowdown     float64       `json:"Slower"` // factor by which an overloaded node is slower
-	RecoverAfter time.Duration `json:"Rest"`   // time that an overloaded node must be mostly idle to recover
+	Slowdown     float64       `json:"Slower"` // factor by which an overloaded node is slower than otherwise
+	RecoverAfter time.Duration `json:"Rest"`   // time for which an overloaded node must be mostly idle to recover
 	IdleBelow    float64       `json:"Below"`  // fraction of the cores in use below which a node counts as mostly idle
 	MaxDuration  time.Duration `json:"Most"`   // time after which an overloaded node recovers in any case
 }
@@ -26,37 +26,38 @@
 
 const (
 	overloadCheckInterval = 100 * time.Millisecond
-	// maxThresholdFraction bounds the overload threshold to this fraction of the requests that a node can hold, its slots and
-	// its queue. A small node could not reach the threshold otherwise.
+	// maxThresholdFraction is the highest overload threshold, as a fraction of the slots and queue places of a node. A small
+	// node could not reach the threshold otherwise.
 	maxThresholdFraction = 0.7
 )
 
 // coldWork is the work of an attempt that a node received while it was warming up.
 type coldWork struct {
 	at   time.Duration // arrival of the attempt, since the start of the recorder
-	work float64       // seconds on a core of speed 1
+	work float64       // work of the attempt, in seconds on a core of speed 1
 }
 
-// warmCapacityFraction returns the fraction of its full capacity that a node has at a time since its start. The fraction
-// rises linearly from initial to 1 during the warm-up.
-func warmCapacityFraction(initial float64, warmUp, since time.Duration) float64 {
-	if warmUp <= 0 || since >= warmUp {
+// warmCapacityFraction returns the fraction of its full capacity that a node has at the time sinceStart after its start. The
+// fraction rises linearly from initial to 1 during the warm-up.
+func warmCapacityFraction(initial float64, warmUp, sinceStart time.Duration) float64 {
+	if warmUp <= 0 || sinceStart >= warmUp {
 		return 1
 	}
-	return initial + (1-initial)*float64(since)/float64(warmUp)
+	return initial + (1-initial)*float64(sinceStart)/float64(warmUp)
 }
 
-// recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node, which collapses if that is
-// too much. It counts attempts that the node rejects too. It does nothing for a node that is not warming up.
+// recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node. The node collapses if its
+// recent work is too much. Attempts that the node rejects count too. recordColdWork does nothing for a node that is not
+// warming up.
 func (n *Node) recordColdWork(inc *incarnation, work float64) {
 	now := n.recorder.Now()
 	if !inc.startedCold || n.ColdOverloadFactor <= 0 || now >= inc.startOffset+n.WarmUpDuration {
 		return
 	}
-	fraction := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
-	capacity := fraction * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
-	sent := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
-	if sent <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
+	capacityFraction := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
+	capacity := capacityFraction * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
+	recentWork := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
+	if recentWork <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
 		return
 	}
 	n.mu.Lock()
@@ -69,7 +70,8 @@
 	}
 }
 
-// addColdWork adds the work of an attempt and returns the seconds of work that arrived within the window.
+// addColdWork adds the work of an attempt to the recent work and returns the seconds of work that arrived within the window,
+// which ends with the attempt.
 func (inc *incarnation) addColdWork(added coldWork, window time.Duration) (sum float64) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -83,11 +85,11 @@
 	return sum
 }
 
-// monitorOverload sets isOverloaded of an incarnation when it becomes overloaded and clears it when it has recovered, once
-// at most. It returns when the incarnation ends.
+// monitorOverload sets isOverloaded of an incarnation when overload begins and clears it when the incarnation has recovered,
+// once at most. It returns when the incarnation ends.
 func (n *Node) monitorOverload(inc *incarnation) {
-	limit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
-	limit = min(limit, maxThresholdFraction*float64(n.Slots+n.QueueLimit))
+	loadLimit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
+	loadLimit = min(loadLimit, maxThresholdFraction*float64(n.Slots+n.QueueLimit))
 	load, idleFor := 0.0, time.Duration(0)
 	var overloadedAt time.Time
 	for hasRecovered := false; sleep(overloadCheckInterval, inc.done); {
@@ -104,7 +106,7 @@
 			}
 		case !hasRecovered:
 			load += (float64(inc.runnable.Load()) - load) * float64(overloadCheckInterval) / float64(n.Overload.AveragedOver)
-			if load > limit {
+			if load > loadLimit {
 				overloadedAt = time.Now()
 				inc.isOverloaded.Store(true)
 				n.wasOverloaded.Store(true)
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// A fake node must collapse under the same load that the invariant checker counts as an overload.
+// TestNodeCollapsesWhenInvariantIsBroken checks that a fake node collapses under the same load that the invariant checker
+// counts as an overload.
 func TestNodeCollapsesWhenInvariantIsBroken(t *testing.T) {
 	rules := invariant.Rules{Classes: []invariant.Class{{Name: "read"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
 		ColdOverloadTolerance: ColdOverloadTolerance}
@@ -35,16 +36,16 @@
 		f.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
 		f.recorder.Add(NotificationEvent("s", m, f.recorder))
-		for range n { // 0.1 s of work each; at 0.3 of one core the node collapses beyond 4 * 0.3 * 3 s = 3.6 s of work and a tenth more
+		for range n { // each request has 0.1 s of work; at 0.3 of one core, the node collapses above 1.1 * 4 * 0.3 * 3 s = 3.96 s of work
 			nc, err := net.Dial("tcp", f.Addr)
 			if err != nil {
-				break // the node has collapsed
+				break // the dial failed since the node has collapsed
 			}
 			defer nc.Close()
 			id := fmt.Sprint("r", f.requestCount+1)
 			f.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: id, Sidecar: "s"})
-			f.write(t, nc, readClass, "", 100*time.Millisecond)
-			testpeer.Eventually(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
+			f.writeRequest(t, nc, readClass, "", 100*time.Millisecond)
+			testpeer.Eventually(t, "the request received", func() bool { return f.countEvents(invariant.AttemptReceived, id) == 1 })
 		}
 		wantCollapse := n == 60
 		if wantCollapse {
@@ -68,14 +69,14 @@
 			RecoverAfter: 200 * time.Millisecond, IdleBelow: 0.5, MaxDuration: time.Minute}
 	})
 	for range 20 {
-		f.write(t, f.dial(t), readClass, "", 30*time.Millisecond)
+		f.writeRequest(t, f.dial(t), readClass, "", 30*time.Millisecond)
 	}
 	testpeer.Eventually(t, "the node overloaded", func() bool { return f.WasOverloaded() })
 	if got := f.coreSpeed(f.incarnation); got != 1.0/3 {
 		t.Errorf("core speed of the overloaded node is %v, want 1/3", got)
 	}
 	testpeer.Eventually(t, "the node recovered", func() bool { return f.coreSpeed(f.incarnation) == 1 })
-	if f.count(invariant.AttemptCompleted, "") != 20 {
+	if f.countEvents(invariant.AttemptCompleted, "") != 20 {
 		t.Error("the node recovered before it had completed all 20 requests")
 	}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -14,11 +14,12 @@
 	Call(class int, key string, job *Job) bool
 }
 
-// duplicateWorkDivisor divides the work of a duplicate, for which a node only looks up its key.
+// duplicateWorkDivisor divides the work of a request to get the work of its duplicate, for which a node only looks up the
+// idempotency key.
 const duplicateWorkDivisor = 20
 
 // recordAttemptReceived records e, an AttemptReceived event, and reports true. If the incarnation has stopped, it reports
-// false without recording: the attempt would remain in flight in the timeline, since NodeStopped was recorded already.
+// false without recording e: NodeStopped was recorded already, so nothing would end the attempt in the timeline.
 func (n *Node) recordAttemptReceived(inc *incarnation, e invariant.Event) bool {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 	n.recordColdWork(c.incarnation, work)
 	if n.drawFault(&n.faults.hangFraction) {
-		return true // the hang fault: no response is ever written
+		return true // the hang fault hits the request: no response is ever written
 	}
 	n.mu.Lock()
 	isRejected := c.isExcess || n.isDraining
@@ -67,8 +68,8 @@
 	return true
 }
 
-// executeOrReject waits for a slot and executes the request. It rejects the request if isRejected is set or the queue for
-// slots is full.
+// executeOrReject waits for a slot and executes the request. It rejects the request instead if isRejected is set or the queue
+// for slots is full.
 func (n *Node) executeOrReject(c *nodeConnection, received receivedRequest, request registeredRequest, isRejected bool) {
 	c.incarnation.runnable.Add(1)
 	hasSlot := !isRejected && c.incarnation.slots.acquire(c.incarnation.done)
@@ -85,7 +86,7 @@
 	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 }
 
-// execute does a request's work and writes the response. It goes on if the client closes the connection, and ends early
+// execute does a request's work and writes the response. It continues if the client closes the connection, and ends early
 // only if the node stops.
 func (n *Node) execute(c *nodeConnection, received receivedRequest, request registeredRequest) {
 	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
@@ -109,7 +110,7 @@
 		isServed = false
 	}
 	isReset := n.drawFault(&n.faults.resetFraction)
-	// Recorded before the response, since the response causes further events.
+	// The event is recorded before the response is written, since the response causes further events.
 	n.recorder.Add(invariant.Event{Kind: invariant.AttemptCompleted, Node: n.ID, Request: received.id})
 	switch {
 	case isReset:
@@ -121,7 +122,8 @@
 	}
 }
 
-// callNextTier makes a request's calls one after another until one fails, and reports whether all were served.
+// callNextTier makes a request's calls to the next tier one after another until one fails, and reports whether all were
+// served.
 func (n *Node) callNextTier(request registeredRequest, calls []*Job) bool {
 	if n.NextTier == nil {
 		return true
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -35,10 +35,11 @@
 	*Node
 	registry     *Registry
 	recorder     *Recorder
-	requestCount int // number of requests that write has sent
+	requestCount int // number of requests that writeRequest has sent
 }
 
-// newNodeFixture starts a node with one core, one slot and one place in the queue. change, if not nil, changes that.
+// newNodeFixture starts a node with one core, one slot and one place in the queue. change modifies the node's spec before the
+// start; nil: no change.
 func newNodeFixture(t *testing.T, change func(*NodeSpec)) *nodeFixture {
 	t.Helper()
 	spec := NodeSpec{ID: "n1", Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}
@@ -54,8 +55,8 @@
 	return f
 }
 
-// write registers a request with an amount of work, sends it on a connection and returns its ID.
-func (f *nodeFixture) write(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
+// writeRequest registers a request with an amount of work, sends it on a connection and returns its ID.
+func (f *nodeFixture) writeRequest(t *testing.T, nc net.Conn, class int, key string, work time.Duration) (id string) {
 	t.Helper()
 	f.requestCount++
 	id = fmt.Sprint("r", f.requestCount)
@@ -90,8 +91,9 @@
 	return resp.StatusCode, resp.Header.Get("Srv-Declined") == "1", string(text)
 }
 
-// count returns the number of recorded events of a kind for a request; an empty ID stands for all requests.
-func (f *nodeFixture) count(kind invariant.Kind, id string) (n int) {
+// countEvents returns the number of recorded events of a kind for the request with the given ID; an empty ID stands for all
+// requests.
+func (f *nodeFixture) countEvents(kind invariant.Kind, id string) (n int) {
 	events, _ := f.recorder.Events()
 	for _, e := range events {
 		if e.Kind == kind && (id == "" || e.Request == id) {
@@ -105,12 +107,12 @@
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
 	for range 3 {
-		id := f.write(t, nc, readClass, "", time.Millisecond)
+		id := f.writeRequest(t, nc, readClass, "", time.Millisecond)
 		if status, _, body := readResponse(t, nc); status != 200 || body != id+" n1\n" {
 			t.Errorf("status %d and body %q, want 200 and the ID of the request with that of the node", status, body)
 		}
-		if f.count(invariant.AttemptReceived, id) != 1 || f.count(invariant.EffectStarted, id) != 1 || f.count(invariant.AttemptCompleted, id) != 1 ||
-			f.count(invariant.AttemptAborted, id) != 0 {
+		if f.countEvents(invariant.AttemptReceived, id) != 1 || f.countEvents(invariant.EffectStarted, id) != 1 || f.countEvents(invariant.AttemptCompleted, id) != 1 ||
+			f.countEvents(invariant.AttemptAborted, id) != 0 {
 			t.Error("the timeline does not have one received, started and completed attempt for the request, without an abort")
 		}
 	}
@@ -118,20 +120,20 @@
 		t.Errorf("%d connections were opened, want 1", f.OpenedConnections())
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: unknown\r\n\r\n")
-	if status, _, _ := readResponse(t, nc); status != 400 || f.count(invariant.AttemptReceived, "unknown") != 1 {
+	if status, _, _ := readResponse(t, nc); status != 400 || f.countEvents(invariant.AttemptReceived, "unknown") != 1 {
 		t.Errorf("request with an unknown ID got status %d, want 400 and one received attempt", status)
 	}
 }
 
 func TestNodeWithoutFreeSlotRejects(t *testing.T) {
-	f := newNodeFixture(t, nil) // one request gets the slot and one waits for it
+	f := newNodeFixture(t, nil) // the first request gets the only slot, the second waits for it
 	var connections []net.Conn
 	for range 2 {
 		nc := f.dial(t)
 		connections = append(connections, nc)
-		n := f.count(invariant.AttemptReceived, "")
-		f.write(t, nc, readClass, "", 300*time.Millisecond)
-		testpeer.Eventually(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, "") > n })
+		n := f.countEvents(invariant.AttemptReceived, "")
+		f.writeRequest(t, nc, readClass, "", 300*time.Millisecond)
+		testpeer.Eventually(t, "the request received", func() bool { return f.countEvents(invariant.AttemptReceived, "") > n })
 		testpeer.Eventually(t, "the request in flight", func() bool { return f.InFlight() > n })
 	}
 	third := f.dial(t)
@@ -142,9 +144,9 @@
 		defer f.incarnation.slots.mu.Unlock()
 		return len(f.incarnation.slots.waiters) == 1
 	})
-	id := f.write(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := readResponse(t, third); status != 503 || !rejected || f.count(invariant.AttemptRejected, id) != 1 ||
-		f.count(invariant.EffectStarted, id) != 0 {
+	id := f.writeRequest(t, third, readClass, "", time.Millisecond)
+	if status, rejected, _ := readResponse(t, third); status != 503 || !rejected || f.countEvents(invariant.AttemptRejected, id) != 1 ||
+		f.countEvents(invariant.EffectStarted, id) != 0 {
 		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, rejected)
 	}
 	for _, nc := range connections {
@@ -157,10 +159,10 @@
 func TestDrainingNodeFinishesRequestsAndRejectsNewOnes(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
 	first, second := f.dial(t), f.dial(t)
-	id := f.write(t, first, readClass, "", 50*time.Millisecond)
-	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	id := f.writeRequest(t, first, readClass, "", 50*time.Millisecond)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.countEvents(invariant.EffectStarted, id) == 1 })
 	f.Drain()
-	f.write(t, second, readClass, "", time.Millisecond)
+	f.writeRequest(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
 		t.Errorf("new request got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
@@ -172,10 +174,10 @@
 func TestRequestsOnExcessConnectionsAreRejected(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
 	first := f.dial(t)
-	f.write(t, first, readClass, "", time.Millisecond)
+	f.writeRequest(t, first, readClass, "", time.Millisecond)
 	readResponse(t, first)
 	second := f.dial(t)
-	f.write(t, second, readClass, "", time.Millisecond)
+	f.writeRequest(t, second, readClass, "", time.Millisecond)
 	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
 		t.Errorf("request on the second connection got status %d, rejected %v, want a rejection with 503", status, rejected)
 	}
@@ -187,14 +189,14 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
 	nc := f.dial(t)
-	f.write(t, nc, readClass, "", 60*time.Millisecond) // longer than the idle timeout, which must not run while a request is in flight
+	f.writeRequest(t, nc, readClass, "", 60*time.Millisecond) // longer than the idle timeout, which must not run during a request
 	if status, _, _ := readResponse(t, nc); status != 200 {
 		t.Errorf("request in flight for longer than the idle timeout got status %d, want 200", status)
 	}
 	if rest, err := io.ReadAll(nc); err != nil || len(rest) > 0 {
 		t.Errorf("read %q and error %v on the idle connection, want the end of the connection", rest, err)
 	}
-	if f.count(invariant.AttemptAborted, "") != 0 {
+	if f.countEvents(invariant.AttemptAborted, "") != 0 {
 		t.Error("the close by the node is recorded as an abort by the client")
 	}
 }
@@ -218,7 +220,7 @@
 		key        string
 		duplicates int
 	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
-		id := f.write(t, nc, row.class, row.key, time.Millisecond)
+		id := f.writeRequest(t, nc, row.class, row.key, time.Millisecond)
 		readResponse(t, nc)
 		if effects, duplicates := countStarts(id); duplicates != row.duplicates || effects != 1-row.duplicates {
 			t.Errorf("request %d: %d effects and %d duplicates, want %d and %d", i, effects, duplicates, 1-row.duplicates, row.duplicates)
@@ -248,37 +250,37 @@
 func TestClientDepartureIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
-	id := f.write(t, nc, readClass, "", 50*time.Millisecond)
-	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, id) == 1 })
+	id := f.writeRequest(t, nc, readClass, "", 50*time.Millisecond)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.countEvents(invariant.EffectStarted, id) == 1 })
 	nc.Close()
-	testpeer.Eventually(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
-	testpeer.Eventually(t, "the request completed", func() bool { return f.count(invariant.AttemptCompleted, id) == 1 })
+	testpeer.Eventually(t, "the abort recorded", func() bool { return f.countEvents(invariant.AttemptAborted, id) == 1 })
+	testpeer.Eventually(t, "the request completed", func() bool { return f.countEvents(invariant.AttemptCompleted, id) == 1 })
 }
 
 func TestNodeFaultsHangResetAndSlow(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	f.SetHangFraction(1)
 	nc := f.dial(t)
-	id := f.write(t, nc, readClass, "", time.Millisecond)
-	testpeer.Eventually(t, "the request received", func() bool { return f.count(invariant.AttemptReceived, id) == 1 })
+	id := f.writeRequest(t, nc, readClass, "", time.Millisecond)
+	testpeer.Eventually(t, "the request received", func() bool { return f.countEvents(invariant.AttemptReceived, id) == 1 })
 	nc.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 0 {
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.countEvents(invariant.EffectStarted, id) != 0 {
 		t.Errorf("read error is %v with the hang fault, want one, and no effect started", err)
 	}
 	nc.Close()
-	testpeer.Eventually(t, "the abort recorded", func() bool { return f.count(invariant.AttemptAborted, id) == 1 })
+	testpeer.Eventually(t, "the abort recorded", func() bool { return f.countEvents(invariant.AttemptAborted, id) == 1 })
 	f.SetHangFraction(0)
 	f.SetResetFraction(1)
 	nc = f.dial(t)
-	id = f.write(t, nc, readClass, "", time.Millisecond)
-	if _, err := nc.Read(make([]byte, 1)); err == nil || f.count(invariant.EffectStarted, id) != 1 {
+	id = f.writeRequest(t, nc, readClass, "", time.Millisecond)
+	if _, err := nc.Read(make([]byte, 1)); err == nil || f.countEvents(invariant.EffectStarted, id) != 1 {
 		t.Errorf("read error is %v with the reset fault, want one after the effect started", err)
 	}
 	f.SetResetFraction(0)
 	f.SetSlowdown(4)
 	nc = f.dial(t)
 	startedAt := time.Now()
-	f.write(t, nc, readClass, "", 50*time.Millisecond)
+	f.writeRequest(t, nc, readClass, "", 50*time.Millisecond)
 	if status, _, _ := readResponse(t, nc); status != 200 || time.Since(startedAt) < 200*time.Millisecond {
 		t.Errorf("status %d after %v for 50ms of work slowed by 4, want 200 after at least 200ms", status, time.Since(startedAt))
 	}
@@ -287,8 +289,8 @@
 func TestCrashResetsConnectionsAndRestartKeepsTheAddress(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
-	f.write(t, nc, readClass, "", time.Minute)
-	testpeer.Eventually(t, "the effect started", func() bool { return f.count(invariant.EffectStarted, "") == 1 })
+	f.writeRequest(t, nc, readClass, "", time.Minute)
+	testpeer.Eventually(t, "the effect started", func() bool { return f.countEvents(invariant.EffectStarted, "") == 1 })
 	addr := f.Addr
 	f.Stop()
 	if _, err := nc.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") {
@@ -303,8 +305,8 @@
 	}
 }
 
-// A request that the node reads from its buffer after it has stopped must not be recorded. It would remain in flight in the
-// timeline, and the next attempt would look like a concurrent one.
+// TestRequestUnreadAtStopIsNotRecorded guards against an event for a request that the node reads from its buffer after it has
+// stopped. The attempt would remain in flight in the timeline, and the next attempt would look like a concurrent one.
 func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
@@ -314,7 +316,7 @@
 	f.registry.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	f.Stop()
 	received := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
-	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.count(invariant.AttemptReceived, "") != 0 {
+	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.countEvents(invariant.AttemptReceived, "") != 0 {
 		t.Error("a request read after the stop was handled or recorded")
 	}
 }
--- a/internal/testkit/fake/plan_format_test.go
+++ b/internal/testkit/fake/plan_format_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Other tools read printed plans, so the names of the fields of nodes and jobs in them must not change with the Go names.
+// TestNodeSpecAndJobKeepFieldNamesInPrintedPlans guards against a Go rename that changes the names of a node's or job's
+// fields in printed plans, which other tools read.
 func TestNodeSpecAndJobKeepFieldNamesInPrintedPlans(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/testkit/fake/recorder.go
+++ b/internal/testkit/fake/recorder.go
@@ -10,11 +10,11 @@
 // Recorder records the events of a simulated day as a timeline. It is safe for concurrent use.
 type Recorder struct {
 	start     time.Time
-	maxEvents int // number of events that are kept; further ones are dropped
+	maxEvents int // number of events that the recorder keeps; further ones are dropped
 
 	mu      sync.Mutex
 	events  []invariant.Event
-	dropped int // number of events that were not kept
+	dropped int // number of events that were dropped since the recorder was full or Take had ended the recording
 }
 
 // NewRecorder returns a recorder of a timeline that begins at start. It keeps at most maxEvents events and only counts
@@ -26,11 +26,11 @@
 // Now returns the time since the start of the timeline, by the monotonic clock.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// Add records an event. If e.At is 0, it is set to the present instant.
+// Add records an event. If e.At is 0, Add sets it to the present time since the start of the timeline.
 func (r *Recorder) Add(e invariant.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.At == 0 { // read under the lock, so that events are in the order of their instants
+	if e.At == 0 { // the clock is read under the lock, so that events are in the order of their instants
 		e.At = r.Now()
 	}
 	if len(r.events) >= r.maxEvents {
@@ -40,7 +40,7 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns the events so far and the number of dropped events. The slice must not be written to.
+// Events returns the events recorded so far and the number of dropped events. The slice must not be written to.
 func (r *Recorder) Events() (events []invariant.Event, dropped int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testkit/fake/registry.go
+++ b/internal/testkit/fake/registry.go
@@ -11,7 +11,7 @@
 type Class struct {
 	Name     string
 	Effect   invariant.Effect
-	Window   time.Duration // deduplication window of the nodes of a cell, for IdempotencyKeyed classes
+	Window   time.Duration // time after a request in which the nodes of a cell drop its duplicates; set for IdempotencyKeyed classes
 	Deadline time.Duration // time from the start of a request until its response is due
 }
 
@@ -20,7 +20,7 @@
 type Job struct {
 	Work  time.Duration // work on the node, as time on a core of speed 1
 	Wait  time.Duration // time in which the request waits for other systems and occupies a slot but no core
-	Calls []*Job        // work of the calls to the next tier
+	Calls []*Job        // work of each call to the next tier, in the order of the calls
 }
 
 // TotalWork returns the work of the job and of all its direct and indirect calls, as time on a core of speed 1.
@@ -34,7 +34,7 @@
 
 // registeredRequest holds the properties of a sent request that nodes need to execute it.
 type registeredRequest struct {
-	job   *Job   // work of the request
+	job   *Job   // work that the nodes do for the request
 	class int    // index of the request's class
 	key   string // idempotency key; empty: none
 }
--- a/internal/testkit/fake/semaphore.go
+++ b/internal/testkit/fake/semaphore.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// semaphore grants a number of slots to goroutines in the order in which they ask. The queue of waiting goroutines is
-// bounded.
+// semaphore grants a number of slots to goroutines in the order in which they call acquire. The number of waiting goroutines
+// is bounded.
 type semaphore struct {
 	mu         sync.Mutex
 	free       int             // number of free slots
-	maxWaiting int             // number of goroutines that may wait
-	waiters    []chan struct{} // one channel for each waiting goroutine, in order; closed to grant it a slot
+	maxWaiting int             // largest number of goroutines that may wait for a slot
+	waiters    []chan struct{} // one channel for each waiting goroutine, in the order of their calls; closed to grant a slot
 }
 
-// acquire waits for a slot and reports whether it got one. It returns false at once if the queue is full, and when done is
-// closed first.
+// acquire waits for a slot and reports whether it got one. It returns false at once if maxWaiting goroutines wait already,
+// and when done closes before a slot is granted.
 func (s *semaphore) acquire(done <-chan struct{}) bool {
 	s.mu.Lock()
 	if s.free > 0 {
@@ -33,12 +33,12 @@
 	select {
 	case <-granted:
 		return true
-	case <-done: // all users of the semaphore end with done, so a slot granted meanwhile need not be released
+	case <-done: // all users of the semaphore end with done, so a slot granted at the same time need not be released
 		return false
 	}
 }
 
-// release passes a slot to the goroutine that has waited longest, or frees it if none waits.
+// release passes the caller's slot to the goroutine that has waited longest, or frees the slot if none waits.
 func (s *semaphore) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/fake/semaphore_test.go
+++ b/internal/testkit/fake/semaphore_test.go
@@ -34,7 +34,7 @@
 					granted <- i
 				}
 			})
-			for mustWait { // until the goroutine is in the queue, so that the order of the queue is known
+			for mustWait { // waits until the goroutine is in the queue, so that the order of the queue is known
 				s.mu.Lock()
 				isQueued := len(s.waiters) > waitersBefore
 				s.mu.Unlock()
