--- a/deploy/rehearsals/rehearsals.go
+++ b/deploy/rehearsals/rehearsals.go
@@ -1,5 +1,5 @@
-// Package rehearsals embeds the files of the days that ship with the program. A day is a scenario of load and faults that
-// "tuliprock rehearse" runs.
+// Package rehearsals embeds day files into the program. A day file describes a day, a scenario of load and faults that
+// "tuliprock rehearse" simulates. The name of a day is the name of its file without ".toml".
 package rehearsals
 
 import (
@@ -12,19 +12,19 @@
 //go:embed *.toml
 var files embed.FS
 
-// Default is the name of the day that is run if none is given.
+// Default is the name of the day that "tuliprock rehearse" simulates if the command names none.
 const Default = "mini"
 
-// Text returns the contents of the file of a day that ships, and whether there is a day of this name.
+// Text returns the contents of an embedded day file, and whether there is a day of this name.
 func Text(name string) ([]byte, bool) {
 	text, err := files.ReadFile(name + ".toml")
 	return text, err == nil
 }
 
-// Names returns the names of the days that ship, sorted.
+// Names returns the names of all embedded days, sorted.
 func Names() []string {
 	var names []string
-	entries, _ := fs.ReadDir(files, ".") // reading the root of embedded files does not fail
+	entries, _ := fs.ReadDir(files, ".") // ReadDir does not fail for the root of embedded files
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
 	}
