--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -32,8 +32,8 @@
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
 type LinkFaultSpec struct {
-	Kind        string                 `toml:"kind"`    // a key of linkFaultHasMagnitude
-	Start       tomlfile.DurationRange `toml:"at"`      // time from the start of the day
+	Kind        string                 `toml:"kind"`    // kind of the fault, a key of linkFaultHasMagnitude
+	Start       tomlfile.DurationRange `toml:"at"`      // start of the fault, as time from the start of the day
 	Duration    tomlfile.DurationRange `toml:"for"`     // time until the fault is over
 	Parts       int                    `toml:"parts"`   // parts into which sidecars are divided at random; links between parts are hit
 	IsolatesOne bool                   `toml:"alone"`   // whether one sidecar is separated from all others; replaces Parts
@@ -55,8 +55,8 @@
 
 // LinkFault is a link fault of the plan, drawn from its LinkFaultSpec. The tags are the names of the fields in printed plans.
 type LinkFault struct {
-	Kind      string        // a key of linkFaultHasMagnitude
-	Start     time.Duration `json:"At"`  // time from the start of the day
+	Kind      string        // kind of the fault, a key of linkFaultHasMagnitude
+	Start     time.Duration `json:"At"`  // start of the fault, as time from the start of the day
 	Duration  time.Duration `json:"For"` // time until the fault is over
 	Parts     [][]string    // names of the sidecars in each part; the fault hits links between parts
 	IsOneWay  bool          `json:"OneWay"` // whether only links from a part to later parts are hit
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -27,7 +27,7 @@
 	Load struct {
 		Utilization          tomlfile.NumberRange `toml:"use"`              // demand, as a fraction of the capacity of the nodes
 		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the value of requests beyond their tenant's quota
-		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // sum of all tenants' quotas, as a fraction of the capacity
+		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // sum of all tenants' quotas, as a fraction of the nodes' capacity
 		HasCostHints         bool                 `toml:"hints"`            // whether clients send an estimate of the work of a request
 	} `toml:"load"`
 	Sidecars struct {
@@ -131,8 +131,8 @@
 
 // FaultSpec is a fault as a day's file describes it.
 type FaultSpec struct {
-	Kind           string                 `toml:"kind"`  // a key of faultKinds
-	Start          tomlfile.DurationRange `toml:"at"`    // time from the start of the day
+	Kind           string                 `toml:"kind"`  // kind of the fault, a key of faultKinds
+	Start          tomlfile.DurationRange `toml:"at"`    // start of the fault, as time from the start of the day
 	Duration       tomlfile.DurationRange `toml:"for"`   // time for which the fault is active
 	TargetFraction tomlfile.NumberRange   `toml:"share"` // fraction of the nodes or sidecars that the fault hits, at least one of them
 	Magnitude      tomlfile.NumberRange   `toml:"size"`  // strength of the fault, whose unit depends on its kind; see faultKinds
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -11,7 +11,7 @@
 // Bounds of a day, which keep it small enough to run on one machine.
 const (
 	maxLength = time.Hour
-	maxNodes  = 400 // nodes in all tiers together
+	maxNodes  = 400 // largest number of nodes in all tiers together
 	maxTiers  = 5
 )
 
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -189,7 +189,7 @@
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
 
-// addRequest adds the value of a request.
+// addRequest adds the value of a request to Offered and, if the request was served in time, to InTime.
 func (s *ServedValue) addRequest(request *Request, isInTime bool) {
 	s.Offered += request.Value
 	if isInTime {
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -8,8 +8,8 @@
 
 // Fault is a fault of the plan, drawn from its FaultSpec. The tags are the names of the fields in results and printed plans.
 type Fault struct {
-	Kind      string        // a key of faultKinds
-	Start     time.Duration `json:"At"`  // time from the start of the day
+	Kind      string        // kind of the fault, a key of faultKinds
+	Start     time.Duration `json:"At"`  // start of the fault, as time from the start of the day
 	Duration  time.Duration `json:"For"` // time for which the fault is active
 	Tier      int           // index of the tier whose nodes are hit
 	Targets   []string      // IDs of the nodes or names of the sidecars that are hit
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -8,7 +8,7 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// drawNodes draws the nodes of all tiers.
+// drawNodes draws the number, the kinds and the properties of the nodes of each tier.
 func (p *Plan) drawNodes(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
 		cellSize := int(drawInteger(tier.CellSize, rng))
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -31,7 +31,7 @@
 type sidecarProcess struct {
 	name          string
 	addr          string      // address at which the sidecar listens for clients
-	agent         *fake.Agent // discovery agent of this sidecar alone
+	agent         *fake.Agent // discovery agent that serves only this sidecar
 	recorder      *fake.Recorder
 	workDir       string                   // directory of the configuration and the log
 	command       func() *exec.Cmd         // returns a command that runs one sidecar
