--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -8,7 +8,7 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// drawNodes draws the nodes of all tiers.
+// drawNodes draws the number, the kinds and the properties of the nodes of each tier.
 func (p *Plan) drawNodes(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
 		cellSize := int(drawInteger(tier.CellSize, rng))
@@ -95,7 +95,7 @@
 	}
 	meanWork /= proportions
 	p.Capacity = math.Inf(1)
-	calls := 1.0 // mean number of calls to the tier for each request of a client
+	calls := 1.0 // mean number of calls to the tier for each request of a client to the first tier
 	for i, tier := range p.Day.Tiers {
 		calls *= p.callsPerRequest[i]
 		capacity := 0.0
