--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -24,8 +24,8 @@
 	isWarningLogged bool          // whether the warning about missing votes was logged
 }
 
-// bootstrapMessage carries the vote of an initial voter to another one. Initial voters that have not created their logs
-// request votes; all initial voters answer. The JSON names are on the wire and must not change.
+// bootstrapMessage carries the vote of an initial voter to another initial voter. Initial voters that have not created
+// their logs request votes; all initial voters answer. The JSON names are on the wire and must not change.
 type bootstrapMessage struct {
 	Round     uint64                  `json:"round"` // number of the round in which the vote is requested, which the answer repeats
 	IsRequest bool                    `json:"asks"`  // whether the sender requests the vote of the recipient; false: the message is an answer
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -111,13 +111,15 @@
 	return version
 }
 
-// waitAllActing waits until all nodes act on this version or a later one, in which the test document has this body.
+// waitAllActing waits until all nodes act on the given version or a later version, in which the test document has this
+// body.
 func (c *testCluster) waitAllActing(version uint64, body string) {
 	c.t.Helper()
 	c.waitActing(c.nodes, version, body)
 }
 
-// waitActing waits until the given nodes act on this version or a later one, in which the test document has this body.
+// waitActing waits until the given nodes act on the given version or a later version, in which the test document has this
+// body.
 func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, fmt.Sprint("all act on version ", version), func() bool {
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleLeaseGrant applies a grant that another daemon sent.
+// handleLeaseGrant applies a grant that another daemon sent, and drops a grant of a daemon that is no known voter.
 func (n *Node) handleLeaseGrant(now time.Duration, m transport.Message) {
 	var g consensus.LeaseGrant
 	if slices.Contains(n.leaseClient.knownVoters, m.From) && json.Unmarshal(m.Body, &g) == nil {
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -170,7 +170,8 @@
 	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
-// A change of the voters is rejected while another is in progress. A voter whose daemon never starts can be removed.
+// A change of the voters is rejected while another change is in progress. A voter whose daemon never starts can be
+// removed.
 func TestInvalidVoterChangesAreRejected(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.put(0, "a", "one")
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -81,7 +81,7 @@
 	cancel         context.CancelFunc                      // cancels ctx
 	goroutines     sync.WaitGroup                          // event loop, and running call of Options.Check
 
-	// The fields below are owned by the event loop (run).
+	// Fields that only the event loop's goroutine (run) may use: localVoter to cached.
 
 	localVoter           *localVoter              // this daemon's voter; nil: the daemon runs none
 	isVoterStartDisabled bool                     // whether this process must not start a voter any more
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -31,10 +31,10 @@
 	transmitCount int // number of messages that have contained the update
 }
 
-// reset empties the queue.
+// reset removes all updates from the queue, whether or not they were sent.
 func (q *broadcastQueue) reset() { *q = broadcastQueue{byMemberName: map[string]*broadcast{}} }
 
-// hasPending reports whether there are updates to be sent.
+// hasPending reports whether the queue has updates that were sent less often than transmitLimit allows.
 func (q *broadcastQueue) hasPending() bool { return len(q.byMemberName) > 0 }
 
 // enqueue adds an update to the queue, in place of an earlier update about the same member.
@@ -123,5 +123,5 @@
 	return nil
 }
 
-// retransmitLimit returns how many times this node sends an update.
+// retransmitLimit returns how many times this node sends an update, which grows with the logarithm of the cluster's size.
 func (n *Node) retransmitLimit() int { return retransmitFactor * bits.Len(uint(len(n.present)+1)) / 2 }
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -13,10 +13,10 @@
 	updateOverheadBytes = 60
 )
 
-// Kind is the purpose of a message.
+// Kind is the purpose of a Message. Its values are on the wire and must not change.
 type Kind uint8
 
-// The kinds of messages.
+// The values of Kind, each with what a message of this kind does.
 const (
 	Ping      Kind = iota + 1 // probes Target, or whichever node has the destination address if Target has no name
 	PingReq                   // asks the receiver to probe Target on behalf of the sender
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -14,7 +14,7 @@
 // State is the state of a member as a node knows it. Within one incarnation a greater state overrides a smaller one.
 type State uint8
 
-// The states of a member.
+// The states of a member, in the order in which they override one another within one incarnation.
 const (
 	Alive      State = iota // the member is not suspected of having failed
 	Suspect                 // a member's probe of this member failed; this member can still refute the suspicion
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -76,8 +76,7 @@
 // ViewNumber returns the Number of the current View without building the View.
 func (n *Node) ViewNumber() uint64 { return n.viewNumber }
 
-// TakeChanges returns the member state changes since the previous call. At most the first maxPendingChanges of them are
-// kept.
+// TakeChanges returns the member state changes since its previous call, but only the first maxPendingChanges.
 func (n *Node) TakeChanges() []Change {
 	changes := n.changes
 	n.changes = nil
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -54,7 +54,7 @@
 	counts      map[netip.Addr]int // datagrams in the current window by source address; the zero address counts those of untracked sources
 }
 
-// allow counts a datagram, and reports whether its source is within maxDatagramsPerSource.
+// allow counts a datagram, and reports whether its source has sent at most maxDatagramsPerSource in the current window.
 func (s *sourceLimiter) allow(now time.Time, source netip.Addr) bool {
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart = now
