--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -93,15 +93,15 @@
 // awaitPeersReport polls the daemon until its view of the cluster satisfies isMet. condition describes that in the log.
 func (d *clusterDaemon) awaitPeersReport(t *testing.T, condition string, isMet func(f *status.Fleet) bool) {
 	t.Helper()
-	var last *status.Fleet
+	var lastReport *status.Fleet
 	testpeer.Eventually(t, condition, func() bool {
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err == nil {
-			last = f
+			lastReport = f
 		}
 		return err == nil && isMet(f)
 	})
-	t.Logf("%s: %+v", condition, last)
+	t.Logf("%s: %+v", condition, lastReport)
 }
 
 // peerOf returns the entry of a member in a daemon's view of the cluster, or the zero value if there is none.
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -34,7 +34,7 @@
 
 // clusterSpec specifies the daemons of a testCluster.
 type clusterSpec struct {
-	daemons     int                   // number of daemons
+	daemons     int                   // number of daemons in the cluster
 	voters      int                   // number of voters among the daemons
 	persistAll  bool                  // whether all daemons have a data_dir, not only the voters
 	extraConfig string                // more lines at the end of each daemon's operators' file
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -27,8 +27,8 @@
 	Baseline           baselineCommand           `cmd:"" name:"plain" hidden:"" help:"Run the daemon with a baseline picker instead of the decision module, for rehearsals."`
 }
 
-// verdictError wraps an error that ends the process with exitFailure: the command ran, and its result is bad. Every other
-// error of a command ends the process with exitUsage.
+// verdictError wraps an error that ends the process with exitFailure: the command ran, and its result is negative, such
+// as a broken rule or a difference between versions. Every other error of a command ends the process with exitUsage.
 type verdictError struct{ error }
 
 // runCommand runs the command that the arguments name, prints the error if it fails, and returns the exit code.
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -34,22 +34,22 @@
 // platformConfig returns the source that reads the file that ROUTER_CONFIG names. The first call applies the complete file;
 // later calls apply only the fields that can change without a restart.
 func platformConfig(log *slog.Logger) configSource {
-	var current *config.Config
+	var currentConfig *config.Config
 	return func() (config.Service, error) {
 		c, err := config.Load(os.Getenv)
 		if err != nil {
 			return config.Service{}, err
 		}
-		if current == nil {
-			current = &c
+		if currentConfig == nil {
+			currentConfig = &c
 			return c.Service()
 		}
-		log.Info("configuration file read again", "discovery", c.Discovery, "moves", c.Discovery != current.Discovery)
-		if c.Listen != current.Listen || c.Limits != current.Limits {
+		log.Info("configuration file read again", "discovery", c.Discovery, "moves", c.Discovery != currentConfig.Discovery)
+		if c.Listen != currentConfig.Listen || c.Limits != currentConfig.Limits {
 			log.Warn("listen and limits change with a restart only")
 		}
-		*current = current.WithReloadable(c)
-		return current.Service()
+		*currentConfig = currentConfig.WithReloadable(c)
+		return currentConfig.Service()
 	}
 }
 
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -25,11 +25,11 @@
 	t                 *testing.T
 	listenSocket      *os.File // listening socket that each process inherits
 	listenAddr        string   // address of listenSocket
-	sharedDir         string   // TMPDIR of all processes
+	sharedDir         string   // directory that all processes share, passed to them as TMPDIR
 	discoveryAddr     string   // address of the fake discovery service
 	endpointIDs       []string // id of each endpoint, by its index in endpoints
 	endpoints         []*testpeer.Endpoint
-	startCount        int  // number of processes started
+	startCount        int  // number of processes that startDaemon has started
 	isDiscoverySilent bool // whether the discovery service accepts requests but does not respond
 
 	mu           sync.Mutex
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -18,8 +18,8 @@
 
 // Exit codes, the same for all commands.
 const (
-	exitOK      = iota // the command ran, and its result is good
-	exitFailure        // the command ran, and its result is bad; or the platform's daemon ended with an error
+	exitOK      = iota // the command ran, and found no fault
+	exitFailure        // the command ran, and its result is negative, such as a broken rule; or the platform's daemon ended with an error
 	exitUsage          // the command did nothing, because of a usage or input error
 )
 
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -42,9 +42,9 @@
 // pacedReader limits the rate at which an io.Reader is read.
 type pacedReader struct {
 	io.Reader
-	bytesPerSecond int       // maximum average rate
+	bytesPerSecond int       // maximum average rate of reading since startedAt
 	startedAt      time.Time // when the first byte was due
-	bytesRead      int       // bytes read so far
+	bytesRead      int       // bytes that Read has returned since startedAt
 }
 
 // Read implements io.Reader. It sleeps until the bytes read so far are due by the rate.
