--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -162,10 +162,11 @@
 }
 
 // In every order of 5 steps, no daemon acts on version 1 for longer than MaxOverlap after a daemon has acted on version
-// 2. The environment variable EXPLORE sets another number of steps; each further step makes nine times as many orders.
+// 2. The environment variable TULIPROCK_TEST_INTERLEAVING_STEPS sets another number of steps; each further step makes nine times
+// as many orders.
 func TestEveryOrderOfStepsStaysWithinMaxOverlap(t *testing.T) {
 	depth := 5
-	if steps, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
+	if steps, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_INTERLEAVING_STEPS")); err == nil {
 		depth = steps
 	}
 	longest := time.Duration(0)
