--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-func (b *faultyBalancer) ClientLeft(_ time.Duration, id string) { delete(b.requests, id) }
+func (b *faultyBalancer) ClientDisconnected(_ time.Duration, id string) { delete(b.requests, id) }
 
 func (b *faultyBalancer) StreamStarted(time.Duration, string, int) {}
 
