--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -23,7 +23,7 @@
 
 // faultEnv is an environment variable that makes the test binary run a sidecar: "good" without a fault, or the name of a fault that
 // an invariant must detect.
-const faultEnv = "REHEARSE_TEST_SIDECAR"
+const faultEnv = "TULIPROCK_TEST_FAULTY_SIDECAR"
 
 // TestMain runs the tests, or a sidecar in the processes that the tests start.
 func TestMain(m *testing.M) {
@@ -218,7 +218,7 @@
 	}
 }
 
-func (b *faultyBalancer) ClientLeft(_ time.Duration, id string) { delete(b.requests, id) }
+func (b *faultyBalancer) ClientDisconnected(_ time.Duration, id string) { delete(b.requests, id) }
 
 func (b *faultyBalancer) StreamStarted(time.Duration, string, int) {}
 
