--- a/balance/latency.go
+++ b/balance/latency.go
@@ -12,7 +12,7 @@
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
 	kindPriorSamples = 3.0              // number of samples as which the kind's weight counts for an endpoint
 	kindWeightGain   = 0.03             // least gain of a kind's weight per response
-	recentMeanGain   = 0.05             // least gain per sample of smoothed means other than weights
+	recentMeanGain   = 0.05             // least gain per sample of the averages of latency, errors and load
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
 	// At first the baseline is the mean latency, because the first responses are those of the fastest
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -17,7 +17,7 @@
 	fleetRequestRate     = 25.0             // requests per second that each balancer gets
 	fleetInitialCapacity = 0.14             // fraction of its full capacity that an endpoint starts with
 	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
-	overloadMultiple     = 3.0              // load, in capacities, that overloads an endpoint
+	overloadMultiple     = 3.0              // load that overloads an endpoint, as a multiple of the endpoint's capacity
 	overloadWindow       = time.Second      // time over which the load of an endpoint is measured
 	warmUtilization      = 1.3              // even part of the requests, in an endpoint's full capacity; above 1 due to clients' retries
 	fleetServiceTime     = 50 * ms          // latency of all attempts
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -13,7 +13,7 @@
 	"tuliprock/internal/route"
 )
 
-// checkCommand validates an operators' file, and explains which route a request takes.
+// checkCommand validates a configuration file written by operators (see config.File), and explains which route a request takes.
 type checkCommand struct {
 	File    string   `arg:"" help:"An operators' file."`
 	Route   string   `placeholder:"'METHOD URL'" help:"Print which route matches this request, and why the routes before it do not."`
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -77,11 +77,11 @@
 		return consensus.CommandResult{}, err
 	}
 	result := make(chan proposalResult, 1)
-	isAdded := make(chan bool, 1)
-	if !n.submit(ctx, func() { isAdded <- n.addProposal(cmd.ID, body, result) }) {
+	addResult := make(chan bool, 1)
+	if !n.submit(ctx, func() { addResult <- n.addProposal(cmd.ID, body, result) }) {
 		return consensus.CommandResult{}, consensus.ErrIndeterminate
 	}
-	if !<-isAdded {
+	if !<-addResult {
 		return consensus.CommandResult{}, fmt.Errorf("too many pending proposals: at most %d commands, or %d bytes of them",
 			maxPendingProposals, maxPendingProposalBytes)
 	}
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -19,7 +19,7 @@
 	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
 	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
 	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon of the cluster acts; 0: not known
+	FullyActiveVersion uint64          `json:"all"`                // version such that no daemon of the cluster still acts on an earlier one; 0: not known
 	RejectedVersion    uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
 	RejectionReason    string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
 	RejectedRequests   uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -42,7 +42,7 @@
 const (
 	missingGenerate   = "make"   // an ID is generated
 	missingUseDefault = "fill"   // the class's Deadline is used
-	missingReject     = "refuse" // the request is rejected
+	missingReject     = "refuse" // a request without the ID or the deadline is rejected
 )
 
 // Values of the field deadline_rules.
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// maxRoutes is the maximum number of routes in a file. Lookups stay fast with that many (BenchmarkMatch in package route goes up
-// to 10,000).
+// maxRoutes is the maximum number of routes in a file. Lookups stay fast, since they use an
+// index by host and path instead of scanning all routes. BenchmarkMatch in package route measures tables of up to 10,000 routes.
 const maxRoutes = 100_000
 
 // Route is a section [[route]]: it sends the requests that match all of its conditions to a pool, as requests of a class. Of
@@ -46,7 +46,7 @@
 // present.
 type Condition struct {
 	Name   string `toml:"name"`
-	Equal  string `toml:"equal"`  // required value; applies even if empty, provided that the file has the field
+	Equal  string `toml:"equal"`  // value that the header or query value must equal; an empty one counts only if the file states it
 	Prefix string `toml:"prefix"` // required prefix of the value; empty for none
 	Absent bool   `toml:"absent"` // there must be no such header or query value
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -66,16 +66,16 @@
 	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	balancer := &requestRecorder{}
 	l.balancer = balancer
-	guardResult := false
+	guardAllows := false
 	newCall := func() *Call {
-		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return guardResult }, GuardRetryAfter: time.Second}
+		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return guardAllows }, GuardRetryAfter: time.Second}
 	}
 	firstCall := newCall()
 	l.Submit(clockStart, firstCall)
 	if r := <-firstCall.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(balancer.ids) > 0 {
 		t.Errorf("the guard returned false: reply %+v, balancer was given %v, want verdict Shed, a Retry-After of 1 s and no request", r, balancer.ids)
 	}
-	guardResult = true
+	guardAllows = true
 	l.Submit(clockStart, newCall())
 	if len(balancer.ids) != 1 {
 		t.Errorf("the guard returned true: balancer was given %v, want one request", balancer.ids)
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -92,8 +92,8 @@
 	if err != nil {
 		return err
 	}
-	isAnyExpected := expected.IP == nil || expected.IP.IsUnspecified()
-	isSameIP := actual.IP.IsUnspecified() || isAnyExpected || actual.IP.Equal(expected.IP)
+	acceptsAnyIP := expected.IP == nil || expected.IP.IsUnspecified()
+	isSameIP := actual.IP.IsUnspecified() || acceptsAnyIP || actual.IP.Equal(expected.IP)
 	if actual.Port != expected.Port || !isSameIP {
 		return fmt.Errorf("descriptor %d listens at %s, not at %s", fd, actual, address)
 	}
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -76,15 +76,15 @@
 				query += "&chunked=1"
 			}
 			get := newGetRequest("http://" + s.addressOf("one") + "/down" + query)
-			down, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(get)
+			download, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(get)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := hashOf(down.Body); got != hashOf(pseudoRandomBytes(n)) {
+			if got := hashOf(download.Body); got != hashOf(pseudoRandomBytes(n)) {
 				t.Errorf("download of %d bytes, chunked %v: the bytes differ from those that the endpoint sent", n, chunked)
 			}
-			if n > 65536 && chunked && (down.Trailer.Get("X-After") != "there" || down.Trailer.Get("Set-Cookie") != "") {
-				t.Errorf("trailers of the response: %v, want X-After and no Set-Cookie", down.Trailer)
+			if n > 65536 && chunked && (download.Trailer.Get("X-After") != "there" || download.Trailer.Get("Set-Cookie") != "") {
+				t.Errorf("trailers of the response: %v, want X-After and no Set-Cookie", download.Trailer)
 			}
 		}
 	}
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -61,7 +61,7 @@
 	Kind                 Kind
 	Request              string        // ID of the request, which is new for each attempt of a client
 	Sidecar              string        // name of the sidecar
-	Node                 string        // ID of the node
+	Node                 string        // ID of the node that the event happens at or is about
 	Class                int           // index in Rules.Classes of the request's class
 	Deadline             time.Duration // deadline of the request, since the start of the day
 	FirstByteAt          time.Duration // arrival of the attempt's first byte, since the start of the day
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -27,7 +27,7 @@
 	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock relative to real time; needs a -race build
 	DetectWithin     time.Duration        `toml:"detect"`        // time limit for all others to detect a sidecar's failure
 	SettleWithin     time.Duration        `toml:"settle"`        // time limit after the last fault for all views to be right
-	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides by consensus; one is toggled
+	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides by consensus; if so, an endpoint is repeatedly ejected and restored
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -115,7 +115,7 @@
 	case Exponential, OnOff:
 		return s.rng.ExpFloat64()
 	case Pareto:
-		minGap := (s.process.Tail - 1) / s.process.Tail // the shortest gap for which the mean gap is 1
+		minGap := (s.process.Tail - 1) / s.process.Tail // lower bound of the Pareto distribution whose mean is 1
 		return minGap / math.Pow(1-s.rng.Float64(), 1/s.process.Tail)
 	}
 	if !s.hasDrawnFirstGap { // the first gap of Even is half a gap, so that a run as long as n gaps has n arrivals
