--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -26,12 +26,12 @@
 	startPeer(t, "node", node)
 	config := clusterDaemonConfig{endpoints: []string{node}} // without fleetOptions, so the default probe intervals apply
 	key := writeKeyFile(t, 1)
-	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
+	member := config.startDaemon(t, "m0", "c", testpeer.FreeAddressOnHost(t, 20), key)
 	for i := range 6 {
-		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, member.clusterAddr)
+		config.startDaemon(t, fmt.Sprint("m", i+1), "c", testpeer.FreeAddressOnHost(t, 21+i), key, member.clusterAddr)
 	}
 	member.awaitPeersReport(t, "the member sees seven daemons", func(f *status.Fleet) bool { return f.DaemonCount == 7 })
-	withoutPeers := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
+	withoutPeers := config.startDaemon(t, "alone", "other", testpeer.FreeAddressOnHost(t, 30), key)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
 		for i := range turns {
@@ -56,7 +56,7 @@
 	}
 	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // without fleetOptions, so the default probe intervals apply
 	key := writeKeyFile(t, 1)
-	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
+	d := config.startDaemon(t, "d", "c", testpeer.FreeAddressOnHost(t, 40), key)
 	measure := func(situation string) {
 		before := processorTime(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -127,25 +126,3 @@
 	}
 	return path
 }
-
-// freeClusterAddress returns an address whose port is free for both TCP and UDP. Its IP, which ends in i, is a loopback IP
-// that other test processes do not use: at 127.0.0.1 another daemon could take the port for an outgoing connection.
-func freeClusterAddress(t *testing.T, i int) string {
-	t.Helper()
-	ip := fmt.Sprintf("127.%d.9.%d", 100+os.Getpid()%100, i)
-	for range 100 {
-		l, err := net.Listen("tcp", ip+":0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		address := l.Addr().String()
-		u, err := net.ListenPacket("udp", address)
-		l.Close()
-		if err == nil {
-			u.Close()
-			return address
-		}
-	}
-	t.Fatalf("%s has no port that is free for TCP and UDP", ip)
-	return ""
-}
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -58,7 +58,7 @@
 	advertised := map[string]string{} // address of the relay in front of each daemon, by the daemon's name
 	listens, voters := []string{}, []string{}
 	for i := range spec.daemons {
-		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
+		name, listen := fmt.Sprint("s", i), testpeer.FreeAddressOnHost(t, 60+i)
 		relay, err := c.network.AddRelay(name, netip.MustParseAddrPort(listen))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -91,18 +91,6 @@
 	}
 }
 
-// FreeAddress returns a loopback address, host:port, on which nothing listens at the moment. Another process may take the port
-// before the test does.
-func FreeAddress(tb testing.TB) string {
-	tb.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // Eventually checks a condition every millisecond and fails the test if it is still false after Timeout. The failure message
 // contains what, a description of the condition.
 func Eventually(tb testing.TB, what string, condition func() bool) {
