--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -50,10 +50,13 @@
 		if c.Listen, err = duplicateResponses(c.Listen); err != nil {
 			return err
 		}
-	case "sends to draining nodes": // no part of the sidecar is notified of a drain
+	case "sends to draining nodes":
+		// No part of the sidecar is notified of a drain. The sidecar's own balancer would still pause a node that rejects its
+		// requests, and might send it nothing between the end of the grace and the end of the drain.
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
+		newBalancer = newFaultyBalancer(fault)
 	case "occupies its own port":
 		if _, err := net.Listen("tcp", c.Listen); err != nil {
 			return err
@@ -61,10 +64,7 @@
 	case "crashes":
 		time.AfterFunc(2*time.Second, func() { os.Exit(3) })
 	default:
-		newBalancer = func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &faultyBalancer{fault: fault, host: h, requests: map[string]*pendingRequest{},
-				ready: map[string]balance.Endpoint{}}
-		}
+		newBalancer = newFaultyBalancer(fault)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -157,6 +157,13 @@
 	attempts int // number of attempts that were sent for the request, at most 3
 }
 
+// newFaultyBalancer returns a constructor of balancers with a fault, for sidecar.StartWith.
+func newFaultyBalancer(fault string) func(time.Duration, balance.Settings, balance.Host) balance.Events {
+	return func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
+		return &faultyBalancer{fault: fault, host: h, requests: map[string]*pendingRequest{}, ready: map[string]balance.Endpoint{}}
+	}
+}
+
 func (b *faultyBalancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Complete {
 		clear(b.ready)
