--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -20,8 +20,8 @@
 // endpointList is a list of endpoints that a LEDGER began and ENDPOINT messages filled.
 type endpointList struct{ entries []balance.Endpoint }
 
-// begin decodes a LEDGER, which begins a new list. The new list replaces any earlier list with the same number.
-func (l *endpointLists) begin(m *message) error {
+// beginList decodes a LEDGER, which begins a new list. The new list replaces any earlier list with the same number.
+func (l *endpointLists) beginList(m *message) error {
 	number, count := m.integer("Ref", required), m.integer("Hosts", required)
 	if m.err != nil {
 		return m.err
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// add decodes an ENDPOINT, which is the next entry of the current list.
-func (l *endpointLists) add(m *message) error {
+// addEntry decodes an ENDPOINT, which is the next entry of the current list.
+func (l *endpointLists) addEntry(m *message) error {
 	if l.entriesDue == 0 {
 		return errors.New("ENDPOINT exceeds the Hosts of the last LEDGER")
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,17 +8,17 @@
 // eventDecoders maps the name of a message to the function that decodes the Reader's current message and reports it as an
 // event to an instance's balancer. An event with a malformed field is not reported.
 var eventDecoders = map[string]func(*Reader, balance.Events){
-	"REGISTRY":    (*Reader).endpointListReceived,
-	"CALL":        (*Reader).requestReceived,
-	"FLOWING":     (*Reader).streamStarted,
-	"ATTEMPT_END": (*Reader).attemptEnded,
-	"LEFT":        (*Reader).clientDisconnected,
-	"BELL":        (*Reader).timerFired,
-	"CHECKED":     (*Reader).loadProbeEnded,
+	"REGISTRY":    (*Reader).reportEndpointList,
+	"CALL":        (*Reader).reportRequest,
+	"FLOWING":     (*Reader).reportStreamStart,
+	"ATTEMPT_END": (*Reader).reportOutcome,
+	"LEFT":        (*Reader).reportDisconnect,
+	"BELL":        (*Reader).reportTimer,
+	"CHECKED":     (*Reader).reportProbeResult,
 	"MESSAGE":     func(*Reader, balance.Events) {}, // a MESSAGE has no meaning for a balancer
 }
 
-func (r *Reader) endpointListReceived(to balance.Events) {
+func (r *Reader) reportEndpointList(to balance.Events) {
 	m := &r.message
 	var list balance.EndpointUpdate
 	mode := m.text("Mode", required)
@@ -37,7 +37,7 @@
 	}
 }
 
-func (r *Reader) requestReceived(to balance.Events) {
+func (r *Reader) reportRequest(to balance.Events) {
 	m := &r.message
 	request := balance.Request{
 		ID:       m.requestID(),
@@ -51,7 +51,7 @@
 	}
 }
 
-func (r *Reader) streamStarted(to balance.Events) {
+func (r *Reader) reportStreamStart(to balance.Events) {
 	m := &r.message
 	id, attempt := m.requestID(), m.integer("N", required)
 	if m.err == nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *Reader) attemptEnded(to balance.Events) {
+func (r *Reader) reportOutcome(to balance.Events) {
 	m := &r.message
 	outcome := balance.Outcome{
 		ID:       m.requestID(),
@@ -74,14 +74,14 @@
 	}
 }
 
-func (r *Reader) clientDisconnected(to balance.Events) {
+func (r *Reader) reportDisconnect(to balance.Events) {
 	m := &r.message
 	if id := m.requestID(); m.err == nil {
 		to.ClientDisconnected(r.now, id)
 	}
 }
 
-func (r *Reader) timerFired(to balance.Events) {
+func (r *Reader) reportTimer(to balance.Events) {
 	m := &r.message
 	m.integer("Mark", required) // validated but not used, since Host.Timer gives all timers the mark 0
 	if m.err == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (r *Reader) loadProbeEnded(to balance.Events) {
+func (r *Reader) reportProbeResult(to balance.Events) {
 	m := &r.message
 	result := balance.ProbeResult{
 		Endpoint: m.internedText("Endpoint", required),
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,11 +10,11 @@
 	"tuliprock/balance"
 )
 
-// maxInterned is the largest number of distinct strings that a message caches. A fleet has far fewer names.
-const maxInterned = 1 << 16
+// maxInternedStrings is the largest number of distinct strings that a message caches. A fleet has far fewer names.
+const maxInternedStrings = 1 << 16
 
-// maxMicros is the largest number of microseconds that a time.Duration can represent.
-const maxMicros = int64(1<<63-1) / int64(time.Microsecond)
+// maxMicroseconds is the largest number of microseconds that a time.Duration can represent.
+const maxMicroseconds = int64(1<<63-1) / int64(time.Microsecond)
 
 // presence tells whether a message must have a field.
 type presence bool
@@ -121,10 +121,10 @@
 	return int(n)
 }
 
-// microseconds returns the value of a field that is a number of microseconds.
+// microseconds returns the value of a field, which is a number of microseconds, as a duration.
 func (m *message) microseconds(key string, need presence) time.Duration {
 	n := m.unsigned(key, need)
-	if n > uint64(maxMicros) {
+	if n > uint64(maxMicroseconds) {
 		m.fail("%s is too large a time", key)
 	}
 	return time.Duration(n) * time.Microsecond
@@ -143,7 +143,7 @@
 	return value
 }
 
-// text returns the value of a field as a string, which stays valid after the line.
+// text returns the value of a field as a string, which stays valid when the next line is parsed.
 func (m *message) text(key string, need presence) string { return string(m.bytes(key, need)) }
 
 // requestID returns the ID of the request that the message is about.
@@ -157,7 +157,7 @@
 		return s
 	}
 	s := string(value)
-	if len(m.interned) < maxInterned {
+	if len(m.interned) < maxInternedStrings {
 		m.interned[s] = s
 	}
 	return s
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -24,7 +24,7 @@
 	EndBatch() error
 }
 
-// readBufferBytes is the size of the input buffer. Only a START, which contains the settings, may be longer.
+// readBufferBytes is the size of the input buffer. Longer lines, such as a START with its settings, are copied to longLine.
 const readBufferBytes = 1 << 16
 
 // Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
@@ -133,9 +133,9 @@
 		r.instance, r.hasInstance = m.integer("Sidecar", required), true
 		return m.err
 	case "LEDGER":
-		return r.lists.begin(m)
+		return r.lists.beginList(m)
 	case "ENDPOINT":
-		return r.lists.add(m)
+		return r.lists.addEntry(m)
 	}
 	decode, isEvent := eventDecoders[string(m.name)]
 	isStart, isStop := string(m.name) == "START", string(m.name) == "SHUTDOWN"
@@ -147,7 +147,7 @@
 	}
 	switch {
 	case isStart:
-		return r.start(h)
+		return r.startInstance(h)
 	case isStop:
 		return h.Stop(r.instance)
 	}
@@ -159,8 +159,8 @@
 	return m.err
 }
 
-// start handles a START, which creates an instance.
-func (r *Reader) start(h Handler) error {
+// startInstance handles a START, which creates an instance.
+func (r *Reader) startInstance(h Handler) error {
 	seed := r.message.unsigned("RandomSeed", required)
 	if r.message.err != nil {
 		return r.message.err
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -9,7 +9,7 @@
 // Reply collects the actions of one batch. Its method Host returns a balance.Host that writes the actions of one instance to
 // it. The zero value is an empty reply. A Reply is not safe for concurrent use.
 type Reply struct {
-	encoded    []byte // encoded actions so far
+	encoded    []byte // encoded actions of the batch so far
 	hasActions bool   // whether the reply has any action
 	instance   int    // instance of the last action
 }
@@ -32,8 +32,8 @@
 	instance int
 }
 
-// begin writes the name of an action. If the last action was that of another instance, begin writes an ON_BEHALF line first.
-func (h *Host) begin(action string) *Host {
+// beginAction writes the name of an action, and first an ON_BEHALF line if the last action was that of another instance.
+func (h *Host) beginAction(action string) *Host {
 	r := h.reply
 	if !r.hasActions || r.instance != h.instance {
 		r.hasActions, r.instance = true, h.instance
@@ -45,73 +45,75 @@
 	return h
 }
 
-// key writes the key of a field.
-func (h *Host) key(key string) {
+// writeKey writes the beginning of a field: a tab, the key and an equals sign.
+func (h *Host) writeKey(key string) {
 	h.reply.encoded = append(h.reply.encoded, '\t')
 	h.reply.encoded = append(h.reply.encoded, key...)
 	h.reply.encoded = append(h.reply.encoded, '=')
 }
 
-// text writes a field with a text value.
-func (h *Host) text(key, value string) *Host {
-	h.key(key)
+// writeText writes a field with a text value.
+func (h *Host) writeText(key, value string) *Host {
+	h.writeKey(key)
 	h.reply.encoded = append(h.reply.encoded, value...)
 	return h
 }
 
-// number writes a field with a number.
-func (h *Host) number(key string, value int64) *Host {
-	h.key(key)
+// writeNumber writes a field with a number.
+func (h *Host) writeNumber(key string, value int64) *Host {
+	h.writeKey(key)
 	h.reply.encoded = strconv.AppendInt(h.reply.encoded, value, 10)
 	return h
 }
 
-// end ends the line of an action.
-func (h *Host) end() { h.reply.encoded = append(h.reply.encoded, '\n') }
+// endAction writes the line break after an action.
+func (h *Host) endAction() { h.reply.encoded = append(h.reply.encoded, '\n') }
 
 // ceilMicroseconds converts d to microseconds. It rounds up, since a timeout or timer must not fire early.
 func ceilMicroseconds(d time.Duration) int64 {
 	return int64((d + time.Microsecond - 1) / time.Microsecond)
 }
 
-// Send writes a DISPATCH, without a timeout if it is 0.
+// Send writes a DISPATCH, which starts an attempt. A timeout of 0 is left out.
 func (h *Host) Send(id, endpoint string, timeout time.Duration) {
-	h.begin("DISPATCH").text("Rid", id).text("Endpoint", endpoint)
+	h.beginAction("DISPATCH").writeText("Rid", id).writeText("Endpoint", endpoint)
 	if timeout > 0 {
-		h.number("PatienceUs", ceilMicroseconds(timeout))
+		h.writeNumber("PatienceUs", ceilMicroseconds(timeout))
 	}
-	h.end()
+	h.endAction()
 }
 
 // Cancel writes a STOP_ATTEMPT, which cancels attempt n of a request.
 func (h *Host) Cancel(id string, n int) {
-	h.begin("STOP_ATTEMPT").text("Rid", id).number("N", int64(n)).end()
+	h.beginAction("STOP_ATTEMPT").writeText("Rid", id).writeNumber("N", int64(n)).endAction()
 }
 
-// Reject writes a SAY_NO, which rejects a request, without a retryAfter if it is 0.
+// Reject writes a SAY_NO, which rejects a request. A retryAfter of 0 is left out.
 func (h *Host) Reject(id string, retryAfter time.Duration) {
-	h.begin("SAY_NO").text("Rid", id)
+	h.beginAction("SAY_NO").writeText("Rid", id)
 	if retryAfter > 0 {
-		h.number("RetryInUs", ceilMicroseconds(retryAfter))
+		h.writeNumber("RetryInUs", ceilMicroseconds(retryAfter))
 	}
-	h.end()
+	h.endAction()
 }
 
 // Fail writes a FINISH_ERROR, which ends a request as failed.
-func (h *Host) Fail(id string) { h.begin("FINISH_ERROR").text("Rid", id).end() }
+func (h *Host) Fail(id string) { h.beginAction("FINISH_ERROR").writeText("Rid", id).endAction() }
 
 // Probe writes a HEALTH_CHECK, which is the protocol's load probe.
-func (h *Host) Probe(endpoint string) { h.begin("HEALTH_CHECK").text("Endpoint", endpoint).end() }
+func (h *Host) Probe(endpoint string) {
+	h.beginAction("HEALTH_CHECK").writeText("Endpoint", endpoint).endAction()
+}
 
-// HasIdleConnection returns false, because the protocol has no connections.
+// HasIdleConnection returns false, because the protocol does not tell which connections are idle.
 func (h *Host) HasIdleConnection(string) bool { return false }
 
 // Subscribe writes a LISTEN, which subscribes to discovery.
-func (h *Host) Subscribe() { h.begin("LISTEN").number("Active", 1).end() }
+func (h *Host) Subscribe() { h.beginAction("LISTEN").writeNumber("Active", 1).endAction() }
 
 // Timer writes a SET_TIMER. All timers have the mark 0, because a balancer does not distinguish them.
 func (h *Host) Timer(at time.Duration) {
-	h.begin("SET_TIMER").number("InstantUs", ceilMicroseconds(at)).number("Mark", 0).end()
+	h.beginAction("SET_TIMER").writeNumber("InstantUs", ceilMicroseconds(at)).writeNumber("Mark", 0).endAction()
 }
 
 // separatorsToSpaces replaces line breaks and tabs by spaces, so that a log line stays within its field.
@@ -119,5 +121,5 @@
 
 // Log writes a DEBUG, which is a line for the log.
 func (h *Host) Log(line string) {
-	h.begin("DEBUG").text("Words", separatorsToSpaces.Replace(line)).end()
+	h.beginAction("DEBUG").writeText("Words", separatorsToSpaces.Replace(line)).endAction()
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -17,8 +17,8 @@
 	LongestClientWait time.Duration // longest time that a client of any class waits in total; 0: unknown for at least one class
 }
 
-// settings is the settings object of the wire, without the members that are not used; the decoder ignores these. Its fields
-// have the names and types of the wire and no tags, because encoding/json prints these in its errors.
+// settings is the settings object in its JSON form, without the members that this package does not use and the decoder ignores.
+// Its fields have the names and types of the object's members and no tags, because encoding/json prints both in its errors.
 type settings struct {
 	NInstances int        // number of balancers in this balancer's tier
 	Me         int        // index of this balancer among the balancers of its tier, from 0
@@ -26,7 +26,7 @@
 	Tiers      []string   // names of all tiers; clients send to the first tier
 	Lanes      []struct { // classes of requests; see balance.Class
 		Name, Semantics, Group string
-		OnTimeUs, WindowUs     int64 // latency objective; how long endpoints drop duplicates
+		OnTimeUs, WindowUs     int64 // latency objective; time for which endpoints drop duplicates
 		HardLimitUs            int64 // longest time that a client waits for the final response
 	}
 	Accounts []struct { // tenants; see balance.Tenant
