--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -14,8 +14,8 @@
 	"tuliprock/internal/simwire"
 )
 
-// gcPercent lets the heap grow to five times its live size between garbage collections. That takes little memory, since
-// balancers are small and their garbage is short-lived.
+// gcPercent lets the heap grow to five times its live size between garbage collections. The larger heap is acceptable,
+// since balancers are small and their garbage is short-lived.
 const gcPercent = 400
 
 func main() {
@@ -40,13 +40,13 @@
 	balancers map[int]*balance.Balancer // running balancers, by instance number
 }
 
-// Start implements simwire.Handler.
+// Start implements simwire.Handler: it creates the balancer of an instance, or replaces it.
 func (h *host) Start(instance int, s balance.Settings) error {
 	h.balancers[instance] = balance.New(h.reader.Now(), s, h.reply.Host(instance))
 	return nil
 }
 
-// Stop implements simwire.Handler.
+// Stop implements simwire.Handler: it discards the balancer of an instance.
 func (h *host) Stop(instance int) error {
 	if _, err := h.Instance(instance); err != nil {
 		return err
@@ -55,16 +55,16 @@
 	return nil
 }
 
-// Instance implements simwire.Handler.
+// Instance implements simwire.Handler. It returns an error if the instance is not running.
 func (h *host) Instance(instance int) (balance.Events, error) {
 	b, ok := h.balancers[instance]
 	if !ok {
-		return nil, fmt.Errorf("instance %d was never started", instance)
+		return nil, fmt.Errorf("instance %d is not running", instance)
 	}
 	return b, nil
 }
 
-// EndBatch implements simwire.Handler.
+// EndBatch implements simwire.Handler: it writes the reply to the batch.
 func (h *host) EndBatch() error {
 	_, err := h.out.Write(h.reply.Bytes())
 	return err
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -35,8 +35,8 @@
 	for _, after := range []string{"BELL\tMark=0\n", "SHUTDOWN\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(startedInstance+"SHUTDOWN\n"+after), &out)
-		if err == nil || !strings.Contains(err.Error(), "never started") {
-			t.Errorf("%q after SHUTDOWN gives error %v, want one with \"never started\"", after, err)
+		if err == nil || !strings.Contains(err.Error(), "instance 3 is not running") {
+			t.Errorf("%q after SHUTDOWN gives error %v, want one with \"instance 3 is not running\"", after, err)
 		}
 		if out.Len() > 0 {
 			t.Errorf("output is %q, want none", out.String())
