--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,7 +9,7 @@
 const (
 	quotaBurstSeconds     = 1.0  // size of a tenant's token bucket, in seconds of its quota
 	shedStretch           = 1.2  // recent latency / baseline above which requests over quota may be shed
-	highRateQuotaMultiple = 1.3  // multiple of totalQuota above which a request rate counts as high
+	highRateQuotaMultiple = 1.3  // multiple of this balancer's quotas above which a request rate is high
 	maxQueueTimeFraction  = 0.05 // longest time in the queue, as a fraction of meanLatencyObjective
 
 	// minTimeLeftFraction is the least time to its deadline with which a request is admitted while others are
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -35,7 +35,7 @@
 	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
 	subset               []*endpoint // endpoints that this balancer uses
-	subsetSizeByRate     float64     // size that the request rate requires; set when it has changed by half
+	subsetSizeByRate     float64     // subset size that the request rate requires; set if it changed by half
 	pickSample           []*endpoint // candidates of the last pick from a large subset
 	recentlyUsed         []*endpoint // endpoints of a large subset that were used last, oldest first
 	cachedSmallestWeight float64     // smallest weight of the active endpoints of a large subset
@@ -96,7 +96,7 @@
 
 // EndpointList implements Events. An endpoint that is draining or gone gets no attempt after this event.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
-	if l.Failed { // jitter keeps balancers from subscribing all at once
+	if l.Failed { // subscribe again after a backoff; its jitter keeps balancers from doing so all at once
 		if b.settings.MustSubscribe {
 			longestBackoff := max(b.settings.SubscribeWithin/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longestBackoff)
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -6,7 +6,7 @@
 // times the smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or
 // backs off for twice as long.
 const (
-	activeFactor         = 2.0                    // largest weight of an active endpoint, in smallest weights
+	activeFactor         = 2.0                    // largest weight of an active endpoint / smallest weight
 	minBackoff           = 500 * time.Millisecond // least initial backoff; b_min in Cicconetti et al.
 	maxBackoffMultiple   = 8                      // largest backoff / initial backoff, to notice recoveries
 	outlierErrorMultiple = 1.5                    // error rate of an outlier, as a multiple of b.errorRate
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -28,7 +28,7 @@
 	streamsInFlight int // attempts at the endpoint with a streaming request or response body
 
 	slowStartNextAt time.Duration // earliest instant of the next attempt while the endpoint is warming up
-	wasInSubset     bool          // whether the endpoint was in the subset at its last rebuild
+	wasInSubset     bool          // whether the last rebuild of the subset included the endpoint
 
 	reportedLoad   float64       // number of requests in the last load report
 	reportedLoadAt time.Duration // instant of the last load report; 0: there is none
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -7,7 +7,7 @@
 
 // decayingCounter counts events, each with a weight that decays with ewmaTimeConstant.
 type decayingCounter struct {
-	count     float64       // sum of the weights of all events at updatedAt
+	count     float64       // sum of the weights that all events have at updatedAt
 	updatedAt time.Duration // instant of the last event
 }
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -11,14 +11,14 @@
 	ewmaAlpha        = 0.95             // largest part of an old weight that is kept; α in Cicconetti et al.
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
 	kindPriorSamples = 3.0              // number of samples of an endpoint that its kind's weight counts for
-	kindWeightGain   = 0.03             // least gain of a kind's weight per response
-	recentMeanGain   = 0.05             // least gain per sample of the averages of latency, errors and load
+	kindWeightGain   = 0.03             // least EWMA gain of a kind's weight, per response
+	recentMeanGain   = 0.05             // least EWMA gain of mean latency, error rate and load, per sample
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
 	// At first the baseline is the mean latency, because the first responses are those of the fastest
 	// requests. Then it follows a lower mean fast and a higher one slowly, so that an overload hardly
 	// raises it.
-	baselineLearningSeconds = 1.5              // first seconds, in which the baseline is the mean latency
+	baselineLearningSeconds = 1.5              // initial seconds in which the baseline is the mean latency
 	baselineFallGain        = 0.02             // part of the gap to a lower mean that a response closes
 	baselineRiseTime        = 60 * time.Second // time constant of the baseline's rise to a higher mean
 )
@@ -56,7 +56,7 @@
 // exceeds activeFactor times the smallest active weight.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
 	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
-	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of old samples kept
+	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old sums that is kept
 	ep.sampleSum = ep.sampleSum*retained + stretch/ep.kind.weight
 	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*retained+1, now
 	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -13,8 +13,8 @@
 // recordedEvent is a recorded call of a method of balance.Events.
 type recordedEvent struct {
 	now  time.Duration
-	name string // short name of the method, as the methods of recorder give it
-	args any    // argument of the method after now; a []any if there are several
+	name string // short name of the method, such as "list" for EndpointList
+	args any    // the method's argument after now; if there are several, a []any of them
 }
 
 // recorder is a Handler that records the events for all instances.
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -26,7 +26,7 @@
 	Tiers      []string   // names of all tiers; clients send to the first tier
 	Lanes      []struct { // classes of requests; see balance.Class
 		Name, Semantics, Group string
-		OnTimeUs, WindowUs     int64 // latency objective; time for which endpoints drop duplicates
+		OnTimeUs, WindowUs     int64 // OnTimeUs: latency objective; WindowUs: time for which endpoints drop duplicates
 		HardLimitUs            int64 // longest time that a client waits for the final response
 	}
 	Accounts []struct { // tenants; see balance.Tenant
@@ -45,7 +45,7 @@
 		How    string   // how load reports are sent; silent: endpoints send none
 	}
 	Rules struct {
-		AskWithinUs, ColdUs int64   // longest time without a subscription or poll; duration of the slow start
+		AskWithinUs, ColdUs int64   // AskWithinUs: longest time without a subscription or poll; ColdUs: duration of the slow start
 		ColdFrom            float64 // fraction of its full capacity that an endpoint starts with
 	}
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Operators read these errors, so they must name the invalid member as it is in the settings object.
+// Operators read the errors of ParseSettings, so they must name the invalid member as it is in the settings object.
 func TestSettingsErrorsNameTheMember(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"a text for a number":  {`{"NInstances":"x"}`, "parsing Config: json: cannot unmarshal string into Go struct field settings.NInstances of type int"},
