--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -12,10 +12,10 @@
 func (l *Loop) attemptHooks(c *Call, attempt int) upstream.AttemptHooks {
 	return upstream.AttemptHooks{
 		IsWanted:    l.isWantedFunc(c),
-		RequestSent: func() { l.Post(func(now time.Duration) { l.bodySent(now, c, attempt) }) },
+		RequestSent: func() { l.Post(func(now time.Duration) { l.handleBodySent(now, c, attempt) }) },
 		ResponseStarted: func(response upstream.Response) bool {
 			accepted := make(chan bool, 1)
-			l.Post(func(now time.Duration) { accepted <- l.streamStarted(now, c, attempt, response) })
+			l.Post(func(now time.Duration) { accepted <- l.handleStreamStarted(now, c, attempt, response) })
 			select {
 			case ok := <-accepted:
 				return ok
@@ -26,10 +26,10 @@
 	}
 }
 
-// isWantedFunc returns the last check of an attempt before its first byte is written. The request is not sent any more once it has
-// its reply or its client has disconnected, nor, if an earlier attempt may have run, once endpoints no longer drop duplicates of its
-// idempotency key: the balancer decided on the attempt before the connection was established. isFinished is read after the kernel
-// is asked about the client, since the loop may finish the request meanwhile.
+// isWantedFunc returns the hook IsWanted of an attempt, which reports whether the request should still be sent. The balancer decided
+// on the attempt before the connection was established. Since then the request may have got its reply, its client may have
+// disconnected, or, if an earlier attempt may have run, the time may have passed in which endpoints drop duplicates of its idempotency
+// key. The hook reads isFinished after it has asked the kernel about the client, since the loop may finish the request in between.
 func (l *Loop) isWantedFunc(c *Call) func() bool {
 	expiresAt := time.Duration(math.MaxInt64)
 	if window, hasKey := l.idempotencyWindows[c.Class]; hasKey && c.mayHaveRunAt > 0 {
@@ -38,17 +38,17 @@
 	return func() bool { return c.isClientConnected() && !c.isFinished.Load() && l.clock.now() < expiresAt }
 }
 
-// bodySent handles the event that an attempt has written the last byte of a streaming body.
-func (l *Loop) bodySent(now time.Duration, c *Call, attempt int) {
+// handleBodySent handles the event that an attempt has written the last byte of a streaming body.
+func (l *Loop) handleBodySent(now time.Duration, c *Call, attempt int) {
 	if !c.isFinished.Load() && c.ResponseTimeout > 0 {
 		c.Deadline = min(now+c.ResponseTimeout, c.StreamUntil)
 	}
 	l.balancer.BodySent(now, c.ID, attempt, c.Deadline)
 }
 
-// streamStarted handles the event that an attempt has received the beginning of a streaming response. It returns false if the
-// request is already finished. Otherwise the response is the reply, even if it breaks later.
-func (l *Loop) streamStarted(now time.Duration, c *Call, attempt int, response upstream.Response) bool {
+// handleStreamStarted handles the event that an attempt has received the beginning of a streaming response. It returns false if the
+// request is already finished. Otherwise the response is the reply, even if its stream breaks off later.
+func (l *Loop) handleStreamStarted(now time.Duration, c *Call, attempt int, response upstream.Response) bool {
 	if c.isFinished.Load() {
 		return false
 	}
@@ -58,9 +58,9 @@
 	return true
 }
 
-// attemptEnded handles the end of an attempt. A complete response is forwarded at once, or dropped if the request is already
+// handleAttemptEnded handles the end of an attempt. A complete response is forwarded at once, or dropped if the request is already
 // finished.
-func (l *Loop) attemptEnded(now time.Duration, c *Call, outcome balance.Outcome, sentAt time.Duration, response upstream.Response) {
+func (l *Loop) handleAttemptEnded(now time.Duration, c *Call, outcome balance.Outcome, sentAt time.Duration, response upstream.Response) {
 	c.attemptsInFlight--
 	c.lastResponse = response
 	if upload := c.Message.Upload; upload != nil {
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -68,8 +68,8 @@
 // isClientConnected reports whether the client is still connected, as far as is known.
 func (c *Call) isClientConnected() bool { return c.IsClientConnected == nil || c.IsClientConnected() }
 
-// Submit passes a request to the balancer, which decides on it. A request whose id is still in use gets the verdict Duplicate, so
-// that it cannot interfere with the first one. Submit is called from an event.
+// Submit passes a request to the balancer, which decides on it. If an earlier request still uses the id, the new request gets
+// the verdict Duplicate, so that the two cannot interfere. Submit is called from an event.
 func (l *Loop) Submit(now time.Duration, c *Call) {
 	if l.calls[c.ID] != nil {
 		c.Replies <- Reply{Verdict: Duplicate}
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -15,7 +15,7 @@
 
 var _ balance.Host = host{}
 
-// Send implements balance.Host.
+// Send implements balance.Host. It makes an attempt at an endpoint on a goroutine of its own.
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls[id]
 	if c == nil {
@@ -28,7 +28,7 @@
 	c.attemptsInFlight++
 	if c.isFinished.Load() {
 		outcome.Result = balance.NotSent
-		h.deferredEvents = append(h.deferredEvents, func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
+		h.deferredEvents = append(h.deferredEvents, func(now time.Duration) { h.handleAttemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
 		return
 	}
 	hooks := h.attemptHooks(c, outcome.Attempt)
@@ -36,21 +36,22 @@
 		var response upstream.Response
 		outcome.Result, outcome.ReusedConnection, response = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
 		cancel()
-		h.Post(func(now time.Duration) { h.attemptEnded(now, c, outcome, sentAt, response) })
+		h.Post(func(now time.Duration) { h.handleAttemptEnded(now, c, outcome, sentAt, response) })
 	}()
 }
 
-// Cancel implements balance.Host.
+// Cancel implements balance.Host. It does nothing if the request or the attempt does not exist.
 func (h host) Cancel(id string, attempt int) {
 	if c := h.calls[id]; c != nil && attempt >= 0 && attempt < len(c.cancelAttempts) {
 		c.cancelAttempts[attempt]()
 	}
 }
 
-// Reject implements balance.Host.
+// Reject implements balance.Host. The request's verdict is Shed, or Failed if the last attempt received an error response.
 func (h host) Reject(id string, retryAfter time.Duration) {
 	c := h.calls[id]
-	// An endpoint's error response tells the client more, and unlike a shed request it does not promise that a retry is harmless.
+	// The last attempt's error response tells the client more than the verdict Shed. It also makes no promise that a retry is harmless,
+	// which Shed would.
 	if c != nil && c.lastResponse.Status != 0 {
 		h.Fail(id)
 		return
@@ -58,7 +59,7 @@
 	h.reply(c, Reply{Verdict: Shed, RetryAfter: retryAfter})
 }
 
-// Fail implements balance.Host.
+// Fail implements balance.Host. The request's verdict is Failed, and the last attempt's error response, if any, is forwarded.
 func (h host) Fail(id string) {
 	if c := h.calls[id]; c != nil {
 		h.reply(c, Reply{Verdict: Failed, Response: c.lastResponse})
@@ -76,10 +77,10 @@
 // HasIdleConnection implements balance.Host.
 func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
 
-// Subscribe implements balance.Host.
+// Subscribe implements balance.Host. It makes discovery watch the endpoint list.
 func (h host) Subscribe() { h.requestWatch() }
 
-// Timer implements balance.Host.
+// Timer implements balance.Host. The loop reports the timer to the balancer at the given instant.
 func (h host) Timer(at time.Duration) {
 	i, _ := slices.BinarySearch(h.timers, at)
 	h.timers = slices.Insert(h.timers, i, at)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -40,7 +40,7 @@
 	requestWatch func() // makes discovery watch the endpoint list instead of polling it
 	log          *slog.Logger
 
-	idempotencyWindows map[string]time.Duration  // how long endpoints drop duplicates, by name of a class with idempotency keys
+	idempotencyWindows map[string]time.Duration  // how long endpoints drop duplicates of an idempotency key, by class name
 	calls              map[string]*Call          // calls that are unfinished or have attempts in flight, by request id
 	endpoints          map[string]bool           // set of the ids of listed endpoints
 	timers             []time.Duration           // instants of the balancer's timers, ascending
@@ -121,8 +121,9 @@
 	}
 }
 
-// Do has an event handled ahead of the queued ones, and returns nil once it was handled. If ctx or the loop ends first, it returns
-// the error of ctx or ErrClosed, and the event may or may not have been handled. Do must not be called from the loop's goroutine.
+// Do has the loop handle an event ahead of the queued events, and returns nil once the event has been handled. If ctx ends before, Do
+// returns the error of ctx; if the loop ends before, Do returns ErrClosed. In both cases the event may or may not have been handled.
+// Do must not be called from the loop's goroutine.
 func (l *Loop) Do(ctx context.Context, event func(now time.Duration)) error {
 	handled := make(chan struct{})
 	select {
@@ -156,11 +157,11 @@
 		case <-ctx.Done():
 			return
 		case event := <-l.urgentEvents:
-			l.handle(event)
+			l.handleEvent(event)
 		case event := <-l.events:
-			l.handle(event)
+			l.handleEvent(event)
 		case <-nextTimer.C:
-			l.handle(l.fireTimers)
+			l.handleEvent(l.fireTimers)
 		}
 	}
 }
@@ -173,8 +174,8 @@
 	}
 }
 
-// handle handles an event, and then the deferred events that it caused.
-func (l *Loop) handle(event func(now time.Duration)) {
+// handleEvent handles an event, and then the deferred events that it caused.
+func (l *Loop) handleEvent(event func(now time.Duration)) {
 	event(l.clock.now())
 	for len(l.deferredEvents) > 0 {
 		nextEvent := l.deferredEvents[0]
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -45,7 +45,7 @@
 	l.balancer = balancer
 	balancer.host.Timer(clockStart)
 	balancer.host.Timer(clockStart + 1)
-	l.handle(l.fireTimers)
+	l.handleEvent(l.fireTimers)
 	if balancer.timersFired != 2 || len(l.timers) != 2 {
 		t.Errorf("%d timers fired and %d are pending, want 2 and 2", balancer.timersFired, len(l.timers))
 	}
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -147,7 +147,8 @@
 // cellOf is the cell of each endpoint, by its id.
 var cellOf = map[string]int{"a": 1, "b": 1, "c": 2}
 
-// The steps of a script: events that may happen to a request at any time. simulateRequest depends on the order of the four results.
+// The steps of a script: events that may happen to a request at any time. simulateRequest depends on the order of the steps from
+// endpointSucceeds to connectionResets.
 const (
 	dialSucceeds             = iota // the latest attempt connects to its endpoint
 	endpointSucceeds                // the latest attempt ends with balance.OK
@@ -296,7 +297,7 @@
 	{dialSucceeds, clientDisconnects, loopStops, endpointSucceeds},
 }
 
-func TestConcurrentEndEventsKeepRequestInvariants(t *testing.T) {
+func TestEventsThatRaceWithTheEndOfARequestKeepItsInvariants(t *testing.T) {
 	for _, idempotency := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent} {
 		for _, canCancel := range []bool{false, true} {
 			for _, script := range raceScripts {
