--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -36,7 +36,7 @@
 }
 
 // scriptedUpstream is an Upstream for one request. Like *upstream.Client it writes nothing once ctx has ended, IsWanted returns
-// false or the endpoint accepts no requests. It records what violates the rules for attempts.
+// false or the endpoint accepts no requests. It records violations of the rules for attempts.
 type scriptedUpstream struct {
 	idempotency balance.Idempotency // idempotency of the request's class
 
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -17,8 +17,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// withAdmin configures an address for operators' commands.
-func withAdmin(c *config.Service) { c.AdminAddress, c.OperatorConnections = "127.0.0.1:0", 8 }
+// enableAdmin configures an address for operators' commands.
+func enableAdmin(c *config.Service) { c.AdminAddress, c.OperatorConnections = "127.0.0.1:0", 8 }
 
 // adminCommand sends one command to the operators' address and returns the response.
 func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
@@ -90,16 +90,16 @@
 	}
 }
 
-// sendOfKind sends a request of a kind that respondByID knows, an invalid one (kind "bad"), or one whose client disconnects
-// after 3 ms (kind "gone"). It returns the name of the metric that counts the outcome, or "gone CLASS" if the client has
-// disconnected before the response.
-func (s *platformSidecar) sendOfKind(t *testing.T, client *http.Client, kind, class, id string) (string, error) {
+// sendRequestOfKind sends a request of a kind that respondByID knows, an invalid one (kind "bad"), or one whose client
+// disconnects after 3 ms (kind "gone"). It returns the name of the metric that counts the outcome, or "gone CLASS" if the
+// client has disconnected before the response.
+func (s *platformSidecar) sendRequestOfKind(t *testing.T, client *http.Client, kind, class, id string) (string, error) {
 	t.Helper()
 	method := http.MethodPost
 	if class == "look" {
 		method = http.MethodGet
 	}
-	r := s.request(t, method, "/"+class, kind+"-"+id, 8000)
+	r := s.newRequest(t, method, "/"+class, kind+"-"+id, 8000)
 	switch kind {
 	case "bad":
 		r.Header.Set("Req-Deadline-Ms", "soon")
@@ -139,7 +139,7 @@
 	for range 3 {
 		addrs = append(addrs, testpeer.NewEndpoint(t, respondByID(&attempts)).Addr)
 	}
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, addrs...)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, addrs...)
 	var mu sync.Mutex
 	outcomes := map[string]int64{} // number of requests by outcome, as the clients counted them
 	const clients, requestsPerClient = 12, 150
@@ -151,9 +151,9 @@
 			for i := range requestsPerClient {
 				kind := []string{"good", "error", "full", "breaks", "slow", "good", "bad", "gone"}[i%8]
 				class := []string{"look", "pay", "book"}[i%3]
-				outcome, err := s.sendOfKind(t, &client, kind, class, fmt.Sprint(w, "-", i))
+				outcome, err := s.sendRequestOfKind(t, &client, kind, class, fmt.Sprint(w, "-", i))
 				if err != nil {
-					t.Error(kind, class, err)
+					t.Errorf("a request of kind %s and class %s: %v", kind, class, err)
 					continue
 				}
 				mu.Lock()
@@ -201,10 +201,10 @@
 		io.WriteString(nc, testpeer.ResponseOK)
 		return true
 	})
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, e.Addr)
 	var running sync.WaitGroup
 	for i := range 5 {
-		running.Go(func() { send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
+		running.Go(func() { send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint(i), 8000)) })
 	}
 	testpeer.Eventually(t, "five requests are active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 5 })
 	close(release)
@@ -216,7 +216,7 @@
 // loop hangs.
 func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, e.Addr)
 	unblock, blocked := make(chan struct{}), make(chan struct{})
 	s.loop.Post(func(time.Duration) { close(blocked); <-unblock })
 	<-blocked
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// BenchmarkServe measures requests sent one after another on one connection, through the daemon to an endpoint.
+// BenchmarkServe measures the time from a request to its response, through the daemon and an endpoint. Requests are sent
+// one after another on one connection.
 func BenchmarkServe(b *testing.B) {
 	e := testpeer.NewEndpoint(b, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startFromFile(b, parseService(b, listenerOne+poolSection("a", e.Addr)+lookRoute))
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -42,7 +42,7 @@
 	// daemons is the number of daemons that divide the endpoints, 0 until it is known; index is this daemon's position
 	// among them.
 	daemons, index int
-	pools          map[*pool]bool // running pools, which are notified of daemons and index
+	pools          map[*pool]bool // running pools, which are notified when daemons or index changes
 }
 
 var (
@@ -147,15 +147,15 @@
 		return nil, err
 	}
 	return func() {
-		startSpec := n.spec
-		if startSpec.Name != spec.Name || startSpec.ClusterName != spec.ClusterName || startSpec.Listen != spec.Listen ||
-			startSpec.Advertise != spec.Advertise || startSpec.DividesByMembership != spec.DividesByMembership {
+		initialSpec := n.spec
+		if initialSpec.Name != spec.Name || initialSpec.ClusterName != spec.ClusterName || initialSpec.Listen != spec.Listen ||
+			initialSpec.Advertise != spec.Advertise || initialSpec.DividesByMembership != spec.DividesByMembership {
 			n.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, " +
 				"change with a restart only")
 		}
-		if n.raft != nil && !slices.Equal(startSpec.Voters, spec.Voters) {
+		if n.raft != nil && !slices.Equal(initialSpec.Voters, spec.Voters) {
 			n.log.Warn("fleet: the change of voters is ignored: where settings are agreed on, voters are changed by command")
-			options.Voters = startSpec.Voters
+			options.Voters = initialSpec.Voters
 		}
 		n.transport.Reconfigure(options) // even if all options are equal: the key file's content may have changed
 	}, nil
@@ -197,7 +197,7 @@
 		return
 	}
 	n.log.Info("cluster size changed", "daemons", daemons, "index", index)
-	for _, p := range pools { // Post blocks while a queue is full: that delays only this event
+	for _, p := range pools { // Post blocks while the pool's event queue is full, which delays only this notification
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// boolGauge returns 1 for true and 0 for false.
+// boolGauge returns a gauge's value for a boolean: 1 for true, 0 for false.
 func boolGauge(isSet bool) int64 {
 	if isSet {
 		return 1
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -9,7 +9,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// allStacks returns the stacks of all goroutines.
+// allStacks returns the stack traces of all goroutines as text.
 func allStacks() string {
 	b := make([]byte, 1<<20)
 	return string(b[:runtime.Stack(b, true)])
@@ -23,7 +23,7 @@
 // test would detect sockets and goroutines. All pools of such a daemon get the number of members, also pools that a
 // reload adds.
 func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
-	a := echoEndpoint(t, "A")
+	a := startEchoEndpoint(t, "A")
 	platform := startPlatform(t, a)
 	if platform.cluster != nil || strings.Contains(allStacks(), clusterPackages) {
 		t.Error("a daemon on the platform's configuration is in a cluster")
@@ -31,7 +31,7 @@
 	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listenerOne + poolSection("a", a) + lookRoute
 	s := startFromFile(t, parseService(t, file))
 	if !strings.Contains(allStacks(), clusterPackages+"transport") {
-		t.Fatal("a file with the section [fleet] starts no cluster: the check above proves nothing")
+		t.Fatal("a file with the section [fleet] starts no cluster, so the test would not detect a cluster on the platform's configuration either")
 	}
 	join := "name = \"r\"\njoin = [\"" + s.cluster.transport.Addr().String() + "\"]"
 	other := startFromFile(t, parseService(t, strings.Replace(file, "name = \"s\"", join, 1)))
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -24,7 +24,7 @@
 	coldWarmup           = 24 * time.Second       // time until a cold endpoint has its full capacity
 	coldOverloadMultiple = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
 	coldOverloadWindow   = time.Second            // time over which an endpoint's requests are counted
-	coldResponseTime     = 200 * time.Millisecond // response time of each endpoint: a client sends 5 requests/s
+	coldResponseTime     = 200 * time.Millisecond // response time of each endpoint, which limits a client to 5 requests/s
 	coldRequests         = 10                     // number of requests that each client sends in one call of sendRequests
 	coldLoadFactor       = 1.6                    // ratio of the load to the endpoints' capacity
 )
@@ -32,25 +32,25 @@
 // coldStartSite has many sidecars in front of one tier on loopback, one discovery agent, and cold endpoints whose requests
 // are recorded.
 type coldStartSite struct {
-	t        *testing.T
-	sidecars int              // number of sidecars that startSidecars starts
-	warm     []string         // entries of the warm endpoints in the endpoint list
-	agent    *httptest.Server // discovery agent of all sidecars
+	t           *testing.T
+	sidecars    int              // number of sidecars that startSidecars starts
+	warmEntries []string         // entries of the warm endpoints in the endpoint list
+	agent       *httptest.Server // discovery agent of all sidecars
 
-	mu      sync.Mutex
-	updates []string               // list updates that the agent sends on each watch, in this order
-	changed chan struct{}          // closed and replaced by a new channel when an update is added
-	arrived map[string][]time.Time // arrival times of the requests at each cold endpoint, by the endpoint's ID
+	mu           sync.Mutex
+	updates      []string               // list updates that the agent sends on each watch, in this order
+	changed      chan struct{}          // closed and replaced by a new channel when an update is added
+	arrivalTimes map[string][]time.Time // arrival times of the requests at each cold endpoint, by the endpoint's ID
 }
 
 // newColdStartSite starts the discovery agent and a number of warm endpoints.
 func newColdStartSite(t *testing.T, sidecars, warmEndpoints int) *coldStartSite {
 	t.Helper()
-	s := &coldStartSite{t: t, sidecars: sidecars, changed: make(chan struct{}), arrived: map[string][]time.Time{}}
+	s := &coldStartSite{t: t, sidecars: sidecars, changed: make(chan struct{}), arrivalTimes: map[string][]time.Time{}}
 	s.agent = httptest.NewServer(http.HandlerFunc(s.serveWatch))
 	t.Cleanup(s.agent.Close)
 	for i := range warmEndpoints {
-		s.warm = append(s.warm, s.startEndpoint(fmt.Sprintf("warm%02d", i), 0))
+		s.warmEntries = append(s.warmEntries, s.startEndpoint(fmt.Sprintf("warm%02d", i), 0))
 	}
 	return s
 }
@@ -61,7 +61,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if startedMs > 0 {
 			s.mu.Lock()
-			s.arrived[id] = append(s.arrived[id], time.Now())
+			s.arrivalTimes[id] = append(s.arrivalTimes[id], time.Now())
 			s.mu.Unlock()
 		}
 		responseTimer := time.NewTimer(coldResponseTime)
@@ -199,11 +199,12 @@
 	defer s.mu.Unlock()
 	// warmCapacity is how many requests per second one warm endpoint can serve.
 	warmCapacity := float64(s.sidecars) / coldResponseTime.Seconds() / float64(endpoints) / coldLoadFactor
-	// The capacity of a cold endpoint is taken after a tenth of its warm-up: the test ends before that.
+	// The cold endpoint is taken to have the capacity that it has after a tenth of its warm-up. That is the most that it
+	// can have during the test, which ends earlier.
 	overload := coldOverloadMultiple * (coldInitialFraction + (1-coldInitialFraction)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
 	limit := overload + 2*math.Sqrt(overload) + 2
 	maxRequests, windowStart := 0, 0
-	for _, arrivals := range s.arrived {
+	for _, arrivals := range s.arrivalTimes {
 		windowStart = 0
 		for i, at := range arrivals {
 			for at.Sub(arrivals[windowStart]) > coldOverloadWindow {
@@ -221,34 +222,34 @@
 // Many sidecars that start at the same time with a list that contains a cold endpoint must not all send to it at once.
 func TestRestartedSidecarsDoNotOverloadAColdEndpoint(t *testing.T) {
 	s := newColdStartSite(t, 48, 5)
-	addrs := s.startSidecars(append(s.startColdEndpoints(1), s.warm...))
+	addrs := s.startSidecars(append(s.startColdEndpoints(1), s.warmEntries...))
 	s.sendRequests(addrs, coldRequests)
 	s.checkColdEndpoints(6)
 }
 
-// Many sidecars that are notified of a cold endpoint at the same time must spread their first requests to it, as far as the
-// endpoint has warmed up.
+// Many sidecars that are notified of a cold endpoint at the same time must spread their first requests to it over time, so
+// that the endpoint is not overloaded while it warms up.
 func TestSidecarsNotifiedOfAColdEndpointDoNotOverloadIt(t *testing.T) {
 	s := newColdStartSite(t, 48, 5)
-	addrs := s.startSidecars(s.warm)
+	addrs := s.startSidecars(s.warmEntries)
 	s.sendRequests(addrs, coldRequests)
 	s.updateList(s.startColdEndpoints(1)...)
 	s.sendRequests(addrs, coldRequests)
 	s.checkColdEndpoints(6)
 }
 
-// Each time that endpoints begin to drain, a cold endpoint gets into the subsets of other sidecars. It must not be
-// overloaded by their first requests.
+// Each time that endpoints begin to drain, a cold endpoint gets into the subsets of more sidecars. The first requests of
+// these sidecars must not overload it.
 func TestChangesOfTheListDoNotOverloadAColdEndpoint(t *testing.T) {
 	const warm, steps, drainedPerStep = 40, 6, 4
 	s := newColdStartSite(t, 48, warm)
-	addrs := s.startSidecars(s.warm)
+	addrs := s.startSidecars(s.warmEntries)
 	s.sendRequests(addrs, coldRequests)
 	s.updateList(s.startColdEndpoints(4)...)
 	for step := range steps {
 		var drained []string
 		for i := range drainedPerStep {
-			drained = append(drained, strings.Replace(s.warm[(7*(step*drainedPerStep+i))%warm], `"Ready"`, `"Terminating"`, 1))
+			drained = append(drained, strings.Replace(s.warmEntries[(7*(step*drainedPerStep+i))%warm], `"Ready"`, `"Terminating"`, 1))
 		}
 		s.updateList(drained...)
 		s.sendRequests(addrs, 2)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -17,7 +17,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, `{"sockets":64}`, nil, e.Addr)
 	for i := range 100 { // far more connections than the limit allows
-		_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		_, _, resp := sendKeepingOpen(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("client %d: status %d, want 200", i, resp.StatusCode)
 		}
@@ -36,10 +36,10 @@
 		t.Cleanup(func() { nc.Close() })
 		io.WriteString(nc, "GET /lo"[:i%2*7]) // the beginning of a request line, or nothing
 	}
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "r1", 60000)); status != http.StatusOK {
 		t.Errorf("status %d, want 200", status)
 	}
-	if n := s.connections.ConnectionCount(); n > 64 {
+	if n := s.frontendListener.ConnectionCount(); n > 64 {
 		t.Errorf("%d connections are open, want at most 64", n)
 	}
 }
@@ -51,11 +51,11 @@
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
 		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
-		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
+		if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
 			t.Fatalf("request %d: status %d, want 200", i, status)
 		}
 	}
-	testpeer.Eventually(t, "clients' connections are closed", func() bool { return s.connections.ConnectionCount() == 0 })
+	testpeer.Eventually(t, "clients' connections are closed", func() bool { return s.frontendListener.ConnectionCount() == 0 })
 	counts := make(chan [4]int)
 	s.loop.Post(func(time.Duration) {
 		calls, members, events, timers := s.loop.ResourceCounts()
@@ -96,7 +96,7 @@
 	s := startPlatform(t, addrs...)
 	const requests = 60
 	for n := range requests {
-		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
+		if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", n), 4000)); status != http.StatusOK {
 			t.Fatalf("request %d: status %d, want 200", n, status)
 		}
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -24,7 +24,7 @@
 	sendEightRequests := func() (atA, atB int32) {
 		for range 8 {
 			n++
-			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
+			if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
 				t.Errorf("request %d: status %d, want 200", n, status)
 			}
 		}
@@ -44,16 +44,16 @@
 	}
 }
 
-// SIGHUP reloads the configuration; a fault once made it end the program. After a reload with another discovery agent
-// the agent's endpoints serve, the request in flight gets its response, and further reloads do no harm, also during the
-// shutdown.
+// SIGHUP must reload the configuration; because of a former fault it ended the program. After a reload with another
+// discovery agent the agent's endpoints serve, the request in flight gets its response, and further reloads do no harm,
+// also during the shutdown.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
 	oldEndpoint, arrived, release := newBlockingEndpoint(t)
 	s := startPlatform(t, oldEndpoint.Addr)
-	first := make(chan int)
+	firstStatus := make(chan int)
 	go func() {
-		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 60000))
-		first <- status
+		status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "r1", 60000))
+		firstStatus <- status
 	}()
 	<-arrived
 	newEndpoint := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
@@ -73,7 +73,7 @@
 	}
 	<-calls
 	<-calls // the second call to the agent is the watch, which begins once the first list is applied
-	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r2", 60000))
+	status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "r2", 60000))
 	if status != http.StatusOK || newEndpoint.Requests.Load() != 1 {
 		t.Errorf("after the reload: status %d, %d requests at the new endpoint, want 200 and 1", status, newEndpoint.Requests.Load())
 	}
@@ -84,7 +84,7 @@
 	c.Discovery, _ = startDiscovery(t)
 	testpeer.Eventually(t, "the shutdown begins", func() bool { return errors.Is(reload(), errShuttingDown) })
 	close(release)
-	if status := <-first; status != http.StatusOK {
+	if status := <-firstStatus; status != http.StatusOK {
 		t.Errorf("the request in flight: status %d, want 200", status)
 	}
 	if err := <-s.serveResult; err != nil {
@@ -94,8 +94,8 @@
 
 // Two pools may list the same address, and a reload may give a member of one pool another address under the same ID
 // without an effect on the other pool.
-func TestSameAddressInTwoPoolsAndMemberWithNewAddress(t *testing.T) {
-	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+func TestNewMemberAddressAffectsOnlyItsPool(t *testing.T) {
+	a, b := startEchoEndpoint(t, "A"), startEchoEndpoint(t, "B")
 	member := func(addr string) string {
 		return fmt.Sprintf("[[pool]]\nname = \"a\"\n[[pool.member]]\nid = \"m\"\naddress = %q\n", addr)
 	}
@@ -117,8 +117,8 @@
 
 // Pools take their members from DNS and from a file. A changed list is applied; while a source fails, the last list stays
 // in use.
-func TestPoolMembersFromDNSAndFiles(t *testing.T) {
-	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+func TestPoolsFollowMemberListsFromDNSAndFiles(t *testing.T) {
+	a, b := startEchoEndpoint(t, "A"), startEchoEndpoint(t, "B")
 	dns, err := fake.NewDNS()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -29,10 +29,10 @@
 	defer nc.Close()
 	_ = nc.(*net.TCPConn).SetReadBuffer(256 << 10)
 	_ = nc.SetDeadline(time.Now().Add(2 * testpeer.Timeout))
-	chunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
+	isChunked := c.direction == "up" && c.fails("caller") && c.fault == "garbage"
 	method, framing, requestBody := http.MethodPost, fmt.Sprintf("Content-Length: %d", c.size), longBody(c.size)
 	switch {
-	case chunked:
+	case isChunked:
 		framing = "Transfer-Encoding: chunked"
 	case c.direction == "down":
 		framing, requestBody = "Content-Length: 2", []byte("hi")
@@ -45,7 +45,7 @@
 	}
 	io.WriteString(nc, head)
 	send := func(part []byte) {
-		if chunked && len(part) > 0 {
+		if isChunked && len(part) > 0 {
 			_, _ = fmt.Fprintf(nc, "%x\r\n%s\r\n", len(part), part)
 			return
 		}
@@ -57,7 +57,7 @@
 	}
 	if c.fails("caller") {
 		send(requestBody[:c.offset()])
-		if chunked && c.moment == "after" {
+		if isChunked && c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
 		remaining := requestBody[c.offset():]
@@ -198,9 +198,9 @@
 	return n, err
 }
 
-// classifyResponse reads a response and returns its outcome as the table in docs/operators/long-bodies.md names it. If
-// readFirst is not nil, it reads the first part of the body, and returns how many expected bytes it has read and whether
-// the client has closed the connection itself.
+// classifyResponse reads a response and returns its outcome as the table in docs/operators/long-bodies.md names it. The
+// function readFirst, if not nil, is called to read the first part of the body. It returns how many expected bytes it has
+// read, and whether the client has closed the connection itself.
 func classifyResponse(in *bufio.Reader, want []byte, readFirst func(body io.Reader) (int, bool, error)) string {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -235,7 +235,7 @@
 }
 
 // sendProbeRequest sends a request to a cell's path that asks an endpoint for a text. It returns the response's body, or a
-// name of the outcome if the response is not 200.
+// text that names the outcome if there is no response with status 200.
 func sendProbeRequest(addr string, c *matrixCell, text string) string {
 	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.path+"?probe="+text, nil)
 	r.Header.Set("Idempotency-Key", text)
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -21,7 +21,7 @@
 	testEnded chan struct{}          // closed when all clients have their outcomes
 }
 
-// start starts an endpoint and returns its address. It may be called several times.
+// start starts an endpoint and returns its address. Each call starts another endpoint.
 func (n *matrixEndpoint) start(t *testing.T) string {
 	t.Helper()
 	return testpeer.ServeTCP(t, func(nc net.Conn) {
@@ -60,7 +60,7 @@
 		close(c.retried)
 	}
 	c.connections = append(c.connections, nc.(*net.TCPConn))
-	c.mostConnections = max(c.mostConnections, countEstablished(c.connections))
+	c.maxConnections = max(c.maxConnections, countEstablished(c.connections))
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
@@ -82,12 +82,12 @@
 	c.runs++
 	c.mu.Unlock()
 	head, responseBody := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", c.size), longBody(c.size)
-	chunked := fails && c.direction == "down" && c.fault == "garbage"
+	isChunked := fails && c.direction == "down" && c.fault == "garbage"
 	switch {
 	case c.direction == "up":
 		responseBody = []byte("done")
 		head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
-	case chunked:
+	case isChunked:
 		head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	}
 	if !fails {
@@ -102,7 +102,7 @@
 			io.WriteString(nc, head[:20])
 			remaining = remaining[20:]
 		}
-	case chunked:
+	case isChunked:
 		part := responseBody[:c.offset()]
 		_, _ = fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(part), part)
 		if c.moment == "after" {
@@ -145,8 +145,8 @@
 			continue
 		}
 		_ = raw.Control(func(fd uintptr) {
-			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-			if err == nil && info.State == unix.BPF_TCP_ESTABLISHED {
+			tcpInfo, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+			if err == nil && tcpInfo.State == unix.BPF_TCP_ESTABLISHED {
 				n++
 			}
 		})
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -24,10 +24,10 @@
 // reads that table; the values are those that the table uses.
 var (
 	matrixDirections   = []string{"up", "down"}                                         // direction of the long body
-	matrixFailingSides = []string{"caller", "node", "both"}                             // client, endpoint, or both of them
+	matrixFailingSides = []string{"caller", "node", "both"}                             // side that fails: the client, the endpoint, or both
 	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"} // part of the message sent last before the fault
 	matrixFaults       = []string{"close", "reset", "silence", "garbage", "slow"}       // what the failing side does
-	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // idempotent; with an idempotency key; not idempotent
+	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // classes of requests: idempotent, with an idempotency key, not idempotent
 )
 
 // matrixCell is one cell of the fault matrix: one request with its fault, and what the endpoints observed of it.
@@ -41,11 +41,11 @@
 	clientEnded   chan struct{} // closed when the client has its outcome
 	retried       chan struct{} // closed when a second attempt has begun
 
-	mu              sync.Mutex
-	attempts        int            // number of attempts that reached an endpoint
-	runs            int            // number of attempts whose complete request reached an endpoint
-	connections     []*net.TCPConn // connections of the attempts in flight
-	mostConnections int            // largest number of connections of attempts in flight at the same time
+	mu             sync.Mutex
+	attempts       int            // number of attempts that reached an endpoint
+	runs           int            // number of attempts whose complete request reached an endpoint
+	connections    []*net.TCPConn // connections of the attempts in flight
+	maxConnections int            // largest number of connections of attempts in flight at the same time
 
 	failOnce, endOnce sync.Once // guard the closing of nodeFailed and of exchangeEnded
 }
@@ -103,7 +103,8 @@
 // markNodeFailed records that the endpoint has failed.
 func (c *matrixCell) markNodeFailed() { c.failOnce.Do(func() { close(c.nodeFailed) }) }
 
-// longBodyBytes is shared by all cells, since allocating a body for each cell would take too much time.
+// longBodyBytes holds the bytes from which longBody takes all long bodies. All cells share them, since allocating a body
+// for each cell would take too much time.
 var longBodyBytes = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
 
 // longBody returns a body of the given size, at most 64 MiB. The bytes are shared and must not be changed.
@@ -119,11 +120,11 @@
 type expectation struct {
 	// pattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
 	// values, or a list of values separated by commas.
-	pattern  [5]string
-	outcomes []string     // outcomes that the client may get, as classifyResponse names them
-	maxRuns  int          // how often the request may run at an endpoint
-	row      int          // number of this row in the table of long-bodies.md, for failure messages
-	matches  atomic.Int32 // number of matrix cells to which this row applied
+	pattern    [5]string
+	outcomes   []string     // outcomes that the client may get, as classifyResponse names them
+	maxRuns    int          // how often the request may run at an endpoint
+	row        int          // number of this row in the table of long-bodies.md, for failure messages
+	matchCount atomic.Int32 // number of matrix cells to which this row applied
 }
 
 // readExpectations reads the table in docs/operators/long-bodies.md.
@@ -181,21 +182,21 @@
 	return false
 }
 
-// checkCell returns an error if a cell's outcome, runs or concurrent attempts are not as the first row that applies to the
-// cell promises, or if no row applies.
+// checkCell compares a cell's outcome and number of runs with the first row that applies to the cell. It returns an error
+// if they are not what the row promises, if two attempts were in flight at once, or if no row applies.
 func checkCell(c *matrixCell, outcome string, rows []*expectation) error {
 	for _, e := range rows {
 		if !e.appliesTo(c) {
 			continue
 		}
-		e.matches.Add(1)
+		e.matchCount.Add(1)
 		switch {
 		case !listContains(strings.Join(e.outcomes, ","), outcome):
 			return fmt.Errorf("outcome %q, want one of %v (row %d)", outcome, e.outcomes, e.row)
 		case c.runs > e.maxRuns:
 			return fmt.Errorf("ran %d times, want at most %d (row %d)", c.runs, e.maxRuns, e.row)
-		case c.mostConnections > 1:
-			return fmt.Errorf("%d attempts in flight at once, want 1", c.mostConnections)
+		case c.maxConnections > 1:
+			return fmt.Errorf("%d attempts in flight at once, want 1", c.maxConnections)
 		}
 		return nil
 	}
@@ -243,9 +244,9 @@
 }
 
 // Whichever side fails, at whatever moment and in whatever way, a request gets one of the outcomes that the operators'
-// table promises, runs at most as often as promised, and never has two attempts in flight. The next requests of the same
-// class get responses of their own, and no memory, goroutine or descriptor is leaked.
-func TestFaultMatrix(t *testing.T) {
+// table promises, runs at most as often as promised, and never has two attempts in flight. Requests of the same class that
+// follow get responses of their own, and no memory, goroutine or descriptor is leaked.
+func TestFaultMatrixGivesPromisedOutcomes(t *testing.T) {
 	rows := readExpectations(t)
 	n := &matrixEndpoint{cells: map[string]*matrixCell{}, testEnded: make(chan struct{})}
 	cells := newMatrixCells()
@@ -253,12 +254,12 @@
 		n.cells[c.path] = c
 	}
 	s := startFromFile(t, parseFile(t, matrixFile(cells, n.start(t), n.start(t))))
-	for _, c := range cells { // starts the goroutines of each pool before goroutines are counted
+	for _, c := range cells { // a first request to each pool starts the pool's goroutines before goroutines are counted
 		if sendProbeRequest(s.addressOf("one"), c, "first") != "first" {
 			t.Fatalf("%s does not serve", c.path)
 		}
 	}
-	goroutinesBefore, descriptorsBefore := settledGoroutines(), measureResources().descriptors
+	goroutinesBefore, descriptorsBefore := countSettledGoroutines(), measureResources().descriptors
 	var running sync.WaitGroup
 	var failedCells atomic.Int32
 	slots := make(chan bool, 16)
@@ -267,11 +268,11 @@
 			slots <- true
 			defer func() { <-slots }()
 			outcome := c.runClient(t, s.addressOf("one"))
-			// The next two requests must get responses of their own, or be shed or fail.
+			// Each of the two requests after the fault must get its own response, or be shed or fail.
 			for i := range 2 {
 				want := fmt.Sprintf("%s-%d", c.path[1:], i)
 				if got := sendProbeRequest(s.addressOf("one"), c, want); got != want && got != "refused" && got != "failed" {
-					t.Errorf("%s: the next request got %q, want %q, refused or failed", c, got, want)
+					t.Errorf("%s: a request after the fault got %q, want %q, refused or failed", c, got, want)
 				}
 			}
 			c.mu.Lock()
@@ -285,7 +286,7 @@
 	running.Wait()
 	close(n.testEnded)
 	for _, e := range rows {
-		if e.matches.Load() == 0 {
+		if e.matchCount.Load() == 0 {
 			t.Errorf("row %d of the table applies to no cell", e.row)
 		}
 	}
@@ -304,9 +305,9 @@
 	return strings.Join([]string{c.direction, c.failingSide, c.moment, c.fault, c.class}, ", ")
 }
 
-// settledGoroutines returns the smallest number of goroutines seen within 100 ms, so that goroutines that are about to end
-// are not counted.
-func settledGoroutines() int {
+// countSettledGoroutines returns the smallest number of goroutines seen within 100 ms, so that goroutines that are about
+// to end are not counted.
+func countSettledGoroutines() int {
 	n := runtime.NumGoroutine()
 	for range 20 {
 		time.Sleep(5 * time.Millisecond)
@@ -319,7 +320,7 @@
 func TestFaultMatrixDetectsViolations(t *testing.T) {
 	rows := []*expectation{{pattern: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, maxRuns: 1}}
 	cellWith := func(change func(*matrixCell)) *matrixCell {
-		c := &matrixCell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, mostConnections: 1}
+		c := &matrixCell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, maxConnections: 1}
 		change(c)
 		return c
 	}
@@ -332,7 +333,7 @@
 	}{
 		"another outcome":      {cellWith(func(*matrixCell) {}), "served"},
 		"two runs":             {cellWith(func(c *matrixCell) { c.runs = 2 }), "gone"},
-		"two attempts at once": {cellWith(func(c *matrixCell) { c.mostConnections = 2 }), "gone"},
+		"two attempts at once": {cellWith(func(c *matrixCell) { c.maxConnections = 2 }), "gone"},
 		"no row":               {cellWith(func(c *matrixCell) { c.failingSide = "node" }), "gone"},
 		"a wrong response":     {cellWith(func(*matrixCell) {}), "wrong"},
 	} {
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -39,7 +39,7 @@
 type fileSidecar struct {
 	*Sidecar
 	terminate   context.CancelFunc // begins the shutdown, as SIGTERM does
-	serveResult chan error         // receives the error of Serve, and is closed then
+	serveResult chan error         // receives the error of Serve, and is then closed
 }
 
 // startFromFile starts a daemon that serves until the test ends.
@@ -56,7 +56,7 @@
 // addressOf returns the address of the listener with a name.
 func (s *fileSidecar) addressOf(name string) string { return s.Addrs()[name].String() }
 
-// reload installs an operators' file, as parseService reads it.
+// reload parses an operators' file with parseService and installs it.
 func (s *fileSidecar) reload(tb testing.TB, text string) {
 	tb.Helper()
 	if err := s.Reload(parseService(tb, text)); err != nil {
@@ -64,7 +64,8 @@
 	}
 }
 
-// sendGet sends a GET request for a target of a host on a connection of its own.
+// sendGet sends a GET request with the given Host header and request target on a connection of its own, and returns the
+// response and its body.
 func sendGet(tb testing.TB, addr, host, target string) (*http.Response, string) {
 	tb.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+target, nil)
@@ -92,9 +93,9 @@
 	return resp, string(text)
 }
 
-// echoEndpoint starts an endpoint that responds with its name, the request line and the request's headers. It returns the
-// endpoint's address.
-func echoEndpoint(tb testing.TB, name string) string {
+// startEchoEndpoint starts an endpoint that responds with its name, the request line and the request's headers. It returns
+// the endpoint's address.
+func startEchoEndpoint(tb testing.TB, name string) string {
 	tb.Helper()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintf(w, "%s %s %s\n", name, r.Method, r.RequestURI)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -32,15 +32,15 @@
 // platformSidecar is a daemon that runs on the platform's configuration, with one listener and one pool, on loopback.
 type platformSidecar struct {
 	*Sidecar
-	platformConfig config.Config
-	addr           string             // address of the listener
-	connections    *frontend.Listener // wraps the listener's socket and tracks the clients' connections
-	frontend       *frontend.Server   // server of the listener
-	loop           *eventloop.Loop    // event loop of the pool
-	upstream       *upstream.Client   // connections of the pool to its endpoints
-	pool           *pool
-	terminate      context.CancelFunc // begins the shutdown, as SIGTERM does
-	serveResult    chan error         // receives the error of Serve, and is closed then
+	platformConfig   config.Config
+	addr             string             // address of the listener
+	frontendListener *frontend.Listener // wraps the listener's socket and tracks the clients' connections
+	frontend         *frontend.Server   // server of the listener
+	loop             *eventloop.Loop    // event loop of the pool
+	upstream         *upstream.Client   // connections of the pool to its endpoints
+	pool             *pool
+	terminate        context.CancelFunc // begins the shutdown, as SIGTERM does
+	serveResult      chan error         // receives the error of Serve, and is then closed
 }
 
 // startPlatform starts a sidecar with the given addresses as endpoints, which get the IDs a, b, ... Its discovery agent
@@ -50,7 +50,8 @@
 	return startPlatformWith(t, "{}", nil, addrs...)
 }
 
-// startPlatformWith does the same as startPlatform with resource limits, as JSON, and with changes to the configuration.
+// startPlatformWith starts a sidecar like startPlatform, with the given resource limits (in JSON), after it has applied
+// changes to the configuration.
 func startPlatformWith(t *testing.T, limits string, changes []func(*config.Service), addrs ...string) *platformSidecar {
 	t.Helper()
 	silentAgent := httptest.NewServer(&testpeer.ScriptedAgent{Queries: make(chan string, 100)})
@@ -79,16 +80,16 @@
 	l, p := s.listeners[listenerKey(service.Listeners[0])], s.installed.pools[service.Pools[0].Name]
 	terminate, serveResult := serveUntilCleanup(t, s)
 	return &platformSidecar{
-		Sidecar:        s,
-		platformConfig: c,
-		addr:           l.connections.Addr().String(),
-		connections:    l.connections,
-		frontend:       l.frontend,
-		loop:           p.loop,
-		upstream:       p.upstream,
-		pool:           p,
-		terminate:      terminate,
-		serveResult:    serveResult,
+		Sidecar:          s,
+		platformConfig:   c,
+		addr:             l.frontendListener.Addr().String(),
+		frontendListener: l.frontendListener,
+		frontend:         l.frontend,
+		loop:             p.loop,
+		upstream:         p.upstream,
+		pool:             p,
+		terminate:        terminate,
+		serveResult:      serveResult,
 	}
 }
 
@@ -111,9 +112,9 @@
 	return cancel, serveResult
 }
 
-// request returns a request as the platform's clients send it, with a deadline in milliseconds. A request of the class
+// newRequest returns a request as the platform's clients send it, with a deadline in milliseconds. A request of the class
 // book has an idempotency key.
-func (s *platformSidecar) request(t *testing.T, method, path, id string, deadlineMs int) *http.Request {
+func (s *platformSidecar) newRequest(t *testing.T, method, path, id string, deadlineMs int) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return r
 }
 
-// send sends a request on a connection of its own.
+// send sends a request on a connection of its own, and returns the status, body and headers of the response.
 func send(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -24,7 +24,7 @@
 	pollingEnded chan struct{}  // closed when the method run has returned
 	finished     chan struct{}  // closed when another process takes clients and this one has no client left
 
-	mu              sync.Mutex // held by one poll at a time
+	mu              sync.Mutex // held while the shared directory is polled, and while the shutdown begins
 	startedAt       time.Time
 	lifecycle       *hotrestart.Lifecycle
 	descriptorLimit int  // number of descriptors that this process may use now
@@ -67,29 +67,29 @@
 }
 
 // start polls the shared directory once, so that the only process of a sidecar takes clients at once. It then polls in
-// the background until close.
+// the background until the method close is called.
 func (r *hotRestart) start() {
 	r.poll()
 	r.isPolling = true
 	go r.run()
 }
 
-// run polls the shared directory periodically until close.
+// run polls the shared directory periodically until the method close is called.
 func (r *hotRestart) run() {
 	defer close(r.pollingEnded)
-	tick := time.NewTicker(hotrestart.PollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(hotrestart.PollInterval)
+	defer ticker.Stop()
 	for {
 		r.poll()
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-r.stopPolling:
 			return
 		}
 	}
 }
 
-// poll reads what the other processes have written to the shared directory, follows their ejections, adapts this
+// poll reads what the other processes have written to the shared directory, applies their ejections, adapts this
 // process's limits, and starts or stops taking clients.
 func (r *hotRestart) poll() {
 	r.mu.Lock()
@@ -97,7 +97,7 @@
 	usage := r.sidecar.usage()
 	view, othersDescriptors := r.sidecar.overrides.syncDirectory(usage.descriptors)
 	r.applyLimits(view, othersDescriptors)
-	if r.isShuttingDown || !r.lifecycle.Update(time.Since(r.startedAt), view, usage.hasEndpointLists, usage.clients) {
+	if r.isShuttingDown || !r.lifecycle.Update(time.Since(r.startedAt), view, usage.hasEndpointLists, usage.clientConnections) {
 		return
 	}
 	switch r.lifecycle.Phase() {
@@ -169,9 +169,9 @@
 // resourceUsage is this process's part of the resources that all processes of a sidecar share, and whether its pools are
 // ready to serve.
 type resourceUsage struct {
-	descriptors      int  // number of open descriptors
-	clients          int  // number of connections from clients
-	hasEndpointLists bool // whether discovery has delivered an endpoint list to every pool
+	descriptors       int  // number of open descriptors
+	clientConnections int  // number of connections from clients
+	hasEndpointLists  bool // whether discovery has delivered an endpoint list to every pool
 }
 
 // usage counts the resources that this process uses now.
@@ -180,17 +180,17 @@
 	defer s.mu.Unlock()
 	u := resourceUsage{descriptors: s.fixedDescriptors, hasEndpointLists: true}
 	for _, l := range s.listeners {
-		u.clients += l.connections.ConnectionCount()
+		u.clientConnections += l.frontendListener.ConnectionCount()
 	}
 	for l := range s.drainingListeners {
-		u.clients += l.connections.ConnectionCount()
+		u.clientConnections += l.frontendListener.ConnectionCount()
 	}
 	for p := range s.runningPools {
 		_, connections := p.upstream.ResourceCounts()
 		u.descriptors += connections
 		u.hasEndpointLists = u.hasEndpointLists && p.hasEndpointList.Load()
 	}
-	u.descriptors += u.clients
+	u.descriptors += u.clientConnections
 	return u
 }
 
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -15,9 +15,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// measureP99 runs clients that each send one request per interval until total has passed, each client on a connection
+// measureP99 runs clients that each send one request per interval for the given duration, each client on a connection
 // of its own. It returns the 99th percentile of the latency, counted from when each request was due.
-func measureP99(tb testing.TB, addr string, clients int, interval time.Duration, total time.Duration) time.Duration {
+func measureP99(tb testing.TB, addr string, clients int, interval time.Duration, duration time.Duration) time.Duration {
 	tb.Helper()
 	var mu sync.Mutex
 	var latencies []time.Duration
@@ -28,7 +28,7 @@
 			nc, in, _ := openConnection(tb, addr)
 			for n := 0; ; n++ {
 				due := startedAt.Add(interval*time.Duration(n) + interval*time.Duration(i)/time.Duration(clients))
-				if due.Sub(startedAt) > total {
+				if due.Sub(startedAt) > duration {
 					return
 				}
 				time.Sleep(time.Until(due))
@@ -48,7 +48,7 @@
 }
 
 // startLoad starts clients that send requests to the pool whose endpoints hang, until stop is closed. The clients do not
-// wait for one another. The result waits until they have ended.
+// wait for one another. The returned WaitGroup waits until all clients have ended.
 func startLoad(addr string, clients int, stop chan bool) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for range clients {
@@ -75,10 +75,10 @@
 // startWithHungPool starts a daemon with a healthy pool and one whose endpoints hang, on one listener or on separate ones.
 // It returns the addresses at which clients of each pool connect. With the environment variable
 // TULIPROCK_TEST_HEALTHY_CONTROL the endpoints of the second pool respond: a control run with the same load.
-func startWithHungPool(tb testing.TB, separateListeners bool) (healthyAddr, hungAddr string) {
+func startWithHungPool(tb testing.TB, hasSeparateListeners bool) (healthyAddr, hungAddr string) {
 	tb.Helper()
-	a := echoEndpoint(tb, "A")
-	var hung []string
+	a := startEchoEndpoint(tb, "A")
+	var hungAddrs []string
 	for range 4 {
 		e := testpeer.NewEndpoint(tb, func(nc net.Conn, _ *http.Request, _ int) bool {
 			if os.Getenv("TULIPROCK_TEST_HEALTHY_CONTROL") != "" {
@@ -88,15 +88,15 @@
 			_, _ = nc.Read(make([]byte, 1)) // the read returns when the daemon cancels the attempt
 			return false
 		})
-		hung = append(hung, e.Addr)
+		hungAddrs = append(hungAddrs, e.Addr)
 	}
 	text := listenerOne
-	if separateListeners {
+	if hasSeparateListeners {
 		text += listenerTwo
 	}
-	text += poolSection("a", a) + poolSection("hang", hung...) + "[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n" + lookRoute
+	text += poolSection("a", a) + poolSection("hang", hungAddrs...) + "[[route]]\npath = \"/hang\"\npool = \"hang\"\nclass = \"look\"\n" + lookRoute
 	s := startFromFile(tb, parseService(tb, text))
-	if separateListeners {
+	if hasSeparateListeners {
 		return s.addressOf("one"), s.addressOf("two")
 	}
 	return s.addressOf("one"), s.addressOf("one")
@@ -104,13 +104,14 @@
 
 // A pool whose endpoints hang must not delay the requests of another pool, not even on the same listener.
 func TestHungPoolDoesNotDelayOtherPools(t *testing.T) {
-	for _, separateListeners := range []bool{false, true} {
-		healthyAddr, hungAddr := startWithHungPool(t, separateListeners)
+	for _, hasSeparateListeners := range []bool{false, true} {
+		healthyAddr, hungAddr := startWithHungPool(t, hasSeparateListeners)
 		stop := make(chan bool)
 		load := startLoad(hungAddr, 16, stop) // 64 clients would take all cores of a busy machine
-		// The limit is generous for busy machines: a request that waited for the hung pool would wait for a deadline of 1 s.
+		// The limit allows for busy machines, and is below the 1 s after which requests to the hung pool reach their
+		// deadline: a request that waited for one of them would exceed the limit.
 		if p99 := measureP99(t, healthyAddr, 4, 20*time.Millisecond, 2*time.Second); p99 > 700*time.Millisecond {
-			t.Errorf("separate listeners %v: p99 is %v while the other pool hangs, want at most 700ms", separateListeners, p99)
+			t.Errorf("separate listeners %v: p99 is %v while the other pool hangs, want at most 700ms", hasSeparateListeners, p99)
 		}
 		close(stop)
 		load.Wait()
@@ -124,7 +125,7 @@
 func TestPoolIsolationMeasurement(t *testing.T) {
 	pairs, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_ISOLATION_PAIRS"))
 	if pairs == 0 {
-		t.Skip("TULIPROCK_TEST_ISOLATION_PAIRS is not set: a measurement, for an idle machine")
+		t.Skip("TULIPROCK_TEST_ISOLATION_PAIRS is not set: this test takes measurements, which need an idle machine")
 	}
 	healthyAddr, hungAddr := startWithHungPool(t, os.Getenv("TULIPROCK_TEST_SEPARATE_LISTENERS") != "")
 	clients, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOAD_CLIENTS"))
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -14,15 +14,15 @@
 
 // listener is an address that clients connect to, and the server behind it.
 type listener struct {
-	spec          config.Listener
-	pseudonym     string // this daemon's name in the Via header
-	socket        *socketHandle
-	acceptLimiter *frontend.LimitListener
-	connections   *frontend.Listener
-	frontend      *frontend.Server
-	server        *http.Server
-	acceptEnded   chan struct{} // closed when serve has stopped accepting connections
-	isDraining    atomic.Bool   // whether the listener is being closed, so that serve ends with an error that is no failure
+	spec             config.Listener
+	pseudonym        string // this daemon's name in the Via header
+	socket           *socketHandle
+	acceptLimiter    *frontend.LimitListener
+	frontendListener *frontend.Listener
+	frontend         *frontend.Server
+	server           *http.Server
+	acceptEnded      chan struct{} // closed when serve has stopped accepting connections
+	isDraining       atomic.Bool   // whether the listener is being closed; the error with which serve then ends is no failure
 }
 
 // listenerOptions are a listener's dependencies and the settings that it shares with the daemon's other listeners.
@@ -44,17 +44,17 @@
 	return spec.Address
 }
 
-// newListener puts a server behind a socket; serve starts it.
+// newListener creates a listener and its server on a socket. It accepts connections once the method serve is called.
 func newListener(spec config.Listener, o listenerOptions) *listener {
 	// Clients beyond the limit wait in the kernel's accept queue, which costs no descriptor and loses no connection.
 	limiter := frontend.NewLimitListener(o.socket, spec.Connections+config.SpareConnections)
 	l := &listener{
-		spec:          spec,
-		pseudonym:     o.pseudonym,
-		socket:        o.socket,
-		acceptLimiter: limiter,
-		connections:   frontend.NewListener(limiter, spec.Connections, spec.HeadTimeout),
-		acceptEnded:   make(chan struct{}),
+		spec:             spec,
+		pseudonym:        o.pseudonym,
+		socket:           o.socket,
+		acceptLimiter:    limiter,
+		frontendListener: frontend.NewListener(limiter, spec.Connections, spec.HeadTimeout),
+		acceptEnded:      make(chan struct{}),
 	}
 	l.frontend = frontend.NewServer(frontend.Options{
 		MaxHeaderBytes:       spec.HeadBytes,
@@ -71,20 +71,20 @@
 		Metrics:              o.metrics,
 		MinRate:              body.MinimumRate{IdleTimeout: spec.StreamIdleTimeout, BytesPerSecond: spec.MinStreamRate},
 	}, o.routes, o.log)
-	l.server = l.frontend.HTTPServer(l.connections.Track)
+	l.server = l.frontend.HTTPServer(l.frontendListener.Track)
 	return l
 }
 
 // setMaxConnections changes how many clients' connections may be open at once.
 func (l *listener) setMaxConnections(limit int) {
 	l.acceptLimiter.SetMaxConnections(limit + config.SpareConnections)
-	l.connections.SetMaxConnections(limit)
+	l.frontendListener.SetMaxConnections(limit)
 }
 
 // serve accepts connections until the listener is closed.
 func (l *listener) serve() error {
 	defer close(l.acceptEnded)
-	return l.server.Serve(l.connections)
+	return l.server.Serve(l.frontendListener)
 }
 
 // canServe reports whether the listener can be reused under another configuration: only its name may differ.
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -32,7 +32,7 @@
 // ejections outlive endpoint lists and reloads, and with a shared directory also processes.
 type overrides struct {
 	commandSlot chan struct{}         // semaphore of size one, held while ejections are changed
-	directory   *hotrestart.Directory // shared with other processes; nil: hot restart is not in use
+	directory   *hotrestart.Directory // directory shared with other processes; nil: hot restart is not in use
 	// recentlyRestored are the IDs of endpoints whose ejection ended shortly before this process started. It is fixed
 	// before the first pool starts.
 	recentlyRestored []string
@@ -82,7 +82,8 @@
 		for _, id := range ejected {
 			p.loop.SetEjected(now, id, true)
 		}
-		// Ejecting and restoring an endpoint makes it warm up in this process too.
+		// Endpoints that were restored shortly before this process started must still warm up: ejecting and restoring them
+		// here makes the balancer of this process warm them up, too.
 		for _, id := range o.recentlyRestored {
 			p.loop.SetEjected(now, id, true)
 			p.loop.SetEjected(now, id, false)
@@ -104,8 +105,8 @@
 	count     int     // number of all manually ejected endpoints
 }
 
-// state returns a snapshot of the overrides with regard to the endpoint with the given ID.
-func (o *overrides) state(id string) ejectionState {
+// snapshot returns a snapshot of the overrides with regard to the endpoint with the given ID.
+func (o *overrides) snapshot(id string) ejectionState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return ejectionState{slices.Collect(maps.Keys(o.pools)), o.ejected[id], len(o.ejected)}
@@ -158,7 +159,7 @@
 	if o.directory != nil {
 		o.applyDirectory(hotrestart.KeepReportedDescriptors)
 	}
-	before := o.state(id)
+	before := o.snapshot(id)
 	isKnown := before.isEjected
 	err := doOnPools(ctx, before.pools, func(l *eventloop.Loop, _ time.Duration) { isKnown = isKnown || l.IsKnown(id) })
 	switch {
@@ -206,7 +207,7 @@
 	defer o.release()
 	for _, ids := range []map[string]bool{previous, current} {
 		for id := range ids {
-			local := o.state(id)
+			local := o.snapshot(id)
 			isUnchanged := previous[id] == current[id] || local.isEjected == current[id]
 			if isUnchanged || current[id] && local.count >= hotrestart.MaxEjections {
 				continue
@@ -232,7 +233,10 @@
 	}
 }
 
-// applyDirectory does the work of syncDirectory; the command slot is held.
+// applyDirectory applies the ejections that other processes have recorded in the shared directory, and reports to them
+// that this process has descriptorCount open descriptors (see hotrestart.Directory.Poll). It also records the ejections of
+// this process that the directory lacks. It returns the view of the other processes and how many descriptors they have
+// reported as open. The command slot is held.
 func (o *overrides) applyDirectory(descriptorCount int) (hotrestart.View, int) {
 	state, view, othersDescriptors := o.directory.Poll(descriptorCount)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
@@ -240,7 +244,7 @@
 	isRecorded := make(map[string]bool, len(state.Ejections))
 	for _, e := range state.Ejections {
 		isRecorded[e.ID] = true
-		if local := o.state(e.ID); local.isEjected != e.Ejected {
+		if local := o.snapshot(e.ID); local.isEjected != e.Ejected {
 			// Pools whose event loops are still busy after catchUpTimeout miss the change: o.apply has recorded the
 			// change, so later polls do not apply it again.
 			_ = o.apply(ctx, local.pools, e.ID, e.Ejected)
@@ -260,7 +264,7 @@
 func (o *overrides) countEndpoints(ctx context.Context) (listed, avoided int64) {
 	ctx, cancel := context.WithTimeout(ctx, countTimeout)
 	defer cancel()
-	pools := o.state("").pools
+	pools := o.snapshot("").pools
 	var pending sync.WaitGroup
 	for _, p := range pools {
 		pending.Go(func() {
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -15,12 +15,12 @@
 func TestManuallyEjectedEndpointGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, a.Addr, b.Addr)
 	n := 0
 	sendExpecting := func(want int) {
 		t.Helper()
 		n++
-		if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != want {
+		if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != want {
 			t.Fatalf("request %d: status %d, want %d", n, status, want)
 		}
 	}
@@ -55,31 +55,31 @@
 	for a.Requests.Load() == beforeEjection {
 		sendExpecting(http.StatusOK)
 	}
-	if unused := time.Since(restoredAt); unused > 5*time.Second {
-		t.Errorf("the restored endpoint got its first request after %v, want at most 5s", unused)
+	if delay := time.Since(restoredAt); delay > 5*time.Second {
+		t.Errorf("the restored endpoint got its first request after %v, want at most 5s", delay)
 	}
 }
 
 // A pool that a reload creates applies the manual ejections from before the reload.
 func TestManualEjectionOutlivesReload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, e.Addr)
 	s.adminCommand(t, "set-down a")
 	next, err := s.platformConfig.Service()
 	if err != nil {
 		t.Fatal(err)
 	}
-	withAdmin(&next)
+	enableAdmin(&next)
 	next.Pools[0].Settings.MaxAttempts++ // a changed setting makes the reload replace the pool
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "1", 8000))
+	status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "1", 8000))
 	if status != http.StatusServiceUnavailable || e.Requests.Load() > 0 {
 		t.Errorf("status %d and %d requests reached the ejected endpoint, want 503 and none", status, e.Requests.Load())
 	}
 	s.adminCommand(t, "set-up a")
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "2", 8000)); status != http.StatusOK {
 		t.Errorf("after the ejection has ended: status %d, want 200", status)
 	}
 }
@@ -88,9 +88,9 @@
 // another endpoint; here there is no other endpoint, and the request is shed as never sent.
 func TestEjectionDuringDialWritesNothing(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, e.Addr)
 	s.upstream.SetEjected("a", true) // the balancer is not notified yet and still chooses the endpoint
-	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "1", 1000)); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503, since the request was never sent", status)
 	}
 	if n := e.Requests.Load(); n > 0 {
@@ -103,18 +103,18 @@
 func TestRestoredEndpointThatIsNotReadyGetsNoRequests(t *testing.T) {
 	a := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	b := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	s := startPlatformWith(t, "{}", []func(*config.Service){withAdmin}, a.Addr, b.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, a.Addr, b.Addr)
 	n := 0
-	sendBurst := func(state string) {
+	sendBurst := func(scenario string) {
 		t.Helper()
 		for range 20 {
 			n++
-			if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != http.StatusOK {
-				t.Fatalf("%s: status %d, want 200", state, status)
+			if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint(n), 8000)); status != http.StatusOK {
+				t.Fatalf("%s: status %d, want 200", scenario, status)
 			}
 		}
 		if got := a.Requests.Load(); got > 0 {
-			t.Errorf("%s: %d requests reached the endpoint, want none", state, got)
+			t.Errorf("%s: %d requests reached the endpoint, want none", scenario, got)
 		}
 	}
 	s.adminCommand(t, "set-down a")
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -21,7 +21,7 @@
 
 // All ways in which the platform's clients frame a request are served, and each request reaches the endpoint as exactly one
 // request.
-func TestPlatformRequestForms(t *testing.T) {
+func TestRequestsInAllFramingsAreForwardedOnce(t *testing.T) {
 	type forwardedRequest struct {
 		uri, host, body string
 	}
@@ -106,7 +106,7 @@
 
 // The end of the connection may delimit a response without a length (RFC 9112, 6.3), but only if the response says
 // Connection: close: otherwise the response could have been truncated.
-func TestResponsesDelimitedByConnectionClose(t *testing.T) {
+func TestResponseEndsAtConnectionCloseOnlyIfAnnounced(t *testing.T) {
 	big := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
 		text   string
@@ -122,7 +122,7 @@
 	} {
 		e := testpeer.NewEndpoint(t, testpeer.RespondWith(row.text, false))
 		s := startPlatform(t, e.Addr)
-		status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000))
+		status, body, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "1", 8000))
 		if status != row.status || status == 200 && body != row.body {
 			t.Errorf("%s: status %d with %d bytes, want status %d with %d bytes", name, status, len(body), row.status, len(row.body))
 		}
@@ -133,7 +133,7 @@
 }
 
 // Streaming bodies in both directions at the same time arrive complete, and the memory for them is bounded.
-func TestPlatformStreamingBodies(t *testing.T) {
+func TestStreamingBodiesArriveCompleteInBoundedMemory(t *testing.T) {
 	const size, clients = 4 << 20, 24
 	text := make([]byte, size)
 	for i := range text {
@@ -158,7 +158,7 @@
 	var running sync.WaitGroup
 	for i := range clients {
 		running.Go(func() {
-			r := s.request(t, http.MethodPost, "/pay", fmt.Sprint(i), 20000)
+			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint(i), 20000)
 			r.Body = io.NopCloser(bytes.NewReader(text))
 			r.ContentLength = size
 			if i%2 == 0 {
@@ -166,13 +166,14 @@
 			}
 			resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 			if err != nil {
-				t.Error(i, err)
+				t.Errorf("client %d: %v", i, err)
 				return
 			}
 			defer resp.Body.Close()
 			h := sha256.New()
 			n, err := io.Copy(h, resp.Body)
-			isShed := resp.StatusCode == http.StatusServiceUnavailable // the body memory is enough for 12 requests at first
+			// A request may be shed, since the body memory is enough for only 12 requests at first.
+			isShed := resp.StatusCode == http.StatusServiceUnavailable
 			if !isShed && (err != nil || resp.StatusCode != http.StatusOK || n != size || !bytes.Equal(h.Sum(nil), sum[:])) {
 				t.Errorf("client %d: status %d, %d bytes, error %v, want 200 and the %d bytes of the endpoint", i, resp.StatusCode, n, err, size)
 			}
@@ -190,8 +191,8 @@
 	}
 }
 
-// The time limit of short responses must not apply while the beginning of a long response is buffered: it has cut off 28 long
-// responses that arrived in pieces.
+// The time limit of short responses must not apply while the beginning of a long response is buffered. When it did apply,
+// 28 long responses that arrived in pieces were cut off.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	big := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
@@ -203,7 +204,8 @@
 			t.Parallel()
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n"+head)
-				for part := 0; part < len(big); part += 10 << 10 { // the buffered beginning alone takes longer than a short response may
+				// Sending the part that the daemon buffers takes longer than the time limit of short responses.
+				for part := 0; part < len(big); part += 10 << 10 {
 					time.Sleep(100 * time.Millisecond)
 					_, _ = io.WriteString(nc, big[part:part+10<<10])
 				}
@@ -213,7 +215,7 @@
 				return name != "a close"
 			})
 			s := startPlatform(t, e.Addr)
-			if status, body, _ := send(t, s.request(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
+			if status, body, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
 				t.Errorf("status %d with %d bytes, want 200 with %d bytes", status, len(body), len(big))
 			}
 		})
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -105,9 +105,9 @@
 	})
 }
 
-// discoveryFailed notifies the balancer that the discovery source can't be reached. After the event loop has ended the
-// call does nothing.
-func (p *pool) discoveryFailed() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
+// reportDiscoveryFailure notifies the balancer that the discovery source can't be reached. After the event loop has ended
+// the call does nothing.
+func (p *pool) reportDiscoveryFailure() { _ = p.loop.Do(context.Background(), p.loop.DiscoveryFailed) }
 
 // startSource replaces the running discovery source. The current endpoint list stays in use until the new source delivers
 // one.
@@ -146,10 +146,10 @@
 			version = nil
 		}
 		agent := discovery.NewAgentClient(spec.Agent, version, p.spec.Settings.MustSubscribe, p.log)
-		agent.OnUpdate, agent.OnWatchEnd = p.updateEndpoints, p.discoveryFailed
+		agent.OnUpdate, agent.OnWatchEnd = p.updateEndpoints, p.reportDiscoveryFailure
 		return agent
 	case spec.File != "":
-		return discovery.NewFileSource(spec.File, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+		return discovery.NewFileSource(spec.File, p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 	case spec.DNS != nil:
 		return discovery.NewDNSSource(discovery.DNSOptions{
 			Name:   spec.DNS.Name,
@@ -158,9 +158,9 @@
 			Server: spec.DNS.Server,
 			MinTTL: spec.DNS.MinTTL,
 			MaxTTL: spec.DNS.MaxTTL,
-		}, p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+		}, p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 	}
-	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.discoveryFailed, p.log)
+	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 }
 
 // canServe reports whether the pool can be reused under another configuration: only its discovery source may differ.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -61,7 +61,7 @@
 	active := activeSettings{consensus.DigestDocuments(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
 	active.version.Store(agreed.Version)
 	next.routes.Guard = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
-	next.routes.GuardRetryAfter = indeterminateRetryAfter
+	next.routes.GuardRetryAfter = noLeaseRetryAfter
 	s.activeRoutes.Swap(next.routes)
 	s.ownConfig, s.activeSettings = own, active
 	if s.cluster.hasConsensus() {
@@ -227,7 +227,7 @@
 		if s.listeners[key] == l {
 			continue
 		}
-		s.log.Info("listening", "addr", l.connections.Addr().String(), "listener", l.spec.Name)
+		s.log.Info("listening", "addr", l.frontendListener.Addr().String(), "listener", l.spec.Name)
 		go func() {
 			if err := l.serve(); !l.isDraining.Load() {
 				select {
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -82,8 +82,8 @@
 	lost   []string // a description of each request without a valid response
 }
 
-// drop closes the connection, if there is one.
-func (c *stormClient) drop() {
+// closeConnection closes the connection, if there is one.
+func (c *stormClient) closeConnection() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
@@ -91,7 +91,7 @@
 }
 
 // send sends one request. If the daemon closes the idle connection at the same time, so that the request gets no response,
-// the request is sent again, unless it has arrived at an endpoint: then it is lost.
+// the request is sent again, unless it has arrived at an endpoint: then it counts as lost.
 func (c *stormClient) send(addr, id string) {
 	for attempt := 0; ; attempt++ {
 		attemptID := fmt.Sprint(id, "-", attempt)
@@ -112,7 +112,7 @@
 		if err != nil {
 			_, hasArrived := c.arrivedIDs.Load(attemptID)
 			mayResend := !c.isNew && !hasArrived
-			c.drop()
+			c.closeConnection()
 			if !mayResend || attempt > 5 {
 				c.lost = append(c.lost, fmt.Sprintf("%s: %v (arrived at an endpoint: %v)", attemptID, err, hasArrived))
 				return
@@ -143,13 +143,14 @@
 		c.lost = append(c.lost, fmt.Sprintf("%s: status %s, body %q", id, resp.Status, text))
 	}
 	if resp.Close {
-		c.drop()
+		c.closeConnection()
 	}
 }
 
-// stormFile returns the operators' file of a round. From round to round members are added, draining and removed, the
-// listener moves between two addresses, a second pool is added and removed, and settings change.
-func stormFile(round int, addrs [2]string, nodes []*stormNode) string {
+// prepareStormFile returns the operators' file of a round, and records at each endpoint whether the file configures it as
+// ready. From round to round members are added, draining and removed, the listener moves between two addresses, a second
+// pool is added and removed, and settings change.
+func prepareStormFile(round int, addrs [2]string, nodes []*stormNode) string {
 	var b strings.Builder
 	idleTimeout := []string{"5s", "6s"}[round/10%2]
 	fmt.Fprintf(&b, "[[listener]]\nname = \"l\"\naddress = %q\nidle_timeout = %q\n", addrs[round/30%2], idleTimeout)
@@ -188,7 +189,7 @@
 	return resourceLevels{runtime.NumGoroutine(), testpeer.OpenDescriptors(), m.HeapAlloc}
 }
 
-// Parameters of TestReloadStorm.
+// Parameters of TestReloadStormLosesNoRequest.
 const (
 	stormReloads       = 200
 	stormClients       = 8
@@ -197,14 +198,14 @@
 )
 
 // Two hundred reloads under load lose no request, send none to a member that has long been draining, and leak nothing.
-func TestReloadStorm(t *testing.T) {
+func TestReloadStormLosesNoRequest(t *testing.T) {
 	var arrivedIDs sync.Map
 	var nodes []*stormNode
 	for range 5 {
 		nodes = append(nodes, newStormNode(t, &arrivedIDs))
 	}
 	addrs := [2]string{testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
-	s := startFromFile(t, parseService(t, stormFile(0, addrs, nodes)))
+	s := startFromFile(t, parseService(t, prepareStormFile(0, addrs, nodes)))
 	measureIdle := func() resourceLevels {
 		testpeer.Eventually(t, "removed listeners have ended", func() bool {
 			s.mu.Lock()
@@ -218,9 +219,9 @@
 	}
 	// The first four reloads allocate memory that later reloads reuse, so resources are measured after them.
 	for round := range 4 {
-		s.reload(t, stormFile(round, addrs, nodes))
+		s.reload(t, prepareStormFile(round, addrs, nodes))
 	}
-	s.reload(t, stormFile(0, addrs, nodes))
+	s.reload(t, prepareStormFile(0, addrs, nodes))
 	before := measureIdle()
 
 	var currentAddr atomic.Value
@@ -232,7 +233,7 @@
 		c := &stormClient{arrivedIDs: &arrivedIDs}
 		clients[i] = c
 		running.Go(func() {
-			defer c.drop()
+			defer c.closeConnection()
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -244,7 +245,7 @@
 		})
 	}
 	for round := range stormReloads {
-		s.reload(t, stormFile(round, addrs, nodes))
+		s.reload(t, prepareStormFile(round, addrs, nodes))
 		currentAddr.Store(addrs[round/30%2])
 		time.Sleep(stormInterval)
 	}
@@ -267,7 +268,7 @@
 	if total.served == 0 {
 		t.Error("no request was served")
 	}
-	s.reload(t, stormFile(0, addrs, nodes))
+	s.reload(t, prepareStormFile(0, addrs, nodes))
 	arrivedIDs.Clear()
 	var after resourceLevels
 	testpeer.Eventually(t, "goroutines and descriptors are as before", func() bool {
@@ -291,15 +292,15 @@
 	c := &stormClient{arrivedIDs: &arrivedIDs}
 	c.send(n.addr, "late")
 	if len(n.lateDelays) != 1 || c.served != 1 {
-		t.Errorf("after a late request: late %v, served %d, want one of each", n.lateDelays, c.served)
+		t.Errorf("after a late request: delays of late requests %v, %d requests served, want one delay and one request", n.lateDelays, c.served)
 	}
 	n.setReady(true)
 	n.setReady(false)
 	c.send(n.addr, "in time")
 	if len(n.lateDelays) != 1 {
-		t.Errorf("after a request in time: late %v, want only the earlier one", n.lateDelays)
+		t.Errorf("after a request in time: delays of late requests %v, want only that of the earlier request", n.lateDelays)
 	}
-	c.drop()
+	c.closeConnection()
 	for name, serve := range map[string]func(net.Conn, *http.Request, int) bool{
 		"no response after arrival": func(_ net.Conn, r *http.Request, _ int) bool {
 			arrivedIDs.Store(r.Header.Get("Req-Id"), true)
@@ -313,7 +314,7 @@
 		if len(c.lost) != 1 {
 			t.Errorf("%s: lost %v, want one request", name, c.lost)
 		}
-		c.drop()
+		c.closeConnection()
 	}
 	// A request without a response on a connection that has served an earlier request is lost only if it has arrived at an
 	// endpoint.
@@ -333,8 +334,8 @@
 		c.send(e.Addr, "one")
 		c.send(e.Addr, "two")
 		if len(c.lost) != arrived || c.resent != 1-arrived {
-			t.Errorf("with %d arrived: lost %v, sent again %d, want %d and %d", arrived, c.lost, c.resent, arrived, 1-arrived)
+			t.Errorf("with %d requests arrived at the endpoint: %v lost and %d sent again, want %d and %d", arrived, c.lost, c.resent, arrived, 1-arrived)
 		}
-		c.drop()
+		c.closeConnection()
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -15,12 +15,12 @@
 )
 
 func TestReloadKeepsUnchangedListenersAndPools(t *testing.T) {
-	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	a, b := startEchoEndpoint(t, "A"), startEchoEndpoint(t, "B")
 	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+poolSection("b", b)+lookRoute))
 	pools, listener := s.installed.pools, s.listeners["one 127.0.0.1:0"]
 	nc, in, resp := openConnection(t, s.addressOf("one"))
 	if resp.StatusCode != http.StatusOK {
-		t.Fatal(resp.Status)
+		t.Fatalf("before the reloads: status %s, want 200", resp.Status)
 	}
 	s.reload(t, listenerOne+poolSection("a", a, b)+poolSection("b", b)+lookRoute)
 	if s.installed.pools["a"] != pools["a"] || s.installed.pools["b"] != pools["b"] || s.listeners["one 127.0.0.1:0"] != listener {
@@ -41,12 +41,12 @@
 // A removed pool completes its requests in flight under the configuration that accepted them, and then ends.
 func TestRemovedPoolFinishesItsRequests(t *testing.T) {
 	blocking, arrived, release := newBlockingEndpoint(t)
-	b := echoEndpoint(t, "B")
+	b := startEchoEndpoint(t, "B")
 	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", blocking.Addr)+lookRoute))
-	first := make(chan string)
+	firstResponse := make(chan string)
 	go func() {
 		_, text := sendGet(t, s.addressOf("one"), "h", "/")
-		first <- text
+		firstResponse <- text
 	}()
 	<-arrived
 	old := s.installed.pools["a"]
@@ -60,7 +60,7 @@
 	default:
 	}
 	close(release)
-	if text := <-first; text != "hi" {
+	if text := <-firstResponse; text != "hi" {
 		t.Errorf("the request in flight: response %q, want \"hi\"", text)
 	}
 	select {
@@ -114,7 +114,7 @@
 }
 
 func TestFailedReloadChangesNothing(t *testing.T) {
-	a := echoEndpoint(t, "A")
+	a := startEchoEndpoint(t, "A")
 	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+lookRoute))
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,9 +122,9 @@
 	}
 	defer occupied.Close()
 	installed, listeners := s.installed, fmt.Sprint(s.Addrs())
-	free := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
-	inUse := fmt.Sprintf("[[listener]]\nname = \"inuse\"\naddress = %q\n", occupied.Addr())
-	err = s.Reload(parseService(t, free+inUse+poolSection("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
+	freeListener := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
+	inUseListener := fmt.Sprintf("[[listener]]\nname = \"inuse\"\naddress = %q\n", occupied.Addr())
+	err = s.Reload(parseService(t, freeListener+inUseListener+poolSection("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
 	if err == nil || !strings.Contains(err.Error(), "listener inuse") {
 		t.Errorf("error %v, want one that names the listener inuse", err)
 	}
@@ -140,7 +140,7 @@
 // clients that don't know the new address yet. When the listener gets its old address back, and then another timeout at the
 // same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
-	a := echoEndpoint(t, "A")
+	a := startEchoEndpoint(t, "A")
 	first, second := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	fileWith := func(addr string, listenerSettings string) string {
 		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, listenerSettings) + poolSection("a", a) + lookRoute
@@ -154,7 +154,7 @@
 		}
 	}
 	sendOn(t, nc, in)
-	// The listener that had this address at the start is still draining.
+	// The first address is configured again while the listener that had it at the start is still draining.
 	s.reload(t, fileWith(first, ""))
 	// The changed timeout needs a new server, which takes over the same socket.
 	s.reload(t, fileWith(first, "idle_timeout = \"1s\"\n"))
@@ -177,8 +177,8 @@
 	})
 }
 
-func TestConcurrentReloadsAndReloadDuringShutdown(t *testing.T) {
-	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+func TestConcurrentReloadsSucceedAndReloadDuringShutdownFails(t *testing.T) {
+	a, b := startEchoEndpoint(t, "A"), startEchoEndpoint(t, "B")
 	s := startFromFile(t, parseService(t, listenerOne+poolSection("a", a)+lookRoute))
 	var running sync.WaitGroup
 	for i := range 20 {
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -28,7 +28,7 @@
 	}))
 	defer e.Close()
 	s := startPlatform(t, e.Listener.Addr().String())
-	r := s.request(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
+	r := s.newRequest(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
 	if status, text, _ := send(t, r); status != http.StatusOK || text != "done" {
 		t.Errorf("response %d %q, want 200 \"done\"", status, text)
@@ -36,7 +36,7 @@
 	got := <-forwarded
 	if b := <-body; got.Method != http.MethodPost || got.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
 		got.Header.Get("Req-Id") != "id-1" || got.Header.Get("Idempotency-Key") != "key-id-1" {
-		t.Errorf("the endpoint got %s %s %v, body %q", got.Method, got.RequestURI, got.Header, b)
+		t.Errorf("the endpoint got %s %s %v, body %q, want the client's method, URI, Req-Id, Idempotency-Key and body", got.Method, got.RequestURI, got.Header, b)
 	}
 	var remainingMs int
 	if _, err := fmt.Sscan(got.Header.Get("Req-Deadline-Ms"), &remainingMs); err != nil || remainingMs < 1 || remainingMs >= 4000 {
@@ -49,7 +49,7 @@
 func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	s := startPlatform(t, e.Addr, e.Addr, e.Addr)
-	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
 		t.Errorf("a request that may have run: status %d, want 502", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
@@ -58,7 +58,7 @@
 	closed := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
 	closed.Listener.Close()
 	s = startPlatform(t, closed.Addr)
-	status, _, h := send(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
+	status, _, h := send(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("a request that was never sent: status %d, headers %v, want 503 with Retry-After", status, h)
 	}
@@ -71,7 +71,7 @@
 		return false
 	})
 	s := startPlatform(t, e.Addr)
-	if status, _, _ := send(t, s.request(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502", status)
 	}
 }
@@ -87,7 +87,7 @@
 	s := startPlatform(t, e.Listener.Addr().String())
 	ctx, disconnect := context.WithCancel(context.Background())
 	go func() { <-arrived; disconnect() }()
-	r := s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
+	r := s.newRequest(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
 	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
 		t.Errorf("the client got error %v, want %v", err, context.Canceled)
 	}
@@ -101,17 +101,17 @@
 func TestDuplicateRequestIDLeavesTheFirstInFlight(t *testing.T) {
 	e, arrived, release := newBlockingEndpoint(t)
 	s := startPlatform(t, e.Addr)
-	first := make(chan int)
+	firstStatus := make(chan int)
 	go func() {
-		status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000))
-		first <- status
+		status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "same", 60000))
+		firstStatus <- status
 	}()
 	<-arrived
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
 		t.Errorf("the second request: status %d, want 409", status)
 	}
 	close(release)
-	if status := <-first; status != http.StatusOK {
+	if status := <-firstStatus; status != http.StatusOK {
 		t.Errorf("the first request: status %d, want 200", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
@@ -171,7 +171,7 @@
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d requests reached the endpoint, want none", n)
 	}
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
 		t.Errorf("a valid request afterwards: status %d, want 200", status)
 	}
 }
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRoutesSelectPools(t *testing.T) {
-	a, b := echoEndpoint(t, "A"), echoEndpoint(t, "B")
+	a, b := startEchoEndpoint(t, "A"), startEchoEndpoint(t, "B")
 	s := startFromFile(t, parseService(t, listenerOne+listenerTwo+poolSection("a", a)+poolSection("b", a, b)+`
 		[[route]]
 		hosts = ["b.example", "*.b.example"]
@@ -34,7 +34,7 @@
 		class = "look"
 	`))
 	if _, text := sendGet(t, s.addressOf("one"), "A.example:80", "/x/%61?q=%2f"); !strings.HasPrefix(text, "A GET /x/a?q=%2f\n") {
-		t.Errorf("a.example: the endpoint got %q", text)
+		t.Errorf("a.example: endpoint A got %q, want GET /x/a?q=%%2f", text)
 	}
 	r, _ := http.NewRequest(http.MethodGet, "http://"+s.addressOf("two")+"/old/thing?", nil)
 	r.Host = "x.B.example."
@@ -42,7 +42,7 @@
 	r.Header.Set("X-Pool", "mine")
 	_, text := roundTrip(t, r)
 	if !strings.HasPrefix(text, "A GET /new/thing?\n") || strings.Contains(text, "Secret") || !strings.Contains(text, "X-Pool: b\r\n") {
-		t.Errorf("x.b.example: the endpoint got %q", text)
+		t.Errorf("x.b.example: endpoint A got %q, want GET /new/thing? with X-Pool: b and without X-Secret", text)
 	}
 	for target, want := range map[string]int{"/": 404, "/a//b": 400, "/a%2fb": 400, "/../x": 400, "/a;b": 400} {
 		if resp, _ := sendGet(t, s.addressOf("one"), "c.example", target); resp.StatusCode != want {
@@ -52,7 +52,7 @@
 }
 
 func TestForwardedHeadersDescribeTheClient(t *testing.T) {
-	a := echoEndpoint(t, "A")
+	a := startEchoEndpoint(t, "A")
 	const route = "[[route]]\npool = \"a\"\nclass = \"look\"\n"
 	for mode, want := range map[string][]string{
 		"set": {
@@ -134,7 +134,7 @@
 				c.method, c.status, resp.Header, isForwarded)
 		}
 		if hasBody := c.status == c.want && c.method != "HEAD" && c.status != 204 && c.status != 304; hasBody != (text == "body") {
-			t.Errorf("%s, endpoint's status %d: the client got the body %q", c.method, c.status, text)
+			t.Errorf("%s, endpoint's status %d: the client got the body %q, want \"body\": %v", c.method, c.status, text, hasBody)
 		}
 		if c.method == "HEAD" && resp.ContentLength != 4 {
 			t.Errorf("HEAD: Content-Length %d, want 4", resp.ContentLength)
@@ -149,7 +149,7 @@
 		e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 		isRetry := make(chan bool, 1)
 		newBalancer := func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &recordingEvents{Events: eventloop.NewBalancer(now, s, h), isRetry: isRetry}
+			return &retryRecorder{Events: eventloop.NewBalancer(now, s, h), isRetry: isRetry}
 		}
 		c := parseService(t, listenerOne+poolSection("a", e.Addr)+lookRoute)
 		c.Targets[0].Class.RetryHeader = header
@@ -169,13 +169,13 @@
 	}
 }
 
-// recordingEvents passes all events to a balancer, and reports whether each request is treated as a retry.
-type recordingEvents struct {
+// retryRecorder passes all events to a balancer, and sends on isRetry whether each request is treated as a retry.
+type retryRecorder struct {
 	balance.Events
-	isRetry chan bool // receives IsRetry of each request
+	isRetry chan bool // receives, for each request, whether it is treated as a retry
 }
 
-func (w *recordingEvents) Request(now time.Duration, r balance.Request) {
+func (w *retryRecorder) Request(now time.Duration, r balance.Request) {
 	w.isRetry <- r.IsRetry
 	w.Events.Request(now, r)
 }
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -16,10 +16,10 @@
 // leader fit into this time.
 const firstGrantTimeout = 2 * time.Second
 
-// indeterminateRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. A
-// daemon that can reach a voter requests a lease every conflict_within/4, 1.25 s by default, and at once if its lease
-// expired while the process was stopped.
-const indeterminateRetryAfter = time.Second
+// noLeaseRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. It is
+// close to the time after which such a daemon requests a lease if it can reach a voter: every conflict_within/4, 1.25 s by
+// default, and at once if its lease expired while the process was stopped.
+const noLeaseRetryAfter = time.Second
 
 // activeSettings identifies the agreed settings in the installed configuration.
 type activeSettings struct {
@@ -105,7 +105,8 @@
 	n.agreedEjections = o.applyAgreed(context.Background(), nil, n.ejectedIDs())
 }
 
-// watchAgreement starts a goroutine that installs settings and ejections as the cluster agrees on them, until close.
+// watchAgreement starts a goroutine that installs settings and ejections as the cluster agrees on them. The
+// goroutine ends when the method close is called.
 func (n *clusterNode) watchAgreement(s *Sidecar) {
 	if !n.hasConsensus() {
 		return
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -21,8 +21,8 @@
 // address may match this text.
 var errNoConsensus = errors.New("nothing is agreed on here")
 
-// argumentCount is the range of the number of arguments that a settings command takes.
-type argumentCount struct{ least, most int }
+// argumentCount gives the smallest and the largest number of arguments that a settings command takes.
+type argumentCount struct{ min, max int }
 
 // settingsCommands are the commands that may follow the word settings on a line to the operators' address.
 var settingsCommands = map[string]argumentCount{
@@ -85,8 +85,8 @@
 		return nil, fmt.Errorf(
 			"settings %.40q is none of put, remove, back, force, voters-add, voters-remove, history, show", name)
 	}
-	if len(args) < count.least || len(args) > count.most {
-		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.least)
+	if len(args) < count.min || len(args) > count.max {
+		return nil, fmt.Errorf("settings %s: %d words follow, not %d", name, len(args), count.min)
 	}
 	c := &consensus.Command{ProposedBy: n.spec.Name, AtUnixMilli: time.Now().UnixMilli()}
 	var err error
@@ -118,11 +118,11 @@
 // match the texts of its errors.
 func parseDocumentChange(c *consensus.Command, name string, args []string, body []byte) error {
 	if args[1] != "-" {
-		expect, err := strconv.ParseUint(args[1], 10, 64)
+		expectedVersion, err := strconv.ParseUint(args[1], 10, 64)
 		if err != nil {
 			return err
 		}
-		c.ExpectedVersion = &expect
+		c.ExpectedVersion = &expectedVersion
 	}
 	document := args[2]
 	if !config.IsDocumentName(document) {
@@ -176,25 +176,25 @@
 // settingsStatus returns the status of the agreed settings on this daemon, without documents, and the settings themselves.
 func (n *clusterNode) settingsStatus() (*status.Settings, *consensus.LeasedVersion) {
 	agreed, _ := n.raft.Valid()
-	node := n.raft.Status()
+	raftStatus := n.raft.Status()
 	s := &status.Settings{
 		ActiveVersion:      agreed.Version,
 		HasLease:           n.raft.CoversVersion(agreed.Version),
 		LeaseMs:            n.raft.LeaseRemaining().Milliseconds(),
-		IsVoter:            node.IsVoter,
-		IsLeader:           node.IsLeader,
-		Leader:             node.Leader,
-		Term:               node.Term,
-		CommittedVersion:   node.CommittedVersion,
-		PendingVersion:     node.PendingVersion,
-		FullyActiveVersion: node.FullyActiveVersion,
-		RejectedVersion:    node.RejectedVersion,
-		RejectionReason:    node.RejectionReason,
+		IsVoter:            raftStatus.IsVoter,
+		IsLeader:           raftStatus.IsLeader,
+		Leader:             raftStatus.Leader,
+		Term:               raftStatus.Term,
+		CommittedVersion:   raftStatus.CommittedVersion,
+		PendingVersion:     raftStatus.PendingVersion,
+		FullyActiveVersion: raftStatus.FullyActiveVersion,
+		RejectedVersion:    raftStatus.RejectedVersion,
+		RejectionReason:    raftStatus.RejectionReason,
 		RejectedRequests:   n.rejectedRequests.Load(),
-		KnownVoters:        strings.Join(node.KnownVoters, ","),
-		ActiveVoters:       strings.Join(node.ActiveVoters, ","),
+		KnownVoters:        strings.Join(raftStatus.KnownVoters, ","),
+		ActiveVoters:       strings.Join(raftStatus.ActiveVoters, ","),
 	}
-	for _, l := range node.Lagging {
+	for _, l := range raftStatus.Lagging {
 		s.LaggingDaemons = append(s.LaggingDaemons, status.LaggingDaemon{Name: l.Daemon, Reason: l.Reason})
 	}
 	return s, agreed
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -33,8 +33,8 @@
 	otherProcess                  // a process that has replaced this one by hot restart accepts from the socket
 )
 
-// shutDown ends all listeners, then the pools and routes, and last what these depend on. It returns when no request is
-// in flight any more.
+// shutDown drains all listeners, and then closes the pools, the cluster membership and the admin server, in this order. It
+// returns when no request is in flight any more.
 func (s *Sidecar) shutDown(replacedBy successor) error {
 	s.isReady.Store(false)
 	s.mu.Lock()
@@ -60,8 +60,8 @@
 	adminServer := s.admin
 	s.mu.Unlock()
 	s.retiring.Wait()
-	// Leave the cluster only after the last client: the other members' division of the endpoints includes this member
-	// until then.
+	// Leave the cluster only after the last client has its response: as long as this daemon sends requests, the other
+	// members must count it among those that divide the endpoints.
 	err = errors.Join(err, s.cluster.close())
 	if adminServer != nil {
 		err = errors.Join(err, adminServer.Close())
@@ -85,7 +85,7 @@
 		time.Sleep(drainPollInterval)
 	}
 	l.frontend.SetCloseConnections(true)
-	err := l.connections.Shutdown()
+	err := l.frontendListener.Shutdown()
 	<-l.acceptEnded
 	return errors.Join(err, l.server.Close())
 }
@@ -98,5 +98,5 @@
 	case replacedBy == noSuccessor && elapsed < acceptAfterSignal:
 		return true
 	}
-	return elapsed < serveTime && l.connections.ConnectionCount() > 0
+	return elapsed < serveTime && l.frontendListener.ConnectionCount() > 0
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -65,7 +65,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 		method := map[string]string{"look": http.MethodGet, "pay": http.MethodPost}[class]
-		if err := s.request(t, method, "/"+class, id, 3600000).Write(nc); err != nil {
+		if err := s.newRequest(t, method, "/"+class, id, 3600000).Write(nc); err != nil {
 			t.Fatal(err)
 		}
 		<-arrived
@@ -130,23 +130,23 @@
 		return true
 	})
 	s := startPlatform(t, e.Addr)
-	var slow sync.WaitGroup
+	var slowRequests sync.WaitGroup
 	for i := range 3 {
-		slow.Go(func() {
-			_, _, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
+		slowRequests.Go(func() {
+			_, _, resp := sendKeepingOpen(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
 			if resp.StatusCode != http.StatusOK || !resp.Close {
 				t.Errorf("in flight: status %d, close %v, want 200 and true", resp.StatusCode, resp.Close)
 			}
 		})
 		<-arrived
 	}
-	_, in, resp := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "idle", 60000))
+	_, in, resp := sendKeepingOpen(t, s.newRequest(t, http.MethodGet, "/look", "idle", 60000))
 	if resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("before the signal: status %d, close %v, want 200 and false", resp.StatusCode, resp.Close)
 	}
 
 	s.terminate()
-	if status, _, _ := send(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
+	if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
 		t.Errorf("right after the signal: status %d, want 200", status)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -165,7 +165,7 @@
 	default:
 	}
 	close(release)
-	slow.Wait()
+	slowRequests.Wait()
 	select {
 	case err := <-s.serveResult:
 		if err != nil {
@@ -185,14 +185,14 @@
 		return true
 	})
 	s := startPlatform(t, e.Addr)
-	nc, in, _ := sendKeepingOpen(t, s.request(t, http.MethodGet, "/look", "first", 60000))
+	nc, in, _ := sendKeepingOpen(t, s.newRequest(t, http.MethodGet, "/look", "first", 60000))
 	s.terminate()
 	testpeer.Eventually(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
 	for _, row := range []struct {
 		id   string
 		want int
 	}{{"second", http.StatusOK}, {"long", http.StatusServiceUnavailable}} {
-		if err := s.request(t, http.MethodGet, "/look", row.id, 3600000).Write(nc); err != nil {
+		if err := s.newRequest(t, http.MethodGet, "/look", row.id, 3600000).Write(nc); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -38,11 +38,11 @@
 	activeRoutes     frontend.ActiveRouteConfig
 	listenerFailed   chan error       // holds the error of the first listener that failed
 	bodyMemory       *body.MemoryPool // memory for streaming bodies; nil: all bodies are buffered; fixed at the start
-	retiring         sync.WaitGroup   // configurations and listeners that a reload removed and that still serve requests
+	retiring         sync.WaitGroup   // goroutines that wait for the last requests of removed configurations and listeners
 	metrics          *metrics.Registry
 	overrides        *overrides   // manual ejections of endpoints
 	cluster          *clusterNode // this daemon's membership in a cluster; nil: it is in none; fixed at the start
-	hotRestart       *hotRestart  // nil: hot restart with other processes is not in use
+	hotRestart       *hotRestart  // coordination with other processes of this sidecar; nil: hot restart is not in use
 	isReady          atomic.Bool  // whether this process takes clients
 	fixedDescriptors int          // number of descriptors that are neither clients' nor endpoints' connections
 
@@ -115,7 +115,7 @@
 	defer s.mu.Unlock()
 	addrs := map[string]net.Addr{}
 	for _, l := range s.listeners {
-		addrs[l.spec.Name] = l.connections.Addr()
+		addrs[l.spec.Name] = l.frontendListener.Addr()
 	}
 	return addrs
 }
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -25,18 +25,18 @@
 type sharedSocket struct {
 	tcp *net.TCPListener
 
-	mu       sync.Mutex
-	changed  sync.Cond // signals a change of closing, isPaused or a handle's isClosed
-	handles  int       // number of open handles
-	isPaused bool      // whether all handles have stopped accepting connections
-	closing  int       // number of closed handles whose Accept calls have not all returned
+	mu             sync.Mutex
+	changed        sync.Cond // signals a change of closingHandles, isPaused or a handle's isClosed
+	openHandles    int       // number of open handles
+	isPaused       bool      // whether all handles have stopped accepting connections
+	closingHandles int       // number of closed handles whose Accept calls have not all returned
 }
 
 // socketHandle is one server's access to a sharedSocket. It implements net.Listener.
 type socketHandle struct {
 	*sharedSocket
-	isClosed  atomic.Bool
-	accepting atomic.Int32 // number of Accept calls in progress
+	isClosed       atomic.Bool
+	pendingAccepts atomic.Int32 // number of Accept calls in progress
 }
 
 // expiredDeadline is a deadline in the past that interrupts an Accept call at once.
@@ -61,7 +61,7 @@
 }
 
 func newSharedSocket(l *net.TCPListener) *socketHandle {
-	s := &sharedSocket{tcp: l, handles: 1}
+	s := &sharedSocket{tcp: l, openHandles: 1}
 	s.changed.L = &s.mu
 	return &socketHandle{sharedSocket: s}
 }
@@ -82,7 +82,7 @@
 
 // clearDeadline lets Accept calls wait again, unless a pause or a closing handle needs the deadline. s.mu is held.
 func (s *sharedSocket) clearDeadline() {
-	if s.closing == 0 && !s.isPaused {
+	if s.closingHandles == 0 && !s.isPaused {
 		_ = s.tcp.SetDeadline(time.Time{})
 	}
 }
@@ -91,20 +91,20 @@
 func (s *sharedSocket) newHandle() (h *socketHandle, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.handles == 0 {
+	if s.openHandles == 0 {
 		return nil, false
 	}
-	s.handles++
+	s.openHandles++
 	return &socketHandle{sharedSocket: s}, true
 }
 
 // Addr implements net.Listener.
 func (h *socketHandle) Addr() net.Addr { return h.tcp.Addr() }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It returns net.ErrClosed once the handle is closed.
 func (h *socketHandle) Accept() (net.Conn, error) {
-	h.accepting.Add(1)
-	defer h.accepting.Add(-1)
+	h.pendingAccepts.Add(1)
+	defer h.pendingAccepts.Add(-1)
 	for {
 		if h.isClosed.Load() {
 			return nil, net.ErrClosed
@@ -113,17 +113,17 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nc, err
 		}
-		h.awaitTurn()
+		h.awaitResume()
 	}
 }
 
-// awaitTurn waits until no other handle is closing and the socket is not paused, or until this handle is closed. The
+// awaitResume waits until no other handle is closing and the socket is not paused, or until this handle is closed. The
 // deadline must not be cleared earlier: an Accept call checks the deadline only after it has woken up, so the Accept call
 // of the closing handle might go on waiting.
-func (h *socketHandle) awaitTurn() {
+func (h *socketHandle) awaitResume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for (h.closing > 0 || h.isPaused) && !h.isClosed.Load() {
+	for (h.closingHandles > 0 || h.isPaused) && !h.isClosed.Load() {
 		h.changed.Wait()
 	}
 	h.clearDeadline()
@@ -138,12 +138,12 @@
 	if h.release() {
 		return h.tcp.Close()
 	}
-	for h.accepting.Load() > 0 { // the interrupted Accept call returns as soon as its goroutine is scheduled
+	for h.pendingAccepts.Load() > 0 { // the interrupted Accept call returns as soon as its goroutine is scheduled
 		time.Sleep(time.Millisecond)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.closing--
+	h.closingHandles--
 	h.clearDeadline()
 	h.changed.Broadcast()
 	return nil
@@ -154,10 +154,10 @@
 func (h *socketHandle) release() (isLast bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.handles--
-	isLast = h.handles == 0
+	h.openHandles--
+	isLast = h.openHandles == 0
 	if !isLast {
-		h.closing++
+		h.closingHandles++
 		_ = h.tcp.SetDeadline(expiredDeadline)
 	}
 	h.changed.Broadcast()
--- a/internal/sidecar/socket_test.go
+++ b/internal/sidecar/socket_test.go
@@ -99,7 +99,7 @@
 		go func() { _, err := h.Accept(); ended <- err }()
 	}
 	for _, h := range handles {
-		testpeer.Eventually(t, "the handle accepts", func() bool { return h.accepting.Load() > 0 })
+		testpeer.Eventually(t, "the handle accepts", func() bool { return h.pendingAccepts.Load() > 0 })
 	}
 	for i, h := range handles {
 		if i%4 == 3 { // close this handle and the next one concurrently
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -133,7 +133,7 @@
 		_, _ = fmt.Fprint(w, n+1<<10)
 	}))
 	defer a.Close()
-	b := echoEndpoint(t, "B")
+	b := startEchoEndpoint(t, "B")
 	poolText := poolSection("a", a.Listener.Addr().String())
 	s := startFromFile(t, parseService(t, streamingListener+poolText+payRoute))
 	nc, response := startUpload(t, s.addressOf("one"), 1<<20)
@@ -172,10 +172,10 @@
 
 // Two hundred uploads that are too slow reach no endpoint, and do not disturb other clients.
 func TestSlowUploadsAreRejectedBeforeAnEndpoint(t *testing.T) {
-	var reached atomic.Int32
+	var reachedUploads atomic.Int32
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Method == http.MethodPost {
-			reached.Add(1)
+			reachedUploads.Add(1)
 		}
 		io.WriteString(nc, testpeer.ResponseOK)
 		return true
@@ -204,7 +204,7 @@
 			t.Errorf("a slow upload: response %q, want 408", got)
 		}
 	}
-	if n := reached.Load(); n != 0 {
+	if n := reachedUploads.Load(); n != 0 {
 		t.Errorf("%d slow uploads reached the endpoint, want none", n)
 	}
 	if reserved, _ := s.bodyMemory.InUse(); reserved != 0 {
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -29,10 +29,10 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// bulkEndpoint starts an endpoint that responds to an upload with the body's hash, its Content-Length and the trailer
-// X-After, and to a request with the query give=N with N pseudo-random bytes and trailers. It returns the endpoint's
-// address.
-func bulkEndpoint(tb testing.TB) string {
+// startHashingEndpoint starts an endpoint that responds to an upload with the body's hash, its Content-Length and the
+// trailer X-After, and to a request with the query give=N with N pseudo-random bytes and trailers. It returns the
+// endpoint's address.
+func startHashingEndpoint(tb testing.TB) string {
 	tb.Helper()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n, err := strconv.ParseInt(r.URL.Query().Get("give"), 10, 64); err == nil {
@@ -52,13 +52,13 @@
 }
 
 func TestStreamingBodiesAreForwardedComplete(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", bulkEndpoint(t), bulkEndpoint(t))+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", startHashingEndpoint(t), startHashingEndpoint(t))+payRoute))
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 200_000, 20 << 20} {
-		for _, chunked := range []bool{false, true} {
+		for _, isChunked := range []bool{false, true} {
 			wantLength, wantTrailer := n, ""
 			r, _ := http.NewRequest(http.MethodPost, "http://"+s.addressOf("one")+"/up", io.NopCloser(pseudoRandomBytes(n)))
 			r.ContentLength = n
-			if chunked {
+			if isChunked {
 				r.ContentLength, wantLength = -1, -1
 				if n < 32768 { // a short body is buffered completely, and then forwarded with a length
 					wantLength = n
@@ -66,13 +66,13 @@
 			}
 			resp, got := roundTrip(t, r)
 			if want := fmt.Sprintf("%s %d %s", hashOf(pseudoRandomBytes(n)), wantLength, wantTrailer); got != want {
-				t.Errorf("upload of %d bytes, chunked %v: status %s, %q, want %q", n, chunked, resp.Status, got, want)
+				t.Errorf("upload of %d bytes, chunked %v: status %s, %q, want %q", n, isChunked, resp.Status, got, want)
 			}
-			if chunked && !resp.Close {
+			if isChunked && !resp.Close {
 				t.Error("the response to a chunked request does not close the connection")
 			}
 			query := fmt.Sprintf("?give=%d", n)
-			if chunked {
+			if isChunked {
 				query += "&chunked=1"
 			}
 			get := newGetRequest("http://" + s.addressOf("one") + "/down" + query)
@@ -81,9 +81,9 @@
 				t.Fatal(err)
 			}
 			if got := hashOf(download.Body); got != hashOf(pseudoRandomBytes(n)) {
-				t.Errorf("download of %d bytes, chunked %v: the bytes differ from those that the endpoint sent", n, chunked)
+				t.Errorf("download of %d bytes, chunked %v: the bytes differ from those that the endpoint sent", n, isChunked)
 			}
-			if n > 65536 && chunked && (download.Trailer.Get("X-After") != "there" || download.Trailer.Get("Set-Cookie") != "") {
+			if n > 65536 && isChunked && (download.Trailer.Get("X-After") != "there" || download.Trailer.Get("Set-Cookie") != "") {
 				t.Errorf("trailers of the response: %v, want X-After and no Set-Cookie", download.Trailer)
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 func TestRequestTrailersAreForwardedExceptFramingFields(t *testing.T) {
-	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", bulkEndpoint(t))+payRoute))
+	s := startFromFile(t, parseService(t, streamingListener+poolSection("a", startHashingEndpoint(t))+payRoute))
 	nc, in, _ := openConnection(t, s.addressOf("one"))
 	io.WriteString(nc, "POST /up HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-After\r\n\r\n"+
 		"3;ext=1\r\nabc\r\n0\r\nX-After: yes\r\nContent-Length: 7\r\n\r\n")
