--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -198,9 +198,9 @@
 	return n, err
 }
 
-// classifyResponse reads a response and returns its outcome as the table in docs/operators/long-bodies.md names it. The
-// function readFirst, if not nil, is called to read the first part of the body. It returns how many expected bytes it has
-// read, and whether the client has closed the connection itself.
+// classifyResponse reads a response and returns its outcome as the table in docs/operators/long-bodies.md names it. If
+// readFirst is not nil, classifyResponse calls it to read the first part of the body; readFirst returns how many expected
+// bytes it has read, and whether the client has closed the connection itself.
 func classifyResponse(in *bufio.Reader, want []byte, readFirst func(body io.Reader) (int, bool, error)) string {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
