--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -22,7 +22,7 @@
 	VerbVersions Verb = "versions" // prints the version of the settings that is in force
 )
 
-// putArgument is the first argument of VerbSettings for a command with a body.
+// putArgument is the first argument of a settings command that has a body.
 const putArgument = "put"
 
 // takesEndpointID has all known verbs as keys. The value says whether an endpoint's ID must follow the verb.
@@ -36,7 +36,8 @@
 	VerbVersions: false,
 }
 
-// maxLineBytes is the maximum length of a line in bytes, including its end. IDs of endpoints are some tens of bytes long.
+// maxLineBytes is the maximum length in bytes of a command line, including its line feed. It leaves ample space for an
+// endpoint's ID, which is some tens of bytes long.
 const maxLineBytes = 512
 
 var errLineTooLong = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
@@ -46,7 +47,7 @@
 	Verb       Verb
 	EndpointID string // endpoint to which the command applies; empty if the verb takes no endpoint ID
 	Arguments  string // words after VerbSettings, separated by one space; empty for other verbs
-	BodyLength int    // number of body bytes after the line, the last word of "settings put ID EXPECT NAME BYTES"
+	BodyLength int    // length in bytes of the body after the line: BYTES of "settings put ID EXPECT NAME BYTES"; 0 for other commands
 }
 
 // ParseCommand parses a line without its line feed. Words are separated by spaces or tabs, and a carriage return at the end
--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// responseTimeout limits the execution of a command and, separately, the write of its response. Operators must get a response
-// within 1 s.
+// responseTimeout limits the execution of a command, so that operators get a response within 1 s. It also limits, separately, the
+// write of the response to the connection.
 const responseTimeout = 900 * time.Millisecond
 
 // Handlers execute the commands. They are called by many goroutines concurrently. A handler that takes a context must return
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,4 +1,4 @@
-// Package admin serves the operators' address. Each TCP connection carries one command on one line, gets one response and is
+// Package admin serves the admin address, to which operators send commands. Each TCP connection carries one command on one line, gets one response and is
 // closed. The package parses commands and limits the number of connections; Handlers execute the commands.
 //
 // A Server owns its listener and its connections. Serve runs on the goroutine of its caller, and each connection on a goroutine
@@ -20,8 +20,8 @@
 )
 
 const (
-	// lineTimeout is the maximum time for a client to send its command. At the limit of open connections, a connection may be
-	// closed earlier in favor of a new one.
+	// lineTimeout is the maximum time for a client to send its command, including the body. At the limit of open connections, a
+	// connection may be closed earlier in favor of a new one.
 	lineTimeout = 10 * time.Second
 	// acceptRetryDelay is the delay after a failed accept, for example when the process has no file descriptors left.
 	acceptRetryDelay = 5 * time.Millisecond
@@ -192,13 +192,13 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(in, int64(c.BodyLength)))
 	if err != nil || len(body) < c.BodyLength {
-		return c, nil, fmt.Errorf("%d of %d bytes have come", len(body), c.BodyLength)
+		return c, nil, fmt.Errorf("%d of %d body bytes were received", len(body), c.BodyLength)
 	}
 	return c, body, nil
 }
 
-// linger gives the client time to read its response. Meanwhile the connection counts as idle, and is the first to be closed in
-// favor of a new one.
+// linger waits for the client to read its response and close the connection. Until then the connection counts as idle, and is the
+// first to be closed in favor of a new one.
 func (s *Server) linger(c *connection) {
 	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || writeCloser.CloseWrite() != nil {
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// If the process was stopped, or got no processor time for a while, requests have waited in its sockets. Their deadlines count from
-// their arrival, not from when they are read, and requests of clients that have disconnected meanwhile must not be forwarded.
+// Times by which stalls are detected. In a stall the process is stopped or gets no processor time, and requests wait in its sockets.
+// Their deadlines count from their arrival, not from when they are read, and the requests of clients that have disconnected meanwhile
+// must not be forwarded.
 const (
 	// stallThreshold is the length from which a pause between requests is taken for a stall of the process. It is far below
 	// the shortest deadline that clients set in service (480 ms).
 	stallThreshold = 100 * time.Millisecond
-	// stallSuspicionPeriod is how long after a stall the arrival of requests is checked. By then the requests that waited in
-	// sockets during the stall have been read.
+	// stallSuspicionPeriod is how long after a stall the server asks the kernel when each request arrived. At its end the requests
+	// that waited in sockets during the stall have been read.
 	stallSuspicionPeriod = 2 * time.Second
 )
 
@@ -22,11 +23,11 @@
 type stallDetector struct {
 	startedAt    time.Time    // when the detector was created; never changes
 	lastRequest  atomic.Int64 // when the latest request was read, in nanoseconds since startedAt
-	suspectUntil atomic.Int64 // until when requests may have waited, in nanoseconds since startedAt
+	suspectUntil atomic.Int64 // end of the period in which requests may have waited, in nanoseconds since startedAt
 }
 
-// observeRequest records that a request is read now, and reports whether it may have waited in its socket. Under little load the
-// pauses between requests are as long as a stall, so every request is suspect, which costs one system call each.
+// observeRequest records that a request is read now, and reports whether the request may have waited in its socket. Under little load
+// the pauses between requests are as long as a stall, so that the result is true for every request. This costs a system call for each.
 func (d *stallDetector) observeRequest(now time.Time) (isSuspect bool) {
 	sinceStart := now.Sub(d.startedAt).Nanoseconds()
 	if sinceStart-d.lastRequest.Swap(sinceStart) >= int64(stallThreshold) {
@@ -36,7 +37,7 @@
 }
 
 // sinceLastReceive returns how long ago the latest bytes were received on a request's connection, by the kernel's clock, and whether
-// the client has closed its sending side since. The age is 0 if the kernel provides no information.
+// the client has closed its sending side. The time is 0 if the kernel provides no information.
 func sinceLastReceive(r *http.Request) (age time.Duration, isDisconnected bool) {
 	info, err := requestTCPInfo(r)
 	if err != nil {
@@ -45,8 +46,9 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, info.State == stateCloseWait
 }
 
-// arrivalTime returns when a request that is read now arrived, and whether its client has disconnected since. An age below
-// stallThreshold is not evidence of a stall, and is ignored: the end of a body may be received long after its beginning.
+// arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. If the latest
+// bytes on the connection were received less than stallThreshold ago, it returns now: they may be the end of a body whose beginning
+// arrived long before, and so are no evidence of a stall.
 func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stalls.observeRequest(now) {
 		return now, false
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -28,7 +28,7 @@
 	return func() { s.options.BodyMemory.Release(size) }, nil
 }
 
-// expiredContext is a context that is already canceled. A reservation with it fails at once if no memory is free.
+// expiredContext is a context that is already canceled. Acquiring memory with it fails at once if no memory is free.
 var expiredContext = func() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -17,7 +17,8 @@
 const (
 	// finalReadTimeout is how long the last read waits on a connection that is about to be closed.
 	finalReadTimeout = 20 * time.Millisecond
-	// maxFinalReads limits how often the last read is repeated because the process got no processor time during it.
+	// maxFinalReads is the maximum number of last reads on a connection. The last read is repeated if the process got no processor
+	// time while it waited.
 	maxFinalReads = 3
 )
 
@@ -56,11 +57,11 @@
 	return n, err
 }
 
-// recordReceived tracks bytes that were read. listener.mu is held.
+// recordReceived updates the state of the connection after bytes were read from it. listener.mu is held.
 func (c *clientConn) recordReceived(b []byte) {
 	c.head.scan(b, c.awaitsFirstByte)
 	if c.isEvicted && c.awaitsFirstByte { // a request was received before the eviction took effect
-		c.cancelEviction(time.Now().Add(c.listener.headTimeout)) // the eviction has overwritten net/http's read deadline
+		c.cancelEviction(time.Now().Add(c.listener.headTimeout)) // a new read deadline is needed, since the eviction has overwritten that of net/http
 		c.moveTo(&c.listener.partial)
 	}
 	if c.queue == &c.listener.silent || c.queue == &c.listener.idle {
@@ -93,8 +94,8 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. It ignores the deadline that net/http sets right after it has reported a connection as idle
-// if the connection was evicted in that moment, since the deadline would undo the eviction.
+// SetReadDeadline implements net.Conn. It does nothing on an evicted connection: net/http sets a read deadline right after it has
+// reported a connection as idle, which would undo an eviction in between.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -13,7 +13,7 @@
 
 	mu             sync.Mutex // guards the fields below
 	changed        sync.Cond  // signaled when openCount, maxConnections or isClosed has changed
-	openCount      int        // connections that are open or about to be accepted
+	openCount      int        // number of connections that are open or about to be accepted
 	maxConnections int
 	isClosed       bool // whether Close was called
 }
@@ -80,7 +80,7 @@
 type limitedConn struct {
 	*net.TCPConn
 	releaseOnce sync.Once
-	release     func() // release of the LimitListener, to be called once
+	release     func() // LimitListener.release, which must be called only once
 }
 
 // Close implements net.Conn.
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// disconnectMany sends requests of each class and disconnects at random instants. It returns when each client disconnected, by the
-// request's id.
+// disconnectMany sends requests of each class and disconnects at random instants. It returns the time of each client's disconnect by
+// the request's id.
 func disconnectMany(t *testing.T, addr string, clientsPerClass int) map[string]time.Time {
 	t.Helper()
 	const workers = 32
@@ -127,7 +127,7 @@
 						content = contents[i%len(contents)]
 					}
 					io.WriteString(client, requestTextWithin(class, id, content, 2*time.Second)+[]string{"", "\r\n"}[i%2])
-					<-time.After(randomUpTo(24 * time.Millisecond)) // chooses the instant of the disconnect
+					<-time.After(randomUpTo(24 * time.Millisecond)) // delays the disconnect by a random time
 					disconnect(client.(*net.TCPConn), i%3 == 0)
 					mu.Lock()
 					disconnectedAt[id] = time.Now()
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -13,15 +13,15 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request whose client disconnects while its attempt dials must not be written once the connection is established, even though
-// net/http does not notice the disconnect, because further bytes follow the request or the rest of a streaming body has not been
+// If a client disconnects while the attempt of its request dials, the request must not be written once the connection is established.
+// net/http does not notice these disconnects, because further bytes follow the request or the rest of a streaming body has not been
 // read yet. A client that closes only its sending side before the end of its body must get status 400. The connection that was
 // dialed must serve the next request.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", body.BufferSize+1<<10)
 	for _, class := range []string{"look", "book", "pay"} {
 		short := requestText(class, "r1", "")
-		// Bytes that the client sends before the dial begins and after that, by the name of the case.
+		// The keys are names of cases. The values are the bytes that the client sends before and after the dial begins.
 		requests := map[string][2]string{
 			"short":                        {short},
 			"short, then a stray line end": {short, "\r\n"},
@@ -50,7 +50,7 @@
 // wantStatus is the status for a client that closes only its sending side; 0 means that it gets no response.
 func checkNotForwarded(t *testing.T, class string, request [2]string, disconnectMode string, wantStatus int) {
 	t.Helper()
-	var forwarded atomic.Int64 // bytes that the endpoint received
+	var forwarded atomic.Int64 // number of bytes that the endpoint received
 	endpoint := testpeer.ServeTCP(t, func(conn net.Conn) {
 		defer conn.Close()
 		for b := make([]byte, 1<<10); ; io.WriteString(conn, testpeer.ResponseOK) {
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -63,11 +63,11 @@
 	}
 }
 
-// endWithoutReply ends a request for which the event loop has sent no reply, or only the verdict ClientGone, which isClientGone
-// reports.
+// endWithoutReply ends a request for which the event loop has sent no reply or, if isClientGone is true, a reply with the verdict
+// ClientGone, which has no response.
 func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, isClientGone bool) {
 	upload, isDisconnected := request.call.Message.Upload, isClientGone || r.Context().Err() != nil
-	if isClientGone && upload != nil { // the kernel reports the disconnect before all bytes that the client sent are read
+	if isClientGone && upload != nil { // the kernel reports a disconnect even if bytes that the client sent before are still unread
 		_ = upload.ReadToEnd() // upload.Err keeps the error
 	}
 	switch {
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -35,7 +35,7 @@
 	l.scheduleRecheck()
 }
 
-// scheduleRecheck schedules another evictIfOverLimit, which nothing else would call while Accept blocks at the limit of the
+// scheduleRecheck schedules another call of evictIfOverLimit. Nothing else would call it while Accept blocks at the limit of the
 // LimitListener. l.mu is held.
 func (l *Listener) scheduleRecheck() {
 	if l.isRecheckScheduled {
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -47,13 +47,13 @@
 	return idleConn{listener, conn, client}
 }
 
-// Guards against closing a connection between the read of a request's first bytes and the moment when net/http reports the
-// connection as active. That can happen under overload with few file descriptors.
+// A connection must not be closed between the read of a request's first bytes and the moment when net/http reports the connection as
+// active. Otherwise requests can be lost under overload with few file descriptors.
 func TestConnectionWithPartlyReadRequestIsNotEvicted(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "re")
 	if n, err := idle.conn.Read(make([]byte, 2)); n != 2 || err != nil {
-		t.Fatal(n, err)
+		t.Fatalf("reading the first bytes of the request: %d bytes, error %v, want 2 bytes and no error", n, err)
 	}
 	idle.listener.evictIdle()
 	io.WriteString(idle.client, "st")
@@ -76,7 +76,7 @@
 	if err := <-read; err != nil {
 		t.Errorf("the pending read returned %v, want io.EOF and no bytes", err)
 	}
-	// net/http sets a read deadline after its ConnState hook has run.
+	// net/http sets a read deadline after its ConnState hook has run, which must not undo an eviction.
 	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Timeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// Guards against losing a request that the kernel has received but the process has not read yet when its connection is evicted.
-// That can happen under overload on half a core.
+// A request that the kernel has received but the process has not read yet must not be lost when its connection is evicted. Under
+// overload on half a core, evictions can find such requests.
 func TestReceivedRequestIsReadDespiteEviction(t *testing.T) {
 	idle := acceptIdleConn(t)
 	io.WriteString(idle.client, "request")
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -52,8 +52,8 @@
 type headScanner struct {
 	mu                  sync.Mutex
 	name                [len("transfer-encoding")]byte // field name of the current line so far, in lower case
-	nameLength          int                            // bytes of name that are set; -1: the rest of the line is skipped
-	lineLength          int                            // bytes of the current line so far, without its line end
+	nameLength          int                            // number of bytes of name that are set; -1: the rest of the line is skipped
+	lineLength          int                            // number of bytes of the current line so far, without its line end
 	inRequestLine       bool                           // the request line has not ended yet
 	isComplete          bool                           // the end of the head was scanned
 	sawStart            bool                           // the head was scanned from its first byte
@@ -62,7 +62,7 @@
 	hasFoldedLine       bool // a line continues the previous one (RFC 9112, 5.2)
 }
 
-// scan processes bytes that were received. startsRequest means that the first of them begins a request.
+// scan processes bytes that were received. startsRequest means that the first byte begins a request.
 func (h *headScanner) scan(b []byte, startsRequest bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,7 +99,8 @@
 	}
 }
 
-// scanName processes one byte of a line, and records the field once its name is complete. mu is held.
+// scanName processes one byte of a line. At the end of a field name, it records whether the name is Content-Length or
+// Transfer-Encoding. mu is held.
 func (h *headScanner) scanName(c byte) {
 	switch {
 	case h.nameLength < 0:
@@ -111,7 +112,7 @@
 			h.hasTransferEncoding = true
 		}
 		h.nameLength = -1
-	case h.nameLength == len(h.name): // longer than Content-Length and Transfer-Encoding
+	case h.nameLength == len(h.name): // the name is longer than Content-Length and Transfer-Encoding
 		h.nameLength = -1
 	default:
 		if c >= 'A' && c <= 'Z' {
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -14,7 +14,7 @@
 // Values of ForwardedMode, as the setting "forwarded" of a listener names them.
 const (
 	ForwardedSet    ForwardedMode = "set"    // replace the client's forwarding headers by the daemon's
-	ForwardedAppend ForwardedMode = "append" // append the daemon's values to the client's forwarding headers: clients are trusted
+	ForwardedAppend ForwardedMode = "append" // append the daemon's values to the client's forwarding headers; for trusted clients
 	ForwardedDrop   ForwardedMode = "drop"   // remove the client's forwarding headers and add only Via
 	ForwardedLeave  ForwardedMode = "leave"  // forward the client's headers unchanged and add nothing, not even Via
 )
@@ -67,8 +67,9 @@
 	return h
 }
 
-// addForwarded sets the headers that say where a request came from, according to the listener's ForwardedMode. It removes client
-// headers that could be taken for the daemon's, since some endpoints treat an underscore in a name like a hyphen.
+// addForwarded sets the headers that say where a request came from, according to the listener's ForwardedMode. It also removes headers
+// of the client such as X_Forwarded_For: some endpoints treat an underscore in a name like a hyphen, and would take them for the
+// daemon's.
 func (s *Server) addForwarded(h http.Header, r *http.Request) {
 	if s.options.Forwarded == ForwardedLeave {
 		return
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// drainPollInterval is how often a shutdown checks for connections that have become idle. It is far shorter than the grace period
-// that is left by then.
+// drainPollInterval is the time between two checks of a shutdown for connections that have become idle. It is far shorter than the
+// grace period that a shutdown has left when the checks begin.
 const drainPollInterval = 10 * time.Millisecond
 
 // Listener tracks the connections of clients and evicts those without an open request: one at a time if there are too many, and all of
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -28,7 +28,7 @@
 	server   *Server
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	dials    chan string // addresses that were dialed; further ones are dropped while the buffer is full
+	dials    chan string // addresses that were dialed; further addresses are dropped while the buffer is full
 }
 
 // proxyOptions are the options of a testProxy.
@@ -118,7 +118,7 @@
 	}
 }
 
-// testRoutes returns a configuration that routes /look, /book and /pay as the classes of these names.
+// testRoutes returns a configuration that routes requests for /look, /book and /pay, each as the class of the same name.
 func testRoutes(t *testing.T, pool *eventloop.Loop, registry *metrics.Registry, configure func(*Class)) *RouteConfig {
 	t.Helper()
 	routes := &RouteConfig{}
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -54,8 +54,8 @@
 	return newRejection(http.StatusBadRequest, "%w", body.ErrBroken)
 }
 
-// write writes the rejection and has the connection closed: the bytes that follow on it can't be trusted to begin a new request, and a
-// client that sends the same request again must open a new connection.
+// write writes the rejection with "Connection: close", since the bytes that follow on the connection can't be trusted to begin a new
+// request. A client that sends the same request again must open a new connection.
 func (r *rejection) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if len(r.allowedMethods) > 0 {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -18,8 +18,8 @@
 // ended.
 const maxIDBytes = 256
 
-// deadlineMargin is subtracted from each deadline for the way between the client and this daemon, both ways: 0.4 ms in this process
-// (99th percentile), the rest for the network.
+// deadlineMargin is subtracted from each deadline for the time that the request and its response take between the client and the
+// balancer: 0.4 ms in this process (99th percentile), the rest in the network.
 const deadlineMargin = 10 * time.Millisecond
 
 // routedRequest is a valid request with its route, ready to be submitted to its pool.
@@ -126,7 +126,7 @@
 	return values[0], nil
 }
 
-// deadlineFrom returns when the response to a request must be written if the request's timeout began at start.
+// deadlineFrom returns the time by which the response to a request must be written if the request's timeout began at start.
 func (s *Server) deadlineFrom(request *routedRequest, start time.Time) time.Time {
 	return s.capAtShutdown(start.Add(request.timeout - deadlineMargin))
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -37,7 +37,7 @@
 // responseWriter is a ResponseWriter that sets Connection: close if the connection can't serve another request.
 type responseWriter struct {
 	http.ResponseWriter
-	closesConnections *atomic.Bool // the Server's field: whether every response closes its connection
+	closesConnections *atomic.Bool // whether every response closes its connection; a field of the Server
 	upload            *body.Upload // streaming body of the request; nil: the body is not streamed
 	mustClose         bool         // the bytes that follow on the connection can't be trusted to begin a new request
 	wroteHeader       bool
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -28,7 +28,7 @@
 	DefaultDeadline  time.Duration // timeout of a request without a deadline, from its arrival
 	MaxDeadline      time.Duration // longest timeout that a client may set
 
-	MaxStreamDuration     time.Duration // longest time for a streaming request body, and again for a streaming response body
+	MaxStreamDuration     time.Duration // longest time for a streaming request body and, separately, for a streaming response body
 	DeadlineCoversStreams bool          // the deadline also applies to the time that streaming bodies take
 
 	Metrics *metrics.Class
@@ -45,7 +45,8 @@
 	RemoveHeaders []string    // names of request headers to remove
 }
 
-// RouteConfig is a configuration by which requests are routed. It must not change after it was swapped in.
+// RouteConfig is a configuration by which requests are routed. It must not change after it was passed to
+// ActiveRouteConfig.Swap.
 type RouteConfig struct {
 	Table   *route.Table
 	Targets []Target // targets by the index of their rule in Table
@@ -58,8 +59,8 @@
 	inFlight sync.WaitGroup // requests that have acquired the configuration and not released it
 }
 
-// Wait waits until all requests that are routed by the configuration have ended. It must be called only after the configuration was
-// swapped out.
+// Wait waits until all requests that are routed by the configuration have ended. It must be called only after Swap has
+// replaced the configuration by another one.
 func (c *RouteConfig) Wait() { c.inFlight.Wait() }
 
 // release ends a request's use of the configuration, which began with acquire.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -65,7 +65,7 @@
 	stalls  stallDetector
 
 	closesConnections atomic.Bool               // every response closes its connection
-	shutdownDeadline  atomic.Pointer[time.Time] // when all requests must have their responses; nil: no shutdown has begun
+	shutdownDeadline  atomic.Pointer[time.Time] // time by which all requests must have their responses; nil: no shutdown has begun
 	shutdownExpired   chan struct{}             // closed shutdownResponseGrace after shutdownDeadline
 	shutdownOnce      sync.Once                 // guards against a second shutdown deadline
 
@@ -89,7 +89,7 @@
 // AbortStreams aborts all streaming bodies, in a way that shows clients that they are incomplete.
 func (s *Server) AbortStreams() { s.cancelStreams() }
 
-// SetShutdownDeadline sets a deadline that caps those of all requests that are read from now on. Requests with buffered bodies that
+// SetShutdownDeadline sets a deadline that caps the deadlines of all requests that are read from now on. Requests with buffered bodies that
 // were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop waiting. Only the
 // first call has an effect.
 func (s *Server) SetShutdownDeadline(deadline time.Time) {
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -29,8 +29,8 @@
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// serveStreaming serves a request whose body is streamed. The request is submitted to its pool only after the beginning of the body
-// was received, unless the client waits for 100 Continue. A body that ends within its beginning is buffered after all.
+// serveStreaming serves a request whose body is streamed. Unless the client waits for 100 Continue, the request is submitted to its pool
+// only after the first body.PrefixSize bytes of the body were received. A shorter body without a trailer is not streamed after all.
 func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
 	// A proxy in front of this daemon may have used a Content-Length beside the chunked encoding, which net/http ignores. To the
 	// proxy the bytes that follow could be a part of the body (RFC 9112, 6.1).
@@ -77,7 +77,7 @@
 	s.dispatch(w, r, request)
 }
 
-// openUpload returns an Upload of the request's body. It waits for the memory that this needs at most until the deadline.
+// openUpload returns an Upload of the request's body. It waits for memory until the deadline at most.
 func (s *Server) openUpload(r *http.Request, control *http.ResponseController, deadline time.Time) (*body.Upload, error) {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
@@ -93,7 +93,8 @@
 	})
 }
 
-// fillUpload reads the beginning of a body and reports whether the body is complete with it. AbortStreams makes it fail.
+// fillUpload reads at least the first body.PrefixSize bytes of a body, or to its end, and reports whether the end was reached. It fails
+// if AbortStreams is called.
 func (s *Server) fillUpload(upload *body.Upload) (isComplete bool, err error) {
 	defer context.AfterFunc(s.streamContext, upload.Stop)()
 	return upload.ReadPrefix()
@@ -108,8 +109,8 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// deadlineStart returns when a request's timeout begins, once the beginning of its body was received: at the request's arrival if the
-// deadline covers streaming bodies, and now otherwise.
+// deadlineStart returns the time at which the timeout of a request with a streaming body begins: the request's arrival if the deadline
+// covers streaming bodies, and otherwise the current time, at which the beginning of the body has been received.
 func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
 		return arrived
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -7,10 +7,10 @@
 	"tuliprock/internal/route"
 )
 
-// resolvedTarget is the Target of a request's route.
+// resolvedTarget is the Target of a request's route, together with the request target to forward.
 type resolvedTarget struct {
 	*Target
-	requestTarget string // request target with which the request is forwarded
+	requestTarget string // path and query with which the request is forwarded
 }
 
 // resolveTarget returns the target of a request's route. A request that matches no route is rejected: it must reach neither the
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -32,7 +32,7 @@
 	bodyMemory        *body.MemoryPool // memory for bodies; nil: all bodies are buffered
 	configure         func(*Options)   // changes the options that startProxy sets, if not nil
 	configureClass    func(*Class)     // changes each class that startProxy sets, if not nil
-	closesConnections bool             // whether SetCloseConnections is called
+	closesConnections bool             // whether every response closes its connection
 }
 
 // What the daemon sends to clients and endpoints is a contract with them: statuses, headers, texts, and whether the connection can
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -34,14 +34,14 @@
 // configuration may add new names.
 const (
 	maxClasses    = 1024    // maximum number of classes in a Registry, the overflow class not counted
-	overflowClass = "other" // name of the class that counts the requests of all classes above maxClasses
+	overflowClass = "other" // name of the class that counts the requests of all classes beyond the first maxClasses
 )
 
 // Registry holds the metrics of one process. The zero value is ready to use, and it is safe for concurrent use.
 type Registry struct {
-	// Attempts counts the attempts whose last byte was written to an endpoint.
+	// Attempts counts the attempts that have written a complete request to an endpoint.
 	Attempts atomic.Uint64
-	// RejectedInput counts inputs that were rejected before they became requests. They are not counted in any class.
+	// RejectedInput counts the invalid requests that were rejected. They are not counted in any class.
 	RejectedInput atomic.Uint64
 
 	active  atomic.Int64 // number of requests of all classes for which Begin was called, but not End
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newMixedTable returns a table of n rules of all kinds but Pattern, ten for each host, and a request that only the last of the
-// Exact rules matches.
+// newMixedTable returns a table of n rules of the kinds Exact, Prefix and Segments, ten for each host, and a request that only the
+// last Exact rule matches.
 func newMixedTable(tb testing.TB, n int) (*Table, *Request) {
 	tb.Helper()
 	var rules []Rule
--- a/internal/route/condition.go
+++ b/internal/route/condition.go
@@ -42,7 +42,7 @@
 	return c.Operator == Absent
 }
 
-// matchesValue compares a value of a request by an operator other than Absent.
+// matchesValue reports whether a value in a request meets the condition, whose operator must not be Absent.
 func (c *Condition) matchesValue(value string) bool {
 	switch c.Operator {
 	case Equal:
@@ -53,8 +53,8 @@
 	return true
 }
 
-// isImpliedBy reports whether every request that meets the other condition meets this condition, too. It returns true only if
-// this is certain, and so may return false for an implication.
+// isImpliedBy reports whether every request that meets the other condition meets this condition, too. A result of true is always
+// correct, but false may be wrong.
 func (c Condition) isImpliedBy(other Condition) bool {
 	switch {
 	case c == other:
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Errors of Normalize, each of which rejects the request with status 400. Servers interpret such targets in different ways: a
-// target must not be routed by one interpretation and served by another.
+// Errors of Normalize. A request with such a target is rejected with status 400, since servers interpret the target in different
+// ways, and a request must not be routed by one interpretation and served by another.
 var (
 	ErrNotAbsolutePath    = errors.New("the target is no absolute path")
 	ErrUnencodedCharacter = errors.New("the target has a character that must be encoded")
@@ -157,7 +157,7 @@
 			continue
 		}
 		if isLast {
-			output = append(output, "") // the path keeps its final slash
+			output = append(output, "") // a path that ends with a dot segment keeps a final slash
 		}
 	}
 	return "/" + strings.Join(output, "/"), nil
--- a/internal/route/shadow.go
+++ b/internal/route/shadow.go
@@ -24,8 +24,8 @@
 	return shadows
 }
 
-// covers reports whether the rule matches every request that another rule matches. It returns true only if this is certain, and
-// so may return false although the rule does.
+// covers reports whether the rule matches every request that another rule matches. A result of true is always correct, but false
+// may be wrong.
 func (c *compiledRule) covers(other *compiledRule) bool {
 	isImplied := func(conditions []Condition) func(Condition) bool {
 		return func(implied Condition) bool { return slices.ContainsFunc(conditions, implied.isImpliedBy) }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -13,7 +13,7 @@
 	anyHost       *pathIndex            // rules without hosts
 }
 
-// New compiles rules. Any error that it returns is a *RuleError.
+// New compiles rules into a Table. Any error that it returns is a *RuleError.
 func New(rules []Rule) (*Table, error) {
 	t := &Table{exactHosts: map[string]*pathIndex{}, wildcardHosts: map[string]*pathIndex{}, anyHost: newPathIndex()}
 	for i, r := range rules {
@@ -49,7 +49,7 @@
 // Rule returns the rule at an index of New's argument, with canonical header names.
 func (t *Table) Rule(index int) Rule { return t.rules[index].Rule }
 
-// noRule is an index greater than that of any rule.
+// noRule is the result of a lookup without a match. It is greater than the index of any rule.
 const noRule = int(^uint(0) >> 1)
 
 // Match returns the index of the first rule that matches a request, and whether there is one.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -31,7 +31,7 @@
 	return &Request{Method: http.MethodGet, Target: path, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
-// contextFor returns a context with a timeout. It also ends with the test.
+// contextFor returns a context that ends after a timeout, or with the test.
 func contextFor(t *testing.T, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -180,8 +180,8 @@
 	}
 }
 
-// Attempt must report a reset and not send the request again. net/http's Transport would resend these requests when a reused
-// connection breaks.
+// Attempt must report a reset and not send the request again. When a reused connection breaks, net/http's Transport would resend a GET
+// request, or one with an Idempotency-Key.
 func TestResetOfReusedConnectionIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -65,7 +65,7 @@
 // Client makes attempts over its own connections. It is safe for concurrent use. It does not use net/http's Transport, which
 // resends some requests when a reused connection breaks, and dials connections that may not be needed.
 type Client struct {
-	maxIdleAge  time.Duration // maximum time since the last response on an idle connection that may be used
+	maxIdleAge  time.Duration // time since its last response after which an idle connection is not used any more
 	dialTimeout time.Duration
 	reuseDelay  time.Duration // minimum time between a response and the next request on the same connection
 	options     Options
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -18,7 +18,7 @@
 	reader              *bufio.Reader     // reads from byteLimit
 	pool                *endpointPool     // pool to which the connection returns after an attempt
 	address             string            // address that was dialed
-	idleSince           time.Time         // time of the last response, or of the first return to the pool without one; zero before that
+	idleSince           time.Time         // time of the last response or, if there was none, of the first return to the pool; zero before both
 	closesAfterResponse bool              // whether the last response head had the option "Connection: close"
 }
 
@@ -38,7 +38,7 @@
 	}, nil
 }
 
-// dial establishes a connection that reserve has already counted in openCount. If dial fails, it corrects openCount.
+// dial establishes a connection that reserve has already counted in openCount. If dial fails, it decrements openCount.
 func (cl *Client) dial(ctx context.Context, p *endpointPool, address string) (c *conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cl.dialTimeout)
 	defer cancel()
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The next request on a connection is delayed after a response. An endpoint may send a response twice, and nothing in the
-// duplicate shows that it is not the response to the next request.
+// Minimum times between a response and the next request on the same connection. An endpoint may send a response twice, and nothing in
+// the duplicate shows that it is not the response to the next request.
 const (
-	// reuseDelay is nearly twice the delay of the latest of 286 duplicates measured at the platform's endpoints,
-	// which came 0.7 to 5.7 ms after the first copy.
+	// reuseDelay is the delay without Options.DialInsteadOfWaiting. The platform's endpoints sent 286 duplicates 0.7 to 5.7 ms after
+	// the first copy.
 	reuseDelay = 10 * time.Millisecond
-	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of such pools were never seen to send
-	// duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
+	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of pools with this option were never
+	// seen to send duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
 	reuseDelayWhenDialing = 2 * time.Millisecond
 )
 
@@ -64,8 +64,8 @@
 
 // reserve takes an idle connection from the endpoint's pool: of those whose reuse delay has passed, the most recently used one.
 // If there is none, it takes the connection that has been idle longest or, if the pool is empty or Options.DialInsteadOfWaiting
-// says so, counts a new connection as open. If that would exceed Options.MaxConnections, it first closes an idle connection to
-// any endpoint.
+// demands it, permits a new connection and counts it as open. If that would exceed Options.MaxConnections, it first closes an idle
+// connection to any endpoint.
 func (cl *Client) reserve(id string) (reservation, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -53,7 +53,7 @@
 	body       []byte
 	isOK       bool // whether the result is balance.OK
 	isReusable bool // whether the connection may carry another exchange
-	unread     int  // bytes of the text that were not consumed
+	unread     int  // number of bytes of the text that were not consumed
 }
 
 // exchangeWith makes an exchange with an endpoint that writes text, regardless of the request it receives.
@@ -87,7 +87,7 @@
 	return got
 }
 
-// readStream reads a stream to its end. The error is nil if it has reached the end.
+// readStream reads a stream to its end. The error is nil if the end was reached.
 func readStream(s *Stream) (text []byte, err error) {
 	for {
 		part, err := s.Next()
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -34,7 +34,7 @@
 	isStopped   atomic.Bool   // whether the sender was stopped, so that nothing more may be written
 
 	mu             sync.Mutex // held during each write to the endpoint; guards written, isSent, isTooSlow and isUploadBroken
-	written        int64      // bytes of the request that were written
+	written        int64      // number of bytes of the request that were written
 	isSent         bool       // whether the request's last byte was written
 	isTooSlow      bool       // whether the endpoint fell below its minimum rate
 	isUploadBroken bool       // whether the client's body could not be read
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -20,7 +20,7 @@
 	bufferedResponseTimeout = 500 * time.Millisecond
 	maxInterimResponses     = 8 // number of 1xx responses at which an attempt fails
 
-	declinedHeader = "Srv-Declined" // header, with value 1, of an endpoint that is at its capacity and has not run the request
+	declinedHeader = "Srv-Declined" // response header whose value 1 says that the endpoint is at its capacity and has not run the request
 )
 
 // errMalformed means that a response violates HTTP, or a limit of this package.
@@ -36,7 +36,7 @@
 
 // readFinalHead reads the interim responses and the head of the final response. onInterim, if not nil, is called with the status
 // of each interim response. Each head must be complete within bufferedResponseLimit of its first byte, since an endpoint that
-// sends a malformed head may neither complete it nor close the connection. For the final response, this read deadline stays set.
+// sends a malformed head may neither complete it nor close the connection. The read deadline for the final head stays set.
 func (x *exchange) readFinalHead(onInterim func(status int)) (*http.Response, error) {
 	c := x.conn
 	c.byteLimit.N = maxHeads + maxBufferedBody
@@ -70,7 +70,7 @@
 }
 
 // checkFraming rejects a response whose head announces a body that is too long or whose end can't be recognized. A body without
-// a length ends when the connection is closed (RFC 9112, 6.3). That is accepted only if the head has "Connection: close":
+// a length ends when the connection is closed (RFC 9112, 6.3). Such a body is accepted only if the head has "Connection: close":
 // otherwise a connection that broke early could not be told from the end of the body.
 func (x *exchange) checkFraming(resp *http.Response) error {
 	limit := x.client.options.MaxResponseBody
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -35,10 +35,10 @@
 	mu        sync.Mutex
 	readEnded sync.Cond // signaled when a read from the endpoint has ended
 	buffer    []byte
-	filled    int   // bytes of buffer that hold data
-	consumed  int   // bytes of buffer that Next has returned
+	filled    int   // number of bytes of buffer that hold data
+	consumed  int   // number of bytes of buffer that Next has returned
 	isReading bool  // whether a read from the endpoint is in progress
-	received  int64 // bytes of the body that were read or spliced
+	received  int64 // number of bytes of the body that were read or spliced
 	err       error // error of the last read; no read follows once it is set
 }
 
@@ -142,7 +142,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.filled < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
-		// Replaces the read deadline that readFinalHead has set.
+		// This deadline replaces the one that readFinalHead has set.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
 	}
@@ -180,8 +180,8 @@
 }
 
 // Next returns the next part of the body, of at most body.BufferSize bytes, which is valid until the next call. It returns io.EOF
-// at the body's end. An error that wraps body.ErrTooSlow means that the endpoint does not keep its minimum rate, and any other
-// error that the body has broken.
+// at the body's end. An error that wraps body.ErrTooSlow means that the endpoint does not keep its minimum rate. Any other
+// error means that the body has broken.
 func (s *Stream) Next() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -12,7 +12,7 @@
 
 const (
 	minSpliceBytes    = 256 << 10              // remaining bytes of a body below which splicing is not worth its system calls
-	maxSpliceBytes    = 1 << 20                // bytes per call of Splice, the maximum capacity of a pipe in the kernel
+	maxSpliceBytes    = 1 << 20                // maximum number of bytes per call of Splice; the kernel's maximum capacity of a pipe
 	spliceReadTimeout = 100 * time.Millisecond // maximum wait for the endpoint per call of Splice
 )
 
