--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -32,7 +32,7 @@
 	SetEjected func(ctx context.Context, id string, isEjected bool) (string, error)
 }
 
-// execute executes a command and returns its response.
+// execute calls the handler of a command and returns the response to the client.
 func (s *Server) execute(c Command, body []byte) []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin serves the admin address, to which operators send commands. Each TCP connection carries one command on one line, gets one response and is
-// closed. The package parses commands and limits the number of connections; Handlers execute the commands.
+// Package admin serves the admin address, to which operators send commands. Each TCP connection carries one command on one line,
+// gets one response and is closed. The package parses commands and limits the number of connections; Handlers execute the commands.
 //
 // A Server owns its listener and its connections. Serve runs on the goroutine of its caller, and each connection on a goroutine
 // of its own; all connections have ended when Close returns. A command is executed only if its complete line, and its complete
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -46,9 +46,9 @@
 	return time.Duration(tcpInfo.Last_data_recv) * time.Millisecond, tcpInfo.State == stateCloseWait
 }
 
-// arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. If the latest
-// bytes on the connection were received less than stallThreshold ago, it returns now: they may be the end of a body whose beginning
-// arrived long before, and so are no evidence of a stall.
+// arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. If the
+// latest bytes on the connection were received less than stallThreshold ago, it returns now: they may be the end of a body whose
+// beginning arrived long before, and so are no evidence of a stall.
 func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stallDetector.observeRequest(now) {
 		return now, false
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -14,8 +14,8 @@
 // request. The kernel is therefore asked, too. isClientConnected may be called from any goroutine, and returns false after the
 // request has ended.
 //
-// The request's context must be checked after the kernel was asked: a handler that notices a disconnect in between first ends the
-// request, which cancels the context, and then closes the connection.
+// The request's context must be checked after the kernel was asked: a handler that notices a disconnect between the two checks first
+// ends the request, which cancels the context, and then closes the connection.
 func isClientConnected(r *http.Request) bool {
 	switch tcpInfo, err := requestTCPInfo(r); {
 	case errors.Is(err, net.ErrClosed):
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -45,7 +45,7 @@
 	return c != nil && isChunked && c.headScanner.isChunkedOnly()
 }
 
-// headScanner scans the bytes of a request's head for what net/http does not report: it ignores a Content-Length beside a
+// headScanner scans the bytes of a request's head for what net/http does not report: net/http ignores a Content-Length beside a
 // Transfer-Encoding, and joins a folded line to the previous one. The zero value has scanned nothing. The scanner misses the head of a
 // pipelined request that was received together with the previous request, since net/http reads that head from its buffer. It is safe
 // for concurrent use.
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -16,8 +16,8 @@
 // them at shutdown.
 //
 // It never closes a connection on which a request has just been received. The Shutdown and SetKeepAlivesEnabled methods of
-// http.Server do that, and so would closing connections in its ConnState hook: net/http reports a connection as idle until it has read
-// the complete head of a request, and drops what it reads during Shutdown.
+// http.Server may close such a connection, and so may a ConnState hook that closes idle connections: net/http reports a connection
+// as idle until it has read the complete head of a request, and drops what it reads during Shutdown.
 //
 // The methods of Listener are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
 type Listener struct {
@@ -97,7 +97,7 @@
 	}
 }
 
-// ConnectionCount returns the number of open connections.
+// ConnectionCount returns the number of accepted connections that are not yet closed, including those marked for eviction.
 func (l *Listener) ConnectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -227,7 +227,7 @@
 	})
 }
 
-// resourceCounts returns how many calls, deferred events included, and how many timers the event loop holds.
+// resourceCounts returns the number of calls and deferred events together, and the number of timers, that the event loop holds.
 func (p *testProxy) resourceCounts() (calls, timers int) {
 	counted := make(chan struct{})
 	p.loop.Post(func(time.Duration) {
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -12,7 +12,8 @@
 	"tuliprock/internal/metrics"
 )
 
-// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool's balancer, which would compute one.
+// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool's balancer, which computes the Retry-After
+// of other requests.
 const shedRetryAfter = time.Second
 
 // rejection is the response to a request that reaches no endpoint. The text of err becomes the response's body.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -89,9 +89,9 @@
 // AbortStreams aborts all streaming bodies, in a way that shows clients that they are incomplete.
 func (s *Server) AbortStreams() { s.cancelStreams() }
 
-// SetShutdownDeadline sets a deadline that caps the deadlines of all requests that are read from now on. Requests with buffered bodies that
-// were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop waiting. Only the
-// first call has an effect.
+// SetShutdownDeadline sets a deadline that caps the deadlines of all requests that are read from now on. Requests with buffered
+// bodies that were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop
+// waiting. Only the first call has an effect.
 func (s *Server) SetShutdownDeadline(deadline time.Time) {
 	s.shutdownOnce.Do(func() {
 		s.shutdownDeadline.Store(&deadline)
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -11,7 +11,7 @@
 )
 
 // Limits on reading the rest of a body after the response was written. Closing a connection with unread bytes resets it, which could
-// keep the client from receiving the response. net/http does the same for handlers that leave a body unread.
+// keep the client from receiving the response. net/http, too, reads the rest of a body that a handler has left unread.
 const (
 	maxLingerTime  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
@@ -29,8 +29,8 @@
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// serveStreaming serves a request whose body is streamed. Unless the client waits for 100 Continue, the request is submitted to its pool
-// only after the first body.PrefixSize bytes of the body were received. A shorter body without a trailer is not streamed after all.
+// serveStreaming serves a request whose body is streamed. Unless the client waits for 100 Continue, the request is submitted to its
+// pool only after the first body.PrefixSize bytes of the body were received. A shorter body without a trailer is buffered.
 func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
 	// A proxy in front of this daemon may have used a Content-Length beside the chunked encoding, which net/http ignores. To the
 	// proxy the bytes that follow could be a part of the body (RFC 9112, 6.1).
--- a/internal/frontend/streaming_response.go
+++ b/internal/frontend/streaming_response.go
@@ -47,7 +47,7 @@
 	for name, values := range stream.Trailer() {
 		header[http.TrailerPrefix+name] = values
 	}
-	// net/http writes the last chunk after the handler has returned.
+	// The deadline is for the last chunk, which net/http writes after the handler has returned.
 	err = controller.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 }
 
