--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// responseTimeout limits the execution of a command and, separately, the write of its response. Operators must get a response
-// within 1 s.
+// responseTimeout limits the execution of a command, so that operators get a response within 1 s. It also limits, separately, the
+// write of the response to the connection.
 const responseTimeout = 900 * time.Millisecond
 
 // Handlers execute the commands. They are called by many goroutines concurrently. A handler that takes a context must return
@@ -32,7 +32,7 @@
 	SetEjected func(ctx context.Context, id string, isEjected bool) (string, error)
 }
 
-// execute executes a command and returns its response.
+// execute calls the handler of a command and returns the response to the client.
 func (s *Server) execute(c Command, body []byte) []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// drainPollInterval is how often a shutdown checks for connections that have become idle. It is far shorter than the grace period
-// that is left by then.
+// drainPollInterval is the time between two checks of a shutdown for connections that have become idle. It is far shorter than the
+// grace period that a shutdown has left when the checks begin.
 const drainPollInterval = 10 * time.Millisecond
 
 // Listener tracks the connections of clients and evicts those without an open request: one at a time if there are too many, and all of
 // them at shutdown.
 //
 // It never closes a connection on which a request has just been received. The Shutdown and SetKeepAlivesEnabled methods of
-// http.Server do that, and so would closing connections in its ConnState hook: net/http reports a connection as idle until it has read
-// the complete head of a request, and drops what it reads during Shutdown.
+// http.Server may close such a connection, and so may a ConnState hook that closes idle connections: net/http reports a connection
+// as idle until it has read the complete head of a request, and drops what it reads during Shutdown.
 //
 // The methods of Listener are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
 type Listener struct {
@@ -91,13 +91,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConnections = maxConnections
-	for before := -1; before != l.evictingCount; {
-		before = l.evictingCount
+	for evictingBefore := -1; evictingBefore != l.evictingCount; {
+		evictingBefore = l.evictingCount
 		l.evictIfOverLimit()
 	}
 }
 
-// ConnectionCount returns the number of open connections.
+// ConnectionCount returns the number of accepted connections that are not yet closed, including those marked for eviction.
 func (l *Listener) ConnectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -12,7 +12,8 @@
 	"tuliprock/internal/metrics"
 )
 
-// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool's balancer, which would compute one.
+// shedRetryAfter is the Retry-After of a request that is shed before it reaches its pool's balancer, which computes the Retry-After
+// of other requests.
 const shedRetryAfter = time.Second
 
 // rejection is the response to a request that reaches no endpoint. The text of err becomes the response's body.
@@ -54,8 +55,8 @@
 	return newRejection(http.StatusBadRequest, "%w", body.ErrBroken)
 }
 
-// write writes the rejection and has the connection closed: the bytes that follow on it can't be trusted to begin a new request, and a
-// client that sends the same request again must open a new connection.
+// write writes the rejection with "Connection: close", since the bytes that follow on the connection can't be trusted to begin a new
+// request. A client that sends the same request again must open a new connection.
 func (r *rejection) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if len(r.allowedMethods) > 0 {
@@ -73,9 +74,9 @@
 	rejected.write(w)
 }
 
-// rejectUnbuffered rejects a request for whose body no memory could be reserved. A valid request counts for its class, an invalid
+// rejectForLackOfMemory rejects a request for whose body no memory could be reserved. A valid request counts for its class, an invalid
 // one as rejected input.
-func (s *Server) rejectUnbuffered(w http.ResponseWriter, r *http.Request, rejected *rejection) {
+func (s *Server) rejectForLackOfMemory(w http.ResponseWriter, r *http.Request, rejected *rejection) {
 	routes := s.routes.acquire()
 	defer routes.release()
 	request, invalid := s.parseRequest(routes, r, true)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -59,13 +59,13 @@
 // Server reads the requests of clients, submits them to the event loop of their pool and writes the responses. It is safe
 // for concurrent use.
 type Server struct {
-	options Options
-	routes  *ActiveRouteConfig
-	log     *slog.Logger
-	stalls  stallDetector
+	options       Options
+	routes        *ActiveRouteConfig
+	log           *slog.Logger
+	stallDetector stallDetector
 
 	closesConnections atomic.Bool               // every response closes its connection
-	shutdownDeadline  atomic.Pointer[time.Time] // when all requests must have their responses; nil: no shutdown has begun
+	shutdownDeadline  atomic.Pointer[time.Time] // time by which all requests must have their responses; nil: no shutdown has begun
 	shutdownExpired   chan struct{}             // closed shutdownResponseGrace after shutdownDeadline
 	shutdownOnce      sync.Once                 // guards against a second shutdown deadline
 
@@ -79,7 +79,7 @@
 		options:         options,
 		routes:          routes,
 		log:             log,
-		stalls:          stallDetector{startedAt: time.Now()},
+		stallDetector:   stallDetector{startedAt: time.Now()},
 		shutdownExpired: make(chan struct{}),
 	}
 	s.streamContext, s.cancelStreams = context.WithCancel(context.Background())
@@ -89,9 +89,9 @@
 // AbortStreams aborts all streaming bodies, in a way that shows clients that they are incomplete.
 func (s *Server) AbortStreams() { s.cancelStreams() }
 
-// SetShutdownDeadline sets a deadline that caps those of all requests that are read from now on. Requests with buffered bodies that
-// were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop waiting. Only the
-// first call has an effect.
+// SetShutdownDeadline sets a deadline that caps the deadlines of all requests that are read from now on. Requests with buffered
+// bodies that were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop
+// waiting. Only the first call has an effect.
 func (s *Server) SetShutdownDeadline(deadline time.Time) {
 	s.shutdownOnce.Do(func() {
 		s.shutdownDeadline.Store(&deadline)
@@ -143,7 +143,7 @@
 func (s *Server) serveBuffered(w *responseWriter, r *http.Request, arrived time.Time) {
 	release, rejected := s.reserveBodyMemory(r, arrived)
 	if rejected != nil {
-		s.rejectUnbuffered(w, r, rejected)
+		s.rejectForLackOfMemory(w, r, rejected)
 		return
 	}
 	defer release()
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -11,10 +11,10 @@
 )
 
 // Limits on reading the rest of a body after the response was written. Closing a connection with unread bytes resets it, which could
-// keep the client from receiving the response. net/http does the same for handlers that leave a body unread.
+// keep the client from receiving the response. net/http, too, reads the rest of a body that a handler has left unread.
 const (
-	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 256 << 10
+	maxLingerTime  = 500 * time.Millisecond
+	maxLingerBytes = 256 << 10
 )
 
 // isStreaming reports whether a request's body is streamed to the endpoint. Bodies that are longer than body.BufferSize or of
@@ -29,8 +29,8 @@
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// serveStreaming serves a request whose body is streamed. The request is submitted to its pool only after the beginning of the body
-// was received, unless the client waits for 100 Continue. A body that ends within its beginning is buffered after all.
+// serveStreaming serves a request whose body is streamed. Unless the client waits for 100 Continue, the request is submitted to its
+// pool only after the first body.PrefixSize bytes of the body were received. A shorter body without a trailer is buffered.
 func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
 	// A proxy in front of this daemon may have used a Content-Length beside the chunked encoding, which net/http ignores. To the
 	// proxy the bytes that follow could be a part of the body (RFC 9112, 6.1).
@@ -42,12 +42,12 @@
 		s.rejectInvalid(w, rejected)
 		return
 	}
-	control := http.NewResponseController(w)
-	if err := control.EnableFullDuplex(); err != nil {
+	controller := http.NewResponseController(w)
+	if err := controller.EnableFullDuplex(); err != nil {
 		s.rejectInvalid(w, newRejection(http.StatusBadRequest, "%w", err))
 		return
 	}
-	upload, err := s.openUpload(r, control, s.deadlineFrom(request, arrived))
+	upload, err := s.openUpload(r, controller, s.deadlineFrom(request, arrived))
 	if err != nil {
 		request.reject(w, memoryRejection(err))
 		return
@@ -57,9 +57,9 @@
 		if w.wroteHeader && !upload.IsComplete() {
 			// The client must get the response before the rest of the body is read. Without a response there is nothing to flush:
 			// net/http would write an empty response.
-			_ = control.Flush()
+			_ = controller.Flush()
 		}
-		upload.Close(lingerTime, lingerBytes)
+		upload.Close(maxLingerTime, maxLingerBytes)
 	}()
 	isComplete := false
 	if !upload.ExpectsContinue {
@@ -72,19 +72,19 @@
 		request.call.Message.Body = bytes.Clone(upload.Prefix())
 		s.setDeadline(request, deadlineStart(request, arrived))
 	} else {
-		s.setStreaming(request, upload, deadlineStart(request, arrived))
+		s.attachUpload(request, upload, deadlineStart(request, arrived))
 	}
 	s.dispatch(w, r, request)
 }
 
-// openUpload returns an Upload of the request's body. It waits for the memory that this needs at most until the deadline.
-func (s *Server) openUpload(r *http.Request, control *http.ResponseController, deadline time.Time) (*body.Upload, error) {
+// openUpload returns an Upload of the request's body. It waits for memory until the deadline at most.
+func (s *Server) openUpload(r *http.Request, controller *http.ResponseController, deadline time.Time) (*body.Upload, error) {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	defer context.AfterFunc(s.streamContext, cancel)()
 	return body.NewUpload(ctx, s.options.BodyMemory, body.Source{
 		Body:            r.Body,
-		SetReadDeadline: control.SetReadDeadline,
+		SetReadDeadline: controller.SetReadDeadline,
 		Size:            r.ContentLength,
 		MaxBytes:        s.options.MaxBodyBytes,
 		Trailer:         func() http.Header { return r.Trailer },
@@ -93,7 +93,8 @@
 	})
 }
 
-// fillUpload reads the beginning of a body and reports whether the body is complete with it. AbortStreams makes it fail.
+// fillUpload reads at least the first body.PrefixSize bytes of a body, or to its end, and reports whether the end was reached. It fails
+// if AbortStreams is called.
 func (s *Server) fillUpload(upload *body.Upload) (isComplete bool, err error) {
 	defer context.AfterFunc(s.streamContext, upload.Stop)()
 	return upload.ReadPrefix()
@@ -108,8 +109,8 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// deadlineStart returns when a request's timeout begins, once the beginning of its body was received: at the request's arrival if the
-// deadline covers streaming bodies, and now otherwise.
+// deadlineStart returns the time at which the timeout of a request with a streaming body begins: the request's arrival if the deadline
+// covers streaming bodies, and otherwise the current time, at which the beginning of the body has been received.
 func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
 		return arrived
@@ -117,9 +118,9 @@
 	return time.Now()
 }
 
-// setStreaming attaches a streaming body to a request and sets the request's deadlines. Unless the class's deadline covers streaming
+// attachUpload attaches a streaming body to a request and sets the request's deadlines. Unless the class's deadline covers streaming
 // bodies, it applies only to the waits before and after the body, and MaxStreamDuration limits the body itself.
-func (s *Server) setStreaming(request *routedRequest, upload *body.Upload, start time.Time) {
+func (s *Server) attachUpload(request *routedRequest, upload *body.Upload, start time.Time) {
 	s.setDeadline(request, start)
 	call, class := request.call, request.target.Class
 	call.Message.Upload, call.StreamUntil = upload, call.Deadline
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -65,15 +65,15 @@
 // Client makes attempts over its own connections. It is safe for concurrent use. It does not use net/http's Transport, which
 // resends some requests when a reused connection breaks, and dials connections that may not be needed.
 type Client struct {
-	maxIdleAge  time.Duration // maximum time since the last response on an idle connection that may be used
+	maxIdleAge  time.Duration // time since its last response after which an idle connection is not used any more
 	dialTimeout time.Duration
 	reuseDelay  time.Duration // minimum time between a response and the next request on the same connection
 	options     Options
 
-	mu        sync.Mutex               // guards options.MaxConnections, openCount, pools and ejected
-	openCount int                      // number of connections that are open or being dialed
-	pools     map[string]*endpointPool // idle connections of the known endpoints, by endpoint ID
-	ejected   map[string]bool          // IDs of ejected endpoints, whether known or not
+	mu        sync.Mutex                 // guards options.MaxConnections, openCount, pools and ejected
+	openCount int                        // number of connections that are open or being dialed
+	pools     map[string]*connectionPool // idle connections of the known endpoints, by endpoint ID
+	ejected   map[string]bool            // IDs of ejected endpoints, whether known or not
 }
 
 // New returns a Client that knows no endpoints.
@@ -96,7 +96,7 @@
 		dialTimeout: o.DialTimeout,
 		reuseDelay:  delay,
 		options:     o,
-		pools:       map[string]*endpointPool{},
+		pools:       map[string]*connectionPool{},
 		ejected:     map[string]bool{},
 	}
 }
@@ -132,7 +132,7 @@
 	defer cl.mu.Unlock()
 	p := cl.pools[id]
 	if p == nil {
-		p = &endpointPool{}
+		p = &connectionPool{}
 		cl.pools[id] = p
 	}
 	if p.address != addr || !acceptsRequests {
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// The next request on a connection is delayed after a response. An endpoint may send a response twice, and nothing in the
-// duplicate shows that it is not the response to the next request.
+// Minimum times between a response and the next request on the same connection. An endpoint may send a response twice, and nothing in
+// the duplicate shows that it is not the response to the next request.
 const (
-	// reuseDelay is nearly twice the delay of the latest of 286 duplicates measured at the platform's endpoints,
-	// which came 0.7 to 5.7 ms after the first copy.
+	// reuseDelay is the delay without Options.DialInsteadOfWaiting. The platform's endpoints sent 286 duplicates 0.7 to 5.7 ms after
+	// the first copy.
 	reuseDelay = 10 * time.Millisecond
-	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of such pools were never seen to send
-	// duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
+	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of pools with this option were never
+	// seen to send duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
 	reuseDelayWhenDialing = 2 * time.Millisecond
 )
 
-// endpointPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
-type endpointPool struct {
+// connectionPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
+type connectionPool struct {
 	address             string
 	isListedAsAccepting bool    // whether the last call of SetEndpoint said that the endpoint accepts requests
 	acceptsRequests     bool    // whether isListedAsAccepting is set and the endpoint is not ejected
@@ -57,15 +57,15 @@
 
 // reservation is an idle connection that was taken from its pool, or the permission to dial a new one.
 type reservation struct {
-	pool    *endpointPool
+	pool    *connectionPool
 	address string // address to dial
 	conn    *conn  // idle connection; nil if a new connection may be dialed
 }
 
 // reserve takes an idle connection from the endpoint's pool: of those whose reuse delay has passed, the most recently used one.
 // If there is none, it takes the connection that has been idle longest or, if the pool is empty or Options.DialInsteadOfWaiting
-// says so, counts a new connection as open. If that would exceed Options.MaxConnections, it first closes an idle connection to
-// any endpoint.
+// demands it, permits a new connection and counts it as open. If that would exceed Options.MaxConnections, it first closes an idle
+// connection to any endpoint.
 func (cl *Client) reserve(id string) (reservation, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -125,7 +125,7 @@
 }
 
 // closeIdle closes a pool's idle connections. cl.mu is held.
-func (cl *Client) closeIdle(p *endpointPool) {
+func (cl *Client) closeIdle(p *connectionPool) {
 	for _, c := range p.idle {
 		cl.closeLocked(c)
 	}
@@ -135,7 +135,7 @@
 // evictOldest closes the connection that has been idle longest, among those to all endpoints, and reports whether there was an
 // idle connection. cl.mu is held.
 func (cl *Client) evictOldest() bool {
-	var oldestPool *endpointPool
+	var oldestPool *connectionPool
 	for _, p := range cl.pools {
 		if len(p.idle) > 0 && (oldestPool == nil || p.idle[0].idleSince.Before(oldestPool.idle[0].idleSince)) {
 			oldestPool = p
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -43,8 +43,8 @@
 // newScriptedConn returns a scriptedConn, and a conn that uses it.
 func newScriptedConn(text []byte) (*scriptedConn, *conn) {
 	s := &scriptedConn{in: bytes.NewReader(text)}
-	limit := &io.LimitedReader{R: s}
-	return s, &conn{Conn: s, byteLimit: limit, reader: bufio.NewReaderSize(limit, maxResponseHead)}
+	limitedReader := &io.LimitedReader{R: s}
+	return s, &conn{Conn: s, byteLimit: limitedReader, reader: bufio.NewReaderSize(limitedReader, maxHeadBytes)}
 }
 
 // exchangeResult is the result of an exchange with an endpoint that writes a fixed text.
@@ -53,7 +53,7 @@
 	body       []byte
 	isOK       bool // whether the result is balance.OK
 	isReusable bool // whether the connection may carry another exchange
-	unread     int  // bytes of the text that were not consumed
+	unread     int  // number of bytes of the text that were not consumed
 }
 
 // exchangeWith makes an exchange with an endpoint that writes text, regardless of the request it receives.
@@ -87,7 +87,7 @@
 	return got
 }
 
-// readStream reads a stream to its end. The error is nil if it has reached the end.
+// readStream reads a stream to its end. The error is nil if the end was reached.
 func readStream(s *Stream) (text []byte, err error) {
 	for {
 		part, err := s.Next()
@@ -168,17 +168,17 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		read := func() (*http.Request, error) {
+		readRequest := func() (*http.Request, error) {
 			head := []byte("POST /x HTTP/1.1\r\nHost: h\r\n")
 			return http.ReadRequest(bufio.NewReader(bytes.NewReader(append(head, text...))))
 		}
-		received, err := read()
+		received, err := readRequest()
 		if err != nil || received.ContentLength == 0 && len(received.TransferEncoding) == 0 {
 			return
 		}
 		var want bytes.Buffer
 		_, bodyErr := io.Copy(&want, received.Body)
-		received, _ = read()
+		received, _ = readRequest()
 		s, c := newScriptedConn(nil)
 		pool := body.NewMemoryPool(8 * body.BufferSize)
 		upload, err := body.NewUpload(t.Context(), pool, body.Source{
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -29,16 +29,16 @@
 	response  *http.Response
 	maxBytes  int64       // maximum length of the body in bytes; 0 means no maximum
 	meter     body.Meter  // meter of the rate at which the endpoint sends the body
-	closed    chan error  // receives the argument of the only call of Close
+	closeErr  chan error  // receives the argument of the only call of Close
 	isClaimed atomic.Bool // whether the stream was handed over to AttemptHooks.ResponseStarted, or read completely before the handover
 
 	mu        sync.Mutex
 	readEnded sync.Cond // signaled when a read from the endpoint has ended
 	buffer    []byte
-	filled    int   // bytes of buffer that hold data
-	consumed  int   // bytes of buffer that Next has returned
+	filled    int   // number of bytes of buffer that hold data
+	consumed  int   // number of bytes of buffer that Next has returned
 	isReading bool  // whether a read from the endpoint is in progress
-	received  int64 // bytes of the body that were read or spliced
+	received  int64 // number of bytes of the body that were read or spliced
 	err       error // error of the last read; no read follows once it is set
 }
 
@@ -46,7 +46,7 @@
 // may be retried.
 func (x *exchange) isStreaming(resp *http.Response) bool {
 	return x.client.options.BodyMemory != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
-		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBody || resp.ContentLength < 0)
+		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBodyBytes || resp.ContentLength < 0)
 }
 
 // isEventStream reports whether a response consists of server-sent events, which must be forwarded without delay (HTML Living
@@ -56,7 +56,7 @@
 }
 
 // streamResponse hands a streaming response over to AttemptHooks.ResponseStarted and waits until its Stream is closed. Before that,
-// it holds back up to one buffer of the body, for at most bufferedResponseTimeout: if the body breaks during this time, the
+// it holds back up to one buffer of the body, for at most minBufferedResponseTimeout: if the body breaks during this time, the
 // request can still be retried, and if the body ends, it is returned as a buffered response.
 func (x *exchange) streamResponse(ctx context.Context, resp *http.Response) outcome {
 	buffer, release, err := x.acquireBuffer(ctx)
@@ -76,7 +76,7 @@
 		}
 	}
 	if !isEventStream(resp) {
-		timer := time.AfterFunc(bufferedResponseTimeout, handOver)
+		timer := time.AfterFunc(minBufferedResponseTimeout, handOver)
 		defer timer.Stop()
 		s.prefetch()
 		if s.hasEnded() && s.isClaimed.CompareAndSwap(false, true) {
@@ -90,7 +90,7 @@
 	if !<-handedOver {
 		return outcome{result: balance.Canceled}
 	}
-	return x.closedOutcome(resp, <-s.closed)
+	return x.closedOutcome(resp, <-s.closeErr)
 }
 
 // newStream returns a Stream that reads a response's body into buffer.
@@ -101,7 +101,7 @@
 		response: resp,
 		maxBytes: x.client.options.MaxResponseBody,
 		meter:    body.NewMeter(x.client.options.MinimumRate),
-		closed:   make(chan error, 1),
+		closeErr: make(chan error, 1),
 		buffer:   buffer,
 	}
 	s.readEnded.L = &s.mu
@@ -142,7 +142,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.filled < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
-		// Replaces the read deadline that readFinalHead has set.
+		// This deadline replaces the one that readFinalHead has set.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
 	}
@@ -180,8 +180,8 @@
 }
 
 // Next returns the next part of the body, of at most body.BufferSize bytes, which is valid until the next call. It returns io.EOF
-// at the body's end. An error that wraps body.ErrTooSlow means that the endpoint does not keep its minimum rate, and any other
-// error that the body has broken.
+// at the body's end. An error that wraps body.ErrTooSlow means that the endpoint does not keep its minimum rate. Any other
+// error means that the body has broken.
 func (s *Stream) Next() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 
 // Close ends the stream. err is nil if the body was forwarded completely, and otherwise the reason why not. Close must be called
 // exactly once, by the goroutine that reads.
-func (s *Stream) Close(err error) { s.closed <- err }
+func (s *Stream) Close(err error) { s.closeErr <- err }
 
 // Abort closes the connection to the endpoint, which makes Next fail.
 func (s *Stream) Abort() { s.conn.Close() }
