--- a/internal/cluster/consensus/bootstrap.go
+++ b/internal/cluster/consensus/bootstrap.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not:
-// it would vote a second time in terms in which it has already voted, and two majorities could result.
+// Bootstrap decides whether an initial voter whose disk has no log may create one. A voter that lost its disk must not
+// create a log again: it could vote a second time in a term in which it has already voted, and two majorities could result.
 //
 // Each initial voter draws an id for its disk at its first start. It creates its log ("begins") once either all other
 // initial voters have reported in the same round that they have not begun, or one of them has reported that it began
 // with this voter's present disk id. So a cluster begins when all its initial voters have been up at once. A voter that
 // returns with an empty disk, and hence a new disk id, learns from any voter that has begun that its old disk is lost.
-// Votes count for one round only, since their senders may begin at any time; it is assumed that a daemon does not lose
-// its disk and restart within one round.
+// A report (BootstrapVote) counts for one round only, since its sender may begin at any time; it is assumed that a daemon
+// does not lose its disk and restart within one round.
 //
 // A Bootstrap is not safe for concurrent use.
 type Bootstrap struct {
@@ -33,7 +33,7 @@
 // isReceived reports whether the vote has arrived; the zero BootstrapVote stands for a vote that has not.
 func (v *BootstrapVote) isReceived() bool { return v.HasBegun || v.DiskID != "" }
 
-// NewBootstrap returns the bootstrap of the initial voter with this name, whose disk has an id but no log.
+// NewBootstrap returns the Bootstrap of the initial voter with the given name, whose disk has the id diskID but no log.
 func NewBootstrap(name, diskID string, initialVoters []string) *Bootstrap {
 	b := &Bootstrap{name: name, diskID: diskID, votes: map[string]BootstrapVote{}}
 	for _, other := range initialVoters {
@@ -44,8 +44,8 @@
 	return b
 }
 
-// StartRound begins a round and returns its number. The caller requests the votes of all other initial voters and passes
-// them to ReceiveVote with the returned number.
+// StartRound begins a round of vote requests and returns its number. The caller requests the votes of all other initial
+// voters and passes them to ReceiveVote with the returned number.
 func (b *Bootstrap) StartRound() uint64 {
 	b.round++
 	for name := range b.votes {
@@ -65,7 +65,7 @@
 	}
 }
 
-// MissingVotes returns the names of the initial voters whose votes have not arrived in this round, sorted.
+// MissingVotes returns the names of the initial voters whose votes have not arrived in the current round, sorted.
 func (b *Bootstrap) MissingVotes() (names []string) {
 	for name, vote := range b.votes {
 		if !vote.isReceived() {
@@ -80,7 +80,7 @@
 // isDiskLost means that this voter must never create a log: another initial voter created its log when this voter had
 // another disk, which is lost.
 func (b *Bootstrap) Decide() (diskIDs map[string]string, isDiskLost bool) {
-	ownAndReceived := map[string]string{b.name: b.diskID}
+	votedDiskIDs := map[string]string{b.name: b.diskID}
 	for name, vote := range b.votes {
 		if vote.HasBegun {
 			if vote.DiskIDs[b.name] != b.diskID {
@@ -88,7 +88,7 @@
 			}
 			diskIDs = vote.DiskIDs
 		}
-		ownAndReceived[name] = vote.DiskID
+		votedDiskIDs[name] = vote.DiskID
 	}
 	switch {
 	case diskIDs != nil:
@@ -96,5 +96,5 @@
 	case len(b.MissingVotes()) > 0:
 		return nil, false
 	}
-	return ownAndReceived, false
+	return votedDiskIDs, false
 }
--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// bootstrapNames are the names of the initial voters in these tests.
-var bootstrapNames = []string{"a", "b", "c"}
+// initialVoterNames are the names of the initial voters in these tests.
+var initialVoterNames = []string{"a", "b", "c"}
 
-// bootstrapDisk has what an initial voter stores on its disk.
+// bootstrapDisk is the disk of an initial voter: its id, and the vote that the voter has stored on it.
 type bootstrapDisk struct {
 	id   string        // id of the disk, which no other disk has
 	vote BootstrapVote // vote of the voter once it has created its log; until then the zero value
@@ -21,12 +21,12 @@
 	disks             map[string]*bootstrapDisk // disk that each voter has now, by the voter's name
 	bootstraps        map[string]*Bootstrap     // bootstrap of each running voter, by the voter's name
 	lostAfterMajority map[string]bool           // names of voters that lost their disk after a majority had created logs
-	drawnDiskIDs      int                       // number of disk ids drawn so far
+	diskIDCount       int                       // number of disk ids drawn so far
 }
 
 func newBootstrapCluster() *bootstrapCluster {
 	r := &bootstrapCluster{disks: map[string]*bootstrapDisk{}, bootstraps: map[string]*Bootstrap{}, lostAfterMajority: map[string]bool{}}
-	for _, name := range bootstrapNames {
+	for _, name := range initialVoterNames {
 		r.replaceDisk(name)
 	}
 	return r
@@ -34,14 +34,14 @@
 
 // replaceDisk restarts a voter with an empty disk, which has a new id.
 func (r *bootstrapCluster) replaceDisk(name string) {
-	r.drawnDiskIDs++
-	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.drawnDiskIDs)}
+	r.diskIDCount++
+	r.disks[name] = &bootstrapDisk{id: fmt.Sprint("m", r.diskIDCount)}
 	r.restart(name)
 }
 
-// restart restarts a voter with the disk that it has.
+// restart restarts a voter, which keeps its disk.
 func (r *bootstrapCluster) restart(name string) {
-	r.bootstraps[name] = NewBootstrap(name, r.disks[name].id, bootstrapNames)
+	r.bootstraps[name] = NewBootstrap(name, r.disks[name].id, initialVoterNames)
 }
 
 // voteOf returns the vote that a voter sends when another voter requests it.
@@ -59,7 +59,7 @@
 	for _, disk := range r.disks {
 		if disk.vote.HasBegun {
 			diskIDsText := fmt.Sprint(disk.vote.DiskIDs)
-			if counts[diskIDsText]++; counts[diskIDsText] > len(bootstrapNames)/2 {
+			if counts[diskIDsText]++; counts[diskIDsText] > len(initialVoterNames)/2 {
 				return true
 			}
 		}
@@ -74,13 +74,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapCluster(), false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			name := rapid.SampledFrom(bootstrapNames).Draw(t, "voter")
+			name := rapid.SampledFrom(initialVoterNames).Draw(t, "voter")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				if hadMajority {
 					r.lostAfterMajority[name] = true
 				}
-				if len(r.lostAfterMajority) > len(bootstrapNames)/2 {
+				if len(r.lostAfterMajority) > len(initialVoterNames)/2 {
 					return
 				}
 				r.replaceDisk(name)
@@ -91,7 +91,7 @@
 			case 1:
 				r.restart(name)
 			}
-			other := rapid.SampledFrom(bootstrapNames).Draw(t, "other voter")
+			other := rapid.SampledFrom(initialVoterNames).Draw(t, "other voter")
 			disk := r.disks[name]
 			if disk.vote.HasBegun || other == name {
 				continue
@@ -102,10 +102,11 @@
 				continue
 			}
 			if r.lostAfterMajority[name] {
-				t.Fatalf("%s begins with disk ids %v, though its disk was lost after others had begun", name, diskIDs)
+				t.Fatalf("%s may create a log with disk ids %v, though it lost its disk after a majority had created logs", name, diskIDs)
 			}
-			if diskIDs[name] != disk.id || len(diskIDs) != len(bootstrapNames) {
-				t.Fatalf("%s begins with disk ids %v, want %d ids with its own, %s", name, diskIDs, len(bootstrapNames), disk.id)
+			if diskIDs[name] != disk.id || len(diskIDs) != len(initialVoterNames) {
+				t.Fatalf("%s may create a log with disk ids %v, want %d ids, among them its own, %s",
+					name, diskIDs, len(initialVoterNames), disk.id)
 			}
 			disk.vote = BootstrapVote{HasBegun: true, DiskID: disk.id, DiskIDs: diskIDs}
 			hadMajority = hadMajority || r.hasMajority()
@@ -114,7 +115,7 @@
 }
 
 func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
-	b := NewBootstrap("a", "1", bootstrapNames)
+	b := NewBootstrap("a", "1", initialVoterNames)
 	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
 	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // must be dropped: x is not an initial voter
 	if diskIDs, isDiskLost := b.Decide(); diskIDs != nil || isDiskLost || fmt.Sprint(b.MissingVotes()) != "[c]" {
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -5,20 +5,20 @@
 	"errors"
 )
 
-// commandFormat is the format number of the commands that this build encodes. The effect of a command must never change
-// under one number, or voters of two builds would derive different States from the same log. A voter stops at a command
-// with a higher number (ErrUnknownCommand).
+// commandFormat is the format number of the commands that this build encodes. The effect of a command with a given format
+// number must never change, or voters of two builds would derive different States from the same log. A voter stops at a
+// command with a higher number (ErrUnknownCommand).
 const commandFormat = 2
 
-// Command changes the State, or reads it at the command's position in the log. Exactly one of the fields for a document
-// change (Put, Remove, Revert), for the activation of a version (Force, Skip, Activate), for the voters (ChangeVoter,
-// ClaimSlot) or Read is set.
+// Command changes the State, or reads it at the command's position in the log. Exactly one of these fields is set: Put,
+// Remove or Revert for a change of a document; Force, Skip or Activate for the activation of a version; ChangeVoter or
+// ClaimSlot for the voters; or Read.
 type Command struct {
 	Format          int              `json:"format"`             // commandFormat of the build that encoded the command; set by Encode
-	ID              string           `json:"id,omitempty"`       // id of a document change; a second command with the same id has no effect
-	ExpectedVersion *uint64          `json:"expect,omitempty"`   // the command is rejected unless this is the latest version; nil: any version
+	ID              string           `json:"id,omitempty"`       // id by which the proposer recognizes the result; a document change with the id of an earlier one has no effect
+	ExpectedVersion *uint64          `json:"expect,omitempty"`   // version that must be the latest one, or else a document change is rejected; nil: not checked
 	ProposedBy      string           `json:"by,omitempty"`       // name of the daemon that proposed the command
-	AtUnixMilli     int64            `json:"at,omitempty"`       // Unix milliseconds by the clock of the proposing daemon
+	AtUnixMilli     int64            `json:"at,omitempty"`       // time of the proposal in Unix milliseconds, by the clock of the proposing daemon
 	Put             *DocumentPut     `json:"put,omitempty"`      // document to write
 	Remove          string           `json:"remove,omitempty"`   // name of the document to remove
 	Revert          *DocumentVersion `json:"back,omitempty"`     // document to revert, and the version whose body the document gets
@@ -44,8 +44,8 @@
 	History   []HistoryEntry `json:"history,omitempty"` // history that was read, oldest entry first
 }
 
-// Errors of commands that change nothing. Their texts are sent to the daemon that proposed the command, which answers
-// operators with them, and must not change.
+// Errors of commands that failed and changed nothing. Their texts must not change: they are sent to the daemon that
+// proposed the command, which answers operators with them.
 var (
 	ErrVersionMismatch   = errors.New("another version is there than was expected")
 	ErrLimitExceeded     = errors.New("over the bounds of what is agreed")
@@ -59,8 +59,8 @@
 var ErrVoterChangeRejected = errors.New("the voters stay as they are")
 
 // ErrIndeterminate means that the requester gave up waiting: the command may have been committed, or may be committed
-// later. A retry with the same ID is applied once. The text must not change: the package status recognizes the error by
-// its text in the responses of other processes, also of other builds.
+// later. A retry with the same ID is not applied a second time. The text must not change: the package status recognizes the
+// error by its text in the responses of other processes, also of other builds.
 var ErrIndeterminate = errors.New("no majority of the voters has answered in time; it may come to pass yet")
 
 // ErrUnknownCommand is returned for a command of the log whose format number is above commandFormat. The voter stops,
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -15,10 +15,10 @@
 	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
-// Document is a replicated text that has a name, as the latest command that wrote the document left it.
+// Document is a named text that the voters replicate, as one command wrote it.
 type Document struct {
 	Name       string   `json:"name"`
-	Version    uint64   `json:"version"`        // version that was made when the document was written
+	Version    uint64   `json:"version"`        // version that the command made which wrote the document
 	Digest     [32]byte `json:"digest"`         // SHA-256 of Body, also in copies that have no Body
 	ProposedBy string   `json:"by"`             // name of the daemon that proposed the document
 	Body       []byte   `json:"body,omitempty"` // complete text of the document
@@ -43,7 +43,7 @@
 	Digest      [32]byte `json:"digest"`         // SHA-256 of the document's new body; all zeros: the document was removed
 	Bytes       int      `json:"bytes"`          // size of the document's new body in bytes; 0 if it was removed
 	ProposedBy  string   `json:"by"`             // name of the daemon that proposed the change
-	AtUnixMilli int64    `json:"at,omitempty"`   // Unix milliseconds by the clock of the proposing daemon; informational only
+	AtUnixMilli int64    `json:"at,omitempty"`   // time of the proposal in Unix milliseconds, by the clock of the proposing daemon; informational only
 	RevertedTo  uint64   `json:"back,omitempty"` // version to which the change reverted the document; 0: the change is no revert
 }
 
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -108,7 +108,7 @@
 	if at.Version == 0 {
 		return nil, fmt.Errorf("%.200q: %w", at.Name, ErrDocumentNotFound)
 	}
-	unavailable := func(cause error) error {
+	lookupError := func(cause error) error {
 		return fmt.Errorf("%.200q at version %d: %w", at.Name, at.Version, cause)
 	}
 	for _, change := range slices.Backward(s.History) {
@@ -116,20 +116,20 @@
 			continue
 		}
 		if change.Digest == [32]byte{} {
-			return nil, unavailable(ErrDocumentNotFound)
+			return nil, lookupError(ErrDocumentNotFound)
 		}
 		i := slices.IndexFunc(s.RetainedDocs, func(d Document) bool {
 			return d.Name == change.Name && d.Version == change.Version
 		})
 		if i < 0 {
-			return nil, unavailable(ErrCompacted)
+			return nil, lookupError(ErrCompacted)
 		}
 		return &s.RetainedDocs[i], nil
 	}
 	if len(s.History) > 0 && s.History[0].Version > 1 && s.History[0].Version > at.Version {
-		return nil, unavailable(ErrCompacted) // the requested version is older than the oldest entry of the history
+		return nil, lookupError(ErrCompacted) // the requested version is older than the oldest entry of the history
 	}
-	return nil, unavailable(ErrDocumentNotFound)
+	return nil, lookupError(ErrDocumentNotFound)
 }
 
 // readDocument returns a document as it was at a version, or the history if no name is given.
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -13,7 +13,7 @@
 // The JSON names of fields in messages and in stored data must not change: daemons of other builds read the messages,
 // and later builds read the data on the disks. A Go field may be renamed; its JSON name may not.
 func TestEncodedFieldNamesAreFixed(t *testing.T) {
-	expected := uint64(3)
+	expectedVersion := uint64(3)
 	document := Document{Name: "a", Version: 2, ProposedBy: "op", Body: []byte("xy")}
 	entry := HistoryEntry{Version: 4, Name: "a", Bytes: 2, ProposedBy: "op", AtUnixMilli: 9, RevertedTo: 1}
 	documentJSON := `{"name":"a","version":2,"digest":` + zeroDigest + `,"by":"op","body":"eHk="}`
@@ -39,7 +39,7 @@
 				PendingVersion: 3, PendingDocs: map[string]Document{"a": document}, Duration: time.Second,
 				SlotHolders: []string{"v"}, ActiveVoters: []string{"s"}, VoterID: 4,
 				MayStartVoter: true, InitialVoters: []string{"f"}, DiskLost: true,
-				FullyActive: 5, Lagging: []LaggingDaemon{{"l", "y"}},
+				FullyActiveVersion: 5, Lagging: []LaggingDaemon{{"l", "y"}},
 			},
 			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},` +
 				`"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
@@ -56,7 +56,7 @@
 		{
 			"command",
 			Command{
-				Format: 2, ID: "i", ExpectedVersion: &expected, ProposedBy: "op", AtUnixMilli: 9,
+				Format: 2, ID: "i", ExpectedVersion: &expectedVersion, ProposedBy: "op", AtUnixMilli: 9,
 				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Revert: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
 				ChangeVoter: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
 			},
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -18,7 +18,7 @@
 	now              time.Duration    // true time, which the leader's clock shows
 	holders          [2]*LeaseHolder  // lease holders of the two daemons
 	grantsInFlight   [2]*LeaseGrant   // by daemon: grant that the leader has sent and that has not reached the daemon yet; nil: none
-	firstActiveAt    [3]time.Duration // by version: true time at which a daemon first acted on the version; 0: no daemon has
+	firstActiveAt    [3]time.Duration // by version: true time at which a daemon first acted on the version; 0: no daemon has acted on it
 	hasNewLeader     bool             // whether the leader has changed
 	hasSecondVersion bool             // whether stepPut has made version 2
 }
@@ -121,19 +121,19 @@
 	return true
 }
 
-// longestOverlap has both daemons act on the versions for which they have valid leases now. If a daemon acts on version
-// 1, longestOverlap returns the time since a daemon first acted on version 2, else 0.
-func (x *exploredCluster) longestOverlap() (overlap time.Duration) {
-	var acting [2]uint64
+// measureOverlap has both daemons act on the versions for which they have valid leases now. It returns the time since a
+// daemon first acted on version 2, or 0 if no daemon acts on version 1 now or none has acted on version 2.
+func (x *exploredCluster) measureOverlap() (overlap time.Duration) {
+	var actingVersions [2]uint64
 	for daemon, h := range x.holders {
 		if version, _, ok := h.Valid(x.localClock(daemon)); ok {
-			acting[daemon] = version
+			actingVersions[daemon] = version
 			if x.firstActiveAt[version] == 0 {
 				x.firstActiveAt[version] = x.now
 			}
 		}
 	}
-	for _, version := range acting {
+	for _, version := range actingVersions {
 		if version == 1 && x.firstActiveAt[2] > 0 {
 			overlap = max(overlap, x.now-x.firstActiveAt[2])
 		}
@@ -162,18 +162,19 @@
 }
 
 // In every order of 5 steps, no daemon acts on version 1 for longer than MaxOverlap after a daemon has acted on version
-// 2. The environment variable TULIPROCK_TEST_INTERLEAVING_STEPS sets another number of steps; each further step makes nine times
-// as many orders.
+// 2. The environment variable TULIPROCK_TEST_INTERLEAVING_STEPS sets another number of steps; each further step makes nine
+// times as many orders.
 func TestEveryOrderOfStepsStaysWithinMaxOverlap(t *testing.T) {
 	depth := 5
 	if steps, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_INTERLEAVING_STEPS")); err == nil {
 		depth = steps
 	}
 	longest := time.Duration(0)
-	visit := func(x *exploredCluster) { longest = max(longest, x.longestOverlap()) }
+	visit := func(x *exploredCluster) { longest = max(longest, x.measureOverlap()) }
 	orders := explore(t, depth, nil, visit)
-	// Explore longer orders where the overlap is close to MaxOverlap. Their prefixes consist of stepPut (4) and of requests
-	// (0 and 1) and grants (2 and 3), after which both daemons have the documents of version 2 or lack few steps for that.
+	// Explore longer orders in which the overlap comes close to MaxOverlap. Each begins with stepPut (4), requests (0 and 1)
+	// and grants (2 and 3), after which both daemons have the documents of version 2 or need only a few more steps to get
+	// them.
 	for _, prefix := range [][]int{{4, 0, 2, 1, 3, 0, 2, 1, 3}, {4, 0, 2, 0, 2, 1, 3, 1}, {4, 0, 2, 0, 2, 1}} {
 		orders += explore(t, depth-1, prefix, visit)
 	}
@@ -189,11 +190,11 @@
 // With the injected fault that the leader does not wait for outstanding leases, the exploration finds an overlap that is
 // longer than MaxOverlap.
 func TestSkippingActivationWaitExceedsMaxOverlap(t *testing.T) {
-	original := exploredLeaseConfig
-	t.Cleanup(func() { exploredLeaseConfig = original })
+	originalConfig := exploredLeaseConfig
+	t.Cleanup(func() { exploredLeaseConfig = originalConfig })
 	exploredLeaseConfig.SkipActivationWait = true
 	longest := time.Duration(0)
-	explore(t, 5, []int{4, 0, 2}, func(x *exploredCluster) { longest = max(longest, x.longestOverlap()) })
+	explore(t, 5, []int{4, 0, 2}, func(x *exploredCluster) { longest = max(longest, x.measureOverlap()) })
 	if longest <= exploredLeaseConfig.MaxOverlap() {
 		t.Errorf("the longest overlap is %v, want more than %v", longest, exploredLeaseConfig.MaxOverlap())
 	}
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LeaseConfig has the durations of leases, which are the same for all daemons of a cluster. The guarantee assumes that
-// no clock's rate differs from that of true time by more than MaxClockDrift.
+// LeaseConfig has the durations of leases, which are the same for all daemons of a cluster. The bound MaxOverlap holds if
+// the rate of no daemon's clock differs from that of true time by more than MaxClockDrift.
 type LeaseConfig struct {
 	Duration      time.Duration // duration of a lease by its holder's clock while no version is pending
 	ShortDuration time.Duration // duration of a lease by its holder's clock while a version is pending
@@ -44,7 +44,7 @@
 	Seq            uint64              `json:"Seq"`     // sequence number of the request that the grant answers
 	Version        uint64              `json:"Version"` // active version, on which the daemon is to act
 	ActiveDocs     map[string]Document `json:"Docs"`    // documents of Version; nil if the daemon has them or has rejected them
-	PendingVersion uint64              `json:"Next"`    // version whose documents the daemon is to check
+	PendingVersion uint64              `json:"Next"`    // version to be activated next, whose documents the daemon is to check; equal to Version if none is pending
 	PendingDocs    map[string]Document `json:"Coming"`  // documents of PendingVersion; nil if the daemon has them or has rejected them
 	Duration       time.Duration       `json:"Lease"`   // duration of the lease; 0: no lease, and earlier leases end
 
@@ -55,15 +55,15 @@
 	InitialVoters []string `json:"First"`   // names of the cluster's initial voters; set with MayStartVoter only
 	DiskLost      bool     `json:"Lost"`    // whether the daemon's voter slot is bound to another disk than the request named
 
-	FullyActive uint64          `json:"All"`  // version before which no daemon acts; 0: not known yet
-	Lagging     []LaggingDaemon `json:"Lags"` // daemons for which the leader waits, at most maxLagging
+	FullyActiveVersion uint64          `json:"All"`  // oldest version on which a daemon may still act; 0: not known yet
+	Lagging            []LaggingDaemon `json:"Lags"` // daemons that delay an activation, or do not act on the active version yet; at most maxLagging
 }
 
-// LaggingDaemon is a daemon for which the leader waits: before the leader activates a version, or until all daemons act on
-// the active version.
+// LaggingDaemon is a daemon that delays the activation of the pending version or, if no version is pending, does not act
+// on the active version yet.
 type LaggingDaemon struct {
-	Daemon string `json:"Daemon"` // name of the daemon for which the leader waits
-	Reason string `json:"Why"`    // text for operators that says why the leader waits
+	Daemon string `json:"Daemon"` // name of the lagging daemon
+	Reason string `json:"Why"`    // text for operators that says why the daemon lags
 }
 
 // Bounds of the contents of lease requests and grants.
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	requestsPerLease          = 4 // number of requests in LeaseConfig.ShortDuration, so that a lease stays valid though some requests are lost
+	requestsPerLease          = 4 // number of lease requests in LeaseConfig.ShortDuration, so that a lease stays valid even if some requests are lost
 	activationIntervalDivisor = 4 // number by which the interval between requests is divided while a version is being activated
 )
 
@@ -31,7 +31,7 @@
 // It is not safe for concurrent use.
 type LeaseHolder struct {
 	config          LeaseConfig
-	name            string        // name of the daemon, which each request has
+	name            string        // name of the daemon, which is sent in each request
 	seq             uint64        // sequence number of the latest request; 0: no request was made
 	requestedAt     time.Duration // instant of the latest request, by the daemon's clock
 	requestInterval time.Duration // time between requests while no version is being activated
@@ -47,8 +47,8 @@
 	rejectedVersion uint64              // latest version whose documents the daemon has checked and rejected; 0: none
 	rejectReason    string              // why the daemon rejected rejectedVersion
 
-	fullyActive uint64          // version before which no daemon acts, according to the latest grant; 0: not known
-	lagging     []LaggingDaemon // daemons for which the leader waits, according to the latest grant
+	fullyActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest grant; 0: not known
+	lagging            []LaggingDaemon // daemons that delay an activation, or do not act on the active version yet, according to the latest grant
 }
 
 // NewLeaseHolder returns a holder without a lease. version and docs are the version on which the daemon acted before a
@@ -90,8 +90,8 @@
 	if g.Seq != h.seq || g.Version < h.leased.Version {
 		return
 	}
-	h.fullyActive, h.lagging = g.FullyActive, g.Lagging
-	if g.ActiveDocs != nil { // the active version takes precedence over the pending one
+	h.fullyActiveVersion, h.lagging = g.FullyActiveVersion, g.Lagging
+	if g.ActiveDocs != nil { // the active version is checked before the pending one
 		h.offerForCheck(g.Version, g.ActiveDocs)
 	} else {
 		h.offerForCheck(g.PendingVersion, g.PendingDocs)
@@ -130,7 +130,7 @@
 }
 
 // CompleteCheck records whether the daemon can act on a version that PendingCheck returned; a non-nil error says why it
-// can't. The outcome is dropped if PendingCheck returns another version by now.
+// can't. The outcome is dropped if PendingCheck no longer returns that version.
 func (h *LeaseHolder) CompleteCheck(version uint64, err error) {
 	if version == 0 || version != h.offeredVersion {
 		return
@@ -162,14 +162,14 @@
 func (h *LeaseHolder) Leased() LeasedVersion { return h.leased }
 
 // Valid returns the version on which the daemon may act at an instant, with its documents; ok is false if the daemon has
-// no valid lease then.
+// no lease that is valid at that instant.
 func (h *LeaseHolder) Valid(now time.Duration) (version uint64, docs map[string]Document, ok bool) {
 	l := &h.leased
 	return l.Version, l.Docs, l.Version > 0 && (now < l.ExpiresAt || h.config.SkipExpiryCheck)
 }
 
-// FullyActive returns what the latest grant reported about the cluster: the version before which no daemon acts, which
-// is 0 if it is not known, and the daemons for which the leader waits.
-func (h *LeaseHolder) FullyActive() (version uint64, lagging []LaggingDaemon) {
-	return h.fullyActive, h.lagging
+// FullyActiveVersion returns the oldest version on which a daemon of the cluster may still act, or 0 if it is not known, and
+// the daemons that delay an activation or do not act on the active version yet. Both come from the latest grant.
+func (h *LeaseHolder) FullyActiveVersion() (version uint64, lagging []LaggingDaemon) {
+	return h.fullyActiveVersion, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -19,8 +19,8 @@
 	leaderSince time.Duration            // instant at which the term began, by the leader's clock
 	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
-	fullyActive uint64          // version before which no daemon acts, according to the latest Refresh; 0: not known
-	lagging     []LaggingDaemon // daemons for which the leader waits, according to the latest Refresh, sorted by name
+	fullyActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest Refresh; 0: not known
+	lagging            []LaggingDaemon // daemons that laggingDaemons returned to the latest Refresh, sorted by name
 }
 
 // daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
@@ -52,14 +52,14 @@
 // leads.
 func (m *LeaseManager) Grant(now time.Duration, r LeaseRequest, state *State) LeaseGrant {
 	grant := LeaseGrant{
-		Seq:            r.Seq,
-		Version:        state.Active,
-		PendingVersion: state.Pending,
-		Duration:       m.leaseDuration(&r, state),
-		SlotHolders:    state.Voters(),
-		ActiveVoters:   state.activeVoterNames(),
-		FullyActive:    m.fullyActive,
-		Lagging:        m.lagging[:min(len(m.lagging), maxLagging)],
+		Seq:                r.Seq,
+		Version:            state.Active,
+		PendingVersion:     state.Pending,
+		Duration:           m.leaseDuration(&r, state),
+		SlotHolders:        state.Voters(),
+		ActiveVoters:       state.activeVoterNames(),
+		FullyActiveVersion: m.fullyActiveVersion,
+		Lagging:            m.lagging[:min(len(m.lagging), maxLagging)],
 	}
 	if r.ReadyVersion < state.Active && r.RejectedVersion < state.Active {
 		grant.ActiveDocs = state.ActiveDocs
@@ -103,13 +103,13 @@
 	}
 }
 
-// Refresh updates what grants report about all daemons: which daemons lag, and the version before which no daemon acts. As
-// Refresh scans all daemons, it is called once a heartbeat and not for each grant. Until the next call it stays true that
-// no daemon acts on a version before the reported one.
+// Refresh updates what grants report about all daemons: which daemons lag, and the oldest version on which a daemon may
+// still act. As Refresh scans all daemons, it is called once a heartbeat and not for each grant. Until the next call no
+// daemon begins to act on an older version than the reported one.
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
-	m.fullyActive = m.oldestActiveVersion(now, state)
+	m.fullyActiveVersion = m.oldestActiveVersion(now, state)
 }
 
 // VersionToActivate returns the pending version if it may be activated now, else 0. Each daemon that may hold a lease
@@ -152,9 +152,9 @@
 	return now >= m.leaderSince+m.config.expiryWait(m.config.Duration)
 }
 
-// laggingDaemons returns the daemons for which the leader waits, sorted by name. While a version is pending these are the
-// daemons that delay its activation, otherwise the ones that do not act on the active version yet. The leader does not
-// wait for daemons that certainly hold no lease. Clients of the operators' address may match the text of the reasons.
+// laggingDaemons returns the lagging daemons, sorted by name. While a version is pending these are the daemons that delay
+// its activation, otherwise the ones that do not act on the active version yet. Daemons that certainly hold no lease do not
+// lag. Clients of the operators' address may match the texts of the reasons.
 func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []LaggingDaemon) {
 	for name, d := range m.daemons {
 		reason := ""
@@ -175,7 +175,7 @@
 }
 
 // activationWaitReason describes why the activation of the pending version waits for a daemon. It is empty if the
-// activation does not wait for that daemon. Clients of the operators' address may match this text.
+// activation does not wait for that daemon. Clients of the operators' address may match the text.
 func (m *LeaseManager) activationWaitReason(now time.Duration, state *State, d *daemonLeases) string {
 	expiresAt := d.expiresAt()
 	switch {
@@ -193,8 +193,8 @@
 	return ""
 }
 
-// oldestActiveVersion returns the version before which no daemon acts. It is 0, for not known, while leases of earlier
-// leaders may still be valid.
+// oldestActiveVersion returns the oldest version on which a daemon may still act. It returns 0, which means that the version
+// is not known, while leases of earlier leaders may still be valid.
 func (m *LeaseManager) oldestActiveVersion(now time.Duration, state *State) uint64 {
 	if !m.predecessorsExpired(now) {
 		return 0
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -102,7 +102,7 @@
 
 // Grants to a daemon are lost for so long that the leader merges the outstanding ones. The leader still waits until the
 // lease that the daemon accepted last has expired.
-func TestActivationWaitsForAcceptedGrantBeyondBound(t *testing.T) {
+func TestActivationWaitsForAcceptedGrantAfterMerge(t *testing.T) {
 	state, now := stateWithPendingVersion(t), 100*time.Second
 	m := NewLeaseManager(now-time.Minute, testLeaseConfig)
 	const lastSeq = maxOutstandingGrants + 8
@@ -190,7 +190,7 @@
 		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
 			version, ok, m.laggingDaemons(now, state))
 	}
-	if version, lagging := accepting.FullyActive(); version != 4 || len(lagging) > 0 {
+	if version, lagging := accepting.FullyActiveVersion(); version != 4 || len(lagging) > 0 {
 		t.Errorf("all daemons act on %d, lagging: %v; want 4, and none", version, lagging)
 	}
 }
@@ -202,7 +202,7 @@
 	h.leased.ExpiresAt = time.Hour
 	for b.Loop() {
 		if _, _, ok := h.Valid(time.Minute); !ok {
-			b.Fatal("no lease")
+			b.Fatal("Valid reports no valid lease, want one")
 		}
 	}
 }
@@ -210,8 +210,8 @@
 // BenchmarkGrant measures a leader's work for each lease request while a version is pending, including the request's
 // fraction of the work that scans all daemons once a heartbeat.
 func BenchmarkGrant(b *testing.B) {
-	for _, daemons := range []uint64{50, 300, 1000} {
-		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
+	for _, daemonCount := range []uint64{50, 300, 1000} {
+		b.Run(fmt.Sprint(daemonCount), func(b *testing.B) {
 			state, m, now := stateWithPendingVersion(b), NewLeaseManager(0, testLeaseConfig), time.Minute
 			const requestsPerHeartbeat = 100 // 300 daemons send 1000 lease requests a second, and a leader has ten heartbeats a second
 			for i := uint64(0); b.Loop(); i++ {
@@ -219,8 +219,8 @@
 				if i%requestsPerHeartbeat == 0 {
 					m.Refresh(now, state)
 				}
-				seq := i / daemons
-				m.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%daemons), Seq: seq, ReadyVersion: 1, AcceptedSeq: seq}, state)
+				seq := i / daemonCount
+				m.Grant(now, LeaseRequest{Daemon: fmt.Sprint("d", i%daemonCount), Seq: seq, ReadyVersion: 1, AcceptedSeq: seq}, state)
 			}
 		})
 	}
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// VoterName returns the name of the daemon whose voter has a raft id, also if that voter is departing. The name is empty
-// if no voter has the id.
+// VoterName returns the name of the daemon whose voter has the given raft id, also if the voter has lost its slot but is
+// still in raft's configuration (DepartingVoters). The name is empty if no voter has the id.
 func (s *State) VoterName(id uint64) string { return cmp.Or(s.VoterSlots[id], s.DepartingVoters[id]) }
 
 // Voters returns the names of all daemons with a voter slot, sorted.
@@ -145,7 +145,7 @@
 // VoterAction is what a daemon has to do with its own voter after a grant.
 type VoterAction int
 
-// The values of a VoterAction, which say what the daemon has to do.
+// Actions that a grant can require of the daemon that receives it.
 const (
 	KeepVoterRole VoterAction = iota // the daemon changes nothing: it continues to run its voter, or to run none
 	StopVoter                        // the daemon stops its voter, whose slot was removed
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -13,11 +13,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const heartbeat = 10 * time.Millisecond
-	if v, err = NewVoter(0, Config{ID: 1, HeartbeatInterval: heartbeat, Seed: 1, Lease: testLeaseConfig}, d); err != nil {
+	const heartbeatInterval = 10 * time.Millisecond
+	if v, err = NewVoter(0, Config{ID: 1, HeartbeatInterval: heartbeatInterval, Seed: 1, Lease: testLeaseConfig}, d); err != nil {
 		t.Fatal(err)
 	}
-	for now = 0; v.leaseManager == nil && now < time.Minute; now += heartbeat {
+	for now = 0; v.leaseManager == nil && now < time.Minute; now += heartbeatInterval {
 		v.Tick(now)
 		drainOutput(v, now)
 	}
@@ -170,9 +170,9 @@
 					t.Fatalf("%d entries are in the log in memory, want at most %d", len(entries), 2*snapshotEntries)
 				}
 			}
-			if maxLogBytes > snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
-				t.Errorf("up to %d bytes are in the log in memory, with %d snapshots; want at most %d, and some",
-					maxLogBytes, snapshots, snapshotLogBytes+retainedLogBytes+2*MaxDocumentBytes)
+			if maxLogBytes > snapshotLogBytes+maxRetainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
+				t.Errorf("up to %d bytes are in the log in memory, with %d snapshots; want at most %d bytes, and at least one snapshot",
+					maxLogBytes, snapshots, snapshotLogBytes+maxRetainedLogBytes+2*MaxDocumentBytes)
 			}
 			t.Logf("up to %d bytes are in the log in memory, with %d snapshots and %d puts", maxLogBytes, snapshots, puts)
 		})
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -55,7 +55,7 @@
 	if v.isLeader && v.leaseManager == nil && v.hasAppliedOwnTerm() {
 		v.leaseManager = NewLeaseManager(now, v.config.Lease)
 	}
-	v.grantConfirmedLeases(now)
+	v.grantConfirmedRequests(now)
 	if hasSnapshot {
 		// The snapshot that takeSnapshot returns has the hard state and the entries that raft delivered together with the
 		// received snapshot. If they were records, they would become durable before the snapshot, and a loss of power
@@ -72,7 +72,8 @@
 // installSnapshot replaces the log and the State by a snapshot received from another voter.
 func (v *Voter) installSnapshot(snapshot *raftpb.Snapshot) {
 	if err := errors.Join(v.storage.ApplySnapshot(snapshot), v.restore(snapshot)); err != nil {
-		// The transport has verified the message's signature, so another voter of the cluster made this snapshot.
+		// The transport has verified the message's signature: another voter of the cluster has sent a snapshot that this build
+		// can't install.
 		panic(fmt.Sprintf("install snapshot of another voter: %v", err))
 	}
 }
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -8,7 +8,7 @@
 type raftPanic string
 
 // stopOnRaftPanic is deferred around calls into raft. On a raftPanic it stops this voter instead of the daemon, which can
-// continue under leases of the other voters. Other panics are passed on.
+// continue under leases that other voters grant. Other panics are passed on.
 func (v *Voter) stopOnRaftPanic() {
 	switch cause := recover().(type) {
 	case nil:
--- a/internal/cluster/consensus/read_index.go
+++ b/internal/cluster/consensus/read_index.go
@@ -19,9 +19,9 @@
 	Grant     LeaseGrant
 }
 
-// pendingLease is a lease request that is not answered yet. The request waits until a majority has confirmed that this
+// pendingLeaseRequest is a lease request that is not answered yet. It waits until a majority has confirmed that this
 // voter leads, and then until all log entries up to readIndex are applied to the State.
-type pendingLease struct {
+type pendingLeaseRequest struct {
 	round     uint64 // number of the earliest round of ReadIndex that was started after the request had arrived
 	readIndex uint64 // log index that must be applied before the request is answered; set when the round is confirmed
 	request   LeaseRequest
@@ -31,11 +31,11 @@
 // confirmed that this voter leads.
 func (v *Voter) RequestLease(r LeaseRequest) error {
 	defer v.stopOnRaftPanic()
-	if !v.isLeader || v.leaseManager == nil || len(v.unconfirmedLeases)+len(v.confirmedLeases) >= maxPendingLeaseRequests {
+	if !v.isLeader || v.leaseManager == nil || len(v.unconfirmedRequests)+len(v.confirmedRequests) >= maxPendingLeaseRequests {
 		return ErrNotLeader
 	}
 	v.startReadIndex()
-	v.unconfirmedLeases = append(v.unconfirmedLeases, pendingLease{round: v.readRound, request: r})
+	v.unconfirmedRequests = append(v.unconfirmedRequests, pendingLeaseRequest{round: v.readRound, request: r})
 	return nil
 }
 
@@ -46,39 +46,41 @@
 	v.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.readRound))
 }
 
-// retryReadIndex starts another round if requests still wait for a confirmation, since messages may have been lost.
+// retryReadIndex starts another round of ReadIndex if lease requests still wait for a confirmation, since messages of the
+// earlier rounds may have been lost.
 func (v *Voter) retryReadIndex() {
-	if len(v.unconfirmedLeases) > 0 {
+	if len(v.unconfirmedRequests) > 0 {
 		v.startReadIndex()
 	}
 }
 
-// completeReadIndex moves the requests that arrived before a confirmed round was started from unconfirmedLeases to
-// confirmedLeases. index is the log index that must be applied before these requests are answered.
+// completeReadIndex handles the confirmation of a round of ReadIndex: it moves the lease requests that arrived before the
+// round started from unconfirmedRequests to confirmedRequests. index is the log index that must be applied before they are
+// answered.
 func (v *Voter) completeReadIndex(round, index uint64) {
-	unconfirmed := v.unconfirmedLeases[:0]
-	for _, lease := range v.unconfirmedLeases {
-		if lease.round <= round {
-			lease.readIndex = index
-			v.confirmedLeases = append(v.confirmedLeases, lease)
+	unconfirmed := v.unconfirmedRequests[:0]
+	for _, pending := range v.unconfirmedRequests {
+		if pending.round <= round {
+			pending.readIndex = index
+			v.confirmedRequests = append(v.confirmedRequests, pending)
 		} else {
-			unconfirmed = append(unconfirmed, lease)
+			unconfirmed = append(unconfirmed, pending)
 		}
 	}
-	v.unconfirmedLeases = unconfirmed
+	v.unconfirmedRequests = unconfirmed
 }
 
-// grantConfirmedLeases answers the confirmed requests whose read index is applied.
-func (v *Voter) grantConfirmedLeases(now time.Duration) {
-	waiting := v.confirmedLeases[:0]
-	for _, lease := range v.confirmedLeases {
-		if v.leaseManager == nil || lease.readIndex > v.appliedIndex {
-			waiting = append(waiting, lease)
+// grantConfirmedRequests answers the confirmed lease requests whose read index is applied.
+func (v *Voter) grantConfirmedRequests(now time.Duration) {
+	waiting := v.confirmedRequests[:0]
+	for _, pending := range v.confirmedRequests {
+		if v.leaseManager == nil || pending.readIndex > v.appliedIndex {
+			waiting = append(waiting, pending)
 			continue
 		}
-		grant := v.leaseManager.Grant(now, lease.request, v.state)
-		v.addSlotStatus(&lease.request, &grant)
-		v.Grants = append(v.Grants, AddressedGrant{lease.request.Daemon, grant})
+		grant := v.leaseManager.Grant(now, pending.request, v.state)
+		v.addSlotStatus(&pending.request, &grant)
+		v.Grants = append(v.Grants, AddressedGrant{pending.request.Daemon, grant})
 	}
-	v.confirmedLeases = waiting
+	v.confirmedRequests = waiting
 }
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -24,15 +24,15 @@
 	if v.leaseManager == nil {
 		return
 	}
-	learners, promotable := v.learners()
+	learners, promotableID := v.learners()
 	for id := range v.state.VoterSlots {
 		if !v.state.ActiveVoters[id] && !learners[id] && v.state.DiskIDs[id] != "" {
 			v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, id)
 			return
 		}
 	}
-	if v.state.VoterSlots[promotable] != "" {
-		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, promotable)
+	if v.state.VoterSlots[promotableID] != "" {
+		v.proposeConfChange(raftpb.ConfChangeType_ConfChangeAddNode, promotableID)
 		return
 	}
 	for _, ids := range []map[uint64]bool{learners, v.state.ActiveVoters} {
@@ -47,9 +47,9 @@
 
 // learners returns the raft ids of the learners in raft's configuration, and the raft id of a learner that may be
 // promoted to a voter, which is 0 if there is none.
-func (v *Voter) learners() (learners map[uint64]bool, promotable uint64) {
+func (v *Voter) learners() (learners map[uint64]bool, promotableID uint64) {
 	learners = map[uint64]bool{}
-	last, _ := v.storage.LastIndex() // never fails: the storage is in memory
+	lastIndex, _ := v.storage.LastIndex() // never fails: the storage is in memory
 	v.rawNode.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
 		if kind != raft.ProgressTypeLearner {
 			return
@@ -57,11 +57,11 @@
 		learners[id] = true
 		// raft counts a learner as active as soon as it is added; only a Match above 0 shows that its voter runs. The lag
 		// alone does not show it, as the log of a young cluster is shorter than maxLearnerLag.
-		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= last {
-			promotable = id
+		if progress.RecentActive && progress.Match > 0 && progress.Match+maxLearnerLag >= lastIndex {
+			promotableID = id
 		}
 	})
-	return learners, promotable
+	return learners, promotableID
 }
 
 // removeVoter proposes to remove a voter from raft's configuration. A leader that is to be removed itself transfers the
@@ -79,7 +79,7 @@
 	}
 }
 
-// proposeConfChange proposes a change of raft's configuration that concerns the voter with a raft id.
+// proposeConfChange proposes a change of raft's configuration that concerns the voter with the given raft id.
 func (v *Voter) proposeConfChange(kind raftpb.ConfChangeType, id uint64) {
 	// If raft drops the proposal, reconcileVoters repeats it at the next heartbeat.
 	_ = v.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id})
@@ -89,19 +89,19 @@
 func (v *Voter) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		// raft itself encoded the entry, and the durable log has verified its checksum.
+		// can't happen: raft itself encoded the entry, and the durable log has verified the entry's checksum
 		panic(fmt.Sprintf("decode configuration change at index %d: %v", entry.GetIndex(), err))
 	}
 	v.confState = v.rawNode.ApplyConfChange(change)
 	if change.GetType() == raftpb.ConfChangeType_ConfChangeAddLearnerNode {
 		v.needsLearnerSnapshot = true
 	}
-	active := map[uint64]bool{}
+	activeVoters := map[uint64]bool{}
 	for _, id := range v.confState.GetVoters() {
-		active[id] = true
+		activeVoters[id] = true
 	}
-	v.state.ActiveVoters, v.state.DepartingVoters = active, maps.Clone(v.state.DepartingVoters)
-	maps.DeleteFunc(v.state.DepartingVoters, func(id uint64, _ string) bool { return !active[id] })
+	v.state.ActiveVoters, v.state.DepartingVoters = activeVoters, maps.Clone(v.state.DepartingVoters)
+	maps.DeleteFunc(v.state.DepartingVoters, func(id uint64, _ string) bool { return !activeVoters[id] })
 }
 
 // addSlotStatus adds to a grant whether the daemon has a voter slot, and whether it may start its voter. If the slot is
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -15,14 +15,14 @@
 // snapshot. Part of the log before the snapshot is retained for voters that are a little behind, which would otherwise
 // need the complete snapshot.
 const (
-	snapshotEntries  = 1000                // number of applied entries after which a snapshot is due
-	snapshotLogBytes = 8 << 20             // bytes of applied entries after which a snapshot is due: several of the longest commands
-	retainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
-	retainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
+	snapshotEntries     = 1000                // number of applied entries after which a snapshot is due
+	snapshotLogBytes    = 8 << 20             // bytes of applied entries after which a snapshot is due: several of the longest commands
+	maxRetainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
+	maxRetainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
 )
 
-// initialIndex is the log index of the snapshot from which the logs of the initial voters start.
-const initialIndex = 1
+// initialSnapshotIndex is the log index of the snapshot from which the logs of the initial voters start.
+const initialSnapshotIndex = 1
 
 // snapshotHeaderParts is the number of parts of a snapshot's body before the entries: raft's hard state and raft's own
 // snapshot.
@@ -42,7 +42,7 @@
 	if err != nil {
 		panic(err) // can't happen: every State can be encoded as JSON
 	}
-	index, term := uint64(initialIndex), uint64(1)
+	index, term := uint64(initialSnapshotIndex), uint64(1)
 	var ids []uint64
 	for i := range names {
 		ids = append(ids, uint64(i+1))
@@ -121,21 +121,21 @@
 	}
 	bytes := 0
 	for i, entry := range slices.Backward(entries) {
-		if bytes += len(entry.GetData()); bytes > retainedLogBytes || len(entries)-i > retainedEntries {
+		if bytes += len(entry.GetData()); bytes > maxRetainedLogBytes || len(entries)-i > maxRetainedEntries {
 			return entry.GetIndex()
 		}
 	}
 	return 0
 }
 
-// ReportSnapshot notifies raft whether a snapshot was sent to the voter with the raft id to. It must be called for each
-// message of type MsgSnap.
-func (v *Voter) ReportSnapshot(to uint64, isSent bool) {
+// ReportSnapshot notifies raft whether a snapshot was sent to a voter, whose raft id is recipientID. It must be called for
+// each message of type MsgSnap.
+func (v *Voter) ReportSnapshot(recipientID uint64, isSent bool) {
 	status := raft.SnapshotFailure
 	if isSent {
 		status = raft.SnapshotFinish
 	}
-	v.rawNode.ReportSnapshot(to, status)
+	v.rawNode.ReportSnapshot(recipientID, status)
 }
 
 // joinParts concatenates the parts of a snapshot's body, each preceded by its length as a varint. The encoding is stored
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -28,7 +28,7 @@
 	VoterSlots      map[uint64]string `json:"seats"`     // names of the daemons with a voter slot, by raft id
 	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids of the voters in raft's configuration, without learners
 	DepartingVoters map[uint64]string `json:"leaving"`   // names, by raft id, of voters without a slot that raft has yet to drop
-	DiskIDs         map[uint64]string `json:"marks"`     // disk to which a voter slot is bound, by raft id; set once, before the slot's voter is active
+	DiskIDs         map[uint64]string `json:"marks"`     // id of the disk to which a voter slot is bound, by raft id; set once, before the slot's voter is active
 	LastVoterID     uint64            `json:"last_seat"` // highest raft id assigned so far; a raft id is never assigned twice
 	InitialVoters   []string          `json:"first"`     // names of the cluster's initial voters, sorted
 }
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -40,7 +40,7 @@
 func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
-		versionsByID := map[string]uint64{} // version returned at the first application, by command ID
+		versionsByID := map[string]uint64{} // version that a command returned when it was first applied, by the command's ID
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawCommand(t)
 			entry, err := c.Encode()
@@ -57,7 +57,8 @@
 			}
 			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Pending || a.Pending > a.Version ||
 				err != nil && a.Version != before.Version {
-				t.Fatalf("after %s: version %d, pending %d, active %d; before: %d, %d, %d; error %v", entry,
+				t.Fatalf("after %s: version %d, pending %d, active %d; before: %d, %d, %d; error %v; "+
+					"want no lower ones, active <= pending <= version, and no new version with an error", entry,
 					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active, err)
 			}
 			if c.Activate == 0 && err == nil {
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -52,11 +52,11 @@
 	leaderMessageAt time.Duration // instant at which the latest message of a leader arrived
 	campaignAt      time.Duration // instant at which this voter campaigns, while it follows
 
-	leaseManager      *LeaseManager  // manager of leases; nil unless this voter leads and has applied what earlier leaders committed
-	readRound         uint64         // number of the latest round of raft's ReadIndex that was started
-	unconfirmedLeases []pendingLease // lease requests whose round of ReadIndex is not confirmed yet
-	confirmedLeases   []pendingLease // lease requests with a confirmed round, whose read index may not be applied yet
-	proposedVersion   uint64         // latest version that this leader proposed to activate or skip in this term
+	leaseManager        *LeaseManager         // manager of leases; nil unless this voter leads and has applied what earlier leaders committed
+	readRound           uint64                // number of the latest round of raft's ReadIndex that was started
+	unconfirmedRequests []pendingLeaseRequest // lease requests whose round of ReadIndex is not confirmed yet
+	confirmedRequests   []pendingLeaseRequest // lease requests with a confirmed round, whose read index may not be applied yet
+	proposedVersion     uint64                // latest version that this leader proposed to activate or skip in this term
 
 	// Results are the results of committed commands, in the order of the log. The owner takes them and sets the field to
 	// nil.
@@ -135,7 +135,7 @@
 	if v.isLeader {
 		return v.nextHeartbeatAt
 	}
-	return min(v.campaignAt, v.leaderExpiresAt())
+	return min(v.campaignAt, v.leaderTimeoutAt())
 }
 
 // Tick does the work that is due: a leader's heartbeat or a follower's campaign. A call before NextTick has no effect.
@@ -147,7 +147,7 @@
 		}
 		return
 	}
-	if now >= v.leaderExpiresAt() {
+	if now >= v.leaderTimeoutAt() {
 		_ = v.rawNode.ForgetLeader() // while raft knows a leader, it would reject the vote requests of other voters
 		v.leaderMessageAt = now
 	}
@@ -157,8 +157,9 @@
 	}
 }
 
-// heartbeat has raft send its heartbeats, repeats requests whose messages may have been lost, and proposes changes of the
-// voters, and to activate or skip a version, if that has become possible since the previous heartbeat.
+// heartbeat has raft send its heartbeats, and repeats a round of ReadIndex whose messages may have been lost. It also
+// proposes what has become possible since the previous heartbeat: to activate or skip a version, and to change raft's
+// configuration.
 func (v *Voter) heartbeat(now time.Duration) {
 	v.nextHeartbeatAt = now + v.config.HeartbeatInterval
 	v.rawNode.Tick()
@@ -167,8 +168,8 @@
 	v.reconcileVoters()
 }
 
-// proposeActivation proposes to activate the pending version, or to skip it, once that is allowed. Each version is
-// proposed at most once in a term.
+// proposeActivation proposes to activate the pending version, or to skip it, once that is allowed. It proposes at most one
+// command for a version in a term.
 func (v *Voter) proposeActivation(now time.Duration) {
 	if v.leaseManager == nil {
 		return
@@ -191,14 +192,14 @@
 		return
 	}
 	v.isLeader, v.leaseManager, v.proposedVersion = isLeader, nil, 0
-	v.unconfirmedLeases, v.confirmedLeases = nil, nil
+	v.unconfirmedRequests, v.confirmedRequests = nil, nil
 	v.leaderMessageAt, v.nextHeartbeatAt = now, now
 	v.resetElectionTimer(now)
 }
 
-// leaderExpiresAt returns the instant until which a follower assumes that the leader is alive, counted from the leader's
-// latest message.
-func (v *Voter) leaderExpiresAt() time.Duration {
+// leaderTimeoutAt returns the instant until which a follower assumes that the leader is alive, unless another message of the
+// leader arrives.
+func (v *Voter) leaderTimeoutAt() time.Duration {
 	return v.leaderMessageAt + electionHeartbeats*v.config.HeartbeatInterval
 }
 
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -10,13 +10,13 @@
 type Status struct {
 	IsVoter            bool                      // whether this daemon runs a voter that is not a learner
 	IsLeader           bool                      // whether this daemon's voter takes itself for the leader
-	Leader             string                    // name of the voter from which the latest grant came, or from which a lease was requested since
+	Leader             string                    // name of the voter that sent the latest grant, or to which a lease request was sent after that grant
 	KnownVoters        []string                  // names of the daemons from which this daemon may request a lease, sorted
 	ActiveVoters       []string                  // names of the daemons that vote, as a leader last reported them
 	Term               uint64                    // latest raft term that this daemon's voter has seen; 0: the daemon runs no voter
 	CommittedVersion   uint64                    // latest version that this daemon's voter has applied; 0: none, or the daemon runs no voter
 	PendingVersion     uint64                    // version to be activated next, as far as this daemon's voter knows; 0: none, or it runs no voter
-	FullyActiveVersion uint64                    // version before which no daemon acts; 0: not known
+	FullyActiveVersion uint64                    // oldest version on which a daemon may still act; 0: not known
 	Lagging            []consensus.LaggingDaemon // daemons that delay an activation, or do not act on the active version yet
 	RejectedVersion    uint64                    // latest version on which this daemon can't act; 0: none
 	RejectionReason    string                    // why this daemon can't act on RejectedVersion
@@ -45,7 +45,7 @@
 // currentStatus returns the status that the lease client and this daemon's voter have now.
 func (n *Node) currentStatus() Status {
 	s := Status{Leader: n.leaseClient.leader, KnownVoters: n.leaseClient.knownVoters, ActiveVoters: n.leaseClient.activeVoters}
-	s.FullyActiveVersion, s.Lagging = n.leaseClient.holder.FullyActive()
+	s.FullyActiveVersion, s.Lagging = n.leaseClient.holder.FullyActiveVersion()
 	s.RejectedVersion, s.RejectionReason = n.leaseClient.holder.RejectedVersion()
 	if n.localVoter == nil {
 		return s
