--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -146,8 +146,8 @@
 	testpeer.Eventually(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
 
-// waitVotes waits until node i is a voter (votes is true), or until it is none (votes is false).
-func (c *testCluster) waitVotes(i int, votes bool) {
+// waitIsVoter waits until node i is a voter (isVoter is true), or until it is none (isVoter is false).
+func (c *testCluster) waitIsVoter(i int, isVoter bool) {
 	c.t.Helper()
-	testpeer.Eventually(c.t, fmt.Sprintf("s%d votes: %t", i, votes), func() bool { return c.nodes[i].Status().IsVoter == votes })
+	testpeer.Eventually(c.t, fmt.Sprintf("s%d votes: %t", i, isVoter), func() bool { return c.nodes[i].Status().IsVoter == isVoter })
 }
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -114,9 +114,9 @@
 	return lines.String()
 }
 
-// earlierResponseLines returns the lines whose first word is firstWord in a file below earlierBuildDir, which has a response
-// that a daemon of the earlier build sent to an operator.
-func earlierResponseLines(t *testing.T, file, firstWord string) []string {
+// readEarlierResponseLines returns the lines whose first word is firstWord in a file below earlierBuildDir. The file has a
+// response that a daemon of the earlier build sent to an operator.
+func readEarlierResponseLines(t *testing.T, file, firstWord string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(earlierBuildDir, file))
 	if err != nil {
@@ -129,7 +129,7 @@
 // checkDocuments fails the test unless the documents are those on which the earlier build's daemons acted.
 func (f *earlierFixture) checkDocuments(t *testing.T, docs map[string]consensus.Document) {
 	t.Helper()
-	if got, want := documentLines(docs), strings.Join(earlierResponseLines(t, f.name+".settings.txt", "document"), ""); got != want {
+	if got, want := documentLines(docs), strings.Join(readEarlierResponseLines(t, f.name+".settings.txt", "document"), ""); got != want {
 		t.Errorf("documents\n%swant\n%s", got, want)
 	}
 	for name, d := range docs {
@@ -190,8 +190,8 @@
 					t.Fatal(err)
 				}
 				// The node's goroutines have ended, so the fields that the event loop owned may be read.
-				if n.cached.Version != f.version || !slices.Equal(n.cached.Voters, f.voters) {
-					t.Errorf("cached version %d and voters %q, want %d and %q", n.cached.Version, n.cached.Voters, f.version, f.voters)
+				if n.cachedEntry.Version != f.version || !slices.Equal(n.cachedEntry.Voters, f.voters) {
+					t.Errorf("cached version %d and voters %q, want %d and %q", n.cachedEntry.Version, n.cachedEntry.Voters, f.version, f.voters)
 				}
 				if !slices.Equal(n.leaseClient.knownVoters, f.knownVoters) {
 					t.Errorf("the node knows the voters %q, want %q", n.leaseClient.knownVoters, f.knownVoters)
@@ -288,7 +288,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := strings.Join(earlierResponseLines(t, "history.txt", "change")[:f.version], "")
+	want := strings.Join(readEarlierResponseLines(t, "history.txt", "change")[:f.version], "")
 	if got := historyLines(r.History); r.Version != f.version || got != want {
 		t.Errorf("history at version %d\n%swant\n%s", r.Version, got, want)
 	}
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -41,7 +41,7 @@
 	defer func() { _ = f.Close() }() // an error of Close is harmless: the file is only read
 	size, err := f.Size()
 	if err != nil {
-		return nil, fmt.Errorf("size of %s: %w", name, err)
+		return nil, fmt.Errorf("get the size of %s: %w", name, err)
 	}
 	body := make([]byte, min(size, maxBytes))
 	if count, err := f.ReadAt(body, 0); count < len(body) {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -39,8 +39,8 @@
 	return clusterID(sum[:clusterIDSize])
 }
 
-// newInitialVoterIdentity returns the identity of the initial voter with a name. The names of the initial voters are
-// sorted. If the name is not among them, the identity's voterID is 0.
+// newInitialVoterIdentity returns the identity of the initial voter with the given name. initialVoters is sorted. If it does
+// not contain the name, the identity's voterID is 0.
 func newInitialVoterIdentity(name string, initialVoters []string, diskIDs map[string]string) *identity {
 	return &identity{
 		name:          name,
@@ -78,10 +78,10 @@
 			return i, nil
 		}
 	case len(words) == 6 && words[1] == "joined" && words[4] == "in":
-		cluster, err := hex.DecodeString(words[5])
+		clusterIDBytes, err := hex.DecodeString(words[5])
 		id, idErr := strconv.ParseUint(words[3], 10, 64)
-		if err == nil && idErr == nil && len(cluster) == clusterIDSize && id > 0 {
-			return &identity{name: words[0], voterID: id, clusterID: clusterID(cluster), diskIDs: diskIDs}, nil
+		if err == nil && idErr == nil && len(clusterIDBytes) == clusterIDSize && id > 0 {
+			return &identity{name: words[0], voterID: id, clusterID: clusterID(clusterIDBytes), diskIDs: diskIDs}, nil
 		}
 	}
 	return nil, fmt.Errorf("%s: not the identity of a voter: %.100q", identityFile, text)
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -11,7 +11,7 @@
 // The identity files of running voters were written by earlier builds: they must be parsed, and written again byte for
 // byte.
 func TestIdentityKeepsItsFormat(t *testing.T) {
-	const clusterOfABC = "0e9f64031fcb2bc7" // id of the cluster with the initial voters a, b and c: the first 8 bytes of SHA-256 of "a b c"
+	const clusterIDOfABC = "0e9f64031fcb2bc7" // id of the cluster with the initial voters a, b and c: the first 8 bytes of SHA-256 of "a b c"
 	for _, c := range []struct {
 		name string
 		text string
@@ -30,7 +30,7 @@
 		},
 		{
 			name: "voter that was added later",
-			text: "d joined as 4 in " + clusterOfABC,
+			text: "d joined as 4 in " + clusterIDOfABC,
 			want: identity{name: "d", voterID: 4},
 		},
 	} {
@@ -43,8 +43,8 @@
 				!slices.Equal(got.initialVoters, c.want.initialVoters) || !maps.Equal(got.diskIDs, c.want.diskIDs) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
-			if cluster := hex.EncodeToString(got.clusterID[:]); cluster != clusterOfABC {
-				t.Errorf("cluster id %s, want %s", cluster, clusterOfABC)
+			if cluster := hex.EncodeToString(got.clusterID[:]); cluster != clusterIDOfABC {
+				t.Errorf("cluster id %s, want %s", cluster, clusterIDOfABC)
 			}
 			if got.String() != c.text {
 				t.Errorf("written as %q, want %q", got.String(), c.text)
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -15,7 +15,7 @@
 	nextRequestAt          time.Duration // instant of the next lease request
 	knownVoters            []string      // names, sorted, of the initial voters and other known voters, which may grant leases
 	activeVoters           []string      // names of the daemons that vote, as a leader last reported them
-	leader                 string        // name of the voter from which the latest grant came, or from which a lease was requested since
+	leader                 string        // name of the voter that sent the latest grant, or to which a lease request was sent after that grant
 	isLatestRequestGranted bool          // whether a grant has answered the latest lease request
 	hasFirstGrant          bool          // whether Node.firstGrant is closed
 	checkingVersion        uint64        // version for which Options.Check is running; 0: none
@@ -83,7 +83,7 @@
 	if leased.Version != g.Version {
 		return // this daemon does not act yet on the active version, which the grant names
 	}
-	if leased.Version != n.cached.Version || !slices.Equal(g.SlotHolders, n.cached.Voters) {
+	if leased.Version != n.cachedEntry.Version || !slices.Equal(g.SlotHolders, n.cachedEntry.Voters) {
 		n.cacheVersion(leased, g.SlotHolders)
 	}
 	if !c.hasFirstGrant {
@@ -128,7 +128,8 @@
 	}
 }
 
-// maxKnownVoters is the greatest number of known voters to which names from daemons other than the leader may add.
+// maxKnownVoters is the number of known voters beyond which a daemon ignores names that come from a daemon other than the
+// leader.
 const maxKnownVoters = 4 * consensus.MaxVoters
 
 // setVoters sets the known voters to the voters that a leader reported and the initial voters.
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -42,7 +42,7 @@
 					n.Close()
 				}
 				if err == nil || strings.Contains(err.Error(), "\n") {
-					t.Errorf("start of %s: error %v, want one of one line", c.daemon, err)
+					t.Errorf("start of %s: error %v, want an error of one line", c.daemon, err)
 				}
 				return
 			}
@@ -119,14 +119,14 @@
 	for i := range 3 { // s3, s4 and s5 replace s0, s1 and s2
 		added, removed := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
 		c.changeVotersWhenFree(5, added, false)
-		c.waitVotes(3+i, true)
+		c.waitIsVoter(3+i, true)
 		c.changeVotersWhenFree(4, removed, true)
-		c.waitVotes(i, false)
+		c.waitIsVoter(i, false)
 	}
 	c.waitAllActing(c.put(0, "b", "two"), "two")
 	c.nodes[4].Close()
 	c.start(4)
-	c.waitVotes(4, true)
+	c.waitIsVoter(4, true)
 	c.nodes[5].Close()
 	c.waitActing(c.nodes[:5], c.put(3, "c", "three"), "three")
 
@@ -134,7 +134,7 @@
 	c.disks[5] = simdisk.New() // the disk of s5 is lost
 	c.start(5)
 	c.changeVotersWhenFree(3, "s5", false)
-	c.waitVotes(5, true)
+	c.waitIsVoter(5, true)
 	c.waitAllActing(c.put(5, "d", "four"), "four")
 	testpeer.Eventually(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
@@ -162,17 +162,17 @@
 	}
 	c.changeVotersWhenFree(1, "s1", true)
 	c.changeVotersWhenFree(1, "s1", false)
-	c.waitVotes(1, true)
+	c.waitIsVoter(1, true)
 	c.nodes[1].Close()
 	c.start(1)
-	c.waitVotes(1, true)
+	c.waitIsVoter(1, true)
 	c.nodes[2].Close() // s0, s1 and s2 are the voters: only with the vote of s1 is there a majority now
 	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
 // A change of the voters is rejected while another change is in progress. A voter whose daemon never starts can be
 // removed.
-func TestInvalidVoterChangesAreRejected(t *testing.T) {
+func TestVoterChangeIsRejectedWhileAnotherIsInProgress(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.put(0, "a", "one")
 	if err := c.changeVoters(1, "nobody", false); err != nil { // accepted though no daemon is called nobody
@@ -185,6 +185,6 @@
 		t.Errorf("removal of a voter whose daemon never started: error %v, want none", err)
 	}
 	c.changeVotersWhenFree(2, "s3", false)
-	c.waitVotes(3, true)
+	c.waitIsVoter(3, true)
 	c.waitAllActing(c.put(3, "b", "two"), "two")
 }
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -16,8 +16,8 @@
 // rejected. If the outcome is not known in time the proposal fails with consensus.ErrIndeterminate; a command is applied
 // once, however often it is proposed with the same ID.
 //
-// A voter whose disk fails stops until the process is restarted and logs an error; its daemon continues under leases of
-// the other voters. At most maxPendingProposals commands are pending. The transport bounds the size of messages.
+// A voter whose disk fails stops until the process is restarted and logs an error; its daemon continues under leases that
+// other voters grant. At most maxPendingProposals commands are pending. The transport bounds the size of messages.
 package raftnode
 
 import (
@@ -35,8 +35,8 @@
 
 // Transport carries messages between the daemons. It is implemented by *transport.Transport.
 type Transport interface {
-	// Send sends a message to the daemon with a name and returns at once. An error means that the message was not sent;
-	// a message that was sent may still be lost.
+	// Send sends a message to the daemon with the given name and returns at once. An error means that the message was not
+	// sent; a message that was sent may still be lost.
 	Send(name string, kind byte, body []byte) error
 	// Messages returns the channel of the messages that other daemons sent to this one.
 	Messages() <-chan transport.Message
@@ -54,7 +54,7 @@
 	Disk wal.FS
 	// Lease has the durations of leases, the same for all daemons of a cluster.
 	Lease consensus.LeaseConfig
-	// Transport carries the messages. Its owner closes it after the Node.
+	// Transport carries messages to and from other daemons. The caller of Start closes it after the Node.
 	Transport Transport
 	// Now is this daemon's monotonic clock.
 	Now func() time.Duration
@@ -72,26 +72,26 @@
 // Node connects a daemon to the replicated documents. Start returns a running Node, which Close must end.
 type Node struct {
 	options        Options
-	leased         atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act, for all goroutines
-	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop, for all goroutines
-	firstGrant     chan struct{}                           // closed at the first grant that this daemon can act on
+	leased         atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act; read by all goroutines
+	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop; read by all goroutines
+	firstGrant     chan struct{}                           // closed at the first grant on whose active version this daemon can act
 	versionChanged chan struct{}                           // holds a value if the leased version has changed since the last receive
 	submittedCalls chan func()                             // functions that other goroutines pass to the event loop, which runs them
 	ctx            context.Context                         // canceled by Close
 	cancel         context.CancelFunc                      // cancels ctx
 	goroutines     sync.WaitGroup                          // event loop, and running call of Options.Check
 
-	// Fields that only the event loop's goroutine (run) may use: localVoter to cached.
+	// Fields that only the event loop's goroutine (run) may use: localVoter to cachedEntry.
 
 	localVoter           *localVoter              // this daemon's voter; nil: the daemon runs none
 	isVoterStartDisabled bool                     // whether this process must not start a voter any more
-	isDiskLossLogged     bool                     // whether the error that the disk of this daemon's voter is lost was logged
+	isDiskLossLogged     bool                     // whether the loss of the disk of this daemon's voter was logged
 	diskID               string                   // id of this daemon's disk; empty if the disk had a voter at Start, or there is no disk
 	bootstrap            *bootstrap               // bootstrap of an initial voter that has not created its log; nil in all other cases
-	bootstrapVote        *consensus.BootstrapVote // vote that other initial voters get from a voter that has created its log; nil: no log was created
+	bootstrapVote        *consensus.BootstrapVote // vote that tells other initial voters that this daemon has created its log; nil: no such vote is sent
 	leaseClient          leaseClient              // this daemon's lease, and the voters that may grant it
 	proposals            pendingProposals         // commands whose result is not known yet, or has not been passed to a caller yet
-	cached               cacheEntry               // contents of the cache file, without the documents
+	cachedEntry          cacheEntry               // contents of the cache file, without the documents
 }
 
 // Start loads the state on Options.Disk and starts the event loop. An error names the damaged file, or says what is wrong
@@ -144,7 +144,7 @@
 	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
 
-// LeaseRemaining returns the time until the lease expires, or 0 if the lease has expired.
+// LeaseRemaining returns the time until the lease on the version that Valid returns expires, or 0 if it has expired.
 func (n *Node) LeaseRemaining() time.Duration {
 	return max(n.leased.Load().ExpiresAt-n.options.Now(), 0)
 }
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -22,13 +22,13 @@
 	c := newTestCluster(t, 5)
 	firstVersion := c.put(0, "a", "one")
 	c.waitAllActing(firstVersion, "one")
-	if duplicate := c.put(4, "a", "one"); duplicate != firstVersion {
-		t.Errorf("a duplicate of the command returns version %d, want %d", duplicate, firstVersion)
+	if duplicateVersion := c.put(4, "a", "one"); duplicateVersion != firstVersion {
+		t.Errorf("a duplicate of the command returns version %d, want %d", duplicateVersion, firstVersion)
 	}
 	secondVersion := c.put(4, "b", "two") // must succeed though s4 does not vote
 	c.waitAllActing(secondVersion, "two")
-	outdated := firstVersion
-	removal := consensus.Command{ExpectedVersion: &outdated, Remove: testDocument}
+	outdatedVersion := firstVersion
+	removal := consensus.Command{ExpectedVersion: &outdatedVersion, Remove: testDocument}
 	if _, err := c.nodes[3].ProposeVersion(t.Context(), removal); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
 		t.Errorf("command that expects version %d after %d: error %v, want a rejection", firstVersion, secondVersion, err)
 	}
@@ -58,7 +58,7 @@
 }
 
 // BenchmarkCoversVersion measures Node.CoversVersion, which runs for each request that is rejected while no lease is
-// valid. A call takes 56 ns, nearly all of them for reading the clock, and no lock.
+// valid. A call takes no lock, and 56 ns, most of which is the time for reading the clock.
 func BenchmarkCoversVersion(b *testing.B) {
 	start := time.Now()
 	n := &Node{options: Options{Now: func() time.Duration { return time.Since(start) }}}
@@ -66,7 +66,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if !n.CoversVersion(3) {
-				b.Error("no lease")
+				b.Error("version 3 is not covered by a lease, want it covered")
 			}
 		}
 	})
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPendingProposals and maxPendingProposalBytes bound the number and the total size of the commands that a node
-	// holds. raft allows as many bytes of uncommitted commands.
+	// maxPendingProposals and maxPendingProposalBytes bound the number and the total size in bytes of the commands that
+	// a node holds. raft allows as many bytes of uncommitted commands.
 	maxPendingProposals     = 64
 	maxPendingProposalBytes = 8 << 20
 
@@ -25,8 +25,8 @@
 	initialRetryBackoff = time.Second
 	maxRetryBackoff     = orphanRetention
 
-	// orphanRetention is how long a node holds a proposal for whose result no caller of Propose waits. A command that is
-	// proposed again within that time is not proposed to raft again.
+	// orphanRetention is how long a node holds a proposal for whose result no caller of Propose waits. A caller that
+	// proposes the same command again within that time waits for the result of the held proposal.
 	orphanRetention = 8 * time.Second
 )
 
@@ -35,8 +35,8 @@
 	body          []byte              // encoded command; nil once result is set
 	waiter        chan proposalResult // channel on which a caller of Node.Propose waits for the result; nil: no caller waits
 	forwarder     string              // name of the daemon that forwarded the command; empty: the command was proposed at this node
-	nextAttemptAt time.Duration       // instant at which the command is proposed to raft or forwarded again
-	backoff       time.Duration       // time between the next attempt and the following attempt
+	nextAttemptAt time.Duration       // instant at which the command is next proposed to raft or forwarded
+	backoff       time.Duration       // time from the next attempt to the one after it
 	expiresAt     time.Duration       // instant at which the proposal is dropped
 	result        *proposalResult     // result for a caller that proposes the command again; nil: the result is not known yet
 }
@@ -77,11 +77,11 @@
 		return consensus.CommandResult{}, err
 	}
 	result := make(chan proposalResult, 1)
-	addResult := make(chan bool, 1)
-	if !n.submit(ctx, func() { addResult <- n.addProposal(cmd.ID, body, result) }) {
+	isAdded := make(chan bool, 1)
+	if !n.submit(ctx, func() { isAdded <- n.addProposal(cmd.ID, body, result) }) {
 		return consensus.CommandResult{}, consensus.ErrIndeterminate
 	}
-	if !<-addResult {
+	if !<-isAdded {
 		return consensus.CommandResult{}, fmt.Errorf("too many pending proposals: at most %d commands, or %d bytes of them",
 			maxPendingProposals, maxPendingProposalBytes)
 	}
--- a/internal/cluster/raftnode/storedformat_test.go
+++ b/internal/cluster/raftnode/storedformat_test.go
@@ -42,13 +42,13 @@
 					t.Errorf("identity is encoded as %q, want %q", ownIdentity.String()+"\n", text)
 				}
 				replayNothing := func(wal.Record) error { return nil }
-				openAndClose(t, disk, func(r io.Reader) error {
+				openAndCloseLog(t, disk, func(r io.Reader) error {
 					snapshots++
 					return checkSnapshotEncodesUnchanged(t, r)
 				}, replayNothing)
 				// Without the snapshots, the log is replayed from its first record.
 				removeSnapshots(t, disk)
-				openAndClose(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, commandsByField) })
+				openAndCloseLog(t, disk, nil, func(r wal.Record) error { return checkEntryEncodesUnchanged(t, r, commandsByField) })
 			})
 		}
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// openAndClose opens a durable log, which passes its snapshot to restore and its records to replay, and closes it.
-func openAndClose(t *testing.T, disk wal.FS, restore func(io.Reader) error, replay func(wal.Record) error) {
+// openAndCloseLog opens a durable log, which passes its snapshot to restore and its records to replay, and closes it.
+func openAndCloseLog(t *testing.T, disk wal.FS, restore func(io.Reader) error, replay func(wal.Record) error) {
 	t.Helper()
 	log, err := wal.Open(disk, wal.Options{}, func(_ uint64, r io.Reader) error { return restore(r) }, replay)
 	if err != nil {
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -29,7 +29,7 @@
 // cacheVersion writes the version on which this daemon acts, and the names of the voters, to the cache file. If the disk
 // fails, the write is not repeated and the daemon continues: it only lacks the cached version at its next start.
 func (n *Node) cacheVersion(leased consensus.LeasedVersion, voters []string) {
-	n.cached = cacheEntry{Version: leased.Version, Voters: voters}
+	n.cachedEntry = cacheEntry{Version: leased.Version, Voters: voters}
 	if n.options.Disk == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	if entry == nil {
 		return 0, nil
 	}
-	n.cached = cacheEntry{Version: entry.Version, Voters: entry.Voters}
+	n.cachedEntry = cacheEntry{Version: entry.Version, Voters: entry.Voters}
 	n.leaseClient.setVoters(entry.Voters, n.options.InitialVoters)
 	return entry.Version, entry.Docs
 }
--- a/internal/cluster/raftnode/versioncache_test.go
+++ b/internal/cluster/raftnode/versioncache_test.go
@@ -21,7 +21,7 @@
 	n.cacheVersion(consensus.LeasedVersion{Version: 7, Docs: docs}, []string{"v"})
 	completeFile, err := readFile(d, cacheFile, maxCacheBytes)
 	if err != nil || len(completeFile) == 0 {
-		t.Fatal(err)
+		t.Fatalf("cache file of %d bytes, error %v; want a written file", len(completeFile), err)
 	}
 	load := func(text []byte) (uint64, map[string]consensus.Document) {
 		d.SetBytes(cacheFile, text)
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -16,7 +16,7 @@
 // voter then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
-// peerName returns the name of the voter with a raft id, or an empty string if the name is not known.
+// peerName returns the name of the voter with the given raft id, or an empty string if the name is not known.
 func (v *localVoter) peerName(id uint64) string {
 	if name := v.voter.State().VoterName(id); name != "" {
 		return name
