--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -70,7 +70,7 @@
 // Votes arrive and disks are lost in random order. Once a majority has created logs with the same disk ids, a voter that
 // loses its disk must not create a log again. A simulation ends when a majority has lost its disks: the remaining voters
 // can't know any more which of the others had created a log.
-func TestBootstrapNeverBeginsAfterDiskLoss(t *testing.T) {
+func TestBootstrapCreatesNoLogAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapCluster(), false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestBootstrapCountsOnlyInitialVotersAndItsOwnDisk(t *testing.T) {
+func TestBootstrapIgnoresOtherDaemonsAndDetectsLostDisk(t *testing.T) {
 	b := NewBootstrap("a", "1", initialVoterNames)
 	b.ReceiveVote("b", 0, BootstrapVote{DiskID: "2"})
 	b.ReceiveVote("x", 0, BootstrapVote{HasBegun: true}) // must be dropped: x is not an initial voter
@@ -124,6 +124,6 @@
 	}
 	b.ReceiveVote("c", 0, BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "0"}})
 	if _, isDiskLost := b.Decide(); !isDiskLost {
-		t.Error("c began when this voter had another disk, but Decide does not report the disk as lost")
+		t.Error("c created its log when a had another disk, but Decide does not report that disk as lost")
 	}
 }
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -18,7 +18,7 @@
 		want identity
 	}{
 		{
-			name: "initial voter that began before there were disk ids",
+			name: "initial voter that created its log before there were disk ids",
 			text: "b of a b c",
 			want: identity{name: "b", initialVoters: []string{"a", "b", "c"}, voterID: 2},
 		},
--- a/internal/cluster/raftnode/messages_test.go
+++ b/internal/cluster/raftnode/messages_test.go
@@ -25,12 +25,12 @@
 			want: `{"ID":"b","version":0,"Err":"no"}`,
 		},
 		{
-			name: "bootstrap vote of a voter that has not begun",
+			name: "bootstrap vote of a voter that has not created its log",
 			body: bootstrapMessage{Round: 3, IsRequest: true, Vote: consensus.BootstrapVote{DiskID: "m"}},
 			want: `{"round":3,"asks":true,"word":{"begun":false,"mark":"m","marks":null}}`,
 		},
 		{
-			name: "bootstrap vote of a voter that has begun",
+			name: "bootstrap vote of a voter that has created its log",
 			body: bootstrapMessage{Round: 4, Vote: consensus.BootstrapVote{HasBegun: true, DiskIDs: map[string]string{"a": "m"}}},
 			want: `{"round":4,"asks":false,"word":{"begun":true,"mark":"","marks":{"a":"m"}}}`,
 		},
