--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -72,8 +72,8 @@
 // installSnapshot replaces the log and the State by a snapshot received from another voter.
 func (v *Voter) installSnapshot(snapshot *raftpb.Snapshot) {
 	if err := errors.Join(v.storage.ApplySnapshot(snapshot), v.restore(snapshot)); err != nil {
-		// The transport has verified the message's signature: another voter of the cluster has sent a snapshot that this build
-		// can't install.
+		// Another voter has sent a snapshot that this build can't install. If the cluster has keys, the transport has verified
+		// the message's signature.
 		panic(fmt.Sprintf("install snapshot of another voter: %v", err))
 	}
 }
