--- a/cmd/tuliprock/baseline.go
+++ b/cmd/tuliprock/baseline.go
@@ -2,8 +2,8 @@
 
 import "tuliprock/internal/testkit/baseline"
 
-// baselineCommand runs the daemon with a baseline picker instead of the decision module. On the
-// command line it is called plain.
+// baselineCommand runs the daemon with a textbook load-balancing policy instead of the balancer of package balance, as a
+// baseline for comparisons. On the command line it is named "plain".
 type baselineCommand struct {
 	Name string `arg:"" help:"random, round-robin or least-outstanding"`
 }
--- a/cmd/tuliprock/buffering_test.go
+++ b/cmd/tuliprock/buffering_test.go
@@ -32,11 +32,11 @@
 	for i := range body {
 		body[i] = byte(rand.Uint32())
 	}
-	sum := sha256.Sum256(body)
+	bodyHash := sha256.Sum256(body)
 	h := newHotRestartHarness(t, 0)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		received := sha256.New()
-		if _, err := io.Copy(received, r.Body); err != nil || !bytes.Equal(received.Sum(nil), sum[:]) {
+		receivedHash := sha256.New()
+		if _, err := io.Copy(receivedHash, r.Body); err != nil || !bytes.Equal(receivedHash.Sum(nil), bodyHash[:]) {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -47,10 +47,10 @@
 	h.endpointIDs, h.endpoints = []string{"s-0"}, []*testpeer.Endpoint{{Addr: node.Listener.Addr().String()}}
 	d := h.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
-	var running sync.WaitGroup
+	var clientGoroutines sync.WaitGroup
 	var shedCount atomic.Int32
 	for i := range clients {
-		running.Go(func() {
+		clientGoroutines.Go(func() {
 			for attempt := 0; ; attempt++ {
 				r, _ := http.NewRequest(http.MethodPost, "http://"+h.listenAddr+"/pay", bytes.NewReader(body))
 				r.Header.Set("Req-Id", fmt.Sprint(i, "-", attempt))
@@ -59,11 +59,11 @@
 				if err != nil { // a shed request's connection may be closed before its body was sent
 					shedCount.Add(1)
 				} else {
-					received := sha256.New()
-					n, err := io.Copy(received, resp.Body)
+					receivedHash := sha256.New()
+					n, err := io.Copy(receivedHash, resp.Body)
 					resp.Body.Close()
 					if resp.StatusCode == http.StatusOK {
-						if err != nil || n != int64(len(body)) || !bytes.Equal(received.Sum(nil), sum[:]) {
+						if err != nil || n != int64(len(body)) || !bytes.Equal(receivedHash.Sum(nil), bodyHash[:]) {
 							t.Errorf("client %d: response body of %d bytes, error %v, want the %d bytes that were sent", i, n, err, len(body))
 						}
 						return
@@ -82,7 +82,7 @@
 			}
 		})
 	}
-	running.Wait()
+	clientGoroutines.Wait()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -145,18 +145,19 @@
 	}
 }
 
-// sharedAddressNotes names the members that share an address with another member, of the same pool or of another. The balancer
-// counts the load of each member separately, so an endpoint with two members gets more load than the limit of one allows.
+// sharedAddressNotes returns a note for each member whose address an earlier member has already, in the same pool or in another
+// one. The balancer limits the load of each member separately, so the endpoint at such an address gets more load than the limit
+// of one member allows.
 func sharedAddressNotes(f *config.File) (notes []string) {
-	firstAt := map[string]string{} // the first member found at an address, by the address
+	firstMemberAt := map[string]string{} // name and pool of the first member at each address, by the address
 	for _, p := range f.Pool {
 		for _, m := range p.Member {
 			member := fmt.Sprintf("%s in pool %s", m.ID, p.Name)
-			if first, ok := firstAt[m.Address]; ok {
+			if first, ok := firstMemberAt[m.Address]; ok {
 				notes = append(notes, fmt.Sprintf("%s and %s are both at %s", first, member, m.Address))
 				continue
 			}
-			firstAt[m.Address] = member
+			firstMemberAt[m.Address] = member
 		}
 	}
 	return notes
--- a/cmd/tuliprock/check_test.go
+++ b/cmd/tuliprock/check_test.go
@@ -27,7 +27,7 @@
 	}
 	for name, c := range map[string]struct {
 		args   []string
-		code   int    // exit code
+		code   int    // expected exit code
 		stdout string // expected part of standard output
 		stderr string // expected part of standard error; empty: nothing is written there
 	}{
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -14,24 +14,24 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A measurement: throughput and p99 latency of a daemon in a cluster of seven, relative to a daemon without peers. The two
-// are measured alternately, TULIPROCK_TEST_CLUSTER_COST_TURNS times; without that variable the test is skipped. See
-// docs/design/026.
+// This test measures the throughput and the p99 latency of a daemon in a cluster of seven, relative to a daemon without peers.
+// The two daemons are measured alternately, TULIPROCK_TEST_CLUSTER_COST_TURNS times each; if that variable is not set, the test
+// is skipped. See docs/design/026.
 func TestThroughputInClusterAgainstDaemonWithoutPeers(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_CLUSTER_COST_TURNS"))
 	if turns == 0 {
 		t.Skip("TULIPROCK_TEST_CLUSTER_COST_TURNS is not set: this is a measurement, for an idle machine")
 	}
 	node := testpeer.FreeAddress(t)
-	startPeer(t, "node", node)
+	startServerProcess(t, "node", node)
 	config := clusterDaemonConfig{endpoints: []string{node}} // without fleetOptions, so the default probe intervals apply
-	key := writeKeyFile(t, 1)
-	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), key)
+	keyFile := writeKeyFile(t, 1)
+	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), keyFile)
 	for i := range 6 {
-		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), key, member.clusterAddr)
+		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), keyFile, member.clusterAddr)
 	}
 	member.awaitPeersReport(t, "the member sees seven daemons", func(f *status.Fleet) bool { return f.DaemonCount == 7 })
-	withoutPeers := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), key)
+	withoutPeers := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), keyFile)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
 		for i := range turns {
@@ -47,44 +47,44 @@
 	}
 }
 
-// A measurement: memory and processor time of an idle daemon without peers, and with TULIPROCK_TEST_IDLE_PEERS peers; without
-// that variable the test is skipped. See docs/design/026.
+// This test measures the memory and the processor time of an idle daemon, first without peers and then with
+// TULIPROCK_TEST_IDLE_PEERS peers; if that variable is not set, the test is skipped. See docs/design/026.
 func TestIdleDaemonCostAmongManyPeers(t *testing.T) {
-	peers, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_IDLE_PEERS"))
-	if peers == 0 {
+	peerCount, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_IDLE_PEERS"))
+	if peerCount == 0 {
 		t.Skip("TULIPROCK_TEST_IDLE_PEERS is not set: this is a measurement, for an idle machine")
 	}
 	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // without fleetOptions, so the default probe intervals apply
-	key := writeKeyFile(t, 1)
-	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), key)
+	keyFile := writeKeyFile(t, 1)
+	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), keyFile)
 	measure := func(situation string) {
-		before := processorTime(d.cmd.Process.Pid)
+		timeBefore := processorTime(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons",
-			situation, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-before).Seconds()/30, f.Connectivity, f.DaemonCount)
+			situation, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-timeBefore).Seconds()/30, f.Connectivity, f.DaemonCount)
 	}
 	measure("without peers")
-	keys, err := transport.ReadKeys(key)
+	keys, err := transport.ReadKeys(keyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	join := netip.MustParseAddrPort(d.clusterAddr)
-	for i := range peers {
+	joinAddr := netip.MustParseAddrPort(d.clusterAddr)
+	for i := range peerCount {
 		peer, err := transport.Start(transport.Options{Cluster: "c", Name: fmt.Sprint("p", i), Listen: netip.MustParseAddrPort(fmt.Sprintf("127.%d.8.%d:0", 30+i/250, 1+i%250)), Keys: keys,
-			Join: []netip.AddrPort{join}, Log: slog.New(slog.DiscardHandler)})
+			Join: []netip.AddrPort{joinAddr}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = peer.Abort() }() // the peer does not announce that it leaves, since the measurement is over
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.DaemonCount == peers+1 {
+		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.DaemonCount == peerCount+1 {
 			break
 		}
 	}
-	measure(fmt.Sprintf("with %d peers", peers))
+	measure(fmt.Sprintf("with %d peers", peerCount))
 }
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -32,25 +32,25 @@
 type clusterDaemonConfig struct {
 	endpoints    []string // addresses of the members of the pool
 	fleetOptions string   // more keys of the inline table fleet, starting with a comma
-	extraConfig  string   // more lines at the end of the file
+	extraConfig  string   // more lines at the end of the operators' file
 }
 
-// startClusterDaemon starts a daemon of a cluster with fast probes and an unreachable endpoint. It listens for other daemons
-// at listen, reads its keys from the file key, and joins the cluster by the addresses join.
-func startClusterDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
+// startClusterDaemon starts a daemon of a cluster with fast probes and an unreachable endpoint. The daemon listens for other
+// daemons at listenAddr, reads its keys from keyFile, and joins the cluster through the daemons at joinAddrs.
+func startClusterDaemon(t *testing.T, name, cluster, listenAddr, keyFile string, joinAddrs ...string) *clusterDaemon {
 	t.Helper()
 	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}, fleetOptions: fastProbes}
-	return config.startDaemon(t, name, cluster, listen, key, join...)
+	return config.startDaemon(t, name, cluster, listenAddr, keyFile, joinAddrs...)
 }
 
-// startDaemon writes an operators' file for a daemon, starts the daemon and waits until it listens. The arguments are those
-// of startClusterDaemon.
-func (c clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listen, key string, join ...string) *clusterDaemon {
+// startDaemon writes an operators' file for a daemon, starts the daemon and waits until it listens. The daemon listens for
+// other daemons at listenAddr, reads its keys from keyFile, and joins the cluster through the daemons at joinAddrs.
+func (c clusterDaemonConfig) startDaemon(t *testing.T, name, cluster, listenAddr, keyFile string, joinAddrs ...string) *clusterDaemon {
 	t.Helper()
 	d := &clusterDaemon{
 		adminAddr:   testpeer.FreeAddress(t),
 		httpAddr:    testpeer.FreeAddress(t),
-		clusterAddr: listen,
+		clusterAddr: listenAddr,
 		configPath:  filepath.Join(t.TempDir(), "ops.toml"),
 	}
 	d.configText = fmt.Sprintf(`format = 1
@@ -60,14 +60,14 @@
 class = [{ name = "look", effect = "safe" }]
 pool = [{ name = "p", member = [%s] }]
 route = [{ pool = "p", class = "look" }]
-%s`, d.adminAddr, name, cluster, listen, key, quotedList(`%q`, join), c.fleetOptions, d.httpAddr, quotedList(`{ address = %q }`, c.endpoints), c.extraConfig)
+%s`, d.adminAddr, name, cluster, listenAddr, keyFile, formatList(`%q`, joinAddrs), c.fleetOptions, d.httpAddr, formatList(`{ address = %q }`, c.endpoints), c.extraConfig)
 	d.writeConfig(t, d.configText)
 	d.start(t)
 	return d
 }
 
-// quotedList formats each value by the format and joins the results with commas, as the elements of a TOML array.
-func quotedList(format string, values []string) string {
+// formatList formats each value by the format and joins the results with commas, as the elements of a TOML array.
+func formatList(format string, values []string) string {
 	var elements []string
 	for _, v := range values {
 		elements = append(elements, fmt.Sprintf(format, v))
@@ -90,7 +90,8 @@
 	}
 }
 
-// awaitPeersReport polls the daemon until its view of the cluster satisfies isMet. condition describes that in the log.
+// awaitPeersReport polls the daemon until isMet returns true for its view of the cluster. condition describes, for the log, what
+// isMet checks.
 func (d *clusterDaemon) awaitPeersReport(t *testing.T, condition string, isMet func(f *status.Fleet) bool) {
 	t.Helper()
 	var lastReport *status.Fleet
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -17,8 +17,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// testCluster is a cluster of daemon processes, whose links faults can be injected into, with two nodes that count the
-// requests that they get. Daemon i is named s<i>; the first ones are the voters.
+// testCluster is a cluster of daemon processes with two nodes that count the requests that they get. Tests can inject faults
+// into the network links between the daemons. The daemon with index i is named s<i>, and the voters have the lowest indexes.
 type testCluster struct {
 	t         *testing.T
 	network   *faultnet.Network
@@ -26,7 +26,7 @@
 	nodes     [2]*testpeer.Endpoint
 	requests  [2]atomic.Int64       // number of requests that arrived at each node
 	onRequest func(r *http.Request) // called concurrently with each request that arrives at a node; may be nil
-	dataDir   string                // directory with a data_dir for each daemon, under the daemon's name
+	dataDir   string                // directory that holds the data_dir of each daemon, in a subdirectory named after the daemon
 }
 
 // maxVersionConflict is the configured upper bound (conflict_within) for how long daemons may act on different versions.
@@ -55,30 +55,30 @@
 			return err == nil
 		})
 	}
-	advertised := map[string]string{} // address of the relay in front of each daemon, by the daemon's name
-	listens, voters := []string{}, []string{}
+	relayAddrs := map[string]string{} // address of the relay in front of each daemon, which the daemon advertises, by the daemon's name
+	listenAddrs, voters := []string{}, []string{}
 	for i := range spec.daemons {
-		name, listen := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
-		relay, err := c.network.AddRelay(name, netip.MustParseAddrPort(listen))
+		name, listenAddr := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
+		relayAddr, err := c.network.AddRelay(name, netip.MustParseAddrPort(listenAddr))
 		if err != nil {
 			t.Fatal(err)
 		}
-		advertised[name] = relay.String()
-		listens = append(listens, listen)
+		relayAddrs[name] = relayAddr.String()
+		listenAddrs = append(listenAddrs, listenAddr)
 		if i < spec.voters {
 			voters = append(voters, name)
 		}
 	}
-	key := writeKeyFile(t, 1)
+	keyFile := writeKeyFile(t, 1)
 	for i := range spec.daemons {
 		name := fmt.Sprint("s", i)
 		config := clusterDaemonConfig{endpoints: []string{c.nodes[0].Addr, c.nodes[1].Addr}, extraConfig: spec.extraConfig}
 		config.fleetOptions = fastProbes + fmt.Sprintf(`, advertise = %q, agreed = true, voters = [%s], conflict_within = %q, lease = "2s"`,
-			advertised[name], quotedList(`%q`, voters), maxVersionConflict)
+			relayAddrs[name], formatList(`%q`, voters), maxVersionConflict)
 		if spec.persistAll || slices.Contains(voters, name) {
 			config.fleetOptions += fmt.Sprintf(", data_dir = %q", filepath.Join(c.dataDir, name))
 		}
-		c.daemons = append(c.daemons, config.startDaemon(t, name, "c", listens[i], key, advertised["s0"], advertised["s1"], advertised["s2"]))
+		c.daemons = append(c.daemons, config.startDaemon(t, name, "c", listenAddrs[i], keyFile, relayAddrs["s0"], relayAddrs["s1"], relayAddrs["s2"]))
 	}
 	return c
 }
@@ -96,9 +96,9 @@
 	return string(text)
 }
 
-// callUntilOnAll repeats a command until the response says that all daemons act on the change. The command may fail at first,
-// since nothing can be agreed on during an election.
-func (c *testCluster) callUntilOnAll(d *clusterDaemon, line string) {
+// callUntilActiveOnAll repeats a command until the response says that all daemons act on the change. The command may fail at
+// first, since nothing can be agreed on during an election.
+func (c *testCluster) callUntilActiveOnAll(d *clusterDaemon, line string) {
 	c.t.Helper()
 	const want = "on all daemons with version"
 	testpeer.Eventually(c.t, line+": "+want, func() bool { return strings.Contains(d.callAdmin(line), want) })
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -24,7 +24,7 @@
 	FailureDetectorSim failureDetectorSimCommand `cmd:"" name:"detector" hidden:"" help:"Measure the failure detector in simulated fleets, in virtual time."`
 	Load               loadCommand               `cmd:"" help:"Send load on an open-loop schedule, and measure latency from the time each request was due."`
 	StandIn            standInCommand            `cmd:"" name:"stand-in" help:"Run stand-in nodes on loopback that echo each request, to try a daemon with."`
-	Baseline           baselineCommand           `cmd:"" name:"plain" hidden:"" help:"Run the daemon with a baseline picker instead of the decision module, for rehearsals."`
+	Baseline           baselineCommand           `cmd:"" name:"plain" hidden:"" help:"Run the daemon with a baseline policy instead of its own balancer, for rehearsals."`
 }
 
 // verdictError wraps an error that ends the process with exitFailure: the command ran, and its result is negative, such
--- a/cmd/tuliprock/command_test.go
+++ b/cmd/tuliprock/command_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Without an argument the program is the platform's daemon, with "plain" it is that daemon with a baseline picker. Both report
-// bad input in the exit code and on standard error.
-func TestPlatformDaemonRunsWithoutArguments(t *testing.T) {
+// The platform's daemon, which runs if the program gets no argument, and the command "plain", which runs this daemon with a
+// baseline policy, report bad input in the exit code and on standard error.
+func TestPlatformDaemonReportsBadInput(t *testing.T) {
 	cmd := programCommand()
 	cmd.Env = append(cmd.Env, "ROUTER_CONFIG=")
 	if code, _, stderr := runProgram(t, cmd); code != 1 || stderr != "tuliprock: ROUTER_CONFIG: not set\n" {
 		t.Errorf("without ROUTER_CONFIG: exit code %d, stderr %q, want 1 and that it is not set", code, stderr)
 	}
 	if code, _, stderr := runProgram(t, programCommand("plain", "best")); code != 2 || !strings.Contains(stderr, "random") {
-		t.Errorf("unknown baseline picker: exit code %d, stderr %q, want 2 and the names of the pickers", code, stderr)
+		t.Errorf("unknown baseline policy: exit code %d, stderr %q, want 2 and the names of the policies", code, stderr)
 	}
 }
 
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -18,10 +18,10 @@
 // which it collects garbage more often. The rest is for memory that the runtime does not count.
 const heapLimitFraction = 0.7
 
-// The garbage collector's target as for GOGC: how much the heap may grow until the next collection, in percent of the live
-// heap, which is small. The platform monitors memory, and rare collections look like a leak there: with 300 the first
-// collection comes a minute later. With an operators' file frequent collections would cost a sixth of the request rate that one core
-// serves to one client.
+// Targets of the garbage collector, as for GOGC: how much the heap may grow until the next collection, in percent of the live
+// heap, which is small. platformGCPercent is low because the platform monitors memory: with 300 the first collection would come
+// a minute later, and the growth until then would look like a leak. fileGCPercent, for daemons on an operators' file, is high
+// because frequent collections would cost a sixth of the request rate that one core serves to one client.
 const (
 	platformGCPercent = 50
 	fileGCPercent     = 400
@@ -73,7 +73,7 @@
 // serve runs the daemon until SIGTERM or SIGINT, and then shuts it down gracefully: it returns when all accepted requests
 // have got their responses. SIGHUP reloads the configuration; an invalid configuration is logged and changes nothing.
 func serve(newBalancer eventloop.BalancerFactory, source configSource, gcPercent int, log *slog.Logger) error {
-	hangups := make(chan os.Signal, 1) // registered first, since an uncaught SIGHUP ends the process
+	hangups := make(chan os.Signal, 1) // SIGHUP is caught before the configuration is read, since an uncaught SIGHUP ends the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	service, err := source()
 	if err != nil {
--- a/cmd/tuliprock/daemonflags.go
+++ b/cmd/tuliprock/daemonflags.go
@@ -21,7 +21,8 @@
 	JSON      string `name:"json" placeholder:"FILE" help:"Write the complete result as JSON to this file; '-': standard output."`
 }
 
-// call sends a cluster command to the daemon: words are its name and arguments, body is the document that it carries.
+// call sends a cluster command to the daemon. words are the name and the arguments of the command, and body is the document that
+// is sent with it.
 func (f *daemonFlags) call(body []byte, words ...string) (*status.CommandResult, error) {
 	return status.Call(f.AdminAddr, words, body, agreementTimeout)
 }
--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -43,8 +43,8 @@
 }
 
 // The operators' programs read the folders that "node" in deploy/balancer.toml lists, so the list must
-// have all folders that the daemon is built from. If one is missing, the programs' full fleet score crashes ("the len is 13 but
-// the index is 13").
+// have all folders that the daemon is built from. If a folder is missing, these programs crash when they compute the full fleet
+// score ("the len is 13 but the index is 13").
 func TestDeployFileListsTheDaemonsPackages(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -55,8 +55,8 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	// The folder of the decision module is listed under "policy" instead, and internal/simwire belongs to the simulator: the
-	// daemon uses only its decoder of settings.
+	// Two folders are not expected in the list: that of the balancer, whose files are listed under "policy", and internal/simwire, which
+	// belongs to the simulator and of which the daemon uses only the decoder of settings.
 	want := []string{"cmd/tuliprock"}
 	for _, folder := range daemonImports(t, root) {
 		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/simwire" {
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -12,9 +12,9 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// checkGuarantees checks the observations of the run: daemons act on different versions for no longer than
-// maxVersionConflict, shed requests never reach a node, no agreed put is lost, and operations on the flag are linearizable.
-// version is that of the last put.
+// checkGuarantees checks the recorded observations: daemons act on different versions for no longer than maxVersionConflict,
+// shed requests never reach a node, no agreed put is lost, and operations on the document flagName are linearizable. version is
+// the version that the last put made.
 func (s *faultSchedule) checkGuarantees(version uint64) {
 	t := s.t
 	history, err := status.Call(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
@@ -62,11 +62,11 @@
 	return counts
 }
 
-// versionsByMark returns the version that each settings text made according to the history, by the mark of the text. It
-// checks that versions are unique, and that each version that the response to a put named is in the history with its text.
+// versionsByMark returns, by mark, the version under which the history lists the settings text with the mark. It checks that
+// the history lists no version twice, and that the version in the response to each put is listed with the text that was put.
 func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
-	digests := map[uint64]string{} // SHA-256 digest of the change that made a version, by the version
+	digests := map[uint64]string{} // SHA-256 digest, in hexadecimal, of the change that made each version, by the version
 	for _, c := range history.History {
 		if _, isDuplicate := digests[c.Version]; isDuplicate {
 			s.t.Errorf("the history has version %d twice, want it once", c.Version)
@@ -86,12 +86,13 @@
 	return versions
 }
 
-// versionReports returns what each request that arrived at a node shows: that its daemon acted on the version of the mark, at
-// some time between sending and arrival. If the daemon was paused when the request was sent, that time begins when it resumed.
+// versionReports returns a report for each request that arrived at a node with a mark: its daemon acted on the version of the
+// mark at some time between the sending and the arrival of the request. For a request that was sent while the daemon was
+// paused, the report gives the time when the daemon resumed instead of the time of sending.
 func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
-		if a.mark == "" { // the daemon forwarded the request by its own file, since no settings had been agreed on yet
+		if a.mark == "" { // the daemon forwarded the request as its operators' file says, since no settings had been agreed on yet
 			continue
 		}
 		for _, p := range s.pausesByDaemon[sent.daemon] {
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -14,8 +14,9 @@
 // putTimeout is the timeout of a put, which may have to wait for an election.
 const putTimeout = 4 * time.Second
 
-// putText puts the settings text of a mark, with a comment of pad bytes, through a daemon. It records the digest of the text.
-func (s *faultSchedule) putText(d int, mark string, pad int) (*status.CommandResult, error) {
+// putSettings puts a settings text with the given mark, and with a comment of pad bytes, through daemon d. It records the mark
+// of the text, and the version that the put made, under the digest of the text.
+func (s *faultSchedule) putSettings(d int, mark string, pad int) (*status.CommandResult, error) {
 	text := s.settingsText(mark, pad)
 	s.mu.Lock()
 	s.markByDigest[sha256.Sum256(text)] = mark
@@ -29,13 +30,14 @@
 	return result, err
 }
 
-// flagInput is an operation on the flag: a put of a value, or a read if isPut is false.
+// flagInput is an operation on the document flagName: a put of a value, or a read if isPut is false.
 type flagInput struct {
 	isPut bool
 	value string // value to put; empty for a read
 }
 
-// flagModel models the flag as a register, for the check of linearizability. A flag that was never put reads as empty.
+// flagModel models the document flagName as a register, for the check of linearizability. Before the first put the document
+// reads as empty.
 var flagModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -51,7 +53,7 @@
 // put may still take effect at any time.
 const indeterminateReturnTime = time.Hour
 
-// putFlag puts a value of the flag through a daemon, and records the operation.
+// putFlag puts value as the document flagName through daemon d, and records the operation.
 func (s *faultSchedule) putFlag(d int, value string) {
 	calledAt := s.elapsed()
 	_, err := s.daemons[d].putDocument(value, flagName, []byte(value), putTimeout)
@@ -66,7 +68,8 @@
 	})
 }
 
-// readFlag reads the flag through a daemon, and records the operation. A read that fails is not recorded.
+// readFlag reads the document flagName through daemon d, and records the operation. A document that does not exist is recorded
+// as empty. A read that fails for another reason is not recorded.
 func (s *faultSchedule) readFlag(d int) {
 	calledAt := s.elapsed()
 	result, err := status.Call(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -30,59 +30,61 @@
 	rng       *rand.Rand     // source of the random choice of faults
 	startedAt time.Time      // start of the schedule
 	clients   sync.WaitGroup // goroutines that send requests and change settings
-	isOver    atomic.Bool    // tells the clients to stop
+	isOver    atomic.Bool    // whether all faults are over, so that the clients must stop
 
 	mu              sync.Mutex                // guards the following fields, up to flagOperations
 	requestsSent    map[string]sentRequest    // requests that clients sent, by request id
 	requestsArrived map[string]arrivedRequest // latest arrival of each request at a node, by request id
 	requestsShed    map[string]bool           // set of the ids of requests whose response had status 503
-	unansweredCount int                       // requests without a response, since their daemon was killed
+	unansweredCount int                       // number of requests without a response, for example because their daemon was killed
 	violations      []string                  // descriptions of single observations that break a guarantee
-	incarnations    []int                     // how often each daemon was restarted, by the daemon's index
-	pausesByDaemon  [][]daemonPause           // when each daemon was paused by SIGSTOP, by the daemon's index
+	incarnations    []int                     // number of restarts of each daemon, by the daemon's index
+	pausesByDaemon  [][]daemonPause           // intervals in which each daemon was paused by SIGSTOP, by the daemon's index
 	isRunning       []bool                    // whether each daemon is running, as opposed to killed, by the daemon's index
-	markByDigest    map[[32]byte]string       // mark of each settings text, by the SHA-256 digest of the text
-	digestByVersion map[uint64][32]byte       // digest of the settings text that made a version, as the response to its put tells
-	flagOperations  []porcupine.Operation     // puts and reads of the document flagName
+	markByDigest    map[[32]byte]string       // mark (value of settingsMarkHeader) of each settings text, by the SHA-256 digest of the text
+	digestByVersion map[uint64][32]byte       // SHA-256 digest of each settings text that was put, by the version that the response named
+	flagOperations  []porcupine.Operation     // puts and reads of the document flagName, to check for linearizability
 
 	faults []injectedFault // injected faults, in the order of their start
 }
 
-// injectedFault records a fault. Requests that are shed between its start and that of the next fault are attributed to it.
+// injectedFault records when a fault started. A shed request is attributed to the last fault that started before the request
+// was sent.
 type injectedFault struct {
-	name      string        // name that injectFault returned
+	name      string        // kind of the fault as injectFault returned it, such as "cut" or "kill"
 	startedAt time.Duration // when the fault started, as a time since the start of the schedule
 }
 
-// sentRequest records a request when it was sent.
+// sentRequest records through which daemon and when a client sent a request.
 type sentRequest struct {
 	daemon      int           // index of the daemon that the request was sent to
 	incarnation int           // how often the daemon had been restarted when the request was sent
 	sentAt      time.Duration // when the request was sent, as a time since the start of the schedule
 }
 
-// arrivedRequest records a request when it arrived at a node.
+// arrivedRequest records with which mark and when a request arrived at a node.
 type arrivedRequest struct {
-	mark      string        // value of markHeader; empty if the request was forwarded before the first settings were active
+	mark      string        // value of settingsMarkHeader; empty if the request was forwarded before the first settings were active
 	arrivedAt time.Duration // when the request arrived, as a time since the start of the schedule
 }
 
-// daemonPause is an interval in which a daemon was paused by SIGSTOP, in time since the start of the schedule.
+// daemonPause is an interval in which a daemon was paused by SIGSTOP. Its bounds are times since the start of the schedule.
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	maxFaultDuration  = 2500 * time.Millisecond // a fault lasts 200 ms plus a random time below maxFaultDuration
-	faultsDuration    = 12 * time.Second        // how long faults are injected
-	minFaultGap       = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
-	requestInterval   = 8 * time.Millisecond    // time between two requests of a client
-	operationInterval = 150 * time.Millisecond  // time between two operations of a client on the settings
-	flagName          = "flag/x"                // name of the document whose puts and reads are checked for linearizability
+	faultDurationRange = 2500 * time.Millisecond // a drawn duration is 200 ms plus a random time below faultDurationRange
+	faultsDuration     = 12 * time.Second        // time since the start of the schedule after which no further fault is injected
+	minFaultGap        = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
+	requestInterval    = 8 * time.Millisecond    // time between two requests of a client
+	operationInterval  = 150 * time.Millisecond  // time between two operations of a client on the settings
+	flagName           = "flag/x"                // name of the document whose puts and reads are checked for linearizability
 )
 
-// elapsed returns the time since the start of the schedule, which is the time of all observations.
+// elapsed returns the time since the start of the schedule. All observations are recorded with this time.
 func (s *faultSchedule) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// newFaultSchedule starts a cluster with three voters. The seed decides which faults are drawn.
+// newFaultSchedule starts a cluster of the given number of daemons, three of them voters, for a schedule. The seed determines
+// which faults the schedule injects.
 func newFaultSchedule(t *testing.T, seed uint64, daemons int) *faultSchedule {
 	t.Helper()
 	s := &faultSchedule{
@@ -100,8 +102,8 @@
 	for i := range s.isRunning {
 		s.isRunning[i] = true
 	}
-	// The variable is read only by builds with the race detector. In these, restarted daemons have clock rates that differ by
-	// as much as is tolerated; at first all daemons have the same rate.
+	// Only daemons built with the race detector read this variable. They all start with the clock rate 0.99; later startDaemon
+	// draws a rate for each restarted daemon, so that clock rates differ by as much as the configuration tolerates.
 	t.Setenv(transport.ClockRateEnv, "0.99")
 	s.testCluster = newTestCluster(t, clusterSpec{
 		daemons: daemons, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
@@ -109,8 +111,8 @@
 	return s
 }
 
-// recordArrival records a request that arrives at a node. It is a violation if attempts of one request have different marks,
-// since a request must be handled by a single version of the settings.
+// recordArrival records a request that arrives at a node. If an earlier attempt of the request arrived with another mark,
+// recordArrival records a violation, since a single version of the settings must apply to all attempts of a request.
 func (s *faultSchedule) recordArrival(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +123,8 @@
 	s.requestsArrived[id] = arrivedRequest{r.Header.Get(settingsMarkHeader), s.elapsed()}
 }
 
-// sendRequests sends requests through a daemon, one after another, until the schedule is over. It is slower while the daemon
-// is down.
+// sendRequests sends requests through a daemon, one after another, until the schedule is over. It sends fewer requests while the
+// daemon is down.
 func (s *faultSchedule) sendRequests(daemon int) {
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; !s.isOver.Load(); n++ {
@@ -151,7 +153,7 @@
 	}
 }
 
-// sendOperations puts settings, puts the flag or reads the flag, through random daemons, until the schedule is over.
+// sendOperations puts settings, or puts or reads the document flagName, through random daemons, until the schedule is over.
 func (s *faultSchedule) sendOperations(client int, rng *rand.Rand) {
 	for n := 0; !s.isOver.Load(); n++ {
 		s.mu.Lock()
@@ -162,7 +164,7 @@
 			value := fmt.Sprintf("%d-%d", client, n)
 			switch rng.IntN(3) {
 			case 0:
-				_, _ = s.putText(d, value, rng.IntN(3)*rng.IntN(20_000))
+				_, _ = s.putSettings(d, value, rng.IntN(3)*rng.IntN(20_000))
 			case 1:
 				s.putFlag(d, value)
 			default:
@@ -173,10 +175,10 @@
 	}
 }
 
-// injectFault draws a fault, keeps it up for a random time, ends it and returns its name. The order of the random draws is
-// what makes a seed's schedule.
+// injectFault draws a fault, keeps it up for a random time, ends it and returns its kind. The order of the random draws must not
+// change, or a seed no longer gives the same schedule.
 func (s *faultSchedule) injectFault() string {
-	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(maxFaultDuration)))
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(faultDurationRange)))
 	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
@@ -264,7 +266,7 @@
 // against the guarantees.
 func (s *faultSchedule) run() {
 	t := s.t
-	_, _ = s.putText(0, "first", 0)
+	_, _ = s.putSettings(0, "first", 0)
 	for d := range s.daemons {
 		s.clients.Go(func() { s.sendRequests(d) })
 	}
@@ -280,16 +282,16 @@
 		t.Logf("%v: fault %q has ended", s.elapsed().Round(time.Millisecond), fault)
 		time.Sleep(gap)
 	}
-	var last *status.CommandResult
+	var lastPut *status.CommandResult
 	testpeer.Eventually(t, "the last put is agreed on", func() bool {
 		var err error
-		last, err = s.putText(s.rng.IntN(3), "last", 0)
+		lastPut, err = s.putSettings(s.rng.IntN(3), "last", 0)
 		return err == nil
 	})
-	s.awaitActive(s.daemons, last.Version)
+	s.awaitActive(s.daemons, lastPut.Version)
 	s.isOver.Store(true)
 	s.clients.Wait()
-	s.checkGuarantees(last.Version)
+	s.checkGuarantees(lastPut.Version)
 }
 
 // Clusters of five daemons, or of seven for every second seed, go through random faults. TULIPROCK_TEST_FAULT_SCHEDULES is the
--- a/cmd/tuliprock/fleet.go
+++ b/cmd/tuliprock/fleet.go
@@ -11,14 +11,14 @@
 	"tuliprock/internal/testkit/fleetsim"
 )
 
-// fleetCommand simulates fleets of sidecars, each through one fault scenario.
+// fleetCommand simulates a fleet of sidecars in each of the given fault scenarios.
 type fleetCommand struct {
 	Scenarios   []string      `arg:"" optional:"" name:"troubles" help:"Fault scenarios to simulate: calm, roll, herd, zone, split, join; default: all of them."`
 	Sidecars    int           `default:"300" help:"Number of sidecars in all tiers together."`
 	Seed        uint64        `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
 	Length      time.Duration `default:"20s" help:"How long clients send requests, in virtual time."`
 	Utilization float64       `name:"use" default:"0.6" help:"Offered load as a fraction of the capacity of the fleet."`
-	Baseline    string        `name:"against" placeholder:"NAME" help:"Use a baseline picker instead of the decision module: random, round-robin, least-outstanding."`
+	Baseline    string        `name:"against" placeholder:"NAME" help:"Use a baseline policy instead of the daemon's own balancer: random, round-robin, least-outstanding."`
 	JSON        string        `name:"json" placeholder:"FILE" help:"Write the results as JSON; -: standard output."`
 }
 
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -15,8 +15,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Thousands of connections with an incomplete request or none do not block others: commands of operators and complete requests
-// get their responses, and the daemon does not exceed its limit of descriptors.
+// Thousands of connections on which only part of a request arrives, or nothing, do not block other connections: operators'
+// commands and complete requests get their responses, and the daemon does not exceed its limit of descriptors.
 func TestHalfOpenConnectionsDoNotBlockClientsOrOperators(t *testing.T) {
 	const (
 		maxDescriptors = 512 // limit that the harness configures for the daemon
@@ -25,9 +25,9 @@
 	h := newHotRestartHarness(t, 1)
 	d := h.startDaemon()
 	d.awaitAdmin(t, "check", "SUCCESS")
-	var open []net.Conn
+	var halfOpenConns []net.Conn
 	defer func() {
-		for _, nc := range open {
+		for _, nc := range halfOpenConns {
 			nc.Close()
 		}
 	}()
@@ -35,10 +35,10 @@
 		t.Helper()
 		start := time.Now()
 		if got := d.callAdmin(t, line); !strings.HasPrefix(got, want) {
-			t.Errorf("response to %s with %d half-open connections: %q, want it to begin with %q", line, len(open), got, want)
+			t.Errorf("response to %s with %d half-open connections: %q, want it to begin with %q", line, len(halfOpenConns), got, want)
 		}
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("response to %s with %d half-open connections came after %v, want at most 1 s", line, len(open), took)
+			t.Errorf("response to %s with %d half-open connections came after %v, want at most 1 s", line, len(halfOpenConns), took)
 		}
 	}
 	for i := range connections {
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		open = append(open, nc)
+		halfOpenConns = append(halfOpenConns, nc)
 		_, _ = io.WriteString(nc, []string{"", "GET /look HTTP/1.1\r\nReq-", "GET"}[i%3])
 		if i%400 != 399 {
 			continue
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != http.StatusOK {
-			t.Errorf("complete request with %d half-open connections: status %d, want 200", len(open), resp.StatusCode)
+			t.Errorf("complete request with %d half-open connections: status %d, want 200", len(halfOpenConns), resp.StatusCode)
 		}
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 		if err != nil || len(files) > maxDescriptors {
@@ -76,8 +76,8 @@
 	return len(files)
 }
 
-// A hot restart while some clients keep opening connections with an incomplete request and others send complete requests: the
-// two processes together do not exceed the limit of descriptors, and no request is lost.
+// During a hot restart some clients keep opening connections on which they send only part of a request, or nothing, and others
+// send complete requests: the two processes together do not exceed the limit of descriptors, and no complete request is lost.
 func TestHotRestartAmongHalfOpenConnectionsKeepsDescriptorLimit(t *testing.T) {
 	const maxDescriptors = 512 // limit that the harness configures for both processes together
 	h := newHotRestartHarness(t, 2)
@@ -89,20 +89,20 @@
 	var halfOpenClients sync.WaitGroup
 	for range 8 {
 		halfOpenClients.Go(func() {
-			var open []net.Conn
+			var halfOpenConns []net.Conn
 			for i := 0; ctx.Err() == nil; i++ {
 				nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", h.listenAddr)
 				if err != nil {
 					break
 				}
 				_, _ = io.WriteString(nc, []string{"", "GET /look HTTP/1.1\r\nReq-"}[i%2])
-				if open = append(open, nc); len(open) > 100 {
-					open[0].Close()
-					open = open[1:]
+				if halfOpenConns = append(halfOpenConns, nc); len(halfOpenConns) > 100 {
+					halfOpenConns[0].Close()
+					halfOpenConns = halfOpenConns[1:]
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
-			for _, nc := range open {
+			for _, nc := range halfOpenConns {
 				nc.Close()
 			}
 		})
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -23,7 +23,7 @@
 	load := h.startLoad(12)
 	load.awaitServed(t, 50)
 	first.awaitAdmin(t, "set-down s-1", "SUCCESS")
-	time.Sleep(50 * time.Millisecond) // until requests in flight at the endpoint have ended
+	time.Sleep(50 * time.Millisecond) // lets requests in flight at the ejected endpoint end before its requests are counted
 	requestsWhenEjected := h.endpoints[1].Requests.Load()
 	second := h.startDaemon()
 	second.awaitAdmin(t, "check", "SUCCESS")
@@ -90,8 +90,8 @@
 	second.terminate(t)
 }
 
-// A hot restart while long responses are in flight, with a SIGHUP to both processes: the predecessor exits only when all
-// responses are complete.
+// In a hot restart while long responses are in flight, the predecessor exits only when all of them are complete. A SIGHUP to
+// either process does not change this.
 func TestHotRestartWaitsForLongResponses(t *testing.T) {
 	h := newHotRestartHarness(t, 2)
 	first := h.startDaemon()
@@ -126,9 +126,9 @@
 	second.terminate(t)
 }
 
-// If the discovery service does not respond, a successor uses the endpoint list of its configuration after a while. A
-// successor that gets SIGTERM before that has not accepted any connection, so no request is lost.
-func TestHotRestartWithSilentDiscovery(t *testing.T) {
+// If the discovery service does not respond, a successor waits for it for some seconds and then serves with the endpoint list of
+// its configuration. A successor that gets SIGTERM while it waits has not accepted any connection, so no request is lost.
+func TestSuccessorUsesConfiguredEndpointsIfDiscoveryIsSilent(t *testing.T) {
 	h := newHotRestartHarness(t, 1)
 	h.isDiscoverySilent = true
 	first := h.startDaemon()
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -88,7 +88,7 @@
 // longResponseParts is the number of parts of a long response. Each part has 32 KiB.
 const longResponseParts = 40
 
-// writeSlowly writes a long response, which takes about 1.2 s.
+// writeSlowly writes a long response, which takes about 1.2 s, and reports whether all writes succeeded.
 func (h *hotRestartHarness) writeSlowly(nc net.Conn) bool {
 	part := strings.Repeat("z", 32<<10)
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longResponseParts*len(part))
@@ -120,13 +120,14 @@
 	h.t.Helper()
 	h.startCount++
 	d := &harnessDaemon{adminAddr: testpeer.FreeAddress(h.t)}
-	// The configuration has an outdated endpoint list, which is empty, unless the discovery service is silent.
-	knownList := testpeer.Members(1, true)
+	// The endpoint list in the configuration is empty, and older than that of the discovery service. Only if the service is
+	// silent, the configuration has the complete list.
+	configuredList := testpeer.Members(1, true)
 	if h.isDiscoverySilent {
-		knownList = h.memberList()
+		configuredList = h.memberList()
 	}
 	config := fmt.Sprintf(`{"name":"n1","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":96,"sockets":512},"known":%s,"settings":%s}`,
-		h.listenAddr, d.adminAddr, h.discoveryAddr, knownList, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
+		h.listenAddr, d.adminAddr, h.discoveryAddr, configuredList, `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],"Permissions":{"TryLimit":4,"RetryAfter":true}}`)
 	path := filepath.Join(h.t.TempDir(), fmt.Sprint(h.startCount, ".json"))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		h.t.Fatal(err)
--- a/cmd/tuliprock/load_test.go
+++ b/cmd/tuliprock/load_test.go
@@ -15,7 +15,7 @@
 	startProcess(t, "stand-in", addr).awaitText(t, addr)
 	files := []string{filepath.Join(dir, "a.json"), filepath.Join(dir, "b.json")}
 	for i, file := range files {
-		// Exit code 1 is accepted: on a busy machine a run may be not valid, but it writes its result all the same.
+		// Exit code 1 is accepted: a run on a busy machine can be reported as not valid, but still writes its result.
 		code, stdout, stderr := runProgram(t, programCommand("load", "--target", "http://"+addr+"/{n}", "--rate", "50", "--for", "1s",
 			"--gaps", "even", "--seed", fmt.Sprint(i), "--json", file))
 		if code > 1 || !strings.Contains(stdout, "due 50 in") || !strings.Contains(stdout, "from when due") {
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -1,5 +1,5 @@
-// Tuliprock is a load-balancing sidecar: it accepts requests from clients and forwards each to the endpoint that the
-// decision module chooses.
+// Tuliprock is a load-balancing sidecar: it accepts requests from clients and forwards each to the endpoint that the balancer,
+// which is package balance, chooses.
 //
 // Started without an argument it is the platform's daemon and reads the configuration file that ROUTER_CONFIG names.
 // Everything else is a command in a file of its own in this package: serve runs the daemon on an operators' file, check
--- a/cmd/tuliprock/measurementpeer_test.go
+++ b/cmd/tuliprock/measurementserver_test.go
@@ -15,12 +15,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runAsPeerEnv is the environment variable that makes the test binary a server for a measurement. Its value is the kind of
+// runAsServerEnv is the environment variable that makes the test binary a server for a measurement. Its value is the kind of
 // server ("node", "bulk", "splice" or "proxy"), the address that it listens at, and the addresses that it forwards to, if any.
-const runAsPeerEnv = "TULIPROCK_TEST_PEER"
+const runAsServerEnv = "TULIPROCK_TEST_PEER"
 
-// runPeer runs the server that a value of runAsPeerEnv describes. It returns only when the server fails.
-func runPeer(description string) {
+// runServer runs the server that a value of runAsServerEnv describes. It returns only when the server fails.
+func runServer(description string) {
 	words := strings.Fields(description)
 	var handler http.Handler
 	switch words[0] {
@@ -49,12 +49,12 @@
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(words[1], handler))
 }
 
-// startPeer starts a server, described as for runAsPeerEnv, as a process on one core. It waits until the server accepts
-// connections and returns the process id.
-func startPeer(t *testing.T, words ...string) int {
+// startServerProcess starts a process on one core that is a server for a measurement. words are the words of the value of
+// runAsServerEnv. startServerProcess waits until the server accepts connections, and returns the process id.
+func startServerProcess(t *testing.T, words ...string) int {
 	t.Helper()
 	p := &process{cmd: programCommand()}
-	p.cmd.Env = append(p.cmd.Env, runAsPeerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
+	p.cmd.Env = append(p.cmd.Env, runAsServerEnv+"="+strings.Join(words, " "), "GOMAXPROCS=1")
 	p.start(t)
 	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(5 * time.Millisecond) {
 		nc, err := net.Dial("tcp", words[1])
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -9,12 +9,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// An endpoint that operators eject at one of five daemons is ejected on all. The daemons go through a partition, a killed
-// leader, a paused leader, and a kill of all at once: no agreed change is lost, and no request goes to an ejected endpoint.
+// An endpoint that operators eject at one of five daemons is ejected on all. A daemon is partitioned, a leader is killed, a leader
+// is paused, and all daemons are killed at once: no agreed change is lost, and no request goes to an ejected endpoint.
 func TestEjectionHoldsOnAllDaemonsThroughFaults(t *testing.T) {
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3})
 	firstNode, secondNode := c.nodes[0].Addr, c.nodes[1].Addr
-	c.callUntilOnAll(c.daemons[3], "set-down "+firstNode)
+	c.callUntilActiveOnAll(c.daemons[3], "set-down "+firstNode)
 	c.awaitEjection(c.daemons, 0, true)
 	if n := c.countRequestsAt(c.daemons, 0); n > 0 {
 		t.Errorf("an ejected node got %d requests, want none", n)
@@ -28,7 +28,7 @@
 	partitioned := c.daemons[4]
 	c.network.SetLinksBetween([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
 	testpeer.Eventually(t, "the partitioned daemon has no lease", func() bool { return strings.Contains(partitioned.callAdmin("settings"), "acting=false") })
-	c.callUntilOnAll(c.daemons[0], "set-up "+firstNode)
+	c.callUntilActiveOnAll(c.daemons[0], "set-up "+firstNode)
 	c.awaitEjection(c.daemons[:4], 0, false)
 	if n := c.countRequestsAt([]*clusterDaemon{partitioned}, 0); n > 0 {
 		t.Errorf("a node that is still ejected for the partitioned daemon got %d requests from it, want none", n)
@@ -42,7 +42,7 @@
 	}
 	c.network.Heal()
 	c.awaitEjection(c.daemons, 0, false)
-	c.callUntilOnAll(partitioned, "set-up "+secondNode)
+	c.callUntilActiveOnAll(partitioned, "set-up "+secondNode)
 
 	leader := c.leader()
 	if leader < 0 {
@@ -51,7 +51,7 @@
 	killed := c.daemons[leader]
 	killed.signal(t, syscall.SIGKILL)
 	_ = killed.wait()
-	c.callUntilOnAll(c.daemons[3], "set-down "+secondNode)
+	c.callUntilActiveOnAll(c.daemons[3], "set-down "+secondNode)
 	var survivors []*clusterDaemon
 	for _, d := range c.daemons {
 		if d != killed {
@@ -70,10 +70,10 @@
 	paused := c.daemons[leader]
 	paused.signal(t, syscall.SIGSTOP)
 	otherVoter := c.daemons[(leader+1)%3]
-	c.callUntilOnAll(otherVoter, "set-up "+secondNode)
+	c.callUntilActiveOnAll(otherVoter, "set-up "+secondNode)
 	paused.signal(t, syscall.SIGCONT)
 	c.awaitEjection(c.daemons, 1, false)
-	c.callUntilOnAll(paused, "set-down "+firstNode)
+	c.callUntilActiveOnAll(paused, "set-down "+firstNode)
 	c.awaitEjection(c.daemons, 0, true)
 
 	for _, d := range c.daemons {
--- a/cmd/tuliprock/peers_test.go
+++ b/cmd/tuliprock/peers_test.go
@@ -15,22 +15,22 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// Two daemons with the same name, a daemon of another cluster and one with another key do not disturb the cluster of the
-// others, and all serve requests. Then the older of the two is killed and the younger joins under their name, another daemon
-// shuts down gracefully, and a second key is added.
-func TestClusterSeparatesDuplicateNamesClustersAndKeys(t *testing.T) {
-	key := writeKeyFile(t, 1)
-	a := startClusterDaemon(t, "a", "c", freeClusterAddress(t, 1), key)
-	b := startClusterDaemon(t, "b", "c", freeClusterAddress(t, 2), key, a.clusterAddr)
-	older := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), key, a.clusterAddr)
+// A daemon whose name another one has already, a daemon of another cluster and a daemon with another key do not disturb a
+// cluster of three daemons, and all six serve requests. When the older of the two daemons with one name is killed, the younger
+// one joins under the name. Then a daemon leaves by a graceful shutdown, and a second key is added to the key file.
+func TestClusterExcludesDuplicateNamesOtherClustersAndOtherKeys(t *testing.T) {
+	keyFile := writeKeyFile(t, 1)
+	a := startClusterDaemon(t, "a", "c", freeClusterAddress(t, 1), keyFile)
+	b := startClusterDaemon(t, "b", "c", freeClusterAddress(t, 2), keyFile, a.clusterAddr)
+	older := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 3), keyFile, a.clusterAddr)
 	a.awaitPeersReport(t, "a sees three daemons", func(f *status.Fleet) bool { return f.DaemonCount == 3 && f.Ordinal == 0 && f.Connectivity == "whole" })
-	younger := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 4), key, b.clusterAddr)
-	otherCluster := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), key, a.clusterAddr)
-	otherKey := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.clusterAddr)
+	younger := startClusterDaemon(t, "x", "c", freeClusterAddress(t, 4), keyFile, b.clusterAddr)
+	inOtherCluster := startClusterDaemon(t, "s", "other", freeClusterAddress(t, 5), keyFile, a.clusterAddr)
+	withOtherKey := startClusterDaemon(t, "f", "c", freeClusterAddress(t, 6), writeKeyFile(t, 2), a.clusterAddr)
 	younger.awaitPeersReport(t, "the younger daemon is not admitted", func(f *status.Fleet) bool { return f.ElderAddr == older.clusterAddr && f.Connectivity == "cut-off" })
 	younger.awaitText(t, "a daemon of this name that started earlier is in the fleet")
 	older.awaitText(t, "a daemon of this name that started later tried to join the fleet")
-	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "older": older, "younger": younger, "other cluster": otherCluster, "other key": otherKey} {
+	for name, d := range map[string]*clusterDaemon{"a": a, "b": b, "older": older, "younger": younger, "other cluster": inOtherCluster, "other key": withOtherKey} {
 		resp, err := http.Get("http://" + d.httpAddr + "/_health")
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("daemon %s: health check response %v, error %v, want status 200", name, resp, err)
@@ -53,21 +53,21 @@
 	a.awaitPeersReport(t, "b has left", func(f *status.Fleet) bool { return peerOf(f, "b").State == "left" && f.DaemonCount == 2 })
 
 	// A second key is added to the key file. A change of the cluster's name, which needs a restart, is logged and ignored.
-	if err := os.WriteFile(key, fmt.Appendf(nil, "%x\n%x\n", bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)), 0o600); err != nil {
+	if err := os.WriteFile(keyFile, fmt.Appendf(nil, "%x\n%x\n", bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a.writeConfig(t, strings.Replace(a.configText, `cluster = "c"`, `cluster = "d"`, 1))
 	a.signal(t, syscall.SIGHUP)
 	a.awaitText(t, "change with a restart only")
 	a.awaitPeersReport(t, "a is still in its cluster", func(f *status.Fleet) bool { return peerOf(f, "x").State == "alive" })
-	a.writeConfig(t, strings.Replace(a.configText, key, "/nowhere", 1))
+	a.writeConfig(t, strings.Replace(a.configText, keyFile, "/nowhere", 1))
 	a.signal(t, syscall.SIGHUP)
 	a.awaitText(t, "fleet.key_file")
 	younger.awaitPeersReport(t, "the younger daemon still sees a", func(f *status.Fleet) bool { return peerOf(f, "a").State == "alive" && f.ElderAddr == "" })
 	if code, stdout, _ := runProgram(t, programCommand("peers", "--at", a.adminAddr)); code != exitOK || !strings.Contains(stdout, "a is ") {
 		t.Errorf("peers: exit code %d, stdout %s, want 0 and the state of a", code, stdout)
 	}
-	otherKey.awaitPeersReport(t, "a accepts messages of the daemon with the other key, after both keys are in its file", func(f *status.Fleet) bool {
+	withOtherKey.awaitPeersReport(t, "a accepts messages of the daemon with the other key, after both keys are in its file", func(f *status.Fleet) bool {
 		return peerOf(f, "a").State == "" || peerOf(f, "a").State == "alive"
 	})
 }
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -19,8 +19,8 @@
 const runAsProgramEnv = "TULIPROCK_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if peer := os.Getenv(runAsPeerEnv); peer != "" {
-		runPeer(peer)
+	if description := os.Getenv(runAsServerEnv); description != "" {
+		runServer(description)
 		os.Exit(1)
 	}
 	if os.Getenv(runAsProgramEnv) != "" {
@@ -40,13 +40,13 @@
 // runProgram runs the command to its end and returns its exit code and output.
 func runProgram(t *testing.T, cmd *exec.Cmd) (code int, stdout, stderr string) {
 	t.Helper()
-	var out, errs strings.Builder
-	cmd.Stdout, cmd.Stderr = &out, &errs
+	var stdoutText, stderrText strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdoutText, &stderrText
 	err := cmd.Run()
-	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
+	if exitErr := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exitErr) {
 		t.Fatal(err)
 	}
-	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
+	return cmd.ProcessState.ExitCode(), stdoutText.String(), stderrText.String()
 }
 
 // outputBuffer collects the output of a process, and can be read while the process runs.
@@ -91,7 +91,7 @@
 	return startProcessIn(t, "", args...)
 }
 
-// startProcessIn is like startProcess, but with a working directory; if dir is empty, it is that of the test.
+// startProcessIn starts the program with these arguments in the working directory dir, or in that of the test if dir is empty.
 func startProcessIn(t *testing.T, dir string, args ...string) *process {
 	t.Helper()
 	p := &process{cmd: programCommand(args...)}
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -25,7 +25,7 @@
 	Day             string        `arg:"" optional:"" help:"A day's file, or the name of a day that ships (${days}); default: ${day}."`
 	Seeds           []uint64      `name:"seed" sep:"," placeholder:"N,..." help:"Run the day once with each of these seeds, instead of its own seed."`
 	DemandFactors   []float64     `name:"demand" sep:"," default:"1" help:"Factors to multiply the day's demand by; the day is run once with each."`
-	Baselines       []string      `name:"against" sep:"," placeholder:"NAME,..." help:"Also run the day with baseline pickers, to compare: random, round-robin, least-outstanding."`
+	Baselines       []string      `name:"against" sep:"," placeholder:"NAME,..." help:"Also run the day with baseline policies, to compare: random, round-robin, least-outstanding."`
 	Length          time.Duration `help:"Shorten the day to this length; the times of its faults are scaled with it."`
 	UseServeCommand bool          `name:"serve" help:"Start the sidecars with 'serve' on operators' files, instead of on platform configurations."`
 	PrintPlan       bool          `name:"plan" help:"Print the drawn schedule, fleet and faults as lines of JSON, and run nothing."`
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// runAll runs each plan with the decision module and with each baseline picker. The runs are sequential, since parallel
-// ones would compete for the processors.
+// runAll runs each plan with the daemon's own balancer and with each baseline policy. The runs are sequential, since parallel
+// runs would compete for the processors.
 func (c *rehearseCommand) runAll(ctx context.Context, plans []*rehearse.Plan) ([]*rehearse.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -149,12 +149,12 @@
 	return results, nil
 }
 
-// options returns the options of a run whose sidecars are processes of this program. The balancer is rehearse.OwnBalancer or the
-// name of a baseline picker.
+// options returns the options of a run whose sidecars are processes of this program. balancer is rehearse.OwnBalancer or the
+// name of a baseline policy.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
-	isModule := balancer == rehearse.OwnBalancer
-	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, UsesOperatorsFile: c.UseServeCommand && isModule}
-	if !isModule {
+	isOwnBalancer := balancer == rehearse.OwnBalancer
+	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, UsesOperatorsFile: c.UseServeCommand && isOwnBalancer}
+	if !isOwnBalancer {
 		options.Command = func() *exec.Cmd { return exec.Command(executable, "plain", balancer) }
 	}
 	if c.LogDir != "" {
@@ -164,7 +164,7 @@
 }
 
 // writeResults prints the results and writes the files of --json and --report. It returns a verdictError if a run with the
-// decision module is not valid or broke a rule; the results of baseline pickers cause no error.
+// daemon's own balancer is not valid or broke a rule; the results of baseline policies cause no error.
 func (c *rehearseCommand) writeResults(results []*rehearse.Result, files *outputFiles) error {
 	table := io.Writer(os.Stdout)
 	if c.JSON == "-" {
@@ -176,8 +176,8 @@
 	if err := files.write(results); err != nil {
 		return verdictError{err}
 	}
-	moduleResults := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.OwnBalancer })
-	for _, r := range moduleResults {
+	ownResults := slices.DeleteFunc(slices.Clone(results), func(r *rehearse.Result) bool { return r.Balancer != rehearse.OwnBalancer })
+	for _, r := range ownResults {
 		switch {
 		case !r.Valid:
 			return verdictError{fmt.Errorf("%s is not valid: %s", r.Day, r.Invalid[0])}
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -33,7 +33,7 @@
 	if b.bar == nil {
 		return
 	}
-	servedFraction := 1.0 // value served in time over value offered so far
+	servedFraction := 1.0 // worth of the requests served in time, as a fraction of the worth of all requests offered so far
 	if s.OfferedValue > 0 {
 		servedFraction = s.InTimeValue / s.OfferedValue
 	}
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// tinyDay is the text of a file that specifies a day, a scenario to rehearse, of 2 s with two nodes and no faults.
+// tinyDay is the text of a day's file, which specifies a scenario to rehearse: 2 s with two nodes and no faults.
 const tinyDay = `format = 1
 name = "tiny"
 seed = 1
@@ -95,8 +95,8 @@
 	}
 }
 
-// A rehearsal breaks no rule either if its sidecars run with operators' files (--serve).
-func TestRehearseServeGivesTheSameVerdict(t *testing.T) {
+// A rehearsal whose sidecars run on operators' files (--serve) is valid and breaks no rule.
+func TestRehearseWithServeBreaksNoRule(t *testing.T) {
 	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
 	if code != 0 {
 		t.Fatalf("exit code %d, want 0\n%s\n%s", code, stdout, stderr)
@@ -120,7 +120,7 @@
 	}{
 		"invalid day":              {[]string{"rehearse", invalidDay}, ":15: tier[0].kind[0].cores: must be"},
 		"missing day":              {[]string{"rehearse", "nowhere.toml"}, "nowhere.toml"},
-		"unknown baseline picker":  {[]string{"rehearse", "--against", "best"}, "--against"},
+		"unknown baseline policy":  {[]string{"rehearse", "--against", "best"}, "--against"},
 		"unknown command":          {[]string{"rehearsal"}, "unexpected argument"},
 		"unknown flag":             {[]string{"rehearse", "--loud"}, "--loud"},
 		"zero demand":              {[]string{"rehearse", "--demand", "0"}, "--demand"},
@@ -159,7 +159,8 @@
 	}
 }
 
-// Two baseline pickers and two demand factors give six runs, all in the printed table.
+// A rehearsal with two baseline policies besides the daemon's own balancer, and with two demand factors, makes six runs, and
+// prints a table with all of them.
 func TestRehearseComparesBaselinesAndDemands(t *testing.T) {
 	var code int
 	var stdout, stderr string
@@ -189,20 +190,20 @@
 	}
 }
 
-// startRehearsal starts a rehearsal, waits until its clients send requests, and returns its command and standard error. The
-// standard error must not be read before the command has ended.
-func startRehearsal(t *testing.T, day string) (*exec.Cmd, *strings.Builder) {
+// startRehearsal starts a rehearsal of the day in the file dayFile, waits until its clients send requests, and returns its
+// command and standard error. The standard error must not be read before the command has ended.
+func startRehearsal(t *testing.T, dayFile string) (*exec.Cmd, *strings.Builder) {
 	t.Helper()
-	logs, stderr := t.TempDir(), &strings.Builder{}
-	cmd := programCommand("rehearse", day, "--logs", logs)
+	logDir, stderr := t.TempDir(), &strings.Builder{}
+	cmd := programCommand("rehearse", dayFile, "--logs", logDir)
 	cmd.Stderr = stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		found, _ := filepath.Glob(filepath.Join(logs, "*", "sidecar-1.log"))
-		if len(found) > 0 {
-			if text, _ := os.ReadFile(found[0]); strings.Contains(string(text), "listening") {
+		logFiles, _ := filepath.Glob(filepath.Join(logDir, "*", "sidecar-1.log"))
+		if len(logFiles) > 0 {
+			if text, _ := os.ReadFile(logFiles[0]); strings.Contains(string(text), "listening") {
 				break
 			}
 		}
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -18,8 +18,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runClosedLoop sends requests for a duration on the given number of connections: on each connection the next request follows
-// as soon as the response has arrived. It returns the requests per second, and the median and the p99 of the latencies.
+// runClosedLoop sends requests for a duration on the given number of connections. On each connection it sends the next request as
+// soon as the response has arrived. It returns the requests per second, and the median and the p99 of the latencies.
 func runClosedLoop(t *testing.T, addr string, connections int, duration time.Duration) (rate float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
@@ -35,7 +35,7 @@
 			}
 			defer nc.Close()
 			in := bufio.NewReader(nc)
-			var own []time.Duration
+			var ownLatencies []time.Duration
 			for time.Now().Before(end) {
 				start := time.Now()
 				_, _ = io.WriteString(nc, "GET /item/1 HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -45,11 +45,11 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
-				own = append(own, time.Since(start))
+				ownLatencies = append(ownLatencies, time.Since(start))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, own...)
+			latencies = append(latencies, ownLatencies...)
 		})
 	}
 	clients.Wait()
@@ -57,9 +57,9 @@
 	return float64(len(latencies)) / duration.Seconds(), latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 }
 
-// A measurement: throughput and latency of this daemon relative to httputil.ReverseProxy, each on one core and with the same
-// four nodes. The two are measured alternately, TULIPROCK_TEST_PROXY_TURNS times; without that variable the test is skipped.
-// See docs/design/012.
+// This test measures the throughput and the latency of this daemon relative to httputil.ReverseProxy, each on one core and with
+// the same four nodes. The two proxies are measured alternately, TULIPROCK_TEST_PROXY_TURNS times each; if that variable is not
+// set, the test is skipped. See docs/design/012.
 func TestThroughputAgainstReverseProxy(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_PROXY_TURNS"))
 	if turns == 0 {
@@ -69,7 +69,7 @@
 	config := "format = 1\n[daemon]\ncores = 1\n[[listener]]\nname = \"l\"\naddress = \"LISTEN\"\n[[class]]\nname = \"look\"\neffect = \"safe\"\n[[pool]]\nname = \"p\"\n"
 	for range 4 {
 		addr := testpeer.FreeAddress(t)
-		startPeer(t, "node", addr)
+		startServerProcess(t, "node", addr)
 		nodes = append(nodes, addr)
 		config += fmt.Sprintf("[[pool.member]]\naddress = %q\n", addr)
 	}
@@ -81,7 +81,7 @@
 	}
 	daemon := startProcess(t, "serve", "--config", path)
 	daemon.awaitText(t, "msg=listening")
-	startPeer(t, append([]string{"proxy", proxyAddr}, nodes...)...)
+	startServerProcess(t, append([]string{"proxy", proxyAddr}, nodes...)...)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p50s, p99s []float64
 		for i := range turns {
--- a/cmd/tuliprock/serve_test.go
+++ b/cmd/tuliprock/serve_test.go
@@ -12,8 +12,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// The daemon serves requests by the example file that ships, with stand-in nodes. A reload of an invalid file changes nothing
-// and logs the file, line and field. On SIGTERM the daemon exits without error.
+// A daemon on deploy/example.toml, an operators' file, serves requests with stand-in nodes. A reload of an invalid file changes
+// nothing and logs the file, line and field. On SIGTERM the daemon exits without error.
 func TestServeReloadsOnHangupAndKeepsConfigurationOnError(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.toml")
 	if err != nil {
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -19,25 +19,25 @@
 	ID              string `help:"Idempotency key of this change: a repeated change with the same key takes effect once. Default: a random key."`
 }
 
-// propose sends a change of a document to the daemon, which gets the cluster's agreement, and waits until all daemons act on
-// it. The id makes the change idempotent: if the outcome is indeterminate, the error names the id to retry with. verb is the
+// propose sends a change of a document to the daemon, which gets the cluster's agreement, and waits until all daemons act on the
+// change. f.ID makes the change idempotent: if the outcome is indeterminate, the error names the id to retry with. verb is the
 // cluster command, and furtherArgs are its arguments after the document's name.
-func (f *changeFlags) propose(verb, document string, body []byte, furtherArgs ...string) error {
+func (f *changeFlags) propose(verb, documentName string, body []byte, furtherArgs ...string) error {
 	if f.ID == "" {
 		f.ID = rand.Text()
 	}
-	expect := "-"
+	expectedVersion := "-" // any version
 	if f.ExpectedVersion != "" {
-		expect = f.ExpectedVersion
+		expectedVersion = f.ExpectedVersion
 	}
-	agreed, err := f.call(body, append([]string{verb, f.ID, expect, document}, furtherArgs...)...)
+	result, err := f.call(body, append([]string{verb, f.ID, expectedVersion, documentName}, furtherArgs...)...)
 	if indeterminate := (status.IndeterminateError{}); errors.As(err, &indeterminate) {
 		return verdictError{fmt.Errorf("%w; retry with --id %s", err, f.ID)}
 	}
 	if err != nil {
 		return err
 	}
-	return f.await(&changeResult{Format: 1, ID: f.ID, Version: agreed.Version, IsUnchanged: agreed.IsUnchanged})
+	return f.awaitRollout(&changeResult{Format: 1, ID: f.ID, Version: result.Version, IsUnchanged: result.IsUnchanged})
 }
 
 // settingsPutCommand makes the contents of a file a document of the agreed settings.
@@ -76,7 +76,7 @@
 // Run executes the command "settings remove". The parser kong calls it with the flags and arguments set.
 func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
-// settingsRevertCommand puts a document as it was at an earlier version. On the command line it is called back.
+// settingsRevertCommand puts a document as it was at an earlier version. On the command line it is named "back".
 type settingsRevertCommand struct {
 	changeFlags
 	Version uint64 `arg:"" help:"Version whose contents of the document are restored."`
@@ -96,9 +96,9 @@
 
 // Run executes the command "settings force". The parser kong calls it with the flags and arguments set.
 func (c *settingsForceCommand) Run() error {
-	agreed, err := c.call(nil, "force", rand.Text(), strconv.FormatUint(c.Version, 10))
+	result, err := c.call(nil, "force", rand.Text(), strconv.FormatUint(c.Version, 10))
 	if err != nil {
 		return err
 	}
-	return c.await(&changeResult{Format: 1, Version: agreed.Version})
+	return c.awaitRollout(&changeResult{Format: 1, Version: result.Version})
 }
--- a/cmd/tuliprock/settings_history.go
+++ b/cmd/tuliprock/settings_history.go
@@ -24,7 +24,7 @@
 	return c.printResult(result, func(w io.Writer) error { return c.writeHistory(w, result.History) })
 }
 
-// writeHistory prints the changes that the command's document name selects, one per line.
+// writeHistory prints the changes of the document c.Name, or those of all documents if c.Name is empty, one per line.
 func (c *settingsHistoryCommand) writeHistory(w io.Writer, history []status.HistoryEntry) error {
 	var rows strings.Builder
 	for _, h := range history {
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -14,19 +14,19 @@
 	WaitTimeout time.Duration `name:"wait" default:"60s" help:"How long to wait until all daemons act on the version; 0s: return when it is agreed on."`
 }
 
-// changeResult is the result of a change of the settings, as written by --json.
+// changeResult is the result of a change of the settings, which --json writes.
 type changeResult struct {
 	Format         int                    `json:"format"`         // version of this JSON format, always 1
 	ID             string                 `json:"id"`             // idempotency key of the change
 	Version        uint64                 `json:"version"`        // version that the change made
-	IsUnchanged    bool                   `json:"same,omitempty"` // the change left the document as it was
-	IsActiveOnAll  bool                   `json:"all_act"`        // all daemons act on this version or a later one
-	LaggingDaemons []status.LaggingDaemon `json:"lags,omitempty"` // daemons that delay the version, if not all act on it
+	IsUnchanged    bool                   `json:"same,omitempty"` // whether the change left the document as it was
+	IsActiveOnAll  bool                   `json:"all_act"`        // whether all daemons act on this version or a later one
+	LaggingDaemons []status.LaggingDaemon `json:"lags,omitempty"` // daemons that the cluster still waits for before all act on the version; empty if all act on it
 }
 
-// await waits until all daemons act on the version that was agreed on. It prints the progress line by line, and writes the
+// awaitRollout waits until all daemons act on the version that was agreed on. It prints the progress line by line, and writes the
 // result as JSON at the end if --json is given; if the JSON goes to standard output, no lines are printed.
-func (f *rolloutFlags) await(result *changeResult) error {
+func (f *rolloutFlags) awaitRollout(result *changeResult) error {
 	printf := func(format string, args ...any) {
 		if f.JSON != "-" {
 			fmt.Printf(format+"\n", args...)
@@ -54,10 +54,10 @@
 	return err
 }
 
-// awaitActiveOnAll polls the daemon until all daemons act on the version of result, and records in result how far that is.
-// It returns a verdictError on timeout.
+// awaitActiveOnAll polls the daemon until all daemons act on the version of result. After each poll it records in result whether
+// all daemons act on the version, and which daemons lag. It returns a verdictError on timeout.
 func (f *rolloutFlags) awaitActiveOnAll(result *changeResult) error {
-	// The error of the last poll is dropped: after a timeout it adds nothing, and after a success there is none.
+	// The error of the last poll is dropped: after a timeout it adds nothing to the verdictError, and after a success there is none.
 	_, ok, _ := f.pollUntil(f.WaitTimeout, func(s *status.Settings) bool {
 		result.IsActiveOnAll, result.LaggingDaemons = s.FullyActiveVersion >= result.Version, s.LaggingDaemons
 		return result.IsActiveOnAll
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -17,12 +17,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// settingsMarkHeader is a header that a route of the agreed settings sets on each request. Its value, the mark, tells under
-// which text of the settings the request was forwarded.
+// settingsMarkHeader is a header that a route of the agreed settings sets on each request. Its value, the mark, is different in
+// each text of the settings, and so tells which text a daemon acted on when it forwarded the request.
 const settingsMarkHeader = "X-Settings"
 
-// settingsText returns the text of a shared document that marks requests, with a comment of pad bytes to make it longer. With
-// these settings a daemon without a lease sheds all requests.
+// settingsText returns the text of a shared document that sets settingsMarkHeader to mark on each request, with a comment of pad
+// bytes to make the text longer. With these settings a daemon without a lease sheds all requests.
 func (c *testCluster) settingsText(mark string, pad int) []byte {
 	return fmt.Appendf(nil, `format = 1
 shared = { unsure = "refuse" }
@@ -70,10 +70,10 @@
 	c.t.Logf("after %v all daemons act on version %d", time.Since(start).Round(time.Millisecond), version)
 }
 
-// The settings commands against a cluster of five daemons: a document that is put becomes active on all. A version that some
-// daemons cannot act on stays pending until it is superseded by the next one or is forced. A daemon without a lease sheds
-// requests, and a restarted one resumes with the settings that it persisted.
-func TestSettingsCommandsOnFiveDaemons(t *testing.T) {
+// In a cluster of five daemons, a document that is put becomes active on all daemons. A version that some daemons cannot act on
+// stays pending until the next version supersedes it or it is forced. A daemon without a lease sheds requests, and a restarted
+// daemon resumes with the settings that it persisted.
+func TestAgreedSettingsBecomeActiveOnAllDaemons(t *testing.T) {
 	var mu sync.Mutex
 	requestsBySettingsMark := map[string]int{}
 	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// unmetGoal describes, for the error message, that the change has not taken effect.
+// unmetGoal describes, for the error message after a timeout, that the requested change of the voters has not taken effect.
 func (c *settingsVotersCommand) unmetGoal() string {
 	if c.Change == "add" {
 		return c.Name + " does not vote yet"
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A measurement: how large the memory and the data_dirs of daemons become while the shared document is put again and again,
-// for the duration TULIPROCK_TEST_SETTINGS_SOAK (such as 10m); without that variable the test is skipped. See docs/design/027.
+// This test measures how large the memory and the data_dirs of daemons become while the shared document is put again and again,
+// for the duration TULIPROCK_TEST_SETTINGS_SOAK (such as 10m); if that variable is not set, the test is skipped. See
+// docs/design/027.
 func TestSettingsSoakMemoryAndDisk(t *testing.T) {
 	duration, err := time.ParseDuration(os.Getenv("TULIPROCK_TEST_SETTINGS_SOAK"))
 	if err != nil {
--- a/cmd/tuliprock/simulations.go
+++ b/cmd/tuliprock/simulations.go
@@ -7,8 +7,8 @@
 	"tuliprock/internal/testkit/swimsim"
 )
 
-// consensusSimCommand measures how fast simulated clusters agree on changes of settings. On the command line it is
-// called council.
+// consensusSimCommand measures how fast simulated clusters agree on changes of settings. On the command line it is named
+// "council".
 type consensusSimCommand struct {
 	Daemons []int  `sep:"," default:"3,7,50,300" help:"Numbers of daemons in the simulated fleets, each with three voters."`
 	Seed    uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
@@ -17,8 +17,8 @@
 // Run executes the command "council". The parser kong calls it with the flags and arguments set.
 func (c *consensusSimCommand) Run() error { return raftsim.Tables(os.Stdout, c.Daemons, c.Seed) }
 
-// failureDetectorSimCommand measures the failure detector of simulated clusters. On the command line it is called
-// detector.
+// failureDetectorSimCommand measures the failure detector of simulated clusters. On the command line it is named
+// "detector".
 type failureDetectorSimCommand struct {
 	Nodes []int  `sep:"," default:"10,100,1000" help:"Numbers of daemons in the simulated fleets."`
 	Seed  uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
--- a/cmd/tuliprock/stand_in.go
+++ b/cmd/tuliprock/stand_in.go
@@ -29,7 +29,7 @@
 			_ = s.Close() // an error does not matter, since the process ends now
 		}
 	}()
-	failed := make(chan error, len(c.Addresses))
+	serveErrs := make(chan error, len(c.Addresses))
 	for _, address := range c.Addresses {
 		listener, err := listenOnLoopback(address)
 		if err != nil {
@@ -40,14 +40,14 @@
 		fmt.Fprintln(os.Stderr, "stand-in node at", listener.Addr())
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				failed <- err
+				serveErrs <- err
 			}
 		}()
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-failed:
+	case err := <-serveErrs:
 		return fmt.Errorf("stand-in: %w", err)
 	}
 }
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -24,12 +24,12 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// startStreamingDaemon starts a daemon on one core with its only node, which serves large bodies on one core. daemonSettings
-// are more lines of the table daemon. It returns the daemon and the addresses of the daemon and of the node.
+// startStreamingDaemon starts a daemon and its only node, which serves large bodies, each on one core. daemonSettings are further
+// lines of the table daemon in the operators' file. It returns the daemon and the addresses of the daemon and of the node.
 func startStreamingDaemon(t *testing.T, daemonSettings string) (daemon *process, daemonAddr, nodeAddr string) {
 	t.Helper()
 	nodeAddr = testpeer.FreeAddress(t)
-	startPeer(t, "bulk", nodeAddr)
+	startServerProcess(t, "bulk", nodeAddr)
 	daemonAddr = testpeer.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "ops.toml")
 	text := fmt.Sprintf("format = 1\n[daemon]\ncores = 1\n%s\n[[listener]]\nname = \"l\"\naddress = %q\nbody_bytes = 4294967296\n[[class]]\nname = \"put\"\neffect = \"unsafe\"\ndeadline = \"30s\"\n"+
@@ -65,14 +65,14 @@
 // TULIPROCK_TEST_STREAMED_GIB sets the size of the bodies in GiB, for the measurement of docs/design/016; without it the bodies
 // are smaller.
 func TestStreamingBodiesStayUnderMemoryCeiling(t *testing.T) {
-	gib, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_STREAMED_GIB"))
-	// The single body is larger than memoryLimitKiB, so that the test fails if the daemon buffers it. The slow sides transfer
-	// slowMiBPerSecond MiB per second.
+	bodyGiB, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_STREAMED_GIB"))
+	// A body of singleSize bytes is larger than memoryLimitKiB, so that the test fails if the daemon buffers the body. Slow nodes
+	// and slow clients transfer slowMiBPerSecond MiB per second.
 	singleSize, concurrentSize, slowMiBPerSecond := int64(256<<20), int64(1<<20), 4
-	if gib > 0 {
-		singleSize, concurrentSize, slowMiBPerSecond = int64(gib)<<30, int64(gib)<<30/50, 20
+	if bodyGiB > 0 {
+		singleSize, concurrentSize, slowMiBPerSecond = int64(bodyGiB)<<30, int64(bodyGiB)<<30/50, 20
 	}
-	memoryLimitKiB := 32 << 10 // limit of the memory beyond that of the idle daemon
+	memoryLimitKiB := 32 << 10 // limit of the memory that the daemon may use in addition to its memory when idle
 	if isRaceDetectorOn {      // the race detector's shadow memory is several times as large as the memory of the program
 		memoryLimitKiB = 128 << 10
 	}
@@ -85,9 +85,9 @@
 	for _, row := range []struct {
 		name       string
 		count      int    // number of concurrent transfers
-		size       int64  // bytes of each body
+		size       int64  // size of each body in bytes
 		query      string // URL query that serveBulk reads
-		clientRate int    // bytes per second of each client; 0: not limited
+		clientRate int    // maximum rate of each client in bytes per second; 0: not limited
 	}{
 		{"1 transfer", 1, singleSize, "", 0}, {"50 transfers", 50, concurrentSize, "", 0},
 		{"50 transfers, slow node", 50, concurrentSize, fmt.Sprintf("mbs=%d", slowMiBPerSecond), 0},
@@ -121,9 +121,9 @@
 	}
 }
 
-// A measurement: throughput and processor time of large bodies through this daemon, through httputil.ReverseProxy and through
-// a loop of io.Copy, each on one core. The three are measured alternately, TULIPROCK_TEST_THROUGHPUT_TURNS times; without that
-// variable the test is skipped. See docs/design/016.
+// This test measures the throughput and the processor time of transfers of large bodies through this daemon, through
+// httputil.ReverseProxy and through a loop of io.Copy, each on one core. The three are measured in turn,
+// TULIPROCK_TEST_THROUGHPUT_TURNS times each; if that variable is not set, the test is skipped. See docs/design/016.
 func TestStreamingThroughputAgainstReverseProxyAndSplice(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_THROUGHPUT_TURNS"))
 	if turns == 0 {
@@ -131,16 +131,16 @@
 	}
 	daemon, daemonAddr, nodeAddr := startStreamingDaemon(t, "")
 	addrs := []string{daemonAddr, testpeer.FreeAddress(t), testpeer.FreeAddress(t)}
-	pids := []int{daemon.cmd.Process.Pid, startPeer(t, "proxy", addrs[1], nodeAddr), startPeer(t, "splice", addrs[2], nodeAddr)}
+	pids := []int{daemon.cmd.Process.Pid, startServerProcess(t, "proxy", addrs[1], nodeAddr), startServerProcess(t, "splice", addrs[2], nodeAddr)}
 	const totalBytes = 2 << 30
 	for _, direction := range []string{"up", "down"} {
 		for _, count := range []int{1, 8} {
-			var rates, cpus [2][]float64 // ratios of the daemon's to ReverseProxy's and to the io.Copy loop's, one per turn
+			var rates, cpuTimes [2][]float64 // throughput and processor time of the daemon, divided by those of ReverseProxy (index 0) and of the io.Copy loop (index 1); one ratio per turn
 			for i := range turns {
-				var rate, cpu [3]float64 // MiB per second, and seconds of processor time per GiB
+				var rate, cpuTime [3]float64 // throughput in MiB per second and processor time in seconds per GiB, of the daemon, ReverseProxy and the io.Copy loop
 				for k := range 3 {
 					variant := (i + k) % 3
-					start, cpuBefore := time.Now(), processorTime(pids[variant])
+					start, cpuTimeBefore := time.Now(), processorTime(pids[variant])
 					var transfers sync.WaitGroup
 					for range count {
 						transfers.Go(func() {
@@ -151,22 +151,22 @@
 					}
 					transfers.Wait()
 					rate[variant] = totalBytes / time.Since(start).Seconds() / (1 << 20)
-					cpu[variant] = (processorTime(pids[variant]) - cpuBefore).Seconds() / (float64(totalBytes) / (1 << 30))
+					cpuTime[variant] = (processorTime(pids[variant]) - cpuTimeBefore).Seconds() / (float64(totalBytes) / (1 << 30))
 				}
 				t.Logf("%s, %d concurrent; daemon, ReverseProxy and io.Copy: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor time per GiB",
-					direction, count, rate[0], rate[1], rate[2], cpu[0], cpu[1], cpu[2])
+					direction, count, rate[0], rate[1], rate[2], cpuTime[0], cpuTime[1], cpuTime[2])
 				for k := range 2 {
-					rates[k], cpus[k] = append(rates[k], rate[0]/rate[k+1]), append(cpus[k], cpu[0]/cpu[k+1])
+					rates[k], cpuTimes[k] = append(rates[k], rate[0]/rate[k+1]), append(cpuTimes[k], cpuTime[0]/cpuTime[k+1])
 				}
 			}
 			t.Logf("%s, %d concurrent; daemon relative to ReverseProxy and to io.Copy: rate %s and %s, processor time %s and %s",
-				direction, count, formatRatios(rates[0]), formatRatios(rates[1]), formatRatios(cpus[0]), formatRatios(cpus[1]))
+				direction, count, formatRatios(rates[0]), formatRatios(rates[1]), formatRatios(cpuTimes[0]), formatRatios(cpuTimes[1]))
 		}
 	}
 }
 
-// measureSmallRequests sends small requests at a steady rate. It returns the median and the p99 of the latencies, in µs from the time
-// each request was due, and the fraction of requests that were shed.
+// measureSmallRequests sends small requests at a steady rate for a duration. It returns the median and the p99 of the latencies
+// in µs, measured from the time at which each request was due, and the fraction of requests that were shed.
 func measureSmallRequests(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
 	t.Helper()
 	const connections = 500
@@ -187,21 +187,21 @@
 	outcomes := result.CountByOutcome()
 	for outcome, n := range outcomes {
 		if outcome != "200" && outcome != "503" {
-			t.Errorf("%d lookups had the outcome %s, want 200 or 503", n, outcome)
+			t.Errorf("%d small requests had the outcome %s, want 200 or 503", n, outcome)
 		}
 	}
 	quantileUs := func(q float64) float64 { return float64(result.Latency.Quantile(q).Microseconds()) }
 	return quantileUs(0.5), quantileUs(0.99), float64(outcomes["503"]) / float64(result.Scheduled)
 }
 
-// A measurement: latency of small requests without other load, during 50 large transfers through the same daemon and pool, and
-// during 50 transfers that bypass the daemon. The three are measured alternately, TULIPROCK_TEST_LOOKUP_TURNS times, with
-// TULIPROCK_TEST_TRANSFER_MIB_PER_S MiB per second for each transfer; without both variables the test is skipped. See
-// docs/design/016.
+// This test measures the latency of small requests in three situations: without other load, during 50 large transfers through
+// the same daemon and pool, and during 50 transfers that bypass the daemon. Each situation is measured
+// TULIPROCK_TEST_LOOKUP_TURNS times, in turn, and each transfer runs at TULIPROCK_TEST_TRANSFER_MIB_PER_S MiB per second; unless
+// both variables are set, the test is skipped. See docs/design/016.
 func TestSmallRequestLatencyDuringTransfers(t *testing.T) {
 	turns, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOOKUP_TURNS"))
-	rate, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_TRANSFER_MIB_PER_S"))
-	if turns == 0 || rate == 0 {
+	transferMiBPerSecond, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_TRANSFER_MIB_PER_S"))
+	if turns == 0 || transferMiBPerSecond == 0 {
 		t.Skip("TULIPROCK_TEST_LOOKUP_TURNS and TULIPROCK_TEST_TRANSFER_MIB_PER_S are not both set: this is a measurement, for an idle machine")
 	}
 	_, daemonAddr, nodeAddr := startStreamingDaemon(t, "")
@@ -211,7 +211,7 @@
 		for i := range 50 {
 			transfers.Go(func() {
 				direction := []string{"up", "down"}[i%2]
-				if _, _, err := transferUntilAdmitted(addr, direction, "", int64(rate)<<20*6, false, rate<<20); err != nil {
+				if _, _, err := transferUntilAdmitted(addr, direction, "", int64(transferMiBPerSecond)<<20*6, false, transferMiBPerSecond<<20); err != nil {
 					t.Error(err)
 				}
 			})
@@ -219,7 +219,7 @@
 		time.Sleep(time.Second)
 		return &transfers
 	}
-	var throughRatios, bypassRatios []float64 // ratio of the p99 with transfers to the p99 without, one per turn
+	var throughRatios, bypassRatios []float64 // p99 during transfers through the daemon or past it, divided by the p99 without transfers; one ratio per turn
 	for i := range turns {
 		var p99 [3]float64
 		for k := range 3 {
@@ -238,13 +238,13 @@
 		}
 		throughRatios, bypassRatios = append(throughRatios, p99[1]/p99[0]), append(bypassRatios, p99[2]/p99[0])
 	}
-	t.Logf("p99 of lookups relative to that without transfers: %s with 50 transfers of %d MiB/s through the daemon, %s if they bypass it",
-		formatRatios(throughRatios), rate, formatRatios(bypassRatios))
+	t.Logf("p99 of small requests relative to that without transfers: %s with 50 transfers of %d MiB/s through the daemon, %s if they bypass it",
+		formatRatios(throughRatios), transferMiBPerSecond, formatRatios(bypassRatios))
 }
 
-// 500 concurrent uploads of 1 GiB each, to a daemon with a memory limit of 192 MB and 1,024 descriptors: most wait or are shed,
-// small requests are served meanwhile, and all uploads have got a response when the daemon has shut down. The daemon gets SIGTERM
-// after TULIPROCK_TEST_UPLOAD_SECONDS; without that variable the test is skipped.
+// A daemon with a memory limit of 192 MB and 1,024 descriptors gets 500 concurrent uploads of 1 GiB each: most of them wait or are
+// shed, small requests are served meanwhile, and all uploads have got a response when the daemon has shut down. The daemon gets
+// SIGTERM after TULIPROCK_TEST_UPLOAD_SECONDS seconds; if that variable is not set, the test is skipped.
 func TestManyConcurrentUploadsAreAllAnswered(t *testing.T) {
 	seconds, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_UPLOAD_SECONDS"))
 	if seconds == 0 {
@@ -278,7 +278,7 @@
 	}
 	time.Sleep(time.Duration(seconds) * time.Second)
 	p50, p99, shedFraction := measureSmallRequests(t, daemonAddr, 2*time.Second)
-	t.Logf("lookups meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
+	t.Logf("small requests meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
 		p50, p99, shedFraction, processMemoryKiB(pid, "VmHWM"))
 	_ = daemon.cmd.Process.Signal(syscall.SIGTERM)
 	uploads.Wait()
--- a/cmd/tuliprock/transfer_test.go
+++ b/cmd/tuliprock/transfer_test.go
@@ -20,13 +20,13 @@
 // "ok". mbs=N limits the rate to N MiB per second; it has no effect on an upload without hash=1.
 func serveBulk(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	pace := func(in io.Reader) io.Reader { return in }
-	if mbs, _ := strconv.Atoi(query.Get("mbs")); mbs > 0 {
-		pace = func(in io.Reader) io.Reader { return &pacedReader{in, mbs << 20, time.Now(), 0} }
+	limitRate := func(in io.Reader) io.Reader { return in }
+	if miBPerSecond, _ := strconv.Atoi(query.Get("mbs")); miBPerSecond > 0 {
+		limitRate = func(in io.Reader) io.Reader { return &pacedReader{in, miBPerSecond << 20, time.Now(), 0} }
 	}
 	if n, err := strconv.ParseInt(query.Get("give"), 10, 64); err == nil {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
-		_, _ = io.CopyBuffer(struct{ io.Writer }{w}, pace(newBody(query.Get("hash") != "", n)), make([]byte, 256<<10))
+		_, _ = io.CopyBuffer(struct{ io.Writer }{w}, limitRate(newBody(query.Get("hash") != "", n)), make([]byte, 256<<10))
 		return
 	}
 	if query.Get("hash") == "" {
@@ -35,7 +35,7 @@
 		return
 	}
 	h := sha256.New()
-	_, _ = io.CopyBuffer(h, pace(r.Body), make([]byte, 256<<10))
+	_, _ = io.CopyBuffer(h, limitRate(r.Body), make([]byte, 256<<10))
 	_, _ = fmt.Fprintf(w, "%x", h.Sum(nil)) // an incomplete body gives another hash, which the client detects
 }
 
@@ -56,7 +56,8 @@
 	return n, err
 }
 
-// newBody returns a body of n bytes: pseudo-random ones, always the same, or bytes of any value if isRandom is false.
+// newBody returns a body of n bytes. If isRandom is true, the bytes are pseudo-random and the same in each call; otherwise they
+// are arbitrary.
 func newBody(isRandom bool, n int64) io.Reader {
 	if isRandom {
 		return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
@@ -64,12 +65,13 @@
 	return io.LimitReader(undefinedBytesReader{}, n)
 }
 
-// undefinedBytesReader is an endless source of arbitrary bytes: it leaves the buffer as it is, so that it takes no time.
+// undefinedBytesReader is an endless source of arbitrary bytes. Its Read leaves the buffer as it is, so that it takes no time.
 type undefinedBytesReader struct{}
 
 func (undefinedBytesReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// serveSplice forwards connections with io.Copy, which uses splice: the upper bound of what a proxy on this system can do.
+// serveSplice forwards connections to targetAddr with io.Copy, which uses the system call splice. Its throughput is an upper
+// bound of the throughput of a proxy on this system.
 func serveSplice(listenAddr, targetAddr string) error {
 	l, err := net.Listen("tcp", listenAddr)
 	if err != nil {
@@ -146,8 +148,8 @@
 
 var errShed = errors.New("shed with status 503")
 
-// transferUntilAdmitted is like transfer, but retries while the request is shed, since the decision module admits no more
-// concurrent requests than the endpoints have capacity for. It also returns how often the request was shed.
+// transferUntilAdmitted is like transfer, but retries while the request is shed, since the balancer admits no more concurrent
+// requests than the endpoints have capacity for. It also returns how often the request was shed.
 func transferUntilAdmitted(addr, direction, query string, n int64, isRandom bool, rate int) (got string, shedCount int, err error) {
 	for end := time.Now().Add(testpeer.Timeout); ; time.Sleep(100 * time.Millisecond) {
 		got, err = transfer(addr, direction, query, n, isRandom, rate)
