--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -46,7 +46,7 @@
 
 	// readErrorLogInterval is the minimum time between two log lines about a state that can't be read.
 	readErrorLogInterval = 10 * time.Second
-	// maxNamePartBytes is how many bytes of a sidecar's name are used in file names.
+	// maxNamePartBytes is the maximum number of bytes of a sidecar's name that are used in file names.
 	maxNamePartBytes = 64
 )
 
@@ -113,14 +113,14 @@
 
 // Poll returns the latest state that could be read, this process's view of it, and the total number of descriptors that the
 // other live processes report. It reports to them that this process uses ownDescriptors, or leaves the last report unchanged
-// if that is KeepReportedDescriptors.
+// if ownDescriptors is KeepReportedDescriptors.
 func (d *Directory) Poll(ownDescriptors int) (s State, v View, othersDescriptors int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reportDescriptors(ownDescriptors)
 	if err := d.reloadChangedState(); err != nil && time.Since(d.lastReadErrorLogTime) > readErrorLogInterval {
 		d.lastReadErrorLogTime = time.Now()
-		d.logger.Error("hot restart state can't be read", "error", err) // the next process that changes the state sets the unreadable one aside
+		d.logger.Error("hot restart state can't be read", "error", err) // the file remains until a process changes the state, which renames an invalid file to end in .bad
 	}
 	v = d.lastState.View(d.processNumber, d.isProcessAlive)
 	for _, number := range v.Others {
@@ -133,7 +133,7 @@
 // parsing fails, lastState stays unchanged. d.mu must be held.
 func (d *Directory) reloadChangedState() error {
 	info, err := os.Stat(d.statePath())
-	if err != nil { // no process has written a state, or one has just set it aside and not replaced it yet
+	if err != nil { // no process has written a state yet, or an invalid state file was just renamed and is not replaced yet
 		return nil
 	}
 	if d.lastStateFileInfo != nil && os.SameFile(info, d.lastStateFileInfo) && info.ModTime().Equal(d.lastStateFileInfo.ModTime()) {
@@ -229,8 +229,9 @@
 	return io.ReadAll(io.LimitReader(f, maxStateBytes))
 }
 
-// fileNamePart returns the part of the file names that stands for a sidecar's name. Names with characters that are unsafe in
-// a path, and long names, are shortened and get a hash, so that different sidecars use different files.
+// fileNamePart returns the part of the file names that stands for a sidecar's name. Characters that are unsafe in a path are
+// replaced, and long names are cut off. A name that was changed in this way gets a hash of the full name as its suffix, so that
+// different sidecars use different files.
 func fileNamePart(name string) string {
 	safeName := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -15,7 +15,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// joinSidecar joins sidecar n1 as a new process would. simulateKill ends that process, at the latest when the test ends.
+// joinSidecar joins sidecar n1 as a new process would. The simulated process is killed at the end of the test, unless the test
+// has killed it before.
 func joinSidecar(t *testing.T, dir string) *Directory {
 	t.Helper()
 	d, err := Join(dir, "n1", discardLog)
@@ -26,7 +27,7 @@
 	return d
 }
 
-// simulateKill does to the directory what SIGKILL of the process does: the live file stays, and its lock is released.
+// simulateKill has the effect on the directory that SIGKILL of the process has: the live file stays, and its lock is released.
 func (d *Directory) simulateKill() { d.liveFile.Close() }
 
 // mustSetReady records that the process accepts connections, and fails the test if that is not possible.
@@ -37,7 +38,8 @@
 	}
 }
 
-// expectView polls, and checks whether the process is superseded and which other processes are alive.
+// expectView polls, and fails the test unless the process is superseded exactly if isSuperseded is true, and the live processes
+// besides it are others.
 func (d *Directory) expectView(t *testing.T, isSuperseded bool, others ...int) {
 	t.Helper()
 	if _, v, _ := d.Poll(KeepReportedDescriptors); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
@@ -104,7 +106,7 @@
 			t.Errorf("process %d has the ejections %v, want %v", d.Number(), s.Ejections, want)
 		}
 	}
-	// A change after the retention removes the entry of the endpoint that was restored, and keeps that of the ejected one.
+	// A change after restoredEntryRetention removes the entry of the restored endpoint s-2, and keeps that of the ejected s-1.
 	if err := b.RecordEjection("s-3", false, at.Add(2*restoredEntryRetention)); err != nil {
 		t.Fatal(err)
 	}
@@ -203,13 +205,13 @@
 }
 
 func TestFileNamesOfDifferentSidecarsDiffer(t *testing.T) {
-	names := map[string]string{}
+	sidecarByNamePart := map[string]string{}
 	for _, name := range []string{"n1", "n/1", "n_1", "n:1", "", "..", strings.Repeat("x", 300), strings.Repeat("x", 301)} {
-		file := fileNamePart(name)
-		if other, isTaken := names[file]; isTaken || strings.ContainsAny(file, "/.") || len(file) > 100 {
-			t.Errorf("sidecar %.20q gets the file name part %q (taken by sidecar %.20q: %v); want a unique one without / and . of at most 100 bytes", name, file, other, isTaken)
+		namePart := fileNamePart(name)
+		if other, isTaken := sidecarByNamePart[namePart]; isTaken || strings.ContainsAny(namePart, "/.") || len(namePart) > 100 {
+			t.Errorf("sidecar %.20q gets the file name part %q (taken by sidecar %.20q: %v); want a unique one without / and . of at most 100 bytes", name, namePart, other, isTaken)
 		}
-		names[file] = name
+		sidecarByNamePart[namePart] = name
 	}
 }
 
--- a/internal/hotrestart/ejections.go
+++ b/internal/hotrestart/ejections.go
@@ -22,24 +22,24 @@
 // ErrTooManyEjections means that an endpoint was not ejected because MaxEjections endpoints are ejected already.
 var ErrTooManyEjections = fmt.Errorf("%d endpoints are out already: no more can be", MaxEjections)
 
-// Ejection records that an operator ejected an endpoint, or restored it later. A State has at most one for each endpoint.
+// Ejection records that an operator ejected an endpoint, or restored it later. A State has at most one Ejection per endpoint.
 type Ejection struct {
 	ID      string `json:"id"`    // ID of the endpoint
 	Ejected bool   `json:"out"`   // true: the endpoint was ejected; false: it was restored
 	AtMs    int64  `json:"at_ms"` // Unix time in milliseconds at which the operator ejected or restored the endpoint
 }
 
-// IsRecentlyRestored reports whether the endpoint was restored so recently that it may still be in its slow start. The check
-// of the age is needed because older entries remain in a State until its next change.
+// IsRecentlyRestored reports whether the endpoint was restored so recently that it may still be in its slow start. The age must
+// be checked because entries older than restoredEntryRetention remain in a State until its next change.
 func (e Ejection) IsRecentlyRestored(now time.Time) bool {
 	age := now.Sub(time.UnixMilli(e.AtMs)) // negative if the wall clock was set back
 	return !e.Ejected && age < restoredEntryRetention && age > -restoredEntryRetention
 }
 
-// recordEjection adds an entry in place of an earlier one of the same endpoint, and removes entries of endpoints that were
-// restored more than restoredEntryRetention ago. If maxRestoredEntries entries of restored endpoints are left and latest
-// is another one, the first of them is removed. The error is ErrTooManyEjections if latest ejects an endpoint while
-// MaxEjections others are ejected.
+// recordEjection adds the entry latest in place of an earlier entry of the same endpoint, and removes entries of endpoints that
+// were restored more than restoredEntryRetention before or after latest. If latest is the entry of a restored endpoint and
+// maxRestoredEntries other entries of restored endpoints remain, the first of them in the list is removed too. The error is
+// ErrTooManyEjections if latest ejects an endpoint while MaxEjections others are ejected.
 func (s *State) recordEjection(latest Ejection) error {
 	ejectedCount := 0
 	s.Ejections = slices.DeleteFunc(s.Ejections, func(e Ejection) bool {
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// endpointListTimeout is how long a starting process waits for complete endpoint lists. Discovery runs on the same
-	// machine and responds at once or not at all.
+	// endpointListTimeout is how long a starting process waits for complete endpoint lists. The discovery service runs on the
+	// same machine, and responds at once or not at all.
 	endpointListTimeout = 2 * time.Second
-	// successorMinStartTime is how long a successor stays in phase Starting at least. By then the older processes have
-	// polled, and have lowered their descriptor limits to make room for it.
+	// successorMinStartTime is the minimum time for which a successor stays in phase Starting. Within this time the older
+	// processes poll and lower their descriptor limits, so that descriptors are free for the successor.
 	successorMinStartTime = 3 * PollInterval / 2
-	// minDrainTime is how long a superseded process keeps running at least, so that it can serve again if its successor
-	// dies soon.
+	// minDrainTime is the minimum time for which a superseded process keeps running, so that it can serve again if its
+	// successor dies soon.
 	minDrainTime = time.Second
 )
 
--- a/internal/hotrestart/lifecycle_test.go
+++ b/internal/hotrestart/lifecycle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-func TestLifecyclePhases(t *testing.T) {
-	alone, older, superseded := View{}, View{Others: []int{1}}, View{Others: []int{2}, Superseded: true}
+func TestLifecycleChoosesPhaseByViewListsAndConnections(t *testing.T) {
+	alone, withOlder, superseded := View{}, View{Others: []int{1}}, View{Others: []int{2}, Superseded: true}
 	type update struct {
 		now              time.Duration
 		view             View
@@ -21,16 +21,16 @@
 			{s, alone, true, 5, Serving},
 		},
 		"a successor waits until the older process has polled": {
-			{0, older, true, 0, Starting},
-			{successorMinStartTime, older, true, 0, Serving},
-			{s, older, true, 9, Serving},
+			{0, withOlder, true, 0, Starting},
+			{successorMinStartTime, withOlder, true, 0, Serving},
+			{s, withOlder, true, 9, Serving},
 		},
 		"the endpoint lists stay incomplete": {
-			{s, older, false, 0, Starting},
-			{endpointListTimeout, older, false, 0, Serving},
+			{s, withOlder, false, 0, Starting},
+			{endpointListTimeout, withOlder, false, 0, Serving},
 		},
 		"the older process dies while the successor starts": {
-			{0, older, false, 0, Starting},
+			{0, withOlder, false, 0, Starting},
 			{1, alone, false, 0, Serving},
 		},
 		"a superseded process drains its connections": {
--- a/internal/hotrestart/livefile.go
+++ b/internal/hotrestart/livefile.go
@@ -45,8 +45,9 @@
 	return errors.Is(err, unix.EWOULDBLOCK)
 }
 
-// reportDescriptors writes into the live file that this process uses count descriptors, unless it has reported the same count
-// already or count is KeepReportedDescriptors. If the write fails, the next call tries again. d.mu must be held.
+// reportDescriptors writes count, the number of descriptors that this process uses, into the live file. It writes nothing if the
+// file has the same count already, or if count is KeepReportedDescriptors. If the write fails, the next call tries again. d.mu
+// must be held.
 func (d *Directory) reportDescriptors(count int) {
 	if count == d.reportedDescriptors || count < 0 {
 		return
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -84,18 +84,18 @@
 	if isListening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || isListening == 0 {
 		return fmt.Errorf("descriptor %d does not listen", fd)
 	}
-	actual, err := boundTCPAddr(fd)
+	actualAddr, err := boundTCPAddr(fd)
 	if err != nil {
 		return err
 	}
-	expected, err := net.ResolveTCPAddr("tcp", address)
+	expectedAddr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return err
 	}
-	acceptsAnyIP := expected.IP == nil || expected.IP.IsUnspecified()
-	isSameIP := actual.IP.IsUnspecified() || acceptsAnyIP || actual.IP.Equal(expected.IP)
-	if actual.Port != expected.Port || !isSameIP {
-		return fmt.Errorf("descriptor %d listens at %s, not at %s", fd, actual, address)
+	expectsAnyIP := expectedAddr.IP == nil || expectedAddr.IP.IsUnspecified()
+	matchesIP := actualAddr.IP.IsUnspecified() || expectsAnyIP || actualAddr.IP.Equal(expectedAddr.IP)
+	if actualAddr.Port != expectedAddr.Port || !matchesIP {
+		return fmt.Errorf("descriptor %d listens at %s, not at %s", fd, actualAddr, address)
 	}
 	return nil
 }
--- a/internal/hotrestart/socket_test.go
+++ b/internal/hotrestart/socket_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestInheritedDescriptor(t *testing.T) {
+func TestInheritedDescriptorAcceptsOnlyNumbersFrom3(t *testing.T) {
 	const variable = "ROUTER_LISTEN_FD"
 	for value, want := range map[string]int{"": 0, "5": 5, "3": 3} {
 		if fd, err := InheritedDescriptor(variable, value); err != nil || fd != want {
@@ -62,11 +62,11 @@
 		t.Fatal(err)
 	}
 	defer udpConn.Close()
-	unbound, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
+	unboundFD, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(unbound)
+	defer unix.Close(unboundFD)
 	file, err := os.Create(filepath.Join(t.TempDir(), "f"))
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 		{"another port", tcpFD, "127.0.0.1:1", "not at 127.0.0.1:1"},
 		{"another address", tcpFD, "127.0.0.2" + port, "not at"},
 		{"UDP socket", udpFD, address, "is not a TCP socket"},
-		{"socket that does not listen", unbound, address, "does not listen"},
+		{"socket that does not listen", unboundFD, address, "does not listen"},
 		{"file", int(file.Fd()), address, "is not a socket"},
 		{"closed descriptor", 9999, address, "is not a socket"},
 	} {
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -10,9 +10,11 @@
 const (
 	// stateFormat is the version of the state file's format. A state with another version is rejected.
 	stateFormat = 1
-	// maxStateBytes bounds how much of a file is read. It is far more than the largest valid State takes.
+	// maxStateBytes is the maximum number of bytes that are read of a state file or live file. The largest valid State takes
+	// far fewer.
 	maxStateBytes = 4 << 20
-	// maxProcesses bounds how many processes a State lists. Dead processes are removed first, then the oldest ones.
+	// maxProcesses is the maximum number of processes in a State. When a process joins, the entries of dead processes are
+	// removed first, and then, if there are still too many, the oldest entries.
 	maxProcesses = 64
 )
 
@@ -25,7 +27,7 @@
 	Ejections []Ejection `json:"bars"`      // latest ejection or restoration of each endpoint, in the order of recording
 }
 
-// Process is the entry of a process that has joined. The entry of a process that has ended stays until another one joins.
+// Process is the entry of a process that has joined. The entry of a process that has ended stays until another process joins.
 type Process struct {
 	Number int  `json:"number"` // greater than the numbers of all processes that joined earlier
 	Ready  bool `json:"ready"`  // whether the process accepts connections
