--- a/internal/wal/compatibility_test.go
+++ b/internal/wal/compatibility_test.go
@@ -17,13 +17,13 @@
 func TestLogsOfEarlierBuildAreRead(t *testing.T) {
 	const appendedPayload = "a record of this build"
 	for _, c := range []struct {
-		name         string
-		snapshot     uint64       // index of the last record that the snapshot replaces; 0: there is no snapshot
-		snapshotBody string       // body of the snapshot; empty if there is none
-		records      []wal.Record // records after the snapshot
+		name          string
+		snapshotIndex uint64       // index of the last record that the snapshot replaces; 0: there is no snapshot
+		snapshotBody  string       // body of the snapshot; empty if there is none
+		records       []wal.Record // records after the snapshot
 	}{
 		{name: "segments", records: earlierRecords(1)},
-		{name: "snapshot", snapshot: 20, snapshotBody: "the state after record 20", records: earlierRecords(21)},
+		{name: "snapshot", snapshotIndex: 20, snapshotBody: "the state after record 20", records: earlierRecords(21)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "log")
@@ -32,10 +32,10 @@
 			}
 			want := c.records
 			for _, round := range []string{"first open, as the earlier build left it", "second open, after an append"} {
-				l := openEarlierLog(t, dir, c.snapshot, c.snapshotBody, want)
-				if next := uint64(len(want)) + c.snapshot + 1; l.NextIndex() != next || l.SyncedIndex() != next-1 || l.SnapshotIndex() != c.snapshot {
+				l := openEarlierLog(t, dir, c.snapshotIndex, c.snapshotBody, want)
+				if next := uint64(len(want)) + c.snapshotIndex + 1; l.NextIndex() != next || l.SyncedIndex() != next-1 || l.SnapshotIndex() != c.snapshotIndex {
 					t.Errorf("%s: next index %d, synced index %d, snapshot index %d; want %d, %d, %d",
-						round, l.NextIndex(), l.SyncedIndex(), l.SnapshotIndex(), next, next-1, c.snapshot)
+						round, l.NextIndex(), l.SyncedIndex(), l.SnapshotIndex(), next, next-1, c.snapshotIndex)
 				}
 				index, err := l.Append('n', []byte(appendedPayload))
 				if err := errors.Join(err, l.Sync(), l.Close()); err != nil {
@@ -61,7 +61,7 @@
 }
 
 // openEarlierLog opens a log. It fails the test unless the log has the given snapshot and records, and Open has repaired nothing.
-func openEarlierLog(t *testing.T, path string, snapshot uint64, snapshotBody string, want []wal.Record) *wal.Log {
+func openEarlierLog(t *testing.T, path string, snapshotIndex uint64, snapshotBody string, want []wal.Record) *wal.Log {
 	t.Helper()
 	dir, err := wal.OpenDir(path)
 	if err != nil {
@@ -86,8 +86,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if restoredIndex != snapshot || string(restoredBody) != snapshotBody {
-		t.Errorf("the snapshot at index %d is %q, want %q at index %d", restoredIndex, restoredBody, snapshotBody, snapshot)
+	if restoredIndex != snapshotIndex || string(restoredBody) != snapshotBody {
+		t.Errorf("the snapshot at index %d is %q, want %q at index %d", restoredIndex, restoredBody, snapshotBody, snapshotIndex)
 	}
 	if len(records) != len(want) {
 		t.Fatalf("%d records were replayed, want %d", len(records), len(want))
--- a/internal/wal/dir_test.go
+++ b/internal/wal/dir_test.go
@@ -11,7 +11,7 @@
 
 // In a directory of the operating system, synced records are recovered, a second Open is rejected, and a snapshot removes obsolete
 // segments.
-func TestLogOnRealDisk(t *testing.T) {
+func TestLogInOperatingSystemDirectoryRecoversSyncedRecords(t *testing.T) {
 	fs, err := wal.OpenDir(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 	m := &model{}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
-		if err := m.step(l, rng); err != nil {
+		if err := m.makeRandomCall(l, rng); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := errors.Join(l.Sync(), l.WriteSnapshot(l.SyncedIndex(), []byte(snapshotBody(l.SyncedIndex()))), l.Close()); err != nil {
 		t.Fatal(err)
 	}
-	m.synced, m.snapshot = uint64(len(m.payloads)), uint64(len(m.payloads))
+	m.syncedIndex, m.snapshotIndex = uint64(len(m.payloads)), uint64(len(m.payloads))
 	if names, _ := fs.List(); len(names) > 2 {
 		t.Errorf("after the snapshot there are the files %q, want at most 2", names)
 	}
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := m.check(got, l.NextIndex()); err != nil {
+	if err := m.checkRecovered(got, l.NextIndex()); err != nil {
 		t.Error(err)
 	}
 	if _, err := l.Append('t', make([]byte, wal.MaxRecordBytes+1)); err == nil {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -6,7 +6,7 @@
 )
 
 // FS is a directory that holds files and no subdirectories. A change is certain to survive a loss of power only after it was synced:
-// the content of a file by File.Sync, and the creation, renaming or removal of a file by SyncDir.
+// File.Sync syncs the content of a file, and SyncDir syncs the creation, renaming and removal of files.
 type FS interface {
 	// List returns the names of all files, in any order.
 	List() ([]string, error)
@@ -18,7 +18,7 @@
 	Rename(oldName, newName string) error
 	// Remove removes a file. The removal may be undone by a loss of power until SyncDir has returned.
 	Remove(name string) error
-	// SyncDir makes all files that were created, renamed or removed so far durable under their names, or durably absent.
+	// SyncDir makes all earlier creations, renamings and removals of files durable.
 	SyncDir() error
 	// Lock locks the directory until the result is closed or the process ends. The error is ErrLocked if the directory is locked
 	// already.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,6 +1,7 @@
-// Package wal implements a durable write-ahead log. It stores records in segment files, and a snapshot that replaces the records up
-// to its index. After any crash, the log still has all records that were appended before a Sync that returned nil, complete and in
-// order, and the records that it has are a prefix of the appended ones. docs/wal-format.md specifies the format of the files.
+// Package wal implements a durable write-ahead log. It stores records in segment files, and a snapshot that replaces all records up
+// to the snapshot's index. After any crash, the log still has all records that were appended before a Sync that returned nil,
+// complete and in order, and the records that it has are a prefix of the appended ones. docs/wal-format.md specifies the format of
+// the files.
 //
 // A Log starts no goroutine, and locks its directory against other processes. After a disk error all its calls fail, since it is
 // unknown what the failed write or sync has left on the disk; opening the log again finds that out.
@@ -15,14 +16,14 @@
 const (
 	// defaultSegmentBytes is the value of Options.SegmentBytes if none is set.
 	defaultSegmentBytes = 16 << 20
-	// maxBufferBytes is the size of the buffer from which Append writes it to the segment without waiting for Sync. The buffer
-	// exceeds it by one record at most.
+	// maxBufferBytes is the size of the buffered records at which Append writes them to the segment, instead of leaving this to
+	// Sync. The buffer may exceed this size by at most one record.
 	maxBufferBytes = 1 << 20
 )
 
 // Options configure a Log. The zero value is valid.
 type Options struct {
-	SegmentBytes int64        // size in bytes from which a segment is followed by a new one; 0 means 16 MiB
+	SegmentBytes int64        // size in bytes of a segment at which Append begins the next segment; 0 means 16 MiB
 	OnRepair     func(string) // called by Open with a one-line message for each file that it truncates or removes; may be nil
 }
 
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -14,24 +14,24 @@
 	"tuliprock/internal/wal"
 )
 
-// recovered collects what wal.Open passes to its callbacks.
-type recovered struct {
-	snapshot uint64            // index of the restored snapshot; 0: there was none
-	body     string            // body of the restored snapshot
-	records  map[uint64]string // type and payload of each replayed record, by index
-	repairs  []string          // messages that Open passed to Options.OnRepair
+// recoveredContent collects what wal.Open passes to its callbacks.
+type recoveredContent struct {
+	snapshotIndex uint64            // index of the restored snapshot; 0: there was none
+	body          string            // body of the restored snapshot
+	records       map[uint64]string // type and payload of each replayed record, by index
+	repairs       []string          // messages that Open passed to Options.OnRepair
 }
 
 // segmentBytes is the size in bytes from which the tests' logs begin a new segment. Such a segment has about ten records.
 const segmentBytes = 600
 
 // openLog opens a log with small segments, and returns it with what was recovered.
-func openLog(fs wal.FS) (*wal.Log, *recovered, error) {
-	got := &recovered{records: map[uint64]string{}}
+func openLog(fs wal.FS) (*wal.Log, *recoveredContent, error) {
+	got := &recoveredContent{records: map[uint64]string{}}
 	options := wal.Options{SegmentBytes: segmentBytes, OnRepair: func(line string) { got.repairs = append(got.repairs, line) }}
 	l, err := wal.Open(fs, options, func(index uint64, r io.Reader) error {
 		body, err := io.ReadAll(r)
-		got.snapshot, got.body = index, string(body)
+		got.snapshotIndex, got.body = index, string(body)
 		return err
 	}, func(r wal.Record) error {
 		got.records[r.Index] = string(r.Type) + string(r.Payload)
@@ -42,38 +42,38 @@
 
 // model records what was appended to a log, and what must be durable.
 type model struct {
-	payloads []string // payloads of all appended records; element i is that of record i+1
-	synced   uint64   // index of the last record that must be durable
-	snapshot uint64   // index of the latest snapshot that must be durable; 0: there is none
+	payloads      []string // payloads of all appended records; element i is that of record i+1
+	syncedIndex   uint64   // index of the last record that must be durable; 0: none must be
+	snapshotIndex uint64   // index of the latest snapshot that must be durable; 0: there is none
 }
 
 // snapshotBody returns the body of a snapshot at index.
 func snapshotBody(index uint64) string { return fmt.Sprint("state at ", index) }
 
-// check returns an error unless what was recovered is consistent with the model: the records must be a prefix of the appended ones and
-// include all synced ones. next is the next index of the recovered log.
-func (m *model) check(got *recovered, next uint64) error {
-	if next-1 < m.synced || next-1 > uint64(len(m.payloads)) {
-		return fmt.Errorf("%d records were recovered, want at least the %d synced and at most the %d appended ones", next-1, m.synced, len(m.payloads))
+// checkRecovered returns an error unless what was recovered is consistent with the model: the records must be a prefix of the appended
+// ones and include all synced ones. nextIndex is the NextIndex of the recovered log.
+func (m *model) checkRecovered(got *recoveredContent, nextIndex uint64) error {
+	if nextIndex-1 < m.syncedIndex || nextIndex-1 > uint64(len(m.payloads)) {
+		return fmt.Errorf("%d records were recovered, want at least the %d synced and at most the %d appended ones", nextIndex-1, m.syncedIndex, len(m.payloads))
 	}
-	if got.snapshot < m.snapshot || got.snapshot > 0 && got.body != snapshotBody(got.snapshot) {
-		return fmt.Errorf("the recovered snapshot is %q at index %d, want one at index %d or later", got.body, got.snapshot, m.snapshot)
+	if got.snapshotIndex < m.snapshotIndex || got.snapshotIndex > 0 && got.body != snapshotBody(got.snapshotIndex) {
+		return fmt.Errorf("the recovered snapshot is %q at index %d, want one at index %d or later", got.body, got.snapshotIndex, m.snapshotIndex)
 	}
-	for i := got.snapshot + 1; i < next; i++ {
+	for i := got.snapshotIndex + 1; i < nextIndex; i++ {
 		if record, ok := got.records[i]; !ok || record != "t"+m.payloads[i-1] {
 			return fmt.Errorf("record %d is %.40q, want %.40q", i, record, "t"+m.payloads[i-1])
 		}
 	}
 	for i := range got.records {
-		if i <= got.snapshot || i >= next {
-			return fmt.Errorf("record %d was replayed, want only records %d to %d", i, got.snapshot+1, next-1)
+		if i <= got.snapshotIndex || i >= nextIndex {
+			return fmt.Errorf("record %d was replayed, want only records %d to %d", i, got.snapshotIndex+1, nextIndex-1)
 		}
 	}
 	return nil
 }
 
-// step makes one random call of Append, Sync or WriteSnapshot on the log, and updates the model.
-func (m *model) step(l *wal.Log, rng *rand.Rand) error {
+// makeRandomCall makes one random call of Append, Sync or WriteSnapshot on the log, and updates the model.
+func (m *model) makeRandomCall(l *wal.Log, rng *rand.Rand) error {
 	switch choice := rng.IntN(10); {
 	case choice < 6:
 		payload := strings.Repeat(string(rune('a'+rng.IntN(26))), rng.IntN(200)) + fmt.Sprint(len(m.payloads)+1)
@@ -84,32 +84,32 @@
 		return err
 	case choice < 9 || l.SyncedIndex() <= l.SnapshotIndex():
 		err := l.Sync()
-		m.synced = max(m.synced, l.SyncedIndex())
+		m.syncedIndex = max(m.syncedIndex, l.SyncedIndex())
 		return err
 	default:
 		index := l.SnapshotIndex() + 1 + rng.Uint64N(l.SyncedIndex()-l.SnapshotIndex())
 		err := l.WriteSnapshot(index, []byte(snapshotBody(index)))
 		if err == nil {
-			m.snapshot = index
+			m.snapshotIndex = index
 		}
 		return err
 	}
 }
 
-// checkHistory opens a log five times, makes random calls on it, and simulates disk errors and losses of power. It returns an error if
-// a recovered log is inconsistent with the calls, or a log works on after a disk error.
-func checkHistory(disk *simdisk.Disk, rng *rand.Rand, steps int) error {
+// checkHistory opens a log five times, makes up to callCount random calls on it each time, and simulates disk errors and losses of
+// power. It returns an error if a recovered log is inconsistent with the calls, or a log works on after a disk error.
+func checkHistory(disk *simdisk.Disk, rng *rand.Rand, callCount int) error {
 	m := &model{}
 	for range 5 {
 		l, got, err := openLog(disk)
 		if err != nil {
 			return fmt.Errorf("open the log: %w", err)
 		}
-		if err := m.check(got, l.NextIndex()); err != nil {
+		if err := m.checkRecovered(got, l.NextIndex()); err != nil {
 			return err
 		}
 		m.payloads = m.payloads[:l.NextIndex()-1]
-		m.synced = l.NextIndex() - 1 // recovered records are durable
+		m.syncedIndex = l.NextIndex() - 1 // recovered records are durable
 		disk.FailAfter = 0
 		if rng.IntN(2) == 0 {
 			disk.FailAfter = disk.ChangeCount + 1 + rng.IntN(20)
@@ -117,8 +117,8 @@
 		if rng.IntN(4) == 0 {
 			disk.Capacity = int64(2000 + rng.IntN(3000))
 		}
-		for range steps {
-			if err := m.step(l, rng); err != nil {
+		for range callCount {
+			if err := m.makeRandomCall(l, rng); err != nil {
 				if l.Sync() == nil { // after an error no record may be reported as durable
 					return fmt.Errorf("Sync succeeded after an earlier call had failed: %w", err)
 				}
@@ -134,13 +134,13 @@
 func TestSyncedRecordsSurviveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		if err := checkHistory(simdisk.New(), rng, rapid.IntRange(1, 60).Draw(t, "steps")); err != nil {
+		if err := checkHistory(simdisk.New(), rng, rapid.IntRange(1, 60).Draw(t, "calls")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// Checks the same property as TestSyncedRecordsSurviveCrashes on many more histories, without reducing a failing one.
+// Synced records survive crashes and disk errors in thousands of histories. A failing history is not reduced to a small one.
 func TestSyncedRecordsSurviveCrashesInThousandsOfHistories(t *testing.T) {
 	for seed := range uint64(5000) {
 		if err := checkHistory(simdisk.New(), rand.New(rand.NewPCG(seed, 2)), 60); err != nil {
@@ -149,7 +149,8 @@
 	}
 }
 
-// The histories of the tests above are able to detect a loss: they fail on a disk that reports a successful sync without making one.
+// The random histories of checkHistory can detect a loss of records: at least one of 50 fails on a disk whose Sync reports success
+// but makes nothing durable.
 func TestHistoriesDetectDiskWithoutSync(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := simdisk.New()
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -16,10 +16,10 @@
 const (
 	recordChecksumOffset    = 0  // CRC-32C of all bytes of the record after the checksum
 	recordLengthOffset      = 4  // length of the payload in bytes
-	recordTypeOffset        = 8  // one byte, defined by the user of the log
+	recordTypeOffset        = 8  // type of the record: one byte, defined by the user of the log
 	recordIndexOffset       = 9  // index of the record, in eight bytes
-	recordSyncedIndexOffset = 17 // index of the last record that was durable when this one was appended
-	recordHeaderBytes       = 25 // size of a record's header, which has all fields above
+	recordSyncedIndexOffset = 17 // index of the last record that was durable when this record was appended, in eight bytes
+	recordHeaderBytes       = 25 // size in bytes of a record's header
 )
 
 // crc32c is the table of the CRC-32C checksum.
@@ -52,7 +52,7 @@
 // decodedRecord is a record that was read from a segment.
 type decodedRecord struct {
 	Record              // record, whose payload shares memory with the bytes of the segment
-	syncedIndex  uint64 // index of the last record that was durable when this one was appended
+	syncedIndex  uint64 // index of the last record that was durable when this record was appended
 	encodedBytes int    // size of the encoded record in bytes, including the header
 }
 
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -26,8 +26,8 @@
 func (e *CorruptionError) Unwrap() error { return e.Err }
 
 // Open opens the log in a directory, or creates it. If there is a snapshot, Open passes its index and a reader of its body to restore.
-// It then passes each record after the snapshot to replay, which must not keep the payload. If one of them returns an error, Open
-// fails. The error is ErrLocked if the log is open already, and a CorruptionError if durable data is damaged or missing.
+// It then passes each record after the snapshot to replay, which must not keep the payload. If restore or replay returns an error,
+// Open fails. The error is ErrLocked if the log is open already, and a CorruptionError if durable data is damaged or missing.
 func Open(fs FS, o Options, restore func(index uint64, r io.Reader) error, replay func(Record) error) (*Log, error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = defaultSegmentBytes
@@ -149,8 +149,8 @@
 	return errors.Join(f.Truncate(end), f.Sync())
 }
 
-// removeLastSegment removes the last segment, whose header is incomplete so that it can't have durable records. It makes the segment
-// before that the active one, if there is one.
+// removeLastSegment removes the last segment, whose header is incomplete so that it can't have durable records. The segment before
+// it, if there is one, becomes the active one.
 func (r *recovery) removeLastSegment(f File) error {
 	last := len(r.segmentFirstIndexes) - 1
 	name := segmentName(r.segmentFirstIndexes[last])
@@ -177,7 +177,7 @@
 	fileName        string // name of the segment's file
 	firstIndex      uint64 // index of the segment's first record
 	content         []byte // all bytes of the file, including the header
-	isFirst, isLast bool   // whether the segment is the first, and the last, of those that are replayed
+	isFirst, isLast bool   // whether the segment is the first, and whether it is the last, of the segments that are replayed
 }
 
 // replaySegment replays the records of a segment that come after the snapshot. It returns the offset in bytes at which the last
--- a/internal/wal/recovery_test.go
+++ b/internal/wal/recovery_test.go
@@ -37,16 +37,16 @@
 			}
 		}
 	}
-	m.snapshot = 15
+	m.snapshotIndex = 15
 	if err := errors.Join(l.Sync(), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	return disk, m
 }
 
-// Each file is truncated at every byte, and a bit of every byte is flipped. After each of these damages Open either recovers a prefix of
-// the records, or fails with a one-line error that names the file. If Open succeeds, a flipped bit may cost only records of the last
-// batch, since a damaged record there looks like one that a crash left incomplete.
+// A file is truncated at any byte, or a bit of any of its bytes is flipped: Open then either recovers a prefix of the records, or
+// fails with a one-line error that names the file. If Open succeeds after a bit was flipped, only records of the last synced batch
+// may be lost, since a damaged record there looks like one that a crash left incomplete.
 func TestOpenDetectsEveryTruncationAndFlip(t *testing.T) {
 	disk, m := writeLog(t)
 	names, err := disk.List()
@@ -59,14 +59,14 @@
 		for offset := range content {
 			flipped := slices.Clone(content)
 			flipped[offset] ^= 1 << (offset % 8)
-			for damage, bytes := range map[string][]byte{"truncated": content[:offset], "flipped": flipped} {
-				damaged := disk.Copy()
-				damaged.SetBytes(name, bytes)
-				want := &model{payloads: m.payloads, snapshot: m.snapshot, synced: 27} // records 28 to 30 are the last synced batch
+			for damage, damagedContent := range map[string][]byte{"truncated": content[:offset], "flipped": flipped} {
+				damagedDisk := disk.Copy()
+				damagedDisk.SetBytes(name, damagedContent)
+				want := &model{payloads: m.payloads, snapshotIndex: m.snapshotIndex, syncedIndex: 27} // records 28 to 30 are the last synced batch
 				if damage == "truncated" {
-					want.synced = 15 // a truncated segment has no later record that shows how far it was synced
+					want.syncedIndex = 15 // records after the snapshot may be lost: a truncated segment has no later record that shows how far it was synced
 				}
-				isRejected, err := checkDamagedLog(damaged, want)
+				isRejected, err := checkDamagedLog(damagedDisk, want)
 				if err != nil {
 					t.Fatalf("%s %s at byte %d: %v", name, damage, offset, err)
 				}
@@ -77,12 +77,12 @@
 				}
 			}
 		}
-		damaged := disk.Copy()
-		if err := damaged.Remove(name); err != nil {
+		damagedDisk := disk.Copy()
+		if err := damagedDisk.Remove(name); err != nil {
 			t.Fatal(err)
 		}
-		if l, got, err := openLog(damaged); err == nil {
-			if err := (&model{payloads: m.payloads}).check(got, l.NextIndex()); err != nil {
+		if l, got, err := openLog(damagedDisk); err == nil {
+			if err := (&model{payloads: m.payloads}).checkRecovered(got, l.NextIndex()); err != nil {
 				t.Errorf("with the file %s removed: %v", name, err)
 			}
 		}
@@ -104,7 +104,7 @@
 		}
 		return true, nil
 	}
-	if err := want.check(got, l.NextIndex()); err != nil {
+	if err := want.checkRecovered(got, l.NextIndex()); err != nil {
 		return false, err
 	}
 	if _, err := l.Append('t', []byte("more")); err != nil {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// The name of a file is the index of a record in fileNameDigits decimal digits, and a suffix. For a segment it is the index of the
-// segment's first record, for a snapshot that of the last record that the snapshot replaces.
+// The name of a file is the index of a record, in fileNameDigits decimal digits, and a suffix. A segment is named after its first
+// record, and a snapshot after the last record that it replaces.
 const (
-	fileNameDigits                = 20 // as many as the largest uint64 has
+	fileNameDigits                = 20 // number of decimal digits of the largest uint64
 	segmentSuffix, snapshotSuffix = ".log", ".snap"
 )
 
-// The header of segments and snapshots (docs/wal-format.md): the magic bytes at offset 0, and fields whose offsets in bytes are below.
-// Numbers are little-endian, and the bytes between the fields are zero.
+// The header of segments and snapshots (docs/wal-format.md) begins with the magic bytes. The constants file...Offset are the offsets
+// of its other fields in bytes. Numbers are little-endian, and the bytes between the fields are zero.
 const (
 	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP" // first bytes of a file, which identify its kind
 	formatVersion               = 1                      // version of the format; files with another version are rejected
 
 	fileVersionOffset  = 8  // formatVersion, in four bytes
-	fileIndexOffset    = 16 // index that the file is named after
+	fileIndexOffset    = 16 // index of the record that the file is named after, in eight bytes
 	fileChecksumOffset = 24 // CRC-32C of the header's bytes before this field
 	fileReservedOffset = 28 // four zero bytes that are not part of the checksum
 	fileHeaderBytes    = 32 // size in bytes of the header of a segment or a snapshot
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("%0*d%s", fileNameDigits, index, suffix)
 }
 
-// parseFileName returns the index in the name of a segment or a snapshot, whichever has the suffix. It returns false if the name is
-// not that of such a file.
+// parseFileName returns the index in the name of a segment or a snapshot, depending on the suffix. It returns false if the name is
+// not that of a segment or snapshot with the suffix.
 func parseFileName(name, suffix string) (index uint64, ok bool) {
 	digits, hasSuffix := strings.CutSuffix(name, suffix)
 	index, err := strconv.ParseUint(digits, 10, 64)
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -20,9 +20,9 @@
 	snapshotTrailerBytes      = 16 // size in bytes of the trailer that follows a snapshot's body
 )
 
-// WriteSnapshot stores a snapshot that replaces all records up to index, and removes the files that are obsolete then. The records must
-// be synced, and body must have at most MaxSnapshotBytes. The new snapshot is durable if WriteSnapshot returns nil; after an error or
-// a crash the log has either the previous snapshot or the new one.
+// WriteSnapshot stores a snapshot that replaces all records up to index, and removes the files that become obsolete by it. The records
+// must be synced, and body must have at most MaxSnapshotBytes. The new snapshot is durable if WriteSnapshot returns nil; after an error
+// or a crash the log has either the previous snapshot or the new one.
 func (l *Log) WriteSnapshot(index uint64, body []byte) error {
 	switch {
 	case l.failure != nil:
