--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -26,12 +26,12 @@
 	startServerProcess(t, "node", node)
 	config := clusterDaemonConfig{endpoints: []string{node}} // without fleetOptions, so the default probe intervals apply
 	keyFile := writeKeyFile(t, 1)
-	member := config.startDaemon(t, "m0", "c", freeClusterAddress(t, 20), keyFile)
+	member := config.startDaemon(t, "m0", "c", findFreeClusterAddress(t, 20), keyFile)
 	for i := range 6 {
-		config.startDaemon(t, fmt.Sprint("m", i+1), "c", freeClusterAddress(t, 21+i), keyFile, member.clusterAddr)
+		config.startDaemon(t, fmt.Sprint("m", i+1), "c", findFreeClusterAddress(t, 21+i), keyFile, member.clusterAddr)
 	}
 	member.awaitPeersReport(t, "the member sees seven daemons", func(f *status.Fleet) bool { return f.DaemonCount == 7 })
-	withoutPeers := config.startDaemon(t, "alone", "other", freeClusterAddress(t, 30), keyFile)
+	withoutPeers := config.startDaemon(t, "alone", "other", findFreeClusterAddress(t, 30), keyFile)
 	for _, connections := range []int{1, 16, 64} {
 		var rates, p99s []float64
 		for i := range turns {
@@ -56,16 +56,16 @@
 	}
 	config := clusterDaemonConfig{endpoints: []string{unreachableEndpoint}} // without fleetOptions, so the default probe intervals apply
 	keyFile := writeKeyFile(t, 1)
-	d := config.startDaemon(t, "d", "c", freeClusterAddress(t, 40), keyFile)
+	d := config.startDaemon(t, "d", "c", findFreeClusterAddress(t, 40), keyFile)
 	measure := func(situation string) {
-		timeBefore := processorTime(d.cmd.Process.Pid)
+		timeBefore := readProcessorTime(d.cmd.Process.Pid)
 		time.Sleep(30 * time.Second)
 		f, err := status.FetchFleet(d.adminAddr, reportTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d KiB resident, %.4f of a core, %s, %d daemons",
-			situation, processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (processorTime(d.cmd.Process.Pid)-timeBefore).Seconds()/30, f.Connectivity, f.DaemonCount)
+			situation, readProcessMemoryKiB(d.cmd.Process.Pid, "VmRSS"), (readProcessorTime(d.cmd.Process.Pid)-timeBefore).Seconds()/30, f.Connectivity, f.DaemonCount)
 	}
 	measure("without peers")
 	keys, err := transport.ReadKeys(keyFile)
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -129,9 +129,9 @@
 	return path
 }
 
-// freeClusterAddress returns an address whose port is free for both TCP and UDP. Its IP, which ends in i, is a loopback IP
+// findFreeClusterAddress returns an address whose port is free for both TCP and UDP. Its IP, which ends in i, is a loopback IP
 // that other test processes do not use: at 127.0.0.1 another daemon could take the port for an outgoing connection.
-func freeClusterAddress(t *testing.T, i int) string {
+func findFreeClusterAddress(t *testing.T, i int) string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.9.%d", 100+os.Getpid()%100, i)
 	for range 100 {
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -58,7 +58,7 @@
 	relayAddrs := map[string]string{} // address of the relay in front of each daemon, which the daemon advertises, by the daemon's name
 	listenAddrs, voters := []string{}, []string{}
 	for i := range spec.daemons {
-		name, listenAddr := fmt.Sprint("s", i), freeClusterAddress(t, 60+i)
+		name, listenAddr := fmt.Sprint("s", i), findFreeClusterAddress(t, 60+i)
 		relayAddr, err := c.network.AddRelay(name, netip.MustParseAddrPort(listenAddr))
 		if err != nil {
 			t.Fatal(err)
@@ -134,8 +134,8 @@
 	return c.requests[node].Load() - before
 }
 
-// leader returns the index of the voter that is the leader, or -1 if there is none. It expects three voters.
-func (c *testCluster) leader() int {
+// findLeader returns the index of the voter that is the leader, or -1 if there is none. It expects three voters.
+func (c *testCluster) findLeader() int {
 	for i, d := range c.daemons[:3] {
 		if strings.Contains(d.callAdmin("settings"), "leads=true") {
 			return i
--- a/cmd/tuliprock/deploy_test.go
+++ b/cmd/tuliprock/deploy_test.go
@@ -15,9 +15,9 @@
 
 const modulePrefix = "tuliprock/" // prefix of the import paths of this module's packages
 
-// daemonImports returns the folders of the packages of this module that daemon.go imports, directly or indirectly. The
+// findDaemonImports returns the folders of the packages of this module that daemon.go imports, directly or indirectly. The
 // imports of test files and of the other commands are not followed.
-func daemonImports(t *testing.T, root string) []string {
+func findDaemonImports(t *testing.T, root string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "cmd/tuliprock/daemon.go"), nil, parser.ImportsOnly)
 	if err != nil {
@@ -58,7 +58,7 @@
 	// Two folders are not expected in the list: that of the balancer, whose files are listed under "policy", and internal/simwire, which
 	// belongs to the simulator and of which the daemon uses only the decoder of settings.
 	want := []string{"cmd/tuliprock"}
-	for _, folder := range daemonImports(t, root) {
+	for _, folder := range findDaemonImports(t, root) {
 		if folder != filepath.Dir(deploy.Policy[0]) && folder != "internal/simwire" {
 			want = append(want, folder)
 		}
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	versionsByMark := s.versionsByMark(history)
-	reports := s.versionReports(versionsByMark)
+	versionsByMark := s.findVersionsByMark(history)
+	reports := s.buildVersionReports(versionsByMark)
 	verdict := clusterinvariant.CheckVersions(reports, maxVersionConflict)
 	for _, b := range verdict.Violations[:min(len(verdict.Violations), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
@@ -44,11 +44,11 @@
 	t.Logf("daemons acted on %d of %d versions in %d requests; daemons conflicted for at most %v, %v allowed; %d requests shed, "+
 		"%d without a response; %d operations on the flag; requests shed by fault: %v",
 		verdict.Versions, version, len(reports), verdict.LongestContradiction.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
-		s.unansweredCount, len(s.flagOperations), s.shedByFault())
+		s.unansweredCount, len(s.flagOperations), s.countShedByFault())
 }
 
-// shedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
-func (s *faultSchedule) shedByFault() map[string]int {
+// countShedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
+func (s *faultSchedule) countShedByFault() map[string]int {
 	counts := map[string]int{}
 	for id := range s.requestsShed {
 		name := "start"
@@ -62,9 +62,9 @@
 	return counts
 }
 
-// versionsByMark returns, by mark, the version under which the history lists the settings text with the mark. It checks that
+// findVersionsByMark returns, by mark, the version under which the history lists the settings text with the mark. It checks that
 // the history lists no version twice, and that the version in the response to each put is listed with the text that was put.
-func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
+func (s *faultSchedule) findVersionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
 	digests := map[uint64]string{} // SHA-256 digest, in hexadecimal, of the change that made each version, by the version
 	for _, c := range history.History {
@@ -86,10 +86,10 @@
 	return versions
 }
 
-// versionReports returns a report for each request that arrived at a node with a mark: its daemon acted on the version of the
+// buildVersionReports returns a report for each request that arrived at a node with a mark: its daemon acted on the version of the
 // mark at some time between the sending and the arrival of the request. For a request that was sent while the daemon was
 // paused, the report gives the time when the daemon resumed instead of the time of sending.
-func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
+func (s *faultSchedule) buildVersionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
 		if a.mark == "" { // the daemon forwarded the request as its operators' file says, since no settings had been agreed on yet
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -187,7 +187,7 @@
 	n := 1 + s.rng.IntN(len(names)-1)
 	groupA, groupB := names[:n], names[n:]
 	d := s.rng.IntN(len(s.daemons))
-	if leader := s.leader(); leader >= 0 && s.rng.IntN(2) == 0 {
+	if leader := s.findLeader(); leader >= 0 && s.rng.IntN(2) == 0 {
 		d = leader
 	}
 	switch faultKind := s.rng.IntN(8); faultKind {
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// descriptorCount returns the number of open descriptors of the process; it is 0 after the process has exited.
-func (d *harnessDaemon) descriptorCount() int {
+// countDescriptors returns the number of open descriptors of the process, or 0 after the process has exited.
+func (d *harnessDaemon) countDescriptors() int {
 	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	return len(files)
 }
@@ -117,14 +117,14 @@
 			sum := 0
 			mu.Lock()
 			for _, d := range append([]*harnessDaemon{first}, successors...) {
-				sum += d.descriptorCount()
+				sum += d.countDescriptors()
 			}
 			mu.Unlock()
 			peakDescriptors = max(peakDescriptors, sum)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	testpeer.Eventually(t, "the first process has more than 200 open descriptors", func() bool { return first.descriptorCount() > 200 })
+	testpeer.Eventually(t, "the first process has more than 200 open descriptors", func() bool { return first.countDescriptors() > 200 })
 	second := h.startDaemon()
 	mu.Lock()
 	successors = append(successors, second)
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -44,7 +44,7 @@
 	c.awaitEjection(c.daemons, 0, false)
 	c.callUntilActiveOnAll(partitioned, "set-up "+secondNode)
 
-	leader := c.leader()
+	leader := c.findLeader()
 	if leader < 0 {
 		t.Fatal("no daemon is the leader")
 	}
@@ -64,7 +64,7 @@
 		t.Errorf("a node that was ejected while a daemon was down got %d requests from that daemon, want none", n)
 	}
 
-	if leader = c.leader(); leader < 0 {
+	if leader = c.findLeader(); leader < 0 {
 		t.Fatal("no daemon is the leader")
 	}
 	paused := c.daemons[leader]
--- a/cmd/tuliprock/reverseproxy_test.go
+++ b/cmd/tuliprock/reverseproxy_test.go
@@ -94,7 +94,7 @@
 			t.Logf("%d connections, daemon and ReverseProxy: %.0f and %.0f requests per second, p50 %v and %v, p99 %v and %v", connections, rate[0], rate[1], p50[0], p50[1], p99[0], p99[1])
 			rates, p50s, p99s = append(rates, rate[0]/rate[1]), append(p50s, float64(p50[0])/float64(p50[1])), append(p99s, float64(p99[0])/float64(p99[1]))
 		}
-		t.Logf("peak memory of the daemon: %d KiB", processMemoryKiB(daemon.cmd.Process.Pid, "VmHWM"))
+		t.Logf("peak memory of the daemon: %d KiB", readProcessMemoryKiB(daemon.cmd.Process.Pid, "VmHWM"))
 		t.Logf("%d connections, daemon relative to ReverseProxy: request rate %s, p50 %s, p99 %s", connections, formatRatios(rates), formatRatios(p50s), formatRatios(p99s))
 	}
 }
--- a/cmd/tuliprock/settings_diff.go
+++ b/cmd/tuliprock/settings_diff.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	to, label, err := c.target()
+	to, label, err := c.readTarget()
 	if err != nil {
 		return err
 	}
@@ -46,8 +46,8 @@
 	return err
 }
 
-// target returns the text that the document is compared with, from --file or --to, and its label in the diff.
-func (c *settingsDiffCommand) target() (body []byte, label string, err error) {
+// readTarget returns the text that the document is compared with, from --file or --to, and its label in the diff.
+func (c *settingsDiffCommand) readTarget() (body []byte, label string, err error) {
 	if c.File == "" {
 		to, err := c.fetchDocument(c.Name, c.To)
 		if err != nil {
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -32,7 +32,7 @@
 	}
 	settings, ok, err := c.pollUntil(c.WaitTimeout, func(s *status.Settings) bool { return c.Change == "" || c.isDone(s) })
 	if !ok {
-		return errors.Join(verdictError{fmt.Errorf("after %v, %s: voters %s", c.WaitTimeout, c.unmetGoal(), settings.KnownVoters)}, err)
+		return errors.Join(verdictError{fmt.Errorf("after %v, %s: voters %s", c.WaitTimeout, c.describeUnmetGoal(), settings.KnownVoters)}, err)
 	}
 	return c.printResult(settings, func(w io.Writer) error {
 		_, err := fmt.Fprintln(w, strings.ReplaceAll(settings.ActiveVoters, ",", " "))
@@ -40,8 +40,8 @@
 	})
 }
 
-// unmetGoal describes, for the error message after a timeout, that the requested change of the voters has not taken effect.
-func (c *settingsVotersCommand) unmetGoal() string {
+// describeUnmetGoal describes, for the error message after a timeout, that the requested change of the voters has not taken effect.
+func (c *settingsVotersCommand) describeUnmetGoal() string {
 	if c.Change == "add" {
 		return c.Name + " does not vote yet"
 	}
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -27,7 +27,7 @@
 			sizes := ""
 			for i, d := range c.daemons {
 				sizes += fmt.Sprintf("  memory %d KiB, disk %d KiB",
-					processMemoryKiB(d.cmd.Process.Pid, "VmRSS"), directorySize(t, filepath.Join(c.dataDir, fmt.Sprint("s", i)))>>10)
+					readProcessMemoryKiB(d.cmd.Process.Pid, "VmRSS"), measureDirectorySize(t, filepath.Join(c.dataDir, fmt.Sprint("s", i)))>>10)
 			}
 			t.Logf("%v: %d puts, %d failed:%s", elapsed.Round(time.Second), puts, failures, sizes)
 			nextReport += duration / 10
@@ -35,8 +35,8 @@
 	}
 }
 
-// directorySize returns the sum of the sizes of the files in a directory.
-func directorySize(t *testing.T, dir string) (bytes int64) {
+// measureDirectorySize returns the sum of the sizes, in bytes, of the files in a directory.
+func measureDirectorySize(t *testing.T, dir string) (bytes int64) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -42,8 +42,8 @@
 	return daemon, daemonAddr, nodeAddr
 }
 
-// processMemoryKiB returns a value of /proc/PID/status in KiB, such as VmRSS, the resident memory, or VmHWM, its peak.
-func processMemoryKiB(pid int, key string) int {
+// readProcessMemoryKiB returns a value of /proc/PID/status in KiB, such as VmRSS, the resident memory, or VmHWM, its peak.
+func readProcessMemoryKiB(pid int, key string) int {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	_, rest, _ := strings.Cut(string(status), key+":")
 	line, _, _ := strings.Cut(rest, "\n")
@@ -51,8 +51,8 @@
 	return kib
 }
 
-// processorTime returns the processor time, of user and system mode, that a process has used.
-func processorTime(pid int) time.Duration {
+// readProcessorTime returns the processor time, of user and system mode, that a process has used.
+func readProcessorTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest) // fields after the command's name; the first of them is field 3 of proc(5)
@@ -81,7 +81,7 @@
 	if _, err := transfer(daemonAddr, "down", "", 1, false, 0); err != nil {
 		t.Fatal(err)
 	}
-	idleKiB := processMemoryKiB(pid, "VmRSS")
+	idleKiB := readProcessMemoryKiB(pid, "VmRSS")
 	for _, row := range []struct {
 		name       string
 		count      int    // number of concurrent transfers
@@ -111,7 +111,7 @@
 				})
 			}
 			transfers.Wait()
-			duration, peakKiB := time.Since(start), processMemoryKiB(pid, "VmHWM")
+			duration, peakKiB := time.Since(start), readProcessMemoryKiB(pid, "VmHWM")
 			t.Logf("%s, %s: %d x %d MiB in %.1f s, %d attempts shed; memory of the idle daemon %d KiB, at the peak %d KiB more",
 				row.name, direction, row.count, row.size>>20, duration.Seconds(), shedCount.Load(), idleKiB, peakKiB-idleKiB)
 			if peakKiB-idleKiB > memoryLimitKiB {
@@ -140,7 +140,7 @@
 				var rate, cpuTime [3]float64 // throughput in MiB per second and processor time in seconds per GiB, of the daemon, ReverseProxy and the io.Copy loop
 				for k := range 3 {
 					variant := (i + k) % 3
-					start, cpuTimeBefore := time.Now(), processorTime(pids[variant])
+					start, cpuTimeBefore := time.Now(), readProcessorTime(pids[variant])
 					var transfers sync.WaitGroup
 					for range count {
 						transfers.Go(func() {
@@ -151,7 +151,7 @@
 					}
 					transfers.Wait()
 					rate[variant] = totalBytes / time.Since(start).Seconds() / (1 << 20)
-					cpuTime[variant] = (processorTime(pids[variant]) - cpuTimeBefore).Seconds() / (float64(totalBytes) / (1 << 30))
+					cpuTime[variant] = (readProcessorTime(pids[variant]) - cpuTimeBefore).Seconds() / (float64(totalBytes) / (1 << 30))
 				}
 				t.Logf("%s, %d concurrent; daemon, ReverseProxy and io.Copy: %.0f, %.0f, %.0f MiB/s; %.2f, %.2f, %.2f s of processor time per GiB",
 					direction, count, rate[0], rate[1], rate[2], cpuTime[0], cpuTime[1], cpuTime[2])
@@ -279,14 +279,14 @@
 	time.Sleep(time.Duration(seconds) * time.Second)
 	p50, p99, shedFraction := measureSmallRequests(t, daemonAddr, 2*time.Second)
 	t.Logf("small requests meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
-		p50, p99, shedFraction, processMemoryKiB(pid, "VmHWM"))
+		p50, p99, shedFraction, readProcessMemoryKiB(pid, "VmHWM"))
 	_ = daemon.cmd.Process.Signal(syscall.SIGTERM)
 	uploads.Wait()
 	t.Logf("outcomes of the uploads: %v", outcomes)
 	if outcomes[noResponse] > 0 {
 		t.Errorf("%d uploads got no response, want none", outcomes[noResponse])
 	}
-	if peakKiB := processMemoryKiB(pid, "VmHWM"); peakKiB > 192<<10 {
+	if peakKiB := readProcessMemoryKiB(pid, "VmHWM"); peakKiB > 192<<10 {
 		t.Errorf("peak memory %d KiB, want at most %d KiB", peakKiB, 192<<10)
 	}
 }
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -124,7 +124,7 @@
 	}
 	v = d.lastState.View(d.processNumber, d.isProcessAlive)
 	for _, number := range v.Others {
-		othersDescriptors += d.reportedDescriptorsOf(number)
+		othersDescriptors += d.readReportedDescriptors(number)
 	}
 	return d.lastState, v, othersDescriptors
 }
--- a/internal/hotrestart/livefile.go
+++ b/internal/hotrestart/livefile.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// reportedDescriptorsOf returns the descriptor count in the live file of another process, or 0 if it can't be read.
-func (d *Directory) reportedDescriptorsOf(number int) int {
+// readReportedDescriptors returns the descriptor count in the live file of another process, or 0 if it can't be read.
+func (d *Directory) readReportedDescriptors(number int) int {
 	text, err := readBoundedFile(d.liveFilePath(number))
 	if err != nil {
 		return 0
