--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -12,17 +12,17 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// checkGuarantees checks the observations of the run: daemons act on different versions for no longer than
-// maxVersionConflict, shed requests never reach a node, no agreed put is lost, and operations on the flag are linearizable.
-// version is that of the last put.
+// checkGuarantees checks the recorded observations: daemons act on different versions for no longer than maxVersionConflict,
+// shed requests never reach a node, no agreed put is lost, and operations on the document flagName are linearizable. version is
+// the version that the last put made.
 func (s *faultSchedule) checkGuarantees(version uint64) {
 	t := s.t
 	history, err := status.Call(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	versionsByMark := s.versionsByMark(history)
-	reports := s.versionReports(versionsByMark)
+	versionsByMark := s.findVersionsByMark(history)
+	reports := s.buildVersionReports(versionsByMark)
 	verdict := clusterinvariant.CheckVersions(reports, maxVersionConflict)
 	for _, b := range verdict.Violations[:min(len(verdict.Violations), 5)] {
 		t.Errorf("%v: %s: %s", b.At, b.Rule, b.Text)
@@ -44,11 +44,11 @@
 	t.Logf("daemons acted on %d of %d versions in %d requests; daemons conflicted for at most %v, %v allowed; %d requests shed, "+
 		"%d without a response; %d operations on the flag; requests shed by fault: %v",
 		verdict.Versions, version, len(reports), verdict.LongestContradiction.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
-		s.unansweredCount, len(s.flagOperations), s.shedByFault())
+		s.unansweredCount, len(s.flagOperations), s.countShedByFault())
 }
 
-// shedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
-func (s *faultSchedule) shedByFault() map[string]int {
+// countShedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
+func (s *faultSchedule) countShedByFault() map[string]int {
 	counts := map[string]int{}
 	for id := range s.requestsShed {
 		name := "start"
@@ -62,11 +62,11 @@
 	return counts
 }
 
-// versionsByMark returns the version that each settings text made according to the history, by the mark of the text. It
-// checks that versions are unique, and that each version that the response to a put named is in the history with its text.
-func (s *faultSchedule) versionsByMark(history *status.CommandResult) map[string]uint64 {
+// findVersionsByMark returns, by mark, the version under which the history lists the settings text with the mark. It checks that
+// the history lists no version twice, and that the version in the response to each put is listed with the text that was put.
+func (s *faultSchedule) findVersionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
-	digests := map[uint64]string{} // SHA-256 digest of the change that made a version, by the version
+	digests := map[uint64]string{} // SHA-256 digest, in hexadecimal, of the change that made each version, by the version
 	for _, c := range history.History {
 		if _, isDuplicate := digests[c.Version]; isDuplicate {
 			s.t.Errorf("the history has version %d twice, want it once", c.Version)
@@ -86,12 +86,13 @@
 	return versions
 }
 
-// versionReports returns what each request that arrived at a node shows: that its daemon acted on the version of the mark, at
-// some time between sending and arrival. If the daemon was paused when the request was sent, that time begins when it resumed.
-func (s *faultSchedule) versionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
+// buildVersionReports returns a report for each request that arrived at a node with a mark: its daemon acted on the version of the
+// mark at some time between the sending and the arrival of the request. For a request that was sent while the daemon was
+// paused, the report gives the time when the daemon resumed instead of the time of sending.
+func (s *faultSchedule) buildVersionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
-		if a.mark == "" { // the daemon forwarded the request by its own file, since no settings had been agreed on yet
+		if a.mark == "" { // the daemon forwarded the request as its operators' file says, since no settings had been agreed on yet
 			continue
 		}
 		for _, p := range s.pausesByDaemon[sent.daemon] {
