--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -18,8 +18,8 @@
 
 // Size is the amount of memory that a body needs, and the kind of body.
 type Size struct {
-	Bytes     int
-	Streaming bool // the body is forwarded while it arrives and holds its memory until it ends
+	Bytes       int
+	IsStreaming bool // the body is forwarded while it arrives and holds its memory until it ends
 }
 
 // waitingRequest is a request for memory that has not been granted yet.
@@ -35,7 +35,7 @@
 
 // Fits reports whether the size could be granted if nothing else were in use.
 func (b *MemoryBudget) Fits(s Size) bool {
-	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.Streaming || s.Bytes <= b.total-b.bufferedReserve)
+	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.IsStreaming || s.Bytes <= b.total-b.bufferedReserve)
 }
 
 // Acquire requests memory. A request that can't be granted at once is queued under the returned ID, which is never 0.
@@ -52,7 +52,7 @@
 // Release releases granted memory, grants queued requests as far as they fit now, and returns their IDs.
 func (b *MemoryBudget) Release(s Size) []int {
 	b.used -= s.Bytes
-	if s.Streaming {
+	if s.IsStreaming {
 		b.usedByStreaming -= s.Bytes
 	}
 	return b.grantWaiting()
@@ -71,13 +71,13 @@
 }
 
 // InUse returns how many bytes are granted in total, and how many of them to streaming bodies.
-func (b *MemoryBudget) InUse() (all, streaming int) { return b.used, b.usedByStreaming }
+func (b *MemoryBudget) InUse() (used, usedByStreaming int) { return b.used, b.usedByStreaming }
 
 // Waiting returns how many requests are queued.
 func (b *MemoryBudget) Waiting() int { return len(b.waiting) }
 
 func (b *MemoryBudget) queueFor(s Size) *list.List {
-	if s.Streaming {
+	if s.IsStreaming {
 		return &b.streamingQueue
 	}
 	return &b.bufferedQueue
@@ -88,11 +88,11 @@
 	if b.used+s.Bytes > b.total {
 		return false
 	}
-	if s.Streaming && (b.usedByStreaming+s.Bytes > b.total-b.bufferedReserve || b.bufferedQueue.Len() > 0) {
+	if s.IsStreaming && (b.usedByStreaming+s.Bytes > b.total-b.bufferedReserve || b.bufferedQueue.Len() > 0) {
 		return false
 	}
 	b.used += s.Bytes
-	if s.Streaming {
+	if s.IsStreaming {
 		b.usedByStreaming += s.Bytes
 	}
 	return true
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("request %d was granted, but was not waiting", id)
 		}
 		for _, older := range m.waiting[:i] {
-			if m.sizes[older].Streaming == m.sizes[id].Streaming {
+			if m.sizes[older].IsStreaming == m.sizes[id].IsStreaming {
 				t.Fatalf("request %d was granted before the older request %d of the same kind", id, older)
 			}
 		}
@@ -64,27 +64,28 @@
 // check compares the memory in use with the granted requests, and fails if the oldest waiting request of a kind could be
 // granted.
 func (m *budgetModel) check(t *rapid.T) {
-	all, streaming := 0, 0
+	used, usedByStreaming := 0, 0
 	for _, id := range m.granted {
-		all += m.sizes[id].Bytes
-		if m.sizes[id].Streaming {
-			streaming += m.sizes[id].Bytes
+		used += m.sizes[id].Bytes
+		if m.sizes[id].IsStreaming {
+			usedByStreaming += m.sizes[id].Bytes
 		}
 	}
 	maxStreaming := m.total - m.reserve
-	if gotAll, gotStreaming := m.budget.InUse(); gotAll != all || gotStreaming != streaming || all > m.total || streaming > maxStreaming {
+	gotUsed, gotByStreaming := m.budget.InUse()
+	if gotUsed != used || gotByStreaming != usedByStreaming || used > m.total || usedByStreaming > maxStreaming {
 		t.Fatalf("InUse returned %d, %d, want %d, %d and at most %d, %d",
-			gotAll, gotStreaming, all, streaming, m.total, maxStreaming)
+			gotUsed, gotByStreaming, used, usedByStreaming, m.total, maxStreaming)
 	}
 	if m.budget.Waiting() != len(m.waiting) {
 		t.Fatalf("Waiting returned %d, want %d", m.budget.Waiting(), len(m.waiting))
 	}
-	isBuffered := func(id int) bool { return !m.sizes[id].Streaming }
+	isBuffered := func(id int) bool { return !m.sizes[id].IsStreaming }
 	for i, id := range m.waiting {
 		s := m.sizes[id]
-		isOldest := !slices.ContainsFunc(m.waiting[:i], func(other int) bool { return m.sizes[other].Streaming == s.Streaming })
-		fits := all+s.Bytes <= m.total && (!s.Streaming || streaming+s.Bytes <= maxStreaming)
-		mustYield := s.Streaming && slices.ContainsFunc(m.waiting, isBuffered)
+		isOldest := !slices.ContainsFunc(m.waiting[:i], func(other int) bool { return m.sizes[other].IsStreaming == s.IsStreaming })
+		fits := used+s.Bytes <= m.total && (!s.IsStreaming || usedByStreaming+s.Bytes <= maxStreaming)
+		mustYield := s.IsStreaming && slices.ContainsFunc(m.waiting, isBuffered)
 		if isOldest && fits && !mustYield {
 			t.Fatalf("request %d for %+v waits, though its memory is free", id, s)
 		}
@@ -107,7 +108,7 @@
 // have to wait longer.
 func TestStreamingBodyWaitsWhileBufferedOneWaits(t *testing.T) {
 	b := NewMemoryBudget(100, 0)
-	inUse, buffered, streaming := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, Streaming: true}
+	inUse, buffered, streaming := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, IsStreaming: true}
 	if _, ok := b.Acquire(inUse); !ok {
 		t.Fatal("the first request was not granted")
 	}
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -10,27 +10,27 @@
 // BufferSize is the size in bytes of a streaming body's buffer. A body that fits into it is buffered completely instead.
 const BufferSize = 64 << 10
 
-// bufferedReserveDivisor reserves a quarter of a MemoryPool for buffered bodies, since streaming ones hold their memory for
-// longer.
+// bufferedReserveDivisor is the ratio of a MemoryPool's bytes to the bytes reserved for buffered bodies. Without the reserve,
+// streaming bodies, which hold their memory for longer, could take all of it.
 const bufferedReserveDivisor = 4
 
 // ErrExceedsMemory is returned for a size that the MemoryPool can never grant.
 var ErrExceedsMemory = errors.New("more than the memory for bodies")
 
-// bufferRequest is the memory that one streaming body needs.
-var bufferRequest = Size{Bytes: BufferSize, Streaming: true}
+// bufferRequest is the Size of the memory that one streaming body needs: its buffer.
+var bufferRequest = Size{Bytes: BufferSize, IsStreaming: true}
 
 // MemoryPool limits the memory that all bodies of a process hold together. It is safe for concurrent use.
 type MemoryPool struct {
 	mu      sync.Mutex
 	budget  *MemoryBudget
-	granted map[int]chan struct{} // channels by the ID of a queued request, each closed when its request is granted
+	waiters map[int]chan struct{} // channels by the ID of a queued request, each closed when its request is granted
 	buffers sync.Pool             // unused buffers, each a *[]byte of BufferSize bytes
 }
 
 // NewMemoryPool returns a MemoryPool of total bytes, of which a quarter is reserved for buffered bodies.
 func NewMemoryPool(total int) *MemoryPool {
-	p := &MemoryPool{budget: NewMemoryBudget(total, total/bufferedReserveDivisor), granted: map[int]chan struct{}{}}
+	p := &MemoryPool{budget: NewMemoryBudget(total, total/bufferedReserveDivisor), waiters: map[int]chan struct{}{}}
 	p.buffers.New = func() any {
 		b := make([]byte, BufferSize)
 		return &b
@@ -38,9 +38,9 @@
 	return p
 }
 
-// Acquire acquires memory for a body. It waits until the memory is granted or ctx ends, and returns ctx's error in the second
-// case. Free memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a size that can never be
-// granted. Acquired memory must be released with Release exactly once.
+// Acquire acquires memory for a body. It waits until the memory is granted, and returns ctx's error if ctx ends first. Free
+// memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a size that can never be granted.
+// Acquired memory must be released with Release exactly once.
 func (p *MemoryPool) Acquire(ctx context.Context, s Size) error {
 	p.mu.Lock()
 	if !p.budget.Fits(s) {
@@ -53,7 +53,7 @@
 		return nil
 	}
 	granted := make(chan struct{})
-	p.granted[id] = granted
+	p.waiters[id] = granted
 	p.mu.Unlock()
 	select {
 	case <-granted:
@@ -63,11 +63,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	others, ok := p.budget.Cancel(id)
-	if !ok { // the request was granted after ctx had ended
+	if !ok { // the request was granted before it could be canceled
 		return nil
 	}
-	delete(p.granted, id)
-	p.notify(others)
+	delete(p.waiters, id)
+	p.notifyGranted(others)
 	return ctx.Err()
 }
 
@@ -75,14 +75,14 @@
 func (p *MemoryPool) Release(s Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notify(p.budget.Release(s))
+	p.notifyGranted(p.budget.Release(s))
 }
 
-// notify wakes the goroutines whose requests were granted. p.mu is held.
-func (p *MemoryPool) notify(ids []int) {
+// notifyGranted wakes the goroutines whose requests were granted. p.mu is held.
+func (p *MemoryPool) notifyGranted(ids []int) {
 	for _, id := range ids {
-		close(p.granted[id])
-		delete(p.granted, id)
+		close(p.waiters[id])
+		delete(p.waiters, id)
 	}
 }
 
--- a/internal/body/memory_pool_test.go
+++ b/internal/body/memory_pool_test.go
@@ -43,7 +43,7 @@
 		})
 	}
 	users.Wait()
-	if inUse, waiting := p.InUse(); inUse != 0 || waiting != 0 || len(p.granted) != 0 {
-		t.Errorf("%d bytes in use, %d requests waiting, %d entries in granted, want 0 of each", inUse, waiting, len(p.granted))
+	if inUse, waiting := p.InUse(); inUse != 0 || waiting != 0 || len(p.waiters) != 0 {
+		t.Errorf("%d bytes in use, %d requests waiting, %d entries in waiters, want 0 of each", inUse, waiting, len(p.waiters))
 	}
 }
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -16,11 +16,11 @@
 // drains the bucket, and transferred bytes fill it up to IdleTimeout. It reads no clock and is not safe for concurrent use.
 type Meter struct {
 	rate         MinimumRate
-	credit       time.Duration // time that the peer may still take before it falls below the rate
+	credit       time.Duration // content of the bucket: time that the peer may still take before it is too slow
 	lastDeadline time.Time     // deadline that Deadline returned last
 }
 
-// NewMeter returns a Meter whose bucket is full.
+// NewMeter returns a Meter for a peer that has not fallen behind the rate: the first byte may take up to IdleTimeout.
 func NewMeter(rate MinimumRate) Meter { return Meter{rate: rate, credit: rate.IdleTimeout} }
 
 // MaxWait returns the maximum time to wait for the peer's next byte; 0 means that the peer is too slow.
@@ -31,11 +31,12 @@
 	return max(m.credit, 0)
 }
 
-// deadlineSlackDivisor is the part of MaxWait, an eighth, by which a connection's deadline may be too early before it is set
-// again. Each call that sets a deadline costs as much as transferring a small part of a body.
+// deadlineSlackDivisor is the ratio of MaxWait to the time by which a connection's deadline may be too early without being set
+// again. The deadline is not set for every wait, since setting it costs as much as transferring a small part of a body.
 const deadlineSlackDivisor = 8
 
-// MinWait returns the shortest wait that a deadline returned by Deadline can allow at present.
+// MinWait returns the shortest time that Deadline, called now, may leave for a wait: MaxWait less the time by which a
+// connection's deadline may be too early.
 func (m *Meter) MinWait() time.Duration {
 	return m.MaxWait() - m.MaxWait()/deadlineSlackDivisor
 }
@@ -45,7 +46,7 @@
 func (m *Meter) Deadline(now time.Time) (at time.Time, changed bool) {
 	wait := m.MaxWait()
 	at = now.Add(wait)
-	if short := at.Sub(m.lastDeadline); short >= 0 && short <= wait/deadlineSlackDivisor {
+	if earlyBy := at.Sub(m.lastDeadline); earlyBy >= 0 && earlyBy <= wait/deadlineSlackDivisor {
 		return m.lastDeadline, false
 	}
 	m.lastDeadline = at
--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -44,8 +44,8 @@
 // Deadline returns a new deadline only when the previous one is too early by more than an eighth of MaxWait. So every deadline
 // allows a wait of at least MinWait.
 func TestMeterKeepsDeadlineThatIsCloseEnough(t *testing.T) {
-	const idle = 8 * time.Second
-	m := NewMeter(MinimumRate{IdleTimeout: idle})
+	const idleTimeout = 8 * time.Second
+	m := NewMeter(MinimumRate{IdleTimeout: idleTimeout})
 	if got, want := m.MinWait(), 7*time.Second; got != want {
 		t.Errorf("MinWait is %v, want %v", got, want)
 	}
@@ -55,9 +55,9 @@
 		at      time.Duration // time from start to the deadline
 		changed bool
 	}{
-		{0, idle, true},
-		{time.Second, idle, false},
-		{time.Second + 1, time.Second + 1 + idle, true},
+		{0, idleTimeout, true},
+		{time.Second, idleTimeout, false},
+		{time.Second + 1, time.Second + 1 + idleTimeout, true},
 	} {
 		if at, changed := m.Deadline(start.Add(row.after)); at.Sub(start) != row.at || changed != row.changed {
 			t.Errorf("after %v: deadline at %v, changed %v, want %v, %v", row.after, at.Sub(start), changed, row.at, row.changed)
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -10,7 +10,7 @@
 // Only io.EOF itself ends a body. An error that wraps it means that the body could not be read to its end.
 func TestWrappedEOFIsNotEndOfBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		end        error // error of the read after the last byte
+		endErr     error // error of the read after the last byte
 		isComplete bool  // the body should count as complete
 	}{
 		"io.EOF":              {io.EOF, true},
@@ -19,7 +19,7 @@
 		"io.ErrUnexpectedEOF": {io.ErrUnexpectedEOF, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newTestUpload(t, NewMemoryPool(2*BufferSize), (&scriptedBody{parts: [][]byte{{1}}, end: c.end}).source())
+			u := newTestUpload(t, NewMemoryPool(2*BufferSize), (&scriptedBody{parts: [][]byte{{1}}, endErr: c.endErr}).source())
 			isComplete, err := u.ReadPrefix()
 			if isComplete != c.isComplete || (err == nil) != c.isComplete || !c.isComplete && !errors.Is(err, ErrBroken) {
 				t.Errorf("ReadPrefix: complete %v, error %v, want complete %v", isComplete, err, c.isComplete)
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Reasons, besides ErrTooSlow, why an Upload could not be read. The texts are sent to clients.
+// An Upload that could not be read has one of the following errors or ErrTooSlow. The texts are sent to clients.
 var (
 	// ErrTooLong is returned for a body of more than Source.MaxBytes bytes.
 	ErrTooLong = errors.New("the body is too long")
@@ -53,14 +53,14 @@
 type Upload struct {
 	Source
 	pool   *MemoryPool
-	buffer *[]byte       // BufferSize bytes: the prefix, then the parts after it
+	buffer *[]byte       // BufferSize bytes that hold the prefix, and each later part of the body until the next read
 	meter  Meter         // checks that the client keeps its MinimumRate
 	failed chan struct{} // closed when the body could not be read
 
 	mu          sync.Mutex
 	readEnded   sync.Cond // signaled when a read of Source.Body has ended, or an UploadReader was closed
 	prefixLen   int       // bytes of the prefix that have arrived
-	pendingPart []byte    // part that was read for a reader closed meanwhile; the next reader returns it
+	pendingPart []byte    // part of the body whose UploadReader was closed during the read; the next UploadReader returns it
 	received    int64     // bytes of the body that have arrived
 	isReading   bool      // a read of Source.Body is in progress
 	isComplete  bool      // the body's end has arrived
@@ -163,7 +163,7 @@
 		_ = u.SetReadDeadline(time.Now().Add(linger)) // fails only on a closed connection
 	}
 	u.waitForRead()
-	// If the client waits for 100 Continue, reading would make net/http send that and so ask for a body that is not needed.
+	// If the client waits for 100 Continue, a read would make net/http send 100 Continue and so ask for a body that is not needed.
 	mustDrain := !u.isComplete && u.err == nil && (u.received > 0 || !u.ExpectsContinue)
 	u.mu.Unlock()
 	if mustDrain {
@@ -172,12 +172,12 @@
 	u.pool.ReleaseBuffer(u.buffer)
 }
 
-// drain reads and discards the rest of the body, within the limits of Close.
+// drain reads and discards the rest of the body, for at most the time linger and up to about maxBytes bytes.
 func (u *Upload) drain(linger time.Duration, maxBytes int64) {
-	end := time.Now().Add(linger)
-	for left := maxBytes; left > 0 && time.Now().Before(end); {
+	deadline := time.Now().Add(linger)
+	for remaining := maxBytes; remaining > 0 && time.Now().Before(deadline); {
 		n, err := u.Body.Read(*u.buffer)
-		left -= int64(n)
+		remaining -= int64(n)
 		if err != nil {
 			return
 		}
--- a/internal/body/upload_reader.go
+++ b/internal/body/upload_reader.go
@@ -5,7 +5,7 @@
 var errReaderClosed = errors.New("upload reader is closed")
 
 // UploadReader reads an Upload from its first byte on behalf of one attempt. A new reader may be used only after the previous
-// one was closed. A read that the closed one began may still wait for the client: the new reader gets the bytes it returns.
+// one was closed. If the closed reader is still waiting for bytes from the client, the new reader gets these bytes.
 type UploadReader struct {
 	upload   *Upload
 	offset   int  // bytes of the upload's prefix that were returned, guarded by upload.mu
@@ -23,8 +23,8 @@
 // at the body's end, and any other error if the body could not be read or the reader is closed.
 func (r *UploadReader) Next() ([]byte, error) { return r.upload.next(r) }
 
-// Close closes the reader. A blocked call of Next returns an error, but only after the read from the client that it has begun
-// itself, if any, has returned.
+// Close closes the reader, so that a blocked call of Next returns an error. If that call is itself reading from the client, it
+// returns only when the read ends.
 func (r *UploadReader) Close() {
 	r.upload.mu.Lock()
 	defer r.upload.mu.Unlock()
--- a/internal/body/upload_receive.go
+++ b/internal/body/upload_receive.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// next returns the next part of the body for a reader. It reads from the client only if no part for this reader is buffered.
-// With a nil reader it extends the buffered prefix or, if that is complete, consumes the body. It returns io.EOF at the
-// body's end. If a read that a closed reader began is still in progress, next waits for it and returns the bytes it read.
+// next returns the next part of the body for the reader r, or io.EOF at the body's end. It reads from the client only if no part
+// for r is buffered. If r is nil, next reads a part that no reader gets, and keeps it only if it belongs to the prefix. If a
+// read that a closed reader began is still in progress, next waits for that read and returns its bytes.
 func (u *Upload) next(r *UploadReader) ([]byte, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -14,7 +14,7 @@
 // scriptedBody is a client's body that consists of fixed parts and ends with a fixed error.
 type scriptedBody struct {
 	parts    [][]byte      // parts that have not been read yet
-	end      error         // error that a read returns after the last part
+	endErr   error         // error that a read returns after the last part
 	deadline time.Time     // read deadline that SetReadDeadline has set; zero: none
 	arrivals chan struct{} // each value received lets one read return; if nil, reads do not wait
 }
@@ -28,7 +28,7 @@
 		}
 	}
 	if len(s.parts) == 0 {
-		return 0, s.end
+		return 0, s.endErr
 	}
 	n := copy(to, s.parts[0])
 	if s.parts[0] = s.parts[0][n:]; len(s.parts[0]) == 0 {
@@ -60,14 +60,14 @@
 
 // ioReader adapts an UploadReader to io.Reader. It returns the errors of Next unchanged.
 type ioReader struct {
-	upload *UploadReader
+	reader *UploadReader
 	part   []byte // bytes that Next returned and Read did not return yet
 }
 
 func (r *ioReader) Read(to []byte) (int, error) {
 	if len(r.part) == 0 {
 		var err error
-		if r.part, err = r.upload.Next(); err != nil {
+		if r.part, err = r.reader.Next(); err != nil {
 			return 0, err
 		}
 	}
@@ -78,7 +78,7 @@
 
 // readAll reads to the body's end. The error is nil only if Next returns io.EOF itself at the end: like other readers, io.ReadAll
 // takes an error that wraps io.EOF for a failure.
-func readAll(r *UploadReader) ([]byte, error) { return io.ReadAll(&ioReader{upload: r}) }
+func readAll(r *UploadReader) ([]byte, error) { return io.ReadAll(&ioReader{reader: r}) }
 
 func TestUploadCanBeResentWhileBuffered(t *testing.T) {
 	for _, row := range []struct {
@@ -89,7 +89,7 @@
 			text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
 			pool := NewMemoryPool(2 * BufferSize)
 			parts := [][]byte{text[:row.length/2], text[row.length/2:]}
-			u := newTestUpload(t, pool, (&scriptedBody{parts: parts, end: io.EOF}).source())
+			u := newTestUpload(t, pool, (&scriptedBody{parts: parts, endErr: io.EOF}).source())
 			if isComplete, err := u.ReadPrefix(); err != nil || isComplete != (row.length < PrefixSize) {
 				t.Errorf("ReadPrefix: complete %v, error %v, want complete %v", isComplete, err, row.length < PrefixSize)
 			}
@@ -122,7 +122,7 @@
 	for _, length := range []int{100, PrefixSize + 100} {
 		synctest.Test(t, func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789"), length/10)
-			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, end: io.EOF, arrivals: make(chan struct{}, 9)}
+			s := &scriptedBody{parts: [][]byte{text[:length-100], text[length-100:]}, endErr: io.EOF, arrivals: make(chan struct{}, 9)}
 			if len(s.parts[0]) == 0 {
 				s.parts = s.parts[1:]
 			}
@@ -168,14 +168,14 @@
 		body *scriptedBody
 		want error
 	}{
-		{"too long", &scriptedBody{parts: [][]byte{make([]byte, 2<<20)}, end: io.EOF}, ErrTooLong},
-		{"end too early", &scriptedBody{parts: [][]byte{{1}}, end: io.ErrUnexpectedEOF}, ErrBroken},
-		{"bad chunks", &scriptedBody{end: errors.New("malformed chunked encoding")}, ErrBroken},
-		{"stalled", &scriptedBody{parts: [][]byte{{1}}, end: errStalled}, ErrTooSlow},
+		{"too long", &scriptedBody{parts: [][]byte{make([]byte, 2<<20)}, endErr: io.EOF}, ErrTooLong},
+		{"end too early", &scriptedBody{parts: [][]byte{{1}}, endErr: io.ErrUnexpectedEOF}, ErrBroken},
+		{"bad chunks", &scriptedBody{endErr: errors.New("malformed chunked encoding")}, ErrBroken},
+		{"stalled", &scriptedBody{parts: [][]byte{{1}}, endErr: errStalled}, ErrTooSlow},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if errors.Is(row.body.end, errStalled) {
+				if errors.Is(row.body.endErr, errStalled) {
 					row.body.arrivals = make(chan struct{}) // made here, since the channel must belong to the synctest bubble
 				}
 				pool := NewMemoryPool(2 * BufferSize)
@@ -229,20 +229,20 @@
 // net/http ask for the body.
 func TestReadToEndReadsRestWithoutTriggeringContinue(t *testing.T) {
 	for name, c := range map[string]struct {
-		end             error // error of the read after the last part
+		endErr          error // error of the read after the last part
 		expectsContinue bool  // the client waits for 100 Continue
 		parts           int   // parts of the body, PrefixSize bytes each
 		want            error // error that ReadToEnd should return
 		unread          int   // parts that should remain unread
 	}{
-		"complete":                 {end: io.EOF, parts: 5},
-		"without its end":          {end: io.ErrUnexpectedEOF, parts: 5, want: ErrBroken},
-		"waits for 100 Continue":   {end: io.EOF, expectsContinue: true, parts: 1, want: ErrBroken, unread: 1},
-		"too long":                 {end: io.EOF, parts: 40, want: ErrTooLong, unread: 7},
-		"broken before the prefix": {end: io.ErrUnexpectedEOF, want: ErrBroken},
+		"complete":                 {endErr: io.EOF, parts: 5},
+		"without its end":          {endErr: io.ErrUnexpectedEOF, parts: 5, want: ErrBroken},
+		"waits for 100 Continue":   {endErr: io.EOF, expectsContinue: true, parts: 1, want: ErrBroken, unread: 1},
+		"too long":                 {endErr: io.EOF, parts: 40, want: ErrTooLong, unread: 7},
+		"broken before the prefix": {endErr: io.ErrUnexpectedEOF, want: ErrBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &scriptedBody{end: c.end}
+			s := &scriptedBody{endErr: c.endErr}
 			for range c.parts {
 				s.parts = append(s.parts, make([]byte, PrefixSize))
 			}
--- a/internal/body/write_test.go
+++ b/internal/body/write_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestWriteEndsWhenPeerDoesNotReadOrStopped(t *testing.T) {
+func TestWriteEndsWhenPeerDoesNotReadOrWriteIsStopped(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,14 +24,14 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	big := make([]byte, 32<<20) // more than the socket buffers hold
+	largeBody := make([]byte, 32<<20) // more than the socket buffers hold
 	m := NewMeter(MinimumRate{IdleTimeout: 50 * time.Millisecond, BytesPerSecond: 100 << 20})
-	never := func() bool { return false }
-	if n, err := Write(nc, &m, never, net.Buffers{big}); !errors.Is(err, ErrTooSlow) || n == 0 || n == int64(len(big)) {
-		t.Errorf("slow peer: wrote %d bytes of %d, error %v, want a part of them and %v", n, len(big), err, ErrTooSlow)
+	neverStopped := func() bool { return false }
+	if n, err := Write(nc, &m, neverStopped, net.Buffers{largeBody}); !errors.Is(err, ErrTooSlow) || n == 0 || n == int64(len(largeBody)) {
+		t.Errorf("slow peer: wrote %d bytes of %d, error %v, want a part of them and %v", n, len(largeBody), err, ErrTooSlow)
 	}
 	m = NewMeter(MinimumRate{IdleTimeout: 20 * time.Second})
-	var stop sync.Once
+	var stopOnce sync.Once
 	stopped := make(chan struct{})
 	isStopped := func() bool {
 		select {
@@ -42,10 +42,10 @@
 		}
 	}
 	time.AfterFunc(50*time.Millisecond, func() {
-		stop.Do(func() { close(stopped) })
+		stopOnce.Do(func() { close(stopped) })
 		nc.SetWriteDeadline(time.Unix(1, 0))
 	})
-	if _, err := Write(nc, &m, isStopped, net.Buffers{big}); !errors.Is(err, ErrStopped) {
+	if _, err := Write(nc, &m, isStopped, net.Buffers{largeBody}); !errors.Is(err, ErrStopped) {
 		t.Errorf("stopped: error %v, want %v", err, ErrStopped)
 	}
 }
