--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -4,8 +4,8 @@
 //
 // The package is pure: its input is views and instants. It has no goroutine, and one caller owns a Tracker.
 //
-// The result is an estimate, as the view is: while daemons join, leave, fail or are cut off, the parts that all daemons take
-// may temporarily add up to more than the whole.
+// The result is an estimate, as the view is: while daemons join, leave, fail or are cut off, the parts of a limit that all
+// daemons take may temporarily add up to more than the limit.
 package ordinal
 
 import (
@@ -23,15 +23,15 @@
 // notMissing is the value in Tracker.missingSince for a member that is present.
 const notMissing = time.Duration(-1)
 
-// Tracker determines the count of members and the ordinal. The zero value is ready to use and counts no member. It is not
-// safe for concurrent use.
+// Tracker counts the members of a cluster and determines the ordinal of this daemon among them. The zero value is ready to
+// use and counts no member. It is not safe for concurrent use.
 type Tracker struct {
 	missingSince map[string]time.Duration // by name of each counted member: instant since which it is failed or unknown, or notMissing
 }
 
-// Update processes a view at the instant now, which must never decrease. It returns the number of counted members; the
-// ordinal, from 0 and in the order of names, of the view's own daemon among them; and the instant at which Update must be
-// called again even if the view does not change, or 0 if there is none.
+// Update processes a view at the instant now, which must never decrease. count is the number of counted members, and ordinal
+// is the position of the view's own daemon among them, from 0 and in the order of names. nextUpdate is the instant at which
+// Update must be called again even if the view does not change; 0 means that there is none.
 //
 // A member is counted from the first view in which it is present until it has left, or has been failed or unknown for
 // FailureHold. A daemon that is cut off keeps counting failed members, since it cannot tell which of them have failed.
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -9,11 +9,11 @@
 	// gossipFanout is the number of members to which each round of gossip is sent.
 	gossipFanout = 3
 
-	// gossipsPerProbeInterval is the number of rounds of gossip in a ProbeInterval.
-	gossipsPerProbeInterval = 4
+	// gossipRoundsPerProbeInterval is the number of rounds of gossip in a ProbeInterval.
+	gossipRoundsPerProbeInterval = 4
 
-	// retransmitFactor is the ratio of the number of times that a node sends an update to half of the binary logarithm of
-	// the cluster's size.
+	// retransmitFactor sets how many times a node sends an update: retransmitFactor/2 times the bit length of the cluster's
+	// size.
 	retransmitFactor = 4
 )
 
@@ -53,8 +53,8 @@
 	q.lowestTransmitCount = min(q.lowestTransmitCount, b.transmitCount)
 }
 
-// collect appends queued updates to updates, which a message must contain, and returns the result, which is within
-// MaxPiggyback and maxPiggybackBytes. An update that has been sent transmitLimit times is removed from the queue.
+// collect returns the updates to be piggybacked on a message: those in the parameter updates, then as many queued updates as
+// MaxPiggyback and maxPiggybackBytes allow. An update that has been sent transmitLimit times is removed from the queue.
 func (q *broadcastQueue) collect(transmitLimit int, updates []Update) []Update {
 	freeBytes := maxPiggybackBytes
 	for i := range updates {
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -28,9 +28,10 @@
 func (n *Node) sendIndirectProbes(seq uint64, p *probe) {
 	p.hasSentIndirect = true
 	probers := n.randomPresent(indirectProbeFanout, p.target)
-	last := p.target.lastIndirectProber
-	if last != nil && last.State.IsPresent() && last != p.target && len(probers) > 0 && !slices.Contains(probers, last) {
-		probers[0] = last
+	lastProber := p.target.lastIndirectProber
+	if lastProber != nil && lastProber.State.IsPresent() && lastProber != p.target && len(probers) > 0 &&
+		!slices.Contains(probers, lastProber) {
+		probers[0] = lastProber
 	}
 	for _, m := range probers {
 		p.expectedNacks++
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -64,14 +64,14 @@
 	n.changeState(now, m, u)
 }
 
-// addMember adds a member that was unknown. The member is added as alive, and its state is then changed to suspect if the
-// update asserts that.
+// addMember adds a member that was unknown. The member is added as alive, and its state is then changed to suspect if u
+// asserts that it is suspect.
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
 	alive.State, alive.SuspectedBy = Alive, ""
 	m := &member{Update: alive, stateSince: now}
 	n.members[u.Name] = m
-	n.countPresent(m)
+	n.addToDigestAndAddrs(m)
 	n.insertPresent(m)
 	n.viewNumber++
 	n.recordChange(Change{Name: u.Name, Addr: u.Addr, To: Alive, IsNew: true, Incarnation: u.Incarnation})
@@ -87,14 +87,14 @@
 	m.suspicion = nil
 	delete(n.suspects, m.Name)
 	if previous.State.IsPresent() {
-		n.uncountPresent(m)
+		n.removeFromDigestAndAddrs(m)
 	}
 	if u.State != previous.State || u.Generation != previous.Generation {
 		m.stateSince = now
 	}
 	m.Update = u
 	if u.State.IsPresent() {
-		n.countPresent(m)
+		n.addToDigestAndAddrs(m)
 	}
 	n.moveBetweenLists(m, previous.State)
 	if u.State != previous.State {
@@ -118,14 +118,14 @@
 	}
 }
 
-// countPresent adds a present member to the digest and to presentAddrs.
-func (n *Node) countPresent(m *member) {
+// addToDigestAndAddrs adds a present member to Node.digest and to Node.presentAddrs.
+func (n *Node) addToDigestAndAddrs(m *member) {
 	n.digest ^= m.digest()
 	n.presentAddrs[m.Addr]++
 }
 
-// uncountPresent undoes countPresent. The member's update must not have changed since countPresent.
-func (n *Node) uncountPresent(m *member) {
+// removeFromDigestAndAddrs undoes addToDigestAndAddrs for a member whose update has not changed since.
+func (n *Node) removeFromDigestAndAddrs(m *member) {
 	n.digest ^= m.digest()
 	if n.presentAddrs[m.Addr]--; n.presentAddrs[m.Addr] == 0 {
 		delete(n.presentAddrs, m.Addr)
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -16,7 +16,7 @@
 // Kind is the purpose of a Message. Its values are on the wire and must not change.
 type Kind uint8
 
-// The values of Kind, each with what a message of this kind does.
+// The values of Kind. The comment of each says what a message of that kind does.
 const (
 	Ping      Kind = iota + 1 // probes Target, or whichever node has the destination address if Target has no name
 	PingReq                   // asks the receiver to probe Target on behalf of the sender
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -13,7 +13,7 @@
 // Node is the failure detector of one daemon. The instants that a caller passes to its methods must never decrease. A Node
 // is not safe for concurrent use.
 type Node struct {
-	options      Options       // options with their defaults; Reconfigure replaces them
+	options      Options       // options of the node after setDefaults; Reconfigure replaces them
 	rng          *rand.Rand    // source of all random decisions, from Options.Seed
 	self         Update        // address, generation, state and incarnation of this node, as it gossips them
 	startedAt    time.Duration // instant at which the node was created
@@ -51,7 +51,7 @@
 	conflict *nameConflict // another process with this node's name; nil: none is known
 
 	// Fields of the view that the node reports (view.go).
-	connectivity         Connectivity  // connectivity that View reports, which improves later than the actual one
+	connectivity         Connectivity  // connectivity that View reports; improvements are reported with a delay
 	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
 	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
 	viewNumber           uint64        // Number of the current View, which grows with each change
@@ -130,7 +130,7 @@
 	n.expireSuspicions(now)
 	n.tickNameConflict(now)
 	if now >= n.nextGossip && n.canGossip() {
-		n.nextGossip = now + n.options.ProbeInterval/gossipsPerProbeInterval
+		n.nextGossip = now + n.options.ProbeInterval/gossipRoundsPerProbeInterval
 		n.gossip(gossipFanout)
 	}
 	if now >= n.nextRejoin {
@@ -190,8 +190,8 @@
 // HasContact reports whether a message of another node has been received since the start.
 func (n *Node) HasContact() bool { return n.hasContact }
 
-// Leave announces that this node leaves the cluster. The caller should then send what TakeMessages returns. From now on
-// the node sends no probes and only responds to messages.
+// Leave announces that this node leaves the cluster. The caller should then send what TakeMessages returns. After Leave the
+// node sends no probes and only responds to messages.
 func (n *Node) Leave(_ time.Duration) {
 	n.hasLeft = true
 	clear(n.probes)
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -26,7 +26,7 @@
 
 	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
 	DisableLocalHealth     bool // whether the local health multiplier is off: timeouts do not grow when this node is slow
-	DisableSuspicionShrink bool // whether suspicions have the minimum timeout from the start, and no member probes a suspect at once
+	DisableSuspicionShrink bool // whether every suspicion has its minimum timeout from the start, and verifySuspicion does nothing
 	DisableBuddySystem     bool // whether a Ping to a suspect does not tell the suspect that it is suspected
 }
 
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -53,8 +53,8 @@
 	n.send(target.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: target.Peer})
 }
 
-// nextProbeTarget returns an urgent target if there is one, and otherwise the next member of the round. After each round
-// the order is shuffled again.
+// nextProbeTarget returns the member to probe next: the first of urgentTargets that is still suspect, or otherwise the next
+// member of the probe round. After each round the order of the members is shuffled again.
 func (n *Node) nextProbeTarget() *member {
 	for len(n.urgentTargets) > 0 {
 		m := n.urgentTargets[0]
@@ -98,7 +98,7 @@
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
-	// Only if the sender learns that this node considers it suspect, failed or left can it refute that state.
+	// Tell the sender that this node considers it suspect, failed or left, so that it can refute that state.
 	if sender := n.members[m.From.Name]; sender != nil && sender.State != Alive && !n.isYielding() {
 		ack.Updates = n.broadcasts.collect(n.retransmitLimit(), []Update{sender.Update})
 	}
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -12,7 +12,8 @@
 	// other member has confirmed the suspicion.
 	maxSuspicionMultiplier = 3
 
-	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the timeout to its minimum.
+	// confirmationsForMinTimeout is the number of confirmations by other members that shrink the suspicion timeout to its
+	// minimum.
 	confirmationsForMinTimeout = 3
 
 	// expectedVerifiers is the mean number of members that probe a suspect at once when they learn of the suspicion.
@@ -22,13 +23,13 @@
 // suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
 // other member suspects it, and shrinks with each further member that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
-	start                  time.Duration // instant at which the suspicion started, moved forward by later pauses of the process
-	minTimeout, maxTimeout time.Duration // suspicion timeouts with neededConfirmations (minTimeout) and without confirmations (maxTimeout)
+	start                  time.Duration // instant at which the suspicion started; detectPause adds the pauses of this process
+	minTimeout, maxTimeout time.Duration // suspicion timeout after neededConfirmations confirmations, and before the first one
 	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
-	suspectors             []string      // names of the members that suspect the suspected member; at most 1+neededConfirmations
+	suspectors             []string      // names of the members that share the suspicion; at most 1+neededConfirmations
 }
 
-// confirm adds the name of another member that suspects the suspected one, and reports whether the timeout shrinks.
+// confirm records that the member named suspector shares the suspicion, and reports whether the suspicion timeout shrinks.
 func (s *suspicion) confirm(suspector string) bool {
 	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, suspector) {
 		return false
@@ -43,8 +44,8 @@
 		return s.start + s.minTimeout
 	}
 	fraction := math.Log(float64(len(s.suspectors))) / math.Log(float64(s.neededConfirmations+1))
-	shrunk := s.maxTimeout - time.Duration(fraction*float64(s.maxTimeout-s.minTimeout))
-	return s.start + max(s.minTimeout, shrunk)
+	shrunkTimeout := s.maxTimeout - time.Duration(fraction*float64(s.maxTimeout-s.minTimeout))
+	return s.start + max(s.minTimeout, shrunkTimeout)
 }
 
 // startSuspicion changes the state of a present member to suspect and starts its suspicion timeout.
@@ -70,9 +71,9 @@
 	n.nextSuspicionEnd = min(n.nextSuspicionEnd, s.deadline())
 }
 
-// verifySuspicion decides at random whether this node probes a member at once that another member suspects. Without it
-// only about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would be
-// confirmed too slowly.
+// verifySuspicion decides at random whether this node immediately probes m, which another member suspects. Without such
+// probes, only about one member of a large cluster would probe the suspect in each ProbeInterval, and the suspicion would
+// be confirmed too slowly.
 func (n *Node) verifySuspicion(now time.Duration, m *member) {
 	if n.options.DisableSuspicionShrink || m.SuspectedBy == n.self.Name || len(n.urgentTargets) >= maxHealthScore {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// expireSuspicions declares the suspects failed whose suspicion timeout has passed without a refutation.
+// expireSuspicions changes the state of each suspect to failed whose suspicion timeout has passed without a refutation.
 func (n *Node) expireSuspicions(now time.Duration) {
 	if now < n.nextSuspicionEnd {
 		return
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -60,7 +60,7 @@
 	for order := range orders {
 		network := newTestNetwork(3)
 		network.now += 400 * time.Millisecond
-		remainingEvents := order // number whose digits in base choices are the events of this order
+		remainingEvents := order // numbers of the events yet to run, as digits in base choices
 		for range depth {
 			network.now += 350 * time.Millisecond
 			network.runEvent(t, remainingEvents%choices)
@@ -79,16 +79,16 @@
 func (network *testNetwork) runEvent(t testingT, eventNumber int) {
 	t.Helper()
 	const tick, deliver = 0, 1
-	node, event := eventNumber%3, eventNumber/3
-	if event == tick {
-		network.tick(t, network.nodes[node])
+	nodeIndex, eventKind := eventNumber%3, eventNumber/3
+	if eventKind == tick {
+		network.tick(t, network.nodes[nodeIndex])
 		return
 	}
 	for i, e := range network.inTransit {
-		if e.To != testPeer(node).Addr {
+		if e.To != testPeer(nodeIndex).Addr {
 			continue
 		}
-		if event == deliver {
+		if eventKind == deliver {
 			network.deliver(t, i)
 		} else {
 			network.inTransit = append(network.inTransit[:i], network.inTransit[i+1:]...)
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -12,9 +12,9 @@
 // cluster.
 const membersPerSyncInterval = 32
 
-// syncIfViewsDiffer starts a full state exchange with the sender of an Ack whose digest differs from this node's digest,
-// if neither the sender nor this node has updates left to gossip, or if senderWasAbsent: the sender was not present before
-// this message.
+// syncIfViewsDiffer starts a full state exchange with the sender of the Ack m if the digest in m differs from this node's
+// digest. It does nothing while either node has updates left to gossip, unless the sender was not present before it sent m
+// (senderWasAbsent).
 func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, senderWasAbsent bool) {
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -17,7 +17,7 @@
 // The states of a member, in the order in which they override one another within one incarnation.
 const (
 	Alive      State = iota // the member is not suspected of having failed
-	Suspect                 // a member's probe of this member failed; this member can still refute the suspicion
+	Suspect                 // another member's probe of the member failed; the member can still refute the suspicion
 	Failed                  // the member did not refute a suspicion in time
 	Left                    // the member announced that it leaves the cluster, which is not a failure
 	stateCount              // number of declared states
@@ -52,7 +52,7 @@
 	Peer
 	State       State  // state that the member is asserted to have
 	Incarnation uint64 // counter that only the member itself increments, to refute assertions with smaller values
-	SuspectedBy string // if State is Suspect: name of the member that suspects, since its probe failed
+	SuspectedBy string // name of the node that suspects the member, if State is Suspect
 }
 
 // overrides reports whether u replaces the earlier update v about the same member. Of updates about two processes with one
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -22,7 +22,7 @@
 // The levels of Connectivity, from worst to best. A node that is a voter counts itself as present.
 const (
 	CutOff          Connectivity = iota // fewer than half of the voters are present
-	PartlyConnected                     // at least half of the voters are present, but not all, or some member has failed
+	PartlyConnected                     // at least half of the voters are present, but one is absent or some member has failed
 	FullyConnected                      // all voters are present and no member has failed
 )
 
@@ -92,7 +92,7 @@
 
 // updateConnectivity updates the connectivity that View reports. A decline is reported at once, because it follows from
 // failures that were confirmed by a suspicion timeout. An improvement is reported after it has lasted for
-// connectivityHoldIntervals.
+// connectivityHoldIntervals probe intervals.
 func (n *Node) updateConnectivity(now time.Duration) {
 	current := n.currentConnectivity()
 	switch {
