--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -33,7 +33,7 @@
 	RevertedTo  uint64 `json:"back,omitempty"` // version to which the change reverted the document; 0: the change was no revert
 }
 
-// IsRemoval reports whether the change removed the document, which all zeros in SHA256 mean.
+// IsRemoval reports whether the change removed the document. In that case SHA256 is all zeros.
 func (h *HistoryEntry) IsRemoval() bool { return strings.Trim(h.SHA256, "0") == "" }
 
 // CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// parseLine adds the content of a line that WriteResult wrote to the result.
+// parseLine parses a line that WriteResult wrote, and adds its content to r.
 func (r *CommandResult) parseLine(line string) error {
 	var h HistoryEntry
 	var encodedBody string
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -29,12 +29,12 @@
 	SinceMs     int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
-// FleetFromView returns the Fleet for a view. now is the present instant by the failure detector's clock; daemons and
-// index become DaemonCount and Ordinal.
-func FleetFromView(v *swim.View, now time.Duration, daemons, index int) *Fleet {
+// FleetFromView returns the Fleet for a view. now is the present instant by the failure detector's clock; daemonCount and
+// ordinal are what ordinal.Tracker determined from the view.
+func FleetFromView(v *swim.View, now time.Duration, daemonCount, ordinal int) *Fleet {
 	f := &Fleet{
 		Format: 1, Self: v.Self, Connectivity: v.Connectivity.String(), ElderAddr: v.ElderAddr, ViewNumber: v.Number,
-		DaemonCount: daemons, Ordinal: index,
+		DaemonCount: daemonCount, Ordinal: ordinal,
 	}
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{
@@ -53,12 +53,12 @@
 
 // Write writes a line for the reporting daemon and a line for each member, but not the line that ends the response.
 func (f *Fleet) Write(w io.Writer) error {
-	elder := ""
+	elderField := ""
 	if f.ElderAddr != "" {
-		elder = " elder=" + f.ElderAddr
+		elderField = " elder=" + f.ElderAddr
 	}
 	if _, err := fmt.Fprintf(w, "fleet self=%s standing=%s view=%d daemons=%d index=%d%s\n",
-		f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount, f.Ordinal, elder); err != nil {
+		f.Self, f.Connectivity, f.ViewNumber, f.DaemonCount, f.Ordinal, elderField); err != nil {
 		return err
 	}
 	for _, p := range f.Peers {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// parseLine adds the content of a line that Fleet.Write wrote to the Fleet.
+// parseLine parses a line that Fleet.Write wrote, and adds its content to f.
 func (f *Fleet) parseLine(line string) error {
 	var p Peer
 	err := parseFields(line, lineFields{
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -15,17 +15,17 @@
 	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
 	IsVoter            bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
 	IsLeader           bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
-	Leader             string          `json:"leader"`             // name of the daemon from which the latest grant came, or from which a lease was requested since
+	Leader             string          `json:"leader"`             // name of the voter to which this daemon sent its latest lease request, or that has granted it a lease since
 	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
 	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
 	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	FullyActiveVersion uint64          `json:"all"`                // version such that no daemon of the cluster still acts on an earlier one; 0: not known
+	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon of the cluster acts any more; 0: not known
 	RejectedVersion    uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
 	RejectionReason    string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
 	RejectedRequests   uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
 	KnownVoters        string          `json:"voters"`             // names of the voters from which this daemon may request a lease, separated by commas
 	ActiveVoters       string          `json:"sitting"`            // names of the daemons that vote, as a leader last reported them, separated by commas
-	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons for which the leader waits before all act on the latest version
+	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons that do not act on the latest version yet, so that the leader waits for them
 	Documents          []Document      `json:"documents"`          // agreed documents, without their bodies
 }
 
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// parseLine adds the content of a line that Settings.Write wrote to the Settings.
+// parseLine parses a line that Settings.Write wrote, and adds its content to s.
 func (s *Settings) parseLine(line string) error {
 	var d Document
 	var l LaggingDaemon
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -42,8 +42,8 @@
 		t.Fatal(err)
 	}
 	// A daemon of a later version may send more fields and more lines, which the parser must ignore.
-	extended := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
-	got, err := readFleet(strings.NewReader(extended))
+	extendedResponse := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
+	got, err := readFleet(strings.NewReader(extendedResponse))
 	if err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
 		t.Errorf("got %+v, error %v; want %+v, with 1000 ms since s2 failed", got, err, want)
 	}
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -10,9 +10,9 @@
 )
 
 // A packet consists of a header, a message authentication code and a body. The header consists of packetMagic,
-// packetVersion and the ID of the key that signed the packet. The code is the HMAC-SHA256 of header and body; a packet
-// with the key ID zero is unsigned and has no code. The body has the fields whose numbers are packetFieldCluster to
-// packetFieldMessage, in the wire format of Protocol Buffers.
+// packetVersion and the ID of the key that signed the packet. The authentication code is the HMAC-SHA256 of header and body;
+// a packet with the key ID zero is unsigned and has no authentication code. The body has the fields whose numbers are
+// packetFieldCluster to packetFieldMessage, in the wire format of Protocol Buffers.
 const (
 	packetMagic   = "TR"
 	packetVersion = 1
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -123,9 +123,9 @@
 			}
 			return
 		}
-		again, err := openPacket(appendSwimPacket(nil, signed, got.sequence, got.swimMessage), signed, swim.MaxPiggyback)
-		if err != nil || again.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", again.swimMessage) {
-			t.Errorf("parsed again as %+v, want %+v; error %v", again.swimMessage, got.swimMessage, err)
+		reparsed, err := openPacket(appendSwimPacket(nil, signed, got.sequence, got.swimMessage), signed, swim.MaxPiggyback)
+		if err != nil || reparsed.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", reparsed.swimMessage) {
+			t.Errorf("parsed again as %+v, want %+v; error %v", reparsed.swimMessage, got.swimMessage, err)
 		}
 		node := swim.New(0, swim.Options{Self: swim.Peer{Name: "z", Addr: netip.MustParseAddrPort("127.0.0.1:8"), Generation: 1}})
 		node.Receive(time.Second, got.swimMessage)
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -10,8 +10,8 @@
 // failure detector may subtract any of its intervals from an instant.
 const clockOrigin = 24 * time.Hour
 
-// Now returns the current reading of the failure detector's clock, which also gives the instant StateSince of a member in
-// a View.
+// Now returns the current reading of the failure detector's clock. swim.Member.StateSince is an earlier reading of the same
+// clock.
 func (t *Transport) Now() time.Duration {
 	return clockOrigin + scaleByClockRate(time.Since(t.clockStart))
 }
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -9,8 +9,8 @@
 )
 
 // Messages returns the channel of messages that other daemons sent with Send. The channel holds at most
-// messageQueueCapacity messages; further messages are dropped and counted. A message is delivered only if the view has the
-// sending process as the member of that name: messages of a second process with the same name are dropped.
+// messageQueueCapacity messages; further messages are dropped and counted. If two processes have the same name, only the
+// messages of the one that the view has as a member are delivered, and those of the other are dropped.
 func (t *Transport) Messages() <-chan Message { return t.messages }
 
 // Send sends a message to the member with the given name. An error means that the message was not sent; it is
@@ -24,7 +24,7 @@
 		return fmt.Errorf("%s: %w", name, ErrUnknownMember)
 	}
 	m := Message{From: options.Name, Generation: t.generation, Kind: kind, Body: body}
-	b := appendMessagePacket(make([]byte, streamHeaderBytes, MaxDatagramBytes), options, t.sequence.Add(1), &m)
+	b := appendMessagePacket(make([]byte, streamHeaderBytes, MaxDatagramBytes), options, t.lastSequence.Add(1), &m)
 	size := len(b) - streamHeaderBytes
 	switch {
 	case size <= MaxDatagramBytes:
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -57,8 +57,8 @@
 }
 
 func TestDroppedPacketsAreCountedByReasonAndHaveNoEffect(t *testing.T) {
-	a := start(t, testOptions("a"))
-	b := start(t, testOptions("b", a.Addr()))
+	a := startTransport(t, testOptions("a"))
+	b := startTransport(t, testOptions("b", a.Addr()))
 	testpeer.Eventually(t, "a and b are members", func() bool { return len(a.View().Members) == 2 })
 	conn, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)}, net.UDPAddrFromAddrPort(a.Addr()))
 	if err != nil {
@@ -68,27 +68,27 @@
 	send := func(datagram []byte) { conn.Write(datagram) }
 
 	m := &swim.Message{Kind: swim.Gossip, From: swim.Update{Peer: swim.Peer{Name: "x", Addr: b.Addr(), Generation: 5}, Incarnation: 1}}
-	signed := func(cluster string, keys ...Key) []byte {
+	encodePacket := func(cluster string, keys ...Key) []byte {
 		return appendSwimPacket(nil, &Options{Cluster: cluster, Keys: keys}, 1, m)
 	}
 	key := newKey(secret)
-	valid := signed("c", key)
-	altered := slices.Clone(valid)
-	altered[len(altered)-1] ^= 1
-	laterVersion := slices.Clone(valid)
-	laterVersion[versionOffset]++
+	validPacket := encodePacket("c", key)
+	alteredPacket := slices.Clone(validPacket)
+	alteredPacket[len(alteredPacket)-1] ^= 1
+	laterVersionPacket := slices.Clone(validPacket)
+	laterVersionPacket[versionOffset]++
 	for name, row := range map[string]struct {
 		datagram []byte
 		count    func(Metrics) uint64
 	}{
 		"empty":                           {nil, func(m Metrics) uint64 { return m.Malformed }},
-		"truncated":                       {valid[:20], func(m Metrics) uint64 { return m.Unauthenticated }},
-		"one bit flipped":                 {altered, func(m Metrics) uint64 { return m.Unauthenticated }},
+		"truncated":                       {validPacket[:20], func(m Metrics) uint64 { return m.Unauthenticated }},
+		"one bit flipped":                 {alteredPacket, func(m Metrics) uint64 { return m.Unauthenticated }},
 		"longer than MaxDatagramBytes":    {make([]byte, 9000), func(m Metrics) uint64 { return m.Malformed }},
-		"later format version":            {laterVersion, func(m Metrics) uint64 { return m.Foreign }},
-		"packet of another cluster":       {signed("d", key), func(m Metrics) uint64 { return m.Foreign }},
-		"signed with an unknown key":      {signed("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Unauthenticated }},
-		"unsigned though keys are in use": {signed("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
+		"later format version":            {laterVersionPacket, func(m Metrics) uint64 { return m.Foreign }},
+		"packet of another cluster":       {encodePacket("d", key), func(m Metrics) uint64 { return m.Foreign }},
+		"signed with an unknown key":      {encodePacket("c", newKey(secret[:20])), func(m Metrics) uint64 { return m.Unauthenticated }},
+		"unsigned though keys are in use": {encodePacket("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := row.count(a.Metrics())
@@ -100,26 +100,26 @@
 		t.Errorf("after dropped packets about x its state is %s, want unknown", state)
 	}
 
-	send(valid)
+	send(validPacket)
 	testpeer.Eventually(t, "a valid packet makes x a member", func() bool { return stateOf(a, "x") != "unknown" })
-	send(valid)
+	send(validPacket)
 	testpeer.Eventually(t, "the replay of the valid packet is counted", func() bool { return a.Metrics().Replayed == 1 })
 	testpeer.Eventually(t, "packets over the rate limit of their source are dropped", func() bool {
 		for range 500 {
-			send(altered)
+			send(alteredPacket)
 		}
 		return a.Metrics().RateLimited > 1000
 	})
 	before := a.Metrics().Received
 	testpeer.Eventually(t, "packets of b are still received", func() bool {
-		send(altered)
+		send(alteredPacket)
 		return a.Metrics().Received > before+5 && stateOf(a, "b") == "alive"
 	})
 }
 
 // A stream whose header announces more than maxStreamBytes must be dropped, so that it can't exhaust the memory.
 func TestStreamWithATooLargeLengthIsDropped(t *testing.T) {
-	a := start(t, testOptions("a"))
+	a := startTransport(t, testOptions("a"))
 	conn, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// minViewInterval is the minimum time between two published views in a cluster of smallClusterMembers or more members,
+	// minViewInterval is the minimum time between two published views in a cluster of largeClusterMembers or more members,
 	// because building a view copies all members. In a smaller cluster each change is published at once.
 	minViewInterval     = time.Second / 10
-	smallClusterMembers = 100 // number of members of a cluster from which minViewInterval applies
+	largeClusterMembers = 100 // minimum number of members of a cluster in which minViewInterval applies
 	// maxSleep is the longest time for which the event loop waits for a message or a call before it runs again.
 	maxSleep = time.Hour
 	// noContactWarningDelay is the time after the start at which a warning is logged if no message of another daemon has
@@ -31,7 +31,7 @@
 	logWindowStart     time.Duration // instant at which the current changeLogInterval began
 	changesInLogWindow int           // member state changes since logWindowStart, whether logged or not
 	hasWarnedNoContact bool          // whether the warning that no daemon of the cluster responds was logged
-	loggedConflict     swim.Peer     // other process with this daemon's name that was logged last; zero value: none was
+	loggedConflict     swim.Peer     // other process with this daemon's name that was logged last; zero value: none was logged
 }
 
 // runEventLoop passes received messages, calls of callOnEventLoop and due ticks to the failure detector, and handles the
@@ -69,7 +69,8 @@
 	}
 }
 
-// publish has View return the failure detector's current view, and puts a value into the channel that Changed returns.
+// publish makes the failure detector's current view the one that View returns, and puts a value into the channel that
+// Changed returns.
 func (t *Transport) publish(node *swim.Node) {
 	view := node.View()
 	t.view.Store(&view)
@@ -102,7 +103,7 @@
 	for _, c := range l.node.TakeChanges() {
 		l.logChange(now, c)
 	}
-	isDue := now-l.publishedAt >= minViewInterval || len(l.transport.View().Members) < smallClusterMembers
+	isDue := now-l.publishedAt >= minViewInterval || len(l.transport.View().Members) < largeClusterMembers
 	if l.hasUnpublishedView() && isDue {
 		l.publishedAt = now
 		l.transport.publish(l.node)
@@ -115,13 +116,13 @@
 func (l *eventLoop) send(e *swim.Envelope) {
 	t, options := l.transport, l.transport.options.Load()
 	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
-		l.packetBuffer = appendSwimPacket(l.packetBuffer[:0], options, t.sequence.Add(1), e.Message)
+		l.packetBuffer = appendSwimPacket(l.packetBuffer[:0], options, t.lastSequence.Add(1), e.Message)
 		if len(l.packetBuffer) <= MaxDatagramBytes {
 			_ = t.sendDatagram(e.To, l.packetBuffer) // the failure detector tolerates lost messages
 			return
 		}
 	}
-	b := appendSwimPacket(make([]byte, streamHeaderBytes, 4096), options, t.sequence.Add(1), e.Message)
+	b := appendSwimPacket(make([]byte, streamHeaderBytes, 4096), options, t.lastSequence.Add(1), e.Message)
 	_ = t.startStream(options, e.To, b) // the failure detector tolerates lost messages
 }
 
@@ -137,15 +138,15 @@
 	if l.changesInLogWindow++; l.changesInLogWindow > maxChangeLogLines {
 		return
 	}
-	previous := c.From.String()
+	previousState := c.From.String()
 	if c.IsNew {
-		previous = "unknown"
+		previousState = "unknown"
 	}
-	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", previous, "to", c.To.String(),
+	log.Info("member state changed", "member", c.Name, "address", c.Addr, "from", previousState, "to", c.To.String(),
 		"incarnation", c.Incarnation)
 }
 
-// logNameConflict logs another process that uses this daemon's name, unless that process was already logged last.
+// logNameConflict logs that another process uses this daemon's name, unless it is the process that was logged last.
 func (l *eventLoop) logNameConflict() {
 	other, responds, yields := l.node.NameConflict()
 	if !responds || other == l.loggedConflict {
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -49,14 +49,14 @@
 	}
 	var keys Keys
 	lines := bufio.NewScanner(bytes.NewReader(content))
-	for number := 1; lines.Scan(); number++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
 		secret, err := hex.DecodeString(line)
 		if err != nil || len(secret) < minKeyBytes || len(secret) > maxKeyBytes || len(keys) == maxKeys {
-			return nil, fmt.Errorf("%s:%d: %s", path, number, malformedKeyFileText)
+			return nil, fmt.Errorf("%s:%d: %s", path, lineNumber, malformedKeyFileText)
 		}
 		keys = append(keys, newKey(secret))
 	}
--- a/internal/cluster/transport/keys_test.go
+++ b/internal/cluster/transport/keys_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestReadKeys(t *testing.T) {
+func TestReadKeysAcceptsOneOrTwoKeysInAPrivateFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	line := strings.Repeat("0a", 32) + "\n"
 	for _, row := range []struct {
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -11,7 +11,7 @@
 	Sent            uint64 // packets sent without an error
 	BytesSent       uint64 // total length of the packets sent, in bytes
 	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
-	Foreign         uint64 // packets dropped since they had another format version or cluster, or their sender was not the member with its name
+	Foreign         uint64 // packets dropped because of another format version or cluster, or a sending process that is not the member with its name
 	Unauthenticated uint64 // packets dropped because they were signed with an unknown key, or altered
 	Replayed        uint64 // packets dropped because they were received before, or were older than the replay window
 	RateLimited     uint64 // packets dropped because their source address exceeded its rate limit
@@ -33,8 +33,8 @@
 	}
 }
 
-// countSent counts a packet of n bytes if err is nil, which means that it was sent. An error needs no other handling: the
-// failure detector tolerates lost packets, and so must the users of Send.
+// countSent counts a packet of n bytes if err, the result of sending the packet, is nil. An error needs no other handling:
+// the failure detector tolerates lost packets, and so must the users of Send.
 func (t *Transport) countSent(n int, err error) {
 	if err == nil {
 		t.sent.Add(1)
@@ -42,7 +42,7 @@
 	}
 }
 
-// dropCounters count dropped packets by the reason for dropping them. They can be read as Metrics.
+// dropCounters count dropped packets by the reason for dropping them. Transport.Metrics reports them.
 type dropCounters struct {
 	malformed, foreign, unauthenticated, replayed, rateLimited, queueFull atomic.Uint64
 }
--- a/internal/cluster/transport/options.go
+++ b/internal/cluster/transport/options.go
@@ -16,7 +16,7 @@
 	Keys      Keys             // keys that sign and authenticate packets; without a key, Listen must be a loopback address
 	Join      []netip.AddrPort // addresses that are contacted to join the cluster, each as long as no present member has the address
 	Voters    []string         // names of the members whose presence determines swim.Connectivity; empty: all known members
-	Timing    swim.Options     // times of the failure detector; only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
+	Timing    swim.Options     // timeouts and intervals of the failure detector; only ProbeInterval, ProbeTimeout and SuspicionTimeout are used
 	Log       *slog.Logger     // log of member state changes and of failures to join
 }
 
--- a/internal/cluster/transport/replay.go
+++ b/internal/cluster/transport/replay.go
@@ -21,7 +21,7 @@
 	if sequence+replayWindowBits <= w.highest {
 		return false
 	}
-	// The bit of each number above highest belonged to a number that is now older than the window.
+	// Clear the bits of the numbers from highest+1 to sequence. They still belong to numbers that are now older than the window.
 	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ {
 		w.clearBit(w.highest + 1)
 	}
@@ -48,8 +48,8 @@
 // bounded.
 type replayFilter struct{ current, previous map[uint64]*replayWindow }
 
-// accept records the packet with a sequence number of a sending process, and reports whether it is received for the first
-// time, as far as the replay window of the process can tell.
+// accept records that a packet was received, given the generation of the sending process and the packet's sequence number,
+// and reports whether it was received for the first time, as far as the process's replay window can tell.
 func (f *replayFilter) accept(generation, sequence uint64) bool {
 	w := f.current[generation]
 	if w == nil {
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -14,12 +14,13 @@
 const (
 	// maxStreams is the maximum number of outgoing streams, and of incoming streams, that are open at once.
 	maxStreams = 8
-	// streamTimeout is the maximum time of a stream, from the dial or the accept to the last byte.
+	// streamTimeout is the maximum duration of a stream, from the dial or the accept to the last byte.
 	streamTimeout = 2 * time.Second
-	// maxStreamBytes is the maximum length of a packet in a stream. A snapshot of the replicated state has at most 7 MiB,
-	// and swim.MaxMembers updates have 1.9 MB.
+	// maxStreamBytes is the maximum length of a packet in a stream. The longest packets fit: a snapshot of the replicated
+	// state has at most 7 MiB, and swim.MaxMembers updates have 1.9 MB.
 	maxStreamBytes = 8 << 20
-	// streamHeaderBytes is the length of a stream's header, which is the length of the packet as a big-endian number.
+	// streamHeaderBytes is the length in bytes of a stream's header. The header contains the length of the packet as a
+	// big-endian number.
 	streamHeaderBytes = 4
 	// acceptRetryDelay is the pause after a failed accept, for example while the process is out of file descriptors.
 	acceptRetryDelay = 5 * time.Millisecond
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// writeStream dials the address to, writes b, and returns the number of bytes written. It is canceled after streamTimeout
-// or when the transport ends.
+// writeStream connects to a daemon, writes b, and returns the number of bytes written. It is canceled after streamTimeout or
+// when the transport ends.
 func (t *Transport) writeStream(options *Options, to netip.AddrPort, b []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, streamTimeout)
 	defer cancel()
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -60,7 +60,7 @@
 	view           atomic.Pointer[swim.View]                     // latest view that the event loop has published
 	changed        chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
 
-	sequence        atomic.Uint64 // sequence number of the latest packet that this process encoded
+	lastSequence    atomic.Uint64 // sequence number of the latest packet that this process encoded
 	outboundStreams chan struct{} // holds a value for each outgoing stream that is open, at most maxStreams
 	replayFilterMu  sync.Mutex    // guards replayFilter
 	replayFilter    replayFilter  // recognizes packets that were received before
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// start starts a transport with options, which is aborted at the end of the test.
-func start(t *testing.T, options Options) *Transport {
+// startTransport starts a transport with options, which is aborted at the end of the test.
+func startTransport(t *testing.T, options Options) *Transport {
 	t.Helper()
 	tr, err := Start(options)
 	if err != nil {
@@ -46,8 +46,8 @@
 // startPair starts members a and b, and waits until each considers the other alive.
 func startPair(t *testing.T) (a, b *Transport) {
 	t.Helper()
-	a = start(t, testOptions("a"))
-	b = start(t, testOptions("b", a.Addr()))
+	a = startTransport(t, testOptions("a"))
+	b = startTransport(t, testOptions("b", a.Addr()))
 	testpeer.Eventually(t, "a and b consider each other alive", func() bool {
 		return stateOf(a, "b") == "alive" && stateOf(b, "a") == "alive"
 	})
@@ -65,9 +65,9 @@
 }
 
 func TestMembersJoinAndDetectThatOthersLeaveOrFail(t *testing.T) {
-	a := start(t, testOptions("a"))
-	b := start(t, testOptions("b", a.Addr()))
-	c := start(t, testOptions("c", a.Addr()))
+	a := startTransport(t, testOptions("a"))
+	b := startTransport(t, testOptions("b", a.Addr()))
+	c := startTransport(t, testOptions("c", a.Addr()))
 	testpeer.Eventually(t, "all views have three members", func() bool {
 		return len(a.View().Members) == 3 && len(b.View().Members) == 3 && len(c.View().Members) == 3 &&
 			b.View().Connectivity == swim.FullyConnected
@@ -84,8 +84,8 @@
 
 func TestKeyRotationKeepsMembersConnected(t *testing.T) {
 	oldKey, newerKey := newKey(secret), newKey(bytes.Repeat([]byte{8}, 32))
-	a := start(t, testOptions("a"))
-	b := start(t, testOptions("b", a.Addr()))
+	a := startTransport(t, testOptions("a"))
+	b := startTransport(t, testOptions("b", a.Addr()))
 	for _, step := range []struct {
 		name string
 		a, b Keys
@@ -111,7 +111,7 @@
 	unsignedOptions := testOptions("a")
 	unsignedOptions.Keys, unsignedOptions.Listen = nil, netip.MustParseAddrPort("0.0.0.0:0")
 	inUseOptions := testOptions("a")
-	inUseOptions.Listen = start(t, testOptions("b")).Addr()
+	inUseOptions.Listen = startTransport(t, testOptions("b")).Addr()
 	for name, options := range map[string]Options{"no key and no loopback address": unsignedOptions, "address in use": inUseOptions} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Start(options); err == nil || !strings.Contains(err.Error(), "fleet.listen") {
