--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -16,7 +16,7 @@
 // drains the bucket, and transferred bytes fill it up to IdleTimeout. It reads no clock and is not safe for concurrent use.
 type Meter struct {
 	rate         MinimumRate
-	credit       time.Duration // content of the bucket: time that the peer may still take before it is too slow
+	credit       time.Duration // time that the peer may still take before it falls below the rate
 	lastDeadline time.Time     // deadline that Deadline returned last
 }
 
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -15,7 +15,8 @@
 	// bodyBytesPerLine is the number of bytes of a document's body that are encoded on one line.
 	bodyBytesPerLine = 6000
 
-	// callTimeout bounds each request that Call sends. A daemon responds within one second.
+	// callTimeout is the timeout of each request that Call sends: for connecting, and again for the exchange. A daemon
+	// responds within one second.
 	callTimeout = 2 * time.Second
 
 	// retryInterval is the pause between two requests that Call sends.
--- a/internal/cluster/status/doc.go
+++ b/internal/cluster/status/doc.go
@@ -5,6 +5,6 @@
 // Operators and their scripts read the lines and the JSON keys: these never change, and only new ones are added. A reader
 // ignores unknown lines and fields, so that a later version may send more.
 //
-// The package has no state and no goroutine. A function that calls a daemon returns within the given timeout for each
-// request.
+// The package has no state and no goroutine. A function that calls a daemon takes at most twice the given timeout for each
+// request: once to connect, and once for the exchange on the connection.
 package status
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -45,7 +45,7 @@
 	return f
 }
 
-// FetchFleet requests the Fleet of the daemon whose operators' address is addr, within timeout.
+// FetchFleet requests the Fleet of the daemon whose operators' address is addr. It returns within twice the timeout.
 func FetchFleet(addr string, timeout time.Duration) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, query(addr, "peers", nil, timeout, f.parseLine)
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -41,7 +41,7 @@
 }
 
 // query sends a request line and a body to addr, the operators' address of a daemon, and passes the lines of the response
-// to parseLine. It returns within timeout.
+// to parseLine. Connecting may take up to timeout, and the exchange on the connection may again take up to timeout.
 func query(addr, request string, body []byte, timeout time.Duration, parseLine func(line string) error) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -44,13 +44,13 @@
 	SHA256     string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
 }
 
-// FetchSettings requests the Settings of the daemon whose operators' address is addr, within timeout.
+// FetchSettings requests the Settings of the daemon whose operators' address is addr. It returns within twice the timeout.
 func FetchSettings(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "settings", timeout)
 }
 
-// FetchVersions requests the Settings without the documents from the daemon whose operators' address is addr, within
-// timeout.
+// FetchVersions requests the Settings without the documents from the daemon whose operators' address is addr. It returns
+// within twice the timeout.
 func FetchVersions(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "versions", timeout)
 }
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -21,7 +21,7 @@
 
 // The levels of Connectivity, from worst to best. A node that is a voter counts itself as present.
 const (
-	CutOff          Connectivity = iota // fewer than half of the voters are present
+	CutOff          Connectivity = iota // fewer than half of the voters are present, or the node yields to an older process or has left
 	PartlyConnected                     // at least half of the voters are present, but one is absent or some member has failed
 	FullyConnected                      // all voters are present and no member has failed
 )
