--- a/internal/endpointset/damping.go
+++ b/internal/endpointset/damping.go
@@ -14,12 +14,12 @@
 // flapHistory records the departures of a member: how often, and when last, it disappeared from the list.
 type flapHistory struct {
 	departures      int           // number of times that the member disappeared from the list
-	lastDepartureAt time.Duration // instant of the last departure
-	isListedAgain   bool          // the member has been listed since its last departure, and was damped
+	lastDepartureAt time.Duration // instant at which the member last disappeared from the list
+	isListedAgain   bool          // the member has been listed since its last departure, and its activation was delayed
 	listedAgainAt   time.Duration // instant at which the damped member was listed again; set if isListedAgain
 }
 
-// recordDeparture records that a member is no longer listed.
+// recordDeparture records that a member has disappeared from the list at the instant now.
 func (s *Set) recordDeparture(now time.Duration, id string) {
 	history := s.flapHistories[id]
 	if history == nil || now-history.lastDepartureAt > flapHistoryLifetime {
--- a/internal/endpointset/damping_test.go
+++ b/internal/endpointset/damping_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A member is active at once after its first departure, since a restart is not flapping. From the second departure on it is delayed,
-// for twice as long after each further one.
+// A member that is listed again after its first departure is active at once, since a restart is not flapping. From the second departure
+// on its activation is delayed, and the delay doubles with each further departure.
 func TestFlappingMemberIsDampedWithDoublingDelay(t *testing.T) {
 	set := New(testOptions)
 	now := time.Duration(0)
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -17,8 +17,8 @@
 	ID       string
 	Addr     string // host:port at which the endpoint takes requests
 	Zone     string
-	Kind     string // endpoints of the same kind have the same size and speed
-	Cell     int    // endpoints of the same cell share the idempotency keys that they have seen
+	Kind     string // name of the endpoint's kind; endpoints of the same kind have the same size and speed
+	Cell     int    // number of the endpoint's cell; endpoints of the same cell share the idempotency keys that they have seen
 	Draining bool   // the member must get no new requests
 }
 
@@ -30,14 +30,14 @@
 	ActiveSince time.Duration
 }
 
-// Options of a Set. With zero values every response takes effect at once.
+// Options are the delays after which a Set applies changes. With zero values every response of the source takes effect at once.
 type Options struct {
 	HoldLastGood time.Duration // how long the last list with members is kept while responses are empty or failed
-	FlapDamping  time.Duration // how long a member that returns after its second departure must be listed before it is active; doubles with each further departure
+	FlapDamping  time.Duration // how long a member that is listed again after its second departure must stay listed before it is active; doubles with each further departure
 }
 
-// Set holds the active endpoints. It is not safe for concurrent use. Instants are durations since an epoch that the caller chooses,
-// and must not decrease from call to call.
+// Set holds the active endpoints of a pool. It is not safe for concurrent use. Instants are durations since an epoch that the caller
+// chooses, and must not decrease from call to call.
 type Set struct {
 	options          Options
 	hasList          bool                    // a list with members has been handled
@@ -81,7 +81,7 @@
 	return changed
 }
 
-// HandleFailure applies an empty or failed response, and reports whether the active endpoints have changed. It removes all of them
+// HandleFailure applies an empty or failed response, and reports whether the active endpoints have changed. It removes all endpoints
 // once Options.HoldLastGood has passed since the last list with members.
 func (s *Set) HandleFailure(now time.Duration) (changed bool) {
 	s.holdsLastGood = true
@@ -92,8 +92,8 @@
 	return s.refresh(now)
 }
 
-// NextChange returns the next instant at which the active endpoints may change without a further response, when the caller must call
-// Tick. ok is false if there is none.
+// NextChange returns the next instant at which the active endpoints may change without a further response. The caller must call Tick at
+// that instant. ok is false if no change is due.
 func (s *Set) NextChange() (at time.Duration, ok bool) {
 	if s.nextActivationAt > 0 {
 		at, ok = s.nextActivationAt, true
@@ -122,8 +122,8 @@
 	return endpoints
 }
 
-// refresh makes the listed members active, except for damped ones, and reports whether the active endpoints have changed. Damped
-// members become active regardless if no other listed member is ready.
+// refresh makes the listed members active, except for damped ones, and reports whether the active endpoints have changed. If no other
+// listed member is ready, damped members become active, too.
 func (s *Set) refresh(now time.Duration) (changed bool) {
 	for id := range s.active {
 		if _, isListed := s.listed[id]; !isListed {
@@ -159,12 +159,12 @@
 // activate adds a member to the active endpoints, or updates it there, and reports whether that is a change. A member at a new address
 // is a different machine or process, so its ActiveSince starts anew.
 func (s *Set) activate(now time.Duration, m Member) (changed bool) {
-	before, wasActive := s.active[m.ID]
-	if wasActive && before.Member == m {
+	previous, wasActive := s.active[m.ID]
+	if wasActive && previous.Member == m {
 		return false
 	}
-	e := Endpoint{Member: m, ActiveSince: before.ActiveSince}
-	if s.hasList && (!wasActive || before.Addr != m.Addr) {
+	e := Endpoint{Member: m, ActiveSince: previous.ActiveSince}
+	if s.hasList && (!wasActive || previous.Addr != m.Addr) {
 		e.ActiveSince = now
 	}
 	s.active[m.ID] = e
--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// For any sequence of responses: active endpoints are in the last list with members, a member that is missing from a list is removed
-// at once, and a ready member is active as long as one is listed.
+// For any sequence of responses, active endpoints are in the last list with members, a member that is missing from a list is removed
+// at once, and some ready member is active as long as a ready member is listed.
 func TestActiveEndpointsAreListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := New(Options{HoldLastGood: time.Duration(rapid.IntRange(0, 50).Draw(t, "hold time")), FlapDamping: time.Duration(rapid.IntRange(0, 9).Draw(t, "flap damping"))})
@@ -133,7 +133,7 @@
 	return Member{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), Draining: rapid.Bool().Draw(t, "draining")}
 }
 
-// checkActive checks the active endpoints against the last list with members.
+// checkActive checks that the active endpoints are in list, and that one of them is ready if a member of list is ready.
 func checkActive(t *rapid.T, active []Endpoint, list []Member) {
 	for _, e := range active {
 		if !slices.Contains(list, e.Member) {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -13,7 +13,7 @@
 	errs []*Error
 }
 
-// addError records an error at the field with this full name.
+// addError records an error about a field, which is given by its full name.
 func (d *decoder) addError(field, format string, args ...any) {
 	d.errs = append(d.errs, d.file.errorAt(field, fmt.Sprintf(format, args...)))
 }
@@ -42,8 +42,8 @@
 	durationType      = reflect.TypeFor[time.Duration]()
 )
 
-// decodeValue sets one field. Ranges and durations are recognized by type before anything else, since by kind they are
-// ordinary structs and integers.
+// decodeValue sets a field of a struct, or an element of an array, to a value of the parsed file; field is its full name. Ranges and
+// durations are recognized by type before anything else, since by kind they are ordinary structs and integers.
 func (d *decoder) decodeValue(field string, value any, into reflect.Value) {
 	switch into.Type() {
 	case numberRangeType:
@@ -146,7 +146,7 @@
 	}
 }
 
-// parseRange parses an array of two bounds, or one value that is both bounds. It does not compare them.
+// parseRange parses an array of two bounds, or one value that is both bounds. It does not check that the lower bound is first.
 func parseRange[T any](value any, parse func(any) (T, bool)) (lo, hi T, ok bool) {
 	list, isList := value.([]any)
 	if !isList {
--- a/internal/tomlfile/error.go
+++ b/internal/tomlfile/error.go
@@ -14,12 +14,12 @@
 }
 
 func (e *Error) Error() string {
-	where := e.File
+	position := e.File
 	if e.Line > 0 {
-		where += ":" + strconv.Itoa(e.Line)
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Field != "" {
-		where += ": " + e.Field
+		position += ": " + e.Field
 	}
-	return where + ": " + strings.ReplaceAll(e.Problem, "\n", " ")
+	return position + ": " + strings.ReplaceAll(e.Problem, "\n", " ")
 }
--- a/internal/tomlfile/remove.go
+++ b/internal/tomlfile/remove.go
@@ -40,7 +40,8 @@
 	return rest, found
 }
 
-// blockStart returns the offset at which the line that contains offset begins, or the comment lines directly above it.
+// blockStart returns the offset at which the line that contains offset begins. If comment lines stand directly above that line, it
+// returns the offset at which the first of them begins.
 func blockStart(text []byte, offset int) int {
 	start := bytes.LastIndexByte(text[:offset], '\n') + 1
 	for start > 0 {
--- a/internal/tomlfile/remove_test.go
+++ b/internal/tomlfile/remove_test.go
@@ -50,10 +50,10 @@
 pool = "p"`
 	rest, found := RemoveTopLevel([]byte(text), "daemon", "listener", "fleet", "nothing")
 	if string(rest) != want || !slices.Equal(found, []string{"daemon", "listener", "fleet"}) {
-		t.Errorf("found %v, rest:\n%s", found, rest)
+		t.Errorf("found %v, want [daemon listener fleet]; rest:\n%s\nwant:\n%s", found, rest, want)
 	}
-	if again, found := RemoveTopLevel(rest, "daemon", "listener", "fleet"); string(again) != want || found != nil {
-		t.Errorf("the second removal found %v, and left:\n%s", found, again)
+	if secondRest, found := RemoveTopLevel(rest, "daemon", "listener", "fleet"); string(secondRest) != want || found != nil {
+		t.Errorf("the second removal found %v, and left:\n%s\nwant nothing found and an unchanged text", found, secondRest)
 	}
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -45,11 +45,11 @@
 	return f, d.errs[0]
 }
 
-// Has reports whether a field is present in the file.
+// Has reports whether a field, given by its full name, is present in the file.
 func (f *File) Has(field string) bool { return f.lines[field] > 0 }
 
-// Errorf returns an *Error for a field. If the field is not present in the file, the error has the line of the innermost
-// enclosing table that is present.
+// Errorf returns an *Error for a field, which is given by its full name. If the field is not present in the file, the error has
+// the line of the innermost enclosing table that is present.
 func (f *File) Errorf(field, format string, args ...any) error {
 	return f.errorAt(field, fmt.Sprintf(format, args...))
 }
@@ -68,12 +68,12 @@
 
 // syntaxError converts an error of the TOML parser to an *Error.
 func (f *File) syntaxError(err error) *Error {
-	var syntax *toml.DecodeError
-	if !errors.As(err, &syntax) {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		return &Error{File: f.name, Problem: err.Error()}
 	}
-	line, _ := syntax.Position()
-	return &Error{File: f.name, Line: line, Field: strings.Join(syntax.Key(), "."), Problem: syntax.Error()}
+	line, _ := decodeErr.Position()
+	return &Error{File: f.name, Line: line, Field: strings.Join(decodeErr.Key(), "."), Problem: decodeErr.Error()}
 }
 
 // joinName returns the full name of a key in a table. The empty table name stands for the top level of the file.
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,13 +18,13 @@
 }
 
 type sampleFile struct {
-	Name  string        `toml:"name"`
-	Seed  uint64        `toml:"seed"`
-	Late  DurationRange `toml:"late"`
-	Every time.Duration `toml:"every"`
-	Share float64       `toml:"share"`
-	On    bool          `toml:"on"`
-	Load  struct {
+	Name     string        `toml:"name"`
+	Seed     uint64        `toml:"seed"`
+	Delay    DurationRange `toml:"late"`
+	Interval time.Duration `toml:"every"`
+	Share    float64       `toml:"share"`
+	On       bool          `toml:"on"`
+	Load     struct {
 		Rate float64 `toml:"rate"`
 	} `toml:"load"`
 	Tier []tierTable `toml:"tier"`
@@ -63,14 +63,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "x" || s.Seed != 7 || s.Late != (DurationRange{time.Second, 2500 * time.Millisecond}) || s.Every != 10*time.Millisecond ||
+	if s.Name != "x" || s.Seed != 7 || s.Delay != (DurationRange{time.Second, 2500 * time.Millisecond}) || s.Interval != 10*time.Millisecond ||
 		s.Share != 1 || !s.On || s.Load.Rate != 2.5 || len(s.Tier) != 2 || s.Tier[0].Size != (NumberRange{8, 10}) ||
 		s.Tier[1].Size != (NumberRange{3, 3}) || s.Tier[1].Kind[1].Cores != 8 {
-		t.Errorf("decoded %+v", s)
+		t.Errorf("decoded %+v, want the values of sampleText", s)
 	}
 	for field, want := range map[string]string{
 		"tier[1].kind[1].cores": "day.toml:25: tier[1].kind[1].cores: too many",
-		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // not in the file: the error has the line of tier[1].kind[1]
+		"tier[1].kind[1].speed": "day.toml:23: tier[1].kind[1].speed: too many", // speed is not in the file, so the error has the line of tier[1].kind[1]
 		"load.rate":             "day.toml:7: load.rate: too many",
 		"nowhere":               "day.toml: nowhere: too many",
 	} {
