--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Backoff between two watches. It doubles only after malformed messages. When the agent is silent or down it stays at the minimum,
-// so that a request is nearly always pending: an agent that comes back responds to pending requests at once.
+// Bounds of the backoff between two watches. The backoff doubles only while the complete list that the agent sends is malformed. When
+// the agent is silent or down the backoff stays at the minimum, so that a request is nearly always pending: an agent that comes back
+// responds to pending requests at once.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
@@ -25,9 +26,9 @@
 	OnWatchEnd func()
 
 	addr              string        // host:port of the current agent
-	mustSubscribe     bool          // each watch must be requested by Subscribe; otherwise a new one is opened whenever one ends
+	mustSubscribe     bool          // each watch must be requested by Subscribe; otherwise a new watch is opened whenever the last one ends
 	subscribeRequests chan struct{} // holds at most one call of Subscribe that has not been handled
-	switchRequests    chan string   // holds at most one address that SwitchAgent was called with and Run has not switched to
+	switchRequests    chan string   // holds at most one address, which was passed to SwitchAgent and which Run has not switched to
 	version           *int64        // version of the known list; nil if the complete list must be fetched
 	log               *slog.Logger
 	client            *http.Client
@@ -75,8 +76,9 @@
 	}
 }
 
-// Run implements Source. SwitchAgent ends the current watch at once, and the complete list is fetched from the new agent: its versions
-// do not tell which updates were missed. The receiver keeps the old list until the new one arrives.
+// Run implements Source. SwitchAgent ends the current watch at once, and the complete list is fetched from the new agent, since the
+// version of the old agent's list does not tell which updates of the new agent were missed. The receiver keeps the old list until the
+// new one arrives.
 func (c *AgentClient) Run(ctx context.Context) {
 	watchRequested := !c.mustSubscribe
 	for ctx.Err() == nil {
@@ -97,9 +99,9 @@
 	}
 }
 
-// keepWatching opens one watch after the other at the current agent until ctx ends. watchRequested says whether the first one has been
-// requested, and the result whether a requested watch was cut short by ctx. After a watch breaks the list stays as it is, and the next
-// watch begins with the changes since.
+// keepWatching opens one watch after the other at the current agent until ctx ends. watchRequested is whether the first watch need not
+// wait for Subscribe. The result is whether ctx ended during a watch that had been requested, so that it must be opened again. When a
+// watch breaks, the receiver keeps its list, and the next watch begins with the changes after the version of that list.
 func (c *AgentClient) keepWatching(ctx context.Context, watchRequested bool) bool {
 	backoff := minBackoff
 	for {
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -127,8 +127,8 @@
 	f.expectQueries(t, "watch=1&after=41", "watch=1&after=42")
 }
 
-// After SwitchAgent the watch of the old agent ends at once, and the complete list is fetched from the new agent: its versions do
-// not tell which updates were missed.
+// After SwitchAgent the watch of the old agent ends at once, and the complete list is fetched from the new agent, since the version of
+// the old agent's list does not tell which updates of the new agent were missed.
 func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
 	for name, mustSubscribe := range map[string]bool{"pushed": false, "subscribed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -146,13 +146,13 @@
 	}
 }
 
-// SwitchAgent may be called before an earlier call is handled, and with the address of an agent that sends nothing or of the current
-// one.
-func TestLastOfManySwitchesWins(t *testing.T) {
+// SwitchAgent may be called before an earlier call is handled, with the address of an agent that sends nothing, and with the address
+// of the current agent.
+func TestLastOfManySwitchAgentCallsTakesEffect(t *testing.T) {
 	f := startClient(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
-	silent, silentQueries := serveScript(t)
-	f.SwitchAgent(silent)
+	silentAddr, silentQueries := serveScript(t)
+	f.SwitchAgent(silentAddr)
 	<-silentQueries
 	watched := make(chan bool, 100)
 	addr := serveHandler(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,7 +164,7 @@
 		<-r.Context().Done()
 	}))
 	for range 3 {
-		f.SwitchAgent(silent)
+		f.SwitchAgent(silentAddr)
 		f.SwitchAgent(addr)
 	}
 	f.expectVersions(t, 7)
@@ -176,8 +176,8 @@
 // The complete list must arrive within 4 s of a switch, even if the first request gets no response.
 func TestUnansweredRequestIsRetried(t *testing.T) {
 	f := startClient(t, 41, func(c *AgentClient) { c.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
-	silent, queries := serveScript(t)
-	f.SwitchAgent(silent)
+	silentAddr, queries := serveScript(t)
+	f.SwitchAgent(silentAddr)
 	<-queries
 	<-queries
 	if 2*pushedFirstByteTimeout+minBackoff > 3*time.Second {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -37,7 +37,8 @@
 	_ Source = (*PollingSource)(nil)
 )
 
-// CheckAddress returns an error unless addr is host:port with a decimal port from 0 to 65535. The error begins with field.
+// CheckAddress returns an error unless addr is host:port with a decimal port from 0 to 65535. The error begins with field, the name of
+// the field that holds addr.
 func CheckAddress(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing", field)
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -18,7 +18,7 @@
 
 const (
 	dnsPollTimeout       = 5 * time.Second // time limit for all lookups of one poll together
-	maxConcurrentLookups = 8               // lookups of SRV target hosts that run at the same time
+	maxConcurrentLookups = 8               // maximum number of lookups of SRV target hosts that run at the same time
 	minDNSRetryDelay     = time.Second     // delay after a failed or empty poll; doubles each time, up to DNSOptions.MaxTTL
 )
 
@@ -28,7 +28,7 @@
 	UseSRV         bool          // look up SRV records, which name hosts and ports; otherwise A and AAAA records
 	Port           int           // port of all members; unused if UseSRV is set
 	Server         string        // host:port of the DNS server; empty for the system's resolvers
-	MinTTL, MaxTTL time.Duration // bounds of the time to the next poll after one that lists members, which follows from the times to live
+	MinTTL, MaxTTL time.Duration // bounds of the time to the next poll, which is the records' shortest time to live; MinTTL does not apply after a failed or empty poll
 }
 
 // IsDNSName reports whether s is a valid DNS name: labels of letters, digits, dashes and underscores, within the size limits of
@@ -60,7 +60,7 @@
 type dnsPoller struct {
 	options    DNSOptions
 	resolver   *net.Resolver // resolver of the current poll
-	retryDelay time.Duration // delay after the next failed or empty poll
+	retryDelay time.Duration // delay that will follow the next failed or empty poll
 
 	mu          sync.Mutex
 	shortestTTL time.Duration // shortest time to live received in the current poll; negative if none was; guarded by mu
@@ -107,10 +107,10 @@
 	if err != nil {
 		return nil, err
 	}
-	// Only the records with the lowest priority number are used. The others are fallbacks for when those hosts cannot be reached
-	// (RFC 2782), which is not known here.
-	lowest := slices.MinFunc(records, func(a, b *net.SRV) int { return cmp.Compare(a.Priority, b.Priority) }).Priority
-	records = slices.DeleteFunc(records, func(r *net.SRV) bool { return r.Priority != lowest })
+	// Only the records with the lowest priority number are used. The others are fallbacks for hosts that cannot be reached (RFC 2782),
+	// and this package does not know which hosts can be reached.
+	lowestPriority := slices.MinFunc(records, func(a, b *net.SRV) int { return cmp.Compare(a.Priority, b.Priority) }).Priority
+	records = slices.DeleteFunc(records, func(r *net.SRV) bool { return r.Priority != lowestPriority })
 	return p.lookupTargets(ctx, records)
 }
 
@@ -119,7 +119,7 @@
 func (p *dnsPoller) lookupTargets(ctx context.Context, records []*net.SRV) ([]endpointset.Member, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	found := make([][]endpointset.Member, len(records))
+	membersByRecord := make([][]endpointset.Member, len(records))
 	var lookups sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentLookups)
 	for i, record := range records {
@@ -127,7 +127,7 @@
 		lookups.Go(func() {
 			defer func() { <-slots }()
 			var err error
-			found[i], err = p.lookupAddresses(ctx, record.Target, int(record.Port))
+			membersByRecord[i], err = p.lookupAddresses(ctx, record.Target, int(record.Port))
 			if err != nil && !isNotFound(err) {
 				cancel(err)
 			}
@@ -137,7 +137,7 @@
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	return sortUnique(slices.Concat(found...)), nil
+	return sortUnique(slices.Concat(membersByRecord...)), nil
 }
 
 // lookupAddresses returns one member for each address in the A and AAAA records of a name, sorted by ID.
@@ -163,8 +163,8 @@
 // fullyQualified returns a name with a trailing dot, so that the resolver does not append the domains of the system's search list.
 func fullyQualified(name string) string { return strings.TrimSuffix(name, ".") + "." }
 
-// dial connects the resolver to a DNS server. The connection records times to live, which the resolver does not return. It is closed
-// when the poll ends, since the resolver would otherwise continue for a while with queries whose results are no longer needed.
+// dial connects the resolver to a DNS server. The connection records times to live, which the resolver does not return. The connection
+// is closed when the poll ends, since the resolver would otherwise continue for a while with queries whose results are no longer needed.
 func (p *dnsPoller) dial(pollCtx, queryCtx context.Context, network, address string) (net.Conn, error) {
 	if pollCtx.Err() != nil {
 		return nil, pollCtx.Err()
@@ -183,7 +183,7 @@
 	return &tcpTTLConn{Conn: conn, poller: p}, nil
 }
 
-// recordTTL lowers shortestTTL to the shortest time to live in a response, if that is shorter.
+// recordTTL records the shortest time to live in a response, unless an earlier response of the poll had a shorter one.
 func (p *dnsPoller) recordTTL(message []byte) {
 	if ttl, ok := shortestTTL(message); ok {
 		p.mu.Lock()
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// newEmptyDNSSource returns a source that has not been started, and fails the test if it ever delivers an update.
-func newEmptyDNSSource(t *testing.T, o DNSOptions) *PollingSource {
+// newDNSSourceWithoutUpdates returns a source that has not been started. It fails the test if the source ever delivers an update.
+func newDNSSourceWithoutUpdates(t *testing.T, o DNSOptions) *PollingSource {
 	t.Helper()
 	deliver := func(update ListUpdate) { t.Errorf("the source delivered %+v, want no update", update) }
 	return NewDNSSource(o, NewMemberCache(holdOptions), deliver, func() {}, slog.New(slog.DiscardHandler))
@@ -91,7 +91,8 @@
 	}
 }
 
-// Through each kind of fault the last list is kept, and after the server's recovery the source delivers its new list.
+// During each kind of fault the source delivers nothing, so that the last list is kept. After the server's recovery it delivers the
+// server's new list.
 func TestDNSFaultKeepsLastList(t *testing.T) {
 	for name, fault := range map[string]fake.DNSFault{
 		"servfail": fake.DNSServfail, "garbage": fake.DNSGarbage, "half a message": fake.DNSHalfMessage, "truncated": fake.DNSTruncated,
@@ -105,8 +106,8 @@
 			f.expectList(t, "127.0.0.1:80")
 			server.SetFault(fault, 0)
 			if fault == fake.DNSEmpty { // an empty response is valid, and not reported as a failure
-				before := server.Queries.Load()
-				testpeer.Eventually(t, "further queries arrive", func() bool { return server.Queries.Load() > before+4 })
+				queriesBefore := server.Queries.Load()
+				testpeer.Eventually(t, "further queries arrive", func() bool { return server.Queries.Load() > queriesBefore+4 })
 			} else {
 				f.expectFailure(t)
 			}
@@ -119,11 +120,11 @@
 	}
 }
 
-func TestAliasLoopEnds(t *testing.T) {
+func TestPollOfDNSAliasLoopEndsWithoutUpdate(t *testing.T) {
 	server := newDNSServer(t)
 	server.Set("web.example", fake.DNSRecord{Alias: "b.example"})
 	server.Set("b.example", fake.DNSRecord{Alias: "web.example"})
-	source := newEmptyDNSSource(t, quickDNSOptions(server))
+	source := newDNSSourceWithoutUpdates(t, quickDNSOptions(server))
 	if nextPollIn := source.PollOnce(t.Context()); nextPollIn <= 0 {
 		t.Errorf("the next poll is due in %v, want a positive time", nextPollIn)
 	}
@@ -133,7 +134,7 @@
 func TestRunEndsWhileDNSServerIsSilent(t *testing.T) {
 	server := newDNSServer(t)
 	server.SetFault(fake.DNSSilent, 0)
-	source := newEmptyDNSSource(t, quickDNSOptions(server))
+	source := newDNSSourceWithoutUpdates(t, quickDNSOptions(server))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { source.Run(ctx); close(ended) }()
@@ -147,7 +148,7 @@
 	testpeer.Eventually(t, "the resolver's own goroutines end", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
 }
 
-func TestIsDNSName(t *testing.T) {
+func TestIsDNSNameAcceptsOnlyValidNames(t *testing.T) {
 	for name, want := range map[string]bool{
 		"a": true, "_http._tcp.a-b.example.": true, "": false, ".": false, "a..b": false, "a b": false,
 		strings.Repeat("x", 64): false, strings.Repeat("x.", 130): false, "caf\u00e9": false,
@@ -181,7 +182,7 @@
 }
 
 // respondToQueries responds to each query until the server is closed. A response repeats the ID and the question of the query, since the
-// resolver drops it otherwise. The first 10 bytes of tail replace the other header fields, and the rest follows the question.
+// resolver drops it otherwise. The first 10 bytes of tail replace the other header fields, and the rest of tail follows the question.
 func respondToQueries(server net.PacketConn, tail []byte) {
 	b := make([]byte, 2048)
 	for {
--- a/internal/discovery/dnsttl.go
+++ b/internal/discovery/dnsttl.go
@@ -35,8 +35,8 @@
 	partial []byte // bytes of the current message read so far, including the length prefix
 }
 
-// Read implements net.Conn. Over TCP a call may read part of a DNS message; Read records the times to live once the message is
-// complete.
+// Read implements net.Conn. Over TCP a call may read a part of a DNS message. The times to live are recorded once the message
+// is complete.
 func (c *tcpTTLConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if len(c.partial)+n <= maxTCPFrameBytes {
@@ -64,7 +64,7 @@
 		if err != nil {
 			return ttl, ok && errors.Is(err, dnsmessage.ErrSectionDone)
 		}
-		// A value with the highest bit set counts as zero (RFC 2181, 8).
+		// A time to live with the highest bit set counts as zero (RFC 2181, 8).
 		seconds := record.TTL
 		if seconds > 1<<31-1 {
 			seconds = 0
--- a/internal/discovery/dnsttl_test.go
+++ b/internal/discovery/dnsttl_test.go
@@ -26,7 +26,7 @@
 	return message
 }
 
-func TestShortestTTLOfResponse(t *testing.T) {
+func TestShortestTTLIsLowestOfAllRecords(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		message []byte
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// filePollInterval plus the time to read the file must stay well under 500 ms: no new request may be sent to a member later than
-	// that after it is marked as draining.
+	// filePollInterval is the time between two polls of a members file. Together with the time to read the file it must stay well
+	// under 500 ms, since no new request may be sent to a member more than 500 ms after the file marks it as draining.
 	filePollInterval = 200 * time.Millisecond
 	// maxFileBytes is the largest size of a members file. MaxMembers entries of about 100 bytes each need less.
 	maxFileBytes = 16 << 20
-	// mtimeGranularity is an upper bound of the resolution of modification times. A file that changes twice within that resolution
-	// looks unchanged, so a file is read again if its modification time was this recent at the last reading.
+	// mtimeGranularity is an upper bound of the resolution of modification times. A second change within that time may leave the
+	// modification time as it is, so a file is read again if it had been modified less than mtimeGranularity before the last reading.
 	mtimeGranularity = time.Second
 )
 
@@ -35,7 +35,7 @@
 // filePoller reads a file if its metadata has changed since the last reading.
 type filePoller struct {
 	path       string
-	hasRead    bool        // lastInfo and lastReadAt are set
+	hasRead    bool        // the file has been read, so lastInfo and lastReadAt are set; false after a poll whose os.Stat failed
 	lastInfo   os.FileInfo // file's metadata right before the last reading
 	lastReadAt time.Time   // when the file was last read
 }
@@ -60,7 +60,7 @@
 	return result, err
 }
 
-// isUnchanged reports whether the file with this metadata is certainly the same as at the last reading.
+// isUnchanged reports whether a file with the metadata info has certainly not changed since the last reading.
 func (p *filePoller) isUnchanged(info os.FileInfo) bool {
 	return os.SameFile(info, p.lastInfo) && info.Size() == p.lastInfo.Size() && info.ModTime().Equal(p.lastInfo.ModTime()) &&
 		p.lastReadAt.Sub(info.ModTime()) > mtimeGranularity
@@ -80,7 +80,7 @@
 	return text, err
 }
 
-// memberEntry is an entry of a members file.
+// memberEntry is an entry of a members file in its JSON form. ParseMemberFile explains the fields.
 type memberEntry struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -39,7 +39,7 @@
 		f.expectFailure(t)
 	}
 	f.expectNoUpdate(t)
-	replaceFile(t, path, `{"format":1,"members":[{"id":"b","address":"10.0.0.3:80"}]}`) // the same ID with a new address
+	replaceFile(t, path, `{"format":1,"members":[{"id":"b","address":"10.0.0.3:80"}]}`) // member b keeps its ID, but has a new address
 	f.expectList(t, "10.0.0.3:80")
 }
 
@@ -59,7 +59,7 @@
 	p := filePoller{path: path}
 	write(1)
 	if result, err := p.poll(t.Context()); err != nil || result.members[0].Addr != "10.0.0.1:80" {
-		t.Fatal(result, err)
+		t.Fatalf("the first version of the file was not read: %+v, %v", result, err)
 	}
 	write(2)
 	if result, err := p.poll(t.Context()); err != nil || result.isUnchanged || result.members[0].Addr != "10.0.0.2:80" {
@@ -85,10 +85,10 @@
 	if members, err := ParseMemberFile([]byte(fileOf(maxEntries...))); err != nil || len(members) != 100_000 {
 		t.Errorf("a file of 100,000 members: parsed %d of them, error %v", len(members), err)
 	}
-	good := fileOf(entry(1), entry(2))
-	for length := range len(good) {
-		if _, err := ParseMemberFile([]byte(good[:length])); err == nil {
-			t.Fatalf("a file truncated to %d bytes is accepted: %s", length, good[:length])
+	validText := fileOf(entry(1), entry(2))
+	for length := range len(validText) {
+		if _, err := ParseMemberFile([]byte(validText[:length])); err == nil {
+			t.Fatalf("a file truncated to %d bytes is accepted: %s", length, validText[:length])
 		}
 	}
 	for text, want := range map[string]string{
@@ -97,7 +97,7 @@
 		fileOf(`{"address":"here"}`):                  "members[0].address",
 		fileOf(`{"address":"h:1","state":"x"}`):       `members[0].state: "x"`,
 		fileOf(`{"addr":"h:1"}`):                      "unknown field",
-		good + "{}":                                   "unexpected data after the list",
+		validText + "{}":                              "unexpected data after the list",
 		`{"members":[]}`:                              "format: 0 is not 1",
 	} {
 		if _, err := ParseMemberFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/discovery/messagereader.go
+++ b/internal/discovery/messagereader.go
@@ -12,9 +12,9 @@
 
 var errMessageTooLong = fmt.Errorf("%w: longer than %d bytes", errMalformedMessage, maxMessageBytes)
 
-// messageReader passes the agent's messages to a JSON decoder, and keeps extending the watchdog timer that cancels the request. Once a
-// message has begun, further bytes must arrive within the first-byte timeout each time, and its end within the idle timeout. Empty lines
-// between messages are heartbeats and are not passed on.
+// messageReader passes the agent's messages to a JSON decoder, and resets the watchdog timer, which cancels the request, whenever bytes
+// arrive. Once a message has begun, no pause within it may exceed the first-byte timeout, and the whole message must arrive within the
+// idle timeout. Empty lines between messages are heartbeats and are not passed on.
 type messageReader struct {
 	io.Reader
 	client           *AgentClient
@@ -43,7 +43,7 @@
 	}
 }
 
-// extendMessage counts n bytes towards the current message, which they begin if none is in progress.
+// extendMessage counts n bytes that have arrived towards the current message. If no message is in progress, the bytes begin one.
 func (r *messageReader) extendMessage(n int) error {
 	if !r.isMidMessage {
 		r.isMidMessage, r.messageStartedAt, r.messageBytes = true, time.Now(), 0
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// endMessage ends the current message. buffered is the text beyond it that the decoder has read already, which may be the beginning of
-// the next message.
+// endMessage ends the current message. buffered is the text after the message that the decoder has already read, which may be the
+// beginning of the next message.
 func (r *messageReader) endMessage(buffered io.Reader) {
 	r.isMidMessage = false
 	r.watchdog.Reset(r.client.idleTimeout)
 	rest, _ := io.ReadAll(buffered) // reading from the decoder's buffer cannot fail
 	if len(bytes.TrimSpace(rest)) > 0 {
-		_ = r.extendMessage(len(rest)) // cannot exceed maxMessageBytes, since these bytes were within it as part of the last message
+		_ = r.extendMessage(len(rest)) // cannot fail: these bytes were counted as part of the last message, which did not exceed maxMessageBytes
 	}
 }
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -23,14 +23,14 @@
 
 	pollRequests chan struct{} // holds at most one call of Subscribe that has not been handled
 	lastLoggedAt time.Time     // when a failure was last logged; zero after a recovery
-	isHealthy    bool          // no poll has failed or listed no members since the last poll that listed some
+	isHealthy    bool          // false from a poll that fails or lists no members until a poll lists members again
 }
 
 // pollResult is the result of one poll.
 type pollResult struct {
 	members     []endpointset.Member // listed members; nil if isUnchanged
 	isUnchanged bool                 // the list is the same as at the previous poll
-	nextPollIn  time.Duration        // time until the next poll; 0 if only Subscribe causes one
+	nextPollIn  time.Duration        // time until the next poll; 0 if the next poll must be requested by Subscribe
 }
 
 // errNoMembers is logged when a poll succeeds but lists no members.
@@ -68,7 +68,7 @@
 	defer timer.Stop()
 	nextPollIn := s.PollOnce(ctx)
 	for ctx.Err() == nil {
-		var nextPollAt time.Time // zero if only Subscribe causes another poll
+		var nextPollAt time.Time // zero if the next poll must be requested by Subscribe
 		if nextPollIn > 0 {
 			nextPollAt = time.Now().Add(nextPollIn)
 		}
@@ -79,8 +79,8 @@
 	}
 }
 
-// waitForNextPoll waits until a poll is due or requested. Meanwhile it delivers the list whenever a damping delay or the hold time
-// ends and changes it. It returns false if ctx ends first.
+// waitForNextPoll waits until a poll is due or requested. Meanwhile it delivers the list whenever the end of a damping delay or of
+// the hold time changes the list. It returns false if ctx ends first.
 func (s *PollingSource) waitForNextPoll(ctx context.Context, timer *time.Timer, nextPollAt time.Time) bool {
 	const idleWait = time.Hour // timer interval while neither a poll nor a change is due
 	for {
@@ -88,8 +88,8 @@
 		if !nextPollAt.IsZero() {
 			wait = time.Until(nextPollAt)
 		}
-		if due, ok := s.endpoints.NextChange(); ok {
-			wait = min(wait, due-time.Since(s.epoch))
+		if changeAt, ok := s.endpoints.NextChange(); ok {
+			wait = min(wait, changeAt-time.Since(s.epoch))
 		}
 		timer.Reset(max(wait, 0))
 		select {
@@ -102,7 +102,7 @@
 		if !nextPollAt.IsZero() && !time.Now().Before(nextPollAt) {
 			return true
 		}
-		if due, ok := s.endpoints.NextChange(); ok && time.Since(s.epoch) >= due && s.endpoints.Tick(time.Since(s.epoch)) {
+		if changeAt, ok := s.endpoints.NextChange(); ok && time.Since(s.epoch) >= changeAt && s.endpoints.Tick(time.Since(s.epoch)) {
 			s.deliverEndpoints()
 		}
 	}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -13,9 +13,9 @@
 	ID        string        `json:"id"`
 	Addr      string        `json:"addr"` // host:port; may be empty if State is Gone
 	Zone      string        `json:"zone"`
-	Kind      string        `json:"kind"`       // endpoints of the same kind have the same size and speed
-	Cell      int           `json:"cell"`       // endpoints of the same cell share the idempotency keys that they have seen
-	StateName string        `json:"state"`      // state's name, a key of stateByWireName; empty in updates of a PollingSource
+	Kind      string        `json:"kind"`       // name of the member's kind; endpoints of the same kind have the same size and speed
+	Cell      int           `json:"cell"`       // number of the member's cell; endpoints of the same cell share the idempotency keys that they have seen
+	StateName string        `json:"state"`      // name of the state in the agent's messages, a key of stateByWireName; empty in updates of a PollingSource
 	StartedMs int64         `json:"started_ms"` // when the member started, as Unix time in ms; 0 if unknown or listed from the beginning
 	State     balance.State `json:"-"`          // state that StateName stands for
 }
@@ -30,7 +30,7 @@
 // stateByWireName maps the state names that the agent sends. Terminating on the wire is Draining in the code.
 var stateByWireName = map[string]balance.State{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone}
 
-// errMalformedMessage is wrapped by the errors for messages that are rejected.
+// errMalformedMessage is wrapped by the errors of AgentClient about messages that it rejects.
 var errMalformedMessage = errors.New("malformed message")
 
 // ParseListUpdate decodes and checks a message from the agent. A single invalid entry rejects the whole message; the error names the
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// membersPath is the agent's URL path for the endpoint list. With the query watch=1&after=VERSION it serves a stream of the changes
-	// after that version.
+	// membersPath is the agent's URL path for the endpoint list. With the query watch=1&after=VERSION the agent sends a stream of the
+	// changes after that version.
 	membersPath = "/catalog/members"
 
 	// watchIdleTimeout is how long a watch may send nothing before it is closed. The agent sends a heartbeat every 2 s. The platform
@@ -22,16 +22,19 @@
 	// requests without a response.
 	watchIdleTimeout = 4300 * time.Millisecond
 
-	// pushedFirstByteTimeout is short since the agent runs on this machine and normally responds at once. After a silence of
-	// the agent, the platform counts updates as received as soon as the agent responds again.
+	// pushedFirstByteTimeout is the time limit for the first byte of a response if watches need no call of Subscribe. It is short since
+	// the agent runs on this machine and normally responds at once, and since after a silence of the agent the platform counts updates
+	// as received as soon as the agent responds again.
 	pushedFirstByteTimeout = 400 * time.Millisecond
-	// subscribedFirstByteTimeout is longer since an agent that must be subscribed to handles one request at a time.
+	// subscribedFirstByteTimeout is the time limit for the first byte of a response if each watch must be requested by Subscribe. It is
+	// longer than pushedFirstByteTimeout since such an agent handles one request at a time.
 	subscribedFirstByteTimeout = 2500 * time.Millisecond
 )
 
-// watch runs one watch until it ends, and reports whether anything was received. It first fetches the complete list if the version is
-// unknown. The agent begins a watch with the changes since the given version, or sends a heartbeat within 2 s if there are none. So a
-// watch that opens and stays silent is closed sooner than one that has sent something, unless the complete list was just fetched.
+// watch runs one watch until it ends, and reports whether anything was received. It first fetches the complete list if no version of
+// the list is known. The agent begins a watch with the changes since the given version, or sends a heartbeat within 2 s if there are
+// none. So a watch that opens and stays silent is closed sooner than one that has sent something, unless the complete list was just
+// fetched.
 func (c *AgentClient) watch(ctx context.Context) (hasReceived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,7 +65,7 @@
 	for {
 		var text json.RawMessage
 		if err := decoder.Decode(&text); err != nil {
-			return c.endWatch(reader, err)
+			return c.handleReadError(reader, err)
 		}
 		reader.endMessage(decoder.Buffered())
 		if err := c.applyMessage(text); err != nil {
@@ -71,9 +74,9 @@
 	}
 }
 
-// endWatch turns the error that ended a watch into one for the log, and drops the known version if an update may have been missed, so
-// that the complete list is fetched next.
-func (c *AgentClient) endWatch(reader *messageReader, err error) error {
+// handleReadError turns the error that ended a watch into one for the log, and drops the known version if an update may have been
+// missed, so that the complete list is fetched next.
+func (c *AgentClient) handleReadError(reader *messageReader, err error) error {
 	switch {
 	case reader.isMidMessage: // the content of the incomplete update is unknown
 		c.version = nil
@@ -122,7 +125,7 @@
 func (c *AgentClient) applyMessage(text []byte) error {
 	update, err := ParseListUpdate(text)
 	if err == nil && !update.Full && (c.version == nil || *update.Version < *c.version) {
-		err = fmt.Errorf("version: %d does not follow the known one", *update.Version)
+		err = fmt.Errorf("version: the changes up to version %d do not apply to the known list", *update.Version)
 	}
 	if err != nil {
 		c.version = nil
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,7 +19,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// serveFunc writes the agent's response to its nth request, counted from 1.
+// serveFunc writes the agent's response to a request. query is the request's URL query, and n its number, counted from 1.
 type serveFunc func(agent *scriptedAgent, w io.Writer, query string, n int)
 
 // scriptedAgent is a discovery agent in virtual time, with a record of what a client requested and delivered.
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	queries     []string        // URL queries of all requests; guarded by mu until the client has ended
 	versions    []int64         // versions of the updates that the client delivered
-	deliveredAt []time.Duration // when the client delivered each of versions, as a time since startedAt
+	deliveredAt []time.Duration // when the client delivered each of the versions, as a time since startedAt
 }
 
 // runScript runs a client that knows the list at version 7 against a scripted agent for the duration d, and returns the agent
@@ -80,7 +80,7 @@
 // elapsed returns the time since the agent's start.
 func (a *scriptedAgent) elapsed() time.Duration { return time.Since(a.startedAt) }
 
-// sendHeartbeats sends heartbeats on a watch. The last one is sent when until has elapsed since the agent's start.
+// sendHeartbeats sends heartbeats on a watch. The last one is sent when the time until has elapsed since the agent's start.
 func (a *scriptedAgent) sendHeartbeats(w io.Writer, until time.Duration) {
 	for a.elapsed() <= until {
 		writeChunk(w, "\n")
@@ -88,16 +88,16 @@
 	}
 }
 
-// openStream writes the header of a chunked response. Like those of writeChunk and writeResponse its errors are ignored, since the
-// client closes the connection whenever it abandons a response.
+// openStream writes the header of a chunked response. Write errors are ignored, since the client closes the connection whenever it
+// abandons a response.
 func openStream(w io.Writer) {
 	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// writeChunk writes one chunk of a chunked response.
+// writeChunk writes one chunk of a chunked response. Write errors are ignored, as in openStream.
 func writeChunk(w io.Writer, text string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
 
-// writeResponse writes a complete response.
+// writeResponse writes a complete response with a Content-Length. Write errors are ignored, as in openStream.
 func writeResponse(w io.Writer, text string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
@@ -176,13 +176,13 @@
 	const chunkBytes = 64 << 10
 	for name, c := range map[string]struct {
 		furtherChunks int
-		within        time.Duration // time limit for the list; later, requests might have gone to a member that is draining
+		timeLimit     time.Duration // longest time until the complete list is delivered; after it, requests might go to a member that is draining
 	}{
 		"message stops":        {0, 500 * time.Millisecond},
 		"message is unbounded": {2 * maxMessageBytes / chunkBytes, pushedFirstByteTimeout - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			agent := runScript(t, c.within, func(agent *scriptedAgent, w io.Writer, query string, n int) {
+			agent := runScript(t, c.timeLimit, func(agent *scriptedAgent, w io.Writer, query string, n int) {
 				if query == "" {
 					writeResponse(w, testpeer.Members(9, true))
 					return
