--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,13 +8,13 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Class is a section [[class]]: a class of requests, with the rules for retrying them and for their deadlines, and the headers
-// that carry a request's ID, tenant and deadline.
+// Class is a section [[class]] of an operators' file: a class of requests, with the rules for retrying them and for their deadlines,
+// and the headers that carry a request's ID, tenant and deadline.
 type Class struct {
 	Name        string `toml:"name"`
 	Idempotency string `toml:"effect"` // whether requests may be retried: "safe", "keyed" (by idempotency key) or "unsafe"
 
-	DedupWindow time.Duration `toml:"window"` // how long endpoints recognize a duplicate by its idempotency key; 0 unless "keyed"
+	DedupWindow time.Duration `toml:"window"` // how long endpoints recognize a duplicate by its idempotency key; 0 unless Idempotency is "keyed"
 	DedupScope  string        `toml:"group"`  // which endpoints recognize each other's idempotency keys: "all", "zone" or "cell"
 
 	LatencyObjective time.Duration `toml:"aim"`           // time within which a response is wanted
@@ -34,24 +34,24 @@
 	MaxStreamDuration time.Duration `toml:"flow_most"`      // how long a body may stream, in each direction
 	DeadlineScope     string        `toml:"deadline_rules"` // part of a request that its deadline covers: "waits" or "all"
 
-	// ForbidsBody makes requests with a body be rejected. It follows from the platform's contract, and cannot be set in a file.
+	// ForbidsBody is whether requests with a body are rejected. It is set only for the platform, whose contract demands it.
 	ForbidsBody bool
 }
 
-// Values of the fields id_missing and deadline_missing.
+// Values of the fields id_missing and deadline_missing: the handling of a request without an ID or a deadline.
 const (
 	missingGenerate   = "make"   // an ID is generated
 	missingUseDefault = "fill"   // the class's Deadline is used
 	missingReject     = "refuse" // a request without the ID or the deadline is rejected
 )
 
-// Values of the field deadline_rules.
+// Values of the field deadline_rules: the part of a request that its deadline covers.
 const (
 	deadlineCoversWaits = "waits" // the deadline covers the wait for a response, but not the streaming of bodies
 	deadlineCoversAll   = "all"   // the deadline covers the complete request and response
 )
 
-// Bounds and defaults of a class.
+// Default values and upper bounds of the fields of a Class.
 const (
 	defaultIDHeader       = "Req-Id"
 	defaultKeyHeader      = "Idempotency-Key"
@@ -74,7 +74,7 @@
 // dedupScopes maps the values of the field group to the balancer's values.
 var dedupScopes = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
-// Values of the fields effect and group that the code refers to.
+// Values of the fields effect and group that this package compares with or sets. IdempotencyByName and dedupScopes have all values.
 const (
 	idempotencyKeyed = "keyed"
 	dedupScopeAll    = "all"
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// check checks the class. names has the names of the classes checked so far; check adds this
-// class's name.
+// check returns an error for the first invalid field of the class. table is the full name of its section, for errors. names has the
+// names of the classes that were checked before; check adds the name of this class.
 func (c *Class) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
 	_, isIdempotency := IdempotencyByName[c.Idempotency]
 	_, isDedupScope := dedupScopes[c.DedupScope]
@@ -146,7 +146,7 @@
 	})
 }
 
-// Tenant is a section [[tenant]]: a user of the pools with a quota of their capacity.
+// Tenant is a section [[tenant]] of an operators' file: a user of the pools with a quota of their capacity.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Quota float64 `toml:"quota"` // requests per second, summed over all daemons
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -10,7 +10,8 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Cluster is the section [fleet]: how this daemon and others find each other and, with consensus, agree on settings.
+// Cluster is the section [fleet] of an operators' file: how this daemon and others find each other and, with consensus, agree
+// on settings.
 type Cluster struct {
 	Name        string   `toml:"name"`      // name of this daemon in the cluster; defaults to daemon.name
 	ClusterName string   `toml:"cluster"`   // name of the cluster, which must be the same on all of its daemons
@@ -24,14 +25,14 @@
 	ProbeTimeout     time.Duration `toml:"probe_timeout"` // time limit for the response to a probe
 	SuspicionTimeout time.Duration `toml:"suspicion"`     // how long a peer is suspected before it counts as failed
 
-	ConsensusEnabled bool          `toml:"agreed"`          // settings, member lists and manual ejections are agreed on by all daemons
-	DataDir          string        `toml:"data_dir"`        // directory for a voter's log and for the last version that the daemon acted on
-	MaxConflict      time.Duration `toml:"conflict_within"` // how long two daemons may act on contradicting versions
-	LeaseDuration    time.Duration `toml:"lease"`           // how long a daemon acts on its version without reaching a voter
+	ConsensusEnabled bool          `toml:"agreed"`          // all daemons agree on settings, member lists and manual ejections through consensus
+	DataDir          string        `toml:"data_dir"`        // directory for a voter's log and for the last version of the settings that the daemon acted on
+	MaxConflict      time.Duration `toml:"conflict_within"` // how long two daemons may act on contradicting versions of the settings
+	LeaseDuration    time.Duration `toml:"lease"`           // how long a daemon acts on its version of the settings without reaching a voter
 	MaxClockDrift    float64       `toml:"clock_drift"`     // largest relative error of a clock's rate, in either direction
 }
 
-// Bounds and defaults of the section [fleet].
+// Default values and bounds of the fields of the section [fleet].
 const (
 	defaultClusterName   = "tuliprock"
 	defaultMaxConflict   = 5 * time.Second
@@ -40,11 +41,11 @@
 
 	maxJoinAddresses    = 64
 	maxVoters           = 7
-	minProbeInterval    = 50 * time.Millisecond // much shorter intervals (as 1 ms) would amount to a load test of the daemons
+	minProbeInterval    = 50 * time.Millisecond // an interval of 1 ms, for example, would flood the daemons with probes
 	maxProbeInterval    = time.Minute
 	minProbeTimeout     = 10 * time.Millisecond
 	maxSuspicionTimeout = 10 * time.Minute
-	minMaxConflict      = 500 * time.Millisecond // a lease is renewed four times in its duration, so a shorter one would cause many renewals
+	minMaxConflict      = 500 * time.Millisecond // leases are renewed about four times per MaxConflict, so a much smaller MaxConflict would cause many renewals
 	maxLeaseDuration    = 10 * time.Minute
 	maxClockDriftLimit  = 0.2 // upper bound of Cluster.MaxClockDrift
 
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// ClusterSpec is the section [fleet] in the form that the cluster's packages take.
+// ClusterSpec is the section [fleet] of an operators' file, converted to the types that the cluster's packages take.
 type ClusterSpec struct {
 	Name                string           // name of this daemon in the cluster
 	ClusterName         string           // name of the cluster, the same on all of its daemons
@@ -19,10 +19,10 @@
 	Advertise           netip.AddrPort   // address that other daemons send to; the zero value stands for Listen
 	Join                []netip.AddrPort // addresses of other daemons to contact first
 	KeyFile             string           // path of the shared key; empty if messages are not authenticated
-	Voters              []string         // names of the daemons that vote
+	Voters              []string         // names of the daemons that vote in consensus
 	Timing              swim.Options     // intervals and timeouts of the failure detection; other options are not set
-	Consensus           *ConsensusSpec   // nil if this daemon takes no part in consensus
-	DividesByMembership bool             // the membership determines how many daemons share the pools, and this one's index
+	Consensus           *ConsensusSpec   // settings of consensus; nil if this daemon takes no part in it
+	DividesByMembership bool             // the cluster's membership determines how many daemons share the pools, and the index of this daemon
 }
 
 // ConsensusSpec says how a daemon takes part in consensus.
@@ -55,9 +55,9 @@
 	return spec
 }
 
-// leaseConfig returns the durations of leases.
+// leaseConfig returns the durations of leases for which no two daemons act on contradicting versions for longer than MaxConflict.
 func (c *Cluster) leaseConfig() consensus.LeaseConfig {
-	// A clock that is slow by MaxClockDrift measures this duration while MaxConflict passes.
+	// shortDuration is the time that a clock measures while MaxConflict passes, if the clock is slow by MaxClockDrift.
 	shortDuration := time.Duration(float64(c.MaxConflict) * (1 - c.MaxClockDrift))
 	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: shortDuration}
 }
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -7,18 +7,18 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Bounds and defaults of the section [daemon].
+// Default values and bounds of the fields of the section [daemon].
 const (
 	defaultName         = "tuliprock"
 	defaultBodyMemoryMB = 16
 	defaultDrainTimeout = 30 * time.Second
 
 	maxDaemons      = 100_000
-	maxBodyMemoryMB = 1 << 20 // 1 TiB
+	maxBodyMemoryMB = 1 << 20 // in MiB: 1 TiB
 	maxDrainTimeout = time.Hour
 )
 
-// Daemon is the section [daemon]: settings of the process as a whole.
+// Daemon is the section [daemon] of an operators' file: settings of the process as a whole.
 type Daemon struct {
 	Name     string  `toml:"name"`
 	Count    int     `toml:"daemons"`   // number of daemons that share the pools, including this one
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -12,7 +12,7 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Names of the documents that daemons agree on through consensus.
+// Names, and prefixes of names, of the documents that daemons agree on through consensus.
 const (
 	// SharedDocument is the name of the document with the part of an operators' file that all daemons share, as TOML.
 	SharedDocument = "shared"
@@ -31,20 +31,20 @@
 // localSections are the sections of an operators' file that may differ between daemons. All other sections are shared.
 var localSections = []string{"daemon", "fleet", "listener"}
 
-// Shared is the section [shared]: settings for all daemons of a cluster.
+// Shared is the section [shared] of an operators' file: settings for all daemons of a cluster.
 type Shared struct {
 	OnIndeterminate string `toml:"unsure"` // what a daemon does after its lease has expired: "keep" or "refuse"
 }
 
-// Values of the field unsure.
+// Values of the field unsure: how a daemon handles requests after its lease has expired.
 const (
-	keepServing    = "keep"   // continue with the present version
-	rejectRequests = "refuse" // reject all requests, since other daemons may act on another version
+	keepServing    = "keep"   // keep acting on the present version of the settings
+	rejectRequests = "refuse" // reject all requests, since other daemons may act on another version of the settings
 )
 
-// ExtractShared removes the local sections from an operators' file, and returns the shared part and the names of the removed
-// sections. A text without local sections is accepted, too. The shared part is checked completely. Line numbers in errors are
-// those of the given text.
+// ExtractShared removes the sections that may differ between daemons (localSections) from an operators' file, and returns the shared
+// part that remains and the names of the removed sections. A text without such sections is accepted, too. The shared part is checked
+// completely. Line numbers in errors are those of the given text.
 func ExtractShared(name string, text []byte) (shared []byte, removed []string, err error) {
 	if err := checkWithLocalSections(name, text); err != nil {
 		return nil, nil, err
@@ -55,7 +55,8 @@
 }
 
 // checkWithLocalSections checks a text before its local sections are removed, so that errors have the line numbers of the
-// original text. It skips a text without listeners and cluster, which is not a complete file.
+// original text. Of a text that has neither a listener nor the section [fleet], and so is not a complete file, it checks only the syntax
+// and the names and types of fields.
 func checkWithLocalSections(name string, text []byte) error {
 	f := &File{}
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
@@ -114,8 +115,8 @@
 }
 
 // WithDocuments returns a copy of the file in which agreed documents, given by name, replace the file's shared part and provide
-// the lists of pools with members = "agreed". Without a shared document the file keeps its shared part. An error says in one line
-// why this daemon can't act on the documents.
+// the member lists of pools with members = "agreed". Without a shared document the file keeps its shared part. An error says in
+// one line why this daemon can't act on the documents.
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	merged := *f
 	if text, ok := docs[SharedDocument]; ok {
@@ -172,7 +173,7 @@
 	return fileMembers(endpoints), nil
 }
 
-// IsDocumentName reports whether a document may have this name: at most maxDocumentNameBytes of valid UTF-8, not empty, without
+// IsDocumentName reports whether name is valid as the name of a document: not empty, at most maxDocumentNameBytes of UTF-8, without
 // spaces and ASCII control characters.
 func IsDocumentName(name string) bool {
 	isForbidden := func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\uFFFD' }
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// localPart and sharedPart together are a complete operators' file, except for the key format.
+// localPart and sharedPart together are a complete operators' file, except for the line "format = 1".
 const localPart = `[daemon]
 name = "d"
 admin_addr = "127.0.0.1:1"
@@ -36,7 +36,7 @@
 // agreedList is the document with the members of the pool p.
 const agreedList = `{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`
 
-// parseFile parses an operators' file, given without its format.
+// parseFile parses an operators' file, given without the line "format = 1".
 func parseFile(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := ParseFile("daemon.toml", []byte("format = 1\n"+text))
@@ -49,7 +49,7 @@
 func TestExtractSharedRemovesLocalSections(t *testing.T) {
 	shared, removed, err := ExtractShared("f.toml", []byte("format = 1\n"+localPart+sharedPart))
 	if err != nil || string(shared) != "format = 1\n"+sharedPart || strings.Join(removed, " ") != "daemon listener fleet" {
-		t.Fatalf("shared part %s, removed sections %v, error %v", shared, removed, err)
+		t.Fatalf("shared part %s, removed sections %v, error %v; want the sections daemon, listener and fleet removed, and the rest unchanged", shared, removed, err)
 	}
 }
 
@@ -79,7 +79,7 @@
 		t.Errorf("the pool has members without an agreed list, or error %v", err)
 	}
 	if unchanged, err := file.WithDocuments(nil); err != nil || len(unchanged.Service().Pools[0].Source.Members) != 1 {
-		t.Errorf("no documents changed the pool's one fixed member, or error %v", err)
+		t.Errorf("without documents the pool lost its one fixed member, or error %v", err)
 	}
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -59,8 +59,8 @@
 	}
 	f.applyDefaults(tomlFile)
 	f.applyClusterDefaults(tomlFile)
-	checkConsensus := func(tomlFile *tomlfile.File) error { return consensusCheck(f, tomlFile) }
-	if err := runChecks(tomlFile, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkShared, checkConsensus,
+	boundConsensusCheck := func(tomlFile *tomlfile.File) error { return consensusCheck(f, tomlFile) }
+	if err := runChecks(tomlFile, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkShared, boundConsensusCheck,
 		f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Table returns the file's compiled routes. A rule of the table has the index of its section in Route.
+// Table returns the file's compiled routes. A rule has the same index in the table as its section has in Route.
 func (f *File) Table() *route.Table { return f.table }
 
 // applyDefaults sets the default values of fields that the file leaves out, except in the section [fleet]. A zero that is
@@ -110,7 +110,7 @@
 	}
 }
 
-// setIfEmpty sets a text to its default if it is empty or left out.
+// setIfEmpty sets a string to its default if it is empty, which it also is if the file leaves out the field.
 func setIfEmpty(value *string, fallback string) { *value = cmp.Or(*value, fallback) }
 
 // uniqueNames is the set of names used so far in a list whose names must be unique.
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-// operatorConnections returns the maximum number of operators' connections, 0 without an address for them.
+// operatorConnections returns the maximum number of operators' connections, or 0 if the file has no admin_addr to connect to.
 func (f *File) operatorConnections() int {
 	if f.Daemon.AdminAddr == "" {
 		return 0
@@ -50,7 +50,7 @@
 	return fileOperatorConnections
 }
 
-// poolSpec converts a pool. classes are the names of the classes whose requests are routed to it.
+// poolSpec converts a pool to a PoolSpec. classes are the names of the classes whose requests are routed to the pool.
 func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
 	return PoolSpec{
 		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
--- a/internal/config/header.go
+++ b/internal/config/header.go
@@ -14,8 +14,8 @@
 
 // isRewritableHeader reports whether name is a valid header name that a route may set or remove.
 func isRewritableHeader(name string) bool {
-	isSame := func(protected string) bool { return strings.EqualFold(protected, name) }
-	return isHeaderName(name) && !slices.ContainsFunc(protectedHeaders, isSame)
+	isSameHeader := func(protected string) bool { return strings.EqualFold(protected, name) }
+	return isHeaderName(name) && !slices.ContainsFunc(protectedHeaders, isSameHeader)
 }
 
 // isHeaderName reports whether s is a token, which a header name must be (RFC 9110, 5.6.2).
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -9,31 +9,31 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Listener is a section [[listener]]: an address that clients connect to, and the limits of connections to it.
+// Listener is a section [[listener]] of an operators' file: an address that clients connect to, and the limits of connections to it.
 type Listener struct {
 	Name         string        `toml:"name"`
 	Address      string        `toml:"address"`       // host:port to listen on
 	Connections  int           `toml:"connections"`   // maximum number of open client connections
-	HeadBytes    int           `toml:"head_bytes"`    // maximum size of a request line with its headers
-	BodyBytes    int64         `toml:"body_bytes"`    // maximum size of a request body
+	HeadBytes    int           `toml:"head_bytes"`    // maximum size in bytes of a request line with its headers
+	BodyBytes    int64         `toml:"body_bytes"`    // maximum size in bytes of a request body
 	HeadTimeout  time.Duration `toml:"head_timeout"`  // time limit for the arrival of a request's head
 	BodyTimeout  time.Duration `toml:"body_timeout"`  // time limit for the arrival of a buffered body, after the head
-	IdleTimeout  time.Duration `toml:"idle_timeout"`  // maximum time between two requests of a connection
+	IdleTimeout  time.Duration `toml:"idle_timeout"`  // maximum time between two requests on a connection
 	WriteTimeout time.Duration `toml:"write_timeout"` // time limit for sending a response
 	Forwarded    string        `toml:"forwarded"`     // handling of forwarding headers: "set", "append", "drop" or "leave"
 	RetryAfter   string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (RFC 9110) or "fraction"
 
 	StreamIdleTimeout time.Duration `toml:"flow_idle"` // longest wait for the client's next byte while a body streams
-	MinStreamRate     int64         `toml:"flow_rate"` // bytes per second that the client must keep up; 0 for no minimum
+	MinStreamRate     int64         `toml:"flow_rate"` // minimum rate of a client's streaming body in bytes per second; 0 for no minimum
 
 	Descriptor int `toml:"-"` // descriptor of a listening socket inherited from the platform; 0 to open a socket
 
-	// RawTargets makes request targets be matched and forwarded without normalization. It follows from the platform's
-	// contract, and cannot be set in a file.
+	// RawTargets is whether request targets are matched and forwarded without normalization. It is set only for the platform, whose
+	// contract demands it.
 	RawTargets bool
 }
 
-// Bounds and defaults of a listener. The default times and sizes apply on the platform too, unless platformListener sets others.
+// Default values and bounds of the fields of a Listener. The defaults apply on the platform too, unless platformListener sets others.
 const (
 	defaultConnections = 500
 	defaultHeadBytes   = 16 << 10
@@ -49,10 +49,10 @@
 // starts with 1 s and doubles it); the rate is below that of the slowest links in use (GPRS, about 20 kbit/s).
 const (
 	defaultStreamIdleTimeout = 10 * time.Second
-	defaultMinStreamRate     = 1 << 10 // bytes per second, for a client that sends or receives a body
+	defaultMinStreamRate     = 1 << 10 // bytes per second, for a peer that sends or receives a body
 )
 
-// Values of the fields forwarded and retry_after.
+// Values of the fields forwarded (forwarding headers are set, appended to, dropped or left unchanged) and retry_after.
 const (
 	forwardedSet       = "set"
 	forwardedAppend    = "append"
@@ -101,8 +101,9 @@
 	return nil
 }
 
-// check checks the listener. names and addresses have those of the listeners checked so far; check adds this listener's. Port 0
-// stands for any free port, so several listeners may have port 0.
+// check returns an error for the first invalid field of the listener. table is the full name of its section, for errors. names and
+// addresses are sets with the names and addresses of the listeners that were checked before; check adds those of this listener. Port
+// 0 stands for any free port, so several listeners may have the same address with port 0.
 func (l *Listener) check(tomlFile *tomlfile.File, table string, names, addresses uniqueNames) error {
 	forwardedValues := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
 	isUniqueAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -23,7 +23,7 @@
 	Limits       Limits               // CPU, memory and sockets that the sidecar may use
 	LastUpdate   discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
 
-	ListenDescriptor int    // descriptor of a listening socket that is inherited and may be shared; 0 to open a socket
+	ListenDescriptor int    // descriptor of an inherited listening socket, which other processes may share; 0 to open a socket
 	SharedDir        string // directory shared by all processes of the sidecar; empty for none
 
 	Settings simwire.Settings // settings of the balancer, timeouts and the random seed
@@ -31,9 +31,9 @@
 
 // Limits are the resources that a sidecar may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // CPU cores that the sidecar may use
+	Cores    float64 `json:"cores"`     // number of CPU cores that the sidecar may use
 	MemoryMB int     `json:"memory_mb"` // memory that the sidecar may use, in MiB
-	Sockets  int     `json:"sockets"`   // files and connections that the sidecar may have open
+	Sockets  int     `json:"sockets"`   // number of files and connections that the sidecar may have open
 }
 
 // Limits that apply if the platform's file leaves them out, and the smallest ones that a sidecar can work with.
@@ -45,8 +45,8 @@
 	minSockets      = 64
 )
 
-// platformFile is the contents of the platform's file. Field names are matched case-insensitively. The type is an alias of an
-// unnamed struct with few tags because errors of encoding/json quote the names of types and fields.
+// platformFile is the contents of the platform's file. Names of JSON keys are matched case-insensitively. The type is an alias of an
+// unnamed struct, and most fields have no tag, because encoding/json quotes the names of types and fields in errors.
 type platformFile = struct {
 	Name, Listen, Discovery string
 	Seed                    string // random seed of 64 bits, in hexadecimal
@@ -56,8 +56,8 @@
 	Settings                json.RawMessage // settings of the balancer, in the JSON form of simwire.Settings
 }
 
-// Load reads and checks the file that the environment variable ROUTER_CONFIG names. Other variables replace fields that the
-// file leaves out. An error begins with the name of the invalid field or variable.
+// Load reads and checks the file that the environment variable ROUTER_CONFIG names. Other environment variables replace fields that
+// the file leaves out. An error begins with the name of the invalid field or variable.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -97,7 +97,8 @@
 	return c, nil
 }
 
-// readAddresses checks the addresses, and reads the descriptor of the listening socket if the platform passes one on.
+// readAddresses checks the addresses, and reads the descriptor of the listening socket from the environment if the platform
+// passes one on.
 func (c *Config) readAddresses(getenv func(string) string) error {
 	if err := discovery.CheckAddress("listen", c.Listen); err != nil {
 		return err
@@ -115,7 +116,7 @@
 	return discovery.CheckAddress("admin_addr", c.AdminAddress)
 }
 
-// readSettings decodes the seed and the parts of the file whose format other packages define.
+// readSettings decodes the random seed, the balancer's settings and the last update of the discovery agent.
 func (c *Config) readSettings(file platformFile) (err error) {
 	if len(file.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// WithReloadable returns the configuration with the fields of a later one that a running sidecar can adopt, which is only the
-// address of the discovery agent. Other changes need a restart. The endpoint list and all measurements of endpoints are kept.
+// WithReloadable returns the configuration with the address of the discovery agent from a later one. A running sidecar can adopt
+// that address, and keeps its endpoint list and all measurements of endpoints. Any other change needs a restart.
 func (c Config) WithReloadable(later Config) Config {
 	c.Discovery = later.Discovery
 	return c
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -20,14 +20,15 @@
 	platformBodyTimeout       = 2500 * time.Millisecond // enough for a buffered body of 64 kB in several pieces, which takes 1 s at 64 kB per second
 	platformMinStreamRate     = 48 << 10                // bytes per second: 64 kB less a quarter, since the measured rate fluctuates
 	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
-	platformStreamDuration    = 10 * time.Minute        // 32 MB at 64 kB per second take 8.5 minutes
+	platformStreamDuration    = 10 * time.Minute        // how long a body may stream: 32 MB at 64 kB per second take 8.5 minutes
 
-	// platformBodyMemoryDivisor gives the memory budget for bodies as a fraction of the memory limit. The budget is small because
-	// two processes share the limit during a hot restart.
+	// platformBodyMemoryDivisor is the number by which the memory limit is divided for the memory budget of bodies. The budget is
+	// small because two processes share the limit during a hot restart.
 	platformBodyMemoryDivisor = 8
 )
 
-// Operators' connections may use the limit on sockets divided by operatorSocketDivisor, but at least minOperatorConnections.
+// The maximum number of operators' connections is the limit on sockets divided by operatorSocketDivisor, but at least
+// minOperatorConnections.
 const (
 	operatorSocketDivisor  = 16
 	minOperatorConnections = 8
@@ -58,7 +59,7 @@
 	return s, nil
 }
 
-// operatorConnections returns the maximum number of operators' connections, 0 without an address for them.
+// operatorConnections returns the maximum number of operators' connections, or 0 if there is no AdminAddress to connect to.
 func (c Config) operatorConnections() int {
 	if c.AdminAddress == "" {
 		return 0
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -23,7 +23,7 @@
 	}
 	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.LastUpdate.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
 		c.Settings.ConnIdle != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
-		t.Errorf("parsed %+v", c)
+		t.Errorf("parsed %+v, want the values of validConfig", c)
 	}
 }
 
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:3" || c.Limits != (Limits{1, defaultMemoryMB, defaultSockets}) {
-		t.Errorf("loaded %+v", c)
+		t.Errorf("loaded %+v, want the listen address of the file, and for missing fields the variables' values and the default limits", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
 		t.Run("without "+variable, func(t *testing.T) {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -10,8 +10,8 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// Pool is a section [[pool]]: endpoints that serve the same requests, and the settings of their balancer. The endpoints come
-// from exactly one of Member, Agent, File, DNS and Members.
+// Pool is a section [[pool]] of an operators' file: endpoints that serve the same requests, and the settings of their balancer. The
+// endpoints come from exactly one of Member, Agent, File, DNS and Members.
 type Pool struct {
 	Name        string        `toml:"name"`
 	Attempts    int           `toml:"attempts"`     // maximum number of attempts for one request
@@ -22,14 +22,14 @@
 	SlowStartCapacity float64       `toml:"cold_from"` // fraction of its capacity that a new endpoint starts with
 	SlowStartDuration time.Duration `toml:"cold_for"`  // time after which a new endpoint has its full capacity
 
-	Tier          int           `toml:"tier"`             // number of client tiers in front of this daemon
-	TiersBelow    int           `toml:"tiers_below"`      // number of tiers that the endpoints depend on
+	Tier          int           `toml:"tier"`             // number of tiers of balancers between the clients and this daemon
+	TiersBelow    int           `toml:"tiers_below"`      // number of tiers that the endpoints depend on to serve a request
 	MaxRetryAfter time.Duration `toml:"retry_after_most"` // longest Retry-After that is sent to a client
 
 	StartAt           string        `toml:"begins"`       // when an endpoint may start on a request: "head" or "last_byte"
-	MaxResponseBytes  int64         `toml:"answer_bytes"` // maximum size of a response body; 0 for no limit
+	MaxResponseBytes  int64         `toml:"answer_bytes"` // maximum size in bytes of a response body; 0 for no limit
 	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest time that an endpoint may transfer no byte while a body streams
-	MinStreamRate     int64         `toml:"flow_rate"`    // bytes per second that an endpoint must keep up; 0 for no minimum
+	MinStreamRate     int64         `toml:"flow_rate"`    // minimum rate of an endpoint's streaming body in bytes per second; 0 for no minimum
 
 	Member  []Member `toml:"member"`  // fixed list of endpoints
 	Agent   string   `toml:"agent"`   // host:port of the platform's discovery agent
@@ -47,21 +47,21 @@
 	Type   string        `toml:"type"`      // type of the records: "address" (A and AAAA) or "srv"
 	Port   int           `toml:"port"`      // port of the endpoints for the type "address"; 0 for "srv"
 	Server string        `toml:"server"`    // host:port of the DNS server; empty for the system's resolvers
-	MinTTL time.Duration `toml:"ttl_least"` // shortest time between two polls, even if the records' time to live is shorter
-	MaxTTL time.Duration `toml:"ttl_most"`  // longest time between two polls, even if the records' time to live is longer
+	MinTTL time.Duration `toml:"ttl_least"` // shortest time to the poll after one that lists members, even if the records' time to live is shorter
+	MaxTTL time.Duration `toml:"ttl_most"`  // longest time to the poll after one that lists members, even if the records' time to live is longer
 }
 
 // Member is an endpoint in a pool's list.
 type Member struct {
-	ID      string `toml:"id"`      // unique in the pool; defaults to Address
+	ID      string `toml:"id"`      // endpoint's ID, unique in the pool; defaults to Address
 	Address string `toml:"address"` // host:port at which the endpoint takes requests
 	Zone    string `toml:"zone"`
-	Kind    string `toml:"kind"`  // endpoints of the same kind have the same size and speed
-	Cell    int    `toml:"cell"`  // endpoints of the same cell share the idempotency keys that they have seen
-	State   string `toml:"state"` // "ready" or "draining"
+	Kind    string `toml:"kind"`  // name of the endpoint's kind; endpoints of the same kind have the same size and speed
+	Cell    int    `toml:"cell"`  // number of the endpoint's cell; endpoints of the same cell share the idempotency keys that they have seen
+	State   string `toml:"state"` // whether the endpoint takes new requests: "ready" or "draining"
 }
 
-// Values of the field begins.
+// Values of the field begins: when an endpoint may start on a request.
 const (
 	startAtHead     = "head"      // an endpoint may start as soon as it has the request's head
 	startAtLastByte = "last_byte" // an endpoint starts only once it has the complete request
@@ -82,7 +82,7 @@
 	dnsTypeSRV     = "srv"
 )
 
-// Bounds and defaults of a pool.
+// Default values and bounds of the fields of a Pool.
 const (
 	defaultAttempts          = 4
 	defaultSlowStartCapacity = 0.3
@@ -90,13 +90,13 @@
 	defaultDialTimeout       = 250 * time.Millisecond
 	defaultPoolIdleTimeout   = 15 * time.Second
 	defaultMaxRetryAfter     = 2 * time.Second
-	defaultHoldLastGood      = 10 * time.Minute // long enough for operators to notice that a resolver or a script is down
+	defaultHoldLastGood      = 10 * time.Minute // long enough for operators to notice that a DNS resolver or the script that writes a members file is down
 	defaultFlapDamping       = time.Second
 	defaultMinTTL            = time.Second
 	defaultMaxTTL            = time.Minute
 
 	maxAttempts = 100
-	maxTiers    = 100                    // bound of Tier and of TiersBelow
+	maxTiers    = 100                    // upper bound of Pool.Tier and of Pool.TiersBelow
 	minTTL      = 100 * time.Millisecond // lower bound of DNS.MinTTL
 )
 
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// check checks the pool. names has the names of the pools checked so far; check adds this pool's
-// name.
+// check returns an error for the first invalid field of the pool. table is the full name of its section, for errors. names has the
+// names of the pools that were checked before; check adds the name of this pool.
 func (p *Pool) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
 	if err := tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("name", names.add(p.Name), "a unique name"),
@@ -149,7 +149,7 @@
 		tomlfile.Require("idle_timeout", p.IdleTimeout > 0, "over 0"),
 		tomlfile.Require("tier", p.Tier >= 0 && p.Tier <= maxTiers, "from 0 to 100"),
 		tomlfile.Require("tiers_below", p.TiersBelow >= 0 && p.TiersBelow <= maxTiers, "from 0 to 100"),
-		tomlfile.Require("member", len(p.Member) <= discovery.MaxMembers, fmt.Sprintf("a list of %d at most", discovery.MaxMembers)),
+		tomlfile.Require("member", len(p.Member) <= discovery.MaxMembers, fmt.Sprintf("a list of at most %d members", discovery.MaxMembers)),
 		tomlfile.Require("agent", p.Agent == "" || isAddress(p.Agent), "host:port"),
 	}); err != nil {
 		return err
@@ -160,7 +160,7 @@
 	return p.checkMembers(tomlFile, table)
 }
 
-// checkSource checks that the pool has exactly one source of endpoints, and that its fields are valid.
+// checkSource checks that the pool has exactly one source of endpoints, and that the fields members and dns are valid.
 func (p *Pool) checkSource(tomlFile *tomlfile.File, table string) error {
 	sourceCount := 0
 	for _, isGiven := range []bool{len(p.Member) > 0, p.Agent != "", p.File != "", p.DNS != nil, p.Members != ""} {
@@ -217,7 +217,7 @@
 	return out
 }
 
-// fileMembers is the inverse of StaticMembers.
+// fileMembers converts members from their form in package endpointset to that in an operators' file. It is the inverse of StaticMembers.
 func fileMembers(members []endpointset.Member) []Member {
 	var out []Member
 	for _, m := range members {
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -13,8 +13,8 @@
 // index by host and path instead of scanning all routes. BenchmarkMatch in package route measures tables of up to 10,000 routes.
 const maxRoutes = 100_000
 
-// Route is a section [[route]]: it sends the requests that match all of its conditions to a pool, as requests of a class. Of
-// several routes that match a request the first one applies. A condition that is left out matches every request.
+// Route is a section [[route]] of an operators' file: it sends the requests that match all of its conditions to a pool, as requests
+// of a class. Of several routes that match a request the first one applies. A condition that is left out matches every request.
 type Route struct {
 	Name    string      `toml:"name"`
 	Hosts   []string    `toml:"hosts"`   // hosts of which the request must have one; empty for any
@@ -30,7 +30,7 @@
 
 	Pool          string        `toml:"pool"`           // name of the pool that serves the requests
 	Class         string        `toml:"class"`          // name of the requests' class
-	Tenant        string        `toml:"tenant"`         // tenant of requests that name none
+	Tenant        string        `toml:"tenant"`         // name of the tenant of requests that name none
 	ReplacePrefix string        `toml:"replace_prefix"` // replaces PathPrefix in the forwarded request; empty to keep it
 	SetHeader     []HeaderValue `toml:"set_header"`     // headers to set in the forwarded request
 	RemoveHeaders []string      `toml:"remove_headers"` // names of headers to remove from the forwarded request
@@ -42,13 +42,13 @@
 	Value string `toml:"value"`
 }
 
-// Condition is a condition on a header or a query value. Without Equal, Prefix and Absent any value matches, but one must be
-// present.
+// Condition is a condition on a header or a query parameter. Without Equal, Prefix and Absent any value matches, but the header or
+// parameter must be present.
 type Condition struct {
 	Name   string `toml:"name"`
-	Equal  string `toml:"equal"`  // value that the header or query value must equal; an empty one counts only if the file states it
-	Prefix string `toml:"prefix"` // required prefix of the value; empty for none
-	Absent bool   `toml:"absent"` // there must be no such header or query value
+	Equal  string `toml:"equal"`  // required value; an empty string is required only if the file has the field
+	Prefix string `toml:"prefix"` // required prefix of the header's or query parameter's value; empty for none
+	Absent bool   `toml:"absent"` // the request must not have a header or query parameter of this Name
 }
 
 // checkRoutes checks the routes and compiles them into the file's table.
@@ -87,7 +87,8 @@
 	return names
 }
 
-// check checks the route and converts it to a rule of the table.
+// check returns an error for the first invalid field of the route, and otherwise the route as a rule of the routing table. table is
+// the full name of the route's section, for errors.
 func (r *Route) check(tomlFile *tomlfile.File, table string, names definedNames) (route.Rule, error) {
 	rule, err := r.tableRule(tomlFile, table)
 	if err != nil {
@@ -105,7 +106,7 @@
 	if err := r.checkHeaders(tomlFile, table); err != nil {
 		return rule, err
 	}
-	// Compiling the rule alone tells which route of the file an error is in.
+	// Each rule is compiled alone before checkRoutes compiles the table, so that an error can name the route of the file.
 	if _, err := route.New([]route.Rule{rule}); err != nil {
 		if ruleErr := (*route.RuleError)(nil); errors.As(err, &ruleErr) {
 			err = ruleErr.Err
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// tableRule converts the route's conditions to a rule. It checks only what compiling the rule does not check.
+// tableRule converts the route's conditions to a rule of the routing table. It checks only what compiling the rule does not check.
 func (r *Route) tableRule(tomlFile *tomlfile.File, table string) (route.Rule, error) {
 	rule := route.Rule{Name: r.Name, Hosts: r.Hosts, Methods: r.Methods}
 	pathCount := 0
@@ -157,7 +158,8 @@
 	return rule, err
 }
 
-// routeConditions converts conditions; array is the full name of the array of tables that they are from.
+// routeConditions converts conditions to the type that package route takes. array is the full name of their array of tables in the
+// file, for errors.
 func routeConditions(tomlFile *tomlfile.File, array string, conditions []Condition) ([]route.Condition, error) {
 	var out []route.Condition
 	for i, c := range conditions {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -22,12 +22,12 @@
 	Pools                    []PoolSpec
 	Table                    *route.Table // routing table; its rules are compiled from the routes of the configuration
 	Targets                  []Target     // targets of the routes, by index of the rule in Table
-	File                     *File        // operators' file that the Service was converted from; nil for the platform's
-	RejectsWhenIndeterminate bool         // requests are rejected while it is indeterminate which version other daemons act on
+	File                     *File        // operators' file that the Service was converted from; nil if it is from the platform's file
+	RejectsWhenIndeterminate bool         // requests are rejected while it is indeterminate which version of the settings other daemons act on
 
 	BodyMemory       int           // memory budget for bodies in bytes; 0 if all bodies are buffered and need a Content-Length
 	DrainTimeout     time.Duration // time from the shutdown signal until bodies that are still streaming are aborted
-	TerminationGrace time.Duration // time from the shutdown signal during which the process is not killed
+	TerminationGrace time.Duration // time from the shutdown signal until the process may be killed
 }
 
 // PoolSpec is the complete configuration of a pool.
@@ -44,9 +44,9 @@
 	// treated as 0.5 s. On the platform it is 0, since responses there take 23 ms at most.
 	BufferedResponseTimeout time.Duration
 
-	DialsRatherThanWaits bool // a new connection is dialed rather than waiting until a used one may be reused
-	// AcceptsOnlyStatusOK follows from the platform's contract: any status but 200 is a failure, and of a response only the content
-	// type and the body are forwarded.
+	DialsRatherThanWaits bool // a new connection is dialed if the delay before the reuse of an idle connection has not passed
+	// AcceptsOnlyStatusOK is whether any status but 200 is a failure, and only the content type and the body of a response are
+	// forwarded. The platform's contract demands it.
 	AcceptsOnlyStatusOK bool
 	Source              SourceSpec
 }
@@ -55,7 +55,7 @@
 // pool has no endpoints.
 type SourceSpec struct {
 	Agent            string               // host:port of the platform's discovery agent
-	RequestsFullList bool                 // the complete list is requested from the agent even though LastUpdate is known
+	RequestsFullList bool                 // the complete list is requested from the agent even if LastUpdate has a version
 	LastUpdate       discovery.ListUpdate // last update that the agent sent before this process started; zero if there was none
 	Members          []Member             // fixed list of endpoints, or the list that the cluster agreed on
 	File             string               // path of a members file
@@ -66,39 +66,40 @@
 
 // Target says where the requests that match a rule of the routing table are sent, and how they are rewritten.
 type Target struct {
-	Pool, Tenant              string // pool that serves the requests, and tenant of requests that name none
+	Pool, Tenant              string // names of the pool that serves the requests, and of the tenant of requests that name none
 	Class                     *Class
 	PathPrefix, ReplacePrefix string // prefix of the path and its replacement; the prefix stays if the replacement is empty
 	SetHeaders                []HeaderValue
 	RemoveHeaders             []string // names of headers to remove from the forwarded request
 }
 
-// SpareConnections is the number of client connections that a listener accepts beyond its limit while it closes an idle one for
-// each.
+// SpareConnections is the number of client connections that a listener accepts beyond its limit. For each of them it closes an idle
+// connection.
 const SpareConnections = 16
 
 // Numbers of file descriptors that the limits on connections are computed from.
 const (
-	// internalDescriptors is the number of file descriptors reserved for everything that has no reservation of its own.
+	// internalDescriptors is the number of file descriptors reserved for everything but the cluster and the connections to clients,
+	// endpoints and operators.
 	internalDescriptors = 24
 	// clusterDescriptors is the number of file descriptors reserved for a cluster: two sockets, eight streams in each
 	// direction, and four files of a voter's log.
 	clusterDescriptors = 2 + 2*8 + 4
-	// minConnections is the minimum number of connections to clients and to endpoints each, even if that exceeds the limit on
-	// descriptors.
+	// minConnections is the smallest limit that is computed for the connections to clients, and for those to endpoints, even if it
+	// exceeds the limit on descriptors.
 	minConnections = 8
 )
 
 // MaxDescriptors returns the maximum number of files and connections that the daemon may have open.
 func (s *Service) MaxDescriptors() int {
-	sum := s.ReservedDescriptors()
+	total := s.ReservedDescriptors()
 	for _, l := range s.Listeners {
-		sum += l.Connections + SpareConnections
+		total += l.Connections + SpareConnections
 	}
 	for _, p := range s.Pools {
-		sum += p.Connections
+		total += p.Connections
 	}
-	return sum
+	return total
 }
 
 // ConnectionsWithin returns the maximum number of client connections under a limit on descriptors, which is also the maximum number
