--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -35,19 +35,19 @@
 	return c
 }
 
-// x returns the horizontal position in the view box of an instant, in seconds since the start of the day. Instants outside the time
-// axis are moved to its ends.
+// x returns the horizontal position in the view box of an instant, in seconds since the start of the day. An instant outside the
+// time axis is moved to its nearest end.
 func (c *chart) x(seconds float64) float64 {
 	return chartLeft + (chartWidth-chartLeft-chartRight)*min(max(seconds, 0), c.length)/c.length
 }
 
-// y returns the vertical position in the view box of a value. Values outside the scale are moved to its ends.
+// y returns the vertical position in the view box of a value. A value outside the scale is moved to its nearest end.
 func (c *chart) y(value float64) float64 {
 	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
 
-// scale draws horizontal grid lines with their values, which format formats.
-func (c *chart) scale(format string) {
+// drawScale draws five horizontal grid lines, each labelled with its value. format is the printf format of a value.
+func (c *chart) drawScale(format string) {
 	for i := range 5 {
 		v := c.scaleMax * float64(i) / 4
 		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`+
@@ -56,16 +56,17 @@
 	}
 }
 
-// timeAxis writes the labels of the time axis below the plot.
-func (c *chart) timeAxis() {
-	step := niceStep(c.length)
+// drawTimeAxis writes the labels of the time axis below the plot.
+func (c *chart) drawTimeAxis() {
+	step := timeAxisStep(c.length)
 	for s := 0.0; s <= c.length; s += step {
 		fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%.0f s</text>`, c.x(s), c.height-6, s)
 	}
 }
 
-// niceStep returns a round distance in seconds between the labels of a time axis, of which there are about ten.
-func niceStep(length float64) float64 {
+// timeAxisStep returns the distance in seconds between the labels of a time axis. It is a round number that gives at most
+// thirteen labels for axes of up to two hours.
+func timeAxisStep(length float64) float64 {
 	for _, step := range []float64{1, 2, 5, 10, 15, 30, 60, 120, 300, 600} {
 		if length/step <= 12 {
 			return step
@@ -74,8 +75,8 @@
 	return 1200
 }
 
-// niceMax returns a round value that is at least v, for the top of a scale.
-func niceMax(v float64) float64 {
+// scaleMaxFor returns the value at the top of a scale for values up to v: a round value that is at least v.
+func scaleMaxFor(v float64) float64 {
 	if v <= 0 {
 		return 1
 	}
@@ -88,8 +89,8 @@
 	return 10 * unit
 }
 
-// faultBands draws a vertical band for the time of each fault, behind what is drawn later.
-func (c *chart) faultBands(r *Result) {
+// drawFaultBands draws a vertical band over the time of each fault. Elements that are drawn later lie in front of the bands.
+func (c *chart) drawFaultBands(r *Result) {
 	for _, fault := range r.Faults {
 		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
 		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`,
@@ -97,8 +98,8 @@
 	}
 }
 
-// violationMarks draws a vertical line at the instant of each violation of an invariant.
-func (c *chart) violationMarks(r *Result) {
+// drawViolationMarks draws a vertical line at the instant of each violation of an invariant.
+func (c *chart) drawViolationMarks(r *Result) {
 	for _, rule := range r.Invariants.Rules {
 		for _, v := range rule.Violations {
 			x := c.x(v.At.Seconds())
@@ -108,8 +109,8 @@
 	}
 }
 
-// line draws a line through the values of successive seconds, each in the middle of its second.
-func (c *chart) line(cssClass string, values []float64) {
+// drawLine draws a line through the values of successive seconds, each in the middle of its second.
+func (c *chart) drawLine(cssClass string, values []float64) {
 	var points []string
 	for i, v := range values {
 		points = append(points, fmt.Sprintf("%.1f,%.1f", c.x(float64(i)+0.5), c.y(v)))
@@ -117,8 +118,8 @@
 	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, cssClass, strings.Join(points, " "))
 }
 
-// columns draws a column for each second whose value is positive.
-func (c *chart) columns(cssClass string, values []float64) {
+// drawColumns draws a column for each second whose value is positive.
+func (c *chart) drawColumns(cssClass string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
 			x, next := c.x(float64(i)), c.x(float64(i+1))
@@ -128,8 +129,8 @@
 	}
 }
 
-// end returns the finished chart. All text in it has been escaped.
-func (c *chart) end() template.HTML {
+// finish returns the finished chart. All text in it has been escaped.
+func (c *chart) finish() template.HTML {
 	c.WriteString("</svg>")
 	return template.HTML(c.String())
 }
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -14,9 +14,9 @@
 
 // outcome is the result of a client's request after all its attempts.
 type outcome struct {
-	isServed bool          // whether the last response had status 200
-	duration time.Duration // time from when the request was due until the client's last attempt ended
-	status   int           // HTTP status of the last response; 0: there was none
+	isServed bool          // whether the last attempt was answered with status 200
+	duration time.Duration // time from when the request was due until the client was served or gave up
+	status   int           // HTTP status of the response to the last attempt; 0: it had no complete response
 	attempts int           // number of attempts that the client sent
 }
 
@@ -31,13 +31,13 @@
 }
 
 // runClient simulates the client of request i of the plan, which is due at an instant: it sends the request and its retries, and
-// sets the outcome of the request.
-func (r *rehearsal) runClient(i int, due time.Time) {
+// records the outcome.
+func (r *rehearsal) runClient(i int, dueAt time.Time) {
 	request, o := &r.plan.Requests[i], &r.outcomes[i]
 	class := r.plan.Classes[request.Class]
-	deadline := due.Add(class.Deadline)
+	deadline := dueAt.Add(class.Deadline)
 	defer func() {
-		o.duration = time.Since(due)
+		o.duration = time.Since(dueAt)
 		r.offeredValue.Add(int64(1000 * request.Value))
 		if o.isInTime(r.plan.Day.Classes[request.Class].LatencyObjective) {
 			r.inTimeValue.Add(int64(1000 * request.Value))
@@ -48,21 +48,21 @@
 		if timeout < time.Millisecond {
 			return
 		}
-		out := r.clients.Do(r.newAttempt(request, o.attempts, timeout))
+		response := r.clients.Do(r.newAttempt(request, o.attempts, timeout))
 		o.attempts++
-		o.status = out.Status
-		if out.Status == http.StatusOK {
+		o.status = response.Status
+		if response.Status == http.StatusOK {
 			o.isServed = true
 			return
 		}
-		isRejected := isRejection(out.Status)
-		mayHaveRun := class.Effect != invariant.Safe && out.IsAccepted && !isRejected
-		if out.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
+		isRejected := isRejection(response.Status)
+		mayHaveRun := class.Effect != invariant.Safe && response.IsAccepted && !isRejected
+		if response.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
 			return
 		}
 		delay := request.Backoff
 		if isRejected && request.HonoursRetryAfter {
-			delay = max(delay, out.RetryAfter)
+			delay = max(delay, response.RetryAfter)
 		}
 		if !sleep(r.ctx, delay) {
 			return
@@ -70,8 +70,8 @@
 	}
 }
 
-// newAttempt returns the next attempt of a client at a request. attempts is the number of attempts that the client has sent
-// already, timeout the time limit of the new one.
+// newAttempt returns a client's next attempt to send a request. attempts is the number of attempts that the client has already sent
+// for the request, and timeout is the time limit of the next attempt.
 func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
 		ID:             r.newID("try"),
@@ -92,7 +92,7 @@
 	return attempt
 }
 
-// costHint returns a client's estimate of a request's work, which is from half the work to twice the work.
+// costHint returns a client's estimate of a request's work, which lies between half and twice the actual work.
 func costHint(request *Request) time.Duration {
 	rng := rand.New(rand.NewPCG(request.Seed, sourceJobs))
 	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -14,37 +14,37 @@
 	"tuliprock/internal/testkit/faultnet"
 )
 
-// The lease config of clusters with consensus. The sidecars' operators' files contain these values.
+// The lease settings of clusters with consensus, as the operators' files of the sidecars state them.
 const (
 	maxClockDrift       = 0.1             // fraction by which the rate of a clock may differ from real time
 	maxConflictDuration = 2 * time.Second // longest time for which two sidecars may act on different versions of the settings
 	leaseDuration       = 6 * time.Second
 )
 
-// firstClusterAddr is the argument of freeLoopbackAddr for the first member of a cluster. Lower arguments are used for the
-// addresses at which sidecars listen for clients.
-const firstClusterAddr = 2000
+// firstClusterAddrIndex is the argument of freeLoopbackAddr for the first member of a cluster. Lower arguments give the addresses
+// at which sidecars listen for clients.
+const firstClusterAddrIndex = 2000
 
-// maxClusterEvents bounds the events in a cluster's timeline. The number of version reports has the same bound of its own.
+// maxClusterEvents bounds the number of events in a cluster's timeline, and separately the number of its version reports.
 const maxClusterEvents = maxEvents / 10
 
-// cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that a rehearsal
-// calls do nothing for nil.
+// cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that are called
+// for every day do nothing for nil.
 type cluster struct {
 	rehearsal *rehearsal
-	net       *faultnet.Network         // network between the members, which injects the faults of links
+	network   *faultnet.Network         // network between the members, which injects the faults of links
 	members   map[string]*clusterMember // members by the name of the sidecar; not modified after buildCluster
-	pollers   sync.WaitGroup            // goroutines that poll the members and toggle an override
+	pollers   sync.WaitGroup            // goroutines that poll the members, or eject and restore an endpoint
 
 	mu             sync.Mutex
-	events         []clusterinvariant.Event         // timeline of the members, their views and the faults
+	events         []clusterinvariant.Event         // events of the members' processes, the changes of their views, and the faults
 	versionReports []clusterinvariant.VersionReport // responses of members that hold a lease on the version they act on
 	activeFaults   int                              // number of faults of links or processes that are active
 }
 
 // clusterMember is a sidecar of the cluster.
 type clusterMember struct {
-	clockRateEnv string // environment variable that sets the rate of the sidecar's clock; empty: the clock is that of the machine
+	clockRateEnv string // NAME=VALUE of the environment variable that sets the rate of the sidecar's clock; empty: the sidecar uses the machine's clock
 	incarnation  int    // number of times that the sidecar's process was started; guarded by cluster.mu
 	configText   string // admin_addr and the section [fleet] of the sidecar's operators' file
 	adminAddr    string // address of the sidecar's admin listener, which answers the polls
@@ -56,35 +56,35 @@
 	if config == nil {
 		return nil
 	}
-	c := &cluster{rehearsal: r, net: faultnet.New(r.plan.Seed, nil), members: map[string]*clusterMember{}}
+	c := &cluster{rehearsal: r, network: faultnet.New(r.plan.Seed, nil), members: map[string]*clusterMember{}}
 	r.cluster = c
-	var listens, advertised []netip.AddrPort
+	var listenAddrs, advertisedAddrs []netip.AddrPort
 	var voters []string
 	for i := range r.plan.SidecarCount {
-		addr, err := freeLoopbackAddr(firstClusterAddr + i)
+		addr, err := freeLoopbackAddr(firstClusterAddrIndex + i)
 		if err != nil {
 			return err
 		}
-		listen := netip.MustParseAddrPort(addr)
-		relay, err := c.net.AddRelay(sidecarName(i), listen)
+		listenAddr := netip.MustParseAddrPort(addr)
+		relayAddr, err := c.network.AddRelay(sidecarName(i), listenAddr)
 		if err != nil {
 			return err
 		}
-		listens, advertised = append(listens, listen), append(advertised, relay)
+		listenAddrs, advertisedAddrs = append(listenAddrs, listenAddr), append(advertisedAddrs, relayAddr)
 		if i < config.Voters {
 			voters = append(voters, fmt.Sprintf("%q", sidecarName(i)))
 		}
 	}
 	for i := range r.plan.SidecarCount {
 		name := sidecarName(i)
-		adminAddr, err := freeLoopbackAddr(firstClusterAddr + i)
+		adminAddr, err := freeLoopbackAddr(firstClusterAddrIndex + i)
 		if err != nil {
 			return err
 		}
 		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
-			adminAddr, r.plan.Day.Name, listens[i], advertised[i], advertised[0], advertised[len(advertised)/2],
-			strings.Join(voters, ", "))
-		member := &clusterMember{configText: text + config.operatorsFile(r.workDir, name, i < config.Voters), adminAddr: adminAddr}
+			adminAddr, r.plan.Day.Name, listenAddrs[i], advertisedAddrs[i], advertisedAddrs[0],
+			advertisedAddrs[len(advertisedAddrs)/2], strings.Join(voters, ", "))
+		member := &clusterMember{configText: text + config.fleetKeys(r.workDir, name, i < config.Voters), adminAddr: adminAddr}
 		if config.ClockRate.Hi > 0 {
 			member.clockRateEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawFractionFor("clock", name)))
 		}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// operatorsFile returns the keys of [fleet] that configure the failure detector and consensus, in the format of an operators' file.
-func (c *ClusterConfig) operatorsFile(workDir, name string, isVoter bool) string {
+// fleetKeys returns the keys of an operators' file that configure the failure detector and consensus in the section [fleet].
+func (c *ClusterConfig) fleetKeys(workDir, name string, isVoter bool) string {
 	var b strings.Builder
 	for _, field := range []struct {
 		name  string
@@ -122,7 +122,7 @@
 	return c.members[name]
 }
 
-// recordProcessEvent records that a sidecar's process was started or ended.
+// recordProcessEvent records that a sidecar's process was started, began to shut down, or ended.
 func (c *cluster) recordProcessEvent(kind clusterinvariant.Kind, sidecar string) {
 	if c == nil {
 		return
@@ -143,10 +143,10 @@
 	}
 }
 
-// beginFault records that a fault of links or processes begins.
+// beginFault counts a fault of links or processes that begins; see changeActiveFaults.
 func (c *cluster) beginFault() { c.changeActiveFaults(1) }
 
-// endFault records that a fault of links or processes is over.
+// endFault counts a fault of links or processes that is over; see changeActiveFaults.
 func (c *cluster) endFault() { c.changeActiveFaults(-1) }
 
 // changeActiveFaults adds change to the number of active faults. It records an event when the number leaves 0 or returns to 0.
@@ -191,13 +191,13 @@
 	c.setLinks(fault, faultnet.Link{})
 }
 
-// setLinks sets the state of all links between sidecars in different parts of a fault.
+// setLinks sets the state of the links that a fault hits: those between sidecars in different parts of its partition.
 func (c *cluster) setLinks(fault LinkFault, link faultnet.Link) {
 	for i, part := range fault.Parts {
 		for _, other := range fault.Parts[i+1:] {
-			c.net.SetLinksOneWay(part, other, link)
+			c.network.SetLinksOneWay(part, other, link)
 			if !fault.IsOneWay {
-				c.net.SetLinksOneWay(other, part, link)
+				c.network.SetLinksOneWay(other, part, link)
 			}
 		}
 	}
@@ -209,5 +209,5 @@
 		return
 	}
 	c.pollers.Wait()
-	c.net.Close()
+	c.network.Close()
 }
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -11,7 +11,7 @@
 )
 
 // The defaults of ClusterConfig.DetectWithin and ClusterConfig.SettleWithin. They suit a failure detector with the daemon's default
-// times.
+// intervals and timeouts.
 const (
 	defaultDetectWithin = 6 * time.Second
 	defaultSettleWithin = 3 * time.Second
@@ -25,18 +25,18 @@
 	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // timeout of a probe; 0: the daemon's default
 	SuspicionTimeout time.Duration        `toml:"suspicion"`     // time from suspicion to failure of a peer; 0: the daemon's default
 	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock relative to real time; needs a -race build
-	DetectWithin     time.Duration        `toml:"detect"`        // time limit for all others to detect a sidecar's failure
-	SettleWithin     time.Duration        `toml:"settle"`        // time limit after the last fault for all views to be right
-	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on overrides by consensus; if so, an endpoint is repeatedly ejected and restored
+	DetectWithin     time.Duration        `toml:"detect"`        // longest time until all other sidecars must have detected a sidecar's failure
+	SettleWithin     time.Duration        `toml:"settle"`        // longest time from the last fault until all views must match which sidecars run
+	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on manual ejections by consensus; if so, an endpoint is repeatedly ejected and restored
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
 type LinkFaultSpec struct {
 	Kind        string                 `toml:"kind"`    // kind of the fault, a key of linkFaultHasMagnitude
 	Start       tomlfile.DurationRange `toml:"at"`      // start of the fault, as time from the start of the day
-	Duration    tomlfile.DurationRange `toml:"for"`     // time until the fault is over
-	Parts       int                    `toml:"parts"`   // parts into which sidecars are divided at random; links between parts are hit
-	IsolatesOne bool                   `toml:"alone"`   // whether one sidecar is separated from all others; replaces Parts
+	Duration    tomlfile.DurationRange `toml:"for"`     // time from the start of the fault to its end
+	PartCount   int                    `toml:"parts"`   // number of parts into which sidecars are divided at random; the fault hits links between parts; 0: each sidecar is a part
+	IsolatesOne bool                   `toml:"alone"`   // whether the fault hits the links between one sidecar and all others; excludes PartCount
 	HasBridge   bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
 	IsOneWay    bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
 	Period      tomlfile.DurationRange `toml:"every"`   // length of the alternating active and inactive phases; 0: always active
@@ -50,16 +50,16 @@
 	"reset":     false, // TCP streams are reset
 	"loss":      true,  // the fraction Magnitude of the datagrams is lost
 	"duplicate": true,  // the fraction Magnitude of the datagrams arrives twice
-	"delay":     true,  // everything is late by Magnitude in seconds, and by a random delay up to as long again, which reorders datagrams
+	"delay":     true,  // all traffic is late by Magnitude seconds plus up to Magnitude seconds at random, which reorders datagrams
 }
 
 // LinkFault is a link fault of the plan, drawn from its LinkFaultSpec. The tags are the names of the fields in printed plans.
 type LinkFault struct {
 	Kind      string        // kind of the fault, a key of linkFaultHasMagnitude
 	Start     time.Duration `json:"At"`  // start of the fault, as time from the start of the day
-	Duration  time.Duration `json:"For"` // time until the fault is over
+	Duration  time.Duration `json:"For"` // time from the start of the fault to its end
 	Parts     [][]string    // names of the sidecars in each part; the fault hits links between parts
-	IsOneWay  bool          `json:"OneWay"` // whether only links from a part to later parts are hit
+	IsOneWay  bool          `json:"OneWay"` // whether only the direction from a part to later parts is hit
 	Period    time.Duration `json:"Every"`  // length of the alternating active and inactive phases; 0: always active
 	Magnitude float64       `json:"Size"`   // strength of the fault; see linkFaultHasMagnitude
 }
@@ -76,9 +76,9 @@
 		hasValidVoters := c.Voters >= 0 && float64(c.Voters) <= d.Sidecars.Count.Lo && (c.Voters == 0 || c.Voters%2 == 1)
 		isWithinDrift := c.ClockRate.Hi <= 1+maxClockDrift && c.ClockRate.Lo >= 1-maxClockDrift
 		if err := f.Check("fleet", []tomlfile.Requirement{
-			tomlfile.Require("voters", hasValidVoters, "0 or an odd number, of the sidecars"),
+			tomlfile.Require("voters", hasValidVoters, "0 or an odd number, at most the number of sidecars"),
 			tomlfile.Require("agreed", !c.HasConsensus || c.Voters > 0 && isWithinDrift,
-				fmt.Sprintf("beside voters, and clocks within %v", maxClockDrift)),
+				fmt.Sprintf("true only with voters, and with a clock from %v to %v", 1-maxClockDrift, 1+maxClockDrift)),
 			tomlfile.Require("clock", c.ClockRate.Hi == 0 || c.ClockRate.Lo >= 0.5 && c.ClockRate.Hi <= 2, "from 0.5 to 2"),
 			tomlfile.Require("detect", c.DetectWithin > 0, "over 0"),
 			tomlfile.Require("settle", c.SettleWithin > 0, "over 0"),
@@ -88,16 +88,16 @@
 	}
 	for i, spec := range d.LinkFaults {
 		hasMagnitude, isKnown := linkFaultHasMagnitude[spec.Kind]
-		hasValidParts := spec.Parts == 0 ||
-			spec.Parts >= 2 && !spec.IsolatesOne && float64(spec.Parts) <= d.Sidecars.Count.Lo
+		hasValidParts := spec.PartCount == 0 ||
+			spec.PartCount >= 2 && !spec.IsolatesOne && float64(spec.PartCount) <= d.Sidecars.Count.Lo
 		if err := f.Check(fmt.Sprintf("link_trouble[%d]", i), []tomlfile.Requirement{
 			tomlfile.Require("kind", isKnown, "cut, reset, loss, duplicate or delay"),
-			tomlfile.Require("kind", d.Cluster != nil, "of a day with a fleet"),
+			tomlfile.Require("kind", d.Cluster != nil, "given only in a day with a fleet"),
 			tomlfile.Require("at", spec.Start.Hi < d.Length, "before the day's end"),
 			tomlfile.Require("for", spec.Duration.Lo > 0, "over 0"),
-			tomlfile.Require("parts", hasValidParts, "2 at least, one sidecar each, and not beside alone"),
-			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 where the trouble has a size, and only there"),
-			tomlfile.Require("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a share"),
+			tomlfile.Require("parts", hasValidParts, "from 2 to the number of sidecars, and not given with alone"),
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == hasMagnitude, "over 0 for loss, duplicate and delay, and only there"),
+			tomlfile.Require("size", spec.Kind == "delay" || spec.Magnitude.Hi <= 1, "a fraction of the datagrams, 1 at most"),
 		}); err != nil {
 			return err
 		}
@@ -116,7 +116,8 @@
 	}
 }
 
-// partition divides the sidecars into the parts of a link fault. If the fault states no number of parts, each sidecar is a part.
+// partition divides the sidecars at random into the parts of a link fault. A fault that isolates one sidecar has two parts. If a
+// fault states no number of parts, each sidecar is a part.
 func (p *Plan) partition(rng *rand.Rand, spec LinkFaultSpec) [][]string {
 	var names []string
 	for _, i := range rng.Perm(p.SidecarCount) {
@@ -125,7 +126,7 @@
 	if spec.HasBridge {
 		names = names[1:]
 	}
-	n := spec.Parts
+	n := spec.PartCount
 	switch {
 	case spec.IsolatesOne:
 		return [][]string{names[:1], names[1:]}
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	clusterPollInterval = 50 * time.Millisecond   // interval between two polls of the same sidecar
-	clusterPollTimeout  = time.Second             // timeout of a poll or command
-	overrideInterval    = 1500 * time.Millisecond // interval between two changes of the operator override
+	clusterPollInterval    = 50 * time.Millisecond   // interval between two polls of the same sidecar
+	clusterPollTimeout     = time.Second             // timeout of a poll, or of each step of an operator command
+	ejectionToggleInterval = 1500 * time.Millisecond // interval between commands that alternately eject and restore an endpoint
 )
 
 // startPollers starts goroutines that poll the sidecars' views of one another, and with consensus their active versions, until done
-// closes. With consensus, another goroutine toggles an operator override.
+// closes. With consensus, another goroutine alternately ejects and restores an endpoint.
 func (c *cluster) startPollers(done <-chan struct{}) {
 	if c == nil {
 		return
@@ -31,7 +31,7 @@
 		}
 	}
 	if hasConsensus {
-		c.pollers.Go(func() { c.toggleOverride(done) })
+		c.pollers.Go(func() { c.toggleManualEjection(done) })
 	}
 }
 
@@ -41,8 +41,8 @@
 	for c.sleep(done, clusterPollInterval) {
 		fleet, err := status.FetchFleet(member.adminAddr, clusterPollTimeout)
 		if err != nil {
-			if failed := (*net.OpError)(nil); errors.As(err, &failed) && failed.Op != "read" {
-				clear(lastView) // no process accepted the poll; a process that starts later has no view yet
+			if opErr := (*net.OpError)(nil); errors.As(err, &opErr) && opErr.Op != "read" {
+				clear(lastView) // no process accepted the connection; a process that starts later has no view yet
 			}
 			continue
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordView records each difference between a sidecar's view and its last view, and updates the last view.
+// recordView records each difference between a sidecar's view of the cluster and lastView, its previous view, and updates lastView.
 func (c *cluster) recordView(name string, fleet *status.Fleet, lastView map[string]status.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,12 +86,12 @@
 	}
 }
 
-// toggleOverride alternately ejects an endpoint manually and ends the ejection. It sends each command to a random sidecar. Commands
-// may fail: the checker only compares the versions on which sidecars act.
-func (c *cluster) toggleOverride(done <-chan struct{}) {
+// toggleManualEjection alternately ejects an endpoint manually and ends the ejection. It sends each command to a random sidecar.
+// Commands may fail: the checker only compares the versions on which sidecars act.
+func (c *cluster) toggleManualEjection(done <-chan struct{}) {
 	hosts := c.rehearsal.hosts[0]
 	endpoint := hosts[len(hosts)-1].plan.Spec.ID
-	for n := 0; c.sleep(done, overrideInterval); n++ {
+	for n := 0; c.sleep(done, ejectionToggleInterval); n++ {
 		i := int(c.rehearsal.drawUint64For("hands", fmt.Sprint(n)) % uint64(len(c.members)))
 		command := []string{"set-down", "set-up"}[n%2]
 		if conn, err := net.DialTimeout("tcp", c.members[sidecarName(i)].adminAddr, clusterPollTimeout); err == nil {
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -10,32 +10,32 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// maxReportedViolations bounds the violations that a result lists for each rule of a cluster.
+// maxReportedViolations bounds the number of violations that a result lists for each rule of a cluster.
 const maxReportedViolations = 20
 
 // ClusterResult holds the verdicts on the cluster and its measured times.
 type ClusterResult struct {
 	Held                      bool                `json:"held"`     // whether no rule of the cluster was violated
-	Rules                     []ClusterRuleResult `json:"rules"`    // the membership rules, then the version rules, if any
-	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all others had detected a sidecar's failure
-	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time after the last fault until all views were right
-	Events                    int                 `json:"events"`   // events in the timeline of the cluster
+	Rules                     []ClusterRuleResult `json:"rules"`    // verdicts on the membership rules, then on the version rules if the cluster has consensus
+	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all other sidecars had detected a sidecar's failure
+	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time from the last fault until all views matched which sidecars ran
+	EventCount                int                 `json:"events"`   // number of events in the timeline of the cluster
 
-	VersionReports              int     `json:"acts,omitempty"`            // polls in which a sidecar held a lease on a settings version
-	Versions                    int     `json:"versions,omitempty"`        // number of versions of the settings that sidecars acted on
-	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest certain use of a superseded settings version
+	VersionReportCount          int     `json:"acts,omitempty"`            // number of polls in which a sidecar held a lease on a settings version
+	VersionCount                int     `json:"versions,omitempty"`        // number of versions of the settings that sidecars acted on
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest time for which a sidecar certainly acted on a superseded settings version
 }
 
 // ClusterRuleResult is the verdict on one rule of a cluster.
 type ClusterRuleResult struct {
 	Name            string                       `json:"name"`
 	Verdict         string                       `json:"verdict"`  // "held", "broken" or "not put to the test"
-	TestedOccasions int                          `json:"tests"`    // occasions on which the rule could have been violated
+	TestedOccasions int                          `json:"tests"`    // number of occasions on which the rule could have been violated
 	Violations      []clusterinvariant.Violation `json:"breaches"` // the first violations, at most maxReportedViolations
 }
 
-// check checks the timeline of the cluster up to an instant. It returns nil for a nil cluster. The instants of violations are
-// relative to dayStart.
+// check returns the verdicts on the timeline of the cluster, which ends at end, or nil for a nil cluster. dayStart and end are of
+// the recorder's clock; the instants of violations in the result are relative to dayStart.
 func (c *cluster) check(dayStart, end time.Duration) *ClusterResult {
 	if c == nil {
 		return nil
@@ -47,14 +47,14 @@
 	verdict := clusterinvariant.CheckMembership(c.events, clusterinvariant.Limits{DetectWithin: config.DetectWithin,
 		SettleWithin: config.SettleWithin, End: end})
 	result := &ClusterResult{SlowestDetectionSeconds: verdict.SlowestDetection.Seconds(),
-		SlowestConvergenceSeconds: verdict.SlowestConvergence.Seconds(), Events: len(c.events)}
+		SlowestConvergenceSeconds: verdict.SlowestConvergence.Seconds(), EventCount: len(c.events)}
 	rules := clusterinvariant.MembershipRules
 	if config.HasConsensus {
 		slices.SortStableFunc(c.versionReports, func(a, b clusterinvariant.VersionReport) int {
 			return cmp.Compare(a.ReportedAt, b.ReportedAt)
 		})
 		versions := clusterinvariant.CheckVersions(c.versionReports, maxConflictDuration)
-		result.VersionReports, result.Versions = versions.Reports, versions.Versions
+		result.VersionReportCount, result.VersionCount = versions.Reports, versions.Versions
 		result.LongestContradictionSeconds = versions.LongestContradiction.Seconds()
 		verdict.Violations = append(verdict.Violations, versions.Violations...)
 		rules = append(slices.Clone(rules), clusterinvariant.VersionRules...)
@@ -94,9 +94,9 @@
 			fmt.Fprintf(b, "  at %.3f s: %s\n", violation.At.Seconds(), violation.Text)
 		}
 	}
-	if r.VersionReports > 0 {
+	if r.VersionReportCount > 0 {
 		fmt.Fprintf(b, "fleet   %d versions acted on, %d acts; the longest contradiction that is certain %.2f s of %v\n",
-			r.Versions, r.VersionReports, r.LongestContradictionSeconds, maxConflictDuration)
+			r.VersionCount, r.VersionReportCount, r.LongestContradictionSeconds, maxConflictDuration)
 	}
 	fmt.Fprintf(b, "fleet   the longest until all knew of one that was gone %.1f s, "+
 		"until views were right after the last fault %.1f s\n",
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -16,13 +16,13 @@
 
 // Day is the content of a day's file: the traffic, the nodes and the faults. The seed decides which value is drawn from each
 // range. Durations are written as strings such as "1.5s". The tags are the keys of day files, which partly differ from the names
-// here: a fault is a trouble, the cluster a fleet, discovery the roster.
+// of the fields: a fault is a trouble, the cluster a fleet, discovery the roster.
 type Day struct {
 	Format int           `toml:"format"` // version of the file format, always 1
 	Name   string        `toml:"name"`
 	About  string        `toml:"about"`  // description of the day in one sentence
 	Seed   uint64        `toml:"seed"`   // seed that is used unless the command names others
-	Length time.Duration `toml:"length"` // time over which requests arrive; the day ends when the last of them has its outcome
+	Length time.Duration `toml:"length"` // time over which requests arrive; the day ends when the last request has its outcome
 
 	Load struct {
 		Utilization          tomlfile.NumberRange `toml:"use"`              // demand, as a fraction of the capacity of the nodes
@@ -31,35 +31,35 @@
 		HasCostHints         bool                 `toml:"hints"`            // whether clients send an estimate of the work of a request
 	} `toml:"load"`
 	Sidecars struct {
-		Count    tomlfile.NumberRange `toml:"count"`     // sidecars before the first tier; each node that calls a further tier has its own
+		Count    tomlfile.NumberRange `toml:"count"`     // number of sidecars before the first tier; each node that calls a further tier has one more of its own
 		Cores    float64              `toml:"cores"`     // CPU limit of one sidecar, in cores
-		MemoryMB int                  `toml:"memory_mb"` // memory limit of one sidecar
-		Sockets  int                  `toml:"sockets"`   // descriptors that one sidecar may have open
+		MemoryMB int                  `toml:"memory_mb"` // memory limit of one sidecar, in MB
+		Sockets  int                  `toml:"sockets"`   // number of descriptors that one sidecar may have open
 	} `toml:"sidecars"`
 	FrontLayer struct {
-		RemovalDelay tomlfile.DurationRange `toml:"notice"` // time for which the front layer still connects to a dead sidecar
+		RemovalDelay tomlfile.DurationRange `toml:"notice"` // time for which the front layer, the clients' load balancer, still connects clients to a dead sidecar
 	} `toml:"front"`
 	Discovery struct {
 		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // time until sidecars are notified that a node drains or is gone
-		AdditionDelay tomlfile.DurationRange `toml:"add"`    // delay in addition to RemovalDelay or AdditionDelay, drawn for each sidecar and notification
-		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // further delay, drawn for each sidecar and notification
+		AdditionDelay tomlfile.DurationRange `toml:"add"`    // time until sidecars are notified that a node has started
+		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // delay in addition to RemovalDelay or AdditionDelay, drawn for each sidecar and notification
 	} `toml:"roster"`
 	Clients struct {
-		MaxRetries               tomlfile.NumberRange   `toml:"retries"`   // retries that a client sends at most
+		MaxRetries               tomlfile.NumberRange   `toml:"retries"`   // largest number of retries that a client sends for one request
 		AttemptTimeoutFraction   tomlfile.NumberRange   `toml:"try_share"` // timeout of an attempt, as a fraction of the class's deadline
 		ImmediateRetryFraction   float64                `toml:"at_once"`   // fraction of requests whose client retries at once, without a backoff
 		Backoff                  tomlfile.DurationRange `toml:"backoff"`   // delay before a retry of a client that does not retry at once
 		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`    // fraction of requests whose client honours Retry-After
-		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client disconnects before the response
+		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client disconnects at a random instant unless it was answered before
 		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`      // time after which a client closes a connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
-		MaxAttempts        int           `toml:"attempts"`        // attempts at one request that a sidecar sends at most
+		MaxAttempts        int           `toml:"attempts"`        // largest number of attempts that a sidecar sends for one request
 		MaxRetryAfter      time.Duration `toml:"max_retry_after"` // longest Retry-After that a sidecar sends; 0: it sends none
 		Tolerance          time.Duration `toml:"slack"`           // time by which an event may exceed any time limit of the rules
-		DrainGrace         time.Duration `toml:"drain_grace"`     // time in which attempts may go to a node after it is known to drain
-		ColdOverloadFactor float64       `toml:"fall_multiple"`   // multiple of its capacity at which a warming node collapses
-		ColdOverloadWindow time.Duration `toml:"fall_after"`      // time over which the load of a warming node is averaged
+		DrainGrace         time.Duration `toml:"drain_grace"`     // time after the notification that a node drains or is gone, in which a sidecar may still send it attempts
+		ColdOverloadFactor float64       `toml:"fall_multiple"`   // multiple of its present capacity at which a warming node collapses
+		ColdOverloadWindow time.Duration `toml:"fall_after"`      // length of the window over which the work sent to a warming node is summed
 		DialTimeout        time.Duration `toml:"dial_timeout"`    // time that a sidecar waits for a connection to a node
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
@@ -78,7 +78,7 @@
 	WorkFraction    float64                `toml:"work"`      // fraction of a class's work that one call takes in this tier
 	CallsPerRequest tomlfile.NumberRange   `toml:"calls"`     // mean number of calls to this tier by a request of the tier before
 	CellSize        tomlfile.NumberRange   `toml:"cell"`      // number of nodes of a cell, which drop duplicates together
-	MaxConnections  int                    `toml:"conns"`     // connections that a node serves; 0: no limit
+	MaxConnections  int                    `toml:"conns"`     // largest number of connections that a node serves; 0: no limit
 	HandshakeWork   tomlfile.DurationRange `toml:"handshake"` // work of a node for each new connection
 	IdleTimeout     tomlfile.DurationRange `toml:"idle"`      // time after which a node closes an idle connection; 0: never
 	ErrorRate       tomlfile.NumberRange   `toml:"errors"`    // fraction of requests that a node answers with status 500
@@ -92,16 +92,16 @@
 	Proportion           float64                `toml:"share"` // number of nodes of this kind, relative to the tier's other kinds
 	Cores                int                    `toml:"cores"`
 	Speed                tomlfile.NumberRange   `toml:"speed"`     // speed of a core; work is stated for a core of speed 1
-	Slots                tomlfile.NumberRange   `toml:"slots"`     // requests that a node runs at the same time, for each core of the node
-	QueueLimit           tomlfile.NumberRange   `toml:"room"`      // requests that may wait at a node for a slot, for each core of the node
+	Slots                tomlfile.NumberRange   `toml:"slots"`     // number of requests that a node runs at the same time, for each core of the node
+	QueueLimit           tomlfile.NumberRange   `toml:"room"`      // number of requests that may wait at a node for a slot, for each core of the node
 	ColdCapacityFraction tomlfile.NumberRange   `toml:"cold_from"` // fraction of its capacity that a node has right after a start
 	WarmUpDuration       tomlfile.DurationRange `toml:"cold_for"`  // time from a start until a node has its full capacity
 }
 
 // OverloadRange holds the ranges from which the fields of a fake.OverloadSpec are drawn.
 type OverloadRange struct {
-	Threshold    tomlfile.NumberRange   `toml:"at"`     // load beyond the cores, divided by their square root, that slows a node
-	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which a node's load, its requests, is averaged
+	Threshold    tomlfile.NumberRange   `toml:"at"`     // multiple of the square root of a node's cores by which its load must exceed its cores to slow it
+	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which a node's load, the number of its requests, is averaged
 	Slowdown     tomlfile.NumberRange   `toml:"slower"` // factor by which an overloaded node is slower
 	RecoverAfter tomlfile.DurationRange `toml:"rest"`   // time that a node must be mostly idle to leave the slow state
 	IdleBelow    tomlfile.NumberRange   `toml:"below"`  // fraction of a node's cores; the node is mostly idle while a smaller fraction is busy
@@ -111,11 +111,11 @@
 // Class is a class of requests, which have the same effect, deadline and distribution of work.
 type Class struct {
 	Name             string                 `toml:"name"`
-	Effect           string                 `toml:"effect"` // "safe", "keyed" (it has an idempotency key) or "unsafe"
+	Effect           string                 `toml:"effect"` // whether a request may run twice: "safe", "keyed" (nodes drop duplicates by idempotency key) or "unsafe"
 	Window           time.Duration          `toml:"window"` // time for which cells drop duplicates of a request; set for "keyed" only
 	Proportion       float64                `toml:"share"`  // number of requests of this class, relative to the other classes
-	Work             tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1, which the tiers divide
-	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems, which the tiers divide
+	Work             tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1; a call to a tier takes the fraction Tier.WorkFraction of it
+	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems; a call to a tier waits the fraction Tier.WorkFraction of it
 	WorkVariation    float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
 	LatencyObjective time.Duration          `toml:"aim"`
 	Deadline         time.Duration          `toml:"deadline"`
@@ -126,7 +126,7 @@
 type Tenant struct {
 	Name           string               `toml:"name"`
 	Proportion     float64              `toml:"share"` // quota, relative to the quotas of the other tenants
-	RelativeDemand tomlfile.NumberRange `toml:"usage"` // demand relative to the quota; it only decides how tenants divide the traffic
+	RelativeDemand tomlfile.NumberRange `toml:"usage"` // demand of the tenant relative to its quota; sets its proportion of the traffic, not the total
 }
 
 // FaultSpec is a fault as a day's file describes it.
@@ -137,7 +137,7 @@
 	TargetFraction tomlfile.NumberRange   `toml:"share"` // fraction of the nodes or sidecars that the fault hits, at least one of them
 	Magnitude      tomlfile.NumberRange   `toml:"size"`  // strength of the fault, whose unit depends on its kind; see faultKinds
 	Tier           string                 `toml:"tier"`  // name of the tier whose nodes are hit; empty: the first tier
-	Mode           string                 `toml:"how"`   // variant of the kind, one of faultModes; empty: the default
+	Mode           string                 `toml:"how"`   // variant of the kind of fault; see faultModes
 	Downtime       tomlfile.DurationRange `toml:"down"`  // time until a restarted sidecar or a drained node is started again
 }
 
@@ -155,7 +155,7 @@
 	"stall":       {hitsSidecars: true},                    // sidecars before the first tier are paused
 	"roster-late": {hasMagnitude: true},                    // notifications of discovery are late by Magnitude, in seconds
 	"roster-down": {},                                      // discovery is down
-	"surge":       {hasMagnitude: true},                    // the demand rises by the factor Magnitude
+	"surge":       {hasMagnitude: true},                    // the demand is multiplied by Magnitude
 }
 
 // faultModes lists the values of Mode for the kinds that use it. A sidecar restarts after SIGKILL ("kill") or SIGTERM
@@ -177,12 +177,12 @@
 
 // Parse decodes and checks the text of a day's file. Its errors name the file as name.
 func Parse(name string, text []byte) (*Day, error) {
-	d := defaults()
+	d := defaultDay()
 	f, err := tomlfile.Decode(name, text, d)
 	if err != nil {
 		return nil, err
 	}
-	for _, check := range []func(*tomlfile.File) error{d.checkHead, d.checkTiers, d.checkClassesAndTenants, d.checkFaults,
+	for _, check := range []func(*tomlfile.File) error{d.checkGeneralKeys, d.checkTiers, d.checkClassesAndTenants, d.checkFaults,
 		d.checkCluster} {
 		if err := check(f); err != nil {
 			return nil, err
@@ -191,8 +191,8 @@
 	return d, nil
 }
 
-// defaults returns a day with the default values of the keys that a file may omit.
-func defaults() *Day {
+// defaultDay returns a day with the default values of the keys that a file may omit.
+func defaultDay() *Day {
 	d := &Day{}
 	d.Load.OverQuotaValueFactor = 0.05
 	d.Load.TotalQuotaFraction = tomlfile.NumberRange{Lo: 0.8, Hi: 0.8}
@@ -209,7 +209,7 @@
 	return d
 }
 
-// tierIndex returns the index of the tier with a name, or -1 if there is none. An empty name is the first tier.
+// tierIndex returns the index of the tier with the given name, or -1 if there is none. An empty name stands for the first tier.
 func (d *Day) tierIndex(name string) int {
 	for i, t := range d.Tiers {
 		if t.Name == name || name == "" {
@@ -219,8 +219,8 @@
 	return -1
 }
 
-// SetLength makes the day shorter or longer, from one second to one hour. The starts and durations of its faults are scaled by the
-// same factor.
+// SetLength changes the length of the day, and scales the starts and durations of its faults by the same factor. The length must be
+// from one second to one hour.
 func (d *Day) SetLength(length time.Duration) error {
 	if length < time.Second || length > maxLength {
 		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -18,8 +18,8 @@
 // isFraction reports whether both bounds of a range lie in [0, 1].
 func isFraction(r tomlfile.NumberRange) bool { return r.Lo >= 0 && r.Hi <= 1 }
 
-// checkHead checks the keys outside the lists of tiers, classes, tenants and faults.
-func (d *Day) checkHead(f *tomlfile.File) error {
+// checkGeneralKeys checks the keys outside the lists of tiers, classes, tenants and faults.
+func (d *Day) checkGeneralKeys(f *tomlfile.File) error {
 	return f.Check("", []tomlfile.Requirement{
 		tomlfile.Require("format", d.Format == 1, "1"),
 		tomlfile.Require("name", d.Name != "", "a name"),
@@ -47,9 +47,9 @@
 // checkTiers checks the tiers with their kinds of nodes, and sets the defaults of a tier.
 func (d *Day) checkTiers(f *tomlfile.File) error {
 	if n := len(d.Tiers); n < 1 || n > maxTiers {
-		return f.Errorf("tier", "must be from 1 to %d of them", maxTiers)
+		return f.Errorf("tier", "must be given from 1 to %d times", maxTiers)
 	}
-	maxNodeCount := 0.0 // highest possible number of nodes in the tiers that were checked
+	maxNodeCount := 0.0 // highest possible number of nodes in the tiers checked so far
 	for i := range d.Tiers {
 		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
 		maxNodeCount += t.Nodes.Hi
@@ -161,15 +161,15 @@
 		at := fmt.Sprintf("trouble[%d]", i)
 		traits, isKnown := faultKinds[spec.Kind]
 		modes := faultModes[spec.Kind]
-		hitsTargets := traits.hitsNodes || traits.hitsSidecars
+		hasTargets := traits.hitsNodes || traits.hitsSidecars
 		hitsRequests := spec.Kind == "hang" || spec.Kind == "reset"
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("kind", isKnown, "slow, crash, drain, hang, reset, restart, stall, roster-late, roster-down or surge"),
 			tomlfile.Require("at", f.Has(at+".at") && spec.Start.Hi < d.Length, "given, and before the day's end"),
 			tomlfile.Require("for", spec.Duration.Lo > 0, "over 0"),
-			tomlfile.Require("share", isFraction(spec.TargetFraction) && (spec.TargetFraction.Hi > 0) == hitsTargets,
+			tomlfile.Require("share", isFraction(spec.TargetFraction) && (spec.TargetFraction.Hi > 0) == hasTargets,
 				"over 0 and 1 at most where nodes or sidecars are hit, and only there"),
-			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == traits.hasMagnitude, "over 0 where the trouble has a size, and only there"),
+			tomlfile.Require("size", (spec.Magnitude.Lo > 0) == traits.hasMagnitude, "over 0 for slow, hang, reset, roster-late and surge, and only there"),
 			tomlfile.Require("size", !hitsRequests || spec.Magnitude.Hi <= 1, "a share of requests"),
 			tomlfile.Require("down", (spec.Downtime.Hi > 0) == traits.hasDowntime, "over 0 for drain and restart, and only there"),
 			tomlfile.Require("how", isAllowedMode(spec.Mode, modes), fmt.Sprintf("one of %q", modes)),
--- a/internal/testkit/rehearse/day_test.go
+++ b/internal/testkit/rehearse/day_test.go
@@ -8,9 +8,9 @@
 	"tuliprock/deploy/rehearsals"
 )
 
-// TestInvalidDayNamesLineAndField replaces one piece of a valid day's file at a time and checks the place that the error names. The
-// keys of the map are parts of the expected errors.
-func TestInvalidDayNamesLineAndField(t *testing.T) {
+// TestErrorOfInvalidDayNamesLineAndField replaces one piece of a valid day's file at a time and checks the place that the error
+// names. The keys of the map are parts of the expected errors.
+func TestErrorOfInvalidDayNamesLineAndField(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"test.toml:1: format: must be 1":               {"format = 1", "format = 2"},
 		"test.toml:4: length: must be":                 {`"8s"`, `"0s"`},
--- a/internal/testkit/rehearse/discovery.go
+++ b/internal/testkit/rehearse/discovery.go
@@ -6,23 +6,23 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxPendingUpdates is the number of updates that may wait for one agent.
+// maxPendingUpdates is the largest number of updates of the endpoint list that may wait to be sent to one discovery agent.
 const maxPendingUpdates = 1024
 
-// memberUpdate is a change of a member of the endpoint list, to be sent to an agent when it is due.
+// memberUpdate is a change of a member of the endpoint list, which is sent to a discovery agent when it is due.
 type memberUpdate struct {
 	dueAt  time.Time
 	member fake.Member
 }
 
-// announceUpdate queues a change of a node's entry for the agents of all sidecars that send to the node's tier. Each agent has its
-// own delay, and receives its updates in order.
+// announceUpdate queues a change of a node's entry in the endpoint list for the agents of all sidecars that send to the node's tier.
+// Each agent has its own delay, and receives its updates in order. isAdded is true for a node that has started.
 func (r *rehearsal) announceUpdate(h *host, m fake.Member, isAdded bool) {
-	delays := r.plan.Day.Discovery.RemovalDelay
+	delayRange := r.plan.Day.Discovery.RemovalDelay
 	if isAdded {
-		delays = r.plan.Day.Discovery.AdditionDelay
+		delayRange = r.plan.Day.Discovery.AdditionDelay
 	}
-	delay := delays.At(r.drawFractionFor("notice", m.ID, m.State)) + time.Duration(r.extraNotificationDelay.Load())
+	delay := delayRange.At(r.drawFractionFor("notice", m.ID, m.State)) + time.Duration(r.extraNotificationDelay.Load())
 	for _, agent := range r.agentsOf(h.plan.Spec.Tier) {
 		dueAt := time.Now().Add(delay + r.plan.Day.Discovery.SidecarDelay.At(r.drawFractionFor("spread", m.ID, m.State, agent.Sidecar)))
 		select {
@@ -32,9 +32,9 @@
 	}
 }
 
-// updateAgent sends an agent its updates in the order in which they were announced, each no earlier than it is due, until the
+// sendUpdates sends an agent its updates in the order in which they were announced, and none before it is due, until the
 // rehearsal's context ends.
-func (r *rehearsal) updateAgent(agent *fake.Agent, updates <-chan memberUpdate) {
+func (r *rehearsal) sendUpdates(agent *fake.Agent, updates <-chan memberUpdate) {
 	for {
 		select {
 		case <-r.ctx.Done():
@@ -50,15 +50,15 @@
 
 // agentsOf returns the agents of the sidecars that send to a tier.
 func (r *rehearsal) agentsOf(tier int) []*fake.Agent {
-	var out []*fake.Agent
+	var agents []*fake.Agent
 	if tier == 0 {
 		for _, p := range r.frontSidecars {
-			out = append(out, p.agent)
+			agents = append(agents, p.agent)
 		}
-		return out
+		return agents
 	}
 	for _, h := range r.hosts[tier-1] {
-		out = append(out, h.sidecar.agent)
+		agents = append(agents, h.sidecar.agent)
 	}
-	return out
+	return agents
 }
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	frontRemovalDelayAfterTerm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections to the sidecar
-	maxDeadlineWait            = 3 * time.Second        // longest wait for requests in flight between SIGTERM and SIGKILL
+	frontRemovalDelayAfterSigterm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections to the sidecar
+	maxInFlightWait               = 3 * time.Second        // longest time between SIGTERM and SIGKILL for requests in flight, in addition to sigtermGrace
 )
 
 // inject waits until a fault is due, injects it and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
@@ -47,8 +47,8 @@
 	}
 }
 
-// targets returns the hosts of the nodes that a fault hits.
-func (r *rehearsal) targets(fault Fault) []*host {
+// targetHosts returns the hosts of the nodes that a fault hits.
+func (r *rehearsal) targetHosts(fault Fault) []*host {
 	var out []*host
 	for _, h := range r.hosts[fault.Tier] {
 		for _, id := range fault.Targets {
@@ -62,18 +62,18 @@
 
 // forEachTarget calls do concurrently for all hosts that a fault hits, and waits for all calls.
 func (r *rehearsal) forEachTarget(fault Fault, do func(*host)) {
-	var all sync.WaitGroup
-	for _, h := range r.targets(fault) {
-		all.Go(func() { do(h) })
+	var calls sync.WaitGroup
+	for _, h := range r.targetHosts(fault) {
+		calls.Go(func() { do(h) })
 	}
-	all.Wait()
+	calls.Wait()
 }
 
-// injectNodeFault calls set with the fault's magnitude for each node that the fault hits, and with noFault, the value without a fault,
-// when the fault is over.
+// injectNodeFault calls set with the fault's magnitude for each node that the fault hits, and with noFault, the value without a
+// fault, when the fault is over.
 func (r *rehearsal) injectNodeFault(ctx context.Context, fault Fault, set func(*fake.Node, float64), noFault float64) {
 	setAll := func(magnitude float64) {
-		for _, h := range r.targets(fault) {
+		for _, h := range r.targetHosts(fault) {
 			h.mu.Lock()
 			set(h.node, magnitude)
 			h.mu.Unlock()
@@ -84,7 +84,7 @@
 	setAll(noFault)
 }
 
-// crashNode kills a node and its sidecar, and starts both again, the node cold.
+// crashNode kills a node and its sidecar, and starts both again after the fault's duration, with the node cold.
 func (r *rehearsal) crashNode(ctx context.Context, h *host, fault Fault) {
 	r.stopNode(h)
 	if !sleep(ctx, fault.Duration) {
@@ -122,28 +122,28 @@
 func (r *rehearsal) pauseSidecars(ctx context.Context, fault Fault) {
 	r.cluster.beginFault()
 	defer r.cluster.endFault()
-	var all sync.WaitGroup
+	var pauses sync.WaitGroup
 	for _, p := range r.frontSidecars {
 		if slices.Contains(fault.Targets, p.name) {
-			all.Go(func() { p.pause(ctx, fault.Duration) })
+			pauses.Go(func() { p.pause(ctx, fault.Duration) })
 		}
 	}
-	all.Wait()
+	pauses.Wait()
 }
 
-// restartSidecars restarts the sidecars that a fault hits, at equal intervals over the fault's duration. A restarted sidecar gets
-// its last endpoint list back, and no other state.
+// restartSidecars restarts the sidecars that a fault hits, at equal intervals over the fault's duration. Of its earlier state, a
+// restarted sidecar gets only its last endpoint list.
 func (r *rehearsal) restartSidecars(ctx context.Context, fault Fault) {
-	var all sync.WaitGroup
+	var restarts sync.WaitGroup
 	for i, name := range fault.Targets {
 		for _, p := range r.frontSidecars {
 			if p.name == name {
 				delay := time.Duration(i) * fault.Duration / time.Duration(len(fault.Targets))
-				all.Go(func() { r.restartSidecar(ctx, p, fault, delay) })
+				restarts.Go(func() { r.restartSidecar(ctx, p, fault, delay) })
 			}
 		}
 	}
-	all.Wait()
+	restarts.Wait()
 }
 
 // restartSidecar ends a sidecar after a delay, and starts it again after the fault's downtime.
@@ -154,14 +154,14 @@
 	isPlanned := fault.Mode == "planned"
 	var removal sync.WaitGroup
 	defer removal.Wait()
-	removal.Go(func() { // the front layer opens connections to a dead sidecar until removal
+	removal.Go(func() { // the front layer still opens connections to the dead sidecar until it notices and removes it
 		if sleep(ctx, r.frontRemovalDelay(p, fault)) {
 			r.frontLayer.Remove(p.name)
 		}
 	})
 	if isPlanned {
 		r.cluster.recordProcessEvent(clusterinvariant.ShutdownBegan, p.name)
-		p.terminate(min(r.plan.longestDeadline(), maxDeadlineWait) + termGrace)
+		p.terminate(min(r.plan.longestDeadline(), maxInFlightWait) + sigtermGrace)
 		r.cluster.recordProcessEvent(clusterinvariant.Left, p.name)
 	} else {
 		p.kill()
@@ -189,7 +189,7 @@
 // frontRemovalDelay returns how long the front layer still opens connections to a sidecar that is killed or told to shut down.
 func (r *rehearsal) frontRemovalDelay(p *sidecarProcess, fault Fault) time.Duration {
 	if fault.Mode == "planned" {
-		return frontRemovalDelayAfterTerm
+		return frontRemovalDelayAfterSigterm
 	}
 	return r.plan.Day.FrontLayer.RemovalDelay.At(r.drawFractionFor("front", p.name, fault.Start.String()))
 }
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -37,7 +37,7 @@
 	os.Exit(m.Run())
 }
 
-// runSidecar runs a sidecar with a fault until SIGTERM. The fault "good" is a sidecar without one.
+// runSidecar runs a sidecar with a fault until SIGTERM. The name "good" stands for no fault.
 func runSidecar(fault string) error {
 	c, err := config.Load(os.Getenv)
 	if err != nil {
@@ -50,7 +50,7 @@
 		if c.Listen, err = duplicateResponses(c.Listen); err != nil {
 			return err
 		}
-	case "sends to draining nodes": // no part of the sidecar is notified of a drain
+	case "sends to draining nodes": // the relay keeps notifications of drains from the sidecar
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
@@ -63,7 +63,7 @@
 	default:
 		newBalancer = func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
 			return &faultyBalancer{fault: fault, host: h, requests: map[string]*pendingRequest{},
-				ready: map[string]balance.Endpoint{}}
+				readyEndpoints: map[string]balance.Endpoint{}}
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -79,14 +79,14 @@
 	return s.Serve(ctx)
 }
 
-// duplicateResponses starts a relay at the sidecar's address, which sends clients each response with status 200 to
-// one of their attempts twice. It returns the address at which the sidecar must listen instead.
-func duplicateResponses(listen string) (string, error) {
+// duplicateResponses starts a relay at the sidecar's address, which sends each response with status 200 to a client's attempt twice.
+// It returns the address at which the sidecar must listen instead.
+func duplicateResponses(listenAddr string) (string, error) {
 	sidecarAddr, err := freeLoopbackAddr(250)
 	if err != nil {
 		return "", err
 	}
-	_, err = relay(listen, sidecarAddr, func(text []byte) []byte {
+	_, err = startRelay(listenAddr, sidecarAddr, func(text []byte) []byte {
 		if strings.Contains(string(text), " 200 OK") && strings.Contains(string(text), "try-") {
 			return append(slices.Clone(text), text...)
 		}
@@ -96,16 +96,16 @@
 }
 
 // hideDrains starts a relay to discovery that replaces the state of draining nodes by ready, and returns the relay's address.
-func hideDrains(discovery string) (string, error) {
-	return relay("127.0.0.1:0", discovery, func(text []byte) []byte {
+func hideDrains(discoveryAddr string) (string, error) {
+	return startRelay("127.0.0.1:0", discoveryAddr, func(text []byte) []byte {
 		return bytes.ReplaceAll(text, []byte(`"Terminating"`), []byte(`"Ready"      `)) // padded to the same length
 	})
 }
 
-// relay starts a relay that accepts connections at listen, forwards them to another address, and passes what it receives from there
-// through change. It returns the address at which it listens. Its goroutines run until the process ends.
-func relay(listen, to string, change func([]byte) []byte) (string, error) {
-	listener, err := net.Listen("tcp", listen)
+// startRelay starts a relay that accepts connections at listenAddr, forwards them to targetAddr, and passes what it receives from
+// there through change. It returns the address at which it listens. Its goroutines run until the process ends.
+func startRelay(listenAddr, targetAddr string, change func([]byte) []byte) (string, error) {
+	listener, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return "", err
 	}
@@ -117,7 +117,7 @@
 			}
 			go func() {
 				defer client.Close()
-				server, err := net.Dial("tcp", to)
+				server, err := net.Dial("tcp", targetAddr)
 				if err != nil {
 					return
 				}
@@ -142,13 +142,13 @@
 // faultyBalancer is a balancer that selects endpoints in rotation. It has a fault in its selection, or in how it handles a failed
 // attempt.
 type faultyBalancer struct {
-	balance.Events        // nil: a call of a method that is not defined below panics
+	balance.Events        // always nil, so that a call of a method that faultyBalancer does not define panics
 	fault          string // name of the fault; see runSidecar
 	host           balance.Host
-	ready          map[string]balance.Endpoint // endpoints that accept new requests, by ID
-	endpoints      []string                    // IDs of the ready endpoints, sorted
+	readyEndpoints map[string]balance.Endpoint // endpoints that accept new requests, by ID
+	readyIDs       []string                    // IDs of the ready endpoints, sorted
 	requests       map[string]*pendingRequest  // requests without a final response, by ID
-	nextIndex      int                         // number of attempts sent for all requests; selects the endpoint of the next attempt
+	attemptCount   int                         // number of attempts sent for all requests; selects the endpoint of the next attempt
 }
 
 // pendingRequest is a request that has not had its final response yet.
@@ -159,20 +159,20 @@
 
 func (b *faultyBalancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Complete {
-		clear(b.ready)
+		clear(b.readyEndpoints)
 	}
 	for _, e := range l.Endpoints {
 		if e.State != balance.Ready {
-			delete(b.ready, e.ID)
+			delete(b.readyEndpoints, e.ID)
 		} else {
-			b.ready[e.ID] = e
+			b.readyEndpoints[e.ID] = e
 		}
 	}
-	b.endpoints = b.endpoints[:0]
-	for id := range b.ready {
-		b.endpoints = append(b.endpoints, id)
+	b.readyIDs = b.readyIDs[:0]
+	for id := range b.readyEndpoints {
+		b.readyIDs = append(b.readyIDs, id)
 	}
-	slices.Sort(b.endpoints)
+	slices.Sort(b.readyIDs)
 }
 
 func (b *faultyBalancer) Request(now time.Duration, r balance.Request) {
@@ -182,17 +182,17 @@
 }
 
 func (b *faultyBalancer) send(now time.Duration, q *pendingRequest) {
-	if len(b.endpoints) == 0 || q.attempts == 3 {
+	if len(b.readyIDs) == 0 || q.attempts == 3 {
 		delete(b.requests, q.ID)
 		b.host.Fail(q.ID)
 		return
 	}
 	q.attempts++
-	b.nextIndex++
-	endpoint := b.endpoints[b.nextIndex%len(b.endpoints)]
+	b.attemptCount++
+	endpoint := b.readyIDs[b.attemptCount%len(b.readyIDs)]
 	if b.fault == "overloads warming nodes" {
-		for id, e := range b.ready {
-			if e.Started > b.ready[endpoint].Started {
+		for id, e := range b.readyEndpoints {
+			if e.Started > b.readyEndpoints[endpoint].Started {
 				endpoint = id
 			}
 		}
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -12,11 +12,11 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxNodeIdleConnections is the number of idle connections that a node keeps open to its sidecar. The slots of the node bound the
-// number of connections in use.
+// maxNodeIdleConnections is the largest number of idle connections that a node keeps open to its sidecar. The slots of the node
+// bound the number of connections in use.
 const maxNodeIdleConnections = 64
 
-// host is a simulated machine with its own sidecar and the current incarnation of its node.
+// host is a simulated machine with one node, and with the sidecar through which the node calls the next tier.
 type host struct {
 	plan    NodePlan
 	cell    *fake.Cell      // cell whose nodes drop duplicates together
@@ -24,9 +24,9 @@
 	client  *fake.Client    // client that sends the node's calls to its sidecar; nil in the last tier
 
 	mu           sync.Mutex
-	node         *fake.Node   // current incarnation of the node, which may be stopped
+	node         *fake.Node   // current incarnation of the node; it may have been stopped
 	member       fake.Member  // current entry of the node in the endpoint list
-	renames      int          // number of restarts of the node under a new ID
+	renameCount  int          // number of restarts of the node under a new ID
 	incarnations []*fake.Node // all incarnations of the node, including the current one
 }
 
@@ -39,12 +39,12 @@
 	}
 	r.hosts = make([][]*host, len(r.plan.Day.Tiers))
 	for _, p := range r.plan.Nodes {
-		key := [2]int{p.Spec.Tier, p.Spec.Cell}
-		if cells[key] == nil {
-			cells[key] = fake.NewCell(longestWindow)
+		cellKey := [2]int{p.Spec.Tier, p.Spec.Cell}
+		if cells[cellKey] == nil {
+			cells[cellKey] = fake.NewCell(longestWindow)
 		}
-		h := &host{plan: p, cell: cells[key]}
-		h.newNode(r, p.Spec.ID, "")
+		h := &host{plan: p, cell: cells[cellKey]}
+		h.replaceNode(r, p.Spec.ID, "")
 		if _, err := h.node.Start(false); err != nil {
 			return err
 		}
@@ -57,8 +57,9 @@
 	return r.buildSidecars()
 }
 
-// newNode replaces the host's node by a new one that is not started. An empty address is chosen at the start.
-func (h *host) newNode(r *rehearsal, id, addr string) {
+// replaceNode replaces the host's node by a new one that is not started. If addr is empty, the node chooses its address when it
+// is started.
+func (h *host) replaceNode(r *rehearsal, id, addr string) {
 	spec := h.plan.Spec
 	spec.ID = id
 	node := fake.NewNode(spec, r.plan.Classes, h.cell, r.registry, r.recorder, h.plan.Seed)
@@ -111,15 +112,15 @@
 	}
 	h.mu.Lock()
 	if mode == "renamed" {
-		h.renames++
-		h.newNode(r, h.plan.Spec.ID+strings.Repeat("'", h.renames), h.node.Addr)
+		h.renameCount++
+		h.replaceNode(r, h.plan.Spec.ID+strings.Repeat("'", h.renameCount), h.node.Addr)
 	}
 	startedAt, err := h.node.Start(true)
 	h.member = memberOf(h.node, fake.StateReady, startedAt)
 	m := h.member
 	h.mu.Unlock()
 	if err != nil {
-		if !errors.Is(err, fake.ErrCollapsed) { // another process uses the port, so the run can't follow its plan
+		if !errors.Is(err, fake.ErrCollapsed) { // an error other than a collapse, such as a port in use by another process, keeps the run from following its plan
 			r.fail(err)
 		}
 		return
@@ -135,7 +136,7 @@
 }
 
 // Call implements fake.NextTier. It reports whether the call was answered with status 200.
-func (c *nextTierClient) Call(class int, key string, job *fake.Job) bool {
+func (c *nextTierClient) Call(class int, idempotencyKey string, job *fake.Job) bool {
 	c.host.mu.Lock()
 	sidecar, client := c.host.sidecar, c.host.client
 	c.host.mu.Unlock()
@@ -143,7 +144,7 @@
 	outcome := client.Do(fake.Request{
 		ID:             c.rehearsal.newID("call"),
 		Class:          class,
-		IdempotencyKey: fmt.Sprintf("%s-%016x", key, c.rehearsal.sequence.Add(1)),
+		IdempotencyKey: fmt.Sprintf("%s-%016x", idempotencyKey, c.rehearsal.sequence.Add(1)),
 		Job:            job,
 		Timeout:        c.rehearsal.plan.Classes[class].Deadline,
 		Connect:        func() (fake.Target, bool) { return target, true },
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -8,9 +8,9 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// runValid runs a plan until its result is valid, at most three times. On a busy machine a result is not valid, and says nothing
-// about the sidecars; the test is then skipped.
-func runValid(t *testing.T, plan *Plan, opt Options) *Result {
+// runUntilValid runs a plan until its result is valid, at most three times. If no result is valid, since the machine is too busy for
+// the result to say anything about the sidecars, the test is skipped.
+func runUntilValid(t *testing.T, plan *Plan, opt Options) *Result {
 	t.Helper()
 	var r *Result
 	for range 3 {
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// TestFaultySidecarBreaksItsRule guards against invariants that miss a violation, or report one for a correct sidecar. Each fault must
-// break one rule, given by its number: 1 demands one final response in time, 2 no double effect, 3 no new requests to draining nodes,
-// and 4 no overload of warming nodes. 0 means that all rules must hold.
+// TestFaultySidecarBreaksItsRule guards against invariants that miss a violation, or report one for a correct sidecar. Each fault
+// must break one rule, given by its number: 1 demands one final response in time, 2 no double effect, 3 no new requests to draining
+// nodes, and 4 no overload of warming nodes. 0 means that all rules must hold.
 func TestFaultySidecarBreaksItsRule(t *testing.T) {
 	for fault, rule := range map[string]int{
 		"good":                          0,
@@ -43,7 +43,7 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := runValid(t, newTestPlan(t), Options{Command: sidecarCommand(fault)})
+			r := runUntilValid(t, newTestPlan(t), Options{Command: sidecarCommand(fault)})
 			for _, ruleResult := range r.Invariants.Rules {
 				switch {
 				case ruleResult.Number == rule && ruleResult.Verdict != invariant.Broken:
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestBaselineBalancersAreKnownByName checks that the error for an unknown name lists the known ones.
+// TestBaselineBalancersAreKnownByName checks that each listed name has a balancer, and that the error for an unknown name lists the
+// known names.
 func TestBaselineBalancersAreKnownByName(t *testing.T) {
 	for _, name := range baseline.PolicyNames() {
 		if _, err := baseline.New(name); err != nil {
@@ -81,9 +82,10 @@
 	return append([]string{testDayText[start:], faults}, changes...)
 }
 
-// TestDrainAnnouncedDuringARestart covers a drain that is announced while a sidecar restarts. The sidecar starts with a list in which
-// the node is still ready, and is notified of the drain only after it has subscribed again. Rules[2] is the rule on draining nodes.
-func TestDrainAnnouncedDuringARestart(t *testing.T) {
+// TestDrainAnnouncedDuringARestartIsChecked covers a drain that is announced while a sidecar restarts. The sidecar starts with an
+// endpoint list in which the node is still ready, and is notified of the drain only after it has subscribed again. Rules[2] is the
+// rule on draining nodes.
+func TestDrainAnnouncedDuringARestartIsChecked(t *testing.T) {
 	changes := withFaults(`[[trouble]]
 kind = "restart"
 at = "1500ms"
@@ -101,7 +103,7 @@
 	for fault, want := range map[string]invariant.Verdict{"good": invariant.Held, "sends to draining nodes": invariant.Broken} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := runValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand(fault)})
+			r := runUntilValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand(fault)})
 			if rule := r.Invariants.Rules[2]; rule.Verdict != want || rule.Occasions["drains told"] < 1 {
 				t.Errorf("verdict on rule 3 is %q, want %q with a drain; occasions %v, violations %+v", rule.Verdict, want,
 					rule.Occasions, rule.Violations)
@@ -110,9 +112,9 @@
 	}
 }
 
-// TestDelayedDiscoveryAndRenamedNodeAtAnOldAddress covers late notifications of discovery: a dead node is still listed as ready while
-// a cold node with a new ID listens at its address. The cold node must not be overloaded.
-func TestDelayedDiscoveryAndRenamedNodeAtAnOldAddress(t *testing.T) {
+// TestLateDiscoveryDoesNotOverloadColdNodeAtAnOldAddress covers late notifications of discovery: a dead node is still listed as
+// ready while a cold node with a new ID listens at its address. The cold node must not be overloaded.
+func TestLateDiscoveryDoesNotOverloadColdNodeAtAnOldAddress(t *testing.T) {
 	t.Parallel()
 	changes := withFaults(`[[trouble]]
 kind = "crash"
@@ -128,7 +130,7 @@
 how = "renamed"
 tier = "back"
 `, `notice = "100ms"`, `notice = "2s"`)
-	r := runValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand("good")})
+	r := runUntilValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand("good")})
 	report := r.Invariants
 	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Collapses != 0 {
 		t.Errorf("held %v with %d collapsed nodes, want true and 0, with rules 3 and 4 tested at least twice: %+v", r.Held, report.Collapses,
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -10,7 +10,7 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// The weights of the fractions of value that make up the points of service. Their sum is 1.
+// The weights with which fractions of value served in time make up the points of service; see computeService. Their sum is 1.
 const (
 	weightOverall     = 0.55
 	weightWorstWindow = 0.15
@@ -26,7 +26,7 @@
 	penaltyOverload     = 6
 )
 
-// worstWindowSeconds is the length of the windows of which the worst has its own weight in the points of service.
+// worstWindowSeconds is the length in seconds of the time windows among which Result.WorstWindowFraction finds the worst.
 const worstWindowSeconds = 10
 
 // newResult returns the measurements and verdicts of a day that started at dayStart. It ignores events after end. Both instants
@@ -63,7 +63,7 @@
 	}
 	r.addClientMetrics(result)
 	r.addNodeMetrics(result, events, dayStart)
-	result.addService()
+	result.computeService()
 	usage := resourceUsage()
 	result.Harness = HarnessMetrics{
 		SendLatenessP50:  r.sendLateness.Quantile(0.5).Seconds(),
@@ -71,14 +71,14 @@
 		SendLatenessMax:  r.sendLateness.Max().Seconds(),
 		TimerLatenessP99: m.timerLateness.Quantile(0.99).Seconds(),
 		LongestStall:     m.longestStall.Seconds(),
-		CPUSeconds:       (usage.own - usageBefore.own).Seconds(),
+		CPUSeconds:       (usage.ownCPU - usageBefore.ownCPU).Seconds(),
 		DroppedEvents:    dropped,
 	}
 	r.validate(result, events, dayStart)
 	return result
 }
 
-// addClientMetrics measures the outcomes of the clients' requests: the value served in time, latencies and counts.
+// addClientMetrics sets what clients observed: the value served in time, latencies, and counts of requests and attempts.
 func (r *rehearsal) addClientMetrics(result *Result) {
 	latencyByName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
 	latencyBySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
@@ -125,7 +125,7 @@
 	result.Penalties.LateFailures = penaltyLateFailures * ratio(lateFailureValue, overall.Offered, 0)
 }
 
-// addNodeMetrics measures what nodes observed: attempts, connections, rejections, wasted work and overload.
+// addNodeMetrics sets what nodes observed, namely attempts, connections, wasted work and overload, and the rejections by second.
 func (r *rehearsal) addNodeMetrics(result *Result, events []invariant.Event, dayStart time.Duration) {
 	tierOf := map[string]int{}
 	connections, overloadedNodes := 0, 0
@@ -145,7 +145,7 @@
 		}
 	}
 	firstTierAttempts, allAttempts, workDone := 0, 0, 0.0
-	workOf := map[string]float64{} // work of each request, in seconds
+	workOf := map[string]float64{} // work of each request in seconds, by request ID
 	result.Rejections = make([]float64, len(result.BySecond))
 	for _, e := range events {
 		switch e.Kind {
@@ -182,8 +182,8 @@
 	result.Penalties.Overload = penaltyOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
 }
 
-// addService sets the points of service: the weighted fractions of value, on a scale of 100, minus the penalties.
-func (r *Result) addService() {
+// computeService sets the points of service: the weighted fractions of value served in time, on a scale of 100, minus the penalties.
+func (r *Result) computeService() {
 	r.Service = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
 		weightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
@@ -224,7 +224,7 @@
 }
 
 // worstWindowFraction returns the lowest fraction of value that was served in time in any window of worstWindowSeconds. If the day
-// is shorter, the window is the whole day.
+// is shorter than a window, it returns the fraction of the whole day.
 func worstWindowFraction(seconds []Second) float64 {
 	lowest := 1.0
 	length := min(worstWindowSeconds, len(seconds))
@@ -239,7 +239,7 @@
 	return lowest
 }
 
-// minFraction returns the lowest fraction of all entries, or 1 if there are none.
+// minFraction returns the lowest Fraction of the entries, or 1 if there are none.
 func minFraction(byName map[string]ServedValue) float64 {
 	lowest := 1.0
 	for _, s := range byName {
@@ -248,10 +248,10 @@
 	return lowest
 }
 
-// ratio returns a divided by b, or empty if b is not positive.
-func ratio(a, b, empty float64) float64 {
+// ratio returns a divided by b, or fallback if b is not positive.
+func ratio(a, b, fallback float64) float64 {
 	if b <= 0 {
-		return empty
+		return fallback
 	}
 	return a / b
 }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	sampleInterval     = 250 * time.Millisecond // interval of the samples in Result.InFlight, which readers of result files assume
+	sampleInterval     = 250 * time.Millisecond // interval of the samples in Result.InFlight; programs that read result files rely on it
 	stallCheckInterval = 5 * time.Millisecond   // interval of the timer whose lateness shows stalls of the rehearsal
 )
 
@@ -19,10 +19,10 @@
 	rehearsal *rehearsal
 	startedAt time.Time
 
-	inFlight [][]int // for each sample, the requests in flight at each node, in the order of the plan; written by sampleInFlight
+	inFlight [][]int // for each sample, the number of requests in flight at each node, with nodes in the order of the plan; written by sampleInFlight
 
-	timerLateness *schedule.LatencyHistogram // lateness of the timer of stallCheckInterval; written by watchStalls
-	longestStall  time.Duration              // greatest lateness of the timer of stallCheckInterval; written by watchStalls
+	timerLateness *schedule.LatencyHistogram // lateness of the timer that fires every stallCheckInterval; written by watchStalls
+	longestStall  time.Duration              // greatest lateness of the timer that fires every stallCheckInterval; written by watchStalls
 }
 
 // sampleInFlight samples the requests in flight at the nodes and reports the progress of the run until done closes.
@@ -58,7 +58,7 @@
 }
 
 // watchStalls measures how late a timer of the rehearsal's process fires, until done closes. It records each stall that is at least
-// as long as the tolerance of the rules, since a violation near such a stall need not be the sidecar's fault.
+// as long as the tolerance of the rules, since a violation near such a stall may have another cause than the sidecar.
 func (m *monitor) watchStalls(done <-chan struct{}) {
 	for lastCheck := time.Now(); ; {
 		select {
@@ -79,8 +79,8 @@
 
 // resources holds the CPU time that the rehearsal and its sidecars have used, and the rehearsal's peak resident memory.
 type resources struct {
-	own, sidecars time.Duration // CPU time of the rehearsal's process, and of all sidecar processes that have ended
-	ownMB         float64       // peak resident memory of the rehearsal's process
+	ownCPU, sidecarsCPU time.Duration // CPU time of the rehearsal's process, and of all sidecar processes that have ended
+	ownMemoryMB         float64       // peak resident memory of the rehearsal's process, in MB
 }
 
 // resourceUsage reads the resources used so far. Sidecars are included after they have ended. A value that the system does not
@@ -93,7 +93,7 @@
 		}
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano()), float64(u.Maxrss) / 1024
 	}
-	r.own, r.ownMB = usageOf(syscall.RUSAGE_SELF)
-	r.sidecars, _ = usageOf(syscall.RUSAGE_CHILDREN)
+	r.ownCPU, r.ownMemoryMB = usageOf(syscall.RUSAGE_SELF)
+	r.sidecarsCPU, _ = usageOf(syscall.RUSAGE_CHILDREN)
 	return r
 }
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -14,11 +14,11 @@
 
 // operatorsFile returns the operators' file of a sidecar, which replaces the platform's configuration. agentAddr is the address of
 // the sidecar's discovery agent; member is nil for a sidecar that is in no cluster.
-func (p *Plan) operatorsFile(role sidecarRole, listen, agentAddr string, seed uint64, member *clusterMember) string {
+func (p *Plan) operatorsFile(role sidecarRole, listenAddr, agentAddr string, seed uint64, member *clusterMember) string {
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
 	tier := day.Tiers[role.tier]
-	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // limit for client connections, and for node connections
+	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // limit for connections from clients, and again for connections to nodes
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
@@ -27,7 +27,7 @@
 		fmt.Fprintf(&b, "daemons = %d\nindex = %d\n", role.count, role.index)
 	}
 	fmt.Fprintf(&b, "[[listener]]\nname = \"callers\"\naddress = %q\nconnections = %d\nretry_after = \"fraction\"\n",
-		listen, connections)
+		listenAddr, connections)
 	for i, c := range day.Classes {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\n"+
 			"id_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
@@ -56,7 +56,8 @@
 	return b.String()
 }
 
-// coldStart returns the smallest fraction of its capacity that a node of any kind has after a start, and the longest warm-up.
+// coldStart returns the smallest fraction of its full capacity that a node of any kind can have right after a start, and the longest
+// time that a node can need to warm up.
 func (p *Plan) coldStart() (capacityFraction float64, warmUp time.Duration) {
 	capacityFraction = 1
 	for _, t := range p.Day.Tiers {
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -10,7 +10,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// exampleResult returns a result with a broken rule and with names that must be escaped in HTML.
+// exampleResult returns a result in which rule 2 is broken, and whose names must be escaped in HTML.
 func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
 	r := &Result{
 		Format:         1,
@@ -42,7 +42,7 @@
 	return r
 }
 
-func TestTableOfOneResult(t *testing.T) {
+func TestTableOfOneResultHasVerdictsAndViolations(t *testing.T) {
 	var b bytes.Buffer
 	if err := WriteTable(&b, []*Result{exampleResult(OwnBalancer, 1, 1, 80)}); err != nil {
 		t.Fatal(err)
@@ -87,9 +87,9 @@
 		t.Fatal(err)
 	}
 	page := b.String()
-	for _, bad := range []string{"http:", "https:", "<script", "d<b>ay", "<twice>", "r<1>", "NaN", "ZgotmplZ"} {
-		if strings.Contains(page, bad) {
-			t.Errorf("page contains %q", bad)
+	for _, forbidden := range []string{"http:", "https:", "<script", "d<b>ay", "<twice>", "r<1>", "NaN", "ZgotmplZ"} {
+		if strings.Contains(page, forbidden) {
+			t.Errorf("page contains %q, which must not occur", forbidden)
 		}
 	}
 	for _, want := range []string{"</html>", `class="breach"`, "sent &lt;twice&gt;", "BROKEN 7 times", "worth against demand",
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -42,31 +42,31 @@
 // fields in printed plans.
 type Request struct {
 	schedule.Arrival
-	Job               *fake.Job     // work of the request at each tier
+	Job               *fake.Job     // work of the request, and of the calls that it causes in further tiers
 	IdempotencyKey    string        `json:"Key"`     // idempotency key that the client sends with each attempt of a keyed class
 	IsOverQuota       bool          `json:"Over"`    // whether the request exceeds its tenant's quota
 	Value             float64       `json:"Worth"`   // value of serving the request within the latency objective
-	MaxRetries        int           `json:"Retries"` // retries that the client sends at most
+	MaxRetries        int           `json:"Retries"` // largest number of retries that the client sends
 	AttemptTimeout    time.Duration `json:"Wait"`    // time after which the client gives up an attempt
-	Backoff           time.Duration // delay before a retry; 0: retries are sent at once
+	Backoff           time.Duration // delay before each retry; 0: retries are sent at once
 	HonoursRetryAfter bool          `json:"Honours"` // whether the client waits for the time that Retry-After states
-	LeaveAfter        time.Duration `json:"HangUp"`  // time after which the client leaves its first attempt; 0: it stays
+	LeaveAfter        time.Duration `json:"HangUp"`  // time after which the client disconnects from its first attempt; 0: it waits for the response
 }
 
 // The parts of a plan that have a source of random numbers of their own, so that a change to one part does not change the others.
 const (
-	sourceNodes      = iota + 1 // nodes, sidecars, and the means of work and calls
-	sourceArrivals              // nodes, sidecars, and the mean work and calls of requests
+	sourceNodes      = iota + 1 // nodes, number of sidecars, utilization, and the mean work and calls of requests
+	sourceArrivals              // arrivals of requests, and the behaviour that all clients have in common
 	sourceFaults                // faults of nodes, sidecars, discovery and demand
 	sourceTenants               // quotas and demand of tenants
-	sourceJobs                  // work and client's behaviour of a single request, whose arrival is the seed
+	sourceJobs                  // work and client's behaviour of one request, with the seed of the request's Arrival
 	sourceLinkFaults            // faults of the links between sidecars
 )
 
-// newRand returns the source of random numbers of one part of a plan, one of the constants such as sourceNodes, for a seed.
+// newRand returns a source of random numbers for one part of a plan. The parameter source is the part, such as sourceNodes.
 func newRand(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
 
-// NewPlan draws the plan of a day. An error means that the day has too many requests or calls; it names the day.
+// NewPlan draws the plan of a day. It returns an error, which names the day, if the day has too many requests or calls.
 func NewPlan(d *Day, seed uint64, demand float64) (*Plan, error) {
 	p := &Plan{Day: d, Seed: seed, DemandFactor: demand}
 	rng := newRand(seed, sourceNodes)
@@ -100,7 +100,7 @@
 // sidecarName returns the name of the sidecar with index i before the first tier.
 func sidecarName(i int) string { return fmt.Sprintf("sidecar-%d", i+1) }
 
-// longestDeadline returns the longest deadline of all classes.
+// longestDeadline returns the longest deadline of any class of requests.
 func (p *Plan) longestDeadline() (longest time.Duration) {
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline)
@@ -108,7 +108,7 @@
 	return longest
 }
 
-// Rules returns the limits with which the invariants are checked.
+// Rules returns the limits and the classes of requests with which the invariants are checked.
 func (p *Plan) Rules() invariant.Rules {
 	rules := invariant.Rules{
 		MaxAttempts:           p.Day.Rules.MaxAttempts,
@@ -117,7 +117,7 @@
 		ColdOverloadFactor:    p.Day.Rules.ColdOverloadFactor,
 		ColdOverloadWindow:    p.Day.Rules.ColdOverloadWindow,
 		ColdOverloadTolerance: fake.ColdOverloadTolerance,
-		SigtermGrace:          termGrace,
+		SigtermGrace:          sigtermGrace,
 	}
 	for _, c := range p.Classes {
 		rules.Classes = append(rules.Classes, invariant.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
@@ -126,10 +126,11 @@
 }
 
 // Print writes the plan as lines of JSON: first a line with the nodes and the faults, then a line for each request in the order
-// in which they are due. The names are part of the output format: Strikes are faults, Links the faults of links.
+// in which they are due. The field names of the first line are part of the output format: Strikes are faults, and Links are faults
+// of links.
 func (p *Plan) Print(w io.Writer) error {
 	out := json.NewEncoder(w)
-	head := struct {
+	firstLine := struct {
 		Format         int
 		Day            string
 		Seed           uint64
@@ -141,7 +142,7 @@
 		Strikes        []Fault
 		Links          []LinkFault `json:",omitempty"`
 	}{1, p.Day.Name, p.Seed, p.DemandFactor, p.Capacity, p.Rate, p.SidecarCount, p.Quotas, p.Nodes, p.Faults, p.LinkFaults}
-	if err := out.Encode(head); err != nil {
+	if err := out.Encode(firstLine); err != nil {
 		return err
 	}
 	for _, request := range p.Requests {
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -16,8 +16,9 @@
 		for _, kind := range tier.Kinds {
 			proportions = append(proportions, kind.Proportion)
 		}
-		// The fields of this literal are evaluated in order, each with its draw. A change of the order changes the plan of a seed.
-		shared := fake.NodeSpec{
+		// The fields of this literal draw random numbers in the order in which they are written. Another order would change the
+		// plan of a seed.
+		sharedSpec := fake.NodeSpec{
 			Zone:               "here",
 			Tier:               i,
 			ColdOverloadFactor: p.Day.Rules.ColdOverloadFactor,
@@ -30,7 +31,7 @@
 		}
 		n := int(drawInteger(tier.Nodes, rng))
 		for j, kind := range assignKinds(proportions, n) {
-			node := NodePlan{Seed: rng.Uint64(), Spec: shared}
+			node := NodePlan{Seed: rng.Uint64(), Spec: sharedSpec}
 			node.Spec.ID = fmt.Sprintf("%s-%d", tier.Name, j+1)
 			node.Spec.Cell = j / cellSize
 			tier.Kinds[kind].draw(rng, &node.Spec)
@@ -39,7 +40,7 @@
 	}
 }
 
-// draw draws a spec of the slow state that overload causes. It returns nil for a nil range.
+// draw draws the parameters of the slow state that overload causes. It returns nil for a nil OverloadRange.
 func (o *OverloadRange) draw(rng *rand.Rand) *fake.OverloadSpec {
 	if o == nil {
 		return nil
@@ -72,30 +73,30 @@
 	for _, proportion := range proportions {
 		sum += proportion
 	}
-	assigned, kinds := make([]float64, len(proportions)), make([]int, n)
-	for i := range kinds {
-		best := 0
+	assignedCounts, kindIndices := make([]float64, len(proportions)), make([]int, n)
+	for i := range kindIndices {
+		bestKind := 0
 		for k := range proportions {
-			if proportions[k]/sum*float64(i+1)-assigned[k] > proportions[best]/sum*float64(i+1)-assigned[best] {
-				best = k
+			if proportions[k]/sum*float64(i+1)-assignedCounts[k] > proportions[bestKind]/sum*float64(i+1)-assignedCounts[bestKind] {
+				bestKind = k
 			}
 		}
-		kinds[i] = best
-		assigned[best]++
+		kindIndices[i] = bestKind
+		assignedCounts[bestKind]++
 	}
-	return kinds
+	return kindIndices
 }
 
-// computeCapacity sets the capacity of all nodes together, which is that of the tier with the smallest capacity.
+// computeCapacity sets the plan's Capacity: the client requests per second that the tier with the smallest capacity can serve.
 func (p *Plan) computeCapacity(work []classWork) {
-	meanWork, proportions := 0.0, 0.0
+	meanWork, totalProportion := 0.0, 0.0
 	for i, c := range p.Day.Classes {
 		meanWork += c.Proportion * work[i].work.Seconds()
-		proportions += c.Proportion
+		totalProportion += c.Proportion
 	}
-	meanWork /= proportions
+	meanWork /= totalProportion
 	p.Capacity = math.Inf(1)
-	calls := 1.0 // mean number of calls to the tier for each request of a client to the first tier
+	calls := 1.0 // mean number of calls to the tier that one request of a client causes
 	for i, tier := range p.Day.Tiers {
 		calls *= p.callsPerRequest[i]
 		capacity := 0.0
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -11,11 +11,14 @@
 )
 
 const (
-	// maxRequests bounds the memory of a run: with three tiers a request takes 24 kB, including its events in the timeline.
+	// maxRequests is the largest number of client requests of a day. It bounds the memory of a run: with three tiers a request takes
+	// 24 kB, including its events in the timeline.
 	maxRequests = 100_000
-	// maxCalls bounds the requests to all tiers together: each has at least five events in the timeline.
+	// maxCalls is the largest mean number of calls to all tiers together in a day: each call has at least five events in the
+	// timeline, which holds maxEvents.
 	maxCalls = maxEvents / 5
-	// maxWorkFactor bounds one draw of work, as a multiple of the mean, since a lognormal distribution is unbounded.
+	// maxWorkFactor is the largest work that is drawn for a call, as a multiple of the mean, since a lognormal distribution is
+	// unbounded.
 	maxWorkFactor = 10
 	// surgeRampFraction is the fraction of a surge's duration in which demand rises at the surge's start, and in which it falls at
 	// the end.
@@ -34,7 +37,7 @@
 	return out
 }
 
-// drawCalls draws for each tier how many calls to it a request of the tier before makes on average.
+// drawCalls draws, for each tier, the mean number of calls to this tier that a request of the tier before makes.
 func (p *Plan) drawCalls(rng *rand.Rand) {
 	for i, tier := range p.Day.Tiers {
 		calls := tier.CallsPerRequest.At(rng.Float64())
@@ -48,13 +51,13 @@
 // drawTenants draws the quota of each tenant, and returns the relative number of requests of each tenant.
 func (p *Plan) drawTenants() (tenantWeights []float64) {
 	rng := newRand(p.Seed, sourceTenants)
-	proportions := 0.0
+	totalProportion := 0.0
 	for _, t := range p.Day.Tenants {
-		proportions += t.Proportion
+		totalProportion += t.Proportion
 	}
 	totalQuota := p.Capacity * p.Day.Load.TotalQuotaFraction.At(rng.Float64())
 	for _, t := range p.Day.Tenants {
-		p.Quotas = append(p.Quotas, totalQuota*t.Proportion/proportions)
+		p.Quotas = append(p.Quotas, totalQuota*t.Proportion/totalProportion)
 		tenantWeights = append(tenantWeights, t.Proportion*t.RelativeDemand.At(rng.Float64()))
 	}
 	return tenantWeights
@@ -98,18 +101,18 @@
 	if err != nil {
 		return nil, err
 	}
-	callsInAllTiers, callsInTier := 0.0, 1.0 // mean numbers of calls that a request of a client causes
+	callsInAllTiers, callsInTier := 0.0, 1.0 // mean numbers of calls, in all tiers so far and in the latest of them, that a request of a client causes
 	for _, n := range p.callsPerRequest {
 		callsInTier *= n
 		callsInAllTiers += callsInTier
 	}
-	if all := callsInAllTiers * float64(len(arrivals)); all > maxCalls {
-		return nil, fmt.Errorf("%.0f calls in all tiers, %d are the most that a day may have", all, maxCalls)
+	if totalCalls := callsInAllTiers * float64(len(arrivals)); totalCalls > maxCalls {
+		return nil, fmt.Errorf("%.0f calls in all tiers, %d are the most that a day may have", totalCalls, maxCalls)
 	}
 	return arrivals, nil
 }
 
-// clientBehaviour holds what all clients of the day have in common; see Day.Clients.
+// clientBehaviour holds values that are drawn once for all clients of the day. The fields of Day.Clients are their ranges.
 type clientBehaviour struct {
 	maxRetries               int
 	attemptTimeoutFraction   float64
@@ -129,7 +132,8 @@
 	return b
 }
 
-// drawRequest draws a request from a source of random numbers whose seed is the arrival's. It does not set Request.Value.
+// drawRequest draws the request of an arrival, from a source of random numbers whose seed is Arrival.Seed. It does not set
+// Request.Value and Request.IsOverQuota.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
 	rng := newRand(a.Seed, sourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
@@ -149,8 +153,8 @@
 // quotaBuckets holds a token bucket for each tenant, with a capacity of one second's quota and at least one request.
 type quotaBuckets struct {
 	quotas    []float64       // quota of each tenant, in requests per second
-	tokens    []float64       // tokens that each tenant had when they were last updated; a request within the quota takes one
-	updatedAt []time.Duration // time from the start of the day at which the tokens of each tenant were last updated
+	tokens    []float64       // number of tokens of each tenant as of updatedAt; a request within the quota takes one token
+	updatedAt []time.Duration // for each tenant, the time from the start of the day to the latest update of its tokens
 }
 
 // newQuotaBuckets returns full buckets for the quotas of all tenants.
@@ -162,7 +166,7 @@
 	return b
 }
 
-// takeToken takes a token of a tenant at an instant, and returns false if there is none.
+// takeToken takes a token of a tenant at now, a time since the start of the day. It returns false if the tenant has no token.
 func (b *quotaBuckets) takeToken(tenant int, now time.Duration) bool {
 	quota := b.quotas[tenant]
 	b.tokens[tenant] = min(b.tokens[tenant]+quota*(now-b.updatedAt[tenant]).Seconds(), max(quota, 1))
@@ -174,7 +178,7 @@
 	return true
 }
 
-// drawJob draws the work of one call to a tier, and its calls to the next tier with their work.
+// drawJob draws the work of one call to a tier, and recursively the jobs of its calls to the next tier.
 func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
 	fraction := p.Day.Tiers[tier].WorkFraction
 	job := &fake.Job{
@@ -194,7 +198,8 @@
 	return job
 }
 
-// lognormal draws from a lognormal distribution with mean 1 and the coefficient of variation cv. It cuts values at maxWorkFactor.
+// lognormal draws from a lognormal distribution with mean 1 and the coefficient of variation cv. It returns maxWorkFactor in place
+// of greater values.
 func lognormal(rng *rand.Rand, cv float64) float64 {
 	variance := math.Log(1 + cv*cv)
 	return min(math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2), maxWorkFactor)
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -15,7 +15,7 @@
 func TestPlanIsDeterminedBySeed(t *testing.T) {
 	for _, name := range rehearsals.Names() {
 		text, _ := rehearsals.Text(name)
-		printed := func(seed uint64, demand float64) string {
+		printPlan := func(seed uint64, demand float64) string {
 			d, err := Parse(name+".toml", text)
 			if err != nil {
 				t.Fatal(err)
@@ -30,14 +30,14 @@
 			}
 			return b.String()
 		}
-		first := printed(5, 1)
-		if first != printed(5, 1) {
+		first := printPlan(5, 1)
+		if first != printPlan(5, 1) {
 			t.Errorf("%s: two plans with the same seed differ", name)
 		}
-		if first == printed(6, 1) {
+		if first == printPlan(6, 1) {
 			t.Errorf("%s: plans with different seeds are the same", name)
 		}
-		if len(printed(5, 2)) < len(first)*3/2 {
+		if len(printPlan(5, 2)) < len(first)*3/2 {
 			t.Errorf("%s: with twice the demand, the plan is less than 1.5 times as long", name)
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // TestPlannedWorkMatchesTheUtilization guards against work that is drawn from another distribution than the one that NewPlan uses
-// to compute the rate of requests. The utilization of the nodes would then not be that of the day.
+// to compute the rate of requests. The utilization of the nodes would then differ from the one in the day's file.
 func TestPlannedWorkMatchesTheUtilization(t *testing.T) {
 	p := newTestPlan(t, `length = "8s"`, `length = "600s"`)
 	workByTier := make([]float64, len(p.Day.Tiers))
--- a/internal/testkit/rehearse/report.go
+++ b/internal/testkit/rehearse/report.go
@@ -24,7 +24,7 @@
 // reportFunctions returns the functions that report.html calls.
 func reportFunctions() template.FuncMap {
 	return template.FuncMap{
-		"worthChart":     worthChart,
+		"worthChart":     inTimeFractionChart,
 		"latencyChart":   latencyChart,
 		"rejectionChart": rejectionChart,
 		"faultChart":     faultChart,
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -11,12 +11,12 @@
 	Seed     uint64  `json:"seed"`
 	Demand   float64 `json:"demand"` // factor on the demand that the day's file states
 
-	Valid   bool     `json:"valid"`             // whether the measurements say something about the sidecars
+	Valid   bool     `json:"valid"`             // whether the rehearsal itself was on time and recorded all events, so that the result says something about the sidecars
 	Invalid []string `json:"invalid,omitempty"` // reasons why the run is not valid; empty if it is valid
 	Held    bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
 
-	InTimeFraction      float64                `json:"whole"`     // fraction of all value that was served in time
-	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction served in time in any 10 seconds
+	InTimeFraction      float64                `json:"whole"`     // fraction of the value of all requests that was served in time
+	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction of value that was served in time in any window of 10 seconds
 	BySecond            []Second               `json:"by_second"`
 	ByClass             map[string]ServedValue `json:"by_class"`
 	ByTenant            map[string]ServedValue `json:"by_tenant"` // value of the requests within each tenant's quota
@@ -33,19 +33,19 @@
 	Invariants *invariant.Report `json:"referee"`
 	Faults     []Fault           `json:"troubles"`
 	Nodes      []string          `json:"nodes"`   // IDs of all nodes
-	InFlight   [][]int           `json:"in_hand"` // for each sample of sampleInterval, the requests in flight at each node
+	InFlight   [][]int           `json:"in_hand"` // for each sample, taken every sampleInterval, the number of requests in flight at each node
 
 	Fleet      FleetSize      `json:"fleet"`
 	Cluster    *ClusterResult `json:"peers,omitempty"` // verdicts on the cluster; nil: the day has no cluster
 	Harness    HarnessMetrics `json:"own"`
-	Rejections []float64      `json:"refusals_by_second"` // for each second, the rejections that clients and nodes received
+	Rejections []float64      `json:"refusals_by_second"` // for each second of the day, the number of rejections that clients and nodes received
 }
 
 // ServedValue is the value of a set of requests, and the part of it that was served in time.
 type ServedValue struct {
 	Offered  float64 `json:"asked"`    // value of all requests
 	InTime   float64 `json:"answered"` // value of the requests served within their latency objective
-	Fraction float64 `json:"share"`    // InTime divided by Offered, or 1 without requests
+	Fraction float64 `json:"share"`    // InTime divided by Offered, or 1 if Offered is 0
 }
 
 // Second holds the value and the latency of the client requests that were due in one second of the day.
@@ -58,9 +58,9 @@
 // Penalties are subtracted from the points of service, which are out of 100.
 type Penalties struct {
 	Connections  float64 `json:"connections"` // 8 points times the connections opened to nodes per client request
-	Waste        float64 `json:"waste"`       // 4 points if nodes waste as much work as the requests need, else in proportion
-	LateFailures float64 `json:"late_fails"`  // 3 points if all requests fail after their latency objective, else in proportion
-	Overload     float64 `json:"choked"`      // 6 points if overload slows all nodes, else in proportion
+	Waste        float64 `json:"waste"`       // 4 points times the work that nodes wasted, relative to the work of all client requests
+	LateFailures float64 `json:"late_fails"`  // 3 points times the fraction of value whose requests failed after their latency objective
+	Overload     float64 `json:"choked"`      // 6 points times the fraction of nodes that overload slowed
 }
 
 // Counts are the numbers of client requests by outcome. Retries are not counted.
@@ -68,12 +68,12 @@
 	Total      int `json:"asked"`
 	Served     int `json:"served"`    // requests that were answered with status 200, in time or late
 	Late       int `json:"late"`      // requests that were served after their latency objective
-	Rejected   int `json:"refused"`   // requests whose last attempt was rejected
-	Failed     int `json:"failed"`    // requests whose last attempt was rejected before it ran
-	Unanswered int `json:"no_answer"` // requests whose last response was neither a success nor a rejection
+	Rejected   int `json:"refused"`   // requests whose last attempt was rejected before it ran
+	Failed     int `json:"failed"`    // requests whose last attempt was answered with neither a success nor a rejection
+	Unanswered int `json:"no_answer"` // requests without a complete response to the last attempt: the client left or gave up, or the sidecar was killed or not reached
 }
 
-// Latency is a distribution of latencies. All fields are in seconds.
+// Latency holds percentiles and the maximum of a distribution of latencies. All fields are in seconds.
 type Latency struct {
 	P50  float64 `json:"p50_s"`
 	P90  float64 `json:"p90_s"`
@@ -86,8 +86,8 @@
 type FleetSize struct {
 	Nodes    int     `json:"nodes"`
 	Sidecars int     `json:"sidecars"`       // number of sidecars in the rehearsal, of all tiers
-	Capacity float64 `json:"capacity_per_s"` // requests per second that the nodes can serve; see Plan.Capacity
-	Rate     float64 `json:"rate_per_s"`     // requests per second that are due outside surges
+	Capacity float64 `json:"capacity_per_s"` // client requests per second that the nodes can serve; see Plan.Capacity
+	Rate     float64 `json:"rate_per_s"`     // client requests per second that are due outside surges
 }
 
 // HarnessMetrics are the lateness and the use of resources of the rehearsal itself. Times are in seconds.
@@ -96,11 +96,11 @@
 	SendLatenessP99    float64 `json:"late_p99_s"`          // 99th percentile of the time from when a request was due until it was sent
 	SendLatenessMax    float64 `json:"late_most_s"`         // longest time from when a request was due until it was sent
 	TimerLatenessP99   float64 `json:"timer_p99_s"`         // 99th percentile of the lateness of a timer in the rehearsal's process
-	Stalls             int     `json:"stalls"`              // stalls at least as long as the tolerance of the rules
+	Stalls             int     `json:"stalls"`              // number of stalls of the rehearsal's process that were at least as long as the tolerance of the rules
 	LongestStall       float64 `json:"worst_stall_s"`       // greatest lateness of a timer in the rehearsal's process
 	CPUSeconds         float64 `json:"cpu_s"`               // CPU time of the rehearsal's process
 	SidecarsCPUSeconds float64 `json:"sidecars_cpu_s"`      // CPU time of all sidecars together
 	MemoryMB           float64 `json:"memory_mb"`           // peak resident memory of the rehearsal's process, earlier runs included
-	SidecarMemoryMB    float64 `json:"sidecar_memory_mb"`   // highest peak of the resident memory of a sidecar
-	DroppedEvents      int     `json:"events_without_room"` // events that were not recorded since the timeline was full
+	SidecarMemoryMB    float64 `json:"sidecar_memory_mb"`   // highest peak of the resident memory of any sidecar
+	DroppedEvents      int     `json:"events_without_room"` // number of events that were not recorded because the timeline was full
 }
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// valuesBySecond returns what valueOf returns for each second of the day.
+// valuesBySecond returns the value that valueOf takes from each second of the day, in order.
 func valuesBySecond(r *Result, valueOf func(Second) float64) (values []float64) {
 	for _, s := range r.BySecond {
 		values = append(values, valueOf(s))
@@ -26,42 +26,42 @@
 	return m
 }
 
-// worthChart draws the fraction of value that was served in time.
-func worthChart(r *Result) template.HTML {
+// inTimeFractionChart draws the fraction of value that was served in time, by the second in which requests were due.
+func inTimeFractionChart(r *Result) template.HTML {
 	c := newChart(190, float64(len(r.BySecond)), 1)
-	c.faultBands(r)
-	c.scale("%.2f")
-	c.timeAxis()
-	c.line("worth", valuesBySecond(r, func(s Second) float64 { return s.Fraction }))
-	c.violationMarks(r)
-	return c.end()
+	c.drawFaultBands(r)
+	c.drawScale("%.2f")
+	c.drawTimeAxis()
+	c.drawLine("worth", valuesBySecond(r, func(s Second) float64 { return s.Fraction }))
+	c.drawViolationMarks(r)
+	return c.finish()
 }
 
 // latencyChart draws the median and the 99th percentile of the latency of served requests.
 func latencyChart(r *Result) template.HTML {
 	p99 := valuesBySecond(r, func(s Second) float64 { return s.P99 })
-	c := newChart(170, float64(len(r.BySecond)), niceMax(maxOf(p99)))
-	c.faultBands(r)
-	c.scale("%.1f s")
-	c.timeAxis()
-	c.line("p99", p99)
-	c.line("p50", valuesBySecond(r, func(s Second) float64 { return s.P50 }))
-	c.violationMarks(r)
-	return c.end()
+	c := newChart(170, float64(len(r.BySecond)), scaleMaxFor(maxOf(p99)))
+	c.drawFaultBands(r)
+	c.drawScale("%.1f s")
+	c.drawTimeAxis()
+	c.drawLine("p99", p99)
+	c.drawLine("p50", valuesBySecond(r, func(s Second) float64 { return s.P50 }))
+	c.drawViolationMarks(r)
+	return c.finish()
 }
 
 // rejectionChart draws the number of rejections in each second, in all tiers.
 func rejectionChart(r *Result) template.HTML {
-	c := newChart(120, float64(len(r.BySecond)), niceMax(maxOf(r.Rejections)))
-	c.faultBands(r)
-	c.scale("%.0f")
-	c.timeAxis()
-	c.columns("refused", r.Rejections)
-	c.violationMarks(r)
-	return c.end()
+	c := newChart(120, float64(len(r.BySecond)), scaleMaxFor(maxOf(r.Rejections)))
+	c.drawFaultBands(r)
+	c.drawScale("%.0f")
+	c.drawTimeAxis()
+	c.drawColumns("refused", r.Rejections)
+	c.drawViolationMarks(r)
+	return c.finish()
 }
 
-// faultChart draws a bar over the time of each fault, with one line for each fault.
+// faultChart draws a row for each fault, with a bar over the time of the fault.
 func faultChart(r *Result) template.HTML {
 	const rowHeight = 20.0
 	c := newChart(chartTop+rowHeight*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
@@ -84,11 +84,11 @@
 		fmt.Fprintf(&c.Builder, `<text class="label" x="%.1f" y="%.1f" text-anchor="%s">%s</text>`,
 			labelX, y+rowHeight-6, anchor, html.EscapeString(label))
 	}
-	c.timeAxis()
-	return c.end()
+	c.drawTimeAxis()
+	return c.finish()
 }
 
-// inFlightChart draws a row for each node, which is the darker the more requests are in flight at the node.
+// inFlightChart draws a row for each node. The more requests are in flight at the node, the darker is the row.
 func inFlightChart(r *Result) template.HTML {
 	const rowHeight = 9.0
 	c := newChart(chartTop+rowHeight*float64(max(len(r.Nodes), 1))+chartBottom, float64(len(r.BySecond)), 1)
@@ -119,16 +119,16 @@
 				`<title>%s, %d s: %d in hand</title></rect>`, opacity, x, end-x, y, rowHeight-1, html.EscapeString(name), s, n)
 		}
 	}
-	c.timeAxis()
-	return c.end()
+	c.drawTimeAxis()
+	return c.finish()
 }
 
 // tierName returns the name of a node's tier, which is the ID of the node up to its last hyphen.
-func tierName(node string) string {
-	if i := strings.LastIndexByte(node, '-'); i > 0 {
-		return node[:i]
+func tierName(nodeID string) string {
+	if i := strings.LastIndexByte(nodeID, '-'); i > 0 {
+		return nodeID[:i]
 	}
-	return node
+	return nodeID
 }
 
 // sweepChart draws the fraction of value that was served in time against the demand, with a series for each balancer. It returns
@@ -149,8 +149,8 @@
 		return ""
 	}
 	c := newChart(220, 1, 1)
-	c.scale("%.2f")
-	isLabelled := map[float64]bool{} // whether the label of a demand has been drawn
+	c.drawScale("%.2f")
+	isLabelled := map[float64]bool{} // whether the label of a demand has been drawn, by demand
 	xOf := func(demand float64) float64 { return c.x(0.03 + 0.94*(demand-lowest)/(highest-lowest)) }
 	for i, name := range balancers {
 		for _, p := range pointsByBalancer[name] {
@@ -163,5 +163,5 @@
 				i%5, xOf(p.demand), c.y(p.inTimeFraction), html.EscapeString(name), p.demand, p.inTimeFraction)
 		}
 	}
-	return c.end()
+	return c.finish()
 }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -17,8 +17,8 @@
 
 // Options configure a run of a plan.
 type Options struct {
-	Command           func() *exec.Cmd   // returns a command that runs one sidecar; called for each start
-	UsesOperatorsFile bool               // whether sidecars get "serve --config FILE" with an operators' file; else ROUTER_CONFIG is set
+	Command           func() *exec.Cmd   // returns a command that runs one sidecar; called for each start of a sidecar
+	UsesOperatorsFile bool               // whether all sidecars run "serve --config FILE" with an operators' file; if not, those outside a cluster get ROUTER_CONFIG
 	LogDir            string             // directory in which sidecars' logs and configurations are kept; empty: they are deleted
 	Progress          func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
 }
@@ -26,8 +26,8 @@
 // Snapshot is the progress of a run.
 type Snapshot struct {
 	Elapsed, Length           time.Duration // time since the start of the day, and the time over which requests arrive
-	OfferedValue, InTimeValue float64       // value of the requests that have their outcome, and of those served in time
-	InFlight                  int           // client requests without an outcome
+	OfferedValue, InTimeValue float64       // value of the requests that have their outcome, and of the requests served in time
+	InFlight                  int           // number of client requests without an outcome
 }
 
 // maxEvents bounds the events of a timeline. It allows 40 for each request that a plan may have; a day without faults and with
@@ -43,29 +43,29 @@
 	cancel     context.CancelFunc // cancels ctx
 	workDir    string             // directory of the sidecars' configurations and logs
 	recorder   *fake.Recorder     // timeline of events that the invariants are checked on
-	registry   *fake.Registry     // requests that clients and nodes have sent, by ID; nodes look up the work of a request here
+	registry   *fake.Registry     // requests that clients and nodes have sent, by ID; nodes look up the work of a request in it
 	frontLayer *fake.FrontLayer   // selects a front sidecar for each connection of a client
 	clients    *fake.Client       // sends the attempts of all clients
-	sequence   atomic.Uint64      // last number that was used in the ID of a request or call
+	sequence   atomic.Uint64      // latest number of the sequence from which request IDs, call IDs and idempotency keys are made
 
 	hosts         [][]*host         // machines of each tier
 	frontSidecars []*sidecarProcess // sidecars before the first tier
 	sidecars      []*sidecarProcess // all sidecars, of all tiers
 	cluster       *cluster          // cluster of the front sidecars; nil: the day has none
 
-	pendingUpdates         map[*fake.Agent]chan memberUpdate // updates not yet due, by agent; the map is not modified after buildHosts
+	pendingUpdates         map[*fake.Agent]chan memberUpdate // updates of the endpoint list that were not sent yet, by agent; the map is not modified after buildHosts
 	agentUpdaters          sync.WaitGroup                    // goroutines that send updates to agents
 	extraNotificationDelay atomic.Int64                      // nanoseconds that faults of discovery add to the delay of notifications
 
-	requests     sync.WaitGroup             // goroutines of clients, one for each request
-	inFlight     atomic.Int64               // client requests without an outcome
+	requests     sync.WaitGroup             // goroutines that run clients, one for each request
+	inFlight     atomic.Int64               // number of client requests without an outcome
 	outcomes     []outcome                  // outcome of each request; written by the goroutine of its client
 	offeredValue atomic.Int64               // value of the requests that have their outcome, in thousandths
 	inTimeValue  atomic.Int64               // value of the requests that were served in time, in thousandths
 	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent
 
 	mu  sync.Mutex
-	err error // first error that made the run fail
+	err error // first error that made the run fail; nil: none has
 }
 
 // Run runs a plan. When it returns, every process and goroutine that it started has ended. An error means that the day could not
@@ -98,8 +98,8 @@
 	}
 	r.close() // the system counts the CPU time of sidecars only after they have ended
 	usageAfter := resourceUsage()
-	result.Harness.SidecarsCPUSeconds = (usageAfter.sidecars - usageBefore.sidecars).Seconds()
-	result.Harness.MemoryMB = usageAfter.ownMB
+	result.Harness.SidecarsCPUSeconds = (usageAfter.sidecarsCPU - usageBefore.sidecarsCPU).Seconds()
+	result.Harness.MemoryMB = usageAfter.ownMemoryMB
 	for _, p := range r.sidecars {
 		result.Harness.SidecarMemoryMB = max(result.Harness.SidecarMemoryMB, p.peakMemoryMB)
 	}
@@ -130,8 +130,8 @@
 	return r
 }
 
-// fail ends the run with an error, after which the day no longer follows its plan. It ignores errors after the first one and after
-// the end of the run.
+// fail ends the run because of an error that keeps the day from following its plan. It ignores every error but the first, and errors
+// after the end of the run.
 func (r *rehearsal) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("%s-%016x", prefix, r.sequence.Add(1))
 }
 
-// drawUint64For draws a number that depends only on the seed and the names, and not on the order of events.
+// drawUint64For draws a number that depends only on the plan's seed and the names, and not on the order of events.
 func (r *rehearsal) drawUint64For(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
@@ -155,7 +155,7 @@
 	return rand.New(rand.NewPCG(r.plan.Seed, h.Sum64())).Uint64()
 }
 
-// drawFractionFor draws a number in [0, 1) that depends only on the seed and the names.
+// drawFractionFor draws a number in [0, 1) that depends only on the plan's seed and the names.
 func (r *rehearsal) drawFractionFor(names ...string) float64 {
 	return float64(r.drawUint64For(names...)>>11) / (1 << 53)
 }
@@ -187,7 +187,7 @@
 }
 
 // run sends the requests of the plan when they are due, injects its faults, and returns the measured result. usageBefore is the use
-// of resources before the run, which is subtracted.
+// of resources before the run, which the result does not include.
 func (r *rehearsal) run(usageBefore resources) (*Result, error) {
 	start := time.Now()
 	dayStart := r.recorder.Now()
@@ -198,7 +198,7 @@
 	monitoring.Go(func() { monitor.watchStalls(done) })
 	endFaults := r.startFaults(start, done)
 	r.sendRequests(start)
-	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, run does not wait for responses
+	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, sidecars are stopped, so that the wait for responses ends
 		for _, p := range r.sidecars {
 			p.stop()
 		}
@@ -240,20 +240,21 @@
 	}
 }
 
-// sendRequests starts a goroutine for each request when it is due. It returns after the last one, or when ctx ends.
+// sendRequests starts a goroutine for each request when it is due. It returns after the last request was started, or when the
+// rehearsal's context ends.
 func (r *rehearsal) sendRequests(start time.Time) {
 	arrivals := make([]schedule.Arrival, len(r.plan.Requests))
 	for i, request := range r.plan.Requests {
 		arrivals[i] = request.Arrival
 	}
-	schedule.Dispatch(start, arrivals, r.ctx.Done(), func(i int, due time.Time) {
-		r.sendLateness.Record(time.Since(due))
+	schedule.Dispatch(start, arrivals, r.ctx.Done(), func(i int, dueAt time.Time) {
+		r.sendLateness.Record(time.Since(dueAt))
 		r.requests.Add(1)
 		r.inFlight.Add(1)
 		go func() {
 			defer r.requests.Done()
 			defer r.inFlight.Add(-1)
-			r.runClient(i, due)
+			r.runClient(i, dueAt)
 		}()
 	})
 }
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -17,15 +17,15 @@
 	Lanes        []classSettings  // classes of requests
 	Accounts     []tenantSettings // tenants with their quotas
 	Discovery    string           // how the endpoint list is kept up to date, here always "automatic"
-	ResolutionUs int64            // lateness that timers and events may have
+	ResolutionUs int64            // lateness that timers and events may have, in microseconds
 	Permissions  struct {
 		MayCancel, MayProbe, RetryAfter            bool  // whether the sidecar may cancel requests, probe nodes and send Retry-After
-		TryLimit                                   int   // attempts at one request that the sidecar may send at most
-		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64 // longest Retry-After, idle timeout and dial timeout of connections to nodes
+		TryLimit                                   int   // largest number of attempts that the sidecar may send for one request
+		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64 // longest Retry-After, and idle and dial timeout of connections to nodes, in microseconds
 	}
 	Report struct{ How string } // how nodes send load reports; always "silent", which means that they send none
 	Rules  struct {
-		// Tolerance, DrainGrace and ColdOverloadWindow of Day.Rules, and the longest warm-up of a node.
+		// Tolerance, DrainGrace and ColdOverloadWindow of Day.Rules, and the longest warm-up of a node, in microseconds.
 		AnswerSlackUs, DrainGraceUs, TipAfterUs, ColdUs int64
 		// Day.Rules.ColdOverloadFactor, and the smallest fraction of its capacity that a node has after a start.
 		FallMultiple, ColdFrom float64
@@ -78,7 +78,7 @@
 	s.Report.How = "silent"
 	s.Rules.AnswerSlackUs, s.Rules.DrainGraceUs = rules.Tolerance.Microseconds(), rules.DrainGrace.Microseconds()
 	s.Rules.TipAfterUs, s.Rules.FallMultiple = rules.ColdOverloadWindow.Microseconds(), rules.ColdOverloadFactor
-	coldCapacityFraction, warmUp := p.coldStart() // the settings have one value for all kinds of nodes
+	coldCapacityFraction, warmUp := p.coldStart() // the settings object has one cold start for all kinds of nodes
 	s.Rules.ColdFrom, s.Rules.ColdUs = coldCapacityFraction, warmUp.Microseconds()
 	return json.Marshal(s)
 }
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second       // longest time until a started sidecar must be ready; the platform's limit is the same
+	readyTimeout      = 30 * time.Second       // longest time until a started sidecar must be ready, which is also the platform's limit
 	readyPollInterval = 10 * time.Millisecond  // interval between two polls of a starting sidecar's health
-	termGrace         = 700 * time.Millisecond // time after SIGTERM in which a sidecar must still answer new requests
-	maxLogTail        = 2000                   // number of bytes at the end of a sidecar's log in which lastLogLine looks for the last line
+	sigtermGrace      = 700 * time.Millisecond // time after SIGTERM in which a sidecar must still answer new requests
+	maxLogTailBytes   = 2000                   // number of bytes at the end of a sidecar's log in which lastLogLine looks for the last line
 )
 
 // sidecarProcess is a sidecar that runs as a real process, which can be ended and started again with the same name and address.
@@ -37,21 +37,21 @@
 	command       func() *exec.Cmd         // returns a command that runs one sidecar
 	settings      json.RawMessage          // settings object of the platform's configuration
 	operatorsFile func(seed uint64) string // text of the operators' file; nil: the platform's configuration is used
-	env           []string                 // variables that are added to the environment of the rehearsal
+	env           []string                 // environment variables (NAME=VALUE) that the process gets in addition to those of the rehearsal
 	day           *Day
 	nextSeed      func() uint64         // returns the seed of the next incarnation; called with mu held
-	onCrash       func(*sidecarProcess) // called after the process exited without a signal from the rehearsal
+	onCrash       func(*sidecarProcess) // called after the process has exited without a signal from the rehearsal
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd     // command of the running process; nil: no process runs
-	exited         chan struct{} // closed after the exit of the running process
+	exited         chan struct{} // closed after the exit of the process that was last started
 	isExitExpected bool          // whether the rehearsal has sent the running process a signal that ends it
-	peakMemoryMB   float64       // highest peak resident memory of the processes that were ended; 0 if the system does not provide it
+	peakMemoryMB   float64       // highest peak resident memory, in MB, of the processes that the rehearsal ended; 0: the system does not provide it
 	isStopped      bool          // whether stop was called, after which no process is started
 }
 
-// freeLoopbackAddr returns a free port on a loopback address that depends on i. Since no other sidecar uses this IP address, no
-// outgoing connection can take the port while the sidecar is down.
+// freeLoopbackAddr returns a loopback address with a free port. The IP address depends on i. Since no other sidecar uses this IP
+// address, no outgoing connection can take the port while the sidecar is down.
 func freeLoopbackAddr(i int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, 1+i/200, 1+i%200)
 	listener, err := net.Listen("tcp", host+":0")
@@ -108,12 +108,12 @@
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(p.workDir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(p.workDir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // closing loses no data: only the process writes, through its own descriptor
-	cmd.Stdout, cmd.Stderr = log, log
+	defer func() { _ = logFile.Close() }() // closing loses no data: only the process writes, through its own descriptor
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal must not reach the process
 	p.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: p.name})
 	for _, m := range lastList.Servers {
@@ -156,7 +156,7 @@
 	return p.exited
 }
 
-// peakResidentMB returns the peak resident memory of a process, or 0 if the system does not provide it. The resource usage of
+// peakResidentMB returns the peak resident memory of a process in MB, or 0 if the system does not provide it. The resource usage of
 // ended children can't be used, since it includes the memory that the parent had when it forked.
 func peakResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -254,7 +254,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	text = text[max(len(text)-maxLogTail, 0):]
+	text = text[max(len(text)-maxLogTailBytes, 0):]
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -7,14 +7,14 @@
 	"tuliprock/internal/testkit/fake"
 )
 
-// maxConcurrentStarts is the number of sidecars that start at the same time.
+// maxConcurrentStarts is the largest number of sidecars that start at the same time.
 const maxConcurrentStarts = 8
 
 // sidecarRole identifies a sidecar among those that send to the same tier.
 type sidecarRole struct {
 	name         string
 	tier         int // index of the tier that the sidecar sends to
-	index, count int // position among the sidecars that send to this tier, and their number
+	index, count int // index of the sidecar among the sidecars that send to the same tier, and the number of these sidecars
 }
 
 // buildSidecars creates the sidecars before the first tier, and one for each node that calls a further tier.
@@ -53,7 +53,7 @@
 	}
 	updates := make(chan memberUpdate, maxPendingUpdates)
 	r.pendingUpdates[agent] = updates
-	r.agentUpdaters.Go(func() { r.updateAgent(agent, updates) })
+	r.agentUpdaters.Go(func() { r.sendUpdates(agent, updates) })
 	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
 		command: r.options.Command, day: r.plan.Day}
 	r.sidecars = append(r.sidecars, p) // close stops all sidecars in this list, with their agents
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -47,22 +47,22 @@
 func writeResult(b *strings.Builder, r *Result) {
 	fmt.Fprintf(b, "\n%s, seed %d, demand %v: %d nodes, %d sidecars, %.0f first tries a second of %.0f that the fleet can do\n\n",
 		r.Day, r.Seed, r.Demand, r.Fleet.Nodes, r.Fleet.Sidecars, r.Fleet.Rate, r.Fleet.Capacity)
-	writeMeasures(b, r)
+	writeMeasurements(b, r)
 	b.WriteString("\n")
 	writeInvariants(b, r.Invariants)
 	r.Cluster.writeText(b)
 	h := &r.Harness
 	fmt.Fprintf(b, "\nthe rehearsal itself: sends late by %.1f ms (p99), %.1f ms at most; %d pauses over %v; "+
 		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
-		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaults().Rules.Tolerance,
+		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaultDay().Rules.Tolerance,
 		h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
-	for _, why := range r.Invalid {
-		fmt.Fprintf(b, "NOT VALID: %s\n", why)
+	for _, reason := range r.Invalid {
+		fmt.Fprintf(b, "NOT VALID: %s\n", reason)
 	}
 }
 
-// writeMeasures writes the measurements of clients and nodes.
-func writeMeasures(b *strings.Builder, r *Result) {
+// writeMeasurements writes the measurements of clients and nodes.
+func writeMeasurements(b *strings.Builder, r *Result) {
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "worth answered in time\t%.3f\tworst 10 s %.3f\n", r.InTimeFraction, r.WorstWindowFraction)
 	for _, by := range []map[string]ServedValue{r.ByClass, r.ByTenant} {
@@ -110,7 +110,7 @@
 	return string(rule.Verdict)
 }
 
-// occasionsText lists the kinds of occasions on which an invariant was tested, by name, with their numbers.
+// occasionsText lists the kinds of occasions on which an invariant was tested, by name, each with its number.
 func occasionsText(rule invariant.RuleResult) string {
 	var out []string
 	for name, n := range rule.Occasions {
@@ -146,8 +146,8 @@
 	writeColumns(b, rows.String())
 	writeSpread(b, results)
 	for _, r := range results {
-		for _, why := range r.Invalid {
-			fmt.Fprintf(b, "NOT VALID: %s, seed %d, %s: %s\n", r.Day, r.Seed, r.Balancer, why)
+		for _, reason := range r.Invalid {
+			fmt.Fprintf(b, "NOT VALID: %s, seed %d, %s: %s\n", r.Day, r.Seed, r.Balancer, reason)
 		}
 	}
 }
@@ -157,19 +157,19 @@
 
 // verdictSummary returns the verdict on a result in a few words, with the numbers of the invariants that were broken.
 func verdictSummary(r *Result) string {
-	var broken []string
+	var brokenRules []string
 	for _, rule := range r.Invariants.Rules {
 		if rule.Verdict == invariant.Broken {
-			broken = append(broken, fmt.Sprint(rule.Number))
+			brokenRules = append(brokenRules, fmt.Sprint(rule.Number))
 		}
 	}
 	switch {
 	case r.Invariants.Crashes > 0:
 		return "CRASHED"
 	case r.Cluster != nil && !r.Cluster.Held:
-		return "BROKEN: " + strings.Join(append(broken, "fleet"), ", ")
-	case len(broken) > 0:
-		return "BROKEN: " + strings.Join(broken, ", ")
+		return "BROKEN: " + strings.Join(append(brokenRules, "fleet"), ", ")
+	case len(brokenRules) > 0:
+		return "BROKEN: " + strings.Join(brokenRules, ", ")
 	}
 	return "held"
 }
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -8,16 +8,16 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. The rules tolerate 50 ms on each limit: sends
-// that are later than half of this tolerance, or a stall as long as the drain grace, could be mistaken for a fault of a sidecar.
+// Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. By default, the rules tolerate 50 ms on each
+// limit: sends that are later than half of this tolerance, or a stall as long as the drain grace, could be mistaken for a fault
+// of a sidecar.
 const (
 	maxSendLatenessFraction = 0.5         // fraction of the rules' tolerance that the lateness of 99 of 100 sends must not exceed
 	maxStallFraction        = 1.0         // fraction of the drain grace that the length of a stall must not exceed
 	stallProximity          = time.Second // time before or after a stall of the rehearsal in which the stall may have caused a violation
 )
 
-// validate sets whether the result is valid: it is if the rehearsal itself was on time. Otherwise, validate adds the reasons why
-// the result is not valid.
+// validate sets whether the result is valid, and the reasons if it is not: the rehearsal itself was late, or its timeline was full.
 func (r *rehearsal) validate(result *Result, events []invariant.Event, dayStart time.Duration) {
 	rules, harness := r.plan.Day.Rules, &result.Harness
 	invalidate := func(format string, args ...any) {
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -9,9 +9,9 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// TestHarnessStallsMakeADayInvalid guards against verdicts on the sidecars from a run in which the rehearsal's own process was
+// TestLateHarnessMakesAResultInvalid guards against verdicts on the sidecars from a run in which the rehearsal's own process was
 // late.
-func TestHarnessStallsMakeADayInvalid(t *testing.T) {
+func TestLateHarnessMakesAResultInvalid(t *testing.T) {
 	r := &rehearsal{plan: newTestPlan(t), sendLateness: schedule.NewLatencyHistogram()}
 	validate := func(t *testing.T, harness HarnessMetrics, events ...invariant.Event) []string {
 		t.Helper()
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestWorstWindowFraction(t *testing.T) {
+func TestWorstWindowFractionIsLowestOfAnyTenSeconds(t *testing.T) {
 	seconds := make([]Second, 30)
 	for i := range seconds {
 		seconds[i].Offered, seconds[i].InTime = 10, 10
