--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -17,7 +17,7 @@
 // policy chooses the endpoint of an attempt from a sorted, non-empty list of endpoint IDs.
 type policy func(b *balancer, candidates []string) string
 
-// policies holds all policies by the name that New expects.
+// policies maps each name that New accepts to its policy.
 var policies = map[string]policy{
 	"random":            func(b *balancer, candidates []string) string { return candidates[b.rng.IntN(len(candidates))] },
 	"round-robin":       roundRobin,
@@ -49,46 +49,47 @@
 
 // balancer implements balance.Events with a textbook policy.
 type balancer struct {
-	host        balance.Host
-	settings    balance.Settings
-	policy      policy
-	rng         *rand.Rand
-	idempotency map[string]balance.Idempotency // idempotency of the requests of each class, by class name
-	states      map[string]balance.State       // state of each listed endpoint, by endpoint ID
-	ejected     map[string]bool                // manually ejected endpoints by ID, listed or not
-	ready       []string                       // sorted IDs of the endpoints that are ready and not ejected
-	inFlight    map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
-	turns       int                            // number of attempts that round robin has assigned so far
-	requests    map[string]*request            // requests by ID that have no final response yet or an attempt in flight
+	host            balance.Host
+	settings        balance.Settings
+	policy          policy
+	rng             *rand.Rand
+	idempotency     map[string]balance.Idempotency // idempotency of the requests of each class, by class name
+	states          map[string]balance.State       // state of each listed endpoint, by endpoint ID
+	ejected         map[string]bool                // IDs of the manually ejected endpoints, listed or not; all values are true
+	ready           []string                       // sorted IDs of the endpoints that are ready and not ejected
+	inFlight        map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
+	roundRobinCount int                            // number of attempts that round robin has assigned so far
+	requests        map[string]*request            // requests without a final response or with an attempt in flight, by request ID
 }
 
 // request is a client's request and the state of its attempts.
 type request struct {
 	balance.Request
-	attempted  []string // IDs of the endpoints that attempts were sent to, in order
-	inFlight   bool     // whether an attempt is in flight
-	isFinished bool     // whether the request has its final response, or its client has disconnected
-	mayHaveRun bool     // whether the endpoint of an earlier attempt may have executed the request
+	attempted          []string // IDs of the endpoints that attempts were sent to, in order
+	hasAttemptInFlight bool     // whether an attempt is in flight
+	isFinished         bool     // whether the request has its final response, or its client has disconnected
+	mayHaveRun         bool     // whether the endpoint of an earlier attempt may have executed the request
 }
 
-// roundRobin chooses one candidate after another, by the number of attempts that it has assigned so far.
+// roundRobin chooses the candidates in turn.
 func roundRobin(b *balancer, candidates []string) string {
-	b.turns++
-	return candidates[b.turns%len(candidates)]
+	b.roundRobinCount++
+	return candidates[b.roundRobinCount%len(candidates)]
 }
 
 // leastOutstanding chooses a candidate with the fewest attempts in flight; ties are decided at random.
 func leastOutstanding(b *balancer, candidates []string) string {
-	least := candidates[b.rng.IntN(len(candidates))] // a random candidate to begin with, so that the first one does not win all ties
+	chosen := candidates[b.rng.IntN(len(candidates))] // a random candidate to begin with, so that the first one does not win all ties
 	for _, id := range candidates {
-		if b.inFlight[id] < b.inFlight[least] {
-			least = id
+		if b.inFlight[id] < b.inFlight[chosen] {
+			chosen = id
 		}
 	}
-	return least
+	return chosen
 }
 
-// EndpointList implements balance.Events. It subscribes again if a poll failed or the subscription broke.
+// EndpointList implements balance.Events. It applies an update of the endpoint list. If the update reports a failed poll or a
+// broken subscription instead, EndpointList subscribes again.
 func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.Failed {
 		b.host.Subscribe()
@@ -132,7 +133,7 @@
 		return
 	}
 	id := b.policy(b, candidates)
-	q.attempted, q.inFlight = append(q.attempted, id), true
+	q.attempted, q.hasAttemptInFlight = append(q.attempted, id), true
 	b.inFlight[id]++
 	b.host.Send(q.ID, id, q.Deadline-now)
 }
@@ -151,7 +152,7 @@
 
 // discardIfDone removes a request from b.requests if the request is finished and has no attempt in flight.
 func (b *balancer) discardIfDone(q *request) {
-	if q.isFinished && !q.inFlight {
+	if q.isFinished && !q.hasAttemptInFlight {
 		delete(b.requests, q.ID)
 	}
 }
@@ -162,7 +163,7 @@
 	if q == nil {
 		return
 	}
-	q.inFlight = false
+	q.hasAttemptInFlight = false
 	if b.inFlight[o.Endpoint]--; b.inFlight[o.Endpoint] <= 0 {
 		delete(b.inFlight, o.Endpoint)
 	}
@@ -209,7 +210,7 @@
 	return listed || b.ejected[id]
 }
 
-// EndpointCounts implements balance.Events. It counts the ejected endpoints among the listed ones.
+// EndpointCounts implements balance.Events. It returns the number of listed endpoints, and how many of them are manually ejected.
 func (b *balancer) EndpointCounts() (listed, ejected int) {
 	for id := range b.states {
 		if b.ejected[id] {
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -12,7 +12,7 @@
 type recordingHost struct {
 	balance.Host
 	sent             []string // IDs of the endpoints that attempts were sent to, in order
-	rejected, failed []string // IDs of the requests that got such a final response, in order
+	rejected, failed []string // IDs of the requests whose final response was a rejection or a failure, in order
 }
 
 func (h *recordingHost) Send(id, endpoint string, _ time.Duration) {
@@ -28,7 +28,7 @@
 	nonIdempotentClass  = "non-idempotent"
 )
 
-// newBalancer returns a balancer of the named policy, whose endpoint list has the given endpoints, all ready.
+// newBalancer returns a balancer of the named policy and its host. The balancer's endpoint list has the given endpoints, all ready.
 func newBalancer(t *testing.T, policyName string, endpoints ...string) (balance.Events, *recordingHost) {
 	t.Helper()
 	factory, err := New(policyName)
@@ -55,11 +55,11 @@
 	for i := range 6 {
 		b.Request(0, newRequest(fmt.Sprint(i), idempotentClass))
 	}
-	count := map[string]int{}
+	sentTo := map[string]int{} // number of attempts by endpoint ID
 	for _, e := range h.sent {
-		count[e]++
+		sentTo[e]++
 	}
-	if count["a"] != 2 || count["b"] != 2 || count["c"] != 2 {
+	if sentTo["a"] != 2 || sentTo["b"] != 2 || sentTo["c"] != 2 {
 		t.Errorf("6 requests were sent to %v, want 2 to each of a, b and c", h.sent)
 	}
 }
@@ -86,7 +86,7 @@
 			class            string
 			result           balance.Result // result of each attempt
 			sent             int            // number of attempts that the balancer must send
-			rejected, failed int            // number of final responses of each kind that the balancer must send
+			rejected, failed int            // numbers of rejections and failures that the balancer must send as final responses
 		}{
 			{idempotentClass, balance.Reset, 3, 1, 0},
 			{nonIdempotentClass, balance.Reset, 1, 0, 1},
