--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Member is a node as the endpoint list that sidecars receive describes it. The tags are the platform's protocol.
+// Member describes a node in the endpoint list that sidecars receive. The names in its tags are fixed by the platform's protocol.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -41,8 +41,9 @@
 var invariantStates = map[string]invariant.State{StateReady: invariant.Ready, StateDraining: invariant.Draining,
 	StateGone: invariant.Gone}
 
-// assumedNotifiedAfter is the time after a change at which the timeline counts the sidecar as notified even if it has not
-// fetched the change. Otherwise a sidecar that does not poll its agent could not break the rule on draining nodes.
+// assumedNotifiedAfter is the time from a change until the agent records that the sidecar was notified of it, even if the
+// sidecar has not fetched the change. Otherwise a sidecar that does not poll its agent could send requests to a draining node
+// without breaking the invariant that forbids it.
 const assumedNotifiedAfter = 6 * time.Second
 
 // maxChanges is the number of changes that an agent keeps for watches that resume. A watch that resumes from an older
@@ -69,13 +70,13 @@
 	pendingChanges  []Member // changes announced while discovery was down, in order; applied on its recovery
 }
 
-// memberChange is one change of a member.
+// memberChange is a change of one member, which an agent keeps for watches that resume.
 type memberChange struct {
 	version int64  // version of the endpoint list after the change
 	member  Member // the member after the change, in StateGone if it was removed
 }
 
-// NewAgent starts an agent of a sidecar. list holds the members of version 1 of the agent's endpoint list.
+// NewAgent starts the discovery agent of a sidecar. list holds the members of the agent's endpoint list, which starts at version 1.
 func NewAgent(sidecar string, list []Member, recorder *Recorder) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +104,7 @@
 	return err
 }
 
-// Update changes a member. While discovery is down, the change remains pending.
+// Update adds, replaces or removes the member with the ID of m. While discovery is down, the change remains pending.
 func (a *Agent) Update(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -188,7 +189,7 @@
 // changesSince returns the changes after a version of the endpoint list. It returns the full list if the agent does not keep
 // all of these changes any more, or if the version is unknown. a.mu must be held.
 func (a *Agent) changesSince(version int64) MemberList {
-	oldest := a.version + 1 // version of the oldest change in a.changes; if there is none, the next version
+	oldest := a.version + 1 // version of the oldest change in a.changes; if a.changes is empty, the version of the next change
 	if len(a.changes) > 0 {
 		oldest = a.changes[0].version
 	}
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -25,7 +25,7 @@
 	}
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "after: no version", http.StatusBadRequest)
+		http.Error(w, "the query parameter \"after\" is not a version number", http.StatusBadRequest)
 		return
 	}
 	a.serveWatch(w, r, after)
@@ -108,7 +108,7 @@
 }
 
 // recordWritten records that a list was written to the sidecar. If the list is full, recordWritten returns the members of the
-// sidecar's previous list that are not in it, in StateGone. a.mu must be held.
+// sidecar's previous list that the new list lacks, with their state set to StateGone. a.mu must be held.
 func (a *Agent) recordWritten(list MemberList) (gone []Member) {
 	previous := a.notifiedList
 	a.notifiedVersion = max(a.notifiedVersion, list.Version)
--- a/internal/testkit/fake/cell.go
+++ b/internal/testkit/fake/cell.go
@@ -19,12 +19,12 @@
 	return &Cell{window: window, seenAt: map[string]time.Time{}}
 }
 
-// isDuplicate reports whether an idempotency key was first seen within the window before now. If not, it records that the key
-// was first seen now.
-func (c *Cell) isDuplicate(key string, now time.Time) bool {
+// recordKey records that a request with an idempotency key has arrived. It reports whether the request is a duplicate, since the
+// key was first seen within the window before now. A duplicate does not extend the window.
+func (c *Cell) recordKey(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.sweptAt) > c.window { // bounds seenAt to the keys of two windows
+	if now.Sub(c.sweptAt) > c.window { // removes old keys once per window, so that seenAt holds the keys of at most two windows
 		for k, at := range c.seenAt {
 			if now.Sub(at) > c.window {
 				delete(c.seenAt, k)
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -18,7 +18,7 @@
 
 // Request is one request that a client sends.
 type Request struct {
-	ID             string                // unique ID of the request; a retry has a new one
+	ID             string                // unique ID of the request; a retry by the client has a new ID
 	Class          int                   // index of the request's class in the classes given to NewClient
 	Tenant         string                // value of the header Req-Owner; empty: none
 	IdempotencyKey string                // idempotency key, which is sent if the class is IdempotencyKeyed; empty: none
@@ -46,7 +46,7 @@
 	registry           *Registry
 	recorder           *Recorder
 	tolerance          time.Duration        // time after the deadline within which a response does not count as late
-	maxIdle            int                  // number of idle connections that are kept for reuse
+	maxIdle            int                  // largest number of idle connections that are kept for reuse
 	connectionLifetime func() time.Duration // draws the time for which a new connection is used; nil: unlimited
 
 	mu   sync.Mutex
@@ -62,8 +62,10 @@
 }
 
 const (
-	dialTimeout    = 500 * time.Millisecond // short, since the front layer selects a dead sidecar until it removes it, seconds later
-	extraBytesWait = time.Millisecond       // time for which a client waits for surplus bytes after a response
+	// dialTimeout limits the time in which a connection to a sidecar is opened. It is short, since the front layer goes on choosing
+	// a dead sidecar for seconds until the sidecar is removed.
+	dialTimeout    = 500 * time.Millisecond
+	extraBytesWait = time.Millisecond // time for which a client waits for surplus bytes after a response
 	// lateAllowance is how long after the deadline and the tolerance a client still waits for a response. A response within
 	// this time is recorded, and the invariant checker reports it as late rather than as missing.
 	lateAllowance = 100 * time.Millisecond
@@ -72,8 +74,8 @@
 // errNoSidecar is returned by dial if Request.Connect finds no sidecar.
 var errNoSidecar = errors.New("the front layer has no sidecar")
 
-// NewClient returns a client that keeps at most maxIdle idle connections. A response does not count as late within the
-// tolerance after its deadline.
+// NewClient returns a client that keeps at most maxIdle idle connections. A response counts as late if it comes later than
+// tolerance after the request's deadline.
 func NewClient(classes []Class, registry *Registry, recorder *Recorder, tolerance time.Duration, maxIdle int) *Client {
 	return &Client{classes: classes, registry: registry, recorder: recorder, tolerance: tolerance, maxIdle: maxIdle}
 }
@@ -129,11 +131,11 @@
 	if err != nil {
 		return nil, err
 	}
-	opened := &clientConn{Conn: conn, reader: bufio.NewReader(conn), sidecar: target.Sidecar}
+	newConn := &clientConn{Conn: conn, reader: bufio.NewReader(conn), sidecar: target.Sidecar}
 	if c.connectionLifetime != nil {
-		opened.usableUntil = time.Now().Add(c.connectionLifetime())
+		newConn.usableUntil = time.Now().Add(c.connectionLifetime())
 	}
-	return opened, nil
+	return newConn, nil
 }
 
 // Do sends one request. It returns when the response has come, the wait for it has timed out or the connection has ended. If
@@ -141,23 +143,23 @@
 func (c *Client) Do(r Request) Outcome {
 	deadline := c.recorder.Now() + r.Timeout
 	c.registry.register(r.ID, registeredRequest{job: r.Job, class: r.Class, key: r.IdempotencyKey})
-	var out Outcome
+	var outcome Outcome
 	for isFirst := true; ; isFirst = false {
 		conn := c.takeIdle()
 		if conn != nil && !isFirst {
-			conn.Close() // the second time, the request is sent on a new connection only
+			conn.Close() // a request that is sent once more must use a new connection
 			continue
 		}
 		if conn == nil {
 			var err error
 			if conn, err = c.dial(r); err != nil {
-				return out
+				return outcome
 			}
-			out.HasDialed = true
+			outcome.HasDialed = true
 		}
-		isNew := out.HasDialed
-		if c.exchange(conn, r, deadline, isNew, &out) || isNew {
-			return out
+		isNew := outcome.HasDialed
+		if c.exchange(conn, r, deadline, isNew, &outcome) || isNew {
+			return outcome
 		}
 	}
 }
@@ -165,7 +167,7 @@
 // exchange sends a request on a connection and reads the response. It reports false if a reused connection ended before any
 // byte of the response: a sidecar may close a connection between requests, so the request may be sent again. isNew reports
 // whether the connection was opened for the request.
-func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, out *Outcome) bool {
+func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, outcome *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
 		Deadline: deadline}) // the event is recorded before the write, which causes further events
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
@@ -175,7 +177,7 @@
 		}
 		return isNew
 	}
-	out.IsAccepted = true
+	outcome.IsAccepted = true
 	giveUpAt, leavesEarly := deadline+c.tolerance+lateAllowance, false
 	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < giveUpAt {
 		giveUpAt, leavesEarly = deadline-r.Timeout+r.LeaveAfter, true
@@ -185,7 +187,7 @@
 		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && leavesEarly:
-			out.HasLeft = true
+			outcome.HasLeft = true
 			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.recorder.Add(invariant.Event{Kind: invariant.ResponseOverdue, Request: r.ID})
@@ -196,12 +198,13 @@
 		}
 		return true
 	}
-	c.readResponse(conn, r, deadline, out)
+	c.readResponse(conn, r, deadline, outcome)
 	return true
 }
 
-// readResponse reads a response whose first byte has come, and keeps the connection for reuse if possible.
-func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, out *Outcome) {
+// readResponse reads a response whose first byte has come. It keeps the connection for reuse unless the response is incomplete,
+// further bytes follow it, or the sidecar closes the connection.
+func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, outcome *Outcome) {
 	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
@@ -214,9 +217,9 @@
 		c.recorder.Add(invariant.Event{Kind: invariant.ConnectionLost, Request: r.ID})
 		return
 	}
-	out.Status = resp.StatusCode
+	outcome.Status = resp.StatusCode
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
-		out.RetryAfter = time.Duration(seconds * float64(time.Second))
+		outcome.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	isGenuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), r.ID+" ")
 	c.recorder.Add(invariant.Event{Kind: invariant.ResponseReceived, Request: r.ID, Status: resp.StatusCode, Genuine: isGenuine})
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -22,15 +22,15 @@
 		if n > len(responses) {
 			return false
 		}
-		response, closes := strings.CutSuffix(responses[n-1], "CLOSE")
+		response, mustClose := strings.CutSuffix(responses[n-1], "CLOSE")
 		io.WriteString(nc, strings.ReplaceAll(response, "ID", r.Header.Get("Req-Id")))
-		return !closes
+		return !mustClose
 	})
 	return func() (Target, bool) { return Target{"s1", e.Addr}, true }, e
 }
 
 func TestClientRecordsHowARequestEnds(t *testing.T) {
-	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
+	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
 	for _, c := range []struct {
 		name       string
 		response   string
@@ -38,11 +38,11 @@
 		kinds      []invariant.Kind
 		leaveAfter time.Duration
 	}{
-		{"served", ok, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
+		{"served", okResponse, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
 		{"rejected", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503,
 			[]invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
-		{"two responses", ok + ok, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived, invariant.ExtraBytes}, 0},
-		{"response cut", ok[:len(ok)-3] + "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
+		{"two responses", okResponse + okResponse, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived, invariant.ExtraBytes}, 0},
+		{"response cut", okResponse[:len(okResponse)-3] + "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
 		{"connection closed", "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
 		{"no response", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ResponseOverdue}, 0},
 		{"client left", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ClientLeft}, 20 * time.Millisecond},
@@ -70,7 +70,7 @@
 			}
 		})
 	}
-	connect, _ := newScriptedSidecar(t, strings.Replace(ok, "ID", "xy", 1))
+	connect, _ := newScriptedSidecar(t, strings.Replace(okResponse, "ID", "xy", 1))
 	recorder := NewRecorder(time.Now(), 100)
 	client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 	defer client.Close()
@@ -88,8 +88,8 @@
 // TestRequestCrossingAConnectionCloseIsSentOnceMore covers a sidecar that closes an idle connection at the moment at which
 // the client sends a request on it. The client must send the request once more on a new connection, but not a third time.
 func TestRequestCrossingAConnectionCloseIsSentOnceMore(t *testing.T) {
-	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
-	connect, sidecar := newScriptedSidecar(t, ok, "CLOSE", ok, "CLOSE", "CLOSE")
+	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
+	connect, sidecar := newScriptedSidecar(t, okResponse, "CLOSE", okResponse, "CLOSE", "CLOSE")
 	recorder := NewRecorder(time.Now(), 100)
 	client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 	defer client.Close()
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -49,26 +49,26 @@
 	udp net.PacketConn
 	tcp net.Listener
 
-	mu    sync.Mutex
-	names map[string][]DNSRecord // records of each name, by canonicalName
-	fault DNSFault
-	delay time.Duration // time to wait before each response
+	mu            sync.Mutex
+	recordsByName map[string][]DNSRecord // records of each DNS name; the keys are results of canonicalName
+	fault         DNSFault
+	delay         time.Duration // time to wait before each response
 
 	handlers sync.WaitGroup
 	stopped  chan struct{} // closed by Close
 }
 
 const (
-	dnsMinPayload        = 512 // largest size in bytes of a UDP response to a query that states no payload size
-	dnsMaxAliases        = 8   // number of names that are looked up for one response, along a chain of aliases
-	dnsPortAttempts      = 20  // attempts to find a port that is free for both UDP and TCP
+	dnsMinPayload        = 512 // size in bytes of the UDP responses that every client accepts (RFC 1035); a query may state a larger one
+	dnsMaxLookups        = 8   // largest number of names that are looked up for one response, along a chain of aliases
+	dnsPortAttempts      = 20  // number of attempts to find a port that is free for both UDP and TCP
 	dnsConnectionTimeout = 10 * time.Second
 )
 
 // NewDNS starts a DNS server, which Close ends.
 func NewDNS() (*DNS, error) {
 	var err error
-	d := &DNS{names: map[string][]DNSRecord{}, stopped: make(chan struct{})}
+	d := &DNS{recordsByName: map[string][]DNSRecord{}, stopped: make(chan struct{})}
 	for range dnsPortAttempts {
 		if d.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
@@ -90,7 +90,7 @@
 // Close ends the server and the queries in flight. It must not be called twice.
 func (d *DNS) Close() {
 	close(d.stopped)
-	_ = d.udp.Close() // the error does not matter, since the socket is not used any more
+	_ = d.udp.Close() // the error is ignored, since the socket is not used any more
 	d.tcp.Close()
 	d.handlers.Wait()
 }
@@ -99,9 +99,9 @@
 func (d *DNS) Set(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.names[canonicalName(name)] = records
+	d.recordsByName[canonicalName(name)] = records
 	if len(records) == 0 {
-		delete(d.names, canonicalName(name))
+		delete(d.recordsByName, canonicalName(name))
 	}
 }
 
@@ -179,7 +179,8 @@
 	}
 }
 
-// respond waits for the delay and returns the encoded response to a query; nil: the query gets no response.
+// respond waits for the delay that SetFault has set and returns the encoded response to a query, or nil if the query gets no
+// response.
 func (d *DNS) respond(query []byte, isTCP bool) []byte {
 	d.mu.Lock()
 	fault, delay := d.fault, d.delay
@@ -244,7 +245,7 @@
 }
 
 // packResponse encodes a response. A response of more than limit bytes is encoded without answers and marked as truncated.
-// nil: the response cannot be encoded.
+// packResponse returns nil if the response cannot be encoded.
 func packResponse(response *dnsmessage.Message, limit int) []byte {
 	message, err := response.Pack()
 	if err != nil {
@@ -259,15 +260,15 @@
 	return message
 }
 
-// answer returns the resources that answer a question, including each alias on the way, and the response code.
-func (d *DNS) answer(q dnsmessage.Question) (out []dnsmessage.Resource, code dnsmessage.RCode) {
+// answer returns the resources that answer a question, including the aliases that lead to them, and the response code.
+func (d *DNS) answer(q dnsmessage.Question) (answers []dnsmessage.Resource, code dnsmessage.RCode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	name := q.Name
-	for range dnsMaxAliases {
-		records, ok := d.names[canonicalName(name.String())]
+	for range dnsMaxLookups {
+		records, ok := d.recordsByName[canonicalName(name.String())]
 		if !ok {
-			return out, dnsmessage.RCodeNameError
+			return answers, dnsmessage.RCodeNameError
 		}
 		var alias dnsmessage.Name
 		for _, r := range records {
@@ -275,7 +276,7 @@
 			if resource == nil {
 				continue
 			}
-			out = append(out, dnsmessage.Resource{
+			answers = append(answers, dnsmessage.Resource{
 				Header: dnsmessage.ResourceHeader{Name: name, Class: dnsmessage.ClassINET, TTL: r.TTL},
 				Body:   resource,
 			})
@@ -288,10 +289,10 @@
 		}
 		name = alias
 	}
-	return out, dnsmessage.RCodeSuccess
+	return answers, dnsmessage.RCodeSuccess
 }
 
-// resource returns the record's data for a question of type t; nil: the record does not answer it.
+// resource returns the record's data for a question of type t, or nil if the record does not answer such a question.
 func (r *DNSRecord) resource(t dnsmessage.Type) dnsmessage.ResourceBody {
 	switch {
 	case r.Alias != "":
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -11,8 +11,8 @@
 const maxEchoBody = 64 << 10 // largest size in bytes of a request's body
 
 // EchoHandler returns a handler that responds with a description of the request: its method, URI, body length and headers.
-// Each line begins with the name, or with a header. A body of more than 64 KiB gets status 400. The handler serves as a
-// simple endpoint to try a daemon with.
+// The first line begins with the given name, and each further line holds a header. A request with a body of more than 64 KiB
+// gets status 400. The handler serves as a simple endpoint to try a daemon with.
 func EchoHandler(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
@@ -34,7 +34,8 @@
 	})
 }
 
-// EchoServer returns a server for an address whose EchoHandler has the address as its name. The caller starts it.
+// EchoServer returns an HTTP server with an EchoHandler. The given address is that of the server and also the handler's name.
+// The caller starts the server.
 func EchoServer(addr string) *http.Server {
 	return &http.Server{Addr: addr, Handler: EchoHandler(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 }
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -14,7 +14,7 @@
 )
 
 // NodeSpec describes a node. Work is simulated: a request occupies one of the node's cores for the time that its work
-// takes. The tags are the names of the fields in printed plans.
+// takes. The tags give the names that some fields have in printed plans.
 type NodeSpec struct {
 	ID                   string // unique ID of the node
 	Zone                 string
@@ -23,7 +23,7 @@
 	Cell                 int           // index of the node's cell in its tier
 	Cores                int           // number of simulated cores
 	Speed                float64       // speed of each core; work is stated in seconds on a core of speed 1
-	Slots                int           // number of requests that are executed at once
+	Slots                int           // largest number of requests that are executed at once
 	QueueLimit           int           `json:"Room"`         // number of requests that may wait for a slot; further ones are rejected
 	ColdCapacityFraction float64       `json:"ColdFrom"`     // fraction of the full speed that the node has right after a cold start
 	WarmUpDuration       time.Duration `json:"ColdFor"`      // time from a cold start in which the speed rises linearly to the full speed
@@ -44,7 +44,7 @@
 type Node struct {
 	NodeSpec
 	Addr     string   // address that the node listens on; set by the first Start
-	NextTier NextTier // calls to the tier behind the node; nil: the node is of the last tier
+	NextTier NextTier // makes the node's calls to the next tier; nil: the node is of the last tier
 	classes  []Class
 	cell     *Cell
 	registry *Registry
@@ -97,9 +97,9 @@
 var ErrCollapsed = errors.New("collapsed under overload and cannot be started again")
 
 // Start starts the node and returns the time of the start. The node listens at the address of its previous start, if there
-// was one, and warms up if cold is set. If the node runs already, Start does nothing and returns the time of its start. The
+// was one, and warms up if isCold is set. If the node runs already, Start does nothing and returns the time of its start. The
 // error names the node and wraps ErrCollapsed if the node has collapsed.
-func (n *Node) Start(cold bool) (startedAt time.Time, err error) {
+func (n *Node) Start(isCold bool) (startedAt time.Time, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.incarnation != nil {
@@ -120,7 +120,7 @@
 	inc := &incarnation{
 		startedAt:   time.Now(),
 		startOffset: n.recorder.Now(),
-		startedCold: cold,
+		startedCold: isCold,
 		done:        make(chan struct{}),
 		listener:    listener,
 		slots:       &semaphore{free: n.Slots, maxWaiting: n.QueueLimit},
@@ -129,10 +129,10 @@
 	}
 	n.incarnation = inc
 	e := invariant.Event{Kind: invariant.NodeStarted, Node: n.ID, Capacity: float64(n.Cores) * n.Speed}
-	if cold {
+	if isCold {
 		e.ColdCapacityFraction, e.WarmUpDuration = n.ColdCapacityFraction, n.WarmUpDuration
 	}
-	e.At = max(inc.startOffset, 1) // Recorder.Add would replace 0 by the time of the call
+	e.At = max(inc.startOffset, 1) // at least 1, since Recorder.Add takes an instant of 0 as not set
 	n.recorder.Add(e)
 	go n.acceptConnections(inc)
 	if n.Overload != nil {
@@ -141,8 +141,8 @@
 	return inc.startedAt, nil
 }
 
-// Stop ends the node's process as a crash does: open connections are reset, and new ones are refused. It does nothing while
-// the node is down.
+// Stop ends the node's process as a crash does: open connections are reset, and new ones are refused. If the node is down, Stop
+// does nothing.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	inc := n.incarnation
@@ -183,7 +183,8 @@
 	return n.incarnation != nil
 }
 
-// InFlight returns the number of requests that the node executes or that wait on it.
+// InFlight returns the number of requests that the node has received and not answered yet. Requests that the hang fault hit do
+// not count.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -193,7 +194,7 @@
 	return int(n.incarnation.inFlight.Load())
 }
 
-// OpenedConnections returns the number of connections that clients have opened to the node, before and after restarts.
+// OpenedConnections returns the number of connections that the node has accepted since NewNode, by all incarnations.
 func (n *Node) OpenedConnections() int { return int(n.openedConnections.Load()) }
 
 // WasOverloaded reports whether overload has slowed the node at least once.
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -14,8 +14,8 @@
 
 const (
 	messageTimeout = 5 * time.Second       // time limit for reading the rest of a request, and for writing a response
-	maxBodyBytes   = 64 << 10              // number of bytes that are read of a request's body
-	acceptBackoff  = 10 * time.Millisecond // wait after a failed Accept, which fails at once without a free descriptor
+	maxBodyBytes   = 64 << 10              // largest number of bytes that are read of the body of a request or response
+	acceptBackoff  = 10 * time.Millisecond // wait before Accept is retried, since it fails at once while no file descriptor is free
 )
 
 // nodeConnection is one connection to a node. The goroutine of the connection reads requests; the goroutine of a request
@@ -31,7 +31,7 @@
 	id                  string        // value of the header Req-Id
 	firstByteAt         time.Duration // arrival of the first byte, since the start of the recorder
 	isFirstOnConnection bool
-	responded           chan bool // receives one value after the response was written: whether the connection stays open
+	staysOpen           chan bool // receives one value when the response has been written: whether the connection stays open
 }
 
 // acceptConnections accepts connections until the incarnation ends.
@@ -63,19 +63,19 @@
 		c.Close()
 	}()
 	in := bufio.NewReader(c)
-	var current receivedRequest // the latest request; its responded is nil before the first request
+	var current receivedRequest // latest request on the connection; its staysOpen is nil before the first request
 	n.startIdleTimeout(c)
 	for isFirst := true; ; isFirst = false {
 		if _, err := in.Peek(1); err != nil {
-			if current.responded != nil && len(current.responded) == 0 && !isClosed(c.incarnation.done) {
+			if current.staysOpen != nil && len(current.staysOpen) == 0 && !isClosed(c.incarnation.done) {
 				n.recorder.Add(invariant.Event{Kind: invariant.AttemptAborted, Node: n.ID, Request: current.id})
 			}
 			return
 		}
 		firstByteAt := n.recorder.Now()
-		if current.responded != nil {
+		if current.staysOpen != nil {
 			select {
-			case staysOpen := <-current.responded:
+			case staysOpen := <-current.staysOpen:
 				if !staysOpen {
 					return
 				}
@@ -87,8 +87,8 @@
 		if err != nil {
 			return
 		}
-		current = receivedRequest{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, responded: make(chan bool, 1)}
-		if !n.handle(c, current) {
+		current = receivedRequest{id: id, firstByteAt: firstByteAt, isFirstOnConnection: isFirst, staysOpen: make(chan bool, 1)}
+		if !n.startRequest(c, current) {
 			return
 		}
 	}
--- a/internal/testkit/fake/node_faults.go
+++ b/internal/testkit/fake/node_faults.go
@@ -16,18 +16,18 @@
 // SetSlowdown makes the node's cores slower by a factor; 1 restores their usual speed.
 func (n *Node) SetSlowdown(factor float64) { n.faults.slowdown.Store(math.Float64bits(factor)) }
 
-// SetHangFraction makes the node receive this fraction of the requests without ever responding.
+// SetHangFraction makes the node receive the given fraction of the requests without ever responding to them.
 func (n *Node) SetHangFraction(fraction float64) {
 	n.faults.hangFraction.Store(math.Float64bits(fraction))
 }
 
-// SetResetFraction makes the node reset the connection instead of responding, for this fraction of the requests, after it
-// has executed them.
+// SetResetFraction makes the node execute the given fraction of the requests and then reset their connections instead of
+// responding.
 func (n *Node) SetResetFraction(fraction float64) {
 	n.faults.resetFraction.Store(math.Float64bits(fraction))
 }
 
-// loadFloat returns a number that was stored by math.Float64bits.
+// loadFloat returns the float64 that is stored in bits in the encoding of math.Float64bits.
 func loadFloat(bits *atomic.Uint64) float64 { return math.Float64frombits(bits.Load()) }
 
 // drawFault decides at random whether a fault hits a request. bits holds the encoded fraction of the requests that the fault
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -7,12 +7,12 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// OverloadSpec describes how overload slows a node. A node is overloaded once its load, the mean number of requests that
-// run or wait on it, exceeds Cores + Threshold * sqrt(Cores). It then works slower, and recovers when it was mostly idle for
-// RecoverAfter, or after MaxDuration at the latest. Each incarnation of a node is overloaded once at most. The tags are the
-// names of the fields in printed plans.
+// OverloadSpec describes how overload slows a node. A node is overloaded once its load, the mean number of requests that wait for
+// a slot, wait for a core or use a core, exceeds Cores + Threshold * sqrt(Cores). The node then works slower, and recovers when
+// it has been mostly idle for RecoverAfter, or after MaxDuration at the latest. Each incarnation of a node is overloaded at most
+// once. The tags give the names that the fields have in printed plans.
 type OverloadSpec struct {
-	Threshold    float64       `json:"At"`     // multiple of the square root of the cores by which the load must exceed the cores
+	Threshold    float64       `json:"At"`     // the node is overloaded once its load exceeds Cores + Threshold * sqrt(Cores)
 	AveragedOver time.Duration `json:"Over"`   // time constant of the load's exponential moving average
 	Slowdown     float64       `json:"Slower"` // factor by which an overloaded node is slower than otherwise
 	RecoverAfter time.Duration `json:"Rest"`   // time for which an overloaded node must be mostly idle to recover
@@ -26,8 +26,8 @@
 
 const (
 	overloadCheckInterval = 100 * time.Millisecond
-	// maxThresholdFraction is the highest overload threshold, as a fraction of the slots and queue places of a node. A small
-	// node could not reach the threshold otherwise.
+	// maxThresholdFraction bounds the load above which a node is overloaded, as a fraction of the number of requests that the node
+	// can hold in its slots and its queue. Without this bound, a node with few slots and queue places could never be overloaded.
 	maxThresholdFraction = 0.7
 )
 
@@ -46,9 +46,10 @@
 	return initial + (1-initial)*float64(sinceStart)/float64(warmUp)
 }
 
-// recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node. The node collapses if its
-// recent work is too much. Attempts that the node rejects count too. recordColdWork does nothing for a node that is not
-// warming up.
+// recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node. The node collapses if the work
+// that it received within the latest ColdOverloadWindow is over ColdOverloadFactor * (1 + ColdOverloadTolerance) times the work
+// that it can do in that time at its present capacity. Attempts that the node rejects count too. recordColdWork does nothing for
+// a node that is not warming up.
 func (n *Node) recordColdWork(inc *incarnation, work float64) {
 	now := n.recorder.Now()
 	if !inc.startedCold || n.ColdOverloadFactor <= 0 || now >= inc.startOffset+n.WarmUpDuration {
@@ -70,8 +71,8 @@
 	}
 }
 
-// addColdWork adds the work of an attempt to the recent work and returns the seconds of work that arrived within the window,
-// which ends with the attempt.
+// addColdWork adds the work of an attempt to the recent work and returns the seconds of work that arrived within the window that
+// ends with the attempt.
 func (inc *incarnation) addColdWork(added coldWork, window time.Duration) (sum float64) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -85,8 +86,8 @@
 	return sum
 }
 
-// monitorOverload sets isOverloaded of an incarnation when overload begins and clears it when the incarnation has recovered,
-// once at most. It returns when the incarnation ends.
+// monitorOverload sets isOverloaded of an incarnation when the incarnation becomes overloaded, and clears it when it has
+// recovered. Each happens at most once. monitorOverload returns when the incarnation ends.
 func (n *Node) monitorOverload(inc *incarnation) {
 	loadLimit := float64(n.Cores) + n.Overload.Threshold*math.Sqrt(float64(n.Cores))
 	loadLimit = min(loadLimit, maxThresholdFraction*float64(n.Slots+n.QueueLimit))
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestCapacityRisesLinearlyDuringWarmUp(t *testing.T) {
-	for since, want := range map[time.Duration]float64{0: 0.4, 2: 0.7, 4: 1, 9: 1} {
-		if got := warmCapacityFraction(0.4, 4*time.Second, since*time.Second); math.Abs(got-want) > 1e-9 {
-			t.Errorf("fraction of the capacity after %d s is %v, want %v", since, got, want)
+	for seconds, want := range map[time.Duration]float64{0: 0.4, 2: 0.7, 4: 1, 9: 1} {
+		if got := warmCapacityFraction(0.4, 4*time.Second, seconds*time.Second); math.Abs(got-want) > 1e-9 {
+			t.Errorf("fraction of the capacity after %d s is %v, want %v", seconds, got, want)
 		}
 	}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -7,10 +7,10 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// NextTier makes a node's calls to the tier behind it. It must be safe for concurrent use.
+// NextTier makes a node's calls to the next tier of nodes. It must be safe for concurrent use.
 type NextTier interface {
-	// Call makes one call on behalf of a request of the class, with the request's idempotency key, and reports whether the
-	// call was served.
+	// Call makes one call on behalf of a request of the given class, with the request's idempotency key, and reports whether the
+	// call was served. job is the work of the call.
 	Call(class int, key string, job *Job) bool
 }
 
@@ -30,9 +30,9 @@
 	return true
 }
 
-// handle records a request and starts a goroutine that responds to it, so that serveConnection can notice meanwhile if the
-// client closes the connection. It reports whether serveConnection is to go on reading.
-func (n *Node) handle(c *nodeConnection, received receivedRequest) bool {
+// startRequest records a request and starts a goroutine that responds to it, so that serveConnection can notice meanwhile if the
+// client closes the connection. It reports whether serveConnection must continue to read from the connection.
+func (n *Node) startRequest(c *nodeConnection, received receivedRequest) bool {
 	request, ok := n.registry.lookup(received.id)
 	if !ok {
 		if n.recordAttemptReceived(c.incarnation, invariant.Event{Kind: invariant.AttemptReceived, Node: n.ID,
@@ -57,7 +57,7 @@
 	go func() {
 		defer func() {
 			n.startIdleTimeout(c)
-			received.responded <- !c.isExcess
+			received.staysOpen <- !c.isExcess
 			if c.isExcess {
 				c.Close()
 			}
@@ -86,11 +86,11 @@
 	writeResponse(c, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", "turned away\n")
 }
 
-// execute does a request's work and writes the response. It continues if the client closes the connection, and ends early
+// execute does a request's work and writes the response. It continues if the client closes the connection, and returns early
 // only if the node stops.
 func (n *Node) execute(c *nodeConnection, received receivedRequest, request registeredRequest) {
 	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
-		n.cell.isDuplicate(request.key, time.Now())
+		n.cell.recordKey(request.key, time.Now())
 	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: received.id, Duplicate: isDuplicate})
 	work, calls := request.job.Work, request.job.Calls
 	if isDuplicate {
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -113,7 +113,7 @@
 		}
 		if f.countEvents(invariant.AttemptReceived, id) != 1 || f.countEvents(invariant.EffectStarted, id) != 1 || f.countEvents(invariant.AttemptCompleted, id) != 1 ||
 			f.countEvents(invariant.AttemptAborted, id) != 0 {
-			t.Error("the timeline does not have one received, started and completed attempt for the request, without an abort")
+			t.Error("the timeline does not have exactly one attempt for the request that was received, started and completed, and not aborted")
 		}
 	}
 	if f.OpenedConnections() != 1 {
@@ -121,7 +121,7 @@
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: unknown\r\n\r\n")
 	if status, _, _ := readResponse(t, nc); status != 400 || f.countEvents(invariant.AttemptReceived, "unknown") != 1 {
-		t.Errorf("request with an unknown ID got status %d, want 400 and one received attempt", status)
+		t.Errorf("request with an unknown ID got status %d, want 400 and one AttemptReceived event", status)
 	}
 }
 
@@ -136,7 +136,7 @@
 		testpeer.Eventually(t, "the request received", func() bool { return f.countEvents(invariant.AttemptReceived, "") > n })
 		testpeer.Eventually(t, "the request in flight", func() bool { return f.InFlight() > n })
 	}
-	third := f.dial(t)
+	thirdConn := f.dial(t)
 	testpeer.Eventually(t, "one request waiting for the slot", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -144,8 +144,8 @@
 		defer f.incarnation.slots.mu.Unlock()
 		return len(f.incarnation.slots.waiters) == 1
 	})
-	id := f.writeRequest(t, third, readClass, "", time.Millisecond)
-	if status, rejected, _ := readResponse(t, third); status != 503 || !rejected || f.countEvents(invariant.AttemptRejected, id) != 1 ||
+	id := f.writeRequest(t, thirdConn, readClass, "", time.Millisecond)
+	if status, rejected, _ := readResponse(t, thirdConn); status != 503 || !rejected || f.countEvents(invariant.AttemptRejected, id) != 1 ||
 		f.countEvents(invariant.EffectStarted, id) != 0 {
 		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, rejected)
 	}
@@ -189,7 +189,7 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.IdleTimeout = 30 * time.Millisecond })
 	nc := f.dial(t)
-	f.writeRequest(t, nc, readClass, "", 60*time.Millisecond) // longer than the idle timeout, which must not run during a request
+	f.writeRequest(t, nc, readClass, "", 60*time.Millisecond) // the work takes longer than the idle timeout, which must not run during a request
 	if status, _, _ := readResponse(t, nc); status != 200 {
 		t.Errorf("request in flight for longer than the idle timeout got status %d, want 200", status)
 	}
@@ -228,18 +228,18 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCell(time.Second)
-		c.isDuplicate("k", time.Now())
+		c.recordKey("k", time.Now())
 		time.Sleep(time.Second)
-		if !c.isDuplicate("k", time.Now()) {
+		if !c.recordKey("k", time.Now()) {
 			t.Error("the key is forgotten at the end of the window, want it remembered")
 		}
 		time.Sleep(time.Nanosecond)
-		if c.isDuplicate("k", time.Now()) {
+		if c.recordKey("k", time.Now()) {
 			t.Error("the key is remembered after the window, want it forgotten")
 		}
 		for i := range 1000 {
 			time.Sleep(10 * time.Millisecond)
-			c.isDuplicate(fmt.Sprint(i), time.Now())
+			c.recordKey(fmt.Sprint(i), time.Now())
 		}
 		if len(c.seenAt) > 202 {
 			t.Errorf("%d keys remembered, want at most 202, those of two windows", len(c.seenAt))
@@ -247,7 +247,7 @@
 	})
 }
 
-func TestClientDepartureIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
+func TestClientDisconnectIsRecordedAndDoesNotStopTheRequest(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
 	id := f.writeRequest(t, nc, readClass, "", 50*time.Millisecond)
@@ -257,7 +257,7 @@
 	testpeer.Eventually(t, "the request completed", func() bool { return f.countEvents(invariant.AttemptCompleted, id) == 1 })
 }
 
-func TestNodeFaultsHangResetAndSlow(t *testing.T) {
+func TestInjectedFaultsHangResetAndSlowRequests(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	f.SetHangFraction(1)
 	nc := f.dial(t)
@@ -306,7 +306,7 @@
 }
 
 // TestRequestUnreadAtStopIsNotRecorded guards against an event for a request that the node reads from its buffer after it has
-// stopped. The attempt would remain in flight in the timeline, and the next attempt would look like a concurrent one.
+// stopped. The attempt would never end in the timeline, so the request's next attempt would look as if both were in flight at once.
 func TestRequestUnreadAtStopIsNotRecorded(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
@@ -315,8 +315,8 @@
 	f.mu.Unlock()
 	f.registry.register("r1", registeredRequest{job: &Job{Work: time.Millisecond}, class: readClass})
 	f.Stop()
-	received := receivedRequest{id: "r1", isFirstOnConnection: true, responded: make(chan bool, 1)}
-	if f.handle(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.countEvents(invariant.AttemptReceived, "") != 0 {
+	received := receivedRequest{id: "r1", isFirstOnConnection: true, staysOpen: make(chan bool, 1)}
+	if f.startRequest(&nodeConnection{Conn: nc, incarnation: inc}, received) || f.countEvents(invariant.AttemptReceived, "") != 0 {
 		t.Error("a request read after the stop was handled or recorded")
 	}
 }
--- a/internal/testkit/fake/plan_format_test.go
+++ b/internal/testkit/fake/plan_format_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNodeSpecAndJobKeepFieldNamesInPrintedPlans guards against a Go rename that changes the names of a node's or job's
-// fields in printed plans, which other tools read.
+// TestNodeSpecAndJobKeepFieldNamesInPrintedPlans guards against renames of Go fields that change the names that a node's or job's
+// fields have in printed plans, which other tools read.
 func TestNodeSpecAndJobKeepFieldNamesInPrintedPlans(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/testkit/fake/recorder.go
+++ b/internal/testkit/fake/recorder.go
@@ -10,15 +10,15 @@
 // Recorder records the events of a simulated day as a timeline. It is safe for concurrent use.
 type Recorder struct {
 	start     time.Time
-	maxEvents int // number of events that the recorder keeps; further ones are dropped
+	maxEvents int // largest number of events that the recorder keeps; further events are dropped
 
 	mu      sync.Mutex
 	events  []invariant.Event
 	dropped int // number of events that were dropped since the recorder was full or Take had ended the recording
 }
 
-// NewRecorder returns a recorder of a timeline that begins at start. It keeps at most maxEvents events and only counts
-// further ones.
+// NewRecorder returns a recorder of a timeline that begins at start. The recorder keeps at most maxEvents events. It drops and
+// counts further events.
 func NewRecorder(start time.Time, maxEvents int) *Recorder {
 	return &Recorder{start: start, maxEvents: maxEvents}
 }
@@ -30,7 +30,7 @@
 func (r *Recorder) Add(e invariant.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.At == 0 { // the clock is read under the lock, so that events are in the order of their instants
+	if e.At == 0 { // the clock is read while the lock is held, so that events are in the order of their instants
 		e.At = r.Now()
 	}
 	if len(r.events) >= r.maxEvents {
--- a/internal/testkit/fake/registry.go
+++ b/internal/testkit/fake/registry.go
@@ -15,12 +15,12 @@
 	Deadline time.Duration // time from the start of a request until its response is due
 }
 
-// Job is the work of one request, which is drawn before the simulation starts: its work on the node that receives it, and
-// its calls to the next tier, which are made one after another.
+// Job is the work of one request, which is drawn before the simulation starts: the work on the node that receives the request,
+// and the calls that this node makes to the next tier, one after another.
 type Job struct {
 	Work  time.Duration // work on the node, as time on a core of speed 1
 	Wait  time.Duration // time in which the request waits for other systems and occupies a slot but no core
-	Calls []*Job        // work of each call to the next tier, in the order of the calls
+	Calls []*Job        // calls to the next tier, in the order in which they are made; each has its own work
 }
 
 // TotalWork returns the work of the job and of all its direct and indirect calls, as time on a core of speed 1.
--- a/internal/testkit/fake/semaphore.go
+++ b/internal/testkit/fake/semaphore.go
@@ -33,7 +33,7 @@
 	select {
 	case <-granted:
 		return true
-	case <-done: // all users of the semaphore end with done, so a slot granted at the same time need not be released
+	case <-done: // a slot granted at the same time need not be released, since done ends all goroutines that use the semaphore
 		return false
 	}
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// isClosed reports whether done is closed.
+// isClosed reports whether the channel done is closed, without waiting for it.
 func isClosed(done <-chan struct{}) bool {
 	select {
 	case <-done:
--- a/internal/testkit/fake/semaphore_test.go
+++ b/internal/testkit/fake/semaphore_test.go
@@ -48,13 +48,13 @@
 				}
 			}
 		}
-		last := -1
+		lastGranted := -1
 		for range min(n, free+maxWaiting) - min(n, free) {
 			s.release()
-			if i := <-granted; i < last {
-				t.Fatalf("acquisition %d got a slot after acquisition %d", i, last)
+			if i := <-granted; i < lastGranted {
+				t.Fatalf("acquisition %d got a slot after acquisition %d, want the order of the calls", i, lastGranted)
 			} else {
-				last = i
+				lastGranted = i
 			}
 		}
 		acquisitions.Wait()
