--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -29,12 +29,12 @@
 // Rules holds the limits that a timeline is checked against.
 type Rules struct {
 	Classes               []Class
-	MaxAttempts           int           // attempts allowed for a request; 0: unlimited
+	MaxAttempts           int           // largest number of attempts allowed for a request; 0: unlimited
 	Tolerance             time.Duration // time by which an event may exceed each time limit, since events are observed late
-	DrainGrace            time.Duration // time after a notification of a draining or gone node in which attempts may still go to it
+	DrainGrace            time.Duration // time after the notification that a node is draining or gone in which attempts may still go to the node
 	ColdOverloadFactor    float64       // multiple of its present capacity at which a warming node is overloaded
 	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
-	ColdOverloadTolerance float64       // fraction by which the work in the window may exceed the limit, as arrivals are random
+	ColdOverloadTolerance float64       // fraction by which work may exceed the limit that ColdOverloadFactor sets, since requests arrive at random
 	SigtermGrace          time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
 }
 
@@ -67,7 +67,7 @@
 	sentEvent     Event         // the latest RequestSent event of the request
 	process       *sidecarState // sidecar process to which the request was sent last; nil before RequestSent
 	wasSent       bool          // whether a RequestSent event of the request has been applied
-	responseCount int           // complete responses that the client has received
+	responseCount int           // number of complete responses that the client has received
 	hasEnded      bool          // whether the client has received a response, lost its connection or given up
 	endedAt       time.Duration // instant at which the client received a response, lost its connection or gave up, if it did
 	attempts      []*attemptState
@@ -85,7 +85,7 @@
 // reject counts, whether or not an EffectStarted event was recorded for it.
 func (a *attemptState) mayHaveRun() bool { return !a.isRejected }
 
-// apply updates the state by an event and checks the rules that the event can break.
+// apply updates the checker's state by one event and checks the rules that the event can break.
 func (c *checker) apply(e *Event) {
 	switch e.Kind {
 	case RequestSent:
@@ -151,7 +151,7 @@
 	}
 }
 
-// addViolation records that the event e violates a rule. The format and its arguments give the violation's description.
+// addViolation records that the event e violates a rule. The violation's description is made from format and args.
 func (c *checker) addViolation(rule int, e *Event, format string, args ...any) {
 	result := &c.report.Rules[rule-1]
 	result.ViolationCount++
@@ -161,10 +161,11 @@
 	}
 }
 
-// countOccasion counts an occasion by name in a rule's result. The occasion does not count as a test of the rule.
+// countOccasion adds 1 to the count of the named occasion in a rule's result. The occasion does not count as a test of the rule.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
-// countTestedOccasion counts an occasion on which a sidecar could have broken the rule.
+// countTestedOccasion adds 1 to the count of the named occasion in a rule's result, and to that of the occasions on which a
+// sidecar could have broken the rule.
 func (c *checker) countTestedOccasion(rule int, name string) {
 	c.countOccasion(rule, name)
 	c.report.Rules[rule-1].TestedOccasions++
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// TestEachRuleIsBrokenAndHeldByItsTimelines checks that each rule has timelines that break it and one that it holds on, and
-// that no timeline breaks another rule than its own.
+// TestEachRuleIsBrokenAndHeldByItsTimelines checks that Check finds each rule broken by some of the rule's timelines and held by
+// others, and that no timeline breaks another rule than its own.
 func TestEachRuleIsBrokenAndHeldByItsTimelines(t *testing.T) {
-	broken, held := map[int]int{}, map[int]int{}
+	brokenCount, heldCount := map[int]int{}, map[int]int{} // numbers of timelines by rule
 	for _, c := range timelineCases {
 		t.Run(c.name, func(t *testing.T) {
 			report := Check(rules, slices.Clone(c.events))
 			rule := report.Rules[c.rule-1]
 			if c.wantViolation == "" {
-				held[c.rule]++
+				heldCount[c.rule]++
 				if rule.Verdict != Held {
 					t.Errorf("rule %d is %s, want held; violations: %+v", c.rule, rule.Verdict, rule.Violations)
 				}
 			} else {
-				broken[c.rule]++
+				brokenCount[c.rule]++
 				if rule.Verdict != Broken || !strings.Contains(rule.Violations[0].Description, c.wantViolation) || report.Held() {
 					t.Errorf("rule %d is %s and the report held %v, want a violation %q; violations: %+v",
 						c.rule, rule.Verdict, report.Held(), c.wantViolation, rule.Violations)
@@ -32,14 +32,14 @@
 			}
 			for _, other := range report.Rules {
 				if other.Number != c.rule && other.Verdict == Broken {
-					t.Errorf("rule %d is broken as well: %+v", other.Number, other.Violations)
+					t.Errorf("rule %d, which the timeline is not meant to break, is broken: %+v", other.Number, other.Violations)
 				}
 			}
 		})
 	}
 	for rule := 1; rule <= 4; rule++ {
-		if broken[rule] < 2 || held[rule] < 1 {
-			t.Errorf("rule %d is broken by %d timelines and held by %d, want at least 2 and 1", rule, broken[rule], held[rule])
+		if brokenCount[rule] < 2 || heldCount[rule] < 1 {
+			t.Errorf("rule %d is broken by %d timelines and held by %d, want at least 2 and 1", rule, brokenCount[rule], heldCount[rule])
 		}
 	}
 }
@@ -52,7 +52,7 @@
 			t.Errorf("rule %d is %s, want %s", i+1, r.Rules[i].Verdict, want)
 		}
 	}
-	// A notification does not test the rule on draining nodes if no attempt was sent after its grace.
+	// The notification that a node is draining tests rule 3 only if an attempt is sent later than DrainGrace after it.
 	r = Check(rules, newTimeline().notify(s, Draining).request(s, "r", readClass).attempt(s+ms, "r", "b", 1).
 		respond(2*s, "r", 200))
 	if r.Rules[2].Verdict != Untested || r.Rules[2].Occasions["drains told"] != 1 {
@@ -98,8 +98,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.SampledFrom(timelineCases).Draw(t, "case")
 		want := Check(rules, slices.Clone(c.events))
-		order := rapid.Permutation(c.events).Draw(t, "order")
-		slices.SortStableFunc(order, func(a, b Event) int { // events of the same instant keep their order
+		permuted := rapid.Permutation(c.events).Draw(t, "order")
+		slices.SortStableFunc(permuted, func(a, b Event) int { // events of the same instant keep their order
 			if a.At != b.At {
 				return 0
 			}
@@ -108,7 +108,7 @@
 			}
 			return index(a) - index(b)
 		})
-		got := Check(rules, order)
+		got := Check(rules, permuted)
 		for i := range got.Rules {
 			if got.Rules[i].Verdict != want.Rules[i].Verdict && haveDistinctInstants(c.events) {
 				t.Fatalf("%s: rule %d is %s after the permutation, want %s", c.name, i+1, got.Rules[i].Verdict, want.Rules[i].Verdict)
@@ -133,14 +133,14 @@
 // unless an event could have broken it.
 func TestArbitraryTimelineNeverHoldsAnUntestedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		name := rapid.SampledFrom([]string{"", "a", "b", "s"})
+		nameGenerator := rapid.SampledFrom([]string{"", "a", "b", "s"})
 		events := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Event {
 			return Event{
 				At:             time.Duration(rapid.IntRange(0, 20000).Draw(t, "at")) * ms,
 				Kind:           Kind(rapid.IntRange(0, int(HarnessStall)).Draw(t, "kind")),
-				Request:        name.Draw(t, "request"),
-				Sidecar:        name.Draw(t, "sidecar"),
-				Node:           name.Draw(t, "node"),
+				Request:        nameGenerator.Draw(t, "request"),
+				Sidecar:        nameGenerator.Draw(t, "sidecar"),
+				Node:           nameGenerator.Draw(t, "node"),
 				Class:          rapid.IntRange(-1, 4).Draw(t, "class"),
 				State:          State(rapid.IntRange(0, 2).Draw(t, "state")),
 				Status:         rapid.SampledFrom([]int{0, 200, 429, 502, 503}).Draw(t, "status"),
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -17,30 +17,30 @@
 type nodeState struct {
 	startEvent        Event // NodeStarted event of the node's latest start
 	isUp              bool
-	isCold            bool          // the node is warming up
-	recentAttempts    []coldAttempt // whether the node is warming up
-	overloadFound     bool          // attempts received within the latest ColdOverloadWindow while the node was warming up
-	receivedWhileCold bool          // whether an overload since the latest start was found, so that no further one is reported
+	isCold            bool          // whether the node is warming up
+	recentAttempts    []coldAttempt // attempts received within the latest ColdOverloadWindow while the node was warming up
+	wasOverloaded     bool          // whether an overload since the latest start was found, so that no further one is reported
+	receivedWhileCold bool          // whether the node has received an attempt while it was warming up
 }
 
-// whether the node has received an attempt while it was warming up
+// coldAttempt is an attempt that a node received while it was warming up.
 type coldAttempt struct {
-	at         time.Duration // arrival of the last byte, since the start of the day
+	at         time.Duration // arrival of the attempt's last byte, since the start of the day
 	work       float64       // work of the attempt, in seconds on a core of speed 1
 	isInformed bool          // whether the sidecar that sent the attempt had been notified of the node's start
 }
 
 // coldBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the instant at:
-// the work that the node could do during the window at its present capacity, times ColdOverloadFactor. started is the node's
+// the work that the node could do during the window at its present capacity, times ColdOverloadFactor. startEvent is the node's
 // NodeStarted event.
-func coldBudget(rules Rules, started Event, at time.Duration) float64 {
-	warmUpFraction := min(float64(at-started.At)/float64(max(started.WarmUpDuration, 1)), 1)
-	capacityFraction := started.ColdCapacityFraction + (1-started.ColdCapacityFraction)*warmUpFraction
-	return rules.ColdOverloadFactor * capacityFraction * started.Capacity * rules.ColdOverloadWindow.Seconds()
+func coldBudget(rules Rules, startEvent Event, at time.Duration) float64 {
+	warmUpFraction := min(float64(at-startEvent.At)/float64(max(startEvent.WarmUpDuration, 1)), 1)
+	capacityFraction := startEvent.ColdCapacityFraction + (1-startEvent.ColdCapacityFraction)*warmUpFraction
+	return rules.ColdOverloadFactor * capacityFraction * startEvent.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
 // checkColdOverload checks that the work sent to a warming node is within coldBudget, for the window that ends with the
-// attempt e of a sidecar's process. Attempts that the node rejects count too.
+// attempt e, which process has sent. Attempts that the node rejects count too.
 func (c *checker) checkColdOverload(process *sidecarState, e *Event) {
 	node := c.node(e.Node)
 	if !node.isCold || !node.isUp {
@@ -59,12 +59,12 @@
 		func(s coldAttempt) bool { return s.at <= e.At-c.rules.ColdOverloadWindow })
 	sum, _ := node.recentWork()
 	limit := coldBudget(c.rules, node.startEvent, e.At) * (1 + c.rules.ColdOverloadTolerance)
-	if sum <= limit || node.overloadFound {
+	if sum <= limit || node.wasOverloaded {
 		return
 	}
-	node.overloadFound = true
-	if c.causedBySidecars(node) {
-		c.addViolation(ruleNoColdOverload, e, "sent %.2f s of work within %v, %.2f s is the most for one that started %v ago",
+	node.wasOverloaded = true
+	if c.causedByInformedSidecars(node) {
+		c.addViolation(ruleNoColdOverload, e, "sent %.2f s of work within %v, %.2f s is the most for a node that started %v ago",
 			sum, c.rules.ColdOverloadWindow, limit, (e.At - node.startEvent.At).Round(time.Millisecond))
 	}
 }
@@ -81,10 +81,10 @@
 	return sum, informedWork
 }
 
-// causedBySidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified of
-// the node's start. If not, it counts the occasion.
-func (c *checker) causedBySidecars(node *nodeState) bool {
-	if sum, informed := node.recentWork(); informed < minInformedFraction*sum {
+// causedByInformedSidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified
+// of the node's start. If not, it counts the overload as an occasion that does not break the rule.
+func (c *checker) causedByInformedSidecars(node *nodeState) bool {
+	if sum, informedWork := node.recentWork(); informedWork < minInformedFraction*sum {
 		c.countOccasion(ruleNoColdOverload, "pushed by sidecars not yet told of the start")
 		return false
 	}
@@ -96,9 +96,9 @@
 func (c *checker) applyNodeCollapsed(e *Event) {
 	c.report.Collapses++
 	node := c.node(e.Node)
-	if !node.overloadFound {
-		node.overloadFound = true
-		if c.causedBySidecars(node) {
+	if !node.wasOverloaded {
+		node.wasOverloaded = true
+		if c.causedByInformedSidecars(node) {
 			c.addViolation(ruleNoColdOverload, e, "pushed over")
 		}
 	}
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -4,13 +4,13 @@
 
 // notification records that a sidecar's process was notified that a node is draining or gone.
 type notification struct {
-	at       time.Duration // instant of the notification, or the end of a pause of the process in which it was sent
+	at       time.Duration // instant of the notification; if it was sent while the process was paused, the end of the pause
 	state    State         // state of the node in the first notification, Draining or Gone
-	isTested bool          // whether the process has sent an attempt to any node after the grace
+	isTested bool          // whether the process has sent an attempt to any node later than DrainGrace after the notification
 }
 
-// applyNotification records that a sidecar was notified of a node's state. The grace begins with the first notification that
-// the node is draining or gone; a later notification that a draining node is gone does not extend it.
+// applyNotification records that a sidecar was notified of a node's state. Rules.DrainGrace begins with the first notification
+// that the node is draining or gone; a later notification that a draining node is gone does not extend it.
 func (c *checker) applyNotification(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
 	if e.State == Ready {
@@ -24,9 +24,9 @@
 	}
 }
 
-// checkDrain checks that the first byte of an attempt did not reach its node later than the grace after the process was
-// notified that the node is draining or gone. A notification counts as a test of the rule once the process has sent an
-// attempt to any node after the grace: a process that sends nothing cannot break the rule.
+// checkDrain checks that the first byte of an attempt did not reach its node later than Rules.DrainGrace after the process was
+// notified that the node is draining or gone. A notification counts as a test of the rule once the process has sent an attempt
+// to any node after DrainGrace: a process that sends nothing cannot break the rule.
 func (c *checker) checkDrain(process *sidecarState, e *Event) {
 	limit := c.rules.DrainGrace + c.rules.Tolerance
 	for node, n := range process.notifications {
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -6,7 +6,7 @@
 type Kind uint8
 
 // The kinds of events. Each comment names the fields of Event that are set beside At and, for events of a request, Request.
-// A request is identified by its ID, which is new for each attempt of a client and for each call of a node to the next tier.
+// A request is identified by its ID, which is new for each retry by a client and for each call of a node to the next tier.
 const (
 	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
 	ResponseReceived              // the client has received a complete response; Status and Genuine are set
@@ -59,19 +59,19 @@
 type Event struct {
 	At                   time.Duration // instant of the event since the start of the day
 	Kind                 Kind
-	Request              string        // ID of the request, which is new for each attempt of a client
-	Sidecar              string        // name of the sidecar
+	Request              string        // ID of the request; a retry by the client has a new ID
+	Sidecar              string        // name of the sidecar that the event happens at or is about
 	Node                 string        // ID of the node that the event happens at or is about
 	Class                int           // index in Rules.Classes of the request's class
 	Deadline             time.Duration // deadline of the request, since the start of the day
 	FirstByteAt          time.Duration // arrival of the attempt's first byte, since the start of the day
 	Work                 float64       // work of the attempt, in seconds on a core of speed 1
 	Status               int           // HTTP status of the response
-	Genuine              bool          // whether the response is a rejection or an error, or a node wrote its body for this request
+	Genuine              bool          // whether the response is a rejection or an error, or its body was written by a node for this request
 	Duplicate            bool          // whether the node dropped the attempt as a duplicate
 	Crash                bool          // whether the sidecar's process ended without a signal from the harness
 	State                State         // state of the node that the sidecar was notified of
-	Cell                 int           // index of the node's cell
+	Cell                 int           // index of the cell of the node that received the attempt
 	Capacity             float64       // seconds of work that the node does per second when it is warm
 	ColdCapacityFraction float64       // fraction of Capacity that the node has right after its start
 	WarmUpDuration       time.Duration // time from the node's start until it has its full Capacity; 0 if it starts warm
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The names in reports of occasions that several functions count. Result files contain them, so they must not change.
+// The names of the occasions that are counted in more than one place. Result files contain these names, so they must not change.
 const (
 	occasionAccepted        = "requests taken"
 	occasionLostWithSidecar = "went under with a sidecar that was ended"
@@ -21,7 +21,7 @@
 		if len(request.attempts) > 0 && !c.mayBeLost(request) {
 			c.addViolation(ruleFinalResponse, e, "its first connection was closed, though an attempt had been made")
 		}
-		request.attempts = nil // attempts by an earlier process of the sidecar no longer count
+		request.attempts = nil // attempts at nodes before the client sent the request again no longer count
 	} else {
 		c.countTestedOccasion(ruleFinalResponse, occasionAccepted)
 	}
@@ -29,7 +29,7 @@
 }
 
 // applyRequestNotWritten ends a request that the client could not write completely. The request no longer counts as an
-// accepted one, since the sidecar owes no response.
+// accepted request, since the sidecar owes no response to it.
 func (c *checker) applyRequestNotWritten(e *Event) {
 	request := c.request(e.Request)
 	request.hasEnded, request.endedAt = true, e.At
@@ -78,8 +78,8 @@
 }
 
 // checkResponse checks the first response to a request: it must come in time, a served body must be from a node, and a
-// request that is not safe must not be rejected if it may have run. A client may retry a rejected request, whose effect would
-// then come twice.
+// request that is not safe must not be rejected if it may have run. A client may retry a rejected request, which would then take
+// effect twice.
 func (c *checker) checkResponse(request *requestState, e *Event) {
 	if lateness := e.At - request.sentEvent.Deadline; lateness > c.rules.Tolerance && request.sidecarWasPaused() {
 		c.countOccasion(ruleFinalResponse, occasionDelayedByPause)
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// sidecarState holds what the events applied so far say about the current process of a sidecar. A restart replaces it by an
-// empty one.
+// sidecarState holds what the events applied so far say about the current process of a sidecar. A restart of the sidecar
+// replaces its state by an empty one.
 type sidecarState struct {
 	sigtermSent   bool
 	sigtermAt     time.Duration // instant at which the process was sent SIGTERM; valid if sigtermSent is set
@@ -53,7 +53,7 @@
 }
 
 // sidecarWasPaused reports whether the process that accepted the request was paused at some time since the request was
-// sent. The response may then be late, but there must still be only one, and nothing may take effect twice.
+// sent. The response may then be late, but there must still be only one response, and the request must not take effect twice.
 func (r *requestState) sidecarWasPaused() bool {
 	return r.process != nil && (r.process.isPaused || r.process.resumedAt > r.sentEvent.At)
 }
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -25,7 +25,7 @@
 	Description string        `json:"what"`
 }
 
-// RuleResult is the result of checking one rule.
+// RuleResult says whether one rule held on a timeline, how often it was tested, and how it was broken.
 type RuleResult struct {
 	Number          int            `json:"number"` // number of the rule, from 1
 	Name            string         `json:"name"`
@@ -36,7 +36,8 @@
 	ViolationCount  int            `json:"broken"`    // number of all violations of the rule, reported or not
 }
 
-// maxReportedViolations bounds the violations listed for a rule, since one cause can break it thousands of times.
+// maxReportedViolations is the largest number of violations that are listed for a rule, since one cause can break the rule
+// thousands of times.
 const maxReportedViolations = 100
 
 // The numbers of the rules, from 1, by which reports and result files refer to them.
@@ -51,7 +52,7 @@
 var ruleNames = [4]string{"one final answer in time", "no double effect", "nothing new to what drains or is gone",
 	"no cold endpoint pushed over"}
 
-// Report is the result of checking all rules.
+// Report holds the results of checking a timeline against all rules.
 type Report struct {
 	Rules     [4]RuleResult `json:"rules"`
 	Crashes   int           `json:"crashes"` // number of sidecar processes that ended without a signal from the harness
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -40,7 +40,7 @@
 	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Deadline: at + 2*s})
 }
 
-// attempt appends an attempt with 0.1 s of work that arrives within 1 ms.
+// attempt appends an attempt with 0.1 s of work. Its last byte arrives at the instant at, 1 ms after the first byte.
 func (l timeline) attempt(at time.Duration, id, node string, cell int) timeline {
 	return append(l, Event{At: at, FirstByteAt: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
@@ -63,10 +63,11 @@
 // newTimeline returns a timeline that begins with the start of the sidecar s.
 func newTimeline() timeline { return timeline{}.start(1, "s") }
 
-// timelineCases holds timelines for each rule: one for each fault that the rule guards against, and some that only just keep it.
+// timelineCases holds timelines for each rule: one for each fault that the rule guards against, and some that keep the rule but
+// come close to breaking it.
 var timelineCases = []struct {
 	name          string
-	rule          int    // number of the rule that the timeline holds or breaks
+	rule          int    // number of the rule that the timeline keeps or breaks
 	wantViolation string // part of the expected violation's description; empty: the rule must be held
 	events        timeline
 }{
@@ -164,7 +165,7 @@
 	}()},
 	{"attempt after the end of the request", 2, "after its end",
 		newTimeline().request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+100*ms, "r", "a", 1)},
-	{"attempt crossing the client's departure", 2, "",
+	{"attempt sent while the client disconnects", 2, "",
 		newTimeline().request(s, "q", readClass).attempt(s+ms, "q", "a", 1).end(s+2*ms, AttemptRejected, "q", "a").
 			attempt(s+3*ms, "q", "a", 1).end(s+4*ms, AttemptCompleted, "q", "a").respond(s+5*ms, "q", 200).
 			request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+51*ms, "r", "a", 1)},
@@ -203,9 +204,9 @@
 	}()},
 }
 
-// coldStart returns a timeline in which a node starts at 1 s with 0.3 of its capacity of 1 and receives n attempts of 0.12 s
-// of work each from 2 s on. The node has 0.37 of its capacity then, so the limit is 4 * 0.37 * 3 s of work and a tenth more,
-// 4.88 s.
+// coldStart returns a timeline in which a node with a capacity of 1 starts at 1 s with 0.3 of it, and receives n attempts of
+// 0.12 s of work each from 2 s on. At 2 s the node has 0.37 of its capacity, so the limit is 1.1 * 4 * 0.37 * 3 s = 4.88 s of
+// work.
 func coldStart(n int) timeline {
 	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityFraction: 0.3, WarmUpDuration: 10 * s},
 		{At: s + ms, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: Ready, StartedAt: s}}
