--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -58,8 +58,9 @@
 
 // Send implements Sender. WrittenAt of its responses is the instant at which the request's header was written to the connection.
 func (h *HTTP) Send(ctx context.Context, n int64) (response Response) {
-	// The transport calls the trace's functions on its own goroutines, possibly after the round trip has returned.
-	var connections atomic.Int32 // number of connections used; more than one if the transport sent the request again
+	// The variables that the trace's functions set are atomic, since the transport calls these functions on its own goroutines,
+	// possibly after the round trip has returned.
+	var connections atomic.Int32 // number of connections used for the request; more than one if the transport sent the request again
 	var headerWritten atomic.Pointer[time.Time]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connections.Add(1) },
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -107,7 +107,7 @@
 }
 
 // Merge adds the result o of one or more other runs to r, as if a single load generator had sent the requests of all runs at the same
-// time. The measurements of the same second of each run are added up. The merged result is valid if r and o are valid.
+// time. The measurements of second n of r and second n of o are added up. The merged result is valid if r and o are valid.
 func (r *Result) Merge(o *Result) {
 	r.Runs += o.Runs
 	r.Scheduled, r.NotSent, r.Resent = r.Scheduled+o.Scheduled, r.NotSent+o.NotSent, r.Resent+o.Resent
@@ -126,16 +126,16 @@
 	r.ServiceTime.Merge(o.ServiceTime)
 	r.SendLateness.Merge(o.SendLateness)
 	for i, s := range o.Seconds {
-		sum := r.secondAt(time.Duration(i) * time.Second)
-		sum.Scheduled, sum.NotSent = sum.Scheduled+s.Scheduled, sum.NotSent+s.NotSent
-		sum.Latency.Merge(s.Latency)
+		merged := r.secondAt(time.Duration(i) * time.Second)
+		merged.Scheduled, merged.NotSent = merged.Scheduled+s.Scheduled, merged.NotSent+s.NotSent
+		merged.Latency.Merge(s.Latency)
 	}
 }
 
 // WriteTable writes a summary of the result and a table of its histograms, in milliseconds, for human readers.
 func (r *Result) WriteTable(w io.Writer) error {
 	var b strings.Builder
-	sendSeconds := max(r.SendDuration.Seconds(), 1e-9) // avoids a division by zero
+	sendSeconds := max(r.SendDuration.Seconds(), 1e-9) // at least 1e-9, to avoid a division by zero
 	fmt.Fprintf(&b, "due %d in %.1f s (%.1f a second), answered %d, not sent for lack of connections %d", r.Scheduled, sendSeconds, float64(r.Scheduled)/sendSeconds, r.Latency.Count(), r.NotSent)
 	if r.Runs > 1 {
 		fmt.Fprintf(&b, "; %d runs together", r.Runs)
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -14,9 +14,11 @@
 // change it.
 func TestMergeEqualsASingleRun(t *testing.T) {
 	type request struct {
-		due, duration, lateness int  // in milliseconds: instant in the run at which the request is due, time from its write to its end, time from due to its write
-		status                  int  // HTTP status; 0: the request failed
-		isInSecondPart          bool // whether the request is counted in the second of the two merged results
+		due            int  // milliseconds from the start of the run to the instant at which the request is due
+		duration       int  // milliseconds from the write of the request to its end
+		lateness       int  // milliseconds from the instant at which the request is due to its write
+		status         int  // HTTP status; 0: the request failed
+		isInSecondPart bool // whether the request is counted in the second of the two merged results
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		requests := rapid.SliceOf(rapid.Custom(func(t *rapid.T) request {
@@ -52,7 +54,7 @@
 			parts[i] = decoded
 		}
 		parts[0].Merge(parts[1])
-		single.Runs = 2 // Merge counts the runs of the merged results
+		single.Runs = 2 // the merged result has 2 runs, since Merge adds up the runs of both parts
 		if got, want := formatResult(t, parts[0]), formatResult(t, single); !reflect.DeepEqual(got, want) {
 			t.Fatalf("merged:\n%s\nwant the result of a single run:\n%s", got, want)
 		}
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -12,11 +12,11 @@
 type Result struct {
 	Options      Options       // options of the run; the zero value in a result that Read has decoded
 	Runs         int           // number of runs that the result holds: 1 unless results were merged
-	SendDuration time.Duration // time during which requests were sent; of merged runs, the longest such time
+	SendDuration time.Duration // time during which requests were sent; in a merged result, the longest of all runs
 
-	Scheduled int64 // requests that were due during the run, sent or not
-	NotSent   int64 // requests that were not sent, since all connections were in use
-	Resent    int64 // requests that the transport sent again, since a reused connection had been closed
+	Scheduled int64 // number of requests that were due during the run, sent or not
+	NotSent   int64 // number of requests that were not sent, since all connections were in use
+	Resent    int64 // number of requests that the transport sent again, since a reused connection had been closed
 
 	// LatencyByOutcome holds the times from when a request was due to its end, by HTTP status ("200"), or by Response.Failure
 	// for requests without a complete response.
@@ -24,7 +24,7 @@
 	Latency          *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
 	ServiceTime      *schedule.LatencyHistogram // times from when a request was written to its complete response
 	SendLateness     *schedule.LatencyHistogram // times from when a request was due to when the generator had written it
-	Seconds          []Second                   // measurements by the second of the run in which requests were due; the index is the second's number from 0
+	Seconds          []Second                   // measurements of the requests that were due in each second of the run; Seconds[0] is for the first second
 
 	Interrupted bool   // whether the run was ended before Options.Duration had passed
 	Invalid     string // reason why the generator was too slow to measure the server; empty if the measurements are valid
@@ -41,8 +41,8 @@
 
 // Second holds the measurements of the requests that were due during one second of a run.
 type Second struct {
-	Scheduled int64                      // requests that were due, sent or not
-	NotSent   int64                      // requests that were due but not sent, since all connections were in use
+	Scheduled int64                      // number of requests that were due, sent or not
+	NotSent   int64                      // number of requests that were due but not sent, since all connections were in use
 	Latency   *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
 }
 
@@ -69,8 +69,8 @@
 	s.NotSent++
 }
 
-// record counts a request that was sent and has ended at done. instant is the time from the start of the run to the time due.
-func (r *Result) record(instant time.Duration, due, done time.Time, response Response) {
+// record counts a request that was sent and has ended at endedAt. instant is the time from the start of the run to due.
+func (r *Result) record(instant time.Duration, due, endedAt time.Time, response Response) {
 	r.Scheduled++
 	s := r.secondAt(instant)
 	s.Scheduled++
@@ -83,16 +83,16 @@
 	outcome := response.Failure
 	if response.Status != 0 {
 		outcome = strconv.Itoa(response.Status)
-		s.Latency.Record(done.Sub(due))
-		r.Latency.Record(done.Sub(due))
+		s.Latency.Record(endedAt.Sub(due))
+		r.Latency.Record(endedAt.Sub(due))
 		if !response.WrittenAt.IsZero() {
-			r.ServiceTime.Record(done.Sub(response.WrittenAt))
+			r.ServiceTime.Record(endedAt.Sub(response.WrittenAt))
 		}
 	}
 	if r.LatencyByOutcome[outcome] == nil {
 		r.LatencyByOutcome[outcome] = schedule.NewLatencyHistogram()
 	}
-	r.LatencyByOutcome[outcome].Record(done.Sub(due))
+	r.LatencyByOutcome[outcome].Record(endedAt.Sub(due))
 }
 
 // checkSendLateness sets r.Invalid if the p99 of SendLateness exceeds Options.MaxSendLateness.
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -13,14 +13,14 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Sender sends the requests of a run. Run calls its method concurrently.
+// Sender sends the requests of a run. Run calls Send from several goroutines at the same time.
 type Sender interface {
-	// Send sends request number n, counted from 0. It returns when the response is complete or the request has failed, and at the
-	// latest when ctx is done.
+	// Send sends request number n, counted from 0. It returns when the response is complete or the request has failed, at the latest
+	// when ctx is done.
 	Send(ctx context.Context, n int64) Response
 }
 
-// Response is the outcome of a request.
+// Response says how a request ended, with or without a complete response.
 type Response struct {
 	WrittenAt time.Time // instant at which the request was written to a connection; zero if the request was not written
 	Status    int       // HTTP status of the complete response; 0 if there is none
@@ -54,7 +54,8 @@
 const randStream = 0x6c6f6164
 
 // Run sends requests until Options.Duration has passed or ctx is done, and then waits for the responses of the requests in flight. The
-// result covers all requests that were due before sending ended. Memory use is bounded by Connections and by the run's duration in seconds.
+// result covers all requests that were due before sending ended. Memory use grows with Options.Connections and with the number of
+// seconds of the run, but not with the number of requests.
 func Run(ctx context.Context, o Options, sender Sender) (*Result, error) {
 	stream, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, randStream)), o.Process)
 	switch {
@@ -93,10 +94,10 @@
 			requestCtx, cancel := context.WithDeadline(context.Background(), due.Add(o.ResponseTimeout))
 			defer cancel()
 			response := sender.Send(requestCtx, n)
-			done := time.Now()
+			endedAt := time.Now()
 			mu.Lock()
 			defer mu.Unlock()
-			result.record(instant, due, done, response)
+			result.record(instant, due, endedAt, response)
 		})
 	}
 	result.SendDuration = min(time.Since(start), o.Duration)
@@ -106,7 +107,8 @@
 	return result, nil
 }
 
-// waitUntil waits until an instant. It returns false as soon as ctx is done, and true otherwise. It resets timer, which has no other use.
+// waitUntil waits until an instant and returns true, or returns false as soon as ctx is done. It resets timer, which must have no
+// other use.
 func waitUntil(ctx context.Context, timer *time.Timer, instant time.Time) bool {
 	if d := time.Until(instant); d > 0 {
 		timer.Reset(d)
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -64,7 +64,7 @@
 type serverDelays struct {
 	processing  func(n int64) time.Duration // returns the processing time of request n, without the wait for the end of a stall
 	stallPeriod time.Duration               // time from the end of one stall to the end of the next
-	stallLength time.Duration               // length of each stall, at the end of which the processing of the requests that have arrived begins
+	stallLength time.Duration               // length of each stall; requests that arrive during a stall are processed from its end on
 }
 
 // delayOf returns the time from the arrival of request n, at an instant of the run, to its response.
@@ -77,8 +77,8 @@
 	return delay + d.processing(n)
 }
 
-// requestFraction returns a pseudo-random number from 0 to 1 that depends on the request's number alone.
-func requestFraction(n int64) float64 {
+// randomFraction returns a pseudo-random number from 0 to 1 that depends on the request's number alone.
+func randomFraction(n int64) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, n) // writing to a hash does not fail
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).Float64()
@@ -116,10 +116,10 @@
 	return result
 }
 
-// expectedLatency computes the latencies from the schedule and the delays, without sending requests. The function that it
-// returns gives the bounds of a quantile: the latencies of the ranks just below and above, since there are several ways to
-// round a rank.
-func expectedLatency(t *testing.T, o Options, d serverDelays) (quantile func(fraction float64) (lo, hi time.Duration)) {
+// computeExpectedQuantiles computes the latencies from the schedule and the delays, without sending requests. The function that it
+// returns gives the bounds of a quantile: the latencies of the ranks just below and above the quantile's rank, since there are
+// several ways to round a rank.
+func computeExpectedQuantiles(t *testing.T, o Options, d serverDelays) (quantile func(fraction float64) (lo, hi time.Duration)) {
 	t.Helper()
 	s, err := schedule.NewStream(rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), o.Process) // the same seed, and thus the same schedule, as in Run
 	if err != nil {
@@ -140,16 +140,16 @@
 	}
 }
 
-// The quantiles that Run measures are those that follow from the server's delays, within 1 % or 1 ms. In particular a stall of the server
-// shows in full, while a closed loop misses it.
+// The quantiles that Run measures are those that follow from the server's delays, within 1 % or 1 ms. In particular, the p99 shows the
+// server's stalls, which a closed loop mostly misses.
 func TestLatencyMatchesServerDelays(t *testing.T) {
 	for name, d := range map[string]serverDelays{
 		"constant": {processing: func(int64) time.Duration { return 10 * time.Millisecond }},
 		"exponential": {processing: func(n int64) time.Duration {
-			return time.Duration(-math.Log(1-requestFraction(n)) * float64(20*time.Millisecond))
+			return time.Duration(-math.Log(1-randomFraction(n)) * float64(20*time.Millisecond))
 		}},
 		"bimodal": {processing: func(n int64) time.Duration {
-			if requestFraction(n) < 0.95 {
+			if randomFraction(n) < 0.95 {
 				return 5 * time.Millisecond
 			}
 			return 300 * time.Millisecond
@@ -161,9 +161,9 @@
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(100), Gaps: schedule.Exponential}, Seed: 4, Duration: 20 * time.Second,
 					ResponseTimeout: 10 * time.Second, Connections: 1000}
 				result := measure(t, o, d)
-				expected := expectedLatency(t, o, d)
+				expectedQuantile := computeExpectedQuantiles(t, o, d)
 				for _, fraction := range []float64{0.5, 0.9, 0.99, 0.999} {
-					lo, hi := expected(fraction)
+					lo, hi := expectedQuantile(fraction)
 					if got := result.Latency.Quantile(fraction); got < lo-max(lo/100, time.Millisecond) || got > hi+max(hi/100, time.Millisecond) {
 						t.Errorf("p%v: %v, want %v to %v", 100*fraction, got, lo, hi)
 					}
@@ -174,11 +174,11 @@
 						result.Scheduled, result.CountByOutcome(), result.NotSent, result.Invalid, result.SendLateness.Max())
 				}
 				if name == "stall" {
-					closed := measureClosedLoop(t, o.Duration, d)
-					t.Logf("p99 with a stall: %v in an open loop, %v in a closed loop", result.Latency.Quantile(0.99), closed.Quantile(0.99))
-					if closed.Quantile(0.99) > 20*time.Millisecond || result.Latency.Quantile(0.99) < time.Second {
+					closedLoop := measureClosedLoop(t, o.Duration, d)
+					t.Logf("p99 with a stall: %v in an open loop, %v in a closed loop", result.Latency.Quantile(0.99), closedLoop.Quantile(0.99))
+					if closedLoop.Quantile(0.99) > 20*time.Millisecond || result.Latency.Quantile(0.99) < time.Second {
 						t.Errorf("p99 with a stall: %v in an open loop, want at least 1s; %v in a closed loop, want at most 20ms",
-							result.Latency.Quantile(0.99), closed.Quantile(0.99))
+							result.Latency.Quantile(0.99), closedLoop.Quantile(0.99))
 					}
 				}
 			})
@@ -213,10 +213,10 @@
 	})
 }
 
-func TestServerFaults(t *testing.T) {
+func TestServerFaultsDetermineTheOutcomeOfRequests(t *testing.T) {
 	const statusLine = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
-		serve       func(net.Conn) // handles one connection, which is closed when it returns
+		serve       func(net.Conn) // serves one connection, which is closed when serve returns
 		wantOutcome string         // outcome that all requests must have
 	}{
 		"never responds": {func(nc net.Conn) { io.Copy(io.Discard, nc) }, FailureTimeout},
@@ -230,16 +230,16 @@
 			}
 		}, FailureTimeout},
 		"closes in the middle of a response": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
+			_, _ = nc.Read(make([]byte, 4096)) // the result is ignored, since the response depends neither on the request's content nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 100\r\n\r\nhalf")
 		}, FailureBrokenOff},
 		"closes at once": {func(net.Conn) {}, FailureBrokenOff},
 		"closes after each response": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
+			_, _ = nc.Read(make([]byte, 4096)) // the result is ignored, since the response depends neither on the request's content nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 2\r\nConnection: close\r\n\r\nhi")
 		}, "200"},
 		"sends a second response without a request": {func(nc net.Conn) {
-			_, _ = nc.Read(make([]byte, 4096)) // the response depends neither on the content of the request nor on an error
+			_, _ = nc.Read(make([]byte, 4096)) // the result is ignored, since the response depends neither on the request's content nor on an error
 			io.WriteString(nc, statusLine+"Content-Length: 2\r\n\r\nhi"+statusLine+"Content-Length: 1\r\n\r\nx")
 		}, "200"},
 	} {
@@ -273,7 +273,7 @@
 	}
 }
 
-// lateSender writes each request late by a fixed time and gets its response at once.
+// lateSender is a Sender whose requests are all written late by the same time and get their responses at once.
 type lateSender struct{ lateness time.Duration }
 
 func (s lateSender) Send(context.Context, int64) Response {
