--- a/internal/testkit/schedule/latency.go
+++ b/internal/testkit/schedule/latency.go
@@ -34,7 +34,7 @@
 func (l *LatencyHistogram) Count() int64 { return l.histogram.TotalCount() }
 
 // Quantile returns the latency that the given fraction of all recorded latencies did not exceed: the median for 0.5, the
-// 99th percentile for 0.99. It returns 0 if none was recorded.
+// 99th percentile for 0.99. It returns 0 if no latency was recorded.
 func (l *LatencyHistogram) Quantile(fraction float64) time.Duration {
 	if l.Count() == 0 {
 		return 0
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -15,7 +15,7 @@
 type Burst struct {
 	Start    time.Duration // time from the start of the run to the start of the burst
 	Duration time.Duration // duration of the burst, both ramps included
-	Ramp     time.Duration // time in which the rate rises linearly at the start of the burst, and falls linearly at its end; 0: the rate jumps
+	Ramp     time.Duration // length of the linear rise of the rate at the start of the burst, and of its linear fall at the end; 0: the rate jumps
 	Factor   float64       // factor by which the rate is multiplied between the two ramps
 }
 
@@ -38,7 +38,8 @@
 	Bursts    []Burst // bursts in any order; the factors of bursts that overlap are multiplied
 }
 
-// PerSecondAt returns the rate at an instant of the run, in arrivals per second, with the bursts that are under way then.
+// PerSecondAt returns the rate at an instant of the run, in arrivals per second. The rate includes the bursts that are under way at
+// that instant.
 func (r Rate) PerSecondAt(instant time.Duration) float64 {
 	rate := r.PerSecond
 	for _, b := range r.Bursts {
@@ -61,7 +62,8 @@
 	At     time.Duration // instant at which the request is due, from the start of the run
 	Class  int           // index of the request's class in Mix.Classes
 	Tenant int           // index of the request's tenant in Mix.Tenants
-	// Seed is the seed for other random properties of the request. They thus don't depend on the order in which requests are handled.
+	// Seed is the seed from which other random properties of the request are drawn, so that these properties don't depend on the
+	// order in which requests are handled.
 	Seed uint64 `json:"Draw"`
 }
 
@@ -81,7 +83,8 @@
 	if bound <= 0 || math.IsInf(bound, 0) || math.IsNaN(bound) {
 		return nil, fmt.Errorf("an arrival rate of up to %v per second is not positive and finite", bound)
 	}
-	// The bound may exceed the mean rate by far, so a schedule is rejected here only if the bound allows over four times MaxArrivals.
+	// The upper bound of the rate may exceed the mean rate by far, so a mix is rejected before any arrival is drawn only if over four
+	// times MaxArrivals are expected at that bound.
 	if candidates := bound * m.Length.Seconds(); candidates > 4*float64(m.MaxArrivals) {
 		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", candidates, m.MaxArrivals)
 	}
@@ -115,7 +118,7 @@
 			return i
 		}
 	}
-	return max(len(weights)-1, 0) // rounding errors can leave a remainder after the last weight; then the last index is drawn
+	return max(len(weights)-1, 0) // rounding errors can leave a remainder after the last weight; if so, the last index is drawn
 }
 
 // Dispatch calls send for each arrival at the instant at which it is due, until all are sent or stop is closed. i is the
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// burstMix returns the arrivals of 30 s, with three times the rate during the second 10 s.
+// burstMix returns a mix of 30 s whose rate of 200 per second is three times as high from 10 s to 20 s.
 func burstMix() Mix {
 	return Mix{Rate: Rate{PerSecond: 200, Bursts: []Burst{{Start: 10 * time.Second, Duration: 10 * time.Second, Factor: 3}}},
 		Length: 30 * time.Second, Classes: []float64{3, 1}, Tenants: []float64{1, 1}, MaxArrivals: 100000}
@@ -43,12 +43,12 @@
 	})
 }
 
-func TestBurstAndClassFrequencies(t *testing.T) {
+func TestArrivalsFollowBurstAndClassFrequencies(t *testing.T) {
 	arrivals, err := DrawArrivals(rand.New(rand.NewPCG(7, 1)), burstMix())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var countPer10s [3]float64 // number of arrivals in each 10 s of the 30 s
+	var countPer10s [3]float64 // number of arrivals in each third of the run, which is 10 s long
 	firstClassCount := 0.0     // number of arrivals of class 0
 	for _, a := range arrivals {
 		countPer10s[a.At/(10*time.Second)]++
@@ -89,7 +89,7 @@
 	}
 }
 
-// Arrivals are dispatched on time even if the server responds to none of the earlier ones.
+// Arrivals are dispatched on time even if the server responds to none of the earlier requests.
 func TestDispatchIsOnTimeWhileTheServerStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -97,13 +97,13 @@
 		for i := range 50 {
 			arrivals = append(arrivals, Arrival{At: time.Duration(i) * 100 * time.Millisecond})
 		}
-		serverStalls := make(chan struct{}) // closed at the end of the stall
-		var sent []time.Duration            // times from start to the calls of send
+		stallEnded := make(chan struct{}) // closed at the end of the stall
+		var sent []time.Duration          // time of each call of send, since start
 		Dispatch(start, arrivals, nil, func(i int, due time.Time) {
 			sent = append(sent, time.Since(start))
-			go func() { <-serverStalls }() // stands for a request that waits for its response until the stall ends
+			go func() { <-stallEnded }() // stands for a request that waits for its response until the stall ends
 		})
-		close(serverStalls)
+		close(stallEnded)
 		for i, at := range sent {
 			if at != arrivals[i].At {
 				t.Errorf("arrival %d dispatched at %v, want %v", i, at, arrivals[i].At)
@@ -130,7 +130,8 @@
 	})
 }
 
-// Merging the histograms of two sets of latencies gives the histogram of both sets, for latencies inside and outside its range.
+// Merging the histograms of two sets of latencies gives the histogram of both sets, for latencies inside and outside the range of a
+// histogram.
 func TestLatencyHistogramMergeIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, a, b := NewLatencyHistogram(), NewLatencyHistogram(), NewLatencyHistogram()
@@ -152,7 +153,7 @@
 	})
 }
 
-func TestLatencyHistogramPrecision(t *testing.T) {
+func TestLatencyHistogramQuantilesArePrecise(t *testing.T) {
 	l := NewLatencyHistogram()
 	if l.Quantile(0.5) != 0 {
 		t.Error("the median of an empty histogram is not 0")
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -11,12 +11,12 @@
 // Point is the arrival rate at one instant of a Curve.
 type Point struct {
 	At        time.Duration // time from the start of the run
-	PerSecond float64       // arrivals per second at that time, from 0 to maxRate
+	PerSecond float64       // arrivals per second at the instant At, from 0 to maxRate
 }
 
 // Curve is an arrival rate over time, given by points in order of time. Between two points the rate is interpolated linearly;
-// two points at the same instant make a step. Before the first point the rate is that of the first, and after the last point
-// that of the last.
+// two points at the same instant make a step. Before the first point the rate is that of the first point, and after the last point
+// that of the last point.
 type Curve []Point
 
 // Steady returns the curve of a constant rate.
@@ -52,7 +52,7 @@
 type Process struct {
 	Rate Curve         // mean arrival rate over time
 	Gaps Gaps          // distribution of the times between arrivals
-	Tail float64       // exponent of the distribution Pareto, over 1; lower values give more extreme gaps; unused otherwise
+	Tail float64       // exponent of the Pareto distribution, over 1; lower values give more extreme gaps; unused for other gaps
 	On   time.Duration // mean length of OnOff's phases with arrivals; unused for other gaps
 	Off  time.Duration // mean length of OnOff's phases without arrivals; unused for other gaps
 }
@@ -69,11 +69,11 @@
 	hasDrawnFirstGap bool    // whether the first gap of Even has been drawn
 	now              float64 // seconds from the start of the run up to which arrivals have been generated
 	nextPoint        int     // index of the first point of the rate curve that is later than now
-	isOn             bool    // whether the present phase of OnOff is one with arrivals
+	isOn             bool    // whether the present phase of OnOff has arrivals
 	phaseEnd         float64 // seconds from the start of the run to the end of the present OnOff phase; infinite for other gaps
 }
 
-// NewStream returns a Stream that starts at instant 0. Random number generators in the same state give the same
+// NewStream returns a Stream of arrivals from instant 0 of a run on. Random number generators in the same state give the same
 // arrivals.
 func NewStream(rng *rand.Rand, p Process) (*Stream, error) {
 	if err := p.Rate.validate(); err != nil {
@@ -125,10 +125,10 @@
 	return 1
 }
 
-// Next returns the next arrival's time from the start of the run; ok is false if there is none before end.
+// Next returns the time from the start of the run to the next arrival; ok is false if there is no further arrival before end.
 func (s *Stream) Next(end time.Duration) (instant time.Duration, ok bool) {
-	// The integral of the rate from now to the next arrival equals the drawn gap, in mean gaps. It is evaluated one linear segment of
-	// the rate after another.
+	// The integral of the rate from now to the next arrival equals the drawn gap, in units of the mean gap. The integral is
+	// evaluated for one linear segment of the rate after another.
 	remaining := s.drawGap()
 	for {
 		segmentEnd, rateNow, rateAtEnd := s.segment(end.Seconds())
@@ -149,8 +149,8 @@
 	}
 }
 
-// segment finds the longest time from now, at most until limit, during which the rate is linear. It returns the end of that time in
-// seconds from the start of the run, and the rates now and at that end.
+// segment finds the longest linear segment of the rate that begins now and ends at limit at the latest. It returns the end of the
+// segment in seconds from the start of the run, and the rates now and at the end of the segment, in arrivals per second.
 func (s *Stream) segment(limit float64) (end, rateNow, rateAtEnd float64) {
 	curve := s.process.Rate
 	for s.nextPoint < len(curve) && curve[s.nextPoint].At.Seconds() <= s.now {
@@ -181,7 +181,7 @@
 	return end, max(rateNow, 0), max(rateAtEnd, 0)
 }
 
-// advance sets s.now to an instant in seconds from the start of the run, and begins the OnOff phases that are due by then.
+// advance sets s.now to an instant in seconds from the start of the run, and switches to the OnOff phase of that instant.
 func (s *Stream) advance(instant float64) {
 	s.now = instant
 	for s.now >= s.phaseEnd {
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawStream returns the instants of all arrivals of a process in a run of the given length, in seconds.
-func drawStream(tb testing.TB, seed uint64, p Process, length time.Duration) (instants []float64) {
+// drawInstants returns the instants of all arrivals of a process in a run of the given length, as seconds from the run's start.
+func drawInstants(tb testing.TB, seed uint64, p Process, length time.Duration) (instants []float64) {
 	tb.Helper()
 	s, err := NewStream(rand.New(rand.NewPCG(seed, 3)), p)
 	if err != nil {
@@ -34,9 +34,9 @@
 	return gaps
 }
 
-// dispersion returns the index of dispersion of counts: the ratio of the variance to the mean of the number of arrivals per
+// indexOfDispersion returns the index of dispersion of counts: the ratio of the variance to the mean of the number of arrivals per
 // window. length and window are in seconds.
-func dispersion(instants []float64, length, window float64) float64 {
+func indexOfDispersion(instants []float64, length, window float64) float64 {
 	counts := make([]float64, int(length/window))
 	for _, instant := range instants {
 		if i := int(instant / window); i < len(counts) {
@@ -64,18 +64,18 @@
 	return maxDistance
 }
 
-// ksCritical returns the value that the Kolmogorov-Smirnov statistic of n samples exceeds by chance once in a thousand times.
-func ksCritical(n int) float64 { return 1.95 / math.Sqrt(float64(n)) }
+// ksCriticalValue returns the value that the Kolmogorov-Smirnov statistic of n samples exceeds by chance once in a thousand times.
+func ksCriticalValue(n int) float64 { return 1.95 / math.Sqrt(float64(n)) }
 
 // Every distribution of gaps gives the right number of arrivals, the right dispersion of their counts, and gaps that pass a
 // Kolmogorov-Smirnov test.
-func TestStreamStatistics(t *testing.T) {
+func TestStreamArrivalsHaveTheExpectedStatistics(t *testing.T) {
 	const rate, length = 400.0, 500 * time.Second
 	const wantCount = rate * 500
 	exponentialCDF := func(x float64) float64 { return 1 - math.Exp(-rate*x) }
 	for name, c := range map[string]struct {
 		process             Process
-		countTolerance      float64               // allowed deviation of the number of arrivals, as a fraction: five standard deviations
+		countTolerance      float64               // allowed deviation of the number of arrivals, as a fraction of the expected number: five standard deviations, or one arrival for even gaps
 		dispersion          float64               // expected index of dispersion in windows of one second
 		dispersionTolerance float64               // allowed deviation of the index of dispersion
 		gapCDF              func(float64) float64 // cumulative distribution of the gaps in seconds; nil: not tested
@@ -87,7 +87,7 @@
 			return 1
 		}},
 		"exponential": {Process{Gaps: Exponential}, 5 / math.Sqrt(wantCount), 1, 0.35, exponentialCDF},
-		// The gaps have a variance if the exponent a is over 2: minGap^2 * a / ((a-2) * (a-1)^2). The index of dispersion tends to the
+		// With an exponent a over 2, the gaps have the variance minGap^2 * a / ((a-2) * (a-1)^2). The index of dispersion tends to the
 		// variance divided by the square of the mean gap, which is 1 / (a * (a-2)).
 		"pareto": {Process{Gaps: Pareto, Tail: 3}, 5 * math.Sqrt(1.0/3/wantCount), 1.0 / 3, 0.25, func(x float64) float64 {
 			minGap := 2.0 / 3 / rate
@@ -103,11 +103,11 @@
 			1 + 2*rate*0.05*(1-0.05*(1-math.Exp(-20))), 12, nil},
 	} {
 		c.process.Rate = Steady(rate)
-		instants := drawStream(t, 11, c.process, length)
+		instants := drawInstants(t, 11, c.process, length)
 		if deviation := math.Abs(float64(len(instants))/wantCount - 1); deviation > c.countTolerance+1e-9 {
 			t.Errorf("%s: %d arrivals, want about %.0f", name, len(instants), wantCount)
 		}
-		d := dispersion(instants, length.Seconds(), 1)
+		d := indexOfDispersion(instants, length.Seconds(), 1)
 		if math.Abs(d-c.dispersion) > c.dispersionTolerance {
 			t.Errorf("%s: index of dispersion %.3f, want %.3f within %.3f", name, d, c.dispersion, c.dispersionTolerance)
 		}
@@ -117,8 +117,8 @@
 		}
 		gaps := gapsBetween(instants)
 		if name != "even" {
-			if ks := ksStatistic(gaps, c.gapCDF); ks > ksCritical(len(gaps)) {
-				t.Errorf("%s: the Kolmogorov-Smirnov statistic of the gaps is %.5f, want at most %.5f", name, ks, ksCritical(len(gaps)))
+			if ks := ksStatistic(gaps, c.gapCDF); ks > ksCriticalValue(len(gaps)) {
+				t.Errorf("%s: the Kolmogorov-Smirnov statistic of the gaps is %.5f, want at most %.5f", name, ks, ksCriticalValue(len(gaps)))
 			}
 		} else if lo, hi := slices.Min(gaps), slices.Max(gaps); hi-lo > 3e-9 { // gaps may differ a little, since instants are rounded to nanoseconds
 			t.Errorf("even gaps are from %v s to %v s, want a difference of 3 ns at most", lo, hi)
@@ -126,24 +126,25 @@
 	}
 }
 
-// The statistics of TestStreamStatistics detect a process with another distribution or rate than expected.
-func TestStreamStatisticsDetectOtherProcesses(t *testing.T) {
-	even := drawStream(t, 1, Process{Rate: Steady(400), Gaps: Even}, 100*time.Second)
-	poisson := drawStream(t, 1, Process{Rate: Steady(400), Gaps: Exponential}, 100*time.Second)
-	if d := dispersion(even, 100, 1); d > 0.5 {
+// The statistics with which TestStreamArrivalsHaveTheExpectedStatistics checks arrivals detect a process with another distribution
+// or rate than expected.
+func TestExpectedStatisticsDetectOtherProcesses(t *testing.T) {
+	evenInstants := drawInstants(t, 1, Process{Rate: Steady(400), Gaps: Even}, 100*time.Second)
+	poissonInstants := drawInstants(t, 1, Process{Rate: Steady(400), Gaps: Exponential}, 100*time.Second)
+	if d := indexOfDispersion(evenInstants, 100, 1); d > 0.5 {
 		t.Errorf("even gaps have an index of dispersion of %v, want at most 0.5 (a Poisson process has 1)", d)
 	}
-	cdfOfLowerRate := func(x float64) float64 { return 1 - math.Exp(-380*x) } // expects a rate of 380 per second, while that of the arrivals is 400
-	if ks := ksStatistic(gapsBetween(poisson), cdfOfLowerRate); ks < ksCritical(len(poisson)-1) {
-		t.Errorf("a rate that is 5 %% too high is not detected: Kolmogorov-Smirnov statistic %v, want at least %v", ks, ksCritical(len(poisson)-1))
+	cdfOfLowerRate := func(x float64) float64 { return 1 - math.Exp(-380*x) } // CDF for a rate of 380 per second, while the arrivals have a rate of 400
+	if ks := ksStatistic(gapsBetween(poissonInstants), cdfOfLowerRate); ks < ksCriticalValue(len(poissonInstants)-1) {
+		t.Errorf("a rate that is 5 %% too high is not detected: Kolmogorov-Smirnov statistic %v, want at least %v", ks, ksCriticalValue(len(poissonInstants)-1))
 	}
 }
 
-// On ramps and steps, the number of arrivals in each interval is the integral of the rate curve over it.
+// On ramps and steps of a rate curve, the number of arrivals in each interval is the integral of the curve over the interval.
 func TestStreamFollowsTheRateCurve(t *testing.T) {
 	curve := Curve{{0, 0}, {10 * time.Second, 1000}, {10 * time.Second, 100}, {20 * time.Second, 100}, {30 * time.Second, 0}}
 	for _, gaps := range []Gaps{Even, Exponential, Pareto} {
-		instants := drawStream(t, 5, Process{Rate: curve, Gaps: gaps, Tail: 3}, 40*time.Second)
+		instants := drawInstants(t, 5, Process{Rate: curve, Gaps: gaps, Tail: 3}, 40*time.Second)
 		var counts [8]float64 // number of arrivals in each interval of 5 s
 		for _, instant := range instants {
 			counts[int(instant/5)]++
