--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -39,7 +39,7 @@
 }
 
 // DNS is a DNS server on loopback over UDP and TCP (RFC 1035) that serves the records given to Set. Like a recursive server
-// it follows chains of aliases, up to dnsMaxAliases names, which also ends a loop of aliases. It is safe for concurrent use.
+// it follows chains of aliases, up to dnsMaxLookups names, which also ends a loop of aliases. It is safe for concurrent use.
 // It has a goroutine for each protocol, TCP connection and UDP query in flight; Close ends them.
 type DNS struct {
 	Addr       string       // address of the server for UDP and TCP
