--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// unknown stands in violation texts for the state of a daemon that a view does not contain. It is never the State of an Event.
-const unknown = "unknown"
+// unknownState stands in violation texts for the state of a daemon that a view does not contain. It is never the State of an Event.
+const unknownState = "unknown"
 
 // Rule identifies an invariant of a cluster by the name that results give it.
 type Rule string
 
-// The rules that CheckMembership checks.
+// CheckMembership checks these rules against the timeline of a cluster.
 const (
-	// FailureDetected: all running daemons detect the end of another daemon within Limits.DetectWithin.
+	// FailureDetected: all running daemons detect within Limits.DetectWithin that another daemon's process has ended.
 	FailureDetected Rule = "who is gone is found out in time"
 	// NoFalsePositive: no running daemon is seen as failed, except during a fault and until Limits.SettleWithin after it.
 	NoFalsePositive Rule = "nobody who answers is held for failed"
@@ -25,7 +25,8 @@
 	LeftIsNotFailed Rule = "who left has not failed, and comes back with a new incarnation only"
 	// IncarnationsMonotonic: the incarnation of a daemon in another daemon's view never decreases.
 	IncarnationsMonotonic Rule = "incarnations never go back"
-	// ViewsConverge: once Limits.SettleWithin has passed since the last fault, start or end of a daemon, each view matches which daemons run.
+	// ViewsConverge: once Limits.SettleWithin has passed since the last fault and the last start or end of a daemon, each running daemon
+	// sees exactly the running daemons as present.
 	ViewsConverge Rule = "views agree in time after the last fault"
 )
 
@@ -35,10 +36,10 @@
 // Kind says which fact or observation an Event records.
 type Kind int
 
-// The kinds of events. StateObserved records what a daemon reported. All others are facts: what was done to daemons, links or processes.
+// StateObserved records what a daemon reported. All other kinds of events are facts: what was done to daemons, links or processes.
 const (
 	Started       Kind = iota // Subject's process was started and responds
-	Killed                    // Subject's process was killed, so that it announced nothing
+	Killed                    // Subject's process was killed without announcing that it leaves
 	ShutdownBegan             // Subject was told to shut down gracefully, and has not ended yet
 	Left                      // Subject's process has ended after it announced that it leaves the cluster
 	FaultBegan                // at least one fault of links or processes is active from now on
@@ -58,8 +59,8 @@
 
 // Limits are the time limits of the rules, and the end of the timeline.
 type Limits struct {
-	DetectWithin time.Duration // longest time from the end of a daemon until all others must have detected the end, if no other fault is active
-	SettleWithin time.Duration // longest time from the last fault, start or end of a daemon until all views must match which daemons run
+	DetectWithin time.Duration // time after the end of a daemon's process by which all other daemons must have detected the end, if no other fault is active
+	SettleWithin time.Duration // time after the last fault, start or end of a daemon by which each view must show exactly the running daemons as present
 	End          time.Duration // instant at which the timeline ends
 }
 
@@ -73,9 +74,9 @@
 // Verdict is the result of CheckMembership.
 type Verdict struct {
 	Violations         []Violation
-	TestedOccasions    map[Rule]int  // occasions on which each rule was tested; a rule that is missing was not tested
-	SlowestDetection   time.Duration // longest time from the end of a daemon until the last of the others detected the end, without other faults
-	SlowestConvergence time.Duration // longest time from a change to a daemon, or from the end of the faults, until all views matched which daemons run
+	TestedOccasions    map[Rule]int  // number of occasions on which each rule was tested; a rule without an entry was not tested
+	SlowestDetection   time.Duration // longest time from the end of a daemon's process until another daemon detected the end, while no other fault was active
+	SlowestConvergence time.Duration // longest time from a start or end of a daemon, or from the end of the faults, until all views showed the running daemons as present and ended ones as not present
 }
 
 // observation is the latest state of a daemon that another daemon, the observer, has reported.
@@ -84,10 +85,10 @@
 	incarnation uint64
 }
 
-// isPresent reports whether a daemon in this state still counts as a member of the cluster.
+// isPresent reports whether a daemon in the given state counts as a member of the cluster.
 func isPresent(state string) bool { return state == "alive" || state == "suspect" }
 
-// checker is the state of CheckMembership after the events that it has applied so far.
+// checker holds what CheckMembership has derived from the events up to now.
 type checker struct {
 	limits            Limits
 	verdict           Verdict
@@ -97,7 +98,7 @@
 	pendingDetections map[[2]string]time.Duration       // deadline by which an observer must detect the end of a subject, by {observer, subject}
 	faultActive       bool
 	lastFactAt        time.Duration // instant of the latest fact about any daemon or fault
-	converged         bool          // whether all views have matched which daemons run at some instant since lastFactAt
+	converged         bool          // whether, at some instant since lastFactAt, all views showed the running daemons as present and ended ones as not present
 }
 
 // CheckMembership checks a timeline, whose events are in order of their instants, against MembershipRules.
@@ -160,7 +161,7 @@
 	for pair, deadline := range c.pendingDetections {
 		if now > deadline {
 			delete(c.pendingDetections, pair)
-			c.addViolation(FailureDetected, deadline, "%s still holds %s for here, %v after it was gone", pair[0], pair[1], c.limits.DetectWithin)
+			c.addViolation(FailureDetected, deadline, "%s still sees %s as present, %v after its end", pair[0], pair[1], c.limits.DetectWithin)
 		}
 	}
 }
@@ -186,7 +187,7 @@
 	if known && previous.state == "left" {
 		c.verdict.TestedOccasions[LeftIsNotFailed]++
 		if isPresent(e.State) && e.Incarnation <= previous.incarnation || e.State == "failed" && e.Incarnation <= previous.incarnation {
-			c.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for %s, in incarnation %d as before", e.Observer, e.Subject, e.State, e.Incarnation)
+			c.addViolation(LeftIsNotFailed, e.At, "%s sees %s, which left, as %s in incarnation %d, which is not higher than before", e.Observer, e.Subject, e.State, e.Incarnation)
 		}
 	}
 	pair := [2]string{e.Observer, e.Subject}
@@ -197,14 +198,15 @@
 	}
 	defer c.noteConvergence(e.At)
 	if status := c.status[e.Subject]; (status == ShutdownBegan || status == Left) && e.State == "failed" && !c.faultActive {
-		c.addViolation(LeftIsNotFailed, e.At, "%s holds %s, which left, for failed", e.Observer, e.Subject)
+		c.addViolation(LeftIsNotFailed, e.At, "%s sees %s, which left or is shutting down, as failed", e.Observer, e.Subject)
 	}
 	if e.State == "failed" && c.status[e.Subject] == Started && c.isSettled(e.At) {
 		c.addViolation(NoFalsePositive, e.At, "%s holds %s for failed, which answers, %v after the last fault", e.Observer, e.Subject, e.At-c.lastFactAt)
 	}
 }
 
-// noteConvergence records the time since the latest fact if all views match which daemons run for the first time since that fact.
+// noteConvergence records the time from the latest fact until all views first show the running daemons as present and those that have
+// ended as not present.
 func (c *checker) noteConvergence(now time.Duration) {
 	if c.converged || c.faultActive {
 		return
@@ -238,7 +240,7 @@
 		for _, subject := range names {
 			seen, known := c.views[observer][subject]
 			if !known {
-				seen.state = unknown
+				seen.state = unknownState
 			}
 			c.checkView(now, observer, subject, seen.state)
 		}
@@ -251,7 +253,7 @@
 	switch status := c.status[subject]; {
 	case status == ShutdownBegan:
 		if state == "failed" {
-			c.addViolation(LeftIsNotFailed, now, "%s holds %s, which is about to leave, for failed", observer, subject)
+			c.addViolation(LeftIsNotFailed, now, "%s sees %s, which is shutting down, as failed", observer, subject)
 		}
 	case status == Started:
 		c.verdict.TestedOccasions[NoFalsePositive]++
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -30,7 +30,7 @@
 
 // CheckVersions finds the one rule that the reports of a case break, or none. Each case appends its reports to those of two daemons that
 // act on version 1, and maxContradiction is 2 s.
-func TestCheckVersions(t *testing.T) {
+func TestCheckVersionsFindsBrokenRules(t *testing.T) {
 	report := func(at time.Duration, daemon string, version uint64, digest string) VersionReport {
 		return VersionReport{RequestedAt: at - second/10, ReportedAt: at, Daemon: daemon, Version: version, Digest: digest}
 	}
@@ -47,14 +47,14 @@
 	} {
 		v := CheckVersions(append([]VersionReport{report(second, "a", 1, "x"), report(second, "b", 1, "x")}, c.reports...), 2*second)
 		if (len(v.Violations) > 0) != (c.broken != "") || c.broken != "" && v.Violations[0].Rule != c.broken {
-			t.Errorf("%s: got violations %+v, want the first of rule %q and none if that is empty", name, v.Violations, c.broken)
+			t.Errorf("%s: got violations %+v, want the first of rule %q, or none if the rule is empty", name, v.Violations, c.broken)
 		}
 	}
 }
 
 // CheckMembership finds the one rule that the timeline of a case breaks, or none. Each case appends its events to those of a converged
 // cluster of three daemons.
-func TestCheckMembership(t *testing.T) {
+func TestCheckMembershipFindsBrokenRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		events []Event
 		broken Rule // rule that the timeline breaks; empty: no rule
@@ -81,7 +81,7 @@
 			violated[violation.Rule] = true
 		}
 		if len(violated) > 1 && c.broken == "" || len(v.Violations) > 0 != (c.broken != "") || c.broken != "" && !violated[c.broken] {
-			t.Errorf("%s: got violations %+v, want some of rule %q and none if that is empty", name, v.Violations, c.broken)
+			t.Errorf("%s: got violations %+v, want some of rule %q, or none if the rule is empty", name, v.Violations, c.broken)
 		}
 		if c.tested != c.broken && v.TestedOccasions[c.tested] == 0 {
 			t.Errorf("%s: rule %q was not tested", name, c.tested)
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The rules that CheckVersions checks.
+// CheckVersions checks these rules against the reports of daemons.
 const (
 	// NoContradiction: once some daemon acts on a version, no daemon acts on an earlier one for longer than
 	// CheckVersions' maxContradiction.
@@ -23,7 +23,7 @@
 	RequestedAt time.Duration
 	ReportedAt  time.Duration
 	Daemon      string
-	Incarnation int    // number of the daemon's process; a new process may start with an earlier version, but not act on it for longer than promised
+	Incarnation int    // number of the daemon's process, which changes with a restart; a new process may act on an earlier version than the previous one did
 	Version     uint64 // version of the settings that the daemon acted on
 	Digest      string // text that identifies the content of the version, to compare between daemons
 }
@@ -45,7 +45,7 @@
 		at      time.Duration
 	}
 	verdict := VersionVerdict{Reports: len(reports)}
-	var firstReports []firstReport // first report of each version, ascending in version and time
+	var firstReports []firstReport // first report of each version, except versions first reported after a later one; ascending in version and time
 	digests := map[uint64]string{}
 	type process struct {
 		daemon      string
@@ -64,7 +64,7 @@
 			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", report.Daemon, previous.version, report.Version)})
 		}
 		if digest, ok := digests[report.Version]; ok && digest != report.Digest {
-			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s acts on another version %d than others", report.Daemon, report.Version)})
+			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s acts on a content of version %d that differs from an earlier report", report.Daemon, report.Version)})
 		}
 		digests[report.Version] = report.Digest
 		for _, first := range firstReports {
@@ -74,7 +74,7 @@
 			if contradiction := report.RequestedAt - first.at; contradiction > 0 {
 				verdict.LongestContradiction = max(verdict.LongestContradiction, contradiction)
 				if contradiction > maxContradiction {
-					verdict.Violations = append(verdict.Violations, Violation{NoContradiction, report.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after somebody acted on version %d", report.Daemon, report.Version, contradiction, first.version)})
+					verdict.Violations = append(verdict.Violations, Violation{NoContradiction, report.ReportedAt, fmt.Sprintf("%s acts on version %d, %v after version %d was first acted on", report.Daemon, report.Version, contradiction, first.version)})
 				}
 			}
 			break
