--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -44,13 +44,13 @@
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu           sync.Mutex // guards the fields below
+	mu           sync.Mutex // guards rng and all fields after it
 	rng          *rand.Rand
 	links        map[linkKey]Link         // links that were set since the latest Heal; all others have no faults
 	processNames map[netip.Addr]string    // name of the process that sends from each IP address
 	conns        map[net.Conn]linkKey     // open TCP connections of all relays; the value is the link from the client's process to the server's process
 	delayedCount int                      // number of datagrams that are delayed now, at most maxDelayedDatagrams
-	onLinkChange func(description string) // called with mu held at each change of a link; may be nil
+	onLinkChange func(description string) // called with mu held at each change of a link; never nil
 }
 
 // linkKey identifies a link by the names of the sending and the receiving process.
@@ -177,7 +177,7 @@
 	return f
 }
 
-// processName returns the name of the process that sends from an IP address, or "" if no relay belongs to such a process.
+// processName returns the name of the process that sends from an IP address, or "" if AddRelay was given no process with the address.
 func (n *Network) processName(a netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -309,7 +309,7 @@
 		n.sleep(f.delay)
 		n.waitWhileCut(key)
 		if size > 0 {
-			if _, werr := to.Write(b[:size]); werr != nil {
+			if _, writeErr := to.Write(b[:size]); writeErr != nil {
 				from.Close()
 				return
 			}
@@ -336,8 +336,8 @@
 	}
 }
 
-// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws
-// faults at random, of which only the cut is used.
+// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws random faults, of which waitWhileCut
+// uses only Cut.
 func (n *Network) waitWhileCut(key linkKey) {
 	for n.ctx.Err() == nil && n.drawFaults(key).Cut {
 		n.sleep(cutPollInterval)
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // Each fault of a link takes effect in the direction in which it is set, and no fault takes effect after Heal.
-func TestFaults(t *testing.T) {
+func TestLinkFaultsTakeEffectUntilHeal(t *testing.T) {
 	n := New(1, nil)
 	defer n.Close()
 	listen := func(ip string) (*net.UDPConn, net.Listener, netip.AddrPort) {
@@ -81,8 +81,8 @@
 		return delivered
 	}
 	for name, c := range map[string]struct {
-		link        Link
-		least, most int // bounds of the number of deliveries if 100 datagrams are sent
+		link                         Link
+		minDeliveries, maxDeliveries int // bounds of the number of deliveries if 100 datagrams are sent
 	}{
 		"no faults":        {Link{}, 100, 100},
 		"cut":              {Link{Cut: true}, 0, 0},
@@ -90,8 +90,8 @@
 		"duplicates":       {Link{Duplicate: 1}, 200, 200},
 		"delay and jitter": {Link{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond}, 100, 100},
 	} {
-		if delivered := sendAndCount(c.link, 100, c.least); delivered < c.least || delivered > c.most {
-			t.Errorf("%s: %d deliveries of 100 datagrams, want %d to %d", name, delivered, c.least, c.most)
+		if delivered := sendAndCount(c.link, 100, c.minDeliveries); delivered < c.minDeliveries || delivered > c.maxDeliveries {
+			t.Errorf("%s: %d deliveries of 100 datagrams, want %d to %d", name, delivered, c.minDeliveries, c.maxDeliveries)
 		}
 	}
 	n.SetLink("b", "a", Link{Cut: true})
