--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -27,8 +27,8 @@
 	return q.lastSeq
 }
 
-// Reschedule adds a popped entry again, due at another instant. The entry keeps its Seq, and with it its order among the events of
-// that instant.
+// Reschedule adds a popped entry again, due at another instant. The entry keeps its Seq, which determines its place among the events
+// of that instant.
 func (q *Queue[T]) Reschedule(at time.Duration, e Entry[T]) {
 	e.At = at
 	heap.Push(&q.entries, e)
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -16,7 +16,7 @@
 // SectorSize is the number of bytes that a disk writes atomically.
 const SectorSize = 512
 
-// Errors that a Disk injects.
+// A Disk returns ErrIO for each change after FailAfter, and ErrFull for a write beyond Capacity.
 var (
 	ErrIO   = errors.New("input/output error")
 	ErrFull = errors.New("no space left on device")
@@ -27,14 +27,14 @@
 	mu              sync.Mutex
 	files           map[string]*inode         // files by name, as the running system sees them
 	durableFiles    map[string]*inode         // files by name that certainly survive a crash
-	unsyncedChanges []func(map[string]*inode) // functions that apply the changes of file names since the latest SyncDir to a map of files, in order
+	unsyncedChanges []func(map[string]*inode) // changes of file names since the latest SyncDir, in order, each as a function that applies the change to a map of files
 	locked          bool
 	incarnation     int // number of crashes so far; files opened and locks taken in an earlier incarnation are stale
 
 	FailAfter   int   // value of ChangeCount after which all changes fail with ErrIO; 0: they never fail
 	Capacity    int64 // largest total size of all files, in bytes; 0: unlimited
 	IgnoresSync bool  // injected fault: syncs succeed without making anything durable
-	ChangeCount int   // changes so far: writes, truncations, syncs, and files created, renamed or removed; failed ones included
+	ChangeCount int   // number of changes so far: writes, truncations, syncs, and files created, renamed or removed; failed ones included
 }
 
 // inode is the content of a file, as the running system sees it and as it certainly survives a crash.
@@ -72,8 +72,8 @@
 	d.FailAfter = max(d.ChangeCount+remainingChanges, 1)
 }
 
-// Crash simulates a power loss. rng decides which of the unsynced sectors and changes of names survive. Files that were opened before
-// can no longer be changed, the lock is released, and Capacity and FailAfter are reset.
+// Crash simulates a power loss. rng decides which of the unsynced sectors and changes of file names survive. Files that were opened
+// before the crash can no longer be changed, the lock is released, and Capacity and FailAfter are reset.
 func (d *Disk) Crash(rng *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	// The first changes of file names survive, up to a random one, and no later ones, since file systems journal such changes in order.
+	// Of the changes of file names, a random number of the first ones survive, since file systems journal such changes in order.
 	for _, apply := range d.unsyncedChanges[:rng.IntN(len(d.unsyncedChanges)+1)] {
 		apply(d.durableFiles)
 	}
@@ -179,7 +179,7 @@
 	if i == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &handle{d, i, d.incarnation}, nil
+	return &fileHandle{d, i, d.incarnation}, nil
 }
 
 // Create implements wal.FS. It replaces an existing file of that name. The new name is durable after the next SyncDir.
@@ -191,7 +191,7 @@
 	}
 	i := &inode{}
 	d.changeFiles(func(files map[string]*inode) { files[name] = i })
-	return &handle{d, i, d.incarnation}, nil
+	return &fileHandle{d, i, d.incarnation}, nil
 }
 
 // changeFiles applies a change of file names for the running system. The change becomes durable with the next SyncDir. The caller holds
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// handle is an open file of a Disk. After a crash of the disk it is stale, and only its ReadAt and Close succeed.
-type handle struct {
+// fileHandle is an open file of a Disk. After a crash of the disk it is stale, and only its ReadAt and Close succeed.
+type fileHandle struct {
 	disk        *Disk
 	inode       *inode
 	incarnation int // Disk.incarnation when the file was opened
@@ -282,7 +282,7 @@
 var errStaleHandle = errors.New("the file was opened before the latest crash of the disk")
 
 // checkCurrent returns errStaleHandle if the disk has crashed since the file was opened. The caller holds the disk's mu.
-func (h *handle) checkCurrent() error {
+func (h *fileHandle) checkCurrent() error {
 	if h.incarnation != h.disk.incarnation {
 		return errStaleHandle
 	}
@@ -290,7 +290,7 @@
 }
 
 // ReadAt implements wal.File. It reads the content as the running system sees it, and also works on a stale handle.
-func (h *handle) ReadAt(p []byte, off int64) (int, error) {
+func (h *fileHandle) ReadAt(p []byte, off int64) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if off >= int64(len(h.inode.content)) {
@@ -304,7 +304,7 @@
 }
 
 // Write implements wal.File. If the disk has too little space left, Write stores the bytes that fit and returns ErrFull.
-func (h *handle) Write(p []byte) (int, error) {
+func (h *fileHandle) Write(p []byte) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil {
@@ -326,14 +326,14 @@
 }
 
 // Size implements wal.File. It returns errStaleHandle on a stale handle.
-func (h *handle) Size() (int64, error) {
+func (h *fileHandle) Size() (int64, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	return int64(len(h.inode.content)), h.checkCurrent()
 }
 
 // Truncate implements wal.File. The truncation is durable after the next Sync.
-func (h *handle) Truncate(size int64) error {
+func (h *fileHandle) Truncate(size int64) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil {
@@ -345,7 +345,7 @@
 }
 
 // Sync implements wal.File. It makes the content durable, unless Disk.IgnoresSync is set.
-func (h *handle) Sync() error {
+func (h *fileHandle) Sync() error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil || h.disk.IgnoresSync {
@@ -356,4 +356,4 @@
 }
 
 // Close implements wal.File. It does nothing and always succeeds.
-func (h *handle) Close() error { return nil }
+func (h *fileHandle) Close() error { return nil }
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -103,13 +103,13 @@
 	return l.Addr().String()
 }
 
-// Eventually checks a condition every millisecond and fails the test if it is still false after Timeout. The failure message
-// contains what, a description of the condition.
-func Eventually(tb testing.TB, what string, condition func() bool) {
+// Eventually checks a condition every millisecond and fails the test if the condition is still false after Timeout. The
+// failure message contains the description of the condition.
+func Eventually(tb testing.TB, description string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("condition not met within %v: %s", Timeout, what)
+			tb.Fatalf("condition not met within %v: %s", Timeout, description)
 		}
 	}
 }
